--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -18,7 +18,7 @@
     showMetric(task, "roundsStopping", rounds[PHASE_STOPPING]);
     showMetric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
     showMetric(task, "roundsKept", (int64_t)agent->rounds.known.count);
-#define X(name) showMetric(task, #name, (int64_t)counts->name);
+#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -38,11 +38,11 @@
     Job *const *jobs;
     showMetric(task, "jobsActive", (int64_t)tableActive(core->table, &jobs));
     showMetric(task, "jobsKnown", (int64_t)tableJobs(core->table, &jobs));
-#define X(name) showMetric(task, #name, (int64_t)core->counts.name);
+#define X(name, outside) showMetric(task, outside, (int64_t)core->counts.name);
     CORE_COUNT_LIST(X)
 #undef X
     const CourierCounts *counts = courierCounts(core->courier);
-#define X(name) showMetric(task, #name, (int64_t)counts->name);
+#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -16,25 +16,25 @@
 #include "queue/line.h"
 
 /* Figures of the leader's work, for status and measurement. */
-#define CORE_COUNT_LIST(X) \
-    X(passes)              \
-    X(placed)              \
-    X(unassured)           \
-    X(planChecks)          \
-    X(planRefusals)        \
-    X(lost)                \
-    X(pushed)              \
-    X(repairs)             \
-    X(retold)              \
-    X(refused)             \
-    X(crowded)             \
-    X(kept)                \
-    X(moved)               \
-    X(slowed)              \
-    X(unproven)
+#define CORE_COUNT_LIST(X)          \
+    X(passes, "passes")             \
+    X(placed, "placed")             \
+    X(unassured, "unassured")       \
+    X(planChecks, "planChecks")     \
+    X(planRefusals, "planRefusals") \
+    X(lost, "lost")                 \
+    X(pushed, "pushed")             \
+    X(repairs, "repairs")           \
+    X(retold, "retold")             \
+    X(refused, "refused")           \
+    X(crowded, "crowded")           \
+    X(kept, "kept")                 \
+    X(moved, "moved")               \
+    X(slowed, "slowed")             \
+    X(unproven, "unproven")
 
 typedef struct CoreCounts {
-#define X(name) uint64_t name;
+#define X(name, outside) uint64_t name;
     CORE_COUNT_LIST(X)
 #undef X
 } CoreCounts;
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -167,7 +167,7 @@
 {
     const CourierCounts *counts = courierCounts(core->courier);
     json_object *frames = json_object_new_object();
-#define X(name) json_object_object_add(frames, #name, numberOf((int64_t)counts->name));
+#define X(name, outside) json_object_object_add(frames, outside, numberOf((int64_t)counts->name));
     COURIER_REFUSED_LIST(X)
 #undef X
     return frames;
@@ -219,11 +219,11 @@
     json_object_object_add(body, "refusedFrames", showRefusedFrames(core));
     json_object_object_add(body, "alerts", alertsShow(core));
     json_object *counts = json_object_new_object();
-#define X(name) json_object_object_add(counts, #name, numberOf((int64_t)core->counts.name));
+#define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)core->counts.name));
     CORE_COUNT_LIST(X)
 #undef X
     const CourierCounts *courier = courierCounts(core->courier);
-#define X(name) json_object_object_add(counts, #name, numberOf((int64_t)courier->name));
+#define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)courier->name));
     COURIER_COUNT_LIST(X)
 #undef X
     json_object_object_add(body, "counts", counts);
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -35,7 +35,7 @@
     showMetric(task, "configRevision", (int64_t)feedRevision(gate->feed));
     showMetric(task, "configHeld", (int64_t)feedHeld(gate->feed));
     showMetric(task, "members", (int64_t)membersTable(gate->members)->count);
-#define X(name) showMetric(task, #name, (int64_t)counts->name);
+#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -54,7 +54,7 @@
 {
     const int64_t gapMs = site->syncMs + CORE_GAP_MS;
     /* one zone is emptied at a time, too */
-    for (size_t i = 0; i < count && one->kind == TROUBLE_zoneDrain; i++)
+    for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->atMs < list[i].atMs + list[i].forMs + site->ackMs &&
             list[i].atMs < one->atMs + one->forMs + site->ackMs)
             return false;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -8,7 +8,7 @@
 static Site siteFirst(const char *name)
 {
     Site site = {
-#define X(name, otherwise, meaning) .name = otherwise,
+#define X(name, outside, otherwise, meaning) .name = otherwise,
         SITE_LIST(X)
 #undef X
     };
@@ -20,7 +20,7 @@
 {
     SiteKind *kind = &site->kinds[site->kindCount++];
     *kind = (SiteKind){
-#define X(name, otherwise, meaning) .name = otherwise,
+#define X(name, outside, otherwise, meaning) .name = otherwise,
         SITE_KIND_LIST(X)
 #undef X
     };
@@ -109,10 +109,10 @@
 
 static bool siteField(Site *site, const char *key, int64_t value)
 {
-#define X(name, otherwise, meaning) \
-    if (strcmp(key, #name) == 0) {  \
-        site->name = value;         \
-        return true;                \
+#define X(name, outside, otherwise, meaning) \
+    if (strcmp(key, outside) == 0) {         \
+        site->name = value;                  \
+        return true;                         \
     }
     SITE_LIST(X)
 #undef X
@@ -121,10 +121,10 @@
 
 static bool kindField(SiteKind *kind, const char *key, int64_t value)
 {
-#define X(name, otherwise, meaning) \
-    if (strcmp(key, #name) == 0) {  \
-        kind->name = value;         \
-        return true;                \
+#define X(name, outside, otherwise, meaning) \
+    if (strcmp(key, outside) == 0) {         \
+        kind->name = value;                  \
+        return true;                         \
     }
     SITE_KIND_LIST(X)
 #undef X
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -8,7 +8,7 @@
 const char *troubleName(TroubleKind kind)
 {
     static const char *const NAMES[] = {
-#define X(name, core, planned, meaning) #name,
+#define X(name, outside, core, planned, meaning) outside,
         TROUBLE_LIST(X)
 #undef X
     };
@@ -18,7 +18,7 @@
 const char *troubleMeaning(TroubleKind kind)
 {
     static const char *const MEANINGS[] = {
-#define X(name, core, planned, meaning) meaning,
+#define X(name, outside, core, planned, meaning) meaning,
         TROUBLE_LIST(X)
 #undef X
     };
@@ -36,7 +36,7 @@
 bool troubleCore(TroubleKind kind)
 {
     static const bool CORE[] = {
-#define X(name, core, planned, meaning) core,
+#define X(name, outside, core, planned, meaning) core,
         TROUBLE_LIST(X)
 #undef X
     };
@@ -180,9 +180,9 @@
         return;
     nodeTake(trouble, node);
     groundSay(ground, "%s has acknowledged through %s and loses %s", taker->name, node->name,
-              trouble->kind == TROUBLE_ackWipe ? "its disk" : "power");
+              trouble->kind == TROUBLE_ACK_WIPE ? "its disk" : "power");
     nodeKill(node, true);
-    if (trouble->kind == TROUBLE_ackWipe)
+    if (trouble->kind == TROUBLE_ACK_WIPE)
         simDiskWipe(ground->world, node->machine);
 }
 
@@ -237,38 +237,38 @@
         ground->anyTroubles++;
         ground->anyMs = INT64_MAX;
         switch (trouble->kind) {
-        case TROUBLE_sideKill:
+        case TROUBLE_SIDE_KILL:
             nodeKill(hand->side, false);
             break;
-        case TROUBLE_sideFreeze:
+        case TROUBLE_SIDE_FREEZE:
             nodeFreeze(hand->side, trouble->forMs);
             break;
-        case TROUBLE_sideCut:
+        case TROUBLE_SIDE_CUT:
             nodeCut(hand->side, true);
             break;
-        case TROUBLE_sideOff:
+        case TROUBLE_SIDE_OFF:
             handCrash(hand, true);
             nodeKill(hand->side, true);
             break;
-        case TROUBLE_handCrash:
+        case TROUBLE_HAND_CRASH:
             handCrash(hand, dicePercent(&trouble->dice, 30));
             break;
-        case TROUBLE_handGone:
+        case TROUBLE_HAND_GONE:
             handCrash(hand, true);
             break;
-        case TROUBLE_handSlow:
+        case TROUBLE_HAND_SLOW:
             handSlow(hand, diceSpan(&trouble->dice, 3, 7));
             break;
-        case TROUBLE_handGrey:
+        case TROUBLE_HAND_GREY:
             hand->greyPercent = diceSpan(&trouble->dice, 30, 90);
             break;
-        case TROUBLE_handHang:
+        case TROUBLE_HAND_HANG:
             handHang(hand, true);
             break;
-        case TROUBLE_handLeave:
+        case TROUBLE_HAND_LEAVE:
             handLeave(hand, ground->site->drainMs + 3000);
             break;
-        case TROUBLE_handSpot:
+        case TROUBLE_HAND_SPOT:
             handLeave(hand, ground->site->drainMs + diceSpan(&trouble->dice, 0, 500));
             break;
         default:
@@ -287,33 +287,33 @@
     groundSay(ground, "%s %s%s", troubleName(trouble->kind), node->name,
               node == groundLeader(ground) ? ", which leads" : "");
     switch (trouble->kind) {
-    case TROUBLE_coreKill:
-    case TROUBLE_gateKill:
+    case TROUBLE_CORE_KILL:
+    case TROUBLE_GATE_KILL:
         nodeKill(node, false);
         break;
-    case TROUBLE_corePower:
+    case TROUBLE_CORE_POWER:
         nodeKill(node, true);
         break;
-    case TROUBLE_coreWipe:
+    case TROUBLE_CORE_WIPE:
         nodeKill(node, true);
         simDiskWipe(ground->world, node->machine);
         break;
-    case TROUBLE_coreFreeze:
-    case TROUBLE_gateFreeze:
+    case TROUBLE_CORE_FREEZE:
+    case TROUBLE_GATE_FREEZE:
         nodeFreeze(node, trouble->forMs);
         break;
-    case TROUBLE_coreCut:
+    case TROUBLE_CORE_CUT:
         coreCut(trouble, true);
         break;
-    case TROUBLE_coreAlone:
-    case TROUBLE_gateCut:
+    case TROUBLE_CORE_ALONE:
+    case TROUBLE_GATE_CUT:
         nodeCut(node, true);
         break;
-    case TROUBLE_diskSlow:
+    case TROUBLE_DISK_SLOW:
         simDiskSlow(ground->world, node->machine, diceSpan(&trouble->dice, 20, 400));
         nodeTrouble(node, 1);
         break;
-    case TROUBLE_coreReplace:
+    case TROUBLE_CORE_REPLACE:
         replace(trouble);
         break;
     default:
@@ -327,31 +327,31 @@
     const size_t kind = (size_t)diceSpan(&trouble->dice, 0, (int64_t)day->ground->site->kindCount - 1);
     groundSay(day->ground, "%s", troubleName(trouble->kind));
     switch (trouble->kind) {
-    case TROUBLE_burst:
+    case TROUBLE_BURST:
         day->callers->timesMilli[kind] = diceSpan(&trouble->dice, 2000, 3000);
         break;
-    case TROUBLE_poison:
+    case TROUBLE_POISON:
         day->callers->poisonPercent = 30;
         break;
-    case TROUBLE_roll:
+    case TROUBLE_ROLL:
         rollNext(trouble);
         break;
-    case TROUBLE_change:
+    case TROUBLE_CHANGE:
         operatorChange(day->operator);
         break;
-    case TROUBLE_storm:
+    case TROUBLE_STORM:
         operatorStorm(day->operator,(int) diceSpan(&trouble->dice, 3, 10), diceSpan(&trouble->dice, 30, 400));
         break;
-    case TROUBLE_race:
+    case TROUBLE_RACE:
         operatorRace(day->operator);
         break;
-    case TROUBLE_spoilt:
+    case TROUBLE_SPOILT:
         operatorSpoilt(day->operator);
         break;
-    case TROUBLE_big:
+    case TROUBLE_BIG:
         operatorBig(day->operator);
         break;
-    case TROUBLE_zoneDrain:
+    case TROUBLE_ZONE_DRAIN:
         trouble->zone = zoneDraw(trouble);
         operatorZone(day->operator, trouble->zone, true);
         break;
@@ -363,40 +363,40 @@
 void troubleBegin(Trouble *trouble)
 {
     switch (trouble->kind) {
-    case TROUBLE_coreKill:
-    case TROUBLE_corePower:
-    case TROUBLE_coreFreeze:
-    case TROUBLE_coreCut:
-    case TROUBLE_coreAlone:
-    case TROUBLE_diskSlow:
-    case TROUBLE_coreWipe:
-    case TROUBLE_coreReplace:
+    case TROUBLE_CORE_KILL:
+    case TROUBLE_CORE_POWER:
+    case TROUBLE_CORE_FREEZE:
+    case TROUBLE_CORE_CUT:
+    case TROUBLE_CORE_ALONE:
+    case TROUBLE_DISK_SLOW:
+    case TROUBLE_CORE_WIPE:
+    case TROUBLE_CORE_REPLACE:
         strikeNode(trouble, coreDraw(trouble));
         break;
-    case TROUBLE_gateKill:
-    case TROUBLE_gateFreeze:
-    case TROUBLE_gateCut:
+    case TROUBLE_GATE_KILL:
+    case TROUBLE_GATE_FREEZE:
+    case TROUBLE_GATE_CUT:
         strikeNode(trouble, gateDraw(trouble));
         break;
-    case TROUBLE_ackPower:
-    case TROUBLE_ackWipe:
+    case TROUBLE_ACK_POWER:
+    case TROUBLE_ACK_WIPE:
         ackLook(trouble);
         break;
-    case TROUBLE_zoneOff:
+    case TROUBLE_ZONE_OFF:
         zoneOff(trouble);
         groundSay(trouble->day->ground, "zoneOff %s", trouble->zone);
         break;
-    case TROUBLE_sideKill:
-    case TROUBLE_sideFreeze:
-    case TROUBLE_sideCut:
-    case TROUBLE_sideOff:
-    case TROUBLE_handCrash:
-    case TROUBLE_handGone:
-    case TROUBLE_handSlow:
-    case TROUBLE_handGrey:
-    case TROUBLE_handHang:
-    case TROUBLE_handLeave:
-    case TROUBLE_handSpot:
+    case TROUBLE_SIDE_KILL:
+    case TROUBLE_SIDE_FREEZE:
+    case TROUBLE_SIDE_CUT:
+    case TROUBLE_SIDE_OFF:
+    case TROUBLE_HAND_CRASH:
+    case TROUBLE_HAND_GONE:
+    case TROUBLE_HAND_SLOW:
+    case TROUBLE_HAND_GREY:
+    case TROUBLE_HAND_HANG:
+    case TROUBLE_HAND_LEAVE:
+    case TROUBLE_HAND_SPOT:
         strikeHands(trouble);
         break;
     default:
@@ -411,31 +411,31 @@
     if (--ground->anyTroubles <= 0)
         ground->anyMs = groundNowMs(ground);
     switch (trouble->kind) {
-    case TROUBLE_sideKill:
+    case TROUBLE_SIDE_KILL:
         nodeStart(hand->side);
         break;
-    case TROUBLE_sideCut:
+    case TROUBLE_SIDE_CUT:
         nodeCut(hand->side, false);
         break;
-    case TROUBLE_sideOff:
+    case TROUBLE_SIDE_OFF:
         nodeStart(hand->side);
         handStart(hand);
         break;
-    case TROUBLE_handCrash:
+    case TROUBLE_HAND_CRASH:
         handStart(hand);
         break;
-    case TROUBLE_handSlow:
+    case TROUBLE_HAND_SLOW:
         handSlow(hand, 1);
         break;
-    case TROUBLE_handGrey:
+    case TROUBLE_HAND_GREY:
         hand->greyPercent = 0;
         break;
-    case TROUBLE_handHang:
+    case TROUBLE_HAND_HANG:
         handHang(hand, false);
         break;
     /* a new one takes its place now and then */
-    case TROUBLE_handLeave:
-    case TROUBLE_handSpot:
+    case TROUBLE_HAND_LEAVE:
+    case TROUBLE_HAND_SPOT:
         if (dicePercent(&trouble->dice, 50))
             handStart(hand);
         break;
@@ -448,49 +448,49 @@
 {
     Day *day = trouble->day;
     Ground *ground = day->ground;
-    if (trouble->kind == TROUBLE_zoneOff) {
+    if (trouble->kind == TROUBLE_ZONE_OFF) {
         for (size_t i = 0; i < trouble->count; i++) {
             again(trouble->nodes[i]);
             if (trouble->struck[i] != NULL)
                 handStart(trouble->struck[i]);
         }
-    } else if (trouble->kind >= TROUBLE_sideKill && trouble->kind <= TROUBLE_handSpot) {
+    } else if (trouble->kind >= TROUBLE_SIDE_KILL && trouble->kind <= TROUBLE_HAND_SPOT) {
         for (size_t i = 0; i < trouble->count; i++)
             healHand(trouble, trouble->struck[i]);
     }
     GroundNode *node = trouble->count > 0 ? trouble->nodes[0] : NULL;
     switch (trouble->kind) {
-    case TROUBLE_coreKill:
-    case TROUBLE_corePower:
-    case TROUBLE_coreWipe:
-    case TROUBLE_gateKill:
-    case TROUBLE_ackPower:
-    case TROUBLE_ackWipe:
+    case TROUBLE_CORE_KILL:
+    case TROUBLE_CORE_POWER:
+    case TROUBLE_CORE_WIPE:
+    case TROUBLE_GATE_KILL:
+    case TROUBLE_ACK_POWER:
+    case TROUBLE_ACK_WIPE:
         if (node != NULL)
             again(node);
         break;
-    case TROUBLE_coreCut:
+    case TROUBLE_CORE_CUT:
         coreCut(trouble, false);
         break;
-    case TROUBLE_coreAlone:
-    case TROUBLE_gateCut:
+    case TROUBLE_CORE_ALONE:
+    case TROUBLE_GATE_CUT:
         if (node != NULL)
             nodeCut(node, false);
         break;
-    case TROUBLE_diskSlow:
+    case TROUBLE_DISK_SLOW:
         if (node != NULL) {
             simDiskSlow(ground->world, node->machine, 3);
             nodeTrouble(node, -1);
         }
         break;
-    case TROUBLE_burst:
+    case TROUBLE_BURST:
         for (size_t i = 0; i < ground->site->kindCount; i++)
             day->callers->timesMilli[i] = 1000;
         break;
-    case TROUBLE_poison:
+    case TROUBLE_POISON:
         day->callers->poisonPercent = 0;
         break;
-    case TROUBLE_zoneDrain:
+    case TROUBLE_ZONE_DRAIN:
         operatorZone(day->operator, trouble->zone, false);
         break;
     default:
--- a/packages/props/src/bounds.c
+++ b/packages/props/src/bounds.c
@@ -5,7 +5,7 @@
 Bounds boundsFirst(void)
 {
     return (Bounds){
-#define X(name, otherwise, least, most, meaning) .name = otherwise,
+#define X(name, outside, otherwise, least, most, meaning) .name = otherwise,
         BOUND_LIST(X)
 #undef X
     };
@@ -13,12 +13,12 @@
 
 int boundsSet(Bounds *bounds, const char *name, int64_t value)
 {
-#define X(bound, otherwise, least, most, meaning) \
-    if (strcmp(name, #bound) == 0) {              \
-        if (value < (least) || value > (most))    \
-            return -2;                            \
-        bounds->bound = value;                    \
-        return 0;                                 \
+#define X(bound, outside, otherwise, least, most, meaning) \
+    if (strcmp(name, outside) == 0) {                      \
+        if (value < (least) || value > (most))             \
+            return -2;                                     \
+        bounds->bound = value;                             \
+        return 0;                                          \
     }
     BOUND_LIST(X)
 #undef X
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -21,7 +21,7 @@
     uint64_t weight;
     SweepAct act;
 } ACTS[] = {
-#define X(name, weight) {#name, weight, act##name},
+#define X(name, outside, weight) {outside, weight, act##name},
     SWEEP_ACT_LIST(X)
 #undef X
 };
--- a/packages/sim/src/sweepact.h
+++ b/packages/sim/src/sweepact.h
@@ -5,35 +5,35 @@
 #include "sim/sweep.h"
 
 /* Kinds of failures and how often each is drawn among all. */
-#define SWEEP_ACT_LIST(X) \
-    X(Kill, 12)           \
-    X(PowerOff, 6)        \
-    X(Freeze, 12)         \
-    X(CutOff, 5)          \
-    X(CutOneWay, 6)       \
-    X(Flap, 4)            \
-    X(JoinAll, 6)         \
-    X(StartAll, 6)        \
-    X(DiskSlow, 5)        \
-    X(DiskFails, 3)       \
-    X(DiskSpoilt, 3)      \
-    X(ClockJump, 5)       \
-    X(ZoneOff, 2)         \
-    X(ZoneCut, 2)         \
-    X(StoreGone, 2)       \
-    X(AllKilled, 1)       \
-    X(CoreReplaced, 2)    \
-    X(LinksSlow, 3)       \
-    X(Config, 8)          \
-    X(ConfigRace, 4)      \
-    X(ConfigRefused, 3)   \
-    X(Quota, 3)           \
-    X(Cancel, 8)          \
-    X(Drain, 4)           \
-    X(WorkerLeaves, 5)    \
-    X(WorkerSick, 5)      \
-    X(WorkerRestarts, 4)  \
-    X(Crowd, 2)
+#define SWEEP_ACT_LIST(X)                  \
+    X(Kill, "Kill", 12)                    \
+    X(PowerOff, "PowerOff", 6)             \
+    X(Freeze, "Freeze", 12)                \
+    X(CutOff, "CutOff", 5)                 \
+    X(CutOneWay, "CutOneWay", 6)           \
+    X(Flap, "Flap", 4)                     \
+    X(JoinAll, "JoinAll", 6)               \
+    X(StartAll, "StartAll", 6)             \
+    X(DiskSlow, "DiskSlow", 5)             \
+    X(DiskFails, "DiskFails", 3)           \
+    X(DiskSpoilt, "DiskSpoilt", 3)         \
+    X(ClockJump, "ClockJump", 5)           \
+    X(ZoneOff, "ZoneOff", 2)               \
+    X(ZoneCut, "ZoneCut", 2)               \
+    X(StoreGone, "StoreGone", 2)           \
+    X(AllKilled, "AllKilled", 1)           \
+    X(CoreReplaced, "CoreReplaced", 2)     \
+    X(LinksSlow, "LinksSlow", 3)           \
+    X(Config, "Config", 8)                 \
+    X(ConfigRace, "ConfigRace", 4)         \
+    X(ConfigRefused, "ConfigRefused", 3)   \
+    X(Quota, "Quota", 3)                   \
+    X(Cancel, "Cancel", 8)                 \
+    X(Drain, "Drain", 4)                   \
+    X(WorkerLeaves, "WorkerLeaves", 5)     \
+    X(WorkerSick, "WorkerSick", 5)         \
+    X(WorkerRestarts, "WorkerRestarts", 4) \
+    X(Crowd, "Crowd", 2)
 
 typedef struct Sweep {
     Fleet *fleet;
@@ -57,7 +57,7 @@
 void sweepStartAll(Sweep *sweep);
 void sweepJoinAll(Sweep *sweep);
 
-#define X(name, weight) void act##name(Sweep *sweep);
+#define X(name, outside, weight) void act##name(Sweep *sweep);
 SWEEP_ACT_LIST(X)
 #undef X
 
--- a/packages/wire/include/wire/courier.h
+++ b/packages/wire/include/wire/courier.h
@@ -11,25 +11,25 @@
 typedef struct Courier Courier;
 
 /* Frames that were not taken; none of them ever crashes the courier. */
-#define COURIER_REFUSED_LIST(X)                                                    \
-    X(badFrames)     /* they do not parse, or nobody here knows what they ask */   \
-    X(strangers)     /* of another cluster */                                      \
-    X(otherVersions) /* of another version of the wire */                          \
-    X(otherPeers)    /* questions meant for another process, answers of another */ \
-    X(otherLives)    /* questions meant for an earlier life of this process */     \
-    X(otherKinds)    /* answers that are none to the question with their number */ \
-    X(lateAnswers)   /* to questions that had been given up */
+#define COURIER_REFUSED_LIST(X)                                                                     \
+    X(badFrames, "badFrames")         /* they do not parse, or nobody here knows what they ask */   \
+    X(strangers, "strangers")         /* of another cluster */                                      \
+    X(otherVersions, "otherVersions") /* of another version of the wire */                          \
+    X(otherPeers, "otherPeers")       /* questions meant for another process, answers of another */ \
+    X(otherLives, "otherLives")       /* questions meant for an earlier life of this process */     \
+    X(otherKinds, "otherKinds")       /* answers that are none to the question with their number */ \
+    X(lateAnswers, "lateAnswers")     /* to questions that had been given up */
 
-#define COURIER_COUNT_LIST(X) \
-    X(asked)                  \
-    X(answered)               \
-    X(served)                 \
-    X(expired)                \
-    X(linesOpened)            \
+#define COURIER_COUNT_LIST(X)     \
+    X(asked, "asked")             \
+    X(answered, "answered")       \
+    X(served, "served")           \
+    X(expired, "expired")         \
+    X(linesOpened, "linesOpened") \
     COURIER_REFUSED_LIST(X)
 
 typedef struct CourierCounts {
-#define X(name) uint64_t name;
+#define X(name, outside) uint64_t name;
     COURIER_COUNT_LIST(X)
 #undef X
 } CourierCounts;
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -25,11 +25,11 @@
 # What the next release adds: fields at the end, of a beat, of an answer with
 # orders, of a carried request, of a record of the log; and a message kind.
 NEXT_FIELDS = [
-    ("packages/beat/include/beat/messages.h", "BEAT_ASK_FIELDS", "X(U64, addedLater, 0)"),
+    ("packages/beat/include/beat/messages.h", "BEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
     ("packages/beat/include/beat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
-    ("packages/feed/include/feed/messages.h", "FORWARD_ASK_FIELDS", "X(U64, addedLater, 0)"),
-    ("packages/view/include/view/messages.h", "VIEW_RECORD_FIELDS", "X(U64, addedLater, 0)"),
-    ("packages/table/include/table/change.h", "PLACEMENT_FIELDS", "X(U64, addedLater, 0)"),
+    ("packages/feed/include/feed/messages.h", "FORWARD_ASK_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/view/include/view/messages.h", "VIEW_RECORD_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/table/include/table/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
 ]
 NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = courierAskPeer\(",
              "\n    /* a message that the release before does not know */\n"
