--- a/examples/counter.c
+++ b/examples/counter.c
@@ -48,7 +48,7 @@
 {
     const Counter *counter = arg;
     Bytes bytes = {0};
-    bytesAdd(mem, &bytes, &counter->sum, sizeof(counter->sum));
+    bytes_add(mem, &bytes, &counter->sum, sizeof(counter->sum));
     return bytes;
 }
 
@@ -151,7 +151,7 @@
     if (viewOpenDisk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name, &failure) !=
             STATUS_OK ||
         courierListen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
-        fprintf(stderr, "counter: %s: %s\n", statusWord(failure.status), failure.text);
+        fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
         loopStop(counter->loop);
         return;
     }
@@ -199,7 +199,7 @@
             return 2;
         }
     counter->loop = realLoopNew(mem);
-    counter->ring = ringNew(mem, counter->name);
+    counter->ring = ring_new(mem, counter->name);
     loopSpawn(counter->loop, "start", startMain, counter);
     realLoopRun(counter->loop, termMain, counter);
     return 0;
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -120,8 +120,8 @@
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
     if (asking->all && seatsAnswered(asking) && holdRuns(&agent->hold, loopNowMs(agent->loop))) {
         if (!agent->alone)
-            ringSay(agent->ring, RING_ALERT, loopNowMs(agent->loop),
-                    "no lock holder, and every member knows none: goes on while all see each other");
+            ring_say(agent->ring, RING_ALERT, loopNowMs(agent->loop),
+                     "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
         if (sentMs + holdMs > agent->hold.untilMs)
             agent->hold.untilMs = sentMs + holdMs;
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -100,8 +100,8 @@
 static void answerTake(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
     if (!holdAnswered(&agent->hold, answer->epoch, beat->sentMs, answer->holdMs)) {
-        ringSay(agent->ring, RING_NOTE, loopNowMs(agent->loop), "a beat was answered under old epoch %" PRIu64,
-                epochCounter(answer->epoch));
+        ring_say(agent->ring, RING_NOTE, loopNowMs(agent->loop), "a beat was answered under old epoch %" PRIu64,
+                 epoch_counter(answer->epoch));
         return;
     }
     agent->alone = false;
@@ -109,7 +109,7 @@
     savedKnown(agent, beat, ask, answer->epoch);
     if (answer->epoch > agent->epochTold) {
         agent->epochTold = answer->epoch;
-        traceSay(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epochCounter(answer->epoch));
+        traceSay(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
     /* of two answers the later sent may come first */
     if (answer->orders &&
@@ -136,7 +136,7 @@
     if (status == STATUS_OK)
         answerTake(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
-        ringSay(agent->ring, RING_ALERT, nowMs, "another agent beats for worker %s", agent->workerName);
+        ring_say(agent->ring, RING_ALERT, nowMs, "another agent beats for worker %s", agent->workerName);
     agent->beats--;
     if (agent->beat == beat) {
         agent->beat = NULL;
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -21,20 +21,20 @@
 
 void roundsInit(Agent *agent)
 {
-    agent->rounds.byId = mapNew(agent);
-    agent->rounds.newest = mapNew(agent);
+    agent->rounds.byId = map_new(agent);
+    agent->rounds.newest = map_new(agent);
 }
 
 Round *roundFind(Agent *agent, const char *job, uint64_t task, uint64_t round)
 {
     char key[KEY_MAX];
-    return mapGet(agent->rounds.byId, roundKey(key, job, task, round));
+    return map_get(agent->rounds.byId, roundKey(key, job, task, round));
 }
 
 Round *roundNewest(Agent *agent, const char *job, uint64_t task)
 {
     char key[KEY_MAX];
-    return mapGet(agent->rounds.newest, taskKey(key, job, task));
+    return map_get(agent->rounds.newest, taskKey(key, job, task));
 }
 
 static void chainLeave(Round *round)
@@ -82,10 +82,10 @@
     round->saved = round->text = "";
     round->changedMs = loopNowMs(agent->loop);
     chainJoin(&agent->rounds.lives, round);
-    mapSet(agent->rounds.byId, roundKey(key, order->job, order->task, order->round), round);
+    map_set(agent->rounds.byId, roundKey(key, order->job, order->task, order->round), round);
     const Round *newest = roundNewest(agent, order->job, order->task);
     if (newest == NULL || newest->order.round < order->round)
-        mapSet(agent->rounds.newest, taskKey(key, order->job, order->task), round);
+        map_set(agent->rounds.newest, taskKey(key, order->job, order->task), round);
     return round;
 }
 
@@ -208,9 +208,9 @@
             return;
         char key[KEY_MAX];
         chainLeave(round);
-        mapDrop(rounds->byId, roundKey(key, round->order.job, round->order.task, round->order.round));
+        map_drop(rounds->byId, roundKey(key, round->order.job, round->order.task, round->order.round));
         if (roundNewest(agent, round->order.job, round->order.task) == round)
-            mapDrop(rounds->newest, taskKey(key, round->order.job, round->order.task));
+            map_drop(rounds->newest, taskKey(key, round->order.job, round->order.task));
         talloc_free(round);
     }
 }
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -17,7 +17,7 @@
 {
     const bool runs = holdRuns(&agent->hold, nowMs);
     if (*ran && !runs) {
-        ringSay(agent->ring, RING_ALERT, nowMs, "the hold has lapsed: all rounds stop");
+        ring_say(agent->ring, RING_ALERT, nowMs, "the hold has lapsed: all rounds stop");
         roundsStop(agent);
     }
     *ran = runs;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -47,8 +47,8 @@
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
         /* another process of this name: unless the old one is known to be over, its hold must lapse first */
         if (!report->bootEnds && loopNowMs(agent->loop) < agent->workerUntilMs) {
-            ringSay(agent->ring, RING_NOTE, loopNowMs(agent->loop), "worker %s asks as a second process",
-                    agent->workerName);
+            ring_say(agent->ring, RING_NOTE, loopNowMs(agent->loop), "worker %s asks as a second process",
+                     agent->workerName);
             return STATUS_DUPLICATE_WORKER;
         }
         bootEnd(agent, report->bootEnds, "the worker's process was replaced");
@@ -238,7 +238,7 @@
     RoundId *stops = talloc_zero_array(mem, RoundId, lives + (unsigned)report->runningCount);
     RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->endedCount);
     *orders = (WorkerOrders){.epoch = agent->hold.epoch,
-                             .fence = epochCounter(agent->hold.epoch),
+                             .fence = epoch_counter(agent->hold.epoch),
                              .holdMs = holdPass(agent, nowMs),
                              .starts = starts,
                              .startMs = INT64_MAX,
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -96,8 +96,8 @@
 static void bossStart(void *arg, Loop *loop)
 {
     Boss *boss = arg;
-    Ring *ring = ringNew(loop, boss->id);
-    ringQuiet(ring);
+    Ring *ring = ring_new(loop, boss->id);
+    ring_quiet(ring);
     boss->loop = loop;
     boss->courier = courierNew(loop, loop, ring);
     courierSetCluster(boss->courier, 7);
@@ -123,8 +123,8 @@
 {
     Case *c = arg;
     Loop *loop = simLoop(c->world, c->agentMachine);
-    Ring *ring = ringNew(loop, "agent");
-    ringQuiet(ring);
+    Ring *ring = ring_new(loop, "agent");
+    ring_quiet(ring);
     Failure failure = {0};
     assert_int_equal(agentStart(loop, loop, ring, &c->props, &c->agent, &failure), STATUS_OK);
 }
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -147,13 +147,13 @@
 json_object *showFailure(Status status, const char *text, const Faults *faults)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "status", textOf(statusWord(status)));
+    json_object_object_add(object, "status", textOf(status_word(status)));
     json_object_object_add(object, "text", textOf(text));
     if (faults != NULL && faults->count > 0) {
         json_object *list = json_object_new_array();
         for (size_t i = 0; i < faults->count; i++) {
             json_object *one = json_object_new_object();
-            json_object_object_add(one, "status", textOf(statusWord(faults->list[i].status)));
+            json_object_object_add(one, "status", textOf(status_word(faults->list[i].status)));
             json_object_object_add(one, "path", textOf(faults->list[i].path));
             json_object_object_add(one, "text", textOf(faults->list[i].text));
             json_object_array_add(list, one);
@@ -169,16 +169,16 @@
     task->kind = "application/json";
     task->result = (Bytes){0};
     const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
-    bytesAdd(task, &task->result, text, strlen(text));
-    bytesAdd(task, &task->result, "\n", 1);
+    bytes_add(task, &task->result, text, strlen(text));
+    bytes_add(task, &task->result, "\n", 1);
     json_object_put(body);
 }
 
 void showRefusal(HttpTask *task, Status status, const char *text, const Faults *faults)
 {
-    const int code = statusHttp(status);
+    const int code = status_http(status);
     task->status = status;
-    task->retryAfterS = statusRetryS(status);
+    task->retryAfterS = status_retry_s(status);
     showResult(task, code, showFailure(status, text, faults));
 }
 
@@ -198,8 +198,8 @@
     task->code = 200;
     task->kind = "text/plain";
     task->result = (Bytes){0};
-    const char *text = ringText(ring, task);
-    bytesAdd(task, &task->result, text, strlen(text));
+    const char *text = ring_text(ring, task);
+    bytes_add(task, &task->result, text, strlen(text));
 }
 
 void showMetricsBegin(HttpTask *task)
@@ -223,7 +223,7 @@
         }
     }
     at += (size_t)snprintf(line + at, sizeof(line) - at, " %" PRId64 "\n", value);
-    bytesAdd(task, &task->result, line, at);
+    bytes_add(task, &task->result, line, at);
 }
 
 const char *queryValue(void *mem, const char *query, const char *key)
--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -14,10 +14,10 @@
     size_t room;
 } Bytes;
 
-void bytesAdd(void *mem, Bytes *bytes, const void *data, size_t count);
-Bytes bytesCopy(void *mem, Bytes from);
-bool bytesEqual(Bytes a, Bytes b);
+void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count);
+Bytes bytes_copy(void *mem, Bytes from);
+bool bytes_equal(Bytes a, Bytes b);
 /* CRC-32 (IEEE), the checksum of journal records. */
-uint32_t bytesCrc(const void *data, size_t count);
+uint32_t bytes_crc(const void *data, size_t count);
 
 #endif
--- a/packages/base/include/base/failure.h
+++ b/packages/base/include/base/failure.h
@@ -11,7 +11,7 @@
 } Failure;
 
 /* Records the failure (when one is wanted) and hands its status back, so that a
- * failing function can `return failureSet(...)`. */
-Status failureSet(Failure *failure, Status status, const char *format, ...) __attribute__((format(printf, 3, 4)));
+ * failing function can `return failure_set(...)`. */
+Status failure_set(Failure *failure, Status status, const char *format, ...) __attribute__((format(printf, 3, 4)));
 
 #endif
--- a/packages/base/include/base/ring.h
+++ b/packages/base/include/base/ring.h
@@ -34,18 +34,19 @@
  * Invariant: lines are in order of time; at most RING_LINES are held. */
 typedef struct Ring Ring;
 
-Ring *ringNew(void *mem, const char *node);
+Ring *ring_new(void *mem, const char *node);
 /* A quiet ring keeps its lines and never writes (the simulator's). */
-void ringQuiet(Ring *ring);
+void ring_quiet(Ring *ring);
 /* Lines below this level are written only together with one that isn't. NOTE at first. */
-void ringSetLevel(Ring *ring, RingLevel least);
+void ring_set_level(Ring *ring, RingLevel least);
 /* Who tells the place of each line from now on. */
-void ringSetPlace(Ring *ring, RingPlaceFn place, void *arg);
+void ring_set_place(Ring *ring, RingPlaceFn place, void *arg);
 /* False where no level is called so. */
-bool ringLevelOfWord(const char *word, RingLevel *level);
-void ringSay(Ring *ring, RingLevel level, int64_t atMs, const char *format, ...) __attribute__((format(printf, 4, 5)));
-void ringDump(const Ring *ring, FILE *to);
+bool ring_level_of_word(const char *word, RingLevel *level);
+void ring_say(Ring *ring, RingLevel level, int64_t at_ms, const char *format, ...)
+    __attribute__((format(printf, 4, 5)));
+void ring_dump(const Ring *ring, FILE *to);
 /* All lines held, on mem. */
-char *ringText(const Ring *ring, void *mem);
+char *ring_text(const Ring *ring, void *mem);
 
 #endif
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -69,11 +69,11 @@
         STATUS_COUNT
 } Status;
 
-const char *statusWord(Status status);
-int statusHttp(Status status);
+const char *status_word(Status status);
+int status_http(Status status);
 /* When to come back after a 503, in seconds; 0: nothing is told. */
-int statusRetryS(Status status);
+int status_retry_s(Status status);
 /* STATUS_COUNT when the word is none of ours. */
-Status statusOfWord(const char *word);
+Status status_of_word(const char *word);
 
 #endif
--- a/packages/base/src/bytes.c
+++ b/packages/base/src/bytes.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-void bytesAdd(void *mem, Bytes *bytes, const void *data, size_t count)
+void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count)
 {
     if (count == 0)
         return;
@@ -18,19 +18,19 @@
     bytes->count += count;
 }
 
-Bytes bytesCopy(void *mem, Bytes from)
+Bytes bytes_copy(void *mem, Bytes from)
 {
     Bytes to = {0};
-    bytesAdd(mem, &to, from.data, from.count);
+    bytes_add(mem, &to, from.data, from.count);
     return to;
 }
 
-bool bytesEqual(Bytes a, Bytes b)
+bool bytes_equal(Bytes a, Bytes b)
 {
     return a.count == b.count && (a.count == 0 || memcmp(a.data, b.data, a.count) == 0);
 }
 
-uint32_t bytesCrc(const void *data, size_t count)
+uint32_t bytes_crc(const void *data, size_t count)
 {
     /* Nibble table: small enough to be const, fast enough beside an fdatasync. */
     static const uint32_t TABLE[16] = {0x00000000, 0x1db71064, 0x3b6e20c8, 0x26d930ac, 0x76dc4190, 0x6b6b51f4,
--- a/packages/base/src/failure.c
+++ b/packages/base/src/failure.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-Status failureSet(Failure *failure, Status status, const char *format, ...)
+Status failure_set(Failure *failure, Status status, const char *format, ...)
 {
     if (failure != NULL) {
         va_list args;
--- a/packages/base/src/map.c
+++ b/packages/base/src/map.c
@@ -9,46 +9,46 @@
     GHashTable *table;
 };
 
-static int mapFree(Map *map)
+static int map_free(Map *map)
 {
     g_hash_table_destroy(map->table);
     return 0;
 }
 
-Map *mapNew(void *mem)
+Map *map_new(void *mem)
 {
     Map *map = talloc_zero(mem, Map);
     map->table = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    talloc_set_destructor(map, mapFree);
+    talloc_set_destructor(map, map_free);
     return map;
 }
 
-void *mapGet(const Map *map, const char *key)
+void *map_get(const Map *map, const char *key)
 {
     return g_hash_table_lookup(map->table, key);
 }
 
-void mapSet(Map *map, const char *key, void *value)
+void map_set(Map *map, const char *key, void *value)
 {
     g_hash_table_insert(map->table, g_strdup(key), value);
 }
 
-void mapDrop(Map *map, const char *key)
+void map_drop(Map *map, const char *key)
 {
     g_hash_table_remove(map->table, key);
 }
 
-size_t mapCount(const Map *map)
+size_t map_count(const Map *map)
 {
     return g_hash_table_size(map->table);
 }
 
-static int keyOrder(const void *a, const void *b)
+static int key_order(const void *a, const void *b)
 {
     return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-size_t mapKeys(const Map *map, void *mem, const char ***keys)
+size_t map_keys(const Map *map, void *mem, const char ***keys)
 {
     const size_t count = g_hash_table_size(map->table);
     *keys = talloc_array(mem, const char *, (unsigned)count);
@@ -58,6 +58,6 @@
     g_hash_table_iter_init(&iter, map->table);
     while (g_hash_table_iter_next(&iter, &key, NULL))
         (*keys)[at++] = key;
-    qsort(*keys, count, sizeof(**keys), keyOrder);
+    qsort(*keys, count, sizeof(**keys), key_order);
     return count;
 }
--- a/packages/base/src/status.c
+++ b/packages/base/src/status.c
@@ -13,17 +13,17 @@
 #undef X
 };
 
-const char *statusWord(Status status)
+const char *status_word(Status status)
 {
     return (unsigned)status < STATUS_COUNT ? ROWS[status].word : "unlisted";
 }
 
-int statusHttp(Status status)
+int status_http(Status status)
 {
     return (unsigned)status < STATUS_COUNT ? ROWS[status].http : 500;
 }
 
-int statusRetryS(Status status)
+int status_retry_s(Status status)
 {
     switch (status) {
     case STATUS_NO_LEADER:
@@ -32,11 +32,11 @@
     case STATUS_QUEUE_FULL:
         return RETRY_CROWD_S;
     default:
-        return statusHttp(status) == 503 ? RETRY_AFTER_S : 0;
+        return status_http(status) == 503 ? RETRY_AFTER_S : 0;
     }
 }
 
-Status statusOfWord(const char *word)
+Status status_of_word(const char *word)
 {
     for (int i = 0; i < STATUS_COUNT; i++)
         if (strcmp(ROWS[i].word, word) == 0)
--- a/packages/base/test/ring.c
+++ b/packages/base/test/ring.c
@@ -15,7 +15,7 @@
 #define LINES_MOST 1000
 
 typedef struct Line {
-    char message[RING_LINE_BYTES * 2], node[16], level[16], atMs[24], term[24], index[24];
+    char message[RING_LINE_BYTES * 2], node[16], level[16], at_ms[24], term[24], index[24];
 } Line;
 
 typedef struct Written {
@@ -23,12 +23,12 @@
     size_t count;
 } Written;
 
-static void fieldCopy(char *to, size_t size, const GLogField *field)
+static void field_copy(char *to, size_t size, const GLogField *field)
 {
     snprintf(to, size, "%s", (const char *)field->value);
 }
 
-static GLogWriterOutput onLine(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer arg)
+static GLogWriterOutput on_line(GLogLevelFlags level, const GLogField *fields, gsize count, gpointer arg)
 {
     Written *written = arg;
     (void)level;
@@ -36,110 +36,110 @@
     Line *line = &written->lines[written->count++];
     for (gsize i = 0; i < count; i++) {
         if (strcmp(fields[i].key, "MESSAGE") == 0)
-            fieldCopy(line->message, sizeof(line->message), &fields[i]);
+            field_copy(line->message, sizeof(line->message), &fields[i]);
         else if (strcmp(fields[i].key, "NODE") == 0)
-            fieldCopy(line->node, sizeof(line->node), &fields[i]);
+            field_copy(line->node, sizeof(line->node), &fields[i]);
         else if (strcmp(fields[i].key, "LEVEL") == 0)
-            fieldCopy(line->level, sizeof(line->level), &fields[i]);
+            field_copy(line->level, sizeof(line->level), &fields[i]);
         else if (strcmp(fields[i].key, "AT_MS") == 0)
-            fieldCopy(line->atMs, sizeof(line->atMs), &fields[i]);
+            field_copy(line->at_ms, sizeof(line->at_ms), &fields[i]);
         else if (strcmp(fields[i].key, "TERM") == 0)
-            fieldCopy(line->term, sizeof(line->term), &fields[i]);
+            field_copy(line->term, sizeof(line->term), &fields[i]);
         else if (strcmp(fields[i].key, "INDEX") == 0)
-            fieldCopy(line->index, sizeof(line->index), &fields[i]);
+            field_copy(line->index, sizeof(line->index), &fields[i]);
     }
     return G_LOG_WRITER_HANDLED;
 }
 
-static RingPlace placeSeven(void *arg)
+static RingPlace place_seven(void *arg)
 {
     (void)arg;
     return (RingPlace){.term = 7, .index = 4001};
 }
 
 /* The lines written since the last time it was asked. */
-static Written *writtenNew(void **state)
+static Written *written_new(void **state)
 {
     Written *written = *state;
     memset(written, 0, sizeof(*written));
     return written;
 }
 
-static void toldWithItsFields(void **state)
+static void told_with_its_fields(void **state)
 {
-    Written *written = writtenNew(state);
-    Ring *ring = ringNew(NULL, "one");
-    ringSetPlace(ring, placeSeven, NULL);
-    ringSay(ring, RING_NOTE, 1500, "leads with %d", 3);
+    Written *written = written_new(state);
+    Ring *ring = ring_new(NULL, "one");
+    ring_set_place(ring, place_seven, NULL);
+    ring_say(ring, RING_NOTE, 1500, "leads with %d", 3);
     assert_int_equal(written->count, 1);
     const Line *line = &written->lines[0];
     assert_string_equal(line->node, "one");
     assert_string_equal(line->level, "note");
-    assert_string_equal(line->atMs, "1500");
+    assert_string_equal(line->at_ms, "1500");
     assert_string_equal(line->term, "7");
     assert_string_equal(line->index, "4001");
     assert_string_equal(line->message, "one 1500 note term=7 index=4001 leads with 3");
     talloc_free(ring);
 }
 
-static void withoutAPlace(void **state)
+static void without_a_place(void **state)
 {
-    Written *written = writtenNew(state);
-    Ring *ring = ringNew(NULL, "gate");
-    ringSay(ring, RING_ALERT, 2, "lost");
+    Written *written = written_new(state);
+    Ring *ring = ring_new(NULL, "gate");
+    ring_say(ring, RING_ALERT, 2, "lost");
     assert_int_equal(written->count, 1);
     assert_string_equal(written->lines[0].term, "0");
     assert_string_equal(written->lines[0].message, "gate 2 alert lost");
     talloc_free(ring);
 }
 
-static void notesAreBounded(void **state)
+static void notes_are_bounded(void **state)
 {
-    Written *written = writtenNew(state);
-    Ring *ring = ringNew(NULL, "one");
+    Written *written = written_new(state);
+    Ring *ring = ring_new(NULL, "one");
     for (int i = 0; i < 100; i++)
-        ringSay(ring, RING_NOTE, 10, "note %d", i);
+        ring_say(ring, RING_NOTE, 10, "note %d", i);
     assert_int_equal(written->count, RING_NOTES_AT_ONCE);
     /* one more for each gap, in order */
-    ringSay(ring, RING_NOTE, 10 + 2 * RING_NOTE_GAP_MS, "note 100");
+    ring_say(ring, RING_NOTE, 10 + 2 * RING_NOTE_GAP_MS, "note 100");
     assert_int_equal(written->count, RING_NOTES_AT_ONCE + 2);
     assert_non_null(strstr(written->lines[RING_NOTES_AT_ONCE + 1].message, "note 21"));
     /* an alert doesn't wait, and comes after all that does */
-    ringSay(ring, RING_ALERT, 10 + 2 * RING_NOTE_GAP_MS, "now");
+    ring_say(ring, RING_ALERT, 10 + 2 * RING_NOTE_GAP_MS, "now");
     assert_int_equal(written->count, 102);
     assert_non_null(strstr(written->lines[101].message, "alert now"));
     talloc_free(ring);
 }
 
-static void whatIsMissedIsCounted(void **state)
+static void what_is_missed_is_counted(void **state)
 {
-    Written *written = writtenNew(state);
-    Ring *ring = ringNew(NULL, "one");
+    Written *written = written_new(state);
+    Ring *ring = ring_new(NULL, "one");
     for (int i = 0; i < RING_NOTES_AT_ONCE + RING_LINES + 5; i++)
-        ringSay(ring, RING_NOTE, 10, "note %d", i);
-    ringSay(ring, RING_ALERT, 10, "now"); /* overwrites one more */
+        ring_say(ring, RING_NOTE, 10, "note %d", i);
+    ring_say(ring, RING_ALERT, 10, "now"); /* overwrites one more */
     assert_int_equal(written->count, RING_NOTES_AT_ONCE + 1 + RING_LINES);
     assert_non_null(strstr(written->lines[RING_NOTES_AT_ONCE].message, " 6 lines were not written"));
     talloc_free(ring);
 }
 
-static void levelAndQuiet(void **state)
+static void level_and_quiet(void **state)
 {
-    Written *written = writtenNew(state);
+    Written *written = written_new(state);
     RingLevel level = RING_NOTE;
-    assert_true(ringLevelOfWord("alert", &level));
+    assert_true(ring_level_of_word("alert", &level));
     assert_int_equal(level, RING_ALERT);
-    assert_false(ringLevelOfWord("loud", &level));
-    assert_false(ringLevelOfWord("", &level));
+    assert_false(ring_level_of_word("loud", &level));
+    assert_false(ring_level_of_word("", &level));
     assert_int_equal(level, RING_ALERT);
-    Ring *ring = ringNew(NULL, "one");
-    ringSetLevel(ring, RING_ALERT);
-    ringSay(ring, RING_NOTE, 1, "kept");
+    Ring *ring = ring_new(NULL, "one");
+    ring_set_level(ring, RING_ALERT);
+    ring_say(ring, RING_NOTE, 1, "kept");
     assert_int_equal(written->count, 0);
-    ringSay(ring, RING_ALERT, 1, "now");
+    ring_say(ring, RING_ALERT, 1, "now");
     assert_int_equal(written->count, 2); /* the note says what came before */
-    ringQuiet(ring);
-    ringSay(ring, RING_FATAL, 1, "unheard");
+    ring_quiet(ring);
+    ring_say(ring, RING_FATAL, 1, "unheard");
     assert_int_equal(written->count, 2);
     talloc_free(ring);
 }
@@ -148,12 +148,12 @@
 {
     static Written written;
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_prestate(toldWithItsFields, &written),
-        cmocka_unit_test_prestate(withoutAPlace, &written),
-        cmocka_unit_test_prestate(notesAreBounded, &written),
-        cmocka_unit_test_prestate(whatIsMissedIsCounted, &written),
-        cmocka_unit_test_prestate(levelAndQuiet, &written),
+        cmocka_unit_test_prestate(told_with_its_fields, &written),
+        cmocka_unit_test_prestate(without_a_place, &written),
+        cmocka_unit_test_prestate(notes_are_bounded, &written),
+        cmocka_unit_test_prestate(what_is_missed_is_counted, &written),
+        cmocka_unit_test_prestate(level_and_quiet, &written),
     };
-    g_log_set_writer_func(onLine, &written, NULL);
+    g_log_set_writer_func(on_line, &written, NULL);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -14,19 +14,19 @@
 Liveset *livesetNew(void *mem)
 {
     Liveset *liveset = talloc_zero(mem, Liveset);
-    liveset->rows = mapNew(liveset);
+    liveset->rows = map_new(liveset);
     return liveset;
 }
 
 static LiveRow *rowOf(Liveset *liveset, const char *name)
 {
-    LiveRow *row = mapGet(liveset->rows, name);
+    LiveRow *row = map_get(liveset->rows, name);
     if (row == NULL) {
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
         row->untilMs = liveset->firstUntilMs;
         row->heardMs = INT64_MIN;
-        mapSet(liveset->rows, name, row);
+        map_set(liveset->rows, name, row);
     }
     return row;
 }
@@ -34,7 +34,7 @@
 void livesetReset(Liveset *liveset, int64_t untilMs, const char *const *workers, size_t count)
 {
     talloc_free(liveset->rows);
-    liveset->rows = mapNew(liveset);
+    liveset->rows = map_new(liveset);
     liveset->firstUntilMs = untilMs;
     for (size_t i = 0; i < count; i++)
         rowOf(liveset, workers[i]);
@@ -72,7 +72,7 @@
 
 void livesetTold(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number)
 {
-    LiveRow *row = mapGet(liveset->rows, agent);
+    LiveRow *row = map_get(liveset->rows, agent);
     if (row != NULL && row->incarnation == incarnation && number > row->number)
         row->number = number;
 }
@@ -84,7 +84,7 @@
 
 const LiveRow *livesetFind(const Liveset *liveset, const char *name)
 {
-    return mapGet(liveset->rows, name);
+    return map_get(liveset->rows, name);
 }
 
 bool liveRowReady(const LiveRow *row, int64_t nowMs)
@@ -96,9 +96,9 @@
 size_t livesetRows(const Liveset *liveset, void *mem, const LiveRow ***rows)
 {
     const char **names;
-    const size_t count = mapKeys(liveset->rows, mem, &names);
+    const size_t count = map_keys(liveset->rows, mem, &names);
     *rows = talloc_array(mem, const LiveRow *, (unsigned)count);
     for (size_t i = 0; i < count; i++)
-        (*rows)[i] = mapGet(liveset->rows, names[i]);
+        (*rows)[i] = map_get(liveset->rows, names[i]);
     return count;
 }
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -28,14 +28,14 @@
 Strays *straysNew(void *mem)
 {
     Strays *strays = talloc_zero(mem, Strays);
-    strays->workers = mapNew(strays);
+    strays->workers = map_new(strays);
     return strays;
 }
 
 void straysReset(Strays *strays)
 {
     talloc_free(strays->workers);
-    strays->workers = mapNew(strays);
+    strays->workers = map_new(strays);
 }
 
 static Stray *strayFind(const StrayList *list, const char *job, uint64_t task)
@@ -48,10 +48,10 @@
 
 static Stray *strayOf(Strays *strays, const char *worker, const char *job, uint64_t task)
 {
-    StrayList *list = mapGet(strays->workers, worker);
+    StrayList *list = map_get(strays->workers, worker);
     if (list == NULL) {
         list = talloc_zero(strays->workers, StrayList);
-        mapSet(strays->workers, worker, list);
+        map_set(strays->workers, worker, list);
     }
     Stray *stray = strayFind(list, job, task);
     if (stray != NULL)
@@ -94,7 +94,7 @@
 
 void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t nowMs)
 {
-    StrayList *list = mapGet(strays->workers, beat->worker.name);
+    StrayList *list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
     for (size_t i = 0; i < beat->roundsCount; i++) {
@@ -111,7 +111,7 @@
             stray->known = true;
         }
     }
-    list = mapGet(strays->workers, beat->worker.name);
+    list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && nowMs > list->rows[i]->untilMs)
             strayDrop(list, i);
@@ -121,7 +121,7 @@
 
 void straysEnd(Strays *strays, const RoundNews *news)
 {
-    StrayList *list = mapGet(strays->workers, news->worker);
+    StrayList *list = map_get(strays->workers, news->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         if (list->rows[i]->task == news->task && list->rows[i]->round <= news->round &&
             strcmp(list->rows[i]->job, news->job) == 0) {
@@ -132,7 +132,7 @@
 
 bool straysRoom(const Strays *strays, const char *worker, Room *room)
 {
-    const StrayList *list = mapGet(strays->workers, worker);
+    const StrayList *list = map_get(strays->workers, worker);
     *room = (Room){0};
     for (size_t i = 0; list != NULL && i < list->count; i++) {
         if (!list->rows[i]->known)
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -45,11 +45,11 @@
 {
     char key[ID_MAX * 2];
     snprintf(key, sizeof(key), "%d %s", (int)alert, subject);
-    Standing *standing = mapGet(core->alerts, key);
+    Standing *standing = map_get(core->alerts, key);
     if (standing == NULL) {
         standing = talloc_zero(core->alerts, Standing);
         *standing = (Standing){alert, talloc_strdup(standing, subject), loopNowMs(core->loop), 0};
-        mapSet(core->alerts, key, standing);
+        map_set(core->alerts, key, standing);
     }
     standing->look = core->alertLooks;
 }
@@ -133,12 +133,12 @@
             see(core, ALERT_ZONE_EMPTIED, zones[i]);
     }
     const char **keys;
-    const size_t count = mapKeys(core->alerts, mem, &keys);
+    const size_t count = map_keys(core->alerts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Standing *standing = mapGet(core->alerts, keys[i]);
+        Standing *standing = map_get(core->alerts, keys[i]);
         if (standing->look == core->alertLooks)
             continue;
-        mapDrop(core->alerts, keys[i]);
+        map_drop(core->alerts, keys[i]);
         talloc_free(standing);
     }
     talloc_free(mem);
@@ -148,10 +148,10 @@
 {
     void *mem = talloc_new(NULL);
     const char **keys;
-    const size_t count = mapKeys(core->alerts, mem, &keys);
+    const size_t count = map_keys(core->alerts, mem, &keys);
     size_t standing = 0;
     for (size_t i = 0; i < count; i++)
-        standing += ((const Standing *)mapGet(core->alerts, keys[i]))->alert == alert;
+        standing += ((const Standing *)map_get(core->alerts, keys[i]))->alert == alert;
     talloc_free(mem);
     return standing;
 }
@@ -166,11 +166,11 @@
 {
     void *mem = talloc_new(NULL);
     const char **keys;
-    const size_t count = mapKeys(core->alerts, mem, &keys);
+    const size_t count = map_keys(core->alerts, mem, &keys);
     const Standing **list = talloc_array(mem, const Standing *, (unsigned)count + 1);
     const int64_t nowMs = loopNowMs(core->loop);
     for (size_t i = 0; i < count; i++)
-        list[i] = mapGet(core->alerts, keys[i]);
+        list[i] = map_get(core->alerts, keys[i]);
     qsort(list, count, sizeof(*list), sinceOrder);
     json_object *body = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -18,9 +18,9 @@
     const int length = snprintf(head, sizeof(head), "{\"revision\":%" PRIu64 ",\"config\":", revision);
     task->code = 200;
     task->kind = "application/json";
-    bytesAdd(task, &task->result, head, (size_t)length);
-    bytesAdd(task, &task->result, text, strlen(text));
-    bytesAdd(task, &task->result, "}", 1);
+    bytes_add(task, &task->result, head, (size_t)length);
+    bytes_add(task, &task->result, text, strlen(text));
+    bytes_add(task, &task->result, "}", 1);
 }
 
 static void showNewest(Way *way)
@@ -84,7 +84,7 @@
     json_object *body = showFailure(STATUS_STALE_REVISION, "another revision is in force: build on that", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
     way->task->status = STATUS_STALE_REVISION;
-    showResult(way->task, statusHttp(STATUS_STALE_REVISION), body);
+    showResult(way->task, status_http(STATUS_STALE_REVISION), body);
 }
 
 static void showTaken(Way *way, uint64_t revision)
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -49,7 +49,7 @@
 {
     Core *core = arg;
     traceSay(core->trace, TRACE_OPENED, newHolder ? "the lock was won" : "opened anew", "view:%" PRIu64,
-             epochCounter(epoch));
+             epoch_counter(epoch));
     if (newHolder) {
         void *mem = talloc_new(core);
         const Worker **workers;
@@ -153,7 +153,7 @@
     const Core *core = arg;
     uint64_t epoch, commitIndex;
     viewPlace(core->view, &epoch, &commitIndex);
-    return (RingPlace){.term = epochCounter(epoch), .index = commitIndex};
+    return (RingPlace){.term = epoch_counter(epoch), .index = commitIndex};
 }
 
 Status coreStart(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **out,
@@ -173,15 +173,15 @@
     core->pieceSource.mem = core;
     core->keeper = keeperNew(core, loop, props->bounds.retellMs);
     core->liveset = livesetNew(core);
-    core->saved = mapNew(core);
-    core->scores = mapNew(core);
+    core->saved = map_new(core);
+    core->scores = map_new(core);
     core->guesses = guessesNew(core);
     core->queue = queueNew(core, core->guesses);
     core->strays = straysNew(core);
     core->paces = pacesNew(core);
     tableLeftWatch(core->table, onLeft, core);
-    core->kept = mapNew(core);
-    core->alerts = mapNew(core);
+    core->kept = map_new(core);
+    core->alerts = map_new(core);
     const ViewProps viewProps = {.loop = loop,
                                  .courier = core->courier,
                                  .ring = ring,
@@ -196,7 +196,7 @@
     /* the disk first: its id is part of our name */
     Status status = viewOpenDisk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
     if (status == STATUS_OK)
-        ringSetPlace(ring, placeNow, core);
+        ring_set_place(ring, placeNow, core);
     if (status == STATUS_OK)
         status = courierListen(core->courier, props->listen, core->address, failure);
     if (status == STATUS_OK)
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -27,8 +27,8 @@
     const Config *config = configBuild(core, tree, revision, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
-        ringSay(core->ring, RING_ALERT, loopNowMs(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
-                faults->list[0].path, faults->list[0].text);
+        ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
+                 faults->list[0].path, faults->list[0].text);
         core->configUnread = revision;
         if (core->config == NULL) {
             const char *first = configFirstText();
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -20,19 +20,19 @@
 static size_t keptWorkers(const Core *core, void *mem)
 {
     const char **cells;
-    const size_t count = mapKeys(core->kept, mem, &cells);
+    const size_t count = map_keys(core->kept, mem, &cells);
     size_t workers = 0;
     for (size_t i = 0; i < count; i++)
-        workers += ((const Kept *)mapGet(core->kept, cells[i]))->workerCount;
+        workers += ((const Kept *)map_get(core->kept, cells[i]))->workerCount;
     return workers;
 }
 
 static void keptDrop(Core *core, const char *cell, const char *why)
 {
-    Kept *kept = mapGet(core->kept, cell);
-    ringSay(core->ring, RING_NOTE, loopNowMs(core->loop), "%zu workers are kept for %s no longer: %s",
-            kept->workerCount, kept->job, why);
-    mapDrop(core->kept, cell);
+    Kept *kept = map_get(core->kept, cell);
+    ring_say(core->ring, RING_NOTE, loopNowMs(core->loop), "%zu workers are kept for %s no longer: %s",
+             kept->workerCount, kept->job, why);
+    map_drop(core->kept, cell);
     talloc_free(kept);
 }
 
@@ -42,9 +42,9 @@
 {
     Core *core = pass->core;
     const char **cells;
-    const size_t cellCount = mapKeys(core->kept, pass->mem, &cells);
+    const size_t cellCount = map_keys(core->kept, pass->mem, &cells);
     for (size_t c = 0; c < cellCount; c++) {
-        Kept *kept = mapGet(core->kept, cells[c]);
+        Kept *kept = map_get(core->kept, cells[c]);
         const Job *job = tableJob(core->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasksCount && job->tasks[kept->task].phase == TASK_WAITING;
         if (!waits || !lineRank(pass->line, job, kept->task, &kept->rank)) {
@@ -67,9 +67,9 @@
     bool any = false;
     void *mem = talloc_new(NULL);
     const char **cells;
-    const size_t count = mapKeys(pass->core->kept, mem, &cells);
+    const size_t count = map_keys(pass->core->kept, mem, &cells);
     for (size_t c = 0; c < count; c++) {
-        const Kept *kept = mapGet(pass->core->kept, cells[c]);
+        const Kept *kept = map_get(pass->core->kept, cells[c]);
         const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
         if (isFor(kept, candidate) || above || candidate->restart)
             continue;
@@ -110,7 +110,7 @@
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
     if (logMs - candidate->sinceMs < waitMs(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
-        mapGet(core->kept, cell) != NULL)
+        map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
     const size_t taken = keptWorkers(core, pass->mem);
@@ -155,9 +155,9 @@
     kept->task = candidate->first;
     kept->rank = candidate->rank;
     kept->sinceMs = loopNowMs(core->loop);
-    mapSet(core->kept, cell, kept);
+    map_set(core->kept, cell, kept);
     core->counts.kept++;
-    ringSay(core->ring, RING_NOTE, kept->sinceMs,
-            "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->workerCount,
-            kept->workers[0], kept->job, logMs - candidate->sinceMs);
+    ring_say(core->ring, RING_NOTE, kept->sinceMs,
+             "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->workerCount,
+             kept->workers[0], kept->job, logMs - candidate->sinceMs);
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -11,7 +11,7 @@
     size_t users;
     RoundList list;
     size_t room;
-    int64_t *atMs;   /* when each of them came */
+    int64_t *at_ms;  /* when each of them came */
     int64_t sinceMs; /* its first news came then */
     bool waited;     /* somebody waits for it */
     bool over;
@@ -54,9 +54,9 @@
     if (batch->list.newsCount == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
         batch->list.news = talloc_realloc(batch, batch->list.news, RoundNews, (unsigned)batch->room);
-        batch->atMs = talloc_realloc(batch, batch->atMs, int64_t, (unsigned)batch->room);
+        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
-    batch->atMs[batch->list.newsCount] = loopNowMs(core->loop);
+    batch->at_ms[batch->list.newsCount] = loopNowMs(core->loop);
     shapeCopy(&RoundNewsShape, one, batch, &batch->list.news[batch->list.newsCount++]);
 }
 
@@ -123,7 +123,7 @@
             news->last = NULL;
         for (size_t i = 0; i < batch->list.newsCount; i++)
             if (batch->list.news[i].ranMs > 0) /* it was told then, it is counted from the commit */
-                batch->list.news[i].ranMs += nowMs - batch->atMs[i];
+                batch->list.news[i].ranMs += nowMs - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
         batch->status = coreSubmit(core, batch, CHANGE_ROUNDS, &RoundListShape, &batch->list, &result, NULL);
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -6,10 +6,10 @@
 
 AgentLine *agentLine(Core *core, const char *worker)
 {
-    AgentLine *line = mapGet(core->lines, worker);
+    AgentLine *line = map_get(core->lines, worker);
     if (line == NULL) {
         line = talloc_zero(core->lines, AgentLine);
-        mapSet(core->lines, worker, line);
+        map_set(core->lines, worker, line);
     }
     return line;
 }
@@ -17,7 +17,7 @@
 static void onOrders(void *arg, const char *worker)
 {
     Core *core = arg;
-    AgentLine *line = mapGet(core->lines, worker);
+    AgentLine *line = map_get(core->lines, worker);
     if (line != NULL)
         signalRaise(core->loop, &line->news);
 }
@@ -26,15 +26,15 @@
 {
     void *mem = talloc_new(core);
     const char **names;
-    const size_t count = mapKeys(core->lines, mem, &names);
+    const size_t count = map_keys(core->lines, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signalRaise(core->loop, &((AgentLine *)mapGet(core->lines, names[i]))->news);
+        signalRaise(core->loop, &((AgentLine *)map_get(core->lines, names[i]))->news);
     talloc_free(mem);
 }
 
 void ordersStart(Core *core)
 {
-    core->lines = mapNew(core);
+    core->lines = map_new(core);
     tableOrdersWatch(core->table, onOrders, core);
 }
 
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -19,14 +19,14 @@
 Paces *pacesNew(void *mem)
 {
     Paces *paces = talloc_zero(mem, Paces);
-    paces->rounds = mapNew(paces);
+    paces->rounds = map_new(paces);
     return paces;
 }
 
 void pacesReset(Paces *paces)
 {
     talloc_free(paces->rounds);
-    paces->rounds = mapNew(paces);
+    paces->rounds = map_new(paces);
     paces->kept = 0;
 }
 
@@ -44,29 +44,29 @@
 const Pace *paceFind(const Paces *paces, const char *job, uint64_t task, uint64_t round)
 {
     char key[PACE_KEY];
-    const Pace *pace = mapGet(paces->rounds, paceKey(key, job, task));
+    const Pace *pace = map_get(paces->rounds, paceKey(key, job, task));
     return pace != NULL && pace->round == round ? pace : NULL;
 }
 
 /* Those of tasks that run no more are dropped whenever there are twice as many as then. */
 static void pacesSweep(const Core *core, Paces *paces)
 {
-    if (mapCount(paces->rounds) < PACES_LEAST || mapCount(paces->rounds) < 2 * paces->kept)
+    if (map_count(paces->rounds) < PACES_LEAST || map_count(paces->rounds) < 2 * paces->kept)
         return;
     void *mem = talloc_new(paces);
     const char **keys;
-    const size_t count = mapKeys(paces->rounds, mem, &keys);
+    const size_t count = map_keys(paces->rounds, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Pace *pace = mapGet(paces->rounds, keys[i]);
+        Pace *pace = map_get(paces->rounds, keys[i]);
         const Job *job = tableJob(core->table, pace->job);
         const size_t at = job != NULL ? taskIndex(job, pace->task) : 0;
         if (job != NULL && at < job->tasksCount && taskOnWorker(job->tasks[at].phase) &&
             job->tasks[at].round == pace->round)
             continue;
-        mapDrop(paces->rounds, keys[i]);
+        map_drop(paces->rounds, keys[i]);
         talloc_free(pace);
     }
-    paces->kept = mapCount(paces->rounds);
+    paces->kept = map_count(paces->rounds);
     talloc_free(mem);
 }
 
@@ -94,7 +94,7 @@
     char key[PACE_KEY];
     if (told->percentMs <= 0)
         return;
-    Pace *pace = mapGet(paces->rounds, paceKey(key, told->job, told->task));
+    Pace *pace = map_get(paces->rounds, paceKey(key, told->job, told->task));
     if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ranMs >= told->percentMs)))
         return;
     if (pace == NULL) {
@@ -102,7 +102,7 @@
         pace = talloc_zero(paces->rounds, Pace);
         pace->job = talloc_strdup(pace, told->job);
         pace->task = told->task;
-        mapSet(paces->rounds, key, pace);
+        map_set(paces->rounds, key, pace);
     }
     const bool goesOn = pace->round == told->round;
     const uint64_t before = goesOn ? pace->percent : 0;
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -43,7 +43,7 @@
     const char *words;
     const uint64_t failures = corePolicyFailures(core, &words);
     if (failures > 0 && core->policyFailuresTold == 0)
-        ringSay(core->ring, RING_ALERT, loopNowMs(core->loop), "a policy failed, first come goes first: %s", words);
+        ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "a policy failed, first come goes first: %s", words);
     core->policyFailuresTold = failures;
 }
 
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -8,7 +8,7 @@
 
 size_t pushableCell(const Pass *pass, const JobSpec *spec)
 {
-    const size_t at = pass->cells != NULL ? (size_t)(uintptr_t)mapGet(pass->cells, spec->cell) : 0;
+    const size_t at = pass->cells != NULL ? (size_t)(uintptr_t)map_get(pass->cells, spec->cell) : 0;
     return at > 0 ? at - 1 : PLAN_NO_CELL;
 }
 
@@ -54,10 +54,10 @@
     const Config *config = pass->config;
     PlanInput *input = &pass->input;
     size_t cells = 0;
-    pass->cells = mapNew(pass->mem);
+    pass->cells = map_new(pass->mem);
     for (size_t c = 0; c < config->cellCount; c++)
         if (corePolicy(core, &config->cells[c]) != policyPlain())
-            mapSet(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
+            map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
     if (cells == 0)
         return;
     input->cellCount = cells;
@@ -66,7 +66,7 @@
     const size_t count = tableActive(core->table, &jobs);
     size_t looks = 0;
     for (size_t c = 0; c < config->cellCount; c++) {
-        const size_t place = (size_t)(uintptr_t)mapGet(pass->cells, config->cells[c].name);
+        const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
         const Policy *policy = corePolicy(core, &config->cells[c]);
         Speakers speakers;
         if (place == 0)
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -212,8 +212,8 @@
     core->repairing = false;
     core->counts.repairs++;
     core->counts.retold += told;
-    ringSay(core->ring, RING_ALERT, loopNowMs(core->loop),
-            "the view rested on woken seats: %zu of %zu changes told again were missing", told, itemCount);
+    ring_say(core->ring, RING_ALERT, loopNowMs(core->loop),
+             "the view rested on woken seats: %zu of %zu changes told again were missing", told, itemCount);
     ordersWake(core);
     coreNews(core);
     return true;
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -27,21 +27,21 @@
 /* What nobody will go on from is dropped whenever there is twice as much as then. */
 static void savedSweep(Core *core)
 {
-    if (mapCount(core->saved) < SAVED_LEAST || mapCount(core->saved) < 2 * core->savedKept)
+    if (map_count(core->saved) < SAVED_LEAST || map_count(core->saved) < 2 * core->savedKept)
         return;
     void *mem = talloc_new(core);
     const char **keys;
-    const size_t count = mapKeys(core->saved, mem, &keys);
+    const size_t count = map_keys(core->saved, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Saved *saved = mapGet(core->saved, keys[i]);
+        Saved *saved = map_get(core->saved, keys[i]);
         const Job *job = tableJob(core->table, saved->job);
         const size_t at = job != NULL ? taskIndex(job, saved->task) : 0;
         if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasksCount && !taskEnded(job->tasks[at].phase))
             continue;
-        mapDrop(core->saved, keys[i]);
+        map_drop(core->saved, keys[i]);
         talloc_free(saved);
     }
-    core->savedKept = mapCount(core->saved);
+    core->savedKept = map_count(core->saved);
     talloc_free(mem);
 }
 
@@ -50,7 +50,7 @@
     char key[SAVED_KEY];
     if (told->text[0] == '\0')
         return;
-    Saved *saved = mapGet(core->saved, savedKey(key, told->job, told->task));
+    Saved *saved = map_get(core->saved, savedKey(key, told->job, told->task));
     if (saved != NULL && saved->round > told->round)
         return;
     if (saved == NULL) {
@@ -58,7 +58,7 @@
         saved = talloc_zero(core->saved, Saved);
         saved->job = talloc_strdup(saved, told->job);
         saved->task = told->task;
-        mapSet(core->saved, key, saved);
+        map_set(core->saved, key, saved);
     }
     talloc_free((void *)(uintptr_t)saved->text);
     saved->text = talloc_strdup(saved, told->text);
@@ -68,6 +68,6 @@
 const char *coreSaved(const Core *core, const char *job, uint64_t task, uint64_t round)
 {
     char key[SAVED_KEY];
-    const Saved *saved = mapGet(core->saved, savedKey(key, job, task));
+    const Saved *saved = map_get(core->saved, savedKey(key, job, task));
     return saved != NULL && saved->round == round ? saved->text : "";
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -9,7 +9,7 @@
 
 const Score *scoreFind(const Core *core, const char *worker)
 {
-    return mapGet(core->scores, worker);
+    return map_get(core->scores, worker);
 }
 
 /* A rate that nothing renews fades. */
@@ -42,7 +42,7 @@
 static size_t resting(const Core *core, void *mem)
 {
     const char **names;
-    const size_t count = mapKeys(core->scores, mem, &names);
+    const size_t count = map_keys(core->scores, mem, &names);
     size_t rest = 0;
     for (size_t i = 0; i < count; i++)
         rest += scoreRests(core, names[i]);
@@ -69,8 +69,8 @@
     tally->ratePercent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
     if (viewLeading(core->view))
-        ringSay(core->ring, RING_ALERT, nowMs, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
-                score->restMs);
+        ring_say(core->ring, RING_ALERT, nowMs, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
+                 score->restMs);
 }
 
 static void tallyTake(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
@@ -146,10 +146,10 @@
 
 void scoreStill(Core *core, const char *worker, const Job *job)
 {
-    Score *score = mapGet(core->scores, worker);
+    Score *score = map_get(core->scores, worker);
     if (score == NULL) {
         score = talloc_zero(core->scores, Score);
-        mapSet(core->scores, worker, score);
+        map_set(core->scores, worker, score);
     }
     tallyTake(core, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
 }
@@ -160,7 +160,7 @@
         const RoundNews *news = &list->news[i];
         if (news->word != ROUND_FAILED && news->word != ROUND_DONE)
             continue;
-        Score *score = mapGet(core->scores, news->worker);
+        Score *score = map_get(core->scores, news->worker);
         const Job *job = tableJob(core->table, news->job);
         bool slow = false;
         const size_t at = job != NULL ? taskIndex(job, news->task) : 0;
@@ -173,7 +173,7 @@
             continue;
         if (score == NULL) {
             score = talloc_zero(core->scores, Score);
-            mapSet(core->scores, news->worker, score);
+            map_set(core->scores, news->worker, score);
         }
         tallyTake(core, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
                   "fails its work");
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -17,13 +17,13 @@
 
 void lostFind(Core *core, void *mem)
 {
-    Map *lost = mapNew(mem);
+    Map *lost = map_new(mem);
     const char *worker;
     for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++)
         if (lapsed(core, worker))
-            mapSet(lost, worker, core);
+            map_set(lost, worker, core);
     const char **names;
-    const size_t lostCount = mapKeys(lost, mem, &names);
+    const size_t lostCount = map_keys(lost, mem, &names);
     for (size_t i = 0; i < lostCount && coreDecides(core); i++) {
         if (!lapsed(core, names[i]))
             continue; /* back while the loss of another was committed: what it was told since stands */
@@ -34,8 +34,8 @@
         ChangeResult result;
         if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLostShape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
-            ringSay(core->ring, RING_ALERT, loopNowMs(core->loop), "worker %s is lost with %" PRIu64 " rounds",
-                    names[i], result.number);
+            ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "worker %s is lost with %" PRIu64 " rounds",
+                     names[i], result.number);
         }
     }
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -181,7 +181,7 @@
     json_object *body = json_object_new_object();
     json_object_object_add(body, "cluster", diskOf(courierCluster(core->courier)));
     json_object_object_add(body, "leader", textOf(core->props->name));
-    json_object_object_add(body, "epoch", numberOf((int64_t)epochCounter(sight.epoch)));
+    json_object_object_add(body, "epoch", numberOf((int64_t)epoch_counter(sight.epoch)));
     json_object_object_add(body, "holdLeftMs", numberOf(sight.holdLeftMs));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
     json_object_object_add(body, "clockMs", numberOf(viewClockMs(core->view)));
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -34,7 +34,7 @@
     ChangeResult result;
     if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopListShape, &list, &result, NULL) == STATUS_OK) {
         core->counts.slowed += result.number;
-        ringSay(core->ring, RING_NOTE, nowMs, "%zu rounds are begun anew elsewhere", list.roundsCount);
+        ring_say(core->ring, RING_NOTE, nowMs, "%zu rounds are begun anew elsewhere", list.roundsCount);
     }
     return true;
 }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -33,7 +33,7 @@
     char detail[48];
     const bool good = result->status == STATUS_OK;
     snprintf(detail, sizeof(detail), "index %" PRIu64 "%s%s", change->index, good ? "" : " ",
-             good ? "" : statusWord(result->status));
+             good ? "" : status_word(result->status));
     switch (change->change) {
     case CHANGE_JOB_ADD:
         traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobAdd *)body)->spec.id);
--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -55,7 +55,7 @@
 } Who;
 
 typedef struct Act {
-    int64_t atMs; /* since the voters were whole */
+    int64_t at_ms; /* since the voters were whole */
     ActKind kind;
     Who who;
     unsigned pick; /* which of them: modulo their number */
@@ -115,7 +115,7 @@
 
 typedef struct ExploreResult {
     Rule rule; /* the first that was broken */
-    int64_t atMs;
+    int64_t at_ms;
     char why[240];
     uint64_t steps, committed, acknowledged, leads, voterChanges;
     uint64_t done[ACT_KINDS]; /* acts that found somebody to do it to */
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -24,7 +24,7 @@
     if (result->rule != RULE_NONE)
         return;
     result->rule = rule;
-    result->atMs = simNowMs(explore->world) - explore->startMs;
+    result->at_ms = simNowMs(explore->world) - explore->startMs;
     va_list args;
     va_start(args, format);
     vsnprintf(result->why, sizeof(result->why), format, args);
@@ -66,7 +66,7 @@
     }
     if (synced < lockMajority(window->voterCount))
         exploreBreak(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
-                     epochCounter(window->epoch), synced, window->voterCount);
+                     epoch_counter(window->epoch), synced, window->voterCount);
 }
 
 static void checkEpochOwner(Explore *explore, const Node *node, uint64_t epoch)
@@ -76,7 +76,7 @@
         if (explore->leads[i].epoch == epoch) {
             if (explore->leads[i].disk != disk)
                 exploreBreak(explore, RULE_TWO_LEADERS, "%s leads view %" PRIu64 " of another disk", node->name,
-                             epochCounter(epoch));
+                             epoch_counter(epoch));
             return;
         }
     if (explore->leadCount == explore->leadRoom) {
@@ -85,7 +85,7 @@
     }
     explore->leads[explore->leadCount++] = (Lead){epoch, disk};
     explore->result->leads++;
-    exploreSay(explore, "%s leads view %" PRIu64, node->name, epochCounter(epoch));
+    exploreSay(explore, "%s leads view %" PRIu64, node->name, epoch_counter(epoch));
 }
 
 static bool sameVoters(const History *history, const ViewWindow *window)
@@ -121,9 +121,9 @@
     if (newest > window->log->baseIndex &&
         (!logEpochAt(window->log, newest, &epoch) || epoch != historyItem(history, newest)->epoch))
         exploreBreak(explore, RULE_COMMITTED_LOST, "%s leads view %" PRIu64 " without %" PRIu64, node->name,
-                     epochCounter(window->epoch), newest);
+                     epoch_counter(window->epoch), newest);
     if (window->listIndex <= window->commitIndex && !sameVoters(history, window))
-        exploreBreak(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epochCounter(window->epoch));
+        exploreBreak(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epoch_counter(window->epoch));
     if (window->listIndex != node->listSeen && listsPending(window) > 1)
         exploreBreak(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->listIndex);
     node->listSeen = window->listIndex;
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -53,9 +53,9 @@
     Loop *loop = simLoop(explore->world, node->machine);
     Handing *handing = talloc_zero(loop, Handing);
     *handing = (Handing){explore, node, explore->orderCount, {0}};
-    bytesAdd(handing, &handing->payload, &handing->number, sizeof(handing->number));
+    bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
     static const uint8_t FILL[CLIENT_BYTES] = {0};
-    bytesAdd(handing, &handing->payload, FILL, simRandom(explore->world) % CLIENT_BYTES);
+    bytes_add(handing, &handing->payload, FILL, simRandom(explore->world) % CLIENT_BYTES);
     loopSpawn(loop, "client", handMain, handing);
 }
 
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -103,7 +103,7 @@
 {
     if (newer->promised < older->promised)
         exploreBreak(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
-                     epochCounter(older->promised), epochCounter(newer->promised));
+                     epoch_counter(older->promised), epoch_counter(newer->promised));
     if (shortened(older, newer))
         exploreBreak(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
                      lastIndex(older), lastIndex(newer));
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -92,14 +92,14 @@
     plan->voterBackMs = (int64_t[]){0, 3000, 6000}[below(&draw, 3)];
     const bool dense = below(&draw, 4) == 0;
     plan->lengthMs = dense ? 9000 : 20000 + (int64_t)below(&draw, 20000);
-    int64_t atMs = 0;
+    int64_t at_ms = 0;
     while (plan->actCount < EXPLORE_ACTS_MAX) {
-        atMs += gapOf(&draw, dense);
-        if (atMs >= plan->lengthMs)
+        at_ms += gapOf(&draw, dense);
+        if (at_ms >= plan->lengthMs)
             break;
         const ActKind kind = kindOf(&draw);
         Act *act = &plan->acts[plan->actCount++];
-        *act = (Act){atMs, kind, whoOf(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
+        *act = (Act){at_ms, kind, whoOf(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
         act->forMs =
             SHAPES[kind].leastMs + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].mostMs - SHAPES[kind].leastMs + 1));
         act->amount = SHAPES[kind].least + (unsigned)below(&draw, SHAPES[kind].most - SHAPES[kind].least + 1);
@@ -108,16 +108,16 @@
 
 /* One voter after another is lost. A learner comes shortly before each loss, or all of them stand
  * ready from the start on. */
-static void paceLoss(Draw *draw, ExplorePlan *plan, int64_t atMs, bool standing)
+static void paceLoss(Draw *draw, ExplorePlan *plan, int64_t at_ms, bool standing)
 {
     static const ActKind LOSSES[] = {ACT_LEAVE, ACT_LEAVE, ACT_VANISH, ACT_WIPE};
     const Who who = (Who[]){WHO_LEADER, WHO_VOTER, WHO_VOTER}[below(draw, 3)];
     const ActKind kind = LOSSES[below(draw, sizeof(LOSSES) / sizeof(LOSSES[0]))];
     const int64_t beforeMs = (int64_t)below(draw, PACE_BEFORE_MS);
     if (kind != ACT_WIPE && !standing) /* one that is wiped comes back as a learner itself */
-        plan->acts[plan->actCount++] = (Act){atMs - beforeMs, ACT_JOIN, WHO_ANY, 0, 0, 0};
+        plan->acts[plan->actCount++] = (Act){at_ms - beforeMs, ACT_JOIN, WHO_ANY, 0, 0, 0};
     plan->acts[plan->actCount++] =
-        (Act){atMs, kind, who, (unsigned)below(draw, NODES_MAX), (int64_t)below(draw, 1000), 0};
+        (Act){at_ms, kind, who, (unsigned)below(draw, NODES_MAX), (int64_t)below(draw, 1000), 0};
 }
 
 void explorePaceOf(uint64_t seed, ExplorePlan *plan)
@@ -132,12 +132,12 @@
     plan->byVotes = true;
     plan->snapshot = (size_t[]){5, 80, 4000}[below(&draw, 3)];
     plan->voterBackMs = (int64_t[]){4000, 6000}[below(&draw, 2)];
-    int64_t atMs = PACE_BEFORE_MS;
+    int64_t at_ms = PACE_BEFORE_MS;
     for (int i = 0; i < PACE_LOSSES; i++) {
-        paceLoss(&draw, plan, atMs, standing);
-        atMs += plan->voterBackMs + PACE_BEFORE_MS + (int64_t)below(&draw, 500);
+        paceLoss(&draw, plan, at_ms, standing);
+        at_ms += plan->voterBackMs + PACE_BEFORE_MS + (int64_t)below(&draw, 500);
     }
-    plan->lengthMs = atMs;
+    plan->lengthMs = at_ms;
 }
 
 void explorePrint(const ExplorePlan *plan)
@@ -160,7 +160,7 @@
            plan->lengthMs);
     for (size_t i = 0; i < plan->actCount; i++)
         if (!plan->skipped[i])
-            printf("    {%" PRId64 ", %s, %s, %u, %" PRId64 ", %u},\n", plan->acts[i].atMs, KINDS[plan->acts[i].kind],
+            printf("    {%" PRId64 ", %s, %s, %u, %" PRId64 ", %u},\n", plan->acts[i].at_ms, KINDS[plan->acts[i].kind],
                    WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].forMs, plan->acts[i].amount);
     printf("}}\n");
 }
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -25,7 +25,7 @@
 static Bytes save(void *arg, void *mem)
 {
     Bytes saved = {0};
-    bytesAdd(mem, &saved, arg, sizeof(Chain));
+    bytes_add(mem, &saved, arg, sizeof(Chain));
     return saved;
 }
 
@@ -52,8 +52,8 @@
     *node = (Node){.explore = explore, .machine = simMachine(explore->world)};
     node->name = talloc_asprintf(explore, "node%d", number + 1);
     node->listen = talloc_asprintf(explore, "%s:7000", simAddress(explore->world, node->machine));
-    node->ring = ringNew(explore, node->name);
-    ringQuiet(node->ring);
+    node->ring = ring_new(explore, node->name);
+    ring_quiet(node->ring);
     return node;
 }
 
@@ -128,7 +128,7 @@
     if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
         simAt(node->explore->world, simNowMs(node->explore->world), startAgain, node);
     else if (!node->up)
-        exploreBreak(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, statusWord(status), failure.text);
+        exploreBreak(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
 }
 
 static void onStart(void *arg, Loop *loop)
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -60,7 +60,7 @@
 {
     const ExplorePlan *plan = explore->plan;
     for (size_t i = 0; i < plan->actCount && !broken(explore); i++) {
-        runUntil(explore, explore->startMs + plan->acts[i].atMs);
+        runUntil(explore, explore->startMs + plan->acts[i].at_ms);
         if (!plan->skipped[i] && !broken(explore))
             actDo(explore, &plan->acts[i]);
     }
@@ -116,7 +116,7 @@
 {
     for (int i = 0; i < explore->nodeCount; i++) {
         printf("--- %s\n", explore->nodes[i].name);
-        ringDump(explore->nodes[i].ring, stdout);
+        ring_dump(explore->nodes[i].ring, stdout);
     }
 }
 
--- a/packages/explore/test/plays.h
+++ b/packages/explore/test/plays.h
@@ -15,7 +15,7 @@
 static inline void plays(ExplorePlan plan)
 {
     ExploreResult result;
-    while (plan.actCount < EXPLORE_ACTS_MAX && plan.acts[plan.actCount].atMs > 0)
+    while (plan.actCount < EXPLORE_ACTS_MAX && plan.acts[plan.actCount].at_ms > 0)
         plan.actCount++;
     exploreRun(&plan, false, &result);
     if (result.rule != RULE_NONE)
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -94,7 +94,7 @@
 
 static void tell(const ExplorePlan *plan, const ExploreResult *result)
 {
-    printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, ruleText(result->rule), result->atMs,
+    printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, ruleText(result->rule), result->at_ms,
            result->why);
 }
 
@@ -138,7 +138,7 @@
         if (result.rule != RULE_NONE) {
             tell(&plan, &result);
             if (wish->shrink && exploreShrink(&plan, &result)) {
-                printf("shrunk: at %" PRId64 " ms, %s\n", result.atMs, result.why);
+                printf("shrunk: at %" PRId64 " ms, %s\n", result.at_ms, result.why);
                 tellShrunk(&plan);
             }
         }
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -135,7 +135,7 @@
 {
     if (answer->epoch > feed->epoch) {
         feed->epoch = answer->epoch;
-        traceSay(feed->trace, TRACE_LEARNT, "", "view:%" PRIu64, epochCounter(answer->epoch));
+        traceSay(feed->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
     if (answer->revision > feed->revision) {
         traceSay(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -8,7 +8,7 @@
 typedef struct Kept {
     KeepItem item; /* first; its payload is the kept's own */
     struct Kept *next;
-    int64_t atMs;
+    int64_t at_ms;
 } Kept;
 
 struct Keeper {
@@ -22,13 +22,13 @@
 static guint itemHash(gconstpointer data)
 {
     const KeepItem *item = data;
-    return bytesCrc(item->payload.data, item->payload.count) ^ (guint)item->change;
+    return bytes_crc(item->payload.data, item->payload.count) ^ (guint)item->change;
 }
 
 static gboolean itemEqual(gconstpointer a, gconstpointer b)
 {
     const KeepItem *x = a, *y = b;
-    return x->change == y->change && bytesEqual(x->payload, y->payload);
+    return x->change == y->change && bytes_equal(x->payload, y->payload);
 }
 
 static int keeperFree(Keeper *keeper)
@@ -56,7 +56,7 @@
 {
     const int64_t nowMs = loopNowMs(keeper->loop);
     while (keeper->first != NULL &&
-           (nowMs - keeper->first->atMs > keeper->spanMs || keeper->bytes > KEEPER_BYTES_MAX)) {
+           (nowMs - keeper->first->at_ms > keeper->spanMs || keeper->bytes > KEEPER_BYTES_MAX)) {
         Kept *kept = keeper->first;
         keeper->first = kept->next;
         if (keeper->first == NULL)
@@ -74,8 +74,8 @@
             continue;
         Kept *kept = talloc_zero(keeper, Kept);
         kept->item = items[i];
-        kept->item.payload = bytesCopy(kept, items[i].payload);
-        kept->atMs = loopNowMs(keeper->loop);
+        kept->item.payload = bytes_copy(kept, items[i].payload);
+        kept->at_ms = loopNowMs(keeper->loop);
         g_hash_table_add(keeper->known, kept);
         if (keeper->last != NULL)
             keeper->last->next = kept;
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -103,7 +103,7 @@
         piecesDrop(pieces);
         return false;
     }
-    bytesAdd(pieces->mem, &pieces->text, answer->piece.data, answer->piece.count);
+    bytes_add(pieces->mem, &pieces->text, answer->piece.data, answer->piece.count);
     if (pieces->text.count < pieces->length)
         return false;
     *set = answer->pieceSet;
--- a/packages/journal/include/journal/record.h
+++ b/packages/journal/include/journal/record.h
@@ -24,7 +24,7 @@
     X(U64, kind, 0)      \
     X(U64, epoch, 0)     \
     X(U64, index, 0)     \
-    X(I64, atMs, 0)      \
+    X(I64, at_ms, 0)     \
     X(U64, change, 0)    \
     X(TXT, name, 0)      \
     X(BIN, payload, 0)
--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -24,10 +24,10 @@
     uint8_t head[BLOCK_HEAD];
     put32(head, MAGIC);
     put32(head + 4, (uint32_t)body.count);
-    put32(head + 8, bytesCrc(head, 8));
-    put32(head + 12, bytesCrc(body.data, body.count));
-    bytesAdd(mem, to, head, sizeof(head));
-    bytesAdd(mem, to, body.data, body.count);
+    put32(head + 8, bytes_crc(head, 8));
+    put32(head + 12, bytes_crc(body.data, body.count));
+    bytes_add(mem, to, head, sizeof(head));
+    bytes_add(mem, to, body.data, body.count);
 }
 
 /* Whether a whole, good block starts here; its body is told. */
@@ -37,11 +37,11 @@
         return false;
     const uint8_t *head = content.data + at;
     const uint32_t count = get32(head + 4);
-    if (get32(head) != MAGIC || get32(head + 8) != bytesCrc(head, 8) || count > RECORD_MAX_BYTES ||
+    if (get32(head) != MAGIC || get32(head + 8) != bytes_crc(head, 8) || count > RECORD_MAX_BYTES ||
         count > content.count - at - BLOCK_HEAD)
         return false;
     *body = (Bytes){content.data + at + BLOCK_HEAD, count, 0};
-    return get32(head + 12) == bytesCrc(body->data, body->count);
+    return get32(head + 12) == bytes_crc(body->data, body->count);
 }
 
 void recordAdd(void *mem, Bytes *body, const Record *record)
@@ -51,8 +51,8 @@
     shapePack(&RecordShape, record, scratch, &packed);
     uint8_t count[4];
     put32(count, (uint32_t)packed.count);
-    bytesAdd(mem, body, count, sizeof(count));
-    bytesAdd(mem, body, packed.data, packed.count);
+    bytes_add(mem, body, count, sizeof(count));
+    bytes_add(mem, body, packed.data, packed.count);
     talloc_free(scratch);
 }
 
@@ -61,15 +61,15 @@
     for (size_t k = 0; k < body.count;) {
         const uint32_t count = body.count - k >= 4 ? get32(body.data + k) : UINT32_MAX;
         if (count > body.count - k - 4)
-            return failureSet(failure, STATUS_JOURNAL_CORRUPT, "record out of its block at byte %zu",
-                              at + BLOCK_HEAD + k);
+            return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record out of its block at byte %zu",
+                               at + BLOCK_HEAD + k);
         void *mem = talloc_new(NULL);
         Record record;
         const Status status = shapeUnpack(&RecordShape, (Bytes){body.data + k + 4, count, 0}, mem, &record, failure);
         if (status != STATUS_OK) {
             talloc_free(mem);
-            return failureSet(failure, STATUS_JOURNAL_CORRUPT, "record does not parse at byte %zu",
-                              at + BLOCK_HEAD + k);
+            return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record does not parse at byte %zu",
+                               at + BLOCK_HEAD + k);
         }
         if (found != NULL)
             found(arg, &record);
@@ -88,8 +88,8 @@
         if (!blockAt(content, at, &body)) {
             for (size_t later = at + 1; later < content.count; later++)
                 if (content.data[later] == (uint8_t)(MAGIC >> 24) && blockAt(content, later, &body))
-                    return failureSet(failure, STATUS_JOURNAL_CORRUPT,
-                                      "bad block at byte %zu, but a whole one follows at byte %zu", at, later);
+                    return failure_set(failure, STATUS_JOURNAL_CORRUPT,
+                                       "bad block at byte %zu, but a whole one follows at byte %zu", at, later);
             return STATUS_OK; /* a torn tail */
         }
         const Status status = blockRead(body, at, found, arg, failure);
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -47,7 +47,7 @@
         for (Waiting *w = batch; w != NULL && w->rewrite == rewrite && (w == batch || !rewrite) &&
                                  body.count + w->body.count < RECORD_MAX_BYTES;
              w = w->next) {
-            bytesAdd(mem, &body, w->body.data, w->body.count);
+            bytes_add(mem, &body, w->body.data, w->body.count);
             records += w->records;
             batchLast = w;
         }
@@ -168,13 +168,13 @@
     Journal *journal = opening->journal;
     if (opening->records++ == 0) {
         if (record->kind != RECORD_IDENTITY)
-            failureSet(&opening->failure, STATUS_JOURNAL_CORRUPT, "the first record is not the identity");
+            failure_set(&opening->failure, STATUS_JOURNAL_CORRUPT, "the first record is not the identity");
         else if (record->epoch > JOURNAL_VERSION)
-            failureSet(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
-                       record->epoch, JOURNAL_VERSION);
+            failure_set(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
+                        record->epoch, JOURNAL_VERSION);
         else if (strcmp(record->name, journal->nodeName) != 0)
-            failureSet(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
-                       record->name, journal->nodeName);
+            failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
+                        record->name, journal->nodeName);
         journal->disk = record->index;
         journal->counts.begunAnew = record->change != 0;
         return;
@@ -221,17 +221,17 @@
     size_t goodCount = 0;
     Status status = readTry(journal, mem, &content);
     if (status != STATUS_OK)
-        failureSet(failure, status, "cannot read %s", path);
+        failure_set(failure, status, "cannot read %s", path);
     else
         status = journalRead(content, openRecord, opening, &goodCount, failure);
     if (status == STATUS_OK && opening->failure.status != STATUS_OK)
-        status = failureSet(failure, opening->failure.status, "%s", opening->failure.text);
+        status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
     if (status == STATUS_OK && goodCount == 0 && content.count > 0) /* the first block comes in one step */
-        status = failureSet(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
+        status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
     if (status == STATUS_OK && goodCount < content.count) {
         status = replaceTry(journal, (Bytes){content.data, goodCount, 0});
         if (status != STATUS_OK)
-            failureSet(failure, status, "cannot cut the torn tail of %s", path);
+            failure_set(failure, status, "cannot cut the torn tail of %s", path);
     }
     journal->counts.bytes = goodCount;
     journal->counts.tornBytes = content.count - goodCount;
@@ -251,7 +251,7 @@
     const Status status = replaceTry(journal, block);
     journal->counts.bytes = block.count;
     talloc_free(mem);
-    return status == STATUS_OK ? status : failureSet(failure, status, "cannot write %s", path);
+    return status == STATUS_OK ? status : failure_set(failure, status, "cannot write %s", path);
 }
 
 Status journalOpen(Loop *loop, void *mem, const char *path, const char *nodeName, JournalFn found, void *arg,
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -71,7 +71,7 @@
     simRunUntil(world, simNowMs(world) + 5000);
     simKill(world, machine);
     if (seen->failure.status != STATUS_OK)
-        print_message("%s: %s\n", statusWord(seen->status), seen->failure.text);
+        print_message("%s: %s\n", status_word(seen->status), seen->failure.text);
     return *seen;
 }
 
@@ -100,7 +100,7 @@
     const int machine = simMachine(world);
     run(world, machine, "core1", 20, false);
     Bytes *file = simDiskContent(world, machine, PATH);
-    const Bytes whole = bytesCopy(world, *file);
+    const Bytes whole = bytes_copy(world, *file);
     Seen seen = run(world, machine, "core2", 0, false);
     assert_int_equal(seen.status, STATUS_JOURNAL_FOREIGN);
     assert_non_null(strstr(seen.failure.text, "core1"));
@@ -113,8 +113,8 @@
     file = simDiskContent(world, machine, PATH); /* the cut put another file in its place */
     file->count = 0;
     uint8_t zeroes[100] = {0};
-    bytesAdd(world, file, whole.data, whole.count);
-    bytesAdd(world, file, zeroes, sizeof(zeroes));
+    bytes_add(world, file, whole.data, whole.count);
+    bytes_add(world, file, zeroes, sizeof(zeroes));
     seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
@@ -135,11 +135,11 @@
     SimWorld *world = simWorldNew(NULL, 1);
     const int machine = simMachine(world);
     run(world, machine, "core1", 6, false);
-    const Bytes whole = bytesCopy(world, *simDiskContent(world, machine, PATH));
+    const Bytes whole = bytes_copy(world, *simDiskContent(world, machine, PATH));
     size_t corrupt = 0, torn = 0;
     const size_t block = whole.count / 7; /* the identity and six entries of like size */
     for (size_t at = 0; at < whole.count; at++) {
-        Bytes copy = bytesCopy(world, whole);
+        Bytes copy = bytes_copy(world, whole);
         copy.data[at] ^= 0x41;
         Seen seen = {0};
         Failure failure = {0};
@@ -171,19 +171,19 @@
     Bytes packed = {0}, body = {0}, block = {0};
     shapePack(&RecordShape, &later, mem, &packed);
     const uint8_t size[4] = {0, 0, 0, (uint8_t)packed.count};
-    bytesAdd(mem, &body, size, 4);
-    bytesAdd(mem, &body, packed.data, packed.count);
+    bytes_add(mem, &body, size, 4);
+    bytes_add(mem, &body, packed.data, packed.count);
     uint8_t head[16] = {0x53, 0x50, 0x4A, 0x31, 0, 0, 0, (uint8_t)body.count};
-    const uint32_t first = bytesCrc(head, 8), second = bytesCrc(body.data, body.count);
+    const uint32_t first = bytes_crc(head, 8), second = bytes_crc(body.data, body.count);
     for (int i = 0; i < 4; i++) {
         head[8 + i] = (uint8_t)(first >> (24 - 8 * i));
         head[12 + i] = (uint8_t)(second >> (24 - 8 * i));
     }
-    bytesAdd(mem, &block, head, 16);
-    bytesAdd(mem, &block, body.data, body.count);
+    bytes_add(mem, &block, head, 16);
+    bytes_add(mem, &block, body.data, body.count);
     Bytes *file = simDiskContent(world, machine, PATH);
     file->count = 0;
-    bytesAdd(world, file, block.data, block.count);
+    bytes_add(world, file, block.data, block.count);
     const Seen seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_JOURNAL_FORMAT);
     talloc_free(mem);
@@ -209,15 +209,15 @@
     SimWorld *world = simWorldNew(NULL, 1);
     const int machine = simMachine(world);
     Seen seen = run(world, machine, "core1", 4, false);
-    const Bytes whole = bytesCopy(world, *simDiskContent(world, machine, PATH));
+    const Bytes whole = bytes_copy(world, *simDiskContent(world, machine, PATH));
     Bytes *file = simDiskContent(world, machine, PATH);
     file->count = 0;
     const char *other = "some other file, not of ours";
-    bytesAdd(world, file, other, strlen(other));
+    bytes_add(world, file, other, strlen(other));
     assert_int_equal(run(world, machine, "core1", 0, false).status, STATUS_JOURNAL_CORRUPT);
     file = simDiskContent(world, machine, PATH);
     file->count = 0;
-    bytesAdd(world, file, whole.data + 20, whole.count - 20);
+    bytes_add(world, file, whole.data + 20, whole.count - 20);
     seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_JOURNAL_CORRUPT);
     Seen anew = {.node = "core1"};
@@ -293,14 +293,14 @@
     (void)state;
     int olds = 0, news = 0;
     for (uint64_t seed = 1; seed <= 40; seed++)
-        for (int64_t atMs = 0; atMs <= 220; atMs += 20) {
+        for (int64_t at_ms = 0; at_ms <= 220; at_ms += 20) {
             SimWorld *world = simWorldNew(NULL, seed);
             const int machine = simMachine(world);
             run(world, machine, "core1", 6, false);
             simDiskSlow(world, machine, 100);
             Seen seen = {.node = "core1", .writes = 2, .rewrite = true}; /* 7, rewrite to 7 alone, 8 */
             simStart(world, machine, start, &seen);
-            simRunUntil(world, simNowMs(world) + 110 + atMs);
+            simRunUntil(world, simNowMs(world) + 110 + at_ms);
             const uint64_t rewrites = seen.journal != NULL ? journalCounts(seen.journal)->rewrites : 0;
             if (seed % 2 == 0)
                 simKill(world, machine);
--- a/packages/loop/src/channel.c
+++ b/packages/loop/src/channel.c
@@ -8,7 +8,7 @@
     if (channel->closed)
         return;
     Frame *frame = talloc_zero(channel, Frame);
-    frame->bytes = bytesCopy(frame, bytes);
+    frame->bytes = bytes_copy(frame, bytes);
     if (channel->last != NULL)
         channel->last->next = frame;
     else
--- a/packages/loop/src/realcall.c
+++ b/packages/loop/src/realcall.c
@@ -33,7 +33,7 @@
         callEnd(calling, STATUS_CLOSED);
         return -1;
     }
-    bytesAdd(calling, &calling->body, client->sock->input->bytes, client->sock->input->size);
+    bytes_add(calling, &calling->body, client->sock->input->bytes, client->sock->input->size);
     h2o_buffer_consume(&client->sock->input, client->sock->input->size);
     if (err == h2o_http1client_error_is_eos)
         callEnd(calling, STATUS_OK);
@@ -103,8 +103,8 @@
     }
     head = named ? talloc_strdup_append(head, "\r\n") : talloc_asprintf_append(head, "host: %s\r\n\r\n", call->address);
     Bytes request = {0};
-    bytesAdd(calling, &request, head, strlen(head));
-    bytesAdd(calling, &request, call->body.data, call->body.count);
+    bytes_add(calling, &request, head, strlen(head));
+    bytes_add(calling, &request, call->body.data, call->body.count);
     calling->request = h2o_iovec_init((char *)request.data, request.count);
     char host[ADDRESS_MAX];
     snprintf(host, sizeof(host), "%.*s", (int)(strrchr(call->address, ':') - call->address), call->address);
--- a/packages/loop/src/realchannel.c
+++ b/packages/loop/src/realchannel.c
@@ -229,8 +229,8 @@
     }
     const uint8_t head[4] = {(uint8_t)(frame.count >> 24), (uint8_t)(frame.count >> 16), (uint8_t)(frame.count >> 8),
                              (uint8_t)frame.count};
-    bytesAdd(rc, &rc->next, head, sizeof(head));
-    bytesAdd(rc, &rc->next, frame.data, frame.count);
+    bytes_add(rc, &rc->next, head, sizeof(head));
+    bytes_add(rc, &rc->next, frame.data, frame.count);
     channel->queued += sizeof(head) + frame.count;
     if (!rc->toFlush) {
         RealLoop *real = rc->real;
--- a/packages/loop/src/realdisk.c
+++ b/packages/loop/src/realdisk.c
@@ -168,17 +168,17 @@
     snprintf(scratch, sizeof(scratch), "%s", path);
     snprintf(rf->folder, sizeof(rf->folder), "%s", dirname(scratch));
     if (mkdir(rf->folder, 0750) != 0 && errno != EEXIST)
-        return failureSet(failure, STATUS_DISK_FAILED, "cannot make folder %s: %s", rf->folder, strerror(errno));
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot make folder %s: %s", rf->folder, strerror(errno));
     rf->fd = open(path, O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
     if (rf->fd < 0)
-        return failureSet(failure, STATUS_DISK_FAILED, "cannot open %s: %s", path, strerror(errno));
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot open %s: %s", path, strerror(errno));
     if (!folderSync(rf))
-        return failureSet(failure, STATUS_DISK_FAILED, "cannot sync folder %s: %s", rf->folder, strerror(errno));
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot sync folder %s: %s", rf->folder, strerror(errno));
     pthread_mutex_init(&rf->lock, NULL);
     pthread_cond_init(&rf->asked, NULL);
     pthread_t thread;
     if (pthread_create(&thread, NULL, diskMain, rf) != 0)
-        return failureSet(failure, STATUS_DISK_FAILED, "cannot start the disk thread");
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot start the disk thread");
     pthread_detach(thread);
     *file = &rf->file;
     return STATUS_OK;
@@ -190,7 +190,7 @@
     const Status status = ask(file, DISK_READ, (Bytes){0}, &job);
     *content = (Bytes){0};
     if (status == STATUS_OK)
-        bytesAdd(mem, content, job.read, job.readCount);
+        bytes_add(mem, content, job.read, job.readCount);
     free(job.read);
     return status;
 }
--- a/packages/loop/src/realserve.c
+++ b/packages/loop/src/realserve.c
@@ -99,11 +99,11 @@
 static void refuse(RealLoop *real, h2o_req_t *req, Status status, const char *text)
 {
     char body[160];
-    const int count = snprintf(body, sizeof(body), "{\"status\":\"%s\",\"text\":\"%s\"}\n", statusWord(status), text);
-    const HttpTask result = {.code = statusHttp(status),
+    const int count = snprintf(body, sizeof(body), "{\"status\":\"%s\",\"text\":\"%s\"}\n", status_word(status), text);
+    const HttpTask result = {.code = status_http(status),
                              .kind = "application/json",
                              .result = {(uint8_t *)body, (size_t)count, 0},
-                             .retryAfterS = statusRetryS(status)};
+                             .retryAfterS = status_retry_s(status)};
     answer(real, req, &result);
 }
 
@@ -189,7 +189,7 @@
                       ? ""
                       : talloc_strndup(served, req->path.base + pathLen + 1, req->path.len - pathLen - 1);
     takeHeads(served, req);
-    bytesAdd(served, &task->body, req->entity.base, req->entity.len);
+    bytes_add(served, &task->body, req->entity.base, req->entity.len);
     task->code = 500;
     task->kind = "application/json";
     h2o_socket_read_start(sock, onAhead);
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -36,7 +36,7 @@
 {
     task->code = 200;
     task->kind = "text/plain";
-    bytesAdd(task, &task->result, text, strlen(text));
+    bytes_add(task, &task->result, text, strlen(text));
 }
 
 static void onFirst(void *arg, HttpTask *task)
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -111,7 +111,7 @@
         stage->gone++;
     }
     const char *text = talloc_asprintf(task, "answer to %s.", task->path);
-    bytesAdd(task, &task->result, text, strlen(text));
+    bytes_add(task, &task->result, text, strlen(text));
 }
 
 static void ask(int fd, const char *path)
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -301,7 +301,7 @@
         return; /* of another cluster: nothing it says is taken */
     if (mine == 0 && hello->cluster != 0) {
         courierSetCluster(members->courier, hello->cluster);
-        ringSay(members->ring, RING_NOTE, loopNowMs(members->loop), "joins cluster %016" PRIx64, hello->cluster);
+        ring_say(members->ring, RING_NOTE, loopNowMs(members->loop), "joins cluster %016" PRIx64, hello->cluster);
     }
     for (size_t i = 0; i < hello->membersCount && hello->membersCount <= MEMBERS_MAX; i++)
         rowTake(members, &hello->members[i], false, false);
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -40,7 +40,7 @@
 
 typedef struct Break {
     Rule rule;
-    int64_t atMs; /* since traffic began */
+    int64_t at_ms; /* since traffic began */
     char words[200];
 } Break;
 
@@ -51,6 +51,6 @@
     size_t toldCount;
 } Rules;
 
-void rulesBroke(Rules *rules, Rule rule, int64_t atMs, const char *format, ...) __attribute__((format(printf, 4, 5)));
+void rulesBroke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...) __attribute__((format(printf, 4, 5)));
 
 #endif
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -10,7 +10,7 @@
 {
     Book *book = talloc_zero(mem, Book);
     book->ground = ground;
-    book->byId = mapNew(book);
+    book->byId = map_new(book);
     return book;
 }
 
@@ -49,13 +49,13 @@
     tasksMake(job);
     book->jobs = talloc_realloc(book, book->jobs, BookJob *, (unsigned)(book->count + 1));
     book->jobs[book->count++] = job;
-    mapSet(book->byId, job->draft.id, job);
+    map_set(book->byId, job->draft.id, job);
     return job;
 }
 
 BookJob *bookJob(const Book *book, const char *id)
 {
-    return mapGet(book->byId, id);
+    return map_get(book->byId, id);
 }
 
 BookTask *bookTask(const Book *book, const TaskName *name)
@@ -126,7 +126,7 @@
     const bool gang = bookStep(task)->gang;
     snprintf(text, sizeof(text), "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64, task->name.job, task->name.turn,
              task->name.step, gang ? 0 : task->name.at);
-    return bytesCrc(text, strlen(text));
+    return bytes_crc(text, strlen(text));
 }
 
 const char *bookSaved(void *mem, const BookTask *task, int64_t progressMs)
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -66,7 +66,7 @@
     *result = call.result;
     *againS = call.retryAfterS;
     groundTell(ground, &task->job->tasks[0].name, "%s through %s: %s %d %.*s", method, (*node)->name,
-               statusWord(status), call.code, (int)(call.result.count < 60 ? call.result.count : 60),
+               status_word(status), call.code, (int)(call.result.count < 60 ? call.result.count : 60),
                (const char *)call.result.data);
     const Outcome outcome = tongue->outcome(status == STATUS_OK ? call.code : 0);
     if ((*node)->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -36,7 +36,7 @@
 static void failDraw(Crew *crew, HandRun *run)
 {
     const BookJob *job = run->task->job;
-    Dice dice = diceOf(bytesCrc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->round);
+    Dice dice = diceOf(bytes_crc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->round);
     const bool fails = job->poison || (int64_t)(diceNext(&dice) % 1000) < job->kind->failMilli ||
                        (job->draft.lasting && dicePercent(&dice, 20)) || dicePercent(&dice, run->hand->greyPercent);
     const int64_t span = job->draft.lasting ? 15000000 : crew->workUs;
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -55,12 +55,12 @@
     const int64_t gapMs = site->syncMs + CORE_GAP_MS;
     /* one zone is emptied at a time, too */
     for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
-        if (list[i].kind == one->kind && one->atMs < list[i].atMs + list[i].forMs + site->ackMs &&
-            list[i].atMs < one->atMs + one->forMs + site->ackMs)
+        if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].forMs + site->ackMs &&
+            list[i].at_ms < one->at_ms + one->forMs + site->ackMs)
             return false;
     for (size_t i = 0; i < count && troubleCore(one->kind); i++)
         if (list[i].kind != TROUBLE_COUNT && troubleCore(list[i].kind) &&
-            one->atMs < list[i].atMs + list[i].forMs + gapMs && list[i].atMs < one->atMs + one->forMs + gapMs)
+            one->at_ms < list[i].at_ms + list[i].forMs + gapMs && list[i].at_ms < one->at_ms + one->forMs + gapMs)
             return false;
     return true;
 }
@@ -78,12 +78,12 @@
         while (props->only != NULL && troubleOf(props->only) < TROUBLE_COUNT && one->kind != troubleOf(props->only));
         bool good = false;
         for (int tries = 0; tries < 12 && !good; tries++) {
-            one->atMs = diceSpan(&dice, 1500, lastMs - 2000);
+            one->at_ms = diceSpan(&dice, 1500, lastMs - 2000);
             one->forMs = diceSpan(&dice, 800, 7000);
             /* a loss counts for a while after the return: the closing fault may be the next */
             const int64_t endMs = lastMs - (troubleCore(one->kind) ? site->syncMs : 0);
-            if (one->atMs + one->forMs > endMs)
-                one->forMs = endMs - one->atMs;
+            if (one->at_ms + one->forMs > endMs)
+                one->forMs = endMs - one->at_ms;
             good = one->forMs >= 500 && fits(list, i, one, site);
         }
         one->dice = diceOf(props->seed, "strike", i);
@@ -92,7 +92,7 @@
             continue;
         }
         snprintf(result->troubles[i], sizeof(result->troubles[i]), "%s@%" PRId64 "+%" PRId64, troubleName(one->kind),
-                 one->atMs, one->forMs);
+                 one->at_ms, one->forMs);
     }
     result->troubleCount = props->troubles;
     return props->troubles;
@@ -108,7 +108,7 @@
         Trouble *trouble = &list[count];
         char kind[24] = "";
         *trouble = (Trouble){.day = day, .dice = diceOf(props->seed, "strike", count)};
-        const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->atMs, &trouble->forMs,
+        const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->at_ms, &trouble->forMs,
                                trouble->whom);
         trouble->kind = got >= 3 ? troubleOf(kind) : TROUBLE_COUNT;
         if (trouble->kind == TROUBLE_COUNT || props->skipped[count])
@@ -218,8 +218,8 @@
         props->script != NULL ? troublesRead(day, props, troubles, result) : troublesDraw(day, props, troubles, result);
     for (size_t i = 0; i < count; i++)
         if (troubles[i].kind != TROUBLE_COUNT) {
-            simAt(ground->world, ground->beganMs + troubles[i].atMs, begin, &troubles[i]);
-            simAt(ground->world, ground->beganMs + troubles[i].atMs + troubles[i].forMs, end, &troubles[i]);
+            simAt(ground->world, ground->beganMs + troubles[i].at_ms, begin, &troubles[i]);
+            simAt(ground->world, ground->beganMs + troubles[i].at_ms + troubles[i].forMs, end, &troubles[i]);
         }
     dayFor(day, site->leadMs + site->trafficMs);
     Closing closing = props->closing;
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -88,8 +88,8 @@
                          .disk = disk,
                          .counted = disk};
     snprintf(node->name, sizeof(node->name), "%s%d", side ? "side" : disk ? "core" : "gate", (int)number + 1);
-    node->ring = ringNew(ground, node->name);
-    ringQuiet(node->ring);
+    node->ring = ring_new(ground, node->name);
+    ring_quiet(node->ring);
     return node;
 }
 
@@ -182,7 +182,7 @@
     const CoreWatch watch = {node, onPlans};
     const Props *props = &node->place.props;
     node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
-    ringSetPlace(node->ring, NULL, NULL); /* it outlives the process that was there before */
+    ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
     Status status = settingsRead(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
         status = coreStart(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
@@ -399,7 +399,7 @@
 void groundDump(const Ground *ground)
 {
     for (size_t i = 0; i < ground->edgeCount && ground->loud; i++)
-        ringDump(ground->edges[i].ring, stderr);
+        ring_dump(ground->edges[i].ring, stderr);
     for (size_t i = 0; i < ground->sideCount && ground->loud; i++)
-        ringDump(ground->sides[i].ring, stderr);
+        ring_dump(ground->sides[i].ring, stderr);
 }
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -186,7 +186,7 @@
     hand->runs = NULL;
     hand->ends = NULL;
     hand->endCount = 0;
-    hand->highest = mapNew(hand->mem);
+    hand->highest = map_new(hand->mem);
     hand->work = hand->news = (Signal){0};
     hand->leaving = hand->newsOpen = false;
     hand->leaveAtMs = hand->leaveAckMs = 0;
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -48,8 +48,8 @@
 static void highestSet(Hand *hand, const TaskName *name, uint64_t round)
 {
     const char *text = nameText(hand->mem, name);
-    if ((uint64_t)(uintptr_t)mapGet(hand->highest, text) < round)
-        mapSet(hand->highest, text, (void *)(uintptr_t)round);
+    if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < round)
+        map_set(hand->highest, text, (void *)(uintptr_t)round);
 }
 
 static void endAdd(Hand *hand, BookTask *task, const TaskName *name, uint64_t round, RoundWord word, const char *saved)
@@ -199,7 +199,7 @@
         if (nameEqual(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.round == start->round)
             return;
     BookTask *task = bookTask(hands->book, &start->name);
-    const uint64_t highest = (uint64_t)(uintptr_t)mapGet(hand->highest, nameText(hand->mem, &start->name));
+    const uint64_t highest = (uint64_t)(uintptr_t)map_get(hand->highest, nameText(hand->mem, &start->name));
     const Room used = handUsed(hand);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
--- a/packages/model/src/rules.c
+++ b/packages/model/src/rules.c
@@ -23,7 +23,7 @@
     return WORDS[rule];
 }
 
-void rulesBroke(Rules *rules, Rule rule, int64_t atMs, const char *format, ...)
+void rulesBroke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
 {
     rules->broken[rule]++;
     rules->all++;
@@ -31,7 +31,7 @@
         return;
     Break *one = &rules->told[rules->toldCount++];
     one->rule = rule;
-    one->atMs = atMs;
+    one->at_ms = at_ms;
     va_list args;
     va_start(args, format);
     vsnprintf(one->words, sizeof(one->words), format, args);
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -135,7 +135,7 @@
 {
     const bool whole = strcmp(group, "site") == 0;
     if (!whole && site->kindCount == SITE_KINDS_MAX)
-        return failureSet(failure, STATUS_BAD_PROPS, "[%s]: there are too many kinds", group);
+        return failure_set(failure, STATUS_BAD_PROPS, "[%s]: there are too many kinds", group);
     SiteKind *kind = whole ? NULL : kindAdd(site, group);
     gsize count = 0;
     char **keys = g_key_file_get_keys(file, group, &count, NULL);
@@ -144,9 +144,9 @@
         GError *error = NULL;
         const int64_t value = g_key_file_get_int64(file, group, keys[i], &error);
         if (error != NULL || value < 0)
-            status = failureSet(failure, STATUS_BAD_PROPS, "[%s] %s: must be a number", group, keys[i]);
+            status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: must be a number", group, keys[i]);
         else if (whole ? !siteField(site, keys[i], value) : !kindField(kind, keys[i], value))
-            status = failureSet(failure, STATUS_BAD_PROPS, "[%s] %s: there is no such key", group, keys[i]);
+            status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: there is no such key", group, keys[i]);
         g_clear_error(&error);
     }
     g_strfreev(keys);
@@ -160,7 +160,7 @@
     Status status = STATUS_OK;
     *site = siteFirst("own");
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
-        status = failureSet(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
+        status = failure_set(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
         g_error_free(error);
     }
     char **groups = status == STATUS_OK ? g_key_file_get_groups(file, NULL) : NULL;
@@ -173,8 +173,8 @@
     if (status == STATUS_OK &&
         (site->cores < 3 || site->hands < 1 || site->hands > 40 || site->cores + site->spares > 16 ||
          site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rackHands < 1))
-        status = failureSet(failure, STATUS_BAD_PROPS,
-                            "%s: there are too few machines, or more than the simulator holds", path);
+        status = failure_set(failure, STATUS_BAD_PROPS,
+                             "%s: there are too few machines, or more than the simulator holds", path);
     return status;
 }
 
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -167,7 +167,7 @@
     Trouble *trouble = arg;
     Day *day = trouble->day;
     Ground *ground = day->ground;
-    const int64_t fromMs = ground->beganMs + trouble->atMs;
+    const int64_t fromMs = ground->beganMs + trouble->at_ms;
     GroundNode *taker = day->operator->lastTakenMs> fromMs
         ? day->operator->lastTaker : day->callers->lastTakenMs> fromMs ? day->callers->lastTaker : NULL;
     if (taker == NULL) {
@@ -224,7 +224,7 @@
         nodeRoll(node);
         break;
     }
-    if (groundDayMs(ground) < trouble->atMs + trouble->forMs)
+    if (groundDayMs(ground) < trouble->at_ms + trouble->forMs)
         simAt(ground->world, groundNowMs(ground) + 1300, rollNext, trouble);
 }
 
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -187,7 +187,7 @@
     return possible;
 }
 
-static const char *placeOf(const PlanWorker *worker, Loss loss)
+static const char *place_of(const PlanWorker *worker, Loss loss)
 {
     return loss == LOSS_ZONE ? worker->zone : worker->rack;
 }
@@ -199,15 +199,15 @@
     bool *none = talloc_zero_array(mem, bool, (unsigned)input->workerCount);
     bool possible = true;
     for (size_t i = 0; i < input->workerCount && possible; i++) {
-        const char *place = placeOf(&input->workers[i], loss);
+        const char *place = place_of(&input->workers[i], loss);
         bool seen = place == NULL || place[0] == '\0';
         for (size_t k = 0; k < i && !seen; k++)
-            seen = strcmp(placeOf(&input->workers[k], loss), place) == 0;
+            seen = strcmp(place_of(&input->workers[k], loss), place) == 0;
         if (seen)
             continue;
         bool *lost = talloc_zero_array(mem, bool, (unsigned)input->workerCount);
         for (size_t k = 0; k < input->workerCount; k++)
-            lost[k] = strcmp(placeOf(&input->workers[k], loss), place) == 0;
+            lost[k] = strcmp(place_of(&input->workers[k], loss), place) == 0;
         const char *at = NULL;
         possible = walk(input, none, lost, 0, &at);
         if (!possible && broken != NULL)
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -232,7 +232,7 @@
         }
     }
     if (!good) {
-        failureSet(failure, STATUS_BAD_POLICY, "%s", why);
+        failure_set(failure, STATUS_BAD_POLICY, "%s", why);
         talloc_free(policy);
         return STATUS_BAD_POLICY;
     }
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -44,7 +44,7 @@
         LuaPolicy *policy;
         const Status status = luaPolicyNew(mem, "p", ROWS[i].text, &policy, &failure);
         if (status != STATUS_BAD_POLICY || strstr(failure.text, ROWS[i].words) == NULL)
-            fail_msg("row %zu (%s): %s: %s", i, ROWS[i].text, statusWord(status), failure.text);
+            fail_msg("row %zu (%s): %s: %s", i, ROWS[i].text, status_word(status), failure.text);
         talloc_free(mem);
     }
 }
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -25,8 +25,8 @@
     else if (strcmp(key, "worker") == 0)
         props->worker = copy;
     else if (strcmp(key, "log") == 0) {
-        if (!ringLevelOfWord(value, &props->log))
-            return failureSet(failure, STATUS_BAD_PROPS, "log: %s is no level: note, alert or fatal", value);
+        if (!ring_level_of_word(value, &props->log))
+            return failure_set(failure, STATUS_BAD_PROPS, "log: %s is no level: note, alert or fatal", value);
     } else if (strcmp(key, "seeds") == 0) {
         char **parts = g_strsplit_set(value, ",;", -1);
         size_t count = 0;
@@ -40,9 +40,9 @@
         }
         g_strfreev(parts);
         if (count != SEEDS)
-            return failureSet(failure, STATUS_BAD_PROPS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
+            return failure_set(failure, STATUS_BAD_PROPS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
     } else {
-        return failureSet(failure, STATUS_BAD_PROPS, "%s: there is no such key", key);
+        return failure_set(failure, STATUS_BAD_PROPS, "%s: there is no such key", key);
     }
     return STATUS_OK;
 }
@@ -53,7 +53,7 @@
     GError *error = NULL;
     (void)role;
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
-        failureSet(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
+        failure_set(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
         g_error_free(error);
         g_key_file_free(file);
         return STATUS_BAD_PROPS;
@@ -62,7 +62,7 @@
     char **keys = g_key_file_get_keys(file, GROUP, &count, NULL);
     Status status = STATUS_OK;
     if (keys == NULL)
-        status = failureSet(failure, STATUS_BAD_PROPS, "%s: there is no group [%s]", path, GROUP);
+        status = failure_set(failure, STATUS_BAD_PROPS, "%s: there is no group [%s]", path, GROUP);
     for (gsize i = 0; i < count && status == STATUS_OK; i++) {
         char *value = g_key_file_get_string(file, GROUP, keys[i], NULL);
         status = propsSet(mem, props, keys[i], value != NULL ? value : "", failure);
@@ -76,9 +76,9 @@
 static Status need(const char *key, const char *value, bool address, Failure *failure)
 {
     if (value == NULL || value[0] == '\0')
-        return failureSet(failure, STATUS_BAD_PROPS, "%s: is missing", key);
+        return failure_set(failure, STATUS_BAD_PROPS, "%s: is missing", key);
     if (address && !realAddressValid(value))
-        return failureSet(failure, STATUS_BAD_PROPS, "%s: %s is not an IP address with a port", key, value);
+        return failure_set(failure, STATUS_BAD_PROPS, "%s: %s is not an IP address with a port", key, value);
     return STATUS_OK;
 }
 
@@ -86,11 +86,11 @@
 {
     Status status = need("name", props->name, false, failure);
     if (status == STATUS_OK && !checkNameText(props->name))
-        status = failureSet(failure, STATUS_BAD_PROPS, "name: must be letters, digits or ._:-");
+        status = failure_set(failure, STATUS_BAD_PROPS, "name: must be letters, digits or ._:-");
     if (status == STATUS_OK)
         status = need("zone", props->zone, false, failure);
     if (status == STATUS_OK && !checkNameText(props->zone))
-        status = failureSet(failure, STATUS_BAD_PROPS, "zone: must be letters, digits or ._:-");
+        status = failure_set(failure, STATUS_BAD_PROPS, "zone: must be letters, digits or ._:-");
     if (status == STATUS_OK)
         status = need("listen", props->listen, true, failure);
     if (status == STATUS_OK)
@@ -100,10 +100,10 @@
     if (status == STATUS_OK && role == PROPS_CORE)
         status = need("data", props->data, false, failure);
     if (status == STATUS_OK && role != PROPS_CORE && props->data != NULL)
-        status = failureSet(failure, STATUS_BAD_PROPS, "data: only a core has a disk");
+        status = failure_set(failure, STATUS_BAD_PROPS, "data: only a core has a disk");
     if (status == STATUS_OK && role != PROPS_AGENT && props->worker != NULL)
-        status = failureSet(failure, STATUS_BAD_PROPS, "worker: only an agent stands beside one");
+        status = failure_set(failure, STATUS_BAD_PROPS, "worker: only an agent stands beside one");
     if (status == STATUS_OK && props->worker != NULL && !checkNameText(props->worker))
-        status = failureSet(failure, STATUS_BAD_PROPS, "worker: must be letters, digits or ._:-");
+        status = failure_set(failure, STATUS_BAD_PROPS, "worker: must be letters, digits or ._:-");
     return status;
 }
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -36,9 +36,9 @@
 Guesses *guessesNew(void *mem)
 {
     Guesses *guesses = talloc_zero(mem, Guesses);
-    guesses->steps = mapNew(guesses);
-    guesses->plain = mapNew(guesses);
-    guesses->workers = mapNew(guesses);
+    guesses->steps = map_new(guesses);
+    guesses->plain = map_new(guesses);
+    guesses->workers = map_new(guesses);
     return guesses;
 }
 
@@ -71,20 +71,20 @@
 
 static Ratios *ratiosOf(Map *map, const char *key)
 {
-    Ratios *ratios = mapGet(map, key);
+    Ratios *ratios = map_get(map, key);
     if (ratios == NULL) {
         ratios = talloc_zero(map, Ratios);
-        mapSet(map, key, ratios);
+        map_set(map, key, ratios);
     }
     return ratios;
 }
 
 static Speed *speedOf(Guesses *guesses, const char *worker)
 {
-    Speed *speed = mapGet(guesses->workers, worker);
+    Speed *speed = map_get(guesses->workers, worker);
     if (speed == NULL) {
         speed = talloc_zero(guesses->workers, Speed);
-        mapSet(guesses->workers, worker, speed);
+        map_set(guesses->workers, worker, speed);
     }
     return speed;
 }
@@ -102,7 +102,7 @@
 
 static uint64_t medianOf(const Map *map, const char *key, uint64_t least, uint64_t otherwise)
 {
-    const Ratios *ratios = mapGet(map, key);
+    const Ratios *ratios = map_get(map, key);
     return ratios != NULL && ratios->count >= least ? ratios->median : otherwise;
 }
 
@@ -124,7 +124,7 @@
 
 uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t nowMs)
 {
-    const Speed *speed = guesses != NULL ? mapGet(guesses->workers, worker) : NULL;
+    const Speed *speed = guesses != NULL ? map_get(guesses->workers, worker) : NULL;
     if (speed == NULL)
         return 1000;
     uint64_t fresh[GUESS_FRESH_KEPT];
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -27,7 +27,7 @@
     Queue *queue = talloc_zero(mem, Queue);
     queue->guesses = guesses;
     queue->notes = g_hash_table_new(g_int64_hash, g_int64_equal);
-    queue->accounts = mapNew(queue);
+    queue->accounts = map_new(queue);
     talloc_set_destructor(queue, queueFree);
     return queue;
 }
@@ -68,13 +68,13 @@
 {
     char key[2 * ID_MAX + 2];
     snprintf(key, sizeof(key), "%s%s%s", cell, tenant != NULL ? "/" : "", tenant != NULL ? tenant : "");
-    Account *account = mapGet(queue->accounts, key);
+    Account *account = map_get(queue->accounts, key);
     if (account == NULL) {
         account = talloc_zero(queue, Account);
-        account->number = mapCount(queue->accounts);
+        account->number = map_count(queue->accounts);
         account->cell = talloc_strdup(account, cell);
         account->tenant = tenant != NULL ? talloc_strdup(account, tenant) : NULL;
-        mapSet(queue->accounts, key, account);
+        map_set(queue->accounts, key, account);
     }
     return account;
 }
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -78,9 +78,9 @@
     (void)state;
     Board board = boardNew();
     add(&board, "x", 1000, aims(1000, 1000, 0)); /* aim 2 s: worth nothing after 6 s */
-    board.atMs = 4000;
+    board.at_ms = 4000;
     add(&board, "y", 1000, aims(1000, 1000, 0)); /* late at 7 s */
-    board.atMs = 7000;
+    board.at_ms = 7000;
     add(&board, "z", 1000, aims(1000, 1000, 0));
     assert_string_equal(orderOf(&board, 7500), "zyx");
     talloc_free(board.table);
@@ -182,7 +182,7 @@
     (void)state;
     Board board = boardNew();
     add(&board, "a", 100, aims(1000, 100, 0));
-    board.atMs = 9000;
+    board.at_ms = 9000;
     add(&board, "b", 100, aims(1000, 100, 0));
     assert_string_equal(orderOf(&board, 60000), "ab");
     talloc_free(board.table);
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -12,13 +12,13 @@
 {
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->unsettled, mem, &ids);
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
-        const SeenJob *job = mapGet(checker->jobs, ids[i]);
+        const SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
-        const size_t taskCount = mapKeys(job->tasks, mem, &tasks);
+        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
         for (size_t t = 0; t < taskCount; t++)
-            fn(mapGet(job->tasks, tasks[t]), worker);
+            fn(map_get(job->tasks, tasks[t]), worker);
     }
     talloc_free(mem);
 }
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -28,10 +28,10 @@
 
 SeenTenant *seenTenant(Checker *checker, const char *name)
 {
-    SeenTenant *tenant = mapGet(checker->tenants, name);
+    SeenTenant *tenant = map_get(checker->tenants, name);
     if (tenant == NULL) {
         tenant = talloc_zero(checker, SeenTenant);
-        mapSet(checker->tenants, name, tenant);
+        map_set(checker->tenants, name, tenant);
     }
     return tenant;
 }
@@ -100,17 +100,17 @@
     Room used = {0};
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->unsettled, mem, &ids);
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
-        const SeenJob *job = mapGet(checker->jobs, ids[i]);
+        const SeenJob *job = map_get(checker->jobs, ids[i]);
         const Job *known = job->settled ? NULL : checker->props.job(checker->props.arg, job->id);
         if (known == NULL || known->spec.copies || strcmp(known->spec.tenant, name) != 0 ||
             strcmp(known->spec.cell, cell) != 0)
             continue;
         const char **tasks;
-        const size_t taskCount = mapKeys(job->tasks, mem, &tasks);
+        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
         for (size_t t = 0; t < taskCount; t++)
-            for (const SeenRun *run = ((const SeenTask *)mapGet(job->tasks, tasks[t]))->runs; run != NULL;
+            for (const SeenRun *run = ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs; run != NULL;
                  run = run->next)
                 if (!checker->props.frozen(checker->props.arg, run->worker)) {
                     used = roomMore(used, run->room);
@@ -123,7 +123,7 @@
 
 void quotaStart(Checker *checker, const Job *job, Room room)
 {
-    SeenTenant *tenant = mapGet(checker->tenants, job->spec.tenant);
+    SeenTenant *tenant = map_get(checker->tenants, job->spec.tenant);
     if (tenant == NULL || tenant->quotaMs == 0)
         return;
     if (!tenant->quotaUnsure && checkerNow(checker) > tenant->quotaMs + CONFIG_LATE_MS)
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -20,13 +20,13 @@
 {
     Checker *checker = talloc_zero(mem, Checker);
     checker->props = *props;
-    checker->jobs = mapNew(checker);
-    checker->unsettled = mapNew(checker);
-    checker->workers = mapNew(checker);
-    checker->zones = mapNew(checker);
-    checker->epochs = mapNew(checker);
-    checker->tenants = mapNew(checker);
-    checker->entries = mapNew(checker);
+    checker->jobs = map_new(checker);
+    checker->unsettled = map_new(checker);
+    checker->workers = map_new(checker);
+    checker->zones = map_new(checker);
+    checker->epochs = map_new(checker);
+    checker->tenants = map_new(checker);
+    checker->entries = map_new(checker);
     checker->first = talloc_strdup(checker, "");
     return checker;
 }
@@ -71,13 +71,13 @@
 
 SeenJob *seenJob(Checker *checker, const char *id)
 {
-    SeenJob *job = mapGet(checker->jobs, id);
+    SeenJob *job = map_get(checker->jobs, id);
     if (job == NULL) {
         job = talloc_zero(checker, SeenJob);
         job->id = talloc_strdup(job, id);
-        job->tasks = mapNew(job);
-        mapSet(checker->jobs, id, job);
-        mapSet(checker->unsettled, id, job);
+        job->tasks = map_new(job);
+        map_set(checker->jobs, id, job);
+        map_set(checker->unsettled, id, job);
     }
     return job;
 }
@@ -86,21 +86,21 @@
 {
     char key[24];
     snprintf(key, sizeof(key), "%" PRIu64, task);
-    SeenTask *seen = mapGet(job->tasks, key);
+    SeenTask *seen = map_get(job->tasks, key);
     if (seen == NULL) {
         seen = talloc_zero(job, SeenTask);
-        mapSet(job->tasks, key, seen);
+        map_set(job->tasks, key, seen);
     }
     return seen;
 }
 
 SeenWorker *seenWorker(Checker *checker, const char *name)
 {
-    SeenWorker *worker = mapGet(checker->workers, name);
+    SeenWorker *worker = map_get(checker->workers, name);
     if (worker == NULL) {
         worker = talloc_zero(checker, SeenWorker);
         worker->worker = (Worker){.name = talloc_strdup(worker, name), .zone = "", .rack = "", .kind = ""};
-        mapSet(checker->workers, name, worker);
+        map_set(checker->workers, name, worker);
     }
     return worker;
 }
@@ -120,7 +120,7 @@
 {
     char key[24];
     snprintf(key, sizeof(key), "%" PRIu64, epoch);
-    const char *holder = mapGet(checker->epochs, key);
+    const char *holder = map_get(checker->epochs, key);
     const bool lower = epoch < checker->planEpoch && (holder != NULL || !checker->planGone);
     if (lower || (holder != NULL && strcmp(holder, leader) != 0)) {
         checkerBroke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, epoch,
@@ -128,7 +128,7 @@
         return;
     }
     if (holder == NULL)
-        mapSet(checker->epochs, key, talloc_strdup(checker, leader));
+        map_set(checker->epochs, key, talloc_strdup(checker, leader));
     if (checker->planLeader == NULL || strcmp(checker->planLeader, leader) != 0)
         checker->planLeader = talloc_strdup(checker, leader);
     checker->planEpoch = epoch;
@@ -225,14 +225,14 @@
 {
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->unsettled, mem, &ids);
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
     const SeenWorker *on = seenWorker(checker, worker);
     for (size_t i = 0; i < count; i++) {
-        SeenJob *job = mapGet(checker->jobs, ids[i]);
+        SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
-        const size_t taskCount = mapKeys(job->tasks, mem, &tasks);
+        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
         for (size_t t = 0; t < taskCount; t++) {
-            SeenTask *task = mapGet(job->tasks, tasks[t]);
+            SeenTask *task = map_get(job->tasks, tasks[t]);
             for (SeenRun *run = task->runs, *next; run != NULL; run = next) {
                 next = run->next;
                 if (run->worker == on->worker.name)
@@ -275,10 +275,10 @@
 
 void checkerZone(Checker *checker, const char *name, bool drained)
 {
-    SeenZone *zone = mapGet(checker->zones, name);
+    SeenZone *zone = map_get(checker->zones, name);
     if (zone == NULL) {
         zone = talloc_zero(checker, SeenZone);
-        mapSet(checker->zones, name, zone);
+        map_set(checker->zones, name, zone);
     }
     zone->drainedMs = drained ? checkerNow(checker) : 0;
 }
@@ -304,9 +304,9 @@
     checker->startedMs = 0;
     void *mem = talloc_new(NULL);
     const char **names;
-    const size_t count = mapKeys(checker->entries, mem, &names);
+    const size_t count = map_keys(checker->entries, mem, &names);
     for (size_t i = 0; i < count; i++)
-        *(SeenEntry *)mapGet(checker->entries, names[i]) = (SeenEntry){{0}};
+        *(SeenEntry *)map_get(checker->entries, names[i]) = (SeenEntry){{0}};
     talloc_free(mem);
 }
 
@@ -330,7 +330,7 @@
     job->refused = true;
     void *mem = talloc_new(NULL);
     const char **tasks;
-    if (mapKeys(job->tasks, mem, &tasks) > 0 || job->accepted)
+    if (map_keys(job->tasks, mem, &tasks) > 0 || job->accepted)
         checkerBroke(checker, NEVER_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
     talloc_free(mem);
 }
@@ -363,10 +363,10 @@
 {
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->unsettled, mem, &ids);
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
     size_t open = 0;
     for (size_t i = 0; i < count; i++) {
-        const SeenJob *job = mapGet(checker->jobs, ids[i]);
+        const SeenJob *job = map_get(checker->jobs, ids[i]);
         open += job->accepted && !job->ended;
     }
     talloc_free(mem);
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -11,10 +11,10 @@
 {
     void *mem = talloc_new(NULL);
     const char **tasks;
-    const size_t count = mapKeys(job->tasks, mem, &tasks);
+    const size_t count = map_keys(job->tasks, mem, &tasks);
     bool idle = true;
     for (size_t t = 0; t < count; t++)
-        idle &= ((const SeenTask *)mapGet(job->tasks, tasks[t]))->runs == NULL;
+        idle &= ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs == NULL;
     talloc_free(mem);
     return idle;
 }
@@ -24,9 +24,9 @@
     const int64_t nowMs = checkerNow(checker);
     void *mem = talloc_new(NULL);
     const char **tasks;
-    const size_t count = mapKeys(job->tasks, mem, &tasks);
+    const size_t count = map_keys(job->tasks, mem, &tasks);
     for (size_t t = 0; t < count; t++) {
-        const SeenTask *task = mapGet(job->tasks, tasks[t]);
+        const SeenTask *task = map_get(job->tasks, tasks[t]);
         for (const SeenRun *run = task->runs; run != NULL; run = run->next) {
             if (checker->props.frozen(checker->props.arg, run->worker))
                 continue;
@@ -70,14 +70,14 @@
 {
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->unsettled, mem, &ids);
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
-        SeenJob *job = mapGet(checker->jobs, ids[i]);
+        SeenJob *job = map_get(checker->jobs, ids[i]);
         stopsLook(checker, job);
         gangsLook(checker, job);
         job->settled = job->ended && seenIdle(job);
         if (job->settled)
-            mapDrop(checker->unsettled, ids[i]);
+            map_drop(checker->unsettled, ids[i]);
     }
     talloc_free(mem);
 }
@@ -86,9 +86,9 @@
 {
     void *mem = talloc_new(NULL);
     const char **ids;
-    const size_t count = mapKeys(checker->jobs, mem, &ids);
+    const size_t count = map_keys(checker->jobs, mem, &ids);
     for (size_t i = 0; i < count; i++) {
-        const SeenJob *job = mapGet(checker->jobs, ids[i]);
+        const SeenJob *job = map_get(checker->jobs, ids[i]);
         if (job->accepted && !job->ended)
             checkerBroke(checker, NEVER_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
     }
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -17,10 +17,10 @@
 
 static SeenEntry *entryOf(Checker *checker, const char *name)
 {
-    SeenEntry *entry = mapGet(checker->entries, name);
+    SeenEntry *entry = map_get(checker->entries, name);
     if (entry == NULL) {
         entry = talloc_zero(checker, SeenEntry);
-        mapSet(checker->entries, name, entry);
+        map_set(checker->entries, name, entry);
     }
     return entry;
 }
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -91,7 +91,7 @@
                      nowMs - job->cancelledMs);
     if (on->leavingMs != 0 && nowMs - on->leavingMs > LEAVING_LATE_MS)
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
-    const SeenZone *zone = mapGet(checker->zones, on->worker.zone);
+    const SeenZone *zone = map_get(checker->zones, on->worker.zone);
     if (zone != NULL && zone->drainedMs != 0 && nowMs - zone->drainedMs > ZONE_LATE_MS)
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->startedMs = nowMs;
@@ -114,6 +114,6 @@
     seen->runs = run;
     seen->startedMs = nowMs;
     if (job->settled)
-        mapSet(checker->unsettled, id, job);
+        map_set(checker->unsettled, id, job);
     job->settled = false;
 }
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -14,10 +14,10 @@
 
 static SimName *nameOf(SimMachine *machine, const char *path)
 {
-    SimName *name = mapGet(machine->disk, path);
+    SimName *name = map_get(machine->disk, path);
     if (name == NULL) {
         name = talloc_zero(machine->disk, SimName);
-        mapSet(machine->disk, path, name);
+        map_set(machine->disk, path, name);
     }
     return name;
 }
@@ -34,7 +34,7 @@
 {
     if (bytes.count == 0)
         return;
-    bytesAdd(content, &content->bytes, bytes.data, bytes.count);
+    bytes_add(content, &content->bytes, bytes.data, bytes.count);
     if (content->writeCount == DISK_WRITES_MOST) /* the last ones count as one */
         content->writeCount--;
     content->writeEnds[content->writeCount++] = content->bytes.count;
@@ -60,10 +60,10 @@
 {
     const char **paths;
     void *mem = talloc_new(NULL);
-    const size_t count = mapKeys(machine->disk, mem, &paths);
+    const size_t count = map_keys(machine->disk, mem, &paths);
     size_t used = 0;
     for (size_t i = 0; i < count; i++) {
-        const SimName *name = mapGet(machine->disk, paths[i]);
+        const SimName *name = map_get(machine->disk, paths[i]);
         used += name->content != NULL ? name->content->bytes.count : 0;
     }
     talloc_free(mem);
@@ -122,7 +122,7 @@
         return STATUS_DISK_FAILED;
     synced(sf->machine, from);
     tell(sf->machine, sf->path, from->bytes, true);
-    *content = bytesCopy(mem, from->bytes);
+    *content = bytes_copy(mem, from->bytes);
     return STATUS_OK;
 }
 
@@ -212,9 +212,9 @@
 {
     const char **paths;
     void *mem = talloc_new(NULL);
-    const size_t count = mapKeys(machine->disk, mem, &paths);
+    const size_t count = map_keys(machine->disk, mem, &paths);
     for (size_t i = 0; i < count; i++) {
-        SimName *name = mapGet(machine->disk, paths[i]);
+        SimName *name = map_get(machine->disk, paths[i]);
         contentEnds(machine, name->content, power);
         if (power && name->content != name->lasting) {
             if (simRandom(machine->world) % 2 == 0) /* the rename or removal is lost */
@@ -261,7 +261,7 @@
 {
     SimMachine *one = &world->machines[machine];
     talloc_free(one->disk);
-    one->disk = mapNew(world);
+    one->disk = map_new(world);
 }
 
 Bytes *simDiskContent(SimWorld *world, int machine, const char *path)
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -145,7 +145,7 @@
     Failure failure = {0};
     Status status = STATUS_OK;
     const CoreWatch watch = fleetCoreWatch(node);
-    ringSetPlace(node->ring, NULL, NULL); /* it outlives the process that was there before */
+    ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
     case FLEET_CORE:
         status = coreStart(loop, loop, node->ring, &node->props, &watch, &node->core, &failure);
@@ -162,7 +162,7 @@
     }
     node->up = status == STATUS_OK;
     if (!node->up)
-        ringSay(node->ring, RING_FATAL, loopNowMs(loop), "%s: %s", statusWord(status), failure.text);
+        ring_say(node->ring, RING_FATAL, loopNowMs(loop), "%s: %s", status_word(status), failure.text);
 }
 
 static void nodeStart(void *arg, Loop *loop)
@@ -180,8 +180,8 @@
 {
     FleetNode *node = fleetNode(fleet, role, number);
     if (node->ring == NULL) {
-        node->ring = ringNew(fleet, node->props.name);
-        ringQuiet(node->ring);
+        node->ring = ring_new(fleet, node->props.name);
+        ring_quiet(node->ring);
     }
     if (!simAlive(fleet->world, node->machine))
         simStart(fleet->world, node->machine, nodeStart, node);
@@ -258,5 +258,5 @@
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->nodeCount[role]; i++)
             if (fleet->nodes[role][i].ring != NULL)
-                ringDump(fleet->nodes[role][i].ring, stderr);
+                ring_dump(fleet->nodes[role][i].ring, stderr);
 }
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -35,7 +35,7 @@
                      .heads = heads,
                      .headCount = headCount};
     if (body != NULL)
-        bytesAdd(mem, &call.body, body, strlen(body));
+        bytes_add(mem, &call.body, body, strlen(body));
     Asked *asked = talloc_zero(fleet, Asked);
     asked->fleet = fleet;
     asked->call = &call;
@@ -45,7 +45,7 @@
     if (asked->status != STATUS_OK)
         call.code = 0;
     talloc_free(asked);
-    bytesAdd(mem, &call.result, "", 1); /* so that it reads as text */
+    bytes_add(mem, &call.result, "", 1); /* so that it reads as text */
     return call;
 }
 
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -67,7 +67,7 @@
         HttpCall *call = http->call;
         call->code = http->code;
         call->retryAfterS = http->retryAfterS;
-        call->result = bytesCopy(call->mem, http->result);
+        call->result = bytes_copy(call->mem, http->result);
         call->tells = pairsCopy(call->mem, http->tells, http->tellCount, 0);
         call->tellCount = http->tellCount;
         http->answered = true;
@@ -102,7 +102,7 @@
     served->http = NULL;
     http->code = served->task.code;
     http->retryAfterS = served->task.retryAfterS;
-    http->result = bytesCopy(http, served->task.result);
+    http->result = bytes_copy(http, served->task.result);
     http->tells = pairsCopy(http, served->task.tells, served->task.tellCount, 0);
     http->tellCount = served->task.tellCount;
     simAt(http->world, simArrivalMs(http->world, http->to, http->from, http->result.count), resultArrives, http);
@@ -137,7 +137,7 @@
     }
     const HttpLimits *limits = &machine->loop->limits;
     if (http->body.count > (limits->bodyBytes > 0 ? limits->bodyBytes : HTTP_BODY_MAX)) {
-        http->code = statusHttp(STATUS_TOO_LARGE);
+        http->code = status_http(STATUS_TOO_LARGE);
         resultArrives(http);
         return;
     }
@@ -156,7 +156,7 @@
     task->headCount = http->headCount;
     task->heads = pairsCopy(served, http->heads, http->headCount, 0);
     task->host = httpHost(served, httpHead(task, "host"));
-    task->body = bytesCopy(served, http->body);
+    task->body = bytes_copy(served, http->body);
     task->code = 500;
     task->kind = "application/json";
     loopSpawn(&machine->loop->loop, "http", servedMain, served);
@@ -220,7 +220,7 @@
     SimMachine *machine = &world->machines[target];
     if (machine->loop == NULL)
         return STATUS_UNREACHABLE;
-    const SimPort *found = mapGet(machine->loop->ports, port);
+    const SimPort *found = map_get(machine->loop->ports, port);
     if (found == NULL || found->onHttp == NULL)
         return STATUS_UNREACHABLE;
     SimHttp *http = talloc_zero(world, SimHttp);
@@ -233,7 +233,7 @@
     http->port = *found;
     http->method = talloc_strdup(http, call->method);
     http->path = talloc_strdup(http, call->path);
-    http->body = bytesCopy(http, call->body);
+    http->body = bytes_copy(http, call->body);
     http->heads = pairsCopy(http, call->heads, call->headCount, 1);
     http->headCount = call->headCount;
     bool named = false;
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -126,7 +126,7 @@
         return true;
     if (simRandom(world) % 1000 < world->frameRepeated) {
         SimRepeat *repeat = talloc_zero(world, SimRepeat);
-        *repeat = (SimRepeat){pair, side, bytesCopy(repeat, bytes)};
+        *repeat = (SimRepeat){pair, side, bytes_copy(repeat, bytes)};
         pair->repeats++;
         const int64_t lateMs = (int64_t)(simRandom(world) % (uint64_t)(world->frameLateMs + 1));
         simAt(world, world->nowMs + simLinkMs(world) + lateMs, repeatArrive, repeat);
@@ -147,7 +147,7 @@
     SimWorld *world = pair->world;
     SimFrame *frame = talloc_zero(pair, SimFrame);
     frame->fin = fin;
-    frame->bytes = bytesCopy(frame, bytes);
+    frame->bytes = bytes_copy(frame, bytes);
     world->machines[pair->machine[side]].sentBytes += bytes.count;
     frame->dueMs = simArrivalMs(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
                    world->machines[pair->machine[0]].farMs + world->machines[pair->machine[1]].farMs;
@@ -233,7 +233,7 @@
             }
             return STATUS_UNREACHABLE;
         }
-        const SimPort *found = mapGet(machine->loop->ports, port);
+        const SimPort *found = map_get(machine->loop->ports, port);
         if (found == NULL || found->onChannel == NULL)
             return STATUS_UNREACHABLE;
         SimPair *pair = talloc_zero(world, SimPair);
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -36,9 +36,9 @@
                        .path = path,
                        .waitMs = 2000};
     if (body != NULL)
-        bytesAdd(mem, &call->body, body, strlen(body));
+        bytes_add(mem, &call->body, body, strlen(body));
     const Status status = loopCall(simLoop(fleet->world, fleet->caller), call);
-    bytesAdd(mem, &call->result, "", 1);
+    bytes_add(mem, &call->result, "", 1);
     return status;
 }
 
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -43,9 +43,9 @@
                      .method = "PATCH",
                      .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
                      .waitMs = waitMs};
-    bytesAdd(mem, &call.body, operator->body, strlen(operator->body));
+    bytes_add(mem, &call.body, operator->body, strlen(operator->body));
     const Status status = loopCall(simLoop(fleet->world, fleet->caller), &call);
-    bytesAdd(mem, &call.result, "", 1);
+    bytes_add(mem, &call.result, "", 1);
     if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, revision) != 1)
         *revision = 0;
     talloc_free(mem);
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -283,9 +283,9 @@
         if (cell == NULL)
             continue;
         if (!header) {
-            const int64_t atMs = timeline->startMs + atoll(cell);
-            if (atMs > simNowMs(fleet->world))
-                fleetRun(fleet, atMs - simNowMs(fleet->world));
+            const int64_t at_ms = timeline->startMs + atoll(cell);
+            if (at_ms > simNowMs(fleet->world))
+                fleetRun(fleet, at_ms - simNowMs(fleet->world));
         }
         for (size_t i = 0; (cell = strtok_r(NULL, " ", &saveCell)) != NULL; i++) {
             if (header) {
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -172,7 +172,7 @@
     machine->wallOffsetMs = (int64_t)(simRandom(world) % 200) - 100;
     machine->ratePercent = 100;
     machine->syncMs = 3;
-    machine->disk = mapNew(world);
+    machine->disk = map_new(world);
     return number;
 }
 
@@ -248,7 +248,7 @@
     loopInit(&sim->loop, &SIM_OPS);
     sim->world = world;
     sim->machine = number;
-    sim->ports = mapNew(sim);
+    sim->ports = map_new(sim);
     sim->nextPort = 40000;
     sim->armedMs = INT64_MAX;
     machine->loop = sim;
@@ -367,6 +367,6 @@
     snprintf(bound, ADDRESS_MAX, "%s:%s", sim->world->machines[sim->machine].ip, name);
     SimPort *kept = talloc_zero(sim, SimPort);
     *kept = port;
-    mapSet(sim->ports, name, kept);
+    map_set(sim->ports, name, kept);
     return 0;
 }
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -83,7 +83,7 @@
         runFor(world, 1000);
         assert_true(ask->done);
         if ((ask->status == STATUS_OK) != ROWS[i].taken)
-            fail_msg("an answer %s: %s", ROWS[i].word, statusWord(ask->status));
+            fail_msg("an answer %s: %s", ROWS[i].word, status_word(ask->status));
         if (!ROWS[i].taken)
             assert_int_equal(ask->answer.number, 0);
         talloc_free(mem);
@@ -117,7 +117,7 @@
         runFor(world, 1000);
         assert_true(ask->done);
         if (ask->status != ROWS[i].status)
-            fail_msg("row %zu: %s", i, statusWord(ask->status));
+            fail_msg("row %zu: %s", i, status_word(ask->status));
         assert_int_equal(courierCounts(asker.courier)->otherPeers, ROWS[i].status != STATUS_OK);
         talloc_free(mem);
     }
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -50,7 +50,7 @@
 {
     Asker *asker = arg;
     asker->loop = loop;
-    asker->courier = courierNew(loop, loop, ringNew(loop, "asker"));
+    asker->courier = courierNew(loop, loop, ring_new(loop, "asker"));
     courierSetCluster(asker->courier, CLUSTER);
 }
 
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -20,7 +20,7 @@
                                   .payload = {whole.data + from, count, 0}},
                      .from = from,
                      .total = whole.count,
-                     .checksum = bytesCrc(whole.data, whole.count)};
+                     .checksum = bytes_crc(whole.data, whole.count)};
 }
 
 /* Pieces out of their order, given twice, of another snapshot, spoilt, or beyond the whole:
@@ -46,7 +46,7 @@
     whole.data[500] = 8; /* on its way */
     ask = pieceOf(whole, 400, 600);
     whole.data[500] = 7;
-    ask.checksum = bytesCrc(whole.data, whole.count);
+    ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
     assert_int_equal(fillTake(view, &ask, &record), STATUS_BAD_FRAME);
     assert_int_equal(fillCount(view), 0);
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -66,7 +66,7 @@
                          .method = change->method,
                          .path = pathOf(mem, change),
                          .waitMs = 1000}; /* a second of silence is given up on */
-        bytesAdd(mem, &call.body, change->body, strlen(change->body));
+        bytes_add(mem, &call.body, change->body, strlen(change->body));
         const Status status = loopCall(loop, &call);
         const uint64_t told =
             numberIn(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
@@ -384,7 +384,7 @@
     fleetRun(fleet, 12000);
     const HttpCall after = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
-    assert_true(bytesEqual(before.result, after.result));
+    assert_true(bytes_equal(before.result, after.result));
     /* the last call, sent again, is known from what was told */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
     assert_int_equal(
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -37,7 +37,7 @@
 static void serverStart(void *arg, Loop *loop)
 {
     Seen *seen = arg;
-    Ring *ring = ringNew(loop, "server");
+    Ring *ring = ring_new(loop, "server");
     seen->courier[1] = courierNew(loop, loop, ring);
     courierSetCluster(seen->courier[1], 7);
     courierHandle(seen->courier[1], MESSAGE_KNOW, &EchoShape, &EchoShape, echo, seen);
@@ -77,7 +77,7 @@
 {
     Seen *seen = arg;
     seen->loop[0] = loop;
-    seen->courier[0] = courierNew(loop, loop, ringNew(loop, "client"));
+    seen->courier[0] = courierNew(loop, loop, ring_new(loop, "client"));
     courierSetCluster(seen->courier[0], 7);
     loopSpawn(loop, "client", clientMain, seen);
 }
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -73,7 +73,7 @@
             "\"count\":%d,\"kind\":\"%s\",\"room\":{\"cpu\":2,\"memMb\":1024},\"payload\":{\"runMs\":3000}}]}",
             bulk ? "bulk" : "never", i, trentvale ? "imagery" : "registry", trentvale ? "planners" : "backend",
             trentvale ? "rebuilds" : "reindex", bulk ? (trentvale ? 100 : 25) : 1, bulk ? "std" : "gpu");
-        bytesAdd(mem, &call.body, body, strlen(body));
+        bytes_add(mem, &call.body, body, strlen(body));
         const Status status = loopCall(loop, &call);
         if (status == STATUS_OK && call.code == 201)
             pouring->taken++;
@@ -157,9 +157,9 @@
                          .path = talloc_asprintf(mem, "/v1/config?base=%llu", (unsigned long long)base),
                          .waitMs = 4000};
         const char *body = talloc_asprintf(mem, "{\"cells\":{\"op%d\":{\"share\":%d}}}", operator->number, i + 1);
-        bytesAdd(mem, &call.body, body, strlen(body));
+        bytes_add(mem, &call.body, body, strlen(body));
         const Status status = loopCall(loop, &call);
-        bytesAdd(mem, &call.result, "", 1);
+        bytes_add(mem, &call.result, "", 1);
         const char *text = (const char *)call.result.data;
         const char *at = strstr(text, call.code == 409 ? "\"current\":" : "\"revision\":");
         if (status == STATUS_OK && at != NULL)
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -196,7 +196,7 @@
     ViewSight sight;
     viewSight(view, &sight);
     assert_int_equal(sight.otherHistories, 2);
-    assert_non_null(strstr(ringText(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
+    assert_non_null(strstr(ring_text(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
     talloc_free(fleet);
 }
 
@@ -301,7 +301,7 @@
     const int core = (fleetLeader(fleet) + 1) % 3;
     recordAndRestart(fleet, core, (Record){.kind = 99, .name = ""});
     assert_false(runs(fleet, core));
-    assert_non_null(strstr(ringText(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "journal-format"));
+    assert_non_null(strstr(ring_text(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "journal-format"));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -72,11 +72,11 @@
 {
     (void)state;
     int held = 0;
-    for (int atMs = 5; atMs <= 95; atMs += 10)
+    for (int at_ms = 5; at_ms <= 95; at_ms += 10)
         for (int ways = CUT_TO_CORES; ways <= (CUT_TO_CORES | CUT_FROM_CORES); ways++) {
             Fleet *fleet = begin(41);
             Handed *late = order(fleet, 0, "POST");
-            fleetRun(fleet, atMs);
+            fleetRun(fleet, at_ms);
             held += !late->done;
             cutGate(fleet, 0, ways, true);
             fleetRun(fleet, 1000);
@@ -87,8 +87,8 @@
             fleetRun(fleet, 12000);
             assert_true(late->done);
             if (drained(fleet))
-                fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", ways, atMs, late->task->code);
-            print_message("cut %d after %d ms: %d\n", ways, atMs, late->task->code);
+                fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", ways, at_ms, late->task->code);
+            print_message("cut %d after %d ms: %d\n", ways, at_ms, late->task->code);
             end(fleet);
         }
     assert_true(held >= 9); /* that many cuts fell into the order's way */
@@ -98,11 +98,11 @@
 static void lateEnd(void **state)
 {
     (void)state;
-    for (int atMs = 25; atMs <= 75; atMs += 10) {
+    for (int at_ms = 25; at_ms <= 75; at_ms += 10) {
         Fleet *fleet = begin(42);
         assert_int_equal(ask(fleet, 1, "POST"), 200);
         const Handed *late = order(fleet, 0, "DELETE");
-        fleetRun(fleet, atMs);
+        fleetRun(fleet, at_ms);
         cutGate(fleet, 0, CUT_FROM_CORES, true);
         fleetRun(fleet, 1000);
         assert_int_equal(ask(fleet, 1, "DELETE"), 200);
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -31,7 +31,7 @@
     *handed->task = *task;
     handed->task->loop = simLoop(fleet->world, node->machine);
     if (body != NULL)
-        bytesAdd(handed->task, &handed->task->body, body, strlen(body));
+        bytes_add(handed->task, &handed->task->body, body, strlen(body));
     loopSpawn(handed->task->loop, "hand", handMain, handed);
     return handed;
 }
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -196,12 +196,12 @@
     const size_t count = callerJobs(fleet->callers[0], &jobs);
     const int64_t offsetMs = loopNowMs(simLoop(fleet->world, fleet->caller)) - simNowMs(fleet->world);
     int64_t worst = 0;
-    for (int64_t atMs = sinceMs, nextMs; atMs < simNowMs(fleet->world); atMs = nextMs) {
+    for (int64_t at_ms = sinceMs, nextMs; at_ms < simNowMs(fleet->world); at_ms = nextMs) {
         nextMs = simNowMs(fleet->world);
         for (size_t i = 0; i < count; i++)
-            if (jobs[i]->acceptedMs - offsetMs > atMs && jobs[i]->acceptedMs - offsetMs < nextMs)
+            if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < nextMs)
                 nextMs = jobs[i]->acceptedMs - offsetMs;
-        worst = nextMs - atMs > worst ? nextMs - atMs : worst;
+        worst = nextMs - at_ms > worst ? nextMs - at_ms : worst;
     }
     return worst;
 }
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -55,7 +55,7 @@
     Server *server = arg;
     char bound[ADDRESS_MAX];
     server->loop = loop;
-    server->courier = courierNew(loop, loop, ringNew(loop, "server"));
+    server->courier = courierNew(loop, loop, ring_new(loop, "server"));
     courierSetCluster(server->courier, CLUSTER);
     if (server->self.id != 0)
         courierSetSelf(server->courier, server->self);
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -71,7 +71,7 @@
                      .method = call->method,
                      .path = pathOf(mem, call),
                      .waitMs = ASK_WAIT_MS};
-    bytesAdd(mem, &sent.body, call->body, strlen(call->body));
+    bytes_add(mem, &sent.body, call->body, strlen(call->body));
     const int code = loopCall(loop, &sent) == STATUS_OK && sent.code < 500 ? sent.code : 0;
     talloc_free(mem);
     return code;
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -41,10 +41,10 @@
 {
     HttpCall call = {.mem = mem, .address = address, .method = method, .path = path, .waitMs = ASK_WAIT_MS};
     if (body != NULL)
-        bytesAdd(mem, &call.body, body, strlen(body));
+        bytes_add(mem, &call.body, body, strlen(body));
     if (loopCall(loop, &call) != STATUS_OK)
         call.code = 0;
-    bytesAdd(mem, &call.result, "", 1);
+    bytes_add(mem, &call.result, "", 1);
     return call;
 }
 
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -71,7 +71,7 @@
                               .host = "",
                               .expiryMs = waitMs};
     if (body != NULL)
-        bytesAdd(handed.task, &handed.task->body, body, strlen(body));
+        bytes_add(handed.task, &handed.task->body, body, strlen(body));
     loopSpawn(handed.task->loop, "hand", handMain, &handed);
     while (!handed.done)
         fleetRun(fleet, 5);
@@ -249,7 +249,7 @@
     HttpCall call = {
         .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .waitMs = 5000};
     const char *body = jobOf(one, id);
-    bytesAdd(one, &call.body, body, strlen(body));
+    bytes_add(one, &call.body, body, strlen(body));
     const Status status = loopCall(simLoop(fleet->world, fleet->caller), &call);
     sending->good += status == STATUS_OK && call.code == 201;
     sending->again += status == STATUS_OK && call.code >= 500;
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -30,7 +30,7 @@
 static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++stand->index, .atMs = viewClockMs(stand->core->view)};
+    Record change = {.change = kind, .index = ++stand->index, .at_ms = viewClockMs(stand->core->view)};
     shapePack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
     const ViewState state = tableState(stand->core->table);
@@ -113,14 +113,14 @@
     props->bounds = boundsFirst();
     core->props = props;
     simStart(world, simMachine(world), started, &core->loop);
-    core->ring = ringNew(core, "bench");
+    core->ring = ring_new(core, "bench");
     core->table = tableNew(core);
     const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = tableState(core->table)};
     core->view = viewNew(core, &viewProps);
     core->liveset = livesetNew(core);
-    core->saved = mapNew(core);
-    core->scores = mapNew(core);
-    core->kept = mapNew(core);
+    core->saved = map_new(core);
+    core->scores = map_new(core);
+    core->kept = map_new(core);
     core->guesses = guessesNew(core);
     core->strays = straysNew(core);
     core->paces = pacesNew(core);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -16,7 +16,7 @@
 #include "standin/caller.h"
 
 typedef struct Line {
-    int64_t atMs;
+    int64_t at_ms;
     size_t order;
     char what[16], who[ID_MAX + 1], job[ID_MAX + 1];
     uint64_t task, round;
@@ -37,14 +37,14 @@
 
 static bool replayFrozen(void *arg, const char *worker)
 {
-    return mapGet(((Replay *)arg)->frozen, worker) != NULL;
+    return map_get(((Replay *)arg)->frozen, worker) != NULL;
 }
 
 /* The job as the mix makes it: its id says its class. */
 static const Job *replayJob(void *arg, const char *id)
 {
     Replay *replay = arg;
-    Job *job = mapGet(replay->jobs, id);
+    Job *job = map_get(replay->jobs, id);
     if (job != NULL)
         return job;
     MixClass kind = CLASS_URGENT;
@@ -62,22 +62,22 @@
             job->tasks = talloc_realloc(job, job->tasks, JobTask, (unsigned)(job->tasksCount + 1));
             job->tasks[job->tasksCount++] = (JobTask){.step = s, .at = k, .worker = "", .text = "", .shunned = ""};
         }
-    mapSet(replay->jobs, id, job);
+    map_set(replay->jobs, id, job);
     return job;
 }
 
 static int lineOrder(const void *a, const void *b)
 {
     const Line *x = a, *y = b;
-    if (x->atMs != y->atMs)
-        return x->atMs < y->atMs ? -1 : 1;
+    if (x->at_ms != y->at_ms)
+        return x->at_ms < y->at_ms ? -1 : 1;
     return x->order < y->order ? -1 : x->order > y->order;
 }
 
 static void play(Replay *replay, const Line *line)
 {
     Checker *checker = replay->checker;
-    replay->nowMs = line->atMs;
+    replay->nowMs = line->at_ms;
     if (strcmp(line->what, "plans") == 0) {
         checkerPlans(checker, line->who, strtoull(line->more, NULL, 10));
     } else if (strcmp(line->what, "worker") == 0) {
@@ -98,7 +98,7 @@
     } else if (strcmp(line->what, "booted") == 0) {
         checkerBooted(checker, line->who);
     } else if (strcmp(line->what, "held") == 0) {
-        checkerHeld(checker, line->who, line->atMs + strtoll(line->more, NULL, 10));
+        checkerHeld(checker, line->who, line->at_ms + strtoll(line->more, NULL, 10));
     } else if (strcmp(line->what, "resumed") == 0) {
         checkerResumed(checker, line->who, line->job, line->task, line->round, line->more);
     } else if (strcmp(line->what, "told") == 0) {
@@ -110,10 +110,10 @@
         checkerLeaderGone(checker, line->who);
         checkerFault(checker);
     } else if (strcmp(line->what, "frozen") == 0) {
-        mapSet(replay->frozen, line->who, replay);
+        map_set(replay->frozen, line->who, replay);
         checkerFault(checker);
     } else if (strcmp(line->what, "woke") == 0) {
-        mapDrop(replay->frozen, line->who);
+        map_drop(replay->frozen, line->who);
         checkerFault(checker);
         checkerWorkerWoke(checker, line->who);
     } else if (strcmp(line->what, "accepted") == 0) {
@@ -140,8 +140,8 @@
     }
     Replay *replay = talloc_zero(NULL, Replay);
     replay->mix = mixOfWord(argv[2]);
-    replay->jobs = mapNew(replay);
-    replay->frozen = mapNew(replay);
+    replay->jobs = map_new(replay);
+    replay->frozen = map_new(replay);
     const CheckerProps props = {replay, replayNow, replayFrozen, replayJob, NULL};
     replay->checker = checkerNew(replay, &props);
     Line *lines = NULL;
@@ -154,7 +154,7 @@
         }
         Line *line = &lines[count];
         *line = (Line){.order = count};
-        const int got = sscanf(text, "%" SCNd64 " %15s %96s %96s %" SCNu64 " %" SCNu64 " %63[^\n]", &line->atMs,
+        const int got = sscanf(text, "%" SCNd64 " %15s %96s %96s %" SCNu64 " %" SCNu64 " %63[^\n]", &line->at_ms,
                                line->what, line->who, line->job, &line->task, &line->round, line->more);
         if (got < 3) {
             fprintf(stderr, "line %zu of the record can't be read\n", count + 1);
@@ -166,7 +166,7 @@
     fclose(file);
     if (count > 0)
         qsort(lines, count, sizeof(*lines), lineOrder);
-    int64_t lookMs = count > 0 ? lines[0].atMs : 0;
+    int64_t lookMs = count > 0 ? lines[0].at_ms : 0;
     for (size_t i = 0; i < count; i++) {
         play(replay, &lines[i]);
         if (replay->nowMs - lookMs >= 500) {
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -44,7 +44,7 @@
                        .path = path,
                        .waitMs = 3000};
     if (body != NULL)
-        bytesAdd(mem, &call->body, body, strlen(body));
+        bytes_add(mem, &call->body, body, strlen(body));
     const Status status = loopCall(caller->loop, call);
     if (status != STATUS_OK || call->code >= 500)
         following->entry++;
@@ -279,7 +279,7 @@
                             .method = "PUT",
                             .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, base),
                             .waitMs = 3000};
-            bytesAdd(mem, &put.body, mixConfig(mix), strlen(mixConfig(mix)));
+            bytes_add(mem, &put.body, mixConfig(mix), strlen(mixConfig(mix)));
             status = loopCall(loop, &put);
             if (status == STATUS_OK && put.code == 200)
                 return STATUS_OK;
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -49,8 +49,8 @@
 static void highestSet(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
 {
     char *key = taskKey(worker, job, task);
-    if ((uint64_t)(uintptr_t)mapGet(worker->highest, key) < round)
-        mapSet(worker->highest, key, (void *)(uintptr_t)round);
+    if ((uint64_t)(uintptr_t)map_get(worker->highest, key) < round)
+        map_set(worker->highest, key, (void *)(uintptr_t)round);
     talloc_free(key);
 }
 
@@ -146,7 +146,7 @@
         runFind(worker, job, task, round) != NULL)
         return;
     void *mem = talloc_new(worker);
-    const uint64_t highest = (uint64_t)(uintptr_t)mapGet(worker->highest, taskKey(mem, job, task));
+    const uint64_t highest = (uint64_t)(uintptr_t)map_get(worker->highest, taskKey(mem, job, task));
     talloc_free(mem);
     json_object *payload = NULL, *room = NULL;
     json_object_object_get_ex(start, "payload", &payload);
@@ -289,7 +289,7 @@
 static void repeatLast(StandWorker *worker, void *mem, const char *path, const char *last)
 {
     HttpCall call = {.mem = mem, .address = worker->props.agent, .method = "POST", .path = path, .waitMs = 20};
-    bytesAdd(mem, &call.body, last, strlen(last));
+    bytes_add(mem, &call.body, last, strlen(last));
     loopCall(worker->loop, &call);
 }
 
@@ -311,7 +311,7 @@
                          .method = "POST",
                          .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name),
                          .waitMs = WORKER_POLL_MS + ASK_EXPIRY_MS};
-        bytesAdd(mem, &call.body, text, strlen(text));
+        bytes_add(mem, &call.body, text, strlen(text));
         talloc_free(last);
         last = worker->props.repeats ? talloc_strdup(worker, text) : NULL;
         json_object_put(body);
@@ -339,7 +339,7 @@
     worker->props = *props;
     shapeCopy(&WorkerShape, &props->worker, worker, &worker->props.worker);
     worker->props.agent = talloc_strdup(worker, props->agent);
-    worker->highest = mapNew(worker);
+    worker->highest = map_new(worker);
     snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loopRandom(loop));
     loopSpawn(loop, "report", reportMain, worker);
     return worker;
--- a/packages/table/src/deliverjob.c
+++ b/packages/table/src/deliverjob.c
@@ -14,18 +14,18 @@
     }
     Job *job = jobNew(table->mem, &add->spec, &add->terms);
     job->number = table->lastNumber + 1;
-    job->acceptedMs = change->atMs;
+    job->acceptedMs = change->at_ms;
     for (size_t i = 0; i < job->tasksCount; i++)
-        job->tasks[i].changedMs = change->atMs;
+        job->tasks[i].changedMs = change->at_ms;
     jobEnter(table, job);
     result->number = job->number;
-    orphansTake(table, job, change->atMs);
-    jobSettle(table, job, change->atMs);
+    orphansTake(table, job, change->at_ms);
+    jobSettle(table, job, change->at_ms);
 }
 
 void deliverJobCancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result)
 {
-    Job *job = mapGet(table->byId, cancel->id);
+    Job *job = map_get(table->byId, cancel->id);
     if (job == NULL) {
         result->status = STATUS_UNKNOWN_JOB;
         return;
@@ -37,26 +37,26 @@
     }
     if (job->ending == JOB_ACTIVE)
         job->ending = JOB_CANCELLED;
-    jobStopTasks(table, job, change->atMs);
-    jobSettle(table, job, change->atMs);
+    jobStopTasks(table, job, change->at_ms);
+    jobSettle(table, job, change->at_ms);
 }
 
 /* A job once shown as ended stays so, though the disks forgot how it came to. */
 void deliverJobEnd(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
 {
-    Job *job = mapGet(table->byId, end->id);
+    Job *job = map_get(table->byId, end->id);
     if (job == NULL || job->phase != JOB_ACTIVE || end->phase == JOB_ACTIVE || end->phase >= JOB_PHASE_COUNT)
         return;
     result->number = job->number;
     if (end->phase == JOB_DONE) {
         for (size_t i = 0; i < job->tasksCount; i++)
             if (!taskEnded(job->tasks[i].phase))
-                taskTurn(table, job, &job->tasks[i], TASK_DONE, "", change->atMs, false);
+                taskTurn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, false);
     } else {
         job->ending = end->phase;
-        jobStopTasks(table, job, change->atMs);
+        jobStopTasks(table, job, change->at_ms);
     }
-    jobSettle(table, job, change->atMs);
+    jobSettle(table, job, change->at_ms);
 }
 
 void deliverForget(Table *table, const Record *change, const Forget *forget, ChangeResult *result)
@@ -73,7 +73,7 @@
                 order->jobs[kept++] = order->jobs[i];
         order->count = kept;
         for (size_t i = 0; i < gone; i++) {
-            mapDrop(table->byId, ended->jobs[i]->spec.id);
+            map_drop(table->byId, ended->jobs[i]->spec.id);
             talloc_free(ended->jobs[i]);
         }
         memmove(ended->jobs, ended->jobs + gone, (ended->count - gone) * sizeof(*ended->jobs));
--- a/packages/table/src/deliverplace.c
+++ b/packages/table/src/deliverplace.c
@@ -6,7 +6,7 @@
 /* The task that may be placed so; null: the state has moved on since it was planned. */
 static JobTask *placeable(Table *table, const Placement *place, Job **job)
 {
-    *job = mapGet(table->byId, place->job);
+    *job = map_get(table->byId, place->job);
     const size_t at = *job != NULL ? taskIndex(*job, place->task) : 0;
     if (*job == NULL || at == (*job)->tasksCount || (*job)->ending != JOB_ACTIVE)
         return NULL;
@@ -53,7 +53,7 @@
             task->round = place->round;
             task->incarnation = place->incarnation;
             savedSet(job, task, place->saved);
-            taskTurn(table, job, task, TASK_PLACED, place->worker, change->atMs, false);
+            taskTurn(table, job, task, TASK_PLACED, place->worker, change->at_ms, false);
             task->assured = place->assured;
             result->number++;
         }
@@ -62,7 +62,7 @@
 
 static JobTask *roundFind(Table *table, const RoundId *id, Job **job)
 {
-    *job = mapGet(table->byId, id->job);
+    *job = map_get(table->byId, id->job);
     const size_t at = *job != NULL ? taskIndex(*job, id->task) : 0;
     if (*job == NULL || at == (*job)->tasksCount)
         return NULL;
@@ -79,8 +79,8 @@
             continue;
         taskText(job, &task->text, list->why);
         task->shunned = task->worker; /* it goes elsewhere, if it can */
-        taskTurn(table, job, task, TASK_STOPPING, task->worker, change->atMs, false);
-        gangBreak(table, job, task, change->atMs);
+        taskTurn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, false);
+        gangBreak(table, job, task, change->at_ms);
         result->number++;
     }
 }
--- a/packages/table/src/deliverworker.c
+++ b/packages/table/src/deliverworker.c
@@ -7,7 +7,7 @@
 
 const Worker *tableWorker(const Table *table, const char *name)
 {
-    return mapGet(table->workers, name);
+    return map_get(table->workers, name);
 }
 
 /* The first place whose worker's name is not below. */
@@ -36,10 +36,10 @@
 {
     (void)change;
     (void)result;
-    Worker *before = mapGet(table->workers, set->name);
+    Worker *before = map_get(table->workers, set->name);
     Worker *worker = talloc_zero(table->mem, Worker);
     shapeCopy(&WorkerShape, set, worker, worker);
-    mapSet(table->workers, worker->name, worker);
+    map_set(table->workers, worker->name, worker);
     const size_t at = sortedPlace(table, worker->name);
     if (before == NULL) {
         if (table->sortedCount == table->sortedRoom) {
@@ -77,9 +77,9 @@
         JobTask *task = &job->tasks[on[i].task];
         if (task->incarnation > lost->incarnation || !taskOnWorker(task->phase))
             continue;
-        const RoundEnd end = {task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST, "", false, change->atMs};
+        const RoundEnd end = {task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST, "", false, change->at_ms};
         roundOver(table, job, task, &end);
-        jobSettle(table, job, change->atMs);
+        jobSettle(table, job, change->at_ms);
         result->number++;
     }
     talloc_free(on);
@@ -88,7 +88,7 @@
 void deliverWorkerLeft(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result)
 {
     (void)change;
-    Worker *worker = mapGet(table->workers, left->worker);
+    Worker *worker = map_get(table->workers, left->worker);
     if (worker == NULL)
         result->status = STATUS_UNKNOWN_WORKER;
     else
--- a/packages/table/src/deliverzone.c
+++ b/packages/table/src/deliverzone.c
@@ -8,7 +8,7 @@
 
 const ZoneDrain *tableDrainNewest(const Table *table, const char *zone)
 {
-    const ZoneOrders *orders = mapGet(table->drains, zone);
+    const ZoneOrders *orders = map_get(table->drains, zone);
     return orders != NULL ? &orders->newest : NULL;
 }
 
@@ -32,7 +32,7 @@
 
 size_t tableDrains(const Table *table, void *mem, const char ***zones)
 {
-    const size_t count = mapKeys(table->drains, mem, zones);
+    const size_t count = map_keys(table->drains, mem, zones);
     size_t kept = 0;
     for (size_t i = 0; i < count; i++)
         if (tableDrained(table, (*zones)[i]))
@@ -42,7 +42,7 @@
 
 DrainKnown tableDrainKnown(const Table *table, const ZoneDrain *drain)
 {
-    const ZoneOrders *orders = mapGet(table->drains, drain->zone);
+    const ZoneOrders *orders = map_get(table->drains, drain->zone);
     bool overtaken = false, forgotten = false;
     for (size_t i = 0; orders != NULL && i < orders->count; i++) {
         const ZoneOrder *row = &orders->rows[i];
@@ -72,7 +72,7 @@
 /* The zone's orders in one new block of memory, so that what is dropped is freed. */
 static ZoneOrders *ordersWith(Table *table, const ZoneDrain *drain)
 {
-    const ZoneOrders *before = mapGet(table->drains, drain->zone);
+    const ZoneOrders *before = map_get(table->drains, drain->zone);
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
     shapeCopy(&ZoneDrainShape, drain, orders, &orders->newest);
     for (size_t i = 0; before != NULL && i < before->count; i++)
@@ -105,14 +105,14 @@
     }
     ZoneOrders *orders = ordersWith(table, drain);
     rowAdd(orders, orders->newest.order, drain->stamp);
-    talloc_free(mapGet(table->drains, drain->zone));
-    mapSet(table->drains, orders->newest.zone, orders);
+    talloc_free(map_get(table->drains, drain->zone));
+    map_set(table->drains, orders->newest.zone, orders);
 }
 
 void zoneOrdersLoad(Table *table, const ZoneOrder *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        ZoneOrders *orders = mapGet(table->drains, rows[i].zone);
+        ZoneOrders *orders = map_get(table->drains, rows[i].zone);
         if (orders == NULL)
             continue;
         if (i == 0 || strcmp(rows[i].zone, rows[i - 1].zone) != 0)
--- a/packages/table/src/gang.c
+++ b/packages/table/src/gang.c
@@ -9,13 +9,13 @@
     return (Gang){&job->tasks[taskFirst(job, task)], (size_t)step->count};
 }
 
-void gangBreak(Table *table, Job *job, const JobTask *task, int64_t atMs)
+void gangBreak(Table *table, Job *job, const JobTask *task, int64_t at_ms)
 {
     const Gang gang = gangOf(job, task);
     for (size_t i = 0; i < gang.count; i++) {
         JobTask *other = &gang.tasks[i];
         if (other != task && (other->phase == TASK_PLACED || other->phase == TASK_RUNNING))
-            taskTurn(table, job, other, TASK_STOPPING, other->worker, atMs, false);
+            taskTurn(table, job, other, TASK_STOPPING, other->worker, at_ms, false);
     }
 }
 
--- a/packages/table/src/inside.h
+++ b/packages/table/src/inside.h
@@ -32,7 +32,7 @@
     X(TXT, job, 0)       \
     X(U64, task, 0)      \
     X(U64, round, 0)     \
-    X(I64, atMs, 0)
+    X(I64, at_ms, 0)
 SHAPE(Orphan, ORPHAN_FIELDS)
 
 /* One order for a zone that was delivered. order "": it had no name, or it stands
@@ -115,11 +115,11 @@
 
 /* Every change of a task's phase goes through here. told: the agent of the worker that
  * it leaves told of it, and needs no telling. */
-void taskTurn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t atMs, bool told);
+void taskTurn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms, bool told);
 /* What waits of it never starts, what runs is stopped. */
-void jobStopTasks(Table *table, Job *job, int64_t atMs);
+void jobStopTasks(Table *table, Job *job, int64_t at_ms);
 /* Ends the job once no task of it runs or waits. */
-void jobSettle(Table *table, Job *job, int64_t atMs);
+void jobSettle(Table *table, Job *job, int64_t at_ms);
 
 /* --- gangs. The tasks of a task's gang; of any other task itself alone. */
 
@@ -129,7 +129,7 @@
 } Gang;
 Gang gangOf(Job *job, const JobTask *task);
 /* A member's round is over: the others stop, and all are planned again. */
-void gangBreak(Table *table, Job *job, const JobTask *task, int64_t atMs);
+void gangBreak(Table *table, Job *job, const JobTask *task, int64_t at_ms);
 
 /* --- rounds. What became of one that did not finish well. */
 
@@ -137,7 +137,7 @@
     RoundWord word;
     const char *saved; /* empty: nothing told */
     bool told;         /* by its worker's agent */
-    int64_t atMs;
+    int64_t at_ms;
 } RoundEnd;
 void roundOver(Table *table, Job *job, JobTask *task, const RoundEnd *end);
 /* Counts a failed round, of a gang once whichever of its members failed. Rounds are
@@ -145,17 +145,17 @@
 void roundMiss(Job *job, JobTask *task, uint64_t round);
 /* Whether the task has had all the rounds it gets. */
 bool roundsSpent(const Job *job, const JobTask *task);
-void jobFail(Table *table, Job *job, JobTask *task, int64_t atMs);
+void jobFail(Table *table, Job *job, JobTask *task, int64_t at_ms);
 /* It finished well in that round, and its gang with it. */
-void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t atMs);
+void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms);
 /* What its rounds have come to; a gang's is one. */
 void savedSet(Job *job, JobTask *task, const char *saved);
 
 /* --- orphans */
 
-void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t atMs);
+void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms);
 /* What of the job finished well before the disks forgot it stays finished. */
-void orphansTake(Table *table, Job *job, int64_t atMs);
+void orphansTake(Table *table, Job *job, int64_t at_ms);
 void orphansForget(Table *table, int64_t beforeMs);
 
 /* --- one function for each change; table.c lists them */
--- a/packages/table/src/on.c
+++ b/packages/table/src/on.c
@@ -6,11 +6,11 @@
 
 WorkerOn *workerOn(Table *table, const char *worker)
 {
-    WorkerOn *its = mapGet(table->on, worker);
+    WorkerOn *its = map_get(table->on, worker);
     if (its == NULL) {
         its = talloc_zero(table->mem, WorkerOn);
         its->name = talloc_strdup(its, worker);
-        mapSet(table->on, its->name, its);
+        map_set(table->on, its->name, its);
     }
     return its;
 }
@@ -49,10 +49,10 @@
 
 static Room *usedOf(Table *table, const char *key)
 {
-    Room *used = mapGet(table->used, key);
+    Room *used = map_get(table->used, key);
     if (used == NULL) {
         used = talloc_zero(table->mem, Room);
-        mapSet(table->used, key, used);
+        map_set(table->used, key, used);
     }
     return used;
 }
@@ -79,13 +79,13 @@
 
 Room tableUsedOn(const Table *table, const char *worker)
 {
-    const WorkerOn *its = mapGet(table->on, worker);
+    const WorkerOn *its = map_get(table->on, worker);
     return its != NULL ? its->used : (Room){0};
 }
 
 Room tableUsedBy(const Table *table, const char *cell)
 {
-    const Room *used = mapGet(table->used, cell);
+    const Room *used = map_get(table->used, cell);
     return used != NULL ? *used : (Room){0};
 }
 
@@ -131,7 +131,7 @@
 
 uint64_t tableOrders(const Table *table, const char *worker)
 {
-    const WorkerOn *its = mapGet(table->on, worker);
+    const WorkerOn *its = map_get(table->on, worker);
     return its != NULL ? its->revision : 0;
 }
 
@@ -149,7 +149,7 @@
 
 size_t tableOn(const Table *table, const char *worker, const TaskOn **on)
 {
-    const WorkerOn *its = mapGet(table->on, worker);
+    const WorkerOn *its = map_get(table->on, worker);
     *on = its != NULL ? its->on : NULL;
     return its != NULL ? its->count : 0;
 }
--- a/packages/table/src/orphan.c
+++ b/packages/table/src/orphan.c
@@ -5,13 +5,13 @@
 
 SHAPE_TABLE(Orphan, ORPHAN_FIELDS)
 
-void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t atMs)
+void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms)
 {
     for (size_t i = 0; i < table->orphanCount; i++)
         if (table->orphans[i].task == task && strcmp(table->orphans[i].job, job) == 0)
             return;
     table->orphans = talloc_realloc(table->mem, table->orphans, Orphan, (unsigned)(table->orphanCount + 1));
-    table->orphans[table->orphanCount++] = (Orphan){talloc_strdup(table->mem, job), task, round, atMs};
+    table->orphans[table->orphanCount++] = (Orphan){talloc_strdup(table->mem, job), task, round, at_ms};
 }
 
 static void orphanDrop(Table *table, size_t at)
@@ -20,7 +20,7 @@
     table->orphans[at] = table->orphans[--table->orphanCount];
 }
 
-void orphansTake(Table *table, Job *job, int64_t atMs)
+void orphansTake(Table *table, Job *job, int64_t at_ms)
 {
     for (size_t i = 0; i < table->orphanCount;) {
         const Orphan orphan = table->orphans[i];
@@ -30,7 +30,7 @@
         }
         const size_t at = taskIndex(job, orphan.task);
         if (at < job->tasksCount && !job->spec.lasting && !taskEnded(job->tasks[at].phase))
-            roundDone(table, job, &job->tasks[at], orphan.round, "", atMs);
+            roundDone(table, job, &job->tasks[at], orphan.round, "", at_ms);
         orphanDrop(table, i);
     }
 }
@@ -38,7 +38,7 @@
 void orphansForget(Table *table, int64_t beforeMs)
 {
     for (size_t i = 0; i < table->orphanCount;)
-        if (table->orphans[i].atMs < beforeMs)
+        if (table->orphans[i].at_ms < beforeMs)
             orphanDrop(table, i);
         else
             i++;
--- a/packages/table/src/round.c
+++ b/packages/table/src/round.c
@@ -24,17 +24,17 @@
 {
     if (end->word != ROUND_FAILED && end->word != ROUND_DONE && end->word != ROUND_REFUSED && end->word != ROUND_ALONE)
         return;
-    const bool steady = task->phase == TASK_RUNNING && end->atMs - task->changedMs >= LASTING_STEADY_MS;
+    const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changedMs >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
-    task->restUntilMs = end->atMs + restOf(task->misses, LASTING_REST_MAX_MS);
+    task->restUntilMs = end->at_ms + restOf(task->misses, LASTING_REST_MAX_MS);
 }
 
 static void restSet(JobTask *task, const RoundEnd *end)
 {
     if (end->word == ROUND_FAILED)
-        task->restUntilMs = end->atMs + restOf(task->misses, FAILED_REST_MAX_MS);
+        task->restUntilMs = end->at_ms + restOf(task->misses, FAILED_REST_MAX_MS);
     else if (end->word == ROUND_REFUSED || end->word == ROUND_ALONE)
-        task->restUntilMs = end->atMs + REFUSED_REST_MS;
+        task->restUntilMs = end->at_ms + REFUSED_REST_MS;
 }
 
 /* A loss of one is a loss of its gang: they start again together. */
@@ -66,18 +66,18 @@
     return !job->spec.lasting && (given || task->misses >= limitOf(job));
 }
 
-void jobFail(Table *table, Job *job, JobTask *task, int64_t atMs)
+void jobFail(Table *table, Job *job, JobTask *task, int64_t at_ms)
 {
     if (!taskOnWorker(task->phase))
-        taskTurn(table, job, task, TASK_FAILED, "", atMs, false);
+        taskTurn(table, job, task, TASK_FAILED, "", at_ms, false);
     job->ending = JOB_FAILED;
-    jobStopTasks(table, job, atMs);
+    jobStopTasks(table, job, at_ms);
 }
 
 void roundOver(Table *table, Job *job, JobTask *task, const RoundEnd *end)
 {
     if (job->ending != JOB_ACTIVE) {
-        taskTurn(table, job, task, TASK_CANCELLED, "", end->atMs, end->told);
+        taskTurn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->told);
         return;
     }
     const bool stopping = task->phase == TASK_STOPPING;
@@ -94,15 +94,15 @@
     else
         restSet(task, end);
     if (roundsSpent(job, task)) {
-        taskTurn(table, job, task, TASK_FAILED, "", end->atMs, end->told);
-        jobFail(table, job, task, end->atMs);
+        taskTurn(table, job, task, TASK_FAILED, "", end->at_ms, end->told);
+        jobFail(table, job, task, end->at_ms);
         return;
     }
-    taskTurn(table, job, task, TASK_WAITING, "", end->atMs, end->told);
-    gangBreak(table, job, task, end->atMs);
+    taskTurn(table, job, task, TASK_WAITING, "", end->at_ms, end->told);
+    gangBreak(table, job, task, end->at_ms);
 }
 
-void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t atMs)
+void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms)
 {
     const Gang gang = gangOf(job, task);
     const TaskPhase phase = job->ending == JOB_CANCELLED ? TASK_CANCELLED : TASK_DONE;
@@ -113,6 +113,6 @@
         const bool told = each->round == round && strcmp(each->worker, teller) == 0;
         if (round > each->round)
             each->round = round;
-        taskTurn(table, job, each, phase, "", atMs, told);
+        taskTurn(table, job, each, phase, "", at_ms, told);
     }
 }
--- a/packages/table/src/saved.c
+++ b/packages/table/src/saved.c
@@ -18,11 +18,11 @@
 static void zonesSave(const Table *table, void *scratch, Saved *saved)
 {
     const char **zones;
-    saved->drainsCount = mapKeys(table->drains, scratch, &zones);
+    saved->drainsCount = map_keys(table->drains, scratch, &zones);
     saved->drains = talloc_array(scratch, ZoneDrain, (unsigned)saved->drainsCount);
     saved->zoneOrders = talloc_array(scratch, ZoneOrder, (unsigned)saved->drainsCount * ZONE_ORDERS_MAX);
     for (size_t i = 0; i < saved->drainsCount; i++) {
-        const ZoneOrders *orders = mapGet(table->drains, zones[i]);
+        const ZoneOrders *orders = map_get(table->drains, zones[i]);
         saved->drains[i] = orders->newest;
         for (size_t k = 0; k < orders->count; k++)
             saved->zoneOrders[saved->zoneOrdersCount++] = orders->rows[k];
@@ -105,7 +105,7 @@
         zoneOrdersLoad(table, saved.zoneOrders, saved.zoneOrdersCount);
         for (size_t i = 0; i < saved.orphansCount; i++)
             orphanAdd(table, saved.orphans[i].job, saved.orphans[i].task, saved.orphans[i].round,
-                      saved.orphans[i].atMs);
+                      saved.orphans[i].at_ms);
     }
     talloc_free(mem);
     return status;
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -17,13 +17,13 @@
                      .leftFn = kept.leftFn,
                      .leftArg = kept.leftArg};
     table->mem = talloc_new(table);
-    table->byId = mapNew(table->mem);
-    table->workers = mapNew(table->mem);
-    table->on = mapNew(table->mem);
-    table->cells = mapNew(table->mem);
-    table->used = mapNew(table->mem);
-    table->queues = mapNew(table->mem);
-    table->drains = mapNew(table->mem);
+    table->byId = map_new(table->mem);
+    table->workers = map_new(table->mem);
+    table->on = map_new(table->mem);
+    table->cells = map_new(table->mem);
+    table->used = map_new(table->mem);
+    table->queues = map_new(table->mem);
+    table->drains = map_new(table->mem);
     table->revisions = revisionsNew(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
 }
 
@@ -42,7 +42,7 @@
 
 const Job *tableJob(const Table *table, const char *id)
 {
-    return mapGet(table->byId, id);
+    return map_get(table->byId, id);
 }
 
 size_t tableJobs(const Table *table, Job *const **jobs)
@@ -66,8 +66,8 @@
 {
     int64_t oldestMs = table->ended.count > 0 ? table->ended.jobs[0]->endedMs : INT64_MAX;
     for (size_t i = 0; i < table->orphanCount; i++)
-        if (table->orphans[i].atMs < oldestMs)
-            oldestMs = table->orphans[i].atMs;
+        if (table->orphans[i].at_ms < oldestMs)
+            oldestMs = table->orphans[i].at_ms;
     return oldestMs;
 }
 
--- a/packages/table/src/turn.c
+++ b/packages/table/src/turn.c
@@ -6,10 +6,10 @@
 
 static CellSum *cellOf(Table *table, const char *cell)
 {
-    CellSum *sum = mapGet(table->cells, cell);
+    CellSum *sum = map_get(table->cells, cell);
     if (sum == NULL) {
         sum = talloc_zero(table->mem, CellSum);
-        mapSet(table->cells, cell, sum);
+        map_set(table->cells, cell, sum);
     }
     return sum;
 }
@@ -18,10 +18,10 @@
 {
     void *mem = talloc_new(NULL);
     const char *key = talloc_asprintf(mem, "%s/%s", spec->cell, spec->queue);
-    QueueSum *sum = mapGet(table->queues, key);
+    QueueSum *sum = map_get(table->queues, key);
     if (sum == NULL) {
         sum = talloc_zero(table->mem, QueueSum);
-        mapSet(table->queues, key, sum);
+        map_set(table->queues, key, sum);
     }
     talloc_free(mem);
     return sum;
@@ -29,14 +29,14 @@
 
 size_t tableWaiting(const Table *table, const char *cell)
 {
-    const CellSum *sum = mapGet(table->cells, cell);
+    const CellSum *sum = map_get(table->cells, cell);
     return sum != NULL ? sum->waiting : 0;
 }
 
 size_t tableWaitingIn(const Table *table, const char *cell, const char *queue)
 {
     void *mem = talloc_new(NULL);
-    const QueueSum *sum = mapGet(table->queues, talloc_asprintf(mem, "%s/%s", cell, queue));
+    const QueueSum *sum = map_get(table->queues, talloc_asprintf(mem, "%s/%s", cell, queue));
     talloc_free(mem);
     return sum != NULL ? sum->jobs : 0;
 }
@@ -53,7 +53,7 @@
 
 void jobEnter(Table *table, Job *job)
 {
-    mapSet(table->byId, job->spec.id, job);
+    map_set(table->byId, job->spec.id, job);
     jobListAdd(table->mem, &table->order, job);
     if (job->number > table->lastNumber)
         table->lastNumber = job->number;
@@ -92,7 +92,7 @@
     *at = text[0] != '\0' ? talloc_strdup(job, text) : "";
 }
 
-void taskTurn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t atMs, bool told)
+void taskTurn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms, bool told)
 {
     if ((task->phase == TASK_WAITING) != (phase == TASK_WAITING)) {
         CellSum *cell = cellOf(table, job->spec.cell);
@@ -112,23 +112,23 @@
         ordersTouch(table, worker);
     }
     task->phase = phase;
-    task->changedMs = atMs;
+    task->changedMs = at_ms;
     if (!taskOnWorker(phase))
         task->assured = false;
 }
 
-void jobStopTasks(Table *table, Job *job, int64_t atMs)
+void jobStopTasks(Table *table, Job *job, int64_t at_ms)
 {
     for (size_t i = 0; i < job->tasksCount; i++) {
         JobTask *task = &job->tasks[i];
         if (task->phase == TASK_WAITING)
-            taskTurn(table, job, task, TASK_CANCELLED, "", atMs, false);
+            taskTurn(table, job, task, TASK_CANCELLED, "", at_ms, false);
         else if (task->phase == TASK_PLACED || task->phase == TASK_RUNNING)
-            taskTurn(table, job, task, TASK_STOPPING, task->worker, atMs, false);
+            taskTurn(table, job, task, TASK_STOPPING, task->worker, at_ms, false);
     }
 }
 
-void jobSettle(Table *table, Job *job, int64_t atMs)
+void jobSettle(Table *table, Job *job, int64_t at_ms)
 {
     if (job->phase != JOB_ACTIVE || job->sums.open > 0)
         return;
@@ -136,6 +136,6 @@
         job->phase = job->ending;
     else
         job->phase = job->sums.undone == 0 ? JOB_DONE : JOB_FAILED;
-    job->endedMs = atMs;
+    job->endedMs = at_ms;
     jobLeaveActive(table, job);
 }
--- a/packages/table/test/board.h
+++ b/packages/table/test/board.h
@@ -16,14 +16,14 @@
 
 typedef struct Board {
     Table *table;
-    int64_t atMs;
+    int64_t at_ms;
     uint64_t index;
 } Board;
 
 static inline ChangeResult tell(Board *board, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++board->index, .atMs = board->atMs};
+    Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
     shapePack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
     const ViewState state = tableState(board->table);
@@ -93,7 +93,7 @@
     const Bytes bytes = state.save(state.arg, mem);
     assert_int_equal(state.load(state.arg, bytes), STATUS_OK);
     const Bytes twice = state.save(state.arg, mem);
-    assert_true(bytesEqual(bytes, twice));
+    assert_true(bytes_equal(bytes, twice));
     talloc_free(mem);
 }
 
--- a/packages/table/test/gangs.c
+++ b/packages/table/test/gangs.c
@@ -175,8 +175,8 @@
     const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
     allAre(job, TASK_DONE);
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-    assert_int_equal(tableOldestMs(b.table), b.atMs);
-    const Forget forget = {b.atMs + 1};
+    assert_int_equal(tableOldestMs(b.table), b.at_ms);
+    const Forget forget = {b.at_ms + 1};
     tell(&b, CHANGE_FORGET, &ForgetShape, &forget);
     assert_int_equal(tableOldestMs(b.table), INT64_MAX);
     talloc_free(b.table);
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -150,7 +150,7 @@
         uint64_t lot = seed;
         Board b = boardNew();
         for (int i = 0; i < 400; i++) {
-            b.atMs += (int64_t)draw(&lot, 50);
+            b.at_ms += (int64_t)draw(&lot, 50);
             const char id[] = {'j', (char)('0' + draw(&lot, 8)), '\0'};
             const char worker[] = {'w', (char)('0' + draw(&lot, 3)), '\0'};
             const Job *job = tableJob(b.table, id);
@@ -175,7 +175,7 @@
                     lose(&b, worker);
                 break;
             case 4: {
-                const Forget forget = {b.atMs - 2000};
+                const Forget forget = {b.at_ms - 2000};
                 tell(&b, CHANGE_FORGET, &ForgetShape, &forget);
                 assert_true(tableOldestMs(b.table) >= forget.beforeMs);
                 break;
@@ -210,8 +210,8 @@
         const JobSpec spec = turning(ids[i]);
         jobAdd(&b, &spec, (JobTerms){0});
     }
-    b.atMs = 2000, cancel(&b, "j2");
-    b.atMs = 3000, cancel(&b, "j0");
+    b.at_ms = 2000, cancel(&b, "j2");
+    b.at_ms = 3000, cancel(&b, "j0");
     assert_int_equal(tableOldestMs(b.table), 2000);
     const Forget forget = {3000};
     assert_int_equal(tell(&b, CHANGE_FORGET, &ForgetShape, &forget).number, 1);
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -11,7 +11,7 @@
 #define TRACE_TEXT 128 /* bytes; a key is a kind and a name */
 
 typedef struct Event {
-    int64_t atMs;
+    int64_t at_ms;
     TraceStep step;
     char key[TRACE_TEXT];
     char detail[TRACE_TEXT / 2];
@@ -31,7 +31,7 @@
 SHAPE_TABLE(TraceAsk, TRACE_ASK_FIELDS)
 
 #define TRACE_EVENT_FIELDS(X) \
-    X(I64, atMs, 0)           \
+    X(I64, at_ms, 0)          \
     X(U64, step, 0)           \
     X(TXT, detail, 0)
 SHAPE(TraceEvent, TRACE_EVENT_FIELDS)
@@ -54,7 +54,7 @@
         if (strcmp(event->key, key) != 0)
             continue;
         out->events = talloc_realloc(mem, out->events, TraceEvent, (unsigned)(out->eventsCount + 1));
-        out->events[out->eventsCount++] = (TraceEvent){event->atMs, event->step, talloc_strdup(mem, event->detail)};
+        out->events[out->eventsCount++] = (TraceEvent){event->at_ms, event->step, talloc_strdup(mem, event->detail)};
     }
 }
 
@@ -80,7 +80,7 @@
     if (trace == NULL)
         return;
     Event *event = &trace->events[trace->count++ % TRACE_EVENTS];
-    event->atMs = loopNowMs(trace->loop);
+    event->at_ms = loopNowMs(trace->loop);
     event->step = step;
     snprintf(event->detail, sizeof(event->detail), "%s", detail);
     va_list args;
@@ -92,7 +92,7 @@
 /* --- asking all ----------------------------------------------------------------- */
 
 typedef struct Row {
-    int64_t atMs; /* on the own clock */
+    int64_t at_ms; /* on the own clock */
     const char *node;
     uint64_t step;
     const char *detail;
@@ -130,7 +130,7 @@
         talloc_realloc(gathering, gathering->rows, Row, (unsigned)(gathering->count + answer->eventsCount + 1));
     for (size_t i = 0; i < answer->eventsCount; i++) {
         gathering->rows[gathering->count] =
-            (Row){answer->events[i].atMs + offsetMs, talloc_strdup(gathering, answer->node), answer->events[i].step,
+            (Row){answer->events[i].at_ms + offsetMs, talloc_strdup(gathering, answer->node), answer->events[i].step,
                   talloc_strdup(gathering, answer->events[i].detail), gathering->count};
         gathering->count++;
     }
@@ -162,8 +162,8 @@
 static int rowOrder(const void *a, const void *b)
 {
     const Row *x = a, *y = b;
-    if (x->atMs != y->atMs)
-        return x->atMs < y->atMs ? -1 : 1;
+    if (x->at_ms != y->at_ms)
+        return x->at_ms < y->at_ms ? -1 : 1;
     return x->order < y->order ? -1 : x->order > y->order;
 }
 
@@ -217,7 +217,7 @@
     for (size_t i = 0; i < gathering->count; i++) {
         const Row *row = &gathering->rows[i];
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "sinceMs", json_object_new_int64(row->atMs - gathering->rows[0].atMs));
+        json_object_object_add(one, "sinceMs", json_object_new_int64(row->at_ms - gathering->rows[0].at_ms));
         json_object_object_add(one, "node", json_object_new_string(row->node));
         json_object_object_add(one, "step", json_object_new_string(stepWord(row->step)));
         json_object_object_add(one, "detail", json_object_new_string(row->detail));
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -26,9 +26,9 @@
     view->otherHistories++;
     if (view->otherToldMs == 0 || nowMs - view->otherToldMs >= HISTORY_TOLD_MS) {
         view->otherToldMs = nowMs;
-        ringSay(view->props.ring, RING_ALERT, nowMs,
-                "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
-                statusWord(STATUS_OTHER_HISTORY), index, view->commitIndex);
+        ring_say(view->props.ring, RING_ALERT, nowMs,
+                 "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
+                 status_word(STATUS_OTHER_HISTORY), index, view->commitIndex);
     }
     return STATUS_OTHER_HISTORY;
 }
@@ -111,12 +111,12 @@
     snapshot.last = view->last;
     snapshot.state = view->props.state.save(view->props.state.arg, mem);
     Record record = {
-        .kind = RECORD_SNAPSHOT, .epoch = epoch, .index = view->deliveredIndex, .atMs = viewClockMs(view), .name = ""};
+        .kind = RECORD_SNAPSHOT, .epoch = epoch, .index = view->deliveredIndex, .at_ms = viewClockMs(view), .name = ""};
     shapePack(&SnapshotShape, &snapshot, mem, &record.payload);
     view->tooLarge = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (view->tooLarge) {
-        ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: a state of %zu bytes can't be a snapshot",
-                statusWord(STATUS_TOO_LARGE), record.payload.count);
+        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: a state of %zu bytes can't be a snapshot",
+                 status_word(STATUS_TOO_LARGE), record.payload.count);
         talloc_free(mem);
         return;
     }
@@ -149,9 +149,9 @@
     const uint64_t lastIndex = logLastIndex(view->log);
     const Status status = logTake(view->log, record);
     if (status != STATUS_OK)
-        failureSet(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64, record->index,
-                   lastIndex);
-    viewClockTell(view, record->atMs);
+        failure_set(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64,
+                    record->index, lastIndex);
+    viewClockTell(view, record->at_ms);
 }
 
 static void recordFound(void *arg, const Record *record)
@@ -176,13 +176,13 @@
     case RECORD_SNAPSHOT:
         logTrim(view->log, 0);
         logRebase(view->log, record);
-        viewClockTell(view, record->atMs);
+        viewClockTell(view, record->at_ms);
         break;
     case RECORD_COMMIT:
         break; /* of an earlier release; it is told anew */
     default:
-        failureSet(&reading->failure, STATUS_JOURNAL_FORMAT,
-                   "a record of kind %" PRIu64 ", which this release does not know", record->kind);
+        failure_set(&reading->failure, STATUS_JOURNAL_FORMAT,
+                    "a record of kind %" PRIu64 ", which this release does not know", record->kind);
     }
 }
 
@@ -195,16 +195,16 @@
     if (status != STATUS_OK)
         return status;
     if (reading.failure.status != STATUS_OK)
-        return failureSet(failure, reading.failure.status, "%s: %s", path, reading.failure.text);
+        return failure_set(failure, reading.failure.status, "%s: %s", path, reading.failure.text);
     const bool state = view->log->snapshot.kind == RECORD_SNAPSHOT || view->log->count > 0 || view->lock.promised != 0;
     if (view->cluster == 0 && state)
-        return failureSet(failure, STATUS_JOURNAL_CORRUPT, "%s holds a log, but not the cluster it is of", path);
+        return failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds a log, but not the cluster it is of", path);
     if (view->log->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_OK;
     const Status loaded = viewLoad(view, &view->log->snapshot);
     if (loaded != STATUS_OK)
-        return failureSet(failure, STATUS_JOURNAL_CORRUPT, "the snapshot of %s can't be read: %s", path,
-                          statusWord(loaded));
+        return failure_set(failure, STATUS_JOURNAL_CORRUPT, "the snapshot of %s can't be read: %s", path,
+                           status_word(loaded));
     view->commitIndex = view->deliveredIndex;
     return STATUS_OK;
 }
@@ -228,8 +228,8 @@
 /* The journal is not whole: what it has promised and acknowledged is not known. */
 static Status diskBeginAnew(View *view, const char *path, Failure *failure)
 {
-    ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: %s; begins as a new, empty disk",
-            statusWord(failure->status), failure->text);
+    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: %s; begins as a new, empty disk",
+             status_word(failure->status), failure->text);
     *failure = (Failure){0};
     diskForget(view);
     return journalBegin(view->loop, view, path, view->nodeName, &view->journal, failure);
@@ -243,7 +243,7 @@
     if (status == STATUS_JOURNAL_CORRUPT)
         status = diskBeginAnew(view, path, &read);
     if (status != STATUS_OK)
-        return failureSet(failure, status, "%s", read.text);
+        return failure_set(failure, status, "%s", read.text);
     view->disk = journalDisk(view->journal);
     if (journalCounts(view->journal)->begunAnew)
         view->props.founds = VIEW_FOUNDS_NEVER; /* the cluster that it was of may live */
@@ -272,7 +272,7 @@
         if (journalAnew(view) == STATUS_OK) {
             if (view->restUntilMs > loopNowMs(view->loop) + PROPOSE_MS)
                 view->restUntilMs = loopNowMs(view->loop) + PROPOSE_MS;
-            ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk takes writes again");
+            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk takes writes again");
         }
         view->mending = false;
     }
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -19,7 +19,7 @@
     Record entry = {.kind = RECORD_ENTRY,
                     .epoch = view->epoch,
                     .index = logLastIndex(view->log) + 1,
-                    .atMs = viewClockMs(view),
+                    .at_ms = viewClockMs(view),
                     .change = VIEW_CHANGE_VIEW,
                     .name = ""};
     shapePack(&ViewRecordShape, &record, mem, &entry.payload);
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -38,10 +38,10 @@
     Filling *filling = view->filling;
     if (ask->from != filling->bytes.count)
         return STATUS_LOG_GAP; /* seatDescribe tells how far it has come */
-    bytesAdd(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
+    bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (filling->bytes.count < filling->total)
         return STATUS_BUSY;
-    if (bytesCrc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
+    if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
         fillDrop(view);
         return STATUS_BAD_FRAME;
     }
@@ -108,7 +108,7 @@
     const uint64_t index = ask.snapshot.index;
     if (whole.count > FILL_WHOLE_BYTES) {
         ask.total = whole.count;
-        ask.checksum = bytesCrc(whole.data, whole.count);
+        ask.checksum = bytes_crc(whole.data, whole.count);
     }
     SeatAnswer answer;
     Status status;
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -50,7 +50,7 @@
             const uint64_t cluster = loopRandom(view->loop) | 1;
             view->named = true; /* nobody else can stand */
             if (foundNow(view, cluster, &view->disk, 1) == STATUS_OK)
-                ringSay(view->props.ring, RING_NOTE, loopNowMs(view->loop), "founds cluster %016" PRIx64, cluster);
+                ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "founds cluster %016" PRIx64, cluster);
         }
     }
 }
@@ -150,7 +150,7 @@
             continue;
         const uint64_t cluster = loopRandom(view->loop) | 1;
         if (foundNow(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
-            ringSay(view->props.ring, RING_NOTE, nowMs, "founds cluster %016" PRIx64, cluster);
+            ring_say(view->props.ring, RING_NOTE, nowMs, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
     }
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -86,7 +86,7 @@
         if (leadOver(view, lead.turn))
             return;
         if (status != STATUS_OK) {
-            ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk failed: gives up the lock");
+            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk failed: gives up the lock");
             leadDown(view, INT32_MAX);
             return;
         }
@@ -391,7 +391,7 @@
             /* nothing is decided under this hold any more: the seats may forget it */
             lockRelease(&view->lock, view->epoch, view->disk, nowMs);
             leadRelease(view, leadNext(view, false));
-            ringSay(view->props.ring, RING_NOTE, nowMs, "gives up view %" PRIu64, epochCounter(view->epoch));
+            ring_say(view->props.ring, RING_NOTE, nowMs, "gives up view %" PRIu64, epoch_counter(view->epoch));
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
--- a/packages/view/src/log.c
+++ b/packages/view/src/log.c
@@ -89,7 +89,7 @@
         talloc_free(log->snapshot.payload.data);
     log->snapshot = *snapshot;
     log->snapshot.name = "";
-    log->snapshot.payload = bytesCopy(log, snapshot->payload);
+    log->snapshot.payload = bytes_copy(log, snapshot->payload);
     log->baseEpoch = snapshot->epoch;
     log->baseIndex = snapshot->index;
 }
