--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -220,7 +220,7 @@
 static Status promisesAsk(Opening *opening)
 {
     View *view = opening->view;
-    opening->epoch = epochNext(opening->highest, view->disk);
+    opening->epoch = epoch_next(opening->highest, view->disk);
     Poll *poll = pollSeats(view, opening->epoch, opening->skip);
     /* a hold that lapsed before this question was sent was not carried on */
     const int64_t heldUntilMs = lockHoldUntil(&view->hold);
@@ -329,8 +329,8 @@
         if (leadOver(view, opening->turn))
             return STATUS_NOT_LEADER;
         if (loopNowMs(view->loop) > untilMs || loopNowMs(view->loop) > lockHoldUntil(&view->hold)) {
-            ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "view %" PRIu64 " did not come about",
-                    epochCounter(opening->epoch));
+            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "view %" PRIu64 " did not come about",
+                     epoch_counter(opening->epoch));
             leadDown(view, 0);
             return STATUS_EXPIRED;
         }
@@ -349,8 +349,8 @@
     membersSetLeader(view->props.members, opening->epoch, membersSelf(view->props.members)->id);
     if (opening->newHolder)
         membersAnnounce(view->props.members);
-    ringSay(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leads view %" PRIu64 " with %zu seats%s",
-            epochCounter(opening->epoch), promisedCount(view, view->inView), view->last.repair ? ", repairs" : "");
+    ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leads view %" PRIu64 " with %zu seats%s",
+             epoch_counter(opening->epoch), promisedCount(view, view->inView), view->last.repair ? ", repairs" : "");
     signalRaise(view->loop, &view->news);
 }
 
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -89,9 +89,9 @@
     if (view->commitIndex > index)
         view->commitIndex = index;
     if (view->deliveredIndex > index) {
-        ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop),
-                "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew", index + 1,
-                view->deliveredIndex);
+        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop),
+                 "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew", index + 1,
+                 view->deliveredIndex);
         view->deliveredIndex = view->log->baseIndex;
         if (view->log->snapshot.kind == RECORD_SNAPSHOT)
             viewLoad(view, &view->log->snapshot);
@@ -129,7 +129,7 @@
                 reread = true;
             }
             logAdd(log, entry);
-            viewClockTell(view, entry->atMs);
+            viewClockTell(view, entry->at_ms);
             reread |= entry->change < VIEW_CHANGE_FIRST;
         }
     }
@@ -238,9 +238,9 @@
     if (lastIndex < view->commitIndex && view->props.disksKeep)
         return historyRefuse(view, lastIndex + 1);
     if (goesBack(view, snapshot, entryCount)) {
-        ringSay(view->props.ring, RING_FATAL, loopNowMs(view->loop),
-                "own log may not go back from %" PRIu64 " to %" PRIu64, view->queuedIndex,
-                snapshot->index + entryCount);
+        ring_say(view->props.ring, RING_FATAL, loopNowMs(view->loop),
+                 "own log may not go back from %" PRIu64 " to %" PRIu64, view->queuedIndex,
+                 snapshot->index + entryCount);
         return STATUS_INTERNAL;
     }
     Status status = viewLoad(view, snapshot);
@@ -250,11 +250,11 @@
     view->log->baseIndex = snapshot->index; /* nothing of ours is kept */
     logRebase(view->log, snapshot);
     view->commitIndex = view->deliveredIndex = view->verifiedIndex = snapshot->index;
-    viewClockTell(view, snapshot->atMs);
+    viewClockTell(view, snapshot->at_ms);
     for (size_t i = 0; i < entryCount; i++)
         if (entries[i].kind == RECORD_ENTRY && entries[i].index == logLastIndex(view->log) + 1) {
             logAdd(view->log, &entries[i]);
-            viewClockTell(view, entries[i].atMs);
+            viewClockTell(view, entries[i].at_ms);
         }
     view->queuedIndex = logLastIndex(view->log);
     viewReread(view);
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -130,9 +130,9 @@
     if (!view->props.disksKeep || index >= view->listCommitted || view->listOld)
         return;
     view->listOld = true;
-    ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop),
-            "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->listCommitted,
-            index);
+    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop),
+             "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->listCommitted,
+             index);
 }
 
 void viewReread(View *view)
@@ -284,7 +284,7 @@
     const Record entry = {.kind = RECORD_ENTRY,
                           .epoch = view->epoch,
                           .index = logLastIndex(view->log) + 1,
-                          .atMs = viewClockMs(view),
+                          .at_ms = viewClockMs(view),
                           .change = change,
                           .name = "",
                           .payload = payload};
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -124,7 +124,7 @@
 static void voterRemove(View *view, int place)
 {
     const uint64_t disk = view->seats[place];
-    ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "voter %016" PRIx64 " is removed", disk);
+    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "voter %016" PRIx64 " is removed", disk);
     listCommitted(view, place, 0);
 }
 
@@ -155,8 +155,8 @@
     lockHoldAnswered(&view->hold, place, peer.renewedMs);
     leadRenew(view, place);
     leadPeer(view, place);
-    ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
-            place + 1, view->seatCount, disk);
+    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
+             place + 1, view->seatCount, disk);
     viewSettle(view);
 }
 
@@ -252,10 +252,10 @@
     while (given && viewSeated(view) && loopNowMs(view->loop) < untilMs)
         loopSleep(view->loop, MEMBERSHIP_SOON_MS);
     if (votes && viewSeated(view))
-        ringSay(view->props.ring, RING_ALERT, loopNowMs(view->loop), "leaves and keeps its vote: %s",
-                given ? "no learner took it in time" : "there is no learner");
+        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "leaves and keeps its vote: %s",
+                 given ? "no learner took it in time" : "there is no learner");
     else if (votes)
-        ringSay(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leaves, and its vote is another's");
+        ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leaves, and its vote is another's");
 }
 
 void votersStart(View *view)
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -54,7 +54,7 @@
         if (view->seats[i] != 0 && view->seats[i] != view->disk && !inView[i] && returns(view, i, nowMs)) {
             inView[i] = changed = true;
             count++;
-            ringSay(view->props.ring, RING_NOTE, nowMs, "seat %016" PRIx64 " comes into the view", view->seats[i]);
+            ring_say(view->props.ring, RING_NOTE, nowMs, "seat %016" PRIx64 " comes into the view", view->seats[i]);
         }
     for (int i = 0; i < SEAT_MOST; i++) {
         Peer *peer = &view->peers[i];
@@ -73,8 +73,8 @@
             count--;
             peer->returnMs = nowMs + SEAT_REST_MS;
             peer->slowTimes = 0;
-            ringSay(view->props.ring, RING_ALERT, nowMs, "seat %016" PRIx64 " leaves the view: %s", view->seats[i],
-                    why);
+            ring_say(view->props.ring, RING_ALERT, nowMs, "seat %016" PRIx64 " leaves the view: %s", view->seats[i],
+                     why);
             continue;
         }
         /* it restarted within the view; one just taken in takes a renewal to be heard of */
@@ -144,18 +144,18 @@
             bool skip[SEAT_MOST];
             const int64_t sinceMs = journalSyncSince(view->journal);
             if (nowMs >= lockHoldUntil(&view->hold)) {
-                ringSay(view->props.ring, RING_ALERT, nowMs, "the hold of the lock has lapsed");
+                ring_say(view->props.ring, RING_ALERT, nowMs, "the hold of the lock has lapsed");
                 leadDown(view, 0);
             } else if ((sinceMs != INT64_MAX && nowMs - sinceMs > APPEND_EXPIRY_MS) ||
                        (((sinceMs != INT64_MAX && nowMs - sinceMs > SEAT_LATE_MS) ||
                          view->slowTimes >= SEAT_SLOW_TIMES) &&
                         leadNext(view, true) != 0)) {
                 view->slowTimes = 0;
-                ringSay(view->props.ring, RING_ALERT, nowMs, "own disk is slow: hands the lock over");
+                ring_say(view->props.ring, RING_ALERT, nowMs, "own disk is slow: hands the lock over");
                 leadDown(view, SLOW_DISK_REST_MS);
             } else if (viewBlind(view)) {
-                ringSay(view->props.ring, RING_ALERT, nowMs,
-                        "another seat sees many more members: hands the lock over");
+                ring_say(view->props.ring, RING_ALERT, nowMs,
+                         "another seat sees many more members: hands the lock over");
                 view->blindSinceMs = 0;
                 leadDown(view, SLOW_DISK_REST_MS);
             } else if (viewTend(view, skip)) {
--- a/packages/wire/src/courier.c
+++ b/packages/wire/src/courier.c
@@ -27,7 +27,7 @@
 
 PeerLife peerLife(const char *id, uint64_t life)
 {
-    return (PeerLife){bytesCrc(id, strlen(id)), life};
+    return (PeerLife){bytes_crc(id, strlen(id)), life};
 }
 
 void courierSetSelf(Courier *courier, PeerLife self)
@@ -42,7 +42,7 @@
     Courier *courier = talloc_zero(mem, Courier);
     courier->loop = loop;
     courier->ring = ring;
-    courier->lines = mapNew(courier);
+    courier->lines = map_new(courier);
     return courier;
 }
 
@@ -109,9 +109,10 @@
 {
     const uint64_t count = ++courier->refused;
     if ((count & (count - 1)) == 0) /* the first, the second, the fourth: the log is not filled by them */
-        ringSay(courier->ring, RING_NOTE, loopNowMs(courier->loop),
-                "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64 " so far",
-                what, statusWord(status), envelope->kind, envelope->cluster, envelope->version, count);
+        ring_say(courier->ring, RING_NOTE, loopNowMs(courier->loop),
+                 "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
+                 " so far",
+                 what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
 }
 
 /* Whether a question is one for this process: of its version, its cluster, and meant for
@@ -144,7 +145,7 @@
 static void noteBad(Courier *courier, const char *text)
 {
     courier->counts.badFrames++;
-    ringSay(courier->ring, RING_NOTE, loopNowMs(courier->loop), "bad frame, connection ended: %s", text);
+    ring_say(courier->ring, RING_NOTE, loopNowMs(courier->loop), "bad frame, connection ended: %s", text);
 }
 
 static Status questionServe(Question *question, Bytes *payload)
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -133,7 +133,7 @@
 
 void courierRenew(Courier *courier, const char *address)
 {
-    const Line *line = mapGet(courier->lines, address);
+    const Line *line = map_get(courier->lines, address);
     if (line == NULL || line->channel == NULL)
         return;
     /* questions of its present life are answered or under way; one that waits for long went to the last */
@@ -147,12 +147,12 @@
 /* Waits until the line has a channel; null when the peer can't be reached. */
 static Line *lineReady(Courier *courier, const char *address, int64_t untilMs)
 {
-    Line *line = mapGet(courier->lines, address);
+    Line *line = map_get(courier->lines, address);
     if (line == NULL) {
         line = talloc_zero(courier, Line);
         line->courier = courier;
         line->address = talloc_strdup(line, address);
-        mapSet(courier->lines, address, line);
+        map_set(courier->lines, address, line);
     }
     while (line->channel == NULL && line->opening)
         if (!signalWait(courier->loop, &line->opened, untilMs))
--- a/packages/wire/src/shape.c
+++ b/packages/wire/src/shape.c
@@ -12,7 +12,7 @@
 static int packWrite(void *data, const char *buf, size_t len)
 {
     PackTo *to = data;
-    bytesAdd(to->mem, to->bytes, buf, len);
+    bytes_add(to->mem, to->bytes, buf, len);
     return 0;
 }
 
@@ -79,7 +79,7 @@
 
 static Status wrong(Failure *failure, const Shape *shape, const ShapeField *field)
 {
-    return failureSet(failure, STATUS_BAD_FRAME, "%s.%s has the wrong type", shape->name, field->name);
+    return failure_set(failure, STATUS_BAD_FRAME, "%s.%s has the wrong type", shape->name, field->name);
 }
 
 /* Text without a zero inside, or null. */
@@ -101,7 +101,7 @@
     memset(to, 0, shape->size);
     zeroTexts(shape, to);
     if (from->type != MSGPACK_OBJECT_ARRAY)
-        return failureSet(failure, STATUS_BAD_FRAME, "%s is not an array", shape->name);
+        return failure_set(failure, STATUS_BAD_FRAME, "%s is not an array", shape->name);
     const msgpack_object_array *array = &from->via.array;
     size_t fieldCount;
     const ShapeField *fields = shape->fields(&fieldCount);
@@ -137,7 +137,7 @@
             if (o->type != MSGPACK_OBJECT_BIN)
                 return wrong(failure, shape, field);
             Bytes *bytes = at;
-            bytesAdd(mem, bytes, o->via.bin.ptr, o->via.bin.size);
+            bytes_add(mem, bytes, o->via.bin.ptr, o->via.bin.size);
             break;
         }
         case SHAPE_TXS: {
@@ -248,14 +248,14 @@
 Status shapeUnpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure)
 {
     if (!countsHold(from))
-        return failureSet(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
+        return failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
     size_t offset = 0;
     const msgpack_unpack_return got = msgpack_unpack_next(&unpacked, (const char *)from.data, from.count, &offset);
     Status status;
     if ((got != MSGPACK_UNPACK_SUCCESS && got != MSGPACK_UNPACK_EXTRA_BYTES) || offset != from.count)
-        status = failureSet(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
+        status = failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     else
         status = unpackShape(shape, &unpacked.data, mem, to, failure);
     msgpack_unpacked_destroy(&unpacked);
@@ -283,7 +283,7 @@
             break;
         }
         case SHAPE_BIN:
-            *(Bytes *)at = bytesCopy(mem, *(const Bytes *)source);
+            *(Bytes *)at = bytes_copy(mem, *(const Bytes *)source);
             break;
         case SHAPE_TXS: {
             const char **texts = talloc_array(mem, const char *, (unsigned)count);
@@ -313,7 +313,7 @@
     Bytes x = {0}, y = {0};
     shapePack(shape, a, mem, &x);
     shapePack(shape, b, mem, &y);
-    const bool equal = bytesEqual(x, y);
+    const bool equal = bytes_equal(x, y);
     talloc_free(mem);
     return equal;
 }
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -37,7 +37,7 @@
 static Tree tree(void *mem)
 {
     Tree t = {.balance = -7, .on = true, .first = {9, "root"}};
-    bytesAdd(mem, &t.blob, "\0\1\2", 3);
+    bytes_add(mem, &t.blob, "\0\1\2", 3);
     t.words = talloc_array(mem, const char *, 2);
     t.words[0] = "a";
     t.words[1] = "";
@@ -114,7 +114,7 @@
     size_t refused = 0;
     for (int i = 0; i < 20000; i++) {
         void *one = talloc_new(mem);
-        Bytes copy = bytesCopy(one, packed);
+        Bytes copy = bytes_copy(one, packed);
         for (int k = 0; k < 1 + i % 3; k++) {
             seed = seed * 1664525u + 1013904223u;
             copy.data[(seed >> 8) % copy.count] = (uint8_t)(seed >> 24);
--- a/src/build.c
+++ b/src/build.c
@@ -11,7 +11,7 @@
 static int tellFaults(const Faults *faults, const char *what)
 {
     for (size_t i = 0; i < faults->count; i++)
-        fprintf(stderr, "spancart config build: %s: %s: %s %s\n", what, statusWord(faults->list[i].status),
+        fprintf(stderr, "spancart config build: %s: %s: %s %s\n", what, status_word(faults->list[i].status),
                 faults->list[i].path, faults->list[i].text);
     return EXIT_WRONG;
 }
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -58,7 +58,7 @@
     else
         status = agentStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->agent, &failure);
     if (status != STATUS_OK) {
-        fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], statusWord(status), failure.text);
+        fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
         daemon->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
         loopStop(daemon->loop);
         return;
@@ -76,7 +76,7 @@
 static void userMain(void *arg)
 {
     const Daemon *daemon = arg;
-    ringDump(daemon->ring, stderr);
+    ring_dump(daemon->ring, stderr);
     fflush(stderr);
 }
 
@@ -143,8 +143,8 @@
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
         daemon->loop = realLoopNew(mem);
-        daemon->ring = ringNew(mem, daemon->props.name);
-        ringSetLevel(daemon->ring, daemon->props.log);
+        daemon->ring = ring_new(mem, daemon->props.name);
+        ring_set_level(daemon->ring, daemon->props.log);
         loopSpawn(daemon->loop, "start", startMain, daemon);
         realLoopOnUser(daemon->loop, userMain, daemon);
         realLoopRun(daemon->loop, termMain, daemon);
--- a/src/node.c
+++ b/src/node.c
@@ -31,7 +31,7 @@
     void *mem = talloc_new(run->mem);
     FacePlace place = {0};
     if (run->face->read(mem, run->path, &place, &failure) != STATUS_OK) {
-        ringSay(run->node.ring, RING_ALERT, loopNowMs(run->node.loop), "settings left as they were: %s", failure.text);
+        ring_say(run->node.ring, RING_ALERT, loopNowMs(run->node.loop), "settings left as they were: %s", failure.text);
         talloc_free(mem);
         return;
     }
@@ -94,7 +94,7 @@
     if (status == STATUS_OK)
         status = run->face->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
-        fprintf(stderr, "spancart node: %s: %s\n", statusWord(status), failure.text);
+        fprintf(stderr, "spancart node: %s: %s\n", status_word(status), failure.text);
         run->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
         loopStop(node->loop);
         return;
@@ -107,7 +107,7 @@
 static void userMain(void *arg)
 {
     const NodeRun *run = arg;
-    ringDump(run->node.ring, stderr);
+    ring_dump(run->node.ring, stderr);
     fflush(stderr);
 }
 
@@ -155,7 +155,7 @@
         code = wrong("node", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (left != NULL)
         code = wrong("node", "%s: what is this?", left);
-    else if (log != NULL && !ringLevelOfWord(log, &level))
+    else if (log != NULL && !ring_level_of_word(log, &level))
         code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
     else if (name == NULL || (run->face = faceFind(name)) == NULL)
         code = faceWrong(name);
@@ -169,8 +169,8 @@
         printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.props.name, run->place.props.zone);
     } else if (code == EXIT_GOOD) {
         run->node =
-            (FaceNode){.loop = realLoopNew(mem), .ring = ringNew(mem, run->place.props.name), .place = &run->place};
-        ringSetLevel(run->node.ring, level);
+            (FaceNode){.loop = realLoopNew(mem), .ring = ring_new(mem, run->place.props.name), .place = &run->place};
+        ring_set_level(run->node.ring, level);
         loopSpawn(run->node.loop, "start", startMain, run);
         realLoopOnUser(run->node.loop, userMain, run);
         realLoopOnHup(run->node.loop, hupMain, run);
--- a/src/operate.c
+++ b/src/operate.c
@@ -58,7 +58,7 @@
     char buffer[4096];
     size_t got;
     while ((got = fread(buffer, 1, sizeof(buffer), stream)) > 0 && bytes.count < HTTP_BODY_MAX)
-        bytesAdd(mem, &bytes, buffer, got);
+        bytes_add(mem, &bytes, buffer, got);
     return bytes;
 }
 
@@ -94,7 +94,7 @@
     loopSpawn(operation->loop, "operate", operateMain, operation);
     realLoopRun(operation->loop, NULL, NULL);
     if (operation->status != STATUS_OK) {
-        fprintf(stderr, "spancart %s: %s did not answer: %s\n", order->command, at, statusWord(operation->status));
+        fprintf(stderr, "spancart %s: %s did not answer: %s\n", order->command, at, status_word(operation->status));
         return EXIT_UNREACHABLE;
     }
     const Bytes *result = &operation->call.result; /* an empty one has no data */
