--- a/examples/counter.c
+++ b/examples/counter.c
@@ -73,13 +73,13 @@
     if (!viewHolds(counter->view))
         return STATUS_NOT_LEADER;
     out->holdMs = AGENT_HOLD_MS;
-    return livesetBeat(counter->liveset, ask, loopNowMs(counter->loop), AGENT_HOLD_MS, &listCounts);
+    return livesetBeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &listCounts);
 }
 
 static void beatMain(void *arg)
 {
     Counter *counter = arg;
-    while (!loopStopping(counter->loop)) {
+    while (!loop_stopping(counter->loop)) {
         const char *leader = membersLeaderAddress(counter->members);
         if (leader != NULL && !viewLeading(counter->view)) {
             void *mem = talloc_new(counter);
@@ -94,7 +94,7 @@
                        ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
             talloc_free(mem);
         }
-        loopSleep(counter->loop, BEAT_MS);
+        loop_sleep(counter->loop, BEAT_MS);
     }
 }
 
@@ -104,7 +104,7 @@
     const size_t count = livesetRows(counter->liveset, mem, &rows);
     size_t ready = 0;
     for (size_t i = 0; i < count; i++)
-        ready += liveRowReady(rows[i], loopNowMs(counter->loop));
+        ready += liveRowReady(rows[i], loop_now_ms(counter->loop));
     return ready;
 }
 
@@ -122,8 +122,8 @@
 static void plusMain(void *arg)
 {
     Counter *counter = arg;
-    while (!loopStopping(counter->loop)) {
-        loopSleep(counter->loop, PLUS_MS);
+    while (!loop_stopping(counter->loop)) {
+        loop_sleep(counter->loop, PLUS_MS);
         if (!viewLeading(counter->view))
             continue;
         void *mem = talloc_new(counter);
@@ -152,7 +152,7 @@
             STATUS_OK ||
         courierListen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
         fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
-        loopStop(counter->loop);
+        loop_stop(counter->loop);
         return;
     }
     const MemberRecord self = {.id = talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, viewDisk(counter->view)),
@@ -161,7 +161,7 @@
                                .zone = "",
                                .address = address,
                                .http = "",
-                               .incarnation = (uint64_t)loopWallMs(counter->loop),
+                               .incarnation = (uint64_t)loop_wall_ms(counter->loop),
                                .disk = viewDisk(counter->view),
                                .empty = !viewFounded(counter->view)};
     counter->members = membersNew(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
@@ -169,16 +169,16 @@
     courierHandle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
     membersStart(counter->members);
     viewFounding(counter->view);
-    loopSpawn(counter->loop, "beat", beatMain, counter);
-    loopSpawn(counter->loop, "plus", plusMain, counter);
+    loop_spawn(counter->loop, "beat", beatMain, counter);
+    loop_spawn(counter->loop, "plus", plusMain, counter);
 }
 
 static void termMain(void *arg)
 {
     Counter *counter = arg;
     viewStepDown(counter->view, INT32_MAX);
-    loopSleep(counter->loop, BEAT_MS);
-    loopStop(counter->loop);
+    loop_sleep(counter->loop, BEAT_MS);
+    loop_stop(counter->loop);
 }
 
 int main(int argc, char **argv)
@@ -194,13 +194,13 @@
     counter->folder = argv[4];
     char *at = argv[3];
     for (int i = 0; i < SEEDS; i++)
-        if ((counter->seeds[i] = strsep(&at, ",")) == NULL || !realAddressValid(counter->seeds[i])) {
+        if ((counter->seeds[i] = strsep(&at, ",")) == NULL || !real_address_valid(counter->seeds[i])) {
             fprintf(stderr, "counter: three seed addresses are needed\n");
             return 2;
         }
-    counter->loop = realLoopNew(mem);
+    counter->loop = real_loop_new(mem);
     counter->ring = ring_new(mem, counter->name);
-    loopSpawn(counter->loop, "start", startMain, counter);
-    realLoopRun(counter->loop, termMain, counter);
+    loop_spawn(counter->loop, "start", startMain, counter);
+    real_loop_run(counter->loop, termMain, counter);
     return 0;
 }
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -16,8 +16,8 @@
     bool left;       /* it has left in order: nothing runs there any more */
     bool freeTold;
     Room free;
-    int64_t waitMs; /* the answer may be held back for so long */
-    bool endsWait;  /* it says nothing more before it is answered, not even that something has ended */
+    int64_t wait_ms; /* the answer may be held back for so long */
+    bool endsWait;   /* it says nothing more before it is answered, not even that something has ended */
     const RoundNews *running, *ended;
     size_t runningCount, endedCount;
 } WorkerReport;
@@ -39,7 +39,7 @@
     int64_t againMs; /* unless something ends there, it need not ask again before */
 } WorkerOrders;
 
-/* Waits, at most report->waitMs, for something to answer with. gone is looked at
+/* Waits, at most report->wait_ms, for something to answer with. gone is looked at
  * while it waits. orders hang on mem, and are over once they have been taken: what
  * they start counts as given. CLOSED: another question has come since, or the asker
  * has gone; DUPLICATE_WORKER: another boot may still be running, or this one is over. */
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -12,7 +12,7 @@
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
     showMetricsBegin(task);
-    showMetric(task, "holdLeftMs", holdLeftMs(&agent->hold, loopNowMs(agent->loop)));
+    showMetric(task, "holdLeftMs", holdLeftMs(&agent->hold, loop_now_ms(agent->loop)));
     showMetric(task, "workerLive", agent->workerLive);
     showMetric(task, "roundsRunning", rounds[PHASE_RUNNING]);
     showMetric(task, "roundsStopping", rounds[PHASE_STOPPING]);
@@ -23,12 +23,12 @@
 #undef X
 }
 
-static void onHttp(void *arg, HttpTask *task)
+static void on_http(void *arg, HttpTask *task)
 {
     Agent *agent = arg;
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
         const bool live = task->path[1] == 'l';
-        if (!live && (agent->leaving || !holdRuns(&agent->hold, loopNowMs(agent->loop)))) {
+        if (!live && (agent->leaving || !holdRuns(&agent->hold, loop_now_ms(agent->loop)))) {
             showRefusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
             return;
         }
@@ -68,15 +68,15 @@
     agent->ring = ring;
     agent->props = props;
     agent->workerName = props->worker != NULL ? props->worker : props->name;
-    agent->incarnation = (uint64_t)loopWallMs(loop);
-    agent->startedMs = loopNowMs(loop);
+    agent->incarnation = (uint64_t)loop_wall_ms(loop);
+    agent->startedMs = loop_now_ms(loop);
     agent->workerMem = talloc_new(agent);
     const Worker unheard = {.name = agent->workerName, .zone = props->zone, .rack = "", .kind = ""};
     shapeCopy(&WorkerShape, &unheard, agent->workerMem, &agent->worker);
     agent->courier = courierNew(agent, loop, ring);
     Status status = courierListen(agent->courier, props->listen, agent->address, failure);
     if (status == STATUS_OK)
-        status = loopServe(loop, props->http, onHttp, agent, agent->http, failure);
+        status = loop_serve(loop, props->http, on_http, agent, agent->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {.id = props->name,
@@ -106,7 +106,7 @@
     agent->leaving = true;
     membersSetLeaving(agent->members);
     beatNow(agent);
-    loopSleep(agent->loop, DRAIN_MS / 3);
+    loop_sleep(agent->loop, DRAIN_MS / 3);
 }
 
 const char *agentHttpAddress(const Agent *agent)
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -64,7 +64,7 @@
         }
     }
     asking->pending--;
-    signalRaise(agent->loop, &asking->ended);
+    signal_raise(agent->loop, &asking->ended);
     askingLeave(asking);
     talloc_free(part);
 }
@@ -98,10 +98,10 @@
         part->peer = memberPeer(record);
         asking->users++;
         asking->pending++;
-        loopSpawn(agent->loop, "know", partMain, part);
+        loop_spawn(agent->loop, "know", partMain, part);
     }
     while (asking->pending > 0)
-        signalWait(agent->loop, &asking->ended, INT64_MAX);
+        signal_wait(agent->loop, &asking->ended, INT64_MAX);
 }
 
 static void askAll(Agent *agent)
@@ -110,7 +110,7 @@
     asking->agent = agent;
     asking->users = 1;
     asking->all = true;
-    const int64_t sentMs = loopNowMs(agent->loop);
+    const int64_t sentMs = loop_now_ms(agent->loop);
     /* the cores first: a holder that is gone leaves one that does not answer, and
      * then nobody else need be asked by every agent of the fleet */
     askThose(asking, true);
@@ -118,13 +118,13 @@
         askThose(asking, false);
     const int64_t holdMs = agent->props->bounds.holdMs;
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
-    if (asking->all && seatsAnswered(asking) && holdRuns(&agent->hold, loopNowMs(agent->loop))) {
+    if (asking->all && seatsAnswered(asking) && holdRuns(&agent->hold, loop_now_ms(agent->loop))) {
         if (!agent->alone)
-            ring_say(agent->ring, RING_ALERT, loopNowMs(agent->loop),
+            ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
                      "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
-        if (sentMs + holdMs > agent->hold.untilMs)
-            agent->hold.untilMs = sentMs + holdMs;
+        if (sentMs + holdMs > agent->hold.until_ms)
+            agent->hold.until_ms = sentMs + holdMs;
     }
     askingLeave(asking);
 }
@@ -132,13 +132,13 @@
 static void aloneMain(void *arg)
 {
     Agent *agent = arg;
-    while (!loopStopping(agent->loop)) {
-        const int64_t leftMs = holdLeftMs(&agent->hold, loopNowMs(agent->loop));
+    while (!loop_stopping(agent->loop)) {
+        const int64_t leftMs = holdLeftMs(&agent->hold, loop_now_ms(agent->loop));
         const int64_t lateMs = agent->props->bounds.holdMs / 2;
         /* the second half of the hold: several beats have gone unanswered */
         if (leftMs > 0 && leftMs < lateMs)
             askAll(agent);
-        loopSleep(agent->loop, leftMs > lateMs ? leftMs - lateMs : BEAT_MS / 5);
+        loop_sleep(agent->loop, leftMs > lateMs ? leftMs - lateMs : BEAT_MS / 5);
     }
 }
 
@@ -149,7 +149,7 @@
     (void)mem;
     (void)question;
     /* its beats are answered: a holder lives */
-    out->knows = agent->beatMs != 0 && loopNowMs(agent->loop) - agent->beatMs < 2 * BEAT_MS;
+    out->knows = agent->beatMs != 0 && loop_now_ms(agent->loop) - agent->beatMs < 2 * BEAT_MS;
     out->epoch = agent->hold.epoch;
     return STATUS_OK;
 }
@@ -157,5 +157,5 @@
 void aloneStart(Agent *agent)
 {
     courierHandle(agent->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, agent);
-    loopSpawn(agent->loop, "alone", aloneMain, agent);
+    loop_spawn(agent->loop, "alone", aloneMain, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -31,7 +31,7 @@
 void beatNow(Agent *agent)
 {
     agent->beatNow = true;
-    signalRaise(agent->loop, membersLeaderSignal(agent->members));
+    signal_raise(agent->loop, membersLeaderSignal(agent->members));
 }
 
 static RoundId idOf(void *mem, const Round *round)
@@ -42,7 +42,7 @@
 static void roundsTell(Agent *agent, Beat *beat, BeatAsk *ask)
 {
     const Rounds *rounds = &agent->rounds;
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     ask->rounds = talloc_array(beat, RoundId, (unsigned)(rounds->lives.count + rounds->ended.count));
     ask->saved = talloc_array(beat, RoundSaved, (unsigned)rounds->lives.count);
     beat->turns = talloc_array(beat, uint64_t, (unsigned)rounds->lives.count);
@@ -55,7 +55,7 @@
                                                      round->order.task,
                                                      round->order.round,
                                                      talloc_strdup(beat, round->saved),
-                                                     round->runsMs != 0 ? nowMs - round->runsMs : 0,
+                                                     round->runsMs != 0 ? now_ms - round->runsMs : 0,
                                                      round->percent,
                                                      round->percentMs};
     }
@@ -65,7 +65,7 @@
 
 static void askFill(Agent *agent, Beat *beat, BeatAsk *ask)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     *ask = (BeatAsk){.agent = agent->workerName,
                      .incarnation = agent->incarnation,
                      .number = beat->number,
@@ -73,10 +73,10 @@
                      .leaving = agent->workerLeaving || agent->leaving,
                      .settled = agent->settled,
                      .others = agent->others,
-                     .leaveMs = agent->leaveUntilMs > nowMs ? agent->leaveUntilMs - nowMs : 0,
+                     .leaveMs = agent->leaveUntilMs > now_ms ? agent->leaveUntilMs - now_ms : 0,
                      .have = agent->have,
                      .haveEpoch = agent->haveEpoch,
-                     .waitMs = BEAT_WAIT_MS};
+                     .wait_ms = BEAT_WAIT_MS};
     shapeCopy(&WorkerShape, &agent->worker, beat, &ask->worker);
     roundsTell(agent, beat, ask);
 }
@@ -100,12 +100,12 @@
 static void answerTake(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
     if (!holdAnswered(&agent->hold, answer->epoch, beat->sentMs, answer->holdMs)) {
-        ring_say(agent->ring, RING_NOTE, loopNowMs(agent->loop), "a beat was answered under old epoch %" PRIu64,
+        ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "a beat was answered under old epoch %" PRIu64,
                  epoch_counter(answer->epoch));
         return;
     }
     agent->alone = false;
-    agent->beatMs = loopNowMs(agent->loop);
+    agent->beatMs = loop_now_ms(agent->loop);
     savedKnown(agent, beat, ask, answer->epoch);
     if (answer->epoch > agent->epochTold) {
         agent->epochTold = answer->epoch;
@@ -126,27 +126,27 @@
     Agent *agent = beat->agent;
     BeatAsk ask;
     BeatAnswer answer = {0};
-    beat->sentMs = loopNowMs(agent->loop);
+    beat->sentMs = loop_now_ms(agent->loop);
     askFill(agent, beat, &ask);
     const CourierTarget target = {beat->address, beat->peer, NULL};
     const Status status = courierAskPeer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAskShape, &ask,
                                          BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
-    const int64_t nowMs = loopNowMs(agent->loop);
-    membersRest(agent->members, status == STATUS_OK ? nowMs + HELLO_REST_MS : 0);
+    const int64_t now_ms = loop_now_ms(agent->loop);
+    membersRest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
         answerTake(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
-        ring_say(agent->ring, RING_ALERT, nowMs, "another agent beats for worker %s", agent->workerName);
+        ring_say(agent->ring, RING_ALERT, now_ms, "another agent beats for worker %s", agent->workerName);
     agent->beats--;
     if (agent->beat == beat) {
         agent->beat = NULL;
         if (status != STATUS_OK)
-            agent->beatDueMs = nowMs + BEAT_MS / 5;
-        else if (answer.orders || nowMs - beat->sentMs >= BEAT_WAIT_MS)
-            agent->beatDueMs = nowMs;
+            agent->beatDueMs = now_ms + BEAT_MS / 5;
+        else if (answer.orders || now_ms - beat->sentMs >= BEAT_WAIT_MS)
+            agent->beatDueMs = now_ms;
         else
             agent->beatDueMs = beat->sentMs + BEAT_MS; /* it was not held back */
-        signalRaise(agent->loop, membersLeaderSignal(agent->members));
+        signal_raise(agent->loop, membersLeaderSignal(agent->members));
     }
     talloc_free(beat);
 }
@@ -156,49 +156,49 @@
     Beat *beat = talloc_zero(agent, Beat);
     beat->agent = agent;
     beat->number = ++agent->number;
-    beat->sentMs = loopNowMs(agent->loop);
+    beat->sentMs = loop_now_ms(agent->loop);
     snprintf(beat->address, sizeof(beat->address), "%s", address);
     beat->peer = membersLeaderPeer(agent->members);
     agent->beat = beat;
     agent->beats++;
     agent->beatNow = false;
-    loopSpawn(agent->loop, "beat", askMain, beat);
+    loop_spawn(agent->loop, "beat", askMain, beat);
 }
 
 /* Whether one is to be sent now; else when. */
-static bool beatDue(const Agent *agent, const char *address, int64_t nowMs, int64_t *dueMs)
+static bool beatDue(const Agent *agent, const char *address, int64_t now_ms, int64_t *dueMs)
 {
-    *dueMs = nowMs + BEAT_MS;
+    *dueMs = now_ms + BEAT_MS;
     if (agent->beats >= BEATS_MOST)
         return false;
     if (agent->beatNow || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
         return true;
     /* one that goes unanswered is not waited for to its end */
     *dueMs = agent->beat == NULL ? agent->beatDueMs : agent->beat->sentMs + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
-    return nowMs >= *dueMs;
+    return now_ms >= *dueMs;
 }
 
 static void beatMain(void *arg)
 {
     Agent *agent = arg;
     char last[ADDRESS_MAX] = "";
-    while (!loopStopping(agent->loop)) {
-        const int64_t nowMs = loopNowMs(agent->loop);
+    while (!loop_stopping(agent->loop)) {
+        const int64_t now_ms = loop_now_ms(agent->loop);
         char address[ADDRESS_MAX];
-        int64_t dueMs = nowMs + BEAT_MS;
+        int64_t dueMs = now_ms + BEAT_MS;
         const bool known = leaderAddress(agent, address);
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
-            signalRaise(agent->loop, &agent->toTell); /* what the last one has not answered is told to this one */
+            signal_raise(agent->loop, &agent->toTell); /* what the last one has not answered is told to this one */
         }
-        if (known && beatDue(agent, address, nowMs, &dueMs))
+        if (known && beatDue(agent, address, now_ms, &dueMs))
             beatSend(agent, address);
         else
-            signalWait(agent->loop, membersLeaderSignal(agent->members), dueMs);
+            signal_wait(agent->loop, membersLeaderSignal(agent->members), dueMs);
     }
 }
 
 void beatStart(Agent *agent)
 {
-    loopSpawn(agent->loop, "beats", beatMain, agent);
+    loop_spawn(agent->loop, "beats", beatMain, agent);
 }
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -23,31 +23,31 @@
     return false;
 }
 
-static void startTake(Agent *agent, const Order *order, uint64_t epoch, int64_t expiryMs)
+static void startTake(Agent *agent, const Order *order, uint64_t epoch, int64_t expiry_ms)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     Round *round = roundFind(agent, order->job, order->task, order->round);
     if (round != NULL) {
         if (round->phase == PHASE_OFFERED) { /* offered again: it stands longer */
-            round->expiryMs = expiryMs;
+            round->expiry_ms = expiry_ms;
             round->epoch = epoch;
         } else if (round->phase == PHASE_KNOWN) {
             roundRetell(agent, round, (RoundWord)round->word, round->text); /* the leader has forgotten its end */
         }
         return;
     }
-    if (!holdRuns(&agent->hold, nowMs) || nowMs >= expiryMs || olderLives(agent, order))
+    if (!holdRuns(&agent->hold, now_ms) || now_ms >= expiry_ms || olderLives(agent, order))
         return;
     const Round *newest = roundNewest(agent, order->job, order->task);
     round = roundAdd(agent, order, PHASE_OFFERED);
     round->epoch = epoch;
-    round->expiryMs = expiryMs;
+    round->expiry_ms = expiry_ms;
     roundTrace(agent, round, TRACE_FETCHED);
     if (newest != NULL && newest->order.round > order->round)
         roundEnd(agent, round, ROUND_REFUSED, "a newer round has been here", true);
     else if (agent->workerLeaving)
         roundWithdraw(agent, round, "the worker leaves");
-    signalRaise(agent->loop, &agent->forWorker);
+    signal_raise(agent->loop, &agent->forWorker);
 }
 
 void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sentMs)
@@ -60,8 +60,8 @@
             roundWithdraw(agent, round, "no longer wanted");
         else
             round->phase = PHASE_STOPPING;
-        signalRaise(agent->loop, &agent->forWorker);
+        signal_raise(agent->loop, &agent->forWorker);
     }
     for (size_t i = 0; i < answer->startsCount; i++)
-        startTake(agent, &answer->starts[i], answer->epoch, sentMs + answer->expiryMs);
+        startTake(agent, &answer->starts[i], answer->epoch, sentMs + answer->expiry_ms);
 }
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -67,7 +67,7 @@
         report->left = checkFlag(faults, object, "", "left", false);
         report->leaveMs = checkInt(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
         report->seq = (uint64_t)checkInt(faults, object, "", "seq", 0, INT64_MAX, 0);
-        report->waitMs = checkInt(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
+        report->wait_ms = checkInt(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
         report->runningCount = readRounds(faults, object, "running", false, &report->running);
         report->endedCount = readRounds(faults, object, "ended", true, &report->ended);
     }
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -80,7 +80,7 @@
     shapeCopy(&OrderShape, order, round, &round->order);
     round->phase = phase;
     round->saved = round->text = "";
-    round->changedMs = loopNowMs(agent->loop);
+    round->changedMs = loop_now_ms(agent->loop);
     chainJoin(&agent->rounds.lives, round);
     map_set(agent->rounds.byId, roundKey(key, order->job, order->task, order->round), round);
     const Round *newest = roundNewest(agent, order->job, order->task);
@@ -103,7 +103,7 @@
 static void paceTake(Agent *agent, Round *round, uint64_t percent)
 {
     round->percent = percent;
-    round->percentMs = loopNowMs(agent->loop) - round->runsMs;
+    round->percentMs = loop_now_ms(agent->loop) - round->runsMs;
     if (round->paceMs == 0)
         round->paceMs = PACE_FIRST_MS;
     if (round->percentMs < round->paceMs)
@@ -119,7 +119,7 @@
         roundTrace(agent, round, TRACE_RUNS);
     }
     if (round->runsMs == 0)
-        round->runsMs = round->givenMs != 0 ? round->givenMs : loopNowMs(agent->loop);
+        round->runsMs = round->givenMs != 0 ? round->givenMs : loop_now_ms(agent->loop);
     if (round->savedTurn == 0 || strcmp(round->saved, news->saved) != 0) {
         textSet(round, &round->saved, news->saved);
         round->savedTurn++; /* the next beat tells it */
@@ -134,18 +134,18 @@
     textSet(round, &round->text, text);
     chainLeave(round);
     chainJoin(&agent->rounds.ended, round);
-    signalRaise(agent->loop, &agent->toTell);
+    signal_raise(agent->loop, &agent->toTell);
 }
 
 void roundEnd(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed)
 {
     if (round->phase >= PHASE_ENDED)
         return;
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     round->guessed = guessed;
     const int64_t sinceMs = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
-    round->ranMs = sinceMs != 0 ? nowMs - sinceMs : 0;
-    round->changedMs = nowMs;
+    round->ranMs = sinceMs != 0 ? now_ms - sinceMs : 0;
+    round->changedMs = now_ms;
     /* thousands of ended ones are kept */
     talloc_free((void *)(uintptr_t)round->order.payload);
     talloc_free((void *)(uintptr_t)round->order.saved);
@@ -157,11 +157,11 @@
 void roundKnown(Agent *agent, Round *round)
 {
     round->phase = PHASE_KNOWN;
-    round->changedMs = loopNowMs(agent->loop);
+    round->changedMs = loop_now_ms(agent->loop);
     chainLeave(round);
     chainJoin(&agent->rounds.known, round);
     roundTrace(agent, round, TRACE_KNOWN);
-    signalRaise(agent->loop, &agent->forWorker);
+    signal_raise(agent->loop, &agent->forWorker);
 }
 
 void roundWithdraw(Agent *agent, Round *round, const char *why)
@@ -186,7 +186,7 @@
     roundsWithdraw(agent, "the hold lapsed before it started");
     for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         round->phase = PHASE_STOPPING;
-    signalRaise(agent->loop, &agent->forWorker);
+    signal_raise(agent->loop, &agent->forWorker);
 }
 
 void roundsGone(Agent *agent, const char *why)
@@ -200,11 +200,11 @@
 
 void roundsForget(Agent *agent)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     Rounds *rounds = &agent->rounds;
     while (rounds->known.first != NULL) {
         Round *round = rounds->known.first;
-        if (nowMs - round->changedMs <= REPAIR_KEEP_MS && rounds->known.count <= KNOWN_MOST)
+        if (now_ms - round->changedMs <= REPAIR_KEEP_MS && rounds->known.count <= KNOWN_MOST)
             return;
         char key[KEY_MAX];
         chainLeave(round);
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -16,7 +16,7 @@
                        .text = talloc_strdup(mem, round->text),
                        .saved = talloc_strdup(mem, round->saved),
                        .ranMs = over                 ? round->ranMs
-                                : round->runsMs != 0 ? loopNowMs(agent->loop) - round->runsMs
+                                : round->runsMs != 0 ? loop_now_ms(agent->loop) - round->runsMs
                                                      : 0};
 }
 
@@ -70,7 +70,7 @@
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
-    signalRaise(agent->loop, &agent->toTell);
+    signal_raise(agent->loop, &agent->toTell);
     tellingLeave(telling);
 }
 
@@ -80,13 +80,13 @@
 {
     telling->ask.number = ++agent->number;
     telling->users++;
-    loopSpawn(agent->loop, "telling", askMain, telling);
+    loop_spawn(agent->loop, "telling", askMain, telling);
     while (!telling->over) {
         char address[ADDRESS_MAX];
         if (leaderAddress(agent, address) && strcmp(address, telling->address) != 0)
             return STATUS_NOT_LEADER;
         /* a beat that finds another leader raises this too */
-        signalWait(agent->loop, &agent->toTell, loopNowMs(agent->loop) + BEAT_MS);
+        signal_wait(agent->loop, &agent->toTell, loop_now_ms(agent->loop) + BEAT_MS);
     }
     return telling->status;
 }
@@ -94,14 +94,14 @@
 static void tellMain(void *arg)
 {
     Agent *agent = arg;
-    while (!loopStopping(agent->loop)) {
+    while (!loop_stopping(agent->loop)) {
         Telling *telling = talloc_zero(agent, Telling);
         telling->agent = agent;
         telling->users = 1;
         telling->ask = (TellAsk){.agent = agent->workerName, .incarnation = agent->incarnation};
         if (newsGather(agent, telling, &telling->ask) == 0) {
             tellingLeave(telling);
-            signalWait(agent->loop, &agent->toTell, loopNowMs(agent->loop) + BEAT_MS * 4);
+            signal_wait(agent->loop, &agent->toTell, loop_now_ms(agent->loop) + BEAT_MS * 4);
             continue;
         }
         char old[ADDRESS_MAX];
@@ -116,7 +116,7 @@
         /* told again until it is committed; to another leader at once */
         char address[ADDRESS_MAX];
         if (!leaderAddress(agent, address) || strcmp(address, old) == 0)
-            loopSleep(agent->loop, BEAT_MS / 5);
+            loop_sleep(agent->loop, BEAT_MS / 5);
     }
 }
 
@@ -148,5 +148,5 @@
 void tellStart(Agent *agent)
 {
     courierHandle(agent->courier, MESSAGE_RETELL, &NothingShape, &KeepListShape, onRetell, agent);
-    loopSpawn(agent->loop, "tell", tellMain, agent);
+    loop_spawn(agent->loop, "tell", tellMain, agent);
 }
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -13,74 +13,74 @@
     return agent->props->bounds.workerPollMs + WORKER_QUIET_MS;
 }
 
-static void lapseWatch(Agent *agent, int64_t nowMs, bool *ran)
+static void lapseWatch(Agent *agent, int64_t now_ms, bool *ran)
 {
-    const bool runs = holdRuns(&agent->hold, nowMs);
+    const bool runs = holdRuns(&agent->hold, now_ms);
     if (*ran && !runs) {
-        ring_say(agent->ring, RING_ALERT, nowMs, "the hold has lapsed: all rounds stop");
+        ring_say(agent->ring, RING_ALERT, now_ms, "the hold has lapsed: all rounds stop");
         roundsStop(agent);
     }
     *ran = runs;
 }
 
-static void silenceWatch(Agent *agent, int64_t nowMs)
+static void silenceWatch(Agent *agent, int64_t now_ms)
 {
-    const int64_t silentMs = nowMs - agent->askedMs;
+    const int64_t silentMs = now_ms - agent->askedMs;
     if (agent->workerLive && silentMs > quietMs(agent)) {
         agent->workerLive = false;
         beatNow(agent);
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
     if (agent->settled && !agent->workerLive && silentMs > least(WORKER_LOST_MS, quietMs(agent)) &&
-        nowMs >= agent->workerUntilMs && agent->rounds.lives.count > 0) {
+        now_ms >= agent->workerUntilMs && agent->rounds.lives.count > 0) {
         roundsWithdraw(agent, "the worker fell silent");
         roundsGone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
     const int64_t earlierMs = holdClaimMs(least(agent->props->bounds.holdMs, agent->props->bounds.workerHoldMs));
-    if (!agent->settled && nowMs - agent->startedMs > earlierMs) {
+    if (!agent->settled && now_ms - agent->startedMs > earlierMs) {
         agent->settled = true;
         beatNow(agent);
     }
 }
 
-static void expiryWatch(Agent *agent, int64_t nowMs)
+static void expiryWatch(Agent *agent, int64_t now_ms)
 {
     if (!agent->settled)
         return; /* an earlier agent may have given them */
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
-        if (round->phase == PHASE_OFFERED && nowMs >= round->expiryMs)
+        if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms)
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
     }
 }
 
 /* When to look again: nothing that time brings about is earlier than this. */
-static int64_t nextMs(const Agent *agent, int64_t nowMs)
+static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
-    int64_t untilMs = nowMs + BEAT_MS / 2;
-    if (holdRuns(&agent->hold, nowMs))
-        untilMs = least(untilMs, agent->hold.untilMs);
-    if (agent->workerUntilMs > nowMs)
-        untilMs = least(untilMs, agent->workerUntilMs);
-    return untilMs;
+    int64_t until_ms = now_ms + BEAT_MS / 2;
+    if (holdRuns(&agent->hold, now_ms))
+        until_ms = least(until_ms, agent->hold.until_ms);
+    if (agent->workerUntilMs > now_ms)
+        until_ms = least(until_ms, agent->workerUntilMs);
+    return until_ms;
 }
 
 static void watchMain(void *arg)
 {
     Agent *agent = arg;
     bool ran = false;
-    while (!loopStopping(agent->loop)) {
-        const int64_t nowMs = loopNowMs(agent->loop);
-        lapseWatch(agent, nowMs, &ran);
-        silenceWatch(agent, nowMs);
-        expiryWatch(agent, nowMs);
+    while (!loop_stopping(agent->loop)) {
+        const int64_t now_ms = loop_now_ms(agent->loop);
+        lapseWatch(agent, now_ms, &ran);
+        silenceWatch(agent, now_ms);
+        expiryWatch(agent, now_ms);
         roundsForget(agent);
-        loopSleep(agent->loop, nextMs(agent, nowMs) - nowMs);
+        loop_sleep(agent->loop, next_ms(agent, now_ms) - now_ms);
     }
 }
 
 void watchStart(Agent *agent)
 {
-    loopSpawn(agent->loop, "watch", watchMain, agent);
+    loop_spawn(agent->loop, "watch", watchMain, agent);
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -36,7 +36,7 @@
         agent->bootCount++;
     }
     agent->boot = NULL;
-    agent->workerUntilMs = loopNowMs(agent->loop);
+    agent->workerUntilMs = loop_now_ms(agent->loop);
 }
 
 /* Whether the report is the newest word of the boot that is present from now on. */
@@ -46,8 +46,8 @@
         return STATUS_DUPLICATE_WORKER; /* on its way for long: a newer one has been heard, or it has left */
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
         /* another process of this name: unless the old one is known to be over, its hold must lapse first */
-        if (!report->bootEnds && loopNowMs(agent->loop) < agent->workerUntilMs) {
-            ring_say(agent->ring, RING_NOTE, loopNowMs(agent->loop), "worker %s asks as a second process",
+        if (!report->bootEnds && loop_now_ms(agent->loop) < agent->workerUntilMs) {
+            ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "worker %s asks as a second process",
                      agent->workerName);
             return STATUS_DUPLICATE_WORKER;
         }
@@ -96,7 +96,7 @@
 /* What the worker says replaces what we thought. */
 static void roundsTake(Agent *agent, const WorkerReport *report)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     for (size_t i = 0; i < report->runningCount; i++) {
         Round *round = roundOf(agent, &report->running[i]);
         if (round->phase < PHASE_ENDED)
@@ -112,7 +112,7 @@
             roundEnd(agent, round, ROUND_STOPPED, "stopped", true);
         else if (round->phase == PHASE_RUNNING)
             roundEnd(agent, round, ROUND_LOST, "the worker knows nothing of it any more", true);
-        else if (nowMs < round->expiryMs)
+        else if (now_ms < round->expiry_ms)
             round->phase = PHASE_OFFERED; /* the answer that carried it was lost */
         else
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
@@ -159,7 +159,7 @@
     }
     agent->workerLive = live;
     agent->workerLeaving = leaving;
-    agent->leaveUntilMs = report->leaveMs > 0 ? loopNowMs(agent->loop) + report->leaveMs : 0;
+    agent->leaveUntilMs = report->leaveMs > 0 ? loop_now_ms(agent->loop) + report->leaveMs : 0;
     if (leaving)
         roundsWithdraw(agent, "the worker leaves");
     if (news)
@@ -189,8 +189,8 @@
 /* Whether there is something that does not wait. */
 static bool anythingFor(Agent *agent, const WorkerReport *report)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
-    const bool runs = holdRuns(&agent->hold, nowMs);
+    const int64_t now_ms = loop_now_ms(agent->loop);
+    const bool runs = holdRuns(&agent->hold, now_ms);
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         if ((round->phase == PHASE_OFFERED && runs) || round->phase == PHASE_STOPPING)
             return true;
@@ -205,23 +205,23 @@
  * question: of each the half costs least. While nothing does, only an order can come. */
 static int64_t answerUntilMs(const Agent *agent, const WorkerReport *report)
 {
-    int64_t waitMs = agent->props->bounds.workerPollMs;
-    if (report->waitMs < waitMs)
-        waitMs = report->waitMs;
-    if (report->endsWait && report->runningCount + report->endedCount > 0 && waitMs > WORKER_BUSY_MS)
-        waitMs = WORKER_BUSY_MS;
-    return loopNowMs(agent->loop) + waitMs;
+    int64_t wait_ms = agent->props->bounds.workerPollMs;
+    if (report->wait_ms < wait_ms)
+        wait_ms = report->wait_ms;
+    if (report->endsWait && report->runningCount + report->endedCount > 0 && wait_ms > WORKER_BUSY_MS)
+        wait_ms = WORKER_BUSY_MS;
+    return loop_now_ms(agent->loop) + wait_ms;
 }
 
 /* What of the rest of the agent's own hold is passed on. */
-static int64_t holdPass(Agent *agent, int64_t nowMs)
+static int64_t holdPass(Agent *agent, int64_t now_ms)
 {
-    int64_t leftMs = holdLeftMs(&agent->hold, nowMs);
+    int64_t leftMs = holdLeftMs(&agent->hold, now_ms);
     if (leftMs > agent->props->bounds.workerHoldMs)
         leftMs = agent->props->bounds.workerHoldMs;
     const int64_t passedMs = holdPassedMs(leftMs);
-    if (passedMs > 0 && nowMs + holdClaimMs(passedMs) > agent->workerUntilMs)
-        agent->workerUntilMs = nowMs + holdClaimMs(passedMs);
+    if (passedMs > 0 && now_ms + holdClaimMs(passedMs) > agent->workerUntilMs)
+        agent->workerUntilMs = now_ms + holdClaimMs(passedMs);
     return passedMs;
 }
 
@@ -232,14 +232,14 @@
 
 static void ordersFill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
 {
-    const int64_t nowMs = loopNowMs(agent->loop);
+    const int64_t now_ms = loop_now_ms(agent->loop);
     const unsigned lives = (unsigned)agent->rounds.lives.count;
     Order *starts = talloc_zero_array(mem, Order, lives);
     RoundId *stops = talloc_zero_array(mem, RoundId, lives + (unsigned)report->runningCount);
     RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->endedCount);
     *orders = (WorkerOrders){.epoch = agent->hold.epoch,
                              .fence = epoch_counter(agent->hold.epoch),
-                             .holdMs = holdPass(agent, nowMs),
+                             .holdMs = holdPass(agent, now_ms),
                              .starts = starts,
                              .startMs = INT64_MAX,
                              .stops = stops,
@@ -247,14 +247,14 @@
                              .againMs = WORKER_AGAIN_MS};
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
-        if (round->phase == PHASE_OFFERED && nowMs >= round->expiryMs) {
+        if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->holdMs > 0) {
             shapeCopy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
-            if (round->expiryMs - nowMs < orders->startMs)
-                orders->startMs = round->expiryMs - nowMs;
+            if (round->expiry_ms - now_ms < orders->startMs)
+                orders->startMs = round->expiry_ms - now_ms;
             round->phase = PHASE_SENT;
-            round->givenMs = nowMs;
+            round->givenMs = now_ms;
             roundTrace(agent, round, TRACE_GIVEN);
         } else if (round->phase == PHASE_STOPPING) {
             stops[orders->stopsCount++] = idOf(mem, round);
@@ -279,22 +279,22 @@
     const Status status = bootTake(agent, report);
     if (status != STATUS_OK)
         return status;
-    const int64_t nowMs = loopNowMs(agent->loop);
-    agent->askedMs = nowMs;
+    const int64_t now_ms = loop_now_ms(agent->loop);
+    agent->askedMs = now_ms;
     roundsTake(agent, report);
     othersTake(agent, report);
     selfTake(agent, report);
     const uint64_t question = ++agent->questions;
-    signalRaise(agent->loop, &agent->forWorker); /* an earlier question is over */
+    signal_raise(agent->loop, &agent->forWorker); /* an earlier question is over */
     if (report->left) {
         bootEnd(agent, report->bootEnds, "the worker has left");
         ordersFill(agent, mem, report, orders);
         orders->holdMs = 0;
         return STATUS_OK;
     }
-    const int64_t untilMs = answerUntilMs(agent, report);
+    const int64_t until_ms = answerUntilMs(agent, report);
     while (question == agent->questions && !*gone && !anythingFor(agent, report))
-        if (!signalWait(agent->loop, &agent->forWorker, untilMs))
+        if (!signal_wait(agent->loop, &agent->forWorker, until_ms))
             break;
     if (*gone || question != agent->questions)
         return STATUS_CLOSED;
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -64,9 +64,9 @@
     boss->beat.agent = kept;
     for (size_t i = 0; i < beat->savedCount && boss->savedCount < LISTED; i++)
         shapeCopy(&RoundSavedShape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
-    const int64_t untilMs = loopNowMs(boss->loop) + beat->waitMs;
+    const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
     while (beat->have == boss->revision && beat->haveEpoch == boss->epoch)
-        if (!signalWait(boss->loop, &boss->changed, untilMs))
+        if (!signal_wait(boss->loop, &boss->changed, until_ms))
             break;
     if (boss->deaf)
         return STATUS_NOT_LEADER;
@@ -74,7 +74,7 @@
     out->epoch = boss->epoch;
     out->holdMs = boss->holdMs;
     out->revision = boss->revision;
-    out->expiryMs = ORDER_EXPIRY_MS;
+    out->expiry_ms = ORDER_EXPIRY_MS;
     out->orders = beat->have != boss->revision || beat->haveEpoch != boss->epoch;
     return STATUS_OK;
 }
@@ -89,7 +89,7 @@
     for (size_t i = 0; i < ask->newsCount && boss->newsCount < LISTED * 2; i++)
         shapeCopy(&RoundNewsShape, &ask->news[i], boss->courier, &boss->news[boss->newsCount++]);
     while (!boss->commits)
-        signalWait(boss->loop, &boss->changed, INT64_MAX);
+        signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
 }
 
@@ -131,7 +131,7 @@
 
 static void agentBegin(void *arg, Loop *loop)
 {
-    loopSpawn(loop, "boot", agentBoot, arg);
+    loop_spawn(loop, "boot", agentBoot, arg);
 }
 
 static void run(Case *c, int64_t forMs)
@@ -191,13 +191,13 @@
 {
     Say *it = talloc_zero(c, Say);
     it->c = c;
-    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .bootEnds = true, .waitMs = 400};
+    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .bootEnds = true, .wait_ms = 400};
     return it;
 }
 
 static void sayBegin(Say *it)
 {
-    loopSpawn(simLoop(it->c->world, it->c->agentMachine), "say", sayMain, it);
+    loop_spawn(simLoop(it->c->world, it->c->agentMachine), "say", sayMain, it);
     run(it->c, 1);
 }
 
@@ -244,7 +244,7 @@
     boss->orders.wanted = wanted;
     boss->orders.wantedCount = count;
     boss->revision++;
-    signalRaise(boss->loop, &boss->changed);
+    signal_raise(boss->loop, &boss->changed);
     run(c, 60);
 }
 
@@ -302,7 +302,7 @@
     (void)state;
     Case *c = caseNew(6000, 2000);
     Say *it = say(c, "b1");
-    it->report.waitMs = 0;
+    it->report.wait_ms = 0;
     sayAll(it);
     assert_int_equal(it->orders.holdMs, 1960);
     assert_true(holdClaimMs(it->orders.holdMs) >= it->orders.holdMs * 102 / 100 + HOLD_SLACK_MS);
@@ -310,7 +310,7 @@
     simCut(c->world, c->agentMachine, c->bossMachine, true);
     run(c, 5000);
     it = say(c, "b1");
-    it->report.waitMs = 0;
+    it->report.wait_ms = 0;
     sayAll(it);
     assert_in_range(it->orders.holdMs, 1, 1500);
     talloc_free(c);
@@ -388,7 +388,7 @@
     Say *it = say(c, "b1");
     it->report.leaving = true;
     it->report.leaveMs = 7000;
-    it->report.waitMs = 0;
+    it->report.wait_ms = 0;
     sayAll(it);
     assert_int_equal(it->orders.startsCount, 0);
     run(c, 20);
@@ -455,7 +455,7 @@
     assert_string_equal(savedLast(boss, "j", 0)->text, "half");
     const size_t before = boss->savedCount;
     boss->epoch = EPOCH(6);
-    signalRaise(boss->loop, &boss->changed);
+    signal_raise(boss->loop, &boss->changed);
     run(c, 300); /* the worker has said nothing new */
     assert_int_equal(boss->savedCount, before + 1);
     assert_string_equal(savedLast(boss, "j", 0)->text, "half");
@@ -505,7 +505,7 @@
     assert_int_equal(it->orders.knownCount, 0);
     assert_int_equal(told(boss, "j", 0, 1, ROUND_DONE), 1);
     boss->commits = true;
-    signalRaise(boss->loop, &boss->changed);
+    signal_raise(boss->loop, &boss->changed);
     run(c, 20);
     it = saying(c, "b1", NULL, 0, ended, 1);
     assert_int_equal(it->orders.knownCount, 1);
@@ -657,8 +657,8 @@
     saying(c, "b1", NULL, 0, NULL, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    const int64_t untilMs = simNowMs(c->world) + it->orders.holdMs * 102 / 100;
-    simRunUntil(c->world, untilMs);
+    const int64_t until_ms = simNowMs(c->world) + it->orders.holdMs * 102 / 100;
+    simRunUntil(c->world, until_ms);
     assert_int_equal(c->boss.newsCount, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -178,7 +178,7 @@
 {
     const int code = status_http(status);
     task->status = status;
-    task->retryAfterS = status_retry_s(status);
+    task->retry_after_s = status_retry_s(status);
     showResult(task, code, showFailure(status, text, faults));
 }
 
--- a/packages/beat/include/beat/hold.h
+++ b/packages/beat/include/beat/hold.h
@@ -5,17 +5,17 @@
 #include <stdint.h>
 
 /* An agent's claim to run work, on the agent's own clock.
- * Invariant: untilMs is the sending time of some answered beat plus the hold it
+ * Invariant: until_ms is the sending time of some answered beat plus the hold it
  * was answered with, so it lapses before the leader's count of it does. */
 typedef struct Hold {
     uint64_t epoch; /* the highest seen; orders of older ones are refused */
-    int64_t untilMs;
+    int64_t until_ms;
 } Hold;
 
 /* False: an answer of an older epoch, which counts for nothing. */
 bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sentMs, int64_t holdMs);
-bool holdRuns(const Hold *hold, int64_t nowMs);
-int64_t holdLeftMs(const Hold *hold, int64_t nowMs);
+bool holdRuns(const Hold *hold, int64_t now_ms);
+int64_t holdLeftMs(const Hold *hold, int64_t now_ms);
 /* How long whoever grants a hold must take it to run, by the own clock: the
  * holder's may be slow, and timers are coarse. */
 int64_t holdClaimMs(int64_t holdMs);
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/beat/include/beat/liveset.h
@@ -3,14 +3,14 @@
 
 #include "beat/messages.h"
 
-/* One worker as the leader sees it. Invariant: untilMs is never earlier than
+/* One worker as the leader sees it. Invariant: until_ms is never earlier than
  * the end of any hold that this or an earlier leader may have answered. */
 typedef struct LiveRow {
     const char *name;
     uint64_t incarnation;
-    uint64_t number; /* of the newest beat or telling received */
-    int64_t untilMs; /* its hold has lapsed after this, by the leader's clock */
-    int64_t heardMs; /* its last beat under this leader; INT64_MIN: none */
+    uint64_t number;  /* of the newest beat or telling received */
+    int64_t until_ms; /* its hold has lapsed after this, by the leader's clock */
+    int64_t heardMs;  /* its last beat under this leader; INT64_MIN: none */
     bool workerLive;
     bool leaving;
     bool settled;
@@ -24,18 +24,18 @@
 typedef struct Liveset Liveset;
 
 Liveset *livesetNew(void *mem);
-/* A new leader: nobody is lost before untilMs, nobody has been heard yet. */
-void livesetReset(Liveset *liveset, int64_t untilMs, const char *const *workers, size_t count);
-/* Takes a beat that is answered with a hold of holdMs; the row's untilMs covers it
+/* A new leader: nobody is lost before until_ms, nobody has been heard yet. */
+void livesetReset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
+/* Takes a beat that is answered with a hold of holdMs; the row's until_ms covers it
  * on the agent's clock and on the worker's.
  * DUPLICATE_WORKER: another incarnation that is not the newer one. */
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t nowMs, int64_t holdMs, bool *listCounts);
+Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t holdMs, bool *listCounts);
 /* A telling counts as newer than all beats numbered before it. */
 void livesetTold(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
 void livesetLosing(Liveset *liveset, const char *worker, bool losing);
 const LiveRow *livesetFind(const Liveset *liveset, const char *name);
 /* Whether the worker may be given work now. */
-bool liveRowReady(const LiveRow *row, int64_t nowMs);
+bool liveRowReady(const LiveRow *row, int64_t now_ms);
 /* Rows in the order of names, on mem. */
 size_t livesetRows(const Liveset *liveset, void *mem, const LiveRow ***rows);
 
--- a/packages/beat/include/beat/strays.h
+++ b/packages/beat/include/beat/strays.h
@@ -13,12 +13,12 @@
 Strays *straysNew(void *mem);
 /* A new leader knows of none. */
 void straysReset(Strays *strays);
-/* A round of the task that may yet be on the worker, or come there until untilMs. */
+/* A round of the task that may yet be on the worker, or come there until until_ms. */
 void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
-               int64_t untilMs);
+               int64_t until_ms);
 /* A beat's list is all that may run there: whatever of it the table has elsewhere
  * or nowhere counts, what is not in it and on no way any more counts no longer. */
-void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t nowMs);
+void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms);
 /* The agent told of the round's end. */
 void straysEnd(Strays *strays, const RoundNews *news);
 /* Room in use there; false: something of unknown size is there. */
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -7,19 +7,19 @@
     if (epoch < hold->epoch)
         return false;
     hold->epoch = epoch;
-    if (sentMs + holdMs > hold->untilMs)
-        hold->untilMs = sentMs + holdMs;
+    if (sentMs + holdMs > hold->until_ms)
+        hold->until_ms = sentMs + holdMs;
     return true;
 }
 
-bool holdRuns(const Hold *hold, int64_t nowMs)
+bool holdRuns(const Hold *hold, int64_t now_ms)
 {
-    return nowMs < hold->untilMs;
+    return now_ms < hold->until_ms;
 }
 
-int64_t holdLeftMs(const Hold *hold, int64_t nowMs)
+int64_t holdLeftMs(const Hold *hold, int64_t now_ms)
 {
-    return nowMs < hold->untilMs ? hold->untilMs - nowMs : 0;
+    return now_ms < hold->until_ms ? hold->until_ms - now_ms : 0;
 }
 
 int64_t holdClaimMs(int64_t holdMs)
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -24,47 +24,47 @@
     if (row == NULL) {
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
-        row->untilMs = liveset->firstUntilMs;
+        row->until_ms = liveset->firstUntilMs;
         row->heardMs = INT64_MIN;
         map_set(liveset->rows, name, row);
     }
     return row;
 }
 
-void livesetReset(Liveset *liveset, int64_t untilMs, const char *const *workers, size_t count)
+void livesetReset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count)
 {
     talloc_free(liveset->rows);
     liveset->rows = map_new(liveset);
-    liveset->firstUntilMs = untilMs;
+    liveset->firstUntilMs = until_ms;
     for (size_t i = 0; i < count; i++)
         rowOf(liveset, workers[i]);
 }
 
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t nowMs, int64_t holdMs, bool *listCounts)
+Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t holdMs, bool *listCounts)
 {
     LiveRow *row = rowOf(liveset, beat->worker.name);
     *listCounts = false;
     /* an older one may be a second process, or the same after its clock jumped
      * back: it is taken once the newer one's hold has lapsed */
-    if (beat->incarnation < row->incarnation && nowMs < row->untilMs)
+    if (beat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
     if (beat->incarnation != row->incarnation) {
         /* a new agent: the old one's hold runs on until it has lapsed */
         row->incarnation = beat->incarnation;
         row->number = 0;
-        row->joinedMs = nowMs;
+        row->joinedMs = now_ms;
     }
-    const int64_t untilMs = nowMs + holdClaimMs(holdMs);
-    if (untilMs > row->untilMs)
-        row->untilMs = untilMs;
-    row->heardMs = nowMs;
+    const int64_t until_ms = now_ms + holdClaimMs(holdMs);
+    if (until_ms > row->until_ms)
+        row->until_ms = until_ms;
+    row->heardMs = now_ms;
     if (beat->number > row->number) {
         row->number = beat->number;
         row->workerLive = beat->workerLive;
         row->leaving = beat->leaving;
         row->settled = beat->settled;
         row->others = beat->others;
-        row->leaveUntilMs = beat->leaving && beat->leaveMs > 0 ? nowMs + beat->leaveMs : 0;
+        row->leaveUntilMs = beat->leaving && beat->leaveMs > 0 ? now_ms + beat->leaveMs : 0;
         *listCounts = beat->settled;
     }
     return STATUS_OK;
@@ -87,10 +87,10 @@
     return map_get(liveset->rows, name);
 }
 
-bool liveRowReady(const LiveRow *row, int64_t nowMs)
+bool liveRowReady(const LiveRow *row, int64_t now_ms)
 {
-    return row->heardMs != INT64_MIN && nowMs < row->untilMs && nowMs - row->heardMs < 3 * BEAT_MS && row->workerLive &&
-           !row->leaving && row->settled && !row->losing;
+    return row->heardMs != INT64_MIN && now_ms < row->until_ms && now_ms - row->heardMs < 3 * BEAT_MS &&
+           row->workerLive && !row->leaving && row->settled && !row->losing;
 }
 
 size_t livesetRows(const Liveset *liveset, void *mem, const LiveRow ***rows)
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -11,9 +11,9 @@
     uint64_t task; /* its number */
     uint64_t round;
     Room room;
-    bool known;      /* room is what it takes */
-    bool listed;     /* by the newest beat */
-    int64_t untilMs; /* it may yet start there */
+    bool known;       /* room is what it takes */
+    bool listed;      /* by the newest beat */
+    int64_t until_ms; /* it may yet start there */
 } Stray;
 
 typedef struct StrayList {
@@ -70,13 +70,14 @@
     list->rows[at] = list->rows[--list->count];
 }
 
-void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round, int64_t untilMs)
+void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+               int64_t until_ms)
 {
     Stray *stray = strayOf(strays, worker, job->spec.id, taskNumber(task));
     stray->room = job->spec.steps[task->step].room;
     stray->known = true;
     stray->round = round;
-    stray->untilMs = untilMs;
+    stray->until_ms = until_ms;
 }
 
 /* Whether the table has the round there: then it counts as that. */
@@ -92,7 +93,7 @@
     return taskOnWorker(task->phase) && strcmp(task->worker, beat->worker.name) == 0;
 }
 
-void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t nowMs)
+void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms)
 {
     StrayList *list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
@@ -113,7 +114,7 @@
     }
     list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count;)
-        if (!list->rows[i]->listed && nowMs > list->rows[i]->untilMs)
+        if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
             strayDrop(list, i);
         else
             i++;
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -33,10 +33,10 @@
     return room.cpuMilli;
 }
 
-static void beat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t nowMs)
+static void beat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
 {
     const BeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .roundsCount = count};
-    straysBeat(it->strays, it->board.table, &ask, nowMs);
+    straysBeat(it->strays, it->board.table, &ask, now_ms);
 }
 
 /* An older round finishes well while a newer one runs elsewhere: that one is to be
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -170,10 +170,10 @@
     json_object *value;
     if (!json_object_object_get_ex(object, "limits", &value) || !checkKeys(faults, value, "limits", KEYS))
         return;
-    limits->headBytes = (uint64_t)checkInt(faults, value, "limits", "headBytes", 1, CONFIG_BYTES_MAX, 0);
-    limits->bodyBytes = (uint64_t)checkInt(faults, value, "limits", "bodyBytes", 1, CONFIG_BYTES_MAX, 0);
-    limits->headMs = checkInt(faults, value, "limits", "headMs", 1, CONFIG_SPAN_MAX_MS, 0);
-    limits->idleMs = checkInt(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
+    limits->head_bytes = (uint64_t)checkInt(faults, value, "limits", "headBytes", 1, CONFIG_BYTES_MAX, 0);
+    limits->body_bytes = (uint64_t)checkInt(faults, value, "limits", "bodyBytes", 1, CONFIG_BYTES_MAX, 0);
+    limits->head_ms = checkInt(faults, value, "limits", "headMs", 1, CONFIG_SPAN_MAX_MS, 0);
+    limits->idle_ms = checkInt(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
 }
 
 /* --- what names something elsewhere in the document ------------------------------------ */
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -56,10 +56,10 @@
     const Config *config = readGood(mem, WHOLE);
     assert_int_equal(config->r, 2);
     assert_string_equal(config->note, "all of it");
-    assert_int_equal(config->limits.headBytes, 16384);
-    assert_int_equal(config->limits.bodyBytes, 262144);
-    assert_int_equal(config->limits.headMs, 3000);
-    assert_int_equal(config->limits.idleMs, 15000);
+    assert_int_equal(config->limits.head_bytes, 16384);
+    assert_int_equal(config->limits.body_bytes, 262144);
+    assert_int_equal(config->limits.head_ms, 3000);
+    assert_int_equal(config->limits.idle_ms, 15000);
     const ConfigKind *kind = configKind(config, "huvo11a");
     assert_true(kind != NULL && kind->guards);
     assert_string_equal(kind->healthPath, "/health");
@@ -75,13 +75,13 @@
     assert_int_equal(queue->rounds, 4);
     assert_int_equal(queue->stretchMilli, 2200);
     assert_int_equal(queue->targetMs, 2000);
-    assert_int_equal(queue->expiryMs, 3000);
+    assert_int_equal(queue->expiry_ms, 3000);
     assert_string_equal(queue->host, "nony24.example");
     assert_string_equal(queue->prefix, "/lohu930/");
     assert_string_equal(queue->note, "{\"tls\":false}");
     assert_int_equal(configQueue(cell, "theirs")->stretchMilli, 3000);
     const ConfigQueue *bare = configQueue(cell, "bare");
-    assert_true(bare->rounds == 0 && bare->stretchMilli == 0 && bare->targetMs == 0 && bare->expiryMs == 0);
+    assert_true(bare->rounds == 0 && bare->stretchMilli == 0 && bare->targetMs == 0 && bare->expiry_ms == 0);
     assert_true(bare->kind[0] == '\0' && bare->host[0] == '\0' && bare->tenant[0] == '\0');
     assert_null(configQueue(cell, "none"));
     assert_non_null(configPolicy(config, "p")->lua);
@@ -277,8 +277,8 @@
     assert_ptr_equal(configPolicy(first, "p"), configPolicy(second, "p"));
     /* what is shared outlives the first */
     talloc_free((void *)(uintptr_t)first);
-    assert_int_equal(configQueue(two, "q7")->expiryMs, 5);
-    assert_int_equal(configQueue(two, "q49")->expiryMs, 1049);
+    assert_int_equal(configQueue(two, "q7")->expiry_ms, 5);
+    assert_int_equal(configQueue(two, "q49")->expiry_ms, 1049);
     assert_string_equal(configEntry(second, "h4.example", "/p49/x")->queue->name, "q49");
     assert_null(configEntry(second, "h3.example", "/p8/x"));
     assert_ptr_equal(configEntry(second, "h2.example", "/p7/x")->queue, configQueue(two, "q7"));
@@ -347,7 +347,7 @@
         }
         good++;
         assert_int_equal(next->cellCount, fresh->cellCount);
-        assert_int_equal(next->limits.headMs, fresh->limits.headMs);
+        assert_int_equal(next->limits.head_ms, fresh->limits.head_ms);
         for (size_t c = 0; c < next->cellCount; c++) {
             const ConfigCell *a = &next->cells[c], *b = &fresh->cells[c], *old = configCell(config, a->name);
             assert_string_equal(a->name, b->name);
@@ -359,7 +359,7 @@
                 assert_string_equal(x->name, y->name);
                 assert_string_equal(x->kind, y->kind);
                 assert_string_equal(x->note, y->note);
-                assert_int_equal(x->expiryMs, y->expiryMs);
+                assert_int_equal(x->expiry_ms, y->expiry_ms);
                 assert_ptr_equal(configQueue(a, x->name), x);
                 queues++;
                 reused += old != NULL && configQueue(old, x->name) == x;
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -97,7 +97,7 @@
         shapeCopy(&WorkerShape, &worker, learning, &learning->worker);
         talloc_steal(learning, mem);
         line->learning = true;
-        loopSpawn(core->loop, "learn", learnMain, learning);
+        loop_spawn(core->loop, "learn", learnMain, learning);
     } else {
         talloc_free(mem);
     }
@@ -135,7 +135,7 @@
                                 .ranMs = saved->ranMs};
         newsLater(core, &news);
     }
-    if (core->placeFromMs > loopNowMs(core->loop))
+    if (core->placeFromMs > loop_now_ms(core->loop))
         newsHurry(core);
 }
 
@@ -165,10 +165,10 @@
 
 static void placeMaybe(Core *core)
 {
-    const int64_t nowMs = loopNowMs(core->loop);
-    if (nowMs >= core->placeFromMs || core->repairing || !viewLeading(core->view) || !allHeard(core))
+    const int64_t now_ms = loop_now_ms(core->loop);
+    if (now_ms >= core->placeFromMs || core->repairing || !viewLeading(core->view) || !allHeard(core))
         return;
-    core->placeFromMs = nowMs; /* there is nothing that the log has forgotten and that still runs */
+    core->placeFromMs = now_ms; /* there is nothing that the log has forgotten and that still runs */
     coreNews(core);
 }
 
@@ -182,24 +182,24 @@
         return STATUS_NOT_LEADER;
     if (!checkNameText(beat->worker.name) || !checkNameText(beat->worker.zone))
         return STATUS_BAD_FIELD;
-    const int64_t nowMs = loopNowMs(core->loop);
+    const int64_t now_ms = loop_now_ms(core->loop);
     const LiveRow *before = livesetFind(core->liveset, beat->worker.name);
-    const bool wasReady = before != NULL && liveRowReady(before, nowMs);
+    const bool wasReady = before != NULL && liveRowReady(before, now_ms);
     bool listCounts;
     const int64_t holdMs = core->props->bounds.holdMs;
-    const Status status = livesetBeat(core->liveset, beat, nowMs, holdMs, &listCounts);
+    const Status status = livesetBeat(core->liveset, beat, now_ms, holdMs, &listCounts);
     if (status != STATUS_OK)
         return status;
     if (livesetFind(core->liveset, beat->worker.name)->number == beat->number)
-        straysBeat(core->strays, core->table, beat, nowMs);
-    if (wasReady != liveRowReady(livesetFind(core->liveset, beat->worker.name), nowMs))
+        straysBeat(core->strays, core->table, beat, now_ms);
+    if (wasReady != liveRowReady(livesetFind(core->liveset, beat->worker.name), now_ms))
         coreNews(core);
     runsTake(core, beat);
     if (!core->repairing && viewLeading(core->view))
         learn(core, beat, listCounts);
     placeMaybe(core);
-    if (beat->waitMs > 0)
-        ordersAnswer(core, mem, beat, beat->waitMs < BEAT_WAIT_MS ? beat->waitMs : BEAT_WAIT_MS, out);
+    if (beat->wait_ms > 0)
+        ordersAnswer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
     /* the hold counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
     if (!viewHolds(core->view))
@@ -246,7 +246,7 @@
     ordersAnswer(core, mem, &beat, FETCH_HOLD_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){viewEpoch(core->view), orders.revision, orders.expiryMs,   orders.starts,
+    *out = (FetchAnswer){viewEpoch(core->view), orders.revision, orders.expiry_ms,  orders.starts,
                          orders.startsCount,    orders.wanted,   orders.wantedCount};
     return STATUS_OK;
 }
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -48,7 +48,7 @@
     Standing *standing = map_get(core->alerts, key);
     if (standing == NULL) {
         standing = talloc_zero(core->alerts, Standing);
-        *standing = (Standing){alert, talloc_strdup(standing, subject), loopNowMs(core->loop), 0};
+        *standing = (Standing){alert, talloc_strdup(standing, subject), loop_now_ms(core->loop), 0};
         map_set(core->alerts, key, standing);
     }
     standing->look = core->alertLooks;
@@ -76,14 +76,14 @@
 
 static void workersLook(Core *core, void *mem)
 {
-    const int64_t nowMs = loopNowMs(core->loop);
+    const int64_t now_ms = loop_now_ms(core->loop);
     const Worker **workers;
     const size_t count = tableWorkers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
-        const int64_t untilMs = row != NULL ? row->untilMs : viewWonMs(core->view) + coreClaimMs(core);
+        const int64_t until_ms = row != NULL ? row->until_ms : viewWonMs(core->view) + coreClaimMs(core);
         const bool silent =
-            nowMs > untilMs + LOST_AFTER_MS || (row != NULL && row->heardMs != INT64_MIN && !row->workerLive);
+            now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heardMs != INT64_MIN && !row->workerLive);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
             see(core, ALERT_WORKER_LOST, workers[i]->name);
         if (scoreRests(core, workers[i]->name))
@@ -168,7 +168,7 @@
     const char **keys;
     const size_t count = map_keys(core->alerts, mem, &keys);
     const Standing **list = talloc_array(mem, const Standing *, (unsigned)count + 1);
-    const int64_t nowMs = loopNowMs(core->loop);
+    const int64_t now_ms = loop_now_ms(core->loop);
     for (size_t i = 0; i < count; i++)
         list[i] = map_get(core->alerts, keys[i]);
     qsort(list, count, sizeof(*list), sinceOrder);
@@ -177,7 +177,7 @@
         json_object *one = json_object_new_object();
         json_object_object_add(one, "alert", json_object_new_string(alertWord(list[i]->alert)));
         json_object_object_add(one, "subject", json_object_new_string(list[i]->subject));
-        json_object_object_add(one, "forMs", json_object_new_int64(nowMs - list[i]->sinceMs));
+        json_object_object_add(one, "forMs", json_object_new_int64(now_ms - list[i]->sinceMs));
         json_object_object_add(one, "todo", json_object_new_string(alertTodo(list[i]->alert)));
         json_object_array_add(body, one);
     }
@@ -188,13 +188,13 @@
 static void alertsMain(void *arg)
 {
     Core *core = arg;
-    while (!loopStopping(core->loop)) {
+    while (!loop_stopping(core->loop)) {
         alertsLook(core);
-        loopSleep(core->loop, ALERTS_LOOK_MS);
+        loop_sleep(core->loop, ALERTS_LOOK_MS);
     }
 }
 
 void alertsStart(Core *core)
 {
-    loopSpawn(core->loop, "alerts", alertsMain, core);
+    loop_spawn(core->loop, "alerts", alertsMain, core);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -84,7 +84,7 @@
                        .host = ask->host,
                        .body = ask->body,
                        .again = ask->again,
-                       .expiryMs = ask->waitMs > 0 ? loopNowMs(core->loop) + (int64_t)ask->waitMs : 0,
+                       .expiry_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
     KeepList keeps = {0};
     leaderServe(core, task, mem, &keeps);
@@ -92,7 +92,7 @@
     out->status = task->status;
     out->kind = task->kind;
     out->body = task->result;
-    out->retryAfterS = (uint64_t)task->retryAfterS;
+    out->retry_after_s = (uint64_t)task->retry_after_s;
     out->keeps = keeps.items;
     out->keepsCount = keeps.itemsCount;
 }
@@ -127,7 +127,7 @@
     Core *core = arg;
     const FeedAsk *ask = question;
     FeedAnswer *out = answer;
-    const int64_t untilMs = loopNowMs(core->loop) + FEED_HOLD_MS;
+    const int64_t until_ms = loop_now_ms(core->loop) + FEED_HOLD_MS;
     const bool waits = core->repairing;
     for (;;) {
         if (!viewLeading(core->view))
@@ -135,10 +135,10 @@
         out->epoch = viewEpoch(core->view);
         out->waits = core->repairing;
         if (!core->repairing &&
-            feedAnswer(&core->pieceSource, tableRevisions(core->table), ask, loopNowMs(core->loop), mem, out))
+            feedAnswer(&core->pieceSource, tableRevisions(core->table), ask, loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
-        if (ask->first || waits != core->repairing || !signalWait(core->loop, viewNews(core->view), untilMs))
+        if (ask->first || waits != core->repairing || !signal_wait(core->loop, viewNews(core->view), until_ms))
             return STATUS_OK;
     }
 }
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -134,20 +134,20 @@
     if (percent <= 100 || candidate->restart)
         return false;
     /* half of what the way would cost, never more than a part of what time there is */
-    int64_t waitMs = candidate->guessMs * (int64_t)(percent - 100) / 200;
-    if (candidate->slackMs < INT64_MAX && candidate->slackMs / 2 < waitMs)
-        waitMs = candidate->slackMs / 2;
-    if (waitMs > FAR_WAIT_MS)
-        waitMs = FAR_WAIT_MS;
-    const int64_t untilMs = candidate->sinceMs + waitMs;
-    if (pass->clock.logMs >= untilMs)
+    int64_t wait_ms = candidate->guessMs * (int64_t)(percent - 100) / 200;
+    if (candidate->slackMs < INT64_MAX && candidate->slackMs / 2 < wait_ms)
+        wait_ms = candidate->slackMs / 2;
+    if (wait_ms > FAR_WAIT_MS)
+        wait_ms = FAR_WAIT_MS;
+    const int64_t until_ms = candidate->sinceMs + wait_ms;
+    if (pass->clock.logMs >= until_ms)
         return false;
     bool near = step->near[0] == '\0';
     for (size_t i = 0; i < pass->input.workerCount && !near; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
         near = strcmp(worker->rack, step->near) == 0 && planAble(worker, need) && roomFits(need->room, worker->room);
     }
-    if (near && untilMs < pass->nextMs)
-        pass->nextMs = untilMs;
+    if (near && until_ms < pass->next_ms)
+        pass->next_ms = until_ms;
     return near;
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -41,10 +41,10 @@
 void configGet(Way *way)
 {
     const Revisions *revisions = tableRevisions(way->core->table);
-    int64_t revision = 0, have = -1, waitMs = 0;
+    int64_t revision = 0, have = -1, wait_ms = 0;
     queryInt(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
     queryInt(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
-    queryInt(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &waitMs);
+    queryInt(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &wait_ms);
     if (way->faults->count > 0) {
         wayRefuse(way);
         return;
@@ -57,9 +57,9 @@
             showConfig(way, (uint64_t)revision, text);
         return;
     }
-    const int64_t untilMs = loopNowMs(way->core->loop) + waitMs;
+    const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
     while (have >= 0 && revisionsNewest(tableRevisions(way->core->table)) <= (uint64_t)have)
-        if (!signalWait(way->core->loop, viewNews(way->core->view), untilMs))
+        if (!signal_wait(way->core->loop, viewNews(way->core->view), until_ms))
             break;
     if (!viewLeading(way->core->view))
         showRefusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -19,7 +19,7 @@
 void coreNews(Core *core)
 {
     core->news++;
-    signalRaise(core->loop, &core->wake);
+    signal_raise(core->loop, &core->wake);
 }
 
 QueueClock coreClock(const Core *core)
@@ -66,7 +66,7 @@
     if (repair && (newHolder || !core->repairing)) {
         core->repairing = true; /* a repair under way goes on over views opened anew */
         /* rounds that the log has forgotten are told again or have lapsed by then */
-        core->placeFromMs = loopNowMs(core->loop) + coreClaimMs(core);
+        core->placeFromMs = loop_now_ms(core->loop) + coreClaimMs(core);
         repairStart(core);
     }
     if (!repair)
@@ -81,7 +81,7 @@
 {
     const Core *core = arg;
     if (viewHolds(core->view))
-        straysAdd(core->strays, task->worker, job, task, task->round, loopNowMs(core->loop) + ORDER_GONE_MS);
+        straysAdd(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
 static void roundsTake(Core *core, const RoundList *rounds)
@@ -114,9 +114,9 @@
 static void forgetMain(void *arg)
 {
     Core *core = arg;
-    while (!loopStopping(core->loop)) {
+    while (!loop_stopping(core->loop)) {
         const int64_t keepMs = core->props->bounds.jobKeepMs;
-        loopSleep(core->loop, keepMs / 60 > FORGET_MS ? keepMs / 60 : FORGET_MS);
+        loop_sleep(core->loop, keepMs / 60 > FORGET_MS ? keepMs / 60 : FORGET_MS);
         if (!coreDecides(core))
             continue;
         const Forget forget = {viewClockMs(core->view) - keepMs};
@@ -142,7 +142,7 @@
     return viewLeading(core->view);
 }
 
-static void onHttp(void *arg, HttpTask *task)
+static void on_http(void *arg, HttpTask *task)
 {
     coreTake(arg, task);
 }
@@ -164,7 +164,7 @@
     core->ring = ring;
     core->props = props;
     core->planHolds = true;
-    core->startedMs = loopNowMs(loop);
+    core->startedMs = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
     core->courier = courierNew(core, loop, ring);
@@ -200,7 +200,7 @@
     if (status == STATUS_OK)
         status = courierListen(core->courier, props->listen, core->address, failure);
     if (status == STATUS_OK)
-        status = loopServe(loop, props->http, onHttp, core, core->http, failure);
+        status = loop_serve(loop, props->http, on_http, core, core->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
@@ -210,7 +210,7 @@
         .zone = props->zone,
         .address = core->address,
         .http = core->http,
-        .incarnation = (uint64_t)loopWallMs(loop),
+        .incarnation = (uint64_t)loop_wall_ms(loop),
         .disk = viewDisk(core->view),
         .empty = !viewFounded(core->view),
     };
@@ -236,7 +236,7 @@
     alertsStart(core);
     forwarderStart(core->forwarder);
     feedStart(core->feed, seatless, core);
-    loopSpawn(loop, "forget", forgetMain, core);
+    loop_spawn(loop, "forget", forgetMain, core);
     *out = core;
     return STATUS_OK;
 }
@@ -248,21 +248,21 @@
 
 void coreDrain(Core *core)
 {
-    const int64_t nowMs = loopNowMs(core->loop), untilMs = nowMs + core->props->bounds.graceMs - DRAIN_MARGIN_MS;
+    const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.graceMs - DRAIN_MARGIN_MS;
     core->leaving = true;
-    loopServeLeave(core->loop);
+    loop_serve_leave(core->loop);
     membersSetLeaving(core->members);
     membersAnnounce(core->members); /* so that the view goes on without waiting for us */
     /* what was ordered gets its result; then the vote and the lock are handed over */
     if (viewLeading(core->view))
         viewSettle(core->view);
-    viewLeave(core->view, nowMs + (untilMs - nowMs) / VOTE_LEAVE_PART);
+    viewLeave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
-    const int64_t unreadyUntilMs = nowMs + core->props->bounds.unreadyMs;
-    if (loopNowMs(core->loop) < unreadyUntilMs)
-        loopSleep(core->loop, unreadyUntilMs - loopNowMs(core->loop));
-    while (loopServeBusy(core->loop) > 0 && loopNowMs(core->loop) < untilMs)
-        loopSleep(core->loop, DRAIN_LOOK_MS);
+    const int64_t unreadyUntilMs = now_ms + core->props->bounds.unreadyMs;
+    if (loop_now_ms(core->loop) < unreadyUntilMs)
+        loop_sleep(core->loop, unreadyUntilMs - loop_now_ms(core->loop));
+    while (loop_serve_busy(core->loop) > 0 && loop_now_ms(core->loop) < until_ms)
+        loop_sleep(core->loop, DRAIN_LOOK_MS);
 }
 
 View *coreView(Core *core)
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -34,7 +34,7 @@
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (row->record.role != ROLE_GATE || row->record.leaving || memberQuiet(row, loopNowMs(core->loop)))
+        if (row->record.role != ROLE_GATE || row->record.leaving || memberQuiet(row, loop_now_ms(core->loop)))
             continue;
         const bool last = strcmp(row->record.address, core->keptAt) == 0;
         if (count == ELSEWHERE_MOST && !last)
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -110,7 +110,7 @@
         entryRefuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
         return;
     }
-    const uint64_t bodyMost = coreConfig(core)->limits.bodyBytes;
+    const uint64_t bodyMost = coreConfig(core)->limits.body_bytes;
     if (bodyMost > 0 && way->task->body.count > bodyMost) {
         showRefusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -27,7 +27,7 @@
     const Config *config = configBuild(core, tree, revision, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
-        ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
+        ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
                  faults->list[0].path, faults->list[0].text);
         core->configUnread = revision;
         if (core->config == NULL) {
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -47,7 +47,7 @@
     int64_t sinceMs;
     size_t workerCount;
     const char *workers[KEPT_MEMBERS_MAX];
-    int64_t untilMs[KEPT_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
+    int64_t until_ms[KEPT_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
 } Kept;
 
 /* Invariants:
@@ -141,9 +141,9 @@
 void ordersStart(Core *core);
 /* All agents' questions are looked at again. */
 void ordersWake(Core *core);
-/* Waits, at most waitMs, for newer orders than the agent has; answers with them, or
+/* Waits, at most wait_ms, for newer orders than the agent has; answers with them, or
  * leaves the answer as it is. */
-void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t waitMs, BeatAnswer *out);
+void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out);
 
 typedef struct News News;
 void newsStart(Core *core);
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -30,7 +30,7 @@
 static void keptDrop(Core *core, const char *cell, const char *why)
 {
     Kept *kept = map_get(core->kept, cell);
-    ring_say(core->ring, RING_NOTE, loopNowMs(core->loop), "%zu workers are kept for %s no longer: %s",
+    ring_say(core->ring, RING_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
              kept->workerCount, kept->job, why);
     map_drop(core->kept, cell);
     talloc_free(kept);
@@ -57,7 +57,7 @@
                 keptDrop(core, cells[c], "one of them may be given nothing");
                 break;
             }
-            kept->untilMs[i] = soonestMs(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
+            kept->until_ms[i] = soonestMs(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
         }
     }
 }
@@ -76,8 +76,8 @@
         for (size_t i = 0; i < kept->workerCount; i++) {
             const size_t at = passPlace(pass, kept->workers[i]);
             /* what is over before there is room for the other takes nothing from it */
-            const bool passes = candidate->guessMs > 0 && kept->untilMs[i] < INT64_MAX &&
-                                candidate->guessMs * 5 / 4 + KEEP_LEAST_MS < kept->untilMs[i];
+            const bool passes = candidate->guessMs > 0 && kept->until_ms[i] < INT64_MAX &&
+                                candidate->guessMs * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
             if (at != SIZE_MAX && !passes)
                 excluded[at] = any = true;
         }
@@ -97,7 +97,7 @@
 }
 
 /* With an aim, an eighth of its span. */
-static int64_t waitMs(const Candidate *candidate)
+static int64_t wait_ms(const Candidate *candidate)
 {
     const int64_t part = candidate->spanMs > 0 ? candidate->spanMs / 8 : KEEP_WAIT_MS;
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
@@ -109,7 +109,7 @@
     const int64_t logMs = pass->clock.logMs;
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
-    if (logMs - candidate->sinceMs < waitMs(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
+    if (logMs - candidate->sinceMs < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
         map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
@@ -144,7 +144,7 @@
         used[best] = true;
         const size_t holds = holdsEmpty(&input->workers[best], step->room);
         left = left > holds ? left - holds : 0;
-        kept->untilMs[kept->workerCount] = bestMs;
+        kept->until_ms[kept->workerCount] = bestMs;
         kept->workers[kept->workerCount++] = talloc_strdup(kept, input->workers[best].name);
     }
     if (left > 0) { /* all that it needs, or none */
@@ -154,7 +154,7 @@
     kept->job = talloc_strdup(kept, candidate->job->spec.id);
     kept->task = candidate->first;
     kept->rank = candidate->rank;
-    kept->sinceMs = loopNowMs(core->loop);
+    kept->sinceMs = loop_now_ms(core->loop);
     map_set(core->kept, cell, kept);
     core->counts.kept++;
     ring_say(core->ring, RING_NOTE, kept->sinceMs,
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -39,7 +39,7 @@
 
 void leaveFind(Pass *pass, StopList *list)
 {
-    const int64_t nowMs = loopNowMs(pass->core->loop);
+    const int64_t now_ms = loop_now_ms(pass->core->loop);
     for (size_t i = 0; i < pass->input.workerCount; i++) {
         const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[i].name);
         if (row == NULL || !row->leaving || row->leaveUntilMs == 0)
@@ -48,7 +48,7 @@
         const size_t count = tableOn(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
-            if (mustGo(pass, &on[t], i, row->leaveUntilMs - nowMs, at >= 0) &&
+            if (mustGo(pass, &on[t], i, row->leaveUntilMs - now_ms, at >= 0) &&
                 !stopAdd(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
                 return;
         }
--- a/packages/core/src/mend.c
+++ b/packages/core/src/mend.c
@@ -21,10 +21,10 @@
 
 void gangsMend(Core *core, void *mem)
 {
-    const int64_t nowMs = loopNowMs(core->loop);
-    if (nowMs < core->mendMs)
+    const int64_t now_ms = loop_now_ms(core->loop);
+    if (now_ms < core->mendMs)
         return;
-    core->mendMs = nowMs + MEND_MS;
+    core->mendMs = now_ms + MEND_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
     for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++) {
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -39,7 +39,7 @@
     if (news->last == NULL || news->last->list.newsCount >= NEWS_MOST) {
         Batch *batch = talloc_zero(news, Batch);
         batch->users = 1;
-        batch->sinceMs = loopNowMs(news->core->loop);
+        batch->sinceMs = loop_now_ms(news->core->loop);
         if (news->last != NULL)
             news->last->next = batch;
         else
@@ -56,7 +56,7 @@
         batch->list.news = talloc_realloc(batch, batch->list.news, RoundNews, (unsigned)batch->room);
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
-    batch->at_ms[batch->list.newsCount] = loopNowMs(core->loop);
+    batch->at_ms[batch->list.newsCount] = loop_now_ms(core->loop);
     shapeCopy(&RoundNewsShape, one, batch, &batch->list.news[batch->list.newsCount++]);
 }
 
@@ -70,9 +70,9 @@
         batchAdd(core, batch, &list[i]);
     batch->waited = true;
     batch->users++;
-    signalRaise(core->loop, &news->added);
+    signal_raise(core->loop, &news->added);
     while (!batch->over)
-        signalWait(core->loop, &batch->ended, INT64_MAX);
+        signal_wait(core->loop, &batch->ended, INT64_MAX);
     const Status status = batch->status;
     batchLeave(batch);
     return status;
@@ -81,14 +81,14 @@
 void newsLater(Core *core, const RoundNews *one)
 {
     batchAdd(core, batchLast(core->told), one);
-    signalRaise(core->loop, &core->told->added);
+    signal_raise(core->loop, &core->told->added);
 }
 
 void newsHurry(Core *core)
 {
     if (core->told->first != NULL)
         core->told->first->waited = true;
-    signalRaise(core->loop, &core->told->added);
+    signal_raise(core->loop, &core->told->added);
 }
 
 bool newsIdle(const Core *core)
@@ -108,14 +108,14 @@
 {
     News *news = arg;
     Core *core = news->core;
-    while (!loopStopping(core->loop)) {
+    while (!loop_stopping(core->loop)) {
         Batch *batch = news->first;
-        const int64_t nowMs = loopNowMs(core->loop);
-        const int64_t dueMs = batch == NULL   ? nowMs + NEWS_LAZY_MS * 10
-                              : batch->waited ? nowMs
+        const int64_t now_ms = loop_now_ms(core->loop);
+        const int64_t dueMs = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
+                              : batch->waited ? now_ms
                                               : batch->sinceMs + NEWS_LAZY_MS;
-        if (nowMs < dueMs) {
-            signalWait(core->loop, &news->added, dueMs);
+        if (now_ms < dueMs) {
+            signal_wait(core->loop, &news->added, dueMs);
             continue;
         }
         news->first = batch->next;
@@ -123,7 +123,7 @@
             news->last = NULL;
         for (size_t i = 0; i < batch->list.newsCount; i++)
             if (batch->list.news[i].ranMs > 0) /* it was told then, it is counted from the commit */
-                batch->list.news[i].ranMs += nowMs - batch->at_ms[i];
+                batch->list.news[i].ranMs += now_ms - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
         batch->status = coreSubmit(core, batch, CHANGE_ROUNDS, &RoundListShape, &batch->list, &result, NULL);
@@ -131,7 +131,7 @@
         if (batch->status != STATUS_OK)
             newsKeep(core, batch);
         batch->over = true;
-        signalRaise(core->loop, &batch->ended);
+        signal_raise(core->loop, &batch->ended);
         batchLeave(batch);
     }
 }
@@ -140,5 +140,5 @@
 {
     core->told = talloc_zero(core, News);
     core->told->core = core;
-    loopSpawn(core->loop, "news", newsMain, core->told);
+    loop_spawn(core->loop, "news", newsMain, core->told);
 }
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -19,7 +19,7 @@
     Core *core = arg;
     AgentLine *line = map_get(core->lines, worker);
     if (line != NULL)
-        signalRaise(core->loop, &line->news);
+        signal_raise(core->loop, &line->news);
 }
 
 void ordersWake(Core *core)
@@ -28,7 +28,7 @@
     const char **names;
     const size_t count = map_keys(core->lines, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signalRaise(core->loop, &((AgentLine *)map_get(core->lines, names[i]))->news);
+        signal_raise(core->loop, &((AgentLine *)map_get(core->lines, names[i]))->news);
     talloc_free(mem);
 }
 
@@ -76,19 +76,19 @@
            (tableOrders(core->table, beat->worker.name) != beat->have || viewEpoch(core->view) != beat->haveEpoch);
 }
 
-void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t waitMs, BeatAnswer *out)
+void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
 {
-    const int64_t untilMs = loopNowMs(core->loop) + waitMs;
+    const int64_t until_ms = loop_now_ms(core->loop) + wait_ms;
     AgentLine *line = agentLine(core, beat->worker.name);
     const uint64_t turn = ++line->turn;
-    signalRaise(core->loop, &line->news); /* an earlier question waits no longer */
+    signal_raise(core->loop, &line->news); /* an earlier question waits no longer */
     while (!ordersNew(core, beat))
-        if (!signalWait(core->loop, &line->news, untilMs) || turn != line->turn)
+        if (!signal_wait(core->loop, &line->news, until_ms) || turn != line->turn)
             return;
     if (!coreDecides(core))
         return;
     out->orders = true;
     out->revision = tableOrders(core->table, beat->worker.name);
-    out->expiryMs = ORDER_EXPIRY_MS;
+    out->expiry_ms = ORDER_EXPIRY_MS;
     ordersFill(core, mem, beat, out);
 }
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -85,7 +85,7 @@
     const double due = (double)spanMs * 10000.0 / ((double)guess * (double)scoreFarPercent(core, its, step));
     if (due >= 4) /* less is lost in whole percents */
         guessesPace(core->guesses, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
-                    loopNowMs(core->loop));
+                    loop_now_ms(core->loop));
 }
 
 void paceTake(Core *core, const char *worker, const RoundSaved *told)
@@ -120,5 +120,5 @@
         pace->stillMs = goesOn || told->percent > 0 ? told->percentMs : 0;
     pace->percent = told->percent;
     pace->ranMs = told->percentMs;
-    pace->toldMs = loopNowMs(core->loop);
+    pace->toldMs = loop_now_ms(core->loop);
 }
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -10,7 +10,7 @@
 {
     const LiveRow *row = livesetFind(core->liveset, worker->name);
     const bool known = straysRoom(core->strays, worker->name, strays);
-    const bool ready = known && row != NULL && liveRowReady(row, loopNowMs(core->loop)) && !worker->excluded &&
+    const bool ready = known && row != NULL && liveRowReady(row, loop_now_ms(core->loop)) && !worker->excluded &&
                        !tableDrained(core->table, worker->zone) && !scoreRests(core, worker->name);
     const Room none = {0};
     return ready ? roomLess(worker->room, row->others) : none;
@@ -40,7 +40,7 @@
                                               .room = room,
                                               .free = roomLess(room, used),
                                               .penalty = scoreRate(core, worker->name) * 10};
-        pass->speeds[i] = guessSpeed(core->guesses, worker->name, loopNowMs(core->loop));
+        pass->speeds[i] = guessSpeed(core->guesses, worker->name, loop_now_ms(core->loop));
         pass->fleet = roomMore(pass->fleet, room);
     }
     pass->largest = planLargest(pass->input.workers, count);
@@ -70,7 +70,7 @@
     pass->config = coreConfig(core);
     pass->asks = (pass->config->rNamed && pass->config->r > 0) || pass->config->zoneLoss || pass->config->rackLoss;
     pass->clock = coreClock(core);
-    pass->nextMs = INT64_MAX;
+    pass->next_ms = INT64_MAX;
     pass->input =
         (PlanInput){.r = pass->config->r, .zoneLoss = pass->config->zoneLoss, .rackLoss = pass->config->rackLoss};
     workersFind(pass);
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -48,8 +48,8 @@
     StopList pushes; /* rounds to be pushed aside */
     Map *cells;      /* names of cells with a policy to their place + 1 in input.pushable */
     size_t pushLooks;
-    Room reserved;  /* kept in this pass for what found none */
-    int64_t nextMs; /* log time when more can be decided by itself */
+    Room reserved;   /* kept in this pass for what found none */
+    int64_t next_ms; /* log time when more can be decided by itself */
 } Pass;
 
 /* On mem, with all that lives as long as it. */
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -20,10 +20,10 @@
 static void planLook(Pass *pass)
 {
     Core *core = pass->core;
-    const int64_t nowMs = loopNowMs(core->loop);
-    if (!pass->asks && nowMs < core->planLookMs)
+    const int64_t now_ms = loop_now_ms(core->loop);
+    if (!pass->asks && now_ms < core->planLookMs)
         return;
-    core->planLookMs = nowMs + PLAN_LOOK_MS;
+    core->planLookMs = now_ms + PLAN_LOOK_MS;
     passTasks(pass);
     /* one look costs about losses times (tasks and workers) */
     const size_t each = pass->input.workerCount * (pass->input.taskCount + pass->input.workerCount) + 1;
@@ -43,7 +43,7 @@
     const char *words;
     const uint64_t failures = corePolicyFailures(core, &words);
     if (failures > 0 && core->policyFailuresTold == 0)
-        ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "a policy failed, first come goes first: %s", words);
+        ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "a policy failed, first come goes first: %s", words);
     core->policyFailuresTold = failures;
 }
 
@@ -58,26 +58,26 @@
             linePlaced(pass->line);
         else
             lineStuck(pass->line);
-    if (lineNextMs(pass->line) < pass->nextMs)
-        pass->nextMs = lineNextMs(pass->line);
+    if (lineNextMs(pass->line) < pass->next_ms)
+        pass->next_ms = lineNextMs(pass->line);
 }
 
 /* So long until the next pass: one takes time by what it looks at. */
 static int64_t gapMs(const Pass *pass)
 {
     const int64_t looks = (int64_t)(pass->input.workerCount + lineCount(pass->line));
-    const int64_t waitMs = PASS_GAP_MS + looks / PASS_GAP_LOOKS;
-    return waitMs < PASS_GAP_MOST_MS ? waitMs : PASS_GAP_MOST_MS;
+    const int64_t wait_ms = PASS_GAP_MS + looks / PASS_GAP_LOOKS;
+    return wait_ms < PASS_GAP_MOST_MS ? wait_ms : PASS_GAP_MOST_MS;
 }
 
-/* One look at everything; true when there may be more to decide at once. nextMs: when
+/* One look at everything; true when there may be more to decide at once. next_ms: when
  * there will be by itself, by the own clock. */
-static bool passRun(Core *core, int64_t *nextMs)
+static bool passRun(Core *core, int64_t *next_ms)
 {
     uint64_t seen = core->news;
     Pass *pass = passNew(core, core);
     core->counts.passes++;
-    *nextMs = loopNowMs(core->loop) + PLACE_TICK_MS;
+    *next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
     if (stopLook(pass)) { /* the table has changed: what the pass knows is over */
         talloc_free(pass);
         return true;
@@ -85,8 +85,8 @@
     planLook(pass);
     passPlaces(pass);
     core->passGapMs = gapMs(pass);
-    if (pass->nextMs < pass->clock.logMs + PLACE_TICK_MS)
-        *nextMs = loopNowMs(core->loop) + pass->nextMs - pass->clock.logMs;
+    if (pass->next_ms < pass->clock.logMs + PLACE_TICK_MS)
+        *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.logMs;
     const bool more = pass->places.placementsCount >= PLACE_BATCH;
     ChangeResult result;
     if (pass->places.placementsCount > 0) {
@@ -112,7 +112,7 @@
     lostFind(core, mem);
     if (coreDecides(core))
         copiesFind(core, mem);
-    if (loopNowMs(core->loop) >= core->placeFromMs && coreDecides(core))
+    if (loop_now_ms(core->loop) >= core->placeFromMs && coreDecides(core))
         gangsMend(core, mem);
     talloc_free(mem);
 }
@@ -121,24 +121,24 @@
 {
     Core *core = arg;
     bool more = false;
-    int64_t nextMs = 0;
-    while (!loopStopping(core->loop)) {
+    int64_t next_ms = 0;
+    while (!loop_stopping(core->loop)) {
         if (!more)
-            signalWait(core->loop, &core->wake, nextMs);
-        loopSleep(core->loop, core->passGapMs > 0 ? core->passGapMs : PASS_GAP_MS);
+            signal_wait(core->loop, &core->wake, next_ms);
+        loop_sleep(core->loop, core->passGapMs > 0 ? core->passGapMs : PASS_GAP_MS);
         more = false;
-        nextMs = loopNowMs(core->loop) + PLACE_TICK_MS;
+        next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
         if (!coreDecides(core))
             continue;
         silentLook(core);
-        if (loopNowMs(core->loop) >= core->placeFromMs && coreDecides(core))
-            more = passRun(core, &nextMs);
-        else if (core->placeFromMs < nextMs)
-            nextMs = core->placeFromMs;
+        if (loop_now_ms(core->loop) >= core->placeFromMs && coreDecides(core))
+            more = passRun(core, &next_ms);
+        else if (core->placeFromMs < next_ms)
+            next_ms = core->placeFromMs;
     }
 }
 
 void plannerStart(Core *core)
 {
-    loopSpawn(core->loop, "planner", plannerMain, core);
+    loop_spawn(core->loop, "planner", plannerMain, core);
 }
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -76,7 +76,7 @@
 {
     Core *core = pass->core;
     if (candidate->spanMs <= 0 || candidate->count != 1 || candidate->slackMs >= PUSH_SLACK_MS ||
-        candidate->slackMs < -candidate->guessMs / 2 || loopNowMs(core->loop) < core->pushFromMs)
+        candidate->slackMs < -candidate->guessMs / 2 || loop_now_ms(core->loop) < core->pushFromMs)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priorityOf(pass, candidate->job, candidate->first);
@@ -85,7 +85,7 @@
     const PlanNeed need = passNeed(candidate->job, task->step);
     const int64_t most = PUSH_COST * candidate->guessMs * (int64_t)need.room.cpuMilli / 1000;
     Push best = {.count = 0};
-    core->pushFromMs = loopNowMs(core->loop) + PUSH_GAP_MS;
+    core->pushFromMs = loop_now_ms(core->loop) + PUSH_GAP_MS;
     for (size_t w = 0; w < pass->input.workerCount; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!planAble(worker, &need) || !roomFits(need.room, worker->room))
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -36,14 +36,14 @@
     Core *core = retelling->core;
     const RetellAsk ask = {.configHave = retelling->configHave};
     KeepList answer = {0}; /* of whoever stands there now: each item carries its own identity */
-    const int64_t untilMs = loopNowMs(core->loop) + REPAIR_MS;
+    const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
     Status status;
     do {
         status = courierAsk(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAskShape, &ask,
-                            untilMs - loopNowMs(core->loop), &KeepListShape, &answer);
+                            until_ms - loop_now_ms(core->loop), &KeepListShape, &answer);
         if (status != STATUS_OK)
-            loopSleep(core->loop, 100);
-    } while (status != STATUS_OK && loopNowMs(core->loop) < untilMs);
+            loop_sleep(core->loop, 100);
+    } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
     if (status == STATUS_OK && answer.itemsCount > 0) {
         retelling->items =
             talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + answer.itemsCount));
@@ -51,7 +51,7 @@
         retelling->count += answer.itemsCount;
     }
     retelling->pending--;
-    signalRaise(core->loop, &retelling->ended);
+    signal_raise(core->loop, &retelling->ended);
     retellingLeave(retelling);
     talloc_free(part);
 }
@@ -151,8 +151,8 @@
 {
     /* those who were told first must have found this process again: a connection to
      * its last life may be silent */
-    while (loopNowMs(core->loop) - core->startedMs < REPAIR_HEAR_MS)
-        loopSleep(core->loop, BEAT_MS / 5);
+    while (loop_now_ms(core->loop) - core->startedMs < REPAIR_HEAR_MS)
+        loop_sleep(core->loop, BEAT_MS / 5);
     Retelling *retelling = talloc_zero(core, Retelling);
     retelling->core = core;
     retelling->users = 1;
@@ -160,17 +160,17 @@
     const MemberTable *table = membersTable(core->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (strcmp(row->record.id, membersSelf(core->members)->id) == 0 || memberQuiet(row, loopNowMs(core->loop)))
+        if (strcmp(row->record.id, membersSelf(core->members)->id) == 0 || memberQuiet(row, loop_now_ms(core->loop)))
             continue;
         RetellPart *part = talloc_zero(core, RetellPart);
         part->retelling = retelling;
         strncpy(part->address, row->record.address, sizeof(part->address) - 1);
         retelling->users++;
         retelling->pending++;
-        loopSpawn(core->loop, "retell", partMain, part);
+        loop_spawn(core->loop, "retell", partMain, part);
     }
     while (retelling->pending > 0)
-        signalWait(core->loop, &retelling->ended, INT64_MAX);
+        signal_wait(core->loop, &retelling->ended, INT64_MAX);
     KeepList own = {0};
     keeperTell(core->keeper, retelling, retelling->configHave, &own);
     feedTell(core->feed, retelling, retelling->configHave, &own);
@@ -212,7 +212,7 @@
     core->repairing = false;
     core->counts.repairs++;
     core->counts.retold += told;
-    ring_say(core->ring, RING_ALERT, loopNowMs(core->loop),
+    ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop),
              "the view rested on woken seats: %zu of %zu changes told again were missing", told, itemCount);
     ordersWake(core);
     coreNews(core);
@@ -225,14 +225,14 @@
 {
     Core *core = arg;
     const uint64_t turn = ++core->repairTurn;
-    while (turn == core->repairTurn && core->repairing && !loopStopping(core->loop)) {
+    while (turn == core->repairTurn && core->repairing && !loop_stopping(core->loop)) {
         if (viewLeading(core->view) && repairOnce(core, turn))
             return;
-        signalWait(core->loop, viewNews(core->view), loopNowMs(core->loop) + BEAT_MS / 10);
+        signal_wait(core->loop, viewNews(core->view), loop_now_ms(core->loop) + BEAT_MS / 10);
     }
 }
 
 void repairStart(Core *core)
 {
-    loopSpawn(core->loop, "repair", repairMain, core);
+    loop_spawn(core->loop, "repair", repairMain, core);
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -16,7 +16,7 @@
 static uint64_t tallyRate(const Core *core, const Score *score, const Tally *tally)
 {
     const int64_t from = tally->ratedMs > score->restUntilMs ? tally->ratedMs : score->restUntilMs;
-    const int64_t halvings = (loopNowMs(core->loop) - from) / SCORE_FADE_MS;
+    const int64_t halvings = (loop_now_ms(core->loop) - from) / SCORE_FADE_MS;
     if (halvings > 7)
         return 0;
     return halvings > 0 ? tally->ratePercent >> halvings : tally->ratePercent;
@@ -36,7 +36,7 @@
 bool scoreRests(const Core *core, const char *worker)
 {
     const Score *score = scoreFind(core, worker);
-    return score != NULL && loopNowMs(core->loop) < score->restUntilMs;
+    return score != NULL && loop_now_ms(core->loop) < score->restUntilMs;
 }
 
 static size_t resting(const Core *core, void *mem)
@@ -51,8 +51,8 @@
 
 static void restMaybe(Core *core, const char *worker, Score *score, Tally *tally, const char *how)
 {
-    const int64_t nowMs = loopNowMs(core->loop);
-    if (tally->ratePercent <= SCORE_REST || tally->jobs < SCORE_JOBS || nowMs < score->restUntilMs)
+    const int64_t now_ms = loop_now_ms(core->loop);
+    if (tally->ratePercent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->restUntilMs)
         return;
     void *mem = talloc_new(core);
     const Worker **workers;
@@ -64,12 +64,12 @@
     score->restMs = score->restMs == 0                      ? SCORE_REST_MS
                     : score->restMs * 2 < SCORE_REST_MAX_MS ? score->restMs * 2
                                                             : SCORE_REST_MAX_MS;
-    score->restUntilMs = nowMs + score->restMs;
+    score->restUntilMs = now_ms + score->restMs;
     /* after the rest it is tried again: a single bad round sends it back */
     tally->ratePercent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
     if (viewLeading(core->view))
-        ring_say(core->ring, RING_ALERT, nowMs, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
+        ring_say(core->ring, RING_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
                  score->restMs);
 }
 
@@ -77,7 +77,7 @@
                       uint64_t weight, const char *how)
 {
     tally->ratePercent = tallyRate(core, score, tally);
-    tally->ratedMs = loopNowMs(core->loop);
+    tally->ratedMs = loop_now_ms(core->loop);
     tally->ratePercent = (tally->ratePercent * (100 - weight) + (bad ? 100 : 0) * weight) / 100;
     if (!bad) {
         tally->jobs = 0;
@@ -141,7 +141,7 @@
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ranMs > 0 && !step->gang && !step->sameRack && !job->spec.lasting)
         guessesEnd(core->guesses, job, task->step, news->worker, ranMs, scoreFarPercent(core, worker, step),
-                   loopNowMs(core->loop));
+                   loop_now_ms(core->loop));
 }
 
 void scoreStill(Core *core, const char *worker, const Job *job)
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -11,8 +11,8 @@
 {
     const LiveRow *row = livesetFind(core->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t untilMs = row != NULL ? row->untilMs : viewWonMs(core->view) + coreClaimMs(core);
-    return loopNowMs(core->loop) > untilMs && (row == NULL || !row->losing);
+    const int64_t until_ms = row != NULL ? row->until_ms : viewWonMs(core->view) + coreClaimMs(core);
+    return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
 }
 
 void lostFind(Core *core, void *mem)
@@ -34,7 +34,7 @@
         ChangeResult result;
         if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLostShape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
-            ring_say(core->ring, RING_ALERT, loopNowMs(core->loop), "worker %s is lost with %" PRIu64 " rounds",
+            ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "worker %s is lost with %" PRIu64 " rounds",
                      names[i], result.number);
         }
     }
@@ -42,13 +42,13 @@
 
 void copiesFind(Core *core, void *mem)
 {
-    const int64_t nowMs = loopNowMs(core->loop);
+    const int64_t now_ms = loop_now_ms(core->loop);
     RoundList list = {0};
     const char *worker;
     for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++) {
         const LiveRow *row = livesetFind(core->liveset, worker);
         const int64_t wonMs = viewWonMs(core->view);
-        if (row == NULL || nowMs - (row->heardMs > wonMs ? row->heardMs : wonMs) <= COPY_SILENT_MS)
+        if (row == NULL || now_ms - (row->heardMs > wonMs ? row->heardMs : wonMs) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
         const size_t count = tableOn(core->table, worker, &on);
@@ -76,6 +76,6 @@
         const Job *job = tableJob(core->table, news->job);
         const size_t at = job != NULL ? taskIndex(job, news->task) : 0;
         if (job != NULL && at < job->tasksCount)
-            straysAdd(core->strays, news->worker, job, &job->tasks[at], news->round, nowMs + ORDER_GONE_MS);
+            straysAdd(core->strays, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -63,7 +63,7 @@
         /* how long it takes here says how much work it is, estimates or not */
         const double hereMs = 100 / pace->perMs;
         going->wholeMs = hereMs * 1000 / (double)pass->speeds[worker];
-        going->leftMs = (double)(100 - pace->percent) / pace->perMs - (double)(loopNowMs(core->loop) - pace->toldMs);
+        going->leftMs = (double)(100 - pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
     }
     return going->leftMs > going->wholeMs;
 }
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -16,7 +16,7 @@
     const Pace *pace = paceFind(core->paces, job->spec.id, taskNumber(task), task->round);
     if (pace != NULL && pace->perMs > 0) {
         const double leftMs =
-            (100 - (double)pace->percent) / pace->perMs - (double)(loopNowMs(core->loop) - pace->toldMs);
+            (100 - (double)pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
         return leftMs > ENDS_LEAST_MS ? (int64_t)leftMs : ENDS_LEAST_MS;
     }
     const Worker *its = tableWorker(core->table, task->worker);
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -84,7 +84,7 @@
 {
     const LiveRow **rows;
     const size_t count = livesetRows(core->liveset, mem, &rows);
-    const int64_t nowMs = loopNowMs(core->loop);
+    const int64_t now_ms = loop_now_ms(core->loop);
     const PlanInput input = plannerInput(core, mem);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
@@ -92,16 +92,17 @@
         const Worker *worker = tableWorker(core->table, rows[i]->name);
         json_object_object_add(one, "worker", textOf(rows[i]->name));
         json_object_object_add(one, "zone", textOf(worker != NULL ? worker->zone : ""));
-        json_object_object_add(one, "ready", json_object_new_boolean(liveRowReady(rows[i], nowMs)));
+        json_object_object_add(one, "ready", json_object_new_boolean(liveRowReady(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
         const Score *score = scoreFind(core, rows[i]->name);
         if (score != NULL) {
             json_object_object_add(one, "failurePercent", numberOf((int64_t)scoreRate(core, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
-                                   numberOf(score->restUntilMs > nowMs ? score->restUntilMs - nowMs : 0));
+                                   numberOf(score->restUntilMs > now_ms ? score->restUntilMs - now_ms : 0));
         }
-        json_object_object_add(one, "holdLeftMs", numberOf(rows[i]->untilMs > nowMs ? rows[i]->untilMs - nowMs : 0));
+        json_object_object_add(one, "holdLeftMs",
+                               numberOf(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
         for (size_t k = 0; k < input.workerCount; k++)
             if (strcmp(input.workers[k].name, rows[i]->name) == 0) {
                 json_object_object_add(one, "room", showRoom(input.workers[k].room));
@@ -124,7 +125,7 @@
         json_object_object_add(one, "zone", textOf(row->record.zone));
         json_object_object_add(one, "address", textOf(row->record.address));
         json_object_object_add(one, "http", textOf(row->record.http));
-        json_object_object_add(one, "quiet", json_object_new_boolean(memberQuiet(row, loopNowMs(core->loop))));
+        json_object_object_add(one, "quiet", json_object_new_boolean(memberQuiet(row, loop_now_ms(core->loop))));
         json_object_array_add(list, one);
     }
     return list;
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -22,10 +22,10 @@
 bool stopLook(Pass *pass)
 {
     Core *core = pass->core;
-    const int64_t nowMs = loopNowMs(core->loop);
-    if (nowMs < core->stopLookMs)
+    const int64_t now_ms = loop_now_ms(core->loop);
+    if (now_ms < core->stopLookMs)
         return false;
-    core->stopLookMs = nowMs + STOP_LOOK_MS;
+    core->stopLookMs = now_ms + STOP_LOOK_MS;
     StopList list = {.why = "goes on better elsewhere"};
     leaveFind(pass, &list);
     slowFind(pass, &list);
@@ -34,7 +34,7 @@
     ChangeResult result;
     if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopListShape, &list, &result, NULL) == STATUS_OK) {
         core->counts.slowed += result.number;
-        ring_say(core->ring, RING_NOTE, nowMs, "%zu rounds are begun anew elsewhere", list.roundsCount);
+        ring_say(core->ring, RING_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.roundsCount);
     }
     return true;
 }
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -201,10 +201,10 @@
     const View *view = way->core->view;
     if (proof == PROOF_LEASE)
         return viewLeading(view) && viewEpoch(view) == epoch;
-    int64_t untilMs = loopNowMs(way->core->loop) + LOCK_LEASE_MS;
-    if (way->task->expiryMs != 0 && way->task->expiryMs < untilMs)
-        untilMs = way->task->expiryMs;
-    return viewContact(way->core->view, untilMs) == STATUS_OK && viewEpoch(view) == epoch;
+    int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
+    if (way->task->expiry_ms != 0 && way->task->expiry_ms < until_ms)
+        until_ms = way->task->expiry_ms;
+    return viewContact(way->core->view, until_ms) == STATUS_OK && viewEpoch(view) == epoch;
 }
 
 /* The last look before the answer goes out, after all that the route has waited for. */
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -113,8 +113,8 @@
     const Table *table = way->core->table;
     if (!orderTakes(way, tableDrainKnown(table, &drain)))
         return;
-    const int64_t clockMs = viewClockMs(way->core->view), lastStamp = tableDrainStamp(table, way->name);
-    drain.stamp = clockMs > lastStamp ? clockMs : lastStamp + 1;
+    const int64_t clock_ms = viewClockMs(way->core->view), lastStamp = tableDrainStamp(table, way->name);
+    drain.stamp = clock_ms > lastStamp ? clock_ms : lastStamp + 1;
     ChangeResult result;
     if (!wayDelivered(way,
                       coreSubmit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrainShape, &drain, &result, way->keeps)))
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -56,7 +56,7 @@
     bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
     static const uint8_t FILL[CLIENT_BYTES] = {0};
     bytes_add(handing, &handing->payload, FILL, simRandom(explore->world) % CLIENT_BYTES);
-    loopSpawn(loop, "client", handMain, handing);
+    loop_spawn(loop, "client", handMain, handing);
 }
 
 /* Mostly the leader, at times anybody. */
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -97,7 +97,7 @@
         .zone = talloc_asprintf(loop, "zone%d", node->machine % 3),
         .address = node->listen,
         .http = "",
-        .incarnation = (uint64_t)loopWallMs(loop),
+        .incarnation = (uint64_t)loop_wall_ms(loop),
         .disk = viewDisk(node->view),
         .empty = !viewFounded(node->view),
     };
@@ -139,7 +139,7 @@
     node->chain = (Chain){0};
     node->promisedSeen = node->commitSeen = node->heldEpoch = node->ledEpoch = node->listSeen = 0;
     node->votersBefore = node->listBefore = 0;
-    loopSpawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", bootMain, node);
 }
 
 void nodeStart(Node *node)
@@ -195,7 +195,7 @@
     membersAnnounce(node->members);
     if (viewLeading(node->view))
         viewSettle(node->view);
-    viewLeave(node->view, loopNowMs(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
+    viewLeave(node->view, loop_now_ms(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
 
 void nodeLeave(Node *node)
@@ -205,7 +205,7 @@
         return;
     }
     node->leaving = true;
-    loopSpawn(simLoop(node->explore->world, node->machine), "leave", leaveMain, node);
+    loop_spawn(simLoop(node->explore->world, node->machine), "leave", leaveMain, node);
     simAt(node->explore->world, simNowMs(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
 }
 
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -27,11 +27,11 @@
     return explore->result->rule != RULE_NONE;
 }
 
-static void runUntil(Explore *explore, int64_t untilMs)
+static void runUntil(Explore *explore, int64_t until_ms)
 {
-    while (!broken(explore) && simNowMs(explore->world) < untilMs) {
-        const int64_t nextMs = simNowMs(explore->world) + LOOK_MS;
-        simRunUntil(explore->world, nextMs < untilMs ? nextMs : untilMs);
+    while (!broken(explore) && simNowMs(explore->world) < until_ms) {
+        const int64_t next_ms = simNowMs(explore->world) + LOOK_MS;
+        simRunUntil(explore->world, next_ms < until_ms ? next_ms : until_ms);
     }
 }
 
@@ -48,8 +48,8 @@
     for (int i = 0; i < explore->nodeCount; i++)
         nodeStartLater(&explore->nodes[i], i < first ? (int64_t)(simRandom(explore->world) % 300) : 6000);
     clientStart(explore);
-    const int64_t untilMs = simNowMs(explore->world) + FOUND_MS;
-    while (!broken(explore) && simNowMs(explore->world) < untilMs &&
+    const int64_t until_ms = simNowMs(explore->world) + FOUND_MS;
+    while (!broken(explore) && simNowMs(explore->world) < until_ms &&
            (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL))
         runUntil(explore, simNowMs(explore->world) + LOOK_MS);
     if (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL)
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -35,7 +35,7 @@
 
 /* What the leader answers out of its revisions, under the answer's epoch; true when there
  * is news. On mem, and valid until the next wait. */
-bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t nowMs, void *mem,
+bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
                 FeedAnswer *answer);
 
 #endif
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/feed/include/feed/pieces.h
@@ -23,10 +23,10 @@
 /* The piece that was asked for, if it is of the version that is being handed over; else the
  * first of that one. A text costs a reading of the whole document: while one is asked for, all
  * who ask are given that, and what has changed since as differences. */
-void pieceAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t nowMs,
+void pieceAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
                  FeedAnswer *answer);
 /* Gives back the text that nobody has asked for of late. */
-void pieceRest(PieceSource *source, int64_t nowMs);
+void pieceRest(PieceSource *source, int64_t now_ms);
 
 /* --- the asking side ------------------------------------------------------------------------- */
 
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -72,8 +72,8 @@
     Attempt *attempt = arg;
     Forwarder *forwarder = attempt->forwarder;
     Loop *loop = forwarder->settings.loop;
-    const int64_t startMs = loopNowMs(loop);
-    attempt->ask.waitMs = (uint64_t)(attempt->deadlineMs - startMs);
+    const int64_t startMs = loop_now_ms(loop);
+    attempt->ask.wait_ms = (uint64_t)(attempt->deadlineMs - startMs);
     if (attempt->taken.own) {
         attempt->sending.sent = true;
         forwarder->settings.serve(forwarder->settings.arg, attempt, &attempt->ask, &attempt->answer);
@@ -87,21 +87,21 @@
     if (attempt->status == STATUS_OK) {
         if (!attempt->taken.own)
             waysHeard(forwarder->ways, &attempt->taken, served(&attempt->answer));
-        traceAnswered(forwarder, attempt, loopNowMs(loop) - startMs);
+        traceAnswered(forwarder, attempt, loop_now_ms(loop) - startMs);
         keeperKeep(forwarder->settings.keeper, attempt->answer.keeps, attempt->answer.keepsCount);
         attempt->answer.keepsCount = 0;
     } else {
         waysTold(forwarder->ways, &attempt->answer);
     }
     attempt->done = true;
-    signalRaise(loop, &attempt->news);
+    signal_raise(loop, &attempt->news);
     attemptLeave(attempt);
 }
 
 void attemptsWake(Forwarder *forwarder)
 {
     for (Attempt *one = forwarder->waiting; one != NULL; one = one->next)
-        signalRaise(forwarder->settings.loop, &one->news);
+        signal_raise(forwarder->settings.loop, &one->news);
 }
 
 /* Nothing has come back along the way since this was asked, and not lately: the first
@@ -118,30 +118,30 @@
 static void waitFor(Forwarder *forwarder, Attempt *attempt, int64_t askedMs)
 {
     Loop *loop = forwarder->settings.loop;
-    while (!attempt->done && waysCurrent(forwarder->ways, &attempt->taken) && loopNowMs(loop) < attempt->deadlineMs) {
+    while (!attempt->done && waysCurrent(forwarder->ways, &attempt->taken) && loop_now_ms(loop) < attempt->deadlineMs) {
         int64_t heardMs = waysHeardMs(forwarder->ways), wakeMs = attempt->deadlineMs;
         if (heardMs < askedMs)
             heardMs = askedMs;
         const int64_t quietMs = heardMs + ATTEMPT_QUIET_MS;
         if (!attempt->taken.own && !forwarder->pinging) {
-            if (loopNowMs(loop) >= quietMs) {
+            if (loop_now_ms(loop) >= quietMs) {
                 whetherAlive(forwarder, attempt);
                 continue;
             }
             if (quietMs < wakeMs)
                 wakeMs = quietMs;
         }
-        signalWait(loop, &attempt->news, wakeMs);
+        signal_wait(loop, &attempt->news, wakeMs);
     }
 }
 
-Status attemptForward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t untilMs,
+Status attemptForward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
                       ForwardAnswer *answer)
 {
     Attempt *attempt = talloc_zero(forwarder, Attempt);
     attempt->forwarder = forwarder;
     attempt->users = 2;
-    attempt->deadlineMs = untilMs;
+    attempt->deadlineMs = until_ms;
     attempt->taken = *taken;
     shapeCopy(&ForwardAskShape, ask, attempt, &attempt->ask);
     attempt->ask.relay = taken->relay;
@@ -149,8 +149,8 @@
     if (attempt->next != NULL)
         attempt->next->prev = attempt;
     forwarder->waiting = attempt;
-    loopSpawn(forwarder->settings.loop, "attempt", askMain, attempt);
-    waitFor(forwarder, attempt, loopNowMs(forwarder->settings.loop));
+    loop_spawn(forwarder->settings.loop, "attempt", askMain, attempt);
+    waitFor(forwarder, attempt, loop_now_ms(forwarder->settings.loop));
     if (attempt->prev != NULL)
         attempt->prev->next = attempt->next;
     else
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -102,10 +102,10 @@
     return true;
 }
 
-bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t nowMs, void *mem,
+bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
                 FeedAnswer *answer)
 {
-    pieceRest(source, nowMs);
+    pieceRest(source, now_ms);
     const uint64_t newest = revisionsNewest(revisions);
     if (newest <= ask->have && !(ask->wants && newest > ask->textHave))
         return false;
@@ -117,7 +117,7 @@
         answer->text = revisionsText(revisions, mem, newest);
     else if (newest > ask->textHave && !changesSince(revisions, ask->textHave, most, mem, answer) &&
              !wholeNow(revisions, most, mem, answer) && ask->wants)
-        pieceAnswer(source, revisions, ask, nowMs, answer);
+        pieceAnswer(source, revisions, ask, now_ms, answer);
     return true;
 }
 
@@ -141,7 +141,7 @@
         traceSay(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
         feed->revision = answer->revision;
         feed->size = answer->size;
-        feed->learntMs = loopNowMs(feed->loop);
+        feed->learntMs = loop_now_ms(feed->loop);
         limitsServe(feed->loop, &answer->limits);
     }
     for (size_t i = 0; i < answer->setsCount; i++)
@@ -156,7 +156,7 @@
     void *mem = talloc_new(feed);
     const uint64_t textHave = revisionsNewest(feed->revisions);
     const bool wanted = feed->wanted == NULL || feed->wanted(feed->arg);
-    const bool calm = loopNowMs(feed->loop) - feed->learntMs >= FEED_CALM_MS;
+    const bool calm = loop_now_ms(feed->loop) - feed->learntMs >= FEED_CALM_MS;
     if (first)
         piecesDrop(&feed->pieces);
     FeedAsk ask = {.have = UINT64_MAX, .textHave = UINT64_MAX, .brief = true};
@@ -185,7 +185,7 @@
 static void pieceRestWait(const Feed *feed, int64_t tookMs)
 {
     const int64_t restMs = tookMs * FEED_PIECE_REST;
-    loopSleep(feed->loop, restMs < FEED_PIECE_REST_MAX_MS ? restMs : FEED_PIECE_REST_MAX_MS);
+    loop_sleep(feed->loop, restMs < FEED_PIECE_REST_MAX_MS ? restMs : FEED_PIECE_REST_MAX_MS);
 }
 
 /* Asks with the revision that it has and is answered when there is news, or after a
@@ -194,14 +194,14 @@
 {
     FeedAsking *asking = arg;
     Feed *feed = asking->feed;
-    while (!loopStopping(feed->loop) && waysCurrent(feed->ways, &asking->taken)) {
-        const int64_t askedMs = loopNowMs(feed->loop);
+    while (!loop_stopping(feed->loop) && waysCurrent(feed->ways, &asking->taken)) {
+        const int64_t askedMs = loop_now_ms(feed->loop);
         if (askOnce(feed, &asking->taken, !asking->again) == STATUS_OK)
             asking->again = true;
         else
             waysFailed(feed->ways, &asking->taken);
         if (piecesBegun(&feed->pieces))
-            pieceRestWait(feed, loopNowMs(feed->loop) - askedMs);
+            pieceRestWait(feed, loop_now_ms(feed->loop) - askedMs);
     }
     talloc_free(asking);
 }
@@ -210,15 +210,15 @@
 static void feedMain(void *arg)
 {
     Feed *feed = arg;
-    while (!loopStopping(feed->loop)) {
+    while (!loop_stopping(feed->loop)) {
         WaysTaken taken;
         if (waysTake(feed->ways, &taken) && !taken.own && !taken.relay && taken.turn != feed->turn) {
             feed->turn = taken.turn;
             FeedAsking *asking = talloc_zero(feed, FeedAsking);
             *asking = (FeedAsking){.feed = feed, .taken = taken};
-            loopSpawn(feed->loop, "feed", askMain, asking);
+            loop_spawn(feed->loop, "feed", askMain, asking);
         }
-        signalWait(feed->loop, waysMoved(feed->ways), INT64_MAX);
+        signal_wait(feed->loop, waysMoved(feed->ways), INT64_MAX);
     }
 }
 
@@ -226,7 +226,7 @@
 {
     feed->wanted = wanted;
     feed->arg = arg;
-    loopSpawn(feed->loop, "feeds", feedMain, feed);
+    loop_spawn(feed->loop, "feeds", feedMain, feed);
 }
 
 /* The first row to tell to one that has a revision. */
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -46,23 +46,23 @@
 }
 
 /* Waits until a way is known. */
-static bool wayWait(Forwarder *forwarder, WaysTaken *taken, int64_t untilMs)
+static bool wayWait(Forwarder *forwarder, WaysTaken *taken, int64_t until_ms)
 {
     while (!waysTake(forwarder->ways, taken))
-        if (loopNowMs(forwarder->settings.loop) >= untilMs ||
-            !signalWait(forwarder->settings.loop, waysMoved(forwarder->ways), untilMs))
+        if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
+            !signal_wait(forwarder->settings.loop, waysMoved(forwarder->ways), until_ms))
             return waysTake(forwarder->ways, taken);
     return true;
 }
 
 /* Until when a request waits for a way. */
-static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t startMs, int64_t untilMs)
+static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t startMs, int64_t until_ms)
 {
     const int64_t lostMs = waysLostMs(forwarder->ways);
-    const int64_t fromMs = lostMs != INT64_MAX ? lostMs : loopNowMs(forwarder->settings.loop);
-    const int64_t waitMs =
+    const int64_t fromMs = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
+    const int64_t wait_ms =
         maybeTaken ? startMs + forwarder->settings.outcomeWaitMs : fromMs + forwarder->settings.leaderWaitMs;
-    return waitMs < untilMs ? waitMs : untilMs;
+    return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
 /* Another leader is found some 3 s after the last one was lost. */
@@ -71,7 +71,7 @@
     const int64_t lostMs = waysLostMs(forwarder->ways);
     if (lostMs == INT64_MAX)
         return RETRY_AFTER_S;
-    const int64_t leftMs = lostMs + ELECTION_MS - loopNowMs(forwarder->settings.loop);
+    const int64_t leftMs = lostMs + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
     return leftMs <= SECOND_MS ? RETRY_AFTER_S : (int)((leftMs + SECOND_MS - 1) / SECOND_MS);
 }
 
@@ -81,9 +81,9 @@
 {
     Loop *loop = one->forwarder->settings.loop;
     if (answer->status != STATUS_REPAIRING || !one->maybeTaken || one->repeat == REPEAT_NEVER ||
-        loopNowMs(loop) + REPAIR_REST_MS >= waysUntilMs(one->forwarder, true, one->startMs, one->untilMs))
+        loop_now_ms(loop) + REPAIR_REST_MS >= waysUntilMs(one->forwarder, true, one->startMs, one->until_ms))
         return false;
-    loopSleep(loop, REPAIR_REST_MS);
+    loop_sleep(loop, REPAIR_REST_MS);
     return true;
 }
 
@@ -92,8 +92,8 @@
 {
     if (attempt > 0 && (one->task->gone || (one->maybeTaken && one->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t untilMs = waysUntilMs(one->forwarder, one->maybeTaken, one->startMs, one->untilMs);
-    return wayWait(one->forwarder, taken, untilMs) && loopNowMs(one->forwarder->settings.loop) < one->untilMs;
+    const int64_t until_ms = waysUntilMs(one->forwarder, one->maybeTaken, one->startMs, one->until_ms);
+    return wayWait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
 }
 
 bool forwardAttempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer)
@@ -105,7 +105,7 @@
     for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attemptNext(one, attempt, &taken);) {
         bool unknown = false;
         ask->again = one->maybeTaken;
-        const Status status = attemptForward(forwarder, one->task, &taken, ask, one->untilMs, answer);
+        const Status status = attemptForward(forwarder, one->task, &taken, ask, one->until_ms, answer);
         if (status == STATUS_OK && !lostOnTheWay(answer, &unknown)) {
             if (repairAwaited(one, answer))
                 continue;
@@ -115,7 +115,7 @@
         attempt++;
         unknown |= status != STATUS_OK && !untaken(status);
         one->maybeTaken |= changes && unknown;
-        if (loopNowMs(loop) < one->untilMs || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
+        if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
             waysFailed(forwarder->ways, &taken);
     }
     return false;
@@ -127,7 +127,7 @@
     task->status = (Status)answer->status;
     task->kind = answer->kind;
     task->result = answer->body;
-    task->retryAfterS = (int)answer->retryAfterS;
+    task->retry_after_s = (int)answer->retry_after_s;
 }
 
 void forwardGiveUp(const Forwarding *one)
@@ -137,19 +137,19 @@
                     NULL);
     else
         showRefusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
-    one->task->retryAfterS = retryS(one->forwarder);
+    one->task->retry_after_s = retryS(one->forwarder);
 }
 
 void forwardRequest(Forwarder *forwarder, HttpTask *task)
 {
-    const int64_t startMs = loopNowMs(forwarder->settings.loop);
+    const int64_t startMs = loop_now_ms(forwarder->settings.loop);
     Forwarding one = {.forwarder = forwarder,
                       .task = task,
                       .repeat = forwardRepeat(task->method, task->path, task->query),
                       .startMs = startMs,
-                      .untilMs = startMs + FORWARD_DEADLINE_MS};
-    if (task->expiryMs != 0 && task->expiryMs - FORWARD_BACK_MS < one.untilMs)
-        one.untilMs = task->expiryMs - FORWARD_BACK_MS;
+                      .until_ms = startMs + FORWARD_DEADLINE_MS};
+    if (task->expiry_ms != 0 && task->expiry_ms - FORWARD_BACK_MS < one.until_ms)
+        one.until_ms = task->expiry_ms - FORWARD_BACK_MS;
     ForwardAsk ask = {
         .method = task->method, .path = task->path, .query = task->query, .body = task->body, .host = task->host};
     ForwardAnswer answer = {0};
@@ -171,11 +171,11 @@
     ForwardAsk onward = *ask;
     onward.relay = false;
     /* before the asker's own patience ends, so that it hears that this end lives */
-    const int64_t waitMs =
-        ask->waitMs > 0 && ask->waitMs < FORWARD_DEADLINE_MS ? (int64_t)ask->waitMs * 3 / 4 : FORWARD_DEADLINE_MS;
+    const int64_t wait_ms =
+        ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status =
         courierAskPeer(forwarder->settings.courier, mem, &(CourierTarget){taken.address, taken.peer, NULL},
-                       MESSAGE_FORWARD, &ForwardAskShape, &onward, waitMs, &ForwardAnswerShape, answer);
+                       MESSAGE_FORWARD, &ForwardAskShape, &onward, wait_ms, &ForwardAnswerShape, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
         waysFailed(forwarder->ways, &taken);
     return status;
@@ -190,8 +190,8 @@
 static void movedMain(void *arg)
 {
     Forwarder *forwarder = arg;
-    while (!loopStopping(forwarder->settings.loop)) {
-        signalWait(forwarder->settings.loop, waysMoved(forwarder->ways), INT64_MAX);
+    while (!loop_stopping(forwarder->settings.loop)) {
+        signal_wait(forwarder->settings.loop, waysMoved(forwarder->ways), INT64_MAX);
         attemptsWake(forwarder);
     }
 }
@@ -208,5 +208,5 @@
 void forwarderStart(Forwarder *forwarder)
 {
     waysStart(forwarder->ways);
-    loopSpawn(forwarder->settings.loop, "moved", movedMain, forwarder);
+    loop_spawn(forwarder->settings.loop, "moved", movedMain, forwarder);
 }
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -54,9 +54,9 @@
 
 static void forget(Keeper *keeper)
 {
-    const int64_t nowMs = loopNowMs(keeper->loop);
+    const int64_t now_ms = loop_now_ms(keeper->loop);
     while (keeper->first != NULL &&
-           (nowMs - keeper->first->at_ms > keeper->spanMs || keeper->bytes > KEEPER_BYTES_MAX)) {
+           (now_ms - keeper->first->at_ms > keeper->spanMs || keeper->bytes > KEEPER_BYTES_MAX)) {
         Kept *kept = keeper->first;
         keeper->first = kept->next;
         if (keeper->first == NULL)
@@ -75,7 +75,7 @@
         Kept *kept = talloc_zero(keeper, Kept);
         kept->item = items[i];
         kept->item.payload = bytes_copy(kept, items[i].payload);
-        kept->at_ms = loopNowMs(keeper->loop);
+        kept->at_ms = loop_now_ms(keeper->loop);
         g_hash_table_add(keeper->known, kept);
         if (keeper->last != NULL)
             keeper->last->next = kept;
--- a/packages/feed/src/limits.c
+++ b/packages/feed/src/limits.c
@@ -3,6 +3,6 @@
 void limitsServe(Loop *loop, const ConfigLimits *limits)
 {
     const HttpLimits told = {
-        .headBytes = (size_t)limits->headBytes, .headMs = limits->headMs, .idleMs = limits->idleMs};
-    loopServeLimits(loop, &told);
+        .head_bytes = (size_t)limits->head_bytes, .head_ms = limits->head_ms, .idle_ms = limits->idle_ms};
+    loop_serve_limits(loop, &told);
 }
--- a/packages/feed/src/order.c
+++ b/packages/feed/src/order.c
@@ -55,8 +55,8 @@
             query = talloc_asprintf_append(query, "%safter=%" PRId64, query[0] != '\0' ? "&" : "", stamp);
     }
     if (queryValue(task, task->query, "order") == NULL)
-        query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loopRandom(loop));
-    loopYield(loop); /* an end of its connection that came with it is seen */
+        query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loop_random(loop));
+    loop_yield(loop); /* an end of its connection that came with it is seen */
     if (task->gone) {
         showRefusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
         return false;
@@ -71,5 +71,5 @@
                 "there has been another order for this zone; nothing was taken: send it again if it still stands",
                 NULL);
     task->code = NOT_TAKEN_HTTP;
-    task->retryAfterS = RETRY_AFTER_S;
+    task->retry_after_s = RETRY_AFTER_S;
 }
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -24,10 +24,10 @@
 
 /* Whether its text may go on being handed over to the asker. */
 static bool sourceGood(const PieceSource *source, const Revisions *revisions, const FeedAsk *ask, uint64_t epoch,
-                       int64_t nowMs)
+                       int64_t now_ms)
 {
     return source->text != NULL && source->epoch == epoch && source->version > ask->textHave &&
-           nowMs - source->usedMs <= PIECE_TEXT_MS && rowOf(revisions, source->version) != NULL;
+           now_ms - source->usedMs <= PIECE_TEXT_MS && rowOf(revisions, source->version) != NULL;
 }
 
 static void sourceSet(PieceSource *source, const Revisions *revisions, uint64_t epoch)
@@ -39,11 +39,12 @@
     source->length = strlen(source->text);
 }
 
-void pieceAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t nowMs, FeedAnswer *answer)
+void pieceAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
+                 FeedAnswer *answer)
 {
-    if (!sourceGood(source, revisions, ask, answer->epoch, nowMs))
+    if (!sourceGood(source, revisions, ask, answer->epoch, now_ms))
         sourceSet(source, revisions, answer->epoch);
-    source->usedMs = nowMs;
+    source->usedMs = now_ms;
     const bool goesOn = ask->pieceOf == source->version && ask->pieceFrom <= source->length;
     const uint64_t from = goesOn ? ask->pieceFrom : 0;
     const uint64_t left = source->length - from;
@@ -62,9 +63,9 @@
                             .count = (size_t)(left < ask->pieceMost ? left : ask->pieceMost)};
 }
 
-void pieceRest(PieceSource *source, int64_t nowMs)
+void pieceRest(PieceSource *source, int64_t now_ms)
 {
-    if (source->text != NULL && nowMs - source->usedMs > PIECE_TEXT_MS)
+    if (source->text != NULL && now_ms - source->usedMs > PIECE_TEXT_MS)
         sourceDrop(source);
 }
 
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -43,10 +43,10 @@
                    .members = members,
                    .leads = leads,
                    .arg = arg,
-                   .lostMs = loopNowMs(loop),
+                   .lostMs = loop_now_ms(loop),
                    .heardMs = INT64_MIN,
                    .servedMs = INT64_MIN,
-                   .missedMs = loopNowMs(loop)};
+                   .missedMs = loop_now_ms(loop)};
     return ways;
 }
 
@@ -58,13 +58,13 @@
 static void moveOn(Ways *ways)
 {
     ways->turn++;
-    signalRaise(ways->loop, &ways->moved);
+    signal_raise(ways->loop, &ways->moved);
 }
 
 static void miss(Ways *ways)
 {
     if (ways->missedMs == INT64_MAX)
-        ways->missedMs = loopNowMs(ways->loop);
+        ways->missedMs = loop_now_ms(ways->loop);
 }
 
 /* The address of the nth way; false when there are fewer. */
@@ -85,7 +85,7 @@
         const Member *row = &table->rows[i];
         if (row->record.role != ROLE_CORE || row->record.leaving ||
             (leader != NULL && strcmp(row->record.address, leader) == 0) || strcmp(row->record.id, self->id) == 0 ||
-            memberQuiet(row, loopNowMs(ways->loop)) || --nth > 0)
+            memberQuiet(row, loop_now_ms(ways->loop)) || --nth > 0)
             continue;
         snprintf(taken->address, ADDRESS_MAX, "%s", row->record.address);
         taken->peer = memberPeer(&row->record);
@@ -94,14 +94,15 @@
     return false;
 }
 
-static Status ping(Ways *ways, const WaysTaken *taken, int64_t waitMs, bool *serves)
+static Status ping(Ways *ways, const WaysTaken *taken, int64_t wait_ms, bool *serves)
 {
     void *mem = talloc_new(ways);
     const ForwardAsk ask = {
-        .method = "GET", .path = "/readyz", .relay = taken->relay, .host = "", .waitMs = (uint64_t)waitMs};
+        .method = "GET", .path = "/readyz", .relay = taken->relay, .host = "", .wait_ms = (uint64_t)wait_ms};
     ForwardAnswer answer = {0};
-    const Status status = courierAskPeer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL},
-                                         MESSAGE_FORWARD, &ForwardAskShape, &ask, waitMs, &ForwardAnswerShape, &answer);
+    const Status status =
+        courierAskPeer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
+                       &ForwardAskShape, &ask, wait_ms, &ForwardAnswerShape, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
         membersMeet(ways->members, taken->address);
     else if (status != STATUS_OK)
@@ -124,7 +125,7 @@
 static bool lookOnce(Ways *ways)
 {
     WaysTaken taken;
-    const bool later = loopNowMs(ways->loop) - ways->lostMs >= WAYS_SOON_MS;
+    const bool later = loop_now_ms(ways->loop) - ways->lostMs >= WAYS_SOON_MS;
     for (size_t nth = 0;; nth++) {
         if (!wayAt(ways, nth, &taken)) {
             if (nth == 0)
@@ -159,15 +160,15 @@
 static void lookMain(void *arg)
 {
     Ways *ways = arg;
-    while (!loopStopping(ways->loop) && (ways->lostMs != INT64_MAX || ways->at > 0)) {
+    while (!loop_stopping(ways->loop) && (ways->lostMs != INT64_MAX || ways->at > 0)) {
         if (ways->lostMs == INT64_MAX) {
-            signalWait(ways->loop, &ways->moved, loopNowMs(ways->loop) + WAYS_BACK_MS);
+            signal_wait(ways->loop, &ways->moved, loop_now_ms(ways->loop) + WAYS_BACK_MS);
             if (ways->lostMs == INT64_MAX && ways->at > 0)
                 lookBack(ways);
         } else if (!lookOnce(ways) && ways->lostMs != INT64_MAX) {
-            const int64_t nowMs = loopNowMs(ways->loop);
-            const bool soon = nowMs - ways->lostMs < WAYS_SOON_MS;
-            signalWait(ways->loop, &ways->moved, nowMs + (soon ? WAYS_SOON_REST_MS : WAYS_REST_MS));
+            const int64_t now_ms = loop_now_ms(ways->loop);
+            const bool soon = now_ms - ways->lostMs < WAYS_SOON_MS;
+            signal_wait(ways->loop, &ways->moved, now_ms + (soon ? WAYS_SOON_REST_MS : WAYS_REST_MS));
         }
     }
     ways->looking = false;
@@ -178,7 +179,7 @@
     if (ways->looking)
         return;
     ways->looking = true;
-    loopSpawn(ways->loop, "look", lookMain, ways);
+    loop_spawn(ways->loop, "look", lookMain, ways);
 }
 
 /* --- the leader known ---------------------------------------------------------------- */
@@ -191,7 +192,7 @@
     ways->epoch = membersLeaderEpoch(ways->members);
     if (membersLeaderAddress(ways->members) == NULL) {
         if (ways->lostMs == INT64_MAX)
-            ways->lostMs = loopNowMs(ways->loop);
+            ways->lostMs = loop_now_ms(ways->loop);
         miss(ways);
         moveOn(ways);
         look(ways); /* its address may yet be told */
@@ -203,15 +204,15 @@
 static void leaderMain(void *arg)
 {
     Ways *ways = arg;
-    while (!loopStopping(ways->loop)) {
+    while (!loop_stopping(ways->loop)) {
         leaderNew(ways);
-        signalWait(ways->loop, membersLeaderSignal(ways->members), INT64_MAX);
+        signal_wait(ways->loop, membersLeaderSignal(ways->members), INT64_MAX);
     }
 }
 
 void waysStart(Ways *ways)
 {
-    loopSpawn(ways->loop, "ways", leaderMain, ways);
+    loop_spawn(ways->loop, "ways", leaderMain, ways);
 }
 
 /* --- in use ------------------------------------------------------------------------------ */
@@ -226,7 +227,7 @@
         return true;
     /* the core that carried on has gone, or this process has just lost the lead */
     if (ways->lostMs == INT64_MAX) {
-        ways->lostMs = loopNowMs(ways->loop);
+        ways->lostMs = loop_now_ms(ways->loop);
         moveOn(ways);
     }
     miss(ways);
@@ -263,7 +264,7 @@
 {
     if (taken->own || !waysCurrent(ways, taken))
         return;
-    ways->lostMs = loopNowMs(ways->loop);
+    ways->lostMs = loop_now_ms(ways->loop);
     miss(ways);
     moveOn(ways);
     look(ways);
@@ -273,7 +274,7 @@
 {
     if (!waysCurrent(ways, taken))
         return;
-    ways->heardMs = loopNowMs(ways->loop);
+    ways->heardMs = loop_now_ms(ways->loop);
     if (serves) {
         ways->servedMs = ways->heardMs;
         ways->missedMs = INT64_MAX;
@@ -297,5 +298,5 @@
 bool waysServe(const Ways *ways)
 {
     return ways->servedMs != INT64_MIN &&
-           (ways->missedMs == INT64_MAX || loopNowMs(ways->loop) - ways->missedMs <= WAYS_GRACE_MS);
+           (ways->missedMs == INT64_MAX || loop_now_ms(ways->loop) - ways->missedMs <= WAYS_GRACE_MS);
 }
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -23,7 +23,7 @@
     Revisions *revisions;
     PieceSource source;
     Pieces pieces;
-    int64_t nowMs;
+    int64_t now_ms;
     uint64_t epoch;
 } Hand;
 
@@ -55,9 +55,9 @@
 {
     FeedAsk ask = {.textHave = textHave, .wants = true, .pieceMost = MOST};
     FeedAnswer answer = {.epoch = hand->epoch};
-    hand->nowMs += 100;
+    hand->now_ms += 100;
     piecesAsk(pieces, &ask);
-    pieceAnswer(&hand->source, hand->revisions, &ask, hand->nowMs, &answer);
+    pieceAnswer(&hand->source, hand->revisions, &ask, hand->now_ms, &answer);
     assert_true(answer.piece.count <= MOST);
     return piecesTake(hand, pieces, &answer, set);
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -67,7 +67,7 @@
         return false;
     HttpTask *ask = talloc(task, HttpTask);
     *ask = (HttpTask){
-        .loop = gate->loop, .method = "GET", .path = "/readyz", .query = "", .host = "", .expiryMs = task->expiryMs};
+        .loop = gate->loop, .method = "GET", .path = "/readyz", .query = "", .host = "", .expiry_ms = task->expiry_ms};
     forwardRequest(gate->forwarder, ask);
     const Member *member = membersFind(gate->members, membersLeaderId(gate->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
@@ -82,11 +82,11 @@
     task->status = ask->status;
     task->kind = ask->kind;
     task->result = ask->result;
-    task->retryAfterS = ask->retryAfterS;
+    task->retry_after_s = ask->retry_after_s;
     return true;
 }
 
-static void onHttp(void *arg, HttpTask *task)
+static void on_http(void *arg, HttpTask *task)
 {
     gateTake(arg, task);
 }
@@ -137,7 +137,7 @@
     gate->keeper = keeperNew(gate, loop, props->bounds.retellMs);
     Status status = courierListen(gate->courier, props->listen, gate->address, failure);
     if (status == STATUS_OK)
-        status = loopServe(loop, props->http, onHttp, gate, gate->http, failure);
+        status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {.id = props->name,
@@ -146,7 +146,7 @@
                                .zone = props->zone,
                                .address = gate->address,
                                .http = gate->http,
-                               .incarnation = (uint64_t)loopWallMs(loop)};
+                               .incarnation = (uint64_t)loop_wall_ms(loop)};
     gate->members = membersNew(gate, loop, gate->courier, ring, &self, props->seeds);
     gate->trace = traceNew(gate, loop, gate->courier, gate->members, props->name);
     gate->forwarder = forwarderNew(gate, &(ForwarderSettings){.loop = loop,
@@ -170,14 +170,14 @@
 
 void gateDrain(Gate *gate)
 {
-    const int64_t nowMs = loopNowMs(gate->loop);
+    const int64_t now_ms = loop_now_ms(gate->loop);
     gate->leaving = true;
-    loopServeLeave(gate->loop);
+    loop_serve_leave(gate->loop);
     membersSetLeaving(gate->members);
     /* requests are taken on until the last moment: none that was read is cut */
-    loopSleep(gate->loop, gate->unreadyMs);
-    while (loopServeBusy(gate->loop) > 0 && loopNowMs(gate->loop) < nowMs + gate->graceMs - DRAIN_MARGIN_MS)
-        loopSleep(gate->loop, DRAIN_LOOK_MS);
+    loop_sleep(gate->loop, gate->unreadyMs);
+    while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->graceMs - DRAIN_MARGIN_MS)
+        loop_sleep(gate->loop, DRAIN_LOOK_MS);
 }
 
 const char *gateHttpAddress(const Gate *gate)
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -36,7 +36,7 @@
     Journal *journal = arg;
     for (;;) {
         while (journal->first == NULL)
-            signalWait(journal->loop, &journal->asked, INT64_MAX);
+            signal_wait(journal->loop, &journal->asked, INT64_MAX);
         /* all that is queued shares a sync; a rewrite goes alone */
         void *mem = talloc_new(journal);
         Waiting *batch = journal->first;
@@ -57,10 +57,10 @@
         batchLast->next = NULL;
         Status status = STATUS_DISK_FAILED;
         if (!journal->failed || rewrite) { /* a new file stands for all that the old one should hold */
-            const int64_t startMs = loopNowMs(journal->loop);
+            const int64_t startMs = loop_now_ms(journal->loop);
             journal->syncSinceMs = startMs;
             if (rewrite) {
-                status = fileReplace(journal->file, body);
+                status = file_replace(journal->file, body);
                 journal->counts.rewrites++;
                 if (status == STATUS_OK)
                     journal->counts.bytes = body.count;
@@ -69,14 +69,14 @@
             } else {
                 Bytes block = {0};
                 blockAdd(mem, &block, body);
-                status = fileAppend(journal->file, block);
+                status = file_append(journal->file, block);
                 if (status == STATUS_OK)
                     journal->counts.bytes += block.count;
                 journal->counts.syncs++;
             }
             journal->syncSinceMs = INT64_MAX;
             journal->counts.records += records;
-            journal->counts.lastSyncMs = loopNowMs(journal->loop) - startMs;
+            journal->counts.lastSyncMs = loop_now_ms(journal->loop) - startMs;
             if (journal->counts.lastSyncMs > journal->counts.worstSyncMs)
                 journal->counts.worstSyncMs = journal->counts.lastSyncMs;
             journal->failed = status != STATUS_OK;
@@ -85,7 +85,7 @@
             Waiting *next = batch->next;
             batch->done = true;
             batch->status = status;
-            signalRaise(journal->loop, &batch->ended);
+            signal_raise(journal->loop, &batch->ended);
             batch = next;
         }
         talloc_free(mem);
@@ -103,9 +103,9 @@
     else
         journal->first = waiting;
     journal->last = waiting;
-    signalRaise(journal->loop, &journal->asked);
+    signal_raise(journal->loop, &journal->asked);
     while (!waiting->done)
-        signalWait(journal->loop, &waiting->ended, INT64_MAX);
+        signal_wait(journal->loop, &waiting->ended, INT64_MAX);
     const Status status = waiting->status;
     talloc_free(waiting);
     return status;
@@ -191,25 +191,25 @@
     journal->nodeName = talloc_strdup(journal, nodeName);
     journal->syncSinceMs = INT64_MAX;
     *out = journal;
-    return fileOpen(loop, journal, path, &journal->file, failure);
+    return file_open(loop, journal, path, &journal->file, failure);
 }
 
 /* Waits. A disk that refuses writes is tried again for a moment. */
 static Status replaceTry(Journal *journal, Bytes content)
 {
-    const int64_t untilMs = loopNowMs(journal->loop) + JOURNAL_OPEN_MS;
+    const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
-    while ((status = fileReplace(journal->file, content)) != STATUS_OK && loopNowMs(journal->loop) < untilMs)
-        loopSleep(journal->loop, DISK_MEND_MS);
+    while ((status = file_replace(journal->file, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
+        loop_sleep(journal->loop, DISK_MEND_MS);
     return status;
 }
 
 static Status readTry(Journal *journal, void *mem, Bytes *content)
 {
-    const int64_t untilMs = loopNowMs(journal->loop) + JOURNAL_OPEN_MS;
+    const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
-    while ((status = fileRead(journal->file, mem, content)) != STATUS_OK && loopNowMs(journal->loop) < untilMs)
-        loopSleep(journal->loop, DISK_MEND_MS);
+    while ((status = file_read(journal->file, mem, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
+        loop_sleep(journal->loop, DISK_MEND_MS);
     return status;
 }
 
@@ -244,7 +244,7 @@
 {
     void *mem = talloc_new(journal);
     Bytes body = {0}, block = {0};
-    journal->disk = loopRandom(journal->loop) >> 1;
+    journal->disk = loop_random(journal->loop) >> 1;
     const Record first = identity(journal);
     recordAdd(mem, &body, &first);
     blockAdd(mem, &block, body);
@@ -267,7 +267,7 @@
         status = identityWrite(journal, path, failure);
     if (status != STATUS_OK)
         return status;
-    loopSpawn(loop, "journal", writerMain, journal);
+    loop_spawn(loop, "journal", writerMain, journal);
     *out = journal;
     return STATUS_OK;
 }
@@ -279,8 +279,8 @@
     Bytes content = {0};
     File *beside;
     if (readTry(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
-        fileOpen(journal->loop, journal, talloc_asprintf(mem, "%s.bad", path), &beside, NULL) == STATUS_OK)
-        (void)fileReplace(beside, content);
+        file_open(journal->loop, journal, talloc_asprintf(mem, "%s.bad", path), &beside, NULL) == STATUS_OK)
+        (void)file_replace(beside, content);
     talloc_free(mem);
 }
 
@@ -295,7 +295,7 @@
     status = identityWrite(journal, path, failure);
     if (status != STATUS_OK)
         return status;
-    loopSpawn(loop, "journal", writerMain, journal);
+    loop_spawn(loop, "journal", writerMain, journal);
     *out = journal;
     return STATUS_OK;
 }
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -58,7 +58,7 @@
 {
     Seen *seen = arg;
     seen->loop = loop;
-    loopSpawn(loop, "open", openMain, seen);
+    loop_spawn(loop, "open", openMain, seen);
 }
 
 static Seen run(SimWorld *world, int machine, const char *node, size_t writes, bool rewrite)
@@ -198,7 +198,7 @@
 static void beginStart(void *arg, Loop *loop)
 {
     ((Seen *)arg)->loop = loop;
-    loopSpawn(loop, "begin", beginMain, arg);
+    loop_spawn(loop, "begin", beginMain, arg);
 }
 
 /* Some other file, and one that lost its beginning: refused, never taken for an empty disk.
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -38,12 +38,12 @@
 } LockSeat;
 
 /* Whether epoch may be promised to holder now. */
-Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs);
+Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
 void lockPromise(LockSeat *seat, uint64_t epoch, uint64_t holder);
 /* Lets the hold run on from now; OLD_EPOCH or OTHER_HOLDER when it is not the promised one. */
-Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs);
-void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs);
-bool lockHeld(const LockSeat *seat, int64_t nowMs);
+Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+bool lockHeld(const LockSeat *seat, int64_t now_ms);
 
 /* The holder's half.
  * Invariants: sentMs[i] is when the last question that the seat at place i answered
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -2,13 +2,13 @@
 
 #include "base/constants.h"
 
-Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs)
+Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch <= seat->promised)
         return STATUS_OLD_EPOCH;
-    if (nowMs < seat->notBeforeMs && !(seat->sure && seat->holder == holder))
+    if (now_ms < seat->notBeforeMs && !(seat->sure && seat->holder == holder))
         return STATUS_WOKEN;
-    if (seat->holder != holder && lockHeld(seat, nowMs))
+    if (seat->holder != holder && lockHeld(seat, now_ms))
         return STATUS_OTHER_HOLDER;
     return STATUS_OK;
 }
@@ -19,29 +19,29 @@
     seat->holder = holder;
 }
 
-Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs)
+Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch != seat->promised || epoch == seat->released)
         return STATUS_OLD_EPOCH;
     if (holder != seat->holder)
         return STATUS_OTHER_HOLDER;
-    seat->holdUntilMs = nowMs + LOCK_HOLD_MS;
+    seat->holdUntilMs = now_ms + LOCK_HOLD_MS;
     return STATUS_OK;
 }
 
-void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t nowMs)
+void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch != seat->promised || holder != seat->holder)
         return;
-    seat->holdUntilMs = nowMs;
+    seat->holdUntilMs = now_ms;
     seat->released = epoch;
-    if (seat->sure && seat->notBeforeMs > nowMs)
-        seat->notBeforeMs = nowMs;
+    if (seat->sure && seat->notBeforeMs > now_ms)
+        seat->notBeforeMs = now_ms;
 }
 
-bool lockHeld(const LockSeat *seat, int64_t nowMs)
+bool lockHeld(const LockSeat *seat, int64_t now_ms)
 {
-    return seat->holder != 0 && nowMs < seat->holdUntilMs;
+    return seat->holder != 0 && now_ms < seat->holdUntilMs;
 }
 
 void lockHoldClear(LockHold *hold)
--- a/packages/loop/include/loop/inside.h
+++ b/packages/loop/include/loop/inside.h
@@ -7,25 +7,25 @@
 
 /* One sleeping task. A timer whose turn is not its task's turn is stale. */
 typedef struct Timer {
-    int64_t whenMs;
+    int64_t when_ms;
     uint64_t order;
     Task *task;
     uint64_t turn;
 } Timer;
 
 /* Invariant: ready holds each task at most once; timers is a heap by
- * (whenMs, order); all tasks ever spawned and not yet ended are on tasks. */
+ * (when_ms, order); all tasks ever spawned and not yet ended are on tasks. */
 struct Loop {
     const LoopOps *ops;
     bool stopping;
     Task *current; /* the task that runs now, or NULL */
     Task *tasks;
-    Task *readyFirst, *readyLast;
+    Task *ready_first, *ready_last;
     Timer *timers;
-    size_t timerCount, timerRoom;
-    uint64_t timerOrder;
+    size_t timer_count, timer_room;
+    uint64_t timer_order;
     void *stacks[TASK_STACKS_KEPT]; /* of ended tasks, to be used again */
-    size_t stackCount;
+    size_t stack_count;
 };
 
 typedef struct Frame {
@@ -40,7 +40,7 @@
     bool closed;
     Signal arrived;
     Frame *first, *last;
-    size_t frameCount;
+    size_t frame_count;
     uint64_t queued, handed;
 };
 
@@ -48,15 +48,15 @@
     Loop *loop;
 };
 
-void loopInit(Loop *loop, const LoopOps *ops);
+void loop_init(Loop *loop, const LoopOps *ops);
 /* Ends every task without running it; what they held is on talloc memory. */
-void loopEnd(Loop *loop);
+void loop_end(Loop *loop);
 /* Runs all that is due. */
-void loopRun(Loop *loop);
-/* When loopRun has next to be called; INT64_MAX for never. */
-int64_t loopNextMs(Loop *loop);
+void loop_run(Loop *loop);
+/* When loop_run has next to be called; INT64_MAX for never. */
+int64_t loop_next_ms(Loop *loop);
 
-void channelArrive(Channel *channel, Bytes frame);
-void channelEnd(Channel *channel);
+void channel_arrive(Channel *channel, Bytes frame);
+void channel_end(Channel *channel);
 
 #endif
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -16,7 +16,7 @@
  *  - it runs in tasks; a task gives way only inside calls that say "waits";
  *  - across a wait a task holds nothing but talloc memory, so that the
  *    simulator can end a node anywhere;
- *  - nowMs never goes back and knows nothing of wall time. */
+ *  - now_ms never goes back and knows nothing of wall time. */
 typedef struct Loop Loop;
 typedef struct Task Task;
 typedef struct Channel Channel;
@@ -32,13 +32,13 @@
 typedef void (*HttpFn)(void *arg, HttpTask *task);
 
 typedef struct LoopOps {
-    int64_t (*nowMs)(const Loop *loop);
-    int64_t (*wallMs)(const Loop *loop);
+    int64_t (*now_ms)(const Loop *loop);
+    int64_t (*wall_ms)(const Loop *loop);
     uint64_t (*random)(Loop *loop);
-    /* The loop has something to do at whenMs at the latest. */
-    void (*arm)(Loop *loop, int64_t whenMs);
+    /* The loop has something to do at when_ms at the latest. */
+    void (*arm)(Loop *loop, int64_t when_ms);
     Status (*listen)(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
-    Status (*open)(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel);
+    Status (*open)(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
     Status (*send)(Channel *channel, Bytes frame);
     void (*shut)(Channel *channel);
     Status (*serve)(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
@@ -46,26 +46,26 @@
     void (*leave)(Loop *loop);
     size_t (*busy)(const Loop *loop);
     Status (*call)(Loop *loop, HttpCall *call);
-    Status (*fileOpen)(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
-    Status (*fileRead)(File *file, void *mem, Bytes *content);
-    Status (*fileAppend)(File *file, Bytes bytes);
-    Status (*fileReplace)(File *file, Bytes bytes);
+    Status (*file_open)(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
+    Status (*file_read)(File *file, void *mem, Bytes *content);
+    Status (*file_append)(File *file, Bytes bytes);
+    Status (*file_replace)(File *file, Bytes bytes);
 } LoopOps;
 
 #define ADDRESS_MAX 64 /* bytes; "255.255.255.255:65535" with room to spare */
 
 /* --- clock and tasks ----------------------------------------------------- */
-int64_t loopNowMs(const Loop *loop);
-int64_t loopWallMs(const Loop *loop);
-uint64_t loopRandom(Loop *loop);
-void loopSpawn(Loop *loop, const char *name, TaskFn fn, void *arg);
+int64_t loop_now_ms(const Loop *loop);
+int64_t loop_wall_ms(const Loop *loop);
+uint64_t loop_random(Loop *loop);
+void loop_spawn(Loop *loop, const char *name, TaskFn fn, void *arg);
 /* Waits. */
-void loopSleep(Loop *loop, int64_t waitMs);
+void loop_sleep(Loop *loop, int64_t wait_ms);
 /* Waits for one turn of the loop. */
-void loopYield(Loop *loop);
+void loop_yield(Loop *loop);
 /* No new work is begun after this; tasks see it and end. */
-void loopStop(Loop *loop);
-bool loopStopping(const Loop *loop);
+void loop_stop(Loop *loop);
+bool loop_stopping(const Loop *loop);
 
 /* --- signals ---------------------------------------------------------------- */
 /* Something to wait for. Invariant: a task is on at most one signal's list. */
@@ -74,35 +74,35 @@
     Task *last;
 } Signal;
 
-/* Waits until the signal is raised (true) or untilMs has come (false). */
-bool signalWait(Loop *loop, Signal *signal, int64_t untilMs);
-void signalRaise(Loop *loop, Signal *signal);
+/* Waits until the signal is raised (true) or until_ms has come (false). */
+bool signal_wait(Loop *loop, Signal *signal, int64_t until_ms);
+void signal_raise(Loop *loop, Signal *signal);
 
 /* --- connections: whole frames, in order, until one side or the net breaks --- */
-Status loopListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
-/* Waits. The channel lives on mem until channelClose. */
-Status loopOpen(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel);
+Status loop_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
+/* Waits. The channel lives on mem until channel_close. */
+Status loop_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 /* Takes a copy; never waits. */
-Status channelSend(Channel *channel, Bytes frame);
+Status channel_send(Channel *channel, Bytes frame);
 /* How far a channel has been told to send, and whether what was told up to then has
  * certainly not left whole: nobody can have taken the last frame of it. */
-uint64_t channelQueued(const Channel *channel);
-bool channelUnsent(const Channel *channel, uint64_t upTo);
-/* Waits for a frame. EXPIRED when untilMs has come, CLOSED after the end. */
-Status channelReceive(Channel *channel, void *mem, int64_t untilMs, Bytes *frame);
-/* Ends the connection, wakes its reader; the reader frees it by channelClose. */
-void channelShut(Channel *channel);
-void channelClose(Channel *channel);
+uint64_t channel_queued(const Channel *channel);
+bool channel_unsent(const Channel *channel, uint64_t up_to);
+/* Waits for a frame. EXPIRED when until_ms has come, CLOSED after the end. */
+Status channel_receive(Channel *channel, void *mem, int64_t until_ms, Bytes *frame);
+/* Ends the connection, wakes its reader; the reader frees it by channel_close. */
+void channel_shut(Channel *channel);
+void channel_close(Channel *channel);
 
 /* --- disk ------------------------------------------------------------------------ */
-Status fileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
+Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
 /* Waits. What it gives is synced: it outlasts a loss of power, also where the process that
  * wrote it ended before its own sync. */
-Status fileRead(File *file, void *mem, Bytes *content);
+Status file_read(File *file, void *mem, Bytes *content);
 /* Waits until the bytes are synced. One call at a time for each file. */
-Status fileAppend(File *file, Bytes bytes);
+Status file_append(File *file, Bytes bytes);
 /* Waits: new file, sync, rename, sync of the folder. */
-Status fileReplace(File *file, Bytes bytes);
+Status file_replace(File *file, Bytes bytes);
 
 /* --- HTTP --------------------------------------------------------------------------- */
 typedef struct HttpPair {
@@ -118,31 +118,31 @@
     const char *query;     /* "" when there is none */
     const char *host;      /* whom it was meant for: lower case, without a port; "" when it says nothing */
     const HttpPair *heads; /* all headers of the request, their names in lower case */
-    size_t headCount;
+    size_t head_count;
     Bytes body;
-    int64_t expiryMs; /* own clock; nobody waits for the result after this; 0: none is known */
-    bool again;       /* it was carried to another leader before, whose answer was lost */
-    bool gone;        /* the caller has left; a result would go nowhere */
+    int64_t expiry_ms; /* own clock; nobody waits for the result after this; 0: none is known */
+    bool again;        /* it was carried to another leader before, whose answer was lost */
+    bool gone;         /* the caller has left; a result would go nowhere */
     /* the result */
     int code;
     Status status;    /* why it was refused; OK otherwise */
     const char *kind; /* content type */
     Bytes result;
-    int retryAfterS;       /* told when above 0 */
+    int retry_after_s;     /* told when above 0 */
     const HttpPair *tells; /* further headers of the result */
-    size_t tellCount;
+    size_t tell_count;
 };
 
 /* The value of a header, by its name in lower case; null when it is not there. */
-const char *httpHead(const HttpTask *task, const char *name);
+const char *http_head(const HttpTask *task, const char *name);
 /* Whom a Host header names: lower case, without a port; "" for null. On mem. */
-const char *httpHost(void *mem, const char *text);
+const char *http_host(void *mem, const char *text);
 
 /* Bounds on callers; 0: the default. */
 struct HttpLimits {
-    size_t headBytes, bodyBytes; /* of one request; more is refused */
-    int64_t headMs;              /* a request's head is whole within this, or its connection is closed */
-    int64_t idleMs;              /* a connection without a request is closed after this */
+    size_t head_bytes, body_bytes; /* of one request; more is refused */
+    int64_t head_ms;               /* a request's head is whole within this, or its connection is closed */
+    int64_t idle_ms;               /* a connection without a request is closed after this */
 };
 
 /* A request of ours. */
@@ -152,15 +152,15 @@
     const char *method;
     const char *path; /* with the query */
     Bytes body;
-    int64_t waitMs;
+    int64_t wait_ms;
     const HttpPair *heads; /* further headers of the request; "host" in place of the address */
-    size_t headCount;
+    size_t head_count;
     /* the result */
     int code;
     Bytes result;
-    int retryAfterS;
+    int retry_after_s;
     const HttpPair *tells; /* all headers of the result, their names in lower case; on mem */
-    size_t tellCount;
+    size_t tell_count;
     bool sent; /* false: certainly not taken by anybody */
     /* set while the call waits */
     Signal *waiting;
@@ -168,16 +168,16 @@
 };
 
 /* For any number of addresses, each with a function of its own. */
-Status loopServe(Loop *loop, const char *address, HttpFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
+Status loop_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
 /* For all addresses, from the next request on; may be told at any time. */
-void loopServeLimits(Loop *loop, const HttpLimits *limits);
+void loop_serve_limits(Loop *loop, const HttpLimits *limits);
 /* From now on each caller's connection is closed after its next result. */
-void loopServeLeave(Loop *loop);
+void loop_serve_leave(Loop *loop);
 /* Requests that have begun to come in and whose result has not gone out. */
-size_t loopServeBusy(const Loop *loop);
+size_t loop_serve_busy(const Loop *loop);
 /* Waits. OK when any result came. */
-Status loopCall(Loop *loop, HttpCall *call);
+Status loop_call(Loop *loop, HttpCall *call);
 /* Gives a call up from another task: it ends CLOSED and its result is dropped. */
-void loopCallCut(Loop *loop, HttpCall *call);
+void loop_call_cut(Loop *loop, HttpCall *call);
 
 #endif
--- a/packages/loop/src/channel.c
+++ b/packages/loop/src/channel.c
@@ -3,7 +3,7 @@
 
 #include "loop/inside.h"
 
-void channelArrive(Channel *channel, Bytes bytes)
+void channel_arrive(Channel *channel, Bytes bytes)
 {
     if (channel->closed)
         return;
@@ -14,17 +14,17 @@
     else
         channel->first = frame;
     channel->last = frame;
-    channel->frameCount++;
-    signalRaise(channel->loop, &channel->arrived);
+    channel->frame_count++;
+    signal_raise(channel->loop, &channel->arrived);
 }
 
-void channelEnd(Channel *channel)
+void channel_end(Channel *channel)
 {
     channel->closed = true;
-    signalRaise(channel->loop, &channel->arrived);
+    signal_raise(channel->loop, &channel->arrived);
 }
 
-Status channelReceive(Channel *channel, void *mem, int64_t untilMs, Bytes *out)
+Status channel_receive(Channel *channel, void *mem, int64_t until_ms, Bytes *out)
 {
     for (;;) {
         Frame *frame = channel->first;
@@ -32,7 +32,7 @@
             channel->first = frame->next;
             if (channel->first == NULL)
                 channel->last = NULL;
-            channel->frameCount--;
+            channel->frame_count--;
             *out = frame->bytes;
             talloc_steal(mem, frame->bytes.data);
             talloc_free(frame);
@@ -40,66 +40,66 @@
         }
         if (channel->closed)
             return STATUS_CLOSED;
-        if (!signalWait(channel->loop, &channel->arrived, untilMs))
+        if (!signal_wait(channel->loop, &channel->arrived, until_ms))
             return STATUS_EXPIRED;
     }
 }
 
-Status channelSend(Channel *channel, Bytes frame)
+Status channel_send(Channel *channel, Bytes frame)
 {
     return channel->closed ? STATUS_CLOSED : channel->loop->ops->send(channel, frame);
 }
 
-uint64_t channelQueued(const Channel *channel)
+uint64_t channel_queued(const Channel *channel)
 {
     return channel->queued;
 }
 
-bool channelUnsent(const Channel *channel, uint64_t upTo)
+bool channel_unsent(const Channel *channel, uint64_t up_to)
 {
-    return channel->handed < upTo;
+    return channel->handed < up_to;
 }
 
-void channelShut(Channel *channel)
+void channel_shut(Channel *channel)
 {
     if (channel->closed)
         return;
     channel->loop->ops->shut(channel);
-    channelEnd(channel);
+    channel_end(channel);
 }
 
-void channelClose(Channel *channel)
+void channel_close(Channel *channel)
 {
-    channelShut(channel);
+    channel_shut(channel);
     talloc_free(channel);
 }
 
-Status loopListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure)
+Status loop_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure)
 {
     return loop->ops->listen(loop, address, fn, arg, bound, failure);
 }
 
-Status loopOpen(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel)
+Status loop_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
 {
-    return loop->ops->open(loop, mem, address, waitMs, channel);
+    return loop->ops->open(loop, mem, address, wait_ms, channel);
 }
 
-Status fileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
+Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
 {
-    return loop->ops->fileOpen(loop, mem, path, file, failure);
+    return loop->ops->file_open(loop, mem, path, file, failure);
 }
 
-Status fileRead(File *file, void *mem, Bytes *content)
+Status file_read(File *file, void *mem, Bytes *content)
 {
-    return file->loop->ops->fileRead(file, mem, content);
+    return file->loop->ops->file_read(file, mem, content);
 }
 
-Status fileAppend(File *file, Bytes bytes)
+Status file_append(File *file, Bytes bytes)
 {
-    return file->loop->ops->fileAppend(file, bytes);
+    return file->loop->ops->file_append(file, bytes);
 }
 
-Status fileReplace(File *file, Bytes bytes)
+Status file_replace(File *file, Bytes bytes)
 {
-    return file->loop->ops->fileReplace(file, bytes);
+    return file->loop->ops->file_replace(file, bytes);
 }
--- a/packages/loop/src/fiber.h
+++ b/packages/loop/src/fiber.h
@@ -14,7 +14,7 @@
 
 /* NOLINTBEGIN: the names are the library's */
 FiberTurn jump_fcontext(FiberPlace to, void *data);
-FiberPlace make_fcontext(void *stackTop, size_t size, void (*fn)(FiberTurn));
+FiberPlace make_fcontext(void *stack_top, size_t size, void (*fn)(FiberTurn));
 /* NOLINTEND */
 
 #endif
--- a/packages/loop/src/http.c
+++ b/packages/loop/src/http.c
@@ -3,53 +3,53 @@
 
 #include "loop/inside.h"
 
-Status loopServe(Loop *loop, const char *address, HttpFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure)
+Status loop_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure)
 {
     return loop->ops->serve(loop, address, fn, arg, bound, failure);
 }
 
-void loopServeLimits(Loop *loop, const HttpLimits *limits)
+void loop_serve_limits(Loop *loop, const HttpLimits *limits)
 {
     loop->ops->limit(loop, limits);
 }
 
-void loopServeLeave(Loop *loop)
+void loop_serve_leave(Loop *loop)
 {
     loop->ops->leave(loop);
 }
 
-size_t loopServeBusy(const Loop *loop)
+size_t loop_serve_busy(const Loop *loop)
 {
     return loop->ops->busy(loop);
 }
 
-Status loopCall(Loop *loop, HttpCall *call)
+Status loop_call(Loop *loop, HttpCall *call)
 {
-    call->code = call->retryAfterS = 0;
+    call->code = call->retry_after_s = 0;
     call->tells = NULL;
-    call->tellCount = 0;
+    call->tell_count = 0;
     call->sent = call->cut = false;
     const Status status = loop->ops->call(loop, call);
     call->waiting = NULL;
     return status;
 }
 
-void loopCallCut(Loop *loop, HttpCall *call)
+void loop_call_cut(Loop *loop, HttpCall *call)
 {
     call->cut = true;
     if (call->waiting != NULL)
-        signalRaise(loop, call->waiting);
+        signal_raise(loop, call->waiting);
 }
 
-const char *httpHead(const HttpTask *task, const char *name)
+const char *http_head(const HttpTask *task, const char *name)
 {
-    for (size_t i = 0; i < task->headCount; i++)
+    for (size_t i = 0; i < task->head_count; i++)
         if (strcmp(task->heads[i].name, name) == 0)
             return task->heads[i].value;
     return NULL;
 }
 
-const char *httpHost(void *mem, const char *text)
+const char *http_host(void *mem, const char *text)
 {
     if (text == NULL)
         return "";
--- a/packages/loop/src/real.c
+++ b/packages/loop/src/real.c
@@ -14,26 +14,26 @@
 #include <time.h>
 #include <unistd.h>
 
-static int64_t clockMs(clockid_t clock)
+static int64_t clock_ms(clockid_t clock)
 {
     struct timespec at;
     clock_gettime(clock, &at);
     return (int64_t)at.tv_sec * 1000 + at.tv_nsec / 1000000;
 }
 
-static int64_t realNowMs(const Loop *loop)
+static int64_t real_now_ms(const Loop *loop)
 {
     (void)loop;
-    return clockMs(CLOCK_BOOTTIME);
+    return clock_ms(CLOCK_BOOTTIME);
 }
 
-static int64_t realWallMs(const Loop *loop)
+static int64_t real_wall_ms(const Loop *loop)
 {
     (void)loop;
-    return clockMs(CLOCK_REALTIME);
+    return clock_ms(CLOCK_REALTIME);
 }
 
-static uint64_t realRandom(Loop *loop)
+static uint64_t real_random(Loop *loop)
 {
     GRand *draw = ((RealLoop *)loop)->draw;
     const uint64_t high = g_rand_int(draw);
@@ -41,7 +41,7 @@
 }
 
 /* Names of disks and clusters are drawn: no two processes may begin alike. */
-static GRand *drawNew(void)
+static GRand *draw_new(void)
 {
     guint32 seed[16];
     if (getrandom(seed, sizeof(seed), 0) != (ssize_t)sizeof(seed))
@@ -49,19 +49,20 @@
     return g_rand_new_with_seed_array(seed, sizeof(seed) / sizeof(seed[0]));
 }
 
-static void realArm(Loop *loop, int64_t whenMs)
+static void real_arm(Loop *loop, int64_t when_ms)
 {
-    /* realLoopRun asks loopNextMs before each turn */
+    /* real_loop_run asks loop_next_ms before each turn */
     (void)loop;
-    (void)whenMs;
+    (void)when_ms;
 }
 
 static const LoopOps REAL_OPS = {
-    realNowMs, realWallMs, realRandom, realArm,  realListen,   realOpen,     realSend,       realShut,        realServe,
-    realLimit, realLeave,  realBusy,   realCall, realFileOpen, realFileRead, realFileAppend, realFileReplace,
+    real_now_ms, real_wall_ms,   real_random,    real_arm,         real_listen,       real_open,
+    real_send,   real_shut,      real_serve,     real_limit,       real_leave,        real_busy,
+    real_call,   real_file_open, real_file_read, real_file_append, real_file_replace,
 };
 
-bool realAddress(const char *address, struct sockaddr_in *sin)
+bool real_address(const char *address, struct sockaddr_in *sin)
 {
     char host[ADDRESS_MAX];
     const char *colon = strrchr(address, ':');
@@ -79,17 +80,17 @@
     return inet_pton(AF_INET, host, &sin->sin_addr) == 1;
 }
 
-bool realAddressValid(const char *address)
+bool real_address_valid(const char *address)
 {
     struct sockaddr_in sin;
-    return realAddress(address, &sin);
+    return real_address(address, &sin);
 }
 
-h2o_socket_t *realBind(RealLoop *real, const char *address, h2o_socket_cb onAccept, void *data, char *bound,
-                       Failure *failure)
+h2o_socket_t *real_bind(RealLoop *real, const char *address, h2o_socket_cb on_accept, void *data, char *bound,
+                        Failure *failure)
 {
     struct sockaddr_in sin;
-    if (!realAddress(address, &sin)) {
+    if (!real_address(address, &sin)) {
         failure_set(failure, STATUS_BAD_PROPS, "%s is not an IP address with a port", address);
         return NULL;
     }
@@ -102,7 +103,7 @@
             close(fd);
         return NULL;
     }
-    realPatience(fd);
+    real_patience(fd);
     socklen_t size = sizeof(sin);
     getsockname(fd, (struct sockaddr *)&sin, &size);
     char host[INET_ADDRSTRLEN];
@@ -110,38 +111,38 @@
     snprintf(bound, ADDRESS_MAX, "%s:%u", host, (unsigned)ntohs(sin.sin_port));
     h2o_socket_t *sock = h2o_evloop_socket_create(real->evloop, fd, H2O_SOCKET_FLAG_DONT_READ);
     sock->data = data;
-    h2o_socket_read_start(sock, onAccept);
+    h2o_socket_read_start(sock, on_accept);
     return sock;
 }
 
-void realPatience(int fd)
+void real_patience(int fd)
 {
-    const int on = 1, idleS = LINE_QUIET_S, betweenS = LINE_PROBE_S, probes = LINE_PROBES;
-    const unsigned unheardMs = LINE_UNHEARD_MS;
+    const int on = 1, idle_s = LINE_QUIET_S, between_s = LINE_PROBE_S, probes = LINE_PROBES;
+    const unsigned unheard_ms = LINE_UNHEARD_MS;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
-    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unheardMs, sizeof(unheardMs));
+    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unheard_ms, sizeof(unheard_ms));
     setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-    setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idleS, sizeof(idleS));
-    setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &betweenS, sizeof(betweenS));
+    setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
+    setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &between_s, sizeof(between_s));
     setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
 }
 
-Loop *realLoopNew(void *mem)
+Loop *real_loop_new(void *mem)
 {
     RealLoop *real = talloc_zero(mem, RealLoop);
-    loopInit(&real->loop, &REAL_OPS);
+    loop_init(&real->loop, &REAL_OPS);
     real->evloop = h2o_evloop_create();
-    real->draw = drawNew();
+    real->draw = draw_new();
     real->queue = h2o_multithread_create_queue(real->evloop);
-    h2o_multithread_register_receiver(real->queue, &real->diskDone, realDiskDone);
-    h2o_multithread_register_receiver(real->queue, &real->hostDone, h2o_hostinfo_getaddr_receiver);
-    h2o_timeout_init(real->evloop, &real->callTimeout, 3600 * 1000);
+    h2o_multithread_register_receiver(real->queue, &real->disk_done, real_disk_done);
+    h2o_multithread_register_receiver(real->queue, &real->host_done, h2o_hostinfo_getaddr_receiver);
+    h2o_timeout_init(real->evloop, &real->call_timeout, 3600 * 1000);
     real->client = (h2o_http1client_ctx_t){
-        .loop = real->evloop, .getaddr_receiver = &real->hostDone, .io_timeout = &real->callTimeout};
+        .loop = real->evloop, .getaddr_receiver = &real->host_done, .io_timeout = &real->call_timeout};
     return &real->loop;
 }
 
-static void onSignal(h2o_socket_t *sock, const char *err)
+static void on_signal(h2o_socket_t *sock, const char *err)
 {
     RealLoop *real = sock->data;
     struct signalfd_siginfo info;
@@ -149,63 +150,63 @@
     if (read(h2o_socket_get_fd(sock), &info, sizeof(info)) != (ssize_t)sizeof(info))
         return;
     if (info.ssi_signo == SIGUSR1) {
-        if (real->onUser != NULL)
-            loopSpawn(&real->loop, "user", real->onUser, real->onUserArg);
+        if (real->on_user != NULL)
+            loop_spawn(&real->loop, "user", real->on_user, real->on_user_arg);
         return;
     }
     if (info.ssi_signo == SIGHUP) {
-        if (real->onHup != NULL)
-            loopSpawn(&real->loop, "hup", real->onHup, real->onHupArg);
+        if (real->on_hup != NULL)
+            loop_spawn(&real->loop, "hup", real->on_hup, real->on_hup_arg);
         return;
     }
-    if (real->onTerm != NULL)
-        loopSpawn(&real->loop, "term", real->onTerm, real->onTermArg);
-    real->onTerm = NULL; /* once */
+    if (real->on_term != NULL)
+        loop_spawn(&real->loop, "term", real->on_term, real->on_term_arg);
+    real->on_term = NULL; /* once */
 }
 
-void realLoopOnUser(Loop *loop, TaskFn fn, void *arg)
+void real_loop_on_user(Loop *loop, TaskFn fn, void *arg)
 {
     RealLoop *real = (RealLoop *)loop;
-    real->onUser = fn;
-    real->onUserArg = arg;
+    real->on_user = fn;
+    real->on_user_arg = arg;
 }
 
-void realLoopOnHup(Loop *loop, TaskFn fn, void *arg)
+void real_loop_on_hup(Loop *loop, TaskFn fn, void *arg)
 {
     RealLoop *real = (RealLoop *)loop;
-    real->onHup = fn;
-    real->onHupArg = arg;
+    real->on_hup = fn;
+    real->on_hup_arg = arg;
 }
 
-void realLoopRun(Loop *loop, TaskFn onTerm, void *arg)
+void real_loop_run(Loop *loop, TaskFn on_term, void *arg)
 {
     RealLoop *real = (RealLoop *)loop;
-    real->onTerm = onTerm;
-    real->onTermArg = arg;
+    real->on_term = on_term;
+    real->on_term_arg = arg;
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
-    if (real->onUser != NULL)
+    if (real->on_user != NULL)
         sigaddset(&set, SIGUSR1);
-    if (real->onHup != NULL)
+    if (real->on_hup != NULL)
         sigaddset(&set, SIGHUP);
     pthread_sigmask(SIG_BLOCK, &set, NULL);
     signal(SIGPIPE, SIG_IGN);
     h2o_socket_t *signals = h2o_evloop_socket_create(real->evloop, signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC),
                                                      H2O_SOCKET_FLAG_DONT_READ);
     signals->data = real;
-    h2o_socket_read_start(signals, onSignal);
+    h2o_socket_read_start(signals, on_signal);
     while (!loop->stopping) {
-        loopRun(loop);
-        realFlush(real);
+        loop_run(loop);
+        real_flush(real);
         if (loop->stopping)
             break;
-        const int64_t nextMs = loopNextMs(loop);
-        int64_t waitMs = nextMs == INT64_MAX ? 1000 : nextMs - loopNowMs(loop);
-        if (waitMs > 1000)
-            waitMs = 1000;
-        h2o_evloop_run(real->evloop, waitMs < 0 ? 0 : (int32_t)waitMs);
-        realServeSweep(real);
+        const int64_t next_ms = loop_next_ms(loop);
+        int64_t wait_ms = next_ms == INT64_MAX ? 1000 : next_ms - loop_now_ms(loop);
+        if (wait_ms > 1000)
+            wait_ms = 1000;
+        h2o_evloop_run(real->evloop, wait_ms < 0 ? 0 : (int32_t)wait_ms);
+        real_serve_sweep(real);
     }
 }
--- a/packages/loop/src/realcall.c
+++ b/packages/loop/src/realcall.c
@@ -18,37 +18,37 @@
     Signal done;
 } Calling;
 
-static void callEnd(Calling *calling, Status status)
+static void call_end(Calling *calling, Status status)
 {
     calling->ended = true;
     calling->client = NULL;
     calling->status = status;
-    signalRaise(&calling->real->loop, &calling->done);
+    signal_raise(&calling->real->loop, &calling->done);
 }
 
-static int onBody(h2o_http1client_t *client, const char *err)
+static int on_body(h2o_http1client_t *client, const char *err)
 {
     Calling *calling = client->data;
     if (err != NULL && err != h2o_http1client_error_is_eos) {
-        callEnd(calling, STATUS_CLOSED);
+        call_end(calling, STATUS_CLOSED);
         return -1;
     }
     bytes_add(calling, &calling->body, client->sock->input->bytes, client->sock->input->size);
     h2o_buffer_consume(&client->sock->input, client->sock->input->size);
     if (err == h2o_http1client_error_is_eos)
-        callEnd(calling, STATUS_OK);
+        call_end(calling, STATUS_OK);
     return 0;
 }
 
-static h2o_http1client_body_cb onHead(h2o_http1client_t *client, const char *err, int minor, int status,
-                                      h2o_iovec_t msg, h2o_header_t *headers, size_t count, int rlen)
+static h2o_http1client_body_cb on_head(h2o_http1client_t *client, const char *err, int minor, int status,
+                                       h2o_iovec_t msg, h2o_header_t *headers, size_t count, int rlen)
 {
     Calling *calling = client->data;
     (void)minor;
     (void)msg;
     (void)rlen;
     if (err != NULL && err != h2o_http1client_error_is_eos) {
-        callEnd(calling, STATUS_CLOSED);
+        call_end(calling, STATUS_CLOSED);
         return NULL;
     }
     calling->call->code = status;
@@ -57,37 +57,37 @@
         tells[i].name = talloc_strndup(tells, headers[i].name->base, headers[i].name->len);
         tells[i].value = talloc_strndup(tells, headers[i].value.base, headers[i].value.len);
         if (strcmp(tells[i].name, "retry-after") == 0)
-            calling->call->retryAfterS = atoi(tells[i].value);
+            calling->call->retry_after_s = atoi(tells[i].value);
     }
     calling->call->tells = tells;
-    calling->call->tellCount = count;
+    calling->call->tell_count = count;
     if (err == h2o_http1client_error_is_eos) {
-        callEnd(calling, STATUS_OK);
+        call_end(calling, STATUS_OK);
         return NULL;
     }
-    return onBody;
+    return on_body;
 }
 
-static h2o_http1client_head_cb onConnected(h2o_http1client_t *client, const char *err, h2o_iovec_t **bufs,
-                                           size_t *count, int *isHead)
+static h2o_http1client_head_cb on_connected(h2o_http1client_t *client, const char *err, h2o_iovec_t **bufs,
+                                            size_t *count, int *is_head)
 {
     Calling *calling = client->data;
     if (err != NULL) {
-        callEnd(calling, STATUS_UNREACHABLE);
+        call_end(calling, STATUS_UNREACHABLE);
         return NULL;
     }
     calling->call->sent = true;
     *bufs = &calling->request;
     *count = 1;
-    *isHead = 0;
-    return onHead;
+    *is_head = 0;
+    return on_head;
 }
 
-Status realCall(Loop *loop, HttpCall *call)
+Status real_call(Loop *loop, HttpCall *call)
 {
     RealLoop *real = (RealLoop *)loop;
     struct sockaddr_in sin;
-    if (!realAddress(call->address, &sin))
+    if (!real_address(call->address, &sin))
         return STATUS_BAD_PROPS;
     Calling *calling = talloc_zero(call->mem, Calling);
     calling->real = real;
@@ -97,7 +97,7 @@
                                  "content-length: %zu\r\n",
                                  call->method, call->path, call->body.count);
     bool named = false;
-    for (size_t i = 0; i < call->headCount; i++) {
+    for (size_t i = 0; i < call->head_count; i++) {
         head = talloc_asprintf_append(head, "%s: %s\r\n", call->heads[i].name, call->heads[i].value);
         named |= strcmp(call->heads[i].name, "host") == 0;
     }
@@ -108,12 +108,12 @@
     calling->request = h2o_iovec_init((char *)request.data, request.count);
     char host[ADDRESS_MAX];
     snprintf(host, sizeof(host), "%.*s", (int)(strrchr(call->address, ':') - call->address), call->address);
-    const int64_t untilMs = loopNowMs(loop) + call->waitMs;
+    const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
     h2o_http1client_connect(&calling->client, calling, &real->client, h2o_iovec_init(host, strlen(host)),
-                            ntohs(sin.sin_port), 0, onConnected);
+                            ntohs(sin.sin_port), 0, on_connected);
     call->waiting = &calling->done;
     while (!calling->ended && !call->cut)
-        if (!signalWait(loop, &calling->done, untilMs))
+        if (!signal_wait(loop, &calling->done, until_ms))
             break;
     Status status = calling->status;
     if (!calling->ended) {
