--- a/packages/loop/src/realchannel.c
+++ b/packages/loop/src/realchannel.c
@@ -12,16 +12,16 @@
 
 /* Invariants: sock is null once the connection has ended; writing says that out
  * belongs to h2o until the write callback; it is on the loop's list exactly while
- * toFlush. */
+ * to_flush. */
 typedef struct RealChannel {
     Channel channel; /* first */
     RealLoop *real;
     h2o_socket_t *sock;
     bool connecting;
     bool writing;
-    bool toFlush;
+    bool to_flush;
     bool broken; /* a write has failed */
-    struct RealChannel *flushNext, *flushPrev;
+    struct RealChannel *flush_next, *flush_prev;
     Signal connected;
     Bytes out;  /* in the hands of h2o */
     Bytes next; /* gathered meanwhile */
@@ -47,53 +47,53 @@
     }
 }
 
-static void flushLeave(RealChannel *rc)
+static void flush_leave(RealChannel *rc)
 {
-    if (!rc->toFlush)
+    if (!rc->to_flush)
         return;
-    rc->toFlush = false;
-    if (rc->flushPrev != NULL)
-        rc->flushPrev->flushNext = rc->flushNext;
+    rc->to_flush = false;
+    if (rc->flush_prev != NULL)
+        rc->flush_prev->flush_next = rc->flush_next;
     else
-        rc->real->flushFirst = rc->flushNext;
-    if (rc->flushNext != NULL)
-        rc->flushNext->flushPrev = rc->flushPrev;
+        rc->real->flush_first = rc->flush_next;
+    if (rc->flush_next != NULL)
+        rc->flush_next->flush_prev = rc->flush_prev;
 }
 
-static int channelFree(RealChannel *rc)
+static int channel_free(RealChannel *rc)
 {
-    flushLeave(rc);
+    flush_leave(rc);
     drop(rc);
     return 0;
 }
 
-static void onRead(h2o_socket_t *sock, const char *err)
+static void on_read(h2o_socket_t *sock, const char *err)
 {
     RealChannel *rc = sock->data;
     if (err != NULL) {
         drop(rc);
-        channelEnd(&rc->channel);
+        channel_end(&rc->channel);
         return;
     }
     while (sock->input->size >= 4) {
         const uint8_t *at = (const uint8_t *)sock->input->bytes;
         const uint32_t count = (uint32_t)at[0] << 24 | (uint32_t)at[1] << 16 | (uint32_t)at[2] << 8 | at[3];
-        if (count > FRAME_MAX_BYTES || rc->channel.frameCount >= CHANNEL_QUEUE_FRAMES) {
+        if (count > FRAME_MAX_BYTES || rc->channel.frame_count >= CHANNEL_QUEUE_FRAMES) {
             drop(rc);
-            channelEnd(&rc->channel);
+            channel_end(&rc->channel);
             return;
         }
         if (sock->input->size < 4 + (size_t)count)
             return;
-        channelArrive(&rc->channel, (Bytes){(uint8_t *)sock->input->bytes + 4, count, 0});
+        channel_arrive(&rc->channel, (Bytes){(uint8_t *)sock->input->bytes + 4, count, 0});
         h2o_buffer_consume(&sock->input, 4 + (size_t)count);
     }
 }
 
-static void onWritten(h2o_socket_t *sock, const char *err);
+static void on_written(h2o_socket_t *sock, const char *err);
 
 /* What the kernel takes at once. */
-static void writeNow(RealChannel *rc)
+static void write_now(RealChannel *rc)
 {
     const ssize_t took = send(h2o_socket_get_fd(rc->sock), rc->next.data, rc->next.count, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (took < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
@@ -109,11 +109,11 @@
     }
 }
 
-static void writeNext(RealChannel *rc)
+static void write_next(RealChannel *rc)
 {
     if (rc->writing || rc->connecting || rc->broken || rc->sock == NULL || rc->next.count == 0)
         return;
-    writeNow(rc);
+    write_now(rc);
     if (rc->next.count == 0 || rc->broken)
         return;
     const Bytes spare = rc->out;
@@ -122,10 +122,10 @@
     rc->writing = true;
     rc->channel.handed += rc->out.count; /* some of it may leave before it is told */
     h2o_iovec_t vec = h2o_iovec_init((char *)rc->out.data, rc->out.count);
-    h2o_socket_write(rc->sock, &vec, 1, onWritten);
+    h2o_socket_write(rc->sock, &vec, 1, on_written);
 }
 
-static void onWritten(h2o_socket_t *sock, const char *err)
+static void on_written(h2o_socket_t *sock, const char *err)
 {
     RealChannel *rc = sock->data;
     rc->writing = false;
@@ -135,13 +135,13 @@
     }
     if (err != NULL) {
         drop(rc);
-        channelEnd(&rc->channel);
+        channel_end(&rc->channel);
         return;
     }
-    writeNext(rc);
+    write_next(rc);
 }
 
-static RealChannel *channelNew(RealLoop *real, void *mem, h2o_socket_t *sock)
+static RealChannel *channel_new(RealLoop *real, void *mem, h2o_socket_t *sock)
 {
     RealChannel *rc = talloc_zero(mem, RealChannel);
     rc->channel.loop = &real->loop;
@@ -149,11 +149,11 @@
     rc->sock = sock;
     if (sock != NULL)
         sock->data = rc;
-    talloc_set_destructor(rc, channelFree);
+    talloc_set_destructor(rc, channel_free);
     return rc;
 }
 
-static void acceptedMain(void *arg)
+static void accepted_main(void *arg)
 {
     Accepted *accepted = arg;
     const Accepted copy = *accepted;
@@ -161,70 +161,70 @@
     copy.listener->fn(copy.listener->arg, copy.channel);
 }
 
-static void onAccept(h2o_socket_t *sock, const char *err)
+static void on_accept(h2o_socket_t *sock, const char *err)
 {
     Listener *listener = sock->data;
     h2o_socket_t *got;
     if (err != NULL)
         return;
     while ((got = h2o_evloop_socket_accept(sock)) != NULL) {
-        RealChannel *rc = channelNew(listener->real, listener->real, got);
-        h2o_socket_read_start(got, onRead);
+        RealChannel *rc = channel_new(listener->real, listener->real, got);
+        h2o_socket_read_start(got, on_read);
         Accepted *accepted = talloc_zero(listener->real, Accepted);
         *accepted = (Accepted){listener, &rc->channel};
-        loopSpawn(&listener->real->loop, "connection", acceptedMain, accepted);
+        loop_spawn(&listener->real->loop, "connection", accepted_main, accepted);
     }
 }
 
-Status realListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure)
+Status real_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure)
 {
     RealLoop *real = (RealLoop *)loop;
     Listener *listener = talloc_zero(real, Listener);
     *listener = (Listener){real, fn, arg};
-    return realBind(real, address, onAccept, listener, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
+    return real_bind(real, address, on_accept, listener, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
 }
 
-static void onConnect(h2o_socket_t *sock, const char *err)
+static void on_connect(h2o_socket_t *sock, const char *err)
 {
     RealChannel *rc = sock->data;
     rc->connecting = false;
     if (err != NULL) {
         drop(rc);
     } else {
-        h2o_socket_read_start(sock, onRead);
-        writeNext(rc);
+        h2o_socket_read_start(sock, on_read);
+        write_next(rc);
     }
-    signalRaise(&rc->real->loop, &rc->connected);
+    signal_raise(&rc->real->loop, &rc->connected);
 }
 
-Status realOpen(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel)
+Status real_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
 {
     RealLoop *real = (RealLoop *)loop;
     struct sockaddr_in sin;
-    if (!realAddress(address, &sin))
+    if (!real_address(address, &sin))
         return STATUS_BAD_PROPS;
-    h2o_socket_t *sock = h2o_socket_connect(real->evloop, (struct sockaddr *)&sin, sizeof(sin), onConnect);
+    h2o_socket_t *sock = h2o_socket_connect(real->evloop, (struct sockaddr *)&sin, sizeof(sin), on_connect);
     if (sock == NULL)
         return STATUS_UNREACHABLE;
-    realPatience(h2o_socket_get_fd(sock));
-    RealChannel *rc = channelNew(real, mem, sock);
+    real_patience(h2o_socket_get_fd(sock));
+    RealChannel *rc = channel_new(real, mem, sock);
     rc->connecting = true;
-    if (!signalWait(loop, &rc->connected, loopNowMs(loop) + waitMs) || rc->sock == NULL) {
-        channelClose(&rc->channel);
+    if (!signal_wait(loop, &rc->connected, loop_now_ms(loop) + wait_ms) || rc->sock == NULL) {
+        channel_close(&rc->channel);
         return STATUS_UNREACHABLE;
     }
     *channel = &rc->channel;
     return STATUS_OK;
 }
 
-Status realSend(Channel *channel, Bytes frame)
+Status real_send(Channel *channel, Bytes frame)
 {
     RealChannel *rc = (RealChannel *)channel;
     if (frame.count > FRAME_MAX_BYTES)
         return STATUS_TOO_LARGE;
     if (rc->next.count + frame.count > CHANNEL_QUEUE_BYTES) {
         drop(rc);
-        channelEnd(channel);
+        channel_end(channel);
         return STATUS_BUSY;
     }
     const uint8_t head[4] = {(uint8_t)(frame.count >> 24), (uint8_t)(frame.count >> 16), (uint8_t)(frame.count >> 8),
@@ -232,31 +232,31 @@
     bytes_add(rc, &rc->next, head, sizeof(head));
     bytes_add(rc, &rc->next, frame.data, frame.count);
     channel->queued += sizeof(head) + frame.count;
-    if (!rc->toFlush) {
+    if (!rc->to_flush) {
         RealLoop *real = rc->real;
-        rc->toFlush = true;
-        rc->flushPrev = NULL;
-        rc->flushNext = real->flushFirst;
-        if (rc->flushNext != NULL)
-            rc->flushNext->flushPrev = rc;
-        real->flushFirst = rc;
+        rc->to_flush = true;
+        rc->flush_prev = NULL;
+        rc->flush_next = real->flush_first;
+        if (rc->flush_next != NULL)
+            rc->flush_next->flush_prev = rc;
+        real->flush_first = rc;
     }
     return STATUS_OK;
 }
 
-void realFlush(RealLoop *real)
+void real_flush(RealLoop *real)
 {
-    while (real->flushFirst != NULL) {
-        RealChannel *rc = real->flushFirst;
-        flushLeave(rc);
-        writeNext(rc);
+    while (real->flush_first != NULL) {
+        RealChannel *rc = real->flush_first;
+        flush_leave(rc);
+        write_next(rc);
     }
 }
 
-void realShut(Channel *channel)
+void real_shut(Channel *channel)
 {
     RealChannel *rc = (RealChannel *)channel;
-    flushLeave(rc);
-    writeNext(rc); /* what was sent before */
+    flush_leave(rc);
+    write_next(rc); /* what was sent before */
     drop(rc);
 }
--- a/packages/loop/src/realdisk.c
+++ b/packages/loop/src/realdisk.c
@@ -24,7 +24,7 @@
     DiskWork work;
     Bytes bytes;   /* to write */
     uint8_t *read; /* malloc'd */
-    size_t readCount;
+    size_t read_count;
     bool ok;
     bool done;
     Signal ended;
@@ -42,7 +42,7 @@
     DiskJob *job;
 };
 
-static bool writeAll(int fd, Bytes bytes)
+static bool write_all(int fd, Bytes bytes)
 {
     for (size_t at = 0; at < bytes.count;) {
         const ssize_t n = write(fd, bytes.data + at, bytes.count - at);
@@ -55,7 +55,7 @@
     return true;
 }
 
-static bool folderSync(const RealFile *rf)
+static bool folder_sync(const RealFile *rf)
 {
     const int fd = open(rf->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     const bool ok = fd >= 0 && fsync(fd) == 0;
@@ -64,7 +64,7 @@
     return ok;
 }
 
-static bool doRead(RealFile *rf, DiskJob *job)
+static bool do_read(RealFile *rf, DiskJob *job)
 {
     struct stat st;
     /* the process before this one may have ended between a write and its sync */
@@ -84,18 +84,18 @@
         return false;
     }
     job->read = bytes;
-    job->readCount = count;
+    job->read_count = count;
     return bytes != NULL;
 }
 
-static bool doReplace(RealFile *rf, Bytes bytes)
+static bool do_replace(RealFile *rf, Bytes bytes)
 {
     char fresh[PATH_MAX + 8];
     snprintf(fresh, sizeof(fresh), "%s.new", rf->path);
     const int fd = open(fresh, O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0640);
     if (fd < 0)
         return false;
-    if (!writeAll(fd, bytes) || fsync(fd) != 0 || rename(fresh, rf->path) != 0 || !folderSync(rf)) {
+    if (!write_all(fd, bytes) || fsync(fd) != 0 || rename(fresh, rf->path) != 0 || !folder_sync(rf)) {
         close(fd);
         return false;
     }
@@ -107,7 +107,7 @@
 /* What was read is freed by the one who asked; that others know the job too is hidden from the analyzer. */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wanalyzer-malloc-leak"
-static void *diskMain(void *arg)
+static void *disk_main(void *arg)
 {
     RealFile *rf = arg;
     for (;;) {
@@ -119,29 +119,29 @@
         pthread_mutex_unlock(&rf->lock);
         switch (job->work) {
         case DISK_READ:
-            job->ok = doRead(rf, job);
+            job->ok = do_read(rf, job);
             break;
         case DISK_APPEND:
-            job->ok = writeAll(rf->fd, job->bytes) && fdatasync(rf->fd) == 0;
+            job->ok = write_all(rf->fd, job->bytes) && fdatasync(rf->fd) == 0;
             break;
         case DISK_REPLACE:
-            job->ok = doReplace(rf, job->bytes);
+            job->ok = do_replace(rf, job->bytes);
             break;
         }
-        h2o_multithread_send_message(&rf->real->diskDone, &job->super);
+        h2o_multithread_send_message(&rf->real->disk_done, &job->super);
     }
     return NULL;
 }
 #pragma GCC diagnostic pop
 
-void realDiskDone(h2o_multithread_receiver_t *receiver, h2o_linklist_t *messages)
+void real_disk_done(h2o_multithread_receiver_t *receiver, h2o_linklist_t *messages)
 {
     (void)receiver;
     while (!h2o_linklist_is_empty(messages)) {
         DiskJob *job = H2O_STRUCT_FROM_MEMBER(DiskJob, super.link, messages->next);
         h2o_linklist_unlink(&job->super.link);
         job->done = true;
-        signalRaise(&job->file->real->loop, &job->ended);
+        signal_raise(&job->file->real->loop, &job->ended);
     }
 }
 
@@ -154,11 +154,11 @@
     pthread_cond_signal(&rf->asked);
     pthread_mutex_unlock(&rf->lock);
     while (!job->done)
-        signalWait(file->loop, &job->ended, INT64_MAX);
+        signal_wait(file->loop, &job->ended, INT64_MAX);
     return job->ok ? STATUS_OK : STATUS_DISK_FAILED;
 }
 
-Status realFileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
+Status real_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
 {
     RealFile *rf = talloc_zero(mem, RealFile);
     rf->file.loop = loop;
@@ -172,36 +172,36 @@
     rf->fd = open(path, O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
     if (rf->fd < 0)
         return failure_set(failure, STATUS_DISK_FAILED, "cannot open %s: %s", path, strerror(errno));
-    if (!folderSync(rf))
+    if (!folder_sync(rf))
         return failure_set(failure, STATUS_DISK_FAILED, "cannot sync folder %s: %s", rf->folder, strerror(errno));
     pthread_mutex_init(&rf->lock, NULL);
     pthread_cond_init(&rf->asked, NULL);
     pthread_t thread;
-    if (pthread_create(&thread, NULL, diskMain, rf) != 0)
+    if (pthread_create(&thread, NULL, disk_main, rf) != 0)
         return failure_set(failure, STATUS_DISK_FAILED, "cannot start the disk thread");
     pthread_detach(thread);
     *file = &rf->file;
     return STATUS_OK;
 }
 
-Status realFileRead(File *file, void *mem, Bytes *content)
+Status real_file_read(File *file, void *mem, Bytes *content)
 {
     DiskJob job;
     const Status status = ask(file, DISK_READ, (Bytes){0}, &job);
     *content = (Bytes){0};
     if (status == STATUS_OK)
-        bytes_add(mem, content, job.read, job.readCount);
+        bytes_add(mem, content, job.read, job.read_count);
     free(job.read);
     return status;
 }
 
-Status realFileAppend(File *file, Bytes bytes)
+Status real_file_append(File *file, Bytes bytes)
 {
     DiskJob job;
     return ask(file, DISK_APPEND, bytes, &job);
 }
 
-Status realFileReplace(File *file, Bytes bytes)
+Status real_file_replace(File *file, Bytes bytes)
 {
     DiskJob job;
     return ask(file, DISK_REPLACE, bytes, &job);
--- a/packages/loop/src/realserve.c
+++ b/packages/loop/src/realserve.c
@@ -25,7 +25,7 @@
     Door *door;
     h2o_socket_t *sock;
     Served *served;
-    int64_t begunMs; /* when a head was first seen unfinished; 0: none is */
+    int64_t begun_ms; /* when a head was first seen unfinished; 0: none is */
 } Visit;
 
 /* Ties an h2o request to our task. The watch lives on the request's pool and
@@ -42,7 +42,7 @@
     Watch *watch;
 };
 
-static void onGone(void *arg)
+static void on_gone(void *arg)
 {
     Watch *watch = arg;
     if (watch->served != NULL) {
@@ -52,7 +52,7 @@
     }
 }
 
-static const char *codeWord(int code)
+static const char *code_word(int code)
 {
     switch (code) {
     case 200:
@@ -70,25 +70,25 @@
 
 static void tell(h2o_req_t *req, const char *name, const char *value)
 {
-    const h2o_iovec_t nameCopy = h2o_strdup(&req->pool, name, SIZE_MAX);
-    const h2o_iovec_t valueCopy = h2o_strdup(&req->pool, value, SIZE_MAX);
-    h2o_add_header_by_str(&req->pool, &req->res.headers, nameCopy.base, nameCopy.len, 0, NULL, valueCopy.base,
-                          valueCopy.len);
+    const h2o_iovec_t name_copy = h2o_strdup(&req->pool, name, SIZE_MAX);
+    const h2o_iovec_t value_copy = h2o_strdup(&req->pool, value, SIZE_MAX);
+    h2o_add_header_by_str(&req->pool, &req->res.headers, name_copy.base, name_copy.len, 0, NULL, value_copy.base,
+                          value_copy.len);
 }
 
 static void answer(RealLoop *real, h2o_req_t *req, const HttpTask *task)
 {
     req->res.status = task->code;
-    req->res.reason = codeWord(task->code);
+    req->res.reason = code_word(task->code);
     req->res.content_length = task->result.count;
     const h2o_iovec_t kind = h2o_strdup(&req->pool, task->kind, SIZE_MAX);
     h2o_add_header(&req->pool, &req->res.headers, H2O_TOKEN_CONTENT_TYPE, NULL, kind.base, kind.len);
-    if (task->retryAfterS > 0) {
+    if (task->retry_after_s > 0) {
         char text[16];
-        snprintf(text, sizeof(text), "%d", task->retryAfterS);
+        snprintf(text, sizeof(text), "%d", task->retry_after_s);
         tell(req, "retry-after", text);
     }
-    for (size_t i = 0; i < task->tellCount; i++)
+    for (size_t i = 0; i < task->tell_count; i++)
         tell(req, task->tells[i].name, task->tells[i].value);
     if (real->leaving)
         req->http1_is_persistent = 0;
@@ -103,16 +103,16 @@
     const HttpTask result = {.code = status_http(status),
                              .kind = "application/json",
                              .result = {(uint8_t *)body, (size_t)count, 0},
-                             .retryAfterS = status_retry_s(status)};
+                             .retry_after_s = status_retry_s(status)};
     answer(real, req, &result);
 }
 
-static void servedMain(void *arg)
+static void served_main(void *arg)
 {
     Served *served = arg;
     RealLoop *real = served->door->real;
     served->door->fn(served->door->arg, &served->task);
-    real->httpTasks--;
+    real->http_tasks--;
     if (served->visit != NULL)
         served->visit->served = NULL;
     if (served->req != NULL) {
@@ -124,7 +124,7 @@
 
 /* While a request is in work its caller is listened to all the same: h2o reads
  * on by itself after the result. */
-static void onAhead(h2o_socket_t *sock, const char *err)
+static void on_ahead(h2o_socket_t *sock, const char *err)
 {
     const Visit *visit = sock->on_close.data;
     if (err != NULL && visit->served != NULL)
@@ -133,7 +133,7 @@
         h2o_socket_read_stop(sock);
 }
 
-static void takeHeads(Served *served, const h2o_req_t *req)
+static void take_heads(Served *served, const h2o_req_t *req)
 {
     HttpTask *task = &served->task;
     HttpPair *heads = talloc_array(served, HttpPair, (unsigned)req->headers.size + 1);
@@ -143,13 +143,13 @@
                               talloc_strndup(heads, header->value.base, header->value.len)};
     }
     task->heads = heads;
-    task->headCount = req->headers.size;
+    task->head_count = req->headers.size;
     const char *authority = talloc_strndup(heads, req->input.authority.base, req->input.authority.len);
-    heads[task->headCount++] = (HttpPair){"host", authority};
-    task->host = httpHost(served, authority);
+    heads[task->head_count++] = (HttpPair){"host", authority};
+    task->host = http_host(served, authority);
 }
 
-static size_t headBytes(const h2o_req_t *req)
+static size_t head_bytes(const h2o_req_t *req)
 {
     size_t bytes = req->method.len + req->path.len + req->input.authority.len;
     for (size_t i = 0; i < req->headers.size; i++)
@@ -157,47 +157,47 @@
     return bytes;
 }
 
-static int onReq(h2o_handler_t *super, h2o_req_t *req)
+static int on_req(h2o_handler_t *super, h2o_req_t *req)
 {
     (void)super;
     h2o_socket_t *sock = req->conn->callbacks->get_socket(req->conn);
     Visit *visit = sock->on_close.data;
     RealLoop *real = visit->door->real;
-    visit->begunMs = 0;
-    if (headBytes(req) > real->limits.headBytes) {
+    visit->begun_ms = 0;
+    if (head_bytes(req) > real->limits.head_bytes) {
         refuse(real, req, STATUS_HEAD_LARGE, "the head of this request is too large");
         return 0;
     }
-    if (real->httpTasks >= HTTP_TASKS_MAX) {
+    if (real->http_tasks >= HTTP_TASKS_MAX) {
         refuse(real, req, STATUS_BUSY, "too many requests in work");
         return 0;
     }
-    real->httpTasks++;
+    real->http_tasks++;
     Served *served = talloc_zero(real, Served);
     HttpTask *task = &served->task;
     served->door = visit->door;
     served->visit = visit;
     served->req = req;
-    served->watch = h2o_mem_alloc_shared(&req->pool, sizeof(*served->watch), onGone);
+    served->watch = h2o_mem_alloc_shared(&req->pool, sizeof(*served->watch), on_gone);
     served->watch->served = served;
     visit->served = served;
     task->loop = &real->loop;
     task->method = talloc_strndup(served, req->method.base, req->method.len);
-    const size_t pathLen = req->query_at == SIZE_MAX ? req->path.len : req->query_at;
-    task->path = talloc_strndup(served, req->path.base, pathLen);
+    const size_t path_len = req->query_at == SIZE_MAX ? req->path.len : req->query_at;
+    task->path = talloc_strndup(served, req->path.base, path_len);
     task->query = req->query_at == SIZE_MAX
                       ? ""
-                      : talloc_strndup(served, req->path.base + pathLen + 1, req->path.len - pathLen - 1);
-    takeHeads(served, req);
+                      : talloc_strndup(served, req->path.base + path_len + 1, req->path.len - path_len - 1);
+    take_heads(served, req);
     bytes_add(served, &task->body, req->entity.base, req->entity.len);
     task->code = 500;
     task->kind = "application/json";
-    h2o_socket_read_start(sock, onAhead);
-    loopSpawn(&real->loop, "http", servedMain, served);
+    h2o_socket_read_start(sock, on_ahead);
+    loop_spawn(&real->loop, "http", served_main, served);
     return 0;
 }
 
-static void onClose(void *arg)
+static void on_close(void *arg)
 {
     Visit *visit = arg;
     RealLoop *real = visit->door->real;
@@ -212,7 +212,7 @@
     talloc_free(visit);
 }
 
-static void onAccept(h2o_socket_t *listener, const char *err)
+static void on_accept(h2o_socket_t *listener, const char *err)
 {
     Door *door = listener->data;
     RealLoop *real = door->real;
@@ -225,14 +225,14 @@
         if (real->visits != NULL)
             real->visits->prev = visit;
         real->visits = visit;
-        sock->on_close.cb = onClose;
+        sock->on_close.cb = on_close;
         sock->on_close.data = visit;
         h2o_accept(&real->accept, sock);
     }
 }
 
 /* Something of a head has come, but not all of it. */
-static bool headBegun(const Visit *visit)
+static bool head_begun(const Visit *visit)
 {
     const h2o_buffer_t *input = visit->sock->input;
     return visit->served == NULL && input->size > 0 && memmem(input->bytes, input->size, "\r\n\r\n", 4) == NULL;
@@ -240,24 +240,24 @@
 
 /* h2o counts one span from the end of a request to the whole head of the next.
  * A head that has begun has a shorter one. */
-void realServeSweep(RealLoop *real)
+void real_serve_sweep(RealLoop *real)
 {
-    const int64_t nowMs = loopNowMs(&real->loop);
-    if (real->visits == NULL || nowMs - real->sweptMs < SWEEP_MS)
+    const int64_t now_ms = loop_now_ms(&real->loop);
+    if (real->visits == NULL || now_ms - real->swept_ms < SWEEP_MS)
         return;
-    real->sweptMs = nowMs;
+    real->swept_ms = now_ms;
     for (Visit *visit = real->visits; visit != NULL; visit = visit->next) {
-        if (!headBegun(visit)) {
-            visit->begunMs = 0;
-        } else if (visit->begunMs == 0) {
-            visit->begunMs = nowMs;
-        } else if (nowMs - visit->begunMs > real->limits.headMs) {
+        if (!head_begun(visit)) {
+            visit->begun_ms = 0;
+        } else if (visit->begun_ms == 0) {
+            visit->begun_ms = now_ms;
+        } else if (now_ms - visit->begun_ms > real->limits.head_ms) {
             shutdown(h2o_socket_get_fd(visit->sock), SHUT_RDWR); /* h2o reads the end and closes it */
         }
     }
 }
 
-static void serveBegin(RealLoop *real)
+static void serve_begin(RealLoop *real)
 {
     real->serving = true;
     h2o_config_init(&real->config);
@@ -265,45 +265,45 @@
     h2o_hostconf_t *host = h2o_config_register_host(&real->config, h2o_iovec_init(H2O_STRLIT("default")), 65535);
     h2o_pathconf_t *path = h2o_config_register_path(host, "/", 0);
     h2o_handler_t *handler = h2o_create_handler(path, sizeof(*handler));
-    handler->on_req = onReq;
+    handler->on_req = on_req;
     h2o_context_init(&real->context, real->evloop, &real->config);
     real->accept.ctx = &real->context;
     real->accept.hosts = real->config.hosts;
     const HttpLimits first = {0};
-    if (real->limits.bodyBytes == 0)
+    if (real->limits.body_bytes == 0)
         real->limits = first;
-    realLimit(&real->loop, &real->limits);
+    real_limit(&real->loop, &real->limits);
 }
 
-Status realServe(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
+Status real_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
 {
     RealLoop *real = (RealLoop *)loop;
     if (!real->serving)
-        serveBegin(real);
+        serve_begin(real);
     Door *door = talloc_zero(real, Door);
     *door = (Door){real, fn, arg};
-    return realBind(real, address, onAccept, door, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
+    return real_bind(real, address, on_accept, door, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
 }
 
-void realLimit(Loop *loop, const HttpLimits *limits)
+void real_limit(Loop *loop, const HttpLimits *limits)
 {
     RealLoop *real = (RealLoop *)loop;
-    real->limits = (HttpLimits){limits->headBytes > 0 ? limits->headBytes : HTTP_HEAD_MAX,
-                                limits->bodyBytes > 0 ? limits->bodyBytes : HTTP_BODY_MAX,
-                                limits->headMs > 0 ? limits->headMs : HTTP_HEAD_MS,
-                                limits->idleMs > 0 ? limits->idleMs : HTTP_IDLE_MS};
+    real->limits = (HttpLimits){limits->head_bytes > 0 ? limits->head_bytes : HTTP_HEAD_MAX,
+                                limits->body_bytes > 0 ? limits->body_bytes : HTTP_BODY_MAX,
+                                limits->head_ms > 0 ? limits->head_ms : HTTP_HEAD_MS,
+                                limits->idle_ms > 0 ? limits->idle_ms : HTTP_IDLE_MS};
     if (!real->serving)
         return;
-    real->config.max_request_entity_size = real->limits.bodyBytes;
-    real->context.http1.req_timeout.timeout = (uint64_t)real->limits.idleMs;
+    real->config.max_request_entity_size = real->limits.body_bytes;
+    real->context.http1.req_timeout.timeout = (uint64_t)real->limits.idle_ms;
 }
 
-void realLeave(Loop *loop)
+void real_leave(Loop *loop)
 {
     ((RealLoop *)loop)->leaving = true;
 }
 
-size_t realBusy(const Loop *loop)
+size_t real_busy(const Loop *loop)
 {
     const RealLoop *real = (const RealLoop *)loop;
     size_t busy = 0;
--- a/packages/loop/src/task.c
+++ b/packages/loop/src/task.c
@@ -20,8 +20,8 @@
 struct Task {
     Loop *loop;
     Task *prev, *next; /* on loop->tasks */
-    Task *readyNext;
-    Task *signalNext;
+    Task *ready_next;
+    Task *signal_next;
     Signal *signal; /* the signal waited on, or NULL */
     bool ready;
     bool raised; /* woken by its signal rather than by its timer */
@@ -35,103 +35,103 @@
     FiberPlace main;  /* where the loop goes on when it gives way */
     void *stack;
     /* bounds of the main stack, for the sanitizer */
-    const void *mainBottom;
-    size_t mainSize;
-    void *fakeStack;
+    const void *main_bottom;
+    size_t main_size;
+    void *fake_stack;
 };
 
-void loopInit(Loop *loop, const LoopOps *ops)
+void loop_init(Loop *loop, const LoopOps *ops)
 {
     loop->ops = ops;
 }
 
-int64_t loopNowMs(const Loop *loop)
+int64_t loop_now_ms(const Loop *loop)
 {
-    return loop->ops->nowMs(loop);
+    return loop->ops->now_ms(loop);
 }
 
-int64_t loopWallMs(const Loop *loop)
+int64_t loop_wall_ms(const Loop *loop)
 {
-    return loop->ops->wallMs(loop);
+    return loop->ops->wall_ms(loop);
 }
 
-uint64_t loopRandom(Loop *loop)
+uint64_t loop_random(Loop *loop)
 {
     return loop->ops->random(loop);
 }
 
-void loopStop(Loop *loop)
+void loop_stop(Loop *loop)
 {
     loop->stopping = true;
 }
 
-bool loopStopping(const Loop *loop)
+bool loop_stopping(const Loop *loop)
 {
     return loop->stopping;
 }
 
-static void taskReady(Task *task)
+static void task_ready(Task *task)
 {
     if (task->ready)
         return;
     Loop *loop = task->loop;
     task->ready = true;
     task->turn++;
-    task->readyNext = NULL;
-    if (loop->readyLast != NULL)
-        loop->readyLast->readyNext = task;
+    task->ready_next = NULL;
+    if (loop->ready_last != NULL)
+        loop->ready_last->ready_next = task;
     else
-        loop->readyFirst = task;
-    loop->readyLast = task;
+        loop->ready_first = task;
+    loop->ready_last = task;
     if (loop->current == NULL)
-        loop->ops->arm(loop, loopNowMs(loop));
+        loop->ops->arm(loop, loop_now_ms(loop));
 }
 
-static void taskMain(FiberTurn turn)
+static void task_main(FiberTurn turn)
 {
     Task *task = turn.data;
     task->main = turn.from;
-    FIBER_FINISH(NULL, &task->mainBottom, &task->mainSize);
+    FIBER_FINISH(NULL, &task->main_bottom, &task->main_size);
     task->fn(task->arg);
     task->ended = true;
-    FIBER_START(NULL, task->mainBottom, task->mainSize);
-    jump_fcontext(task->main, NULL); /* never comes back: loopRun frees the task */
+    FIBER_START(NULL, task->main_bottom, task->main_size);
+    jump_fcontext(task->main, NULL); /* never comes back: loop_run frees the task */
 }
 
 /* Stacks that have ended are used again: what they touched stays mapped, and the
  * most that ever ran at once is the most that is kept, up to a bound. */
-static void *stackTake(Loop *loop)
+static void *stack_take(Loop *loop)
 {
-    if (loop->stackCount > 0)
-        return loop->stacks[--loop->stackCount];
+    if (loop->stack_count > 0)
+        return loop->stacks[--loop->stack_count];
     return malloc(TASK_STACK_BYTES);
 }
 
-static void stackGive(Loop *loop, void *stack)
+static void stack_give(Loop *loop, void *stack)
 {
-    if (loop->stackCount < TASK_STACKS_KEPT)
-        loop->stacks[loop->stackCount++] = stack;
+    if (loop->stack_count < TASK_STACKS_KEPT)
+        loop->stacks[loop->stack_count++] = stack;
     else
         free(stack);
 }
 
-void loopSpawn(Loop *loop, const char *name, TaskFn fn, void *arg)
+void loop_spawn(Loop *loop, const char *name, TaskFn fn, void *arg)
 {
     Task *task = talloc_zero(loop, Task);
     task->loop = loop;
     task->name = name;
     task->fn = fn;
     task->arg = arg;
-    task->stack = stackTake(loop);
-    task->place = make_fcontext((char *)task->stack + TASK_STACK_BYTES, TASK_STACK_BYTES, taskMain);
+    task->stack = stack_take(loop);
+    task->place = make_fcontext((char *)task->stack + TASK_STACK_BYTES, TASK_STACK_BYTES, task_main);
     task->next = loop->tasks;
     if (loop->tasks != NULL)
         loop->tasks->prev = task;
     loop->tasks = task;
-    taskReady(task);
+    task_ready(task);
 }
 
-static void taskFree(Task *task)
+static void task_free(Task *task)
 {
     Loop *loop = task->loop;
     if (task->prev != NULL)
@@ -140,36 +140,36 @@
         loop->tasks = task->next;
     if (task->next != NULL)
         task->next->prev = task->prev;
-    stackGive(loop, task->stack);
+    stack_give(loop, task->stack);
     task->stack = NULL;
     if (task->timers == 0)
         talloc_free(task);
 }
 
-void loopEnd(Loop *loop)
+void loop_end(Loop *loop)
 {
     while (loop->tasks != NULL)
-        taskFree(loop->tasks);
-    while (loop->stackCount > 0)
-        free(loop->stacks[--loop->stackCount]);
-    loop->readyFirst = loop->readyLast = NULL;
-    loop->timerCount = 0;
+        task_free(loop->tasks);
+    while (loop->stack_count > 0)
+        free(loop->stacks[--loop->stack_count]);
+    loop->ready_first = loop->ready_last = NULL;
+    loop->timer_count = 0;
 }
 
-static bool timerBefore(const Timer *a, const Timer *b)
+static bool timer_before(const Timer *a, const Timer *b)
 {
-    return a->whenMs < b->whenMs || (a->whenMs == b->whenMs && a->order < b->order);
+    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
 }
 
-static void timerAdd(Loop *loop, int64_t whenMs, Task *task)
+static void timer_add(Loop *loop, int64_t when_ms, Task *task)
 {
-    if (loop->timerCount == loop->timerRoom) {
-        loop->timerRoom = loop->timerRoom ? loop->timerRoom * 2 : 64;
-        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timerRoom);
+    if (loop->timer_count == loop->timer_room) {
+        loop->timer_room = loop->timer_room ? loop->timer_room * 2 : 64;
+        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_room);
     }
-    const Timer timer = {whenMs, loop->timerOrder++, task, task->turn};
-    size_t at = loop->timerCount++;
-    while (at > 0 && timerBefore(&timer, &loop->timers[(at - 1) / 2])) {
+    const Timer timer = {when_ms, loop->timer_order++, task, task->turn};
+    size_t at = loop->timer_count++;
+    while (at > 0 && timer_before(&timer, &loop->timers[(at - 1) / 2])) {
         loop->timers[at] = loop->timers[(at - 1) / 2];
         at = (at - 1) / 2;
     }
@@ -177,28 +177,28 @@
     task->timers++;
 }
 
-static Timer timerTake(Loop *loop)
+static Timer timer_take(Loop *loop)
 {
     const Timer top = loop->timers[0];
-    const Timer last = loop->timers[--loop->timerCount];
+    const Timer last = loop->timers[--loop->timer_count];
     size_t at = 0;
     for (;;) {
         size_t child = at * 2 + 1;
-        if (child >= loop->timerCount)
+        if (child >= loop->timer_count)
             break;
-        if (child + 1 < loop->timerCount && timerBefore(&loop->timers[child + 1], &loop->timers[child]))
+        if (child + 1 < loop->timer_count && timer_before(&loop->timers[child + 1], &loop->timers[child]))
             child++;
-        if (!timerBefore(&loop->timers[child], &last))
+        if (!timer_before(&loop->timers[child], &last))
             break;
         loop->timers[at] = loop->timers[child];
         at = child;
     }
-    if (loop->timerCount > 0)
+    if (loop->timer_count > 0)
         loop->timers[at] = last;
     return top;
 }
 
-static void signalLeave(Task *task)
+static void signal_leave(Task *task)
 {
     Signal *signal = task->signal;
     if (signal == NULL)
@@ -207,75 +207,75 @@
     Task *before = NULL;
     while (*at != task) {
         before = *at;
-        at = &(*at)->signalNext;
+        at = &(*at)->signal_next;
     }
-    *at = task->signalNext;
+    *at = task->signal_next;
     if (signal->last == task)
         signal->last = before;
     task->signal = NULL;
 }
 
 /* Gives way until woken. */
-static void taskPark(Task *task)
+static void task_park(Task *task)
 {
-    FIBER_START(&task->fakeStack, task->mainBottom, task->mainSize);
+    FIBER_START(&task->fake_stack, task->main_bottom, task->main_size);
     task->main = jump_fcontext(task->main, NULL).from;
-    FIBER_FINISH(task->fakeStack, &task->mainBottom, &task->mainSize);
+    FIBER_FINISH(task->fake_stack, &task->main_bottom, &task->main_size);
 }
 
-void loopSleep(Loop *loop, int64_t waitMs)
+void loop_sleep(Loop *loop, int64_t wait_ms)
 {
     Signal none = {0};
-    signalWait(loop, &none, loopNowMs(loop) + waitMs);
+    signal_wait(loop, &none, loop_now_ms(loop) + wait_ms);
 }
 
-void loopYield(Loop *loop)
+void loop_yield(Loop *loop)
 {
-    loopSleep(loop, 0);
+    loop_sleep(loop, 0);
 }
 
-bool signalWait(Loop *loop, Signal *signal, int64_t untilMs)
+bool signal_wait(Loop *loop, Signal *signal, int64_t until_ms)
 {
     Task *task = loop->current;
     task->raised = false;
     task->signal = signal;
-    task->signalNext = NULL;
+    task->signal_next = NULL;
     if (signal->last != NULL)
-        signal->last->signalNext = task;
+        signal->last->signal_next = task;
     else
         signal->first = task;
     signal->last = task;
-    if (untilMs != INT64_MAX)
-        timerAdd(loop, untilMs, task);
-    taskPark(task);
+    if (until_ms != INT64_MAX)
+        timer_add(loop, until_ms, task);
+    task_park(task);
     return task->raised;
 }
 
-void signalRaise(Loop *loop, Signal *signal)
+void signal_raise(Loop *loop, Signal *signal)
 {
     (void)loop;
     while (signal->first != NULL) {
         Task *task = signal->first;
-        signal->first = task->signalNext;
+        signal->first = task->signal_next;
         if (signal->first == NULL)
             signal->last = NULL;
         task->signal = NULL;
         task->raised = true;
-        taskReady(task);
+        task_ready(task);
     }
 }
 
 /* The first timer that somebody still waits for. The stale before it (their tasks were
  * woken, perhaps ended) are dropped: most questions are answered long before they
  * expire, and nobody is to be woken for those. */
-static const Timer *timerFirst(Loop *loop)
+static const Timer *timer_first(Loop *loop)
 {
-    while (loop->timerCount > 0) {
+    while (loop->timer_count > 0) {
         const Timer *first = &loop->timers[0];
         Task *task = first->task;
         if (!task->ended && task->turn == first->turn && !task->ready)
             return first;
-        timerTake(loop);
+        timer_take(loop);
         task->timers--;
         if (task->ended && task->timers == 0)
             talloc_free(task);
@@ -283,20 +283,20 @@
     return NULL;
 }
 
-void loopRun(Loop *loop)
+void loop_run(Loop *loop)
 {
     for (;;) {
         const Timer *first;
-        while ((first = timerFirst(loop)) != NULL && first->whenMs <= loopNowMs(loop)) {
-            signalLeave(first->task);
-            taskReady(first->task); /* its turn grows: the timer is stale now */
+        while ((first = timer_first(loop)) != NULL && first->when_ms <= loop_now_ms(loop)) {
+            signal_leave(first->task);
+            task_ready(first->task); /* its turn grows: the timer is stale now */
         }
-        Task *task = loop->readyFirst;
+        Task *task = loop->ready_first;
         if (task == NULL)
             return;
-        loop->readyFirst = task->readyNext;
-        if (loop->readyFirst == NULL)
-            loop->readyLast = NULL;
+        loop->ready_first = task->ready_next;
+        if (loop->ready_first == NULL)
+            loop->ready_last = NULL;
         task->ready = false;
         loop->current = task;
         void *fake = NULL;
@@ -305,14 +305,14 @@
         FIBER_FINISH(fake, NULL, NULL);
         loop->current = NULL;
         if (task->ended)
-            taskFree(task);
+            task_free(task);
     }
 }
 
-int64_t loopNextMs(Loop *loop)
+int64_t loop_next_ms(Loop *loop)
 {
-    if (loop->readyFirst != NULL)
-        return loopNowMs(loop);
-    const Timer *first = timerFirst(loop);
-    return first != NULL ? first->whenMs : INT64_MAX;
+    if (loop->ready_first != NULL)
+        return loop_now_ms(loop);
+    const Timer *first = timer_first(loop);
+    return first != NULL ? first->when_ms : INT64_MAX;
 }
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -39,13 +39,13 @@
     bytes_add(task, &task->result, text, strlen(text));
 }
 
-static void onFirst(void *arg, HttpTask *task)
+static void on_first(void *arg, HttpTask *task)
 {
     Stage *stage = arg;
     stage->served++;
     if (strcmp(task->path, "/wait") == 0) {
         while (!task->gone)
-            loopSleep(task->loop, 1);
+            loop_sleep(task->loop, 1);
         stage->gone++;
     } else if (strcmp(task->path, "/large") == 0) {
         task->code = 200;
@@ -53,22 +53,22 @@
         task->result.count = LARGE_BYTES;
         memset(task->result.data, 'x', LARGE_BYTES);
     } else if (strcmp(task->path, "/leave") == 0) {
-        loopServeLeave(task->loop);
-        say(task, talloc_asprintf(task, "busy %zu", loopServeBusy(task->loop)));
+        loop_serve_leave(task->loop);
+        say(task, talloc_asprintf(task, "busy %zu", loop_serve_busy(task->loop)));
     } else {
-        const char *kind = httpHead(task, "x-kind");
+        const char *kind = http_head(task, "x-kind");
         task->tells = talloc_memdup(task, (&(HttpPair){"x-told", "yes"}), sizeof(HttpPair));
-        task->tellCount = 1;
+        task->tell_count = 1;
         say(task, talloc_asprintf(task, "first %s %s?%s host=%s kind=%s body=%zu", task->method, task->path,
                                   task->query, task->host, kind != NULL ? kind : "none", task->body.count));
     }
 }
 
-static void onSecond(void *arg, HttpTask *task)
+static void on_second(void *arg, HttpTask *task)
 {
     (void)arg;
     if (strcmp(task->path, "/end") == 0)
-        loopStop(task->loop);
+        loop_stop(task->loop);
     say(task, "second");
 }
 
@@ -126,7 +126,7 @@
         fail_msg("asked %s told %s instead of %s with %s", request, text, code, words);
 }
 
-static void *callerMain(void *arg)
+static void *caller_main(void *arg)
 {
     Stage *stage = arg;
     sigset_t set;
@@ -141,13 +141,13 @@
     return NULL;
 }
 
-static void onTerm(void *arg)
+static void on_term(void *arg)
 {
     Stage *stage = arg;
-    loopStop(stage->loop);
+    loop_stop(stage->loop);
 }
 
-static void onHup(void *arg)
+static void on_hup(void *arg)
 {
     Stage *stage = arg;
     stage->hups++;
@@ -156,23 +156,23 @@
 static void play(void (*script)(Stage *stage), HttpLimits limits)
 {
     Stage *stage = talloc_zero(NULL, Stage);
-    stage->loop = realLoopNew(stage);
+    stage->loop = real_loop_new(stage);
     stage->script = script;
     stage->limits = limits;
-    assert_int_equal(loopServe(stage->loop, "127.0.0.1:0", onFirst, stage, stage->first, NULL), STATUS_OK);
-    loopServeLimits(stage->loop, &limits);
-    assert_int_equal(loopServe(stage->loop, "127.0.0.1:0", onSecond, stage, stage->second, NULL), STATUS_OK);
-    realLoopOnHup(stage->loop, onHup, stage);
+    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_first, stage, stage->first, NULL), STATUS_OK);
+    loop_serve_limits(stage->loop, &limits);
+    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_second, stage, stage->second, NULL), STATUS_OK);
+    real_loop_on_hup(stage->loop, on_hup, stage);
     pthread_t caller;
-    assert_int_equal(pthread_create(&caller, NULL, callerMain, stage), 0);
-    realLoopRun(stage->loop, onTerm, stage);
+    assert_int_equal(pthread_create(&caller, NULL, caller_main, stage), 0);
+    real_loop_run(stage->loop, on_term, stage);
     pthread_join(caller, NULL);
     /* the loop's memory is the process's: it is left to its end */
 }
 
 /* --- what is played --------------------------------------------------------------------- */
 
-static void twoAddresses(Stage *stage)
+static void two_addresses(Stage *stage)
 {
     const int first = dial(stage->first), second = dial(stage->second);
     asked(first, "GET /a/b?c=d HTTP/1.1\r\nHost: Jobs.Example:8080\r\nX-Kind: Some\r\n\r\n", "200",
@@ -240,7 +240,7 @@
     close(fd);
 }
 
-static void tooLarge(Stage *stage)
+static void too_large(Stage *stage)
 {
     char *head = talloc_strdup(NULL, "GET / HTTP/1.1\r\nhost: x\r\nx-long: ");
     for (int i = 0; i < 100; i++)
@@ -273,7 +273,7 @@
 }
 
 /* A body has more time than a head. */
-static void slowBody(Stage *stage)
+static void slow_body(Stage *stage)
 {
     const int body = dial(stage->first), half = dial(stage->first);
     put(body, "POST /slow HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\nhe");
@@ -337,55 +337,55 @@
     close(fd);
 }
 
-static void testHups(void **state)
+static void test_hups(void **state)
 {
     (void)state;
     play(hups, (HttpLimits){0});
 }
 
-static void testTwoAddresses(void **state)
+static void test_two_addresses(void **state)
 {
     (void)state;
-    play(twoAddresses, (HttpLimits){0});
+    play(two_addresses, (HttpLimits){0});
 }
 
-static void testPipelined(void **state)
+static void test_pipelined(void **state)
 {
     (void)state;
     play(pipelined, (HttpLimits){0});
 }
 
-static void testBroken(void **state)
+static void test_broken(void **state)
 {
     (void)state;
     play(broken, (HttpLimits){0});
 }
 
-static void testTooLarge(void **state)
+static void test_too_large(void **state)
 {
     (void)state;
-    play(tooLarge, (HttpLimits){.headBytes = 2000, .bodyBytes = 1000});
+    play(too_large, (HttpLimits){.head_bytes = 2000, .body_bytes = 1000});
 }
 
-static void testPatience(void **state)
+static void test_patience(void **state)
 {
     (void)state;
-    play(patience, (HttpLimits){.headMs = 50, .idleMs = 100});
+    play(patience, (HttpLimits){.head_ms = 50, .idle_ms = 100});
 }
 
-static void testSlowBody(void **state)
+static void test_slow_body(void **state)
 {
     (void)state;
-    play(slowBody, (HttpLimits){.headMs = 50});
+    play(slow_body, (HttpLimits){.head_ms = 50});
 }
 
-static void testCallers(void **state)
+static void test_callers(void **state)
 {
     (void)state;
     play(callers, (HttpLimits){0});
 }
 
-static void testLeaving(void **state)
+static void test_leaving(void **state)
 {
     (void)state;
     play(leaving, (HttpLimits){0});
@@ -394,9 +394,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(testTwoAddresses), cmocka_unit_test(testPipelined), cmocka_unit_test(testBroken),
-        cmocka_unit_test(testTooLarge),     cmocka_unit_test(testPatience),  cmocka_unit_test(testCallers),
-        cmocka_unit_test(testLeaving),      cmocka_unit_test(testHups),      cmocka_unit_test(testSlowBody),
+        cmocka_unit_test(test_two_addresses), cmocka_unit_test(test_pipelined), cmocka_unit_test(test_broken),
+        cmocka_unit_test(test_too_large),     cmocka_unit_test(test_patience),  cmocka_unit_test(test_callers),
+        cmocka_unit_test(test_leaving),       cmocka_unit_test(test_hups),      cmocka_unit_test(test_slow_body),
     };
     const int failed = cmocka_run_group_tests(tests, NULL, NULL);
     fflush(NULL);
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -44,10 +44,10 @@
 }
 
 /* Likewise, in a task of the loop. */
-static void untilStep(Stage *stage, int step)
+static void until_step(Stage *stage, int step)
 {
     while (stage->step < step)
-        loopSleep(stage->loop, 1);
+        loop_sleep(stage->loop, 1);
 }
 
 static int dial(const char *address)
@@ -67,7 +67,7 @@
 }
 
 /* Reads until the text has these words; false: it ended before. */
-static bool readUntil(int fd, char *text, size_t room, const char *words)
+static bool read_until(int fd, char *text, size_t room, const char *words)
 {
     size_t count = 0;
     text[0] = '\0';
@@ -80,14 +80,14 @@
     return strstr(text, words) != NULL;
 }
 
-static void *threadMain(void *arg)
+static void *thread_main(void *arg)
 {
     Stage *stage = arg;
     stage->thread(stage);
     return NULL;
 }
 
-static void onTerm(void *arg)
+static void on_term(void *arg)
 {
     (void)arg;
 }
@@ -95,19 +95,19 @@
 /* --- two requests on one caller's connection, callers that leave ------------------------ */
 
 /* "/up" waits until it has been given up, as one whose deadline comes. */
-static void onHttp(void *arg, HttpTask *task)
+static void on_http(void *arg, HttpTask *task)
 {
     Stage *stage = arg;
     task->code = 200;
     if (strcmp(task->path, "/end") == 0)
-        loopStop(task->loop);
+        loop_stop(task->loop);
     if (strcmp(task->path, "/up") == 0) {
-        untilStep(stage, 1);
+        until_step(stage, 1);
         task->code = 504;
     }
     if (strcmp(task->path, "/leaver") == 0) {
         while (!task->gone)
-            loopSleep(task->loop, 1);
+            loop_sleep(task->loop, 1);
         stage->gone++;
     }
     const char *text = talloc_asprintf(task, "answer to %s.", task->path);
@@ -125,7 +125,7 @@
 {
     char text[1024], words[256];
     snprintf(words, sizeof(words), "answer to %s.", path);
-    if (!readUntil(fd, text, sizeof(text), "answer to /") || strncmp(text + 9, code, 3) != 0)
+    if (!read_until(fd, text, sizeof(text), "answer to /") || strncmp(text + 9, code, 3) != 0)
         fail_msg("%s instead of %s", text, code);
     size_t count = strlen(text);
     while (text[count - 1] != '.' && recv(fd, text + count, 1, 0) == 1)
@@ -169,7 +169,7 @@
 
 /* --- calls of ours: late, cut short, reset ----------------------------------------------- */
 
-static void resetClose(int fd)
+static void reset_close(int fd)
 {
     const struct linger now = {1, 0};
     setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
@@ -180,7 +180,7 @@
 {
     char text[1024];
     const int fd = accept(stage->listener, NULL, NULL);
-    if (fd < 0 || !readUntil(fd, text, sizeof(text), words))
+    if (fd < 0 || !read_until(fd, text, sizeof(text), words))
         fail_msg("%s instead of %s", text, words);
     return fd;
 }
@@ -204,16 +204,17 @@
     close(half);
     const int reset = accepted(stage, "/reset");
     put(reset, "HTTP/1.1 200 OK\r\ncontent-le");
-    resetClose(reset);
+    reset_close(reset);
     const int last = accepted(stage, "/last");
     put(last, OWN);
     close(last);
 }
 
-static Status call(Stage *stage, const char *path, int64_t waitMs, const char *body)
+static Status call(Stage *stage, const char *path, int64_t wait_ms, const char *body)
 {
-    HttpCall one = {.mem = talloc_new(stage), .address = stage->peer, .method = "GET", .path = path, .waitMs = waitMs};
-    const Status status = loopCall(stage->loop, &one);
+    HttpCall one = {
+        .mem = talloc_new(stage), .address = stage->peer, .method = "GET", .path = path, .wait_ms = wait_ms};
+    const Status status = loop_call(stage->loop, &one);
     if (status == STATUS_OK)
         assert_true(one.result.count == strlen(body) && memcmp(one.result.data, body, one.result.count) == 0);
     assert_true(one.sent);
@@ -230,7 +231,7 @@
     assert_int_equal(call(stage, "/short", PATIENT_MS, ""), STATUS_CLOSED);
     assert_int_equal(call(stage, "/reset", PATIENT_MS, ""), STATUS_CLOSED);
     assert_int_equal(call(stage, "/last", PATIENT_MS, "own"), STATUS_OK);
-    loopStop(stage->loop);
+    loop_stop(stage->loop);
 }
 
 /* --- frames: half written, and never sent ------------------------------------------------- */
@@ -244,7 +245,7 @@
     close(half);
     const int full = accept(stage->listener, NULL, NULL);
     until(stage, 1); /* more has been sent than the kernel takes; nothing is read of it */
-    resetClose(full);
+    reset_close(full);
 }
 
 static void framed(void *arg)
@@ -252,31 +253,31 @@
     Stage *stage = arg;
     Channel *channel;
     Bytes frame = {0};
-    assert_int_equal(loopOpen(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
-    assert_int_equal(channelReceive(channel, stage, INT64_MAX, &frame), STATUS_OK);
+    assert_int_equal(loop_open(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
+    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_OK);
     assert_int_equal(frame.count, 2);
-    assert_int_equal(channelReceive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED); /* and nothing of the half */
-    channelClose(channel);
-    assert_int_equal(loopOpen(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
+    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED); /* and nothing of the half */
+    channel_close(channel);
+    assert_int_equal(loop_open(stage->loop, stage, stage->peer, PATIENT_MS, &channel), STATUS_OK);
     const Bytes large = {talloc_zero_size(stage, FRAME_BYTES), FRAME_BYTES, 0};
-    assert_int_equal(channelSend(channel, large), STATUS_OK);
-    const uint64_t first = channelQueued(channel);
+    assert_int_equal(channel_send(channel, large), STATUS_OK);
+    const uint64_t first = channel_queued(channel);
     uint64_t last = first;
     /* until the kernel takes no more: what comes then is gathered behind it */
-    for (int i = 0; i < FRAMES_MOST && !(last > first && channelUnsent(channel, last)); i++) {
-        assert_int_equal(channelSend(channel, large), STATUS_OK);
-        last = channelQueued(channel);
-        loopSleep(stage->loop, 1);
+    for (int i = 0; i < FRAMES_MOST && !(last > first && channel_unsent(channel, last)); i++) {
+        assert_int_equal(channel_send(channel, large), STATUS_OK);
+        last = channel_queued(channel);
+        loop_sleep(stage->loop, 1);
     }
     /* nobody can have the last one */
-    assert_true(last > first && channelUnsent(channel, last));
-    assert_false(channelUnsent(channel, first)); /* some of it has left: not known */
+    assert_true(last > first && channel_unsent(channel, last));
+    assert_false(channel_unsent(channel, first)); /* some of it has left: not known */
     stage->step = 1;
-    assert_int_equal(channelReceive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED);
-    assert_true(channelUnsent(channel, last));
-    assert_false(channelUnsent(channel, first));
-    channelClose(channel);
-    loopStop(stage->loop);
+    assert_int_equal(channel_receive(channel, stage, INT64_MAX, &frame), STATUS_CLOSED);
+    assert_true(channel_unsent(channel, last));
+    assert_false(channel_unsent(channel, first));
+    channel_close(channel);
+    loop_stop(stage->loop);
 }
 
 /* --- play ------------------------------------------------------------------------------- */
@@ -284,7 +285,7 @@
 static void play(void (*thread)(Stage *stage), TaskFn task)
 {
     Stage *stage = talloc_zero(NULL, Stage);
-    stage->loop = realLoopNew(stage);
+    stage->loop = real_loop_new(stage);
     stage->thread = thread;
     struct sockaddr_in sin = {.sin_family = AF_INET};
     socklen_t length = sizeof(sin);
@@ -294,29 +295,29 @@
     assert_int_equal(listen(stage->listener, 16), 0);
     assert_int_equal(getsockname(stage->listener, (struct sockaddr *)&sin, &length), 0);
     snprintf(stage->peer, sizeof(stage->peer), "127.0.0.1:%d", ntohs(sin.sin_port));
-    assert_int_equal(loopServe(stage->loop, "127.0.0.1:0", onHttp, stage, stage->address, NULL), STATUS_OK);
+    assert_int_equal(loop_serve(stage->loop, "127.0.0.1:0", on_http, stage, stage->address, NULL), STATUS_OK);
     if (task != NULL)
-        loopSpawn(stage->loop, "part", task, stage);
+        loop_spawn(stage->loop, "part", task, stage);
     pthread_t other;
-    assert_int_equal(pthread_create(&other, NULL, threadMain, stage), 0);
-    realLoopRun(stage->loop, onTerm, stage);
+    assert_int_equal(pthread_create(&other, NULL, thread_main, stage), 0);
+    real_loop_run(stage->loop, on_term, stage);
     assert_int_equal(pthread_join(other, NULL), 0);
     close(stage->listener);
 }
 
-static void ownAnswers(void **state)
+static void own_answers(void **state)
 {
     (void)state;
     play(callers, NULL);
 }
 
-static void ownCalls(void **state)
+static void own_calls(void **state)
 {
     (void)state;
     play(answering, calling);
 }
 
-static void wholeFrames(void **state)
+static void whole_frames(void **state)
 {
     (void)state;
     play(framing, framed);
@@ -325,9 +326,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(ownAnswers),
-        cmocka_unit_test(ownCalls),
-        cmocka_unit_test(wholeFrames),
+        cmocka_unit_test(own_answers),
+        cmocka_unit_test(own_calls),
+        cmocka_unit_test(whole_frames),
     };
     const int failed = cmocka_run_group_tests(tests, NULL, NULL);
     fflush(NULL);
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -50,7 +50,7 @@
  * itself; null: none has. */
 const Member *membersOtherDisk(const Members *members, const char *name, uint64_t disk);
 const MemberRecord *membersSelf(const Members *members);
-bool memberQuiet(const Member *member, int64_t nowMs);
+bool memberQuiet(const Member *member, int64_t now_ms);
 
 void membersSetEmpty(Members *members, bool empty);
 void membersSetLeaving(Members *members);
@@ -70,7 +70,7 @@
 const char *membersLeaderAddress(const Members *members);
 /* The leader is heard from otherwise: until then hellos are spaced out, so that a
  * thousand agents do not drown the seeds. 0: it is not, any more. */
-void membersRest(Members *members, int64_t untilMs);
+void membersRest(Members *members, int64_t until_ms);
 /* Raised when the leader known here changes. */
 Signal *membersLeaderSignal(Members *members);
 /* The number of members, with ourselves, that have answered us of late. Cores only:
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -62,8 +62,8 @@
     Member *rows = rowsOf(members);
     memmove(&rows[at + 1], &rows[at], (table->count - at) * sizeof(*rows));
     table->count++;
-    const int64_t nowMs = loopNowMs(members->loop);
-    rows[at] = (Member){.seenMs = nowMs, .directMs = INT64_MIN, .answeredMs = INT64_MIN, .sinceMs = nowMs};
+    const int64_t now_ms = loop_now_ms(members->loop);
+    rows[at] = (Member){.seenMs = now_ms, .directMs = INT64_MIN, .answeredMs = INT64_MIN, .sinceMs = now_ms};
     rowWrite(members, &rows[at], record);
     return &rows[at];
 }
@@ -98,7 +98,7 @@
 
 static void rowTake(Members *members, const MemberRecord *record, bool direct, bool answered)
 {
-    const int64_t nowMs = loopNowMs(members->loop);
+    const int64_t now_ms = loop_now_ms(members->loop);
     if (record->id[0] == '\0' || record->role >= ROLE_COUNT || strlen(record->id) > ID_MAX)
         return;
     const bool mine = record->role == members->self.role && strcmp(record->name, members->self.name) == 0;
@@ -129,27 +129,27 @@
         greet(members, record->address);
     Member *row = found ? &rowsOf(members)[at] : rowAdd(members, at, record);
     if (found && newer(record, &row->record)) {
-        row->seenMs = nowMs;
+        row->seenMs = now_ms;
         if (record->incarnation > row->record.incarnation)
             courierRenew(members->courier, record->address);
         rowWrite(members, row, record);
     }
     if (direct)
-        row->directMs = nowMs;
+        row->directMs = now_ms;
     if (direct && answered)
-        row->answeredMs = nowMs;
+        row->answeredMs = now_ms;
 }
 
 /* The own row as it is now; rows not heard of for long go. */
 static void rowsTend(Members *members)
 {
-    const int64_t nowMs = loopNowMs(members->loop);
+    const int64_t now_ms = loop_now_ms(members->loop);
     for (size_t i = members->table->count; i > 0; i--) {
         Member *row = &rowsOf(members)[i - 1];
         if (isSelf(members, &row->record)) {
             rowWrite(members, row, &members->self);
-            row->seenMs = row->directMs = row->answeredMs = nowMs;
-        } else if (nowMs - row->seenMs > MEMBER_FORGET_MS) {
+            row->seenMs = row->directMs = row->answeredMs = now_ms;
+        } else if (now_ms - row->seenMs > MEMBER_FORGET_MS) {
             rowDrop(members, i - 1);
         }
     }
@@ -209,9 +209,9 @@
     return &members->self;
 }
 
-bool memberQuiet(const Member *member, int64_t nowMs)
+bool memberQuiet(const Member *member, int64_t now_ms)
 {
-    return nowMs - member->seenMs > MEMBER_QUIET_MS;
+    return now_ms - member->seenMs > MEMBER_QUIET_MS;
 }
 
 void membersSetEmpty(Members *members, bool empty)
@@ -231,7 +231,7 @@
     members->leaderEpoch = epoch;
     talloc_free(members->leaderId);
     members->leaderId = talloc_strdup(members, id);
-    signalRaise(members->loop, &members->leaderChanged);
+    signal_raise(members->loop, &members->leaderChanged);
 }
 
 const char *membersLeaderId(const Members *members)
@@ -268,11 +268,11 @@
 
 size_t membersSight(const Members *members)
 {
-    const int64_t nowMs = loopNowMs(members->loop);
+    const int64_t now_ms = loop_now_ms(members->loop);
     size_t count = 0;
     for (size_t i = 0; i < members->table->count; i++)
         if (members->table->rows[i].answeredMs != INT64_MIN &&
-            nowMs - members->table->rows[i].answeredMs < MEMBER_QUIET_MS)
+            now_ms - members->table->rows[i].answeredMs < MEMBER_QUIET_MS)
             count++;
     return count;
 }
@@ -287,7 +287,7 @@
     hello->members = talloc_array(mem, MemberRecord, (unsigned)table->count);
     hello->membersCount = 0;
     for (size_t i = 0; i < table->count; i++)
-        if (!memberQuiet(&table->rows[i], loopNowMs(members->loop)))
+        if (!memberQuiet(&table->rows[i], loop_now_ms(members->loop)))
             shapeCopy(&MemberRecordShape, &table->rows[i].record, mem, &hello->members[hello->membersCount++]);
     hello->cluster = members->self.cluster;
     hello->leaderEpoch = members->leaderEpoch;
@@ -301,7 +301,7 @@
         return; /* of another cluster: nothing it says is taken */
     if (mine == 0 && hello->cluster != 0) {
         courierSetCluster(members->courier, hello->cluster);
-        ring_say(members->ring, RING_NOTE, loopNowMs(members->loop), "joins cluster %016" PRIx64, hello->cluster);
+        ring_say(members->ring, RING_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64, hello->cluster);
     }
     for (size_t i = 0; i < hello->membersCount && hello->membersCount <= MEMBERS_MAX; i++)
         rowTake(members, &hello->members[i], false, false);
@@ -333,25 +333,25 @@
     talloc_free(mem);
 }
 
-void membersRest(Members *members, int64_t untilMs)
+void membersRest(Members *members, int64_t until_ms)
 {
-    const bool rested = loopNowMs(members->loop) < members->restUntilMs;
-    members->restUntilMs = untilMs;
-    if (rested && untilMs == 0)
-        signalRaise(members->loop, &members->hurry);
+    const bool rested = loop_now_ms(members->loop) < members->restUntilMs;
+    members->restUntilMs = until_ms;
+    if (rested && until_ms == 0)
+        signal_raise(members->loop, &members->hurry);
 }
 
 static void helloPause(Members *members)
 {
-    const int64_t nowMs = loopNowMs(members->loop);
-    signalWait(members->loop, &members->hurry, nowMs + (nowMs < members->restUntilMs ? HELLO_REST_MS : HELLO_MS));
+    const int64_t now_ms = loop_now_ms(members->loop);
+    signal_wait(members->loop, &members->hurry, now_ms + (now_ms < members->restUntilMs ? HELLO_REST_MS : HELLO_MS));
 }
 
 static void seedMain(void *arg)
 {
     SeedTask *seed = arg;
     Members *members = seed->members;
-    while (!loopStopping(members->loop)) {
+    while (!loop_stopping(members->loop)) {
         const char *address = members->seeds[seed->at];
         bool again = strcmp(address, members->self.address) == 0;
         for (size_t i = 0; i < seed->at && !again; i++) /* fewer than three were told: some are there twice */
@@ -379,7 +379,7 @@
     LookTask *look = talloc_zero(members, LookTask);
     look->members = members;
     strncpy(look->address, address, sizeof(look->address) - 1);
-    loopSpawn(members->loop, "greet", lookOne, look);
+    loop_spawn(members->loop, "greet", lookOne, look);
 }
 
 void membersMeet(Members *members, const char *address)
@@ -391,7 +391,7 @@
 {
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
-        if (!isSelf(members, &row->record) && !memberQuiet(row, loopNowMs(members->loop)))
+        if (!isSelf(members, &row->record) && !memberQuiet(row, loop_now_ms(members->loop)))
             greet(members, row->record.address);
     }
 }
@@ -401,13 +401,13 @@
 static void lookMain(void *arg)
 {
     Members *members = arg;
-    for (size_t at = 0; !loopStopping(members->loop); at++) {
+    for (size_t at = 0; !loop_stopping(members->loop); at++) {
         const MemberTable *table = members->table;
         const Member *row = &table->rows[at % table->count];
-        if (strcmp(row->record.id, members->self.id) != 0 && !memberQuiet(row, loopNowMs(members->loop))) {
+        if (strcmp(row->record.id, members->self.id) != 0 && !memberQuiet(row, loop_now_ms(members->loop))) {
             greet(members, row->record.address);
         }
-        loopSleep(members->loop, SIGHT_MS / (int64_t)(table->count > SIGHT_MS ? SIGHT_MS : table->count));
+        loop_sleep(members->loop, SIGHT_MS / (int64_t)(table->count > SIGHT_MS ? SIGHT_MS : table->count));
     }
 }
 
@@ -416,9 +416,9 @@
 static void roamMain(void *arg)
 {
     Members *members = arg;
-    while (!loopStopping(members->loop)) {
+    while (!loop_stopping(members->loop)) {
         const MemberTable *table = members->table;
-        const Member *row = &table->rows[loopRandom(members->loop) % table->count];
+        const Member *row = &table->rows[loop_random(members->loop) % table->count];
         if (strcmp(row->record.id, members->self.id) != 0) {
             void *mem = talloc_new(members);
             helloTo(members, talloc_strdup(mem, row->record.address));
@@ -442,10 +442,10 @@
     for (int i = 0; i < SEEDS; i++) {
         SeedTask *seed = talloc_zero(members, SeedTask);
         *seed = (SeedTask){members, (size_t)i};
-        loopSpawn(members->loop, "seed", seedMain, seed);
+        loop_spawn(members->loop, "seed", seedMain, seed);
     }
     if (members->self.role == ROLE_CORE)
-        loopSpawn(members->loop, "look", lookMain, members);
+        loop_spawn(members->loop, "look", lookMain, members);
     else
-        loopSpawn(members->loop, "roam", roamMain, members);
+        loop_spawn(members->loop, "roam", roamMain, members);
 }
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -14,13 +14,13 @@
 
 uint64_t membersLowestEmpty(const Members *members)
 {
-    const int64_t nowMs = loopNowMs(members->loop);
+    const int64_t now_ms = loop_now_ms(members->loop);
     uint64_t lowest = 0;
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
         const bool self = strcmp(row->record.id, members->self.id) == 0;
         if (row->record.role == ROLE_CORE && (self ? members->self.empty : row->record.empty) &&
-            (self || !memberQuiet(row, nowMs)) && (lowest == 0 || row->record.disk < lowest))
+            (self || !memberQuiet(row, now_ms)) && (lowest == 0 || row->record.disk < lowest))
             lowest = row->record.disk;
     }
     return lowest;
@@ -86,7 +86,7 @@
         answer.granted = false;
     voting->granted += answer.granted;
     voting->pending--;
-    signalRaise(members->loop, &voting->ended);
+    signal_raise(members->loop, &voting->ended);
     votingLeave(voting);
     talloc_free(part);
 }
@@ -107,10 +107,10 @@
         *part = (VotePart){voting, talloc_strdup(part, members->seeds[i])};
         voting->users++;
         voting->pending++;
-        loopSpawn(members->loop, "vote", partMain, part);
+        loop_spawn(members->loop, "vote", partMain, part);
     }
     while (voting->pending > 0)
-        signalWait(members->loop, &voting->ended, INT64_MAX);
+        signal_wait(members->loop, &voting->ended, INT64_MAX);
     const size_t granted = voting->granted;
     votingLeave(voting);
     return granted;
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -47,7 +47,7 @@
     const char *kind, *zone, *label, *rack, *address;
     Room room;
     bool leaving;
-    int64_t leaveMs, clockMs;
+    int64_t leaveMs, clock_ms;
     uint64_t sequence;
     HandRunning *running;
     size_t runningCount;
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -58,13 +58,13 @@
                      .method = method,
                      .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->draft.id),
                      .body = body,
-                     .waitMs = ground->site->callerWaitMs,
+                     .wait_ms = ground->site->callerWaitMs,
                      .heads = heads,
-                     .headCount = 2};
+                     .head_count = 2};
     const uint64_t life = (*node)->life;
-    const Status status = loopCall(task->loop, &call);
+    const Status status = loop_call(task->loop, &call);
     *result = call.result;
-    *againS = call.retryAfterS;
+    *againS = call.retry_after_s;
     groundTell(ground, &task->job->tasks[0].name, "%s through %s: %s %d %.*s", method, (*node)->name,
                status_word(status), call.code, (int)(call.result.count < 60 ? call.result.count : 60),
                (const char *)call.result.data);
@@ -118,7 +118,7 @@
     }
     talloc_free(mem);
     if (!taken)
-        loopSleep(task->loop, againS > 0 ? againS * 1000 : diceSpan(&task->dice, 100, 500));
+        loop_sleep(task->loop, againS > 0 ? againS * 1000 : diceSpan(&task->dice, 100, 500));
     return taken;
 }
 
@@ -204,7 +204,7 @@
             job->cancelMs = groundNowMs(ground);
         talloc_free(mem);
         if (job->cancelMs == 0)
-            loopSleep(task->loop, ASK_AGAIN_MS);
+            loop_sleep(task->loop, ASK_AGAIN_MS);
     }
 }
 
@@ -220,14 +220,14 @@
         cancels ? groundNowMs(ground) + diceSpan(&task->dice, 200, job->draft.lasting ? 20000 : 4000) : INT64_MAX;
     int64_t askMs = groundNowMs(ground) + diceSpan(&task->dice, 500, 6000);
     while (job->shownMs == 0) {
-        const int64_t nowMs = groundNowMs(ground);
-        if (job->cancelSentMs == 0 && (nowMs >= cancelMs || (job->draft.lasting && task->callers->over)))
+        const int64_t now_ms = groundNowMs(ground);
+        if (job->cancelSentMs == 0 && (now_ms >= cancelMs || (job->draft.lasting && task->callers->over)))
             cancel(task);
-        if (nowMs >= askMs || bookDone(job) || job->cancelMs != 0) {
+        if (now_ms >= askMs || bookDone(job) || job->cancelMs != 0) {
             askOnce(task);
-            askMs = nowMs + diceSpan(&task->dice, 2000, 8000);
+            askMs = now_ms + diceSpan(&task->dice, 2000, 8000);
         }
-        loopSleep(task->loop, ASK_AGAIN_MS);
+        loop_sleep(task->loop, ASK_AGAIN_MS);
     }
 }
 
@@ -263,11 +263,11 @@
     job->poison = dicePercent(&pouring->dice, callers->poisonPercent);
     const uint64_t number = callers->drawn++;
     CallerTask *task = taskNew(callers, pouring, job, number * 2);
-    loopSpawn(task->loop, "caller", followMain, task);
+    loop_spawn(task->loop, "caller", followMain, task);
     if (dicePercent(&pouring->dice, kind->twicePercent)) {
         CallerTask *twin = taskNew(callers, pouring, job, number * 2 + 1);
         twin->first = true;
-        loopSpawn(twin->loop, "twin", twinMain, twin);
+        loop_spawn(twin->loop, "twin", twinMain, twin);
     }
 }
 
@@ -278,10 +278,11 @@
     const Site *site = callers->ground->site;
     Loop *loop = simLoop(callers->ground->world, callers->machines[pouring->zone]);
     const int64_t gapMs = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
-    loopSleep(loop, diceSpan(&pouring->dice, 0, gapMs));
+    loop_sleep(loop, diceSpan(&pouring->dice, 0, gapMs));
     while (!callers->over) {
         handIn(pouring);
-        loopSleep(loop, diceSpan(&pouring->dice, gapMs / 4, gapMs * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
+        loop_sleep(loop,
+                   diceSpan(&pouring->dice, gapMs / 4, gapMs * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
     }
 }
 
@@ -312,7 +313,7 @@
             Pouring *pouring = talloc_zero(callers, Pouring);
             *pouring =
                 (Pouring){callers, zone, kind, diceOf(callers->ground->seed, "pour", (uint64_t)zone * 64 + kind)};
-            loopSpawn(simLoop(callers->ground->world, callers->machines[zone]), "pour", pourMain, pouring);
+            loop_spawn(simLoop(callers->ground->world, callers->machines[zone]), "pour", pourMain, pouring);
         }
     }
 }
@@ -323,7 +324,7 @@
 {
     CallerTask *task = arg;
     while (!askOnce(task))
-        loopSleep(task->loop, ASK_AGAIN_MS);
+        loop_sleep(task->loop, ASK_AGAIN_MS);
     task->job->askedMs = groundNowMs(task->callers->ground);
 }
 
@@ -337,7 +338,7 @@
         if (job->acceptedMs == 0)
             continue;
         CallerTask *task = taskNew(callers, &pouring, job, (UINT64_C(1) << 32) + i);
-        loopSpawn(task->loop, "finish", finishMain, task);
+        loop_spawn(task->loop, "finish", finishMain, task);
     }
 }
 
@@ -364,14 +365,14 @@
 
 static bool mayRun(const Hands *hands, const BookJob *job)
 {
-    const int64_t wallMs = simWallMs(hands->ground->world);
+    const int64_t wall_ms = simWallMs(hands->ground->world);
     for (size_t i = 0; i < job->taskCount; i++)
         if (job->tasks[i].live != NULL || bookSpent(job, job->tasks[i].fate))
             return false;
     for (size_t i = 0; i < job->taskCount; i++) {
         const BookTask *task = &job->tasks[i];
         const DraftStep *step = bookStep(task);
-        if (!task->fate->done && wallMs >= bookDueWallMs(job, task->name.turn) &&
+        if (!task->fate->done && wall_ms >= bookDueWallMs(job, task->name.turn) &&
             bookReady(job, task->name.turn, task->name.step))
             return placesFor(hands, step) >= (step->gang ? step->count : 1);
     }
@@ -396,13 +397,13 @@
         const bool idle =
             room && job->acceptedMs != 0 && job->cancelSentMs == 0 && job->shownMs == 0 && mayRun(hands, job);
         if (!idle)
-            job->idleMs = 0;
-        else if (job->idleMs == 0)
-            job->idleMs = groundNowMs(ground);
-        else if (job->idleMs > 0 && groundNowMs(ground) - job->idleMs >= IDLE_MS) {
+            job->idle_ms = 0;
+        else if (job->idle_ms == 0)
+            job->idle_ms = groundNowMs(ground);
+        else if (job->idle_ms > 0 && groundNowMs(ground) - job->idle_ms >= IDLE_MS) {
             rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "%s stands still though there is room",
                        job->draft.id);
-            job->idleMs = -1; /* once */
+            job->idle_ms = -1; /* once */
         }
     }
 }
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -14,7 +14,7 @@
     int machines[4];
     int64_t timesMilli[SITE_KINDS_MAX]; /* rate of a kind now, of its usual */
     int64_t poisonPercent;
-    int64_t wallMs; /* of the first turn of timed jobs */
+    int64_t wall_ms; /* of the first turn of timed jobs */
     uint64_t drawn;
     bool over;        /* no more is handed in */
     int64_t finishMs; /* since then */
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -8,10 +8,10 @@
 
 void crewAdvance(Crew *crew)
 {
-    const int64_t nowMs = groundNowMs(crew->hands->ground);
+    const int64_t now_ms = groundNowMs(crew->hands->ground);
     if (crew->begun)
-        crew->doneUs += (nowMs - crew->lastMs) * crew->rate;
-    crew->lastMs = nowMs;
+        crew->doneUs += (now_ms - crew->lastMs) * crew->rate;
+    crew->lastMs = now_ms;
 }
 
 /* Away from its data or over several racks it is slower; the slowest member decides. */
@@ -84,7 +84,7 @@
     crew->begun |= crew->count == crew->needed;
     crewPace(crew);
     for (size_t i = 0; i < crew->count; i++)
-        signalRaise(crew->members[i]->hand->loop, &crew->members[i]->hand->work);
+        signal_raise(crew->members[i]->hand->loop, &crew->members[i]->hand->work);
 }
 
 void crewLeave(HandRun *run)
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -26,12 +26,12 @@
                                                     ground->tongue->readyPort),
                          .method = "GET",
                          .path = ground->tongue->readyPath,
-                         .waitMs = LOOK_MS};
-        const int64_t beganMs = loopNowMs(loop);
-        const bool ready = node->used && loopCall(loop, &call) == STATUS_OK && call.code == 200;
+                         .wait_ms = LOOK_MS};
+        const int64_t beganMs = loop_now_ms(loop);
+        const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
         door->misses[looking->edge] = ready ? 0 : door->misses[looking->edge] + 1;
         talloc_free(mem);
-        loopSleep(loop, beganMs + LOOK_MS - loopNowMs(loop));
+        loop_sleep(loop, beganMs + LOOK_MS - loop_now_ms(loop));
     }
 }
 
@@ -56,7 +56,7 @@
     for (size_t i = 0; i < door->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(loop, Looking);
         *looking = (Looking){door, i};
-        loopSpawn(loop, "look", lookMain, looking);
+        loop_spawn(loop, "look", lookMain, looking);
     }
 }
 
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -205,7 +205,7 @@
 {
     GroundNode *node = arg;
     node->mem = talloc_new(loop);
-    loopSpawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", bootMain, node);
 }
 
 void nodeStart(GroundNode *node)
@@ -245,7 +245,7 @@
 typedef struct Rolling {
     GroundNode *node;
     uint64_t life;
-    int64_t untilMs;
+    int64_t until_ms;
     bool ended; /* its process has come to its end by itself */
 } Rolling;
 
@@ -268,7 +268,7 @@
     GroundNode *node = rolling->node;
     Ground *ground = node->ground;
     if (node->life == rolling->life && simAlive(ground->world, node->machine)) {
-        if (!rolling->ended && groundNowMs(ground) < rolling->untilMs) {
+        if (!rolling->ended && groundNowMs(ground) < rolling->until_ms) {
             simAt(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
             return;
         }
@@ -289,7 +289,7 @@
     *rolling = (Rolling){node, node->life, groundNowMs(ground) + ground->site->graceMs, false};
     node->leaving = true;
     nodeTrouble(node, 0);
-    loopSpawn(node->node.loop, "term", termMain, rolling);
+    loop_spawn(node->node.loop, "term", termMain, rolling);
     simAt(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
 }
 
@@ -298,15 +298,15 @@
 void nodeTrouble(GroundNode *node, int change)
 {
     Ground *ground = node->ground;
-    const int64_t nowMs = groundNowMs(ground);
+    const int64_t now_ms = groundNowMs(ground);
     node->troubles += change;
-    node->troubleMs = node->troubles > 0 ? INT64_MAX : nowMs;
+    node->troubleMs = node->troubles > 0 ? INT64_MAX : now_ms;
     ground->anyTroubles += change;
-    ground->anyMs = ground->anyTroubles > 0 ? INT64_MAX : nowMs;
+    ground->anyMs = ground->anyTroubles > 0 ? INT64_MAX : now_ms;
     if (!node->disk)
         return;
     ground->coreTroubles += change;
-    ground->coreMs = ground->coreTroubles > 0 ? INT64_MAX : nowMs;
+    ground->coreMs = ground->coreTroubles > 0 ? INT64_MAX : now_ms;
 }
 
 void groundCut(GroundNode *a, GroundNode *b, bool cut)
@@ -347,9 +347,9 @@
     simAt(ground->world, groundNowMs(ground) + forMs, thawed, node);
 }
 
-static bool since(int64_t troubleMs, int64_t nowMs, int64_t spanMs)
+static bool since(int64_t troubleMs, int64_t now_ms, int64_t spanMs)
 {
-    return troubleMs != INT64_MAX && nowMs - troubleMs >= spanMs;
+    return troubleMs != INT64_MAX && now_ms - troubleMs >= spanMs;
 }
 
 bool groundSettled(const Ground *ground)
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -27,7 +27,7 @@
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crewPace(run->crew);
         for (size_t i = 0; i < run->crew->count; i++)
-            signalRaise(run->crew->members[i]->hand->loop, &run->crew->members[i]->hand->work);
+            signal_raise(run->crew->members[i]->hand->loop, &run->crew->members[i]->hand->work);
     }
 }
 
@@ -49,7 +49,7 @@
 
 static void reportFill(Hand *hand, void *mem, HandReport *report)
 {
-    const int64_t nowMs = groundNowMs(hand->hands->ground);
+    const int64_t now_ms = groundNowMs(hand->hands->ground);
     size_t count = 0;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next)
         count++;
@@ -61,8 +61,8 @@
                      .address = talloc_asprintf(mem, "%s:8080", simAddress(hand->hands->ground->world, hand->machine)),
                      .room = hand->room,
                      .leaving = hand->leaving,
-                     .leaveMs = hand->leaveAtMs > nowMs ? hand->leaveAtMs - nowMs : 0,
-                     .clockMs = loopNowMs(hand->loop),
+                     .leaveMs = hand->leaveAtMs > now_ms ? hand->leaveAtMs - now_ms : 0,
+                     .clock_ms = loop_now_ms(hand->loop),
                      .sequence = ++hand->sequence,
                      .running = talloc_zero_array(mem, HandRunning, (unsigned)count),
                      .ended = talloc_zero_array(mem, HandEnded, ENDS_AT_ONCE)};
@@ -100,12 +100,12 @@
         .method = "POST",
         .path = tongue->beatPath(mem, hand->boot, false),
         .body = tongue->report(mem, &report),
-        .waitMs = ANSWER_MOST_MS};
-    const int64_t sentMs = loopNowMs(hand->loop);
-    const Status status = loopCall(hand->loop, &call);
+        .wait_ms = ANSWER_MOST_MS};
+    const int64_t sentMs = loop_now_ms(hand->loop);
+    const Status status = loop_call(hand->loop, &call);
     HandOrders *orders = talloc_zero(mem, HandOrders);
-    if (status != STATUS_OK || call.code < 200 || call.code > 299 || loopNowMs(hand->loop) - sentMs > ANSWER_MOST_MS ||
-        !tongue->orders(mem, call.result, orders)) {
+    if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
+        loop_now_ms(hand->loop) - sentMs > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
         hand->newsOpen = true;
         return BEAT_AGAIN_MS;
     }
@@ -120,13 +120,13 @@
     Hand *hand = arg;
     for (;;) {
         void *mem = talloc_new(hand->mem);
-        const int64_t waitMs = beatOnce(hand, mem);
+        const int64_t wait_ms = beatOnce(hand, mem);
         talloc_free(mem);
-        const int64_t untilMs = loopNowMs(hand->loop) + waitMs;
-        if (waitMs == BEAT_AGAIN_MS && hand->newsOpen)
-            loopSleep(hand->loop, waitMs);
-        else if (hand->newsOpen || signalWait(hand->loop, &hand->news, untilMs))
-            loopSleep(hand->loop, NEWS_GAP_MS);
+        const int64_t until_ms = loop_now_ms(hand->loop) + wait_ms;
+        if (wait_ms == BEAT_AGAIN_MS && hand->newsOpen)
+            loop_sleep(hand->loop, wait_ms);
+        else if (hand->newsOpen || signal_wait(hand->loop, &hand->news, until_ms))
+            loop_sleep(hand->loop, NEWS_GAP_MS);
     }
 }
 
@@ -144,11 +144,11 @@
     Hand *hand = arg;
     const Ground *ground = hand->hands->ground;
     for (;;) {
-        const int64_t nowMs = groundNowMs(ground);
-        const bool known = hand->leaveAckMs != 0 && nowMs >= hand->leaveAckMs + ground->site->drainMs + 100;
-        if (nowMs >= hand->leaveAtMs && (known || nowMs >= hand->leaveAtMs + LEAVE_ANYWAY_MS))
+        const int64_t now_ms = groundNowMs(ground);
+        const bool known = hand->leaveAckMs != 0 && now_ms >= hand->leaveAckMs + ground->site->drainMs + 100;
+        if (now_ms >= hand->leaveAtMs && (known || now_ms >= hand->leaveAtMs + LEAVE_ANYWAY_MS))
             break;
-        loopSleep(hand->loop, 50);
+        loop_sleep(hand->loop, 50);
     }
     void *mem = talloc_new(hand->mem);
     HttpCall call = {.mem = mem,
@@ -156,8 +156,8 @@
                                                 ground->tongue->operatorPort),
                      .method = "POST",
                      .path = ground->tongue->beatPath(mem, hand->boot, true),
-                     .waitMs = ANSWER_MOST_MS};
-    loopCall(hand->loop, &call);
+                     .wait_ms = ANSWER_MOST_MS};
+    loop_call(hand->loop, &call);
     talloc_free(mem);
     groundSay(ground, "%s has left", hand->boot);
     simAt(ground->world, groundNowMs(ground), overLater, hand);
@@ -170,8 +170,8 @@
     hand->leaving = true;
     hand->leaveAtMs = groundNowMs(hand->hands->ground) + afterMs;
     hand->newsOpen = true;
-    signalRaise(hand->loop, &hand->news);
-    loopSpawn(hand->loop, "leave", leaveMain, hand);
+    signal_raise(hand->loop, &hand->news);
+    loop_spawn(hand->loop, "leave", leaveMain, hand);
 }
 
 /* --- its process ------------------------------------------------------------------------------------------ */
@@ -190,8 +190,8 @@
     hand->work = hand->news = (Signal){0};
     hand->leaving = hand->newsOpen = false;
     hand->leaveAtMs = hand->leaveAckMs = 0;
-    loopSpawn(loop, "work", handWorkMain, hand);
-    loopSpawn(loop, "beat", beatMain, hand);
+    loop_spawn(loop, "work", handWorkMain, hand);
+    loop_spawn(loop, "beat", beatMain, hand);
 }
 
 void handStart(Hand *hand)
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -62,7 +62,7 @@
     groundTell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, roundWord(word), hand->boot,
                saved);
     hand->newsOpen = true;
-    signalRaise(hand->loop, &hand->news);
+    signal_raise(hand->loop, &hand->news);
 }
 
 void handRunEnd(HandRun *run, RoundWord word)
@@ -70,13 +70,13 @@
     Hand *hand = run->hand;
     BookTask *task = run->task;
     Fate *fate = task->fate;
-    const int64_t nowMs = groundNowMs(hand->hands->ground);
+    const int64_t now_ms = groundNowMs(hand->hands->ground);
     crewAdvance(run->crew);
     const bool stopped = word == ROUND_STOPPED || word == ROUND_BROKEN;
     const char *saved = word == ROUND_DONE ? "" : bookSaved(hand->mem, task, handSavedMs(run, stopped));
     if (word == ROUND_DONE && !fate->done) {
         fate->done = true;
-        fate->doneMs = nowMs;
+        fate->doneMs = now_ms;
     }
     if (word == ROUND_FAILED)
         bookFail(fate, run->round);
@@ -104,10 +104,10 @@
 /* --- what comes due ------------------------------------------------------------------------------ */
 
 /* True when something ended: the list has changed. */
-static bool dueOne(Hand *hand, int64_t nowMs)
+static bool dueOne(Hand *hand, int64_t now_ms)
 {
     const Site *site = hand->hands->ground->site;
-    const bool held = loopNowMs(hand->loop) < hand->holdUntilMs;
+    const bool held = loop_now_ms(hand->loop) < hand->holdUntilMs;
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crewAdvance(run->crew);
         const Crew *crew = run->crew;
@@ -117,11 +117,11 @@
             crewEnd(run, ROUND_LAPSED, ROUND_BROKEN);
             return true;
         }
-        if (run->stopAtMs != 0 && nowMs >= run->stopAtMs) {
+        if (run->stopAtMs != 0 && now_ms >= run->stopAtMs) {
             crewEnd(run, ROUND_STOPPED, ROUND_BROKEN);
             return true;
         }
-        if (!crew->begun && nowMs - run->beganMs >= site->gangMs) {
+        if (!crew->begun && now_ms - run->beganMs >= site->gangMs) {
             handRunEnd(run, ROUND_ALONE);
             return true;
         }
@@ -138,30 +138,30 @@
 }
 
 /* On the worker's clock, which may be slow: it looks early rather than late. */
-static int64_t nextDueMs(const Hand *hand, int64_t nowMs)
+static int64_t nextDueMs(const Hand *hand, int64_t now_ms)
 {
-    const int64_t ownMs = loopNowMs(hand->loop);
-    int64_t waitMs = hand->runs != NULL ? hand->holdUntilMs - ownMs : 3600000;
+    const int64_t ownMs = loop_now_ms(hand->loop);
+    int64_t wait_ms = hand->runs != NULL ? hand->holdUntilMs - ownMs : 3600000;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
         int64_t dueMs = crewNextMs(run->crew);
         if (run->stopAtMs != 0 && run->stopAtMs < dueMs)
             dueMs = run->stopAtMs;
         if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gangMs < dueMs)
             dueMs = run->beganMs + hand->hands->ground->site->gangMs;
-        if (dueMs - nowMs < waitMs)
-            waitMs = dueMs - nowMs;
+        if (dueMs - now_ms < wait_ms)
+            wait_ms = dueMs - now_ms;
     }
-    return ownMs + (waitMs > 1 ? waitMs : 1);
+    return ownMs + (wait_ms > 1 ? wait_ms : 1);
 }
 
 void handWorkMain(void *arg)
 {
     Hand *hand = arg;
     for (;;) {
-        const int64_t nowMs = groundNowMs(hand->hands->ground);
-        while (dueOne(hand, nowMs))
+        const int64_t now_ms = groundNowMs(hand->hands->ground);
+        while (dueOne(hand, now_ms))
             ;
-        signalWait(hand->loop, &hand->work, nextDueMs(hand, nowMs));
+        signal_wait(hand->loop, &hand->work, nextDueMs(hand, now_ms));
     }
 }
 
@@ -186,7 +186,7 @@
         return;
     Dice dice = diceOf(stop->round, run->task->name.job, hand->sequence);
     run->stopAtMs = groundNowMs(hand->hands->ground) + diceSpan(&dice, 1, hand->hands->ground->site->stopMs);
-    signalRaise(hand->loop, &hand->work);
+    signal_raise(hand->loop, &hand->work);
 }
 
 static void startTake(Hand *hand, const HandStart *start)
@@ -243,7 +243,7 @@
     if (orders->fence < hand->fence)
         return;
     hand->fence = orders->fence;
-    for (size_t i = 0; i < hand->endCount && loopNowMs(hand->loop) >= hand->holdUntilMs; i++)
+    for (size_t i = 0; i < hand->endCount && loop_now_ms(hand->loop) >= hand->holdUntilMs; i++)
         hand->ends[i].lapsedSince = true;
     seenTake(hand, orders->seen);
     for (size_t i = 0; i < orders->stopCount; i++)
@@ -256,7 +256,7 @@
         ;
     if (sentMs + holdMs > hand->holdUntilMs)
         hand->holdUntilMs = sentMs + holdMs;
-    for (size_t i = 0; i < orders->startCount && loopNowMs(hand->loop) < hand->holdUntilMs; i++)
+    for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->holdUntilMs; i++)
         startTake(hand, &orders->starts[i]);
-    signalRaise(hand->loop, &hand->work);
+    signal_raise(hand->loop, &hand->work);
 }
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -126,7 +126,7 @@
 
 void operatorChange(Operator *self)
 {
-    loopSpawn(operatorLoop(self), "change", changeMain, self);
+    loop_spawn(operatorLoop(self), "change", changeMain, self);
 }
 
 typedef struct Storm {
@@ -140,7 +140,7 @@
     Storm *storm = arg;
     while (storm->count-- > 0) {
         changeOnce(storm->owner);
-        loopSleep(operatorLoop(storm->owner), storm->gapMs);
+        loop_sleep(operatorLoop(storm->owner), storm->gapMs);
     }
     talloc_free(storm);
 }
@@ -149,7 +149,7 @@
 {
     Storm *storm = talloc_zero(self, Storm);
     *storm = (Storm){self, count, gapMs};
-    loopSpawn(operatorLoop(self), "storm", stormMain, storm);
+    loop_spawn(operatorLoop(self), "storm", stormMain, storm);
 }
 
 void operatorRace(Operator *self)
@@ -160,7 +160,7 @@
     for (int i = 0; i < 2; i++) {
         to[i] = from;
         vary(self, &to[i]);
-        loopSpawn(operatorLoop(self), "race", documentMain, documentOrder(self, &to[i], &from, SPOIL_NONE, true));
+        loop_spawn(operatorLoop(self), "race", documentMain, documentOrder(self, &to[i], &from, SPOIL_NONE, true));
     }
 }
 
@@ -174,7 +174,7 @@
     next(self, &to);
     if (spoil == SPOIL_OLD)
         to.revision = from.revision;
-    loopSpawn(operatorLoop(self), "spoilt", documentMain, documentOrder(self, &to, &from, spoil, false));
+    loop_spawn(operatorLoop(self), "spoilt", documentMain, documentOrder(self, &to, &from, spoil, false));
 }
 
 void operatorBig(Operator *self)
@@ -186,7 +186,7 @@
     while (to.queueCount < DOCUMENT_QUEUES_MAX)
         idleAdd(self, &to);
     next(self, &to);
-    loopSpawn(operatorLoop(self), "big", documentMain, documentOrder(self, &to, &from, SPOIL_NONE, false));
+    loop_spawn(operatorLoop(self), "big", documentMain, documentOrder(self, &to, &from, SPOIL_NONE, false));
 }
 
 /* --- zones -------------------------------------------------------------------------------------- */
@@ -199,7 +199,7 @@
     ZoneOrder *zone = ledgerZone(self->ledger, ordering->zone);
     const Worded worded = {.path = ground->tongue->zonePath(ordering, ordering->zone, ordering->drain)};
     while (zone->open)
-        loopSleep(operatorLoop(self), 20);
+        loop_sleep(operatorLoop(self), 20);
     zone->open = true;
     if (!ordering->drain)
         zone->backSentMs = groundNowMs(ground);
@@ -218,7 +218,7 @@
 {
     Ordering *ordering = talloc_zero(self, Ordering);
     *ordering = (Ordering){.owner = self, .zone = zone, .drain = drain};
-    loopSpawn(operatorLoop(self), "zone", zoneMain, ordering);
+    loop_spawn(operatorLoop(self), "zone", zoneMain, ordering);
 }
 
 /* --- looks at entry points ------------------------------------------------------------------------ */
@@ -252,12 +252,12 @@
         .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, node->machine), ground->tongue->frontPort),
         .method = "GET",
         .path = queue.prefix,
-        .waitMs = CALL_MOST_MS,
+        .wait_ms = CALL_MOST_MS,
         .heads = heads,
-        .headCount = 2};
+        .head_count = 2};
     const int64_t sentMs = groundNowMs(ground);
     const uint64_t life = node->life;
-    const Status status = loopCall(operatorLoop(self), &call);
+    const Status status = loop_call(operatorLoop(self), &call);
     const Outcome outcome = ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
     if (node->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
         ledgerShown(self->ledger, node, queue.host, queue.prefix, sentMs, outcome == OUTCOME_GOOD);
@@ -267,7 +267,7 @@
 {
     Looking *looking = arg;
     for (;;) {
-        loopSleep(operatorLoop(looking->owner), diceSpan(&looking->dice, LOOK_GAP_MS / 2, LOOK_GAP_MS * 2));
+        loop_sleep(operatorLoop(looking->owner), diceSpan(&looking->dice, LOOK_GAP_MS / 2, LOOK_GAP_MS * 2));
         if (!looking->owner->ledger->running || !looking->node->used || looking->node->gone)
             continue;
         void *mem = talloc_new(looking);
@@ -303,11 +303,11 @@
         callersQueue(site, i, &first.queues[first.queueCount++]);
     idleAdd(self, &first);
     next(self, &first);
-    loopSpawn(operatorLoop(self), "first", documentMain, documentOrder(self, &first, NULL, SPOIL_NONE, false));
+    loop_spawn(operatorLoop(self), "first", documentMain, documentOrder(self, &first, NULL, SPOIL_NONE, false));
     for (size_t i = 0; i < self->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(self, Looking);
         *looking = (Looking){self, &self->ground->edges[i], diceOf(self->ground->seed, "look", i)};
-        loopSpawn(operatorLoop(self), "look", lookMain, looking);
+        loop_spawn(operatorLoop(self), "look", lookMain, looking);
     }
 }
 
@@ -338,10 +338,10 @@
 {
     Operator *self = arg;
     const Ground *ground = self->ground;
-    const int64_t untilMs = groundNowMs(ground) + ground->site->contactMs;
+    const int64_t until_ms = groundNowMs(ground) + ground->site->contactMs;
     const Worded worded = {.path = ground->tongue->configPath};
     size_t read = 0;
-    while (read == 0 || groundNowMs(ground) < untilMs) {
+    while (read == 0 || groundNowMs(ground) < until_ms) {
         void *mem = talloc_new(self);
         Bytes result = {0};
         if (self->opened == 0 && operatorAsk(self, mem, operatorNode(self), "GET", &worded, &result) == OUTCOME_GOOD) {
@@ -349,15 +349,15 @@
             read++;
         }
         talloc_free(mem);
-        if (read == 0 && groundNowMs(ground) > untilMs + ground->site->contactMs) {
+        if (read == 0 && groundNowMs(ground) > until_ms + ground->site->contactMs) {
             rulesBroke(ground->rules, RULE_CONFIG, groundDayMs(ground), "%s", "nobody gives the document back");
             return;
         }
-        loopSleep(operatorLoop(self), 300);
+        loop_sleep(operatorLoop(self), 300);
     }
 }
 
 void operatorFinish(Operator *self)
 {
-    loopSpawn(operatorLoop(self), "finish", finishMain, self);
+    loop_spawn(operatorLoop(self), "finish", finishMain, self);
 }
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -40,10 +40,10 @@
                      .method = method,
                      .path = worded->path,
                      .body = worded->body,
-                     .waitMs = CALL_MOST_MS,
+                     .wait_ms = CALL_MOST_MS,
                      .heads = heads,
-                     .headCount = worded->headName != NULL};
-    const Status status = loopCall(operatorLoop(self), &call);
+                     .head_count = worded->headName != NULL};
+    const Status status = loop_call(operatorLoop(self), &call);
     if (result != NULL)
         *result = call.result;
     return ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
@@ -53,7 +53,7 @@
 static void ackCheck(Ordering *ordering)
 {
     const Ground *ground = ordering->owner->ground;
-    const int64_t nowMs = groundNowMs(ground);
+    const int64_t now_ms = groundNowMs(ground);
     if (ordering->lateTold || ordering->raced || ordering->over || !groundSettled(ground) || !groundCalm(ground))
         return;
     if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
@@ -61,12 +61,12 @@
     int64_t fromMs = ordering->sentMs;
     fromMs = ground->anyMs + ground->site->contactMs > fromMs ? ground->anyMs + ground->site->contactMs : fromMs;
     const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queueCount : 0;
-    if (nowMs - fromMs < ground->site->ackMs + queues * ROUTE_MS)
+    if (now_ms - fromMs < ground->site->ackMs + queues * ROUTE_MS)
         return;
     ordering->lateTold = true;
     rulesBroke(ground->rules, RULE_ACK, groundDayMs(ground), "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
                ordering->sent != NULL ? "document" : ordering->zone,
-               ordering->sent != NULL ? ordering->sent->document.revision : 0, nowMs - fromMs);
+               ordering->sent != NULL ? ordering->sent->document.revision : 0, now_ms - fromMs);
 }
 
 /* UNCLEAR: go on; else what ended it. */
@@ -98,7 +98,7 @@
         ordering->over = outcome != OUTCOME_UNCLEAR;
         ackCheck(ordering);
         if (outcome == OUTCOME_UNCLEAR)
-            loopSleep(operatorLoop(self), pauseMs);
+            loop_sleep(operatorLoop(self), pauseMs);
         pauseMs = pauseMs < 400 ? pauseMs * 2 : pauseMs;
     }
     ackCheck(ordering);
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -13,7 +13,7 @@
     BookJob *job;
     const DraftStep *step;
     Ground *ground;
-    int64_t nowMs;
+    int64_t now_ms;
     bool touch; /* its sender is in touch */
 } Start;
 
@@ -42,13 +42,13 @@
     if (start->job->draft.lasting || !fate->done)
         return;
     if (!copies && fate->notedMs != 0)
-        BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->nowMs - fate->doneMs);
+        BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->doneMs);
     else if (!copies)
         fate->againRound = start->order->round;
-    const bool late = (fate->notedMs != 0 && start->nowMs - fate->notedMs > NOTED_LATE_MS) ||
-                      (start->job->shown == JOB_WORD_DONE && start->nowMs - start->job->shownMs > NOTED_LATE_MS);
+    const bool late = (fate->notedMs != 0 && start->now_ms - fate->notedMs > NOTED_LATE_MS) ||
+                      (start->job->shown == JOB_WORD_DONE && start->now_ms - start->job->shownMs > NOTED_LATE_MS);
     if (copies && start->touch && late)
-        BROKE(start, RULE_TWICE, "its end was noted %" PRId64 " ms ago", start->nowMs - fate->notedMs);
+        BROKE(start, RULE_TWICE, "its end was noted %" PRId64 " ms ago", start->now_ms - fate->notedMs);
 }
 
 static void orderCheck(const Start *start)
@@ -56,9 +56,9 @@
     const TaskName *name = &start->order->name;
     if (!bookReady(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t dueMs = bookDueWallMs(start->job, name->turn), wallMs = simWallMs(start->ground->world);
-    if (dueMs != 0 && wallMs < dueMs - start->ground->site->earlyMs)
-        BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", dueMs - wallMs);
+    const int64_t dueMs = bookDueWallMs(start->job, name->turn), wall_ms = simWallMs(start->ground->world);
+    if (dueMs != 0 && wall_ms < dueMs - start->ground->site->earlyMs)
+        BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", dueMs - wall_ms);
 }
 
 static void routeCheck(const Start *start)
@@ -90,7 +90,7 @@
     const size_t rounds = (size_t)start->job->kind->rounds, noted = bookFailsNoted(fate, start->order->round);
     if (start->job->draft.lasting || fate->fails < rounds)
         return;
-    const bool late = start->touch && start->nowMs - fate->failsNotedMs > NOTED_LATE_MS;
+    const bool late = start->touch && start->now_ms - fate->failsNotedMs > NOTED_LATE_MS;
     if (noted >= rounds && (late || !start->job->draft.copies))
         BROKE(start, RULE_BUDGET, "%zu rounds have failed", noted);
     else if (!start->job->draft.copies)
@@ -112,21 +112,22 @@
                 run->crew != NULL && run->crew->fromMs != (progressMs > 0 ? progressMs : 0))
                 BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progressMs,
                       run->crew->fromMs);
-    if (job->cancelMs != 0 && start->touch && start->nowMs - job->cancelMs > site->cancelMs)
-        BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->nowMs - job->cancelMs);
+    if (job->cancelMs != 0 && start->touch && start->now_ms - job->cancelMs > site->cancelMs)
+        BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancelMs);
     if (job->refusedMs != 0)
-        BROKE(start, RULE_REFUSED, "turned away each time, %" PRId64 " ms ago", start->nowMs - job->refusedMs);
+        BROKE(start, RULE_REFUSED, "turned away each time, %" PRId64 " ms ago", start->now_ms - job->refusedMs);
 }
 
 static void placeCheck(const Start *start)
 {
     const Site *site = start->ground->site;
     const Hand *hand = start->hand;
-    if (hand->leaveAckMs != 0 && hand->leaveAckTouch && start->touch && start->nowMs - hand->leaveAckMs > site->drainMs)
-        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->nowMs - hand->leaveAckMs);
+    if (hand->leaveAckMs != 0 && hand->leaveAckTouch && start->touch &&
+        start->now_ms - hand->leaveAckMs > site->drainMs)
+        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->now_ms - hand->leaveAckMs);
     const ZoneOrder *zone = ledgerZone(hand->hands->ledger, hand->zone);
-    if (zone->drainedMs != 0 && zone->backSentMs == 0 && start->touch && start->nowMs - zone->drainedMs > site->evacMs)
-        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->nowMs - zone->drainedMs);
+    if (zone->drainedMs != 0 && zone->backSentMs == 0 && start->touch && start->now_ms - zone->drainedMs > site->evacMs)
+        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->now_ms - zone->drainedMs);
 }
 
 bool startCheck(Hand *hand, const HandStart *order)
@@ -136,7 +137,7 @@
                    .order = order,
                    .task = bookTask(hand->hands->book, &order->name),
                    .ground = ground,
-                   .nowMs = groundNowMs(ground),
+                   .now_ms = groundNowMs(ground),
                    .touch = nodeInTouch(hand->side)};
     if (start.task == NULL) {
         BROKE(&start, RULE_UNASKED, "%s", "there is no such task");
@@ -165,18 +166,18 @@
     Fate *fate = end->task->fate;
     const HandStart order = {.name = end->told.name, .round = end->told.round};
     const Start start = {.hand = hand, .order = &order, .ground = ground};
-    const int64_t nowMs = groundNowMs(ground);
+    const int64_t now_ms = groundNowMs(ground);
     if (end->told.word == ROUND_DONE) {
         if (end->told.round < fate->againRound && !job->draft.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
                   fate->againRound);
         if (fate->notedMs == 0)
-            fate->notedMs = nowMs;
+            fate->notedMs = now_ms;
     }
     for (size_t i = 0; i < fate->fails && end->told.word == ROUND_FAILED; i++)
         if (fate->failed[i] == end->told.round && !fate->failNoted[i]) {
             fate->failNoted[i] = true;
-            fate->failsNotedMs = nowMs;
+            fate->failsNotedMs = now_ms;
             if (end->told.round < fate->beyondRound && !job->draft.lasting &&
                 bookFailsNoted(fate, fate->beyondRound) == (size_t)job->kind->rounds)
                 BROKE(&start, RULE_BUDGET, "this end is noted now, round %" PRIu64 " was started after it",
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -77,7 +77,7 @@
 {
     if (value == NULL || value[0] == '\0')
         return failure_set(failure, STATUS_BAD_PROPS, "%s: is missing", key);
-    if (address && !realAddressValid(value))
+    if (address && !real_address_valid(value))
         return failure_set(failure, STATUS_BAD_PROPS, "%s: %s is not an IP address with a port", key, value);
     return STATUS_OK;
 }
--- a/packages/queue/include/queue/aim.h
+++ b/packages/queue/include/queue/aim.h
@@ -17,10 +17,10 @@
 void aimFind(const Job *job, int64_t fromMs, const Guesses *guesses, Room quarter, Aim *aim);
 /* Time that may pass before the step must be under way for the aim to be met;
  * negative: it can't be met any more. */
-int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t nowMs);
+int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t now_ms);
 /* Higher goes first. What can still make its aim goes by how soon it must be
  * under way; what can't, behind what has as little time, until three times the
  * aim; then last, the oldest first. */
-double aimRank(const Aim *aim, uint64_t step, int64_t nowMs);
+double aimRank(const Aim *aim, uint64_t step, int64_t now_ms);
 
 #endif
--- a/packages/queue/include/queue/guess.h
+++ b/packages/queue/include/queue/guess.h
@@ -15,9 +15,9 @@
 /* A round did the whole of a task's work in tookMs. farPercent: what its place
  * made of that; 100: it was near its data. */
 void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t tookMs,
-                uint64_t farPercent, int64_t nowMs);
+                uint64_t farPercent, int64_t now_ms);
 /* What a worker did of late took so many thousandths of what it should have. */
-void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t nowMs);
+void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms);
 /* How long one task of the step should take on a sound worker near its data;
  * 0: nothing is known. guesses may be null. */
 int64_t guessMs(const Guesses *guesses, const Job *job, uint64_t step);
@@ -28,6 +28,6 @@
 uint64_t guessPace(const Guesses *guesses);
 /* Time on this worker in thousandths of that on a sound one: by what it did within
  * the last GUESS_FRESH_MS, else by what it has done for long, within bounds. */
-uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t nowMs);
+uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t now_ms);
 
 #endif
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -21,8 +21,8 @@
 const char *waitWord(WaitReason reason);
 
 typedef struct QueueClock {
-    int64_t logMs;  /* the log's time */
-    int64_t wallMs; /* the median of the seats' wall clocks */
+    int64_t logMs;   /* the log's time */
+    int64_t wall_ms; /* the median of the seats' wall clocks */
 } QueueClock;
 
 /* Why a waiting task does not start now. */
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/aim.c
@@ -30,14 +30,14 @@
     /* steps wait for earlier ones alone */
     for (size_t s = job->spec.stepsCount; s-- > 0;) {
         const StepSpec *step = &job->spec.steps[s];
-        int64_t nextMs = 0;
+        int64_t next_ms = 0;
         for (size_t k = s + 1; k < job->spec.stepsCount; k++)
-            if (aim->afterMs[k] > nextMs && comesAfter(&job->spec.steps[k], step->name))
-                nextMs = aim->afterMs[k];
+            if (aim->afterMs[k] > next_ms && comesAfter(&job->spec.steps[k], step->name))
+                next_ms = aim->afterMs[k];
         const int64_t waves = step->gang ? 1 : (int64_t)wavesOf(step, quarter);
         const int64_t taskMs = guessMs(guesses, job, s);
         aim->taskMs[s] = (int32_t)(taskMs < INT32_MAX / 2 ? taskMs : INT32_MAX / 2);
-        const int64_t afterMs = aim->taskMs[s] * waves + nextMs;
+        const int64_t afterMs = aim->taskMs[s] * waves + next_ms;
         aim->afterMs[s] = (int32_t)(afterMs < INT32_MAX ? afterMs : INT32_MAX);
         if (aim->afterMs[s] > longestMs)
             longestMs = aim->afterMs[s];
@@ -46,9 +46,9 @@
     aim->spanMs = (int64_t)job->terms.stretchMilli * longestMs / 1000 + job->terms.targetMs;
 }
 
-int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t nowMs)
+int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t now_ms)
 {
-    return aim->fromMs + aim->spanMs - nowMs - aim->afterMs[step];
+    return aim->fromMs + aim->spanMs - now_ms - aim->afterMs[step];
 }
 
 /* Guesses are off by a part: one that misses by less may still make it. */
@@ -62,15 +62,15 @@
     return slackMs > 0 ? -(double)slackMs / AIM_LOOK_MS : 0.0;
 }
 
-double aimRank(const Aim *aim, uint64_t step, int64_t nowMs)
+double aimRank(const Aim *aim, uint64_t step, int64_t now_ms)
 {
-    const int64_t workMs = aim->afterMs[step], slackMs = aimSlackMs(aim, step, nowMs);
+    const int64_t workMs = aim->afterMs[step], slackMs = aimSlackMs(aim, step, now_ms);
     if (canMake(slackMs, workMs))
         return nearness(slackMs);
     const int64_t lateMs = slackMs + (AIM_LATE_TIMES - 1) * aim->spanMs;
     if (canMake(lateMs, workMs))
         return AIM_LATE_RANK + nearness(lateMs);
     /* worth nothing any more; the oldest first */
-    const int64_t ageMs = nowMs - aim->fromMs;
+    const int64_t ageMs = now_ms - aim->fromMs;
     return AIM_LOST_RANK + (double)ageMs / (double)(ageMs + JOB_KEEP_MS);
 }
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -122,7 +122,7 @@
     return guesses != NULL && guesses->poolMedian > 1000 ? guesses->poolMedian : 1000;
 }
 
-uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t nowMs)
+uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t now_ms)
 {
     const Speed *speed = guesses != NULL ? map_get(guesses->workers, worker) : NULL;
     if (speed == NULL)
@@ -130,7 +130,7 @@
     uint64_t fresh[GUESS_FRESH_KEPT];
     size_t count = 0;
     for (size_t i = 0; i < GUESS_FRESH_KEPT && i < speed->freshCount; i++)
-        if (nowMs - speed->freshMs[i] <= GUESS_FRESH_MS)
+        if (now_ms - speed->freshMs[i] <= GUESS_FRESH_MS)
             fresh[count++] = speed->fresh[i];
     const uint64_t ends = speed->ends.count >= GUESS_LEAST ? speed->ends.median : 1000;
     const uint64_t lasting = ends < GUESS_SPEED_LEAST  ? GUESS_SPEED_LEAST
@@ -144,12 +144,12 @@
     return own > GUESS_SPEED_MOST ? own : lasting;
 }
 
-void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t nowMs)
+void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms)
 {
     Speed *speed = speedOf(guesses, worker);
     const size_t at = (size_t)(speed->freshCount++ % GUESS_FRESH_KEPT);
     speed->fresh[at] = ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST;
-    speed->freshMs[at] = nowMs;
+    speed->freshMs[at] = now_ms;
     guesses->pool[guesses->poolCount++ % GUESS_POOL] = speed->fresh[at];
     uint64_t sorted[GUESS_POOL];
     const size_t count = guesses->poolCount < GUESS_POOL ? (size_t)guesses->poolCount : GUESS_POOL;
@@ -159,7 +159,7 @@
 }
 
 void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t tookMs,
-                uint64_t farPercent, int64_t nowMs)
+                uint64_t farPercent, int64_t now_ms)
 {
     if (tookMs <= 0 || farPercent == 0)
         return;
@@ -170,7 +170,7 @@
     if (expectedMs > 0) {
         const uint64_t ratio = soundMs * 1000 / (uint64_t)expectedMs;
         ratioTake(&speedOf(guesses, worker)->ends, ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST);
-        guessesPace(guesses, worker, ratio, nowMs);
+        guessesPace(guesses, worker, ratio, now_ms);
     }
     const bool moved = saidMs > 0 ? ratioTake(ratiosOf(guesses->steps, key.text), soundMs * 1000 / saidMs)
                                   : ratioTake(ratiosOf(guesses->plain, key.text), soundMs);
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -40,7 +40,7 @@
     Run *runs;
     size_t runCount;
     Place *tried; /* the last that was given out */
-    int64_t nextMs;
+    int64_t next_ms;
 };
 
 size_t candidateTask(const Candidate *candidate, size_t member)
@@ -55,8 +55,8 @@
 
 static void nextAt(Line *line, int64_t logMs)
 {
-    if (logMs > line->sight->clock.logMs && logMs < line->nextMs)
-        line->nextMs = logMs;
+    if (logMs > line->sight->clock.logMs && logMs < line->next_ms)
+        line->next_ms = logMs;
 }
 
 /* --- ranks ------------------------------------------------------------------------- */
@@ -250,7 +250,7 @@
     const Room fleet = sight->fleet;
     line->queue = queue;
     line->sight = sight;
-    line->nextMs = INT64_MAX;
+    line->next_ms = INT64_MAX;
     line->quarter = (Room){fleet.cpuMilli / AIM_WAVE_PART, fleet.memMb / AIM_WAVE_PART, fleet.gpu / AIM_WAVE_PART};
     Job *const *jobs;
     const size_t jobCount = tableActive(sight->table, &jobs);
@@ -282,7 +282,7 @@
 
 int64_t lineNextMs(const Line *line)
 {
-    return line->nextMs;
+    return line->next_ms;
 }
 
 static Room roomOf(const Candidate *candidate)
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -27,14 +27,14 @@
 
 bool queueDue(const Job *job, uint64_t turn, QueueClock clock)
 {
-    return clock.wallMs >= turnWallMs(job, turn) && clock.logMs >= job->acceptedMs + job->spec.delayMs;
+    return clock.wall_ms >= turnWallMs(job, turn) && clock.logMs >= job->acceptedMs + job->spec.delayMs;
 }
 
 int64_t queueDueMs(const Job *job, uint64_t turn, QueueClock clock)
 {
-    const int64_t wallMs = turnWallMs(job, turn), acceptedMs = job->acceptedMs + job->spec.delayMs;
-    const int64_t dueMs = clock.logMs - (clock.wallMs - wallMs);
-    return wallMs != 0 && dueMs > acceptedMs ? dueMs : acceptedMs;
+    const int64_t wall_ms = turnWallMs(job, turn), acceptedMs = job->acceptedMs + job->spec.delayMs;
+    const int64_t dueMs = clock.logMs - (clock.wall_ms - wall_ms);
+    return wall_ms != 0 && dueMs > acceptedMs ? dueMs : acceptedMs;
 }
 
 WaitReason queueWait(const Job *job, size_t task, QueueClock clock)
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -54,16 +54,16 @@
 
 typedef struct Checker Checker;
 
-/* nowMs is one clock for all that is told. */
+/* now_ms is one clock for all that is told. */
 typedef struct CheckerProps {
     void *arg;
-    int64_t (*nowMs)(void *arg);
+    int64_t (*now_ms)(void *arg);
     /* Whether the worker's machine stands still now, so that what it "runs" does not run. */
     bool (*frozen)(void *arg, const char *worker);
     /* A job as accepted, from any node that knows it; null when none does. */
     const Job *(*job)(void *arg, const char *id);
     /* True wall time; null where nobody knows it. */
-    int64_t (*wallMs)(void *arg);
+    int64_t (*wall_ms)(void *arg);
 } CheckerProps;
 
 Checker *checkerNew(void *mem, const CheckerProps *props);
@@ -92,7 +92,7 @@
 /* A new process of the worker has asked its agent: nothing of the old one runs. */
 void checkerBooted(Checker *checker, const char *worker);
 /* The worker holds a claim on all it runs until then, on the one clock. */
-void checkerHeld(Checker *checker, const char *worker, int64_t untilMs);
+void checkerHeld(Checker *checker, const char *worker, int64_t until_ms);
 /* The worker has been told to stop the round. */
 void checkerTold(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round);
 /* A failure is brought about, or mended, just now. */
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -103,7 +103,7 @@
                   const char *body);
 /* The same with headers. */
 HttpCall fleetAskAs(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                    const char *body, const HttpPair *heads, size_t headCount);
+                    const char *body, const HttpPair *heads, size_t head_count);
 /* Ring lines of all nodes, for a failed run. */
 void fleetDump(const Fleet *fleet);
 
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -20,13 +20,13 @@
 /* True wall time, which machines' clocks are off from. */
 int64_t simWallMs(const SimWorld *world);
 uint64_t simRandom(SimWorld *world);
-/* Runs until virtual time has come to untilMs. */
-void simRunUntil(SimWorld *world, int64_t untilMs);
+/* Runs until virtual time has come to until_ms. */
+void simRunUntil(SimWorld *world, int64_t until_ms);
 /* Runs until the machine has had its next turn, or virtual time has come to
- * untilMs; true when it had one. */
-bool simTurn(SimWorld *world, int machine, int64_t untilMs);
-/* Calls fn at whenMs, outside of any node. */
-void simAt(SimWorld *world, int64_t whenMs, SimFn fn, void *arg);
+ * until_ms; true when it had one. */
+bool simTurn(SimWorld *world, int machine, int64_t until_ms);
+/* Calls fn at when_ms, outside of any node. */
+void simAt(SimWorld *world, int64_t when_ms, SimFn fn, void *arg);
 /* Called after each event: the place of the checkers. */
 void simWatch(SimWorld *world, SimFn fn, void *arg);
 
@@ -46,13 +46,13 @@
 /* Power off: nobody is told, what the disk held back is lost. */
 void simPowerOff(SimWorld *world, int machine);
 /* SIGSTOP until the given time. */
-void simFreeze(SimWorld *world, int machine, int64_t untilMs);
+void simFreeze(SimWorld *world, int machine, int64_t until_ms);
 bool simFrozen(const SimWorld *world, int machine);
-/* Wall time jumps; nowMs does not. */
+/* Wall time jumps; now_ms does not. */
 void simJump(SimWorld *world, int machine, int64_t byMs);
 /* Its wall clock is right again. */
 void simClockRight(SimWorld *world, int machine);
-/* The machine's nowMs runs at so many hundredths of the true speed from now on:
+/* The machine's now_ms runs at so many hundredths of the true speed from now on:
  * no machine that spancart trusts does this; the checkers are tried with it. */
 void simClockRate(SimWorld *world, int machine, int64_t percent);
 /* Cuts (or joins again) the way from one machine to another; one way only. */
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -27,8 +27,8 @@
 static void claimsStand(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim *claim = task->claims; claim != NULL; claim = claim->next)
-        if (claim->worker == worker->worker.name && claim->untilMs == 0)
-            claim->untilMs = worker->claimUntilMs > 0 ? worker->claimUntilMs : 1;
+        if (claim->worker == worker->worker.name && claim->until_ms == 0)
+            claim->until_ms = worker->claimUntilMs > 0 ? worker->claimUntilMs : 1;
 }
 
 /* A new boot of the worker has been heard: it runs nothing of the old one. */
@@ -36,7 +36,7 @@
 {
     for (SeenClaim **at = &task->claims; *at != NULL;) {
         SeenClaim *claim = *at;
-        if (claim->worker != worker->worker.name || claim->untilMs == 0) {
+        if (claim->worker != worker->worker.name || claim->until_ms == 0) {
             at = &claim->next;
             continue;
         }
@@ -45,14 +45,14 @@
     }
 }
 
-void checkerHeld(Checker *checker, const char *worker, int64_t untilMs)
+void checkerHeld(Checker *checker, const char *worker, int64_t until_ms)
 {
     SeenWorker *on = seenWorker(checker, worker);
-    if (untilMs - checkerNow(checker) > CLAIM_MOST_MS)
+    if (until_ms - checkerNow(checker) > CLAIM_MOST_MS)
         checkerBroke(checker, NEVER_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
-                     untilMs - checkerNow(checker));
-    if (untilMs > on->claimUntilMs)
-        on->claimUntilMs = untilMs;
+                     until_ms - checkerNow(checker));
+    if (until_ms > on->claimUntilMs)
+        on->claimUntilMs = until_ms;
 }
 
 void checkerBooted(Checker *checker, const char *worker)
@@ -63,15 +63,16 @@
 void claimStart(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
                 uint64_t round, bool copies)
 {
-    const int64_t nowMs = checkerNow(checker);
+    const int64_t now_ms = checkerNow(checker);
     for (SeenClaim **at = &task->claims; *at != NULL;) {
         SeenClaim *claim = *at;
-        const int64_t untilMs = claim->untilMs != 0 ? claim->untilMs : seenWorker(checker, claim->worker)->claimUntilMs;
-        if (nowMs < untilMs && !copies)
+        const int64_t until_ms =
+            claim->until_ms != 0 ? claim->until_ms : seenWorker(checker, claim->worker)->claimUntilMs;
+        if (now_ms < until_ms && !copies)
             checkerBroke(checker, NEVER_EARLY_RESTART,
                          "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
                          " ms before %s's claim of round %" PRIu64 " lapses",
-                         job->id, number, round, worker, untilMs - nowMs, claim->worker, claim->round);
+                         job->id, number, round, worker, until_ms - now_ms, claim->worker, claim->round);
         *at = claim->next;
         talloc_free(claim);
     }
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -33,7 +33,7 @@
 
 int64_t checkerNow(const Checker *checker)
 {
-    return checker->props.nowMs(checker->props.arg);
+    return checker->props.now_ms(checker->props.arg);
 }
 
 void checkerBroke(Checker *checker, Never never, const char *format, ...)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -37,7 +37,7 @@
     struct SeenClaim *next;
     const char *worker;
     uint64_t round;
-    int64_t untilMs; /* the worker's process has gone: its claim as it was then; 0: as the worker's */
+    int64_t until_ms; /* the worker's process has gone: its claim as it was then; 0: as the worker's */
 } SeenClaim;
 
 typedef struct SeenTask {
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -21,7 +21,7 @@
 
 static void stopsLook(Checker *checker, const SeenJob *job)
 {
-    const int64_t nowMs = checkerNow(checker);
+    const int64_t now_ms = checkerNow(checker);
     void *mem = talloc_new(NULL);
     const char **tasks;
     const size_t count = map_keys(job->tasks, mem, &tasks);
@@ -32,10 +32,10 @@
                 continue;
             if (job->cancelledMs != 0 && checkerDebtMs(checker, job->cancelledMs) > STOP_LATE_MS)
                 checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
-                             job->id, tasks[t], run->worker, nowMs - job->cancelledMs);
-            if (run->toldMs != 0 && nowMs - run->toldMs > TOLD_LATE_MS)
+                             job->id, tasks[t], run->worker, now_ms - job->cancelledMs);
+            if (run->toldMs != 0 && now_ms - run->toldMs > TOLD_LATE_MS)
                 checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after the worker was told",
-                             job->id, tasks[t], run->worker, nowMs - run->toldMs);
+                             job->id, tasks[t], run->worker, now_ms - run->toldMs);
         }
     }
     talloc_free(mem);
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -24,14 +24,14 @@
         checkerBroke(checker, NEVER_TOO_EARLY,
                      "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
                      task, checkerNow(checker) - seen->sentMs, job->spec.delayMs);
-    const int64_t wallMs = checker->props.wallMs != NULL ? checker->props.wallMs(checker->props.arg) : INT64_MAX;
+    const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
     const int64_t turnMs = taskDueWallMs(job, &job->tasks[at]);
-    if (turnMs != 0 && wallMs < turnMs - WALL_SLACK_MS)
+    if (turnMs != 0 && wall_ms < turnMs - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
-                     task, turnMs - wallMs);
-    if (job->spec.dueWallMs != 0 && wallMs < job->spec.dueWallMs - WALL_SLACK_MS)
+                     task, turnMs - wall_ms);
+    if (job->spec.dueWallMs != 0 && wall_ms < job->spec.dueWallMs - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id, task,
-                     job->spec.dueWallMs - wallMs);
+                     job->spec.dueWallMs - wall_ms);
     const Worker *on = &seenWorker(checker, worker)->worker;
     /* looked at here by itself: the planner's own look is what is being checked */
     bool able = step->kind[0] == '\0' || strcmp(step->kind, on->kind) == 0;
@@ -58,7 +58,7 @@
 
 void checkerStarted(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, Room room)
 {
-    const int64_t nowMs = checkerNow(checker);
+    const int64_t now_ms = checkerNow(checker);
     SeenJob *job = seenJob(checker, id);
     SeenTask *seen = seenTask(job, task);
     SeenWorker *on = seenWorker(checker, worker);
@@ -86,15 +86,15 @@
                      worker);
     if (job->refused)
         checkerBroke(checker, NEVER_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
-    if (job->cancelledMs != 0 && nowMs - job->cancelledMs > CANCEL_LATE_MS)
+    if (job->cancelledMs != 0 && now_ms - job->cancelledMs > CANCEL_LATE_MS)
         checkerBroke(checker, NEVER_CANCELLED_RAN, "%s task %" PRIu64 " %" PRId64 " ms later", id, task,
-                     nowMs - job->cancelledMs);
-    if (on->leavingMs != 0 && nowMs - on->leavingMs > LEAVING_LATE_MS)
+                     now_ms - job->cancelledMs);
+    if (on->leavingMs != 0 && now_ms - on->leavingMs > LEAVING_LATE_MS)
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
     const SeenZone *zone = map_get(checker->zones, on->worker.zone);
-    if (zone != NULL && zone->drainedMs != 0 && nowMs - zone->drainedMs > ZONE_LATE_MS)
+    if (zone != NULL && zone->drainedMs != 0 && now_ms - zone->drainedMs > ZONE_LATE_MS)
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
-    on->startedMs = nowMs;
+    on->startedMs = now_ms;
     on->starts++;
     on->used = roomMore(on->used, room);
     if (on->used.cpuMilli > on->worker.room.cpuMilli || on->used.memMb > on->worker.room.memMb)
@@ -105,14 +105,14 @@
     if (known != NULL)
         quotaStart(checker, known, room);
     if (checker->startedMs == 0)
-        checker->startedMs = nowMs;
+        checker->startedMs = now_ms;
     SeenRun *run = talloc_zero(seen, SeenRun);
     run->worker = on->worker.name;
     run->round = round;
     run->room = room;
     run->next = seen->runs;
     seen->runs = run;
-    seen->startedMs = nowMs;
+    seen->startedMs = now_ms;
     if (job->settled)
         map_set(checker->unsettled, id, job);
     job->settled = false;
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -115,9 +115,9 @@
 {
     SimFile *sf = (SimFile *)file;
     SimContent *from = contentOf(sf->machine, sf->path);
-    loopSleep(file->loop, 1);
+    loop_sleep(file->loop, 1);
     if (from->writeCount > 0)
-        loopSleep(file->loop, syncMs(sf));
+        loop_sleep(file->loop, syncMs(sf));
     if (sf->machine->diskFails)
         return STATUS_DISK_FAILED;
     synced(sf->machine, from);
@@ -132,7 +132,7 @@
     SimMachine *machine = sf->machine;
     SimContent *content = contentOf(machine, sf->path);
     content->inflight = bytes;
-    loopSleep(file->loop, syncMs(sf));
+    loop_sleep(file->loop, syncMs(sf));
     content->inflight = (Bytes){0};
     if (!takes(machine, bytes.count)) {
         written(content, begun(machine, bytes)); /* what a refused write has done nobody knows */
@@ -155,7 +155,7 @@
     SimContent *content = talloc_zero(machine->disk, SimContent);
     fresh->content = fresh->lasting = content;
     content->inflight = bytes;
-    loopSleep(file->loop, wholeMs / 2);
+    loop_sleep(file->loop, wholeMs / 2);
     content->inflight = (Bytes){0};
     if (!takes(machine, bytes.count)) {
         written(content, begun(machine, bytes));
@@ -167,7 +167,7 @@
     SimName *name = nameOf(machine, sf->path);
     name->content = content;
     fresh->content = NULL;
-    loopSleep(file->loop, wholeMs - wholeMs / 2);
+    loop_sleep(file->loop, wholeMs - wholeMs / 2);
     if (machine->diskFails)
         return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
     name->lasting = name->content;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -162,7 +162,7 @@
     }
     node->up = status == STATUS_OK;
     if (!node->up)
-        ring_say(node->ring, RING_FATAL, loopNowMs(loop), "%s: %s", status_word(status), failure.text);
+        ring_say(node->ring, RING_FATAL, loop_now_ms(loop), "%s: %s", status_word(status), failure.text);
 }
 
 static void nodeStart(void *arg, Loop *loop)
@@ -173,7 +173,7 @@
     node->agent = NULL;
     node->worker = NULL;
     node->up = false;
-    loopSpawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", bootMain, node);
 }
 
 void fleetStartNode(Fleet *fleet, FleetRole role, int number)
@@ -225,10 +225,10 @@
 
 void fleetRun(Fleet *fleet, int64_t forMs)
 {
-    const int64_t untilMs = simNowMs(fleet->world) + forMs;
-    while (simNowMs(fleet->world) < untilMs) {
-        const int64_t nextMs = simNowMs(fleet->world) + 500;
-        simRunUntil(fleet->world, nextMs < untilMs ? nextMs : untilMs);
+    const int64_t until_ms = simNowMs(fleet->world) + forMs;
+    while (simNowMs(fleet->world) < until_ms) {
+        const int64_t next_ms = simNowMs(fleet->world) + 500;
+        simRunUntil(fleet->world, next_ms < until_ms ? next_ms : until_ms);
         checkerLook(fleet->checker);
     }
 }
@@ -247,8 +247,8 @@
 
 bool fleetSettle(Fleet *fleet, int64_t mostMs)
 {
-    const int64_t untilMs = simNowMs(fleet->world) + mostMs;
-    while (!settled(fleet) && simNowMs(fleet->world) < untilMs)
+    const int64_t until_ms = simNowMs(fleet->world) + mostMs;
+    while (!settled(fleet) && simNowMs(fleet->world) < until_ms)
         fleetRun(fleet, 100);
     return settled(fleet);
 }
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -14,7 +14,7 @@
 static void askMain(void *arg)
 {
     Asked *asked = arg;
-    asked->status = loopCall(simLoop(asked->fleet->world, asked->fleet->caller), asked->call);
+    asked->status = loop_call(simLoop(asked->fleet->world, asked->fleet->caller), asked->call);
     asked->done = true;
 }
 
@@ -25,21 +25,21 @@
 }
 
 HttpCall fleetAskAs(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                    const char *body, const HttpPair *heads, size_t headCount)
+                    const char *body, const HttpPair *heads, size_t head_count)
 {
     HttpCall call = {.mem = mem,
                      .address = fleetNode(fleet, role, number)->props.http,
                      .method = method,
                      .path = path,
-                     .waitMs = 10000,
+                     .wait_ms = 10000,
                      .heads = heads,
-                     .headCount = headCount};
+                     .head_count = head_count};
     if (body != NULL)
         bytes_add(mem, &call.body, body, strlen(body));
     Asked *asked = talloc_zero(fleet, Asked);
     asked->fleet = fleet;
     asked->call = &call;
-    loopSpawn(simLoop(fleet->world, fleet->caller), "ask", askMain, asked);
+    loop_spawn(simLoop(fleet->world, fleet->caller), "ask", askMain, asked);
     while (!asked->done)
         fleetRun(fleet, 5);
     if (asked->status != STATUS_OK)
@@ -82,12 +82,12 @@
 
 bool fleetFinish(Fleet *fleet, int64_t mostMs)
 {
-    const int64_t untilMs = simNowMs(fleet->world) + mostMs;
+    const int64_t until_ms = simNowMs(fleet->world) + mostMs;
     for (;;) {
         bool done = checkerOpen(fleet->checker) == 0;
         for (int i = 0; i < fleet->callerCount; i++)
             done &= callerDone(fleet->callers[i]);
-        if (done || simNowMs(fleet->world) >= untilMs) {
+        if (done || simNowMs(fleet->world) >= until_ms) {
             checkerEnd(fleet->checker);
             return done;
         }
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -45,14 +45,14 @@
 {
     FleetNode *node = fleetNode(fleet, role, number);
     if (node->up)
-        loopSpawn(simLoop(fleet->world, node->machine), "term", leaveMain, node);
+        loop_spawn(simLoop(fleet->world, node->machine), "term", leaveMain, node);
 }
 
 void fleetRoll(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleetNode(fleet, role, number);
     if (node->up)
-        loopSpawn(simLoop(fleet->world, node->machine), "term", drainMain, node);
+        loop_spawn(simLoop(fleet->world, node->machine), "term", drainMain, node);
 }
 
 static void nodeGone(FleetNode *node)
@@ -94,12 +94,12 @@
 void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t forMs)
 {
     FleetNode *node = fleetNode(fleet, role, number);
-    const int64_t untilMs = simNowMs(fleet->world) + forMs;
+    const int64_t until_ms = simNowMs(fleet->world) + forMs;
     if (!simAlive(fleet->world, node->machine))
         return;
-    simFreeze(fleet->world, node->machine, untilMs);
+    simFreeze(fleet->world, node->machine, until_ms);
     if (role == FLEET_WORKER)
-        simAt(fleet->world, untilMs + 1, woke, node);
+        simAt(fleet->world, until_ms + 1, woke, node);
 }
 
 void fleetThaw(Fleet *fleet)
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -21,12 +21,12 @@
     char *method, *path;
     Bytes body;
     HttpPair *heads;
-    size_t headCount;
+    size_t head_count;
     /* the result on its way back */
-    int code, retryAfterS;
+    int code, retry_after_s;
     Bytes result;
     HttpPair *tells;
-    size_t tellCount;
+    size_t tell_count;
 } SimHttp;
 
 typedef struct SimServed {
@@ -56,22 +56,22 @@
     SimWorld *world = http->world;
     if (http->call != NULL) {
         if (world->cut[http->to][http->from]) {
-            simAt(world, world->nowMs + HELD_RETRY_MS, resultArrives, http);
+            simAt(world, world->now_ms + HELD_RETRY_MS, resultArrives, http);
             return;
         }
         const int64_t frozenMs = world->machines[http->from].frozenUntilMs;
-        if (frozenMs > world->nowMs) {
+        if (frozenMs > world->now_ms) {
             simAt(world, frozenMs, resultArrives, http);
             return;
         }
         HttpCall *call = http->call;
         call->code = http->code;
-        call->retryAfterS = http->retryAfterS;
+        call->retry_after_s = http->retry_after_s;
         call->result = bytes_copy(call->mem, http->result);
-        call->tells = pairsCopy(call->mem, http->tells, http->tellCount, 0);
-        call->tellCount = http->tellCount;
+        call->tells = pairsCopy(call->mem, http->tells, http->tell_count, 0);
+        call->tell_count = http->tell_count;
         http->answered = true;
-        signalRaise(&http->caller->loop, &http->done);
+        signal_raise(&http->caller->loop, &http->done);
     }
     http->serverOver = true;
     httpMaybeFree(http);
@@ -81,7 +81,7 @@
 static int servedFree(SimServed *served)
 {
     SimHttp *http = served->http;
-    served->loop->httpTasks--;
+    served->loop->http_tasks--;
     if (http == NULL)
         return 0;
     http->status = STATUS_CLOSED;
@@ -89,22 +89,22 @@
         http->serverOver = true; /* the caller waits until it gives up */
         httpMaybeFree(http);
     } else {
-        simAt(http->world, http->world->nowMs + simLinkMs(http->world), resultArrives, http);
+        simAt(http->world, http->world->now_ms + simLinkMs(http->world), resultArrives, http);
     }
     return 0;
 }
 
-static void servedMain(void *arg)
+static void served_main(void *arg)
 {
     SimServed *served = arg;
     SimHttp *http = served->http;
-    http->port.onHttp(http->port.arg, &served->task);
+    http->port.on_http(http->port.arg, &served->task);
     served->http = NULL;
     http->code = served->task.code;
-    http->retryAfterS = served->task.retryAfterS;
+    http->retry_after_s = served->task.retry_after_s;
     http->result = bytes_copy(http, served->task.result);
-    http->tells = pairsCopy(http, served->task.tells, served->task.tellCount, 0);
-    http->tellCount = served->task.tellCount;
+    http->tells = pairsCopy(http, served->task.tells, served->task.tell_count, 0);
+    http->tell_count = served->task.tell_count;
     simAt(http->world, simArrivalMs(http->world, http->to, http->from, http->result.count), resultArrives, http);
     talloc_free(served);
 }
@@ -120,7 +120,7 @@
         return;
     }
     if (world->cut[http->from][http->to]) {
-        simAt(world, world->nowMs + HELD_RETRY_MS, requestArrives, http);
+        simAt(world, world->now_ms + HELD_RETRY_MS, requestArrives, http);
         return;
     }
     if (machine->loop == NULL || machine->life != http->toLife) {
@@ -131,19 +131,19 @@
             resultArrives(http);
         return;
     }
-    if (machine->frozenUntilMs > world->nowMs) {
+    if (machine->frozenUntilMs > world->now_ms) {
         simAt(world, machine->frozenUntilMs, requestArrives, http);
         return;
     }
     const HttpLimits *limits = &machine->loop->limits;
-    if (http->body.count > (limits->bodyBytes > 0 ? limits->bodyBytes : HTTP_BODY_MAX)) {
+    if (http->body.count > (limits->body_bytes > 0 ? limits->body_bytes : HTTP_BODY_MAX)) {
         http->code = status_http(STATUS_TOO_LARGE);
         resultArrives(http);
         return;
     }
     SimServed *served = talloc_zero(machine->loop, SimServed);
     served->loop = machine->loop;
-    machine->loop->httpTasks++;
+    machine->loop->http_tasks++;
     served->http = http;
     talloc_set_destructor(served, servedFree);
     HttpTask *task = &served->task;
@@ -153,13 +153,13 @@
     task->path = question ? talloc_strndup(served, http->path, (size_t)(question - http->path))
                           : talloc_strdup(served, http->path);
     task->query = question ? talloc_strdup(served, question + 1) : "";
-    task->headCount = http->headCount;
-    task->heads = pairsCopy(served, http->heads, http->headCount, 0);
-    task->host = httpHost(served, httpHead(task, "host"));
+    task->head_count = http->head_count;
+    task->heads = pairsCopy(served, http->heads, http->head_count, 0);
+    task->host = http_host(served, http_head(task, "host"));
     task->body = bytes_copy(served, http->body);
     task->code = 500;
     task->kind = "application/json";
-    loopSpawn(&machine->loop->loop, "http", servedMain, served);
+    loop_spawn(&machine->loop->loop, "http", served_main, served);
 }
 
 Status simServe(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
@@ -182,7 +182,7 @@
 
 size_t simBusy(const Loop *loop)
 {
-    return ((const SimLoop *)loop)->httpTasks;
+    return ((const SimLoop *)loop)->http_tasks;
 }
 
 /* Marks the caller gone when its node ends in the middle of a call. */
@@ -205,23 +205,23 @@
     const char *port;
     if (!simFind(world, call->address, &target, &port))
         return STATUS_BAD_PROPS;
-    const int64_t untilMs = loopNowMs(loop) + call->waitMs;
+    const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
     for (;;) {
-        loopSleep(loop, simLinkMs(world) + simLinkMs(world));
+        loop_sleep(loop, simLinkMs(world) + simLinkMs(world));
         const SimMachine *machine = &world->machines[target];
         const bool hidden = world->cut[sim->machine][target] || world->cut[target][sim->machine] ||
                             (machine->loop == NULL && machine->silent);
         if (!hidden)
             break;
-        if (loopNowMs(loop) >= untilMs)
+        if (loop_now_ms(loop) >= until_ms)
             return STATUS_EXPIRED;
-        loopSleep(loop, HELD_RETRY_MS);
+        loop_sleep(loop, HELD_RETRY_MS);
     }
     SimMachine *machine = &world->machines[target];
     if (machine->loop == NULL)
         return STATUS_UNREACHABLE;
     const SimPort *found = map_get(machine->loop->ports, port);
-    if (found == NULL || found->onHttp == NULL)
+    if (found == NULL || found->on_http == NULL)
         return STATUS_UNREACHABLE;
     SimHttp *http = talloc_zero(world, SimHttp);
     http->world = world;
@@ -234,13 +234,13 @@
     http->method = talloc_strdup(http, call->method);
     http->path = talloc_strdup(http, call->path);
     http->body = bytes_copy(http, call->body);
-    http->heads = pairsCopy(http, call->heads, call->headCount, 1);
-    http->headCount = call->headCount;
+    http->heads = pairsCopy(http, call->heads, call->head_count, 1);
+    http->head_count = call->head_count;
     bool named = false;
-    for (size_t i = 0; i < call->headCount; i++)
+    for (size_t i = 0; i < call->head_count; i++)
         named |= strcmp(call->heads[i].name, "host") == 0;
     if (!named)
-        http->heads[http->headCount++] = (HttpPair){"host", talloc_strdup(http->heads, call->address)};
+        http->heads[http->head_count++] = (HttpPair){"host", talloc_strdup(http->heads, call->address)};
     SimCallMark *mark = talloc_zero(sim, SimCallMark);
     mark->http = http;
     talloc_set_destructor(mark, callMarkFree);
@@ -248,7 +248,7 @@
     simAt(world, simArrivalMs(world, http->from, http->to, http->body.count), requestArrives, http);
     call->waiting = &http->done;
     while (!http->answered && !call->cut)
-        if (!signalWait(loop, &http->done, untilMs))
+        if (!signal_wait(loop, &http->done, until_ms))
             break;
     const Status status = call->cut ? STATUS_CLOSED : http->answered ? http->status : STATUS_EXPIRED;
     talloc_free(mark);
--- a/packages/sim/src/link.c
+++ b/packages/sim/src/link.c
@@ -17,7 +17,7 @@
 int64_t simArrivalMs(SimWorld *world, int from, int to, size_t bytes)
 {
     SimMachine *sender = &world->machines[from], *taker = &world->machines[to];
-    int64_t beginUs = world->nowMs * US_IN_MS;
+    int64_t beginUs = world->now_ms * US_IN_MS;
     if (sender->bytesPerMs > 0 && sender->sendFreeUs > beginUs)
         beginUs = sender->sendFreeUs;
     if (taker->bytesPerMs > 0 && taker->takeFreeUs > beginUs)
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -55,7 +55,7 @@
         pair->last[side] = NULL;
         pair->fin[side] = true;
         if (pair->end[side] != NULL)
-            channelEnd(&pair->end[side]->channel);
+            channel_end(&pair->end[side]->channel);
     }
 }
 
@@ -70,22 +70,22 @@
         pairReset(pair);
     } else if (pair->first[side] != NULL && pair->end[other] != NULL) {
         if (cut) {
-            simAt(world, world->nowMs + HELD_RETRY_MS, pump, one);
+            simAt(world, world->now_ms + HELD_RETRY_MS, pump, one);
             return;
         }
         /* a machine that stands still takes frames all the same: its kernel keeps
          * them, and its process finds them when it wakes, whatever was cut since */
     }
-    while (pair->first[side] != NULL && (pair->first[side]->dueMs <= world->nowMs || pair->end[other] == NULL)) {
+    while (pair->first[side] != NULL && (pair->first[side]->dueMs <= world->now_ms || pair->end[other] == NULL)) {
         SimFrame *frame = pair->first[side];
         pair->first[side] = frame->next;
         if (pair->first[side] == NULL)
             pair->last[side] = NULL;
         if (pair->end[other] != NULL) {
             if (frame->fin)
-                channelEnd(&pair->end[other]->channel);
+                channel_end(&pair->end[other]->channel);
             else
-                channelArrive(&pair->end[other]->channel, frame->bytes);
+                channel_arrive(&pair->end[other]->channel, frame->bytes);
         }
         talloc_free(frame);
     }
@@ -110,7 +110,7 @@
     SimPair *pair = repeat->pair;
     const int other = 1 - repeat->side;
     if (pair->end[other] != NULL && !pair->world->cut[pair->machine[repeat->side]][pair->machine[other]])
-        channelArrive(&pair->end[other]->channel, repeat->bytes);
+        channel_arrive(&pair->end[other]->channel, repeat->bytes);
     pair->repeats--;
     talloc_free(repeat);
     pairMaybeFree(pair);
@@ -129,7 +129,7 @@
         *repeat = (SimRepeat){pair, side, bytes_copy(repeat, bytes)};
         pair->repeats++;
         const int64_t lateMs = (int64_t)(simRandom(world) % (uint64_t)(world->frameLateMs + 1));
-        simAt(world, world->nowMs + simLinkMs(world) + lateMs, repeatArrive, repeat);
+        simAt(world, world->now_ms + simLinkMs(world) + lateMs, repeatArrive, repeat);
     }
     return false;
 }
@@ -193,7 +193,7 @@
     Channel *channel;
 } SimAccepted;
 
-static void acceptedMain(void *arg)
+static void accepted_main(void *arg)
 {
     SimAccepted *accepted = arg;
     const SimAccepted copy = *accepted;
@@ -208,27 +208,27 @@
     return STATUS_OK;
 }
 
-Status simOpen(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel)
+Status simOpen(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
 {
     SimLoop *sim = (SimLoop *)loop;
     SimWorld *world = sim->world;
     int target;
     const char *port;
-    const int64_t untilMs = loopNowMs(loop) + waitMs;
+    const int64_t until_ms = loop_now_ms(loop) + wait_ms;
     if (!simFind(world, address, &target, &port))
         return STATUS_BAD_PROPS;
     do {
-        loopSleep(loop, simLinkMs(world) + simLinkMs(world));
+        loop_sleep(loop, simLinkMs(world) + simLinkMs(world));
         if (world->cut[sim->machine][target] || world->cut[target][sim->machine]) {
             if (world->refused[sim->machine][target] || world->refused[target][sim->machine])
                 return STATUS_UNREACHABLE;
-            loopSleep(loop, HELD_RETRY_MS);
+            loop_sleep(loop, HELD_RETRY_MS);
             continue;
         }
         SimMachine *machine = &world->machines[target];
         if (machine->loop == NULL) {
             if (machine->silent) {
-                loopSleep(loop, HELD_RETRY_MS);
+                loop_sleep(loop, HELD_RETRY_MS);
                 continue;
             }
             return STATUS_UNREACHABLE;
@@ -244,10 +244,10 @@
         SimChannel *theirs = simChannelNew(pair, 1, &machine->loop->loop, machine->loop);
         SimAccepted *accepted = talloc_zero(machine->loop, SimAccepted);
         *accepted = (SimAccepted){*found, &theirs->channel};
-        loopSpawn(&machine->loop->loop, "connection", acceptedMain, accepted);
+        loop_spawn(&machine->loop->loop, "connection", accepted_main, accepted);
         *channel = &mine->channel;
         return STATUS_OK;
-    } while (loopNowMs(loop) < untilMs);
+    } while (loop_now_ms(loop) < until_ms);
     return STATUS_UNREACHABLE;
 }
 
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -34,10 +34,10 @@
                        .address = fleet->nodes[FLEET_GATE][gate % fleet->nodeCount[FLEET_GATE]].props.http,
                        .method = method,
                        .path = path,
-                       .waitMs = 2000};
+                       .wait_ms = 2000};
     if (body != NULL)
         bytes_add(mem, &call->body, body, strlen(body));
-    const Status status = loopCall(simLoop(fleet->world, fleet->caller), call);
+    const Status status = loop_call(simLoop(fleet->world, fleet->caller), call);
     bytes_add(mem, &call->result, "", 1);
     return status;
 }
@@ -116,7 +116,7 @@
         if (!fleet->probesOver && probe->openCount < PROBE_OPEN_MAX / 2)
             handIn(probe);
         readBack(probe);
-        loopSleep(loop, probe->everyMs);
+        loop_sleep(loop, probe->everyMs);
     }
 }
 
@@ -125,7 +125,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++) {
         Probe *probe = talloc_zero(fleet, Probe);
         *probe = (Probe){.fleet = fleet, .gate = i, .everyMs = everyMs};
-        loopSpawn(simLoop(fleet->world, fleet->caller), "probe", probeMain, probe);
+        loop_spawn(simLoop(fleet->world, fleet->caller), "probe", probeMain, probe);
     }
 }
 
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -33,7 +33,7 @@
 #define OPERATOR_TRIES 4 /* count; of a call that names its revision */
 
 /* One try at one gate; the code, 0 after silence, and the revision that was told. */
-static int operatorTry(Operator *operator, int gate, int64_t waitMs, uint64_t *revision)
+static int operatorTry(Operator *operator, int gate, int64_t wait_ms, uint64_t *revision)
 {
     Fleet *fleet = operator->sweep->fleet;
     void *mem = talloc_new(fleet);
@@ -42,9 +42,9 @@
                      .address = fleet->nodes[FLEET_GATE][gate % 3].props.http,
                      .method = "PATCH",
                      .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
-                     .waitMs = waitMs};
+                     .wait_ms = wait_ms};
     bytes_add(mem, &call.body, operator->body, strlen(operator->body));
-    const Status status = loopCall(simLoop(fleet->world, fleet->caller), &call);
+    const Status status = loop_call(simLoop(fleet->world, fleet->caller), &call);
     bytes_add(mem, &call.result, "", 1);
     if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, revision) != 1)
         *revision = 0;
@@ -60,7 +60,7 @@
     told(operator, TENANT_ASKED);
     operator->code = operatorTry(operator, operator->gate, operator->revision> 0 ? 1000 : 9000, &revision);
     for (int i = 1; i < OPERATOR_TRIES && operator->revision> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
-        loopSleep(simLoop(fleet->world, fleet->caller), 250 * i);
+        loop_sleep(simLoop(fleet->world, fleet->caller), 250 * i);
         operator->code = operatorTry(operator, operator->gate + i, 2000, &revision);
     }
     if (operator->code == 200 && revision> 0) {
@@ -96,8 +96,8 @@
 
 static void operatorSend(Operator *operator)
 {
-    loopSpawn(simLoop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
-              operatorMain, operator);
+    loop_spawn(simLoop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
+               operatorMain, operator);
 }
 
 static void operatorWait(Operator *operator)
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -9,7 +9,7 @@
     const SimLoop *sim = (const SimLoop *)loop;
     const SimMachine *machine = &sim->world->machines[sim->machine];
     return machine->bootOffsetMs + machine->rateFromMs +
-           (sim->world->nowMs - machine->rateFromMs) * machine->ratePercent / 100;
+           (sim->world->now_ms - machine->rateFromMs) * machine->ratePercent / 100;
 }
 
 static int64_t simLoopWallMs(const Loop *loop)
@@ -44,7 +44,7 @@
     SimWorld *world = talloc_zero(mem, SimWorld);
     talloc_set_destructor(world, worldFree);
     world->state = seed * 2 + 1;
-    world->nowMs = 1000;
+    world->now_ms = 1000;
     world->delayLowMs = 1;
     world->delayHighMs = 3;
     return world;
@@ -52,12 +52,12 @@
 
 int64_t simNowMs(const SimWorld *world)
 {
-    return world->nowMs;
+    return world->now_ms;
 }
 
 int64_t simWallMs(const SimWorld *world)
 {
-    return 1700000000000 + world->nowMs;
+    return 1700000000000 + world->now_ms;
 }
 
 uint64_t simEvents(const SimWorld *world)
@@ -81,16 +81,16 @@
 
 static bool eventBefore(const SimEvent *a, const SimEvent *b)
 {
-    return a->whenMs < b->whenMs || (a->whenMs == b->whenMs && a->order < b->order);
+    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
 }
 
-void simAt(SimWorld *world, int64_t whenMs, SimFn fn, void *arg)
+void simAt(SimWorld *world, int64_t when_ms, SimFn fn, void *arg)
 {
     if (world->count == world->room) {
         world->room = world->room ? world->room * 2 : 1024;
         world->events = talloc_realloc(world, world->events, SimEvent, (unsigned)world->room);
     }
-    const SimEvent event = {whenMs < world->nowMs ? world->nowMs : whenMs, world->order++, fn, arg};
+    const SimEvent event = {when_ms < world->now_ms ? world->now_ms : when_ms, world->order++, fn, arg};
     size_t at = world->count++;
     while (at > 0 && eventBefore(&event, &world->events[(at - 1) / 2])) {
         world->events[at] = world->events[(at - 1) / 2];
@@ -120,12 +120,12 @@
     return top;
 }
 
-static bool stepTo(SimWorld *world, int64_t untilMs)
+static bool stepTo(SimWorld *world, int64_t until_ms)
 {
-    if (world->count == 0 || world->events[0].whenMs > untilMs)
+    if (world->count == 0 || world->events[0].when_ms > until_ms)
         return false;
     const SimEvent event = take(world);
-    world->nowMs = event.whenMs;
+    world->now_ms = event.when_ms;
     world->eventCount++;
     event.fn(event.arg);
     if (world->watch != NULL)
@@ -133,18 +133,18 @@
     return true;
 }
 
-void simRunUntil(SimWorld *world, int64_t untilMs)
+void simRunUntil(SimWorld *world, int64_t until_ms)
 {
-    while (stepTo(world, untilMs))
+    while (stepTo(world, until_ms))
         ;
-    world->nowMs = untilMs;
+    world->now_ms = until_ms;
 }
 
-bool simTurn(SimWorld *world, int machine, int64_t untilMs)
+bool simTurn(SimWorld *world, int machine, int64_t until_ms)
 {
     const uint64_t before = world->machines[machine].turns;
     while (world->machines[machine].turns == before)
-        if (!stepTo(world, untilMs))
+        if (!stepTo(world, until_ms))
             return false;
     return true;
 }
@@ -201,7 +201,7 @@
 typedef struct SimTurn {
     SimMachine *machine;
     uint64_t life;
-    int64_t whenMs; /* on the machine's clock; no longer the armed one: an earlier turn came since */
+    int64_t when_ms; /* on the machine's clock; no longer the armed one: an earlier turn came since */
 } SimTurn;
 
 static void turn(void *arg)
@@ -209,11 +209,11 @@
     SimTurn *one = arg;
     SimMachine *machine = one->machine;
     SimWorld *world = machine->world;
-    if (machine->loop == NULL || machine->life != one->life || machine->loop->armedMs != one->whenMs) {
+    if (machine->loop == NULL || machine->life != one->life || machine->loop->armedMs != one->when_ms) {
         talloc_free(one);
         return;
     }
-    if (machine->frozenUntilMs > world->nowMs) {
+    if (machine->frozenUntilMs > world->now_ms) {
         simAt(world, machine->frozenUntilMs, turn, one);
         return;
     }
@@ -221,22 +221,22 @@
     SimLoop *sim = machine->loop;
     sim->armedMs = INT64_MAX;
     machine->turns++;
-    loopRun(&sim->loop);
-    const int64_t nextMs = loopNextMs(&sim->loop);
-    if (nextMs != INT64_MAX)
-        simArm(&sim->loop, nextMs);
+    loop_run(&sim->loop);
+    const int64_t next_ms = loop_next_ms(&sim->loop);
+    if (next_ms != INT64_MAX)
+        simArm(&sim->loop, next_ms);
 }
 
-void simArm(Loop *loop, int64_t whenMs)
+void simArm(Loop *loop, int64_t when_ms)
 {
     SimLoop *sim = (SimLoop *)loop;
-    if (whenMs >= sim->armedMs)
+    if (when_ms >= sim->armedMs)
         return;
-    sim->armedMs = whenMs;
+    sim->armedMs = when_ms;
     SimMachine *machine = &sim->world->machines[sim->machine];
     SimTurn *one = talloc_zero(sim->world, SimTurn);
-    *one = (SimTurn){machine, machine->life, whenMs};
-    const int64_t spanMs = whenMs - machine->bootOffsetMs - machine->rateFromMs;
+    *one = (SimTurn){machine, machine->life, when_ms};
+    const int64_t spanMs = when_ms - machine->bootOffsetMs - machine->rateFromMs;
     simAt(sim->world, machine->rateFromMs + (spanMs * 100 + machine->ratePercent - 1) / machine->ratePercent, turn,
           one);
 }
@@ -245,7 +245,7 @@
 {
     SimMachine *machine = &world->machines[number];
     SimLoop *sim = talloc_zero(world, SimLoop);
-    loopInit(&sim->loop, &SIM_OPS);
+    loop_init(&sim->loop, &SIM_OPS);
     sim->world = world;
     sim->machine = number;
     sim->ports = map_new(sim);
@@ -277,7 +277,7 @@
     machine->silent = power;
     machine->loop = NULL;
     simDiskAfterEnd(machine, power);
-    loopEnd(&sim->loop);
+    loop_end(&sim->loop);
     talloc_free(sim);
 }
 
@@ -291,16 +291,16 @@
     end(world, machine, true);
 }
 
-void simFreeze(SimWorld *world, int machine, int64_t untilMs)
+void simFreeze(SimWorld *world, int machine, int64_t until_ms)
 {
     /* one within another ends with the longer: what was put off is put off until then */
-    if (untilMs > world->machines[machine].frozenUntilMs)
-        world->machines[machine].frozenUntilMs = untilMs;
+    if (until_ms > world->machines[machine].frozenUntilMs)
+        world->machines[machine].frozenUntilMs = until_ms;
 }
 
 bool simFrozen(const SimWorld *world, int machine)
 {
-    return world->machines[machine].frozenUntilMs > world->nowMs;
+    return world->machines[machine].frozenUntilMs > world->now_ms;
 }
 
 void simJump(SimWorld *world, int machine, int64_t byMs)
@@ -316,9 +316,9 @@
 void simClockRate(SimWorld *world, int number, int64_t percent)
 {
     SimMachine *machine = &world->machines[number];
-    const int64_t aheadMs = (world->nowMs - machine->rateFromMs) * (machine->ratePercent - 100) / 100;
+    const int64_t aheadMs = (world->now_ms - machine->rateFromMs) * (machine->ratePercent - 100) / 100;
     machine->bootOffsetMs += aheadMs;
-    machine->rateFromMs = world->nowMs;
+    machine->rateFromMs = world->now_ms;
     machine->ratePercent = percent;
 }
 
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -7,7 +7,7 @@
 #define HELD_RETRY_MS 100 /* ms; a held-back frame looks again, as TCP sends again */
 
 typedef struct SimEvent {
-    int64_t whenMs;
+    int64_t when_ms;
     uint64_t order;
     SimFn fn;
     void *arg;
@@ -33,7 +33,7 @@
 
 typedef struct SimPort {
     ChannelFn onChannel;
-    HttpFn onHttp;
+    HttpFn on_http;
     void *arg;
 } SimPort;
 
@@ -44,8 +44,8 @@
     Map *ports;
     int nextPort;
     HttpLimits limits;
-    size_t httpTasks; /* in work now */
-    int64_t armedMs;  /* an event that runs this loop is due then; INT64_MAX: none */
+    size_t http_tasks; /* in work now */
+    int64_t armedMs;   /* an event that runs this loop is due then; INT64_MAX: none */
 } SimLoop;
 
 /* Invariant: loop is null exactly when no process runs there. */
@@ -72,7 +72,7 @@
 } SimMachine;
 
 struct SimWorld {
-    int64_t nowMs;
+    int64_t now_ms;
     uint64_t state; /* of the random numbers */
     uint64_t order;
     uint64_t eventCount;
@@ -97,11 +97,11 @@
 /* The machine and port behind "10.0.0.N:port"; false when there is none. */
 bool simFind(SimWorld *world, const char *address, int *machine, const char **port);
 /* Runs the machine's loop when that is next due. */
-void simArm(Loop *loop, int64_t whenMs);
+void simArm(Loop *loop, int64_t when_ms);
 int simTakePort(SimLoop *loop, const char *address, SimPort port, char *bound);
 
 Status simListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
-Status simOpen(Loop *loop, void *mem, const char *address, int64_t waitMs, Channel **channel);
+Status simOpen(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 Status simSend(Channel *channel, Bytes frame);
 void simShut(Channel *channel);
 Status simServe(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -28,7 +28,7 @@
         shapePack(&NowFrameShape, &now, mem, &frame);
     else
         shapePack(&OldFrameShape, &answer, mem, &frame);
-    channelSend(channel, frame);
+    channel_send(channel, frame);
 }
 
 static void forgeMain(void *arg, Channel *channel)
@@ -38,13 +38,13 @@
         void *mem = talloc_new(forger->loop);
         Bytes frame;
         OldFrame question;
-        if (channelReceive(channel, mem, INT64_MAX, &frame) != STATUS_OK)
+        if (channel_receive(channel, mem, INT64_MAX, &frame) != STATUS_OK)
             break;
         assert_int_equal(shapeUnpack(&OldFrameShape, frame, mem, &question, NULL), STATUS_OK);
         forgeSend(forger, channel, mem, &question);
         talloc_free(mem);
     }
-    channelClose(channel);
+    channel_close(channel);
 }
 
 static void forgeStart(void *arg, Loop *loop)
@@ -52,7 +52,7 @@
     Forger *forger = arg;
     char bound[ADDRESS_MAX];
     forger->loop = loop;
-    assert_int_equal(loopListen(loop, ADDRESS, forgeMain, forger, bound, NULL), STATUS_OK);
+    assert_int_equal(loop_listen(loop, ADDRESS, forgeMain, forger, bound, NULL), STATUS_OK);
 }
 
 /* --- answers that are none of the question's --------------------------------------------- */
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -59,7 +59,7 @@
     PeerLife meant;
     CourierSending *sending;
     uint64_t number;
-    int64_t waitMs;
+    int64_t wait_ms;
     bool done;
     Status status;
     Echo answer;
@@ -70,15 +70,15 @@
     Ask *ask = arg;
     const Echo echo = {ask->number};
     ask->status = courierAskPeer(ask->asker->courier, ask, &(CourierTarget){ADDRESS, ask->meant, ask->sending},
-                                 MESSAGE_KNOW, &EchoShape, &echo, ask->waitMs, &EchoShape, &ask->answer);
+                                 MESSAGE_KNOW, &EchoShape, &echo, ask->wait_ms, &EchoShape, &ask->answer);
     ask->done = true;
 }
 
-static inline Ask *begin(Asker *asker, PeerLife meant, uint64_t number, int64_t waitMs)
+static inline Ask *begin(Asker *asker, PeerLife meant, uint64_t number, int64_t wait_ms)
 {
     Ask *ask = talloc_zero(asker->loop, Ask);
-    *ask = (Ask){.asker = asker, .meant = meant, .number = number, .waitMs = waitMs};
-    loopSpawn(asker->loop, "ask", askMain, ask);
+    *ask = (Ask){.asker = asker, .meant = meant, .number = number, .wait_ms = wait_ms};
+    loop_spawn(asker->loop, "ask", askMain, ask);
     return ask;
 }
 
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -11,14 +11,14 @@
 
 #include "sim/timeline.h"
 
-static int64_t nowMs;
+static int64_t now_ms;
 static bool standsStill;
 static Job job;
 
 static int64_t testNow(void *arg)
 {
     (void)arg;
-    return nowMs;
+    return now_ms;
 }
 
 static bool testFrozen(void *arg, const char *worker)
@@ -36,7 +36,7 @@
 static int64_t testWall(void *arg)
 {
     (void)arg;
-    return 500000 + nowMs;
+    return 500000 + now_ms;
 }
 
 /* The numbers of the gang's members, the second step's tasks. */
@@ -59,7 +59,7 @@
     job = (Job){.spec = {.id = "j", .cell = "c", .tenant = "t", .steps = steps, .stepsCount = 2},
                 .tasks = tasks,
                 .tasksCount = 3};
-    nowMs = 1000;
+    now_ms = 1000;
     standsStill = false;
     for (int i = 1; i <= 3; i++) {
         const Worker worker = {.name = i == 1   ? "w1"
@@ -133,7 +133,7 @@
     only(c, NEVER_FORGOTTEN);
     /* turns by their own due times */
     c = begin(), job.spec.firstWallMs = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.firstWallMs = 502000, nowMs += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.firstWallMs = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
 
     c = begin(), checkerRefused(c, "x"), checkerStarted(c, "w1", "x", 0, 1, ONE), only(c, NEVER_REFUSED_RAN);
     c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerRefused(c, "x"), only(c, NEVER_REFUSED_RAN);
@@ -145,56 +145,58 @@
     only(c, NEVER_OVERPACKED);
     c = begin(), checkerStarted(c, "gpu", "j", 0, 1, ONE), only(c, NEVER_OVERPACKED);
 
-    c = begin(), checkerCancelled(c, "x"), nowMs += 2900, checkerStarted(c, "w1", "x", 0, 1, ONE), good(c);
-    nowMs += 200, checkerStarted(c, "w1", "x", 1, 1, ONE), only(c, NEVER_CANCELLED_RAN);
+    c = begin(), checkerCancelled(c, "x"), now_ms += 2900, checkerStarted(c, "w1", "x", 0, 1, ONE), good(c);
+    now_ms += 200, checkerStarted(c, "w1", "x", 1, 1, ONE), only(c, NEVER_CANCELLED_RAN);
 
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), nowMs += 3000, checkerLook(c),
+    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), now_ms += 3000, checkerLook(c),
     good(c);
-    nowMs += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
+    now_ms += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
     /* a failure meanwhile: from when service must be back */
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), checkerFault(c), nowMs += 15000;
-    checkerLook(c), good(c), nowMs += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerTold(c, "w1", "x", 0, 1), nowMs += 400, checkerLook(c);
-    good(c), nowMs += 200, checkerLook(c), only(c, NEVER_STOPPED_RAN);
+    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), checkerFault(c), now_ms += 15000;
+    checkerLook(c), good(c), now_ms += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
+    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerTold(c, "w1", "x", 0, 1), now_ms += 400,
+    checkerLook(c);
+    good(c), now_ms += 200, checkerLook(c), only(c, NEVER_STOPPED_RAN);
 
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
-    c = begin(), checkerHeld(c, "w1", nowMs + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
+    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
     checkerWorkerGone(c, "w1");
-    nowMs += 3000, checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", nowMs + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
+    now_ms += 3000, checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
+    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
     checkerWorkerGone(c, "w1");
     checkerBooted(c, "w1"), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c); /* a new boot */
-    c = begin(), checkerHeld(c, "w1", nowMs + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
+    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
     checkerWorkerGone(c, "w1");
     const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .room = {2000, 100, 0}};
     checkerWorker(c, &again); /* ... that says what it is */
     checkerBooted(c, "w1"), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", nowMs + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
+    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
     checkerWorkerGone(c, "w1");
-    nowMs += 2900, checkerStarted(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
-    c = begin(), checkerHeld(c, "w1", nowMs + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE);
+    now_ms += 2900, checkerStarted(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
+    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE);
     checkerEnded(c, "w1", "x", 0, 1, ROUND_FAILED), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", nowMs + 4100), only(c, NEVER_EARLY_RESTART);
+    c = begin(), checkerHeld(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
 
     /* due times and delays */
-    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, nowMs += 400, checkerStarted(c, "w1", "j", 0, 1, ONE);
+    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, now_ms += 400, checkerStarted(c, "w1", "j", 0, 1, ONE);
     only(c, NEVER_TOO_EARLY);
-    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, nowMs += 500, checkerStarted(c, "w1", "j", 0, 1, ONE),
+    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, now_ms += 500, checkerStarted(c, "w1", "j", 0, 1, ONE),
     good(c);
     c = begin(), job.spec.dueWallMs = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.dueWallMs = 502000, nowMs += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.dueWallMs = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
 
     /* configurations by their effect */
-    c = begin(), checkerTenant(c, "g", TENANT_IN), nowMs += 2000, checkerProbe(c, "g", nowMs, true), good(c);
-    checkerProbe(c, "g", nowMs, false), only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_OUT), checkerProbe(c, "g", nowMs, true);
-    good(c), nowMs += 2000, checkerProbe(c, "g", nowMs, true), only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_ASKED), nowMs += 2000;
-    checkerProbe(c, "g", nowMs, false), good(c), checkerTenant(c, "g", TENANT_REFUSED),
-        checkerProbe(c, "g", nowMs, false);
+    c = begin(), checkerTenant(c, "g", TENANT_IN), now_ms += 2000, checkerProbe(c, "g", now_ms, true), good(c);
+    checkerProbe(c, "g", now_ms, false), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_OUT),
+    checkerProbe(c, "g", now_ms, true);
+    good(c), now_ms += 2000, checkerProbe(c, "g", now_ms, true), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_ASKED), now_ms += 2000;
+    checkerProbe(c, "g", now_ms, false), good(c), checkerTenant(c, "g", TENANT_REFUSED),
+        checkerProbe(c, "g", now_ms, false);
     only(c, NEVER_CONFIG_LOST);
     c = begin(), checkerTenant(c, "n", TENANT_ASKED), checkerTenant(c, "n", TENANT_REFUSED),
-    checkerProbe(c, "n", nowMs, true);
+    checkerProbe(c, "n", now_ms, true);
     only(c, NEVER_REFUSED_CONFIG);
     c = begin(), checkerConfigBoth(c, 3), only(c, NEVER_CONFIG_LOST);
     c = begin(), checkerQuota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checkerStarted(c, "w1", "j", 0, 1, ONE);
@@ -202,31 +204,31 @@
     checkerStarted(c, "w1", "j", SECOND, 1, ONE), only(c, NEVER_OVER_QUOTA);
     c = begin(), checkerQuota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checkerStarted(c, "w1", "j", 0, 1, ONE);
     checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE), checkerStarted(c, "w1", "j", FIRST, 1, ONE);
-    checkerQuota(c, "t", (Room){1000, 0, 0}, TENANT_IN), nowMs += 1900, checkerStarted(c, "w1", "j", SECOND, 1, ONE),
+    checkerQuota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checkerStarted(c, "w1", "j", SECOND, 1, ONE),
         good(c);
-    checkerEnded(c, "w1", "j", SECOND, 1, ROUND_LOST), nowMs += 200, checkerStarted(c, "w1", "j", SECOND, 2, ONE);
+    checkerEnded(c, "w1", "j", SECOND, 1, ROUND_LOST), now_ms += 200, checkerStarted(c, "w1", "j", SECOND, 2, ONE);
     only(c, NEVER_OVER_QUOTA);
 
     /* service, at each entry by itself */
     c = begin(), checkerServed(c, "g1", SERVE_ACCEPT), checkerServed(c, "g1", SERVE_STATUS), checkerFault(c),
-    nowMs += 12000;
+    now_ms += 12000;
     checkerServed(c, "g1", SERVE_ACCEPT), checkerServed(c, "g1", SERVE_STATUS), checkerMustServe(c, "g1"), good(c);
     assert_int_equal(checkerWorstMs(c, SERVE_ACCEPT), 12000);
     checkerServed(c, "g2", SERVE_ACCEPT), checkerMustServe(c, "g2"), only(c, NEVER_NOT_SERVING);
-    c = begin(), checkerFault(c), nowMs += 12001, checkerServed(c, "g1", SERVE_ACCEPT),
+    c = begin(), checkerFault(c), now_ms += 12001, checkerServed(c, "g1", SERVE_ACCEPT),
     checkerServed(c, "g1", SERVE_STATUS);
     checkerMustServe(c, "g1"), only(c, NEVER_NOT_SERVING);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerFault(c), nowMs += 12001, checkerMustStart(c);
+    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerFault(c), now_ms += 12001, checkerMustStart(c);
     only(c, NEVER_NOT_SERVING);
 
-    c = begin(), checkerLeaving(c, "w1", true), nowMs += 2100, checkerStarted(c, "w1", "x", 0, 1, ONE);
+    c = begin(), checkerLeaving(c, "w1", true), now_ms += 2100, checkerStarted(c, "w1", "x", 0, 1, ONE);
     only(c, NEVER_LEAVING_GIVEN);
-    c = begin(), checkerZone(c, "z", true), nowMs += 5100, checkerStarted(c, "w1", "x", 0, 1, ONE);
+    c = begin(), checkerZone(c, "z", true), now_ms += 5100, checkerStarted(c, "w1", "x", 0, 1, ONE);
     only(c, NEVER_LEAVING_GIVEN);
 
     c = begin(), checkerAccepted(c, "j"), checkerStarted(c, "w1", "j", 0, 1, ONE);
     checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE), checkerStarted(c, "w1", "j", FIRST, 1, ONE);
-    nowMs += 5000, checkerLook(c), good(c), nowMs += 20000, checkerLook(c), only(c, NEVER_GANG_SPLIT);
+    now_ms += 5000, checkerLook(c), good(c), now_ms += 20000, checkerLook(c), only(c, NEVER_GANG_SPLIT);
 
     c = begin(), checkerConfigSet(c, 3), checkerConfigRead(c, 3), good(c), checkerConfigRead(c, 2);
     only(c, NEVER_CONFIG_LOST);
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -65,9 +65,9 @@
                          .address = fleetNode(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->props.http,
                          .method = change->method,
                          .path = pathOf(mem, change),
-                         .waitMs = 1000}; /* a second of silence is given up on */
+                         .wait_ms = 1000}; /* a second of silence is given up on */
         bytes_add(mem, &call.body, change->body, strlen(change->body));
-        const Status status = loopCall(loop, &call);
+        const Status status = loop_call(loop, &call);
         const uint64_t told =
             numberIn(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
         change->code = status == STATUS_OK && call.code < 500 ? call.code : 0;
@@ -78,7 +78,7 @@
         talloc_free(mem);
         if (change->code != 0)
             return;
-        loopSleep(loop, 50 + (int64_t)(loopRandom(loop) % 200));
+        loop_sleep(loop, 50 + (int64_t)(loop_random(loop) % 200));
     }
 }
 
@@ -92,9 +92,9 @@
                      .address = fleetNode(fleet, FLEET_GATE, operator->number % 3)->props.http,
                      .method = "GET",
                      .path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, change->base),
-                     .waitMs = 2000};
+                     .wait_ms = 2000};
     const char *body = NULL;
-    if (loopCall(loop, &call) == STATUS_OK && call.code == 200) {
+    if (loop_call(loop, &call) == STATUS_OK && call.code == 200) {
         json_object *got = documentParse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
         json_object *patch = json_object_new_object(), *config;
         json_object_object_add(patch, "note", json_object_new_string(change->marker));
@@ -117,16 +117,16 @@
         Change *change = &operator->changes[operator->count];
         snprintf(change->marker, sizeof(change->marker), "o%d-%zu", operator->number, operator->count);
         change->base = operator->believed;
-        change->revision = change->base + 1 + loopRandom(loop) % 4;
+        change->revision = change->base + 1 + loop_random(loop) % 4;
         change->method = "PATCH";
         change->body = NULL;
-        if (loopRandom(loop) % 2 == 0 && (change->body = wholeBody(operator, change)) != NULL)
+        if (loop_random(loop) % 2 == 0 && (change->body = wholeBody(operator, change)) != NULL)
             change->method = "PUT";
         if (change->body == NULL)
             change->body = talloc_asprintf(operator->fleet, "{\"note\":\"%s\"}", change->marker);
         operator->count++;
         changeSend(operator, change);
-        loopSleep(loop, (int64_t)(loopRandom(loop) % 300));
+        loop_sleep(loop, (int64_t)(loop_random(loop) % 300));
     }
     operator->done = true;
 }
@@ -138,7 +138,7 @@
         all[i].fleet = fleet;
         all[i].number = i;
         all[i].believed = 1;
-        loopSpawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &all[i]);
+        loop_spawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &all[i]);
     }
     return all;
 }
@@ -264,7 +264,7 @@
             *change = (Change){.base = base, .revision = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
-            loopSpawn(simLoop(fleet->world, fleet->caller), "racer", sendMain, &pair[k]);
+            loop_spawn(simLoop(fleet->world, fleet->caller), "racer", sendMain, &pair[k]);
         }
         while (!pair[0].done || !pair[1].done)
             fleetRun(fleet, 5);
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -44,15 +44,15 @@
     assert_int_equal(courierListen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
 }
 
-static void askOne(Seen *seen, int64_t waitMs)
+static void askOne(Seen *seen, int64_t wait_ms)
 {
     Loop *loop = seen->loop[0];
     void *mem = talloc_new(loop);
     const Echo ask = {41};
     Echo answer = {0};
     const int at = seen->count++;
-    seen->status[at] =
-        courierAsk(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &EchoShape, &ask, waitMs, &EchoShape, &answer);
+    seen->status[at] = courierAsk(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &EchoShape, &ask, wait_ms,
+                                  &EchoShape, &answer);
     seen->number[at] = answer.number;
     talloc_free(mem);
 }
@@ -61,15 +61,15 @@
 {
     Seen *seen = arg;
     askOne(seen, 500); /* 0: answered */
-    loopSleep(seen->loop[0], 1000 - 500);
+    loop_sleep(seen->loop[0], 1000 - 500);
     askOne(seen, 500); /* 1: cut meanwhile: expired */
-    loopSleep(seen->loop[0], 1000);
+    loop_sleep(seen->loop[0], 1000);
     askOne(seen, 500); /* 2: joined again: answered */
-    loopSleep(seen->loop[0], 2000);
+    loop_sleep(seen->loop[0], 2000);
     askOne(seen, 3000); /* 3: server frozen: answered late */
     askOne(seen, 500);  /* 4: server dead: unreachable */
     courierSetCluster(seen->courier[0], 8);
-    loopSleep(seen->loop[0], 3000);
+    loop_sleep(seen->loop[0], 3000);
     askOne(seen, 500); /* 5: of another cluster: stranger */
 }
 
@@ -79,7 +79,7 @@
     seen->loop[0] = loop;
     seen->courier[0] = courierNew(loop, loop, ring_new(loop, "client"));
     courierSetCluster(seen->courier[0], 7);
-    loopSpawn(loop, "client", clientMain, seen);
+    loop_spawn(loop, "client", clientMain, seen);
 }
 
 static void life(void **state)
@@ -134,14 +134,14 @@
     for (size_t i = 0; i < sizeof(COUNTS) / sizeof(COUNTS[0]); i++) {
         void *mem = talloc_new(spoiler->loop);
         Channel *channel;
-        assert_int_equal(loopOpen(spoiler->loop, mem, "10.0.0.2:7000", 500, &channel), STATUS_OK);
-        channelSend(channel, (Bytes){(uint8_t *)(uintptr_t)FRAMES[i], COUNTS[i], 0});
+        assert_int_equal(loop_open(spoiler->loop, mem, "10.0.0.2:7000", 500, &channel), STATUS_OK);
+        channel_send(channel, (Bytes){(uint8_t *)(uintptr_t)FRAMES[i], COUNTS[i], 0});
         Bytes frame;
         Status status;
-        while ((status = channelReceive(channel, mem, loopNowMs(spoiler->loop) + 500, &frame)) == STATUS_OK)
+        while ((status = channel_receive(channel, mem, loop_now_ms(spoiler->loop) + 500, &frame)) == STATUS_OK)
             spoiler->answered++; /* a refusal may come before the end */
         spoiler->ended += status == STATUS_CLOSED;
-        channelClose(channel);
+        channel_close(channel);
         talloc_free(mem);
     }
 }
@@ -150,7 +150,7 @@
 {
     Spoiler *spoiler = arg;
     spoiler->loop = loop;
-    loopSpawn(loop, "spoil", spoilMain, spoiler);
+    loop_spawn(loop, "spoil", spoilMain, spoiler);
 }
 
 /* Each ends its connection and is counted; the server goes on serving others. */
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -66,7 +66,7 @@
                          .address = fleetNode(fleet, FLEET_GATE, i % 3)->props.http,
                          .method = "POST",
                          .path = "/v1/jobs",
-                         .waitMs = 5000};
+                         .wait_ms = 5000};
         const char *body = talloc_asprintf(
             mem,
             "{\"id\":\"%s%d\",\"cell\":\"%s\",\"tenant\":\"%s\",\"queue\":\"%s\",\"protection\":\"none\",\"steps\":[{\"name\":\"a\","
@@ -74,17 +74,17 @@
             bulk ? "bulk" : "never", i, trentvale ? "imagery" : "registry", trentvale ? "planners" : "backend",
             trentvale ? "rebuilds" : "reindex", bulk ? (trentvale ? 100 : 25) : 1, bulk ? "std" : "gpu");
         bytes_add(mem, &call.body, body, strlen(body));
-        const Status status = loopCall(loop, &call);
+        const Status status = loop_call(loop, &call);
         if (status == STATUS_OK && call.code == 201)
             pouring->taken++;
         else if (status == STATUS_OK && call.code == 422)
             pouring->refused++;
-        else if (status == STATUS_OK && call.code == 503 && call.retryAfterS > 0)
+        else if (status == STATUS_OK && call.code == 503 && call.retry_after_s > 0)
             pouring->back++;
         else
             pouring->other++;
         talloc_free(mem);
-        loopSleep(loop, 18);
+        loop_sleep(loop, 18);
     }
 }
 
@@ -96,7 +96,7 @@
         Pouring *pouring = talloc_zero(fleet, Pouring);
         pouring->fleet = fleet;
         if (with)
-            loopSpawn(simLoop(fleet->world, fleet->caller), "pour", pourMain, pouring);
+            loop_spawn(simLoop(fleet->world, fleet->caller), "pour", pourMain, pouring);
         fleetRun(fleet, with ? 15000 : 1000); /* by now the fleet is full */
         fleetCall(fleet, "u", 10000, 30000);
         fleetRun(fleet, 40000);
@@ -155,10 +155,10 @@
                          .address = fleetNode(fleet, FLEET_GATE, operator->number % 3)->props.http,
                          .method = "PATCH",
                          .path = talloc_asprintf(mem, "/v1/config?base=%llu", (unsigned long long)base),
-                         .waitMs = 4000};
+                         .wait_ms = 4000};
         const char *body = talloc_asprintf(mem, "{\"cells\":{\"op%d\":{\"share\":%d}}}", operator->number, i + 1);
         bytes_add(mem, &call.body, body, strlen(body));
-        const Status status = loopCall(loop, &call);
+        const Status status = loop_call(loop, &call);
         bytes_add(mem, &call.result, "", 1);
         const char *text = (const char *)call.result.data;
         const char *at = strstr(text, call.code == 409 ? "\"current\":" : "\"revision\":");
@@ -168,7 +168,7 @@
             operator->acknowledged[operator->count++] = base;
         operator->stale += status == STATUS_OK && call.code == 409;
         talloc_free(mem);
-        loopSleep(loop, 100 + (int64_t)(loopRandom(loop) % 100));
+        loop_sleep(loop, 100 + (int64_t)(loop_random(loop) % 100));
     }
     operator->done = true;
 }
@@ -180,7 +180,7 @@
     Operator *operators = talloc_zero_array(fleet, Operator, 5);
     for (int i = 0; i < 5; i++) {
         operators[i] = (Operator){.fleet = fleet, .number = i};
-        loopSpawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &operators[i]);
+        loop_spawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &operators[i]);
     }
     fleetRun(fleet, 4000);
     fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -147,7 +147,7 @@
     while (!late->done)
         fleetRun(fleet, 5);
     assert_int_equal(late->task->code, 503);
-    assert_true(late->task->retryAfterS > 0 && !drained(fleet));
+    assert_true(late->task->retry_after_s > 0 && !drained(fleet));
     assert_int_equal(ask(fleet, 0, "POST"), 200);
     assert_true(drained(fleet));
     end(fleet);
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -153,7 +153,7 @@
         fleetAskAs(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x",
                    "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
     assert_int_equal(full.code, 503);
-    assert_true(full.retryAfterS > 0);
+    assert_true(full.retry_after_s > 0);
     /* its entry is gone */
     assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=3",
                               "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
@@ -180,8 +180,8 @@
         fleetStartNode(fleet, FLEET_CORE, i);
     }
     int code = 0, refused = 0;
-    const int64_t untilMs = simNowMs(fleet->world) + 12000;
-    while (code != 200 && simNowMs(fleet->world) < untilMs) {
+    const int64_t until_ms = simNowMs(fleet->world) + 12000;
+    while (code != 200 && simNowMs(fleet->world) < until_ms) {
         code = ask(fleet, refused % 3, "GET", "/v1/entry/sweeps/kept", NULL, NULL);
         if (code != 200 && code != 503 && code != 504 && code != 0)
             fail_msg("told %d", code);
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -32,7 +32,7 @@
     handed->task->loop = simLoop(fleet->world, node->machine);
     if (body != NULL)
         bytes_add(handed->task, &handed->task->body, body, strlen(body));
-    loopSpawn(handed->task->loop, "hand", handMain, handed);
+    loop_spawn(handed->task->loop, "hand", handMain, handed);
     return handed;
 }
 
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -194,19 +194,19 @@
 {
     CallerJob *const *jobs;
     const size_t count = callerJobs(fleet->callers[0], &jobs);
-    const int64_t offsetMs = loopNowMs(simLoop(fleet->world, fleet->caller)) - simNowMs(fleet->world);
+    const int64_t offsetMs = loop_now_ms(simLoop(fleet->world, fleet->caller)) - simNowMs(fleet->world);
     int64_t worst = 0;
-    for (int64_t at_ms = sinceMs, nextMs; at_ms < simNowMs(fleet->world); at_ms = nextMs) {
-        nextMs = simNowMs(fleet->world);
+    for (int64_t at_ms = sinceMs, next_ms; at_ms < simNowMs(fleet->world); at_ms = next_ms) {
+        next_ms = simNowMs(fleet->world);
         for (size_t i = 0; i < count; i++)
-            if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < nextMs)
-                nextMs = jobs[i]->acceptedMs - offsetMs;
-        worst = nextMs - at_ms > worst ? nextMs - at_ms : worst;
+            if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < next_ms)
+                next_ms = jobs[i]->acceptedMs - offsetMs;
+        worst = next_ms - at_ms > worst ? next_ms - at_ms : worst;
     }
     return worst;
 }
 
-static int64_t waitMs(Trial *trial, LossKind kind)
+static int64_t wait_ms(Trial *trial, LossKind kind)
 {
     return kind == LOSS_REPLACE || kind == LOSS_REPLACE_TERM ? 1200 + (int64_t)drawn(trial, 800)
                                                              : 700 + (int64_t)drawn(trial, 5000);
@@ -253,10 +253,10 @@
         const LossKind next = count == 0 ? kind : (LossKind)drawn(trial, LOSS_COUNT);
         lost[count++] = (Lost){core, next};
     }
-    int64_t outMs = waitMs(trial, kind);
+    int64_t outMs = wait_ms(trial, kind);
     for (int i = 0; i < count; i++)
         if (lost[i].kind == LOSS_REPLACE || lost[i].kind == LOSS_REPLACE_TERM)
-            outMs = waitMs(trial, lost[i].kind);
+            outMs = wait_ms(trial, lost[i].kind);
     for (int i = 0; i < count; i++)
         strike(trial, &lost[i], outMs);
     fleetRun(fleet, outMs);
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -16,13 +16,13 @@
     Channel *channel;
     Bytes frame = {0};
     const Echo echo = {1};
-    assert_int_equal(loopOpen(hand->loop, mem, ADDRESS, 500, &channel), STATUS_OK);
+    assert_int_equal(loop_open(hand->loop, mem, ADDRESS, 500, &channel), STATUS_OK);
     shapePack(&EchoShape, &echo, mem, &hand->question.payload);
     shapePack(&OldFrameShape, &hand->question, mem, &frame);
-    channelSend(channel, frame);
-    hand->answered = channelReceive(channel, mem, loopNowMs(hand->loop) + 500, &frame) == STATUS_OK &&
+    channel_send(channel, frame);
+    hand->answered = channel_receive(channel, mem, loop_now_ms(hand->loop) + 500, &frame) == STATUS_OK &&
                      shapeUnpack(&OldFrameShape, frame, mem, &hand->answer, NULL) == STATUS_OK;
-    channelClose(channel);
+    channel_close(channel);
     hand->answer.payload = (Bytes){0};
     talloc_free(mem);
 }
@@ -45,7 +45,7 @@
     server->served++;
     server->sum += number;
     if (number >= 1000)
-        loopSleep(server->loop, (int64_t)number);
+        loop_sleep(server->loop, (int64_t)number);
     ((Echo *)answer)->number = number + 1;
     return STATUS_OK;
 }
@@ -214,7 +214,7 @@
     simStart(world, client, askerStart, &asker);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         Hand one = {.loop = asker.loop, .question = ROWS[i].question};
-        loopSpawn(asker.loop, "hand", handMain, &one);
+        loop_spawn(asker.loop, "hand", handMain, &one);
         runFor(world, 1000);
         assert_true(one.answered);
         assert_int_equal(one.answer.status, ROWS[i].status);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -109,7 +109,7 @@
         assert_int_equal(handed->task->code, row->code);
         assert_true(tookMs < 4000);
         if (row->code == 504)
-            assert_true(handed->task->retryAfterS > 0);
+            assert_true(handed->task->retry_after_s > 0);
         simCut(fleet->world, leader, gate, false);
         fleetRun(fleet, 3000);
         assert_string_equal(stateOf(fleet, fleet), first); /* applied once */
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -42,8 +42,8 @@
 /* A core that leads is there within the span; else shows what all have said. */
 static void mustLead(Fleet *fleet, const char *when)
 {
-    const int64_t untilMs = simNowMs(fleet->world) + SERVED_MS;
-    while (fleetLeader(fleet) < 0 && simNowMs(fleet->world) < untilMs)
+    const int64_t until_ms = simNowMs(fleet->world) + SERVED_MS;
+    while (fleetLeader(fleet) < 0 && simNowMs(fleet->world) < until_ms)
         fleetRun(fleet, 50);
     if (fleetLeader(fleet) >= 0)
         return;
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -202,9 +202,9 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    const int64_t wallMs = 1700000000000 + simNowMs(fleet->world);
+    const int64_t wall_ms = 1700000000000 + simNowMs(fleet->world);
     char body[512];
-    snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wallMs + 5000);
+    snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
     /* one seat's wall clock jumps by an hour: the median does not */
@@ -574,7 +574,7 @@
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)tookMs,
                       call.code >= 400 ? 120 : 0, (const char *)call.result.data);
         if (call.code == 503) /* every way was tried before a new leader was heard of */
-            assert_true(call.retryAfterS > 0 && ASKED[i].code != 504);
+            assert_true(call.retry_after_s > 0 && ASKED[i].code != 504);
         else
             assert_int_equal(call.code, ASKED[i].code);
         assert_true(tookMs < 5000);
@@ -596,7 +596,7 @@
     fleetRun(fleet, 8000);
     const HttpCall cut = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL);
     assert_int_equal(cut.code, 503);
-    assert_true(cut.retryAfterS > 0);
+    assert_true(cut.retry_after_s > 0);
     assert_int_not_equal(fleetAsk(fleet, fleet, FLEET_CORE, 0, "GET", "/readyz", NULL).code, 200);
     assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "GET", "/readyz", NULL).code, 200);
     assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 2, "GET", "/readyz", NULL).code, 200);
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -70,9 +70,9 @@
                      .address = nodeAt(call->fleet, node)->props.http,
                      .method = call->method,
                      .path = pathOf(mem, call),
-                     .waitMs = ASK_WAIT_MS};
+                     .wait_ms = ASK_WAIT_MS};
     bytes_add(mem, &sent.body, call->body, strlen(call->body));
-    const int code = loopCall(loop, &sent) == STATUS_OK && sent.code < 500 ? sent.code : 0;
+    const int code = loop_call(loop, &sent) == STATUS_OK && sent.code < 500 ? sent.code : 0;
     talloc_free(mem);
     return code;
 }
@@ -83,14 +83,14 @@
     Loop *loop = simLoop(call->fleet->world, call->fleet->caller);
     for (int i = 0; i < TRIES_MOST && call->code == 0; i++) {
         call->code = sendOnce(call, call->node + i);
-        loopSleep(loop, 20);
+        loop_sleep(loop, 20);
     }
     call->done = true;
 }
 
 static void callStart(Call *call)
 {
-    loopSpawn(simLoop(call->fleet->world, call->fleet->caller), "call", callMain, call);
+    loop_spawn(simLoop(call->fleet->world, call->fleet->caller), "call", callMain, call);
 }
 
 static void callsWait(Fleet *fleet, const Call *calls, size_t count)
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -39,10 +39,10 @@
 
 static HttpCall ask(Loop *loop, void *mem, const char *address, const char *method, const char *path, const char *body)
 {
-    HttpCall call = {.mem = mem, .address = address, .method = method, .path = path, .waitMs = ASK_WAIT_MS};
+    HttpCall call = {.mem = mem, .address = address, .method = method, .path = path, .wait_ms = ASK_WAIT_MS};
     if (body != NULL)
         bytes_add(mem, &call.body, body, strlen(body));
-    if (loopCall(loop, &call) != STATUS_OK)
+    if (loop_call(loop, &call) != STATUS_OK)
         call.code = 0;
     bytes_add(mem, &call.result, "", 1);
     return call;
@@ -111,7 +111,7 @@
         readRefusal(reader, loop, mem);
         readJob(reader, loop, mem);
         talloc_free(mem);
-        loopSleep(loop, READ_PAUSE_MS);
+        loop_sleep(loop, READ_PAUSE_MS);
     }
 }
 
@@ -133,7 +133,7 @@
                : watched->acknowledged > base     ? watched->acknowledged
                                                   : base;
         talloc_free(mem);
-        loopSleep(loop, CHANGE_PAUSE_MS);
+        loop_sleep(loop, CHANGE_PAUSE_MS);
     }
 }
 
@@ -152,7 +152,7 @@
         const HttpCall call = ask(loop, mem, address, "POST", "/v1/jobs", body);
         watched->jobs += call.code == 200 || call.code == 201;
         talloc_free(mem);
-        loopSleep(loop, READ_PAUSE_MS);
+        loop_sleep(loop, READ_PAUSE_MS);
     }
 }
 
@@ -166,10 +166,10 @@
         const FleetNode *node = i < CORES ? fleetNode(fleet, FLEET_CORE, i) : fleetNode(fleet, FLEET_GATE, i - CORES);
         Reader *reader = talloc_zero(watched, Reader);
         *reader = (Reader){watched, node->props.http, node->props.name};
-        loopSpawn(loop, "reader", readerMain, reader);
+        loop_spawn(loop, "reader", readerMain, reader);
     }
-    loopSpawn(loop, "operator", operatorMain, watched);
-    loopSpawn(loop, "sender", senderMain, watched);
+    loop_spawn(loop, "operator", operatorMain, watched);
+    loop_spawn(loop, "sender", senderMain, watched);
     return watched;
 }
 
