--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -49,19 +49,19 @@
 {
     Handed *handed = arg;
     Loop *loop = handed->task->loop;
-    const int64_t fromMs = loopNowMs(loop);
-    handed->task->expiryMs += handed->task->expiryMs > 0 ? fromMs : 0;
+    const int64_t fromMs = loop_now_ms(loop);
+    handed->task->expiry_ms += handed->task->expiry_ms > 0 ? fromMs : 0;
     if (handed->node->core != NULL)
         coreTake(handed->node->core, handed->task);
     else
         gateTake(handed->node->gate, handed->task);
-    handed->tookMs = loopNowMs(loop) - fromMs;
+    handed->tookMs = loop_now_ms(loop) - fromMs;
     handed->done = true;
 }
 
 /* Runs until it is answered. */
 static HttpTask *hand(Fleet *fleet, FleetRole role, int number, const char *method, const char *path, const char *body,
-                      int64_t waitMs, int64_t *tookMs)
+                      int64_t wait_ms, int64_t *tookMs)
 {
     Handed handed = {.node = fleetNode(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
     *handed.task = (HttpTask){.loop = simLoop(fleet->world, handed.node->machine),
@@ -69,10 +69,10 @@
                               .path = path,
                               .query = "",
                               .host = "",
-                              .expiryMs = waitMs};
+                              .expiry_ms = wait_ms};
     if (body != NULL)
         bytes_add(handed.task, &handed.task->body, body, strlen(body));
-    loopSpawn(handed.task->loop, "hand", handMain, &handed);
+    loop_spawn(handed.task->loop, "hand", handMain, &handed);
     while (!handed.done)
         fleetRun(fleet, 5);
     *tookMs = handed.tookMs;
@@ -109,7 +109,7 @@
         char *id = talloc_asprintf(fleet, "none-%d", i);
         const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &tookMs);
         assert_int_equal(task->code, 503);
-        assert_true(task->retryAfterS > 0);
+        assert_true(task->retry_after_s > 0);
         if (tookMs > LEADER_WAIT_MS)
             fail_msg("refused after %lld ms", (long long)tookMs);
         fleetRun(fleet, 100);
@@ -247,10 +247,10 @@
     Fleet *fleet = sending->fleet;
     char *id = talloc_asprintf(one, "left-%s-%d", sending->node->props.name, one->number);
     HttpCall call = {
-        .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .waitMs = 5000};
+        .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
     const char *body = jobOf(one, id);
     bytes_add(one, &call.body, body, strlen(body));
-    const Status status = loopCall(simLoop(fleet->world, fleet->caller), &call);
+    const Status status = loop_call(simLoop(fleet->world, fleet->caller), &call);
     sending->good += status == STATUS_OK && call.code == 201;
     sending->again += status == STATUS_OK && call.code >= 500;
     sending->cut += status != STATUS_OK;
@@ -263,16 +263,16 @@
 {
     Sending *sending = arg;
     Loop *loop = simLoop(sending->fleet->world, sending->fleet->caller);
-    int64_t readyMs = loopNowMs(loop);
-    while (!sending->stop && loopNowMs(loop) - readyMs <= 300) {
+    int64_t readyMs = loop_now_ms(loop);
+    while (!sending->stop && loop_now_ms(loop) - readyMs <= 300) {
         FleetNode *node = sending->node;
         if (node->up && (node->core != NULL ? coreReady(node->core) : gateReady(node->gate)))
-            readyMs = loopNowMs(loop);
+            readyMs = loop_now_ms(loop);
         Send *one = talloc_zero(sending->fleet, Send);
         *one = (Send){sending, sending->sent++};
         sending->calls++;
-        loopSpawn(loop, "send", sendMain, one);
-        loopSleep(loop, 7);
+        loop_spawn(loop, "send", sendMain, one);
+        loop_sleep(loop, 7);
     }
 }
 
@@ -284,7 +284,7 @@
         Fleet *fleet = begin(36);
         const int number = role == FLEET_CORE ? fleetLeader(fleet) : 0;
         Sending sending = {.fleet = fleet, .node = fleetNode(fleet, (FleetRole)role, number)};
-        loopSpawn(simLoop(fleet->world, fleet->caller), "sending", sendingMain, &sending);
+        loop_spawn(simLoop(fleet->world, fleet->caller), "sending", sendingMain, &sending);
         fleetRun(fleet, 500);
         fleetRoll(fleet, (FleetRole)role, number);
         fleetRun(fleet, 4000);
@@ -336,11 +336,11 @@
     simStart(world, machine, nothing, NULL);
     Loop *loop = simLoop(world, machine);
     Keeping keeping = {keeperNew(world, loop, 30000), loop, world, 100, 1000};
-    loopSpawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keepMain, &keeping);
     simRunUntil(world, 1000);
     assert_int_equal(keeperCount(keeping.keeper), 100);
     keeping.number = 20000;
-    loopSpawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keepMain, &keeping);
     simRunUntil(world, 2000);
     assert_true(keeperBytes(keeping.keeper) <= KEEPER_BYTES_MAX);
     assert_true(keeperBytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
@@ -354,7 +354,7 @@
     assert_int_equal(keeperBytes(keeping.keeper), 0);
     /* a deployment that trusts its disks keeps nothing */
     keeping = (Keeping){keeperNew(world, loop, 0), loop, world, 100, 1000};
-    loopSpawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keepMain, &keeping);
     simRunUntil(world, 50000);
     assert_int_equal(keeperCount(keeping.keeper), 0);
     talloc_free(world);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -56,7 +56,7 @@
         const BeatAsk beat = {
             .agent = worker.name, .incarnation = 1, .number = 1, .worker = worker, .workerLive = true, .settled = true};
         bool counts;
-        livesetBeat(stand->core->liveset, &beat, loopNowMs(stand->core->loop), 60000, &counts);
+        livesetBeat(stand->core->liveset, &beat, loop_now_ms(stand->core->loop), 60000, &counts);
     }
     talloc_free(mem);
 }
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -25,14 +25,14 @@
 
 typedef struct Replay {
     Checker *checker;
-    int64_t nowMs;
+    int64_t now_ms;
     Mix mix;
     Map *jobs, *frozen;
 } Replay;
 
 static int64_t replayNow(void *arg)
 {
-    return ((Replay *)arg)->nowMs;
+    return ((Replay *)arg)->now_ms;
 }
 
 static bool replayFrozen(void *arg, const char *worker)
@@ -77,7 +77,7 @@
 static void play(Replay *replay, const Line *line)
 {
     Checker *checker = replay->checker;
-    replay->nowMs = line->at_ms;
+    replay->now_ms = line->at_ms;
     if (strcmp(line->what, "plans") == 0) {
         checkerPlans(checker, line->who, strtoull(line->more, NULL, 10));
     } else if (strcmp(line->what, "worker") == 0) {
@@ -169,8 +169,8 @@
     int64_t lookMs = count > 0 ? lines[0].at_ms : 0;
     for (size_t i = 0; i < count; i++) {
         play(replay, &lines[i]);
-        if (replay->nowMs - lookMs >= 500) {
-            lookMs = replay->nowMs;
+        if (replay->now_ms - lookMs >= 500) {
+            lookMs = replay->now_ms;
             checkerLook(replay->checker);
         }
     }
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -48,8 +48,8 @@
 const char *classWord(MixClass kind);
 /* The configuration that the mix needs. */
 const char *mixConfig(Mix mix);
-/* A job of the class as JSON, on mem. wallMs: the caller's, when it sent it first. */
-const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wallMs);
+/* A job of the class as JSON, on mem. wall_ms: the caller's, when it sent it first. */
+const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms);
 /* The cell in which operators let tenants in and out. */
 const char *mixCell(Mix mix);
 /* A light job of any tenant of that cell. */
@@ -61,7 +61,7 @@
 typedef struct CallerJob {
     const char *id;
     MixClass kind;
-    int64_t wallMs;                                 /* when it was first sent */
+    int64_t wall_ms;                                /* when it was first sent */
     int64_t sentMs, acceptedMs, startedMs, endedMs; /* own clock; 0: not yet */
     uint64_t sends;
     bool refused, cancelled;
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -42,10 +42,10 @@
                        .address = caller->props.entries[following->entry % caller->props.entryCount],
                        .method = method,
                        .path = path,
-                       .waitMs = 3000};
+                       .wait_ms = 3000};
     if (body != NULL)
         bytes_add(mem, &call->body, body, strlen(body));
-    const Status status = loopCall(caller->loop, call);
+    const Status status = loop_call(caller->loop, call);
     if (status != STATUS_OK || call->code >= 500)
         following->entry++;
     return status;
@@ -55,9 +55,9 @@
 {
     Caller *caller = following->caller;
     CallerJob *job = following->job;
-    while (!loopStopping(caller->loop)) {
+    while (!loop_stopping(caller->loop)) {
         void *mem = talloc_new(caller);
-        const char *body = mixJob(mem, caller->props.mix, job->kind, job->id, job->wallMs);
+        const char *body = mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms);
         HttpCall call;
         job->sends++;
         const Status status = callOnce(following, mem, "POST", "/v1/jobs", body, &call);
@@ -65,7 +65,7 @@
         const bool refused = status == STATUS_OK && call.code >= 400 && call.code < 500;
         talloc_free(mem);
         if (taken) {
-            job->acceptedMs = loopNowMs(caller->loop);
+            job->acceptedMs = loop_now_ms(caller->loop);
             if (caller->props.watch.accepted != NULL)
                 caller->props.watch.accepted(caller->props.watch.arg, job->id);
             return true;
@@ -76,7 +76,7 @@
                 caller->props.watch.refused(caller->props.watch.arg, job->id, call.code);
             return false;
         }
-        loopSleep(caller->loop, 200 + (int64_t)draw(caller, 200));
+        loop_sleep(caller->loop, 200 + (int64_t)draw(caller, 200));
     }
     return false;
 }
@@ -90,7 +90,7 @@
     void *mem = talloc_new(caller);
     HttpCall call;
     const Status status = callOnce(following, mem, "POST", "/v1/jobs",
-                                   mixJob(mem, caller->props.mix, job->kind, job->id, job->wallMs), &call);
+                                   mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
     if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->props.watch.accepted != NULL)
         caller->props.watch.accepted(caller->props.watch.arg, job->id);
     if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->props.watch.refused != NULL)
@@ -124,7 +124,7 @@
 {
     Caller *caller = following->caller;
     CallerJob *job = following->job;
-    const bool due = job->kind == CLASS_LASTING && loopNowMs(caller->loop) - job->acceptedMs >= LASTING_FOR_MS;
+    const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->acceptedMs >= LASTING_FOR_MS;
     if (job->cancelled || (!due && !caller->gaveUp))
         return;
     void *mem = talloc_new(caller);
@@ -144,10 +144,10 @@
     Caller *caller = following->caller;
     CallerJob *job = following->job;
     if (submit(following)) {
-        int64_t waitMs = 400;
-        while (!loopStopping(caller->loop) && job->endedMs == 0) {
-            loopSleep(caller->loop, waitMs);
-            waitMs = waitMs < 1500 ? waitMs + 200 : waitMs;
+        int64_t wait_ms = 400;
+        while (!loop_stopping(caller->loop) && job->endedMs == 0) {
+            loop_sleep(caller->loop, wait_ms);
+            wait_ms = wait_ms < 1500 ? wait_ms + 200 : wait_ms;
             cancelMaybe(following);
             void *mem = talloc_new(caller);
             HttpCall call;
@@ -157,7 +157,7 @@
             if (status == STATUS_OK && call.code == 200) {
                 look(caller, job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
                 if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0) {
-                    job->endedMs = loopNowMs(caller->loop);
+                    job->endedMs = loop_now_ms(caller->loop);
                     if (caller->props.watch.ended != NULL)
                         caller->props.watch.ended(caller->props.watch.arg, job->id, job->phase);
                 }
@@ -165,7 +165,7 @@
                 if (caller->props.watch.unknown != NULL)
                     caller->props.watch.unknown(caller->props.watch.arg, job->id);
                 snprintf(job->phase, sizeof(job->phase), "unknown");
-                job->endedMs = loopNowMs(caller->loop);
+                job->endedMs = loop_now_ms(caller->loop);
             }
             talloc_free(mem);
         }
@@ -196,18 +196,18 @@
 static void handInMain(void *arg)
 {
     Caller *caller = arg;
-    const int64_t startMs = loopNowMs(caller->loop);
-    for (size_t n = 0; !caller->stop && !loopStopping(caller->loop); n++) {
+    const int64_t startMs = loop_now_ms(caller->loop);
+    for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
         const int64_t dueMs = startMs + (int64_t)n * 1000000 / caller->props.rateMilli;
         if (dueMs - startMs >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
             break;
-        if (dueMs > loopNowMs(caller->loop))
-            loopSleep(caller->loop, dueMs - loopNowMs(caller->loop));
+        if (dueMs > loop_now_ms(caller->loop))
+            loop_sleep(caller->loop, dueMs - loop_now_ms(caller->loop));
         CallerJob *job = talloc_zero(caller, CallerJob);
         job->kind = drawClass(caller);
         job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, classWord(job->kind), n);
-        job->sentMs = loopNowMs(caller->loop);
-        job->wallMs = loopWallMs(caller->loop);
+        job->sentMs = loop_now_ms(caller->loop);
+        job->wall_ms = loop_wall_ms(caller->loop);
         if (caller->props.watch.sent != NULL)
             caller->props.watch.sent(caller->props.watch.arg, job->id);
         if (caller->count == caller->room) {
@@ -218,11 +218,11 @@
         caller->open++;
         Following *following = talloc_zero(caller, Following);
         *following = (Following){caller, job, draw(caller, caller->props.entryCount)};
-        loopSpawn(caller->loop, "job", followMain, following);
+        loop_spawn(caller->loop, "job", followMain, following);
         if (caller->props.twins && draw(caller, 8) == 0) {
             Following *twin = talloc_zero(caller, Following);
             *twin = (Following){caller, job, following->entry + 1};
-            loopSpawn(caller->loop, "twin", twinMain, twin);
+            loop_spawn(caller->loop, "twin", twinMain, twin);
         }
     }
     caller->over = true;
@@ -236,8 +236,8 @@
     caller->props.name = talloc_strdup(caller, props->name);
     for (size_t i = 0; i < props->entryCount; i++)
         caller->props.entries[i] = talloc_strdup(caller, props->entries[i]);
-    caller->draw = loopRandom(loop);
-    loopSpawn(loop, "hand-in", handInMain, caller);
+    caller->draw = loop_random(loop);
+    loop_spawn(loop, "hand-in", handInMain, caller);
     return caller;
 }
 
@@ -265,8 +265,8 @@
 Status callerConfigure(void *mem, Loop *loop, const char *entry, Mix mix)
 {
     for (int round = 0; round < 60; round++) {
-        HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .waitMs = 3000};
-        Status status = loopCall(loop, &call);
+        HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
+        Status status = loop_call(loop, &call);
         if (status == STATUS_OK && call.code == 200) {
             json_object *body =
                 json_tokener_parse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
@@ -278,15 +278,15 @@
                             .address = entry,
                             .method = "PUT",
                             .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, base),
-                            .waitMs = 3000};
+                            .wait_ms = 3000};
             bytes_add(mem, &put.body, mixConfig(mix), strlen(mixConfig(mix)));
-            status = loopCall(loop, &put);
+            status = loop_call(loop, &put);
             if (status == STATUS_OK && put.code == 200)
                 return STATUS_OK;
             if (status == STATUS_OK && put.code >= 400 && put.code < 500 && put.code != 409)
                 return STATUS_BAD_FIELD;
         }
-        loopSleep(loop, 500);
+        loop_sleep(loop, 500);
     }
     return STATUS_NO_LEADER;
 }
--- a/packages/standin/src/mix.c
+++ b/packages/standin/src/mix.c
@@ -70,7 +70,7 @@
                            id, mixCell(mix), tenant, mix == MIX_ATLAS ? "tags" : "masks");
 }
 
-static const char *variedJob(void *mem, MixClass kind, const char *id, int64_t wallMs)
+static const char *variedJob(void *mem, MixClass kind, const char *id, int64_t wall_ms)
 {
     const char *tail = ""; /* after the queue */
     const char *step = "\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":900}";
@@ -81,13 +81,13 @@
         step = talloc_asprintf(mem,
                                "\"count\":4,\"gang\":true,\"room\":{\"cpu\":2,\"memMb\":1024},"
                                "\"payload\":{\"runMs\":%d,\"failRounds\":%d}",
-                               wallMs % 8 == 1 ? 9000 : 1500, wallMs % 4 == 0);
+                               wall_ms % 8 == 1 ? 9000 : 1500, wall_ms % 4 == 0);
         break;
     case CLASS_DUE:
-        tail = talloc_asprintf(mem, ",\"dueWallMs\":%lld", (long long)wallMs + 2000 + wallMs % 3000);
+        tail = talloc_asprintf(mem, ",\"dueWallMs\":%lld", (long long)wall_ms + 2000 + wall_ms % 3000);
         break;
     case CLASS_DELAYED:
-        tail = talloc_asprintf(mem, ",\"delayMs\":%lld", (long long)(1000 + wallMs % 4000));
+        tail = talloc_asprintf(mem, ",\"delayMs\":%lld", (long long)(1000 + wall_ms % 4000));
         break;
     case CLASS_COPIES:
         tail = ",\"copies\":true";
@@ -107,11 +107,11 @@
         break;
     case CLASS_IMPOSSIBLE:
         step =
-            wallMs % 2 ? "\"kind\":\"none\",\"room\":{\"cpu\":1,\"memMb\":1}" : "\"room\":{\"cpu\":9999,\"memMb\":1}";
+            wall_ms % 2 ? "\"kind\":\"none\",\"room\":{\"cpu\":1,\"memMb\":1}" : "\"room\":{\"cpu\":9999,\"memMb\":1}";
         break;
     case CLASS_TURNS: /* turns overlap: each takes longer than until the next is due */
         tail = talloc_asprintf(mem, ",\"turns\":3,\"periodMs\":700,\"firstWallMs\":%lld",
-                               (long long)wallMs + 500 + wallMs % 1500);
+                               (long long)wall_ms + 500 + wall_ms % 1500);
         step =
             "\"count\":2,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":600}},{\"name\":\"two\",\"after\":[\"one\"],"
             "\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":600}";
@@ -120,13 +120,13 @@
         tail = ",\"lasting\":true";
         step = talloc_asprintf(
             mem, "\"count\":2,\"room\":{\"cpu\":0.5,\"memMb\":256},\"payload\":{\"runMs\":900,\"failRounds\":%d}",
-            (int)(wallMs % 3));
+            (int)(wall_ms % 3));
         break;
     case CLASS_SAVER: /* long, one in three fails its first round: the next goes on from what it has saved */
         step = talloc_asprintf(mem,
                                "\"count\":2,\"saves\":true,\"room\":{\"cpu\":1,\"memMb\":512},"
                                "\"payload\":{\"runMs\":3500,\"saveMs\":500,\"failRounds\":%d}",
-                               wallMs % 3 == 0);
+                               wall_ms % 3 == 0);
         break;
     default:
         break;
@@ -134,10 +134,10 @@
     return talloc_asprintf(mem, "{\"id\":\"%s\",%s%s,\"steps\":[{\"name\":\"one\",%s}]}", id, head, tail, step);
 }
 
-const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wallMs)
+const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms)
 {
     if (kind > CLASS_HEAVY)
-        return kind == CLASS_PROBE ? mixProbe(mem, mix, "probe", id) : variedJob(mem, kind, id, wallMs);
+        return kind == CLASS_PROBE ? mixProbe(mem, mix, "probe", id) : variedJob(mem, kind, id, wall_ms);
     if (mix != MIX_ATLAS)
         switch (kind) {
         case CLASS_URGENT: /* a cloud mask */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -24,7 +24,7 @@
     Signal stopped;
 } Run;
 
-/* Invariants: nothing runs past untilMs, which counts from when the question
+/* Invariants: nothing runs past until_ms, which counts from when the question
  * was sent that brought the hold; an ended run is told until it is known; fence is
  * the highest seen, and an answer with a lower one does nothing; highest holds of
  * each task the highest round that was stopped or ended here. */
@@ -32,7 +32,7 @@
     Loop *loop;
     StandWorkerProps props;
     char boot[24];
-    int64_t untilMs;
+    int64_t until_ms;
     uint64_t fence, seq;
     Map *highest;
     bool leaving;
@@ -57,7 +57,7 @@
 /* What is done by now, in steps of saveMs; at a stop, all of it. */
 static void runSave(Run *run, bool all)
 {
-    const int64_t ranMs = (loopNowMs(run->worker->loop) - run->beganMs) / run->times;
+    const int64_t ranMs = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
     int64_t doneMs = run->fromMs + ranMs;
     if (!all)
         doneMs -= doneMs % run->saveMs;
@@ -78,16 +78,16 @@
     if (worker->props.watch.ended != NULL)
         worker->props.watch.ended(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
                                   word);
-    signalRaise(worker->loop, &run->stopped);
+    signal_raise(worker->loop, &run->stopped);
     /* never two questions at once: the one that waits is given up for a new one */
     if (worker->asking != NULL)
-        loopCallCut(worker->loop, worker->asking);
+        loop_call_cut(worker->loop, worker->asking);
 }
 
 /* On waking, the clock is looked at before anything else. */
 static bool holdOver(StandWorker *worker)
 {
-    if (loopNowMs(worker->loop) < worker->untilMs)
+    if (loop_now_ms(worker->loop) < worker->until_ms)
         return false;
     for (Run *run = worker->runs; run != NULL; run = run->next)
         runEnd(run, ROUND_LAPSED);
@@ -99,11 +99,11 @@
     Run *run = arg;
     StandWorker *worker = run->worker;
     while (!run->ended) {
-        const int64_t wakeMs = run->endMs < worker->untilMs ? run->endMs : worker->untilMs;
-        signalWait(worker->loop, &run->stopped, wakeMs);
+        const int64_t wakeMs = run->endMs < worker->until_ms ? run->endMs : worker->until_ms;
+        signal_wait(worker->loop, &run->stopped, wakeMs);
         if (run->ended || holdOver(worker))
             break;
-        if (loopNowMs(worker->loop) >= run->endMs)
+        if (loop_now_ms(worker->loop) >= run->endMs)
             runEnd(run, run->fails ? ROUND_FAILED : ROUND_DONE);
     }
 }
@@ -111,7 +111,7 @@
 /* How far it has come. */
 static int64_t percentOf(const Run *run)
 {
-    const int64_t wholeMs = run->endMs - run->beganMs, ranMs = loopNowMs(run->worker->loop) - run->beganMs;
+    const int64_t wholeMs = run->endMs - run->beganMs, ranMs = loop_now_ms(run->worker->loop) - run->beganMs;
     return wholeMs <= 0 || ranMs >= wholeMs ? 100 : (int64_t)((double)ranMs * 100 / (double)wholeMs);
 }
 
@@ -139,10 +139,10 @@
 
 static void startTake(StandWorker *worker, json_object *start, int64_t sentMs)
 {
-    const int64_t nowMs = loopNowMs(worker->loop);
+    const int64_t now_ms = loop_now_ms(worker->loop);
     const char *job = textOf(start, "job");
     const uint64_t task = (uint64_t)intOf(start, "task", 0), round = (uint64_t)intOf(start, "round", 0);
-    if (nowMs >= sentMs + intOf(start, "expiryMs", 0) || nowMs >= worker->untilMs ||
+    if (now_ms >= sentMs + intOf(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
         runFind(worker, job, task, round) != NULL)
         return;
     void *mem = talloc_new(worker);
@@ -162,11 +162,11 @@
                        (uint64_t)intOf(room, "gpu", 0)};
     run->times = worker->props.slowTimes > 1 ? worker->props.slowTimes : 1;
     run->saveMs = intOf(payload, "saveMs", 0);
-    run->beganMs = nowMs;
+    run->beganMs = now_ms;
     snprintf(run->saved, sizeof(run->saved), "%s", textOf(start, "saved"));
     const char *at = strchr(run->saved, '@');
     run->fromMs = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
-    run->endMs = nowMs + (intOf(payload, "runMs", 1000) - run->fromMs) * run->times;
+    run->endMs = now_ms + (intOf(payload, "runMs", 1000) - run->fromMs) * run->times;
     if (worker->props.hangs)
         run->endMs = INT64_MAX / 2;
     run->fails = worker->props.failsAll || (int64_t)round <= intOf(payload, "failRounds", 0);
@@ -183,7 +183,7 @@
     if (worker->props.watch.started != NULL)
         worker->props.watch.started(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
                                     run->room);
-    loopSpawn(worker->loop, "run", runMain, run);
+    loop_spawn(worker->loop, "run", runMain, run);
 }
 
 static void answerTake(StandWorker *worker, json_object *body, int64_t sentMs)
@@ -193,13 +193,13 @@
     if (fence < worker->fence)
         return;
     worker->fence = fence;
-    if (sentMs + holdMs > worker->untilMs)
-        worker->untilMs = sentMs + holdMs;
+    if (sentMs + holdMs > worker->until_ms)
+        worker->until_ms = sentMs + holdMs;
     if (holdOver(worker))
         return;
     if (worker->props.watch.held != NULL)
         worker->props.watch.held(worker->props.watch.arg, worker->props.worker.name,
-                                 worker->untilMs - loopNowMs(worker->loop));
+                                 worker->until_ms - loop_now_ms(worker->loop));
     json_object *list;
     if (json_object_object_get_ex(body, "known", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++) {
@@ -259,7 +259,7 @@
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
-    const int64_t staysMs = worker->leaveAtMs - loopNowMs(worker->loop);
+    const int64_t staysMs = worker->leaveAtMs - loop_now_ms(worker->loop);
     if (worker->leaving && staysMs > 0)
         json_object_object_add(body, "leaveMs", json_object_new_int64(staysMs));
     json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_MS));
@@ -288,9 +288,9 @@
  * of order, as a retry lower down makes them. */
 static void repeatLast(StandWorker *worker, void *mem, const char *path, const char *last)
 {
-    HttpCall call = {.mem = mem, .address = worker->props.agent, .method = "POST", .path = path, .waitMs = 20};
+    HttpCall call = {.mem = mem, .address = worker->props.agent, .method = "POST", .path = path, .wait_ms = 20};
     bytes_add(mem, &call.body, last, strlen(last));
-    loopCall(worker->loop, &call);
+    loop_call(worker->loop, &call);
 }
 
 static void reportMain(void *arg)
@@ -299,9 +299,9 @@
     char *last = NULL;
     if (worker->props.watch.booted != NULL)
         worker->props.watch.booted(worker->props.watch.arg, worker->props.worker.name);
-    while (!loopStopping(worker->loop)) {
+    while (!loop_stopping(worker->loop)) {
         void *mem = talloc_new(worker);
-        if (worker->props.repeats && last != NULL && loopRandom(worker->loop) % 4 == 0)
+        if (worker->props.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
             repeatLast(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name), last);
         holdOver(worker);
         json_object *body = reportOf(worker);
@@ -310,14 +310,14 @@
                          .address = worker->props.agent,
                          .method = "POST",
                          .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name),
-                         .waitMs = WORKER_POLL_MS + ASK_EXPIRY_MS};
+                         .wait_ms = WORKER_POLL_MS + ASK_EXPIRY_MS};
         bytes_add(mem, &call.body, text, strlen(text));
         talloc_free(last);
         last = worker->props.repeats ? talloc_strdup(worker, text) : NULL;
         json_object_put(body);
-        const int64_t sentMs = loopNowMs(worker->loop);
+        const int64_t sentMs = loop_now_ms(worker->loop);
         worker->asking = &call;
-        const Status status = loopCall(worker->loop, &call);
+        const Status status = loop_call(worker->loop, &call);
         worker->asking = NULL;
         if (status == STATUS_OK && call.code == 200) {
             char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
@@ -326,7 +326,7 @@
                 answerTake(worker, answer, sentMs);
             json_object_put(answer);
         } else if (!call.cut) {
-            loopSleep(worker->loop, 100);
+            loop_sleep(worker->loop, 100);
         }
         talloc_free(mem);
     }
@@ -340,8 +340,8 @@
     shapeCopy(&WorkerShape, &props->worker, worker, &worker->props.worker);
     worker->props.agent = talloc_strdup(worker, props->agent);
     worker->highest = map_new(worker);
-    snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loopRandom(loop));
-    loopSpawn(loop, "report", reportMain, worker);
+    snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loop_random(loop));
+    loop_spawn(loop, "report", reportMain, worker);
     return worker;
 }
 
@@ -353,7 +353,7 @@
 void standWorkerLeaveIn(StandWorker *worker, int64_t forMs)
 {
     worker->leaving = true;
-    worker->leaveAtMs = loopNowMs(worker->loop) + forMs;
+    worker->leaveAtMs = loop_now_ms(worker->loop) + forMs;
 }
 
 void standWorkerFail(StandWorker *worker, bool fails)
--- a/packages/table/include/table/change.h
+++ b/packages/table/include/table/change.h
@@ -78,11 +78,11 @@
 SHAPE(WorkerLeft, WORKER_LEFT_FIELDS)
 
 /* Bounds of callers' requests; 0: the process's own. */
-#define CONFIG_LIMITS_FIELDS(X)                                   \
-    X(U64, headBytes, 0)                                          \
-    X(U64, bodyBytes, 0)                                          \
-    X(I64, headMs, 0) /* for a request's head to come in whole */ \
-    X(I64, idleMs, 0) /* a connection without a request is closed after this */
+#define CONFIG_LIMITS_FIELDS(X)                                    \
+    X(U64, head_bytes, 0)                                          \
+    X(U64, body_bytes, 0)                                          \
+    X(I64, head_ms, 0) /* for a request's head to come in whole */ \
+    X(I64, idle_ms, 0) /* a connection without a request is closed after this */
 SHAPE(ConfigLimits, CONFIG_LIMITS_FIELDS)
 
 /* base: the revision it builds on. restored: told again in a repair, where only
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -56,9 +56,9 @@
         for (uint64_t round = 1; round <= most; round++) {
             assert_int_equal(job->phase, JOB_ACTIVE);
             round_(&b, round, ROUND_FAILED);
-            const int64_t nextMs = job->tasks[0].restUntilMs - b.at_ms;
-            assert_true(round == most || nextMs > restMs);
-            restMs = nextMs;
+            const int64_t next_ms = job->tasks[0].restUntilMs - b.at_ms;
+            assert_true(round == most || next_ms > restMs);
+            restMs = next_ms;
         }
         assert_int_equal(job->phase, JOB_FAILED);
         assert_int_equal(job->tasks[0].phase, TASK_FAILED);
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -39,7 +39,7 @@
 
 #define TRACE_ANSWER_FIELDS(X) \
     X(TXT, node, 0)            \
-    X(I64, nowMs, 0)           \
+    X(I64, now_ms, 0)          \
     X(LST, events, TraceEvent)
 SHAPE(TraceAnswer, TRACE_ANSWER_FIELDS)
 SHAPE_TABLE(TraceAnswer, TRACE_ANSWER_FIELDS)
@@ -47,7 +47,7 @@
 static void tell(Trace *trace, void *mem, const char *key, TraceAnswer *out)
 {
     out->node = trace->node;
-    out->nowMs = loopNowMs(trace->loop);
+    out->now_ms = loop_now_ms(trace->loop);
     const uint64_t first = trace->count > TRACE_EVENTS ? trace->count - TRACE_EVENTS : 0;
     for (uint64_t i = first; i < trace->count; i++) {
         const Event *event = &trace->events[i % TRACE_EVENTS];
@@ -80,7 +80,7 @@
     if (trace == NULL)
         return;
     Event *event = &trace->events[trace->count++ % TRACE_EVENTS];
-    event->at_ms = loopNowMs(trace->loop);
+    event->at_ms = loop_now_ms(trace->loop);
     event->step = step;
     snprintf(event->detail, sizeof(event->detail), "%s", detail);
     va_list args;
@@ -142,19 +142,19 @@
     Gathering *gathering = part->gathering;
     Trace *trace = gathering->trace;
     TraceAnswer answer = {0};
-    const int64_t sentMs = loopNowMs(trace->loop);
+    const int64_t sentMs = loop_now_ms(trace->loop);
     const Status status =
         courierAskPeer(trace->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
                        &TraceAskShape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswerShape, &answer);
     if (status == STATUS_OK) {
-        rowsAdd(gathering, &answer, (sentMs + loopNowMs(trace->loop)) / 2 - answer.nowMs);
+        rowsAdd(gathering, &answer, (sentMs + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
     } else {
         gathering->silent =
             talloc_realloc(gathering, gathering->silent, const char *, (unsigned)gathering->silentCount + 1);
         gathering->silent[gathering->silentCount++] = talloc_strdup(gathering, part->name);
     }
     gathering->pending--;
-    signalRaise(trace->loop, &gathering->ended);
+    signal_raise(trace->loop, &gathering->ended);
     gatheringLeave(gathering);
     talloc_free(part);
 }
@@ -208,10 +208,10 @@
         part->peer = memberPeer(record);
         gathering->users++;
         gathering->pending++;
-        loopSpawn(trace->loop, "trace", partMain, part);
+        loop_spawn(trace->loop, "trace", partMain, part);
     }
     while (gathering->pending > 0)
-        signalWait(trace->loop, &gathering->ended, INT64_MAX);
+        signal_wait(trace->loop, &gathering->ended, INT64_MAX);
     qsort(gathering->rows, gathering->count, sizeof(Row), rowOrder);
     json_object *body = json_object_new_object(), *steps = json_object_new_array(), *silent = json_object_new_array();
     for (size_t i = 0; i < gathering->count; i++) {
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -57,7 +57,7 @@
     X(FLAG, woke, 0)     /* restarted, and no view has brought it up to date since */ \
     X(U64, viewEpoch, 0) /* of the last view recorded */                              \
     X(LST, viewMembers, DiskId)                                                       \
-    X(I64, wallMs, 0)                                                                 \
+    X(I64, wall_ms, 0)                                                                \
     X(I64, syncMs, 0) /* its last sync took so long */                                \
     X(U64, sight, 0)  /* members that have spoken to it of late */                    \
     X(U64, filled, 0) /* bytes that it has of a snapshot that comes in pieces */
@@ -67,7 +67,7 @@
     X(U64, epoch, 0)        \
     X(U64, holder, 0)       \
     X(U64, commitIndex, 0)  \
-    X(I64, clockMs, 0)      \
+    X(I64, clock_ms, 0)     \
     X(TXT, holderId, 0)     \
     X(U64, to, 0)           \
     X(U64, next, 0) /* in a release: the seat that is to propose itself at once; 0: none */
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -93,7 +93,7 @@
 /* Waits until a majority of the seats has granted the lock to this node in answer to
  * questions that were sent after the call: whatever the clocks do, nobody else had led by
  * the time of the call. NOT_LEADER: another may; EXPIRED: nobody knows. */
-Status viewContact(View *view, int64_t untilMs);
+Status viewContact(View *view, int64_t until_ms);
 uint64_t viewEpoch(const View *view);
 /* When this node won the lock from another (or from nobody). */
 int64_t viewWonMs(const View *view);
@@ -107,7 +107,7 @@
 /* Waits, until then at most. The process is to end, and has told the members so: a
  * leader has a learner added as a voter and hands the lock over; whoever leads then
  * removes this voter. Where no learner is there it stays a voter, and says so. */
-void viewLeave(View *view, int64_t untilMs);
+void viewLeave(View *view, int64_t until_ms);
 
 /* Cluster and seats. */
 bool viewFounded(const View *view);
--- a/packages/view/src/contact.c
+++ b/packages/view/src/contact.c
@@ -23,7 +23,7 @@
     if (contact <= peer->contact)
         return;
     peer->contact = contact;
-    signalRaise(view->loop, &view->contactMade);
+    signal_raise(view->loop, &view->contactMade);
 }
 
 bool contactOwed(const View *view, int slot)
@@ -34,8 +34,8 @@
 
 void contactRest(View *view, int slot, int64_t restMs)
 {
-    const int64_t untilMs = loopNowMs(view->loop) + restMs;
-    while (signalWait(view->loop, &view->contactNews, untilMs))
+    const int64_t until_ms = loop_now_ms(view->loop) + restMs;
+    while (signal_wait(view->loop, &view->contactNews, until_ms))
         if (contactOwed(view, slot))
             return;
 }
@@ -56,23 +56,23 @@
 uint64_t contactMembers(View *view, int64_t mostMs)
 {
     const uint64_t turn = view->leadTurn, wanted = ++view->contactAsked;
-    const int64_t untilMs = loopNowMs(view->loop) + mostMs;
+    const int64_t until_ms = loop_now_ms(view->loop) + mostMs;
     view->contactLearners = wanted;
-    signalRaise(view->loop, &view->contactNews);
+    signal_raise(view->loop, &view->contactNews);
     while (!leadOver(view, turn) && !contactWhole(view, wanted))
-        if (!signalWait(view->loop, &view->contactMade, untilMs))
+        if (!signal_wait(view->loop, &view->contactMade, until_ms))
             break;
     return wanted;
 }
 
-Status viewContact(View *view, int64_t untilMs)
+Status viewContact(View *view, int64_t until_ms)
 {
     if (!viewLeading(view))
         return STATUS_NOT_LEADER;
     const uint64_t epoch = view->epoch, wanted = ++view->contactAsked;
-    signalRaise(view->loop, &view->contactNews);
+    signal_raise(view->loop, &view->contactNews);
     while (contactCount(view, wanted) < viewMajority(view)) {
-        if (!signalWait(view->loop, &view->contactMade, untilMs))
+        if (!signal_wait(view->loop, &view->contactMade, until_ms))
             return STATUS_EXPIRED;
         if (view->epoch != epoch || !viewLeading(view))
             return STATUS_NOT_LEADER;
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -22,11 +22,11 @@
 
 Status historyRefuse(View *view, uint64_t index)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     view->otherHistories++;
-    if (view->otherToldMs == 0 || nowMs - view->otherToldMs >= HISTORY_TOLD_MS) {
-        view->otherToldMs = nowMs;
-        ring_say(view->props.ring, RING_ALERT, nowMs,
+    if (view->otherToldMs == 0 || now_ms - view->otherToldMs >= HISTORY_TOLD_MS) {
+        view->otherToldMs = now_ms;
+        ring_say(view->props.ring, RING_ALERT, now_ms,
                  "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
                  status_word(STATUS_OTHER_HISTORY), index, view->commitIndex);
     }
@@ -88,7 +88,7 @@
 void viewCompactMaybe(View *view, bool force)
 {
     Log *log = view->log;
-    if (view->compacting || (view->tooLarge && !force) || view->deliveredIndex <= log->baseIndex ||
+    if (view->compacting || (view->too_large && !force) || view->deliveredIndex <= log->baseIndex ||
         (!force && !longEnough(view)))
         return;
     void *mem = talloc_new(view);
@@ -113,9 +113,9 @@
     Record record = {
         .kind = RECORD_SNAPSHOT, .epoch = epoch, .index = view->deliveredIndex, .at_ms = viewClockMs(view), .name = ""};
     shapePack(&SnapshotShape, &snapshot, mem, &record.payload);
-    view->tooLarge = record.payload.count > SNAPSHOT_MAX_BYTES;
-    if (view->tooLarge) {
-        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: a state of %zu bytes can't be a snapshot",
+    view->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
+    if (view->too_large) {
+        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: a state of %zu bytes can't be a snapshot",
                  status_word(STATUS_TOO_LARGE), record.payload.count);
         talloc_free(mem);
         return;
@@ -123,7 +123,7 @@
     logRebase(log, &record);
     talloc_free(mem);
     view->compacting = true;
-    loopSpawn(view->loop, "compact", compactMain, view);
+    loop_spawn(view->loop, "compact", compactMain, view);
 }
 
 /* --- start --------------------------------------------------------------------------- */
@@ -228,7 +228,7 @@
 /* The journal is not whole: what it has promised and acknowledged is not known. */
 static Status diskBeginAnew(View *view, const char *path, Failure *failure)
 {
-    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "%s: %s; begins as a new, empty disk",
+    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: %s; begins as a new, empty disk",
              status_word(failure->status), failure->text);
     *failure = (Failure){0};
     diskForget(view);
@@ -252,7 +252,7 @@
     view->woke = view->cluster != 0;
     /* a disk that was never part of a cluster has granted nothing */
     if (view->cluster != 0)
-        view->lock.notBeforeMs = loopNowMs(view->loop) + LOCK_HOLD_MS;
+        view->lock.notBeforeMs = loop_now_ms(view->loop) + LOCK_HOLD_MS;
     view->lock.sure = view->props.disksKeep;
     if (view->cluster != 0)
         courierSetCluster(view->props.courier, view->cluster);
@@ -264,15 +264,15 @@
 static void mendMain(void *arg)
 {
     View *view = arg;
-    while (!loopStopping(view->loop)) {
-        loopSleep(view->loop, DISK_MEND_MS);
+    while (!loop_stopping(view->loop)) {
+        loop_sleep(view->loop, DISK_MEND_MS);
         if (view->listOld || !journalFailed(view->journal) || view->compacting || view->holding)
             continue;
         view->mending = true;
         if (journalAnew(view) == STATUS_OK) {
-            if (view->restUntilMs > loopNowMs(view->loop) + PROPOSE_MS)
-                view->restUntilMs = loopNowMs(view->loop) + PROPOSE_MS;
-            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk takes writes again");
+            if (view->restUntilMs > loop_now_ms(view->loop) + PROPOSE_MS)
+                view->restUntilMs = loop_now_ms(view->loop) + PROPOSE_MS;
+            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk takes writes again");
         }
         view->mending = false;
     }
@@ -280,7 +280,7 @@
 
 void diskStart(View *view)
 {
-    loopSpawn(view->loop, "mend", mendMain, view);
+    loop_spawn(view->loop, "mend", mendMain, view);
 }
 
 bool viewDiskFailed(const View *view)
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -32,7 +32,7 @@
 void leadTurn(View *view, const bool inView[SEAT_MOST])
 {
     leadViewEntry(view, inView, false);
-    view->changedMs = loopNowMs(view->loop);
+    view->changedMs = loop_now_ms(view->loop);
     view->viewChanges++;
-    signalRaise(view->loop, &view->grew);
+    signal_raise(view->loop, &view->grew);
 }
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -98,7 +98,7 @@
         (peer->refill && view->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
         viewCompactMaybe(view, true);
     if (view->log->snapshot.kind != RECORD_SNAPSHOT) {
-        loopSleep(view->loop, LOCK_RENEW_MS);
+        loop_sleep(view->loop, LOCK_RENEW_MS);
         return;
     }
     void *mem = talloc_new(view);
@@ -122,7 +122,7 @@
             peer->nextIndex = index + 1;
             peer->refill = false;
         } else {
-            loopSleep(view->loop, LOCK_RENEW_MS);
+            loop_sleep(view->loop, LOCK_RENEW_MS);
         }
     }
     talloc_free(mem);
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -31,26 +31,26 @@
 {
     View *view = arg;
     Members *members = view->props.members;
-    const int64_t fromMs = loopNowMs(view->loop) + VOTE_WAIT_MS;
+    const int64_t fromMs = loop_now_ms(view->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loopStopping(view->loop) && !viewFounded(view) && courierCluster(view->props.courier) == 0) {
-        loopSleep(view->loop, VOTE_WAIT_MS / 6);
+    while (!loop_stopping(view->loop) && !viewFounded(view) && courierCluster(view->props.courier) == 0) {
+        loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
         if (membersLowestEmpty(members) != view->disk) {
             if (stands && membersVotes(members, view->disk, round, true, &seeds) == seeds) {
                 stands = false;
                 round++;
             }
-        } else if (loopNowMs(view->loop) >= fromMs) {
+        } else if (loop_now_ms(view->loop) >= fromMs) {
             stands = true;
             const size_t granted = membersVotes(members, view->disk, round, false, &seeds);
             if (granted < seeds / 2 + 1 || courierCluster(view->props.courier) != 0)
                 continue;
-            const uint64_t cluster = loopRandom(view->loop) | 1;
+            const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
             if (foundNow(view, cluster, &view->disk, 1) == STATUS_OK)
-                ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "founds cluster %016" PRIx64, cluster);
+                ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "founds cluster %016" PRIx64, cluster);
         }
     }
 }
@@ -62,13 +62,13 @@
 static bool threeEmpty(const View *view, uint64_t disks[SEAT_FIRST])
 {
     const MemberTable *table = membersTable(view->props.members);
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (row->record.cluster != 0)
             return false;
-        if (row->record.role != ROLE_CORE || memberQuiet(row, nowMs))
+        if (row->record.role != ROLE_CORE || memberQuiet(row, now_ms))
             continue;
         if (!row->record.empty || row->directMs == INT64_MIN || count == SEAT_FIRST)
             return false;
@@ -125,10 +125,10 @@
     View *view = arg;
     uint64_t before[SEAT_FIRST] = {0};
     int64_t sinceMs = 0;
-    while (!loopStopping(view->loop)) {
-        loopSleep(view->loop, 200);
+    while (!loop_stopping(view->loop)) {
+        loop_sleep(view->loop, 200);
         uint64_t disks[SEAT_MOST];
-        const int64_t nowMs = loopNowMs(view->loop);
+        const int64_t now_ms = loop_now_ms(view->loop);
         if (viewFounded(view)) {
             /* until a first view stands, the others may not have heard the offer */
             if (viewSeats(view, disks) != SEAT_FIRST || membersLeaderId(view->props.members)[0] != '\0')
@@ -142,15 +142,15 @@
             continue;
         }
         if (sinceMs == 0 || memcmp(disks, before, sizeof(before)) != 0) {
-            sinceMs = nowMs;
+            sinceMs = now_ms;
             memcpy(before, disks, sizeof(before));
             continue;
         }
-        if (nowMs - sinceMs < FOUND_WAIT_MS || disks[0] != viewDisk(view))
+        if (now_ms - sinceMs < FOUND_WAIT_MS || disks[0] != viewDisk(view))
             continue;
-        const uint64_t cluster = loopRandom(view->loop) | 1;
+        const uint64_t cluster = loop_random(view->loop) | 1;
         if (foundNow(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
-            ring_say(view->props.ring, RING_NOTE, nowMs, "founds cluster %016" PRIx64, cluster);
+            ring_say(view->props.ring, RING_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
     }
@@ -160,9 +160,9 @@
 {
     membersSetVoter(view->props.members, view->props.founds == VIEW_FOUNDS_BY_VOTES);
     if (view->props.founds == VIEW_FOUNDS_BY_VOTES && !viewFounded(view))
-        loopSpawn(view->loop, "votes", votesMain, view);
+        loop_spawn(view->loop, "votes", votesMain, view);
     if (view->props.founds != VIEW_FOUNDS_BY_THREE)
         return;
     courierHandle(view->props.courier, MESSAGE_FOUND, &FoundAskShape, &FoundAnswerShape, onFound, view);
-    loopSpawn(view->loop, "found", threeMain, view);
+    loop_spawn(view->loop, "found", threeMain, view);
 }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -17,7 +17,7 @@
     int slowTimes;    /* appends in a row that took longer than SEAT_SLOW_MS */
     int64_t returnMs; /* it left the view for being late: not back before this */
     uint64_t promised;
-    int64_t wallMs, wallAtMs; /* its wall clock, and our clock when it was told; wallAtMs 0: never */
+    int64_t wall_ms, wallAtMs; /* its wall clock, and our clock when it was told; wallAtMs 0: never */
     int64_t syncMs;
     uint64_t sight;
     uint64_t contact; /* the newest round of contact that it has answered */
@@ -91,7 +91,7 @@
     int64_t otherToldMs;
     uint64_t listCommitted; /* the highest index of a list of voters known to be committed */
     bool listOld;           /* the log would make it lead by an older one: it does not vote any more */
-    bool tooLarge;          /* its state is larger than a snapshot may be */
+    bool too_large;         /* its state is larger than a snapshot may be */
     bool mending;           /* the whole journal is written again after a failure */
     /* the holder */
     ViewPhase phase;
@@ -157,10 +157,10 @@
 Status historyRefuse(View *view, uint64_t index);
 void viewWaitersEnd(View *view, Status status);
 /* An entry of the log was made then. */
-void viewClockTell(View *view, int64_t clockMs);
+void viewClockTell(View *view, int64_t clock_ms);
 /* The holder's clock is so now: ours must not run ahead of it, or what is due would
  * be due early under us. */
-void viewClockSet(View *view, int64_t clockMs);
+void viewClockSet(View *view, int64_t clock_ms);
 
 /* Its writes fail: nothing may be promised or taken. */
 bool viewDiskFailed(const View *view);
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -10,7 +10,7 @@
 
 bool leadOver(const View *view, uint64_t turn)
 {
-    return view->leadTurn != turn || loopStopping(view->loop);
+    return view->leadTurn != turn || loop_stopping(view->loop);
 }
 
 /* What a majority of the seats has synced. */
@@ -44,7 +44,7 @@
         return;
     view->commitIndex = least;
     viewDeliver(view);
-    signalRaise(view->loop, &view->news);
+    signal_raise(view->loop, &view->news);
 }
 
 static uint64_t learnerTurn(const View *view, int slot)
@@ -67,7 +67,7 @@
     while (!leadOver(view, lead.turn)) {
         uint64_t lastIndex = logLastIndex(view->log);
         if (view->syncedIndex >= lastIndex) {
-            signalWait(view->loop, &view->grew, loopNowMs(view->loop) + LOCK_RENEW_MS);
+            signal_wait(view->loop, &view->grew, loop_now_ms(view->loop) + LOCK_RENEW_MS);
             continue;
         }
         void *mem = talloc_new(view);
@@ -80,17 +80,17 @@
         }
         lastIndex = from + count;
         view->queuedIndex = lastIndex;
-        const int64_t startMs = loopNowMs(view->loop);
+        const int64_t startMs = loop_now_ms(view->loop);
         const Status status = journalWrite(view->journal, records, count);
         talloc_free(mem);
         if (leadOver(view, lead.turn))
             return;
         if (status != STATUS_OK) {
-            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "own disk failed: gives up the lock");
+            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk failed: gives up the lock");
             leadDown(view, INT32_MAX);
             return;
         }
-        view->slowTimes = loopNowMs(view->loop) - startMs > SEAT_SLOW_MS ? view->slowTimes + 1 : 0;
+        view->slowTimes = loop_now_ms(view->loop) - startMs > SEAT_SLOW_MS ? view->slowTimes + 1 : 0;
         view->syncedIndex = lastIndex;
         leadCommit(view);
     }
@@ -99,10 +99,10 @@
 void leadAnswered(View *view, int slot, const SeatAnswer *answer)
 {
     Peer *peer = &view->peers[slot];
-    peer->answeredMs = loopNowMs(view->loop);
+    peer->answeredMs = loop_now_ms(view->loop);
     peer->woke = answer->woke;
     peer->promised = answer->promised;
-    peer->wallMs = answer->wallMs;
+    peer->wall_ms = answer->wall_ms;
     peer->wallAtMs = peer->answeredMs;
     peer->syncMs = answer->syncMs;
     peer->sight = answer->sight;
@@ -133,7 +133,7 @@
     }
     const uint64_t match = ask.prevIndex + ask.entriesCount, contact = view->contactAsked;
     SeatAnswer answer = {0};
-    const int64_t sentMs = loopNowMs(view->loop);
+    const int64_t sentMs = loop_now_ms(view->loop);
     if (peer->appendSinceMs == INT64_MAX)
         peer->appendSinceMs = sentMs;
     const Status status = courierAsk(view->props.courier, mem, address, MESSAGE_APPEND, &AppendAskShape, &ask,
@@ -143,7 +143,7 @@
             leadAnswered(view, lead->slot, &answer);
         if (status == STATUS_OK || status == STATUS_LOG_GAP) {
             peer->appendSinceMs = INT64_MAX;
-            peer->appendTookMs = loopNowMs(view->loop) - sentMs;
+            peer->appendTookMs = loop_now_ms(view->loop) - sentMs;
             peer->slowTimes = peer->appendTookMs > SEAT_SLOW_MS ? peer->slowTimes + 1 : 0;
         }
         if (status == STATUS_OK) {
@@ -165,7 +165,7 @@
                     next > view->log->baseIndex + 1 + LOG_BACK_STEP ? next - LOG_BACK_STEP : view->log->baseIndex + 1;
             peer->nextIndex = next;
         } else {
-            loopSleep(view->loop, 100);
+            loop_sleep(view->loop, 100);
         }
     }
     talloc_free(mem);
@@ -188,7 +188,7 @@
     while (!leadPeerOver(&lead)) {
         char address[ADDRESS_MAX];
         if (!seatAddress(view, lead.slot, address)) {
-            loopSleep(view->loop, 100);
+            loop_sleep(view->loop, 100);
             continue;
         }
         if (peer->refill || peer->nextIndex <= view->log->baseIndex) {
@@ -198,9 +198,9 @@
             told |= peer->matchIndex + 1 == peer->nextIndex;
             /* nobody waits for a learner: it takes several changes in one append */
             if (lead.slot >= SEAT_MOST && peer->nextIndex > logLastIndex(view->log))
-                loopSleep(view->loop, LEARNER_APPEND_MS);
+                loop_sleep(view->loop, LEARNER_APPEND_MS);
         } else {
-            signalWait(view->loop, &view->grew, loopNowMs(view->loop) + LOCK_RENEW_MS);
+            signal_wait(view->loop, &view->grew, loop_now_ms(view->loop) + LOCK_RENEW_MS);
         }
     }
 }
@@ -211,12 +211,12 @@
 {
     int64_t offsets[SEAT_MOST];
     int count = 0;
-    const int64_t nowMs = loopNowMs(view->loop);
-    offsets[count++] = loopWallMs(view->loop) - nowMs;
+    const int64_t now_ms = loop_now_ms(view->loop);
+    offsets[count++] = loop_wall_ms(view->loop) - now_ms;
     for (int i = 0; i < SEAT_MOST; i++)
         if (view->seats[i] != 0 && view->seats[i] != view->disk && view->peers[i].wallAtMs != 0 &&
-            nowMs - view->peers[i].wallAtMs < LOCK_HOLD_MS)
-            offsets[count++] = view->peers[i].wallMs - view->peers[i].wallAtMs;
+            now_ms - view->peers[i].wallAtMs < LOCK_HOLD_MS)
+            offsets[count++] = view->peers[i].wall_ms - view->peers[i].wallAtMs;
     for (int i = 1; i < count; i++)
         for (int k = i; k > 0 && offsets[k] < offsets[k - 1]; k--) {
             const int64_t swap = offsets[k];
@@ -274,7 +274,7 @@
     int64_t askedMs = INT64_MIN;
     bool doubt = false;
     while (!leadPeerOver(&lead)) {
-        const int64_t sentMs = loopNowMs(view->loop);
+        const int64_t sentMs = loop_now_ms(view->loop);
         char address[ADDRESS_MAX];
         /* appends renew as well; only the rest is told by renewals alone */
         const int64_t lastMs = view->peers[lead.slot].renewedMs;
@@ -301,7 +301,7 @@
             if (status == STATUS_OK && !leadPeerOver(&lead) && contactOwed(view, lead.slot))
                 continue; /* another round of contact was asked for meanwhile */
         }
-        const int64_t tookMs = loopNowMs(view->loop) - sentMs;
+        const int64_t tookMs = loop_now_ms(view->loop) - sentMs;
         contactRest(view, lead.slot, tookMs < LOCK_RENEW_MS ? LOCK_RENEW_MS - tookMs : 1);
     }
 }
@@ -310,7 +310,7 @@
 {
     Lead *lead = talloc_zero(view, Lead);
     *lead = (Lead){view, view->leadTurn, slot, slotDisk(view, slot), learnerTurn(view, slot)};
-    loopSpawn(view->loop, name, fn, lead);
+    loop_spawn(view->loop, name, fn, lead);
 }
 
 void leadRenew(View *view, int slot)
@@ -356,21 +356,21 @@
         }
         giving->view = view;
         giving->ask = (RenewAsk){view->epoch, view->disk, 0, 0, "", view->seats[i], next};
-        loopSpawn(view->loop, "release", releaseMain, giving);
+        loop_spawn(view->loop, "release", releaseMain, giving);
     }
 }
 
 uint64_t leadNext(const View *view, bool quick)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     const Peer *best = NULL;
     uint64_t disk = 0;
     for (int i = 0; i < SEAT_MOST; i++) {
         const Peer *peer = &view->peers[i];
-        if (view->seats[i] == view->disk || !view->inView[i] || nowMs - peer->answeredMs > 2 * LOCK_RENEW_MS)
+        if (view->seats[i] == view->disk || !view->inView[i] || now_ms - peer->answeredMs > 2 * LOCK_RENEW_MS)
             continue;
         if (quick && (peer->syncMs > SEAT_SLOW_MS / 2 || peer->appendTookMs > SEAT_SLOW_MS / 2 ||
-                      (peer->appendSinceMs != INT64_MAX && nowMs - peer->appendSinceMs > SEAT_LATE_MS / 2)))
+                      (peer->appendSinceMs != INT64_MAX && now_ms - peer->appendSinceMs > SEAT_LATE_MS / 2)))
             continue;
         if (best == NULL || peer->matchIndex > best->matchIndex) {
             best = peer;
@@ -382,21 +382,21 @@
 
 void leadDown(View *view, int64_t restMs)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     if (restMs > 0)
-        view->restUntilMs = nowMs + restMs;
+        view->restUntilMs = now_ms + restMs;
     view->leadTurn++;
     if (view->phase != VIEW_FOLLOWING || view->holding) {
         if (view->holding) {
             /* nothing is decided under this hold any more: the seats may forget it */
-            lockRelease(&view->lock, view->epoch, view->disk, nowMs);
+            lockRelease(&view->lock, view->epoch, view->disk, now_ms);
             leadRelease(view, leadNext(view, false));
-            ring_say(view->props.ring, RING_NOTE, nowMs, "gives up view %" PRIu64, epoch_counter(view->epoch));
+            ring_say(view->props.ring, RING_NOTE, now_ms, "gives up view %" PRIu64, epoch_counter(view->epoch));
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
         lockHoldClear(&view->hold);
     }
     viewWaitersEnd(view, STATUS_OUTCOME_UNKNOWN);
-    signalRaise(view->loop, &view->news);
+    signal_raise(view->loop, &view->news);
 }
--- a/packages/view/src/learners.c
+++ b/packages/view/src/learners.c
@@ -13,7 +13,7 @@
  * so learns that its vote has been given away. */
 bool learnerMayFollow(const View *view, const Member *row)
 {
-    return row->record.role == ROLE_CORE && row->record.disk != 0 && !memberQuiet(row, loopNowMs(view->loop)) &&
+    return row->record.role == ROLE_CORE && row->record.disk != 0 && !memberQuiet(row, loop_now_ms(view->loop)) &&
            viewSeatOf(view, row->record.disk) < 0 && row->record.cluster == view->cluster;
 }
 
@@ -44,7 +44,7 @@
 {
     Learner *slot = &view->learners[learner];
     const int place = SEAT_MOST + (int)learner;
-    *slot = (Learner){disk, slot->turn + 1, loopNowMs(view->loop), INT64_MAX};
+    *slot = (Learner){disk, slot->turn + 1, loop_now_ms(view->loop), INT64_MAX};
     view->peers[place] =
         (Peer){.nextIndex = logLastIndex(view->log) + 1, .renewedMs = INT64_MIN, .appendSinceMs = INT64_MAX};
     leadRenew(view, place);
@@ -54,16 +54,16 @@
 bool learnerReady(const View *view, size_t learner)
 {
     const Peer *peer = &view->peers[SEAT_MOST + learner];
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     return view->learners[learner].disk != 0 && peer->matchIndex > 0 &&
            peer->matchIndex + LOG_BATCH_ENTRIES >= logLastIndex(view->log) && peer->renewedMs != INT64_MIN &&
-           nowMs - peer->renewedMs < 2 * LOCK_RENEW_MS && peer->appendTookMs < SEAT_SLOW_MS;
+           now_ms - peer->renewedMs < 2 * LOCK_RENEW_MS && peer->appendTookMs < SEAT_SLOW_MS;
 }
 
 bool learnerSteady(const View *view, size_t learner)
 {
     const int64_t sinceMs = view->learners[learner].readySinceMs;
-    return sinceMs != INT64_MAX && loopNowMs(view->loop) - sinceMs > viewBackMs(view);
+    return sinceMs != INT64_MAX && loop_now_ms(view->loop) - sinceMs > viewBackMs(view);
 }
 
 static void readyMark(View *view)
@@ -73,7 +73,7 @@
         if (!learnerReady(view, i))
             slot->readySinceMs = INT64_MAX;
         else if (slot->readySinceMs == INT64_MAX)
-            slot->readySinceMs = loopNowMs(view->loop);
+            slot->readySinceMs = loop_now_ms(view->loop);
     }
 }
 
@@ -87,7 +87,7 @@
         return -1;
     for (int i = 0; i < LEARNER_MOST; i++) {
         const Learner *slot = &view->learners[i];
-        if (slot->readySinceMs == INT64_MAX && loopNowMs(view->loop) - slot->sinceMs > LEARNER_LATE_MS) {
+        if (slot->readySinceMs == INT64_MAX && loop_now_ms(view->loop) - slot->sinceMs > LEARNER_LATE_MS) {
             view->learnersPassed = slot->disk;
             return i;
         }
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -43,10 +43,10 @@
         view->wokenSinceMs = 0;
         return true;
     }
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     if (view->wokenSinceMs == 0)
-        view->wokenSinceMs = nowMs;
-    return nowMs - view->wokenSinceMs >= WOKEN_WAIT_MS;
+        view->wokenSinceMs = now_ms;
+    return now_ms - view->wokenSinceMs >= WOKEN_WAIT_MS;
 }
 
 /* Makes the own log equal to that of the seat with the best one. */
@@ -255,7 +255,7 @@
     if (!view->clockRuns) /* nobody's log has a time yet */
         viewClockSet(view, view->clockBaseMs);
     if (opening->newHolder)
-        view->wonMs = loopNowMs(view->loop);
+        view->wonMs = loop_now_ms(view->loop);
     view->holding = true;
     view->wokenSinceMs = 0;
     for (int i = 0; i < SEAT_MOST; i++)
@@ -316,20 +316,20 @@
 static Status entryCommitted(const Opening *opening)
 {
     View *view = opening->view;
-    int64_t untilMs = loopNowMs(view->loop) + VIEW_EXPIRY_MS;
+    int64_t until_ms = loop_now_ms(view->loop) + VIEW_EXPIRY_MS;
     uint64_t gained = 0;
     while (view->commitIndex < view->viewIndex) {
-        if (!signalWait(view->loop, &view->news, loopNowMs(view->loop) + 100) && !leadOver(view, opening->turn)) {
+        if (!signal_wait(view->loop, &view->news, loop_now_ms(view->loop) + 100) && !leadOver(view, opening->turn)) {
             const uint64_t sum = gainedSum(view);
             if (sum != gained) {
                 gained = sum;
-                untilMs = loopNowMs(view->loop) + VIEW_EXPIRY_MS;
+                until_ms = loop_now_ms(view->loop) + VIEW_EXPIRY_MS;
             }
         }
         if (leadOver(view, opening->turn))
             return STATUS_NOT_LEADER;
-        if (loopNowMs(view->loop) > untilMs || loopNowMs(view->loop) > lockHoldUntil(&view->hold)) {
-            ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "view %" PRIu64 " did not come about",
+        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lockHoldUntil(&view->hold)) {
+            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "view %" PRIu64 " did not come about",
                      epoch_counter(opening->epoch));
             leadDown(view, 0);
             return STATUS_EXPIRED;
@@ -344,14 +344,14 @@
     if (view->props.opened != NULL)
         view->props.opened(view->props.openedArg, opening->epoch, opening->newHolder, view->last.repair);
     view->phase = VIEW_LEADING;
-    view->changedMs = loopNowMs(view->loop);
+    view->changedMs = loop_now_ms(view->loop);
     view->viewChanges++;
     membersSetLeader(view->props.members, opening->epoch, membersSelf(view->props.members)->id);
     if (opening->newHolder)
         membersAnnounce(view->props.members);
-    ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leads view %" PRIu64 " with %zu seats%s",
+    ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "leads view %" PRIu64 " with %zu seats%s",
              epoch_counter(opening->epoch), promisedCount(view, view->inView), view->last.repair ? ", repairs" : "");
-    signalRaise(view->loop, &view->news);
+    signal_raise(view->loop, &view->news);
 }
 
 Status viewOpen(View *view, const bool skip[SEAT_MOST])
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -23,7 +23,7 @@
     talloc_free(arg);
     const int i = part.seat;
     char address[ADDRESS_MAX];
-    poll->sentMs[i] = loopNowMs(view->loop);
+    poll->sentMs[i] = loop_now_ms(view->loop);
     if (poll->disks[i] == view->disk) {
         const Status status = seatPropose(view, &poll->ask);
         seatDescribe(view, poll, &poll->answers[i]);
@@ -38,7 +38,7 @@
         poll->status[i] = status;
     }
     poll->pending--;
-    signalRaise(view->loop, &poll->ended);
+    signal_raise(view->loop, &poll->ended);
     pollLeave(poll);
 }
 
@@ -63,22 +63,22 @@
         poll->pending++;
         PollPart *part = talloc_zero(view, PollPart);
         *part = (PollPart){poll, i};
-        loopSpawn(view->loop, "poll", pollMain, part);
+        loop_spawn(view->loop, "poll", pollMain, part);
     }
     /* also the own disk is not waited for without end */
-    int64_t untilMs = loopNowMs(view->loop) + ASK_EXPIRY_MS + ASK_EXPIRY_MS / 4;
+    int64_t until_ms = loop_now_ms(view->loop) + ASK_EXPIRY_MS + ASK_EXPIRY_MS / 4;
     const size_t needed = viewMajority(view);
     bool majority = false;
-    while (poll->pending > 0 && signalWait(view->loop, &poll->ended, untilMs)) {
+    while (poll->pending > 0 && signal_wait(view->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
         bool woke = false;
         for (int i = 0; i < SEAT_MOST; i++) {
             heard += pollReached(poll->status[i]);
             woke |= pollReached(poll->status[i]) && poll->answers[i].woke;
         }
-        const int64_t graceMs = loopNowMs(view->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!woke || view->props.disksKeep) && graceMs < untilMs)
-            untilMs = graceMs;
+        const int64_t graceMs = loop_now_ms(view->loop) + POLL_GRACE_MS;
+        if (!majority && heard >= needed && (!woke || view->props.disksKeep) && graceMs < until_ms)
+            until_ms = graceMs;
         majority |= heard >= needed;
     }
     return poll;
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -17,7 +17,7 @@
         .woke = view->woke,
         .viewEpoch = view->last.epoch,
         .viewMembersCount = view->last.membersCount,
-        .wallMs = loopWallMs(view->loop),
+        .wall_ms = loop_wall_ms(view->loop),
         .syncMs = journalCounts(view->journal)->lastSyncMs,
         .sight = membersSight(view->props.members),
         .filled = fillCount(view),
@@ -55,14 +55,14 @@
         return STATUS_DISK_FAILED;
     if (ask->epoch < membersLeaderEpoch(view->props.members))
         return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
-    const Status may = lockMayPromise(&view->lock, ask->epoch, ask->holder, loopNowMs(view->loop));
+    const Status may = lockMayPromise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
         return may;
     const Record record = promiseTake(view, ask->epoch, ask->holder);
     const Status status = journalWrite(view->journal, &record, 1);
     if (status != STATUS_OK)
         return status;
-    return lockRenew(&view->lock, ask->epoch, ask->holder, loopNowMs(view->loop));
+    return lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
 }
 
 /* Epoch and holder of an append or fill; adds the promise record when it is newer. */
@@ -89,7 +89,7 @@
     if (view->commitIndex > index)
         view->commitIndex = index;
     if (view->deliveredIndex > index) {
-        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop),
+        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
                  "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew", index + 1,
                  view->deliveredIndex);
         view->deliveredIndex = view->log->baseIndex;
@@ -171,7 +171,7 @@
         return written;
     if (status != STATUS_OK)
         return status;
-    if (lockRenew(&view->lock, ask->epoch, ask->holder, loopNowMs(view->loop)) != STATUS_OK)
+    if (lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
         return STATUS_OLD_EPOCH;
     const uint64_t verified = ask->prevIndex + ask->entriesCount;
     if (verified > view->verifiedIndex)
@@ -238,7 +238,7 @@
     if (lastIndex < view->commitIndex && view->props.disksKeep)
         return historyRefuse(view, lastIndex + 1);
     if (goesBack(view, snapshot, entryCount)) {
-        ring_say(view->props.ring, RING_FATAL, loopNowMs(view->loop),
+        ring_say(view->props.ring, RING_FATAL, loop_now_ms(view->loop),
                  "own log may not go back from %" PRIu64 " to %" PRIu64, view->queuedIndex,
                  snapshot->index + entryCount);
         return STATUS_INTERNAL;
@@ -268,7 +268,7 @@
     const Record *records = viewRecords(view, mem, &recordCount);
     status = journalRewrite(view->journal, records, recordCount);
     talloc_free(mem);
-    signalRaise(view->loop, &view->news);
+    signal_raise(view->loop, &view->news);
     return status;
 }
 
@@ -313,9 +313,9 @@
     const RenewAsk *ask = question;
     if (!isFor(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = lockRenew(&view->lock, ask->epoch, ask->holder, loopNowMs(view->loop));
+    const Status status = lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
-        viewClockSet(view, ask->clockMs);
+        viewClockSet(view, ask->clock_ms);
         membersSetLeader(view->props.members, ask->epoch, ask->holderId);
         const uint64_t commit = ask->commitIndex < view->verifiedIndex ? ask->commitIndex : view->verifiedIndex;
         if (commit > view->commitIndex)
@@ -333,12 +333,12 @@
     if (!isFor(view, ask->to))
         return STATUS_OTHER_DISK;
     if (ask->epoch == view->lock.promised && ask->holder == view->lock.holder) {
-        lockRelease(&view->lock, ask->epoch, ask->holder, loopNowMs(view->loop));
+        lockRelease(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
         view->named = ask->next == view->disk;
         /* the others give the one that was named a head start */
-        if (ask->next != 0 && !view->named && view->restUntilMs < loopNowMs(view->loop) + HANDED_MS)
-            view->restUntilMs = loopNowMs(view->loop) + HANDED_MS;
-        signalRaise(view->loop, &view->released);
+        if (ask->next != 0 && !view->named && view->restUntilMs < loop_now_ms(view->loop) + HANDED_MS)
+            view->restUntilMs = loop_now_ms(view->loop) + HANDED_MS;
+        signal_raise(view->loop, &view->released);
     }
     seatDescribe(view, mem, answer);
     return STATUS_OK;
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -47,7 +47,7 @@
 
 bool viewOrders(const View *view)
 {
-    return view->phase == VIEW_LEADING && loopNowMs(view->loop) < lockHoldUntil(&view->hold);
+    return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lockHoldUntil(&view->hold);
 }
 
 /* What is acknowledged outlives the losses that must be borne: it is on one disk more than
@@ -68,39 +68,39 @@
 bool viewHolds(const View *view)
 {
     return (view->phase == VIEW_LEADING || (view->phase == VIEW_OPENING && view->reopening)) &&
-           loopNowMs(view->loop) < lockHoldUntil(&view->hold);
+           loop_now_ms(view->loop) < lockHoldUntil(&view->hold);
 }
 
 bool viewKnowsHolder(const View *view)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     /* a woken seat may have forgotten: it must not say that it knows none */
-    return lockHeld(&view->lock, nowMs) || nowMs < view->lock.notBeforeMs || view->holding;
+    return lockHeld(&view->lock, now_ms) || now_ms < view->lock.notBeforeMs || view->holding;
 }
 
 int64_t viewClockMs(const View *view)
 {
-    return view->clockRuns ? view->clockBaseMs + (loopNowMs(view->loop) - view->clockAtMs) : view->clockBaseMs;
+    return view->clockRuns ? view->clockBaseMs + (loop_now_ms(view->loop) - view->clockAtMs) : view->clockBaseMs;
 }
 
-void viewClockTell(View *view, int64_t clockMs)
+void viewClockTell(View *view, int64_t clock_ms)
 {
-    if (clockMs > view->clockLogMs)
-        view->clockLogMs = clockMs;
-    if (clockMs > viewClockMs(view) || !view->clockRuns)
-        viewClockSet(view, clockMs);
+    if (clock_ms > view->clockLogMs)
+        view->clockLogMs = clock_ms;
+    if (clock_ms > viewClockMs(view) || !view->clockRuns)
+        viewClockSet(view, clock_ms);
 }
 
-void viewClockSet(View *view, int64_t clockMs)
+void viewClockSet(View *view, int64_t clock_ms)
 {
-    view->clockBaseMs = clockMs > view->clockLogMs ? clockMs : view->clockLogMs;
-    view->clockAtMs = loopNowMs(view->loop);
+    view->clockBaseMs = clock_ms > view->clockLogMs ? clock_ms : view->clockLogMs;
+    view->clockAtMs = loop_now_ms(view->loop);
     view->clockRuns = true;
 }
 
 int64_t viewWallMs(const View *view)
 {
-    return view->wallKnown ? loopNowMs(view->loop) + view->wallOffsetMs : loopWallMs(view->loop);
+    return view->wallKnown ? loop_now_ms(view->loop) + view->wallOffsetMs : loop_wall_ms(view->loop);
 }
 
 Signal *viewNews(View *view)
@@ -130,7 +130,7 @@
     if (!view->props.disksKeep || index >= view->listCommitted || view->listOld)
         return;
     view->listOld = true;
-    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop),
+    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
              "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->listCommitted,
              index);
 }
@@ -212,11 +212,11 @@
             /* another entry took the place: the submitted one is gone for good */
             waiter->status = waiter->epoch == entry->epoch ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
             waiter->result = result;
-            signalRaise(view->loop, &waiter->ended);
+            signal_raise(view->loop, &waiter->ended);
         }
     }
     if (any) {
-        signalRaise(view->loop, &view->news);
+        signal_raise(view->loop, &view->news);
         viewCompactMaybe(view, false);
     }
 }
@@ -228,7 +228,7 @@
         view->waiters = waiter->next;
         waiter->done = true;
         waiter->status = status;
-        signalRaise(view->loop, &waiter->ended);
+        signal_raise(view->loop, &waiter->ended);
     }
 }
 
@@ -271,10 +271,10 @@
 
 /* Waits while a view is opened anew by the same holder. The view's own changes
  * make it wide enough for those of others. */
-static Status mayOrder(View *view, uint64_t change, int64_t untilMs)
+static Status mayOrder(View *view, uint64_t change, int64_t until_ms)
 {
     while (view->phase == VIEW_OPENING && view->holding)
-        if (!signalWait(view->loop, &view->news, untilMs))
+        if (!signal_wait(view->loop, &view->news, until_ms))
             return STATUS_BUSY;
     return viewLeading(view) || (change < VIEW_CHANGE_FIRST && viewOrders(view)) ? STATUS_OK : STATUS_NOT_LEADER;
 }
@@ -291,13 +291,13 @@
     logAdd(view->log, &entry);
     if (change < VIEW_CHANGE_FIRST)
         viewReread(view);
-    signalRaise(view->loop, &view->grew);
+    signal_raise(view->loop, &view->grew);
     return entry;
 }
 
 Status viewOffer(View *view, uint64_t change, Bytes payload)
 {
-    const Status status = mayOrder(view, change, loopNowMs(view->loop) + SUBMIT_EXPIRY_MS);
+    const Status status = mayOrder(view, change, loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS);
     if (status == STATUS_OK)
         orderAdd(view, change, payload);
     return status;
@@ -306,17 +306,17 @@
 Status viewSettle(View *view)
 {
     const uint64_t lastIndex = logLastIndex(view->log);
-    const int64_t untilMs = loopNowMs(view->loop) + SUBMIT_EXPIRY_MS;
+    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
     while (view->deliveredIndex < lastIndex)
-        if (!view->holding || !signalWait(view->loop, &view->news, untilMs))
+        if (!view->holding || !signal_wait(view->loop, &view->news, until_ms))
             return STATUS_NOT_LEADER;
     return STATUS_OK;
 }
 
 Status viewSubmit(View *view, uint64_t change, Bytes payload, ChangeResult *result)
 {
-    const int64_t untilMs = loopNowMs(view->loop) + SUBMIT_EXPIRY_MS;
-    Status status = mayOrder(view, change, untilMs);
+    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
+    Status status = mayOrder(view, change, until_ms);
     if (status != STATUS_OK)
         return status;
     const Record entry = orderAdd(view, change, payload);
@@ -326,7 +326,7 @@
     waiter->next = view->waiters;
     view->waiters = waiter;
     while (!waiter->done)
-        if (!signalWait(view->loop, &waiter->ended, untilMs))
+        if (!signal_wait(view->loop, &waiter->ended, until_ms))
             break;
     status = waiter->status;
     if (!waiter->done) {
@@ -359,8 +359,8 @@
 
 void viewSight(const View *view, ViewSight *sight)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
-    const int64_t untilMs = lockHoldUntil(&view->hold);
+    const int64_t now_ms = loop_now_ms(view->loop);
+    const int64_t until_ms = lockHoldUntil(&view->hold);
     memset(sight, 0, sizeof(*sight));
     sight->phase = view->phase;
     viewPlace(view, &sight->epoch, &sight->commitIndex);
@@ -369,7 +369,7 @@
     sight->lastIndex = logLastIndex(view->log);
     sight->deliveredIndex = view->deliveredIndex;
     sight->baseIndex = view->log->baseIndex;
-    sight->holdLeftMs = view->holding && untilMs > nowMs ? untilMs - nowMs : 0;
+    sight->holdLeftMs = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
     sight->viewChanges = view->viewChanges;
     sight->otherHistories = view->otherHistories;
     sight->journal = *journalCounts(view->journal);
@@ -381,7 +381,7 @@
         sight->seats[sight->seatCount++] = (ViewSeatSight){
             .disk = view->seats[i],
             .inView = view->inView[i],
-            .answers = self || nowMs - peer->answeredMs < LOCK_HOLD_MS,
+            .answers = self || now_ms - peer->answeredMs < LOCK_HOLD_MS,
             .woke = self ? view->woke : peer->woke,
             .syncMs = self ? sight->journal.lastSyncMs : peer->syncMs,
             .matchIndex = self ? view->syncedIndex : peer->matchIndex,
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -22,7 +22,7 @@
 bool voterLive(const View *view, int place)
 {
     return view->seats[place] == view->disk ||
-           (view->inView[place] && loopNowMs(view->loop) - view->peers[place].answeredMs < 2 * LOCK_RENEW_MS);
+           (view->inView[place] && loop_now_ms(view->loop) - view->peers[place].answeredMs < 2 * LOCK_RENEW_MS);
 }
 
 bool voterGone(const View *view, int place)
@@ -36,7 +36,7 @@
     int64_t heardMs = member != NULL ? member->seenMs : view->wonMs;
     if (view->peers[place].answeredMs > heardMs)
         heardMs = view->peers[place].answeredMs;
-    return loopNowMs(view->loop) - heardMs > silentMostMs(view, member);
+    return loop_now_ms(view->loop) - heardMs > silentMostMs(view, member);
 }
 
 /* The members of one look, and where each of them stands. */
@@ -91,7 +91,7 @@
 
 void votersSight(const View *view, ViewSight *sight)
 {
-    const int64_t nowMs = loopNowMs(view->loop);
+    const int64_t now_ms = loop_now_ms(view->loop);
     Look look;
     lookTake(view, 0, &look);
     sight->lossesBorne = membershipBears(look.voters, look.now.voterCount);
@@ -101,7 +101,7 @@
         if (view->learners[i].disk == 0)
             continue;
         sight->learners[sight->learnerCount++] = (ViewLearnerSight){.disk = view->learners[i].disk,
-                                                                    .answers = nowMs - peer->answeredMs < LOCK_HOLD_MS,
+                                                                    .answers = now_ms - peer->answeredMs < LOCK_HOLD_MS,
                                                                     .ready = learnerReady(view, i),
                                                                     .matchIndex = peer->matchIndex};
     }
@@ -124,7 +124,7 @@
 static void voterRemove(View *view, int place)
 {
     const uint64_t disk = view->seats[place];
-    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "voter %016" PRIx64 " is removed", disk);
+    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed", disk);
     listCommitted(view, place, 0);
 }
 
@@ -155,7 +155,7 @@
     lockHoldAnswered(&view->hold, place, peer.renewedMs);
     leadRenew(view, place);
     leadPeer(view, place);
-    ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
+    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
              place + 1, view->seatCount, disk);
     viewSettle(view);
 }
@@ -211,12 +211,12 @@
 static void votersMain(void *arg)
 {
     View *view = arg;
-    while (!loopStopping(view->loop)) {
+    while (!loop_stopping(view->loop)) {
         /* one change follows another at once: between them fewer voters may stand than are wanted */
         const int64_t restMs = membershipTend(view)    ? 1
                                : learnersPending(view) ? MEMBERSHIP_SOON_MS
                                                        : MEMBERSHIP_LOOK_MS;
-        signalWait(view->loop, &view->membership, loopNowMs(view->loop) + restMs);
+        signal_wait(view->loop, &view->membership, loop_now_ms(view->loop) + restMs);
     }
 }
 
@@ -234,31 +234,31 @@
 }
 
 /* Waits until one more than the voters wanted stand, by a committed list. */
-static void successorWait(View *view, int64_t untilMs)
+static void successorWait(View *view, int64_t until_ms)
 {
-    while (viewOrders(view) && viewSeated(view) && successorRuns(view) && loopNowMs(view->loop) < untilMs &&
+    while (viewOrders(view) && viewSeated(view) && successorRuns(view) && loop_now_ms(view->loop) < until_ms &&
            (view->seatCount <= votersWanted(view) || view->listIndex > view->commitIndex)) {
-        signalRaise(view->loop, &view->membership);
-        loopSleep(view->loop, MEMBERSHIP_SOON_MS);
+        signal_raise(view->loop, &view->membership);
+        loop_sleep(view->loop, MEMBERSHIP_SOON_MS);
     }
 }
 
-void viewLeave(View *view, int64_t untilMs)
+void viewLeave(View *view, int64_t until_ms)
 {
     const bool votes = viewSeated(view), given = votes && successorRuns(view);
     if (given)
-        successorWait(view, untilMs);
+        successorWait(view, until_ms);
     leadDown(view, INT32_MAX);
-    while (given && viewSeated(view) && loopNowMs(view->loop) < untilMs)
-        loopSleep(view->loop, MEMBERSHIP_SOON_MS);
+    while (given && viewSeated(view) && loop_now_ms(view->loop) < until_ms)
+        loop_sleep(view->loop, MEMBERSHIP_SOON_MS);
     if (votes && viewSeated(view))
-        ring_say(view->props.ring, RING_ALERT, loopNowMs(view->loop), "leaves and keeps its vote: %s",
+        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "leaves and keeps its vote: %s",
                  given ? "no learner took it in time" : "there is no learner");
     else if (votes)
-        ring_say(view->props.ring, RING_NOTE, loopNowMs(view->loop), "leaves, and its vote is another's");
+        ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "leaves, and its vote is another's");
 }
 
 void votersStart(View *view)
 {
-    loopSpawn(view->loop, "voters", votersMain, view);
+    loop_spawn(view->loop, "voters", votersMain, view);
 }
--- a/packages/wire/include/wire/courier.h
+++ b/packages/wire/include/wire/courier.h
@@ -61,7 +61,7 @@
  * OTHER_PEER, OTHER_LIFE, OTHER_VERSION, UNKNOWN_QUESTION. EXPIRED, CLOSED and BAD_FRAME:
  * it may have been. Any other status is the peer's own. */
 Status courierAsk(Courier *courier, void *mem, const char *address, MessageKind kind, const Shape *askShape,
-                  const void *ask, int64_t waitMs, const Shape *answerShape, void *answer);
+                  const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer);
 /* What an asker sees of a question while it waits, and says of it: whether it may have left
  * this process, and that it is not to be sent any more. */
 typedef struct CourierSending {
@@ -79,7 +79,7 @@
 /* The same of one process: another that stands at the address does not carry it out, and
  * an answer that is not that process's own is not taken. */
 Status courierAskPeer(Courier *courier, void *mem, const CourierTarget *target, MessageKind kind, const Shape *askShape,
-                      const void *ask, int64_t waitMs, const Shape *answerShape, void *answer);
+                      const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer);
 /* A new process is known to stand at the address: a line on which questions have
  * waited for long leads to the last one, and is opened anew. */
 void courierRenew(Courier *courier, const char *address);
--- a/packages/wire/src/courier.c
+++ b/packages/wire/src/courier.c
@@ -84,7 +84,7 @@
 {
     if (--served->users > 0)
         return;
-    channelClose(served->channel);
+    channel_close(served->channel);
     talloc_free(served);
 }
 
@@ -102,14 +102,14 @@
                                .peerLife = courier->self.life};
     Bytes frame = {0};
     shapePack(&EnvelopeShape, &envelope, mem, &frame);
-    channelSend(served->channel, frame);
+    channel_send(served->channel, frame);
 }
 
 void courierNoteRefused(Courier *courier, Status status, const char *what, const Envelope *envelope)
 {
     const uint64_t count = ++courier->refused;
     if ((count & (count - 1)) == 0) /* the first, the second, the fourth: the log is not filled by them */
-        ring_say(courier->ring, RING_NOTE, loopNowMs(courier->loop),
+        ring_say(courier->ring, RING_NOTE, loop_now_ms(courier->loop),
                  "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
                  " so far",
                  what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
@@ -145,7 +145,7 @@
 static void noteBad(Courier *courier, const char *text)
 {
     courier->counts.badFrames++;
-    ring_say(courier->ring, RING_NOTE, loopNowMs(courier->loop), "bad frame, connection ended: %s", text);
+    ring_say(courier->ring, RING_NOTE, loop_now_ms(courier->loop), "bad frame, connection ended: %s", text);
 }
 
 static Status questionServe(Question *question, Bytes *payload)
@@ -165,7 +165,7 @@
     status = shapeUnpack(handler->ask, envelope->payload, question, ask, &failure);
     if (status != STATUS_OK) {
         noteBad(courier, failure.text);
-        channelShut(served->channel);
+        channel_shut(served->channel);
         return status;
     }
     status = handler->fn(handler->arg, question, ask, answer);
@@ -212,20 +212,20 @@
     for (;;) {
         Question *question = talloc_zero(courier, Question);
         Bytes frame;
-        if (channelReceive(channel, question, INT64_MAX, &frame) != STATUS_OK ||
+        if (channel_receive(channel, question, INT64_MAX, &frame) != STATUS_OK ||
             !questionRead(served, question, frame)) {
             talloc_free(question);
             break;
         }
         question->served = served;
         served->users++;
-        loopSpawn(courier->loop, "question", questionMain, question);
+        loop_spawn(courier->loop, "question", questionMain, question);
     }
-    channelShut(channel);
+    channel_shut(channel);
     servedLeave(served);
 }
 
 Status courierListen(Courier *courier, const char *address, char bound[ADDRESS_MAX], Failure *failure)
 {
-    return loopListen(courier->loop, address, serve, courier, bound, failure);
+    return loop_listen(courier->loop, address, serve, courier, bound, failure);
 }
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -49,7 +49,7 @@
     askingTake(line, asking->call);
     asking->done = true;
     asking->status = status;
-    signalRaise(line->courier->loop, &asking->answered);
+    signal_raise(line->courier->loop, &asking->answered);
 }
 
 /* Whether an answer is that of the process that was asked, as far as both say who it is. */
@@ -119,16 +119,16 @@
     for (bool good = true; good;) {
         void *mem = talloc_new(courier);
         Bytes frame;
-        good = channelReceive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answerTake(line, frame, mem);
+        good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answerTake(line, frame, mem);
         talloc_free(mem);
     }
     line->channel = NULL;
     line->misses = 0;
-    channelShut(channel);
+    channel_shut(channel);
     while (line->asking != NULL) /* what never left this process was not taken by anybody */
         askingEnd(line, line->asking,
-                  channelUnsent(channel, line->asking->sentUpTo) ? STATUS_UNREACHABLE : STATUS_CLOSED);
-    channelClose(channel);
+                  channel_unsent(channel, line->asking->sentUpTo) ? STATUS_UNREACHABLE : STATUS_CLOSED);
+    channel_close(channel);
 }
 
 void courierRenew(Courier *courier, const char *address)
@@ -138,14 +138,14 @@
         return;
     /* questions of its present life are answered or under way; one that waits for long went to the last */
     for (const Asking *asking = line->asking; asking != NULL; asking = asking->next)
-        if (loopNowMs(courier->loop) - asking->sentMs >= LINE_SILENT_MS) {
-            channelShut(line->channel);
+        if (loop_now_ms(courier->loop) - asking->sentMs >= LINE_SILENT_MS) {
+            channel_shut(line->channel);
             return;
         }
 }
 
 /* Waits until the line has a channel; null when the peer can't be reached. */
-static Line *lineReady(Courier *courier, const char *address, int64_t untilMs)
+static Line *lineReady(Courier *courier, const char *address, int64_t until_ms)
 {
     Line *line = map_get(courier->lines, address);
     if (line == NULL) {
@@ -155,25 +155,25 @@
         map_set(courier->lines, address, line);
     }
     while (line->channel == NULL && line->opening)
-        if (!signalWait(courier->loop, &line->opened, untilMs))
+        if (!signal_wait(courier->loop, &line->opened, until_ms))
             return NULL;
     if (line->channel != NULL)
         return line;
-    int64_t waitMs = untilMs - loopNowMs(courier->loop);
-    if (waitMs <= 0)
+    int64_t wait_ms = until_ms - loop_now_ms(courier->loop);
+    if (wait_ms <= 0)
         return NULL;
-    if (waitMs > CONNECT_EXPIRY_MS)
-        waitMs = CONNECT_EXPIRY_MS;
+    if (wait_ms > CONNECT_EXPIRY_MS)
+        wait_ms = CONNECT_EXPIRY_MS;
     line->opening = true;
     Channel *channel;
-    const Status status = loopOpen(courier->loop, line, address, waitMs, &channel);
+    const Status status = loop_open(courier->loop, line, address, wait_ms, &channel);
     line->opening = false;
     if (status == STATUS_OK) {
         line->channel = channel;
         courier->counts.linesOpened++;
-        loopSpawn(courier->loop, "line", lineMain, line);
+        loop_spawn(courier->loop, "line", lineMain, line);
     }
-    signalRaise(courier->loop, &line->opened);
+    signal_raise(courier->loop, &line->opened);
     return line->channel != NULL ? line : NULL;
 }
 
@@ -192,10 +192,10 @@
     shapePack(&EnvelopeShape, &envelope, asking->mem, &frame);
     asking->next = line->asking;
     line->asking = asking;
-    const Status status = channelSend(line->channel, frame);
+    const Status status = channel_send(line->channel, frame);
     if (status != STATUS_OK)
         askingTake(line, asking->call);
-    asking->sentUpTo = channelQueued(line->channel);
+    asking->sentUpTo = channel_queued(line->channel);
     return status;
 }
 
@@ -217,11 +217,11 @@
 }
 
 Status courierAskPeer(Courier *courier, void *mem, const CourierTarget *target, MessageKind kind, const Shape *askShape,
-                      const void *ask, int64_t waitMs, const Shape *answerShape, void *answer)
+                      const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer)
 {
-    const int64_t untilMs = loopNowMs(courier->loop) + waitMs;
+    const int64_t until_ms = loop_now_ms(courier->loop) + wait_ms;
     courier->counts.asked++;
-    Line *line = lineReady(courier, target->address, untilMs);
+    Line *line = lineReady(courier, target->address, until_ms);
     if (line == NULL || (target->sending != NULL && target->sending->cancelled))
         return STATUS_UNREACHABLE;
     void *scratch = talloc_new(mem);
@@ -229,7 +229,7 @@
     *asking = (Asking){.call = ++courier->lastCall,
                        .kind = kind,
                        .meant = target->meant,
-                       .sentMs = loopNowMs(courier->loop),
+                       .sentMs = loop_now_ms(courier->loop),
                        .mem = scratch};
     Status status = askingSend(line, asking, askShape, ask);
     if (status != STATUS_OK) {
@@ -239,14 +239,14 @@
     if (target->sending != NULL)
         target->sending->sent = true;
     while (!asking->done)
-        if (!signalWait(courier->loop, &asking->answered, untilMs))
+        if (!signal_wait(courier->loop, &asking->answered, until_ms))
             break;
     if (!asking->done) {
         askingTake(line, asking->call);
         courier->counts.expired++;
         /* a line that has gone quiet may be a dead connection: open it anew */
         if (++line->misses >= LINE_MISSES && line->channel != NULL)
-            channelShut(line->channel);
+            channel_shut(line->channel);
         status = STATUS_EXPIRED;
     } else {
         status = answerRead(line, asking, mem, answerShape, answer);
@@ -256,8 +256,8 @@
 }
 
 Status courierAsk(Courier *courier, void *mem, const char *address, MessageKind kind, const Shape *askShape,
-                  const void *ask, int64_t waitMs, const Shape *answerShape, void *answer)
+                  const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer)
 {
-    return courierAskPeer(courier, mem, &(CourierTarget){.address = address}, kind, askShape, ask, waitMs, answerShape,
+    return courierAskPeer(courier, mem, &(CourierTarget){.address = address}, kind, askShape, ask, wait_ms, answerShape,
                           answer);
 }
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -32,12 +32,12 @@
 static void onPlans(void *arg, const char *name, uint64_t epoch)
 {
     Daemon *daemon = arg;
-    const int64_t nowMs = loopNowMs(daemon->loop);
-    if (epoch == daemon->recordedEpoch && nowMs - daemon->recordedMs < RECORD_GAP_MS)
+    const int64_t now_ms = loop_now_ms(daemon->loop);
+    if (epoch == daemon->recordedEpoch && now_ms - daemon->recordedMs < RECORD_GAP_MS)
         return;
-    daemon->recordedMs = nowMs;
+    daemon->recordedMs = now_ms;
     daemon->recordedEpoch = epoch;
-    fprintf(daemon->record, "%" PRId64 " plans %s - 0 0 %" PRIu64 "\n", nowMs, name, epoch);
+    fprintf(daemon->record, "%" PRId64 " plans %s - 0 0 %" PRIu64 "\n", now_ms, name, epoch);
     fflush(daemon->record);
 }
 
@@ -60,7 +60,7 @@
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
         daemon->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
-        loopStop(daemon->loop);
+        loop_stop(daemon->loop);
         return;
     }
     if (daemon->core != NULL)
@@ -89,7 +89,7 @@
         gateDrain(daemon->gate);
     if (daemon->agent != NULL)
         agentDrain(daemon->agent);
-    loopStop(daemon->loop);
+    loop_stop(daemon->loop);
 }
 
 /* Reads --props FILE and flags over it; EXIT_GOOD, or what to return. */
@@ -142,12 +142,12 @@
     if (code == EXIT_GOOD && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
-        daemon->loop = realLoopNew(mem);
+        daemon->loop = real_loop_new(mem);
         daemon->ring = ring_new(mem, daemon->props.name);
         ring_set_level(daemon->ring, daemon->props.log);
-        loopSpawn(daemon->loop, "start", startMain, daemon);
-        realLoopOnUser(daemon->loop, userMain, daemon);
-        realLoopRun(daemon->loop, termMain, daemon);
+        loop_spawn(daemon->loop, "start", startMain, daemon);
+        real_loop_on_user(daemon->loop, userMain, daemon);
+        real_loop_run(daemon->loop, termMain, daemon);
         code = daemon->code;
         /* the process ends here: its memory is the kernel's to take back */
         return code;
--- a/src/node.c
+++ b/src/node.c
@@ -31,7 +31,8 @@
     void *mem = talloc_new(run->mem);
     FacePlace place = {0};
     if (run->face->read(mem, run->path, &place, &failure) != STATUS_OK) {
-        ring_say(run->node.ring, RING_ALERT, loopNowMs(run->node.loop), "settings left as they were: %s", failure.text);
+        ring_say(run->node.ring, RING_ALERT, loop_now_ms(run->node.loop), "settings left as they were: %s",
+                 failure.text);
         talloc_free(mem);
         return;
     }
@@ -64,8 +65,8 @@
 static void lookMain(void *arg)
 {
     NodeRun *run = arg;
-    while (!loopStopping(run->node.loop)) {
-        loopSleep(run->node.loop, SETTINGS_LOOK_MS);
+    while (!loop_stopping(run->node.loop)) {
+        loop_sleep(run->node.loop, SETTINGS_LOOK_MS);
         if (settingsChanged(run))
             settingsAgain(run);
     }
@@ -96,12 +97,12 @@
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart node: %s: %s\n", status_word(status), failure.text);
         run->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
-        loopStop(node->loop);
+        loop_stop(node->loop);
         return;
     }
     printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], props->name, props->zone, run->face->name);
     fflush(stdout);
-    loopSpawn(node->loop, "settings", lookMain, run);
+    loop_spawn(node->loop, "settings", lookMain, run);
 }
 
 static void userMain(void *arg)
@@ -120,7 +121,7 @@
         gateDrain(run->node.gate);
     if (run->node.agent != NULL)
         agentDrain(run->node.agent);
-    loopStop(run->node.loop);
+    loop_stop(run->node.loop);
 }
 
 static int faceWrong(const char *name)
@@ -169,12 +170,12 @@
         printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.props.name, run->place.props.zone);
     } else if (code == EXIT_GOOD) {
         run->node =
-            (FaceNode){.loop = realLoopNew(mem), .ring = ring_new(mem, run->place.props.name), .place = &run->place};
+            (FaceNode){.loop = real_loop_new(mem), .ring = ring_new(mem, run->place.props.name), .place = &run->place};
         ring_set_level(run->node.ring, level);
-        loopSpawn(run->node.loop, "start", startMain, run);
-        realLoopOnUser(run->node.loop, userMain, run);
-        realLoopOnHup(run->node.loop, hupMain, run);
-        realLoopRun(run->node.loop, termMain, run);
+        loop_spawn(run->node.loop, "start", startMain, run);
+        real_loop_on_user(run->node.loop, userMain, run);
+        real_loop_on_hup(run->node.loop, hupMain, run);
+        real_loop_run(run->node.loop, termMain, run);
         /* the process ends here: its memory is the kernel's to take back */
         return run->code;
     }
--- a/src/operate.c
+++ b/src/operate.c
@@ -21,8 +21,8 @@
 static void operateMain(void *arg)
 {
     Operation *operation = arg;
-    operation->status = loopCall(operation->loop, &operation->call);
-    loopStop(operation->loop);
+    operation->status = loop_call(operation->loop, &operation->call);
+    loop_stop(operation->loop);
 }
 
 typedef struct Flags {
@@ -81,18 +81,18 @@
 static int ask(Order *order, const char *method, const char *path, Bytes body)
 {
     const char *at = order->flags.at;
-    if (at == NULL || !realAddressValid(at))
+    if (at == NULL || !real_address_valid(at))
         return wrong(order->command, "--at: the IP address and port of an entry point is needed");
     Operation *operation = talloc_zero(order->mem, Operation);
-    operation->loop = realLoopNew(order->mem);
+    operation->loop = real_loop_new(order->mem);
     operation->call = (HttpCall){.mem = order->mem,
                                  .address = at,
                                  .method = method,
                                  .path = path,
                                  .body = body,
-                                 .waitMs = FORWARD_DEADLINE_MS + 2000};
-    loopSpawn(operation->loop, "operate", operateMain, operation);
-    realLoopRun(operation->loop, NULL, NULL);
+                                 .wait_ms = FORWARD_DEADLINE_MS + 2000};
+    loop_spawn(operation->loop, "operate", operateMain, operation);
+    real_loop_run(operation->loop, NULL, NULL);
     if (operation->status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s did not answer: %s\n", order->command, at, status_word(operation->status));
         return EXIT_UNREACHABLE;
--- a/src/standins.c
+++ b/src/standins.c
@@ -23,8 +23,8 @@
 {
     const Record *record = arg;
     if (record->to != NULL) {
-        fprintf(record->to, "%" PRId64 " %s %s %s %" PRIu64 " %" PRIu64 " %s\n", loopNowMs(record->loop), verb, worker,
-                job, task, round, rest);
+        fprintf(record->to, "%" PRId64 " %s %s %s %" PRIu64 " %" PRIu64 " %s\n", loop_now_ms(record->loop), verb,
+                worker, job, task, round, rest);
         fflush(record->to);
     }
 }
@@ -84,11 +84,11 @@
     StandIn *standIn = arg;
     standWorkerLeave(standIn->worker);
     recordRun(&standIn->record, "leaving", standIn->name, "-", 0, 0, "");
-    const int64_t untilMs = loopNowMs(standIn->loop) + DRAIN_MS;
-    while (standWorkerRunning(standIn->worker) > 0 && loopNowMs(standIn->loop) < untilMs)
-        loopSleep(standIn->loop, 50);
-    loopSleep(standIn->loop, WORKER_POLL_MS);
-    loopStop(standIn->loop);
+    const int64_t until_ms = loop_now_ms(standIn->loop) + DRAIN_MS;
+    while (standWorkerRunning(standIn->worker) > 0 && loop_now_ms(standIn->loop) < until_ms)
+        loop_sleep(standIn->loop, 50);
+    loop_sleep(standIn->loop, WORKER_POLL_MS);
+    loop_stop(standIn->loop);
 }
 
 int runWorker(int argc, const char **argv)
@@ -115,7 +115,7 @@
         code = wrong("worker", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (poptPeekArg(context) != NULL)
         code = wrong("worker", "%s: what is this?", poptPeekArg(context));
-    else if (agent == NULL || !realAddressValid(agent))
+    else if (agent == NULL || !real_address_valid(agent))
         code = wrong("worker", "--agent: an IP address with a port is needed");
     else if (name == NULL || zone == NULL)
         code = wrong("worker", "--name and --zone are needed");
@@ -124,7 +124,7 @@
     if (code == EXIT_GOOD) {
         void *mem = talloc_new(NULL);
         StandIn *standIn = talloc_zero(mem, StandIn);
-        standIn->loop = realLoopNew(mem);
+        standIn->loop = real_loop_new(mem);
         standIn->record = (Record){standIn->loop, path != NULL ? fopen(path, "a") : NULL};
         standIn->name = name;
         const char **labels = talloc_array(mem, const char *, 1);
@@ -146,7 +146,7 @@
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, memMb);
         recordRun(&standIn->record, "worker", name, zone, 0, 0, rest);
         standIn->worker = standWorkerStart(mem, standIn->loop, &props);
-        realLoopRun(standIn->loop, workerTerm, standIn);
+        real_loop_run(standIn->loop, workerTerm, standIn);
     }
     poptFreeContext(context);
     return code;
@@ -221,23 +221,23 @@
     printf("longest-gap-between-acceptances %" PRId64 " ms\n", gapMs);
 }
 
-static void callerMain(void *arg)
+static void caller_main(void *arg)
 {
     StandIn *standIn = arg;
     const CallerProps *props = &standIn->callerProps;
     if (standIn->configure && callerConfigure(standIn, standIn->loop, props->entries[0], props->mix) != STATUS_OK) {
         fprintf(stderr, "spancart caller: the configuration could not be set\n");
         standIn->code = EXIT_UNREACHABLE;
-        loopStop(standIn->loop);
+        loop_stop(standIn->loop);
         return;
     }
     standIn->caller = callerStart(standIn, standIn->loop, props);
-    const int64_t untilMs = loopNowMs(standIn->loop) + props->forMs + 120000;
-    while (!callerDone(standIn->caller) && loopNowMs(standIn->loop) < untilMs)
-        loopSleep(standIn->loop, 50);
+    const int64_t until_ms = loop_now_ms(standIn->loop) + props->forMs + 120000;
+    while (!callerDone(standIn->caller) && loop_now_ms(standIn->loop) < until_ms)
+        loop_sleep(standIn->loop, 50);
     summary(standIn);
     standIn->code = callerDone(standIn->caller) ? EXIT_GOOD : EXIT_FAILED;
-    loopStop(standIn->loop);
+    loop_stop(standIn->loop);
 }
 
 int runCaller(int argc, const char **argv)
@@ -265,7 +265,7 @@
         char *comma = strchr(at, ',');
         if (comma != NULL)
             *comma++ = '\0';
-        if (!realAddressValid(at))
+        if (!real_address_valid(at))
             code = wrong("caller", "--entries: %s is not an IP address with a port", at);
         props->entries[props->entryCount++] = at;
         at = comma;
@@ -281,12 +281,12 @@
     else if (rateMilli < 1 || forMs < 0)
         code = wrong("caller", "--rate and --for must be positive");
     if (code == EXIT_GOOD) {
-        standIn->loop = realLoopNew(mem);
+        standIn->loop = real_loop_new(mem);
         standIn->record = (Record){standIn->loop, path != NULL ? fopen(path, "a") : NULL};
         standIn->configure = configure != 0;
         props->watch = (CallerWatch){&standIn->record, onSent, onAccepted, onRefused, onJobEnded, onUnknown, NULL};
-        loopSpawn(standIn->loop, "caller", callerMain, standIn);
-        realLoopRun(standIn->loop, NULL, NULL);
+        loop_spawn(standIn->loop, "caller", caller_main, standIn);
+        real_loop_run(standIn->loop, NULL, NULL);
         code = standIn->code;
     }
     poptFreeContext(context);
