--- a/examples/counter.c
+++ b/examples/counter.c
@@ -90,8 +90,8 @@
                                  .workerLive = true,
                                  .settled = true};
             BeatAnswer answer = {0};
-            courierAsk(counter->courier, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAskShape, &ask,
-                       ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
+            courier_ask(counter->courier, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAskShape, &ask,
+                        ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
             talloc_free(mem);
         }
         loop_sleep(counter->loop, BEAT_MS);
@@ -140,7 +140,7 @@
     Failure failure = {0};
     char address[ADDRESS_MAX];
     const ViewProps props = {.loop = counter->loop,
-                             .courier = counter->courier = courierNew(counter, counter->loop, counter->ring),
+                             .courier = counter->courier = courier_new(counter, counter->loop, counter->ring),
                              .ring = counter->ring,
                              .state = {counter, deliver, save, load},
                              .opened = onOpened,
@@ -150,7 +150,7 @@
     counter->view = viewNew(counter, &props);
     if (viewOpenDisk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name, &failure) !=
             STATUS_OK ||
-        courierListen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
+        courier_listen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
         fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
         loop_stop(counter->loop);
         return;
@@ -166,7 +166,7 @@
                                .empty = !viewFounded(counter->view)};
     counter->members = membersNew(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
     viewStart(counter->view, counter->members);
-    courierHandle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
+    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
     membersStart(counter->members);
     viewFounding(counter->view);
     loop_spawn(counter->loop, "beat", beatMain, counter);
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -7,7 +7,7 @@
 
 static void metrics(Agent *agent, HttpTask *task)
 {
-    const CourierCounts *counts = courierCounts(agent->courier);
+    const CourierCounts *counts = courier_counts(agent->courier);
     int64_t rounds[PHASE_KNOWN + 1] = {0};
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
@@ -72,9 +72,9 @@
     agent->startedMs = loop_now_ms(loop);
     agent->workerMem = talloc_new(agent);
     const Worker unheard = {.name = agent->workerName, .zone = props->zone, .rack = "", .kind = ""};
-    shapeCopy(&WorkerShape, &unheard, agent->workerMem, &agent->worker);
-    agent->courier = courierNew(agent, loop, ring);
-    Status status = courierListen(agent->courier, props->listen, agent->address, failure);
+    shape_copy(&WorkerShape, &unheard, agent->workerMem, &agent->worker);
+    agent->courier = courier_new(agent, loop, ring);
+    Status status = courier_listen(agent->courier, props->listen, agent->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, agent, agent->http, failure);
     if (status != STATUS_OK)
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -43,8 +43,8 @@
     Agent *agent = asking->agent;
     const KnowAsk ask = {0};
     KnowAnswer answer = {0};
-    const Status status = courierAskPeer(agent->courier, part, &(CourierTarget){part->address, part->peer, NULL},
-                                         MESSAGE_KNOW, &KnowAskShape, &ask, ASK_EXPIRY_MS, &KnowAnswerShape, &answer);
+    const Status status = courier_ask_peer(agent->courier, part, &(CourierTarget){part->address, part->peer, NULL},
+                                           MESSAGE_KNOW, &KnowAskShape, &ask, ASK_EXPIRY_MS, &KnowAnswerShape, &answer);
     if (status != STATUS_OK || answer.knows || answer.epoch > agent->hold.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
@@ -110,7 +110,7 @@
     asking->agent = agent;
     asking->users = 1;
     asking->all = true;
-    const int64_t sentMs = loop_now_ms(agent->loop);
+    const int64_t sent_ms = loop_now_ms(agent->loop);
     /* the cores first: a holder that is gone leaves one that does not answer, and
      * then nobody else need be asked by every agent of the fleet */
     askThose(asking, true);
@@ -123,8 +123,8 @@
             ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
                      "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
-        if (sentMs + holdMs > agent->hold.until_ms)
-            agent->hold.until_ms = sentMs + holdMs;
+        if (sent_ms + holdMs > agent->hold.until_ms)
+            agent->hold.until_ms = sent_ms + holdMs;
     }
     askingLeave(asking);
 }
@@ -156,6 +156,6 @@
 
 void aloneStart(Agent *agent)
 {
-    courierHandle(agent->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, agent);
+    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, agent);
     loop_spawn(agent->loop, "alone", aloneMain, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -13,7 +13,7 @@
 typedef struct Beat {
     Agent *agent;
     uint64_t number;
-    int64_t sentMs;
+    int64_t sent_ms;
     char address[ADDRESS_MAX];
     PeerLife peer;
     uint64_t *turns; /* of each of the told rounds' saved */
@@ -77,7 +77,7 @@
                      .have = agent->have,
                      .haveEpoch = agent->haveEpoch,
                      .wait_ms = BEAT_WAIT_MS};
-    shapeCopy(&WorkerShape, &agent->worker, beat, &ask->worker);
+    shape_copy(&WorkerShape, &agent->worker, beat, &ask->worker);
     roundsTell(agent, beat, ask);
 }
 
@@ -97,9 +97,9 @@
     }
 }
 
-static void answerTake(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
+static void answer_take(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
-    if (!holdAnswered(&agent->hold, answer->epoch, beat->sentMs, answer->holdMs)) {
+    if (!holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->holdMs)) {
         ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "a beat was answered under old epoch %" PRIu64,
                  epoch_counter(answer->epoch));
         return;
@@ -116,7 +116,7 @@
         (answer->epoch > agent->haveEpoch || (answer->epoch == agent->haveEpoch && answer->revision > agent->have))) {
         agent->have = answer->revision;
         agent->haveEpoch = answer->epoch;
-        ordersTake(agent, answer, beat->sentMs);
+        ordersTake(agent, answer, beat->sent_ms);
     }
 }
 
@@ -126,15 +126,15 @@
     Agent *agent = beat->agent;
     BeatAsk ask;
     BeatAnswer answer = {0};
-    beat->sentMs = loop_now_ms(agent->loop);
+    beat->sent_ms = loop_now_ms(agent->loop);
     askFill(agent, beat, &ask);
     const CourierTarget target = {beat->address, beat->peer, NULL};
-    const Status status = courierAskPeer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAskShape, &ask,
-                                         BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
+    const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAskShape, &ask,
+                                           BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
     membersRest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
-        answerTake(agent, beat, &ask, &answer);
+        answer_take(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
         ring_say(agent->ring, RING_ALERT, now_ms, "another agent beats for worker %s", agent->workerName);
     agent->beats--;
@@ -142,10 +142,10 @@
         agent->beat = NULL;
         if (status != STATUS_OK)
             agent->beatDueMs = now_ms + BEAT_MS / 5;
-        else if (answer.orders || now_ms - beat->sentMs >= BEAT_WAIT_MS)
+        else if (answer.orders || now_ms - beat->sent_ms >= BEAT_WAIT_MS)
             agent->beatDueMs = now_ms;
         else
-            agent->beatDueMs = beat->sentMs + BEAT_MS; /* it was not held back */
+            agent->beatDueMs = beat->sent_ms + BEAT_MS; /* it was not held back */
         signal_raise(agent->loop, membersLeaderSignal(agent->members));
     }
     talloc_free(beat);
@@ -156,7 +156,7 @@
     Beat *beat = talloc_zero(agent, Beat);
     beat->agent = agent;
     beat->number = ++agent->number;
-    beat->sentMs = loop_now_ms(agent->loop);
+    beat->sent_ms = loop_now_ms(agent->loop);
     snprintf(beat->address, sizeof(beat->address), "%s", address);
     beat->peer = membersLeaderPeer(agent->members);
     agent->beat = beat;
@@ -174,7 +174,7 @@
     if (agent->beatNow || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
         return true;
     /* one that goes unanswered is not waited for to its end */
-    *dueMs = agent->beat == NULL ? agent->beatDueMs : agent->beat->sentMs + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
+    *dueMs = agent->beat == NULL ? agent->beatDueMs : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
     return now_ms >= *dueMs;
 }
 
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -88,7 +88,7 @@
 void beatNow(Agent *agent);
 /* Null-terminated into address; false: no leader is known. */
 bool leaderAddress(Agent *agent, char address[ADDRESS_MAX]);
-void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sentMs);
+void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sent_ms);
 void tellStart(Agent *agent);
 void aloneStart(Agent *agent);
 void workerTake(Agent *agent, HttpTask *task, const char *name);
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -50,7 +50,7 @@
     signal_raise(agent->loop, &agent->forWorker);
 }
 
-void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sentMs)
+void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sent_ms)
 {
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
@@ -63,5 +63,5 @@
         signal_raise(agent->loop, &agent->forWorker);
     }
     for (size_t i = 0; i < answer->startsCount; i++)
-        startTake(agent, &answer->starts[i], answer->epoch, sentMs + answer->expiry_ms);
+        startTake(agent, &answer->starts[i], answer->epoch, sent_ms + answer->expiry_ms);
 }
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -77,7 +77,7 @@
 {
     Round *round = talloc_zero(agent, Round);
     char key[KEY_MAX];
-    shapeCopy(&OrderShape, order, round, &round->order);
+    shape_copy(&OrderShape, order, round, &round->order);
     round->phase = phase;
     round->saved = round->text = "";
     round->changedMs = loop_now_ms(agent->loop);
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -65,8 +65,8 @@
     Agent *agent = telling->agent;
     TellAnswer answer = {0};
     telling->status =
-        courierAskPeer(agent->courier, telling, &(CourierTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
-                       &TellAskShape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswerShape, &answer);
+        courier_ask_peer(agent->courier, telling, &(CourierTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
+                         &TellAskShape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswerShape, &answer);
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
@@ -141,12 +141,12 @@
     list->items = talloc_zero(mem, KeepItem);
     list->items[0].change = CHANGE_ROUNDS;
     list->itemsCount = 1;
-    shapePack(&RoundListShape, &told, mem, &list->items[0].payload);
+    shape_pack(&RoundListShape, &told, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
 void tellStart(Agent *agent)
 {
-    courierHandle(agent->courier, MESSAGE_RETELL, &NothingShape, &KeepListShape, onRetell, agent);
+    courier_handle(agent->courier, MESSAGE_RETELL, &NothingShape, &KeepListShape, onRetell, agent);
     loop_spawn(agent->loop, "tell", tellMain, agent);
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -145,13 +145,13 @@
 {
     Worker worker = report->worker;
     worker.name = agent->workerName;
-    const bool same = report->left || shapeEqual(&WorkerShape, &worker, &agent->worker);
+    const bool same = report->left || shape_equal(&WorkerShape, &worker, &agent->worker);
     const bool live = !report->left, leaving = report->leaving || report->left;
     const bool news = !same || agent->workerLive != live || agent->workerLeaving != leaving || !agent->settled;
     agent->settled = true;
     if (!same) {
         void *mem = talloc_new(agent);
-        shapeCopy(&WorkerShape, &worker, mem, &agent->worker);
+        shape_copy(&WorkerShape, &worker, mem, &agent->worker);
         talloc_free(agent->workerMem);
         agent->workerMem = mem;
         /* what was ordered was meant for another worker */
@@ -250,7 +250,7 @@
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->holdMs > 0) {
-            shapeCopy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
+            shape_copy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
             if (round->expiry_ms - now_ms < orders->startMs)
                 orders->startMs = round->expiry_ms - now_ms;
             round->phase = PHASE_SENT;
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -60,10 +60,10 @@
     boss->beats++;
     talloc_free((void *)(uintptr_t)boss->beat.agent);
     void *kept = talloc_named_const(boss->courier, 1, "beat");
-    shapeCopy(&BeatAskShape, beat, kept, &boss->beat);
+    shape_copy(&BeatAskShape, beat, kept, &boss->beat);
     boss->beat.agent = kept;
     for (size_t i = 0; i < beat->savedCount && boss->savedCount < LISTED; i++)
-        shapeCopy(&RoundSavedShape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
+        shape_copy(&RoundSavedShape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
     while (beat->have == boss->revision && beat->haveEpoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
@@ -87,7 +87,7 @@
     (void)answer;
     boss->tellings++;
     for (size_t i = 0; i < ask->newsCount && boss->newsCount < LISTED * 2; i++)
-        shapeCopy(&RoundNewsShape, &ask->news[i], boss->courier, &boss->news[boss->newsCount++]);
+        shape_copy(&RoundNewsShape, &ask->news[i], boss->courier, &boss->news[boss->newsCount++]);
     while (!boss->commits)
         signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
@@ -99,12 +99,12 @@
     Ring *ring = ring_new(loop, boss->id);
     ring_quiet(ring);
     boss->loop = loop;
-    boss->courier = courierNew(loop, loop, ring);
-    courierSetCluster(boss->courier, 7);
-    courierHandle(boss->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, boss);
-    courierHandle(boss->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, boss);
+    boss->courier = courier_new(loop, loop, ring);
+    courier_set_cluster(boss->courier, 7);
+    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, boss);
+    courier_handle(boss->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, boss);
     char address[ADDRESS_MAX];
-    assert_int_equal(courierListen(boss->courier, boss->address, address, NULL), STATUS_OK);
+    assert_int_equal(courier_listen(boss->courier, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
                                .name = boss->id,
                                .role = ROLE_CORE,
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 
-static json_object *textOf(const char *text)
+static json_object *text_of(const char *text)
 {
     return json_object_new_string(text != NULL ? text : "");
 }
@@ -28,17 +28,17 @@
 {
     json_object *array = json_object_new_array();
     for (size_t i = 0; i < count; i++)
-        json_object_array_add(array, textOf(texts[i]));
+        json_object_array_add(array, text_of(texts[i]));
     return array;
 }
 
 json_object *showWorker(const Worker *worker)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "name", textOf(worker->name));
-    json_object_object_add(object, "zone", textOf(worker->zone));
-    json_object_object_add(object, "rack", textOf(worker->rack));
-    json_object_object_add(object, "kind", textOf(worker->kind));
+    json_object_object_add(object, "name", text_of(worker->name));
+    json_object_object_add(object, "zone", text_of(worker->zone));
+    json_object_object_add(object, "rack", text_of(worker->rack));
+    json_object_object_add(object, "kind", text_of(worker->kind));
     json_object_object_add(object, "labels", showTexts(worker->labels, worker->labelsCount));
     json_object_object_add(object, "room", showRoom(worker->room));
     json_object_object_add(object, "excluded", json_object_new_boolean(worker->excluded));
@@ -51,14 +51,14 @@
     size_t counts[TASK_PHASE_COUNT] = {0};
     for (size_t i = 0; i < job->tasksCount; i++)
         counts[job->tasks[i].phase]++;
-    json_object_object_add(object, "id", textOf(job->spec.id));
+    json_object_object_add(object, "id", text_of(job->spec.id));
     json_object_object_add(object, "number", json_object_new_int64((int64_t)job->number));
-    json_object_object_add(object, "cell", textOf(job->spec.cell));
-    json_object_object_add(object, "tenant", textOf(job->spec.tenant));
-    json_object_object_add(object, "queue", textOf(job->spec.queue));
+    json_object_object_add(object, "cell", text_of(job->spec.cell));
+    json_object_object_add(object, "tenant", text_of(job->spec.tenant));
+    json_object_object_add(object, "queue", text_of(job->spec.queue));
     json_object_object_add(
         object, "phase",
-        textOf(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : jobPhaseWord(job->phase)));
+        text_of(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : jobPhaseWord(job->phase)));
     json_object_object_add(object, "acceptedMs", json_object_new_int64(job->acceptedMs));
     if (job->phase != JOB_ACTIVE)
         json_object_object_add(object, "endedMs", json_object_new_int64(job->endedMs));
@@ -99,7 +99,7 @@
     if (terms->priority != 0)
         json_object_object_add(shown, "priority", json_object_new_int64(terms->priority));
     if (terms->kind[0] != '\0')
-        json_object_object_add(shown, "kind", textOf(terms->kind));
+        json_object_object_add(shown, "kind", text_of(terms->kind));
     json_object_object_add(object, "terms", shown);
 }
 
@@ -107,7 +107,7 @@
 {
     json_object *object = showJobShort(job);
     json_object_object_add(object, "priority", json_object_new_int64(job->spec.priority));
-    json_object_object_add(object, "protection", textOf(protectionWord(job->spec.protection)));
+    json_object_object_add(object, "protection", text_of(protectionWord(job->spec.protection)));
     if (job->spec.lasting)
         json_object_object_add(object, "lasting", json_object_new_boolean(true));
     showTerms(object, &job->terms);
@@ -116,18 +116,18 @@
         const JobTask *task = &job->tasks[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "task", json_object_new_int64((int64_t)taskNumber(task)));
-        json_object_object_add(one, "step", textOf(job->spec.steps[task->step].name));
+        json_object_object_add(one, "step", text_of(job->spec.steps[task->step].name));
         if (job->spec.turns > 0) {
             json_object_object_add(one, "turn", json_object_new_int64((int64_t)task->turn));
             json_object_object_add(one, "dueWallMs", json_object_new_int64(taskDueWallMs(job, task)));
         }
         json_object_object_add(one, "at", json_object_new_int64((int64_t)task->at));
-        json_object_object_add(one, "phase", textOf(taskPhaseWord(task->phase)));
+        json_object_object_add(one, "phase", text_of(taskPhaseWord(task->phase)));
         json_object_object_add(one, "round", json_object_new_int64((int64_t)task->round));
         if (task->worker[0] != '\0')
-            json_object_object_add(one, "worker", textOf(task->worker));
+            json_object_object_add(one, "worker", text_of(task->worker));
         if (task->phase == TASK_WAITING)
-            json_object_object_add(one, "waitsFor", textOf(waitWord(queueWait(job, i, clock))));
+            json_object_object_add(one, "waitsFor", text_of(waitWord(queueWait(job, i, clock))));
         if (taskOnWorker(task->phase) && job->spec.protection == PROTECTION_PROTECTED)
             json_object_object_add(one, "assured", json_object_new_boolean(task->assured));
         if (task->misses > 0)
@@ -137,7 +137,7 @@
         if (task->startedMs > 0)
             json_object_object_add(one, "startedMs", json_object_new_int64(task->startedMs));
         if (task->text[0] != '\0')
-            json_object_object_add(one, "text", textOf(task->text));
+            json_object_object_add(one, "text", text_of(task->text));
         json_object_array_add(tasks, one);
     }
     json_object_object_add(object, "tasks", tasks);
@@ -147,15 +147,15 @@
 json_object *showFailure(Status status, const char *text, const Faults *faults)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "status", textOf(status_word(status)));
-    json_object_object_add(object, "text", textOf(text));
+    json_object_object_add(object, "status", text_of(status_word(status)));
+    json_object_object_add(object, "text", text_of(text));
     if (faults != NULL && faults->count > 0) {
         json_object *list = json_object_new_array();
         for (size_t i = 0; i < faults->count; i++) {
             json_object *one = json_object_new_object();
-            json_object_object_add(one, "status", textOf(status_word(faults->list[i].status)));
-            json_object_object_add(one, "path", textOf(faults->list[i].path));
-            json_object_object_add(one, "text", textOf(faults->list[i].text));
+            json_object_object_add(one, "status", text_of(status_word(faults->list[i].status)));
+            json_object_object_add(one, "path", text_of(faults->list[i].path));
+            json_object_object_add(one, "text", text_of(faults->list[i].text));
             json_object_array_add(list, one);
         }
         json_object_object_add(object, "faults", list);
--- a/packages/beat/include/beat/hold.h
+++ b/packages/beat/include/beat/hold.h
@@ -13,7 +13,7 @@
 } Hold;
 
 /* False: an answer of an older epoch, which counts for nothing. */
-bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sentMs, int64_t holdMs);
+bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t holdMs);
 bool holdRuns(const Hold *hold, int64_t now_ms);
 int64_t holdLeftMs(const Hold *hold, int64_t now_ms);
 /* How long whoever grants a hold must take it to run, by the own clock: the
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -2,13 +2,13 @@
 
 #include "base/constants.h"
 
-bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sentMs, int64_t holdMs)
+bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t holdMs)
 {
     if (epoch < hold->epoch)
         return false;
     hold->epoch = epoch;
-    if (sentMs + holdMs > hold->until_ms)
-        hold->until_ms = sentMs + holdMs;
+    if (sent_ms + holdMs > hold->until_ms)
+        hold->until_ms = sent_ms + holdMs;
     return true;
 }
 
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -49,8 +49,8 @@
     Bytes packed = {0};
     ConfigSet taken;
     ChangeResult result = {0};
-    shapePack(&ConfigSetShape, set, mem, &packed);
-    if (shapeUnpack(&ConfigSetShape, packed, mem, &taken, NULL) == STATUS_OK)
+    shape_pack(&ConfigSetShape, set, mem, &packed);
+    if (shape_unpack(&ConfigSetShape, packed, mem, &taken, NULL) == STATUS_OK)
         deliverConfig(revisions, &taken, &result);
     if (result.status != STATUS_OK)
         exit(1);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -85,7 +85,7 @@
     Worker worker = beat->worker;
     const bool here = beat->workerLive && !beat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
-    const bool learns = beat->workerLive && (known == NULL || !shapeEqual(&WorkerShape, known, &worker));
+    const bool learns = beat->workerLive && (known == NULL || !shape_equal(&WorkerShape, known, &worker));
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
     const bool left = known != NULL && !known->excluded && beat->leaving && !beat->workerLive && beat->settled &&
                       beat->roundsCount == 0;
@@ -94,7 +94,7 @@
     if (learns || left || gone.newsCount > 0) {
         Learning *learning = talloc_zero(core, Learning);
         *learning = (Learning){.core = core, .line = line, .learn = learns, .left = left, .missing = gone};
-        shapeCopy(&WorkerShape, &worker, learning, &learning->worker);
+        shape_copy(&WorkerShape, &worker, learning, &learning->worker);
         talloc_steal(learning, mem);
         line->learning = true;
         loop_spawn(core->loop, "learn", learnMain, learning);
@@ -270,8 +270,8 @@
 {
     ordersStart(core);
     newsStart(core);
-    courierHandle(core->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, core);
-    courierHandle(core->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, core);
-    courierHandle(core->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, core);
-    courierHandle(core->courier, MESSAGE_FETCH, &FetchAskShape, &FetchAnswerShape, onFetch, core);
+    courier_handle(core->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, core);
+    courier_handle(core->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, core);
+    courier_handle(core->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, core);
+    courier_handle(core->courier, MESSAGE_FETCH, &FetchAskShape, &FetchAnswerShape, onFetch, core);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -41,7 +41,7 @@
 #define X(name, outside) showMetric(task, outside, (int64_t)core->counts.name);
     CORE_COUNT_LIST(X)
 #undef X
-    const CourierCounts *counts = courierCounts(core->courier);
+    const CourierCounts *counts = courier_counts(core->courier);
 #define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
@@ -164,8 +164,8 @@
 
 void callersServe(Core *core)
 {
-    courierHandle(core->courier, MESSAGE_FORWARD, &ForwardAskShape, &ForwardAnswerShape, onForward, core);
-    courierHandle(core->courier, MESSAGE_FEED, &FeedAskShape, &FeedAnswerShape, onFeed, core);
-    courierHandle(core->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, core);
-    courierHandle(core->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, core);
+    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAskShape, &ForwardAnswerShape, onForward, core);
+    courier_handle(core->courier, MESSAGE_FEED, &FeedAskShape, &FeedAnswerShape, onFeed, core);
+    courier_handle(core->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, core);
+    courier_handle(core->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, core);
 }
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -31,7 +31,7 @@
                   KeepList *keeps)
 {
     Bytes payload = {0};
-    shapePack(shape, body, mem, &payload);
+    shape_pack(shape, body, mem, &payload);
     const Status status = viewSubmit(core->view, kind, payload, result);
     if (status == STATUS_OK && result->status == STATUS_OK && keeps != NULL) {
         keeps->items = talloc_realloc(mem, keeps->items, KeepItem, (unsigned)(keeps->itemsCount + 1));
@@ -167,7 +167,7 @@
     core->startedMs = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
-    core->courier = courierNew(core, loop, ring);
+    core->courier = courier_new(core, loop, ring);
     core->table = tableNew(core);
     tableWatch(core->table, onDelivered, core);
     core->pieceSource.mem = core;
@@ -198,7 +198,7 @@
     if (status == STATUS_OK)
         ring_set_place(ring, placeNow, core);
     if (status == STATUS_OK)
-        status = courierListen(core->courier, props->listen, core->address, failure);
+        status = courier_listen(core->courier, props->listen, core->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, core, core->http, failure);
     if (status != STATUS_OK)
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -11,8 +11,8 @@
 static bool askOne(Core *core, void *mem, const char *address, const KeepList *keeps)
 {
     Nothing answer = {0};
-    return courierAsk(core->courier, mem, address, MESSAGE_KEEP, &KeepListShape, keeps, KEEP_ASK_MS, &NothingShape,
-                      &answer) == STATUS_OK;
+    return courier_ask(core->courier, mem, address, MESSAGE_KEEP, &KeepListShape, keeps, KEEP_ASK_MS, &NothingShape,
+                       &answer) == STATUS_OK;
 }
 
 static size_t bytesOf(const KeepList *keeps)
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -36,14 +36,14 @@
 
 bool jobAgain(Way *way, const Job *known, const JobSpec *spec)
 {
-    if (!shapeEqual(&JobSpecShape, &known->spec, spec)) {
+    if (!shape_equal(&JobSpecShape, &known->spec, spec)) {
         showRefusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
     /* whoever carries this result may be the only one to have heard it */
     KeepItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
-    shapePack(&JobAddShape, &add, way->mem, &item.payload);
+    shape_pack(&JobAddShape, &add, way->mem, &item.payload);
     wayKeep(way, &item);
     return true;
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -57,7 +57,7 @@
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
     batch->at_ms[batch->list.newsCount] = loop_now_ms(core->loop);
-    shapeCopy(&RoundNewsShape, one, batch, &batch->list.news[batch->list.newsCount++]);
+    shape_copy(&RoundNewsShape, one, batch, &batch->list.news[batch->list.newsCount++]);
 }
 
 Status newsTell(Core *core, const RoundNews *list, size_t count)
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -39,8 +39,8 @@
     const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
     Status status;
     do {
-        status = courierAsk(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAskShape, &ask,
-                            until_ms - loop_now_ms(core->loop), &KeepListShape, &answer);
+        status = courier_ask(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAskShape, &ask,
+                             until_ms - loop_now_ms(core->loop), &KeepListShape, &answer);
         if (status != STATUS_OK)
             loop_sleep(core->loop, 100);
     } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
@@ -95,22 +95,22 @@
     JobEnd end;
     switch (item->change) {
     case CHANGE_JOB_ADD:
-        return shapeUnpack(&JobAddShape, item->payload, mem, &add, NULL) != STATUS_OK ||
+        return shape_unpack(&JobAddShape, item->payload, mem, &add, NULL) != STATUS_OK ||
                tableJob(table, add.spec.id) != NULL;
     case CHANGE_JOB_CANCEL: {
-        if (shapeUnpack(&JobCancelShape, item->payload, mem, &cancel, NULL) != STATUS_OK)
+        if (shape_unpack(&JobCancelShape, item->payload, mem, &cancel, NULL) != STATUS_OK)
             return true;
         const Job *job = tableJob(table, cancel.id);
         return job == NULL || job->phase != JOB_ACTIVE || job->ending != JOB_ACTIVE;
     }
     case CHANGE_CONFIG_SET:
-        return shapeUnpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK ||
+        return shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK ||
                revisionsNewest(tableRevisions(table)) >= revisionOf(&set);
     case CHANGE_ZONE_DRAIN:
-        return shapeUnpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) != STATUS_OK ||
+        return shape_unpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) != STATUS_OK ||
                tableDrainStamp(table, drain.zone) >= drain.stamp || tableDrainKnown(table, &drain) != DRAIN_NEW;
     case CHANGE_JOB_END: {
-        if (shapeUnpack(&JobEndShape, item->payload, mem, &end, NULL) != STATUS_OK)
+        if (shape_unpack(&JobEndShape, item->payload, mem, &end, NULL) != STATUS_OK)
             return true;
         const Job *job = tableJob(table, end.id);
         return job == NULL || job->phase != JOB_ACTIVE;
@@ -124,12 +124,12 @@
 static Bytes restored(void *mem, const KeepItem *item)
 {
     ConfigSet set;
-    if (item->change != CHANGE_CONFIG_SET || shapeUnpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK)
+    if (item->change != CHANGE_CONFIG_SET || shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK)
         return item->payload;
     set.revision = revisionOf(&set);
     set.restored = true;
     Bytes payload = {0};
-    shapePack(&ConfigSetShape, &set, mem, &payload);
+    shape_pack(&ConfigSetShape, &set, mem, &payload);
     return payload;
 }
 
@@ -141,7 +141,7 @@
         KeepItem *item = &retelling->items[i];
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
-            shapeUnpack(&ConfigSetShape, item->payload, retelling, &set, NULL) == STATUS_OK)
+            shape_unpack(&ConfigSetShape, item->payload, retelling, &set, NULL) == STATUS_OK)
             item->index = revisionOf(&set);
     }
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -7,7 +7,7 @@
 #include "base/epoch.h"
 #include "alerts.h"
 
-static json_object *textOf(const char *text)
+static json_object *text_of(const char *text)
 {
     return json_object_new_string(text);
 }
@@ -21,13 +21,13 @@
 {
     char text[20];
     snprintf(text, sizeof(text), "%016" PRIx64, disk);
-    return textOf(text);
+    return text_of(text);
 }
 
 static json_object *coreOf(const Core *core, uint64_t disk)
 {
     const Member *member = membersFindDisk(core->members, disk);
-    return textOf(member != NULL ? member->record.name : "");
+    return text_of(member != NULL ? member->record.name : "");
 }
 
 /* Entries that the disk has not synced yet, as far as the leader knows. */
@@ -90,8 +90,8 @@
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
         const Worker *worker = tableWorker(core->table, rows[i]->name);
-        json_object_object_add(one, "worker", textOf(rows[i]->name));
-        json_object_object_add(one, "zone", textOf(worker != NULL ? worker->zone : ""));
+        json_object_object_add(one, "worker", text_of(rows[i]->name));
+        json_object_object_add(one, "zone", text_of(worker != NULL ? worker->zone : ""));
         json_object_object_add(one, "ready", json_object_new_boolean(liveRowReady(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
@@ -120,11 +120,11 @@
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "id", textOf(row->record.id));
-        json_object_object_add(one, "role", textOf(roleWord((Role)row->record.role)));
-        json_object_object_add(one, "zone", textOf(row->record.zone));
-        json_object_object_add(one, "address", textOf(row->record.address));
-        json_object_object_add(one, "http", textOf(row->record.http));
+        json_object_object_add(one, "id", text_of(row->record.id));
+        json_object_object_add(one, "role", text_of(roleWord((Role)row->record.role)));
+        json_object_object_add(one, "zone", text_of(row->record.zone));
+        json_object_object_add(one, "address", text_of(row->record.address));
+        json_object_object_add(one, "http", text_of(row->record.http));
         json_object_object_add(one, "quiet", json_object_new_boolean(memberQuiet(row, loop_now_ms(core->loop))));
         json_object_array_add(list, one);
     }
@@ -153,8 +153,8 @@
     json_object_object_add(plan, "holds", json_object_new_boolean(core->planHolds));
     if (!core->planHolds) {
         json_object *broken = json_object_new_object();
-        json_object_object_add(broken, "loss", textOf(lossWord(core->brokenByLoss)));
-        json_object_object_add(broken, "name", textOf(core->brokenBy));
+        json_object_object_add(broken, "loss", text_of(lossWord(core->brokenByLoss)));
+        json_object_object_add(broken, "name", text_of(core->brokenBy));
         json_object_object_add(plan, "brokenBy", broken);
     }
     json_object_object_add(plan, "assured", numberOf(assured));
@@ -166,7 +166,7 @@
 /* What came over the wire and was another's, or nobody's. */
 static json_object *showRefusedFrames(const Core *core)
 {
-    const CourierCounts *counts = courierCounts(core->courier);
+    const CourierCounts *counts = courier_counts(core->courier);
     json_object *frames = json_object_new_object();
 #define X(name, outside) json_object_object_add(frames, outside, numberOf((int64_t)counts->name));
     COURIER_REFUSED_LIST(X)
@@ -180,8 +180,8 @@
     ViewSight sight;
     viewSight(core->view, &sight);
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "cluster", diskOf(courierCluster(core->courier)));
-    json_object_object_add(body, "leader", textOf(core->props->name));
+    json_object_object_add(body, "cluster", diskOf(courier_cluster(core->courier)));
+    json_object_object_add(body, "leader", text_of(core->props->name));
     json_object_object_add(body, "epoch", numberOf((int64_t)epoch_counter(sight.epoch)));
     json_object_object_add(body, "holdLeftMs", numberOf(sight.holdLeftMs));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
@@ -209,21 +209,21 @@
     const size_t zoneCount = tableDrains(core->table, mem, &zones);
     json_object *drained = json_object_new_array();
     for (size_t i = 0; i < zoneCount; i++)
-        json_object_array_add(drained, textOf(zones[i]));
+        json_object_array_add(drained, text_of(zones[i]));
     json_object_object_add(body, "drainedZones", drained);
     json_object_object_add(body, "configRevision", numberOf((int64_t)revisionsNewest(tableRevisions(core->table))));
     const char *words;
     const uint64_t policyFailures = corePolicyFailures(core, &words);
     json_object_object_add(body, "policyFailures", numberOf((int64_t)policyFailures));
     if (policyFailures > 0)
-        json_object_object_add(body, "policyLastFailure", textOf(words));
+        json_object_object_add(body, "policyLastFailure", text_of(words));
     json_object_object_add(body, "refusedFrames", showRefusedFrames(core));
     json_object_object_add(body, "alerts", alertsShow(core));
     json_object *counts = json_object_new_object();
 #define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)core->counts.name));
     CORE_COUNT_LIST(X)
 #undef X
-    const CourierCounts *courier = courierCounts(core->courier);
+    const CourierCounts *courier = courier_counts(core->courier);
 #define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)courier->name));
     COURIER_COUNT_LIST(X)
 #undef X
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -69,7 +69,7 @@
         return;
     KeepItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
-    shapePack(&JobEndShape, &end, way->mem, &item.payload);
+    shape_pack(&JobEndShape, &end, way->mem, &item.payload);
     wayKeep(way, &item);
 }
 
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -74,7 +74,7 @@
 static void keepNewest(Way *way)
 {
     KeepItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
-    shapePack(&ZoneDrainShape, tableDrainNewest(way->core->table, way->name), way->mem, &item.payload);
+    shape_pack(&ZoneDrainShape, tableDrainNewest(way->core->table, way->name), way->mem, &item.payload);
     wayKeep(way, &item);
 }
 
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -72,7 +72,7 @@
 {
     const Explore *explore = node->explore;
     const ViewFounds first = explore->plan->byVotes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
-    node->courier = courierNew(loop, loop, node->ring);
+    node->courier = courier_new(loop, loop, node->ring);
     const ViewProps how = {.loop = loop,
                            .courier = node->courier,
                            .ring = node->ring,
@@ -87,7 +87,7 @@
     Status status = viewOpenDisk(node->view, NODE_DATA, node->name, failure);
     char address[ADDRESS_MAX];
     if (status == STATUS_OK)
-        status = courierListen(node->courier, node->listen, address, failure);
+        status = courier_listen(node->courier, node->listen, address, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -39,16 +39,16 @@
         JobCancel cancel;
         ConfigSet set;
         ZoneDrain drain;
-        if (item->change == CHANGE_JOB_ADD && shapeUnpack(&JobAddShape, item->payload, mem, &add, NULL) == STATUS_OK)
+        if (item->change == CHANGE_JOB_ADD && shape_unpack(&JobAddShape, item->payload, mem, &add, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", add.spec.id);
         else if (item->change == CHANGE_JOB_CANCEL &&
-                 shapeUnpack(&JobCancelShape, item->payload, mem, &cancel, NULL) == STATUS_OK)
+                 shape_unpack(&JobCancelShape, item->payload, mem, &cancel, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
         else if (item->change == CHANGE_CONFIG_SET &&
-                 shapeUnpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK)
+                 shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.revision);
         else if (item->change == CHANGE_ZONE_DRAIN &&
-                 shapeUnpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) == STATUS_OK)
+                 shape_unpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
         talloc_free(mem);
     }
@@ -81,8 +81,8 @@
     } else {
         const CourierTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
         attempt->status =
-            courierAskPeer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAskShape,
-                           &attempt->ask, attempt->deadlineMs - startMs, &ForwardAnswerShape, &attempt->answer);
+            courier_ask_peer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAskShape,
+                             &attempt->ask, attempt->deadlineMs - startMs, &ForwardAnswerShape, &attempt->answer);
     }
     if (attempt->status == STATUS_OK) {
         if (!attempt->taken.own)
@@ -143,7 +143,7 @@
     attempt->users = 2;
     attempt->deadlineMs = until_ms;
     attempt->taken = *taken;
-    shapeCopy(&ForwardAskShape, ask, attempt, &attempt->ask);
+    shape_copy(&ForwardAskShape, ask, attempt, &attempt->ask);
     attempt->ask.relay = taken->relay;
     attempt->next = forwarder->waiting;
     if (attempt->next != NULL)
@@ -163,7 +163,7 @@
     if (attempt->done)
         status = attempt->status;
     if (status == STATUS_OK)
-        shapeCopy(&ForwardAnswerShape, &attempt->answer, mem, answer);
+        shape_copy(&ForwardAnswerShape, &attempt->answer, mem, answer);
     attemptLeave(attempt);
     return status;
 }
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -170,8 +170,8 @@
     ask.first = first;
     FeedAnswer answer = {0};
     const Status status =
-        courierAskPeer(feed->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
-                       &FeedAskShape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswerShape, &answer);
+        courier_ask_peer(feed->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
+                         &FeedAskShape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswerShape, &answer);
     if (status == STATUS_OK) {
         waysHeard(feed->ways, taken, !answer.waits);
         if (wanted)
@@ -245,7 +245,7 @@
     for (size_t i = tellFrom(revisions, have); i < revisions->count; i++) {
         const ConfigSet set = setOf(&revisions->rows[i]);
         KeepItem item = {CHANGE_CONFIG_SET, 0, {0}};
-        shapePack(&ConfigSetShape, &set, mem, &item.payload);
+        shape_pack(&ConfigSetShape, &set, mem, &item.payload);
         list->items = talloc_realloc(mem, list->items, KeepItem, (unsigned)(list->itemsCount + 1));
         list->items[list->itemsCount++] = item;
     }
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -174,8 +174,8 @@
     const int64_t wait_ms =
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status =
-        courierAskPeer(forwarder->settings.courier, mem, &(CourierTarget){taken.address, taken.peer, NULL},
-                       MESSAGE_FORWARD, &ForwardAskShape, &onward, wait_ms, &ForwardAnswerShape, answer);
+        courier_ask_peer(forwarder->settings.courier, mem, &(CourierTarget){taken.address, taken.peer, NULL},
+                         MESSAGE_FORWARD, &ForwardAskShape, &onward, wait_ms, &ForwardAnswerShape, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
         waysFailed(forwarder->ways, &taken);
     return status;
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -93,7 +93,7 @@
         return false;
     void *mem = talloc_new(NULL);
     ConfigSet set;
-    const bool had = shapeUnpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK &&
+    const bool had = shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK &&
                      (set.revision != 0 ? set.revision : set.base + 1) <= have;
     talloc_free(mem);
     return had;
@@ -106,7 +106,7 @@
     list->itemsCount = 0;
     for (const Kept *kept = keeper->first; kept != NULL; kept = kept->next)
         if (!configHad(&kept->item, configHave))
-            shapeCopy(&KeepItemShape, &kept->item, mem, &list->items[list->itemsCount++]);
+            shape_copy(&KeepItemShape, &kept->item, mem, &list->items[list->itemsCount++]);
 }
 
 size_t keeperCount(const Keeper *keeper)
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -101,8 +101,8 @@
         .method = "GET", .path = "/readyz", .relay = taken->relay, .host = "", .wait_ms = (uint64_t)wait_ms};
     ForwardAnswer answer = {0};
     const Status status =
-        courierAskPeer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
-                       &ForwardAskShape, &ask, wait_ms, &ForwardAnswerShape, &answer);
+        courier_ask_peer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
+                         &ForwardAskShape, &ask, wait_ms, &ForwardAnswerShape, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
         membersMeet(ways->members, taken->address);
     else if (status != STATUS_OK)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -27,7 +27,7 @@
 
 static void metrics(Gate *gate, HttpTask *task)
 {
-    const CourierCounts *counts = courierCounts(gate->courier);
+    const CourierCounts *counts = courier_counts(gate->courier);
     showMetricsBegin(task);
     showMetric(task, "inWork", (int64_t)gate->inWork);
     showMetric(task, "kept", (int64_t)keeperCount(gate->keeper));
@@ -133,9 +133,9 @@
     gate->ring = ring;
     gate->graceMs = props->bounds.graceMs;
     gate->unreadyMs = props->bounds.unreadyMs;
-    gate->courier = courierNew(gate, loop, ring);
+    gate->courier = courier_new(gate, loop, ring);
     gate->keeper = keeperNew(gate, loop, props->bounds.retellMs);
-    Status status = courierListen(gate->courier, props->listen, gate->address, failure);
+    Status status = courier_listen(gate->courier, props->listen, gate->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
     if (status != STATUS_OK)
@@ -157,9 +157,9 @@
                                                               .leaderWaitMs = props->bounds.leaderWaitMs,
                                                               .outcomeWaitMs = props->bounds.outcomeWaitMs});
     gate->feed = feedNew(gate, loop, gate->courier, forwarderWays(gate->forwarder), gate->trace);
-    courierHandle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
-    courierHandle(gate->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, gate);
-    courierHandle(gate->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, gate);
+    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
+    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, gate);
+    courier_handle(gate->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, gate);
     membersSetVoter(gate->members, props->bounds.founds == 1);
     membersStart(gate->members);
     forwarderStart(gate->forwarder);
--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -48,7 +48,7 @@
 {
     void *scratch = talloc_new(mem);
     Bytes packed = {0};
-    shapePack(&RecordShape, record, scratch, &packed);
+    shape_pack(&RecordShape, record, scratch, &packed);
     uint8_t count[4];
     put32(count, (uint32_t)packed.count);
     bytes_add(mem, body, count, sizeof(count));
@@ -65,7 +65,7 @@
                                at + BLOCK_HEAD + k);
         void *mem = talloc_new(NULL);
         Record record;
-        const Status status = shapeUnpack(&RecordShape, (Bytes){body.data + k + 4, count, 0}, mem, &record, failure);
+        const Status status = shape_unpack(&RecordShape, (Bytes){body.data + k + 4, count, 0}, mem, &record, failure);
         if (status != STATUS_OK) {
             talloc_free(mem);
             return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record does not parse at byte %zu",
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -75,7 +75,7 @@
     return *seen;
 }
 
-static void thereAndBack(void **state)
+static void there_and_back(void **state)
 {
     (void)state;
     SimWorld *world = simWorldNew(NULL, 1);
@@ -169,7 +169,7 @@
     /* the identity record of a later release */
     const Record later = {.kind = RECORD_IDENTITY, .epoch = JOURNAL_VERSION + 1, .index = 9, .name = "core1"};
     Bytes packed = {0}, body = {0}, block = {0};
-    shapePack(&RecordShape, &later, mem, &packed);
+    shape_pack(&RecordShape, &later, mem, &packed);
     const uint8_t size[4] = {0, 0, 0, (uint8_t)packed.count};
     bytes_add(mem, &body, size, 4);
     bytes_add(mem, &body, packed.data, packed.count);
@@ -342,9 +342,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(thereAndBack),  cmocka_unit_test(refusals),   cmocka_unit_test(everyByte),
-        cmocka_unit_test(laterFormat),   cmocka_unit_test(failedSync), cmocka_unit_test(readIsSynced),
-        cmocka_unit_test(rewriteWalked), cmocka_unit_test(fullDisk),   cmocka_unit_test(begunAnew),
+        cmocka_unit_test(there_and_back), cmocka_unit_test(refusals),   cmocka_unit_test(everyByte),
+        cmocka_unit_test(laterFormat),    cmocka_unit_test(failedSync), cmocka_unit_test(readIsSynced),
+        cmocka_unit_test(rewriteWalked),  cmocka_unit_test(fullDisk),   cmocka_unit_test(begunAnew),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -46,16 +46,16 @@
 bool lockHeld(const LockSeat *seat, int64_t now_ms);
 
 /* The holder's half.
- * Invariants: sentMs[i] is when the last question that the seat at place i answered
+ * Invariants: sent_ms[i] is when the last question that the seat at place i answered
  * well was sent, INT64_MIN when there is none under this epoch or nobody has the
  * place; seats is the number of places that somebody has. */
 typedef struct LockHold {
     size_t seats;
-    int64_t sentMs[SEAT_MOST];
+    int64_t sent_ms[SEAT_MOST];
 } LockHold;
 
 void lockHoldClear(LockHold *hold);
-void lockHoldAnswered(LockHold *hold, int seat, int64_t sentMs);
+void lockHoldAnswered(LockHold *hold, int seat, int64_t sent_ms);
 /* Until when a majority's holds run; INT64_MIN: not held. */
 int64_t lockHoldUntil(const LockHold *hold);
 
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -47,13 +47,13 @@
 void lockHoldClear(LockHold *hold)
 {
     for (int i = 0; i < SEAT_MOST; i++)
-        hold->sentMs[i] = INT64_MIN;
+        hold->sent_ms[i] = INT64_MIN;
 }
 
-void lockHoldAnswered(LockHold *hold, int seat, int64_t sentMs)
+void lockHoldAnswered(LockHold *hold, int seat, int64_t sent_ms)
 {
-    if (sentMs > hold->sentMs[seat])
-        hold->sentMs[seat] = sentMs;
+    if (sent_ms > hold->sent_ms[seat])
+        hold->sent_ms[seat] = sent_ms;
 }
 
 int64_t lockHoldUntil(const LockHold *hold)
@@ -63,9 +63,9 @@
     size_t count = 0;
     for (int i = 0; i < SEAT_MOST; i++) {
         size_t at = count++;
-        for (; at > 0 && newest[at - 1] < hold->sentMs[i]; at--)
+        for (; at > 0 && newest[at - 1] < hold->sent_ms[i]; at--)
             newest[at] = newest[at - 1];
-        newest[at] = hold->sentMs[i];
+        newest[at] = hold->sent_ms[i];
     }
     const int64_t oldest = hold->seats > 0 ? newest[lockMajority(hold->seats) - 1] : INT64_MIN;
     return oldest == INT64_MIN ? INT64_MIN : oldest + LOCK_LEASE_MS;
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -23,21 +23,21 @@
 /* While the holder counts on its lease, no majority may promise anything to another. */
 static void leaseEndsFirst(int64_t holderPercent, int64_t voterPercent)
 {
-    for (int64_t sentMs = 100; sentMs < 200; sentMs++) {
+    for (int64_t sent_ms = 100; sent_ms < 200; sent_ms++) {
         LockHold hold = {.seats = VOTERS};
         LockSeat voters[VOTERS] = {{0}};
         lockHoldClear(&hold);
         for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
             lockPromise(&voters[i], EPOCH, HOLDER);
-            assert_int_equal(lockRenew(&voters[i], EPOCH, HOLDER, clockAt(sentMs, voterPercent)), STATUS_OK);
-            lockHoldAnswered(&hold, i, clockAt(sentMs, holderPercent));
+            assert_int_equal(lockRenew(&voters[i], EPOCH, HOLDER, clockAt(sent_ms, voterPercent)), STATUS_OK);
+            lockHoldAnswered(&hold, i, clockAt(sent_ms, holderPercent));
         }
-        int64_t trueMs = sentMs;
+        int64_t trueMs = sent_ms;
         for (; clockAt(trueMs, holderPercent) < lockHoldUntil(&hold); trueMs++)
             for (int i = 0; i < VOTERS - 1; i++)
                 assert_int_equal(lockMayPromise(&voters[i], EPOCH + 1, RIVAL, clockAt(trueMs, voterPercent)),
                                  STATUS_OTHER_HOLDER);
-        assert_true(trueMs > sentMs + 4 * LOCK_RENEW_MS); /* four renewals still fit in it */
+        assert_true(trueMs > sent_ms + 4 * LOCK_RENEW_MS); /* four renewals still fit in it */
     }
 }
 
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -48,7 +48,7 @@
 {
     void *old = row->mem;
     row->mem = talloc_new(members);
-    shapeCopy(&MemberRecordShape, record, row->mem, &row->record);
+    shape_copy(&MemberRecordShape, record, row->mem, &row->record);
     talloc_free(old);
 }
 
@@ -107,7 +107,7 @@
         if (record->incarnation > members->self.incarnation ||
             (record->incarnation == members->self.incarnation && !isSelf(members, record)))
             members->self.incarnation = record->incarnation + 1;
-        courierSetSelf(members->courier, memberPeer(&members->self));
+        courier_set_self(members->courier, memberPeer(&members->self));
         return;
     }
     bool found;
@@ -118,7 +118,7 @@
             if (members->table->rows[other].record.incarnation >= record->incarnation)
                 return; /* told of one that is gone */
             rowDrop(members, other);
-            courierRenew(members->courier, record->address);
+            courier_renew(members->courier, record->address);
             at = rowPlace(members, record->id, &found);
         }
     }
@@ -131,7 +131,7 @@
     if (found && newer(record, &row->record)) {
         row->seenMs = now_ms;
         if (record->incarnation > row->record.incarnation)
-            courierRenew(members->courier, record->address);
+            courier_renew(members->courier, record->address);
         rowWrite(members, row, record);
     }
     if (direct)
@@ -162,8 +162,8 @@
     members->loop = loop;
     members->courier = courier;
     members->ring = ring;
-    shapeCopy(&MemberRecordShape, self, members, &members->self);
-    courierSetSelf(courier, memberPeer(&members->self));
+    shape_copy(&MemberRecordShape, self, members, &members->self);
+    courier_set_self(courier, memberPeer(&members->self));
     members->leaderId = talloc_strdup(members, "");
     for (int i = 0; i < SEEDS; i++)
         members->seeds[i] = talloc_strdup(members, seeds[i]);
@@ -246,7 +246,7 @@
 
 PeerLife memberPeer(const MemberRecord *record)
 {
-    return peerLife(record->id, record->incarnation);
+    return peer_life(record->id, record->incarnation);
 }
 
 PeerLife membersLeaderPeer(const Members *members)
@@ -280,15 +280,15 @@
 static void helloFill(Members *members, void *mem, Hello *hello)
 {
     members->self.tick++;
-    members->self.cluster = courierCluster(members->courier);
+    members->self.cluster = courier_cluster(members->courier);
     rowsTend(members);
     const MemberTable *table = members->table;
-    shapeCopy(&MemberRecordShape, &members->self, mem, &hello->self);
+    shape_copy(&MemberRecordShape, &members->self, mem, &hello->self);
     hello->members = talloc_array(mem, MemberRecord, (unsigned)table->count);
     hello->membersCount = 0;
     for (size_t i = 0; i < table->count; i++)
         if (!memberQuiet(&table->rows[i], loop_now_ms(members->loop)))
-            shapeCopy(&MemberRecordShape, &table->rows[i].record, mem, &hello->members[hello->membersCount++]);
+            shape_copy(&MemberRecordShape, &table->rows[i].record, mem, &hello->members[hello->membersCount++]);
     hello->cluster = members->self.cluster;
     hello->leaderEpoch = members->leaderEpoch;
     hello->leaderId = talloc_strdup(mem, members->leaderId);
@@ -296,11 +296,11 @@
 
 static void helloTake(Members *members, const Hello *hello, bool answered)
 {
-    const uint64_t mine = courierCluster(members->courier);
+    const uint64_t mine = courier_cluster(members->courier);
     if (hello->cluster != 0 && mine != 0 && hello->cluster != mine)
         return; /* of another cluster: nothing it says is taken */
     if (mine == 0 && hello->cluster != 0) {
-        courierSetCluster(members->courier, hello->cluster);
+        courier_set_cluster(members->courier, hello->cluster);
         ring_say(members->ring, RING_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64, hello->cluster);
     }
     for (size_t i = 0; i < hello->membersCount && hello->membersCount <= MEMBERS_MAX; i++)
@@ -314,7 +314,7 @@
 {
     Members *members = arg;
     const Hello *hello = ask;
-    const uint64_t mine = courierCluster(members->courier);
+    const uint64_t mine = courier_cluster(members->courier);
     if (hello->cluster != 0 && mine != 0 && hello->cluster != mine)
         return STATUS_STRANGER;
     helloTake(members, hello, false);
@@ -327,8 +327,8 @@
     void *mem = talloc_new(members);
     Hello ask = {0}, answer = {0};
     helloFill(members, mem, &ask);
-    if (courierAsk(members->courier, mem, address, MESSAGE_HELLO, &HelloShape, &ask, ASK_EXPIRY_MS, &HelloShape,
-                   &answer) == STATUS_OK)
+    if (courier_ask(members->courier, mem, address, MESSAGE_HELLO, &HelloShape, &ask, ASK_EXPIRY_MS, &HelloShape,
+                    &answer) == STATUS_OK)
         helloTake(members, &answer, true);
     talloc_free(mem);
 }
@@ -437,8 +437,8 @@
 
 void membersStart(Members *members)
 {
-    courierHandle(members->courier, MESSAGE_HELLO, &HelloShape, &HelloShape, onHello, members);
-    courierHandle(members->courier, MESSAGE_VOTE, &VoteAskShape, &VoteAnswerShape, voteAsked, members);
+    courier_handle(members->courier, MESSAGE_HELLO, &HelloShape, &HelloShape, onHello, members);
+    courier_handle(members->courier, MESSAGE_VOTE, &VoteAskShape, &VoteAnswerShape, voteAsked, members);
     for (int i = 0; i < SEEDS; i++) {
         SeedTask *seed = talloc_zero(members, SeedTask);
         *seed = (SeedTask){members, (size_t)i};
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -36,7 +36,7 @@
         vote->backRound = ask->round;
         return true;
     }
-    if (!vote->mine || courierCluster(members->courier) != 0 || ask->disk == 0 ||
+    if (!vote->mine || courier_cluster(members->courier) != 0 || ask->disk == 0 ||
         (ask->disk == vote->backDisk && ask->round <= vote->backRound))
         return false;
     const uint64_t lowest = membersLowestEmpty(members);
@@ -81,8 +81,8 @@
     VoteAnswer answer = {0};
     if (strcmp(part->address, members->self.address) == 0)
         answer.granted = voteTake(members, &voting->ask);
-    else if (courierAsk(members->courier, part, part->address, MESSAGE_VOTE, &VoteAskShape, &voting->ask, ASK_EXPIRY_MS,
-                        &VoteAnswerShape, &answer) != STATUS_OK)
+    else if (courier_ask(members->courier, part, part->address, MESSAGE_VOTE, &VoteAskShape, &voting->ask,
+                         ASK_EXPIRY_MS, &VoteAnswerShape, &answer) != STATUS_OK)
         answer.granted = false;
     voting->granted += answer.granted;
     voting->pending--;
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -43,13 +43,13 @@
 /* --- one call ------------------------------------------------------------------------------ */
 
 /* Asks an entry point about the job. */
-static Outcome ask(CallerTask *task, void *mem, const char *method, Bytes body, GroundNode **node, int64_t *sentMs,
+static Outcome ask(CallerTask *task, void *mem, const char *method, Bytes body, GroundNode **node, int64_t *sent_ms,
                    Bytes *result, int *againS)
 {
     const Ground *ground = task->callers->ground;
     const Tongue *tongue = ground->tongue;
     *node = doorEntry(task->callers->door, &task->dice, task->zone);
-    *sentMs = groundNowMs(ground);
+    *sent_ms = groundNowMs(ground);
     const HttpPair heads[] = {{"host", task->queue.host},
                               {tongue->waitHead, talloc_asprintf(mem, "%" PRId64, ground->site->callerWaitMs)}};
     HttpCall call = {.mem = mem,
@@ -70,14 +70,14 @@
                (const char *)call.result.data);
     const Outcome outcome = tongue->outcome(status == STATUS_OK ? call.code : 0);
     if ((*node)->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
-        ledgerShown(task->callers->ledger, *node, task->queue.host, task->queue.prefix, *sentMs,
+        ledgerShown(task->callers->ledger, *node, task->queue.host, task->queue.prefix, *sent_ms,
                     outcome == OUTCOME_GOOD);
     return outcome;
 }
 
 /* --- handing in ------------------------------------------------------------------------------- */
 
-static void firstCount(CallerTask *task, bool served, int64_t sentMs)
+static void firstCount(CallerTask *task, bool served, int64_t sent_ms)
 {
     Callers *callers = task->callers;
     if (task->first)
@@ -86,7 +86,7 @@
     if (callers->closingMs == 0) {
         callers->sentBefore++;
         callers->servedBefore += served;
-    } else if (callers->backMs != 0 && sentMs > callers->backMs + callers->ground->site->recoverMs) {
+    } else if (callers->backMs != 0 && sent_ms > callers->backMs + callers->ground->site->recoverMs) {
         callers->sentAfter++;
         callers->servedAfter += served;
     }
@@ -99,15 +99,15 @@
     BookJob *job = task->job;
     void *mem = talloc_new(task);
     GroundNode *node;
-    int64_t sentMs;
+    int64_t sent_ms;
     Bytes result;
     int againS = 0;
     job->triesOpen++;
     const Outcome outcome =
-        ask(task, mem, "POST", callers->ground->tongue->job(mem, &job->draft), &node, &sentMs, &result, &againS);
+        ask(task, mem, "POST", callers->ground->tongue->job(mem, &job->draft), &node, &sent_ms, &result, &againS);
     job->triesOpen--;
     const bool taken = outcome == OUTCOME_GOOD;
-    firstCount(task, taken, sentMs);
+    firstCount(task, taken, sent_ms);
     if (taken && job->acceptedMs == 0) {
         job->acceptedMs = groundNowMs(callers->ground);
         job->acceptedBy = node;
@@ -125,7 +125,7 @@
 static bool postAll(CallerTask *task)
 {
     BookJob *job = task->job;
-    job->sentMs = groundNowMs(task->callers->ground);
+    job->sent_ms = groundNowMs(task->callers->ground);
     for (size_t i = 0; i < job->draft.stepCount; i++) {
         const DraftStep *step = &job->draft.steps[i];
         groundTell(task->callers->ground, &job->tasks[job->stepFirst[i]].name,
@@ -173,16 +173,16 @@
     Ground *ground = task->callers->ground;
     void *mem = talloc_new(task);
     GroundNode *node;
-    int64_t sentMs;
+    int64_t sent_ms;
     Bytes result;
     int againS;
-    const Outcome outcome = ask(task, mem, "GET", (Bytes){0}, &node, &sentMs, &result, &againS);
+    const Outcome outcome = ask(task, mem, "GET", (Bytes){0}, &node, &sent_ms, &result, &againS);
     const JobWord word = outcome == OUTCOME_GOOD ? ground->tongue->state(result) : JOB_WORD_NONE;
-    if (outcome == OUTCOME_GONE && job->acceptedMs != 0 && sentMs - job->acceptedMs > ground->site->visibleMs &&
+    if (outcome == OUTCOME_GONE && job->acceptedMs != 0 && sent_ms - job->acceptedMs > ground->site->visibleMs &&
         nodeInTouch(node))
         rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground),
                    "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->draft.id,
-                   job->acceptedBy->name, sentMs - job->acceptedMs);
+                   job->acceptedBy->name, sent_ms - job->acceptedMs);
     if (word >= JOB_WORD_DONE && word <= JOB_WORD_CANCELLED && job->shownMs == 0)
         shownCheck(task, word, node);
     talloc_free(mem);
@@ -197,10 +197,10 @@
     for (int64_t i = 0; i <= ground->site->callerTries && job->cancelMs == 0; i++) {
         void *mem = talloc_new(task);
         GroundNode *node;
-        int64_t sentMs;
+        int64_t sent_ms;
         Bytes result;
         int againS;
-        if (ask(task, mem, "DELETE", (Bytes){0}, &node, &sentMs, &result, &againS) == OUTCOME_GOOD)
+        if (ask(task, mem, "DELETE", (Bytes){0}, &node, &sent_ms, &result, &againS) == OUTCOME_GOOD)
             job->cancelMs = groundNowMs(ground);
         talloc_free(mem);
         if (job->cancelMs == 0)
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -180,7 +180,7 @@
             longestMs = chainMs[s] > longestMs ? chainMs[s] : longestMs;
         }
         const int64_t aimMs = longestMs * job->kind->stretchPercent / 100 + job->kind->aimMs;
-        const int64_t tookMs = job->shown == JOB_WORD_DONE ? job->shownMs - job->sentMs : INT64_MAX;
+        const int64_t tookMs = job->shown == JOB_WORD_DONE ? job->shownMs - job->sent_ms : INT64_MAX;
         result->owed++;
         result->timely += tookMs <= aimMs;
         result->late += tookMs > aimMs && tookMs <= aimMs * 3;
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -101,17 +101,17 @@
         .path = tongue->beatPath(mem, hand->boot, false),
         .body = tongue->report(mem, &report),
         .wait_ms = ANSWER_MOST_MS};
-    const int64_t sentMs = loop_now_ms(hand->loop);
+    const int64_t sent_ms = loop_now_ms(hand->loop);
     const Status status = loop_call(hand->loop, &call);
     HandOrders *orders = talloc_zero(mem, HandOrders);
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
-        loop_now_ms(hand->loop) - sentMs > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
+        loop_now_ms(hand->loop) - sent_ms > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
         hand->newsOpen = true;
         return BEAT_AGAIN_MS;
     }
     if (leaving)
         leaveAcked(hand);
-    handOrdersTake(hand, orders, sentMs);
+    handOrdersTake(hand, orders, sent_ms);
     return orders->againMs >= 0 && orders->againMs < ground->site->beatMs ? orders->againMs : ground->site->beatMs;
 }
 
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -99,7 +99,7 @@
 /* A task of its process: what comes due. */
 void handWorkMain(void *arg);
 /* An answer to a beat that was sent then, by the worker's clock. */
-void handOrdersTake(Hand *hand, const HandOrders *orders, int64_t sentMs);
+void handOrdersTake(Hand *hand, const HandOrders *orders, int64_t sent_ms);
 
 /* --- crews -------------------------------------------------------------------------------- */
 /* The run takes its place in the crew of its round. */
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -237,7 +237,7 @@
     hand->endCount = kept;
 }
 
-void handOrdersTake(Hand *hand, const HandOrders *orders, int64_t sentMs)
+void handOrdersTake(Hand *hand, const HandOrders *orders, int64_t sent_ms)
 {
     const Site *site = hand->hands->ground->site;
     if (orders->fence < hand->fence)
@@ -254,8 +254,8 @@
     /* what was held until now may be over: that is seen before anything new is held */
     while (dueOne(hand, groundNowMs(hand->hands->ground)))
         ;
-    if (sentMs + holdMs > hand->holdUntilMs)
-        hand->holdUntilMs = sentMs + holdMs;
+    if (sent_ms + holdMs > hand->holdUntilMs)
+        hand->holdUntilMs = sent_ms + holdMs;
     for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->holdUntilMs; i++)
         startTake(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -74,27 +74,27 @@
     return !some ? -1 : all ? 1 : 0;
 }
 
-int ledgerHas(const Ledger *ledger, const char *host, const char *prefix, int64_t sentMs)
+int ledgerHas(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms)
 {
     uint64_t least = 0;
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *sent = ledger->rows[i];
-        if (sent->word == SENT_TAKEN && sentMs > sent->takenMs + ledger->ground->site->applyMs &&
+        if (sent->word == SENT_TAKEN && sent_ms > sent->takenMs + ledger->ground->site->applyMs &&
             sent->document.revision > least)
             least = sent->document.revision;
     }
     return least == 0 ? 0 : hasFrom(ledger, host, prefix, least);
 }
 
-void ledgerShown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sentMs, bool there)
+void ledgerShown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there)
 {
     Ground *ground = ledger->ground;
     const char *word = there ? "there" : "not there";
-    const int known = ledgerHas(ledger, host, prefix, sentMs);
+    const int known = ledgerHas(ledger, host, prefix, sent_ms);
     if (nodeInTouch(node) && ((known > 0 && !there) || (known < 0 && there)))
         rulesBroke(ground->rules, RULE_CONFIG, groundDayMs(ground), "%s says that %s%s is %s", node->name, host, prefix,
                    word);
-    if (node->sawRevision != 0 && sentMs > node->sawMs + ground->site->revertMs) {
+    if (node->sawRevision != 0 && sent_ms > node->sawMs + ground->site->revertMs) {
         const int seen = hasFrom(ledger, host, prefix, node->sawRevision);
         if ((seen > 0 && !there) || (seen < 0 && there))
             rulesBroke(ground->rules, RULE_CONFIG, groundDayMs(ground), "%s goes back behind %" PRIu64 ": %s%s is %s",
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -11,7 +11,7 @@
     uint64_t base;
     Spoil spoil;
     SentWord word;
-    int64_t sentMs, takenMs;
+    int64_t sent_ms, takenMs;
 } Sent;
 
 typedef struct ZoneOrder {
@@ -38,9 +38,9 @@
 const Sent *ledgerNewest(const Ledger *ledger);
 /* A queue's place in all documents that may be in force for a request of that time:
  * 1 in all, -1 in none, 0 in some. */
-int ledgerHas(const Ledger *ledger, const char *host, const char *prefix, int64_t sentMs);
+int ledgerHas(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms);
 /* An entry point has shown a queue to be there or not, for a request sent at that time. */
-void ledgerShown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sentMs, bool there);
+void ledgerShown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there);
 ZoneOrder *ledgerZone(Ledger *ledger, const char *zone);
 
 #endif
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -255,12 +255,12 @@
         .wait_ms = CALL_MOST_MS,
         .heads = heads,
         .head_count = 2};
-    const int64_t sentMs = groundNowMs(ground);
+    const int64_t sent_ms = groundNowMs(ground);
     const uint64_t life = node->life;
     const Status status = loop_call(operatorLoop(self), &call);
     const Outcome outcome = ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
     if (node->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
-        ledgerShown(self->ledger, node, queue.host, queue.prefix, sentMs, outcome == OUTCOME_GOOD);
+        ledgerShown(self->ledger, node, queue.host, queue.prefix, sent_ms, outcome == OUTCOME_GOOD);
 }
 
 static void lookMain(void *arg)
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -58,7 +58,7 @@
         return;
     if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
         return;
-    int64_t fromMs = ordering->sentMs;
+    int64_t fromMs = ordering->sent_ms;
     fromMs = ground->anyMs + ground->site->contactMs > fromMs ? ground->anyMs + ground->site->contactMs : fromMs;
     const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queueCount : 0;
     if (now_ms - fromMs < ground->site->ackMs + queues * ROUTE_MS)
@@ -86,12 +86,12 @@
 Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t forMs)
 {
     Operator *self = ordering->owner;
-    ordering->sentMs = groundNowMs(self->ground);
+    ordering->sent_ms = groundNowMs(self->ground);
     int64_t pauseMs = 50;
     Outcome outcome = OUTCOME_UNCLEAR;
     self->orders++;
     self->opened++;
-    while (outcome == OUTCOME_UNCLEAR && groundNowMs(self->ground) - ordering->sentMs < forMs) {
+    while (outcome == OUTCOME_UNCLEAR && groundNowMs(self->ground) - ordering->sent_ms < forMs) {
         void *mem = talloc_new(ordering);
         outcome = orderOnce(ordering, mem, worded);
         talloc_free(mem);
--- a/packages/model/src/operatororder.h
+++ b/packages/model/src/operatororder.h
@@ -12,7 +12,7 @@
     const char *zone;
     bool drain, patch, raced;
     Document from; /* what a patch begins with */
-    int64_t sentMs;
+    int64_t sent_ms;
     bool lateTold, over;
 } Ordering;
 
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -116,10 +116,10 @@
 /* Two operators were both told that their change built on this base. */
 void checkerConfigBoth(Checker *checker, uint64_t base);
 void checkerConfigRead(Checker *checker, uint64_t revision);
-/* The effect of configurations: who is in and out, tried by work sent at sentMs
+/* The effect of configurations: who is in and out, tried by work sent at sent_ms
  * and answered now; a quota of the tenant in every cell. */
 void checkerTenant(Checker *checker, const char *tenant, TenantWord word);
-void checkerProbe(Checker *checker, const char *tenant, int64_t sentMs, bool taken);
+void checkerProbe(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
 void checkerQuota(Checker *checker, const char *tenant, Room quota, TenantWord word);
 /* Accepted jobs not shown as ended. */
 size_t checkerOpen(const Checker *checker);
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -56,10 +56,10 @@
     }
 }
 
-void checkerProbe(Checker *checker, const char *name, int64_t sentMs, bool taken)
+void checkerProbe(Checker *checker, const char *name, int64_t sent_ms, bool taken)
 {
     const SeenTenant *tenant = seenTenant(checker, name);
-    if (tenant->unsure || (tenant->sinceMs != 0 && sentMs < tenant->sinceMs + CONFIG_LATE_MS) || taken == tenant->in)
+    if (tenant->unsure || (tenant->sinceMs != 0 && sent_ms < tenant->sinceMs + CONFIG_LATE_MS) || taken == tenant->in)
         return;
     if (taken && !tenant->everIn)
         checkerBroke(checker, NEVER_REFUSED_CONFIG, "work of tenant %s is taken, which only a refused one had", name);
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -109,7 +109,7 @@
 {
     SeenWorker *seen = seenWorker(checker, worker->name);
     const char *name = seen->worker.name;
-    shapeCopy(&WorkerShape, worker, seen, &seen->worker);
+    shape_copy(&WorkerShape, worker, seen, &seen->worker);
     seen->worker.name = name; /* runs and claims point at it */
 }
 
@@ -286,8 +286,8 @@
 void checkerSent(Checker *checker, const char *id)
 {
     SeenJob *job = seenJob(checker, id);
-    if (job->sentMs == 0)
-        job->sentMs = checkerNow(checker);
+    if (job->sent_ms == 0)
+        job->sent_ms = checkerNow(checker);
 }
 
 void checkerTold(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -53,7 +53,7 @@
     bool accepted, refused, ended;
     bool copies, lasting; /* as its spec said when it was last seen */
     bool settled;         /* shown as ended and nothing of it runs: there is nothing to look for */
-    int64_t sentMs;       /* first; 0: not told */
+    int64_t sent_ms;      /* first; 0: not told */
     int64_t cancelledMs;  /* 0: not */
     Map *tasks;
 } SeenJob;
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -20,10 +20,10 @@
                 job->tasks[t].turn == job->tasks[at].turn && !seenDone(job, seen, t))
                 checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id, task,
                              t, step->after[a]);
-    if (job->spec.delayMs > 0 && seen->sentMs != 0 && checkerNow(checker) < seen->sentMs + job->spec.delayMs)
+    if (job->spec.delayMs > 0 && seen->sent_ms != 0 && checkerNow(checker) < seen->sent_ms + job->spec.delayMs)
         checkerBroke(checker, NEVER_TOO_EARLY,
                      "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
-                     task, checkerNow(checker) - seen->sentMs, job->spec.delayMs);
+                     task, checkerNow(checker) - seen->sent_ms, job->spec.delayMs);
     const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
     const int64_t turnMs = taskDueWallMs(job, &job->tasks[at]);
     if (turnMs != 0 && wall_ms < turnMs - WALL_SLACK_MS)
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -49,7 +49,7 @@
     const uint64_t at = probe->count++;
     const char *tenant = at % 2 == 0 ? "probe" : at % 8 == 7 ? PROBE_NEVER : PROBE_IN_OUT[at / 2 % PROBE_TENANTS];
     char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->gate, at);
-    const int64_t sentMs = simNowMs(fleet->world);
+    const int64_t sent_ms = simNowMs(fleet->world);
     checkerSent(fleet->checker, id);
     HttpCall call;
     const Status status =
@@ -66,7 +66,7 @@
         checkerRefused(fleet->checker, id);
     }
     if (strcmp(tenant, "probe") != 0 && (taken || stranger))
-        checkerProbe(fleet->checker, tenant, sentMs, taken);
+        checkerProbe(fleet->checker, tenant, sent_ms, taken);
     talloc_free(mem);
 }
 
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -25,9 +25,9 @@
                           answer.status,  answer.payload, forger->peer, forger->life};
     Bytes frame = {0};
     if (forger->says)
-        shapePack(&NowFrameShape, &now, mem, &frame);
+        shape_pack(&NowFrameShape, &now, mem, &frame);
     else
-        shapePack(&OldFrameShape, &answer, mem, &frame);
+        shape_pack(&OldFrameShape, &answer, mem, &frame);
     channel_send(channel, frame);
 }
 
@@ -40,7 +40,7 @@
         OldFrame question;
         if (channel_receive(channel, mem, INT64_MAX, &frame) != STATUS_OK)
             break;
-        assert_int_equal(shapeUnpack(&OldFrameShape, frame, mem, &question, NULL), STATUS_OK);
+        assert_int_equal(shape_unpack(&OldFrameShape, frame, mem, &question, NULL), STATUS_OK);
         forgeSend(forger, channel, mem, &question);
         talloc_free(mem);
     }
@@ -104,7 +104,7 @@
         {1, 1, STATUS_CLOSED},  /* another: it may have carried the question out */
         {0, -1, STATUS_CLOSED}, /* an earlier life */
     };
-    const PeerLife meant = peerLife("core1", 1000);
+    const PeerLife meant = peer_life("core1", 1000);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         void *mem = talloc_new(NULL);
         SimWorld *world = simWorldNew(mem, 1);
@@ -118,7 +118,7 @@
         assert_true(ask->done);
         if (ask->status != ROWS[i].status)
             fail_msg("row %zu: %s", i, status_word(ask->status));
-        assert_int_equal(courierCounts(asker.courier)->otherPeers, ROWS[i].status != STATUS_OK);
+        assert_int_equal(courier_counts(asker.courier)->other_peers, ROWS[i].status != STATUS_OK);
         talloc_free(mem);
     }
 }
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -34,7 +34,7 @@
 #define FRAME_FIELDS(X) \
     OLD_FRAME_FIELDS(X) \
     X(U64, peer, 0)     \
-    X(U64, peerLife, 0)
+    X(U64, peer_life, 0)
 SHAPE(NowFrame, FRAME_FIELDS)
 SHAPE_TABLE(NowFrame, FRAME_FIELDS)
 
@@ -50,8 +50,8 @@
 {
     Asker *asker = arg;
     asker->loop = loop;
-    asker->courier = courierNew(loop, loop, ring_new(loop, "asker"));
-    courierSetCluster(asker->courier, CLUSTER);
+    asker->courier = courier_new(loop, loop, ring_new(loop, "asker"));
+    courier_set_cluster(asker->courier, CLUSTER);
 }
 
 typedef struct Ask {
@@ -69,8 +69,8 @@
 {
     Ask *ask = arg;
     const Echo echo = {ask->number};
-    ask->status = courierAskPeer(ask->asker->courier, ask, &(CourierTarget){ADDRESS, ask->meant, ask->sending},
-                                 MESSAGE_KNOW, &EchoShape, &echo, ask->wait_ms, &EchoShape, &ask->answer);
+    ask->status = courier_ask_peer(ask->asker->courier, ask, &(CourierTarget){ADDRESS, ask->meant, ask->sending},
+                                   MESSAGE_KNOW, &EchoShape, &echo, ask->wait_ms, &EchoShape, &ask->answer);
     ask->done = true;
 }
 
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -38,10 +38,10 @@
 {
     Seen *seen = arg;
     Ring *ring = ring_new(loop, "server");
-    seen->courier[1] = courierNew(loop, loop, ring);
-    courierSetCluster(seen->courier[1], 7);
-    courierHandle(seen->courier[1], MESSAGE_KNOW, &EchoShape, &EchoShape, echo, seen);
-    assert_int_equal(courierListen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
+    seen->courier[1] = courier_new(loop, loop, ring);
+    courier_set_cluster(seen->courier[1], 7);
+    courier_handle(seen->courier[1], MESSAGE_KNOW, &EchoShape, &EchoShape, echo, seen);
+    assert_int_equal(courier_listen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
 }
 
 static void askOne(Seen *seen, int64_t wait_ms)
@@ -51,8 +51,8 @@
     const Echo ask = {41};
     Echo answer = {0};
     const int at = seen->count++;
-    seen->status[at] = courierAsk(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &EchoShape, &ask, wait_ms,
-                                  &EchoShape, &answer);
+    seen->status[at] = courier_ask(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &EchoShape, &ask, wait_ms,
+                                   &EchoShape, &answer);
     seen->number[at] = answer.number;
     talloc_free(mem);
 }
@@ -68,7 +68,7 @@
     loop_sleep(seen->loop[0], 2000);
     askOne(seen, 3000); /* 3: server frozen: answered late */
     askOne(seen, 500);  /* 4: server dead: unreachable */
-    courierSetCluster(seen->courier[0], 8);
+    courier_set_cluster(seen->courier[0], 8);
     loop_sleep(seen->loop[0], 3000);
     askOne(seen, 500); /* 5: of another cluster: stranger */
 }
@@ -77,8 +77,8 @@
 {
     Seen *seen = arg;
     seen->loop[0] = loop;
-    seen->courier[0] = courierNew(loop, loop, ring_new(loop, "client"));
-    courierSetCluster(seen->courier[0], 7);
+    seen->courier[0] = courier_new(loop, loop, ring_new(loop, "client"));
+    courier_set_cluster(seen->courier[0], 7);
     loop_spawn(loop, "client", clientMain, seen);
 }
 
@@ -166,7 +166,7 @@
     simStart(world, other, spoilStart, &spoiler);
     simRunUntil(world, 6000);
     assert_int_equal(spoiler.ended, 6);
-    assert_int_equal(courierCounts(seen.courier[1])->badFrames, 6);
+    assert_int_equal(courier_counts(seen.courier[1])->bad_frames, 6);
     simStart(world, client, clientStart, &seen);
     simRunUntil(world, 7000);
     assert_int_equal(seen.status[0], STATUS_OK);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -283,7 +283,7 @@
         Bytes packed = {0};
         const FetchAnswer answer = {
             .epoch = 9, .revision = 3, .expiry_ms = 2000, .wanted = (RoundId *)(uintptr_t)rounds, .wantedCount = 2};
-        shapePack(&FetchAnswerShape, &answer, mem, &packed);
+        shape_pack(&FetchAnswerShape, &answer, mem, &packed);
         if (i % 3 == 0)
             for (size_t at = 0; at < packed.count; at++)
                 packed.data[at] = (uint8_t)draw(256);
@@ -293,9 +293,9 @@
         packed.count = draw(4) == 0 ? draw(packed.count) : packed.count;
         const Shape *shape = SHAPES[i % (sizeof(SHAPES) / sizeof(SHAPES[0]))];
         uint64_t room[64] = {0}; /* bigger than any of them */
-        if (shapeUnpack(shape, packed, mem, room, NULL) == STATUS_OK) {
+        if (shape_unpack(shape, packed, mem, room, NULL) == STATUS_OK) {
             Bytes again = {0};
-            shapePack(shape, room, mem, &again);
+            shape_pack(shape, room, mem, &again);
             assert_true(again.count > 0);
             good++;
         } else {
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -17,11 +17,11 @@
     Bytes frame = {0};
     const Echo echo = {1};
     assert_int_equal(loop_open(hand->loop, mem, ADDRESS, 500, &channel), STATUS_OK);
-    shapePack(&EchoShape, &echo, mem, &hand->question.payload);
-    shapePack(&OldFrameShape, &hand->question, mem, &frame);
+    shape_pack(&EchoShape, &echo, mem, &hand->question.payload);
+    shape_pack(&OldFrameShape, &hand->question, mem, &frame);
     channel_send(channel, frame);
     hand->answered = channel_receive(channel, mem, loop_now_ms(hand->loop) + 500, &frame) == STATUS_OK &&
-                     shapeUnpack(&OldFrameShape, frame, mem, &hand->answer, NULL) == STATUS_OK;
+                     shape_unpack(&OldFrameShape, frame, mem, &hand->answer, NULL) == STATUS_OK;
     channel_close(channel);
     hand->answer.payload = (Bytes){0};
     talloc_free(mem);
@@ -55,12 +55,12 @@
     Server *server = arg;
     char bound[ADDRESS_MAX];
     server->loop = loop;
-    server->courier = courierNew(loop, loop, ring_new(loop, "server"));
-    courierSetCluster(server->courier, CLUSTER);
+    server->courier = courier_new(loop, loop, ring_new(loop, "server"));
+    courier_set_cluster(server->courier, CLUSTER);
     if (server->self.id != 0)
-        courierSetSelf(server->courier, server->self);
-    courierHandle(server->courier, MESSAGE_KNOW, &EchoShape, &EchoShape, echo, server);
-    assert_int_equal(courierListen(server->courier, ADDRESS, bound, NULL), STATUS_OK);
+        courier_set_self(server->courier, server->self);
+    courier_handle(server->courier, MESSAGE_KNOW, &EchoShape, &EchoShape, echo, server);
+    assert_int_equal(courier_listen(server->courier, ADDRESS, bound, NULL), STATUS_OK);
 }
 
 /* An address is used again by another machine, or by the same one after a restart: what
@@ -71,7 +71,7 @@
     void *mem = talloc_new(NULL);
     SimWorld *world = simWorldNew(mem, 1);
     Asker asker = {0};
-    Server server = {.self = peerLife("gate1", 1000)};
+    Server server = {.self = peer_life("gate1", 1000)};
     const int client = simMachine(world), machine = simMachine(world);
     simStart(world, machine, serverStart, &server);
     simStart(world, client, askerStart, &asker);
@@ -85,9 +85,9 @@
     } NEXT[] = {
         {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
     for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
-        const PeerLife before = peerLife("gate1", 1000);
+        const PeerLife before = peer_life("gate1", 1000);
         simKill(world, machine);
-        server = (Server){.self = peerLife(NEXT[i].id, NEXT[i].life)};
+        server = (Server){.self = peer_life(NEXT[i].id, NEXT[i].life)};
         simStart(world, machine, serverStart, &server);
         runFor(world, 100);
         ask = begin(&asker, before, 41, 500);
@@ -100,7 +100,7 @@
     }
     /* one that has had to say that it is newer is the same process still */
     const PeerLife born = server.self;
-    courierSetSelf(server.courier, peerLife("gate1", 3000));
+    courier_set_self(server.courier, peer_life("gate1", 3000));
     ask = begin(&asker, born, 41, 500);
     runFor(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
@@ -128,7 +128,7 @@
     assert_int_equal(second->status, STATUS_OK);
     assert_int_equal(second->answer.number, 1501);
     assert_int_equal(third->answer.number, 8);
-    assert_int_equal(courierCounts(asker.courier)->lateAnswers, 1);
+    assert_int_equal(courier_counts(asker.courier)->late_answers, 1);
     assert_int_equal(first->answer.number, 0);
     talloc_free(mem);
 }
@@ -207,7 +207,7 @@
     };
     void *mem = talloc_new(NULL);
     SimWorld *world = simWorldNew(mem, 1);
-    Server server = {.self = peerLife("gate1", 1000)};
+    Server server = {.self = peer_life("gate1", 1000)};
     Asker asker = {0};
     const int client = simMachine(world), machine = simMachine(world);
     simStart(world, machine, serverStart, &server);
@@ -221,8 +221,8 @@
         assert_int_equal(one.answer.call, ROWS[i].question.call);
     }
     assert_int_equal(server.served, 1);
-    assert_int_equal(courierCounts(server.courier)->otherVersions, 1);
-    assert_int_equal(courierCounts(server.courier)->strangers, 1);
+    assert_int_equal(courier_counts(server.courier)->other_versions, 1);
+    assert_int_equal(courier_counts(server.courier)->strangers, 1);
     talloc_free(mem);
 }
 
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -31,7 +31,7 @@
 {
     void *mem = talloc_new(NULL);
     Record change = {.change = kind, .index = ++stand->index, .at_ms = viewClockMs(stand->core->view)};
-    shapePack(shape, body, mem, &change.payload);
+    shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
     const ViewState state = tableState(stand->core->table);
     state.deliver(state.arg, &change, &result);
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -206,7 +206,7 @@
         CallerJob *job = talloc_zero(caller, CallerJob);
         job->kind = drawClass(caller);
         job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, classWord(job->kind), n);
-        job->sentMs = loop_now_ms(caller->loop);
+        job->sent_ms = loop_now_ms(caller->loop);
         job->wall_ms = loop_wall_ms(caller->loop);
         if (caller->props.watch.sent != NULL)
             caller->props.watch.sent(caller->props.watch.arg, job->id);
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -131,18 +131,18 @@
                : otherwise;
 }
 
-static const char *textOf(json_object *object, const char *key)
+static const char *text_of(json_object *object, const char *key)
 {
     json_object *value;
     return json_object_object_get_ex(object, key, &value) ? json_object_get_string(value) : "";
 }
 
-static void startTake(StandWorker *worker, json_object *start, int64_t sentMs)
+static void startTake(StandWorker *worker, json_object *start, int64_t sent_ms)
 {
     const int64_t now_ms = loop_now_ms(worker->loop);
-    const char *job = textOf(start, "job");
+    const char *job = text_of(start, "job");
     const uint64_t task = (uint64_t)intOf(start, "task", 0), round = (uint64_t)intOf(start, "round", 0);
-    if (now_ms >= sentMs + intOf(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
+    if (now_ms >= sent_ms + intOf(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
         runFind(worker, job, task, round) != NULL)
         return;
     void *mem = talloc_new(worker);
@@ -163,7 +163,7 @@
     run->times = worker->props.slowTimes > 1 ? worker->props.slowTimes : 1;
     run->saveMs = intOf(payload, "saveMs", 0);
     run->beganMs = now_ms;
-    snprintf(run->saved, sizeof(run->saved), "%s", textOf(start, "saved"));
+    snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
     const char *at = strchr(run->saved, '@');
     run->fromMs = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
     run->endMs = now_ms + (intOf(payload, "runMs", 1000) - run->fromMs) * run->times;
@@ -186,15 +186,15 @@
     loop_spawn(worker->loop, "run", runMain, run);
 }
 
-static void answerTake(StandWorker *worker, json_object *body, int64_t sentMs)
+static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
     const int64_t holdMs = intOf(body, "holdMs", 0);
     const uint64_t fence = (uint64_t)intOf(body, "fence", 0);
     if (fence < worker->fence)
         return;
     worker->fence = fence;
-    if (sentMs + holdMs > worker->until_ms)
-        worker->until_ms = sentMs + holdMs;
+    if (sent_ms + holdMs > worker->until_ms)
+        worker->until_ms = sent_ms + holdMs;
     if (holdOver(worker))
         return;
     if (worker->props.watch.held != NULL)
@@ -205,7 +205,7 @@
         for (size_t i = 0; i < json_object_array_length(list); i++) {
             json_object *one = json_object_array_get_idx(list, i);
             Run *run =
-                runFind(worker, textOf(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
+                runFind(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
             if (run == NULL || !run->ended)
                 continue;
             if (worker->props.watch.known != NULL)
@@ -222,9 +222,9 @@
         for (size_t i = 0; i < json_object_array_length(list); i++) {
             json_object *one = json_object_array_get_idx(list, i);
             Run *run =
-                runFind(worker, textOf(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
+                runFind(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
             if (run == NULL) /* one that has not come yet will be turned away */
-                highestSet(worker, textOf(one, "job"), (uint64_t)intOf(one, "task", 0),
+                highestSet(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0),
                            (uint64_t)intOf(one, "round", 0));
             if (run == NULL || run->ended)
                 continue;
@@ -236,7 +236,7 @@
     /* also while it leaves: that nothing comes then is what is to be shown */
     if (json_object_object_get_ex(body, "starts", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++)
-            startTake(worker, json_object_array_get_idx(list, i), sentMs);
+            startTake(worker, json_object_array_get_idx(list, i), sent_ms);
 }
 
 static json_object *reportOf(StandWorker *worker)
@@ -315,7 +315,7 @@
         talloc_free(last);
         last = worker->props.repeats ? talloc_strdup(worker, text) : NULL;
         json_object_put(body);
-        const int64_t sentMs = loop_now_ms(worker->loop);
+        const int64_t sent_ms = loop_now_ms(worker->loop);
         worker->asking = &call;
         const Status status = loop_call(worker->loop, &call);
         worker->asking = NULL;
@@ -323,7 +323,7 @@
             char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
             json_object *answer = json_tokener_parse(copy);
             if (answer != NULL)
-                answerTake(worker, answer, sentMs);
+                answer_take(worker, answer, sent_ms);
             json_object_put(answer);
         } else if (!call.cut) {
             loop_sleep(worker->loop, 100);
@@ -337,7 +337,7 @@
     StandWorker *worker = talloc_zero(mem, StandWorker);
     worker->loop = loop;
     worker->props = *props;
-    shapeCopy(&WorkerShape, &props->worker, worker, &worker->props.worker);
+    shape_copy(&WorkerShape, &props->worker, worker, &worker->props.worker);
     worker->props.agent = talloc_strdup(worker, props->agent);
     worker->highest = map_new(worker);
     snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loop_random(loop));
--- a/packages/table/src/deliverjob.c
+++ b/packages/table/src/deliverjob.c
@@ -8,7 +8,7 @@
 {
     const Job *known = tableJob(table, add->spec.id);
     if (known != NULL) {
-        result->status = shapeEqual(&JobSpecShape, &known->spec, &add->spec) ? STATUS_OK : STATUS_OTHER_BODY;
+        result->status = shape_equal(&JobSpecShape, &known->spec, &add->spec) ? STATUS_OK : STATUS_OTHER_BODY;
         result->number = known->number;
         return;
     }
--- a/packages/table/src/deliverworker.c
+++ b/packages/table/src/deliverworker.c
@@ -38,7 +38,7 @@
     (void)result;
     Worker *before = map_get(table->workers, set->name);
     Worker *worker = talloc_zero(table->mem, Worker);
-    shapeCopy(&WorkerShape, set, worker, worker);
+    shape_copy(&WorkerShape, set, worker, worker);
     map_set(table->workers, worker->name, worker);
     const size_t at = sortedPlace(table, worker->name);
     if (before == NULL) {
--- a/packages/table/src/deliverzone.c
+++ b/packages/table/src/deliverzone.c
@@ -74,7 +74,7 @@
 {
     const ZoneOrders *before = map_get(table->drains, drain->zone);
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
-    shapeCopy(&ZoneDrainShape, drain, orders, &orders->newest);
+    shape_copy(&ZoneDrainShape, drain, orders, &orders->newest);
     for (size_t i = 0; before != NULL && i < before->count; i++)
         rowAdd(orders, talloc_strdup(orders, before->rows[i].order), before->rows[i].stamp);
     return orders;
--- a/packages/table/src/jobnew.c
+++ b/packages/table/src/jobnew.c
@@ -20,7 +20,7 @@
     /* both at once: a Job that has nothing else is copied as one */
     const Job given = {.spec = *spec, .terms = *terms};
     Job copied;
-    shapeCopyFlat(&JobShape, &given, job, &copied);
+    shape_copy_flat(&JobShape, &given, job, &copied);
     job->spec = copied.spec;
     job->terms = copied.terms;
     JobTask *task = job->tasks;
--- a/packages/table/src/saved.c
+++ b/packages/table/src/saved.c
@@ -48,7 +48,7 @@
     saved.orphans = table->orphans;
     saved.orphansCount = table->orphanCount;
     Bytes packed = {0};
-    shapePack(&SavedShape, &saved, mem, &packed);
+    shape_pack(&SavedShape, &saved, mem, &packed);
     talloc_free(scratch);
     return packed;
 }
@@ -91,7 +91,7 @@
     }
     void *mem = talloc_new(NULL);
     Saved saved;
-    const Status status = shapeUnpack(&SavedShape, bytes, mem, &saved, NULL);
+    const Status status = shape_unpack(&SavedShape, bytes, mem, &saved, NULL);
     if (status == STATUS_OK) {
         tableClear(table);
         for (size_t i = 0; i < saved.jobsCount; i++)
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -102,7 +102,7 @@
         return; /* of a later release */
     void *mem = talloc_new(NULL);
     void *body = talloc_zero_size(mem, shape->size);
-    result->status = shapeUnpack(shape, change->payload, mem, body, NULL);
+    result->status = shape_unpack(shape, change->payload, mem, body, NULL);
     if (result->status == STATUS_OK)
         switch ((ChangeKind)change->change) {
         case CHANGE_JOB_ADD:
--- a/packages/table/test/board.h
+++ b/packages/table/test/board.h
@@ -24,7 +24,7 @@
 {
     void *mem = talloc_new(NULL);
     Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
-    shapePack(shape, body, mem, &change.payload);
+    shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
     const ViewState state = tableState(board->table);
     state.deliver(state.arg, &change, &result);
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -17,7 +17,7 @@
     say(b, "j", 0, round, "w", word, "");
 }
 
-static void wordsCount(void **state)
+static void words_count(void **state)
 {
     (void)state;
     static const struct {
@@ -298,7 +298,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(wordsCount),     cmocka_unit_test(limits),        cmocka_unit_test(lateFailures),
+        cmocka_unit_test(words_count),    cmocka_unit_test(limits),        cmocka_unit_test(lateFailures),
         cmocka_unit_test(olderDone),      cmocka_unit_test(ordersGrow),    cmocka_unit_test(stoppedIsNoLoss),
         cmocka_unit_test(cancelled),      cmocka_unit_test(lasting),       cmocka_unit_test(progress),
         cmocka_unit_test(strangeNumbers), cmocka_unit_test(strangeRounds),
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -310,7 +310,7 @@
     Board b = boardNew();
     void *mem = talloc_new(NULL);
     Bytes bytes = {0};
-    shapePack(&OldSavedShape, &saved, mem, &bytes);
+    shape_pack(&OldSavedShape, &saved, mem, &bytes);
     const ViewState view = tableState(b.table);
     assert_int_equal(view.load(view.arg, bytes), STATUS_OK);
     talloc_free(mem);
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -71,7 +71,7 @@
     trace->courier = courier;
     trace->members = members;
     trace->node = talloc_strdup(trace, node);
-    courierHandle(courier, MESSAGE_TRACE, &TraceAskShape, &TraceAnswerShape, onTrace, trace);
+    courier_handle(courier, MESSAGE_TRACE, &TraceAskShape, &TraceAnswerShape, onTrace, trace);
     return trace;
 }
 
@@ -142,12 +142,12 @@
     Gathering *gathering = part->gathering;
     Trace *trace = gathering->trace;
     TraceAnswer answer = {0};
-    const int64_t sentMs = loop_now_ms(trace->loop);
+    const int64_t sent_ms = loop_now_ms(trace->loop);
     const Status status =
-        courierAskPeer(trace->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
-                       &TraceAskShape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswerShape, &answer);
+        courier_ask_peer(trace->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
+                         &TraceAskShape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswerShape, &answer);
     if (status == STATUS_OK) {
-        rowsAdd(gathering, &answer, (sentMs + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
+        rowsAdd(gathering, &answer, (sent_ms + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
     } else {
         gathering->silent =
             talloc_realloc(gathering, gathering->silent, const char *, (unsigned)gathering->silentCount + 1);
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -11,7 +11,7 @@
 {
     void *mem = talloc_new(view);
     Snapshot snapshot;
-    Status status = shapeUnpack(&SnapshotShape, record->payload, mem, &snapshot, NULL);
+    Status status = shape_unpack(&SnapshotShape, record->payload, mem, &snapshot, NULL);
     if (status == STATUS_OK)
         status = view->props.state.load(view->props.state.arg, snapshot.state);
     if (status == STATUS_OK)
@@ -42,7 +42,7 @@
     size_t at = 0;
     if (view->cluster != 0) {
         records[at] = (Record){.kind = RECORD_CLUSTER, .epoch = view->cluster, .name = ""};
-        shapePack(&SeatListShape, view->founded, mem, &records[at++].payload);
+        shape_pack(&SeatListShape, view->founded, mem, &records[at++].payload);
         records[at++] =
             (Record){.kind = RECORD_PROMISE, .epoch = view->lock.promised, .index = view->lock.holder, .name = ""};
     }
@@ -112,7 +112,7 @@
     snapshot.state = view->props.state.save(view->props.state.arg, mem);
     Record record = {
         .kind = RECORD_SNAPSHOT, .epoch = epoch, .index = view->deliveredIndex, .at_ms = viewClockMs(view), .name = ""};
-    shapePack(&SnapshotShape, &snapshot, mem, &record.payload);
+    shape_pack(&SnapshotShape, &snapshot, mem, &record.payload);
     view->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (view->too_large) {
         ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: a state of %zu bytes can't be a snapshot",
@@ -136,7 +136,7 @@
 static void clusterFound(View *view, const Record *record)
 {
     SeatList *seats = talloc_zero(view, SeatList);
-    if (shapeUnpack(&SeatListShape, record->payload, seats, seats, NULL) == STATUS_OK) {
+    if (shape_unpack(&SeatListShape, record->payload, seats, seats, NULL) == STATUS_OK) {
         talloc_free(view->founded);
         view->founded = seats;
     }
@@ -255,7 +255,7 @@
         view->lock.notBeforeMs = loop_now_ms(view->loop) + LOCK_HOLD_MS;
     view->lock.sure = view->props.disksKeep;
     if (view->cluster != 0)
-        courierSetCluster(view->props.courier, view->cluster);
+        courier_set_cluster(view->props.courier, view->cluster);
     return STATUS_OK;
 }
 
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -22,7 +22,7 @@
                     .at_ms = viewClockMs(view),
                     .change = VIEW_CHANGE_VIEW,
                     .name = ""};
-    shapePack(&ViewRecordShape, &record, mem, &entry.payload);
+    shape_pack(&ViewRecordShape, &record, mem, &entry.payload);
     logAdd(view->log, &entry);
     view->viewIndex = entry.index;
     viewReread(view);
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -67,8 +67,8 @@
     ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
     if (ask->total == 0)
         ask->snapshot.payload = whole;
-    const Status status = courierAsk(view->props.courier, mem, address, MESSAGE_FILL, &FillAskShape, ask,
-                                     VIEW_EXPIRY_MS * 4, &SeatAnswerShape, answer);
+    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_FILL, &FillAskShape, ask,
+                                      VIEW_EXPIRY_MS * 4, &SeatAnswerShape, answer);
     if (!leadPeerOver(lead) && pollReached(status))
         leadAnswered(view, lead->slot, answer);
     talloc_free(mem);
@@ -103,7 +103,7 @@
     }
     void *mem = talloc_new(view);
     FillAsk ask = {.holder = view->disk, .to = lead->disk, .over = peer->refill};
-    shapeCopy(&RecordShape, &view->log->snapshot, mem, &ask.snapshot);
+    shape_copy(&RecordShape, &view->log->snapshot, mem, &ask.snapshot);
     const Bytes whole = ask.snapshot.payload;
     const uint64_t index = ask.snapshot.index;
     if (whole.count > FILL_WHOLE_BYTES) {
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -34,7 +34,7 @@
     const int64_t fromMs = loop_now_ms(view->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loop_stopping(view->loop) && !viewFounded(view) && courierCluster(view->props.courier) == 0) {
+    while (!loop_stopping(view->loop) && !viewFounded(view) && courier_cluster(view->props.courier) == 0) {
         loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
         if (membersLowestEmpty(members) != view->disk) {
@@ -45,7 +45,7 @@
         } else if (loop_now_ms(view->loop) >= fromMs) {
             stands = true;
             const size_t granted = membersVotes(members, view->disk, round, false, &seeds);
-            if (granted < seeds / 2 + 1 || courierCluster(view->props.courier) != 0)
+            if (granted < seeds / 2 + 1 || courier_cluster(view->props.courier) != 0)
                 continue;
             const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
@@ -88,7 +88,7 @@
     View *view = arg;
     const FoundAsk *ask = question;
     (void)mem;
-    const uint64_t known = courierCluster(view->props.courier);
+    const uint64_t known = courier_cluster(view->props.courier);
     Status status = STATUS_STRANGER;
     uint64_t seats[SEAT_FIRST] = {0};
     bool mine = false;
@@ -98,7 +98,7 @@
     }
     if (ask->seatsCount == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
         status = foundNow(view, ask->cluster, seats, SEAT_FIRST);
-    ((FoundAnswer *)answer)->cluster = courierCluster(view->props.courier);
+    ((FoundAnswer *)answer)->cluster = courier_cluster(view->props.courier);
     return status;
 }
 
@@ -113,8 +113,8 @@
         for (int k = 0; k < SEAT_FIRST; k++)
             ask.seats[k].disk = disks[k];
         FoundAnswer answer = {0};
-        courierAsk(view->props.courier, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAskShape,
-                   &ask, ASK_EXPIRY_MS, &FoundAnswerShape, &answer);
+        courier_ask(view->props.courier, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAskShape,
+                    &ask, ASK_EXPIRY_MS, &FoundAnswerShape, &answer);
         talloc_free(mem);
     }
 }
@@ -134,10 +134,10 @@
             if (viewSeats(view, disks) != SEAT_FIRST || membersLeaderId(view->props.members)[0] != '\0')
                 return;
             if (disks[0] == viewDisk(view))
-                offer(view, disks, courierCluster(view->props.courier));
+                offer(view, disks, courier_cluster(view->props.courier));
             continue;
         }
-        if (courierCluster(view->props.courier) != 0 || !threeEmpty(view, disks)) {
+        if (courier_cluster(view->props.courier) != 0 || !threeEmpty(view, disks)) {
             sinceMs = 0;
             continue;
         }
@@ -163,6 +163,6 @@
         loop_spawn(view->loop, "votes", votesMain, view);
     if (view->props.founds != VIEW_FOUNDS_BY_THREE)
         return;
-    courierHandle(view->props.courier, MESSAGE_FOUND, &FoundAskShape, &FoundAnswerShape, onFound, view);
+    courier_handle(view->props.courier, MESSAGE_FOUND, &FoundAskShape, &FoundAnswerShape, onFound, view);
     loop_spawn(view->loop, "found", threeMain, view);
 }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -58,7 +58,7 @@
  *  - seats and last are those of the newest SEATS and VIEW entries in the log,
  *    committed or not;
  *  - a place in seats that nobody has is 0, and so are inView, peers and
- *    hold.sentMs of it;
+ *    hold.sent_ms of it;
  *  - phase is LEADING only after the first entry of epoch was committed;
  *  - of the SEATS entries in the log all but the newest are committed;
  *  - tasks of a lead end when leadTurn is no longer theirs. */
@@ -233,7 +233,7 @@
     uint64_t disks[SEAT_MOST]; /* asked; 0: none at that place */
     Status status[SEAT_MOST];
     SeatAnswer answers[SEAT_MOST];
-    int64_t sentMs[SEAT_MOST];
+    int64_t sent_ms[SEAT_MOST];
 } Poll;
 
 /* Waits until all have answered or can't be reached; once a majority of seats
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -109,11 +109,11 @@
 }
 
 /* It grants the lock as of then, in answer to a question that was sent then. */
-static void granted(View *view, int slot, int64_t sentMs, uint64_t contact)
+static void granted(View *view, int slot, int64_t sent_ms, uint64_t contact)
 {
-    view->peers[slot].renewedMs = sentMs;
+    view->peers[slot].renewedMs = sent_ms;
     if (slot < SEAT_MOST)
-        lockHoldAnswered(&view->hold, slot, sentMs);
+        lockHoldAnswered(&view->hold, slot, sent_ms);
     contactGranted(view, slot, contact);
 }
 
@@ -129,28 +129,28 @@
     for (uint64_t i = peer->nextIndex;
          i <= logLastIndex(view->log) && ask.entriesCount < LOG_BATCH_ENTRIES && bytes < LOG_BATCH_BYTES; i++) {
         bytes += logAt(view->log, i)->payload.count;
-        shapeCopy(&RecordShape, logAt(view->log, i), mem, &ask.entries[ask.entriesCount++]);
+        shape_copy(&RecordShape, logAt(view->log, i), mem, &ask.entries[ask.entriesCount++]);
     }
     const uint64_t match = ask.prevIndex + ask.entriesCount, contact = view->contactAsked;
     SeatAnswer answer = {0};
-    const int64_t sentMs = loop_now_ms(view->loop);
+    const int64_t sent_ms = loop_now_ms(view->loop);
     if (peer->appendSinceMs == INT64_MAX)
-        peer->appendSinceMs = sentMs;
-    const Status status = courierAsk(view->props.courier, mem, address, MESSAGE_APPEND, &AppendAskShape, &ask,
-                                     APPEND_EXPIRY_MS, &SeatAnswerShape, &answer);
+        peer->appendSinceMs = sent_ms;
+    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_APPEND, &AppendAskShape, &ask,
+                                      APPEND_EXPIRY_MS, &SeatAnswerShape, &answer);
     if (!leadPeerOver(lead)) {
         if (pollReached(status))
             leadAnswered(view, lead->slot, &answer);
         if (status == STATUS_OK || status == STATUS_LOG_GAP) {
             peer->appendSinceMs = INT64_MAX;
-            peer->appendTookMs = loop_now_ms(view->loop) - sentMs;
+            peer->appendTookMs = loop_now_ms(view->loop) - sent_ms;
             peer->slowTimes = peer->appendTookMs > SEAT_SLOW_MS ? peer->slowTimes + 1 : 0;
         }
         if (status == STATUS_OK) {
             peer->matchIndex = match;
             peer->nextIndex = match + 1;
             /* a seat that takes an append lets the hold go on as well */
-            granted(view, lead->slot, sentMs, contact);
+            granted(view, lead->slot, sent_ms, contact);
             leadCommit(view);
         } else if (status == STATUS_LOG_GAP) {
             peer->matchIndex = 0; /* a disk may have lost what it had synced */
@@ -235,8 +235,8 @@
     void *mem = talloc_new(view);
     const ProposeAsk ask = {0, view->disk, lead->disk, logLastEpoch(view->log), logLastIndex(view->log)};
     SeatAnswer answer = {0};
-    const Status status = courierAsk(view->props.courier, mem, address, MESSAGE_PROPOSE, &ProposeAskShape, &ask,
-                                     ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
+    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_PROPOSE, &ProposeAskShape, &ask,
+                                      ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
     const bool reached = pollReached(status);
     if (reached && !leadPeerOver(lead))
         leadAnswered(view, lead->slot, &answer);
@@ -244,7 +244,7 @@
     return reached;
 }
 
-static Status renewOne(View *view, const Lead *lead, const char *address, int64_t sentMs)
+static Status renewOne(View *view, const Lead *lead, const char *address, int64_t sent_ms)
 {
     void *mem = talloc_new(view);
     const RenewAsk ask = {
@@ -252,13 +252,13 @@
         lead->disk,  0};
     const uint64_t contact = view->contactAsked;
     SeatAnswer answer = {0};
-    const Status status = courierAsk(view->props.courier, mem, address, MESSAGE_RENEW, &RenewAskShape, &ask,
-                                     ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
+    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_RENEW, &RenewAskShape, &ask,
+                                      ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
     if (!leadPeerOver(lead)) {
         if (pollReached(status))
             leadAnswered(view, lead->slot, &answer);
         if (status == STATUS_OK)
-            granted(view, lead->slot, sentMs, contact);
+            granted(view, lead->slot, sent_ms, contact);
     }
     talloc_free(mem);
     return status;
@@ -274,34 +274,34 @@
     int64_t askedMs = INT64_MIN;
     bool doubt = false;
     while (!leadPeerOver(&lead)) {
-        const int64_t sentMs = loop_now_ms(view->loop);
+        const int64_t sent_ms = loop_now_ms(view->loop);
         char address[ADDRESS_MAX];
         /* appends renew as well; only the rest is told by renewals alone */
         const int64_t lastMs = view->peers[lead.slot].renewedMs;
-        if (lead.disk != view->disk && lastMs != INT64_MIN && askedMs != INT64_MIN && sentMs - lastMs < LOCK_RENEW_MS &&
-            sentMs - askedMs < LOCK_TELL_MS && !contactOwed(view, lead.slot)) {
-            contactRest(view, lead.slot, LOCK_RENEW_MS - (sentMs - lastMs));
+        if (lead.disk != view->disk && lastMs != INT64_MIN && askedMs != INT64_MIN &&
+            sent_ms - lastMs < LOCK_RENEW_MS && sent_ms - askedMs < LOCK_TELL_MS && !contactOwed(view, lead.slot)) {
+            contactRest(view, lead.slot, LOCK_RENEW_MS - (sent_ms - lastMs));
             continue;
         }
         if (lead.disk == view->disk) {
-            if (lockRenew(&view->lock, view->epoch, view->disk, sentMs) == STATUS_OK)
-                lockHoldAnswered(&view->hold, lead.slot, sentMs);
+            if (lockRenew(&view->lock, view->epoch, view->disk, sent_ms) == STATUS_OK)
+                lockHoldAnswered(&view->hold, lead.slot, sent_ms);
             wallTake(view);
         } else if (seatAddress(view, lead.slot, address)) {
             Status status = STATUS_EXPIRED;
             if (doubt) {
                 doubt = !heard(view, &lead, address);
             } else {
-                askedMs = sentMs;
-                status = renewOne(view, &lead, address, sentMs);
+                askedMs = sent_ms;
+                status = renewOne(view, &lead, address, sent_ms);
                 doubt = !pollReached(status);
             }
-            if (askedMs != sentMs && !doubt)
+            if (askedMs != sent_ms && !doubt)
                 continue; /* it answers again: now the renewal */
             if (status == STATUS_OK && !leadPeerOver(&lead) && contactOwed(view, lead.slot))
                 continue; /* another round of contact was asked for meanwhile */
         }
-        const int64_t tookMs = loop_now_ms(view->loop) - sentMs;
+        const int64_t tookMs = loop_now_ms(view->loop) - sent_ms;
         contactRest(view, lead.slot, tookMs < LOCK_RENEW_MS ? LOCK_RENEW_MS - tookMs : 1);
     }
 }
@@ -341,8 +341,8 @@
 {
     Giving *giving = arg;
     SeatAnswer answer = {0};
-    courierAsk(giving->view->props.courier, giving, giving->address, MESSAGE_RELEASE, &RenewAskShape, &giving->ask,
-               ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
+    courier_ask(giving->view->props.courier, giving, giving->address, MESSAGE_RELEASE, &RenewAskShape, &giving->ask,
+                ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
     talloc_free(giving);
 }
 
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -59,8 +59,8 @@
     LogAsk ask = {view->epoch, view->disk, 0, view->deliveredIndex, view->seats[seat]};
     logEpochAt(view->log, ask.afterIndex, &ask.afterEpoch);
     LogAnswer answer = {0};
-    Status status = courierAsk(view->props.courier, mem, address, MESSAGE_LOG, &LogAskShape, &ask, VIEW_EXPIRY_MS * 4,
-                               &LogAnswerShape, &answer);
+    Status status = courier_ask(view->props.courier, mem, address, MESSAGE_LOG, &LogAskShape, &ask, VIEW_EXPIRY_MS * 4,
+                                &LogAnswerShape, &answer);
     if (status == STATUS_OK && view->epoch != view->lock.promised)
         status = STATUS_OLD_EPOCH;
     if (status == STATUS_OK && answer.whole) {
@@ -186,7 +186,7 @@
             (a->logEpoch == b->logEpoch &&
              (a->logIndex > b->logIndex || (a->logIndex == b->logIndex && view->seats[i] == view->disk))))
             opening->best = i;
-        lockHoldAnswered(&view->hold, i, poll->sentMs[i]);
+        lockHoldAnswered(&view->hold, i, poll->sent_ms[i]);
     }
 }
 
@@ -225,7 +225,7 @@
     /* a hold that lapsed before this question was sent was not carried on */
     const int64_t heldUntilMs = lockHoldUntil(&view->hold);
     for (int i = 0; i < SEAT_MOST; i++)
-        opening->newHolder |= poll->status[i] == STATUS_OK && poll->sentMs[i] >= heldUntilMs;
+        opening->newHolder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= heldUntilMs;
     view->reopening = !opening->newHolder;
     if (opening->newHolder)
         lockHoldClear(&view->hold);
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -23,7 +23,7 @@
     talloc_free(arg);
     const int i = part.seat;
     char address[ADDRESS_MAX];
-    poll->sentMs[i] = loop_now_ms(view->loop);
+    poll->sent_ms[i] = loop_now_ms(view->loop);
     if (poll->disks[i] == view->disk) {
         const Status status = seatPropose(view, &poll->ask);
         seatDescribe(view, poll, &poll->answers[i]);
@@ -32,8 +32,8 @@
         SeatAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
-        const Status status = courierAsk(view->props.courier, poll, address, MESSAGE_PROPOSE, &ProposeAskShape, &ask,
-                                         ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
+        const Status status = courier_ask(view->props.courier, poll, address, MESSAGE_PROPOSE, &ProposeAskShape, &ask,
+                                          ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -200,7 +200,7 @@
 {
     Record promise;
     size_t count = 0;
-    if (view->cluster == 0 && courierCluster(view->props.courier) == 0)
+    if (view->cluster == 0 && courier_cluster(view->props.courier) == 0)
         return STATUS_STRANGER;
     if (viewDiskFailed(view))
         return STATUS_DISK_FAILED;
@@ -259,7 +259,7 @@
     view->queuedIndex = logLastIndex(view->log);
     viewReread(view);
     if (view->cluster == 0) {
-        view->cluster = courierCluster(view->props.courier);
+        view->cluster = courier_cluster(view->props.courier);
         seatsFounded(view, view->list);
         membersSetEmpty(view->props.members, false);
     }
@@ -280,12 +280,12 @@
     if (!logEpochAt(log, from, &epoch) || epoch != ask->afterEpoch) {
         answer->whole = log->snapshot.kind == RECORD_SNAPSHOT;
         if (answer->whole)
-            shapeCopy(&RecordShape, &log->snapshot, mem, &answer->snapshot);
+            shape_copy(&RecordShape, &log->snapshot, mem, &answer->snapshot);
         from = log->baseIndex;
     }
     answer->entries = talloc_array(mem, Record, (unsigned)(logLastIndex(log) - from));
     for (uint64_t i = from + 1; i <= logLastIndex(log); i++)
-        shapeCopy(&RecordShape, logAt(log, i), mem, &answer->entries[answer->entriesCount++]);
+        shape_copy(&RecordShape, logAt(log, i), mem, &answer->entries[answer->entriesCount++]);
 }
 
 /* --- handlers ------------------------------------------------------------------ */
@@ -381,10 +381,10 @@
 void seatServe(View *view)
 {
     Courier *courier = view->props.courier;
-    courierHandle(courier, MESSAGE_PROPOSE, &ProposeAskShape, &SeatAnswerShape, onPropose, view);
-    courierHandle(courier, MESSAGE_RENEW, &RenewAskShape, &SeatAnswerShape, onRenew, view);
-    courierHandle(courier, MESSAGE_RELEASE, &RenewAskShape, &SeatAnswerShape, onRelease, view);
-    courierHandle(courier, MESSAGE_APPEND, &AppendAskShape, &SeatAnswerShape, onAppend, view);
-    courierHandle(courier, MESSAGE_FILL, &FillAskShape, &SeatAnswerShape, onFill, view);
-    courierHandle(courier, MESSAGE_LOG, &LogAskShape, &LogAnswerShape, onLog, view);
+    courier_handle(courier, MESSAGE_PROPOSE, &ProposeAskShape, &SeatAnswerShape, onPropose, view);
+    courier_handle(courier, MESSAGE_RENEW, &RenewAskShape, &SeatAnswerShape, onRenew, view);
+    courier_handle(courier, MESSAGE_RELEASE, &RenewAskShape, &SeatAnswerShape, onRelease, view);
+    courier_handle(courier, MESSAGE_APPEND, &AppendAskShape, &SeatAnswerShape, onAppend, view);
+    courier_handle(courier, MESSAGE_FILL, &FillAskShape, &SeatAnswerShape, onFill, view);
+    courier_handle(courier, MESSAGE_LOG, &LogAskShape, &LogAnswerShape, onLog, view);
 }
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -48,13 +48,13 @@
 {
     talloc_free(view->founded);
     view->founded = talloc_zero(view, SeatList);
-    shapeCopy(&SeatListShape, list, view->founded, view->founded);
+    shape_copy(&SeatListShape, list, view->founded, view->founded);
 }
 
 void seatsTake(View *view, const SeatList *list, uint64_t index)
 {
     SeatList *copy = talloc_zero(view, SeatList);
-    shapeCopy(&SeatListShape, list, copy, copy);
+    shape_copy(&SeatListShape, list, copy, copy);
     talloc_free(view->list);
     view->list = copy;
     view->listIndex = index;
@@ -68,7 +68,7 @@
         view->seats[i] = disk;
         view->inView[i] = false;
         view->peers[i] = (Peer){.nextIndex = UINT64_MAX, .renewedMs = INT64_MIN, .appendSinceMs = INT64_MAX};
-        view->hold.sentMs[i] = INT64_MIN;
+        view->hold.sent_ms[i] = INT64_MIN;
     }
     view->hold.seats = view->seatCount;
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -119,7 +119,7 @@
 {
     talloc_free(view->lastMem);
     view->lastMem = talloc_new(view);
-    shapeCopy(&ViewRecordShape, record, view->lastMem, &view->last);
+    shape_copy(&ViewRecordShape, record, view->lastMem, &view->last);
 }
 
 /* The list that a majority has committed may only be followed by later ones. */
@@ -147,19 +147,19 @@
     for (size_t i = view->log->count; i > 0 && (seats == NULL || last == NULL); i--) {
         const Record *entry = &view->log->entries[i - 1];
         if (entry->change == VIEW_CHANGE_SEATS && seats == NULL &&
-            shapeUnpack(&SeatListShape, entry->payload, mem, &seatList, NULL) == STATUS_OK) {
+            shape_unpack(&SeatListShape, entry->payload, mem, &seatList, NULL) == STATUS_OK) {
             seats = &seatList;
             seatsIndex = entry->index;
         }
         if (entry->change == VIEW_CHANGE_REPAIRED && last == NULL)
             repaired = true;
         if (entry->change == VIEW_CHANGE_VIEW && last == NULL &&
-            shapeUnpack(&ViewRecordShape, entry->payload, mem, &viewRecord, NULL) == STATUS_OK)
+            shape_unpack(&ViewRecordShape, entry->payload, mem, &viewRecord, NULL) == STATUS_OK)
             last = &viewRecord;
     }
     Snapshot snapshot;
     if ((seats == NULL || last == NULL) && view->log->snapshot.kind == RECORD_SNAPSHOT &&
-        shapeUnpack(&SnapshotShape, view->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
+        shape_unpack(&SnapshotShape, view->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
         if (seats == NULL) {
             seatList = (SeatList){snapshot.seats, snapshot.seatsCount, snapshot.cores, snapshot.coresCount};
             seats = &seatList;
@@ -257,7 +257,7 @@
     view->cluster = cluster;
     seatsFounded(view, seats);
     viewReread(view);
-    courierSetCluster(view->props.courier, cluster);
+    courier_set_cluster(view->props.courier, cluster);
     membersSetEmpty(view->props.members, false);
     void *mem = talloc_new(view);
     size_t count;
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -114,7 +114,7 @@
 {
     void *mem = talloc_new(view);
     Bytes payload = {0};
-    shapePack(&SeatListShape, seatsWith(view, mem, place, disk), mem, &payload);
+    shape_pack(&SeatListShape, seatsWith(view, mem, place, disk), mem, &payload);
     ChangeResult result;
     const Status status = viewSubmit(view, VIEW_CHANGE_SEATS, payload, &result);
     talloc_free(mem);
@@ -145,7 +145,7 @@
     const Peer peer = view->peers[SEAT_MOST + learner];
     void *mem = talloc_new(view);
     Bytes payload = {0};
-    shapePack(&SeatListShape, seatsWith(view, mem, place, disk), mem, &payload);
+    shape_pack(&SeatListShape, seatsWith(view, mem, place, disk), mem, &payload);
     const Status status = viewOffer(view, VIEW_CHANGE_SEATS, payload);
     talloc_free(mem);
     if (status != STATUS_OK || view->seats[place] != disk)
--- a/packages/view/src/window.c
+++ b/packages/view/src/window.c
@@ -26,7 +26,7 @@
         return false;
     void *mem = talloc_new(NULL);
     SeatList list;
-    const bool whole = shapeUnpack(&SeatListShape, entry->payload, mem, &list, NULL) == STATUS_OK;
+    const bool whole = shape_unpack(&SeatListShape, entry->payload, mem, &list, NULL) == STATUS_OK;
     *count = 0;
     for (size_t i = 0; whole && i < list.seatsCount && i < VIEW_VOTERS_MAX; i++)
         if (list.seats[i].disk != 0)
--- a/packages/wire/include/wire/shape.h
+++ b/packages/wire/include/wire/shape.h
@@ -39,8 +39,8 @@
     const char *name;
     ShapeKind kind;
     size_t offset;
-    size_t countOffset; /* lists: where their count stands */
-    const Shape *of;    /* ONE and LST */
+    size_t count_offset; /* lists: where their count stands */
+    const Shape *of;     /* ONE and LST */
 } ShapeField;
 
 struct Shape {
@@ -56,11 +56,11 @@
 #define SHAPE_MEMBER_BIN(name, of) Bytes name;
 #define SHAPE_MEMBER_TXS(name, of) \
     const char **name;             \
-    size_t name##Count;
+    size_t name##_count;
 #define SHAPE_MEMBER_ONE(name, of) of name;
 #define SHAPE_MEMBER_LST(name, of) \
     of *name;                      \
-    size_t name##Count;
+    size_t name##_count;
 #define SHAPE_MEMBER_RAM(name, of) of name;
 #define SHAPE_MEMBER(kind, name, of) SHAPE_MEMBER_##kind(name, of)
 
@@ -68,7 +68,7 @@
     typedef struct Type {    \
         FIELDS(SHAPE_MEMBER) \
     } Type;                  \
-    extern const Shape Type##Shape;
+    extern const Shape Type##_shape;
 
 #define SHAPE_ROW_PLAIN(kind, name) {#name, SHAPE_##kind, offsetof(ShapeOwner, name), 0, NULL},
 #define SHAPE_ROW_U64(name, of) SHAPE_ROW_PLAIN(U64, name)
@@ -76,30 +76,31 @@
 #define SHAPE_ROW_FLAG(name, of) SHAPE_ROW_PLAIN(FLAG, name)
 #define SHAPE_ROW_TXT(name, of) SHAPE_ROW_PLAIN(TXT, name)
 #define SHAPE_ROW_BIN(name, of) SHAPE_ROW_PLAIN(BIN, name)
-#define SHAPE_ROW_TXS(name, of) {#name, SHAPE_TXS, offsetof(ShapeOwner, name), offsetof(ShapeOwner, name##Count), NULL},
-#define SHAPE_ROW_ONE(name, of) {#name, SHAPE_ONE, offsetof(ShapeOwner, name), 0, &of##Shape},
+#define SHAPE_ROW_TXS(name, of) \
+    {#name, SHAPE_TXS, offsetof(ShapeOwner, name), offsetof(ShapeOwner, name##_count), NULL},
+#define SHAPE_ROW_ONE(name, of) {#name, SHAPE_ONE, offsetof(ShapeOwner, name), 0, &of##_shape},
 #define SHAPE_ROW_LST(name, of) \
-    {#name, SHAPE_LST, offsetof(ShapeOwner, name), offsetof(ShapeOwner, name##Count), &of##Shape},
+    {#name, SHAPE_LST, offsetof(ShapeOwner, name), offsetof(ShapeOwner, name##_count), &of##_shape},
 #define SHAPE_ROW_RAM(name, of)
 #define SHAPE_ROW(kind, name, of) SHAPE_ROW_##kind(name, of)
 
 #define SHAPE_TABLE(Type, FIELDS)                             \
-    static const ShapeField *Type##Fields(size_t *count)      \
+    static const ShapeField *Type##_fields(size_t *count)     \
     {                                                         \
         typedef Type ShapeOwner;                              \
         static const ShapeField ROWS[] = {FIELDS(SHAPE_ROW)}; \
         *count = sizeof(ROWS) / sizeof(ROWS[0]);              \
         return ROWS;                                          \
     }                                                         \
-    const Shape Type##Shape = {#Type, sizeof(Type), Type##Fields};
+    const Shape Type##_shape = {#Type, sizeof(Type), Type##_fields};
 
-void shapePack(const Shape *shape, const void *from, void *mem, Bytes *to);
+void shape_pack(const Shape *shape, const void *from, void *mem, Bytes *to);
 /* Checks all; the result hangs on mem. BAD_FRAME with the field's name. */
-Status shapeUnpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure);
+Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure);
 /* A deep copy on mem. */
-void shapeCopy(const Shape *shape, const void *from, void *mem, void *to);
+void shape_copy(const Shape *shape, const void *from, void *mem, void *to);
 /* The same in one block on mem: parts of it can't be freed, its Bytes are borrowed. */
-void shapeCopyFlat(const Shape *shape, const void *from, void *mem, void *to);
-bool shapeEqual(const Shape *shape, const void *a, const void *b);
+void shape_copy_flat(const Shape *shape, const void *from, void *mem, void *to);
+bool shape_equal(const Shape *shape, const void *a, const void *b);
 
 #endif
--- a/packages/wire/src/courier.c
+++ b/packages/wire/src/courier.c
@@ -15,29 +15,29 @@
 #undef X
 };
 
-bool courierOpenKind(uint64_t kind)
+bool courier_open_kind(uint64_t kind)
 {
     return kind < MESSAGE_MAX && KINDS[kind].open;
 }
 
-bool courierSameCluster(uint64_t a, uint64_t b)
+bool courier_same_cluster(uint64_t a, uint64_t b)
 {
     return a == 0 || b == 0 || a == b;
 }
 
-PeerLife peerLife(const char *id, uint64_t life)
+PeerLife peer_life(const char *id, uint64_t life)
 {
     return (PeerLife){bytes_crc(id, strlen(id)), life};
 }
 
-void courierSetSelf(Courier *courier, PeerLife self)
+void courier_set_self(Courier *courier, PeerLife self)
 {
     if (courier->self.id == 0)
-        courier->bornLife = self.life;
+        courier->born_life = self.life;
     courier->self = self;
 }
 
-Courier *courierNew(void *mem, Loop *loop, Ring *ring)
+Courier *courier_new(void *mem, Loop *loop, Ring *ring)
 {
     Courier *courier = talloc_zero(mem, Courier);
     courier->loop = loop;
@@ -46,22 +46,22 @@
     return courier;
 }
 
-void courierSetCluster(Courier *courier, uint64_t cluster)
+void courier_set_cluster(Courier *courier, uint64_t cluster)
 {
     courier->cluster = cluster;
 }
 
-uint64_t courierCluster(const Courier *courier)
+uint64_t courier_cluster(const Courier *courier)
 {
     return courier->cluster;
 }
 
-const CourierCounts *courierCounts(const Courier *courier)
+const CourierCounts *courier_counts(const Courier *courier)
 {
     return &courier->counts;
 }
 
-void courierHandle(Courier *courier, MessageKind kind, const Shape *ask, const Shape *answer, CourierFn fn, void *arg)
+void courier_handle(Courier *courier, MessageKind kind, const Shape *ask, const Shape *answer, CourierFn fn, void *arg)
 {
     courier->handlers[kind] = (Handler){ask, answer, fn, arg};
 }
@@ -80,7 +80,7 @@
     Envelope envelope;
 } Question;
 
-static void servedLeave(Served *served)
+static void served_leave(Served *served)
 {
     if (--served->users > 0)
         return;
@@ -88,7 +88,7 @@
     talloc_free(served);
 }
 
-static void answerSend(Served *served, void *mem, const Envelope *question, Status status, Bytes payload)
+static void answer_send(Served *served, void *mem, const Envelope *question, Status status, Bytes payload)
 {
     const Courier *courier = served->courier;
     const Envelope envelope = {.version = WIRE_VERSION,
@@ -99,13 +99,13 @@
                                .status = (uint64_t)status,
                                .payload = payload,
                                .peer = courier->self.id,
-                               .peerLife = courier->self.life};
+                               .peer_life = courier->self.life};
     Bytes frame = {0};
-    shapePack(&EnvelopeShape, &envelope, mem, &frame);
+    shape_pack(&Envelope_shape, &envelope, mem, &frame);
     channel_send(served->channel, frame);
 }
 
-void courierNoteRefused(Courier *courier, Status status, const char *what, const Envelope *envelope)
+void courier_note_refused(Courier *courier, Status status, const char *what, const Envelope *envelope)
 {
     const uint64_t count = ++courier->refused;
     if ((count & (count - 1)) == 0) /* the first, the second, the fourth: the log is not filled by them */
@@ -117,88 +117,88 @@
 
 /* Whether a question is one for this process: of its version, its cluster, and meant for
  * it in its present life. One that is not is refused, and certainly not carried out. */
-static Status questionCheck(Courier *courier, const Envelope *envelope)
+static Status question_check(Courier *courier, const Envelope *envelope)
 {
     const PeerLife *self = &courier->self;
     if (envelope->version != WIRE_VERSION) {
-        courier->counts.otherVersions++;
+        courier->counts.other_versions++;
         return STATUS_OTHER_VERSION;
     }
-    if (!courierSameCluster(envelope->cluster, courier->cluster) ||
-        ((envelope->cluster == 0 || courier->cluster == 0) && !courierOpenKind(envelope->kind))) {
+    if (!courier_same_cluster(envelope->cluster, courier->cluster) ||
+        ((envelope->cluster == 0 || courier->cluster == 0) && !courier_open_kind(envelope->kind))) {
         courier->counts.strangers++;
         return STATUS_STRANGER;
     }
     if (envelope->peer == 0 || self->id == 0)
         return STATUS_OK; /* whoever stands here was asked, or by an earlier release */
     if (envelope->peer != self->id) {
-        courier->counts.otherPeers++;
+        courier->counts.other_peers++;
         return STATUS_OTHER_PEER;
     }
-    if (envelope->peerLife != self->life && envelope->peerLife != courier->bornLife) {
-        courier->counts.otherLives++;
+    if (envelope->peer_life != self->life && envelope->peer_life != courier->born_life) {
+        courier->counts.other_lives++;
         return STATUS_OTHER_LIFE;
     }
     return STATUS_OK;
 }
 
-static void noteBad(Courier *courier, const char *text)
+static void note_bad(Courier *courier, const char *text)
 {
-    courier->counts.badFrames++;
+    courier->counts.bad_frames++;
     ring_say(courier->ring, RING_NOTE, loop_now_ms(courier->loop), "bad frame, connection ended: %s", text);
 }
 
-static Status questionServe(Question *question, Bytes *payload)
+static Status question_serve(Question *question, Bytes *payload)
 {
     Served *served = question->served;
     Courier *courier = served->courier;
     const Envelope *envelope = &question->envelope;
     const Handler *handler = &courier->handlers[envelope->kind];
-    Status status = questionCheck(courier, envelope);
+    Status status = question_check(courier, envelope);
     if (status != STATUS_OK) {
-        courierNoteRefused(courier, status, "a question", envelope);
+        courier_note_refused(courier, status, "a question", envelope);
         return status;
     }
     void *ask = talloc_zero_size(question, handler->ask->size);
     void *answer = talloc_zero_size(question, handler->answer->size);
     Failure failure = {0};
-    status = shapeUnpack(handler->ask, envelope->payload, question, ask, &failure);
+    status = shape_unpack(handler->ask, envelope->payload, question, ask, &failure);
     if (status != STATUS_OK) {
-        noteBad(courier, failure.text);
+        note_bad(courier, failure.text);
         channel_shut(served->channel);
         return status;
     }
     status = handler->fn(handler->arg, question, ask, answer);
-    shapePack(handler->answer, answer, question, payload);
+    shape_pack(handler->answer, answer, question, payload);
     courier->counts.served++;
     return status;
 }
 
-static void questionMain(void *arg)
+static void question_main(void *arg)
 {
     Question *question = arg;
     Served *served = question->served;
     Bytes payload = {0};
-    const Status status = questionServe(question, &payload);
-    answerSend(served, question, &question->envelope, status, payload);
-    servedLeave(served);
+    const Status status = question_serve(question, &payload);
+    answer_send(served, question, &question->envelope, status, payload);
+    served_leave(served);
     talloc_free(question);
 }
 
 /* Takes a frame as a question; false: the connection is to end. */
-static bool questionRead(Served *served, Question *question, Bytes frame)
+static bool question_read(Served *served, Question *question, Bytes frame)
 {
     Courier *courier = served->courier;
     Envelope *envelope = &question->envelope;
     Failure failure = {0};
-    if (shapeUnpack(&EnvelopeShape, frame, question, envelope, &failure) != STATUS_OK || envelope->answer) {
-        noteBad(courier, envelope->answer ? "an answer where a question belongs" : failure.text);
+    if (shape_unpack(&Envelope_shape, frame, question, envelope, &failure) != STATUS_OK || envelope->answer) {
+        note_bad(courier, envelope->answer ? "an answer where a question belongs" : failure.text);
         return false;
     }
     if (envelope->kind >= MESSAGE_MAX || courier->handlers[envelope->kind].fn == NULL) {
         /* of a later release, or meant for another role: certainly not carried out */
-        answerSend(served, question, envelope, STATUS_UNKNOWN_QUESTION, (Bytes){0});
-        noteBad(courier, "a question that is not known here");
+        answer_send(served, question, envelope, STATUS_UNKNOWN_QUESTION, (Bytes){0});
+        note_bad(courier, "a question that is not known here");
         return false;
     }
     return true;
@@ -213,19 +213,19 @@
         Question *question = talloc_zero(courier, Question);
         Bytes frame;
         if (channel_receive(channel, question, INT64_MAX, &frame) != STATUS_OK ||
-            !questionRead(served, question, frame)) {
+            !question_read(served, question, frame)) {
             talloc_free(question);
             break;
         }
         question->served = served;
         served->users++;
-        loop_spawn(courier->loop, "question", questionMain, question);
+        loop_spawn(courier->loop, "question", question_main, question);
     }
     channel_shut(channel);
-    servedLeave(served);
+    served_leave(served);
 }
 
-Status courierListen(Courier *courier, const char *address, char bound[ADDRESS_MAX], Failure *failure)
+Status courier_listen(Courier *courier, const char *address, char bound[ADDRESS_MAX], Failure *failure)
 {
     return loop_listen(courier->loop, address, serve, courier, bound, failure);
 }
--- a/packages/wire/src/envelope.h
+++ b/packages/wire/src/envelope.h
@@ -3,7 +3,7 @@
 
 #include "wire/shape.h"
 
-/* What goes round every message. answer is false for a question. peer and peerLife: of a
+/* What goes round every message. answer is false for a question. peer and peer_life: of a
  * question, the process that it is meant for; of an answer, the one that gives it; 0: not
  * said, as releases before did not. */
 #define ENVELOPE_FIELDS(X) \
@@ -15,7 +15,7 @@
     X(U64, status, 0)      \
     X(BIN, payload, 0)     \
     X(U64, peer, 0)        \
-    X(U64, peerLife, 0)
+    X(U64, peer_life, 0)
 SHAPE(Envelope, ENVELOPE_FIELDS)
 
 #endif
--- a/packages/wire/src/flat.c
+++ b/packages/wire/src/flat.c
@@ -13,7 +13,7 @@
     size_t at;
 } Flat;
 
-static void *flatTake(Flat *flat, size_t bytes, size_t align)
+static void *flat_take(Flat *flat, size_t bytes, size_t align)
 {
     flat->at = (flat->at + align - 1) / align * align;
     void *here = flat->block != NULL ? flat->block + flat->at : NULL;
@@ -21,10 +21,10 @@
     return here;
 }
 
-static void flatText(Flat *flat, const char *from, const char **to)
+static void flat_text(Flat *flat, const char *from, const char **to)
 {
     const size_t length = from != NULL ? strlen(from) : 0;
-    char *here = length > 0 ? flatTake(flat, length + 1, 1) : NULL;
+    char *here = length > 0 ? flat_take(flat, length + 1, 1) : NULL;
     if (flat->block == NULL)
         return;
     if (length > 0)
@@ -32,29 +32,29 @@
     *to = length > 0 ? here : "";
 }
 
-static void flatShape(Flat *flat, const Shape *shape, const void *from, void *to)
+static void flat_shape(Flat *flat, const Shape *shape, const void *from, void *to)
 {
-    size_t fieldCount;
-    const ShapeField *fields = shape->fields(&fieldCount);
+    size_t field_count;
+    const ShapeField *fields = shape->fields(&field_count);
     const bool lays = flat->block != NULL;
     if (lays)
         memcpy(to, from, shape->size);
-    for (size_t i = 0; i < fieldCount; i++) {
+    for (size_t i = 0; i < field_count; i++) {
         const ShapeField *field = &fields[i];
         const void *source = (const uint8_t *)from + field->offset;
         void *at = lays ? (uint8_t *)to + field->offset : NULL;
-        const size_t count = field->countOffset ? *(const size_t *)((const uint8_t *)from + field->countOffset) : 0;
+        const size_t count = field->count_offset ? *(const size_t *)((const uint8_t *)from + field->count_offset) : 0;
         switch (field->kind) {
         case SHAPE_U64:
         case SHAPE_I64:
         case SHAPE_FLAG:
             break;
         case SHAPE_TXT:
-            flatText(flat, *(const char *const *)source, at);
+            flat_text(flat, *(const char *const *)source, at);
             break;
         case SHAPE_BIN: {
             const Bytes *bytes = source;
-            uint8_t *here = flatTake(flat, bytes->count, 1);
+            uint8_t *here = flat_take(flat, bytes->count, 1);
             if (lays && bytes->count > 0)
                 memcpy(here, bytes->data, bytes->count);
             if (lays) /* borrowed: nothing may be added to it */
@@ -62,21 +62,21 @@
             break;
         }
         case SHAPE_TXS: {
-            const char **here = flatTake(flat, count * sizeof(*here), ALIGN_BYTES);
+            const char **here = flat_take(flat, count * sizeof(*here), ALIGN_BYTES);
             for (size_t k = 0; k < count; k++)
-                flatText(flat, (*(const char **const *)source)[k], lays ? &here[k] : NULL);
+                flat_text(flat, (*(const char **const *)source)[k], lays ? &here[k] : NULL);
             if (lays)
                 *(const char ***)at = count > 0 ? here : NULL;
             break;
         }
         case SHAPE_ONE:
-            flatShape(flat, field->of, source, at);
+            flat_shape(flat, field->of, source, at);
             break;
         case SHAPE_LST: {
             const size_t each = field->of->size;
-            uint8_t *here = flatTake(flat, count * each, ALIGN_BYTES);
+            uint8_t *here = flat_take(flat, count * each, ALIGN_BYTES);
             for (size_t k = 0; k < count; k++)
-                flatShape(flat, field->of, *(const uint8_t *const *)source + k * each, lays ? here + k * each : NULL);
+                flat_shape(flat, field->of, *(const uint8_t *const *)source + k * each, lays ? here + k * each : NULL);
             if (lays)
                 *(uint8_t **)at = count > 0 ? here : NULL;
             break;
@@ -85,11 +85,11 @@
     }
 }
 
-void shapeCopyFlat(const Shape *shape, const void *from, void *mem, void *to)
+void shape_copy_flat(const Shape *shape, const void *from, void *mem, void *to)
 {
     Flat flat = {0};
-    flatShape(&flat, shape, from, NULL);
+    flat_shape(&flat, shape, from, NULL);
     uint8_t none[ALIGN_BYTES];
     flat = (Flat){flat.at > 0 ? talloc_size(mem, flat.at) : none, 0};
-    flatShape(&flat, shape, from, to);
+    flat_shape(&flat, shape, from, to);
 }
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -16,21 +16,21 @@
     Loop *loop;
     Ring *ring;
     uint64_t cluster;
-    PeerLife self;     /* what this process says that it is */
-    uint64_t bornLife; /* ... and said first */
-    uint64_t refused;  /* frames that were another's */
-    uint64_t lastCall; /* never used again in this process's life, on whatever line */
+    PeerLife self;      /* what this process says that it is */
+    uint64_t born_life; /* ... and said first */
+    uint64_t refused;   /* frames that were another's */
+    uint64_t last_call; /* never used again in this process's life, on whatever line */
     Map *lines;
     Handler handlers[MESSAGE_MAX];
     CourierCounts counts;
 };
 
 /* Whether a question of this kind may be asked and answered before a cluster is known. */
-bool courierOpenKind(uint64_t kind);
+bool courier_open_kind(uint64_t kind);
 /* Whether two clusters, as far as they are known, are one. */
-bool courierSameCluster(uint64_t a, uint64_t b);
+bool courier_same_cluster(uint64_t a, uint64_t b);
 
 /* Tells the log of a frame that is not taken. */
-void courierNoteRefused(Courier *courier, Status status, const char *what, const Envelope *envelope);
+void courier_note_refused(Courier *courier, Status status, const char *what, const Envelope *envelope);
 
 #endif
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -11,8 +11,8 @@
     uint64_t call;
     MessageKind kind;
     PeerLife meant;
-    uint64_t sentUpTo; /* of the line's channel, when it was sent */
-    int64_t sentMs;
+    uint64_t sent_up_to; /* of the line's channel, when it was sent */
+    int64_t sent_ms;
     bool done;
     Status status;
     void *mem;
@@ -33,7 +33,7 @@
     unsigned misses;
 } Line;
 
-static Asking *askingTake(Line *line, uint64_t call)
+static Asking *asking_take(Line *line, uint64_t call)
 {
     for (Asking **at = &line->asking; *at != NULL; at = &(*at)->next)
         if ((*at)->call == call) {
@@ -44,36 +44,36 @@
     return NULL;
 }
 
-static void askingEnd(Line *line, Asking *asking, Status status)
+static void asking_end(Line *line, Asking *asking, Status status)
 {
-    askingTake(line, asking->call);
+    asking_take(line, asking->call);
     asking->done = true;
     asking->status = status;
     signal_raise(line->courier->loop, &asking->answered);
 }
 
 /* Whether an answer is that of the process that was asked, as far as both say who it is. */
-static bool fromMeant(const Asking *asking, const Envelope *envelope)
+static bool from_meant(const Asking *asking, const Envelope *envelope)
 {
     return asking->meant.id == 0 || envelope->peer == 0 ||
-           (envelope->peer == asking->meant.id && envelope->peerLife >= asking->meant.life);
+           (envelope->peer == asking->meant.id && envelope->peer_life >= asking->meant.life);
 }
 
 /* How the answer to a question that is on the line is to be taken. A refusal by another
  * process, cluster or life is one as well: it says that nothing was carried out. */
-static Status answerCheck(Courier *courier, const Asking *asking, const Envelope *envelope)
+static Status answer_check(Courier *courier, const Asking *asking, const Envelope *envelope)
 {
     const Status status = envelope->status < STATUS_COUNT ? (Status)envelope->status : STATUS_INTERNAL;
     if (envelope->version != WIRE_VERSION) {
-        courier->counts.otherVersions++;
+        courier->counts.other_versions++;
         return STATUS_OTHER_VERSION;
     }
-    if (!courierSameCluster(envelope->cluster, courier->cluster)) {
+    if (!courier_same_cluster(envelope->cluster, courier->cluster)) {
         courier->counts.strangers++;
         return STATUS_STRANGER;
     }
-    if (!fromMeant(asking, envelope)) {
-        courier->counts.otherPeers++;
+    if (!from_meant(asking, envelope)) {
+        courier->counts.other_peers++;
         return status != STATUS_OK ? status : STATUS_CLOSED; /* whoever it is may have carried it out */
     }
     return status;
@@ -81,37 +81,37 @@
 
 /* Takes a frame as an answer. False: the line is to end, for what came on it can't be
  * trusted. An answer to a question that was given up goes to nobody. */
-static bool answerTake(Line *line, Bytes frame, void *mem)
+static bool answer_take(Line *line, Bytes frame, void *mem)
 {
     Courier *courier = line->courier;
     Envelope envelope = {0};
-    if (shapeUnpack(&EnvelopeShape, frame, mem, &envelope, NULL) != STATUS_OK || !envelope.answer) {
-        courier->counts.badFrames++;
+    if (shape_unpack(&Envelope_shape, frame, mem, &envelope, NULL) != STATUS_OK || !envelope.answer) {
+        courier->counts.bad_frames++;
         return false;
     }
-    Asking *asking = askingTake(line, envelope.call);
+    Asking *asking = asking_take(line, envelope.call);
     if (asking == NULL) {
-        courier->counts.lateAnswers++;
+        courier->counts.late_answers++;
         return true;
     }
     if (envelope.kind != asking->kind) {
-        courier->counts.otherKinds++;
-        courierNoteRefused(courier, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
-        askingEnd(line, asking, STATUS_CLOSED);
+        courier->counts.other_kinds++;
+        courier_note_refused(courier, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
+        asking_end(line, asking, STATUS_CLOSED);
         return false;
     }
-    const Status status = answerCheck(courier, asking, &envelope);
+    const Status status = answer_check(courier, asking, &envelope);
     if (status == (Status)envelope.status) {
         asking->payload = envelope.payload;
         talloc_steal(asking->mem, envelope.payload.data);
     } else {
-        courierNoteRefused(courier, status, "an answer", &envelope);
+        courier_note_refused(courier, status, "an answer", &envelope);
     }
-    askingEnd(line, asking, status);
+    asking_end(line, asking, status);
     return true;
 }
 
-static void lineMain(void *arg)
+static void line_main(void *arg)
 {
     Line *line = arg;
     Courier *courier = line->courier;
@@ -119,33 +119,33 @@
     for (bool good = true; good;) {
         void *mem = talloc_new(courier);
         Bytes frame;
-        good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answerTake(line, frame, mem);
+        good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answer_take(line, frame, mem);
         talloc_free(mem);
     }
     line->channel = NULL;
     line->misses = 0;
     channel_shut(channel);
     while (line->asking != NULL) /* what never left this process was not taken by anybody */
-        askingEnd(line, line->asking,
-                  channel_unsent(channel, line->asking->sentUpTo) ? STATUS_UNREACHABLE : STATUS_CLOSED);
+        asking_end(line, line->asking,
+                   channel_unsent(channel, line->asking->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
     channel_close(channel);
 }
 
-void courierRenew(Courier *courier, const char *address)
+void courier_renew(Courier *courier, const char *address)
 {
     const Line *line = map_get(courier->lines, address);
     if (line == NULL || line->channel == NULL)
         return;
     /* questions of its present life are answered or under way; one that waits for long went to the last */
     for (const Asking *asking = line->asking; asking != NULL; asking = asking->next)
-        if (loop_now_ms(courier->loop) - asking->sentMs >= LINE_SILENT_MS) {
+        if (loop_now_ms(courier->loop) - asking->sent_ms >= LINE_SILENT_MS) {
             channel_shut(line->channel);
             return;
         }
 }
 
 /* Waits until the line has a channel; null when the peer can't be reached. */
-static Line *lineReady(Courier *courier, const char *address, int64_t until_ms)
+static Line *line_ready(Courier *courier, const char *address, int64_t until_ms)
 {
     Line *line = map_get(courier->lines, address);
     if (line == NULL) {
@@ -170,15 +170,15 @@
     line->opening = false;
     if (status == STATUS_OK) {
         line->channel = channel;
-        courier->counts.linesOpened++;
-        loop_spawn(courier->loop, "line", lineMain, line);
+        courier->counts.lines_opened++;
+        loop_spawn(courier->loop, "line", line_main, line);
     }
     signal_raise(courier->loop, &line->opened);
     return line->channel != NULL ? line : NULL;
 }
 
 /* Puts the question on the line. */
-static Status askingSend(Line *line, Asking *asking, const Shape *askShape, const void *ask)
+static Status asking_send(Line *line, Asking *asking, const Shape *ask_shape, const void *ask)
 {
     Courier *courier = line->courier;
     Envelope envelope = {.version = WIRE_VERSION,
@@ -186,21 +186,21 @@
                          .kind = asking->kind,
                          .call = asking->call,
                          .peer = asking->meant.id,
-                         .peerLife = asking->meant.life};
-    shapePack(askShape, ask, asking->mem, &envelope.payload);
+                         .peer_life = asking->meant.life};
+    shape_pack(ask_shape, ask, asking->mem, &envelope.payload);
     Bytes frame = {0};
-    shapePack(&EnvelopeShape, &envelope, asking->mem, &frame);
+    shape_pack(&Envelope_shape, &envelope, asking->mem, &frame);
     asking->next = line->asking;
     line->asking = asking;
     const Status status = channel_send(line->channel, frame);
     if (status != STATUS_OK)
-        askingTake(line, asking->call);
-    asking->sentUpTo = channel_queued(line->channel);
+        asking_take(line, asking->call);
+    asking->sent_up_to = channel_queued(line->channel);
     return status;
 }
 
 /* The answer as it came; the status is the peer's own, or why it is not taken. */
-static Status answerRead(Line *line, const Asking *asking, void *mem, const Shape *answerShape, void *answer)
+static Status answer_read(Line *line, const Asking *asking, void *mem, const Shape *answer_shape, void *answer)
 {
     Courier *courier = line->courier;
     if (asking->payload.count > 0 || (asking->status != STATUS_CLOSED && asking->status != STATUS_UNREACHABLE)) {
@@ -209,29 +209,30 @@
     }
     if (asking->payload.count == 0)
         return asking->status == STATUS_OK ? STATUS_BAD_FRAME : asking->status;
-    const Status unpacked = shapeUnpack(answerShape, asking->payload, mem, answer, NULL);
+    const Status unpacked = shape_unpack(answer_shape, asking->payload, mem, answer, NULL);
     if (unpacked == STATUS_OK)
         return asking->status;
-    courier->counts.badFrames++;
+    courier->counts.bad_frames++;
     return unpacked;
 }
 
-Status courierAskPeer(Courier *courier, void *mem, const CourierTarget *target, MessageKind kind, const Shape *askShape,
-                      const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer)
+Status courier_ask_peer(Courier *courier, void *mem, const CourierTarget *target, MessageKind kind,
+                        const Shape *ask_shape, const void *ask, int64_t wait_ms, const Shape *answer_shape,
+                        void *answer)
 {
     const int64_t until_ms = loop_now_ms(courier->loop) + wait_ms;
     courier->counts.asked++;
-    Line *line = lineReady(courier, target->address, until_ms);
+    Line *line = line_ready(courier, target->address, until_ms);
     if (line == NULL || (target->sending != NULL && target->sending->cancelled))
         return STATUS_UNREACHABLE;
     void *scratch = talloc_new(mem);
     Asking *asking = talloc_zero(scratch, Asking);
-    *asking = (Asking){.call = ++courier->lastCall,
+    *asking = (Asking){.call = ++courier->last_call,
                        .kind = kind,
                        .meant = target->meant,
-                       .sentMs = loop_now_ms(courier->loop),
+                       .sent_ms = loop_now_ms(courier->loop),
                        .mem = scratch};
-    Status status = askingSend(line, asking, askShape, ask);
+    Status status = asking_send(line, asking, ask_shape, ask);
     if (status != STATUS_OK) {
         talloc_free(scratch);
         return status == STATUS_TOO_LARGE ? status : STATUS_UNREACHABLE;
@@ -242,22 +243,22 @@
         if (!signal_wait(courier->loop, &asking->answered, until_ms))
             break;
     if (!asking->done) {
-        askingTake(line, asking->call);
+        asking_take(line, asking->call);
         courier->counts.expired++;
         /* a line that has gone quiet may be a dead connection: open it anew */
         if (++line->misses >= LINE_MISSES && line->channel != NULL)
             channel_shut(line->channel);
         status = STATUS_EXPIRED;
     } else {
-        status = answerRead(line, asking, mem, answerShape, answer);
+        status = answer_read(line, asking, mem, answer_shape, answer);
     }
     talloc_free(scratch);
     return status;
 }
 
-Status courierAsk(Courier *courier, void *mem, const char *address, MessageKind kind, const Shape *askShape,
-                  const void *ask, int64_t wait_ms, const Shape *answerShape, void *answer)
+Status courier_ask(Courier *courier, void *mem, const char *address, MessageKind kind, const Shape *ask_shape,
+                   const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer)
 {
-    return courierAskPeer(courier, mem, &(CourierTarget){.address = address}, kind, askShape, ask, wait_ms, answerShape,
-                          answer);
+    return courier_ask_peer(courier, mem, &(CourierTarget){.address = address}, kind, ask_shape, ask, wait_ms,
+                            answer_shape, answer);
 }
--- a/packages/wire/src/shape.c
+++ b/packages/wire/src/shape.c
@@ -9,28 +9,28 @@
     Bytes *bytes;
 } PackTo;
 
-static int packWrite(void *data, const char *buf, size_t len)
+static int pack_write(void *data, const char *buf, size_t len)
 {
     PackTo *to = data;
     bytes_add(to->mem, to->bytes, buf, len);
     return 0;
 }
 
-static void packText(msgpack_packer *pk, const char *text)
+static void pack_text(msgpack_packer *pk, const char *text)
 {
     const char *safe = text != NULL ? text : "";
     msgpack_pack_str_with_body(pk, safe, strlen(safe));
 }
 
-static void packShape(msgpack_packer *pk, const Shape *shape, const void *from)
+static void pack_shape(msgpack_packer *pk, const Shape *shape, const void *from)
 {
-    size_t fieldCount;
-    const ShapeField *fields = shape->fields(&fieldCount);
-    msgpack_pack_array(pk, fieldCount);
-    for (size_t i = 0; i < fieldCount; i++) {
+    size_t field_count;
+    const ShapeField *fields = shape->fields(&field_count);
+    msgpack_pack_array(pk, field_count);
+    for (size_t i = 0; i < field_count; i++) {
         const ShapeField *field = &fields[i];
         const void *at = (const uint8_t *)from + field->offset;
-        const size_t count = field->countOffset ? *(const size_t *)((const uint8_t *)from + field->countOffset) : 0;
+        const size_t count = field->count_offset ? *(const size_t *)((const uint8_t *)from + field->count_offset) : 0;
         switch (field->kind) {
         case SHAPE_U64:
             msgpack_pack_uint64(pk, *(const uint64_t *)at);
@@ -45,7 +45,7 @@
                 msgpack_pack_false(pk);
             break;
         case SHAPE_TXT:
-            packText(pk, *(const char *const *)at);
+            pack_text(pk, *(const char *const *)at);
             break;
         case SHAPE_BIN: {
             const Bytes *bytes = at;
@@ -55,26 +55,26 @@
         case SHAPE_TXS:
             msgpack_pack_array(pk, count);
             for (size_t k = 0; k < count; k++)
-                packText(pk, (*(const char **const *)at)[k]);
+                pack_text(pk, (*(const char **const *)at)[k]);
             break;
         case SHAPE_ONE:
-            packShape(pk, field->of, at);
+            pack_shape(pk, field->of, at);
             break;
         case SHAPE_LST:
             msgpack_pack_array(pk, count);
             for (size_t k = 0; k < count; k++)
-                packShape(pk, field->of, *(const uint8_t *const *)at + k * field->of->size);
+                pack_shape(pk, field->of, *(const uint8_t *const *)at + k * field->of->size);
             break;
         }
     }
 }
 
-void shapePack(const Shape *shape, const void *from, void *mem, Bytes *to)
+void shape_pack(const Shape *shape, const void *from, void *mem, Bytes *to)
 {
     PackTo target = {mem, to};
     msgpack_packer pk;
-    msgpack_packer_init(&pk, &target, packWrite);
-    packShape(&pk, shape, from);
+    msgpack_packer_init(&pk, &target, pack_write);
+    pack_shape(&pk, shape, from);
 }
 
 static Status wrong(Failure *failure, const Shape *shape, const ShapeField *field)
@@ -83,7 +83,7 @@
 }
 
 /* Text without a zero inside, or null. */
-static const char *textOf(const msgpack_object *o, void *mem)
+static const char *text_of(const msgpack_object *o, void *mem)
 {
     if (o->type != MSGPACK_OBJECT_STR)
         return NULL;
@@ -94,22 +94,22 @@
     return talloc_strndup(mem, o->via.str.ptr, o->via.str.size);
 }
 
-static void zeroTexts(const Shape *shape, void *to);
+static void zero_texts(const Shape *shape, void *to);
 
-static Status unpackShape(const Shape *shape, const msgpack_object *from, void *mem, void *to, Failure *failure)
+static Status unpack_shape(const Shape *shape, const msgpack_object *from, void *mem, void *to, Failure *failure)
 {
     memset(to, 0, shape->size);
-    zeroTexts(shape, to);
+    zero_texts(shape, to);
     if (from->type != MSGPACK_OBJECT_ARRAY)
         return failure_set(failure, STATUS_BAD_FRAME, "%s is not an array", shape->name);
     const msgpack_object_array *array = &from->via.array;
-    size_t fieldCount;
-    const ShapeField *fields = shape->fields(&fieldCount);
-    for (size_t i = 0; i < fieldCount && i < array->size; i++) {
+    size_t field_count;
+    const ShapeField *fields = shape->fields(&field_count);
+    for (size_t i = 0; i < field_count && i < array->size; i++) {
         const ShapeField *field = &fields[i];
         const msgpack_object *o = &array->ptr[i];
         void *at = (uint8_t *)to + field->offset;
-        size_t *count = field->countOffset ? (size_t *)(void *)((uint8_t *)to + field->countOffset) : NULL;
+        size_t *count = field->count_offset ? (size_t *)(void *)((uint8_t *)to + field->count_offset) : NULL;
         switch (field->kind) {
         case SHAPE_U64:
             if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
@@ -130,7 +130,7 @@
             *(bool *)at = o->via.boolean;
             break;
         case SHAPE_TXT:
-            if ((*(const char **)at = textOf(o, mem)) == NULL)
+            if ((*(const char **)at = text_of(o, mem)) == NULL)
                 return wrong(failure, shape, field);
             break;
         case SHAPE_BIN: {
@@ -145,14 +145,14 @@
                 return wrong(failure, shape, field);
             const char **texts = talloc_array(mem, const char *, o->via.array.size);
             for (size_t k = 0; k < o->via.array.size; k++)
-                if ((texts[k] = textOf(&o->via.array.ptr[k], mem)) == NULL)
+                if ((texts[k] = text_of(&o->via.array.ptr[k], mem)) == NULL)
                     return wrong(failure, shape, field);
             *(const char ***)at = texts;
             *count = o->via.array.size;
             break;
         }
         case SHAPE_ONE: {
-            const Status status = unpackShape(field->of, o, mem, at, failure);
+            const Status status = unpack_shape(field->of, o, mem, at, failure);
             if (status != STATUS_OK)
                 return status;
             break;
@@ -163,7 +163,7 @@
             const size_t each = field->of->size;
             uint8_t *list = talloc_array_size(mem, each, o->via.array.size);
             for (size_t k = 0; k < o->via.array.size; k++) {
-                const Status status = unpackShape(field->of, &o->via.array.ptr[k], mem, list + k * each, failure);
+                const Status status = unpack_shape(field->of, &o->via.array.ptr[k], mem, list + k * each, failure);
                 if (status != STATUS_OK)
                     return status;
             }
@@ -176,17 +176,17 @@
     return STATUS_OK;
 }
 
-static void zeroTexts(const Shape *shape, void *to)
+static void zero_texts(const Shape *shape, void *to)
 {
-    size_t fieldCount;
-    const ShapeField *fields = shape->fields(&fieldCount);
-    for (size_t i = 0; i < fieldCount; i++) {
+    size_t field_count;
+    const ShapeField *fields = shape->fields(&field_count);
+    for (size_t i = 0; i < field_count; i++) {
         const ShapeField *field = &fields[i];
         void *at = (uint8_t *)to + field->offset;
         if (field->kind == SHAPE_TXT)
             *(const char **)at = "";
         else if (field->kind == SHAPE_ONE)
-            zeroTexts(field->of, at);
+            zero_texts(field->of, at);
     }
 }
 
@@ -194,7 +194,7 @@
  * library allocates by the count it is told, so a frame of a few bytes could
  * otherwise ask for gigabytes. Order of nesting does not matter here: each
  * value needs at least one byte, and owed is how many are still to come. */
-static bool countsHold(Bytes from)
+static bool counts_hold(Bytes from)
 {
     uint64_t owed = 1;
     size_t at = 0;
@@ -202,9 +202,9 @@
         if (at >= from.count || owed > from.count - at)
             return false;
         const uint8_t head = from.data[at++];
-        size_t lengthBytes = 0, body = 0;
+        size_t length_bytes = 0, body = 0;
         uint64_t values = 0;
-        bool ofValues = false, pairs = false;
+        bool of_values = false, pairs = false;
         if (head <= 0x7f || head >= 0xe0 || (head >= 0xc0 && head <= 0xc3)) {
             body = 0;
         } else if (head <= 0x8f) {
@@ -214,25 +214,25 @@
         } else if (head <= 0xbf) {
             body = head & 31u;
         } else if (head >= 0xc4 && head <= 0xc6) { /* bin */
-            lengthBytes = (size_t)1 << (head - 0xc4);
+            length_bytes = (size_t)1 << (head - 0xc4);
         } else if (head >= 0xd9 && head <= 0xdb) { /* str */
-            lengthBytes = (size_t)1 << (head - 0xd9);
+            length_bytes = (size_t)1 << (head - 0xd9);
         } else if (head >= 0xca && head <= 0xd3) { /* float, uint, int */
             static const uint8_t SIZES[] = {4, 8, 1, 2, 4, 8, 1, 2, 4, 8};
             body = SIZES[head - 0xca];
         } else if (head >= 0xdc) { /* array, map */
-            lengthBytes = head & 1u ? 4 : 2;
-            ofValues = true;
+            length_bytes = head & 1u ? 4 : 2;
+            of_values = true;
             pairs = head >= 0xde;
         } else { /* ext: we send none */
             return false;
         }
-        if (lengthBytes > from.count - at)
+        if (length_bytes > from.count - at)
             return false;
         uint64_t length = 0;
-        for (size_t i = 0; i < lengthBytes; i++)
+        for (size_t i = 0; i < length_bytes; i++)
             length = length << 8 | from.data[at++];
-        if (ofValues)
+        if (of_values)
             values = pairs ? length * 2 : length;
         else
             body += (size_t)length;
@@ -245,9 +245,9 @@
     return at == from.count;
 }
 
-Status shapeUnpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure)
+Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure)
 {
-    if (!countsHold(from))
+    if (!counts_hold(from))
         return failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
@@ -257,21 +257,21 @@
     if ((got != MSGPACK_UNPACK_SUCCESS && got != MSGPACK_UNPACK_EXTRA_BYTES) || offset != from.count)
         status = failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     else
-        status = unpackShape(shape, &unpacked.data, mem, to, failure);
+        status = unpack_shape(shape, &unpacked.data, mem, to, failure);
     msgpack_unpacked_destroy(&unpacked);
     return status;
 }
 
-void shapeCopy(const Shape *shape, const void *from, void *mem, void *to)
+void shape_copy(const Shape *shape, const void *from, void *mem, void *to)
 {
     memcpy(to, from, shape->size);
-    size_t fieldCount;
-    const ShapeField *fields = shape->fields(&fieldCount);
-    for (size_t i = 0; i < fieldCount; i++) {
+    size_t field_count;
+    const ShapeField *fields = shape->fields(&field_count);
+    for (size_t i = 0; i < field_count; i++) {
         const ShapeField *field = &fields[i];
         const void *source = (const uint8_t *)from + field->offset;
         void *at = (uint8_t *)to + field->offset;
-        const size_t count = field->countOffset ? *(const size_t *)((const uint8_t *)from + field->countOffset) : 0;
+        const size_t count = field->count_offset ? *(const size_t *)((const uint8_t *)from + field->count_offset) : 0;
         switch (field->kind) {
         case SHAPE_U64:
         case SHAPE_I64:
@@ -293,13 +293,13 @@
             break;
         }
         case SHAPE_ONE:
-            shapeCopy(field->of, source, mem, at);
+            shape_copy(field->of, source, mem, at);
             break;
         case SHAPE_LST: {
             const size_t each = field->of->size;
             uint8_t *list = talloc_array_size(mem, each, (unsigned)count);
             for (size_t k = 0; k < count; k++)
-                shapeCopy(field->of, *(const uint8_t *const *)source + k * each, mem, list + k * each);
+                shape_copy(field->of, *(const uint8_t *const *)source + k * each, mem, list + k * each);
             *(uint8_t **)at = list;
             break;
         }
@@ -307,12 +307,12 @@
     }
 }
 
-bool shapeEqual(const Shape *shape, const void *a, const void *b)
+bool shape_equal(const Shape *shape, const void *a, const void *b)
 {
     void *mem = talloc_new(NULL);
     Bytes x = {0}, y = {0};
-    shapePack(shape, a, mem, &x);
-    shapePack(shape, b, mem, &y);
+    shape_pack(shape, a, mem, &x);
+    shape_pack(shape, b, mem, &y);
     const bool equal = bytes_equal(x, y);
     talloc_free(mem);
     return equal;
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -41,59 +41,59 @@
     t.words = talloc_array(mem, const char *, 2);
     t.words[0] = "a";
     t.words[1] = "";
-    t.wordsCount = 2;
+    t.words_count = 2;
     t.leaves = talloc_array(mem, Leaf, 2);
     t.leaves[0] = (Leaf){UINT64_MAX, "x"};
     t.leaves[1] = (Leaf){0, "y"};
-    t.leavesCount = 2;
+    t.leaves_count = 2;
     return t;
 }
 
-static void thereAndBack(void **state)
+static void there_and_back(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     const Tree in = tree(mem);
     Tree out, copy;
     Bytes packed = {0};
-    shapePack(&TreeShape, &in, mem, &packed);
-    assert_int_equal(shapeUnpack(&TreeShape, packed, mem, &out, NULL), STATUS_OK);
-    assert_true(shapeEqual(&TreeShape, &in, &out));
+    shape_pack(&Tree_shape, &in, mem, &packed);
+    assert_int_equal(shape_unpack(&Tree_shape, packed, mem, &out, NULL), STATUS_OK);
+    assert_true(shape_equal(&Tree_shape, &in, &out));
     assert_int_equal(out.leaves[0].number, UINT64_MAX);
     assert_int_equal(out.balance, -7);
-    shapeCopy(&TreeShape, &in, mem, &copy);
-    assert_true(shapeEqual(&TreeShape, &in, &copy));
+    shape_copy(&Tree_shape, &in, mem, &copy);
+    assert_true(shape_equal(&Tree_shape, &in, &copy));
     copy.leaves[1].number = 1;
-    assert_false(shapeEqual(&TreeShape, &in, &copy));
+    assert_false(shape_equal(&Tree_shape, &in, &copy));
     Tree flat;
     void *block = talloc_new(NULL);
-    shapeCopyFlat(&TreeShape, &in, block, &flat);
-    assert_true(shapeEqual(&TreeShape, &in, &flat));
+    shape_copy_flat(&Tree_shape, &in, block, &flat);
+    assert_true(shape_equal(&Tree_shape, &in, &flat));
     assert_int_equal(talloc_total_blocks(block), 2);
     assert_ptr_not_equal(flat.words[0], in.words[0]);
     const Tree empty = {0};
-    shapeCopyFlat(&TreeShape, &empty, block, &flat);
-    assert_true(shapeEqual(&TreeShape, &empty, &flat));
+    shape_copy_flat(&Tree_shape, &empty, block, &flat);
+    assert_true(shape_equal(&Tree_shape, &empty, &flat));
     assert_string_equal(flat.first.name, "");
     assert_int_equal(talloc_total_blocks(block), 2);
     talloc_free(block);
     talloc_free(mem);
 }
 
-static void oneReleaseBesideTheNext(void **state)
+static void one_release_beside_the_next(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     Bytes old = {0}, next = {0};
-    shapePack(&LeafShape, &(Leaf){3, "three"}, mem, &old);
-    shapePack(&NextLeafShape, &(NextLeaf){4, "four", 5, "six"}, mem, &next);
-    NextLeaf fromOld;
-    Leaf fromNext;
-    assert_int_equal(shapeUnpack(&NextLeafShape, old, mem, &fromOld, NULL), STATUS_OK);
-    assert_int_equal(fromOld.added, 0);
-    assert_string_equal(fromOld.note, "");
-    assert_int_equal(shapeUnpack(&LeafShape, next, mem, &fromNext, NULL), STATUS_OK);
-    assert_int_equal(fromNext.number, 4);
+    shape_pack(&Leaf_shape, &(Leaf){3, "three"}, mem, &old);
+    shape_pack(&NextLeaf_shape, &(NextLeaf){4, "four", 5, "six"}, mem, &next);
+    NextLeaf from_old;
+    Leaf from_next;
+    assert_int_equal(shape_unpack(&NextLeaf_shape, old, mem, &from_old, NULL), STATUS_OK);
+    assert_int_equal(from_old.added, 0);
+    assert_string_equal(from_old.note, "");
+    assert_int_equal(shape_unpack(&Leaf_shape, next, mem, &from_next, NULL), STATUS_OK);
+    assert_int_equal(from_next.number, 4);
     talloc_free(mem);
 }
 
@@ -105,10 +105,10 @@
     void *mem = talloc_new(NULL);
     const Tree in = tree(mem);
     Bytes packed = {0};
-    shapePack(&TreeShape, &in, mem, &packed);
+    shape_pack(&Tree_shape, &in, mem, &packed);
     for (size_t count = 0; count < packed.count; count++) {
         Tree out;
-        assert_int_equal(shapeUnpack(&TreeShape, (Bytes){packed.data, count, 0}, mem, &out, NULL), STATUS_BAD_FRAME);
+        assert_int_equal(shape_unpack(&Tree_shape, (Bytes){packed.data, count, 0}, mem, &out, NULL), STATUS_BAD_FRAME);
     }
     uint32_t seed = 1;
     size_t refused = 0;
@@ -121,9 +121,9 @@
         }
         Tree out;
         Failure failure = {0};
-        if (shapeUnpack(&TreeShape, copy, one, &out, &failure) == STATUS_OK) {
+        if (shape_unpack(&Tree_shape, copy, one, &out, &failure) == STATUS_OK) {
             Bytes again = {0};
-            shapePack(&TreeShape, &out, one, &again);
+            shape_pack(&Tree_shape, &out, one, &again);
             assert_true(again.count > 0);
         } else {
             assert_int_equal(failure.status, STATUS_BAD_FRAME);
@@ -138,8 +138,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(thereAndBack),
-        cmocka_unit_test(oneReleaseBesideTheNext),
+        cmocka_unit_test(there_and_back),
+        cmocka_unit_test(one_release_beside_the_next),
         cmocka_unit_test(spoiled),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/operate.c
+++ b/src/operate.c
@@ -279,7 +279,7 @@
     return json_object_is_type(list, json_type_array) ? json_object_array_length(list) : 0;
 }
 
-static const char *textOf(json_object *object, const char *key)
+static const char *text_of(json_object *object, const char *key)
 {
     json_object *value = get(object, key);
     return value != NULL ? json_object_get_string(value) : "?";
@@ -301,53 +301,53 @@
 static void printVoters(json_object *body)
 {
     json_object *voters = get(body, "seats"), *learners = get(body, "learners"), *losses = get(body, "losses");
-    printf("losses of a core that are borne now: %s, asked for: %s\n", textOf(losses, "borne"),
-           textOf(losses, "asked"));
+    printf("losses of a core that are borne now: %s, asked for: %s\n", text_of(losses, "borne"),
+           text_of(losses, "asked"));
     for (size_t i = 0; i < listLength(voters); i++) {
         json_object *voter = json_object_array_get_idx(voters, i);
-        printf("voter   %-12s %s  %s%s  sync %s ms  behind %s\n", textOf(voter, "core"), textOf(voter, "disk"),
+        printf("voter   %-12s %s  %s%s  sync %s ms  behind %s\n", text_of(voter, "core"), text_of(voter, "disk"),
                flagOf(voter, "inView") ? "in view" : "OUT", flagOf(voter, "answers") ? "" : " SILENT",
-               textOf(voter, "syncMs"), textOf(voter, "behind"));
+               text_of(voter, "syncMs"), text_of(voter, "behind"));
     }
     for (size_t i = 0; i < listLength(learners); i++) {
         json_object *learner = json_object_array_get_idx(learners, i);
-        printf("learner %-12s %s  %s%s  behind %s\n", textOf(learner, "core"), textOf(learner, "disk"),
+        printf("learner %-12s %s  %s%s  behind %s\n", text_of(learner, "core"), text_of(learner, "disk"),
                flagOf(learner, "ready") ? "ready" : "CATCHES UP", flagOf(learner, "answers") ? "" : " SILENT",
-               textOf(learner, "behind"));
+               text_of(learner, "behind"));
     }
 }
 
 static void printStatus(json_object *body)
 {
     json_object *plan = get(body, "plan"), *live = get(body, "liveset");
-    printf("cluster %s  leader %s  epoch %s  lock held for %s ms more%s\n", textOf(body, "cluster"),
-           textOf(body, "leader"), textOf(body, "epoch"), textOf(body, "holdLeftMs"),
+    printf("cluster %s  leader %s  epoch %s  lock held for %s ms more%s\n", text_of(body, "cluster"),
+           text_of(body, "leader"), text_of(body, "epoch"), text_of(body, "holdLeftMs"),
            flagOf(body, "repairing") ? "  REPAIRING" : "");
-    printf("configuration %s  log %s committed of %s\n", textOf(body, "configRevision"),
-           textOf(get(body, "log"), "committed"), textOf(get(body, "log"), "lastIndex"));
-    printf("plan survives r=%s%s: %s", textOf(plan, "r"), flagOf(plan, "zoneLoss") ? " and a zone" : "",
+    printf("configuration %s  log %s committed of %s\n", text_of(body, "configRevision"),
+           text_of(get(body, "log"), "committed"), text_of(get(body, "log"), "lastIndex"));
+    printf("plan survives r=%s%s: %s", text_of(plan, "r"), flagOf(plan, "zoneLoss") ? " and a zone" : "",
            flagOf(plan, "holds") ? "yes" : "NO");
     if (!flagOf(plan, "holds"))
-        printf(" (broken by the loss of %s)", textOf(get(plan, "brokenBy"), "name"));
-    printf("  assured %s  unassured %s  waiting %s\n", textOf(plan, "assured"), textOf(plan, "unassured"),
-           textOf(plan, "waiting"));
+        printf(" (broken by the loss of %s)", text_of(get(plan, "brokenBy"), "name"));
+    printf("  assured %s  unassured %s  waiting %s\n", text_of(plan, "assured"), text_of(plan, "unassured"),
+           text_of(plan, "waiting"));
     printVoters(body);
     for (size_t i = 0; i < listLength(live); i++) {
         json_object *row = json_object_array_get_idx(live, i);
         json_object *room = get(row, "room"), *free = get(row, "free");
-        printf("worker %-12s %-8s %s%s%s  hold %s ms", textOf(row, "worker"), textOf(row, "zone"),
+        printf("worker %-12s %-8s %s%s%s  hold %s ms", text_of(row, "worker"), text_of(row, "zone"),
                flagOf(row, "ready") ? "ready" : "NOT READY", flagOf(row, "leaving") ? " leaving" : "",
-               flagOf(row, "excluded") ? " excluded" : "", textOf(row, "holdLeftMs"));
+               flagOf(row, "excluded") ? " excluded" : "", text_of(row, "holdLeftMs"));
         if (room != NULL)
             printf("  free %.1f of %.1f cores, %s of %s MB", json_object_get_double(get(free, "cpu")),
-                   json_object_get_double(get(room, "cpu")), textOf(free, "memMb"), textOf(room, "memMb"));
+                   json_object_get_double(get(room, "cpu")), text_of(free, "memMb"), text_of(room, "memMb"));
         putchar('\n');
     }
     json_object *alerts = get(body, "alerts");
     for (size_t i = 0; i < listLength(alerts); i++) {
         json_object *one = json_object_array_get_idx(alerts, i);
-        printf("ALERT  %s %s, for %s ms: %s\n", textOf(one, "alert"), textOf(one, "subject"), textOf(one, "forMs"),
-               textOf(one, "todo"));
+        printf("ALERT  %s %s, for %s ms: %s\n", text_of(one, "alert"), text_of(one, "subject"), text_of(one, "forMs"),
+               text_of(one, "todo"));
     }
     json_object *zones = get(body, "drainedZones");
     for (size_t i = 0; i < listLength(zones); i++)
@@ -381,8 +381,8 @@
     json_object *steps = get(body, "steps"), *silent = get(body, "silent");
     for (size_t i = 0; i < listLength(steps); i++) {
         json_object *one = json_object_array_get_idx(steps, i);
-        printf("%8s ms  %-10s %-10s %s\n", textOf(one, "sinceMs"), textOf(one, "node"), textOf(one, "step"),
-               textOf(one, "detail"));
+        printf("%8s ms  %-10s %-10s %s\n", text_of(one, "sinceMs"), text_of(one, "node"), text_of(one, "step"),
+               text_of(one, "detail"));
     }
     if (listLength(steps) == 0)
         printf("no node that answered remembers it\n");
@@ -407,10 +407,10 @@
     for (size_t i = 0; i < listLength(order); i++) {
         json_object *one = json_object_array_get_idx(order, i);
         printf("%4zu  rank %-10.3f %s task %s  %s/%s%s\n", i + 1, json_object_get_double(get(one, "rank")),
-               textOf(one, "job"), textOf(one, "task"), textOf(one, "tenant"), textOf(one, "queue"),
+               text_of(one, "job"), text_of(one, "task"), text_of(one, "tenant"), text_of(one, "queue"),
                flagOf(one, "restart") ? "  restart" : "");
     }
-    printf("%s ready to start in cell %s\n", textOf(body, "ready"), textOf(body, "cell"));
+    printf("%s ready to start in cell %s\n", text_of(body, "ready"), text_of(body, "cell"));
 }
 
 static int policyAsk(Order *order)
