--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -31,7 +31,7 @@
     int64_t holdMs;
     const Order *starts;
     size_t startsCount;
-    int64_t startMs; /* none of the starts stands longer than this from now */
+    int64_t start_ms; /* none of the starts stands longer than this from now */
     const RoundId *stops;
     size_t stopsCount;
     const RoundId *known; /* of the rounds that it has told as ended: those whose end is committed */
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -99,7 +99,7 @@
         const Order *order = &orders->starts[i];
         json_object *one = idOf(order->job, order->task, order->round);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->epoch));
-        json_object_object_add(one, "expiryMs", json_object_new_int64(orders->startMs));
+        json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
         json_object_object_add(one, "room", showRoom(order->room));
         json_object_object_add(one, "payload", order->payload[0] ? json_tokener_parse(order->payload) : NULL);
         json_object_object_add(one, "saved", json_object_new_string(order->saved));
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -241,7 +241,7 @@
                              .fence = epoch_counter(agent->hold.epoch),
                              .holdMs = holdPass(agent, now_ms),
                              .starts = starts,
-                             .startMs = INT64_MAX,
+                             .start_ms = INT64_MAX,
                              .stops = stops,
                              .known = known,
                              .againMs = WORKER_AGAIN_MS};
@@ -251,8 +251,8 @@
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->holdMs > 0) {
             shape_copy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
-            if (round->expiry_ms - now_ms < orders->startMs)
-                orders->startMs = round->expiry_ms - now_ms;
+            if (round->expiry_ms - now_ms < orders->start_ms)
+                orders->start_ms = round->expiry_ms - now_ms;
             round->phase = PHASE_SENT;
             round->givenMs = now_ms;
             roundTrace(agent, round, TRACE_GIVEN);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -136,16 +136,16 @@
 
 static void run(Case *c, int64_t forMs)
 {
-    simRunUntil(c->world, simNowMs(c->world) + forMs);
+    sim_run_until(c->world, sim_now_ms(c->world) + forMs);
 }
 
 static Case *caseNew(int64_t holdMs, int64_t workerHoldMs)
 {
     Case *c = talloc_zero(NULL, Case);
-    c->world = simWorldNew(c, 1);
-    c->bossMachine = simMachine(c->world);
-    c->agentMachine = simMachine(c->world);
-    c->otherMachine = simMachine(c->world);
+    c->world = sim_world_new(c, 1);
+    c->bossMachine = sim_machine(c->world);
+    c->agentMachine = sim_machine(c->world);
+    c->otherMachine = sim_machine(c->world);
     c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .holdMs = holdMs, .commits = true};
     c->other = (Boss){.id = "other", .address = OTHER, .holdMs = holdMs, .commits = true};
     c->props = (Props){.name = "a1",
@@ -158,9 +158,9 @@
     c->props.bounds.holdMs = holdMs;
     c->props.bounds.workerHoldMs = workerHoldMs;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
-    simStart(c->world, c->bossMachine, bossStart, &c->boss);
-    simStart(c->world, c->otherMachine, bossStart, &c->other);
-    simStart(c->world, c->agentMachine, agentBegin, c);
+    sim_start(c->world, c->bossMachine, bossStart, &c->boss);
+    sim_start(c->world, c->otherMachine, bossStart, &c->other);
+    sim_start(c->world, c->agentMachine, agentBegin, c);
     run(c, 2000);
     assert_non_null(c->agent);
     return c;
@@ -181,9 +181,9 @@
 static void sayMain(void *arg)
 {
     Say *say = arg;
-    const int64_t sinceMs = simNowMs(say->c->world);
+    const int64_t sinceMs = sim_now_ms(say->c->world);
     say->status = agentReport(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
-    say->tookMs = simNowMs(say->c->world) - sinceMs;
+    say->tookMs = sim_now_ms(say->c->world) - sinceMs;
     say->over = true;
 }
 
@@ -478,7 +478,7 @@
     const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
     saying(c, "b1", NULL, 0, ended, 1);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_DONE), 1);
-    simPowerOff(c->world, c->bossMachine);
+    sim_power_off(c->world, c->bossMachine);
     run(c, 500);
     c->other.epoch = EPOCH(6);
     membersSetLeader(c->other.members, c->other.epoch, "other");
@@ -634,8 +634,8 @@
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.startsCount, 1);
-    simKill(c->world, c->agentMachine);
-    simStart(c->world, c->agentMachine, agentBegin, c);
+    sim_kill(c->world, c->agentMachine);
+    sim_start(c->world, c->agentMachine, agentBegin, c);
     run(c, 2500); /* the order has expired, the worker has not asked yet */
     assert_int_equal(c->boss.newsCount, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
@@ -657,8 +657,8 @@
     saying(c, "b1", NULL, 0, NULL, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    const int64_t until_ms = simNowMs(c->world) + it->orders.holdMs * 102 / 100;
-    simRunUntil(c->world, until_ms);
+    const int64_t until_ms = sim_now_ms(c->world) + it->orders.holdMs * 102 / 100;
+    sim_run_until(c->world, until_ms);
     assert_int_equal(c->boss.newsCount, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -15,16 +15,16 @@
     showMetric(task, "leads", viewLeading(core->view));
     showMetric(task, "repairing", core->repairing);
     showMetric(task, "viewChanges", (int64_t)sight.viewChanges);
-    showMetric(task, "lastIndex", (int64_t)sight.lastIndex);
+    showMetric(task, "lastIndex", (int64_t)sight.last_index);
     showMetric(task, "deliveredIndex", (int64_t)sight.deliveredIndex);
     showMetric(task, "journalBytes", (int64_t)sight.journal.bytes);
     showMetric(task, "journalSyncs", (int64_t)sight.journal.syncs);
     showMetric(task, "journalRewrites", (int64_t)sight.journal.rewrites);
-    showMetric(task, "journalTornBytes", (int64_t)sight.journal.tornBytes);
+    showMetric(task, "journalTornBytes", (int64_t)sight.journal.torn_bytes);
     showMetric(task, "otherHistories", (int64_t)sight.otherHistories);
-    showMetric(task, "journalBegunAnew", sight.journal.begunAnew);
-    showMetric(task, "lastSyncMs", sight.journal.lastSyncMs);
-    showMetric(task, "worstSyncMs", sight.journal.worstSyncMs);
+    showMetric(task, "journalBegunAnew", sight.journal.begun_anew);
+    showMetric(task, "lastSyncMs", sight.journal.last_sync_ms);
+    showMetric(task, "worstSyncMs", sight.journal.worst_sync_ms);
     showMetric(task, "sight", (int64_t)membersSight(core->members));
     showMetric(task, "planHolds", core->planHolds);
     for (int i = 0; i < ALERT_COUNT; i++) {
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -34,7 +34,7 @@
         talloc_free(batch);
 }
 
-static Batch *batchLast(News *news)
+static Batch *batch_last(News *news)
 {
     if (news->last == NULL || news->last->list.newsCount >= NEWS_MOST) {
         Batch *batch = talloc_zero(news, Batch);
@@ -65,7 +65,7 @@
     News *news = core->told;
     if (count == 0)
         return STATUS_OK;
-    Batch *batch = batchLast(news);
+    Batch *batch = batch_last(news);
     for (size_t i = 0; i < count; i++)
         batchAdd(core, batch, &list[i]);
     batch->waited = true;
@@ -80,7 +80,7 @@
 
 void newsLater(Core *core, const RoundNews *one)
 {
-    batchAdd(core, batchLast(core->told), one);
+    batchAdd(core, batch_last(core->told), one);
     signal_raise(core->loop, &core->told->added);
 }
 
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -33,7 +33,7 @@
 /* Entries that the disk has not synced yet, as far as the leader knows. */
 static json_object *behindOf(const ViewSight *sight, uint64_t matchIndex)
 {
-    return numberOf(matchIndex < sight->lastIndex ? (int64_t)(sight->lastIndex - matchIndex) : 0);
+    return numberOf(matchIndex < sight->last_index ? (int64_t)(sight->last_index - matchIndex) : 0);
 }
 
 static json_object *showLearners(const Core *core, const ViewSight *sight)
@@ -187,7 +187,7 @@
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
     json_object_object_add(body, "clockMs", numberOf(viewClockMs(core->view)));
     json_object *log = json_object_new_object();
-    json_object_object_add(log, "lastIndex", numberOf((int64_t)sight.lastIndex));
+    json_object_object_add(log, "lastIndex", numberOf((int64_t)sight.last_index));
     json_object_object_add(log, "committed", numberOf((int64_t)sight.commitIndex));
     json_object_object_add(log, "base", numberOf((int64_t)sight.baseIndex));
     json_object_object_add(log, "viewChanges", numberOf((int64_t)sight.viewChanges));
@@ -195,9 +195,9 @@
     json_object_object_add(log, "records", numberOf((int64_t)sight.journal.records));
     json_object_object_add(log, "rewrites", numberOf((int64_t)sight.journal.rewrites));
     json_object_object_add(log, "otherHistories", numberOf((int64_t)sight.otherHistories));
-    json_object_object_add(log, "tornBytes", numberOf((int64_t)sight.journal.tornBytes));
-    json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begunAnew));
-    json_object_object_add(log, "worstSyncMs", numberOf(sight.journal.worstSyncMs));
+    json_object_object_add(log, "tornBytes", numberOf((int64_t)sight.journal.torn_bytes));
+    json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
+    json_object_object_add(log, "worstSyncMs", numberOf(sight.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
     json_object_object_add(body, "seats", showSeats(core, &sight));
     json_object_object_add(body, "learners", showLearners(core, &sight));
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -101,10 +101,10 @@
         simClockRate(explore->world, end->node->machine, 100);
         break;
     case ACT_DISK_SLOW:
-        simDiskSlow(explore->world, end->node->machine, SYNC_MS);
+        sim_disk_slow(explore->world, end->node->machine, SYNC_MS);
         break;
     case ACT_DISK_FAIL:
-        simDiskFail(explore->world, end->node->machine, false);
+        sim_disk_fail(explore->world, end->node->machine, false);
         break;
     default:
         break;
@@ -185,7 +185,7 @@
         nodeStartLater(node, act->forMs);
         break;
     case ACT_FREEZE:
-        simFreeze(explore->world, node->machine, simNowMs(explore->world) + act->forMs);
+        simFreeze(explore->world, node->machine, sim_now_ms(explore->world) + act->forMs);
         break;
     case ACT_FAR:
         simFar(explore->world, node->machine, act->amount);
@@ -194,10 +194,10 @@
         simClockRate(explore->world, node->machine, act->amount);
         break;
     case ACT_DISK_SLOW:
-        simDiskSlow(explore->world, node->machine, act->amount);
+        sim_disk_slow(explore->world, node->machine, act->amount);
         break;
     case ACT_DISK_FAIL:
-        simDiskFail(explore->world, node->machine, true);
+        sim_disk_fail(explore->world, node->machine, true);
         break;
     case ACT_STEP_DOWN:
         if (node->up)
@@ -245,7 +245,7 @@
     }
     paceLost(explore, act->kind);
     explore->result->done[act->kind]++;
-    simAt(explore->world, simNowMs(explore->world) + act->forMs, actEnd, end);
+    simAt(explore->world, sim_now_ms(explore->world) + act->forMs, actEnd, end);
 }
 
 void actsEnd(Explore *explore)
@@ -257,8 +257,8 @@
         cutAll(explore, node, true, true, false);
         simFar(explore->world, node->machine, 0);
         simClockRate(explore->world, node->machine, 100);
-        simDiskSlow(explore->world, node->machine, SYNC_MS);
-        simDiskFail(explore->world, node->machine, false);
+        sim_disk_slow(explore->world, node->machine, SYNC_MS);
+        sim_disk_fail(explore->world, node->machine, false);
         if (node->leaving && !node->gone)
             nodeVanish(node);
         nodeStart(node);
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -24,7 +24,7 @@
     if (result->rule != RULE_NONE)
         return;
     result->rule = rule;
-    result->at_ms = simNowMs(explore->world) - explore->startMs;
+    result->at_ms = sim_now_ms(explore->world) - explore->start_ms;
     va_list args;
     va_start(args, format);
     vsnprintf(result->why, sizeof(result->why), format, args);
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -75,7 +75,7 @@
     Node *node = target(explore);
     if (node != NULL)
         clientSubmit(explore, node);
-    simAt(explore->world, simNowMs(explore->world) + 1 + (int64_t)(simRandom(explore->world) % (2 * CLIENT_EACH_MS)),
+    simAt(explore->world, sim_now_ms(explore->world) + 1 + (int64_t)(simRandom(explore->world) % (2 * CLIENT_EACH_MS)),
           clientTick, explore);
 }
 
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -21,7 +21,7 @@
                : NULL;
 }
 
-static uint64_t lastIndex(const DiskModel *model)
+static uint64_t last_index(const DiskModel *model)
 {
     return model->baseIndex + model->entries.count;
 }
@@ -49,7 +49,7 @@
 
 static void trimTo(DiskModel *model, uint64_t index)
 {
-    while (model->entries.count > 0 && lastIndex(model) > index)
+    while (model->entries.count > 0 && last_index(model) > index)
         model->entries.count--;
 }
 
@@ -75,7 +75,7 @@
         model->promised = record->epoch;
         break;
     case RECORD_ENTRY:
-        if (record->index == lastIndex(model) + 1) {
+        if (record->index == last_index(model) + 1) {
             const Item item = itemOf(model, record);
             itemsAdd(model, &model->entries, &item);
         }
@@ -95,8 +95,8 @@
 static bool shortened(const DiskModel *older, const DiskModel *newer)
 {
     uint64_t before, after;
-    return lastIndex(newer) < lastIndex(older) && epochAt(older, lastIndex(newer), &before) &&
-           epochAt(newer, lastIndex(newer), &after) && before == after;
+    return last_index(newer) < last_index(older) && epochAt(older, last_index(newer), &before) &&
+           epochAt(newer, last_index(newer), &after) && before == after;
 }
 
 static void compare(Explore *explore, const DiskModel *older, const DiskModel *newer)
@@ -106,7 +106,7 @@
                      epoch_counter(older->promised), epoch_counter(newer->promised));
     if (shortened(older, newer))
         exploreBreak(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
-                     lastIndex(older), lastIndex(newer));
+                     last_index(older), last_index(newer));
     if (newer->cluster != 0 && explore->cluster == 0)
         explore->cluster = newer->cluster;
     if (newer->cluster != 0 && newer->cluster != explore->cluster)
@@ -148,7 +148,7 @@
         before.entries.list = talloc_memdup(explore, model->entries.list, sizeof(Item) * model->entries.count);
     }
     size_t good;
-    (void)journalRead(bytes, take, model, &good, NULL); /* what is whole of it counts */
+    (void)journal_read(bytes, take, model, &good, NULL); /* what is whole of it counts */
     compare(explore, &before, model);
     if (before.entries.list != model->entries.list)
         talloc_free(before.entries.list);
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -85,7 +85,7 @@
     ExploreResult *result;
     SimWorld *world;
     bool loud;
-    int64_t startMs; /* the adversary's */
+    int64_t start_ms; /* the adversary's */
     Node nodes[NODES_MAX];
     int nodeCount;
     DiskModel *disks[DISKS_MAX];
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -49,7 +49,7 @@
         return NULL;
     const int number = explore->nodeCount++;
     Node *node = &explore->nodes[number];
-    *node = (Node){.explore = explore, .machine = simMachine(explore->world)};
+    *node = (Node){.explore = explore, .machine = sim_machine(explore->world)};
     node->name = talloc_asprintf(explore, "node%d", number + 1);
     node->listen = talloc_asprintf(explore, "%s:7000", simAddress(explore->world, node->machine));
     node->ring = ring_new(explore, node->name);
@@ -126,7 +126,7 @@
     const Status status = boot(node, simLoop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
     if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
-        simAt(node->explore->world, simNowMs(node->explore->world), startAgain, node);
+        simAt(node->explore->world, sim_now_ms(node->explore->world), startAgain, node);
     else if (!node->up)
         exploreBreak(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
 }
@@ -146,7 +146,7 @@
 {
     if (!node->gone && !simAlive(node->explore->world, node->machine)) {
         exploreSay(node->explore, "%s starts", node->name);
-        simStart(node->explore->world, node->machine, onStart, node);
+        sim_start(node->explore->world, node->machine, onStart, node);
     }
 }
 
@@ -157,13 +157,13 @@
 
 void nodeStartLater(Node *node, int64_t afterMs)
 {
-    simAt(node->explore->world, simNowMs(node->explore->world) + afterMs, startLater, node);
+    simAt(node->explore->world, sim_now_ms(node->explore->world) + afterMs, startLater, node);
 }
 
 void nodeKill(Node *node, bool power)
 {
     node->up = false;
-    (power ? simPowerOff : simKill)(node->explore->world, node->machine);
+    (power ? sim_power_off : sim_kill)(node->explore->world, node->machine);
 }
 
 void nodeWipe(Node *node)
@@ -206,7 +206,7 @@
     }
     node->leaving = true;
     loop_spawn(simLoop(node->explore->world, node->machine), "leave", leaveMain, node);
-    simAt(node->explore->world, simNowMs(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
+    simAt(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
 }
 
 /* --- what they are --------------------------------------------------------------- */
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -16,7 +16,7 @@
         return;
     va_list args;
     va_start(args, format);
-    printf("%7" PRId64 " ", simNowMs(explore->world) - explore->startMs);
+    printf("%7" PRId64 " ", sim_now_ms(explore->world) - explore->start_ms);
     vprintf(format, args);
     putchar('\n');
     va_end(args);
@@ -29,9 +29,9 @@
 
 static void runUntil(Explore *explore, int64_t until_ms)
 {
-    while (!broken(explore) && simNowMs(explore->world) < until_ms) {
-        const int64_t next_ms = simNowMs(explore->world) + LOOK_MS;
-        simRunUntil(explore->world, next_ms < until_ms ? next_ms : until_ms);
+    while (!broken(explore) && sim_now_ms(explore->world) < until_ms) {
+        const int64_t next_ms = sim_now_ms(explore->world) + LOOK_MS;
+        sim_run_until(explore->world, next_ms < until_ms ? next_ms : until_ms);
     }
 }
 
@@ -48,10 +48,10 @@
     for (int i = 0; i < explore->nodeCount; i++)
         nodeStartLater(&explore->nodes[i], i < first ? (int64_t)(simRandom(explore->world) % 300) : 6000);
     clientStart(explore);
-    const int64_t until_ms = simNowMs(explore->world) + FOUND_MS;
-    while (!broken(explore) && simNowMs(explore->world) < until_ms &&
+    const int64_t until_ms = sim_now_ms(explore->world) + FOUND_MS;
+    while (!broken(explore) && sim_now_ms(explore->world) < until_ms &&
            (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL))
-        runUntil(explore, simNowMs(explore->world) + LOOK_MS);
+        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
     if (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL)
         exploreBreak(explore, RULE_NOT_FOUNDED, "%zu voters of %d", explore->history.voterCount, voters);
 }
@@ -60,11 +60,11 @@
 {
     const ExplorePlan *plan = explore->plan;
     for (size_t i = 0; i < plan->actCount && !broken(explore); i++) {
-        runUntil(explore, explore->startMs + plan->acts[i].at_ms);
+        runUntil(explore, explore->start_ms + plan->acts[i].at_ms);
         if (!plan->skipped[i] && !broken(explore))
             actDo(explore, &plan->acts[i]);
     }
-    runUntil(explore, explore->startMs + plan->lengthMs);
+    runUntil(explore, explore->start_ms + plan->lengthMs);
 }
 
 static bool frozen(const Explore *explore)
@@ -81,32 +81,32 @@
     const size_t wanted = 2 * (size_t)explore->plan->losses + 1;
     while (!broken(explore) && disksLeft(explore) >= wanted &&
            (explore->history.voterCount < wanted || votersLeft(explore) < wanted)) {
-        if (simNowMs(explore->world) >= fromMs + WHOLE_MS)
+        if (sim_now_ms(explore->world) >= fromMs + WHOLE_MS)
             exploreBreak(explore, RULE_NOT_WHOLE, "%zu of %zu left, %zu wanted", votersLeft(explore),
                          explore->history.voterCount, wanted);
-        runUntil(explore, simNowMs(explore->world) + LOOK_MS);
+        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
     }
-    explore->result->wholeMs = simNowMs(explore->world) - fromMs;
+    explore->result->wholeMs = sim_now_ms(explore->world) - fromMs;
 }
 
 /* After all failures have ended, a change is committed within a stated span. */
 static void live(Explore *explore)
 {
     while (!broken(explore) && frozen(explore))
-        runUntil(explore, simNowMs(explore->world) + LOOK_MS);
+        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
     actsEnd(explore);
     exploreSay(explore, "the adversary has ended");
     ExploreResult *result = explore->result;
-    const int64_t fromMs = simNowMs(explore->world);
+    const int64_t fromMs = sim_now_ms(explore->world);
     const uint64_t before = result->acknowledged;
     result->lived = votersThere(explore);
     if (explore->plan->pace && !result->lived)
         exploreBreak(explore, RULE_NOT_LIVE, "no majority of the voters is left");
     if (!result->lived)
         return;
-    while (!broken(explore) && result->acknowledged == before && simNowMs(explore->world) < fromMs + LIVE_MS)
-        runUntil(explore, simNowMs(explore->world) + LOOK_MS);
-    result->liveMs = simNowMs(explore->world) - fromMs;
+    while (!broken(explore) && result->acknowledged == before && sim_now_ms(explore->world) < fromMs + LIVE_MS)
+        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
+    result->liveMs = sim_now_ms(explore->world) - fromMs;
     if (result->acknowledged == before)
         exploreBreak(explore, RULE_NOT_LIVE, "%" PRId64 " ms after the last failure", result->liveMs);
     whole(explore, fromMs);
@@ -127,11 +127,11 @@
     explore->plan = plan;
     explore->result = result;
     explore->loud = loud;
-    explore->world = simWorldNew(explore, plan->world);
+    explore->world = sim_world_new(explore, plan->world);
     simWatch(explore->world, checkStep, explore);
     simWatchDisks(explore->world, diskChanged, explore);
     found(explore);
-    explore->startMs = simNowMs(explore->world);
+    explore->start_ms = sim_now_ms(explore->world);
     adversary(explore);
     if (!broken(explore))
         live(explore);
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -72,8 +72,8 @@
     Attempt *attempt = arg;
     Forwarder *forwarder = attempt->forwarder;
     Loop *loop = forwarder->settings.loop;
-    const int64_t startMs = loop_now_ms(loop);
-    attempt->ask.wait_ms = (uint64_t)(attempt->deadlineMs - startMs);
+    const int64_t start_ms = loop_now_ms(loop);
+    attempt->ask.wait_ms = (uint64_t)(attempt->deadlineMs - start_ms);
     if (attempt->taken.own) {
         attempt->sending.sent = true;
         forwarder->settings.serve(forwarder->settings.arg, attempt, &attempt->ask, &attempt->answer);
@@ -82,12 +82,12 @@
         const CourierTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
         attempt->status =
             courier_ask_peer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAskShape,
-                             &attempt->ask, attempt->deadlineMs - startMs, &ForwardAnswerShape, &attempt->answer);
+                             &attempt->ask, attempt->deadlineMs - start_ms, &ForwardAnswerShape, &attempt->answer);
     }
     if (attempt->status == STATUS_OK) {
         if (!attempt->taken.own)
             waysHeard(forwarder->ways, &attempt->taken, served(&attempt->answer));
-        traceAnswered(forwarder, attempt, loop_now_ms(loop) - startMs);
+        traceAnswered(forwarder, attempt, loop_now_ms(loop) - start_ms);
         keeperKeep(forwarder->settings.keeper, attempt->answer.keeps, attempt->answer.keepsCount);
         attempt->answer.keepsCount = 0;
     } else {
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -56,12 +56,12 @@
 }
 
 /* Until when a request waits for a way. */
-static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t startMs, int64_t until_ms)
+static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t start_ms, int64_t until_ms)
 {
     const int64_t lostMs = waysLostMs(forwarder->ways);
     const int64_t fromMs = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
-        maybeTaken ? startMs + forwarder->settings.outcomeWaitMs : fromMs + forwarder->settings.leaderWaitMs;
+        maybeTaken ? start_ms + forwarder->settings.outcomeWaitMs : fromMs + forwarder->settings.leaderWaitMs;
     return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
@@ -81,7 +81,7 @@
 {
     Loop *loop = one->forwarder->settings.loop;
     if (answer->status != STATUS_REPAIRING || !one->maybeTaken || one->repeat == REPEAT_NEVER ||
-        loop_now_ms(loop) + REPAIR_REST_MS >= waysUntilMs(one->forwarder, true, one->startMs, one->until_ms))
+        loop_now_ms(loop) + REPAIR_REST_MS >= waysUntilMs(one->forwarder, true, one->start_ms, one->until_ms))
         return false;
     loop_sleep(loop, REPAIR_REST_MS);
     return true;
@@ -92,7 +92,7 @@
 {
     if (attempt > 0 && (one->task->gone || (one->maybeTaken && one->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t until_ms = waysUntilMs(one->forwarder, one->maybeTaken, one->startMs, one->until_ms);
+    const int64_t until_ms = waysUntilMs(one->forwarder, one->maybeTaken, one->start_ms, one->until_ms);
     return wayWait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
 }
 
@@ -142,12 +142,12 @@
 
 void forwardRequest(Forwarder *forwarder, HttpTask *task)
 {
-    const int64_t startMs = loop_now_ms(forwarder->settings.loop);
+    const int64_t start_ms = loop_now_ms(forwarder->settings.loop);
     Forwarding one = {.forwarder = forwarder,
                       .task = task,
                       .repeat = forwardRepeat(task->method, task->path, task->query),
-                      .startMs = startMs,
-                      .until_ms = startMs + FORWARD_DEADLINE_MS};
+                      .start_ms = start_ms,
+                      .until_ms = start_ms + FORWARD_DEADLINE_MS};
     if (task->expiry_ms != 0 && task->expiry_ms - FORWARD_BACK_MS < one.until_ms)
         one.until_ms = task->expiry_ms - FORWARD_BACK_MS;
     ForwardAsk ask = {
--- a/packages/feed/src/forwarding.h
+++ b/packages/feed/src/forwarding.h
@@ -10,7 +10,7 @@
     Forwarder *forwarder;
     HttpTask *task;
     Repeat repeat;
-    int64_t startMs, until_ms;
+    int64_t start_ms, until_ms;
     bool maybeTaken;
     bool based; /* the base of an order was taken here, not by its caller */
 } Forwarding;
--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -19,34 +19,35 @@
     uint64_t syncs;
     uint64_t records;
     uint64_t rewrites;
-    uint64_t bytes;      /* of the file now */
-    uint64_t tornBytes;  /* cut off at open */
-    bool begunAnew;      /* in the place of one that was not whole, at this start or an earlier one */
-    int64_t lastSyncMs;  /* how long the last one took */
-    int64_t worstSyncMs; /* since open */
+    uint64_t bytes;        /* of the file now */
+    uint64_t torn_bytes;   /* cut off at open */
+    bool begun_anew;       /* in the place of one that was not whole, at this start or an earlier one */
+    int64_t last_sync_ms;  /* how long the last one took */
+    int64_t worst_sync_ms; /* since open */
 } JournalCounts;
 
 /* Reads bytes as a journal. The count of good bytes is told; found may be null. */
-Status journalRead(Bytes content, JournalFn found, void *arg, size_t *goodCount, Failure *failure);
+Status journal_read(Bytes content, JournalFn found, void *arg, size_t *good_count, Failure *failure);
 
-/* Waits. Opens or makes the file; nodeName must be the one it was made for. */
-Status journalOpen(Loop *loop, void *mem, const char *path, const char *nodeName, JournalFn found, void *arg,
-                   Journal **journal, Failure *failure);
+/* Waits. Opens or makes the file; node_name must be the one it was made for. */
+Status journal_open(Loop *loop, void *mem, const char *path, const char *node_name, JournalFn found, void *arg,
+                    Journal **journal, Failure *failure);
 /* Waits. Puts a journal with a new disk id in the place of one that is not whole, in one
  * step; the old one is kept beside it for whoever looks into the fault, when it is small. */
-Status journalBegin(Loop *loop, void *mem, const char *path, const char *nodeName, Journal **journal, Failure *failure);
+Status journal_begin(Loop *loop, void *mem, const char *path, const char *node_name, Journal **journal,
+                     Failure *failure);
 /* The random number that names this disk, made with the file. */
-uint64_t journalDisk(const Journal *journal);
+uint64_t journal_disk(const Journal *journal);
 /* Queues the records and waits until they are synced, with all queued before them.
  * TOO_LARGE: they are more than a block holds, and nothing is written. */
-Status journalWrite(Journal *journal, const Record *records, size_t count);
+Status journal_write(Journal *journal, const Record *records, size_t count);
 /* Queues a new content of the whole file, which stands for all queued before
  * it; waits until it is in place. The identity is kept. Also tried after a failure. */
-Status journalRewrite(Journal *journal, const Record *records, size_t count);
+Status journal_rewrite(Journal *journal, const Record *records, size_t count);
 /* A write has failed: until a rewrite goes well, all others fail at once. */
-bool journalFailed(const Journal *journal);
-const JournalCounts *journalCounts(const Journal *journal);
+bool journal_failed(const Journal *journal);
+const JournalCounts *journal_counts(const Journal *journal);
 /* When the sync under way began, or INT64_MAX when there is none. */
-int64_t journalSyncSince(const Journal *journal);
+int64_t journal_sync_since(const Journal *journal);
 
 #endif
--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -19,7 +19,7 @@
     return (uint32_t)at[0] << 24 | (uint32_t)at[1] << 16 | (uint32_t)at[2] << 8 | at[3];
 }
 
-void blockAdd(void *mem, Bytes *to, Bytes body)
+void block_add(void *mem, Bytes *to, Bytes body)
 {
     uint8_t head[BLOCK_HEAD];
     put32(head, MAGIC);
@@ -31,7 +31,7 @@
 }
 
 /* Whether a whole, good block starts here; its body is told. */
-static bool blockAt(Bytes content, size_t at, Bytes *body)
+static bool block_at(Bytes content, size_t at, Bytes *body)
 {
     if (content.count - at < BLOCK_HEAD)
         return false;
@@ -44,11 +44,11 @@
     return get32(head + 12) == bytes_crc(body->data, body->count);
 }
 
-void recordAdd(void *mem, Bytes *body, const Record *record)
+void record_add(void *mem, Bytes *body, const Record *record)
 {
     void *scratch = talloc_new(mem);
     Bytes packed = {0};
-    shape_pack(&RecordShape, record, scratch, &packed);
+    shape_pack(&Record_shape, record, scratch, &packed);
     uint8_t count[4];
     put32(count, (uint32_t)packed.count);
     bytes_add(mem, body, count, sizeof(count));
@@ -56,7 +56,7 @@
     talloc_free(scratch);
 }
 
-static Status blockRead(Bytes body, size_t at, JournalFn found, void *arg, Failure *failure)
+static Status block_read(Bytes body, size_t at, JournalFn found, void *arg, Failure *failure)
 {
     for (size_t k = 0; k < body.count;) {
         const uint32_t count = body.count - k >= 4 ? get32(body.data + k) : UINT32_MAX;
@@ -65,7 +65,7 @@
                                at + BLOCK_HEAD + k);
         void *mem = talloc_new(NULL);
         Record record;
-        const Status status = shape_unpack(&RecordShape, (Bytes){body.data + k + 4, count, 0}, mem, &record, failure);
+        const Status status = shape_unpack(&Record_shape, (Bytes){body.data + k + 4, count, 0}, mem, &record, failure);
         if (status != STATUS_OK) {
             talloc_free(mem);
             return failure_set(failure, STATUS_JOURNAL_CORRUPT, "record does not parse at byte %zu",
@@ -79,24 +79,24 @@
     return STATUS_OK;
 }
 
-Status journalRead(Bytes content, JournalFn found, void *arg, size_t *goodCount, Failure *failure)
+Status journal_read(Bytes content, JournalFn found, void *arg, size_t *good_count, Failure *failure)
 {
     size_t at = 0;
-    *goodCount = 0;
+    *good_count = 0;
     while (at < content.count) {
         Bytes body;
-        if (!blockAt(content, at, &body)) {
+        if (!block_at(content, at, &body)) {
             for (size_t later = at + 1; later < content.count; later++)
-                if (content.data[later] == (uint8_t)(MAGIC >> 24) && blockAt(content, later, &body))
+                if (content.data[later] == (uint8_t)(MAGIC >> 24) && block_at(content, later, &body))
                     return failure_set(failure, STATUS_JOURNAL_CORRUPT,
                                        "bad block at byte %zu, but a whole one follows at byte %zu", at, later);
             return STATUS_OK; /* a torn tail */
         }
-        const Status status = blockRead(body, at, found, arg, failure);
+        const Status status = block_read(body, at, found, arg, failure);
         if (status != STATUS_OK)
             return status;
         at += BLOCK_HEAD + body.count;
-        *goodCount = at;
+        *good_count = at;
     }
     return STATUS_OK;
 }
--- a/packages/journal/src/block.h
+++ b/packages/journal/src/block.h
@@ -4,9 +4,9 @@
 #include "journal/record.h"
 
 /* Adds a whole block with this body. */
-void blockAdd(void *mem, Bytes *to, Bytes body);
+void block_add(void *mem, Bytes *to, Bytes body);
 /* Adds a record to a body: records stand in a block one after the other, each with its
  * length. */
-void recordAdd(void *mem, Bytes *body, const Record *record);
+void record_add(void *mem, Bytes *body, const Record *record);
 
 #endif
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -23,15 +23,15 @@
     Loop *loop;
     File *file;
     uint64_t disk;
-    const char *nodeName;
+    const char *node_name;
     Waiting *first, *last;
     Signal asked;
     bool failed;
-    int64_t syncSinceMs;
+    int64_t sync_since_ms;
     JournalCounts counts;
 };
 
-static void writerMain(void *arg)
+static void writer_main(void *arg)
 {
     Journal *journal = arg;
     for (;;) {
@@ -40,7 +40,7 @@
         /* all that is queued shares a sync; a rewrite goes alone */
         void *mem = talloc_new(journal);
         Waiting *batch = journal->first;
-        Waiting *batchLast = batch;
+        Waiting *batch_last = batch;
         Bytes body = {0};
         size_t records = 0;
         const bool rewrite = batch->rewrite;
@@ -49,16 +49,16 @@
              w = w->next) {
             bytes_add(mem, &body, w->body.data, w->body.count);
             records += w->records;
-            batchLast = w;
+            batch_last = w;
         }
-        journal->first = batchLast->next;
+        journal->first = batch_last->next;
         if (journal->first == NULL)
             journal->last = NULL;
-        batchLast->next = NULL;
+        batch_last->next = NULL;
         Status status = STATUS_DISK_FAILED;
         if (!journal->failed || rewrite) { /* a new file stands for all that the old one should hold */
-            const int64_t startMs = loop_now_ms(journal->loop);
-            journal->syncSinceMs = startMs;
+            const int64_t start_ms = loop_now_ms(journal->loop);
+            journal->sync_since_ms = start_ms;
             if (rewrite) {
                 status = file_replace(journal->file, body);
                 journal->counts.rewrites++;
@@ -68,17 +68,17 @@
                 status = STATUS_OK; /* only waited for those before it */
             } else {
                 Bytes block = {0};
-                blockAdd(mem, &block, body);
+                block_add(mem, &block, body);
                 status = file_append(journal->file, block);
                 if (status == STATUS_OK)
                     journal->counts.bytes += block.count;
                 journal->counts.syncs++;
             }
-            journal->syncSinceMs = INT64_MAX;
+            journal->sync_since_ms = INT64_MAX;
             journal->counts.records += records;
-            journal->counts.lastSyncMs = loop_now_ms(journal->loop) - startMs;
-            if (journal->counts.lastSyncMs > journal->counts.worstSyncMs)
-                journal->counts.worstSyncMs = journal->counts.lastSyncMs;
+            journal->counts.last_sync_ms = loop_now_ms(journal->loop) - start_ms;
+            if (journal->counts.last_sync_ms > journal->counts.worst_sync_ms)
+                journal->counts.worst_sync_ms = journal->counts.last_sync_ms;
             journal->failed = status != STATUS_OK;
         }
         while (batch != NULL) {
@@ -92,7 +92,7 @@
     }
 }
 
-static Status queueUp(Journal *journal, Waiting *waiting)
+static Status queue_up(Journal *journal, Waiting *waiting)
 {
     if (journal->failed && !waiting->rewrite) {
         talloc_free(waiting);
@@ -111,17 +111,17 @@
     return status;
 }
 
-Status journalWrite(Journal *journal, const Record *records, size_t count)
+Status journal_write(Journal *journal, const Record *records, size_t count)
 {
     Waiting *waiting = talloc_zero(journal, Waiting);
     for (size_t i = 0; i < count; i++)
-        recordAdd(waiting, &waiting->body, &records[i]);
+        record_add(waiting, &waiting->body, &records[i]);
     waiting->records = count;
     if (waiting->body.count >= RECORD_MAX_BYTES) { /* no block holds it: it could not be read again */
         talloc_free(waiting);
         return STATUS_TOO_LARGE;
     }
-    return queueUp(journal, waiting);
+    return queue_up(journal, waiting);
 }
 
 static Record identity(const Journal *journal)
@@ -129,11 +129,11 @@
     return (Record){.kind = RECORD_IDENTITY,
                     .epoch = JOURNAL_VERSION,
                     .index = journal->disk,
-                    .change = journal->counts.begunAnew,
-                    .name = journal->nodeName};
+                    .change = journal->counts.begun_anew,
+                    .name = journal->node_name};
 }
 
-Status journalRewrite(Journal *journal, const Record *records, size_t count)
+Status journal_rewrite(Journal *journal, const Record *records, size_t count)
 {
     Waiting *waiting = talloc_zero(journal, Waiting);
     waiting->rewrite = true;
@@ -141,17 +141,17 @@
     /* the body is a whole file: small blocks, so that no record makes one too large */
     Bytes body = {0};
     const Record first = identity(journal);
-    recordAdd(waiting, &body, &first);
+    record_add(waiting, &body, &first);
     for (size_t i = 0; i < count; i++) {
-        recordAdd(waiting, &body, &records[i]);
+        record_add(waiting, &body, &records[i]);
         if (body.count > 1024 * 1024) {
-            blockAdd(waiting, &waiting->body, body);
+            block_add(waiting, &waiting->body, body);
             body.count = 0;
         }
     }
     if (body.count > 0)
-        blockAdd(waiting, &waiting->body, body);
-    return queueUp(journal, waiting);
+        block_add(waiting, &waiting->body, body);
+    return queue_up(journal, waiting);
 }
 
 typedef struct Opening {
@@ -162,7 +162,7 @@
     Failure failure;
 } Opening;
 
-static void openRecord(void *arg, const Record *record)
+static void open_record(void *arg, const Record *record)
 {
     Opening *opening = arg;
     Journal *journal = opening->journal;
@@ -172,11 +172,11 @@
         else if (record->epoch > JOURNAL_VERSION)
             failure_set(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
                         record->epoch, JOURNAL_VERSION);
-        else if (strcmp(record->name, journal->nodeName) != 0)
+        else if (strcmp(record->name, journal->node_name) != 0)
             failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
-                        record->name, journal->nodeName);
+                        record->name, journal->node_name);
         journal->disk = record->index;
-        journal->counts.begunAnew = record->change != 0;
+        journal->counts.begun_anew = record->change != 0;
         return;
     }
     if (opening->failure.status == STATUS_OK && record->kind != RECORD_IDENTITY)
@@ -184,18 +184,18 @@
 }
 
 /* A journal with nothing but its file. */
-static Status fileTake(Loop *loop, void *mem, const char *path, const char *nodeName, Journal **out, Failure *failure)
+static Status file_take(Loop *loop, void *mem, const char *path, const char *node_name, Journal **out, Failure *failure)
 {
     Journal *journal = talloc_zero(mem, Journal);
     journal->loop = loop;
-    journal->nodeName = talloc_strdup(journal, nodeName);
-    journal->syncSinceMs = INT64_MAX;
+    journal->node_name = talloc_strdup(journal, node_name);
+    journal->sync_since_ms = INT64_MAX;
     *out = journal;
     return file_open(loop, journal, path, &journal->file, failure);
 }
 
 /* Waits. A disk that refuses writes is tried again for a moment. */
-static Status replaceTry(Journal *journal, Bytes content)
+static Status replace_try(Journal *journal, Bytes content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
@@ -204,7 +204,7 @@
     return status;
 }
 
-static Status readTry(Journal *journal, void *mem, Bytes *content)
+static Status read_try(Journal *journal, void *mem, Bytes *content)
 {
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
@@ -214,108 +214,108 @@
 }
 
 /* Reads the file; its torn tail is cut off. */
-static Status contentTake(Journal *journal, const char *path, Opening *opening, Failure *failure)
+static Status content_take(Journal *journal, const char *path, Opening *opening, Failure *failure)
 {
     void *mem = talloc_new(journal);
     Bytes content = {0};
-    size_t goodCount = 0;
-    Status status = readTry(journal, mem, &content);
+    size_t good_count = 0;
+    Status status = read_try(journal, mem, &content);
     if (status != STATUS_OK)
         failure_set(failure, status, "cannot read %s", path);
     else
-        status = journalRead(content, openRecord, opening, &goodCount, failure);
+        status = journal_read(content, open_record, opening, &good_count, failure);
     if (status == STATUS_OK && opening->failure.status != STATUS_OK)
         status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
-    if (status == STATUS_OK && goodCount == 0 && content.count > 0) /* the first block comes in one step */
+    if (status == STATUS_OK && good_count == 0 && content.count > 0) /* the first block comes in one step */
         status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
-    if (status == STATUS_OK && goodCount < content.count) {
-        status = replaceTry(journal, (Bytes){content.data, goodCount, 0});
+    if (status == STATUS_OK && good_count < content.count) {
+        status = replace_try(journal, (Bytes){content.data, good_count, 0});
         if (status != STATUS_OK)
             failure_set(failure, status, "cannot cut the torn tail of %s", path);
     }
-    journal->counts.bytes = goodCount;
-    journal->counts.tornBytes = content.count - goodCount;
+    journal->counts.bytes = good_count;
+    journal->counts.torn_bytes = content.count - good_count;
     talloc_free(mem);
     return status;
 }
 
 /* A new disk id, in a file that holds nothing else. */
-static Status identityWrite(Journal *journal, const char *path, Failure *failure)
+static Status identity_write(Journal *journal, const char *path, Failure *failure)
 {
     void *mem = talloc_new(journal);
     Bytes body = {0}, block = {0};
     journal->disk = loop_random(journal->loop) >> 1;
     const Record first = identity(journal);
-    recordAdd(mem, &body, &first);
-    blockAdd(mem, &block, body);
-    const Status status = replaceTry(journal, block);
+    record_add(mem, &body, &first);
+    block_add(mem, &block, body);
+    const Status status = replace_try(journal, block);
     journal->counts.bytes = block.count;
     talloc_free(mem);
     return status == STATUS_OK ? status : failure_set(failure, status, "cannot write %s", path);
 }
 
-Status journalOpen(Loop *loop, void *mem, const char *path, const char *nodeName, JournalFn found, void *arg,
-                   Journal **out, Failure *failure)
+Status journal_open(Loop *loop, void *mem, const char *path, const char *node_name, JournalFn found, void *arg,
+                    Journal **out, Failure *failure)
 {
     Journal *journal;
-    Status status = fileTake(loop, mem, path, nodeName, &journal, failure);
+    Status status = file_take(loop, mem, path, node_name, &journal, failure);
     if (status != STATUS_OK)
         return status;
     Opening opening = {journal, found, arg, 0, {0}};
-    status = contentTake(journal, path, &opening, failure);
+    status = content_take(journal, path, &opening, failure);
     if (status == STATUS_OK && opening.records == 0)
-        status = identityWrite(journal, path, failure);
+        status = identity_write(journal, path, failure);
     if (status != STATUS_OK)
         return status;
-    loop_spawn(loop, "journal", writerMain, journal);
+    loop_spawn(loop, "journal", writer_main, journal);
     *out = journal;
     return STATUS_OK;
 }
 
 /* A copy for whoever looks into the fault: it may fail, nothing rests on it. */
-static void keepBad(Journal *journal, const char *path)
+static void keep_bad(Journal *journal, const char *path)
 {
     void *mem = talloc_new(journal);
     Bytes content = {0};
     File *beside;
-    if (readTry(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
+    if (read_try(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
         file_open(journal->loop, journal, talloc_asprintf(mem, "%s.bad", path), &beside, NULL) == STATUS_OK)
         (void)file_replace(beside, content);
     talloc_free(mem);
 }
 
-Status journalBegin(Loop *loop, void *mem, const char *path, const char *nodeName, Journal **out, Failure *failure)
+Status journal_begin(Loop *loop, void *mem, const char *path, const char *node_name, Journal **out, Failure *failure)
 {
     Journal *journal;
-    Status status = fileTake(loop, mem, path, nodeName, &journal, failure);
+    Status status = file_take(loop, mem, path, node_name, &journal, failure);
     if (status != STATUS_OK)
         return status;
-    keepBad(journal, path);
-    journal->counts.begunAnew = true;
-    status = identityWrite(journal, path, failure);
+    keep_bad(journal, path);
+    journal->counts.begun_anew = true;
+    status = identity_write(journal, path, failure);
     if (status != STATUS_OK)
         return status;
-    loop_spawn(loop, "journal", writerMain, journal);
+    loop_spawn(loop, "journal", writer_main, journal);
     *out = journal;
     return STATUS_OK;
 }
 
-uint64_t journalDisk(const Journal *journal)
+uint64_t journal_disk(const Journal *journal)
 {
     return journal->disk;
 }
 
-bool journalFailed(const Journal *journal)
+bool journal_failed(const Journal *journal)
 {
     return journal->failed;
 }
 
-const JournalCounts *journalCounts(const Journal *journal)
+const JournalCounts *journal_counts(const Journal *journal)
 {
     return &journal->counts;
 }
 
-int64_t journalSyncSince(const Journal *journal)
+int64_t journal_sync_since(const Journal *journal)
 {
-    return journal->syncSinceMs;
+    return journal->sync_since_ms;
 }
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -297,7 +297,7 @@
     Callers *callers = talloc_zero(mem, Callers);
     *callers = (Callers){.ground = door->ground, .door = door, .book = book, .ledger = ledger};
     for (int64_t zone = 0; zone < callers->ground->site->zones; zone++)
-        callers->machines[zone] = simMachine(callers->ground->world);
+        callers->machines[zone] = sim_machine(callers->ground->world);
     return callers;
 }
 
@@ -305,7 +305,7 @@
 {
     const Site *site = callers->ground->site;
     for (int64_t zone = 0; zone < site->zones; zone++) {
-        simStart(callers->ground->world, callers->machines[zone], nothing, NULL);
+        sim_start(callers->ground->world, callers->machines[zone], nothing, NULL);
         for (size_t kind = 0; kind < site->kindCount; kind++) {
             callers->timesMilli[kind] = 1000;
             if (site->kinds[kind].perMinute <= 0)
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -123,7 +123,7 @@
 
 static void dayFor(const Day *day, int64_t forMs)
 {
-    simRunUntil(day->ground->world, groundNowMs(day->ground) + forMs);
+    sim_run_until(day->ground->world, groundNowMs(day->ground) + forMs);
 }
 
 static void closingStart(void *arg)
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -45,13 +45,13 @@
 {
     Door *door = talloc_zero(mem, Door);
     door->ground = ground;
-    door->machine = simMachine(ground->world);
+    door->machine = sim_machine(ground->world);
     return door;
 }
 
 void doorStart(Door *door)
 {
-    simStart(door->ground->world, door->machine, nothing, NULL);
+    sim_start(door->ground->world, door->machine, nothing, NULL);
     Loop *loop = simLoop(door->ground->world, door->machine);
     for (size_t i = 0; i < door->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(loop, Looking);
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -12,12 +12,12 @@
 
 int64_t groundNowMs(const Ground *ground)
 {
-    return simNowMs(ground->world);
+    return sim_now_ms(ground->world);
 }
 
 int64_t groundDayMs(const Ground *ground)
 {
-    return simNowMs(ground->world) - ground->beganMs;
+    return sim_now_ms(ground->world) - ground->beganMs;
 }
 
 void groundSay(const Ground *ground, const char *format, ...)
@@ -83,7 +83,7 @@
     GroundNode *node = side ? &ground->sides[ground->sideCount++] : &ground->edges[ground->edgeCount++];
     *node = (GroundNode){.ground = ground,
                          .zone = siteZone(zone),
-                         .machine = simMachine(ground->world),
+                         .machine = sim_machine(ground->world),
                          .side = side,
                          .disk = disk,
                          .counted = disk};
@@ -96,7 +96,7 @@
 Ground *groundNew(void *mem, const Site *site, const Tongue *tongue, uint64_t seed, Rules *rules)
 {
     Ground *ground = talloc_zero(mem, Ground);
-    ground->world = simWorldNew(ground, seed);
+    ground->world = sim_world_new(ground, seed);
     ground->site = site;
     ground->tongue = tongue;
     ground->face = faceFind(tongue->face);
@@ -216,7 +216,7 @@
     node->life++;
     node->sawRevision = 0;
     node->up = node->leaving = false;
-    simStart(node->ground->world, node->machine, processStart, node);
+    sim_start(node->ground->world, node->machine, processStart, node);
     nodeTrouble(node, 0);
 }
 
@@ -234,9 +234,9 @@
         return;
     nodeOver(node);
     if (power)
-        simPowerOff(node->ground->world, node->machine);
+        sim_power_off(node->ground->world, node->machine);
     else
-        simKill(node->ground->world, node->machine);
+        sim_kill(node->ground->world, node->machine);
     nodeTrouble(node, 0);
 }
 
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -202,7 +202,7 @@
     snprintf(hand->boot, sizeof(hand->boot), "i-%08" PRIx64,
              diceOf(hand->hands->ground->seed, "boot", hand->hands->boots++).state >> 32);
     hand->up = true;
-    simStart(hand->hands->ground->world, hand->machine, processStart, hand);
+    sim_start(hand->hands->ground->world, hand->machine, processStart, hand);
 }
 
 void handCrash(Hand *hand, bool power)
@@ -224,9 +224,9 @@
             handRunEnd(others[i], ROUND_BROKEN);
     }
     if (power)
-        simPowerOff(hand->hands->ground->world, hand->machine);
+        sim_power_off(hand->hands->ground->world, hand->machine);
     else
-        simKill(hand->hands->ground->world, hand->machine);
+        sim_kill(hand->hands->ground->world, hand->machine);
 }
 
 Hands *handsNew(void *mem, Book *book, Ledger *ledger)
@@ -243,7 +243,7 @@
         Hand *hand = &hands->list[i];
         *hand = (Hand){.hands = hands,
                        .side = &ground->sides[i],
-                       .machine = simMachine(ground->world),
+                       .machine = sim_machine(ground->world),
                        .number = (int)i,
                        .kind = "std",
                        .zone = ground->sides[i].zone,
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -289,7 +289,7 @@
     Operator *self = talloc_zero(mem, Operator);
     *self = (Operator){.ground = ground,
                        .ledger = ledger,
-                       .machine = simMachine(ground->world),
+                       .machine = sim_machine(ground->world),
                        .dice = diceOf(ground->seed, "operator", 0)};
     return self;
 }
@@ -297,7 +297,7 @@
 void operatorStart(Operator *self)
 {
     const Site *site = self->ground->site;
-    simStart(self->ground->world, self->machine, nothing, NULL);
+    sim_start(self->ground->world, self->machine, nothing, NULL);
     Document first = {.kinds = {"std"}, .kindCount = 1, .guards = site->guards != 0};
     for (size_t i = 0; i < site->kindCount; i++)
         callersQueue(site, i, &first.queues[first.queueCount++]);
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -310,7 +310,7 @@
         nodeCut(node, true);
         break;
     case TROUBLE_DISK_SLOW:
-        simDiskSlow(ground->world, node->machine, diceSpan(&trouble->dice, 20, 400));
+        sim_disk_slow(ground->world, node->machine, diceSpan(&trouble->dice, 20, 400));
         nodeTrouble(node, 1);
         break;
     case TROUBLE_CORE_REPLACE:
@@ -479,7 +479,7 @@
         break;
     case TROUBLE_DISK_SLOW:
         if (node != NULL) {
-            simDiskSlow(ground->world, node->machine, 3);
+            sim_disk_slow(ground->world, node->machine, 3);
             nodeTrouble(node, -1);
         }
         break;
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -15,13 +15,13 @@
 /* bytes were added to a machine's file and synced, or are all that it has (whole). */
 typedef void (*SimDiskFn)(void *arg, int machine, const char *path, Bytes bytes, bool whole);
 
-SimWorld *simWorldNew(void *mem, uint64_t seed);
-int64_t simNowMs(const SimWorld *world);
+SimWorld *sim_world_new(void *mem, uint64_t seed);
+int64_t sim_now_ms(const SimWorld *world);
 /* True wall time, which machines' clocks are off from. */
 int64_t simWallMs(const SimWorld *world);
 uint64_t simRandom(SimWorld *world);
 /* Runs until virtual time has come to until_ms. */
-void simRunUntil(SimWorld *world, int64_t until_ms);
+void sim_run_until(SimWorld *world, int64_t until_ms);
 /* Runs until the machine has had its next turn, or virtual time has come to
  * until_ms; true when it had one. */
 bool simTurn(SimWorld *world, int machine, int64_t until_ms);
@@ -35,16 +35,16 @@
 
 /* A machine: an IP of its own ("10.0.0.N") and a disk that outlives its
  * processes. */
-int simMachine(SimWorld *world);
+int sim_machine(SimWorld *world);
 const char *simAddress(const SimWorld *world, int machine);
 /* Starts a process there; start is called at once and spawns its tasks. */
-void simStart(SimWorld *world, int machine, SimStart start, void *arg);
+void sim_start(SimWorld *world, int machine, SimStart start, void *arg);
 bool simAlive(const SimWorld *world, int machine);
 Loop *simLoop(const SimWorld *world, int machine);
 /* SIGKILL: the kernel tells the peers. */
-void simKill(SimWorld *world, int machine);
+void sim_kill(SimWorld *world, int machine);
 /* Power off: nobody is told, what the disk held back is lost. */
-void simPowerOff(SimWorld *world, int machine);
+void sim_power_off(SimWorld *world, int machine);
 /* SIGSTOP until the given time. */
 void simFreeze(SimWorld *world, int machine, int64_t until_ms);
 bool simFrozen(const SimWorld *world, int machine);
@@ -75,13 +75,13 @@
 /* Every frame from and to the machine takes so much longer. */
 void simFar(SimWorld *world, int machine, int64_t moreMs);
 /* Each sync takes so long from now on. */
-void simDiskSlow(SimWorld *world, int machine, int64_t syncMs);
+void sim_disk_slow(SimWorld *world, int machine, int64_t syncMs);
 /* Syncs fail from now on. */
-void simDiskFail(SimWorld *world, int machine, bool fails);
+void sim_disk_fail(SimWorld *world, int machine, bool fails);
 /* All files together hold so many bytes at most from now on; 0: no bound. */
-void simDiskRoom(SimWorld *world, int machine, size_t bytes);
+void sim_disk_room(SimWorld *world, int machine, size_t bytes);
 /* Bytes of all its files. */
-size_t simDiskUsed(const SimWorld *world, int machine);
+size_t sim_disk_used(const SimWorld *world, int machine);
 /* Syncs are acknowledged but lost at the next power-off (or kill). */
 void simDiskLie(SimWorld *world, int machine, bool lies);
 /* Whether the disk syncs within so long, and does not fail. */
@@ -90,7 +90,7 @@
 void simDiskWipe(SimWorld *world, int machine);
 /* The content of a file, all of it synced, for tests that spoil it; valid until a process
  * puts another file in its place. */
-Bytes *simDiskContent(SimWorld *world, int machine, const char *path);
+Bytes *sim_disk_content(SimWorld *world, int machine, const char *path);
 uint64_t simEvents(const SimWorld *world);
 
 #endif
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -227,22 +227,22 @@
 
 /* --- troubles -------------------------------------------------------------------------- */
 
-void simDiskSlow(SimWorld *world, int machine, int64_t syncTakesMs)
+void sim_disk_slow(SimWorld *world, int machine, int64_t syncTakesMs)
 {
     world->machines[machine].syncMs = syncTakesMs;
 }
 
-void simDiskFail(SimWorld *world, int machine, bool fails)
+void sim_disk_fail(SimWorld *world, int machine, bool fails)
 {
     world->machines[machine].diskFails = fails;
 }
 
-void simDiskRoom(SimWorld *world, int machine, size_t bytes)
+void sim_disk_room(SimWorld *world, int machine, size_t bytes)
 {
     world->machines[machine].diskRoom = bytes;
 }
 
-size_t simDiskUsed(const SimWorld *world, int machine)
+size_t sim_disk_used(const SimWorld *world, int machine)
 {
     return usedOf(&world->machines[machine]);
 }
@@ -264,7 +264,7 @@
     one->disk = map_new(world);
 }
 
-Bytes *simDiskContent(SimWorld *world, int machine, const char *path)
+Bytes *sim_disk_content(SimWorld *world, int machine, const char *path)
 {
     SimContent *content = contentOf(&world->machines[machine], path);
     /* whatever a test leaves there is what stands */
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -12,7 +12,7 @@
 
 static int64_t worldNow(void *arg)
 {
-    return simNowMs(((const Fleet *)arg)->world);
+    return sim_now_ms(((const Fleet *)arg)->world);
 }
 
 static int64_t worldWall(void *arg)
@@ -63,7 +63,7 @@
     node->fleet = fleet;
     node->role = role;
     node->number = number;
-    node->machine = simMachine(fleet->world);
+    node->machine = sim_machine(fleet->world);
     const char *ip = simAddress(fleet->world, node->machine);
     node->props.bounds = boundsFirst();
     node->props.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
@@ -94,7 +94,7 @@
 Fleet *fleetNewAt(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
 {
     Fleet *fleet = talloc_zero(mem, Fleet);
-    fleet->world = simWorldNew(fleet, seed);
+    fleet->world = sim_world_new(fleet, seed);
     fleet->shape = shape;
     fleet->site = *site;
     const CheckerProps props = {fleet, worldNow, workerFrozen, jobOf, worldWall};
@@ -121,7 +121,7 @@
         };
         checkerWorker(fleet->checker, &worker->workerProps.worker);
     }
-    fleet->caller = simMachine(fleet->world);
+    fleet->caller = sim_machine(fleet->world);
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->nodeCount[role]; i++)
             for (int s = 0; s < SEEDS; s++)
@@ -184,7 +184,7 @@
         ring_quiet(node->ring);
     }
     if (!simAlive(fleet->world, node->machine))
-        simStart(fleet->world, node->machine, nodeStart, node);
+        sim_start(fleet->world, node->machine, nodeStart, node);
 }
 
 static void emptyStart(void *arg, Loop *loop)
@@ -201,12 +201,12 @@
 
 void fleetStart(Fleet *fleet)
 {
-    simStart(fleet->world, fleet->caller, emptyStart, fleet);
+    sim_start(fleet->world, fleet->caller, emptyStart, fleet);
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->nodeCount[role] - (role == FLEET_CORE ? fleet->shape.spares : 0); i++)
             if (fleet->site.staggerMs > 0)
                 simAt(fleet->world,
-                      simNowMs(fleet->world) + (int64_t)(simRandom(fleet->world) % (uint64_t)fleet->site.staggerMs),
+                      sim_now_ms(fleet->world) + (int64_t)(simRandom(fleet->world) % (uint64_t)fleet->site.staggerMs),
                       startLater, fleetNode(fleet, (FleetRole)role, i));
             else
                 fleetStartNode(fleet, (FleetRole)role, i);
@@ -225,10 +225,10 @@
 
 void fleetRun(Fleet *fleet, int64_t forMs)
 {
-    const int64_t until_ms = simNowMs(fleet->world) + forMs;
-    while (simNowMs(fleet->world) < until_ms) {
-        const int64_t next_ms = simNowMs(fleet->world) + 500;
-        simRunUntil(fleet->world, next_ms < until_ms ? next_ms : until_ms);
+    const int64_t until_ms = sim_now_ms(fleet->world) + forMs;
+    while (sim_now_ms(fleet->world) < until_ms) {
+        const int64_t next_ms = sim_now_ms(fleet->world) + 500;
+        sim_run_until(fleet->world, next_ms < until_ms ? next_ms : until_ms);
         checkerLook(fleet->checker);
     }
 }
@@ -247,8 +247,8 @@
 
 bool fleetSettle(Fleet *fleet, int64_t mostMs)
 {
-    const int64_t until_ms = simNowMs(fleet->world) + mostMs;
-    while (!settled(fleet) && simNowMs(fleet->world) < until_ms)
+    const int64_t until_ms = sim_now_ms(fleet->world) + mostMs;
+    while (!settled(fleet) && sim_now_ms(fleet->world) < until_ms)
         fleetRun(fleet, 100);
     return settled(fleet);
 }
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -82,12 +82,12 @@
 
 bool fleetFinish(Fleet *fleet, int64_t mostMs)
 {
-    const int64_t until_ms = simNowMs(fleet->world) + mostMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + mostMs;
     for (;;) {
         bool done = checkerOpen(fleet->checker) == 0;
         for (int i = 0; i < fleet->callerCount; i++)
             done &= callerDone(fleet->callers[i]);
-        if (done || simNowMs(fleet->world) >= until_ms) {
+        if (done || sim_now_ms(fleet->world) >= until_ms) {
             checkerEnd(fleet->checker);
             return done;
         }
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -31,14 +31,14 @@
     FleetNode *node = arg;
     drain(node);
     /* a process ends from outside of its own tasks */
-    simAt(node->fleet->world, simNowMs(node->fleet->world), rolled, node);
+    simAt(node->fleet->world, sim_now_ms(node->fleet->world), rolled, node);
 }
 
 static void leaveMain(void *arg)
 {
     FleetNode *node = arg;
     drain(node);
-    simAt(node->fleet->world, simNowMs(node->fleet->world), left, node);
+    simAt(node->fleet->world, sim_now_ms(node->fleet->world), left, node);
 }
 
 void fleetLeave(Fleet *fleet, FleetRole role, int number)
@@ -73,14 +73,14 @@
 {
     FleetNode *node = fleetNode(fleet, role, number);
     nodeGone(node);
-    simKill(fleet->world, node->machine);
+    sim_kill(fleet->world, node->machine);
 }
 
 void fleetPowerOff(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleetNode(fleet, role, number);
     nodeGone(node);
-    simPowerOff(fleet->world, node->machine);
+    sim_power_off(fleet->world, node->machine);
 }
 
 static void woke(void *arg)
@@ -94,7 +94,7 @@
 void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t forMs)
 {
     FleetNode *node = fleetNode(fleet, role, number);
-    const int64_t until_ms = simNowMs(fleet->world) + forMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + forMs;
     if (!simAlive(fleet->world, node->machine))
         return;
     simFreeze(fleet->world, node->machine, until_ms);
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -29,7 +29,7 @@
 static void onHeld(void *arg, const char *worker, int64_t leftMs)
 {
     const FleetNode *node = arg;
-    checkerHeld(node->fleet->checker, worker, simNowMs(node->fleet->world) + leftMs);
+    checkerHeld(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + leftMs);
 }
 
 static void onResumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -49,7 +49,7 @@
     const uint64_t at = probe->count++;
     const char *tenant = at % 2 == 0 ? "probe" : at % 8 == 7 ? PROBE_NEVER : PROBE_IN_OUT[at / 2 % PROBE_TENANTS];
     char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->gate, at);
-    const int64_t sent_ms = simNowMs(fleet->world);
+    const int64_t sent_ms = sim_now_ms(fleet->world);
     checkerSent(fleet->checker, id);
     HttpCall call;
     const Status status =
@@ -61,7 +61,7 @@
         checkerAccepted(fleet->checker, id);
         checkerServed(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].props.name, SERVE_ACCEPT);
         if (probe->openCount < PROBE_OPEN_MAX)
-            probe->open[probe->openCount++] = (ProbeJob){id, simNowMs(fleet->world)};
+            probe->open[probe->openCount++] = (ProbeJob){id, sim_now_ms(fleet->world)};
     } else if (status == STATUS_OK && call.code >= 400 && call.code < 500) {
         checkerRefused(fleet->checker, id);
     }
@@ -83,7 +83,7 @@
     if (callAt(probe, probe->gate, mem, "GET", path, NULL, &call) == STATUS_OK &&
         (call.code == 200 || call.code == 404))
         checkerServed(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].props.name, SERVE_STATUS);
-    if (probe->openCount > 0 && simNowMs(fleet->world) - job.acceptedMs >= ASK_LATE_MS &&
+    if (probe->openCount > 0 && sim_now_ms(fleet->world) - job.acceptedMs >= ASK_LATE_MS &&
         callAt(probe, probe->gate + (int)(probe->count % (uint64_t)fleet->nodeCount[FLEET_GATE]), mem, "GET", path,
                NULL, &call) == STATUS_OK) {
         bool over = call.code == 404;
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -55,7 +55,7 @@
         return;
     va_list args;
     va_start(args, format);
-    printf("  %6" PRId64 " ", simNowMs(sweep->fleet->world) - sweep->startMs);
+    printf("  %6" PRId64 " ", sim_now_ms(sweep->fleet->world) - sweep->start_ms);
     vprintf(format, args);
     putchar('\n');
     va_end(args);
@@ -102,11 +102,11 @@
     sweepJoinAll(sweep);
     simDelay(fleet->world, 1, 3);
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
-        simDiskSlow(fleet->world, fleet->nodes[FLEET_CORE][i].machine, 3);
+        sim_disk_slow(fleet->world, fleet->nodes[FLEET_CORE][i].machine, 3);
         simDiskLie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
         if (!simDiskGood(fleet->world, fleet->nodes[FLEET_CORE][i].machine, INT64_MAX)) {
             /* a core whose disk has failed leads no more until it is started anew */
-            simDiskFail(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
+            sim_disk_fail(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
             fleetKill(fleet, FLEET_CORE, i);
         }
     }
@@ -128,7 +128,7 @@
             fleetRun(fleet, 500);
         talloc_free(mem);
     }
-    sweepSay(sweep, "healed (start %" PRId64 ")", sweep->startMs);
+    sweepSay(sweep, "healed (start %" PRId64 ")", sweep->start_ms);
 }
 
 /* One failure, drawn from the seed and the step alone, so that leaving another
@@ -170,7 +170,7 @@
 static void dense(Sweep *sweep, const SweepProps *props, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
-    while (simNowMs(fleet->world) - sweep->startMs < DENSE_MS && !broken(sweep) && result->steps < SWEEP_STEPS_MAX) {
+    while (sim_now_ms(fleet->world) - sweep->start_ms < DENSE_MS && !broken(sweep) && result->steps < SWEEP_STEPS_MAX) {
         step(sweep, props, result->steps++);
         fleetRun(fleet, (int64_t)sweepDraw(sweep, 2000));
     }
@@ -266,7 +266,7 @@
         checkerConfigSet(fleet->checker, 1);
         if (props->mix == MIX_VARIED)
             checkerQuota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
-        sweep->startMs = simNowMs(fleet->world);
+        sweep->start_ms = sim_now_ms(fleet->world);
         for (int i = 0; i < fleet->shape.cores && sweep->liars; i++)
             simDiskLie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, true);
         const bool sparse = props->seed % 2 == 0;
--- a/packages/sim/src/sweepact.h
+++ b/packages/sim/src/sweepact.h
@@ -40,7 +40,7 @@
     uint64_t state;
     bool loud;
     bool liars; /* disks may lie: then those who keep what they were told are not lost as well */
-    int64_t startMs;
+    int64_t start_ms;
     size_t faults;
     int jumped; /* the one machine whose wall clock is off; -1: none */
     int calls;
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -100,7 +100,7 @@
     const FleetNode *core = sweepNode(sweep, FLEET_CORE);
     const int64_t syncMs = sweepDraw(sweep, 2) ? 3 : (int64_t)sweepDraw(sweep, 4000);
     sweepSay(sweep, "disk of %s takes %" PRId64, core->props.name, syncMs);
-    simDiskSlow(sweep->fleet->world, core->machine, syncMs);
+    sim_disk_slow(sweep->fleet->world, core->machine, syncMs);
 }
 
 /* Full, or failing: nothing is written until it works again. */
@@ -109,7 +109,7 @@
     const FleetNode *core = sweepNode(sweep, FLEET_CORE);
     const bool fails = sweepDraw(sweep, 2) == 0;
     sweepSay(sweep, "disk of %s %s", core->props.name, fails ? "fails" : "works");
-    simDiskFail(sweep->fleet->world, core->machine, fails);
+    sim_disk_fail(sweep->fleet->world, core->machine, fails);
 }
 
 /* A journal torn or spoilt while its core is down. One spoilt before its end is
@@ -120,7 +120,7 @@
     if (votersMissing(sweep) >= sweep->fleet->site.losses) /* so many disks may be lost, not one more */
         return;
     fleetPowerOff(sweep->fleet, FLEET_CORE, core->number);
-    Bytes *journal = simDiskContent(sweep->fleet->world, core->machine, "data/journal");
+    Bytes *journal = sim_disk_content(sweep->fleet->world, core->machine, "data/journal");
     const bool torn = sweepDraw(sweep, 2) == 0 && !sweep->fleet->site.disksKeep;
     if (torn && journal->count > 600) {
         const size_t cut = 1 + (size_t)sweepDraw(sweep, 300);
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -19,7 +19,7 @@
     Fleet *fleet;
     Column columns[COLUMNS_MAX];
     size_t columnCount;
-    int64_t startMs;
+    int64_t start_ms;
     Caller *caller;
     int calls;
     char *why;
@@ -32,7 +32,7 @@
     if (checkerBrokenAll(timeline->fleet->checker) > 0)
         what = checkerFirst(timeline->fleet->checker);
     snprintf(timeline->why, timeline->whySize, "at %" PRId64 " ms, column %s: %s",
-             simNowMs(timeline->fleet->world) - timeline->startMs, column, what);
+             sim_now_ms(timeline->fleet->world) - timeline->start_ms, column, what);
     return false;
 }
 
@@ -204,11 +204,11 @@
     } else if (strcmp(verb, "cut") == 0 || strcmp(verb, "join") == 0) {
         fleetIsolate(fleet, node->role, node->number, verb[0] == 'c');
     } else if (strcmp(verb, "slow") == 0) {
-        simDiskSlow(world, node->machine, number);
+        sim_disk_slow(world, node->machine, number);
     } else if (strcmp(verb, "lie") == 0 || strcmp(verb, "honest") == 0) {
         simDiskLie(world, node->machine, verb[0] == 'l');
     } else if (strcmp(verb, "diskfails") == 0 || strcmp(verb, "diskworks") == 0) {
-        simDiskFail(world, node->machine, verb[4] == 'f');
+        sim_disk_fail(world, node->machine, verb[4] == 'f');
     } else if (strcmp(verb, "jump") == 0) {
         simJump(world, node->machine, number);
     } else if (strcmp(verb, "blind") == 0 || strcmp(verb, "sees") == 0) {
@@ -283,9 +283,9 @@
         if (cell == NULL)
             continue;
         if (!header) {
-            const int64_t at_ms = timeline->startMs + atoll(cell);
-            if (at_ms > simNowMs(fleet->world))
-                fleetRun(fleet, at_ms - simNowMs(fleet->world));
+            const int64_t at_ms = timeline->start_ms + atoll(cell);
+            if (at_ms > sim_now_ms(fleet->world))
+                fleetRun(fleet, at_ms - sim_now_ms(fleet->world));
         }
         for (size_t i = 0; (cell = strtok_r(NULL, " ", &saveCell)) != NULL; i++) {
             if (header) {
@@ -316,7 +316,7 @@
     bool good = fleetSettle(fleet, 30000) && fleetConfigure(fleet);
     if (!good)
         fault(timeline, "-", "the fleet did not settle");
-    timeline->startMs = simNowMs(fleet->world);
+    timeline->start_ms = sim_now_ms(fleet->world);
     if (shape.mix == MIX_VARIED)
         checkerQuota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
     good = good && draw(timeline, talloc_strdup(mem, text));
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -39,7 +39,7 @@
     return 0;
 }
 
-SimWorld *simWorldNew(void *mem, uint64_t seed)
+SimWorld *sim_world_new(void *mem, uint64_t seed)
 {
     SimWorld *world = talloc_zero(mem, SimWorld);
     talloc_set_destructor(world, worldFree);
@@ -50,7 +50,7 @@
     return world;
 }
 
-int64_t simNowMs(const SimWorld *world)
+int64_t sim_now_ms(const SimWorld *world)
 {
     return world->now_ms;
 }
@@ -133,7 +133,7 @@
     return true;
 }
 
-void simRunUntil(SimWorld *world, int64_t until_ms)
+void sim_run_until(SimWorld *world, int64_t until_ms)
 {
     while (stepTo(world, until_ms))
         ;
@@ -161,7 +161,7 @@
     world->diskWatchArg = arg;
 }
 
-int simMachine(SimWorld *world)
+int sim_machine(SimWorld *world)
 {
     const int number = world->machineCount++;
     SimMachine *machine = &world->machines[number];
@@ -241,7 +241,7 @@
           one);
 }
 
-void simStart(SimWorld *world, int number, SimStart start, void *arg)
+void sim_start(SimWorld *world, int number, SimStart start, void *arg)
 {
     SimMachine *machine = &world->machines[number];
     SimLoop *sim = talloc_zero(world, SimLoop);
@@ -281,12 +281,12 @@
     talloc_free(sim);
 }
 
-void simKill(SimWorld *world, int machine)
+void sim_kill(SimWorld *world, int machine)
 {
     end(world, machine, false);
 }
 
-void simPowerOff(SimWorld *world, int machine)
+void sim_power_off(SimWorld *world, int machine)
 {
     end(world, machine, true);
 }
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -73,12 +73,12 @@
     };
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         void *mem = talloc_new(NULL);
-        SimWorld *world = simWorldNew(mem, 1);
+        SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Forger forger = {.change = ROWS[i].change};
-        const int client = simMachine(world), server = simMachine(world);
-        simStart(world, server, forgeStart, &forger);
-        simStart(world, client, askerStart, &asker);
+        const int client = sim_machine(world), server = sim_machine(world);
+        sim_start(world, server, forgeStart, &forger);
+        sim_start(world, client, askerStart, &asker);
         const Ask *ask = begin(&asker, (PeerLife){0}, 41, 500);
         runFor(world, 1000);
         assert_true(ask->done);
@@ -107,12 +107,12 @@
     const PeerLife meant = peer_life("core1", 1000);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         void *mem = talloc_new(NULL);
-        SimWorld *world = simWorldNew(mem, 1);
+        SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Forger forger = {.says = true, .peer = i == 0 ? 0 : meant.id + ROWS[i].peer, .life = 999 + ROWS[i].life};
-        const int client = simMachine(world), server = simMachine(world);
-        simStart(world, server, forgeStart, &forger);
-        simStart(world, client, askerStart, &asker);
+        const int client = sim_machine(world), server = sim_machine(world);
+        sim_start(world, server, forgeStart, &forger);
+        sim_start(world, client, askerStart, &asker);
         const Ask *ask = begin(&asker, meant, 41, 500);
         runFor(world, 1000);
         assert_true(ask->done);
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -84,7 +84,7 @@
 
 static inline void runFor(SimWorld *world, int64_t forMs)
 {
-    simRunUntil(world, simNowMs(world) + forMs);
+    sim_run_until(world, sim_now_ms(world) + forMs);
 }
 
 #endif
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -96,7 +96,7 @@
 static void mostTake(Fleet *fleet, CatchUp *catchUp)
 {
     for (int i = 0; i < 3; i++) {
-        const size_t disk = simDiskUsed(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine);
+        const size_t disk = sim_disk_used(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine);
         const size_t memory = runs(fleet, i) ? memoryOf(fleet, i) : 0;
         catchUp->disk = disk > catchUp->disk ? disk : catchUp->disk;
         catchUp->memory = memory > catchUp->memory ? memory : catchUp->memory;
@@ -111,7 +111,7 @@
     for (int i = 0; i < 3; i++) {
         const int machine = fleetNode(fleet, FLEET_CORE, i)->machine;
         simLinkRate(fleet->world, machine, LINK_BYTES_MS);
-        simDiskRoom(fleet->world, machine, DISK_BYTES);
+        sim_disk_room(fleet->world, machine, DISK_BYTES);
     }
     const int away = (fleetLeader(fleet) + 1) % 3;
     checkerFault(fleet->checker);
@@ -124,7 +124,7 @@
     fleetRun(fleet, 2000);
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
-    const int64_t fromMs = simNowMs(fleet->world);
+    const int64_t fromMs = sim_now_ms(fleet->world);
     const uint64_t sent = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine);
     fleetStartNode(fleet, FLEET_CORE, away);
     for (int i = 0; i < 3000 && !caughtUp(fleet, away); i++) {
@@ -132,7 +132,7 @@
         mostTake(fleet, &catchUp);
     }
     assert_true(caughtUp(fleet, away));
-    catchUp.tookMs = simNowMs(fleet->world) - fromMs;
+    catchUp.tookMs = sim_now_ms(fleet->world) - fromMs;
     catchUp.bytes = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
         assert_false(viewDiskFailed(viewOf(fleet, i)));
@@ -200,7 +200,7 @@
     simDiskWipe(fleet->world, fleetNode(fleet, FLEET_CORE, away)->machine);
     fleetRun(fleet, 500);
     fleetStartNode(fleet, FLEET_CORE, away);
-    const int64_t fromMs = simNowMs(fleet->world);
+    const int64_t fromMs = sim_now_ms(fleet->world);
     uint64_t most = 0;
     for (int i = 0; i < 600 && !(caughtUp(fleet, away) && seated(fleet, away)); i++) {
         fleetRun(fleet, 100);
@@ -214,7 +214,7 @@
     }
     assert_true(caughtUp(fleet, away) && seated(fleet, away));
     assert_int_equal(fleetLeader(fleet), leader);
-    print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(simNowMs(fleet->world) - fromMs));
+    print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(sim_now_ms(fleet->world) - fromMs));
     assert_true(most > FRAME_MAX_BYTES);
     talloc_free(fleet);
 }
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -17,7 +17,7 @@
 /* The log as the journal has it, all of it synced. */
 typedef struct Held {
     bool known;
-    uint64_t baseIndex, lastIndex;
+    uint64_t baseIndex, last_index;
     uint64_t *epochs; /* of baseIndex + 1 on */
     uint64_t promised, listIndex;
 } Held;
@@ -26,15 +26,15 @@
 {
     const View *view = viewOf(fleet, core);
     Held held = {0};
-    if (journalSyncSince(view->journal) != INT64_MAX || journalFailed(view->journal) || view->compacting)
+    if (journal_sync_since(view->journal) != INT64_MAX || journal_failed(view->journal) || view->compacting)
         return held;
     held.known = true;
     held.baseIndex = view->log->baseIndex;
-    held.lastIndex = view->queuedIndex;
+    held.last_index = view->queuedIndex;
     held.promised = view->lock.promised;
-    held.listIndex = view->listIndex <= held.lastIndex ? view->listIndex : 0;
-    held.epochs = talloc_zero_array(fleet, uint64_t, (unsigned)(held.lastIndex - held.baseIndex + 1));
-    for (uint64_t i = held.baseIndex + 1; i <= held.lastIndex; i++)
+    held.listIndex = view->listIndex <= held.last_index ? view->listIndex : 0;
+    held.epochs = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.baseIndex + 1));
+    for (uint64_t i = held.baseIndex + 1; i <= held.last_index; i++)
         held.epochs[i - held.baseIndex - 1] = logAt(view->log, i)->epoch;
     return held;
 }
@@ -44,10 +44,10 @@
     const View *view = viewOf(fleet, core);
     if (!held->known)
         return;
-    assert_true(logLastIndex(view->log) >= held->lastIndex);
+    assert_true(logLastIndex(view->log) >= held->last_index);
     assert_true(view->lock.promised >= held->promised);
     assert_true(view->listIndex >= held->listIndex);
-    for (uint64_t i = held->baseIndex + 1; i <= held->lastIndex; i++)
+    for (uint64_t i = held->baseIndex + 1; i <= held->last_index; i++)
         if (i > view->log->baseIndex)
             assert_int_equal(logAt(view->log, i)->epoch, held->epochs[i - held->baseIndex - 1]);
 }
@@ -62,7 +62,7 @@
         fleetKill(fleet, FLEET_CORE, core);
     fleetIsolate(fleet, FLEET_CORE, core, true);
     fleetStartNode(fleet, FLEET_CORE, core);
-    simDiskSlow(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, 3);
+    sim_disk_slow(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, 3);
     for (int i = 0; i < 100 && !runs(fleet, core); i++)
         fleetRun(fleet, 10);
     assert_true(runs(fleet, core));
@@ -85,7 +85,7 @@
         fleetIsolate(fleet, FLEET_CORE, core, cut[core]);
         break;
     case 2:
-        simDiskSlow(world, machine, (int64_t)(simRandom(world) % 400));
+        sim_disk_slow(world, machine, (int64_t)(simRandom(world) % 400));
         break;
     case 3:
         if (runs(fleet, core))
@@ -125,15 +125,15 @@
         Fleet *fleet = begin(seed);
         const int leader = fleetLeader(fleet);
         const int machine = fleetNode(fleet, FLEET_CORE, leader)->machine;
-        simDiskSlow(fleet->world, machine, 2500); /* longer than the lock is held */
+        sim_disk_slow(fleet->world, machine, 2500); /* longer than the lock is held */
         offer(fleet, 3, 10);
         fleetRun(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
         viewCompactMaybe(viewOf(fleet, leader), true);
-        simTurn(fleet->world, machine, simNowMs(fleet->world) + 100);
+        simTurn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
         fleetIsolate(fleet, FLEET_CORE, leader, true);
         fleetRun(fleet, 5000);
-        simDiskSlow(fleet->world, machine, 3);
+        sim_disk_slow(fleet->world, machine, 3);
         assert_true(fleetLeader(fleet) >= 0 && fleetLeader(fleet) != leader);
         offer(fleet, 12, 10);
         fleetRun(fleet, 1000);
@@ -227,7 +227,7 @@
 
 static void spoil(Fleet *fleet, int core)
 {
-    Bytes *journal = simDiskContent(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, "data/journal");
+    Bytes *journal = sim_disk_content(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, "data/journal");
     assert_true(journal->count > 400);
     journal->data[100] ^= 4; /* past the identity, long before the end */
 }
@@ -253,7 +253,7 @@
         const View *view = viewOf(fleet, core);
         ViewSight sight;
         viewSight(view, &sight);
-        assert_true(sight.journal.begunAnew && viewDisk(view) != before);
+        assert_true(sight.journal.begun_anew && viewDisk(view) != before);
         assert_false(viewFounded(view));
         assert_int_equal(logLastIndex(view->log), 0);
         assert_int_equal(view->lock.promised, 0);
@@ -276,7 +276,7 @@
 static void writeMain(void *arg)
 {
     const Writing *writing = arg;
-    assert_int_equal(journalWrite(writing->view->journal, &writing->record, 1), STATUS_OK);
+    assert_int_equal(journal_write(writing->view->journal, &writing->record, 1), STATUS_OK);
 }
 
 /* Puts a record into the core's journal behind its back, and starts the core again. */
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -180,8 +180,8 @@
         fleetStartNode(fleet, FLEET_CORE, i);
     }
     int code = 0, refused = 0;
-    const int64_t until_ms = simNowMs(fleet->world) + 12000;
-    while (code != 200 && simNowMs(fleet->world) < until_ms) {
+    const int64_t until_ms = sim_now_ms(fleet->world) + 12000;
+    while (code != 200 && sim_now_ms(fleet->world) < until_ms) {
         code = ask(fleet, refused % 3, "GET", "/v1/entry/sweeps/kept", NULL, NULL);
         if (code != 200 && code != 503 && code != 504 && code != 0)
             fail_msg("told %d", code);
--- a/packages/sim/test/first.c
+++ b/packages/sim/test/first.c
@@ -16,7 +16,7 @@
     Fleet *fleet = fleetNew(NULL, 1, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     fleetStart(fleet);
     const bool settled = fleetSettle(fleet, 20000);
-    printf("settled %d at %ld leader %d\n", settled, (long)simNowMs(fleet->world), fleetLeader(fleet));
+    printf("settled %d at %ld leader %d\n", settled, (long)sim_now_ms(fleet->world), fleetLeader(fleet));
     if (!settled)
         fleetDump(fleet);
     assert_true(settled);
@@ -24,7 +24,7 @@
     fleetCall(fleet, "c", 10000, 20000);
     fleetRun(fleet, 5000);
     const bool done = fleetFinish(fleet, 60000);
-    printf("done %d at %ld starts %zu broken %zu %s\n", done, (long)simNowMs(fleet->world),
+    printf("done %d at %ld starts %zu broken %zu %s\n", done, (long)sim_now_ms(fleet->world),
            checkerStarts(fleet->checker), checkerBrokenAll(fleet->checker), checkerFirst(fleet->checker));
     if (!done)
         fleetDump(fleet);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -197,7 +197,7 @@
         }
         assert_true(founder >= 0);
         for (uint64_t i = 0; i < seed * 3; i++)
-            simTurn(fleet->world, fleetNode(fleet, FLEET_CORE, founder)->machine, simNowMs(fleet->world) + 1000);
+            simTurn(fleet->world, fleetNode(fleet, FLEET_CORE, founder)->machine, sim_now_ms(fleet->world) + 1000);
         fleetKill(fleet, FLEET_CORE, founder);
         fleetRun(fleet, 500);
         fleetStartNode(fleet, FLEET_CORE, founder);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -147,13 +147,13 @@
             }
         break;
     case LOSS_DISK_SLOW:
-        simDiskSlow(fleet->world, node->machine, 15);
+        sim_disk_slow(fleet->world, node->machine, 15);
         break;
     case LOSS_DISK_HANG:
-        simDiskSlow(fleet->world, node->machine, 3500);
+        sim_disk_slow(fleet->world, node->machine, 3500);
         break;
     default:
-        simDiskFail(fleet->world, node->machine, true);
+        sim_disk_fail(fleet->world, node->machine, true);
         break;
     }
 }
@@ -178,10 +178,10 @@
         break;
     case LOSS_DISK_SLOW:
     case LOSS_DISK_HANG:
-        simDiskSlow(fleet->world, node->machine, 1);
+        sim_disk_slow(fleet->world, node->machine, 1);
         break;
     case LOSS_DISK_FAILS:
-        simDiskFail(fleet->world, node->machine, false);
+        sim_disk_fail(fleet->world, node->machine, false);
         break;
     default: /* another machine, for good */
         fleetStartNode(fleet, FLEET_CORE, trial->nextSpare++);
@@ -194,10 +194,10 @@
 {
     CallerJob *const *jobs;
     const size_t count = callerJobs(fleet->callers[0], &jobs);
-    const int64_t offsetMs = loop_now_ms(simLoop(fleet->world, fleet->caller)) - simNowMs(fleet->world);
+    const int64_t offsetMs = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
-    for (int64_t at_ms = sinceMs, next_ms; at_ms < simNowMs(fleet->world); at_ms = next_ms) {
-        next_ms = simNowMs(fleet->world);
+    for (int64_t at_ms = sinceMs, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
+        next_ms = sim_now_ms(fleet->world);
         for (size_t i = 0; i < count; i++)
             if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < next_ms)
                 next_ms = jobs[i]->acceptedMs - offsetMs;
@@ -222,7 +222,7 @@
         viewSight(coreView(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
                 node->props.name, (unsigned long long)viewDisk(coreView(node->core)), (int)sight.phase,
-                (unsigned long long)sight.epoch, (unsigned long long)sight.lastIndex,
+                (unsigned long long)sight.epoch, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commitIndex, (unsigned long long)sight.deliveredIndex,
                 (unsigned long long)sight.baseIndex);
         for (size_t i = 0; i < sight.seatCount && sight.phase == VIEW_LEADING; i++)
@@ -262,10 +262,10 @@
     fleetRun(fleet, outMs);
     for (int i = 0; i < count; i++)
         back(trial, &lost[i]);
-    const int64_t fromMs = simNowMs(fleet->world);
+    const int64_t fromMs = sim_now_ms(fleet->world);
     int64_t tookMs = 0;
     bool whole = false;
-    for (; !whole && tookMs < boundMs; tookMs = simNowMs(fleet->world) - fromMs) {
+    for (; !whole && tookMs < boundMs; tookMs = sim_now_ms(fleet->world) - fromMs) {
         fleetRun(fleet, 20);
         whole = isWhole(trial);
     }
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -50,7 +50,7 @@
         Fleet *fleet = begin(81);
         assert_int_equal(running(fleet), 11);
         for (int i = 0; i < 3; i++)
-            simDiskFail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
         fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", "{\"r\":0}"); /* shows the failure */
         fleetRun(fleet, 8000);
         assert_int_equal(fleetLeader(fleet), -1);
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -166,7 +166,7 @@
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     char id[32];
     int64_t startedMs = 0, bothMs = 0;
-    const int64_t fromMs = simNowMs(fleet->world);
+    const int64_t fromMs = sim_now_ms(fleet->world);
     for (int i = 0; i < 120 && bothMs == 0; i++) {
         snprintf(id, sizeof(id), "small%d", i);
         hand(fleet, id, "c", "t", "bulk", 44, 4, 3000 + i % 7 * 200);
@@ -182,9 +182,9 @@
         fleetRun(fleet, 900);
         const Job *big = fleetJob(fleet, "big"), *gang = fleetJob(fleet, "gang");
         if (startedMs == 0 && big != NULL && big->tasks[0].startedMs != 0)
-            startedMs = simNowMs(fleet->world) - fromMs;
+            startedMs = sim_now_ms(fleet->world) - fromMs;
         if (gang != NULL && gang->tasks[0].startedMs != 0 && gang->tasks[1].startedMs != 0)
-            bothMs = simNowMs(fleet->world) - fromMs;
+            bothMs = sim_now_ms(fleet->world) - fromMs;
     }
     print_message("big started after %lld ms, the gang after %lld ms\n", (long long)startedMs, (long long)bothMs);
     assert_true(startedMs > 0 && startedMs < 40000);
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -69,12 +69,12 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = simWorldNew(mem, 1);
+    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {.self = peer_life("gate1", 1000)};
-    const int client = simMachine(world), machine = simMachine(world);
-    simStart(world, machine, serverStart, &server);
-    simStart(world, client, askerStart, &asker);
+    const int client = sim_machine(world), machine = sim_machine(world);
+    sim_start(world, machine, serverStart, &server);
+    sim_start(world, client, askerStart, &asker);
     Ask *ask = begin(&asker, server.self, 41, 500);
     runFor(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
@@ -86,9 +86,9 @@
         {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
     for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
         const PeerLife before = peer_life("gate1", 1000);
-        simKill(world, machine);
+        sim_kill(world, machine);
         server = (Server){.self = peer_life(NEXT[i].id, NEXT[i].life)};
-        simStart(world, machine, serverStart, &server);
+        sim_start(world, machine, serverStart, &server);
         runFor(world, 100);
         ask = begin(&asker, before, 41, 500);
         runFor(world, 1000);
@@ -114,12 +114,12 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = simWorldNew(mem, 1);
+    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {0};
-    const int client = simMachine(world), machine = simMachine(world);
-    simStart(world, machine, serverStart, &server);
-    simStart(world, client, askerStart, &asker);
+    const int client = sim_machine(world), machine = sim_machine(world);
+    sim_start(world, machine, serverStart, &server);
+    sim_start(world, client, askerStart, &asker);
     const Ask *first = begin(&asker, (PeerLife){0}, 1000, 500);
     runFor(world, 700);
     assert_int_equal(first->status, STATUS_EXPIRED);
@@ -139,19 +139,19 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = simWorldNew(mem, 1);
+    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {0};
-    const int client = simMachine(world), machine = simMachine(world);
-    simStart(world, machine, serverStart, &server);
-    simStart(world, client, askerStart, &asker);
+    const int client = sim_machine(world), machine = sim_machine(world);
+    sim_start(world, machine, serverStart, &server);
+    sim_start(world, client, askerStart, &asker);
     const Ask *lost[3];
     for (int i = 0; i < 3; i++)
         lost[i] = begin(&asker, (PeerLife){0}, 1000 + (uint64_t)i, 5000);
     runFor(world, 300);
     assert_int_equal(server.served, 3);
-    simKill(world, machine);
-    simStart(world, machine, serverStart, &server);
+    sim_kill(world, machine);
+    sim_start(world, machine, serverStart, &server);
     runFor(world, 100);
     const Ask *next = begin(&asker, (PeerLife){0}, 1003, 5000);
     runFor(world, 3000);
@@ -170,13 +170,13 @@
     (void)state;
     for (int cancel = 0; cancel < 2; cancel++) {
         void *mem = talloc_new(NULL);
-        SimWorld *world = simWorldNew(mem, 1);
+        SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Server server = {0};
         CourierSending sending = {0};
-        const int client = simMachine(world), machine = simMachine(world);
-        simStart(world, machine, serverStart, &server);
-        simStart(world, client, askerStart, &asker);
+        const int client = sim_machine(world), machine = sim_machine(world);
+        sim_start(world, machine, serverStart, &server);
+        sim_start(world, client, askerStart, &asker);
         simCut(world, client, machine, true);
         Ask *ask = begin(&asker, (PeerLife){0}, 7, 3000);
         ask->sending = &sending;
@@ -206,12 +206,12 @@
         {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KEEP, .call = 4}, STATUS_UNKNOWN_QUESTION},
     };
     void *mem = talloc_new(NULL);
-    SimWorld *world = simWorldNew(mem, 1);
+    SimWorld *world = sim_world_new(mem, 1);
     Server server = {.self = peer_life("gate1", 1000)};
     Asker asker = {0};
-    const int client = simMachine(world), machine = simMachine(world);
-    simStart(world, machine, serverStart, &server);
-    simStart(world, client, askerStart, &asker);
+    const int client = sim_machine(world), machine = sim_machine(world);
+    sim_start(world, machine, serverStart, &server);
+    sim_start(world, client, askerStart, &asker);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         Hand one = {.loop = asker.loop, .question = ROWS[i].question};
         loop_spawn(asker.loop, "hand", handMain, &one);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -96,14 +96,14 @@
         const int gate = fleetNode(fleet, FLEET_GATE, 0)->machine;
         const int leader = fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine;
         simCut(fleet->world, leader, gate, true);
-        const int64_t fromMs = simNowMs(fleet->world);
+        const int64_t fromMs = sim_now_ms(fleet->world);
         fleetRun(fleet, COMMITTED_MS);
         assert_false(handed->done);
         const char *first = stateOf(fleet, fleet);
         assert_string_not_equal(first, before);
         while (!handed->done)
             fleetRun(fleet, 5);
-        const int64_t tookMs = simNowMs(fleet->world) - fromMs;
+        const int64_t tookMs = sim_now_ms(fleet->world) - fromMs;
         print_message("%s %s?%s: %d after %lld ms, %s", row->method, row->path, row->query, handed->task->code,
                       (long long)tookMs, first);
         assert_int_equal(handed->task->code, row->code);
@@ -141,10 +141,10 @@
     fleetRun(fleet, 200);
     for (int i = 0; i < 3; i++)
         fleetStartNode(fleet, FLEET_CORE, i);
-    const int64_t fromMs = simNowMs(fleet->world);
+    const int64_t fromMs = sim_now_ms(fleet->world);
     while (!handed->done)
         fleetRun(fleet, 5);
-    print_message("%d after %lld ms\n", handed->task->code, (long long)(simNowMs(fleet->world) - fromMs));
+    print_message("%d after %lld ms\n", handed->task->code, (long long)(sim_now_ms(fleet->world) - fromMs));
     assert_int_equal(handed->task->code, row.code);
     fleetRun(fleet, 5000);
     assert_non_null(fleetJob(fleet, "one"));
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -42,8 +42,8 @@
 /* A core that leads is there within the span; else shows what all have said. */
 static void mustLead(Fleet *fleet, const char *when)
 {
-    const int64_t until_ms = simNowMs(fleet->world) + SERVED_MS;
-    while (fleetLeader(fleet) < 0 && simNowMs(fleet->world) < until_ms)
+    const int64_t until_ms = sim_now_ms(fleet->world) + SERVED_MS;
+    while (fleetLeader(fleet) < 0 && sim_now_ms(fleet->world) < until_ms)
         fleetRun(fleet, 50);
     if (fleetLeader(fleet) >= 0)
         return;
@@ -251,7 +251,7 @@
 
 static void coreBegin(Trial *trial, int core)
 {
-    trial->diskSinceMs[core] = simNowMs(trial->fleet->world);
+    trial->diskSinceMs[core] = sim_now_ms(trial->fleet->world);
     fleetStartNode(trial->fleet, FLEET_CORE, core);
 }
 
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -202,7 +202,7 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    const int64_t wall_ms = 1700000000000 + simNowMs(fleet->world);
+    const int64_t wall_ms = 1700000000000 + sim_now_ms(fleet->world);
     char body[512];
     snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
@@ -489,7 +489,7 @@
         fleetRun(fleet, 2000);
         assert_int_equal(running(fleet), 22);
         for (int i = 0; i < 3; i++)
-            simDiskFail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
         /* a change that can't be written shows the failure */
         ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
         fleetRun(fleet, 10000);
@@ -501,7 +501,7 @@
             assert_int_equal(running(fleet), 0);
         }
         for (int i = 0; i < 3; i++) {
-            simDiskFail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
+            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
             fleetKill(fleet, FLEET_CORE, i);
             fleetStartNode(fleet, FLEET_CORE, i);
         }
@@ -568,9 +568,9 @@
         assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
         fleetRun(fleet, 1000);
         fleetFreeze(fleet, FLEET_CORE, fleetLeader(fleet), 9000);
-        const int64_t fromMs = simNowMs(fleet->world);
+        const int64_t fromMs = sim_now_ms(fleet->world);
         const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
-        const int64_t tookMs = simNowMs(fleet->world) - fromMs;
+        const int64_t tookMs = sim_now_ms(fleet->world) - fromMs;
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)tookMs,
                       call.code >= 400 ? 120 : 0, (const char *)call.result.data);
         if (call.code == 503) /* every way was tried before a new leader was heard of */
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -47,7 +47,7 @@
     for (int i = 0; i < 300; i++) {
         const Job *job = fleetJob(fleet, "s");
         if (job != NULL && job->phase == JOB_DONE)
-            return simNowMs(fleet->world);
+            return sim_now_ms(fleet->world);
         fleetRun(fleet, 50);
     }
     return INT64_MAX;
@@ -62,7 +62,7 @@
     const int at = workerOf(fleet);
     fleetPowerOff(fleet, FLEET_AGENT, at);
     fleetPowerOff(fleet, FLEET_WORKER, at);
-    const int64_t offMs = simNowMs(fleet->world);
+    const int64_t offMs = sim_now_ms(fleet->world);
     /* the hold, and what is left: not the whole again */
     assert_in_range(endedMs(fleet) - offMs, 1, HOLD_MS + 4500);
     assert_int_equal(checkerResumes(fleet->checker), 1);
@@ -82,7 +82,7 @@
     const int at = workerOf(fleet);
     fleetPowerOff(fleet, FLEET_AGENT, at);
     fleetPowerOff(fleet, FLEET_WORKER, at);
-    const int64_t offMs = simNowMs(fleet->world);
+    const int64_t offMs = sim_now_ms(fleet->world);
     assert_in_range(endedMs(fleet) - offMs, 1, HOLD_MS + 4500);
     assert_int_equal(checkerResumes(fleet->checker), 1);
     assert_int_equal(checkerBrokenAll(fleet->checker), 0);
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -60,7 +60,7 @@
     if (watched->wrong[0] == '\0')
         snprintf(watched->wrong, sizeof(watched->wrong),
                  "%s at %" PRId64 " ms: %s says %" PRIu64 ", %" PRIu64 " was acknowledged", reader->name,
-                 simNowMs(watched->fleet->world), what, told, known);
+                 sim_now_ms(watched->fleet->world), what, told, known);
 }
 
 static void readConfig(const Reader *reader, Loop *loop, void *mem)
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -77,7 +77,7 @@
     const int leader = fleetLeader(fleet);
     FleetNode *node = victim(fleet, walk, leader, step);
     trigger(fleet, walk, leader);
-    const int64_t until_ms = simNowMs(fleet->world) + 6000;
+    const int64_t until_ms = sim_now_ms(fleet->world) + 6000;
     bool reached = true;
     for (int i = 0; i <= step && reached; i++)
         reached = simTurn(fleet->world, node->machine, until_ms);
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -123,8 +123,8 @@
     (void)state;
     Fleet *fleet = begin(33);
     for (int i = 0; i < 3; i++)
-        simDiskSlow(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine,
-                    240); /* its own and one under way: a leader slower than 500 ms hands over */
+        sim_disk_slow(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine,
+                      240); /* its own and one under way: a leader slower than 500 ms hands over */
     for (int i = 0; i < 5; i++) {
         int64_t tookMs;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
@@ -331,31 +331,31 @@
 static void keepsBounded(void **state)
 {
     (void)state;
-    SimWorld *world = simWorldNew(NULL, 1);
-    const int machine = simMachine(world);
-    simStart(world, machine, nothing, NULL);
+    SimWorld *world = sim_world_new(NULL, 1);
+    const int machine = sim_machine(world);
+    sim_start(world, machine, nothing, NULL);
     Loop *loop = simLoop(world, machine);
     Keeping keeping = {keeperNew(world, loop, 30000), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keepMain, &keeping);
-    simRunUntil(world, 1000);
+    sim_run_until(world, 1000);
     assert_int_equal(keeperCount(keeping.keeper), 100);
     keeping.number = 20000;
     loop_spawn(loop, "keep", keepMain, &keeping);
-    simRunUntil(world, 2000);
+    sim_run_until(world, 2000);
     assert_true(keeperBytes(keeping.keeper) <= KEEPER_BYTES_MAX);
     assert_true(keeperBytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
     KeepList list = {0};
     keeperTell(keeping.keeper, world, 0, &list);
     assert_int_equal(list.items[list.itemsCount - 1].index, 20000);
     assert_int_equal(list.items[0].index, 20000 - list.itemsCount + 1);
-    simRunUntil(world, 40000);
+    sim_run_until(world, 40000);
     keeperTell(keeping.keeper, world, 0, &list);
     assert_int_equal(list.itemsCount, 0);
     assert_int_equal(keeperBytes(keeping.keeper), 0);
     /* a deployment that trusts its disks keeps nothing */
     keeping = (Keeping){keeperNew(world, loop, 0), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keepMain, &keeping);
-    simRunUntil(world, 50000);
+    sim_run_until(world, 50000);
     assert_int_equal(keeperCount(keeping.keeper), 0);
     talloc_free(world);
 }
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -107,12 +107,12 @@
 
 static Stand standNew(void *mem, size_t times)
 {
-    SimWorld *world = simWorldNew(mem, 1);
+    SimWorld *world = sim_world_new(mem, 1);
     Core *core = talloc_zero(mem, Core);
     Props *props = talloc_zero(core, Props);
     props->bounds = boundsFirst();
     core->props = props;
-    simStart(world, simMachine(world), started, &core->loop);
+    sim_start(world, sim_machine(world), started, &core->loop);
     core->ring = ring_new(core, "bench");
     core->table = tableNew(core);
     const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = tableState(core->table)};
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -196,10 +196,10 @@
 static void handInMain(void *arg)
 {
     Caller *caller = arg;
-    const int64_t startMs = loop_now_ms(caller->loop);
+    const int64_t start_ms = loop_now_ms(caller->loop);
     for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
-        const int64_t dueMs = startMs + (int64_t)n * 1000000 / caller->props.rateMilli;
-        if (dueMs - startMs >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
+        const int64_t dueMs = start_ms + (int64_t)n * 1000000 / caller->props.rateMilli;
+        if (dueMs - start_ms >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
             break;
         if (dueMs > loop_now_ms(caller->loop))
             loop_sleep(caller->loop, dueMs - loop_now_ms(caller->loop));
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -69,7 +69,7 @@
 
 View *viewNew(void *mem, const ViewProps *props);
 /* Waits. Opens the journal and reads it: from here on viewDisk is known. */
-Status viewOpenDisk(View *view, const char *path, const char *nodeName, Failure *failure);
+Status viewOpenDisk(View *view, const char *path, const char *node_name, Failure *failure);
 /* Begins to answer as a seat and to stand for the lock. */
 void viewStart(View *view, Members *members);
 
@@ -147,7 +147,7 @@
     uint64_t epoch;
     uint64_t holder;
     bool woke;
-    uint64_t lastIndex, commitIndex, deliveredIndex, baseIndex;
+    uint64_t last_index, commitIndex, deliveredIndex, baseIndex;
     int64_t holdLeftMs;
     uint64_t viewChanges;
     size_t seatCount; /* of the rows of seats, which are those of the disks that have one */
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -62,7 +62,7 @@
     size_t count;
     const Record *records = viewRecords(view, mem, &count);
     view->queuedIndex = logLastIndex(view->log);
-    const Status status = journalRewrite(view->journal, records, count);
+    const Status status = journal_rewrite(view->journal, records, count);
     talloc_free(mem);
     return status;
 }
@@ -96,9 +96,9 @@
     uint64_t epoch = 0;
     logEpochAt(log, view->deliveredIndex, &epoch);
     Snapshot snapshot = {0};
-    const uint64_t lastIndex = logLastIndex(log);
+    const uint64_t last_index = logLastIndex(log);
     bool later = false;
-    for (uint64_t i = view->deliveredIndex + 1; i <= lastIndex; i++)
+    for (uint64_t i = view->deliveredIndex + 1; i <= last_index; i++)
         later |= logAt(log, i)->change < VIEW_CHANGE_FIRST;
     if (later) { /* a change of view is under way: compact after it */
         talloc_free(mem);
@@ -146,11 +146,11 @@
 static void entryFound(Reading *reading, const Record *record)
 {
     View *view = reading->view;
-    const uint64_t lastIndex = logLastIndex(view->log);
+    const uint64_t last_index = logLastIndex(view->log);
     const Status status = logTake(view->log, record);
     if (status != STATUS_OK)
         failure_set(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64,
-                    record->index, lastIndex);
+                    record->index, last_index);
     viewClockTell(view, record->at_ms);
 }
 
@@ -191,7 +191,7 @@
 {
     Reading reading = {.view = view};
     const Status status =
-        journalOpen(view->loop, view, path, view->nodeName, recordFound, &reading, &view->journal, failure);
+        journal_open(view->loop, view, path, view->node_name, recordFound, &reading, &view->journal, failure);
     if (status != STATUS_OK)
         return status;
     if (reading.failure.status != STATUS_OK)
@@ -232,20 +232,20 @@
              status_word(failure->status), failure->text);
     *failure = (Failure){0};
     diskForget(view);
-    return journalBegin(view->loop, view, path, view->nodeName, &view->journal, failure);
+    return journal_begin(view->loop, view, path, view->node_name, &view->journal, failure);
 }
 
-Status viewOpenDisk(View *view, const char *path, const char *nodeName, Failure *failure)
+Status viewOpenDisk(View *view, const char *path, const char *node_name, Failure *failure)
 {
     Failure read = {0};
-    view->nodeName = talloc_strdup(view, nodeName);
+    view->node_name = talloc_strdup(view, node_name);
     Status status = diskRead(view, path, &read);
     if (status == STATUS_JOURNAL_CORRUPT)
         status = diskBeginAnew(view, path, &read);
     if (status != STATUS_OK)
         return failure_set(failure, status, "%s", read.text);
-    view->disk = journalDisk(view->journal);
-    if (journalCounts(view->journal)->begunAnew)
+    view->disk = journal_disk(view->journal);
+    if (journal_counts(view->journal)->begun_anew)
         view->props.founds = VIEW_FOUNDS_NEVER; /* the cluster that it was of may live */
     view->queuedIndex = logLastIndex(view->log);
     viewReread(view);
@@ -266,7 +266,7 @@
     View *view = arg;
     while (!loop_stopping(view->loop)) {
         loop_sleep(view->loop, DISK_MEND_MS);
-        if (view->listOld || !journalFailed(view->journal) || view->compacting || view->holding)
+        if (view->listOld || !journal_failed(view->journal) || view->compacting || view->holding)
             continue;
         view->mending = true;
         if (journalAnew(view) == STATUS_OK) {
@@ -285,5 +285,5 @@
 
 bool viewDiskFailed(const View *view)
 {
-    return view->mending || view->listOld || journalFailed(view->journal);
+    return view->mending || view->listOld || journal_failed(view->journal);
 }
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -103,7 +103,7 @@
     }
     void *mem = talloc_new(view);
     FillAsk ask = {.holder = view->disk, .to = lead->disk, .over = peer->refill};
-    shape_copy(&RecordShape, &view->log->snapshot, mem, &ask.snapshot);
+    shape_copy(&Record_shape, &view->log->snapshot, mem, &ask.snapshot);
     const Bytes whole = ask.snapshot.payload;
     const uint64_t index = ask.snapshot.index;
     if (whole.count > FILL_WHOLE_BYTES) {
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -66,7 +66,7 @@
     ViewProps props;
     Loop *loop;
     Journal *journal;
-    const char *nodeName;
+    const char *node_name;
     uint64_t disk;
     /* the seat */
     uint64_t cluster;
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -65,23 +65,23 @@
     View *view = lead.view;
     talloc_free(arg);
     while (!leadOver(view, lead.turn)) {
-        uint64_t lastIndex = logLastIndex(view->log);
-        if (view->syncedIndex >= lastIndex) {
+        uint64_t last_index = logLastIndex(view->log);
+        if (view->syncedIndex >= last_index) {
             signal_wait(view->loop, &view->grew, loop_now_ms(view->loop) + LOCK_RENEW_MS);
             continue;
         }
         void *mem = talloc_new(view);
         const uint64_t from = view->syncedIndex > view->log->baseIndex ? view->syncedIndex : view->log->baseIndex;
-        Record *records = talloc_array(mem, Record, (unsigned)(lastIndex - from));
+        Record *records = talloc_array(mem, Record, (unsigned)(last_index - from));
         size_t count = 0, bytes = 0;
-        for (uint64_t i = from + 1; i <= lastIndex && bytes < LOG_WRITE_BYTES; i++) {
+        for (uint64_t i = from + 1; i <= last_index && bytes < LOG_WRITE_BYTES; i++) {
             records[count] = *logAt(view->log, i);
             bytes += records[count++].payload.count;
         }
-        lastIndex = from + count;
-        view->queuedIndex = lastIndex;
-        const int64_t startMs = loop_now_ms(view->loop);
-        const Status status = journalWrite(view->journal, records, count);
+        last_index = from + count;
+        view->queuedIndex = last_index;
+        const int64_t start_ms = loop_now_ms(view->loop);
+        const Status status = journal_write(view->journal, records, count);
         talloc_free(mem);
         if (leadOver(view, lead.turn))
             return;
@@ -90,8 +90,8 @@
             leadDown(view, INT32_MAX);
             return;
         }
-        view->slowTimes = loop_now_ms(view->loop) - startMs > SEAT_SLOW_MS ? view->slowTimes + 1 : 0;
-        view->syncedIndex = lastIndex;
+        view->slowTimes = loop_now_ms(view->loop) - start_ms > SEAT_SLOW_MS ? view->slowTimes + 1 : 0;
+        view->syncedIndex = last_index;
         leadCommit(view);
     }
 }
@@ -129,7 +129,7 @@
     for (uint64_t i = peer->nextIndex;
          i <= logLastIndex(view->log) && ask.entriesCount < LOG_BATCH_ENTRIES && bytes < LOG_BATCH_BYTES; i++) {
         bytes += logAt(view->log, i)->payload.count;
-        shape_copy(&RecordShape, logAt(view->log, i), mem, &ask.entries[ask.entriesCount++]);
+        shape_copy(&Record_shape, logAt(view->log, i), mem, &ask.entries[ask.entriesCount++]);
     }
     const uint64_t match = ask.prevIndex + ask.entriesCount, contact = view->contactAsked;
     SeatAnswer answer = {0};
--- a/packages/view/src/log.c
+++ b/packages/view/src/log.c
@@ -40,7 +40,7 @@
         log->owners = talloc_realloc(log, log->owners, void *, (unsigned)log->room);
     }
     log->owners[log->count] = talloc_new(log);
-    shape_copy(&RecordShape, entry, log->owners[log->count], &log->entries[log->count]);
+    shape_copy(&Record_shape, entry, log->owners[log->count], &log->entries[log->count]);
     log->count++;
     log->bytes += entry->payload.count;
 }
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -18,7 +18,7 @@
         .viewEpoch = view->last.epoch,
         .viewMembersCount = view->last.membersCount,
         .wall_ms = loop_wall_ms(view->loop),
-        .syncMs = journalCounts(view->journal)->lastSyncMs,
+        .syncMs = journal_counts(view->journal)->last_sync_ms,
         .sight = membersSight(view->props.members),
         .filled = fillCount(view),
     };
@@ -59,7 +59,7 @@
     if (may != STATUS_OK)
         return may;
     const Record record = promiseTake(view, ask->epoch, ask->holder);
-    const Status status = journalWrite(view->journal, &record, 1);
+    const Status status = journal_write(view->journal, &record, 1);
     if (status != STATUS_OK)
         return status;
     return lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
@@ -158,14 +158,14 @@
     /* write whatever the journal has not been given yet; also with nothing to
      * write, what was queued before must be synced before the answer */
     void *mem = talloc_new(view);
-    const uint64_t lastIndex = logLastIndex(view->log);
+    const uint64_t last_index = logLastIndex(view->log);
     if (view->queuedIndex < view->log->baseIndex)
         view->queuedIndex = view->log->baseIndex;
-    Record *records = talloc_zero_array(mem, Record, (unsigned)(lastIndex - view->queuedIndex + count + 1));
+    Record *records = talloc_zero_array(mem, Record, (unsigned)(last_index - view->queuedIndex + count + 1));
     memcpy(records, first, count * sizeof(*first));
-    while (view->queuedIndex < lastIndex)
+    while (view->queuedIndex < last_index)
         records[count++] = *logAt(view->log, ++view->queuedIndex);
-    const Status written = journalWrite(view->journal, records, count);
+    const Status written = journal_write(view->journal, records, count);
     talloc_free(mem);
     if (written != STATUS_OK)
         return written;
@@ -210,11 +210,11 @@
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_BAD_FRAME;
     if (snapshotHeld(view, &ask->snapshot, ask->over))
-        return journalWrite(view->journal, &promise, count); /* also what was queued before is synced then */
+        return journal_write(view->journal, &promise, count); /* also what was queued before is synced then */
     Record whole;
     status = fillTake(view, ask, &whole);
     if (status != STATUS_OK) { /* nothing changes yet but the promise */
-        const Status written = journalWrite(view->journal, &promise, count);
+        const Status written = journal_write(view->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
     Filling *filling = view->filling; /* another may begin while the disk is waited for */
@@ -234,9 +234,9 @@
 
 Status seatReplace(View *view, const Record *snapshot, const Record *entries, size_t entryCount)
 {
-    const uint64_t lastIndex = entryCount > 0 ? entries[entryCount - 1].index : snapshot->index;
-    if (lastIndex < view->commitIndex && view->props.disksKeep)
-        return historyRefuse(view, lastIndex + 1);
+    const uint64_t last_index = entryCount > 0 ? entries[entryCount - 1].index : snapshot->index;
+    if (last_index < view->commitIndex && view->props.disksKeep)
+        return historyRefuse(view, last_index + 1);
     if (goesBack(view, snapshot, entryCount)) {
         ring_say(view->props.ring, RING_FATAL, loop_now_ms(view->loop),
                  "own log may not go back from %" PRIu64 " to %" PRIu64, view->queuedIndex,
@@ -266,7 +266,7 @@
     void *mem = talloc_new(view);
     size_t recordCount;
     const Record *records = viewRecords(view, mem, &recordCount);
-    status = journalRewrite(view->journal, records, recordCount);
+    status = journal_rewrite(view->journal, records, recordCount);
     talloc_free(mem);
     signal_raise(view->loop, &view->news);
     return status;
@@ -280,12 +280,12 @@
     if (!logEpochAt(log, from, &epoch) || epoch != ask->afterEpoch) {
         answer->whole = log->snapshot.kind == RECORD_SNAPSHOT;
         if (answer->whole)
-            shape_copy(&RecordShape, &log->snapshot, mem, &answer->snapshot);
+            shape_copy(&Record_shape, &log->snapshot, mem, &answer->snapshot);
         from = log->baseIndex;
     }
     answer->entries = talloc_array(mem, Record, (unsigned)(logLastIndex(log) - from));
     for (uint64_t i = from + 1; i <= logLastIndex(log); i++)
-        shape_copy(&RecordShape, logAt(log, i), mem, &answer->entries[answer->entriesCount++]);
+        shape_copy(&Record_shape, logAt(log, i), mem, &answer->entries[answer->entriesCount++]);
 }
 
 /* --- handlers ------------------------------------------------------------------ */
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -262,7 +262,7 @@
     void *mem = talloc_new(view);
     size_t count;
     const Record *records = viewRecords(view, mem, &count);
-    const Status status = journalWrite(view->journal, records, 1);
+    const Status status = journal_write(view->journal, records, 1);
     talloc_free(mem);
     return status;
 }
@@ -305,9 +305,9 @@
 
 Status viewSettle(View *view)
 {
-    const uint64_t lastIndex = logLastIndex(view->log);
+    const uint64_t last_index = logLastIndex(view->log);
     const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
-    while (view->deliveredIndex < lastIndex)
+    while (view->deliveredIndex < last_index)
         if (!view->holding || !signal_wait(view->loop, &view->news, until_ms))
             return STATUS_NOT_LEADER;
     return STATUS_OK;
@@ -366,13 +366,13 @@
     viewPlace(view, &sight->epoch, &sight->commitIndex);
     sight->holder = view->lock.holder;
     sight->woke = view->woke;
-    sight->lastIndex = logLastIndex(view->log);
+    sight->last_index = logLastIndex(view->log);
     sight->deliveredIndex = view->deliveredIndex;
     sight->baseIndex = view->log->baseIndex;
     sight->holdLeftMs = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
     sight->viewChanges = view->viewChanges;
     sight->otherHistories = view->otherHistories;
-    sight->journal = *journalCounts(view->journal);
+    sight->journal = *journal_counts(view->journal);
     for (int i = 0; i < SEAT_MOST; i++) {
         const Peer *peer = &view->peers[i];
         const bool self = view->seats[i] == view->disk;
@@ -383,7 +383,7 @@
             .inView = view->inView[i],
             .answers = self || now_ms - peer->answeredMs < LOCK_HOLD_MS,
             .woke = self ? view->woke : peer->woke,
-            .syncMs = self ? sight->journal.lastSyncMs : peer->syncMs,
+            .syncMs = self ? sight->journal.last_sync_ms : peer->syncMs,
             .matchIndex = self ? view->syncedIndex : peer->matchIndex,
             .sight = self ? membersSight(view->props.members) : peer->sight,
         };
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -142,7 +142,7 @@
         }
         if (view->phase == VIEW_LEADING) {
             bool skip[SEAT_MOST];
-            const int64_t sinceMs = journalSyncSince(view->journal);
+            const int64_t sinceMs = journal_sync_since(view->journal);
             if (now_ms >= lockHoldUntil(&view->hold)) {
                 ring_say(view->props.ring, RING_ALERT, now_ms, "the hold of the lock has lapsed");
                 leadDown(view, 0);
