--- a/examples/counter.c
+++ b/examples/counter.c
@@ -80,11 +80,11 @@
 {
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
-        const char *leader = membersLeaderAddress(counter->members);
+        const char *leader = members_leader_address(counter->members);
         if (leader != NULL && !viewLeading(counter->view)) {
             void *mem = talloc_new(counter);
             const BeatAsk ask = {.agent = counter->name,
-                                 .incarnation = membersSelf(counter->members)->incarnation,
+                                 .incarnation = members_self(counter->members)->incarnation,
                                  .number = ++counter->beats,
                                  .worker = {.name = counter->name, .zone = "", .rack = "", .kind = ""},
                                  .workerLive = true,
@@ -164,10 +164,10 @@
                                .incarnation = (uint64_t)loop_wall_ms(counter->loop),
                                .disk = viewDisk(counter->view),
                                .empty = !viewFounded(counter->view)};
-    counter->members = membersNew(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
+    counter->members = members_new(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
     viewStart(counter->view, counter->members);
     courier_handle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
-    membersStart(counter->members);
+    members_start(counter->members);
     viewFounding(counter->view);
     loop_spawn(counter->loop, "beat", beatMain, counter);
     loop_spawn(counter->loop, "plus", plusMain, counter);
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -86,15 +86,15 @@
                                .address = agent->address,
                                .http = agent->http,
                                .incarnation = agent->incarnation};
-    agent->members = membersNew(agent, loop, agent->courier, ring, &self, props->seeds);
+    agent->members = members_new(agent, loop, agent->courier, ring, &self, props->seeds);
     agent->trace = traceNew(agent, loop, agent->courier, agent->members, props->name);
     roundsInit(agent);
     beatStart(agent);
     tellStart(agent);
     aloneStart(agent);
-    membersSetVoter(agent->members, props->bounds.founds == 1);
+    members_set_voter(agent->members, props->bounds.founds == 1);
     watchStart(agent);
-    membersStart(agent->members);
+    members_start(agent->members);
     *out = agent;
     return STATUS_OK;
 }
@@ -104,7 +104,7 @@
 void agentDrain(Agent *agent)
 {
     agent->leaving = true;
-    membersSetLeaving(agent->members);
+    members_set_leaving(agent->members);
     beatNow(agent);
     loop_sleep(agent->loop, DRAIN_MS / 3);
 }
@@ -116,5 +116,5 @@
 
 void agentSeeds(Agent *agent, const char *const seeds[SEEDS])
 {
-    membersSeeds(agent->members, seeds);
+    members_seeds(agent->members, seeds);
 }
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -36,7 +36,7 @@
         talloc_free(asking);
 }
 
-static void partMain(void *arg)
+static void part_main(void *arg)
 {
     AskPart *part = arg;
     Asking *asking = part->asking;
@@ -84,21 +84,21 @@
 static void askThose(Asking *asking, bool cores)
 {
     Agent *agent = asking->agent;
-    const MemberTable *table = membersTable(agent->members);
+    const MemberTable *table = members_table(agent->members);
     for (size_t i = 0; i < table->count; i++) {
         const MemberRecord *record = &table->rows[i].record;
         /* one that left cleanly is excluded: it neither runs nor holds anything */
         if (record->leaving || (record->role == ROLE_CORE) != cores ||
-            strcmp(record->id, membersSelf(agent->members)->id) == 0)
+            strcmp(record->id, members_self(agent->members)->id) == 0)
             continue;
         AskPart *part = talloc_zero(agent, AskPart);
         part->asking = asking;
         part->disk = cores ? record->disk : 0;
         strncpy(part->address, record->address, sizeof(part->address) - 1);
-        part->peer = memberPeer(record);
+        part->peer = member_peer(record);
         asking->users++;
         asking->pending++;
-        loop_spawn(agent->loop, "know", partMain, part);
+        loop_spawn(agent->loop, "know", part_main, part);
     }
     while (asking->pending > 0)
         signal_wait(agent->loop, &asking->ended, INT64_MAX);
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -21,7 +21,7 @@
 
 bool leaderAddress(Agent *agent, char address[ADDRESS_MAX])
 {
-    const char *leader = membersLeaderAddress(agent->members);
+    const char *leader = members_leader_address(agent->members);
     if (leader == NULL)
         return false;
     snprintf(address, ADDRESS_MAX, "%s", leader);
@@ -31,7 +31,7 @@
 void beatNow(Agent *agent)
 {
     agent->beatNow = true;
-    signal_raise(agent->loop, membersLeaderSignal(agent->members));
+    signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
 static RoundId idOf(void *mem, const Round *round)
@@ -132,7 +132,7 @@
     const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAskShape, &ask,
                                            BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
-    membersRest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
+    members_rest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
         answer_take(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
@@ -146,7 +146,7 @@
             agent->beatDueMs = now_ms;
         else
             agent->beatDueMs = beat->sent_ms + BEAT_MS; /* it was not held back */
-        signal_raise(agent->loop, membersLeaderSignal(agent->members));
+        signal_raise(agent->loop, members_leader_signal(agent->members));
     }
     talloc_free(beat);
 }
@@ -158,7 +158,7 @@
     beat->number = ++agent->number;
     beat->sent_ms = loop_now_ms(agent->loop);
     snprintf(beat->address, sizeof(beat->address), "%s", address);
-    beat->peer = membersLeaderPeer(agent->members);
+    beat->peer = members_leader_peer(agent->members);
     agent->beat = beat;
     agent->beats++;
     agent->beatNow = false;
@@ -194,7 +194,7 @@
         if (known && beatDue(agent, address, now_ms, &dueMs))
             beatSend(agent, address);
         else
-            signal_wait(agent->loop, membersLeaderSignal(agent->members), dueMs);
+            signal_wait(agent->loop, members_leader_signal(agent->members), dueMs);
     }
 }
 
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -143,8 +143,8 @@
         return;
     const int64_t now_ms = loop_now_ms(agent->loop);
     round->guessed = guessed;
-    const int64_t sinceMs = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
-    round->ranMs = sinceMs != 0 ? now_ms - sinceMs : 0;
+    const int64_t since_ms = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
+    round->ranMs = since_ms != 0 ? now_ms - since_ms : 0;
     round->changedMs = now_ms;
     /* thousands of ended ones are kept */
     talloc_free((void *)(uintptr_t)round->order.payload);
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -106,7 +106,7 @@
         }
         char old[ADDRESS_MAX];
         Status status = STATUS_NO_LEADER;
-        telling->peer = membersLeaderPeer(agent->members);
+        telling->peer = members_leader_peer(agent->members);
         if (leaderAddress(agent, telling->address))
             status = tellOnce(agent, telling);
         snprintf(old, sizeof(old), "%s", telling->address);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -113,10 +113,10 @@
                                .http = "",
                                .incarnation = 1};
     const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
-    boss->members = membersNew(loop, loop, boss->courier, ring, &self, seeds);
-    membersStart(boss->members);
+    boss->members = members_new(loop, loop, boss->courier, ring, &self, seeds);
+    members_start(boss->members);
     if (boss->epoch != 0)
-        membersSetLeader(boss->members, boss->epoch, boss->id);
+        members_set_leader(boss->members, boss->epoch, boss->id);
 }
 
 static void agentBoot(void *arg)
@@ -181,9 +181,9 @@
 static void sayMain(void *arg)
 {
     Say *say = arg;
-    const int64_t sinceMs = sim_now_ms(say->c->world);
+    const int64_t since_ms = sim_now_ms(say->c->world);
     say->status = agentReport(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
-    say->tookMs = sim_now_ms(say->c->world) - sinceMs;
+    say->tookMs = sim_now_ms(say->c->world) - since_ms;
     say->over = true;
 }
 
@@ -481,7 +481,7 @@
     sim_power_off(c->world, c->bossMachine);
     run(c, 500);
     c->other.epoch = EPOCH(6);
-    membersSetLeader(c->other.members, c->other.epoch, "other");
+    members_set_leader(c->other.members, c->other.epoch, "other");
     run(c, 1000); /* a hello's turn; the question to the dark one would be given up after five seconds */
     assert_int_equal(told(&c->other, "j", 0, 1, ROUND_DONE), 1);
     assert_int_equal(saying(c, "b1", NULL, 0, ended, 1)->orders.knownCount, 1);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -156,7 +156,7 @@
     size_t heard = 0, agents = 0;
     for (size_t i = 0; i < rowCount; i++)
         heard += rows[i]->heardMs != INT64_MIN && rows[i]->settled;
-    const MemberTable *members = membersTable(core->members);
+    const MemberTable *members = members_table(core->members);
     for (size_t i = 0; i < members->count; i++)
         agents += members->rows[i].record.role == ROLE_AGENT && !members->rows[i].record.leaving;
     talloc_free(mem);
@@ -258,7 +258,7 @@
     (void)question;
     uint64_t seats[SEAT_MOST];
     out->knows = viewKnowsHolder(core->view);
-    out->epoch = membersLeaderEpoch(core->members);
+    out->epoch = members_leader_epoch(core->members);
     out->seatsCount = viewSeats(core->view, seats);
     out->seats = talloc_array(mem, DiskId, SEAT_MOST);
     for (size_t i = 0; i < out->seatsCount; i++)
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -17,7 +17,7 @@
 typedef struct Standing {
     Alert alert;
     const char *subject;
-    int64_t sinceMs;
+    int64_t since_ms;
     uint64_t look; /* the look that saw it last */
 } Standing;
 
@@ -59,7 +59,7 @@
     ViewSight sight;
     viewSight(core->view, &sight);
     for (size_t i = 0; i < sight.seatCount; i++) {
-        const Member *member = membersFindDisk(core->members, sight.seats[i].disk);
+        const Member *member = members_find_disk(core->members, sight.seats[i].disk);
         char disk[20];
         snprintf(disk, sizeof(disk), "%016" PRIx64, sight.seats[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
@@ -159,7 +159,7 @@
 static int sinceOrder(const void *a, const void *b)
 {
     const Standing *x = *(const Standing *const *)a, *y = *(const Standing *const *)b;
-    return x->sinceMs != y->sinceMs ? (x->sinceMs < y->sinceMs ? -1 : 1) : (int)x->alert - (int)y->alert;
+    return x->since_ms != y->since_ms ? (x->since_ms < y->since_ms ? -1 : 1) : (int)x->alert - (int)y->alert;
 }
 
 json_object *alertsShow(const Core *core)
@@ -177,7 +177,7 @@
         json_object *one = json_object_new_object();
         json_object_object_add(one, "alert", json_object_new_string(alertWord(list[i]->alert)));
         json_object_object_add(one, "subject", json_object_new_string(list[i]->subject));
-        json_object_object_add(one, "forMs", json_object_new_int64(now_ms - list[i]->sinceMs));
+        json_object_object_add(one, "forMs", json_object_new_int64(now_ms - list[i]->since_ms));
         json_object_object_add(one, "todo", json_object_new_string(alertTodo(list[i]->alert)));
         json_object_array_add(body, one);
     }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -25,7 +25,7 @@
     showMetric(task, "journalBegunAnew", sight.journal.begun_anew);
     showMetric(task, "lastSyncMs", sight.journal.last_sync_ms);
     showMetric(task, "worstSyncMs", sight.journal.worst_sync_ms);
-    showMetric(task, "sight", (int64_t)membersSight(core->members));
+    showMetric(task, "sight", (int64_t)members_sight(core->members));
     showMetric(task, "planHolds", core->planHolds);
     for (int i = 0; i < ALERT_COUNT; i++) {
         char name[48];
@@ -116,8 +116,8 @@
     }
     const Status status = ask->relay ? forwardRelay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
     if (status != STATUS_OK) {
-        out->leaderEpoch = membersLeaderEpoch(core->members);
-        out->leaderId = talloc_strdup(mem, membersLeaderId(core->members));
+        out->leader_epoch = members_leader_epoch(core->members);
+        out->leader_id = talloc_strdup(mem, members_leader_id(core->members));
     }
     return status;
 }
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -139,7 +139,7 @@
         wait_ms = candidate->slackMs / 2;
     if (wait_ms > FAR_WAIT_MS)
         wait_ms = FAR_WAIT_MS;
-    const int64_t until_ms = candidate->sinceMs + wait_ms;
+    const int64_t until_ms = candidate->since_ms + wait_ms;
     if (pass->clock.logMs >= until_ms)
         return false;
     bool near = step->near[0] == '\0';
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -214,7 +214,7 @@
         .disk = viewDisk(core->view),
         .empty = !viewFounded(core->view),
     };
-    core->members = membersNew(core, loop, core->courier, ring, &self, props->seeds);
+    core->members = members_new(core, loop, core->courier, ring, &self, props->seeds);
     core->trace = traceNew(core, loop, core->courier, core->members, props->name);
     core->forwarder = forwarderNew(core, &(ForwarderSettings){.loop = loop,
                                                               .courier = core->courier,
@@ -230,7 +230,7 @@
     viewStart(core->view, core->members);
     agentsServe(core);
     callersServe(core);
-    membersStart(core->members);
+    members_start(core->members);
     viewFounding(core->view);
     plannerStart(core);
     alertsStart(core);
@@ -251,8 +251,8 @@
     const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.graceMs - DRAIN_MARGIN_MS;
     core->leaving = true;
     loop_serve_leave(core->loop);
-    membersSetLeaving(core->members);
-    membersAnnounce(core->members); /* so that the view goes on without waiting for us */
+    members_set_leaving(core->members);
+    members_announce(core->members); /* so that the view goes on without waiting for us */
     /* what was ordered gets its result; then the vote and the lock are handed over */
     if (viewLeading(core->view))
         viewSettle(core->view);
@@ -287,5 +287,5 @@
 
 void coreSeeds(Core *core, const char *const seeds[SEEDS])
 {
-    membersSeeds(core->members, seeds);
+    members_seeds(core->members, seeds);
 }
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -29,12 +29,12 @@
      * ask for, and the feed brings it to the gates */
     if (bytesOf(keeps) > CONFIG_LARGE_BYTES)
         return;
-    const MemberTable *table = membersTable(core->members);
+    const MemberTable *table = members_table(core->members);
     char addresses[ELSEWHERE_MOST][ADDRESS_MAX];
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (row->record.role != ROLE_GATE || row->record.leaving || memberQuiet(row, loop_now_ms(core->loop)))
+        if (row->record.role != ROLE_GATE || row->record.leaving || member_quiet(row, loop_now_ms(core->loop)))
             continue;
         const bool last = strcmp(row->record.address, core->keptAt) == 0;
         if (count == ELSEWHERE_MOST && !last)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -44,7 +44,7 @@
     const char *job;
     size_t task; /* its first */
     double rank;
-    int64_t sinceMs;
+    int64_t since_ms;
     size_t workerCount;
     const char *workers[KEPT_MEMBERS_MAX];
     int64_t until_ms[KEPT_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
@@ -171,11 +171,11 @@
 
 /* How a worker that claims health has done of late, as this leader saw it. */
 typedef struct Score {
-    Tally failed;        /* rounds that failed */
-    Tally slow;          /* rounds that took several times as long as the others of their step */
-    int64_t slowEndMs;   /* log time of the end of the last one counted as slow */
-    int64_t restUntilMs; /* own clock; given nothing before this */
-    int64_t restMs;      /* the last rest's length */
+    Tally failed;          /* rounds that failed */
+    Tally slow;            /* rounds that took several times as long as the others of their step */
+    int64_t slowEndMs;     /* log time of the end of the last one counted as slow */
+    int64_t rest_until_ms; /* own clock; given nothing before this */
+    int64_t restMs;        /* the last rest's length */
 } Score;
 
 /* Takes what a delivered change tells of rounds. */
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -109,7 +109,7 @@
     const int64_t logMs = pass->clock.logMs;
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
-    if (logMs - candidate->sinceMs < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
+    if (logMs - candidate->since_ms < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
         map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
@@ -154,10 +154,10 @@
     kept->job = talloc_strdup(kept, candidate->job->spec.id);
     kept->task = candidate->first;
     kept->rank = candidate->rank;
-    kept->sinceMs = loop_now_ms(core->loop);
+    kept->since_ms = loop_now_ms(core->loop);
     map_set(core->kept, cell, kept);
     core->counts.kept++;
-    ring_say(core->ring, RING_NOTE, kept->sinceMs,
+    ring_say(core->ring, RING_NOTE, kept->since_ms,
              "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->workerCount,
-             kept->workers[0], kept->job, logMs - candidate->sinceMs);
+             kept->workers[0], kept->job, logMs - candidate->since_ms);
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -11,9 +11,9 @@
     size_t users;
     RoundList list;
     size_t room;
-    int64_t *at_ms;  /* when each of them came */
-    int64_t sinceMs; /* its first news came then */
-    bool waited;     /* somebody waits for it */
+    int64_t *at_ms;   /* when each of them came */
+    int64_t since_ms; /* its first news came then */
+    bool waited;      /* somebody waits for it */
     bool over;
     Status status;
     Signal ended;
@@ -39,7 +39,7 @@
     if (news->last == NULL || news->last->list.newsCount >= NEWS_MOST) {
         Batch *batch = talloc_zero(news, Batch);
         batch->users = 1;
-        batch->sinceMs = loop_now_ms(news->core->loop);
+        batch->since_ms = loop_now_ms(news->core->loop);
         if (news->last != NULL)
             news->last->next = batch;
         else
@@ -113,7 +113,7 @@
         const int64_t now_ms = loop_now_ms(core->loop);
         const int64_t dueMs = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
                               : batch->waited ? now_ms
-                                              : batch->sinceMs + NEWS_LAZY_MS;
+                                              : batch->since_ms + NEWS_LAZY_MS;
         if (now_ms < dueMs) {
             signal_wait(core->loop, &news->added, dueMs);
             continue;
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -203,7 +203,7 @@
         assured = assures(pass, candidate, &need, where);
         /* accepted work is not kept waiting for a plan without end */
         if (!assured && pass->asks)
-            fits = candidate->restart || pass->clock.logMs - candidate->sinceMs >= ASSURE_WAIT_MS;
+            fits = candidate->restart || pass->clock.logMs - candidate->since_ms >= ASSURE_WAIT_MS;
     }
     if (fits)
         placeAll(pass, candidate, where, assured);
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -29,7 +29,7 @@
         talloc_free(retelling);
 }
 
-static void partMain(void *arg)
+static void part_main(void *arg)
 {
     RetellPart *part = arg;
     Retelling *retelling = part->retelling;
@@ -157,17 +157,17 @@
     retelling->core = core;
     retelling->users = 1;
     retelling->configHave = revisionsNewest(tableRevisions(core->table));
-    const MemberTable *table = membersTable(core->members);
+    const MemberTable *table = members_table(core->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (strcmp(row->record.id, membersSelf(core->members)->id) == 0 || memberQuiet(row, loop_now_ms(core->loop)))
+        if (strcmp(row->record.id, members_self(core->members)->id) == 0 || member_quiet(row, loop_now_ms(core->loop)))
             continue;
         RetellPart *part = talloc_zero(core, RetellPart);
         part->retelling = retelling;
         strncpy(part->address, row->record.address, sizeof(part->address) - 1);
         retelling->users++;
         retelling->pending++;
-        loop_spawn(core->loop, "retell", partMain, part);
+        loop_spawn(core->loop, "retell", part_main, part);
     }
     while (retelling->pending > 0)
         signal_wait(core->loop, &retelling->ended, INT64_MAX);
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -15,7 +15,7 @@
 /* A rate that nothing renews fades. */
 static uint64_t tallyRate(const Core *core, const Score *score, const Tally *tally)
 {
-    const int64_t from = tally->ratedMs > score->restUntilMs ? tally->ratedMs : score->restUntilMs;
+    const int64_t from = tally->ratedMs > score->rest_until_ms ? tally->ratedMs : score->rest_until_ms;
     const int64_t halvings = (loop_now_ms(core->loop) - from) / SCORE_FADE_MS;
     if (halvings > 7)
         return 0;
@@ -36,7 +36,7 @@
 bool scoreRests(const Core *core, const char *worker)
 {
     const Score *score = scoreFind(core, worker);
-    return score != NULL && loop_now_ms(core->loop) < score->restUntilMs;
+    return score != NULL && loop_now_ms(core->loop) < score->rest_until_ms;
 }
 
 static size_t resting(const Core *core, void *mem)
@@ -52,7 +52,7 @@
 static void restMaybe(Core *core, const char *worker, Score *score, Tally *tally, const char *how)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (tally->ratePercent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->restUntilMs)
+    if (tally->ratePercent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->rest_until_ms)
         return;
     void *mem = talloc_new(core);
     const Worker **workers;
@@ -64,7 +64,7 @@
     score->restMs = score->restMs == 0                      ? SCORE_REST_MS
                     : score->restMs * 2 < SCORE_REST_MAX_MS ? score->restMs * 2
                                                             : SCORE_REST_MAX_MS;
-    score->restUntilMs = now_ms + score->restMs;
+    score->rest_until_ms = now_ms + score->restMs;
     /* after the rest it is tried again: a single bad round sends it back */
     tally->ratePercent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -26,7 +26,7 @@
 
 static json_object *coreOf(const Core *core, uint64_t disk)
 {
-    const Member *member = membersFindDisk(core->members, disk);
+    const Member *member = members_find_disk(core->members, disk);
     return text_of(member != NULL ? member->record.name : "");
 }
 
@@ -99,7 +99,7 @@
         if (score != NULL) {
             json_object_object_add(one, "failurePercent", numberOf((int64_t)scoreRate(core, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
-                                   numberOf(score->restUntilMs > now_ms ? score->restUntilMs - now_ms : 0));
+                                   numberOf(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
         }
         json_object_object_add(one, "holdLeftMs",
                                numberOf(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
@@ -115,17 +115,17 @@
 
 static json_object *showMembers(Core *core)
 {
-    const MemberTable *table = membersTable(core->members);
+    const MemberTable *table = members_table(core->members);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "id", text_of(row->record.id));
-        json_object_object_add(one, "role", text_of(roleWord((Role)row->record.role)));
+        json_object_object_add(one, "role", text_of(role_word((Role)row->record.role)));
         json_object_object_add(one, "zone", text_of(row->record.zone));
         json_object_object_add(one, "address", text_of(row->record.address));
         json_object_object_add(one, "http", text_of(row->record.http));
-        json_object_object_add(one, "quiet", json_object_new_boolean(memberQuiet(row, loop_now_ms(core->loop))));
+        json_object_object_add(one, "quiet", json_object_new_boolean(member_quiet(row, loop_now_ms(core->loop))));
         json_object_array_add(list, one);
     }
     return list;
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -11,7 +11,7 @@
     for (size_t i = 0; i < count; i++)
         if (strcmp(workers[i]->zone, way->name) == 0)
             return true;
-    const MemberTable *members = membersTable(way->core->members);
+    const MemberTable *members = members_table(way->core->members);
     for (size_t i = 0; i < members->count; i++)
         if (strcmp(members->rows[i].record.zone, way->name) == 0)
             return true;
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -103,9 +103,9 @@
     };
     const char *seeds[SEEDS];
     seedsOf(explore, seeds);
-    node->members = membersNew(loop, loop, node->courier, node->ring, &self, seeds);
+    node->members = members_new(loop, loop, node->courier, node->ring, &self, seeds);
     viewStart(node->view, node->members);
-    membersStart(node->members);
+    members_start(node->members);
     viewFounding(node->view);
     return STATUS_OK;
 }
@@ -191,8 +191,8 @@
 static void leaveMain(void *arg)
 {
     Node *node = arg;
-    membersSetLeaving(node->members);
-    membersAnnounce(node->members);
+    members_set_leaving(node->members);
+    members_announce(node->members);
     if (viewLeading(node->view))
         viewSettle(node->view);
     viewLeave(node->view, loop_now_ms(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -35,15 +35,15 @@
     X(FLAG, again, 0)  /* asked before, of a leader that was lost: its caller has had no answer */
 SHAPE(ForwardAsk, FORWARD_ASK_FIELDS)
 
-#define FORWARD_ANSWER_FIELDS(X)                                                          \
-    X(U64, code, 0)                                                                       \
-    X(TXT, kind, 0)                                                                       \
-    X(BIN, body, 0)                                                                       \
-    X(U64, retry_after_s, 0)                                                              \
-    X(LST, keeps, KeepItem)                                                               \
-    X(U64, status, 0)                                                                     \
-    X(U64, leaderEpoch, 0) /* the newest leader that is known to one who does not lead */ \
-    X(TXT, leaderId, 0)
+#define FORWARD_ANSWER_FIELDS(X)                                                           \
+    X(U64, code, 0)                                                                        \
+    X(TXT, kind, 0)                                                                        \
+    X(BIN, body, 0)                                                                        \
+    X(U64, retry_after_s, 0)                                                               \
+    X(LST, keeps, KeepItem)                                                                \
+    X(U64, status, 0)                                                                      \
+    X(U64, leader_epoch, 0) /* the newest leader that is known to one who does not lead */ \
+    X(TXT, leader_id, 0)
 SHAPE(ForwardAnswer, FORWARD_ANSWER_FIELDS)
 
 /* Answered when there is a revision above have, or, when the document is wanted
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -70,25 +70,25 @@
 /* The address of the nth way; false when there are fewer. */
 static bool wayAt(const Ways *ways, size_t nth, WaysTaken *taken)
 {
-    const char *leader = membersLeaderAddress(ways->members);
-    const MemberRecord *self = membersSelf(ways->members);
+    const char *leader = members_leader_address(ways->members);
+    const MemberRecord *self = members_self(ways->members);
     *taken = (WaysTaken){.turn = ways->turn, .relay = nth > 0};
     if (leader == NULL && nth == 0)
         return false;
     if (nth == 0) {
         snprintf(taken->address, ADDRESS_MAX, "%s", leader);
-        taken->peer = membersLeaderPeer(ways->members);
+        taken->peer = members_leader_peer(ways->members);
         return strcmp(leader, self->address) != 0;
     }
-    const MemberTable *table = membersTable(ways->members);
+    const MemberTable *table = members_table(ways->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (row->record.role != ROLE_CORE || row->record.leaving ||
             (leader != NULL && strcmp(row->record.address, leader) == 0) || strcmp(row->record.id, self->id) == 0 ||
-            memberQuiet(row, loop_now_ms(ways->loop)) || --nth > 0)
+            member_quiet(row, loop_now_ms(ways->loop)) || --nth > 0)
             continue;
         snprintf(taken->address, ADDRESS_MAX, "%s", row->record.address);
-        taken->peer = memberPeer(&row->record);
+        taken->peer = member_peer(&row->record);
         return true;
     }
     return false;
@@ -104,7 +104,7 @@
         courier_ask_peer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
                          &ForwardAskShape, &ask, wait_ms, &ForwardAnswerShape, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
-        membersMeet(ways->members, taken->address);
+        members_meet(ways->members, taken->address);
     else if (status != STATUS_OK)
         waysTold(ways, &answer);
     *serves = status == STATUS_OK && answer.code == 200;
@@ -157,7 +157,7 @@
         waysFailed(ways, &taken);
 }
 
-static void lookMain(void *arg)
+static void look_main(void *arg)
 {
     Ways *ways = arg;
     while (!loop_stopping(ways->loop) && (ways->lostMs != INT64_MAX || ways->at > 0)) {
@@ -179,7 +179,7 @@
     if (ways->looking)
         return;
     ways->looking = true;
-    loop_spawn(ways->loop, "look", lookMain, ways);
+    loop_spawn(ways->loop, "look", look_main, ways);
 }
 
 /* --- the leader known ---------------------------------------------------------------- */
@@ -187,10 +187,10 @@
 /* Another leader, or the first: it is reached directly until that fails. */
 static void leaderNew(Ways *ways)
 {
-    if (membersLeaderEpoch(ways->members) == ways->epoch)
+    if (members_leader_epoch(ways->members) == ways->epoch)
         return; /* also before any is known: whoever is met tells of him */
-    ways->epoch = membersLeaderEpoch(ways->members);
-    if (membersLeaderAddress(ways->members) == NULL) {
+    ways->epoch = members_leader_epoch(ways->members);
+    if (members_leader_address(ways->members) == NULL) {
         if (ways->lostMs == INT64_MAX)
             ways->lostMs = loop_now_ms(ways->loop);
         miss(ways);
@@ -206,7 +206,7 @@
     Ways *ways = arg;
     while (!loop_stopping(ways->loop)) {
         leaderNew(ways);
-        signal_wait(ways->loop, membersLeaderSignal(ways->members), INT64_MAX);
+        signal_wait(ways->loop, members_leader_signal(ways->members), INT64_MAX);
     }
 }
 
@@ -290,9 +290,9 @@
 
 void waysTold(Ways *ways, const ForwardAnswer *answer)
 {
-    if (answer->leaderEpoch > membersLeaderEpoch(ways->members) && answer->leaderId != NULL &&
-        answer->leaderId[0] != '\0')
-        membersSetLeader(ways->members, answer->leaderEpoch, answer->leaderId);
+    if (answer->leader_epoch > members_leader_epoch(ways->members) && answer->leader_id != NULL &&
+        answer->leader_id[0] != '\0')
+        members_set_leader(ways->members, answer->leader_epoch, answer->leader_id);
 }
 
 bool waysServe(const Ways *ways)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -34,7 +34,7 @@
     showMetric(task, "keptBytes", (int64_t)keeperBytes(gate->keeper));
     showMetric(task, "configRevision", (int64_t)feedRevision(gate->feed));
     showMetric(task, "configHeld", (int64_t)feedHeld(gate->feed));
-    showMetric(task, "members", (int64_t)membersTable(gate->members)->count);
+    showMetric(task, "members", (int64_t)members_table(gate->members)->count);
 #define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
@@ -69,7 +69,7 @@
     *ask = (HttpTask){
         .loop = gate->loop, .method = "GET", .path = "/readyz", .query = "", .host = "", .expiry_ms = task->expiry_ms};
     forwardRequest(gate->forwarder, ask);
-    const Member *member = membersFind(gate->members, membersLeaderId(gate->members));
+    const Member *member = members_find(gate->members, members_leader_id(gate->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
     if (ask->code == 200 && !known)
         return false;
@@ -122,7 +122,7 @@
     Gate *gate = arg;
     (void)mem;
     (void)question;
-    ((KnowAnswer *)answer)->epoch = membersLeaderEpoch(gate->members);
+    ((KnowAnswer *)answer)->epoch = members_leader_epoch(gate->members);
     return STATUS_OK;
 }
 
@@ -147,7 +147,7 @@
                                .address = gate->address,
                                .http = gate->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
-    gate->members = membersNew(gate, loop, gate->courier, ring, &self, props->seeds);
+    gate->members = members_new(gate, loop, gate->courier, ring, &self, props->seeds);
     gate->trace = traceNew(gate, loop, gate->courier, gate->members, props->name);
     gate->forwarder = forwarderNew(gate, &(ForwarderSettings){.loop = loop,
                                                               .courier = gate->courier,
@@ -160,8 +160,8 @@
     courier_handle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
     courier_handle(gate->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, gate);
     courier_handle(gate->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, gate);
-    membersSetVoter(gate->members, props->bounds.founds == 1);
-    membersStart(gate->members);
+    members_set_voter(gate->members, props->bounds.founds == 1);
+    members_start(gate->members);
     forwarderStart(gate->forwarder);
     feedStart(gate->feed, NULL, NULL);
     *out = gate;
@@ -173,7 +173,7 @@
     const int64_t now_ms = loop_now_ms(gate->loop);
     gate->leaving = true;
     loop_serve_leave(gate->loop);
-    membersSetLeaving(gate->members);
+    members_set_leaving(gate->members);
     /* requests are taken on until the last moment: none that was read is cut */
     loop_sleep(gate->loop, gate->unreadyMs);
     while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->graceMs - DRAIN_MARGIN_MS)
@@ -187,5 +187,5 @@
 
 void gateSeeds(Gate *gate, const char *const seeds[SEEDS])
 {
-    membersSeeds(gate->members, seeds);
+    members_seeds(gate->members, seeds);
 }
--- a/packages/member/include/member/record.h
+++ b/packages/member/include/member/record.h
@@ -15,7 +15,7 @@
         ROLE_COUNT
 } Role;
 
-const char *roleWord(Role role);
+const char *role_word(Role role);
 
 /* What a member says of itself. Only the member itself makes new ones: of two
  * records the one with the higher (incarnation, tick) is the newer.
@@ -40,8 +40,8 @@
     X(ONE, self, MemberRecord)    \
     X(LST, members, MemberRecord) \
     X(U64, cluster, 0)            \
-    X(U64, leaderEpoch, 0)        \
-    X(TXT, leaderId, 0)
+    X(U64, leader_epoch, 0)       \
+    X(TXT, leader_id, 0)
 SHAPE(Hello, HELLO_FIELDS)
 
 /* A core with an empty disk asks a seed for its vote to found the cluster, or
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -8,7 +8,7 @@
 typedef struct Vote {
     bool mine;            /* this process has one to give */
     uint64_t disk, round; /* 0: not given */
-    uint64_t backDisk, backRound;
+    uint64_t back_disk, back_round;
 } Vote;
 
 /* Invariant: table is never null; self is also a row of it. */
@@ -20,14 +20,14 @@
     const char *seeds[SEEDS];
     MemberTable *table;
     size_t room;
-    uint64_t leaderEpoch;
-    char *leaderId;
-    Signal leaderChanged;
-    int64_t restUntilMs; /* hellos are spaced out until then */
-    Signal hurry;        /* ... no longer */
+    uint64_t leader_epoch;
+    char *leader_id;
+    Signal leader_changed;
+    int64_t rest_until_ms; /* hellos are spaced out until then */
+    Signal hurry;          /* ... no longer */
     Vote vote;
 };
 
-Status voteAsked(void *arg, void *mem, const void *question, void *answer);
+Status vote_asked(void *arg, void *mem, const void *question, void *answer);
 
 #endif
--- a/packages/member/src/record.c
+++ b/packages/member/src/record.c
@@ -5,7 +5,7 @@
 SHAPE_TABLE(VoteAsk, VOTE_ASK_FIELDS)
 SHAPE_TABLE(VoteAnswer, VOTE_ANSWER_FIELDS)
 
-const char *roleWord(Role role)
+const char *role_word(Role role)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -7,12 +7,12 @@
 #include "base/constants.h"
 #include "inside.h"
 
-void membersSetVoter(Members *members, bool voter)
+void members_set_voter(Members *members, bool voter)
 {
     members->vote.mine = voter;
 }
 
-uint64_t membersLowestEmpty(const Members *members)
+uint64_t members_lowest_empty(const Members *members)
 {
     const int64_t now_ms = loop_now_ms(members->loop);
     uint64_t lowest = 0;
@@ -20,26 +20,26 @@
         const Member *row = &members->table->rows[i];
         const bool self = strcmp(row->record.id, members->self.id) == 0;
         if (row->record.role == ROLE_CORE && (self ? members->self.empty : row->record.empty) &&
-            (self || !memberQuiet(row, now_ms)) && (lowest == 0 || row->record.disk < lowest))
+            (self || !member_quiet(row, now_ms)) && (lowest == 0 || row->record.disk < lowest))
             lowest = row->record.disk;
     }
     return lowest;
 }
 
-static bool voteTake(Members *members, const VoteAsk *ask)
+static bool vote_take(Members *members, const VoteAsk *ask)
 {
     Vote *vote = &members->vote;
     if (ask->back) {
         if (vote->disk == ask->disk && vote->round <= ask->round)
             vote->disk = 0;
-        vote->backDisk = ask->disk;
-        vote->backRound = ask->round;
+        vote->back_disk = ask->disk;
+        vote->back_round = ask->round;
         return true;
     }
     if (!vote->mine || courier_cluster(members->courier) != 0 || ask->disk == 0 ||
-        (ask->disk == vote->backDisk && ask->round <= vote->backRound))
+        (ask->disk == vote->back_disk && ask->round <= vote->back_round))
         return false;
-    const uint64_t lowest = membersLowestEmpty(members);
+    const uint64_t lowest = members_lowest_empty(members);
     if (vote->disk == 0 && (lowest == 0 || ask->disk <= lowest)) {
         vote->disk = ask->disk;
         vote->round = ask->round;
@@ -47,10 +47,10 @@
     return vote->disk == ask->disk;
 }
 
-Status voteAsked(void *arg, void *mem, const void *question, void *answer)
+Status vote_asked(void *arg, void *mem, const void *question, void *answer)
 {
     (void)mem;
-    ((VoteAnswer *)answer)->granted = voteTake(arg, question);
+    ((VoteAnswer *)answer)->granted = vote_take(arg, question);
     return STATUS_OK;
 }
 
@@ -67,51 +67,51 @@
     const char *address;
 } VotePart;
 
-static void votingLeave(Voting *voting)
+static void voting_leave(Voting *voting)
 {
     if (--voting->users == 0)
         talloc_free(voting);
 }
 
-static void partMain(void *arg)
+static void part_main(void *arg)
 {
     VotePart *part = arg;
     Voting *voting = part->voting;
     Members *members = voting->members;
     VoteAnswer answer = {0};
     if (strcmp(part->address, members->self.address) == 0)
-        answer.granted = voteTake(members, &voting->ask);
-    else if (courier_ask(members->courier, part, part->address, MESSAGE_VOTE, &VoteAskShape, &voting->ask,
-                         ASK_EXPIRY_MS, &VoteAnswerShape, &answer) != STATUS_OK)
+        answer.granted = vote_take(members, &voting->ask);
+    else if (courier_ask(members->courier, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask,
+                         ASK_EXPIRY_MS, &VoteAnswer_shape, &answer) != STATUS_OK)
         answer.granted = false;
     voting->granted += answer.granted;
     voting->pending--;
     signal_raise(members->loop, &voting->ended);
-    votingLeave(voting);
+    voting_leave(voting);
     talloc_free(part);
 }
 
-size_t membersVotes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seedCount)
+size_t members_votes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seed_count)
 {
     Voting *voting = talloc_zero(members, Voting);
     *voting = (Voting){.members = members, .ask = {disk, round, back}, .users = 1};
-    *seedCount = 0;
+    *seed_count = 0;
     for (int i = 0; i < SEEDS; i++) {
         bool again = members->seeds[i] == NULL;
         for (int k = 0; k < i && !again; k++)
             again = members->seeds[k] != NULL && strcmp(members->seeds[k], members->seeds[i]) == 0;
         if (again)
             continue;
-        ++*seedCount;
+        ++*seed_count;
         VotePart *part = talloc_zero(members, VotePart);
         *part = (VotePart){voting, talloc_strdup(part, members->seeds[i])};
         voting->users++;
         voting->pending++;
-        loop_spawn(members->loop, "vote", partMain, part);
+        loop_spawn(members->loop, "vote", part_main, part);
     }
     while (voting->pending > 0)
         signal_wait(members->loop, &voting->ended, INT64_MAX);
     const size_t granted = voting->granted;
-    votingLeave(voting);
+    voting_leave(voting);
     return granted;
 }
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -12,7 +12,7 @@
     size_t edge;
 } Looking;
 
-static void lookMain(void *arg)
+static void look_main(void *arg)
 {
     Looking *looking = arg;
     Door *door = looking->door;
@@ -56,7 +56,7 @@
     for (size_t i = 0; i < door->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(loop, Looking);
         *looking = (Looking){door, i};
-        loop_spawn(loop, "look", lookMain, looking);
+        loop_spawn(loop, "look", look_main, looking);
     }
 }
 
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -263,7 +263,7 @@
         ledgerShown(self->ledger, node, queue.host, queue.prefix, sent_ms, outcome == OUTCOME_GOOD);
 }
 
-static void lookMain(void *arg)
+static void look_main(void *arg)
 {
     Looking *looking = arg;
     for (;;) {
@@ -307,7 +307,7 @@
     for (size_t i = 0; i < self->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(self, Looking);
         *looking = (Looking){self, &self->ground->edges[i], diceOf(self->ground->seed, "look", i)};
-        loop_spawn(operatorLoop(self), "look", lookMain, looking);
+        loop_spawn(operatorLoop(self), "look", look_main, looking);
     }
 }
 
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -100,9 +100,9 @@
         const JobTask *task = &job->tasks[at];
         if (task->phase != TASK_WAITING || restarts(job, task, aim) != restart)
             continue;
-        if (line->sight->clock.logMs >= task->restUntilMs)
+        if (line->sight->clock.logMs >= task->rest_until_ms)
             return at;
-        nextAt(line, task->restUntilMs);
+        nextAt(line, task->rest_until_ms);
     }
     return end;
 }
@@ -117,7 +117,7 @@
     const Job *job = note->job;
     const JobTask *task = &job->tasks[at];
     const bool has = aim->spanMs > 0;
-    const int64_t freeMs = task->changedMs > task->restUntilMs ? task->changedMs : task->restUntilMs;
+    const int64_t freeMs = task->changedMs > task->rest_until_ms ? task->changedMs : task->rest_until_ms;
     Place *place = &line->places[line->count++];
     *place = (Place){
         .candidate = {.job = job,
@@ -125,7 +125,7 @@
                       .count = members,
                       .restart = restart,
                       .rank = rank,
-                      .sinceMs = freeMs > aim->fromMs ? freeMs : aim->fromMs,
+                      .since_ms = freeMs > aim->fromMs ? freeMs : aim->fromMs,
                       .slackMs = has ? aimSlackMs(aim, task->step, line->sight->clock.logMs) : INT64_MAX,
                       .spanMs = has ? aim->spanMs : 0,
                       .guessMs = aim->taskMs[task->step]},
@@ -146,8 +146,8 @@
         if (taskEnded(task->phase))
             continue;
         left++;
-        ready &= task->phase == TASK_WAITING && line->sight->clock.logMs >= task->restUntilMs;
-        nextAt(line, task->restUntilMs);
+        ready &= task->phase == TASK_WAITING && line->sight->clock.logMs >= task->rest_until_ms;
+        nextAt(line, task->rest_until_ms);
     }
     return ready ? left : 0;
 }
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -45,7 +45,7 @@
         return WAIT_DUE;
     if (!taskStepsDone(job, one))
         return WAIT_STEPS;
-    if (clock.logMs < one->restUntilMs)
+    if (clock.logMs < one->rest_until_ms)
         return WAIT_REST;
     const size_t first = taskFirst(job, one);
     for (size_t i = first; i < first + step->count && step->gang; i++)
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -48,7 +48,7 @@
         tenant->in = word == TENANT_IN;
         tenant->everIn |= tenant->in;
         tenant->unsure = false;
-        tenant->sinceMs = checkerNow(checker);
+        tenant->since_ms = checkerNow(checker);
         break;
     default:
         tenant->unsure = false;
@@ -59,14 +59,14 @@
 void checkerProbe(Checker *checker, const char *name, int64_t sent_ms, bool taken)
 {
     const SeenTenant *tenant = seenTenant(checker, name);
-    if (tenant->unsure || (tenant->sinceMs != 0 && sent_ms < tenant->sinceMs + CONFIG_LATE_MS) || taken == tenant->in)
+    if (tenant->unsure || (tenant->since_ms != 0 && sent_ms < tenant->since_ms + CONFIG_LATE_MS) || taken == tenant->in)
         return;
     if (taken && !tenant->everIn)
         checkerBroke(checker, NEVER_REFUSED_CONFIG, "work of tenant %s is taken, which only a refused one had", name);
     else
         checkerBroke(checker, NEVER_CONFIG_LOST,
                      "work of tenant %s is %s, %" PRId64 " ms after the other was acknowledged", name,
-                     taken ? "taken" : "refused", checkerNow(checker) - tenant->sinceMs);
+                     taken ? "taken" : "refused", checkerNow(checker) - tenant->since_ms);
 }
 
 static uint64_t looserOf(uint64_t a, uint64_t b)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -76,7 +76,7 @@
 typedef struct SeenTenant {
     bool in, unsure;
     bool everIn; /* some configuration that was not refused had it */
-    int64_t sinceMs;
+    int64_t since_ms;
     Room quota, looser; /* in force; the loosest that may still be */
     int64_t quotaMs;
     bool quotaUnsure;
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -190,13 +190,13 @@
 }
 
 /* The longest time without an acceptance since then. */
-static int64_t gapMs(Fleet *fleet, int64_t sinceMs)
+static int64_t gapMs(Fleet *fleet, int64_t since_ms)
 {
     CallerJob *const *jobs;
     const size_t count = callerJobs(fleet->callers[0], &jobs);
     const int64_t offsetMs = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
-    for (int64_t at_ms = sinceMs, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
+    for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
         next_ms = sim_now_ms(fleet->world);
         for (size_t i = 0; i < count; i++)
             if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < next_ms)
--- a/packages/table/include/table/job.h
+++ b/packages/table/include/table/job.h
@@ -81,25 +81,25 @@
 /* One unit of a job. Invariants: round grows with each placement and never
  * falls; worker is non-empty exactly when the phase is one of those on a
  * worker; an ended task never leaves its phase. */
-#define JOB_TASK_FIELDS(X)                                                                              \
-    X(U64, step, 0)                                                                                     \
-    X(U64, phase, 0)                                                                                    \
-    X(U64, round, 0)                                                                                    \
-    X(U64, misses, 0) /* rounds that failed by themselves; of a lasting task: in a row, soon */         \
-    X(U64, losses, 0) /* rounds lost with their worker */                                               \
-    X(TXT, worker, 0)                                                                                   \
-    X(U64, incarnation, 0) /* of the agent that the order was for */                                    \
-    X(FLAG, assured, 0)    /* a plan includes its restart */                                            \
-    X(I64, restUntilMs, 0) /* log time; waits at least so long */                                       \
-    X(I64, changedMs, 0)   /* log time of its last change of phase */                                   \
-    X(I64, startedMs, 0)   /* log time of the first round's start; 0: none */                           \
-    X(TXT, text, 0)        /* the worker's last word on it */                                           \
-    X(TXT, shunned, 0)     /* the worker that its last round failed on, or that refused it */           \
-    X(U64, turn, 0)        /* from 0; the tasks of one turn wait for that turn's steps alone */         \
-    X(U64, at, 0)          /* its place among its turn's and step's tasks, from 0 */                    \
-    X(TXT, saved, 0)       /* how far its rounds have come, as the worker worded it; a gang's is one */ \
-    X(U64, missRound, 0)   /* the round that misses last counted: a gang's failure counts once */       \
-    X(RAM, onAt, size_t)   /* its place among those on its worker */
+#define JOB_TASK_FIELDS(X)                                                                                \
+    X(U64, step, 0)                                                                                       \
+    X(U64, phase, 0)                                                                                      \
+    X(U64, round, 0)                                                                                      \
+    X(U64, misses, 0) /* rounds that failed by themselves; of a lasting task: in a row, soon */           \
+    X(U64, losses, 0) /* rounds lost with their worker */                                                 \
+    X(TXT, worker, 0)                                                                                     \
+    X(U64, incarnation, 0)   /* of the agent that the order was for */                                    \
+    X(FLAG, assured, 0)      /* a plan includes its restart */                                            \
+    X(I64, rest_until_ms, 0) /* log time; waits at least so long */                                       \
+    X(I64, changedMs, 0)     /* log time of its last change of phase */                                   \
+    X(I64, startedMs, 0)     /* log time of the first round's start; 0: none */                           \
+    X(TXT, text, 0)          /* the worker's last word on it */                                           \
+    X(TXT, shunned, 0)       /* the worker that its last round failed on, or that refused it */           \
+    X(U64, turn, 0)          /* from 0; the tasks of one turn wait for that turn's steps alone */         \
+    X(U64, at, 0)            /* its place among its turn's and step's tasks, from 0 */                    \
+    X(TXT, saved, 0)         /* how far its rounds have come, as the worker worded it; a gang's is one */ \
+    X(U64, missRound, 0)     /* the round that misses last counted: a gang's failure counts once */       \
+    X(RAM, onAt, size_t)     /* its place among those on its worker */
 SHAPE(JobTask, JOB_TASK_FIELDS)
 
 #define JOB_PHASE_LIST(X) \
--- a/packages/table/src/deliverzone.c
+++ b/packages/table/src/deliverzone.c
@@ -59,7 +59,7 @@
 }
 
 /* The oldest two become one without a name when there is no room. */
-static void rowAdd(ZoneOrders *orders, const char *order, int64_t stamp)
+static void row_add(ZoneOrders *orders, const char *order, int64_t stamp)
 {
     if (orders->count == ZONE_ORDERS_MAX) {
         memmove(orders->rows, orders->rows + 1, (ZONE_ORDERS_MAX - 1) * sizeof(ZoneOrder));
@@ -76,7 +76,7 @@
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
     shape_copy(&ZoneDrainShape, drain, orders, &orders->newest);
     for (size_t i = 0; before != NULL && i < before->count; i++)
-        rowAdd(orders, talloc_strdup(orders, before->rows[i].order), before->rows[i].stamp);
+        row_add(orders, talloc_strdup(orders, before->rows[i].order), before->rows[i].stamp);
     return orders;
 }
 
@@ -104,7 +104,7 @@
         return;
     }
     ZoneOrders *orders = ordersWith(table, drain);
-    rowAdd(orders, orders->newest.order, drain->stamp);
+    row_add(orders, orders->newest.order, drain->stamp);
     talloc_free(map_get(table->drains, drain->zone));
     map_set(table->drains, orders->newest.zone, orders);
 }
@@ -117,6 +117,6 @@
             continue;
         if (i == 0 || strcmp(rows[i].zone, rows[i - 1].zone) != 0)
             orders->count = 0; /* what stood for the newest alone */
-        rowAdd(orders, talloc_strdup(orders, rows[i].order), rows[i].stamp);
+        row_add(orders, talloc_strdup(orders, rows[i].order), rows[i].stamp);
     }
 }
--- a/packages/table/src/revisions.c
+++ b/packages/table/src/revisions.c
@@ -149,7 +149,7 @@
     wholeSet(revisions, at);
 }
 
-static void rowAdd(Revisions *revisions, const Revision *row)
+static void row_add(Revisions *revisions, const Revision *row)
 {
     revisions->rows = talloc_realloc(revisions, revisions->rows, Revision, (unsigned)(revisions->count + 1));
     Revision *kept = &revisions->rows[revisions->count++];
@@ -161,7 +161,7 @@
 
 void revisionsAdd(Revisions *revisions, const Revision *row)
 {
-    rowAdd(revisions, row);
+    row_add(revisions, row);
     if (revisions->count == 1)
         wholeMeasure(revisions);
     trim(revisions);
@@ -170,7 +170,7 @@
 void revisionsLoad(Revisions *revisions, const Revision *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++)
-        rowAdd(revisions, &rows[i]);
+        row_add(revisions, &rows[i]);
     while (revisions->whole < revisions->count && revisions->rows[revisions->whole].text[0] == '\0')
         revisions->whole++;
     wholeMeasure(revisions);
--- a/packages/table/src/round.c
+++ b/packages/table/src/round.c
@@ -26,15 +26,15 @@
         return;
     const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changedMs >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
-    task->restUntilMs = end->at_ms + restOf(task->misses, LASTING_REST_MAX_MS);
+    task->rest_until_ms = end->at_ms + restOf(task->misses, LASTING_REST_MAX_MS);
 }
 
 static void restSet(JobTask *task, const RoundEnd *end)
 {
     if (end->word == ROUND_FAILED)
-        task->restUntilMs = end->at_ms + restOf(task->misses, FAILED_REST_MAX_MS);
+        task->rest_until_ms = end->at_ms + restOf(task->misses, FAILED_REST_MAX_MS);
     else if (end->word == ROUND_REFUSED || end->word == ROUND_ALONE)
-        task->restUntilMs = end->at_ms + REFUSED_REST_MS;
+        task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
 }
 
 /* A loss of one is a loss of its gang: they start again together. */
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -36,7 +36,7 @@
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_int_equal(job->tasks[0].misses, WORDS[i].misses);
         assert_int_equal(job->tasks[0].losses, WORDS[i].losses);
-        assert_int_equal(job->tasks[0].restUntilMs > b.at_ms, WORDS[i].rests);
+        assert_int_equal(job->tasks[0].rest_until_ms > b.at_ms, WORDS[i].rests);
         assert_int_equal(tableWaitingIn(b.table, "c", "q"), 1);
         talloc_free(b.table);
     }
@@ -56,7 +56,7 @@
         for (uint64_t round = 1; round <= most; round++) {
             assert_int_equal(job->phase, JOB_ACTIVE);
             round_(&b, round, ROUND_FAILED);
-            const int64_t next_ms = job->tasks[0].restUntilMs - b.at_ms;
+            const int64_t next_ms = job->tasks[0].rest_until_ms - b.at_ms;
             assert_true(round == most || next_ms > restMs);
             restMs = next_ms;
         }
@@ -218,17 +218,17 @@
             continue;
         round_(&b, ++round, (RoundWord)word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-        assert_true(job->tasks[0].restUntilMs - b.at_ms <= LASTING_REST_MAX_MS);
+        assert_true(job->tasks[0].rest_until_ms - b.at_ms <= LASTING_REST_MAX_MS);
     }
     /* quick failures rest longer each time, up to a bound; a long round forgives them */
     for (int i = 0; i < 20; i++)
         round_(&b, ++round, ROUND_FAILED);
-    assert_int_equal(job->tasks[0].restUntilMs - b.at_ms, LASTING_REST_MAX_MS);
+    assert_int_equal(job->tasks[0].rest_until_ms - b.at_ms, LASTING_REST_MAX_MS);
     place(&b, "j", FIRST, 1, ++round, "w", "");
     say(&b, "j", 0, round, "w", ROUND_RUNNING, "");
     b.at_ms += LASTING_STEADY_MS;
     say(&b, "j", 0, round, "w", ROUND_FAILED, "");
-    assert_int_equal(job->tasks[0].restUntilMs - b.at_ms, FAILED_REST_MS);
+    assert_int_equal(job->tasks[0].rest_until_ms - b.at_ms, FAILED_REST_MS);
     cancel(&b, "j");
     assert_int_equal(job->phase, JOB_CANCELLED);
     talloc_free(b.table);
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -227,19 +227,19 @@
 
 /* --- a state as the release before the turns saved it ------------------------------- */
 
-#define OLD_TASK_FIELDS(X) \
-    X(U64, step, 0)        \
-    X(U64, phase, 0)       \
-    X(U64, round, 0)       \
-    X(U64, misses, 0)      \
-    X(U64, losses, 0)      \
-    X(TXT, worker, 0)      \
-    X(U64, incarnation, 0) \
-    X(FLAG, assured, 0)    \
-    X(I64, restUntilMs, 0) \
-    X(I64, changedMs, 0)   \
-    X(I64, startedMs, 0)   \
-    X(TXT, text, 0)        \
+#define OLD_TASK_FIELDS(X)   \
+    X(U64, step, 0)          \
+    X(U64, phase, 0)         \
+    X(U64, round, 0)         \
+    X(U64, misses, 0)        \
+    X(U64, losses, 0)        \
+    X(TXT, worker, 0)        \
+    X(U64, incarnation, 0)   \
+    X(FLAG, assured, 0)      \
+    X(I64, rest_until_ms, 0) \
+    X(I64, changedMs, 0)     \
+    X(I64, startedMs, 0)     \
+    X(TXT, text, 0)          \
     X(TXT, shunned, 0)
 SHAPE(OldTask, OLD_TASK_FIELDS)
 SHAPE_TABLE(OldTask, OLD_TASK_FIELDS)
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -136,7 +136,7 @@
     }
 }
 
-static void partMain(void *arg)
+static void part_main(void *arg)
 {
     GatherPart *part = arg;
     Gathering *gathering = part->gathering;
@@ -195,8 +195,8 @@
     TraceAnswer own = {0};
     tell(trace, gathering, key, &own);
     rowsAdd(gathering, &own, 0);
-    const MemberTable *table = membersTable(trace->members);
-    const char *self = membersSelf(trace->members)->id;
+    const MemberTable *table = members_table(trace->members);
+    const char *self = members_self(trace->members)->id;
     for (size_t i = 0; i < table->count; i++) {
         const MemberRecord *record = &table->rows[i].record;
         if (strcmp(record->id, self) == 0)
@@ -205,10 +205,10 @@
         part->gathering = gathering;
         part->name = talloc_strdup(part, record->name);
         snprintf(part->address, sizeof(part->address), "%s", record->address);
-        part->peer = memberPeer(record);
+        part->peer = member_peer(record);
         gathering->users++;
         gathering->pending++;
-        loop_spawn(trace->loop, "trace", partMain, part);
+        loop_spawn(trace->loop, "trace", part_main, part);
     }
     while (gathering->pending > 0)
         signal_wait(trace->loop, &gathering->ended, INT64_MAX);
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -270,8 +270,8 @@
             continue;
         view->mending = true;
         if (journalAnew(view) == STATUS_OK) {
-            if (view->restUntilMs > loop_now_ms(view->loop) + PROPOSE_MS)
-                view->restUntilMs = loop_now_ms(view->loop) + PROPOSE_MS;
+            if (view->rest_until_ms > loop_now_ms(view->loop) + PROPOSE_MS)
+                view->rest_until_ms = loop_now_ms(view->loop) + PROPOSE_MS;
             ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk takes writes again");
         }
         view->mending = false;
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -11,11 +11,11 @@
     ViewRecord record = {.epoch = view->epoch,
                          .holder = view->disk,
                          .members = talloc_array(mem, DiskId, SEAT_MOST),
-                         .holderId = membersSelf(view->props.members)->id,
+                         .holderId = members_self(view->props.members)->id,
                          .repair = repair || view->last.repair};
     for (int i = 0; i < SEAT_MOST; i++)
         if (inView[i])
-            record.members[record.membersCount++].disk = view->seats[i];
+            record.members[record.members_count++].disk = view->seats[i];
     Record entry = {.kind = RECORD_ENTRY,
                     .epoch = view->epoch,
                     .index = logLastIndex(view->log) + 1,
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -37,14 +37,14 @@
     while (!loop_stopping(view->loop) && !viewFounded(view) && courier_cluster(view->props.courier) == 0) {
         loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
-        if (membersLowestEmpty(members) != view->disk) {
-            if (stands && membersVotes(members, view->disk, round, true, &seeds) == seeds) {
+        if (members_lowest_empty(members) != view->disk) {
+            if (stands && members_votes(members, view->disk, round, true, &seeds) == seeds) {
                 stands = false;
                 round++;
             }
         } else if (loop_now_ms(view->loop) >= fromMs) {
             stands = true;
-            const size_t granted = membersVotes(members, view->disk, round, false, &seeds);
+            const size_t granted = members_votes(members, view->disk, round, false, &seeds);
             if (granted < seeds / 2 + 1 || courier_cluster(view->props.courier) != 0)
                 continue;
             const uint64_t cluster = loop_random(view->loop) | 1;
@@ -61,16 +61,16 @@
  * exactly three or when anybody knows a cluster. */
 static bool threeEmpty(const View *view, uint64_t disks[SEAT_FIRST])
 {
-    const MemberTable *table = membersTable(view->props.members);
+    const MemberTable *table = members_table(view->props.members);
     const int64_t now_ms = loop_now_ms(view->loop);
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (row->record.cluster != 0)
             return false;
-        if (row->record.role != ROLE_CORE || memberQuiet(row, now_ms))
+        if (row->record.role != ROLE_CORE || member_quiet(row, now_ms))
             continue;
-        if (!row->record.empty || row->directMs == INT64_MIN || count == SEAT_FIRST)
+        if (!row->record.empty || row->direct_ms == INT64_MIN || count == SEAT_FIRST)
             return false;
         disks[count++] = row->record.disk;
     }
@@ -105,7 +105,7 @@
 static void offer(View *view, const uint64_t disks[SEAT_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < SEAT_FIRST; i++) {
-        const Member *member = membersFindDisk(view->props.members, disks[i]);
+        const Member *member = members_find_disk(view->props.members, disks[i]);
         if (disks[i] == viewDisk(view) || member == NULL || !member->record.empty)
             continue;
         void *mem = talloc_new(view);
@@ -124,29 +124,29 @@
 {
     View *view = arg;
     uint64_t before[SEAT_FIRST] = {0};
-    int64_t sinceMs = 0;
+    int64_t since_ms = 0;
     while (!loop_stopping(view->loop)) {
         loop_sleep(view->loop, 200);
         uint64_t disks[SEAT_MOST];
         const int64_t now_ms = loop_now_ms(view->loop);
         if (viewFounded(view)) {
             /* until a first view stands, the others may not have heard the offer */
-            if (viewSeats(view, disks) != SEAT_FIRST || membersLeaderId(view->props.members)[0] != '\0')
+            if (viewSeats(view, disks) != SEAT_FIRST || members_leader_id(view->props.members)[0] != '\0')
                 return;
             if (disks[0] == viewDisk(view))
                 offer(view, disks, courier_cluster(view->props.courier));
             continue;
         }
         if (courier_cluster(view->props.courier) != 0 || !threeEmpty(view, disks)) {
-            sinceMs = 0;
+            since_ms = 0;
             continue;
         }
-        if (sinceMs == 0 || memcmp(disks, before, sizeof(before)) != 0) {
-            sinceMs = now_ms;
+        if (since_ms == 0 || memcmp(disks, before, sizeof(before)) != 0) {
+            since_ms = now_ms;
             memcpy(before, disks, sizeof(before));
             continue;
         }
-        if (now_ms - sinceMs < FOUND_WAIT_MS || disks[0] != viewDisk(view))
+        if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != viewDisk(view))
             continue;
         const uint64_t cluster = loop_random(view->loop) | 1;
         if (foundNow(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
@@ -158,7 +158,7 @@
 
 void viewFounding(View *view)
 {
-    membersSetVoter(view->props.members, view->props.founds == VIEW_FOUNDS_BY_VOTES);
+    members_set_voter(view->props.members, view->props.founds == VIEW_FOUNDS_BY_VOTES);
     if (view->props.founds == VIEW_FOUNDS_BY_VOTES && !viewFounded(view))
         loop_spawn(view->loop, "votes", votesMain, view);
     if (view->props.founds != VIEW_FOUNDS_BY_THREE)
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -8,7 +8,7 @@
  * Invariant: matchIndex is synced there; nextIndex > matchIndex. */
 typedef struct Peer {
     uint64_t matchIndex, nextIndex;
-    int64_t answeredMs;    /* it last answered anything */
+    int64_t answered_ms;   /* it last answered anything */
     int64_t renewedMs;     /* when the last renewal that it granted was sent; INT64_MIN: none */
     int64_t appendSinceMs; /* an append is out since then; INT64_MAX: none */
     int64_t appendTookMs;  /* the last one */
@@ -31,7 +31,7 @@
 typedef struct Learner {
     uint64_t disk; /* 0: the slot is free */
     uint64_t turn;
-    int64_t sinceMs;
+    int64_t since_ms;
     int64_t readySinceMs; /* INT64_MAX: it is not ready */
 } Learner;
 
@@ -113,7 +113,7 @@
     uint64_t syncedIndex;    /* own journal, as far as this lead knows */
     int64_t changedMs;       /* the last change of view */
     uint64_t viewChanges;
-    int64_t restUntilMs;
+    int64_t rest_until_ms;
     int64_t blindSinceMs; /* since when a seat sees many more members than we do; 0: none does */
     int64_t wokenSinceMs; /* since when an opening waits for the last view's members; 0: none does */
     int64_t wallOffsetMs;
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -99,11 +99,11 @@
 void leadAnswered(View *view, int slot, const SeatAnswer *answer)
 {
     Peer *peer = &view->peers[slot];
-    peer->answeredMs = loop_now_ms(view->loop);
+    peer->answered_ms = loop_now_ms(view->loop);
     peer->woke = answer->woke;
     peer->promised = answer->promised;
     peer->wall_ms = answer->wall_ms;
-    peer->wallAtMs = peer->answeredMs;
+    peer->wallAtMs = peer->answered_ms;
     peer->syncMs = answer->syncMs;
     peer->sight = answer->sight;
 }
@@ -248,7 +248,7 @@
 {
     void *mem = talloc_new(view);
     const RenewAsk ask = {
-        view->epoch, view->disk, view->commitIndex, viewClockMs(view), membersSelf(view->props.members)->id,
+        view->epoch, view->disk, view->commitIndex, viewClockMs(view), members_self(view->props.members)->id,
         lead->disk,  0};
     const uint64_t contact = view->contactAsked;
     SeatAnswer answer = {0};
@@ -367,7 +367,7 @@
     uint64_t disk = 0;
     for (int i = 0; i < SEAT_MOST; i++) {
         const Peer *peer = &view->peers[i];
-        if (view->seats[i] == view->disk || !view->inView[i] || now_ms - peer->answeredMs > 2 * LOCK_RENEW_MS)
+        if (view->seats[i] == view->disk || !view->inView[i] || now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
         if (quick && (peer->syncMs > SEAT_SLOW_MS / 2 || peer->appendTookMs > SEAT_SLOW_MS / 2 ||
                       (peer->appendSinceMs != INT64_MAX && now_ms - peer->appendSinceMs > SEAT_LATE_MS / 2)))
@@ -384,7 +384,7 @@
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     if (restMs > 0)
-        view->restUntilMs = now_ms + restMs;
+        view->rest_until_ms = now_ms + restMs;
     view->leadTurn++;
     if (view->phase != VIEW_FOLLOWING || view->holding) {
         if (view->holding) {
--- a/packages/view/src/learners.c
+++ b/packages/view/src/learners.c
@@ -13,7 +13,7 @@
  * so learns that its vote has been given away. */
 bool learnerMayFollow(const View *view, const Member *row)
 {
-    return row->record.role == ROLE_CORE && row->record.disk != 0 && !memberQuiet(row, loop_now_ms(view->loop)) &&
+    return row->record.role == ROLE_CORE && row->record.disk != 0 && !member_quiet(row, loop_now_ms(view->loop)) &&
            viewSeatOf(view, row->record.disk) < 0 && row->record.cluster == view->cluster;
 }
 
@@ -62,8 +62,8 @@
 
 bool learnerSteady(const View *view, size_t learner)
 {
-    const int64_t sinceMs = view->learners[learner].readySinceMs;
-    return sinceMs != INT64_MAX && loop_now_ms(view->loop) - sinceMs > viewBackMs(view);
+    const int64_t since_ms = view->learners[learner].readySinceMs;
+    return since_ms != INT64_MAX && loop_now_ms(view->loop) - since_ms > viewBackMs(view);
 }
 
 static void readyMark(View *view)
@@ -87,7 +87,7 @@
         return -1;
     for (int i = 0; i < LEARNER_MOST; i++) {
         const Learner *slot = &view->learners[i];
-        if (slot->readySinceMs == INT64_MAX && loop_now_ms(view->loop) - slot->sinceMs > LEARNER_LATE_MS) {
+        if (slot->readySinceMs == INT64_MAX && loop_now_ms(view->loop) - slot->since_ms > LEARNER_LATE_MS) {
             view->learnersPassed = slot->disk;
             return i;
         }
@@ -100,12 +100,12 @@
     if (view->learnersTurn != view->leadTurn)
         learnersClear(view);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
-        const Member *row = membersFindDisk(view->props.members, view->learners[i].disk);
+        const Member *row = members_find_disk(view->props.members, view->learners[i].disk);
         if (view->learners[i].disk != 0 && (row == NULL || !learnerMayFollow(view, row)))
             learnerDone(view, i);
     }
     readyMark(view);
-    const MemberTable *table = membersTable(view->props.members);
+    const MemberTable *table = members_table(view->props.members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (!learnerMayFollow(view, row) || follows(view, row->record.disk))
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -133,8 +133,8 @@
     /* disks that lie may have forgotten promises and epochs; those who followed a
      * leader have not */
     opening->highest = view->lock.promised;
-    if (membersLeaderEpoch(view->props.members) > opening->highest)
-        opening->highest = membersLeaderEpoch(view->props.members);
+    if (members_leader_epoch(view->props.members) > opening->highest)
+        opening->highest = members_leader_epoch(view->props.members);
     for (int i = 0; i < SEAT_MOST; i++)
         if (pollReached(poll->status[i])) {
             heard.count++;
@@ -346,9 +346,9 @@
     view->phase = VIEW_LEADING;
     view->changedMs = loop_now_ms(view->loop);
     view->viewChanges++;
-    membersSetLeader(view->props.members, opening->epoch, membersSelf(view->props.members)->id);
+    members_set_leader(view->props.members, opening->epoch, members_self(view->props.members)->id);
     if (opening->newHolder)
-        membersAnnounce(view->props.members);
+        members_announce(view->props.members);
     ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "leads view %" PRIu64 " with %zu seats%s",
              epoch_counter(opening->epoch), promisedCount(view, view->inView), view->last.repair ? ", repairs" : "");
     signal_raise(view->loop, &view->news);
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -16,15 +16,15 @@
         .logIndex = logLastIndex(view->log),
         .woke = view->woke,
         .viewEpoch = view->last.epoch,
-        .viewMembersCount = view->last.membersCount,
+        .viewMembersCount = view->last.members_count,
         .wall_ms = loop_wall_ms(view->loop),
         .syncMs = journal_counts(view->journal)->last_sync_ms,
-        .sight = membersSight(view->props.members),
+        .sight = members_sight(view->props.members),
         .filled = fillCount(view),
     };
-    answer->viewMembers = talloc_array(mem, DiskId, (unsigned)view->last.membersCount);
-    if (view->last.membersCount > 0)
-        memcpy(answer->viewMembers, view->last.members, view->last.membersCount * sizeof(DiskId));
+    answer->viewMembers = talloc_array(mem, DiskId, (unsigned)view->last.members_count);
+    if (view->last.members_count > 0)
+        memcpy(answer->viewMembers, view->last.members, view->last.members_count * sizeof(DiskId));
 }
 
 /* Takes a higher epoch as promised. The record must be synced before anything
@@ -53,7 +53,7 @@
         return STATUS_NO_SEAT;
     if (viewDiskFailed(view))
         return STATUS_DISK_FAILED;
-    if (ask->epoch < membersLeaderEpoch(view->props.members))
+    if (ask->epoch < members_leader_epoch(view->props.members))
         return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
     const Status may = lockMayPromise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
@@ -261,7 +261,7 @@
     if (view->cluster == 0) {
         view->cluster = courier_cluster(view->props.courier);
         seatsFounded(view, view->list);
-        membersSetEmpty(view->props.members, false);
+        members_set_empty(view->props.members, false);
     }
     void *mem = talloc_new(view);
     size_t recordCount;
@@ -316,7 +316,7 @@
     const Status status = lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
         viewClockSet(view, ask->clock_ms);
-        membersSetLeader(view->props.members, ask->epoch, ask->holderId);
+        members_set_leader(view->props.members, ask->epoch, ask->holderId);
         const uint64_t commit = ask->commitIndex < view->verifiedIndex ? ask->commitIndex : view->verifiedIndex;
         if (commit > view->commitIndex)
             view->commitIndex = commit;
@@ -336,8 +336,8 @@
         lockRelease(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
         view->named = ask->next == view->disk;
         /* the others give the one that was named a head start */
-        if (ask->next != 0 && !view->named && view->restUntilMs < loop_now_ms(view->loop) + HANDED_MS)
-            view->restUntilMs = loop_now_ms(view->loop) + HANDED_MS;
+        if (ask->next != 0 && !view->named && view->rest_until_ms < loop_now_ms(view->loop) + HANDED_MS)
+            view->rest_until_ms = loop_now_ms(view->loop) + HANDED_MS;
         signal_raise(view->loop, &view->released);
     }
     seatDescribe(view, mem, answer);
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -90,7 +90,7 @@
         list->seats[i].disk = disks[i];
         if (disks[i] == 0)
             continue;
-        const Member *member = membersFindDisk(view->props.members, disks[i]);
+        const Member *member = members_find_disk(view->props.members, disks[i]);
         const SeatCore *core = coreOf(view, disks[i]);
         SeatCore *to = &list->cores[list->coresCount++];
         *to = (SeatCore){disks[i], "", "", ""};
@@ -118,7 +118,7 @@
 bool seatAddress(const View *view, int place, char address[ADDRESS_MAX])
 {
     const uint64_t disk = slotDisk(view, place);
-    const Member *member = membersFindDisk(view->props.members, disk);
+    const Member *member = members_find_disk(view->props.members, disk);
     const SeatCore *core = coreOf(view, disk);
     const char *found = member != NULL ? member->record.address : core != NULL ? core->address : "";
     strncpy(address, found, ADDRESS_MAX - 1);
@@ -131,13 +131,13 @@
     const SeatCore *core = coreOf(view, disk);
     if (core == NULL || core->name[0] == '\0')
         return false;
-    const Member *other = membersOtherDisk(view->props.members, core->name, disk);
+    const Member *other = members_other_disk(view->props.members, core->name, disk);
     return other != NULL && (!sameAddress || strcmp(other->record.address, core->address) == 0);
 }
 
 const char *seatZone(const View *view, uint64_t disk)
 {
-    const Member *member = membersFindDisk(view->props.members, disk);
+    const Member *member = members_find_disk(view->props.members, disk);
     const SeatCore *core = coreOf(view, disk);
     return member != NULL ? member->record.zone : core != NULL ? core->zone : "";
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -181,7 +181,7 @@
 
 static bool lastHas(const View *view, uint64_t disk)
 {
-    for (size_t i = 0; i < view->last.membersCount; i++)
+    for (size_t i = 0; i < view->last.members_count; i++)
         if (view->last.members[i].disk == disk)
             return true;
     return false;
@@ -258,7 +258,7 @@
     seatsFounded(view, seats);
     viewReread(view);
     courier_set_cluster(view->props.courier, cluster);
-    membersSetEmpty(view->props.members, false);
+    members_set_empty(view->props.members, false);
     void *mem = talloc_new(view);
     size_t count;
     const Record *records = viewRecords(view, mem, &count);
@@ -381,11 +381,11 @@
         sight->seats[sight->seatCount++] = (ViewSeatSight){
             .disk = view->seats[i],
             .inView = view->inView[i],
-            .answers = self || now_ms - peer->answeredMs < LOCK_HOLD_MS,
+            .answers = self || now_ms - peer->answered_ms < LOCK_HOLD_MS,
             .woke = self ? view->woke : peer->woke,
             .syncMs = self ? sight->journal.last_sync_ms : peer->syncMs,
             .matchIndex = self ? view->syncedIndex : peer->matchIndex,
-            .sight = self ? membersSight(view->props.members) : peer->sight,
+            .sight = self ? members_sight(view->props.members) : peer->sight,
         };
     }
     votersSight(view, sight);
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -22,7 +22,7 @@
 bool voterLive(const View *view, int place)
 {
     return view->seats[place] == view->disk ||
-           (view->inView[place] && loop_now_ms(view->loop) - view->peers[place].answeredMs < 2 * LOCK_RENEW_MS);
+           (view->inView[place] && loop_now_ms(view->loop) - view->peers[place].answered_ms < 2 * LOCK_RENEW_MS);
 }
 
 bool voterGone(const View *view, int place)
@@ -32,10 +32,10 @@
         return false;
     if (seatDead(view, disk, false))
         return true;
-    const Member *member = membersFindDisk(view->props.members, disk);
-    int64_t heardMs = member != NULL ? member->seenMs : view->wonMs;
-    if (view->peers[place].answeredMs > heardMs)
-        heardMs = view->peers[place].answeredMs;
+    const Member *member = members_find_disk(view->props.members, disk);
+    int64_t heardMs = member != NULL ? member->seen_ms : view->wonMs;
+    if (view->peers[place].answered_ms > heardMs)
+        heardMs = view->peers[place].answered_ms;
     return loop_now_ms(view->loop) - heardMs > silentMostMs(view, member);
 }
 
@@ -49,12 +49,12 @@
 
 static MemberState stateOf(const View *view, uint64_t disk)
 {
-    const Member *member = membersFindDisk(view->props.members, disk);
+    const Member *member = members_find_disk(view->props.members, disk);
     const bool self = disk == view->disk;
     return (MemberState){.disk = disk,
                          .zone = seatZone(view, disk),
                          .self = self,
-                         .leaving = self ? membersSelf(view->props.members)->leaving
+                         .leaving = self ? members_self(view->props.members)->leaving
                                          : member != NULL && member->record.leaving};
 }
 
@@ -100,10 +100,11 @@
         const Peer *peer = &view->peers[SEAT_MOST + i];
         if (view->learners[i].disk == 0)
             continue;
-        sight->learners[sight->learnerCount++] = (ViewLearnerSight){.disk = view->learners[i].disk,
-                                                                    .answers = now_ms - peer->answeredMs < LOCK_HOLD_MS,
-                                                                    .ready = learnerReady(view, i),
-                                                                    .matchIndex = peer->matchIndex};
+        sight->learners[sight->learnerCount++] =
+            (ViewLearnerSight){.disk = view->learners[i].disk,
+                               .answers = now_ms - peer->answered_ms < LOCK_HOLD_MS,
+                               .ready = learnerReady(view, i),
+                               .matchIndex = peer->matchIndex};
     }
 }
 
@@ -226,7 +227,7 @@
  * is known to the leader alone. */
 static bool successorRuns(const View *view)
 {
-    const MemberTable *table = membersTable(view->props.members);
+    const MemberTable *table = members_table(view->props.members);
     bool runs = false;
     for (size_t i = 0; i < table->count; i++)
         runs |= !table->rows[i].record.leaving && learnerMayFollow(view, &table->rows[i]);
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -13,11 +13,11 @@
     const bool near = peer->matchIndex > 0 && peer->matchIndex + LOG_BATCH_ENTRIES >= logLastIndex(view->log);
     if (seatDead(view, view->seats[place], false))
         return "its disk is gone";
-    if (now_ms - peer->answeredMs > LOCK_HOLD_MS)
+    if (now_ms - peer->answered_ms > LOCK_HOLD_MS)
         return "silent";
     if (!spare)
         return NULL;
-    const Member *member = membersFindDisk(view->props.members, view->seats[place]);
+    const Member *member = members_find_disk(view->props.members, view->seats[place]);
     if (member != NULL && member->record.leaving)
         return "its core leaves";
     if (peer->appendSinceMs != INT64_MAX && now_ms - peer->appendSinceMs > SEAT_LATE_MS)
@@ -30,8 +30,8 @@
 static bool returns(const View *view, int place, int64_t now_ms)
 {
     const Peer *peer = &view->peers[place];
-    const Member *member = membersFindDisk(view->props.members, view->seats[place]);
-    return (member == NULL || !member->record.leaving) && now_ms - peer->answeredMs <= LOCK_RENEW_MS * 2 &&
+    const Member *member = members_find_disk(view->props.members, view->seats[place]);
+    return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
            peer->appendSinceMs == INT64_MAX && peer->matchIndex > 0 &&
            peer->matchIndex + LOG_BATCH_ENTRIES >= logLastIndex(view->log) && peer->appendTookMs < SEAT_SLOW_MS / 2 &&
            peer->syncMs < SEAT_SLOW_MS / 2 && now_ms >= peer->returnMs && !seatDead(view, view->seats[place], false);
@@ -61,7 +61,7 @@
         if (view->seats[i] == 0 || view->seats[i] == view->disk)
             continue;
         /* a seat that has promised more takes nothing of ours, in the view or not */
-        const bool silent = now_ms - peer->answeredMs > 2 * LOCK_RENEW_MS;
+        const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
         skip[i] = silent || seatDead(view, view->seats[i], false);
         anew |= !skip[i] && peer->promised > view->epoch && now_ms - view->changedMs > LOCK_RENEW_MS;
         if (!inView[i])
@@ -91,10 +91,10 @@
 static bool viewBlind(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    const uint64_t own = membersSight(view->props.members);
+    const uint64_t own = members_sight(view->props.members);
     bool blind = false;
     for (int i = 0; i < SEAT_MOST; i++)
-        if (view->inView[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answeredMs < LOCK_HOLD_MS)
+        if (view->inView[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_HOLD_MS)
             blind |= view->peers[i].sight > own + SIGHT_MARGIN && view->peers[i].sight > own + own / 2;
     if (!blind || now_ms - view->wonMs < MEMBER_QUIET_MS)
         view->blindSinceMs = 0;
@@ -107,7 +107,7 @@
 static bool mayStand(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    if (!viewFounded(view) || !viewSeated(view) || viewDiskFailed(view) || now_ms < view->restUntilMs)
+    if (!viewFounded(view) || !viewSeated(view) || viewDiskFailed(view) || now_ms < view->rest_until_ms)
         return false;
     /* a holder whose disk is gone holds nothing any more */
     if (view->lock.holder != view->disk && seatDead(view, view->lock.holder, true))
@@ -142,12 +142,12 @@
         }
         if (view->phase == VIEW_LEADING) {
             bool skip[SEAT_MOST];
-            const int64_t sinceMs = journal_sync_since(view->journal);
+            const int64_t since_ms = journal_sync_since(view->journal);
             if (now_ms >= lockHoldUntil(&view->hold)) {
                 ring_say(view->props.ring, RING_ALERT, now_ms, "the hold of the lock has lapsed");
                 leadDown(view, 0);
-            } else if ((sinceMs != INT64_MAX && now_ms - sinceMs > APPEND_EXPIRY_MS) ||
-                       (((sinceMs != INT64_MAX && now_ms - sinceMs > SEAT_LATE_MS) ||
+            } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
+                       (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
                          view->slowTimes >= SEAT_SLOW_TIMES) &&
                         leadNext(view, true) != 0)) {
                 view->slowTimes = 0;
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -368,7 +368,7 @@
           "    if (envelope->peer_life != self->life && envelope->peer_life != courier->born_life) {", "    if (false) {",
           "addressReused", "test", "questions"),
     Guard("know-meant", "a member that is gone is not answered for by whoever has its address", "packages/agent/src/alone.c",
-          "        part->peer = memberPeer(record);\n", "",
+          "        part->peer = member_peer(record);\n", "",
           "answersForAnother", "test", "places"),
     Guard("question-cancelled", "what was given up before it left is not sent", "packages/wire/src/line.c",
           " || (target->sending != NULL && target->sending->cancelled))", ")",
--- a/src/node.c
+++ b/src/node.c
@@ -62,7 +62,7 @@
     return !same;
 }
 
-static void lookMain(void *arg)
+static void look_main(void *arg)
 {
     NodeRun *run = arg;
     while (!loop_stopping(run->node.loop)) {
@@ -102,7 +102,7 @@
     }
     printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], props->name, props->zone, run->face->name);
     fflush(stdout);
-    loop_spawn(node->loop, "settings", lookMain, run);
+    loop_spawn(node->loop, "settings", look_main, run);
 }
 
 static void userMain(void *arg)
