--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -64,7 +64,7 @@
         const DiskModel *model = diskOf(explore, window->voters[i]);
         synced += model != NULL && model->promised >= window->epoch;
     }
-    if (synced < lockMajority(window->voterCount))
+    if (synced < lock_majority(window->voterCount))
         exploreBreak(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
                      epoch_counter(window->epoch), synced, window->voterCount);
 }
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -29,7 +29,7 @@
     for (size_t i = 0; i < history->voterCount; i++)
         gone += !among(item->voters, item->voterCount, history->voters[i]);
     const size_t both = history->voterCount + added;
-    const bool meet = lockMajority(history->voterCount) + lockMajority(item->voterCount) > both;
+    const bool meet = lock_majority(history->voterCount) + lock_majority(item->voterCount) > both;
     if (history->voterCount > 0 && (added > 1 || gone > 1 || !meet))
         exploreBreak(explore, RULE_VOTERS_STEP, "at %" PRIu64 ", %zu voters, %zu added, %zu gone", index,
                      item->voterCount, added, gone);
@@ -72,7 +72,7 @@
     }
     const size_t holders = diskHolders(explore, index, held->epoch);
     const size_t voters = votersCounted(node, window);
-    if (holders < lockMajority(voters))
+    if (holders < lock_majority(voters))
         exploreBreak(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 " on %zu disks of %zu voters", node->name, index,
                      holders, voters);
     Item item = *held;
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -255,7 +255,7 @@
 {
     if (!has(disks, count, node->model->disk))
         return true;
-    return lostOf(explore, disks, count) + 1 <= count - lockMajority(count);
+    return lostOf(explore, disks, count) + 1 <= count - lock_majority(count);
 }
 
 bool nodeMayLose(const Explore *explore, const Node *node)
@@ -292,5 +292,5 @@
 
 bool votersThere(const Explore *explore)
 {
-    return votersLeft(explore) >= lockMajority(explore->history.voterCount);
+    return votersLeft(explore) >= lock_majority(explore->history.voterCount);
 }
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -20,30 +20,30 @@
 #define SEAT_FIRST 3 /* count; seats where one disk may be lost */
 
 /* So many of the seats decide. */
-static inline size_t lockMajority(size_t seats)
+static inline size_t lock_majority(size_t seats)
 {
     return seats / 2 + 1;
 }
 
 /* A seat's half.
  * Invariants: promised never falls while the process lives, and is synced
- * before it is answered; holdUntilMs is the hold of holder under promised. */
+ * before it is answered; hold_until_ms is the hold of holder under promised. */
 typedef struct LockSeat {
     uint64_t promised;
     uint64_t holder; /* disk id */
-    int64_t holdUntilMs;
-    uint64_t released;   /* epoch: given back by its holder, so that nothing late renews it */
-    int64_t notBeforeMs; /* woken: what was granted may be forgotten, so nothing is promised before this ... */
-    bool sure;           /* ... but promised and holder are known to be the last: only holder may hold anything */
+    int64_t hold_until_ms;
+    uint64_t released;     /* epoch: given back by its holder, so that nothing late renews it */
+    int64_t not_before_ms; /* woken: what was granted may be forgotten, so nothing is promised before this ... */
+    bool sure;             /* ... but promised and holder are known to be the last: only holder may hold anything */
 } LockSeat;
 
 /* Whether epoch may be promised to holder now. */
-Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
-void lockPromise(LockSeat *seat, uint64_t epoch, uint64_t holder);
+Status lock_may_promise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+void lock_promise(LockSeat *seat, uint64_t epoch, uint64_t holder);
 /* Lets the hold run on from now; OLD_EPOCH or OTHER_HOLDER when it is not the promised one. */
-Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
-void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
-bool lockHeld(const LockSeat *seat, int64_t now_ms);
+Status lock_renew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+void lock_release(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+bool lock_held(const LockSeat *seat, int64_t now_ms);
 
 /* The holder's half.
  * Invariants: sent_ms[i] is when the last question that the seat at place i answered
@@ -54,9 +54,9 @@
     int64_t sent_ms[SEAT_MOST];
 } LockHold;
 
-void lockHoldClear(LockHold *hold);
-void lockHoldAnswered(LockHold *hold, int seat, int64_t sent_ms);
+void lock_hold_clear(LockHold *hold);
+void lock_hold_answered(LockHold *hold, int seat, int64_t sent_ms);
 /* Until when a majority's holds run; INT64_MIN: not held. */
-int64_t lockHoldUntil(const LockHold *hold);
+int64_t lock_hold_until(const LockHold *hold);
 
 #endif
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -2,61 +2,61 @@
 
 #include "base/constants.h"
 
-Status lockMayPromise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+Status lock_may_promise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch <= seat->promised)
         return STATUS_OLD_EPOCH;
-    if (now_ms < seat->notBeforeMs && !(seat->sure && seat->holder == holder))
+    if (now_ms < seat->not_before_ms && !(seat->sure && seat->holder == holder))
         return STATUS_WOKEN;
-    if (seat->holder != holder && lockHeld(seat, now_ms))
+    if (seat->holder != holder && lock_held(seat, now_ms))
         return STATUS_OTHER_HOLDER;
     return STATUS_OK;
 }
 
-void lockPromise(LockSeat *seat, uint64_t epoch, uint64_t holder)
+void lock_promise(LockSeat *seat, uint64_t epoch, uint64_t holder)
 {
     seat->promised = epoch;
     seat->holder = holder;
 }
 
-Status lockRenew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+Status lock_renew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch != seat->promised || epoch == seat->released)
         return STATUS_OLD_EPOCH;
     if (holder != seat->holder)
         return STATUS_OTHER_HOLDER;
-    seat->holdUntilMs = now_ms + LOCK_HOLD_MS;
+    seat->hold_until_ms = now_ms + LOCK_HOLD_MS;
     return STATUS_OK;
 }
 
-void lockRelease(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+void lock_release(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
 {
     if (epoch != seat->promised || holder != seat->holder)
         return;
-    seat->holdUntilMs = now_ms;
+    seat->hold_until_ms = now_ms;
     seat->released = epoch;
-    if (seat->sure && seat->notBeforeMs > now_ms)
-        seat->notBeforeMs = now_ms;
+    if (seat->sure && seat->not_before_ms > now_ms)
+        seat->not_before_ms = now_ms;
 }
 
-bool lockHeld(const LockSeat *seat, int64_t now_ms)
+bool lock_held(const LockSeat *seat, int64_t now_ms)
 {
-    return seat->holder != 0 && now_ms < seat->holdUntilMs;
+    return seat->holder != 0 && now_ms < seat->hold_until_ms;
 }
 
-void lockHoldClear(LockHold *hold)
+void lock_hold_clear(LockHold *hold)
 {
     for (int i = 0; i < SEAT_MOST; i++)
         hold->sent_ms[i] = INT64_MIN;
 }
 
-void lockHoldAnswered(LockHold *hold, int seat, int64_t sent_ms)
+void lock_hold_answered(LockHold *hold, int seat, int64_t sent_ms)
 {
     if (sent_ms > hold->sent_ms[seat])
         hold->sent_ms[seat] = sent_ms;
 }
 
-int64_t lockHoldUntil(const LockHold *hold)
+int64_t lock_hold_until(const LockHold *hold)
 {
     /* the oldest of the best majority */
     int64_t newest[SEAT_MOST];
@@ -67,6 +67,6 @@
             newest[at] = newest[at - 1];
         newest[at] = hold->sent_ms[i];
     }
-    const int64_t oldest = hold->seats > 0 ? newest[lockMajority(hold->seats) - 1] : INT64_MIN;
+    const int64_t oldest = hold->seats > 0 ? newest[lock_majority(hold->seats) - 1] : INT64_MIN;
     return oldest == INT64_MIN ? INT64_MIN : oldest + LOCK_LEASE_MS;
 }
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -15,52 +15,52 @@
 #define VOTERS 3
 
 /* A steady clock that runs at so many percent, in milliseconds. */
-static int64_t clockAt(int64_t trueMs, int64_t percent)
+static int64_t clock_at(int64_t true_ms, int64_t percent)
 {
-    return trueMs * percent / 100;
+    return true_ms * percent / 100;
 }
 
 /* While the holder counts on its lease, no majority may promise anything to another. */
-static void leaseEndsFirst(int64_t holderPercent, int64_t voterPercent)
+static void lease_ends_first(int64_t holder_percent, int64_t voter_percent)
 {
     for (int64_t sent_ms = 100; sent_ms < 200; sent_ms++) {
         LockHold hold = {.seats = VOTERS};
         LockSeat voters[VOTERS] = {{0}};
-        lockHoldClear(&hold);
+        lock_hold_clear(&hold);
         for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
-            lockPromise(&voters[i], EPOCH, HOLDER);
-            assert_int_equal(lockRenew(&voters[i], EPOCH, HOLDER, clockAt(sent_ms, voterPercent)), STATUS_OK);
-            lockHoldAnswered(&hold, i, clockAt(sent_ms, holderPercent));
+            lock_promise(&voters[i], EPOCH, HOLDER);
+            assert_int_equal(lock_renew(&voters[i], EPOCH, HOLDER, clock_at(sent_ms, voter_percent)), STATUS_OK);
+            lock_hold_answered(&hold, i, clock_at(sent_ms, holder_percent));
         }
-        int64_t trueMs = sent_ms;
-        for (; clockAt(trueMs, holderPercent) < lockHoldUntil(&hold); trueMs++)
+        int64_t true_ms = sent_ms;
+        for (; clock_at(true_ms, holder_percent) < lock_hold_until(&hold); true_ms++)
             for (int i = 0; i < VOTERS - 1; i++)
-                assert_int_equal(lockMayPromise(&voters[i], EPOCH + 1, RIVAL, clockAt(trueMs, voterPercent)),
+                assert_int_equal(lock_may_promise(&voters[i], EPOCH + 1, RIVAL, clock_at(true_ms, voter_percent)),
                                  STATUS_OTHER_HOLDER);
-        assert_true(trueMs > sent_ms + 4 * LOCK_RENEW_MS); /* four renewals still fit in it */
+        assert_true(true_ms > sent_ms + 4 * LOCK_RENEW_MS); /* four renewals still fit in it */
     }
 }
 
-static void sameClocks(void **state)
+static void same_clocks(void **state)
 {
     (void)state;
-    leaseEndsFirst(100, 100);
+    lease_ends_first(100, 100);
 }
 
-static void clocksApart(void **state)
+static void clocks_apart(void **state)
 {
     (void)state;
-    leaseEndsFirst(100 - CLOCK_SLOW_PERCENT, 100);
-    leaseEndsFirst(100, 100 + CLOCK_SLOW_PERCENT);
-    leaseEndsFirst(100 - CLOCK_SLOW_PERCENT, 100 + CLOCK_SLOW_PERCENT);
-    leaseEndsFirst(100 - CLOCK_SLOW_PERCENT, 100 - CLOCK_SLOW_PERCENT);
+    lease_ends_first(100 - CLOCK_SLOW_PERCENT, 100);
+    lease_ends_first(100, 100 + CLOCK_SLOW_PERCENT);
+    lease_ends_first(100 - CLOCK_SLOW_PERCENT, 100 + CLOCK_SLOW_PERCENT);
+    lease_ends_first(100 - CLOCK_SLOW_PERCENT, 100 - CLOCK_SLOW_PERCENT);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(sameClocks),
-        cmocka_unit_test(clocksApart),
+        cmocka_unit_test(same_clocks),
+        cmocka_unit_test(clocks_apart),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -182,7 +182,7 @@
     hand->mem = talloc_new(loop);
     hand->loop = loop;
     hand->sequence = hand->fence = hand->endNumber = 0;
-    hand->holdUntilMs = 0;
+    hand->hold_until_ms = 0;
     hand->runs = NULL;
     hand->ends = NULL;
     hand->endCount = 0;
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -58,7 +58,7 @@
     void *mem;
     Loop *loop;
     uint64_t sequence, fence, endNumber;
-    int64_t holdUntilMs;
+    int64_t hold_until_ms;
     HandRun *runs;
     HandEnd *ends;
     size_t endCount;
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -107,7 +107,7 @@
 static bool dueOne(Hand *hand, int64_t now_ms)
 {
     const Site *site = hand->hands->ground->site;
-    const bool held = loop_now_ms(hand->loop) < hand->holdUntilMs;
+    const bool held = loop_now_ms(hand->loop) < hand->hold_until_ms;
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crewAdvance(run->crew);
         const Crew *crew = run->crew;
@@ -141,7 +141,7 @@
 static int64_t nextDueMs(const Hand *hand, int64_t now_ms)
 {
     const int64_t ownMs = loop_now_ms(hand->loop);
-    int64_t wait_ms = hand->runs != NULL ? hand->holdUntilMs - ownMs : 3600000;
+    int64_t wait_ms = hand->runs != NULL ? hand->hold_until_ms - ownMs : 3600000;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
         int64_t dueMs = crewNextMs(run->crew);
         if (run->stopAtMs != 0 && run->stopAtMs < dueMs)
@@ -243,7 +243,7 @@
     if (orders->fence < hand->fence)
         return;
     hand->fence = orders->fence;
-    for (size_t i = 0; i < hand->endCount && loop_now_ms(hand->loop) >= hand->holdUntilMs; i++)
+    for (size_t i = 0; i < hand->endCount && loop_now_ms(hand->loop) >= hand->hold_until_ms; i++)
         hand->ends[i].lapsedSince = true;
     seenTake(hand, orders->seen);
     for (size_t i = 0; i < orders->stopCount; i++)
@@ -254,9 +254,9 @@
     /* what was held until now may be over: that is seen before anything new is held */
     while (dueOne(hand, groundNowMs(hand->hands->ground)))
         ;
-    if (sent_ms + holdMs > hand->holdUntilMs)
-        hand->holdUntilMs = sent_ms + holdMs;
-    for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->holdUntilMs; i++)
+    if (sent_ms + holdMs > hand->hold_until_ms)
+        hand->hold_until_ms = sent_ms + holdMs;
+    for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
         startTake(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
 }
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -48,7 +48,7 @@
         if (seated)
             good[count++] = node;
     }
-    *needed = (int)lockMajority(seatCount > SEAT_FIRST ? seatCount : SEAT_FIRST);
+    *needed = (int)lock_majority(seatCount > SEAT_FIRST ? seatCount : SEAT_FIRST);
     return count;
 }
 
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -301,7 +301,7 @@
 }
 
 /* The holder's clock is slow and the others' are quick: their grants lapse first. */
-static void clocksApart(void **state)
+static void clocks_apart(void **state)
 {
     (void)state;
     static const CutCase CASES[] = {
@@ -328,8 +328,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(cutOff),      cmocka_unit_test(cutOffLong),  cmocka_unit_test(frozen),
-        cmocka_unit_test(clocksApart), cmocka_unit_test(clockStands),
+        cmocka_unit_test(cutOff),       cmocka_unit_test(cutOffLong),  cmocka_unit_test(frozen),
+        cmocka_unit_test(clocks_apart), cmocka_unit_test(clockStands),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -165,7 +165,7 @@
         clusterFound(view, record);
         break;
     case RECORD_PROMISE:
-        lockPromise(&view->lock, record->epoch, record->index);
+        lock_promise(&view->lock, record->epoch, record->index);
         break;
     case RECORD_ENTRY:
         entryFound(reading, record);
@@ -252,7 +252,7 @@
     view->woke = view->cluster != 0;
     /* a disk that was never part of a cluster has granted nothing */
     if (view->cluster != 0)
-        view->lock.notBeforeMs = loop_now_ms(view->loop) + LOCK_HOLD_MS;
+        view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_HOLD_MS;
     view->lock.sure = view->props.disksKeep;
     if (view->cluster != 0)
         courier_set_cluster(view->props.courier, view->cluster);
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -27,7 +27,7 @@
             matches[at] = matches[at - 1];
         matches[at] = match;
     }
-    return count > 0 ? matches[lockMajority(count) - 1] : 0;
+    return count > 0 ? matches[lock_majority(count) - 1] : 0;
 }
 
 void leadCommit(View *view)
@@ -113,7 +113,7 @@
 {
     view->peers[slot].renewedMs = sent_ms;
     if (slot < SEAT_MOST)
-        lockHoldAnswered(&view->hold, slot, sent_ms);
+        lock_hold_answered(&view->hold, slot, sent_ms);
     contactGranted(view, slot, contact);
 }
 
@@ -284,8 +284,8 @@
             continue;
         }
         if (lead.disk == view->disk) {
-            if (lockRenew(&view->lock, view->epoch, view->disk, sent_ms) == STATUS_OK)
-                lockHoldAnswered(&view->hold, lead.slot, sent_ms);
+            if (lock_renew(&view->lock, view->epoch, view->disk, sent_ms) == STATUS_OK)
+                lock_hold_answered(&view->hold, lead.slot, sent_ms);
             wallTake(view);
         } else if (seatAddress(view, lead.slot, address)) {
             Status status = STATUS_EXPIRED;
@@ -389,13 +389,13 @@
     if (view->phase != VIEW_FOLLOWING || view->holding) {
         if (view->holding) {
             /* nothing is decided under this hold any more: the seats may forget it */
-            lockRelease(&view->lock, view->epoch, view->disk, now_ms);
+            lock_release(&view->lock, view->epoch, view->disk, now_ms);
             leadRelease(view, leadNext(view, false));
             ring_say(view->props.ring, RING_NOTE, now_ms, "gives up view %" PRIu64, epoch_counter(view->epoch));
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
-        lockHoldClear(&view->hold);
+        lock_hold_clear(&view->hold);
     }
     viewWaitersEnd(view, STATUS_OUTCOME_UNKNOWN);
     signal_raise(view->loop, &view->news);
--- a/packages/view/src/membership.c
+++ b/packages/view/src/membership.c
@@ -17,7 +17,7 @@
 
 int membershipBears(const MemberState *voters, size_t count)
 {
-    return (int)liveCount(voters, count) - (int)lockMajority(count);
+    return (int)liveCount(voters, count) - (int)lock_majority(count);
 }
 
 /* Voters in a zone, but for those that leave. */
@@ -59,7 +59,7 @@
         const MemberState *voter = &now->voters[i];
         const bool replaced = readyCount > 0 || now->voterCount > now->wanted;
         if (voter->gone && !voter->self && replaced &&
-            liveCount(now->voters, now->voterCount) >= lockMajority(now->voterCount - 1))
+            liveCount(now->voters, now->voterCount) >= lock_majority(now->voterCount - 1))
             return (MembershipChange){MEMBERSHIP_REMOVE, i};
     }
     return KEEP;
@@ -94,13 +94,13 @@
     if (worst == NONE || selfLeaves(now) || now->voterCount % 2 != 0)
         return KEEP;
     const size_t live = liveCount(now->voters, now->voterCount) - now->voters[worst].live;
-    return live >= lockMajority(now->voterCount - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
+    return live >= lock_majority(now->voterCount - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
 }
 
 static MembershipChange added(const Membership *now, size_t learner)
 {
     const bool fits = learner != NONE && now->voterCount < SEAT_MOST &&
-                      liveCount(now->voters, now->voterCount) + 1 >= lockMajority(now->voterCount + 1);
+                      liveCount(now->voters, now->voterCount) + 1 >= lock_majority(now->voterCount + 1);
     return fits ? (MembershipChange){MEMBERSHIP_ADD, learner} : KEEP;
 }
 
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -186,7 +186,7 @@
             (a->logEpoch == b->logEpoch &&
              (a->logIndex > b->logIndex || (a->logIndex == b->logIndex && view->seats[i] == view->disk))))
             opening->best = i;
-        lockHoldAnswered(&view->hold, i, poll->sent_ms[i]);
+        lock_hold_answered(&view->hold, i, poll->sent_ms[i]);
     }
 }
 
@@ -223,12 +223,12 @@
     opening->epoch = epoch_next(opening->highest, view->disk);
     Poll *poll = pollSeats(view, opening->epoch, opening->skip);
     /* a hold that lapsed before this question was sent was not carried on */
-    const int64_t heldUntilMs = lockHoldUntil(&view->hold);
+    const int64_t heldUntilMs = lock_hold_until(&view->hold);
     for (int i = 0; i < SEAT_MOST; i++)
         opening->newHolder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= heldUntilMs;
     view->reopening = !opening->newHolder;
     if (opening->newHolder)
-        lockHoldClear(&view->hold);
+        lock_hold_clear(&view->hold);
     promisesCount(opening, poll);
     const int own = viewOwnSeat(view);
     const bool ownFailed =
@@ -328,7 +328,7 @@
         }
         if (leadOver(view, opening->turn))
             return STATUS_NOT_LEADER;
-        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lockHoldUntil(&view->hold)) {
+        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_hold_until(&view->hold)) {
             ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "view %" PRIu64 " did not come about",
                      epoch_counter(opening->epoch));
             leadDown(view, 0);
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -31,7 +31,7 @@
  * is answered under it. */
 static Record promiseTake(View *view, uint64_t epoch, uint64_t holder)
 {
-    lockPromise(&view->lock, epoch, holder);
+    lock_promise(&view->lock, epoch, holder);
     view->verifiedIndex = 0;
     if ((view->holding || view->phase != VIEW_FOLLOWING) && holder != view->disk)
         leadDown(view, 0);
@@ -55,14 +55,14 @@
         return STATUS_DISK_FAILED;
     if (ask->epoch < members_leader_epoch(view->props.members))
         return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
-    const Status may = lockMayPromise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    const Status may = lock_may_promise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
         return may;
     const Record record = promiseTake(view, ask->epoch, ask->holder);
     const Status status = journal_write(view->journal, &record, 1);
     if (status != STATUS_OK)
         return status;
-    return lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    return lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
 }
 
 /* Epoch and holder of an append or fill; adds the promise record when it is newer. */
@@ -171,7 +171,7 @@
         return written;
     if (status != STATUS_OK)
         return status;
-    if (lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
+    if (lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
         return STATUS_OLD_EPOCH;
     const uint64_t verified = ask->prevIndex + ask->entriesCount;
     if (verified > view->verifiedIndex)
@@ -313,7 +313,7 @@
     const RenewAsk *ask = question;
     if (!isFor(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = lockRenew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    const Status status = lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
         viewClockSet(view, ask->clock_ms);
         members_set_leader(view->props.members, ask->epoch, ask->holderId);
@@ -333,7 +333,7 @@
     if (!isFor(view, ask->to))
         return STATUS_OTHER_DISK;
     if (ask->epoch == view->lock.promised && ask->holder == view->lock.holder) {
-        lockRelease(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+        lock_release(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
         view->named = ask->next == view->disk;
         /* the others give the one that was named a head start */
         if (ask->next != 0 && !view->named && view->rest_until_ms < loop_now_ms(view->loop) + HANDED_MS)
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -7,7 +7,7 @@
 
 size_t viewMajority(const View *view)
 {
-    return lockMajority(view->seatCount);
+    return lock_majority(view->seatCount);
 }
 
 int viewSeatOf(const View *view, uint64_t disk)
@@ -41,7 +41,7 @@
 {
     view->founded = talloc_zero(view, SeatList);
     view->list = talloc_zero(view, SeatList);
-    lockHoldClear(&view->hold);
+    lock_hold_clear(&view->hold);
 }
 
 void seatsFounded(View *view, const SeatList *list)
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -47,7 +47,7 @@
 
 bool viewOrders(const View *view)
 {
-    return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lockHoldUntil(&view->hold);
+    return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lock_hold_until(&view->hold);
 }
 
 /* What is acknowledged outlives the losses that must be borne: it is on one disk more than
@@ -57,7 +57,7 @@
     size_t copies = 0;
     for (int i = 0; i < SEAT_MOST; i++)
         copies += view->inView[i];
-    return copies >= lockMajority(votersWanted(view));
+    return copies >= lock_majority(votersWanted(view));
 }
 
 bool viewLeading(const View *view)
@@ -68,14 +68,14 @@
 bool viewHolds(const View *view)
 {
     return (view->phase == VIEW_LEADING || (view->phase == VIEW_OPENING && view->reopening)) &&
-           loop_now_ms(view->loop) < lockHoldUntil(&view->hold);
+           loop_now_ms(view->loop) < lock_hold_until(&view->hold);
 }
 
 bool viewKnowsHolder(const View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     /* a woken seat may have forgotten: it must not say that it knows none */
-    return lockHeld(&view->lock, now_ms) || now_ms < view->lock.notBeforeMs || view->holding;
+    return lock_held(&view->lock, now_ms) || now_ms < view->lock.not_before_ms || view->holding;
 }
 
 int64_t viewClockMs(const View *view)
@@ -360,7 +360,7 @@
 void viewSight(const View *view, ViewSight *sight)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    const int64_t until_ms = lockHoldUntil(&view->hold);
+    const int64_t until_ms = lock_hold_until(&view->hold);
     memset(sight, 0, sizeof(*sight));
     sight->phase = view->phase;
     viewPlace(view, &sight->epoch, &sight->commitIndex);
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -153,7 +153,7 @@
         return;
     learnerDone(view, learner);
     view->peers[place] = peer;
-    lockHoldAnswered(&view->hold, place, peer.renewedMs);
+    lock_hold_answered(&view->hold, place, peer.renewedMs);
     leadRenew(view, place);
     leadPeer(view, place);
     ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -111,8 +111,9 @@
         return false;
     /* a holder whose disk is gone holds nothing any more */
     if (view->lock.holder != view->disk && seatDead(view, view->lock.holder, true))
-        lockRelease(&view->lock, view->lock.promised, view->lock.holder, now_ms);
-    return !lockHeld(&view->lock, now_ms) && lockMayPromise(&view->lock, UINT64_MAX, view->disk, now_ms) == STATUS_OK;
+        lock_release(&view->lock, view->lock.promised, view->lock.holder, now_ms);
+    return !lock_held(&view->lock, now_ms) &&
+           lock_may_promise(&view->lock, UINT64_MAX, view->disk, now_ms) == STATUS_OK;
 }
 
 /* Seats stand one after another, from the place after the last holder's on, so that
@@ -135,7 +136,7 @@
         const int64_t now_ms = loop_now_ms(view->loop);
         /* after a pause of its own, it first reads what has come in meanwhile */
         const bool paused = dueMs != 0 && now_ms - dueMs > WATCH_MS;
-        if (view->phase == VIEW_LEADING && paused && now_ms < lockHoldUntil(&view->hold)) {
+        if (view->phase == VIEW_LEADING && paused && now_ms < lock_hold_until(&view->hold)) {
             dueMs = now_ms + WATCH_MS / 4;
             loop_sleep(view->loop, WATCH_MS / 4);
             continue;
@@ -143,7 +144,7 @@
         if (view->phase == VIEW_LEADING) {
             bool skip[SEAT_MOST];
             const int64_t since_ms = journal_sync_since(view->journal);
-            if (now_ms >= lockHoldUntil(&view->hold)) {
+            if (now_ms >= lock_hold_until(&view->hold)) {
                 ring_say(view->props.ring, RING_ALERT, now_ms, "the hold of the lock has lapsed");
                 leadDown(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
@@ -180,7 +181,7 @@
         }
         dueMs = loop_now_ms(view->loop) + WATCH_MS;
         /* the moment that the holder's hold lapses is known */
-        const int64_t lapseMs = view->lock.holdUntilMs;
+        const int64_t lapseMs = view->lock.hold_until_ms;
         const bool soon = view->phase == VIEW_FOLLOWING && lapseMs > loop_now_ms(view->loop) && lapseMs < dueMs;
         signal_wait(view->loop, &view->released, soon ? lapseMs : dueMs);
     }
--- a/packages/view/test/membership.c
+++ b/packages/view/test/membership.c
@@ -45,7 +45,7 @@
 /* On how many disks what is acknowledged is synced, by the rule that a leader keeps. */
 static size_t copiesOf(const Model *model)
 {
-    const size_t majority = lockMajority(model->voterCount > SEAT_FIRST ? model->voterCount : SEAT_FIRST);
+    const size_t majority = lock_majority(model->voterCount > SEAT_FIRST ? model->voterCount : SEAT_FIRST);
     const size_t asked = model->wanted / 2 + 1;
     return asked < majority ? asked : majority;
 }
