--- a/examples/counter.c
+++ b/examples/counter.c
@@ -69,8 +69,8 @@
     BeatAnswer *out = answer;
     bool listCounts;
     (void)mem;
-    out->epoch = viewEpoch(counter->view);
-    if (!viewHolds(counter->view))
+    out->epoch = view_epoch(counter->view);
+    if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
     out->holdMs = AGENT_HOLD_MS;
     return livesetBeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &listCounts);
@@ -81,7 +81,7 @@
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
         const char *leader = members_leader_address(counter->members);
-        if (leader != NULL && !viewLeading(counter->view)) {
+        if (leader != NULL && !view_leading(counter->view)) {
             void *mem = talloc_new(counter);
             const BeatAsk ask = {.agent = counter->name,
                                  .incarnation = members_self(counter->members)->incarnation,
@@ -108,13 +108,13 @@
     return ready;
 }
 
-static void onOpened(void *arg, uint64_t epoch, bool newHolder, bool repair)
+static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
 {
     Counter *counter = arg;
     (void)epoch;
     (void)repair;
-    if (newHolder) /* nobody is lost before every hold of the last holder has lapsed */
-        livesetReset(counter->liveset, viewWonMs(counter->view) + AGENT_HOLD_MS + HOLD_SLACK_MS, NULL, 0);
+    if (new_holder) /* nobody is lost before every hold of the last holder has lapsed */
+        livesetReset(counter->liveset, view_won_ms(counter->view) + AGENT_HOLD_MS + HOLD_SLACK_MS, NULL, 0);
 }
 
 /* --- ordered delivery ------------------------------------------------------------- */
@@ -124,12 +124,12 @@
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
         loop_sleep(counter->loop, PLUS_MS);
-        if (!viewLeading(counter->view))
+        if (!view_leading(counter->view))
             continue;
         void *mem = talloc_new(counter);
         uint8_t others = (uint8_t)live(counter, mem);
         ChangeResult result;
-        viewSubmit(counter->view, CHANGE_PLUS, (Bytes){&others, 1, 0}, &result);
+        view_submit(counter->view, CHANGE_PLUS, (Bytes){&others, 1, 0}, &result);
         talloc_free(mem);
     }
 }
@@ -144,31 +144,32 @@
                              .ring = counter->ring,
                              .state = {counter, deliver, save, load},
                              .opened = onOpened,
-                             .openedArg = counter,
+                             .opened_arg = counter,
                              .founds = VIEW_FOUNDS_BY_THREE};
     counter->liveset = livesetNew(counter);
-    counter->view = viewNew(counter, &props);
-    if (viewOpenDisk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name, &failure) !=
-            STATUS_OK ||
+    counter->view = view_new(counter, &props);
+    if (view_open_disk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name,
+                       &failure) != STATUS_OK ||
         courier_listen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
         fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
         loop_stop(counter->loop);
         return;
     }
-    const MemberRecord self = {.id = talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, viewDisk(counter->view)),
+    const MemberRecord self = {.id =
+                                   talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, view_disk(counter->view)),
                                .name = counter->name,
                                .role = ROLE_CORE,
                                .zone = "",
                                .address = address,
                                .http = "",
                                .incarnation = (uint64_t)loop_wall_ms(counter->loop),
-                               .disk = viewDisk(counter->view),
-                               .empty = !viewFounded(counter->view)};
+                               .disk = view_disk(counter->view),
+                               .empty = !view_founded(counter->view)};
     counter->members = members_new(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
-    viewStart(counter->view, counter->members);
+    view_start(counter->view, counter->members);
     courier_handle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
     members_start(counter->members);
-    viewFounding(counter->view);
+    view_founding(counter->view);
     loop_spawn(counter->loop, "beat", beatMain, counter);
     loop_spawn(counter->loop, "plus", plusMain, counter);
 }
@@ -176,7 +177,7 @@
 static void termMain(void *arg)
 {
     Counter *counter = arg;
-    viewStepDown(counter->view, INT32_MAX);
+    view_step_down(counter->view, INT32_MAX);
     loop_sleep(counter->loop, BEAT_MS);
     loop_stop(counter->loop);
 }
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -36,7 +36,7 @@
     size_t stopsCount;
     const RoundId *known; /* of the rounds that it has told as ended: those whose end is committed */
     size_t knownCount;
-    int64_t againMs; /* unless something ends there, it need not ask again before */
+    int64_t again_ms; /* unless something ends there, it need not ask again before */
 } WorkerOrders;
 
 /* Waits, at most report->wait_ms, for something to answer with. gone is looked at
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -12,7 +12,7 @@
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
     showMetricsBegin(task);
-    showMetric(task, "holdLeftMs", holdLeftMs(&agent->hold, loop_now_ms(agent->loop)));
+    showMetric(task, "holdLeftMs", hold_left_ms(&agent->hold, loop_now_ms(agent->loop)));
     showMetric(task, "workerLive", agent->workerLive);
     showMetric(task, "roundsRunning", rounds[PHASE_RUNNING]);
     showMetric(task, "roundsStopping", rounds[PHASE_STOPPING]);
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -20,7 +20,7 @@
     uint64_t answered[SEAT_MOST * 4]; /* disks of cores that did */
     size_t answeredCount;
     uint64_t seats[SEAT_MOST]; /* as a core told them */
-    size_t seatCount;          /* 0: none has told them */
+    size_t seat_count;         /* 0: none has told them */
 } Asking;
 
 typedef struct AskPart {
@@ -50,13 +50,13 @@
     } else if (part->disk != 0) {
         if (asking->answeredCount < sizeof(asking->answered) / sizeof(asking->answered[0]))
             asking->answered[asking->answeredCount++] = part->disk;
-        if (answer.seatsCount > 0 && answer.seatsCount <= SEAT_MOST) {
+        if (answer.seats_count > 0 && answer.seats_count <= SEAT_MOST) {
             /* cores that know other seats than each other do not all see the same */
-            const bool told = asking->seatCount > 0;
-            if (told && asking->seatCount != answer.seatsCount)
+            const bool told = asking->seat_count > 0;
+            if (told && asking->seat_count != answer.seats_count)
                 asking->all = false;
-            asking->seatCount = answer.seatsCount;
-            for (size_t i = 0; i < answer.seatsCount; i++) {
+            asking->seat_count = answer.seats_count;
+            for (size_t i = 0; i < answer.seats_count; i++) {
                 if (told && asking->seats[i] != answer.seats[i].disk)
                     asking->all = false;
                 asking->seats[i] = answer.seats[i].disk;
@@ -71,14 +71,14 @@
 
 static bool seatsAnswered(const Asking *asking)
 {
-    for (size_t s = 0; s < asking->seatCount; s++) {
+    for (size_t s = 0; s < asking->seat_count; s++) {
         bool found = false;
         for (size_t i = 0; i < asking->answeredCount && !found; i++)
             found = asking->answered[i] == asking->seats[s];
         if (!found)
             return false;
     }
-    return asking->seatCount > 0;
+    return asking->seat_count > 0;
 }
 
 static void askThose(Asking *asking, bool cores)
@@ -133,7 +133,7 @@
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
-        const int64_t leftMs = holdLeftMs(&agent->hold, loop_now_ms(agent->loop));
+        const int64_t leftMs = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
         const int64_t lateMs = agent->props->bounds.holdMs / 2;
         /* the second half of the hold: several beats have gone unanswered */
         if (leftMs > 0 && leftMs < lateMs)
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -166,16 +166,16 @@
 }
 
 /* Whether one is to be sent now; else when. */
-static bool beatDue(const Agent *agent, const char *address, int64_t now_ms, int64_t *dueMs)
+static bool beatDue(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
 {
-    *dueMs = now_ms + BEAT_MS;
+    *due_ms = now_ms + BEAT_MS;
     if (agent->beats >= BEATS_MOST)
         return false;
     if (agent->beatNow || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
         return true;
     /* one that goes unanswered is not waited for to its end */
-    *dueMs = agent->beat == NULL ? agent->beatDueMs : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
-    return now_ms >= *dueMs;
+    *due_ms = agent->beat == NULL ? agent->beatDueMs : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
+    return now_ms >= *due_ms;
 }
 
 static void beatMain(void *arg)
@@ -185,16 +185,16 @@
     while (!loop_stopping(agent->loop)) {
         const int64_t now_ms = loop_now_ms(agent->loop);
         char address[ADDRESS_MAX];
-        int64_t dueMs = now_ms + BEAT_MS;
+        int64_t due_ms = now_ms + BEAT_MS;
         const bool known = leaderAddress(agent, address);
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
             signal_raise(agent->loop, &agent->toTell); /* what the last one has not answered is told to this one */
         }
-        if (known && beatDue(agent, address, now_ms, &dueMs))
+        if (known && beatDue(agent, address, now_ms, &due_ms))
             beatSend(agent, address);
         else
-            signal_wait(agent->loop, members_leader_signal(agent->members), dueMs);
+            signal_wait(agent->loop, members_leader_signal(agent->members), due_ms);
     }
 }
 
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -51,7 +51,7 @@
     bool workerLive, workerLeaving, settled;
     int64_t leaveUntilMs; /* leaving: it stays at least until then; 0: not told */
     uint64_t questions;   /* of the worker; only the newest is answered */
-    int64_t startedMs, askedMs, workerUntilMs;
+    int64_t startedMs, asked_ms, workerUntilMs;
     Rounds rounds;
     Signal forWorker; /* there is something to answer the worker with */
     Signal toTell;    /* there is something to tell the leader */
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -31,7 +31,7 @@
     uint64_t epoch;
     RoundPhase phase;
     int64_t expiry_ms; /* not started after this */
-    int64_t changedMs;
+    int64_t changed_ms;
     int64_t givenMs;    /* given to the worker then; 0: not by this agent */
     int64_t runsMs;     /* it runs, since then; 0: that is not known */
     const char *saved;  /* how far it has come, by the worker's last word */
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -80,7 +80,7 @@
     shape_copy(&OrderShape, order, round, &round->order);
     round->phase = phase;
     round->saved = round->text = "";
-    round->changedMs = loop_now_ms(agent->loop);
+    round->changed_ms = loop_now_ms(agent->loop);
     chainJoin(&agent->rounds.lives, round);
     map_set(agent->rounds.byId, roundKey(key, order->job, order->task, order->round), round);
     const Round *newest = roundNewest(agent, order->job, order->task);
@@ -145,7 +145,7 @@
     round->guessed = guessed;
     const int64_t since_ms = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
     round->ranMs = since_ms != 0 ? now_ms - since_ms : 0;
-    round->changedMs = now_ms;
+    round->changed_ms = now_ms;
     /* thousands of ended ones are kept */
     talloc_free((void *)(uintptr_t)round->order.payload);
     talloc_free((void *)(uintptr_t)round->order.saved);
@@ -157,7 +157,7 @@
 void roundKnown(Agent *agent, Round *round)
 {
     round->phase = PHASE_KNOWN;
-    round->changedMs = loop_now_ms(agent->loop);
+    round->changed_ms = loop_now_ms(agent->loop);
     chainLeave(round);
     chainJoin(&agent->rounds.known, round);
     roundTrace(agent, round, TRACE_KNOWN);
@@ -204,7 +204,7 @@
     Rounds *rounds = &agent->rounds;
     while (rounds->known.first != NULL) {
         Round *round = rounds->known.first;
-        if (now_ms - round->changedMs <= REPAIR_KEEP_MS && rounds->known.count <= KNOWN_MOST)
+        if (now_ms - round->changed_ms <= REPAIR_KEEP_MS && rounds->known.count <= KNOWN_MOST)
             return;
         char key[KEY_MAX];
         chainLeave(round);
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -25,7 +25,7 @@
 
 static void silenceWatch(Agent *agent, int64_t now_ms)
 {
-    const int64_t silentMs = now_ms - agent->askedMs;
+    const int64_t silentMs = now_ms - agent->asked_ms;
     if (agent->workerLive && silentMs > quietMs(agent)) {
         agent->workerLive = false;
         beatNow(agent);
@@ -66,7 +66,7 @@
     return until_ms;
 }
 
-static void watchMain(void *arg)
+static void watch_main(void *arg)
 {
     Agent *agent = arg;
     bool ran = false;
@@ -82,5 +82,5 @@
 
 void watchStart(Agent *agent)
 {
-    loop_spawn(agent->loop, "watch", watchMain, agent);
+    loop_spawn(agent->loop, "watch", watch_main, agent);
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -216,7 +216,7 @@
 /* What of the rest of the agent's own hold is passed on. */
 static int64_t holdPass(Agent *agent, int64_t now_ms)
 {
-    int64_t leftMs = holdLeftMs(&agent->hold, now_ms);
+    int64_t leftMs = hold_left_ms(&agent->hold, now_ms);
     if (leftMs > agent->props->bounds.workerHoldMs)
         leftMs = agent->props->bounds.workerHoldMs;
     const int64_t passedMs = holdPassedMs(leftMs);
@@ -244,7 +244,7 @@
                              .start_ms = INT64_MAX,
                              .stops = stops,
                              .known = known,
-                             .againMs = WORKER_AGAIN_MS};
+                             .again_ms = WORKER_AGAIN_MS};
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
@@ -280,7 +280,7 @@
     if (status != STATUS_OK)
         return status;
     const int64_t now_ms = loop_now_ms(agent->loop);
-    agent->askedMs = now_ms;
+    agent->asked_ms = now_ms;
     roundsTake(agent, report);
     othersTake(agent, report);
     selfTake(agent, report);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -175,7 +175,7 @@
     WorkerOrders orders;
     Status status;
     bool over, gone;
-    int64_t tookMs;
+    int64_t took_ms;
 } Say;
 
 static void sayMain(void *arg)
@@ -183,7 +183,7 @@
     Say *say = arg;
     const int64_t since_ms = sim_now_ms(say->c->world);
     say->status = agentReport(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
-    say->tookMs = sim_now_ms(say->c->world) - since_ms;
+    say->took_ms = sim_now_ms(say->c->world) - since_ms;
     say->over = true;
 }
 
@@ -293,7 +293,7 @@
     assert_string_equal(it->orders.starts[0].payload, "\"spec\"");
     assert_string_equal(it->orders.starts[0].saved, "from here");
     assert_int_equal(it->orders.fence, 5);
-    assert_in_range(it->tookMs, 100, 130);
+    assert_in_range(it->took_ms, 100, 130);
     talloc_free(c);
 }
 
@@ -685,8 +685,8 @@
     it->report.runningCount = 1;
     it->report.endsWait = true;
     sayAll(it);
-    assert_in_range(it->tookMs, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
-    assert_int_equal(it->orders.againMs, WORKER_AGAIN_MS);
+    assert_in_range(it->took_ms, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
+    assert_int_equal(it->orders.again_ms, WORKER_AGAIN_MS);
     /* what comes next goes in the same answer as the word that the end is known */
     const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
     it = say(c, "b1");
--- a/packages/beat/include/beat/hold.h
+++ b/packages/beat/include/beat/hold.h
@@ -15,7 +15,7 @@
 /* False: an answer of an older epoch, which counts for nothing. */
 bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t holdMs);
 bool holdRuns(const Hold *hold, int64_t now_ms);
-int64_t holdLeftMs(const Hold *hold, int64_t now_ms);
+int64_t hold_left_ms(const Hold *hold, int64_t now_ms);
 /* How long whoever grants a hold must take it to run, by the own clock: the
  * holder's may be slow, and timers are coarse. */
 int64_t holdClaimMs(int64_t holdMs);
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/beat/include/beat/liveset.h
@@ -10,7 +10,7 @@
     uint64_t incarnation;
     uint64_t number;  /* of the newest beat or telling received */
     int64_t until_ms; /* its hold has lapsed after this, by the leader's clock */
-    int64_t heardMs;  /* its last beat under this leader; INT64_MIN: none */
+    int64_t heard_ms; /* its last beat under this leader; INT64_MIN: none */
     bool workerLive;
     bool leaving;
     bool settled;
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -17,7 +17,7 @@
     return now_ms < hold->until_ms;
 }
 
-int64_t holdLeftMs(const Hold *hold, int64_t now_ms)
+int64_t hold_left_ms(const Hold *hold, int64_t now_ms)
 {
     return now_ms < hold->until_ms ? hold->until_ms - now_ms : 0;
 }
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -25,7 +25,7 @@
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
         row->until_ms = liveset->firstUntilMs;
-        row->heardMs = INT64_MIN;
+        row->heard_ms = INT64_MIN;
         map_set(liveset->rows, name, row);
     }
     return row;
@@ -57,7 +57,7 @@
     const int64_t until_ms = now_ms + holdClaimMs(holdMs);
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
-    row->heardMs = now_ms;
+    row->heard_ms = now_ms;
     if (beat->number > row->number) {
         row->number = beat->number;
         row->workerLive = beat->workerLive;
@@ -89,7 +89,7 @@
 
 bool liveRowReady(const LiveRow *row, int64_t now_ms)
 {
-    return row->heardMs != INT64_MIN && now_ms < row->until_ms && now_ms - row->heardMs < 3 * BEAT_MS &&
+    return row->heard_ms != INT64_MIN && now_ms < row->until_ms && now_ms - row->heard_ms < 3 * BEAT_MS &&
            row->workerLive && !row->leaving && row->settled && !row->losing;
 }
 
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -18,8 +18,8 @@
 static bool stopOver(const Core *core, const BeatAsk *beat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
-           (viewClockMs(core->view) - task->changedMs > ORDER_GONE_MS ||
-            (beat->haveEpoch == viewEpoch(core->view) && beat->have == tableOrders(core->table, beat->worker.name)));
+           (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
+            (beat->haveEpoch == view_epoch(core->view) && beat->have == tableOrders(core->table, beat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
@@ -149,13 +149,13 @@
     bool all = newsIdle(core);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
-        all = workers[i]->excluded || (row != NULL && row->heardMs != INT64_MIN && row->settled);
+        all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
     }
     const LiveRow **rows;
     const size_t rowCount = livesetRows(core->liveset, mem, &rows);
     size_t heard = 0, agents = 0;
     for (size_t i = 0; i < rowCount; i++)
-        heard += rows[i]->heardMs != INT64_MIN && rows[i]->settled;
+        heard += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
     const MemberTable *members = members_table(core->members);
     for (size_t i = 0; i < members->count; i++)
         agents += members->rows[i].record.role == ROLE_AGENT && !members->rows[i].record.leaving;
@@ -166,7 +166,7 @@
 static void placeMaybe(Core *core)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms >= core->placeFromMs || core->repairing || !viewLeading(core->view) || !allHeard(core))
+    if (now_ms >= core->placeFromMs || core->repairing || !view_leading(core->view) || !allHeard(core))
         return;
     core->placeFromMs = now_ms; /* there is nothing that the log has forgotten and that still runs */
     coreNews(core);
@@ -177,8 +177,8 @@
     Core *core = arg;
     const BeatAsk *beat = question;
     BeatAnswer *out = answer;
-    out->epoch = viewEpoch(core->view);
-    if (!viewHolds(core->view))
+    out->epoch = view_epoch(core->view);
+    if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
     if (!checkNameText(beat->worker.name) || !checkNameText(beat->worker.zone))
         return STATUS_BAD_FIELD;
@@ -195,16 +195,16 @@
     if (wasReady != liveRowReady(livesetFind(core->liveset, beat->worker.name), now_ms))
         coreNews(core);
     runsTake(core, beat);
-    if (!core->repairing && viewLeading(core->view))
+    if (!core->repairing && view_leading(core->view))
         learn(core, beat, listCounts);
     placeMaybe(core);
     if (beat->wait_ms > 0)
         ordersAnswer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
     /* the hold counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
-    if (!viewHolds(core->view))
+    if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
-    out->epoch = viewEpoch(core->view);
+    out->epoch = view_epoch(core->view);
     out->holdMs = holdMs;
     return STATUS_OK;
 }
@@ -214,8 +214,8 @@
     Core *core = arg;
     const TellAsk *ask = question;
     (void)mem;
-    ((TellAnswer *)answer)->epoch = viewEpoch(core->view);
-    if (!viewLeading(core->view))
+    ((TellAnswer *)answer)->epoch = view_epoch(core->view);
+    if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
@@ -233,8 +233,8 @@
     const BeatAsk beat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .haveEpoch = ask->haveEpoch};
     BeatAnswer orders = {0};
-    out->epoch = viewEpoch(core->view);
-    if (!viewLeading(core->view))
+    out->epoch = view_epoch(core->view);
+    if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
@@ -246,8 +246,8 @@
     ordersAnswer(core, mem, &beat, FETCH_HOLD_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){viewEpoch(core->view), orders.revision, orders.expiry_ms,  orders.starts,
-                         orders.startsCount,    orders.wanted,   orders.wantedCount};
+    *out = (FetchAnswer){view_epoch(core->view), orders.revision, orders.expiry_ms,  orders.starts,
+                         orders.startsCount,     orders.wanted,   orders.wantedCount};
     return STATUS_OK;
 }
 
@@ -257,11 +257,11 @@
     KnowAnswer *out = answer;
     (void)question;
     uint64_t seats[SEAT_MOST];
-    out->knows = viewKnowsHolder(core->view);
+    out->knows = view_knows_holder(core->view);
     out->epoch = members_leader_epoch(core->members);
-    out->seatsCount = viewSeats(core->view, seats);
+    out->seats_count = view_seats(core->view, seats);
     out->seats = talloc_array(mem, DiskId, SEAT_MOST);
-    for (size_t i = 0; i < out->seatsCount; i++)
+    for (size_t i = 0; i < out->seats_count; i++)
         out->seats[i].disk = seats[i];
     return STATUS_OK;
 }
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -57,20 +57,20 @@
 static void seatsLook(Core *core)
 {
     ViewSight sight;
-    viewSight(core->view, &sight);
-    for (size_t i = 0; i < sight.seatCount; i++) {
+    view_sight(core->view, &sight);
+    for (size_t i = 0; i < sight.seat_count; i++) {
         const Member *member = members_find_disk(core->members, sight.seats[i].disk);
         char disk[20];
         snprintf(disk, sizeof(disk), "%016" PRIx64, sight.seats[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
-        if (!sight.seats[i].inView)
+        if (!sight.seats[i].in_view)
             see(core, ALERT_SEAT_OUT, name);
-        if (sight.seats[i].syncMs > SEAT_SLOW_MS)
+        if (sight.seats[i].sync_ms > SEAT_SLOW_MS)
             see(core, ALERT_SEAT_SLOW, name);
     }
     char borne[LOSSES_TEXT];
-    snprintf(borne, sizeof(borne), "%d of %d", sight.lossesBorne, sight.lossesAsked);
-    if (sight.lossesBorne < sight.lossesAsked)
+    snprintf(borne, sizeof(borne), "%d of %d", sight.losses_borne, sight.losses_asked);
+    if (sight.losses_borne < sight.losses_asked)
         see(core, ALERT_LOSSES_FEW, borne);
 }
 
@@ -81,9 +81,9 @@
     const size_t count = tableWorkers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
-        const int64_t until_ms = row != NULL ? row->until_ms : viewWonMs(core->view) + coreClaimMs(core);
+        const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
         const bool silent =
-            now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heardMs != INT64_MIN && !row->workerLive);
+            now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->workerLive);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
             see(core, ALERT_WORKER_LOST, workers[i]->name);
         if (scoreRests(core, workers[i]->name))
@@ -117,7 +117,7 @@
 {
     void *mem = talloc_new(core);
     core->alertLooks++;
-    const bool leads = viewLeading(core->view);
+    const bool leads = view_leading(core->view);
     const char *words;
     if (leads && core->repairing)
         see(core, ALERT_REPAIRING, "cluster");
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -10,18 +10,18 @@
 static void metrics(Core *core, HttpTask *task)
 {
     ViewSight sight;
-    viewSight(core->view, &sight);
+    view_sight(core->view, &sight);
     showMetricsBegin(task);
-    showMetric(task, "leads", viewLeading(core->view));
+    showMetric(task, "leads", view_leading(core->view));
     showMetric(task, "repairing", core->repairing);
-    showMetric(task, "viewChanges", (int64_t)sight.viewChanges);
+    showMetric(task, "viewChanges", (int64_t)sight.view_changes);
     showMetric(task, "lastIndex", (int64_t)sight.last_index);
-    showMetric(task, "deliveredIndex", (int64_t)sight.deliveredIndex);
+    showMetric(task, "deliveredIndex", (int64_t)sight.delivered_index);
     showMetric(task, "journalBytes", (int64_t)sight.journal.bytes);
     showMetric(task, "journalSyncs", (int64_t)sight.journal.syncs);
     showMetric(task, "journalRewrites", (int64_t)sight.journal.rewrites);
     showMetric(task, "journalTornBytes", (int64_t)sight.journal.torn_bytes);
-    showMetric(task, "otherHistories", (int64_t)sight.otherHistories);
+    showMetric(task, "otherHistories", (int64_t)sight.other_histories);
     showMetric(task, "journalBegunAnew", sight.journal.begun_anew);
     showMetric(task, "lastSyncMs", sight.journal.last_sync_ms);
     showMetric(task, "worstSyncMs", sight.journal.worst_sync_ms);
@@ -110,7 +110,7 @@
     Core *core = arg;
     const ForwardAsk *ask = question;
     ForwardAnswer *out = answer;
-    if (viewLeading(core->view)) {
+    if (view_leading(core->view)) {
         leadServe(core, mem, ask, out);
         return STATUS_OK;
     }
@@ -130,15 +130,15 @@
     const int64_t until_ms = loop_now_ms(core->loop) + FEED_HOLD_MS;
     const bool waits = core->repairing;
     for (;;) {
-        if (!viewLeading(core->view))
+        if (!view_leading(core->view))
             return STATUS_NOT_LEADER;
-        out->epoch = viewEpoch(core->view);
+        out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
         if (!core->repairing &&
             feedAnswer(&core->pieceSource, tableRevisions(core->table), ask, loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
-        if (ask->first || waits != core->repairing || !signal_wait(core->loop, viewNews(core->view), until_ms))
+        if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
             return STATUS_OK;
     }
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -59,9 +59,9 @@
     }
     const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
     while (have >= 0 && revisionsNewest(tableRevisions(way->core->table)) <= (uint64_t)have)
-        if (!signal_wait(way->core->loop, viewNews(way->core->view), until_ms))
+        if (!signal_wait(way->core->loop, view_news(way->core->view), until_ms))
             break;
-    if (!viewLeading(way->core->view))
+    if (!view_leading(way->core->view))
         showRefusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
         showNewest(way);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -9,10 +9,10 @@
 
 bool coreDecides(Core *core)
 {
-    if (!viewLeading(core->view) || core->repairing)
+    if (!view_leading(core->view) || core->repairing)
         return false;
     if (core->watch.plans != NULL)
-        core->watch.plans(core->watch.arg, core->props->name, viewEpoch(core->view));
+        core->watch.plans(core->watch.arg, core->props->name, view_epoch(core->view));
     return true;
 }
 
@@ -24,7 +24,7 @@
 
 QueueClock coreClock(const Core *core)
 {
-    return (QueueClock){viewClockMs(core->view), viewWallMs(core->view)};
+    return (QueueClock){view_clock_ms(core->view), view_wall_ms(core->view)};
 }
 
 Status coreSubmit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
@@ -32,7 +32,7 @@
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
-    const Status status = viewSubmit(core->view, kind, payload, result);
+    const Status status = view_submit(core->view, kind, payload, result);
     if (status == STATUS_OK && result->status == STATUS_OK && keeps != NULL) {
         keeps->items = talloc_realloc(mem, keeps->items, KeepItem, (unsigned)(keeps->itemsCount + 1));
         keeps->items[keeps->itemsCount++] = (KeepItem){kind, result->index, payload};
@@ -45,12 +45,12 @@
     return holdClaimMs(core->props->bounds.holdMs);
 }
 
-static void onOpened(void *arg, uint64_t epoch, bool newHolder, bool repair)
+static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
 {
     Core *core = arg;
-    traceSay(core->trace, TRACE_OPENED, newHolder ? "the lock was won" : "opened anew", "view:%" PRIu64,
+    traceSay(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
              epoch_counter(epoch));
-    if (newHolder) {
+    if (new_holder) {
         void *mem = talloc_new(core);
         const Worker **workers;
         const size_t count = tableWorkers(core->table, mem, &workers);
@@ -60,10 +60,10 @@
         /* any hold that the last leader answered runs out within this */
         straysReset(core->strays);
         pacesReset(core->paces);
-        livesetReset(core->liveset, viewWonMs(core->view) + coreClaimMs(core), names, count);
+        livesetReset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);
         talloc_free(mem);
     }
-    if (repair && (newHolder || !core->repairing)) {
+    if (repair && (new_holder || !core->repairing)) {
         core->repairing = true; /* a repair under way goes on over views opened anew */
         /* rounds that the log has forgotten are told again or have lapsed by then */
         core->placeFromMs = loop_now_ms(core->loop) + coreClaimMs(core);
@@ -80,7 +80,7 @@
 static void onLeft(void *arg, const Job *job, const JobTask *task)
 {
     const Core *core = arg;
-    if (viewHolds(core->view))
+    if (view_holds(core->view))
         straysAdd(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
@@ -92,7 +92,7 @@
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
             continue; /* a beat has told how far it has come since */
-        if (viewHolds(core->view))
+        if (view_holds(core->view))
             savedTake(core, &saved);
         straysEnd(core->strays, news);
     }
@@ -119,7 +119,7 @@
         loop_sleep(core->loop, keepMs / 60 > FORGET_MS ? keepMs / 60 : FORGET_MS);
         if (!coreDecides(core))
             continue;
-        const Forget forget = {viewClockMs(core->view) - keepMs};
+        const Forget forget = {view_clock_ms(core->view) - keepMs};
         if (tableOldestMs(core->table) >= forget.beforeMs)
             continue;
         void *mem = talloc_new(core);
@@ -133,13 +133,13 @@
 static bool seatless(void *arg)
 {
     const Core *core = arg;
-    return !viewSeated(core->view);
+    return !view_seated(core->view);
 }
 
 static bool leads(const void *arg)
 {
     const Core *core = arg;
-    return viewLeading(core->view);
+    return view_leading(core->view);
 }
 
 static void on_http(void *arg, HttpTask *task)
@@ -151,9 +151,9 @@
 static RingPlace placeNow(void *arg)
 {
     const Core *core = arg;
-    uint64_t epoch, commitIndex;
-    viewPlace(core->view, &epoch, &commitIndex);
-    return (RingPlace){.term = epoch_counter(epoch), .index = commitIndex};
+    uint64_t epoch, commit_index;
+    view_place(core->view, &epoch, &commit_index);
+    return (RingPlace){.term = epoch_counter(epoch), .index = commit_index};
 }
 
 Status coreStart(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **out,
@@ -187,14 +187,14 @@
                                  .ring = ring,
                                  .state = tableState(core->table),
                                  .opened = onOpened,
-                                 .openedArg = core,
+                                 .opened_arg = core,
                                  .losses = (int)props->bounds.losses,
                                  .founds = (ViewFounds)props->bounds.founds,
-                                 .disksKeep = props->bounds.disksKeep != 0,
-                                 .seatBackMs = props->bounds.seatBackMs};
-    core->view = viewNew(core, &viewProps);
+                                 .disks_keep = props->bounds.disks_keep != 0,
+                                 .seat_back_ms = props->bounds.seat_back_ms};
+    core->view = view_new(core, &viewProps);
     /* the disk first: its id is part of our name */
-    Status status = viewOpenDisk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
+    Status status = view_open_disk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
     if (status == STATUS_OK)
         ring_set_place(ring, placeNow, core);
     if (status == STATUS_OK)
@@ -204,15 +204,15 @@
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(core, "%s@%016" PRIx64, props->name, viewDisk(core->view)),
+        .id = talloc_asprintf(core, "%s@%016" PRIx64, props->name, view_disk(core->view)),
         .name = props->name,
         .role = ROLE_CORE,
         .zone = props->zone,
         .address = core->address,
         .http = core->http,
         .incarnation = (uint64_t)loop_wall_ms(loop),
-        .disk = viewDisk(core->view),
-        .empty = !viewFounded(core->view),
+        .disk = view_disk(core->view),
+        .empty = !view_founded(core->view),
     };
     core->members = members_new(core, loop, core->courier, ring, &self, props->seeds);
     core->trace = traceNew(core, loop, core->courier, core->members, props->name);
@@ -227,11 +227,11 @@
                                                               .leaderWaitMs = props->bounds.leaderWaitMs,
                                                               .outcomeWaitMs = props->bounds.outcomeWaitMs});
     core->feed = feedNew(core, loop, core->courier, forwarderWays(core->forwarder), core->trace);
-    viewStart(core->view, core->members);
+    view_start(core->view, core->members);
     agentsServe(core);
     callersServe(core);
     members_start(core->members);
-    viewFounding(core->view);
+    view_founding(core->view);
     plannerStart(core);
     alertsStart(core);
     forwarderStart(core->forwarder);
@@ -243,20 +243,20 @@
 
 bool coreReady(const Core *core)
 {
-    return !core->leaving && (viewLeading(core->view) ? !core->repairing : waysServe(forwarderWays(core->forwarder)));
+    return !core->leaving && (view_leading(core->view) ? !core->repairing : waysServe(forwarderWays(core->forwarder)));
 }
 
 void coreDrain(Core *core)
 {
-    const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.graceMs - DRAIN_MARGIN_MS;
+    const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.grace_ms - DRAIN_MARGIN_MS;
     core->leaving = true;
     loop_serve_leave(core->loop);
     members_set_leaving(core->members);
     members_announce(core->members); /* so that the view goes on without waiting for us */
     /* what was ordered gets its result; then the vote and the lock are handed over */
-    if (viewLeading(core->view))
-        viewSettle(core->view);
-    viewLeave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
+    if (view_leading(core->view))
+        view_settle(core->view);
+    view_leave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
     const int64_t unreadyUntilMs = now_ms + core->props->bounds.unreadyMs;
     if (loop_now_ms(core->loop) < unreadyUntilMs)
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -84,7 +84,7 @@
         entryShow(way, 200, job);
 }
 
-static void entryCount(Way *way, const ConfigPlace *place)
+static void entry_count(Way *way, const ConfigPlace *place)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "waiting", json_object_new_int64(waitingIn(way->core->table, place)));
@@ -117,7 +117,7 @@
     }
     way->name = path + place->prefixLength;
     if (way->name[0] == '\0' && get)
-        entryCount(way, place);
+        entry_count(way, place);
     else if (way->name[0] == '\0')
         showRefusal(way->task, STATUS_BAD_METHOD, "an id must follow", NULL);
     else if (!checkNameText(way->name) && post)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -51,7 +51,7 @@
 } Kept;
 
 /* Invariants:
- *  - only a node for which viewLeading is true plans, answers callers or gives
+ *  - only a node for which view_leading is true plans, answers callers or gives
  *    orders, and it looks at the clock before each;
  *  - while repairing is true nothing is decided and nobody is told of a job;
  *  - nothing is placed before placeFromMs, which is when all that the log may have
@@ -175,7 +175,7 @@
     Tally slow;            /* rounds that took several times as long as the others of their step */
     int64_t slowEndMs;     /* log time of the end of the last one counted as slow */
     int64_t rest_until_ms; /* own clock; given nothing before this */
-    int64_t restMs;        /* the last rest's length */
+    int64_t rest_ms;       /* the last rest's length */
 } Score;
 
 /* Takes what a delivered change tells of rounds. */
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -12,7 +12,7 @@
 #include "base/map.h"
 #include "pass.h"
 
-static bool isFor(const Kept *kept, const Candidate *candidate)
+static bool is_for(const Kept *kept, const Candidate *candidate)
 {
     return strcmp(kept->job, candidate->job->spec.id) == 0 && kept->task == candidate->first;
 }
@@ -71,7 +71,7 @@
     for (size_t c = 0; c < count; c++) {
         const Kept *kept = map_get(pass->core->kept, cells[c]);
         const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
-        if (isFor(kept, candidate) || above || candidate->restart)
+        if (is_for(kept, candidate) || above || candidate->restart)
             continue;
         for (size_t i = 0; i < kept->workerCount; i++) {
             const size_t at = passPlace(pass, kept->workers[i]);
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -23,7 +23,7 @@
     const JobTask *task = &job->tasks[on->task];
     const bool saves = job->spec.steps[task->step].saves;
     if (task->phase == TASK_PLACED) /* not begun: nothing is lost */
-        return pass->clock.logMs - task->changedMs > LEAVE_START_MS;
+        return pass->clock.logMs - task->changed_ms > LEAVE_START_MS;
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
     if (job->spec.lasting)
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -99,7 +99,7 @@
 /* Those that nobody waits for are not told again by their agent. */
 static void newsKeep(Core *core, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.newsCount && viewHolds(core->view); i++)
+    for (size_t i = 0; i < batch->list.newsCount && view_holds(core->view); i++)
         if (batch->list.news[i].word == ROUND_RUNNING)
             newsLater(core, &batch->list.news[i]);
 }
@@ -111,11 +111,11 @@
     while (!loop_stopping(core->loop)) {
         Batch *batch = news->first;
         const int64_t now_ms = loop_now_ms(core->loop);
-        const int64_t dueMs = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
-                              : batch->waited ? now_ms
-                                              : batch->since_ms + NEWS_LAZY_MS;
-        if (now_ms < dueMs) {
-            signal_wait(core->loop, &news->added, dueMs);
+        const int64_t due_ms = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
+                               : batch->waited ? now_ms
+                                               : batch->since_ms + NEWS_LAZY_MS;
+        if (now_ms < due_ms) {
+            signal_wait(core->loop, &news->added, due_ms);
             continue;
         }
         news->first = batch->next;
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -71,9 +71,9 @@
 static bool ordersNew(const Core *core, const BeatAsk *beat)
 {
     const LiveRow *row = livesetFind(core->liveset, beat->worker.name);
-    return viewLeading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
+    return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
            !row->losing &&
-           (tableOrders(core->table, beat->worker.name) != beat->have || viewEpoch(core->view) != beat->haveEpoch);
+           (tableOrders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->haveEpoch);
 }
 
 void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -104,20 +104,20 @@
         pace->task = told->task;
         map_set(paces->rounds, key, pace);
     }
-    const bool goesOn = pace->round == told->round;
-    const uint64_t before = goesOn ? pace->percent : 0;
-    const int64_t spanMs = told->percentMs - (goesOn ? pace->ranMs : 0);
+    const bool goes_on = pace->round == told->round;
+    const uint64_t before = goes_on ? pace->percent : 0;
+    const int64_t spanMs = told->percentMs - (goes_on ? pace->ranMs : 0);
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
     pace->round = told->round;
     paces->moves += more > 0;
     /* a round that goes on from what an earlier one saved begins with that */
-    if (goesOn && pacesCredible(paces))
+    if (goes_on && pacesCredible(paces))
         workerTake(core, worker, told, more, spanMs);
-    pace->perMs = goesOn && spanMs > 0 ? more / (double)spanMs : 0;
+    pace->perMs = goes_on && spanMs > 0 ? more / (double)spanMs : 0;
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
-    if (!goesOn || more > 0)
-        pace->stillMs = goesOn || told->percent > 0 ? told->percentMs : 0;
+    if (!goes_on || more > 0)
+        pace->stillMs = goes_on || told->percent > 0 ? told->percentMs : 0;
     pace->percent = told->percent;
     pace->ranMs = told->percentMs;
     pace->toldMs = loop_now_ms(core->loop);
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -32,7 +32,7 @@
         priorityOf(pass, job, on->task) >= priority)
         return -1;
     /* what keeps its progress saves once more when it is stopped */
-    const int64_t lostMs = step->saves ? 0 : pass->clock.logMs - task->changedMs;
+    const int64_t lostMs = step->saves ? 0 : pass->clock.logMs - task->changed_ms;
     return (lostMs + PUSH_TAKES_MS) * (int64_t)step->room.cpuMilli / 1000;
 }
 
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -191,13 +191,13 @@
          * within a kind none waits for the last: a long repair is not a slow one */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
-            status = viewSettle(core->view);
+            status = view_settle(core->view);
         if (status == STATUS_OK && known(core, mem, item)) {
             talloc_free(mem);
             continue;
         }
         if (status == STATUS_OK)
-            status = viewOffer(core->view, item->change, restored(mem, item));
+            status = view_offer(core->view, item->change, restored(mem, item));
         talloc_free(mem);
         if (status != STATUS_OK || turn != core->repairTurn) {
             retellingLeave(retelling);
@@ -207,7 +207,7 @@
     }
     const size_t itemCount = retelling->count;
     retellingLeave(retelling);
-    if (viewRepaired(core->view) != STATUS_OK || turn != core->repairTurn)
+    if (view_repaired(core->view) != STATUS_OK || turn != core->repairTurn)
         return false;
     core->repairing = false;
     core->counts.repairs++;
@@ -226,9 +226,9 @@
     Core *core = arg;
     const uint64_t turn = ++core->repairTurn;
     while (turn == core->repairTurn && core->repairing && !loop_stopping(core->loop)) {
-        if (viewLeading(core->view) && repairOnce(core, turn))
+        if (view_leading(core->view) && repairOnce(core, turn))
             return;
-        signal_wait(core->loop, viewNews(core->view), loop_now_ms(core->loop) + BEAT_MS / 10);
+        signal_wait(core->loop, view_news(core->view), loop_now_ms(core->loop) + BEAT_MS / 10);
     }
 }
 
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -61,16 +61,16 @@
     talloc_free(mem);
     if ((rest + 1) * SCORE_SHARE > fleet)
         return; /* so many at once: the work is bad, or the fleet is; resting helps neither */
-    score->restMs = score->restMs == 0                      ? SCORE_REST_MS
-                    : score->restMs * 2 < SCORE_REST_MAX_MS ? score->restMs * 2
-                                                            : SCORE_REST_MAX_MS;
-    score->rest_until_ms = now_ms + score->restMs;
+    score->rest_ms = score->rest_ms == 0                      ? SCORE_REST_MS
+                     : score->rest_ms * 2 < SCORE_REST_MAX_MS ? score->rest_ms * 2
+                                                              : SCORE_REST_MAX_MS;
+    score->rest_until_ms = now_ms + score->rest_ms;
     /* after the rest it is tried again: a single bad round sends it back */
     tally->ratePercent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
-    if (viewLeading(core->view))
+    if (view_leading(core->view))
         ring_say(core->ring, RING_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
-                 score->restMs);
+                 score->rest_ms);
 }
 
 static void tallyTake(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
@@ -82,7 +82,7 @@
     if (!bad) {
         tally->jobs = 0;
         if (score->failed.ratePercent < SCORE_WEIGHT && score->slow.ratePercent < SCORE_WEIGHT)
-            score->restMs = 0; /* it does well again: forgiven */
+            score->rest_ms = 0; /* it does well again: forgiven */
     } else if (job != NULL && job->number != tally->lastJob) {
         tally->jobs++;
         tally->lastJob = job->number;
@@ -91,9 +91,9 @@
 }
 
 /* A first round's time on its worker, by the log; -1: not to be compared. */
-static int64_t tookMs(const JobTask *task)
+static int64_t took_ms(const JobTask *task)
 {
-    return task->phase == TASK_DONE && task->round == 1 && task->startedMs != 0 ? task->changedMs - task->startedMs
+    return task->phase == TASK_DONE && task->round == 1 && task->startedMs != 0 ? task->changed_ms - task->startedMs
                                                                                 : -1;
 }
 
@@ -108,12 +108,12 @@
 static bool compared(const Job *job, size_t at, bool *slow)
 {
     const JobTask *mine = &job->tasks[at];
-    const int64_t mineMs = tookMs(mine);
+    const int64_t mineMs = took_ms(mine);
     int64_t *spans = talloc_array(NULL, int64_t, (unsigned)job->tasksCount);
     size_t count = 0;
     for (size_t t = 0; t < job->tasksCount && mineMs >= 0 && count < SLOW_OTHERS_MOST; t++)
-        if (t != at && job->tasks[t].step == mine->step && tookMs(&job->tasks[t]) >= 0)
-            spans[count++] = tookMs(&job->tasks[t]);
+        if (t != at && job->tasks[t].step == mine->step && took_ms(&job->tasks[t]) >= 0)
+            spans[count++] = took_ms(&job->tasks[t]);
     bool enough = count >= SLOW_OTHERS;
     if (enough) {
         qsort(spans, count, sizeof(*spans), spanOrder);
@@ -137,7 +137,7 @@
     const Worker *worker = tableWorker(core->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->round == 1 || !step->saves;
-    const int64_t ranMs = news->ranMs > 0 && whole ? news->ranMs : tookMs(task);
+    const int64_t ranMs = news->ranMs > 0 && whole ? news->ranMs : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ranMs > 0 && !step->gang && !step->sameRack && !job->spec.lasting)
         guessesEnd(core->guesses, job, task->step, news->worker, ranMs, scoreFarPercent(core, worker, step),
@@ -183,6 +183,6 @@
         if (known && !beside)
             tallyTake(core, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
-            score->slowEndMs = job->tasks[at].changedMs;
+            score->slowEndMs = job->tasks[at].changed_ms;
     }
 }
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -11,7 +11,7 @@
 {
     const LiveRow *row = livesetFind(core->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t until_ms = row != NULL ? row->until_ms : viewWonMs(core->view) + coreClaimMs(core);
+    const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
     return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
 }
 
@@ -47,8 +47,8 @@
     const char *worker;
     for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++) {
         const LiveRow *row = livesetFind(core->liveset, worker);
-        const int64_t wonMs = viewWonMs(core->view);
-        if (row == NULL || now_ms - (row->heardMs > wonMs ? row->heardMs : wonMs) <= COPY_SILENT_MS)
+        const int64_t won_ms = view_won_ms(core->view);
+        if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
         const size_t count = tableOn(core->table, worker, &on);
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -23,7 +23,7 @@
     const StepSpec *step = &job->spec.steps[task->step];
     const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
     const int64_t wholeMs = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
-    const int64_t ranMs = pass->clock.logMs - task->changedMs;
+    const int64_t ranMs = pass->clock.logMs - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
     return wholeMs - ranMs > wholeMs / 8 ? wholeMs - ranMs : wholeMs / 8 + ENDS_LEAST_MS;
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -24,30 +24,30 @@
     return text_of(text);
 }
 
-static json_object *coreOf(const Core *core, uint64_t disk)
+static json_object *core_of(const Core *core, uint64_t disk)
 {
     const Member *member = members_find_disk(core->members, disk);
     return text_of(member != NULL ? member->record.name : "");
 }
 
 /* Entries that the disk has not synced yet, as far as the leader knows. */
-static json_object *behindOf(const ViewSight *sight, uint64_t matchIndex)
+static json_object *behindOf(const ViewSight *sight, uint64_t match_index)
 {
-    return numberOf(matchIndex < sight->last_index ? (int64_t)(sight->last_index - matchIndex) : 0);
+    return numberOf(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
 }
 
 static json_object *showLearners(const Core *core, const ViewSight *sight)
 {
     json_object *list = json_object_new_array();
-    for (size_t i = 0; i < sight->learnerCount; i++) {
+    for (size_t i = 0; i < sight->learner_count; i++) {
         const ViewLearnerSight *learner = &sight->learners[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", diskOf(learner->disk));
-        json_object_object_add(one, "core", coreOf(core, learner->disk));
+        json_object_object_add(one, "core", core_of(core, learner->disk));
         json_object_object_add(one, "answers", json_object_new_boolean(learner->answers));
         json_object_object_add(one, "ready", json_object_new_boolean(learner->ready));
-        json_object_object_add(one, "index", numberOf((int64_t)learner->matchIndex));
-        json_object_object_add(one, "behind", behindOf(sight, learner->matchIndex));
+        json_object_object_add(one, "index", numberOf((int64_t)learner->match_index));
+        json_object_object_add(one, "behind", behindOf(sight, learner->match_index));
         json_object_array_add(list, one);
     }
     return list;
@@ -56,25 +56,25 @@
 static json_object *showLosses(const ViewSight *sight)
 {
     json_object *losses = json_object_new_object();
-    json_object_object_add(losses, "borne", numberOf(sight->lossesBorne));
-    json_object_object_add(losses, "asked", numberOf(sight->lossesAsked));
+    json_object_object_add(losses, "borne", numberOf(sight->losses_borne));
+    json_object_object_add(losses, "asked", numberOf(sight->losses_asked));
     return losses;
 }
 
 static json_object *showSeats(const Core *core, const ViewSight *sight)
 {
     json_object *list = json_object_new_array();
-    for (size_t i = 0; i < sight->seatCount; i++) {
+    for (size_t i = 0; i < sight->seat_count; i++) {
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", diskOf(sight->seats[i].disk));
-        json_object_object_add(one, "core", coreOf(core, sight->seats[i].disk));
-        json_object_object_add(one, "inView", json_object_new_boolean(sight->seats[i].inView));
+        json_object_object_add(one, "core", core_of(core, sight->seats[i].disk));
+        json_object_object_add(one, "inView", json_object_new_boolean(sight->seats[i].in_view));
         json_object_object_add(one, "answers", json_object_new_boolean(sight->seats[i].answers));
         json_object_object_add(one, "woke", json_object_new_boolean(sight->seats[i].woke));
-        json_object_object_add(one, "syncMs", numberOf(sight->seats[i].syncMs));
-        json_object_object_add(one, "index", numberOf((int64_t)sight->seats[i].matchIndex));
+        json_object_object_add(one, "syncMs", numberOf(sight->seats[i].sync_ms));
+        json_object_object_add(one, "index", numberOf((int64_t)sight->seats[i].match_index));
         json_object_object_add(one, "sight", numberOf((int64_t)sight->seats[i].sight));
-        json_object_object_add(one, "behind", behindOf(sight, sight->seats[i].matchIndex));
+        json_object_object_add(one, "behind", behindOf(sight, sight->seats[i].match_index));
         json_object_array_add(list, one);
     }
     return list;
@@ -178,23 +178,23 @@
 {
     void *mem = talloc_new(core);
     ViewSight sight;
-    viewSight(core->view, &sight);
+    view_sight(core->view, &sight);
     json_object *body = json_object_new_object();
     json_object_object_add(body, "cluster", diskOf(courier_cluster(core->courier)));
     json_object_object_add(body, "leader", text_of(core->props->name));
     json_object_object_add(body, "epoch", numberOf((int64_t)epoch_counter(sight.epoch)));
-    json_object_object_add(body, "holdLeftMs", numberOf(sight.holdLeftMs));
+    json_object_object_add(body, "holdLeftMs", numberOf(sight.hold_left_ms));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
-    json_object_object_add(body, "clockMs", numberOf(viewClockMs(core->view)));
+    json_object_object_add(body, "clockMs", numberOf(view_clock_ms(core->view)));
     json_object *log = json_object_new_object();
     json_object_object_add(log, "lastIndex", numberOf((int64_t)sight.last_index));
-    json_object_object_add(log, "committed", numberOf((int64_t)sight.commitIndex));
-    json_object_object_add(log, "base", numberOf((int64_t)sight.baseIndex));
-    json_object_object_add(log, "viewChanges", numberOf((int64_t)sight.viewChanges));
+    json_object_object_add(log, "committed", numberOf((int64_t)sight.commit_index));
+    json_object_object_add(log, "base", numberOf((int64_t)sight.base_index));
+    json_object_object_add(log, "viewChanges", numberOf((int64_t)sight.view_changes));
     json_object_object_add(log, "syncs", numberOf((int64_t)sight.journal.syncs));
     json_object_object_add(log, "records", numberOf((int64_t)sight.journal.records));
     json_object_object_add(log, "rewrites", numberOf((int64_t)sight.journal.rewrites));
-    json_object_object_add(log, "otherHistories", numberOf((int64_t)sight.otherHistories));
+    json_object_object_add(log, "otherHistories", numberOf((int64_t)sight.other_histories));
     json_object_object_add(log, "tornBytes", numberOf((int64_t)sight.journal.torn_bytes));
     json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
     json_object_object_add(log, "worstSyncMs", numberOf(sight.journal.worst_sync_ms));
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -15,7 +15,7 @@
 
 static bool passLead(Way *way)
 {
-    if (viewLeading(way->core->view))
+    if (view_leading(way->core->view))
         return true;
     showRefusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
@@ -65,7 +65,7 @@
 
 void wayKeepEnd(Way *way, const Job *job)
 {
-    if (job->phase == JOB_ACTIVE || viewClockMs(way->core->view) - job->endedMs > REPAIR_KEEP_MS)
+    if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->endedMs > REPAIR_KEEP_MS)
         return;
     KeepItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
@@ -200,11 +200,11 @@
 {
     const View *view = way->core->view;
     if (proof == PROOF_LEASE)
-        return viewLeading(view) && viewEpoch(view) == epoch;
+        return view_leading(view) && view_epoch(view) == epoch;
     int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
     if (way->task->expiry_ms != 0 && way->task->expiry_ms < until_ms)
         until_ms = way->task->expiry_ms;
-    return viewContact(way->core->view, until_ms) == STATUS_OK && viewEpoch(view) == epoch;
+    return view_contact(way->core->view, until_ms) == STATUS_OK && view_epoch(view) == epoch;
 }
 
 /* The last look before the answer goes out, after all that the route has waited for. */
@@ -228,7 +228,7 @@
         if (!GUARDS[i].pass(&way))
             return;
     bool pathKnown = false;
-    const uint64_t epoch = viewEpoch(core->view);
+    const uint64_t epoch = view_epoch(core->view);
     const Route *route = routeOf(&way, &pathKnown);
     if (route != NULL) {
         route->serve(&way);
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -113,7 +113,7 @@
     const Table *table = way->core->table;
     if (!orderTakes(way, tableDrainKnown(table, &drain)))
         return;
-    const int64_t clock_ms = viewClockMs(way->core->view), lastStamp = tableDrainStamp(table, way->name);
+    const int64_t clock_ms = view_clock_ms(way->core->view), lastStamp = tableDrainStamp(table, way->name);
     drain.stamp = clock_ms > lastStamp ? clock_ms : lastStamp + 1;
     ChangeResult result;
     if (!wayDelivered(way,
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -201,7 +201,7 @@
         break;
     case ACT_STEP_DOWN:
         if (node->up)
-            viewStepDown(node->view, act->forMs);
+            view_step_down(node->view, act->forMs);
         break;
     case ACT_CHANGES:
         changes(explore, node, act->amount);
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -35,19 +35,19 @@
 /* What is committed is never another, and never taken back. */
 static void checkCommitted(Explore *explore, Node *node, const ViewWindow *window)
 {
-    if (window->commitIndex < node->commitSeen)
+    if (window->commit_index < node->commitSeen)
         exploreBreak(explore, RULE_COMMITTED_CHANGED, "%s had committed %" PRIu64 ", now %" PRIu64, node->name,
-                     node->commitSeen, window->commitIndex);
-    node->commitSeen = window->commitIndex;
+                     node->commitSeen, window->commit_index);
+    node->commitSeen = window->commit_index;
     historyFollow(explore, node, window);
     uint64_t epoch;
-    const Item *item = historyItem(&explore->history, window->commitIndex);
-    if (item != NULL && logEpochAt(window->log, window->commitIndex, &epoch) && epoch != item->epoch)
+    const Item *item = historyItem(&explore->history, window->commit_index);
+    if (item != NULL && log_epoch_at(window->log, window->commit_index, &epoch) && epoch != item->epoch)
         exploreBreak(explore, RULE_COMMITTED_CHANGED, "%s holds another entry at %" PRIu64, node->name,
-                     window->commitIndex);
-    const Item *delivered = historyItem(&explore->history, window->deliveredIndex);
-    if (window->deliveredIndex > 0 && (delivered == NULL || delivered->chain != node->chain.hash))
-        exploreBreak(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->deliveredIndex);
+                     window->commit_index);
+    const Item *delivered = historyItem(&explore->history, window->delivered_index);
+    if (window->delivered_index > 0 && (delivered == NULL || delivered->chain != node->chain.hash))
+        exploreBreak(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->delivered_index);
 }
 
 static void checkPromise(Explore *explore, Node *node, const ViewWindow *window)
@@ -60,18 +60,18 @@
     /* just won: the promises of a majority are on disks */
     node->heldEpoch = window->epoch;
     size_t synced = 0;
-    for (size_t i = 0; i < window->voterCount; i++) {
+    for (size_t i = 0; i < window->voter_count; i++) {
         const DiskModel *model = diskOf(explore, window->voters[i]);
         synced += model != NULL && model->promised >= window->epoch;
     }
-    if (synced < lock_majority(window->voterCount))
+    if (synced < lock_majority(window->voter_count))
         exploreBreak(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
-                     epoch_counter(window->epoch), synced, window->voterCount);
+                     epoch_counter(window->epoch), synced, window->voter_count);
 }
 
 static void checkEpochOwner(Explore *explore, const Node *node, uint64_t epoch)
 {
-    const uint64_t disk = viewDisk(node->view);
+    const uint64_t disk = view_disk(node->view);
     for (size_t i = 0; i < explore->leadCount; i++)
         if (explore->leads[i].epoch == epoch) {
             if (explore->leads[i].disk != disk)
@@ -91,20 +91,20 @@
 static bool sameVoters(const History *history, const ViewWindow *window)
 {
     size_t same = 0;
-    for (size_t i = 0; i < window->voterCount; i++)
-        for (size_t k = 0; k < history->voterCount; k++)
+    for (size_t i = 0; i < window->voter_count; i++)
+        for (size_t k = 0; k < history->voter_count; k++)
             same += window->voters[i] == history->voters[k];
-    return same == history->voterCount && same == window->voterCount;
+    return same == history->voter_count && same == window->voter_count;
 }
 
 static size_t listsPending(const ViewWindow *window)
 {
     size_t count = 0;
-    for (uint64_t i = window->commitIndex + 1; i <= logLastIndex(window->log); i++) {
-        const Record *entry = logAt(window->log, i);
+    for (uint64_t i = window->commit_index + 1; i <= log_last_index(window->log); i++) {
+        const Record *entry = log_at(window->log, i);
         uint64_t voters[VIEW_VOTERS_MAX];
-        size_t voterCount;
-        count += entry != NULL && viewWindowList(entry, voters, &voterCount);
+        size_t voter_count;
+        count += entry != NULL && view_window_list(entry, voters, &voter_count);
     }
     return count;
 }
@@ -118,15 +118,15 @@
     node->ledEpoch = window->epoch;
     uint64_t epoch;
     const uint64_t newest = history->items.count;
-    if (newest > window->log->baseIndex &&
-        (!logEpochAt(window->log, newest, &epoch) || epoch != historyItem(history, newest)->epoch))
+    if (newest > window->log->base_index &&
+        (!log_epoch_at(window->log, newest, &epoch) || epoch != historyItem(history, newest)->epoch))
         exploreBreak(explore, RULE_COMMITTED_LOST, "%s leads view %" PRIu64 " without %" PRIu64, node->name,
                      epoch_counter(window->epoch), newest);
-    if (window->listIndex <= window->commitIndex && !sameVoters(history, window))
+    if (window->list_index <= window->commit_index && !sameVoters(history, window))
         exploreBreak(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epoch_counter(window->epoch));
-    if (window->listIndex != node->listSeen && listsPending(window) > 1)
-        exploreBreak(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->listIndex);
-    node->listSeen = window->listIndex;
+    if (window->list_index != node->listSeen && listsPending(window) > 1)
+        exploreBreak(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->list_index);
+    node->listSeen = window->list_index;
 }
 
 static void checkAcks(Explore *explore)
@@ -157,11 +157,11 @@
         if (!node->up || !simAlive(explore->world, node->machine))
             continue;
         ViewWindow window;
-        viewWindow(node->view, &window);
+        view_window(node->view, &window);
         checkPromise(explore, node, &window);
         checkCommitted(explore, node, &window);
-        node->votersBefore = window.voterCount;
-        node->listBefore = window.listIndex;
+        node->votersBefore = window.voter_count;
+        node->listBefore = window.list_index;
         if (window.phase == VIEW_LEADING && nodeLeads(node)) {
             checkLeader(explore, node, &window);
             if (claims != NULL)
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -31,7 +31,7 @@
     const Handing *handing = arg;
     Explore *explore = handing->explore;
     ChangeResult result = {0};
-    const Status status = viewSubmit(handing->node->view, VIEW_CHANGE_FIRST, handing->payload, &result);
+    const Status status = view_submit(handing->node->view, VIEW_CHANGE_FIRST, handing->payload, &result);
     Order *order = &explore->orders[handing->number - 1];
     if (status == STATUS_OK)
         acknowledged(explore, handing->number);
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -16,23 +16,23 @@
 
 const Item *diskItem(const DiskModel *model, uint64_t index)
 {
-    return index > model->baseIndex && index <= model->baseIndex + model->entries.count
-               ? &model->entries.list[index - model->baseIndex - 1]
+    return index > model->base_index && index <= model->base_index + model->entries.count
+               ? &model->entries.list[index - model->base_index - 1]
                : NULL;
 }
 
 static uint64_t last_index(const DiskModel *model)
 {
-    return model->baseIndex + model->entries.count;
+    return model->base_index + model->entries.count;
 }
 
 /* The epoch at the index; false when it is not known there. */
 static bool epochAt(const DiskModel *model, uint64_t index, uint64_t *epoch)
 {
     const Item *item = diskItem(model, index);
-    if (item == NULL && index != model->baseIndex)
+    if (item == NULL && index != model->base_index)
         return false;
-    *epoch = item != NULL ? item->epoch : model->baseEpoch;
+    *epoch = item != NULL ? item->epoch : model->base_epoch;
     return true;
 }
 
@@ -42,7 +42,7 @@
     for (size_t i = 0; i < explore->diskCount; i++) {
         const DiskModel *model = explore->disks[i];
         const Item *item = diskItem(model, index);
-        count += item != NULL ? item->epoch == epoch : index <= model->baseIndex;
+        count += item != NULL ? item->epoch == epoch : index <= model->base_index;
     }
     return count;
 }
@@ -56,8 +56,8 @@
 static void rebase(DiskModel *model, const Record *snapshot)
 {
     model->entries.count = 0;
-    model->baseIndex = snapshot->index;
-    model->baseEpoch = snapshot->epoch;
+    model->base_index = snapshot->index;
+    model->base_epoch = snapshot->epoch;
 }
 
 /* As the view itself reads its journal. */
@@ -142,7 +142,7 @@
     DiskModel before = *model;
     if (whole) {
         model->entries = (Items){0};
-        model->baseIndex = model->baseEpoch = model->promised = 0;
+        model->base_index = model->base_epoch = model->promised = 0;
     } else {
         /* entries are only overwritten after a trim: the older ones are needed to compare */
         before.entries.list = talloc_memdup(explore, model->entries.list, sizeof(Item) * model->entries.count);
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -24,7 +24,7 @@
 /* How often an act is drawn, and within what its span and amount are. */
 static const struct {
     unsigned weight;
-    int64_t leastMs, mostMs;
+    int64_t leastMs, most_ms;
     unsigned least, most;
 } SHAPES[ACT_KINDS] = {
     [ACT_KILL] = {10, 0, 4000, 0, 0},
@@ -101,7 +101,7 @@
         Act *act = &plan->acts[plan->actCount++];
         *act = (Act){at_ms, kind, whoOf(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
         act->forMs =
-            SHAPES[kind].leastMs + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].mostMs - SHAPES[kind].leastMs + 1));
+            SHAPES[kind].leastMs + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].most_ms - SHAPES[kind].leastMs + 1));
         act->amount = SHAPES[kind].least + (unsigned)below(&draw, SHAPES[kind].most - SHAPES[kind].least + 1);
     }
 }
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -24,18 +24,18 @@
 {
     History *history = &explore->history;
     size_t added = 0, gone = 0;
-    for (size_t i = 0; i < item->voterCount; i++)
-        added += !among(history->voters, history->voterCount, item->voters[i]);
-    for (size_t i = 0; i < history->voterCount; i++)
-        gone += !among(item->voters, item->voterCount, history->voters[i]);
-    const size_t both = history->voterCount + added;
-    const bool meet = lock_majority(history->voterCount) + lock_majority(item->voterCount) > both;
-    if (history->voterCount > 0 && (added > 1 || gone > 1 || !meet))
+    for (size_t i = 0; i < item->voter_count; i++)
+        added += !among(history->voters, history->voter_count, item->voters[i]);
+    for (size_t i = 0; i < history->voter_count; i++)
+        gone += !among(item->voters, item->voter_count, history->voters[i]);
+    const size_t both = history->voter_count + added;
+    const bool meet = lock_majority(history->voter_count) + lock_majority(item->voter_count) > both;
+    if (history->voter_count > 0 && (added > 1 || gone > 1 || !meet))
         exploreBreak(explore, RULE_VOTERS_STEP, "at %" PRIu64 ", %zu voters, %zu added, %zu gone", index,
-                     item->voterCount, added, gone);
-    memcpy(history->voters, item->voters, item->voterCount * sizeof(*item->voters));
-    history->voterCount = item->voterCount;
-    history->listIndex = index;
+                     item->voter_count, added, gone);
+    memcpy(history->voters, item->voters, item->voter_count * sizeof(*item->voters));
+    history->voter_count = item->voter_count;
+    history->list_index = index;
     explore->result->voterChanges++;
 }
 
@@ -57,8 +57,8 @@
  * commits, unless it is committed itself: then the one from before the step counts. */
 static size_t votersCounted(const Node *node, const ViewWindow *window)
 {
-    const bool ordered = window->listIndex > node->listBefore && window->listIndex > window->commitIndex;
-    return ordered && node->votersBefore > 0 ? node->votersBefore : window->voterCount;
+    const bool ordered = window->list_index > node->listBefore && window->list_index > window->commit_index;
+    return ordered && node->votersBefore > 0 ? node->votersBefore : window->voter_count;
 }
 
 static void commitOne(Explore *explore, const Node *node, const ViewWindow *window, uint64_t index)
@@ -78,9 +78,9 @@
     Item item = *held;
     item.chain = chainNext(history->items.count > 0 ? history->items.list[history->items.count - 1].chain : 0, held);
     itemsAdd(explore, &history->items, &item);
-    if (history->voterCount == 0) {
+    if (history->voter_count == 0) {
         memcpy(history->voters, window->voters, sizeof(window->voters));
-        history->voterCount = window->voterCount;
+        history->voter_count = window->voter_count;
     }
     if (item.voters != NULL)
         votersNext(explore, index, &item);
@@ -91,6 +91,6 @@
 
 void historyFollow(Explore *explore, const Node *node, const ViewWindow *window)
 {
-    while (explore->history.items.count < window->commitIndex && explore->result->rule == RULE_NONE)
+    while (explore->history.items.count < window->commit_index && explore->result->rule == RULE_NONE)
         commitOne(explore, node, window, explore->history.items.count + 1);
 }
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -17,7 +17,7 @@
     uint64_t chain;   /* of the state after it; history only */
     uint64_t number;  /* of a client's change; 0: the view's own */
     uint64_t *voters; /* null: it holds no list */
-    size_t voterCount;
+    size_t voter_count;
 } Item;
 
 typedef struct Items {
@@ -26,13 +26,13 @@
 } Items;
 
 /* What a disk holds, read from the blocks that were synced.
- * Invariant: entry i (from 0) has index baseIndex + 1 + i. */
+ * Invariant: entry i (from 0) has index base_index + 1 + i. */
 typedef struct DiskModel {
     int machine;
     bool lost; /* wiped, or its machine has gone for good */
     uint64_t disk, cluster;
     uint64_t promised;
-    uint64_t baseIndex, baseEpoch;
+    uint64_t base_index, base_epoch;
     Items entries;
 } DiskModel;
 
@@ -40,9 +40,9 @@
  * Invariant: the item of index i is list[i - 1]. */
 typedef struct History {
     Items items;
-    uint64_t listIndex;
+    uint64_t list_index;
     uint64_t voters[VIEW_VOTERS_MAX];
-    size_t voterCount;
+    size_t voter_count;
 } History;
 
 /* A client's change. */
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -30,7 +30,7 @@
     if (entry->change >= VIEW_CHANGE_FIRST && entry->payload.count >= sizeof(item.number))
         memcpy(&item.number, entry->payload.data, sizeof(item.number));
     uint64_t voters[VIEW_VOTERS_MAX];
-    if (viewWindowList(entry, voters, &item.voterCount))
+    if (view_window_list(entry, voters, &item.voter_count))
         item.voters = talloc_memdup(mem, voters, sizeof(voters));
     return item;
 }
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -79,34 +79,34 @@
                            .state = {&node->chain, deliver, save, load},
                            .losses = explore->plan->losses,
                            .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
-                           .disksKeep = true,
-                           .seatBackMs = explore->plan->voterBackMs,
-                           .snapshotEntries = explore->plan->snapshot};
+                           .disks_keep = true,
+                           .seat_back_ms = explore->plan->voterBackMs,
+                           .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
-    node->view = viewNew(loop, &how);
-    Status status = viewOpenDisk(node->view, NODE_DATA, node->name, failure);
+    node->view = view_new(loop, &how);
+    Status status = view_open_disk(node->view, NODE_DATA, node->name, failure);
     char address[ADDRESS_MAX];
     if (status == STATUS_OK)
         status = courier_listen(node->courier, node->listen, address, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(loop, "%s@%016" PRIx64, node->name, viewDisk(node->view)),
+        .id = talloc_asprintf(loop, "%s@%016" PRIx64, node->name, view_disk(node->view)),
         .name = node->name,
         .role = ROLE_CORE,
         .zone = talloc_asprintf(loop, "zone%d", node->machine % 3),
         .address = node->listen,
         .http = "",
         .incarnation = (uint64_t)loop_wall_ms(loop),
-        .disk = viewDisk(node->view),
-        .empty = !viewFounded(node->view),
+        .disk = view_disk(node->view),
+        .empty = !view_founded(node->view),
     };
     const char *seeds[SEEDS];
     seedsOf(explore, seeds);
     node->members = members_new(loop, loop, node->courier, node->ring, &self, seeds);
-    viewStart(node->view, node->members);
+    view_start(node->view, node->members);
     members_start(node->members);
-    viewFounding(node->view);
+    view_founding(node->view);
     return STATUS_OK;
 }
 
@@ -193,9 +193,10 @@
     Node *node = arg;
     members_set_leaving(node->members);
     members_announce(node->members);
-    if (viewLeading(node->view))
-        viewSettle(node->view);
-    viewLeave(node->view, loop_now_ms(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
+    if (view_leading(node->view))
+        view_settle(node->view);
+    view_leave(node->view,
+               loop_now_ms(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
 
 void nodeLeave(Node *node)
@@ -213,7 +214,7 @@
 
 bool nodeLeads(const Node *node)
 {
-    return node->up && simAlive(node->explore->world, node->machine) && viewLeading(node->view);
+    return node->up && simAlive(node->explore->world, node->machine) && view_leading(node->view);
 }
 
 Node *nodeLeader(Explore *explore)
@@ -234,7 +235,7 @@
 
 bool nodeVotes(const Explore *explore, const Node *node)
 {
-    return node->model != NULL && has(explore->history.voters, explore->history.voterCount, node->model->disk);
+    return node->model != NULL && has(explore->history.voters, explore->history.voter_count, node->model->disk);
 }
 
 static size_t lostOf(const Explore *explore, const uint64_t *disks, size_t count)
@@ -262,15 +263,15 @@
 {
     if (explore->plan->beyond || explore->plan->pace || node->model == NULL)
         return true;
-    if (!bears(explore, node, explore->history.voters, explore->history.voterCount))
+    if (!bears(explore, node, explore->history.voters, explore->history.voter_count))
         return false;
     for (int i = 0; i < explore->nodeCount; i++) {
         const Node *other = &explore->nodes[i];
         if (!other->up)
             continue;
         ViewWindow window;
-        viewWindow(other->view, &window);
-        if (window.listIndex > explore->history.listIndex && !bears(explore, node, window.voters, window.voterCount))
+        view_window(other->view, &window);
+        if (window.list_index > explore->history.list_index && !bears(explore, node, window.voters, window.voter_count))
             return false;
     }
     return true;
@@ -279,7 +280,7 @@
 size_t votersLeft(const Explore *explore)
 {
     const History *history = &explore->history;
-    return history->voterCount - lostOf(explore, history->voters, history->voterCount);
+    return history->voter_count - lostOf(explore, history->voters, history->voter_count);
 }
 
 size_t disksLeft(const Explore *explore)
@@ -292,5 +293,5 @@
 
 bool votersThere(const Explore *explore)
 {
-    return votersLeft(explore) >= lock_majority(explore->history.voterCount);
+    return votersLeft(explore) >= lock_majority(explore->history.voter_count);
 }
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -50,10 +50,10 @@
     clientStart(explore);
     const int64_t until_ms = sim_now_ms(explore->world) + FOUND_MS;
     while (!broken(explore) && sim_now_ms(explore->world) < until_ms &&
-           (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL))
+           (explore->history.voter_count < (size_t)voters || nodeLeader(explore) == NULL))
         runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
-    if (explore->history.voterCount < (size_t)voters || nodeLeader(explore) == NULL)
-        exploreBreak(explore, RULE_NOT_FOUNDED, "%zu voters of %d", explore->history.voterCount, voters);
+    if (explore->history.voter_count < (size_t)voters || nodeLeader(explore) == NULL)
+        exploreBreak(explore, RULE_NOT_FOUNDED, "%zu voters of %d", explore->history.voter_count, voters);
 }
 
 static void adversary(Explore *explore)
@@ -76,17 +76,17 @@
 }
 
 /* ... and as many voters live as are wanted, where there are disks for them. */
-static void whole(Explore *explore, int64_t fromMs)
+static void whole(Explore *explore, int64_t from_ms)
 {
     const size_t wanted = 2 * (size_t)explore->plan->losses + 1;
     while (!broken(explore) && disksLeft(explore) >= wanted &&
-           (explore->history.voterCount < wanted || votersLeft(explore) < wanted)) {
-        if (sim_now_ms(explore->world) >= fromMs + WHOLE_MS)
+           (explore->history.voter_count < wanted || votersLeft(explore) < wanted)) {
+        if (sim_now_ms(explore->world) >= from_ms + WHOLE_MS)
             exploreBreak(explore, RULE_NOT_WHOLE, "%zu of %zu left, %zu wanted", votersLeft(explore),
-                         explore->history.voterCount, wanted);
+                         explore->history.voter_count, wanted);
         runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
     }
-    explore->result->wholeMs = sim_now_ms(explore->world) - fromMs;
+    explore->result->wholeMs = sim_now_ms(explore->world) - from_ms;
 }
 
 /* After all failures have ended, a change is committed within a stated span. */
@@ -97,19 +97,19 @@
     actsEnd(explore);
     exploreSay(explore, "the adversary has ended");
     ExploreResult *result = explore->result;
-    const int64_t fromMs = sim_now_ms(explore->world);
+    const int64_t from_ms = sim_now_ms(explore->world);
     const uint64_t before = result->acknowledged;
     result->lived = votersThere(explore);
     if (explore->plan->pace && !result->lived)
         exploreBreak(explore, RULE_NOT_LIVE, "no majority of the voters is left");
     if (!result->lived)
         return;
-    while (!broken(explore) && result->acknowledged == before && sim_now_ms(explore->world) < fromMs + LIVE_MS)
+    while (!broken(explore) && result->acknowledged == before && sim_now_ms(explore->world) < from_ms + LIVE_MS)
         runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
-    result->liveMs = sim_now_ms(explore->world) - fromMs;
+    result->liveMs = sim_now_ms(explore->world) - from_ms;
     if (result->acknowledged == before)
         exploreBreak(explore, RULE_NOT_LIVE, "%" PRId64 " ms after the last failure", result->liveMs);
-    whole(explore, fromMs);
+    whole(explore, from_ms);
 }
 
 static void dump(const Explore *explore)
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -27,11 +27,11 @@
 } Attempt;
 
 /* What the result speaks of, for those who trace it. */
-static void traceAnswered(const Forwarder *forwarder, const Attempt *attempt, int64_t tookMs)
+static void traceAnswered(const Forwarder *forwarder, const Attempt *attempt, int64_t took_ms)
 {
     char detail[TRACE_DETAIL_BYTES];
     const ForwardAnswer *answer = &attempt->answer;
-    snprintf(detail, sizeof(detail), "%s %d, %lld ms", attempt->ask.method, (int)answer->code, (long long)tookMs);
+    snprintf(detail, sizeof(detail), "%s %d, %lld ms", attempt->ask.method, (int)answer->code, (long long)took_ms);
     for (size_t i = 0; i < answer->keepsCount; i++) {
         const KeepItem *item = &answer->keeps[i];
         void *mem = talloc_new(NULL);
@@ -115,14 +115,14 @@
     attemptsWake(forwarder);
 }
 
-static void waitFor(Forwarder *forwarder, Attempt *attempt, int64_t askedMs)
+static void waitFor(Forwarder *forwarder, Attempt *attempt, int64_t asked_ms)
 {
     Loop *loop = forwarder->settings.loop;
     while (!attempt->done && waysCurrent(forwarder->ways, &attempt->taken) && loop_now_ms(loop) < attempt->deadlineMs) {
-        int64_t heardMs = waysHeardMs(forwarder->ways), wakeMs = attempt->deadlineMs;
-        if (heardMs < askedMs)
-            heardMs = askedMs;
-        const int64_t quietMs = heardMs + ATTEMPT_QUIET_MS;
+        int64_t heard_ms = waysHeardMs(forwarder->ways), wakeMs = attempt->deadlineMs;
+        if (heard_ms < asked_ms)
+            heard_ms = asked_ms;
+        const int64_t quietMs = heard_ms + ATTEMPT_QUIET_MS;
         if (!attempt->taken.own && !forwarder->pinging) {
             if (loop_now_ms(loop) >= quietMs) {
                 whetherAlive(forwarder, attempt);
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -182,10 +182,10 @@
 }
 
 /* Between two pieces of a document other frames have the link. */
-static void pieceRestWait(const Feed *feed, int64_t tookMs)
+static void pieceRestWait(const Feed *feed, int64_t took_ms)
 {
-    const int64_t restMs = tookMs * FEED_PIECE_REST;
-    loop_sleep(feed->loop, restMs < FEED_PIECE_REST_MAX_MS ? restMs : FEED_PIECE_REST_MAX_MS);
+    const int64_t rest_ms = took_ms * FEED_PIECE_REST;
+    loop_sleep(feed->loop, rest_ms < FEED_PIECE_REST_MAX_MS ? rest_ms : FEED_PIECE_REST_MAX_MS);
 }
 
 /* Asks with the revision that it has and is answered when there is news, or after a
@@ -195,13 +195,13 @@
     FeedAsking *asking = arg;
     Feed *feed = asking->feed;
     while (!loop_stopping(feed->loop) && waysCurrent(feed->ways, &asking->taken)) {
-        const int64_t askedMs = loop_now_ms(feed->loop);
+        const int64_t asked_ms = loop_now_ms(feed->loop);
         if (askOnce(feed, &asking->taken, !asking->again) == STATUS_OK)
             asking->again = true;
         else
             waysFailed(feed->ways, &asking->taken);
         if (piecesBegun(&feed->pieces))
-            pieceRestWait(feed, loop_now_ms(feed->loop) - askedMs);
+            pieceRestWait(feed, loop_now_ms(feed->loop) - asked_ms);
     }
     talloc_free(asking);
 }
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -59,9 +59,9 @@
 static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t start_ms, int64_t until_ms)
 {
     const int64_t lostMs = waysLostMs(forwarder->ways);
-    const int64_t fromMs = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
+    const int64_t from_ms = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
-        maybeTaken ? start_ms + forwarder->settings.outcomeWaitMs : fromMs + forwarder->settings.leaderWaitMs;
+        maybeTaken ? start_ms + forwarder->settings.outcomeWaitMs : from_ms + forwarder->settings.leaderWaitMs;
     return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -45,8 +45,8 @@
     if (!sourceGood(source, revisions, ask, answer->epoch, now_ms))
         sourceSet(source, revisions, answer->epoch);
     source->usedMs = now_ms;
-    const bool goesOn = ask->pieceOf == source->version && ask->pieceFrom <= source->length;
-    const uint64_t from = goesOn ? ask->pieceFrom : 0;
+    const bool goes_on = ask->pieceOf == source->version && ask->pieceFrom <= source->length;
+    const uint64_t from = goes_on ? ask->pieceFrom : 0;
     const uint64_t left = source->length - from;
     const Revision *row = rowOf(revisions, source->version);
     if (row == NULL) /* no piece: it is asked for anew */
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -29,7 +29,7 @@
     size_t at;
     int64_t lostMs;
     bool looking;
-    int64_t heardMs;
+    int64_t heard_ms;
     int64_t servedMs; /* INT64_MIN: never */
     int64_t missedMs; /* since when no leader has been heard to serve; INT64_MAX: it serves */
     Signal moved;
@@ -44,7 +44,7 @@
                    .leads = leads,
                    .arg = arg,
                    .lostMs = loop_now_ms(loop),
-                   .heardMs = INT64_MIN,
+                   .heard_ms = INT64_MIN,
                    .servedMs = INT64_MIN,
                    .missedMs = loop_now_ms(loop)};
     return ways;
@@ -274,9 +274,9 @@
 {
     if (!waysCurrent(ways, taken))
         return;
-    ways->heardMs = loop_now_ms(ways->loop);
+    ways->heard_ms = loop_now_ms(ways->loop);
     if (serves) {
-        ways->servedMs = ways->heardMs;
+        ways->servedMs = ways->heard_ms;
         ways->missedMs = INT64_MAX;
     } else {
         miss(ways);
@@ -285,7 +285,7 @@
 
 int64_t waysHeardMs(const Ways *ways)
 {
-    return ways->heardMs;
+    return ways->heard_ms;
 }
 
 void waysTold(Ways *ways, const ForwardAnswer *answer)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -20,7 +20,7 @@
     Ring *ring;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     Feed *feed;
-    int64_t graceMs, unreadyMs;
+    int64_t grace_ms, unreadyMs;
     bool leaving;
     size_t inWork;
 };
@@ -131,7 +131,7 @@
     Gate *gate = talloc_zero(mem, Gate);
     gate->loop = loop;
     gate->ring = ring;
-    gate->graceMs = props->bounds.graceMs;
+    gate->grace_ms = props->bounds.grace_ms;
     gate->unreadyMs = props->bounds.unreadyMs;
     gate->courier = courier_new(gate, loop, ring);
     gate->keeper = keeperNew(gate, loop, props->bounds.retellMs);
@@ -176,7 +176,7 @@
     members_set_leaving(gate->members);
     /* requests are taken on until the last moment: none that was read is cut */
     loop_sleep(gate->loop, gate->unreadyMs);
-    while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->graceMs - DRAIN_MARGIN_MS)
+    while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->grace_ms - DRAIN_MARGIN_MS)
         loop_sleep(gate->loop, DRAIN_LOOK_MS);
 }
 
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -30,9 +30,9 @@
     X(callerTries, "callerTries", 4, "... and tries so often again")                                      \
     X(contactMs, "contactMs", 3000, "a machine is in touch after so long without trouble")                \
     X(ackMs, "ackMs", 4000, "an order of the operator is acknowledged within this")                       \
-    X(syncMs, "syncMs", 4000, "a loss counts for so long after the machine's return")                     \
+    X(sync_ms, "syncMs", 4000, "a loss counts for so long after the machine's return")                    \
     X(drainMs, "drainMs", 2000, "a worker that leaves gets nothing new after this")                       \
-    X(graceMs, "graceMs", 6000, "from the polite stop to the end by force")                               \
+    X(grace_ms, "graceMs", 6000, "from the polite stop to the end by force")                              \
     X(applyMs, "applyMs", 2000, "a document is in force everywhere within this")                          \
     X(revertMs, "revertMs", 250, "a machine that has shown it does not go back after this")               \
     X(evacMs, "evacMs", 5000, "an emptied zone gets nothing new after this")                              \
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -43,9 +43,9 @@
     int64_t refusedMs;              /* every try was turned away, since; 0: not so */
     int64_t cancelSentMs, cancelMs; /* acknowledged */
     JobWord shown;
-    int64_t shownMs; /* its end; 0: not yet */
-    int64_t idle_ms; /* nothing of it runs though there is room, since; 0: not so */
-    int64_t askedMs; /* answered clearly after traffic ended */
+    int64_t shownMs;  /* its end; 0: not yet */
+    int64_t idle_ms;  /* nothing of it runs though there is room, since; 0: not so */
+    int64_t asked_ms; /* answered clearly after traffic ended */
 } BookJob;
 
 typedef struct Book {
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -218,14 +218,14 @@
     const bool cancels = job->draft.lasting || dicePercent(&task->dice, job->kind->cancelPercent);
     const int64_t cancelMs =
         cancels ? groundNowMs(ground) + diceSpan(&task->dice, 200, job->draft.lasting ? 20000 : 4000) : INT64_MAX;
-    int64_t askMs = groundNowMs(ground) + diceSpan(&task->dice, 500, 6000);
+    int64_t ask_ms = groundNowMs(ground) + diceSpan(&task->dice, 500, 6000);
     while (job->shownMs == 0) {
         const int64_t now_ms = groundNowMs(ground);
         if (job->cancelSentMs == 0 && (now_ms >= cancelMs || (job->draft.lasting && task->callers->over)))
             cancel(task);
-        if (now_ms >= askMs || bookDone(job) || job->cancelMs != 0) {
+        if (now_ms >= ask_ms || bookDone(job) || job->cancelMs != 0) {
             askOnce(task);
-            askMs = now_ms + diceSpan(&task->dice, 2000, 8000);
+            ask_ms = now_ms + diceSpan(&task->dice, 2000, 8000);
         }
         loop_sleep(task->loop, ASK_AGAIN_MS);
     }
@@ -325,7 +325,7 @@
     CallerTask *task = arg;
     while (!askOnce(task))
         loop_sleep(task->loop, ASK_AGAIN_MS);
-    task->job->askedMs = groundNowMs(task->callers->ground);
+    task->job->asked_ms = groundNowMs(task->callers->ground);
 }
 
 void callersFinish(Callers *callers)
@@ -413,7 +413,7 @@
     Ground *ground = callers->ground;
     for (size_t i = 0; i < callers->book->count; i++) {
         const BookJob *job = callers->book->jobs[i];
-        if (job->acceptedMs != 0 && job->acceptedMs <= callers->finishMs && job->askedMs == 0 && job->shownMs == 0)
+        if (job->acceptedMs != 0 && job->acceptedMs <= callers->finishMs && job->asked_ms == 0 && job->shownMs == 0)
             rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "nobody tells of %s, accepted by %s",
                        job->draft.id, job->acceptedBy->name);
     }
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -10,8 +10,8 @@
 {
     const int64_t now_ms = groundNowMs(crew->hands->ground);
     if (crew->begun)
-        crew->doneUs += (now_ms - crew->lastMs) * crew->rate;
-    crew->lastMs = now_ms;
+        crew->doneUs += (now_ms - crew->last_ms) * crew->rate;
+    crew->last_ms = now_ms;
 }
 
 /* Away from its data or over several racks it is slower; the slowest member decides. */
@@ -24,7 +24,7 @@
     bool far = false;
     for (size_t i = 0; i < crew->count; i++) {
         const Hand *hand = crew->members[i]->hand;
-        const int64_t own = hand->hangs ? 0 : 10 * hand->speed / hand->slowTimes;
+        const int64_t own = hand->hangs ? 0 : 10 * hand->speed / hand->slow_times;
         rate = own < rate ? own : rate;
         far |= step->near != NULL && strcmp(step->near, hand->rack) != 0;
         far |= step->sameRack && strcmp(hand->rack, crew->members[0]->hand->rack) != 0;
@@ -59,7 +59,7 @@
     return NULL;
 }
 
-void crewJoin(Hands *hands, HandRun *run, int64_t fromMs)
+void crewJoin(Hands *hands, HandRun *run, int64_t from_ms)
 {
     const DraftStep *step = bookStep(run->task);
     const BookJob *job = run->task->job;
@@ -70,11 +70,11 @@
         crew->round = run->round;
         crew->needed = step->gang ? step->count : 1;
         crew->workUs = job->draft.lasting ? ENDLESS_US : step->workMs * 1000;
-        crew->fromMs = fromMs;
+        crew->from_ms = from_ms;
         /* bringing it back takes its time: work that was not done */
-        crew->doneUs = fromMs * 1000 - (fromMs > 0 ? hands->ground->site->restoreMs * 1000 : 0);
+        crew->doneUs = from_ms * 1000 - (from_ms > 0 ? hands->ground->site->restoreMs * 1000 : 0);
         crew->failUs = INT64_MAX;
-        crew->lastMs = groundNowMs(hands->ground);
+        crew->last_ms = groundNowMs(hands->ground);
     }
     run->crew = crew;
     if (crew->count < sizeof(crew->members) / sizeof(crew->members[0]))
@@ -109,14 +109,14 @@
 {
     if (!crew->begun || crew->rate <= 0 || crew->workUs == ENDLESS_US)
         return crew->begun && crew->rate > 0 && crew->failUs < INT64_MAX
-                   ? crew->lastMs + (crew->failUs - crew->doneUs + crew->rate - 1) / crew->rate
+                   ? crew->last_ms + (crew->failUs - crew->doneUs + crew->rate - 1) / crew->rate
                    : INT64_MAX;
     const int64_t untilUs = crew->failUs < crew->workUs ? crew->failUs : crew->workUs;
-    return untilUs <= crew->doneUs ? crew->lastMs
-                                   : crew->lastMs + (untilUs - crew->doneUs + crew->rate - 1) / crew->rate;
+    return untilUs <= crew->doneUs ? crew->last_ms
+                                   : crew->last_ms + (untilUs - crew->doneUs + crew->rate - 1) / crew->rate;
 }
 
 int64_t crewProgressMs(const Crew *crew)
 {
-    return crew->doneUs / 1000 > crew->fromMs ? crew->doneUs / 1000 : crew->fromMs;
+    return crew->doneUs / 1000 > crew->from_ms ? crew->doneUs / 1000 : crew->from_ms;
 }
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -52,7 +52,7 @@
 /* Troubles of the core keep apart: no more is lost at once than is to be borne. */
 static bool fits(const Trouble *list, size_t count, const Trouble *one, const Site *site)
 {
-    const int64_t gapMs = site->syncMs + CORE_GAP_MS;
+    const int64_t gapMs = site->sync_ms + CORE_GAP_MS;
     /* one zone is emptied at a time, too */
     for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].forMs + site->ackMs &&
@@ -68,7 +68,7 @@
 static size_t troublesDraw(Day *day, const DayProps *props, Trouble *list, DayResult *result)
 {
     const Site *site = props->site;
-    const int64_t lastMs = site->trafficMs - CALM_END_MS;
+    const int64_t last_ms = site->trafficMs - CALM_END_MS;
     for (size_t i = 0; i < props->troubles; i++) {
         Dice dice = diceOf(props->seed, "trouble", i);
         Trouble *one = &list[i];
@@ -78,10 +78,10 @@
         while (props->only != NULL && troubleOf(props->only) < TROUBLE_COUNT && one->kind != troubleOf(props->only));
         bool good = false;
         for (int tries = 0; tries < 12 && !good; tries++) {
-            one->at_ms = diceSpan(&dice, 1500, lastMs - 2000);
+            one->at_ms = diceSpan(&dice, 1500, last_ms - 2000);
             one->forMs = diceSpan(&dice, 800, 7000);
             /* a loss counts for a while after the return: the closing fault may be the next */
-            const int64_t endMs = lastMs - (troubleCore(one->kind) ? site->syncMs : 0);
+            const int64_t endMs = last_ms - (troubleCore(one->kind) ? site->sync_ms : 0);
             if (one->at_ms + one->forMs > endMs)
                 one->forMs = endMs - one->at_ms;
             good = one->forMs >= 500 && fits(list, i, one, site);
@@ -180,10 +180,10 @@
             longestMs = chainMs[s] > longestMs ? chainMs[s] : longestMs;
         }
         const int64_t aimMs = longestMs * job->kind->stretchPercent / 100 + job->kind->aimMs;
-        const int64_t tookMs = job->shown == JOB_WORD_DONE ? job->shownMs - job->sent_ms : INT64_MAX;
+        const int64_t took_ms = job->shown == JOB_WORD_DONE ? job->shownMs - job->sent_ms : INT64_MAX;
         result->owed++;
-        result->timely += tookMs <= aimMs;
-        result->late += tookMs > aimMs && tookMs <= aimMs * 3;
+        result->timely += took_ms <= aimMs;
+        result->late += took_ms > aimMs && took_ms <= aimMs * 3;
     }
     if (checkerBroken(day->ground->checker, NEVER_TWO_LEADERS) > 0)
         rulesBroke(&result->rules, RULE_LEADERS, groundDayMs(day->ground), "%s", checkerFirst(day->ground->checker));
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -286,7 +286,7 @@
     if (!node->up || node->leaving)
         return;
     Rolling *rolling = talloc_zero(ground, Rolling);
-    *rolling = (Rolling){node, node->life, groundNowMs(ground) + ground->site->graceMs, false};
+    *rolling = (Rolling){node, node->life, groundNowMs(ground) + ground->site->grace_ms, false};
     node->leaving = true;
     nodeTrouble(node, 0);
     loop_spawn(node->node.loop, "term", termMain, rolling);
@@ -380,7 +380,7 @@
     for (size_t i = 0; i < ground->edgeCount; i++) {
         GroundNode *node = &ground->edges[i];
         if (node->up && node->node.core != NULL && !simFrozen(ground->world, node->machine) &&
-            viewLeading(coreView(node->node.core)))
+            view_leading(coreView(node->node.core)))
             return node;
     }
     return NULL;
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -33,7 +33,7 @@
 
 void handSlow(Hand *hand, int64_t times)
 {
-    hand->slowTimes = times;
+    hand->slow_times = times;
     if (hand->up)
         handPace(hand);
 }
@@ -112,7 +112,7 @@
     if (leaving)
         leaveAcked(hand);
     handOrdersTake(hand, orders, sent_ms);
-    return orders->againMs >= 0 && orders->againMs < ground->site->beatMs ? orders->againMs : ground->site->beatMs;
+    return orders->again_ms >= 0 && orders->again_ms < ground->site->beatMs ? orders->again_ms : ground->site->beatMs;
 }
 
 static void beatMain(void *arg)
@@ -250,7 +250,7 @@
                        .label = i % 2 == 0 ? "a" : "b",
                        .room = {(uint64_t)site->handCpuMilli, (uint64_t)site->handMemMb, 0},
                        .speed = SPEEDS[i % 3],
-                       .slowTimes = 1};
+                       .slow_times = 1};
         snprintf(hand->rack, sizeof(hand->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
                  (int64_t)i / site->zones / site->rackHands);
         if (i % 3 == 1 && site->slowPercent > 0)
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -13,9 +13,9 @@
     struct HandRun *members[128];
     size_t count;
     bool begun;
-    int64_t workUs, doneUs; /* work to be done; done until lastMs */
-    int64_t fromMs;         /* what of it was saved before */
-    int64_t lastMs, rate;   /* work us in each ms */
+    int64_t workUs, doneUs; /* work to be done; done until last_ms */
+    int64_t from_ms;        /* what of it was saved before */
+    int64_t last_ms, rate;  /* work us in each ms */
     int64_t failUs;         /* a member fails by itself there */
     struct HandRun *failing;
 } Crew;
@@ -47,9 +47,9 @@
     char boot[24], rack[24];
     const char *kind, *zone, *label;
     Room room;
-    int64_t speed, slowTimes; /* percent; times */
-    int64_t greyPercent;      /* so many of its rounds fail */
-    bool hangs;               /* nothing on it comes forward */
+    int64_t speed, slow_times; /* percent; times */
+    int64_t greyPercent;       /* so many of its rounds fail */
+    bool hangs;                /* nothing on it comes forward */
     bool up;
     bool leaving;
     int64_t leaveAtMs, leaveAckMs;
@@ -103,7 +103,7 @@
 
 /* --- crews -------------------------------------------------------------------------------- */
 /* The run takes its place in the crew of its round. */
-void crewJoin(Hands *hands, HandRun *run, int64_t fromMs);
+void crewJoin(Hands *hands, HandRun *run, int64_t from_ms);
 void crewLeave(HandRun *run);
 /* What it has done until now. */
 void crewAdvance(Crew *crew);
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -23,7 +23,7 @@
 int64_t handSavedMs(const HandRun *run, bool all)
 {
     const int64_t saveMs = run->hand->hands->ground->site->saveMs, doneMs = crewProgressMs(run->crew);
-    const int64_t keptMs = all ? doneMs : run->crew->fromMs + (doneMs - run->crew->fromMs) / saveMs * saveMs;
+    const int64_t keptMs = all ? doneMs : run->crew->from_ms + (doneMs - run->crew->from_ms) / saveMs * saveMs;
     if (run->task->job->draft.saves && keptMs > run->task->fate->savedMs)
         run->task->fate->savedMs = keptMs;
     return keptMs;
@@ -143,13 +143,13 @@
     const int64_t ownMs = loop_now_ms(hand->loop);
     int64_t wait_ms = hand->runs != NULL ? hand->hold_until_ms - ownMs : 3600000;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
-        int64_t dueMs = crewNextMs(run->crew);
-        if (run->stopAtMs != 0 && run->stopAtMs < dueMs)
-            dueMs = run->stopAtMs;
-        if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gangMs < dueMs)
-            dueMs = run->beganMs + hand->hands->ground->site->gangMs;
-        if (dueMs - now_ms < wait_ms)
-            wait_ms = dueMs - now_ms;
+        int64_t due_ms = crewNextMs(run->crew);
+        if (run->stopAtMs != 0 && run->stopAtMs < due_ms)
+            due_ms = run->stopAtMs;
+        if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gangMs < due_ms)
+            due_ms = run->beganMs + hand->hands->ground->site->gangMs;
+        if (due_ms - now_ms < wait_ms)
+            wait_ms = due_ms - now_ms;
     }
     return ownMs + (wait_ms > 1 ? wait_ms : 1);
 }
@@ -221,8 +221,8 @@
     run->beganMs = groundNowMs(hands->ground);
     hand->runs = run;
     task->live = run;
-    const int64_t fromMs = bookProgress(task, start->saved);
-    crewJoin(hands, run, fromMs > 0 ? fromMs : 0);
+    const int64_t from_ms = bookProgress(task, start->saved);
+    crewJoin(hands, run, from_ms > 0 ? from_ms : 0);
 }
 
 static void seenTake(Hand *hand, uint64_t seen)
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -58,15 +58,15 @@
         return;
     if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
         return;
-    int64_t fromMs = ordering->sent_ms;
-    fromMs = ground->anyMs + ground->site->contactMs > fromMs ? ground->anyMs + ground->site->contactMs : fromMs;
+    int64_t from_ms = ordering->sent_ms;
+    from_ms = ground->anyMs + ground->site->contactMs > from_ms ? ground->anyMs + ground->site->contactMs : from_ms;
     const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queueCount : 0;
-    if (now_ms - fromMs < ground->site->ackMs + queues * ROUTE_MS)
+    if (now_ms - from_ms < ground->site->ackMs + queues * ROUTE_MS)
         return;
     ordering->lateTold = true;
     rulesBroke(ground->rules, RULE_ACK, groundDayMs(ground), "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
                ordering->sent != NULL ? "document" : ordering->zone,
-               ordering->sent != NULL ? ordering->sent->document.revision : 0, now_ms - fromMs);
+               ordering->sent != NULL ? ordering->sent->document.revision : 0, now_ms - from_ms);
 }
 
 /* UNCLEAR: go on; else what ended it. */
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -56,9 +56,9 @@
     const TaskName *name = &start->order->name;
     if (!bookReady(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t dueMs = bookDueWallMs(start->job, name->turn), wall_ms = simWallMs(start->ground->world);
-    if (dueMs != 0 && wall_ms < dueMs - start->ground->site->earlyMs)
-        BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", dueMs - wall_ms);
+    const int64_t due_ms = bookDueWallMs(start->job, name->turn), wall_ms = simWallMs(start->ground->world);
+    if (due_ms != 0 && wall_ms < due_ms - start->ground->site->earlyMs)
+        BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", due_ms - wall_ms);
 }
 
 static void routeCheck(const Start *start)
@@ -109,9 +109,9 @@
     for (size_t i = 0; start->step->gang && i < start->job->taskCount; i++)
         for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->nextLive)
             if (start->job->tasks[i].fate == start->task->fate && run->round == start->order->round &&
-                run->crew != NULL && run->crew->fromMs != (progressMs > 0 ? progressMs : 0))
+                run->crew != NULL && run->crew->from_ms != (progressMs > 0 ? progressMs : 0))
                 BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progressMs,
-                      run->crew->fromMs);
+                      run->crew->from_ms);
     if (job->cancelMs != 0 && start->touch && start->now_ms - job->cancelMs > site->cancelMs)
         BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancelMs);
     if (job->refusedMs != 0)
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -167,11 +167,11 @@
     Trouble *trouble = arg;
     Day *day = trouble->day;
     Ground *ground = day->ground;
-    const int64_t fromMs = ground->beganMs + trouble->at_ms;
-    GroundNode *taker = day->operator->lastTakenMs> fromMs
-        ? day->operator->lastTaker : day->callers->lastTakenMs> fromMs ? day->callers->lastTaker : NULL;
+    const int64_t from_ms = ground->beganMs + trouble->at_ms;
+    GroundNode *taker = day->operator->lastTakenMs> from_ms
+        ? day->operator->lastTaker : day->callers->lastTakenMs> from_ms ? day->callers->lastTaker : NULL;
     if (taker == NULL) {
-        if (groundNowMs(ground) < fromMs + 2000)
+        if (groundNowMs(ground) < from_ms + 2000)
             simAt(ground->world, groundNowMs(ground) + 1, ackLook, trouble);
         return;
     }
--- a/packages/props/include/props/bounds.h
+++ b/packages/props/include/props/bounds.h
@@ -19,12 +19,12 @@
     X(farPercent, "farPercent", 150, 100, 10000,                                                                 \
       "work away from its data, or spread over racks, takes so much of its time")                                \
     X(jobKeepMs, "jobKeepMs", JOB_KEEP_MS, 1000, 86400000, "an ended job is kept so long")                       \
-    X(seatBackMs, "seatBackMs", SEAT_GONE_MS, 1000, 600000,                                                      \
+    X(seat_back_ms, "seatBackMs", SEAT_GONE_MS, 1000, 600000,                                                    \
       "a seat that returns, or is replaced, is whole again within this")                                         \
     X(losses, "losses", 1, 1, 4, "disk machines whose loss at once must be borne: seats are twice that and one") \
     X(founds, "founds", 2, 0, 2,                                                                                 \
       "a cluster is founded: 0 not from here, 1 by the seeds' votes, 2 by three empty disks")                    \
-    X(graceMs, "graceMs", DRAIN_MS, 100, 600000, "SIGTERM: gone within this")                                    \
+    X(grace_ms, "graceMs", DRAIN_MS, 100, 600000, "SIGTERM: gone within this")                                   \
     X(unreadyMs, "unreadyMs", DRAIN_MS / 6, 0, 600000,                                                           \
       "... and not before this: until it has been seen that it is not ready")                                    \
     X(retellMs, "retellMs", REPAIR_KEEP_MS, 0, 3600000,                                                          \
@@ -33,7 +33,7 @@
       "from a leader's loss, a request waits so long for another")                                               \
     X(outcomeWaitMs, "outcomeWaitMs", FORWARD_DEADLINE_MS, 0, 60000,                                             \
       "what a lost leader may have taken is asked again for so long")                                            \
-    X(disksKeep, "disksKeep", 0, 0, 1, "1: what a disk has synced outlasts a loss of power")
+    X(disks_keep, "disksKeep", 0, 0, 1, "1: what a disk has synced outlasts a loss of power")
 
 typedef struct Bounds {
 #define X(name, outside, otherwise, least, most, meaning) int64_t name;
--- a/packages/queue/include/queue/aim.h
+++ b/packages/queue/include/queue/aim.h
@@ -3,18 +3,18 @@
 
 #include "queue/guess.h"
 
-/* When a job, or a turn of it, is worth most: inside spanMs from fromMs (its
+/* When a job, or a turn of it, is worth most: inside spanMs from from_ms (its
  * acceptance or due time, in log time). Until three times that it is worth
  * less, later nothing. A job whose terms name no aim has a span of 0.
  * Invariants: taskMs[s] is what one task of step s should take; afterMs[s] is the
  * longest chain of work from step s to the end, with s itself. */
 typedef struct Aim {
-    int64_t fromMs, spanMs;
+    int64_t from_ms, spanMs;
     int32_t afterMs[JOB_STEPS_MAX], taskMs[JOB_STEPS_MAX];
 } Aim;
 
 /* quarter: a step wider than this runs in waves. */
-void aimFind(const Job *job, int64_t fromMs, const Guesses *guesses, Room quarter, Aim *aim);
+void aimFind(const Job *job, int64_t from_ms, const Guesses *guesses, Room quarter, Aim *aim);
 /* Time that may pass before the step must be under way for the aim to be met;
  * negative: it can't be met any more. */
 int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t now_ms);
--- a/packages/queue/include/queue/guess.h
+++ b/packages/queue/include/queue/guess.h
@@ -12,9 +12,9 @@
 typedef struct Guesses Guesses;
 
 Guesses *guessesNew(void *mem);
-/* A round did the whole of a task's work in tookMs. farPercent: what its place
+/* A round did the whole of a task's work in took_ms. farPercent: what its place
  * made of that; 100: it was near its data. */
-void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t tookMs,
+void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
                 uint64_t farPercent, int64_t now_ms);
 /* What a worker did of late took so many thousandths of what it should have. */
 void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms);
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/aim.c
@@ -24,7 +24,7 @@
     return waves < step->count ? waves : step->count;
 }
 
-void aimFind(const Job *job, int64_t fromMs, const Guesses *guesses, Room quarter, Aim *aim)
+void aimFind(const Job *job, int64_t from_ms, const Guesses *guesses, Room quarter, Aim *aim)
 {
     int64_t longestMs = 0;
     /* steps wait for earlier ones alone */
@@ -42,13 +42,13 @@
         if (aim->afterMs[s] > longestMs)
             longestMs = aim->afterMs[s];
     }
-    aim->fromMs = fromMs;
+    aim->from_ms = from_ms;
     aim->spanMs = (int64_t)job->terms.stretchMilli * longestMs / 1000 + job->terms.targetMs;
 }
 
 int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t now_ms)
 {
-    return aim->fromMs + aim->spanMs - now_ms - aim->afterMs[step];
+    return aim->from_ms + aim->spanMs - now_ms - aim->afterMs[step];
 }
 
 /* Guesses are off by a part: one that misses by less may still make it. */
@@ -71,6 +71,6 @@
     if (canMake(lateMs, workMs))
         return AIM_LATE_RANK + nearness(lateMs);
     /* worth nothing any more; the oldest first */
-    const int64_t ageMs = now_ms - aim->fromMs;
+    const int64_t ageMs = now_ms - aim->from_ms;
     return AIM_LOST_RANK + (double)ageMs / (double)(ageMs + JOB_KEEP_MS);
 }
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -158,12 +158,12 @@
     guesses->poolMedian = sorted[count / 2];
 }
 
-void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t tookMs,
+void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
                 uint64_t farPercent, int64_t now_ms)
 {
-    if (tookMs <= 0 || farPercent == 0)
+    if (took_ms <= 0 || farPercent == 0)
         return;
-    const uint64_t soundMs = (uint64_t)tookMs * 100 / farPercent;
+    const uint64_t soundMs = (uint64_t)took_ms * 100 / farPercent;
     const uint64_t saidMs = job->spec.steps[step].estMs;
     const int64_t expectedMs = guessMs(guesses, job, step);
     const Key key = stepKey(job, step);
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -117,7 +117,7 @@
     const Job *job = note->job;
     const JobTask *task = &job->tasks[at];
     const bool has = aim->spanMs > 0;
-    const int64_t freeMs = task->changedMs > task->rest_until_ms ? task->changedMs : task->rest_until_ms;
+    const int64_t freeMs = task->changed_ms > task->rest_until_ms ? task->changed_ms : task->rest_until_ms;
     Place *place = &line->places[line->count++];
     *place = (Place){
         .candidate = {.job = job,
@@ -125,7 +125,7 @@
                       .count = members,
                       .restart = restart,
                       .rank = rank,
-                      .since_ms = freeMs > aim->fromMs ? freeMs : aim->fromMs,
+                      .since_ms = freeMs > aim->from_ms ? freeMs : aim->from_ms,
                       .slackMs = has ? aimSlackMs(aim, task->step, line->sight->clock.logMs) : INT64_MAX,
                       .spanMs = has ? aim->spanMs : 0,
                       .guessMs = aim->taskMs[task->step]},
@@ -190,7 +190,7 @@
                     aimFind(job, 0, queueGuesses(line->queue), line->quarter, &note->aim);
                 note->learnt = learnt;
                 note->quarter = line->quarter;
-                note->aim.fromMs = queueDueMs(job, turn, line->sight->clock);
+                note->aim.from_ms = queueDueMs(job, turn, line->sight->clock);
                 known = true;
             }
             stepWalk(line, note, first, end, &note->aim);
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -125,7 +125,7 @@
         .job = job,
         .step = &job->spec.steps[job->tasks[task].step],
         .queuePriority = note->queue != NULL ? note->queue->priority : job->terms.priority,
-        .waitedMs = sight->clock.logMs - job->tasks[task].changedMs,
+        .waitedMs = sight->clock.logMs - job->tasks[task].changed_ms,
         .cellUsed = partOf(*accountUse(queue, sight, note->cellAccount), sight->fleet) / 1000,
         .cellShare = note->cell != NULL && shares > 0 ? note->cell->share * 1000 / shares : 0,
         .tenantUsed = partOf(*accountUse(queue, sight, note->tenantAccount), sight->fleet) / 1000,
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -21,8 +21,8 @@
 static int64_t turnWallMs(const Job *job, uint64_t turn)
 {
     const JobSpec *spec = &job->spec;
-    const int64_t turnMs = spec->firstWallMs != 0 ? spec->firstWallMs + (int64_t)turn * spec->periodMs : 0;
-    return turnMs > spec->dueWallMs ? turnMs : spec->dueWallMs;
+    const int64_t turn_ms = spec->firstWallMs != 0 ? spec->firstWallMs + (int64_t)turn * spec->periodMs : 0;
+    return turn_ms > spec->dueWallMs ? turn_ms : spec->dueWallMs;
 }
 
 bool queueDue(const Job *job, uint64_t turn, QueueClock clock)
@@ -33,8 +33,8 @@
 int64_t queueDueMs(const Job *job, uint64_t turn, QueueClock clock)
 {
     const int64_t wall_ms = turnWallMs(job, turn), acceptedMs = job->acceptedMs + job->spec.delayMs;
-    const int64_t dueMs = clock.logMs - (clock.wall_ms - wall_ms);
-    return wall_ms != 0 && dueMs > acceptedMs ? dueMs : acceptedMs;
+    const int64_t due_ms = clock.logMs - (clock.wall_ms - wall_ms);
+    return wall_ms != 0 && due_ms > acceptedMs ? due_ms : acceptedMs;
 }
 
 WaitReason queueWait(const Job *job, size_t task, QueueClock clock)
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -24,8 +24,8 @@
     int losses;    /* disk machines that may be lost at once */
     int gateSeeds; /* so many of the three seeds are gates, the others cores */
     bool votes;    /* founded by the seeds' votes; a process started again founds nothing */
-    bool disksKeep;
-    int64_t seatBackMs;
+    bool disks_keep;
+    int64_t seat_back_ms;
     int64_t staggerMs; /* processes start at moments drawn from so long a span */
 } FleetSite;
 
@@ -83,7 +83,7 @@
 /* Runs on for so long. */
 void fleetRun(Fleet *fleet, int64_t forMs);
 /* Runs until a core leads and all workers are ready, at most so long. */
-bool fleetSettle(Fleet *fleet, int64_t mostMs);
+bool fleetSettle(Fleet *fleet, int64_t most_ms);
 /* Whether callers of the gate can be served now: it is up, and two cores with a
  * seat are, with working disks, each reaching the other and the gate. */
 bool fleetServable(const Fleet *fleet, int gate);
@@ -96,7 +96,7 @@
 /* Hands in the mix for so long, through all gates. */
 Caller *fleetCall(Fleet *fleet, const char *name, int64_t rateMilli, int64_t forMs);
 /* Runs until every accepted job has been shown as ended, at most so long. */
-bool fleetFinish(Fleet *fleet, int64_t mostMs);
+bool fleetFinish(Fleet *fleet, int64_t most_ms);
 /* One request by the operators' machine; runs until it is answered. The result
  * hangs on mem. */
 HttpCall fleetAsk(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -75,7 +75,7 @@
 /* Every frame from and to the machine takes so much longer. */
 void simFar(SimWorld *world, int machine, int64_t moreMs);
 /* Each sync takes so long from now on. */
-void sim_disk_slow(SimWorld *world, int machine, int64_t syncMs);
+void sim_disk_slow(SimWorld *world, int machine, int64_t sync_ms);
 /* Syncs fail from now on. */
 void sim_disk_fail(SimWorld *world, int machine, bool fails);
 /* All files together hold so many bytes at most from now on; 0: no bound. */
@@ -85,7 +85,7 @@
 /* Syncs are acknowledged but lost at the next power-off (or kill). */
 void simDiskLie(SimWorld *world, int machine, bool lies);
 /* Whether the disk syncs within so long, and does not fail. */
-bool simDiskGood(const SimWorld *world, int machine, int64_t mostMs);
+bool simDiskGood(const SimWorld *world, int machine, int64_t most_ms);
 /* An empty disk: a machine replaced. */
 void simDiskWipe(SimWorld *world, int machine);
 /* The content of a file, all of it synced, for tests that spoil it; valid until a process
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -310,10 +310,10 @@
     talloc_free(mem);
 }
 
-int64_t checkerDebtMs(const Checker *checker, int64_t askedMs)
+int64_t checkerDebtMs(const Checker *checker, int64_t asked_ms)
 {
     const int64_t servesMs = checker->faultMs == 0 ? 0 : checker->faultMs + SERVE_LATE_MS;
-    return checkerNow(checker) - (askedMs > servesMs ? askedMs : servesMs);
+    return checkerNow(checker) - (asked_ms > servesMs ? asked_ms : servesMs);
 }
 
 void checkerAccepted(Checker *checker, const char *id)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -127,6 +127,6 @@
 void quotaStart(Checker *checker, const Job *job, Room room);
 /* A span from the later of when something was asked and when the last failure
  * had its 12 s: how long the system has been in debt of it. */
-int64_t checkerDebtMs(const Checker *checker, int64_t askedMs);
+int64_t checkerDebtMs(const Checker *checker, int64_t asked_ms);
 
 #endif
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -34,12 +34,12 @@
 
 static void within(Checker *checker, const char *where, Serve serve, int64_t servedMs)
 {
-    const int64_t tookMs = (servedMs != 0 ? servedMs : checkerNow(checker)) - checker->faultMs;
-    if (tookMs > checker->worstMs[serve])
-        checker->worstMs[serve] = tookMs;
-    if (servedMs == 0 || tookMs > SERVE_LATE_MS)
+    const int64_t took_ms = (servedMs != 0 ? servedMs : checkerNow(checker)) - checker->faultMs;
+    if (took_ms > checker->worstMs[serve])
+        checker->worstMs[serve] = took_ms;
+    if (servedMs == 0 || took_ms > SERVE_LATE_MS)
         checkerBroke(checker, NEVER_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
-                     serveWord(serve), servedMs == 0 ? "not yet," : "first", tookMs);
+                     serveWord(serve), servedMs == 0 ? "not yet," : "first", took_ms);
 }
 
 void checkerMustServe(Checker *checker, const char *name)
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -25,10 +25,10 @@
                      "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
                      task, checkerNow(checker) - seen->sent_ms, job->spec.delayMs);
     const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
-    const int64_t turnMs = taskDueWallMs(job, &job->tasks[at]);
-    if (turnMs != 0 && wall_ms < turnMs - WALL_SLACK_MS)
+    const int64_t turn_ms = taskDueWallMs(job, &job->tasks[at]);
+    if (turn_ms != 0 && wall_ms < turn_ms - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
-                     task, turnMs - wall_ms);
+                     task, turn_ms - wall_ms);
     if (job->spec.dueWallMs != 0 && wall_ms < job->spec.dueWallMs - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id, task,
                      job->spec.dueWallMs - wall_ms);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -106,9 +106,9 @@
     return STATUS_OK;
 }
 
-static int64_t syncMs(const SimFile *sf)
+static int64_t sync_ms(const SimFile *sf)
 {
-    return sf->machine->syncMs + (int64_t)(simRandom(sf->machine->world) % 3);
+    return sf->machine->sync_ms + (int64_t)(simRandom(sf->machine->world) % 3);
 }
 
 Status simFileRead(File *file, void *mem, Bytes *content)
@@ -117,7 +117,7 @@
     SimContent *from = contentOf(sf->machine, sf->path);
     loop_sleep(file->loop, 1);
     if (from->writeCount > 0)
-        loop_sleep(file->loop, syncMs(sf));
+        loop_sleep(file->loop, sync_ms(sf));
     if (sf->machine->diskFails)
         return STATUS_DISK_FAILED;
     synced(sf->machine, from);
@@ -132,7 +132,7 @@
     SimMachine *machine = sf->machine;
     SimContent *content = contentOf(machine, sf->path);
     content->inflight = bytes;
-    loop_sleep(file->loop, syncMs(sf));
+    loop_sleep(file->loop, sync_ms(sf));
     content->inflight = (Bytes){0};
     if (!takes(machine, bytes.count)) {
         written(content, begun(machine, bytes)); /* what a refused write has done nobody knows */
@@ -150,7 +150,7 @@
 {
     SimFile *sf = (SimFile *)file;
     SimMachine *machine = sf->machine;
-    const int64_t wholeMs = syncMs(sf);
+    const int64_t wholeMs = sync_ms(sf);
     SimName *fresh = nameOf(machine, talloc_asprintf(sf, "%s.new", sf->path));
     SimContent *content = talloc_zero(machine->disk, SimContent);
     fresh->content = fresh->lasting = content;
@@ -229,7 +229,7 @@
 
 void sim_disk_slow(SimWorld *world, int machine, int64_t syncTakesMs)
 {
-    world->machines[machine].syncMs = syncTakesMs;
+    world->machines[machine].sync_ms = syncTakesMs;
 }
 
 void sim_disk_fail(SimWorld *world, int machine, bool fails)
@@ -252,9 +252,9 @@
     world->machines[machine].diskLies = lies;
 }
 
-bool simDiskGood(const SimWorld *world, int machine, int64_t mostMs)
+bool simDiskGood(const SimWorld *world, int machine, int64_t most_ms)
 {
-    return !world->machines[machine].diskFails && world->machines[machine].syncMs <= mostMs;
+    return !world->machines[machine].diskFails && world->machines[machine].sync_ms <= most_ms;
 }
 
 void simDiskWipe(SimWorld *world, int machine)
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -43,7 +43,7 @@
         if (!node->up || node->core == NULL)
             continue;
         const Job *job = tableJob(coreTable(node->core), id);
-        if (job != NULL && (found == NULL || viewLeading(coreView(node->core))))
+        if (job != NULL && (found == NULL || view_leading(coreView(node->core))))
             found = job;
     }
     return found;
@@ -69,9 +69,9 @@
     node->props.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
     node->props.zone = ZONES[number % fleet->site.zones];
     node->props.bounds.losses = fleet->site.losses;
-    if (fleet->site.seatBackMs > 0)
-        node->props.bounds.seatBackMs = fleet->site.seatBackMs;
-    node->props.bounds.disksKeep = fleet->site.disksKeep;
+    if (fleet->site.seat_back_ms > 0)
+        node->props.bounds.seat_back_ms = fleet->site.seat_back_ms;
+    node->props.bounds.disks_keep = fleet->site.disks_keep;
     if (fleet->site.votes)
         node->props.bounds.founds = 1;
     node->props.listen = talloc_asprintf(fleet, "%s:7000", ip);
@@ -217,7 +217,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (node->up && node->core != NULL && !simFrozen(fleet->world, node->machine) &&
-            viewLeading(coreView(node->core)))
+            view_leading(coreView(node->core)))
             return i;
     }
     return -1;
@@ -245,9 +245,9 @@
     return count == (size_t)fleet->nodeCount[FLEET_WORKER];
 }
 
-bool fleetSettle(Fleet *fleet, int64_t mostMs)
+bool fleetSettle(Fleet *fleet, int64_t most_ms)
 {
-    const int64_t until_ms = sim_now_ms(fleet->world) + mostMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     while (!settled(fleet) && sim_now_ms(fleet->world) < until_ms)
         fleetRun(fleet, 100);
     return settled(fleet);
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -73,16 +73,16 @@
                          .twins = fleet->shape.mix == MIX_VARIED,
                          .watch = fleetCallerWatch(fleet)};
     for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++)
-        props.entries[props.entryCount++] = fleet->nodes[FLEET_GATE][i].props.http;
+        props.entries[props.entry_count++] = fleet->nodes[FLEET_GATE][i].props.http;
     Loop *loop = simLoop(fleet->world, fleet->caller);
     Caller *caller = callerStart(loop, loop, &props);
     fleet->callers[fleet->callerCount++] = caller;
     return caller;
 }
 
-bool fleetFinish(Fleet *fleet, int64_t mostMs)
+bool fleetFinish(Fleet *fleet, int64_t most_ms)
 {
-    const int64_t until_ms = sim_now_ms(fleet->world) + mostMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     for (;;) {
         bool done = checkerOpen(fleet->checker) == 0;
         for (int i = 0; i < fleet->callerCount; i++)
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -7,7 +7,7 @@
 
 typedef struct SimFrame {
     struct SimFrame *next;
-    int64_t dueMs;
+    int64_t due_ms;
     bool fin;
     Bytes bytes;
 } SimFrame;
@@ -76,7 +76,7 @@
         /* a machine that stands still takes frames all the same: its kernel keeps
          * them, and its process finds them when it wakes, whatever was cut since */
     }
-    while (pair->first[side] != NULL && (pair->first[side]->dueMs <= world->now_ms || pair->end[other] == NULL)) {
+    while (pair->first[side] != NULL && (pair->first[side]->due_ms <= world->now_ms || pair->end[other] == NULL)) {
         SimFrame *frame = pair->first[side];
         pair->first[side] = frame->next;
         if (pair->first[side] == NULL)
@@ -90,7 +90,7 @@
         talloc_free(frame);
     }
     if (pair->first[side] != NULL) {
-        simAt(world, pair->first[side]->dueMs, pump, one);
+        simAt(world, pair->first[side]->due_ms, pump, one);
         return;
     }
     pair->pumping[side] = false;
@@ -149,11 +149,11 @@
     frame->fin = fin;
     frame->bytes = bytes_copy(frame, bytes);
     world->machines[pair->machine[side]].sentBytes += bytes.count;
-    frame->dueMs = simArrivalMs(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
-                   world->machines[pair->machine[0]].farMs + world->machines[pair->machine[1]].farMs;
+    frame->due_ms = simArrivalMs(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
+                    world->machines[pair->machine[0]].farMs + world->machines[pair->machine[1]].farMs;
     if (pair->last[side] != NULL) {
-        if (frame->dueMs < pair->last[side]->dueMs)
-            frame->dueMs = pair->last[side]->dueMs;
+        if (frame->due_ms < pair->last[side]->due_ms)
+            frame->due_ms = pair->last[side]->due_ms;
         pair->last[side]->next = frame;
     } else {
         pair->first[side] = frame;
@@ -163,7 +163,7 @@
         pair->pumping[side] = true;
         SimPump *one = talloc_zero(pair, SimPump);
         *one = (SimPump){pair, side};
-        simAt(world, frame->dueMs, pump, one);
+        simAt(world, frame->due_ms, pump, one);
     }
 }
 
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -23,11 +23,11 @@
         if (!runs(fleet, node) || node->core == NULL)
             continue;
         ViewSight sight;
-        viewSight(coreView(node->core), &sight);
-        if (count > 0 && sight.commitIndex <= furthest)
+        view_sight(coreView(node->core), &sight);
+        if (count > 0 && sight.commit_index <= furthest)
             continue;
-        furthest = sight.commitIndex;
-        count = viewSeats(coreView(node->core), seats);
+        furthest = sight.commit_index;
+        count = view_seats(coreView(node->core), seats);
     }
     return count;
 }
@@ -36,19 +36,19 @@
 static int votersGood(const Fleet *fleet, const FleetNode **good, int *needed)
 {
     uint64_t seats[SEAT_MOST] = {0};
-    const size_t seatCount = votersNow(fleet, seats);
+    const size_t seat_count = votersNow(fleet, seats);
     int count = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!runs(fleet, node) || node->core == NULL || !simDiskGood(fleet->world, node->machine, DISK_GOOD_MS))
             continue;
         bool seated = false;
-        for (size_t s = 0; s < seatCount; s++)
-            seated |= seats[s] == viewDisk(coreView(node->core));
+        for (size_t s = 0; s < seat_count; s++)
+            seated |= seats[s] == view_disk(coreView(node->core));
         if (seated)
             good[count++] = node;
     }
-    *needed = (int)lock_majority(seatCount > SEAT_FIRST ? seatCount : SEAT_FIRST);
+    *needed = (int)lock_majority(seat_count > SEAT_FIRST ? seat_count : SEAT_FIRST);
     return count;
 }
 
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -113,7 +113,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++) {
         FleetNode *worker = fleetNode(fleet, FLEET_WORKER, i);
         worker->workerProps.failsAll = worker->workerProps.repeats = false;
-        worker->workerProps.slowTimes = 1;
+        worker->workerProps.slow_times = 1;
         fleetKill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
     }
     sweepStartAll(sweep);
@@ -239,15 +239,15 @@
     static const int CORES[] = {3, 3, 6, 8};
     static const FleetSite SITES[] = {
         {.zones = 3, .losses = 1},
-        {.zones = 3, .losses = 1, .votes = true, .disksKeep = true, .seatBackMs = 4000, .staggerMs = 500},
+        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000, .staggerMs = 500},
         {.zones = 3,
          .losses = 2,
          .votes = true,
-         .disksKeep = true,
-         .seatBackMs = 6000,
+         .disks_keep = true,
+         .seat_back_ms = 6000,
          .staggerMs = 500,
          .gateSeeds = 1},
-        {.zones = 4, .losses = 2, .votes = true, .disksKeep = true, .seatBackMs = 6000, .staggerMs = 500},
+        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .staggerMs = 500},
     };
     const FleetSite *site = &SITES[props->site];
     Fleet *fleet = fleetNewAt(
@@ -256,7 +256,7 @@
     sweep->fleet = fleet;
     sweep->loud = props->loud;
     sweep->jumped = -1;
-    sweep->liars = props->seed % DISKS_LIE_ONE_IN == 0 && !site->disksKeep;
+    sweep->liars = props->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
     *result = (SweepResult){.good = true};
     fleetStart(fleet);
     if (!fleetSettle(fleet, 30000) || !fleetConfigure(fleet)) {
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -98,9 +98,9 @@
 void actDiskSlow(Sweep *sweep)
 {
     const FleetNode *core = sweepNode(sweep, FLEET_CORE);
-    const int64_t syncMs = sweepDraw(sweep, 2) ? 3 : (int64_t)sweepDraw(sweep, 4000);
-    sweepSay(sweep, "disk of %s takes %" PRId64, core->props.name, syncMs);
-    sim_disk_slow(sweep->fleet->world, core->machine, syncMs);
+    const int64_t sync_ms = sweepDraw(sweep, 2) ? 3 : (int64_t)sweepDraw(sweep, 4000);
+    sweepSay(sweep, "disk of %s takes %" PRId64, core->props.name, sync_ms);
+    sim_disk_slow(sweep->fleet->world, core->machine, sync_ms);
 }
 
 /* Full, or failing: nothing is written until it works again. */
@@ -121,7 +121,7 @@
         return;
     fleetPowerOff(sweep->fleet, FLEET_CORE, core->number);
     Bytes *journal = sim_disk_content(sweep->fleet->world, core->machine, "data/journal");
-    const bool torn = sweepDraw(sweep, 2) == 0 && !sweep->fleet->site.disksKeep;
+    const bool torn = sweepDraw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
     if (torn && journal->count > 600) {
         const size_t cut = 1 + (size_t)sweepDraw(sweep, 300);
         sweepSay(sweep, "%s loses the last %zu bytes", core->props.name, cut);
@@ -221,7 +221,7 @@
 
 void actLinksSlow(Sweep *sweep)
 {
-    const int64_t mostMs = sweepDraw(sweep, 2) ? 3 : 5 + (int64_t)sweepDraw(sweep, 55);
-    sweepSay(sweep, "links take up to %" PRId64, mostMs);
-    simDelay(sweep->fleet->world, 1, mostMs);
+    const int64_t most_ms = sweepDraw(sweep, 2) ? 3 : 5 + (int64_t)sweepDraw(sweep, 55);
+    sweepSay(sweep, "links take up to %" PRId64, most_ms);
+    simDelay(sweep->fleet->world, 1, most_ms);
 }
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -239,7 +239,7 @@
              : how == 2 ? "repeats its reports"
                         : "is well");
     worker->workerProps.failsAll = how == 0;
-    worker->workerProps.slowTimes = how == 1 ? 5 : 1;
+    worker->workerProps.slow_times = how == 1 ? 5 : 1;
     worker->workerProps.repeats = how == 2;
     standWorkerFail(worker->worker, how == 0);
     standWorkerSlow(worker->worker, how == 1 ? 5 : 1);
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -15,7 +15,7 @@
 static int64_t simLoopWallMs(const Loop *loop)
 {
     const SimLoop *sim = (const SimLoop *)loop;
-    return simWallMs(sim->world) + sim->world->machines[sim->machine].wallOffsetMs;
+    return simWallMs(sim->world) + sim->world->machines[sim->machine].wall_offset_ms;
 }
 
 static uint64_t simLoopRandom(Loop *loop)
@@ -169,9 +169,9 @@
     machine->number = number;
     snprintf(machine->ip, sizeof(machine->ip), "10.0.0.%d", number + 1);
     machine->bootOffsetMs = (int64_t)(simRandom(world) % 100000000);
-    machine->wallOffsetMs = (int64_t)(simRandom(world) % 200) - 100;
+    machine->wall_offset_ms = (int64_t)(simRandom(world) % 200) - 100;
     machine->ratePercent = 100;
-    machine->syncMs = 3;
+    machine->sync_ms = 3;
     machine->disk = map_new(world);
     return number;
 }
@@ -305,12 +305,12 @@
 
 void simJump(SimWorld *world, int machine, int64_t byMs)
 {
-    world->machines[machine].wallOffsetMs += byMs;
+    world->machines[machine].wall_offset_ms += byMs;
 }
 
 void simClockRight(SimWorld *world, int machine)
 {
-    world->machines[machine].wallOffsetMs = 0;
+    world->machines[machine].wall_offset_ms = 0;
 }
 
 void simClockRate(SimWorld *world, int number, int64_t percent)
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -60,12 +60,12 @@
     int64_t frozenUntilMs;
     int64_t bootOffsetMs;
     int64_t ratePercent, rateFromMs; /* of its clock, since that world time */
-    int64_t wallOffsetMs;
+    int64_t wall_offset_ms;
     uint64_t sentBytes;
     int64_t bytesPerMs;             /* of its link; 0: unbounded */
     int64_t sendFreeUs, takeFreeUs; /* world time in us; when its link has carried what it was given */
     int64_t farMs;                  /* its frames take so much longer */
-    int64_t syncMs;
+    int64_t sync_ms;
     bool diskFails, diskLies;
     size_t diskRoom; /* bytes of all its files together; 0: no bound */
     Map *disk;       /* path to SimName */
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -34,36 +34,36 @@
     whole.data[500] = 7;
     Record record;
     FillAsk ask = pieceOf(whole, 400, 300);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fillCount(view), 0);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_count(view), 0);
     ask = pieceOf(whole, 0, 400);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BUSY);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fillCount(view), 400);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_count(view), 400);
     ask = pieceOf(whole, 400, 600);
     ask.snapshot.payload.count = 700;
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
     whole.data[500] = 8; /* on its way */
     ask = pieceOf(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BAD_FRAME);
-    assert_int_equal(fillCount(view), 0);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_count(view), 0);
     whole.data[500] = 7;
     ask = pieceOf(whole, 0, 400);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
     ask = pieceOf(whole, 400, 600);
     ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
     ask = pieceOf(whole, 0, 400);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
     ask = pieceOf(whole, 400, 600);
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_OK);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_OK);
     assert_memory_equal(record.payload.data, whole.data, whole.count);
     ask = pieceOf(whole, 0, 1000);
     ask.total = RECORD_MAX_BYTES + 1;
-    assert_int_equal(fillTake(view, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
     talloc_free(fleet);
 }
 
@@ -83,12 +83,12 @@
 static bool caughtUp(Fleet *fleet, int core)
 {
     const int leader = fleetLeader(fleet);
-    return leader >= 0 && runs(fleet, core) && viewOf(fleet, core)->deliveredIndex > 0 &&
-           viewOf(fleet, core)->deliveredIndex + 2 >= viewOf(fleet, leader)->commitIndex;
+    return leader >= 0 && runs(fleet, core) && viewOf(fleet, core)->delivered_index > 0 &&
+           viewOf(fleet, core)->delivered_index + 2 >= viewOf(fleet, leader)->commit_index;
 }
 
 typedef struct CatchUp {
-    int64_t tookMs;      /* from the start of its process */
+    int64_t took_ms;     /* from the start of its process */
     uint64_t bytes;      /* that the leader sent meanwhile, to all */
     size_t memory, disk; /* the most of any core */
 } CatchUp;
@@ -124,7 +124,7 @@
     fleetRun(fleet, 2000);
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
-    const int64_t fromMs = sim_now_ms(fleet->world);
+    const int64_t from_ms = sim_now_ms(fleet->world);
     const uint64_t sent = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine);
     fleetStartNode(fleet, FLEET_CORE, away);
     for (int i = 0; i < 3000 && !caughtUp(fleet, away); i++) {
@@ -132,14 +132,14 @@
         mostTake(fleet, &catchUp);
     }
     assert_true(caughtUp(fleet, away));
-    catchUp.tookMs = sim_now_ms(fleet->world) - fromMs;
+    catchUp.took_ms = sim_now_ms(fleet->world) - from_ms;
     catchUp.bytes = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
-        assert_false(viewDiskFailed(viewOf(fleet, i)));
+        assert_false(view_disk_failed(viewOf(fleet, i)));
     assert_int_equal(checkerBrokenAll(fleet->checker), 0);
     print_message("away for %d changes of %zu bytes: caught up in %d ms with %zu KB; at most %zu KB on disk, %zu KB of "
                   "memory\n",
-                  changes, bytes, (int)catchUp.tookMs, (size_t)catchUp.bytes / 1024, catchUp.disk / 1024,
+                  changes, bytes, (int)catchUp.took_ms, (size_t)catchUp.bytes / 1024, catchUp.disk / 1024,
                   catchUp.memory / 1024);
     talloc_free(fleet);
     return catchUp;
@@ -155,7 +155,7 @@
     const CatchUp most = awayFor(1, 9000, 200, 50); /* beyond a snapshot */
     assert_true(few.bytes < some.bytes && some.bytes < many.bytes);
     assert_true(most.bytes < many.bytes * 2);
-    assert_true(most.tookMs < few.tookMs + 1500);
+    assert_true(most.took_ms < few.took_ms + 1500);
 }
 
 /* A state of so many megabytes: workers whose labels are that long. */
@@ -175,7 +175,7 @@
                                .labelsCount = 1,
                                .excluded = true};
         shape_pack(&WorkerShape, &worker, mem, &payload);
-        viewOffer(viewOf(fleet, fleetLeader(fleet)), CHANGE_WORKER_SET, payload);
+        view_offer(viewOf(fleet, fleetLeader(fleet)), CHANGE_WORKER_SET, payload);
         fleetRun(fleet, 100);
     }
     talloc_free(mem);
@@ -190,7 +190,7 @@
     Fleet *fleet = begin(1);
     const int leader = fleetLeader(fleet), away = (leader + 1) % 3;
     stateGrow(fleet, 34);
-    viewCompactMaybe(viewOf(fleet, leader), true);
+    view_compact_maybe(viewOf(fleet, leader), true);
     fleetRun(fleet, 500);
     assert_true(viewOf(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
     for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
@@ -200,7 +200,7 @@
     simDiskWipe(fleet->world, fleetNode(fleet, FLEET_CORE, away)->machine);
     fleetRun(fleet, 500);
     fleetStartNode(fleet, FLEET_CORE, away);
-    const int64_t fromMs = sim_now_ms(fleet->world);
+    const int64_t from_ms = sim_now_ms(fleet->world);
     uint64_t most = 0;
     for (int i = 0; i < 600 && !(caughtUp(fleet, away) && seated(fleet, away)); i++) {
         fleetRun(fleet, 100);
@@ -208,13 +208,13 @@
             fleetIsolate(fleet, FLEET_CORE, away, true);
         if (i == 90)
             fleetIsolate(fleet, FLEET_CORE, away, false);
-        const uint64_t filled = runs(fleet, away) ? fillCount(viewOf(fleet, away)) : 0;
+        const uint64_t filled = runs(fleet, away) ? fill_count(viewOf(fleet, away)) : 0;
         most = filled > most ? filled : most;
         assert_true(filled == most || filled == 0);
     }
     assert_true(caughtUp(fleet, away) && seated(fleet, away));
     assert_int_equal(fleetLeader(fleet), leader);
-    print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(sim_now_ms(fleet->world) - fromMs));
+    print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(sim_now_ms(fleet->world) - from_ms));
     assert_true(most > FRAME_MAX_BYTES);
     talloc_free(fleet);
 }
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -20,7 +20,7 @@
 
 static inline Fleet *begin(uint64_t seed)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = true, .disksKeep = true};
+    const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = true, .disks_keep = true};
     Fleet *fleet = fleetNewAt(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
     fleetStart(fleet);
     assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
@@ -35,15 +35,15 @@
     void *mem = talloc_new(NULL);
     const Bytes payload = {talloc_zero_size(mem, bytes + 1), bytes, 0};
     for (int i = 0; i < count; i++)
-        if (viewLeading(viewOf(fleet, leader)))
-            viewOffer(viewOf(fleet, leader), FILLER, payload);
+        if (view_leading(viewOf(fleet, leader)))
+            view_offer(viewOf(fleet, leader), FILLER, payload);
     talloc_free(mem);
 }
 
 static inline bool seated(Fleet *fleet, int core)
 {
     const int leader = fleetLeader(fleet);
-    return leader >= 0 && runs(fleet, core) && viewSeatOf(viewOf(fleet, leader), viewDisk(viewOf(fleet, core))) >= 0;
+    return leader >= 0 && runs(fleet, core) && view_seat_of(viewOf(fleet, leader), view_disk(viewOf(fleet, core))) >= 0;
 }
 
 #endif
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -17,9 +17,9 @@
 /* The log as the journal has it, all of it synced. */
 typedef struct Held {
     bool known;
-    uint64_t baseIndex, last_index;
-    uint64_t *epochs; /* of baseIndex + 1 on */
-    uint64_t promised, listIndex;
+    uint64_t base_index, last_index;
+    uint64_t *epochs; /* of base_index + 1 on */
+    uint64_t promised, list_index;
 } Held;
 
 static Held heldOf(Fleet *fleet, int core)
@@ -29,13 +29,13 @@
     if (journal_sync_since(view->journal) != INT64_MAX || journal_failed(view->journal) || view->compacting)
         return held;
     held.known = true;
-    held.baseIndex = view->log->baseIndex;
-    held.last_index = view->queuedIndex;
+    held.base_index = view->log->base_index;
+    held.last_index = view->queued_index;
     held.promised = view->lock.promised;
-    held.listIndex = view->listIndex <= held.last_index ? view->listIndex : 0;
-    held.epochs = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.baseIndex + 1));
-    for (uint64_t i = held.baseIndex + 1; i <= held.last_index; i++)
-        held.epochs[i - held.baseIndex - 1] = logAt(view->log, i)->epoch;
+    held.list_index = view->list_index <= held.last_index ? view->list_index : 0;
+    held.epochs = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.base_index + 1));
+    for (uint64_t i = held.base_index + 1; i <= held.last_index; i++)
+        held.epochs[i - held.base_index - 1] = log_at(view->log, i)->epoch;
     return held;
 }
 
@@ -44,12 +44,12 @@
     const View *view = viewOf(fleet, core);
     if (!held->known)
         return;
-    assert_true(logLastIndex(view->log) >= held->last_index);
+    assert_true(log_last_index(view->log) >= held->last_index);
     assert_true(view->lock.promised >= held->promised);
-    assert_true(view->listIndex >= held->listIndex);
-    for (uint64_t i = held->baseIndex + 1; i <= held->last_index; i++)
-        if (i > view->log->baseIndex)
-            assert_int_equal(logAt(view->log, i)->epoch, held->epochs[i - held->baseIndex - 1]);
+    assert_true(view->list_index >= held->list_index);
+    for (uint64_t i = held->base_index + 1; i <= held->last_index; i++)
+        if (i > view->log->base_index)
+            assert_int_equal(log_at(view->log, i)->epoch, held->epochs[i - held->base_index - 1]);
 }
 
 /* Ends the core and starts it again where nobody reaches it: its log is that of its disk. */
@@ -89,7 +89,7 @@
         break;
     case 3:
         if (runs(fleet, core))
-            viewCompactMaybe(viewOf(fleet, core), true);
+            view_compact_maybe(viewOf(fleet, core), true);
         break;
     default:
         offer(fleet, (int)(simRandom(world) % 20), 10);
@@ -129,7 +129,7 @@
         offer(fleet, 3, 10);
         fleetRun(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
-        viewCompactMaybe(viewOf(fleet, leader), true);
+        view_compact_maybe(viewOf(fleet, leader), true);
         simTurn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
         fleetIsolate(fleet, FLEET_CORE, leader, true);
         fleetRun(fleet, 5000);
@@ -139,9 +139,9 @@
         fleetRun(fleet, 1000);
         fleetIsolate(fleet, FLEET_CORE, leader, false);
         fleetRun(fleet, 5000);
-        const uint64_t told = logLastIndex(viewOf(fleet, leader)->log);
+        const uint64_t told = log_last_index(viewOf(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
-        assert_true(logLastIndex(viewOf(fleet, leader)->log) >= told);
+        assert_true(log_last_index(viewOf(fleet, leader)->log) >= told);
         talloc_free(fleet);
     }
 }
@@ -159,18 +159,18 @@
 {
     Orders *orders = arg;
     View *view = orders->view;
-    const uint64_t index = view->commitIndex;
-    const Record older = {.kind = RECORD_SNAPSHOT, .epoch = view->log->baseEpoch, .index = index - 1, .name = ""};
-    orders->replaced = seatReplace(view, &older, NULL, 0);
-    Record other = *logAt(view->log, index);
+    const uint64_t index = view->commit_index;
+    const Record older = {.kind = RECORD_SNAPSHOT, .epoch = view->log->base_epoch, .index = index - 1, .name = ""};
+    orders->replaced = seat_replace(view, &older, NULL, 0);
+    Record other = *log_at(view->log, index);
     AppendAsk ask = {.epoch = view->lock.promised + 100,
                      .holder = view->disk + 1,
-                     .prevIndex = index - 1,
-                     .prevEpoch = logAt(view->log, index - 1)->epoch,
+                     .prev_index = index - 1,
+                     .prev_epoch = log_at(view->log, index - 1)->epoch,
                      .entries = &other,
-                     .entriesCount = 1};
+                     .entries_count = 1};
     other.epoch = ask.epoch;
-    orders->appended = seatAppend(view, &ask);
+    orders->appended = seat_append(view, &ask);
     orders->done = true;
 }
 
@@ -183,7 +183,7 @@
     offer(fleet, 10, 10);
     fleetRun(fleet, 1000);
     View *view = viewOf(fleet, core);
-    const uint64_t index = view->commitIndex, epoch = logAt(view->log, index)->epoch;
+    const uint64_t index = view->commit_index, epoch = log_at(view->log, index)->epoch;
     Orders orders = {.view = view};
     fleetIsolate(fleet, FLEET_CORE, core, true);
     loop_spawn(simLoop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "orders", ordersMain, &orders);
@@ -191,11 +191,11 @@
     assert_true(orders.done);
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
     assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
-    assert_int_equal(view->commitIndex, index);
-    assert_int_equal(logAt(view->log, index)->epoch, epoch);
+    assert_int_equal(view->commit_index, index);
+    assert_int_equal(log_at(view->log, index)->epoch, epoch);
     ViewSight sight;
-    viewSight(view, &sight);
-    assert_int_equal(sight.otherHistories, 2);
+    view_sight(view, &sight);
+    assert_int_equal(sight.other_histories, 2);
     assert_non_null(strstr(ring_text(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
     talloc_free(fleet);
 }
@@ -208,18 +208,18 @@
     Fleet *fleet = begin(1);
     const int leader = fleetLeader(fleet);
     View *view = viewOf(fleet, leader);
-    assert_true(view->listIndex > 0 && view->listIndex <= view->commitIndex);
+    assert_true(view->list_index > 0 && view->list_index <= view->commit_index);
     fleetIsolate(fleet, FLEET_CORE, leader, true);
     fleetRun(fleet, 3000);
-    const uint64_t listIndex = view->listIndex;
-    for (uint64_t i = listIndex; i <= logLastIndex(view->log); i++) /* as a disk would that lost the entry */
-        view->log->entries[i - view->log->baseIndex - 1].change = FILLER;
-    viewReread(view);
-    assert_true(view->listIndex < listIndex && viewDiskFailed(view));
+    const uint64_t list_index = view->list_index;
+    for (uint64_t i = list_index; i <= log_last_index(view->log); i++) /* as a disk would that lost the entry */
+        view->log->entries[i - view->log->base_index - 1].change = FILLER;
+    view_reread(view);
+    assert_true(view->list_index < list_index && view_disk_failed(view));
     fleetRun(fleet, 10000);
-    assert_false(viewLeading(view));
+    assert_false(view_leading(view));
     const ProposeAsk ask = {UINT64_MAX / 2, view->disk, 0, UINT64_MAX / 2, 1};
-    assert_int_equal(seatPropose(view, &ask), STATUS_DISK_FAILED);
+    assert_int_equal(seat_propose(view, &ask), STATUS_DISK_FAILED);
     talloc_free(fleet);
 }
 
@@ -240,7 +240,7 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed);
         const int core = (int)(seed % 3);
-        const uint64_t before = viewDisk(viewOf(fleet, core));
+        const uint64_t before = view_disk(viewOf(fleet, core));
         offer(fleet, 50, 100);
         fleetRun(fleet, 1000);
         fleetKill(fleet, FLEET_CORE, core);
@@ -252,13 +252,13 @@
         assert_true(runs(fleet, core));
         const View *view = viewOf(fleet, core);
         ViewSight sight;
-        viewSight(view, &sight);
-        assert_true(sight.journal.begun_anew && viewDisk(view) != before);
-        assert_false(viewFounded(view));
-        assert_int_equal(logLastIndex(view->log), 0);
+        view_sight(view, &sight);
+        assert_true(sight.journal.begun_anew && view_disk(view) != before);
+        assert_false(view_founded(view));
+        assert_int_equal(log_last_index(view->log), 0);
         assert_int_equal(view->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
-        assert_int_equal(seatPropose(viewOf(fleet, core), &ask), STATUS_NO_SEAT);
+        assert_int_equal(seat_propose(viewOf(fleet, core), &ask), STATUS_NO_SEAT);
         fleetIsolate(fleet, FLEET_CORE, core, false);
         for (int i = 0; i < 60 && !seated(fleet, core); i++)
             fleetRun(fleet, 500);
@@ -312,14 +312,14 @@
     Fleet *fleet = begin(1);
     const int core = (fleetLeader(fleet) + 1) % 3;
     const View *view = viewOf(fleet, core);
-    const uint64_t before = viewDisk(view);
+    const uint64_t before = view_disk(view);
     const Record far = {.kind = RECORD_ENTRY,
-                        .epoch = logLastEpoch(view->log),
-                        .index = logLastIndex(view->log) + 2,
+                        .epoch = log_last_epoch(view->log),
+                        .index = log_last_index(view->log) + 2,
                         .change = FILLER,
                         .name = ""};
     recordAndRestart(fleet, core, far);
-    assert_true(runs(fleet, core) && viewDisk(viewOf(fleet, core)) != before);
+    assert_true(runs(fleet, core) && view_disk(viewOf(fleet, core)) != before);
     talloc_free(fleet);
 }
 
@@ -328,7 +328,7 @@
 {
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = votes == 1, .disksKeep = true};
+        const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = votes == 1, .disks_keep = true};
         Fleet *fleet = fleetNewAt(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleetStart(fleet);
         assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
@@ -346,7 +346,7 @@
                 fleetStartNode(fleet, (FleetRole)role, 0);
             fleetRun(fleet, 20000);
             for (int core = 0; core < 3; core++)
-                assert_true(runs(fleet, core) && !viewFounded(viewOf(fleet, core)));
+                assert_true(runs(fleet, core) && !view_founded(viewOf(fleet, core)));
         }
         talloc_free(fleet);
     }
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -26,7 +26,7 @@
     int count = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const View *view = viewOf(fleet, i);
-        const uint64_t cluster = view != NULL ? viewCluster(view) : 0;
+        const uint64_t cluster = view != NULL ? view_cluster(view) : 0;
         bool again = cluster == 0;
         for (int k = 0; k < count; k++)
             again |= known[k] == cluster;
@@ -41,14 +41,14 @@
 {
     uint64_t disks[SEAT_MOST];
     const int leader = fleetLeader(fleet);
-    const size_t count = leader >= 0 ? viewSeats(viewOf(fleet, leader), disks) : 0;
+    const size_t count = leader >= 0 ? view_seats(viewOf(fleet, leader), disks) : 0;
     *most = 0;
     for (size_t s = 0; s < count; s++) {
         const char *zones[SEAT_MOST] = {0};
         size_t same = 0;
         for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++)
             for (size_t k = 0; k < count; k++)
-                if (viewOf(fleet, i) != NULL && viewDisk(viewOf(fleet, i)) == disks[k])
+                if (viewOf(fleet, i) != NULL && view_disk(viewOf(fleet, i)) == disks[k])
                     zones[k] = fleetNode(fleet, FLEET_CORE, i)->props.zone;
         for (size_t k = 0; k < count; k++)
             same += zones[s] != NULL && zones[k] != NULL && strcmp(zones[s], zones[k]) == 0;
@@ -58,13 +58,13 @@
 }
 
 /* Seats in the leader's view. */
-static size_t inView(Fleet *fleet)
+static size_t in_view(Fleet *fleet)
 {
     ViewSight sight;
     size_t count = 0;
-    viewSight(viewOf(fleet, fleetLeader(fleet)), &sight);
-    for (size_t i = 0; i < sight.seatCount; i++)
-        count += sight.seats[i].inView;
+    view_sight(viewOf(fleet, fleetLeader(fleet)), &sight);
+    for (size_t i = 0; i < sight.seat_count; i++)
+        count += sight.seats[i].in_view;
     return count;
 }
 
@@ -80,11 +80,11 @@
         assert_true(fleetLeader(fleet) >= 0);
         fleetRun(fleet, SEATED_MS - SERVES_MS);
         size_t most;
-        if (seats(fleet, &most) != wanted || inView(fleet) != wanted)
+        if (seats(fleet, &most) != wanted || in_view(fleet) != wanted)
             fleetDump(fleet);
         assert_int_equal(seats(fleet, &most), wanted);
         assert_true(wanted < 3 || most < wanted / 2 + 1);
-        assert_int_equal(inView(fleet), wanted);
+        assert_int_equal(in_view(fleet), wanted);
         assert_true(fleetConfigure(fleet));
         assert_int_equal(clusters(fleet), 1);
         assert_int_equal(checkerBrokenAll(fleet->checker), 0);
@@ -192,7 +192,7 @@
         for (int i = 0; i < 300 && founder < 0; i++) {
             fleetRun(fleet, 10);
             for (int c = 0; c < 3; c++)
-                if (viewOf(fleet, c) != NULL && viewCluster(viewOf(fleet, c)) != 0)
+                if (viewOf(fleet, c) != NULL && view_cluster(viewOf(fleet, c)) != 0)
                     founder = c;
         }
         assert_true(founder >= 0);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -39,14 +39,14 @@
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
     ViewSight sight;
-    viewSight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
-    assert_true(sight.journal.rewrites > 0 && sight.baseIndex > 0);
+    view_sight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
     fleetStartNode(fleet, FLEET_CORE, away);
     fleetRun(fleet, 20000);
     ViewSight back;
-    viewSight(coreView(fleetNode(fleet, FLEET_CORE, away)->core), &back);
-    assert_true(back.baseIndex >= sight.baseIndex); /* filled from a snapshot */
-    assert_true(back.deliveredIndex > sight.deliveredIndex);
+    view_sight(coreView(fleetNode(fleet, FLEET_CORE, away)->core), &back);
+    assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
+    assert_true(back.delivered_index > sight.delivered_index);
     assert_false(back.woke);
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -55,16 +55,16 @@
     return simRandom(trial->fleet->world) % below;
 }
 
-static size_t inView(Fleet *fleet)
+static size_t in_view(Fleet *fleet)
 {
     const int leader = fleetLeader(fleet);
     if (leader < 0)
         return 0;
     ViewSight sight;
     size_t count = 0;
-    viewSight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
-    for (size_t i = 0; i < sight.seatCount; i++)
-        count += sight.seats[i].inView;
+    view_sight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    for (size_t i = 0; i < sight.seat_count; i++)
+        count += sight.seats[i].in_view;
     return count;
 }
 
@@ -73,11 +73,11 @@
 {
     Fleet *fleet = trial->fleet;
     const int leader = fleetLeader(fleet);
-    if (leader < 0 || inView(fleet) != trial->wanted)
+    if (leader < 0 || in_view(fleet) != trial->wanted)
         return false;
     uint64_t disks[SEAT_MOST];
     const FleetNode *first = fleetNode(fleet, FLEET_CORE, leader);
-    const size_t count = viewSeats(coreView(first->core), disks);
+    const size_t count = view_seats(coreView(first->core), disks);
     size_t good = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const FleetNode *node = fleetNode(fleet, FLEET_CORE, i);
@@ -86,7 +86,7 @@
             simIsCut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
-            good += disks[k] == viewDisk(coreView(node->core));
+            good += disks[k] == view_disk(coreView(node->core));
     }
     return good == trial->wanted;
 }
@@ -98,9 +98,9 @@
     const int leader = fleetLeader(fleet);
     if (leader < 0 || !node->up || node->core == NULL)
         return false;
-    const size_t count = viewSeats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
     for (size_t i = 0; i < count; i++)
-        if (disks[i] == viewDisk(coreView(node->core)))
+        if (disks[i] == view_disk(coreView(node->core)))
             return true;
     return false;
 }
@@ -219,16 +219,16 @@
         const FleetNode *node = fleetNode(fleet, FLEET_CORE, c);
         if (!node->up || node->core == NULL)
             continue;
-        viewSight(coreView(node->core), &sight);
+        view_sight(coreView(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
-                node->props.name, (unsigned long long)viewDisk(coreView(node->core)), (int)sight.phase,
+                node->props.name, (unsigned long long)view_disk(coreView(node->core)), (int)sight.phase,
                 (unsigned long long)sight.epoch, (unsigned long long)sight.last_index,
-                (unsigned long long)sight.commitIndex, (unsigned long long)sight.deliveredIndex,
-                (unsigned long long)sight.baseIndex);
-        for (size_t i = 0; i < sight.seatCount && sight.phase == VIEW_LEADING; i++)
+                (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
+                (unsigned long long)sight.base_index);
+        for (size_t i = 0; i < sight.seat_count && sight.phase == VIEW_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
-                    (unsigned long long)sight.seats[i].disk, sight.seats[i].inView, sight.seats[i].answers,
-                    sight.seats[i].woke, (long)sight.seats[i].syncMs, (unsigned long long)sight.seats[i].matchIndex);
+                    (unsigned long long)sight.seats[i].disk, sight.seats[i].in_view, sight.seats[i].answers,
+                    sight.seats[i].woke, (long)sight.seats[i].sync_ms, (unsigned long long)sight.seats[i].match_index);
     }
 }
 
@@ -262,21 +262,21 @@
     fleetRun(fleet, outMs);
     for (int i = 0; i < count; i++)
         back(trial, &lost[i]);
-    const int64_t fromMs = sim_now_ms(fleet->world);
-    int64_t tookMs = 0;
+    const int64_t from_ms = sim_now_ms(fleet->world);
+    int64_t took_ms = 0;
     bool whole = false;
-    for (; !whole && tookMs < boundMs; tookMs = sim_now_ms(fleet->world) - fromMs) {
+    for (; !whole && took_ms < boundMs; took_ms = sim_now_ms(fleet->world) - from_ms) {
         fleetRun(fleet, 20);
         whole = isWhole(trial);
     }
     if (getenv("SPANCART_LOSSES") != NULL) {
-        printf("%8ld %s%s", (long)fromMs, withLeader ? "leader " : "", whole ? "" : "NOT WHOLE ");
+        printf("%8ld %s%s", (long)from_ms, withLeader ? "leader " : "", whole ? "" : "NOT WHOLE ");
         for (int i = 0; i < count; i++)
             printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].core + 1);
-        printf("out %ld, whole after %ld, gap %ld\n", (long)outMs, (long)tookMs, (long)gapMs(fleet, fromMs - outMs));
+        printf("out %ld, whole after %ld, gap %ld\n", (long)outMs, (long)took_ms, (long)gapMs(fleet, from_ms - outMs));
     }
-    if (tookMs > trial->worstMs) {
-        trial->worstMs = tookMs;
+    if (took_ms > trial->worstMs) {
+        trial->worstMs = took_ms;
         snprintf(trial->worst, sizeof(trial->worst), "%s%s", withLeader ? "leader " : "", WORDS[kind]);
     }
     if (!whole || checkerBrokenAll(fleet->checker) > 0) {
@@ -284,7 +284,7 @@
         votersShow(fleet);
         fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
                  checkerBrokenAll(fleet->checker) > 0 ? checkerFirst(fleet->checker) : "not whole in time", WORDS[kind],
-                 withLeader ? "the leader" : "a follower", inView(fleet), trial->wanted);
+                 withLeader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
     }
 }
 
@@ -300,7 +300,7 @@
     fleetRun(fleet, 1000);
     for (int i = 0; i < rounds; i++) {
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
-        round_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->seatBackMs - 300);
+        round_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->seat_back_ms - 300);
     }
     printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worstMs,
            trial.worst);
@@ -317,7 +317,7 @@
 static void threeSeats(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disksKeep = true, .seatBackMs = 4000};
+    const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000};
     for (uint64_t seed = 1; seed <= 4; seed++)
         one(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
 }
@@ -325,7 +325,7 @@
 static void fiveSeatsOfSix(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disksKeep = true, .seatBackMs = 6000};
+    const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
     for (uint64_t seed = 1; seed <= 3; seed++)
         one(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
 }
@@ -333,7 +333,7 @@
 static void fiveSeatsOfEight(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disksKeep = true, .seatBackMs = 6000};
+    const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
     for (uint64_t seed = 4; seed <= 6; seed++)
         one(seed, (FleetShape){8, 4, 6, MIX_TRENTVALE, 20}, &site, 5, LOSS_COUNT);
 }
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -166,7 +166,7 @@
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     char id[32];
     int64_t startedMs = 0, bothMs = 0;
-    const int64_t fromMs = sim_now_ms(fleet->world);
+    const int64_t from_ms = sim_now_ms(fleet->world);
     for (int i = 0; i < 120 && bothMs == 0; i++) {
         snprintf(id, sizeof(id), "small%d", i);
         hand(fleet, id, "c", "t", "bulk", 44, 4, 3000 + i % 7 * 200);
@@ -182,9 +182,9 @@
         fleetRun(fleet, 900);
         const Job *big = fleetJob(fleet, "big"), *gang = fleetJob(fleet, "gang");
         if (startedMs == 0 && big != NULL && big->tasks[0].startedMs != 0)
-            startedMs = sim_now_ms(fleet->world) - fromMs;
+            startedMs = sim_now_ms(fleet->world) - from_ms;
         if (gang != NULL && gang->tasks[0].startedMs != 0 && gang->tasks[1].startedMs != 0)
-            bothMs = sim_now_ms(fleet->world) - fromMs;
+            bothMs = sim_now_ms(fleet->world) - from_ms;
     }
     print_message("big started after %lld ms, the gang after %lld ms\n", (long long)startedMs, (long long)bothMs);
     assert_true(startedMs > 0 && startedMs < 40000);
@@ -200,7 +200,7 @@
     (void)state;
     Fleet *fleet = begin(mixConfig(MIX_TRENTVALE));
     FleetNode *worker = fleetNode(fleet, FLEET_WORKER, 0);
-    worker->workerProps.slowTimes = 5;
+    worker->workerProps.slow_times = 5;
     standWorkerSlow(worker->worker, 5);
     fleetCall(fleet, "c", 15000, 60000);
     fleetRun(fleet, 60000);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -61,7 +61,7 @@
 }
 
 /* The state as far as these requests change it: equal texts, equal states. */
-static char *stateOf(void *mem, Fleet *fleet)
+static char *state_of(void *mem, Fleet *fleet)
 {
     const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 1, "GET", "/v1/config/history", NULL);
     assert_int_equal(call.code, 200);
@@ -89,30 +89,30 @@
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         const Row *row = &ROWS[i];
         Fleet *fleet = begin(51 + i);
-        const char *before = stateOf(fleet, fleet);
+        const char *before = state_of(fleet, fleet);
         const Handed *handed = request(fleet, row);
         const bool ordered = forwardRepeat(row->method, row->path, row->query) == REPEAT_ORDERED;
         fleetRun(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int gate = fleetNode(fleet, FLEET_GATE, 0)->machine;
         const int leader = fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine;
         simCut(fleet->world, leader, gate, true);
-        const int64_t fromMs = sim_now_ms(fleet->world);
+        const int64_t from_ms = sim_now_ms(fleet->world);
         fleetRun(fleet, COMMITTED_MS);
         assert_false(handed->done);
-        const char *first = stateOf(fleet, fleet);
+        const char *first = state_of(fleet, fleet);
         assert_string_not_equal(first, before);
         while (!handed->done)
             fleetRun(fleet, 5);
-        const int64_t tookMs = sim_now_ms(fleet->world) - fromMs;
+        const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s?%s: %d after %lld ms, %s", row->method, row->path, row->query, handed->task->code,
-                      (long long)tookMs, first);
+                      (long long)took_ms, first);
         assert_int_equal(handed->task->code, row->code);
-        assert_true(tookMs < 4000);
+        assert_true(took_ms < 4000);
         if (row->code == 504)
             assert_true(handed->task->retry_after_s > 0);
         simCut(fleet->world, leader, gate, false);
         fleetRun(fleet, 3000);
-        assert_string_equal(stateOf(fleet, fleet), first); /* applied once */
+        assert_string_equal(state_of(fleet, fleet), first); /* applied once */
         assert_int_equal(checkerBrokenAll(fleet->checker), 0);
         talloc_free(fleet);
     }
@@ -141,10 +141,10 @@
     fleetRun(fleet, 200);
     for (int i = 0; i < 3; i++)
         fleetStartNode(fleet, FLEET_CORE, i);
-    const int64_t fromMs = sim_now_ms(fleet->world);
+    const int64_t from_ms = sim_now_ms(fleet->world);
     while (!handed->done)
         fleetRun(fleet, 5);
-    print_message("%d after %lld ms\n", handed->task->code, (long long)(sim_now_ms(fleet->world) - fromMs));
+    print_message("%d after %lld ms\n", handed->task->code, (long long)(sim_now_ms(fleet->world) - from_ms));
     assert_int_equal(handed->task->code, row.code);
     fleetRun(fleet, 5000);
     assert_non_null(fleetJob(fleet, "one"));
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -16,7 +16,7 @@
 #define SERVED_MS 6000   /* ms; after a loss another core leads within this */
 
 static const FleetSite ONE_LOSS = {
-    .zones = 3, .losses = 1, .votes = true, .disksKeep = true, .seatBackMs = SYNC_MS, .staggerMs = 500};
+    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = SYNC_MS, .staggerMs = 500};
 
 static Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
@@ -112,10 +112,10 @@
     const int leader = fleetLeader(fleet);
     const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
     assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = viewSeats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
-        found |= disks[i] == viewDisk(coreView(node->core));
+        found |= disks[i] == view_disk(coreView(node->core));
     return found;
 }
 
@@ -319,7 +319,7 @@
         }
         for (int i = 0; i < site->losses; i++)
             back(&trial, lost[i], kind);
-        fleetRun(fleet, site->seatBackMs);
+        fleetRun(fleet, site->seat_back_ms);
         mustLead(fleet, "after a loss");
         assert_int_equal(fleetSeats(fleet), 2 * site->losses + 1);
     }
@@ -360,7 +360,7 @@
 {
     (void)state;
     const FleetSite site = {
-        .zones = 3, .losses = 2, .votes = true, .disksKeep = true, .seatBackMs = 6000, .staggerMs = 500};
+        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .staggerMs = 500};
     for (uint64_t seed = 1; seed <= 6; seed++)
         lossRounds(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ROUNDS}, &site, (Target)(seed % TARGETS), false);
 }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -169,7 +169,7 @@
     (void)state;
     Fleet *fleet = begin();
     Loop *loop = simLoop(fleet->world, fleet->caller);
-    CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rateMilli = 10000, .forMs = 3000, .entryCount = 1};
+    CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rateMilli = 10000, .forMs = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
         props.entries[0] = fleetNode(fleet, FLEET_GATE, i)->props.http;
         Caller *caller = callerStart(loop, loop, &props);
@@ -568,16 +568,16 @@
         assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
         fleetRun(fleet, 1000);
         fleetFreeze(fleet, FLEET_CORE, fleetLeader(fleet), 9000);
-        const int64_t fromMs = sim_now_ms(fleet->world);
+        const int64_t from_ms = sim_now_ms(fleet->world);
         const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
-        const int64_t tookMs = sim_now_ms(fleet->world) - fromMs;
-        print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)tookMs,
+        const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
+        print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
                       call.code >= 400 ? 120 : 0, (const char *)call.result.data);
         if (call.code == 503) /* every way was tried before a new leader was heard of */
             assert_true(call.retry_after_s > 0 && ASKED[i].code != 504);
         else
             assert_int_equal(call.code, ASKED[i].code);
-        assert_true(tookMs < 5000);
+        assert_true(took_ms < 5000);
         assert_int_equal(checkerBrokenAll(fleet->checker), 0);
         talloc_free(fleet);
     }
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -41,7 +41,7 @@
 typedef struct Handed {
     FleetNode *node;
     HttpTask *task;
-    int64_t tookMs;
+    int64_t took_ms;
     bool done;
 } Handed;
 
@@ -49,19 +49,19 @@
 {
     Handed *handed = arg;
     Loop *loop = handed->task->loop;
-    const int64_t fromMs = loop_now_ms(loop);
-    handed->task->expiry_ms += handed->task->expiry_ms > 0 ? fromMs : 0;
+    const int64_t from_ms = loop_now_ms(loop);
+    handed->task->expiry_ms += handed->task->expiry_ms > 0 ? from_ms : 0;
     if (handed->node->core != NULL)
         coreTake(handed->node->core, handed->task);
     else
         gateTake(handed->node->gate, handed->task);
-    handed->tookMs = loop_now_ms(loop) - fromMs;
+    handed->took_ms = loop_now_ms(loop) - from_ms;
     handed->done = true;
 }
 
 /* Runs until it is answered. */
 static HttpTask *hand(Fleet *fleet, FleetRole role, int number, const char *method, const char *path, const char *body,
-                      int64_t wait_ms, int64_t *tookMs)
+                      int64_t wait_ms, int64_t *took_ms)
 {
     Handed handed = {.node = fleetNode(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
     *handed.task = (HttpTask){.loop = simLoop(fleet->world, handed.node->machine),
@@ -75,7 +75,7 @@
     loop_spawn(handed.task->loop, "hand", handMain, &handed);
     while (!handed.done)
         fleetRun(fleet, 5);
-    *tookMs = handed.tookMs;
+    *took_ms = handed.took_ms;
     return handed.task;
 }
 
@@ -83,15 +83,15 @@
 {
     (void)state;
     Fleet *fleet = begin(31);
-    int64_t tookMs;
+    int64_t took_ms;
     fleetFreeze(fleet, FLEET_CORE, fleetLeader(fleet), 30000);
-    HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "short"), 300, &tookMs);
+    HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
-    assert_true(tookMs <= 310);
+    assert_true(took_ms <= 310);
     /* whoever has more time is asked again of the next leader */
-    task = hand(fleet, FLEET_GATE, 1, "POST", "/v1/jobs", jobOf(fleet, "long"), 7000, &tookMs);
+    task = hand(fleet, FLEET_GATE, 1, "POST", "/v1/jobs", jobOf(fleet, "long"), 7000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
-    print_message("served after %lld ms\n", (long long)tookMs);
+    print_message("served after %lld ms\n", (long long)took_ms);
     fleetRun(fleet, 30000);
     end(fleet);
 }
@@ -105,13 +105,13 @@
         fleetKill(fleet, FLEET_CORE, i);
     fleetRun(fleet, 600);
     for (int i = 0; i < 20; i++) {
-        int64_t tookMs;
+        int64_t took_ms;
         char *id = talloc_asprintf(fleet, "none-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &tookMs);
+        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
-        if (tookMs > LEADER_WAIT_MS)
-            fail_msg("refused after %lld ms", (long long)tookMs);
+        if (took_ms > LEADER_WAIT_MS)
+            fail_msg("refused after %lld ms", (long long)took_ms);
         fleetRun(fleet, 100);
     }
     end(fleet);
@@ -126,11 +126,11 @@
         sim_disk_slow(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine,
                       240); /* its own and one under way: a leader slower than 500 ms hands over */
     for (int i = 0; i < 5; i++) {
-        int64_t tookMs;
+        int64_t took_ms;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &tookMs);
+        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
-        assert_true(tookMs > 240);
+        assert_true(took_ms > 240);
     }
     end(fleet);
 }
@@ -144,14 +144,14 @@
     const int a = fleetNode(fleet, FLEET_GATE, 0)->machine, b = fleetNode(fleet, FLEET_CORE, leader)->machine;
     simCut(fleet->world, a, b, true);
     simCut(fleet->world, b, a, true);
-    int64_t tookMs;
-    const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "round-0"), 3000, &tookMs);
+    int64_t took_ms;
+    const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "round-0"), 3000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     for (int i = 1; i < 40; i++) {
         char *id = talloc_asprintf(fleet, "round-%d", i);
-        task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &tookMs);
+        task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
-        assert_true(tookMs < 200);
+        assert_true(took_ms < 200);
         fleetRun(fleet, 200);
         assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
     }
@@ -169,13 +169,13 @@
     fleetFreeze(fleet, FLEET_GATE, 0, 3000);
     int slow = 0;
     for (int i = 0; i < 20; i++) {
-        int64_t tookMs;
+        int64_t took_ms;
         char *id = talloc_asprintf(fleet, "own-%d", i);
         const HttpTask *task =
-            hand(fleet, FLEET_CORE, fleetLeader(fleet), "POST", "/v1/jobs", jobOf(fleet, id), 3000, &tookMs);
+            hand(fleet, FLEET_CORE, fleetLeader(fleet), "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
-        assert_true(tookMs < KEEP_ASK_MS + 100);
-        slow += tookMs >= KEEP_ASK_MS;
+        assert_true(took_ms < KEEP_ASK_MS + 100);
+        slow += took_ms >= KEEP_ASK_MS;
     }
     assert_true(slow <= 1);
     end(fleet);
@@ -183,7 +183,7 @@
 
 /* --- readiness ------------------------------------------------------------------------- */
 
-static int readyCount(Fleet *fleet)
+static int ready_count(Fleet *fleet)
 {
     int ready = 0;
     for (int role = FLEET_CORE; role <= FLEET_GATE; role++)
@@ -201,27 +201,27 @@
     (void)state;
     Fleet *fleet = begin(35);
     fleetRun(fleet, 3000);
-    assert_int_equal(readyCount(fleet), 6);
+    assert_int_equal(ready_count(fleet), 6);
     const int leader = fleetLeader(fleet);
     fleetRoll(fleet, FLEET_CORE, leader);
     fleetRun(fleet, 10);
     for (int i = 0; i < 40; i++) {
-        assert_true(readyCount(fleet) >= 5); /* all but the one that leaves */
+        assert_true(ready_count(fleet) >= 5); /* all but the one that leaves */
         fleetRun(fleet, 100);
     }
     fleetRun(fleet, 8000);
-    assert_int_equal(readyCount(fleet), 6);
+    assert_int_equal(ready_count(fleet), 6);
     const int next = fleetLeader(fleet);
     fleetKill(fleet, FLEET_CORE, next);
     fleetRun(fleet, 1500);
-    assert_int_equal(readyCount(fleet), 5);
+    assert_int_equal(ready_count(fleet), 5);
     fleetRun(fleet, 6000);
-    assert_int_equal(readyCount(fleet), 5);
+    assert_int_equal(ready_count(fleet), 5);
     for (int i = 0; i < 3; i++)
         if (i != next)
             fleetKill(fleet, FLEET_CORE, i);
     fleetRun(fleet, 2500);
-    assert_int_equal(readyCount(fleet), 0);
+    assert_int_equal(ready_count(fleet), 0);
     end(fleet);
 }
 
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -30,7 +30,7 @@
 static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++stand->index, .at_ms = viewClockMs(stand->core->view)};
+    Record change = {.change = kind, .index = ++stand->index, .at_ms = view_clock_ms(stand->core->view)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
     const ViewState state = tableState(stand->core->table);
@@ -116,7 +116,7 @@
     core->ring = ring_new(core, "bench");
     core->table = tableNew(core);
     const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = tableState(core->table)};
-    core->view = viewNew(core, &viewProps);
+    core->view = view_new(core, &viewProps);
     core->liveset = livesetNew(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -81,7 +81,7 @@
 typedef struct CallerProps {
     const char *name; /* begins every job's id */
     const char *entries[ENTRIES_MAX];
-    size_t entryCount;
+    size_t entry_count;
     Mix mix;
     bool twins;        /* now and then the same job is sent at two entries at once */
     int64_t rateMilli; /* jobs in a thousand seconds */
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -31,11 +31,11 @@
     Worker worker;
     const char *agent; /* HTTP address */
     StandWorkerWatch watch;
-    Room others;       /* room taken by somebody else, told as not free */
-    bool failsAll;     /* claims health, fails every task */
-    bool repeats;      /* now and then an old report is told again, out of order */
-    bool hangs;        /* what it starts stands still */
-    int64_t slowTimes; /* takes so many times as long; 0 or 1: as asked */
+    Room others;        /* room taken by somebody else, told as not free */
+    bool failsAll;      /* claims health, fails every task */
+    bool repeats;       /* now and then an old report is told again, out of order */
+    bool hangs;         /* what it starts stands still */
+    int64_t slow_times; /* takes so many times as long; 0 or 1: as asked */
 } StandWorkerProps;
 
 StandWorker *standWorkerStart(void *mem, Loop *loop, const StandWorkerProps *props);
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -39,7 +39,7 @@
 {
     Caller *caller = following->caller;
     *call = (HttpCall){.mem = mem,
-                       .address = caller->props.entries[following->entry % caller->props.entryCount],
+                       .address = caller->props.entries[following->entry % caller->props.entry_count],
                        .method = method,
                        .path = path,
                        .wait_ms = 3000};
@@ -198,11 +198,11 @@
     Caller *caller = arg;
     const int64_t start_ms = loop_now_ms(caller->loop);
     for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
-        const int64_t dueMs = start_ms + (int64_t)n * 1000000 / caller->props.rateMilli;
-        if (dueMs - start_ms >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
+        const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->props.rateMilli;
+        if (due_ms - start_ms >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
             break;
-        if (dueMs > loop_now_ms(caller->loop))
-            loop_sleep(caller->loop, dueMs - loop_now_ms(caller->loop));
+        if (due_ms > loop_now_ms(caller->loop))
+            loop_sleep(caller->loop, due_ms - loop_now_ms(caller->loop));
         CallerJob *job = talloc_zero(caller, CallerJob);
         job->kind = drawClass(caller);
         job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, classWord(job->kind), n);
@@ -217,7 +217,7 @@
         caller->jobs[caller->count++] = job;
         caller->open++;
         Following *following = talloc_zero(caller, Following);
-        *following = (Following){caller, job, draw(caller, caller->props.entryCount)};
+        *following = (Following){caller, job, draw(caller, caller->props.entry_count)};
         loop_spawn(caller->loop, "job", followMain, following);
         if (caller->props.twins && draw(caller, 8) == 0) {
             Following *twin = talloc_zero(caller, Following);
@@ -234,7 +234,7 @@
     caller->loop = loop;
     caller->props = *props;
     caller->props.name = talloc_strdup(caller, props->name);
-    for (size_t i = 0; i < props->entryCount; i++)
+    for (size_t i = 0; i < props->entry_count; i++)
         caller->props.entries[i] = talloc_strdup(caller, props->entries[i]);
     caller->draw = loop_random(loop);
     loop_spawn(loop, "hand-in", handInMain, caller);
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -16,8 +16,8 @@
     uint64_t task, round;
     Room room;
     int64_t beganMs, endMs;
-    int64_t fromMs, saveMs, times; /* progress: from where it began, how often it is saved, how slow */
-    char saved[ID_MAX + 48];       /* "TASK@MS of JOB"; empty: nothing */
+    int64_t from_ms, saveMs, times; /* progress: from where it began, how often it is saved, how slow */
+    char saved[ID_MAX + 48];        /* "TASK@MS of JOB"; empty: nothing */
     bool fails;
     bool ended;
     RoundWord word;
@@ -58,10 +58,10 @@
 static void runSave(Run *run, bool all)
 {
     const int64_t ranMs = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
-    int64_t doneMs = run->fromMs + ranMs;
+    int64_t doneMs = run->from_ms + ranMs;
     if (!all)
         doneMs -= doneMs % run->saveMs;
-    if (run->saveMs > 0 && doneMs > run->fromMs)
+    if (run->saveMs > 0 && doneMs > run->from_ms)
         snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, doneMs, run->job);
 }
 
@@ -160,13 +160,13 @@
     json_object_object_get_ex(room, "cpu", &cpu);
     run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)intOf(room, "memMb", 0),
                        (uint64_t)intOf(room, "gpu", 0)};
-    run->times = worker->props.slowTimes > 1 ? worker->props.slowTimes : 1;
+    run->times = worker->props.slow_times > 1 ? worker->props.slow_times : 1;
     run->saveMs = intOf(payload, "saveMs", 0);
     run->beganMs = now_ms;
     snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
     const char *at = strchr(run->saved, '@');
-    run->fromMs = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
-    run->endMs = now_ms + (intOf(payload, "runMs", 1000) - run->fromMs) * run->times;
+    run->from_ms = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
+    run->endMs = now_ms + (intOf(payload, "runMs", 1000) - run->from_ms) * run->times;
     if (worker->props.hangs)
         run->endMs = INT64_MAX / 2;
     run->fails = worker->props.failsAll || (int64_t)round <= intOf(payload, "failRounds", 0);
@@ -368,7 +368,7 @@
 
 void standWorkerSlow(StandWorker *worker, int64_t times)
 {
-    worker->props.slowTimes = times;
+    worker->props.slow_times = times;
 }
 
 void standWorkerRepeat(StandWorker *worker, bool repeats)
--- a/packages/table/include/table/job.h
+++ b/packages/table/include/table/job.h
@@ -91,7 +91,7 @@
     X(U64, incarnation, 0)   /* of the agent that the order was for */                                    \
     X(FLAG, assured, 0)      /* a plan includes its restart */                                            \
     X(I64, rest_until_ms, 0) /* log time; waits at least so long */                                       \
-    X(I64, changedMs, 0)     /* log time of its last change of phase */                                   \
+    X(I64, changed_ms, 0)    /* log time of its last change of phase */                                   \
     X(I64, startedMs, 0)     /* log time of the first round's start; 0: none */                           \
     X(TXT, text, 0)          /* the worker's last word on it */                                           \
     X(TXT, shunned, 0)       /* the worker that its last round failed on, or that refused it */           \
--- a/packages/table/include/table/table.h
+++ b/packages/table/include/table/table.h
@@ -20,7 +20,7 @@
 
 Table *tableNew(void *mem);
 void tableWatch(Table *table, TableFn fn, void *arg);
-/* For viewNew. */
+/* For view_new. */
 ViewState tableState(Table *table);
 
 /* Jobs. Pointers are valid until the next wait. */
--- a/packages/table/src/deliverjob.c
+++ b/packages/table/src/deliverjob.c
@@ -16,7 +16,7 @@
     job->number = table->lastNumber + 1;
     job->acceptedMs = change->at_ms;
     for (size_t i = 0; i < job->tasksCount; i++)
-        job->tasks[i].changedMs = change->at_ms;
+        job->tasks[i].changed_ms = change->at_ms;
     jobEnter(table, job);
     result->number = job->number;
     orphansTake(table, job, change->at_ms);
--- a/packages/table/src/round.c
+++ b/packages/table/src/round.c
@@ -10,12 +10,12 @@
 }
 
 /* Doubled with each in a row. */
-static int64_t restOf(uint64_t misses, int64_t mostMs)
+static int64_t restOf(uint64_t misses, int64_t most_ms)
 {
-    int64_t restMs = FAILED_REST_MS;
-    for (uint64_t i = 1; i < misses && restMs < mostMs; i++)
-        restMs *= 2;
-    return restMs < mostMs ? restMs : mostMs;
+    int64_t rest_ms = FAILED_REST_MS;
+    for (uint64_t i = 1; i < misses && rest_ms < most_ms; i++)
+        rest_ms *= 2;
+    return rest_ms < most_ms ? rest_ms : most_ms;
 }
 
 /* A lasting task goes on whatever the word was; one that never stays up for long
@@ -24,7 +24,7 @@
 {
     if (end->word != ROUND_FAILED && end->word != ROUND_DONE && end->word != ROUND_REFUSED && end->word != ROUND_ALONE)
         return;
-    const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changedMs >= LASTING_STEADY_MS;
+    const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
     task->rest_until_ms = end->at_ms + restOf(task->misses, LASTING_REST_MAX_MS);
 }
