--- a/packages/table/src/turn.c
+++ b/packages/table/src/turn.c
@@ -112,7 +112,7 @@
         ordersTouch(table, worker);
     }
     task->phase = phase;
-    task->changedMs = at_ms;
+    task->changed_ms = at_ms;
     if (!taskOnWorker(phase))
         task->assured = false;
 }
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -52,13 +52,13 @@
         const JobSpec spec = specOf("j", &step, 1);
         const Job *job = jobAdd(&b, &spec, (JobTerms){.roundLimit = limit});
         const uint64_t most = limit > 0 ? limit : 3;
-        int64_t restMs = 0;
+        int64_t rest_ms = 0;
         for (uint64_t round = 1; round <= most; round++) {
             assert_int_equal(job->phase, JOB_ACTIVE);
             round_(&b, round, ROUND_FAILED);
             const int64_t next_ms = job->tasks[0].rest_until_ms - b.at_ms;
-            assert_true(round == most || next_ms > restMs);
-            restMs = next_ms;
+            assert_true(round == most || next_ms > rest_ms);
+            rest_ms = next_ms;
         }
         assert_int_equal(job->phase, JOB_FAILED);
         assert_int_equal(job->tasks[0].phase, TASK_FAILED);
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -237,7 +237,7 @@
     X(U64, incarnation, 0)   \
     X(FLAG, assured, 0)      \
     X(I64, rest_until_ms, 0) \
-    X(I64, changedMs, 0)     \
+    X(I64, changed_ms, 0)    \
     X(I64, startedMs, 0)     \
     X(TXT, text, 0)          \
     X(TXT, shunned, 0)
--- a/packages/view/include/view/membership.h
+++ b/packages/view/include/view/membership.h
@@ -39,14 +39,14 @@
 
 typedef struct Membership {
     const MemberState *voters;
-    size_t voterCount;
+    size_t voter_count;
     const MemberState *learners;
-    size_t learnerCount;
+    size_t learner_count;
     size_t wanted; /* voters */
 } Membership;
 
-MembershipChange membershipNext(const Membership *now);
+MembershipChange membership_next(const Membership *now);
 /* How many more voters may be lost; negative: so many are missing for a majority. */
-int membershipBears(const MemberState *voters, size_t count);
+int membership_bears(const MemberState *voters, size_t count);
 
 #endif
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -32,7 +32,7 @@
     X(U64, epoch, 0)          \
     X(U64, holder, 0)         \
     X(LST, members, DiskId)   \
-    X(TXT, holderId, 0)       \
+    X(TXT, holder_id, 0)      \
     X(FLAG, repair, 0)
 SHAPE(ViewRecord, VIEW_RECORD_FIELDS)
 
@@ -43,44 +43,44 @@
     X(U64, epoch, 0)          \
     X(U64, holder, 0)         \
     X(U64, to, 0)             \
-    X(U64, logEpoch, 0)       \
-    X(U64, logIndex, 0) /* of the asking seat's last entry */
+    X(U64, log_epoch, 0)      \
+    X(U64, log_index, 0) /* of the asking seat's last entry */
 SHAPE(ProposeAsk, PROPOSE_ASK_FIELDS)
 
 /* What a seat is, told with each answer. */
-#define SEAT_ANSWER_FIELDS(X)                                                         \
-    X(U64, promised, 0)                                                               \
-    X(U64, holder, 0)                                                                 \
-    X(FLAG, held, 0)    /* a hold it granted runs */                                  \
-    X(U64, logEpoch, 0) /* of its last entry */                                       \
-    X(U64, logIndex, 0)                                                               \
-    X(FLAG, woke, 0)     /* restarted, and no view has brought it up to date since */ \
-    X(U64, viewEpoch, 0) /* of the last view recorded */                              \
-    X(LST, viewMembers, DiskId)                                                       \
-    X(I64, wall_ms, 0)                                                                \
-    X(I64, syncMs, 0) /* its last sync took so long */                                \
-    X(U64, sight, 0)  /* members that have spoken to it of late */                    \
-    X(U64, filled, 0) /* bytes that it has of a snapshot that comes in pieces */
+#define SEAT_ANSWER_FIELDS(X)                                                          \
+    X(U64, promised, 0)                                                                \
+    X(U64, holder, 0)                                                                  \
+    X(FLAG, held, 0)     /* a hold it granted runs */                                  \
+    X(U64, log_epoch, 0) /* of its last entry */                                       \
+    X(U64, log_index, 0)                                                               \
+    X(FLAG, woke, 0)      /* restarted, and no view has brought it up to date since */ \
+    X(U64, view_epoch, 0) /* of the last view recorded */                              \
+    X(LST, view_members, DiskId)                                                       \
+    X(I64, wall_ms, 0)                                                                 \
+    X(I64, sync_ms, 0) /* its last sync took so long */                                \
+    X(U64, sight, 0)   /* members that have spoken to it of late */                    \
+    X(U64, filled, 0)  /* bytes that it has of a snapshot that comes in pieces */
 SHAPE(SeatAnswer, SEAT_ANSWER_FIELDS)
 
 #define RENEW_ASK_FIELDS(X) \
     X(U64, epoch, 0)        \
     X(U64, holder, 0)       \
-    X(U64, commitIndex, 0)  \
+    X(U64, commit_index, 0) \
     X(I64, clock_ms, 0)     \
-    X(TXT, holderId, 0)     \
+    X(TXT, holder_id, 0)    \
     X(U64, to, 0)           \
     X(U64, next, 0) /* in a release: the seat that is to propose itself at once; 0: none */
 SHAPE(RenewAsk, RENEW_ASK_FIELDS)
 
-/* Entries after (prevEpoch, prevIndex). What the seat has beyond that and the
+/* Entries after (prev_epoch, prev_index). What the seat has beyond that and the
  * holder has not is trimmed. */
 #define APPEND_ASK_FIELDS(X) \
     X(U64, epoch, 0)         \
     X(U64, holder, 0)        \
-    X(U64, prevEpoch, 0)     \
-    X(U64, prevIndex, 0)     \
-    X(U64, commitIndex, 0)   \
+    X(U64, prev_epoch, 0)    \
+    X(U64, prev_index, 0)    \
+    X(U64, commit_index, 0)  \
     X(LST, entries, Record)  \
     X(U64, to, 0)
 SHAPE(AppendAsk, APPEND_ASK_FIELDS)
@@ -94,7 +94,7 @@
     X(U64, epoch, 0)         \
     X(U64, holder, 0)        \
     X(ONE, snapshot, Record) \
-    X(U64, commitIndex, 0)   \
+    X(U64, commit_index, 0)  \
     X(U64, to, 0)            \
     X(FLAG, over, 0)         \
     X(U64, from, 0)          \
@@ -103,11 +103,11 @@
 SHAPE(FillAsk, FILL_ASK_FIELDS)
 
 /* Asks a seat for its log after an index. */
-#define LOG_ASK_FIELDS(X) \
-    X(U64, epoch, 0)      \
-    X(U64, holder, 0)     \
-    X(U64, afterEpoch, 0) \
-    X(U64, afterIndex, 0) \
+#define LOG_ASK_FIELDS(X)  \
+    X(U64, epoch, 0)       \
+    X(U64, holder, 0)      \
+    X(U64, after_epoch, 0) \
+    X(U64, after_index, 0) \
     X(U64, to, 0)
 SHAPE(LogAsk, LOG_ASK_FIELDS)
 
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -43,7 +43,7 @@
 /* Called within the commit of the first entry of a view opened by this node,
  * before it counts as leading; does not wait. repair: it rests on woken seats,
  * so committed changes may have been lost and must be told again. */
-typedef void (*ViewOpened)(void *arg, uint64_t epoch, bool newHolder, bool repair);
+typedef void (*ViewOpened)(void *arg, uint64_t epoch, bool new_holder, bool repair);
 
 /* How this process may come to found a cluster. */
 typedef enum ViewFounds {
@@ -55,82 +55,82 @@
 typedef struct ViewProps {
     Loop *loop;
     Courier *courier;
-    Members *members; /* set by viewStart */
+    Members *members; /* set by view_start */
     Ring *ring;
     ViewState state;
     ViewOpened opened;
-    void *openedArg;
+    void *opened_arg;
     int losses; /* disks that may be lost at once: twice that and one seats are wanted; 0: 1 */
     ViewFounds founds;
-    bool disksKeep;         /* what a disk has synced outlasts a loss of power */
-    int64_t seatBackMs;     /* a seat that returns, or is replaced, is whole again within this; 0: SEAT_GONE_MS */
-    size_t snapshotEntries; /* the log is shortened after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
+    bool disks_keep;         /* what a disk has synced outlasts a loss of power */
+    int64_t seat_back_ms;    /* a seat that returns, or is replaced, is whole again within this; 0: SEAT_GONE_MS */
+    size_t snapshot_entries; /* the log is shortened after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
 } ViewProps;
 
-View *viewNew(void *mem, const ViewProps *props);
-/* Waits. Opens the journal and reads it: from here on viewDisk is known. */
-Status viewOpenDisk(View *view, const char *path, const char *node_name, Failure *failure);
+View *view_new(void *mem, const ViewProps *props);
+/* Waits. Opens the journal and reads it: from here on view_disk is known. */
+Status view_open_disk(View *view, const char *path, const char *node_name, Failure *failure);
 /* Begins to answer as a seat and to stand for the lock. */
-void viewStart(View *view, Members *members);
+void view_start(View *view, Members *members);
 
 /* Waits until the change is delivered here. NOT_LEADER, BUSY: certainly not
  * taken. OUTCOME_UNKNOWN: it may yet be delivered. OK: the result is told. */
-Status viewSubmit(View *view, uint64_t change, Bytes payload, ChangeResult *result);
+Status view_submit(View *view, uint64_t change, Bytes payload, ChangeResult *result);
 
 /* Orders a change and does not wait for it: it is delivered in its place, or this
  * node leads no more. Waits only while the view is opened anew. */
-Status viewOffer(View *view, uint64_t change, Bytes payload);
+Status view_offer(View *view, uint64_t change, Bytes payload);
 /* Waits until all that was ordered so far is delivered here. */
-Status viewSettle(View *view);
+Status view_settle(View *view);
 /* Waits. What was lost has been told again. */
-Status viewRepaired(View *view);
+Status view_repaired(View *view);
 
 /* Whether this node holds the lock and leads, as of now, by its own clock. */
-bool viewLeading(const View *view);
+bool view_leading(const View *view);
 /* Whether it holds the lock, also while it opens a view anew: holds may be
  * answered, nothing may be decided. */
-bool viewHolds(const View *view);
+bool view_holds(const View *view);
 /* Waits until a majority of the seats has granted the lock to this node in answer to
  * questions that were sent after the call: whatever the clocks do, nobody else had led by
  * the time of the call. NOT_LEADER: another may; EXPIRED: nobody knows. */
-Status viewContact(View *view, int64_t until_ms);
-uint64_t viewEpoch(const View *view);
+Status view_contact(View *view, int64_t until_ms);
+uint64_t view_epoch(const View *view);
 /* When this node won the lock from another (or from nobody). */
-int64_t viewWonMs(const View *view);
+int64_t view_won_ms(const View *view);
 /* The time that the log counts: never goes back, passes only while a leader's
  * or follower's own clock passes. */
-int64_t viewClockMs(const View *view);
+int64_t view_clock_ms(const View *view);
 /* The median of the seats' wall clocks, carried on by the own clock. */
-int64_t viewWallMs(const View *view);
-/* Gives the lock up, if held; does not propose itself for restMs. */
-void viewStepDown(View *view, int64_t restMs);
+int64_t view_wall_ms(const View *view);
+/* Gives the lock up, if held; does not propose itself for rest_ms. */
+void view_step_down(View *view, int64_t rest_ms);
 /* Waits, until then at most. The process is to end, and has told the members so: a
  * leader has a learner added as a voter and hands the lock over; whoever leads then
  * removes this voter. Where no learner is there it stays a voter, and says so. */
-void viewLeave(View *view, int64_t until_ms);
+void view_leave(View *view, int64_t until_ms);
 
 /* Cluster and seats. */
-bool viewFounded(const View *view);
-uint64_t viewCluster(const View *view); /* 0: none */
-bool viewSeated(const View *view);
-uint64_t viewDisk(const View *view);
+bool view_founded(const View *view);
+uint64_t view_cluster(const View *view); /* 0: none */
+bool view_seated(const View *view);
+uint64_t view_disk(const View *view);
 /* The disks that have a seat; their count. */
-size_t viewSeats(const View *view, uint64_t seats[SEAT_MOST]);
+size_t view_seats(const View *view, uint64_t seats[SEAT_MOST]);
 /* Waits. Makes this disk part of a cluster. */
-Status viewFound(View *view, uint64_t cluster, const SeatList *seats);
+Status view_found(View *view, uint64_t cluster, const SeatList *seats);
 /* Founds a cluster, as the props say. */
-void viewFounding(View *view);
+void view_founding(View *view);
 /* Whether a lock holder is known to run here (rule 2's question). */
-bool viewKnowsHolder(const View *view);
+bool view_knows_holder(const View *view);
 
 /* For status. */
 typedef struct ViewSeatSight {
     uint64_t disk;
-    bool inView;
+    bool in_view;
     bool answers;
     bool woke;
-    int64_t syncMs;
-    uint64_t matchIndex;
+    int64_t sync_ms;
+    uint64_t match_index;
     uint64_t sight;
 } ViewSeatSight;
 
@@ -139,7 +139,7 @@
     uint64_t disk;
     bool answers;
     bool ready; /* it can be given a vote at once */
-    uint64_t matchIndex;
+    uint64_t match_index;
 } ViewLearnerSight;
 
 typedef struct ViewSight {
@@ -147,24 +147,24 @@
     uint64_t epoch;
     uint64_t holder;
     bool woke;
-    uint64_t last_index, commitIndex, deliveredIndex, baseIndex;
-    int64_t holdLeftMs;
-    uint64_t viewChanges;
-    size_t seatCount; /* of the rows of seats, which are those of the disks that have one */
+    uint64_t last_index, commit_index, delivered_index, base_index;
+    int64_t hold_left_ms;
+    uint64_t view_changes;
+    size_t seat_count; /* of the rows of seats, which are those of the disks that have one */
     ViewSeatSight seats[SEAT_MOST];
-    size_t learnerCount;
+    size_t learner_count;
     ViewLearnerSight learners[LEARNER_MOST];
-    int lossesBorne; /* so many more voters may be lost; negative: so many are missing for a majority */
-    int lossesAsked; /* as the settings ask */
+    int losses_borne; /* so many more voters may be lost; negative: so many are missing for a majority */
+    int losses_asked; /* as the settings ask */
     JournalCounts journal;
-    uint64_t otherHistories; /* orders to drop what is committed, all refused */
+    uint64_t other_histories; /* orders to drop what is committed, all refused */
 } ViewSight;
 
-void viewSight(const View *view, ViewSight *sight);
+void view_sight(const View *view, ViewSight *sight);
 /* For lines of the log, at any time, also before the disk is open: the epoch that this
  * node is in, and how far it knows the log to be committed. */
-void viewPlace(const View *view, uint64_t *epoch, uint64_t *commitIndex);
+void view_place(const View *view, uint64_t *epoch, uint64_t *commit_index);
 /* Raised after each delivery and each change of phase. */
-Signal *viewNews(View *view);
+Signal *view_news(View *view);
 
 #endif
--- a/packages/view/include/view/window.h
+++ b/packages/view/include/view/window.h
@@ -12,15 +12,15 @@
     bool holding;      /* it won the lock and has not given it up */
     uint64_t epoch;    /* its own lead's, while it holds or opens */
     uint64_t promised; /* in memory */
-    uint64_t commitIndex, deliveredIndex;
-    uint64_t listIndex; /* of the entry that holds the list of voters; 0: the founded one */
+    uint64_t commit_index, delivered_index;
+    uint64_t list_index; /* of the entry that holds the list of voters; 0: the founded one */
     uint64_t voters[VIEW_VOTERS_MAX];
-    size_t voterCount;
+    size_t voter_count;
     const Log *log; /* valid until the next wait */
 } ViewWindow;
 
-void viewWindow(const View *view, ViewWindow *window);
+void view_window(const View *view, ViewWindow *window);
 /* The disks of the list of voters that an entry holds; false when it holds none. */
-bool viewWindowList(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count);
+bool view_window_list(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count);
 
 #endif
--- a/packages/view/src/contact.c
+++ b/packages/view/src/contact.c
@@ -3,7 +3,7 @@
 #include "inside.h"
 
 /* How many seats are known to grant the lock to this node since the round was asked for. */
-static size_t contactCount(const View *view, uint64_t wanted)
+static size_t contact_count(const View *view, uint64_t wanted)
 {
     size_t count = 0;
     for (int i = 0; i < SEAT_MOST; i++) {
@@ -17,65 +17,65 @@
     return count;
 }
 
-void contactGranted(View *view, int slot, uint64_t contact)
+void contact_granted(View *view, int slot, uint64_t contact)
 {
     Peer *peer = &view->peers[slot];
     if (contact <= peer->contact)
         return;
     peer->contact = contact;
-    signal_raise(view->loop, &view->contactMade);
+    signal_raise(view->loop, &view->contact_made);
 }
 
-bool contactOwed(const View *view, int slot)
+bool contact_owed(const View *view, int slot)
 {
-    const uint64_t wanted = slot < SEAT_MOST ? view->contactAsked : view->contactLearners;
-    return slotDisk(view, slot) != view->disk && view->peers[slot].contact < wanted;
+    const uint64_t wanted = slot < SEAT_MOST ? view->contact_asked : view->contact_learners;
+    return slot_disk(view, slot) != view->disk && view->peers[slot].contact < wanted;
 }
 
-void contactRest(View *view, int slot, int64_t restMs)
+void contact_rest(View *view, int slot, int64_t rest_ms)
 {
-    const int64_t until_ms = loop_now_ms(view->loop) + restMs;
-    while (signal_wait(view->loop, &view->contactNews, until_ms))
-        if (contactOwed(view, slot))
+    const int64_t until_ms = loop_now_ms(view->loop) + rest_ms;
+    while (signal_wait(view->loop, &view->contact_news, until_ms))
+        if (contact_owed(view, slot))
             return;
 }
 
 /* Whether all that are taken for alive have answered the round. */
-static bool contactWhole(const View *view, uint64_t wanted)
+static bool contact_whole(const View *view, uint64_t wanted)
 {
     bool whole = true;
     for (int i = 0; i < SLOT_MOST; i++) {
-        if (slotDisk(view, i) == 0 || slotDisk(view, i) == view->disk)
+        if (slot_disk(view, i) == 0 || slot_disk(view, i) == view->disk)
             continue;
-        const bool lives = i < SEAT_MOST ? voterLive(view, i) : learnerReady(view, (size_t)(i - SEAT_MOST));
+        const bool lives = i < SEAT_MOST ? voter_live(view, i) : learner_ready(view, (size_t)(i - SEAT_MOST));
         whole &= !lives || view->peers[i].contact >= wanted;
     }
     return whole;
 }
 
-uint64_t contactMembers(View *view, int64_t mostMs)
+uint64_t contact_members(View *view, int64_t most_ms)
 {
-    const uint64_t turn = view->leadTurn, wanted = ++view->contactAsked;
-    const int64_t until_ms = loop_now_ms(view->loop) + mostMs;
-    view->contactLearners = wanted;
-    signal_raise(view->loop, &view->contactNews);
-    while (!leadOver(view, turn) && !contactWhole(view, wanted))
-        if (!signal_wait(view->loop, &view->contactMade, until_ms))
+    const uint64_t turn = view->lead_turn, wanted = ++view->contact_asked;
+    const int64_t until_ms = loop_now_ms(view->loop) + most_ms;
+    view->contact_learners = wanted;
+    signal_raise(view->loop, &view->contact_news);
+    while (!lead_over(view, turn) && !contact_whole(view, wanted))
+        if (!signal_wait(view->loop, &view->contact_made, until_ms))
             break;
     return wanted;
 }
 
-Status viewContact(View *view, int64_t until_ms)
+Status view_contact(View *view, int64_t until_ms)
 {
-    if (!viewLeading(view))
+    if (!view_leading(view))
         return STATUS_NOT_LEADER;
-    const uint64_t epoch = view->epoch, wanted = ++view->contactAsked;
-    signal_raise(view->loop, &view->contactNews);
-    while (contactCount(view, wanted) < viewMajority(view)) {
-        if (!signal_wait(view->loop, &view->contactMade, until_ms))
+    const uint64_t epoch = view->epoch, wanted = ++view->contact_asked;
+    signal_raise(view->loop, &view->contact_news);
+    while (contact_count(view, wanted) < view_majority(view)) {
+        if (!signal_wait(view->loop, &view->contact_made, until_ms))
             return STATUS_EXPIRED;
-        if (view->epoch != epoch || !viewLeading(view))
+        if (view->epoch != epoch || !view_leading(view))
             return STATUS_NOT_LEADER;
     }
-    return view->epoch == epoch && viewLeading(view) ? STATUS_OK : STATUS_NOT_LEADER;
+    return view->epoch == epoch && view_leading(view) ? STATUS_OK : STATUS_NOT_LEADER;
 }
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -7,42 +7,42 @@
 
 #include "inside.h"
 
-Status viewLoad(View *view, const Record *record)
+Status view_load(View *view, const Record *record)
 {
     void *mem = talloc_new(view);
     Snapshot snapshot;
-    Status status = shape_unpack(&SnapshotShape, record->payload, mem, &snapshot, NULL);
+    Status status = shape_unpack(&Snapshot_shape, record->payload, mem, &snapshot, NULL);
     if (status == STATUS_OK)
         status = view->props.state.load(view->props.state.arg, snapshot.state);
     if (status == STATUS_OK)
-        view->deliveredIndex = record->index;
+        view->delivered_index = record->index;
     talloc_free(mem);
     return status;
 }
 
-Status historyRefuse(View *view, uint64_t index)
+Status history_refuse(View *view, uint64_t index)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    view->otherHistories++;
-    if (view->otherToldMs == 0 || now_ms - view->otherToldMs >= HISTORY_TOLD_MS) {
-        view->otherToldMs = now_ms;
+    view->other_histories++;
+    if (view->other_told_ms == 0 || now_ms - view->other_told_ms >= HISTORY_TOLD_MS) {
+        view->other_told_ms = now_ms;
         ring_say(view->props.ring, RING_ALERT, now_ms,
                  "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
-                 status_word(STATUS_OTHER_HISTORY), index, view->commitIndex);
+                 status_word(STATUS_OTHER_HISTORY), index, view->commit_index);
     }
     return STATUS_OTHER_HISTORY;
 }
 
 /* --- snapshots ------------------------------------------------------------------ */
 
-Record *viewRecords(View *view, void *mem, size_t *count)
+Record *view_records(View *view, void *mem, size_t *count)
 {
     const Log *log = view->log;
     Record *records = talloc_zero_array(mem, Record, (unsigned)(log->count + 3));
     size_t at = 0;
     if (view->cluster != 0) {
         records[at] = (Record){.kind = RECORD_CLUSTER, .epoch = view->cluster, .name = ""};
-        shape_pack(&SeatListShape, view->founded, mem, &records[at++].payload);
+        shape_pack(&SeatList_shape, view->founded, mem, &records[at++].payload);
         records[at++] =
             (Record){.kind = RECORD_PROMISE, .epoch = view->lock.promised, .index = view->lock.holder, .name = ""};
     }
@@ -56,63 +56,66 @@
 
 /* Waits. The whole journal anew. All entries are in it, also those that it had not been
  * given before: from here on they count as queued, so that dropping them is written too. */
-static Status journalAnew(View *view)
+static Status journal_anew(View *view)
 {
     void *mem = talloc_new(view);
     size_t count;
-    const Record *records = viewRecords(view, mem, &count);
-    view->queuedIndex = logLastIndex(view->log);
+    const Record *records = view_records(view, mem, &count);
+    view->queued_index = log_last_index(view->log);
     const Status status = journal_rewrite(view->journal, records, count);
     talloc_free(mem);
     return status;
 }
 
-static void compactMain(void *arg)
+static void compact_main(void *arg)
 {
     View *view = arg;
-    journalAnew(view);
+    journal_anew(view);
     view->compacting = false;
 }
 
 /* Entries and bytes are bounded alike: what is read at a start, sent to one that was away
  * and kept in memory. A large state is not written again for a smaller log. */
-static bool longEnough(const View *view)
+static bool long_enough(const View *view)
 {
     const Log *log = view->log;
-    const size_t most = view->props.snapshotEntries > 0 ? view->props.snapshotEntries : LOG_SNAPSHOT_ENTRIES;
+    const size_t most = view->props.snapshot_entries > 0 ? view->props.snapshot_entries : LOG_SNAPSHOT_ENTRIES;
     const size_t bytes =
         log->snapshot.payload.count > LOG_SNAPSHOT_BYTES ? log->snapshot.payload.count : LOG_SNAPSHOT_BYTES;
     return log->count >= most || log->bytes >= bytes;
 }
 
-void viewCompactMaybe(View *view, bool force)
+void view_compact_maybe(View *view, bool force)
 {
     Log *log = view->log;
-    if (view->compacting || (view->too_large && !force) || view->deliveredIndex <= log->baseIndex ||
-        (!force && !longEnough(view)))
+    if (view->compacting || (view->too_large && !force) || view->delivered_index <= log->base_index ||
+        (!force && !long_enough(view)))
         return;
     void *mem = talloc_new(view);
-    /* seats and last as of deliveredIndex: later ones are still in the log */
+    /* seats and last as of delivered_index: later ones are still in the log */
     uint64_t epoch = 0;
-    logEpochAt(log, view->deliveredIndex, &epoch);
+    log_epoch_at(log, view->delivered_index, &epoch);
     Snapshot snapshot = {0};
-    const uint64_t last_index = logLastIndex(log);
+    const uint64_t last_index = log_last_index(log);
     bool later = false;
-    for (uint64_t i = view->deliveredIndex + 1; i <= last_index; i++)
-        later |= logAt(log, i)->change < VIEW_CHANGE_FIRST;
+    for (uint64_t i = view->delivered_index + 1; i <= last_index; i++)
+        later |= log_at(log, i)->change < VIEW_CHANGE_FIRST;
     if (later) { /* a change of view is under way: compact after it */
         talloc_free(mem);
         return;
     }
     snapshot.seats = view->list->seats;
-    snapshot.seatsCount = view->list->seatsCount;
+    snapshot.seats_count = view->list->seats_count;
     snapshot.cores = view->list->cores;
-    snapshot.coresCount = view->list->coresCount;
+    snapshot.cores_count = view->list->cores_count;
     snapshot.last = view->last;
     snapshot.state = view->props.state.save(view->props.state.arg, mem);
-    Record record = {
-        .kind = RECORD_SNAPSHOT, .epoch = epoch, .index = view->deliveredIndex, .at_ms = viewClockMs(view), .name = ""};
-    shape_pack(&SnapshotShape, &snapshot, mem, &record.payload);
+    Record record = {.kind = RECORD_SNAPSHOT,
+                     .epoch = epoch,
+                     .index = view->delivered_index,
+                     .at_ms = view_clock_ms(view),
+                     .name = ""};
+    shape_pack(&Snapshot_shape, &snapshot, mem, &record.payload);
     view->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (view->too_large) {
         ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: a state of %zu bytes can't be a snapshot",
@@ -120,10 +123,10 @@
         talloc_free(mem);
         return;
     }
-    logRebase(log, &record);
+    log_rebase(log, &record);
     talloc_free(mem);
     view->compacting = true;
-    loop_spawn(view->loop, "compact", compactMain, view);
+    loop_spawn(view->loop, "compact", compact_main, view);
 }
 
 /* --- start --------------------------------------------------------------------------- */
@@ -133,28 +136,28 @@
     Failure failure; /* what is wrong with the journal's records, each of which is good by itself */
 } Reading;
 
-static void clusterFound(View *view, const Record *record)
+static void cluster_found(View *view, const Record *record)
 {
     SeatList *seats = talloc_zero(view, SeatList);
-    if (shape_unpack(&SeatListShape, record->payload, seats, seats, NULL) == STATUS_OK) {
+    if (shape_unpack(&SeatList_shape, record->payload, seats, seats, NULL) == STATUS_OK) {
         talloc_free(view->founded);
         view->founded = seats;
     }
     view->cluster = record->epoch;
 }
 
-static void entryFound(Reading *reading, const Record *record)
+static void entry_found(Reading *reading, const Record *record)
 {
     View *view = reading->view;
-    const uint64_t last_index = logLastIndex(view->log);
-    const Status status = logTake(view->log, record);
+    const uint64_t last_index = log_last_index(view->log);
+    const Status status = log_take(view->log, record);
     if (status != STATUS_OK)
         failure_set(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64,
                     record->index, last_index);
-    viewClockTell(view, record->at_ms);
+    view_clock_tell(view, record->at_ms);
 }
 
-static void recordFound(void *arg, const Record *record)
+static void record_found(void *arg, const Record *record)
 {
     Reading *reading = arg;
     View *view = reading->view;
@@ -162,21 +165,21 @@
         return;
     switch (record->kind) {
     case RECORD_CLUSTER:
-        clusterFound(view, record);
+        cluster_found(view, record);
         break;
     case RECORD_PROMISE:
         lock_promise(&view->lock, record->epoch, record->index);
         break;
     case RECORD_ENTRY:
-        entryFound(reading, record);
+        entry_found(reading, record);
         break;
     case RECORD_TRIM:
-        logTrim(view->log, record->index);
+        log_trim(view->log, record->index);
         break;
     case RECORD_SNAPSHOT:
-        logTrim(view->log, 0);
-        logRebase(view->log, record);
-        viewClockTell(view, record->at_ms);
+        log_trim(view->log, 0);
+        log_rebase(view->log, record);
+        view_clock_tell(view, record->at_ms);
         break;
     case RECORD_COMMIT:
         break; /* of an earlier release; it is told anew */
@@ -187,11 +190,11 @@
 }
 
 /* Opens the journal and takes what it holds. */
-static Status diskRead(View *view, const char *path, Failure *failure)
+static Status disk_read(View *view, const char *path, Failure *failure)
 {
     Reading reading = {.view = view};
     const Status status =
-        journal_open(view->loop, view, path, view->node_name, recordFound, &reading, &view->journal, failure);
+        journal_open(view->loop, view, path, view->node_name, record_found, &reading, &view->journal, failure);
     if (status != STATUS_OK)
         return status;
     if (reading.failure.status != STATUS_OK)
@@ -201,59 +204,59 @@
         return failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds a log, but not the cluster it is of", path);
     if (view->log->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_OK;
-    const Status loaded = viewLoad(view, &view->log->snapshot);
+    const Status loaded = view_load(view, &view->log->snapshot);
     if (loaded != STATUS_OK)
         return failure_set(failure, STATUS_JOURNAL_CORRUPT, "the snapshot of %s can't be read: %s", path,
                            status_word(loaded));
-    view->commitIndex = view->deliveredIndex;
+    view->commit_index = view->delivered_index;
     return STATUS_OK;
 }
 
 /* As if nothing had been read. */
-static void diskForget(View *view)
+static void disk_forget(View *view)
 {
     talloc_free(view->log);
-    view->log = logNew(view);
+    view->log = log_new(view);
     talloc_free(view->founded);
     talloc_free(view->list);
-    seatsFirst(view);
+    seats_first(view);
     view->cluster = 0;
     view->lock = (LockSeat){0};
-    view->clockBaseMs = view->clockAtMs = view->clockLogMs = 0;
-    view->clockRuns = false;
-    view->commitIndex = view->deliveredIndex = 0;
+    view->clock_base_ms = view->clock_at_ms = view->clock_log_ms = 0;
+    view->clock_runs = false;
+    view->commit_index = view->delivered_index = 0;
     view->props.state.load(view->props.state.arg, (Bytes){0});
 }
 
 /* The journal is not whole: what it has promised and acknowledged is not known. */
-static Status diskBeginAnew(View *view, const char *path, Failure *failure)
+static Status disk_begin_anew(View *view, const char *path, Failure *failure)
 {
     ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: %s; begins as a new, empty disk",
              status_word(failure->status), failure->text);
     *failure = (Failure){0};
-    diskForget(view);
+    disk_forget(view);
     return journal_begin(view->loop, view, path, view->node_name, &view->journal, failure);
 }
 
-Status viewOpenDisk(View *view, const char *path, const char *node_name, Failure *failure)
+Status view_open_disk(View *view, const char *path, const char *node_name, Failure *failure)
 {
     Failure read = {0};
     view->node_name = talloc_strdup(view, node_name);
-    Status status = diskRead(view, path, &read);
+    Status status = disk_read(view, path, &read);
     if (status == STATUS_JOURNAL_CORRUPT)
-        status = diskBeginAnew(view, path, &read);
+        status = disk_begin_anew(view, path, &read);
     if (status != STATUS_OK)
         return failure_set(failure, status, "%s", read.text);
     view->disk = journal_disk(view->journal);
     if (journal_counts(view->journal)->begun_anew)
         view->props.founds = VIEW_FOUNDS_NEVER; /* the cluster that it was of may live */
-    view->queuedIndex = logLastIndex(view->log);
-    viewReread(view);
+    view->queued_index = log_last_index(view->log);
+    view_reread(view);
     view->woke = view->cluster != 0;
     /* a disk that was never part of a cluster has granted nothing */
     if (view->cluster != 0)
         view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_HOLD_MS;
-    view->lock.sure = view->props.disksKeep;
+    view->lock.sure = view->props.disks_keep;
     if (view->cluster != 0)
         courier_set_cluster(view->props.courier, view->cluster);
     return STATUS_OK;
@@ -261,15 +264,15 @@
 
 /* A disk that refused a write is tried again, with all that it should hold. Until
  * that is there, the seat takes nothing, so that memory and disk do not part. */
-static void mendMain(void *arg)
+static void mend_main(void *arg)
 {
     View *view = arg;
     while (!loop_stopping(view->loop)) {
         loop_sleep(view->loop, DISK_MEND_MS);
-        if (view->listOld || !journal_failed(view->journal) || view->compacting || view->holding)
+        if (view->list_old || !journal_failed(view->journal) || view->compacting || view->holding)
             continue;
         view->mending = true;
-        if (journalAnew(view) == STATUS_OK) {
+        if (journal_anew(view) == STATUS_OK) {
             if (view->rest_until_ms > loop_now_ms(view->loop) + PROPOSE_MS)
                 view->rest_until_ms = loop_now_ms(view->loop) + PROPOSE_MS;
             ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk takes writes again");
@@ -278,12 +281,12 @@
     }
 }
 
-void diskStart(View *view)
+void disk_start(View *view)
 {
-    loop_spawn(view->loop, "mend", mendMain, view);
+    loop_spawn(view->loop, "mend", mend_main, view);
 }
 
-bool viewDiskFailed(const View *view)
+bool view_disk_failed(const View *view)
 {
-    return view->mending || view->listOld || journal_failed(view->journal);
+    return view->mending || view->list_old || journal_failed(view->journal);
 }
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -4,35 +4,35 @@
 
 #include "inside.h"
 
-void leadViewEntry(View *view, const bool inView[SEAT_MOST], bool repair)
+void lead_view_entry(View *view, const bool in_view[SEAT_MOST], bool repair)
 {
-    memmove(view->inView, inView, sizeof(view->inView));
+    memmove(view->in_view, in_view, sizeof(view->in_view));
     void *mem = talloc_new(view);
     ViewRecord record = {.epoch = view->epoch,
                          .holder = view->disk,
                          .members = talloc_array(mem, DiskId, SEAT_MOST),
-                         .holderId = members_self(view->props.members)->id,
+                         .holder_id = members_self(view->props.members)->id,
                          .repair = repair || view->last.repair};
     for (int i = 0; i < SEAT_MOST; i++)
-        if (inView[i])
+        if (in_view[i])
             record.members[record.members_count++].disk = view->seats[i];
     Record entry = {.kind = RECORD_ENTRY,
                     .epoch = view->epoch,
-                    .index = logLastIndex(view->log) + 1,
-                    .at_ms = viewClockMs(view),
+                    .index = log_last_index(view->log) + 1,
+                    .at_ms = view_clock_ms(view),
                     .change = VIEW_CHANGE_VIEW,
                     .name = ""};
-    shape_pack(&ViewRecordShape, &record, mem, &entry.payload);
-    logAdd(view->log, &entry);
-    view->viewIndex = entry.index;
-    viewReread(view);
+    shape_pack(&ViewRecord_shape, &record, mem, &entry.payload);
+    log_add(view->log, &entry);
+    view->view_index = entry.index;
+    view_reread(view);
     talloc_free(mem);
 }
 
-void leadTurn(View *view, const bool inView[SEAT_MOST])
+void lead_turn(View *view, const bool in_view[SEAT_MOST])
 {
-    leadViewEntry(view, inView, false);
-    view->changedMs = loop_now_ms(view->loop);
-    view->viewChanges++;
+    lead_view_entry(view, in_view, false);
+    view->changed_ms = loop_now_ms(view->loop);
+    view->view_changes++;
     signal_raise(view->loop, &view->grew);
 }
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -9,47 +9,47 @@
 
 /* --- the one that takes it --------------------------------------------------------- */
 
-static bool sameFilling(const Filling *filling, const FillAsk *ask)
+static bool same_filling(const Filling *filling, const FillAsk *ask)
 {
     return filling != NULL && filling->epoch == ask->snapshot.epoch && filling->index == ask->snapshot.index &&
            filling->total == ask->total && filling->checksum == ask->checksum;
 }
 
-void fillDrop(View *view)
+void fill_drop(View *view)
 {
     talloc_free(view->filling);
     view->filling = NULL;
 }
 
-Status fillTake(View *view, const FillAsk *ask, Record *whole)
+Status fill_take(View *view, const FillAsk *ask, Record *whole)
 {
     *whole = ask->snapshot;
     if (ask->total == 0) {
-        fillDrop(view);
+        fill_drop(view);
         return STATUS_OK;
     }
     if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
         return STATUS_BAD_FRAME;
-    if (!sameFilling(view->filling, ask)) {
-        fillDrop(view);
+    if (!same_filling(view->filling, ask)) {
+        fill_drop(view);
         view->filling = talloc_zero(view, Filling);
         *view->filling = (Filling){ask->snapshot.epoch, ask->snapshot.index, ask->total, ask->checksum, {0}};
     }
     Filling *filling = view->filling;
     if (ask->from != filling->bytes.count)
-        return STATUS_LOG_GAP; /* seatDescribe tells how far it has come */
+        return STATUS_LOG_GAP; /* seat_describe tells how far it has come */
     bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (filling->bytes.count < filling->total)
         return STATUS_BUSY;
     if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
-        fillDrop(view);
+        fill_drop(view);
         return STATUS_BAD_FRAME;
     }
     whole->payload = filling->bytes;
     return STATUS_OK;
 }
 
-uint64_t fillCount(const View *view)
+uint64_t fill_count(const View *view)
 {
     return view->filling != NULL ? view->filling->bytes.count : 0;
 }
@@ -57,26 +57,26 @@
 /* --- the holder ---------------------------------------------------------------------- */
 
 /* One piece of the snapshot, or all of it. */
-static Status pieceSend(View *view, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
-                        SeatAnswer *answer)
+static Status piece_send(View *view, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
+                         SeatAnswer *answer)
 {
     void *mem = talloc_new(view);
     const size_t left = whole.count - (size_t)ask->from;
     ask->epoch = view->epoch;
-    ask->commitIndex = view->commitIndex;
+    ask->commit_index = view->commit_index;
     ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
     if (ask->total == 0)
         ask->snapshot.payload = whole;
-    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_FILL, &FillAskShape, ask,
-                                      VIEW_EXPIRY_MS * 4, &SeatAnswerShape, answer);
-    if (!leadPeerOver(lead) && pollReached(status))
-        leadAnswered(view, lead->slot, answer);
+    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
+                                      VIEW_EXPIRY_MS * 4, &SeatAnswer_shape, answer);
+    if (!lead_peer_over(lead) && poll_reached(status))
+        lead_answered(view, lead->slot, answer);
     talloc_free(mem);
     return status;
 }
 
 /* Whether there is another piece, after this answer. */
-static bool goesOn(FillAsk *ask, Status status, const SeatAnswer *answer, size_t sent)
+static bool goes_on(FillAsk *ask, Status status, const SeatAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
         return false;
@@ -90,13 +90,13 @@
     return true;
 }
 
-void fillOne(View *view, const Lead *lead, const char *address)
+void fill_one(View *view, const Lead *lead, const char *address)
 {
     Peer *peer = &view->peers[lead->slot];
     /* a large one that is partly there is gone on with */
     if (view->log->snapshot.kind != RECORD_SNAPSHOT ||
         (peer->refill && view->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
-        viewCompactMaybe(view, true);
+        view_compact_maybe(view, true);
     if (view->log->snapshot.kind != RECORD_SNAPSHOT) {
         loop_sleep(view->loop, LOCK_RENEW_MS);
         return;
@@ -114,12 +114,12 @@
     Status status;
     do {
         answer = (SeatAnswer){0};
-        status = pieceSend(view, lead, address, &ask, whole, &answer);
-    } while (!leadPeerOver(lead) && goesOn(&ask, status, &answer, ask.snapshot.payload.count));
-    if (!leadPeerOver(lead)) {
+        status = piece_send(view, lead, address, &ask, whole, &answer);
+    } while (!lead_peer_over(lead) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
+    if (!lead_peer_over(lead)) {
         if (status == STATUS_OK) {
-            peer->matchIndex = index;
-            peer->nextIndex = index + 1;
+            peer->match_index = index;
+            peer->next_index = index + 1;
             peer->refill = false;
         } else {
             loop_sleep(view->loop, LOCK_RENEW_MS);
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -15,10 +15,10 @@
 SHAPE(FoundAnswer, FOUND_ANSWER_FIELDS)
 SHAPE_TABLE(FoundAnswer, FOUND_ANSWER_FIELDS)
 
-static Status foundNow(View *view, uint64_t cluster, const uint64_t disks[], size_t count)
+static Status found_now(View *view, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(view);
-    const Status status = viewFound(view, cluster, seatsOf(view, mem, disks, count));
+    const Status status = view_found(view, cluster, seats_of(view, mem, disks, count));
     talloc_free(mem);
     return status;
 }
@@ -27,14 +27,14 @@
 
 /* The empty core with the lowest disk that it has heard of stands; with the votes
  * of a majority of the seeds it founds, alone, and then gives seats to the others. */
-static void votesMain(void *arg)
+static void votes_main(void *arg)
 {
     View *view = arg;
     Members *members = view->props.members;
-    const int64_t fromMs = loop_now_ms(view->loop) + VOTE_WAIT_MS;
+    const int64_t from_ms = loop_now_ms(view->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loop_stopping(view->loop) && !viewFounded(view) && courier_cluster(view->props.courier) == 0) {
+    while (!loop_stopping(view->loop) && !view_founded(view) && courier_cluster(view->props.courier) == 0) {
         loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
         if (members_lowest_empty(members) != view->disk) {
@@ -42,14 +42,14 @@
                 stands = false;
                 round++;
             }
-        } else if (loop_now_ms(view->loop) >= fromMs) {
+        } else if (loop_now_ms(view->loop) >= from_ms) {
             stands = true;
             const size_t granted = members_votes(members, view->disk, round, false, &seeds);
             if (granted < seeds / 2 + 1 || courier_cluster(view->props.courier) != 0)
                 continue;
             const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
-            if (foundNow(view, cluster, &view->disk, 1) == STATUS_OK)
+            if (found_now(view, cluster, &view->disk, 1) == STATUS_OK)
                 ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "founds cluster %016" PRIx64, cluster);
         }
     }
@@ -59,7 +59,7 @@
 
 /* The three empty disks in the order of their ids; false when there are not
  * exactly three or when anybody knows a cluster. */
-static bool threeEmpty(const View *view, uint64_t disks[SEAT_FIRST])
+static bool three_empty(const View *view, uint64_t disks[SEAT_FIRST])
 {
     const MemberTable *table = members_table(view->props.members);
     const int64_t now_ms = loop_now_ms(view->loop);
@@ -83,7 +83,7 @@
     return count == SEAT_FIRST;
 }
 
-static Status onFound(void *arg, void *mem, const void *question, void *answer)
+static Status on_found(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const FoundAsk *ask = question;
@@ -92,12 +92,12 @@
     Status status = STATUS_STRANGER;
     uint64_t seats[SEAT_FIRST] = {0};
     bool mine = false;
-    for (size_t i = 0; i < ask->seatsCount && i < SEAT_FIRST; i++) {
+    for (size_t i = 0; i < ask->seats_count && i < SEAT_FIRST; i++) {
         seats[i] = ask->seats[i].disk;
-        mine |= seats[i] == viewDisk(view);
+        mine |= seats[i] == view_disk(view);
     }
-    if (ask->seatsCount == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
-        status = foundNow(view, ask->cluster, seats, SEAT_FIRST);
+    if (ask->seats_count == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
+        status = found_now(view, ask->cluster, seats, SEAT_FIRST);
     ((FoundAnswer *)answer)->cluster = courier_cluster(view->props.courier);
     return status;
 }
@@ -106,21 +106,21 @@
 {
     for (int i = 0; i < SEAT_FIRST; i++) {
         const Member *member = members_find_disk(view->props.members, disks[i]);
-        if (disks[i] == viewDisk(view) || member == NULL || !member->record.empty)
+        if (disks[i] == view_disk(view) || member == NULL || !member->record.empty)
             continue;
         void *mem = talloc_new(view);
         FoundAsk ask = {cluster, talloc_array(mem, DiskId, SEAT_FIRST), SEAT_FIRST};
         for (int k = 0; k < SEAT_FIRST; k++)
             ask.seats[k].disk = disks[k];
         FoundAnswer answer = {0};
-        courier_ask(view->props.courier, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAskShape,
-                    &ask, ASK_EXPIRY_MS, &FoundAnswerShape, &answer);
+        courier_ask(view->props.courier, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND,
+                    &FoundAsk_shape, &ask, ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
         talloc_free(mem);
     }
 }
 
 /* The one with the lowest id offers, the others accept. */
-static void threeMain(void *arg)
+static void three_main(void *arg)
 {
     View *view = arg;
     uint64_t before[SEAT_FIRST] = {0};
@@ -129,15 +129,15 @@
         loop_sleep(view->loop, 200);
         uint64_t disks[SEAT_MOST];
         const int64_t now_ms = loop_now_ms(view->loop);
-        if (viewFounded(view)) {
+        if (view_founded(view)) {
             /* until a first view stands, the others may not have heard the offer */
-            if (viewSeats(view, disks) != SEAT_FIRST || members_leader_id(view->props.members)[0] != '\0')
+            if (view_seats(view, disks) != SEAT_FIRST || members_leader_id(view->props.members)[0] != '\0')
                 return;
-            if (disks[0] == viewDisk(view))
+            if (disks[0] == view_disk(view))
                 offer(view, disks, courier_cluster(view->props.courier));
             continue;
         }
-        if (courier_cluster(view->props.courier) != 0 || !threeEmpty(view, disks)) {
+        if (courier_cluster(view->props.courier) != 0 || !three_empty(view, disks)) {
             since_ms = 0;
             continue;
         }
@@ -146,23 +146,23 @@
             memcpy(before, disks, sizeof(before));
             continue;
         }
-        if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != viewDisk(view))
+        if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != view_disk(view))
             continue;
         const uint64_t cluster = loop_random(view->loop) | 1;
-        if (foundNow(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
+        if (found_now(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
             ring_say(view->props.ring, RING_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
     }
 }
 
-void viewFounding(View *view)
+void view_founding(View *view)
 {
     members_set_voter(view->props.members, view->props.founds == VIEW_FOUNDS_BY_VOTES);
-    if (view->props.founds == VIEW_FOUNDS_BY_VOTES && !viewFounded(view))
-        loop_spawn(view->loop, "votes", votesMain, view);
+    if (view->props.founds == VIEW_FOUNDS_BY_VOTES && !view_founded(view))
+        loop_spawn(view->loop, "votes", votes_main, view);
     if (view->props.founds != VIEW_FOUNDS_BY_THREE)
         return;
-    courier_handle(view->props.courier, MESSAGE_FOUND, &FoundAskShape, &FoundAnswerShape, onFound, view);
-    loop_spawn(view->loop, "found", threeMain, view);
+    courier_handle(view->props.courier, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
+    loop_spawn(view->loop, "found", three_main, view);
 }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -5,20 +5,20 @@
 #include "view/view.h"
 
 /* What the leader knows of one voter or learner, under its epoch.
- * Invariant: matchIndex is synced there; nextIndex > matchIndex. */
+ * Invariant: match_index is synced there; next_index > match_index. */
 typedef struct Peer {
-    uint64_t matchIndex, nextIndex;
-    int64_t answered_ms;   /* it last answered anything */
-    int64_t renewedMs;     /* when the last renewal that it granted was sent; INT64_MIN: none */
-    int64_t appendSinceMs; /* an append is out since then; INT64_MAX: none */
-    int64_t appendTookMs;  /* the last one */
-    bool refill;           /* its log can't be mended by entries: send the snapshot */
+    uint64_t match_index, next_index;
+    int64_t answered_ms;     /* it last answered anything */
+    int64_t renewed_ms;      /* when the last renewal that it granted was sent; INT64_MIN: none */
+    int64_t append_since_ms; /* an append is out since then; INT64_MAX: none */
+    int64_t append_took_ms;  /* the last one */
+    bool refill;             /* its log can't be mended by entries: send the snapshot */
     bool woke;
-    int slowTimes;    /* appends in a row that took longer than SEAT_SLOW_MS */
-    int64_t returnMs; /* it left the view for being late: not back before this */
+    int slow_times;    /* appends in a row that took longer than SEAT_SLOW_MS */
+    int64_t return_ms; /* it left the view for being late: not back before this */
     uint64_t promised;
-    int64_t wall_ms, wallAtMs; /* its wall clock, and our clock when it was told; wallAtMs 0: never */
-    int64_t syncMs;
+    int64_t wall_ms, wall_at_ms; /* its wall clock, and our clock when it was told; wall_at_ms 0: never */
+    int64_t sync_ms;
     uint64_t sight;
     uint64_t contact; /* the newest round of contact that it has answered */
 } Peer;
@@ -32,7 +32,7 @@
     uint64_t disk; /* 0: the slot is free */
     uint64_t turn;
     int64_t since_ms;
-    int64_t readySinceMs; /* INT64_MAX: it is not ready */
+    int64_t ready_since_ms; /* INT64_MAX: it is not ready */
 } Learner;
 
 /* A snapshot that comes in pieces. Invariant: bytes.count < total. */
@@ -53,15 +53,15 @@
 } Waiter;
 
 /* Invariants:
- *  - deliveredIndex <= commitIndex <= last index; all up to deliveredIndex have
+ *  - delivered_index <= commit_index <= last index; all up to delivered_index have
  *    been given to the state, in order, once since it was last loaded;
  *  - seats and last are those of the newest SEATS and VIEW entries in the log,
  *    committed or not;
- *  - a place in seats that nobody has is 0, and so are inView, peers and
+ *  - a place in seats that nobody has is 0, and so are in_view, peers and
  *    hold.sent_ms of it;
  *  - phase is LEADING only after the first entry of epoch was committed;
  *  - of the SEATS entries in the log all but the newest are committed;
- *  - tasks of a lead end when leadTurn is no longer theirs. */
+ *  - tasks of a lead end when lead_turn is no longer theirs. */
 struct View {
     ViewProps props;
     Loop *loop;
@@ -72,62 +72,62 @@
     uint64_t cluster;
     SeatList *founded;         /* never null */
     SeatList *list;            /* the newest; never null */
-    uint64_t listIndex;        /* of its entry; 0: it is the founded one */
+    uint64_t list_index;       /* of its entry; 0: it is the founded one */
     uint64_t seats[SEAT_MOST]; /* the disks of list */
-    size_t places, seatCount;  /* the length of list; how many of them somebody has */
+    size_t places, seat_count; /* the length of list; how many of them somebody has */
     ViewRecord last;
-    void *lastMem;
+    void *last_mem;
     LockSeat lock;
     bool woke;
     Log *log;
-    uint64_t verifiedIndex; /* entries known to be the holder's, under the promised epoch */
-    uint64_t commitIndex, deliveredIndex;
-    int64_t clockBaseMs, clockAtMs; /* the log's clock, and our own when it was told */
-    int64_t clockLogMs;             /* the latest in the log: it never goes back behind that */
-    bool clockRuns;                 /* it was told, or it is ours: before that, our own time says nothing of it */
-    Filling *filling;               /* null: none is coming in */
+    uint64_t verified_index; /* entries known to be the holder's, under the promised epoch */
+    uint64_t commit_index, delivered_index;
+    int64_t clock_base_ms, clock_at_ms; /* the log's clock, and our own when it was told */
+    int64_t clock_log_ms;               /* the latest in the log: it never goes back behind that */
+    bool clock_runs;                    /* it was told, or it is ours: before that, our own time says nothing of it */
+    Filling *filling;                   /* null: none is coming in */
     bool compacting;
-    uint64_t otherHistories; /* orders to drop what is committed */
-    int64_t otherToldMs;
-    uint64_t listCommitted; /* the highest index of a list of voters known to be committed */
-    bool listOld;           /* the log would make it lead by an older one: it does not vote any more */
-    bool too_large;         /* its state is larger than a snapshot may be */
-    bool mending;           /* the whole journal is written again after a failure */
+    uint64_t other_histories; /* orders to drop what is committed */
+    int64_t other_told_ms;
+    uint64_t list_committed; /* the highest index of a list of voters known to be committed */
+    bool list_old;           /* the log would make it lead by an older one: it does not vote any more */
+    bool too_large;          /* its state is larger than a snapshot may be */
+    bool mending;            /* the whole journal is written again after a failure */
     /* the holder */
     ViewPhase phase;
-    uint64_t leadTurn;
+    uint64_t lead_turn;
     uint64_t epoch;
     LockHold hold;
-    int64_t wonMs;
+    int64_t won_ms;
     bool holding;   /* the lock was won and not given up (also while a view is opened anew) */
     bool reopening; /* the opening under way is of a holder that never lost the lock */
-    uint64_t viewIndex;
-    bool inView[SEAT_MOST];
+    uint64_t view_index;
+    bool in_view[SEAT_MOST];
     Peer peers[SLOT_MOST];
     Learner learners[LEARNER_MOST];
-    uint64_t learnersTurn;   /* the lead that they follow */
-    uint64_t learnersPassed; /* a disk that was not ready in time; others go first */
-    int64_t askMs;           /* the next round of contact before a change takes at most so long; 0: the least */
-    Signal membership;       /* a change of membership is to be weighed at once */
-    uint64_t queuedIndex;    /* handed to the own journal; what follows is synced after it */
-    uint64_t syncedIndex;    /* own journal, as far as this lead knows */
-    int64_t changedMs;       /* the last change of view */
-    uint64_t viewChanges;
+    uint64_t learners_turn;   /* the lead that they follow */
+    uint64_t learners_passed; /* a disk that was not ready in time; others go first */
+    int64_t ask_ms;           /* the next round of contact before a change takes at most so long; 0: the least */
+    Signal membership;        /* a change of membership is to be weighed at once */
+    uint64_t queued_index;    /* handed to the own journal; what follows is synced after it */
+    uint64_t synced_index;    /* own journal, as far as this lead knows */
+    int64_t changed_ms;       /* the last change of view */
+    uint64_t view_changes;
     int64_t rest_until_ms;
-    int64_t blindSinceMs; /* since when a seat sees many more members than we do; 0: none does */
-    int64_t wokenSinceMs; /* since when an opening waits for the last view's members; 0: none does */
-    int64_t wallOffsetMs;
-    bool wallKnown;
+    int64_t blind_since_ms; /* since when a seat sees many more members than we do; 0: none does */
+    int64_t woken_since_ms; /* since when an opening waits for the last view's members; 0: none does */
+    int64_t wall_offset_ms;
+    bool wall_known;
     Waiter *waiters;
     Signal grew;
-    int slowTimes;   /* own syncs in a row that took longer than SEAT_SLOW_MS */
+    int slow_times;  /* own syncs in a row that took longer than SEAT_SLOW_MS */
     Signal released; /* the holder of the lock has given it up */
     bool named;      /* ... and named this seat to be the next */
     Signal news;
-    uint64_t contactAsked;    /* rounds of contact that were asked for */
-    uint64_t contactLearners; /* the newest one that learners are asked in as well */
-    Signal contactNews;       /* one more is */
-    Signal contactMade;       /* a seat has answered one */
+    uint64_t contact_asked;    /* rounds of contact that were asked for */
+    uint64_t contact_learners; /* the newest one that learners are asked in as well */
+    Signal contact_news;       /* one more is */
+    Signal contact_made;       /* a seat has answered one */
 };
 
 #define SNAPSHOT_FIELDS(X)   \
@@ -137,90 +137,90 @@
     X(LST, cores, SeatCore)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
-int viewSeatOf(const View *view, uint64_t disk);
-int viewOwnSeat(const View *view);
+int view_seat_of(const View *view, uint64_t disk);
+int view_own_seat(const View *view);
 /* How many seats decide. */
-size_t viewMajority(const View *view);
+size_t view_majority(const View *view);
 /* Whether it holds the lock and orders, by its own clock; others may not be told
  * so yet, when too few disks would hold what it acknowledges. */
-bool viewOrders(const View *view);
+bool view_orders(const View *view);
 /* Reads seats and last out of the log again. */
-void viewReread(View *view);
-void viewDeliver(View *view);
+void view_reread(View *view);
+void view_deliver(View *view);
 /* The records that stand for all this node knows; on mem. */
-Record *viewRecords(View *view, void *mem, size_t *count);
-void viewCompactMaybe(View *view, bool force);
+Record *view_records(View *view, void *mem, size_t *count);
+void view_compact_maybe(View *view, bool force);
 /* Puts a snapshot in place of everything; false when it is not one. */
-Status viewLoad(View *view, const Record *snapshot);
+Status view_load(View *view, const Record *snapshot);
 /* What a disk that keeps what it has synced may never come to: it would drop what was
  * committed from index on. Told, counted and refused with OTHER_HISTORY. */
-Status historyRefuse(View *view, uint64_t index);
-void viewWaitersEnd(View *view, Status status);
+Status history_refuse(View *view, uint64_t index);
+void view_waiters_end(View *view, Status status);
 /* An entry of the log was made then. */
-void viewClockTell(View *view, int64_t clock_ms);
+void view_clock_tell(View *view, int64_t clock_ms);
 /* The holder's clock is so now: ours must not run ahead of it, or what is due would
  * be due early under us. */
-void viewClockSet(View *view, int64_t clock_ms);
+void view_clock_set(View *view, int64_t clock_ms);
 
 /* Its writes fail: nothing may be promised or taken. */
-bool viewDiskFailed(const View *view);
+bool view_disk_failed(const View *view);
 /* Spawns the task that tries a failed disk again. */
-void diskStart(View *view);
+void disk_start(View *view);
 
 /* The list of seats. */
-void seatsFirst(View *view);
+void seats_first(View *view);
 /* Takes a list as the newest; what the holder knew of a place counts for nothing
  * once another has it. */
-void seatsTake(View *view, const SeatList *list, uint64_t index);
-void seatsFounded(View *view, const SeatList *list);
+void seats_take(View *view, const SeatList *list, uint64_t index);
+void seats_founded(View *view, const SeatList *list);
 /* The list of these disks, with what is known of their cores; on mem. */
-SeatList *seatsOf(const View *view, void *mem, const uint64_t disks[], size_t count);
+SeatList *seats_of(const View *view, void *mem, const uint64_t disks[], size_t count);
 /* The list with the disk at the place, or the place vacated (0); on mem. */
-SeatList *seatsWith(const View *view, void *mem, int place, uint64_t disk);
+SeatList *seats_with(const View *view, void *mem, int place, uint64_t disk);
 /* Where the core of a place's disk is asked; false when nobody knows. */
-bool seatAddress(const View *view, int place, char address[ADDRESS_MAX]);
+bool seat_address(const View *view, int place, char address[ADDRESS_MAX]);
 /* The disk of a slot: a voter's place, or a learner's. */
-uint64_t slotDisk(const View *view, int slot);
+uint64_t slot_disk(const View *view, int slot);
 /* Whether the disk is gone for certain: its core has come back with another, at the
  * same address when asked for. */
-bool seatDead(const View *view, uint64_t disk, bool sameAddress);
+bool seat_dead(const View *view, uint64_t disk, bool same_address);
 /* Where its core stands; empty when nobody knows. */
-const char *seatZone(const View *view, uint64_t disk);
+const char *seat_zone(const View *view, uint64_t disk);
 /* Whether the disk of a voter is gone for so long, or for certain, that it is to be replaced. */
-bool voterGone(const View *view, int place);
+bool voter_gone(const View *view, int place);
 /* Whether it answers and has all that is committed. */
-bool voterLive(const View *view, int place);
+bool voter_live(const View *view, int place);
 /* Adds to the sight the learners, and how many losses are borne and asked for. */
-void votersSight(const View *view, ViewSight *sight);
+void voters_sight(const View *view, ViewSight *sight);
 /* The leader keeps the number of voters wanted, one committed change at a time. */
-void votersStart(View *view);
+void voters_start(View *view);
 
 /* The leader has every core without a vote follow the log, in as many slots as there are. */
-void learnersFollow(View *view);
+void learners_follow(View *view);
 /* Whether the member is a core that runs, is of this cluster and has no vote. */
-bool learnerMayFollow(const View *view, const Member *row);
+bool learner_may_follow(const View *view, const Member *row);
 /* A lead that is over has no learners. */
-void learnersClear(View *view);
+void learners_clear(View *view);
 /* Whether the learner has nearly all of the log, and grants the lease. */
-bool learnerReady(const View *view, size_t learner);
+bool learner_ready(const View *view, size_t learner);
 /* Ready for at least the span in which a loss is made good. */
-bool learnerSteady(const View *view, size_t learner);
+bool learner_steady(const View *view, size_t learner);
 /* The slot is free again: its disk has a vote now. */
-void learnerDone(View *view, size_t learner);
+void learner_done(View *view, size_t learner);
 /* The span in which a loss is made good. */
-int64_t viewBackMs(const View *view);
+int64_t view_back_ms(const View *view);
 /* How many voters the settings ask for: twice the losses to be borne, and one. */
-size_t votersWanted(const View *view);
+size_t voters_wanted(const View *view);
 
 /* The seat's part; each may wait for the disk. */
-void seatDescribe(const View *view, void *mem, SeatAnswer *answer);
-Status seatPropose(View *view, const ProposeAsk *ask);
-Status seatAppend(View *view, const AppendAsk *ask);
-Status seatFill(View *view, const FillAsk *ask);
+void seat_describe(const View *view, void *mem, SeatAnswer *answer);
+Status seat_propose(View *view, const ProposeAsk *ask);
+Status seat_append(View *view, const AppendAsk *ask);
+Status seat_fill(View *view, const FillAsk *ask);
 /* Puts the snapshot and what follows it in the place of the whole log, in one write. */
-Status seatReplace(View *view, const Record *snapshot, const Record *entries, size_t entryCount);
-void seatLog(View *view, void *mem, const LogAsk *ask, LogAnswer *answer);
-void seatServe(View *view);
+Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count);
+void seat_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer);
+void seat_serve(View *view);
 
 /* Asking all seats at once. Freed by whichever of the asking task and the asked
  * ones ends last. */
@@ -237,18 +237,18 @@
 } Poll;
 
 /* Waits until all have answered or can't be reached; once a majority of seats
- * that never slept has answered, a short grace is enough. Ends with pollLeave. */
-Poll *pollSeats(View *view, uint64_t epoch, const bool skip[SEAT_MOST]);
-void pollLeave(Poll *poll);
+ * that never slept has answered, a short grace is enough. Ends with poll_leave. */
+Poll *poll_seats(View *view, uint64_t epoch, const bool skip[SEAT_MOST]);
+void poll_leave(Poll *poll);
 /* Whether the answer is the seat's own. */
-bool pollReached(Status status);
+bool poll_reached(Status status);
 
 /* Takes a snapshot or a piece of one. OK: whole is all of it, on the ask or on filling; BUSY: more must come; LOG_GAP:
  * another piece is wanted; BAD_FRAME: it is spoilt. */
-Status fillTake(View *view, const FillAsk *ask, Record *whole);
-void fillDrop(View *view);
+Status fill_take(View *view, const FillAsk *ask, Record *whole);
+void fill_drop(View *view);
 /* Bytes of the one that is coming in. */
-uint64_t fillCount(const View *view);
+uint64_t fill_count(const View *view);
 
 /* A task of one lead for the disk at a slot.
  * Invariant: disk is not 0; the task is over once another disk has the slot, or a
@@ -258,49 +258,49 @@
     uint64_t turn;
     int slot;
     uint64_t disk;
-    uint64_t learnerTurn; /* 0: a voter's slot */
+    uint64_t learner_turn; /* 0: a voter's slot */
 } Lead;
 
 /* The holder's part. */
-bool leadPeerOver(const Lead *lead);
+bool lead_peer_over(const Lead *lead);
 /* Waits. Sends the disk the snapshot. */
-void fillOne(View *view, const Lead *lead, const char *address);
-void leadDown(View *view, int64_t restMs);
-bool leadOver(const View *view, uint64_t turn);
+void fill_one(View *view, const Lead *lead, const char *address);
+void lead_down(View *view, int64_t rest_ms);
+bool lead_over(const View *view, uint64_t turn);
 /* Spawns the task that keeps the grant of the disk at the slot; ... its log. */
-void leadRenew(View *view, int slot);
-void leadPeer(View *view, int slot);
-void leadAnswered(View *view, int slot, const SeatAnswer *answer);
+void lead_renew(View *view, int slot);
+void lead_peer(View *view, int slot);
+void lead_answered(View *view, int slot, const SeatAnswer *answer);
 /* Tells all other seats that what they granted under the epoch is not used. next:
  * the disk that is to take over at once; 0: whoever comes first. */
-void leadRelease(View *view, uint64_t next);
+void lead_release(View *view, uint64_t next);
 /* Spawns the task that syncs the own journal. */
-void leadLocal(View *view);
+void lead_local(View *view);
 /* Commits what every seat in the view, and a majority of the seats, has synced. */
-void leadCommit(View *view);
+void lead_commit(View *view);
 /* The first entry of a view. */
-void leadViewEntry(View *view, const bool inView[SEAT_MOST], bool repair);
+void lead_view_entry(View *view, const bool in_view[SEAT_MOST], bool repair);
 /* Changes the view under the same epoch. What was ordered before is committed
  * together with the change, so that the last view recorded has all of it. */
-void leadTurn(View *view, const bool inView[SEAT_MOST]);
+void lead_turn(View *view, const bool in_view[SEAT_MOST]);
 /* The seat in the view that is to follow: the least behind; quick: only one whose
  * disk is; 0: none. */
-uint64_t leadNext(const View *view, bool quick);
+uint64_t lead_next(const View *view, bool quick);
 /* Stops taking changes, collects the logs of a majority, takes the best one,
  * trims the others to it, opens the next epoch and goes on. skip: seats that
  * are to stay out. Waits. */
-Status viewOpen(View *view, const bool skip[SEAT_MOST]);
+Status view_open(View *view, const bool skip[SEAT_MOST]);
 /* The seat at the slot has granted the lock in answer to a question that was sent when the
  * rounds of contact up to this one had been asked for. */
-void contactGranted(View *view, int slot, uint64_t contact);
+void contact_granted(View *view, int slot, uint64_t contact);
 /* Whether a round of contact waits for the seat at the slot. */
-bool contactOwed(const View *view, int slot);
+bool contact_owed(const View *view, int slot);
 /* Waits, at most so long, until all voters and learners that are taken for alive have
  * answered a question that was sent since; the number of the round. */
-uint64_t contactMembers(View *view, int64_t mostMs);
+uint64_t contact_members(View *view, int64_t most_ms);
 /* Sleeps so long, or until another round of contact is asked for. */
-void contactRest(View *view, int slot, int64_t restMs);
+void contact_rest(View *view, int slot, int64_t rest_ms);
 /* Watches the hold and the seats of the view. */
-void viewWatch(View *view);
+void view_watch(View *view);
 
 #endif
--- a/packages/view/src/log.c
+++ b/packages/view/src/log.c
@@ -3,36 +3,36 @@
 #include <string.h>
 #include <talloc.h>
 
-Log *logNew(void *mem)
+Log *log_new(void *mem)
 {
     return talloc_zero(mem, Log);
 }
 
-uint64_t logLastIndex(const Log *log)
+uint64_t log_last_index(const Log *log)
 {
-    return log->baseIndex + log->count;
+    return log->base_index + log->count;
 }
 
-uint64_t logLastEpoch(const Log *log)
+uint64_t log_last_epoch(const Log *log)
 {
-    return log->count > 0 ? log->entries[log->count - 1].epoch : log->baseEpoch;
+    return log->count > 0 ? log->entries[log->count - 1].epoch : log->base_epoch;
 }
 
-const Record *logAt(const Log *log, uint64_t index)
+const Record *log_at(const Log *log, uint64_t index)
 {
-    return index > log->baseIndex && index <= logLastIndex(log) ? &log->entries[index - log->baseIndex - 1] : NULL;
+    return index > log->base_index && index <= log_last_index(log) ? &log->entries[index - log->base_index - 1] : NULL;
 }
 
-bool logEpochAt(const Log *log, uint64_t index, uint64_t *epoch)
+bool log_epoch_at(const Log *log, uint64_t index, uint64_t *epoch)
 {
-    const Record *entry = logAt(log, index);
-    if (entry == NULL && index != log->baseIndex)
+    const Record *entry = log_at(log, index);
+    if (entry == NULL && index != log->base_index)
         return false;
-    *epoch = entry != NULL ? entry->epoch : log->baseEpoch;
+    *epoch = entry != NULL ? entry->epoch : log->base_epoch;
     return true;
 }
 
-void logAdd(Log *log, const Record *entry)
+void log_add(Log *log, const Record *entry)
 {
     if (log->count == log->room) {
         log->room = log->room ? log->room * 2 : 256;
@@ -45,35 +45,35 @@
     log->bytes += entry->payload.count;
 }
 
-Status logTake(Log *log, const Record *entry)
+Status log_take(Log *log, const Record *entry)
 {
     uint64_t epoch;
-    if (entry->index <= log->baseIndex)
+    if (entry->index <= log->base_index)
         return STATUS_OK; /* the snapshot stands for it */
-    if (entry->index > logLastIndex(log) + 1)
+    if (entry->index > log_last_index(log) + 1)
         return STATUS_JOURNAL_CORRUPT;
-    if (logEpochAt(log, entry->index, &epoch) && epoch == entry->epoch)
+    if (log_epoch_at(log, entry->index, &epoch) && epoch == entry->epoch)
         return STATUS_OK;
-    logTrim(log, entry->index - 1);
-    if (entry->epoch < logLastEpoch(log))
+    log_trim(log, entry->index - 1);
+    if (entry->epoch < log_last_epoch(log))
         return STATUS_JOURNAL_CORRUPT;
-    logAdd(log, entry);
+    log_add(log, entry);
     return STATUS_OK;
 }
 
-void logTrim(Log *log, uint64_t index)
+void log_trim(Log *log, uint64_t index)
 {
-    while (log->count > 0 && logLastIndex(log) > index) {
+    while (log->count > 0 && log_last_index(log) > index) {
         log->bytes -= log->entries[--log->count].payload.count;
         talloc_free(log->owners[log->count]);
     }
 }
 
-void logRebase(Log *log, const Record *snapshot)
+void log_rebase(Log *log, const Record *snapshot)
 {
     size_t gone = 0;
-    if (snapshot->index >= log->baseIndex)
-        gone = (size_t)(snapshot->index - log->baseIndex);
+    if (snapshot->index >= log->base_index)
+        gone = (size_t)(snapshot->index - log->base_index);
     if (gone > log->count)
         gone = log->count;
     for (size_t i = 0; i < gone; i++) {
@@ -90,6 +90,6 @@
     log->snapshot = *snapshot;
     log->snapshot.name = "";
     log->snapshot.payload = bytes_copy(log, snapshot->payload);
-    log->baseEpoch = snapshot->epoch;
-    log->baseIndex = snapshot->index;
+    log->base_epoch = snapshot->epoch;
+    log->base_index = snapshot->index;
 }
--- a/packages/view/src/membership.c
+++ b/packages/view/src/membership.c
@@ -7,7 +7,7 @@
 
 static const MembershipChange KEEP = {MEMBERSHIP_KEEP, 0};
 
-static size_t liveCount(const MemberState *voters, size_t count)
+static size_t live_count(const MemberState *voters, size_t count)
 {
     size_t live = 0;
     for (size_t i = 0; i < count; i++)
@@ -15,32 +15,32 @@
     return live;
 }
 
-int membershipBears(const MemberState *voters, size_t count)
+int membership_bears(const MemberState *voters, size_t count)
 {
-    return (int)liveCount(voters, count) - (int)lock_majority(count);
+    return (int)live_count(voters, count) - (int)lock_majority(count);
 }
 
 /* Voters in a zone, but for those that leave. */
 static size_t beside(const Membership *now, const char *zone)
 {
     size_t count = 0;
-    for (size_t i = 0; i < now->voterCount; i++)
+    for (size_t i = 0; i < now->voter_count; i++)
         count += !now->voters[i].leaving && strcmp(now->voters[i].zone, zone) == 0;
     return count;
 }
 
-static bool mayBeAdded(const MemberState *learner)
+static bool may_be_added(const MemberState *learner)
 {
     return learner->ready && !learner->leaving;
 }
 
 /* The learner to add: where the fewest voters stand; NONE: none is ready. */
-static size_t bestLearner(const Membership *now, bool steady)
+static size_t best_learner(const Membership *now, bool steady)
 {
     size_t best = NONE, fewest = SIZE_MAX;
-    for (size_t i = 0; i < now->learnerCount; i++) {
+    for (size_t i = 0; i < now->learner_count; i++) {
         const MemberState *learner = &now->learners[i];
-        if (!mayBeAdded(learner) || (steady && !learner->steady))
+        if (!may_be_added(learner) || (steady && !learner->steady))
             continue;
         const size_t count = beside(now, learner->zone);
         if (best == NONE || count < fewest || (count == fewest && learner->disk < now->learners[best].disk)) {
@@ -53,20 +53,20 @@
 
 /* A voter that is gone is of no use; removed first, it leaves a list that bears as
  * many losses and asks fewer voters. */
-static MembershipChange goneRemoved(const Membership *now, size_t readyCount)
+static MembershipChange gone_removed(const Membership *now, size_t ready_count)
 {
-    for (size_t i = 0; i < now->voterCount; i++) {
+    for (size_t i = 0; i < now->voter_count; i++) {
         const MemberState *voter = &now->voters[i];
-        const bool replaced = readyCount > 0 || now->voterCount > now->wanted;
+        const bool replaced = ready_count > 0 || now->voter_count > now->wanted;
         if (voter->gone && !voter->self && replaced &&
-            liveCount(now->voters, now->voterCount) >= lock_majority(now->voterCount - 1))
+            live_count(now->voters, now->voter_count) >= lock_majority(now->voter_count - 1))
             return (MembershipChange){MEMBERSHIP_REMOVE, i};
     }
     return KEEP;
 }
 
 /* Whether a is rather to be removed than b. */
-static bool goesBefore(const Membership *now, const MemberState *a, const MemberState *b)
+static bool goes_before(const Membership *now, const MemberState *a, const MemberState *b)
 {
     if (a->leaving != b->leaving)
         return a->leaving;
@@ -76,75 +76,75 @@
 }
 
 /* A leader that leaves is removed by the next one. */
-static bool selfLeaves(const Membership *now)
+static bool self_leaves(const Membership *now)
 {
     bool leaves = false;
-    for (size_t i = 0; i < now->voterCount; i++)
+    for (size_t i = 0; i < now->voter_count; i++)
         leaves |= now->voters[i].self && now->voters[i].leaving;
     return leaves;
 }
 
 /* One more than are wanted stand only while one is replaced. */
-static MembershipChange surplusRemoved(const Membership *now)
+static MembershipChange surplus_removed(const Membership *now)
 {
     size_t worst = NONE;
-    for (size_t i = 0; i < now->voterCount; i++)
-        if (!now->voters[i].self && (worst == NONE || goesBefore(now, &now->voters[i], &now->voters[worst])))
+    for (size_t i = 0; i < now->voter_count; i++)
+        if (!now->voters[i].self && (worst == NONE || goes_before(now, &now->voters[i], &now->voters[worst])))
             worst = i;
-    if (worst == NONE || selfLeaves(now) || now->voterCount % 2 != 0)
+    if (worst == NONE || self_leaves(now) || now->voter_count % 2 != 0)
         return KEEP;
-    const size_t live = liveCount(now->voters, now->voterCount) - now->voters[worst].live;
-    return live >= lock_majority(now->voterCount - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
+    const size_t live = live_count(now->voters, now->voter_count) - now->voters[worst].live;
+    return live >= lock_majority(now->voter_count - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
 }
 
 static MembershipChange added(const Membership *now, size_t learner)
 {
-    const bool fits = learner != NONE && now->voterCount < SEAT_MOST &&
-                      liveCount(now->voters, now->voterCount) + 1 >= lock_majority(now->voterCount + 1);
+    const bool fits = learner != NONE && now->voter_count < SEAT_MOST &&
+                      live_count(now->voters, now->voter_count) + 1 >= lock_majority(now->voter_count + 1);
     return fits ? (MembershipChange){MEMBERSHIP_ADD, learner} : KEEP;
 }
 
 /* Up to the number wanted. An even number bears no more losses than one less, so two
  * learners stand ready before an odd number grows. */
-static MembershipChange missingAdded(const Membership *now, size_t readyCount)
+static MembershipChange missing_added(const Membership *now, size_t ready_count)
 {
-    const size_t needed = now->voterCount < SEAT_FIRST || now->voterCount % 2 == 0 ? 1 : 2;
-    return readyCount >= needed ? added(now, bestLearner(now, false)) : KEEP;
+    const size_t needed = now->voter_count < SEAT_FIRST || now->voter_count % 2 == 0 ? 1 : 2;
+    return ready_count >= needed ? added(now, best_learner(now, false)) : KEEP;
 }
 
 /* A learner is added for a voter that leaves, or for one of a zone that has too many:
  * after the loss of a zone its votes stand in the others. */
-static MembershipChange successorAdded(const Membership *now)
+static MembershipChange successor_added(const Membership *now)
 {
-    bool anyLeaves = false, allLive = true;
+    bool any_leaves = false, all_live = true;
     size_t crowd = 0;
-    for (size_t i = 0; i < now->voterCount; i++) {
-        anyLeaves |= now->voters[i].leaving;
-        allLive &= now->voters[i].live;
+    for (size_t i = 0; i < now->voter_count; i++) {
+        any_leaves |= now->voters[i].leaving;
+        all_live &= now->voters[i].live;
         const size_t count = beside(now, now->voters[i].zone);
         crowd = count > crowd ? count : crowd;
     }
-    if (anyLeaves)
-        return added(now, bestLearner(now, false));
-    const size_t learner = allLive ? bestLearner(now, true) : NONE;
+    if (any_leaves)
+        return added(now, best_learner(now, false));
+    const size_t learner = all_live ? best_learner(now, true) : NONE;
     const bool spreads = learner != NONE && crowd >= beside(now, now->learners[learner].zone) + 2;
     return spreads ? added(now, learner) : KEEP;
 }
 
-MembershipChange membershipNext(const Membership *now)
+MembershipChange membership_next(const Membership *now)
 {
-    size_t readyCount = 0;
-    for (size_t i = 0; i < now->learnerCount; i++)
-        readyCount += mayBeAdded(&now->learners[i]);
+    size_t ready_count = 0;
+    for (size_t i = 0; i < now->learner_count; i++)
+        ready_count += may_be_added(&now->learners[i]);
     /* one gone is replaced before the next is removed: with fewer voters than are wanted,
      * fewer disks would hold what is acknowledged */
-    const MembershipChange missing = now->voterCount < now->wanted ? missingAdded(now, readyCount) : KEEP;
+    const MembershipChange missing = now->voter_count < now->wanted ? missing_added(now, ready_count) : KEEP;
     if (missing.step != MEMBERSHIP_KEEP)
         return missing;
-    const MembershipChange gone = goneRemoved(now, readyCount);
-    if (gone.step != MEMBERSHIP_KEEP || now->voterCount < now->wanted)
+    const MembershipChange gone = gone_removed(now, ready_count);
+    if (gone.step != MEMBERSHIP_KEEP || now->voter_count < now->wanted)
         return gone;
-    if (now->voterCount > now->wanted)
-        return surplusRemoved(now);
-    return successorAdded(now);
+    if (now->voter_count > now->wanted)
+        return surplus_removed(now);
+    return successor_added(now);
 }
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -9,13 +9,13 @@
     int seat;
 } PollPart;
 
-void pollLeave(Poll *poll)
+void poll_leave(Poll *poll)
 {
     if (--poll->users == 0)
         talloc_free(poll);
 }
 
-static void pollMain(void *arg)
+static void poll_main(void *arg)
 {
     const PollPart part = *(PollPart *)arg;
     Poll *poll = part.poll;
@@ -25,34 +25,34 @@
     char address[ADDRESS_MAX];
     poll->sent_ms[i] = loop_now_ms(view->loop);
     if (poll->disks[i] == view->disk) {
-        const Status status = seatPropose(view, &poll->ask);
-        seatDescribe(view, poll, &poll->answers[i]);
+        const Status status = seat_propose(view, &poll->ask);
+        seat_describe(view, poll, &poll->answers[i]);
         poll->status[i] = status;
-    } else if (seatAddress(view, i, address)) {
+    } else if (seat_address(view, i, address)) {
         SeatAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
-        const Status status = courier_ask(view->props.courier, poll, address, MESSAGE_PROPOSE, &ProposeAskShape, &ask,
-                                          ASK_EXPIRY_MS, &SeatAnswerShape, &answer);
+        const Status status = courier_ask(view->props.courier, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+                                          ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
     poll->pending--;
     signal_raise(view->loop, &poll->ended);
-    pollLeave(poll);
+    poll_leave(poll);
 }
 
-bool pollReached(Status status)
+bool poll_reached(Status status)
 {
     return status != STATUS_UNREACHABLE && status != STATUS_EXPIRED && status != STATUS_CLOSED &&
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-Poll *pollSeats(View *view, uint64_t epoch, const bool skip[SEAT_MOST])
+Poll *poll_seats(View *view, uint64_t epoch, const bool skip[SEAT_MOST])
 {
     Poll *poll = talloc_zero(view, Poll);
     poll->view = view;
-    poll->ask = (ProposeAsk){epoch, view->disk, 0, logLastEpoch(view->log), logLastIndex(view->log)};
+    poll->ask = (ProposeAsk){epoch, view->disk, 0, log_last_epoch(view->log), log_last_index(view->log)};
     poll->users = 1;
     for (int i = 0; i < SEAT_MOST; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
@@ -63,22 +63,22 @@
         poll->pending++;
         PollPart *part = talloc_zero(view, PollPart);
         *part = (PollPart){poll, i};
-        loop_spawn(view->loop, "poll", pollMain, part);
+        loop_spawn(view->loop, "poll", poll_main, part);
     }
     /* also the own disk is not waited for without end */
     int64_t until_ms = loop_now_ms(view->loop) + ASK_EXPIRY_MS + ASK_EXPIRY_MS / 4;
-    const size_t needed = viewMajority(view);
+    const size_t needed = view_majority(view);
     bool majority = false;
     while (poll->pending > 0 && signal_wait(view->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
         bool woke = false;
         for (int i = 0; i < SEAT_MOST; i++) {
-            heard += pollReached(poll->status[i]);
-            woke |= pollReached(poll->status[i]) && poll->answers[i].woke;
+            heard += poll_reached(poll->status[i]);
+            woke |= poll_reached(poll->status[i]) && poll->answers[i].woke;
         }
-        const int64_t graceMs = loop_now_ms(view->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!woke || view->props.disksKeep) && graceMs < until_ms)
-            until_ms = graceMs;
+        const int64_t grace_ms = loop_now_ms(view->loop) + POLL_GRACE_MS;
+        if (!majority && heard >= needed && (!woke || view->props.disks_keep) && grace_ms < until_ms)
+            until_ms = grace_ms;
         majority |= heard >= needed;
     }
     return poll;
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -6,59 +6,59 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-void seatDescribe(const View *view, void *mem, SeatAnswer *answer)
+void seat_describe(const View *view, void *mem, SeatAnswer *answer)
 {
     *answer = (SeatAnswer){
         .promised = view->lock.promised,
         .holder = view->lock.holder,
-        .held = viewKnowsHolder(view),
-        .logEpoch = logLastEpoch(view->log),
-        .logIndex = logLastIndex(view->log),
+        .held = view_knows_holder(view),
+        .log_epoch = log_last_epoch(view->log),
+        .log_index = log_last_index(view->log),
         .woke = view->woke,
-        .viewEpoch = view->last.epoch,
-        .viewMembersCount = view->last.members_count,
+        .view_epoch = view->last.epoch,
+        .view_members_count = view->last.members_count,
         .wall_ms = loop_wall_ms(view->loop),
-        .syncMs = journal_counts(view->journal)->last_sync_ms,
+        .sync_ms = journal_counts(view->journal)->last_sync_ms,
         .sight = members_sight(view->props.members),
-        .filled = fillCount(view),
+        .filled = fill_count(view),
     };
-    answer->viewMembers = talloc_array(mem, DiskId, (unsigned)view->last.members_count);
+    answer->view_members = talloc_array(mem, DiskId, (unsigned)view->last.members_count);
     if (view->last.members_count > 0)
-        memcpy(answer->viewMembers, view->last.members, view->last.members_count * sizeof(DiskId));
+        memcpy(answer->view_members, view->last.members, view->last.members_count * sizeof(DiskId));
 }
 
 /* Takes a higher epoch as promised. The record must be synced before anything
  * is answered under it. */
-static Record promiseTake(View *view, uint64_t epoch, uint64_t holder)
+static Record promise_take(View *view, uint64_t epoch, uint64_t holder)
 {
     lock_promise(&view->lock, epoch, holder);
-    view->verifiedIndex = 0;
+    view->verified_index = 0;
     if ((view->holding || view->phase != VIEW_FOLLOWING) && holder != view->disk)
-        leadDown(view, 0);
+        lead_down(view, 0);
     return (Record){.kind = RECORD_PROMISE, .epoch = epoch, .index = holder, .name = ""};
 }
 
-Status seatPropose(View *view, const ProposeAsk *ask)
+Status seat_propose(View *view, const ProposeAsk *ask)
 {
     /* one that our list of seats does not have was given a seat later than our log
      * goes, or has lost the one it had */
-    const bool later = ask->logEpoch > logLastEpoch(view->log) ||
-                       (ask->logEpoch == logLastEpoch(view->log) && ask->logIndex > logLastIndex(view->log));
-    const bool stranger = viewSeatOf(view, ask->holder) < 0 && !later;
+    const bool later = ask->log_epoch > log_last_epoch(view->log) ||
+                       (ask->log_epoch == log_last_epoch(view->log) && ask->log_index > log_last_index(view->log));
+    const bool stranger = view_seat_of(view, ask->holder) < 0 && !later;
     if (ask->epoch == 0) /* only a look */
-        return stranger && view->cluster != 0 && view->listIndex <= view->commitIndex ? STATUS_NO_SEAT : STATUS_OK;
+        return stranger && view->cluster != 0 && view->list_index <= view->commit_index ? STATUS_NO_SEAT : STATUS_OK;
     /* a learner may have been made a voter by an entry that it has not been told yet: without
      * its promise, one that nobody leads to commit would stand for good */
-    if (stranger || (viewOwnSeat(view) < 0 && !(later && view->cluster != 0)))
+    if (stranger || (view_own_seat(view) < 0 && !(later && view->cluster != 0)))
         return STATUS_NO_SEAT;
-    if (viewDiskFailed(view))
+    if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
     if (ask->epoch < members_leader_epoch(view->props.members))
         return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
     const Status may = lock_may_promise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
         return may;
-    const Record record = promiseTake(view, ask->epoch, ask->holder);
+    const Record record = promise_take(view, ask->epoch, ask->holder);
     const Status status = journal_write(view->journal, &record, 1);
     if (status != STATUS_OK)
         return status;
@@ -66,7 +66,7 @@
 }
 
 /* Epoch and holder of an append or fill; adds the promise record when it is newer. */
-static Status holderTake(View *view, uint64_t epoch, uint64_t holder, Record *records, size_t *count)
+static Status holder_take(View *view, uint64_t epoch, uint64_t holder, Record *records, size_t *count)
 {
     if (epoch < view->lock.promised)
         return STATUS_OLD_EPOCH;
@@ -75,96 +75,96 @@
     if (epoch == view->lock.promised) {
         /* whoever stands meanwhile does so on a log that is changing */
         if (view->phase == VIEW_OPENING && !view->holding && holder != view->disk)
-            leadDown(view, 0);
+            lead_down(view, 0);
         return STATUS_OK;
     }
-    records[(*count)++] = promiseTake(view, epoch, holder);
+    records[(*count)++] = promise_take(view, epoch, holder);
     return STATUS_OK;
 }
 
 /* Drops entries after index; a state that has seen some of them is loaded anew. */
 static void trim(View *view, uint64_t index)
 {
-    logTrim(view->log, index);
-    if (view->commitIndex > index)
-        view->commitIndex = index;
-    if (view->deliveredIndex > index) {
+    log_trim(view->log, index);
+    if (view->commit_index > index)
+        view->commit_index = index;
+    if (view->delivered_index > index) {
         ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
                  "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew", index + 1,
-                 view->deliveredIndex);
-        view->deliveredIndex = view->log->baseIndex;
+                 view->delivered_index);
+        view->delivered_index = view->log->base_index;
         if (view->log->snapshot.kind == RECORD_SNAPSHOT)
-            viewLoad(view, &view->log->snapshot);
+            view_load(view, &view->log->snapshot);
         else
             view->props.state.load(view->props.state.arg, (Bytes){0});
-        viewDeliver(view);
+        view_deliver(view);
     }
 }
 
-/* Puts the holder's entries into the log in memory; trimmedTo is lowered when
+/* Puts the holder's entries into the log in memory; trimmed_to is lowered when
  * entries of ours had to go. */
-static Status entriesTake(View *view, const AppendAsk *ask, uint64_t *trimmedTo)
+static Status entries_take(View *view, const AppendAsk *ask, uint64_t *trimmed_to)
 {
     Log *log = view->log;
     uint64_t epoch;
     /* what lies under our snapshot is committed and so the same */
-    if (ask->prevIndex > log->baseIndex && (!logEpochAt(log, ask->prevIndex, &epoch) || epoch != ask->prevEpoch))
+    if (ask->prev_index > log->base_index && (!log_epoch_at(log, ask->prev_index, &epoch) || epoch != ask->prev_epoch))
         return STATUS_LOG_GAP;
     bool reread = false;
     Status status = STATUS_OK;
-    for (size_t i = 0; i < ask->entriesCount && status == STATUS_OK; i++) {
+    for (size_t i = 0; i < ask->entries_count && status == STATUS_OK; i++) {
         const Record *entry = &ask->entries[i];
-        if (entry->index != ask->prevIndex + 1 + i || entry->kind != RECORD_ENTRY) {
+        if (entry->index != ask->prev_index + 1 + i || entry->kind != RECORD_ENTRY) {
             status = STATUS_BAD_FRAME;
-        } else if (entry->index <= log->baseIndex) {
-            if (entry->epoch > log->baseEpoch) /* our snapshot is of another history */
+        } else if (entry->index <= log->base_index) {
+            if (entry->epoch > log->base_epoch) /* our snapshot is of another history */
                 status = STATUS_LOG_GAP;
-        } else if (!logEpochAt(log, entry->index, &epoch) || epoch != entry->epoch) {
-            if (entry->index <= view->commitIndex && view->props.disksKeep)
-                return historyRefuse(view, entry->index);
-            if (entry->index <= logLastIndex(log)) {
+        } else if (!log_epoch_at(log, entry->index, &epoch) || epoch != entry->epoch) {
+            if (entry->index <= view->commit_index && view->props.disks_keep)
+                return history_refuse(view, entry->index);
+            if (entry->index <= log_last_index(log)) {
                 trim(view, entry->index - 1);
-                if (entry->index - 1 < *trimmedTo)
-                    *trimmedTo = entry->index - 1;
+                if (entry->index - 1 < *trimmed_to)
+                    *trimmed_to = entry->index - 1;
                 reread = true;
             }
-            logAdd(log, entry);
-            viewClockTell(view, entry->at_ms);
+            log_add(log, entry);
+            view_clock_tell(view, entry->at_ms);
             reread |= entry->change < VIEW_CHANGE_FIRST;
         }
     }
     if (reread)
-        viewReread(view);
+        view_reread(view);
     return status;
 }
 
-Status seatAppend(View *view, const AppendAsk *ask)
+Status seat_append(View *view, const AppendAsk *ask)
 {
     Record first[2] = {{0}};
     size_t count = 0;
     if (view->cluster == 0)
         return STATUS_LOG_GAP; /* an empty disk begins with the whole */
-    if (viewDiskFailed(view))
+    if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    Status status = holderTake(view, ask->epoch, ask->holder, first, &count);
+    Status status = holder_take(view, ask->epoch, ask->holder, first, &count);
     if (status != STATUS_OK)
         return status;
-    uint64_t trimmedTo = UINT64_MAX;
-    status = entriesTake(view, ask, &trimmedTo);
-    if (trimmedTo < view->queuedIndex) {
-        first[count++] = (Record){.kind = RECORD_TRIM, .index = trimmedTo, .name = ""};
-        view->queuedIndex = trimmedTo;
+    uint64_t trimmed_to = UINT64_MAX;
+    status = entries_take(view, ask, &trimmed_to);
+    if (trimmed_to < view->queued_index) {
+        first[count++] = (Record){.kind = RECORD_TRIM, .index = trimmed_to, .name = ""};
+        view->queued_index = trimmed_to;
     }
     /* write whatever the journal has not been given yet; also with nothing to
      * write, what was queued before must be synced before the answer */
     void *mem = talloc_new(view);
-    const uint64_t last_index = logLastIndex(view->log);
-    if (view->queuedIndex < view->log->baseIndex)
-        view->queuedIndex = view->log->baseIndex;
-    Record *records = talloc_zero_array(mem, Record, (unsigned)(last_index - view->queuedIndex + count + 1));
+    const uint64_t last_index = log_last_index(view->log);
+    if (view->queued_index < view->log->base_index)
+        view->queued_index = view->log->base_index;
+    Record *records = talloc_zero_array(mem, Record, (unsigned)(last_index - view->queued_index + count + 1));
     memcpy(records, first, count * sizeof(*first));
-    while (view->queuedIndex < last_index)
-        records[count++] = *logAt(view->log, ++view->queuedIndex);
+    while (view->queued_index < last_index)
+        records[count++] = *log_at(view->log, ++view->queued_index);
     const Status written = journal_write(view->journal, records, count);
     talloc_free(mem);
     if (written != STATUS_OK)
@@ -173,164 +173,164 @@
         return status;
     if (lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
         return STATUS_OLD_EPOCH;
-    const uint64_t verified = ask->prevIndex + ask->entriesCount;
-    if (verified > view->verifiedIndex)
-        view->verifiedIndex = verified;
-    const uint64_t commit = ask->commitIndex < view->verifiedIndex ? ask->commitIndex : view->verifiedIndex;
-    if (commit > view->commitIndex)
-        view->commitIndex = commit;
-    viewDeliver(view);
+    const uint64_t verified = ask->prev_index + ask->entries_count;
+    if (verified > view->verified_index)
+        view->verified_index = verified;
+    const uint64_t commit = ask->commit_index < view->verified_index ? ask->commit_index : view->verified_index;
+    if (commit > view->commit_index)
+        view->commit_index = commit;
+    view_deliver(view);
     return STATUS_OK;
 }
 
 /* Whether the log holds what the snapshot stands for. One that a majority counts on
  * must not go back behind it. Also when it was found to be of another history: that
  * may have been mended since, and the question come late or once more. */
-static bool snapshotHeld(const View *view, const Record *snapshot, bool over)
+static bool snapshot_held(const View *view, const Record *snapshot, bool over)
 {
     uint64_t epoch;
-    if (view->cluster == 0 || snapshot->index > logLastIndex(view->log) || snapshot->index > view->queuedIndex)
+    if (view->cluster == 0 || snapshot->index > log_last_index(view->log) || snapshot->index > view->queued_index)
         return false;
-    if (snapshot->index < view->log->baseIndex)
-        return !over || snapshot->epoch <= view->log->baseEpoch;
-    return (logEpochAt(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch);
+    if (snapshot->index < view->log->base_index)
+        return !over || snapshot->epoch <= view->log->base_epoch;
+    return (log_epoch_at(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch);
 }
 
-Status seatFill(View *view, const FillAsk *ask)
+Status seat_fill(View *view, const FillAsk *ask)
 {
     Record promise;
     size_t count = 0;
     if (view->cluster == 0 && courier_cluster(view->props.courier) == 0)
         return STATUS_STRANGER;
-    if (viewDiskFailed(view))
+    if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    Status status = holderTake(view, ask->epoch, ask->holder, &promise, &count);
+    Status status = holder_take(view, ask->epoch, ask->holder, &promise, &count);
     if (status != STATUS_OK)
         return status;
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_BAD_FRAME;
-    if (snapshotHeld(view, &ask->snapshot, ask->over))
+    if (snapshot_held(view, &ask->snapshot, ask->over))
         return journal_write(view->journal, &promise, count); /* also what was queued before is synced then */
     Record whole;
-    status = fillTake(view, ask, &whole);
+    status = fill_take(view, ask, &whole);
     if (status != STATUS_OK) { /* nothing changes yet but the promise */
         const Status written = journal_write(view->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
     Filling *filling = view->filling; /* another may begin while the disk is waited for */
     view->filling = NULL;
-    status = seatReplace(view, &whole, NULL, 0);
+    status = seat_replace(view, &whole, NULL, 0);
     talloc_free(filling);
     return status == STATUS_OK && ask->epoch != view->lock.promised ? STATUS_OLD_EPOCH : status;
 }
 
 /* Whether the log would lose what it has synced of the same history: that must never be. */
-static bool goesBack(const View *view, const Record *snapshot, size_t entryCount)
+static bool goes_back(const View *view, const Record *snapshot, size_t entry_count)
 {
     uint64_t epoch;
-    return view->cluster != 0 && snapshot->index + entryCount < view->queuedIndex &&
-           logEpochAt(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch;
+    return view->cluster != 0 && snapshot->index + entry_count < view->queued_index &&
+           log_epoch_at(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch;
 }
 
-Status seatReplace(View *view, const Record *snapshot, const Record *entries, size_t entryCount)
+Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count)
 {
-    const uint64_t last_index = entryCount > 0 ? entries[entryCount - 1].index : snapshot->index;
-    if (last_index < view->commitIndex && view->props.disksKeep)
-        return historyRefuse(view, last_index + 1);
-    if (goesBack(view, snapshot, entryCount)) {
+    const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
+    if (last_index < view->commit_index && view->props.disks_keep)
+        return history_refuse(view, last_index + 1);
+    if (goes_back(view, snapshot, entry_count)) {
         ring_say(view->props.ring, RING_FATAL, loop_now_ms(view->loop),
-                 "own log may not go back from %" PRIu64 " to %" PRIu64, view->queuedIndex,
-                 snapshot->index + entryCount);
+                 "own log may not go back from %" PRIu64 " to %" PRIu64, view->queued_index,
+                 snapshot->index + entry_count);
         return STATUS_INTERNAL;
     }
-    Status status = viewLoad(view, snapshot);
+    Status status = view_load(view, snapshot);
     if (status != STATUS_OK)
         return status;
-    logTrim(view->log, 0);
-    view->log->baseIndex = snapshot->index; /* nothing of ours is kept */
-    logRebase(view->log, snapshot);
-    view->commitIndex = view->deliveredIndex = view->verifiedIndex = snapshot->index;
-    viewClockTell(view, snapshot->at_ms);
-    for (size_t i = 0; i < entryCount; i++)
-        if (entries[i].kind == RECORD_ENTRY && entries[i].index == logLastIndex(view->log) + 1) {
-            logAdd(view->log, &entries[i]);
-            viewClockTell(view, entries[i].at_ms);
+    log_trim(view->log, 0);
+    view->log->base_index = snapshot->index; /* nothing of ours is kept */
+    log_rebase(view->log, snapshot);
+    view->commit_index = view->delivered_index = view->verified_index = snapshot->index;
+    view_clock_tell(view, snapshot->at_ms);
+    for (size_t i = 0; i < entry_count; i++)
+        if (entries[i].kind == RECORD_ENTRY && entries[i].index == log_last_index(view->log) + 1) {
+            log_add(view->log, &entries[i]);
+            view_clock_tell(view, entries[i].at_ms);
         }
-    view->queuedIndex = logLastIndex(view->log);
-    viewReread(view);
+    view->queued_index = log_last_index(view->log);
+    view_reread(view);
     if (view->cluster == 0) {
         view->cluster = courier_cluster(view->props.courier);
-        seatsFounded(view, view->list);
+        seats_founded(view, view->list);
         members_set_empty(view->props.members, false);
     }
     void *mem = talloc_new(view);
-    size_t recordCount;
-    const Record *records = viewRecords(view, mem, &recordCount);
-    status = journal_rewrite(view->journal, records, recordCount);
+    size_t record_count;
+    const Record *records = view_records(view, mem, &record_count);
+    status = journal_rewrite(view->journal, records, record_count);
     talloc_free(mem);
     signal_raise(view->loop, &view->news);
     return status;
 }
 
-void seatLog(View *view, void *mem, const LogAsk *ask, LogAnswer *answer)
+void seat_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = view->log;
     uint64_t epoch;
-    uint64_t from = ask->afterIndex;
-    if (!logEpochAt(log, from, &epoch) || epoch != ask->afterEpoch) {
+    uint64_t from = ask->after_index;
+    if (!log_epoch_at(log, from, &epoch) || epoch != ask->after_epoch) {
         answer->whole = log->snapshot.kind == RECORD_SNAPSHOT;
         if (answer->whole)
             shape_copy(&Record_shape, &log->snapshot, mem, &answer->snapshot);
-        from = log->baseIndex;
+        from = log->base_index;
     }
-    answer->entries = talloc_array(mem, Record, (unsigned)(logLastIndex(log) - from));
-    for (uint64_t i = from + 1; i <= logLastIndex(log); i++)
-        shape_copy(&Record_shape, logAt(log, i), mem, &answer->entries[answer->entriesCount++]);
+    answer->entries = talloc_array(mem, Record, (unsigned)(log_last_index(log) - from));
+    for (uint64_t i = from + 1; i <= log_last_index(log); i++)
+        shape_copy(&Record_shape, log_at(log, i), mem, &answer->entries[answer->entries_count++]);
 }
 
 /* --- handlers ------------------------------------------------------------------ */
 
 /* Whether a question for the disk is for ours. */
-static bool isFor(const View *view, uint64_t to)
+static bool is_for(const View *view, uint64_t to)
 {
     return to == 0 || to == view->disk;
 }
 
-static Status onPropose(void *arg, void *mem, const void *question, void *answer)
+static Status on_propose(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const ProposeAsk *ask = question;
-    if (!isFor(view, ask->to))
+    if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seatPropose(view, ask);
-    seatDescribe(view, mem, answer);
+    const Status status = seat_propose(view, ask);
+    seat_describe(view, mem, answer);
     return status;
 }
 
-static Status onRenew(void *arg, void *mem, const void *question, void *answer)
+static Status on_renew(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const RenewAsk *ask = question;
-    if (!isFor(view, ask->to))
+    if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
     const Status status = lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
-        viewClockSet(view, ask->clock_ms);
-        members_set_leader(view->props.members, ask->epoch, ask->holderId);
-        const uint64_t commit = ask->commitIndex < view->verifiedIndex ? ask->commitIndex : view->verifiedIndex;
-        if (commit > view->commitIndex)
-            view->commitIndex = commit;
-        viewDeliver(view);
+        view_clock_set(view, ask->clock_ms);
+        members_set_leader(view->props.members, ask->epoch, ask->holder_id);
+        const uint64_t commit = ask->commit_index < view->verified_index ? ask->commit_index : view->verified_index;
+        if (commit > view->commit_index)
+            view->commit_index = commit;
+        view_deliver(view);
     }
-    seatDescribe(view, mem, answer);
+    seat_describe(view, mem, answer);
     return status;
 }
 
-static Status onRelease(void *arg, void *mem, const void *question, void *answer)
+static Status on_release(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const RenewAsk *ask = question;
-    if (!isFor(view, ask->to))
+    if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
     if (ask->epoch == view->lock.promised && ask->holder == view->lock.holder) {
         lock_release(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
@@ -340,51 +340,51 @@
             view->rest_until_ms = loop_now_ms(view->loop) + HANDED_MS;
         signal_raise(view->loop, &view->released);
     }
-    seatDescribe(view, mem, answer);
+    seat_describe(view, mem, answer);
     return STATUS_OK;
 }
 
-static Status onAppend(void *arg, void *mem, const void *question, void *answer)
+static Status on_append(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const AppendAsk *ask = question;
-    if (!isFor(view, ask->to))
+    if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seatAppend(view, ask);
-    seatDescribe(view, mem, answer);
+    const Status status = seat_append(view, ask);
+    seat_describe(view, mem, answer);
     return status;
 }
 
-static Status onFill(void *arg, void *mem, const void *question, void *answer)
+static Status on_fill(void *arg, void *mem, const void *question, void *answer)
 {
     View *view = arg;
     const FillAsk *ask = question;
-    if (!isFor(view, ask->to))
+    if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seatFill(view, ask);
-    seatDescribe(view, mem, answer);
+    const Status status = seat_fill(view, ask);
+    seat_describe(view, mem, answer);
     return status;
 }
 
-static Status onLog(void *arg, void *mem, const void *ask, void *answer)
+static Status on_log(void *arg, void *mem, const void *ask, void *answer)
 {
     View *view = arg;
     const LogAsk *question = ask;
-    if (!isFor(view, question->to))
+    if (!is_for(view, question->to))
         return STATUS_OTHER_DISK;
     if (question->epoch != view->lock.promised || question->holder != view->lock.holder)
         return STATUS_OLD_EPOCH;
-    seatLog(view, mem, question, answer);
+    seat_log(view, mem, question, answer);
     return STATUS_OK;
 }
 
-void seatServe(View *view)
+void seat_serve(View *view)
 {
     Courier *courier = view->props.courier;
-    courier_handle(courier, MESSAGE_PROPOSE, &ProposeAskShape, &SeatAnswerShape, onPropose, view);
-    courier_handle(courier, MESSAGE_RENEW, &RenewAskShape, &SeatAnswerShape, onRenew, view);
-    courier_handle(courier, MESSAGE_RELEASE, &RenewAskShape, &SeatAnswerShape, onRelease, view);
-    courier_handle(courier, MESSAGE_APPEND, &AppendAskShape, &SeatAnswerShape, onAppend, view);
-    courier_handle(courier, MESSAGE_FILL, &FillAskShape, &SeatAnswerShape, onFill, view);
-    courier_handle(courier, MESSAGE_LOG, &LogAskShape, &LogAnswerShape, onLog, view);
+    courier_handle(courier, MESSAGE_PROPOSE, &ProposeAsk_shape, &SeatAnswer_shape, on_propose, view);
+    courier_handle(courier, MESSAGE_RENEW, &RenewAsk_shape, &SeatAnswer_shape, on_renew, view);
+    courier_handle(courier, MESSAGE_RELEASE, &RenewAsk_shape, &SeatAnswer_shape, on_release, view);
+    courier_handle(courier, MESSAGE_APPEND, &AppendAsk_shape, &SeatAnswer_shape, on_append, view);
+    courier_handle(courier, MESSAGE_FILL, &FillAsk_shape, &SeatAnswer_shape, on_fill, view);
+    courier_handle(courier, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, view);
 }
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -5,12 +5,12 @@
 
 #include "inside.h"
 
-size_t viewMajority(const View *view)
+size_t view_majority(const View *view)
 {
-    return lock_majority(view->seatCount);
+    return lock_majority(view->seat_count);
 }
 
-int viewSeatOf(const View *view, uint64_t disk)
+int view_seat_of(const View *view, uint64_t disk)
 {
     for (int i = 0; i < SEAT_MOST; i++)
         if (view->seats[i] == disk && disk != 0)
@@ -18,12 +18,12 @@
     return -1;
 }
 
-int viewOwnSeat(const View *view)
+int view_own_seat(const View *view)
 {
-    return viewSeatOf(view, view->disk);
+    return view_seat_of(view, view->disk);
 }
 
-size_t viewSeats(const View *view, uint64_t seats[SEAT_MOST])
+size_t view_seats(const View *view, uint64_t seats[SEAT_MOST])
 {
     size_t count = 0;
     for (int i = 0; i < SEAT_MOST && view->cluster != 0; i++)
@@ -32,56 +32,56 @@
     return count;
 }
 
-uint64_t slotDisk(const View *view, int slot)
+uint64_t slot_disk(const View *view, int slot)
 {
     return slot >= SEAT_MOST ? view->learners[slot - SEAT_MOST].disk : view->seats[slot];
 }
 
-void seatsFirst(View *view)
+void seats_first(View *view)
 {
     view->founded = talloc_zero(view, SeatList);
     view->list = talloc_zero(view, SeatList);
     lock_hold_clear(&view->hold);
 }
 
-void seatsFounded(View *view, const SeatList *list)
+void seats_founded(View *view, const SeatList *list)
 {
     talloc_free(view->founded);
     view->founded = talloc_zero(view, SeatList);
-    shape_copy(&SeatListShape, list, view->founded, view->founded);
+    shape_copy(&SeatList_shape, list, view->founded, view->founded);
 }
 
-void seatsTake(View *view, const SeatList *list, uint64_t index)
+void seats_take(View *view, const SeatList *list, uint64_t index)
 {
     SeatList *copy = talloc_zero(view, SeatList);
-    shape_copy(&SeatListShape, list, copy, copy);
+    shape_copy(&SeatList_shape, list, copy, copy);
     talloc_free(view->list);
     view->list = copy;
-    view->listIndex = index;
-    view->places = copy->seatsCount < SEAT_MOST ? copy->seatsCount : SEAT_MOST;
-    view->seatCount = 0;
+    view->list_index = index;
+    view->places = copy->seats_count < SEAT_MOST ? copy->seats_count : SEAT_MOST;
+    view->seat_count = 0;
     for (size_t i = 0; i < SEAT_MOST; i++) {
         const uint64_t disk = i < view->places ? copy->seats[i].disk : 0;
-        view->seatCount += disk != 0;
+        view->seat_count += disk != 0;
         if (view->seats[i] == disk)
             continue;
         view->seats[i] = disk;
-        view->inView[i] = false;
-        view->peers[i] = (Peer){.nextIndex = UINT64_MAX, .renewedMs = INT64_MIN, .appendSinceMs = INT64_MAX};
+        view->in_view[i] = false;
+        view->peers[i] = (Peer){.next_index = UINT64_MAX, .renewed_ms = INT64_MIN, .append_since_ms = INT64_MAX};
         view->hold.sent_ms[i] = INT64_MIN;
     }
-    view->hold.seats = view->seatCount;
+    view->hold.seats = view->seat_count;
 }
 
-static const SeatCore *coreOf(const View *view, uint64_t disk)
+static const SeatCore *core_of(const View *view, uint64_t disk)
 {
-    for (size_t i = 0; i < view->list->coresCount; i++)
+    for (size_t i = 0; i < view->list->cores_count; i++)
         if (view->list->cores[i].disk == disk)
             return &view->list->cores[i];
     return NULL;
 }
 
-SeatList *seatsOf(const View *view, void *mem, const uint64_t disks[], size_t count)
+SeatList *seats_of(const View *view, void *mem, const uint64_t disks[], size_t count)
 {
     SeatList *list = talloc_zero(mem, SeatList);
     list->seats = talloc_zero_array(list, DiskId, (unsigned)count);
@@ -91,19 +91,19 @@
         if (disks[i] == 0)
             continue;
         const Member *member = members_find_disk(view->props.members, disks[i]);
-        const SeatCore *core = coreOf(view, disks[i]);
-        SeatCore *to = &list->cores[list->coresCount++];
+        const SeatCore *core = core_of(view, disks[i]);
+        SeatCore *to = &list->cores[list->cores_count++];
         *to = (SeatCore){disks[i], "", "", ""};
         if (member != NULL)
             *to = (SeatCore){disks[i], member->record.name, member->record.zone, member->record.address};
         else if (core != NULL)
             *to = *core;
     }
-    list->seatsCount = count;
+    list->seats_count = count;
     return list;
 }
 
-SeatList *seatsWith(const View *view, void *mem, int place, uint64_t disk)
+SeatList *seats_with(const View *view, void *mem, int place, uint64_t disk)
 {
     uint64_t disks[SEAT_MOST];
     size_t count = 0;
@@ -112,32 +112,32 @@
         if (disks[i] != 0)
             count = (size_t)i + 1;
     }
-    return seatsOf(view, mem, disks, count);
+    return seats_of(view, mem, disks, count);
 }
 
-bool seatAddress(const View *view, int place, char address[ADDRESS_MAX])
+bool seat_address(const View *view, int place, char address[ADDRESS_MAX])
 {
-    const uint64_t disk = slotDisk(view, place);
+    const uint64_t disk = slot_disk(view, place);
     const Member *member = members_find_disk(view->props.members, disk);
-    const SeatCore *core = coreOf(view, disk);
+    const SeatCore *core = core_of(view, disk);
     const char *found = member != NULL ? member->record.address : core != NULL ? core->address : "";
     strncpy(address, found, ADDRESS_MAX - 1);
     address[ADDRESS_MAX - 1] = '\0';
     return disk != 0 && address[0] != '\0';
 }
 
-bool seatDead(const View *view, uint64_t disk, bool sameAddress)
+bool seat_dead(const View *view, uint64_t disk, bool same_address)
 {
-    const SeatCore *core = coreOf(view, disk);
+    const SeatCore *core = core_of(view, disk);
     if (core == NULL || core->name[0] == '\0')
         return false;
     const Member *other = members_other_disk(view->props.members, core->name, disk);
-    return other != NULL && (!sameAddress || strcmp(other->record.address, core->address) == 0);
+    return other != NULL && (!same_address || strcmp(other->record.address, core->address) == 0);
 }
 
-const char *seatZone(const View *view, uint64_t disk)
+const char *seat_zone(const View *view, uint64_t disk)
 {
     const Member *member = members_find_disk(view->props.members, disk);
-    const SeatCore *core = coreOf(view, disk);
+    const SeatCore *core = core_of(view, disk);
     return member != NULL ? member->record.zone : core != NULL ? core->zone : "";
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -5,173 +5,173 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-View *viewNew(void *mem, const ViewProps *props)
+View *view_new(void *mem, const ViewProps *props)
 {
     View *view = talloc_zero(mem, View);
     view->props = *props;
     view->loop = props->loop;
-    view->log = logNew(view);
-    seatsFirst(view);
+    view->log = log_new(view);
+    seats_first(view);
     return view;
 }
 
-bool viewFounded(const View *view)
+bool view_founded(const View *view)
 {
     return view->cluster != 0;
 }
 
-uint64_t viewCluster(const View *view)
+uint64_t view_cluster(const View *view)
 {
     return view->cluster;
 }
 
-bool viewSeated(const View *view)
+bool view_seated(const View *view)
 {
-    return viewOwnSeat(view) >= 0;
+    return view_own_seat(view) >= 0;
 }
 
-uint64_t viewDisk(const View *view)
+uint64_t view_disk(const View *view)
 {
     return view->disk;
 }
 
-uint64_t viewEpoch(const View *view)
+uint64_t view_epoch(const View *view)
 {
     return view->epoch;
 }
 
-int64_t viewWonMs(const View *view)
+int64_t view_won_ms(const View *view)
 {
-    return view->wonMs;
+    return view->won_ms;
 }
 
-bool viewOrders(const View *view)
+bool view_orders(const View *view)
 {
     return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lock_hold_until(&view->hold);
 }
 
 /* What is acknowledged outlives the losses that must be borne: it is on one disk more than
  * those, however many voters there are just now. */
-static bool wideEnough(const View *view)
+static bool wide_enough(const View *view)
 {
     size_t copies = 0;
     for (int i = 0; i < SEAT_MOST; i++)
-        copies += view->inView[i];
-    return copies >= lock_majority(votersWanted(view));
+        copies += view->in_view[i];
+    return copies >= lock_majority(voters_wanted(view));
 }
 
-bool viewLeading(const View *view)
+bool view_leading(const View *view)
 {
-    return viewOrders(view) && wideEnough(view);
+    return view_orders(view) && wide_enough(view);
 }
 
-bool viewHolds(const View *view)
+bool view_holds(const View *view)
 {
     return (view->phase == VIEW_LEADING || (view->phase == VIEW_OPENING && view->reopening)) &&
            loop_now_ms(view->loop) < lock_hold_until(&view->hold);
 }
 
-bool viewKnowsHolder(const View *view)
+bool view_knows_holder(const View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     /* a woken seat may have forgotten: it must not say that it knows none */
     return lock_held(&view->lock, now_ms) || now_ms < view->lock.not_before_ms || view->holding;
 }
 
-int64_t viewClockMs(const View *view)
+int64_t view_clock_ms(const View *view)
 {
-    return view->clockRuns ? view->clockBaseMs + (loop_now_ms(view->loop) - view->clockAtMs) : view->clockBaseMs;
+    return view->clock_runs ? view->clock_base_ms + (loop_now_ms(view->loop) - view->clock_at_ms) : view->clock_base_ms;
 }
 
-void viewClockTell(View *view, int64_t clock_ms)
+void view_clock_tell(View *view, int64_t clock_ms)
 {
-    if (clock_ms > view->clockLogMs)
-        view->clockLogMs = clock_ms;
-    if (clock_ms > viewClockMs(view) || !view->clockRuns)
-        viewClockSet(view, clock_ms);
+    if (clock_ms > view->clock_log_ms)
+        view->clock_log_ms = clock_ms;
+    if (clock_ms > view_clock_ms(view) || !view->clock_runs)
+        view_clock_set(view, clock_ms);
 }
 
-void viewClockSet(View *view, int64_t clock_ms)
+void view_clock_set(View *view, int64_t clock_ms)
 {
-    view->clockBaseMs = clock_ms > view->clockLogMs ? clock_ms : view->clockLogMs;
-    view->clockAtMs = loop_now_ms(view->loop);
-    view->clockRuns = true;
+    view->clock_base_ms = clock_ms > view->clock_log_ms ? clock_ms : view->clock_log_ms;
+    view->clock_at_ms = loop_now_ms(view->loop);
+    view->clock_runs = true;
 }
 
-int64_t viewWallMs(const View *view)
+int64_t view_wall_ms(const View *view)
 {
-    return view->wallKnown ? loop_now_ms(view->loop) + view->wallOffsetMs : loop_wall_ms(view->loop);
+    return view->wall_known ? loop_now_ms(view->loop) + view->wall_offset_ms : loop_wall_ms(view->loop);
 }
 
-Signal *viewNews(View *view)
+Signal *view_news(View *view)
 {
     return &view->news;
 }
 
-void viewStepDown(View *view, int64_t restMs)
+void view_step_down(View *view, int64_t rest_ms)
 {
-    leadDown(view, restMs);
+    lead_down(view, rest_ms);
 }
 
 /* --- seats and last view, from the log ------------------------------------ */
 
-static void lastSet(View *view, const ViewRecord *record)
+static void last_set(View *view, const ViewRecord *record)
 {
-    talloc_free(view->lastMem);
-    view->lastMem = talloc_new(view);
-    shape_copy(&ViewRecordShape, record, view->lastMem, &view->last);
+    talloc_free(view->last_mem);
+    view->last_mem = talloc_new(view);
+    shape_copy(&ViewRecord_shape, record, view->last_mem, &view->last);
 }
 
 /* The list that a majority has committed may only be followed by later ones. */
-static void listCheck(View *view, uint64_t index)
+static void list_check(View *view, uint64_t index)
 {
-    if (view->listIndex <= view->commitIndex && view->listIndex > view->listCommitted)
-        view->listCommitted = view->listIndex;
-    if (!view->props.disksKeep || index >= view->listCommitted || view->listOld)
+    if (view->list_index <= view->commit_index && view->list_index > view->list_committed)
+        view->list_committed = view->list_index;
+    if (!view->props.disks_keep || index >= view->list_committed || view->list_old)
         return;
-    view->listOld = true;
+    view->list_old = true;
     ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
-             "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->listCommitted,
+             "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->list_committed,
              index);
 }
 
-void viewReread(View *view)
+void view_reread(View *view)
 {
     void *mem = talloc_new(view);
     const SeatList *seats = NULL;
     const ViewRecord *last = NULL;
-    uint64_t seatsIndex = 0;
-    SeatList seatList;
-    ViewRecord viewRecord;
+    uint64_t seats_index = 0;
+    SeatList seat_list;
+    ViewRecord view_record;
     bool repaired = false;
     for (size_t i = view->log->count; i > 0 && (seats == NULL || last == NULL); i--) {
         const Record *entry = &view->log->entries[i - 1];
         if (entry->change == VIEW_CHANGE_SEATS && seats == NULL &&
-            shape_unpack(&SeatListShape, entry->payload, mem, &seatList, NULL) == STATUS_OK) {
-            seats = &seatList;
-            seatsIndex = entry->index;
+            shape_unpack(&SeatList_shape, entry->payload, mem, &seat_list, NULL) == STATUS_OK) {
+            seats = &seat_list;
+            seats_index = entry->index;
         }
         if (entry->change == VIEW_CHANGE_REPAIRED && last == NULL)
             repaired = true;
         if (entry->change == VIEW_CHANGE_VIEW && last == NULL &&
-            shape_unpack(&ViewRecordShape, entry->payload, mem, &viewRecord, NULL) == STATUS_OK)
-            last = &viewRecord;
+            shape_unpack(&ViewRecord_shape, entry->payload, mem, &view_record, NULL) == STATUS_OK)
+            last = &view_record;
     }
     Snapshot snapshot;
     if ((seats == NULL || last == NULL) && view->log->snapshot.kind == RECORD_SNAPSHOT &&
-        shape_unpack(&SnapshotShape, view->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
+        shape_unpack(&Snapshot_shape, view->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
         if (seats == NULL) {
-            seatList = (SeatList){snapshot.seats, snapshot.seatsCount, snapshot.cores, snapshot.coresCount};
-            seats = &seatList;
-            seatsIndex = view->log->baseIndex;
+            seat_list = (SeatList){snapshot.seats, snapshot.seats_count, snapshot.cores, snapshot.cores_count};
+            seats = &seat_list;
+            seats_index = view->log->base_index;
         }
         if (last == NULL)
             last = &snapshot.last;
     }
-    listCheck(view, seatsIndex);
-    seatsTake(view, seats != NULL ? seats : view->founded, seatsIndex);
+    list_check(view, seats_index);
+    seats_take(view, seats != NULL ? seats : view->founded, seats_index);
     if (last != NULL) {
-        lastSet(view, last);
+        last_set(view, last);
         view->last.repair &= !repaired;
     }
     talloc_free(mem);
@@ -179,7 +179,7 @@
 
 /* --- delivery ---------------------------------------------------------------- */
 
-static bool lastHas(const View *view, uint64_t disk)
+static bool last_has(const View *view, uint64_t disk)
 {
     for (size_t i = 0; i < view->last.members_count; i++)
         if (view->last.members[i].disk == disk)
@@ -187,19 +187,19 @@
     return false;
 }
 
-void viewDeliver(View *view)
+void view_deliver(View *view)
 {
     bool any = false;
-    while (view->deliveredIndex < view->commitIndex) {
-        const Record *entry = logAt(view->log, view->deliveredIndex + 1);
+    while (view->delivered_index < view->commit_index) {
+        const Record *entry = log_at(view->log, view->delivered_index + 1);
         if (entry == NULL)
             break;
         ChangeResult result = {STATUS_OK, 0, entry->index};
         if (entry->change >= VIEW_CHANGE_FIRST)
             view->props.state.deliver(view->props.state.arg, entry, &result);
-        else if (entry->change == VIEW_CHANGE_VIEW && entry->epoch == view->lock.promised && lastHas(view, view->disk))
+        else if (entry->change == VIEW_CHANGE_VIEW && entry->epoch == view->lock.promised && last_has(view, view->disk))
             view->woke = false; /* a view has brought this seat up to date */
-        view->deliveredIndex = entry->index;
+        view->delivered_index = entry->index;
         any = true;
         for (Waiter **at = &view->waiters; *at != NULL;) {
             Waiter *waiter = *at;
@@ -217,11 +217,11 @@
     }
     if (any) {
         signal_raise(view->loop, &view->news);
-        viewCompactMaybe(view, false);
+        view_compact_maybe(view, false);
     }
 }
 
-void viewWaitersEnd(View *view, Status status)
+void view_waiters_end(View *view, Status status)
 {
     while (view->waiters != NULL) {
         Waiter *waiter = view->waiters;
@@ -234,34 +234,34 @@
 
 /* --- start ---------------------------------------------------------------------------- */
 
-void viewStart(View *view, Members *members)
+void view_start(View *view, Members *members)
 {
     view->props.members = members;
-    seatServe(view);
+    seat_serve(view);
     /* a holder that starts anew holds nothing: the others need not wait it out, and it
      * is the first that they may promise anything to */
-    if (view->lock.promised != 0 && view->lock.holder == view->disk && viewSeated(view)) {
+    if (view->lock.promised != 0 && view->lock.holder == view->disk && view_seated(view)) {
         view->epoch = view->lock.promised;
         view->named = view->lock.sure;
-        leadRelease(view, view->lock.sure ? view->disk : 0);
+        lead_release(view, view->lock.sure ? view->disk : 0);
     }
-    viewWatch(view);
-    diskStart(view);
-    votersStart(view);
+    view_watch(view);
+    disk_start(view);
+    voters_start(view);
 }
 
-Status viewFound(View *view, uint64_t cluster, const SeatList *seats)
+Status view_found(View *view, uint64_t cluster, const SeatList *seats)
 {
     if (view->cluster != 0)
         return view->cluster == cluster ? STATUS_OK : STATUS_STRANGER;
     view->cluster = cluster;
-    seatsFounded(view, seats);
-    viewReread(view);
+    seats_founded(view, seats);
+    view_reread(view);
     courier_set_cluster(view->props.courier, cluster);
     members_set_empty(view->props.members, false);
     void *mem = talloc_new(view);
     size_t count;
-    const Record *records = viewRecords(view, mem, &count);
+    const Record *records = view_records(view, mem, &count);
     const Status status = journal_write(view->journal, records, 1);
     talloc_free(mem);
     return status;
@@ -271,55 +271,55 @@
 
 /* Waits while a view is opened anew by the same holder. The view's own changes
  * make it wide enough for those of others. */
-static Status mayOrder(View *view, uint64_t change, int64_t until_ms)
+static Status may_order(View *view, uint64_t change, int64_t until_ms)
 {
     while (view->phase == VIEW_OPENING && view->holding)
         if (!signal_wait(view->loop, &view->news, until_ms))
             return STATUS_BUSY;
-    return viewLeading(view) || (change < VIEW_CHANGE_FIRST && viewOrders(view)) ? STATUS_OK : STATUS_NOT_LEADER;
+    return view_leading(view) || (change < VIEW_CHANGE_FIRST && view_orders(view)) ? STATUS_OK : STATUS_NOT_LEADER;
 }
 
-static Record orderAdd(View *view, uint64_t change, Bytes payload)
+static Record order_add(View *view, uint64_t change, Bytes payload)
 {
     const Record entry = {.kind = RECORD_ENTRY,
                           .epoch = view->epoch,
-                          .index = logLastIndex(view->log) + 1,
-                          .at_ms = viewClockMs(view),
+                          .index = log_last_index(view->log) + 1,
+                          .at_ms = view_clock_ms(view),
                           .change = change,
                           .name = "",
                           .payload = payload};
-    logAdd(view->log, &entry);
+    log_add(view->log, &entry);
     if (change < VIEW_CHANGE_FIRST)
-        viewReread(view);
+        view_reread(view);
     signal_raise(view->loop, &view->grew);
     return entry;
 }
 
-Status viewOffer(View *view, uint64_t change, Bytes payload)
+Status view_offer(View *view, uint64_t change, Bytes payload)
 {
-    const Status status = mayOrder(view, change, loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS);
+    const Status status = may_order(view, change, loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS);
     if (status == STATUS_OK)
-        orderAdd(view, change, payload);
+        order_add(view, change, payload);
     return status;
 }
 
-Status viewSettle(View *view)
+Status view_settle(View *view)
 {
-    const uint64_t last_index = logLastIndex(view->log);
+    const uint64_t last_index = log_last_index(view->log);
     const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
-    while (view->deliveredIndex < last_index)
+    while (view->delivered_index < last_index)
         if (!view->holding || !signal_wait(view->loop, &view->news, until_ms))
             return STATUS_NOT_LEADER;
     return STATUS_OK;
 }
 
-Status viewSubmit(View *view, uint64_t change, Bytes payload, ChangeResult *result)
+Status view_submit(View *view, uint64_t change, Bytes payload, ChangeResult *result)
 {
     const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
-    Status status = mayOrder(view, change, until_ms);
+    Status status = may_order(view, change, until_ms);
     if (status != STATUS_OK)
         return status;
-    const Record entry = orderAdd(view, change, payload);
+    const Record entry = order_add(view, change, payload);
     Waiter *waiter = talloc_zero(view, Waiter);
     waiter->epoch = entry.epoch;
     waiter->index = entry.index;
@@ -338,55 +338,55 @@
         status = STATUS_OUTCOME_UNKNOWN;
     }
     /* the view may have got narrower while the change waited */
-    if (status == STATUS_OK && change >= VIEW_CHANGE_FIRST && !wideEnough(view))
+    if (status == STATUS_OK && change >= VIEW_CHANGE_FIRST && !wide_enough(view))
         status = STATUS_OUTCOME_UNKNOWN;
     *result = waiter->result;
     talloc_free(waiter);
     return status;
 }
 
-Status viewRepaired(View *view)
+Status view_repaired(View *view)
 {
     ChangeResult result;
-    return viewSubmit(view, VIEW_CHANGE_REPAIRED, (Bytes){0}, &result);
+    return view_submit(view, VIEW_CHANGE_REPAIRED, (Bytes){0}, &result);
 }
 
-void viewPlace(const View *view, uint64_t *epoch, uint64_t *commitIndex)
+void view_place(const View *view, uint64_t *epoch, uint64_t *commit_index)
 {
     *epoch = view->phase == VIEW_FOLLOWING ? view->lock.promised : view->epoch;
-    *commitIndex = view->commitIndex;
+    *commit_index = view->commit_index;
 }
 
-void viewSight(const View *view, ViewSight *sight)
+void view_sight(const View *view, ViewSight *sight)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     const int64_t until_ms = lock_hold_until(&view->hold);
     memset(sight, 0, sizeof(*sight));
     sight->phase = view->phase;
-    viewPlace(view, &sight->epoch, &sight->commitIndex);
+    view_place(view, &sight->epoch, &sight->commit_index);
     sight->holder = view->lock.holder;
     sight->woke = view->woke;
-    sight->last_index = logLastIndex(view->log);
-    sight->deliveredIndex = view->deliveredIndex;
-    sight->baseIndex = view->log->baseIndex;
-    sight->holdLeftMs = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
-    sight->viewChanges = view->viewChanges;
-    sight->otherHistories = view->otherHistories;
+    sight->last_index = log_last_index(view->log);
+    sight->delivered_index = view->delivered_index;
+    sight->base_index = view->log->base_index;
+    sight->hold_left_ms = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
+    sight->view_changes = view->view_changes;
+    sight->other_histories = view->other_histories;
     sight->journal = *journal_counts(view->journal);
     for (int i = 0; i < SEAT_MOST; i++) {
         const Peer *peer = &view->peers[i];
         const bool self = view->seats[i] == view->disk;
         if (view->seats[i] == 0)
             continue;
-        sight->seats[sight->seatCount++] = (ViewSeatSight){
+        sight->seats[sight->seat_count++] = (ViewSeatSight){
             .disk = view->seats[i],
-            .inView = view->inView[i],
+            .in_view = view->in_view[i],
             .answers = self || now_ms - peer->answered_ms < LOCK_HOLD_MS,
             .woke = self ? view->woke : peer->woke,
-            .syncMs = self ? sight->journal.last_sync_ms : peer->syncMs,
-            .matchIndex = self ? view->syncedIndex : peer->matchIndex,
+            .sync_ms = self ? sight->journal.last_sync_ms : peer->sync_ms,
+            .match_index = self ? view->synced_index : peer->match_index,
             .sight = self ? members_sight(view->props.members) : peer->sight,
         };
     }
-    votersSight(view, sight);
+    voters_sight(view, sight);
 }
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -10,8 +10,8 @@
 static const char *leaves(const View *view, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &view->peers[place];
-    const bool near = peer->matchIndex > 0 && peer->matchIndex + LOG_BATCH_ENTRIES >= logLastIndex(view->log);
-    if (seatDead(view, view->seats[place], false))
+    const bool near = peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log);
+    if (seat_dead(view, view->seats[place], false))
         return "its disk is gone";
     if (now_ms - peer->answered_ms > LOCK_HOLD_MS)
         return "silent";
@@ -20,11 +20,11 @@
     const Member *member = members_find_disk(view->props.members, view->seats[place]);
     if (member != NULL && member->record.leaving)
         return "its core leaves";
-    if (peer->appendSinceMs != INT64_MAX && now_ms - peer->appendSinceMs > SEAT_LATE_MS)
+    if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > SEAT_LATE_MS)
         return "does not sync in time";
-    if (peer->slowTimes >= SEAT_SLOW_TIMES)
+    if (peer->slow_times >= SEAT_SLOW_TIMES)
         return "slow";
-    return !near && now_ms - view->changedMs > SEAT_LATE_MS ? "far behind" : NULL;
+    return !near && now_ms - view->changed_ms > SEAT_LATE_MS ? "far behind" : NULL;
 }
 
 static bool returns(const View *view, int place, int64_t now_ms)
@@ -32,27 +32,28 @@
     const Peer *peer = &view->peers[place];
     const Member *member = members_find_disk(view->props.members, view->seats[place]);
     return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
-           peer->appendSinceMs == INT64_MAX && peer->matchIndex > 0 &&
-           peer->matchIndex + LOG_BATCH_ENTRIES >= logLastIndex(view->log) && peer->appendTookMs < SEAT_SLOW_MS / 2 &&
-           peer->syncMs < SEAT_SLOW_MS / 2 && now_ms >= peer->returnMs && !seatDead(view, view->seats[place], false);
+           peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
+           peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log) &&
+           peer->append_took_ms < SEAT_SLOW_MS / 2 && peer->sync_ms < SEAT_SLOW_MS / 2 && now_ms >= peer->return_ms &&
+           !seat_dead(view, view->seats[place], false);
 }
 
 /* Changes the view under the same epoch: takes in who is up to date, lets go who
  * keeps the others waiting, as long as a majority stays. True when a promise given
  * to another asks for a new epoch; skip is filled in then. */
-static bool viewTend(View *view, bool skip[SEAT_MOST])
+static bool view_tend(View *view, bool skip[SEAT_MOST])
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    bool inView[SEAT_MOST], anew = false, changed = false;
+    bool in_view[SEAT_MOST], anew = false, changed = false;
     size_t count = 0;
-    memcpy(inView, view->inView, sizeof(inView));
+    memcpy(in_view, view->in_view, sizeof(in_view));
     for (int i = 0; i < SEAT_MOST; i++) {
-        count += inView[i];
+        count += in_view[i];
         skip[i] = false;
     }
     for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] != 0 && view->seats[i] != view->disk && !inView[i] && returns(view, i, now_ms)) {
-            inView[i] = changed = true;
+        if (view->seats[i] != 0 && view->seats[i] != view->disk && !in_view[i] && returns(view, i, now_ms)) {
+            in_view[i] = changed = true;
             count++;
             ring_say(view->props.ring, RING_NOTE, now_ms, "seat %016" PRIx64 " comes into the view", view->seats[i]);
         }
@@ -62,55 +63,55 @@
             continue;
         /* a seat that has promised more takes nothing of ours, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
-        skip[i] = silent || seatDead(view, view->seats[i], false);
-        anew |= !skip[i] && peer->promised > view->epoch && now_ms - view->changedMs > LOCK_RENEW_MS;
-        if (!inView[i])
+        skip[i] = silent || seat_dead(view, view->seats[i], false);
+        anew |= !skip[i] && peer->promised > view->epoch && now_ms - view->changed_ms > LOCK_RENEW_MS;
+        if (!in_view[i])
             continue;
-        const char *why = view->inView[i] ? leaves(view, i, count > viewMajority(view), now_ms) : NULL;
-        if (why != NULL && count > viewMajority(view)) {
-            inView[i] = false;
+        const char *why = view->in_view[i] ? leaves(view, i, count > view_majority(view), now_ms) : NULL;
+        if (why != NULL && count > view_majority(view)) {
+            in_view[i] = false;
             changed = true;
             count--;
-            peer->returnMs = now_ms + SEAT_REST_MS;
-            peer->slowTimes = 0;
+            peer->return_ms = now_ms + SEAT_REST_MS;
+            peer->slow_times = 0;
             ring_say(view->props.ring, RING_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s", view->seats[i],
                      why);
             continue;
         }
         /* it restarted within the view; one just taken in takes a renewal to be heard of */
-        changed |= peer->woke && now_ms - view->changedMs > 2 * LOCK_RENEW_MS;
+        changed |= peer->woke && now_ms - view->changed_ms > 2 * LOCK_RENEW_MS;
     }
     if (!anew && changed)
-        leadTurn(view, inView);
+        lead_turn(view, in_view);
     return anew;
 }
 
 /* The best partition is the largest. All that hold a majority of the seats can
  * reach each other's seats, but a leader may be cut off from other members: when
  * a seat in the view sees many more of them, the lock is better there. */
-static bool viewBlind(View *view)
+static bool view_blind(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     const uint64_t own = members_sight(view->props.members);
     bool blind = false;
     for (int i = 0; i < SEAT_MOST; i++)
-        if (view->inView[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_HOLD_MS)
+        if (view->in_view[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_HOLD_MS)
             blind |= view->peers[i].sight > own + SIGHT_MARGIN && view->peers[i].sight > own + own / 2;
-    if (!blind || now_ms - view->wonMs < MEMBER_QUIET_MS)
-        view->blindSinceMs = 0;
-    else if (view->blindSinceMs == 0)
-        view->blindSinceMs = now_ms;
-    return view->blindSinceMs != 0 && now_ms - view->blindSinceMs > SIGHT_HAND_MS;
+    if (!blind || now_ms - view->won_ms < MEMBER_QUIET_MS)
+        view->blind_since_ms = 0;
+    else if (view->blind_since_ms == 0)
+        view->blind_since_ms = now_ms;
+    return view->blind_since_ms != 0 && now_ms - view->blind_since_ms > SIGHT_HAND_MS;
 }
 
 /* Whether this seat knows no holder, and may be one itself. */
-static bool mayStand(View *view)
+static bool may_stand(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    if (!viewFounded(view) || !viewSeated(view) || viewDiskFailed(view) || now_ms < view->rest_until_ms)
+    if (!view_founded(view) || !view_seated(view) || view_disk_failed(view) || now_ms < view->rest_until_ms)
         return false;
     /* a holder whose disk is gone holds nothing any more */
-    if (view->lock.holder != view->disk && seatDead(view, view->lock.holder, true))
+    if (view->lock.holder != view->disk && seat_dead(view, view->lock.holder, true))
         lock_release(&view->lock, view->lock.promised, view->lock.holder, now_ms);
     return !lock_held(&view->lock, now_ms) &&
            lock_may_promise(&view->lock, UINT64_MAX, view->disk, now_ms) == STATUS_OK;
@@ -119,25 +120,25 @@
 /* Seats stand one after another, from the place after the last holder's on, so that
  * two do not ask for each other's promise; a small draw parts those that know
  * different lists. */
-static int64_t turnMs(View *view)
+static int64_t turn_ms(View *view)
 {
-    const int last = viewSeatOf(view, view->lock.holder), own = viewOwnSeat(view);
+    const int last = view_seat_of(view, view->lock.holder), own = view_own_seat(view);
     const int places = (int)view->places;
     const int rank = last < 0 ? own : (own - last - 1 + places) % places;
     return rank * PROPOSE_TURN_MS + (int64_t)(loop_random(view->loop) % (PROPOSE_TURN_MS / 3));
 }
 
-static void watchMain(void *arg)
+static void watch_main(void *arg)
 {
     View *view = arg;
-    int64_t dueMs = 0;   /* it should look then */
-    int64_t againMs = 0; /* waited for before it stood again; 0: it did not have to */
+    int64_t due_ms = 0;   /* it should look then */
+    int64_t again_ms = 0; /* waited for before it stood again; 0: it did not have to */
     while (!loop_stopping(view->loop)) {
         const int64_t now_ms = loop_now_ms(view->loop);
         /* after a pause of its own, it first reads what has come in meanwhile */
-        const bool paused = dueMs != 0 && now_ms - dueMs > WATCH_MS;
+        const bool paused = due_ms != 0 && now_ms - due_ms > WATCH_MS;
         if (view->phase == VIEW_LEADING && paused && now_ms < lock_hold_until(&view->hold)) {
-            dueMs = now_ms + WATCH_MS / 4;
+            due_ms = now_ms + WATCH_MS / 4;
             loop_sleep(view->loop, WATCH_MS / 4);
             continue;
         }
@@ -146,48 +147,48 @@
             const int64_t since_ms = journal_sync_since(view->journal);
             if (now_ms >= lock_hold_until(&view->hold)) {
                 ring_say(view->props.ring, RING_ALERT, now_ms, "the hold of the lock has lapsed");
-                leadDown(view, 0);
+                lead_down(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
                        (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
-                         view->slowTimes >= SEAT_SLOW_TIMES) &&
-                        leadNext(view, true) != 0)) {
-                view->slowTimes = 0;
+                         view->slow_times >= SEAT_SLOW_TIMES) &&
+                        lead_next(view, true) != 0)) {
+                view->slow_times = 0;
                 ring_say(view->props.ring, RING_ALERT, now_ms, "own disk is slow: hands the lock over");
-                leadDown(view, SLOW_DISK_REST_MS);
-            } else if (viewBlind(view)) {
+                lead_down(view, SLOW_DISK_REST_MS);
+            } else if (view_blind(view)) {
                 ring_say(view->props.ring, RING_ALERT, now_ms,
                          "another seat sees many more members: hands the lock over");
-                view->blindSinceMs = 0;
-                leadDown(view, SLOW_DISK_REST_MS);
-            } else if (viewTend(view, skip)) {
-                (void)viewOpen(view, skip); /* the next turn looks again */
+                view->blind_since_ms = 0;
+                lead_down(view, SLOW_DISK_REST_MS);
+            } else if (view_tend(view, skip)) {
+                (void)view_open(view, skip); /* the next turn looks again */
             }
-        } else if (view->phase == VIEW_FOLLOWING && !mayStand(view)) {
-            againMs = 0;
+        } else if (view->phase == VIEW_FOLLOWING && !may_stand(view)) {
+            again_ms = 0;
         } else if (view->phase == VIEW_FOLLOWING) {
-            if (!view->named && againMs == 0) /* one that the last holder named goes first */
-                loop_sleep(view->loop, turnMs(view));
+            if (!view->named && again_ms == 0) /* one that the last holder named goes first */
+                loop_sleep(view->loop, turn_ms(view));
             view->named = false;
-            if (view->phase == VIEW_FOLLOWING && mayStand(view)) {
+            if (view->phase == VIEW_FOLLOWING && may_stand(view)) {
                 const bool skip[SEAT_MOST] = {false};
                 /* grants lapse one after another: at first it looks again soon */
-                againMs = viewOpen(view, skip) == STATUS_OK ? 0
-                          : againMs == 0                    ? PROPOSE_AGAIN_MS
-                          : 2 * againMs < PROPOSE_MS        ? 2 * againMs
-                                                            : PROPOSE_MS;
-                if (againMs > 0)
-                    loop_sleep(view->loop, againMs + (int64_t)(loop_random(view->loop) % (uint64_t)(againMs)));
+                again_ms = view_open(view, skip) == STATUS_OK ? 0
+                           : again_ms == 0                    ? PROPOSE_AGAIN_MS
+                           : 2 * again_ms < PROPOSE_MS        ? 2 * again_ms
+                                                              : PROPOSE_MS;
+                if (again_ms > 0)
+                    loop_sleep(view->loop, again_ms + (int64_t)(loop_random(view->loop) % (uint64_t)(again_ms)));
             }
         }
-        dueMs = loop_now_ms(view->loop) + WATCH_MS;
+        due_ms = loop_now_ms(view->loop) + WATCH_MS;
         /* the moment that the holder's hold lapses is known */
-        const int64_t lapseMs = view->lock.hold_until_ms;
-        const bool soon = view->phase == VIEW_FOLLOWING && lapseMs > loop_now_ms(view->loop) && lapseMs < dueMs;
-        signal_wait(view->loop, &view->released, soon ? lapseMs : dueMs);
+        const int64_t lapse_ms = view->lock.hold_until_ms;
+        const bool soon = view->phase == VIEW_FOLLOWING && lapse_ms > loop_now_ms(view->loop) && lapse_ms < due_ms;
+        signal_wait(view->loop, &view->released, soon ? lapse_ms : due_ms);
     }
 }
 
-void viewWatch(View *view)
+void view_watch(View *view)
 {
-    loop_spawn(view->loop, "watch", watchMain, view);
+    loop_spawn(view->loop, "watch", watch_main, view);
 }
--- a/packages/view/src/window.c
+++ b/packages/view/src/window.c
@@ -5,30 +5,30 @@
 
 #include "inside.h"
 
-void viewWindow(const View *view, ViewWindow *window)
+void view_window(const View *view, ViewWindow *window)
 {
     *window = (ViewWindow){
         .phase = view->phase,
         .holding = view->holding,
         .epoch = view->epoch,
         .promised = view->lock.promised,
-        .commitIndex = view->commitIndex,
-        .deliveredIndex = view->deliveredIndex,
-        .listIndex = view->listIndex,
+        .commit_index = view->commit_index,
+        .delivered_index = view->delivered_index,
+        .list_index = view->list_index,
         .log = view->log,
     };
-    window->voterCount = viewSeats(view, window->voters);
+    window->voter_count = view_seats(view, window->voters);
 }
 
-bool viewWindowList(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count)
+bool view_window_list(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count)
 {
     if (entry->kind != RECORD_ENTRY || entry->change != VIEW_CHANGE_SEATS)
         return false;
     void *mem = talloc_new(NULL);
     SeatList list;
-    const bool whole = shape_unpack(&SeatListShape, entry->payload, mem, &list, NULL) == STATUS_OK;
+    const bool whole = shape_unpack(&SeatList_shape, entry->payload, mem, &list, NULL) == STATUS_OK;
     *count = 0;
-    for (size_t i = 0; whole && i < list.seatsCount && i < VIEW_VOTERS_MAX; i++)
+    for (size_t i = 0; whole && i < list.seats_count && i < VIEW_VOTERS_MAX; i++)
         if (list.seats[i].disk != 0)
             voters[(*count)++] = list.seats[i].disk;
     talloc_free(mem);
--- a/packages/view/test/membership.c
+++ b/packages/view/test/membership.c
@@ -19,12 +19,12 @@
 /* A state under change. */
 typedef struct Model {
     MemberState voters[SEAT_MOST + 1], learners[LEARNERS];
-    size_t voterCount, learnerCount, wanted;
+    size_t voter_count, learner_count, wanted;
 } Model;
 
-static Membership nowOf(const Model *model)
+static Membership now_of(const Model *model)
 {
-    return (Membership){model->voters, model->voterCount, model->learners, model->learnerCount, model->wanted};
+    return (Membership){model->voters, model->voter_count, model->learners, model->learner_count, model->wanted};
 }
 
 /* Takes the change as committed: the voter that goes is a learner no more in this
@@ -35,17 +35,17 @@
         MemberState voter = model->learners[change.index];
         voter.live = true;
         voter.ready = voter.steady = false;
-        model->voters[model->voterCount++] = voter;
-        model->learners[change.index] = model->learners[--model->learnerCount];
+        model->voters[model->voter_count++] = voter;
+        model->learners[change.index] = model->learners[--model->learner_count];
     } else if (change.step == MEMBERSHIP_REMOVE) {
-        model->voters[change.index] = model->voters[--model->voterCount];
+        model->voters[change.index] = model->voters[--model->voter_count];
     }
 }
 
 /* On how many disks what is acknowledged is synced, by the rule that a leader keeps. */
-static size_t copiesOf(const Model *model)
+static size_t copies_of(const Model *model)
 {
-    const size_t majority = lock_majority(model->voterCount > SEAT_FIRST ? model->voterCount : SEAT_FIRST);
+    const size_t majority = lock_majority(model->voter_count > SEAT_FIRST ? model->voter_count : SEAT_FIRST);
     const size_t asked = model->wanted / 2 + 1;
     return asked < majority ? asked : majority;
 }
@@ -55,30 +55,30 @@
 static void settle(Model *model)
 {
     for (int step = 0; step < STEPS_MOST; step++) {
-        const Membership now = nowOf(model);
-        const MembershipChange change = membershipNext(&now);
+        const Membership now = now_of(model);
+        const MembershipChange change = membership_next(&now);
         if (change.step == MEMBERSHIP_KEEP)
             return;
-        const int before = membershipBears(model->voters, model->voterCount);
-        const size_t copies = copiesOf(model);
+        const int before = membership_bears(model->voters, model->voter_count);
+        const size_t copies = copies_of(model);
         if (change.step == MEMBERSHIP_REMOVE)
             assert_false(model->voters[change.index].self);
         else
             assert_true(model->learners[change.index].ready && !model->learners[change.index].leaving);
         assert_true(before >= 0); /* without a majority nothing can be committed */
         apply(model, change);
-        assert_in_range(model->voterCount, 1, SEAT_MOST);
-        assert_true(membershipBears(model->voters, model->voterCount) >= before);
-        assert_true(copiesOf(model) >= copies);
+        assert_in_range(model->voter_count, 1, SEAT_MOST);
+        assert_true(membership_bears(model->voters, model->voter_count) >= before);
+        assert_true(copies_of(model) >= copies);
     }
     fail_msg("%d changes in a row and no end", STEPS_MOST);
 }
 
 /* Every kind of voter by a digit: lives, lives and leaves, silent, gone. */
-static Model modelOf(size_t voterCount, unsigned kinds, size_t learnerCount, size_t wanted)
+static Model model_of(size_t voter_count, unsigned kinds, size_t learner_count, size_t wanted)
 {
-    Model model = {.voterCount = voterCount, .learnerCount = learnerCount, .wanted = wanted};
-    for (size_t i = 0; i < voterCount; i++, kinds /= 4) {
+    Model model = {.voter_count = voter_count, .learner_count = learner_count, .wanted = wanted};
+    for (size_t i = 0; i < voter_count; i++, kinds /= 4) {
         const unsigned kind = i == 0 ? kinds % 2 : kinds % 4; /* the leader lives */
         model.voters[i] = (MemberState){.disk = 1 + i,
                                         .zone = ZONES[(i + kinds / 7) % 3],
@@ -87,7 +87,7 @@
                                         .leaving = kind == 1,
                                         .gone = kind == 3};
     }
-    for (size_t i = 0; i < learnerCount && i < LEARNERS; i++)
+    for (size_t i = 0; i < learner_count && i < LEARNERS; i++)
         model.learners[i] = (MemberState){.disk = 100 + i, .zone = ZONES[i], .ready = true, .steady = true};
     return model;
 }
@@ -100,95 +100,98 @@
     return result;
 }
 
-static void noStepBearsLess(void **state)
+static void no_step_bears_less(void **state)
 {
     (void)state;
     for (size_t wanted = 3; wanted <= 5; wanted += 2)
         for (size_t voters = 1; voters <= 6; voters++)
             for (size_t learners = 0; learners <= LEARNERS; learners++)
                 for (unsigned kinds = 0; kinds < power(4, voters); kinds++) {
-                    Model model = modelOf(voters, kinds, learners, wanted);
-                    if (membershipBears(model.voters, model.voterCount) >= 0)
+                    Model model = model_of(voters, kinds, learners, wanted);
+                    if (membership_bears(model.voters, model.voter_count) >= 0)
                         settle(&model);
                 }
 }
 
 /* While a learner stands ready, the loss of any one voter that lives is made good: as
  * many are borne afterwards as before it. */
-static void learnerMakesGood(void **state)
+static void learner_makes_good(void **state)
 {
     (void)state;
     for (size_t wanted = 3; wanted <= 7; wanted += 2)
         for (size_t lost = 1; lost < wanted; lost++)
             for (int kind = 0; kind < 2; kind++) {
-                Model model = modelOf(wanted, 0, 1, wanted);
+                Model model = model_of(wanted, 0, 1, wanted);
                 model.learners[0].steady = false;
                 model.voters[lost].gone = kind == 0;
                 model.voters[lost].live = kind != 0;
                 model.voters[lost].leaving = kind != 0;
                 const uint64_t disk = model.voters[lost].disk;
                 settle(&model);
-                assert_int_equal(model.voterCount, wanted);
-                assert_int_equal(membershipBears(model.voters, model.voterCount), (int)wanted / 2);
-                for (size_t i = 0; i < model.voterCount; i++)
+                assert_int_equal(model.voter_count, wanted);
+                assert_int_equal(membership_bears(model.voters, model.voter_count), (int)wanted / 2);
+                for (size_t i = 0; i < model.voter_count; i++)
                     assert_true(model.voters[i].disk != disk);
             }
 }
 
 /* What was weighed: a voter that lives, removed before its successor is added, leaves
  * a list that bears one loss less. */
-static void vacatedFirstBearsLess(void **state)
+static void vacated_first_bears_less(void **state)
 {
     (void)state;
     for (size_t count = 3; count <= SEAT_MOST; count += 2) {
-        Model model = modelOf(count, 0, 1, count);
-        const int before = membershipBears(model.voters, model.voterCount);
+        Model model = model_of(count, 0, 1, count);
+        const int before = membership_bears(model.voters, model.voter_count);
         apply(&model, (MembershipChange){MEMBERSHIP_REMOVE, 1});
-        assert_int_equal(membershipBears(model.voters, model.voterCount), before - 1);
+        assert_int_equal(membership_bears(model.voters, model.voter_count), before - 1);
     }
 }
 
 /* A leader that leaves has its successor added and removes nobody: the next one does. */
-static void leaderLeaves(void **state)
+static void leader_leaves(void **state)
 {
     (void)state;
-    Model model = modelOf(3, 1, 1, 3);
-    Membership now = nowOf(&model);
-    assert_int_equal(membershipNext(&now).step, MEMBERSHIP_ADD);
+    Model model = model_of(3, 1, 1, 3);
+    Membership now = now_of(&model);
+    assert_int_equal(membership_next(&now).step, MEMBERSHIP_ADD);
     settle(&model);
-    assert_int_equal(model.voterCount, 4);
+    assert_int_equal(model.voter_count, 4);
     model.voters[0].self = false;
     model.voters[1].self = true;
     settle(&model);
-    assert_int_equal(model.voterCount, 3);
-    for (size_t i = 0; i < model.voterCount; i++)
+    assert_int_equal(model.voter_count, 3);
+    for (size_t i = 0; i < model.voter_count; i++)
         assert_false(model.voters[i].leaving);
 }
 
 /* Two votes in one zone and none in that of a learner: it takes one over, once only. */
-static void zonesSpread(void **state)
+static void zones_spread(void **state)
 {
     (void)state;
-    Model model = modelOf(3, 0, 1, 3);
+    Model model = model_of(3, 0, 1, 3);
     model.voters[1].zone = "a";
     model.voters[0].zone = "a";
     model.voters[2].zone = "b";
     model.learners[0].zone = "c";
     model.learners[0].steady = false;
-    Membership now = nowOf(&model);
-    assert_int_equal(membershipNext(&now).step, MEMBERSHIP_KEEP);
+    Membership now = now_of(&model);
+    assert_int_equal(membership_next(&now).step, MEMBERSHIP_KEEP);
     model.learners[0].steady = true;
     settle(&model);
-    assert_int_equal(model.voterCount, 3);
-    for (size_t i = 0; i < model.voterCount; i++)
+    assert_int_equal(model.voter_count, 3);
+    for (size_t i = 0; i < model.voter_count; i++)
         assert_true(model.voters[i].disk != 2);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(noStepBearsLess), cmocka_unit_test(learnerMakesGood), cmocka_unit_test(vacatedFirstBearsLess),
-        cmocka_unit_test(leaderLeaves),    cmocka_unit_test(zonesSpread),
+        cmocka_unit_test(no_step_bears_less),
+        cmocka_unit_test(learner_makes_good),
+        cmocka_unit_test(vacated_first_bears_less),
+        cmocka_unit_test(leader_leaves),
+        cmocka_unit_test(zones_spread),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/standins.c
+++ b/src/standins.c
@@ -140,7 +140,7 @@
             .agent = agent,
             .watch = {&standIn->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
             .failsAll = failsAll != 0,
-            .slowTimes = slow,
+            .slow_times = slow,
         };
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, memMb);
@@ -261,20 +261,20 @@
     CallerProps *props = &standIn->callerProps;
     *props = (CallerProps){.name = name != NULL ? name : "job", .rateMilli = rateMilli, .forMs = forMs};
     props->mix = mixOfWord(mix != NULL ? mix : "trentvale");
-    for (char *at = entries; at != NULL && props->entryCount < ENTRIES_MAX;) {
+    for (char *at = entries; at != NULL && props->entry_count < ENTRIES_MAX;) {
         char *comma = strchr(at, ',');
         if (comma != NULL)
             *comma++ = '\0';
         if (!real_address_valid(at))
             code = wrong("caller", "--entries: %s is not an IP address with a port", at);
-        props->entries[props->entryCount++] = at;
+        props->entries[props->entry_count++] = at;
         at = comma;
     }
     if (got < -1)
         code = wrong("caller", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (poptPeekArg(context) != NULL)
         code = wrong("caller", "%s: what is this?", poptPeekArg(context));
-    else if (props->entryCount == 0)
+    else if (props->entry_count == 0)
         code = wrong("caller", "--entries: at least one is needed");
     else if (props->mix == MIX_COUNT)
         code = wrong("caller", "--mix: must be trentvale or atlas");
