--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -298,9 +298,9 @@
         json_object_put(patch);
         return NULL;
     }
-    json_object *tree = documentParse(text);
-    json_object *result = documentMerged(tree, patch);
-    const char *out = documentText(mem, result);
+    json_object *tree = document_parse(text);
+    json_object *result = document_merged(tree, patch);
+    const char *out = document_text(mem, result);
     json_object_put(result);
     json_object_put(tree);
     json_object_put(patch);
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -13,12 +13,12 @@
 #include "config/config.h"
 #include "document/document.h"
 
-static uint64_t seedNow;
+static uint64_t seed_now;
 
 static uint64_t draw(uint64_t below)
 {
-    seedNow = seedNow * 6364136223846793005u + 1442695040888963407u;
-    return (seedNow >> 33) % below;
+    seed_now = seed_now * 6364136223846793005u + 1442695040888963407u;
+    return (seed_now >> 33) % below;
 }
 
 static Faults *faultsNew(void *mem)
@@ -259,8 +259,8 @@
     void *mem = talloc_new(NULL);
     const Config *first = readGood(mem, wide(mem, 50));
     json_object *patch =
-        documentParse("{\"cells\":{\"c\":{\"queues\":{\"q7\":{\"expiryMs\":5},\"q8\":null,\"new\":{}}}}}");
-    json_object *tree = documentMerged(first->tree, patch);
+        document_parse("{\"cells\":{\"c\":{\"queues\":{\"q7\":{\"expiryMs\":5},\"q8\":null,\"new\":{}}}}}");
+    json_object *tree = document_merged(first->tree, patch);
     Faults *faults = faultsNew(mem);
     const Config *second = configBuild(mem, tree, 2, first, faults);
     assert_non_null(second);
@@ -322,15 +322,15 @@
 static void drawnOnward(void **state)
 {
     (void)state;
-    seedNow = 21;
+    seed_now = 21;
     size_t good = 0, bad = 0, reused = 0, queues = 0;
     void *all = talloc_new(NULL);
     const Config *config = readGood(all, wide(all, 40));
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
-        json_object *patch = documentParse(drawPatch(mem));
-        json_object *tree = documentMerged(config->tree, patch);
-        const char *text = documentText(mem, tree);
+        json_object *patch = document_parse(drawPatch(mem));
+        json_object *tree = document_merged(config->tree, patch);
+        const char *text = document_text(mem, tree);
         Faults *onward = faultsNew(mem), *alone = faultsNew(mem);
         const Config *next = configBuild(all, tree, (uint64_t)i + 2, config, onward);
         const Config *fresh = configRead(mem, text, strlen(text), (uint64_t)i + 2, alone);
@@ -383,7 +383,7 @@
 static void spoilt(void **state)
 {
     (void)state;
-    seedNow = 31;
+    seed_now = 31;
     size_t good = 0, bad = 0;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -108,20 +108,20 @@
         checkUs = seatUs = 0;
         for (int i = 1; i <= changes; i++) {
             void *mem = talloc_new(all);
-            json_object *change = documentParse(
+            json_object *change = document_parse(
                 talloc_asprintf(mem, "{\"cells\":{\"c\":{\"queues\":{\"r-%06x\":{\"expiryMs\":%d}}}}}", i % queues, i));
-            json_object *whole = documentMerged(config->tree, change);
-            const char *body = documentText(mem, put ? whole : change);
+            json_object *whole = document_merged(config->tree, change);
+            const char *body = document_text(mem, put ? whole : change);
             json_object_put(whole);
             json_object_put(change);
             double fromUs = nowUs();
             json_object *sent = checkParse(faults, body, strlen(body));
-            json_object *patch = put ? documentDifference(config->tree, sent) : json_object_get(sent);
-            json_object *tree = documentMerged(config->tree, patch);
+            json_object *patch = put ? document_difference(config->tree, sent) : json_object_get(sent);
+            json_object *tree = document_merged(config->tree, patch);
             const Config *next = configBuild(all, tree, (uint64_t)i + 1, config, faults);
             const ConfigSet set = {.base = (uint64_t)i,
                                    .revision = (uint64_t)i + 1,
-                                   .text = documentText(mem, patch),
+                                   .text = document_text(mem, patch),
                                    .patch = true,
                                    .digest = ""};
             json_object_put(tree);
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -32,7 +32,7 @@
     if (newest == 0)
         text = configFirstText();
     else if (revisions->rows[revisions->count - 1].patch && config->revision == newest) /* it is read already */
-        text = documentText(way->mem, config->tree);
+        text = document_text(way->mem, config->tree);
     else
         text = revisionsText(revisions, way->mem, newest);
     showConfig(way, newest, text);
@@ -117,9 +117,9 @@
         faultAdd(way->faults, STATUS_BAD_JSON, "", "a patch must be an object");
         return NULL;
     }
-    json_object *tree = documentMerged(now->tree, patch);
+    json_object *tree = document_merged(now->tree, patch);
     set->patch = now->revision > 0;
-    set->text = documentText(way->mem, set->patch ? patch : tree);
+    set->text = document_text(way->mem, set->patch ? patch : tree);
     return tree;
 }
 
@@ -127,13 +127,13 @@
  * difference, and shares with it what is the same. */
 static json_object *replaced(Way *way, const Config *now, json_object *whole, ConfigSet *set)
 {
-    json_object *patch = now->revision > 0 ? documentDifference(now->tree, whole) : NULL;
-    const char *text = patch != NULL ? documentText(way->mem, patch) : NULL;
+    json_object *patch = now->revision > 0 ? document_difference(now->tree, whole) : NULL;
+    const char *text = patch != NULL ? document_text(way->mem, patch) : NULL;
     json_object *tree;
     if (text != NULL && strlen(text) < way->task->body.count / 2) {
         set->patch = true;
         set->text = text;
-        tree = documentMerged(now->tree, patch);
+        tree = document_merged(now->tree, patch);
     } else {
         set->text = talloc_strndup(way->mem, (const char *)way->task->body.data, way->task->body.count);
         tree = json_object_get(whole);
@@ -148,7 +148,7 @@
 {
     if (revisionsSize(tableRevisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
-    if (strlen(documentText(way->mem, tree)) > CONFIG_BODY_MAX)
+    if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
         faultAdd(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
                  CONFIG_BODY_MAX);
 }
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -13,7 +13,7 @@
 {
     const Revisions *revisions = tableRevisions(core->table);
     if (revisionsNewest(revisions) == 0)
-        return documentParse(configFirstText());
+        return document_parse(configFirstText());
     const bool have = sameLoad && core->config != NULL && core->config->revision > 0;
     return revisionsTree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
 }
--- a/packages/document/include/document/document.h
+++ b/packages/document/include/document/document.h
@@ -13,18 +13,18 @@
  * keys. */
 
 /* Null when the text is no JSON at all. For texts that were checked before. */
-json_object *documentParse(const char *text);
+json_object *document_parse(const char *text);
 /* The tree as one line of text, on mem. */
-const char *documentText(void *mem, json_object *tree);
+const char *document_text(void *mem, json_object *tree);
 /* An RFC 7396 merge patch upon a tree: what is there stays in its place, what
  * is new comes last. */
-json_object *documentMerged(json_object *tree, json_object *patch);
+json_object *document_merged(json_object *tree, json_object *patch);
 /* The same for patches one upon the other, given as texts. */
-json_object *documentMergedAll(json_object *tree, const char *const *patches, size_t count);
+json_object *document_merged_all(json_object *tree, const char *const *patches, size_t count);
 /* The merge patch that makes one tree out of the other, with the order of the
  * keys; null when no merge patch does. */
-json_object *documentDifference(json_object *from, json_object *to);
+json_object *document_difference(json_object *from, json_object *to);
 /* The same values in the same order, numbers as they were written. */
-bool documentSame(json_object *a, json_object *b);
+bool document_same(json_object *a, json_object *b);
 
 #endif
--- a/packages/document/src/document.c
+++ b/packages/document/src/document.c
@@ -7,7 +7,7 @@
 /* As configurations are written out everywhere: without blanks, "/" as it is. */
 #define TEXT_FLAGS (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
-json_object *documentParse(const char *text)
+json_object *document_parse(const char *text)
 {
     return json_tokener_parse(text);
 }
@@ -15,7 +15,7 @@
 /* --- merging ------------------------------------------------------------------- */
 
 /* One of its own with the members of the other, with room for some more. */
-static json_object *objectCopy(json_object *from)
+static json_object *object_copy(json_object *from)
 {
     json_object *copy = json_object_new_object();
     if (!json_object_is_type(from, json_type_object))
@@ -40,7 +40,7 @@
     if (json_object_is_type(tree, json_type_object) && g_hash_table_contains(own, tree)) {
         result = json_object_get(tree);
     } else {
-        result = objectCopy(tree);
+        result = object_copy(tree);
         g_hash_table_add(own, result);
     }
     json_object_object_foreach(patch, name, change)
@@ -57,17 +57,17 @@
 
 /* What is written out keeps its text as long as it lives: not the tree, then, but
  * one that stands in for it. */
-const char *documentText(void *mem, json_object *tree)
+const char *document_text(void *mem, json_object *tree)
 {
-    json_object *standIn = json_object_is_type(tree, json_type_object) ? objectCopy(tree) : json_object_get(tree);
+    json_object *stand_in = json_object_is_type(tree, json_type_object) ? object_copy(tree) : json_object_get(tree);
     size_t length;
-    const char *written = json_object_to_json_string_length(standIn, TEXT_FLAGS, &length);
+    const char *written = json_object_to_json_string_length(stand_in, TEXT_FLAGS, &length);
     const char *text = talloc_strndup(mem, written, length);
-    json_object_put(standIn);
+    json_object_put(stand_in);
     return text;
 }
 
-json_object *documentMerged(json_object *tree, json_object *patch)
+json_object *document_merged(json_object *tree, json_object *patch)
 {
     GHashTable *own = g_hash_table_new(NULL, NULL);
     json_object *result = merged(tree, patch, own);
@@ -75,12 +75,12 @@
     return result;
 }
 
-json_object *documentMergedAll(json_object *tree, const char *const *patches, size_t count)
+json_object *document_merged_all(json_object *tree, const char *const *patches, size_t count)
 {
     GHashTable *own = g_hash_table_new(NULL, NULL);
     json_object *now = json_object_get(tree);
     for (size_t i = 0; i < count; i++) {
-        json_object *patch = documentParse(patches[i]);
+        json_object *patch = document_parse(patches[i]);
         json_object *next = merged(now, patch, own);
         json_object_put(patch);
         json_object_put(now);
@@ -93,13 +93,13 @@
 /* --- differences ------------------------------------------------------------------ */
 
 /* Numbers with a fraction remember how they were written. */
-static bool sameNumber(json_object *a, json_object *b)
+static bool same_number(json_object *a, json_object *b)
 {
     const char *x = json_object_get_userdata(a), *y = json_object_get_userdata(b);
     return x != NULL && y != NULL ? strcmp(x, y) == 0 : json_object_equal(a, b);
 }
 
-static bool sameObject(json_object *a, json_object *b)
+static bool same_object(json_object *a, json_object *b)
 {
     if (json_object_object_length(a) != json_object_object_length(b))
         return false;
@@ -107,12 +107,12 @@
     const struct json_object_iterator end = json_object_iter_end(a);
     for (; !json_object_iter_equal(&x, &end); json_object_iter_next(&x), json_object_iter_next(&y))
         if (strcmp(json_object_iter_peek_name(&x), json_object_iter_peek_name(&y)) != 0 ||
-            !documentSame(json_object_iter_peek_value(&x), json_object_iter_peek_value(&y)))
+            !document_same(json_object_iter_peek_value(&x), json_object_iter_peek_value(&y)))
             return false;
     return true;
 }
 
-bool documentSame(json_object *a, json_object *b)
+bool document_same(json_object *a, json_object *b)
 {
     if (a == b)
         return true;
@@ -120,13 +120,13 @@
         return false;
     switch (json_object_get_type(a)) {
     case json_type_object:
-        return sameObject(a, b);
+        return same_object(a, b);
     case json_type_array: {
         const size_t length = json_object_array_length(a);
         if (length != json_object_array_length(b))
             return false;
         for (size_t i = 0; i < length; i++)
-            if (!documentSame(json_object_array_get_idx(a, i), json_object_array_get_idx(b, i)))
+            if (!document_same(json_object_array_get_idx(a, i), json_object_array_get_idx(b, i)))
                 return false;
         return true;
     }
@@ -136,14 +136,14 @@
                memcmp(json_object_get_string(a), json_object_get_string(b), (size_t)length) == 0;
     }
     case json_type_double: /* 2.0 is not 2.00 here: it is given back as it was written */
-        return sameNumber(a, b);
+        return same_number(a, b);
     default:
         return json_object_equal(a, b);
     }
 }
 
 /* A merge patch takes every null for a removal, also deep inside what is new. */
-static bool holdsNull(json_object *tree)
+static bool holds_null(json_object *tree)
 {
     if (tree == NULL)
         return true;
@@ -152,7 +152,7 @@
     json_object_object_foreach(tree, key, value)
     {
         (void)key;
-        if (holdsNull(value))
+        if (holds_null(value))
             return true;
     }
     return false;
@@ -183,22 +183,22 @@
                 json_object_put(inner);
             if (!told)
                 return false;
-        } else if (!documentSame(old, now)) {
-            if (holdsNull(now))
+        } else if (!document_same(old, now)) {
+            if (holds_null(now))
                 return false;
             json_object_object_add(patch, key, json_object_get(now));
         }
     }
     for (; !json_object_iter_equal(&next, &end); json_object_iter_next(&next)) {
         json_object *now = json_object_iter_peek_value(&next);
-        if (holdsNull(now))
+        if (holds_null(now))
             return false;
         json_object_object_add(patch, json_object_iter_peek_name(&next), json_object_get(now));
     }
     return true;
 }
 
-json_object *documentDifference(json_object *from, json_object *to)
+json_object *document_difference(json_object *from, json_object *to)
 {
     if (!json_object_is_type(from, json_type_object) || !json_object_is_type(to, json_type_object))
         return NULL;
--- a/packages/document/test/document.c
+++ b/packages/document/test/document.c
@@ -10,12 +10,12 @@
 
 #include "document/document.h"
 
-static uint64_t seedNow;
+static uint64_t seed_now;
 
 static uint64_t draw(uint64_t below)
 {
-    seedNow = seedNow * 6364136223846793005u + 1442695040888963407u;
-    return (seedNow >> 33) % below;
+    seed_now = seed_now * 6364136223846793005u + 1442695040888963407u;
+    return (seed_now >> 33) % below;
 }
 
 /* What is read is written as it was: numbers, order, letters. */
@@ -25,15 +25,15 @@
     static const char TEXT[] =
         "{\"z\":2.2,\"a\":0.0,\"m\":1e3,\"k\":-0.50,\"t\":\"/a\\\"\xc3\xa9\",\"n\":9007199254740993,"
         "\"l\":[3,1.10,{\"y\":true,\"x\":false}],\"o\":{}}";
-    json_object *tree = documentParse(TEXT);
+    json_object *tree = document_parse(TEXT);
     void *mem = talloc_new(NULL);
-    assert_string_equal(documentText(mem, tree), TEXT);
-    json_object *patch = documentParse("{\"a\":0.00,\"new\":7,\"t\":null,\"o\":{\"p\":null,\"q\":1}}");
-    json_object *next = documentMerged(tree, patch);
-    assert_string_equal(documentText(mem, next), "{\"z\":2.2,\"a\":0.00,\"m\":1e3,\"k\":-0.50,\"n\":9007199254740993,"
-                                                 "\"l\":[3,1.10,{\"y\":true,\"x\":false}],\"o\":{\"q\":1},\"new\":7}");
+    assert_string_equal(document_text(mem, tree), TEXT);
+    json_object *patch = document_parse("{\"a\":0.00,\"new\":7,\"t\":null,\"o\":{\"p\":null,\"q\":1}}");
+    json_object *next = document_merged(tree, patch);
+    assert_string_equal(document_text(mem, next), "{\"z\":2.2,\"a\":0.00,\"m\":1e3,\"k\":-0.50,\"n\":9007199254740993,"
+                                                  "\"l\":[3,1.10,{\"y\":true,\"x\":false}],\"o\":{\"q\":1},\"new\":7}");
     /* the first is as it was, and what did not change is the same value */
-    assert_string_equal(documentText(mem, tree), TEXT);
+    assert_string_equal(document_text(mem, tree), TEXT);
     assert_ptr_equal(json_object_object_get(tree, "l"), json_object_object_get(next, "l"));
     json_object_put(next);
     json_object_put(patch);
@@ -62,9 +62,9 @@
     };
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         void *mem = talloc_new(NULL);
-        json_object *tree = documentParse(CASES[i].tree), *patch = documentParse(CASES[i].patch);
-        json_object *result = documentMerged(tree, patch);
-        assert_string_equal(documentText(mem, result), CASES[i].result);
+        json_object *tree = document_parse(CASES[i].tree), *patch = document_parse(CASES[i].patch);
+        json_object *result = document_merged(tree, patch);
+        assert_string_equal(document_text(mem, result), CASES[i].result);
         json_object_put(result);
         json_object_put(patch);
         json_object_put(tree);
@@ -98,12 +98,12 @@
     };
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         void *mem = talloc_new(NULL);
-        json_object *from = documentParse(CASES[i].from), *to = documentParse(CASES[i].to);
-        json_object *patch = documentDifference(from, to);
+        json_object *from = document_parse(CASES[i].from), *to = document_parse(CASES[i].to);
+        json_object *patch = document_difference(from, to);
         if ((patch == NULL) != (CASES[i].patch == NULL))
             fail_msg("%s to %s", CASES[i].from, CASES[i].to);
         if (patch != NULL)
-            assert_string_equal(documentText(mem, patch), CASES[i].patch);
+            assert_string_equal(document_text(mem, patch), CASES[i].patch);
         json_object_put(patch);
         json_object_put(to);
         json_object_put(from);
@@ -111,13 +111,13 @@
     }
 }
 
-static json_object *drawValue(int depth)
+static json_object *draw_value(int depth)
 {
     switch (draw(depth > 0 ? 6 : 4)) {
     case 0:
         return json_object_new_int64((int64_t)draw(3));
     case 1:
-        return documentParse(draw(2) ? "2.20" : "2.2");
+        return document_parse(draw(2) ? "2.20" : "2.2");
     case 2:
         return json_object_new_string(draw(2) ? "t" : "u");
     case 3:
@@ -125,14 +125,14 @@
     case 4: {
         json_object *array = json_object_new_array();
         for (uint64_t i = draw(3); i > 0; i--)
-            json_object_array_add(array, drawValue(depth - 1));
+            json_object_array_add(array, draw_value(depth - 1));
         return array;
     }
     default: {
         json_object *object = json_object_new_object();
         for (int key = 'a'; key < 'f'; key++)
             if (draw(2))
-                json_object_object_add(object, (char[]){(char)key, 0}, drawValue(depth - 1));
+                json_object_object_add(object, (char[]){(char)key, 0}, draw_value(depth - 1));
         return object;
     }
     }
@@ -143,34 +143,34 @@
 static void drawn(void **state)
 {
     (void)state;
-    seedNow = 11;
+    seed_now = 11;
     size_t told = 0, untold = 0;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         json_object *from, *to;
         do
-            from = drawValue(4);
+            from = draw_value(4);
         while (!json_object_is_type(from, json_type_object) && (json_object_put(from), true));
         if (draw(2)) {
-            json_object *patch = drawValue(4);
-            to = json_object_is_type(patch, json_type_object) ? documentMerged(from, patch) : json_object_get(from);
+            json_object *patch = draw_value(4);
+            to = json_object_is_type(patch, json_type_object) ? document_merged(from, patch) : json_object_get(from);
             json_object_put(patch);
         } else {
-            to = drawValue(4);
+            to = draw_value(4);
         }
-        json_object *patch = documentDifference(from, to);
+        json_object *patch = document_difference(from, to);
         if (patch != NULL) {
             /* as it travels: by its text */
-            json_object *read = documentParse(documentText(mem, patch));
-            json_object *result = documentMerged(from, read);
-            assert_string_equal(documentText(mem, result), documentText(mem, to));
-            assert_true(documentSame(result, to));
-            assert_true(documentSame(from, to) == (json_object_object_length(patch) == 0));
+            json_object *read = document_parse(document_text(mem, patch));
+            json_object *result = document_merged(from, read);
+            assert_string_equal(document_text(mem, result), document_text(mem, to));
+            assert_true(document_same(result, to));
+            assert_true(document_same(from, to) == (json_object_object_length(patch) == 0));
             json_object_put(result);
             json_object_put(read);
             told++;
         } else {
-            assert_false(documentSame(from, to));
+            assert_false(document_same(from, to));
             untold++;
         }
         json_object_put(patch);
@@ -184,28 +184,28 @@
 
 /* Many patches at once come to what they come to one by one, and the first tree
  * stays as it was. */
-static void inARow(void **state)
+static void in_a_row(void **state)
 {
     (void)state;
-    seedNow = 12;
+    seed_now = 12;
     for (int i = 0; i < 3000; i++) {
         void *mem = talloc_new(NULL);
-        json_object *first = drawValue(4), *now = json_object_get(first);
-        const char *before = documentText(mem, first), *patches[6];
+        json_object *first = draw_value(4), *now = json_object_get(first);
+        const char *before = document_text(mem, first), *patches[6];
         const size_t count = (size_t)draw(7);
         for (size_t k = 0; k < count; k++) {
-            json_object *patch = drawValue(4);
+            json_object *patch = draw_value(4);
             if (json_object_is_type(patch, json_type_object) && draw(2))
                 json_object_object_add(patch, "c", NULL);
-            patches[k] = documentText(mem, patch);
-            json_object *next = documentMerged(now, patch);
+            patches[k] = document_text(mem, patch);
+            json_object *next = document_merged(now, patch);
             json_object_put(patch);
             json_object_put(now);
             now = next;
         }
-        json_object *all = documentMergedAll(first, patches, count);
-        assert_string_equal(documentText(mem, all), documentText(mem, now));
-        assert_string_equal(documentText(mem, first), before);
+        json_object *all = document_merged_all(first, patches, count);
+        assert_string_equal(document_text(mem, all), document_text(mem, now));
+        assert_string_equal(document_text(mem, first), before);
         json_object_put(all);
         json_object_put(now);
         json_object_put(first);
@@ -216,8 +216,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(written), cmocka_unit_test(merged), cmocka_unit_test(different),
-        cmocka_unit_test(drawn),   cmocka_unit_test(inARow),
+        cmocka_unit_test(written), cmocka_unit_test(merged),   cmocka_unit_test(different),
+        cmocka_unit_test(drawn),   cmocka_unit_test(in_a_row),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -95,12 +95,12 @@
                      .wait_ms = 2000};
     const char *body = NULL;
     if (loop_call(loop, &call) == STATUS_OK && call.code == 200) {
-        json_object *got = documentParse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
+        json_object *got = document_parse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
         json_object *patch = json_object_new_object(), *config;
         json_object_object_add(patch, "note", json_object_new_string(change->marker));
         json_object_object_get_ex(got, "config", &config);
-        json_object *next = documentMerged(config, patch);
-        body = documentText(fleet, next);
+        json_object *next = document_merged(config, patch);
+        body = document_text(fleet, next);
         json_object_put(next);
         json_object_put(patch);
         json_object_put(got);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -16,12 +16,12 @@
 #include "policy/lua.h"
 #include "sim/fleet.h"
 
-static uint64_t seedNow;
+static uint64_t seed_now;
 
 static uint64_t draw(uint64_t below)
 {
-    seedNow = seedNow * 6364136223846793005u + 1442695040888963407u;
-    return (seedNow >> 33) % below;
+    seed_now = seed_now * 6364136223846793005u + 1442695040888963407u;
+    return (seed_now >> 33) % below;
 }
 
 /* Parts that are likely to go wrong, put in anywhere. */
@@ -106,7 +106,7 @@
 {
     (void)state;
     size_t good = 0, bad = 0;
-    seedNow = 1;
+    seed_now = 1;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         Faults *faults = talloc_zero(mem, Faults);
@@ -133,7 +133,7 @@
 {
     (void)state;
     size_t good = 0, bad = 0;
-    seedNow = 2;
+    seed_now = 2;
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
         Faults *faults = talloc_zero(mem, Faults);
@@ -164,7 +164,7 @@
         "function rank(t) local s = 0 for i = 1, 9 do s = s + i * t.cpu end return t.queue_priority + "
         "math.min(t.waited_ms / 60000, 4) + s end function may_push(a, b) return a.queue == 'm' end";
     size_t good = 0, bad = 0;
-    seedNow = 3;
+    seed_now = 3;
     for (int i = 0; i < 3000; i++) {
         void *mem = talloc_new(NULL);
         size_t count;
@@ -204,7 +204,7 @@
     fleetKill(fleet, FLEET_WORKER, 3); /* its agent hears reports of ours */
     fleetRun(fleet, 4000);
     size_t codes[600] = {0};
-    seedNow = 4;
+    seed_now = 4;
     for (int i = 0; i < 600; i++) {
         void *mem = talloc_new(NULL);
         size_t count;
@@ -276,7 +276,7 @@
 #undef X
     };
     size_t good = 0, bad = 0;
-    seedNow = 5;
+    seed_now = 5;
     const RoundId rounds[] = {{"job-1", 7, 2}, {"job-2", 0, 1}};
     for (int i = 0; i < 40000; i++) {
         void *mem = talloc_new(NULL);
--- a/packages/table/src/revisions.c
+++ b/packages/table/src/revisions.c
@@ -57,11 +57,11 @@
         from--;
     const Revision *first = &revisions->rows[from];
     json_object *tree =
-        have != NULL && first->revision == haveRevision ? json_object_get(have) : documentParse(first->text);
+        have != NULL && first->revision == haveRevision ? json_object_get(have) : document_parse(first->text);
     const char **patches = talloc_array(NULL, const char *, (unsigned)(at - from));
     for (size_t i = from; i < at; i++)
         patches[i - from] = revisions->rows[i + 1].text;
-    json_object *result = documentMergedAll(tree, patches, at - from);
+    json_object *result = document_merged_all(tree, patches, at - from);
     talloc_free(patches);
     json_object_put(tree);
     return result;
@@ -72,7 +72,7 @@
     if (!revisions->rows[at].patch) /* as it was sent */
         return talloc_strdup(mem, revisions->rows[at].text);
     json_object *tree = treeAt(revisions, at, NULL, 0);
-    const char *text = documentText(mem, tree);
+    const char *text = document_text(mem, tree);
     json_object_put(tree);
     return text;
 }
--- a/packages/table/test/revisions.c
+++ b/packages/table/test/revisions.c
@@ -58,11 +58,11 @@
     expectText(revisions, 6, NULL);
     /* a tree that was had before is gone on from */
     assert_int_equal(deliver(revisions, setOf(20, 21, "{\"y\":2}", true, "")).number, 21);
-    json_object *whole = revisionsTree(revisions, NULL, 0), *had = documentParse("{\"x\":{\"kept\":1}}");
+    json_object *whole = revisionsTree(revisions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
     json_object *onward = revisionsTree(revisions, had, 20);
     void *mem = talloc_new(NULL);
-    assert_string_equal(documentText(mem, whole), "{\"x\":1,\"y\":2}");
-    assert_string_equal(documentText(mem, onward), "{\"x\":{\"kept\":1},\"y\":2}");
+    assert_string_equal(document_text(mem, whole), "{\"x\":1,\"y\":2}");
+    assert_string_equal(document_text(mem, onward), "{\"x\":{\"kept\":1},\"y\":2}");
     assert_ptr_equal(json_object_object_get(onward, "x"), json_object_object_get(had, "x"));
     json_object_put(whole);
     json_object_put(had);
--- a/src/standins.c
+++ b/src/standins.c
@@ -81,14 +81,14 @@
 
 static void workerTerm(void *arg)
 {
-    StandIn *standIn = arg;
-    standWorkerLeave(standIn->worker);
-    recordRun(&standIn->record, "leaving", standIn->name, "-", 0, 0, "");
-    const int64_t until_ms = loop_now_ms(standIn->loop) + DRAIN_MS;
-    while (standWorkerRunning(standIn->worker) > 0 && loop_now_ms(standIn->loop) < until_ms)
-        loop_sleep(standIn->loop, 50);
-    loop_sleep(standIn->loop, WORKER_POLL_MS);
-    loop_stop(standIn->loop);
+    StandIn *stand_in = arg;
+    standWorkerLeave(stand_in->worker);
+    recordRun(&stand_in->record, "leaving", stand_in->name, "-", 0, 0, "");
+    const int64_t until_ms = loop_now_ms(stand_in->loop) + DRAIN_MS;
+    while (standWorkerRunning(stand_in->worker) > 0 && loop_now_ms(stand_in->loop) < until_ms)
+        loop_sleep(stand_in->loop, 50);
+    loop_sleep(stand_in->loop, WORKER_POLL_MS);
+    loop_stop(stand_in->loop);
 }
 
 int runWorker(int argc, const char **argv)
@@ -123,10 +123,10 @@
         code = wrong("worker", "--cores and --mem must be positive");
     if (code == EXIT_GOOD) {
         void *mem = talloc_new(NULL);
-        StandIn *standIn = talloc_zero(mem, StandIn);
-        standIn->loop = real_loop_new(mem);
-        standIn->record = (Record){standIn->loop, path != NULL ? fopen(path, "a") : NULL};
-        standIn->name = name;
+        StandIn *stand_in = talloc_zero(mem, StandIn);
+        stand_in->loop = real_loop_new(mem);
+        stand_in->record = (Record){stand_in->loop, path != NULL ? fopen(path, "a") : NULL};
+        stand_in->name = name;
         const char **labels = talloc_array(mem, const char *, 1);
         labels[0] = label;
         const StandWorkerProps props = {
@@ -138,15 +138,15 @@
                        .labelsCount = label != NULL,
                        .room = {(uint64_t)cores * 1000, (uint64_t)memMb, 0}},
             .agent = agent,
-            .watch = {&standIn->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
+            .watch = {&stand_in->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
             .failsAll = failsAll != 0,
             .slow_times = slow,
         };
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, memMb);
-        recordRun(&standIn->record, "worker", name, zone, 0, 0, rest);
-        standIn->worker = standWorkerStart(mem, standIn->loop, &props);
-        real_loop_run(standIn->loop, workerTerm, standIn);
+        recordRun(&stand_in->record, "worker", name, zone, 0, 0, rest);
+        stand_in->worker = standWorkerStart(mem, stand_in->loop, &props);
+        real_loop_run(stand_in->loop, workerTerm, stand_in);
     }
     poptFreeContext(context);
     return code;
@@ -186,11 +186,11 @@
 }
 
 /* Accepted to started by class, the longest gap between acceptances. */
-static void summary(StandIn *standIn)
+static void summary(StandIn *stand_in)
 {
     CallerJob *const *jobs;
-    const size_t count = callerJobs(standIn->caller, &jobs);
-    int64_t *spans = talloc_array(standIn, int64_t, (unsigned)count + 1);
+    const size_t count = callerJobs(stand_in->caller, &jobs);
+    int64_t *spans = talloc_array(stand_in, int64_t, (unsigned)count + 1);
     size_t accepted = 0, done = 0, refused = 0, again = 0;
     for (size_t i = 0; i < count; i++) {
         accepted += jobs[i]->acceptedMs != 0;
@@ -223,21 +223,21 @@
 
 static void caller_main(void *arg)
 {
-    StandIn *standIn = arg;
-    const CallerProps *props = &standIn->callerProps;
-    if (standIn->configure && callerConfigure(standIn, standIn->loop, props->entries[0], props->mix) != STATUS_OK) {
+    StandIn *stand_in = arg;
+    const CallerProps *props = &stand_in->callerProps;
+    if (stand_in->configure && callerConfigure(stand_in, stand_in->loop, props->entries[0], props->mix) != STATUS_OK) {
         fprintf(stderr, "spancart caller: the configuration could not be set\n");
-        standIn->code = EXIT_UNREACHABLE;
-        loop_stop(standIn->loop);
+        stand_in->code = EXIT_UNREACHABLE;
+        loop_stop(stand_in->loop);
         return;
     }
-    standIn->caller = callerStart(standIn, standIn->loop, props);
-    const int64_t until_ms = loop_now_ms(standIn->loop) + props->forMs + 120000;
-    while (!callerDone(standIn->caller) && loop_now_ms(standIn->loop) < until_ms)
-        loop_sleep(standIn->loop, 50);
-    summary(standIn);
-    standIn->code = callerDone(standIn->caller) ? EXIT_GOOD : EXIT_FAILED;
-    loop_stop(standIn->loop);
+    stand_in->caller = callerStart(stand_in, stand_in->loop, props);
+    const int64_t until_ms = loop_now_ms(stand_in->loop) + props->forMs + 120000;
+    while (!callerDone(stand_in->caller) && loop_now_ms(stand_in->loop) < until_ms)
+        loop_sleep(stand_in->loop, 50);
+    summary(stand_in);
+    stand_in->code = callerDone(stand_in->caller) ? EXIT_GOOD : EXIT_FAILED;
+    loop_stop(stand_in->loop);
 }
 
 int runCaller(int argc, const char **argv)
@@ -257,8 +257,8 @@
     const int got = poptGetNextOpt(context);
     int code = EXIT_GOOD;
     void *mem = talloc_new(NULL);
-    StandIn *standIn = talloc_zero(mem, StandIn);
-    CallerProps *props = &standIn->callerProps;
+    StandIn *stand_in = talloc_zero(mem, StandIn);
+    CallerProps *props = &stand_in->callerProps;
     *props = (CallerProps){.name = name != NULL ? name : "job", .rateMilli = rateMilli, .forMs = forMs};
     props->mix = mixOfWord(mix != NULL ? mix : "trentvale");
     for (char *at = entries; at != NULL && props->entry_count < ENTRIES_MAX;) {
@@ -281,13 +281,13 @@
     else if (rateMilli < 1 || forMs < 0)
         code = wrong("caller", "--rate and --for must be positive");
     if (code == EXIT_GOOD) {
-        standIn->loop = real_loop_new(mem);
-        standIn->record = (Record){standIn->loop, path != NULL ? fopen(path, "a") : NULL};
-        standIn->configure = configure != 0;
-        props->watch = (CallerWatch){&standIn->record, onSent, onAccepted, onRefused, onJobEnded, onUnknown, NULL};
-        loop_spawn(standIn->loop, "caller", caller_main, standIn);
-        real_loop_run(standIn->loop, NULL, NULL);
-        code = standIn->code;
+        stand_in->loop = real_loop_new(mem);
+        stand_in->record = (Record){stand_in->loop, path != NULL ? fopen(path, "a") : NULL};
+        stand_in->configure = configure != 0;
+        props->watch = (CallerWatch){&stand_in->record, onSent, onAccepted, onRefused, onJobEnded, onUnknown, NULL};
+        loop_spawn(stand_in->loop, "caller", caller_main, stand_in);
+        real_loop_run(stand_in->loop, NULL, NULL);
+        code = stand_in->code;
     }
     poptFreeContext(context);
     return code;
