--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -69,10 +69,10 @@
     agent->props = props;
     agent->workerName = props->worker != NULL ? props->worker : props->name;
     agent->incarnation = (uint64_t)loop_wall_ms(loop);
-    agent->startedMs = loop_now_ms(loop);
+    agent->started_ms = loop_now_ms(loop);
     agent->workerMem = talloc_new(agent);
     const Worker unheard = {.name = agent->workerName, .zone = props->zone, .rack = "", .kind = ""};
-    shape_copy(&WorkerShape, &unheard, agent->workerMem, &agent->worker);
+    shape_copy(&Worker_shape, &unheard, agent->workerMem, &agent->worker);
     agent->courier = courier_new(agent, loop, ring);
     Status status = courier_listen(agent->courier, props->listen, agent->address, failure);
     if (status == STATUS_OK)
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -47,7 +47,7 @@
     ask->saved = talloc_array(beat, RoundSaved, (unsigned)rounds->lives.count);
     beat->turns = talloc_array(beat, uint64_t, (unsigned)rounds->lives.count);
     for (const Round *round = rounds->lives.first; round != NULL; round = round->next) {
-        ask->rounds[ask->roundsCount++] = idOf(beat, round);
+        ask->rounds[ask->rounds_count++] = idOf(beat, round);
         if (round->savedTurn == round->toldTurn)
             continue;
         beat->turns[ask->savedCount] = round->savedTurn;
@@ -60,7 +60,7 @@
                                                      round->percentMs};
     }
     for (const Round *round = rounds->ended.first; round != NULL; round = round->next)
-        ask->rounds[ask->roundsCount++] = idOf(beat, round);
+        ask->rounds[ask->rounds_count++] = idOf(beat, round);
 }
 
 static void askFill(Agent *agent, Beat *beat, BeatAsk *ask)
@@ -77,7 +77,7 @@
                      .have = agent->have,
                      .haveEpoch = agent->haveEpoch,
                      .wait_ms = BEAT_WAIT_MS};
-    shape_copy(&WorkerShape, &agent->worker, beat, &ask->worker);
+    shape_copy(&Worker_shape, &agent->worker, beat, &ask->worker);
     roundsTell(agent, beat, ask);
 }
 
@@ -91,7 +91,7 @@
     }
     for (size_t i = 0; i < ask->savedCount; i++) {
         const RoundSaved *saved = &ask->saved[i];
-        Round *round = roundFind(agent, saved->job, saved->task, saved->round);
+        Round *round = round_find(agent, saved->job, saved->task, saved->round);
         if (round != NULL && beat->turns[i] > round->toldTurn)
             round->toldTurn = beat->turns[i];
     }
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -51,7 +51,7 @@
     bool workerLive, workerLeaving, settled;
     int64_t leaveUntilMs; /* leaving: it stays at least until then; 0: not told */
     uint64_t questions;   /* of the worker; only the newest is answered */
-    int64_t startedMs, asked_ms, workerUntilMs;
+    int64_t started_ms, asked_ms, workerUntilMs;
     Rounds rounds;
     Signal forWorker; /* there is something to answer the worker with */
     Signal toTell;    /* there is something to tell the leader */
@@ -61,7 +61,7 @@
 };
 
 void roundsInit(Agent *agent);
-Round *roundFind(Agent *agent, const char *job, uint64_t task, uint64_t round);
+Round *round_find(Agent *agent, const char *job, uint64_t task, uint64_t round);
 /* The highest of the task; null: none. */
 Round *roundNewest(Agent *agent, const char *job, uint64_t task);
 Round *roundAdd(Agent *agent, const Order *order, RoundPhase phase);
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -26,7 +26,7 @@
 static void startTake(Agent *agent, const Order *order, uint64_t epoch, int64_t expiry_ms)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    Round *round = roundFind(agent, order->job, order->task, order->round);
+    Round *round = round_find(agent, order->job, order->task, order->round);
     if (round != NULL) {
         if (round->phase == PHASE_OFFERED) { /* offered again: it stands longer */
             round->expiry_ms = expiry_ms;
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -31,7 +31,7 @@
         news->round = (uint64_t)checkInt(faults, one, path, "round", 1, INT64_MAX, 0);
         news->word = ROUND_RUNNING;
         if (withWord) {
-            news->word = roundOfWord(checkName(faults, one, path, "word", NULL));
+            news->word = round_of_word(checkName(faults, one, path, "word", NULL));
             if (news->word == ROUND_WORD_COUNT || news->word == ROUND_RUNNING)
                 faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, "word"),
                          "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -42,7 +42,7 @@
     uint64_t toldTurn;  /* the last one that the leader of the present epoch has */
     uint64_t word;      /* ENDED, KNOWN: what it came to */
     bool guessed;       /* ... by the agent's own judgement, not by the worker's word */
-    int64_t ranMs;      /* ... and how long it ran */
+    int64_t ran_ms;     /* ... and how long it ran */
     const char *text;
 } Round;
 
@@ -51,11 +51,11 @@
     size_t count;
 } RoundChain;
 
-/* All rounds of an agent. Invariants: byId holds every one; newest, by job and task,
+/* All rounds of an agent. Invariants: by_id holds every one; newest, by job and task,
  * the highest of each; known is in the order in which they became so. */
 typedef struct Rounds {
     RoundChain lives, ended, known;
-    Map *byId, *newest;
+    Map *by_id, *newest;
 } Rounds;
 
 #endif
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -21,14 +21,14 @@
 
 void roundsInit(Agent *agent)
 {
-    agent->rounds.byId = map_new(agent);
+    agent->rounds.by_id = map_new(agent);
     agent->rounds.newest = map_new(agent);
 }
 
-Round *roundFind(Agent *agent, const char *job, uint64_t task, uint64_t round)
+Round *round_find(Agent *agent, const char *job, uint64_t task, uint64_t round)
 {
     char key[KEY_MAX];
-    return map_get(agent->rounds.byId, roundKey(key, job, task, round));
+    return map_get(agent->rounds.by_id, roundKey(key, job, task, round));
 }
 
 Round *roundNewest(Agent *agent, const char *job, uint64_t task)
@@ -64,7 +64,7 @@
     chain->count++;
 }
 
-static void textSet(Round *round, const char **at, const char *text)
+static void text_set(Round *round, const char **at, const char *text)
 {
     if (*at == text)
         return;
@@ -82,7 +82,7 @@
     round->saved = round->text = "";
     round->changed_ms = loop_now_ms(agent->loop);
     chainJoin(&agent->rounds.lives, round);
-    map_set(agent->rounds.byId, roundKey(key, order->job, order->task, order->round), round);
+    map_set(agent->rounds.by_id, roundKey(key, order->job, order->task, order->round), round);
     const Round *newest = roundNewest(agent, order->job, order->task);
     if (newest == NULL || newest->order.round < order->round)
         map_set(agent->rounds.newest, taskKey(key, order->job, order->task), round);
@@ -93,7 +93,7 @@
 {
     char detail[48];
     snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 "%s%s", round->order.task, round->order.round,
-             step == TRACE_OVER ? " " : "", step == TRACE_OVER ? roundWord(round->word) : "");
+             step == TRACE_OVER ? " " : "", step == TRACE_OVER ? round_word(round->word) : "");
     traceSay(agent->trace, step, detail, "job:%s", round->order.job);
 }
 
@@ -121,7 +121,7 @@
     if (round->runsMs == 0)
         round->runsMs = round->givenMs != 0 ? round->givenMs : loop_now_ms(agent->loop);
     if (round->savedTurn == 0 || strcmp(round->saved, news->saved) != 0) {
-        textSet(round, &round->saved, news->saved);
+        text_set(round, &round->saved, news->saved);
         round->savedTurn++; /* the next beat tells it */
     }
     paceTake(agent, round, news->percent);
@@ -131,7 +131,7 @@
 {
     round->phase = PHASE_ENDED;
     round->word = word;
-    textSet(round, &round->text, text);
+    text_set(round, &round->text, text);
     chainLeave(round);
     chainJoin(&agent->rounds.ended, round);
     signal_raise(agent->loop, &agent->toTell);
@@ -144,7 +144,7 @@
     const int64_t now_ms = loop_now_ms(agent->loop);
     round->guessed = guessed;
     const int64_t since_ms = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
-    round->ranMs = since_ms != 0 ? now_ms - since_ms : 0;
+    round->ran_ms = since_ms != 0 ? now_ms - since_ms : 0;
     round->changed_ms = now_ms;
     /* thousands of ended ones are kept */
     talloc_free((void *)(uintptr_t)round->order.payload);
@@ -208,7 +208,7 @@
             return;
         char key[KEY_MAX];
         chainLeave(round);
-        map_drop(rounds->byId, roundKey(key, round->order.job, round->order.task, round->order.round));
+        map_drop(rounds->by_id, roundKey(key, round->order.job, round->order.task, round->order.round));
         if (roundNewest(agent, round->order.job, round->order.task) == round)
             map_drop(rounds->newest, taskKey(key, round->order.job, round->order.task));
         talloc_free(round);
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -15,25 +15,25 @@
                        .word = over ? round->word : ROUND_RUNNING,
                        .text = talloc_strdup(mem, round->text),
                        .saved = talloc_strdup(mem, round->saved),
-                       .ranMs = over                 ? round->ranMs
-                                : round->runsMs != 0 ? loop_now_ms(agent->loop) - round->runsMs
-                                                     : 0};
+                       .ran_ms = over                 ? round->ran_ms
+                                 : round->runsMs != 0 ? loop_now_ms(agent->loop) - round->runsMs
+                                                      : 0};
 }
 
 static size_t newsGather(Agent *agent, void *mem, TellAsk *ask)
 {
     const size_t count = agent->rounds.ended.count < TELLING_MOST ? agent->rounds.ended.count : TELLING_MOST;
     ask->news = talloc_zero_array(mem, RoundNews, (unsigned)count);
-    for (const Round *round = agent->rounds.ended.first; round != NULL && ask->newsCount < count; round = round->next)
-        ask->news[ask->newsCount++] = newsOf(agent, mem, round);
-    return ask->newsCount;
+    for (const Round *round = agent->rounds.ended.first; round != NULL && ask->news_count < count; round = round->next)
+        ask->news[ask->news_count++] = newsOf(agent, mem, round);
+    return ask->news_count;
 }
 
 static void told(Agent *agent, const TellAsk *ask)
 {
-    for (size_t i = 0; i < ask->newsCount; i++) {
+    for (size_t i = 0; i < ask->news_count; i++) {
         const RoundNews *news = &ask->news[i];
-        Round *round = roundFind(agent, news->job, news->task, news->round);
+        Round *round = round_find(agent, news->job, news->task, news->round);
         if (round != NULL && round->phase == PHASE_ENDED && round->word == news->word)
             roundKnown(agent, round);
     }
@@ -130,18 +130,18 @@
     RoundList told = {talloc_zero_array(mem, RoundNews, (unsigned)most), 0};
     for (const Round *round = rounds->lives.first; round != NULL; round = round->next)
         if (round->phase != PHASE_OFFERED)
-            told.news[told.newsCount++] = newsOf(agent, mem, round);
+            told.news[told.news_count++] = newsOf(agent, mem, round);
     const Round *firsts[] = {rounds->ended.first, rounds->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Round *round = firsts[i]; round != NULL; round = round->next)
             if (round->word == ROUND_DONE)
-                told.news[told.newsCount++] = newsOf(agent, mem, round);
-    if (told.newsCount == 0)
+                told.news[told.news_count++] = newsOf(agent, mem, round);
+    if (told.news_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, KeepItem);
     list->items[0].change = CHANGE_ROUNDS;
     list->itemsCount = 1;
-    shape_pack(&RoundListShape, &told, mem, &list->items[0].payload);
+    shape_pack(&RoundList_shape, &told, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -38,7 +38,7 @@
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
     const int64_t earlierMs = holdClaimMs(least(agent->props->bounds.holdMs, agent->props->bounds.workerHoldMs));
-    if (!agent->settled && now_ms - agent->startedMs > earlierMs) {
+    if (!agent->settled && now_ms - agent->started_ms > earlierMs) {
         agent->settled = true;
         beatNow(agent);
     }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -67,7 +67,7 @@
 
 static Round *roundOf(Agent *agent, const RoundNews *news)
 {
-    Round *round = roundFind(agent, news->job, news->task, news->round);
+    Round *round = round_find(agent, news->job, news->task, news->round);
     if (round == NULL) {
         /* from before our own start: the leader says whether it is wanted */
         const Order order = {.job = news->job, .task = news->task, .round = news->round, .payload = "", .saved = ""};
@@ -129,13 +129,13 @@
     Room known = report->free;
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         if (listed(report->running, report->runningCount, &round->order)) {
-            known.cpuMilli += round->order.room.cpuMilli;
-            known.memMb += round->order.room.memMb;
+            known.cpu_milli += round->order.room.cpu_milli;
+            known.mem_mb += round->order.room.mem_mb;
             known.gpu += round->order.room.gpu;
         }
     const Room whole = report->worker.room;
-    agent->others = (Room){whole.cpuMilli > known.cpuMilli ? whole.cpuMilli - known.cpuMilli : 0,
-                           whole.memMb > known.memMb ? whole.memMb - known.memMb : 0,
+    agent->others = (Room){whole.cpu_milli > known.cpu_milli ? whole.cpu_milli - known.cpu_milli : 0,
+                           whole.mem_mb > known.mem_mb ? whole.mem_mb - known.mem_mb : 0,
                            whole.gpu > known.gpu ? whole.gpu - known.gpu : 0};
 }
 
@@ -145,13 +145,13 @@
 {
     Worker worker = report->worker;
     worker.name = agent->workerName;
-    const bool same = report->left || shape_equal(&WorkerShape, &worker, &agent->worker);
+    const bool same = report->left || shape_equal(&Worker_shape, &worker, &agent->worker);
     const bool live = !report->left, leaving = report->leaving || report->left;
     const bool news = !same || agent->workerLive != live || agent->workerLeaving != leaving || !agent->settled;
     agent->settled = true;
     if (!same) {
         void *mem = talloc_new(agent);
-        shape_copy(&WorkerShape, &worker, mem, &agent->worker);
+        shape_copy(&Worker_shape, &worker, mem, &agent->worker);
         talloc_free(agent->workerMem);
         agent->workerMem = mem;
         /* what was ordered was meant for another worker */
@@ -171,7 +171,7 @@
 /* It says of a round that is over for us that it runs: it is to stop. */
 static bool lingers(Agent *agent, const RoundNews *news)
 {
-    const Round *round = roundFind(agent, news->job, news->task, news->round);
+    const Round *round = round_find(agent, news->job, news->task, news->round);
     return round != NULL && round->phase >= PHASE_ENDED;
 }
 
@@ -179,7 +179,7 @@
 {
     for (size_t i = 0; i < report->endedCount; i++) {
         const RoundNews *news = &report->ended[i];
-        const Round *round = roundFind(agent, news->job, news->task, news->round);
+        const Round *round = round_find(agent, news->job, news->task, news->round);
         if (round != NULL && round->phase == PHASE_KNOWN)
             return true;
     }
@@ -267,7 +267,7 @@
     }
     for (size_t i = 0; i < report->endedCount; i++) {
         const RoundNews *news = &report->ended[i];
-        const Round *round = roundFind(agent, news->job, news->task, news->round);
+        const Round *round = round_find(agent, news->job, news->task, news->round);
         if (round != NULL && round->phase == PHASE_KNOWN)
             known[orders->knownCount++] = idOf(mem, round);
     }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -35,7 +35,7 @@
     BeatAsk beat; /* the newest */
     size_t beats, tellings;
     RoundNews news[LISTED * 2];
-    size_t newsCount;
+    size_t news_count;
     RoundSaved saved[LISTED];
     size_t savedCount;
 } Boss;
@@ -86,8 +86,8 @@
     (void)mem;
     (void)answer;
     boss->tellings++;
-    for (size_t i = 0; i < ask->newsCount && boss->newsCount < LISTED * 2; i++)
-        shape_copy(&RoundNewsShape, &ask->news[i], boss->courier, &boss->news[boss->newsCount++]);
+    for (size_t i = 0; i < ask->news_count && boss->news_count < LISTED * 2; i++)
+        shape_copy(&RoundNews_shape, &ask->news[i], boss->courier, &boss->news[boss->news_count++]);
     while (!boss->commits)
         signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
@@ -256,7 +256,7 @@
 static size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
     size_t count = 0;
-    for (size_t i = 0; i < boss->newsCount; i++)
+    for (size_t i = 0; i < boss->news_count; i++)
         count += boss->news[i].word == word && boss->news[i].round == round && boss->news[i].task == task &&
                  strcmp(boss->news[i].job, job) == 0;
     return count;
@@ -425,7 +425,7 @@
     assert_true(c->boss.beat.leaving);
     assert_false(c->boss.beat.workerLive);
     assert_true(c->boss.beat.settled);
-    assert_int_equal(c->boss.beat.roundsCount, 0);
+    assert_int_equal(c->boss.beat.rounds_count, 0);
     assert_int_equal(saying(c, "b1", runs, 1, NULL, 0)->status, STATUS_DUPLICATE_WORKER);
     talloc_free(c);
 }
@@ -444,7 +444,7 @@
     run(c, 700);
     assert_int_equal(boss->savedCount, 1); /* that it runs is told, and once */
     assert_string_equal(savedLast(boss, "j", 0)->text, "");
-    assert_true(savedLast(boss, "j", 0)->ranMs > 0);
+    assert_true(savedLast(boss, "j", 0)->ran_ms > 0);
     saying(c, "b1", half, 1, NULL, 0);
     run(c, 1000);
     saying(c, "b1", half, 1, NULL, 0);
@@ -527,7 +527,7 @@
     it = saying(c, "b1", NULL, 0, ended, 500);
     assert_int_equal(it->orders.knownCount, 500);
     assert_in_range(c->boss.tellings, 1, 2);
-    assert_int_equal(c->boss.newsCount, 500);
+    assert_int_equal(c->boss.news_count, 500);
     talloc_free(c);
 }
 
@@ -579,7 +579,7 @@
     sayAll(it);
     assert_int_equal(it->status, STATUS_CLOSED);
     run(c, 50);
-    assert_int_equal(c->boss.newsCount, 0);
+    assert_int_equal(c->boss.news_count, 0);
     talloc_free(c);
 }
 
@@ -637,13 +637,13 @@
     sim_kill(c->world, c->agentMachine);
     sim_start(c->world, c->agentMachine, agentBegin, c);
     run(c, 2500); /* the order has expired, the worker has not asked yet */
-    assert_int_equal(c->boss.newsCount, 0);
+    assert_int_equal(c->boss.news_count, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.startsCount, 0);
     assert_int_equal(it->orders.stopsCount, 0);
     run(c, 50);
-    assert_int_equal(c->boss.newsCount, 0);
+    assert_int_equal(c->boss.news_count, 0);
     talloc_free(c);
 }
 
@@ -659,7 +659,7 @@
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     const int64_t until_ms = sim_now_ms(c->world) + it->orders.holdMs * 102 / 100;
     sim_run_until(c->world, until_ms);
-    assert_int_equal(c->boss.newsCount, 0);
+    assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
     assert_false(c->boss.beat.workerLive);
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/jobjson.c
@@ -31,20 +31,20 @@
     if (!checkKeys(faults, object, path, STEP_KEYS))
         return;
     step->name = checkName(faults, object, path, "name", NULL);
-    step->after = checkNames(faults, object, path, "after", &step->afterCount);
+    step->after = checkNames(faults, object, path, "after", &step->after_count);
     step->count = (uint64_t)checkInt(faults, object, path, "count", 1, JOB_TASKS_MAX, 1);
     step->gang = checkFlag(faults, object, path, "gang", false);
     step->room = checkRoom(faults, object, path, "room", true);
     step->kind = checkName(faults, object, path, "kind", "");
     step->labels = checkNames(faults, object, path, "labels", &step->labelsCount);
-    step->estMs = (uint64_t)checkInt(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
+    step->est_ms = (uint64_t)checkInt(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
     step->apart = (uint64_t)checkInt(faults, object, path, "apart", 0, JOB_TASKS_MAX, 0);
-    step->sameRack = checkFlag(faults, object, path, "sameRack", false);
+    step->same_rack = checkFlag(faults, object, path, "sameRack", false);
     step->near = checkName(faults, object, path, "near", "");
     step->saves = checkFlag(faults, object, path, "saves", false);
     step->copies = checkFlag(faults, object, path, "copies", false);
     step->payload = readPayload(faults, object, payload);
-    if (step->room.cpuMilli == 0 && step->room.memMb == 0 && step->room.gpu == 0)
+    if (step->room.cpu_milli == 0 && step->room.mem_mb == 0 && step->room.gpu == 0)
         faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, "room"), "a task takes some room");
 }
 
@@ -53,16 +53,16 @@
     /* names unique, after known, no cycle: take out steps whose needs are out */
     bool out[JOB_STEPS_MAX] = {false};
     uint64_t tasks = 0;
-    for (size_t i = 0; i < spec->stepsCount; i++) {
+    for (size_t i = 0; i < spec->steps_count; i++) {
         const StepSpec *step = &spec->steps[i];
         tasks += step->count;
         for (size_t k = 0; k < i; k++)
             if (step->name[0] != '\0' && strcmp(spec->steps[k].name, step->name) == 0)
                 faultAdd(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].name", i),
                          "is already the name of step %zu", k);
-        for (size_t a = 0; a < step->afterCount; a++) {
+        for (size_t a = 0; a < step->after_count; a++) {
             bool known = false;
-            for (size_t k = 0; k < spec->stepsCount && !known; k++)
+            for (size_t k = 0; k < spec->steps_count && !known; k++)
                 known = strcmp(spec->steps[k].name, step->after[a]) == 0;
             if (!known)
                 faultAdd(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].after[%zu]", i, a),
@@ -74,13 +74,13 @@
         faultAdd(faults, STATUS_TOO_LARGE, "steps", "a job has at most %d tasks, all turns together", JOB_TASKS_MAX);
     if (faults->seen > 0)
         return;
-    size_t left = spec->stepsCount;
+    size_t left = spec->steps_count;
     for (bool any = true; any && left > 0;) {
         any = false;
-        for (size_t i = 0; i < spec->stepsCount; i++) {
+        for (size_t i = 0; i < spec->steps_count; i++) {
             bool ready = !out[i];
-            for (size_t a = 0; a < spec->steps[i].afterCount && ready; a++)
-                for (size_t k = 0; k < spec->stepsCount; k++)
+            for (size_t a = 0; a < spec->steps[i].after_count && ready; a++)
+                for (size_t k = 0; k < spec->steps_count; k++)
                     if (strcmp(spec->steps[k].name, spec->steps[i].after[a]) == 0 && !out[k])
                         ready = false;
             if (ready) {
@@ -97,27 +97,27 @@
 {
     spec->priority = checkInt(faults, object, "", "priority", -1000, 1000, 0);
     const char *protection = checkName(faults, object, "", "protection", "protected");
-    spec->protection = protectionOfWord(protection);
+    spec->protection = protection_of_word(protection);
     if (spec->protection == PROTECTION_COUNT)
         faultAdd(faults, STATUS_BAD_FIELD, "protection", "must be protected, best-effort or none");
     spec->copies = checkFlag(faults, object, "", "copies", false);
-    spec->dueWallMs = checkInt(faults, object, "", "dueWallMs", 0, INT64_MAX / 4, 0);
-    spec->delayMs = checkInt(faults, object, "", "delayMs", 0, JOB_SPAN_MAX_MS, 0);
+    spec->due_wall_ms = checkInt(faults, object, "", "dueWallMs", 0, INT64_MAX / 4, 0);
+    spec->delay_ms = checkInt(faults, object, "", "delayMs", 0, JOB_SPAN_MAX_MS, 0);
     spec->lasting = checkFlag(faults, object, "", "lasting", false);
     spec->turns = (uint64_t)checkInt(faults, object, "", "turns", 0, JOB_TASKS_MAX, 0);
-    spec->firstWallMs = checkInt(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
-    spec->periodMs = checkInt(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
+    spec->first_wall_ms = checkInt(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
+    spec->period_ms = checkInt(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
     const char *payload = readPayload(faults, object, "");
-    spec->roundLimit = (uint64_t)checkInt(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
+    spec->round_limit = (uint64_t)checkInt(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
     json_object *steps;
     if (!json_object_object_get_ex(object, "steps", &steps) || !json_object_is_type(steps, json_type_array) ||
         json_object_array_length(steps) == 0 || json_object_array_length(steps) > JOB_STEPS_MAX) {
         faultAdd(faults, STATUS_BAD_FIELD, "steps", "must be an array of 1 to %d steps", JOB_STEPS_MAX);
         return;
     }
-    spec->stepsCount = json_object_array_length(steps);
-    spec->steps = talloc_zero_array(faults->mem, StepSpec, (unsigned)spec->stepsCount);
-    for (size_t i = 0; i < spec->stepsCount; i++)
+    spec->steps_count = json_object_array_length(steps);
+    spec->steps = talloc_zero_array(faults->mem, StepSpec, (unsigned)spec->steps_count);
+    for (size_t i = 0; i < spec->steps_count; i++)
         readStep(faults, json_object_array_get_idx(steps, i), talloc_asprintf(faults->mem, "steps[%zu]", i), payload,
                  &spec->steps[i]);
     checkSteps(faults, spec);
@@ -168,10 +168,10 @@
 static void checkWorkers(Faults *faults, const JobSpec *spec, const Table *table)
 {
     const Worker **workers;
-    const size_t count = tableWorkers(table, faults->mem, &workers);
+    const size_t count = table_workers(table, faults->mem, &workers);
     if (count == 0)
         return; /* none has been heard of yet: nothing can be said */
-    for (size_t i = 0; i < spec->stepsCount; i++) {
+    for (size_t i = 0; i < spec->steps_count; i++) {
         const StepSpec *step = &spec->steps[i];
         const PlanNeed need = {step->room, step->kind, step->labels, step->labelsCount};
         bool able = false, fits = false;
@@ -185,8 +185,8 @@
             if (!planFits(&worker, &need))
                 continue;
             fits = true;
-            const uint64_t cpu = need.room.cpuMilli ? worker.free.cpuMilli / need.room.cpuMilli : UINT32_MAX;
-            const uint64_t mem = need.room.memMb ? worker.free.memMb / need.room.memMb : UINT32_MAX;
+            const uint64_t cpu = need.room.cpu_milli ? worker.free.cpu_milli / need.room.cpu_milli : UINT32_MAX;
+            const uint64_t mem = need.room.mem_mb ? worker.free.mem_mb / need.room.mem_mb : UINT32_MAX;
             const uint64_t gpu = need.room.gpu ? worker.free.gpu / need.room.gpu : UINT32_MAX;
             const uint64_t least = cpu < mem ? cpu : mem;
             slots += least < gpu ? least : gpu;
@@ -216,11 +216,11 @@
         faultAdd(faults, STATUS_UNKNOWN_TENANT, "tenant", "cell %s has no tenant %s", spec->cell, spec->tenant);
     if (configQueue(cell, spec->queue) == NULL)
         faultAdd(faults, STATUS_UNKNOWN_QUEUE, "queue", "cell %s has no queue %s", spec->cell, spec->queue);
-    for (size_t i = 0; i < spec->stepsCount && tenant != NULL; i++) {
+    for (size_t i = 0; i < spec->steps_count && tenant != NULL; i++) {
         const StepSpec *step = &spec->steps[i];
         const uint64_t together = step->gang ? step->count : 1;
-        if ((tenant->quota.cpuMilli > 0 && step->room.cpuMilli * together > tenant->quota.cpuMilli) ||
-            (tenant->quota.memMb > 0 && step->room.memMb * together > tenant->quota.memMb) ||
+        if ((tenant->quota.cpu_milli > 0 && step->room.cpu_milli * together > tenant->quota.cpu_milli) ||
+            (tenant->quota.mem_mb > 0 && step->room.mem_mb * together > tenant->quota.mem_mb) ||
             (tenant->quota.gpu > 0 && step->room.gpu * together > tenant->quota.gpu))
             faultAdd(faults, STATUS_OVER_QUOTA, talloc_asprintf(faults->mem, "steps[%zu].room", i),
                      "is more than the quota of tenant %s", spec->tenant);
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -17,8 +17,8 @@
 json_object *showRoom(Room room)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "cpu", json_object_new_double((double)room.cpuMilli / 1000));
-    json_object_object_add(object, "memMb", json_object_new_int64((int64_t)room.memMb));
+    json_object_object_add(object, "cpu", json_object_new_double((double)room.cpu_milli / 1000));
+    json_object_object_add(object, "memMb", json_object_new_int64((int64_t)room.mem_mb));
     if (room.gpu > 0)
         json_object_object_add(object, "gpu", json_object_new_int64((int64_t)room.gpu));
     return object;
@@ -49,7 +49,7 @@
 {
     json_object *object = json_object_new_object();
     size_t counts[TASK_PHASE_COUNT] = {0};
-    for (size_t i = 0; i < job->tasksCount; i++)
+    for (size_t i = 0; i < job->tasks_count; i++)
         counts[job->tasks[i].phase]++;
     json_object_object_add(object, "id", text_of(job->spec.id));
     json_object_object_add(object, "number", json_object_new_int64((int64_t)job->number));
@@ -58,14 +58,14 @@
     json_object_object_add(object, "queue", text_of(job->spec.queue));
     json_object_object_add(
         object, "phase",
-        text_of(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : jobPhaseWord(job->phase)));
-    json_object_object_add(object, "acceptedMs", json_object_new_int64(job->acceptedMs));
+        text_of(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : job_phase_word(job->phase)));
+    json_object_object_add(object, "acceptedMs", json_object_new_int64(job->accepted_ms));
     if (job->phase != JOB_ACTIVE)
-        json_object_object_add(object, "endedMs", json_object_new_int64(job->endedMs));
+        json_object_object_add(object, "endedMs", json_object_new_int64(job->ended_ms));
     json_object *tasks = json_object_new_object();
     for (int i = 0; i < TASK_PHASE_COUNT; i++)
         if (counts[i] > 0)
-            json_object_object_add(tasks, taskPhaseWord((uint64_t)i), json_object_new_int64((int64_t)counts[i]));
+            json_object_object_add(tasks, task_phase_word((uint64_t)i), json_object_new_int64((int64_t)counts[i]));
     json_object_object_add(object, "taskCounts", tasks);
     return object;
 }
@@ -73,12 +73,12 @@
 const char *showPhase(const Job *job)
 {
     if (job->phase != JOB_ACTIVE)
-        return jobPhaseWord(job->phase);
+        return job_phase_word(job->phase);
     if (job->ending != JOB_ACTIVE) /* whatever becomes of what still runs */
-        return jobPhaseWord(job->ending);
-    for (size_t i = 0; i < job->tasksCount; i++)
-        if (job->tasks[i].startedMs > 0)
-            return jobPhaseWord(JOB_ACTIVE);
+        return job_phase_word(job->ending);
+    for (size_t i = 0; i < job->tasks_count; i++)
+        if (job->tasks[i].started_ms > 0)
+            return job_phase_word(JOB_ACTIVE);
     return "queued";
 }
 
@@ -86,16 +86,16 @@
 static void showTerms(json_object *object, const JobTerms *terms)
 {
     json_object *shown = json_object_new_object();
-    if (terms->roundLimit > 0)
-        json_object_object_add(shown, "rounds", json_object_new_int64((int64_t)terms->roundLimit));
-    if (terms->stretchMilli > 0) {
-        const double stretch = (double)terms->stretchMilli / 1000;
+    if (terms->round_limit > 0)
+        json_object_object_add(shown, "rounds", json_object_new_int64((int64_t)terms->round_limit));
+    if (terms->stretch_milli > 0) {
+        const double stretch = (double)terms->stretch_milli / 1000;
         char text[24]; /* as it was written: a double has more digits */
         snprintf(text, sizeof(text), "%.10g", stretch);
         json_object_object_add(shown, "stretch", json_object_new_double_s(stretch, text));
     }
-    if (terms->targetMs > 0)
-        json_object_object_add(shown, "targetMs", json_object_new_int64(terms->targetMs));
+    if (terms->target_ms > 0)
+        json_object_object_add(shown, "targetMs", json_object_new_int64(terms->target_ms));
     if (terms->priority != 0)
         json_object_object_add(shown, "priority", json_object_new_int64(terms->priority));
     if (terms->kind[0] != '\0')
@@ -107,35 +107,35 @@
 {
     json_object *object = showJobShort(job);
     json_object_object_add(object, "priority", json_object_new_int64(job->spec.priority));
-    json_object_object_add(object, "protection", text_of(protectionWord(job->spec.protection)));
+    json_object_object_add(object, "protection", text_of(protection_word(job->spec.protection)));
     if (job->spec.lasting)
         json_object_object_add(object, "lasting", json_object_new_boolean(true));
     showTerms(object, &job->terms);
     json_object *tasks = json_object_new_array();
-    for (size_t i = 0; i < job->tasksCount; i++) {
+    for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "task", json_object_new_int64((int64_t)taskNumber(task)));
+        json_object_object_add(one, "task", json_object_new_int64((int64_t)task_number(task)));
         json_object_object_add(one, "step", text_of(job->spec.steps[task->step].name));
         if (job->spec.turns > 0) {
             json_object_object_add(one, "turn", json_object_new_int64((int64_t)task->turn));
-            json_object_object_add(one, "dueWallMs", json_object_new_int64(taskDueWallMs(job, task)));
+            json_object_object_add(one, "dueWallMs", json_object_new_int64(task_due_wall_ms(job, task)));
         }
         json_object_object_add(one, "at", json_object_new_int64((int64_t)task->at));
-        json_object_object_add(one, "phase", text_of(taskPhaseWord(task->phase)));
+        json_object_object_add(one, "phase", text_of(task_phase_word(task->phase)));
         json_object_object_add(one, "round", json_object_new_int64((int64_t)task->round));
         if (task->worker[0] != '\0')
             json_object_object_add(one, "worker", text_of(task->worker));
         if (task->phase == TASK_WAITING)
             json_object_object_add(one, "waitsFor", text_of(waitWord(queueWait(job, i, clock))));
-        if (taskOnWorker(task->phase) && job->spec.protection == PROTECTION_PROTECTED)
+        if (task_on_worker(task->phase) && job->spec.protection == PROTECTION_PROTECTED)
             json_object_object_add(one, "assured", json_object_new_boolean(task->assured));
         if (task->misses > 0)
             json_object_object_add(one, "misses", json_object_new_int64((int64_t)task->misses));
         if (task->losses > 0)
             json_object_object_add(one, "losses", json_object_new_int64((int64_t)task->losses));
-        if (task->startedMs > 0)
-            json_object_object_add(one, "startedMs", json_object_new_int64(task->startedMs));
+        if (task->started_ms > 0)
+            json_object_object_add(one, "startedMs", json_object_new_int64(task->started_ms));
         if (task->text[0] != '\0')
             json_object_object_add(one, "text", text_of(task->text));
         json_object_array_add(tasks, one);
--- a/packages/api/test/jobjson.c
+++ b/packages/api/test/jobjson.c
@@ -41,18 +41,18 @@
     assert_true(jobRead(faults, text, strlen(text), &spec));
     assert_true(spec.lasting);
     assert_int_equal(spec.turns, 3);
-    assert_int_equal(spec.firstWallMs, 5000);
-    assert_int_equal(spec.periodMs, 70);
+    assert_int_equal(spec.first_wall_ms, 5000);
+    assert_int_equal(spec.period_ms, 70);
     const StepSpec *a = &spec.steps[0], *b = &spec.steps[1];
-    assert_int_equal(a->room.cpuMilli, 500);
+    assert_int_equal(a->room.cpu_milli, 500);
     assert_int_equal(a->room.gpu, 2);
-    assert_int_equal(a->estMs, 900);
+    assert_int_equal(a->est_ms, 900);
     assert_int_equal(a->apart, 2);
-    assert_true(a->sameRack && a->saves && a->copies);
+    assert_true(a->same_rack && a->saves && a->copies);
     assert_string_equal(a->near, "r1-3");
     assert_string_equal(a->payload, "\"te\\\"xt\"");
     assert_string_equal(b->payload, "[1,{\"x\":null}]");
-    assert_false(b->sameRack || b->saves || b->copies);
+    assert_false(b->same_rack || b->saves || b->copies);
     assert_string_equal(b->near, "");
     assert_int_equal(b->room.gpu, 0);
     talloc_free(faults);
@@ -104,7 +104,7 @@
     assert_string_equal(spec.cell, "c");
     assert_string_equal(spec.tenant, "t");
     assert_string_equal(spec.queue, "q");
-    assert_int_equal(spec.stepsCount, 1);
+    assert_int_equal(spec.steps_count, 1);
     assert_false(jobReadAt(faults, text, strlen(text), "a/b", "c", "t", "q", &spec));
     assert_string_equal(faults->list[0].path, "id");
     talloc_free(faults);
@@ -129,13 +129,13 @@
                         .queue = "q",
                         .lasting = true,
                         .turns = 2,
-                        .firstWallMs = 5000,
-                        .periodMs = 100,
+                        .first_wall_ms = 5000,
+                        .period_ms = 100,
                         .steps = &step,
-                        .stepsCount = 1},
-               .terms = {.roundLimit = 4, .stretchMilli = 2200, .targetMs = 1000, .kind = "std"},
+                        .steps_count = 1},
+               .terms = {.round_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .kind = "std"},
                .tasks = tasks,
-               .tasksCount = 2};
+               .tasks_count = 2};
     json_object *body = showJob(&job, (QueueClock){0, 0});
     const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
     static const char *const PARTS[] = {"\"lasting\":true",
@@ -149,7 +149,7 @@
     assert_non_null(strstr(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN), "\"gpu\":2"));
     json_object_put(body);
     assert_string_equal(showPhase(&job), "queued");
-    tasks[0].startedMs = 1;
+    tasks[0].started_ms = 1;
     assert_string_equal(showPhase(&job), "active");
     job.ending = JOB_CANCELLED;
     assert_string_equal(showPhase(&job), "cancelled");
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -5,13 +5,13 @@
 #include "view/messages.h"
 
 /* A round that runs and how far it has come, told when that has changed: the first
- * is also the word that it runs. ranMs: for how long the agent has known it to. */
+ * is also the word that it runs. ran_ms: for how long the agent has known it to. */
 #define ROUND_SAVED_FIELDS(X)                  \
     X(TXT, job, 0)                             \
     X(U64, task, 0)                            \
     X(U64, round, 0)                           \
     X(TXT, text, 0)                            \
-    X(I64, ranMs, 0)                           \
+    X(I64, ran_ms, 0)                          \
     X(U64, percent, 0)   /* of its work ... */ \
     X(I64, percentMs, 0) /* ... when it had run so long; 0: not told */
 SHAPE(RoundSaved, ROUND_SAVED_FIELDS)
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -73,7 +73,7 @@
 void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
                int64_t until_ms)
 {
-    Stray *stray = strayOf(strays, worker, job->spec.id, taskNumber(task));
+    Stray *stray = strayOf(strays, worker, job->spec.id, task_number(task));
     stray->room = job->spec.steps[task->step].room;
     stray->known = true;
     stray->round = round;
@@ -83,14 +83,14 @@
 /* Whether the table has the round there: then it counts as that. */
 static bool tabled(const Table *table, const BeatAsk *beat, const RoundId *round, Room *room, bool *known)
 {
-    const Job *job = tableJob(table, round->job);
-    const size_t at = job != NULL ? taskIndex(job, round->task) : 0;
-    *known = job != NULL && at < job->tasksCount;
+    const Job *job = table_job(table, round->job);
+    const size_t at = job != NULL ? task_index(job, round->task) : 0;
+    *known = job != NULL && at < job->tasks_count;
     if (!*known)
         return false;
     const JobTask *task = &job->tasks[at];
     *room = job->spec.steps[task->step].room;
-    return taskOnWorker(task->phase) && strcmp(task->worker, beat->worker.name) == 0;
+    return task_on_worker(task->phase) && strcmp(task->worker, beat->worker.name) == 0;
 }
 
 void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms)
@@ -98,7 +98,7 @@
     StrayList *list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
-    for (size_t i = 0; i < beat->roundsCount; i++) {
+    for (size_t i = 0; i < beat->rounds_count; i++) {
         Room room = {0};
         bool known;
         if (tabled(table, beat, &beat->rounds[i], &room, &known))
@@ -138,8 +138,8 @@
     for (size_t i = 0; list != NULL && i < list->count; i++) {
         if (!list->rows[i]->known)
             return false;
-        room->cpuMilli += list->rows[i]->room.cpuMilli;
-        room->memMb += list->rows[i]->room.memMb;
+        room->cpu_milli += list->rows[i]->room.cpu_milli;
+        room->mem_mb += list->rows[i]->room.mem_mb;
         room->gpu += list->rows[i]->room.gpu;
     }
     return true;
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -18,11 +18,11 @@
 static Case begin(void)
 {
     static StepSpec step = {.name = "a", .count = 2, .room = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
-    Case it = {boardNew(), NULL, NULL};
+    Case it = {board_new(), NULL, NULL};
     it.strays = straysNew(it.board.table);
-    tableLeftWatch(it.board.table, onLeft, it.strays);
-    const JobSpec spec = specOf("j", &step, 1);
-    it.job = jobAdd(&it.board, &spec, (JobTerms){.kind = ""});
+    table_left_watch(it.board.table, onLeft, it.strays);
+    const JobSpec spec = spec_of("j", &step, 1);
+    it.job = job_add(&it.board, &spec, (JobTerms){.kind = ""});
     return it;
 }
 
@@ -30,12 +30,12 @@
 {
     Room room;
     assert_true(straysRoom(it->strays, worker, &room));
-    return room.cpuMilli;
+    return room.cpu_milli;
 }
 
 static void beat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
 {
-    const BeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .roundsCount = count};
+    const BeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
     straysBeat(it->strays, it->board.table, &ask, now_ms);
 }
 
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -43,7 +43,7 @@
 bool checkNameText(const char *text);
 /* Names in an array; the count is told. */
 const char **checkNames(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
-/* {"cpu": cores, "memMb": MB, "gpu": count}; cores may have a fraction down to a thousandth. */
+/* {"cpu": cores, "mem_mb": MB, "gpu": count}; cores may have a fraction down to a thousandth. */
 Room checkRoom(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
 const char *checkPath(Faults *faults, const char *path, const char *key);
 
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -221,8 +221,8 @@
     }
     if (!checkKeys(faults, value, at, KEYS))
         return room;
-    room.cpuMilli = amountOf(faults, value, at, "cpu", 1000);
-    room.memMb = amountOf(faults, value, at, "memMb", 1);
+    room.cpu_milli = amountOf(faults, value, at, "cpu", 1000);
+    room.mem_mb = amountOf(faults, value, at, "memMb", 1);
     if (json_object_object_get_ex(value, "gpu", NULL))
         room.gpu = amountOf(faults, value, at, "gpu", 1);
     return room;
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -47,8 +47,8 @@
     queue->priority = checkInt(faults, value, path, "priority", -1000, 1000, 0);
     queue->kind = talloc_strdup(part, checkName(faults, value, path, "kind", ""));
     queue->rounds = (uint64_t)checkInt(faults, value, path, "rounds", 1, ROUNDS_MAX, 0);
-    queue->stretchMilli = checkMilli(faults, value, path, "stretch", 1, CONFIG_STRETCH_MAX * 1000, 0);
-    queue->targetMs = checkInt(faults, value, path, "targetMs", 0, CONFIG_SPAN_MAX_MS, 0);
+    queue->stretch_milli = checkMilli(faults, value, path, "stretch", 1, CONFIG_STRETCH_MAX * 1000, 0);
+    queue->target_ms = checkInt(faults, value, path, "targetMs", 0, CONFIG_SPAN_MAX_MS, 0);
     queue->expiry_ms = checkInt(faults, value, path, "expiryMs", 1, CONFIG_SPAN_MAX_MS, 0);
     queue->tenant = talloc_strdup(part, checkName(faults, value, path, "tenant", ""));
     queue->note = talloc_strdup(part, checkText(faults, value, path, "note", CONFIG_NOTE_MAX));
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -73,19 +73,19 @@
     assert_int_equal(queue->priority, -1);
     assert_string_equal(queue->kind, "huvo11a");
     assert_int_equal(queue->rounds, 4);
-    assert_int_equal(queue->stretchMilli, 2200);
-    assert_int_equal(queue->targetMs, 2000);
+    assert_int_equal(queue->stretch_milli, 2200);
+    assert_int_equal(queue->target_ms, 2000);
     assert_int_equal(queue->expiry_ms, 3000);
     assert_string_equal(queue->host, "nony24.example");
     assert_string_equal(queue->prefix, "/lohu930/");
     assert_string_equal(queue->note, "{\"tls\":false}");
-    assert_int_equal(configQueue(cell, "theirs")->stretchMilli, 3000);
+    assert_int_equal(configQueue(cell, "theirs")->stretch_milli, 3000);
     const ConfigQueue *bare = configQueue(cell, "bare");
-    assert_true(bare->rounds == 0 && bare->stretchMilli == 0 && bare->targetMs == 0 && bare->expiry_ms == 0);
+    assert_true(bare->rounds == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->expiry_ms == 0);
     assert_true(bare->kind[0] == '\0' && bare->host[0] == '\0' && bare->tenant[0] == '\0');
     assert_null(configQueue(cell, "none"));
     assert_non_null(configPolicy(config, "p")->lua);
-    assert_int_equal(configTenant(cell, "few")->quota.cpuMilli, 1500);
+    assert_int_equal(configTenant(cell, "few")->quota.cpu_milli, 1500);
     talloc_free(mem);
 }
 
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -49,9 +49,9 @@
     Bytes packed = {0};
     ConfigSet taken;
     ChangeResult result = {0};
-    shape_pack(&ConfigSetShape, set, mem, &packed);
-    if (shape_unpack(&ConfigSetShape, packed, mem, &taken, NULL) == STATUS_OK)
-        deliverConfig(revisions, &taken, &result);
+    shape_pack(&ConfigSet_shape, set, mem, &packed);
+    if (shape_unpack(&ConfigSet_shape, packed, mem, &taken, NULL) == STATUS_OK)
+        deliver_config(revisions, &taken, &result);
     if (result.status != STATUS_OK)
         exit(1);
     *bytes += packed.count;
@@ -68,7 +68,7 @@
     double checkUs = 0, seatUs = 0, readUs = 0;
     size_t bytes = 0;
     const char *now = text;
-    Revisions *revisions = revisionsNew(all, CONFIG_HISTORY, CONFIG_KNOWN);
+    Revisions *revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
     for (int i = 1; i <= changes; i++) {
         void *mem = talloc_new(all);
         Faults *faults = faultsNew(mem);
@@ -100,7 +100,7 @@
         const Config *config = configRead(all, text, strlen(text), 1, faults);
         if (config == NULL)
             fail(faults);
-        revisions = revisionsNew(all, CONFIG_HISTORY, CONFIG_KNOWN);
+        revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
         ConfigSet first = {.base = 0, .revision = 1, .text = text, .digest = ""};
         bytes = 0;
         deliver(revisions, &first, all, &bytes);
@@ -150,11 +150,11 @@
         }
         const double entryUs = (nowUs() - fromUs) / 100000;
         fromUs = nowUs();
-        json_object *tree = revisionsTree(revisions, NULL, 0);
+        json_object *tree = revisions_tree(revisions, NULL, 0);
         const Config *anew = configBuild(all, tree, 1, NULL, faults);
         const double anewUs = nowUs() - fromUs;
         fromUs = nowUs();
-        const char *read = revisionsText(revisions, all, revisionsNewest(revisions));
+        const char *read = revisions_text(revisions, all, revisions_newest(revisions));
         printf("            look-up %.2f us, read by a new leader %.0f us, read back %.0f us (%zu bytes)\n", entryUs,
                anewUs, nowUs() - fromUs, strlen(read));
         json_object_put(tree);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -6,7 +6,7 @@
 
 static bool listed(const BeatAsk *beat, const char *job, uint64_t task, uint64_t round)
 {
-    for (size_t i = 0; i < beat->roundsCount; i++)
+    for (size_t i = 0; i < beat->rounds_count; i++)
         if (beat->rounds[i].round == round && beat->rounds[i].task == task && strcmp(beat->rounds[i].job, job) == 0)
             return true;
     return false;
@@ -19,7 +19,7 @@
 {
     return task->phase == TASK_STOPPING &&
            (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
-            (beat->haveEpoch == view_epoch(core->view) && beat->have == tableOrders(core->table, beat->worker.name)));
+            (beat->haveEpoch == view_epoch(core->view) && beat->have == table_orders(core->table, beat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
@@ -28,23 +28,23 @@
 {
     RoundList list = {0};
     const TaskOn *on;
-    const size_t count = tableOn(core->table, beat->worker.name, &on);
+    const size_t count = table_on(core->table, beat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
-        const uint64_t number = taskNumber(task);
+        const uint64_t number = task_number(task);
         if ((task->phase != TASK_RUNNING && !stopOver(core, beat, task)) ||
             listed(beat, job->spec.id, number, task->round))
             continue;
         if (list.news == NULL)
             list.news = talloc_array(mem, RoundNews, (unsigned)count);
-        list.news[list.newsCount++] = (RoundNews){.job = talloc_strdup(mem, job->spec.id),
-                                                  .task = number,
-                                                  .round = task->round,
-                                                  .worker = talloc_strdup(mem, beat->worker.name),
-                                                  .word = task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST,
-                                                  .text = "not on its worker any more",
-                                                  .saved = ""};
+        list.news[list.news_count++] = (RoundNews){.job = talloc_strdup(mem, job->spec.id),
+                                                   .task = number,
+                                                   .round = task->round,
+                                                   .worker = talloc_strdup(mem, beat->worker.name),
+                                                   .word = task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST,
+                                                   .text = "not on its worker any more",
+                                                   .saved = ""};
     }
     return list;
 }
@@ -64,12 +64,12 @@
     Learning *learning = arg;
     Core *core = learning->core;
     ChangeResult result;
-    newsTell(core, learning->missing.news, learning->missing.newsCount);
+    newsTell(core, learning->missing.news, learning->missing.news_count);
     if (learning->learn)
-        coreSubmit(core, learning, CHANGE_WORKER_SET, &WorkerShape, &learning->worker, &result, NULL);
+        coreSubmit(core, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
     if (learning->left) {
         const WorkerLeft left = {learning->worker.name, true};
-        coreSubmit(core, learning, CHANGE_WORKER_LEFT, &WorkerLeftShape, &left, &result, NULL);
+        coreSubmit(core, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
     }
     learning->line->learning = false;
     talloc_free(learning);
@@ -81,20 +81,20 @@
     AgentLine *line = agentLine(core, beat->worker.name);
     if (line->learning)
         return;
-    const Worker *known = tableWorker(core->table, beat->worker.name);
+    const Worker *known = table_worker(core->table, beat->worker.name);
     Worker worker = beat->worker;
     const bool here = beat->workerLive && !beat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
-    const bool learns = beat->workerLive && (known == NULL || !shape_equal(&WorkerShape, known, &worker));
+    const bool learns = beat->workerLive && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
     const bool left = known != NULL && !known->excluded && beat->leaving && !beat->workerLive && beat->settled &&
-                      beat->roundsCount == 0;
+                      beat->rounds_count == 0;
     void *mem = talloc_new(core);
     const RoundList gone = listCounts ? missing(core, mem, beat) : (RoundList){0};
-    if (learns || left || gone.newsCount > 0) {
+    if (learns || left || gone.news_count > 0) {
         Learning *learning = talloc_zero(core, Learning);
         *learning = (Learning){.core = core, .line = line, .learn = learns, .left = left, .missing = gone};
-        shape_copy(&WorkerShape, &worker, learning, &learning->worker);
+        shape_copy(&Worker_shape, &worker, learning, &learning->worker);
         talloc_steal(learning, mem);
         line->learning = true;
         loop_spawn(core->loop, "learn", learnMain, learning);
@@ -106,9 +106,9 @@
 /* Whether the table is to hear that the round runs. */
 static bool runsUntold(const Core *core, const char *worker, const RoundSaved *saved)
 {
-    const Job *job = tableJob(core->table, saved->job);
-    const size_t at = job != NULL ? taskIndex(job, saved->task) : 0;
-    if (job == NULL || at == job->tasksCount)
+    const Job *job = table_job(core->table, saved->job);
+    const size_t at = job != NULL ? task_index(job, saved->task) : 0;
+    if (job == NULL || at == job->tasks_count)
         return false;
     const JobTask *task = &job->tasks[at];
     /* its placement may have been lost with the disks */
@@ -132,7 +132,7 @@
                                 .word = ROUND_RUNNING,
                                 .text = "",
                                 .saved = saved->text,
-                                .ranMs = saved->ranMs};
+                                .ran_ms = saved->ran_ms};
         newsLater(core, &news);
     }
     if (core->placeFromMs > loop_now_ms(core->loop))
@@ -145,7 +145,7 @@
 {
     void *mem = talloc_new(core);
     const Worker **workers;
-    const size_t count = tableWorkers(core->table, mem, &workers);
+    const size_t count = table_workers(core->table, mem, &workers);
     bool all = newsIdle(core);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
@@ -221,7 +221,7 @@
         return STATUS_REPAIRING;
     livesetTold(core->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent tells it again */
-    return newsTell(core, ask->news, ask->newsCount);
+    return newsTell(core, ask->news, ask->news_count);
 }
 
 /* As agents of the first release ask. */
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -78,7 +78,7 @@
 {
     const int64_t now_ms = loop_now_ms(core->loop);
     const Worker **workers;
-    const size_t count = tableWorkers(core->table, mem, &workers);
+    const size_t count = table_workers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
         const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
@@ -94,12 +94,12 @@
 static void workLook(Core *core)
 {
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     bool unassured = false, waits = false;
     for (size_t j = 0; j < count; j++)
-        for (size_t t = 0; t < jobs[j]->tasksCount && jobs[j]->spec.protection == PROTECTION_PROTECTED; t++) {
+        for (size_t t = 0; t < jobs[j]->tasks_count && jobs[j]->spec.protection == PROTECTION_PROTECTED; t++) {
             const JobTask *task = &jobs[j]->tasks[t];
-            unassured |= taskOnWorker(task->phase) && !task->assured;
+            unassured |= task_on_worker(task->phase) && !task->assured;
             waits |= task->phase == TASK_WAITING && task->losses > 0;
         }
     if (unassured)
@@ -128,7 +128,7 @@
         if (corePolicyFailures(core, &words) > 0)
             see(core, ALERT_POLICY_FAILS, words);
         const char **zones;
-        const size_t zoneCount = tableDrains(core->table, mem, &zones);
+        const size_t zoneCount = table_drains(core->table, mem, &zones);
         for (size_t i = 0; i < zoneCount; i++)
             see(core, ALERT_ZONE_EMPTIED, zones[i]);
     }
--- a/packages/core/src/assure.c
+++ b/packages/core/src/assure.c
@@ -9,14 +9,14 @@
     Core *core = pass->core;
     StopList list = {0};
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     for (size_t j = 0; j < count && pass->checks < pass->checksMax; j++) {
         const Job *job = jobs[j];
         if (job->spec.protection != PROTECTION_PROTECTED)
             continue;
-        for (size_t t = 0; t < job->tasksCount && pass->checks < pass->checksMax; t++) {
+        for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checksMax; t++) {
             const JobTask *task = &job->tasks[t];
-            const size_t at = taskOnWorker(task->phase) ? passPlace(pass, task->worker) : SIZE_MAX;
+            const size_t at = task_on_worker(task->phase) ? passPlace(pass, task->worker) : SIZE_MAX;
             if (task->assured || at == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
                 continue;
             const PlanNeed need = passNeed(job, task->step);
@@ -25,13 +25,13 @@
                 pass->input.taskCount--;
                 continue;
             }
-            list.rounds = talloc_realloc(pass->mem, list.rounds, RoundId, (unsigned)(list.roundsCount + 1));
-            list.rounds[list.roundsCount++] =
-                (RoundId){talloc_strdup(pass->mem, job->spec.id), taskNumber(task), task->round};
+            list.rounds = talloc_realloc(pass->mem, list.rounds, RoundId, (unsigned)(list.rounds_count + 1));
+            list.rounds[list.rounds_count++] =
+                (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
         }
     }
     list.why = "";
     ChangeResult result;
-    if (list.roundsCount > 0)
-        coreSubmit(core, pass->mem, CHANGE_ASSURE, &StopListShape, &list, &result, NULL);
+    if (list.rounds_count > 0)
+        coreSubmit(core, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -36,8 +36,8 @@
         showMetric(task, name, (int64_t)alertsCount(core, (Alert)i));
     }
     Job *const *jobs;
-    showMetric(task, "jobsActive", (int64_t)tableActive(core->table, &jobs));
-    showMetric(task, "jobsKnown", (int64_t)tableJobs(core->table, &jobs));
+    showMetric(task, "jobsActive", (int64_t)table_active(core->table, &jobs));
+    showMetric(task, "jobsKnown", (int64_t)table_jobs(core->table, &jobs));
 #define X(name, outside) showMetric(task, outside, (int64_t)core->counts.name);
     CORE_COUNT_LIST(X)
 #undef X
@@ -135,7 +135,7 @@
         out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
         if (!core->repairing &&
-            feedAnswer(&core->pieceSource, tableRevisions(core->table), ask, loop_now_ms(core->loop), mem, out))
+            feedAnswer(&core->pieceSource, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
         if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -15,7 +15,7 @@
 {
     const PlanInput *input = &pass->input;
     const PlanWorker *its = &input->workers[at];
-    pass->step.onWorker[at] += by;
+    pass->step.on_worker[at] += by;
     for (size_t i = 0; i < input->workerCount; i++) {
         const PlanWorker *mine = &input->workers[i];
         pass->step.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
@@ -31,23 +31,23 @@
 void sightFind(Pass *pass, const Job *job, size_t task)
 {
     StepSight *sight = &pass->step;
-    const size_t first = taskFirst(job, &job->tasks[task]);
+    const size_t first = task_first(job, &job->tasks[task]);
     const size_t end = first + (size_t)job->spec.steps[job->tasks[task].step].count;
     if (sight->job == job && sight->first == first)
         return;
     const size_t count = pass->input.workerCount;
     if (sight->near == NULL) {
         sight->near = talloc_array(pass->mem, int, (unsigned)count);
-        sight->onWorker = talloc_array(pass->mem, int, (unsigned)count);
+        sight->on_worker = talloc_array(pass->mem, int, (unsigned)count);
         sight->onRack = talloc_array(pass->mem, int, (unsigned)count);
     }
     memset(sight->near, 0, count * sizeof(int));
-    memset(sight->onWorker, 0, count * sizeof(int));
+    memset(sight->on_worker, 0, count * sizeof(int));
     memset(sight->onRack, 0, count * sizeof(int));
     sight->job = job;
     sight->first = first;
     for (size_t t = first; t < end; t++) {
-        const size_t at = taskOnWorker(job->tasks[t].phase) ? passPlace(pass, job->tasks[t].worker) : SIZE_MAX;
+        const size_t at = task_on_worker(job->tasks[t].phase) ? passPlace(pass, job->tasks[t].worker) : SIZE_MAX;
         if (at != SIZE_MAX)
             sightAdd(pass, at, 1);
     }
@@ -59,17 +59,17 @@
 
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
 {
-    return !excluded[at] && (step->apart == 0 || (uint64_t)pass->step.onWorker[at] < step->apart) &&
+    return !excluded[at] && (step->apart == 0 || (uint64_t)pass->step.on_worker[at] < step->apart) &&
            planFits(&pass->input.workers[at], need);
 }
 
 /* Whether the step has others at work, none of them on the worker's rack. */
 static bool leavesRack(const Pass *pass, const StepSpec *step, size_t at)
 {
-    if (!step->sameRack || pass->step.onRack[at] > 0)
+    if (!step->same_rack || pass->step.onRack[at] > 0)
         return false;
     for (size_t i = 0; i < pass->input.workerCount; i++)
-        if (pass->step.onWorker[i] > 0)
+        if (pass->step.on_worker[i] > 0)
             return true;
     return false;
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -25,8 +25,8 @@
 
 static void showNewest(Way *way)
 {
-    const Revisions *revisions = tableRevisions(way->core->table);
-    const uint64_t newest = revisionsNewest(revisions);
+    const Revisions *revisions = table_revisions(way->core->table);
+    const uint64_t newest = revisions_newest(revisions);
     const Config *config = coreConfig(way->core);
     const char *text;
     if (newest == 0)
@@ -34,13 +34,13 @@
     else if (revisions->rows[revisions->count - 1].patch && config->revision == newest) /* it is read already */
         text = document_text(way->mem, config->tree);
     else
-        text = revisionsText(revisions, way->mem, newest);
+        text = revisions_text(revisions, way->mem, newest);
     showConfig(way, newest, text);
 }
 
 void configGet(Way *way)
 {
-    const Revisions *revisions = tableRevisions(way->core->table);
+    const Revisions *revisions = table_revisions(way->core->table);
     int64_t revision = 0, have = -1, wait_ms = 0;
     queryInt(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
     queryInt(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
@@ -50,7 +50,7 @@
         return;
     }
     if (revision > 0) {
-        const char *text = revisionsText(revisions, way->mem, (uint64_t)revision);
+        const char *text = revisions_text(revisions, way->mem, (uint64_t)revision);
         if (text == NULL)
             showRefusal(way->task, STATUS_UNKNOWN_REVISION, "this revision can't be read back", NULL);
         else
@@ -58,7 +58,7 @@
         return;
     }
     const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
-    while (have >= 0 && revisionsNewest(tableRevisions(way->core->table)) <= (uint64_t)have)
+    while (have >= 0 && revisions_newest(table_revisions(way->core->table)) <= (uint64_t)have)
         if (!signal_wait(way->core->loop, view_news(way->core->view), until_ms))
             break;
     if (!view_leading(way->core->view))
@@ -69,7 +69,7 @@
 
 void configHistory(Way *way)
 {
-    const Revisions *revisions = tableRevisions(way->core->table);
+    const Revisions *revisions = table_revisions(way->core->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     for (size_t i = revisions->whole; i < revisions->count; i++)
         json_object_array_add(list, json_object_new_uint64(revisions->rows[i].revision));
@@ -146,7 +146,7 @@
  * measured only where their sizes do not settle it. */
 static void checkSize(Way *way, json_object *tree)
 {
-    if (revisionsSize(tableRevisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
+    if (revisions_size(table_revisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
         faultAdd(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
@@ -193,10 +193,10 @@
         wayRefuse(way);
         return;
     }
-    const Revisions *revisions = tableRevisions(core->table);
+    const Revisions *revisions = table_revisions(core->table);
     if (set.revision != 0)
         set.digest = digestOf(way, patch, set.base, set.revision);
-    const uint64_t current = revisionsNewest(revisions), known = revisionsDigest(revisions, set.digest);
+    const uint64_t current = revisions_newest(revisions), known = revisions_digest(revisions, set.digest);
     if (known != 0) { /* sent again: it was taken, whatever has come since */
         showTaken(way, known);
         return;
@@ -218,7 +218,7 @@
     Trial trial = {.set = set, .config = config};
     trialEnter(core, &trial);
     ChangeResult result;
-    const Status status = coreSubmit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSetShape, &set, &result, way->keeps);
+    const Status status = coreSubmit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->keeps);
     if (status == STATUS_OK && result.status == STATUS_OK)
         coreConfig(core); /* takes what was checked, before another change is delivered */
     trialLeave(core, &trial);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -53,7 +53,7 @@
     if (new_holder) {
         void *mem = talloc_new(core);
         const Worker **workers;
-        const size_t count = tableWorkers(core->table, mem, &workers);
+        const size_t count = table_workers(core->table, mem, &workers);
         const char **names = talloc_array(mem, const char *, (unsigned)count);
         for (size_t i = 0; i < count; i++)
             names[i] = workers[i]->name;
@@ -87,7 +87,7 @@
 static void roundsTake(Core *core, const RoundList *rounds)
 {
     scoreTake(core, rounds);
-    for (size_t i = 0; i < rounds->newsCount; i++) {
+    for (size_t i = 0; i < rounds->news_count; i++) {
         const RoundNews *news = &rounds->news[i];
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
@@ -120,11 +120,11 @@
         if (!coreDecides(core))
             continue;
         const Forget forget = {view_clock_ms(core->view) - keepMs};
-        if (tableOldestMs(core->table) >= forget.beforeMs)
+        if (table_oldest_ms(core->table) >= forget.before_ms)
             continue;
         void *mem = talloc_new(core);
         ChangeResult result;
-        coreSubmit(core, mem, CHANGE_FORGET, &ForgetShape, &forget, &result, NULL);
+        coreSubmit(core, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
         talloc_free(mem);
     }
 }
@@ -164,12 +164,12 @@
     core->ring = ring;
     core->props = props;
     core->planHolds = true;
-    core->startedMs = loop_now_ms(loop);
+    core->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
     core->courier = courier_new(core, loop, ring);
-    core->table = tableNew(core);
-    tableWatch(core->table, onDelivered, core);
+    core->table = table_new(core);
+    table_watch(core->table, onDelivered, core);
     core->pieceSource.mem = core;
     core->keeper = keeperNew(core, loop, props->bounds.retellMs);
     core->liveset = livesetNew(core);
@@ -179,13 +179,13 @@
     core->queue = queueNew(core, core->guesses);
     core->strays = straysNew(core);
     core->paces = pacesNew(core);
-    tableLeftWatch(core->table, onLeft, core);
+    table_left_watch(core->table, onLeft, core);
     core->kept = map_new(core);
     core->alerts = map_new(core);
     const ViewProps viewProps = {.loop = loop,
                                  .courier = core->courier,
                                  .ring = ring,
-                                 .state = tableState(core->table),
+                                 .state = table_state(core->table),
                                  .opened = onOpened,
                                  .opened_arg = core,
                                  .losses = (int)props->bounds.losses,
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -27,7 +27,7 @@
 
 static int64_t waitingIn(const Table *table, const ConfigPlace *place)
 {
-    return (int64_t)tableWaitingIn(table, place->cell->name, place->queue->name);
+    return (int64_t)table_waiting_in(table, place->cell->name, place->queue->name);
 }
 
 static void entryPost(Way *way, const ConfigPlace *place)
@@ -38,7 +38,7 @@
         wayRefuse(way);
         return;
     }
-    const Job *job = tableJob(way->core->table, spec.id);
+    const Job *job = table_job(way->core->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
         /* an id is one job at every entry: it stays in the queue that took it */
@@ -58,7 +58,7 @@
 
 static void entryGet(Way *way)
 {
-    const Job *job = tableJob(way->core->table, way->name);
+    const Job *job = table_job(way->core->table, way->name);
     if (job == NULL) {
         entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
@@ -70,14 +70,14 @@
 static void entryCancel(Way *way)
 {
     ChangeResult result;
-    if (tableJob(way->core->table, way->name) == NULL) {
+    if (table_job(way->core->table, way->name) == NULL) {
         entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
     if (!jobCancelled(way, &result))
         return;
     /* one that had ended before stays as it is, which is what was asked for */
-    const Job *job = tableJob(way->core->table, way->name);
+    const Job *job = table_job(way->core->table, way->name);
     if (job == NULL)
         entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
     else
@@ -100,7 +100,7 @@
         showRefusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
         return;
     }
-    if (revisionsNewest(tableRevisions(core->table)) == 0) {
+    if (revisions_newest(table_revisions(core->table)) == 0) {
         showRefusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
         return;
     }
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -11,11 +11,11 @@
 /* What the table has, made from what was read before where it can be. */
 static json_object *treeNow(const Core *core, bool sameLoad)
 {
-    const Revisions *revisions = tableRevisions(core->table);
-    if (revisionsNewest(revisions) == 0)
+    const Revisions *revisions = table_revisions(core->table);
+    if (revisions_newest(revisions) == 0)
         return document_parse(configFirstText());
     const bool have = sameLoad && core->config != NULL && core->config->revision > 0;
-    return revisionsTree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
+    return revisions_tree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
 }
 
 static const Config *readNow(Core *core, uint64_t revision, bool sameLoad)
@@ -44,7 +44,7 @@
 {
     for (Trial *at = core->trials; at != NULL; at = at->next)
         if (at->config != NULL && at->set.revision == newest->revision && at->set.base == newest->base &&
-            at->set.patch == newest->patch && at->loads == tableLoads(core->table) &&
+            at->set.patch == newest->patch && at->loads == table_loads(core->table) &&
             strcmp(at->set.text, newest->text) == 0) {
             const Config *config = talloc_steal(core, at->config);
             at->config = NULL;
@@ -55,8 +55,8 @@
 
 const Config *coreConfig(Core *core)
 {
-    const Revisions *revisions = tableRevisions(core->table);
-    const uint64_t revision = revisionsNewest(revisions), loads = tableLoads(core->table);
+    const Revisions *revisions = table_revisions(core->table);
+    const uint64_t revision = revisions_newest(revisions), loads = table_loads(core->table);
     const bool sameLoad = core->configLoads == loads;
     if (core->config != NULL && sameLoad && (core->config->revision == revision || core->configUnread == revision))
         return core->config;
@@ -75,7 +75,7 @@
 
 void trialEnter(Core *core, Trial *trial)
 {
-    trial->loads = tableLoads(core->table);
+    trial->loads = table_loads(core->table);
     trial->next = core->trials;
     core->trials = trial;
 }
@@ -90,13 +90,13 @@
 
 void limitsFollow(Core *core)
 {
-    const Revisions *revisions = tableRevisions(core->table);
-    const uint64_t newest = revisionsNewest(revisions), loads = tableLoads(core->table);
+    const Revisions *revisions = table_revisions(core->table);
+    const uint64_t newest = revisions_newest(revisions), loads = table_loads(core->table);
     if (newest == 0 || (newest == core->limitsRevision && loads == core->limitsLoads))
         return;
     core->limitsRevision = newest;
     core->limitsLoads = loads;
-    limitsServe(core->loop, revisionsLimits(revisions));
+    limitsServe(core->loop, revisions_limits(revisions));
 }
 
 const Policy *corePolicy(void *arg, const ConfigCell *cell)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -87,7 +87,7 @@
     Map *alerts;        /* those that stand */
     uint64_t alertLooks;
     const Config *config; /* of the table's newest revision that could be read */
-    uint64_t configLoads; /* tableLoads when it was read */
+    uint64_t configLoads; /* table_loads when it was read */
     PieceSource pieceSource;
     uint64_t configStamp;  /* another with each other config */
     uint64_t configUnread; /* a revision that can't be read */
@@ -96,7 +96,7 @@
     uint64_t policyFailuresTold;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
-    int64_t startedMs;
+    int64_t started_ms;
     bool repairing;
     uint64_t repairTurn;
     int64_t placeFromMs;
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -14,18 +14,18 @@
         return NULL;
     }
     size_t tasks = 0;
-    for (size_t i = 0; i < spec->stepsCount; i++)
+    for (size_t i = 0; i < spec->steps_count; i++)
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
-    if (tableWaiting(core->table, spec->cell) + tasks > configCell(config, spec->cell)->limit) {
+    if (table_waiting(core->table, spec->cell) + tasks > configCell(config, spec->cell)->limit) {
         core->counts.crowded++;
         showRefusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
         return NULL;
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
-    if (!wayDelivered(way, coreSubmit(core, way->mem, CHANGE_JOB_ADD, &JobAddShape, &add, &result, way->keeps)))
+    if (!wayDelivered(way, coreSubmit(core, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result, way->keeps)))
         return NULL;
-    const Job *job = tableJob(core->table, spec->id);
+    const Job *job = table_job(core->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
         showRefusal(way->task, result.status, "another job has this id", NULL);
         return NULL;
@@ -36,14 +36,14 @@
 
 bool jobAgain(Way *way, const Job *known, const JobSpec *spec)
 {
-    if (!shape_equal(&JobSpecShape, &known->spec, spec)) {
+    if (!shape_equal(&JobSpec_shape, &known->spec, spec)) {
         showRefusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
     /* whoever carries this result may be the only one to have heard it */
     KeepItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
-    shape_pack(&JobAddShape, &add, way->mem, &item.payload);
+    shape_pack(&JobAdd_shape, &add, way->mem, &item.payload);
     wayKeep(way, &item);
     return true;
 }
@@ -52,7 +52,7 @@
 {
     if (queue == NULL)
         return (JobTerms){.kind = ""};
-    return (JobTerms){queue->rounds, queue->stretchMilli, queue->targetMs, queue->priority,
+    return (JobTerms){queue->rounds, queue->stretch_milli, queue->target_ms, queue->priority,
                       queue->kind != NULL ? queue->kind : ""};
 }
 
@@ -64,7 +64,7 @@
         return;
     }
     /* the same job again is told the first answer, whatever has changed since */
-    const Job *job = tableJob(way->core->table, spec.id);
+    const Job *job = table_job(way->core->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
         if (!jobAgain(way, job, &spec))
@@ -81,7 +81,7 @@
 
 void jobGet(Way *way)
 {
-    const Job *job = tableJob(way->core->table, way->name);
+    const Job *job = table_job(way->core->table, way->name);
     if (job == NULL)
         showRefusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
     else {
@@ -94,19 +94,19 @@
 {
     const JobCancel cancel = {way->name};
     return wayDelivered(
-        way, coreSubmit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancelShape, &cancel, result, way->keeps));
+        way, coreSubmit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result, way->keeps));
 }
 
 void jobCancel(Way *way)
 {
     ChangeResult result;
-    if (tableJob(way->core->table, way->name) == NULL) {
+    if (table_job(way->core->table, way->name) == NULL) {
         showRefusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
     if (!jobCancelled(way, &result))
         return;
-    const Job *job = tableJob(way->core->table, way->name);
+    const Job *job = table_job(way->core->table, way->name);
     if (result.status != STATUS_OK || job == NULL)
         showRefusal(way->task, result.status, "the job had ended before", NULL);
     else
@@ -125,7 +125,7 @@
         return;
     }
     Job *const *jobs;
-    const size_t count = tableJobs(way->core->table, &jobs);
+    const size_t count = table_jobs(way->core->table, &jobs);
     size_t low = 0, high = count;
     while (low < high) {
         const size_t middle = (low + high) / 2;
@@ -140,7 +140,7 @@
     for (; at < count && shown < limit; at++) {
         const Job *job = jobs[at];
         if ((cell != NULL && strcmp(job->spec.cell, cell) != 0) ||
-            (phase != NULL && strcmp(jobPhaseWord(job->phase), phase) != 0))
+            (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
             continue;
         wayKeepEnd(way, job);
         json_object_array_add(list, showJobShort(job));
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -45,15 +45,15 @@
     const size_t cellCount = map_keys(core->kept, pass->mem, &cells);
     for (size_t c = 0; c < cellCount; c++) {
         Kept *kept = map_get(core->kept, cells[c]);
-        const Job *job = tableJob(core->table, kept->job);
-        const bool waits = job != NULL && kept->task < job->tasksCount && job->tasks[kept->task].phase == TASK_WAITING;
+        const Job *job = table_job(core->table, kept->job);
+        const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
         if (!waits || !lineRank(pass->line, job, kept->task, &kept->rank)) {
             keptDrop(core, cells[c], "it waits no more");
             continue;
         }
         for (size_t i = 0; i < kept->workerCount; i++) {
             const size_t at = passPlace(pass, kept->workers[i]);
-            if (at == SIZE_MAX || pass->input.workers[at].room.cpuMilli == 0) {
+            if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
                 keptDrop(core, cells[c], "one of them may be given nothing");
                 break;
             }
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -45,7 +45,7 @@
         if (row == NULL || !row->leaving || row->leaveUntilMs == 0)
             continue;
         const TaskOn *on;
-        const size_t count = tableOn(pass->core->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
             if (mustGo(pass, &on[t], i, row->leaveUntilMs - now_ms, at >= 0) &&
--- a/packages/core/src/mend.c
+++ b/packages/core/src/mend.c
@@ -12,7 +12,7 @@
     const StepSpec *step = &job->spec.steps[task->step];
     if (!step->gang || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
         return false;
-    const size_t first = taskFirst(job, task);
+    const size_t first = task_first(job, task);
     for (size_t i = first; i < first + step->count; i++)
         if (job->tasks[i].phase == TASK_WAITING)
             return true;
@@ -27,19 +27,19 @@
     core->mendMs = now_ms + MEND_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
-    for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++) {
+    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
         const TaskOn *on;
-        const size_t count = tableOn(core->table, worker, &on);
+        const size_t count = table_on(core->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             if (!split(&on[t]))
                 continue;
             const JobTask *task = &on[t].job->tasks[on[t].task];
-            list.rounds = talloc_realloc(mem, list.rounds, RoundId, (unsigned)(list.roundsCount + 1));
-            list.rounds[list.roundsCount++] =
-                (RoundId){talloc_strdup(mem, on[t].job->spec.id), taskNumber(task), task->round};
+            list.rounds = talloc_realloc(mem, list.rounds, RoundId, (unsigned)(list.rounds_count + 1));
+            list.rounds[list.rounds_count++] =
+                (RoundId){talloc_strdup(mem, on[t].job->spec.id), task_number(task), task->round};
         }
     }
     ChangeResult result;
-    if (list.roundsCount > 0)
-        coreSubmit(core, mem, CHANGE_STOP, &StopListShape, &list, &result, NULL);
+    if (list.rounds_count > 0)
+        coreSubmit(core, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/move.c
+++ b/packages/core/src/move.c
@@ -6,9 +6,9 @@
 static bool zonesMove(const Pass *pass)
 {
     const char **zones;
-    const size_t count = tableDrains(pass->core->table, pass->mem, &zones);
+    const size_t count = table_drains(pass->core->table, pass->mem, &zones);
     for (size_t i = 0; i < count; i++)
-        if (tableDrainMoves(pass->core->table, zones[i]))
+        if (table_drain_moves(pass->core->table, zones[i]))
             return true;
     return false;
 }
@@ -32,7 +32,7 @@
 static bool moveFind(Pass *pass, const char *worker, RoundId *round)
 {
     const TaskOn *on;
-    const size_t count = tableOn(pass->core->table, worker, &on);
+    const size_t count = table_on(pass->core->table, worker, &on);
     for (size_t t = 0; t < count; t++) {
         const Job *job = on[t].job;
         const JobTask *task = &job->tasks[on[t].task];
@@ -42,7 +42,7 @@
         const int at = planChoose(pass->input.workers, pass->input.workerCount, &need, NULL);
         if (at < 0 || !holdsThere(pass, job, task, &need, at))
             continue;
-        *round = (RoundId){talloc_strdup(pass->mem, job->spec.id), taskNumber(task), task->round};
+        *round = (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
         return true;
     }
     return false;
@@ -51,7 +51,7 @@
 static bool anyStops(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
-    const size_t count = tableOn(pass->core->table, worker, &on);
+    const size_t count = table_on(pass->core->table, worker, &on);
     for (size_t t = 0; t < count; t++)
         if (on[t].job->tasks[on[t].task].phase == TASK_STOPPING)
             return true;
@@ -70,16 +70,16 @@
     if (!zonesMove(pass))
         return false;
     for (size_t i = 0; i < pass->input.workerCount; i++)
-        if (tableDrainMoves(core->table, pass->input.workers[i].zone) && anyStops(pass, pass->input.workers[i].name))
+        if (table_drain_moves(core->table, pass->input.workers[i].zone) && anyStops(pass, pass->input.workers[i].name))
             return false; /* the last one is on its way */
     for (size_t i = 0; i < pass->input.workerCount && !found; i++)
-        found = tableDrainMoves(core->table, pass->input.workers[i].zone) &&
+        found = table_drain_moves(core->table, pass->input.workers[i].zone) &&
                 moveFind(pass, pass->input.workers[i].name, &round);
     if (!found)
         return false;
     const StopList list = {&round, 1, "moved off an emptied zone"};
     ChangeResult result;
-    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopListShape, &list, &result, NULL) == STATUS_OK)
+    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK)
         core->counts.moved += result.number;
     return true;
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -36,7 +36,7 @@
 
 static Batch *batch_last(News *news)
 {
-    if (news->last == NULL || news->last->list.newsCount >= NEWS_MOST) {
+    if (news->last == NULL || news->last->list.news_count >= NEWS_MOST) {
         Batch *batch = talloc_zero(news, Batch);
         batch->users = 1;
         batch->since_ms = loop_now_ms(news->core->loop);
@@ -51,13 +51,13 @@
 
 static void batchAdd(Core *core, Batch *batch, const RoundNews *one)
 {
-    if (batch->list.newsCount == batch->room) {
+    if (batch->list.news_count == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
         batch->list.news = talloc_realloc(batch, batch->list.news, RoundNews, (unsigned)batch->room);
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
-    batch->at_ms[batch->list.newsCount] = loop_now_ms(core->loop);
-    shape_copy(&RoundNewsShape, one, batch, &batch->list.news[batch->list.newsCount++]);
+    batch->at_ms[batch->list.news_count] = loop_now_ms(core->loop);
+    shape_copy(&RoundNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
 }
 
 Status newsTell(Core *core, const RoundNews *list, size_t count)
@@ -99,7 +99,7 @@
 /* Those that nobody waits for are not told again by their agent. */
 static void newsKeep(Core *core, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.newsCount && view_holds(core->view); i++)
+    for (size_t i = 0; i < batch->list.news_count && view_holds(core->view); i++)
         if (batch->list.news[i].word == ROUND_RUNNING)
             newsLater(core, &batch->list.news[i]);
 }
@@ -121,12 +121,12 @@
         news->first = batch->next;
         if (news->last == batch)
             news->last = NULL;
-        for (size_t i = 0; i < batch->list.newsCount; i++)
-            if (batch->list.news[i].ranMs > 0) /* it was told then, it is counted from the commit */
-                batch->list.news[i].ranMs += now_ms - batch->at_ms[i];
+        for (size_t i = 0; i < batch->list.news_count; i++)
+            if (batch->list.news[i].ran_ms > 0) /* it was told then, it is counted from the commit */
+                batch->list.news[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
-        batch->status = coreSubmit(core, batch, CHANGE_ROUNDS, &RoundListShape, &batch->list, &result, NULL);
+        batch->status = coreSubmit(core, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
         news->busy = false;
         if (batch->status != STATUS_OK)
             newsKeep(core, batch);
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -35,7 +35,7 @@
 void ordersStart(Core *core)
 {
     core->lines = map_new(core);
-    tableOrdersWatch(core->table, onOrders, core);
+    table_orders_watch(core->table, onOrders, core);
 }
 
 static bool listed(const RoundId *list, size_t count, const char *job, uint64_t task, uint64_t round)
@@ -49,7 +49,7 @@
 static void ordersFill(Core *core, void *mem, const BeatAsk *beat, BeatAnswer *out)
 {
     const TaskOn *on;
-    const size_t count = tableOn(core->table, beat->worker.name, &on);
+    const size_t count = table_on(core->table, beat->worker.name, &on);
     out->wanted = talloc_array(mem, RoundId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
@@ -58,9 +58,9 @@
         if (task->phase != TASK_PLACED && task->phase != TASK_RUNNING)
             continue;
         const char *id = talloc_strdup(mem, job->spec.id);
-        const uint64_t number = taskNumber(task);
+        const uint64_t number = task_number(task);
         out->wanted[out->wantedCount++] = (RoundId){id, number, task->round};
-        if (task->phase != TASK_PLACED || listed(beat->rounds, beat->roundsCount, id, number, task->round))
+        if (task->phase != TASK_PLACED || listed(beat->rounds, beat->rounds_count, id, number, task->round))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
         out->starts[out->startsCount++] = (Order){
@@ -73,7 +73,7 @@
     const LiveRow *row = livesetFind(core->liveset, beat->worker.name);
     return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
            !row->losing &&
-           (tableOrders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->haveEpoch);
+           (table_orders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->haveEpoch);
 }
 
 void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
@@ -88,7 +88,7 @@
     if (!coreDecides(core))
         return;
     out->orders = true;
-    out->revision = tableOrders(core->table, beat->worker.name);
+    out->revision = table_orders(core->table, beat->worker.name);
     out->expiry_ms = ORDER_EXPIRY_MS;
     ordersFill(core, mem, beat, out);
 }
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -58,9 +58,9 @@
     const size_t count = map_keys(paces->rounds, mem, &keys);
     for (size_t i = 0; i < count; i++) {
         Pace *pace = map_get(paces->rounds, keys[i]);
-        const Job *job = tableJob(core->table, pace->job);
-        const size_t at = job != NULL ? taskIndex(job, pace->task) : 0;
-        if (job != NULL && at < job->tasksCount && taskOnWorker(job->tasks[at].phase) &&
+        const Job *job = table_job(core->table, pace->job);
+        const size_t at = job != NULL ? task_index(job, pace->task) : 0;
+        if (job != NULL && at < job->tasks_count && task_on_worker(job->tasks[at].phase) &&
             job->tasks[at].round == pace->round)
             continue;
         map_drop(paces->rounds, keys[i]);
@@ -73,14 +73,14 @@
 /* What the way from one word to the next says of the worker. */
 static void workerTake(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t spanMs)
 {
-    const Job *job = tableJob(core->table, told->job);
-    const size_t at = job != NULL ? taskIndex(job, told->task) : 0;
-    const Worker *its = tableWorker(core->table, worker);
-    if (job == NULL || at >= job->tasksCount || its == NULL || job->spec.lasting)
+    const Job *job = table_job(core->table, told->job);
+    const size_t at = job != NULL ? task_index(job, told->task) : 0;
+    const Worker *its = table_worker(core->table, worker);
+    if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
     const int64_t guess = guessMs(core->guesses, job, job->tasks[at].step);
-    if (guess <= 0 || step->gang || step->sameRack || spanMs < STILL_LEAST_MS / 2)
+    if (guess <= 0 || step->gang || step->same_rack || spanMs < STILL_LEAST_MS / 2)
         return;
     const double due = (double)spanMs * 10000.0 / ((double)guess * (double)scoreFarPercent(core, its, step));
     if (due >= 4) /* less is lost in whole percents */
@@ -95,7 +95,7 @@
     if (told->percentMs <= 0)
         return;
     Pace *pace = map_get(paces->rounds, paceKey(key, told->job, told->task));
-    if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ranMs >= told->percentMs)))
+    if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percentMs)))
         return;
     if (pace == NULL) {
         pacesSweep(core, paces);
@@ -106,7 +106,7 @@
     }
     const bool goes_on = pace->round == told->round;
     const uint64_t before = goes_on ? pace->percent : 0;
-    const int64_t spanMs = told->percentMs - (goes_on ? pace->ranMs : 0);
+    const int64_t spanMs = told->percentMs - (goes_on ? pace->ran_ms : 0);
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
     pace->round = told->round;
     paces->moves += more > 0;
@@ -119,6 +119,6 @@
     if (!goes_on || more > 0)
         pace->stillMs = goes_on || told->percent > 0 ? told->percentMs : 0;
     pace->percent = told->percent;
-    pace->ranMs = told->percentMs;
+    pace->ran_ms = told->percentMs;
     pace->toldMs = loop_now_ms(core->loop);
 }
--- a/packages/core/src/pace.h
+++ b/packages/core/src/pace.h
@@ -9,13 +9,13 @@
 /* How fast rounds come along, as their agents tell now and then. */
 typedef struct Paces Paces;
 
-/* Of one round. Invariant: percent was reached when it had run for ranMs, and was the
+/* Of one round. Invariant: percent was reached when it had run for ran_ms, and was the
  * same since it had run for stillMs. */
 typedef struct Pace {
     const char *job;
     uint64_t task, round;
     uint64_t percent;
-    int64_t ranMs, stillMs;
+    int64_t ran_ms, stillMs;
     int64_t toldMs; /* own clock */
     double perMs;   /* percent a millisecond between the last two words; 0: not known, or it stands still */
 } Pace;
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -11,7 +11,7 @@
     const LiveRow *row = livesetFind(core->liveset, worker->name);
     const bool known = straysRoom(core->strays, worker->name, strays);
     const bool ready = known && row != NULL && liveRowReady(row, loop_now_ms(core->loop)) && !worker->excluded &&
-                       !tableDrained(core->table, worker->zone) && !scoreRests(core, worker->name);
+                       !table_drained(core->table, worker->zone) && !scoreRests(core, worker->name);
     const Room none = {0};
     return ready ? roomLess(worker->room, row->others) : none;
 }
@@ -22,7 +22,7 @@
 {
     Core *core = pass->core;
     const Worker **workers;
-    const size_t count = tableWorkers(core->table, pass->mem, &workers);
+    const size_t count = table_workers(core->table, pass->mem, &workers);
     pass->input.workers = talloc_array(pass->mem, PlanWorker, (unsigned)count);
     pass->input.workerCount = count;
     pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
@@ -30,7 +30,7 @@
         const Worker *worker = workers[i];
         Room strays;
         const Room room = roomNow(core, worker, &strays);
-        const Room used = roomMore(strays, tableUsedOn(core->table, worker->name));
+        const Room used = roomMore(strays, table_used_on(core->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
                                               .rack = worker->rack,
@@ -90,7 +90,7 @@
     pushableCount(pass);
     for (size_t i = 0; i < pass->input.workerCount; i++) {
         const TaskOn *on;
-        const size_t count = tableOn(core->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const Job *job = on[t].job;
             const JobTask *task = &job->tasks[on[t].task];
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -11,10 +11,10 @@
  * this pass has decided counts, and what is being stopped. */
 typedef struct StepSight {
     const Job *job;
-    size_t first;  /* index of the step's first task */
-    int *onWorker; /* tasks of the step, for each worker */
-    int *onRack;   /* ... on the worker's rack */
-    int *near;     /* ... in its zone, and again in its rack */
+    size_t first;   /* index of the step's first task */
+    int *on_worker; /* tasks of the step, for each worker */
+    int *onRack;    /* ... on the worker's rack */
+    int *near;      /* ... in its zone, and again in its rack */
 } StepSight;
 
 /* One start that this pass has decided. */
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -39,8 +39,8 @@
     Room want = lineTenantUses(pass->line, candidate->job);
     for (size_t i = 0; i < candidate->count; i++)
         want = roomMore(want, step->room);
-    return (tenant->quota.cpuMilli == 0 || want.cpuMilli <= tenant->quota.cpuMilli) &&
-           (tenant->quota.memMb == 0 || want.memMb <= tenant->quota.memMb) &&
+    return (tenant->quota.cpu_milli == 0 || want.cpu_milli <= tenant->quota.cpu_milli) &&
+           (tenant->quota.mem_mb == 0 || want.mem_mb <= tenant->quota.mem_mb) &&
            (tenant->quota.gpu == 0 || want.gpu <= tenant->quota.gpu);
 }
 
@@ -48,7 +48,7 @@
 static void placeAdd(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t round,
                      const char *saved, bool assured)
 {
-    if (pass->places.placementsCount == pass->placeRoom) {
+    if (pass->places.placements_count == pass->placeRoom) {
         pass->placeRoom = pass->placeRoom ? pass->placeRoom * 2 : 32;
         pass->places.placements =
             talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->placeRoom);
@@ -57,9 +57,9 @@
     const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[worker].name);
     const size_t task = candidateTask(candidate, member);
     pass->placed[pass->placedCount++] = (Placed){candidate->job, task, worker};
-    pass->places.placements[pass->places.placementsCount++] = (Placement){
+    pass->places.placements[pass->places.placements_count++] = (Placement){
         .job = candidate->job->spec.id,
-        .task = taskNumber(&candidate->job->tasks[task]),
+        .task = task_number(&candidate->job->tasks[task]),
         .round = round,
         .worker = pass->input.workers[worker].name,
         .incarnation = row != NULL ? row->incarnation : 0,
@@ -106,7 +106,7 @@
                         uint64_t *percent)
 {
     const StepSpec *step = &candidate->job->spec.steps[candidate->job->tasks[candidate->first].step];
-    if (candidate->count > 1 && step->sameRack) {
+    if (candidate->count > 1 && step->same_rack) {
         if (step->near[0] != '\0' && chooseAll(pass, candidate, need, excluded, step->near, where, percent))
             return true;
         for (size_t i = 0; i < pass->input.workerCount; i++) {
@@ -147,7 +147,7 @@
             round = task->round + 1;
         /* of a round that was lost with its worker the beats alone have told */
         const char *told =
-            task->round > 0 ? coreSaved(pass->core, candidate->job->spec.id, taskNumber(task), task->round) : "";
+            task->round > 0 ? coreSaved(pass->core, candidate->job->spec.id, task_number(task), task->round) : "";
         if (saved[0] == '\0')
             saved = told[0] != '\0' ? told : task->saved;
     }
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -53,7 +53,7 @@
     policiesLook(pass->core);
     keptBegin(pass);
     const Candidate *candidate;
-    while (pass->places.placementsCount < PLACE_BATCH && (candidate = lineNext(pass->line)) != NULL)
+    while (pass->places.placements_count < PLACE_BATCH && (candidate = lineNext(pass->line)) != NULL)
         if (placeOne(pass, candidate))
             linePlaced(pass->line);
         else
@@ -87,17 +87,17 @@
     core->passGapMs = gapMs(pass);
     if (pass->next_ms < pass->clock.logMs + PLACE_TICK_MS)
         *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.logMs;
-    const bool more = pass->places.placementsCount >= PLACE_BATCH;
+    const bool more = pass->places.placements_count >= PLACE_BATCH;
     ChangeResult result;
-    if (pass->places.placementsCount > 0) {
-        if (coreSubmit(core, pass, CHANGE_PLACE, &PlaceListShape, &pass->places, &result, NULL) == STATUS_OK)
+    if (pass->places.placements_count > 0) {
+        if (coreSubmit(core, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) == STATUS_OK)
             core->counts.placed += result.number;
         seen++; /* our own change is no news */
     }
-    if (pass->pushes.roundsCount > 0 && coreDecides(core)) {
-        if (coreSubmit(core, pass, CHANGE_STOP, &StopListShape, &pass->pushes, &result, NULL) == STATUS_OK)
+    if (pass->pushes.rounds_count > 0 && coreDecides(core)) {
+        if (coreSubmit(core, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) == STATUS_OK)
             core->counts.pushed += result.number;
-    } else if (pass->places.placementsCount == 0) {
+    } else if (pass->places.placements_count == 0) {
         if (!moveOne(pass) && pass->asks && pass->checks == 0 && coreDecides(core))
             assureMore(pass);
     }
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -23,7 +23,7 @@
 static void speakersFind(const Core *core, const char *cell, Speakers *speakers)
 {
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     *speakers = (Speakers){.whole = true};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
@@ -32,8 +32,8 @@
         bool seen = false;
         for (size_t i = 0; i < speakers->count && !seen; i++)
             seen = strcmp(speakers->jobs[i]->spec.queue, job->spec.queue) == 0;
-        for (size_t t = 0; t < job->tasksCount && !seen; t++) {
-            if (!taskOnWorker(job->tasks[t].phase))
+        for (size_t t = 0; t < job->tasks_count && !seen; t++) {
+            if (!task_on_worker(job->tasks[t].phase))
                 continue;
             seen = true;
             if (speakers->count == PUSH_SPEAKERS_MAX) {
@@ -63,7 +63,7 @@
     input->cellCount = cells;
     input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->workerCount));
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     size_t looks = 0;
     for (size_t c = 0; c < config->cellCount; c++) {
         const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
@@ -78,11 +78,11 @@
             if (jobs[j]->spec.protection == PROTECTION_PROTECTED ||
                 strcmp(jobs[j]->spec.cell, config->cells[c].name) != 0)
                 continue;
-            for (size_t t = 0; t < jobs[j]->tasksCount && looks < PUSH_LOOKS_MAX; t++) {
+            for (size_t t = 0; t < jobs[j]->tasks_count && looks < PUSH_LOOKS_MAX; t++) {
                 const JobTask *task = &jobs[j]->tasks[t];
                 const size_t at = task->phase == TASK_RUNNING ? passPlace(pass, task->worker) : SIZE_MAX;
                 /* a worker that is given nothing has no room to be had either */
-                if (at == SIZE_MAX || input->workers[at].room.cpuMilli == 0)
+                if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
                     continue;
                 const PolicySight other = queueSee(core->queue, &pass->sight, jobs[j], t);
                 bool all = true;
@@ -107,7 +107,7 @@
     Core *core = pass->core;
     const ConfigCell *cell = configCell(pass->config, candidate->job->spec.cell);
     const Policy *policy = corePolicy(core, cell);
-    if (pass->pushes.roundsCount > 0)
+    if (pass->pushes.rounds_count > 0)
         return;
     if (policy == policyPlain()) {
         pushAim(pass, candidate);
@@ -118,7 +118,7 @@
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
     const PolicySight mine = queueSee(core->queue, &pass->sight, candidate->job, candidate->first);
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     for (size_t w = 0; w < pass->input.workerCount; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!planAble(worker, &need) || !roomFits(need.room, worker->room))
@@ -127,7 +127,7 @@
         RoundId victims[PUSH_TASKS_MAX];
         size_t victimCount = 0, looked = 0;
         const TaskOn *on;
-        const size_t onCount = tableOn(core->table, worker->name, &on);
+        const size_t onCount = table_on(core->table, worker->name, &on);
         for (size_t i = 0; i < onCount; i++) {
             const JobTask *task = &on[i].job->tasks[on[i].task];
             if (task->phase == TASK_STOPPING)
@@ -139,7 +139,7 @@
             const Job *job = jobs[j - 1];
             if (strcmp(job->spec.cell, candidate->job->spec.cell) != 0 || job == candidate->job)
                 continue;
-            for (size_t t = 0; t < job->tasksCount && !roomFits(need.room, free) && looked < PUSH_TASKS_MAX; t++) {
+            for (size_t t = 0; t < job->tasks_count && !roomFits(need.room, free) && looked < PUSH_TASKS_MAX; t++) {
                 const JobTask *task = &job->tasks[t];
                 if (task->phase != TASK_RUNNING || strcmp(task->worker, worker->name) != 0)
                     continue;
@@ -149,14 +149,14 @@
                 if (!policy->mayPush(policy->arg, &mine, &other))
                     continue;
                 victims[victimCount++] =
-                    (RoundId){talloc_strdup(pass->mem, job->spec.id), taskNumber(task), task->round};
+                    (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
                 free = roomMore(free, job->spec.steps[task->step].room);
             }
         }
         if (!roomFits(need.room, free))
             continue;
         pass->pushes.rounds = talloc_memdup(pass->mem, victims, victimCount * sizeof(*victims));
-        pass->pushes.roundsCount = victimCount;
+        pass->pushes.rounds_count = victimCount;
         pass->pushes.why = "pushed aside";
         return;
     }
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -33,7 +33,7 @@
         return -1;
     /* what keeps its progress saves once more when it is stopped */
     const int64_t lostMs = step->saves ? 0 : pass->clock.logMs - task->changed_ms;
-    return (lostMs + PUSH_TAKES_MS) * (int64_t)step->room.cpuMilli / 1000;
+    return (lostMs + PUSH_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
 }
 
 typedef struct Push {
@@ -47,7 +47,7 @@
 {
     Room free = pass->input.workers[worker].free;
     const TaskOn *on;
-    const size_t count = tableOn(pass->core->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *push = (Push){.count = 0};
     while (!roomFits(need, free) && push->count < PUSH_VICTIMS_MOST) {
@@ -66,7 +66,7 @@
         taken[best] = true;
         free = roomMore(free, on[best].job->spec.steps[task->step].room);
         push->cost += bestCost;
-        push->rounds[push->count++] = (RoundId){on[best].job->spec.id, taskNumber(task), task->round};
+        push->rounds[push->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
     }
     talloc_free(taken);
     return roomFits(need, free);
@@ -83,7 +83,7 @@
     if (!mostUrgent(pass, candidate->job, priority))
         return;
     const PlanNeed need = passNeed(candidate->job, task->step);
-    const int64_t most = PUSH_COST * candidate->guessMs * (int64_t)need.room.cpuMilli / 1000;
+    const int64_t most = PUSH_COST * candidate->guessMs * (int64_t)need.room.cpu_milli / 1000;
     Push best = {.count = 0};
     core->pushFromMs = loop_now_ms(core->loop) + PUSH_GAP_MS;
     for (size_t w = 0; w < pass->input.workerCount; w++) {
@@ -100,7 +100,7 @@
     if (best.count == 0)
         return;
     pass->pushes.rounds = talloc_array(pass->mem, RoundId, (unsigned)best.count);
-    pass->pushes.roundsCount = best.count;
+    pass->pushes.rounds_count = best.count;
     pass->pushes.why = "pushed aside";
     for (size_t i = 0; i < best.count; i++) {
         pass->pushes.rounds[i] = best.rounds[i];
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -46,7 +46,7 @@
         json_object *one = json_object_new_object();
         json_object_object_add(one, "job", json_object_new_string(candidate->job->spec.id));
         json_object_object_add(one, "task",
-                               json_object_new_int64((int64_t)taskNumber(&candidate->job->tasks[candidate->first])));
+                               json_object_new_int64((int64_t)task_number(&candidate->job->tasks[candidate->first])));
         json_object_object_add(one, "tenant", json_object_new_string(candidate->job->spec.tenant));
         json_object_object_add(one, "queue", json_object_new_string(candidate->job->spec.queue));
         json_object_object_add(one, "rank", json_object_new_double(candidate->rank));
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -95,24 +95,24 @@
     JobEnd end;
     switch (item->change) {
     case CHANGE_JOB_ADD:
-        return shape_unpack(&JobAddShape, item->payload, mem, &add, NULL) != STATUS_OK ||
-               tableJob(table, add.spec.id) != NULL;
+        return shape_unpack(&JobAdd_shape, item->payload, mem, &add, NULL) != STATUS_OK ||
+               table_job(table, add.spec.id) != NULL;
     case CHANGE_JOB_CANCEL: {
-        if (shape_unpack(&JobCancelShape, item->payload, mem, &cancel, NULL) != STATUS_OK)
+        if (shape_unpack(&JobCancel_shape, item->payload, mem, &cancel, NULL) != STATUS_OK)
             return true;
-        const Job *job = tableJob(table, cancel.id);
+        const Job *job = table_job(table, cancel.id);
         return job == NULL || job->phase != JOB_ACTIVE || job->ending != JOB_ACTIVE;
     }
     case CHANGE_CONFIG_SET:
-        return shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK ||
-               revisionsNewest(tableRevisions(table)) >= revisionOf(&set);
+        return shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK ||
+               revisions_newest(table_revisions(table)) >= revisionOf(&set);
     case CHANGE_ZONE_DRAIN:
-        return shape_unpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) != STATUS_OK ||
-               tableDrainStamp(table, drain.zone) >= drain.stamp || tableDrainKnown(table, &drain) != DRAIN_NEW;
+        return shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) != STATUS_OK ||
+               table_drain_stamp(table, drain.zone) >= drain.stamp || table_drain_known(table, &drain) != DRAIN_NEW;
     case CHANGE_JOB_END: {
-        if (shape_unpack(&JobEndShape, item->payload, mem, &end, NULL) != STATUS_OK)
+        if (shape_unpack(&JobEnd_shape, item->payload, mem, &end, NULL) != STATUS_OK)
             return true;
-        const Job *job = tableJob(table, end.id);
+        const Job *job = table_job(table, end.id);
         return job == NULL || job->phase != JOB_ACTIVE;
     }
     default:
@@ -124,12 +124,13 @@
 static Bytes restored(void *mem, const KeepItem *item)
 {
     ConfigSet set;
-    if (item->change != CHANGE_CONFIG_SET || shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) != STATUS_OK)
+    if (item->change != CHANGE_CONFIG_SET ||
+        shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK)
         return item->payload;
     set.revision = revisionOf(&set);
     set.restored = true;
     Bytes payload = {0};
-    shape_pack(&ConfigSetShape, &set, mem, &payload);
+    shape_pack(&ConfigSet_shape, &set, mem, &payload);
     return payload;
 }
 
@@ -141,7 +142,7 @@
         KeepItem *item = &retelling->items[i];
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
-            shape_unpack(&ConfigSetShape, item->payload, retelling, &set, NULL) == STATUS_OK)
+            shape_unpack(&ConfigSet_shape, item->payload, retelling, &set, NULL) == STATUS_OK)
             item->index = revisionOf(&set);
     }
 }
@@ -151,12 +152,12 @@
 {
     /* those who were told first must have found this process again: a connection to
      * its last life may be silent */
-    while (loop_now_ms(core->loop) - core->startedMs < REPAIR_HEAR_MS)
+    while (loop_now_ms(core->loop) - core->started_ms < REPAIR_HEAR_MS)
         loop_sleep(core->loop, BEAT_MS / 5);
     Retelling *retelling = talloc_zero(core, Retelling);
     retelling->core = core;
     retelling->users = 1;
-    retelling->configHave = revisionsNewest(tableRevisions(core->table));
+    retelling->configHave = revisions_newest(table_revisions(core->table));
     const MemberTable *table = members_table(core->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
--- a/packages/core/src/reserve.c
+++ b/packages/core/src/reserve.c
@@ -13,7 +13,7 @@
 static uint64_t nearTo(Room need, Room free)
 {
     const uint64_t most = roomShare(need, free);
-    return free.cpuMilli == 0 && free.memMb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
+    return free.cpu_milli == 0 && free.mem_mb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
 }
 
 static int nearest(const Pass *pass, const PlanNeed *need, const bool *excluded, const bool *taken)
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -34,9 +34,9 @@
     const size_t count = map_keys(core->saved, mem, &keys);
     for (size_t i = 0; i < count; i++) {
         Saved *saved = map_get(core->saved, keys[i]);
-        const Job *job = tableJob(core->table, saved->job);
-        const size_t at = job != NULL ? taskIndex(job, saved->task) : 0;
-        if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasksCount && !taskEnded(job->tasks[at].phase))
+        const Job *job = table_job(core->table, saved->job);
+        const size_t at = job != NULL ? task_index(job, saved->task) : 0;
+        if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasks_count && !task_ended(job->tasks[at].phase))
             continue;
         map_drop(core->saved, keys[i]);
         talloc_free(saved);
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -56,7 +56,7 @@
         return;
     void *mem = talloc_new(core);
     const Worker **workers;
-    const size_t fleet = tableWorkers(core->table, mem, &workers);
+    const size_t fleet = table_workers(core->table, mem, &workers);
     const size_t rest = resting(core, mem);
     talloc_free(mem);
     if ((rest + 1) * SCORE_SHARE > fleet)
@@ -93,8 +93,8 @@
 /* A first round's time on its worker, by the log; -1: not to be compared. */
 static int64_t took_ms(const JobTask *task)
 {
-    return task->phase == TASK_DONE && task->round == 1 && task->startedMs != 0 ? task->changed_ms - task->startedMs
-                                                                                : -1;
+    return task->phase == TASK_DONE && task->round == 1 && task->started_ms != 0 ? task->changed_ms - task->started_ms
+                                                                                 : -1;
 }
 
 static int spanOrder(const void *a, const void *b)
@@ -109,9 +109,9 @@
 {
     const JobTask *mine = &job->tasks[at];
     const int64_t mineMs = took_ms(mine);
-    int64_t *spans = talloc_array(NULL, int64_t, (unsigned)job->tasksCount);
+    int64_t *spans = talloc_array(NULL, int64_t, (unsigned)job->tasks_count);
     size_t count = 0;
-    for (size_t t = 0; t < job->tasksCount && mineMs >= 0 && count < SLOW_OTHERS_MOST; t++)
+    for (size_t t = 0; t < job->tasks_count && mineMs >= 0 && count < SLOW_OTHERS_MOST; t++)
         if (t != at && job->tasks[t].step == mine->step && took_ms(&job->tasks[t]) >= 0)
             spans[count++] = took_ms(&job->tasks[t]);
     bool enough = count >= SLOW_OTHERS;
@@ -134,13 +134,13 @@
 
 static void guessTake(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
 {
-    const Worker *worker = tableWorker(core->table, news->worker);
+    const Worker *worker = table_worker(core->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->round == 1 || !step->saves;
-    const int64_t ranMs = news->ranMs > 0 && whole ? news->ranMs : took_ms(task);
+    const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
-    if (worker != NULL && ranMs > 0 && !step->gang && !step->sameRack && !job->spec.lasting)
-        guessesEnd(core->guesses, job, task->step, news->worker, ranMs, scoreFarPercent(core, worker, step),
+    if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
+        guessesEnd(core->guesses, job, task->step, news->worker, ran_ms, scoreFarPercent(core, worker, step),
                    loop_now_ms(core->loop));
 }
 
@@ -156,20 +156,20 @@
 
 void scoreTake(Core *core, const RoundList *list)
 {
-    for (size_t i = 0; i < list->newsCount; i++) {
+    for (size_t i = 0; i < list->news_count; i++) {
         const RoundNews *news = &list->news[i];
         if (news->word != ROUND_FAILED && news->word != ROUND_DONE)
             continue;
         Score *score = map_get(core->scores, news->worker);
-        const Job *job = tableJob(core->table, news->job);
+        const Job *job = table_job(core->table, news->job);
         bool slow = false;
-        const size_t at = job != NULL ? taskIndex(job, news->task) : 0;
+        const size_t at = job != NULL ? task_index(job, news->task) : 0;
         const bool ended =
-            news->word == ROUND_DONE && job != NULL && at < job->tasksCount && job->tasks[at].round == news->round;
+            news->word == ROUND_DONE && job != NULL && at < job->tasks_count && job->tasks[at].round == news->round;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
             guessTake(core, news, job, &job->tasks[at]);
-        if (score == NULL && ((news->word == ROUND_DONE && !slow) || tableWorker(core->table, news->worker) == NULL))
+        if (score == NULL && ((news->word == ROUND_DONE && !slow) || table_worker(core->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
             score = talloc_zero(core->scores, Score);
@@ -179,7 +179,7 @@
                   "fails its work");
         /* rounds that ran beside one already counted may all have met the same
          * pause: one pause is one sign */
-        const bool beside = slow && job->tasks[at].startedMs < score->slowEndMs;
+        const bool beside = slow && job->tasks[at].started_ms < score->slowEndMs;
         if (known && !beside)
             tallyTake(core, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -19,7 +19,7 @@
 {
     Map *lost = map_new(mem);
     const char *worker;
-    for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++)
+    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++)
         if (lapsed(core, worker))
             map_set(lost, worker, core);
     const char **names;
@@ -32,7 +32,7 @@
          * before may reach it any more */
         livesetLosing(core->liveset, names[i], true);
         ChangeResult result;
-        if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLostShape, &change, &result, NULL) == STATUS_OK) {
+        if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
             ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "worker %s is lost with %" PRIu64 " rounds",
                      names[i], result.number);
@@ -45,37 +45,37 @@
     const int64_t now_ms = loop_now_ms(core->loop);
     RoundList list = {0};
     const char *worker;
-    for (size_t i = 0; (worker = tableBusy(core->table, i)) != NULL; i++) {
+    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
         const LiveRow *row = livesetFind(core->liveset, worker);
         const int64_t won_ms = view_won_ms(core->view);
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
-        const size_t count = tableOn(core->table, worker, &on);
+        const size_t count = table_on(core->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             const JobTask *task = &on[t].job->tasks[on[t].task];
             const JobSpec *spec = &on[t].job->spec;
             if (task->phase == TASK_STOPPING || (!spec->copies && !spec->steps[task->step].copies))
                 continue;
-            list.news = talloc_realloc(mem, list.news, RoundNews, (unsigned)(list.newsCount + 1));
-            list.news[list.newsCount++] = (RoundNews){.job = talloc_strdup(mem, spec->id),
-                                                      .task = taskNumber(task),
-                                                      .round = task->round,
-                                                      .worker = talloc_strdup(mem, worker),
-                                                      .word = ROUND_LOST,
-                                                      .text = "its worker is silent",
-                                                      .saved = ""};
+            list.news = talloc_realloc(mem, list.news, RoundNews, (unsigned)(list.news_count + 1));
+            list.news[list.news_count++] = (RoundNews){.job = talloc_strdup(mem, spec->id),
+                                                       .task = task_number(task),
+                                                       .round = task->round,
+                                                       .worker = talloc_strdup(mem, worker),
+                                                       .word = ROUND_LOST,
+                                                       .text = "its worker is silent",
+                                                       .saved = ""};
         }
     }
     ChangeResult result;
-    if (list.newsCount > 0)
-        coreSubmit(core, mem, CHANGE_ROUNDS, &RoundListShape, &list, &result, NULL);
+    if (list.news_count > 0)
+        coreSubmit(core, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
     /* that they are over is our word alone: they count there until the agent says so */
-    for (size_t i = 0; i < list.newsCount; i++) {
+    for (size_t i = 0; i < list.news_count; i++) {
         const RoundNews *news = &list.news[i];
-        const Job *job = tableJob(core->table, news->job);
-        const size_t at = job != NULL ? taskIndex(job, news->task) : 0;
-        if (job != NULL && at < job->tasksCount)
+        const Job *job = table_job(core->table, news->job);
+        const size_t at = job != NULL ? task_index(job, news->task) : 0;
+        if (job != NULL && at < job->tasks_count)
             straysAdd(core->strays, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -23,9 +23,9 @@
 {
     if (pace == NULL || !pacesCredible(pass->core->paces))
         return false;
-    const int64_t stillMs = pace->ranMs - pace->stillMs;
+    const int64_t stillMs = pace->ran_ms - pace->stillMs;
     /* members of a gang wait for each other first */
-    if (step->gang && pace->percent == 0 && pace->ranMs < pass->core->props->bounds.gangMs + STILL_LEAST_MS)
+    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->props->bounds.gangMs + STILL_LEAST_MS)
         return false;
     return stillMs >= STILL_LEAST_MS && (double)stillMs * 100 >= going->wholeMs * STILL_PERCENT;
 }
@@ -48,11 +48,11 @@
     if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || guess <= 0 ||
         task->round >= SLOW_ROUNDS_MOST)
         return false;
-    const Worker *its = tableWorker(core->table, task->worker);
+    const Worker *its = table_worker(core->table, task->worker);
     const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
     going->wholeMs = (double)guess * (double)far / 100 * (double)guessPace(core->guesses) / 1000;
-    const Pace *pace = paceFind(core->paces, job->spec.id, taskNumber(task), task->round);
+    const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
     if (pace == NULL)
         return false;
     going->still = standsStill(pass, pace, going, step);
@@ -98,7 +98,7 @@
 {
     for (size_t i = 0; i < pass->input.workerCount; i++) {
         const TaskOn *on;
-        const size_t count = tableOn(pass->core->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             Going going;
             if (!goingFind(pass, &on[t], i, &going) || (!going.still && (ofGang(&going) || meetsAim(pass, &going))))
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -13,19 +13,19 @@
     const int64_t guess = guessMs(core->guesses, job, task->step);
     if (guess <= 0 || job->spec.lasting)
         return INT64_MAX;
-    const Pace *pace = paceFind(core->paces, job->spec.id, taskNumber(task), task->round);
+    const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
     if (pace != NULL && pace->perMs > 0) {
         const double leftMs =
             (100 - (double)pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
         return leftMs > ENDS_LEAST_MS ? (int64_t)leftMs : ENDS_LEAST_MS;
     }
-    const Worker *its = tableWorker(core->table, task->worker);
+    const Worker *its = table_worker(core->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
     const int64_t wholeMs = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
-    const int64_t ranMs = pass->clock.logMs - task->changed_ms;
+    const int64_t ran_ms = pass->clock.logMs - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
-    return wholeMs - ranMs > wholeMs / 8 ? wholeMs - ranMs : wholeMs / 8 + ENDS_LEAST_MS;
+    return wholeMs - ran_ms > wholeMs / 8 ? wholeMs - ran_ms : wholeMs / 8 + ENDS_LEAST_MS;
 }
 
 typedef struct End {
@@ -45,7 +45,7 @@
     if (roomFits(need, free))
         return 0;
     const TaskOn *on;
-    const size_t count = tableOn(pass->core->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -89,7 +89,7 @@
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
-        const Worker *worker = tableWorker(core->table, rows[i]->name);
+        const Worker *worker = table_worker(core->table, rows[i]->name);
         json_object_object_add(one, "worker", text_of(rows[i]->name));
         json_object_object_add(one, "zone", text_of(worker != NULL ? worker->zone : ""));
         json_object_object_add(one, "ready", json_object_new_boolean(liveRowReady(rows[i], now_ms)));
@@ -136,13 +136,13 @@
     json_object *plan = json_object_new_object();
     const Config *config = coreConfig(core);
     Job *const *jobs;
-    const size_t count = tableActive(core->table, &jobs);
+    const size_t count = table_active(core->table, &jobs);
     int64_t assured = 0, unassured = 0, waiting = 0;
     for (size_t j = 0; j < count; j++)
-        for (size_t t = 0; t < jobs[j]->tasksCount; t++) {
+        for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
             const JobTask *task = &jobs[j]->tasks[t];
             waiting += task->phase == TASK_WAITING;
-            if (jobs[j]->spec.protection == PROTECTION_PROTECTED && taskOnWorker(task->phase)) {
+            if (jobs[j]->spec.protection == PROTECTION_PROTECTED && task_on_worker(task->phase)) {
                 assured += task->assured;
                 unassured += !task->assured;
             }
@@ -206,12 +206,12 @@
     json_object_object_add(body, "liveset", showLiveset(core, mem));
     json_object_object_add(body, "members", showMembers(core));
     const char **zones;
-    const size_t zoneCount = tableDrains(core->table, mem, &zones);
+    const size_t zoneCount = table_drains(core->table, mem, &zones);
     json_object *drained = json_object_new_array();
     for (size_t i = 0; i < zoneCount; i++)
         json_object_array_add(drained, text_of(zones[i]));
     json_object_object_add(body, "drainedZones", drained);
-    json_object_object_add(body, "configRevision", numberOf((int64_t)revisionsNewest(tableRevisions(core->table))));
+    json_object_object_add(body, "configRevision", numberOf((int64_t)revisions_newest(table_revisions(core->table))));
     const char *words;
     const uint64_t policyFailures = corePolicyFailures(core, &words);
     json_object_object_add(body, "policyFailures", numberOf((int64_t)policyFailures));
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -6,7 +6,7 @@
 
 bool stopAdd(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most)
 {
-    if (list->roundsCount >= most)
+    if (list->rounds_count >= most)
         return false;
     if (at >= 0) {
         PlanWorker *to = &pass->input.workers[at];
@@ -14,8 +14,8 @@
     }
     if (list->rounds == NULL)
         list->rounds = talloc_array(pass->mem, RoundId, STOPS_MOST > LEAVE_STOPS_MOST ? STOPS_MOST : LEAVE_STOPS_MOST);
-    list->rounds[list->roundsCount++] =
-        (RoundId){talloc_strdup(pass->mem, job->spec.id), taskNumber(&job->tasks[task]), job->tasks[task].round};
+    list->rounds[list->rounds_count++] =
+        (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(&job->tasks[task]), job->tasks[task].round};
     return true;
 }
 
@@ -29,12 +29,12 @@
     StopList list = {.why = "goes on better elsewhere"};
     leaveFind(pass, &list);
     slowFind(pass, &list);
-    if (list.roundsCount == 0)
+    if (list.rounds_count == 0)
         return false;
     ChangeResult result;
-    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopListShape, &list, &result, NULL) == STATUS_OK) {
+    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
         core->counts.slowed += result.number;
-        ring_say(core->ring, RING_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.roundsCount);
+        ring_say(core->ring, RING_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.rounds_count);
     }
     return true;
 }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -7,7 +7,7 @@
 static void tracePlaces(Core *core, const PlaceList *places)
 {
     char detail[64];
-    for (size_t i = 0; i < places->placementsCount; i++) {
+    for (size_t i = 0; i < places->placements_count; i++) {
         const Placement *place = &places->placements[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->round,
                  place->worker);
@@ -18,10 +18,10 @@
 static void traceRounds(Core *core, const RoundList *rounds)
 {
     char detail[64];
-    for (size_t i = 0; i < rounds->newsCount; i++) {
+    for (size_t i = 0; i < rounds->news_count; i++) {
         const RoundNews *news = &rounds->news[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->round,
-                 roundWord(news->word));
+                 round_word(news->word));
         traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
     }
 }
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -65,11 +65,11 @@
 
 void wayKeepEnd(Way *way, const Job *job)
 {
-    if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->endedMs > REPAIR_KEEP_MS)
+    if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->ended_ms > REPAIR_KEEP_MS)
         return;
     KeepItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
-    shape_pack(&JobEndShape, &end, way->mem, &item.payload);
+    shape_pack(&JobEnd_shape, &end, way->mem, &item.payload);
     wayKeep(way, &item);
 }
 
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -7,7 +7,7 @@
 static bool zoneKnown(Way *way)
 {
     const Worker **workers;
-    const size_t count = tableWorkers(way->core->table, way->mem, &workers);
+    const size_t count = table_workers(way->core->table, way->mem, &workers);
     for (size_t i = 0; i < count; i++)
         if (strcmp(workers[i]->zone, way->name) == 0)
             return true;
@@ -22,18 +22,18 @@
 {
     json_object *body = json_object_new_object();
     Job *const *jobs;
-    const size_t count = tableActive(way->core->table, &jobs);
+    const size_t count = table_active(way->core->table, &jobs);
     int64_t left = 0;
     for (size_t j = 0; j < count; j++)
-        for (size_t t = 0; t < jobs[j]->tasksCount; t++) {
+        for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
             const JobTask *task = &jobs[j]->tasks[t];
-            const Worker *worker = taskOnWorker(task->phase) ? tableWorker(way->core->table, task->worker) : NULL;
+            const Worker *worker = task_on_worker(task->phase) ? table_worker(way->core->table, task->worker) : NULL;
             left += worker != NULL && strcmp(worker->zone, way->name) == 0;
         }
     json_object_object_add(body, "zone", json_object_new_string(way->name));
-    json_object_object_add(body, "stamp", json_object_new_int64(tableDrainStamp(way->core->table, way->name)));
-    json_object_object_add(body, "drained", json_object_new_boolean(tableDrained(way->core->table, way->name)));
-    json_object_object_add(body, "moves", json_object_new_boolean(tableDrainMoves(way->core->table, way->name)));
+    json_object_object_add(body, "stamp", json_object_new_int64(table_drain_stamp(way->core->table, way->name)));
+    json_object_object_add(body, "drained", json_object_new_boolean(table_drained(way->core->table, way->name)));
+    json_object_object_add(body, "moves", json_object_new_boolean(table_drain_moves(way->core->table, way->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
     const PlanInput input = plannerInput(way->core, way->mem);
@@ -74,7 +74,7 @@
 static void keepNewest(Way *way)
 {
     KeepItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
-    shape_pack(&ZoneDrainShape, tableDrainNewest(way->core->table, way->name), way->mem, &item.payload);
+    shape_pack(&ZoneDrain_shape, table_drain_newest(way->core->table, way->name), way->mem, &item.payload);
     wayKeep(way, &item);
 }
 
@@ -111,18 +111,18 @@
         return;
     }
     const Table *table = way->core->table;
-    if (!orderTakes(way, tableDrainKnown(table, &drain)))
+    if (!orderTakes(way, table_drain_known(table, &drain)))
         return;
-    const int64_t clock_ms = view_clock_ms(way->core->view), lastStamp = tableDrainStamp(table, way->name);
+    const int64_t clock_ms = view_clock_ms(way->core->view), lastStamp = table_drain_stamp(table, way->name);
     drain.stamp = clock_ms > lastStamp ? clock_ms : lastStamp + 1;
     ChangeResult result;
-    if (!wayDelivered(way,
-                      coreSubmit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrainShape, &drain, &result, way->keeps)))
+    if (!wayDelivered(
+            way, coreSubmit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result, way->keeps)))
         return;
     if (result.status == STATUS_OK)
         zoneShow(way);
     else
-        orderTakes(way, tableDrainKnown(table, &drain));
+        orderTakes(way, table_drain_known(table, &drain));
 }
 
 void zoneDrain(Way *way)
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -113,9 +113,9 @@
     static const ActKind LOSSES[] = {ACT_LEAVE, ACT_LEAVE, ACT_VANISH, ACT_WIPE};
     const Who who = (Who[]){WHO_LEADER, WHO_VOTER, WHO_VOTER}[below(draw, 3)];
     const ActKind kind = LOSSES[below(draw, sizeof(LOSSES) / sizeof(LOSSES[0]))];
-    const int64_t beforeMs = (int64_t)below(draw, PACE_BEFORE_MS);
+    const int64_t before_ms = (int64_t)below(draw, PACE_BEFORE_MS);
     if (kind != ACT_WIPE && !standing) /* one that is wiped comes back as a learner itself */
-        plan->acts[plan->actCount++] = (Act){at_ms - beforeMs, ACT_JOIN, WHO_ANY, 0, 0, 0};
+        plan->acts[plan->actCount++] = (Act){at_ms - before_ms, ACT_JOIN, WHO_ANY, 0, 0, 0};
     plan->acts[plan->actCount++] =
         (Act){at_ms, kind, who, (unsigned)below(draw, NODES_MAX), (int64_t)below(draw, 1000), 0};
 }
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -39,16 +39,16 @@
         JobCancel cancel;
         ConfigSet set;
         ZoneDrain drain;
-        if (item->change == CHANGE_JOB_ADD && shape_unpack(&JobAddShape, item->payload, mem, &add, NULL) == STATUS_OK)
+        if (item->change == CHANGE_JOB_ADD && shape_unpack(&JobAdd_shape, item->payload, mem, &add, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", add.spec.id);
         else if (item->change == CHANGE_JOB_CANCEL &&
-                 shape_unpack(&JobCancelShape, item->payload, mem, &cancel, NULL) == STATUS_OK)
+                 shape_unpack(&JobCancel_shape, item->payload, mem, &cancel, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
         else if (item->change == CHANGE_CONFIG_SET &&
-                 shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK)
+                 shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.revision);
         else if (item->change == CHANGE_ZONE_DRAIN &&
-                 shape_unpack(&ZoneDrainShape, item->payload, mem, &drain, NULL) == STATUS_OK)
+                 shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) == STATUS_OK)
             traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
         talloc_free(mem);
     }
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -40,7 +40,7 @@
 {
     Feed *feed = talloc_zero(mem, Feed);
     *feed = (Feed){.loop = loop, .courier = courier, .ways = ways, .trace = trace};
-    feed->revisions = revisionsNew(feed, FEED_KEEP, FEED_KEEP);
+    feed->revisions = revisions_new(feed, FEED_KEEP, FEED_KEEP);
     feed->pieces.mem = feed;
     return feed;
 }
@@ -57,12 +57,12 @@
 
 uint64_t feedHeld(const Feed *feed)
 {
-    return revisionsNewest(feed->revisions);
+    return revisions_newest(feed->revisions);
 }
 
 /* --- the leader's side ----------------------------------------------------------------- */
 
-static ConfigSet setOf(const Revision *row)
+static ConfigSet set_of(const Revision *row)
 {
     return (ConfigSet){.base = row->base,
                        .revision = row->revision,
@@ -85,20 +85,20 @@
     answer->setsCount = revisions->count - from;
     answer->sets = talloc_array(mem, ConfigSet, (unsigned)answer->setsCount);
     for (size_t i = 0; i < answer->setsCount; i++)
-        answer->sets[i] = setOf(&revisions->rows[from + i]);
+        answer->sets[i] = set_of(&revisions->rows[from + i]);
     return true;
 }
 
 static bool wholeNow(const Revisions *revisions, size_t most, void *mem, FeedAnswer *answer)
 {
-    if (revisionsSize(revisions) > most)
+    if (revisions_size(revisions) > most)
         return false;
     const Revision *newest = &revisions->rows[revisions->count - 1];
     answer->sets = talloc(mem, ConfigSet);
     answer->setsCount = 1;
-    *answer->sets = setOf(newest);
+    *answer->sets = set_of(newest);
     answer->sets->patch = false;
-    answer->sets->text = revisionsText(revisions, mem, newest->revision);
+    answer->sets->text = revisions_text(revisions, mem, newest->revision);
     return true;
 }
 
@@ -106,15 +106,15 @@
                 FeedAnswer *answer)
 {
     pieceRest(source, now_ms);
-    const uint64_t newest = revisionsNewest(revisions);
+    const uint64_t newest = revisions_newest(revisions);
     if (newest <= ask->have && !(ask->wants && newest > ask->textHave))
         return false;
     answer->revision = newest;
-    answer->limits = *revisionsLimits(revisions);
-    answer->size = revisionsSize(revisions);
+    answer->limits = *revisions_limits(revisions);
+    answer->size = revisions_size(revisions);
     const size_t most = !ask->wants ? FEED_EAGER_BYTES : ask->pieceMost > 0 ? ask->pieceMost : SIZE_MAX;
     if (!ask->brief) /* a gate of an earlier release */
-        answer->text = revisionsText(revisions, mem, newest);
+        answer->text = revisions_text(revisions, mem, newest);
     else if (newest > ask->textHave && !changesSince(revisions, ask->textHave, most, mem, answer) &&
              !wholeNow(revisions, most, mem, answer) && ask->wants)
         pieceAnswer(source, revisions, ask, now_ms, answer);
@@ -128,7 +128,7 @@
     ChangeResult result = {0};
     set.restored = true;
     if (set.revision <= feed->revision)
-        deliverConfig(feed->revisions, &set, &result);
+        deliver_config(feed->revisions, &set, &result);
 }
 
 static void learn(Feed *feed, void *mem, const FeedAnswer *answer)
@@ -154,7 +154,7 @@
 static Status askOnce(Feed *feed, const WaysTaken *taken, bool first)
 {
     void *mem = talloc_new(feed);
-    const uint64_t textHave = revisionsNewest(feed->revisions);
+    const uint64_t textHave = revisions_newest(feed->revisions);
     const bool wanted = feed->wanted == NULL || feed->wanted(feed->arg);
     const bool calm = loop_now_ms(feed->loop) - feed->learntMs >= FEED_CALM_MS;
     if (first)
@@ -243,9 +243,9 @@
 {
     const Revisions *revisions = feed->revisions;
     for (size_t i = tellFrom(revisions, have); i < revisions->count; i++) {
-        const ConfigSet set = setOf(&revisions->rows[i]);
+        const ConfigSet set = set_of(&revisions->rows[i]);
         KeepItem item = {CHANGE_CONFIG_SET, 0, {0}};
-        shape_pack(&ConfigSetShape, &set, mem, &item.payload);
+        shape_pack(&ConfigSet_shape, &set, mem, &item.payload);
         list->items = talloc_realloc(mem, list->items, KeepItem, (unsigned)(list->itemsCount + 1));
         list->items[list->itemsCount++] = item;
     }
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -93,7 +93,7 @@
         return false;
     void *mem = talloc_new(NULL);
     ConfigSet set;
-    const bool had = shape_unpack(&ConfigSetShape, item->payload, mem, &set, NULL) == STATUS_OK &&
+    const bool had = shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK &&
                      (set.revision != 0 ? set.revision : set.base + 1) <= have;
     talloc_free(mem);
     return had;
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -34,8 +34,8 @@
 {
     sourceDrop(source);
     source->epoch = epoch;
-    source->version = revisionsNewest(revisions);
-    source->text = revisionsText(revisions, source->mem, source->version);
+    source->version = revisions_newest(revisions);
+    source->text = revisions_text(revisions, source->mem, source->version);
     source->length = strlen(source->text);
 }
 
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -29,20 +29,20 @@
 
 static void change(Hand *hand, uint64_t version, const char *text, bool patch)
 {
-    const ConfigSet set = {.base = revisionsNewest(hand->revisions),
+    const ConfigSet set = {.base = revisions_newest(hand->revisions),
                            .revision = version,
                            .text = text,
                            .patch = patch,
                            .digest = talloc_asprintf(hand, "digest %d", (int)version)};
     ChangeResult result = {0};
-    deliverConfig(hand->revisions, &set, &result);
+    deliver_config(hand->revisions, &set, &result);
     assert_int_equal(result.status, STATUS_OK);
 }
 
 static Hand *handNew(void)
 {
     Hand *hand = talloc_zero(NULL, Hand);
-    hand->revisions = revisionsNew(hand, KEPT, KEPT);
+    hand->revisions = revisions_new(hand, KEPT, KEPT);
     hand->source.mem = hand;
     hand->pieces.mem = hand;
     hand->epoch = EPOCH;
@@ -115,8 +115,8 @@
         change(hand, version, talloc_asprintf(hand, "{\"r\":%d}", (int)version), true);
     assert_true(hand->revisions->rows[0].revision > 1);
     set = whole(hand, &hand->pieces);
-    assert_int_equal(set.revision, revisionsNewest(hand->revisions));
-    assert_string_equal(set.text, revisionsText(hand->revisions, hand, set.revision));
+    assert_int_equal(set.revision, revisions_newest(hand->revisions));
+    assert_string_equal(set.text, revisions_text(hand->revisions, hand, set.revision));
     talloc_free(hand);
 }
 
@@ -128,7 +128,7 @@
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
-    hand->revisions = revisionsNew(hand, KEPT, KEPT);
+    hand->revisions = revisions_new(hand, KEPT, KEPT);
     change(hand, 1, OTHER, false);
     hand->epoch++;
     piecesDrop(&hand->pieces); /* as the feed does with each other leader */
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -57,8 +57,8 @@
     X(steps, "steps", 1, "steps of a job, at most")                                        \
     X(tasks, "tasks", 4, "tasks of a step, in the mean")                                   \
     X(taskMs, "taskMs", 1000, "work of a task on a sound worker, in the mean")             \
-    X(cpuMilli, "cpuMilli", 4000, "room of a task, in the mean")                           \
-    X(memMb, "memMb", 8000, "... and its memory")                                          \
+    X(cpu_milli, "cpuMilli", 4000, "room of a task, in the mean")                          \
+    X(mem_mb, "memMb", 8000, "... and its memory")                                         \
     X(aimMs, "aimMs", 1000, "time beyond the stretched work within which it is worth all") \
     X(stretchPercent, "stretchPercent", 150, "... of the longest chain of work")           \
     X(priority, "priority", 1, "0 goes first")                                             \
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -78,8 +78,8 @@
     Room room;
     int64_t guessMs, workMs;
     uint64_t after[8];
-    size_t afterCount;
-    bool gang, sameRack;
+    size_t after_count;
+    bool gang, same_rack;
     const char *near, *needs; /* null: none */
     uint64_t apart;           /* 0: any number */
 } DraftStep;
@@ -94,7 +94,7 @@
     size_t stepCount;
     bool saves, copies, lasting;
     uint64_t turns; /* 0: once, at once */
-    int64_t firstWallMs, periodMs;
+    int64_t first_wall_ms, period_ms;
 } Draft;
 
 typedef enum JobWord {
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -10,7 +10,7 @@
 {
     Book *book = talloc_zero(mem, Book);
     book->ground = ground;
-    book->byId = map_new(book);
+    book->by_id = map_new(book);
     return book;
 }
 
@@ -49,13 +49,13 @@
     tasksMake(job);
     book->jobs = talloc_realloc(book, book->jobs, BookJob *, (unsigned)(book->count + 1));
     book->jobs[book->count++] = job;
-    map_set(book->byId, job->draft.id, job);
+    map_set(book->by_id, job->draft.id, job);
     return job;
 }
 
 BookJob *bookJob(const Book *book, const char *id)
 {
-    return map_get(book->byId, id);
+    return map_get(book->by_id, id);
 }
 
 BookTask *bookTask(const Book *book, const TaskName *name)
@@ -75,7 +75,7 @@
 bool bookReady(const BookJob *job, uint64_t turn, uint64_t step)
 {
     const DraftStep *one = &job->draft.steps[step];
-    for (size_t a = 0; a < one->afterCount; a++) {
+    for (size_t a = 0; a < one->after_count; a++) {
         const size_t first = (size_t)turn * job->eachTurn + job->stepFirst[one->after[a]];
         for (size_t i = first; i < first + job->draft.steps[one->after[a]].count; i++)
             if (!job->tasks[i].fate->done)
@@ -86,7 +86,7 @@
 
 int64_t bookDueWallMs(const BookJob *job, uint64_t turn)
 {
-    return job->draft.turns > 0 ? job->draft.firstWallMs + (int64_t)turn * job->draft.periodMs : 0;
+    return job->draft.turns > 0 ? job->draft.first_wall_ms + (int64_t)turn * job->draft.period_ms : 0;
 }
 
 bool bookDone(const BookJob *job)
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -36,7 +36,7 @@
     BookTask *tasks;
     size_t taskCount, eachTurn;
     size_t stepFirst[DRAFT_STEPS_MAX];
-    int64_t sent_ms, acceptedMs; /* 0: not */
+    int64_t sent_ms, accepted_ms; /* 0: not */
     const GroundNode *acceptedBy;
     int triesOpen;                  /* that may yet be answered */
     bool maybe;                     /* some try has had no clear answer */
@@ -50,7 +50,7 @@
 
 typedef struct Book {
     Ground *ground;
-    Map *byId;
+    Map *by_id;
     BookJob **jobs;
     size_t count;
     size_t starts, kinds[ROUND_WORD_COUNT];
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -108,11 +108,11 @@
     job->triesOpen--;
     const bool taken = outcome == OUTCOME_GOOD;
     firstCount(task, taken, sent_ms);
-    if (taken && job->acceptedMs == 0) {
-        job->acceptedMs = groundNowMs(callers->ground);
+    if (taken && job->accepted_ms == 0) {
+        job->accepted_ms = groundNowMs(callers->ground);
         job->acceptedBy = node;
         callers->lastTaker = node;
-        callers->lastTakenMs = job->acceptedMs;
+        callers->lastTakenMs = job->accepted_ms;
     } else if (outcome == OUTCOME_UNCLEAR) {
         job->maybe = true;
     }
@@ -131,16 +131,16 @@
         groundTell(task->callers->ground, &job->tasks[job->stepFirst[i]].name,
                    "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
                    " ms%s%s, near %s, needs %s, apart %" PRIu64,
-                   job->kind->name, step->count, step->room.cpuMilli, step->room.memMb, step->workMs,
-                   step->gang ? ", gang" : "", step->sameRack ? " on a rack" : "",
+                   job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->workMs,
+                   step->gang ? ", gang" : "", step->same_rack ? " on a rack" : "",
                    step->near != NULL ? step->near : "-", step->needs != NULL ? step->needs : "-", step->apart);
     }
     for (int64_t i = 0; i <= task->callers->ground->site->callerTries; i++)
         if (postOnce(task))
             return true;
-    if (job->triesOpen == 0 && job->acceptedMs == 0 && !job->maybe)
+    if (job->triesOpen == 0 && job->accepted_ms == 0 && !job->maybe)
         job->refusedMs = groundNowMs(task->callers->ground);
-    return job->acceptedMs != 0;
+    return job->accepted_ms != 0;
 }
 
 /* --- asking ------------------------------------------------------------------------------------- */
@@ -178,11 +178,11 @@
     int againS;
     const Outcome outcome = ask(task, mem, "GET", (Bytes){0}, &node, &sent_ms, &result, &againS);
     const JobWord word = outcome == OUTCOME_GOOD ? ground->tongue->state(result) : JOB_WORD_NONE;
-    if (outcome == OUTCOME_GONE && job->acceptedMs != 0 && sent_ms - job->acceptedMs > ground->site->visibleMs &&
+    if (outcome == OUTCOME_GONE && job->accepted_ms != 0 && sent_ms - job->accepted_ms > ground->site->visibleMs &&
         nodeInTouch(node))
         rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground),
                    "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->draft.id,
-                   job->acceptedBy->name, sent_ms - job->acceptedMs);
+                   job->acceptedBy->name, sent_ms - job->accepted_ms);
     if (word >= JOB_WORD_DONE && word <= JOB_WORD_CANCELLED && job->shownMs == 0)
         shownCheck(task, word, node);
     talloc_free(mem);
@@ -335,7 +335,7 @@
     for (size_t i = 0; i < callers->book->count; i++) {
         BookJob *job = callers->book->jobs[i];
         const Pouring pouring = {callers, (int64_t)i % callers->ground->site->zones, job->queue, {0}};
-        if (job->acceptedMs == 0)
+        if (job->accepted_ms == 0)
             continue;
         CallerTask *task = taskNew(callers, &pouring, job, (UINT64_C(1) << 32) + i);
         loop_spawn(task->loop, "finish", finishMain, task);
@@ -353,10 +353,10 @@
             (step->needs != NULL && strcmp(step->needs, hand->label) != 0))
             continue;
         const Room used = handUsed(hand);
-        if (used.cpuMilli > hand->room.cpuMilli || used.memMb > hand->room.memMb)
+        if (used.cpu_milli > hand->room.cpu_milli || used.mem_mb > hand->room.mem_mb)
             continue;
-        const uint64_t cpu = (hand->room.cpuMilli - used.cpuMilli) / (step->room.cpuMilli * 2);
-        const uint64_t mem = (hand->room.memMb - used.memMb) / (step->room.memMb * 2);
+        const uint64_t cpu = (hand->room.cpu_milli - used.cpu_milli) / (step->room.cpu_milli * 2);
+        const uint64_t mem = (hand->room.mem_mb - used.mem_mb) / (step->room.mem_mb * 2);
         const uint64_t here = cpu < mem ? cpu : mem;
         places += step->apart != 0 && here > step->apart ? step->apart : here;
     }
@@ -388,14 +388,14 @@
         if (!hand->up)
             continue;
         const Room one = handUsed(hand);
-        used = (Room){used.cpuMilli + one.cpuMilli, used.memMb + one.memMb, 0};
-        all = (Room){all.cpuMilli + hand->room.cpuMilli, all.memMb + hand->room.memMb, 0};
+        used = (Room){used.cpu_milli + one.cpu_milli, used.mem_mb + one.mem_mb, 0};
+        all = (Room){all.cpu_milli + hand->room.cpu_milli, all.mem_mb + hand->room.mem_mb, 0};
     }
-    const bool room = used.cpuMilli * 2 < all.cpuMilli && used.memMb * 2 < all.memMb;
+    const bool room = used.cpu_milli * 2 < all.cpu_milli && used.mem_mb * 2 < all.mem_mb;
     for (size_t i = 0; i < callers->book->count; i++) {
         BookJob *job = callers->book->jobs[i];
         const bool idle =
-            room && job->acceptedMs != 0 && job->cancelSentMs == 0 && job->shownMs == 0 && mayRun(hands, job);
+            room && job->accepted_ms != 0 && job->cancelSentMs == 0 && job->shownMs == 0 && mayRun(hands, job);
         if (!idle)
             job->idle_ms = 0;
         else if (job->idle_ms == 0)
@@ -413,7 +413,7 @@
     Ground *ground = callers->ground;
     for (size_t i = 0; i < callers->book->count; i++) {
         const BookJob *job = callers->book->jobs[i];
-        if (job->acceptedMs != 0 && job->acceptedMs <= callers->finishMs && job->asked_ms == 0 && job->shownMs == 0)
+        if (job->accepted_ms != 0 && job->accepted_ms <= callers->finishMs && job->asked_ms == 0 && job->shownMs == 0)
             rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "nobody tells of %s, accepted by %s",
                        job->draft.id, job->acceptedBy->name);
     }
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -27,7 +27,7 @@
         const int64_t own = hand->hangs ? 0 : 10 * hand->speed / hand->slow_times;
         rate = own < rate ? own : rate;
         far |= step->near != NULL && strcmp(step->near, hand->rack) != 0;
-        far |= step->sameRack && strcmp(hand->rack, crew->members[0]->hand->rack) != 0;
+        far |= step->same_rack && strcmp(hand->rack, crew->members[0]->hand->rack) != 0;
     }
     crew->rate = far ? rate * 100 / site->farPercent : rate;
 }
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -167,13 +167,13 @@
     for (size_t i = 0; i < book->count; i++) {
         const BookJob *job = book->jobs[i];
         const Draft *draft = &job->draft;
-        result->accepted += job->acceptedMs != 0;
+        result->accepted += job->accepted_ms != 0;
         result->refused += job->refusedMs != 0;
         if (draft->lasting || draft->turns > 0 || job->poison || job->cancelSentMs != 0)
             continue;
         int64_t chainMs[DRAFT_STEPS_MAX] = {0}, longestMs = 0;
         for (size_t s = 0; s < draft->stepCount; s++) {
-            for (size_t a = 0; a < draft->steps[s].afterCount; a++)
+            for (size_t a = 0; a < draft->steps[s].after_count; a++)
                 if (chainMs[draft->steps[s].after[a]] > chainMs[s])
                     chainMs[s] = chainMs[draft->steps[s].after[a]];
             chainMs[s] += draft->steps[s].workMs;
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -18,10 +18,10 @@
 static void roomDraw(const Site *site, const SiteKind *kind, Dice *dice, DraftStep *step)
 {
     const uint64_t hands = (uint64_t)site->hands, cpu = (uint64_t)site->handCpuMilli, mem = (uint64_t)site->handMemMb;
-    step->room.cpuMilli = atMost((uint64_t)diceAbout(dice, kind->cpuMilli), cpu / 2);
-    step->room.memMb = atMost((uint64_t)diceAbout(dice, kind->memMb), mem / 2);
+    step->room.cpu_milli = atMost((uint64_t)diceAbout(dice, kind->cpu_milli), cpu / 2);
+    step->room.mem_mb = atMost((uint64_t)diceAbout(dice, kind->mem_mb), mem / 2);
     const uint64_t each =
-        cpu / step->room.cpuMilli < mem / step->room.memMb ? cpu / step->room.cpuMilli : mem / step->room.memMb;
+        cpu / step->room.cpu_milli < mem / step->room.mem_mb ? cpu / step->room.cpu_milli : mem / step->room.mem_mb;
     uint64_t where = hands;
     if (dicePercent(dice, kind->needsPercent)) {
         step->needs = dicePercent(dice, 50) ? "a" : "b";
@@ -42,7 +42,7 @@
     DraftStep *step = &draft->steps[at];
     *step = (DraftStep){.count = atMost((uint64_t)diceAbout(dice, kind->tasks), TASKS_MAX)};
     step->gang = dicePercent(dice, kind->gangPercent) && !draft->lasting;
-    step->sameRack = step->gang && dicePercent(dice, 50);
+    step->same_rack = step->gang && dicePercent(dice, 50);
     roomDraw(site, kind, dice, step);
     step->workMs = diceAbout(dice, kind->taskMs);
     step->guessMs = step->workMs * diceSpan(dice, 50, 150) / 100;
@@ -52,9 +52,9 @@
                                      hand / site->zones / site->rackHands);
     }
     if (at > 0 && dicePercent(dice, 80))
-        step->after[step->afterCount++] = at - 1;
+        step->after[step->after_count++] = at - 1;
     if (at > 1 && dicePercent(dice, 30))
-        step->after[step->afterCount++] = 0;
+        step->after[step->after_count++] = 0;
 }
 
 void draftDraw(const Callers *callers, const SiteKind *kind, Dice *dice, Draft *draft)
@@ -72,7 +72,7 @@
         stepDraw(callers, kind, dice, draft, i);
     if (!draft->lasting && dicePercent(dice, kind->turnsPercent)) {
         draft->turns = (uint64_t)diceSpan(dice, 2, 6);
-        draft->firstWallMs = simWallMs(callers->ground->world) + TURNS_FROM_MS + diceSpan(dice, 0, 4000);
-        draft->periodMs = diceSpan(dice, 1500, 4000);
+        draft->first_wall_ms = simWallMs(callers->ground->world) + TURNS_FROM_MS + diceSpan(dice, 0, 4000);
+        draft->period_ms = diceSpan(dice, 1500, 4000);
     }
 }
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -17,7 +17,7 @@
     Room used = {0};
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
         const Room room = bookStep(run->task)->room;
-        used = (Room){used.cpuMilli + room.cpuMilli, used.memMb + room.memMb, used.gpu + room.gpu};
+        used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
     }
     return used;
 }
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -59,7 +59,7 @@
         (HandEnd){.told = {++hand->endNumber, *name, round, word, saved}, .task = task, .lapsedSince = false};
     highestSet(hand, name, round);
     hand->hands->book->kinds[word]++;
-    groundTell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, roundWord(word), hand->boot,
+    groundTell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, round_word(word), hand->boot,
                saved);
     hand->newsOpen = true;
     signal_raise(hand->loop, &hand->news);
@@ -204,8 +204,8 @@
     bool fits = true;
     if (task != NULL && site->guards != 0) {
         const Room room = bookStep(task)->room;
-        fits = used.cpuMilli + room.cpuMilli <= hand->room.cpuMilli && used.memMb + room.memMb <= hand->room.memMb &&
-               used.gpu + room.gpu <= hand->room.gpu;
+        fits = used.cpu_milli + room.cpu_milli <= hand->room.cpu_milli &&
+               used.mem_mb + room.mem_mb <= hand->room.mem_mb && used.gpu + room.gpu <= hand->room.gpu;
     }
     if (start->round <= highest || !fits) {
         endAdd(hand, task, &start->name, start->round, ROUND_REFUSED, "");
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -36,8 +36,8 @@
     rebuild->steps = 3;
     rebuild->tasks = 4;
     rebuild->taskMs = 6000;
-    rebuild->cpuMilli = 11000;
-    rebuild->memMb = 21000;
+    rebuild->cpu_milli = 11000;
+    rebuild->mem_mb = 21000;
     rebuild->aimMs = 2000;
     rebuild->stretchPercent = 220;
     rebuild->rounds = 4;
@@ -50,8 +50,8 @@
     sweep->steps = 3;
     sweep->tasks = 10;
     sweep->taskMs = 1400;
-    sweep->cpuMilli = 3200;
-    sweep->memMb = 4600;
+    sweep->cpu_milli = 3200;
+    sweep->mem_mb = 4600;
     sweep->aimMs = 4000;
     sweep->stretchPercent = 320;
     sweep->priority = 2;
@@ -63,8 +63,8 @@
     check->perMinute = 440;
     check->tasks = 2;
     check->taskMs = 800;
-    check->cpuMilli = 4600;
-    check->memMb = 6600;
+    check->cpu_milli = 4600;
+    check->mem_mb = 6600;
     check->aimMs = 1200;
     check->priority = 0;
     check->rounds = 2;
@@ -90,8 +90,8 @@
         SiteKind *kind = &site->kinds[i];
         snprintf(kind->name, sizeof(kind->name), "%s", NAMES[i]);
         kind->perMinute = PER_MINUTE[i];
-        kind->cpuMilli = CPU[i];
-        kind->memMb = MEM[i];
+        kind->cpu_milli = CPU[i];
+        kind->mem_mb = MEM[i];
     }
 }
 
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -26,10 +26,10 @@
 static void roomCheck(const Start *start)
 {
     const Room used = handUsed(start->hand), room = start->step->room, all = start->hand->room;
-    if (start->ground->site->guards == 0 && (used.cpuMilli + room.cpuMilli > all.cpuMilli ||
-                                             used.memMb + room.memMb > all.memMb || used.gpu + room.gpu > all.gpu))
+    if (start->ground->site->guards == 0 && (used.cpu_milli + room.cpu_milli > all.cpu_milli ||
+                                             used.mem_mb + room.mem_mb > all.mem_mb || used.gpu + room.gpu > all.gpu))
         BROKE(start, RULE_LIMIT, "%" PRIu64 " milli-CPU and %" PRIu64 " MB beside %" PRIu64 " and %" PRIu64,
-              room.cpuMilli, room.memMb, used.cpuMilli, used.memMb);
+              room.cpu_milli, room.mem_mb, used.cpu_milli, used.mem_mb);
 }
 
 static void twiceCheck(const Start *start)
@@ -159,7 +159,7 @@
 {
     Ground *ground = hand->hands->ground;
     groundTell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.round,
-               roundWord(end->told.word), hand->boot, end->lapsedSince ? ", its hold was over" : "");
+               round_word(end->told.word), hand->boot, end->lapsedSince ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsedSince)
         return;
     BookJob *job = end->task->job;
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -32,8 +32,8 @@
 
 static uint64_t slotsOf(Room free, Room each)
 {
-    const uint64_t cpu = each.cpuMilli > 0 ? free.cpuMilli / each.cpuMilli : UINT32_MAX;
-    const uint64_t mem = each.memMb > 0 ? free.memMb / each.memMb : UINT32_MAX;
+    const uint64_t cpu = each.cpu_milli > 0 ? free.cpu_milli / each.cpu_milli : UINT32_MAX;
+    const uint64_t mem = each.mem_mb > 0 ? free.mem_mb / each.mem_mb : UINT32_MAX;
     const uint64_t gpu = each.gpu > 0 ? free.gpu / each.gpu : UINT32_MAX;
     const uint64_t least = cpu < mem ? cpu : mem;
     return least < gpu ? least : gpu;
@@ -87,10 +87,10 @@
                 mine.all[i] &= groups[g].all[i];
                 mine.lost[i] += groups[g].lost[i];
             }
-            if (groups[g].biggest.cpuMilli > mine.biggest.cpuMilli)
-                mine.biggest.cpuMilli = groups[g].biggest.cpuMilli;
-            if (groups[g].biggest.memMb > mine.biggest.memMb)
-                mine.biggest.memMb = groups[g].biggest.memMb;
+            if (groups[g].biggest.cpu_milli > mine.biggest.cpu_milli)
+                mine.biggest.cpu_milli = groups[g].biggest.cpu_milli;
+            if (groups[g].biggest.mem_mb > mine.biggest.mem_mb)
+                mine.biggest.mem_mb = groups[g].biggest.mem_mb;
             if (groups[g].biggest.gpu > mine.biggest.gpu)
                 mine.biggest.gpu = groups[g].biggest.gpu;
             groups[g] = groups[--count];
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -28,8 +28,8 @@
 uint64_t planLeft(const PlanWorker *worker, Room largest)
 {
     const Room free = worker->free;
-    const uint64_t cpu = largest.cpuMilli > 0 ? free.cpuMilli * 1000 / largest.cpuMilli : 0;
-    const uint64_t mem = largest.memMb > 0 ? free.memMb * 1000 / largest.memMb : 0;
+    const uint64_t cpu = largest.cpu_milli > 0 ? free.cpu_milli * 1000 / largest.cpu_milli : 0;
+    const uint64_t mem = largest.mem_mb > 0 ? free.mem_mb * 1000 / largest.mem_mb : 0;
     return cpu < mem ? cpu : mem;
 }
 
@@ -37,10 +37,10 @@
 {
     Room largest = {0};
     for (size_t i = 0; i < count; i++) {
-        if (workers[i].room.cpuMilli > largest.cpuMilli)
-            largest.cpuMilli = workers[i].room.cpuMilli;
-        if (workers[i].room.memMb > largest.memMb)
-            largest.memMb = workers[i].room.memMb;
+        if (workers[i].room.cpu_milli > largest.cpu_milli)
+            largest.cpu_milli = workers[i].room.cpu_milli;
+        if (workers[i].room.mem_mb > largest.mem_mb)
+            largest.mem_mb = workers[i].room.mem_mb;
         if (workers[i].room.gpu > largest.gpu)
             largest.gpu = workers[i].room.gpu;
     }
--- a/packages/plan/src/room.c
+++ b/packages/plan/src/room.c
@@ -12,23 +12,23 @@
 
 bool roomFits(Room need, Room free)
 {
-    return need.cpuMilli <= free.cpuMilli && need.memMb <= free.memMb && need.gpu <= free.gpu;
+    return need.cpu_milli <= free.cpu_milli && need.mem_mb <= free.mem_mb && need.gpu <= free.gpu;
 }
 
 Room roomLess(Room a, Room b)
 {
-    return (Room){less(a.cpuMilli, b.cpuMilli), less(a.memMb, b.memMb), less(a.gpu, b.gpu)};
+    return (Room){less(a.cpu_milli, b.cpu_milli), less(a.mem_mb, b.mem_mb), less(a.gpu, b.gpu)};
 }
 
 Room roomMore(Room a, Room b)
 {
-    return (Room){a.cpuMilli + b.cpuMilli, a.memMb + b.memMb, a.gpu + b.gpu};
+    return (Room){a.cpu_milli + b.cpu_milli, a.mem_mb + b.mem_mb, a.gpu + b.gpu};
 }
 
 uint64_t roomShare(Room room, Room whole)
 {
-    const uint64_t cpu = share(room.cpuMilli, whole.cpuMilli);
-    const uint64_t mem = share(room.memMb, whole.memMb);
+    const uint64_t cpu = share(room.cpu_milli, whole.cpu_milli);
+    const uint64_t mem = share(room.mem_mb, whole.mem_mb);
     const uint64_t gpu = share(room.gpu, whole.gpu);
     const uint64_t most = cpu > mem ? cpu : mem;
     return most > gpu ? most : gpu;
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -71,7 +71,7 @@
     PlanInput input = {workers, 3, tasks, 2, 2, false, false, 0, NULL};
     takeOut(&input);
     assert_true(planAlwaysPossible(&input, NULL));
-    tasks[0].need.room.cpuMilli = 3;
+    tasks[0].need.room.cpu_milli = 3;
     PlanWorker again[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     input.workers = again;
     takeOut(&input);
@@ -118,7 +118,7 @@
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9)};
-    workers[1].free.cpuMilli = 1;
+    workers[1].free.cpu_milli = 1;
     PlanTask tasks[] = {task(0, 3, 1), task(0, 1, 1)};
     Room pushable[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
     PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, pushable};
@@ -128,11 +128,11 @@
     assert_false(planAlwaysPossible(&input, NULL)); /* it is the other cell's */
     tasks[0].cell = 0;
     assert_true(planAlwaysPossible(&input, NULL));
-    assert_int_equal(pushable[1].cpuMilli, 3); /* a look uses nothing up */
+    assert_int_equal(pushable[1].cpu_milli, 3); /* a look uses nothing up */
     input.taskCount = 2;
     tasks[1].cell = 0;
     assert_true(planAlwaysPossible(&input, NULL)); /* 1 free and 3 to push hold 3 and 1 */
-    tasks[1].need.room.cpuMilli = 2;
+    tasks[1].need.room.cpu_milli = 2;
     assert_false(planAlwaysPossible(&input, NULL));
     /* and the cheap bound knows nothing of it: it may only say no wrongly */
     assert_false(planCheap(&input));
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -101,13 +101,13 @@
     textField(lua, "queue", spec->queue);
     textField(lua, "step", sight->step->name);
     textField(lua, "kind", sight->step->kind);
-    textField(lua, "protection", protectionWord(spec->protection));
+    textField(lua, "protection", protection_word(spec->protection));
     field(lua, "priority", (double)spec->priority);
     field(lua, "queue_priority", (double)sight->queuePriority);
     field(lua, "number", (double)sight->job->number);
-    field(lua, "cpu", (double)sight->step->room.cpuMilli / 1000);
-    field(lua, "mem_mb", (double)sight->step->room.memMb);
-    field(lua, "tasks", (double)sight->job->tasksCount);
+    field(lua, "cpu", (double)sight->step->room.cpu_milli / 1000);
+    field(lua, "mem_mb", (double)sight->step->room.mem_mb);
+    field(lua, "tasks", (double)sight->job->tasks_count);
     field(lua, "waited_ms", (double)sight->waitedMs);
     field(lua, "cell_used", (double)sight->cellUsed / 1000);
     field(lua, "cell_share", (double)sight->cellShare / 1000);
@@ -194,7 +194,7 @@
 {
     const StepSpec step = {.name = "step", .kind = "std", .room = {1000, 1024, 0}};
     Job job = {
-        .spec = {.id = "id", .cell = "cell", .tenant = "tenant", .queue = "queue"}, .number = 1, .tasksCount = 1};
+        .spec = {.id = "id", .cell = "cell", .tenant = "tenant", .queue = "queue"}, .number = 1, .tasks_count = 1};
     const PolicySight sight = {.job = &job, .step = &step, .waitedMs = 1000, .cellShare = 1000};
     LuaCall rank = {.name = "rank", .task = &sight};
     if (!callOnce(policy, &rank))
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -51,8 +51,9 @@
 
 static PolicySight sight(Job *job, const StepSpec *step, int64_t waitedMs)
 {
-    *job = (Job){
-        .spec = {.id = "i", .cell = "c", .tenant = "t", .queue = "masks", .priority = 3}, .number = 9, .tasksCount = 1};
+    *job = (Job){.spec = {.id = "i", .cell = "c", .tenant = "t", .queue = "masks", .priority = 3},
+                 .number = 9,
+                 .tasks_count = 1};
     return (PolicySight){.job = job, .step = step, .queuePriority = 2, .waitedMs = waitedMs, .cellShare = 500};
 }
 
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/aim.c
@@ -5,7 +5,7 @@
 
 static bool comesAfter(const StepSpec *step, const char *before)
 {
-    for (size_t i = 0; i < step->afterCount; i++)
+    for (size_t i = 0; i < step->after_count; i++)
         if (strcmp(step->after[i], before) == 0)
             return true;
     return false;
@@ -15,8 +15,8 @@
 static uint64_t wavesOf(const StepSpec *step, Room quarter)
 {
     uint64_t waves = 1;
-    const uint64_t part[] = {quarter.cpuMilli, quarter.memMb, quarter.gpu};
-    const uint64_t all[] = {step->room.cpuMilli * step->count, step->room.memMb * step->count,
+    const uint64_t part[] = {quarter.cpu_milli, quarter.mem_mb, quarter.gpu};
+    const uint64_t all[] = {step->room.cpu_milli * step->count, step->room.mem_mb * step->count,
                             step->room.gpu * step->count};
     for (size_t i = 0; i < 3; i++)
         if (part[i] > 0 && (all[i] + part[i] - 1) / part[i] > waves)
@@ -28,10 +28,10 @@
 {
     int64_t longestMs = 0;
     /* steps wait for earlier ones alone */
-    for (size_t s = job->spec.stepsCount; s-- > 0;) {
+    for (size_t s = job->spec.steps_count; s-- > 0;) {
         const StepSpec *step = &job->spec.steps[s];
         int64_t next_ms = 0;
-        for (size_t k = s + 1; k < job->spec.stepsCount; k++)
+        for (size_t k = s + 1; k < job->spec.steps_count; k++)
             if (aim->afterMs[k] > next_ms && comesAfter(&job->spec.steps[k], step->name))
                 next_ms = aim->afterMs[k];
         const int64_t waves = step->gang ? 1 : (int64_t)wavesOf(step, quarter);
@@ -43,7 +43,7 @@
             longestMs = aim->afterMs[s];
     }
     aim->from_ms = from_ms;
-    aim->spanMs = (int64_t)job->terms.stretchMilli * longestMs / 1000 + job->terms.targetMs;
+    aim->spanMs = (int64_t)job->terms.stretch_milli * longestMs / 1000 + job->terms.target_ms;
 }
 
 int64_t aimSlackMs(const Aim *aim, uint64_t step, int64_t now_ms)
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -108,7 +108,7 @@
 
 int64_t guessMs(const Guesses *guesses, const Job *job, uint64_t step)
 {
-    const int64_t saidMs = (int64_t)job->spec.steps[step].estMs;
+    const int64_t saidMs = (int64_t)job->spec.steps[step].est_ms;
     if (guesses == NULL)
         return saidMs;
     const Key key = stepKey(job, step);
@@ -164,7 +164,7 @@
     if (took_ms <= 0 || farPercent == 0)
         return;
     const uint64_t soundMs = (uint64_t)took_ms * 100 / farPercent;
-    const uint64_t saidMs = job->spec.steps[step].estMs;
+    const uint64_t saidMs = job->spec.steps[step].est_ms;
     const int64_t expectedMs = guessMs(guesses, job, step);
     const Key key = stepKey(job, step);
     if (expectedMs > 0) {
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -49,7 +49,7 @@
     for (; member > 0; member--)
         do
             at++;
-        while (taskEnded(candidate->job->tasks[at].phase));
+        while (task_ended(candidate->job->tasks[at].phase));
     return at;
 }
 
@@ -64,7 +64,7 @@
 /* Part of the turn's tasks that are done or under way, 0 to 1. */
 static double begunOf(const Job *job, uint64_t turn)
 {
-    const size_t turns = job->spec.turns > 0 ? (size_t)job->spec.turns : 1, each = job->tasksCount / turns;
+    const size_t turns = job->spec.turns > 0 ? (size_t)job->spec.turns : 1, each = job->tasks_count / turns;
     size_t waiting = turns == 1 ? job->sums.waiting : 0;
     for (size_t i = turn * each; i < (turn + 1) * each && turns > 1; i++)
         waiting += job->tasks[i].phase == TASK_WAITING;
@@ -143,7 +143,7 @@
     bool ready = true;
     for (size_t i = first; i < end; i++) {
         const JobTask *task = &job->tasks[i];
-        if (taskEnded(task->phase))
+        if (task_ended(task->phase))
             continue;
         left++;
         ready &= task->phase == TASK_WAITING && line->sight->clock.logMs >= task->rest_until_ms;
@@ -171,19 +171,19 @@
 
 static bool roomSame(Room a, Room b)
 {
-    return a.cpuMilli == b.cpuMilli && a.memMb == b.memMb && a.gpu == b.gpu;
+    return a.cpu_milli == b.cpu_milli && a.mem_mb == b.mem_mb && a.gpu == b.gpu;
 }
 
 static void turnWalk(Line *line, Note *note, uint64_t turn)
 {
     const Job *job = note->job;
     const size_t turns = job->spec.turns > 0 ? (size_t)job->spec.turns : 1;
-    size_t first = job->tasksCount / turns * turn;
+    size_t first = job->tasks_count / turns * turn;
     bool known = false;
-    for (size_t s = 0; s < job->spec.stepsCount; s++) {
+    for (size_t s = 0; s < job->spec.steps_count; s++) {
         const size_t end = first + (size_t)job->spec.steps[s].count;
         const bool done = (job->sums.done[turn] >> s & 1) != 0;
-        if (!done && first < end && taskStepsDone(job, &job->tasks[first])) {
+        if (!done && first < end && task_steps_done(job, &job->tasks[first])) {
             if (!known) {
                 const uint64_t learnt = guessesStamp(queueGuesses(line->queue));
                 if (note->learnt != learnt || !roomSame(note->quarter, line->quarter))
@@ -251,9 +251,9 @@
     line->queue = queue;
     line->sight = sight;
     line->next_ms = INT64_MAX;
-    line->quarter = (Room){fleet.cpuMilli / AIM_WAVE_PART, fleet.memMb / AIM_WAVE_PART, fleet.gpu / AIM_WAVE_PART};
+    line->quarter = (Room){fleet.cpu_milli / AIM_WAVE_PART, fleet.mem_mb / AIM_WAVE_PART, fleet.gpu / AIM_WAVE_PART};
     Job *const *jobs;
-    const size_t jobCount = tableActive(sight->table, &jobs);
+    const size_t jobCount = table_active(sight->table, &jobs);
     queueLine(queue, jobCount);
     for (size_t j = 0; j < jobCount; j++) {
         const Job *job = jobs[j];
@@ -288,7 +288,7 @@
 static Room roomOf(const Candidate *candidate)
 {
     const Room one = candidate->job->spec.steps[candidate->job->tasks[candidate->first].step].room;
-    return (Room){one.cpuMilli * candidate->count, one.memMb * candidate->count, one.gpu * candidate->count};
+    return (Room){one.cpu_milli * candidate->count, one.mem_mb * candidate->count, one.gpu * candidate->count};
 }
 
 /* What the account would use with the candidate, in millionths of the fleet. */
@@ -296,7 +296,7 @@
 {
     Room room = *accountUse(line->queue, line->sight, account);
     const Room more = roomOf(candidate);
-    room = (Room){room.cpuMilli + more.cpuMilli, room.memMb + more.memMb, room.gpu + more.gpu};
+    room = (Room){room.cpu_milli + more.cpu_milli, room.mem_mb + more.mem_mb, room.gpu + more.gpu};
     return partOf(room, line->sight->fleet);
 }
 
@@ -370,7 +370,7 @@
 static void accountMore(Line *line, Account *account, Room more)
 {
     Room *used = accountUse(line->queue, line->sight, account);
-    *used = (Room){used->cpuMilli + more.cpuMilli, used->memMb + more.memMb, used->gpu + more.gpu};
+    *used = (Room){used->cpu_milli + more.cpu_milli, used->mem_mb + more.mem_mb, used->gpu + more.gpu};
 }
 
 void linePlaced(Line *line)
@@ -394,7 +394,7 @@
 
 bool lineRank(const Line *line, const Job *job, size_t task, double *rank)
 {
-    const size_t first = taskFirst(job, &job->tasks[task]);
+    const size_t first = task_first(job, &job->tasks[task]);
     for (size_t i = 0; i < line->count; i++) {
         const Candidate *candidate = &line->places[i].candidate;
         if (candidate->job != job || candidate->first < first || line->places[i].end <= task)
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -39,8 +39,8 @@
 
 uint64_t partOf(Room room, Room fleet)
 {
-    const uint64_t cpu = fleet.cpuMilli > 0 ? room.cpuMilli * 1000000 / fleet.cpuMilli : 0;
-    const uint64_t mem = fleet.memMb > 0 ? room.memMb * 1000000 / fleet.memMb : 0;
+    const uint64_t cpu = fleet.cpu_milli > 0 ? room.cpu_milli * 1000000 / fleet.cpu_milli : 0;
+    const uint64_t mem = fleet.mem_mb > 0 ? room.mem_mb * 1000000 / fleet.mem_mb : 0;
     const uint64_t gpu = fleet.gpu > 0 ? room.gpu * 1000000 / fleet.gpu : 0;
     const uint64_t most = cpu > mem ? cpu : mem;
     return most > gpu ? most : gpu;
@@ -83,8 +83,8 @@
 {
     if (account->line != queue->line || queue->line == 0) {
         account->line = queue->line;
-        account->used = account->tenant == NULL ? tableUsedBy(sight->table, account->cell)
-                                                : tableUsedByTenant(sight->table, account->cell, account->tenant);
+        account->used = account->tenant == NULL ? table_used_by(sight->table, account->cell)
+                                                : table_used_by_tenant(sight->table, account->cell, account->tenant);
     }
     return &account->used;
 }
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -21,20 +21,20 @@
 static int64_t turnWallMs(const Job *job, uint64_t turn)
 {
     const JobSpec *spec = &job->spec;
-    const int64_t turn_ms = spec->firstWallMs != 0 ? spec->firstWallMs + (int64_t)turn * spec->periodMs : 0;
-    return turn_ms > spec->dueWallMs ? turn_ms : spec->dueWallMs;
+    const int64_t turn_ms = spec->first_wall_ms != 0 ? spec->first_wall_ms + (int64_t)turn * spec->period_ms : 0;
+    return turn_ms > spec->due_wall_ms ? turn_ms : spec->due_wall_ms;
 }
 
 bool queueDue(const Job *job, uint64_t turn, QueueClock clock)
 {
-    return clock.wall_ms >= turnWallMs(job, turn) && clock.logMs >= job->acceptedMs + job->spec.delayMs;
+    return clock.wall_ms >= turnWallMs(job, turn) && clock.logMs >= job->accepted_ms + job->spec.delay_ms;
 }
 
 int64_t queueDueMs(const Job *job, uint64_t turn, QueueClock clock)
 {
-    const int64_t wall_ms = turnWallMs(job, turn), acceptedMs = job->acceptedMs + job->spec.delayMs;
+    const int64_t wall_ms = turnWallMs(job, turn), accepted_ms = job->accepted_ms + job->spec.delay_ms;
     const int64_t due_ms = clock.logMs - (clock.wall_ms - wall_ms);
-    return wall_ms != 0 && due_ms > acceptedMs ? due_ms : acceptedMs;
+    return wall_ms != 0 && due_ms > accepted_ms ? due_ms : accepted_ms;
 }
 
 WaitReason queueWait(const Job *job, size_t task, QueueClock clock)
@@ -43,13 +43,13 @@
     const StepSpec *step = &job->spec.steps[one->step];
     if (!queueDue(job, one->turn, clock))
         return WAIT_DUE;
-    if (!taskStepsDone(job, one))
+    if (!task_steps_done(job, one))
         return WAIT_STEPS;
     if (clock.logMs < one->rest_until_ms)
         return WAIT_REST;
-    const size_t first = taskFirst(job, one);
+    const size_t first = task_first(job, one);
     for (size_t i = first; i < first + step->count && step->gang; i++)
-        if (job->tasks[i].phase != TASK_WAITING && !taskEnded(job->tasks[i].phase))
+        if (job->tasks[i].phase != TASK_WAITING && !task_ended(job->tasks[i].phase))
             return WAIT_GANG;
     return WAIT_READY;
 }
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -11,22 +11,22 @@
     return policyPlain();
 }
 
-static StepSpec step(const char *name, uint64_t count, uint64_t estMs)
+static StepSpec step(const char *name, uint64_t count, uint64_t est_ms)
 {
     return (StepSpec){
-        .name = name, .count = count, .room = {CPU, 64, 0}, .kind = "", .payload = "", .near = "", .estMs = estMs};
+        .name = name, .count = count, .room = {CPU, 64, 0}, .kind = "", .payload = "", .near = "", .est_ms = est_ms};
 }
 
-static JobTerms aims(uint64_t stretchMilli, int64_t targetMs, int64_t priority)
+static JobTerms aims(uint64_t stretch_milli, int64_t target_ms, int64_t priority)
 {
-    return (JobTerms){.stretchMilli = stretchMilli, .targetMs = targetMs, .priority = priority, .kind = ""};
+    return (JobTerms){.stretch_milli = stretch_milli, .target_ms = target_ms, .priority = priority, .kind = ""};
 }
 
-static const Job *add(Board *board, const char *id, uint64_t estMs, JobTerms terms)
+static const Job *add(Board *board, const char *id, uint64_t est_ms, JobTerms terms)
 {
-    StepSpec one = step("a", 1, estMs);
-    const JobSpec spec = specOf(id, &one, 1);
-    return jobAdd(board, &spec, terms);
+    StepSpec one = step("a", 1, est_ms);
+    const JobSpec spec = spec_of(id, &one, 1);
+    return job_add(board, &spec, terms);
 }
 
 /* Their ids in order, one letter each. */
@@ -53,7 +53,7 @@
     return order;
 }
 
-static const char *orderOf(Board *board, int64_t logMs)
+static const char *order_of(Board *board, int64_t logMs)
 {
     return orderIn(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", logMs, 100);
 }
@@ -62,13 +62,13 @@
 static void soonestFirst(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     add(&board, "a", 6000, aims(2200, 2000, 0));
     add(&board, "b", 1000, aims(1500, 500, 0));
     add(&board, "c", 1000, aims(1500, 500, 0));
-    assert_string_equal(orderOf(&board, 1000), "bca");
+    assert_string_equal(order_of(&board, 1000), "bca");
     /* a's aim is 15.2 s from 1000: at 9.9 s it must go now; b and c are lost since 4.5 s */
-    assert_string_equal(orderOf(&board, 9900), "abc");
+    assert_string_equal(order_of(&board, 9900), "abc");
     talloc_free(board.table);
 }
 
@@ -76,13 +76,13 @@
 static void lateBehind(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     add(&board, "x", 1000, aims(1000, 1000, 0)); /* aim 2 s: worth nothing after 6 s */
     board.at_ms = 4000;
     add(&board, "y", 1000, aims(1000, 1000, 0)); /* late at 7 s */
     board.at_ms = 7000;
     add(&board, "z", 1000, aims(1000, 1000, 0));
-    assert_string_equal(orderOf(&board, 7500), "zyx");
+    assert_string_equal(order_of(&board, 7500), "zyx");
     talloc_free(board.table);
 }
 
@@ -90,10 +90,10 @@
 static void urgentFirst(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     add(&board, "b", 1000, aims(1000, 1000, 0));
     add(&board, "u", 1000, aims(1000, 1000, 1));
-    assert_string_equal(orderOf(&board, 1000), "ub");
+    assert_string_equal(order_of(&board, 1000), "ub");
     talloc_free(board.table);
 }
 
@@ -101,17 +101,17 @@
 static void turnsDue(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     StepSpec one = step("a", 1, 1000);
-    JobSpec spec = specOf("t", &one, 1);
+    JobSpec spec = spec_of("t", &one, 1);
     spec.turns = 3;
-    spec.firstWallMs = 1002000;
-    spec.periodMs = 1000;
-    jobAdd(&board, &spec, aims(1000, 1000, 0));
-    assert_string_equal(orderOf(&board, 1999), "");
-    assert_string_equal(orderOf(&board, 2000), "t");
-    assert_string_equal(orderOf(&board, 3500), "tt");
-    assert_string_equal(orderOf(&board, 9000), "ttt");
+    spec.first_wall_ms = 1002000;
+    spec.period_ms = 1000;
+    job_add(&board, &spec, aims(1000, 1000, 0));
+    assert_string_equal(order_of(&board, 1999), "");
+    assert_string_equal(order_of(&board, 2000), "t");
+    assert_string_equal(order_of(&board, 3500), "tt");
+    assert_string_equal(order_of(&board, 9000), "ttt");
     talloc_free(board.table);
 }
 
@@ -120,15 +120,15 @@
 static void chains(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     add(&board, "s", 1000, aims(0, 10000, 0));
     StepSpec two[] = {step("a", 1, 4000), step("b", 1, 4000)};
     const char *after[] = {"a"};
     two[1].after = after;
-    two[1].afterCount = 1;
-    const JobSpec spec = specOf("l", two, 2);
-    const Job *job = jobAdd(&board, &spec, aims(0, 10000, 0));
-    assert_string_equal(orderOf(&board, 1000), "ls");
+    two[1].after_count = 1;
+    const JobSpec spec = spec_of("l", two, 2);
+    const Job *job = job_add(&board, &spec, aims(0, 10000, 0));
+    assert_string_equal(order_of(&board, 1000), "ls");
     Aim aim;
     aimFind(job, 1000, NULL, (Room){0}, &aim);
     assert_int_equal(aim.afterMs[0], 8000);
@@ -141,10 +141,10 @@
 static void waves(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     StepSpec wide = step("a", 30, 1000);
-    const JobSpec spec = specOf("w", &wide, 1);
-    const Job *job = jobAdd(&board, &spec, aims(2000, 0, 0));
+    const JobSpec spec = spec_of("w", &wide, 1);
+    const Job *job = job_add(&board, &spec, aims(2000, 0, 0));
     Aim aim;
     aimFind(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &aim);
     assert_int_equal(aim.afterMs[0], 3000);
@@ -156,7 +156,7 @@
 static void learnt(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     const Job *job = add(&board, "a", 1000, aims(1000, 0, 0));
     Guesses *guesses = guessesNew(board.table);
     assert_int_equal(guessMs(guesses, job, 0), 1000);
@@ -180,28 +180,28 @@
 static void oldestOfTheLost(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     add(&board, "a", 100, aims(1000, 100, 0));
     board.at_ms = 9000;
     add(&board, "b", 100, aims(1000, 100, 0));
-    assert_string_equal(orderOf(&board, 60000), "ab");
+    assert_string_equal(order_of(&board, 60000), "ab");
     talloc_free(board.table);
 }
 
 static void addFor(Board *board, const char *id, const char *cell, const char *tenant, uint64_t count)
 {
     StepSpec many = step("a", count, 0);
-    JobSpec spec = specOf(id, &many, 1);
+    JobSpec spec = spec_of(id, &many, 1);
     spec.cell = cell;
     spec.tenant = tenant;
-    jobAdd(board, &spec, (JobTerms){.kind = ""});
+    job_add(board, &spec, (JobTerms){.kind = ""});
 }
 
 /* Without aims: cells by their shares, tenants in turns, then who came first. */
 static void sharesAndTurns(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     addFor(&board, "a", "c", "t", 6);
     addFor(&board, "b", "c", "u", 6);
     addFor(&board, "x", "d", "t", 9);
@@ -219,7 +219,7 @@
 static void stuckIsPassedBy(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     addFor(&board, "a", "c", "t", 3);
     addFor(&board, "b", "c", "t", 2);
     void *mem = talloc_new(board.table);
@@ -245,22 +245,22 @@
 static void gangsAreOne(void **state)
 {
     (void)state;
-    Board board = boardNew();
+    Board board = board_new();
     StepSpec gang = step("a", 3, 0);
     gang.gang = true;
-    const JobSpec spec = specOf("g", &gang, 1);
-    jobAdd(&board, &spec, (JobTerms){.kind = ""});
-    assert_string_equal(orderOf(&board, 1000), "g");
+    const JobSpec spec = spec_of("g", &gang, 1);
+    job_add(&board, &spec, (JobTerms){.kind = ""});
+    assert_string_equal(order_of(&board, 1000), "g");
     const uint64_t all[] = {0, 1, 2};
     place(&board, "g", all, 3, 1, "w1", "");
     for (uint64_t i = 0; i < 3; i++)
         say(&board, "g", i, 1, "w1", ROUND_RUNNING, "");
     say(&board, "g", 1, 1, "w1", ROUND_FAILED, "");
-    assert_string_equal(orderOf(&board, 100000), ""); /* the others are still being stopped */
+    assert_string_equal(order_of(&board, 100000), ""); /* the others are still being stopped */
     say(&board, "g", 0, 1, "w1", ROUND_STOPPED, "");
     say(&board, "g", 2, 1, "w1", ROUND_STOPPED, "");
-    assert_string_equal(orderOf(&board, 1000), ""); /* the failed one rests */
-    assert_string_equal(orderOf(&board, 100000), "g");
+    assert_string_equal(order_of(&board, 1000), ""); /* the failed one rests */
+    assert_string_equal(order_of(&board, 100000), "g");
     talloc_free(board.table);
 }
 
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -82,8 +82,8 @@
         return;
     }
     if (word == TENANT_ASKED || tenant->quotaMs != 0)
-        tenant->looser = (Room){looserOf(tenant->looser.cpuMilli, quota.cpuMilli),
-                                looserOf(tenant->looser.memMb, quota.memMb), looserOf(tenant->looser.gpu, quota.gpu)};
+        tenant->looser = (Room){looserOf(tenant->looser.cpu_milli, quota.cpu_milli),
+                                looserOf(tenant->looser.mem_mb, quota.mem_mb), looserOf(tenant->looser.gpu, quota.gpu)};
     else
         tenant->looser = quota;
     tenant->quotaUnsure = word == TENANT_ASKED;
@@ -129,10 +129,10 @@
     if (!tenant->quotaUnsure && checkerNow(checker) > tenant->quotaMs + CONFIG_LATE_MS)
         tenant->looser = tenant->quota;
     const Room bound = tenant->looser;
-    if (bound.cpuMilli == 0 && bound.memMb == 0)
+    if (bound.cpu_milli == 0 && bound.mem_mb == 0)
         return;
     const Room used = roomMore(usedBy(checker, job->spec.cell, job->spec.tenant), room);
-    if ((bound.cpuMilli != 0 && used.cpuMilli > bound.cpuMilli) || (bound.memMb != 0 && used.memMb > bound.memMb))
+    if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
         checkerBroke(checker, NEVER_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
-                     job->spec.tenant, used.cpuMilli, used.memMb, job->spec.id);
+                     job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
 }
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -109,7 +109,7 @@
 {
     SeenWorker *seen = seenWorker(checker, worker->name);
     const char *name = seen->worker.name;
-    shape_copy(&WorkerShape, worker, seen, &seen->worker);
+    shape_copy(&Worker_shape, worker, seen, &seen->worker);
     seen->worker.name = name; /* runs and claims point at it */
 }
 
@@ -153,7 +153,7 @@
 
 int64_t checkerStartedSince(Checker *checker, const char *worker)
 {
-    return checkerNow(checker) - seenWorker(checker, worker)->startedMs;
+    return checkerNow(checker) - seenWorker(checker, worker)->started_ms;
 }
 
 bool seenRunTake(SeenWorker *on, SeenTask *seen, uint64_t round)
@@ -192,10 +192,10 @@
 {
     const JobTask *task = &known->tasks[at];
     const StepSpec *step = &known->spec.steps[task->step];
-    const size_t first = step->gang ? taskFirst(known, task) : at, count = step->gang ? (size_t)step->count : 1;
+    const size_t first = step->gang ? task_first(known, task) : at, count = step->gang ? (size_t)step->count : 1;
     bool any = false;
     for (size_t t = first; t < first + count && !any; t++)
-        any = is(seenTask(job, taskNumber(&known->tasks[t])));
+        any = is(seenTask(job, task_number(&known->tasks[t])));
     return any;
 }
 
@@ -301,7 +301,7 @@
 void checkerFault(Checker *checker)
 {
     checker->faultMs = checkerNow(checker);
-    checker->startedMs = 0;
+    checker->started_ms = 0;
     void *mem = talloc_new(NULL);
     const char **names;
     const size_t count = map_keys(checker->entries, mem, &names);
@@ -349,7 +349,7 @@
         checkerBroke(checker, NEVER_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
     if (strcmp(phase, "done") != 0)
         return;
-    for (size_t t = 0; known != NULL && t < known->tasksCount; t++)
+    for (size_t t = 0; known != NULL && t < known->tasks_count; t++)
         if (!seenDone(known, job, t))
             checkerBroke(checker, NEVER_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
 }
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -45,7 +45,7 @@
     SeenClaim *claims;
     bool done; /* a worker finished it well */
     bool doneKnown;
-    int64_t startedMs;
+    int64_t started_ms;
 } SeenTask;
 
 typedef struct SeenJob {
@@ -61,8 +61,8 @@
 typedef struct SeenWorker {
     Worker worker;
     Room used;
-    int64_t leavingMs; /* 0: not */
-    int64_t startedMs; /* 0: never */
+    int64_t leavingMs;  /* 0: not */
+    int64_t started_ms; /* 0: never */
     size_t starts;
     int64_t claimUntilMs; /* by the questions it sent that were answered */
 } SeenWorker;
@@ -96,8 +96,8 @@
     bool planGone; /* the process that planned under planEpoch has ended */
     Map *epochs;   /* every epoch that planned, to its leader */
     uint64_t revision;
-    int64_t faultMs;   /* the last failure brought about; 0: none */
-    int64_t startedMs; /* the first start since then; 0: none yet */
+    int64_t faultMs;    /* the last failure brought about; 0: none */
+    int64_t started_ms; /* the first start since then; 0: none yet */
     int64_t worstMs[SERVE_COUNT];
     size_t starts, resumes;
     size_t broken[NEVER_COUNT];
