--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -47,17 +47,17 @@
     if (known == NULL)
         return;
     /* a gang's tasks stand one after another, for each turn and step */
-    for (size_t first = 0; first < known->tasksCount;) {
+    for (size_t first = 0; first < known->tasks_count;) {
         const StepSpec *step = &known->spec.steps[known->tasks[first].step];
         const size_t end = first + (size_t)step->count;
         size_t running = 0, ever = 0;
         int64_t newestMs = 0;
         for (size_t t = first; t < end && step->gang; t++) {
-            const SeenTask *task = seenTask(job, taskNumber(&known->tasks[t]));
+            const SeenTask *task = seenTask(job, task_number(&known->tasks[t]));
             running += task->runs != NULL;
             ever += task->runs != NULL || task->done;
-            if (task->startedMs > newestMs)
-                newestMs = task->startedMs;
+            if (task->started_ms > newestMs)
+                newestMs = task->started_ms;
         }
         if (running > 0 && ever < step->count && checkerDebtMs(checker, newestMs) > GANG_LATE_MS)
             checkerBroke(checker, NEVER_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name, running,
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -51,7 +51,7 @@
 
 void checkerMustStart(Checker *checker)
 {
-    within(checker, "the fleet", SERVE_START, checker->startedMs);
+    within(checker, "the fleet", SERVE_START, checker->started_ms);
 }
 
 int64_t checkerWorstMs(const Checker *checker, Serve serve)
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -10,28 +10,28 @@
 static void specStart(Checker *checker, SeenJob *seen, const char *worker, uint64_t task)
 {
     const Job *job = checker->props.job(checker->props.arg, seen->id);
-    const size_t at = job != NULL ? taskIndex(job, task) : 0;
-    if (job == NULL || at == job->tasksCount)
+    const size_t at = job != NULL ? task_index(job, task) : 0;
+    if (job == NULL || at == job->tasks_count)
         return; /* nobody is left that knows it; other nevers speak of that */
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
-    for (size_t a = 0; a < step->afterCount; a++)
-        for (size_t t = 0; t < job->tasksCount; t++)
+    for (size_t a = 0; a < step->after_count; a++)
+        for (size_t t = 0; t < job->tasks_count; t++)
             if (strcmp(job->spec.steps[job->tasks[t].step].name, step->after[a]) == 0 &&
                 job->tasks[t].turn == job->tasks[at].turn && !seenDone(job, seen, t))
                 checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id, task,
                              t, step->after[a]);
-    if (job->spec.delayMs > 0 && seen->sent_ms != 0 && checkerNow(checker) < seen->sent_ms + job->spec.delayMs)
+    if (job->spec.delay_ms > 0 && seen->sent_ms != 0 && checkerNow(checker) < seen->sent_ms + job->spec.delay_ms)
         checkerBroke(checker, NEVER_TOO_EARLY,
                      "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
-                     task, checkerNow(checker) - seen->sent_ms, job->spec.delayMs);
+                     task, checkerNow(checker) - seen->sent_ms, job->spec.delay_ms);
     const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
-    const int64_t turn_ms = taskDueWallMs(job, &job->tasks[at]);
+    const int64_t turn_ms = task_due_wall_ms(job, &job->tasks[at]);
     if (turn_ms != 0 && wall_ms < turn_ms - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
                      task, turn_ms - wall_ms);
-    if (job->spec.dueWallMs != 0 && wall_ms < job->spec.dueWallMs - WALL_SLACK_MS)
+    if (job->spec.due_wall_ms != 0 && wall_ms < job->spec.due_wall_ms - WALL_SLACK_MS)
         checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id, task,
-                     job->spec.dueWallMs - wall_ms);
+                     job->spec.due_wall_ms - wall_ms);
     const Worker *on = &seenWorker(checker, worker)->worker;
     /* looked at here by itself: the planner's own look is what is being checked */
     bool able = step->kind[0] == '\0' || strcmp(step->kind, on->kind) == 0;
@@ -78,9 +78,9 @@
                          "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task, round,
                          worker, run->round, run->worker);
     }
-    const size_t at = known != NULL ? taskIndex(known, task) : 0;
+    const size_t at = known != NULL ? task_index(known, task) : 0;
     const bool finished =
-        !job->lasting && (known == NULL || at == known->tasksCount ? seen->doneKnown : seenDoneKnown(known, job, at));
+        !job->lasting && (known == NULL || at == known->tasks_count ? seen->doneKnown : seenDoneKnown(known, job, at));
     if (finished || job->ended)
         checkerBroke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, round,
                      worker);
@@ -94,25 +94,25 @@
     const SeenZone *zone = map_get(checker->zones, on->worker.zone);
     if (zone != NULL && zone->drainedMs != 0 && now_ms - zone->drainedMs > ZONE_LATE_MS)
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
-    on->startedMs = now_ms;
+    on->started_ms = now_ms;
     on->starts++;
     on->used = roomMore(on->used, room);
-    if (on->used.cpuMilli > on->worker.room.cpuMilli || on->used.memMb > on->worker.room.memMb)
+    if (on->used.cpu_milli > on->worker.room.cpu_milli || on->used.mem_mb > on->worker.room.mem_mb)
         checkerBroke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
-                     on->used.cpuMilli, on->used.memMb);
+                     on->used.cpu_milli, on->used.mem_mb);
     specStart(checker, job, worker, task);
     claimStart(checker, job, seen, task, on->worker.name, round, copies);
     if (known != NULL)
         quotaStart(checker, known, room);
-    if (checker->startedMs == 0)
-        checker->startedMs = now_ms;
+    if (checker->started_ms == 0)
+        checker->started_ms = now_ms;
     SeenRun *run = talloc_zero(seen, SeenRun);
     run->worker = on->worker.name;
     run->round = round;
     run->room = room;
     run->next = seen->runs;
     seen->runs = run;
-    seen->startedMs = now_ms;
+    seen->started_ms = now_ms;
     if (job->settled)
         map_set(checker->unsettled, id, job);
     job->settled = false;
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -56,7 +56,7 @@
     content->writeCount = 0;
 }
 
-static size_t usedOf(const SimMachine *machine)
+static size_t used_of(const SimMachine *machine)
 {
     const char **paths;
     void *mem = talloc_new(NULL);
@@ -73,7 +73,7 @@
 /* Whether the disk takes the bytes. */
 static bool takes(const SimMachine *machine, size_t count)
 {
-    return !machine->diskFails && (machine->diskRoom == 0 || usedOf(machine) + count <= machine->diskRoom);
+    return !machine->diskFails && (machine->diskRoom == 0 || used_of(machine) + count <= machine->diskRoom);
 }
 
 /* How much of a write that was broken off is there: all, nothing, or a beginning. */
@@ -244,7 +244,7 @@
 
 size_t sim_disk_used(const SimWorld *world, int machine)
 {
-    return usedOf(&world->machines[machine]);
+    return used_of(&world->machines[machine]);
 }
 
 void simDiskLie(SimWorld *world, int machine, bool lies)
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -42,7 +42,7 @@
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!node->up || node->core == NULL)
             continue;
-        const Job *job = tableJob(coreTable(node->core), id);
+        const Job *job = table_job(coreTable(node->core), id);
         if (job != NULL && (found == NULL || view_leading(coreView(node->core))))
             found = job;
     }
@@ -240,7 +240,7 @@
         return false;
     void *mem = talloc_new(NULL);
     const Worker **workers;
-    const size_t count = tableWorkers(coreTable(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
+    const size_t count = table_workers(coreTable(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
     talloc_free(mem);
     return count == (size_t)fleet->nodeCount[FLEET_WORKER];
 }
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -14,7 +14,7 @@
 
 typedef struct ProbeJob {
     char *id;
-    int64_t acceptedMs;
+    int64_t accepted_ms;
 } ProbeJob;
 
 typedef struct Probe {
@@ -83,7 +83,7 @@
     if (callAt(probe, probe->gate, mem, "GET", path, NULL, &call) == STATUS_OK &&
         (call.code == 200 || call.code == 404))
         checkerServed(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].props.name, SERVE_STATUS);
-    if (probe->openCount > 0 && sim_now_ms(fleet->world) - job.acceptedMs >= ASK_LATE_MS &&
+    if (probe->openCount > 0 && sim_now_ms(fleet->world) - job.accepted_ms >= ASK_LATE_MS &&
         callAt(probe, probe->gate + (int)(probe->count % (uint64_t)fleet->nodeCount[FLEET_GATE]), mem, "GET", path,
                NULL, &call) == STATUS_OK) {
         bool over = call.code == 404;
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -220,13 +220,13 @@
         const size_t count = callerJobs(fleet->callers[c], &jobs);
         size_t told = 0;
         for (size_t i = 0; i < count && told < TELL_MOST; i++) {
-            const Job *job = jobs[i]->endedMs == 0 && !jobs[i]->refused ? fleetJob(fleet, jobs[i]->id) : NULL;
-            if (jobs[i]->endedMs != 0 || jobs[i]->refused)
+            const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleetJob(fleet, jobs[i]->id) : NULL;
+            if (jobs[i]->ended_ms != 0 || jobs[i]->refused)
                 continue;
             told++;
-            printf("open: %s accepted %" PRId64 " %s\n", jobs[i]->id, jobs[i]->acceptedMs, job ? "" : "not known");
-            for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
-                printf("  task %zu %s round %" PRIu64 " on %s: %s\n", t, taskPhaseWord(job->tasks[t].phase),
+            printf("open: %s accepted %" PRId64 " %s\n", jobs[i]->id, jobs[i]->accepted_ms, job ? "" : "not known");
+            for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
+                printf("  task %zu %s round %" PRIu64 " on %s: %s\n", t, task_phase_word(job->tasks[t].phase),
                        job->tasks[t].round, job->tasks[t].worker, job->tasks[t].text);
         }
     }
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -164,10 +164,10 @@
     operator->body =
         talloc_asprintf(operator, "{\"cells\":{\"imagery\":{\"tenants\":{\"bounded\":{\"quota\":{\"cpu\":%" PRIu64
                                   ",\"memMb\":0}}}}}}",
-                                  operator->room.cpuMilli / 1000);
+                                  operator->room.cpu_milli / 1000);
     operatorSend(operator);
     operatorWait(operator);
-    sweepSay(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->room.cpuMilli,
+    sweepSay(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->room.cpu_milli,
              base, operator->code);
 }
 
@@ -179,7 +179,7 @@
     if (count == 0)
         return;
     const CallerJob *job = jobs[count - 1 - sweepDraw(sweep, count < 10 ? count : 10)];
-    if (job->acceptedMs == 0 || job->endedMs != 0)
+    if (job->accepted_ms == 0 || job->ended_ms != 0)
         return;
     void *mem = talloc_new(NULL);
     const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, (int)sweepDraw(sweep, 3), "DELETE",
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -110,11 +110,11 @@
     int64_t *times = talloc_array(NULL, int64_t, (unsigned)count + 1);
     size_t n = 0;
     for (size_t i = 0; i < count; i++)
-        if (jobs[i]->acceptedMs != 0) {
+        if (jobs[i]->accepted_ms != 0) {
             size_t at = n++;
-            for (; at > 0 && times[at - 1] > jobs[i]->acceptedMs; at--)
+            for (; at > 0 && times[at - 1] > jobs[i]->accepted_ms; at--)
                 times[at] = times[at - 1];
-            times[at] = jobs[i]->acceptedMs;
+            times[at] = jobs[i]->accepted_ms;
         }
     int64_t gapMs = 0;
     for (size_t i = 1; i < n; i++)
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -174,7 +174,7 @@
                                .labels = labels,
                                .labelsCount = 1,
                                .excluded = true};
-        shape_pack(&WorkerShape, &worker, mem, &payload);
+        shape_pack(&Worker_shape, &worker, mem, &payload);
         view_offer(viewOf(fleet, fleetLeader(fleet)), CHANGE_WORKER_SET, payload);
         fleetRun(fleet, 100);
     }
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -52,13 +52,13 @@
     static const char *after[] = {"one"};
     steps[0] = (StepSpec){.name = "one", .count = 1, .room = {1000, 10, 0}, .kind = "std"};
     steps[1] = (StepSpec){
-        .name = "two", .count = 2, .gang = true, .room = {1000, 10, 0}, .kind = "", .after = after, .afterCount = 1};
+        .name = "two", .count = 2, .gang = true, .room = {1000, 10, 0}, .kind = "", .after = after, .after_count = 1};
     tasks[0] = (JobTask){.step = 0, .worker = "", .text = "", .shunned = ""};
     tasks[1] = tasks[2] = (JobTask){.step = 1, .worker = "", .text = "", .shunned = ""};
     tasks[2].at = 1;
-    job = (Job){.spec = {.id = "j", .cell = "c", .tenant = "t", .steps = steps, .stepsCount = 2},
+    job = (Job){.spec = {.id = "j", .cell = "c", .tenant = "t", .steps = steps, .steps_count = 2},
                 .tasks = tasks,
-                .tasksCount = 3};
+                .tasks_count = 3};
     now_ms = 1000;
     standsStill = false;
     for (int i = 1; i <= 3; i++) {
@@ -132,8 +132,8 @@
     c = begin(), job.spec.lasting = true, checkerAccepted(c, "j"), checkerJobEnded(c, "j", "failed"),
     only(c, NEVER_FORGOTTEN);
     /* turns by their own due times */
-    c = begin(), job.spec.firstWallMs = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.firstWallMs = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.first_wall_ms = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
 
     c = begin(), checkerRefused(c, "x"), checkerStarted(c, "w1", "x", 0, 1, ONE), only(c, NEVER_REFUSED_RAN);
     c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerRefused(c, "x"), only(c, NEVER_REFUSED_RAN);
@@ -178,12 +178,12 @@
     c = begin(), checkerHeld(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
 
     /* due times and delays */
-    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, now_ms += 400, checkerStarted(c, "w1", "j", 0, 1, ONE);
+    c = begin(), checkerSent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checkerStarted(c, "w1", "j", 0, 1, ONE);
     only(c, NEVER_TOO_EARLY);
-    c = begin(), checkerSent(c, "j"), job.spec.delayMs = 500, now_ms += 500, checkerStarted(c, "w1", "j", 0, 1, ONE),
+    c = begin(), checkerSent(c, "j"), job.spec.delay_ms = 500, now_ms += 500, checkerStarted(c, "w1", "j", 0, 1, ONE),
     good(c);
-    c = begin(), job.spec.dueWallMs = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.dueWallMs = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.due_wall_ms = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
 
     /* configurations by their effect */
     c = begin(), checkerTenant(c, "g", TENANT_IN), now_ms += 2000, checkerProbe(c, "g", now_ms, true), good(c);
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -28,8 +28,8 @@
         const Job *job = fleetJob(fleet, talloc_asprintf((void *)(uintptr_t)fleet, "%s-urgent-%d", name, i));
         if (job == NULL)
             continue;
-        assert_true(job->tasks[0].startedMs > 0);
-        spans[count++] = job->tasks[0].startedMs - job->acceptedMs;
+        assert_true(job->tasks[0].started_ms > 0);
+        spans[count++] = job->tasks[0].started_ms - job->accepted_ms;
     }
     assert_true(count > 100);
     qsort(spans, count, sizeof(*spans), order);
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -65,9 +65,9 @@
     const Job *job = fleetJob(fleet, "one");
     assert_non_null(job);
     assert_string_equal(job->spec.queue, "sweeps");
-    assert_int_equal(job->terms.roundLimit, 2);
-    assert_int_equal(job->terms.stretchMilli, 2500);
-    assert_int_equal(job->terms.targetMs, 900);
+    assert_int_equal(job->terms.round_limit, 2);
+    assert_int_equal(job->terms.stretch_milli, 2500);
+    assert_int_equal(job->terms.target_ms, 900);
     /* the same again, elsewhere, by ?host=, and under the longer prefix: one job */
     assert_int_equal(ask(fleet, 1, "POST", "/v1/entry/sweeps/one", BODY(4000), NULL), 200);
     assert_int_equal(ask(fleet, 2, "POST", "/v1/entry/sweeps/now/one", BODY(4000), NULL), 200);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -117,7 +117,7 @@
         JobSpec spec;
         if (jobRead(faults, text, count, &spec)) {
             assert_true(strlen(spec.id) >= 1 && strlen(spec.id) <= ID_MAX);
-            assert_true(spec.stepsCount >= 1 && spec.stepsCount <= JOB_STEPS_MAX);
+            assert_true(spec.steps_count >= 1 && spec.steps_count <= JOB_STEPS_MAX);
             good++;
         } else {
             typed(faults);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -199,8 +199,8 @@
     for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
         next_ms = sim_now_ms(fleet->world);
         for (size_t i = 0; i < count; i++)
-            if (jobs[i]->acceptedMs - offsetMs > at_ms && jobs[i]->acceptedMs - offsetMs < next_ms)
-                next_ms = jobs[i]->acceptedMs - offsetMs;
+            if (jobs[i]->accepted_ms - offsetMs > at_ms && jobs[i]->accepted_ms - offsetMs < next_ms)
+                next_ms = jobs[i]->accepted_ms - offsetMs;
         worst = next_ms - at_ms > worst ? next_ms - at_ms : worst;
     }
     return worst;
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -48,16 +48,16 @@
 {
     const Job *job = fleetJob(fleet, id);
     size_t count = 0;
-    for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
+    for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == phase;
     return count;
 }
 
-static size_t onWorker(const Fleet *fleet, const char *id, const char *worker)
+static size_t on_worker(const Fleet *fleet, const char *id, const char *worker)
 {
     const Job *job = fleetJob(fleet, id);
     size_t count = 0;
-    for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
+    for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += strcmp(job->tasks[t].worker, worker) == 0;
     return count;
 }
@@ -72,7 +72,7 @@
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
     fleetRun(fleet, 1000);
-    const size_t stuck = onWorker(fleet, "a", "worker1");
+    const size_t stuck = on_worker(fleet, "a", "worker1");
     assert_true(stuck > 0);
     fleetRun(fleet, 6000);
     assert_int_equal(inPhase(fleet, "a", TASK_DONE), 24);
@@ -95,7 +95,7 @@
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":4000}}");
     fleetRun(fleet, 1000);
-    assert_true(onWorker(fleet, "a", "worker2") > 0);
+    assert_true(on_worker(fleet, "a", "worker2") > 0);
     fleetRun(fleet, 9000); /* 32 s where they began */
     assert_int_equal(inPhase(fleet, "a", TASK_DONE), 24);
     end(fleet);
@@ -111,7 +111,7 @@
     fleetRun(fleet, 8000);
     assert_int_equal(inPhase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleetJob(fleet, "a");
-    for (size_t i = 0; i < job->tasksCount; i++)
+    for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].round, 1);
     end(fleet);
 }
@@ -133,7 +133,7 @@
     fleetRun(fleet, 13000);
     assert_int_equal(inPhase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleetJob(fleet, "a");
-    for (size_t i = 0; i < job->tasksCount; i++)
+    for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].round, 1);
     end(fleet);
 }
@@ -151,7 +151,7 @@
         for (int w = 1; w <= 6; w++) {
             char name[16];
             snprintf(name, sizeof(name), "worker%d", w);
-            assert_true(onWorker(fleet, "a", name) <= 2);
+            assert_true(on_worker(fleet, "a", name) <= 2);
         }
         if (i == 6)
             assert_int_equal(inPhase(fleet, "a", TASK_RUNNING), 12);
@@ -163,7 +163,7 @@
 
 static const char *rackOf(const Fleet *fleet, const char *worker)
 {
-    const Worker *its = tableWorker(coreTable(fleet->nodes[FLEET_CORE][fleetLeader(fleet)].core), worker);
+    const Worker *its = table_worker(coreTable(fleet->nodes[FLEET_CORE][fleetLeader(fleet)].core), worker);
     return its != NULL ? its->rack : "";
 }
 
@@ -171,7 +171,7 @@
 {
     const Job *job = fleetJob(fleet, id);
     size_t count = 0;
-    for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
+    for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += strcmp(rackOf(fleet, job->tasks[t].worker), rack) == 0;
     return count;
 }
@@ -194,7 +194,7 @@
     fleetRun(fleet, 500);
     assert_true(onRack(fleet, "gang", "rack0") == 4 || onRack(fleet, "gang", "rack1") == 4);
     const Job *gang = fleetJob(fleet, "gang");
-    for (size_t i = 1; i < gang->tasksCount; i++)
+    for (size_t i = 1; i < gang->tasks_count; i++)
         assert_int_equal(gang->tasks[i].round, gang->tasks[0].round);
     /* rack1 holds 24 of these at most: the others take the longer way within two seconds */
     hand(
@@ -250,13 +250,13 @@
         fleet, "short", "bulk",
         "{\"name\":\"a\",\"count\":12,\"apart\":2,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
     fleetRun(fleet, 1500);
-    assert_int_equal(onWorker(fleet, "long", "worker1"), 1);
-    assert_int_equal(onWorker(fleet, "short", "worker1"), 2);
+    assert_int_equal(on_worker(fleet, "long", "worker1"), 1);
+    assert_int_equal(on_worker(fleet, "short", "worker1"), 2);
     standWorkerLeaveIn(fleetNode(fleet, FLEET_WORKER, 0)->worker, 4000);
     fleetRun(fleet, 2500);
-    assert_int_equal(onWorker(fleet, "long", "worker1"), 0);
+    assert_int_equal(on_worker(fleet, "long", "worker1"), 0);
     const Job *job = fleetJob(fleet, "short");
-    for (size_t i = 0; i < job->tasksCount; i++) {
+    for (size_t i = 0; i < job->tasks_count; i++) {
         assert_int_equal(job->tasks[i].round, 1);
         assert_int_equal(job->tasks[i].phase, TASK_DONE);
     }
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -47,7 +47,7 @@
 {
     const Job *job = fleetJob(fleet, id);
     size_t count = 0;
-    for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
+    for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == phase;
     return count;
 }
@@ -165,7 +165,7 @@
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     char id[32];
-    int64_t startedMs = 0, bothMs = 0;
+    int64_t started_ms = 0, bothMs = 0;
     const int64_t from_ms = sim_now_ms(fleet->world);
     for (int i = 0; i < 120 && bothMs == 0; i++) {
         snprintf(id, sizeof(id), "small%d", i);
@@ -181,13 +181,13 @@
         }
         fleetRun(fleet, 900);
         const Job *big = fleetJob(fleet, "big"), *gang = fleetJob(fleet, "gang");
-        if (startedMs == 0 && big != NULL && big->tasks[0].startedMs != 0)
-            startedMs = sim_now_ms(fleet->world) - from_ms;
-        if (gang != NULL && gang->tasks[0].startedMs != 0 && gang->tasks[1].startedMs != 0)
+        if (started_ms == 0 && big != NULL && big->tasks[0].started_ms != 0)
+            started_ms = sim_now_ms(fleet->world) - from_ms;
+        if (gang != NULL && gang->tasks[0].started_ms != 0 && gang->tasks[1].started_ms != 0)
             bothMs = sim_now_ms(fleet->world) - from_ms;
     }
-    print_message("big started after %lld ms, the gang after %lld ms\n", (long long)startedMs, (long long)bothMs);
-    assert_true(startedMs > 0 && startedMs < 40000);
+    print_message("big started after %lld ms, the gang after %lld ms\n", (long long)started_ms, (long long)bothMs);
+    assert_true(started_ms > 0 && started_ms < 40000);
     assert_true(bothMs > 0);
     end(fleet);
 }
@@ -279,7 +279,7 @@
     const Worker *at[3];
     const Table *table = coreTable(fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->core);
     for (int i = 0; i < 3; i++)
-        at[i] = tableWorker(table, job->tasks[i].worker);
+        at[i] = table_worker(table, job->tasks[i].worker);
     for (int i = 0; i < 3; i++)
         for (int k = 0; k < i; k++) {
             assert_string_not_equal(at[i]->zone, at[k]->zone);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -69,10 +69,10 @@
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
     const Table *table = coreTable(fleet->nodes[FLEET_CORE][leader].core);
-    const Job *known = tableJob(table, "known");
+    const Job *known = table_job(table, "known");
     Job *const *jobs;
-    return talloc_asprintf(mem, "jobs %zu, ending %d, zone %d %lld, %s", tableJobs(table, &jobs), (int)known->ending,
-                           tableDrained(table, "west"), (long long)tableDrainStamp(table, "west"), history);
+    return talloc_asprintf(mem, "jobs %zu, ending %d, zone %d %lld, %s", table_jobs(table, &jobs), (int)known->ending,
+                           table_drained(table, "west"), (long long)table_drain_stamp(table, "west"), history);
 }
 
 static Handed *request(Fleet *fleet, const Row *row)
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -35,14 +35,14 @@
 {
     const Job *job = fleetJob(fleet, "s");
     assert_non_null(job);
-    assert_true(taskOnWorker(job->tasks[0].phase));
+    assert_true(task_on_worker(job->tasks[0].phase));
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
         if (strcmp(fleetNode(fleet, FLEET_WORKER, i)->props.name, job->tasks[0].worker) == 0)
             return i;
     return -1;
 }
 
-static int64_t endedMs(Fleet *fleet)
+static int64_t ended_ms(Fleet *fleet)
 {
     for (int i = 0; i < 300; i++) {
         const Job *job = fleetJob(fleet, "s");
@@ -64,7 +64,7 @@
     fleetPowerOff(fleet, FLEET_WORKER, at);
     const int64_t offMs = sim_now_ms(fleet->world);
     /* the hold, and what is left: not the whole again */
-    assert_in_range(endedMs(fleet) - offMs, 1, HOLD_MS + 4500);
+    assert_in_range(ended_ms(fleet) - offMs, 1, HOLD_MS + 4500);
     assert_int_equal(checkerResumes(fleet->checker), 1);
     assert_int_equal(checkerBrokenAll(fleet->checker), 0);
     talloc_free(fleet);
@@ -83,7 +83,7 @@
     fleetPowerOff(fleet, FLEET_AGENT, at);
     fleetPowerOff(fleet, FLEET_WORKER, at);
     const int64_t offMs = sim_now_ms(fleet->world);
-    assert_in_range(endedMs(fleet) - offMs, 1, HOLD_MS + 4500);
+    assert_in_range(ended_ms(fleet) - offMs, 1, HOLD_MS + 4500);
     assert_int_equal(checkerResumes(fleet->checker), 1);
     assert_int_equal(checkerBrokenAll(fleet->checker), 0);
     talloc_free(fleet);
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -21,7 +21,7 @@
 {
     const Job *job = fleetJob(fleet, "g");
     size_t count = 0;
-    for (size_t t = 0; job != NULL && t < job->tasksCount; t++)
+    for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == TASK_RUNNING;
     return count;
 }
@@ -69,8 +69,8 @@
     job = fleetJob(fleet, "g");
     assert_non_null(job);
     if (running(fleet) != 2)
-        fail_msg("%zu of 2 run: %s, %s", running(fleet), taskPhaseWord(job->tasks[0].phase),
-                 taskPhaseWord(job->tasks[1].phase));
+        fail_msg("%zu of 2 run: %s, %s", running(fleet), task_phase_word(job->tasks[0].phase),
+                 task_phase_word(job->tasks[1].phase));
     assert_true(job->tasks[0].round > round);
     assert_int_equal(job->tasks[0].round, job->tasks[1].round);
     fleetRun(fleet, 30000);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -33,7 +33,7 @@
     Record change = {.change = kind, .index = ++stand->index, .at_ms = view_clock_ms(stand->core->view)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ViewState state = tableState(stand->core->table);
+    const ViewState state = table_state(stand->core->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
 }
@@ -43,7 +43,7 @@
     return talloc_asprintf(mem, "worker%05zu", at);
 }
 
-static void workersAdd(Stand *stand, size_t count, uint64_t cpuMilli)
+static void workersAdd(Stand *stand, size_t count, uint64_t cpu_milli)
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++) {
@@ -51,8 +51,8 @@
                                .zone = talloc_asprintf(mem, "zone%zu", i % 3),
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
-                               .room = {cpuMilli, 262144, 0}};
-        tell(stand, CHANGE_WORKER_SET, &WorkerShape, &worker);
+                               .room = {cpu_milli, 262144, 0}};
+        tell(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
         const BeatAsk beat = {
             .agent = worker.name, .incarnation = 1, .number = 1, .worker = worker, .workerLive = true, .settled = true};
         bool counts;
@@ -61,21 +61,26 @@
     talloc_free(mem);
 }
 
-static void jobAdd(Stand *stand, uint64_t tasks, uint64_t cpuMilli)
+static void job_add(Stand *stand, uint64_t tasks, uint64_t cpu_milli)
 {
     char id[32];
     snprintf(id, sizeof(id), "%016llx", (unsigned long long)++stand->jobs);
-    StepSpec step = {
-        .name = "0", .count = tasks, .room = {cpuMilli, 512, 0}, .kind = "", .payload = "", .near = "", .estMs = 3000};
+    StepSpec step = {.name = "0",
+                     .count = tasks,
+                     .room = {cpu_milli, 512, 0},
+                     .kind = "",
+                     .payload = "",
+                     .near = "",
+                     .est_ms = 3000};
     const JobAdd add = {{.id = id,
                          .cell = "all",
                          .tenant = "all",
                          .queue = stand->jobs % 3 == 0 ? "a" : "b",
-                         .roundLimit = 3,
+                         .round_limit = 3,
                          .steps = &step,
-                         .stepsCount = 1},
-                        {.stretchMilli = 2000, .targetMs = 2000, .kind = "std"}};
-    tell(stand, CHANGE_JOB_ADD, &JobAddShape, &add);
+                         .steps_count = 1},
+                        {.stretch_milli = 2000, .target_ms = 2000, .kind = "std"}};
+    tell(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
 }
 
 static Pass *pass(Stand *stand)
@@ -91,10 +96,10 @@
     size_t placed = 0, more = 1;
     while (more > 0) {
         Pass *one = pass(stand);
-        more = one->places.placementsCount;
+        more = one->places.placements_count;
         placed += more;
         if (more > 0)
-            tell(stand, CHANGE_PLACE, &PlaceListShape, &one->places);
+            tell(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
         talloc_free(one);
     }
     return placed;
@@ -114,8 +119,8 @@
     core->props = props;
     sim_start(world, sim_machine(world), started, &core->loop);
     core->ring = ring_new(core, "bench");
-    core->table = tableNew(core);
-    const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = tableState(core->table)};
+    core->table = table_new(core);
+    const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = table_state(core->table)};
     core->view = view_new(core, &viewProps);
     core->liveset = livesetNew(core);
     core->saved = map_new(core);
@@ -130,7 +135,7 @@
         .revision = 1,
         .text =
             "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}"};
-    tell(&stand, CHANGE_CONFIG_SET, &ConfigSetShape, &set);
+    tell(&stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
     workersAdd(&stand, WORKERS * times, 64000);
     return stand;
 }
@@ -141,21 +146,21 @@
     Stand stand = standNew(mem, times);
     const bool crowded = waiting > 0;
     for (size_t i = 0; i < WORKERS * times * EACH / 9; i++)
-        jobAdd(&stand, 9, crowded ? 64000 / EACH : 1000);
+        job_add(&stand, 9, crowded ? 64000 / EACH : 1000);
     const size_t running = settle(&stand);
     for (size_t i = 0; i < waiting; i++)
-        jobAdd(&stand, 4, 6000 + i % 7 * 1000);
+        job_add(&stand, 4, 6000 + i % 7 * 1000);
     double passes = 0;
     size_t starts = 0;
     for (int i = 0; i < rounds; i++) {
         for (int k = 0; k < 2 && !crowded; k++)
-            jobAdd(&stand, 4, 100);
+            job_add(&stand, 4, 100);
         const double start = seconds();
         Pass *one = pass(&stand);
         passes += seconds() - start;
-        starts += one->places.placementsCount;
-        if (one->places.placementsCount > 0)
-            tell(&stand, CHANGE_PLACE, &PlaceListShape, &one->places);
+        starts += one->places.placements_count;
+        if (one->places.placements_count > 0)
+            tell(&stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
         talloc_free(one);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", WORKERS * times, running, waiting,
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -57,10 +57,10 @@
     const char *text = mixJob(job, replay->mix, kind, id, 0);
     if (!jobRead(faults, text, strlen(text), &job->spec))
         return NULL;
-    for (size_t s = 0; s < job->spec.stepsCount; s++)
+    for (size_t s = 0; s < job->spec.steps_count; s++)
         for (uint64_t k = 0; k < job->spec.steps[s].count; k++) {
-            job->tasks = talloc_realloc(job, job->tasks, JobTask, (unsigned)(job->tasksCount + 1));
-            job->tasks[job->tasksCount++] = (JobTask){.step = s, .at = k, .worker = "", .text = "", .shunned = ""};
+            job->tasks = talloc_realloc(job, job->tasks, JobTask, (unsigned)(job->tasks_count + 1));
+            job->tasks[job->tasks_count++] = (JobTask){.step = s, .at = k, .worker = "", .text = "", .shunned = ""};
         }
     map_set(replay->jobs, id, job);
     return job;
@@ -82,19 +82,19 @@
         checkerPlans(checker, line->who, strtoull(line->more, NULL, 10));
     } else if (strcmp(line->what, "worker") == 0) {
         Worker worker = {.name = line->who, .zone = line->job, .rack = "", .kind = "std"};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.room.cpuMilli, &worker.room.memMb);
+        sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.room.cpu_milli, &worker.room.mem_mb);
         checkerWorker(checker, &worker);
         checkerLeaving(checker, line->who, false);
     } else if (strcmp(line->what, "leaving") == 0) {
         checkerLeaving(checker, line->who, true);
     } else if (strcmp(line->what, "started") == 0) {
         Room room = {0};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &room.cpuMilli, &room.memMb);
+        sscanf(line->more, "%" SCNu64 " %" SCNu64, &room.cpu_milli, &room.mem_mb);
         checkerStarted(checker, line->who, line->job, line->task, line->round, room);
     } else if (strcmp(line->what, "ended") == 0) {
-        checkerEnded(checker, line->who, line->job, line->task, line->round, roundOfWord(line->more));
+        checkerEnded(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
     } else if (strcmp(line->what, "known") == 0) {
-        checkerKnown(checker, line->who, line->job, line->task, line->round, roundOfWord(line->more));
+        checkerKnown(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
     } else if (strcmp(line->what, "booted") == 0) {
         checkerBooted(checker, line->who);
     } else if (strcmp(line->what, "held") == 0) {
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -61,8 +61,8 @@
 typedef struct CallerJob {
     const char *id;
     MixClass kind;
-    int64_t wall_ms;                                 /* when it was first sent */
-    int64_t sent_ms, acceptedMs, startedMs, endedMs; /* own clock; 0: not yet */
+    int64_t wall_ms;                                    /* when it was first sent */
+    int64_t sent_ms, accepted_ms, started_ms, ended_ms; /* own clock; 0: not yet */
     uint64_t sends;
     bool refused, cancelled;
     char phase[16];
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -65,7 +65,7 @@
         const bool refused = status == STATUS_OK && call.code >= 400 && call.code < 500;
         talloc_free(mem);
         if (taken) {
-            job->acceptedMs = loop_now_ms(caller->loop);
+            job->accepted_ms = loop_now_ms(caller->loop);
             if (caller->props.watch.accepted != NULL)
                 caller->props.watch.accepted(caller->props.watch.arg, job->id);
             return true;
@@ -105,14 +105,14 @@
     json_object *value;
     if (body != NULL && json_object_object_get_ex(body, "phase", &value))
         snprintf(job->phase, sizeof(job->phase), "%s", json_object_get_string(value));
-    if (body != NULL && job->startedMs == 0 && json_object_object_get_ex(body, "tasks", &value))
+    if (body != NULL && job->started_ms == 0 && json_object_object_get_ex(body, "tasks", &value))
         for (size_t i = 0; i < json_object_array_length(value); i++) {
             json_object *started, *accepted;
             if (json_object_object_get_ex(json_object_array_get_idx(value, i), "startedMs", &started) &&
                 json_object_object_get_ex(body, "acceptedMs", &accepted)) {
                 const int64_t spanMs = json_object_get_int64(started) - json_object_get_int64(accepted);
-                if (job->startedMs == 0 || job->acceptedMs + spanMs < job->startedMs)
-                    job->startedMs = job->acceptedMs + spanMs;
+                if (job->started_ms == 0 || job->accepted_ms + spanMs < job->started_ms)
+                    job->started_ms = job->accepted_ms + spanMs;
             }
         }
     (void)caller;
@@ -124,7 +124,7 @@
 {
     Caller *caller = following->caller;
     CallerJob *job = following->job;
-    const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->acceptedMs >= LASTING_FOR_MS;
+    const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->accepted_ms >= LASTING_FOR_MS;
     if (job->cancelled || (!due && !caller->gaveUp))
         return;
     void *mem = talloc_new(caller);
@@ -145,7 +145,7 @@
     CallerJob *job = following->job;
     if (submit(following)) {
         int64_t wait_ms = 400;
-        while (!loop_stopping(caller->loop) && job->endedMs == 0) {
+        while (!loop_stopping(caller->loop) && job->ended_ms == 0) {
             loop_sleep(caller->loop, wait_ms);
             wait_ms = wait_ms < 1500 ? wait_ms + 200 : wait_ms;
             cancelMaybe(following);
@@ -157,7 +157,7 @@
             if (status == STATUS_OK && call.code == 200) {
                 look(caller, job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
                 if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0) {
-                    job->endedMs = loop_now_ms(caller->loop);
+                    job->ended_ms = loop_now_ms(caller->loop);
                     if (caller->props.watch.ended != NULL)
                         caller->props.watch.ended(caller->props.watch.arg, job->id, job->phase);
                 }
@@ -165,7 +165,7 @@
                 if (caller->props.watch.unknown != NULL)
                     caller->props.watch.unknown(caller->props.watch.arg, job->id);
                 snprintf(job->phase, sizeof(job->phase), "unknown");
-                job->endedMs = loop_now_ms(caller->loop);
+                job->ended_ms = loop_now_ms(caller->loop);
             }
             talloc_free(mem);
         }
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -57,8 +57,8 @@
 /* What is done by now, in steps of saveMs; at a stop, all of it. */
 static void runSave(Run *run, bool all)
 {
-    const int64_t ranMs = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
-    int64_t doneMs = run->from_ms + ranMs;
+    const int64_t ran_ms = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
+    int64_t doneMs = run->from_ms + ran_ms;
     if (!all)
         doneMs -= doneMs % run->saveMs;
     if (run->saveMs > 0 && doneMs > run->from_ms)
@@ -111,8 +111,8 @@
 /* How far it has come. */
 static int64_t percentOf(const Run *run)
 {
-    const int64_t wholeMs = run->endMs - run->beganMs, ranMs = loop_now_ms(run->worker->loop) - run->beganMs;
-    return wholeMs <= 0 || ranMs >= wholeMs ? 100 : (int64_t)((double)ranMs * 100 / (double)wholeMs);
+    const int64_t wholeMs = run->endMs - run->beganMs, ran_ms = loop_now_ms(run->worker->loop) - run->beganMs;
+    return wholeMs <= 0 || ran_ms >= wholeMs ? 100 : (int64_t)((double)ran_ms * 100 / (double)wholeMs);
 }
 
 static Run *runFind(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
@@ -245,15 +245,15 @@
     json_object *body = showWorker(self);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
-    Room used = self->room.cpuMilli ? worker->props.others : (Room){0};
+    Room used = self->room.cpu_milli ? worker->props.others : (Room){0};
     for (const Run *run = worker->runs; run != NULL; run = run->next)
         if (!run->ended) {
-            used.cpuMilli += run->room.cpuMilli;
-            used.memMb += run->room.memMb;
+            used.cpu_milli += run->room.cpu_milli;
+            used.mem_mb += run->room.mem_mb;
             used.gpu += run->room.gpu;
         }
-    const Room free = {self->room.cpuMilli > used.cpuMilli ? self->room.cpuMilli - used.cpuMilli : 0,
-                       self->room.memMb > used.memMb ? self->room.memMb - used.memMb : 0,
+    const Room free = {self->room.cpu_milli > used.cpu_milli ? self->room.cpu_milli - used.cpu_milli : 0,
+                       self->room.mem_mb > used.mem_mb ? self->room.mem_mb - used.mem_mb : 0,
                        self->room.gpu > used.gpu ? self->room.gpu - used.gpu : 0};
     json_object_object_add(body, "free", showRoom(free));
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
@@ -276,7 +276,7 @@
         if (!run->ended)
             json_object_object_add(one, "percent", json_object_new_int64(percentOf(run)));
         if (run->ended)
-            json_object_object_add(one, "word", json_object_new_string(roundWord(run->word)));
+            json_object_object_add(one, "word", json_object_new_string(round_word(run->word)));
         json_object_array_add(run->ended ? ended : running, one);
     }
     json_object_object_add(body, "running", running);
@@ -337,7 +337,7 @@
     StandWorker *worker = talloc_zero(mem, StandWorker);
     worker->loop = loop;
     worker->props = *props;
-    shape_copy(&WorkerShape, &props->worker, worker, &worker->props.worker);
+    shape_copy(&Worker_shape, &props->worker, worker, &worker->props.worker);
     worker->props.agent = talloc_strdup(worker, props->agent);
     worker->highest = map_new(worker);
     snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loop_random(loop));
--- a/packages/table/include/table/change.h
+++ b/packages/table/include/table/change.h
@@ -112,7 +112,7 @@
     X(I64, base, 0)
 SHAPE(ZoneDrain, ZONE_DRAIN_FIELDS)
 
-#define FORGET_FIELDS(X) X(I64, beforeMs, 0)
+#define FORGET_FIELDS(X) X(I64, before_ms, 0)
 SHAPE(Forget, FORGET_FIELDS)
 
 #endif
--- a/packages/table/include/table/deliverconfig.h
+++ b/packages/table/include/table/deliverconfig.h
@@ -5,6 +5,6 @@
 
 /* Two calls that build on one revision: the one delivered first wins. The result's
  * number is the revision that the call brought, or else the current one. */
-void deliverConfig(Revisions *revisions, const ConfigSet *set, ChangeResult *result);
+void deliver_config(Revisions *revisions, const ConfigSet *set, ChangeResult *result);
 
 #endif
--- a/packages/table/include/table/revisions.h
+++ b/packages/table/include/table/revisions.h
@@ -32,31 +32,31 @@
 typedef struct Revisions {
     Revision *rows;
     size_t count, whole;
-    size_t keep;       /* so many can at least be read back, as far as the bytes allow */
-    size_t known;      /* of so many at least the calls are known, when they are sent again; >= keep */
-    size_t bytes;      /* of the texts from whole on ... */
-    size_t wholeBytes; /* ... and of the whole one's */
+    size_t keep;        /* so many can at least be read back, as far as the bytes allow */
+    size_t known;       /* of so many at least the calls are known, when they are sent again; >= keep */
+    size_t bytes;       /* of the texts from whole on ... */
+    size_t whole_bytes; /* ... and of the whole one's */
 } Revisions;
 
-Revisions *revisionsNew(void *mem, size_t keep, size_t known);
+Revisions *revisions_new(void *mem, size_t keep, size_t known);
 /* 0: none yet. */
-uint64_t revisionsNewest(const Revisions *revisions);
+uint64_t revisions_newest(const Revisions *revisions);
 /* Of the newest: bytes that its text has at most. */
-size_t revisionsSize(const Revisions *revisions);
+size_t revisions_size(const Revisions *revisions);
 /* Of the newest. */
-const ConfigLimits *revisionsLimits(const Revisions *revisions);
+const ConfigLimits *revisions_limits(const Revisions *revisions);
 /* The revision that a call of this digest brought; 0: none that is known. */
-uint64_t revisionsDigest(const Revisions *revisions, const char *digest);
+uint64_t revisions_digest(const Revisions *revisions, const char *digest);
 
 /* A patch must build on the newest, and every revision be above it. */
-void revisionsAdd(Revisions *revisions, const Revision *row);
+void revisions_add(Revisions *revisions, const Revision *row);
 /* Takes rows as they were saved. */
-void revisionsLoad(Revisions *revisions, const Revision *rows, size_t count);
+void revisions_load(Revisions *revisions, const Revision *rows, size_t count);
 
 /* The whole text of a revision, on mem; null when it can't be read back. */
-const char *revisionsText(const Revisions *revisions, void *mem, uint64_t revision);
+const char *revisions_text(const Revisions *revisions, void *mem, uint64_t revision);
 /* The newest as a tree; have (may be null) is that of an earlier revision, from
  * which it is made by the patches since. Null: none. */
-json_object *revisionsTree(const Revisions *revisions, json_object *have, uint64_t haveRevision);
+json_object *revisions_tree(const Revisions *revisions, json_object *have, uint64_t have_revision);
 
 #endif
--- a/packages/table/include/table/table.h
+++ b/packages/table/include/table/table.h
@@ -18,35 +18,35 @@
  * or is of a later release. */
 typedef void (*TableFn)(void *arg, const Record *change, const void *body, const ChangeResult *result);
 
-Table *tableNew(void *mem);
-void tableWatch(Table *table, TableFn fn, void *arg);
+Table *table_new(void *mem);
+void table_watch(Table *table, TableFn fn, void *arg);
 /* For view_new. */
-ViewState tableState(Table *table);
+ViewState table_state(Table *table);
 
 /* Jobs. Pointers are valid until the next wait. */
-const Job *tableJob(const Table *table, const char *id);
+const Job *table_job(const Table *table, const char *id);
 /* All jobs in the order of acceptance. */
-size_t tableJobs(const Table *table, Job *const **jobs);
+size_t table_jobs(const Table *table, Job *const **jobs);
 /* Those that have not ended. */
-size_t tableActive(const Table *table, Job *const **jobs);
-uint64_t tableLastNumber(const Table *table);
+size_t table_active(const Table *table, Job *const **jobs);
+uint64_t table_last_number(const Table *table);
 /* Log time of the oldest that a FORGET would drop: the first end of a job, or a word
  * of an unknown one; INT64_MAX: nothing. */
-int64_t tableOldestMs(const Table *table);
+int64_t table_oldest_ms(const Table *table);
 
 /* Workers, in the order of their names, on mem. */
-size_t tableWorkers(const Table *table, void *mem, const Worker ***workers);
-const Worker *tableWorker(const Table *table, const char *name);
+size_t table_workers(const Table *table, void *mem, const Worker ***workers);
+const Worker *table_worker(const Table *table, const char *name);
 /* Grows with each change that concerns the worker's orders; 0 when unknown. */
-uint64_t tableOrders(const Table *table, const char *worker);
+uint64_t table_orders(const Table *table, const char *worker);
 /* Told of the worker whenever that grows, within the delivery; does not wait. */
 typedef void (*TableOrdersFn)(void *arg, const char *worker);
-void tableOrdersWatch(Table *table, TableOrdersFn fn, void *arg);
+void table_orders_watch(Table *table, TableOrdersFn fn, void *arg);
 
 /* Told of a round that is about to leave its worker without a word of the worker's
  * agent: it may still run there. Within the delivery; does not wait. */
 typedef void (*TableLeftFn)(void *arg, const Job *job, const JobTask *task);
-void tableLeftWatch(Table *table, TableLeftFn fn, void *arg);
+void table_left_watch(Table *table, TableLeftFn fn, void *arg);
 
 /* A task on a worker: placed, running or stopping there. */
 typedef struct TaskOn {
@@ -55,30 +55,30 @@
 } TaskOn;
 
 /* All of one worker, in no order. */
-size_t tableOn(const Table *table, const char *worker, const TaskOn **on);
+size_t table_on(const Table *table, const char *worker, const TaskOn **on);
 /* The workers that have a task on them, from 0, in no order; null past the last. */
-const char *tableBusy(const Table *table, size_t at);
+const char *table_busy(const Table *table, size_t at);
 
 /* What is in use by the tasks on a worker, and by all of a cell or of one of its
  * tenants, wherever they are. */
-Room tableUsedOn(const Table *table, const char *worker);
-Room tableUsedBy(const Table *table, const char *cell);
-Room tableUsedByTenant(const Table *table, const char *cell, const char *tenant);
+Room table_used_on(const Table *table, const char *worker);
+Room table_used_by(const Table *table, const char *cell);
+Room table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
 
 /* Configuration: the newest, and those that can be read back. */
-const Revisions *tableRevisions(const Table *table);
+const Revisions *table_revisions(const Table *table);
 /* Grows whenever the whole state is replaced: what is remembered of a revision of
  * an earlier one may be of another document. */
-uint64_t tableLoads(const Table *table);
+uint64_t table_loads(const Table *table);
 
-bool tableDrained(const Table *table, const char *zone);
+bool table_drained(const Table *table, const char *zone);
 /* Emptied, and what runs there is to be moved. */
-bool tableDrainMoves(const Table *table, const char *zone);
+bool table_drain_moves(const Table *table, const char *zone);
 /* The stamp of the newest order for the zone; 0: none. */
-int64_t tableDrainStamp(const Table *table, const char *zone);
+int64_t table_drain_stamp(const Table *table, const char *zone);
 /* Null: there was none. */
-const ZoneDrain *tableDrainNewest(const Table *table, const char *zone);
-size_t tableDrains(const Table *table, void *mem, const char ***zones);
+const ZoneDrain *table_drain_newest(const Table *table, const char *zone);
+size_t table_drains(const Table *table, void *mem, const char ***zones);
 
 /* What an order for a zone is to the state. */
 typedef enum DrainKnown {
@@ -87,11 +87,11 @@
     DRAIN_OVERTAKEN, /* it has not been, and others have since its base: it never will be */
     DRAIN_FORGOTTEN, /* others have since its base, and it may be one that is not remembered */
 } DrainKnown;
-DrainKnown tableDrainKnown(const Table *table, const ZoneDrain *drain);
+DrainKnown table_drain_known(const Table *table, const ZoneDrain *drain);
 
 /* Waiting tasks (not on a worker, not ended) of a cell. */
-size_t tableWaiting(const Table *table, const char *cell);
+size_t table_waiting(const Table *table, const char *cell);
 /* Jobs of a queue that have not ended. */
-size_t tableWaitingIn(const Table *table, const char *cell, const char *queue);
+size_t table_waiting_in(const Table *table, const char *cell, const char *queue);
 
 #endif
--- a/packages/table/include/table/worker.h
+++ b/packages/table/include/table/worker.h
@@ -33,8 +33,8 @@
         ROUND_WORD_COUNT
 } RoundWord;
 
-const char *roundWord(uint64_t word);
-RoundWord roundOfWord(const char *word);
+const char *round_word(uint64_t word);
+RoundWord round_of_word(const char *word);
 
 #define ROUND_NEWS_FIELDS(X)                                                           \
     X(TXT, job, 0)                                                                     \
@@ -44,7 +44,7 @@
     X(U64, word, 0)                                                                    \
     X(TXT, text, 0)                                                                    \
     X(TXT, saved, 0)          /* how far it had come; empty: nothing is kept */        \
-    X(I64, ranMs, 0)          /* for how long its agent knew it to run; 0: not told */ \
+    X(I64, ran_ms, 0)         /* for how long its agent knew it to run; 0: not told */ \
     X(RAM, percent, uint64_t) /* of its work, as the worker reports it; 0: not told */
 SHAPE(RoundNews, ROUND_NEWS_FIELDS)
 
--- a/packages/table/src/deliverconfig.c
+++ b/packages/table/src/deliverconfig.c
@@ -1,10 +1,10 @@
 #include "table/deliverconfig.h"
 
-void deliverConfig(Revisions *revisions, const ConfigSet *set, ChangeResult *result)
+void deliver_config(Revisions *revisions, const ConfigSet *set, ChangeResult *result)
 {
-    const uint64_t current = revisionsNewest(revisions);
+    const uint64_t current = revisions_newest(revisions);
     const uint64_t revision = set->revision != 0 ? set->revision : set->base + 1;
-    const uint64_t known = revisionsDigest(revisions, set->digest);
+    const uint64_t known = revisions_digest(revisions, set->digest);
     result->number = known != 0 ? known : current;
     /* the same call sent again, or told again in a repair */
     if (known != 0 || (set->restored && revision <= current))
@@ -20,6 +20,6 @@
                           .patch = set->patch,
                           .digest = set->digest,
                           .limits = set->limits};
-    revisionsAdd(revisions, &row);
+    revisions_add(revisions, &row);
     result->number = revision;
 }
--- a/packages/table/src/deliverjob.c
+++ b/packages/table/src/deliverjob.c
@@ -4,28 +4,28 @@
 
 #include "inside.h"
 
-void deliverJobAdd(Table *table, const Record *change, const JobAdd *add, ChangeResult *result)
+void deliver_job_add(Table *table, const Record *change, const JobAdd *add, ChangeResult *result)
 {
-    const Job *known = tableJob(table, add->spec.id);
+    const Job *known = table_job(table, add->spec.id);
     if (known != NULL) {
-        result->status = shape_equal(&JobSpecShape, &known->spec, &add->spec) ? STATUS_OK : STATUS_OTHER_BODY;
+        result->status = shape_equal(&JobSpec_shape, &known->spec, &add->spec) ? STATUS_OK : STATUS_OTHER_BODY;
         result->number = known->number;
         return;
     }
-    Job *job = jobNew(table->mem, &add->spec, &add->terms);
-    job->number = table->lastNumber + 1;
-    job->acceptedMs = change->at_ms;
-    for (size_t i = 0; i < job->tasksCount; i++)
+    Job *job = job_new(table->mem, &add->spec, &add->terms);
+    job->number = table->last_number + 1;
+    job->accepted_ms = change->at_ms;
+    for (size_t i = 0; i < job->tasks_count; i++)
         job->tasks[i].changed_ms = change->at_ms;
-    jobEnter(table, job);
+    job_enter(table, job);
     result->number = job->number;
-    orphansTake(table, job, change->at_ms);
-    jobSettle(table, job, change->at_ms);
+    orphans_take(table, job, change->at_ms);
+    job_settle(table, job, change->at_ms);
 }
 
-void deliverJobCancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result)
+void deliver_job_cancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result)
 {
-    Job *job = map_get(table->byId, cancel->id);
+    Job *job = map_get(table->by_id, cancel->id);
     if (job == NULL) {
         result->status = STATUS_UNKNOWN_JOB;
         return;
@@ -37,34 +37,34 @@
     }
     if (job->ending == JOB_ACTIVE)
         job->ending = JOB_CANCELLED;
-    jobStopTasks(table, job, change->at_ms);
-    jobSettle(table, job, change->at_ms);
+    job_stop_tasks(table, job, change->at_ms);
+    job_settle(table, job, change->at_ms);
 }
 
 /* A job once shown as ended stays so, though the disks forgot how it came to. */
-void deliverJobEnd(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
+void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
 {
-    Job *job = map_get(table->byId, end->id);
+    Job *job = map_get(table->by_id, end->id);
     if (job == NULL || job->phase != JOB_ACTIVE || end->phase == JOB_ACTIVE || end->phase >= JOB_PHASE_COUNT)
         return;
     result->number = job->number;
     if (end->phase == JOB_DONE) {
-        for (size_t i = 0; i < job->tasksCount; i++)
-            if (!taskEnded(job->tasks[i].phase))
-                taskTurn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, false);
+        for (size_t i = 0; i < job->tasks_count; i++)
+            if (!task_ended(job->tasks[i].phase))
+                task_turn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, false);
     } else {
         job->ending = end->phase;
-        jobStopTasks(table, job, change->at_ms);
+        job_stop_tasks(table, job, change->at_ms);
     }
-    jobSettle(table, job, change->at_ms);
+    job_settle(table, job, change->at_ms);
 }
 
-void deliverForget(Table *table, const Record *change, const Forget *forget, ChangeResult *result)
+void deliver_forget(Table *table, const Record *change, const Forget *forget, ChangeResult *result)
 {
     (void)change;
     JobList *ended = &table->ended, *order = &table->order;
     size_t gone = 0;
-    while (gone < ended->count && ended->jobs[gone]->endedMs < forget->beforeMs)
+    while (gone < ended->count && ended->jobs[gone]->ended_ms < forget->before_ms)
         ended->jobs[gone++]->number = 0; /* no job's number: marks it for the walk below */
     if (gone > 0) {
         size_t kept = 0;
@@ -73,12 +73,12 @@
                 order->jobs[kept++] = order->jobs[i];
         order->count = kept;
         for (size_t i = 0; i < gone; i++) {
-            map_drop(table->byId, ended->jobs[i]->spec.id);
+            map_drop(table->by_id, ended->jobs[i]->spec.id);
             talloc_free(ended->jobs[i]);
         }
         memmove(ended->jobs, ended->jobs + gone, (ended->count - gone) * sizeof(*ended->jobs));
         ended->count -= gone;
     }
     result->number = gone;
-    orphansForget(table, forget->beforeMs);
+    orphans_forget(table, forget->before_ms);
 }
--- a/packages/table/src/deliverplace.c
+++ b/packages/table/src/deliverplace.c
@@ -6,9 +6,9 @@
 /* The task that may be placed so; null: the state has moved on since it was planned. */
 static JobTask *placeable(Table *table, const Placement *place, Job **job)
 {
-    *job = map_get(table->byId, place->job);
-    const size_t at = *job != NULL ? taskIndex(*job, place->task) : 0;
-    if (*job == NULL || at == (*job)->tasksCount || (*job)->ending != JOB_ACTIVE)
+    *job = map_get(table->by_id, place->job);
+    const size_t at = *job != NULL ? task_index(*job, place->task) : 0;
+    if (*job == NULL || at == (*job)->tasks_count || (*job)->ending != JOB_ACTIVE)
         return NULL;
     JobTask *task = &(*job)->tasks[at];
     /* members of a gang are given one number, above that of each */
@@ -17,16 +17,16 @@
 
 /* How many placements from here on are of the same gang, as one: 1 for a task that is
  * of none, 0 when not all of its members wait and are placed under one number. */
-static size_t placeTogether(Table *table, const Placement *places, size_t count)
+static size_t place_together(Table *table, const Placement *places, size_t count)
 {
     Job *job;
     const JobTask *first = placeable(table, &places[0], &job);
     if (first == NULL || !job->spec.steps[first->step].gang)
         return first != NULL;
-    const Gang gang = gangOf(job, first);
+    const Gang gang = gang_of(job, first);
     size_t left = 0, together = 0;
     for (size_t i = 0; i < gang.count; i++)
-        left += !taskEnded(gang.tasks[i].phase);
+        left += !task_ended(gang.tasks[i].phase);
     for (; together < count && together < left; together++) {
         Job *other;
         const JobTask *task = placeable(table, &places[together], &other);
@@ -39,10 +39,10 @@
     return together == left ? together : 0;
 }
 
-void deliverPlace(Table *table, const Record *change, const PlaceList *list, ChangeResult *result)
+void deliver_place(Table *table, const Record *change, const PlaceList *list, ChangeResult *result)
 {
-    for (size_t i = 0; i < list->placementsCount;) {
-        const size_t together = placeTogether(table, &list->placements[i], list->placementsCount - i);
+    for (size_t i = 0; i < list->placements_count;) {
+        const size_t together = place_together(table, &list->placements[i], list->placements_count - i);
         const size_t end = i + (together > 0 ? together : 1);
         for (; i < end; i++) {
             const Placement *place = &list->placements[i];
@@ -52,46 +52,46 @@
                 continue;
             task->round = place->round;
             task->incarnation = place->incarnation;
-            savedSet(job, task, place->saved);
-            taskTurn(table, job, task, TASK_PLACED, place->worker, change->at_ms, false);
+            saved_set(job, task, place->saved);
+            task_turn(table, job, task, TASK_PLACED, place->worker, change->at_ms, false);
             task->assured = place->assured;
             result->number++;
         }
     }
 }
 
-static JobTask *roundFind(Table *table, const RoundId *id, Job **job)
+static JobTask *round_find(Table *table, const RoundId *id, Job **job)
 {
-    *job = map_get(table->byId, id->job);
-    const size_t at = *job != NULL ? taskIndex(*job, id->task) : 0;
-    if (*job == NULL || at == (*job)->tasksCount)
+    *job = map_get(table->by_id, id->job);
+    const size_t at = *job != NULL ? task_index(*job, id->task) : 0;
+    if (*job == NULL || at == (*job)->tasks_count)
         return NULL;
     JobTask *task = &(*job)->tasks[at];
     return task->round == id->round ? task : NULL;
 }
 
-void deliverStop(Table *table, const Record *change, const StopList *list, ChangeResult *result)
+void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result)
 {
-    for (size_t i = 0; i < list->roundsCount; i++) {
+    for (size_t i = 0; i < list->rounds_count; i++) {
         Job *job;
-        JobTask *task = roundFind(table, &list->rounds[i], &job);
+        JobTask *task = round_find(table, &list->rounds[i], &job);
         if (task == NULL || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
             continue;
-        taskText(job, &task->text, list->why);
+        task_text(job, &task->text, list->why);
         task->shunned = task->worker; /* it goes elsewhere, if it can */
-        taskTurn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, false);
-        gangBreak(table, job, task, change->at_ms);
+        task_turn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, false);
+        gang_break(table, job, task, change->at_ms);
         result->number++;
     }
 }
 
-void deliverAssure(Table *table, const Record *change, const StopList *list, ChangeResult *result)
+void deliver_assure(Table *table, const Record *change, const StopList *list, ChangeResult *result)
 {
     (void)change;
-    for (size_t i = 0; i < list->roundsCount; i++) {
+    for (size_t i = 0; i < list->rounds_count; i++) {
         Job *job;
-        JobTask *task = roundFind(table, &list->rounds[i], &job);
-        if (task != NULL && taskOnWorker(task->phase) && !task->assured) {
+        JobTask *task = round_find(table, &list->rounds[i], &job);
+        if (task != NULL && task_on_worker(task->phase) && !task->assured) {
             task->assured = true;
             result->number++;
         }
--- a/packages/table/src/deliverzone.c
+++ b/packages/table/src/deliverzone.c
@@ -6,41 +6,41 @@
 
 SHAPE_TABLE(ZoneOrder, ZONE_ORDER_FIELDS)
 
-const ZoneDrain *tableDrainNewest(const Table *table, const char *zone)
+const ZoneDrain *table_drain_newest(const Table *table, const char *zone)
 {
     const ZoneOrders *orders = map_get(table->drains, zone);
     return orders != NULL ? &orders->newest : NULL;
 }
 
-bool tableDrained(const Table *table, const char *zone)
+bool table_drained(const Table *table, const char *zone)
 {
-    const ZoneDrain *drain = tableDrainNewest(table, zone);
+    const ZoneDrain *drain = table_drain_newest(table, zone);
     return drain != NULL && drain->drained;
 }
 
-bool tableDrainMoves(const Table *table, const char *zone)
+bool table_drain_moves(const Table *table, const char *zone)
 {
-    const ZoneDrain *drain = tableDrainNewest(table, zone);
+    const ZoneDrain *drain = table_drain_newest(table, zone);
     return drain != NULL && drain->drained && drain->move;
 }
 
-int64_t tableDrainStamp(const Table *table, const char *zone)
+int64_t table_drain_stamp(const Table *table, const char *zone)
 {
-    const ZoneDrain *drain = tableDrainNewest(table, zone);
+    const ZoneDrain *drain = table_drain_newest(table, zone);
     return drain != NULL ? drain->stamp : 0;
 }
 
-size_t tableDrains(const Table *table, void *mem, const char ***zones)
+size_t table_drains(const Table *table, void *mem, const char ***zones)
 {
     const size_t count = map_keys(table->drains, mem, zones);
     size_t kept = 0;
     for (size_t i = 0; i < count; i++)
-        if (tableDrained(table, (*zones)[i]))
+        if (table_drained(table, (*zones)[i]))
             (*zones)[kept++] = (*zones)[i];
     return kept;
 }
 
-DrainKnown tableDrainKnown(const Table *table, const ZoneDrain *drain)
+DrainKnown table_drain_known(const Table *table, const ZoneDrain *drain)
 {
     const ZoneOrders *orders = map_get(table->drains, drain->zone);
     bool overtaken = false, forgotten = false;
@@ -70,11 +70,11 @@
 }
 
 /* The zone's orders in one new block of memory, so that what is dropped is freed. */
-static ZoneOrders *ordersWith(Table *table, const ZoneDrain *drain)
+static ZoneOrders *orders_with(Table *table, const ZoneDrain *drain)
 {
     const ZoneOrders *before = map_get(table->drains, drain->zone);
     ZoneOrders *orders = talloc_zero(table->mem, ZoneOrders);
-    shape_copy(&ZoneDrainShape, drain, orders, &orders->newest);
+    shape_copy(&ZoneDrain_shape, drain, orders, &orders->newest);
     for (size_t i = 0; before != NULL && i < before->count; i++)
         row_add(orders, talloc_strdup(orders, before->rows[i].order), before->rows[i].stamp);
     return orders;
@@ -92,24 +92,24 @@
     }
 }
 
-void deliverZoneDrain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result)
+void deliver_zone_drain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result)
 {
     (void)change;
-    if (drain->stamp <= tableDrainStamp(table, drain->zone))
+    if (drain->stamp <= table_drain_stamp(table, drain->zone))
         return;
-    const DrainKnown known = tableDrainKnown(table, drain);
+    const DrainKnown known = table_drain_known(table, drain);
     if (known != DRAIN_NEW) {
         if (result != NULL)
             result->status = refusal(known);
         return;
     }
-    ZoneOrders *orders = ordersWith(table, drain);
+    ZoneOrders *orders = orders_with(table, drain);
     row_add(orders, orders->newest.order, drain->stamp);
     talloc_free(map_get(table->drains, drain->zone));
     map_set(table->drains, orders->newest.zone, orders);
 }
 
-void zoneOrdersLoad(Table *table, const ZoneOrder *rows, size_t count)
+void zone_orders_load(Table *table, const ZoneOrder *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         ZoneOrders *orders = map_get(table->drains, rows[i].zone);
--- a/packages/table/src/gang.c
+++ b/packages/table/src/gang.c
@@ -1,29 +1,29 @@
 /* Members of a gang run together, under one round number, and end as one. */
 #include "inside.h"
 
-Gang gangOf(Job *job, const JobTask *task)
+Gang gang_of(Job *job, const JobTask *task)
 {
     const StepSpec *step = &job->spec.steps[task->step];
     if (!step->gang)
         return (Gang){&job->tasks[task - job->tasks], 1};
-    return (Gang){&job->tasks[taskFirst(job, task)], (size_t)step->count};
+    return (Gang){&job->tasks[task_first(job, task)], (size_t)step->count};
 }
 
-void gangBreak(Table *table, Job *job, const JobTask *task, int64_t at_ms)
+void gang_break(Table *table, Job *job, const JobTask *task, int64_t at_ms)
 {
-    const Gang gang = gangOf(job, task);
+    const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++) {
         JobTask *other = &gang.tasks[i];
         if (other != task && (other->phase == TASK_PLACED || other->phase == TASK_RUNNING))
-            taskTurn(table, job, other, TASK_STOPPING, other->worker, at_ms, false);
+            task_turn(table, job, other, TASK_STOPPING, other->worker, at_ms, false);
     }
 }
 
-void savedSet(Job *job, JobTask *task, const char *saved)
+void saved_set(Job *job, JobTask *task, const char *saved)
 {
     if (saved[0] == '\0' || !job->spec.steps[task->step].saves)
         return;
-    const Gang gang = gangOf(job, task);
+    const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++)
-        taskText(job, &gang.tasks[i].saved, saved);
+        task_text(job, &gang.tasks[i].saved, saved);
 }
--- a/packages/table/src/inside.h
+++ b/packages/table/src/inside.h
@@ -12,8 +12,8 @@
     uint64_t revision;
     TaskOn *on;
     size_t count, room;
-    Room used;     /* by them */
-    size_t busyAt; /* its place among the busy ones; of no meaning when count is 0 */
+    Room used;      /* by them */
+    size_t busy_at; /* its place among the busy ones; of no meaning when count is 0 */
 } WorkerOn;
 
 /* Waiting tasks of a cell. */
@@ -57,69 +57,69 @@
     size_t count, room;
 } JobList;
 
-/* Invariants: byId and order hold the same jobs; active holds those that have not
+/* Invariants: by_id and order hold the same jobs; active holds those that have not
  * ended, ended the others; order and active are sorted by number, ended by when they
  * ended; sorted holds the same workers as workers, by name. */
 struct Table {
     void *mem; /* holds everything below; a loaded state replaces it whole */
-    Map *byId;
+    Map *by_id;
     JobList order, active, ended;
-    uint64_t lastNumber;
+    uint64_t last_number;
     Map *workers;
     Worker **sorted;
-    size_t sortedCount, sortedRoom;
+    size_t sorted_count, sorted_room;
     Map *on;         /* worker name to WorkerOn */
     WorkerOn **busy; /* exactly those with a task on them, in no order */
-    size_t busyCount, busyRoom;
+    size_t busy_count, busy_room;
     Map *cells;
     Map *used;       /* "cell", and "cell/tenant", to the Room that its tasks on workers use */
     Map *queues;     /* "cell/queue" to QueueSum */
     Orphan *orphans; /* each owned by the table; forgotten as ended jobs are */
-    size_t orphanCount;
+    size_t orphan_count;
     Map *drains; /* zone to ZoneOrders */
     Revisions *revisions;
     uint64_t loads;
     TableFn fn;
     void *arg;
-    TableOrdersFn ordersFn;
-    void *ordersArg;
-    TableLeftFn leftFn;
-    void *leftArg;
+    TableOrdersFn orders_fn;
+    void *orders_arg;
+    TableLeftFn left_fn;
+    void *left_arg;
 };
 
-void tableClear(Table *table);
+void table_clear(Table *table);
 
 /* --- lists of jobs */
 
-void jobListAdd(void *mem, JobList *list, Job *job);
+void job_list_add(void *mem, JobList *list, Job *job);
 /* Its place in a list sorted by number; count when it is not there. */
-size_t jobListFind(const JobList *list, const Job *job);
+size_t job_list_find(const JobList *list, const Job *job);
 
 /* --- workers and what is on them */
 
-WorkerOn *workerOn(Table *table, const char *worker);
-void ordersTouch(Table *table, const char *worker);
-void onAdd(Table *table, Job *job, JobTask *task);
-void onDrop(Table *table, const JobTask *task);
+WorkerOn *worker_on(Table *table, const char *worker);
+void orders_touch(Table *table, const char *worker);
+void on_add(Table *table, Job *job, JobTask *task);
+void on_drop(Table *table, const JobTask *task);
 
 /* --- jobs and tasks */
 
 /* spec and terms are copied; the tasks are as they begin, in the order of turns. */
-Job *jobNew(void *mem, const JobSpec *spec, const JobTerms *terms);
+Job *job_new(void *mem, const JobSpec *spec, const JobTerms *terms);
 /* Adds a job whose memory is its own to all lists. */
-void jobEnter(Table *table, Job *job);
+void job_enter(Table *table, Job *job);
 /* The job ended: from the active to the ended ones. */
-void jobLeaveActive(Table *table, Job *job);
+void job_leave_active(Table *table, Job *job);
 /* A text that hangs on the job. */
-void taskText(Job *job, const char **at, const char *text);
+void task_text(Job *job, const char **at, const char *text);
 
 /* Every change of a task's phase goes through here. told: the agent of the worker that
  * it leaves told of it, and needs no telling. */
-void taskTurn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms, bool told);
+void task_turn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms, bool told);
 /* What waits of it never starts, what runs is stopped. */
-void jobStopTasks(Table *table, Job *job, int64_t at_ms);
+void job_stop_tasks(Table *table, Job *job, int64_t at_ms);
 /* Ends the job once no task of it runs or waits. */
-void jobSettle(Table *table, Job *job, int64_t at_ms);
+void job_settle(Table *table, Job *job, int64_t at_ms);
 
 /* --- gangs. The tasks of a task's gang; of any other task itself alone. */
 
@@ -127,9 +127,9 @@
     JobTask *tasks;
     size_t count;
 } Gang;
-Gang gangOf(Job *job, const JobTask *task);
+Gang gang_of(Job *job, const JobTask *task);
 /* A member's round is over: the others stop, and all are planned again. */
-void gangBreak(Table *table, Job *job, const JobTask *task, int64_t at_ms);
+void gang_break(Table *table, Job *job, const JobTask *task, int64_t at_ms);
 
 /* --- rounds. What became of one that did not finish well. */
 
@@ -139,45 +139,45 @@
     bool told;         /* by its worker's agent */
     int64_t at_ms;
 } RoundEnd;
-void roundOver(Table *table, Job *job, JobTask *task, const RoundEnd *end);
+void round_over(Table *table, Job *job, JobTask *task, const RoundEnd *end);
 /* Counts a failed round, of a gang once whichever of its members failed. Rounds are
  * counted as they rise: the same told again counts for nothing. */
-void roundMiss(Job *job, JobTask *task, uint64_t round);
+void round_miss(Job *job, JobTask *task, uint64_t round);
 /* Whether the task has had all the rounds it gets. */
-bool roundsSpent(const Job *job, const JobTask *task);
-void jobFail(Table *table, Job *job, JobTask *task, int64_t at_ms);
+bool rounds_spent(const Job *job, const JobTask *task);
+void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms);
 /* It finished well in that round, and its gang with it. */
-void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms);
+void round_done(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms);
 /* What its rounds have come to; a gang's is one. */
-void savedSet(Job *job, JobTask *task, const char *saved);
+void saved_set(Job *job, JobTask *task, const char *saved);
 
 /* --- orphans */
 
-void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms);
+void orphan_add(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms);
 /* What of the job finished well before the disks forgot it stays finished. */
-void orphansTake(Table *table, Job *job, int64_t at_ms);
-void orphansForget(Table *table, int64_t beforeMs);
+void orphans_take(Table *table, Job *job, int64_t at_ms);
+void orphans_forget(Table *table, int64_t before_ms);
 
 /* --- one function for each change; table.c lists them */
 
-void deliverJobAdd(Table *table, const Record *change, const JobAdd *add, ChangeResult *result);
-void deliverJobCancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result);
-void deliverJobEnd(Table *table, const Record *change, const JobEnd *end, ChangeResult *result);
-void deliverForget(Table *table, const Record *change, const Forget *forget, ChangeResult *result);
-void deliverPlace(Table *table, const Record *change, const PlaceList *list, ChangeResult *result);
-void deliverStop(Table *table, const Record *change, const StopList *list, ChangeResult *result);
-void deliverAssure(Table *table, const Record *change, const StopList *list, ChangeResult *result);
-void deliverRounds(Table *table, const Record *change, const RoundList *list, ChangeResult *result);
-void deliverWorkerSet(Table *table, const Record *change, const Worker *set, ChangeResult *result);
-void deliverWorkerLost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result);
-void deliverWorkerLeft(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result);
-void deliverZoneDrain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result);
+void deliver_job_add(Table *table, const Record *change, const JobAdd *add, ChangeResult *result);
+void deliver_job_cancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result);
+void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result);
+void deliver_forget(Table *table, const Record *change, const Forget *forget, ChangeResult *result);
+void deliver_place(Table *table, const Record *change, const PlaceList *list, ChangeResult *result);
+void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result);
+void deliver_assure(Table *table, const Record *change, const StopList *list, ChangeResult *result);
+void deliver_rounds(Table *table, const Record *change, const RoundList *list, ChangeResult *result);
+void deliver_worker_set(Table *table, const Record *change, const Worker *set, ChangeResult *result);
+void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result);
+void deliver_worker_left(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result);
+void deliver_zone_drain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result);
 /* Of a saved state, in their order, after the newest of each zone. */
-void zoneOrdersLoad(Table *table, const ZoneOrder *rows, size_t count);
+void zone_orders_load(Table *table, const ZoneOrder *rows, size_t count);
 
 /* --- saving and loading */
 
-Bytes tableSave(void *arg, void *mem);
-Status tableLoad(void *arg, Bytes bytes);
+Bytes table_save(void *arg, void *mem);
+Status table_load(void *arg, Bytes bytes);
 
 #endif
--- a/packages/table/src/job.c
+++ b/packages/table/src/job.c
@@ -11,64 +11,64 @@
 
 static const struct {
     const char *word;
-    bool onWorker;
+    bool on_worker;
 } PHASES[] = {
-#define X(name, word, onWorker) {word, onWorker},
+#define X(name, word, on_worker) {word, on_worker},
     TASK_PHASE_LIST(X)
 #undef X
 };
 
-bool taskOnWorker(uint64_t phase)
+bool task_on_worker(uint64_t phase)
 {
-    return phase < TASK_PHASE_COUNT && PHASES[phase].onWorker;
+    return phase < TASK_PHASE_COUNT && PHASES[phase].on_worker;
 }
 
-bool taskEnded(uint64_t phase)
+bool task_ended(uint64_t phase)
 {
     return phase == TASK_DONE || phase == TASK_FAILED || phase == TASK_CANCELLED;
 }
 
-uint64_t taskNumber(const JobTask *task)
+uint64_t task_number(const JobTask *task)
 {
     return TASK_NUMBER(task->turn, task->step, task->at);
 }
 
-size_t taskIndex(const Job *job, uint64_t number)
+size_t task_index(const Job *job, uint64_t number)
 {
     /* within the first step a number is the index; what else lies below PLACES was
      * written by a release that knew indices alone */
     if (number < TASK_NUMBER_PLACES)
-        return number < job->tasksCount ? (size_t)number : job->tasksCount;
+        return number < job->tasks_count ? (size_t)number : job->tasks_count;
     const uint64_t at = number % TASK_NUMBER_PLACES, steps = number / TASK_NUMBER_PLACES;
     const uint64_t step = steps % JOB_STEPS_MAX, turn = steps / JOB_STEPS_MAX;
     const uint64_t turns = job->spec.turns > 0 ? job->spec.turns : 1;
-    if (turn >= turns || step >= job->spec.stepsCount || at >= job->spec.steps[step].count)
-        return job->tasksCount;
+    if (turn >= turns || step >= job->spec.steps_count || at >= job->spec.steps[step].count)
+        return job->tasks_count;
     uint64_t before = 0;
     for (size_t i = 0; i < step; i++)
         before += job->spec.steps[i].count;
-    const size_t index = (size_t)(turn * (job->tasksCount / turns) + before + at);
-    return index < job->tasksCount ? index : job->tasksCount;
+    const size_t index = (size_t)(turn * (job->tasks_count / turns) + before + at);
+    return index < job->tasks_count ? index : job->tasks_count;
 }
 
-size_t taskFirst(const Job *job, const JobTask *task)
+size_t task_first(const Job *job, const JobTask *task)
 {
     return (size_t)(task - job->tasks) - (size_t)task->at;
 }
 
-int64_t taskDueWallMs(const Job *job, const JobTask *task)
+int64_t task_due_wall_ms(const Job *job, const JobTask *task)
 {
-    if (job->spec.firstWallMs == 0)
+    if (job->spec.first_wall_ms == 0)
         return 0;
-    return job->spec.firstWallMs + (int64_t)task->turn * job->spec.periodMs;
+    return job->spec.first_wall_ms + (int64_t)task->turn * job->spec.period_ms;
 }
 
-const char *taskPhaseWord(uint64_t phase)
+const char *task_phase_word(uint64_t phase)
 {
     return phase < TASK_PHASE_COUNT ? PHASES[phase].word : "unlisted";
 }
 
-const char *jobPhaseWord(uint64_t phase)
+const char *job_phase_word(uint64_t phase)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -84,12 +84,12 @@
 #undef X
 };
 
-const char *protectionWord(uint64_t protection)
+const char *protection_word(uint64_t protection)
 {
     return protection < PROTECTION_COUNT ? PROTECTIONS[protection] : "unlisted";
 }
 
-Protection protectionOfWord(const char *word)
+Protection protection_of_word(const char *word)
 {
     for (int i = 0; i < PROTECTION_COUNT; i++)
         if (strcmp(PROTECTIONS[i], word) == 0)
--- a/packages/table/src/joblist.c
+++ b/packages/table/src/joblist.c
@@ -2,7 +2,7 @@
 
 #include "inside.h"
 
-void jobListAdd(void *mem, JobList *list, Job *job)
+void job_list_add(void *mem, JobList *list, Job *job)
 {
     if (list->count == list->room) {
         list->room = list->room ? list->room * 2 : 256;
@@ -11,7 +11,7 @@
     list->jobs[list->count++] = job;
 }
 
-size_t jobListFind(const JobList *list, const Job *job)
+size_t job_list_find(const JobList *list, const Job *job)
 {
     size_t low = 0, high = list->count;
     while (low < high) {
--- a/packages/table/src/on.c
+++ b/packages/table/src/on.c
@@ -4,7 +4,7 @@
 
 #include "inside.h"
 
-WorkerOn *workerOn(Table *table, const char *worker)
+WorkerOn *worker_on(Table *table, const char *worker)
 {
     WorkerOn *its = map_get(table->on, worker);
     if (its == NULL) {
@@ -15,39 +15,39 @@
     return its;
 }
 
-void ordersTouch(Table *table, const char *worker)
+void orders_touch(Table *table, const char *worker)
 {
     if (worker[0] == '\0')
         return;
-    workerOn(table, worker)->revision++;
-    if (table->ordersFn != NULL)
-        table->ordersFn(table->ordersArg, worker);
+    worker_on(table, worker)->revision++;
+    if (table->orders_fn != NULL)
+        table->orders_fn(table->orders_arg, worker);
 }
 
-static void busyAdd(Table *table, WorkerOn *its)
+static void busy_add(Table *table, WorkerOn *its)
 {
-    if (table->busyCount == table->busyRoom) {
-        table->busyRoom = table->busyRoom ? table->busyRoom * 2 : 64;
-        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busyRoom);
+    if (table->busy_count == table->busy_room) {
+        table->busy_room = table->busy_room ? table->busy_room * 2 : 64;
+        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_room);
     }
-    its->busyAt = table->busyCount;
-    table->busy[table->busyCount++] = its;
+    its->busy_at = table->busy_count;
+    table->busy[table->busy_count++] = its;
 }
 
-static void busyDrop(Table *table, const WorkerOn *its)
+static void busy_drop(Table *table, const WorkerOn *its)
 {
-    WorkerOn *last = table->busy[--table->busyCount];
-    table->busy[its->busyAt] = last;
-    last->busyAt = its->busyAt;
+    WorkerOn *last = table->busy[--table->busy_count];
+    table->busy[its->busy_at] = last;
+    last->busy_at = its->busy_at;
 }
 
 static Room sum(Room a, Room b, bool more)
 {
-    return more ? (Room){a.cpuMilli + b.cpuMilli, a.memMb + b.memMb, a.gpu + b.gpu}
-                : (Room){a.cpuMilli - b.cpuMilli, a.memMb - b.memMb, a.gpu - b.gpu};
+    return more ? (Room){a.cpu_milli + b.cpu_milli, a.mem_mb + b.mem_mb, a.gpu + b.gpu}
+                : (Room){a.cpu_milli - b.cpu_milli, a.mem_mb - b.mem_mb, a.gpu - b.gpu};
 }
 
-static Room *usedOf(Table *table, const char *key)
+static Room *used_of(Table *table, const char *key)
 {
     Room *used = map_get(table->used, key);
     if (used == NULL) {
@@ -61,7 +61,7 @@
     char text[2 * ID_MAX + 2];
 } TenantKey;
 
-static TenantKey tenantKey(const char *cell, const char *tenant)
+static TenantKey tenant_key(const char *cell, const char *tenant)
 {
     TenantKey key;
     snprintf(key.text, sizeof(key.text), "%s/%s", cell, tenant);
@@ -69,92 +69,92 @@
 }
 
 /* A task of the job came to a worker, or left it. */
-static void usedTake(Table *table, const JobSpec *spec, Room room, bool more)
+static void used_take(Table *table, const JobSpec *spec, Room room, bool more)
 {
-    const TenantKey key = tenantKey(spec->cell, spec->tenant);
-    Room *cell = usedOf(table, spec->cell), *tenant = usedOf(table, key.text);
+    const TenantKey key = tenant_key(spec->cell, spec->tenant);
+    Room *cell = used_of(table, spec->cell), *tenant = used_of(table, key.text);
     *cell = sum(*cell, room, more);
     *tenant = sum(*tenant, room, more);
 }
 
-Room tableUsedOn(const Table *table, const char *worker)
+Room table_used_on(const Table *table, const char *worker)
 {
     const WorkerOn *its = map_get(table->on, worker);
     return its != NULL ? its->used : (Room){0};
 }
 
-Room tableUsedBy(const Table *table, const char *cell)
+Room table_used_by(const Table *table, const char *cell)
 {
     const Room *used = map_get(table->used, cell);
     return used != NULL ? *used : (Room){0};
 }
 
-Room tableUsedByTenant(const Table *table, const char *cell, const char *tenant)
+Room table_used_by_tenant(const Table *table, const char *cell, const char *tenant)
 {
-    const TenantKey key = tenantKey(cell, tenant);
-    return tableUsedBy(table, key.text);
+    const TenantKey key = tenant_key(cell, tenant);
+    return table_used_by(table, key.text);
 }
 
-void onAdd(Table *table, Job *job, JobTask *task)
+void on_add(Table *table, Job *job, JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
-    WorkerOn *its = workerOn(table, task->worker);
+    WorkerOn *its = worker_on(table, task->worker);
     if (its->count == 0)
-        busyAdd(table, its);
+        busy_add(table, its);
     if (its->count == its->room) {
         its->room = its->room ? its->room * 2 : 8;
         its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->room);
     }
-    task->onAt = its->count;
+    task->on_at = its->count;
     its->on[its->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
     const Room room = job->spec.steps[task->step].room;
     its->used = sum(its->used, room, true);
-    usedTake(table, &job->spec, room, true);
+    used_take(table, &job->spec, room, true);
 }
 
-void onDrop(Table *table, const JobTask *task)
+void on_drop(Table *table, const JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
-    WorkerOn *its = workerOn(table, task->worker);
-    const JobSpec *spec = &its->on[task->onAt].job->spec;
+    WorkerOn *its = worker_on(table, task->worker);
+    const JobSpec *spec = &its->on[task->on_at].job->spec;
     const Room room = spec->steps[task->step].room;
     its->used = sum(its->used, room, false);
-    usedTake(table, spec, room, false);
+    used_take(table, spec, room, false);
     const TaskOn last = its->on[--its->count];
-    its->on[task->onAt] = last;
-    last.job->tasks[last.task].onAt = task->onAt;
+    its->on[task->on_at] = last;
+    last.job->tasks[last.task].on_at = task->on_at;
     if (its->count == 0)
-        busyDrop(table, its);
+        busy_drop(table, its);
 }
 
-uint64_t tableOrders(const Table *table, const char *worker)
+uint64_t table_orders(const Table *table, const char *worker)
 {
     const WorkerOn *its = map_get(table->on, worker);
     return its != NULL ? its->revision : 0;
 }
 
-void tableOrdersWatch(Table *table, TableOrdersFn fn, void *arg)
+void table_orders_watch(Table *table, TableOrdersFn fn, void *arg)
 {
-    table->ordersFn = fn;
-    table->ordersArg = arg;
+    table->orders_fn = fn;
+    table->orders_arg = arg;
 }
 
-void tableLeftWatch(Table *table, TableLeftFn fn, void *arg)
+void table_left_watch(Table *table, TableLeftFn fn, void *arg)
 {
-    table->leftFn = fn;
-    table->leftArg = arg;
+    table->left_fn = fn;
+    table->left_arg = arg;
 }
 
-size_t tableOn(const Table *table, const char *worker, const TaskOn **on)
+size_t table_on(const Table *table, const char *worker, const TaskOn **on)
 {
     const WorkerOn *its = map_get(table->on, worker);
     *on = its != NULL ? its->on : NULL;
     return its != NULL ? its->count : 0;
 }
 
-const char *tableBusy(const Table *table, size_t at)
+const char *table_busy(const Table *table, size_t at)
 {
-    return at < table->busyCount ? table->busy[at]->name : NULL;
+    return at < table->busy_count ? table->busy[at]->name : NULL;
 }
--- a/packages/table/src/orphan.c
+++ b/packages/table/src/orphan.c
@@ -5,41 +5,41 @@
 
 SHAPE_TABLE(Orphan, ORPHAN_FIELDS)
 
-void orphanAdd(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms)
+void orphan_add(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms)
 {
-    for (size_t i = 0; i < table->orphanCount; i++)
+    for (size_t i = 0; i < table->orphan_count; i++)
         if (table->orphans[i].task == task && strcmp(table->orphans[i].job, job) == 0)
             return;
-    table->orphans = talloc_realloc(table->mem, table->orphans, Orphan, (unsigned)(table->orphanCount + 1));
-    table->orphans[table->orphanCount++] = (Orphan){talloc_strdup(table->mem, job), task, round, at_ms};
+    table->orphans = talloc_realloc(table->mem, table->orphans, Orphan, (unsigned)(table->orphan_count + 1));
+    table->orphans[table->orphan_count++] = (Orphan){talloc_strdup(table->mem, job), task, round, at_ms};
 }
 
-static void orphanDrop(Table *table, size_t at)
+static void orphan_drop(Table *table, size_t at)
 {
     talloc_free((void *)(uintptr_t)table->orphans[at].job);
-    table->orphans[at] = table->orphans[--table->orphanCount];
+    table->orphans[at] = table->orphans[--table->orphan_count];
 }
 
-void orphansTake(Table *table, Job *job, int64_t at_ms)
+void orphans_take(Table *table, Job *job, int64_t at_ms)
 {
-    for (size_t i = 0; i < table->orphanCount;) {
+    for (size_t i = 0; i < table->orphan_count;) {
         const Orphan orphan = table->orphans[i];
         if (strcmp(orphan.job, job->spec.id) != 0) {
             i++;
             continue;
         }
-        const size_t at = taskIndex(job, orphan.task);
-        if (at < job->tasksCount && !job->spec.lasting && !taskEnded(job->tasks[at].phase))
-            roundDone(table, job, &job->tasks[at], orphan.round, "", at_ms);
-        orphanDrop(table, i);
+        const size_t at = task_index(job, orphan.task);
+        if (at < job->tasks_count && !job->spec.lasting && !task_ended(job->tasks[at].phase))
+            round_done(table, job, &job->tasks[at], orphan.round, "", at_ms);
+        orphan_drop(table, i);
     }
 }
 
-void orphansForget(Table *table, int64_t beforeMs)
+void orphans_forget(Table *table, int64_t before_ms)
 {
-    for (size_t i = 0; i < table->orphanCount;)
-        if (table->orphans[i].at_ms < beforeMs)
-            orphanDrop(table, i);
+    for (size_t i = 0; i < table->orphan_count;)
+        if (table->orphans[i].at_ms < before_ms)
+            orphan_drop(table, i);
         else
             i++;
 }
--- a/packages/table/src/round.c
+++ b/packages/table/src/round.c
@@ -4,13 +4,13 @@
 #include "base/constants.h"
 #include "inside.h"
 
-static uint64_t limitOf(const Job *job)
+static uint64_t limit_of(const Job *job)
 {
-    return job->terms.roundLimit > 0 ? job->terms.roundLimit : job->spec.roundLimit;
+    return job->terms.round_limit > 0 ? job->terms.round_limit : job->spec.round_limit;
 }
 
 /* Doubled with each in a row. */
-static int64_t restOf(uint64_t misses, int64_t most_ms)
+static int64_t rest_of(uint64_t misses, int64_t most_ms)
 {
     int64_t rest_ms = FAILED_REST_MS;
     for (uint64_t i = 1; i < misses && rest_ms < most_ms; i++)
@@ -20,99 +20,99 @@
 
 /* A lasting task goes on whatever the word was; one that never stays up for long
  * rests longer each time. */
-static void lastingRest(JobTask *task, const RoundEnd *end)
+static void lasting_rest(JobTask *task, const RoundEnd *end)
 {
     if (end->word != ROUND_FAILED && end->word != ROUND_DONE && end->word != ROUND_REFUSED && end->word != ROUND_ALONE)
         return;
     const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
-    task->rest_until_ms = end->at_ms + restOf(task->misses, LASTING_REST_MAX_MS);
+    task->rest_until_ms = end->at_ms + rest_of(task->misses, LASTING_REST_MAX_MS);
 }
 
-static void restSet(JobTask *task, const RoundEnd *end)
+static void rest_set(JobTask *task, const RoundEnd *end)
 {
     if (end->word == ROUND_FAILED)
-        task->rest_until_ms = end->at_ms + restOf(task->misses, FAILED_REST_MAX_MS);
+        task->rest_until_ms = end->at_ms + rest_of(task->misses, FAILED_REST_MAX_MS);
     else if (end->word == ROUND_REFUSED || end->word == ROUND_ALONE)
         task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
 }
 
 /* A loss of one is a loss of its gang: they start again together. */
-static void lossCount(Job *job, JobTask *task)
+static void loss_count(Job *job, JobTask *task)
 {
-    const Gang gang = gangOf(job, task);
+    const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++)
-        if (!taskEnded(gang.tasks[i].phase))
+        if (!task_ended(gang.tasks[i].phase))
             gang.tasks[i].losses++;
 }
 
-void roundMiss(Job *job, JobTask *task, uint64_t round)
+void round_miss(Job *job, JobTask *task, uint64_t round)
 {
-    if (job->spec.lasting || round <= task->missRound)
+    if (job->spec.lasting || round <= task->miss_round)
         return;
-    const Gang gang = gangOf(job, task);
+    const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++) {
-        gang.tasks[i].missRound = round;
+        gang.tasks[i].miss_round = round;
         gang.tasks[i].misses++;
     }
 }
 
-bool roundsSpent(const Job *job, const JobTask *task)
+bool rounds_spent(const Job *job, const JobTask *task)
 {
     /* protected work restarts whenever it is down; best-effort work gets one restart
      * after a loss, unprotected work none */
     const bool given = (job->spec.protection == PROTECTION_NONE && task->losses > 0) ||
                        (job->spec.protection == PROTECTION_BEST_EFFORT && task->losses > 1);
-    return !job->spec.lasting && (given || task->misses >= limitOf(job));
+    return !job->spec.lasting && (given || task->misses >= limit_of(job));
 }
 
-void jobFail(Table *table, Job *job, JobTask *task, int64_t at_ms)
+void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms)
 {
-    if (!taskOnWorker(task->phase))
-        taskTurn(table, job, task, TASK_FAILED, "", at_ms, false);
+    if (!task_on_worker(task->phase))
+        task_turn(table, job, task, TASK_FAILED, "", at_ms, false);
     job->ending = JOB_FAILED;
-    jobStopTasks(table, job, at_ms);
+    job_stop_tasks(table, job, at_ms);
 }
 
-void roundOver(Table *table, Job *job, JobTask *task, const RoundEnd *end)
+void round_over(Table *table, Job *job, JobTask *task, const RoundEnd *end)
 {
     if (job->ending != JOB_ACTIVE) {
-        taskTurn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->told);
+        task_turn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->told);
         return;
     }
     const bool stopping = task->phase == TASK_STOPPING;
-    savedSet(job, task, end->saved);
+    saved_set(job, task, end->saved);
     if (end->word == ROUND_FAILED || end->word == ROUND_REFUSED)
         task->shunned = task->worker;
     if (end->word == ROUND_FAILED)
-        roundMiss(job, task, task->round);
+        round_miss(job, task, task->round);
     /* one that was being stopped has stopped: that is no loss */
     if ((end->word == ROUND_LOST || end->word == ROUND_LAPSED) && !stopping)
-        lossCount(job, task);
+        loss_count(job, task);
     if (job->spec.lasting)
-        lastingRest(task, end);
+        lasting_rest(task, end);
     else
-        restSet(task, end);
-    if (roundsSpent(job, task)) {
-        taskTurn(table, job, task, TASK_FAILED, "", end->at_ms, end->told);
-        jobFail(table, job, task, end->at_ms);
+        rest_set(task, end);
+    if (rounds_spent(job, task)) {
+        task_turn(table, job, task, TASK_FAILED, "", end->at_ms, end->told);
+        job_fail(table, job, task, end->at_ms);
         return;
     }
-    taskTurn(table, job, task, TASK_WAITING, "", end->at_ms, end->told);
-    gangBreak(table, job, task, end->at_ms);
+    task_turn(table, job, task, TASK_WAITING, "", end->at_ms, end->told);
+    gang_break(table, job, task, end->at_ms);
 }
 
-void roundDone(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms)
+void round_done(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms)
 {
-    const Gang gang = gangOf(job, task);
+    const Gang gang = gang_of(job, task);
     const TaskPhase phase = job->ending == JOB_CANCELLED ? TASK_CANCELLED : TASK_DONE;
     for (size_t i = 0; i < gang.count; i++) {
         JobTask *each = &gang.tasks[i];
-        if (taskEnded(each->phase))
+        if (task_ended(each->phase))
             continue;
         const bool told = each->round == round && strcmp(each->worker, teller) == 0;
         if (round > each->round)
             each->round = round;
-        taskTurn(table, job, each, phase, "", at_ms, told);
+        task_turn(table, job, each, phase, "", at_ms, told);
     }
 }
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -5,88 +5,88 @@
 #include "inside.h"
 #include "table/deliverconfig.h"
 
-void tableClear(Table *table)
+void table_clear(Table *table)
 {
     talloc_free(table->mem);
     const Table kept = *table;
     *table = (Table){.loads = kept.loads + 1,
                      .fn = kept.fn,
                      .arg = kept.arg,
-                     .ordersFn = kept.ordersFn,
-                     .ordersArg = kept.ordersArg,
-                     .leftFn = kept.leftFn,
-                     .leftArg = kept.leftArg};
+                     .orders_fn = kept.orders_fn,
+                     .orders_arg = kept.orders_arg,
+                     .left_fn = kept.left_fn,
+                     .left_arg = kept.left_arg};
     table->mem = talloc_new(table);
-    table->byId = map_new(table->mem);
+    table->by_id = map_new(table->mem);
     table->workers = map_new(table->mem);
     table->on = map_new(table->mem);
     table->cells = map_new(table->mem);
     table->used = map_new(table->mem);
     table->queues = map_new(table->mem);
     table->drains = map_new(table->mem);
-    table->revisions = revisionsNew(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    table->revisions = revisions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
 }
 
-Table *tableNew(void *mem)
+Table *table_new(void *mem)
 {
     Table *table = talloc_zero(mem, Table);
-    tableClear(table);
+    table_clear(table);
     return table;
 }
 
-void tableWatch(Table *table, TableFn fn, void *arg)
+void table_watch(Table *table, TableFn fn, void *arg)
 {
     table->fn = fn;
     table->arg = arg;
 }
 
-const Job *tableJob(const Table *table, const char *id)
+const Job *table_job(const Table *table, const char *id)
 {
-    return map_get(table->byId, id);
+    return map_get(table->by_id, id);
 }
 
-size_t tableJobs(const Table *table, Job *const **jobs)
+size_t table_jobs(const Table *table, Job *const **jobs)
 {
     *jobs = table->order.jobs;
     return table->order.count;
 }
 
-size_t tableActive(const Table *table, Job *const **jobs)
+size_t table_active(const Table *table, Job *const **jobs)
 {
     *jobs = table->active.jobs;
     return table->active.count;
 }
 
-uint64_t tableLastNumber(const Table *table)
+uint64_t table_last_number(const Table *table)
 {
-    return table->lastNumber;
+    return table->last_number;
 }
 
-int64_t tableOldestMs(const Table *table)
+int64_t table_oldest_ms(const Table *table)
 {
-    int64_t oldestMs = table->ended.count > 0 ? table->ended.jobs[0]->endedMs : INT64_MAX;
-    for (size_t i = 0; i < table->orphanCount; i++)
-        if (table->orphans[i].at_ms < oldestMs)
-            oldestMs = table->orphans[i].at_ms;
-    return oldestMs;
+    int64_t oldest_ms = table->ended.count > 0 ? table->ended.jobs[0]->ended_ms : INT64_MAX;
+    for (size_t i = 0; i < table->orphan_count; i++)
+        if (table->orphans[i].at_ms < oldest_ms)
+            oldest_ms = table->orphans[i].at_ms;
+    return oldest_ms;
 }
 
-const Revisions *tableRevisions(const Table *table)
+const Revisions *table_revisions(const Table *table)
 {
     return table->revisions;
 }
 
-uint64_t tableLoads(const Table *table)
+uint64_t table_loads(const Table *table)
 {
     return table->loads;
 }
 
-static const Shape *shapeOf(uint64_t kind)
+static const Shape *shape_of(uint64_t kind)
 {
     switch (kind) {
 #define X(name, number, shape) \
     case number:               \
-        return &shape##Shape;
+        return &shape##_shape;
         CHANGE_LIST(X)
 #undef X
     default:
@@ -94,10 +94,10 @@
     }
 }
 
-static void tableDeliver(void *arg, const Record *change, ChangeResult *result)
+static void table_deliver(void *arg, const Record *change, ChangeResult *result)
 {
     Table *table = arg;
-    const Shape *shape = shapeOf(change->change);
+    const Shape *shape = shape_of(change->change);
     if (shape == NULL)
         return; /* of a later release */
     void *mem = talloc_new(NULL);
@@ -106,43 +106,43 @@
     if (result->status == STATUS_OK)
         switch ((ChangeKind)change->change) {
         case CHANGE_JOB_ADD:
-            deliverJobAdd(table, change, body, result);
+            deliver_job_add(table, change, body, result);
             break;
         case CHANGE_JOB_CANCEL:
-            deliverJobCancel(table, change, body, result);
+            deliver_job_cancel(table, change, body, result);
             break;
         case CHANGE_PLACE:
-            deliverPlace(table, change, body, result);
+            deliver_place(table, change, body, result);
             break;
         case CHANGE_ROUNDS:
-            deliverRounds(table, change, body, result);
+            deliver_rounds(table, change, body, result);
             break;
         case CHANGE_STOP:
-            deliverStop(table, change, body, result);
+            deliver_stop(table, change, body, result);
             break;
         case CHANGE_WORKER_SET:
-            deliverWorkerSet(table, change, body, result);
+            deliver_worker_set(table, change, body, result);
             break;
         case CHANGE_WORKER_LOST:
-            deliverWorkerLost(table, change, body, result);
+            deliver_worker_lost(table, change, body, result);
             break;
         case CHANGE_WORKER_LEFT:
-            deliverWorkerLeft(table, change, body, result);
+            deliver_worker_left(table, change, body, result);
             break;
         case CHANGE_CONFIG_SET:
-            deliverConfig(table->revisions, body, result);
+            deliver_config(table->revisions, body, result);
             break;
         case CHANGE_ZONE_DRAIN:
-            deliverZoneDrain(table, change, body, result);
+            deliver_zone_drain(table, change, body, result);
             break;
         case CHANGE_FORGET:
-            deliverForget(table, change, body, result);
+            deliver_forget(table, change, body, result);
             break;
         case CHANGE_ASSURE:
-            deliverAssure(table, change, body, result);
+            deliver_assure(table, change, body, result);
             break;
         case CHANGE_JOB_END:
-            deliverJobEnd(table, change, body, result);
+            deliver_job_end(table, change, body, result);
             break;
         }
     if (table->fn != NULL)
@@ -150,7 +150,7 @@
     talloc_free(mem);
 }
 
-ViewState tableState(Table *table)
+ViewState table_state(Table *table)
 {
-    return (ViewState){table, tableDeliver, tableSave, tableLoad};
+    return (ViewState){table, table_deliver, table_save, table_load};
 }
--- a/packages/table/src/worker.c
+++ b/packages/table/src/worker.c
@@ -11,12 +11,12 @@
 #undef X
 };
 
-const char *roundWord(uint64_t word)
+const char *round_word(uint64_t word)
 {
     return word < ROUND_WORD_COUNT ? WORDS[word] : "unlisted";
 }
 
-RoundWord roundOfWord(const char *word)
+RoundWord round_of_word(const char *word)
 {
     for (int i = 0; i < ROUND_WORD_COUNT; i++)
         if (strcmp(WORDS[i], word) == 0)
--- a/packages/table/test/board.h
+++ b/packages/table/test/board.h
@@ -26,28 +26,28 @@
     Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ViewState state = tableState(board->table);
+    const ViewState state = table_state(board->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
     return result;
 }
 
-static inline Board boardNew(void)
+static inline Board board_new(void)
 {
-    return (Board){tableNew(NULL), 1000, 0};
+    return (Board){table_new(NULL), 1000, 0};
 }
 
-static inline JobSpec specOf(const char *id, StepSpec *steps, size_t count)
+static inline JobSpec spec_of(const char *id, StepSpec *steps, size_t count)
 {
     return (JobSpec){
-        .id = id, .cell = "c", .tenant = "t", .queue = "q", .roundLimit = 3, .steps = steps, .stepsCount = count};
+        .id = id, .cell = "c", .tenant = "t", .queue = "q", .round_limit = 3, .steps = steps, .steps_count = count};
 }
 
-static inline const Job *jobAdd(Board *board, const JobSpec *spec, JobTerms terms)
+static inline const Job *job_add(Board *board, const JobSpec *spec, JobTerms terms)
 {
     const JobAdd add = {*spec, terms};
-    assert_int_equal(tell(board, CHANGE_JOB_ADD, &JobAddShape, &add).status, STATUS_OK);
-    return tableJob(board->table, spec->id);
+    assert_int_equal(tell(board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OK);
+    return table_job(board->table, spec->id);
 }
 
 /* How many of them were taken. */
@@ -59,7 +59,7 @@
         places[i] = (Placement){
             .job = job, .task = tasks[i], .round = round, .worker = worker, .incarnation = 1, .saved = saved};
     const PlaceList list = {places, count};
-    const ChangeResult result = tell(board, CHANGE_PLACE, &PlaceListShape, &list);
+    const ChangeResult result = tell(board, CHANGE_PLACE, &PlaceList_shape, &list);
     talloc_free(places);
     return result.number;
 }
@@ -70,26 +70,26 @@
     RoundNews news = {
         .job = job, .task = task, .round = round, .worker = worker, .word = word, .text = "", .saved = saved};
     const RoundList list = {&news, 1};
-    tell(board, CHANGE_ROUNDS, &RoundListShape, &list);
+    tell(board, CHANGE_ROUNDS, &RoundList_shape, &list);
 }
 
 static inline void lose(Board *board, const char *worker)
 {
     const WorkerLost lost = {worker, UINT64_MAX};
-    tell(board, CHANGE_WORKER_LOST, &WorkerLostShape, &lost);
+    tell(board, CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
 }
 
 static inline ChangeResult cancel(Board *board, const char *job)
 {
     const JobCancel body = {job};
-    return tell(board, CHANGE_JOB_CANCEL, &JobCancelShape, &body);
+    return tell(board, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
 }
 
 /* Saves and loads the state; jobs found before are no more. */
 static inline void again(Board *board)
 {
     void *mem = talloc_new(NULL);
-    const ViewState state = tableState(board->table);
+    const ViewState state = table_state(board->table);
     const Bytes bytes = state.save(state.arg, mem);
     assert_int_equal(state.load(state.arg, bytes), STATUS_OK);
     const Bytes twice = state.save(state.arg, mem);
--- a/packages/table/test/gangs.c
+++ b/packages/table/test/gangs.c
@@ -4,45 +4,45 @@
 static const uint64_t ALL[] = {TASK_NUMBER(0, 1, 0), TASK_NUMBER(0, 1, 1), TASK_NUMBER(0, 1, 2)};
 
 /* A step of one, and a gang of three that does not wait for it. */
-static const Job *gangAdd(Board *b, Protection protection, bool lasting)
+static const Job *gang_add(Board *b, Protection protection, bool lasting)
 {
     StepSpec steps[] = {{.name = "a", .count = 1}, {.name = "g", .count = 3, .gang = true, .saves = true}};
-    JobSpec spec = specOf("j", steps, 2);
+    JobSpec spec = spec_of("j", steps, 2);
     spec.protection = protection;
     spec.lasting = lasting;
-    return jobAdd(b, &spec, (JobTerms){.roundLimit = 2});
+    return job_add(b, &spec, (JobTerms){.round_limit = 2});
 }
 
-static void allAre(const Job *job, TaskPhase phase)
+static void all_are(const Job *job, TaskPhase phase)
 {
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].phase, phase);
 }
 
-static void placedWhole(void **state)
+static void placed_whole(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     assert_int_equal(place(&b, "j", ALL, 2, 1, "w", ""), 0);
     assert_int_equal(place(&b, "j", ALL + 1, 2, 1, "w", ""), 0);
     const uint64_t twice[] = {ALL[0], ALL[1], ALL[1]};
     assert_int_equal(place(&b, "j", twice, 3, 1, "w", ""), 0);
     const uint64_t mixed[] = {0, ALL[0], ALL[1]};
     assert_int_equal(place(&b, "j", mixed, 3, 1, "w", ""), 1);
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     assert_int_equal(place(&b, "j", ALL, 3, 1, "w", ""), 3);
-    allAre(job, TASK_PLACED);
+    all_are(job, TASK_PLACED);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 0);
     talloc_free(b.table);
 }
 
 /* One is still being stopped: none is placed. And one number for all, above each. */
-static void placedUnderOneNumber(void **state)
+static void placed_under_one_number(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     say(&b, "j", ALL[0], 1, "w", ROUND_REFUSED, "");
     assert_int_equal(job->tasks[1].phase, TASK_WAITING);
@@ -50,7 +50,7 @@
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 0);
     say(&b, "j", ALL[1], 1, "w", ROUND_BROKEN, "");
     say(&b, "j", ALL[2], 1, "w", ROUND_STOPPED, "");
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     assert_int_equal(job->tasks[1].misses + job->tasks[2].misses + job->tasks[3].misses, 0);
     say(&b, "j", ALL[2], 4, "w", ROUND_FAILED, ""); /* of a round that the disks forgot */
     assert_int_equal(place(&b, "j", ALL, 3, 4, "w", ""), 0);
@@ -58,20 +58,20 @@
     talloc_free(b.table);
 }
 
-static void oneDoneAllDone(void **state)
+static void one_done_all_done(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     for (size_t i = 0; i < 3; i++)
         say(&b, "j", ALL[i], 1, "w", ROUND_RUNNING, "");
     say(&b, "j", ALL[1], 1, "w", ROUND_DONE, "");
-    allAre(job, TASK_DONE);
+    all_are(job, TASK_DONE);
     assert_int_equal(job->phase, JOB_ACTIVE);
     say(&b, "j", ALL[0], 1, "w", ROUND_FAILED, ""); /* the others' ends are words of the past */
     say(&b, "j", ALL[2], 1, "w", ROUND_DONE, "");
-    allAre(job, TASK_DONE);
+    all_are(job, TASK_DONE);
     const uint64_t first = 0;
     place(&b, "j", &first, 1, 1, "w", "");
     say(&b, "j", 0, 1, "w", ROUND_DONE, "");
@@ -80,31 +80,31 @@
 }
 
 /* Also in an older round than the one that runs now. */
-static void olderDoneOfAll(void **state)
+static void older_done_of_all(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     lose(&b, "w");
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     place(&b, "j", ALL, 3, 2, "v", "");
-    const uint64_t orders = tableOrders(b.table, "v");
+    const uint64_t orders = table_orders(b.table, "v");
     say(&b, "j", ALL[2], 1, "w", ROUND_DONE, "");
-    allAre(job, TASK_DONE);
-    assert_true(tableOrders(b.table, "v") > orders);
+    all_are(job, TASK_DONE);
+    assert_true(table_orders(b.table, "v") > orders);
     talloc_free(b.table);
 }
 
-static void missesOnceForARound(void **state)
+static void misses_once_for_a_round(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     for (size_t i = 0; i < 3; i++)
         say(&b, "j", ALL[i], 1, "w", ROUND_FAILED, "");
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].misses, 1);
     say(&b, "j", ALL[0], 1, "w", ROUND_FAILED, ""); /* told again */
@@ -118,14 +118,14 @@
 }
 
 /* A loss of some of its members is one loss of the gang. */
-static void lossesOnce(void **state)
+static void losses_once(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_BEST_EFFORT, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_BEST_EFFORT, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     lose(&b, "w");
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].losses, 1);
     place(&b, "j", ALL, 3, 2, "w", "");
@@ -134,11 +134,11 @@
     talloc_free(b.table);
 }
 
-static void progressOfAll(void **state)
+static void progress_of_all(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     say(&b, "j", ALL[1], 1, "w", ROUND_STOPPED, "half");
     for (size_t i = 1; i < 4; i++)
@@ -147,11 +147,11 @@
     talloc_free(b.table);
 }
 
-static void lastingGang(void **state)
+static void lasting_gang(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, true);
+    Board b = board_new();
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, true);
     place(&b, "j", ALL, 3, 1, "w", "");
     say(&b, "j", ALL[0], 1, "w", ROUND_DONE, "");
     assert_int_equal(job->tasks[1].phase, TASK_WAITING);
@@ -159,7 +159,7 @@
     assert_int_equal(job->tasks[3].phase, TASK_STOPPING);
     say(&b, "j", ALL[1], 1, "w", ROUND_DONE, "");
     say(&b, "j", ALL[2], 1, "w", ROUND_BROKEN, "");
-    allAre(job, TASK_WAITING);
+    all_are(job, TASK_WAITING);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 3);
     talloc_free(b.table);
 }
@@ -168,26 +168,32 @@
 static void orphans(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     say(&b, "j", ALL[1], 3, "w", ROUND_DONE, "");
     say(&b, "other", 0, 1, "w", ROUND_DONE, "");
     again(&b);
-    const Job *job = gangAdd(&b, PROTECTION_PROTECTED, false);
-    allAre(job, TASK_DONE);
+    const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
+    all_are(job, TASK_DONE);
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-    assert_int_equal(tableOldestMs(b.table), b.at_ms);
+    assert_int_equal(table_oldest_ms(b.table), b.at_ms);
     const Forget forget = {b.at_ms + 1};
-    tell(&b, CHANGE_FORGET, &ForgetShape, &forget);
-    assert_int_equal(tableOldestMs(b.table), INT64_MAX);
+    tell(&b, CHANGE_FORGET, &Forget_shape, &forget);
+    assert_int_equal(table_oldest_ms(b.table), INT64_MAX);
     talloc_free(b.table);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(placedWhole),    cmocka_unit_test(placedUnderOneNumber), cmocka_unit_test(oneDoneAllDone),
-        cmocka_unit_test(olderDoneOfAll), cmocka_unit_test(missesOnceForARound),  cmocka_unit_test(lossesOnce),
-        cmocka_unit_test(progressOfAll),  cmocka_unit_test(lastingGang),          cmocka_unit_test(orphans),
+        cmocka_unit_test(placed_whole),
+        cmocka_unit_test(placed_under_one_number),
+        cmocka_unit_test(one_done_all_done),
+        cmocka_unit_test(older_done_of_all),
+        cmocka_unit_test(misses_once_for_a_round),
+        cmocka_unit_test(losses_once),
+        cmocka_unit_test(progress_of_all),
+        cmocka_unit_test(lasting_gang),
+        cmocka_unit_test(orphans),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/table/test/revisions.c
+++ b/packages/table/test/revisions.c
@@ -19,19 +19,19 @@
     ChangeResult result = {0};
     if (set.digest == NULL)
         set.digest = "";
-    deliverConfig(revisions, &set, &result);
+    deliver_config(revisions, &set, &result);
     return result;
 }
 
-static ConfigSet setOf(uint64_t base, uint64_t revision, const char *text, bool patch, const char *digest)
+static ConfigSet set_of(uint64_t base, uint64_t revision, const char *text, bool patch, const char *digest)
 {
     return (ConfigSet){.base = base, .revision = revision, .text = text, .patch = patch, .digest = digest};
 }
 
-static void expectText(const Revisions *revisions, uint64_t revision, const char *wanted)
+static void expect_text(const Revisions *revisions, uint64_t revision, const char *wanted)
 {
     void *mem = talloc_new(NULL);
-    const char *text = revisionsText(revisions, mem, revision);
+    const char *text = revisions_text(revisions, mem, revision);
     if (wanted == NULL)
         assert_null(text);
     else
@@ -42,24 +42,24 @@
 static void chains(void **state)
 {
     (void)state;
-    Revisions *revisions = revisionsNew(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    assert_int_equal(revisionsNewest(revisions), 0);
-    assert_null(revisionsTree(revisions, NULL, 0));
+    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    assert_int_equal(revisions_newest(revisions), 0);
+    assert_null(revisions_tree(revisions, NULL, 0));
     /* no patch can come first */
-    assert_int_equal(deliver(revisions, setOf(0, 1, "{}", true, "")).status, STATUS_STALE_REVISION);
-    assert_int_equal(deliver(revisions, setOf(0, 5, "{ \"r\": 1.0 }", false, "")).number, 5);
-    assert_int_equal(deliver(revisions, setOf(5, 7, "{\"a\":{\"b\":2.50}}", true, "")).number, 7);
-    assert_int_equal(deliver(revisions, setOf(7, 0, "{\"a\":{\"c\":1},\"r\":null}", true, "")).number, 8);
-    assert_int_equal(deliver(revisions, setOf(8, 20, "{\"x\":1}", false, "")).number, 20);
-    expectText(revisions, 5, "{ \"r\": 1.0 }"); /* as it was sent */
-    expectText(revisions, 7, "{\"r\":1.0,\"a\":{\"b\":2.50}}");
-    expectText(revisions, 8, "{\"a\":{\"b\":2.50,\"c\":1}}");
-    expectText(revisions, 20, "{\"x\":1}");
-    expectText(revisions, 6, NULL);
+    assert_int_equal(deliver(revisions, set_of(0, 1, "{}", true, "")).status, STATUS_STALE_REVISION);
+    assert_int_equal(deliver(revisions, set_of(0, 5, "{ \"r\": 1.0 }", false, "")).number, 5);
+    assert_int_equal(deliver(revisions, set_of(5, 7, "{\"a\":{\"b\":2.50}}", true, "")).number, 7);
+    assert_int_equal(deliver(revisions, set_of(7, 0, "{\"a\":{\"c\":1},\"r\":null}", true, "")).number, 8);
+    assert_int_equal(deliver(revisions, set_of(8, 20, "{\"x\":1}", false, "")).number, 20);
+    expect_text(revisions, 5, "{ \"r\": 1.0 }"); /* as it was sent */
+    expect_text(revisions, 7, "{\"r\":1.0,\"a\":{\"b\":2.50}}");
+    expect_text(revisions, 8, "{\"a\":{\"b\":2.50,\"c\":1}}");
+    expect_text(revisions, 20, "{\"x\":1}");
+    expect_text(revisions, 6, NULL);
     /* a tree that was had before is gone on from */
-    assert_int_equal(deliver(revisions, setOf(20, 21, "{\"y\":2}", true, "")).number, 21);
-    json_object *whole = revisionsTree(revisions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
-    json_object *onward = revisionsTree(revisions, had, 20);
+    assert_int_equal(deliver(revisions, set_of(20, 21, "{\"y\":2}", true, "")).number, 21);
+    json_object *whole = revisions_tree(revisions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
+    json_object *onward = revisions_tree(revisions, had, 20);
     void *mem = talloc_new(NULL);
     assert_string_equal(document_text(mem, whole), "{\"x\":1,\"y\":2}");
     assert_string_equal(document_text(mem, onward), "{\"x\":{\"kept\":1},\"y\":2}");
@@ -76,29 +76,29 @@
 static void calls(void **state)
 {
     (void)state;
-    Revisions *revisions = revisionsNew(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, setOf(0, 3, "{}", false, "first"));
-    ChangeResult result = deliver(revisions, setOf(3, 9, "{\"a\":1}", true, "one"));
+    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(revisions, set_of(0, 3, "{}", false, "first"));
+    ChangeResult result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
-    result = deliver(revisions, setOf(3, 9, "{\"a\":2}", true, "two"));
+    result = deliver(revisions, set_of(3, 9, "{\"a\":2}", true, "two"));
     assert_int_equal(result.status, STATUS_STALE_REVISION);
     assert_int_equal(result.number, 9);
-    result = deliver(revisions, setOf(3, 12, "{\"a\":2}", true, "three"));
+    result = deliver(revisions, set_of(3, 12, "{\"a\":2}", true, "three"));
     assert_int_equal(result.status, STATUS_STALE_REVISION);
     /* on the newest, but not above it */
-    result = deliver(revisions, setOf(9, 9, "{\"a\":2}", true, "four"));
+    result = deliver(revisions, set_of(9, 9, "{\"a\":2}", true, "four"));
     assert_int_equal(result.status, STATUS_STALE_REVISION);
-    result = deliver(revisions, setOf(3, 9, "{\"a\":1}", true, "one"));
+    result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
     assert_int_equal(result.number, 9);
-    deliver(revisions, setOf(9, 14, "{\"a\":3}", true, "five"));
-    result = deliver(revisions, setOf(3, 9, "{\"a\":1}", true, "one"));
+    deliver(revisions, set_of(9, 14, "{\"a\":3}", true, "five"));
+    result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
     assert_int_equal(result.number, 9);
-    assert_int_equal(revisionsNewest(revisions), 14);
+    assert_int_equal(revisions_newest(revisions), 14);
     /* without a digest nothing is known again */
-    assert_int_equal(deliver(revisions, setOf(14, 0, "{\"a\":4}", true, "")).number, 15);
-    assert_int_equal(deliver(revisions, setOf(14, 0, "{\"a\":4}", true, "")).status, STATUS_STALE_REVISION);
+    assert_int_equal(deliver(revisions, set_of(14, 0, "{\"a\":4}", true, "")).number, 15);
+    assert_int_equal(deliver(revisions, set_of(14, 0, "{\"a\":4}", true, "")).status, STATUS_STALE_REVISION);
     talloc_free(revisions);
 }
 
@@ -106,30 +106,30 @@
 static void restored(void **state)
 {
     (void)state;
-    Revisions *revisions = revisionsNew(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, setOf(0, 3, "{\"a\":1}", false, "first"));
-    ConfigSet set = setOf(5, 8, "{\"b\":1}", true, "gap");
+    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(revisions, set_of(0, 3, "{\"a\":1}", false, "first"));
+    ConfigSet set = set_of(5, 8, "{\"b\":1}", true, "gap");
     set.restored = true;
     assert_int_equal(deliver(revisions, set).status, STATUS_STALE_REVISION);
-    set = setOf(3, 5, "{\"c\":1}", true, "next");
+    set = set_of(3, 5, "{\"c\":1}", true, "next");
     set.restored = true;
     assert_int_equal(deliver(revisions, set).number, 5);
-    set = setOf(5, 8, "{\"b\":1}", true, "gap");
+    set = set_of(5, 8, "{\"b\":1}", true, "gap");
     set.restored = true;
     assert_int_equal(deliver(revisions, set).number, 8);
-    set = setOf(2, 4, "{}", false, "old");
+    set = set_of(2, 4, "{}", false, "old");
     set.restored = true;
     assert_int_equal(deliver(revisions, set).status, STATUS_OK);
-    expectText(revisions, 8, "{\"a\":1,\"c\":1,\"b\":1}");
-    set = setOf(30, 31, "{\"z\":1}", false, "far");
+    expect_text(revisions, 8, "{\"a\":1,\"c\":1,\"b\":1}");
+    set = set_of(30, 31, "{\"z\":1}", false, "far");
     set.restored = true;
     assert_int_equal(deliver(revisions, set).number, 31);
-    expectText(revisions, 31, "{\"z\":1}");
-    assert_int_equal(revisionsDigest(revisions, "gap"), 8);
+    expect_text(revisions, 31, "{\"z\":1}");
+    assert_int_equal(revisions_digest(revisions, "gap"), 8);
     talloc_free(revisions);
 }
 
-static void checkInvariants(const Revisions *revisions)
+static void check_invariants(const Revisions *revisions)
 {
     size_t bytes = 0;
     assert_true(revisions->whole < revisions->count);
@@ -141,14 +141,14 @@
             assert_true(revisions->rows[i].revision > revisions->rows[i - 1].revision);
     }
     assert_int_equal(bytes, revisions->bytes);
-    assert_int_equal(revisions->wholeBytes, strlen(revisions->rows[revisions->whole].text));
+    assert_int_equal(revisions->whole_bytes, strlen(revisions->rows[revisions->whole].text));
     assert_true(bytes - strlen(revisions->rows[revisions->whole].text) <= CONFIG_HISTORY_BYTES);
     assert_true(revisions->count - revisions->whole <= revisions->keep + CONFIG_HISTORY_STEP);
     assert_true(revisions->count <= revisions->known + CONFIG_HISTORY_STEP);
 }
 
 /* What the rows take whose texts are dropped, each with a digest as calls have it. */
-static size_t knownBytes(const Revisions *revisions)
+static size_t known_bytes(const Revisions *revisions)
 {
     size_t bytes = 0;
     for (size_t i = 0; i < revisions->whole; i++)
@@ -162,25 +162,25 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisionsNew(mem, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, setOf(0, 1, "{\"k\":{}}", false, "d1"));
+    Revisions *revisions = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(revisions, set_of(0, 1, "{\"k\":{}}", false, "d1"));
     for (uint64_t i = 2; i <= 1500; i++) {
         const char *text = talloc_asprintf(mem, "{\"k\":{\"a%d\":%d}}", (int)(i % 7), (int)i);
         assert_int_equal(
-            deliver(revisions, setOf(i - 1, i, text, i % 97 != 0, talloc_asprintf(mem, "d%d", (int)i))).number, i);
-        checkInvariants(revisions);
+            deliver(revisions, set_of(i - 1, i, text, i % 97 != 0, talloc_asprintf(mem, "d%d", (int)i))).number, i);
+        check_invariants(revisions);
     }
     for (uint64_t i = 1301; i <= 1500; i++) {
-        const char *text = revisionsText(revisions, mem, i);
+        const char *text = revisions_text(revisions, mem, i);
         assert_non_null(text);
         assert_non_null(strstr(text, talloc_asprintf(mem, "\"a%d\":%d", (int)(i % 7), (int)i)));
-        assert_int_equal(revisionsDigest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
+        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
     }
-    assert_null(revisionsText(revisions, mem, 1200));
+    assert_null(revisions_text(revisions, mem, 1200));
     for (uint64_t i = 501; i <= 1500; i++)
-        assert_int_equal(revisionsDigest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
-    assert_int_equal(revisionsDigest(revisions, "d400"), 0);
-    assert_true(knownBytes(revisions) < (size_t)CONFIG_KNOWN * 120);
+        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
+    assert_int_equal(revisions_digest(revisions, "d400"), 0);
+    assert_true(known_bytes(revisions) < (size_t)CONFIG_KNOWN * 120);
     talloc_free(mem);
 }
 
@@ -190,15 +190,15 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisionsNew(mem, 8, 8);
+    Revisions *revisions = revisions_new(mem, 8, 8);
     char *note = talloc_zero_size(mem, 200001);
     memset(note, 'n', 200000);
     for (uint64_t i = 1; i <= 300; i++) {
         const char *text = talloc_asprintf(mem, "{\"k%d\":\"%s\"}", (int)(i % 3), i % 70 < 12 ? note : "small");
-        assert_int_equal(deliver(revisions, setOf(i - 1, i, text, i > 1, talloc_asprintf(mem, "d%d", (int)i))).number,
+        assert_int_equal(deliver(revisions, set_of(i - 1, i, text, i > 1, talloc_asprintf(mem, "d%d", (int)i))).number,
                          i);
-        checkInvariants(revisions);
-        assert_int_equal(revisionsDigest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
+        check_invariants(revisions);
+        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
     }
     talloc_free(mem);
 }
@@ -209,7 +209,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisionsNew(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    Revisions *revisions = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
     char *note = talloc_zero_size(mem, 300001);
     memset(note, 'n', 300000);
     uint64_t base = 0;
@@ -219,21 +219,21 @@
         const char *text = talloc_asprintf(mem, "{\"k%d\":\"%s\"}", (int)(i % 3), note);
         note[60000] = 'n';
         assert_int_equal(
-            deliver(revisions, setOf(base, i * 3, text, patch, talloc_asprintf(mem, "d%d", (int)i))).number, i * 3);
+            deliver(revisions, set_of(base, i * 3, text, patch, talloc_asprintf(mem, "d%d", (int)i))).number, i * 3);
         base = i * 3;
-        checkInvariants(revisions);
-        assert_non_null(revisionsText(revisions, mem, base));
+        check_invariants(revisions);
+        assert_non_null(revisions_text(revisions, mem, base));
     }
     for (uint64_t i = 1; i <= 150; i++)
-        assert_int_equal(revisionsDigest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
-    assert_null(revisionsText(revisions, mem, 3));
+        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
+    assert_null(revisions_text(revisions, mem, 3));
     /* saved and loaded, all is as it was */
-    Revisions *loaded = revisionsNew(mem, CONFIG_HISTORY, CONFIG_KNOWN);
-    revisionsLoad(loaded, revisions->rows, revisions->count);
-    checkInvariants(loaded);
+    Revisions *loaded = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    revisions_load(loaded, revisions->rows, revisions->count);
+    check_invariants(loaded);
     assert_int_equal(loaded->whole, revisions->whole);
-    assert_string_equal(revisionsText(loaded, mem, base), revisionsText(revisions, mem, base));
-    assert_true(revisionsSize(loaded) >= strlen(revisionsText(loaded, mem, base)));
+    assert_string_equal(revisions_text(loaded, mem, base), revisions_text(revisions, mem, base));
+    assert_true(revisions_size(loaded) >= strlen(revisions_text(loaded, mem, base)));
     talloc_free(mem);
 }
 
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -28,16 +28,16 @@
                  {ROUND_STOPPED, 0, 0, false}, {ROUND_BROKEN, 0, 0, false}, {ROUND_ALONE, 0, 0, true},
                  {ROUND_REFUSED, 0, 0, true}};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
-        Board b = boardNew();
+        Board b = board_new();
         StepSpec step = one();
-        const JobSpec spec = specOf("j", &step, 1);
-        const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+        const JobSpec spec = spec_of("j", &step, 1);
+        const Job *job = job_add(&b, &spec, (JobTerms){0});
         round_(&b, 1, WORDS[i].word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_int_equal(job->tasks[0].misses, WORDS[i].misses);
         assert_int_equal(job->tasks[0].losses, WORDS[i].losses);
         assert_int_equal(job->tasks[0].rest_until_ms > b.at_ms, WORDS[i].rests);
-        assert_int_equal(tableWaitingIn(b.table, "c", "q"), 1);
+        assert_int_equal(table_waiting_in(b.table, "c", "q"), 1);
         talloc_free(b.table);
     }
 }
@@ -47,10 +47,10 @@
 {
     (void)state;
     for (uint64_t limit = 0; limit < 6; limit += 5) {
-        Board b = boardNew();
+        Board b = board_new();
         StepSpec step = one();
-        const JobSpec spec = specOf("j", &step, 1);
-        const Job *job = jobAdd(&b, &spec, (JobTerms){.roundLimit = limit});
+        const JobSpec spec = spec_of("j", &step, 1);
+        const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = limit});
         const uint64_t most = limit > 0 ? limit : 3;
         int64_t rest_ms = 0;
         for (uint64_t round = 1; round <= most; round++) {
@@ -62,20 +62,20 @@
         }
         assert_int_equal(job->phase, JOB_FAILED);
         assert_int_equal(job->tasks[0].phase, TASK_FAILED);
-        assert_int_equal(tableWaitingIn(b.table, "c", "q"), 0);
+        assert_int_equal(table_waiting_in(b.table, "c", "q"), 0);
         talloc_free(b.table);
     }
 }
 
 /* A failure told of an older round counts, told twice it does not, and one of a round
  * that the disks forgot raises the number of the next. */
-static void lateFailures(void **state)
+static void late_failures(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    const JobSpec spec = specOf("j", &step, 1);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){.roundLimit = 3});
+    const JobSpec spec = spec_of("j", &step, 1);
+    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 3});
     place(&b, "j", FIRST, 1, 1, "w", "");
     lose(&b, "w");
     assert_int_equal(place(&b, "j", FIRST, 1, 2, "v", ""), 1);
@@ -94,13 +94,13 @@
 }
 
 /* A round's number far beyond what can have been forgotten would leave none for the next. */
-static void strangeRounds(void **state)
+static void strange_rounds(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    const JobSpec spec = specOf("j", &step, 1);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+    const JobSpec spec = spec_of("j", &step, 1);
+    const Job *job = job_add(&b, &spec, (JobTerms){0});
     for (int word = 0; word < ROUND_WORD_COUNT; word++)
         if (word != ROUND_DONE)
             say(&b, "j", 0, UINT64_MAX, "w", (RoundWord)word, "");
@@ -110,69 +110,69 @@
 }
 
 /* Finished well is finished, in whichever round; the newer one's worker hears of it. */
-static void olderDone(void **state)
+static void older_done(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    const JobSpec spec = specOf("j", &step, 1);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+    const JobSpec spec = spec_of("j", &step, 1);
+    const Job *job = job_add(&b, &spec, (JobTerms){0});
     place(&b, "j", FIRST, 1, 1, "w", "");
     lose(&b, "w");
     place(&b, "j", FIRST, 1, 2, "v", "");
-    const uint64_t orders = tableOrders(b.table, "v");
+    const uint64_t orders = table_orders(b.table, "v");
     say(&b, "j", 0, 1, "w", ROUND_DONE, "");
     assert_int_equal(job->phase, JOB_DONE);
-    assert_true(tableOrders(b.table, "v") > orders);
+    assert_true(table_orders(b.table, "v") > orders);
     const TaskOn *on;
-    assert_int_equal(tableOn(b.table, "v", &on), 0);
+    assert_int_equal(table_on(b.table, "v", &on), 0);
     say(&b, "j", 0, 2, "v", ROUND_FAILED, "");
     assert_int_equal(job->phase, JOB_DONE);
     talloc_free(b.table);
 }
 
 /* A worker's own word of an end needs no telling back; the leader's word does. */
-static void ordersGrow(void **state)
+static void orders_grow(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    const JobSpec spec = specOf("j", &step, 1);
-    jobAdd(&b, &spec, (JobTerms){0});
+    const JobSpec spec = spec_of("j", &step, 1);
+    job_add(&b, &spec, (JobTerms){0});
     place(&b, "j", FIRST, 1, 1, "w", "");
-    uint64_t orders = tableOrders(b.table, "w");
+    uint64_t orders = table_orders(b.table, "w");
     say(&b, "j", 0, 1, "w", ROUND_RUNNING, "");
     say(&b, "j", 0, 1, "w", ROUND_STOPPED, "");
-    assert_int_equal(tableOrders(b.table, "w"), orders);
+    assert_int_equal(table_orders(b.table, "w"), orders);
     place(&b, "j", FIRST, 1, 2, "w", "");
-    assert_true(tableOrders(b.table, "w") > orders);
-    orders = tableOrders(b.table, "w");
+    assert_true(table_orders(b.table, "w") > orders);
+    orders = table_orders(b.table, "w");
     say(&b, "j", 0, 2, "w", ROUND_LOST, "");
-    assert_true(tableOrders(b.table, "w") > orders);
+    assert_true(table_orders(b.table, "w") > orders);
     place(&b, "j", FIRST, 1, 3, "w", "");
     say(&b, "j", 0, 3, "w", ROUND_RUNNING, "");
-    orders = tableOrders(b.table, "w");
+    orders = table_orders(b.table, "w");
     cancel(&b, "j");
-    assert_true(tableOrders(b.table, "w") > orders);
+    assert_true(table_orders(b.table, "w") > orders);
     talloc_free(b.table);
 }
 
 /* What was being stopped has stopped: no loss, by whichever way it is told. */
-static void stoppedIsNoLoss(void **state)
+static void stopped_is_no_loss(void **state)
 {
     (void)state;
-    for (int byNews = 0; byNews < 2; byNews++) {
-        Board b = boardNew();
+    for (int by_news = 0; by_news < 2; by_news++) {
+        Board b = board_new();
         StepSpec step = one();
-        JobSpec spec = specOf("j", &step, 1);
+        JobSpec spec = spec_of("j", &step, 1);
         spec.protection = PROTECTION_NONE; /* one loss would be its end */
-        const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+        const Job *job = job_add(&b, &spec, (JobTerms){0});
         place(&b, "j", FIRST, 1, 1, "w", "");
         RoundId id = {"j", 0, 1};
         const StopList list = {&id, 1, "pushed"};
-        tell(&b, CHANGE_STOP, &StopListShape, &list);
+        tell(&b, CHANGE_STOP, &StopList_shape, &list);
         assert_int_equal(job->tasks[0].phase, TASK_STOPPING);
-        if (byNews)
+        if (by_news)
             say(&b, "j", 0, 1, "w", ROUND_LAPSED, "");
         else
             lose(&b, "w");
@@ -187,10 +187,10 @@
     (void)state;
     static const RoundWord WORDS[] = {ROUND_DONE, ROUND_FAILED, ROUND_STOPPED, ROUND_LAPSED};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
-        Board b = boardNew();
+        Board b = board_new();
         StepSpec step = one();
-        const JobSpec spec = specOf("j", &step, 1);
-        const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+        const JobSpec spec = spec_of("j", &step, 1);
+        const Job *job = job_add(&b, &spec, (JobTerms){0});
         place(&b, "j", FIRST, 1, 1, "w", "");
         assert_int_equal(cancel(&b, "j").status, STATUS_OK);
         assert_int_equal(job->phase, JOB_ACTIVE);
@@ -206,12 +206,12 @@
 static void lasting(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    JobSpec spec = specOf("j", &step, 1);
+    JobSpec spec = spec_of("j", &step, 1);
     spec.lasting = true;
     spec.protection = PROTECTION_NONE;
-    const Job *job = jobAdd(&b, &spec, (JobTerms){.roundLimit = 1});
+    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 1});
     uint64_t round = 0;
     for (int word = 0; word < ROUND_WORD_COUNT; word++) {
         if (word == ROUND_RUNNING)
@@ -237,12 +237,12 @@
 static void progress(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec steps[] = {one(), one()};
     steps[1].name = "forgets";
     steps[1].saves = false;
-    const JobSpec spec = specOf("j", steps, 2);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+    const JobSpec spec = spec_of("j", steps, 2);
+    const Job *job = job_add(&b, &spec, (JobTerms){0});
     const uint64_t second = TASK_NUMBER(0, 1, 0);
     place(&b, "j", FIRST, 1, 1, "w", "");
     place(&b, "j", &second, 1, 1, "w", "");
@@ -259,12 +259,12 @@
     say(&b, "j", 0, 1, "w", ROUND_STOPPED, "p2"); /* of an older round */
     assert_string_equal(job->tasks[0].saved, "p3");
     again(&b);
-    assert_string_equal(tableJob(b.table, "j")->tasks[0].saved, "p3");
+    assert_string_equal(table_job(b.table, "j")->tasks[0].saved, "p3");
     talloc_free(b.table);
 }
 
 /* A number that the job does not have finds nothing and harms nothing. */
-static void strangeNumbers(void **state)
+static void strange_numbers(void **state)
 {
     (void)state;
     static const uint64_t NUMBERS[] = {1,
@@ -276,19 +276,19 @@
                                        TASK_NUMBER(9999, 0, 0),
                                        UINT64_MAX,
                                        UINT64_MAX / 2};
-    Board b = boardNew();
+    Board b = board_new();
     StepSpec step = one();
-    const JobSpec spec = specOf("j", &step, 1);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){0});
+    const JobSpec spec = spec_of("j", &step, 1);
+    const Job *job = job_add(&b, &spec, (JobTerms){0});
     for (size_t i = 0; i < sizeof(NUMBERS) / sizeof(NUMBERS[0]); i++) {
-        assert_int_equal(taskIndex(job, NUMBERS[i]), job->tasksCount);
+        assert_int_equal(task_index(job, NUMBERS[i]), job->tasks_count);
         assert_int_equal(place(&b, "j", &NUMBERS[i], 1, 1, "w", ""), 0);
         for (int word = 0; word < ROUND_WORD_COUNT; word++)
             say(&b, "j", NUMBERS[i], 1, "w", (RoundWord)word, "x");
         RoundId id = {"j", NUMBERS[i], 0};
         const StopList list = {&id, 1, ""};
-        tell(&b, CHANGE_STOP, &StopListShape, &list);
-        tell(&b, CHANGE_ASSURE, &StopListShape, &list);
+        tell(&b, CHANGE_STOP, &StopList_shape, &list);
+        tell(&b, CHANGE_ASSURE, &StopList_shape, &list);
     }
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
     assert_int_equal(job->tasks[0].round, 0);
@@ -298,10 +298,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(words_count),    cmocka_unit_test(limits),        cmocka_unit_test(lateFailures),
-        cmocka_unit_test(olderDone),      cmocka_unit_test(ordersGrow),    cmocka_unit_test(stoppedIsNoLoss),
-        cmocka_unit_test(cancelled),      cmocka_unit_test(lasting),       cmocka_unit_test(progress),
-        cmocka_unit_test(strangeNumbers), cmocka_unit_test(strangeRounds),
+        cmocka_unit_test(words_count),     cmocka_unit_test(limits),         cmocka_unit_test(late_failures),
+        cmocka_unit_test(older_done),      cmocka_unit_test(orders_grow),    cmocka_unit_test(stopped_is_no_loss),
+        cmocka_unit_test(cancelled),       cmocka_unit_test(lasting),        cmocka_unit_test(progress),
+        cmocka_unit_test(strange_numbers), cmocka_unit_test(strange_rounds),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -9,11 +9,11 @@
     static const char *after[] = {"a", "b"};
     STEPS[0] = (StepSpec){.name = "a", .count = 2};
     STEPS[1] = (StepSpec){.name = "b", .count = 1};
-    STEPS[2] = (StepSpec){.name = "c", .count = 2, .after = after, .afterCount = 2};
-    JobSpec spec = specOf(id, STEPS, 3);
+    STEPS[2] = (StepSpec){.name = "c", .count = 2, .after = after, .after_count = 2};
+    JobSpec spec = spec_of(id, STEPS, 3);
     spec.turns = 3;
-    spec.firstWallMs = 50000;
-    spec.periodMs = 1000;
+    spec.first_wall_ms = 50000;
+    spec.period_ms = 1000;
     return spec;
 }
 
@@ -26,33 +26,33 @@
 static void turns(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     const JobSpec spec = turning("j");
-    const Job *job = jobAdd(&b, &spec, (JobTerms){0});
-    assert_int_equal(job->tasksCount, 15);
-    for (size_t i = 0; i < job->tasksCount; i++) {
+    const Job *job = job_add(&b, &spec, (JobTerms){0});
+    assert_int_equal(job->tasks_count, 15);
+    for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
-        assert_int_equal(taskIndex(job, taskNumber(task)), i);
+        assert_int_equal(task_index(job, task_number(task)), i);
         assert_int_equal(task->turn, i / 5);
-        assert_int_equal(taskDueWallMs(job, task), 50000 + 1000 * (int64_t)task->turn);
-        assert_int_equal(taskStepsDone(job, task), task->step != 2);
-        assert_int_equal(taskFirst(job, task), i - task->at);
+        assert_int_equal(task_due_wall_ms(job, task), 50000 + 1000 * (int64_t)task->turn);
+        assert_int_equal(task_steps_done(job, task), task->step != 2);
+        assert_int_equal(task_first(job, task), i - task->at);
     }
     /* the second turn is done while the first stands still */
     const size_t last = 9;
     finish(&b, "j", TASK_NUMBER(1, 0, 0), 1);
     finish(&b, "j", TASK_NUMBER(1, 1, 0), 1);
-    assert_false(taskStepsDone(job, &job->tasks[last]));
+    assert_false(task_steps_done(job, &job->tasks[last]));
     finish(&b, "j", TASK_NUMBER(1, 0, 1), 1);
-    assert_true(taskStepsDone(job, &job->tasks[last]));
-    assert_false(taskStepsDone(job, &job->tasks[4]));
-    assert_false(taskStepsDone(job, &job->tasks[14]));
+    assert_true(task_steps_done(job, &job->tasks[last]));
+    assert_false(task_steps_done(job, &job->tasks[4]));
+    assert_false(task_steps_done(job, &job->tasks[14]));
     finish(&b, "j", TASK_NUMBER(1, 2, 0), 1);
     finish(&b, "j", TASK_NUMBER(1, 2, 1), 1);
     again(&b);
-    job = tableJob(b.table, "j");
-    assert_true(taskStepsDone(job, &job->tasks[last]));
-    assert_false(taskStepsDone(job, &job->tasks[4]));
+    job = table_job(b.table, "j");
+    assert_true(task_steps_done(job, &job->tasks[last]));
+    assert_false(task_steps_done(job, &job->tasks[4]));
     assert_int_equal(job->phase, JOB_ACTIVE);
     for (uint64_t turn = 0; turn < 3; turn += 2)
         for (uint64_t step = 0; step < 3; step++)
@@ -66,74 +66,74 @@
 static void terms(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     JobSpec spec = turning("j");
-    const JobTerms first = {.roundLimit = 4, .stretchMilli = 2200, .targetMs = 1000, .priority = 2, .kind = "std"};
-    jobAdd(&b, &spec, first);
-    const Job *job = jobAdd(&b, &spec, (JobTerms){.roundLimit = 9});
-    assert_int_equal(job->terms.roundLimit, 4);
-    spec.periodMs++;
+    const JobTerms first = {.round_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .priority = 2, .kind = "std"};
+    job_add(&b, &spec, first);
+    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 9});
+    assert_int_equal(job->terms.round_limit, 4);
+    spec.period_ms++;
     const JobAdd add = {spec, first};
-    assert_int_equal(tell(&b, CHANGE_JOB_ADD, &JobAddShape, &add).status, STATUS_OTHER_BODY);
+    assert_int_equal(tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
     again(&b);
-    job = tableJob(b.table, "j");
+    job = table_job(b.table, "j");
     assert_string_equal(job->terms.kind, "std");
-    assert_int_equal(job->terms.stretchMilli, 2200);
+    assert_int_equal(job->terms.stretch_milli, 2200);
     assert_int_equal(job->spec.turns, 3);
     talloc_free(b.table);
 }
 
 /* Sums against a walk over everything, after each of many changes drawn by lot. */
-static void sumsHold(const Board *b)
+static void sums_hold(const Board *b)
 {
     Job *const *jobs;
-    const size_t count = tableJobs(b->table, &jobs);
-    size_t active = 0, waiting = 0, onW[3] = {0};
+    const size_t count = table_jobs(b->table, &jobs);
+    size_t active = 0, waiting = 0, on_w[3] = {0};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
         size_t open = 0, undone = 0, still = 0;
         assert_true(j == 0 || jobs[j - 1]->number < job->number);
         active += job->phase == JOB_ACTIVE;
-        for (size_t t = 0; t < job->tasksCount; t++) {
+        for (size_t t = 0; t < job->tasks_count; t++) {
             const JobTask *task = &job->tasks[t];
-            open += !taskEnded(task->phase);
+            open += !task_ended(task->phase);
             undone += task->phase != TASK_DONE;
             still += task->phase == TASK_WAITING;
-            assert_int_equal(taskOnWorker(task->phase), task->worker[0] != '\0');
+            assert_int_equal(task_on_worker(task->phase), task->worker[0] != '\0');
             if (task->worker[0] == '\0')
                 continue;
             const TaskOn *on;
-            assert_true(task->onAt < tableOn(b->table, task->worker, &on));
-            assert_ptr_equal(on[task->onAt].job, job);
-            assert_int_equal(on[task->onAt].task, t);
-            onW[task->worker[1] - '0']++;
+            assert_true(task->on_at < table_on(b->table, task->worker, &on));
+            assert_ptr_equal(on[task->on_at].job, job);
+            assert_int_equal(on[task->on_at].task, t);
+            on_w[task->worker[1] - '0']++;
         }
         waiting += still;
         assert_int_equal(job->sums.waiting, still);
         assert_int_equal(job->sums.open, open);
         assert_int_equal(job->sums.undone, undone);
         assert_int_equal(open > 0, job->phase == JOB_ACTIVE);
-        for (size_t t = 0; t < job->tasksCount; t++) {
+        for (size_t t = 0; t < job->tasks_count; t++) {
             bool done = true;
-            for (size_t k = 0; k < job->tasksCount; k++)
+            for (size_t k = 0; k < job->tasks_count; k++)
                 if (job->tasks[k].turn == job->tasks[t].turn && job->tasks[k].step != 2 && job->tasks[t].step == 2)
                     done &= job->tasks[k].phase == TASK_DONE;
-            assert_int_equal(taskStepsDone(job, &job->tasks[t]), done);
+            assert_int_equal(task_steps_done(job, &job->tasks[t]), done);
         }
     }
     Job *const *those;
-    assert_int_equal(tableActive(b->table, &those), active);
-    assert_int_equal(tableWaiting(b->table, "c"), waiting);
-    assert_int_equal(tableWaitingIn(b->table, "c", "q"), active);
-    assert_int_equal(tableWaitingIn(b->table, "c", "other"), 0);
+    assert_int_equal(table_active(b->table, &those), active);
+    assert_int_equal(table_waiting(b->table, "c"), waiting);
+    assert_int_equal(table_waiting_in(b->table, "c", "q"), active);
+    assert_int_equal(table_waiting_in(b->table, "c", "other"), 0);
     size_t busy = 0;
-    while (tableBusy(b->table, busy) != NULL)
+    while (table_busy(b->table, busy) != NULL)
         busy++;
-    assert_int_equal(busy, (onW[0] > 0) + (onW[1] > 0) + (onW[2] > 0));
+    assert_int_equal(busy, (on_w[0] > 0) + (on_w[1] > 0) + (on_w[2] > 0));
     for (int w = 0; w < 3; w++) {
         const char name[] = {'w', (char)('0' + w), '\0'};
         const TaskOn *on;
-        assert_int_equal(tableOn(b->table, name, &on), onW[w]);
+        assert_int_equal(table_on(b->table, name, &on), on_w[w]);
     }
 }
 
@@ -143,27 +143,27 @@
     return (*seed >> 33) % below;
 }
 
-static void byLot(void **state)
+static void by_lot(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 20; seed++) {
         uint64_t lot = seed;
-        Board b = boardNew();
+        Board b = board_new();
         for (int i = 0; i < 400; i++) {
             b.at_ms += (int64_t)draw(&lot, 50);
             const char id[] = {'j', (char)('0' + draw(&lot, 8)), '\0'};
             const char worker[] = {'w', (char)('0' + draw(&lot, 3)), '\0'};
-            const Job *job = tableJob(b.table, id);
-            const JobTask *task = job != NULL ? &job->tasks[draw(&lot, job->tasksCount)] : NULL;
-            const uint64_t number = task != NULL ? taskNumber(task) : draw(&lot, 20);
+            const Job *job = table_job(b.table, id);
+            const JobTask *task = job != NULL ? &job->tasks[draw(&lot, job->tasks_count)] : NULL;
+            const uint64_t number = task != NULL ? task_number(task) : draw(&lot, 20);
             switch (draw(&lot, 12)) {
             case 0:
             case 1: {
                 JobSpec spec = turning(id);
                 STEPS[0].gang = (id[1] & 1) != 0;
                 spec.lasting = id[1] == '7';
-                const JobAdd add = {spec, {.roundLimit = 2}};
-                tell(&b, CHANGE_JOB_ADD, &JobAddShape, &add);
+                const JobAdd add = {spec, {.round_limit = 2}};
+                tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add);
                 break;
             }
             case 2:
@@ -176,8 +176,8 @@
                 break;
             case 4: {
                 const Forget forget = {b.at_ms - 2000};
-                tell(&b, CHANGE_FORGET, &ForgetShape, &forget);
-                assert_true(tableOldestMs(b.table) >= forget.beforeMs);
+                tell(&b, CHANGE_FORGET, &Forget_shape, &forget);
+                assert_true(table_oldest_ms(b.table) >= forget.before_ms);
                 break;
             }
             case 5:
@@ -195,7 +195,7 @@
                 say(&b, id, number, task != NULL ? task->round : 1, task != NULL ? task->worker : worker,
                     (RoundWord)draw(&lot, ROUND_WORD_COUNT), "s");
             }
-            sumsHold(&b);
+            sums_hold(&b);
         }
         talloc_free(b.table);
     }
@@ -204,24 +204,24 @@
 static void forgotten(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     const char *const ids[] = {"j0", "j1", "j2"};
     for (int i = 0; i < 3; i++) {
         const JobSpec spec = turning(ids[i]);
-        jobAdd(&b, &spec, (JobTerms){0});
+        job_add(&b, &spec, (JobTerms){0});
     }
     b.at_ms = 2000, cancel(&b, "j2");
     b.at_ms = 3000, cancel(&b, "j0");
-    assert_int_equal(tableOldestMs(b.table), 2000);
+    assert_int_equal(table_oldest_ms(b.table), 2000);
     const Forget forget = {3000};
-    assert_int_equal(tell(&b, CHANGE_FORGET, &ForgetShape, &forget).number, 1);
-    assert_null(tableJob(b.table, "j2"));
-    assert_non_null(tableJob(b.table, "j0"));
+    assert_int_equal(tell(&b, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
+    assert_null(table_job(b.table, "j2"));
+    assert_non_null(table_job(b.table, "j0"));
     Job *const *jobs;
-    assert_int_equal(tableJobs(b.table, &jobs), 2);
+    assert_int_equal(table_jobs(b.table, &jobs), 2);
     assert_int_equal(cancel(&b, "j2").status, STATUS_UNKNOWN_JOB);
     const JobSpec spec = turning("j2");
-    assert_int_equal(jobAdd(&b, &spec, (JobTerms){0})->number, 4); /* no number is used twice */
+    assert_int_equal(job_add(&b, &spec, (JobTerms){0})->number, 4); /* no number is used twice */
     talloc_free(b.table);
 }
 
@@ -238,15 +238,15 @@
     X(FLAG, assured, 0)      \
     X(I64, rest_until_ms, 0) \
     X(I64, changed_ms, 0)    \
-    X(I64, startedMs, 0)     \
+    X(I64, started_ms, 0)    \
     X(TXT, text, 0)          \
     X(TXT, shunned, 0)
 SHAPE(OldTask, OLD_TASK_FIELDS)
 SHAPE_TABLE(OldTask, OLD_TASK_FIELDS)
 
 #define OLD_ROOM_FIELDS(X) \
-    X(U64, cpuMilli, 0)    \
-    X(U64, memMb, 0)
+    X(U64, cpu_milli, 0)   \
+    X(U64, mem_mb, 0)
 SHAPE(OldRoom, OLD_ROOM_FIELDS)
 SHAPE_TABLE(OldRoom, OLD_ROOM_FIELDS)
 
@@ -270,64 +270,65 @@
     X(I64, priority, 0)    \
     X(U64, protection, 0)  \
     X(FLAG, copies, 0)     \
-    X(I64, dueWallMs, 0)   \
-    X(I64, delayMs, 0)     \
-    X(U64, roundLimit, 0)  \
+    X(I64, due_wall_ms, 0) \
+    X(I64, delay_ms, 0)    \
+    X(U64, round_limit, 0) \
     X(LST, steps, OldStep)
 SHAPE(OldSpec, OLD_SPEC_FIELDS)
 SHAPE_TABLE(OldSpec, OLD_SPEC_FIELDS)
 
-#define OLD_JOB_FIELDS(X) \
-    X(ONE, spec, OldSpec) \
-    X(U64, number, 0)     \
-    X(U64, phase, 0)      \
-    X(U64, ending, 0)     \
-    X(I64, acceptedMs, 0) \
-    X(I64, endedMs, 0)    \
+#define OLD_JOB_FIELDS(X)  \
+    X(ONE, spec, OldSpec)  \
+    X(U64, number, 0)      \
+    X(U64, phase, 0)       \
+    X(U64, ending, 0)      \
+    X(I64, accepted_ms, 0) \
+    X(I64, ended_ms, 0)    \
     X(LST, tasks, OldTask)
 SHAPE(OldJob, OLD_JOB_FIELDS)
 SHAPE_TABLE(OldJob, OLD_JOB_FIELDS)
 
 #define OLD_SAVED_FIELDS(X) \
-    X(U64, lastNumber, 0)   \
+    X(U64, last_number, 0)  \
     X(LST, jobs, OldJob)
 SHAPE(OldSaved, OLD_SAVED_FIELDS)
 SHAPE_TABLE(OldSaved, OLD_SAVED_FIELDS)
 
-static void olderState(void **state)
+static void older_state(void **state)
 {
     (void)state;
     const char *after[] = {"a"};
-    OldStep steps[] = {{.name = "a", .count = 2}, {.name = "b", .count = 2, .after = after, .afterCount = 1}};
+    OldStep steps[] = {{.name = "a", .count = 2}, {.name = "b", .count = 2, .after = after, .after_count = 1}};
     OldTask tasks[] = {
         {.phase = TASK_DONE, .round = 1}, {.phase = TASK_RUNNING, .round = 1, .worker = "w"}, {.step = 1}, {.step = 1}};
     OldJob job = {
-        .spec = {.id = "j", .cell = "c", .tenant = "t", .queue = "q", .roundLimit = 3, .steps = steps, .stepsCount = 2},
+        .spec =
+            {.id = "j", .cell = "c", .tenant = "t", .queue = "q", .round_limit = 3, .steps = steps, .steps_count = 2},
         .number = 5,
         .tasks = tasks,
-        .tasksCount = 4};
+        .tasks_count = 4};
     const OldSaved saved = {5, &job, 1};
-    Board b = boardNew();
+    Board b = board_new();
     void *mem = talloc_new(NULL);
     Bytes bytes = {0};
-    shape_pack(&OldSavedShape, &saved, mem, &bytes);
-    const ViewState view = tableState(b.table);
+    shape_pack(&OldSaved_shape, &saved, mem, &bytes);
+    const ViewState view = table_state(b.table);
     assert_int_equal(view.load(view.arg, bytes), STATUS_OK);
     talloc_free(mem);
-    const Job *known = tableJob(b.table, "j");
+    const Job *known = table_job(b.table, "j");
     assert_int_equal(known->tasks[3].at, 1);
-    assert_int_equal(taskNumber(&known->tasks[3]), TASK_NUMBER(0, 1, 1));
-    assert_int_equal(taskIndex(known, TASK_NUMBER(0, 1, 1)), 3);
+    assert_int_equal(task_number(&known->tasks[3]), TASK_NUMBER(0, 1, 1));
+    assert_int_equal(task_index(known, TASK_NUMBER(0, 1, 1)), 3);
     /* changes of that release name a task by its index */
-    assert_int_equal(taskIndex(known, 3), 3);
-    assert_int_equal(taskIndex(known, 4), 4);
-    assert_false(taskStepsDone(known, &known->tasks[3]));
+    assert_int_equal(task_index(known, 3), 3);
+    assert_int_equal(task_index(known, 4), 4);
+    assert_false(task_steps_done(known, &known->tasks[3]));
     say(&b, "j", 1, 1, "w", ROUND_DONE, "");
-    assert_true(taskStepsDone(known, &known->tasks[3]));
+    assert_true(task_steps_done(known, &known->tasks[3]));
     const uint64_t third = 2;
     assert_int_equal(place(&b, "j", &third, 1, 1, "w", ""), 1);
     assert_int_equal(known->tasks[2].phase, TASK_PLACED);
-    assert_int_equal(tableLastNumber(b.table), 5);
+    assert_int_equal(table_last_number(b.table), 5);
     talloc_free(b.table);
 }
 
@@ -336,29 +337,29 @@
 static void workers(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     static const char *const NAMES[] = {"m", "z", "a", "q", "m", "b"};
     for (size_t i = 0; i < 6; i++) {
         const Worker worker = {.name = NAMES[i], .zone = i == 4 ? "new" : "old"};
-        tell(&b, CHANGE_WORKER_SET, &WorkerShape, &worker);
+        tell(&b, CHANGE_WORKER_SET, &Worker_shape, &worker);
     }
     again(&b);
     const Worker **list;
     void *mem = talloc_new(NULL);
-    assert_int_equal(tableWorkers(b.table, mem, &list), 5);
+    assert_int_equal(table_workers(b.table, mem, &list), 5);
     for (size_t i = 0; i < 5; i++)
         assert_true(i == 0 || strcmp(list[i - 1]->name, list[i]->name) < 0);
-    assert_string_equal(tableWorker(b.table, "m")->zone, "new");
-    assert_ptr_equal(tableWorker(b.table, "m"), list[2]);
-    assert_null(tableBusy(b.table, 0));
+    assert_string_equal(table_worker(b.table, "m")->zone, "new");
+    assert_ptr_equal(table_worker(b.table, "m"), list[2]);
+    assert_null(table_busy(b.table, 0));
     const JobSpec spec = turning("j");
-    jobAdd(&b, &spec, (JobTerms){0});
+    job_add(&b, &spec, (JobTerms){0});
     const uint64_t first = 0;
     place(&b, "j", &first, 1, 1, "unheard-of", "");
-    assert_string_equal(tableBusy(b.table, 0), "unheard-of");
-    assert_null(tableBusy(b.table, 1));
+    assert_string_equal(table_busy(b.table, 0), "unheard-of");
+    assert_null(table_busy(b.table, 1));
     lose(&b, "unheard-of");
-    assert_null(tableBusy(b.table, 0));
+    assert_null(table_busy(b.table, 0));
     talloc_free(mem);
     talloc_free(b.table);
 }
@@ -366,8 +367,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(turns),     cmocka_unit_test(terms),      cmocka_unit_test(byLot),
-        cmocka_unit_test(forgotten), cmocka_unit_test(olderState), cmocka_unit_test(workers),
+        cmocka_unit_test(turns),     cmocka_unit_test(terms),       cmocka_unit_test(by_lot),
+        cmocka_unit_test(forgotten), cmocka_unit_test(older_state), cmocka_unit_test(workers),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/table/test/zones.c
+++ b/packages/table/test/zones.c
@@ -3,7 +3,7 @@
 
 #include "board.h"
 
-static ZoneDrain orderOf(const char *name, bool drained, int64_t stamp, int64_t base)
+static ZoneDrain order_of(const char *name, bool drained, int64_t stamp, int64_t base)
 {
     return (ZoneDrain){.zone = "z",
                        .drained = drained,
@@ -15,30 +15,30 @@
 
 static Status take(Board *b, ZoneDrain drain)
 {
-    return tell(b, CHANGE_ZONE_DRAIN, &ZoneDrainShape, &drain).status;
+    return tell(b, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain).status;
 }
 
 static DrainKnown known(const Board *b, const char *name, int64_t base)
 {
-    const ZoneDrain drain = orderOf(name, true, 0, base);
-    return tableDrainKnown(b->table, &drain);
+    const ZoneDrain drain = order_of(name, true, 0, base);
+    return table_drain_known(b->table, &drain);
 }
 
 /* A start, delivered twice with an end between: the end stays, also over a snapshot. */
-static void lateCopy(void **state)
+static void late_copy(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     assert_int_equal(known(&b, "start", 0), DRAIN_NEW);
-    assert_int_equal(take(&b, orderOf("start", true, 10, 0)), STATUS_OK);
-    assert_true(tableDrained(b.table, "z"));
+    assert_int_equal(take(&b, order_of("start", true, 10, 0)), STATUS_OK);
+    assert_true(table_drained(b.table, "z"));
     assert_int_equal(known(&b, "start", 0), DRAIN_TAKEN);
-    assert_int_equal(take(&b, orderOf("end", false, 11, 10)), STATUS_OK);
+    assert_int_equal(take(&b, order_of("end", false, 11, 10)), STATUS_OK);
     for (int loaded = 0; loaded < 2; loaded++) {
-        assert_int_equal(take(&b, orderOf("start", true, 12 + loaded, 0)), STATUS_OK); /* as its first was answered */
-        assert_int_equal(take(&b, orderOf("never", true, 12 + loaded, 10)), STATUS_STALE_ORDER);
-        assert_false(tableDrained(b.table, "z"));
-        assert_int_equal(tableDrainStamp(b.table, "z"), 11);
+        assert_int_equal(take(&b, order_of("start", true, 12 + loaded, 0)), STATUS_OK); /* as its first was answered */
+        assert_int_equal(take(&b, order_of("never", true, 12 + loaded, 10)), STATUS_STALE_ORDER);
+        assert_false(table_drained(b.table, "z"));
+        assert_int_equal(table_drain_stamp(b.table, "z"), 11);
         assert_int_equal(known(&b, "start", 0), DRAIN_TAKEN);
         assert_int_equal(known(&b, "never", 10), DRAIN_OVERTAKEN);
         assert_int_equal(known(&b, "next", 11), DRAIN_NEW);
@@ -52,23 +52,23 @@
 static void bounded(void **state)
 {
     (void)state;
-    Board b = boardNew();
+    Board b = board_new();
     for (int i = 1; i <= 3 * ZONE_ORDERS_MAX; i++) {
         char name[16];
         snprintf(name, sizeof(name), "o%d", i);
-        assert_int_equal(take(&b, orderOf(name, i % 2 == 1, i, i - 1)), STATUS_OK);
+        assert_int_equal(take(&b, order_of(name, i % 2 == 1, i, i - 1)), STATUS_OK);
     }
     const int64_t newest = 3 * ZONE_ORDERS_MAX;
     for (int loaded = 0; loaded < 2; loaded++) {
         assert_int_equal(known(&b, "o1", 0), DRAIN_FORGOTTEN);
-        assert_int_equal(take(&b, orderOf("o1", true, newest + 1, 0)), STATUS_EXPIRED);
+        assert_int_equal(take(&b, order_of("o1", true, newest + 1, 0)), STATUS_EXPIRED);
         assert_int_equal(known(&b, "o47", newest - 2), DRAIN_TAKEN);
         assert_int_equal(known(&b, "other", newest - 1), DRAIN_OVERTAKEN);
-        assert_false(tableDrained(b.table, "z"));
+        assert_false(table_drained(b.table, "z"));
         again(&b);
     }
-    assert_int_equal(take(&b, orderOf("new", true, newest + 1, newest)), STATUS_OK);
-    assert_true(tableDrained(b.table, "z"));
+    assert_int_equal(take(&b, order_of("new", true, newest + 1, newest)), STATUS_OK);
+    assert_true(table_drained(b.table, "z"));
     talloc_free(b.table);
 }
 
@@ -76,22 +76,22 @@
 static void unnamed(void **state)
 {
     (void)state;
-    Board b = boardNew();
-    assert_int_equal(take(&b, orderOf("", true, 5, -1)), STATUS_OK);
-    assert_int_equal(take(&b, orderOf("", false, 4, -1)), STATUS_OK);
-    assert_true(tableDrained(b.table, "z"));
+    Board b = board_new();
+    assert_int_equal(take(&b, order_of("", true, 5, -1)), STATUS_OK);
+    assert_int_equal(take(&b, order_of("", false, 4, -1)), STATUS_OK);
+    assert_true(table_drained(b.table, "z"));
     /* whether it was one of those that have no name is not known */
     assert_int_equal(known(&b, "x", 0), DRAIN_FORGOTTEN);
     assert_int_equal(known(&b, "x", 5), DRAIN_NEW);
-    assert_int_equal(take(&b, orderOf("x", false, 6, -1)), STATUS_OK);
-    assert_false(tableDrained(b.table, "z"));
+    assert_int_equal(take(&b, order_of("x", false, 6, -1)), STATUS_OK);
+    assert_false(table_drained(b.table, "z"));
     talloc_free(b.table);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(lateCopy),
+        cmocka_unit_test(late_copy),
         cmocka_unit_test(bounded),
         cmocka_unit_test(unnamed),
     };
--- a/packages/wire/include/wire/shape.h
+++ b/packages/wire/include/wire/shape.h
@@ -9,7 +9,7 @@
 /* A shape is a struct told once, as a list of fields, from which come the
  * struct itself and the table that packs, unpacks and prints it:
  *
- *     #define ROOM_FIELDS(X) X(U64, cpuMilli, 0) X(U64, memMb, 0)
+ *     #define ROOM_FIELDS(X) X(U64, cpu_milli, 0) X(U64, mem_mb, 0)
  *     SHAPE(Room, ROOM_FIELDS)          in a header
  *     SHAPE_TABLE(Room, ROOM_FIELDS)    in one source file
  *
--- a/src/standins.c
+++ b/src/standins.c
@@ -32,18 +32,18 @@
 static void onStarted(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
 {
     char rest[64];
-    snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpuMilli, room.memMb);
+    snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpu_milli, room.mem_mb);
     recordRun(arg, "started", worker, job, task, round, rest);
 }
 
 static void onEnded(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    recordRun(arg, "ended", worker, job, task, round, roundWord(word));
+    recordRun(arg, "ended", worker, job, task, round, round_word(word));
 }
 
 static void onKnown(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    recordRun(arg, "known", worker, job, task, round, roundWord(word));
+    recordRun(arg, "known", worker, job, task, round, round_word(word));
 }
 
 static void onBooted(void *arg, const char *worker)
@@ -94,7 +94,7 @@
 int runWorker(int argc, const char **argv)
 {
     char *agent = NULL, *name = NULL, *zone = NULL, *rack = NULL, *kind = NULL, *label = NULL, *path = NULL;
-    int cores = 64, memMb = 131072, failsAll = 0, slow = 1;
+    int cores = 64, mem_mb = 131072, failsAll = 0, slow = 1;
     struct poptOption options[] = {
         {"agent", 'a', POPT_ARG_STRING, &agent, 0, "HTTP address of the agent beside it", "IP:PORT"},
         {"name", 0, POPT_ARG_STRING, &name, 0, "name of this worker", "NAME"},
@@ -103,7 +103,7 @@
         {"kind", 0, POPT_ARG_STRING, &kind, 0, "kind of machine", "KIND"},
         {"label", 0, POPT_ARG_STRING, &label, 0, "a label", "LABEL"},
         {"cores", 0, POPT_ARG_INT, &cores, 0, "cores", "N"},
-        {"mem", 0, POPT_ARG_INT, &memMb, 0, "memory in MB", "N"},
+        {"mem", 0, POPT_ARG_INT, &mem_mb, 0, "memory in MB", "N"},
         {"fails", 0, POPT_ARG_NONE, &failsAll, 0, "fail every task while claiming health", NULL},
         {"slow", 0, POPT_ARG_INT, &slow, 0, "take so many times as long", "N"},
         {"record", 0, POPT_ARG_STRING, &path, 0, "append what really runs to this file", "FILE"},
@@ -119,7 +119,7 @@
         code = wrong("worker", "--agent: an IP address with a port is needed");
     else if (name == NULL || zone == NULL)
         code = wrong("worker", "--name and --zone are needed");
-    else if (cores < 1 || cores > 100000 || memMb < 1 || memMb > 100000000)
+    else if (cores < 1 || cores > 100000 || mem_mb < 1 || mem_mb > 100000000)
         code = wrong("worker", "--cores and --mem must be positive");
     if (code == EXIT_GOOD) {
         void *mem = talloc_new(NULL);
@@ -136,14 +136,14 @@
                        .kind = kind != NULL ? kind : "std",
                        .labels = labels,
                        .labelsCount = label != NULL,
-                       .room = {(uint64_t)cores * 1000, (uint64_t)memMb, 0}},
+                       .room = {(uint64_t)cores * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
             .failsAll = failsAll != 0,
             .slow_times = slow,
         };
         char rest[64];
-        snprintf(rest, sizeof(rest), "%d %d", cores * 1000, memMb);
+        snprintf(rest, sizeof(rest), "%d %d", cores * 1000, mem_mb);
         recordRun(&stand_in->record, "worker", name, zone, 0, 0, rest);
         stand_in->worker = standWorkerStart(mem, stand_in->loop, &props);
         real_loop_run(stand_in->loop, workerTerm, stand_in);
@@ -193,7 +193,7 @@
     int64_t *spans = talloc_array(stand_in, int64_t, (unsigned)count + 1);
     size_t accepted = 0, done = 0, refused = 0, again = 0;
     for (size_t i = 0; i < count; i++) {
-        accepted += jobs[i]->acceptedMs != 0;
+        accepted += jobs[i]->accepted_ms != 0;
         done += strcmp(jobs[i]->phase, "done") == 0;
         refused += jobs[i]->refused;
         again += jobs[i]->sends > 1;
@@ -202,8 +202,8 @@
     for (int kind = 0; kind < CLASS_COUNT; kind++) {
         size_t n = 0;
         for (size_t i = 0; i < count; i++)
-            if ((int)jobs[i]->kind == kind && jobs[i]->startedMs != 0)
-                spans[n++] = jobs[i]->startedMs - jobs[i]->acceptedMs;
+            if ((int)jobs[i]->kind == kind && jobs[i]->started_ms != 0)
+                spans[n++] = jobs[i]->started_ms - jobs[i]->accepted_ms;
         qsort(spans, n, sizeof(*spans), spanOrder);
         if (n > 0)
             printf("accepted-to-started %s n %zu p50 %" PRId64 " p90 %" PRId64 " p99 %" PRId64 " max %" PRId64 " ms\n",
@@ -211,8 +211,8 @@
     }
     size_t n = 0;
     for (size_t i = 0; i < count; i++)
-        if (jobs[i]->acceptedMs != 0)
-            spans[n++] = jobs[i]->acceptedMs;
+        if (jobs[i]->accepted_ms != 0)
+            spans[n++] = jobs[i]->accepted_ms;
     qsort(spans, n, sizeof(*spans), spanOrder);
     int64_t gapMs = 0;
     for (size_t i = 1; i < n; i++)
