--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -13,7 +13,7 @@
     if (!json_object_object_get_ex(object, key, &list))
         return 0;
     if (!json_object_is_type(list, json_type_array)) {
-        faultAdd(faults, STATUS_BAD_FIELD, key, "must be an array");
+        fault_add(faults, STATUS_BAD_FIELD, key, "must be an array");
         return 0;
     }
     const size_t count = json_object_array_length(list);
@@ -24,19 +24,19 @@
         const char *path = talloc_asprintf(faults->mem, "%s[%zu]", key, i);
         RoundNews *news = &read[i];
         *news = (RoundNews){.job = "", .worker = "", .text = "", .saved = ""};
-        if (!checkKeys(faults, one, path, KEYS))
+        if (!check_keys(faults, one, path, KEYS))
             continue;
-        news->job = checkName(faults, one, path, "job", NULL);
-        news->task = (uint64_t)checkInt(faults, one, path, "task", 0, INT64_MAX, 0);
-        news->round = (uint64_t)checkInt(faults, one, path, "round", 1, INT64_MAX, 0);
+        news->job = check_name(faults, one, path, "job", NULL);
+        news->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
+        news->round = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
         news->word = ROUND_RUNNING;
         if (withWord) {
-            news->word = round_of_word(checkName(faults, one, path, "word", NULL));
+            news->word = round_of_word(check_name(faults, one, path, "word", NULL));
             if (news->word == ROUND_WORD_COUNT || news->word == ROUND_RUNNING)
-                faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, "word"),
-                         "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
+                fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
+                          "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
         }
-        news->percent = (uint64_t)checkInt(faults, one, path, "percent", 0, 100, 0);
+        news->percent = (uint64_t)check_int(faults, one, path, "percent", 0, 100, 0);
         json_object *text;
         if (json_object_object_get_ex(one, "text", &text) && json_object_is_type(text, json_type_string))
             news->text = talloc_strndup(faults->mem, json_object_get_string(text), 200);
@@ -50,24 +50,24 @@
 {
     static const char *const KEYS[] = {"boot",    "zone",  "rack",   "kind", "labels",  "room", "free", "leaving",
                                        "running", "ended", "waitMs", "seq",  "leaveMs", "left", NULL};
-    json_object *object = checkParse(faults, (const char *)task->body.data, task->body.count);
+    json_object *object = check_parse(faults, (const char *)task->body.data, task->body.count);
     if (object == NULL)
         return false;
-    if (checkKeys(faults, object, "", KEYS)) {
-        report->boot = checkName(faults, object, "", "boot", NULL);
+    if (check_keys(faults, object, "", KEYS)) {
+        report->boot = check_name(faults, object, "", "boot", NULL);
         report->worker = (Worker){.name = name,
-                                  .zone = checkName(faults, object, "", "zone", NULL),
-                                  .rack = checkName(faults, object, "", "rack", ""),
-                                  .kind = checkName(faults, object, "", "kind", ""),
-                                  .room = checkRoom(faults, object, "", "room", true)};
-        report->worker.labels = checkNames(faults, object, "", "labels", &report->worker.labelsCount);
+                                  .zone = check_name(faults, object, "", "zone", NULL),
+                                  .rack = check_name(faults, object, "", "rack", ""),
+                                  .kind = check_name(faults, object, "", "kind", ""),
+                                  .room = check_room(faults, object, "", "room", true)};
+        report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labelsCount);
         report->freeTold = json_object_object_get_ex(object, "free", NULL);
-        report->free = checkRoom(faults, object, "", "free", false);
-        report->leaving = checkFlag(faults, object, "", "leaving", false);
-        report->left = checkFlag(faults, object, "", "left", false);
-        report->leaveMs = checkInt(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
-        report->seq = (uint64_t)checkInt(faults, object, "", "seq", 0, INT64_MAX, 0);
-        report->wait_ms = checkInt(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
+        report->free = check_room(faults, object, "", "free", false);
+        report->leaving = check_flag(faults, object, "", "leaving", false);
+        report->left = check_flag(faults, object, "", "left", false);
+        report->leaveMs = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
+        report->seq = (uint64_t)check_int(faults, object, "", "seq", 0, INT64_MAX, 0);
+        report->wait_ms = check_int(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
         report->runningCount = readRounds(faults, object, "running", false, &report->running);
         report->endedCount = readRounds(faults, object, "ended", true, &report->ended);
     }
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/jobjson.c
@@ -28,24 +28,24 @@
 static void readStep(Faults *faults, json_object *object, const char *path, const char *payload, StepSpec *step)
 {
     *step = (StepSpec){.name = "", .kind = "", .payload = "", .near = ""};
-    if (!checkKeys(faults, object, path, STEP_KEYS))
+    if (!check_keys(faults, object, path, STEP_KEYS))
         return;
-    step->name = checkName(faults, object, path, "name", NULL);
-    step->after = checkNames(faults, object, path, "after", &step->after_count);
-    step->count = (uint64_t)checkInt(faults, object, path, "count", 1, JOB_TASKS_MAX, 1);
-    step->gang = checkFlag(faults, object, path, "gang", false);
-    step->room = checkRoom(faults, object, path, "room", true);
-    step->kind = checkName(faults, object, path, "kind", "");
-    step->labels = checkNames(faults, object, path, "labels", &step->labelsCount);
-    step->est_ms = (uint64_t)checkInt(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
-    step->apart = (uint64_t)checkInt(faults, object, path, "apart", 0, JOB_TASKS_MAX, 0);
-    step->same_rack = checkFlag(faults, object, path, "sameRack", false);
-    step->near = checkName(faults, object, path, "near", "");
-    step->saves = checkFlag(faults, object, path, "saves", false);
-    step->copies = checkFlag(faults, object, path, "copies", false);
+    step->name = check_name(faults, object, path, "name", NULL);
+    step->after = check_names(faults, object, path, "after", &step->after_count);
+    step->count = (uint64_t)check_int(faults, object, path, "count", 1, JOB_TASKS_MAX, 1);
+    step->gang = check_flag(faults, object, path, "gang", false);
+    step->room = check_room(faults, object, path, "room", true);
+    step->kind = check_name(faults, object, path, "kind", "");
+    step->labels = check_names(faults, object, path, "labels", &step->labelsCount);
+    step->est_ms = (uint64_t)check_int(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
+    step->apart = (uint64_t)check_int(faults, object, path, "apart", 0, JOB_TASKS_MAX, 0);
+    step->same_rack = check_flag(faults, object, path, "sameRack", false);
+    step->near = check_name(faults, object, path, "near", "");
+    step->saves = check_flag(faults, object, path, "saves", false);
+    step->copies = check_flag(faults, object, path, "copies", false);
     step->payload = readPayload(faults, object, payload);
     if (step->room.cpu_milli == 0 && step->room.mem_mb == 0 && step->room.gpu == 0)
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, "room"), "a task takes some room");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task takes some room");
 }
 
 static void checkSteps(Faults *faults, const JobSpec *spec)
@@ -58,20 +58,20 @@
         tasks += step->count;
         for (size_t k = 0; k < i; k++)
             if (step->name[0] != '\0' && strcmp(spec->steps[k].name, step->name) == 0)
-                faultAdd(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].name", i),
-                         "is already the name of step %zu", k);
+                fault_add(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].name", i),
+                          "is already the name of step %zu", k);
         for (size_t a = 0; a < step->after_count; a++) {
             bool known = false;
             for (size_t k = 0; k < spec->steps_count && !known; k++)
                 known = strcmp(spec->steps[k].name, step->after[a]) == 0;
             if (!known)
-                faultAdd(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].after[%zu]", i, a),
-                         "there is no step %s", step->after[a]);
+                fault_add(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "steps[%zu].after[%zu]", i, a),
+                          "there is no step %s", step->after[a]);
         }
     }
     tasks *= spec->turns > 1 ? spec->turns : 1;
     if (tasks > JOB_TASKS_MAX)
-        faultAdd(faults, STATUS_TOO_LARGE, "steps", "a job has at most %d tasks, all turns together", JOB_TASKS_MAX);
+        fault_add(faults, STATUS_TOO_LARGE, "steps", "a job has at most %d tasks, all turns together", JOB_TASKS_MAX);
     if (faults->seen > 0)
         return;
     size_t left = spec->steps_count;
@@ -90,29 +90,29 @@
         }
     }
     if (left > 0)
-        faultAdd(faults, STATUS_CYCLIC_STEPS, "steps", "%zu steps wait for each other", left);
+        fault_add(faults, STATUS_CYCLIC_STEPS, "steps", "%zu steps wait for each other", left);
 }
 
 static void readBody(Faults *faults, json_object *object, JobSpec *spec)
 {
-    spec->priority = checkInt(faults, object, "", "priority", -1000, 1000, 0);
-    const char *protection = checkName(faults, object, "", "protection", "protected");
+    spec->priority = check_int(faults, object, "", "priority", -1000, 1000, 0);
+    const char *protection = check_name(faults, object, "", "protection", "protected");
     spec->protection = protection_of_word(protection);
     if (spec->protection == PROTECTION_COUNT)
-        faultAdd(faults, STATUS_BAD_FIELD, "protection", "must be protected, best-effort or none");
-    spec->copies = checkFlag(faults, object, "", "copies", false);
-    spec->due_wall_ms = checkInt(faults, object, "", "dueWallMs", 0, INT64_MAX / 4, 0);
-    spec->delay_ms = checkInt(faults, object, "", "delayMs", 0, JOB_SPAN_MAX_MS, 0);
-    spec->lasting = checkFlag(faults, object, "", "lasting", false);
-    spec->turns = (uint64_t)checkInt(faults, object, "", "turns", 0, JOB_TASKS_MAX, 0);
-    spec->first_wall_ms = checkInt(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
-    spec->period_ms = checkInt(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
+        fault_add(faults, STATUS_BAD_FIELD, "protection", "must be protected, best-effort or none");
+    spec->copies = check_flag(faults, object, "", "copies", false);
+    spec->due_wall_ms = check_int(faults, object, "", "dueWallMs", 0, INT64_MAX / 4, 0);
+    spec->delay_ms = check_int(faults, object, "", "delayMs", 0, JOB_SPAN_MAX_MS, 0);
+    spec->lasting = check_flag(faults, object, "", "lasting", false);
+    spec->turns = (uint64_t)check_int(faults, object, "", "turns", 0, JOB_TASKS_MAX, 0);
+    spec->first_wall_ms = check_int(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
+    spec->period_ms = check_int(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
     const char *payload = readPayload(faults, object, "");
-    spec->round_limit = (uint64_t)checkInt(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
+    spec->round_limit = (uint64_t)check_int(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
     json_object *steps;
     if (!json_object_object_get_ex(object, "steps", &steps) || !json_object_is_type(steps, json_type_array) ||
         json_object_array_length(steps) == 0 || json_object_array_length(steps) > JOB_STEPS_MAX) {
-        faultAdd(faults, STATUS_BAD_FIELD, "steps", "must be an array of 1 to %d steps", JOB_STEPS_MAX);
+        fault_add(faults, STATUS_BAD_FIELD, "steps", "must be an array of 1 to %d steps", JOB_STEPS_MAX);
         return;
     }
     spec->steps_count = json_object_array_length(steps);
@@ -129,20 +129,20 @@
     const size_t before = faults->seen;
     *spec = at != NULL ? *at : (JobSpec){.id = "", .cell = "", .tenant = "", .queue = ""};
     if (count > JOB_BODY_MAX) {
-        faultAdd(faults, STATUS_TOO_LARGE, "", "a job has at most %d bytes", JOB_BODY_MAX);
+        fault_add(faults, STATUS_TOO_LARGE, "", "a job has at most %d bytes", JOB_BODY_MAX);
         return false;
     }
-    json_object *object = checkParse(faults, text, count);
+    json_object *object = check_parse(faults, text, count);
     if (object == NULL)
         return false;
     if (at != NULL && !json_object_is_type(object, json_type_object)) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "must be an object");
-    } else if (checkKeys(faults, object, "", at != NULL ? JOB_AT_KEYS : JOB_KEYS)) {
+        fault_add(faults, STATUS_BAD_JSON, "", "must be an object");
+    } else if (check_keys(faults, object, "", at != NULL ? JOB_AT_KEYS : JOB_KEYS)) {
         if (at == NULL) {
-            spec->id = checkName(faults, object, "", "id", NULL);
-            spec->cell = checkName(faults, object, "", "cell", NULL);
-            spec->tenant = checkName(faults, object, "", "tenant", NULL);
-            spec->queue = checkName(faults, object, "", "queue", NULL);
+            spec->id = check_name(faults, object, "", "id", NULL);
+            spec->cell = check_name(faults, object, "", "cell", NULL);
+            spec->tenant = check_name(faults, object, "", "tenant", NULL);
+            spec->queue = check_name(faults, object, "", "queue", NULL);
         }
         readBody(faults, object, spec);
     }
@@ -160,8 +160,8 @@
 {
     const size_t before = faults->seen;
     const JobSpec at = {.id = id, .cell = cell, .tenant = tenant, .queue = queue};
-    if (!checkNameText(id))
-        faultAdd(faults, STATUS_BAD_FIELD, "id", "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
+    if (!check_name_text(id))
+        fault_add(faults, STATUS_BAD_FIELD, "id", "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
     return readJob(faults, text, count, &at, spec) && faults->seen == before;
 }
 
@@ -192,38 +192,38 @@
             slots += least < gpu ? least : gpu;
         }
         if (!able)
-            faultAdd(faults, STATUS_IMPOSSIBLE_KIND, talloc_asprintf(faults->mem, "steps[%zu].kind", i),
-                     "no worker known is of this kind and has these labels");
+            fault_add(faults, STATUS_IMPOSSIBLE_KIND, talloc_asprintf(faults->mem, "steps[%zu].kind", i),
+                      "no worker known is of this kind and has these labels");
         else if (!fits)
-            faultAdd(faults, STATUS_IMPOSSIBLE_ROOM, talloc_asprintf(faults->mem, "steps[%zu].room", i),
-                     "no worker known has so much room");
+            fault_add(faults, STATUS_IMPOSSIBLE_ROOM, talloc_asprintf(faults->mem, "steps[%zu].room", i),
+                      "no worker known has so much room");
         else if (step->gang && slots < step->count)
-            faultAdd(faults, STATUS_IMPOSSIBLE_ROOM, talloc_asprintf(faults->mem, "steps[%zu].count", i),
-                     "all workers known together have no room for the whole gang");
+            fault_add(faults, STATUS_IMPOSSIBLE_ROOM, talloc_asprintf(faults->mem, "steps[%zu].count", i),
+                      "all workers known together have no room for the whole gang");
     }
 }
 
 bool jobAdmissible(Faults *faults, const JobSpec *spec, const Config *config, const Table *table)
 {
     const size_t before = faults->seen;
-    const ConfigCell *cell = configCell(config, spec->cell);
+    const ConfigCell *cell = config_cell(config, spec->cell);
     if (cell == NULL) {
-        faultAdd(faults, STATUS_UNKNOWN_CELL, "cell", "there is no cell %s", spec->cell);
+        fault_add(faults, STATUS_UNKNOWN_CELL, "cell", "there is no cell %s", spec->cell);
         return false;
     }
-    const ConfigTenant *tenant = configTenant(cell, spec->tenant);
+    const ConfigTenant *tenant = config_tenant(cell, spec->tenant);
     if (tenant == NULL)
-        faultAdd(faults, STATUS_UNKNOWN_TENANT, "tenant", "cell %s has no tenant %s", spec->cell, spec->tenant);
-    if (configQueue(cell, spec->queue) == NULL)
-        faultAdd(faults, STATUS_UNKNOWN_QUEUE, "queue", "cell %s has no queue %s", spec->cell, spec->queue);
+        fault_add(faults, STATUS_UNKNOWN_TENANT, "tenant", "cell %s has no tenant %s", spec->cell, spec->tenant);
+    if (config_queue(cell, spec->queue) == NULL)
+        fault_add(faults, STATUS_UNKNOWN_QUEUE, "queue", "cell %s has no queue %s", spec->cell, spec->queue);
     for (size_t i = 0; i < spec->steps_count && tenant != NULL; i++) {
         const StepSpec *step = &spec->steps[i];
         const uint64_t together = step->gang ? step->count : 1;
         if ((tenant->quota.cpu_milli > 0 && step->room.cpu_milli * together > tenant->quota.cpu_milli) ||
             (tenant->quota.mem_mb > 0 && step->room.mem_mb * together > tenant->quota.mem_mb) ||
             (tenant->quota.gpu > 0 && step->room.gpu * together > tenant->quota.gpu))
-            faultAdd(faults, STATUS_OVER_QUOTA, talloc_asprintf(faults->mem, "steps[%zu].room", i),
-                     "is more than the quota of tenant %s", spec->tenant);
+            fault_add(faults, STATUS_OVER_QUOTA, talloc_asprintf(faults->mem, "steps[%zu].room", i),
+                      "is more than the quota of tenant %s", spec->tenant);
     }
     if (cell->strict)
         checkWorkers(faults, spec, table);
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -247,8 +247,8 @@
     errno = 0;
     const long long number = strtoll(text, &end, 10);
     if (errno != 0 || end == text || *end != '\0' || number < least || number > most) {
-        faultAdd(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "?%s", key),
-                 "must be a whole number from %lld to %lld", (long long)least, (long long)most);
+        fault_add(faults, STATUS_BAD_FIELD, talloc_asprintf(faults->mem, "?%s", key),
+                  "must be a whole number from %lld to %lld", (long long)least, (long long)most);
         return false;
     }
     *value = number;
--- a/packages/api/test/jobjson.c
+++ b/packages/api/test/jobjson.c
@@ -15,7 +15,7 @@
 #define ROOM "\"room\":{\"cpu\":1,\"memMb\":10}"
 #define STEP(more) "{\"name\":\"a\"," ROOM more "}"
 
-static Faults *faultsNew(void)
+static Faults *faults_new(void)
 {
     Faults *faults = talloc_zero(NULL, Faults);
     faults->mem = faults;
@@ -30,12 +30,12 @@
         "{\"name\":\"a\",\"room\":{\"cpu\":0.5,\"memMb\":10,\"gpu\":2},\"count\":4,\"estMs\":900,\"apart\":2,\"sameRack\":true,"
         "\"near\":\"r1-3\",\"saves\":true,\"copies\":true,\"payload\":\"te\\\"xt\"},"
         "{\"name\":\"b\"," ROOM ",\"payload\":[1,{\"x\":null}]}," STEP(",\"name\":\"c\"") "]}";
-    Faults *faults = faultsNew();
+    Faults *faults = faults_new();
     JobSpec spec;
     /* a key that stands twice is a fault, and the third step has one */
     assert_false(jobRead(faults, TEXT, strlen(TEXT), &spec));
     talloc_free(faults);
-    faults = faultsNew();
+    faults = faults_new();
     const char *text = talloc_strndup(faults, TEXT, strlen(TEXT) - strlen("," STEP(",\"name\":\"c\"") "]}"));
     text = talloc_asprintf(faults, "%s]}", text);
     assert_true(jobRead(faults, text, strlen(text), &spec));
@@ -81,7 +81,7 @@
          STATUS_BAD_FIELD},
     };
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
-        Faults *faults = faultsNew();
+        Faults *faults = faults_new();
         JobSpec spec;
         const char *text = talloc_asprintf(faults, "{" PLACE ",%s}", ROWS[i].body);
         assert_false(jobRead(faults, text, strlen(text), &spec));
@@ -96,7 +96,7 @@
 static void atItsAddress(void **state)
 {
     (void)state;
-    Faults *faults = faultsNew();
+    Faults *faults = faults_new();
     JobSpec spec;
     const char *text = "{\"steps\":[" STEP("") "]}";
     assert_true(jobReadAt(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
@@ -108,7 +108,7 @@
     assert_false(jobReadAt(faults, text, strlen(text), "a/b", "c", "t", "q", &spec));
     assert_string_equal(faults->list[0].path, "id");
     talloc_free(faults);
-    faults = faultsNew();
+    faults = faults_new();
     text = "{\"queue\":\"q\",\"steps\":[" STEP("") "]}";
     assert_false(jobReadAt(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
     assert_string_equal(faults->list[0].path, "queue");
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -21,30 +21,30 @@
     Fault list[FAULTS_MAX];
 } Faults;
 
-void faultAdd(Faults *faults, Status status, const char *path, const char *format, ...)
+void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 
 /* Parses a whole text as one JSON value; null and a fault when it is none. */
-json_object *checkParse(Faults *faults, const char *text, size_t count);
+json_object *check_parse(Faults *faults, const char *text, size_t count);
 
 /* Each reads one key of an object and adds a fault when it is not as wanted.
  * The path named is path.key. */
-bool checkKeys(Faults *faults, json_object *object, const char *path, const char *const *keys);
-int64_t checkInt(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
-                 int64_t otherwise);
-bool checkFlag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise);
+bool check_keys(Faults *faults, json_object *object, const char *path, const char *const *keys);
+int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
+                  int64_t otherwise);
+bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise);
 /* A number, which may have a fraction, in thousandths; most and least are too. */
-uint64_t checkMilli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t leastMilli,
-                    uint64_t mostMilli, uint64_t otherwiseMilli);
+uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t least_milli,
+                     uint64_t most_milli, uint64_t otherwise_milli);
 /* Any text of at most so many bytes, on the faults' mem; empty when it is not there. */
-const char *checkText(Faults *faults, json_object *object, const char *path, const char *key, size_t mostBytes);
+const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t most_bytes);
 /* otherwise null: the key must be there. A name: letters, digits and ._:- */
-const char *checkName(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise);
-bool checkNameText(const char *text);
+const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise);
+bool check_name_text(const char *text);
 /* Names in an array; the count is told. */
-const char **checkNames(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
+const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
 /* {"cpu": cores, "mem_mb": MB, "gpu": count}; cores may have a fraction down to a thousandth. */
-Room checkRoom(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
-const char *checkPath(Faults *faults, const char *path, const char *key);
+Room check_room(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
+const char *check_path(Faults *faults, const char *path, const char *key);
 
 #endif
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -32,17 +32,17 @@
     uint64_t limit;     /* waiting tasks before a job is told to come back */
     const char *policy; /* empty: the built-in one */
     bool strict;        /* work that no present worker suits is refused; else it waits for one */
-    size_t tenantCount, queueCount;
+    size_t tenant_count, queue_count;
     const ConfigTenant *tenants;
     const ConfigQueue *const *queues;
-    GHashTable *queueNames; /* to ConfigQueue */
+    GHashTable *queue_names; /* to ConfigQueue */
 } ConfigCell;
 
 /* A kind of worker that queues name. */
 typedef struct ConfigKind {
     const char *name;
     bool guards; /* its workers turn away what does not fit */
-    const char *healthPath;
+    const char *health_path;
     const char *note; /* the operator's, not read */
 } ConfigKind;
 
@@ -51,7 +51,7 @@
     const ConfigCell *cell;
     const ConfigQueue *queue;
     const char *tenant; /* the queue's own, else the cell's first; empty: the cell has none */
-    size_t prefixLength;
+    size_t prefix_length;
 } ConfigPlace;
 
 typedef struct ConfigEntries ConfigEntries;
@@ -67,37 +67,37 @@
     uint64_t revision;
     json_object *tree; /* the document; the Config's own */
     uint64_t r;        /* worker losses that every plan must survive */
-    bool rNamed;       /* the document names r: starts that break the plan are held back a while */
-    bool zoneLoss;     /* ... and the loss of any one zone */
-    bool rackLoss;     /* ... and the loss of any one rack */
-    size_t cellCount, policyCount, kindCount;
+    bool r_named;      /* the document names r: starts that break the plan are held back a while */
+    bool zone_loss;    /* ... and the loss of any one zone */
+    bool rack_loss;    /* ... and the loss of any one rack */
+    size_t cell_count, policy_count, kind_count;
     const ConfigCell *cells;
     const ConfigPolicy *const *policies;
     const ConfigKind *kinds;
     ConfigLimits limits;
-    const char *note;      /* the operator's, not read */
-    GHashTable *cellNames; /* to ConfigCell */
-    GHashTable *kindNames; /* to ConfigKind */
+    const char *note;       /* the operator's, not read */
+    GHashTable *cell_names; /* to ConfigCell */
+    GHashTable *kind_names; /* to ConfigKind */
     const ConfigEntries *entries;
 } Config;
 
 /* The document in force until an operator sends one. */
-const char *configFirstText(void);
+const char *config_first_text(void);
 /* Null when there are faults. On mem. */
-const Config *configRead(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults);
-/* As configRead, of a tree; earlier (may be null): what stands in its tree too,
+const Config *config_read(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults);
+/* As config_read, of a tree; earlier (may be null): what stands in its tree too,
  * by pointer, is taken from there and not read again. */
-const Config *configBuild(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults);
+const Config *config_build(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults);
 /* An RFC 7396 merge patch upon a text; null and a fault when either is no JSON object. */
-const char *configPatch(void *mem, const char *text, const char *patch, size_t patchCount, Faults *faults);
+const char *config_patch(void *mem, const char *text, const char *patch, size_t patch_count, Faults *faults);
 
-const ConfigCell *configCell(const Config *config, const char *name);
-const ConfigTenant *configTenant(const ConfigCell *cell, const char *name);
-const ConfigQueue *configQueue(const ConfigCell *cell, const char *name);
-const ConfigKind *configKind(const Config *config, const char *name);
+const ConfigCell *config_cell(const Config *config, const char *name);
+const ConfigTenant *config_tenant(const ConfigCell *cell, const char *name);
+const ConfigQueue *config_queue(const ConfigCell *cell, const char *name);
+const ConfigKind *config_kind(const Config *config, const char *name);
 /* The queue whose host is the one named (in any case, a port is left out) and
  * whose prefix is the longest that starts the path; null: none. */
-const ConfigPlace *configEntry(const Config *config, const char *host, const char *path);
-const ConfigPolicy *configPolicy(const Config *config, const char *name);
+const ConfigPlace *config_entry(const Config *config, const char *host, const char *path);
+const ConfigPolicy *config_policy(const Config *config, const char *name);
 
 #endif
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -12,7 +12,7 @@
 
 #define DEPTH_MAX 16 /* count; levels of nesting that our documents need, with room to spare */
 
-void faultAdd(Faults *faults, Status status, const char *path, const char *format, ...)
+void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
 {
     faults->seen++;
     if (faults->count >= FAULTS_MAX)
@@ -24,20 +24,20 @@
     va_end(args);
 }
 
-const char *checkPath(Faults *faults, const char *path, const char *key)
+const char *check_path(Faults *faults, const char *path, const char *key)
 {
     return path[0] != '\0' ? talloc_asprintf(faults->mem, "%s.%s", path, key) : talloc_strdup(faults->mem, key);
 }
 
-json_object *checkParse(Faults *faults, const char *text, size_t count)
+json_object *check_parse(Faults *faults, const char *text, size_t count)
 {
-    Scan scan = {.text = text, .count = count, .depthMost = DEPTH_MAX};
+    Scan scan = {.text = text, .count = count, .depth_most = DEPTH_MAX};
     if (count == 0 || count > INT32_MAX) {
-        faultAdd(faults, STATUS_BAD_JSON, "", count == 0 ? "the body is empty" : "the body is too long");
+        fault_add(faults, STATUS_BAD_JSON, "", count == 0 ? "the body is empty" : "the body is too long");
         return NULL;
     }
-    if (!scanText(&scan)) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "at byte %zu: %s", scan.at, scan.wrong);
+    if (!scan_text(&scan)) {
+        fault_add(faults, STATUS_BAD_JSON, "", "at byte %zu: %s", scan.at, scan.wrong);
         return NULL;
     }
     json_tokener *tokener = json_tokener_new_ex(DEPTH_MAX + 1);
@@ -48,26 +48,26 @@
     const enum json_tokener_error error = json_tokener_get_error(tokener);
     json_tokener_free(tokener);
     if (error != json_tokener_success) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "%s", json_tokener_error_desc(error));
+        fault_add(faults, STATUS_BAD_JSON, "", "%s", json_tokener_error_desc(error));
         json_object_put(object);
         return NULL;
     }
     if (object == NULL) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "must not be null");
+        fault_add(faults, STATUS_BAD_JSON, "", "must not be null");
         return NULL;
     }
-    if (scan.members != twiceMembers(object)) {
-        twiceFind(faults, whole);
+    if (scan.members != twice_members(object)) {
+        twice_find(faults, whole);
         json_object_put(object);
         return NULL;
     }
     return object;
 }
 
-bool checkKeys(Faults *faults, json_object *object, const char *path, const char *const *keys)
+bool check_keys(Faults *faults, json_object *object, const char *path, const char *const *keys)
 {
     if (!json_object_is_type(object, json_type_object)) {
-        faultAdd(faults, STATUS_BAD_FIELD, path, "must be an object");
+        fault_add(faults, STATUS_BAD_FIELD, path, "must be an object");
         return false;
     }
     json_object_object_foreach(object, key, value)
@@ -77,13 +77,13 @@
         for (size_t i = 0; keys[i] != NULL && !known; i++)
             known = strcmp(keys[i], key) == 0;
         if (!known)
-            faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "unknown field");
+            fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "unknown field");
     }
     return true;
 }
 
-int64_t checkInt(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
-                 int64_t otherwise)
+int64_t check_int(Faults *faults, json_object *object, const char *path, const char *key, int64_t least, int64_t most,
+                  int64_t otherwise)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
@@ -91,139 +91,139 @@
     const int64_t number = json_object_is_type(value, json_type_int) ? json_object_get_int64(value) : INT64_MIN;
     /* json-c clamps what does not fit; a clamped number is out of our ranges */
     if (!json_object_is_type(value, json_type_int) || number < least || number > most) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key),
-                 "must be a whole number from %" PRId64 " to %" PRId64, least, most);
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key),
+                  "must be a whole number from %" PRId64 " to %" PRId64, least, most);
         return otherwise;
     }
     return number;
 }
 
-bool checkFlag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise)
+bool check_flag(Faults *faults, json_object *object, const char *path, const char *key, bool otherwise)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
         return otherwise;
     if (!json_object_is_type(value, json_type_boolean)) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "must be true or false");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be true or false");
         return otherwise;
     }
     return json_object_get_boolean(value);
 }
 
-uint64_t checkMilli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t leastMilli,
-                    uint64_t mostMilli, uint64_t otherwiseMilli)
+uint64_t check_milli(Faults *faults, json_object *object, const char *path, const char *key, uint64_t least_milli,
+                     uint64_t most_milli, uint64_t otherwise_milli)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
-        return otherwiseMilli;
+        return otherwise_milli;
     const bool number = json_object_is_type(value, json_type_int) || json_object_is_type(value, json_type_double);
     const double milli = number ? json_object_get_double(value) * 1000 : NAN;
     /* in doubles first: a huge number does not fit any other type */
-    const bool near = milli >= 0 && milli <= (double)mostMilli + 0.5;
+    const bool near = milli >= 0 && milli <= (double)most_milli + 0.5;
     const uint64_t rounded = near ? (uint64_t)llround(milli) : 0;
-    if (!near || rounded < leastMilli || rounded > mostMilli) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "must be a number from %g to %g",
-                 (double)leastMilli / 1000, (double)mostMilli / 1000);
-        return otherwiseMilli;
+    if (!near || rounded < least_milli || rounded > most_milli) {
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be a number from %g to %g",
+                  (double)least_milli / 1000, (double)most_milli / 1000);
+        return otherwise_milli;
     }
     return rounded;
 }
 
-const char *checkText(Faults *faults, json_object *object, const char *path, const char *key, size_t mostBytes)
+const char *check_text(Faults *faults, json_object *object, const char *path, const char *key, size_t most_bytes)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value))
         return "";
     const size_t length =
         json_object_is_type(value, json_type_string) ? (size_t)json_object_get_string_len(value) : SIZE_MAX;
-    if (length > mostBytes || memchr(json_object_get_string(value), 0, length) != NULL) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key),
-                 "must be a text of at most %zu bytes without a zero", mostBytes);
+    if (length > most_bytes || memchr(json_object_get_string(value), 0, length) != NULL) {
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key),
+                  "must be a text of at most %zu bytes without a zero", most_bytes);
         return "";
     }
     return talloc_strndup(faults->mem, json_object_get_string(value), length);
 }
 
-bool checkNameText(const char *text)
+bool check_name_text(const char *text)
 {
     const size_t count = strlen(text);
     return count > 0 && count <= ID_MAX &&
            strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:-") == count;
 }
 
-static const char *nameOf(Faults *faults, json_object *value, const char *path)
+static const char *name_of(Faults *faults, json_object *value, const char *path)
 {
     const char *text = json_object_is_type(value, json_type_string) ? json_object_get_string(value) : NULL;
-    if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value) || !checkNameText(text)) {
-        faultAdd(faults, STATUS_BAD_FIELD, path, "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
+    if (text == NULL || strlen(text) != (size_t)json_object_get_string_len(value) || !check_name_text(text)) {
+        fault_add(faults, STATUS_BAD_FIELD, path, "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
         return "";
     }
     return talloc_strdup(faults->mem, text);
 }
 
-const char *checkName(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise)
+const char *check_name(Faults *faults, json_object *object, const char *path, const char *key, const char *otherwise)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value)) {
         if (otherwise == NULL)
-            faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "is missing");
+            fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "is missing");
         return otherwise != NULL ? otherwise : "";
     }
-    return nameOf(faults, value, checkPath(faults, path, key));
+    return name_of(faults, value, check_path(faults, path, key));
 }
 
-const char **checkNames(Faults *faults, json_object *object, const char *path, const char *key, size_t *count)
+const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count)
 {
     json_object *value;
     *count = 0;
     if (!json_object_object_get_ex(object, key, &value))
         return NULL;
-    const char *at = checkPath(faults, path, key);
+    const char *at = check_path(faults, path, key);
     if (!json_object_is_type(value, json_type_array) || json_object_array_length(value) > JOB_STEPS_MAX) {
-        faultAdd(faults, STATUS_BAD_FIELD, at, "must be an array of at most %d names", JOB_STEPS_MAX);
+        fault_add(faults, STATUS_BAD_FIELD, at, "must be an array of at most %d names", JOB_STEPS_MAX);
         return NULL;
     }
     const size_t length = json_object_array_length(value);
     const char **names = talloc_array(faults->mem, const char *, (unsigned)length);
     for (size_t i = 0; i < length; i++)
-        names[i] = nameOf(faults, json_object_array_get_idx(value, i), talloc_asprintf(faults->mem, "%s[%zu]", at, i));
+        names[i] = name_of(faults, json_object_array_get_idx(value, i), talloc_asprintf(faults->mem, "%s[%zu]", at, i));
     *count = length;
     return names;
 }
 
-static uint64_t amountOf(Faults *faults, json_object *object, const char *path, const char *key, double scale)
+static uint64_t amount_of(Faults *faults, json_object *object, const char *path, const char *key, double scale)
 {
     json_object *value;
     if (!json_object_object_get_ex(object, key, &value)) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "is missing");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "is missing");
         return 0;
     }
     const bool number = json_object_is_type(value, json_type_int) || json_object_is_type(value, json_type_double);
     const double amount = number ? json_object_get_double(value) * scale : -1;
     if (!(amount >= 0 && amount <= (double)ROOM_MAX)) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "must be a number from 0 to %.0f",
-                 (double)ROOM_MAX / scale);
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be a number from 0 to %.0f",
+                  (double)ROOM_MAX / scale);
         return 0;
     }
     return (uint64_t)llround(amount);
 }
 
-Room checkRoom(Faults *faults, json_object *object, const char *path, const char *key, bool needed)
+Room check_room(Faults *faults, json_object *object, const char *path, const char *key, bool needed)
 {
     static const char *const KEYS[] = {"cpu", "memMb", "gpu", NULL};
     json_object *value;
     Room room = {0};
-    const char *at = checkPath(faults, path, key);
+    const char *at = check_path(faults, path, key);
     if (!json_object_object_get_ex(object, key, &value)) {
         if (needed)
-            faultAdd(faults, STATUS_BAD_FIELD, at, "is missing");
+            fault_add(faults, STATUS_BAD_FIELD, at, "is missing");
         return room;
     }
-    if (!checkKeys(faults, value, at, KEYS))
+    if (!check_keys(faults, value, at, KEYS))
         return room;
-    room.cpu_milli = amountOf(faults, value, at, "cpu", 1000);
-    room.mem_mb = amountOf(faults, value, at, "memMb", 1);
+    room.cpu_milli = amount_of(faults, value, at, "cpu", 1000);
+    room.mem_mb = amount_of(faults, value, at, "memMb", 1);
     if (json_object_object_get_ex(value, "gpu", NULL))
-        room.gpu = amountOf(faults, value, at, "gpu", 1);
+        room.gpu = amount_of(faults, value, at, "gpu", 1);
     return room;
 }
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -8,7 +8,7 @@
 #include "entries.h"
 #include "parts.h"
 
-const char *configFirstText(void)
+const char *config_first_text(void)
 {
     return "{\"r\":1,\"zoneLoss\":false,\"cells\":{},\"policies\":{}}";
 }
@@ -20,11 +20,11 @@
     Faults *faults;
 } Reading;
 
-static void checkNamed(Faults *faults, const char *name, const char *path, const char *key)
+static void check_named(Faults *faults, const char *name, const char *path, const char *key)
 {
-    if (!checkNameText(name))
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, checkPath(faults, path, key), name),
-                 "is not a name of 1 to %d letters, digits or ._:-", ID_MAX);
+    if (!check_name_text(name))
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, check_path(faults, path, key), name),
+                  "is not a name of 1 to %d letters, digits or ._:-", ID_MAX);
 }
 
 /* The objects under a key, by name. */
@@ -35,7 +35,7 @@
     if (!json_object_object_get_ex(object, key, &value))
         return NULL;
     if (!json_object_is_type(value, json_type_object)) {
-        faultAdd(faults, STATUS_BAD_FIELD, checkPath(faults, path, key), "must be an object");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be an object");
         return NULL;
     }
     *count = (size_t)json_object_object_length(value);
@@ -44,69 +44,69 @@
 
 /* --- cells ------------------------------------------------------------------------ */
 
-static void readTenants(Config *config, json_object *object, const char *path, ConfigCell *cell, Faults *faults)
+static void read_tenants(Config *config, json_object *object, const char *path, ConfigCell *cell, Faults *faults)
 {
     static const char *const KEYS[] = {"quota", NULL};
-    json_object *all = named(faults, object, path, "tenants", &cell->tenantCount);
-    ConfigTenant *tenants = talloc_zero_array(config, ConfigTenant, (unsigned)cell->tenantCount);
+    json_object *all = named(faults, object, path, "tenants", &cell->tenant_count);
+    ConfigTenant *tenants = talloc_zero_array(config, ConfigTenant, (unsigned)cell->tenant_count);
     cell->tenants = tenants;
     if (all == NULL)
         return;
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
-        const char *here = checkPath(faults, checkPath(faults, path, "tenants"), name);
-        checkNamed(faults, name, path, "tenants");
+        const char *here = check_path(faults, check_path(faults, path, "tenants"), name);
+        check_named(faults, name, path, "tenants");
         tenants[at].name = talloc_strdup(config, name);
-        if (checkKeys(faults, value, here, KEYS))
-            tenants[at].quota = checkRoom(faults, value, here, "quota", false);
+        if (check_keys(faults, value, here, KEYS))
+            tenants[at].quota = check_room(faults, value, here, "quota", false);
         at++;
     }
 }
 
-static void readQueues(const Reading *reading, json_object *object, const char *path, ConfigCell *cell)
+static void read_queues(const Reading *reading, json_object *object, const char *path, ConfigCell *cell)
 {
-    json_object *all = named(reading->faults, object, path, "queues", &cell->queueCount);
-    const ConfigQueue **queues = talloc_zero_array(reading->config, const ConfigQueue *, (unsigned)cell->queueCount);
+    json_object *all = named(reading->faults, object, path, "queues", &cell->queue_count);
+    const ConfigQueue **queues = talloc_zero_array(reading->config, const ConfigQueue *, (unsigned)cell->queue_count);
     cell->queues = queues;
     if (all == NULL)
         return;
-    const ConfigCell *earlier = reading->earlier != NULL ? configCell(reading->earlier, cell->name) : NULL;
-    const char *here = checkPath(reading->faults, path, "queues");
+    const ConfigCell *earlier = reading->earlier != NULL ? config_cell(reading->earlier, cell->name) : NULL;
+    const char *here = check_path(reading->faults, path, "queues");
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
-        const ConfigQueue *known = earlier != NULL ? configQueue(earlier, name) : NULL;
+        const ConfigQueue *known = earlier != NULL ? config_queue(earlier, name) : NULL;
         if (known == NULL)
-            checkNamed(reading->faults, name, path, "queues");
-        const ConfigQueue *queue = queues[at++] = queuePart(value, name, here, known, reading->faults);
-        g_hash_table_insert(cell->queueNames, (gpointer)(uintptr_t)queue->name, (gpointer)(uintptr_t)queue);
+            check_named(reading->faults, name, path, "queues");
+        const ConfigQueue *queue = queues[at++] = queue_part(value, name, here, known, reading->faults);
+        g_hash_table_insert(cell->queue_names, (gpointer)(uintptr_t)queue->name, (gpointer)(uintptr_t)queue);
     }
 }
 
-static void readCell(const Reading *reading, json_object *value, const char *path, ConfigCell *cell)
+static void read_cell(const Reading *reading, json_object *value, const char *path, ConfigCell *cell)
 {
     static const char *const KEYS[] = {"share", "limit", "policy", "strict", "tenants", "queues", NULL};
     Faults *faults = reading->faults;
-    if (!checkKeys(faults, value, path, KEYS))
+    if (!check_keys(faults, value, path, KEYS))
         return;
-    cell->share = (uint64_t)checkInt(faults, value, path, "share", 1, 1000, 1);
-    cell->limit = (uint64_t)checkInt(faults, value, path, "limit", 1, 1000000, QUEUE_LIMIT_DEFAULT);
-    cell->policy = talloc_strdup(reading->config, checkName(faults, value, path, "policy", ""));
-    cell->strict = checkFlag(faults, value, path, "strict", true);
-    readTenants(reading->config, value, path, cell, faults);
-    readQueues(reading, value, path, cell);
+    cell->share = (uint64_t)check_int(faults, value, path, "share", 1, 1000, 1);
+    cell->limit = (uint64_t)check_int(faults, value, path, "limit", 1, 1000000, QUEUE_LIMIT_DEFAULT);
+    cell->policy = talloc_strdup(reading->config, check_name(faults, value, path, "policy", ""));
+    cell->strict = check_flag(faults, value, path, "strict", true);
+    read_tenants(reading->config, value, path, cell, faults);
+    read_queues(reading, value, path, cell);
 }
 
-static void readCells(const Reading *reading, json_object *object)
+static void read_cells(const Reading *reading, json_object *object)
 {
     Config *config = reading->config;
-    json_object *all = named(reading->faults, object, "", "cells", &config->cellCount);
-    ConfigCell *cells = talloc_zero_array(config, ConfigCell, (unsigned)config->cellCount);
+    json_object *all = named(reading->faults, object, "", "cells", &config->cell_count);
+    ConfigCell *cells = talloc_zero_array(config, ConfigCell, (unsigned)config->cell_count);
     config->cells = cells;
-    for (size_t i = 0; i < config->cellCount; i++) {
+    for (size_t i = 0; i < config->cell_count; i++) {
         cells[i].name = cells[i].policy = "";
-        cells[i].queueNames = g_hash_table_new(g_str_hash, g_str_equal);
+        cells[i].queue_names = g_hash_table_new(g_str_hash, g_str_equal);
     }
     if (all == NULL)
         return;
@@ -115,135 +115,135 @@
     {
         ConfigCell *cell = &cells[at++];
         cell->name = talloc_strdup(config, name);
-        checkNamed(reading->faults, name, "", "cells");
-        g_hash_table_insert(config->cellNames, (gpointer)(uintptr_t)cell->name, cell);
-        readCell(reading, value, checkPath(reading->faults, "cells", name), cell);
+        check_named(reading->faults, name, "", "cells");
+        g_hash_table_insert(config->cell_names, (gpointer)(uintptr_t)cell->name, cell);
+        read_cell(reading, value, check_path(reading->faults, "cells", name), cell);
     }
 }
 
 /* --- what stands beside the cells ------------------------------------------------------ */
 
-static void readPolicies(const Reading *reading, json_object *object)
+static void read_policies(const Reading *reading, json_object *object)
 {
     Config *config = reading->config;
-    json_object *all = named(reading->faults, object, "", "policies", &config->policyCount);
-    const ConfigPolicy **policies = talloc_zero_array(config, const ConfigPolicy *, (unsigned)config->policyCount);
+    json_object *all = named(reading->faults, object, "", "policies", &config->policy_count);
+    const ConfigPolicy **policies = talloc_zero_array(config, const ConfigPolicy *, (unsigned)config->policy_count);
     config->policies = policies;
     if (all == NULL)
         return;
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
-        const ConfigPolicy *known = reading->earlier != NULL ? configPolicy(reading->earlier, name) : NULL;
-        checkNamed(reading->faults, name, "", "policies");
-        policies[at++] = policyPart(value, name, "policies", known, reading->faults);
+        const ConfigPolicy *known = reading->earlier != NULL ? config_policy(reading->earlier, name) : NULL;
+        check_named(reading->faults, name, "", "policies");
+        policies[at++] = policy_part(value, name, "policies", known, reading->faults);
     }
 }
 
-static void readKinds(Config *config, json_object *object, Faults *faults)
+static void read_kinds(Config *config, json_object *object, Faults *faults)
 {
     static const char *const KEYS[] = {"guards", "healthPath", "note", NULL};
-    json_object *all = named(faults, object, "", "kinds", &config->kindCount);
-    ConfigKind *kinds = talloc_zero_array(config, ConfigKind, (unsigned)config->kindCount);
+    json_object *all = named(faults, object, "", "kinds", &config->kind_count);
+    ConfigKind *kinds = talloc_zero_array(config, ConfigKind, (unsigned)config->kind_count);
     config->kinds = kinds;
     if (all == NULL)
         return;
     size_t at = 0;
     json_object_object_foreach(all, name, value)
     {
-        const char *path = checkPath(faults, "kinds", name);
+        const char *path = check_path(faults, "kinds", name);
         ConfigKind *kind = &kinds[at++];
-        checkNamed(faults, name, "", "kinds");
-        *kind = (ConfigKind){.name = talloc_strdup(config, name), .healthPath = "", .note = ""};
-        g_hash_table_insert(config->kindNames, (gpointer)(uintptr_t)kind->name, kind);
-        if (!checkKeys(faults, value, path, KEYS))
+        check_named(faults, name, "", "kinds");
+        *kind = (ConfigKind){.name = talloc_strdup(config, name), .health_path = "", .note = ""};
+        g_hash_table_insert(config->kind_names, (gpointer)(uintptr_t)kind->name, kind);
+        if (!check_keys(faults, value, path, KEYS))
             continue;
-        kind->guards = checkFlag(faults, value, path, "guards", false);
-        kind->healthPath = talloc_strdup(config, checkText(faults, value, path, "healthPath", CONFIG_PATH_MAX));
-        kind->note = talloc_strdup(config, checkText(faults, value, path, "note", CONFIG_NOTE_MAX));
+        kind->guards = check_flag(faults, value, path, "guards", false);
+        kind->health_path = talloc_strdup(config, check_text(faults, value, path, "healthPath", CONFIG_PATH_MAX));
+        kind->note = talloc_strdup(config, check_text(faults, value, path, "note", CONFIG_NOTE_MAX));
     }
 }
 
-static void readLimits(ConfigLimits *limits, json_object *object, Faults *faults)
+static void read_limits(ConfigLimits *limits, json_object *object, Faults *faults)
 {
     static const char *const KEYS[] = {"headBytes", "bodyBytes", "headMs", "idleMs", NULL};
     json_object *value;
-    if (!json_object_object_get_ex(object, "limits", &value) || !checkKeys(faults, value, "limits", KEYS))
+    if (!json_object_object_get_ex(object, "limits", &value) || !check_keys(faults, value, "limits", KEYS))
         return;
-    limits->head_bytes = (uint64_t)checkInt(faults, value, "limits", "headBytes", 1, CONFIG_BYTES_MAX, 0);
-    limits->body_bytes = (uint64_t)checkInt(faults, value, "limits", "bodyBytes", 1, CONFIG_BYTES_MAX, 0);
-    limits->head_ms = checkInt(faults, value, "limits", "headMs", 1, CONFIG_SPAN_MAX_MS, 0);
-    limits->idle_ms = checkInt(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
+    limits->head_bytes = (uint64_t)check_int(faults, value, "limits", "headBytes", 1, CONFIG_BYTES_MAX, 0);
+    limits->body_bytes = (uint64_t)check_int(faults, value, "limits", "bodyBytes", 1, CONFIG_BYTES_MAX, 0);
+    limits->head_ms = check_int(faults, value, "limits", "headMs", 1, CONFIG_SPAN_MAX_MS, 0);
+    limits->idle_ms = check_int(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
 }
 
 /* --- what names something elsewhere in the document ------------------------------------ */
 
-static void checkQueue(const Config *config, const ConfigCell *cell, const ConfigQueue *queue, bool kindsGiven,
-                       Faults *faults)
+static void check_queue(const Config *config, const ConfigCell *cell, const ConfigQueue *queue, bool kinds_given,
+                        Faults *faults)
 {
-    if (queue->kind[0] != '\0' && kindsGiven && configKind(config, queue->kind) == NULL)
-        faultAdd(faults, STATUS_BAD_FIELD,
-                 talloc_asprintf(faults->mem, "cells.%s.queues.%s.kind", cell->name, queue->name),
-                 "there is no kind %s", queue->kind);
-    if (queue->tenant[0] != '\0' && configTenant(cell, queue->tenant) == NULL)
-        faultAdd(faults, STATUS_BAD_FIELD,
-                 talloc_asprintf(faults->mem, "cells.%s.queues.%s.tenant", cell->name, queue->name),
-                 "the cell has no tenant %s", queue->tenant);
+    if (queue->kind[0] != '\0' && kinds_given && config_kind(config, queue->kind) == NULL)
+        fault_add(faults, STATUS_BAD_FIELD,
+                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.kind", cell->name, queue->name),
+                  "there is no kind %s", queue->kind);
+    if (queue->tenant[0] != '\0' && config_tenant(cell, queue->tenant) == NULL)
+        fault_add(faults, STATUS_BAD_FIELD,
+                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.tenant", cell->name, queue->name),
+                  "the cell has no tenant %s", queue->tenant);
 }
 
 /* The same host and prefix twice is a fault of the later one. */
-static void enterQueue(ConfigEntries *entries, const ConfigCell *cell, const ConfigQueue *queue, Faults *faults)
+static void enter_queue(ConfigEntries *entries, const ConfigCell *cell, const ConfigQueue *queue, Faults *faults)
 {
     const QueuePart *part = (const QueuePart *)queue;
-    const char *first = cell->tenantCount > 0 ? cell->tenants[0].name : "";
-    const ConfigPlace place = {cell, queue, queue->tenant[0] != '\0' ? queue->tenant : first, part->prefixLength};
+    const char *first = cell->tenant_count > 0 ? cell->tenants[0].name : "";
+    const ConfigPlace place = {cell, queue, queue->tenant[0] != '\0' ? queue->tenant : first, part->prefix_length};
     const ConfigPlace *other;
-    if (queue->host[0] != '\0' && !entriesAdd(entries, &place, part->entryHash, &other))
-        faultAdd(faults, STATUS_BAD_FIELD,
-                 talloc_asprintf(faults->mem, "cells.%s.queues.%s.entry", cell->name, queue->name),
-                 "queue %s of cell %s has this host and prefix", other->queue->name, other->cell->name);
+    if (queue->host[0] != '\0' && !entries_add(entries, &place, part->entry_hash, &other))
+        fault_add(faults, STATUS_BAD_FIELD,
+                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.entry", cell->name, queue->name),
+                  "queue %s of cell %s has this host and prefix", other->queue->name, other->cell->name);
 }
 
-static void checkCells(const Reading *reading, json_object *tree)
+static void check_cells(const Reading *reading, json_object *tree)
 {
     Config *config = reading->config;
-    const bool kindsGiven = json_object_object_get_ex(tree, "kinds", NULL);
+    const bool kinds_given = json_object_object_get_ex(tree, "kinds", NULL);
     size_t count = 0;
-    for (size_t i = 0; i < config->cellCount; i++)
-        count += config->cells[i].queueCount;
-    ConfigEntries *entries = entriesNew(config, count);
+    for (size_t i = 0; i < config->cell_count; i++)
+        count += config->cells[i].queue_count;
+    ConfigEntries *entries = entries_new(config, count);
     config->entries = entries;
-    for (size_t i = 0; i < config->cellCount; i++) {
+    for (size_t i = 0; i < config->cell_count; i++) {
         const ConfigCell *cell = &config->cells[i];
-        if (cell->policy[0] != '\0' && configPolicy(config, cell->policy) == NULL)
-            faultAdd(reading->faults, STATUS_BAD_FIELD,
-                     talloc_asprintf(reading->faults->mem, "cells.%s.policy", cell->name), "there is no policy %s",
-                     cell->policy);
-        for (size_t k = 0; k < cell->queueCount && cell->queues[k] != NULL; k++) {
-            checkQueue(config, cell, cell->queues[k], kindsGiven, reading->faults);
-            enterQueue(entries, cell, cell->queues[k], reading->faults);
+        if (cell->policy[0] != '\0' && config_policy(config, cell->policy) == NULL)
+            fault_add(reading->faults, STATUS_BAD_FIELD,
+                      talloc_asprintf(reading->faults->mem, "cells.%s.policy", cell->name), "there is no policy %s",
+                      cell->policy);
+        for (size_t k = 0; k < cell->queue_count && cell->queues[k] != NULL; k++) {
+            check_queue(config, cell, cell->queues[k], kinds_given, reading->faults);
+            enter_queue(entries, cell, cell->queues[k], reading->faults);
         }
     }
 }
 
 /* --- the whole ------------------------------------------------------------------------ */
 
-static int configFree(Config *config)
+static int config_free(Config *config)
 {
-    for (size_t i = 0; i < config->cellCount; i++) {
-        for (size_t k = 0; k < config->cells[i].queueCount; k++)
-            queuePartLeave(config->cells[i].queues[k]);
-        g_hash_table_destroy(config->cells[i].queueNames);
+    for (size_t i = 0; i < config->cell_count; i++) {
+        for (size_t k = 0; k < config->cells[i].queue_count; k++)
+            queue_part_leave(config->cells[i].queues[k]);
+        g_hash_table_destroy(config->cells[i].queue_names);
     }
-    for (size_t i = 0; i < config->policyCount; i++)
-        policyPartLeave(config->policies[i]);
-    g_hash_table_destroy(config->cellNames);
-    g_hash_table_destroy(config->kindNames);
+    for (size_t i = 0; i < config->policy_count; i++)
+        policy_part_leave(config->policies[i]);
+    g_hash_table_destroy(config->cell_names);
+    g_hash_table_destroy(config->kind_names);
     json_object_put(config->tree);
     return 0;
 }
 
-const Config *configBuild(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults)
+const Config *config_build(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults)
 {
     static const char *const KEYS[] = {"r",     "zoneLoss", "rackLoss", "cells", "policies",
                                        "kinds", "limits",   "note",     NULL};
@@ -252,21 +252,21 @@
     config->revision = revision;
     config->tree = json_object_get(tree);
     config->note = "";
-    config->cellNames = g_hash_table_new(g_str_hash, g_str_equal);
-    config->kindNames = g_hash_table_new(g_str_hash, g_str_equal);
-    talloc_set_destructor(config, configFree);
+    config->cell_names = g_hash_table_new(g_str_hash, g_str_equal);
+    config->kind_names = g_hash_table_new(g_str_hash, g_str_equal);
+    talloc_set_destructor(config, config_free);
     const Reading reading = {config, earlier, faults};
-    if (checkKeys(faults, tree, "", KEYS)) {
-        config->rNamed = json_object_object_get_ex(tree, "r", NULL);
-        config->r = (uint64_t)checkInt(faults, tree, "", "r", 0, PLAN_R_MAX, 1);
-        config->zoneLoss = checkFlag(faults, tree, "", "zoneLoss", false);
-        config->rackLoss = checkFlag(faults, tree, "", "rackLoss", false);
-        config->note = talloc_strdup(config, checkText(faults, tree, "", "note", CONFIG_NOTE_MAX));
-        readPolicies(&reading, tree);
-        readKinds(config, tree, faults);
-        readLimits(&config->limits, tree, faults);
-        readCells(&reading, tree);
-        checkCells(&reading, tree);
+    if (check_keys(faults, tree, "", KEYS)) {
+        config->r_named = json_object_object_get_ex(tree, "r", NULL);
+        config->r = (uint64_t)check_int(faults, tree, "", "r", 0, PLAN_R_MAX, 1);
+        config->zone_loss = check_flag(faults, tree, "", "zoneLoss", false);
+        config->rack_loss = check_flag(faults, tree, "", "rackLoss", false);
+        config->note = talloc_strdup(config, check_text(faults, tree, "", "note", CONFIG_NOTE_MAX));
+        read_policies(&reading, tree);
+        read_kinds(config, tree, faults);
+        read_limits(&config->limits, tree, faults);
+        read_cells(&reading, tree);
+        check_cells(&reading, tree);
     }
     if (faults->seen == before)
         return config;
@@ -274,27 +274,27 @@
     return NULL;
 }
 
-const Config *configRead(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults)
+const Config *config_read(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults)
 {
     if (count > CONFIG_BODY_MAX) {
-        faultAdd(faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
+        fault_add(faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
         return NULL;
     }
-    json_object *tree = checkParse(faults, text, count);
+    json_object *tree = check_parse(faults, text, count);
     if (tree == NULL)
         return NULL;
-    const Config *config = configBuild(mem, tree, revision, NULL, faults);
+    const Config *config = config_build(mem, tree, revision, NULL, faults);
     json_object_put(tree);
     return config;
 }
 
-const char *configPatch(void *mem, const char *text, const char *patchText, size_t patchCount, Faults *faults)
+const char *config_patch(void *mem, const char *text, const char *patch_text, size_t patch_count, Faults *faults)
 {
-    json_object *patch = checkParse(faults, patchText, patchCount);
+    json_object *patch = check_parse(faults, patch_text, patch_count);
     if (patch == NULL)
         return NULL;
     if (!json_object_is_type(patch, json_type_object)) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "a patch must be an object");
+        fault_add(faults, STATUS_BAD_JSON, "", "a patch must be an object");
         json_object_put(patch);
         return NULL;
     }
@@ -309,37 +309,37 @@
 
 /* --- finding ---------------------------------------------------------------------------- */
 
-const ConfigCell *configCell(const Config *config, const char *name)
+const ConfigCell *config_cell(const Config *config, const char *name)
 {
-    return g_hash_table_lookup(config->cellNames, name);
+    return g_hash_table_lookup(config->cell_names, name);
 }
 
-const ConfigTenant *configTenant(const ConfigCell *cell, const char *name)
+const ConfigTenant *config_tenant(const ConfigCell *cell, const char *name)
 {
-    for (size_t i = 0; i < cell->tenantCount; i++)
+    for (size_t i = 0; i < cell->tenant_count; i++)
         if (strcmp(cell->tenants[i].name, name) == 0)
             return &cell->tenants[i];
     return NULL;
 }
 
-const ConfigQueue *configQueue(const ConfigCell *cell, const char *name)
+const ConfigQueue *config_queue(const ConfigCell *cell, const char *name)
 {
-    return g_hash_table_lookup(cell->queueNames, name);
+    return g_hash_table_lookup(cell->queue_names, name);
 }
 
-const ConfigKind *configKind(const Config *config, const char *name)
+const ConfigKind *config_kind(const Config *config, const char *name)
 {
-    return g_hash_table_lookup(config->kindNames, name);
+    return g_hash_table_lookup(config->kind_names, name);
 }
 
-const ConfigPlace *configEntry(const Config *config, const char *host, const char *path)
+const ConfigPlace *config_entry(const Config *config, const char *host, const char *path)
 {
-    return entriesFind(config->entries, host, path);
+    return entries_find(config->entries, host, path);
 }
 
-const ConfigPolicy *configPolicy(const Config *config, const char *name)
+const ConfigPolicy *config_policy(const Config *config, const char *name)
 {
-    for (size_t i = 0; i < config->policyCount; i++)
+    for (size_t i = 0; i < config->policy_count; i++)
         if (config->policies[i] != NULL && strcmp(config->policies[i]->name, name) == 0)
             return config->policies[i];
     return NULL;
--- a/packages/config/src/entries.c
+++ b/packages/config/src/entries.c
@@ -9,7 +9,7 @@
 /* A prefix need not end with a zero here: a path is looked up by its beginnings. */
 typedef struct EntryKey {
     const char *host, *prefix;
-    size_t prefixLength;
+    size_t prefix_length;
     guint hash;
 } EntryKey;
 
@@ -24,55 +24,55 @@
 } HostLengths;
 
 struct ConfigEntries {
-    GHashTable *byKey;
-    GHashTable *byHost; /* to HostLengths */
+    GHashTable *by_key;
+    GHashTable *by_host; /* to HostLengths */
     Entry *list;
     size_t count;
 };
 
-guint entryHash(const char *host, const char *prefix, size_t prefixLength)
+guint entry_hash(const char *host, const char *prefix, size_t prefix_length)
 {
     guint hash = g_str_hash(host);
-    for (size_t i = 0; i < prefixLength; i++)
+    for (size_t i = 0; i < prefix_length; i++)
         hash = hash * 33 + (unsigned char)prefix[i];
     return hash;
 }
 
-static guint keyHash(gconstpointer data)
+static guint key_hash(gconstpointer data)
 {
     return ((const EntryKey *)data)->hash;
 }
 
-static gboolean keyEqual(gconstpointer a, gconstpointer b)
+static gboolean key_equal(gconstpointer a, gconstpointer b)
 {
     const EntryKey *x = a, *y = b;
-    return x->hash == y->hash && x->prefixLength == y->prefixLength &&
-           memcmp(x->prefix, y->prefix, x->prefixLength) == 0 && strcmp(x->host, y->host) == 0;
+    return x->hash == y->hash && x->prefix_length == y->prefix_length &&
+           memcmp(x->prefix, y->prefix, x->prefix_length) == 0 && strcmp(x->host, y->host) == 0;
 }
 
-static int entriesFree(ConfigEntries *entries)
+static int entries_free(ConfigEntries *entries)
 {
-    g_hash_table_destroy(entries->byKey);
-    g_hash_table_destroy(entries->byHost);
+    g_hash_table_destroy(entries->by_key);
+    g_hash_table_destroy(entries->by_host);
     return 0;
 }
 
-ConfigEntries *entriesNew(void *mem, size_t count)
+ConfigEntries *entries_new(void *mem, size_t count)
 {
     ConfigEntries *entries = talloc_zero(mem, ConfigEntries);
-    entries->byKey = g_hash_table_new(keyHash, keyEqual);
-    entries->byHost = g_hash_table_new(g_str_hash, g_str_equal);
+    entries->by_key = g_hash_table_new(key_hash, key_equal);
+    entries->by_host = g_hash_table_new(g_str_hash, g_str_equal);
     entries->list = talloc_array(entries, Entry, (unsigned)count);
-    talloc_set_destructor(entries, entriesFree);
+    talloc_set_destructor(entries, entries_free);
     return entries;
 }
 
-static void lengthAdd(ConfigEntries *entries, const char *host, size_t length)
+static void length_add(ConfigEntries *entries, const char *host, size_t length)
 {
-    HostLengths *of = g_hash_table_lookup(entries->byHost, host);
+    HostLengths *of = g_hash_table_lookup(entries->by_host, host);
     if (of == NULL) {
         of = talloc_zero(entries, HostLengths);
-        g_hash_table_insert(entries->byHost, (gpointer)(uintptr_t)host, of);
+        g_hash_table_insert(entries->by_host, (gpointer)(uintptr_t)host, of);
     }
     size_t at = 0;
     while (at < of->count && of->lengths[at] > length)
@@ -85,24 +85,24 @@
     of->count++;
 }
 
-bool entriesAdd(ConfigEntries *entries, const ConfigPlace *place, guint hash, const ConfigPlace **other)
+bool entries_add(ConfigEntries *entries, const ConfigPlace *place, guint hash, const ConfigPlace **other)
 {
     Entry *entry = &entries->list[entries->count];
     const ConfigQueue *queue = place->queue;
-    *entry = (Entry){{queue->host, queue->prefix, place->prefixLength, hash}, *place};
-    if (!g_hash_table_insert(entries->byKey, &entry->key, entry)) { /* the key there stays, and gets its entry back */
+    *entry = (Entry){{queue->host, queue->prefix, place->prefix_length, hash}, *place};
+    if (!g_hash_table_insert(entries->by_key, &entry->key, entry)) { /* the key there stays, and gets its entry back */
         gpointer known;
-        g_hash_table_lookup_extended(entries->byKey, &entry->key, &known, NULL);
-        g_hash_table_insert(entries->byKey, known, known);
+        g_hash_table_lookup_extended(entries->by_key, &entry->key, &known, NULL);
+        g_hash_table_insert(entries->by_key, known, known);
         *other = &((Entry *)known)->place;
         return false;
     }
     entries->count++;
-    lengthAdd(entries, queue->host, place->prefixLength);
+    length_add(entries, queue->host, place->prefix_length);
     return true;
 }
 
-const ConfigPlace *entriesFind(const ConfigEntries *entries, const char *host, const char *path)
+const ConfigPlace *entries_find(const ConfigEntries *entries, const char *host, const char *path)
 {
     char name[CONFIG_PATH_MAX + 1];
     size_t length = strcspn(host, ":");
@@ -111,14 +111,14 @@
     for (size_t i = 0; i < length; i++)
         name[i] = (char)tolower((unsigned char)host[i]);
     name[length] = '\0';
-    const HostLengths *of = g_hash_table_lookup(entries->byHost, name);
-    const size_t pathLength = of != NULL ? strlen(path) : 0;
+    const HostLengths *of = g_hash_table_lookup(entries->by_host, name);
+    const size_t path_length = of != NULL ? strlen(path) : 0;
     for (size_t i = 0; of != NULL && i < of->count; i++) {
-        if (of->lengths[i] > pathLength)
+        if (of->lengths[i] > path_length)
             continue;
-        const size_t prefixLength = of->lengths[i];
-        const EntryKey key = {name, path, prefixLength, entryHash(name, path, prefixLength)};
-        const Entry *entry = g_hash_table_lookup(entries->byKey, &key);
+        const size_t prefix_length = of->lengths[i];
+        const EntryKey key = {name, path, prefix_length, entry_hash(name, path, prefix_length)};
+        const Entry *entry = g_hash_table_lookup(entries->by_key, &key);
         if (entry != NULL)
             return &entry->place;
     }
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -11,8 +11,8 @@
     ConfigQueue queue; /* first */
     json_object *from;
     size_t users;
-    size_t prefixLength;
-    guint entryHash;
+    size_t prefix_length;
+    guint entry_hash;
 } QueuePart;
 
 typedef struct PolicyPart {
@@ -23,12 +23,12 @@
 
 /* Each gives a use. earlier (may be null) is of this name. A part is returned
  * also when there are faults. */
-const ConfigQueue *queuePart(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
-                             Faults *faults);
-const ConfigPolicy *policyPart(json_object *value, const char *name, const char *path, const ConfigPolicy *earlier,
-                               Faults *faults);
+const ConfigQueue *queue_part(json_object *value, const char *name, const char *path, const ConfigQueue *earlier,
+                              Faults *faults);
+const ConfigPolicy *policy_part(json_object *value, const char *name, const char *path, const ConfigPolicy *earlier,
+                                Faults *faults);
 /* Ends a use; null is nothing. */
-void queuePartLeave(const ConfigQueue *queue);
-void policyPartLeave(const ConfigPolicy *policy);
+void queue_part_leave(const ConfigQueue *queue);
+void policy_part_leave(const ConfigPolicy *policy);
 
 #endif
--- a/packages/config/src/scan.c
+++ b/packages/config/src/scan.c
@@ -16,13 +16,13 @@
     return scan->at < scan->count ? scan->text[scan->at] : '\0';
 }
 
-static void skipBlanks(Scan *scan)
+static void skip_blanks(Scan *scan)
 {
     while (peek(scan) == ' ' || peek(scan) == '\t' || peek(scan) == '\n' || peek(scan) == '\r')
         scan->at++;
 }
 
-static bool takeWord(Scan *scan, const char *word)
+static bool take_word(Scan *scan, const char *word)
 {
     const size_t length = strlen(word);
     if (scan->count - scan->at < length || memcmp(scan->text + scan->at, word, length) != 0)
@@ -31,7 +31,7 @@
     return true;
 }
 
-static bool takeDigits(Scan *scan)
+static bool take_digits(Scan *scan)
 {
     const size_t from = scan->at;
     while (peek(scan) >= '0' && peek(scan) <= '9')
@@ -39,33 +39,33 @@
     return scan->at > from || stop(scan, "a digit is missing");
 }
 
-static bool takeNumber(Scan *scan)
+static bool take_number(Scan *scan)
 {
     if (peek(scan) == '-')
         scan->at++;
     const bool zero = peek(scan) == '0';
     const size_t from = scan->at;
-    if (!takeDigits(scan))
+    if (!take_digits(scan))
         return false;
     if (zero && scan->at > from + 1)
         return stop(scan, "a number begins with 0");
     if (peek(scan) == '.') {
         scan->at++;
-        if (!takeDigits(scan))
+        if (!take_digits(scan))
             return false;
     }
     if (peek(scan) == 'e' || peek(scan) == 'E') {
         scan->at++;
         if (peek(scan) == '+' || peek(scan) == '-')
             scan->at++;
-        if (!takeDigits(scan))
+        if (!take_digits(scan))
             return false;
     }
     return true;
 }
 
 /* The four digits after \u. */
-static bool takeUnit(Scan *scan, unsigned *unit)
+static bool take_unit(Scan *scan, unsigned *unit)
 {
     *unit = 0;
     for (int i = 0; i < 4; i++, scan->at++) {
@@ -77,7 +77,7 @@
     return true;
 }
 
-static bool takeEscape(Scan *scan, bool key)
+static bool take_escape(Scan *scan, bool key)
 {
     const char letter = peek(scan);
     if (letter == '\0' || strchr("\"\\/bfnrtu", letter) == NULL)
@@ -86,7 +86,7 @@
     unsigned unit, low;
     if (letter != 'u')
         return true;
-    if (!takeUnit(scan, &unit))
+    if (!take_unit(scan, &unit))
         return false;
     if (key && unit == 0)
         return stop(scan, "a zero in a key");
@@ -98,12 +98,12 @@
     if (peek(scan) != 'u')
         return stop(scan, "half a pair of \\u");
     scan->at++;
-    if (!takeUnit(scan, &low))
+    if (!take_unit(scan, &low))
         return false;
     return (low >= 0xdc00 && low <= 0xdfff) || stop(scan, "half a pair of \\u");
 }
 
-static bool takeString(Scan *scan, bool key)
+static bool take_string(Scan *scan, bool key)
 {
     scan->at++; /* the opening quote */
     for (;;) {
@@ -117,37 +117,37 @@
         if ((unsigned char)letter < ' ')
             return stop(scan, "a control character in a string");
         scan->at++;
-        if (letter == '\\' && !takeEscape(scan, key))
+        if (letter == '\\' && !take_escape(scan, key))
             return false;
     }
 }
 
-static bool takeValue(Scan *scan);
+static bool take_value(Scan *scan);
 
 /* The members or elements up to the closing mark. */
-static bool takeMany(Scan *scan, char close, bool members)
+static bool take_many(Scan *scan, char close, bool members)
 {
-    if (++scan->depth > scan->depthMost)
+    if (++scan->depth > scan->depth_most)
         return stop(scan, "is nested too deeply");
     scan->at++;
-    skipBlanks(scan);
+    skip_blanks(scan);
     bool more = peek(scan) != close;
     while (more) {
-        skipBlanks(scan);
+        skip_blanks(scan);
         if (members) {
             if (peek(scan) != '"')
                 return stop(scan, scan->at < scan->count ? "a key is missing" : "the text ends too early");
-            if (!takeString(scan, true))
+            if (!take_string(scan, true))
                 return false;
             scan->members++;
-            skipBlanks(scan);
+            skip_blanks(scan);
             if (peek(scan) != ':')
                 return stop(scan, scan->at < scan->count ? "a colon is missing" : "the text ends too early");
             scan->at++;
         }
-        if (!takeValue(scan))
+        if (!take_value(scan))
             return false;
-        skipBlanks(scan);
+        skip_blanks(scan);
         more = peek(scan) == ',';
         if (more)
             scan->at++;
@@ -159,39 +159,39 @@
     return true;
 }
 
-static bool takeValue(Scan *scan)
+static bool take_value(Scan *scan)
 {
-    skipBlanks(scan);
+    skip_blanks(scan);
     const char letter = peek(scan);
     switch (letter) {
     case '{':
-        return takeMany(scan, '}', true);
+        return take_many(scan, '}', true);
     case '[':
-        return takeMany(scan, ']', false);
+        return take_many(scan, ']', false);
     case '"':
-        return takeString(scan, false);
+        return take_string(scan, false);
     case 't':
-        return takeWord(scan, "true");
+        return take_word(scan, "true");
     case 'f':
-        return takeWord(scan, "false");
+        return take_word(scan, "false");
     case 'n':
-        return takeWord(scan, "null");
+        return take_word(scan, "null");
     default:
         if (letter == '-' || (letter >= '0' && letter <= '9'))
-            return takeNumber(scan);
+            return take_number(scan);
         return stop(scan, scan->at < scan->count ? "is no value" : "the text ends too early");
     }
 }
 
-bool scanText(Scan *scan)
+bool scan_text(Scan *scan)
 {
     const char *end;
     if (!g_utf8_validate(scan->text, (gssize)scan->count, &end)) {
         scan->at = (size_t)(end - scan->text);
         return stop(scan, *end == '\0' ? "a zero byte in the text" : "is no UTF-8");
     }
-    if (!takeValue(scan))
+    if (!take_value(scan))
         return false;
-    skipBlanks(scan);
+    skip_blanks(scan);
     return scan->at == scan->count || stop(scan, "something follows the document");
 }
--- a/packages/config/src/scan.h
+++ b/packages/config/src/scan.h
@@ -12,11 +12,11 @@
     const char *text;
     size_t count, at;
     size_t members; /* of all objects */
-    size_t depth, depthMost;
+    size_t depth, depth_most;
     const char *wrong;
 } Scan;
 
 /* False: wrong says what is, at which byte. */
-bool scanText(Scan *scan);
+bool scan_text(Scan *scan);
 
 #endif
--- a/packages/config/src/twice.c
+++ b/packages/config/src/twice.c
@@ -4,19 +4,19 @@
 #include <string.h>
 #include <talloc.h>
 
-size_t twiceMembers(json_object *tree)
+size_t twice_members(json_object *tree)
 {
     size_t count = 0;
     if (json_object_is_type(tree, json_type_object)) {
         json_object_object_foreach(tree, key, value)
         {
             (void)key;
-            count += 1 + twiceMembers(value);
+            count += 1 + twice_members(value);
         }
     } else if (json_object_is_type(tree, json_type_array)) {
         const size_t length = json_object_array_length(tree);
         for (size_t i = 0; i < length; i++)
-            count += twiceMembers(json_object_array_get_idx(tree, i));
+            count += twice_members(json_object_array_get_idx(tree, i));
     }
     return count;
 }
@@ -27,12 +27,12 @@
     const char *at;
 } Walk;
 
-static void skipBlanks(Walk *walk)
+static void skip_blanks(Walk *walk)
 {
     walk->at += strspn(walk->at, " \t\r\n");
 }
 
-static void skipString(Walk *walk)
+static void skip_string(Walk *walk)
 {
     for (walk->at++; *walk->at != '"'; walk->at++)
         if (*walk->at == '\\')
@@ -40,12 +40,12 @@
     walk->at++;
 }
 
-static void walkValue(Walk *walk, const char *path);
+static void walk_value(Walk *walk, const char *path);
 
-static char *keyNext(Walk *walk, void *mem)
+static char *key_next(Walk *walk, void *mem)
 {
     const char *from = walk->at;
-    skipString(walk);
+    skip_string(walk);
     /* two ways to write a letter make one key */
     json_object *key = json_tokener_parse(talloc_strndup(mem, from, (size_t)(walk->at - from)));
     char *name = talloc_strdup(mem, json_object_get_string(key));
@@ -53,61 +53,61 @@
     return name;
 }
 
-static void walkObject(Walk *walk, const char *path)
+static void walk_object(Walk *walk, const char *path)
 {
     void *mem = talloc_new(walk->faults->mem);
     GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
     walk->at++;
-    skipBlanks(walk);
+    skip_blanks(walk);
     while (*walk->at != '}') {
-        char *name = keyNext(walk, mem);
+        char *name = key_next(walk, mem);
         const char *here = path[0] != '\0' ? talloc_asprintf(mem, "%s.%s", path, name) : name;
         if (!g_hash_table_add(seen, name))
-            faultAdd(walk->faults, STATUS_BAD_FIELD, here, "stands twice");
-        skipBlanks(walk);
+            fault_add(walk->faults, STATUS_BAD_FIELD, here, "stands twice");
+        skip_blanks(walk);
         walk->at++; /* the colon */
-        walkValue(walk, here);
+        walk_value(walk, here);
         if (*walk->at == ',')
             walk->at++;
-        skipBlanks(walk);
+        skip_blanks(walk);
     }
     walk->at++;
     g_hash_table_destroy(seen);
     talloc_free(mem);
 }
 
-static void walkArray(Walk *walk, const char *path)
+static void walk_array(Walk *walk, const char *path)
 {
     walk->at++;
-    skipBlanks(walk);
+    skip_blanks(walk);
     for (size_t i = 0; *walk->at != ']'; i++) {
         char *here = talloc_asprintf(walk->faults->mem, "%s[%zu]", path, i);
-        walkValue(walk, here);
+        walk_value(walk, here);
         talloc_free(here);
         if (*walk->at == ',')
             walk->at++;
-        skipBlanks(walk);
+        skip_blanks(walk);
     }
     walk->at++;
 }
 
 /* Ends behind the value and the blanks that follow. */
-static void walkValue(Walk *walk, const char *path)
+static void walk_value(Walk *walk, const char *path)
 {
-    skipBlanks(walk);
+    skip_blanks(walk);
     if (*walk->at == '{')
-        walkObject(walk, path);
+        walk_object(walk, path);
     else if (*walk->at == '[')
-        walkArray(walk, path);
+        walk_array(walk, path);
     else if (*walk->at == '"')
-        skipString(walk);
+        skip_string(walk);
     else
         walk->at += strcspn(walk->at, ",]} \t\r\n");
-    skipBlanks(walk);
+    skip_blanks(walk);
 }
 
-void twiceFind(Faults *faults, const char *text)
+void twice_find(Faults *faults, const char *text)
 {
     Walk walk = {faults, text};
-    walkValue(&walk, "");
+    walk_value(&walk, "");
 }
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -21,17 +21,17 @@
     return (seed_now >> 33) % below;
 }
 
-static Faults *faultsNew(void *mem)
+static Faults *faults_new(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
     return faults;
 }
 
-static const Config *readGood(void *mem, const char *text)
+static const Config *read_good(void *mem, const char *text)
 {
-    Faults *faults = faultsNew(mem);
-    const Config *config = configRead(mem, text, strlen(text), 1, faults);
+    Faults *faults = faults_new(mem);
+    const Config *config = config_read(mem, text, strlen(text), 1, faults);
     if (config == NULL)
         fail_msg("%s: %s", faults->list[0].path, faults->list[0].text);
     return config;
@@ -53,23 +53,23 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    const Config *config = readGood(mem, WHOLE);
+    const Config *config = read_good(mem, WHOLE);
     assert_int_equal(config->r, 2);
     assert_string_equal(config->note, "all of it");
     assert_int_equal(config->limits.head_bytes, 16384);
     assert_int_equal(config->limits.body_bytes, 262144);
     assert_int_equal(config->limits.head_ms, 3000);
     assert_int_equal(config->limits.idle_ms, 15000);
-    const ConfigKind *kind = configKind(config, "huvo11a");
+    const ConfigKind *kind = config_kind(config, "huvo11a");
     assert_true(kind != NULL && kind->guards);
-    assert_string_equal(kind->healthPath, "/health");
+    assert_string_equal(kind->health_path, "/health");
     assert_string_equal(kind->note, "{\"max\":64}");
-    assert_false(configKind(config, "plain")->guards);
-    assert_null(configKind(config, "none"));
-    const ConfigCell *cell = configCell(config, "main");
-    assert_true(cell != NULL && !cell->strict && configCell(config, "other")->strict);
+    assert_false(config_kind(config, "plain")->guards);
+    assert_null(config_kind(config, "none"));
+    const ConfigCell *cell = config_cell(config, "main");
+    assert_true(cell != NULL && !cell->strict && config_cell(config, "other")->strict);
     assert_int_equal(cell->limit, 500);
-    const ConfigQueue *queue = configQueue(cell, "r-a3hwrr6");
+    const ConfigQueue *queue = config_queue(cell, "r-a3hwrr6");
     assert_int_equal(queue->priority, -1);
     assert_string_equal(queue->kind, "huvo11a");
     assert_int_equal(queue->rounds, 4);
@@ -79,19 +79,19 @@
     assert_string_equal(queue->host, "nony24.example");
     assert_string_equal(queue->prefix, "/lohu930/");
     assert_string_equal(queue->note, "{\"tls\":false}");
-    assert_int_equal(configQueue(cell, "theirs")->stretch_milli, 3000);
-    const ConfigQueue *bare = configQueue(cell, "bare");
+    assert_int_equal(config_queue(cell, "theirs")->stretch_milli, 3000);
+    const ConfigQueue *bare = config_queue(cell, "bare");
     assert_true(bare->rounds == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->expiry_ms == 0);
     assert_true(bare->kind[0] == '\0' && bare->host[0] == '\0' && bare->tenant[0] == '\0');
-    assert_null(configQueue(cell, "none"));
-    assert_non_null(configPolicy(config, "p")->lua);
-    assert_int_equal(configTenant(cell, "few")->quota.cpu_milli, 1500);
+    assert_null(config_queue(cell, "none"));
+    assert_non_null(config_policy(config, "p")->lua);
+    assert_int_equal(config_tenant(cell, "few")->quota.cpu_milli, 1500);
     talloc_free(mem);
 }
 
 static const char *found(const Config *config, const char *host, const char *path)
 {
-    const ConfigPlace *place = configEntry(config, host, path);
+    const ConfigPlace *place = config_entry(config, host, path);
     return place != NULL ? place->queue->name : "";
 }
 
@@ -100,13 +100,13 @@
     (void)state;
     void *mem = talloc_new(NULL);
     const Config *config =
-        readGood(mem, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{"
-                      "\"a\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/x/\"}},"
-                      "\"b\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/x/y/\"},\"tenant\":\"u\"},"
-                      "\"c\":{\"entry\":{\"host\":\"g.example\",\"prefix\":\"/x/\"}},"
-                      "\"d\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/half\"}},"
-                      "\"e\":{}}},"
-                      "\"d\":{\"queues\":{\"all\":{\"entry\":{\"host\":\"i.example\",\"prefix\":\"/\"}}}}}}");
+        read_good(mem, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{"
+                       "\"a\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/x/\"}},"
+                       "\"b\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/x/y/\"},\"tenant\":\"u\"},"
+                       "\"c\":{\"entry\":{\"host\":\"g.example\",\"prefix\":\"/x/\"}},"
+                       "\"d\":{\"entry\":{\"host\":\"h.example\",\"prefix\":\"/half\"}},"
+                       "\"e\":{}}},"
+                       "\"d\":{\"queues\":{\"all\":{\"entry\":{\"host\":\"i.example\",\"prefix\":\"/\"}}}}}}");
     assert_string_equal(found(config, "h.example", "/x/0123"), "a");
     assert_string_equal(found(config, "h.example", "/x/"), "a");
     assert_string_equal(found(config, "h.example", "/x/y/0123"), "b");
@@ -123,12 +123,12 @@
     char *host = talloc_zero_size(mem, 5001);
     memset(host, 'h', 5000);
     assert_string_equal(found(config, host, "/x/"), "");
-    const ConfigPlace *place = configEntry(config, "h.example", "/x/0123");
+    const ConfigPlace *place = config_entry(config, "h.example", "/x/0123");
     assert_string_equal(place->tenant, "t");
     assert_string_equal(place->cell->name, "c");
-    assert_int_equal(place->prefixLength, 3);
-    assert_string_equal(configEntry(config, "h.example", "/x/y/1")->tenant, "u");
-    assert_string_equal(configEntry(config, "i.example", "/x/y/1")->tenant, "");
+    assert_int_equal(place->prefix_length, 3);
+    assert_string_equal(config_entry(config, "h.example", "/x/y/1")->tenant, "u");
+    assert_string_equal(config_entry(config, "i.example", "/x/y/1")->tenant, "");
     talloc_free(mem);
 }
 
@@ -207,8 +207,8 @@
     };
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faultsNew(mem);
-        const Config *config = configRead(mem, CASES[i].text, strlen(CASES[i].text), 1, faults);
+        Faults *faults = faults_new(mem);
+        const Config *config = config_read(mem, CASES[i].text, strlen(CASES[i].text), 1, faults);
         if (config != NULL || faults->count != 1 || strcmp(faults->list[0].path, CASES[i].path) != 0 ||
             faults->list[0].text[0] == '\0')
             fail_msg("%s: %zu faults, %s: %s", CASES[i].text, faults->count,
@@ -218,7 +218,7 @@
 }
 
 /* All of them are told, up to a bound; a document may be too large. */
-static void manyFaults(void **state)
+static void many_faults(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -226,14 +226,14 @@
     for (int i = 1; i <= 100; i++)
         text = talloc_asprintf_append(text, ",\"q%d\":{\"rounds\":0,\"kind\":\"\"}", i);
     text = talloc_strdup_append(text, "}}}}");
-    Faults *faults = faultsNew(mem);
-    assert_null(configRead(mem, text, strlen(text), 1, faults));
+    Faults *faults = faults_new(mem);
+    assert_null(config_read(mem, text, strlen(text), 1, faults));
     assert_int_equal(faults->count, FAULTS_MAX);
     assert_int_equal(faults->seen, 200);
     char *large = talloc_size(mem, CONFIG_BODY_MAX + 1);
     memset(large, ' ', CONFIG_BODY_MAX + 1);
-    faults = faultsNew(mem);
-    assert_null(configRead(mem, large, CONFIG_BODY_MAX + 1, 1, faults));
+    faults = faults_new(mem);
+    assert_null(config_read(mem, large, CONFIG_BODY_MAX + 1, 1, faults));
     assert_int_equal(faults->list[0].status, STATUS_TOO_LARGE);
     talloc_free(mem);
 }
@@ -257,35 +257,35 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    const Config *first = readGood(mem, wide(mem, 50));
+    const Config *first = read_good(mem, wide(mem, 50));
     json_object *patch =
         document_parse("{\"cells\":{\"c\":{\"queues\":{\"q7\":{\"expiryMs\":5},\"q8\":null,\"new\":{}}}}}");
     json_object *tree = document_merged(first->tree, patch);
-    Faults *faults = faultsNew(mem);
-    const Config *second = configBuild(mem, tree, 2, first, faults);
+    Faults *faults = faults_new(mem);
+    const Config *second = config_build(mem, tree, 2, first, faults);
     assert_non_null(second);
     json_object_put(tree);
     json_object_put(patch);
-    const ConfigCell *one = configCell(first, "c"), *two = configCell(second, "c");
+    const ConfigCell *one = config_cell(first, "c"), *two = config_cell(second, "c");
     for (int i = 0; i < 50; i++) {
         const char *name = talloc_asprintf(mem, "q%d", i);
         if (i == 8)
-            assert_null(configQueue(two, name));
+            assert_null(config_queue(two, name));
         else
-            assert_true((configQueue(one, name) == configQueue(two, name)) == (i != 7));
+            assert_true((config_queue(one, name) == config_queue(two, name)) == (i != 7));
     }
-    assert_ptr_equal(configPolicy(first, "p"), configPolicy(second, "p"));
+    assert_ptr_equal(config_policy(first, "p"), config_policy(second, "p"));
     /* what is shared outlives the first */
     talloc_free((void *)(uintptr_t)first);
-    assert_int_equal(configQueue(two, "q7")->expiry_ms, 5);
-    assert_int_equal(configQueue(two, "q49")->expiry_ms, 1049);
-    assert_string_equal(configEntry(second, "h4.example", "/p49/x")->queue->name, "q49");
-    assert_null(configEntry(second, "h3.example", "/p8/x"));
-    assert_ptr_equal(configEntry(second, "h2.example", "/p7/x")->queue, configQueue(two, "q7"));
+    assert_int_equal(config_queue(two, "q7")->expiry_ms, 5);
+    assert_int_equal(config_queue(two, "q49")->expiry_ms, 1049);
+    assert_string_equal(config_entry(second, "h4.example", "/p49/x")->queue->name, "q49");
+    assert_null(config_entry(second, "h3.example", "/p8/x"));
+    assert_ptr_equal(config_entry(second, "h2.example", "/p7/x")->queue, config_queue(two, "q7"));
     talloc_free(mem);
 }
 
-static const char *drawPatch(void *mem)
+static const char *draw_patch(void *mem)
 {
     switch (draw(9)) {
     case 0:
@@ -319,21 +319,21 @@
 
 /* Read onward from an earlier revision, it is what its text alone is read as:
  * the same result, the same queues, the same entries. */
-static void drawnOnward(void **state)
+static void drawn_onward(void **state)
 {
     (void)state;
     seed_now = 21;
     size_t good = 0, bad = 0, reused = 0, queues = 0;
     void *all = talloc_new(NULL);
-    const Config *config = readGood(all, wide(all, 40));
+    const Config *config = read_good(all, wide(all, 40));
     for (int i = 0; i < 4000; i++) {
         void *mem = talloc_new(NULL);
-        json_object *patch = document_parse(drawPatch(mem));
+        json_object *patch = document_parse(draw_patch(mem));
         json_object *tree = document_merged(config->tree, patch);
         const char *text = document_text(mem, tree);
-        Faults *onward = faultsNew(mem), *alone = faultsNew(mem);
-        const Config *next = configBuild(all, tree, (uint64_t)i + 2, config, onward);
-        const Config *fresh = configRead(mem, text, strlen(text), (uint64_t)i + 2, alone);
+        Faults *onward = faults_new(mem), *alone = faults_new(mem);
+        const Config *next = config_build(all, tree, (uint64_t)i + 2, config, onward);
+        const Config *fresh = config_read(mem, text, strlen(text), (uint64_t)i + 2, alone);
         json_object_put(tree);
         json_object_put(patch);
         assert_true((next == NULL) == (fresh == NULL));
@@ -346,28 +346,28 @@
             continue;
         }
         good++;
-        assert_int_equal(next->cellCount, fresh->cellCount);
+        assert_int_equal(next->cell_count, fresh->cell_count);
         assert_int_equal(next->limits.head_ms, fresh->limits.head_ms);
-        for (size_t c = 0; c < next->cellCount; c++) {
-            const ConfigCell *a = &next->cells[c], *b = &fresh->cells[c], *old = configCell(config, a->name);
+        for (size_t c = 0; c < next->cell_count; c++) {
+            const ConfigCell *a = &next->cells[c], *b = &fresh->cells[c], *old = config_cell(config, a->name);
             assert_string_equal(a->name, b->name);
             assert_string_equal(a->policy, b->policy);
-            assert_int_equal(a->tenantCount, b->tenantCount);
-            assert_int_equal(a->queueCount, b->queueCount);
-            for (size_t q = 0; q < a->queueCount; q++) {
+            assert_int_equal(a->tenant_count, b->tenant_count);
+            assert_int_equal(a->queue_count, b->queue_count);
+            for (size_t q = 0; q < a->queue_count; q++) {
                 const ConfigQueue *x = a->queues[q], *y = b->queues[q];
                 assert_string_equal(x->name, y->name);
                 assert_string_equal(x->kind, y->kind);
                 assert_string_equal(x->note, y->note);
                 assert_int_equal(x->expiry_ms, y->expiry_ms);
-                assert_ptr_equal(configQueue(a, x->name), x);
+                assert_ptr_equal(config_queue(a, x->name), x);
                 queues++;
-                reused += old != NULL && configQueue(old, x->name) == x;
+                reused += old != NULL && config_queue(old, x->name) == x;
                 if (x->host[0] == '\0')
                     continue;
                 const char *path = talloc_asprintf(mem, "%sx", x->prefix);
-                assert_ptr_equal(configEntry(next, x->host, path)->queue, x);
-                assert_ptr_equal(configEntry(fresh, x->host, path)->queue, y);
+                assert_ptr_equal(config_entry(next, x->host, path)->queue, x);
+                assert_ptr_equal(config_entry(fresh, x->host, path)->queue, y);
             }
         }
         talloc_free((void *)(uintptr_t)config);
@@ -396,8 +396,8 @@
             memmove(text + draw(count / 2), text + draw(count / 2), count / 4);
         if (draw(5) == 0)
             count = 1 + draw(count);
-        Faults *faults = faultsNew(mem);
-        if (configRead(mem, text, count, 1, faults) != NULL) {
+        Faults *faults = faults_new(mem);
+        if (config_read(mem, text, count, 1, faults) != NULL) {
             assert_int_equal(faults->seen, 0);
             good++;
         } else {
@@ -416,8 +416,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(fields), cmocka_unit_test(entries),     cmocka_unit_test(faulty), cmocka_unit_test(manyFaults),
-        cmocka_unit_test(shared), cmocka_unit_test(drawnOnward), cmocka_unit_test(spoilt),
+        cmocka_unit_test(fields),      cmocka_unit_test(entries), cmocka_unit_test(faulty),
+        cmocka_unit_test(many_faults), cmocka_unit_test(shared),  cmocka_unit_test(drawn_onward),
+        cmocka_unit_test(spoilt),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/config/test/parse.c
+++ b/packages/config/test/parse.c
@@ -11,7 +11,7 @@
 
 #include "config/check.h"
 
-static Faults *faultsNew(void *mem)
+static Faults *faults_new(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
@@ -35,8 +35,8 @@
     };
     for (size_t i = 0; i < sizeof(TEXTS) / sizeof(TEXTS[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faultsNew(mem);
-        json_object *object = checkParse(faults, TEXTS[i], strlen(TEXTS[i]));
+        Faults *faults = faults_new(mem);
+        json_object *object = check_parse(faults, TEXTS[i], strlen(TEXTS[i]));
         if (object == NULL || faults->seen > 0)
             fail_msg("%s: %s", TEXTS[i], faults->list[0].text);
         json_object_put(object);
@@ -103,8 +103,8 @@
     };
     for (size_t i = 0; i < sizeof(TEXTS) / sizeof(TEXTS[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faultsNew(mem);
-        json_object *object = checkParse(faults, TEXTS[i].text, strlen(TEXTS[i].text));
+        Faults *faults = faults_new(mem);
+        json_object *object = check_parse(faults, TEXTS[i].text, strlen(TEXTS[i].text));
         if (object != NULL || faults->count != 1 || faults->list[0].status != TEXTS[i].status ||
             strcmp(faults->list[0].path, TEXTS[i].path) != 0 || strstr(faults->list[0].text, TEXTS[i].words) == NULL)
             fail_msg("%s: %s %s: %s", TEXTS[i].text, object != NULL ? "taken" : "refused",
@@ -113,8 +113,8 @@
         talloc_free(mem);
     }
     void *mem = talloc_new(NULL);
-    Faults *faults = faultsNew(mem);
-    assert_null(checkParse(faults, "{\"a\":\0001}", 7));
+    Faults *faults = faults_new(mem);
+    assert_null(check_parse(faults, "{\"a\":\0001}", 7));
     assert_non_null(strstr(faults->list[0].text, "at byte 5: a zero byte"));
     talloc_free(mem);
 }
@@ -127,8 +127,8 @@
         "{\"cells\":{\"a\":{\"queues\":{\"q\":{\"stretch\":2.2,\"note\":\"{\\\"x\\\":[1]}\"}}}},\"r\":1}";
     for (size_t count = 1; count < strlen(TEXT); count++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faultsNew(mem);
-        assert_null(checkParse(faults, TEXT, count));
+        Faults *faults = faults_new(mem);
+        assert_null(check_parse(faults, TEXT, count));
         assert_int_equal(faults->count, 1);
         assert_int_equal(faults->list[0].status, STATUS_BAD_JSON);
         talloc_free(mem);
@@ -142,8 +142,8 @@
     void *mem = talloc_new(NULL);
     char *text = talloc_array(mem, char, 1000000);
     memset(text, '[', 1000000);
-    Faults *faults = faultsNew(mem);
-    assert_null(checkParse(faults, text, 1000000));
+    Faults *faults = faults_new(mem);
+    assert_null(check_parse(faults, text, 1000000));
     assert_non_null(strstr(faults->list[0].text, "nested too deeply"));
     talloc_free(mem);
 }
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -11,14 +11,14 @@
 #include "document/document.h"
 #include "table/deliverconfig.h"
 
-static double nowUs(void)
+static double now_us(void)
 {
     struct timespec at;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &at);
     return (double)at.tv_sec * 1e6 + (double)at.tv_nsec / 1e3;
 }
 
-static const char *documentOf(void *mem, int queues)
+static const char *document_of(void *mem, int queues)
 {
     char *text = talloc_strdup(mem, "{\"r\":1,\"kinds\":{\"k\":{\"guards\":false,\"healthPath\":\"/health\"}},"
                                     "\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"strict\":false,\"queues\":{");
@@ -37,7 +37,7 @@
     exit(1);
 }
 
-static Faults *faultsNew(void *mem)
+static Faults *faults_new(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
@@ -61,43 +61,43 @@
 {
     const int queues = argc > 1 ? atoi(argv[1]) : 1400, changes = argc > 2 ? atoi(argv[2]) : 200;
     void *all = talloc_new(NULL);
-    const char *text = documentOf(all, queues);
+    const char *text = document_of(all, queues);
     printf("%d queues, %zu bytes, %d changes of one queue each\n", queues, strlen(text), changes);
 
     /* as it was: whole texts all the way */
-    double checkUs = 0, seatUs = 0, readUs = 0;
+    double check_us = 0, seat_us = 0, read_us = 0;
     size_t bytes = 0;
     const char *now = text;
     Revisions *revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
     for (int i = 1; i <= changes; i++) {
         void *mem = talloc_new(all);
-        Faults *faults = faultsNew(mem);
+        Faults *faults = faults_new(mem);
         const char *patch =
             talloc_asprintf(mem, "{\"cells\":{\"c\":{\"queues\":{\"r-%06x\":{\"expiryMs\":%d}}}}}", i % queues, i);
-        double fromUs = nowUs();
-        const char *next = configPatch(mem, now, patch, strlen(patch), faults);
-        const Config *config = next != NULL ? configRead(mem, next, strlen(next), (uint64_t)i, faults) : NULL;
+        double from_us = now_us();
+        const char *next = config_patch(mem, now, patch, strlen(patch), faults);
+        const Config *config = next != NULL ? config_read(mem, next, strlen(next), (uint64_t)i, faults) : NULL;
         if (config == NULL)
             fail(faults);
-        checkUs += nowUs() - fromUs;
+        check_us += now_us() - from_us;
         const ConfigSet set = {.base = (uint64_t)i - 1, .revision = (uint64_t)i, .text = next, .digest = ""};
-        fromUs = nowUs();
+        from_us = now_us();
         deliver(revisions, &set, mem, &bytes);
-        seatUs += nowUs() - fromUs;
-        fromUs = nowUs();
-        if (configRead(mem, next, strlen(next), (uint64_t)i, faults) == NULL)
+        seat_us += now_us() - from_us;
+        from_us = now_us();
+        if (config_read(mem, next, strlen(next), (uint64_t)i, faults) == NULL)
             fail(faults);
-        readUs += nowUs() - fromUs;
+        read_us += now_us() - from_us;
         now = talloc_strdup(all, next);
         talloc_free(mem);
     }
-    printf("whole:      check %.0f us, each seat %.0f us, read again %.0f us, %zu bytes logged\n", checkUs / changes,
-           seatUs / changes, readUs / changes, bytes / (size_t)changes);
+    printf("whole:      check %.0f us, each seat %.0f us, read again %.0f us, %zu bytes logged\n", check_us / changes,
+           seat_us / changes, read_us / changes, bytes / (size_t)changes);
 
     /* as it is */
     for (int put = 0; put < 2; put++) {
-        Faults *faults = faultsNew(all);
-        const Config *config = configRead(all, text, strlen(text), 1, faults);
+        Faults *faults = faults_new(all);
+        const Config *config = config_read(all, text, strlen(text), 1, faults);
         if (config == NULL)
             fail(faults);
         revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
@@ -105,7 +105,7 @@
         bytes = 0;
         deliver(revisions, &first, all, &bytes);
         bytes = 0;
-        checkUs = seatUs = 0;
+        check_us = seat_us = 0;
         for (int i = 1; i <= changes; i++) {
             void *mem = talloc_new(all);
             json_object *change = document_parse(
@@ -114,11 +114,11 @@
             const char *body = document_text(mem, put ? whole : change);
             json_object_put(whole);
             json_object_put(change);
-            double fromUs = nowUs();
-            json_object *sent = checkParse(faults, body, strlen(body));
+            double from_us = now_us();
+            json_object *sent = check_parse(faults, body, strlen(body));
             json_object *patch = put ? document_difference(config->tree, sent) : json_object_get(sent);
             json_object *tree = document_merged(config->tree, patch);
-            const Config *next = configBuild(all, tree, (uint64_t)i + 1, config, faults);
+            const Config *next = config_build(all, tree, (uint64_t)i + 1, config, faults);
             const ConfigSet set = {.base = (uint64_t)i,
                                    .revision = (uint64_t)i + 1,
                                    .text = document_text(mem, patch),
@@ -131,32 +131,32 @@
                 fail(faults);
             talloc_free((void *)(uintptr_t)config);
             config = next;
-            checkUs += nowUs() - fromUs;
-            fromUs = nowUs();
+            check_us += now_us() - from_us;
+            from_us = now_us();
             deliver(revisions, &set, mem, &bytes);
-            seatUs += nowUs() - fromUs;
+            seat_us += now_us() - from_us;
             talloc_free(mem);
         }
         printf("%s check %.0f us, each seat %.1f us, read again 0 us, %zu bytes logged\n",
-               put ? "PUT:       " : "PATCH:     ", checkUs / changes, seatUs / changes, bytes / (size_t)changes);
+               put ? "PUT:       " : "PATCH:     ", check_us / changes, seat_us / changes, bytes / (size_t)changes);
         /* a look-up, and what a leader that is new pays once */
-        double fromUs = nowUs();
+        double from_us = now_us();
         for (int i = 0; i < 100000; i++) {
             char host[32], path[64];
             snprintf(host, sizeof(host), "h%d.example", i % queues % 20);
             snprintf(path, sizeof(path), "/p%06x/0123456789abcdef", i % queues);
-            if (configEntry(config, host, path) == NULL)
+            if (config_entry(config, host, path) == NULL)
                 return 1;
         }
-        const double entryUs = (nowUs() - fromUs) / 100000;
-        fromUs = nowUs();
+        const double entry_us = (now_us() - from_us) / 100000;
+        from_us = now_us();
         json_object *tree = revisions_tree(revisions, NULL, 0);
-        const Config *anew = configBuild(all, tree, 1, NULL, faults);
-        const double anewUs = nowUs() - fromUs;
-        fromUs = nowUs();
+        const Config *anew = config_build(all, tree, 1, NULL, faults);
+        const double anew_us = now_us() - from_us;
+        from_us = now_us();
         const char *read = revisions_text(revisions, all, revisions_newest(revisions));
-        printf("            look-up %.2f us, read by a new leader %.0f us, read back %.0f us (%zu bytes)\n", entryUs,
-               anewUs, nowUs() - fromUs, strlen(read));
+        printf("            look-up %.2f us, read by a new leader %.0f us, read back %.0f us (%zu bytes)\n", entry_us,
+               anew_us, now_us() - from_us, strlen(read));
         json_object_put(tree);
         if (anew == NULL)
             fail(faults);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -180,7 +180,7 @@
     out->epoch = view_epoch(core->view);
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
-    if (!checkNameText(beat->worker.name) || !checkNameText(beat->worker.zone))
+    if (!check_name_text(beat->worker.name) || !check_name_text(beat->worker.zone))
         return STATUS_BAD_FIELD;
     const int64_t now_ms = loop_now_ms(core->loop);
     const LiveRow *before = livesetFind(core->liveset, beat->worker.name);
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -86,7 +86,7 @@
 }
 
 /* In thousandths of a worker's room: more is better. */
-static int64_t valueOf(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
+static int64_t value_of(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
 {
     const PlanWorker *worker = &pass->input.workers[at];
     const int64_t left = (int64_t)planLeft(worker, pass->largest);
@@ -105,7 +105,7 @@
     for (size_t i = 0; i < pass->input.workerCount; i++) {
         if ((rack != NULL && strcmp(pass->input.workers[i].rack, rack) != 0) || !allowed(pass, step, need, excluded, i))
             continue;
-        const int64_t value = valueOf(pass, step, need, i);
+        const int64_t value = value_of(pass, step, need, i);
         const bool farther = best >= 0 && value == bestValue && pass->step.near[i] < pass->step.near[best];
         if (best < 0 || value > bestValue || farther) {
             best = (int)i;
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -30,7 +30,7 @@
     const Config *config = coreConfig(way->core);
     const char *text;
     if (newest == 0)
-        text = configFirstText();
+        text = config_first_text();
     else if (revisions->rows[revisions->count - 1].patch && config->revision == newest) /* it is read already */
         text = document_text(way->mem, config->tree);
     else
@@ -114,7 +114,7 @@
 static json_object *patched(Way *way, const Config *now, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
-        faultAdd(way->faults, STATUS_BAD_JSON, "", "a patch must be an object");
+        fault_add(way->faults, STATUS_BAD_JSON, "", "a patch must be an object");
         return NULL;
     }
     json_object *tree = document_merged(now->tree, patch);
@@ -149,8 +149,8 @@
     if (revisions_size(table_revisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
-        faultAdd(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
-                 CONFIG_BODY_MAX);
+        fault_add(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
+                  CONFIG_BODY_MAX);
 }
 
 /* Null and faults. On mem. */
@@ -158,17 +158,17 @@
 {
     const Bytes *body = &way->task->body;
     if (body->count > CONFIG_BODY_MAX) {
-        faultAdd(way->faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
+        fault_add(way->faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
         return NULL;
     }
-    json_object *sent = checkParse(way->faults, (const char *)body->data, body->count);
+    json_object *sent = check_parse(way->faults, (const char *)body->data, body->count);
     if (sent == NULL)
         return NULL;
     json_object *tree = patch ? patched(way, now, sent, set) : replaced(way, now, sent, set);
     json_object_put(sent);
     if (patch && tree != NULL)
         checkSize(way, tree);
-    const Config *config = tree != NULL ? configBuild(way->mem, tree, set->revision, now, way->faults) : NULL;
+    const Config *config = tree != NULL ? config_build(way->mem, tree, set->revision, now, way->faults) : NULL;
     json_object_put(tree);
     return config;
 }
@@ -177,7 +177,7 @@
 {
     int64_t builds = -1, named = 0;
     if (queryValue(way->mem, way->task->query, "base") == NULL)
-        faultAdd(way->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
+        fault_add(way->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
     queryInt(way->faults, way->task->query, "base", 0, INT64_MAX, &builds);
     queryInt(way->faults, way->task->query, "revision", 1, INT64_MAX, &named);
     *base = (uint64_t)builds;
@@ -208,7 +208,7 @@
     if (set.revision == 0)
         set.revision = current + 1;
     else if (set.revision <= current)
-        faultAdd(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
+        fault_add(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
     const Config *config = configOf(way, coreConfig(core), patch, &set);
     if (config == NULL || way->faults->count > 0) {
         wayRefuse(way);
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -105,7 +105,7 @@
         return;
     }
     const char *host = queryValue(way->mem, way->task->query, "host");
-    const ConfigPlace *place = configEntry(coreConfig(core), host != NULL ? host : way->task->host, path);
+    const ConfigPlace *place = config_entry(coreConfig(core), host != NULL ? host : way->task->host, path);
     if (place == NULL) {
         entryRefuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
         return;
@@ -115,14 +115,14 @@
         showRefusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
     }
-    way->name = path + place->prefixLength;
+    way->name = path + place->prefix_length;
     if (way->name[0] == '\0' && get)
         entry_count(way, place);
     else if (way->name[0] == '\0')
         showRefusal(way->task, STATUS_BAD_METHOD, "an id must follow", NULL);
-    else if (!checkNameText(way->name) && post)
+    else if (!check_name_text(way->name) && post)
         showRefusal(way->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
-    else if (!checkNameText(way->name))
+    else if (!check_name_text(way->name))
         entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
     else if (post)
         entryPost(way, place);
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -13,7 +13,7 @@
 {
     const Revisions *revisions = table_revisions(core->table);
     if (revisions_newest(revisions) == 0)
-        return document_parse(configFirstText());
+        return document_parse(config_first_text());
     const bool have = sameLoad && core->config != NULL && core->config->revision > 0;
     return revisions_tree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
 }
@@ -24,15 +24,15 @@
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
     json_object *tree = treeNow(core, sameLoad);
-    const Config *config = configBuild(core, tree, revision, core->config, faults);
+    const Config *config = config_build(core, tree, revision, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
         ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
                  faults->list[0].path, faults->list[0].text);
         core->configUnread = revision;
         if (core->config == NULL) {
-            const char *first = configFirstText();
-            config = configRead(core, first, strlen(first), 0, faults);
+            const char *first = config_first_text();
+            config = config_read(core, first, strlen(first), 0, faults);
         }
     }
     talloc_free(mem);
@@ -103,17 +103,17 @@
 {
     const Core *core = arg;
     const ConfigPolicy *policy =
-        cell != NULL && cell->policy[0] != '\0' ? configPolicy(core->config, cell->policy) : NULL;
-    return policy != NULL && policy->lua != NULL ? luaPolicy(policy->lua) : policyPlain();
+        cell != NULL && cell->policy[0] != '\0' ? config_policy(core->config, cell->policy) : NULL;
+    return policy != NULL && policy->lua != NULL ? lua_policy(policy->lua) : policy_plain();
 }
 
 uint64_t corePolicyFailures(const Core *core, const char **last)
 {
     uint64_t failures = 0;
     *last = "";
-    for (size_t i = 0; core->config != NULL && i < core->config->policyCount; i++) {
+    for (size_t i = 0; core->config != NULL && i < core->config->policy_count; i++) {
         const char *words;
-        const uint64_t some = luaPolicyFailures(core->config->policies[i]->lua, &words);
+        const uint64_t some = lua_policy_failures(core->config->policies[i]->lua, &words);
         if (some > 0)
             *last = words;
         failures += some;
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -16,7 +16,7 @@
     size_t tasks = 0;
     for (size_t i = 0; i < spec->steps_count; i++)
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
-    if (table_waiting(core->table, spec->cell) + tasks > configCell(config, spec->cell)->limit) {
+    if (table_waiting(core->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
         core->counts.crowded++;
         showRefusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
         return NULL;
@@ -70,8 +70,8 @@
         if (!jobAgain(way, job, &spec))
             return;
     } else {
-        const ConfigCell *cell = configCell(coreConfig(way->core), spec.cell);
-        const JobTerms terms = jobTerms(cell != NULL ? configQueue(cell, spec.queue) : NULL);
+        const ConfigCell *cell = config_cell(coreConfig(way->core), spec.cell);
+        const JobTerms terms = jobTerms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
         job = jobTake(way, &spec, &terms, &fresh);
         if (job == NULL)
             return;
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -42,8 +42,8 @@
 {
     Core *core = pass->core;
     const char **cells;
-    const size_t cellCount = map_keys(core->kept, pass->mem, &cells);
-    for (size_t c = 0; c < cellCount; c++) {
+    const size_t cell_count = map_keys(core->kept, pass->mem, &cells);
+    for (size_t c = 0; c < cell_count; c++) {
         Kept *kept = map_get(core->kept, cells[c]);
         const Job *job = table_job(core->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -68,11 +68,11 @@
     pass->core = core;
     pass->mem = pass;
     pass->config = coreConfig(core);
-    pass->asks = (pass->config->rNamed && pass->config->r > 0) || pass->config->zoneLoss || pass->config->rackLoss;
+    pass->asks = (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
     pass->clock = coreClock(core);
     pass->next_ms = INT64_MAX;
     pass->input =
-        (PlanInput){.r = pass->config->r, .zoneLoss = pass->config->zoneLoss, .rackLoss = pass->config->rackLoss};
+        (PlanInput){.r = pass->config->r, .zone_loss = pass->config->zone_loss, .rack_loss = pass->config->rack_loss};
     workersFind(pass);
     pass->sight = (QueueSight){.table = core->table,
                                .config = pass->config,
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -32,8 +32,8 @@
 
 static bool underQuota(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
-    const ConfigCell *cell = configCell(pass->config, candidate->job->spec.cell);
-    const ConfigTenant *tenant = cell != NULL ? configTenant(cell, candidate->job->spec.tenant) : NULL;
+    const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
+    const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, candidate->job->spec.tenant) : NULL;
     if (tenant == NULL)
         return true; /* accepted before the tenant was taken out of the configuration: it runs */
     Room want = lineTenantUses(pass->line, candidate->job);
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -55,17 +55,17 @@
     PlanInput *input = &pass->input;
     size_t cells = 0;
     pass->cells = map_new(pass->mem);
-    for (size_t c = 0; c < config->cellCount; c++)
-        if (corePolicy(core, &config->cells[c]) != policyPlain())
+    for (size_t c = 0; c < config->cell_count; c++)
+        if (corePolicy(core, &config->cells[c]) != policy_plain())
             map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
     if (cells == 0)
         return;
-    input->cellCount = cells;
+    input->cell_count = cells;
     input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->workerCount));
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
     size_t looks = 0;
-    for (size_t c = 0; c < config->cellCount; c++) {
+    for (size_t c = 0; c < config->cell_count; c++) {
         const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
         const Policy *policy = corePolicy(core, &config->cells[c]);
         Speakers speakers;
@@ -88,7 +88,7 @@
                 bool all = true;
                 for (size_t i = 0; i < speakers.count && all; i++, looks++) {
                     const PolicySight mine = queueSee(core->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
-                    all = policy->mayPush(policy->arg, &mine, &other);
+                    all = policy->may_push(policy->arg, &mine, &other);
                 }
                 Room *room = &input->pushable[(place - 1) * input->workerCount + at];
                 if (all)
@@ -105,11 +105,11 @@
 void pushFor(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
-    const ConfigCell *cell = configCell(pass->config, candidate->job->spec.cell);
+    const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
     const Policy *policy = corePolicy(core, cell);
     if (pass->pushes.rounds_count > 0)
         return;
-    if (policy == policyPlain()) {
+    if (policy == policy_plain()) {
         pushAim(pass, candidate);
         return;
     }
@@ -146,7 +146,7 @@
                 const PolicySight other = queueSee(core->queue, &pass->sight, job, t);
                 looked++;
                 pass->pushLooks++;
-                if (!policy->mayPush(policy->arg, &mine, &other))
+                if (!policy->may_push(policy->arg, &mine, &other))
                     continue;
                 victims[victimCount++] =
                     (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -9,13 +9,13 @@
 
 static int64_t priorityOf(Pass *pass, const Job *job, size_t task)
 {
-    return queueSee(pass->core->queue, &pass->sight, job, task).queuePriority;
+    return queueSee(pass->core->queue, &pass->sight, job, task).queue_priority;
 }
 
 static bool mostUrgent(const Pass *pass, const Job *job, int64_t priority)
 {
-    const ConfigCell *cell = configCell(pass->config, job->spec.cell);
-    for (size_t i = 0; cell != NULL && i < cell->queueCount; i++)
+    const ConfigCell *cell = config_cell(pass->config, job->spec.cell);
+    for (size_t i = 0; cell != NULL && i < cell->queue_count; i++)
         if (cell->queues[i]->priority > priority)
             return false;
     return cell != NULL;
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -26,8 +26,8 @@
     queryInt(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
     const char *cell = queryValue(way->mem, way->task->query, "cell");
     const Config *config = coreConfig(core);
-    if (cell == NULL || configCell(config, cell) == NULL)
-        faultAdd(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
+    if (cell == NULL || config_cell(config, cell) == NULL)
+        fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
     if (way->faults->count > 0) {
         wayRefuse(way);
         return;
@@ -71,11 +71,11 @@
     LuaPolicy *policy;
     Failure failure = {0};
     if (text == NULL || text[0] == '\0')
-        faultAdd(way->faults, STATUS_BAD_POLICY, "", "the body must be the text of a policy");
-    else if (luaPolicyNew(way->mem, "policy", text, &policy, &failure) != STATUS_OK)
-        faultAdd(way->faults, STATUS_BAD_POLICY, "", "%s", failure.text);
+        fault_add(way->faults, STATUS_BAD_POLICY, "", "the body must be the text of a policy");
+    else if (lua_policy_new(way->mem, "policy", text, &policy, &failure) != STATUS_OK)
+        fault_add(way->faults, STATUS_BAD_POLICY, "", "%s", failure.text);
     if (way->faults->count > 0)
         wayRefuse(way);
     else
-        queueShow(way, luaPolicy(policy));
+        queueShow(way, lua_policy(policy));
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -148,8 +148,8 @@
             }
         }
     json_object_object_add(plan, "r", numberOf((int64_t)config->r));
-    json_object_object_add(plan, "zoneLoss", json_object_new_boolean(config->zoneLoss));
-    json_object_object_add(plan, "rackLoss", json_object_new_boolean(config->rackLoss));
+    json_object_object_add(plan, "zoneLoss", json_object_new_boolean(config->zone_loss));
+    json_object_object_add(plan, "rackLoss", json_object_new_boolean(config->rack_loss));
     json_object_object_add(plan, "holds", json_object_new_boolean(core->planHolds));
     if (!core->planHolds) {
         json_object *broken = json_object_new_object();
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -164,7 +164,7 @@
             const char *want = route->parts[k], *have = k < count ? parts[k] : NULL;
             if (want == NULL || have == NULL)
                 fits = want == NULL && have == NULL;
-            else if (strcmp(want, "*") == 0 && checkNameText(have))
+            else if (strcmp(want, "*") == 0 && check_name_text(have))
                 name = have;
             else
                 fits = strcmp(want, have) == 0;
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -59,8 +59,8 @@
     const char *order = queryValue(way->mem, way->task->query, "order");
     queryInt(way->faults, way->task->query, "move", 0, 1, &move);
     queryInt(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
-    if (order != NULL && !checkNameText(order))
-        faultAdd(way->faults, STATUS_BAD_FIELD, "?order", "is of letters, digits and ._:-");
+    if (order != NULL && !check_name_text(order))
+        fault_add(way->faults, STATUS_BAD_FIELD, "?order", "is of letters, digits and ._:-");
     if (way->faults->count > 0)
         return false;
     drain->move = drain->drained && move == 1;
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -90,7 +90,7 @@
     SITE_LIST(X)
 #undef X
     SiteKind kinds[SITE_KINDS_MAX];
-    size_t kindCount;
+    size_t kind_count;
 } Site;
 
 /* The site of the name that is built in; false when there is none. */
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -130,9 +130,9 @@
 typedef struct Document {
     uint64_t revision;
     DocumentQueue queues[DOCUMENT_QUEUES_MAX];
-    size_t queueCount;
+    size_t queue_count;
     const char *kinds[4];
-    size_t kindCount;
+    size_t kind_count;
     bool guards;
 } Document;
 
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -306,7 +306,7 @@
     const Site *site = callers->ground->site;
     for (int64_t zone = 0; zone < site->zones; zone++) {
         sim_start(callers->ground->world, callers->machines[zone], nothing, NULL);
-        for (size_t kind = 0; kind < site->kindCount; kind++) {
+        for (size_t kind = 0; kind < site->kind_count; kind++) {
             callers->timesMilli[kind] = 1000;
             if (site->kinds[kind].perMinute <= 0)
                 continue;
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -50,7 +50,7 @@
 
 static bool has(const Document *document, const char *host, const char *prefix)
 {
-    for (size_t i = 0; i < document->queueCount; i++)
+    for (size_t i = 0; i < document->queue_count; i++)
         if (strcmp(document->queues[i].host, host) == 0 && strcmp(document->queues[i].prefix, prefix) == 0)
             return true;
     return false;
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -44,9 +44,9 @@
 
 static void idleAdd(Operator *self, Document *document)
 {
-    if (document->queueCount == DOCUMENT_QUEUES_MAX)
+    if (document->queue_count == DOCUMENT_QUEUES_MAX)
         return;
-    DocumentQueue *queue = &document->queues[document->queueCount++];
+    DocumentQueue *queue = &document->queues[document->queue_count++];
     const uint64_t number = self->idle++;
     *queue = (DocumentQueue){
         .kind = "std", .timeoutMs = 2000, .aimMs = 1000, .priority = 1, .rounds = 2, .stretchPercent = 150};
@@ -57,11 +57,11 @@
 
 static bool idleDrop(Operator *self, Document *document)
 {
-    const size_t busy = self->ground->site->kindCount;
-    if (document->queueCount <= busy)
+    const size_t busy = self->ground->site->kind_count;
+    if (document->queue_count <= busy)
         return false;
-    const size_t at = (size_t)diceSpan(&self->dice, (int64_t)busy, (int64_t)document->queueCount - 1);
-    document->queues[at] = document->queues[--document->queueCount];
+    const size_t at = (size_t)diceSpan(&self->dice, (int64_t)busy, (int64_t)document->queue_count - 1);
+    document->queues[at] = document->queues[--document->queue_count];
     return true;
 }
 
@@ -183,7 +183,7 @@
     if (!current(self, &from))
         return;
     to = from;
-    while (to.queueCount < DOCUMENT_QUEUES_MAX)
+    while (to.queue_count < DOCUMENT_QUEUES_MAX)
         idleAdd(self, &to);
     next(self, &to);
     loop_spawn(operatorLoop(self), "big", documentMain, documentOrder(self, &to, &from, SPOIL_NONE, false));
@@ -235,9 +235,9 @@
     const Ledger *ledger = looking->owner->ledger;
     const int64_t from = (int64_t)ledger->count > 4 ? (int64_t)ledger->count - 4 : 0;
     const Sent *sent = ledger->rows[diceSpan(&looking->dice, from, (int64_t)ledger->count - 1)];
-    if (sent->document.queueCount == 0 || dicePercent(&looking->dice, 15))
+    if (sent->document.queue_count == 0 || dicePercent(&looking->dice, 15))
         return (DocumentQueue){.host = "nobody.example", .prefix = "/never/"};
-    return sent->document.queues[diceSpan(&looking->dice, 0, (int64_t)sent->document.queueCount - 1)];
+    return sent->document.queues[diceSpan(&looking->dice, 0, (int64_t)sent->document.queue_count - 1)];
 }
 
 static void lookOnce(Looking *looking, void *mem)
@@ -298,9 +298,9 @@
 {
     const Site *site = self->ground->site;
     sim_start(self->ground->world, self->machine, nothing, NULL);
-    Document first = {.kinds = {"std"}, .kindCount = 1, .guards = site->guards != 0};
-    for (size_t i = 0; i < site->kindCount; i++)
-        callersQueue(site, i, &first.queues[first.queueCount++]);
+    Document first = {.kinds = {"std"}, .kind_count = 1, .guards = site->guards != 0};
+    for (size_t i = 0; i < site->kind_count; i++)
+        callersQueue(site, i, &first.queues[first.queue_count++]);
     idleAdd(self, &first);
     next(self, &first);
     loop_spawn(operatorLoop(self), "first", documentMain, documentOrder(self, &first, NULL, SPOIL_NONE, false));
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -60,7 +60,7 @@
         return;
     int64_t from_ms = ordering->sent_ms;
     from_ms = ground->anyMs + ground->site->contactMs > from_ms ? ground->anyMs + ground->site->contactMs : from_ms;
-    const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queueCount : 0;
+    const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queue_count : 0;
     if (now_ms - from_ms < ground->site->ackMs + queues * ROUTE_MS)
         return;
     ordering->lateTold = true;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -18,7 +18,7 @@
 
 static SiteKind *kindAdd(Site *site, const char *name)
 {
-    SiteKind *kind = &site->kinds[site->kindCount++];
+    SiteKind *kind = &site->kinds[site->kind_count++];
     *kind = (SiteKind){
 #define X(name, outside, otherwise, meaning) .name = otherwise,
         SITE_KIND_LIST(X)
@@ -86,7 +86,7 @@
     tiles(site);
     static const char *const NAMES[] = {"reindex", "collect", "refresh"};
     static const int64_t PER_MINUTE[] = {40, 75, 355}, CPU[] = {2900, 800, 1100}, MEM[] = {9000, 2400, 3300};
-    for (size_t i = 0; i < site->kindCount; i++) {
+    for (size_t i = 0; i < site->kind_count; i++) {
         SiteKind *kind = &site->kinds[i];
         snprintf(kind->name, sizeof(kind->name), "%s", NAMES[i]);
         kind->perMinute = PER_MINUTE[i];
@@ -134,7 +134,7 @@
 static Status groupRead(GKeyFile *file, const char *group, Site *site, Failure *failure)
 {
     const bool whole = strcmp(group, "site") == 0;
-    if (!whole && site->kindCount == SITE_KINDS_MAX)
+    if (!whole && site->kind_count == SITE_KINDS_MAX)
         return failure_set(failure, STATUS_BAD_PROPS, "[%s]: there are too many kinds", group);
     SiteKind *kind = whole ? NULL : kindAdd(site, group);
     gsize count = 0;
@@ -168,7 +168,7 @@
         status = groupRead(file, groups[i], site, failure);
     g_strfreev(groups);
     g_key_file_free(file);
-    if (status == STATUS_OK && site->kindCount == 0)
+    if (status == STATUS_OK && site->kind_count == 0)
         tiles(site);
     if (status == STATUS_OK &&
         (site->cores < 3 || site->hands < 1 || site->hands > 40 || site->cores + site->spares > 16 ||
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -76,7 +76,7 @@
     const Ledger *ledger = start->hand->hands->ledger;
     for (size_t i = 0; i < ledger->count && !routed; i++) {
         const Document *document = &ledger->rows[i]->document;
-        for (size_t q = 0; q < document->queueCount; q++)
+        for (size_t q = 0; q < document->queue_count; q++)
             routed |= strcmp(document->queues[q].name, start->job->kind->name) == 0 &&
                       strcmp(document->queues[q].kind, start->hand->kind) == 0;
     }
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -324,7 +324,7 @@
 static void strikeWork(Trouble *trouble)
 {
     Day *day = trouble->day;
-    const size_t kind = (size_t)diceSpan(&trouble->dice, 0, (int64_t)day->ground->site->kindCount - 1);
+    const size_t kind = (size_t)diceSpan(&trouble->dice, 0, (int64_t)day->ground->site->kind_count - 1);
     groundSay(day->ground, "%s", troubleName(trouble->kind));
     switch (trouble->kind) {
     case TROUBLE_BURST:
@@ -484,7 +484,7 @@
         }
         break;
     case TROUBLE_BURST:
-        for (size_t i = 0; i < ground->site->kindCount; i++)
+        for (size_t i = 0; i < ground->site->kind_count; i++)
             day->callers->timesMilli[i] = 1000;
         break;
     case TROUBLE_POISON:
--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -34,7 +34,7 @@
 
 #define PLAN_NO_CELL SIZE_MAX
 
-/* Invariants: each task's worker is below workerCount, its cell below cellCount or
+/* Invariants: each task's worker is below workerCount, its cell below cell_count or
  * PLAN_NO_CELL; pushable[cell * workerCount + worker] is room in use there that all
  * protected work of the cell may push aside, counted for that cell alone. */
 typedef struct PlanInput {
@@ -42,10 +42,10 @@
     size_t workerCount;
     PlanTask *tasks;
     size_t taskCount;
-    uint64_t r;    /* worker losses to survive, in any order */
-    bool zoneLoss; /* also the loss of any one zone */
-    bool rackLoss; /* also the loss of any one rack */
-    size_t cellCount;
+    uint64_t r;     /* worker losses to survive, in any order */
+    bool zone_loss; /* also the loss of any one zone */
+    bool rack_loss; /* also the loss of any one rack */
+    size_t cell_count;
     Room *pushable;
 } PlanInput;
 
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -143,7 +143,7 @@
     PlanInput next = *input;
     next.workers = talloc_memdup(mem, input->workers, input->workerCount * sizeof(*input->workers));
     if (input->pushable != NULL)
-        next.pushable = talloc_memdup(mem, input->pushable, input->cellCount * input->workerCount * sizeof(Room));
+        next.pushable = talloc_memdup(mem, input->pushable, input->cell_count * input->workerCount * sizeof(Room));
     if (left > 0) /* only a further loss needs to know where the tasks went */
         next.tasks = talloc_memdup(mem, input->tasks, input->taskCount * sizeof(*input->tasks));
     bool *lost = talloc_memdup(mem, lostBefore, input->workerCount * sizeof(bool));
@@ -225,6 +225,6 @@
     const bool workers = sequences <= PLAN_EXHAUSTIVE_MAX ? planExhaustive(input, broken) : planCheap(input);
     if (!workers && sequences > PLAN_EXHAUSTIVE_MAX && broken != NULL)
         *broken = (PlanBreak){LOSS_WORKER, ""};
-    return workers && (!input->zoneLoss || placesPossible(input, LOSS_ZONE, broken)) &&
-           (!input->rackLoss || placesPossible(input, LOSS_RACK, broken));
+    return workers && (!input->zone_loss || placesPossible(input, LOSS_ZONE, broken)) &&
+           (!input->rack_loss || placesPossible(input, LOSS_RACK, broken));
 }
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -90,7 +90,7 @@
     takeOut(&input);
     PlanBreak broken = {0};
     assert_true(planAlwaysPossible(&input, &broken));
-    input.zoneLoss = true;
+    input.zone_loss = true;
     assert_false(planAlwaysPossible(&input, &broken));
     assert_int_equal(broken.loss, LOSS_ZONE);
     assert_string_equal(broken.name, "z1");
@@ -106,7 +106,7 @@
     takeOut(&input);
     PlanBreak broken = {0};
     assert_true(planAlwaysPossible(&input, &broken));
-    input.rackLoss = true;
+    input.rack_loss = true;
     assert_false(planAlwaysPossible(&input, &broken));
     assert_int_equal(broken.loss, LOSS_RACK);
     assert_string_equal(broken.name, "r1");
--- a/packages/policy/include/policy/lua.h
+++ b/packages/policy/include/policy/lua.h
@@ -11,9 +11,9 @@
 typedef struct LuaPolicy LuaPolicy;
 
 /* Compiles and tries the text. BAD_POLICY with the line. */
-Status luaPolicyNew(void *mem, const char *name, const char *text, LuaPolicy **policy, Failure *failure);
-const Policy *luaPolicy(LuaPolicy *policy);
+Status lua_policy_new(void *mem, const char *name, const char *text, LuaPolicy **policy, Failure *failure);
+const Policy *lua_policy(LuaPolicy *policy);
 /* Calls that failed since it was made, and the last one's words. */
-uint64_t luaPolicyFailures(const LuaPolicy *policy, const char **last);
+uint64_t lua_policy_failures(const LuaPolicy *policy, const char **last);
 
 #endif
--- a/packages/policy/include/policy/policy.h
+++ b/packages/policy/include/policy/policy.h
@@ -7,11 +7,11 @@
 typedef struct PolicySight {
     const Job *job;
     const StepSpec *step;
-    int64_t queuePriority;
-    int64_t waitedMs;    /* since it could have started */
-    uint64_t cellUsed;   /* thousandths of the fleet that its cell uses */
-    uint64_t cellShare;  /* thousandths that are its cell's due */
-    uint64_t tenantUsed; /* thousandths of the fleet that its tenant uses */
+    int64_t queue_priority;
+    int64_t waited_ms;    /* since it could have started */
+    uint64_t cell_used;   /* thousandths of the fleet that its cell uses */
+    uint64_t cell_share;  /* thousandths that are its cell's due */
+    uint64_t tenant_used; /* thousandths of the fleet that its tenant uses */
 } PolicySight;
 
 /* Who goes first, and who may push whom aside. One interface for the built-in
@@ -21,10 +21,10 @@
     void *arg;
     /* Higher goes first; equal ranks go in the order of acceptance. */
     double (*rank)(void *arg, const PolicySight *task);
-    bool (*mayPush)(void *arg, const PolicySight *task, const PolicySight *running);
+    bool (*may_push)(void *arg, const PolicySight *task, const PolicySight *running);
 } Policy;
 
 /* Priority of the job and of its queue; nobody pushes anybody. */
-const Policy *policyPlain(void);
+const Policy *policy_plain(void);
 
 #endif
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -20,10 +20,10 @@
     char last[160];
 };
 
-static void *allocate(void *arg, void *old, size_t oldSize, size_t size)
+static void *allocate(void *arg, void *old, size_t old_size, size_t size)
 {
     LuaPolicy *policy = arg;
-    const size_t before = old != NULL ? oldSize : 0; /* for a new block oldSize is its type */
+    const size_t before = old != NULL ? old_size : 0; /* for a new block old_size is its type */
     if (size == 0) {
         free(old);
         policy->bytes -= before;
@@ -37,7 +37,7 @@
     return fresh;
 }
 
-static void onTick(lua_State *lua, lua_Debug *debug)
+static void on_tick(lua_State *lua, lua_Debug *debug)
 {
     void *arg;
     lua_getallocf(lua, &arg);
@@ -48,7 +48,7 @@
     luaL_error(lua, "%s:%d: more than %d steps", debug->short_src, debug->currentline, LUA_STEPS_MAX);
 }
 
-static int policyFree(LuaPolicy *policy)
+static int policy_free(LuaPolicy *policy)
 {
     if (policy->lua != NULL)
         lua_close(policy->lua);
@@ -85,33 +85,33 @@
     lua_setfield(lua, -2, name);
 }
 
-static void textField(lua_State *lua, const char *name, const char *value)
+static void text_field(lua_State *lua, const char *name, const char *value)
 {
     lua_pushstring(lua, value);
     lua_setfield(lua, -2, name);
 }
 
-static void pushSight(lua_State *lua, const PolicySight *sight)
+static void push_sight(lua_State *lua, const PolicySight *sight)
 {
     const JobSpec *spec = &sight->job->spec;
     lua_createtable(lua, 0, 16);
-    textField(lua, "id", spec->id);
-    textField(lua, "cell", spec->cell);
-    textField(lua, "tenant", spec->tenant);
-    textField(lua, "queue", spec->queue);
-    textField(lua, "step", sight->step->name);
-    textField(lua, "kind", sight->step->kind);
-    textField(lua, "protection", protection_word(spec->protection));
+    text_field(lua, "id", spec->id);
+    text_field(lua, "cell", spec->cell);
+    text_field(lua, "tenant", spec->tenant);
+    text_field(lua, "queue", spec->queue);
+    text_field(lua, "step", sight->step->name);
+    text_field(lua, "kind", sight->step->kind);
+    text_field(lua, "protection", protection_word(spec->protection));
     field(lua, "priority", (double)spec->priority);
-    field(lua, "queue_priority", (double)sight->queuePriority);
+    field(lua, "queue_priority", (double)sight->queue_priority);
     field(lua, "number", (double)sight->job->number);
     field(lua, "cpu", (double)sight->step->room.cpu_milli / 1000);
     field(lua, "mem_mb", (double)sight->step->room.mem_mb);
     field(lua, "tasks", (double)sight->job->tasks_count);
-    field(lua, "waited_ms", (double)sight->waitedMs);
-    field(lua, "cell_used", (double)sight->cellUsed / 1000);
-    field(lua, "cell_share", (double)sight->cellShare / 1000);
-    field(lua, "tenant_used", (double)sight->tenantUsed / 1000);
+    field(lua, "waited_ms", (double)sight->waited_ms);
+    field(lua, "cell_used", (double)sight->cell_used / 1000);
+    field(lua, "cell_share", (double)sight->cell_share / 1000);
+    field(lua, "tenant_used", (double)sight->tenant_used / 1000);
 }
 
 /* What runs protected: builds the arguments too, as that takes memory. */
@@ -122,14 +122,14 @@
     bool flag;
 } LuaCall;
 
-static int callProtected(lua_State *lua)
+static int call_protected(lua_State *lua)
 {
     LuaCall *call = lua_touserdata(lua, 1);
     lua_settop(lua, 0);
     lua_getglobal(lua, call->name);
-    pushSight(lua, call->task);
+    push_sight(lua, call->task);
     if (call->running != NULL)
-        pushSight(lua, call->running);
+        push_sight(lua, call->running);
     lua_call(lua, call->running != NULL ? 2 : 1, 1);
     if (call->running != NULL) {
         if (!lua_isboolean(lua, -1))
@@ -143,12 +143,12 @@
     return 0;
 }
 
-static bool callOnce(LuaPolicy *policy, LuaCall *call)
+static bool call_once(LuaPolicy *policy, LuaCall *call)
 {
     lua_State *lua = policy->lua;
     policy->ticks = 0;
     lua_settop(lua, 0);
-    lua_pushcfunction(lua, callProtected);
+    lua_pushcfunction(lua, call_protected);
     lua_pushlightuserdata(lua, call);
     if (lua_pcall(lua, 1, 0, 0) == LUA_OK)
         return true;
@@ -158,17 +158,17 @@
     return false;
 }
 
-static double luaRank(void *arg, const PolicySight *task)
+static double lua_rank(void *arg, const PolicySight *task)
 {
     LuaPolicy *policy = arg;
     LuaCall call = {.name = "rank", .task = task};
-    if (callOnce(policy, &call))
+    if (call_once(policy, &call))
         return call.number;
     policy->failures++;
     return 0; /* first come, first served */
 }
 
-static bool luaMayPush(void *arg, const PolicySight *task, const PolicySight *running)
+static bool lua_may_push(void *arg, const PolicySight *task, const PolicySight *running)
 {
     LuaPolicy *policy = arg;
     lua_getglobal(policy->lua, "may_push");
@@ -177,47 +177,47 @@
     if (!defined)
         return false;
     LuaCall call = {.name = "may_push", .task = task, .running = running};
-    if (callOnce(policy, &call))
+    if (call_once(policy, &call))
         return call.flag;
     policy->failures++;
     return false;
 }
 
-static int openProtected(lua_State *lua)
+static int open_protected(lua_State *lua)
 {
     bare(lua);
     return 0;
 }
 
 /* Tries the functions on a made-up task, so that what fails always fails now. */
-static bool tryOut(LuaPolicy *policy)
+static bool try_out(LuaPolicy *policy)
 {
     const StepSpec step = {.name = "step", .kind = "std", .room = {1000, 1024, 0}};
     Job job = {
         .spec = {.id = "id", .cell = "cell", .tenant = "tenant", .queue = "queue"}, .number = 1, .tasks_count = 1};
-    const PolicySight sight = {.job = &job, .step = &step, .waitedMs = 1000, .cellShare = 1000};
+    const PolicySight sight = {.job = &job, .step = &step, .waited_ms = 1000, .cell_share = 1000};
     LuaCall rank = {.name = "rank", .task = &sight};
-    if (!callOnce(policy, &rank))
+    if (!call_once(policy, &rank))
         return false;
     lua_getglobal(policy->lua, "may_push");
     const bool defined = lua_isfunction(policy->lua, -1);
     lua_settop(policy->lua, 0);
     LuaCall push = {.name = "may_push", .task = &sight, .running = &sight};
-    return !defined || callOnce(policy, &push);
+    return !defined || call_once(policy, &push);
 }
 
-Status luaPolicyNew(void *mem, const char *name, const char *text, LuaPolicy **out, Failure *failure)
+Status lua_policy_new(void *mem, const char *name, const char *text, LuaPolicy **out, Failure *failure)
 {
     LuaPolicy *policy = talloc_zero(mem, LuaPolicy);
-    talloc_set_destructor(policy, policyFree);
-    policy->policy = (Policy){talloc_strdup(policy, name), policy, luaRank, luaMayPush};
+    talloc_set_destructor(policy, policy_free);
+    policy->policy = (Policy){talloc_strdup(policy, name), policy, lua_rank, lua_may_push};
     policy->lua = lua_newstate(allocate, policy);
     const char *why = "no memory";
     bool good = policy->lua != NULL;
     if (good) {
         lua_State *lua = policy->lua;
-        lua_sethook(lua, onTick, LUA_MASKCOUNT, LUA_STEPS_TICK);
-        lua_pushcfunction(lua, openProtected);
+        lua_sethook(lua, on_tick, LUA_MASKCOUNT, LUA_STEPS_TICK);
+        lua_pushcfunction(lua, open_protected);
         good = lua_pcall(lua, 0, 0, 0) == LUA_OK;
         policy->ticks = 0;
         /* text only: a binary chunk could crash the state */
@@ -226,7 +226,7 @@
         if (!good) {
             why = lua_tostring(lua, -1);
             why = why != NULL ? why : "failed without a word";
-        } else if (!tryOut(policy)) {
+        } else if (!try_out(policy)) {
             good = false;
             why = policy->last;
         }
@@ -240,12 +240,12 @@
     return STATUS_OK;
 }
 
-const Policy *luaPolicy(LuaPolicy *policy)
+const Policy *lua_policy(LuaPolicy *policy)
 {
     return &policy->policy;
 }
 
-uint64_t luaPolicyFailures(const LuaPolicy *policy, const char **last)
+uint64_t lua_policy_failures(const LuaPolicy *policy, const char **last)
 {
     if (last != NULL)
         *last = policy->last;
--- a/packages/policy/src/plain.c
+++ b/packages/policy/src/plain.c
@@ -1,12 +1,12 @@
 #include "policy/policy.h"
 
-static double plainRank(void *arg, const PolicySight *task)
+static double plain_rank(void *arg, const PolicySight *task)
 {
     (void)arg;
-    return (double)(task->job->spec.priority + task->queuePriority);
+    return (double)(task->job->spec.priority + task->queue_priority);
 }
 
-static bool plainMayPush(void *arg, const PolicySight *task, const PolicySight *running)
+static bool plain_may_push(void *arg, const PolicySight *task, const PolicySight *running)
 {
     (void)arg;
     (void)task;
@@ -14,8 +14,8 @@
     return false;
 }
 
-const Policy *policyPlain(void)
+const Policy *policy_plain(void)
 {
-    static const Policy PLAIN = {"plain", NULL, plainRank, plainMayPush};
+    static const Policy PLAIN = {"plain", NULL, plain_rank, plain_may_push};
     return &PLAIN;
 }
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -42,19 +42,19 @@
         void *mem = talloc_new(NULL);
         Failure failure = {0};
         LuaPolicy *policy;
-        const Status status = luaPolicyNew(mem, "p", ROWS[i].text, &policy, &failure);
+        const Status status = lua_policy_new(mem, "p", ROWS[i].text, &policy, &failure);
         if (status != STATUS_BAD_POLICY || strstr(failure.text, ROWS[i].words) == NULL)
             fail_msg("row %zu (%s): %s: %s", i, ROWS[i].text, status_word(status), failure.text);
         talloc_free(mem);
     }
 }
 
-static PolicySight sight(Job *job, const StepSpec *step, int64_t waitedMs)
+static PolicySight sight(Job *job, const StepSpec *step, int64_t waited_ms)
 {
     *job = (Job){.spec = {.id = "i", .cell = "c", .tenant = "t", .queue = "masks", .priority = 3},
                  .number = 9,
                  .tasks_count = 1};
-    return (PolicySight){.job = job, .step = step, .queuePriority = 2, .waitedMs = waitedMs, .cellShare = 500};
+    return (PolicySight){.job = job, .step = step, .queue_priority = 2, .waited_ms = waited_ms, .cell_share = 500};
 }
 
 static void decides(void **state)
@@ -66,49 +66,49 @@
     const StepSpec step = {.name = "s", .kind = "", .room = {500, 64, 0}};
     Job job;
     assert_int_equal(
-        luaPolicyNew(mem, "p",
-                     "function rank(t) return t.priority + t.queue_priority + t.waited_ms / 1000 - t.cpu end\n"
-                     "function may_push(a, b) return a.queue == 'masks' and b.cpu > a.cpu end",
-                     &lua, &failure),
+        lua_policy_new(mem, "p",
+                       "function rank(t) return t.priority + t.queue_priority + t.waited_ms / 1000 - t.cpu end\n"
+                       "function may_push(a, b) return a.queue == 'masks' and b.cpu > a.cpu end",
+                       &lua, &failure),
         STATUS_OK);
-    const Policy *policy = luaPolicy(lua);
+    const Policy *policy = lua_policy(lua);
     const PolicySight one = sight(&job, &step, 4000);
     assert_true(policy->rank(policy->arg, &one) == 8.5);
     const StepSpec large = {.name = "s", .kind = "", .room = {8000, 64, 0}};
     const PolicySight other = {.job = &job, .step = &large};
-    assert_true(policy->mayPush(policy->arg, &one, &other));
-    assert_false(policy->mayPush(policy->arg, &other, &one));
-    assert_int_equal(luaPolicyFailures(lua, NULL), 0);
+    assert_true(policy->may_push(policy->arg, &one, &other));
+    assert_false(policy->may_push(policy->arg, &other, &one));
+    assert_int_equal(lua_policy_failures(lua, NULL), 0);
     talloc_free(mem);
 }
 
 /* One that passes the check and fails later falls back, counted, again and again. */
-static void fallsBack(void **state)
+static void falls_back(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     LuaPolicy *lua;
     const StepSpec step = {.name = "s", .kind = "", .room = {500, 64, 0}};
     Job job;
-    assert_int_equal(luaPolicyNew(mem, "p",
-                                  "local kept = {}\n"
-                                  "function rank(t) if t.waited_ms > 5000 then while true do end end\n"
-                                  " if t.waited_ms > 3000 then kept[#kept + 1] = ('x'):rep(300000) end return 7 end",
-                                  &lua, NULL),
+    assert_int_equal(lua_policy_new(mem, "p",
+                                    "local kept = {}\n"
+                                    "function rank(t) if t.waited_ms > 5000 then while true do end end\n"
+                                    " if t.waited_ms > 3000 then kept[#kept + 1] = ('x'):rep(300000) end return 7 end",
+                                    &lua, NULL),
                      STATUS_OK);
-    const Policy *policy = luaPolicy(lua);
+    const Policy *policy = lua_policy(lua);
     PolicySight one = sight(&job, &step, 6000);
     const char *last;
     for (int i = 0; i < 50; i++)
         assert_true(policy->rank(policy->arg, &one) == 0);
-    assert_int_equal(luaPolicyFailures(lua, &last), 50);
+    assert_int_equal(lua_policy_failures(lua, &last), 50);
     assert_non_null(strstr(last, "steps"));
-    one.waitedMs = 4000;
+    one.waited_ms = 4000;
     for (int i = 0; i < 50; i++)
         policy->rank(policy->arg, &one);
-    luaPolicyFailures(lua, &last);
+    lua_policy_failures(lua, &last);
     assert_non_null(strstr(last, "memory"));
-    one.waitedMs = 1;
+    one.waited_ms = 1;
     assert_true(policy->rank(policy->arg, &one) == 7); /* it still works where it can */
     talloc_free(mem);
 }
@@ -118,7 +118,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(refused),
         cmocka_unit_test(decides),
-        cmocka_unit_test(fallsBack),
+        cmocka_unit_test(falls_back),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -85,11 +85,11 @@
 Status propsCheck(const Props *props, PropsRole role, Failure *failure)
 {
     Status status = need("name", props->name, false, failure);
-    if (status == STATUS_OK && !checkNameText(props->name))
+    if (status == STATUS_OK && !check_name_text(props->name))
         status = failure_set(failure, STATUS_BAD_PROPS, "name: must be letters, digits or ._:-");
     if (status == STATUS_OK)
         status = need("zone", props->zone, false, failure);
-    if (status == STATUS_OK && !checkNameText(props->zone))
+    if (status == STATUS_OK && !check_name_text(props->zone))
         status = failure_set(failure, STATUS_BAD_PROPS, "zone: must be letters, digits or ._:-");
     if (status == STATUS_OK)
         status = need("listen", props->listen, true, failure);
@@ -103,7 +103,7 @@
         status = failure_set(failure, STATUS_BAD_PROPS, "data: only a core has a disk");
     if (status == STATUS_OK && role != PROPS_AGENT && props->worker != NULL)
         status = failure_set(failure, STATUS_BAD_PROPS, "worker: only an agent stands beside one");
-    if (status == STATUS_OK && props->worker != NULL && !checkNameText(props->worker))
+    if (status == STATUS_OK && props->worker != NULL && !check_name_text(props->worker))
         status = failure_set(failure, STATUS_BAD_PROPS, "worker: must be letters, digits or ._:-");
     return status;
 }
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -78,7 +78,7 @@
     const Policy *policy = sight->policy(sight->arg, note->cell);
     const PolicySight seen = queueSee(line->queue, sight, job, task);
     const double rank = policy->rank(policy->arg, &seen);
-    if (policy != policyPlain() || aim->spanMs <= 0)
+    if (policy != policy_plain() || aim->spanMs <= 0)
         return rank;
     const JobTask *one = &job->tasks[task];
     const double near = job->spec.lasting ? 0.0 : aimRank(aim, one->step, sight->clock.logMs);
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -108,8 +108,8 @@
     }
     if (note->stamp != sight->configStamp) {
         note->stamp = sight->configStamp;
-        note->cell = configCell(sight->config, job->spec.cell);
-        note->queue = note->cell != NULL ? configQueue(note->cell, job->spec.queue) : NULL;
+        note->cell = config_cell(sight->config, job->spec.cell);
+        note->queue = note->cell != NULL ? config_queue(note->cell, job->spec.queue) : NULL;
     }
     note->line = queue->line;
     return note;
@@ -119,15 +119,15 @@
 {
     const Note *note = noteOf(queue, sight, job);
     uint64_t shares = 0;
-    for (size_t i = 0; i < sight->config->cellCount; i++)
+    for (size_t i = 0; i < sight->config->cell_count; i++)
         shares += sight->config->cells[i].share;
     return (PolicySight){
         .job = job,
         .step = &job->spec.steps[job->tasks[task].step],
-        .queuePriority = note->queue != NULL ? note->queue->priority : job->terms.priority,
-        .waitedMs = sight->clock.logMs - job->tasks[task].changed_ms,
-        .cellUsed = partOf(*accountUse(queue, sight, note->cellAccount), sight->fleet) / 1000,
-        .cellShare = note->cell != NULL && shares > 0 ? note->cell->share * 1000 / shares : 0,
-        .tenantUsed = partOf(*accountUse(queue, sight, note->tenantAccount), sight->fleet) / 1000,
+        .queue_priority = note->queue != NULL ? note->queue->priority : job->terms.priority,
+        .waited_ms = sight->clock.logMs - job->tasks[task].changed_ms,
+        .cell_used = partOf(*accountUse(queue, sight, note->cellAccount), sight->fleet) / 1000,
+        .cell_share = note->cell != NULL && shares > 0 ? note->cell->share * 1000 / shares : 0,
+        .tenant_used = partOf(*accountUse(queue, sight, note->tenantAccount), sight->fleet) / 1000,
     };
 }
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -8,7 +8,7 @@
 {
     (void)arg;
     (void)cell;
-    return policyPlain();
+    return policy_plain();
 }
 
 static StepSpec step(const char *name, uint64_t count, uint64_t est_ms)
@@ -34,7 +34,7 @@
 {
     void *mem = talloc_new(board->table);
     Faults faults = {.mem = mem};
-    const Config *config = configRead(mem, text, strlen(text), 1, &faults);
+    const Config *config = config_read(mem, text, strlen(text), 1, &faults);
     assert_non_null(config);
     Queue *queue = queueNew(mem, NULL);
     const QueueSight sight = {.table = board->table,
@@ -225,7 +225,7 @@
     void *mem = talloc_new(board.table);
     Faults faults = {.mem = mem};
     const char *text = "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}";
-    const Config *config = configRead(mem, text, strlen(text), 1, &faults);
+    const Config *config = config_read(mem, text, strlen(text), 1, &faults);
     const QueueSight sight = {.table = board.table, .config = config, .clock = {1000, 1000}, .policy = plain};
     Line *line = lineNew(mem, queueNew(mem, NULL), &sight);
     assert_int_equal(lineCount(line), 2);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -12,7 +12,7 @@
     char *path;
 } SimFile;
 
-static SimName *nameOf(SimMachine *machine, const char *path)
+static SimName *name_of(SimMachine *machine, const char *path)
 {
     SimName *name = map_get(machine->disk, path);
     if (name == NULL) {
@@ -24,7 +24,7 @@
 
 static SimContent *contentOf(SimMachine *machine, const char *path)
 {
-    SimName *name = nameOf(machine, path);
+    SimName *name = name_of(machine, path);
     if (name->content == NULL) /* a new file lasts once it has been synced itself: empty, it loses nothing */
         name->lasting = name->content = talloc_zero(machine->disk, SimContent);
     return name->content;
@@ -100,7 +100,7 @@
     sf->path = talloc_strdup(sf, path);
     contentOf(sf->machine, path);
     /* the folder is synced at each opening */
-    SimName *name = nameOf(sf->machine, path);
+    SimName *name = name_of(sf->machine, path);
     name->lasting = name->content;
     *file = &sf->file;
     return STATUS_OK;
@@ -151,7 +151,7 @@
     SimFile *sf = (SimFile *)file;
     SimMachine *machine = sf->machine;
     const int64_t wholeMs = sync_ms(sf);
-    SimName *fresh = nameOf(machine, talloc_asprintf(sf, "%s.new", sf->path));
+    SimName *fresh = name_of(machine, talloc_asprintf(sf, "%s.new", sf->path));
     SimContent *content = talloc_zero(machine->disk, SimContent);
     fresh->content = fresh->lasting = content;
     content->inflight = bytes;
@@ -164,7 +164,7 @@
     written(content, bytes);
     content->syncedCount = content->bytes.count; /* honest also on a disk that lies about appends */
     content->writeCount = 0;
-    SimName *name = nameOf(machine, sf->path);
+    SimName *name = name_of(machine, sf->path);
     name->content = content;
     fresh->content = NULL;
     loop_sleep(file->loop, wholeMs - wholeMs / 2);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -142,10 +142,10 @@
         const char *whole = mixConfig((Mix)draw(MIX_COUNT));
         const char *text = spoil(mem, whole, &count);
         if (draw(3) == 0) { /* as a patch upon a good one */
-            text = configPatch(mem, whole, text, count, faults);
+            text = config_patch(mem, whole, text, count, faults);
             count = text != NULL ? strlen(text) : 0;
         }
-        if (text != NULL && configRead(mem, text, count, 1, faults) != NULL) {
+        if (text != NULL && config_read(mem, text, count, 1, faults) != NULL) {
             good++;
         } else {
             typed(faults);
@@ -170,7 +170,7 @@
         size_t count;
         LuaPolicy *policy;
         Failure failure = {0};
-        if (luaPolicyNew(mem, "p", spoil(mem, TEXT, &count), &policy, &failure) == STATUS_OK) {
+        if (lua_policy_new(mem, "p", spoil(mem, TEXT, &count), &policy, &failure) == STATUS_OK) {
             good++;
         } else {
             assert_int_equal(failure.status, STATUS_BAD_POLICY);
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -34,8 +34,8 @@
 }
 
 /* One call at the entry; on silence or refusal to serve, the next entry is next. */
-static Status callOnce(Following *following, void *mem, const char *method, const char *path, const char *body,
-                       HttpCall *call)
+static Status call_once(Following *following, void *mem, const char *method, const char *path, const char *body,
+                        HttpCall *call)
 {
     Caller *caller = following->caller;
     *call = (HttpCall){.mem = mem,
@@ -60,7 +60,7 @@
         const char *body = mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms);
         HttpCall call;
         job->sends++;
-        const Status status = callOnce(following, mem, "POST", "/v1/jobs", body, &call);
+        const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
         const bool taken = status == STATUS_OK && (call.code == 200 || call.code == 201);
         const bool refused = status == STATUS_OK && call.code >= 400 && call.code < 500;
         talloc_free(mem);
@@ -89,8 +89,8 @@
     const CallerJob *job = following->job;
     void *mem = talloc_new(caller);
     HttpCall call;
-    const Status status = callOnce(following, mem, "POST", "/v1/jobs",
-                                   mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
+    const Status status = call_once(following, mem, "POST", "/v1/jobs",
+                                    mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
     if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->props.watch.accepted != NULL)
         caller->props.watch.accepted(caller->props.watch.arg, job->id);
     if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->props.watch.refused != NULL)
@@ -129,7 +129,8 @@
         return;
     void *mem = talloc_new(caller);
     HttpCall call;
-    const Status status = callOnce(following, mem, "DELETE", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
+    const Status status =
+        call_once(following, mem, "DELETE", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
     talloc_free(mem);
     if (status != STATUS_OK || call.code != 200)
         return; /* again when it is next asked for */
@@ -153,7 +154,7 @@
             HttpCall call;
             following->entry++; /* each time at another entry: all know it alike */
             const Status status =
-                callOnce(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
+                call_once(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
             if (status == STATUS_OK && call.code == 200) {
                 look(caller, job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
                 if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0) {
--- a/packages/template/include/template/template.h
+++ b/packages/template/include/template/template.h
@@ -20,9 +20,9 @@
 
 /* The document, the caller's to put; null when there are faults. Nothing is half
  * applied. */
-json_object *templateFill(Faults *faults, json_object *template, const TemplateValue *values, size_t count);
+json_object *template_fill(Faults *faults, json_object *template, const TemplateValue *values, size_t count);
 /* The document with the overlay upon it, the caller's to put; null when there are
  * faults. The document given is left as it is. */
-json_object *templateOverlay(Faults *faults, json_object *document, json_object *overlay);
+json_object *template_overlay(Faults *faults, json_object *document, json_object *overlay);
 
 #endif
--- a/packages/template/src/template.c
+++ b/packages/template/src/template.c
@@ -12,7 +12,7 @@
 } Filling;
 
 /* A value as given on a command line: JSON when it is such, else a string. */
-static json_object *valueOf(const char *text)
+static json_object *value_of(const char *text)
 {
     struct json_tokener *tokener = json_tokener_new();
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT);
@@ -26,36 +26,36 @@
     return json_object_new_string(text);
 }
 
-static void valuesTake(Filling *filling, json_object *declared, const TemplateValue *values, size_t count)
+static void values_take(Filling *filling, json_object *declared, const TemplateValue *values, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         if (!json_object_object_get_ex(declared, values[i].name, NULL))
-            faultAdd(filling->faults, STATUS_BAD_FIELD, checkPath(filling->faults, "parameters", values[i].name),
-                     "the template has no such parameter");
+            fault_add(filling->faults, STATUS_BAD_FIELD, check_path(filling->faults, "parameters", values[i].name),
+                      "the template has no such parameter");
         else
-            json_object_object_add(filling->values, values[i].name, valueOf(values[i].text));
+            json_object_object_add(filling->values, values[i].name, value_of(values[i].text));
     }
     json_object_object_foreach(declared, name, one)
     {
         static const char *const KEYS[] = {"default", NULL};
-        const char *path = checkPath(filling->faults, "parameters", name);
+        const char *path = check_path(filling->faults, "parameters", name);
         json_object *otherwise;
-        if (!checkKeys(filling->faults, one, path, KEYS) || json_object_object_get_ex(filling->values, name, NULL))
+        if (!check_keys(filling->faults, one, path, KEYS) || json_object_object_get_ex(filling->values, name, NULL))
             continue;
         if (json_object_object_get_ex(one, "default", &otherwise))
             json_object_object_add(filling->values, name, json_object_get(otherwise));
         else
-            faultAdd(filling->faults, STATUS_BAD_FIELD, path, "has no value and no default");
+            fault_add(filling->faults, STATUS_BAD_FIELD, path, "has no value and no default");
     }
 }
 
-static const char *plainText(json_object *value)
+static const char *plain_text(json_object *value)
 {
     return json_object_is_type(value, json_type_string) ? json_object_get_string(value)
                                                         : json_object_to_json_string_ext(value, JSON_C_TO_STRING_PLAIN);
 }
 
-static json_object *stringFill(const Filling *filling, const char *text, const char *path)
+static json_object *string_fill(const Filling *filling, const char *text, const char *path)
 {
     void *mem = talloc_new(NULL);
     char *out = talloc_strdup(mem, "");
@@ -69,12 +69,12 @@
         const char *name = talloc_strndup(mem, open + 2, (size_t)(close - open) - 2);
         json_object *value = NULL;
         if (!json_object_object_get_ex(filling->values, name, &value))
-            faultAdd(filling->faults, STATUS_BAD_FIELD, path, "there is no parameter %s", name);
+            fault_add(filling->faults, STATUS_BAD_FIELD, path, "there is no parameter %s", name);
         else if (open == text && close[1] == '\0')
             result = json_object_get(value); /* the whole string: the value itself */
         out = talloc_strndup_append(out, at, (size_t)(open - at));
         if (value != NULL)
-            out = talloc_strdup_append(out, plainText(value));
+            out = talloc_strdup_append(out, plain_text(value));
         at = close + 1;
     }
     if (result == NULL)
@@ -86,7 +86,7 @@
 static json_object *fill(const Filling *filling, json_object *value, const char *path)
 {
     if (json_object_is_type(value, json_type_string))
-        return stringFill(filling, json_object_get_string(value), path);
+        return string_fill(filling, json_object_get_string(value), path);
     if (json_object_is_type(value, json_type_array)) {
         json_object *list = json_object_new_array();
         for (size_t i = 0; i < json_object_array_length(value); i++)
@@ -100,33 +100,33 @@
     json_object_object_foreach(value, key, one)
     {
         /* names are filled in too: a cell may be a parameter */
-        const char *here = checkPath(filling->faults, path, key);
-        json_object *name = stringFill(filling, key, here);
+        const char *here = check_path(filling->faults, path, key);
+        json_object *name = string_fill(filling, key, here);
         if (!json_object_is_type(name, json_type_string))
-            faultAdd(filling->faults, STATUS_BAD_FIELD, here, "a name must be a string");
-        json_object_object_add(object, plainText(name), fill(filling, one, here));
+            fault_add(filling->faults, STATUS_BAD_FIELD, here, "a name must be a string");
+        json_object_object_add(object, plain_text(name), fill(filling, one, here));
         json_object_put(name);
     }
     return object;
 }
 
-json_object *templateFill(Faults *faults, json_object *template, const TemplateValue *values, size_t count)
+json_object *template_fill(Faults *faults, json_object *template, const TemplateValue *values, size_t count)
 {
     static const char *const KEYS[] = {"parameters", "template", NULL};
     const size_t before = faults->seen;
     json_object *declared = NULL, *document = NULL, *result = NULL;
-    if (!checkKeys(faults, template, "", KEYS))
+    if (!check_keys(faults, template, "", KEYS))
         return NULL;
     if (!json_object_object_get_ex(template, "template", &document) || !json_object_is_type(document, json_type_object))
-        faultAdd(faults, STATUS_BAD_FIELD, "template", "must be there, an object");
+        fault_add(faults, STATUS_BAD_FIELD, "template", "must be there, an object");
     if (json_object_object_get_ex(template, "parameters", &declared) &&
         !json_object_is_type(declared, json_type_object))
-        faultAdd(faults, STATUS_BAD_FIELD, "parameters", "must be an object");
+        fault_add(faults, STATUS_BAD_FIELD, "parameters", "must be an object");
     if (faults->seen > before)
         return NULL;
     json_object *none = json_object_new_object();
     const Filling filling = {faults, json_object_new_object()};
-    valuesTake(&(Filling){faults, filling.values}, declared != NULL ? declared : none, values, count);
+    values_take(&(Filling){faults, filling.values}, declared != NULL ? declared : none, values, count);
     if (faults->seen == before)
         result = fill(&filling, document, "template");
     json_object_put(filling.values);
@@ -146,13 +146,13 @@
     json_object_object_foreach(overlay, key, change)
     {
         const bool adds = key[0] == '+';
-        const char *name = adds ? key + 1 : key, *here = checkPath(faults, path, name);
+        const char *name = adds ? key + 1 : key, *here = check_path(faults, path, name);
         json_object *old = NULL;
         const bool there = json_object_object_get_ex(document, name, &old);
         if (adds && there)
-            faultAdd(faults, STATUS_BAD_FIELD, here, "is there already: it can't be added");
+            fault_add(faults, STATUS_BAD_FIELD, here, "is there already: it can't be added");
         else if (!adds && !there)
-            faultAdd(faults, STATUS_BAD_FIELD, here, "is not there; +%s would add it", name);
+            fault_add(faults, STATUS_BAD_FIELD, here, "is not there; +%s would add it", name);
         else if (change == NULL)
             json_object_object_del(result, name);
         else if (!adds && json_object_is_type(change, json_type_object) && json_object_is_type(old, json_type_object))
@@ -163,11 +163,11 @@
     return result;
 }
 
-json_object *templateOverlay(Faults *faults, json_object *document, json_object *overlay)
+json_object *template_overlay(Faults *faults, json_object *document, json_object *overlay)
 {
     const size_t before = faults->seen;
     if (!json_object_is_type(document, json_type_object) || !json_object_is_type(overlay, json_type_object)) {
-        faultAdd(faults, STATUS_BAD_JSON, "", "a document and an overlay must be objects");
+        fault_add(faults, STATUS_BAD_JSON, "", "a document and an overlay must be objects");
         return NULL;
     }
     json_object *result = laid(faults, document, overlay, "");
--- a/packages/template/test/template.c
+++ b/packages/template/test/template.c
@@ -17,7 +17,7 @@
 static char *filled(void *mem, const TemplateValue *values, size_t count, Faults *faults)
 {
     json_object *template = json_tokener_parse(TEMPLATE);
-    json_object *document = templateFill(faults, template, values, count);
+    json_object *document = template_fill(faults, template, values, count);
     char *text =
         document != NULL ? talloc_strdup(mem, json_object_to_json_string_ext(document, JSON_C_TO_STRING_PLAIN)) : NULL;
     json_object_put(document);
@@ -25,7 +25,7 @@
     return text;
 }
 
-static Faults *faultsNew(void *mem)
+static Faults *faults_new(void *mem)
 {
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
@@ -38,35 +38,35 @@
     void *mem = talloc_new(NULL);
     const TemplateValue values[] = {{"cell", "imagery"}, {"share", "5"}};
     assert_string_equal(
-        filled(mem, values, 2, faultsNew(mem)),
+        filled(mem, values, 2, faults_new(mem)),
         "{\"r\":1,\"cells\":{\"imagery\":{\"share\":5,\"tenants\":{\"ops-imagery\":{}},\"queues\":{\"q\":{}}}}}");
-    const char *text = filled(mem, values, 1, faultsNew(mem));
+    const char *text = filled(mem, values, 1, faults_new(mem));
     assert_true(text != NULL && strstr(text, "\"share\":2") != NULL);
     talloc_free(mem);
 }
 
-static void refusesParameters(void **state)
+static void refuses_parameters(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faultsNew(mem);
+    Faults *faults = faults_new(mem);
     assert_null(filled(mem, NULL, 0, faults));
     assert_string_equal(faults->list[0].path, "parameters.cell");
     const TemplateValue unknown[] = {{"cell", "x"}, {"zell", "y"}};
-    faults = faultsNew(mem);
+    faults = faults_new(mem);
     assert_null(filled(mem, unknown, 2, faults));
     assert_string_equal(faults->list[0].path, "parameters.zell");
     const TemplateValue number[] = {{"cell", "7"}};
-    faults = faultsNew(mem);
+    faults = faults_new(mem);
     assert_null(filled(mem, number, 1, faults)); /* a cell's name can't be a number */
     talloc_free(mem);
 }
 
-static char *overlaid(void *mem, const char *overlayText, Faults *faults)
+static char *overlaid(void *mem, const char *overlay_text, Faults *faults)
 {
     json_object *document = json_tokener_parse("{\"r\":1,\"cells\":{\"a\":{\"share\":2},\"b\":{}}}");
-    json_object *overlay = json_tokener_parse(overlayText);
-    json_object *result = templateOverlay(faults, document, overlay);
+    json_object *overlay = json_tokener_parse(overlay_text);
+    json_object *result = template_overlay(faults, document, overlay);
     char *text =
         result != NULL ? talloc_strdup(mem, json_object_to_json_string_ext(result, JSON_C_TO_STRING_PLAIN)) : NULL;
     assert_string_equal(json_object_to_json_string_ext(document, JSON_C_TO_STRING_PLAIN),
@@ -81,7 +81,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faultsNew(mem);
+    Faults *faults = faults_new(mem);
     assert_string_equal(
         overlaid(mem, "{\"r\":2,\"cells\":{\"a\":{\"share\":3,\"+limit\":9},\"b\":null,\"+c\":{}}}", faults),
         "{\"r\":2,\"cells\":{\"a\":{\"share\":3,\"limit\":9},\"c\":{}}}");
@@ -96,7 +96,7 @@
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(fills), cmocka_unit_test(refusesParameters),
+    const struct CMUnitTest tests[] = {cmocka_unit_test(fills), cmocka_unit_test(refuses_parameters),
                                        cmocka_unit_test(overlays)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/src/build.c
+++ b/src/build.c
@@ -20,7 +20,7 @@
 {
     json_object *object = json_object_from_file(path);
     if (object == NULL)
-        faultAdd(faults, STATUS_BAD_JSON, path, "can't be read as JSON");
+        fault_add(faults, STATUS_BAD_JSON, path, "can't be read as JSON");
     return object;
 }
 
@@ -34,7 +34,7 @@
     for (size_t i = 0; i < count; i++) {
         const char *equals = strchr(sets[i], '=');
         if (equals == NULL)
-            faultAdd(faults, STATUS_BAD_FLAG, "--set", "%s: say NAME=VALUE", sets[i]);
+            fault_add(faults, STATUS_BAD_FLAG, "--set", "%s: say NAME=VALUE", sets[i]);
         else
             (*out)[i] = (TemplateValue){talloc_strndup(mem, sets[i], (size_t)(equals - sets[i])), equals + 1};
     }
@@ -49,12 +49,12 @@
     *what = templatePath;
     const size_t count = valuesRead(faults->mem, sets, &values, faults);
     json_object *template = faults->seen == 0 ? fileParse(faults, templatePath) : NULL;
-    json_object *document = template != NULL ? templateFill(faults, template, values, count) : NULL;
+    json_object *document = template != NULL ? template_fill(faults, template, values, count) : NULL;
     json_object_put(template);
     for (size_t i = 0; document != NULL && overlays != NULL && overlays[i] != NULL; i++) {
         *what = overlays[i];
         json_object *overlay = fileParse(faults, overlays[i]);
-        json_object *next = overlay != NULL ? templateOverlay(faults, document, overlay) : NULL;
+        json_object *next = overlay != NULL ? template_overlay(faults, document, overlay) : NULL;
         json_object_put(overlay);
         json_object_put(document);
         document = next;
@@ -87,7 +87,7 @@
         const char *text = json_object_to_json_string_ext(document, JSON_C_TO_STRING_PRETTY | JSON_C_TO_STRING_SPACED |
                                                                         JSON_C_TO_STRING_NOSLASHESCAPE);
         what = "the document made";
-        if (configRead(mem, text, strlen(text), 1, faults) != NULL)
+        if (config_read(mem, text, strlen(text), 1, faults) != NULL)
             puts(text);
     }
     if (code == EXIT_GOOD && faults->seen > 0)
