--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -134,11 +134,11 @@
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         const int64_t leftMs = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
-        const int64_t lateMs = agent->props->bounds.holdMs / 2;
+        const int64_t late_ms = agent->props->bounds.holdMs / 2;
         /* the second half of the hold: several beats have gone unanswered */
-        if (leftMs > 0 && leftMs < lateMs)
+        if (leftMs > 0 && leftMs < late_ms)
             askAll(agent);
-        loop_sleep(agent->loop, leftMs > lateMs ? leftMs - lateMs : BEAT_MS / 5);
+        loop_sleep(agent->loop, leftMs > late_ms ? leftMs - late_ms : BEAT_MS / 5);
     }
 }
 
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/jobjson.c
@@ -179,10 +179,10 @@
         for (size_t w = 0; w < count; w++) {
             const PlanWorker worker = {.kind = workers[w]->kind,
                                        .labels = workers[w]->labels,
-                                       .labelCount = workers[w]->labelsCount,
+                                       .label_count = workers[w]->labelsCount,
                                        .free = workers[w]->room};
-            able |= planAble(&worker, &need);
-            if (!planFits(&worker, &need))
+            able |= plan_able(&worker, &need);
+            if (!plan_fits(&worker, &need))
                 continue;
             fits = true;
             const uint64_t cpu = need.room.cpu_milli ? worker.free.cpu_milli / need.room.cpu_milli : UINT32_MAX;
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -127,7 +127,7 @@
         if (task->worker[0] != '\0')
             json_object_object_add(one, "worker", text_of(task->worker));
         if (task->phase == TASK_WAITING)
-            json_object_object_add(one, "waitsFor", text_of(waitWord(queueWait(job, i, clock))));
+            json_object_object_add(one, "waitsFor", text_of(wait_word(queue_wait(job, i, clock))));
         if (task_on_worker(task->phase) && job->spec.protection == PROTECTION_PROTECTED)
             json_object_object_add(one, "assured", json_object_new_boolean(task->assured));
         if (task->misses > 0)
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -108,7 +108,7 @@
         see(core, ALERT_PROTECTED_WAITS, "tasks");
     if (!core->planHolds) {
         char subject[ID_MAX + 16];
-        snprintf(subject, sizeof(subject), "%s %s", lossWord(core->brokenByLoss), core->brokenBy);
+        snprintf(subject, sizeof(subject), "%s %s", loss_word(core->brokenByLoss), core->brokenBy);
         see(core, ALERT_PLAN_BROKEN, subject);
     }
 }
--- a/packages/core/src/assure.c
+++ b/packages/core/src/assure.c
@@ -22,7 +22,7 @@
             const PlanNeed need = passNeed(job, task->step);
             passCount(pass, &job->spec, &need, at);
             if (!passHolds(pass)) {
-                pass->input.taskCount--;
+                pass->input.task_count--;
                 continue;
             }
             list.rounds = talloc_realloc(pass->mem, list.rounds, RoundId, (unsigned)(list.rounds_count + 1));
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -16,7 +16,7 @@
     const PlanInput *input = &pass->input;
     const PlanWorker *its = &input->workers[at];
     pass->step.on_worker[at] += by;
-    for (size_t i = 0; i < input->workerCount; i++) {
+    for (size_t i = 0; i < input->worker_count; i++) {
         const PlanWorker *mine = &input->workers[i];
         pass->step.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
         if (mine->rack[0] != '\0' && strcmp(mine->rack, its->rack) == 0) {
@@ -35,7 +35,7 @@
     const size_t end = first + (size_t)job->spec.steps[job->tasks[task].step].count;
     if (sight->job == job && sight->first == first)
         return;
-    const size_t count = pass->input.workerCount;
+    const size_t count = pass->input.worker_count;
     if (sight->near == NULL) {
         sight->near = talloc_array(pass->mem, int, (unsigned)count);
         sight->on_worker = talloc_array(pass->mem, int, (unsigned)count);
@@ -60,7 +60,7 @@
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
 {
     return !excluded[at] && (step->apart == 0 || (uint64_t)pass->step.on_worker[at] < step->apart) &&
-           planFits(&pass->input.workers[at], need);
+           plan_fits(&pass->input.workers[at], need);
 }
 
 /* Whether the step has others at work, none of them on the worker's rack. */
@@ -68,7 +68,7 @@
 {
     if (!step->same_rack || pass->step.onRack[at] > 0)
         return false;
-    for (size_t i = 0; i < pass->input.workerCount; i++)
+    for (size_t i = 0; i < pass->input.worker_count; i++)
         if (pass->step.on_worker[i] > 0)
             return true;
     return false;
@@ -76,7 +76,7 @@
 
 uint64_t chooseFarPercent(const Pass *pass, const StepSpec *step, size_t at)
 {
-    const uint64_t far = (uint64_t)pass->core->props->bounds.farPercent;
+    const uint64_t far = (uint64_t)pass->core->props->bounds.far_percent;
     uint64_t percent = 100;
     if (step->near[0] != '\0' && strcmp(step->near, pass->input.workers[at].rack) != 0)
         percent = percent * far / 100;
@@ -89,7 +89,7 @@
 static int64_t value_of(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
 {
     const PlanWorker *worker = &pass->input.workers[at];
-    const int64_t left = (int64_t)planLeft(worker, pass->largest);
+    const int64_t left = (int64_t)plan_left(worker, pass->largest);
     const int64_t timeShare = (int64_t)(pass->speeds[at] * chooseFarPercent(pass, step, at) / 100) - SHARE_ONE;
     int64_t value = left - (int64_t)worker->penalty - timeShare * CHOOSE_TIME;
     if (need->room.gpu == 0 && worker->room.gpu > 0)
@@ -102,7 +102,7 @@
 {
     int best = -1;
     int64_t bestValue = 0;
-    for (size_t i = 0; i < pass->input.workerCount; i++) {
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
         if ((rack != NULL && strcmp(pass->input.workers[i].rack, rack) != 0) || !allowed(pass, step, need, excluded, i))
             continue;
         const int64_t value = value_of(pass, step, need, i);
@@ -134,18 +134,18 @@
     if (percent <= 100 || candidate->restart)
         return false;
     /* half of what the way would cost, never more than a part of what time there is */
-    int64_t wait_ms = candidate->guessMs * (int64_t)(percent - 100) / 200;
-    if (candidate->slackMs < INT64_MAX && candidate->slackMs / 2 < wait_ms)
-        wait_ms = candidate->slackMs / 2;
+    int64_t wait_ms = candidate->guess_ms * (int64_t)(percent - 100) / 200;
+    if (candidate->slack_ms < INT64_MAX && candidate->slack_ms / 2 < wait_ms)
+        wait_ms = candidate->slack_ms / 2;
     if (wait_ms > FAR_WAIT_MS)
         wait_ms = FAR_WAIT_MS;
     const int64_t until_ms = candidate->since_ms + wait_ms;
-    if (pass->clock.logMs >= until_ms)
+    if (pass->clock.log_ms >= until_ms)
         return false;
     bool near = step->near[0] == '\0';
-    for (size_t i = 0; i < pass->input.workerCount && !near; i++) {
+    for (size_t i = 0; i < pass->input.worker_count && !near; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
-        near = strcmp(worker->rack, step->near) == 0 && planAble(worker, need) && roomFits(need->room, worker->room);
+        near = strcmp(worker->rack, step->near) == 0 && plan_able(worker, need) && room_fits(need->room, worker->room);
     }
     if (near && until_ms < pass->next_ms)
         pass->next_ms = until_ms;
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -175,8 +175,8 @@
     core->liveset = livesetNew(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
-    core->guesses = guessesNew(core);
-    core->queue = queueNew(core, core->guesses);
+    core->guesses = guesses_new(core);
+    core->queue = queue_new(core, core->guesses);
     core->strays = straysNew(core);
     core->paces = pacesNew(core);
     table_left_watch(core->table, onLeft, core);
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -69,7 +69,7 @@
         return core->config;
     talloc_free((void *)(uintptr_t)core->config);
     core->config = config;
-    core->configStamp++;
+    core->config_stamp++;
     return config;
 }
 
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -45,7 +45,7 @@
     size_t task; /* its first */
     double rank;
     int64_t since_ms;
-    size_t workerCount;
+    size_t worker_count;
     const char *workers[KEPT_MEMBERS_MAX];
     int64_t until_ms[KEPT_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
 } Kept;
@@ -89,7 +89,7 @@
     const Config *config; /* of the table's newest revision that could be read */
     uint64_t configLoads; /* table_loads when it was read */
     PieceSource pieceSource;
-    uint64_t configStamp;  /* another with each other config */
+    uint64_t config_stamp; /* another with each other config */
     uint64_t configUnread; /* a revision that can't be read */
     struct Trial *trials;
     uint64_t limitsRevision, limitsLoads; /* whose limits this process keeps */
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -23,7 +23,7 @@
     const size_t count = map_keys(core->kept, mem, &cells);
     size_t workers = 0;
     for (size_t i = 0; i < count; i++)
-        workers += ((const Kept *)map_get(core->kept, cells[i]))->workerCount;
+        workers += ((const Kept *)map_get(core->kept, cells[i]))->worker_count;
     return workers;
 }
 
@@ -31,7 +31,7 @@
 {
     Kept *kept = map_get(core->kept, cell);
     ring_say(core->ring, RING_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
-             kept->workerCount, kept->job, why);
+             kept->worker_count, kept->job, why);
     map_drop(core->kept, cell);
     talloc_free(kept);
 }
@@ -47,11 +47,11 @@
         Kept *kept = map_get(core->kept, cells[c]);
         const Job *job = table_job(core->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
-        if (!waits || !lineRank(pass->line, job, kept->task, &kept->rank)) {
+        if (!waits || !line_rank(pass->line, job, kept->task, &kept->rank)) {
             keptDrop(core, cells[c], "it waits no more");
             continue;
         }
-        for (size_t i = 0; i < kept->workerCount; i++) {
+        for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = passPlace(pass, kept->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
                 keptDrop(core, cells[c], "one of them may be given nothing");
@@ -73,11 +73,11 @@
         const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
         if (is_for(kept, candidate) || above || candidate->restart)
             continue;
-        for (size_t i = 0; i < kept->workerCount; i++) {
+        for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = passPlace(pass, kept->workers[i]);
             /* what is over before there is room for the other takes nothing from it */
-            const bool passes = candidate->guessMs > 0 && kept->until_ms[i] < INT64_MAX &&
-                                candidate->guessMs * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
+            const bool passes = candidate->guess_ms > 0 && kept->until_ms[i] < INT64_MAX &&
+                                candidate->guess_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
             if (at != SIZE_MAX && !passes)
                 excluded[at] = any = true;
         }
@@ -91,48 +91,48 @@
 {
     size_t count = 0;
     Room room = worker->room;
-    for (; roomFits(each, room) && count < KEPT_MEMBERS_MAX; count++)
-        room = roomLess(room, each);
+    for (; room_fits(each, room) && count < KEPT_MEMBERS_MAX; count++)
+        room = room_less(room, each);
     return count;
 }
 
 /* With an aim, an eighth of its span. */
 static int64_t wait_ms(const Candidate *candidate)
 {
-    const int64_t part = candidate->spanMs > 0 ? candidate->spanMs / 8 : KEEP_WAIT_MS;
+    const int64_t part = candidate->span_ms > 0 ? candidate->span_ms / 8 : KEEP_WAIT_MS;
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
 }
 
 void keptWant(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
     Core *core = pass->core;
-    const int64_t logMs = pass->clock.logMs;
+    const int64_t log_ms = pass->clock.log_ms;
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
-    if (logMs - candidate->since_ms < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
+    if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
         map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
     const size_t taken = keptWorkers(core, pass->mem);
-    const size_t most = input->workerCount / KEEP_SHARE > 0 ? input->workerCount / KEEP_SHARE : 1;
-    bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->workerCount);
+    const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
+    bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
     Kept *kept = talloc_zero(core, Kept);
     size_t left = candidate->count;
     keptFrom(pass, candidate, used);
-    while (left > 0 && taken + kept->workerCount < most) {
+    while (left > 0 && taken + kept->worker_count < most) {
         int best = -1;
         int64_t bestMs = 0;
         Room bestBusy = {0};
-        for (size_t i = 0; i < input->workerCount; i++) {
+        for (size_t i = 0; i < input->worker_count; i++) {
             const PlanWorker *worker = &input->workers[i];
-            if (used[i] || !planAble(worker, &need) || !roomFits(need.room, worker->room))
+            if (used[i] || !plan_able(worker, &need) || !room_fits(need.room, worker->room))
                 continue;
             /* soonest to have room; where nobody knows, the least in use, as parts of its
              * room; ties by name */
             const int64_t soonMs = soonestMs(pass, i, need.room);
-            const Room busy = roomLess(worker->room, worker->free);
+            const Room busy = room_less(worker->room, worker->free);
             const bool less =
-                best >= 0 && roomShare(busy, worker->room) < roomShare(bestBusy, input->workers[best].room);
+                best >= 0 && room_share(busy, worker->room) < room_share(bestBusy, input->workers[best].room);
             if (best < 0 || soonMs < bestMs || (soonMs == bestMs && less)) {
                 best = (int)i;
                 bestMs = soonMs;
@@ -144,8 +144,8 @@
         used[best] = true;
         const size_t holds = holdsEmpty(&input->workers[best], step->room);
         left = left > holds ? left - holds : 0;
-        kept->until_ms[kept->workerCount] = bestMs;
-        kept->workers[kept->workerCount++] = talloc_strdup(kept, input->workers[best].name);
+        kept->until_ms[kept->worker_count] = bestMs;
+        kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
     }
     if (left > 0) { /* all that it needs, or none */
         talloc_free(kept);
@@ -158,6 +158,6 @@
     map_set(core->kept, cell, kept);
     core->counts.kept++;
     ring_say(core->ring, RING_NOTE, kept->since_ms,
-             "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->workerCount,
-             kept->workers[0], kept->job, logMs - candidate->since_ms);
+             "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
+             kept->workers[0], kept->job, log_ms - candidate->since_ms);
 }
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -10,7 +10,7 @@
 {
     const JobTask *task = &on->job->tasks[on->task];
     const PlanNeed need = passNeed(on->job, task->step);
-    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.workerCount);
+    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     excluded[worker] = true;
     const int at = chooseFor(pass, on->job, on->task, &need, excluded, NULL);
     talloc_free(excluded);
@@ -23,7 +23,7 @@
     const JobTask *task = &job->tasks[on->task];
     const bool saves = job->spec.steps[task->step].saves;
     if (task->phase == TASK_PLACED) /* not begun: nothing is lost */
-        return pass->clock.logMs - task->changed_ms > LEAVE_START_MS;
+        return pass->clock.log_ms - task->changed_ms > LEAVE_START_MS;
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
     if (job->spec.lasting)
@@ -40,7 +40,7 @@
 void leaveFind(Pass *pass, StopList *list)
 {
     const int64_t now_ms = loop_now_ms(pass->core->loop);
-    for (size_t i = 0; i < pass->input.workerCount; i++) {
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
         const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[i].name);
         if (row == NULL || !row->leaving || row->leaveUntilMs == 0)
             continue;
--- a/packages/core/src/move.c
+++ b/packages/core/src/move.c
@@ -20,10 +20,10 @@
         return true;
     PlanWorker *to = &pass->input.workers[at];
     const Room before = to->free;
-    to->free = roomLess(to->free, job->spec.steps[task->step].room);
+    to->free = room_less(to->free, job->spec.steps[task->step].room);
     passCount(pass, &job->spec, need, (size_t)at);
     const bool holds = passHolds(pass);
-    pass->input.taskCount--;
+    pass->input.task_count--;
     to->free = before;
     return holds;
 }
@@ -39,7 +39,7 @@
         if (task->phase != TASK_RUNNING || job->spec.steps[task->step].gang || job->ending != JOB_ACTIVE)
             continue;
         const PlanNeed need = passNeed(job, task->step);
-        const int at = planChoose(pass->input.workers, pass->input.workerCount, &need, NULL);
+        const int at = plan_choose(pass->input.workers, pass->input.worker_count, &need, NULL);
         if (at < 0 || !holdsThere(pass, job, task, &need, at))
             continue;
         *round = (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
@@ -69,10 +69,10 @@
     bool found = false;
     if (!zonesMove(pass))
         return false;
-    for (size_t i = 0; i < pass->input.workerCount; i++)
+    for (size_t i = 0; i < pass->input.worker_count; i++)
         if (table_drain_moves(core->table, pass->input.workers[i].zone) && anyStops(pass, pass->input.workers[i].name))
             return false; /* the last one is on its way */
-    for (size_t i = 0; i < pass->input.workerCount && !found; i++)
+    for (size_t i = 0; i < pass->input.worker_count && !found; i++)
         found = table_drain_moves(core->table, pass->input.workers[i].zone) &&
                 moveFind(pass, pass->input.workers[i].name, &round);
     if (!found)
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -71,7 +71,7 @@
 }
 
 /* What the way from one word to the next says of the worker. */
-static void workerTake(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t spanMs)
+static void workerTake(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t span_ms)
 {
     const Job *job = table_job(core->table, told->job);
     const size_t at = job != NULL ? task_index(job, told->task) : 0;
@@ -79,13 +79,13 @@
     if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
-    const int64_t guess = guessMs(core->guesses, job, job->tasks[at].step);
-    if (guess <= 0 || step->gang || step->same_rack || spanMs < STILL_LEAST_MS / 2)
+    const int64_t guess = guess_ms(core->guesses, job, job->tasks[at].step);
+    if (guess <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
-    const double due = (double)spanMs * 10000.0 / ((double)guess * (double)scoreFarPercent(core, its, step));
+    const double due = (double)span_ms * 10000.0 / ((double)guess * (double)scoreFarPercent(core, its, step));
     if (due >= 4) /* less is lost in whole percents */
-        guessesPace(core->guesses, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
-                    loop_now_ms(core->loop));
+        guesses_pace(core->guesses, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
+                     loop_now_ms(core->loop));
 }
 
 void paceTake(Core *core, const char *worker, const RoundSaved *told)
@@ -106,14 +106,14 @@
     }
     const bool goes_on = pace->round == told->round;
     const uint64_t before = goes_on ? pace->percent : 0;
-    const int64_t spanMs = told->percentMs - (goes_on ? pace->ran_ms : 0);
+    const int64_t span_ms = told->percentMs - (goes_on ? pace->ran_ms : 0);
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
     pace->round = told->round;
     paces->moves += more > 0;
     /* a round that goes on from what an earlier one saved begins with that */
     if (goes_on && pacesCredible(paces))
-        workerTake(core, worker, told, more, spanMs);
-    pace->perMs = goes_on && spanMs > 0 ? more / (double)spanMs : 0;
+        workerTake(core, worker, told, more, span_ms);
+    pace->perMs = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
     if (!goes_on || more > 0)
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -13,7 +13,7 @@
     const bool ready = known && row != NULL && liveRowReady(row, loop_now_ms(core->loop)) && !worker->excluded &&
                        !table_drained(core->table, worker->zone) && !scoreRests(core, worker->name);
     const Room none = {0};
-    return ready ? roomLess(worker->room, row->others) : none;
+    return ready ? room_less(worker->room, row->others) : none;
 }
 
 /* Workers that may be given work have their free room; the others have none,
@@ -24,31 +24,31 @@
     const Worker **workers;
     const size_t count = table_workers(core->table, pass->mem, &workers);
     pass->input.workers = talloc_array(pass->mem, PlanWorker, (unsigned)count);
-    pass->input.workerCount = count;
+    pass->input.worker_count = count;
     pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
         Room strays;
         const Room room = roomNow(core, worker, &strays);
-        const Room used = roomMore(strays, table_used_on(core->table, worker->name));
+        const Room used = room_more(strays, table_used_on(core->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
                                               .rack = worker->rack,
                                               .kind = worker->kind,
                                               .labels = worker->labels,
-                                              .labelCount = worker->labelsCount,
+                                              .label_count = worker->labelsCount,
                                               .room = room,
-                                              .free = roomLess(room, used),
+                                              .free = room_less(room, used),
                                               .penalty = scoreRate(core, worker->name) * 10};
-        pass->speeds[i] = guessSpeed(core->guesses, worker->name, loop_now_ms(core->loop));
-        pass->fleet = roomMore(pass->fleet, room);
+        pass->speeds[i] = guess_speed(core->guesses, worker->name, loop_now_ms(core->loop));
+        pass->fleet = room_more(pass->fleet, room);
     }
-    pass->largest = planLargest(pass->input.workers, count);
+    pass->largest = plan_largest(pass->input.workers, count);
 }
 
 size_t passPlace(const Pass *pass, const char *worker)
 {
-    size_t low = 0, high = pass->input.workerCount;
+    size_t low = 0, high = pass->input.worker_count;
     while (low < high) { /* they are in the order of their names */
         const size_t middle = (low + high) / 2;
         const int order = strcmp(pass->input.workers[middle].name, worker);
@@ -76,7 +76,7 @@
     workersFind(pass);
     pass->sight = (QueueSight){.table = core->table,
                                .config = pass->config,
-                               .configStamp = core->configStamp,
+                               .config_stamp = core->config_stamp,
                                .fleet = pass->fleet,
                                .clock = pass->clock,
                                .policy = corePolicy,
@@ -88,7 +88,7 @@
 {
     Core *core = pass->core;
     pushableCount(pass);
-    for (size_t i = 0; i < pass->input.workerCount; i++) {
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
         const size_t count = table_on(core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -7,24 +7,24 @@
 PlanNeed passNeed(const Job *job, uint64_t step)
 {
     const StepSpec *spec = &job->spec.steps[step];
-    return (PlanNeed){spec->room, queueKind(job, step), spec->labels, spec->labelsCount};
+    return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labelsCount};
 }
 
 void passCount(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
 {
     PlanInput *input = &pass->input;
-    if (input->taskCount == pass->taskRoom) {
+    if (input->task_count == pass->taskRoom) {
         pass->taskRoom = pass->taskRoom ? pass->taskRoom * 2 : 64;
         input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->taskRoom);
     }
-    input->tasks[input->taskCount++] = (PlanTask){*need, worker, pushableCell(pass, spec)};
+    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushableCell(pass, spec)};
 }
 
 bool passHolds(Pass *pass)
 {
     pass->checks++;
     pass->core->counts.planChecks++;
-    const bool holds = planAlwaysPossible(&pass->input, NULL);
+    const bool holds = plan_always_possible(&pass->input, NULL);
     if (!holds)
         pass->core->counts.planRefusals++;
     return holds;
@@ -36,17 +36,17 @@
     const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, candidate->job->spec.tenant) : NULL;
     if (tenant == NULL)
         return true; /* accepted before the tenant was taken out of the configuration: it runs */
-    Room want = lineTenantUses(pass->line, candidate->job);
+    Room want = line_tenant_uses(pass->line, candidate->job);
     for (size_t i = 0; i < candidate->count; i++)
-        want = roomMore(want, step->room);
+        want = room_more(want, step->room);
     return (tenant->quota.cpu_milli == 0 || want.cpu_milli <= tenant->quota.cpu_milli) &&
            (tenant->quota.mem_mb == 0 || want.mem_mb <= tenant->quota.mem_mb) &&
            (tenant->quota.gpu == 0 || want.gpu <= tenant->quota.gpu);
 }
 
 /* The members of a gang go on from the same place, under the same number. */
-static void placeAdd(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t round,
-                     const char *saved, bool assured)
+static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t round,
+                      const char *saved, bool assured)
 {
     if (pass->places.placements_count == pass->placeRoom) {
         pass->placeRoom = pass->placeRoom ? pass->placeRoom * 2 : 32;
@@ -55,7 +55,7 @@
         pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->placeRoom);
     }
     const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[worker].name);
-    const size_t task = candidateTask(candidate, member);
+    const size_t task = candidate_task(candidate, member);
     pass->placed[pass->placedCount++] = (Placed){candidate->job, task, worker};
     pass->places.placements[pass->places.placements_count++] = (Placement){
         .job = candidate->job->spec.id,
@@ -72,7 +72,7 @@
 {
     for (size_t i = 0; i < count; i++) {
         PlanWorker *worker = &pass->input.workers[where[i]];
-        worker->free = roomMore(worker->free, step->room);
+        worker->free = room_more(worker->free, step->room);
         sightAdd(pass, (size_t)where[i], -1);
     }
 }
@@ -85,7 +85,7 @@
     const StepSpec *step = &candidate->job->spec.steps[candidate->job->tasks[candidate->first].step];
     *percent = 100;
     for (size_t i = 0; i < candidate->count; i++) {
-        const int at = chooseFor(pass, candidate->job, candidateTask(candidate, i), need, excluded, rack);
+        const int at = chooseFor(pass, candidate->job, candidate_task(candidate, i), need, excluded, rack);
         if (at < 0) {
             takeBack(pass, step, where, i);
             return false;
@@ -93,7 +93,7 @@
         const uint64_t its = chooseFarPercent(pass, step, (size_t)at);
         if (its > *percent)
             *percent = its;
-        pass->input.workers[at].free = roomLess(pass->input.workers[at].free, step->room);
+        pass->input.workers[at].free = room_less(pass->input.workers[at].free, step->room);
         sightAdd(pass, (size_t)at, 1);
         where[i] = at;
     }
@@ -109,7 +109,7 @@
     if (candidate->count > 1 && step->same_rack) {
         if (step->near[0] != '\0' && chooseAll(pass, candidate, need, excluded, step->near, where, percent))
             return true;
-        for (size_t i = 0; i < pass->input.workerCount; i++) {
+        for (size_t i = 0; i < pass->input.worker_count; i++) {
             const char *rack = pass->input.workers[i].rack;
             bool seen = rack[0] == '\0' || strcmp(rack, step->near) == 0;
             for (size_t k = 0; k < i && !seen; k++)
@@ -128,12 +128,12 @@
         return pass->core->planHolds;
     if (pass->checks >= pass->checksMax)
         return false;
-    const size_t before = pass->input.taskCount;
+    const size_t before = pass->input.task_count;
     for (size_t i = 0; i < candidate->count; i++)
         passCount(pass, &candidate->job->spec, need, (size_t)where[i]);
     const bool holds = passHolds(pass);
     if (!holds)
-        pass->input.taskCount = before;
+        pass->input.task_count = before;
     return holds;
 }
 
@@ -142,7 +142,7 @@
     uint64_t round = 0;
     const char *saved = "";
     for (size_t i = 0; i < candidate->count; i++) {
-        const JobTask *task = &candidate->job->tasks[candidateTask(candidate, i)];
+        const JobTask *task = &candidate->job->tasks[candidate_task(candidate, i)];
         if (task->round >= round)
             round = task->round + 1;
         /* of a round that was lost with its worker the beats alone have told */
@@ -152,7 +152,7 @@
             saved = told[0] != '\0' ? told : task->saved;
     }
     for (size_t i = 0; i < candidate->count; i++) {
-        placeAdd(pass, candidate, i, (size_t)where[i], round, saved, assured);
+        place_add(pass, candidate, i, (size_t)where[i], round, saved, assured);
     }
     if (candidate->job->spec.protection == PROTECTION_PROTECTED && !assured)
         pass->core->counts.unassured += candidate->count;
@@ -163,7 +163,7 @@
 static bool knownFull(const Pass *pass, const PlanNeed *need)
 {
     for (size_t i = 0; i < pass->fullCount; i++)
-        if (roomFits(pass->full[i].room, need->room) && strcmp(pass->full[i].kind, need->kind) == 0)
+        if (room_fits(pass->full[i].room, need->room) && strcmp(pass->full[i].kind, need->kind) == 0)
             return true;
     return false;
 }
@@ -171,7 +171,7 @@
 static void fullAdd(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool kept)
 {
     /* what asks for more than room may fail where another finds some */
-    if (kept || step->apart > 0 || need->labelCount > 0 || candidate->count > 1 || pass->fullCount == FULL_MOST)
+    if (kept || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->fullCount == FULL_MOST)
         return;
     pass->full[pass->fullCount++] = *need;
 }
@@ -186,7 +186,7 @@
     const PlanNeed need = passNeed(candidate->job, stepAt);
     void *mem = talloc_new(pass->mem);
     int *where = talloc_array(mem, int, (unsigned)candidate->count);
-    bool *excluded = talloc_zero_array(mem, bool, (unsigned)pass->input.workerCount);
+    bool *excluded = talloc_zero_array(mem, bool, (unsigned)pass->input.worker_count);
     const bool kept = keptFrom(pass, candidate, excluded), full = knownFull(pass, &need);
     uint64_t percent = 100;
     const bool found = !full && chooseRacks(pass, candidate, &need, excluded, where, &percent);
@@ -203,7 +203,7 @@
         assured = assures(pass, candidate, &need, where);
         /* accepted work is not kept waiting for a plan without end */
         if (!assured && pass->asks)
-            fits = candidate->restart || pass->clock.logMs - candidate->since_ms >= ASSURE_WAIT_MS;
+            fits = candidate->restart || pass->clock.log_ms - candidate->since_ms >= ASSURE_WAIT_MS;
     }
     if (fits)
         placeAll(pass, candidate, where, assured);
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -26,14 +26,14 @@
     core->planLookMs = now_ms + PLAN_LOOK_MS;
     passTasks(pass);
     /* one look costs about losses times (tasks and workers) */
-    const size_t each = pass->input.workerCount * (pass->input.taskCount + pass->input.workerCount) + 1;
+    const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
     pass->checksMax = PLAN_WORK_MAX / each;
     if (pass->checksMax > PLAN_CHECKS_MAX)
         pass->checksMax = PLAN_CHECKS_MAX;
     if (pass->checksMax < PLAN_CHECKS_LEAST)
         pass->checksMax = PLAN_CHECKS_LEAST;
     PlanBreak broken = {LOSS_WORKER, ""};
-    core->planHolds = planAlwaysPossible(&pass->input, &broken);
+    core->planHolds = plan_always_possible(&pass->input, &broken);
     core->brokenByLoss = broken.loss;
     snprintf(core->brokenBy, sizeof(core->brokenBy), "%s", broken.name);
 }
@@ -49,23 +49,23 @@
 
 void passPlaces(Pass *pass)
 {
-    pass->line = lineNew(pass->mem, pass->core->queue, &pass->sight);
+    pass->line = line_new(pass->mem, pass->core->queue, &pass->sight);
     policiesLook(pass->core);
     keptBegin(pass);
     const Candidate *candidate;
-    while (pass->places.placements_count < PLACE_BATCH && (candidate = lineNext(pass->line)) != NULL)
+    while (pass->places.placements_count < PLACE_BATCH && (candidate = line_next(pass->line)) != NULL)
         if (placeOne(pass, candidate))
-            linePlaced(pass->line);
+            line_placed(pass->line);
         else
-            lineStuck(pass->line);
-    if (lineNextMs(pass->line) < pass->next_ms)
-        pass->next_ms = lineNextMs(pass->line);
+            line_stuck(pass->line);
+    if (line_next_ms(pass->line) < pass->next_ms)
+        pass->next_ms = line_next_ms(pass->line);
 }
 
 /* So long until the next pass: one takes time by what it looks at. */
 static int64_t gapMs(const Pass *pass)
 {
-    const int64_t looks = (int64_t)(pass->input.workerCount + lineCount(pass->line));
+    const int64_t looks = (int64_t)(pass->input.worker_count + line_count(pass->line));
     const int64_t wait_ms = PASS_GAP_MS + looks / PASS_GAP_LOOKS;
     return wait_ms < PASS_GAP_MOST_MS ? wait_ms : PASS_GAP_MOST_MS;
 }
@@ -85,8 +85,8 @@
     planLook(pass);
     passPlaces(pass);
     core->passGapMs = gapMs(pass);
-    if (pass->next_ms < pass->clock.logMs + PLACE_TICK_MS)
-        *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.logMs;
+    if (pass->next_ms < pass->clock.log_ms + PLACE_TICK_MS)
+        *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.log_ms;
     const bool more = pass->places.placements_count >= PLACE_BATCH;
     ChangeResult result;
     if (pass->places.placements_count > 0) {
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -61,7 +61,7 @@
     if (cells == 0)
         return;
     input->cell_count = cells;
-    input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->workerCount));
+    input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->worker_count));
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
     size_t looks = 0;
@@ -84,15 +84,15 @@
                 /* a worker that is given nothing has no room to be had either */
                 if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
                     continue;
-                const PolicySight other = queueSee(core->queue, &pass->sight, jobs[j], t);
+                const PolicySight other = queue_see(core->queue, &pass->sight, jobs[j], t);
                 bool all = true;
                 for (size_t i = 0; i < speakers.count && all; i++, looks++) {
-                    const PolicySight mine = queueSee(core->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
+                    const PolicySight mine = queue_see(core->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
                     all = policy->may_push(policy->arg, &mine, &other);
                 }
-                Room *room = &input->pushable[(place - 1) * input->workerCount + at];
+                Room *room = &input->pushable[(place - 1) * input->worker_count + at];
                 if (all)
-                    *room = roomMore(*room, jobs[j]->spec.steps[task->step].room);
+                    *room = room_more(*room, jobs[j]->spec.steps[task->step].room);
             }
         }
     }
@@ -116,12 +116,12 @@
     if (candidate->count != 1 || pass->pushLooks >= PUSH_LOOKS_MAX)
         return;
     const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicySight mine = queueSee(core->queue, &pass->sight, candidate->job, candidate->first);
+    const PolicySight mine = queue_see(core->queue, &pass->sight, candidate->job, candidate->first);
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
-    for (size_t w = 0; w < pass->input.workerCount; w++) {
+    for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
-        if (!planAble(worker, &need) || !roomFits(need.room, worker->room))
+        if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
         Room free = worker->free;
         RoundId victims[PUSH_TASKS_MAX];
@@ -131,29 +131,29 @@
         for (size_t i = 0; i < onCount; i++) {
             const JobTask *task = &on[i].job->tasks[on[i].task];
             if (task->phase == TASK_STOPPING)
-                free = roomMore(free, on[i].job->spec.steps[task->step].room);
+                free = room_more(free, on[i].job->spec.steps[task->step].room);
         }
-        if (roomFits(need.room, free))
+        if (room_fits(need.room, free))
             return; /* it is on its way */
-        for (size_t j = count; j > 0 && !roomFits(need.room, free) && looked < PUSH_TASKS_MAX; j--) {
+        for (size_t j = count; j > 0 && !room_fits(need.room, free) && looked < PUSH_TASKS_MAX; j--) {
             const Job *job = jobs[j - 1];
             if (strcmp(job->spec.cell, candidate->job->spec.cell) != 0 || job == candidate->job)
                 continue;
-            for (size_t t = 0; t < job->tasks_count && !roomFits(need.room, free) && looked < PUSH_TASKS_MAX; t++) {
+            for (size_t t = 0; t < job->tasks_count && !room_fits(need.room, free) && looked < PUSH_TASKS_MAX; t++) {
                 const JobTask *task = &job->tasks[t];
                 if (task->phase != TASK_RUNNING || strcmp(task->worker, worker->name) != 0)
                     continue;
-                const PolicySight other = queueSee(core->queue, &pass->sight, job, t);
+                const PolicySight other = queue_see(core->queue, &pass->sight, job, t);
                 looked++;
                 pass->pushLooks++;
                 if (!policy->may_push(policy->arg, &mine, &other))
                     continue;
                 victims[victimCount++] =
                     (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
-                free = roomMore(free, job->spec.steps[task->step].room);
+                free = room_more(free, job->spec.steps[task->step].room);
             }
         }
-        if (!roomFits(need.room, free))
+        if (!room_fits(need.room, free))
             continue;
         pass->pushes.rounds = talloc_memdup(pass->mem, victims, victimCount * sizeof(*victims));
         pass->pushes.rounds_count = victimCount;
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -9,7 +9,7 @@
 
 static int64_t priorityOf(Pass *pass, const Job *job, size_t task)
 {
-    return queueSee(pass->core->queue, &pass->sight, job, task).queue_priority;
+    return queue_see(pass->core->queue, &pass->sight, job, task).queue_priority;
 }
 
 static bool mostUrgent(const Pass *pass, const Job *job, int64_t priority)
@@ -32,7 +32,7 @@
         priorityOf(pass, job, on->task) >= priority)
         return -1;
     /* what keeps its progress saves once more when it is stopped */
-    const int64_t lostMs = step->saves ? 0 : pass->clock.logMs - task->changed_ms;
+    const int64_t lostMs = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
     return (lostMs + PUSH_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
 }
 
@@ -50,7 +50,7 @@
     const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *push = (Push){.count = 0};
-    while (!roomFits(need, free) && push->count < PUSH_VICTIMS_MOST) {
+    while (!room_fits(need, free) && push->count < PUSH_VICTIMS_MOST) {
         size_t best = count;
         int64_t bestCost = 0;
         for (size_t i = 0; i < count; i++) {
@@ -64,31 +64,31 @@
             break;
         const JobTask *task = &on[best].job->tasks[on[best].task];
         taken[best] = true;
-        free = roomMore(free, on[best].job->spec.steps[task->step].room);
+        free = room_more(free, on[best].job->spec.steps[task->step].room);
         push->cost += bestCost;
         push->rounds[push->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
     }
     talloc_free(taken);
-    return roomFits(need, free);
+    return room_fits(need, free);
 }
 
 void pushAim(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
-    if (candidate->spanMs <= 0 || candidate->count != 1 || candidate->slackMs >= PUSH_SLACK_MS ||
-        candidate->slackMs < -candidate->guessMs / 2 || loop_now_ms(core->loop) < core->pushFromMs)
+    if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PUSH_SLACK_MS ||
+        candidate->slack_ms < -candidate->guess_ms / 2 || loop_now_ms(core->loop) < core->pushFromMs)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priorityOf(pass, candidate->job, candidate->first);
     if (!mostUrgent(pass, candidate->job, priority))
         return;
     const PlanNeed need = passNeed(candidate->job, task->step);
-    const int64_t most = PUSH_COST * candidate->guessMs * (int64_t)need.room.cpu_milli / 1000;
+    const int64_t most = PUSH_COST * candidate->guess_ms * (int64_t)need.room.cpu_milli / 1000;
     Push best = {.count = 0};
     core->pushFromMs = loop_now_ms(core->loop) + PUSH_GAP_MS;
-    for (size_t w = 0; w < pass->input.workerCount; w++) {
+    for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
-        if (!planAble(worker, &need) || !roomFits(need.room, worker->room))
+        if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
         if (soonestMs(pass, w, need.room) <= PUSH_TAKES_MS)
             return; /* it has room before anybody could be out of the way */
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -36,11 +36,11 @@
     Trying trying = {core, cell, policy};
     pass->sight.policy = policyTried;
     pass->sight.arg = &trying;
-    Line *line = lineNew(pass, core->queue, &pass->sight);
+    Line *line = line_new(pass, core->queue, &pass->sight);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready = 0;
     const Candidate *candidate;
-    for (; (candidate = lineNext(line)) != NULL; linePlaced(line)) {
+    for (; (candidate = line_next(line)) != NULL; line_placed(line)) {
         if (strcmp(candidate->job->spec.cell, cell) != 0 || ++ready > limit)
             continue;
         json_object *one = json_object_new_object();
--- a/packages/core/src/reserve.c
+++ b/packages/core/src/reserve.c
@@ -12,7 +12,7 @@
 /* The parts of the room that are free, in thousandths of what is needed: the least of them. */
 static uint64_t nearTo(Room need, Room free)
 {
-    const uint64_t most = roomShare(need, free);
+    const uint64_t most = room_share(need, free);
     return free.cpu_milli == 0 && free.mem_mb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
 }
 
@@ -20,9 +20,9 @@
 {
     int best = -1;
     uint64_t bestNear = 0;
-    for (size_t i = 0; i < pass->input.workerCount; i++) {
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
-        if (excluded[i] || taken[i] || !planAble(worker, need) || !roomFits(need->room, worker->room))
+        if (excluded[i] || taken[i] || !plan_able(worker, need) || !room_fits(need->room, worker->room))
             continue;
         const uint64_t near = nearTo(need->room, worker->free);
         if (best < 0 || near > bestNear) {
@@ -35,22 +35,22 @@
 
 void reserveFor(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded)
 {
-    if (candidate->slackMs >= RESERVE_SLACK_MS || candidate->slackMs < -candidate->guessMs ||
-        candidate->count > pass->input.workerCount)
+    if (candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->guess_ms ||
+        candidate->count > pass->input.worker_count)
         return;
     Room all = pass->reserved;
     for (size_t i = 0; i < candidate->count; i++)
-        all = roomMore(all, need->room);
-    if (roomShare(all, pass->fleet) > 1000 / RESERVE_SHARE)
+        all = room_more(all, need->room);
+    if (room_share(all, pass->fleet) > 1000 / RESERVE_SHARE)
         return;
     pass->reserved = all;
-    bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.workerCount);
+    bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     for (size_t i = 0; i < candidate->count; i++) {
         const int at = nearest(pass, need, excluded, taken);
         if (at < 0)
             break;
         taken[at] = true; /* another member looks elsewhere: two seldom find room in one place */
-        pass->input.workers[at].free = roomLess(pass->input.workers[at].free, need->room);
+        pass->input.workers[at].free = room_less(pass->input.workers[at].free, need->room);
     }
     talloc_free(taken);
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -129,7 +129,7 @@
 uint64_t scoreFarPercent(const Core *core, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
-    return far ? (uint64_t)core->props->bounds.farPercent : 100;
+    return far ? (uint64_t)core->props->bounds.far_percent : 100;
 }
 
 static void guessTake(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
@@ -140,8 +140,8 @@
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        guessesEnd(core->guesses, job, task->step, news->worker, ran_ms, scoreFarPercent(core, worker, step),
-                   loop_now_ms(core->loop));
+        guesses_end(core->guesses, job, task->step, news->worker, ran_ms, scoreFarPercent(core, worker, step),
+                    loop_now_ms(core->loop));
 }
 
 void scoreStill(Core *core, const char *worker, const Job *job)
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -44,14 +44,14 @@
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
-    const int64_t guess = guessMs(core->guesses, job, task->step);
+    const int64_t guess = guess_ms(core->guesses, job, task->step);
     if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || guess <= 0 ||
         task->round >= SLOW_ROUNDS_MOST)
         return false;
     const Worker *its = table_worker(core->table, task->worker);
     const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
-    going->wholeMs = (double)guess * (double)far / 100 * (double)guessPace(core->guesses) / 1000;
+    going->wholeMs = (double)guess * (double)far / 100 * (double)guess_pace(core->guesses) / 1000;
     const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
     if (pace == NULL)
         return false;
@@ -74,9 +74,9 @@
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
     Aim aim;
-    aimFind(job, queueDueMs(job, task->turn, pass->clock), pass->core->guesses, (Room){0}, &aim);
-    const int64_t slackMs = aimSlackMs(&aim, task->step, pass->clock.logMs);
-    return aim.spanMs > 0 && (double)slackMs + (double)aim.taskMs[task->step] >= going->leftMs;
+    aim_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->guesses, (Room){0}, &aim);
+    const int64_t slack_ms = aim_slack_ms(&aim, task->step, pass->clock.log_ms);
+    return aim.span_ms > 0 && (double)slack_ms + (double)aim.task_ms[task->step] >= going->leftMs;
 }
 
 /* Another worker with room for it now; -1: none, or none that would be done sooner. */
@@ -84,7 +84,7 @@
 {
     const JobTask *task = &going->job->tasks[going->task];
     const PlanNeed need = passNeed(going->job, task->step);
-    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.workerCount);
+    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     excluded[going->worker] = true;
     const int at = chooseFor(pass, going->job, going->task, &need, excluded, NULL);
     talloc_free(excluded);
@@ -96,7 +96,7 @@
 
 void slowFind(Pass *pass, StopList *list)
 {
-    for (size_t i = 0; i < pass->input.workerCount; i++) {
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
         const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -10,7 +10,7 @@
     const Core *core = pass->core;
     if (task->phase == TASK_STOPPING)
         return STOP_TAKES_MS;
-    const int64_t guess = guessMs(core->guesses, job, task->step);
+    const int64_t guess = guess_ms(core->guesses, job, task->step);
     if (guess <= 0 || job->spec.lasting)
         return INT64_MAX;
     const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
@@ -23,7 +23,7 @@
     const StepSpec *step = &job->spec.steps[task->step];
     const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
     const int64_t wholeMs = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
-    const int64_t ran_ms = pass->clock.logMs - task->changed_ms;
+    const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
     return wholeMs - ran_ms > wholeMs / 8 ? wholeMs - ran_ms : wholeMs / 8 + ENDS_LEAST_MS;
 }
@@ -42,7 +42,7 @@
 int64_t soonestMs(const Pass *pass, size_t worker, Room need)
 {
     Room free = pass->input.workers[worker].free;
-    if (roomFits(need, free))
+    if (room_fits(need, free))
         return 0;
     const TaskOn *on;
     const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
@@ -54,8 +54,8 @@
     qsort(ends, count, sizeof(*ends), endOrder);
     int64_t leftMs = INT64_MAX;
     for (size_t i = 0; i < count && leftMs == INT64_MAX && ends[i].leftMs < INT64_MAX; i++) {
-        free = roomMore(free, ends[i].room);
-        if (roomFits(need, free))
+        free = room_more(free, ends[i].room);
+        if (room_fits(need, free))
             leftMs = ends[i].leftMs;
     }
     talloc_free(ends);
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -103,7 +103,7 @@
         }
         json_object_object_add(one, "holdLeftMs",
                                numberOf(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
-        for (size_t k = 0; k < input.workerCount; k++)
+        for (size_t k = 0; k < input.worker_count; k++)
             if (strcmp(input.workers[k].name, rows[i]->name) == 0) {
                 json_object_object_add(one, "room", showRoom(input.workers[k].room));
                 json_object_object_add(one, "free", showRoom(input.workers[k].free));
@@ -153,7 +153,7 @@
     json_object_object_add(plan, "holds", json_object_new_boolean(core->planHolds));
     if (!core->planHolds) {
         json_object *broken = json_object_new_object();
-        json_object_object_add(broken, "loss", text_of(lossWord(core->brokenByLoss)));
+        json_object_object_add(broken, "loss", text_of(loss_word(core->brokenByLoss)));
         json_object_object_add(broken, "name", text_of(core->brokenBy));
         json_object_object_add(plan, "brokenBy", broken);
     }
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -10,7 +10,7 @@
         return false;
     if (at >= 0) {
         PlanWorker *to = &pass->input.workers[at];
-        to->free = roomLess(to->free, job->spec.steps[job->tasks[task].step].room);
+        to->free = room_less(to->free, job->spec.steps[job->tasks[task].step].room);
     }
     if (list->rounds == NULL)
         list->rounds = talloc_array(pass->mem, RoundId, STOPS_MOST > LEAVE_STOPS_MOST ? STOPS_MOST : LEAVE_STOPS_MOST);
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -37,18 +37,18 @@
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
     const PlanInput input = plannerInput(way->core, way->mem);
-    for (size_t i = 0; i < input.workerCount; i++)
+    for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, way->name) == 0)
             input.workers[i].free = (Room){0};
     PlanBreak broken = {LOSS_WORKER, ""};
-    const bool holds = planAlwaysPossible(&input, &broken);
+    const bool holds = plan_always_possible(&input, &broken);
     json_object_object_add(body, "planHoldsWithoutIt", json_object_new_boolean(holds));
     if (!holds)
         json_object_object_add(
             body, "warning",
             json_object_new_string(
                 talloc_asprintf(way->mem, "with this zone empty, the loss of %s %s leaves protected work without room",
-                                lossWord(broken.loss), broken.name)));
+                                loss_word(broken.loss), broken.name)));
     showResult(way->task, 200, body);
 }
 
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -128,7 +128,7 @@
 /* Nodes. */
 Node *nodeAdd(Explore *explore);
 void nodeStart(Node *node);
-void nodeStartLater(Node *node, int64_t afterMs);
+void nodeStartLater(Node *node, int64_t after_ms);
 void nodeKill(Node *node, bool power);
 void nodeWipe(Node *node);
 void nodeLeave(Node *node);
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -155,9 +155,9 @@
     nodeStart(arg);
 }
 
-void nodeStartLater(Node *node, int64_t afterMs)
+void nodeStartLater(Node *node, int64_t after_ms)
 {
-    simAt(node->explore->world, sim_now_ms(node->explore->world) + afterMs, startLater, node);
+    simAt(node->explore->world, sim_now_ms(node->explore->world) + after_ms, startLater, node);
 }
 
 void nodeKill(Node *node, bool power)
--- a/packages/feed/include/feed/keeper.h
+++ b/packages/feed/include/feed/keeper.h
@@ -16,8 +16,8 @@
  * its payload, are at most KEEPER_BYTES_MAX. */
 typedef struct Keeper Keeper;
 
-/* spanMs 0: nothing is kept. */
-Keeper *keeperNew(void *mem, Loop *loop, int64_t spanMs);
+/* span_ms 0: nothing is kept. */
+Keeper *keeperNew(void *mem, Loop *loop, int64_t span_ms);
 void keeperKeep(Keeper *keeper, const KeepItem *items, size_t count);
 /* All that is kept, on mem. */
 void keeperTell(Keeper *keeper, void *mem, uint64_t configHave, KeepList *list);
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -13,7 +13,7 @@
 
 struct Keeper {
     Loop *loop;
-    int64_t spanMs;
+    int64_t span_ms;
     Kept *first, *last;
     GHashTable *known; /* to itself; the same is kept once */
     size_t bytes;
@@ -37,11 +37,11 @@
     return 0;
 }
 
-Keeper *keeperNew(void *mem, Loop *loop, int64_t spanMs)
+Keeper *keeperNew(void *mem, Loop *loop, int64_t span_ms)
 {
     Keeper *keeper = talloc_zero(mem, Keeper);
     keeper->loop = loop;
-    keeper->spanMs = spanMs;
+    keeper->span_ms = span_ms;
     keeper->known = g_hash_table_new(itemHash, itemEqual);
     talloc_set_destructor(keeper, keeperFree);
     return keeper;
@@ -56,7 +56,7 @@
 {
     const int64_t now_ms = loop_now_ms(keeper->loop);
     while (keeper->first != NULL &&
-           (now_ms - keeper->first->at_ms > keeper->spanMs || keeper->bytes > KEEPER_BYTES_MAX)) {
+           (now_ms - keeper->first->at_ms > keeper->span_ms || keeper->bytes > KEEPER_BYTES_MAX)) {
         Kept *kept = keeper->first;
         keeper->first = kept->next;
         if (keeper->first == NULL)
@@ -69,7 +69,7 @@
 
 void keeperKeep(Keeper *keeper, const KeepItem *items, size_t count)
 {
-    for (size_t i = 0; i < count && keeper->spanMs > 0; i++) {
+    for (size_t i = 0; i < count && keeper->span_ms > 0; i++) {
         if (g_hash_table_contains(keeper->known, &items[i]))
             continue;
         Kept *kept = talloc_zero(keeper, Kept);
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -10,44 +10,44 @@
 /* A deployment as its owners describe it: machines, workers, what is handed in,
  * and the bounds that the rules speak of. Spans and counts, units in the names.
  * X(name, default, meaning) */
-#define SITE_LIST(X)                                                                                      \
-    X(zones, "zones", 3, "zones")                                                                         \
-    X(cores, "cores", 3, "machines at the edge with a disk, over the zones in turn")                      \
-    X(gates, "gates", 3, "machines at the edge without one")                                              \
-    X(spares, "spares", 2, "empty machines that may take a core's place")                                 \
-    X(hands, "hands", 11, "workers, an agent beside each")                                                \
-    X(rackHands, "rackHands", 3, "workers of a rack")                                                     \
-    X(handCpuMilli, "handCpuMilli", 64000, "room of a worker")                                            \
-    X(handMemMb, "handMemMb", 131072, "... and its memory")                                               \
-    X(guards, "guards", 0, "1: workers turn away what does not fit")                                      \
-    X(losses, "losses", 1, "disk machines that may be lost at once")                                      \
-    X(linkMs, "linkMs", 2, "the most that a message takes one way")                                       \
-    X(slowPercent, "slowPercent", 2, "a worker's steady clock may be so much slow")                       \
-    X(leadMs, "leadMs", 10000, "from the machines' start to the first job")                               \
-    X(trafficMs, "trafficMs", 34000, "jobs are handed in for so long")                                    \
-    X(finishMs, "finishMs", 14000, "... and asked for so long after it")                                  \
-    X(callerWaitMs, "callerWaitMs", 3000, "a caller waits so long for an answer")                         \
-    X(callerTries, "callerTries", 4, "... and tries so often again")                                      \
-    X(contactMs, "contactMs", 3000, "a machine is in touch after so long without trouble")                \
-    X(ackMs, "ackMs", 4000, "an order of the operator is acknowledged within this")                       \
-    X(sync_ms, "syncMs", 4000, "a loss counts for so long after the machine's return")                    \
-    X(drainMs, "drainMs", 2000, "a worker that leaves gets nothing new after this")                       \
-    X(grace_ms, "graceMs", 6000, "from the polite stop to the end by force")                              \
-    X(applyMs, "applyMs", 2000, "a document is in force everywhere within this")                          \
-    X(revertMs, "revertMs", 250, "a machine that has shown it does not go back after this")               \
-    X(evacMs, "evacMs", 5000, "an emptied zone gets nothing new after this")                              \
-    X(recoverMs, "recoverMs", 12000, "all served again within this after the closing fault")              \
-    X(holdMaxMs, "holdMaxMs", 10000, "a longer hold is cut to this")                                      \
-    X(stopMs, "stopMs", 200, "a worker stops a round within this")                                        \
-    X(gangMs, "gangMs", 3000, "a gang's members wait so long for the others")                             \
-    X(cancelMs, "cancelMs", 3000, "nothing of a cancelled job starts after this")                         \
-    X(visibleMs, "visibleMs", 3000, "an accepted job is known everywhere after this")                     \
-    X(earlyMs, "earlyMs", 250, "a turn may begin so early")                                               \
-    X(statusMs, "statusMs", 120000, "an ended job is known for so long")                                  \
-    X(farPercent, "farPercent", 150, "away from its data, or over racks, work takes so much of its time") \
-    X(saveMs, "saveMs", 1000, "progress is saved after each so much of work")                             \
-    X(restoreMs, "restoreMs", 250, "work that goes on from what was saved begins after this")             \
-    X(beatMs, "beatMs", 1500, "a worker beats at least this often")                                       \
+#define SITE_LIST(X)                                                                                       \
+    X(zones, "zones", 3, "zones")                                                                          \
+    X(cores, "cores", 3, "machines at the edge with a disk, over the zones in turn")                       \
+    X(gates, "gates", 3, "machines at the edge without one")                                               \
+    X(spares, "spares", 2, "empty machines that may take a core's place")                                  \
+    X(hands, "hands", 11, "workers, an agent beside each")                                                 \
+    X(rackHands, "rackHands", 3, "workers of a rack")                                                      \
+    X(handCpuMilli, "handCpuMilli", 64000, "room of a worker")                                             \
+    X(handMemMb, "handMemMb", 131072, "... and its memory")                                                \
+    X(guards, "guards", 0, "1: workers turn away what does not fit")                                       \
+    X(losses, "losses", 1, "disk machines that may be lost at once")                                       \
+    X(linkMs, "linkMs", 2, "the most that a message takes one way")                                        \
+    X(slowPercent, "slowPercent", 2, "a worker's steady clock may be so much slow")                        \
+    X(leadMs, "leadMs", 10000, "from the machines' start to the first job")                                \
+    X(trafficMs, "trafficMs", 34000, "jobs are handed in for so long")                                     \
+    X(finishMs, "finishMs", 14000, "... and asked for so long after it")                                   \
+    X(callerWaitMs, "callerWaitMs", 3000, "a caller waits so long for an answer")                          \
+    X(callerTries, "callerTries", 4, "... and tries so often again")                                       \
+    X(contactMs, "contactMs", 3000, "a machine is in touch after so long without trouble")                 \
+    X(ackMs, "ackMs", 4000, "an order of the operator is acknowledged within this")                        \
+    X(sync_ms, "syncMs", 4000, "a loss counts for so long after the machine's return")                     \
+    X(drainMs, "drainMs", 2000, "a worker that leaves gets nothing new after this")                        \
+    X(grace_ms, "graceMs", 6000, "from the polite stop to the end by force")                               \
+    X(applyMs, "applyMs", 2000, "a document is in force everywhere within this")                           \
+    X(revertMs, "revertMs", 250, "a machine that has shown it does not go back after this")                \
+    X(evacMs, "evacMs", 5000, "an emptied zone gets nothing new after this")                               \
+    X(recoverMs, "recoverMs", 12000, "all served again within this after the closing fault")               \
+    X(holdMaxMs, "holdMaxMs", 10000, "a longer hold is cut to this")                                       \
+    X(stopMs, "stopMs", 200, "a worker stops a round within this")                                         \
+    X(gangMs, "gangMs", 3000, "a gang's members wait so long for the others")                              \
+    X(cancelMs, "cancelMs", 3000, "nothing of a cancelled job starts after this")                          \
+    X(visibleMs, "visibleMs", 3000, "an accepted job is known everywhere after this")                      \
+    X(earlyMs, "earlyMs", 250, "a turn may begin so early")                                                \
+    X(statusMs, "statusMs", 120000, "an ended job is known for so long")                                   \
+    X(far_percent, "farPercent", 150, "away from its data, or over racks, work takes so much of its time") \
+    X(saveMs, "saveMs", 1000, "progress is saved after each so much of work")                              \
+    X(restoreMs, "restoreMs", 250, "work that goes on from what was saved begins after this")              \
+    X(beatMs, "beatMs", 1500, "a worker beats at least this often")                                        \
     X(deaf, "deaf", 0, "1: workers can't say that they leave")
 
 /* One kind of work that callers hand in: a queue's.
@@ -56,7 +56,7 @@
     X(perMinute, "perMinute", 60, "jobs in a minute, from all zones")                      \
     X(steps, "steps", 1, "steps of a job, at most")                                        \
     X(tasks, "tasks", 4, "tasks of a step, in the mean")                                   \
-    X(taskMs, "taskMs", 1000, "work of a task on a sound worker, in the mean")             \
+    X(task_ms, "taskMs", 1000, "work of a task on a sound worker, in the mean")            \
     X(cpu_milli, "cpuMilli", 4000, "room of a task, in the mean")                          \
     X(mem_mb, "memMb", 8000, "... and its memory")                                         \
     X(aimMs, "aimMs", 1000, "time beyond the stretched work within which it is worth all") \
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -22,8 +22,8 @@
         job->stepFirst[s] = job->eachTurn;
         job->eachTurn += (size_t)draft->steps[s].count;
     }
-    job->taskCount = job->eachTurn * (size_t)turns;
-    job->tasks = talloc_zero_array(job, BookTask, (unsigned)job->taskCount);
+    job->task_count = job->eachTurn * (size_t)turns;
+    job->tasks = talloc_zero_array(job, BookTask, (unsigned)job->task_count);
     size_t at = 0;
     for (uint64_t turn = 0; turn < turns; turn++)
         for (size_t s = 0; s < draft->stepCount; s++) {
@@ -91,7 +91,7 @@
 
 bool bookDone(const BookJob *job)
 {
-    for (size_t i = 0; i < job->taskCount; i++)
+    for (size_t i = 0; i < job->task_count; i++)
         if (!job->tasks[i].fate->done)
             return false;
     return !job->draft.lasting;
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -34,7 +34,7 @@
     size_t queue; /* of the document's first queues */
     bool poison, timed;
     BookTask *tasks;
-    size_t taskCount, eachTurn;
+    size_t task_count, eachTurn;
     size_t stepFirst[DRAFT_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not */
     const GroundNode *acceptedBy;
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -131,7 +131,7 @@
         groundTell(task->callers->ground, &job->tasks[job->stepFirst[i]].name,
                    "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
                    " ms%s%s, near %s, needs %s, apart %" PRIu64,
-                   job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->workMs,
+                   job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->work_ms,
                    step->gang ? ", gang" : "", step->same_rack ? " on a rack" : "",
                    step->near != NULL ? step->near : "-", step->needs != NULL ? step->needs : "-", step->apart);
     }
@@ -150,7 +150,7 @@
     BookJob *job = task->job;
     Ground *ground = task->callers->ground;
     bool cause = word == JOB_WORD_CANCELLED && job->cancelSentMs != 0;
-    for (size_t i = 0; i < job->taskCount; i++) {
+    for (size_t i = 0; i < job->task_count; i++) {
         cause |= word == JOB_WORD_FAILED && bookSpent(job, job->tasks[i].fate);
         if (word == JOB_WORD_DONE && !job->tasks[i].fate->done) {
             rulesBroke(ground->rules, RULE_MIXED, groundDayMs(ground),
@@ -366,10 +366,10 @@
 static bool mayRun(const Hands *hands, const BookJob *job)
 {
     const int64_t wall_ms = simWallMs(hands->ground->world);
-    for (size_t i = 0; i < job->taskCount; i++)
+    for (size_t i = 0; i < job->task_count; i++)
         if (job->tasks[i].live != NULL || bookSpent(job, job->tasks[i].fate))
             return false;
-    for (size_t i = 0; i < job->taskCount; i++) {
+    for (size_t i = 0; i < job->task_count; i++) {
         const BookTask *task = &job->tasks[i];
         const DraftStep *step = bookStep(task);
         if (!task->fate->done && wall_ms >= bookDueWallMs(job, task->name.turn) &&
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -29,7 +29,7 @@
         far |= step->near != NULL && strcmp(step->near, hand->rack) != 0;
         far |= step->same_rack && strcmp(hand->rack, crew->members[0]->hand->rack) != 0;
     }
-    crew->rate = far ? rate * 100 / site->farPercent : rate;
+    crew->rate = far ? rate * 100 / site->far_percent : rate;
 }
 
 /* Whether and where a round fails by itself: the same for the same round each time. */
@@ -69,7 +69,7 @@
         crew->hands = hands;
         crew->round = run->round;
         crew->needed = step->gang ? step->count : 1;
-        crew->workUs = job->draft.lasting ? ENDLESS_US : step->workMs * 1000;
+        crew->workUs = job->draft.lasting ? ENDLESS_US : step->work_ms * 1000;
         crew->from_ms = from_ms;
         /* bringing it back takes its time: work that was not done */
         crew->doneUs = from_ms * 1000 - (from_ms > 0 ? hands->ground->site->restoreMs * 1000 : 0);
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -171,15 +171,15 @@
         result->refused += job->refusedMs != 0;
         if (draft->lasting || draft->turns > 0 || job->poison || job->cancelSentMs != 0)
             continue;
-        int64_t chainMs[DRAFT_STEPS_MAX] = {0}, longestMs = 0;
+        int64_t chainMs[DRAFT_STEPS_MAX] = {0}, longest_ms = 0;
         for (size_t s = 0; s < draft->stepCount; s++) {
             for (size_t a = 0; a < draft->steps[s].after_count; a++)
                 if (chainMs[draft->steps[s].after[a]] > chainMs[s])
                     chainMs[s] = chainMs[draft->steps[s].after[a]];
-            chainMs[s] += draft->steps[s].workMs;
-            longestMs = chainMs[s] > longestMs ? chainMs[s] : longestMs;
+            chainMs[s] += draft->steps[s].work_ms;
+            longest_ms = chainMs[s] > longest_ms ? chainMs[s] : longest_ms;
         }
-        const int64_t aimMs = longestMs * job->kind->stretchPercent / 100 + job->kind->aimMs;
+        const int64_t aimMs = longest_ms * job->kind->stretchPercent / 100 + job->kind->aimMs;
         const int64_t took_ms = job->shown == JOB_WORD_DONE ? job->shownMs - job->sent_ms : INT64_MAX;
         result->owed++;
         result->timely += took_ms <= aimMs;
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -44,8 +44,8 @@
     step->gang = dicePercent(dice, kind->gangPercent) && !draft->lasting;
     step->same_rack = step->gang && dicePercent(dice, 50);
     roomDraw(site, kind, dice, step);
-    step->workMs = diceAbout(dice, kind->taskMs);
-    step->guessMs = step->workMs * diceSpan(dice, 50, 150) / 100;
+    step->work_ms = diceAbout(dice, kind->task_ms);
+    step->guess_ms = step->work_ms * diceSpan(dice, 50, 150) / 100;
     if (dicePercent(dice, kind->nearPercent)) {
         const int64_t hand = diceSpan(dice, 0, site->hands - 1);
         step->near = talloc_asprintf(callers->book, "r%" PRId64 "-%" PRId64, hand % site->zones,
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -347,9 +347,9 @@
     simAt(ground->world, groundNowMs(ground) + forMs, thawed, node);
 }
 
-static bool since(int64_t troubleMs, int64_t now_ms, int64_t spanMs)
+static bool since(int64_t troubleMs, int64_t now_ms, int64_t span_ms)
 {
-    return troubleMs != INT64_MAX && now_ms - troubleMs >= spanMs;
+    return troubleMs != INT64_MAX && now_ms - troubleMs >= span_ms;
 }
 
 bool groundSettled(const Ground *ground)
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -68,10 +68,10 @@
                      .ended = talloc_zero_array(mem, HandEnded, ENDS_AT_ONCE)};
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crewAdvance(run->crew);
-        const int64_t workMs = run->crew->workUs / 1000;
+        const int64_t work_ms = run->crew->workUs / 1000;
         report->running[report->runningCount++] =
             (HandRunning){run->task->name, run->round, bookSaved(mem, run->task, handSavedMs(run, false)),
-                          workMs > 0 ? (int)(crewProgressMs(run->crew) * 100 / workMs) : 0};
+                          work_ms > 0 ? (int)(crewProgressMs(run->crew) * 100 / work_ms) : 0};
     }
     for (size_t i = 0; i < hand->endCount && i < ENDS_AT_ONCE; i++)
         report->ended[report->endedCount++] = hand->ends[i].told;
@@ -163,12 +163,12 @@
     simAt(ground->world, groundNowMs(ground), overLater, hand);
 }
 
-void handLeave(Hand *hand, int64_t afterMs)
+void handLeave(Hand *hand, int64_t after_ms)
 {
     if (!hand->up || hand->leaving)
         return;
     hand->leaving = true;
-    hand->leaveAtMs = groundNowMs(hand->hands->ground) + afterMs;
+    hand->leaveAtMs = groundNowMs(hand->hands->ground) + after_ms;
     hand->newsOpen = true;
     signal_raise(hand->loop, &hand->news);
     loop_spawn(hand->loop, "leave", leaveMain, hand);
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -82,7 +82,7 @@
 /* The process ends at once; power: nobody is told. */
 void handCrash(Hand *hand, bool power);
 /* It says that it leaves, and does so after that span. */
-void handLeave(Hand *hand, int64_t afterMs);
+void handLeave(Hand *hand, int64_t after_ms);
 void handSlow(Hand *hand, int64_t times);
 void handHang(Hand *hand, bool hangs);
 Room handUsed(const Hand *hand);
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -35,7 +35,7 @@
     rebuild->perMinute = 32;
     rebuild->steps = 3;
     rebuild->tasks = 4;
-    rebuild->taskMs = 6000;
+    rebuild->task_ms = 6000;
     rebuild->cpu_milli = 11000;
     rebuild->mem_mb = 21000;
     rebuild->aimMs = 2000;
@@ -49,7 +49,7 @@
     sweep->perMinute = 95;
     sweep->steps = 3;
     sweep->tasks = 10;
-    sweep->taskMs = 1400;
+    sweep->task_ms = 1400;
     sweep->cpu_milli = 3200;
     sweep->mem_mb = 4600;
     sweep->aimMs = 4000;
@@ -62,7 +62,7 @@
     SiteKind *check = kindAdd(site, "check");
     check->perMinute = 440;
     check->tasks = 2;
-    check->taskMs = 800;
+    check->task_ms = 800;
     check->cpu_milli = 4600;
     check->mem_mb = 6600;
     check->aimMs = 1200;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -106,7 +106,7 @@
     const int64_t progressMs = bookProgress(start->task, start->order->saved);
     if (progressMs < 0 || progressMs > start->task->fate->savedMs)
         BROKE(start, RULE_UNASKED, "'%.20s' is not what it saved", start->order->saved);
-    for (size_t i = 0; start->step->gang && i < start->job->taskCount; i++)
+    for (size_t i = 0; start->step->gang && i < start->job->task_count; i++)
         for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->nextLive)
             if (start->job->tasks[i].fate == start->task->fate && run->round == start->order->round &&
                 run->crew != NULL && run->crew->from_ms != (progressMs > 0 ? progressMs : 0))
--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -8,7 +8,7 @@
     Room room;
     const char *kind; /* empty: any */
     const char *const *labels;
-    size_t labelCount;
+    size_t label_count;
 } PlanNeed;
 
 /* A worker that may be given work. Invariant: free <= room in every part;
@@ -19,7 +19,7 @@
     const char *rack; /* empty: not told; then it is no loss case of its own */
     const char *kind;
     const char *const *labels;
-    size_t labelCount;
+    size_t label_count;
     Room room;
     Room free;
     uint64_t penalty; /* thousandths of room that it counts as having less when chosen */
@@ -34,14 +34,14 @@
 
 #define PLAN_NO_CELL SIZE_MAX
 
-/* Invariants: each task's worker is below workerCount, its cell below cell_count or
- * PLAN_NO_CELL; pushable[cell * workerCount + worker] is room in use there that all
+/* Invariants: each task's worker is below worker_count, its cell below cell_count or
+ * PLAN_NO_CELL; pushable[cell * worker_count + worker] is room in use there that all
  * protected work of the cell may push aside, counted for that cell alone. */
 typedef struct PlanInput {
     PlanWorker *workers;
-    size_t workerCount;
+    size_t worker_count;
     PlanTask *tasks;
-    size_t taskCount;
+    size_t task_count;
     uint64_t r;     /* worker losses to survive, in any order */
     bool zone_loss; /* also the loss of any one zone */
     bool rack_loss; /* also the loss of any one rack */
@@ -60,7 +60,7 @@
         LOSS_COUNT
 } Loss;
 
-const char *lossWord(Loss loss);
+const char *loss_word(Loss loss);
 
 /* What breaks a plan. */
 typedef struct PlanBreak {
@@ -68,30 +68,30 @@
     const char *name; /* of the first loss that can't be survived */
 } PlanBreak;
 
-bool roomFits(Room need, Room free);
-Room roomLess(Room a, Room b);
-Room roomMore(Room a, Room b);
+bool room_fits(Room need, Room free);
+Room room_less(Room a, Room b);
+Room room_more(Room a, Room b);
 /* The larger of the parts of whole that room takes, in thousandths. */
-uint64_t roomShare(Room room, Room whole);
+uint64_t room_share(Room room, Room whole);
 
-bool planAble(const PlanWorker *worker, const PlanNeed *need); /* kind and labels */
-bool planFits(const PlanWorker *worker, const PlanNeed *need); /* ... and room */
+bool plan_able(const PlanWorker *worker, const PlanNeed *need); /* kind and labels */
+bool plan_fits(const PlanWorker *worker, const PlanNeed *need); /* ... and room */
 /* The worker with the most room left among those that fit; -1: none fits. lost
  * (may be null): those that are not to be chosen. */
-int planChoose(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost);
+int plan_choose(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost);
 /* The largest worker, part by part, and the scarcer part of what is free on one, in
  * thousandths of that. */
-Room planLargest(const PlanWorker *workers, size_t count);
-uint64_t planLeft(const PlanWorker *worker, Room largest);
+Room plan_largest(const PlanWorker *workers, size_t count);
+uint64_t plan_left(const PlanWorker *worker, Room largest);
 
 /* Biggest-fit-decreasing: places the tasks of the lost workers on the others.
  * where[i] is set for each of them; false when one finds no place. Uses up free. */
-bool planSpecific(PlanInput *input, const bool *lost, int *where);
+bool plan_specific(PlanInput *input, const bool *lost, int *where);
 /* Whether every sequence of r losses leaves a plan. Walks all sequences up to
  * PLAN_EXHAUSTIVE_MAX of them, else takes the cheap bound. */
-bool planAlwaysPossible(const PlanInput *input, PlanBreak *broken);
-bool planExhaustive(const PlanInput *input, PlanBreak *broken);
+bool plan_always_possible(const PlanInput *input, PlanBreak *broken);
+bool plan_exhaustive(const PlanInput *input, PlanBreak *broken);
 /* May say no where a plan exists; never says yes where none does. */
-bool planCheap(const PlanInput *input);
+bool plan_cheap(const PlanInput *input);
 
 #endif
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -30,7 +30,7 @@
     return x > y ? -1 : x < y;
 }
 
-static uint64_t slotsOf(Room free, Room each)
+static uint64_t slots_of(Room free, Room each)
 {
     const uint64_t cpu = each.cpu_milli > 0 ? free.cpu_milli / each.cpu_milli : UINT32_MAX;
     const uint64_t mem = each.mem_mb > 0 ? free.mem_mb / each.mem_mb : UINT32_MAX;
@@ -39,13 +39,13 @@
     return least < gpu ? least : gpu;
 }
 
-static bool groupHolds(const Group *group, const PlanInput *input, void *mem)
+static bool group_holds(const Group *group, const PlanInput *input, void *mem)
 {
-    const size_t n = input->workerCount;
+    const size_t n = input->worker_count;
     uint64_t *lost = talloc_memdup(mem, group->lost, n * sizeof(*lost));
     uint64_t *slots = talloc_zero_array(mem, uint64_t, (unsigned)n);
     for (size_t i = 0; i < n; i++)
-        slots[i] = group->all[i] ? slotsOf(input->workers[i].free, group->biggest) : 0;
+        slots[i] = group->all[i] ? slots_of(input->workers[i].free, group->biggest) : 0;
     qsort(lost, n, sizeof(*lost), descending);
     qsort(slots, n, sizeof(*slots), descending);
     uint64_t needed = 0, left = 0;
@@ -58,20 +58,20 @@
     return left >= needed;
 }
 
-bool planCheap(const PlanInput *input)
+bool plan_cheap(const PlanInput *input)
 {
-    const size_t n = input->workerCount;
-    if (input->r == 0 || input->taskCount == 0)
+    const size_t n = input->worker_count;
+    if (input->r == 0 || input->task_count == 0)
         return true;
     void *mem = talloc_new(NULL);
-    Group *groups = talloc_zero_array(mem, Group, (unsigned)input->taskCount);
+    Group *groups = talloc_zero_array(mem, Group, (unsigned)input->task_count);
     size_t count = 0;
-    for (size_t t = 0; t < input->taskCount; t++) {
+    for (size_t t = 0; t < input->task_count; t++) {
         const PlanTask *task = &input->tasks[t];
         Group mine = {talloc_zero_array(mem, bool, (unsigned)n), talloc_zero_array(mem, bool, (unsigned)n),
                       task->need.room, talloc_zero_array(mem, uint64_t, (unsigned)n)};
         for (size_t i = 0; i < n; i++)
-            mine.any[i] = mine.all[i] = planAble(&input->workers[i], &task->need);
+            mine.any[i] = mine.all[i] = plan_able(&input->workers[i], &task->need);
         mine.lost[task->worker] = 1;
         /* joins every group that it shares a worker with */
         for (size_t g = 0; g < count;) {
@@ -99,7 +99,7 @@
     }
     bool holds = true;
     for (size_t g = 0; g < count && holds; g++)
-        holds = groupHolds(&groups[g], input, mem);
+        holds = group_holds(&groups[g], input, mem);
     talloc_free(mem);
     return holds;
 }
--- a/packages/plan/src/room.c
+++ b/packages/plan/src/room.c
@@ -10,22 +10,22 @@
     return whole > 0 ? part * 1000 / whole : 0;
 }
 
-bool roomFits(Room need, Room free)
+bool room_fits(Room need, Room free)
 {
     return need.cpu_milli <= free.cpu_milli && need.mem_mb <= free.mem_mb && need.gpu <= free.gpu;
 }
 
-Room roomLess(Room a, Room b)
+Room room_less(Room a, Room b)
 {
     return (Room){less(a.cpu_milli, b.cpu_milli), less(a.mem_mb, b.mem_mb), less(a.gpu, b.gpu)};
 }
 
-Room roomMore(Room a, Room b)
+Room room_more(Room a, Room b)
 {
     return (Room){a.cpu_milli + b.cpu_milli, a.mem_mb + b.mem_mb, a.gpu + b.gpu};
 }
 
-uint64_t roomShare(Room room, Room whole)
+uint64_t room_share(Room room, Room whole)
 {
     const uint64_t cpu = share(room.cpu_milli, whole.cpu_milli);
     const uint64_t mem = share(room.mem_mb, whole.mem_mb);
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -21,15 +21,15 @@
     return (PlanTask){{{cpu, mem, 0}, "", NULL, 0}, at, PLAN_NO_CELL};
 }
 
-static void takeOut(PlanInput *input)
+static void take_out(PlanInput *input)
 {
-    for (size_t i = 0; i < input->taskCount; i++) {
+    for (size_t i = 0; i < input->task_count; i++) {
         PlanWorker *w = &input->workers[input->tasks[i].worker];
-        w->free = roomLess(w->free, input->tasks[i].need.room);
+        w->free = room_less(w->free, input->tasks[i].need.room);
     }
 }
 
-static void biggestFirst(void **state)
+static void biggest_first(void **state)
 {
     (void)state;
     /* first-come order would put 3 and 3 on the larger and leave 6 homeless */
@@ -38,28 +38,28 @@
     PlanInput input = {workers, 3, tasks, 3, 1, false, false, 0, NULL};
     const bool lost[] = {true, false, false};
     int where[3] = {-1, -1, -1};
-    assert_true(planSpecific(&input, lost, where));
+    assert_true(plan_specific(&input, lost, where));
     assert_int_not_equal(where[0], where[2]);
     assert_int_equal(where[0], where[1]);
 }
 
-static void kindsAndLabels(void **state)
+static void kinds_and_labels(void **state)
 {
     (void)state;
     const char *const ssd[] = {"ssd"};
     PlanWorker workers[] = {worker("a", "z1", 8, 8), worker("b", "z2", 8, 8), worker("c", "z3", 8, 8)};
     workers[0].labels = workers[1].labels = ssd;
-    workers[0].labelCount = workers[1].labelCount = 1;
+    workers[0].label_count = workers[1].label_count = 1;
     PlanTask tasks[] = {{{{4, 4, 0}, "std", ssd, 1}, 0, PLAN_NO_CELL}, {{{4, 4, 0}, "std", ssd, 1}, 1, PLAN_NO_CELL}};
     PlanInput input = {workers, 3, tasks, 2, 1, false, false, 0, NULL};
-    takeOut(&input);
+    take_out(&input);
     PlanBreak broken = {0};
-    assert_true(planAlwaysPossible(&input, &broken));
+    assert_true(plan_always_possible(&input, &broken));
     input.r = 2; /* both that have the label are lost */
-    assert_false(planAlwaysPossible(&input, &broken));
+    assert_false(plan_always_possible(&input, &broken));
     tasks[0].need.kind = "gpu";
     input.r = 1;
-    assert_false(planAlwaysPossible(&input, &broken));
+    assert_false(plan_always_possible(&input, &broken));
 }
 
 /* The second loss takes what the first one's plan had put there. */
@@ -69,52 +69,52 @@
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     PlanTask tasks[] = {task(0, 2, 1), task(1, 2, 1)};
     PlanInput input = {workers, 3, tasks, 2, 2, false, false, 0, NULL};
-    takeOut(&input);
-    assert_true(planAlwaysPossible(&input, NULL));
+    take_out(&input);
+    assert_true(plan_always_possible(&input, NULL));
     tasks[0].need.room.cpu_milli = 3;
     PlanWorker again[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     input.workers = again;
-    takeOut(&input);
+    take_out(&input);
     input.r = 1;
-    assert_true(planAlwaysPossible(&input, NULL));
+    assert_true(plan_always_possible(&input, NULL));
     input.r = 2;
-    assert_false(planAlwaysPossible(&input, NULL));
+    assert_false(plan_always_possible(&input, NULL));
 }
 
-static void wholeZone(void **state)
+static void whole_zone(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z1", 4, 9), worker("c", "z2", 4, 9)};
     PlanTask tasks[] = {task(0, 3, 1), task(1, 3, 1)};
     PlanInput input = {workers, 3, tasks, 2, 1, false, false, 0, NULL};
-    takeOut(&input);
+    take_out(&input);
     PlanBreak broken = {0};
-    assert_true(planAlwaysPossible(&input, &broken));
+    assert_true(plan_always_possible(&input, &broken));
     input.zone_loss = true;
-    assert_false(planAlwaysPossible(&input, &broken));
+    assert_false(plan_always_possible(&input, &broken));
     assert_int_equal(broken.loss, LOSS_ZONE);
     assert_string_equal(broken.name, "z1");
 }
 
-static void wholeRack(void **state)
+static void whole_rack(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     workers[0].rack = workers[1].rack = "r1";
     PlanTask tasks[] = {task(0, 3, 1), task(1, 3, 1)};
     PlanInput input = {workers, 3, tasks, 2, 1, true, false, 0, NULL};
-    takeOut(&input);
+    take_out(&input);
     PlanBreak broken = {0};
-    assert_true(planAlwaysPossible(&input, &broken));
+    assert_true(plan_always_possible(&input, &broken));
     input.rack_loss = true;
-    assert_false(planAlwaysPossible(&input, &broken));
+    assert_false(plan_always_possible(&input, &broken));
     assert_int_equal(broken.loss, LOSS_RACK);
     assert_string_equal(broken.name, "r1");
 }
 
 /* Room that a cell may push aside counts for that cell, once, and not where the
  * worker is lost with it. */
-static void pushableCounts(void **state)
+static void pushable_counts(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9)};
@@ -122,20 +122,20 @@
     PlanTask tasks[] = {task(0, 3, 1), task(0, 1, 1)};
     Room pushable[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
     PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, pushable};
-    takeOut(&input);
-    assert_false(planAlwaysPossible(&input, NULL));
+    take_out(&input);
+    assert_false(plan_always_possible(&input, NULL));
     tasks[0].cell = 1;
-    assert_false(planAlwaysPossible(&input, NULL)); /* it is the other cell's */
+    assert_false(plan_always_possible(&input, NULL)); /* it is the other cell's */
     tasks[0].cell = 0;
-    assert_true(planAlwaysPossible(&input, NULL));
+    assert_true(plan_always_possible(&input, NULL));
     assert_int_equal(pushable[1].cpu_milli, 3); /* a look uses nothing up */
-    input.taskCount = 2;
+    input.task_count = 2;
     tasks[1].cell = 0;
-    assert_true(planAlwaysPossible(&input, NULL)); /* 1 free and 3 to push hold 3 and 1 */
+    assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 to push hold 3 and 1 */
     tasks[1].need.room.cpu_milli = 2;
-    assert_false(planAlwaysPossible(&input, NULL));
+    assert_false(plan_always_possible(&input, NULL));
     /* and the cheap bound knows nothing of it: it may only say no wrongly */
-    assert_false(planCheap(&input));
+    assert_false(plan_cheap(&input));
 }
 
 static uint64_t draw(uint64_t *seed, uint64_t below)
@@ -146,13 +146,13 @@
 
 /* 4,000 small fleets of unlike workers: the cheap bound never says yes where
  * the walk through all sequences says no. Both answers must occur often. */
-static void cheapIsSound(void **state)
+static void cheap_is_sound(void **state)
 {
     (void)state;
     static const char *const KINDS[] = {"std", "gpu", "arm"};
     static const char *const LABELS[] = {"ssd"};
     uint64_t seed = 7;
-    size_t yes = 0, no = 0, wronglyNo = 0;
+    size_t yes = 0, no = 0, wrongly_no = 0;
     for (int run = 0; run < 4000; run++) {
         PlanWorker workers[6];
         PlanTask tasks[10];
@@ -161,40 +161,40 @@
             workers[i] = worker("w", "z", 4 + draw(&seed, 12), 4 + draw(&seed, 12));
             workers[i].kind = KINDS[draw(&seed, 2)];
             workers[i].labels = LABELS;
-            workers[i].labelCount = draw(&seed, 2);
+            workers[i].label_count = draw(&seed, 2);
         }
         PlanInput input = {workers, n, tasks, 0, 1 + draw(&seed, 2), false, false, 0, NULL};
         for (size_t i = 0; i < 10; i++) {
             PlanTask one = task(draw(&seed, n), 1 + draw(&seed, 4), 1 + draw(&seed, 4));
             if (draw(&seed, 2))
                 one.need.kind = workers[one.worker].kind;
-            if (workers[one.worker].labelCount && draw(&seed, 2)) {
+            if (workers[one.worker].label_count && draw(&seed, 2)) {
                 one.need.labels = LABELS;
-                one.need.labelCount = 1;
+                one.need.label_count = 1;
             }
-            if (!planFits(&workers[one.worker], &one.need))
+            if (!plan_fits(&workers[one.worker], &one.need))
                 continue;
-            workers[one.worker].free = roomLess(workers[one.worker].free, one.need.room);
-            tasks[input.taskCount++] = one;
+            workers[one.worker].free = room_less(workers[one.worker].free, one.need.room);
+            tasks[input.task_count++] = one;
             if (draw(&seed, 4) == 0)
                 break;
         }
-        const bool cheap = planCheap(&input), real = planExhaustive(&input, NULL);
+        const bool cheap = plan_cheap(&input), real = plan_exhaustive(&input, NULL);
         assert_false(cheap && !real);
         yes += cheap;
         no += !real;
-        wronglyNo += real && !cheap;
+        wrongly_no += real && !cheap;
     }
-    print_message("cheap yes %zu, really no %zu, wrongly no %zu\n", yes, no, wronglyNo);
+    print_message("cheap yes %zu, really no %zu, wrongly no %zu\n", yes, no, wrongly_no);
     assert_true(yes > 200 && no > 200);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(biggestFirst), cmocka_unit_test(kindsAndLabels), cmocka_unit_test(sequences),
-        cmocka_unit_test(wholeZone),    cmocka_unit_test(wholeRack),      cmocka_unit_test(pushableCounts),
-        cmocka_unit_test(cheapIsSound),
+        cmocka_unit_test(biggest_first),  cmocka_unit_test(kinds_and_labels), cmocka_unit_test(sequences),
+        cmocka_unit_test(whole_zone),     cmocka_unit_test(whole_rack),       cmocka_unit_test(pushable_counts),
+        cmocka_unit_test(cheap_is_sound),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -34,12 +34,12 @@
         input.tasks[i] =
             (PlanTask){{{500 + 500 * (i % 4), 512 + 512 * (i % 3), 0}, "", NULL, 0}, i % workers, PLAN_NO_CELL};
         PlanWorker *worker = &input.workers[i % workers];
-        worker->free = roomLess(worker->free, input.tasks[i].need.room);
+        worker->free = room_less(worker->free, input.tasks[i].need.room);
     }
     const double start = seconds();
     bool possible = true;
     for (int i = 0; i < rounds; i++)
-        possible &= planAlwaysPossible(&input, NULL);
+        possible &= plan_always_possible(&input, NULL);
     const double each = (seconds() - start) / rounds;
     printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)r, each * 1000,
            possible ? "holds" : "fails");
--- a/packages/props/include/props/bounds.h
+++ b/packages/props/include/props/bounds.h
@@ -16,7 +16,7 @@
     X(stopMs, "stopMs", 1000, 1, 60000, "a worker stops a round within this")                                    \
     X(gangMs, "gangMs", 3000, 1, 600000, "a gang's first member waits so long for the last")                     \
     X(saveMs, "saveMs", 1000, 1, 600000, "a round that keeps its progress does so this often")                   \
-    X(farPercent, "farPercent", 150, 100, 10000,                                                                 \
+    X(far_percent, "farPercent", 150, 100, 10000,                                                                \
       "work away from its data, or spread over racks, takes so much of its time")                                \
     X(jobKeepMs, "jobKeepMs", JOB_KEEP_MS, 1000, 86400000, "an ended job is kept so long")                       \
     X(seat_back_ms, "seatBackMs", SEAT_GONE_MS, 1000, 600000,                                                    \
--- a/packages/queue/include/queue/line.h
+++ b/packages/queue/include/queue/line.h
@@ -11,13 +11,13 @@
     bool restart;     /* protected work without an aim that was lost: goes before all else */
     double rank;      /* by its cell's policy: counts within the cell only */
     int64_t since_ms; /* log time since when it could have started */
-    int64_t slackMs;  /* time left before it must be under way; INT64_MAX: it has no aim */
-    int64_t spanMs;   /* of its aim; 0: none */
-    int64_t guessMs;  /* what a task of it should take; 0: not known */
+    int64_t slack_ms; /* time left before it must be under way; INT64_MAX: it has no aim */
+    int64_t span_ms;  /* of its aim; 0: none */
+    int64_t guess_ms; /* what a task of it should take; 0: not known */
 } Candidate;
 
 /* The index of its nth task: a gang's members that have finished are left out. */
-size_t candidateTask(const Candidate *candidate, size_t member);
+size_t candidate_task(const Candidate *candidate, size_t member);
 
 /* All that could start now, in the order in which it is to be placed: restarts of
  * what has no aim, biggest first, as the plan that promised them did; then cells by
@@ -29,21 +29,21 @@
  * tasks wait has one place in it, however many they are. */
 typedef struct Line Line;
 
-Line *lineNew(void *mem, Queue *queue, const QueueSight *sight);
+Line *line_new(void *mem, Queue *queue, const QueueSight *sight);
 /* Steps in it. */
-size_t lineCount(const Line *line);
+size_t line_count(const Line *line);
 /* Whom to try next; null: nobody is left. Valid until the next call. */
-const Candidate *lineNext(Line *line);
+const Candidate *line_next(Line *line);
 /* It was placed: what it uses counts against its cell and tenant. */
-void linePlaced(Line *line);
+void line_placed(Line *line);
 /* It was not: none of its step is tried again. */
-void lineStuck(Line *line);
+void line_stuck(Line *line);
 /* The rank of the step that the task is in; false: it is not in the line. */
-bool lineRank(const Line *line, const Job *job, size_t task, double *rank);
+bool line_rank(const Line *line, const Job *job, size_t task, double *rank);
 /* What the tenant will use with all that was placed. */
-Room lineTenantUses(Line *line, const Job *job);
+Room line_tenant_uses(Line *line, const Job *job);
 /* Log time when more can start by itself, a rest being over or a turn being due;
  * INT64_MAX: never. */
-int64_t lineNextMs(const Line *line);
+int64_t line_next_ms(const Line *line);
 
 #endif
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -18,21 +18,21 @@
 #undef X
 } WaitReason;
 
-const char *waitWord(WaitReason reason);
+const char *wait_word(WaitReason reason);
 
 typedef struct QueueClock {
-    int64_t logMs;   /* the log's time */
+    int64_t log_ms;  /* the log's time */
     int64_t wall_ms; /* the median of the seats' wall clocks */
 } QueueClock;
 
 /* Why a waiting task does not start now. */
-WaitReason queueWait(const Job *job, size_t task, QueueClock clock);
+WaitReason queue_wait(const Job *job, size_t task, QueueClock clock);
 /* Whether the turn's time has come. */
-bool queueDue(const Job *job, uint64_t turn, QueueClock clock);
+bool queue_due(const Job *job, uint64_t turn, QueueClock clock);
 /* The log time of that; of what is due at once, of the job's acceptance. */
-int64_t queueDueMs(const Job *job, uint64_t turn, QueueClock clock);
+int64_t queue_due_ms(const Job *job, uint64_t turn, QueueClock clock);
 /* The kind of worker that the step needs; empty: any. */
-const char *queueKind(const Job *job, uint64_t step);
+const char *queue_kind(const Job *job, uint64_t step);
 
 /* Finds the policy of a cell. */
 typedef const Policy *(*QueuePolicy)(void *arg, const ConfigCell *cell);
@@ -41,8 +41,8 @@
 typedef struct QueueSight {
     const Table *table;
     const Config *config;
-    uint64_t configStamp; /* another with each other config */
-    Room fleet;           /* of all workers that may be given work */
+    uint64_t config_stamp; /* another with each other config */
+    Room fleet;            /* of all workers that may be given work */
     QueueClock clock;
     QueuePolicy policy;
     void *arg;
@@ -54,8 +54,8 @@
 typedef struct Queue Queue;
 
 /* guesses may be null. */
-Queue *queueNew(void *mem, const Guesses *guesses);
+Queue *queue_new(void *mem, const Guesses *guesses);
 /* What a policy sees of a task. */
-PolicySight queueSee(Queue *queue, const QueueSight *sight, const Job *job, size_t task);
+PolicySight queue_see(Queue *queue, const QueueSight *sight, const Job *job, size_t task);
 
 #endif
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -18,10 +18,10 @@
 
 /* Of a worker: time taken there to time guessed by us. */
 typedef struct Speed {
-    Ratios ends;                       /* of work done whole */
-    uint64_t fresh[GUESS_FRESH_KEPT];  /* the newest, also of work under way ... */
-    int64_t freshMs[GUESS_FRESH_KEPT]; /* ... and when each was taken */
-    uint64_t freshCount;
+    Ratios ends;                        /* of work done whole */
+    uint64_t fresh[GUESS_FRESH_KEPT];   /* the newest, also of work under way ... */
+    int64_t fresh_ms[GUESS_FRESH_KEPT]; /* ... and when each was taken */
+    uint64_t fresh_count;
 } Speed;
 
 struct Guesses {
@@ -30,10 +30,10 @@
     uint64_t stamp;            /* grows when a median has moved by a twentieth or more */
     Map *workers;              /* names to Speed */
     uint64_t pool[GUESS_POOL]; /* the newest of all workers together */
-    uint64_t poolCount, poolMedian;
+    uint64_t pool_count, pool_median;
 };
 
-Guesses *guessesNew(void *mem)
+Guesses *guesses_new(void *mem)
 {
     Guesses *guesses = talloc_zero(mem, Guesses);
     guesses->steps = map_new(guesses);
@@ -48,13 +48,13 @@
     return x < y ? -1 : x > y;
 }
 
-uint64_t guessesStamp(const Guesses *guesses)
+uint64_t guesses_stamp(const Guesses *guesses)
 {
     return guesses != NULL ? guesses->stamp : 0;
 }
 
 /* True when the median has moved enough to count. */
-static bool ratioTake(Ratios *ratios, uint64_t ratio)
+static bool ratio_take(Ratios *ratios, uint64_t ratio)
 {
     ratios->kept[ratios->count++ % GUESS_KEPT] = ratio;
     uint64_t sorted[GUESS_KEPT];
@@ -69,7 +69,7 @@
     return true;
 }
 
-static Ratios *ratiosOf(Map *map, const char *key)
+static Ratios *ratios_of(Map *map, const char *key)
 {
     Ratios *ratios = map_get(map, key);
     if (ratios == NULL) {
@@ -79,7 +79,7 @@
     return ratios;
 }
 
-static Speed *speedOf(Guesses *guesses, const char *worker)
+static Speed *speed_of(Guesses *guesses, const char *worker)
 {
     Speed *speed = map_get(guesses->workers, worker);
     if (speed == NULL) {
@@ -93,44 +93,44 @@
     char text[2 * ID_MAX + 32];
 } Key;
 
-static Key stepKey(const Job *job, uint64_t step)
+static Key step_key(const Job *job, uint64_t step)
 {
     Key key;
     snprintf(key.text, sizeof(key.text), "%s/%s/%" PRIu64, job->spec.cell, job->spec.queue, step);
     return key;
 }
 
-static uint64_t medianOf(const Map *map, const char *key, uint64_t least, uint64_t otherwise)
+static uint64_t median_of(const Map *map, const char *key, uint64_t least, uint64_t otherwise)
 {
     const Ratios *ratios = map_get(map, key);
     return ratios != NULL && ratios->count >= least ? ratios->median : otherwise;
 }
 
-int64_t guessMs(const Guesses *guesses, const Job *job, uint64_t step)
+int64_t guess_ms(const Guesses *guesses, const Job *job, uint64_t step)
 {
-    const int64_t saidMs = (int64_t)job->spec.steps[step].est_ms;
+    const int64_t said_ms = (int64_t)job->spec.steps[step].est_ms;
     if (guesses == NULL)
-        return saidMs;
-    const Key key = stepKey(job, step);
-    if (saidMs == 0)
-        return (int64_t)medianOf(guesses->plain, key.text, GUESS_LEAST, 0);
-    return saidMs * (int64_t)medianOf(guesses->steps, key.text, GUESS_LEAST, 1000) / 1000;
+        return said_ms;
+    const Key key = step_key(job, step);
+    if (said_ms == 0)
+        return (int64_t)median_of(guesses->plain, key.text, GUESS_LEAST, 0);
+    return said_ms * (int64_t)median_of(guesses->steps, key.text, GUESS_LEAST, 1000) / 1000;
 }
 
-uint64_t guessPace(const Guesses *guesses)
+uint64_t guess_pace(const Guesses *guesses)
 {
-    return guesses != NULL && guesses->poolMedian > 1000 ? guesses->poolMedian : 1000;
+    return guesses != NULL && guesses->pool_median > 1000 ? guesses->pool_median : 1000;
 }
 
-uint64_t guessSpeed(const Guesses *guesses, const char *worker, int64_t now_ms)
+uint64_t guess_speed(const Guesses *guesses, const char *worker, int64_t now_ms)
 {
     const Speed *speed = guesses != NULL ? map_get(guesses->workers, worker) : NULL;
     if (speed == NULL)
         return 1000;
     uint64_t fresh[GUESS_FRESH_KEPT];
     size_t count = 0;
-    for (size_t i = 0; i < GUESS_FRESH_KEPT && i < speed->freshCount; i++)
-        if (now_ms - speed->freshMs[i] <= GUESS_FRESH_MS)
+    for (size_t i = 0; i < GUESS_FRESH_KEPT && i < speed->fresh_count; i++)
+        if (now_ms - speed->fresh_ms[i] <= GUESS_FRESH_MS)
             fresh[count++] = speed->fresh[i];
     const uint64_t ends = speed->ends.count >= GUESS_LEAST ? speed->ends.median : 1000;
     const uint64_t lasting = ends < GUESS_SPEED_LEAST  ? GUESS_SPEED_LEAST
@@ -140,39 +140,39 @@
         return lasting;
     qsort(fresh, count, sizeof(*fresh), order);
     /* a few of late are few: they count when they say something else altogether */
-    const uint64_t own = fresh[count / 2] * 1000 / guessPace(guesses);
+    const uint64_t own = fresh[count / 2] * 1000 / guess_pace(guesses);
     return own > GUESS_SPEED_MOST ? own : lasting;
 }
 
-void guessesPace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms)
+void guesses_pace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms)
 {
-    Speed *speed = speedOf(guesses, worker);
-    const size_t at = (size_t)(speed->freshCount++ % GUESS_FRESH_KEPT);
+    Speed *speed = speed_of(guesses, worker);
+    const size_t at = (size_t)(speed->fresh_count++ % GUESS_FRESH_KEPT);
     speed->fresh[at] = ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST;
-    speed->freshMs[at] = now_ms;
-    guesses->pool[guesses->poolCount++ % GUESS_POOL] = speed->fresh[at];
+    speed->fresh_ms[at] = now_ms;
+    guesses->pool[guesses->pool_count++ % GUESS_POOL] = speed->fresh[at];
     uint64_t sorted[GUESS_POOL];
-    const size_t count = guesses->poolCount < GUESS_POOL ? (size_t)guesses->poolCount : GUESS_POOL;
+    const size_t count = guesses->pool_count < GUESS_POOL ? (size_t)guesses->pool_count : GUESS_POOL;
     memcpy(sorted, guesses->pool, count * sizeof(*sorted));
     qsort(sorted, count, sizeof(*sorted), order);
-    guesses->poolMedian = sorted[count / 2];
+    guesses->pool_median = sorted[count / 2];
 }
 
-void guessesEnd(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
-                uint64_t farPercent, int64_t now_ms)
+void guesses_end(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
+                 uint64_t far_percent, int64_t now_ms)
 {
-    if (took_ms <= 0 || farPercent == 0)
+    if (took_ms <= 0 || far_percent == 0)
         return;
-    const uint64_t soundMs = (uint64_t)took_ms * 100 / farPercent;
-    const uint64_t saidMs = job->spec.steps[step].est_ms;
-    const int64_t expectedMs = guessMs(guesses, job, step);
-    const Key key = stepKey(job, step);
-    if (expectedMs > 0) {
-        const uint64_t ratio = soundMs * 1000 / (uint64_t)expectedMs;
-        ratioTake(&speedOf(guesses, worker)->ends, ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST);
-        guessesPace(guesses, worker, ratio, now_ms);
+    const uint64_t sound_ms = (uint64_t)took_ms * 100 / far_percent;
+    const uint64_t said_ms = job->spec.steps[step].est_ms;
+    const int64_t expected_ms = guess_ms(guesses, job, step);
+    const Key key = step_key(job, step);
+    if (expected_ms > 0) {
+        const uint64_t ratio = sound_ms * 1000 / (uint64_t)expected_ms;
+        ratio_take(&speed_of(guesses, worker)->ends, ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST);
+        guesses_pace(guesses, worker, ratio, now_ms);
     }
-    const bool moved = saidMs > 0 ? ratioTake(ratiosOf(guesses->steps, key.text), soundMs * 1000 / saidMs)
-                                  : ratioTake(ratiosOf(guesses->plain, key.text), soundMs);
+    const bool moved = said_ms > 0 ? ratio_take(ratios_of(guesses->steps, key.text), sound_ms * 1000 / said_ms)
+                                   : ratio_take(ratios_of(guesses->plain, key.text), sound_ms);
     guesses->stamp += moved;
 }
--- a/packages/queue/src/inside.h
+++ b/packages/queue/src/inside.h
@@ -19,19 +19,19 @@
     uint64_t stamp;        /* of the configuration that cell and queue are of */
     const ConfigCell *cell;
     const ConfigQueue *queue;
-    Account *cellAccount, *tenantAccount;
+    Account *cell_account, *tenant_account;
     Aim aim;         /* from the first turn's due time */
     uint64_t learnt; /* of the guesses, when the aim was found ... */
     Room quarter;    /* ... for this part of the fleet */
 } Note;
 
-Note *noteOf(Queue *queue, const QueueSight *sight, const Job *job);
+Note *note_of(Queue *queue, const QueueSight *sight, const Job *job);
 /* As of the newest line. */
-Room *accountUse(Queue *queue, const QueueSight *sight, Account *account);
+Room *account_use(Queue *queue, const QueueSight *sight, Account *account);
 /* A line begins: what accounts use is looked up anew. */
-uint64_t queueLine(Queue *queue, size_t jobs);
-const Guesses *queueGuesses(const Queue *queue);
+uint64_t queue_line(Queue *queue, size_t jobs);
+const Guesses *queue_guesses(const Queue *queue);
 /* The larger part of the fleet, in millionths: fine enough for one small task. */
-uint64_t partOf(Room room, Room fleet);
+uint64_t part_of(Room room, Room fleet);
 
 #endif
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -16,28 +16,28 @@
     uint64_t line;
 };
 
-static int queueFree(Queue *queue)
+static int queue_free(Queue *queue)
 {
     g_hash_table_destroy(queue->notes);
     return 0;
 }
 
-Queue *queueNew(void *mem, const Guesses *guesses)
+Queue *queue_new(void *mem, const Guesses *guesses)
 {
     Queue *queue = talloc_zero(mem, Queue);
     queue->guesses = guesses;
     queue->notes = g_hash_table_new(g_int64_hash, g_int64_equal);
     queue->accounts = map_new(queue);
-    talloc_set_destructor(queue, queueFree);
+    talloc_set_destructor(queue, queue_free);
     return queue;
 }
 
-const Guesses *queueGuesses(const Queue *queue)
+const Guesses *queue_guesses(const Queue *queue)
 {
     return queue->guesses;
 }
 
-uint64_t partOf(Room room, Room fleet)
+uint64_t part_of(Room room, Room fleet)
 {
     const uint64_t cpu = fleet.cpu_milli > 0 ? room.cpu_milli * 1000000 / fleet.cpu_milli : 0;
     const uint64_t mem = fleet.mem_mb > 0 ? room.mem_mb * 1000000 / fleet.mem_mb : 0;
@@ -56,7 +56,7 @@
     return TRUE;
 }
 
-uint64_t queueLine(Queue *queue, size_t jobs)
+uint64_t queue_line(Queue *queue, size_t jobs)
 {
     queue->line++;
     if (g_hash_table_size(queue->notes) > jobs * 2 + NOTES_SPARE)
@@ -64,7 +64,7 @@
     return queue->line;
 }
 
-static Account *accountOf(Queue *queue, const char *cell, const char *tenant)
+static Account *account_of(Queue *queue, const char *cell, const char *tenant)
 {
     char key[2 * ID_MAX + 2];
     snprintf(key, sizeof(key), "%s%s%s", cell, tenant != NULL ? "/" : "", tenant != NULL ? tenant : "");
@@ -79,7 +79,7 @@
     return account;
 }
 
-Room *accountUse(Queue *queue, const QueueSight *sight, Account *account)
+Room *account_use(Queue *queue, const QueueSight *sight, Account *account)
 {
     if (account->line != queue->line || queue->line == 0) {
         account->line = queue->line;
@@ -89,7 +89,7 @@
     return &account->used;
 }
 
-Note *noteOf(Queue *queue, const QueueSight *sight, const Job *job)
+Note *note_of(Queue *queue, const QueueSight *sight, const Job *job)
 {
     Note *note = g_hash_table_lookup(queue->notes, &job->number);
     /* a state loaded whole may have given the number to another job */
@@ -100,14 +100,14 @@
         note = talloc_zero(queue, Note);
         note->job = job;
         note->number = job->number;
-        note->stamp = sight->configStamp + 1;
+        note->stamp = sight->config_stamp + 1;
         note->learnt = UINT64_MAX;
-        note->cellAccount = accountOf(queue, job->spec.cell, NULL);
-        note->tenantAccount = accountOf(queue, job->spec.cell, job->spec.tenant);
+        note->cell_account = account_of(queue, job->spec.cell, NULL);
+        note->tenant_account = account_of(queue, job->spec.cell, job->spec.tenant);
         g_hash_table_insert(queue->notes, &note->number, note);
     }
-    if (note->stamp != sight->configStamp) {
-        note->stamp = sight->configStamp;
+    if (note->stamp != sight->config_stamp) {
+        note->stamp = sight->config_stamp;
         note->cell = config_cell(sight->config, job->spec.cell);
         note->queue = note->cell != NULL ? config_queue(note->cell, job->spec.queue) : NULL;
     }
@@ -115,9 +115,9 @@
     return note;
 }
 
-PolicySight queueSee(Queue *queue, const QueueSight *sight, const Job *job, size_t task)
+PolicySight queue_see(Queue *queue, const QueueSight *sight, const Job *job, size_t task)
 {
-    const Note *note = noteOf(queue, sight, job);
+    const Note *note = note_of(queue, sight, job);
     uint64_t shares = 0;
     for (size_t i = 0; i < sight->config->cell_count; i++)
         shares += sight->config->cells[i].share;
@@ -125,9 +125,9 @@
         .job = job,
         .step = &job->spec.steps[job->tasks[task].step],
         .queue_priority = note->queue != NULL ? note->queue->priority : job->terms.priority,
-        .waited_ms = sight->clock.logMs - job->tasks[task].changed_ms,
-        .cell_used = partOf(*accountUse(queue, sight, note->cellAccount), sight->fleet) / 1000,
+        .waited_ms = sight->clock.log_ms - job->tasks[task].changed_ms,
+        .cell_used = part_of(*account_use(queue, sight, note->cell_account), sight->fleet) / 1000,
         .cell_share = note->cell != NULL && shares > 0 ? note->cell->share * 1000 / shares : 0,
-        .tenant_used = partOf(*accountUse(queue, sight, note->tenantAccount), sight->fleet) / 1000,
+        .tenant_used = part_of(*account_use(queue, sight, note->tenant_account), sight->fleet) / 1000,
     };
 }
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -1,7 +1,7 @@
 /* What a waiting task waits for. */
 #include "queue/queue.h"
 
-const char *waitWord(WaitReason reason)
+const char *wait_word(WaitReason reason)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -11,41 +11,41 @@
     return WORDS[reason];
 }
 
-const char *queueKind(const Job *job, uint64_t step)
+const char *queue_kind(const Job *job, uint64_t step)
 {
     const char *kind = job->spec.steps[step].kind;
     return kind[0] != '\0' || job->terms.kind == NULL ? kind : job->terms.kind;
 }
 
 /* The wall time before which the turn must not start; 0: none. */
-static int64_t turnWallMs(const Job *job, uint64_t turn)
+static int64_t turn_wall_ms(const Job *job, uint64_t turn)
 {
     const JobSpec *spec = &job->spec;
     const int64_t turn_ms = spec->first_wall_ms != 0 ? spec->first_wall_ms + (int64_t)turn * spec->period_ms : 0;
     return turn_ms > spec->due_wall_ms ? turn_ms : spec->due_wall_ms;
 }
 
-bool queueDue(const Job *job, uint64_t turn, QueueClock clock)
+bool queue_due(const Job *job, uint64_t turn, QueueClock clock)
 {
-    return clock.wall_ms >= turnWallMs(job, turn) && clock.logMs >= job->accepted_ms + job->spec.delay_ms;
+    return clock.wall_ms >= turn_wall_ms(job, turn) && clock.log_ms >= job->accepted_ms + job->spec.delay_ms;
 }
 
-int64_t queueDueMs(const Job *job, uint64_t turn, QueueClock clock)
+int64_t queue_due_ms(const Job *job, uint64_t turn, QueueClock clock)
 {
-    const int64_t wall_ms = turnWallMs(job, turn), accepted_ms = job->accepted_ms + job->spec.delay_ms;
-    const int64_t due_ms = clock.logMs - (clock.wall_ms - wall_ms);
+    const int64_t wall_ms = turn_wall_ms(job, turn), accepted_ms = job->accepted_ms + job->spec.delay_ms;
+    const int64_t due_ms = clock.log_ms - (clock.wall_ms - wall_ms);
     return wall_ms != 0 && due_ms > accepted_ms ? due_ms : accepted_ms;
 }
 
-WaitReason queueWait(const Job *job, size_t task, QueueClock clock)
+WaitReason queue_wait(const Job *job, size_t task, QueueClock clock)
 {
     const JobTask *one = &job->tasks[task];
     const StepSpec *step = &job->spec.steps[one->step];
-    if (!queueDue(job, one->turn, clock))
+    if (!queue_due(job, one->turn, clock))
         return WAIT_DUE;
     if (!task_steps_done(job, one))
         return WAIT_STEPS;
-    if (clock.logMs < one->rest_until_ms)
+    if (clock.log_ms < one->rest_until_ms)
         return WAIT_REST;
     const size_t first = task_first(job, one);
     for (size_t i = first; i < first + step->count && step->gang; i++)
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -30,36 +30,36 @@
 }
 
 /* Their ids in order, one letter each. */
-static const char *orderIn(Board *board, const char *text, int64_t logMs, size_t most)
+static const char *order_in(Board *board, const char *text, int64_t log_ms, size_t most)
 {
     void *mem = talloc_new(board->table);
     Faults faults = {.mem = mem};
     const Config *config = config_read(mem, text, strlen(text), 1, &faults);
     assert_non_null(config);
-    Queue *queue = queueNew(mem, NULL);
+    Queue *queue = queue_new(mem, NULL);
     const QueueSight sight = {.table = board->table,
                               .config = config,
                               .fleet = {1000 * CPU, 100000, 0},
-                              .clock = {logMs, 1000000 + logMs},
+                              .clock = {log_ms, 1000000 + log_ms},
                               .policy = plain};
-    Line *line = lineNew(mem, queue, &sight);
+    Line *line = line_new(mem, queue, &sight);
     char *order = talloc_zero_array(board->table, char, (unsigned)most + 1);
     const Candidate *candidate;
-    for (size_t i = 0; i < most && (candidate = lineNext(line)) != NULL; i++) {
+    for (size_t i = 0; i < most && (candidate = line_next(line)) != NULL; i++) {
         order[i] = candidate->job->spec.id[0];
-        linePlaced(line);
+        line_placed(line);
     }
     talloc_free(mem);
     return order;
 }
 
-static const char *order_of(Board *board, int64_t logMs)
+static const char *order_of(Board *board, int64_t log_ms)
 {
-    return orderIn(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", logMs, 100);
+    return order_in(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", log_ms, 100);
 }
 
 /* The later comer with the nearer aim goes first; of two alike, the first comer. */
-static void soonestFirst(void **state)
+static void soonest_first(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -73,7 +73,7 @@
 }
 
 /* What can't make its aim goes behind what can, and before what is worth nothing. */
-static void lateBehind(void **state)
+static void late_behind(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -87,7 +87,7 @@
 }
 
 /* An urgent queue goes first, though the other's aim is as near. */
-static void urgentFirst(void **state)
+static void urgent_first(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -98,7 +98,7 @@
 }
 
 /* Aims count from each turn's own due time, and no turn starts before it. */
-static void turnsDue(void **state)
+static void turns_due(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -130,10 +130,10 @@
     const Job *job = job_add(&board, &spec, aims(0, 10000, 0));
     assert_string_equal(order_of(&board, 1000), "ls");
     Aim aim;
-    aimFind(job, 1000, NULL, (Room){0}, &aim);
-    assert_int_equal(aim.afterMs[0], 8000);
-    assert_int_equal(aim.afterMs[1], 4000);
-    assert_int_equal(aimSlackMs(&aim, 0, 1000), 2000);
+    aim_find(job, 1000, NULL, (Room){0}, &aim);
+    assert_int_equal(aim.after_ms[0], 8000);
+    assert_int_equal(aim.after_ms[1], 4000);
+    assert_int_equal(aim_slack_ms(&aim, 0, 1000), 2000);
     talloc_free(board.table);
 }
 
@@ -146,9 +146,9 @@
     const JobSpec spec = spec_of("w", &wide, 1);
     const Job *job = job_add(&board, &spec, aims(2000, 0, 0));
     Aim aim;
-    aimFind(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &aim);
-    assert_int_equal(aim.afterMs[0], 3000);
-    assert_int_equal(aim.spanMs, 6000);
+    aim_find(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &aim);
+    assert_int_equal(aim.after_ms[0], 3000);
+    assert_int_equal(aim.span_ms, 6000);
     talloc_free(board.table);
 }
 
@@ -158,26 +158,26 @@
     (void)state;
     Board board = board_new();
     const Job *job = add(&board, "a", 1000, aims(1000, 0, 0));
-    Guesses *guesses = guessesNew(board.table);
-    assert_int_equal(guessMs(guesses, job, 0), 1000);
+    Guesses *guesses = guesses_new(board.table);
+    assert_int_equal(guess_ms(guesses, job, 0), 1000);
     for (int i = 0; i < 40; i++)
-        guessesEnd(guesses, job, 0, "w1", 1500, 100, 0);
-    guessesEnd(guesses, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
-    assert_int_equal(guessMs(guesses, job, 0), 1500);
-    assert_int_equal(guessSpeed(guesses, "w1", 0), 1000);
-    assert_int_equal(guessSpeed(guesses, "w2", 0), 1000);
+        guesses_end(guesses, job, 0, "w1", 1500, 100, 0);
+    guesses_end(guesses, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
+    assert_int_equal(guess_ms(guesses, job, 0), 1500);
+    assert_int_equal(guess_speed(guesses, "w1", 0), 1000);
+    assert_int_equal(guess_speed(guesses, "w2", 0), 1000);
     for (int i = 0; i < 5; i++)
-        guessesEnd(guesses, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
-    assert_int_equal(guessSpeed(guesses, "w2", 0), 2000);
+        guesses_end(guesses, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
+    assert_int_equal(guess_speed(guesses, "w2", 0), 2000);
     /* a slow spell is soon forgotten; what a worker has always been like is not, within bounds */
-    assert_int_equal(guessSpeed(guesses, "w2", GUESS_FRESH_MS + 1), GUESS_SPEED_MOST);
-    assert_int_equal(guessMs(guesses, job, 0), 1500);
+    assert_int_equal(guess_speed(guesses, "w2", GUESS_FRESH_MS + 1), GUESS_SPEED_MOST);
+    assert_int_equal(guess_ms(guesses, job, 0), 1500);
     talloc_free(board.table);
 }
 
 /* What has waited for its aim in vain is served in the end: the oldest of what is worth
  * nothing any more goes first among its like. */
-static void oldestOfTheLost(void **state)
+static void oldest_of_the_lost(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -188,7 +188,7 @@
     talloc_free(board.table);
 }
 
-static void addFor(Board *board, const char *id, const char *cell, const char *tenant, uint64_t count)
+static void add_for(Board *board, const char *id, const char *cell, const char *tenant, uint64_t count)
 {
     StepSpec many = step("a", count, 0);
     JobSpec spec = spec_of(id, &many, 1);
@@ -198,51 +198,51 @@
 }
 
 /* Without aims: cells by their shares, tenants in turns, then who came first. */
-static void sharesAndTurns(void **state)
+static void shares_and_turns(void **state)
 {
     (void)state;
     Board board = board_new();
-    addFor(&board, "a", "c", "t", 6);
-    addFor(&board, "b", "c", "u", 6);
-    addFor(&board, "x", "d", "t", 9);
+    add_for(&board, "a", "c", "t", 6);
+    add_for(&board, "b", "c", "u", 6);
+    add_for(&board, "x", "d", "t", 9);
     const char *text = "{\"cells\":{\"c\":{\"share\":2,\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{}},"
                        "\"d\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}";
-    assert_string_equal(orderIn(&board, text, 1000, 9), "abxabxabx");
+    assert_string_equal(order_in(&board, text, 1000, 9), "abxabxabx");
     /* what is in use already counts */
     const uint64_t four[] = {0, 1, 2, 3};
     place(&board, "a", four, 4, 1, "w1", "");
-    assert_string_equal(orderIn(&board, text, 1000, 6), "xxbbxb");
+    assert_string_equal(order_in(&board, text, 1000, 6), "xxbbxb");
     talloc_free(board.table);
 }
 
 /* A step that finds no room is tried no more; the others are. */
-static void stuckIsPassedBy(void **state)
+static void stuck_is_passed_by(void **state)
 {
     (void)state;
     Board board = board_new();
-    addFor(&board, "a", "c", "t", 3);
-    addFor(&board, "b", "c", "t", 2);
+    add_for(&board, "a", "c", "t", 3);
+    add_for(&board, "b", "c", "t", 2);
     void *mem = talloc_new(board.table);
     Faults faults = {.mem = mem};
     const char *text = "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}";
     const Config *config = config_read(mem, text, strlen(text), 1, &faults);
     const QueueSight sight = {.table = board.table, .config = config, .clock = {1000, 1000}, .policy = plain};
-    Line *line = lineNew(mem, queueNew(mem, NULL), &sight);
-    assert_int_equal(lineCount(line), 2);
-    assert_string_equal(lineNext(line)->job->spec.id, "a");
-    linePlaced(line);
-    assert_int_equal(lineNext(line)->first, 1);
-    lineStuck(line);
-    assert_string_equal(lineNext(line)->job->spec.id, "b");
-    linePlaced(line);
-    assert_string_equal(lineNext(line)->job->spec.id, "b");
-    linePlaced(line);
-    assert_null(lineNext(line));
+    Line *line = line_new(mem, queue_new(mem, NULL), &sight);
+    assert_int_equal(line_count(line), 2);
+    assert_string_equal(line_next(line)->job->spec.id, "a");
+    line_placed(line);
+    assert_int_equal(line_next(line)->first, 1);
+    line_stuck(line);
+    assert_string_equal(line_next(line)->job->spec.id, "b");
+    line_placed(line);
+    assert_string_equal(line_next(line)->job->spec.id, "b");
+    line_placed(line);
+    assert_null(line_next(line));
     talloc_free(board.table);
 }
 
 /* A gang is one: none of it while a member rests, what has finished is left out. */
-static void gangsAreOne(void **state)
+static void gangs_are_one(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -267,10 +267,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(soonestFirst),    cmocka_unit_test(lateBehind),      cmocka_unit_test(urgentFirst),
-        cmocka_unit_test(turnsDue),        cmocka_unit_test(chains),          cmocka_unit_test(waves),
-        cmocka_unit_test(learnt),          cmocka_unit_test(oldestOfTheLost), cmocka_unit_test(sharesAndTurns),
-        cmocka_unit_test(stuckIsPassedBy), cmocka_unit_test(gangsAreOne),
+        cmocka_unit_test(soonest_first),    cmocka_unit_test(late_behind),
+        cmocka_unit_test(urgent_first),     cmocka_unit_test(turns_due),
+        cmocka_unit_test(chains),           cmocka_unit_test(waves),
+        cmocka_unit_test(learnt),           cmocka_unit_test(oldest_of_the_lost),
+        cmocka_unit_test(shares_and_turns), cmocka_unit_test(stuck_is_passed_by),
+        cmocka_unit_test(gangs_are_one),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -64,9 +64,9 @@
 /* Delay of each frame and connection: from low up to high. */
 void simDelay(SimWorld *world, int64_t lowMs, int64_t highMs);
 /* Of a thousand frames so many are dropped, while their connection goes on, and so
- * many come once more, up to lateMs later and out of order. No connection of the
+ * many come once more, up to late_ms later and out of order. No connection of the
  * platform's does this: the replicated log is tried with it. */
-void simFrames(SimWorld *world, unsigned dropped, unsigned repeated, int64_t lateMs);
+void simFrames(SimWorld *world, unsigned dropped, unsigned repeated, int64_t late_ms);
 /* The machine's link carries so many bytes in a millisecond each way, one after the
  * other; 0: any number at once. */
 void simLinkRate(SimWorld *world, int machine, int64_t bytesPerMs);
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -16,8 +16,8 @@
     for (size_t i = 0; i < count; i++) {
         const SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
-        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
-        for (size_t t = 0; t < taskCount; t++)
+        const size_t task_count = map_keys(job->tasks, mem, &tasks);
+        for (size_t t = 0; t < task_count; t++)
             fn(map_get(job->tasks, tasks[t]), worker);
     }
     talloc_free(mem);
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -108,12 +108,12 @@
             strcmp(known->spec.cell, cell) != 0)
             continue;
         const char **tasks;
-        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
-        for (size_t t = 0; t < taskCount; t++)
+        const size_t task_count = map_keys(job->tasks, mem, &tasks);
+        for (size_t t = 0; t < task_count; t++)
             for (const SeenRun *run = ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs; run != NULL;
                  run = run->next)
                 if (!checker->props.frozen(checker->props.arg, run->worker)) {
-                    used = roomMore(used, run->room);
+                    used = room_more(used, run->room);
                     break;
                 }
     }
@@ -131,7 +131,7 @@
     const Room bound = tenant->looser;
     if (bound.cpu_milli == 0 && bound.mem_mb == 0)
         return;
-    const Room used = roomMore(usedBy(checker, job->spec.cell, job->spec.tenant), room);
+    const Room used = room_more(usedBy(checker, job->spec.cell, job->spec.tenant), room);
     if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
         checkerBroke(checker, NEVER_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
                      job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -163,7 +163,7 @@
         if (run->round != round || run->worker != on->worker.name)
             continue;
         *at = run->next;
-        on->used = roomLess(on->used, run->room);
+        on->used = room_less(on->used, run->room);
         talloc_free(run);
         return true;
     }
@@ -230,8 +230,8 @@
     for (size_t i = 0; i < count; i++) {
         SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
-        const size_t taskCount = map_keys(job->tasks, mem, &tasks);
-        for (size_t t = 0; t < taskCount; t++) {
+        const size_t task_count = map_keys(job->tasks, mem, &tasks);
+        for (size_t t = 0; t < task_count; t++) {
             SeenTask *task = map_get(job->tasks, tasks[t]);
             for (SeenRun *run = task->runs, *next; run != NULL; run = next) {
                 next = run->next;
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -96,7 +96,7 @@
         checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->started_ms = now_ms;
     on->starts++;
-    on->used = roomMore(on->used, room);
+    on->used = room_more(on->used, room);
     if (on->used.cpu_milli > on->worker.room.cpu_milli || on->used.mem_mb > on->worker.room.mem_mb)
         checkerBroke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
                      on->used.cpu_milli, on->used.mem_mb);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -77,7 +77,7 @@
 }
 
 /* How much of a write that was broken off is there: all, nothing, or a beginning. */
-static size_t partOf(SimMachine *machine, size_t count)
+static size_t part_of(SimMachine *machine, size_t count)
 {
     const uint64_t fate = simRandom(machine->world) % 3;
     if (fate == 2)
@@ -87,7 +87,7 @@
 
 static Bytes begun(SimMachine *machine, Bytes bytes)
 {
-    return (Bytes){bytes.data, partOf(machine, bytes.count), 0};
+    return (Bytes){bytes.data, part_of(machine, bytes.count), 0};
 }
 
 Status simFileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
@@ -186,7 +186,7 @@
     const bool all = machine->diskLies || simRandom(machine->world) % 3 == 0;
     for (size_t i = 0; i < content->writeCount && !all; i++) {
         const size_t end = content->writeEnds[i];
-        const size_t there = partOf(machine, end - from);
+        const size_t there = part_of(machine, end - from);
         memset(content->bytes.data + from + there, 0, end - from - there);
         if (there > 0)
             kept = from + there;
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -128,8 +128,8 @@
         SimRepeat *repeat = talloc_zero(world, SimRepeat);
         *repeat = (SimRepeat){pair, side, bytes_copy(repeat, bytes)};
         pair->repeats++;
-        const int64_t lateMs = (int64_t)(simRandom(world) % (uint64_t)(world->frameLateMs + 1));
-        simAt(world, world->now_ms + simLinkMs(world) + lateMs, repeatArrive, repeat);
+        const int64_t late_ms = (int64_t)(simRandom(world) % (uint64_t)(world->frameLateMs + 1));
+        simAt(world, world->now_ms + simLinkMs(world) + late_ms, repeatArrive, repeat);
     }
     return false;
 }
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -236,8 +236,8 @@
     SimMachine *machine = &sim->world->machines[sim->machine];
     SimTurn *one = talloc_zero(sim->world, SimTurn);
     *one = (SimTurn){machine, machine->life, when_ms};
-    const int64_t spanMs = when_ms - machine->bootOffsetMs - machine->rateFromMs;
-    simAt(sim->world, machine->rateFromMs + (spanMs * 100 + machine->ratePercent - 1) / machine->ratePercent, turn,
+    const int64_t span_ms = when_ms - machine->bootOffsetMs - machine->rateFromMs;
+    simAt(sim->world, machine->rateFromMs + (span_ms * 100 + machine->ratePercent - 1) / machine->ratePercent, turn,
           one);
 }
 
@@ -344,11 +344,11 @@
     world->delayHighMs = highMs;
 }
 
-void simFrames(SimWorld *world, unsigned dropped, unsigned repeated, int64_t lateMs)
+void simFrames(SimWorld *world, unsigned dropped, unsigned repeated, int64_t late_ms)
 {
     world->frameDropped = dropped;
     world->frameRepeated = repeated;
-    world->frameLateMs = lateMs;
+    world->frameLateMs = late_ms;
 }
 
 void simFar(SimWorld *world, int machine, int64_t moreMs)
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -183,7 +183,7 @@
 }
 
 /* Two calls on one base at the same moment; the leader is lost some ms after they were sent. */
-static void raceOnce(Fleet *fleet, Call pair[2], Upset how, int64_t afterMs)
+static void raceOnce(Fleet *fleet, Call pair[2], Upset how, int64_t after_ms)
 {
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
@@ -191,7 +191,7 @@
         callStart(&pair[k]);
     if (how != UPSET_NONE) {
         checkerFault(fleet->checker);
-        fleetRun(fleet, afterMs);
+        fleetRun(fleet, after_ms);
         upset(fleet, how, leader, true);
         fleetRun(fleet, 3000);
         upset(fleet, how, leader, false);
@@ -205,7 +205,7 @@
     Fleet *fleet = begin(seed);
     int firsts = 0, rounds = 0;
     for (int how = 0; how < UPSET_COUNT; how++)
-        for (int64_t afterMs = 1; afterMs <= 9; afterMs += 2, rounds++) {
+        for (int64_t after_ms = 1; after_ms <= 9; after_ms += 2, rounds++) {
             const uint64_t base = newest(fleet);
             Call pair[2];
             for (int k = 0; k < 2; k++) {
@@ -216,10 +216,10 @@
                 pair[k].body = strcmp(method, "PUT") == 0 ? wholeBody(fleet, note) : patchBody(fleet, note);
                 pair[k].node = rounds + 2 * k;
             }
-            raceOnce(fleet, pair, (Upset)how, afterMs);
+            raceOnce(fleet, pair, (Upset)how, after_ms);
             const bool first = pair[0].code == 200 && pair[1].code == 409;
             if (!first && !(pair[0].code == 409 && pair[1].code == 200))
-                fail_msg("%s against %s, upset %d after %d ms: %d and %d", methodA, methodB, how, (int)afterMs,
+                fail_msg("%s against %s, upset %d after %d ms: %d and %d", methodA, methodB, how, (int)after_ms,
                          pair[0].code, pair[1].code);
             firsts += first;
             assert_int_equal(newest(fleet), pair[first ? 0 : 1].version);
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -173,11 +173,11 @@
     return watched;
 }
 
-static void cutCore(Fleet *fleet, int victim, CutKind kind, int64_t spanMs, bool cut)
+static void cutCore(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
 {
     if (kind == CUT_FREEZE) { /* it wakes by itself, with all that was sent to it meanwhile */
         if (cut)
-            fleetFreeze(fleet, FLEET_CORE, victim, spanMs);
+            fleetFreeze(fleet, FLEET_CORE, victim, span_ms);
         return;
     }
     if (kind == CUT_ALL) {
@@ -212,7 +212,7 @@
     const char *name;
     int after; /* 0: the leader, 1: the next core */
     CutKind kind;
-    int64_t spanMs;
+    int64_t span_ms;
     bool restart;
     int64_t rate, othersRate;
 } CutCase;
@@ -225,18 +225,18 @@
     fleetRun(fleet, 1500 + (int64_t)(seed * 37 % 400));
     const uint64_t before = watched->acknowledged;
     checkerFault(fleet->checker);
-    cutCore(fleet, victim, one->kind, one->spanMs, true);
+    cutCore(fleet, victim, one->kind, one->span_ms, true);
     for (int i = 0; i < CORES; i++)
         simClockRate(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, i == victim ? one->rate : one->othersRate);
-    fleetRun(fleet, one->spanMs / 2);
+    fleetRun(fleet, one->span_ms / 2);
     if (one->restart) {
         fleetKill(fleet, FLEET_CORE, victim);
         fleetRun(fleet, 400);
         fleetStartNode(fleet, FLEET_CORE, victim);
     }
-    fleetRun(fleet, one->spanMs / 2);
+    fleetRun(fleet, one->span_ms / 2);
     const uint64_t during = watched->acknowledged;
-    cutCore(fleet, victim, one->kind, one->spanMs, false);
+    cutCore(fleet, victim, one->kind, one->span_ms, false);
     simClockRate(fleet->world, fleetNode(fleet, FLEET_CORE, victim)->machine, 100);
     fleetRun(fleet, 4000);
     watched->stop = true;
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -126,10 +126,10 @@
     core->saved = map_new(core);
     core->scores = map_new(core);
     core->kept = map_new(core);
-    core->guesses = guessesNew(core);
+    core->guesses = guesses_new(core);
     core->strays = straysNew(core);
     core->paces = pacesNew(core);
-    core->queue = queueNew(core, core->guesses);
+    core->queue = queue_new(core, core->guesses);
     Stand stand = {core, 0, 0};
     const ConfigSet set = {
         .revision = 1,
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -110,9 +110,9 @@
             json_object *started, *accepted;
             if (json_object_object_get_ex(json_object_array_get_idx(value, i), "startedMs", &started) &&
                 json_object_object_get_ex(body, "acceptedMs", &accepted)) {
-                const int64_t spanMs = json_object_get_int64(started) - json_object_get_int64(accepted);
-                if (job->started_ms == 0 || job->accepted_ms + spanMs < job->started_ms)
-                    job->started_ms = job->accepted_ms + spanMs;
+                const int64_t span_ms = json_object_get_int64(started) - json_object_get_int64(accepted);
+                if (job->started_ms == 0 || job->accepted_ms + span_ms < job->started_ms)
+                    job->started_ms = job->accepted_ms + span_ms;
             }
         }
     (void)caller;
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -208,7 +208,7 @@
           "        if (!done && first < end && task_steps_done(job, &job->tasks[first])) {", "        if (!done && first < end) {",
           "before its steps or its due time", "timeline", "trentvale", 2, MACHINE_OFF),
     Guard("due", "nothing starts before its due time or delay", "packages/queue/src/line.c",
-          "turn < turns && queueDue(job, turn, sight->clock); turn++)", "turn < turns; turn++)",
+          "turn < turns && queue_due(job, turn, sight->clock); turn++)", "turn < turns; turn++)",
           "before its steps or its due time", "timeline", "varied", 2, MACHINE_OFF),
     Guard("wall-median", "a due time is judged by the median of the seats' clocks", "packages/view/src/lead.c",
           "view->wall_offset_ms = offsets[(count - 1) / 2];", "view->wall_offset_ms = offsets[count - 1];",
@@ -227,7 +227,7 @@
           "        if (!has)\n            return false;", "        (void)has;",
           "packed beyond its room or given what it lacks", "timeline", "varied", 2, MACHINE_OFF),
     Guard("room", "a task goes only where its room is free", "packages/plan/src/plan.c",
-          "return roomFits(need->room, worker->free) && planAble(worker, need);", "return planAble(worker, need);",
+          "return room_fits(need->room, worker->free) && plan_able(worker, need);", "return plan_able(worker, need);",
           "packed beyond its room", "timeline", "varied", 2, """
 ms     callers
 0      call:60
