--- a/examples/counter.c
+++ b/examples/counter.c
@@ -72,7 +72,7 @@
     out->epoch = view_epoch(counter->view);
     if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
-    out->holdMs = AGENT_HOLD_MS;
+    out->hold_ms = AGENT_HOLD_MS;
     return livesetBeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &listCounts);
 }
 
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -28,7 +28,7 @@
 typedef struct WorkerOrders {
     uint64_t epoch; /* the newest that the agent knows */
     uint64_t fence; /* its counter */
-    int64_t holdMs;
+    int64_t hold_ms;
     const Order *starts;
     size_t startsCount;
     int64_t start_ms; /* none of the starts stands longer than this from now */
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -116,15 +116,15 @@
     askThose(asking, true);
     if (asking->all && seatsAnswered(asking))
         askThose(asking, false);
-    const int64_t holdMs = agent->props->bounds.holdMs;
+    const int64_t hold_ms = agent->props->bounds.hold_ms;
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
     if (asking->all && seatsAnswered(asking) && holdRuns(&agent->hold, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
                      "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
-        if (sent_ms + holdMs > agent->hold.until_ms)
-            agent->hold.until_ms = sent_ms + holdMs;
+        if (sent_ms + hold_ms > agent->hold.until_ms)
+            agent->hold.until_ms = sent_ms + hold_ms;
     }
     askingLeave(asking);
 }
@@ -134,7 +134,7 @@
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         const int64_t leftMs = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
-        const int64_t late_ms = agent->props->bounds.holdMs / 2;
+        const int64_t late_ms = agent->props->bounds.hold_ms / 2;
         /* the second half of the hold: several beats have gone unanswered */
         if (leftMs > 0 && leftMs < late_ms)
             askAll(agent);
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -99,7 +99,7 @@
 
 static void answer_take(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
-    if (!holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->holdMs)) {
+    if (!holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)) {
         ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "a beat was answered under old epoch %" PRIu64,
                  epoch_counter(answer->epoch));
         return;
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -10,7 +10,7 @@
 /* A worker asks again within its poll and the way there and back. */
 static int64_t quietMs(const Agent *agent)
 {
-    return agent->props->bounds.workerPollMs + WORKER_QUIET_MS;
+    return agent->props->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
 
 static void lapseWatch(Agent *agent, int64_t now_ms, bool *ran)
@@ -37,7 +37,7 @@
         roundsGone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
-    const int64_t earlierMs = holdClaimMs(least(agent->props->bounds.holdMs, agent->props->bounds.workerHoldMs));
+    const int64_t earlierMs = holdClaimMs(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlierMs) {
         agent->settled = true;
         beatNow(agent);
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -205,7 +205,7 @@
  * question: of each the half costs least. While nothing does, only an order can come. */
 static int64_t answerUntilMs(const Agent *agent, const WorkerReport *report)
 {
-    int64_t wait_ms = agent->props->bounds.workerPollMs;
+    int64_t wait_ms = agent->props->bounds.worker_poll_ms;
     if (report->wait_ms < wait_ms)
         wait_ms = report->wait_ms;
     if (report->endsWait && report->runningCount + report->endedCount > 0 && wait_ms > WORKER_BUSY_MS)
@@ -217,8 +217,8 @@
 static int64_t holdPass(Agent *agent, int64_t now_ms)
 {
     int64_t leftMs = hold_left_ms(&agent->hold, now_ms);
-    if (leftMs > agent->props->bounds.workerHoldMs)
-        leftMs = agent->props->bounds.workerHoldMs;
+    if (leftMs > agent->props->bounds.worker_hold_ms)
+        leftMs = agent->props->bounds.worker_hold_ms;
     const int64_t passedMs = holdPassedMs(leftMs);
     if (passedMs > 0 && now_ms + holdClaimMs(passedMs) > agent->workerUntilMs)
         agent->workerUntilMs = now_ms + holdClaimMs(passedMs);
@@ -239,7 +239,7 @@
     RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->endedCount);
     *orders = (WorkerOrders){.epoch = agent->hold.epoch,
                              .fence = epoch_counter(agent->hold.epoch),
-                             .holdMs = holdPass(agent, now_ms),
+                             .hold_ms = holdPass(agent, now_ms),
                              .starts = starts,
                              .start_ms = INT64_MAX,
                              .stops = stops,
@@ -249,7 +249,7 @@
         next = round->next;
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
-        } else if (round->phase == PHASE_OFFERED && orders->holdMs > 0) {
+        } else if (round->phase == PHASE_OFFERED && orders->hold_ms > 0) {
             shape_copy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
             if (round->expiry_ms - now_ms < orders->start_ms)
                 orders->start_ms = round->expiry_ms - now_ms;
@@ -289,7 +289,7 @@
     if (report->left) {
         bootEnd(agent, report->bootEnds, "the worker has left");
         ordersFill(agent, mem, report, orders);
-        orders->holdMs = 0;
+        orders->hold_ms = 0;
         return STATUS_OK;
     }
     const int64_t until_ms = answerUntilMs(agent, report);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -26,7 +26,7 @@
     Courier *courier;
     Members *members;
     uint64_t epoch;
-    int64_t holdMs;
+    int64_t hold_ms;
     bool deaf;    /* answers no beat */
     bool commits; /* else a telling waits */
     uint64_t revision;
@@ -72,7 +72,7 @@
         return STATUS_NOT_LEADER;
     *out = boss->orders;
     out->epoch = boss->epoch;
-    out->holdMs = boss->holdMs;
+    out->hold_ms = boss->hold_ms;
     out->revision = boss->revision;
     out->expiry_ms = ORDER_EXPIRY_MS;
     out->orders = beat->have != boss->revision || beat->haveEpoch != boss->epoch;
@@ -139,24 +139,24 @@
     sim_run_until(c->world, sim_now_ms(c->world) + forMs);
 }
 
-static Case *caseNew(int64_t holdMs, int64_t workerHoldMs)
+static Case *caseNew(int64_t hold_ms, int64_t worker_hold_ms)
 {
     Case *c = talloc_zero(NULL, Case);
     c->world = sim_world_new(c, 1);
     c->bossMachine = sim_machine(c->world);
     c->agentMachine = sim_machine(c->world);
     c->otherMachine = sim_machine(c->world);
-    c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .holdMs = holdMs, .commits = true};
-    c->other = (Boss){.id = "other", .address = OTHER, .holdMs = holdMs, .commits = true};
+    c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .hold_ms = hold_ms, .commits = true};
+    c->other = (Boss){.id = "other", .address = OTHER, .hold_ms = hold_ms, .commits = true};
     c->props = (Props){.name = "a1",
                        .worker = "w1",
                        .zone = "z",
                        .listen = "10.0.0.2:7000",
                        .http = "10.0.0.2:8000",
                        .seeds = {BOSS, OTHER, BOSS},
-                       .bounds = boundsFirst()};
-    c->props.bounds.holdMs = holdMs;
-    c->props.bounds.workerHoldMs = workerHoldMs;
+                       .bounds = bounds_first()};
+    c->props.bounds.hold_ms = hold_ms;
+    c->props.bounds.worker_hold_ms = worker_hold_ms;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
     sim_start(c->world, c->bossMachine, bossStart, &c->boss);
     sim_start(c->world, c->otherMachine, bossStart, &c->other);
@@ -304,15 +304,15 @@
     Say *it = say(c, "b1");
     it->report.wait_ms = 0;
     sayAll(it);
-    assert_int_equal(it->orders.holdMs, 1960);
-    assert_true(holdClaimMs(it->orders.holdMs) >= it->orders.holdMs * 102 / 100 + HOLD_SLACK_MS);
+    assert_int_equal(it->orders.hold_ms, 1960);
+    assert_true(holdClaimMs(it->orders.hold_ms) >= it->orders.hold_ms * 102 / 100 + HOLD_SLACK_MS);
     /* of a short rest the rest counts: it ends before the agent's own */
     simCut(c->world, c->agentMachine, c->bossMachine, true);
     run(c, 5000);
     it = say(c, "b1");
     it->report.wait_ms = 0;
     sayAll(it);
-    assert_in_range(it->orders.holdMs, 1, 1500);
+    assert_in_range(it->orders.hold_ms, 1, 1500);
     talloc_free(c);
 }
 
@@ -325,12 +325,12 @@
     order(c, orders, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     sayAll(say(c, "b1"));
-    assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.holdMs > 0);
+    assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.hold_ms > 0);
     c->boss.deaf = true;
     simCut(c->world, c->agentMachine, c->bossMachine, true);
     run(c, 3100);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    assert_int_equal(it->orders.holdMs, 0);
+    assert_int_equal(it->orders.hold_ms, 0);
     assert_int_equal(it->orders.startsCount, 0);
     assert_int_equal(it->orders.stopsCount, 1);
     talloc_free(c);
@@ -357,7 +357,7 @@
     /* a word of the old one that was late says nothing any more */
     it = saying(c, "b1", runs, 2, NULL, 0);
     assert_int_equal(it->status, STATUS_DUPLICATE_WORKER);
-    assert_int_equal(it->orders.holdMs, 0);
+    assert_int_equal(it->orders.hold_ms, 0);
     talloc_free(c);
 }
 
@@ -419,7 +419,7 @@
     Say *it = say(c, "b1");
     it->report.leaving = it->report.left = true;
     sayAll(it);
-    assert_int_equal(it->orders.holdMs, 0);
+    assert_int_equal(it->orders.hold_ms, 0);
     run(c, 100);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
     assert_true(c->boss.beat.leaving);
@@ -657,7 +657,7 @@
     saying(c, "b1", NULL, 0, NULL, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    const int64_t until_ms = sim_now_ms(c->world) + it->orders.holdMs * 102 / 100;
+    const int64_t until_ms = sim_now_ms(c->world) + it->orders.hold_ms * 102 / 100;
     sim_run_until(c->world, until_ms);
     assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/beat/include/beat/liveset.h
@@ -26,10 +26,10 @@
 Liveset *livesetNew(void *mem);
 /* A new leader: nobody is lost before until_ms, nobody has been heard yet. */
 void livesetReset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
-/* Takes a beat that is answered with a hold of holdMs; the row's until_ms covers it
+/* Takes a beat that is answered with a hold of hold_ms; the row's until_ms covers it
  * on the agent's clock and on the worker's.
  * DUPLICATE_WORKER: another incarnation that is not the newer one. */
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t holdMs, bool *listCounts);
+Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *listCounts);
 /* A telling counts as newer than all beats numbered before it. */
 void livesetTold(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
 void livesetLosing(Liveset *liveset, const char *worker, bool losing);
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -48,12 +48,12 @@
     X(TXT, saved, 0)
 SHAPE(Order, ORDER_FIELDS)
 
-/* holdMs counts from when the question was sent. orders: newer ones than the agent
+/* hold_ms counts from when the question was sent. orders: newer ones than the agent
  * has; starts are those of wanted that have not begun and that its question did not
  * name, wanted every round that is to be there. */
 #define BEAT_ANSWER_FIELDS(X) \
     X(U64, epoch, 0)          \
-    X(I64, holdMs, 0)         \
+    X(I64, hold_ms, 0)        \
     X(FLAG, orders, 0)        \
     X(U64, revision, 0)       \
     X(I64, expiry_ms, 0)      \
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -2,13 +2,13 @@
 
 #include "base/constants.h"
 
-bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t holdMs)
+bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t hold_ms)
 {
     if (epoch < hold->epoch)
         return false;
     hold->epoch = epoch;
-    if (sent_ms + holdMs > hold->until_ms)
-        hold->until_ms = sent_ms + holdMs;
+    if (sent_ms + hold_ms > hold->until_ms)
+        hold->until_ms = sent_ms + hold_ms;
     return true;
 }
 
@@ -22,12 +22,12 @@
     return now_ms < hold->until_ms ? hold->until_ms - now_ms : 0;
 }
 
-int64_t holdClaimMs(int64_t holdMs)
+int64_t holdClaimMs(int64_t hold_ms)
 {
-    return holdMs + holdMs * CLOCK_SLOW_PERCENT / (100 - CLOCK_SLOW_PERCENT) + 1 + HOLD_SLACK_MS;
+    return hold_ms + hold_ms * CLOCK_SLOW_PERCENT / (100 - CLOCK_SLOW_PERCENT) + 1 + HOLD_SLACK_MS;
 }
 
-int64_t holdPassedMs(int64_t holdMs)
+int64_t holdPassedMs(int64_t hold_ms)
 {
-    return holdMs * (100 - CLOCK_SLOW_PERCENT) / 100;
+    return hold_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
 }
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -40,7 +40,7 @@
         rowOf(liveset, workers[i]);
 }
 
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t holdMs, bool *listCounts)
+Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *listCounts)
 {
     LiveRow *row = rowOf(liveset, beat->worker.name);
     *listCounts = false;
@@ -54,7 +54,7 @@
         row->number = 0;
         row->joinedMs = now_ms;
     }
-    const int64_t until_ms = now_ms + holdClaimMs(holdMs);
+    const int64_t until_ms = now_ms + holdClaimMs(hold_ms);
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
     row->heard_ms = now_ms;
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -186,8 +186,8 @@
     const LiveRow *before = livesetFind(core->liveset, beat->worker.name);
     const bool wasReady = before != NULL && liveRowReady(before, now_ms);
     bool listCounts;
-    const int64_t holdMs = core->props->bounds.holdMs;
-    const Status status = livesetBeat(core->liveset, beat, now_ms, holdMs, &listCounts);
+    const int64_t hold_ms = core->props->bounds.hold_ms;
+    const Status status = livesetBeat(core->liveset, beat, now_ms, hold_ms, &listCounts);
     if (status != STATUS_OK)
         return status;
     if (livesetFind(core->liveset, beat->worker.name)->number == beat->number)
@@ -205,7 +205,7 @@
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
     out->epoch = view_epoch(core->view);
-    out->holdMs = holdMs;
+    out->hold_ms = hold_ms;
     return STATUS_OK;
 }
 
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -101,7 +101,7 @@
 {
     Core *core = arg;
     leadServe(core, mem, ask, answer);
-    if (answer->keepsCount > 0 && core->props->bounds.retellMs > 0)
+    if (answer->keepsCount > 0 && core->props->bounds.retell_ms > 0)
         elsewhereKeep(core, mem, &(KeepList){answer->keeps, answer->keepsCount});
 }
 
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -42,7 +42,7 @@
 
 int64_t coreClaimMs(const Core *core)
 {
-    return holdClaimMs(core->props->bounds.holdMs);
+    return holdClaimMs(core->props->bounds.hold_ms);
 }
 
 static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
@@ -115,7 +115,7 @@
 {
     Core *core = arg;
     while (!loop_stopping(core->loop)) {
-        const int64_t keepMs = core->props->bounds.jobKeepMs;
+        const int64_t keepMs = core->props->bounds.job_keep_ms;
         loop_sleep(core->loop, keepMs / 60 > FORGET_MS ? keepMs / 60 : FORGET_MS);
         if (!coreDecides(core))
             continue;
@@ -171,7 +171,7 @@
     core->table = table_new(core);
     table_watch(core->table, onDelivered, core);
     core->pieceSource.mem = core;
-    core->keeper = keeperNew(core, loop, props->bounds.retellMs);
+    core->keeper = keeperNew(core, loop, props->bounds.retell_ms);
     core->liveset = livesetNew(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
@@ -224,8 +224,8 @@
                                                               .leads = leads,
                                                               .serve = callersLead,
                                                               .arg = core,
-                                                              .leaderWaitMs = props->bounds.leaderWaitMs,
-                                                              .outcomeWaitMs = props->bounds.outcomeWaitMs});
+                                                              .leader_wait_ms = props->bounds.leader_wait_ms,
+                                                              .outcome_wait_ms = props->bounds.outcome_wait_ms});
     core->feed = feedNew(core, loop, core->courier, forwarderWays(core->forwarder), core->trace);
     view_start(core->view, core->members);
     agentsServe(core);
@@ -258,7 +258,7 @@
         view_settle(core->view);
     view_leave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
-    const int64_t unreadyUntilMs = now_ms + core->props->bounds.unreadyMs;
+    const int64_t unreadyUntilMs = now_ms + core->props->bounds.unready_ms;
     if (loop_now_ms(core->loop) < unreadyUntilMs)
         loop_sleep(core->loop, unreadyUntilMs - loop_now_ms(core->loop));
     while (loop_serve_busy(core->loop) > 0 && loop_now_ms(core->loop) < until_ms)
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -25,7 +25,7 @@
         return false;
     const int64_t stillMs = pace->ran_ms - pace->stillMs;
     /* members of a gang wait for each other first */
-    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->props->bounds.gangMs + STILL_LEAST_MS)
+    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->props->bounds.gang_ms + STILL_LEAST_MS)
         return false;
     return stillMs >= STILL_LEAST_MS && (double)stillMs * 100 >= going->wholeMs * STILL_PERCENT;
 }
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -26,8 +26,8 @@
     WaysLeads leads;
     void (*serve)(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
     void *arg;
-    int64_t leaderWaitMs;  /* what nobody can have taken waits so long, from the leader's loss, for another */
-    int64_t outcomeWaitMs; /* what a lost leader may have taken is asked again of the next for so long */
+    int64_t leader_wait_ms;  /* what nobody can have taken waits so long, from the leader's loss, for another */
+    int64_t outcome_wait_ms; /* what a lost leader may have taken is asked again of the next for so long */
 } ForwarderSettings;
 
 Forwarder *forwarderNew(void *mem, const ForwarderSettings *settings);
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -61,7 +61,7 @@
     const int64_t lostMs = waysLostMs(forwarder->ways);
     const int64_t from_ms = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
-        maybeTaken ? start_ms + forwarder->settings.outcomeWaitMs : from_ms + forwarder->settings.leaderWaitMs;
+        maybeTaken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
     return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -20,7 +20,7 @@
     Ring *ring;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     Feed *feed;
-    int64_t grace_ms, unreadyMs;
+    int64_t grace_ms, unready_ms;
     bool leaving;
     size_t inWork;
 };
@@ -132,9 +132,9 @@
     gate->loop = loop;
     gate->ring = ring;
     gate->grace_ms = props->bounds.grace_ms;
-    gate->unreadyMs = props->bounds.unreadyMs;
+    gate->unready_ms = props->bounds.unready_ms;
     gate->courier = courier_new(gate, loop, ring);
-    gate->keeper = keeperNew(gate, loop, props->bounds.retellMs);
+    gate->keeper = keeperNew(gate, loop, props->bounds.retell_ms);
     Status status = courier_listen(gate->courier, props->listen, gate->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
@@ -154,8 +154,8 @@
                                                               .members = gate->members,
                                                               .keeper = gate->keeper,
                                                               .trace = gate->trace,
-                                                              .leaderWaitMs = props->bounds.leaderWaitMs,
-                                                              .outcomeWaitMs = props->bounds.outcomeWaitMs});
+                                                              .leader_wait_ms = props->bounds.leader_wait_ms,
+                                                              .outcome_wait_ms = props->bounds.outcome_wait_ms});
     gate->feed = feedNew(gate, loop, gate->courier, forwarderWays(gate->forwarder), gate->trace);
     courier_handle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
     courier_handle(gate->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, gate);
@@ -175,7 +175,7 @@
     loop_serve_leave(gate->loop);
     members_set_leaving(gate->members);
     /* requests are taken on until the last moment: none that was read is cut */
-    loop_sleep(gate->loop, gate->unreadyMs);
+    loop_sleep(gate->loop, gate->unready_ms);
     while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->grace_ms - DRAIN_MARGIN_MS)
         loop_sleep(gate->loop, DRAIN_LOOK_MS);
 }
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -38,14 +38,14 @@
     X(evacMs, "evacMs", 5000, "an emptied zone gets nothing new after this")                               \
     X(recoverMs, "recoverMs", 12000, "all served again within this after the closing fault")               \
     X(holdMaxMs, "holdMaxMs", 10000, "a longer hold is cut to this")                                       \
-    X(stopMs, "stopMs", 200, "a worker stops a round within this")                                         \
-    X(gangMs, "gangMs", 3000, "a gang's members wait so long for the others")                              \
+    X(stop_ms, "stopMs", 200, "a worker stops a round within this")                                        \
+    X(gang_ms, "gangMs", 3000, "a gang's members wait so long for the others")                             \
     X(cancelMs, "cancelMs", 3000, "nothing of a cancelled job starts after this")                          \
     X(visibleMs, "visibleMs", 3000, "an accepted job is known everywhere after this")                      \
     X(earlyMs, "earlyMs", 250, "a turn may begin so early")                                                \
     X(statusMs, "statusMs", 120000, "an ended job is known for so long")                                   \
     X(far_percent, "farPercent", 150, "away from its data, or over racks, work takes so much of its time") \
-    X(saveMs, "saveMs", 1000, "progress is saved after each so much of work")                              \
+    X(save_ms, "saveMs", 1000, "progress is saved after each so much of work")                             \
     X(restoreMs, "restoreMs", 250, "work that goes on from what was saved begins after this")              \
     X(beatMs, "beatMs", 1500, "a worker beats at least this often")                                        \
     X(deaf, "deaf", 0, "1: workers can't say that they leave")
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -22,8 +22,8 @@
 /* Progress that is kept: after each so much of work, and all of it at a stop. */
 int64_t handSavedMs(const HandRun *run, bool all)
 {
-    const int64_t saveMs = run->hand->hands->ground->site->saveMs, doneMs = crewProgressMs(run->crew);
-    const int64_t keptMs = all ? doneMs : run->crew->from_ms + (doneMs - run->crew->from_ms) / saveMs * saveMs;
+    const int64_t save_ms = run->hand->hands->ground->site->save_ms, doneMs = crewProgressMs(run->crew);
+    const int64_t keptMs = all ? doneMs : run->crew->from_ms + (doneMs - run->crew->from_ms) / save_ms * save_ms;
     if (run->task->job->draft.saves && keptMs > run->task->fate->savedMs)
         run->task->fate->savedMs = keptMs;
     return keptMs;
@@ -121,7 +121,7 @@
             crewEnd(run, ROUND_STOPPED, ROUND_BROKEN);
             return true;
         }
-        if (!crew->begun && now_ms - run->beganMs >= site->gangMs) {
+        if (!crew->begun && now_ms - run->beganMs >= site->gang_ms) {
             handRunEnd(run, ROUND_ALONE);
             return true;
         }
@@ -146,8 +146,8 @@
         int64_t due_ms = crewNextMs(run->crew);
         if (run->stopAtMs != 0 && run->stopAtMs < due_ms)
             due_ms = run->stopAtMs;
-        if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gangMs < due_ms)
-            due_ms = run->beganMs + hand->hands->ground->site->gangMs;
+        if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gang_ms < due_ms)
+            due_ms = run->beganMs + hand->hands->ground->site->gang_ms;
         if (due_ms - now_ms < wait_ms)
             wait_ms = due_ms - now_ms;
     }
@@ -185,7 +185,7 @@
     if (run == NULL || run->stopAtMs != 0)
         return;
     Dice dice = diceOf(stop->round, run->task->name.job, hand->sequence);
-    run->stopAtMs = groundNowMs(hand->hands->ground) + diceSpan(&dice, 1, hand->hands->ground->site->stopMs);
+    run->stopAtMs = groundNowMs(hand->hands->ground) + diceSpan(&dice, 1, hand->hands->ground->site->stop_ms);
     signal_raise(hand->loop, &hand->work);
 }
 
@@ -248,14 +248,14 @@
     seenTake(hand, orders->seen);
     for (size_t i = 0; i < orders->stopCount; i++)
         stopTake(hand, &orders->stops[i]);
-    if (orders->holdMs <= 0)
+    if (orders->hold_ms <= 0)
         return;
-    const int64_t holdMs = orders->holdMs < site->holdMaxMs ? orders->holdMs : site->holdMaxMs;
+    const int64_t hold_ms = orders->hold_ms < site->holdMaxMs ? orders->hold_ms : site->holdMaxMs;
     /* what was held until now may be over: that is seen before anything new is held */
     while (dueOne(hand, groundNowMs(hand->hands->ground)))
         ;
-    if (sent_ms + holdMs > hand->hold_until_ms)
-        hand->hold_until_ms = sent_ms + holdMs;
+    if (sent_ms + hold_ms > hand->hold_until_ms)
+        hand->hold_until_ms = sent_ms + hold_ms;
     for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
         startTake(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -81,7 +81,7 @@
     site->handCpuMilli = 16000;
     site->handMemMb = 65536;
     site->holdMaxMs = 6000;
-    site->saveMs = 2000;
+    site->save_ms = 2000;
     site->restoreMs = 600;
     tiles(site);
     static const char *const NAMES[] = {"reindex", "collect", "refresh"};
--- a/packages/props/src/bounds.c
+++ b/packages/props/src/bounds.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-Bounds boundsFirst(void)
+Bounds bounds_first(void)
 {
     return (Bounds){
 #define X(name, outside, otherwise, least, most, meaning) .name = otherwise,
@@ -11,7 +11,7 @@
     };
 }
 
-int boundsSet(Bounds *bounds, const char *name, int64_t value)
+int bounds_set(Bounds *bounds, const char *name, int64_t value)
 {
 #define X(bound, outside, otherwise, least, most, meaning) \
     if (strcmp(name, outside) == 0) {                      \
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -9,7 +9,7 @@
 
 #define GROUP "spancart"
 
-Status propsSet(void *mem, Props *props, const char *key, const char *value, Failure *failure)
+Status props_set(void *mem, Props *props, const char *key, const char *value, Failure *failure)
 {
     const char *copy = talloc_strdup(mem, value);
     if (strcmp(key, "name") == 0)
@@ -47,7 +47,7 @@
     return STATUS_OK;
 }
 
-Status propsRead(void *mem, const char *path, PropsRole role, Props *props, Failure *failure)
+Status props_read(void *mem, const char *path, PropsRole role, Props *props, Failure *failure)
 {
     GKeyFile *file = g_key_file_new();
     GError *error = NULL;
@@ -65,7 +65,7 @@
         status = failure_set(failure, STATUS_BAD_PROPS, "%s: there is no group [%s]", path, GROUP);
     for (gsize i = 0; i < count && status == STATUS_OK; i++) {
         char *value = g_key_file_get_string(file, GROUP, keys[i], NULL);
-        status = propsSet(mem, props, keys[i], value != NULL ? value : "", failure);
+        status = props_set(mem, props, keys[i], value != NULL ? value : "", failure);
         g_free(value);
     }
     g_strfreev(keys);
@@ -82,7 +82,7 @@
     return STATUS_OK;
 }
 
-Status propsCheck(const Props *props, PropsRole role, Failure *failure)
+Status props_check(const Props *props, PropsRole role, Failure *failure)
 {
     Status status = need("name", props->name, false, failure);
     if (status == STATUS_OK && !check_name_text(props->name))
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -65,7 +65,7 @@
     node->number = number;
     node->machine = sim_machine(fleet->world);
     const char *ip = simAddress(fleet->world, node->machine);
-    node->props.bounds = boundsFirst();
+    node->props.bounds = bounds_first();
     node->props.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
     node->props.zone = ZONES[number % fleet->site.zones];
     node->props.bounds.losses = fleet->site.losses;
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -23,7 +23,7 @@
     Fleet *fleet = fleetNewAt(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++)
-        fleetNode(fleet, FLEET_CORE, i)->props.bounds.unreadyMs = 0;
+        fleetNode(fleet, FLEET_CORE, i)->props.bounds.unready_ms = 0;
     fleetStart(fleet);
     assert_true(fleetSettle(fleet, 20000) && fleetConfigure(fleet));
     checkerConfigSet(fleet->checker, 1);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -22,7 +22,7 @@
     Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->nodeCount[role]; i++)
-            fleetNode(fleet, (FleetRole)role, i)->props.bounds.holdMs = HOLD_MS;
+            fleetNode(fleet, (FleetRole)role, i)->props.bounds.hold_ms = HOLD_MS;
     fleetStart(fleet);
     assert_true(fleetSettle(fleet, 20000));
     assert_true(fleetConfigure(fleet));
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -42,7 +42,7 @@
     /* what runs outlives the loss of all cores */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->nodeCount[role]; i++)
-            fleet->nodes[role][i].props.bounds.holdMs = fleet->nodes[role][i].props.bounds.workerHoldMs = HOLD_MS;
+            fleet->nodes[role][i].props.bounds.hold_ms = fleet->nodes[role][i].props.bounds.worker_hold_ms = HOLD_MS;
     fleetStart(fleet);
     assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
     for (int i = 0; i < 3; i++)
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -115,7 +115,7 @@
     SimWorld *world = sim_world_new(mem, 1);
     Core *core = talloc_zero(mem, Core);
     Props *props = talloc_zero(core, Props);
-    props->bounds = boundsFirst();
+    props->bounds = bounds_first();
     core->props = props;
     sim_start(world, sim_machine(world), started, &core->loop);
     core->ring = ring_new(core, "bench");
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -16,8 +16,8 @@
     uint64_t task, round;
     Room room;
     int64_t beganMs, endMs;
-    int64_t from_ms, saveMs, times; /* progress: from where it began, how often it is saved, how slow */
-    char saved[ID_MAX + 48];        /* "TASK@MS of JOB"; empty: nothing */
+    int64_t from_ms, save_ms, times; /* progress: from where it began, how often it is saved, how slow */
+    char saved[ID_MAX + 48];         /* "TASK@MS of JOB"; empty: nothing */
     bool fails;
     bool ended;
     RoundWord word;
@@ -54,14 +54,14 @@
     talloc_free(key);
 }
 
-/* What is done by now, in steps of saveMs; at a stop, all of it. */
+/* What is done by now, in steps of save_ms; at a stop, all of it. */
 static void runSave(Run *run, bool all)
 {
     const int64_t ran_ms = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
     int64_t doneMs = run->from_ms + ran_ms;
     if (!all)
-        doneMs -= doneMs % run->saveMs;
-    if (run->saveMs > 0 && doneMs > run->from_ms)
+        doneMs -= doneMs % run->save_ms;
+    if (run->save_ms > 0 && doneMs > run->from_ms)
         snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, doneMs, run->job);
 }
 
@@ -70,7 +70,7 @@
     if (run->ended)
         return;
     StandWorker *worker = run->worker;
-    if (run->saveMs > 0)
+    if (run->save_ms > 0)
         runSave(run, word == ROUND_STOPPED);
     highestSet(worker, run->job, run->task, run->round);
     run->ended = true;
@@ -161,7 +161,7 @@
     run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)intOf(room, "memMb", 0),
                        (uint64_t)intOf(room, "gpu", 0)};
     run->times = worker->props.slow_times > 1 ? worker->props.slow_times : 1;
-    run->saveMs = intOf(payload, "saveMs", 0);
+    run->save_ms = intOf(payload, "saveMs", 0);
     run->beganMs = now_ms;
     snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
     const char *at = strchr(run->saved, '@');
@@ -188,13 +188,13 @@
 
 static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    const int64_t holdMs = intOf(body, "holdMs", 0);
+    const int64_t hold_ms = intOf(body, "holdMs", 0);
     const uint64_t fence = (uint64_t)intOf(body, "fence", 0);
     if (fence < worker->fence)
         return;
     worker->fence = fence;
-    if (sent_ms + holdMs > worker->until_ms)
-        worker->until_ms = sent_ms + holdMs;
+    if (sent_ms + hold_ms > worker->until_ms)
+        worker->until_ms = sent_ms + hold_ms;
     if (holdOver(worker))
         return;
     if (worker->props.watch.held != NULL)
@@ -266,7 +266,7 @@
     json_object *running = json_object_new_array(), *ended = json_object_new_array();
     for (Run *run = worker->runs; run != NULL; run = run->next) {
         json_object *one = json_object_new_object();
-        if (run->saveMs > 0 && !run->ended)
+        if (run->save_ms > 0 && !run->ended)
             runSave(run, false);
         json_object_object_add(one, "job", json_object_new_string(run->job));
         json_object_object_add(one, "task", json_object_new_int64((int64_t)run->task));
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -148,15 +148,15 @@
 
 GUARDS = [
     Guard("hold-counted-late", "the leader counts a hold from when it answered, with slack", "packages/beat/src/liveset.c",
-          "const int64_t until_ms = now_ms + holdClaimMs(holdMs);", "const int64_t until_ms = now_ms + holdMs / 3;",
+          "const int64_t until_ms = now_ms + holdClaimMs(hold_ms);", "const int64_t until_ms = now_ms + hold_ms / 3;",
           CLAIM, "timeline", "trentvale", 3, MACHINE_OFF),
     Guard("hold-after-win", "a new leader waits a whole hold before it calls anybody lost", "packages/core/src/core.c",
           "livesetReset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);",
           "livesetReset(core->liveset, view_won_ms(core->view), names, count);",
           CLAIM, "timeline", "trentvale", 6, OFF_WITH_LEADER),
     Guard("hold-counted-from-sending", "an agent counts its hold from when it sent the beat", "packages/agent/src/beat.c",
-          "holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->holdMs)",
-          "holdAnswered(&agent->hold, answer->epoch, loop_now_ms(agent->loop), answer->holdMs)",
+          "holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)",
+          "holdAnswered(&agent->hold, answer->epoch, loop_now_ms(agent->loop), answer->hold_ms)",
           "running twice|" + CLAIM, "timeline", "trentvale", 16, AGENTS_FROZEN_THEN_CUT),
     Guard("hold-handed-on", "the agent hands the worker no more than is left of its own hold", "packages/agent/src/worker.c",
           "int64_t leftMs = hold_left_ms(&agent->hold, now_ms);",
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -119,12 +119,12 @@
         code = wrong(command, "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (poptPeekArg(context) != NULL)
         code = wrong(command, "%s: what is this?", poptPeekArg(context));
-    else if (path != NULL && propsRead(mem, path, role, props, &failure) != STATUS_OK)
+    else if (path != NULL && props_read(mem, path, role, props, &failure) != STATUS_OK)
         code = wrong(command, "%s", failure.text);
     for (int i = 0; i < KEY_COUNT && code == EXIT_GOOD; i++)
-        if (values[i] != NULL && propsSet(mem, props, KEYS[i], values[i], &failure) != STATUS_OK)
+        if (values[i] != NULL && props_set(mem, props, KEYS[i], values[i], &failure) != STATUS_OK)
             code = wrong(command, "%s", failure.text);
-    if (code == EXIT_GOOD && propsCheck(props, role, &failure) != STATUS_OK)
+    if (code == EXIT_GOOD && props_check(props, role, &failure) != STATUS_OK)
         code = wrong(command, "%s", failure.text);
     poptFreeContext(context);
     return code;
@@ -136,7 +136,7 @@
     Daemon *daemon = talloc_zero(mem, Daemon);
     daemon->mem = mem;
     daemon->role = role;
-    daemon->props.bounds = boundsFirst();
+    daemon->props.bounds = bounds_first();
     char *record = NULL;
     int code = propsTake(mem, role, ROLES[role], argc, argv, &daemon->props, &record);
     if (code == EXIT_GOOD && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
@@ -180,7 +180,7 @@
     for (int role = 0; role < 3; role++)
         if (strcmp(argv[1], ROLES[role]) == 0) {
             void *mem = talloc_new(NULL);
-            Props props = {.bounds = boundsFirst()};
+            Props props = {.bounds = bounds_first()};
             char *record = NULL;
             const int code = propsTake(mem, (PropsRole)role, "check", argc - 1, argv + 1, &props, &record);
             if (code == EXIT_GOOD)
