--- a/examples/counter.c
+++ b/examples/counter.c
@@ -67,13 +67,13 @@
 {
     Counter *counter = arg;
     BeatAnswer *out = answer;
-    bool listCounts;
+    bool list_counts;
     (void)mem;
     out->epoch = view_epoch(counter->view);
     if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
     out->hold_ms = AGENT_HOLD_MS;
-    return livesetBeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &listCounts);
+    return liveset_beat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &list_counts);
 }
 
 static void beatMain(void *arg)
@@ -87,11 +87,11 @@
                                  .incarnation = members_self(counter->members)->incarnation,
                                  .number = ++counter->beats,
                                  .worker = {.name = counter->name, .zone = "", .rack = "", .kind = ""},
-                                 .workerLive = true,
+                                 .worker_live = true,
                                  .settled = true};
             BeatAnswer answer = {0};
-            courier_ask(counter->courier, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAskShape, &ask,
-                        ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
+            courier_ask(counter->courier, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask,
+                        ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
             talloc_free(mem);
         }
         loop_sleep(counter->loop, BEAT_MS);
@@ -101,10 +101,10 @@
 static size_t live(const Counter *counter, void *mem)
 {
     const LiveRow **rows;
-    const size_t count = livesetRows(counter->liveset, mem, &rows);
+    const size_t count = liveset_rows(counter->liveset, mem, &rows);
     size_t ready = 0;
     for (size_t i = 0; i < count; i++)
-        ready += liveRowReady(rows[i], loop_now_ms(counter->loop));
+        ready += live_row_ready(rows[i], loop_now_ms(counter->loop));
     return ready;
 }
 
@@ -114,7 +114,7 @@
     (void)epoch;
     (void)repair;
     if (new_holder) /* nobody is lost before every hold of the last holder has lapsed */
-        livesetReset(counter->liveset, view_won_ms(counter->view) + AGENT_HOLD_MS + HOLD_SLACK_MS, NULL, 0);
+        liveset_reset(counter->liveset, view_won_ms(counter->view) + AGENT_HOLD_MS + HOLD_SLACK_MS, NULL, 0);
 }
 
 /* --- ordered delivery ------------------------------------------------------------- */
@@ -146,7 +146,7 @@
                              .opened = onOpened,
                              .opened_arg = counter,
                              .founds = VIEW_FOUNDS_BY_THREE};
-    counter->liveset = livesetNew(counter);
+    counter->liveset = liveset_new(counter);
     counter->view = view_new(counter, &props);
     if (view_open_disk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name,
                        &failure) != STATUS_OK ||
@@ -167,7 +167,7 @@
                                .empty = !view_founded(counter->view)};
     counter->members = members_new(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
     view_start(counter->view, counter->members);
-    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, counter);
+    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, counter);
     members_start(counter->members);
     view_founding(counter->view);
     loop_spawn(counter->loop, "beat", beatMain, counter);
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -12,8 +12,8 @@
     bool bootEnds;    /* a new boot means for certain that the old one is over */
     uint64_t seq;     /* grows with each report of one boot, so that a late one is known; 0: not told */
     bool leaving;
-    int64_t leaveMs; /* leaving: it stays at least so long; 0: not told */
-    bool left;       /* it has left in order: nothing runs there any more */
+    int64_t leave_ms; /* leaving: it stays at least so long; 0: not told */
+    bool left;        /* it has left in order: nothing runs there any more */
     bool freeTold;
     Room free;
     int64_t wait_ms; /* the answer may be held back for so long */
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -13,7 +13,7 @@
         rounds[round->phase]++;
     showMetricsBegin(task);
     showMetric(task, "holdLeftMs", hold_left_ms(&agent->hold, loop_now_ms(agent->loop)));
-    showMetric(task, "workerLive", agent->workerLive);
+    showMetric(task, "workerLive", agent->worker_live);
     showMetric(task, "roundsRunning", rounds[PHASE_RUNNING]);
     showMetric(task, "roundsStopping", rounds[PHASE_STOPPING]);
     showMetric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
@@ -28,7 +28,7 @@
     Agent *agent = arg;
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
         const bool live = task->path[1] == 'l';
-        if (!live && (agent->leaving || !holdRuns(&agent->hold, loop_now_ms(agent->loop)))) {
+        if (!live && (agent->leaving || !hold_runs(&agent->hold, loop_now_ms(agent->loop)))) {
             showRefusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
             return;
         }
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -43,8 +43,9 @@
     Agent *agent = asking->agent;
     const KnowAsk ask = {0};
     KnowAnswer answer = {0};
-    const Status status = courier_ask_peer(agent->courier, part, &(CourierTarget){part->address, part->peer, NULL},
-                                           MESSAGE_KNOW, &KnowAskShape, &ask, ASK_EXPIRY_MS, &KnowAnswerShape, &answer);
+    const Status status =
+        courier_ask_peer(agent->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
+                         &KnowAsk_shape, &ask, ASK_EXPIRY_MS, &KnowAnswer_shape, &answer);
     if (status != STATUS_OK || answer.knows || answer.epoch > agent->hold.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
@@ -118,7 +119,7 @@
         askThose(asking, false);
     const int64_t hold_ms = agent->props->bounds.hold_ms;
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
-    if (asking->all && seatsAnswered(asking) && holdRuns(&agent->hold, loop_now_ms(agent->loop))) {
+    if (asking->all && seatsAnswered(asking) && hold_runs(&agent->hold, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
                      "no lock holder, and every member knows none: goes on while all see each other");
@@ -156,6 +157,6 @@
 
 void aloneStart(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, agent);
+    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, agent);
     loop_spawn(agent->loop, "alone", aloneMain, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -57,7 +57,7 @@
                                                      talloc_strdup(beat, round->saved),
                                                      round->runsMs != 0 ? now_ms - round->runsMs : 0,
                                                      round->percent,
-                                                     round->percentMs};
+                                                     round->percent_ms};
     }
     for (const Round *round = rounds->ended.first; round != NULL; round = round->next)
         ask->rounds[ask->rounds_count++] = idOf(beat, round);
@@ -69,13 +69,13 @@
     *ask = (BeatAsk){.agent = agent->workerName,
                      .incarnation = agent->incarnation,
                      .number = beat->number,
-                     .workerLive = agent->workerLive,
+                     .worker_live = agent->worker_live,
                      .leaving = agent->workerLeaving || agent->leaving,
                      .settled = agent->settled,
                      .others = agent->others,
-                     .leaveMs = agent->leaveUntilMs > now_ms ? agent->leaveUntilMs - now_ms : 0,
+                     .leave_ms = agent->leave_until_ms > now_ms ? agent->leave_until_ms - now_ms : 0,
                      .have = agent->have,
-                     .haveEpoch = agent->haveEpoch,
+                     .have_epoch = agent->have_epoch,
                      .wait_ms = BEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, beat, &ask->worker);
     roundsTell(agent, beat, ask);
@@ -99,7 +99,7 @@
 
 static void answer_take(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
-    if (!holdAnswered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)) {
+    if (!hold_answered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)) {
         ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "a beat was answered under old epoch %" PRIu64,
                  epoch_counter(answer->epoch));
         return;
@@ -113,9 +113,9 @@
     }
     /* of two answers the later sent may come first */
     if (answer->orders &&
-        (answer->epoch > agent->haveEpoch || (answer->epoch == agent->haveEpoch && answer->revision > agent->have))) {
+        (answer->epoch > agent->have_epoch || (answer->epoch == agent->have_epoch && answer->revision > agent->have))) {
         agent->have = answer->revision;
-        agent->haveEpoch = answer->epoch;
+        agent->have_epoch = answer->epoch;
         ordersTake(agent, answer, beat->sent_ms);
     }
 }
@@ -129,8 +129,8 @@
     beat->sent_ms = loop_now_ms(agent->loop);
     askFill(agent, beat, &ask);
     const CourierTarget target = {beat->address, beat->peer, NULL};
-    const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAskShape, &ask,
-                                           BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswerShape, &answer);
+    const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAsk_shape, &ask,
+                                           BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
     members_rest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -32,14 +32,14 @@
     uint64_t number; /* of the last beat or telling */
     Hold hold;
     /* beats */
-    struct Beat *beat;        /* the newest on its way; null: none */
-    size_t beats;             /* on their way */
-    int64_t beatDueMs;        /* the next, unless there is news */
-    bool beatNow;             /* there is news that does not wait */
-    uint64_t have, haveEpoch; /* of the last orders taken: no older ones are taken after them */
-    uint64_t savedEpoch;      /* whose leader the rounds' toldTurn speaks of */
-    int64_t beatMs;           /* its last beat was answered then; 0: none was */
-    bool alone;               /* its hold runs by the second survival rule */
+    struct Beat *beat;         /* the newest on its way; null: none */
+    size_t beats;              /* on their way */
+    int64_t beatDueMs;         /* the next, unless there is news */
+    bool beatNow;              /* there is news that does not wait */
+    uint64_t have, have_epoch; /* of the last orders taken: no older ones are taken after them */
+    uint64_t savedEpoch;       /* whose leader the rounds' toldTurn speaks of */
+    int64_t beatMs;            /* its last beat was answered then; 0: none was */
+    bool alone;                /* its hold runs by the second survival rule */
     /* the worker */
     Worker worker;
     void *workerMem;
@@ -48,9 +48,9 @@
     char *boots[BOOTS_KEPT];
     size_t bootCount;
     uint64_t seq; /* of the present boot's newest report; 0: it tells none */
-    bool workerLive, workerLeaving, settled;
-    int64_t leaveUntilMs; /* leaving: it stays at least until then; 0: not told */
-    uint64_t questions;   /* of the worker; only the newest is answered */
+    bool worker_live, workerLeaving, settled;
+    int64_t leave_until_ms; /* leaving: it stays at least until then; 0: not told */
+    uint64_t questions;     /* of the worker; only the newest is answered */
     int64_t started_ms, asked_ms, workerUntilMs;
     Rounds rounds;
     Signal forWorker; /* there is something to answer the worker with */
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -36,7 +36,7 @@
         }
         return;
     }
-    if (!holdRuns(&agent->hold, now_ms) || now_ms >= expiry_ms || olderLives(agent, order))
+    if (!hold_runs(&agent->hold, now_ms) || now_ms >= expiry_ms || olderLives(agent, order))
         return;
     const Round *newest = roundNewest(agent, order->job, order->task);
     round = roundAdd(agent, order, PHASE_OFFERED);
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -65,7 +65,7 @@
         report->free = check_room(faults, object, "", "free", false);
         report->leaving = check_flag(faults, object, "", "leaving", false);
         report->left = check_flag(faults, object, "", "left", false);
-        report->leaveMs = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
+        report->leave_ms = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
         report->seq = (uint64_t)check_int(faults, object, "", "seq", 0, INT64_MAX, 0);
         report->wait_ms = check_int(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
         report->runningCount = readRounds(faults, object, "running", false, &report->running);
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -37,7 +37,7 @@
     const char *saved;  /* how far it has come, by the worker's last word */
     uint64_t savedTurn; /* grows with each such word */
     uint64_t percent;   /* of its work, as the worker last reported it ... */
-    int64_t percentMs;  /* ... when it had run so long */
+    int64_t percent_ms; /* ... when it had run so long */
     int64_t paceMs;     /* that is told anew once it has run so long */
     uint64_t toldTurn;  /* the last one that the leader of the present epoch has */
     uint64_t word;      /* ENDED, KNOWN: what it came to */
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -77,7 +77,7 @@
 {
     Round *round = talloc_zero(agent, Round);
     char key[KEY_MAX];
-    shape_copy(&OrderShape, order, round, &round->order);
+    shape_copy(&Order_shape, order, round, &round->order);
     round->phase = phase;
     round->saved = round->text = "";
     round->changed_ms = loop_now_ms(agent->loop);
@@ -103,12 +103,12 @@
 static void paceTake(Agent *agent, Round *round, uint64_t percent)
 {
     round->percent = percent;
-    round->percentMs = loop_now_ms(agent->loop) - round->runsMs;
+    round->percent_ms = loop_now_ms(agent->loop) - round->runsMs;
     if (round->paceMs == 0)
         round->paceMs = PACE_FIRST_MS;
-    if (round->percentMs < round->paceMs)
+    if (round->percent_ms < round->paceMs)
         return;
-    round->paceMs = round->percentMs + round->percentMs / 2;
+    round->paceMs = round->percent_ms + round->percent_ms / 2;
     round->savedTurn++;
 }
 
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -38,7 +38,7 @@
             roundKnown(agent, round);
     }
     /* a worker that has left is let go once nothing of it is open */
-    if (agent->workerLeaving && !agent->workerLive && agent->rounds.lives.count + agent->rounds.ended.count == 0)
+    if (agent->workerLeaving && !agent->worker_live && agent->rounds.lives.count + agent->rounds.ended.count == 0)
         beatNow(agent);
 }
 
@@ -66,7 +66,7 @@
     TellAnswer answer = {0};
     telling->status =
         courier_ask_peer(agent->courier, telling, &(CourierTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
-                         &TellAskShape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswerShape, &answer);
+                         &TellAsk_shape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswer_shape, &answer);
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -15,7 +15,7 @@
 
 static void lapseWatch(Agent *agent, int64_t now_ms, bool *ran)
 {
-    const bool runs = holdRuns(&agent->hold, now_ms);
+    const bool runs = hold_runs(&agent->hold, now_ms);
     if (*ran && !runs) {
         ring_say(agent->ring, RING_ALERT, now_ms, "the hold has lapsed: all rounds stop");
         roundsStop(agent);
@@ -26,18 +26,18 @@
 static void silenceWatch(Agent *agent, int64_t now_ms)
 {
     const int64_t silentMs = now_ms - agent->asked_ms;
-    if (agent->workerLive && silentMs > quietMs(agent)) {
-        agent->workerLive = false;
+    if (agent->worker_live && silentMs > quietMs(agent)) {
+        agent->worker_live = false;
         beatNow(agent);
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
-    if (agent->settled && !agent->workerLive && silentMs > least(WORKER_LOST_MS, quietMs(agent)) &&
+    if (agent->settled && !agent->worker_live && silentMs > least(WORKER_LOST_MS, quietMs(agent)) &&
         now_ms >= agent->workerUntilMs && agent->rounds.lives.count > 0) {
         roundsWithdraw(agent, "the worker fell silent");
         roundsGone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
-    const int64_t earlierMs = holdClaimMs(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
+    const int64_t earlierMs = hold_claim_ms(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlierMs) {
         agent->settled = true;
         beatNow(agent);
@@ -59,7 +59,7 @@
 static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
     int64_t until_ms = now_ms + BEAT_MS / 2;
-    if (holdRuns(&agent->hold, now_ms))
+    if (hold_runs(&agent->hold, now_ms))
         until_ms = least(until_ms, agent->hold.until_ms);
     if (agent->workerUntilMs > now_ms)
         until_ms = least(until_ms, agent->workerUntilMs);
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -147,7 +147,7 @@
     worker.name = agent->workerName;
     const bool same = report->left || shape_equal(&Worker_shape, &worker, &agent->worker);
     const bool live = !report->left, leaving = report->leaving || report->left;
-    const bool news = !same || agent->workerLive != live || agent->workerLeaving != leaving || !agent->settled;
+    const bool news = !same || agent->worker_live != live || agent->workerLeaving != leaving || !agent->settled;
     agent->settled = true;
     if (!same) {
         void *mem = talloc_new(agent);
@@ -157,9 +157,9 @@
         /* what was ordered was meant for another worker */
         roundsWithdraw(agent, "the worker is another now");
     }
-    agent->workerLive = live;
+    agent->worker_live = live;
     agent->workerLeaving = leaving;
-    agent->leaveUntilMs = report->leaveMs > 0 ? loop_now_ms(agent->loop) + report->leaveMs : 0;
+    agent->leave_until_ms = report->leave_ms > 0 ? loop_now_ms(agent->loop) + report->leave_ms : 0;
     if (leaving)
         roundsWithdraw(agent, "the worker leaves");
     if (news)
@@ -190,7 +190,7 @@
 static bool anythingFor(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    const bool runs = holdRuns(&agent->hold, now_ms);
+    const bool runs = hold_runs(&agent->hold, now_ms);
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         if ((round->phase == PHASE_OFFERED && runs) || round->phase == PHASE_STOPPING)
             return true;
@@ -219,9 +219,9 @@
     int64_t leftMs = hold_left_ms(&agent->hold, now_ms);
     if (leftMs > agent->props->bounds.worker_hold_ms)
         leftMs = agent->props->bounds.worker_hold_ms;
-    const int64_t passedMs = holdPassedMs(leftMs);
-    if (passedMs > 0 && now_ms + holdClaimMs(passedMs) > agent->workerUntilMs)
-        agent->workerUntilMs = now_ms + holdClaimMs(passedMs);
+    const int64_t passedMs = hold_passed_ms(leftMs);
+    if (passedMs > 0 && now_ms + hold_claim_ms(passedMs) > agent->workerUntilMs)
+        agent->workerUntilMs = now_ms + hold_claim_ms(passedMs);
     return passedMs;
 }
 
@@ -250,7 +250,7 @@
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->hold_ms > 0) {
-            shape_copy(&OrderShape, &round->order, mem, &starts[orders->startsCount++]);
+            shape_copy(&Order_shape, &round->order, mem, &starts[orders->startsCount++]);
             if (round->expiry_ms - now_ms < orders->start_ms)
                 orders->start_ms = round->expiry_ms - now_ms;
             round->phase = PHASE_SENT;
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -60,12 +60,12 @@
     boss->beats++;
     talloc_free((void *)(uintptr_t)boss->beat.agent);
     void *kept = talloc_named_const(boss->courier, 1, "beat");
-    shape_copy(&BeatAskShape, beat, kept, &boss->beat);
+    shape_copy(&BeatAsk_shape, beat, kept, &boss->beat);
     boss->beat.agent = kept;
     for (size_t i = 0; i < beat->savedCount && boss->savedCount < LISTED; i++)
-        shape_copy(&RoundSavedShape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
+        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
-    while (beat->have == boss->revision && beat->haveEpoch == boss->epoch)
+    while (beat->have == boss->revision && beat->have_epoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
             break;
     if (boss->deaf)
@@ -75,7 +75,7 @@
     out->hold_ms = boss->hold_ms;
     out->revision = boss->revision;
     out->expiry_ms = ORDER_EXPIRY_MS;
-    out->orders = beat->have != boss->revision || beat->haveEpoch != boss->epoch;
+    out->orders = beat->have != boss->revision || beat->have_epoch != boss->epoch;
     return STATUS_OK;
 }
 
@@ -101,8 +101,8 @@
     boss->loop = loop;
     boss->courier = courier_new(loop, loop, ring);
     courier_set_cluster(boss->courier, 7);
-    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, boss);
-    courier_handle(boss->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, boss);
+    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, boss);
+    courier_handle(boss->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, onTell, boss);
     char address[ADDRESS_MAX];
     assert_int_equal(courier_listen(boss->courier, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
@@ -305,7 +305,7 @@
     it->report.wait_ms = 0;
     sayAll(it);
     assert_int_equal(it->orders.hold_ms, 1960);
-    assert_true(holdClaimMs(it->orders.hold_ms) >= it->orders.hold_ms * 102 / 100 + HOLD_SLACK_MS);
+    assert_true(hold_claim_ms(it->orders.hold_ms) >= it->orders.hold_ms * 102 / 100 + HOLD_SLACK_MS);
     /* of a short rest the rest counts: it ends before the agent's own */
     simCut(c->world, c->agentMachine, c->bossMachine, true);
     run(c, 5000);
@@ -387,14 +387,14 @@
     order(c, orders, 1); /* offered, not given yet */
     Say *it = say(c, "b1");
     it->report.leaving = true;
-    it->report.leaveMs = 7000;
+    it->report.leave_ms = 7000;
     it->report.wait_ms = 0;
     sayAll(it);
     assert_int_equal(it->orders.startsCount, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
     assert_true(c->boss.beat.leaving);
-    assert_in_range(c->boss.beat.leaveMs, 6900, 7000);
+    assert_in_range(c->boss.beat.leave_ms, 6900, 7000);
     /* nor what is ordered later */
     const Order more[] = {one("j", 1, 1, "")};
     order(c, more, 1);
@@ -423,7 +423,7 @@
     run(c, 100);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
     assert_true(c->boss.beat.leaving);
-    assert_false(c->boss.beat.workerLive);
+    assert_false(c->boss.beat.worker_live);
     assert_true(c->boss.beat.settled);
     assert_int_equal(c->boss.beat.rounds_count, 0);
     assert_int_equal(saying(c, "b1", runs, 1, NULL, 0)->status, STATUS_DUPLICATE_WORKER);
@@ -662,7 +662,7 @@
     assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
-    assert_false(c->boss.beat.workerLive);
+    assert_false(c->boss.beat.worker_live);
     /* its own word, when it comes after all, weighs more */
     const RoundNews failed[] = {news("j", 0, 1, ROUND_FAILED, "")};
     saying(c, "b1", NULL, 0, failed, 1);
--- a/packages/beat/include/beat/hold.h
+++ b/packages/beat/include/beat/hold.h
@@ -13,14 +13,14 @@
 } Hold;
 
 /* False: an answer of an older epoch, which counts for nothing. */
-bool holdAnswered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t hold_ms);
-bool holdRuns(const Hold *hold, int64_t now_ms);
+bool hold_answered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t hold_ms);
+bool hold_runs(const Hold *hold, int64_t now_ms);
 int64_t hold_left_ms(const Hold *hold, int64_t now_ms);
 /* How long whoever grants a hold must take it to run, by the own clock: the
  * holder's may be slow, and timers are coarse. */
-int64_t holdClaimMs(int64_t hold_ms);
+int64_t hold_claim_ms(int64_t hold_ms);
 /* What of a hold is passed on, so that it has ended on a slow clock when the whole
  * has on the own. */
-int64_t holdPassedMs(int64_t hold_ms);
+int64_t hold_passed_ms(int64_t hold_ms);
 
 #endif
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/beat/include/beat/liveset.h
@@ -11,32 +11,32 @@
     uint64_t number;  /* of the newest beat or telling received */
     int64_t until_ms; /* its hold has lapsed after this, by the leader's clock */
     int64_t heard_ms; /* its last beat under this leader; INT64_MIN: none */
-    bool workerLive;
+    bool worker_live;
     bool leaving;
     bool settled;
-    int64_t joinedMs;
-    Room others;          /* room in use by what is not ours */
-    bool losing;          /* its loss is decided but not delivered: it gets no order until then */
-    int64_t leaveUntilMs; /* leaving: what runs there may run until then at least; 0: not told */
+    int64_t joined_ms;
+    Room others;            /* room in use by what is not ours */
+    bool losing;            /* its loss is decided but not delivered: it gets no order until then */
+    int64_t leave_until_ms; /* leaving: what runs there may run until then at least; 0: not told */
 } LiveRow;
 
 /* The liveset: the leader's, rebuilt by each new one. */
 typedef struct Liveset Liveset;
 
-Liveset *livesetNew(void *mem);
+Liveset *liveset_new(void *mem);
 /* A new leader: nobody is lost before until_ms, nobody has been heard yet. */
-void livesetReset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
+void liveset_reset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
 /* Takes a beat that is answered with a hold of hold_ms; the row's until_ms covers it
  * on the agent's clock and on the worker's.
  * DUPLICATE_WORKER: another incarnation that is not the newer one. */
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *listCounts);
+Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *list_counts);
 /* A telling counts as newer than all beats numbered before it. */
-void livesetTold(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
-void livesetLosing(Liveset *liveset, const char *worker, bool losing);
-const LiveRow *livesetFind(const Liveset *liveset, const char *name);
+void liveset_told(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
+void liveset_losing(Liveset *liveset, const char *worker, bool losing);
+const LiveRow *liveset_find(const Liveset *liveset, const char *name);
 /* Whether the worker may be given work now. */
-bool liveRowReady(const LiveRow *row, int64_t now_ms);
+bool live_row_ready(const LiveRow *row, int64_t now_ms);
 /* Rows in the order of names, on mem. */
-size_t livesetRows(const Liveset *liveset, void *mem, const LiveRow ***rows);
+size_t liveset_rows(const Liveset *liveset, void *mem, const LiveRow ***rows);
 
 #endif
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -6,34 +6,34 @@
 
 /* A round that runs and how far it has come, told when that has changed: the first
  * is also the word that it runs. ran_ms: for how long the agent has known it to. */
-#define ROUND_SAVED_FIELDS(X)                  \
-    X(TXT, job, 0)                             \
-    X(U64, task, 0)                            \
-    X(U64, round, 0)                           \
-    X(TXT, text, 0)                            \
-    X(I64, ran_ms, 0)                          \
-    X(U64, percent, 0)   /* of its work ... */ \
-    X(I64, percentMs, 0) /* ... when it had run so long; 0: not told */
+#define ROUND_SAVED_FIELDS(X)                   \
+    X(TXT, job, 0)                              \
+    X(U64, task, 0)                             \
+    X(U64, round, 0)                            \
+    X(TXT, text, 0)                             \
+    X(I64, ran_ms, 0)                           \
+    X(U64, percent, 0)    /* of its work ... */ \
+    X(I64, percent_ms, 0) /* ... when it had run so long; 0: not told */
 SHAPE(RoundSaved, ROUND_SAVED_FIELDS)
 
 /* An agent's beat, which is also its question for orders. rounds: all it knows of that may run or whose end is not yet
  * known to the leader. settled: that list is complete (it has heard its worker,
  * or the worker's hold has lapsed, since it started).
  * others: room that is in use there by what is not ours. */
-#define BEAT_ASK_FIELDS(X)                                                   \
-    X(TXT, agent, 0)                                                         \
-    X(U64, incarnation, 0)                                                   \
-    X(U64, number, 0)                                                        \
-    X(ONE, worker, Worker)                                                   \
-    X(FLAG, workerLive, 0)                                                   \
-    X(FLAG, leaving, 0)                                                      \
-    X(FLAG, settled, 0)                                                      \
-    X(LST, rounds, RoundId)                                                  \
-    X(ONE, others, Room)                                                     \
-    X(LST, saved, RoundSaved)                                                \
-    X(I64, leaveMs, 0) /* leaving: it stays at least so long; 0: not told */ \
-    X(U64, have, 0)    /* revision and epoch of the orders it has */         \
-    X(U64, haveEpoch, 0)                                                     \
+#define BEAT_ASK_FIELDS(X)                                                    \
+    X(TXT, agent, 0)                                                          \
+    X(U64, incarnation, 0)                                                    \
+    X(U64, number, 0)                                                         \
+    X(ONE, worker, Worker)                                                    \
+    X(FLAG, worker_live, 0)                                                   \
+    X(FLAG, leaving, 0)                                                       \
+    X(FLAG, settled, 0)                                                       \
+    X(LST, rounds, RoundId)                                                   \
+    X(ONE, others, Room)                                                      \
+    X(LST, saved, RoundSaved)                                                 \
+    X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not told */ \
+    X(U64, have, 0)     /* revision and epoch of the orders it has */         \
+    X(U64, have_epoch, 0)                                                     \
     X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
 SHAPE(BeatAsk, BEAT_ASK_FIELDS)
 
@@ -87,7 +87,7 @@
     X(TXT, agent, 0)        \
     X(U64, incarnation, 0)  \
     X(U64, have, 0)         \
-    X(U64, haveEpoch, 0)
+    X(U64, have_epoch, 0)
 SHAPE(FetchAsk, FETCH_ASK_FIELDS)
 
 #define FETCH_ANSWER_FIELDS(X) \
--- a/packages/beat/include/beat/strays.h
+++ b/packages/beat/include/beat/strays.h
@@ -10,18 +10,18 @@
  * a new one learns of them from the first beats, before which it gives nothing. */
 typedef struct Strays Strays;
 
-Strays *straysNew(void *mem);
+Strays *strays_new(void *mem);
 /* A new leader knows of none. */
-void straysReset(Strays *strays);
+void strays_reset(Strays *strays);
 /* A round of the task that may yet be on the worker, or come there until until_ms. */
-void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
-               int64_t until_ms);
+void strays_add(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+                int64_t until_ms);
 /* A beat's list is all that may run there: whatever of it the table has elsewhere
  * or nowhere counts, what is not in it and on no way any more counts no longer. */
-void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms);
+void strays_beat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms);
 /* The agent told of the round's end. */
-void straysEnd(Strays *strays, const RoundNews *news);
+void strays_end(Strays *strays, const RoundNews *news);
 /* Room in use there; false: something of unknown size is there. */
-bool straysRoom(const Strays *strays, const char *worker, Room *room);
+bool strays_room(const Strays *strays, const char *worker, Room *room);
 
 #endif
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -8,42 +8,42 @@
 
 struct Liveset {
     Map *rows;
-    int64_t firstUntilMs; /* of a worker not heard of before: the leader's first hold */
+    int64_t first_until_ms; /* of a worker not heard of before: the leader's first hold */
 };
 
-Liveset *livesetNew(void *mem)
+Liveset *liveset_new(void *mem)
 {
     Liveset *liveset = talloc_zero(mem, Liveset);
     liveset->rows = map_new(liveset);
     return liveset;
 }
 
-static LiveRow *rowOf(Liveset *liveset, const char *name)
+static LiveRow *row_of(Liveset *liveset, const char *name)
 {
     LiveRow *row = map_get(liveset->rows, name);
     if (row == NULL) {
         row = talloc_zero(liveset->rows, LiveRow);
         row->name = talloc_strdup(row, name);
-        row->until_ms = liveset->firstUntilMs;
+        row->until_ms = liveset->first_until_ms;
         row->heard_ms = INT64_MIN;
         map_set(liveset->rows, name, row);
     }
     return row;
 }
 
-void livesetReset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count)
+void liveset_reset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count)
 {
     talloc_free(liveset->rows);
     liveset->rows = map_new(liveset);
-    liveset->firstUntilMs = until_ms;
+    liveset->first_until_ms = until_ms;
     for (size_t i = 0; i < count; i++)
-        rowOf(liveset, workers[i]);
+        row_of(liveset, workers[i]);
 }
 
-Status livesetBeat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *listCounts)
+Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *list_counts)
 {
-    LiveRow *row = rowOf(liveset, beat->worker.name);
-    *listCounts = false;
+    LiveRow *row = row_of(liveset, beat->worker.name);
+    *list_counts = false;
     /* an older one may be a second process, or the same after its clock jumped
      * back: it is taken once the newer one's hold has lapsed */
     if (beat->incarnation < row->incarnation && now_ms < row->until_ms)
@@ -52,48 +52,48 @@
         /* a new agent: the old one's hold runs on until it has lapsed */
         row->incarnation = beat->incarnation;
         row->number = 0;
-        row->joinedMs = now_ms;
+        row->joined_ms = now_ms;
     }
-    const int64_t until_ms = now_ms + holdClaimMs(hold_ms);
+    const int64_t until_ms = now_ms + hold_claim_ms(hold_ms);
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
     row->heard_ms = now_ms;
     if (beat->number > row->number) {
         row->number = beat->number;
-        row->workerLive = beat->workerLive;
+        row->worker_live = beat->worker_live;
         row->leaving = beat->leaving;
         row->settled = beat->settled;
         row->others = beat->others;
-        row->leaveUntilMs = beat->leaving && beat->leaveMs > 0 ? now_ms + beat->leaveMs : 0;
-        *listCounts = beat->settled;
+        row->leave_until_ms = beat->leaving && beat->leave_ms > 0 ? now_ms + beat->leave_ms : 0;
+        *list_counts = beat->settled;
     }
     return STATUS_OK;
 }
 
-void livesetTold(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number)
+void liveset_told(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number)
 {
     LiveRow *row = map_get(liveset->rows, agent);
     if (row != NULL && row->incarnation == incarnation && number > row->number)
         row->number = number;
 }
 
-void livesetLosing(Liveset *liveset, const char *worker, bool losing)
+void liveset_losing(Liveset *liveset, const char *worker, bool losing)
 {
-    rowOf(liveset, worker)->losing = losing;
+    row_of(liveset, worker)->losing = losing;
 }
 
-const LiveRow *livesetFind(const Liveset *liveset, const char *name)
+const LiveRow *liveset_find(const Liveset *liveset, const char *name)
 {
     return map_get(liveset->rows, name);
 }
 
-bool liveRowReady(const LiveRow *row, int64_t now_ms)
+bool live_row_ready(const LiveRow *row, int64_t now_ms)
 {
     return row->heard_ms != INT64_MIN && now_ms < row->until_ms && now_ms - row->heard_ms < 3 * BEAT_MS &&
-           row->workerLive && !row->leaving && row->settled && !row->losing;
+           row->worker_live && !row->leaving && row->settled && !row->losing;
 }
 
-size_t livesetRows(const Liveset *liveset, void *mem, const LiveRow ***rows)
+size_t liveset_rows(const Liveset *liveset, void *mem, const LiveRow ***rows)
 {
     const char **names;
     const size_t count = map_keys(liveset->rows, mem, &names);
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -25,20 +25,20 @@
     Map *workers; /* names to StrayList */
 };
 
-Strays *straysNew(void *mem)
+Strays *strays_new(void *mem)
 {
     Strays *strays = talloc_zero(mem, Strays);
     strays->workers = map_new(strays);
     return strays;
 }
 
-void straysReset(Strays *strays)
+void strays_reset(Strays *strays)
 {
     talloc_free(strays->workers);
     strays->workers = map_new(strays);
 }
 
-static Stray *strayFind(const StrayList *list, const char *job, uint64_t task)
+static Stray *stray_find(const StrayList *list, const char *job, uint64_t task)
 {
     for (size_t i = 0; list != NULL && i < list->count; i++)
         if (list->rows[i]->task == task && strcmp(list->rows[i]->job, job) == 0)
@@ -46,14 +46,14 @@
     return NULL;
 }
 
-static Stray *strayOf(Strays *strays, const char *worker, const char *job, uint64_t task)
+static Stray *stray_of(Strays *strays, const char *worker, const char *job, uint64_t task)
 {
     StrayList *list = map_get(strays->workers, worker);
     if (list == NULL) {
         list = talloc_zero(strays->workers, StrayList);
         map_set(strays->workers, worker, list);
     }
-    Stray *stray = strayFind(list, job, task);
+    Stray *stray = stray_find(list, job, task);
     if (stray != NULL)
         return stray;
     stray = talloc_zero(list, Stray);
@@ -64,16 +64,16 @@
     return stray;
 }
 
-static void strayDrop(StrayList *list, size_t at)
+static void stray_drop(StrayList *list, size_t at)
 {
     talloc_free(list->rows[at]);
     list->rows[at] = list->rows[--list->count];
 }
 
-void straysAdd(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
-               int64_t until_ms)
+void strays_add(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+                int64_t until_ms)
 {
-    Stray *stray = strayOf(strays, worker, job->spec.id, task_number(task));
+    Stray *stray = stray_of(strays, worker, job->spec.id, task_number(task));
     stray->room = job->spec.steps[task->step].room;
     stray->known = true;
     stray->round = round;
@@ -93,7 +93,7 @@
     return task_on_worker(task->phase) && strcmp(task->worker, beat->worker.name) == 0;
 }
 
-void straysBeat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms)
+void strays_beat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms)
 {
     StrayList *list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
@@ -103,7 +103,7 @@
         bool known;
         if (tabled(table, beat, &beat->rounds[i], &room, &known))
             continue;
-        Stray *stray = strayOf(strays, beat->worker.name, beat->rounds[i].job, beat->rounds[i].task);
+        Stray *stray = stray_of(strays, beat->worker.name, beat->rounds[i].job, beat->rounds[i].task);
         stray->listed = true;
         if (beat->rounds[i].round > stray->round)
             stray->round = beat->rounds[i].round;
@@ -115,23 +115,23 @@
     list = map_get(strays->workers, beat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
-            strayDrop(list, i);
+            stray_drop(list, i);
         else
             i++;
 }
 
-void straysEnd(Strays *strays, const RoundNews *news)
+void strays_end(Strays *strays, const RoundNews *news)
 {
     StrayList *list = map_get(strays->workers, news->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         if (list->rows[i]->task == news->task && list->rows[i]->round <= news->round &&
             strcmp(list->rows[i]->job, news->job) == 0) {
-            strayDrop(list, i);
+            stray_drop(list, i);
             return;
         }
 }
 
-bool straysRoom(const Strays *strays, const char *worker, Room *room)
+bool strays_room(const Strays *strays, const char *worker, Room *room)
 {
     const StrayList *list = map_get(strays->workers, worker);
     *room = (Room){0};
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -10,38 +10,38 @@
     const Job *job;
 } Case;
 
-static void onLeft(void *arg, const Job *job, const JobTask *task)
+static void on_left(void *arg, const Job *job, const JobTask *task)
 {
-    straysAdd(arg, task->worker, job, task, task->round, UNTIL_MS);
+    strays_add(arg, task->worker, job, task, task->round, UNTIL_MS);
 }
 
 static Case begin(void)
 {
     static StepSpec step = {.name = "a", .count = 2, .room = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
     Case it = {board_new(), NULL, NULL};
-    it.strays = straysNew(it.board.table);
-    table_left_watch(it.board.table, onLeft, it.strays);
+    it.strays = strays_new(it.board.table);
+    table_left_watch(it.board.table, on_left, it.strays);
     const JobSpec spec = spec_of("j", &step, 1);
     it.job = job_add(&it.board, &spec, (JobTerms){.kind = ""});
     return it;
 }
 
-static uint64_t cpuOn(const Case *it, const char *worker)
+static uint64_t cpu_on(const Case *it, const char *worker)
 {
     Room room;
-    assert_true(straysRoom(it->strays, worker, &room));
+    assert_true(strays_room(it->strays, worker, &room));
     return room.cpu_milli;
 }
 
 static void beat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
 {
     const BeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
-    straysBeat(it->strays, it->board.table, &ask, now_ms);
+    strays_beat(it->strays, it->board.table, &ask, now_ms);
 }
 
 /* An older round finishes well while a newer one runs elsewhere: that one is to be
  * stopped, and takes room until its agent has told so. */
-static void newerStillRuns(void **state)
+static void newer_still_runs(void **state)
 {
     (void)state;
     Case it = begin();
@@ -50,38 +50,38 @@
     lose(&it.board, "w1");
     place(&it.board, "j", first, 1, 2, "w2", "");
     say(&it.board, "j", 0, 2, "w2", ROUND_RUNNING, "");
-    assert_int_equal(cpuOn(&it, "w2"), 0);
+    assert_int_equal(cpu_on(&it, "w2"), 0);
     say(&it.board, "j", 0, 1, "w1", ROUND_DONE, "");
     assert_int_equal(it.job->tasks[0].phase, TASK_DONE);
-    assert_int_equal(cpuOn(&it, "w2"), 3000);
+    assert_int_equal(cpu_on(&it, "w2"), 3000);
     RoundId listed = {"j", 0, 2};
     beat(&it, "w2", &listed, 1, UNTIL_MS + 1);
-    assert_int_equal(cpuOn(&it, "w2"), 3000); /* still there, though no order is on its way */
+    assert_int_equal(cpu_on(&it, "w2"), 3000); /* still there, though no order is on its way */
     const RoundNews older = {.job = "j", .task = 0, .round = 1, .worker = "w2", .word = ROUND_STOPPED};
-    straysEnd(it.strays, &older);
-    assert_int_equal(cpuOn(&it, "w2"), 3000);
+    strays_end(it.strays, &older);
+    assert_int_equal(cpu_on(&it, "w2"), 3000);
     const RoundNews end = {.job = "j", .task = 0, .round = 2, .worker = "w2", .word = ROUND_STOPPED};
-    straysEnd(it.strays, &end);
-    assert_int_equal(cpuOn(&it, "w2"), 0);
+    strays_end(it.strays, &end);
+    assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
 }
 
 /* An order that may still be on its way counts, whatever the agent lists. */
-static void onItsWay(void **state)
+static void on_its_way(void **state)
 {
     (void)state;
     Case it = begin();
-    straysAdd(it.strays, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
+    strays_add(it.strays, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
     beat(&it, "w1", NULL, 0, UNTIL_MS - 1);
-    assert_int_equal(cpuOn(&it, "w1"), 3000);
+    assert_int_equal(cpu_on(&it, "w1"), 3000);
     beat(&it, "w1", NULL, 0, UNTIL_MS + 1);
-    assert_int_equal(cpuOn(&it, "w1"), 0);
+    assert_int_equal(cpu_on(&it, "w1"), 0);
     talloc_free(it.board.table);
 }
 
 /* What an agent lists and the table has elsewhere counts there too; of what the table
  * does not know at all nobody can tell the room. */
-static void onlyListed(void **state)
+static void only_listed(void **state)
 {
     (void)state;
     Case it = begin();
@@ -89,32 +89,32 @@
     place(&it.board, "j", both, 2, 1, "w1", "");
     RoundId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
     beat(&it, "w1", listed, 2, 10);
-    assert_int_equal(cpuOn(&it, "w1"), 0);
+    assert_int_equal(cpu_on(&it, "w1"), 0);
     beat(&it, "w2", listed, 1, 10);
-    assert_int_equal(cpuOn(&it, "w2"), 3000);
+    assert_int_equal(cpu_on(&it, "w2"), 3000);
     RoundId unknown = {"k", 0, 1};
     beat(&it, "w2", &unknown, 1, 20);
     Room room;
-    assert_false(straysRoom(it.strays, "w2", &room));
+    assert_false(strays_room(it.strays, "w2", &room));
     beat(&it, "w2", NULL, 0, 30);
-    assert_int_equal(cpuOn(&it, "w2"), 0);
+    assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
 }
 
 /* What its agent told of is over at once. */
-static void toldIsOver(void **state)
+static void told_is_over(void **state)
 {
     (void)state;
     Case it = begin();
     const uint64_t first[] = {0};
     place(&it.board, "j", first, 1, 1, "w1", "");
     say(&it.board, "j", 0, 1, "w1", ROUND_FAILED, "");
-    assert_int_equal(cpuOn(&it, "w1"), 0);
+    assert_int_equal(cpu_on(&it, "w1"), 0);
     talloc_free(it.board.table);
 }
 
 /* A state loaded whole is watched as the one before it. */
-static void watchedAfterLoad(void **state)
+static void watched_after_load(void **state)
 {
     (void)state;
     Case it = begin();
@@ -122,15 +122,15 @@
     const uint64_t first[] = {0};
     place(&it.board, "j", first, 1, 1, "w1", "");
     lose(&it.board, "w1");
-    assert_int_equal(cpuOn(&it, "w1"), 3000);
+    assert_int_equal(cpu_on(&it, "w1"), 3000);
     talloc_free(it.board.table);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(newerStillRuns), cmocka_unit_test(onItsWay),         cmocka_unit_test(onlyListed),
-        cmocka_unit_test(toldIsOver),     cmocka_unit_test(watchedAfterLoad),
+        cmocka_unit_test(newer_still_runs), cmocka_unit_test(on_its_way),         cmocka_unit_test(only_listed),
+        cmocka_unit_test(told_is_over),     cmocka_unit_test(watched_after_load),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -19,7 +19,7 @@
 {
     return task->phase == TASK_STOPPING &&
            (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
-            (beat->haveEpoch == view_epoch(core->view) && beat->have == table_orders(core->table, beat->worker.name)));
+            (beat->have_epoch == view_epoch(core->view) && beat->have == table_orders(core->table, beat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
@@ -76,21 +76,21 @@
 }
 
 /* One at a time for each worker: what is on its way need not be submitted again. */
-static void learn(Core *core, const BeatAsk *beat, bool listCounts)
+static void learn(Core *core, const BeatAsk *beat, bool list_counts)
 {
     AgentLine *line = agentLine(core, beat->worker.name);
     if (line->learning)
         return;
     const Worker *known = table_worker(core->table, beat->worker.name);
     Worker worker = beat->worker;
-    const bool here = beat->workerLive && !beat->leaving;
+    const bool here = beat->worker_live && !beat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
-    const bool learns = beat->workerLive && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
+    const bool learns = beat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
-    const bool left = known != NULL && !known->excluded && beat->leaving && !beat->workerLive && beat->settled &&
+    const bool left = known != NULL && !known->excluded && beat->leaving && !beat->worker_live && beat->settled &&
                       beat->rounds_count == 0;
     void *mem = talloc_new(core);
-    const RoundList gone = listCounts ? missing(core, mem, beat) : (RoundList){0};
+    const RoundList gone = list_counts ? missing(core, mem, beat) : (RoundList){0};
     if (learns || left || gone.news_count > 0) {
         Learning *learning = talloc_zero(core, Learning);
         *learning = (Learning){.core = core, .line = line, .learn = learns, .left = left, .missing = gone};
@@ -148,11 +148,11 @@
     const size_t count = table_workers(core->table, mem, &workers);
     bool all = newsIdle(core);
     for (size_t i = 0; i < count && all; i++) {
-        const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
+        const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
         all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
     }
     const LiveRow **rows;
-    const size_t rowCount = livesetRows(core->liveset, mem, &rows);
+    const size_t rowCount = liveset_rows(core->liveset, mem, &rows);
     size_t heard = 0, agents = 0;
     for (size_t i = 0; i < rowCount; i++)
         heard += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
@@ -183,20 +183,20 @@
     if (!check_name_text(beat->worker.name) || !check_name_text(beat->worker.zone))
         return STATUS_BAD_FIELD;
     const int64_t now_ms = loop_now_ms(core->loop);
-    const LiveRow *before = livesetFind(core->liveset, beat->worker.name);
-    const bool wasReady = before != NULL && liveRowReady(before, now_ms);
-    bool listCounts;
+    const LiveRow *before = liveset_find(core->liveset, beat->worker.name);
+    const bool wasReady = before != NULL && live_row_ready(before, now_ms);
+    bool list_counts;
     const int64_t hold_ms = core->props->bounds.hold_ms;
-    const Status status = livesetBeat(core->liveset, beat, now_ms, hold_ms, &listCounts);
+    const Status status = liveset_beat(core->liveset, beat, now_ms, hold_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
-    if (livesetFind(core->liveset, beat->worker.name)->number == beat->number)
-        straysBeat(core->strays, core->table, beat, now_ms);
-    if (wasReady != liveRowReady(livesetFind(core->liveset, beat->worker.name), now_ms))
+    if (liveset_find(core->liveset, beat->worker.name)->number == beat->number)
+        strays_beat(core->strays, core->table, beat, now_ms);
+    if (wasReady != live_row_ready(liveset_find(core->liveset, beat->worker.name), now_ms))
         coreNews(core);
     runsTake(core, beat);
     if (!core->repairing && view_leading(core->view))
-        learn(core, beat, listCounts);
+        learn(core, beat, list_counts);
     placeMaybe(core);
     if (beat->wait_ms > 0)
         ordersAnswer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
@@ -219,7 +219,7 @@
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
-    livesetTold(core->liveset, ask->agent, ask->incarnation, ask->number);
+    liveset_told(core->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent tells it again */
     return newsTell(core, ask->news, ask->news_count);
 }
@@ -231,14 +231,14 @@
     const FetchAsk *ask = question;
     FetchAnswer *out = answer;
     const BeatAsk beat = {
-        .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .haveEpoch = ask->haveEpoch};
+        .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_epoch = ask->have_epoch};
     BeatAnswer orders = {0};
     out->epoch = view_epoch(core->view);
     if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
-    const LiveRow *row = livesetFind(core->liveset, ask->agent);
+    const LiveRow *row = liveset_find(core->liveset, ask->agent);
     if (row == NULL)
         return STATUS_UNKNOWN_WORKER; /* it has to beat first */
     if (row->incarnation != ask->incarnation)
@@ -270,8 +270,8 @@
 {
     ordersStart(core);
     newsStart(core);
-    courier_handle(core->courier, MESSAGE_BEAT, &BeatAskShape, &BeatAnswerShape, onBeat, core);
-    courier_handle(core->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, core);
-    courier_handle(core->courier, MESSAGE_TELL, &TellAskShape, &TellAnswerShape, onTell, core);
-    courier_handle(core->courier, MESSAGE_FETCH, &FetchAskShape, &FetchAnswerShape, onFetch, core);
+    courier_handle(core->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, core);
+    courier_handle(core->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, core);
+    courier_handle(core->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, onTell, core);
+    courier_handle(core->courier, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, onFetch, core);
 }
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -80,10 +80,10 @@
     const Worker **workers;
     const size_t count = table_workers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
-        const LiveRow *row = livesetFind(core->liveset, workers[i]->name);
+        const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
         const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
         const bool silent =
-            now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->workerLive);
+            now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
             see(core, ALERT_WORKER_LOST, workers[i]->name);
         if (scoreRests(core, workers[i]->name))
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -42,7 +42,7 @@
 
 int64_t coreClaimMs(const Core *core)
 {
-    return holdClaimMs(core->props->bounds.hold_ms);
+    return hold_claim_ms(core->props->bounds.hold_ms);
 }
 
 static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
@@ -58,9 +58,9 @@
         for (size_t i = 0; i < count; i++)
             names[i] = workers[i]->name;
         /* any hold that the last leader answered runs out within this */
-        straysReset(core->strays);
+        strays_reset(core->strays);
         pacesReset(core->paces);
-        livesetReset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);
+        liveset_reset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);
         talloc_free(mem);
     }
     if (repair && (new_holder || !core->repairing)) {
@@ -77,11 +77,11 @@
 
 /* An order that was told before may be on its way until it expires, by an agent's
  * clock that is slow. */
-static void onLeft(void *arg, const Job *job, const JobTask *task)
+static void on_left(void *arg, const Job *job, const JobTask *task)
 {
     const Core *core = arg;
     if (view_holds(core->view))
-        straysAdd(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
+        strays_add(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
 static void roundsTake(Core *core, const RoundList *rounds)
@@ -94,7 +94,7 @@
             continue; /* a beat has told how far it has come since */
         if (view_holds(core->view))
             savedTake(core, &saved);
-        straysEnd(core->strays, news);
+        strays_end(core->strays, news);
     }
 }
 
@@ -107,7 +107,7 @@
     if (body != NULL && change->change == CHANGE_ROUNDS)
         roundsTake(core, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
-        livesetLosing(core->liveset, ((const WorkerLost *)body)->worker, false);
+        liveset_losing(core->liveset, ((const WorkerLost *)body)->worker, false);
 }
 
 /* Ended jobs are kept for a stated span. */
@@ -172,14 +172,14 @@
     table_watch(core->table, onDelivered, core);
     core->pieceSource.mem = core;
     core->keeper = keeperNew(core, loop, props->bounds.retell_ms);
-    core->liveset = livesetNew(core);
+    core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
     core->guesses = guesses_new(core);
     core->queue = queue_new(core, core->guesses);
-    core->strays = straysNew(core);
+    core->strays = strays_new(core);
     core->paces = pacesNew(core);
-    table_left_watch(core->table, onLeft, core);
+    table_left_watch(core->table, on_left, core);
     core->kept = map_new(core);
     core->alerts = map_new(core);
     const ViewProps viewProps = {.loop = loop,
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -41,14 +41,14 @@
 {
     const int64_t now_ms = loop_now_ms(pass->core->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[i].name);
-        if (row == NULL || !row->leaving || row->leaveUntilMs == 0)
+        const LiveRow *row = liveset_find(pass->core->liveset, pass->input.workers[i].name);
+        if (row == NULL || !row->leaving || row->leave_until_ms == 0)
             continue;
         const TaskOn *on;
         const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
-            if (mustGo(pass, &on[t], i, row->leaveUntilMs - now_ms, at >= 0) &&
+            if (mustGo(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
                 !stopAdd(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
                 return;
         }
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -70,10 +70,10 @@
 
 static bool ordersNew(const Core *core, const BeatAsk *beat)
 {
-    const LiveRow *row = livesetFind(core->liveset, beat->worker.name);
+    const LiveRow *row = liveset_find(core->liveset, beat->worker.name);
     return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
            !row->losing &&
-           (table_orders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->haveEpoch);
+           (table_orders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->have_epoch);
 }
 
 void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -92,10 +92,10 @@
 {
     Paces *paces = core->paces;
     char key[PACE_KEY];
-    if (told->percentMs <= 0)
+    if (told->percent_ms <= 0)
         return;
     Pace *pace = map_get(paces->rounds, paceKey(key, told->job, told->task));
-    if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percentMs)))
+    if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percent_ms)))
         return;
     if (pace == NULL) {
         pacesSweep(core, paces);
@@ -106,7 +106,7 @@
     }
     const bool goes_on = pace->round == told->round;
     const uint64_t before = goes_on ? pace->percent : 0;
-    const int64_t span_ms = told->percentMs - (goes_on ? pace->ran_ms : 0);
+    const int64_t span_ms = told->percent_ms - (goes_on ? pace->ran_ms : 0);
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
     pace->round = told->round;
     paces->moves += more > 0;
@@ -117,8 +117,8 @@
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
     if (!goes_on || more > 0)
-        pace->stillMs = goes_on || told->percent > 0 ? told->percentMs : 0;
+        pace->stillMs = goes_on || told->percent > 0 ? told->percent_ms : 0;
     pace->percent = told->percent;
-    pace->ran_ms = told->percentMs;
+    pace->ran_ms = told->percent_ms;
     pace->toldMs = loop_now_ms(core->loop);
 }
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -8,9 +8,9 @@
 /* What the worker may be given; none when it may be given nothing now. */
 static Room roomNow(const Core *core, const Worker *worker, Room *strays)
 {
-    const LiveRow *row = livesetFind(core->liveset, worker->name);
-    const bool known = straysRoom(core->strays, worker->name, strays);
-    const bool ready = known && row != NULL && liveRowReady(row, loop_now_ms(core->loop)) && !worker->excluded &&
+    const LiveRow *row = liveset_find(core->liveset, worker->name);
+    const bool known = strays_room(core->strays, worker->name, strays);
+    const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(core->loop)) && !worker->excluded &&
                        !table_drained(core->table, worker->zone) && !scoreRests(core, worker->name);
     const Room none = {0};
     return ready ? room_less(worker->room, row->others) : none;
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -54,7 +54,7 @@
             talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->placeRoom);
         pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->placeRoom);
     }
-    const LiveRow *row = livesetFind(pass->core->liveset, pass->input.workers[worker].name);
+    const LiveRow *row = liveset_find(pass->core->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
     pass->placed[pass->placedCount++] = (Placed){candidate->job, task, worker};
     pass->places.placements[pass->places.placements_count++] = (Placement){
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -9,7 +9,7 @@
 /* Whether the worker may hold nothing any more, and its loss is not yet decided. */
 static bool lapsed(const Core *core, const char *worker)
 {
-    const LiveRow *row = livesetFind(core->liveset, worker);
+    const LiveRow *row = liveset_find(core->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
     const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
     return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
@@ -30,7 +30,7 @@
         const WorkerLost change = {names[i], UINT64_MAX};
         /* it may come back before this is committed: then no order of the state
          * before may reach it any more */
-        livesetLosing(core->liveset, names[i], true);
+        liveset_losing(core->liveset, names[i], true);
         ChangeResult result;
         if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
@@ -46,7 +46,7 @@
     RoundList list = {0};
     const char *worker;
     for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
-        const LiveRow *row = livesetFind(core->liveset, worker);
+        const LiveRow *row = liveset_find(core->liveset, worker);
         const int64_t won_ms = view_won_ms(core->view);
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
@@ -76,6 +76,6 @@
         const Job *job = table_job(core->table, news->job);
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            straysAdd(core->strays, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
+            strays_add(core->strays, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -83,7 +83,7 @@
 static json_object *showLiveset(Core *core, void *mem)
 {
     const LiveRow **rows;
-    const size_t count = livesetRows(core->liveset, mem, &rows);
+    const size_t count = liveset_rows(core->liveset, mem, &rows);
     const int64_t now_ms = loop_now_ms(core->loop);
     const PlanInput input = plannerInput(core, mem);
     json_object *list = json_object_new_array();
@@ -92,7 +92,7 @@
         const Worker *worker = table_worker(core->table, rows[i]->name);
         json_object_object_add(one, "worker", text_of(rows[i]->name));
         json_object_object_add(one, "zone", text_of(worker != NULL ? worker->zone : ""));
-        json_object_object_add(one, "ready", json_object_new_boolean(liveRowReady(rows[i], now_ms)));
+        json_object_object_add(one, "ready", json_object_new_boolean(live_row_ready(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
         const Score *score = scoreFind(core, rows[i]->name);
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -14,7 +14,7 @@
     source->version = 0;
 }
 
-static const Revision *rowOf(const Revisions *revisions, uint64_t version)
+static const Revision *row_of(const Revisions *revisions, uint64_t version)
 {
     for (size_t i = revisions->count; i > 0; i--)
         if (revisions->rows[i - 1].revision == version)
@@ -27,7 +27,7 @@
                        int64_t now_ms)
 {
     return source->text != NULL && source->epoch == epoch && source->version > ask->textHave &&
-           now_ms - source->usedMs <= PIECE_TEXT_MS && rowOf(revisions, source->version) != NULL;
+           now_ms - source->usedMs <= PIECE_TEXT_MS && row_of(revisions, source->version) != NULL;
 }
 
 static void sourceSet(PieceSource *source, const Revisions *revisions, uint64_t epoch)
@@ -48,7 +48,7 @@
     const bool goes_on = ask->pieceOf == source->version && ask->pieceFrom <= source->length;
     const uint64_t from = goes_on ? ask->pieceFrom : 0;
     const uint64_t left = source->length - from;
-    const Revision *row = rowOf(revisions, source->version);
+    const Revision *row = row_of(revisions, source->version);
     if (row == NULL) /* no piece: it is asked for anew */
         return;
     answer->pieceSet = (ConfigSet){.base = row->base,
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -158,7 +158,7 @@
                                                               .outcome_wait_ms = props->bounds.outcome_wait_ms});
     gate->feed = feedNew(gate, loop, gate->courier, forwarderWays(gate->forwarder), gate->trace);
     courier_handle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
-    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAskShape, &KnowAnswerShape, onKnow, gate);
+    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, gate);
     courier_handle(gate->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -47,7 +47,7 @@
     const char *kind, *zone, *label, *rack, *address;
     Room room;
     bool leaving;
-    int64_t leaveMs, clock_ms;
+    int64_t leave_ms, clock_ms;
     uint64_t sequence;
     HandRunning *running;
     size_t runningCount;
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -61,7 +61,7 @@
                      .address = talloc_asprintf(mem, "%s:8080", simAddress(hand->hands->ground->world, hand->machine)),
                      .room = hand->room,
                      .leaving = hand->leaving,
-                     .leaveMs = hand->leaveAtMs > now_ms ? hand->leaveAtMs - now_ms : 0,
+                     .leave_ms = hand->leaveAtMs > now_ms ? hand->leaveAtMs - now_ms : 0,
                      .clock_ms = loop_now_ms(hand->loop),
                      .sequence = ++hand->sequence,
                      .running = talloc_zero_array(mem, HandRunning, (unsigned)count),
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -283,7 +283,7 @@
         Bytes packed = {0};
         const FetchAnswer answer = {
             .epoch = 9, .revision = 3, .expiry_ms = 2000, .wanted = (RoundId *)(uintptr_t)rounds, .wantedCount = 2};
-        shape_pack(&FetchAnswerShape, &answer, mem, &packed);
+        shape_pack(&FetchAnswer_shape, &answer, mem, &packed);
         if (i % 3 == 0)
             for (size_t at = 0; at < packed.count; at++)
                 packed.data[at] = (uint8_t)draw(256);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -53,10 +53,14 @@
                                .kind = "std",
                                .room = {cpu_milli, 262144, 0}};
         tell(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
-        const BeatAsk beat = {
-            .agent = worker.name, .incarnation = 1, .number = 1, .worker = worker, .workerLive = true, .settled = true};
+        const BeatAsk beat = {.agent = worker.name,
+                              .incarnation = 1,
+                              .number = 1,
+                              .worker = worker,
+                              .worker_live = true,
+                              .settled = true};
         bool counts;
-        livesetBeat(stand->core->liveset, &beat, loop_now_ms(stand->core->loop), 60000, &counts);
+        liveset_beat(stand->core->liveset, &beat, loop_now_ms(stand->core->loop), 60000, &counts);
     }
     talloc_free(mem);
 }
@@ -122,12 +126,12 @@
     core->table = table_new(core);
     const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = table_state(core->table)};
     core->view = view_new(core, &viewProps);
-    core->liveset = livesetNew(core);
+    core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
     core->kept = map_new(core);
     core->guesses = guesses_new(core);
-    core->strays = straysNew(core);
+    core->strays = strays_new(core);
     core->paces = pacesNew(core);
     core->queue = queue_new(core, core->guesses);
     Stand stand = {core, 0, 0};
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -33,7 +33,7 @@
 ]
 NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = courier_ask_peer\(",
              "\n    /* a message that the release before does not know */\n"
-             "    courier_ask(agent->courier, beat, beat->address, (MessageKind)250, &BeatAskShape, &ask, 50, &BeatAnswerShape, &answer);\n"
+             "    courier_ask(agent->courier, beat, beat->address, (MessageKind)250, &BeatAsk_shape, &ask, 50, &BeatAnswer_shape, &answer);\n"
              "    const Status status = courier_ask_peer(")
 
 
