--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -11,14 +11,14 @@
     int64_t rounds[PHASE_KNOWN + 1] = {0};
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
-    showMetricsBegin(task);
-    showMetric(task, "holdLeftMs", hold_left_ms(&agent->hold, loop_now_ms(agent->loop)));
-    showMetric(task, "workerLive", agent->worker_live);
-    showMetric(task, "roundsRunning", rounds[PHASE_RUNNING]);
-    showMetric(task, "roundsStopping", rounds[PHASE_STOPPING]);
-    showMetric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
-    showMetric(task, "roundsKept", (int64_t)agent->rounds.known.count);
-#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
+    show_metrics_begin(task);
+    show_metric(task, "holdLeftMs", hold_left_ms(&agent->hold, loop_now_ms(agent->loop)));
+    show_metric(task, "workerLive", agent->worker_live);
+    show_metric(task, "roundsRunning", rounds[PHASE_RUNNING]);
+    show_metric(task, "roundsStopping", rounds[PHASE_STOPPING]);
+    show_metric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
+    show_metric(task, "roundsKept", (int64_t)agent->rounds.known.count);
+#define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
@@ -29,12 +29,12 @@
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
         const bool live = task->path[1] == 'l';
         if (!live && (agent->leaving || !hold_runs(&agent->hold, loop_now_ms(agent->loop)))) {
-            showRefusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
+            show_refusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
             return;
         }
         json_object *body = json_object_new_object();
         json_object_object_add(body, live ? "live" : "ready", json_object_new_boolean(true));
-        showResult(task, 200, body);
+        show_result(task, 200, body);
         return;
     }
     if (strcmp(task->path, "/metrics") == 0) {
@@ -42,18 +42,18 @@
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
-        showRing(task, agent->ring);
+        show_ring(task, agent->ring);
         return;
     }
     static const char BEFORE[] = "/v1/workers/", AFTER[] = "/report";
     const size_t length = strlen(task->path);
     if (strncmp(task->path, BEFORE, sizeof(BEFORE) - 1) != 0 || length <= sizeof(BEFORE) + sizeof(AFTER) - 2 ||
         strcmp(task->path + length - (sizeof(AFTER) - 1), AFTER) != 0) {
-        showRefusal(task, STATUS_BAD_PATH, "there is no such path on an agent", NULL);
+        show_refusal(task, STATUS_BAD_PATH, "there is no such path on an agent", NULL);
         return;
     }
     if (strcmp(task->method, "POST") != 0) {
-        showRefusal(task, STATUS_BAD_METHOD, "a report is posted", NULL);
+        show_refusal(task, STATUS_BAD_METHOD, "a report is posted", NULL);
         return;
     }
     workerTake(
@@ -87,7 +87,7 @@
                                .http = agent->http,
                                .incarnation = agent->incarnation};
     agent->members = members_new(agent, loop, agent->courier, ring, &self, props->seeds);
-    agent->trace = traceNew(agent, loop, agent->courier, agent->members, props->name);
+    agent->trace = trace_new(agent, loop, agent->courier, agent->members, props->name);
     roundsInit(agent);
     beatStart(agent);
     tellStart(agent);
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -109,7 +109,7 @@
     savedKnown(agent, beat, ask, answer->epoch);
     if (answer->epoch > agent->epochTold) {
         agent->epochTold = answer->epoch;
-        traceSay(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
+        trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
     /* of two answers the later sent may come first */
     if (answer->orders &&
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -60,7 +60,7 @@
                                   .rack = check_name(faults, object, "", "rack", ""),
                                   .kind = check_name(faults, object, "", "kind", ""),
                                   .room = check_room(faults, object, "", "room", true)};
-        report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labelsCount);
+        report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labels_count);
         report->freeTold = json_object_object_get_ex(object, "free", NULL);
         report->free = check_room(faults, object, "", "free", false);
         report->leaving = check_flag(faults, object, "", "leaving", false);
@@ -100,7 +100,7 @@
         json_object *one = idOf(order->job, order->task, order->round);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->epoch));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
-        json_object_object_add(one, "room", showRoom(order->room));
+        json_object_object_add(one, "room", show_room(order->room));
         json_object_object_add(one, "payload", order->payload[0] ? json_tokener_parse(order->payload) : NULL);
         json_object_object_add(one, "saved", json_object_new_string(order->saved));
         json_object_array_add(starts, one);
@@ -110,7 +110,7 @@
     json_object_object_add(body, "starts", starts);
     json_object_object_add(body, "stops", idsOf(orders->stops, orders->stopsCount));
     json_object_object_add(body, "known", idsOf(orders->known, orders->knownCount));
-    showResult(task, 200, body);
+    show_result(task, 200, body);
 }
 
 void workerTake(Agent *agent, HttpTask *task, const char *name)
@@ -120,18 +120,18 @@
     WorkerReport report = {0};
     WorkerOrders orders;
     if (strcmp(name, agent->workerName) != 0) {
-        showRefusal(task, STATUS_UNKNOWN_WORKER, "this agent stands beside another worker", NULL);
+        show_refusal(task, STATUS_UNKNOWN_WORKER, "this agent stands beside another worker", NULL);
         return;
     }
     if (!reportRead(faults, task, name, &report)) {
-        showRefusal(task, faults->list[0].status, faults->list[0].text, faults);
+        show_refusal(task, faults->list[0].status, faults->list[0].text, faults);
         return;
     }
     const Status status = agentReport(agent, task, &task->gone, &report, &orders);
     if (status == STATUS_DUPLICATE_WORKER)
-        showRefusal(task, status, "another process of this name may still be running", NULL);
+        show_refusal(task, status, "another process of this name may still be running", NULL);
     else if (status != STATUS_OK)
-        showRefusal(task, status, "another question has come since", NULL);
+        show_refusal(task, status, "another question has come since", NULL);
     else
         ordersShow(task, &orders);
 }
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -94,7 +94,7 @@
     char detail[48];
     snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 "%s%s", round->order.task, round->order.round,
              step == TRACE_OVER ? " " : "", step == TRACE_OVER ? round_word(round->word) : "");
-    traceSay(agent->trace, step, detail, "job:%s", round->order.job);
+    trace_say(agent->trace, step, detail, "job:%s", round->order.job);
 }
 
 /* How far a round has come is told when it has run for PACE_FIRST_MS, and then each
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/jobjson.c
@@ -16,7 +16,7 @@
 static const char *const STEP_KEYS[] = {"name",  "after", "count",    "gang", "room",  "kind",   "labels", "payload",
                                         "estMs", "apart", "sameRack", "near", "saves", "copies", NULL};
 
-static const char *readPayload(Faults *faults, json_object *object, const char *otherwise)
+static const char *read_payload(Faults *faults, json_object *object, const char *otherwise)
 {
     json_object *payload;
     return json_object_object_get_ex(object, "payload", &payload)
@@ -25,7 +25,7 @@
 }
 
 /* payload: the whole job's, for steps that say none. */
-static void readStep(Faults *faults, json_object *object, const char *path, const char *payload, StepSpec *step)
+static void read_step(Faults *faults, json_object *object, const char *path, const char *payload, StepSpec *step)
 {
     *step = (StepSpec){.name = "", .kind = "", .payload = "", .near = ""};
     if (!check_keys(faults, object, path, STEP_KEYS))
@@ -36,19 +36,19 @@
     step->gang = check_flag(faults, object, path, "gang", false);
     step->room = check_room(faults, object, path, "room", true);
     step->kind = check_name(faults, object, path, "kind", "");
-    step->labels = check_names(faults, object, path, "labels", &step->labelsCount);
+    step->labels = check_names(faults, object, path, "labels", &step->labels_count);
     step->est_ms = (uint64_t)check_int(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
     step->apart = (uint64_t)check_int(faults, object, path, "apart", 0, JOB_TASKS_MAX, 0);
     step->same_rack = check_flag(faults, object, path, "sameRack", false);
     step->near = check_name(faults, object, path, "near", "");
     step->saves = check_flag(faults, object, path, "saves", false);
     step->copies = check_flag(faults, object, path, "copies", false);
-    step->payload = readPayload(faults, object, payload);
+    step->payload = read_payload(faults, object, payload);
     if (step->room.cpu_milli == 0 && step->room.mem_mb == 0 && step->room.gpu == 0)
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task takes some room");
 }
 
-static void checkSteps(Faults *faults, const JobSpec *spec)
+static void check_steps(Faults *faults, const JobSpec *spec)
 {
     /* names unique, after known, no cycle: take out steps whose needs are out */
     bool out[JOB_STEPS_MAX] = {false};
@@ -93,7 +93,7 @@
         fault_add(faults, STATUS_CYCLIC_STEPS, "steps", "%zu steps wait for each other", left);
 }
 
-static void readBody(Faults *faults, json_object *object, JobSpec *spec)
+static void read_body(Faults *faults, json_object *object, JobSpec *spec)
 {
     spec->priority = check_int(faults, object, "", "priority", -1000, 1000, 0);
     const char *protection = check_name(faults, object, "", "protection", "protected");
@@ -107,7 +107,7 @@
     spec->turns = (uint64_t)check_int(faults, object, "", "turns", 0, JOB_TASKS_MAX, 0);
     spec->first_wall_ms = check_int(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
     spec->period_ms = check_int(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
-    const char *payload = readPayload(faults, object, "");
+    const char *payload = read_payload(faults, object, "");
     spec->round_limit = (uint64_t)check_int(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
     json_object *steps;
     if (!json_object_object_get_ex(object, "steps", &steps) || !json_object_is_type(steps, json_type_array) ||
@@ -118,13 +118,13 @@
     spec->steps_count = json_object_array_length(steps);
     spec->steps = talloc_zero_array(faults->mem, StepSpec, (unsigned)spec->steps_count);
     for (size_t i = 0; i < spec->steps_count; i++)
-        readStep(faults, json_object_array_get_idx(steps, i), talloc_asprintf(faults->mem, "steps[%zu]", i), payload,
-                 &spec->steps[i]);
-    checkSteps(faults, spec);
+        read_step(faults, json_object_array_get_idx(steps, i), talloc_asprintf(faults->mem, "steps[%zu]", i), payload,
+                  &spec->steps[i]);
+    check_steps(faults, spec);
 }
 
 /* at: where its address says that it belongs; null: the text says so. */
-static bool readJob(Faults *faults, const char *text, size_t count, const JobSpec *at, JobSpec *spec)
+static bool read_job(Faults *faults, const char *text, size_t count, const JobSpec *at, JobSpec *spec)
 {
     const size_t before = faults->seen;
     *spec = at != NULL ? *at : (JobSpec){.id = "", .cell = "", .tenant = "", .queue = ""};
@@ -144,28 +144,28 @@
             spec->tenant = check_name(faults, object, "", "tenant", NULL);
             spec->queue = check_name(faults, object, "", "queue", NULL);
         }
-        readBody(faults, object, spec);
+        read_body(faults, object, spec);
     }
     json_object_put(object);
     return faults->seen == before;
 }
 
-bool jobRead(Faults *faults, const char *text, size_t count, JobSpec *spec)
+bool job_read(Faults *faults, const char *text, size_t count, JobSpec *spec)
 {
-    return readJob(faults, text, count, NULL, spec);
+    return read_job(faults, text, count, NULL, spec);
 }
 
-bool jobReadAt(Faults *faults, const char *text, size_t count, const char *id, const char *cell, const char *tenant,
-               const char *queue, JobSpec *spec)
+bool job_read_at(Faults *faults, const char *text, size_t count, const char *id, const char *cell, const char *tenant,
+                 const char *queue, JobSpec *spec)
 {
     const size_t before = faults->seen;
     const JobSpec at = {.id = id, .cell = cell, .tenant = tenant, .queue = queue};
     if (!check_name_text(id))
         fault_add(faults, STATUS_BAD_FIELD, "id", "must be a name of 1 to %d letters, digits or ._:-", ID_MAX);
-    return readJob(faults, text, count, &at, spec) && faults->seen == before;
+    return read_job(faults, text, count, &at, spec) && faults->seen == before;
 }
 
-static void checkWorkers(Faults *faults, const JobSpec *spec, const Table *table)
+static void check_workers(Faults *faults, const JobSpec *spec, const Table *table)
 {
     const Worker **workers;
     const size_t count = table_workers(table, faults->mem, &workers);
@@ -173,13 +173,13 @@
         return; /* none has been heard of yet: nothing can be said */
     for (size_t i = 0; i < spec->steps_count; i++) {
         const StepSpec *step = &spec->steps[i];
-        const PlanNeed need = {step->room, step->kind, step->labels, step->labelsCount};
+        const PlanNeed need = {step->room, step->kind, step->labels, step->labels_count};
         bool able = false, fits = false;
         uint64_t slots = 0;
         for (size_t w = 0; w < count; w++) {
             const PlanWorker worker = {.kind = workers[w]->kind,
                                        .labels = workers[w]->labels,
-                                       .label_count = workers[w]->labelsCount,
+                                       .label_count = workers[w]->labels_count,
                                        .free = workers[w]->room};
             able |= plan_able(&worker, &need);
             if (!plan_fits(&worker, &need))
@@ -203,7 +203,7 @@
     }
 }
 
-bool jobAdmissible(Faults *faults, const JobSpec *spec, const Config *config, const Table *table)
+bool job_admissible(Faults *faults, const JobSpec *spec, const Config *config, const Table *table)
 {
     const size_t before = faults->seen;
     const ConfigCell *cell = config_cell(config, spec->cell);
@@ -226,6 +226,6 @@
                       "is more than the quota of tenant %s", spec->tenant);
     }
     if (cell->strict)
-        checkWorkers(faults, spec, table);
+        check_workers(faults, spec, table);
     return faults->seen == before;
 }
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -14,7 +14,7 @@
     return json_object_new_string(text != NULL ? text : "");
 }
 
-json_object *showRoom(Room room)
+json_object *show_room(Room room)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "cpu", json_object_new_double((double)room.cpu_milli / 1000));
@@ -24,7 +24,7 @@
     return object;
 }
 
-static json_object *showTexts(const char *const *texts, size_t count)
+static json_object *show_texts(const char *const *texts, size_t count)
 {
     json_object *array = json_object_new_array();
     for (size_t i = 0; i < count; i++)
@@ -32,20 +32,20 @@
     return array;
 }
 
-json_object *showWorker(const Worker *worker)
+json_object *show_worker(const Worker *worker)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "name", text_of(worker->name));
     json_object_object_add(object, "zone", text_of(worker->zone));
     json_object_object_add(object, "rack", text_of(worker->rack));
     json_object_object_add(object, "kind", text_of(worker->kind));
-    json_object_object_add(object, "labels", showTexts(worker->labels, worker->labelsCount));
-    json_object_object_add(object, "room", showRoom(worker->room));
+    json_object_object_add(object, "labels", show_texts(worker->labels, worker->labels_count));
+    json_object_object_add(object, "room", show_room(worker->room));
     json_object_object_add(object, "excluded", json_object_new_boolean(worker->excluded));
     return object;
 }
 
-json_object *showJobShort(const Job *job)
+json_object *show_job_short(const Job *job)
 {
     json_object *object = json_object_new_object();
     size_t counts[TASK_PHASE_COUNT] = {0};
@@ -70,7 +70,7 @@
     return object;
 }
 
-const char *showPhase(const Job *job)
+const char *show_phase(const Job *job)
 {
     if (job->phase != JOB_ACTIVE)
         return job_phase_word(job->phase);
@@ -83,7 +83,7 @@
 }
 
 /* What its queue's configuration was when it was accepted. */
-static void showTerms(json_object *object, const JobTerms *terms)
+static void show_terms(json_object *object, const JobTerms *terms)
 {
     json_object *shown = json_object_new_object();
     if (terms->round_limit > 0)
@@ -103,14 +103,14 @@
     json_object_object_add(object, "terms", shown);
 }
 
-json_object *showJob(const Job *job, QueueClock clock)
+json_object *show_job(const Job *job, QueueClock clock)
 {
-    json_object *object = showJobShort(job);
+    json_object *object = show_job_short(job);
     json_object_object_add(object, "priority", json_object_new_int64(job->spec.priority));
     json_object_object_add(object, "protection", text_of(protection_word(job->spec.protection)));
     if (job->spec.lasting)
         json_object_object_add(object, "lasting", json_object_new_boolean(true));
-    showTerms(object, &job->terms);
+    show_terms(object, &job->terms);
     json_object *tasks = json_object_new_array();
     for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
@@ -144,7 +144,7 @@
     return object;
 }
 
-json_object *showFailure(Status status, const char *text, const Faults *faults)
+json_object *show_failure(Status status, const char *text, const Faults *faults)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "status", text_of(status_word(status)));
@@ -163,7 +163,7 @@
     return object;
 }
 
-void showResult(HttpTask *task, int code, json_object *body)
+void show_result(HttpTask *task, int code, json_object *body)
 {
     task->code = code;
     task->kind = "application/json";
@@ -174,26 +174,26 @@
     json_object_put(body);
 }
 
-void showRefusal(HttpTask *task, Status status, const char *text, const Faults *faults)
+void show_refusal(HttpTask *task, Status status, const char *text, const Faults *faults)
 {
     const int code = status_http(status);
     task->status = status;
     task->retry_after_s = status_retry_s(status);
-    showResult(task, code, showFailure(status, text, faults));
+    show_result(task, code, show_failure(status, text, faults));
 }
 
-void showReady(HttpTask *task, bool ready, bool leaving)
+void show_ready(HttpTask *task, bool ready, bool leaving)
 {
     if (!ready) {
-        showRefusal(task, leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
+        show_refusal(task, leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
         return;
     }
     json_object *body = json_object_new_object();
     json_object_object_add(body, "ready", json_object_new_boolean(true));
-    showResult(task, 200, body);
+    show_result(task, 200, body);
 }
 
-void showRing(HttpTask *task, const Ring *ring)
+void show_ring(HttpTask *task, const Ring *ring)
 {
     task->code = 200;
     task->kind = "text/plain";
@@ -202,14 +202,14 @@
     bytes_add(task, &task->result, text, strlen(text));
 }
 
-void showMetricsBegin(HttpTask *task)
+void show_metrics_begin(HttpTask *task)
 {
     task->code = 200;
     task->kind = "text/plain; version=0.0.4";
     task->result = (Bytes){0};
 }
 
-void showMetric(HttpTask *task, const char *name, int64_t value)
+void show_metric(HttpTask *task, const char *name, int64_t value)
 {
     /* counters are told in camel case inside, in snake case outside */
     char line[96];
@@ -226,7 +226,7 @@
     bytes_add(task, &task->result, line, at);
 }
 
-const char *queryValue(void *mem, const char *query, const char *key)
+const char *query_value(void *mem, const char *query, const char *key)
 {
     const size_t length = strlen(key);
     for (const char *at = query; *at != '\0';) {
@@ -238,9 +238,9 @@
     return NULL;
 }
 
-bool queryInt(Faults *faults, const char *query, const char *key, int64_t least, int64_t most, int64_t *value)
+bool query_int(Faults *faults, const char *query, const char *key, int64_t least, int64_t most, int64_t *value)
 {
-    const char *text = queryValue(faults->mem, query, key);
+    const char *text = query_value(faults->mem, query, key);
     if (text == NULL)
         return true;
     char *end;
--- a/packages/api/test/jobjson.c
+++ b/packages/api/test/jobjson.c
@@ -33,12 +33,12 @@
     Faults *faults = faults_new();
     JobSpec spec;
     /* a key that stands twice is a fault, and the third step has one */
-    assert_false(jobRead(faults, TEXT, strlen(TEXT), &spec));
+    assert_false(job_read(faults, TEXT, strlen(TEXT), &spec));
     talloc_free(faults);
     faults = faults_new();
     const char *text = talloc_strndup(faults, TEXT, strlen(TEXT) - strlen("," STEP(",\"name\":\"c\"") "]}"));
     text = talloc_asprintf(faults, "%s]}", text);
-    assert_true(jobRead(faults, text, strlen(text), &spec));
+    assert_true(job_read(faults, text, strlen(text), &spec));
     assert_true(spec.lasting);
     assert_int_equal(spec.turns, 3);
     assert_int_equal(spec.first_wall_ms, 5000);
@@ -84,7 +84,7 @@
         Faults *faults = faults_new();
         JobSpec spec;
         const char *text = talloc_asprintf(faults, "{" PLACE ",%s}", ROWS[i].body);
-        assert_false(jobRead(faults, text, strlen(text), &spec));
+        assert_false(job_read(faults, text, strlen(text), &spec));
         assert_int_equal(faults->seen, 1);
         assert_string_equal(faults->list[0].path, ROWS[i].path);
         assert_int_equal(faults->list[0].status, ROWS[i].status);
@@ -93,24 +93,24 @@
 }
 
 /* Its address says where it belongs, and the text must not. */
-static void atItsAddress(void **state)
+static void at_its_address(void **state)
 {
     (void)state;
     Faults *faults = faults_new();
     JobSpec spec;
     const char *text = "{\"steps\":[" STEP("") "]}";
-    assert_true(jobReadAt(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
+    assert_true(job_read_at(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
     assert_string_equal(spec.id, "5c0e");
     assert_string_equal(spec.cell, "c");
     assert_string_equal(spec.tenant, "t");
     assert_string_equal(spec.queue, "q");
     assert_int_equal(spec.steps_count, 1);
-    assert_false(jobReadAt(faults, text, strlen(text), "a/b", "c", "t", "q", &spec));
+    assert_false(job_read_at(faults, text, strlen(text), "a/b", "c", "t", "q", &spec));
     assert_string_equal(faults->list[0].path, "id");
     talloc_free(faults);
     faults = faults_new();
     text = "{\"queue\":\"q\",\"steps\":[" STEP("") "]}";
-    assert_false(jobReadAt(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
+    assert_false(job_read_at(faults, text, strlen(text), "5c0e", "c", "t", "q", &spec));
     assert_string_equal(faults->list[0].path, "queue");
     talloc_free(faults);
 }
@@ -136,7 +136,7 @@
                .terms = {.round_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .kind = "std"},
                .tasks = tasks,
                .tasks_count = 2};
-    json_object *body = showJob(&job, (QueueClock){0, 0});
+    json_object *body = show_job(&job, (QueueClock){0, 0});
     const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
     static const char *const PARTS[] = {"\"lasting\":true",
                                         "\"terms\":{\"rounds\":4,\"stretch\":2.2,\"targetMs\":1000,\"kind\":\"std\"}",
@@ -145,20 +145,20 @@
         if (strstr(text, PARTS[i]) == NULL)
             fail_msg("no %s in %s", PARTS[i], text);
     json_object_put(body);
-    body = showRoom(step.room);
+    body = show_room(step.room);
     assert_non_null(strstr(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN), "\"gpu\":2"));
     json_object_put(body);
-    assert_string_equal(showPhase(&job), "queued");
+    assert_string_equal(show_phase(&job), "queued");
     tasks[0].started_ms = 1;
-    assert_string_equal(showPhase(&job), "active");
+    assert_string_equal(show_phase(&job), "active");
     job.ending = JOB_CANCELLED;
-    assert_string_equal(showPhase(&job), "cancelled");
+    assert_string_equal(show_phase(&job), "cancelled");
     talloc_free(mem);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {cmocka_unit_test(taken), cmocka_unit_test(faulty),
-                                       cmocka_unit_test(atItsAddress), cmocka_unit_test(shown)};
+                                       cmocka_unit_test(at_its_address), cmocka_unit_test(shown)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -11,38 +11,38 @@
 {
     ViewSight sight;
     view_sight(core->view, &sight);
-    showMetricsBegin(task);
-    showMetric(task, "leads", view_leading(core->view));
-    showMetric(task, "repairing", core->repairing);
-    showMetric(task, "viewChanges", (int64_t)sight.view_changes);
-    showMetric(task, "lastIndex", (int64_t)sight.last_index);
-    showMetric(task, "deliveredIndex", (int64_t)sight.delivered_index);
-    showMetric(task, "journalBytes", (int64_t)sight.journal.bytes);
-    showMetric(task, "journalSyncs", (int64_t)sight.journal.syncs);
-    showMetric(task, "journalRewrites", (int64_t)sight.journal.rewrites);
-    showMetric(task, "journalTornBytes", (int64_t)sight.journal.torn_bytes);
-    showMetric(task, "otherHistories", (int64_t)sight.other_histories);
-    showMetric(task, "journalBegunAnew", sight.journal.begun_anew);
-    showMetric(task, "lastSyncMs", sight.journal.last_sync_ms);
-    showMetric(task, "worstSyncMs", sight.journal.worst_sync_ms);
-    showMetric(task, "sight", (int64_t)members_sight(core->members));
-    showMetric(task, "planHolds", core->planHolds);
+    show_metrics_begin(task);
+    show_metric(task, "leads", view_leading(core->view));
+    show_metric(task, "repairing", core->repairing);
+    show_metric(task, "viewChanges", (int64_t)sight.view_changes);
+    show_metric(task, "lastIndex", (int64_t)sight.last_index);
+    show_metric(task, "deliveredIndex", (int64_t)sight.delivered_index);
+    show_metric(task, "journalBytes", (int64_t)sight.journal.bytes);
+    show_metric(task, "journalSyncs", (int64_t)sight.journal.syncs);
+    show_metric(task, "journalRewrites", (int64_t)sight.journal.rewrites);
+    show_metric(task, "journalTornBytes", (int64_t)sight.journal.torn_bytes);
+    show_metric(task, "otherHistories", (int64_t)sight.other_histories);
+    show_metric(task, "journalBegunAnew", sight.journal.begun_anew);
+    show_metric(task, "lastSyncMs", sight.journal.last_sync_ms);
+    show_metric(task, "worstSyncMs", sight.journal.worst_sync_ms);
+    show_metric(task, "sight", (int64_t)members_sight(core->members));
+    show_metric(task, "planHolds", core->planHolds);
     for (int i = 0; i < ALERT_COUNT; i++) {
         char name[48];
         snprintf(name, sizeof(name), "alert_%s", alertWord((Alert)i));
         for (char *at = name; *at != '\0'; at++)
             if (*at == '-')
                 *at = '_';
-        showMetric(task, name, (int64_t)alertsCount(core, (Alert)i));
+        show_metric(task, name, (int64_t)alertsCount(core, (Alert)i));
     }
     Job *const *jobs;
-    showMetric(task, "jobsActive", (int64_t)table_active(core->table, &jobs));
-    showMetric(task, "jobsKnown", (int64_t)table_jobs(core->table, &jobs));
-#define X(name, outside) showMetric(task, outside, (int64_t)core->counts.name);
+    show_metric(task, "jobsActive", (int64_t)table_active(core->table, &jobs));
+    show_metric(task, "jobsKnown", (int64_t)table_jobs(core->table, &jobs));
+#define X(name, outside) show_metric(task, outside, (int64_t)core->counts.name);
     CORE_COUNT_LIST(X)
 #undef X
     const CourierCounts *counts = courier_counts(core->courier);
-#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
+#define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
@@ -56,19 +56,19 @@
     if (strcmp(task->path, "/livez") == 0) {
         json_object *body = json_object_new_object();
         json_object_object_add(body, "live", json_object_new_boolean(true));
-        showResult(task, 200, body);
+        show_result(task, 200, body);
         return;
     }
     if (strcmp(task->path, "/readyz") == 0) {
-        showReady(task, coreReady(core), core->leaving);
+        show_ready(task, coreReady(core), core->leaving);
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
-        showRing(task, core->ring);
+        show_ring(task, core->ring);
         return;
     }
     if (strcmp(task->path, "/v1/trace") == 0) {
-        traceServe(core->trace, task);
+        trace_serve(core->trace, task);
         return;
     }
     forwardRequest(core->forwarder, task);
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -42,9 +42,9 @@
 {
     const Revisions *revisions = table_revisions(way->core->table);
     int64_t revision = 0, have = -1, wait_ms = 0;
-    queryInt(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
-    queryInt(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
-    queryInt(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &wait_ms);
+    query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
+    query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
+    query_int(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &wait_ms);
     if (way->faults->count > 0) {
         wayRefuse(way);
         return;
@@ -52,7 +52,7 @@
     if (revision > 0) {
         const char *text = revisions_text(revisions, way->mem, (uint64_t)revision);
         if (text == NULL)
-            showRefusal(way->task, STATUS_UNKNOWN_REVISION, "this revision can't be read back", NULL);
+            show_refusal(way->task, STATUS_UNKNOWN_REVISION, "this revision can't be read back", NULL);
         else
             showConfig(way, (uint64_t)revision, text);
         return;
@@ -62,7 +62,7 @@
         if (!signal_wait(way->core->loop, view_news(way->core->view), until_ms))
             break;
     if (!view_leading(way->core->view))
-        showRefusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
+        show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
         showNewest(way);
 }
@@ -74,24 +74,24 @@
     for (size_t i = revisions->whole; i < revisions->count; i++)
         json_object_array_add(list, json_object_new_uint64(revisions->rows[i].revision));
     json_object_object_add(body, "revisions", list);
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 /* --- changing ------------------------------------------------------------------------ */
 
 static void refuseStale(Way *way, uint64_t current)
 {
-    json_object *body = showFailure(STATUS_STALE_REVISION, "another revision is in force: build on that", NULL);
+    json_object *body = show_failure(STATUS_STALE_REVISION, "another revision is in force: build on that", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
     way->task->status = STATUS_STALE_REVISION;
-    showResult(way->task, status_http(STATUS_STALE_REVISION), body);
+    show_result(way->task, status_http(STATUS_STALE_REVISION), body);
 }
 
 static void showTaken(Way *way, uint64_t revision)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "revision", json_object_new_uint64(revision));
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 /* What makes a call that names its revision the same one when it is sent again:
@@ -176,10 +176,10 @@
 static bool queryRevisions(Way *way, uint64_t *base, uint64_t *revision)
 {
     int64_t builds = -1, named = 0;
-    if (queryValue(way->mem, way->task->query, "base") == NULL)
+    if (query_value(way->mem, way->task->query, "base") == NULL)
         fault_add(way->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
-    queryInt(way->faults, way->task->query, "base", 0, INT64_MAX, &builds);
-    queryInt(way->faults, way->task->query, "revision", 1, INT64_MAX, &named);
+    query_int(way->faults, way->task->query, "base", 0, INT64_MAX, &builds);
+    query_int(way->faults, way->task->query, "revision", 1, INT64_MAX, &named);
     *base = (uint64_t)builds;
     *revision = (uint64_t)named;
     return way->faults->count == 0;
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -48,8 +48,8 @@
 static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
 {
     Core *core = arg;
-    traceSay(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
-             epoch_counter(epoch));
+    trace_say(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
+              epoch_counter(epoch));
     if (new_holder) {
         void *mem = talloc_new(core);
         const Worker **workers;
@@ -215,7 +215,7 @@
         .empty = !view_founded(core->view),
     };
     core->members = members_new(core, loop, core->courier, ring, &self, props->seeds);
-    core->trace = traceNew(core, loop, core->courier, core->members, props->name);
+    core->trace = trace_new(core, loop, core->courier, core->members, props->name);
     core->forwarder = forwarderNew(core, &(ForwarderSettings){.loop = loop,
                                                               .courier = core->courier,
                                                               .members = core->members,
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -13,7 +13,7 @@
 /* A refusal under a code of its own. */
 static void entryRefuse(Way *way, int http, Status status, const char *text)
 {
-    showRefusal(way->task, status, text, NULL);
+    show_refusal(way->task, status, text, NULL);
     way->task->code = http;
 }
 
@@ -21,8 +21,8 @@
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "id", json_object_new_string(job->spec.id));
-    json_object_object_add(body, "phase", json_object_new_string(showPhase(job)));
-    showResult(way->task, http, body);
+    json_object_object_add(body, "phase", json_object_new_string(show_phase(job)));
+    show_result(way->task, http, body);
 }
 
 static int64_t waitingIn(const Table *table, const ConfigPlace *place)
@@ -33,8 +33,8 @@
 static void entryPost(Way *way, const ConfigPlace *place)
 {
     JobSpec spec;
-    if (!jobReadAt(way->faults, (const char *)way->task->body.data, way->task->body.count, way->name, place->cell->name,
-                   place->tenant, place->queue->name, &spec)) {
+    if (!job_read_at(way->faults, (const char *)way->task->body.data, way->task->body.count, way->name,
+                     place->cell->name, place->tenant, place->queue->name, &spec)) {
         wayRefuse(way);
         return;
     }
@@ -88,7 +88,7 @@
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "waiting", json_object_new_int64(waitingIn(way->core->table, place)));
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 void entryServe(Way *way)
@@ -97,14 +97,14 @@
     const char *method = way->task->method, *path = way->task->path + strlen(ENTRY_PATH);
     const bool post = strcmp(method, "POST") == 0, get = strcmp(method, "GET") == 0;
     if (!post && !get && strcmp(method, "DELETE") != 0) {
-        showRefusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
+        show_refusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
         return;
     }
     if (revisions_newest(table_revisions(core->table)) == 0) {
-        showRefusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
+        show_refusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
         return;
     }
-    const char *host = queryValue(way->mem, way->task->query, "host");
+    const char *host = query_value(way->mem, way->task->query, "host");
     const ConfigPlace *place = config_entry(coreConfig(core), host != NULL ? host : way->task->host, path);
     if (place == NULL) {
         entryRefuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
@@ -112,16 +112,16 @@
     }
     const uint64_t bodyMost = coreConfig(core)->limits.body_bytes;
     if (bodyMost > 0 && way->task->body.count > bodyMost) {
-        showRefusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
+        show_refusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
     }
     way->name = path + place->prefix_length;
     if (way->name[0] == '\0' && get)
         entry_count(way, place);
     else if (way->name[0] == '\0')
-        showRefusal(way->task, STATUS_BAD_METHOD, "an id must follow", NULL);
+        show_refusal(way->task, STATUS_BAD_METHOD, "an id must follow", NULL);
     else if (!check_name_text(way->name) && post)
-        showRefusal(way->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
+        show_refusal(way->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
     else if (!check_name_text(way->name))
         entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
     else if (post)
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -9,7 +9,7 @@
     Core *core = way->core;
     const Config *config = coreConfig(core);
     *fresh = false;
-    if (!jobAdmissible(way->faults, spec, config, core->table)) {
+    if (!job_admissible(way->faults, spec, config, core->table)) {
         wayRefuse(way);
         return NULL;
     }
@@ -18,7 +18,7 @@
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
     if (table_waiting(core->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
         core->counts.crowded++;
-        showRefusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
+        show_refusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
         return NULL;
     }
     const JobAdd add = {*spec, *terms};
@@ -27,7 +27,7 @@
         return NULL;
     const Job *job = table_job(core->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
-        showRefusal(way->task, result.status, "another job has this id", NULL);
+        show_refusal(way->task, result.status, "another job has this id", NULL);
         return NULL;
     }
     *fresh = true;
@@ -37,7 +37,7 @@
 bool jobAgain(Way *way, const Job *known, const JobSpec *spec)
 {
     if (!shape_equal(&JobSpec_shape, &known->spec, spec)) {
-        showRefusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
+        show_refusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
     /* whoever carries this result may be the only one to have heard it */
@@ -59,7 +59,7 @@
 void jobPost(Way *way)
 {
     JobSpec spec;
-    if (!jobRead(way->faults, (const char *)way->task->body.data, way->task->body.count, &spec)) {
+    if (!job_read(way->faults, (const char *)way->task->body.data, way->task->body.count, &spec)) {
         wayRefuse(way);
         return;
     }
@@ -76,17 +76,17 @@
         if (job == NULL)
             return;
     }
-    showResult(way->task, fresh || way->task->again ? 201 : 200, showJobShort(job));
+    show_result(way->task, fresh || way->task->again ? 201 : 200, show_job_short(job));
 }
 
 void jobGet(Way *way)
 {
     const Job *job = table_job(way->core->table, way->name);
     if (job == NULL)
-        showRefusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+        show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
     else {
         wayKeepEnd(way, job);
-        showResult(way->task, 200, showJob(job, coreClock(way->core)));
+        show_result(way->task, 200, show_job(job, coreClock(way->core)));
     }
 }
 
@@ -101,25 +101,25 @@
 {
     ChangeResult result;
     if (table_job(way->core->table, way->name) == NULL) {
-        showRefusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+        show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
     if (!jobCancelled(way, &result))
         return;
     const Job *job = table_job(way->core->table, way->name);
     if (result.status != STATUS_OK || job == NULL)
-        showRefusal(way->task, result.status, "the job had ended before", NULL);
+        show_refusal(way->task, result.status, "the job had ended before", NULL);
     else
-        showResult(way->task, 200, showJobShort(job));
+        show_result(way->task, 200, show_job_short(job));
 }
 
 void jobList(Way *way)
 {
     int64_t after = 0, limit = LIST_PAGE;
-    queryInt(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
-    queryInt(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
-    const char *cell = queryValue(way->mem, way->task->query, "cell");
-    const char *phase = queryValue(way->mem, way->task->query, "phase");
+    query_int(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
+    query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
+    const char *cell = query_value(way->mem, way->task->query, "cell");
+    const char *phase = query_value(way->mem, way->task->query, "phase");
     if (way->faults->count > 0) {
         wayRefuse(way);
         return;
@@ -143,11 +143,11 @@
             (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
             continue;
         wayKeepEnd(way, job);
-        json_object_array_add(list, showJobShort(job));
+        json_object_array_add(list, show_job_short(job));
         shown++;
     }
     json_object_object_add(body, "jobs", list);
     if (at < count)
         json_object_object_add(body, "next", json_object_new_int64((int64_t)jobs[at - 1]->number));
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -36,7 +36,7 @@
                                               .rack = worker->rack,
                                               .kind = worker->kind,
                                               .labels = worker->labels,
-                                              .label_count = worker->labelsCount,
+                                              .label_count = worker->labels_count,
                                               .room = room,
                                               .free = room_less(room, used),
                                               .penalty = scoreRate(core, worker->name) * 10};
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -7,7 +7,7 @@
 PlanNeed passNeed(const Job *job, uint64_t step)
 {
     const StepSpec *spec = &job->spec.steps[step];
-    return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labelsCount};
+    return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labels_count};
 }
 
 void passCount(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -23,8 +23,8 @@
 {
     Core *core = way->core;
     int64_t limit = LIST_PAGE;
-    queryInt(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
-    const char *cell = queryValue(way->mem, way->task->query, "cell");
+    query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
+    const char *cell = query_value(way->mem, way->task->query, "cell");
     const Config *config = coreConfig(core);
     if (cell == NULL || config_cell(config, cell) == NULL)
         fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
@@ -56,7 +56,7 @@
     json_object_object_add(body, "cell", json_object_new_string(cell));
     json_object_object_add(body, "ready", json_object_new_int64(ready));
     json_object_object_add(body, "order", list);
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 void queueGet(Way *way)
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -105,8 +105,8 @@
                                numberOf(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
         for (size_t k = 0; k < input.worker_count; k++)
             if (strcmp(input.workers[k].name, rows[i]->name) == 0) {
-                json_object_object_add(one, "room", showRoom(input.workers[k].room));
-                json_object_object_add(one, "free", showRoom(input.workers[k].free));
+                json_object_object_add(one, "room", show_room(input.workers[k].room));
+                json_object_object_add(one, "free", show_room(input.workers[k].free));
             }
         json_object_array_add(list, one);
     }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -11,7 +11,7 @@
         const Placement *place = &places->placements[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->round,
                  place->worker);
-        traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", place->job);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", place->job);
     }
 }
 
@@ -22,7 +22,7 @@
         const RoundNews *news = &rounds->news[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->round,
                  round_word(news->word));
-        traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
     }
 }
 
@@ -36,10 +36,10 @@
              good ? "" : status_word(result->status));
     switch (change->change) {
     case CHANGE_JOB_ADD:
-        traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobAdd *)body)->spec.id);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobAdd *)body)->spec.id);
         break;
     case CHANGE_JOB_CANCEL:
-        traceSay(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
         break;
     case CHANGE_PLACE:
         tracePlaces(core, body);
@@ -48,11 +48,11 @@
         traceRounds(core, body);
         break;
     case CHANGE_CONFIG_SET:
-        traceSay(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->revision);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->revision);
         break;
     case CHANGE_ZONE_DRAIN: {
         const ZoneDrain *drain = body;
-        traceSay(core->trace, TRACE_DELIVERED, drain->drained ? "drained" : "back", "zone:%s", drain->zone);
+        trace_say(core->trace, TRACE_DELIVERED, drain->drained ? "drained" : "back", "zone:%s", drain->zone);
         break;
     }
     default:
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -17,7 +17,7 @@
 {
     if (view_leading(way->core->view))
         return true;
-    showRefusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
+    show_refusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
 }
 
@@ -25,7 +25,7 @@
 {
     if (!way->core->repairing || strcmp(way->task->path, "/v1/status") == 0)
         return true;
-    showRefusal(way->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
+    show_refusal(way->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
     return false;
 }
 
@@ -41,10 +41,10 @@
         return true;
     case STATUS_NOT_LEADER:
     case STATUS_BUSY:
-        showRefusal(way->task, status, "nothing was taken: come back", NULL);
+        show_refusal(way->task, status, "nothing was taken: come back", NULL);
         return false;
     default:
-        showRefusal(way->task, STATUS_OUTCOME_UNKNOWN, "it may have been taken: ask, or send the same again", NULL);
+        show_refusal(way->task, STATUS_OUTCOME_UNKNOWN, "it may have been taken: ask, or send the same again", NULL);
         return false;
     }
 }
@@ -53,7 +53,7 @@
 {
     const Faults *faults = way->faults;
     way->core->counts.refused++;
-    showRefusal(way->task, faults->list[0].status, faults->list[0].text, faults);
+    show_refusal(way->task, faults->list[0].status, faults->list[0].text, faults);
 }
 
 void wayKeep(Way *way, const KeepItem *item)
@@ -75,12 +75,12 @@
 
 static void statusGet(Way *way)
 {
-    showResult(way->task, 200, coreStatus(way->core));
+    show_result(way->task, 200, coreStatus(way->core));
 }
 
 static void alertsGet(Way *way)
 {
-    showResult(way->task, 200, alertsShow(way->core));
+    show_result(way->task, 200, alertsShow(way->core));
 }
 
 /* --- routes ---------------------------------------------------------------------------------- */
@@ -132,7 +132,7 @@
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "ready", json_object_new_boolean(true));
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 static const Route READY = {"GET", {0}, readyGet, PROOF_LEASE, PROOF_LEASE};
@@ -217,7 +217,7 @@
         return;
     way->core->counts.unproven++;
     task->result = (Bytes){0};
-    showRefusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
+    show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
 void leaderServe(Core *core, HttpTask *task, void *mem, KeepList *keeps)
@@ -234,8 +234,8 @@
         route->serve(&way);
         prove(&way, route, epoch);
     } else if (pathKnown) {
-        showRefusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
+        show_refusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
     } else {
-        showRefusal(task, STATUS_BAD_PATH, "there is no such path", NULL);
+        show_refusal(task, STATUS_BAD_PATH, "there is no such path", NULL);
     }
 }
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -49,16 +49,16 @@
             json_object_new_string(
                 talloc_asprintf(way->mem, "with this zone empty, the loss of %s %s leaves protected work without room",
                                 loss_word(broken.loss), broken.name)));
-    showResult(way->task, 200, body);
+    show_result(way->task, 200, body);
 }
 
 /* What the query says of the order: its name, what it builds on. */
 static bool orderRead(Way *way, ZoneDrain *drain)
 {
     int64_t move = 0, after = -1;
-    const char *order = queryValue(way->mem, way->task->query, "order");
-    queryInt(way->faults, way->task->query, "move", 0, 1, &move);
-    queryInt(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
+    const char *order = query_value(way->mem, way->task->query, "order");
+    query_int(way->faults, way->task->query, "move", 0, 1, &move);
+    query_int(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
     if (order != NULL && !check_name_text(order))
         fault_add(way->faults, STATUS_BAD_FIELD, "?order", "is of letters, digits and ._:-");
     if (way->faults->count > 0)
@@ -89,13 +89,13 @@
         zoneShow(way);
         return false;
     case DRAIN_OVERTAKEN:
-        showRefusal(way->task, STATUS_STALE_ORDER, "nothing was taken: there has been another order for this zone",
-                    NULL);
+        show_refusal(way->task, STATUS_STALE_ORDER, "nothing was taken: there has been another order for this zone",
+                     NULL);
         return false;
     case DRAIN_FORGOTTEN:
         break;
     }
-    showRefusal(way->task, STATUS_EXPIRED, "it may have been taken: ask, and send it anew if it still stands", NULL);
+    show_refusal(way->task, STATUS_EXPIRED, "it may have been taken: ask, and send it anew if it still stands", NULL);
     return false;
 }
 
@@ -107,7 +107,7 @@
         return;
     }
     if (!zoneKnown(way)) {
-        showRefusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
+        show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
         return;
     }
     const Table *table = way->core->table;
@@ -140,5 +140,5 @@
     if (zoneKnown(way))
         zoneShow(way);
     else
-        showRefusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
+        show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
 }
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -40,16 +40,16 @@
         ConfigSet set;
         ZoneDrain drain;
         if (item->change == CHANGE_JOB_ADD && shape_unpack(&JobAdd_shape, item->payload, mem, &add, NULL) == STATUS_OK)
-            traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", add.spec.id);
+            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", add.spec.id);
         else if (item->change == CHANGE_JOB_CANCEL &&
                  shape_unpack(&JobCancel_shape, item->payload, mem, &cancel, NULL) == STATUS_OK)
-            traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
+            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
         else if (item->change == CHANGE_CONFIG_SET &&
                  shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK)
-            traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.revision);
+            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.revision);
         else if (item->change == CHANGE_ZONE_DRAIN &&
                  shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) == STATUS_OK)
-            traceSay(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
+            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
         talloc_free(mem);
     }
 }
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -135,10 +135,10 @@
 {
     if (answer->epoch > feed->epoch) {
         feed->epoch = answer->epoch;
-        traceSay(feed->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
+        trace_say(feed->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
     if (answer->revision > feed->revision) {
-        traceSay(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
+        trace_say(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
         feed->revision = answer->revision;
         feed->size = answer->size;
         feed->learntMs = loop_now_ms(feed->loop);
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -133,10 +133,10 @@
 void forwardGiveUp(const Forwarding *one)
 {
     if (one->maybeTaken)
-        showRefusal(one->task, STATUS_OUTCOME_UNKNOWN, "the leader was lost on the way: ask, or send the same again",
-                    NULL);
+        show_refusal(one->task, STATUS_OUTCOME_UNKNOWN, "the leader was lost on the way: ask, or send the same again",
+                     NULL);
     else
-        showRefusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
+        show_refusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
     one->task->retry_after_s = retryS(one->forwarder);
 }
 
--- a/packages/feed/src/order.c
+++ b/packages/feed/src/order.c
@@ -45,7 +45,7 @@
     Loop *loop = one->forwarder->settings.loop;
     char *query = talloc_strdup(task, task->query);
     int64_t stamp = 0;
-    if (queryValue(task, task->query, "after") == NULL) {
+    if (query_value(task, task->query, "after") == NULL) {
         if (!stampRead(one, &stamp))
             return false;
         one->based = stamp >= 0;
@@ -54,11 +54,11 @@
         else
             query = talloc_asprintf_append(query, "%safter=%" PRId64, query[0] != '\0' ? "&" : "", stamp);
     }
-    if (queryValue(task, task->query, "order") == NULL)
+    if (query_value(task, task->query, "order") == NULL)
         query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loop_random(loop));
     loop_yield(loop); /* an end of its connection that came with it is seen */
     if (task->gone) {
-        showRefusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
+        show_refusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
         return false;
     }
     ask->query = query;
@@ -67,9 +67,9 @@
 
 void orderOvertaken(HttpTask *task)
 {
-    showRefusal(task, STATUS_STALE_ORDER,
-                "there has been another order for this zone; nothing was taken: send it again if it still stands",
-                NULL);
+    show_refusal(task, STATUS_STALE_ORDER,
+                 "there has been another order for this zone; nothing was taken: send it again if it still stands",
+                 NULL);
     task->code = NOT_TAKEN_HTTP;
     task->retry_after_s = RETRY_AFTER_S;
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -28,14 +28,14 @@
 static void metrics(Gate *gate, HttpTask *task)
 {
     const CourierCounts *counts = courier_counts(gate->courier);
-    showMetricsBegin(task);
-    showMetric(task, "inWork", (int64_t)gate->inWork);
-    showMetric(task, "kept", (int64_t)keeperCount(gate->keeper));
-    showMetric(task, "keptBytes", (int64_t)keeperBytes(gate->keeper));
-    showMetric(task, "configRevision", (int64_t)feedRevision(gate->feed));
-    showMetric(task, "configHeld", (int64_t)feedHeld(gate->feed));
-    showMetric(task, "members", (int64_t)members_table(gate->members)->count);
-#define X(name, outside) showMetric(task, outside, (int64_t)counts->name);
+    show_metrics_begin(task);
+    show_metric(task, "inWork", (int64_t)gate->inWork);
+    show_metric(task, "kept", (int64_t)keeperCount(gate->keeper));
+    show_metric(task, "keptBytes", (int64_t)keeperBytes(gate->keeper));
+    show_metric(task, "configRevision", (int64_t)feedRevision(gate->feed));
+    show_metric(task, "configHeld", (int64_t)feedHeld(gate->feed));
+    show_metric(task, "members", (int64_t)members_table(gate->members)->count);
+#define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
 #undef X
 }
@@ -45,15 +45,15 @@
     if (strcmp(task->path, "/livez") == 0) {
         json_object *body = json_object_new_object();
         json_object_object_add(body, "live", json_object_new_boolean(true));
-        showResult(task, 200, body);
+        show_result(task, 200, body);
     } else if (strcmp(task->path, "/readyz") == 0) {
-        showReady(task, gateReady(gate), gate->leaving);
+        show_ready(task, gateReady(gate), gate->leaving);
     } else if (strcmp(task->path, "/metrics") == 0) {
         metrics(gate, task);
     } else if (strcmp(task->path, "/v1/ring") == 0) {
-        showRing(task, gate->ring);
+        show_ring(task, gate->ring);
     } else if (strcmp(task->path, "/v1/trace") == 0) {
-        traceServe(gate->trace, task);
+        trace_serve(gate->trace, task);
     } else {
         gate->inWork++;
         forwardRequest(gate->forwarder, task);
@@ -74,7 +74,7 @@
     if (ask->code == 200 && !known)
         return false;
     if (ask->code == 200) {
-        showResult(task, ELSEWHERE_HTTP, json_object_new_object());
+        show_result(task, ELSEWHERE_HTTP, json_object_new_object());
         *leader = talloc_strdup(task, member->record.http);
         return true;
     }
@@ -148,7 +148,7 @@
                                .http = gate->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
     gate->members = members_new(gate, loop, gate->courier, ring, &self, props->seeds);
-    gate->trace = traceNew(gate, loop, gate->courier, gate->members, props->name);
+    gate->trace = trace_new(gate, loop, gate->courier, gate->members, props->name);
     gate->forwarder = forwarderNew(gate, &(ForwarderSettings){.loop = loop,
                                                               .courier = gate->courier,
                                                               .members = gate->members,
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -35,9 +35,9 @@
     const Worker *on = &seenWorker(checker, worker)->worker;
     /* looked at here by itself: the planner's own look is what is being checked */
     bool able = step->kind[0] == '\0' || strcmp(step->kind, on->kind) == 0;
-    for (size_t i = 0; i < step->labelsCount; i++) {
+    for (size_t i = 0; i < step->labels_count; i++) {
         bool has = false;
-        for (size_t k = 0; k < on->labelsCount; k++)
+        for (size_t k = 0; k < on->labels_count; k++)
             has |= strcmp(step->labels[i], on->labels[k]) == 0;
         able &= has;
     }
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -114,7 +114,7 @@
                        .rack = talloc_asprintf(fleet, "rack%d", i / 3),
                        .kind = shape.mix == MIX_VARIED && i % 4 == 1 ? "gpu" : "std",
                        .labels = (const char **)(uintptr_t)SSD,
-                       .labelsCount = shape.mix == MIX_VARIED && i % 2 == 0,
+                       .labels_count = shape.mix == MIX_VARIED && i % 2 == 0,
                        .room = large ? (Room){64000, 131072, 0} : (Room){16000, 65536, 0}},
             .agent = agent->props.http,
             .watch = fleetWorkerWatch(worker),
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -172,7 +172,7 @@
                                .rack = "",
                                .kind = "",
                                .labels = labels,
-                               .labelsCount = 1,
+                               .labels_count = 1,
                                .excluded = true};
         shape_pack(&Worker_shape, &worker, mem, &payload);
         view_offer(viewOf(fleet, fleetLeader(fleet)), CHANGE_WORKER_SET, payload);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -115,7 +115,7 @@
         const MixClass kind = (MixClass)draw(CLASS_COUNT);
         const char *text = spoil(mem, mixJob(mem, MIX_VARIED, kind, "j", 1700000000000), &count);
         JobSpec spec;
-        if (jobRead(faults, text, count, &spec)) {
+        if (job_read(faults, text, count, &spec)) {
             assert_true(strlen(spec.id) >= 1 && strlen(spec.id) <= ID_MAX);
             assert_true(spec.steps_count >= 1 && spec.steps_count <= JOB_STEPS_MAX);
             good++;
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -194,13 +194,13 @@
 {
     CallerJob *const *jobs;
     const size_t count = callerJobs(fleet->callers[0], &jobs);
-    const int64_t offsetMs = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
+    const int64_t offset_ms = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
     for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
         next_ms = sim_now_ms(fleet->world);
         for (size_t i = 0; i < count; i++)
-            if (jobs[i]->accepted_ms - offsetMs > at_ms && jobs[i]->accepted_ms - offsetMs < next_ms)
-                next_ms = jobs[i]->accepted_ms - offsetMs;
+            if (jobs[i]->accepted_ms - offset_ms > at_ms && jobs[i]->accepted_ms - offset_ms < next_ms)
+                next_ms = jobs[i]->accepted_ms - offset_ms;
         worst = next_ms - at_ms > worst ? next_ms - at_ms : worst;
     }
     return worst;
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -87,7 +87,7 @@
         wrong(watched, reader, "a refusal", told, known);
 }
 
-static void readJob(const Reader *reader, Loop *loop, void *mem)
+static void read_job(const Reader *reader, Loop *loop, void *mem)
 {
     Watched *watched = reader->watched;
     if (watched->jobs == 0)
@@ -109,7 +109,7 @@
         void *mem = talloc_new(loop);
         readConfig(reader, loop, mem);
         readRefusal(reader, loop, mem);
-        readJob(reader, loop, mem);
+        read_job(reader, loop, mem);
         talloc_free(mem);
         loop_sleep(loop, READ_PAUSE_MS);
     }
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -55,7 +55,7 @@
     Faults *faults = talloc_zero(job, Faults);
     faults->mem = job;
     const char *text = mixJob(job, replay->mix, kind, id, 0);
-    if (!jobRead(faults, text, strlen(text), &job->spec))
+    if (!job_read(faults, text, strlen(text), &job->spec))
         return NULL;
     for (size_t s = 0; s < job->spec.steps_count; s++)
         for (uint64_t k = 0; k < job->spec.steps[s].count; k++) {
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -242,7 +242,7 @@
 static json_object *reportOf(StandWorker *worker)
 {
     const Worker *self = &worker->props.worker;
-    json_object *body = showWorker(self);
+    json_object *body = show_worker(self);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
     Room used = self->room.cpu_milli ? worker->props.others : (Room){0};
@@ -255,7 +255,7 @@
     const Room free = {self->room.cpu_milli > used.cpu_milli ? self->room.cpu_milli - used.cpu_milli : 0,
                        self->room.mem_mb > used.mem_mb ? self->room.mem_mb - used.mem_mb : 0,
                        self->room.gpu > used.gpu ? self->room.gpu - used.gpu : 0};
-    json_object_object_add(body, "free", showRoom(free));
+    json_object_object_add(body, "free", show_room(free));
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -27,13 +27,13 @@
  * Invariant: the last TRACE_EVENTS are held, in order. */
 typedef struct Trace Trace;
 
-Trace *traceNew(void *mem, Loop *loop, Courier *courier, Members *members, const char *node);
+Trace *trace_new(void *mem, Loop *loop, Courier *courier, Members *members, const char *node);
 /* Null trace: nothing is done. */
-void traceSay(Trace *trace, TraceStep step, const char *detail, const char *keyFormat, ...)
+void trace_say(Trace *trace, TraceStep step, const char *detail, const char *key_format, ...)
     __attribute__((format(printf, 4, 5)));
 /* Serves GET /v1/trace?key=KEY; waits. Asks all members at once; those that do
  * not answer in time are named. Times are brought to the own clock, good to half
  * the way there and back. */
-void traceServe(Trace *trace, HttpTask *task);
+void trace_serve(Trace *trace, HttpTask *task);
 
 #endif
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -53,29 +53,29 @@
         const Event *event = &trace->events[i % TRACE_EVENTS];
         if (strcmp(event->key, key) != 0)
             continue;
-        out->events = talloc_realloc(mem, out->events, TraceEvent, (unsigned)(out->eventsCount + 1));
-        out->events[out->eventsCount++] = (TraceEvent){event->at_ms, event->step, talloc_strdup(mem, event->detail)};
+        out->events = talloc_realloc(mem, out->events, TraceEvent, (unsigned)(out->events_count + 1));
+        out->events[out->events_count++] = (TraceEvent){event->at_ms, event->step, talloc_strdup(mem, event->detail)};
     }
 }
 
-static Status onTrace(void *arg, void *mem, const void *question, void *answer)
+static Status on_trace(void *arg, void *mem, const void *question, void *answer)
 {
     tell(arg, mem, ((const TraceAsk *)question)->key, answer);
     return STATUS_OK;
 }
 
-Trace *traceNew(void *mem, Loop *loop, Courier *courier, Members *members, const char *node)
+Trace *trace_new(void *mem, Loop *loop, Courier *courier, Members *members, const char *node)
 {
     Trace *trace = talloc_zero(mem, Trace);
     trace->loop = loop;
     trace->courier = courier;
     trace->members = members;
     trace->node = talloc_strdup(trace, node);
-    courier_handle(courier, MESSAGE_TRACE, &TraceAskShape, &TraceAnswerShape, onTrace, trace);
+    courier_handle(courier, MESSAGE_TRACE, &TraceAsk_shape, &TraceAnswer_shape, on_trace, trace);
     return trace;
 }
 
-void traceSay(Trace *trace, TraceStep step, const char *detail, const char *keyFormat, ...)
+void trace_say(Trace *trace, TraceStep step, const char *detail, const char *key_format, ...)
 {
     if (trace == NULL)
         return;
@@ -84,8 +84,8 @@
     event->step = step;
     snprintf(event->detail, sizeof(event->detail), "%s", detail);
     va_list args;
-    va_start(args, keyFormat);
-    vsnprintf(event->key, sizeof(event->key), keyFormat, args);
+    va_start(args, key_format);
+    vsnprintf(event->key, sizeof(event->key), key_format, args);
     va_end(args);
 }
 
@@ -108,7 +108,7 @@
     Row *rows;
     size_t count;
     const char **silent;
-    size_t silentCount;
+    size_t silent_count;
 } Gathering;
 
 typedef struct GatherPart {
@@ -118,19 +118,19 @@
     PeerLife peer;
 } GatherPart;
 
-static void gatheringLeave(Gathering *gathering)
+static void gathering_leave(Gathering *gathering)
 {
     if (--gathering->users == 0)
         talloc_free(gathering);
 }
 
-static void rowsAdd(Gathering *gathering, const TraceAnswer *answer, int64_t offsetMs)
+static void rows_add(Gathering *gathering, const TraceAnswer *answer, int64_t offset_ms)
 {
     gathering->rows =
-        talloc_realloc(gathering, gathering->rows, Row, (unsigned)(gathering->count + answer->eventsCount + 1));
-    for (size_t i = 0; i < answer->eventsCount; i++) {
+        talloc_realloc(gathering, gathering->rows, Row, (unsigned)(gathering->count + answer->events_count + 1));
+    for (size_t i = 0; i < answer->events_count; i++) {
         gathering->rows[gathering->count] =
-            (Row){answer->events[i].at_ms + offsetMs, talloc_strdup(gathering, answer->node), answer->events[i].step,
+            (Row){answer->events[i].at_ms + offset_ms, talloc_strdup(gathering, answer->node), answer->events[i].step,
                   talloc_strdup(gathering, answer->events[i].detail), gathering->count};
         gathering->count++;
     }
@@ -145,21 +145,21 @@
     const int64_t sent_ms = loop_now_ms(trace->loop);
     const Status status =
         courier_ask_peer(trace->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
-                         &TraceAskShape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswerShape, &answer);
+                         &TraceAsk_shape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswer_shape, &answer);
     if (status == STATUS_OK) {
-        rowsAdd(gathering, &answer, (sent_ms + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
+        rows_add(gathering, &answer, (sent_ms + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
     } else {
         gathering->silent =
-            talloc_realloc(gathering, gathering->silent, const char *, (unsigned)gathering->silentCount + 1);
-        gathering->silent[gathering->silentCount++] = talloc_strdup(gathering, part->name);
+            talloc_realloc(gathering, gathering->silent, const char *, (unsigned)gathering->silent_count + 1);
+        gathering->silent[gathering->silent_count++] = talloc_strdup(gathering, part->name);
     }
     gathering->pending--;
     signal_raise(trace->loop, &gathering->ended);
-    gatheringLeave(gathering);
+    gathering_leave(gathering);
     talloc_free(part);
 }
 
-static int rowOrder(const void *a, const void *b)
+static int row_order(const void *a, const void *b)
 {
     const Row *x = a, *y = b;
     if (x->at_ms != y->at_ms)
@@ -167,7 +167,7 @@
     return x->order < y->order ? -1 : x->order > y->order;
 }
 
-static const char *stepWord(uint64_t step)
+static const char *step_word(uint64_t step)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -177,15 +177,15 @@
     return step < sizeof(WORDS) / sizeof(WORDS[0]) ? WORDS[step] : "unlisted";
 }
 
-void traceServe(Trace *trace, HttpTask *task)
+void trace_serve(Trace *trace, HttpTask *task)
 {
-    const char *key = queryValue(task, task->query, "key");
+    const char *key = query_value(task, task->query, "key");
     if (strcmp(task->method, "GET") != 0) {
-        showRefusal(task, STATUS_BAD_METHOD, "a trace is read", NULL);
+        show_refusal(task, STATUS_BAD_METHOD, "a trace is read", NULL);
         return;
     }
     if (key == NULL || strchr(key, ':') == NULL) {
-        showRefusal(task, STATUS_BAD_FIELD, "?key: must be job:ID, config:REVISION, zone:ZONE or view:EPOCH", NULL);
+        show_refusal(task, STATUS_BAD_FIELD, "?key: must be job:ID, config:REVISION, zone:ZONE or view:EPOCH", NULL);
         return;
     }
     Gathering *gathering = talloc_zero(trace, Gathering);
@@ -194,7 +194,7 @@
     gathering->ask.key = talloc_strdup(gathering, key);
     TraceAnswer own = {0};
     tell(trace, gathering, key, &own);
-    rowsAdd(gathering, &own, 0);
+    rows_add(gathering, &own, 0);
     const MemberTable *table = members_table(trace->members);
     const char *self = members_self(trace->members)->id;
     for (size_t i = 0; i < table->count; i++) {
@@ -212,22 +212,22 @@
     }
     while (gathering->pending > 0)
         signal_wait(trace->loop, &gathering->ended, INT64_MAX);
-    qsort(gathering->rows, gathering->count, sizeof(Row), rowOrder);
+    qsort(gathering->rows, gathering->count, sizeof(Row), row_order);
     json_object *body = json_object_new_object(), *steps = json_object_new_array(), *silent = json_object_new_array();
     for (size_t i = 0; i < gathering->count; i++) {
         const Row *row = &gathering->rows[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "sinceMs", json_object_new_int64(row->at_ms - gathering->rows[0].at_ms));
         json_object_object_add(one, "node", json_object_new_string(row->node));
-        json_object_object_add(one, "step", json_object_new_string(stepWord(row->step)));
+        json_object_object_add(one, "step", json_object_new_string(step_word(row->step)));
         json_object_object_add(one, "detail", json_object_new_string(row->detail));
         json_object_array_add(steps, one);
     }
-    for (size_t i = 0; i < gathering->silentCount; i++)
+    for (size_t i = 0; i < gathering->silent_count; i++)
         json_object_array_add(silent, json_object_new_string(gathering->silent[i]));
     json_object_object_add(body, "key", json_object_new_string(key));
     json_object_object_add(body, "steps", steps);
     json_object_object_add(body, "silent", silent);
-    showResult(task, 200, body);
-    gatheringLeave(gathering);
+    show_result(task, 200, body);
+    gathering_leave(gathering);
 }
--- a/src/standins.c
+++ b/src/standins.c
@@ -135,7 +135,7 @@
                        .rack = rack != NULL ? rack : "",
                        .kind = kind != NULL ? kind : "std",
                        .labels = labels,
-                       .labelsCount = label != NULL,
+                       .labels_count = label != NULL,
                        .room = {(uint64_t)cores * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
