--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -134,12 +134,12 @@
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
-        const int64_t leftMs = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
+        const int64_t left_ms = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
         const int64_t late_ms = agent->props->bounds.hold_ms / 2;
         /* the second half of the hold: several beats have gone unanswered */
-        if (leftMs > 0 && leftMs < late_ms)
+        if (left_ms > 0 && left_ms < late_ms)
             askAll(agent);
-        loop_sleep(agent->loop, leftMs > late_ms ? leftMs - late_ms : BEAT_MS / 5);
+        loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : BEAT_MS / 5);
     }
 }
 
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -120,7 +120,7 @@
     }
 }
 
-static void askMain(void *arg)
+static void ask_main(void *arg)
 {
     Beat *beat = arg;
     Agent *agent = beat->agent;
@@ -162,7 +162,7 @@
     agent->beat = beat;
     agent->beats++;
     agent->beatNow = false;
-    loop_spawn(agent->loop, "beat", askMain, beat);
+    loop_spawn(agent->loop, "beat", ask_main, beat);
 }
 
 /* Whether one is to be sent now; else when. */
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -59,7 +59,7 @@
         talloc_free(telling);
 }
 
-static void askMain(void *arg)
+static void ask_main(void *arg)
 {
     Telling *telling = arg;
     Agent *agent = telling->agent;
@@ -80,7 +80,7 @@
 {
     telling->ask.number = ++agent->number;
     telling->users++;
-    loop_spawn(agent->loop, "telling", askMain, telling);
+    loop_spawn(agent->loop, "telling", ask_main, telling);
     while (!telling->over) {
         char address[ADDRESS_MAX];
         if (leaderAddress(agent, address) && strcmp(address, telling->address) != 0)
@@ -140,13 +140,13 @@
         return STATUS_OK;
     list->items = talloc_zero(mem, KeepItem);
     list->items[0].change = CHANGE_ROUNDS;
-    list->itemsCount = 1;
+    list->items_count = 1;
     shape_pack(&RoundList_shape, &told, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
 void tellStart(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_RETELL, &NothingShape, &KeepListShape, onRetell, agent);
+    courier_handle(agent->courier, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, onRetell, agent);
     loop_spawn(agent->loop, "tell", tellMain, agent);
 }
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -8,7 +8,7 @@
 }
 
 /* A worker asks again within its poll and the way there and back. */
-static int64_t quietMs(const Agent *agent)
+static int64_t quiet_ms(const Agent *agent)
 {
     return agent->props->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
@@ -26,12 +26,12 @@
 static void silenceWatch(Agent *agent, int64_t now_ms)
 {
     const int64_t silentMs = now_ms - agent->asked_ms;
-    if (agent->worker_live && silentMs > quietMs(agent)) {
+    if (agent->worker_live && silentMs > quiet_ms(agent)) {
         agent->worker_live = false;
         beatNow(agent);
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
-    if (agent->settled && !agent->worker_live && silentMs > least(WORKER_LOST_MS, quietMs(agent)) &&
+    if (agent->settled && !agent->worker_live && silentMs > least(WORKER_LOST_MS, quiet_ms(agent)) &&
         now_ms >= agent->workerUntilMs && agent->rounds.lives.count > 0) {
         roundsWithdraw(agent, "the worker fell silent");
         roundsGone(agent, "the worker fell silent");
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -216,10 +216,10 @@
 /* What of the rest of the agent's own hold is passed on. */
 static int64_t holdPass(Agent *agent, int64_t now_ms)
 {
-    int64_t leftMs = hold_left_ms(&agent->hold, now_ms);
-    if (leftMs > agent->props->bounds.worker_hold_ms)
-        leftMs = agent->props->bounds.worker_hold_ms;
-    const int64_t passedMs = hold_passed_ms(leftMs);
+    int64_t left_ms = hold_left_ms(&agent->hold, now_ms);
+    if (left_ms > agent->props->bounds.worker_hold_ms)
+        left_ms = agent->props->bounds.worker_hold_ms;
+    const int64_t passedMs = hold_passed_ms(left_ms);
     if (passedMs > 0 && now_ms + hold_claim_ms(passedMs) > agent->workerUntilMs)
         agent->workerUntilMs = now_ms + hold_claim_ms(passedMs);
     return passedMs;
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -71,7 +71,7 @@
         trace_serve(core->trace, task);
         return;
     }
-    forwardRequest(core->forwarder, task);
+    forward_request(core->forwarder, task);
 }
 
 static void leadServe(Core *core, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
@@ -94,15 +94,15 @@
     out->body = task->result;
     out->retry_after_s = (uint64_t)task->retry_after_s;
     out->keeps = keeps.items;
-    out->keepsCount = keeps.itemsCount;
+    out->keeps_count = keeps.items_count;
 }
 
 void callersLead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     Core *core = arg;
     leadServe(core, mem, ask, answer);
-    if (answer->keepsCount > 0 && core->props->bounds.retell_ms > 0)
-        elsewhereKeep(core, mem, &(KeepList){answer->keeps, answer->keepsCount});
+    if (answer->keeps_count > 0 && core->props->bounds.retell_ms > 0)
+        elsewhereKeep(core, mem, &(KeepList){answer->keeps, answer->keeps_count});
 }
 
 static Status onForward(void *arg, void *mem, const void *question, void *answer)
@@ -114,7 +114,7 @@
         leadServe(core, mem, ask, out);
         return STATUS_OK;
     }
-    const Status status = ask->relay ? forwardRelay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
+    const Status status = ask->relay ? forward_relay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
     if (status != STATUS_OK) {
         out->leader_epoch = members_leader_epoch(core->members);
         out->leader_id = talloc_strdup(mem, members_leader_id(core->members));
@@ -135,7 +135,7 @@
         out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
         if (!core->repairing &&
-            feedAnswer(&core->pieceSource, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
+            feed_answer(&core->pieceSource, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
         if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
@@ -147,8 +147,8 @@
 {
     Core *core = arg;
     const RetellAsk *ask = question;
-    keeperTell(core->keeper, mem, ask->configHave, answer);
-    feedTell(core->feed, mem, ask->configHave, answer);
+    keeper_tell(core->keeper, mem, ask->config_have, answer);
+    feed_tell(core->feed, mem, ask->config_have, answer);
     return STATUS_OK;
 }
 
@@ -158,14 +158,14 @@
     const KeepList *list = question;
     (void)mem;
     (void)answer;
-    keeperKeep(core->keeper, list->items, list->itemsCount);
+    keeper_keep(core->keeper, list->items, list->items_count);
     return STATUS_OK;
 }
 
 void callersServe(Core *core)
 {
-    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAskShape, &ForwardAnswerShape, onForward, core);
-    courier_handle(core->courier, MESSAGE_FEED, &FeedAskShape, &FeedAnswerShape, onFeed, core);
-    courier_handle(core->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, core);
-    courier_handle(core->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, core);
+    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, onForward, core);
+    courier_handle(core->courier, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, onFeed, core);
+    courier_handle(core->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, onRetell, core);
+    courier_handle(core->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, onKeep, core);
 }
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -34,8 +34,8 @@
     shape_pack(shape, body, mem, &payload);
     const Status status = view_submit(core->view, kind, payload, result);
     if (status == STATUS_OK && result->status == STATUS_OK && keeps != NULL) {
-        keeps->items = talloc_realloc(mem, keeps->items, KeepItem, (unsigned)(keeps->itemsCount + 1));
-        keeps->items[keeps->itemsCount++] = (KeepItem){kind, result->index, payload};
+        keeps->items = talloc_realloc(mem, keeps->items, KeepItem, (unsigned)(keeps->items_count + 1));
+        keeps->items[keeps->items_count++] = (KeepItem){kind, result->index, payload};
     }
     return status;
 }
@@ -171,7 +171,7 @@
     core->table = table_new(core);
     table_watch(core->table, onDelivered, core);
     core->pieceSource.mem = core;
-    core->keeper = keeperNew(core, loop, props->bounds.retell_ms);
+    core->keeper = keeper_new(core, loop, props->bounds.retell_ms);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
@@ -216,17 +216,17 @@
     };
     core->members = members_new(core, loop, core->courier, ring, &self, props->seeds);
     core->trace = trace_new(core, loop, core->courier, core->members, props->name);
-    core->forwarder = forwarderNew(core, &(ForwarderSettings){.loop = loop,
-                                                              .courier = core->courier,
-                                                              .members = core->members,
-                                                              .keeper = core->keeper,
-                                                              .trace = core->trace,
-                                                              .leads = leads,
-                                                              .serve = callersLead,
-                                                              .arg = core,
-                                                              .leader_wait_ms = props->bounds.leader_wait_ms,
-                                                              .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    core->feed = feedNew(core, loop, core->courier, forwarderWays(core->forwarder), core->trace);
+    core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
+                                                               .courier = core->courier,
+                                                               .members = core->members,
+                                                               .keeper = core->keeper,
+                                                               .trace = core->trace,
+                                                               .leads = leads,
+                                                               .serve = callersLead,
+                                                               .arg = core,
+                                                               .leader_wait_ms = props->bounds.leader_wait_ms,
+                                                               .outcome_wait_ms = props->bounds.outcome_wait_ms});
+    core->feed = feed_new(core, loop, core->courier, forwarder_ways(core->forwarder), core->trace);
     view_start(core->view, core->members);
     agentsServe(core);
     callersServe(core);
@@ -234,8 +234,8 @@
     view_founding(core->view);
     plannerStart(core);
     alertsStart(core);
-    forwarderStart(core->forwarder);
-    feedStart(core->feed, seatless, core);
+    forwarder_start(core->forwarder);
+    feed_start(core->feed, seatless, core);
     loop_spawn(loop, "forget", forgetMain, core);
     *out = core;
     return STATUS_OK;
@@ -243,7 +243,8 @@
 
 bool coreReady(const Core *core)
 {
-    return !core->leaving && (view_leading(core->view) ? !core->repairing : waysServe(forwarderWays(core->forwarder)));
+    return !core->leaving &&
+           (view_leading(core->view) ? !core->repairing : ways_serve(forwarder_ways(core->forwarder)));
 }
 
 void coreDrain(Core *core)
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -11,14 +11,14 @@
 static bool askOne(Core *core, void *mem, const char *address, const KeepList *keeps)
 {
     Nothing answer = {0};
-    return courier_ask(core->courier, mem, address, MESSAGE_KEEP, &KeepListShape, keeps, KEEP_ASK_MS, &NothingShape,
+    return courier_ask(core->courier, mem, address, MESSAGE_KEEP, &KeepList_shape, keeps, KEEP_ASK_MS, &Nothing_shape,
                        &answer) == STATUS_OK;
 }
 
-static size_t bytesOf(const KeepList *keeps)
+static size_t bytes_of(const KeepList *keeps)
 {
     size_t bytes = 0;
-    for (size_t i = 0; i < keeps->itemsCount; i++)
+    for (size_t i = 0; i < keeps->items_count; i++)
         bytes += keeps->items[i].payload.count;
     return bytes;
 }
@@ -27,7 +27,7 @@
 {
     /* a large configuration would fill a gate's link for seconds: it is on the disks that the bounds
      * ask for, and the feed brings it to the gates */
-    if (bytesOf(keeps) > CONFIG_LARGE_BYTES)
+    if (bytes_of(keeps) > CONFIG_LARGE_BYTES)
         return;
     const MemberTable *table = members_table(core->members);
     char addresses[ELSEWHERE_MOST][ADDRESS_MAX];
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -96,7 +96,7 @@
         return;
     core->limitsRevision = newest;
     core->limitsLoads = loads;
-    limitsServe(core->loop, revisions_limits(revisions));
+    limits_serve(core->loop, revisions_limits(revisions));
 }
 
 const Policy *corePolicy(void *arg, const ConfigCell *cell)
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -28,13 +28,13 @@
         return false;
     if (job->spec.lasting)
         return room || staysMs < LEAVE_LAST_MS;
-    const int64_t leftMs = passLeftMs(pass, job, task, worker);
-    if (leftMs < staysMs - LEAVE_LAST_MS / 2)
+    const int64_t left_ms = passLeftMs(pass, job, task, worker);
+    if (left_ms < staysMs - LEAVE_LAST_MS / 2)
         return false;
     if (saves)
         return room || staysMs < LEAVE_LAST_MS;
     /* estimates are off: what might just end is left to try */
-    return room && leftMs * 2 / 3 > staysMs;
+    return room && left_ms * 2 / 3 > staysMs;
 }
 
 void leaveFind(Pass *pass, StopList *list)
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -32,8 +32,8 @@
         priorityOf(pass, job, on->task) >= priority)
         return -1;
     /* what keeps its progress saves once more when it is stopped */
-    const int64_t lostMs = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
-    return (lostMs + PUSH_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
+    const int64_t lost_ms = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
+    return (lost_ms + PUSH_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
 }
 
 typedef struct Push {
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -12,7 +12,7 @@
     Core *core;
     size_t users;
     size_t pending;
-    uint64_t configHave; /* the newest revision of the table when it began */
+    uint64_t config_have; /* the newest revision of the table when it began */
     Signal ended;
     KeepItem *items;
     size_t count;
@@ -34,21 +34,21 @@
     RetellPart *part = arg;
     Retelling *retelling = part->retelling;
     Core *core = retelling->core;
-    const RetellAsk ask = {.configHave = retelling->configHave};
+    const RetellAsk ask = {.config_have = retelling->config_have};
     KeepList answer = {0}; /* of whoever stands there now: each item carries its own identity */
     const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
     Status status;
     do {
-        status = courier_ask(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAskShape, &ask,
-                             until_ms - loop_now_ms(core->loop), &KeepListShape, &answer);
+        status = courier_ask(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
+                             until_ms - loop_now_ms(core->loop), &KeepList_shape, &answer);
         if (status != STATUS_OK)
             loop_sleep(core->loop, 100);
     } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
-    if (status == STATUS_OK && answer.itemsCount > 0) {
+    if (status == STATUS_OK && answer.items_count > 0) {
         retelling->items =
-            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + answer.itemsCount));
-        memcpy(retelling->items + retelling->count, answer.items, answer.itemsCount * sizeof(KeepItem));
-        retelling->count += answer.itemsCount;
+            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + answer.items_count));
+        memcpy(retelling->items + retelling->count, answer.items, answer.items_count * sizeof(KeepItem));
+        retelling->count += answer.items_count;
     }
     retelling->pending--;
     signal_raise(core->loop, &retelling->ended);
@@ -157,7 +157,7 @@
     Retelling *retelling = talloc_zero(core, Retelling);
     retelling->core = core;
     retelling->users = 1;
-    retelling->configHave = revisions_newest(table_revisions(core->table));
+    retelling->config_have = revisions_newest(table_revisions(core->table));
     const MemberTable *table = members_table(core->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
@@ -173,13 +173,13 @@
     while (retelling->pending > 0)
         signal_wait(core->loop, &retelling->ended, INT64_MAX);
     KeepList own = {0};
-    keeperTell(core->keeper, retelling, retelling->configHave, &own);
-    feedTell(core->feed, retelling, retelling->configHave, &own);
-    if (own.itemsCount > 0) {
+    keeper_tell(core->keeper, retelling, retelling->config_have, &own);
+    feed_tell(core->feed, retelling, retelling->config_have, &own);
+    if (own.items_count > 0) {
         retelling->items =
-            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + own.itemsCount));
-        memcpy(retelling->items + retelling->count, own.items, own.itemsCount * sizeof(KeepItem));
-        retelling->count += own.itemsCount;
+            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + own.items_count));
+        memcpy(retelling->items + retelling->count, own.items, own.items_count * sizeof(KeepItem));
+        retelling->count += own.items_count;
     }
     configsOrder(retelling);
     if (retelling->count > 0)
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -15,7 +15,7 @@
     size_t worker;
     double wholeMs; /* what all of its work should take in such a place on a sound worker */
     bool still;
-    double leftMs;    /* until it is done, as it comes along */
+    double left_ms;   /* until it is done, as it comes along */
     double doneShare; /* of its work that another round need not do again */
 } Going;
 
@@ -58,14 +58,14 @@
     going->still = standsStill(pass, pace, going, step);
     going->doneShare = step->saves ? (double)pace->percent / 100 : 0;
     if (going->still) {
-        going->leftMs = STANDS_MS;
+        going->left_ms = STANDS_MS;
     } else if (pace->perMs > 0) {
         /* how long it takes here says how much work it is, estimates or not */
         const double hereMs = 100 / pace->perMs;
         going->wholeMs = hereMs * 1000 / (double)pass->speeds[worker];
-        going->leftMs = (double)(100 - pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
+        going->left_ms = (double)(100 - pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
     }
-    return going->leftMs > going->wholeMs;
+    return going->left_ms > going->wholeMs;
 }
 
 /* Whether the job's aim is met though the round goes on as it does. */
@@ -76,7 +76,7 @@
     Aim aim;
     aim_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->guesses, (Room){0}, &aim);
     const int64_t slack_ms = aim_slack_ms(&aim, task->step, pass->clock.log_ms);
-    return aim.span_ms > 0 && (double)slack_ms + (double)aim.task_ms[task->step] >= going->leftMs;
+    return aim.span_ms > 0 && (double)slack_ms + (double)aim.task_ms[task->step] >= going->left_ms;
 }
 
 /* Another worker with room for it now; -1: none, or none that would be done sooner. */
@@ -91,7 +91,7 @@
     if (at < 0)
         return -1;
     const double thereMs = going->wholeMs * (1 - going->doneShare) * (double)pass->speeds[at] / 1000;
-    return going->leftMs > thereMs * SLOW_GAIN + SLOW_COST_MS ? at : -1;
+    return going->left_ms > thereMs * SLOW_GAIN + SLOW_COST_MS ? at : -1;
 }
 
 void slowFind(Pass *pass, StopList *list)
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -15,9 +15,9 @@
         return INT64_MAX;
     const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
     if (pace != NULL && pace->perMs > 0) {
-        const double leftMs =
+        const double left_ms =
             (100 - (double)pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
-        return leftMs > ENDS_LEAST_MS ? (int64_t)leftMs : ENDS_LEAST_MS;
+        return left_ms > ENDS_LEAST_MS ? (int64_t)left_ms : ENDS_LEAST_MS;
     }
     const Worker *its = table_worker(core->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
@@ -29,14 +29,14 @@
 }
 
 typedef struct End {
-    int64_t leftMs;
+    int64_t left_ms;
     Room room;
 } End;
 
 static int endOrder(const void *a, const void *b)
 {
     const End *x = a, *y = b;
-    return x->leftMs < y->leftMs ? -1 : x->leftMs > y->leftMs;
+    return x->left_ms < y->left_ms ? -1 : x->left_ms > y->left_ms;
 }
 
 int64_t soonestMs(const Pass *pass, size_t worker, Room need)
@@ -52,12 +52,12 @@
         ends[i] = (End){passLeftMs(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].room};
     }
     qsort(ends, count, sizeof(*ends), endOrder);
-    int64_t leftMs = INT64_MAX;
-    for (size_t i = 0; i < count && leftMs == INT64_MAX && ends[i].leftMs < INT64_MAX; i++) {
+    int64_t left_ms = INT64_MAX;
+    for (size_t i = 0; i < count && left_ms == INT64_MAX && ends[i].left_ms < INT64_MAX; i++) {
         free = room_more(free, ends[i].room);
         if (room_fits(need, free))
-            leftMs = ends[i].leftMs;
+            left_ms = ends[i].left_ms;
     }
     talloc_free(ends);
-    return leftMs;
+    return left_ms;
 }
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -59,8 +59,8 @@
 void wayKeep(Way *way, const KeepItem *item)
 {
     KeepList *keeps = way->keeps;
-    keeps->items = talloc_realloc(way->mem, keeps->items, KeepItem, (unsigned)(keeps->itemsCount + 1));
-    keeps->items[keeps->itemsCount++] = *item;
+    keeps->items = talloc_realloc(way->mem, keeps->items, KeepItem, (unsigned)(keeps->items_count + 1));
+    keeps->items[keeps->items_count++] = *item;
 }
 
 void wayKeepEnd(Way *way, const Job *job)
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -21,21 +21,21 @@
  * asked no more than whether it serves. */
 typedef bool (*FeedFn)(void *arg);
 
-Feed *feedNew(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace);
+Feed *feed_new(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace);
 /* Begins to ask. */
-void feedStart(Feed *feed, FeedFn wanted, void *arg);
+void feed_start(Feed *feed, FeedFn wanted, void *arg);
 /* The newest that is known; 0: none. */
-uint64_t feedRevision(const Feed *feed);
+uint64_t feed_revision(const Feed *feed);
 /* Bytes of the newest document that is known, at most; 0: none, or its leader does not say. */
-uint64_t feedSize(const Feed *feed);
+uint64_t feed_size(const Feed *feed);
 /* The revision whose whole document is held for repair; 0: none. */
-uint64_t feedHeld(const Feed *feed);
+uint64_t feed_held(const Feed *feed);
 /* Adds what is kept of the document, on mem, to be told again to one that has a revision. */
-void feedTell(const Feed *feed, void *mem, uint64_t have, KeepList *list);
+void feed_tell(const Feed *feed, void *mem, uint64_t have, KeepList *list);
 
 /* What the leader answers out of its revisions, under the answer's epoch; true when there
  * is news. On mem, and valid until the next wait. */
-bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
-                FeedAnswer *answer);
+bool feed_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
+                 FeedAnswer *answer);
 
 #endif
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -30,12 +30,12 @@
     int64_t outcome_wait_ms; /* what a lost leader may have taken is asked again of the next for so long */
 } ForwarderSettings;
 
-Forwarder *forwarderNew(void *mem, const ForwarderSettings *settings);
-void forwarderStart(Forwarder *forwarder);
+Forwarder *forwarder_new(void *mem, const ForwarderSettings *settings);
+void forwarder_start(Forwarder *forwarder);
 /* Waits. Fills in the result and keeps what was committed. */
-void forwardRequest(Forwarder *forwarder, HttpTask *task);
+void forward_request(Forwarder *forwarder, HttpTask *task);
 /* Waits. Carries on what a gate could not bring to the leader itself. */
-Status forwardRelay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-Ways *forwarderWays(Forwarder *forwarder);
+Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+Ways *forwarder_ways(Forwarder *forwarder);
 
 #endif
--- a/packages/feed/include/feed/keeper.h
+++ b/packages/feed/include/feed/keeper.h
@@ -17,11 +17,11 @@
 typedef struct Keeper Keeper;
 
 /* span_ms 0: nothing is kept. */
-Keeper *keeperNew(void *mem, Loop *loop, int64_t span_ms);
-void keeperKeep(Keeper *keeper, const KeepItem *items, size_t count);
+Keeper *keeper_new(void *mem, Loop *loop, int64_t span_ms);
+void keeper_keep(Keeper *keeper, const KeepItem *items, size_t count);
 /* All that is kept, on mem. */
-void keeperTell(Keeper *keeper, void *mem, uint64_t configHave, KeepList *list);
-size_t keeperCount(const Keeper *keeper);
-size_t keeperBytes(const Keeper *keeper);
+void keeper_tell(Keeper *keeper, void *mem, uint64_t config_have, KeepList *list);
+size_t keeper_count(const Keeper *keeper);
+size_t keeper_bytes(const Keeper *keeper);
 
 #endif
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/feed/include/feed/pieces.h
@@ -17,16 +17,16 @@
     uint64_t epoch, version;
     const char *text;
     size_t length;
-    int64_t usedMs;
+    int64_t used_ms;
 } PieceSource;
 
 /* The piece that was asked for, if it is of the version that is being handed over; else the
  * first of that one. A text costs a reading of the whole document: while one is asked for, all
  * who ask are given that, and what has changed since as differences. */
-void pieceAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
-                 FeedAnswer *answer);
+void piece_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
+                  FeedAnswer *answer);
 /* Gives back the text that nobody has asked for of late. */
-void pieceRest(PieceSource *source, int64_t now_ms);
+void piece_rest(PieceSource *source, int64_t now_ms);
 
 /* --- the asking side ------------------------------------------------------------------------- */
 
@@ -39,12 +39,12 @@
 } Pieces;
 
 /* Whether some of a document is there and the rest is not. */
-bool piecesBegun(const Pieces *pieces);
+bool pieces_begun(const Pieces *pieces);
 /* Says in the question which piece is wanted. */
-void piecesAsk(const Pieces *pieces, FeedAsk *ask);
+void pieces_ask(const Pieces *pieces, FeedAsk *ask);
 /* Adds a piece. True when the document is whole: set is filled in, its text on mem. */
-bool piecesTake(void *mem, Pieces *pieces, const FeedAnswer *answer, ConfigSet *set);
+bool pieces_take(void *mem, Pieces *pieces, const FeedAnswer *answer, ConfigSet *set);
 /* Another leader is asked: what was begun is dropped. */
-void piecesDrop(Pieces *pieces);
+void pieces_drop(Pieces *pieces);
 
 #endif
--- a/packages/feed/include/feed/routes.h
+++ b/packages/feed/include/feed/routes.h
@@ -22,8 +22,8 @@
     const char *reason;
 } ForwardRoute;
 
-const ForwardRoute *forwardRoutes(size_t *count);
+const ForwardRoute *forward_routes(size_t *count);
 /* What holds for a request. */
-Repeat forwardRepeat(const char *method, const char *path, const char *query);
+Repeat forward_repeat(const char *method, const char *path, const char *query);
 
 #endif
--- a/packages/feed/include/feed/ways.h
+++ b/packages/feed/include/feed/ways.h
@@ -14,8 +14,8 @@
 /* Whether this process leads now. Null: it never does. */
 typedef bool (*WaysLeads)(const void *arg);
 
-Ways *waysNew(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg);
-void waysStart(Ways *ways);
+Ways *ways_new(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg);
+void ways_start(Ways *ways);
 
 /* One way, as it was taken. Invariant: turn names the state of the ways in which it
  * was the one in use; they have moved on when theirs is another. */
@@ -28,24 +28,24 @@
 } WaysTaken;
 
 /* False: no way is known now. */
-bool waysTake(Ways *ways, WaysTaken *taken);
-bool waysCurrent(const Ways *ways, const WaysTaken *taken);
+bool ways_take(Ways *ways, WaysTaken *taken);
+bool ways_current(const Ways *ways, const WaysTaken *taken);
 /* Raised when the ways move on. */
-Signal *waysMoved(Ways *ways);
+Signal *ways_moved(Ways *ways);
 /* Since when no way has been known; INT64_MAX while one is. */
-int64_t waysLostMs(const Ways *ways);
+int64_t ways_lost_ms(const Ways *ways);
 
 /* Waits. Whether whoever stands at the way's end still answers. */
-bool waysAlive(Ways *ways, const WaysTaken *taken);
+bool ways_alive(Ways *ways, const WaysTaken *taken);
 /* The way has failed: another is looked for. */
-void waysFailed(Ways *ways, const WaysTaken *taken);
+void ways_failed(Ways *ways, const WaysTaken *taken);
 /* Something came back along it. serves: from a leader that serves. */
-void waysHeard(Ways *ways, const WaysTaken *taken, bool serves);
+void ways_heard(Ways *ways, const WaysTaken *taken, bool serves);
 /* When something last came back along the way in use. */
-int64_t waysHeardMs(const Ways *ways);
+int64_t ways_heard_ms(const Ways *ways);
 /* Who leads, as one who is no leader told with his refusal. */
-void waysTold(Ways *ways, const ForwardAnswer *answer);
+void ways_told(Ways *ways, const ForwardAnswer *answer);
 /* A leader that serves was heard of, and nothing to the contrary for so long. */
-bool waysServe(const Ways *ways);
+bool ways_serve(const Ways *ways);
 
 #endif
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -19,7 +19,7 @@
     WaysTaken taken;
     ForwardAsk ask;
     CourierSending sending;
-    int64_t deadlineMs;
+    int64_t deadline_ms;
     bool done;
     Signal news; /* it is done, or the ways have moved on */
     Status status;
@@ -27,12 +27,12 @@
 } Attempt;
 
 /* What the result speaks of, for those who trace it. */
-static void traceAnswered(const Forwarder *forwarder, const Attempt *attempt, int64_t took_ms)
+static void trace_answered(const Forwarder *forwarder, const Attempt *attempt, int64_t took_ms)
 {
     char detail[TRACE_DETAIL_BYTES];
     const ForwardAnswer *answer = &attempt->answer;
     snprintf(detail, sizeof(detail), "%s %d, %lld ms", attempt->ask.method, (int)answer->code, (long long)took_ms);
-    for (size_t i = 0; i < answer->keepsCount; i++) {
+    for (size_t i = 0; i < answer->keeps_count; i++) {
         const KeepItem *item = &answer->keeps[i];
         void *mem = talloc_new(NULL);
         JobAdd add;
@@ -54,7 +54,7 @@
     }
 }
 
-static void attemptLeave(Attempt *attempt)
+static void attempt_leave(Attempt *attempt)
 {
     if (--attempt->users == 0)
         talloc_free(attempt);
@@ -67,13 +67,13 @@
                                               answer->status != STATUS_REPAIRING && answer->status != STATUS_LEAVING);
 }
 
-static void askMain(void *arg)
+static void ask_main(void *arg)
 {
     Attempt *attempt = arg;
     Forwarder *forwarder = attempt->forwarder;
     Loop *loop = forwarder->settings.loop;
     const int64_t start_ms = loop_now_ms(loop);
-    attempt->ask.wait_ms = (uint64_t)(attempt->deadlineMs - start_ms);
+    attempt->ask.wait_ms = (uint64_t)(attempt->deadline_ms - start_ms);
     if (attempt->taken.own) {
         attempt->sending.sent = true;
         forwarder->settings.serve(forwarder->settings.arg, attempt, &attempt->ask, &attempt->answer);
@@ -81,24 +81,24 @@
     } else {
         const CourierTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
         attempt->status =
-            courier_ask_peer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAskShape,
-                             &attempt->ask, attempt->deadlineMs - start_ms, &ForwardAnswerShape, &attempt->answer);
+            courier_ask_peer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAsk_shape,
+                             &attempt->ask, attempt->deadline_ms - start_ms, &ForwardAnswer_shape, &attempt->answer);
     }
     if (attempt->status == STATUS_OK) {
         if (!attempt->taken.own)
-            waysHeard(forwarder->ways, &attempt->taken, served(&attempt->answer));
-        traceAnswered(forwarder, attempt, loop_now_ms(loop) - start_ms);
-        keeperKeep(forwarder->settings.keeper, attempt->answer.keeps, attempt->answer.keepsCount);
-        attempt->answer.keepsCount = 0;
+            ways_heard(forwarder->ways, &attempt->taken, served(&attempt->answer));
+        trace_answered(forwarder, attempt, loop_now_ms(loop) - start_ms);
+        keeper_keep(forwarder->settings.keeper, attempt->answer.keeps, attempt->answer.keeps_count);
+        attempt->answer.keeps_count = 0;
     } else {
-        waysTold(forwarder->ways, &attempt->answer);
+        ways_told(forwarder->ways, &attempt->answer);
     }
     attempt->done = true;
     signal_raise(loop, &attempt->news);
-    attemptLeave(attempt);
+    attempt_leave(attempt);
 }
 
-void attemptsWake(Forwarder *forwarder)
+void attempts_wake(Forwarder *forwarder)
 {
     for (Attempt *one = forwarder->waiting; one != NULL; one = one->next)
         signal_raise(forwarder->settings.loop, &one->news);
@@ -106,51 +106,52 @@
 
 /* Nothing has come back along the way since this was asked, and not lately: the first
  * to see that asks whether it lives, for all. */
-static void whetherAlive(Forwarder *forwarder, const Attempt *attempt)
+static void whether_alive(Forwarder *forwarder, const Attempt *attempt)
 {
     forwarder->pinging = true;
-    if (!waysAlive(forwarder->ways, &attempt->taken))
-        waysFailed(forwarder->ways, &attempt->taken);
+    if (!ways_alive(forwarder->ways, &attempt->taken))
+        ways_failed(forwarder->ways, &attempt->taken);
     forwarder->pinging = false;
-    attemptsWake(forwarder);
+    attempts_wake(forwarder);
 }
 
-static void waitFor(Forwarder *forwarder, Attempt *attempt, int64_t asked_ms)
+static void wait_for(Forwarder *forwarder, Attempt *attempt, int64_t asked_ms)
 {
     Loop *loop = forwarder->settings.loop;
-    while (!attempt->done && waysCurrent(forwarder->ways, &attempt->taken) && loop_now_ms(loop) < attempt->deadlineMs) {
-        int64_t heard_ms = waysHeardMs(forwarder->ways), wakeMs = attempt->deadlineMs;
+    while (!attempt->done && ways_current(forwarder->ways, &attempt->taken) &&
+           loop_now_ms(loop) < attempt->deadline_ms) {
+        int64_t heard_ms = ways_heard_ms(forwarder->ways), wake_ms = attempt->deadline_ms;
         if (heard_ms < asked_ms)
             heard_ms = asked_ms;
-        const int64_t quietMs = heard_ms + ATTEMPT_QUIET_MS;
+        const int64_t quiet_ms = heard_ms + ATTEMPT_QUIET_MS;
         if (!attempt->taken.own && !forwarder->pinging) {
-            if (loop_now_ms(loop) >= quietMs) {
-                whetherAlive(forwarder, attempt);
+            if (loop_now_ms(loop) >= quiet_ms) {
+                whether_alive(forwarder, attempt);
                 continue;
             }
-            if (quietMs < wakeMs)
-                wakeMs = quietMs;
+            if (quiet_ms < wake_ms)
+                wake_ms = quiet_ms;
         }
-        signal_wait(loop, &attempt->news, wakeMs);
+        signal_wait(loop, &attempt->news, wake_ms);
     }
 }
 
-Status attemptForward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
-                      ForwardAnswer *answer)
+Status attempt_forward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
+                       ForwardAnswer *answer)
 {
     Attempt *attempt = talloc_zero(forwarder, Attempt);
     attempt->forwarder = forwarder;
     attempt->users = 2;
-    attempt->deadlineMs = until_ms;
+    attempt->deadline_ms = until_ms;
     attempt->taken = *taken;
-    shape_copy(&ForwardAskShape, ask, attempt, &attempt->ask);
+    shape_copy(&ForwardAsk_shape, ask, attempt, &attempt->ask);
     attempt->ask.relay = taken->relay;
     attempt->next = forwarder->waiting;
     if (attempt->next != NULL)
         attempt->next->prev = attempt;
     forwarder->waiting = attempt;
-    loop_spawn(forwarder->settings.loop, "attempt", askMain, attempt);
-    waitFor(forwarder, attempt, loop_now_ms(forwarder->settings.loop));
+    loop_spawn(forwarder->settings.loop, "attempt", ask_main, attempt);
+    wait_for(forwarder, attempt, loop_now_ms(forwarder->settings.loop));
     if (attempt->prev != NULL)
         attempt->prev->next = attempt->next;
     else
@@ -163,7 +164,7 @@
     if (attempt->done)
         status = attempt->status;
     if (status == STATUS_OK)
-        shape_copy(&ForwardAnswerShape, &attempt->answer, mem, answer);
-    attemptLeave(attempt);
+        shape_copy(&ForwardAnswer_shape, &attempt->answer, mem, answer);
+    attempt_leave(attempt);
     return status;
 }
--- a/packages/feed/src/attempt.h
+++ b/packages/feed/src/attempt.h
@@ -20,9 +20,9 @@
  * will be. On OK the answer lives on mem, and what was committed has
  * been kept; it is kept also when it comes too late for the asker: this node may be the
  * only one to hear of it. */
-Status attemptForward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
-                      ForwardAnswer *answer);
+Status attempt_forward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
+                       ForwardAnswer *answer);
 /* Raises all who wait, once the ways have moved on. */
-void attemptsWake(Forwarder *forwarder);
+void attempts_wake(Forwarder *forwarder);
 
 #endif
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -23,7 +23,7 @@
     void *arg;
     uint64_t epoch; /* the newest heard of */
     uint64_t revision, size;
-    int64_t learntMs;
+    int64_t learnt_ms;
     Revisions *revisions;
     Pieces pieces; /* of a large document on its way */
     uint64_t turn; /* of the ways, when the newest asking task began */
@@ -36,7 +36,7 @@
     bool again; /* it has been answered along this way */
 } FeedAsking;
 
-Feed *feedNew(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace)
+Feed *feed_new(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace)
 {
     Feed *feed = talloc_zero(mem, Feed);
     *feed = (Feed){.loop = loop, .courier = courier, .ways = ways, .trace = trace};
@@ -45,17 +45,17 @@
     return feed;
 }
 
-uint64_t feedRevision(const Feed *feed)
+uint64_t feed_revision(const Feed *feed)
 {
     return feed->revision;
 }
 
-uint64_t feedSize(const Feed *feed)
+uint64_t feed_size(const Feed *feed)
 {
     return feed->size;
 }
 
-uint64_t feedHeld(const Feed *feed)
+uint64_t feed_held(const Feed *feed)
 {
     return revisions_newest(feed->revisions);
 }
@@ -74,7 +74,7 @@
 }
 
 /* The changes since a revision, when there are texts of all of them. */
-static bool changesSince(const Revisions *revisions, uint64_t have, size_t most, void *mem, FeedAnswer *answer)
+static bool changes_since(const Revisions *revisions, uint64_t have, size_t most, void *mem, FeedAnswer *answer)
 {
     size_t from = revisions->count, bytes = 0;
     while (from > 0 && revisions->rows[from - 1].revision > have)
@@ -82,48 +82,48 @@
     const bool known = from > 0 && revisions->rows[from - 1].revision == have && from >= revisions->whole;
     if (!known || bytes > most)
         return false;
-    answer->setsCount = revisions->count - from;
-    answer->sets = talloc_array(mem, ConfigSet, (unsigned)answer->setsCount);
-    for (size_t i = 0; i < answer->setsCount; i++)
+    answer->sets_count = revisions->count - from;
+    answer->sets = talloc_array(mem, ConfigSet, (unsigned)answer->sets_count);
+    for (size_t i = 0; i < answer->sets_count; i++)
         answer->sets[i] = set_of(&revisions->rows[from + i]);
     return true;
 }
 
-static bool wholeNow(const Revisions *revisions, size_t most, void *mem, FeedAnswer *answer)
+static bool whole_now(const Revisions *revisions, size_t most, void *mem, FeedAnswer *answer)
 {
     if (revisions_size(revisions) > most)
         return false;
     const Revision *newest = &revisions->rows[revisions->count - 1];
     answer->sets = talloc(mem, ConfigSet);
-    answer->setsCount = 1;
+    answer->sets_count = 1;
     *answer->sets = set_of(newest);
     answer->sets->patch = false;
     answer->sets->text = revisions_text(revisions, mem, newest->revision);
     return true;
 }
 
-bool feedAnswer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
-                FeedAnswer *answer)
+bool feed_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
+                 FeedAnswer *answer)
 {
-    pieceRest(source, now_ms);
+    piece_rest(source, now_ms);
     const uint64_t newest = revisions_newest(revisions);
-    if (newest <= ask->have && !(ask->wants && newest > ask->textHave))
+    if (newest <= ask->have && !(ask->wants && newest > ask->text_have))
         return false;
     answer->revision = newest;
     answer->limits = *revisions_limits(revisions);
     answer->size = revisions_size(revisions);
-    const size_t most = !ask->wants ? FEED_EAGER_BYTES : ask->pieceMost > 0 ? ask->pieceMost : SIZE_MAX;
+    const size_t most = !ask->wants ? FEED_EAGER_BYTES : ask->piece_most > 0 ? ask->piece_most : SIZE_MAX;
     if (!ask->brief) /* a gate of an earlier release */
         answer->text = revisions_text(revisions, mem, newest);
-    else if (newest > ask->textHave && !changesSince(revisions, ask->textHave, most, mem, answer) &&
-             !wholeNow(revisions, most, mem, answer) && ask->wants)
-        pieceAnswer(source, revisions, ask, now_ms, answer);
+    else if (newest > ask->text_have && !changes_since(revisions, ask->text_have, most, mem, answer) &&
+             !whole_now(revisions, most, mem, answer) && ask->wants)
+        piece_answer(source, revisions, ask, now_ms, answer);
     return true;
 }
 
 /* --- the asking side --------------------------------------------------------------------- */
 
-static void keepSet(Feed *feed, ConfigSet set)
+static void keep_set(Feed *feed, ConfigSet set)
 {
     ChangeResult result = {0};
     set.restored = true;
@@ -141,39 +141,39 @@
         trace_say(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
         feed->revision = answer->revision;
         feed->size = answer->size;
-        feed->learntMs = loop_now_ms(feed->loop);
-        limitsServe(feed->loop, &answer->limits);
+        feed->learnt_ms = loop_now_ms(feed->loop);
+        limits_serve(feed->loop, &answer->limits);
     }
-    for (size_t i = 0; i < answer->setsCount; i++)
-        keepSet(feed, answer->sets[i]);
+    for (size_t i = 0; i < answer->sets_count; i++)
+        keep_set(feed, answer->sets[i]);
     ConfigSet whole;
-    if (piecesTake(mem, &feed->pieces, answer, &whole))
-        keepSet(feed, whole);
+    if (pieces_take(mem, &feed->pieces, answer, &whole))
+        keep_set(feed, whole);
 }
 
-static Status askOnce(Feed *feed, const WaysTaken *taken, bool first)
+static Status ask_once(Feed *feed, const WaysTaken *taken, bool first)
 {
     void *mem = talloc_new(feed);
-    const uint64_t textHave = revisions_newest(feed->revisions);
+    const uint64_t text_have = revisions_newest(feed->revisions);
     const bool wanted = feed->wanted == NULL || feed->wanted(feed->arg);
-    const bool calm = loop_now_ms(feed->loop) - feed->learntMs >= FEED_CALM_MS;
+    const bool calm = loop_now_ms(feed->loop) - feed->learnt_ms >= FEED_CALM_MS;
     if (first)
-        piecesDrop(&feed->pieces);
-    FeedAsk ask = {.have = UINT64_MAX, .textHave = UINT64_MAX, .brief = true};
+        pieces_drop(&feed->pieces);
+    FeedAsk ask = {.have = UINT64_MAX, .text_have = UINT64_MAX, .brief = true};
     if (wanted)
         ask = (FeedAsk){.have = feed->revision,
-                        .textHave = textHave,
-                        .wants = textHave < feed->revision && (calm || piecesBegun(&feed->pieces)),
+                        .text_have = text_have,
+                        .wants = text_have < feed->revision && (calm || pieces_begun(&feed->pieces)),
                         .brief = true,
-                        .pieceMost = FEED_EAGER_BYTES};
-    piecesAsk(&feed->pieces, &ask);
+                        .piece_most = FEED_EAGER_BYTES};
+    pieces_ask(&feed->pieces, &ask);
     ask.first = first;
     FeedAnswer answer = {0};
     const Status status =
         courier_ask_peer(feed->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
-                         &FeedAskShape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswerShape, &answer);
+                         &FeedAsk_shape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswer_shape, &answer);
     if (status == STATUS_OK) {
-        waysHeard(feed->ways, taken, !answer.waits);
+        ways_heard(feed->ways, taken, !answer.waits);
         if (wanted)
             learn(feed, mem, &answer);
     }
@@ -182,7 +182,7 @@
 }
 
 /* Between two pieces of a document other frames have the link. */
-static void pieceRestWait(const Feed *feed, int64_t took_ms)
+static void piece_rest_wait(const Feed *feed, int64_t took_ms)
 {
     const int64_t rest_ms = took_ms * FEED_PIECE_REST;
     loop_sleep(feed->loop, rest_ms < FEED_PIECE_REST_MAX_MS ? rest_ms : FEED_PIECE_REST_MAX_MS);
@@ -190,63 +190,64 @@
 
 /* Asks with the revision that it has and is answered when there is news, or after a
  * while. */
-static void askMain(void *arg)
+static void ask_main(void *arg)
 {
     FeedAsking *asking = arg;
     Feed *feed = asking->feed;
-    while (!loop_stopping(feed->loop) && waysCurrent(feed->ways, &asking->taken)) {
+    while (!loop_stopping(feed->loop) && ways_current(feed->ways, &asking->taken)) {
         const int64_t asked_ms = loop_now_ms(feed->loop);
-        if (askOnce(feed, &asking->taken, !asking->again) == STATUS_OK)
+        if (ask_once(feed, &asking->taken, !asking->again) == STATUS_OK)
             asking->again = true;
         else
-            waysFailed(feed->ways, &asking->taken);
-        if (piecesBegun(&feed->pieces))
-            pieceRestWait(feed, loop_now_ms(feed->loop) - asked_ms);
+            ways_failed(feed->ways, &asking->taken);
+        if (pieces_begun(&feed->pieces))
+            piece_rest_wait(feed, loop_now_ms(feed->loop) - asked_ms);
     }
     talloc_free(asking);
 }
 
 /* A leader is asked directly, never through others. */
-static void feedMain(void *arg)
+static void feed_main(void *arg)
 {
     Feed *feed = arg;
     while (!loop_stopping(feed->loop)) {
         WaysTaken taken;
-        if (waysTake(feed->ways, &taken) && !taken.own && !taken.relay && taken.turn != feed->turn) {
+        if (ways_take(feed->ways, &taken) && !taken.own && !taken.relay && taken.turn != feed->turn) {
             feed->turn = taken.turn;
             FeedAsking *asking = talloc_zero(feed, FeedAsking);
             *asking = (FeedAsking){.feed = feed, .taken = taken};
-            loop_spawn(feed->loop, "feed", askMain, asking);
+            loop_spawn(feed->loop, "feed", ask_main, asking);
         }
-        signal_wait(feed->loop, waysMoved(feed->ways), INT64_MAX);
+        signal_wait(feed->loop, ways_moved(feed->ways), INT64_MAX);
     }
 }
 
-void feedStart(Feed *feed, FeedFn wanted, void *arg)
+void feed_start(Feed *feed, FeedFn wanted, void *arg)
 {
     feed->wanted = wanted;
     feed->arg = arg;
-    loop_spawn(feed->loop, "feeds", feedMain, feed);
+    loop_spawn(feed->loop, "feeds", feed_main, feed);
 }
 
 /* The first row to tell to one that has a revision. */
-static size_t tellFrom(const Revisions *revisions, uint64_t have)
+static size_t tell_from(const Revisions *revisions, uint64_t have)
 {
     size_t from = revisions->whole;
     while (from < revisions->count && revisions->rows[from].revision <= have)
         from++;
-    const bool needsMore = from < revisions->count && revisions->rows[from].patch && revisions->rows[from].base != have;
-    return needsMore ? revisions->whole : from;
+    const bool needs_more =
+        from < revisions->count && revisions->rows[from].patch && revisions->rows[from].base != have;
+    return needs_more ? revisions->whole : from;
 }
 
-void feedTell(const Feed *feed, void *mem, uint64_t have, KeepList *list)
+void feed_tell(const Feed *feed, void *mem, uint64_t have, KeepList *list)
 {
     const Revisions *revisions = feed->revisions;
-    for (size_t i = tellFrom(revisions, have); i < revisions->count; i++) {
+    for (size_t i = tell_from(revisions, have); i < revisions->count; i++) {
         const ConfigSet set = set_of(&revisions->rows[i]);
         KeepItem item = {CHANGE_CONFIG_SET, 0, {0}};
         shape_pack(&ConfigSet_shape, &set, mem, &item.payload);
-        list->items = talloc_realloc(mem, list->items, KeepItem, (unsigned)(list->itemsCount + 1));
-        list->items[list->itemsCount++] = item;
+        list->items = talloc_realloc(mem, list->items, KeepItem, (unsigned)(list->items_count + 1));
+        list->items[list->items_count++] = item;
     }
 }
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -36,92 +36,92 @@
 }
 
 /* The one who answered has not led any more. */
-static bool lostOnTheWay(const ForwardAnswer *answer, bool *maybeTaken)
+static bool lost_on_the_way(const ForwardAnswer *answer, bool *maybe_taken)
 {
     if (answer->code == UNKNOWN_HTTP && answer->status == STATUS_OUTCOME_UNKNOWN) {
-        *maybeTaken = true;
+        *maybe_taken = true;
         return true;
     }
     return answer->code == NOT_TAKEN_HTTP && (answer->status == STATUS_NOT_LEADER || answer->status == STATUS_LEAVING);
 }
 
 /* Waits until a way is known. */
-static bool wayWait(Forwarder *forwarder, WaysTaken *taken, int64_t until_ms)
+static bool way_wait(Forwarder *forwarder, WaysTaken *taken, int64_t until_ms)
 {
-    while (!waysTake(forwarder->ways, taken))
+    while (!ways_take(forwarder->ways, taken))
         if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
-            !signal_wait(forwarder->settings.loop, waysMoved(forwarder->ways), until_ms))
-            return waysTake(forwarder->ways, taken);
+            !signal_wait(forwarder->settings.loop, ways_moved(forwarder->ways), until_ms))
+            return ways_take(forwarder->ways, taken);
     return true;
 }
 
 /* Until when a request waits for a way. */
-static int64_t waysUntilMs(const Forwarder *forwarder, bool maybeTaken, int64_t start_ms, int64_t until_ms)
+static int64_t ways_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
 {
-    const int64_t lostMs = waysLostMs(forwarder->ways);
-    const int64_t from_ms = lostMs != INT64_MAX ? lostMs : loop_now_ms(forwarder->settings.loop);
+    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    const int64_t from_ms = lost_ms != INT64_MAX ? lost_ms : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
-        maybeTaken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
+        maybe_taken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
     return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
 /* Another leader is found some 3 s after the last one was lost. */
-static int retryS(const Forwarder *forwarder)
+static int retry_s(const Forwarder *forwarder)
 {
-    const int64_t lostMs = waysLostMs(forwarder->ways);
-    if (lostMs == INT64_MAX)
+    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    if (lost_ms == INT64_MAX)
         return RETRY_AFTER_S;
-    const int64_t leftMs = lostMs + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
-    return leftMs <= SECOND_MS ? RETRY_AFTER_S : (int)((leftMs + SECOND_MS - 1) / SECOND_MS);
+    const int64_t left_ms = lost_ms + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
+    return left_ms <= SECOND_MS ? RETRY_AFTER_S : (int)((left_ms + SECOND_MS - 1) / SECOND_MS);
 }
 
 /* The next leader can't say yet whether an earlier one took it: it is being told again
  * what the disks lost. True: it is to be asked again, after a rest. */
-static bool repairAwaited(const Forwarding *one, const ForwardAnswer *answer)
+static bool repair_awaited(const Forwarding *one, const ForwardAnswer *answer)
 {
     Loop *loop = one->forwarder->settings.loop;
-    if (answer->status != STATUS_REPAIRING || !one->maybeTaken || one->repeat == REPEAT_NEVER ||
-        loop_now_ms(loop) + REPAIR_REST_MS >= waysUntilMs(one->forwarder, true, one->start_ms, one->until_ms))
+    if (answer->status != STATUS_REPAIRING || !one->maybe_taken || one->repeat == REPEAT_NEVER ||
+        loop_now_ms(loop) + REPAIR_REST_MS >= ways_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
         return false;
     loop_sleep(loop, REPAIR_REST_MS);
     return true;
 }
 
 /* Waits. Whether another attempt is to be made, and along which way. */
-static bool attemptNext(const Forwarding *one, int attempt, WaysTaken *taken)
+static bool attempt_next(const Forwarding *one, int attempt, WaysTaken *taken)
 {
-    if (attempt > 0 && (one->task->gone || (one->maybeTaken && one->repeat == REPEAT_NEVER)))
+    if (attempt > 0 && (one->task->gone || (one->maybe_taken && one->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t until_ms = waysUntilMs(one->forwarder, one->maybeTaken, one->start_ms, one->until_ms);
-    return wayWait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
+    const int64_t until_ms = ways_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
+    return way_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
 }
 
-bool forwardAttempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer)
+bool forward_attempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer)
 {
     Forwarder *forwarder = one->forwarder;
     Loop *loop = forwarder->settings.loop;
     const bool changes = one->repeat != REPEAT_READ;
     WaysTaken taken;
-    for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attemptNext(one, attempt, &taken);) {
+    for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(one, attempt, &taken);) {
         bool unknown = false;
-        ask->again = one->maybeTaken;
-        const Status status = attemptForward(forwarder, one->task, &taken, ask, one->until_ms, answer);
-        if (status == STATUS_OK && !lostOnTheWay(answer, &unknown)) {
-            if (repairAwaited(one, answer))
+        ask->again = one->maybe_taken;
+        const Status status = attempt_forward(forwarder, one->task, &taken, ask, one->until_ms, answer);
+        if (status == STATUS_OK && !lost_on_the_way(answer, &unknown)) {
+            if (repair_awaited(one, answer))
                 continue;
             /* one that did not take it says nothing of an earlier one, which may have */
-            return answer->code != NOT_TAKEN_HTTP || !one->maybeTaken;
+            return answer->code != NOT_TAKEN_HTTP || !one->maybe_taken;
         }
         attempt++;
         unknown |= status != STATUS_OK && !untaken(status);
-        one->maybeTaken |= changes && unknown;
+        one->maybe_taken |= changes && unknown;
         if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
-            waysFailed(forwarder->ways, &taken);
+            ways_failed(forwarder->ways, &taken);
     }
     return false;
 }
 
-void forwardTake(HttpTask *task, const ForwardAnswer *answer)
+void forward_take(HttpTask *task, const ForwardAnswer *answer)
 {
     task->code = (int)answer->code;
     task->status = (Status)answer->status;
@@ -130,22 +130,22 @@
     task->retry_after_s = (int)answer->retry_after_s;
 }
 
-void forwardGiveUp(const Forwarding *one)
+void forward_give_up(const Forwarding *one)
 {
-    if (one->maybeTaken)
+    if (one->maybe_taken)
         show_refusal(one->task, STATUS_OUTCOME_UNKNOWN, "the leader was lost on the way: ask, or send the same again",
                      NULL);
     else
         show_refusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
-    one->task->retry_after_s = retryS(one->forwarder);
+    one->task->retry_after_s = retry_s(one->forwarder);
 }
 
-void forwardRequest(Forwarder *forwarder, HttpTask *task)
+void forward_request(Forwarder *forwarder, HttpTask *task)
 {
     const int64_t start_ms = loop_now_ms(forwarder->settings.loop);
     Forwarding one = {.forwarder = forwarder,
                       .task = task,
-                      .repeat = forwardRepeat(task->method, task->path, task->query),
+                      .repeat = forward_repeat(task->method, task->path, task->query),
                       .start_ms = start_ms,
                       .until_ms = start_ms + FORWARD_DEADLINE_MS};
     if (task->expiry_ms != 0 && task->expiry_ms - FORWARD_BACK_MS < one.until_ms)
@@ -153,20 +153,20 @@
     ForwardAsk ask = {
         .method = task->method, .path = task->path, .query = task->query, .body = task->body, .host = task->host};
     ForwardAnswer answer = {0};
-    if (one.repeat == REPEAT_ORDERED && !orderNamed(&one, &ask))
+    if (one.repeat == REPEAT_ORDERED && !order_named(&one, &ask))
         return;
-    if (!forwardAttempts(&one, &ask, &answer))
-        forwardGiveUp(&one);
+    if (!forward_attempts(&one, &ask, &answer))
+        forward_give_up(&one);
     else if (answer.status == STATUS_STALE_ORDER && one.based)
-        orderOvertaken(task);
+        order_overtaken(task);
     else
-        forwardTake(task, &answer);
+        forward_take(task, &answer);
 }
 
-Status forwardRelay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
+Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     WaysTaken taken;
-    if (!waysTake(forwarder->ways, &taken) || taken.own || taken.relay)
+    if (!ways_take(forwarder->ways, &taken) || taken.own || taken.relay)
         return STATUS_NOT_LEADER;
     ForwardAsk onward = *ask;
     onward.relay = false;
@@ -175,38 +175,38 @@
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status =
         courier_ask_peer(forwarder->settings.courier, mem, &(CourierTarget){taken.address, taken.peer, NULL},
-                         MESSAGE_FORWARD, &ForwardAskShape, &onward, wait_ms, &ForwardAnswerShape, answer);
+                         MESSAGE_FORWARD, &ForwardAsk_shape, &onward, wait_ms, &ForwardAnswer_shape, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
-        waysFailed(forwarder->ways, &taken);
+        ways_failed(forwarder->ways, &taken);
     return status;
 }
 
-Ways *forwarderWays(Forwarder *forwarder)
+Ways *forwarder_ways(Forwarder *forwarder)
 {
     return forwarder->ways;
 }
 
 /* Those who wait on a way hear at once that it is none any more. */
-static void movedMain(void *arg)
+static void moved_main(void *arg)
 {
     Forwarder *forwarder = arg;
     while (!loop_stopping(forwarder->settings.loop)) {
-        signal_wait(forwarder->settings.loop, waysMoved(forwarder->ways), INT64_MAX);
-        attemptsWake(forwarder);
+        signal_wait(forwarder->settings.loop, ways_moved(forwarder->ways), INT64_MAX);
+        attempts_wake(forwarder);
     }
 }
 
-Forwarder *forwarderNew(void *mem, const ForwarderSettings *settings)
+Forwarder *forwarder_new(void *mem, const ForwarderSettings *settings)
 {
     Forwarder *forwarder = talloc_zero(mem, Forwarder);
     forwarder->settings = *settings;
     forwarder->ways =
-        waysNew(forwarder, settings->loop, settings->courier, settings->members, settings->leads, settings->arg);
+        ways_new(forwarder, settings->loop, settings->courier, settings->members, settings->leads, settings->arg);
     return forwarder;
 }
 
-void forwarderStart(Forwarder *forwarder)
+void forwarder_start(Forwarder *forwarder)
 {
-    waysStart(forwarder->ways);
-    loop_spawn(forwarder->settings.loop, "moved", movedMain, forwarder);
+    ways_start(forwarder->ways);
+    loop_spawn(forwarder->settings.loop, "moved", moved_main, forwarder);
 }
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -19,35 +19,35 @@
     size_t bytes;
 };
 
-static guint itemHash(gconstpointer data)
+static guint item_hash(gconstpointer data)
 {
     const KeepItem *item = data;
     return bytes_crc(item->payload.data, item->payload.count) ^ (guint)item->change;
 }
 
-static gboolean itemEqual(gconstpointer a, gconstpointer b)
+static gboolean item_equal(gconstpointer a, gconstpointer b)
 {
     const KeepItem *x = a, *y = b;
     return x->change == y->change && bytes_equal(x->payload, y->payload);
 }
 
-static int keeperFree(Keeper *keeper)
+static int keeper_free(Keeper *keeper)
 {
     g_hash_table_destroy(keeper->known);
     return 0;
 }
 
-Keeper *keeperNew(void *mem, Loop *loop, int64_t span_ms)
+Keeper *keeper_new(void *mem, Loop *loop, int64_t span_ms)
 {
     Keeper *keeper = talloc_zero(mem, Keeper);
     keeper->loop = loop;
     keeper->span_ms = span_ms;
-    keeper->known = g_hash_table_new(itemHash, itemEqual);
-    talloc_set_destructor(keeper, keeperFree);
+    keeper->known = g_hash_table_new(item_hash, item_equal);
+    talloc_set_destructor(keeper, keeper_free);
     return keeper;
 }
 
-static size_t bytesOf(const Kept *kept)
+static size_t bytes_of(const Kept *kept)
 {
     return kept->item.payload.count + KEPT_BESIDE_BYTES;
 }
@@ -61,13 +61,13 @@
         keeper->first = kept->next;
         if (keeper->first == NULL)
             keeper->last = NULL;
-        keeper->bytes -= bytesOf(kept);
+        keeper->bytes -= bytes_of(kept);
         g_hash_table_remove(keeper->known, kept);
         talloc_free(kept);
     }
 }
 
-void keeperKeep(Keeper *keeper, const KeepItem *items, size_t count)
+void keeper_keep(Keeper *keeper, const KeepItem *items, size_t count)
 {
     for (size_t i = 0; i < count && keeper->span_ms > 0; i++) {
         if (g_hash_table_contains(keeper->known, &items[i]))
@@ -82,12 +82,12 @@
         else
             keeper->first = kept;
         keeper->last = kept;
-        keeper->bytes += bytesOf(kept);
+        keeper->bytes += bytes_of(kept);
     }
     forget(keeper);
 }
 
-static bool configHad(const KeepItem *item, uint64_t have)
+static bool config_had(const KeepItem *item, uint64_t have)
 {
     if (item->change != CHANGE_CONFIG_SET)
         return false;
@@ -99,22 +99,22 @@
     return had;
 }
 
-void keeperTell(Keeper *keeper, void *mem, uint64_t configHave, KeepList *list)
+void keeper_tell(Keeper *keeper, void *mem, uint64_t config_have, KeepList *list)
 {
     forget(keeper);
-    list->items = talloc_array(mem, KeepItem, (unsigned)keeperCount(keeper));
-    list->itemsCount = 0;
+    list->items = talloc_array(mem, KeepItem, (unsigned)keeper_count(keeper));
+    list->items_count = 0;
     for (const Kept *kept = keeper->first; kept != NULL; kept = kept->next)
-        if (!configHad(&kept->item, configHave))
-            shape_copy(&KeepItemShape, &kept->item, mem, &list->items[list->itemsCount++]);
+        if (!config_had(&kept->item, config_have))
+            shape_copy(&KeepItem_shape, &kept->item, mem, &list->items[list->items_count++]);
 }
 
-size_t keeperCount(const Keeper *keeper)
+size_t keeper_count(const Keeper *keeper)
 {
     return g_hash_table_size(keeper->known);
 }
 
-size_t keeperBytes(const Keeper *keeper)
+size_t keeper_bytes(const Keeper *keeper)
 {
     return keeper->bytes;
 }
--- a/packages/feed/src/limits.c
+++ b/packages/feed/src/limits.c
@@ -1,6 +1,6 @@
 #include "feed/limits.h"
 
-void limitsServe(Loop *loop, const ConfigLimits *limits)
+void limits_serve(Loop *loop, const ConfigLimits *limits)
 {
     const HttpLimits told = {
         .head_bytes = (size_t)limits->head_bytes, .head_ms = limits->head_ms, .idle_ms = limits->idle_ms};
--- a/packages/feed/src/order.c
+++ b/packages/feed/src/order.c
@@ -7,7 +7,7 @@
 #include "api/show.h"
 
 /* The stamp that a zone is shown with; -1: an earlier release leads, which shows none. */
-static int64_t stampOf(const ForwardAnswer *answer)
+static int64_t stamp_of(const ForwardAnswer *answer)
 {
     json_tokener *tokener = json_tokener_new();
     json_object *shown = json_tokener_parse_ex(tokener, (const char *)answer->body.data, (int)answer->body.count);
@@ -20,33 +20,33 @@
 }
 
 /* Waits. False: the result was given. */
-static bool stampRead(const Forwarding *one, int64_t *stamp)
+static bool stamp_read(const Forwarding *one, int64_t *stamp)
 {
     HttpTask *task = one->task;
     Forwarding reading = *one;
     reading.repeat = REPEAT_READ;
     ForwardAsk ask = {.method = "GET", .path = task->path, .query = "", .host = task->host};
     ForwardAnswer answer = {0};
-    if (!forwardAttempts(&reading, &ask, &answer)) {
-        forwardGiveUp(&reading);
+    if (!forward_attempts(&reading, &ask, &answer)) {
+        forward_give_up(&reading);
         return false;
     }
     if (answer.code != GOOD_HTTP) {
-        forwardTake(task, &answer);
+        forward_take(task, &answer);
         return false;
     }
-    *stamp = stampOf(&answer);
+    *stamp = stamp_of(&answer);
     return true;
 }
 
-bool orderNamed(Forwarding *one, ForwardAsk *ask)
+bool order_named(Forwarding *one, ForwardAsk *ask)
 {
     HttpTask *task = one->task;
     Loop *loop = one->forwarder->settings.loop;
     char *query = talloc_strdup(task, task->query);
     int64_t stamp = 0;
     if (query_value(task, task->query, "after") == NULL) {
-        if (!stampRead(one, &stamp))
+        if (!stamp_read(one, &stamp))
             return false;
         one->based = stamp >= 0;
         if (!one->based)
@@ -65,7 +65,7 @@
     return true;
 }
 
-void orderOvertaken(HttpTask *task)
+void order_overtaken(HttpTask *task)
 {
     show_refusal(task, STATUS_STALE_ORDER,
                  "there has been another order for this zone; nothing was taken: send it again if it still stands",
--- a/packages/feed/src/order.h
+++ b/packages/feed/src/order.h
@@ -9,8 +9,8 @@
  * it comes to. */
 
 /* Waits. Adds both to the query, unless its caller has. False: the result was given. */
-bool orderNamed(Forwarding *one, ForwardAsk *ask);
+bool order_named(Forwarding *one, ForwardAsk *ask);
 /* The result of one that was overtaken: certainly not taken. */
-void orderOvertaken(HttpTask *task);
+void order_overtaken(HttpTask *task);
 
 #endif
--- a/packages/feed/src/routes.c
+++ b/packages/feed/src/routes.c
@@ -17,13 +17,13 @@
     {"DELETE", "/v1/zones/*/drain", NULL, REPEAT_ORDERED, "a name for the order, and the zone's stamp when it came in"},
 };
 
-const ForwardRoute *forwardRoutes(size_t *count)
+const ForwardRoute *forward_routes(size_t *count)
 {
     *count = sizeof(ROUTES) / sizeof(ROUTES[0]);
     return ROUTES;
 }
 
-static bool pathFits(const char *pattern, const char *path)
+static bool path_fits(const char *pattern, const char *path)
 {
     while (*pattern != '\0') {
         if (strcmp(pattern, "**") == 0)
@@ -42,7 +42,7 @@
 }
 
 /* Whether a query has a key with a value. */
-static bool queryHas(const char *query, const char *key)
+static bool query_has(const char *query, const char *key)
 {
     const size_t length = strlen(key);
     for (const char *at = query; at != NULL && *at != '\0'; at = strchr(at, '&')) {
@@ -53,12 +53,12 @@
     return false;
 }
 
-Repeat forwardRepeat(const char *method, const char *path, const char *query)
+Repeat forward_repeat(const char *method, const char *path, const char *query)
 {
     for (size_t i = 0; i < sizeof(ROUTES) / sizeof(ROUTES[0]); i++) {
         const ForwardRoute *route = &ROUTES[i];
-        if (strcmp(route->method, method) == 0 && pathFits(route->path, path) &&
-            (route->needed == NULL || queryHas(query, route->needed)))
+        if (strcmp(route->method, method) == 0 && path_fits(route->path, path) &&
+            (route->needed == NULL || query_has(query, route->needed)))
             return route->repeat;
     }
     return REPEAT_NEVER;
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -16,7 +16,7 @@
 /* Invariants:
  *  - turn grows whenever the way in use, or the leader, becomes another one;
  *  - at is the way in use: 0 the leader itself, N the Nth other core; it means
- *    nothing while lostMs is not INT64_MAX;
+ *    nothing while lost_ms is not INT64_MAX;
  *  - looking says that the looking task runs, which it does while lost, or while at > 0. */
 struct Ways {
     Loop *loop;
@@ -27,15 +27,15 @@
     uint64_t turn;
     uint64_t epoch; /* of the leader that they lead to */
     size_t at;
-    int64_t lostMs;
+    int64_t lost_ms;
     bool looking;
     int64_t heard_ms;
-    int64_t servedMs; /* INT64_MIN: never */
-    int64_t missedMs; /* since when no leader has been heard to serve; INT64_MAX: it serves */
+    int64_t served_ms; /* INT64_MIN: never */
+    int64_t missed_ms; /* since when no leader has been heard to serve; INT64_MAX: it serves */
     Signal moved;
 };
 
-Ways *waysNew(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg)
+Ways *ways_new(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg)
 {
     Ways *ways = talloc_zero(mem, Ways);
     *ways = (Ways){.loop = loop,
@@ -43,19 +43,19 @@
                    .members = members,
                    .leads = leads,
                    .arg = arg,
-                   .lostMs = loop_now_ms(loop),
+                   .lost_ms = loop_now_ms(loop),
                    .heard_ms = INT64_MIN,
-                   .servedMs = INT64_MIN,
-                   .missedMs = loop_now_ms(loop)};
+                   .served_ms = INT64_MIN,
+                   .missed_ms = loop_now_ms(loop)};
     return ways;
 }
 
-static bool ownLead(const Ways *ways)
+static bool own_lead(const Ways *ways)
 {
     return ways->leads != NULL && ways->leads(ways->arg);
 }
 
-static void moveOn(Ways *ways)
+static void move_on(Ways *ways)
 {
     ways->turn++;
     signal_raise(ways->loop, &ways->moved);
@@ -63,12 +63,12 @@
 
 static void miss(Ways *ways)
 {
-    if (ways->missedMs == INT64_MAX)
-        ways->missedMs = loop_now_ms(ways->loop);
+    if (ways->missed_ms == INT64_MAX)
+        ways->missed_ms = loop_now_ms(ways->loop);
 }
 
 /* The address of the nth way; false when there are fewer. */
-static bool wayAt(const Ways *ways, size_t nth, WaysTaken *taken)
+static bool way_at(const Ways *ways, size_t nth, WaysTaken *taken)
 {
     const char *leader = members_leader_address(ways->members);
     const MemberRecord *self = members_self(ways->members);
@@ -102,11 +102,11 @@
     ForwardAnswer answer = {0};
     const Status status =
         courier_ask_peer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
-                         &ForwardAskShape, &ask, wait_ms, &ForwardAnswerShape, &answer);
+                         &ForwardAsk_shape, &ask, wait_ms, &ForwardAnswer_shape, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
         members_meet(ways->members, taken->address);
     else if (status != STATUS_OK)
-        waysTold(ways, &answer);
+        ways_told(ways, &answer);
     *serves = status == STATUS_OK && answer.code == 200;
     talloc_free(mem);
     return status;
@@ -117,17 +117,17 @@
 static void found(Ways *ways, size_t at)
 {
     ways->at = at;
-    ways->lostMs = INT64_MAX;
-    moveOn(ways);
+    ways->lost_ms = INT64_MAX;
+    move_on(ways);
 }
 
 /* Tries every way once; true when one leads to the leader. */
-static bool lookOnce(Ways *ways)
+static bool look_once(Ways *ways)
 {
     WaysTaken taken;
-    const bool later = loop_now_ms(ways->loop) - ways->lostMs >= WAYS_SOON_MS;
+    const bool later = loop_now_ms(ways->loop) - ways->lost_ms >= WAYS_SOON_MS;
     for (size_t nth = 0;; nth++) {
-        if (!wayAt(ways, nth, &taken)) {
+        if (!way_at(ways, nth, &taken)) {
             if (nth == 0)
                 continue; /* it is not known, or it was this process */
             return false;
@@ -139,35 +139,35 @@
             return false; /* another leader was heard of meanwhile */
         if (status == STATUS_OK) {
             found(ways, nth);
-            waysHeard(ways, &(WaysTaken){.turn = ways->turn}, serves);
+            ways_heard(ways, &(WaysTaken){.turn = ways->turn}, serves);
             return true;
         }
     }
 }
 
 /* Has the direct way come back? If not, is the one in use still good? */
-static void lookBack(Ways *ways)
+static void look_back(Ways *ways)
 {
     WaysTaken taken;
     bool serves;
     const uint64_t turn = ways->turn;
-    if (wayAt(ways, 0, &taken) && ping(ways, &taken, WAYS_PING_MS, &serves) == STATUS_OK && ways->turn == turn)
+    if (way_at(ways, 0, &taken) && ping(ways, &taken, WAYS_PING_MS, &serves) == STATUS_OK && ways->turn == turn)
         found(ways, 0);
-    else if (waysTake(ways, &taken) && !waysAlive(ways, &taken))
-        waysFailed(ways, &taken);
+    else if (ways_take(ways, &taken) && !ways_alive(ways, &taken))
+        ways_failed(ways, &taken);
 }
 
 static void look_main(void *arg)
 {
     Ways *ways = arg;
-    while (!loop_stopping(ways->loop) && (ways->lostMs != INT64_MAX || ways->at > 0)) {
-        if (ways->lostMs == INT64_MAX) {
+    while (!loop_stopping(ways->loop) && (ways->lost_ms != INT64_MAX || ways->at > 0)) {
+        if (ways->lost_ms == INT64_MAX) {
             signal_wait(ways->loop, &ways->moved, loop_now_ms(ways->loop) + WAYS_BACK_MS);
-            if (ways->lostMs == INT64_MAX && ways->at > 0)
-                lookBack(ways);
-        } else if (!lookOnce(ways) && ways->lostMs != INT64_MAX) {
+            if (ways->lost_ms == INT64_MAX && ways->at > 0)
+                look_back(ways);
+        } else if (!look_once(ways) && ways->lost_ms != INT64_MAX) {
             const int64_t now_ms = loop_now_ms(ways->loop);
-            const bool soon = now_ms - ways->lostMs < WAYS_SOON_MS;
+            const bool soon = now_ms - ways->lost_ms < WAYS_SOON_MS;
             signal_wait(ways->loop, &ways->moved, now_ms + (soon ? WAYS_SOON_REST_MS : WAYS_REST_MS));
         }
     }
@@ -185,50 +185,50 @@
 /* --- the leader known ---------------------------------------------------------------- */
 
 /* Another leader, or the first: it is reached directly until that fails. */
-static void leaderNew(Ways *ways)
+static void leader_new(Ways *ways)
 {
     if (members_leader_epoch(ways->members) == ways->epoch)
         return; /* also before any is known: whoever is met tells of him */
     ways->epoch = members_leader_epoch(ways->members);
     if (members_leader_address(ways->members) == NULL) {
-        if (ways->lostMs == INT64_MAX)
-            ways->lostMs = loop_now_ms(ways->loop);
+        if (ways->lost_ms == INT64_MAX)
+            ways->lost_ms = loop_now_ms(ways->loop);
         miss(ways);
-        moveOn(ways);
+        move_on(ways);
         look(ways); /* its address may yet be told */
         return;
     }
     found(ways, 0);
 }
 
-static void leaderMain(void *arg)
+static void leader_main(void *arg)
 {
     Ways *ways = arg;
     while (!loop_stopping(ways->loop)) {
-        leaderNew(ways);
+        leader_new(ways);
         signal_wait(ways->loop, members_leader_signal(ways->members), INT64_MAX);
     }
 }
 
-void waysStart(Ways *ways)
+void ways_start(Ways *ways)
 {
-    loop_spawn(ways->loop, "ways", leaderMain, ways);
+    loop_spawn(ways->loop, "ways", leader_main, ways);
 }
 
 /* --- in use ------------------------------------------------------------------------------ */
 
-bool waysTake(Ways *ways, WaysTaken *taken)
+bool ways_take(Ways *ways, WaysTaken *taken)
 {
-    if (ownLead(ways)) {
+    if (own_lead(ways)) {
         *taken = (WaysTaken){.turn = ways->turn, .own = true};
         return true;
     }
-    if (ways->lostMs == INT64_MAX && wayAt(ways, ways->at, taken))
+    if (ways->lost_ms == INT64_MAX && way_at(ways, ways->at, taken))
         return true;
     /* the core that carried on has gone, or this process has just lost the lead */
-    if (ways->lostMs == INT64_MAX) {
-        ways->lostMs = loop_now_ms(ways->loop);
-        moveOn(ways);
+    if (ways->lost_ms == INT64_MAX) {
+        ways->lost_ms = loop_now_ms(ways->loop);
+        move_on(ways);
     }
     miss(ways);
     if (ways->epoch != 0)
@@ -236,67 +236,67 @@
     return false;
 }
 
-bool waysCurrent(const Ways *ways, const WaysTaken *taken)
+bool ways_current(const Ways *ways, const WaysTaken *taken)
 {
     return taken->own || taken->turn == ways->turn;
 }
 
-Signal *waysMoved(Ways *ways)
+Signal *ways_moved(Ways *ways)
 {
     return &ways->moved;
 }
 
-int64_t waysLostMs(const Ways *ways)
+int64_t ways_lost_ms(const Ways *ways)
 {
-    return ownLead(ways) ? INT64_MAX : ways->lostMs;
+    return own_lead(ways) ? INT64_MAX : ways->lost_ms;
 }
 
-bool waysAlive(Ways *ways, const WaysTaken *taken)
+bool ways_alive(Ways *ways, const WaysTaken *taken)
 {
     bool serves;
     const Status status = ping(ways, taken, WAYS_PING_MS, &serves);
     if (status == STATUS_OK)
-        waysHeard(ways, taken, serves);
+        ways_heard(ways, taken, serves);
     return status == STATUS_OK;
 }
 
-void waysFailed(Ways *ways, const WaysTaken *taken)
+void ways_failed(Ways *ways, const WaysTaken *taken)
 {
-    if (taken->own || !waysCurrent(ways, taken))
+    if (taken->own || !ways_current(ways, taken))
         return;
-    ways->lostMs = loop_now_ms(ways->loop);
+    ways->lost_ms = loop_now_ms(ways->loop);
     miss(ways);
-    moveOn(ways);
+    move_on(ways);
     look(ways);
 }
 
-void waysHeard(Ways *ways, const WaysTaken *taken, bool serves)
+void ways_heard(Ways *ways, const WaysTaken *taken, bool serves)
 {
-    if (!waysCurrent(ways, taken))
+    if (!ways_current(ways, taken))
         return;
     ways->heard_ms = loop_now_ms(ways->loop);
     if (serves) {
-        ways->servedMs = ways->heard_ms;
-        ways->missedMs = INT64_MAX;
+        ways->served_ms = ways->heard_ms;
+        ways->missed_ms = INT64_MAX;
     } else {
         miss(ways);
     }
 }
 
-int64_t waysHeardMs(const Ways *ways)
+int64_t ways_heard_ms(const Ways *ways)
 {
     return ways->heard_ms;
 }
 
-void waysTold(Ways *ways, const ForwardAnswer *answer)
+void ways_told(Ways *ways, const ForwardAnswer *answer)
 {
     if (answer->leader_epoch > members_leader_epoch(ways->members) && answer->leader_id != NULL &&
         answer->leader_id[0] != '\0')
         members_set_leader(ways->members, answer->leader_epoch, answer->leader_id);
 }
 
-bool waysServe(const Ways *ways)
+bool ways_serve(const Ways *ways)
 {
-    return ways->servedMs != INT64_MIN &&
-           (ways->missedMs == INT64_MAX || loop_now_ms(ways->loop) - ways->missedMs <= WAYS_GRACE_MS);
+    return ways->served_ms != INT64_MIN &&
+           (ways->missed_ms == INT64_MAX || loop_now_ms(ways->loop) - ways->missed_ms <= WAYS_GRACE_MS);
 }
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -39,7 +39,7 @@
     assert_int_equal(result.status, STATUS_OK);
 }
 
-static Hand *handNew(void)
+static Hand *hand_new(void)
 {
     Hand *hand = talloc_zero(NULL, Hand);
     hand->revisions = revisions_new(hand, KEPT, KEPT);
@@ -51,15 +51,15 @@
 }
 
 /* One question of an asker; true when its document is whole. */
-static bool step(Hand *hand, Pieces *pieces, uint64_t textHave, ConfigSet *set)
+static bool step(Hand *hand, Pieces *pieces, uint64_t text_have, ConfigSet *set)
 {
-    FeedAsk ask = {.textHave = textHave, .wants = true, .pieceMost = MOST};
+    FeedAsk ask = {.text_have = text_have, .wants = true, .piece_most = MOST};
     FeedAnswer answer = {.epoch = hand->epoch};
     hand->now_ms += 100;
-    piecesAsk(pieces, &ask);
-    pieceAnswer(&hand->source, hand->revisions, &ask, hand->now_ms, &answer);
+    pieces_ask(pieces, &ask);
+    piece_answer(&hand->source, hand->revisions, &ask, hand->now_ms, &answer);
     assert_true(answer.piece.count <= MOST);
-    return piecesTake(hand, pieces, &answer, set);
+    return pieces_take(hand, pieces, &answer, set);
 }
 
 static ConfigSet whole(Hand *hand, Pieces *pieces)
@@ -72,23 +72,23 @@
     return set;
 }
 
-static void putTogether(void **state)
+static void put_together(void **state)
 {
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     (void)state;
     const ConfigSet set = whole(hand, &hand->pieces);
     assert_string_equal(set.text, FIRST);
     assert_int_equal(set.revision, 1);
     assert_string_equal(set.digest, "digest 1");
     assert_true(set.restored && !set.patch);
-    assert_false(piecesBegun(&hand->pieces));
+    assert_false(pieces_begun(&hand->pieces));
     talloc_free(hand);
 }
 
 /* What has begun is of one version; later ones do not mix with it. */
-static void changedMeanwhile(void **state)
+static void changed_meanwhile(void **state)
 {
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
@@ -105,9 +105,9 @@
 }
 
 /* A version that the history has dropped since is begun anew, as the newest. */
-static void droppedMeanwhile(void **state)
+static void dropped_meanwhile(void **state)
 {
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
@@ -121,63 +121,63 @@
 }
 
 /* Another leader's document of the same number is another one. */
-static void otherEpoch(void **state)
+static void other_epoch(void **state)
 {
     static const char OTHER[] = "{\"note\":\"another text, that is longer than one piece or two of them\",\"r\":1}";
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
     hand->revisions = revisions_new(hand, KEPT, KEPT);
     change(hand, 1, OTHER, false);
     hand->epoch++;
-    piecesDrop(&hand->pieces); /* as the feed does with each other leader */
+    pieces_drop(&hand->pieces); /* as the feed does with each other leader */
     assert_string_equal(whole(hand, &hand->pieces).text, OTHER);
     talloc_free(hand);
 }
 
 /* Two askers, one of whom began before a change: one text serves both. */
-static void oneTextForAll(void **state)
+static void one_text_for_all(void **state)
 {
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     Pieces later = {.mem = hand};
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
     change(hand, 2, "{\"r\":2}", true);
     const char *text = hand->source.text;
-    bool wholeFirst = false, wholeLater = false;
-    for (int i = 0; i < PIECES_MAX && !(wholeFirst && wholeLater); i++) {
-        wholeFirst = wholeFirst || step(hand, &hand->pieces, 0, &set);
-        wholeLater = wholeLater || step(hand, &later, 0, &set);
+    bool whole_first = false, whole_later = false;
+    for (int i = 0; i < PIECES_MAX && !(whole_first && whole_later); i++) {
+        whole_first = whole_first || step(hand, &hand->pieces, 0, &set);
+        whole_later = whole_later || step(hand, &later, 0, &set);
         assert_ptr_equal(hand->source.text, text);
         assert_int_equal(hand->source.version, 1);
     }
-    assert_true(wholeFirst && wholeLater);
+    assert_true(whole_first && whole_later);
     talloc_free(hand);
 }
 
 /* A piece that does not follow what is there is not added to it. */
-static void strangePiece(void **state)
+static void strange_piece(void **state)
 {
-    Hand *hand = handNew();
+    Hand *hand = hand_new();
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
     const FeedAnswer strange[] = {
-        {.pieceSet = {.revision = 2}, .pieceFrom = MOST, .pieceLength = sizeof(FIRST) - 1},
-        {.pieceSet = {.revision = 1}, .pieceFrom = MOST + 1, .pieceLength = sizeof(FIRST) - 1},
-        {.pieceSet = {.revision = 1}, .pieceFrom = MOST, .pieceLength = sizeof(FIRST)},
-        {.pieceSet = {.revision = 1},
-         .pieceFrom = MOST,
-         .pieceLength = sizeof(FIRST) - 1,
+        {.piece_set = {.revision = 2}, .piece_from = MOST, .piece_length = sizeof(FIRST) - 1},
+        {.piece_set = {.revision = 1}, .piece_from = MOST + 1, .piece_length = sizeof(FIRST) - 1},
+        {.piece_set = {.revision = 1}, .piece_from = MOST, .piece_length = sizeof(FIRST)},
+        {.piece_set = {.revision = 1},
+         .piece_from = MOST,
+         .piece_length = sizeof(FIRST) - 1,
          .piece = {.data = (uint8_t *)(uintptr_t)FIRST, .count = sizeof(FIRST)}},
     };
     for (size_t i = 0; i < sizeof(strange) / sizeof(strange[0]); i++) {
-        if (!piecesBegun(&hand->pieces))
+        if (!pieces_begun(&hand->pieces))
             assert_false(step(hand, &hand->pieces, 0, &set));
-        assert_false(piecesTake(hand, &hand->pieces, &strange[i], &set));
-        assert_false(piecesBegun(&hand->pieces));
+        assert_false(pieces_take(hand, &hand->pieces, &strange[i], &set));
+        assert_false(pieces_begun(&hand->pieces));
     }
     assert_string_equal(whole(hand, &hand->pieces).text, FIRST);
     talloc_free(hand);
@@ -186,8 +186,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(putTogether), cmocka_unit_test(changedMeanwhile), cmocka_unit_test(droppedMeanwhile),
-        cmocka_unit_test(otherEpoch),  cmocka_unit_test(oneTextForAll),    cmocka_unit_test(strangePiece),
+        cmocka_unit_test(put_together), cmocka_unit_test(changed_meanwhile), cmocka_unit_test(dropped_meanwhile),
+        cmocka_unit_test(other_epoch),  cmocka_unit_test(one_text_for_all),  cmocka_unit_test(strange_piece),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -30,10 +30,10 @@
     const CourierCounts *counts = courier_counts(gate->courier);
     show_metrics_begin(task);
     show_metric(task, "inWork", (int64_t)gate->inWork);
-    show_metric(task, "kept", (int64_t)keeperCount(gate->keeper));
-    show_metric(task, "keptBytes", (int64_t)keeperBytes(gate->keeper));
-    show_metric(task, "configRevision", (int64_t)feedRevision(gate->feed));
-    show_metric(task, "configHeld", (int64_t)feedHeld(gate->feed));
+    show_metric(task, "kept", (int64_t)keeper_count(gate->keeper));
+    show_metric(task, "keptBytes", (int64_t)keeper_bytes(gate->keeper));
+    show_metric(task, "configRevision", (int64_t)feed_revision(gate->feed));
+    show_metric(task, "configHeld", (int64_t)feed_held(gate->feed));
     show_metric(task, "members", (int64_t)members_table(gate->members)->count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     COURIER_COUNT_LIST(X)
@@ -56,19 +56,19 @@
         trace_serve(gate->trace, task);
     } else {
         gate->inWork++;
-        forwardRequest(gate->forwarder, task);
+        forward_request(gate->forwarder, task);
         gate->inWork--;
     }
 }
 
 bool gateElsewhere(Gate *gate, HttpTask *task, bool back, const char **leader)
 {
-    if (task->body.count <= CONFIG_LARGE_BYTES && !(back && feedSize(gate->feed) > CONFIG_LARGE_BYTES))
+    if (task->body.count <= CONFIG_LARGE_BYTES && !(back && feed_size(gate->feed) > CONFIG_LARGE_BYTES))
         return false;
     HttpTask *ask = talloc(task, HttpTask);
     *ask = (HttpTask){
         .loop = gate->loop, .method = "GET", .path = "/readyz", .query = "", .host = "", .expiry_ms = task->expiry_ms};
-    forwardRequest(gate->forwarder, ask);
+    forward_request(gate->forwarder, ask);
     const Member *member = members_find(gate->members, members_leader_id(gate->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
     if (ask->code == 200 && !known)
@@ -93,7 +93,7 @@
 
 bool gateReady(const Gate *gate)
 {
-    return !gate->leaving && waysServe(forwarderWays(gate->forwarder));
+    return !gate->leaving && ways_serve(forwarder_ways(gate->forwarder));
 }
 
 static Status onRetell(void *arg, void *mem, const void *question, void *answer)
@@ -101,8 +101,8 @@
     Gate *gate = arg;
     const RetellAsk *ask = question;
     KeepList *list = answer;
-    keeperTell(gate->keeper, mem, ask->configHave, list);
-    feedTell(gate->feed, mem, ask->configHave, list);
+    keeper_tell(gate->keeper, mem, ask->config_have, list);
+    feed_tell(gate->feed, mem, ask->config_have, list);
     return STATUS_OK;
 }
 
@@ -112,7 +112,7 @@
     const KeepList *list = question;
     (void)mem;
     (void)answer;
-    keeperKeep(gate->keeper, list->items, list->itemsCount);
+    keeper_keep(gate->keeper, list->items, list->items_count);
     return STATUS_OK;
 }
 
@@ -134,7 +134,7 @@
     gate->grace_ms = props->bounds.grace_ms;
     gate->unready_ms = props->bounds.unready_ms;
     gate->courier = courier_new(gate, loop, ring);
-    gate->keeper = keeperNew(gate, loop, props->bounds.retell_ms);
+    gate->keeper = keeper_new(gate, loop, props->bounds.retell_ms);
     Status status = courier_listen(gate->courier, props->listen, gate->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
@@ -149,21 +149,21 @@
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
     gate->members = members_new(gate, loop, gate->courier, ring, &self, props->seeds);
     gate->trace = trace_new(gate, loop, gate->courier, gate->members, props->name);
-    gate->forwarder = forwarderNew(gate, &(ForwarderSettings){.loop = loop,
-                                                              .courier = gate->courier,
-                                                              .members = gate->members,
-                                                              .keeper = gate->keeper,
-                                                              .trace = gate->trace,
-                                                              .leader_wait_ms = props->bounds.leader_wait_ms,
-                                                              .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    gate->feed = feedNew(gate, loop, gate->courier, forwarderWays(gate->forwarder), gate->trace);
-    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAskShape, &KeepListShape, onRetell, gate);
+    gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
+                                                               .courier = gate->courier,
+                                                               .members = gate->members,
+                                                               .keeper = gate->keeper,
+                                                               .trace = gate->trace,
+                                                               .leader_wait_ms = props->bounds.leader_wait_ms,
+                                                               .outcome_wait_ms = props->bounds.outcome_wait_ms});
+    gate->feed = feed_new(gate, loop, gate->courier, forwarder_ways(gate->forwarder), gate->trace);
+    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, onRetell, gate);
     courier_handle(gate->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, gate);
-    courier_handle(gate->courier, MESSAGE_KEEP, &KeepListShape, &NothingShape, onKeep, gate);
+    courier_handle(gate->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, onKeep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
-    forwarderStart(gate->forwarder);
-    feedStart(gate->feed, NULL, NULL);
+    forwarder_start(gate->forwarder);
+    feed_start(gate->feed, NULL, NULL);
     *out = gate;
     return STATUS_OK;
 }
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -167,7 +167,7 @@
 }
 
 /* Asks once; true when it was answered clearly. */
-static bool askOnce(CallerTask *task)
+static bool ask_once(CallerTask *task)
 {
     BookJob *job = task->job;
     Ground *ground = task->callers->ground;
@@ -224,7 +224,7 @@
         if (job->cancelSentMs == 0 && (now_ms >= cancelMs || (job->draft.lasting && task->callers->over)))
             cancel(task);
         if (now_ms >= ask_ms || bookDone(job) || job->cancelMs != 0) {
-            askOnce(task);
+            ask_once(task);
             ask_ms = now_ms + diceSpan(&task->dice, 2000, 8000);
         }
         loop_sleep(task->loop, ASK_AGAIN_MS);
@@ -323,7 +323,7 @@
 static void finishMain(void *arg)
 {
     CallerTask *task = arg;
-    while (!askOnce(task))
+    while (!ask_once(task))
         loop_sleep(task->loop, ASK_AGAIN_MS);
     task->job->asked_ms = groundNowMs(task->callers->ground);
 }
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -240,7 +240,7 @@
     return sent->document.queues[diceSpan(&looking->dice, 0, (int64_t)sent->document.queue_count - 1)];
 }
 
-static void lookOnce(Looking *looking, void *mem)
+static void look_once(Looking *looking, void *mem)
 {
     Operator *self = looking->owner;
     const Ground *ground = self->ground;
@@ -271,7 +271,7 @@
         if (!looking->owner->ledger->running || !looking->node->used || looking->node->gone)
             continue;
         void *mem = talloc_new(looking);
-        lookOnce(looking, mem);
+        look_once(looking, mem);
         talloc_free(mem);
     }
 }
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -83,7 +83,7 @@
 } SeenTenant;
 
 typedef struct SeenEntry {
-    int64_t servedMs[SERVE_COUNT]; /* the first of each kind since the last failure; 0: none yet */
+    int64_t served_ms[SERVE_COUNT]; /* the first of each kind since the last failure; 0: none yet */
 } SeenEntry;
 
 struct Checker {
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -28,25 +28,25 @@
 void checkerServed(Checker *checker, const char *name, Serve serve)
 {
     SeenEntry *entry = entryOf(checker, name);
-    if (entry->servedMs[serve] == 0)
-        entry->servedMs[serve] = checkerNow(checker);
+    if (entry->served_ms[serve] == 0)
+        entry->served_ms[serve] = checkerNow(checker);
 }
 
-static void within(Checker *checker, const char *where, Serve serve, int64_t servedMs)
+static void within(Checker *checker, const char *where, Serve serve, int64_t served_ms)
 {
-    const int64_t took_ms = (servedMs != 0 ? servedMs : checkerNow(checker)) - checker->faultMs;
+    const int64_t took_ms = (served_ms != 0 ? served_ms : checkerNow(checker)) - checker->faultMs;
     if (took_ms > checker->worstMs[serve])
         checker->worstMs[serve] = took_ms;
-    if (servedMs == 0 || took_ms > SERVE_LATE_MS)
+    if (served_ms == 0 || took_ms > SERVE_LATE_MS)
         checkerBroke(checker, NEVER_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
-                     serveWord(serve), servedMs == 0 ? "not yet," : "first", took_ms);
+                     serveWord(serve), served_ms == 0 ? "not yet," : "first", took_ms);
 }
 
 void checkerMustServe(Checker *checker, const char *name)
 {
     const SeenEntry *entry = entryOf(checker, name);
-    within(checker, name, SERVE_ACCEPT, entry->servedMs[SERVE_ACCEPT]);
-    within(checker, name, SERVE_STATUS, entry->servedMs[SERVE_STATUS]);
+    within(checker, name, SERVE_ACCEPT, entry->served_ms[SERVE_ACCEPT]);
+    within(checker, name, SERVE_STATUS, entry->served_ms[SERVE_STATUS]);
 }
 
 void checkerMustStart(Checker *checker)
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -11,7 +11,7 @@
     Status status;
 } Asked;
 
-static void askMain(void *arg)
+static void ask_main(void *arg)
 {
     Asked *asked = arg;
     asked->status = loop_call(simLoop(asked->fleet->world, asked->fleet->caller), asked->call);
@@ -39,7 +39,7 @@
     Asked *asked = talloc_zero(fleet, Asked);
     asked->fleet = fleet;
     asked->call = &call;
-    loop_spawn(simLoop(fleet->world, fleet->caller), "ask", askMain, asked);
+    loop_spawn(simLoop(fleet->world, fleet->caller), "ask", ask_main, asked);
     while (!asked->done)
         fleetRun(fleet, 5);
     if (asked->status != STATUS_OK)
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -26,10 +26,10 @@
     checkerBooted(((FleetNode *)arg)->fleet->checker, worker);
 }
 
-static void onHeld(void *arg, const char *worker, int64_t leftMs)
+static void onHeld(void *arg, const char *worker, int64_t left_ms)
 {
     const FleetNode *node = arg;
-    checkerHeld(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + leftMs);
+    checkerHeld(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
 }
 
 static void onResumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -65,7 +65,7 @@
     Echo answer;
 } Ask;
 
-static inline void askMain(void *arg)
+static inline void ask_main(void *arg)
 {
     Ask *ask = arg;
     const Echo echo = {ask->number};
@@ -78,7 +78,7 @@
 {
     Ask *ask = talloc_zero(asker->loop, Ask);
     *ask = (Ask){.asker = asker, .meant = meant, .number = number, .wait_ms = wait_ms};
-    loop_spawn(asker->loop, "ask", askMain, ask);
+    loop_spawn(asker->loop, "ask", ask_main, ask);
     return ask;
 }
 
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -11,7 +11,7 @@
 
 #include "coreset.h"
 
-static FillAsk pieceOf(Bytes whole, size_t from, size_t count)
+static FillAsk piece_of(Bytes whole, size_t from, size_t count)
 {
     return (FillAsk){.snapshot = {.kind = RECORD_SNAPSHOT,
                                   .epoch = 9,
@@ -33,35 +33,35 @@
     Bytes whole = {talloc_zero_size(fleet, 1000), 1000, 0};
     whole.data[500] = 7;
     Record record;
-    FillAsk ask = pieceOf(whole, 400, 300);
+    FillAsk ask = piece_of(whole, 400, 300);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
     assert_int_equal(fill_count(view), 0);
-    ask = pieceOf(whole, 0, 400);
+    ask = piece_of(whole, 0, 400);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
     assert_int_equal(fill_count(view), 400);
-    ask = pieceOf(whole, 400, 600);
+    ask = piece_of(whole, 400, 600);
     ask.snapshot.payload.count = 700;
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
     whole.data[500] = 8; /* on its way */
-    ask = pieceOf(whole, 400, 600);
+    ask = piece_of(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
     assert_int_equal(fill_count(view), 0);
     whole.data[500] = 7;
-    ask = pieceOf(whole, 0, 400);
+    ask = piece_of(whole, 0, 400);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
-    ask = pieceOf(whole, 400, 600);
+    ask = piece_of(whole, 400, 600);
     ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
     assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
-    ask = pieceOf(whole, 0, 400);
+    ask = piece_of(whole, 0, 400);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
-    ask = pieceOf(whole, 400, 600);
+    ask = piece_of(whole, 400, 600);
     assert_int_equal(fill_take(view, &ask, &record), STATUS_OK);
     assert_memory_equal(record.payload.data, whole.data, whole.count);
-    ask = pieceOf(whole, 0, 1000);
+    ask = piece_of(whole, 0, 1000);
     ask.total = RECORD_MAX_BYTES + 1;
     assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
     talloc_free(fleet);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -12,7 +12,7 @@
 
 #include "sim/fleet.h"
 
-static size_t bytesOf(const Fleet *fleet, FleetRole role, int number)
+static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
     const FleetNode *node = &fleet->nodes[role][number];
     return simAlive(fleet->world, node->machine) ? talloc_total_size(simLoop(fleet->world, node->machine)) : 0;
@@ -51,8 +51,8 @@
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
         fleetRun(fleet, 60000);
-        const size_t now[3] = {bytesOf(fleet, FLEET_CORE, leader), bytesOf(fleet, FLEET_GATE, 0),
-                               bytesOf(fleet, FLEET_AGENT, 0)};
+        const size_t now[3] = {bytes_of(fleet, FLEET_CORE, leader), bytes_of(fleet, FLEET_GATE, 0),
+                               bytes_of(fleet, FLEET_AGENT, 0)};
         for (int i = 0; i < 3; i++) {
             if (now[i] > worst[i])
                 worst[i] = now[i];
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -91,7 +91,7 @@
         Fleet *fleet = begin(51 + i);
         const char *before = state_of(fleet, fleet);
         const Handed *handed = request(fleet, row);
-        const bool ordered = forwardRepeat(row->method, row->path, row->query) == REPEAT_ORDERED;
+        const bool ordered = forward_repeat(row->method, row->path, row->query) == REPEAT_ORDERED;
         fleetRun(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int gate = fleetNode(fleet, FLEET_GATE, 0)->machine;
         const int leader = fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine;
@@ -121,7 +121,7 @@
 /* All cores lose power as a job is committed, and their disks what they had acknowledged:
  * the next leader has to be told again first. The request waits for that, and is not told
  * that its outcome is unknown because one leader can't say yet. */
-static void repairAwaited(void **state)
+static void repair_awaited(void **state)
 {
     (void)state;
     const Row row = {"POST", "/v1/jobs", "", JOB("one"), 201};
@@ -157,13 +157,13 @@
 {
     (void)state;
     size_t count;
-    const ForwardRoute *routes = forwardRoutes(&count);
+    const ForwardRoute *routes = forward_routes(&count);
     for (size_t i = 0; i < count; i++) {
         assert_true(strlen(routes[i].reason) > 0);
         bool tried = routes[i].repeat == REPEAT_READ;
         for (size_t k = 0; k < sizeof(ROWS) / sizeof(ROWS[0]) && !tried; k++)
             tried = strcmp(routes[i].method, ROWS[k].method) == 0 && ROWS[k].code != 504 &&
-                    forwardRepeat(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].repeat &&
+                    forward_repeat(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].repeat &&
                     strncmp(routes[i].path, ROWS[k].path, strcspn(routes[i].path, "*")) == 0;
         if (!tried)
             fail_msg("%s %s is tried nowhere", routes[i].method, routes[i].path);
@@ -192,7 +192,7 @@
         {"DELETE", "/v1/entry/a/b", "", REPEAT_NAMED},
     };
     for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++)
-        if (forwardRepeat(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
+        if (forward_repeat(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
             fail_msg("%s %s?%s", ASKED[i].method, ASKED[i].path, ASKED[i].query);
 }
 
@@ -200,7 +200,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(answersLost),
-        cmocka_unit_test(repairAwaited),
+        cmocka_unit_test(repair_awaited),
         cmocka_unit_test(rowsTried),
         cmocka_unit_test(notRepeated),
     };
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -322,8 +322,8 @@
     for (uint64_t i = 0; i < keeping->number; i++) {
         memcpy(data, &i, sizeof(i));
         const KeepItem item = {CHANGE_JOB_ADD, i + 1, {data, keeping->each, 0}};
-        keeperKeep(keeping->keeper, &item, 1);
-        keeperKeep(keeping->keeper, &item, 1); /* the same is kept once */
+        keeper_keep(keeping->keeper, &item, 1);
+        keeper_keep(keeping->keeper, &item, 1); /* the same is kept once */
     }
 }
 
@@ -335,28 +335,28 @@
     const int machine = sim_machine(world);
     sim_start(world, machine, nothing, NULL);
     Loop *loop = simLoop(world, machine);
-    Keeping keeping = {keeperNew(world, loop, 30000), loop, world, 100, 1000};
+    Keeping keeping = {keeper_new(world, loop, 30000), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keepMain, &keeping);
     sim_run_until(world, 1000);
-    assert_int_equal(keeperCount(keeping.keeper), 100);
+    assert_int_equal(keeper_count(keeping.keeper), 100);
     keeping.number = 20000;
     loop_spawn(loop, "keep", keepMain, &keeping);
     sim_run_until(world, 2000);
-    assert_true(keeperBytes(keeping.keeper) <= KEEPER_BYTES_MAX);
-    assert_true(keeperBytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
+    assert_true(keeper_bytes(keeping.keeper) <= KEEPER_BYTES_MAX);
+    assert_true(keeper_bytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
     KeepList list = {0};
-    keeperTell(keeping.keeper, world, 0, &list);
-    assert_int_equal(list.items[list.itemsCount - 1].index, 20000);
-    assert_int_equal(list.items[0].index, 20000 - list.itemsCount + 1);
+    keeper_tell(keeping.keeper, world, 0, &list);
+    assert_int_equal(list.items[list.items_count - 1].index, 20000);
+    assert_int_equal(list.items[0].index, 20000 - list.items_count + 1);
     sim_run_until(world, 40000);
-    keeperTell(keeping.keeper, world, 0, &list);
-    assert_int_equal(list.itemsCount, 0);
-    assert_int_equal(keeperBytes(keeping.keeper), 0);
+    keeper_tell(keeping.keeper, world, 0, &list);
+    assert_int_equal(list.items_count, 0);
+    assert_int_equal(keeper_bytes(keeping.keeper), 0);
     /* a deployment that trusts its disks keeps nothing */
-    keeping = (Keeping){keeperNew(world, loop, 0), loop, world, 100, 1000};
+    keeping = (Keeping){keeper_new(world, loop, 0), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keepMain, &keeping);
     sim_run_until(world, 50000);
-    assert_int_equal(keeperCount(keeping.keeper), 0);
+    assert_int_equal(keeper_count(keeping.keeper), 0);
     talloc_free(world);
 }
 
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -20,7 +20,7 @@
     /* It asks for the first time since its start: a new boot. */
     void (*booted)(void *arg, const char *worker);
     /* It may run what it runs for so much longer: an answer to a question of its own. */
-    void (*held)(void *arg, const char *worker, int64_t leftMs);
+    void (*held)(void *arg, const char *worker, int64_t left_ms);
     /* The round that starts next goes on from what was saved. */
     void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved);
     /* It has heard that the round is to stop. */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -99,8 +99,8 @@
     Run *run = arg;
     StandWorker *worker = run->worker;
     while (!run->ended) {
-        const int64_t wakeMs = run->endMs < worker->until_ms ? run->endMs : worker->until_ms;
-        signal_wait(worker->loop, &run->stopped, wakeMs);
+        const int64_t wake_ms = run->endMs < worker->until_ms ? run->endMs : worker->until_ms;
+        signal_wait(worker->loop, &run->stopped, wake_ms);
         if (run->ended || holdOver(worker))
             break;
         if (loop_now_ms(worker->loop) >= run->endMs)
--- a/src/standins.c
+++ b/src/standins.c
@@ -51,10 +51,10 @@
     recordRun(arg, "booted", worker, "-", 0, 0, "");
 }
 
-static void onHeld(void *arg, const char *worker, int64_t leftMs)
+static void onHeld(void *arg, const char *worker, int64_t left_ms)
 {
     char rest[32];
-    snprintf(rest, sizeof(rest), "%" PRId64, leftMs);
+    snprintf(rest, sizeof(rest), "%" PRId64, left_ms);
     recordRun(arg, "held", worker, "-", 0, 0, rest);
 }
 
