--- a/examples/counter.c
+++ b/examples/counter.c
@@ -63,7 +63,7 @@
 
 /* --- liveset: beats and holds --------------------------------------------------- */
 
-static Status onBeat(void *arg, void *mem, const void *ask, void *answer)
+static Status on_beat(void *arg, void *mem, const void *ask, void *answer)
 {
     Counter *counter = arg;
     BeatAnswer *out = answer;
@@ -108,7 +108,7 @@
     return ready;
 }
 
-static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
+static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
 {
     Counter *counter = arg;
     (void)epoch;
@@ -143,7 +143,7 @@
                              .courier = counter->courier = courier_new(counter, counter->loop, counter->ring),
                              .ring = counter->ring,
                              .state = {counter, deliver, save, load},
-                             .opened = onOpened,
+                             .opened = on_opened,
                              .opened_arg = counter,
                              .founds = VIEW_FOUNDS_BY_THREE};
     counter->liveset = liveset_new(counter);
@@ -167,7 +167,7 @@
                                .empty = !view_founded(counter->view)};
     counter->members = members_new(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
     view_start(counter->view, counter->members);
-    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, counter);
+    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
     members_start(counter->members);
     view_founding(counter->view);
     loop_spawn(counter->loop, "beat", beatMain, counter);
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -30,7 +30,7 @@
     uint64_t fence; /* its counter */
     int64_t hold_ms;
     const Order *starts;
-    size_t startsCount;
+    size_t starts_count;
     int64_t start_ms; /* none of the starts stands longer than this from now */
     const RoundId *stops;
     size_t stopsCount;
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -56,7 +56,7 @@
         show_refusal(task, STATUS_BAD_METHOD, "a report is posted", NULL);
         return;
     }
-    workerTake(
+    worker_take(
         agent, task,
         talloc_strndup(task, task->path + sizeof(BEFORE) - 1, length - (sizeof(BEFORE) - 1) - (sizeof(AFTER) - 1)));
 }
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -143,7 +143,7 @@
     }
 }
 
-static Status onKnow(void *arg, void *mem, const void *question, void *answer)
+static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     Agent *agent = arg;
     KnowAnswer *out = answer;
@@ -157,6 +157,6 @@
 
 void aloneStart(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, agent);
+    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, agent);
     loop_spawn(agent->loop, "alone", aloneMain, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -50,14 +50,14 @@
         ask->rounds[ask->rounds_count++] = idOf(beat, round);
         if (round->savedTurn == round->toldTurn)
             continue;
-        beat->turns[ask->savedCount] = round->savedTurn;
-        ask->saved[ask->savedCount++] = (RoundSaved){talloc_strdup(beat, round->order.job),
-                                                     round->order.task,
-                                                     round->order.round,
-                                                     talloc_strdup(beat, round->saved),
-                                                     round->runsMs != 0 ? now_ms - round->runsMs : 0,
-                                                     round->percent,
-                                                     round->percent_ms};
+        beat->turns[ask->saved_count] = round->savedTurn;
+        ask->saved[ask->saved_count++] = (RoundSaved){talloc_strdup(beat, round->order.job),
+                                                      round->order.task,
+                                                      round->order.round,
+                                                      talloc_strdup(beat, round->saved),
+                                                      round->runsMs != 0 ? now_ms - round->runsMs : 0,
+                                                      round->percent,
+                                                      round->percent_ms};
     }
     for (const Round *round = rounds->ended.first; round != NULL; round = round->next)
         ask->rounds[ask->rounds_count++] = idOf(beat, round);
@@ -89,7 +89,7 @@
         for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
             round->toldTurn = 0;
     }
-    for (size_t i = 0; i < ask->savedCount; i++) {
+    for (size_t i = 0; i < ask->saved_count; i++) {
         const RoundSaved *saved = &ask->saved[i];
         Round *round = round_find(agent, saved->job, saved->task, saved->round);
         if (round != NULL && beat->turns[i] > round->toldTurn)
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -91,7 +91,7 @@
 void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sent_ms);
 void tellStart(Agent *agent);
 void aloneStart(Agent *agent);
-void workerTake(Agent *agent, HttpTask *task, const char *name);
+void worker_take(Agent *agent, HttpTask *task, const char *name);
 void watchStart(Agent *agent);
 
 #endif
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -6,7 +6,7 @@
 
 static bool wanted(const BeatAnswer *answer, const Order *order)
 {
-    for (size_t i = 0; i < answer->wantedCount; i++)
+    for (size_t i = 0; i < answer->wanted_count; i++)
         if (answer->wanted[i].round == order->round && answer->wanted[i].task == order->task &&
             strcmp(answer->wanted[i].job, order->job) == 0)
             return true;
@@ -62,6 +62,6 @@
             round->phase = PHASE_STOPPING;
         signal_raise(agent->loop, &agent->forWorker);
     }
-    for (size_t i = 0; i < answer->startsCount; i++)
+    for (size_t i = 0; i < answer->starts_count; i++)
         startTake(agent, &answer->starts[i], answer->epoch, sent_ms + answer->expiry_ms);
 }
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -95,7 +95,7 @@
 static void ordersShow(HttpTask *task, const WorkerOrders *orders)
 {
     json_object *body = json_object_new_object(), *starts = json_object_new_array();
-    for (size_t i = 0; i < orders->startsCount; i++) {
+    for (size_t i = 0; i < orders->starts_count; i++) {
         const Order *order = &orders->starts[i];
         json_object *one = idOf(order->job, order->task, order->round);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->epoch));
@@ -113,7 +113,7 @@
     show_result(task, 200, body);
 }
 
-void workerTake(Agent *agent, HttpTask *task, const char *name)
+void worker_take(Agent *agent, HttpTask *task, const char *name)
 {
     Faults *faults = talloc_zero(task, Faults);
     faults->mem = faults;
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -100,7 +100,7 @@
 /* How far a round has come is told when it has run for PACE_FIRST_MS, and then each
  * time that it has run half as long again: often enough to see one that stands still,
  * seldom enough to cost nothing. */
-static void paceTake(Agent *agent, Round *round, uint64_t percent)
+static void pace_take(Agent *agent, Round *round, uint64_t percent)
 {
     round->percent = percent;
     round->percent_ms = loop_now_ms(agent->loop) - round->runsMs;
@@ -124,7 +124,7 @@
         text_set(round, &round->saved, news->saved);
         round->savedTurn++; /* the next beat tells it */
     }
-    paceTake(agent, round, news->percent);
+    pace_take(agent, round, news->percent);
 }
 
 void roundRetell(Agent *agent, Round *round, RoundWord word, const char *text)
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -120,7 +120,7 @@
     }
 }
 
-static Status onRetell(void *arg, void *mem, const void *question, void *answer)
+static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     Agent *agent = arg;
     KeepList *list = answer;
@@ -147,6 +147,6 @@
 
 void tellStart(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, onRetell, agent);
+    courier_handle(agent->courier, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, on_retell, agent);
     loop_spawn(agent->loop, "tell", tellMain, agent);
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -94,7 +94,7 @@
 }
 
 /* What the worker says replaces what we thought. */
-static void roundsTake(Agent *agent, const WorkerReport *report)
+static void rounds_take(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     for (size_t i = 0; i < report->runningCount; i++) {
@@ -230,7 +230,7 @@
     return (RoundId){talloc_strdup(mem, round->order.job), round->order.task, round->order.round};
 }
 
-static void ordersFill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
+static void orders_fill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     const unsigned lives = (unsigned)agent->rounds.lives.count;
@@ -250,7 +250,7 @@
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->hold_ms > 0) {
-            shape_copy(&Order_shape, &round->order, mem, &starts[orders->startsCount++]);
+            shape_copy(&Order_shape, &round->order, mem, &starts[orders->starts_count++]);
             if (round->expiry_ms - now_ms < orders->start_ms)
                 orders->start_ms = round->expiry_ms - now_ms;
             round->phase = PHASE_SENT;
@@ -281,14 +281,14 @@
         return status;
     const int64_t now_ms = loop_now_ms(agent->loop);
     agent->asked_ms = now_ms;
-    roundsTake(agent, report);
+    rounds_take(agent, report);
     othersTake(agent, report);
     selfTake(agent, report);
     const uint64_t question = ++agent->questions;
     signal_raise(agent->loop, &agent->forWorker); /* an earlier question is over */
     if (report->left) {
         bootEnd(agent, report->bootEnds, "the worker has left");
-        ordersFill(agent, mem, report, orders);
+        orders_fill(agent, mem, report, orders);
         orders->hold_ms = 0;
         return STATUS_OK;
     }
@@ -298,6 +298,6 @@
             break;
     if (*gone || question != agent->questions)
         return STATUS_CLOSED;
-    ordersFill(agent, mem, report, orders);
+    orders_fill(agent, mem, report, orders);
     return STATUS_OK;
 }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -37,7 +37,7 @@
     RoundNews news[LISTED * 2];
     size_t news_count;
     RoundSaved saved[LISTED];
-    size_t savedCount;
+    size_t saved_count;
 } Boss;
 
 typedef struct Case {
@@ -49,7 +49,7 @@
     Worker worker;
 } Case;
 
-static Status onBeat(void *arg, void *mem, const void *question, void *answer)
+static Status on_beat(void *arg, void *mem, const void *question, void *answer)
 {
     Boss *boss = arg;
     const BeatAsk *beat = question;
@@ -62,8 +62,8 @@
     void *kept = talloc_named_const(boss->courier, 1, "beat");
     shape_copy(&BeatAsk_shape, beat, kept, &boss->beat);
     boss->beat.agent = kept;
-    for (size_t i = 0; i < beat->savedCount && boss->savedCount < LISTED; i++)
-        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->courier, &boss->saved[boss->savedCount++]);
+    for (size_t i = 0; i < beat->saved_count && boss->saved_count < LISTED; i++)
+        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->courier, &boss->saved[boss->saved_count++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
     while (beat->have == boss->revision && beat->have_epoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
@@ -79,7 +79,7 @@
     return STATUS_OK;
 }
 
-static Status onTell(void *arg, void *mem, const void *question, void *answer)
+static Status on_tell(void *arg, void *mem, const void *question, void *answer)
 {
     Boss *boss = arg;
     const TellAsk *ask = question;
@@ -101,8 +101,8 @@
     boss->loop = loop;
     boss->courier = courier_new(loop, loop, ring);
     courier_set_cluster(boss->courier, 7);
-    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, boss);
-    courier_handle(boss->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, onTell, boss);
+    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, boss);
+    courier_handle(boss->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
     char address[ADDRESS_MAX];
     assert_int_equal(courier_listen(boss->courier, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
@@ -240,9 +240,9 @@
         wanted[i] = (RoundId){orders[i].job, orders[i].task, orders[i].round};
     }
     boss->orders.starts = starts;
-    boss->orders.startsCount = count;
+    boss->orders.starts_count = count;
     boss->orders.wanted = wanted;
-    boss->orders.wantedCount = count;
+    boss->orders.wanted_count = count;
     boss->revision++;
     signal_raise(boss->loop, &boss->changed);
     run(c, 60);
@@ -265,7 +265,7 @@
 static const RoundSaved *savedLast(const Boss *boss, const char *job, uint64_t task)
 {
     const RoundSaved *last = NULL;
-    for (size_t i = 0; i < boss->savedCount; i++)
+    for (size_t i = 0; i < boss->saved_count; i++)
         if (boss->saved[i].task == task && strcmp(boss->saved[i].job, job) == 0)
             last = &boss->saved[i];
     return last;
@@ -287,7 +287,7 @@
     order(c, orders, 1);
     assert_true(it->over);
     assert_int_equal(it->status, STATUS_OK);
-    assert_int_equal(it->orders.startsCount, 1);
+    assert_int_equal(it->orders.starts_count, 1);
     assert_string_equal(it->orders.starts[0].job, "j");
     assert_int_equal(it->orders.starts[0].task, 3);
     assert_string_equal(it->orders.starts[0].payload, "\"spec\"");
@@ -331,7 +331,7 @@
     run(c, 3100);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.hold_ms, 0);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stopsCount, 1);
     talloc_free(c);
 }
@@ -343,7 +343,7 @@
     sayAll(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
     order(c, orders, 2);
-    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.startsCount, 2);
+    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 2);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "half"), news("j", 1, 1, ROUND_RUNNING, "")};
     saying(c, "b1", runs, 2, NULL, 0);
     /* the next process: the old one's hold would run on for seconds */
@@ -390,7 +390,7 @@
     it->report.leave_ms = 7000;
     it->report.wait_ms = 0;
     sayAll(it);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
     assert_true(c->boss.beat.leaving);
@@ -401,7 +401,7 @@
     it = say(c, "b1");
     it->report.leaving = true;
     sayAll(it);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(told(&c->boss, "j", 1, 1, ROUND_STOPPED), 1);
     talloc_free(c);
 }
@@ -442,7 +442,7 @@
     const RoundNews first[] = {news("j", 0, 1, ROUND_RUNNING, "")}, half[] = {news("j", 0, 1, ROUND_RUNNING, "half")};
     saying(c, "b1", first, 1, NULL, 0);
     run(c, 700);
-    assert_int_equal(boss->savedCount, 1); /* that it runs is told, and once */
+    assert_int_equal(boss->saved_count, 1); /* that it runs is told, and once */
     assert_string_equal(savedLast(boss, "j", 0)->text, "");
     assert_true(savedLast(boss, "j", 0)->ran_ms > 0);
     saying(c, "b1", half, 1, NULL, 0);
@@ -450,14 +450,14 @@
     saying(c, "b1", half, 1, NULL, 0);
     run(c, 1000);
     /* once, and once more for how far it has come by now: not with each of the beats */
-    assert_in_range(boss->savedCount, 2, 3);
+    assert_in_range(boss->saved_count, 2, 3);
     assert_true(boss->beats > 8);
     assert_string_equal(savedLast(boss, "j", 0)->text, "half");
-    const size_t before = boss->savedCount;
+    const size_t before = boss->saved_count;
     boss->epoch = EPOCH(6);
     signal_raise(boss->loop, &boss->changed);
     run(c, 300); /* the worker has said nothing new */
-    assert_int_equal(boss->savedCount, before + 1);
+    assert_int_equal(boss->saved_count, before + 1);
     assert_string_equal(savedLast(boss, "j", 0)->text, "half");
     /* and with its end, unless the worker has a newer word */
     const RoundNews ended[] = {news("j", 0, 1, ROUND_LAPSED, "")};
@@ -550,7 +550,7 @@
     it = say(c, "b1");
     sayAll(it);
     assert_int_equal(it->orders.fence, 9);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     talloc_free(c);
 }
 
@@ -566,7 +566,7 @@
     it = say(c, "b1");
     it->report.seq = 5;
     sayAll(it);
-    assert_int_equal(it->orders.startsCount, 1);
+    assert_int_equal(it->orders.starts_count, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     it = say(c, "b1");
     it->report.seq = 6;
@@ -590,12 +590,12 @@
     sayAll(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
-    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.startsCount, 1);
-    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.startsCount, 1);
+    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
+    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
     run(c, ORDER_EXPIRY_MS);
     Say *it = say(c, "b1");
     sayAll(it);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_REFUSED), 1);
     talloc_free(c);
@@ -633,14 +633,14 @@
     sayAll(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
-    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.startsCount, 1);
+    assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
     sim_kill(c->world, c->agentMachine);
     sim_start(c->world, c->agentMachine, agentBegin, c);
     run(c, 2500); /* the order has expired, the worker has not asked yet */
     assert_int_equal(c->boss.news_count, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    assert_int_equal(it->orders.startsCount, 0);
+    assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stopsCount, 0);
     run(c, 50);
     assert_int_equal(c->boss.news_count, 0);
@@ -700,7 +700,7 @@
     order(c, next, 1);
     assert_true(it->over);
     assert_int_equal(it->orders.knownCount, 1);
-    assert_int_equal(it->orders.startsCount, 1);
+    assert_int_equal(it->orders.starts_count, 1);
     talloc_free(c);
 }
 
--- a/packages/core/include/core/core.h
+++ b/packages/core/include/core/core.h
@@ -15,21 +15,21 @@
 } CoreWatch;
 
 /* Waits. Opens the disk and the addresses and starts all tasks. */
-Status coreStart(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **core,
-                 Failure *failure);
+Status core_start(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **core,
+                  Failure *failure);
 /* Waits. A request as if it had come to the own HTTP address: whoever translates
  * for callers of another kind hands it in here. */
-void coreTake(Core *core, HttpTask *task);
+void core_take(Core *core, HttpTask *task);
 /* Whether callers should come here: it leads and serves, or reaches a leader that
  * does, or did so a moment ago; false once it leaves. */
-bool coreReady(const Core *core);
+bool core_ready(const Core *core);
 /* Waits. Not ready at once, the lock handed over, then ended. */
-void coreDrain(Core *core);
+void core_drain(Core *core);
 /* Other seeds from now on. */
-void coreSeeds(Core *core, const char *const seeds[SEEDS]);
-View *coreView(Core *core);
-const Table *coreTable(const Core *core);
-const char *coreHttpAddress(const Core *core);
-const char *coreAddress(const Core *core);
+void core_seeds(Core *core, const char *const seeds[SEEDS]);
+View *core_view(Core *core);
+const Table *core_table(const Core *core);
+const char *core_http_address(const Core *core);
+const char *core_address(const Core *core);
 
 #endif
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -15,7 +15,7 @@
 /* Not in its agent's list though it is to be stopped: it has stopped, or it never
  * came there. An order for it may still be on its way, until it expires or the agent
  * has newer ones. */
-static bool stopOver(const Core *core, const BeatAsk *beat, const JobTask *task)
+static bool stop_over(const Core *core, const BeatAsk *beat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
            (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
@@ -33,7 +33,7 @@
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
         const uint64_t number = task_number(task);
-        if ((task->phase != TASK_RUNNING && !stopOver(core, beat, task)) ||
+        if ((task->phase != TASK_RUNNING && !stop_over(core, beat, task)) ||
             listed(beat, job->spec.id, number, task->round))
             continue;
         if (list.news == NULL)
@@ -59,17 +59,17 @@
     RoundList missing;
 } Learning;
 
-static void learnMain(void *arg)
+static void learn_main(void *arg)
 {
     Learning *learning = arg;
     Core *core = learning->core;
     ChangeResult result;
-    newsTell(core, learning->missing.news, learning->missing.news_count);
+    news_tell(core, learning->missing.news, learning->missing.news_count);
     if (learning->learn)
-        coreSubmit(core, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
+        core_submit(core, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
     if (learning->left) {
         const WorkerLeft left = {learning->worker.name, true};
-        coreSubmit(core, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
+        core_submit(core, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
     }
     learning->line->learning = false;
     talloc_free(learning);
@@ -78,7 +78,7 @@
 /* One at a time for each worker: what is on its way need not be submitted again. */
 static void learn(Core *core, const BeatAsk *beat, bool list_counts)
 {
-    AgentLine *line = agentLine(core, beat->worker.name);
+    AgentLine *line = agent_line(core, beat->worker.name);
     if (line->learning)
         return;
     const Worker *known = table_worker(core->table, beat->worker.name);
@@ -97,14 +97,14 @@
         shape_copy(&Worker_shape, &worker, learning, &learning->worker);
         talloc_steal(learning, mem);
         line->learning = true;
-        loop_spawn(core->loop, "learn", learnMain, learning);
+        loop_spawn(core->loop, "learn", learn_main, learning);
     } else {
         talloc_free(mem);
     }
 }
 
 /* Whether the table is to hear that the round runs. */
-static bool runsUntold(const Core *core, const char *worker, const RoundSaved *saved)
+static bool runs_untold(const Core *core, const char *worker, const RoundSaved *saved)
 {
     const Job *job = table_job(core->table, saved->job);
     const size_t at = job != NULL ? task_index(job, saved->task) : 0;
@@ -117,13 +117,13 @@
                : task->phase == TASK_PLACED && saved->round == task->round && strcmp(task->worker, worker) == 0;
 }
 
-static void runsTake(Core *core, const BeatAsk *beat)
+static void runs_take(Core *core, const BeatAsk *beat)
 {
-    for (size_t i = 0; i < beat->savedCount; i++) {
+    for (size_t i = 0; i < beat->saved_count; i++) {
         const RoundSaved *saved = &beat->saved[i];
-        savedTake(core, saved);
-        paceTake(core, beat->worker.name, saved);
-        if (!runsUntold(core, beat->worker.name, saved))
+        saved_take(core, saved);
+        pace_take(core, beat->worker.name, saved);
+        if (!runs_untold(core, beat->worker.name, saved))
             continue;
         const RoundNews news = {.job = saved->job,
                                 .task = saved->task,
@@ -133,28 +133,28 @@
                                 .text = "",
                                 .saved = saved->text,
                                 .ran_ms = saved->ran_ms};
-        newsLater(core, &news);
+        news_later(core, &news);
     }
-    if (core->placeFromMs > loop_now_ms(core->loop))
-        newsHurry(core);
+    if (core->place_from_ms > loop_now_ms(core->loop))
+        news_hurry(core);
 }
 
 /* After a loss of what the disks had acknowledged: every agent that anybody knows of
  * has told all that may run beside it, and it is in the table. */
-static bool allHeard(Core *core)
+static bool all_heard(Core *core)
 {
     void *mem = talloc_new(core);
     const Worker **workers;
     const size_t count = table_workers(core->table, mem, &workers);
-    bool all = newsIdle(core);
+    bool all = news_idle(core);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
         all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
     }
     const LiveRow **rows;
-    const size_t rowCount = liveset_rows(core->liveset, mem, &rows);
+    const size_t row_count = liveset_rows(core->liveset, mem, &rows);
     size_t heard = 0, agents = 0;
-    for (size_t i = 0; i < rowCount; i++)
+    for (size_t i = 0; i < row_count; i++)
         heard += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
     const MemberTable *members = members_table(core->members);
     for (size_t i = 0; i < members->count; i++)
@@ -163,16 +163,16 @@
     return all && heard >= agents;
 }
 
-static void placeMaybe(Core *core)
+static void place_maybe(Core *core)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms >= core->placeFromMs || core->repairing || !view_leading(core->view) || !allHeard(core))
+    if (now_ms >= core->place_from_ms || core->repairing || !view_leading(core->view) || !all_heard(core))
         return;
-    core->placeFromMs = now_ms; /* there is nothing that the log has forgotten and that still runs */
-    coreNews(core);
+    core->place_from_ms = now_ms; /* there is nothing that the log has forgotten and that still runs */
+    core_news(core);
 }
 
-static Status onBeat(void *arg, void *mem, const void *question, void *answer)
+static Status on_beat(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const BeatAsk *beat = question;
@@ -184,7 +184,7 @@
         return STATUS_BAD_FIELD;
     const int64_t now_ms = loop_now_ms(core->loop);
     const LiveRow *before = liveset_find(core->liveset, beat->worker.name);
-    const bool wasReady = before != NULL && live_row_ready(before, now_ms);
+    const bool was_ready = before != NULL && live_row_ready(before, now_ms);
     bool list_counts;
     const int64_t hold_ms = core->props->bounds.hold_ms;
     const Status status = liveset_beat(core->liveset, beat, now_ms, hold_ms, &list_counts);
@@ -192,14 +192,14 @@
         return status;
     if (liveset_find(core->liveset, beat->worker.name)->number == beat->number)
         strays_beat(core->strays, core->table, beat, now_ms);
-    if (wasReady != live_row_ready(liveset_find(core->liveset, beat->worker.name), now_ms))
-        coreNews(core);
-    runsTake(core, beat);
+    if (was_ready != live_row_ready(liveset_find(core->liveset, beat->worker.name), now_ms))
+        core_news(core);
+    runs_take(core, beat);
     if (!core->repairing && view_leading(core->view))
         learn(core, beat, list_counts);
-    placeMaybe(core);
+    place_maybe(core);
     if (beat->wait_ms > 0)
-        ordersAnswer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
+        orders_answer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
     /* the hold counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
     if (!view_holds(core->view))
@@ -209,7 +209,7 @@
     return STATUS_OK;
 }
 
-static Status onTell(void *arg, void *mem, const void *question, void *answer)
+static Status on_tell(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const TellAsk *ask = question;
@@ -221,11 +221,11 @@
         return STATUS_REPAIRING;
     liveset_told(core->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent tells it again */
-    return newsTell(core, ask->news, ask->news_count);
+    return news_tell(core, ask->news, ask->news_count);
 }
 
 /* As agents of the first release ask. */
-static Status onFetch(void *arg, void *mem, const void *question, void *answer)
+static Status on_fetch(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const FetchAsk *ask = question;
@@ -243,15 +243,15 @@
         return STATUS_UNKNOWN_WORKER; /* it has to beat first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
-    ordersAnswer(core, mem, &beat, FETCH_HOLD_MS, &orders);
+    orders_answer(core, mem, &beat, FETCH_HOLD_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){view_epoch(core->view), orders.revision, orders.expiry_ms,  orders.starts,
-                         orders.startsCount,     orders.wanted,   orders.wantedCount};
+    *out = (FetchAnswer){view_epoch(core->view), orders.revision, orders.expiry_ms,   orders.starts,
+                         orders.starts_count,    orders.wanted,   orders.wanted_count};
     return STATUS_OK;
 }
 
-static Status onKnow(void *arg, void *mem, const void *question, void *answer)
+static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     KnowAnswer *out = answer;
@@ -266,12 +266,12 @@
     return STATUS_OK;
 }
 
-void agentsServe(Core *core)
+void agents_serve(Core *core)
 {
-    ordersStart(core);
-    newsStart(core);
-    courier_handle(core->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, onBeat, core);
-    courier_handle(core->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, core);
-    courier_handle(core->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, onTell, core);
-    courier_handle(core->courier, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, onFetch, core);
+    orders_start(core);
+    news_start(core);
+    courier_handle(core->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, core);
+    courier_handle(core->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, core);
+    courier_handle(core->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, core);
+    courier_handle(core->courier, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, core);
 }
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -21,7 +21,7 @@
     uint64_t look; /* the look that saw it last */
 } Standing;
 
-const char *alertWord(Alert alert)
+const char *alert_word(Alert alert)
 {
     static const char *const WORDS[] = {
 #define X(name, word, todo) word,
@@ -31,7 +31,7 @@
     return WORDS[alert];
 }
 
-static const char *alertTodo(Alert alert)
+static const char *alert_todo(Alert alert)
 {
     static const char *const TODOS[] = {
 #define X(name, word, todo) todo,
@@ -51,10 +51,10 @@
         *standing = (Standing){alert, talloc_strdup(standing, subject), loop_now_ms(core->loop), 0};
         map_set(core->alerts, key, standing);
     }
-    standing->look = core->alertLooks;
+    standing->look = core->alert_looks;
 }
 
-static void seatsLook(Core *core)
+static void seats_look(Core *core)
 {
     ViewSight sight;
     view_sight(core->view, &sight);
@@ -74,24 +74,24 @@
         see(core, ALERT_LOSSES_FEW, borne);
 }
 
-static void workersLook(Core *core, void *mem)
+static void workers_look(Core *core, void *mem)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
     const Worker **workers;
     const size_t count = table_workers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
-        const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
+        const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + core_claim_ms(core);
         const bool silent =
             now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
             see(core, ALERT_WORKER_LOST, workers[i]->name);
-        if (scoreRests(core, workers[i]->name))
+        if (score_rests(core, workers[i]->name))
             see(core, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
 
-static void workLook(Core *core)
+static void work_look(Core *core)
 {
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
@@ -106,37 +106,37 @@
         see(core, ALERT_UNASSURED, "tasks");
     if (waits)
         see(core, ALERT_PROTECTED_WAITS, "tasks");
-    if (!core->planHolds) {
+    if (!core->plan_holds) {
         char subject[ID_MAX + 16];
-        snprintf(subject, sizeof(subject), "%s %s", loss_word(core->brokenByLoss), core->brokenBy);
+        snprintf(subject, sizeof(subject), "%s %s", loss_word(core->broken_by_loss), core->broken_by);
         see(core, ALERT_PLAN_BROKEN, subject);
     }
 }
 
-void alertsLook(Core *core)
+void alerts_look(Core *core)
 {
     void *mem = talloc_new(core);
-    core->alertLooks++;
+    core->alert_looks++;
     const bool leads = view_leading(core->view);
     const char *words;
     if (leads && core->repairing)
         see(core, ALERT_REPAIRING, "cluster");
     if (leads && !core->repairing) {
-        seatsLook(core);
-        workersLook(core, mem);
-        workLook(core);
-        if (corePolicyFailures(core, &words) > 0)
+        seats_look(core);
+        workers_look(core, mem);
+        work_look(core);
+        if (core_policy_failures(core, &words) > 0)
             see(core, ALERT_POLICY_FAILS, words);
         const char **zones;
-        const size_t zoneCount = table_drains(core->table, mem, &zones);
-        for (size_t i = 0; i < zoneCount; i++)
+        const size_t zone_count = table_drains(core->table, mem, &zones);
+        for (size_t i = 0; i < zone_count; i++)
             see(core, ALERT_ZONE_EMPTIED, zones[i]);
     }
     const char **keys;
     const size_t count = map_keys(core->alerts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
         Standing *standing = map_get(core->alerts, keys[i]);
-        if (standing->look == core->alertLooks)
+        if (standing->look == core->alert_looks)
             continue;
         map_drop(core->alerts, keys[i]);
         talloc_free(standing);
@@ -144,7 +144,7 @@
     talloc_free(mem);
 }
 
-size_t alertsCount(const Core *core, Alert alert)
+size_t alerts_count(const Core *core, Alert alert)
 {
     void *mem = talloc_new(NULL);
     const char **keys;
@@ -156,13 +156,13 @@
     return standing;
 }
 
-static int sinceOrder(const void *a, const void *b)
+static int since_order(const void *a, const void *b)
 {
     const Standing *x = *(const Standing *const *)a, *y = *(const Standing *const *)b;
     return x->since_ms != y->since_ms ? (x->since_ms < y->since_ms ? -1 : 1) : (int)x->alert - (int)y->alert;
 }
 
-json_object *alertsShow(const Core *core)
+json_object *alerts_show(const Core *core)
 {
     void *mem = talloc_new(NULL);
     const char **keys;
@@ -171,30 +171,30 @@
     const int64_t now_ms = loop_now_ms(core->loop);
     for (size_t i = 0; i < count; i++)
         list[i] = map_get(core->alerts, keys[i]);
-    qsort(list, count, sizeof(*list), sinceOrder);
+    qsort(list, count, sizeof(*list), since_order);
     json_object *body = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "alert", json_object_new_string(alertWord(list[i]->alert)));
+        json_object_object_add(one, "alert", json_object_new_string(alert_word(list[i]->alert)));
         json_object_object_add(one, "subject", json_object_new_string(list[i]->subject));
         json_object_object_add(one, "forMs", json_object_new_int64(now_ms - list[i]->since_ms));
-        json_object_object_add(one, "todo", json_object_new_string(alertTodo(list[i]->alert)));
+        json_object_object_add(one, "todo", json_object_new_string(alert_todo(list[i]->alert)));
         json_object_array_add(body, one);
     }
     talloc_free(mem);
     return body;
 }
 
-static void alertsMain(void *arg)
+static void alerts_main(void *arg)
 {
     Core *core = arg;
     while (!loop_stopping(core->loop)) {
-        alertsLook(core);
+        alerts_look(core);
         loop_sleep(core->loop, ALERTS_LOOK_MS);
     }
 }
 
-void alertsStart(Core *core)
+void alerts_start(Core *core)
 {
-    loop_spawn(core->loop, "alerts", alertsMain, core);
+    loop_spawn(core->loop, "alerts", alerts_main, core);
 }
--- a/packages/core/src/alerts.h
+++ b/packages/core/src/alerts.h
@@ -28,12 +28,12 @@
         ALERT_COUNT
 } Alert;
 
-const char *alertWord(Alert alert);
+const char *alert_word(Alert alert);
 /* Looks at everything and notes since when each alert stands. */
-void alertsLook(Core *core);
+void alerts_look(Core *core);
 /* [{"alert", "subject", "forMs", "todo"}], the oldest first. */
-json_object *alertsShow(const Core *core);
-size_t alertsCount(const Core *core, Alert alert);
-void alertsStart(Core *core);
+json_object *alerts_show(const Core *core);
+size_t alerts_count(const Core *core, Alert alert);
+void alerts_start(Core *core);
 
 #endif
--- a/packages/core/src/assure.c
+++ b/packages/core/src/assure.c
@@ -4,24 +4,24 @@
 #include "pass.h"
 
 /* Running unassured work that a plan can now include. */
-void assureMore(Pass *pass)
+void assure_more(Pass *pass)
 {
     Core *core = pass->core;
     StopList list = {0};
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
-    for (size_t j = 0; j < count && pass->checks < pass->checksMax; j++) {
+    for (size_t j = 0; j < count && pass->checks < pass->checks_max; j++) {
         const Job *job = jobs[j];
         if (job->spec.protection != PROTECTION_PROTECTED)
             continue;
-        for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checksMax; t++) {
+        for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checks_max; t++) {
             const JobTask *task = &job->tasks[t];
-            const size_t at = task_on_worker(task->phase) ? passPlace(pass, task->worker) : SIZE_MAX;
+            const size_t at = task_on_worker(task->phase) ? pass_place(pass, task->worker) : SIZE_MAX;
             if (task->assured || at == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
                 continue;
-            const PlanNeed need = passNeed(job, task->step);
-            passCount(pass, &job->spec, &need, at);
-            if (!passHolds(pass)) {
+            const PlanNeed need = pass_need(job, task->step);
+            pass_count(pass, &job->spec, &need, at);
+            if (!pass_holds(pass)) {
                 pass->input.task_count--;
                 continue;
             }
@@ -33,5 +33,5 @@
     list.why = "";
     ChangeResult result;
     if (list.rounds_count > 0)
-        coreSubmit(core, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
+        core_submit(core, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -26,14 +26,14 @@
     show_metric(task, "lastSyncMs", sight.journal.last_sync_ms);
     show_metric(task, "worstSyncMs", sight.journal.worst_sync_ms);
     show_metric(task, "sight", (int64_t)members_sight(core->members));
-    show_metric(task, "planHolds", core->planHolds);
+    show_metric(task, "planHolds", core->plan_holds);
     for (int i = 0; i < ALERT_COUNT; i++) {
         char name[48];
-        snprintf(name, sizeof(name), "alert_%s", alertWord((Alert)i));
+        snprintf(name, sizeof(name), "alert_%s", alert_word((Alert)i));
         for (char *at = name; *at != '\0'; at++)
             if (*at == '-')
                 *at = '_';
-        show_metric(task, name, (int64_t)alertsCount(core, (Alert)i));
+        show_metric(task, name, (int64_t)alerts_count(core, (Alert)i));
     }
     Job *const *jobs;
     show_metric(task, "jobsActive", (int64_t)table_active(core->table, &jobs));
@@ -47,7 +47,7 @@
 #undef X
 }
 
-void coreTake(Core *core, HttpTask *task)
+void core_take(Core *core, HttpTask *task)
 {
     if (strcmp(task->path, "/metrics") == 0) {
         metrics(core, task);
@@ -60,7 +60,7 @@
         return;
     }
     if (strcmp(task->path, "/readyz") == 0) {
-        show_ready(task, coreReady(core), core->leaving);
+        show_ready(task, core_ready(core), core->leaving);
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
@@ -74,7 +74,7 @@
     forward_request(core->forwarder, task);
 }
 
-static void leadServe(Core *core, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
+static void lead_serve(Core *core, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
 {
     HttpTask *task = talloc_zero(mem, HttpTask);
     *task = (HttpTask){.loop = core->loop,
@@ -87,7 +87,7 @@
                        .expiry_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
     KeepList keeps = {0};
-    leaderServe(core, task, mem, &keeps);
+    leader_serve(core, task, mem, &keeps);
     out->code = (uint64_t)task->code;
     out->status = task->status;
     out->kind = task->kind;
@@ -97,21 +97,21 @@
     out->keeps_count = keeps.items_count;
 }
 
-void callersLead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
+void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     Core *core = arg;
-    leadServe(core, mem, ask, answer);
+    lead_serve(core, mem, ask, answer);
     if (answer->keeps_count > 0 && core->props->bounds.retell_ms > 0)
-        elsewhereKeep(core, mem, &(KeepList){answer->keeps, answer->keeps_count});
+        elsewhere_keep(core, mem, &(KeepList){answer->keeps, answer->keeps_count});
 }
 
-static Status onForward(void *arg, void *mem, const void *question, void *answer)
+static Status on_forward(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const ForwardAsk *ask = question;
     ForwardAnswer *out = answer;
     if (view_leading(core->view)) {
-        leadServe(core, mem, ask, out);
+        lead_serve(core, mem, ask, out);
         return STATUS_OK;
     }
     const Status status = ask->relay ? forward_relay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
@@ -122,7 +122,7 @@
     return status;
 }
 
-static Status onFeed(void *arg, void *mem, const void *question, void *answer)
+static Status on_feed(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const FeedAsk *ask = question;
@@ -135,7 +135,7 @@
         out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
         if (!core->repairing &&
-            feed_answer(&core->pieceSource, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
+            feed_answer(&core->piece_source, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
         if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
@@ -143,7 +143,7 @@
     }
 }
 
-static Status onRetell(void *arg, void *mem, const void *question, void *answer)
+static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const RetellAsk *ask = question;
@@ -152,7 +152,7 @@
     return STATUS_OK;
 }
 
-static Status onKeep(void *arg, void *mem, const void *question, void *answer)
+static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
     const KeepList *list = question;
@@ -162,10 +162,10 @@
     return STATUS_OK;
 }
 
-void callersServe(Core *core)
+void callers_serve(Core *core)
 {
-    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, onForward, core);
-    courier_handle(core->courier, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, onFeed, core);
-    courier_handle(core->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, onRetell, core);
-    courier_handle(core->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, onKeep, core);
+    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
+    courier_handle(core->courier, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, on_feed, core);
+    courier_handle(core->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, core);
+    courier_handle(core->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, core);
 }
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -11,7 +11,7 @@
 #define SHARE_ONE 1000 /* thousandths */
 
 /* One more, or one less, of the step is on the worker. */
-void sightAdd(Pass *pass, size_t at, int by)
+void sight_add(Pass *pass, size_t at, int by)
 {
     const PlanInput *input = &pass->input;
     const PlanWorker *its = &input->workers[at];
@@ -21,14 +21,14 @@
         pass->step.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
         if (mine->rack[0] != '\0' && strcmp(mine->rack, its->rack) == 0) {
             pass->step.near[i] += by;
-            pass->step.onRack[i] += by;
+            pass->step.on_rack[i] += by;
         }
     }
 }
 
 /* Where the others of the step are, and of the job: kept for one step at a time,
  * since tasks of a step come one after another. What is being stopped counts. */
-void sightFind(Pass *pass, const Job *job, size_t task)
+void sight_find(Pass *pass, const Job *job, size_t task)
 {
     StepSight *sight = &pass->step;
     const size_t first = task_first(job, &job->tasks[task]);
@@ -39,22 +39,22 @@
     if (sight->near == NULL) {
         sight->near = talloc_array(pass->mem, int, (unsigned)count);
         sight->on_worker = talloc_array(pass->mem, int, (unsigned)count);
-        sight->onRack = talloc_array(pass->mem, int, (unsigned)count);
+        sight->on_rack = talloc_array(pass->mem, int, (unsigned)count);
     }
     memset(sight->near, 0, count * sizeof(int));
     memset(sight->on_worker, 0, count * sizeof(int));
-    memset(sight->onRack, 0, count * sizeof(int));
+    memset(sight->on_rack, 0, count * sizeof(int));
     sight->job = job;
     sight->first = first;
     for (size_t t = first; t < end; t++) {
-        const size_t at = task_on_worker(job->tasks[t].phase) ? passPlace(pass, job->tasks[t].worker) : SIZE_MAX;
+        const size_t at = task_on_worker(job->tasks[t].phase) ? pass_place(pass, job->tasks[t].worker) : SIZE_MAX;
         if (at != SIZE_MAX)
-            sightAdd(pass, at, 1);
+            sight_add(pass, at, 1);
     }
     /* and what this pass has decided: most of a step is placed in one */
-    for (size_t i = 0; i < pass->placedCount; i++)
+    for (size_t i = 0; i < pass->placed_count; i++)
         if (pass->placed[i].job == job && pass->placed[i].task >= first && pass->placed[i].task < end)
-            sightAdd(pass, pass->placed[i].worker, 1);
+            sight_add(pass, pass->placed[i].worker, 1);
 }
 
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
@@ -64,9 +64,9 @@
 }
 
 /* Whether the step has others at work, none of them on the worker's rack. */
-static bool leavesRack(const Pass *pass, const StepSpec *step, size_t at)
+static bool leaves_rack(const Pass *pass, const StepSpec *step, size_t at)
 {
-    if (!step->same_rack || pass->step.onRack[at] > 0)
+    if (!step->same_rack || pass->step.on_rack[at] > 0)
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
         if (pass->step.on_worker[i] > 0)
@@ -74,13 +74,13 @@
     return false;
 }
 
-uint64_t chooseFarPercent(const Pass *pass, const StepSpec *step, size_t at)
+uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at)
 {
     const uint64_t far = (uint64_t)pass->core->props->bounds.far_percent;
     uint64_t percent = 100;
     if (step->near[0] != '\0' && strcmp(step->near, pass->input.workers[at].rack) != 0)
         percent = percent * far / 100;
-    if (leavesRack(pass, step, at))
+    if (leaves_rack(pass, step, at))
         percent = percent * far / 100;
     return percent;
 }
@@ -90,46 +90,46 @@
 {
     const PlanWorker *worker = &pass->input.workers[at];
     const int64_t left = (int64_t)plan_left(worker, pass->largest);
-    const int64_t timeShare = (int64_t)(pass->speeds[at] * chooseFarPercent(pass, step, at) / 100) - SHARE_ONE;
-    int64_t value = left - (int64_t)worker->penalty - timeShare * CHOOSE_TIME;
+    const int64_t time_share = (int64_t)(pass->speeds[at] * choose_far_percent(pass, step, at) / 100) - SHARE_ONE;
+    int64_t value = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
     if (need->room.gpu == 0 && worker->room.gpu > 0)
         value -= CHOOSE_GPU;
     return value;
 }
 
-static int chooseAmong(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded,
-                       const char *rack)
+static int choose_among(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded,
+                        const char *rack)
 {
     int best = -1;
-    int64_t bestValue = 0;
+    int64_t best_value = 0;
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         if ((rack != NULL && strcmp(pass->input.workers[i].rack, rack) != 0) || !allowed(pass, step, need, excluded, i))
             continue;
         const int64_t value = value_of(pass, step, need, i);
-        const bool farther = best >= 0 && value == bestValue && pass->step.near[i] < pass->step.near[best];
-        if (best < 0 || value > bestValue || farther) {
+        const bool farther = best >= 0 && value == best_value && pass->step.near[i] < pass->step.near[best];
+        if (best < 0 || value > best_value || farther) {
             best = (int)i;
-            bestValue = value;
+            best_value = value;
         }
     }
     return best;
 }
 
-int chooseFor(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack)
+int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack)
 {
     const StepSpec *step = &job->spec.steps[job->tasks[task].step];
-    const size_t shunned = job->tasks[task].shunned[0] != '\0' ? passPlace(pass, job->tasks[task].shunned) : SIZE_MAX;
-    sightFind(pass, job, task);
+    const size_t shunned = job->tasks[task].shunned[0] != '\0' ? pass_place(pass, job->tasks[task].shunned) : SIZE_MAX;
+    sight_find(pass, job, task);
     int at = -1;
     if (shunned != SIZE_MAX && !excluded[shunned]) {
         excluded[shunned] = true;
-        at = chooseAmong(pass, step, need, excluded, rack);
+        at = choose_among(pass, step, need, excluded, rack);
         excluded[shunned] = false;
     }
-    return at >= 0 ? at : chooseAmong(pass, step, need, excluded, rack);
+    return at >= 0 ? at : choose_among(pass, step, need, excluded, rack);
 }
 
-bool chooseWaits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent)
+bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent)
 {
     if (percent <= 100 || candidate->restart)
         return false;
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -11,7 +11,7 @@
 /* --- reading ----------------------------------------------------------------------- */
 
 /* The text goes out as it is kept: a document is given back as it was sent. */
-static void showConfig(Way *way, uint64_t revision, const char *text)
+static void show_config(Way *way, uint64_t revision, const char *text)
 {
     HttpTask *task = way->task;
     char head[64];
@@ -23,11 +23,11 @@
     bytes_add(task, &task->result, "}", 1);
 }
 
-static void showNewest(Way *way)
+static void show_newest(Way *way)
 {
     const Revisions *revisions = table_revisions(way->core->table);
     const uint64_t newest = revisions_newest(revisions);
-    const Config *config = coreConfig(way->core);
+    const Config *config = core_config(way->core);
     const char *text;
     if (newest == 0)
         text = config_first_text();
@@ -35,10 +35,10 @@
         text = document_text(way->mem, config->tree);
     else
         text = revisions_text(revisions, way->mem, newest);
-    showConfig(way, newest, text);
+    show_config(way, newest, text);
 }
 
-void configGet(Way *way)
+void config_get(Way *way)
 {
     const Revisions *revisions = table_revisions(way->core->table);
     int64_t revision = 0, have = -1, wait_ms = 0;
@@ -46,7 +46,7 @@
     query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
     query_int(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &wait_ms);
     if (way->faults->count > 0) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
     if (revision > 0) {
@@ -54,7 +54,7 @@
         if (text == NULL)
             show_refusal(way->task, STATUS_UNKNOWN_REVISION, "this revision can't be read back", NULL);
         else
-            showConfig(way, (uint64_t)revision, text);
+            show_config(way, (uint64_t)revision, text);
         return;
     }
     const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
@@ -64,10 +64,10 @@
     if (!view_leading(way->core->view))
         show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
-        showNewest(way);
+        show_newest(way);
 }
 
-void configHistory(Way *way)
+void config_history(Way *way)
 {
     const Revisions *revisions = table_revisions(way->core->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
@@ -79,7 +79,7 @@
 
 /* --- changing ------------------------------------------------------------------------ */
 
-static void refuseStale(Way *way, uint64_t current)
+static void refuse_stale(Way *way, uint64_t current)
 {
     json_object *body = show_failure(STATUS_STALE_REVISION, "another revision is in force: build on that", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
@@ -87,7 +87,7 @@
     show_result(way->task, status_http(STATUS_STALE_REVISION), body);
 }
 
-static void showTaken(Way *way, uint64_t revision)
+static void show_taken(Way *way, uint64_t revision)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "revision", json_object_new_uint64(revision));
@@ -96,7 +96,7 @@
 
 /* What makes a call that names its revision the same one when it is sent again:
  * calls are told apart, not protected from forgers. */
-static const char *digestOf(Way *way, bool patch, uint64_t base, uint64_t revision)
+static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t revision)
 {
     char head[80];
     const int length =
@@ -144,7 +144,7 @@
 
 /* Many patches together may make a document that none of them could send. It is
  * measured only where their sizes do not settle it. */
-static void checkSize(Way *way, json_object *tree)
+static void check_size(Way *way, json_object *tree)
 {
     if (revisions_size(table_revisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
@@ -154,7 +154,7 @@
 }
 
 /* Null and faults. On mem. */
-static const Config *configOf(Way *way, const Config *now, bool patch, ConfigSet *set)
+static const Config *config_of(Way *way, const Config *now, bool patch, ConfigSet *set)
 {
     const Bytes *body = &way->task->body;
     if (body->count > CONFIG_BODY_MAX) {
@@ -167,13 +167,13 @@
     json_object *tree = patch ? patched(way, now, sent, set) : replaced(way, now, sent, set);
     json_object_put(sent);
     if (patch && tree != NULL)
-        checkSize(way, tree);
+        check_size(way, tree);
     const Config *config = tree != NULL ? config_build(way->mem, tree, set->revision, now, way->faults) : NULL;
     json_object_put(tree);
     return config;
 }
 
-static bool queryRevisions(Way *way, uint64_t *base, uint64_t *revision)
+static bool query_revisions(Way *way, uint64_t *base, uint64_t *revision)
 {
     int64_t builds = -1, named = 0;
     if (query_value(way->mem, way->task->query, "base") == NULL)
@@ -185,57 +185,57 @@
     return way->faults->count == 0;
 }
 
-static void configSet(Way *way, bool patch)
+static void config_set(Way *way, bool patch)
 {
     Core *core = way->core;
     ConfigSet set = {.text = "", .digest = "", .patch = false};
-    if (!queryRevisions(way, &set.base, &set.revision)) {
-        wayRefuse(way);
+    if (!query_revisions(way, &set.base, &set.revision)) {
+        way_refuse(way);
         return;
     }
     const Revisions *revisions = table_revisions(core->table);
     if (set.revision != 0)
-        set.digest = digestOf(way, patch, set.base, set.revision);
+        set.digest = digest_of(way, patch, set.base, set.revision);
     const uint64_t current = revisions_newest(revisions), known = revisions_digest(revisions, set.digest);
     if (known != 0) { /* sent again: it was taken, whatever has come since */
-        showTaken(way, known);
+        show_taken(way, known);
         return;
     }
     if (set.base != current) {
-        refuseStale(way, current);
+        refuse_stale(way, current);
         return;
     }
     if (set.revision == 0)
         set.revision = current + 1;
     else if (set.revision <= current)
         fault_add(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
-    const Config *config = configOf(way, coreConfig(core), patch, &set);
+    const Config *config = config_of(way, core_config(core), patch, &set);
     if (config == NULL || way->faults->count > 0) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
     set.limits = config->limits;
     Trial trial = {.set = set, .config = config};
-    trialEnter(core, &trial);
+    trial_enter(core, &trial);
     ChangeResult result;
-    const Status status = coreSubmit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->keeps);
+    const Status status = core_submit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->keeps);
     if (status == STATUS_OK && result.status == STATUS_OK)
-        coreConfig(core); /* takes what was checked, before another change is delivered */
-    trialLeave(core, &trial);
-    if (!wayDelivered(way, status))
+        core_config(core); /* takes what was checked, before another change is delivered */
+    trial_leave(core, &trial);
+    if (!way_delivered(way, status))
         return;
     if (result.status == STATUS_OK)
-        showTaken(way, result.number);
+        show_taken(way, result.number);
     else
-        refuseStale(way, result.number);
+        refuse_stale(way, result.number);
 }
 
-void configPut(Way *way)
+void config_put(Way *way)
 {
-    configSet(way, false);
+    config_set(way, false);
 }
 
-void configPatched(Way *way)
+void config_patched(Way *way)
 {
-    configSet(way, true);
+    config_set(way, true);
 }
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -7,7 +7,7 @@
 #include "alerts.h"
 #include "inforce.h"
 
-bool coreDecides(Core *core)
+bool core_decides(Core *core)
 {
     if (!view_leading(core->view) || core->repairing)
         return false;
@@ -16,19 +16,19 @@
     return true;
 }
 
-void coreNews(Core *core)
+void core_news(Core *core)
 {
     core->news++;
     signal_raise(core->loop, &core->wake);
 }
 
-QueueClock coreClock(const Core *core)
+QueueClock core_clock(const Core *core)
 {
     return (QueueClock){view_clock_ms(core->view), view_wall_ms(core->view)};
 }
 
-Status coreSubmit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                  KeepList *keeps)
+Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
+                   KeepList *keeps)
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
@@ -40,12 +40,12 @@
     return status;
 }
 
-int64_t coreClaimMs(const Core *core)
+int64_t core_claim_ms(const Core *core)
 {
     return hold_claim_ms(core->props->bounds.hold_ms);
 }
 
-static void onOpened(void *arg, uint64_t epoch, bool new_holder, bool repair)
+static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
 {
     Core *core = arg;
     trace_say(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
@@ -59,20 +59,20 @@
             names[i] = workers[i]->name;
         /* any hold that the last leader answered runs out within this */
         strays_reset(core->strays);
-        pacesReset(core->paces);
-        liveset_reset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);
+        paces_reset(core->paces);
+        liveset_reset(core->liveset, view_won_ms(core->view) + core_claim_ms(core), names, count);
         talloc_free(mem);
     }
     if (repair && (new_holder || !core->repairing)) {
         core->repairing = true; /* a repair under way goes on over views opened anew */
         /* rounds that the log has forgotten are told again or have lapsed by then */
-        core->placeFromMs = loop_now_ms(core->loop) + coreClaimMs(core);
-        repairStart(core);
+        core->place_from_ms = loop_now_ms(core->loop) + core_claim_ms(core);
+        repair_start(core);
     }
     if (!repair)
         core->repairing = false;
-    ordersWake(core);
-    coreNews(core);
+    orders_wake(core);
+    core_news(core);
 }
 
 /* An order that was told before may be on its way until it expires, by an agent's
@@ -84,47 +84,47 @@
         strays_add(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
-static void roundsTake(Core *core, const RoundList *rounds)
+static void rounds_take(Core *core, const RoundList *rounds)
 {
-    scoreTake(core, rounds);
+    score_take(core, rounds);
     for (size_t i = 0; i < rounds->news_count; i++) {
         const RoundNews *news = &rounds->news[i];
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
             continue; /* a beat has told how far it has come since */
         if (view_holds(core->view))
-            savedTake(core, &saved);
+            saved_take(core, &saved);
         strays_end(core->strays, news);
     }
 }
 
-static void onDelivered(void *arg, const Record *change, const void *body, const ChangeResult *result)
+static void on_delivered(void *arg, const Record *change, const void *body, const ChangeResult *result)
 {
     Core *core = arg;
-    traceDelivered(core, change, body, result);
-    coreNews(core);
-    limitsFollow(core);
+    trace_delivered(core, change, body, result);
+    core_news(core);
+    limits_follow(core);
     if (body != NULL && change->change == CHANGE_ROUNDS)
-        roundsTake(core, body);
+        rounds_take(core, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
         liveset_losing(core->liveset, ((const WorkerLost *)body)->worker, false);
 }
 
 /* Ended jobs are kept for a stated span. */
-static void forgetMain(void *arg)
+static void forget_main(void *arg)
 {
     Core *core = arg;
     while (!loop_stopping(core->loop)) {
-        const int64_t keepMs = core->props->bounds.job_keep_ms;
-        loop_sleep(core->loop, keepMs / 60 > FORGET_MS ? keepMs / 60 : FORGET_MS);
-        if (!coreDecides(core))
+        const int64_t keep_ms = core->props->bounds.job_keep_ms;
+        loop_sleep(core->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
+        if (!core_decides(core))
             continue;
-        const Forget forget = {view_clock_ms(core->view) - keepMs};
+        const Forget forget = {view_clock_ms(core->view) - keep_ms};
         if (table_oldest_ms(core->table) >= forget.before_ms)
             continue;
         void *mem = talloc_new(core);
         ChangeResult result;
-        coreSubmit(core, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
+        core_submit(core, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
         talloc_free(mem);
     }
 }
@@ -144,11 +144,11 @@
 
 static void on_http(void *arg, HttpTask *task)
 {
-    coreTake(arg, task);
+    core_take(arg, task);
 }
 
 /* Where in the log the node is, for its lines. */
-static RingPlace placeNow(void *arg)
+static RingPlace place_now(void *arg)
 {
     const Core *core = arg;
     uint64_t epoch, commit_index;
@@ -156,21 +156,21 @@
     return (RingPlace){.term = epoch_counter(epoch), .index = commit_index};
 }
 
-Status coreStart(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **out,
-                 Failure *failure)
+Status core_start(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **out,
+                  Failure *failure)
 {
     Core *core = talloc_zero(mem, Core);
     core->loop = loop;
     core->ring = ring;
     core->props = props;
-    core->planHolds = true;
+    core->plan_holds = true;
     core->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
     core->courier = courier_new(core, loop, ring);
     core->table = table_new(core);
-    table_watch(core->table, onDelivered, core);
-    core->pieceSource.mem = core;
+    table_watch(core->table, on_delivered, core);
+    core->piece_source.mem = core;
     core->keeper = keeper_new(core, loop, props->bounds.retell_ms);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
@@ -178,25 +178,25 @@
     core->guesses = guesses_new(core);
     core->queue = queue_new(core, core->guesses);
     core->strays = strays_new(core);
-    core->paces = pacesNew(core);
+    core->paces = paces_new(core);
     table_left_watch(core->table, on_left, core);
     core->kept = map_new(core);
     core->alerts = map_new(core);
-    const ViewProps viewProps = {.loop = loop,
-                                 .courier = core->courier,
-                                 .ring = ring,
-                                 .state = table_state(core->table),
-                                 .opened = onOpened,
-                                 .opened_arg = core,
-                                 .losses = (int)props->bounds.losses,
-                                 .founds = (ViewFounds)props->bounds.founds,
-                                 .disks_keep = props->bounds.disks_keep != 0,
-                                 .seat_back_ms = props->bounds.seat_back_ms};
-    core->view = view_new(core, &viewProps);
+    const ViewProps view_props = {.loop = loop,
+                                  .courier = core->courier,
+                                  .ring = ring,
+                                  .state = table_state(core->table),
+                                  .opened = on_opened,
+                                  .opened_arg = core,
+                                  .losses = (int)props->bounds.losses,
+                                  .founds = (ViewFounds)props->bounds.founds,
+                                  .disks_keep = props->bounds.disks_keep != 0,
+                                  .seat_back_ms = props->bounds.seat_back_ms};
+    core->view = view_new(core, &view_props);
     /* the disk first: its id is part of our name */
     Status status = view_open_disk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
     if (status == STATUS_OK)
-        ring_set_place(ring, placeNow, core);
+        ring_set_place(ring, place_now, core);
     if (status == STATUS_OK)
         status = courier_listen(core->courier, props->listen, core->address, failure);
     if (status == STATUS_OK)
@@ -222,32 +222,32 @@
                                                                .keeper = core->keeper,
                                                                .trace = core->trace,
                                                                .leads = leads,
-                                                               .serve = callersLead,
+                                                               .serve = callers_lead,
                                                                .arg = core,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
     core->feed = feed_new(core, loop, core->courier, forwarder_ways(core->forwarder), core->trace);
     view_start(core->view, core->members);
-    agentsServe(core);
-    callersServe(core);
+    agents_serve(core);
+    callers_serve(core);
     members_start(core->members);
     view_founding(core->view);
-    plannerStart(core);
-    alertsStart(core);
+    planner_start(core);
+    alerts_start(core);
     forwarder_start(core->forwarder);
     feed_start(core->feed, seatless, core);
-    loop_spawn(loop, "forget", forgetMain, core);
+    loop_spawn(loop, "forget", forget_main, core);
     *out = core;
     return STATUS_OK;
 }
 
-bool coreReady(const Core *core)
+bool core_ready(const Core *core)
 {
     return !core->leaving &&
            (view_leading(core->view) ? !core->repairing : ways_serve(forwarder_ways(core->forwarder)));
 }
 
-void coreDrain(Core *core)
+void core_drain(Core *core)
 {
     const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.grace_ms - DRAIN_MARGIN_MS;
     core->leaving = true;
@@ -259,34 +259,34 @@
         view_settle(core->view);
     view_leave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
-    const int64_t unreadyUntilMs = now_ms + core->props->bounds.unready_ms;
-    if (loop_now_ms(core->loop) < unreadyUntilMs)
-        loop_sleep(core->loop, unreadyUntilMs - loop_now_ms(core->loop));
+    const int64_t unready_until_ms = now_ms + core->props->bounds.unready_ms;
+    if (loop_now_ms(core->loop) < unready_until_ms)
+        loop_sleep(core->loop, unready_until_ms - loop_now_ms(core->loop));
     while (loop_serve_busy(core->loop) > 0 && loop_now_ms(core->loop) < until_ms)
         loop_sleep(core->loop, DRAIN_LOOK_MS);
 }
 
-View *coreView(Core *core)
+View *core_view(Core *core)
 {
     return core->view;
 }
 
-const Table *coreTable(const Core *core)
+const Table *core_table(const Core *core)
 {
     return core->table;
 }
 
-const char *coreHttpAddress(const Core *core)
+const char *core_http_address(const Core *core)
 {
     return core->http;
 }
 
-const char *coreAddress(const Core *core)
+const char *core_address(const Core *core)
 {
     return core->address;
 }
 
-void coreSeeds(Core *core, const char *const seeds[SEEDS])
+void core_seeds(Core *core, const char *const seeds[SEEDS])
 {
     members_seeds(core->members, seeds);
 }
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -8,7 +8,7 @@
 
 #define ELSEWHERE_MOST 3 /* count; gates tried, one after the other */
 
-static bool askOne(Core *core, void *mem, const char *address, const KeepList *keeps)
+static bool ask_one(Core *core, void *mem, const char *address, const KeepList *keeps)
 {
     Nothing answer = {0};
     return courier_ask(core->courier, mem, address, MESSAGE_KEEP, &KeepList_shape, keeps, KEEP_ASK_MS, &Nothing_shape,
@@ -23,7 +23,7 @@
     return bytes;
 }
 
-void elsewhereKeep(Core *core, void *mem, const KeepList *keeps)
+void elsewhere_keep(Core *core, void *mem, const KeepList *keeps)
 {
     /* a large configuration would fill a gate's link for seconds: it is on the disks that the bounds
      * ask for, and the feed brings it to the gates */
@@ -36,7 +36,7 @@
         const Member *row = &table->rows[i];
         if (row->record.role != ROLE_GATE || row->record.leaving || member_quiet(row, loop_now_ms(core->loop)))
             continue;
-        const bool last = strcmp(row->record.address, core->keptAt) == 0;
+        const bool last = strcmp(row->record.address, core->kept_at) == 0;
         if (count == ELSEWHERE_MOST && !last)
             continue;
         /* the one that kept the last thing first: one that does not answer costs its wait once */
@@ -46,8 +46,8 @@
         count += count < ELSEWHERE_MOST;
     }
     for (size_t i = 0; i < count; i++)
-        if (askOne(core, mem, addresses[i], keeps)) {
-            snprintf(core->keptAt, ADDRESS_MAX, "%s", addresses[i]);
+        if (ask_one(core, mem, addresses[i], keeps)) {
+            snprintf(core->kept_at, ADDRESS_MAX, "%s", addresses[i]);
             return;
         }
 }
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -11,13 +11,13 @@
 #define NO_ENTRY_HTTP 404
 
 /* A refusal under a code of its own. */
-static void entryRefuse(Way *way, int http, Status status, const char *text)
+static void entry_refuse(Way *way, int http, Status status, const char *text)
 {
     show_refusal(way->task, status, text, NULL);
     way->task->code = http;
 }
 
-static void entryShow(Way *way, int http, const Job *job)
+static void entry_show(Way *way, int http, const Job *job)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "id", json_object_new_string(job->spec.id));
@@ -25,17 +25,17 @@
     show_result(way->task, http, body);
 }
 
-static int64_t waitingIn(const Table *table, const ConfigPlace *place)
+static int64_t waiting_in(const Table *table, const ConfigPlace *place)
 {
     return (int64_t)table_waiting_in(table, place->cell->name, place->queue->name);
 }
 
-static void entryPost(Way *way, const ConfigPlace *place)
+static void entry_post(Way *way, const ConfigPlace *place)
 {
     JobSpec spec;
     if (!job_read_at(way->faults, (const char *)way->task->body.data, way->task->body.count, way->name,
                      place->cell->name, place->tenant, place->queue->name, &spec)) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
     const Job *job = table_job(way->core->table, spec.id);
@@ -45,53 +45,53 @@
         spec.cell = job->spec.cell;
         spec.tenant = job->spec.tenant;
         spec.queue = job->spec.queue;
-        if (!jobAgain(way, job, &spec))
+        if (!job_again(way, job, &spec))
             return;
     } else {
-        const JobTerms terms = jobTerms(place->queue);
-        job = jobTake(way, &spec, &terms, &fresh);
+        const JobTerms terms = job_terms(place->queue);
+        job = job_take(way, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
-    entryShow(way, fresh || way->task->again ? 201 : 200, job);
+    entry_show(way, fresh || way->task->again ? 201 : 200, job);
 }
 
-static void entryGet(Way *way)
+static void entry_get(Way *way)
 {
     const Job *job = table_job(way->core->table, way->name);
     if (job == NULL) {
-        entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
-    wayKeepEnd(way, job);
-    entryShow(way, 200, job);
+    way_keep_end(way, job);
+    entry_show(way, 200, job);
 }
 
-static void entryCancel(Way *way)
+static void entry_cancel(Way *way)
 {
     ChangeResult result;
     if (table_job(way->core->table, way->name) == NULL) {
-        entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
-    if (!jobCancelled(way, &result))
+    if (!job_cancelled(way, &result))
         return;
     /* one that had ended before stays as it is, which is what was asked for */
     const Job *job = table_job(way->core->table, way->name);
     if (job == NULL)
-        entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
     else
-        entryShow(way, 200, job);
+        entry_show(way, 200, job);
 }
 
 static void entry_count(Way *way, const ConfigPlace *place)
 {
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "waiting", json_object_new_int64(waitingIn(way->core->table, place)));
+    json_object_object_add(body, "waiting", json_object_new_int64(waiting_in(way->core->table, place)));
     show_result(way->task, 200, body);
 }
 
-void entryServe(Way *way)
+void entry_serve(Way *way)
 {
     Core *core = way->core;
     const char *method = way->task->method, *path = way->task->path + strlen(ENTRY_PATH);
@@ -105,13 +105,13 @@
         return;
     }
     const char *host = query_value(way->mem, way->task->query, "host");
-    const ConfigPlace *place = config_entry(coreConfig(core), host != NULL ? host : way->task->host, path);
+    const ConfigPlace *place = config_entry(core_config(core), host != NULL ? host : way->task->host, path);
     if (place == NULL) {
-        entryRefuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
+        entry_refuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
         return;
     }
-    const uint64_t bodyMost = coreConfig(core)->limits.body_bytes;
-    if (bodyMost > 0 && way->task->body.count > bodyMost) {
+    const uint64_t body_most = core_config(core)->limits.body_bytes;
+    if (body_most > 0 && way->task->body.count > body_most) {
         show_refusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
     }
@@ -123,11 +123,11 @@
     else if (!check_name_text(way->name) && post)
         show_refusal(way->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
     else if (!check_name_text(way->name))
-        entryRefuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
+        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
     else if (post)
-        entryPost(way, place);
+        entry_post(way, place);
     else if (get)
-        entryGet(way);
+        entry_get(way);
     else
-        entryCancel(way);
+        entry_cancel(way);
 }
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -9,27 +9,27 @@
 #include "inforce.h"
 
 /* What the table has, made from what was read before where it can be. */
-static json_object *treeNow(const Core *core, bool sameLoad)
+static json_object *tree_now(const Core *core, bool same_load)
 {
     const Revisions *revisions = table_revisions(core->table);
     if (revisions_newest(revisions) == 0)
         return document_parse(config_first_text());
-    const bool have = sameLoad && core->config != NULL && core->config->revision > 0;
+    const bool have = same_load && core->config != NULL && core->config->revision > 0;
     return revisions_tree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
 }
 
-static const Config *readNow(Core *core, uint64_t revision, bool sameLoad)
+static const Config *read_now(Core *core, uint64_t revision, bool same_load)
 {
     void *mem = talloc_new(core);
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
-    json_object *tree = treeNow(core, sameLoad);
+    json_object *tree = tree_now(core, same_load);
     const Config *config = config_build(core, tree, revision, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
         ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
                  faults->list[0].path, faults->list[0].text);
-        core->configUnread = revision;
+        core->config_unread = revision;
         if (core->config == NULL) {
             const char *first = config_first_text();
             config = config_read(core, first, strlen(first), 0, faults);
@@ -40,7 +40,7 @@
 }
 
 /* What was checked before it was committed needs no second reading. */
-static const Config *trialTake(Core *core, const Revision *newest)
+static const Config *trial_take(Core *core, const Revision *newest)
 {
     for (Trial *at = core->trials; at != NULL; at = at->next)
         if (at->config != NULL && at->set.revision == newest->revision && at->set.base == newest->base &&
@@ -53,18 +53,18 @@
     return NULL;
 }
 
-const Config *coreConfig(Core *core)
+const Config *core_config(Core *core)
 {
     const Revisions *revisions = table_revisions(core->table);
     const uint64_t revision = revisions_newest(revisions), loads = table_loads(core->table);
-    const bool sameLoad = core->configLoads == loads;
-    if (core->config != NULL && sameLoad && (core->config->revision == revision || core->configUnread == revision))
+    const bool same_load = core->config_loads == loads;
+    if (core->config != NULL && same_load && (core->config->revision == revision || core->config_unread == revision))
         return core->config;
-    core->configUnread = UINT64_MAX;
-    const Config *config = revision > 0 ? trialTake(core, &revisions->rows[revisions->count - 1]) : NULL;
+    core->config_unread = UINT64_MAX;
+    const Config *config = revision > 0 ? trial_take(core, &revisions->rows[revisions->count - 1]) : NULL;
     if (config == NULL)
-        config = readNow(core, revision, sameLoad);
-    core->configLoads = loads;
+        config = read_now(core, revision, same_load);
+    core->config_loads = loads;
     if (config == NULL)
         return core->config;
     talloc_free((void *)(uintptr_t)core->config);
@@ -73,14 +73,14 @@
     return config;
 }
 
-void trialEnter(Core *core, Trial *trial)
+void trial_enter(Core *core, Trial *trial)
 {
     trial->loads = table_loads(core->table);
     trial->next = core->trials;
     core->trials = trial;
 }
 
-void trialLeave(Core *core, Trial *trial)
+void trial_leave(Core *core, Trial *trial)
 {
     Trial **at = &core->trials;
     while (*at != trial)
@@ -88,18 +88,18 @@
     *at = trial->next;
 }
 
-void limitsFollow(Core *core)
+void limits_follow(Core *core)
 {
     const Revisions *revisions = table_revisions(core->table);
     const uint64_t newest = revisions_newest(revisions), loads = table_loads(core->table);
-    if (newest == 0 || (newest == core->limitsRevision && loads == core->limitsLoads))
+    if (newest == 0 || (newest == core->limits_revision && loads == core->limits_loads))
         return;
-    core->limitsRevision = newest;
-    core->limitsLoads = loads;
+    core->limits_revision = newest;
+    core->limits_loads = loads;
     limits_serve(core->loop, revisions_limits(revisions));
 }
 
-const Policy *corePolicy(void *arg, const ConfigCell *cell)
+const Policy *core_policy(void *arg, const ConfigCell *cell)
 {
     const Core *core = arg;
     const ConfigPolicy *policy =
@@ -107,7 +107,7 @@
     return policy != NULL && policy->lua != NULL ? lua_policy(policy->lua) : policy_plain();
 }
 
-uint64_t corePolicyFailures(const Core *core, const char **last)
+uint64_t core_policy_failures(const Core *core, const char **last)
 {
     uint64_t failures = 0;
     *last = "";
--- a/packages/core/src/inforce.h
+++ b/packages/core/src/inforce.h
@@ -12,11 +12,11 @@
     const Config *config;
 } Trial;
 
-/* Between the two, coreConfig finds it when it has been delivered. */
-void trialEnter(Core *core, Trial *trial);
-void trialLeave(Core *core, Trial *trial);
+/* Between the two, core_config finds it when it has been delivered. */
+void trial_enter(Core *core, Trial *trial);
+void trial_leave(Core *core, Trial *trial);
 
 /* Keeps callers within the limits of the table's newest revision. */
-void limitsFollow(Core *core);
+void limits_follow(Core *core);
 
 #endif
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -16,21 +16,21 @@
 #include "queue/line.h"
 
 /* Figures of the leader's work, for status and measurement. */
-#define CORE_COUNT_LIST(X)          \
-    X(passes, "passes")             \
-    X(placed, "placed")             \
-    X(unassured, "unassured")       \
-    X(planChecks, "planChecks")     \
-    X(planRefusals, "planRefusals") \
-    X(lost, "lost")                 \
-    X(pushed, "pushed")             \
-    X(repairs, "repairs")           \
-    X(retold, "retold")             \
-    X(refused, "refused")           \
-    X(crowded, "crowded")           \
-    X(kept, "kept")                 \
-    X(moved, "moved")               \
-    X(slowed, "slowed")             \
+#define CORE_COUNT_LIST(X)           \
+    X(passes, "passes")              \
+    X(placed, "placed")              \
+    X(unassured, "unassured")        \
+    X(plan_checks, "planChecks")     \
+    X(plan_refusals, "planRefusals") \
+    X(lost, "lost")                  \
+    X(pushed, "pushed")              \
+    X(repairs, "repairs")            \
+    X(retold, "retold")              \
+    X(refused, "refused")            \
+    X(crowded, "crowded")            \
+    X(kept, "kept")                  \
+    X(moved, "moved")                \
+    X(slowed, "slowed")              \
     X(unproven, "unproven")
 
 typedef struct CoreCounts {
@@ -54,7 +54,7 @@
  *  - only a node for which view_leading is true plans, answers callers or gives
  *    orders, and it looks at the clock before each;
  *  - while repairing is true nothing is decided and nobody is told of a job;
- *  - nothing is placed before placeFromMs, which is when all that the log may have
+ *  - nothing is placed before place_from_ms, which is when all that the log may have
  *    forgotten has lapsed, or every agent has told what it has. */
 struct Core {
     Loop *loop;
@@ -66,7 +66,7 @@
     View *view;
     Table *table;
     Keeper *keeper;
-    char keptAt[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
+    char kept_at[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
     Forwarder *forwarder;
     Feed *feed; /* asks for the document while this core has no seat */
     Trace *trace;
@@ -74,61 +74,61 @@
     Map *lines;        /* worker names to AgentLine */
     struct News *told; /* gathers what rounds came to */
     Map *saved;        /* tasks to how far their rounds have come */
-    size_t savedKept;  /* of them when they were last looked through */
+    size_t saved_kept; /* of them when they were last looked through */
     Map *scores;       /* worker names to Score */
     Strays *strays;
     Queue *queue;
     Paces *paces;
-    int64_t passGapMs;  /* between two passes */
-    int64_t pushFromMs; /* nobody is pushed aside for an aim before this */
-    int64_t stopLookMs; /* rounds that go on better elsewhere are looked for again from then on */
-    Guesses *guesses;   /* how long work takes, as seen by this leader */
-    Map *kept;          /* names of cells to Kept */
-    Map *alerts;        /* those that stand */
-    uint64_t alertLooks;
-    const Config *config; /* of the table's newest revision that could be read */
-    uint64_t configLoads; /* table_loads when it was read */
-    PieceSource pieceSource;
-    uint64_t config_stamp; /* another with each other config */
-    uint64_t configUnread; /* a revision that can't be read */
+    int64_t pass_gap_ms;  /* between two passes */
+    int64_t push_from_ms; /* nobody is pushed aside for an aim before this */
+    int64_t stop_look_ms; /* rounds that go on better elsewhere are looked for again from then on */
+    Guesses *guesses;     /* how long work takes, as seen by this leader */
+    Map *kept;            /* names of cells to Kept */
+    Map *alerts;          /* those that stand */
+    uint64_t alert_looks;
+    const Config *config;  /* of the table's newest revision that could be read */
+    uint64_t config_loads; /* table_loads when it was read */
+    PieceSource piece_source;
+    uint64_t config_stamp;  /* another with each other config */
+    uint64_t config_unread; /* a revision that can't be read */
     struct Trial *trials;
-    uint64_t limitsRevision, limitsLoads; /* whose limits this process keeps */
-    uint64_t policyFailuresTold;
+    uint64_t limits_revision, limits_loads; /* whose limits this process keeps */
+    uint64_t policy_failures_told;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
     int64_t started_ms;
     bool repairing;
-    uint64_t repairTurn;
-    int64_t placeFromMs;
-    int64_t mendMs; /* split gangs are looked for again from then on */
-    uint64_t news;  /* grows with whatever the planner should look at */
-    Signal wake;    /* raised with it */
+    uint64_t repair_turn;
+    int64_t place_from_ms;
+    int64_t mend_ms; /* split gangs are looked for again from then on */
+    uint64_t news;   /* grows with whatever the planner should look at */
+    Signal wake;     /* raised with it */
     /* of the last pass: whether the plan held, and else what breaks it */
-    bool planHolds;
-    int64_t planLookMs; /* where no loss is to be survived, the plan is looked at from then on */
-    Loss brokenByLoss;
-    char brokenBy[ID_MAX + 1];
+    bool plan_holds;
+    int64_t plan_look_ms; /* where no loss is to be survived, the plan is looked at from then on */
+    Loss broken_by_loss;
+    char broken_by[ID_MAX + 1];
     CoreCounts counts;
 };
 
 /* The configuration in force; never null. Valid until the next wait. */
-const Config *coreConfig(Core *core);
+const Config *core_config(Core *core);
 /* Leads, by the clock, and has all that was told. */
-bool coreDecides(Core *core);
+bool core_decides(Core *core);
 /* There is something for the planner to look at. */
-void coreNews(Core *core);
-QueueClock coreClock(const Core *core);
-const Policy *corePolicy(void *arg, const ConfigCell *cell);
+void core_news(Core *core);
+QueueClock core_clock(const Core *core);
+const Policy *core_policy(void *arg, const ConfigCell *cell);
 /* Calls of policies that failed, and the last one's words; "" when none did. */
-uint64_t corePolicyFailures(const Core *core, const char **last);
+uint64_t core_policy_failures(const Core *core, const char **last);
 
 /* Waits. Submits a shape as a change; keeps (may be null) takes it when it was
  * committed and accepted. What is packed lives on mem. */
-Status coreSubmit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                  KeepList *keeps);
+Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
+                   KeepList *keeps);
 
 /* How long any hold runs that this or the last leader may have answered, by the own clock. */
-int64_t coreClaimMs(const Core *core);
+int64_t core_claim_ms(const Core *core);
 
 /* The way to one agent. Never freed while the process runs. */
 typedef struct AgentLine {
@@ -137,71 +137,71 @@
     bool learning; /* what a beat made known is being committed */
 } AgentLine;
 
-AgentLine *agentLine(Core *core, const char *worker);
-void ordersStart(Core *core);
+AgentLine *agent_line(Core *core, const char *worker);
+void orders_start(Core *core);
 /* All agents' questions are looked at again. */
-void ordersWake(Core *core);
+void orders_wake(Core *core);
 /* Waits, at most wait_ms, for newer orders than the agent has; answers with them, or
  * leaves the answer as it is. */
-void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out);
+void orders_answer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out);
 
 typedef struct News News;
-void newsStart(Core *core);
+void news_start(Core *core);
 /* Waits until the news are committed, together with what others tell. */
-Status newsTell(Core *core, const RoundNews *list, size_t count);
+Status news_tell(Core *core, const RoundNews *list, size_t count);
 /* Commits that a round runs when there is an occasion. */
-void newsLater(Core *core, const RoundNews *one);
+void news_later(Core *core, const RoundNews *one);
 /* What waits for an occasion is committed now. */
-void newsHurry(Core *core);
+void news_hurry(Core *core);
 /* Nothing waits and nothing is on its way. */
-bool newsIdle(const Core *core);
+bool news_idle(const Core *core);
 
 /* Takes how far a round has come. */
-void savedTake(Core *core, const RoundSaved *told);
+void saved_take(Core *core, const RoundSaved *told);
 /* How far that round of the task has come, as far as its agent has told; "": nothing. */
-const char *coreSaved(const Core *core, const char *job, uint64_t task, uint64_t round);
+const char *core_saved(const Core *core, const char *job, uint64_t task, uint64_t round);
 
 /* A rate of bad rounds, the newest counting most. */
 typedef struct Tally {
-    uint64_t ratePercent; /* as of ratedMs */
-    int64_t ratedMs;
-    uint64_t jobs;    /* different ones that went badly there since one went well */
-    uint64_t lastJob; /* number of the last that did */
+    uint64_t rate_percent; /* as of rated_ms */
+    int64_t rated_ms;
+    uint64_t jobs;     /* different ones that went badly there since one went well */
+    uint64_t last_job; /* number of the last that did */
 } Tally;
 
 /* How a worker that claims health has done of late, as this leader saw it. */
 typedef struct Score {
     Tally failed;          /* rounds that failed */
     Tally slow;            /* rounds that took several times as long as the others of their step */
-    int64_t slowEndMs;     /* log time of the end of the last one counted as slow */
+    int64_t slow_end_ms;   /* log time of the end of the last one counted as slow */
     int64_t rest_until_ms; /* own clock; given nothing before this */
     int64_t rest_ms;       /* the last rest's length */
 } Score;
 
 /* Takes what a delivered change tells of rounds. */
-void scoreTake(Core *core, const RoundList *list);
+void score_take(Core *core, const RoundList *list);
 /* A round stood still on it. */
-void scoreStill(Core *core, const char *worker, const Job *job);
+void score_still(Core *core, const char *worker, const Job *job);
 /* What the round's place made of its time, near its data or not. */
-uint64_t scoreFarPercent(const Core *core, const Worker *worker, const StepSpec *step);
+uint64_t score_far_percent(const Core *core, const Worker *worker, const StepSpec *step);
 /* Null: nothing bad is known. */
-const Score *scoreFind(const Core *core, const char *worker);
+const Score *score_find(const Core *core, const char *worker);
 /* Its rate of failed, or of slow, rounds now, whichever is worse, in percent. */
-uint64_t scoreRate(const Core *core, const char *worker);
-bool scoreRests(const Core *core, const char *worker);
+uint64_t score_rate(const Core *core, const char *worker);
+bool score_rests(const Core *core, const char *worker);
 /* body: as the table tells it. */
-void traceDelivered(Core *core, const Record *change, const void *body, const ChangeResult *result);
-void plannerStart(Core *core);
+void trace_delivered(Core *core, const Record *change, const void *body, const ChangeResult *result);
+void planner_start(Core *core);
 /* The plan as it stands; on mem. */
-PlanInput plannerInput(Core *core, void *mem);
-void repairStart(Core *core);
-void agentsServe(Core *core);
-void callersServe(Core *core);
+PlanInput planner_input(Core *core, void *mem);
+void repair_start(Core *core);
+void agents_serve(Core *core);
+void callers_serve(Core *core);
 /* For the forwarder: a request as this leader answers it; what it committed is in the
  * answer, and kept by another node as well. */
-void callersLead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 /* A caller's request, as leader. keeps: what was committed by it. */
-void leaderServe(Core *core, HttpTask *task, void *mem, KeepList *keeps);
-json_object *coreStatus(Core *core);
+void leader_serve(Core *core, HttpTask *task, void *mem, KeepList *keeps);
+json_object *core_status(Core *core);
 
 #endif
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -4,13 +4,13 @@
 
 #include "way.h"
 
-const Job *jobTake(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh)
+const Job *job_take(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh)
 {
     Core *core = way->core;
-    const Config *config = coreConfig(core);
+    const Config *config = core_config(core);
     *fresh = false;
     if (!job_admissible(way->faults, spec, config, core->table)) {
-        wayRefuse(way);
+        way_refuse(way);
         return NULL;
     }
     size_t tasks = 0;
@@ -23,7 +23,7 @@
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
-    if (!wayDelivered(way, coreSubmit(core, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result, way->keeps)))
+    if (!way_delivered(way, core_submit(core, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result, way->keeps)))
         return NULL;
     const Job *job = table_job(core->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
@@ -34,7 +34,7 @@
     return job;
 }
 
-bool jobAgain(Way *way, const Job *known, const JobSpec *spec)
+bool job_again(Way *way, const Job *known, const JobSpec *spec)
 {
     if (!shape_equal(&JobSpec_shape, &known->spec, spec)) {
         show_refusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
@@ -44,11 +44,11 @@
     KeepItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
     shape_pack(&JobAdd_shape, &add, way->mem, &item.payload);
-    wayKeep(way, &item);
+    way_keep(way, &item);
     return true;
 }
 
-JobTerms jobTerms(const ConfigQueue *queue)
+JobTerms job_terms(const ConfigQueue *queue)
 {
     if (queue == NULL)
         return (JobTerms){.kind = ""};
@@ -56,55 +56,55 @@
                       queue->kind != NULL ? queue->kind : ""};
 }
 
-void jobPost(Way *way)
+void job_post(Way *way)
 {
     JobSpec spec;
     if (!job_read(way->faults, (const char *)way->task->body.data, way->task->body.count, &spec)) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
     /* the same job again is told the first answer, whatever has changed since */
     const Job *job = table_job(way->core->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
-        if (!jobAgain(way, job, &spec))
+        if (!job_again(way, job, &spec))
             return;
     } else {
-        const ConfigCell *cell = config_cell(coreConfig(way->core), spec.cell);
-        const JobTerms terms = jobTerms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
-        job = jobTake(way, &spec, &terms, &fresh);
+        const ConfigCell *cell = config_cell(core_config(way->core), spec.cell);
+        const JobTerms terms = job_terms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
+        job = job_take(way, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
     show_result(way->task, fresh || way->task->again ? 201 : 200, show_job_short(job));
 }
 
-void jobGet(Way *way)
+void job_get(Way *way)
 {
     const Job *job = table_job(way->core->table, way->name);
     if (job == NULL)
         show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
     else {
-        wayKeepEnd(way, job);
-        show_result(way->task, 200, show_job(job, coreClock(way->core)));
+        way_keep_end(way, job);
+        show_result(way->task, 200, show_job(job, core_clock(way->core)));
     }
 }
 
-bool jobCancelled(Way *way, ChangeResult *result)
+bool job_cancelled(Way *way, ChangeResult *result)
 {
     const JobCancel cancel = {way->name};
-    return wayDelivered(
-        way, coreSubmit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result, way->keeps));
+    return way_delivered(
+        way, core_submit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result, way->keeps));
 }
 
-void jobCancel(Way *way)
+void job_cancel(Way *way)
 {
     ChangeResult result;
     if (table_job(way->core->table, way->name) == NULL) {
         show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
-    if (!jobCancelled(way, &result))
+    if (!job_cancelled(way, &result))
         return;
     const Job *job = table_job(way->core->table, way->name);
     if (result.status != STATUS_OK || job == NULL)
@@ -113,7 +113,7 @@
         show_result(way->task, 200, show_job_short(job));
 }
 
-void jobList(Way *way)
+void job_list(Way *way)
 {
     int64_t after = 0, limit = LIST_PAGE;
     query_int(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
@@ -121,7 +121,7 @@
     const char *cell = query_value(way->mem, way->task->query, "cell");
     const char *phase = query_value(way->mem, way->task->query, "phase");
     if (way->faults->count > 0) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
     Job *const *jobs;
@@ -142,7 +142,7 @@
         if ((cell != NULL && strcmp(job->spec.cell, cell) != 0) ||
             (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
             continue;
-        wayKeepEnd(way, job);
+        way_keep_end(way, job);
         json_object_array_add(list, show_job_short(job));
         shown++;
     }
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -17,7 +17,7 @@
     return strcmp(kept->job, candidate->job->spec.id) == 0 && kept->task == candidate->first;
 }
 
-static size_t keptWorkers(const Core *core, void *mem)
+static size_t kept_workers(const Core *core, void *mem)
 {
     const char **cells;
     const size_t count = map_keys(core->kept, mem, &cells);
@@ -27,7 +27,7 @@
     return workers;
 }
 
-static void keptDrop(Core *core, const char *cell, const char *why)
+static void kept_drop(Core *core, const char *cell, const char *why)
 {
     Kept *kept = map_get(core->kept, cell);
     ring_say(core->ring, RING_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
@@ -38,7 +38,7 @@
 
 /* What is kept for a candidate that is none any more, or on workers that may be
  * given nothing now, is let go. */
-void keptBegin(Pass *pass)
+void kept_begin(Pass *pass)
 {
     Core *core = pass->core;
     const char **cells;
@@ -48,21 +48,21 @@
         const Job *job = table_job(core->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
         if (!waits || !line_rank(pass->line, job, kept->task, &kept->rank)) {
-            keptDrop(core, cells[c], "it waits no more");
+            kept_drop(core, cells[c], "it waits no more");
             continue;
         }
         for (size_t i = 0; i < kept->worker_count; i++) {
-            const size_t at = passPlace(pass, kept->workers[i]);
+            const size_t at = pass_place(pass, kept->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
-                keptDrop(core, cells[c], "one of them may be given nothing");
+                kept_drop(core, cells[c], "one of them may be given nothing");
                 break;
             }
-            kept->until_ms[i] = soonestMs(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
+            kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
         }
     }
 }
 
-bool keptFrom(const Pass *pass, const Candidate *candidate, bool *excluded)
+bool kept_from(const Pass *pass, const Candidate *candidate, bool *excluded)
 {
     bool any = false;
     void *mem = talloc_new(NULL);
@@ -74,7 +74,7 @@
         if (is_for(kept, candidate) || above || candidate->restart)
             continue;
         for (size_t i = 0; i < kept->worker_count; i++) {
-            const size_t at = passPlace(pass, kept->workers[i]);
+            const size_t at = pass_place(pass, kept->workers[i]);
             /* what is over before there is room for the other takes nothing from it */
             const bool passes = candidate->guess_ms > 0 && kept->until_ms[i] < INT64_MAX &&
                                 candidate->guess_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
@@ -87,7 +87,7 @@
 }
 
 /* Members of the candidate that the worker holds when it is empty. */
-static size_t holdsEmpty(const PlanWorker *worker, Room each)
+static size_t holds_empty(const PlanWorker *worker, Room each)
 {
     size_t count = 0;
     Room room = worker->room;
@@ -103,7 +103,7 @@
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
 }
 
-void keptWant(Pass *pass, const Candidate *candidate, const StepSpec *step)
+void kept_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
     Core *core = pass->core;
     const int64_t log_ms = pass->clock.log_ms;
@@ -112,39 +112,39 @@
     if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
         map_get(core->kept, cell) != NULL)
         return;
-    const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
-    const size_t taken = keptWorkers(core, pass->mem);
+    const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
+    const size_t taken = kept_workers(core, pass->mem);
     const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
     Kept *kept = talloc_zero(core, Kept);
     size_t left = candidate->count;
-    keptFrom(pass, candidate, used);
+    kept_from(pass, candidate, used);
     while (left > 0 && taken + kept->worker_count < most) {
         int best = -1;
-        int64_t bestMs = 0;
-        Room bestBusy = {0};
+        int64_t best_ms = 0;
+        Room best_busy = {0};
         for (size_t i = 0; i < input->worker_count; i++) {
             const PlanWorker *worker = &input->workers[i];
             if (used[i] || !plan_able(worker, &need) || !room_fits(need.room, worker->room))
                 continue;
             /* soonest to have room; where nobody knows, the least in use, as parts of its
              * room; ties by name */
-            const int64_t soonMs = soonestMs(pass, i, need.room);
+            const int64_t soon_ms = soonest_ms(pass, i, need.room);
             const Room busy = room_less(worker->room, worker->free);
             const bool less =
-                best >= 0 && room_share(busy, worker->room) < room_share(bestBusy, input->workers[best].room);
-            if (best < 0 || soonMs < bestMs || (soonMs == bestMs && less)) {
+                best >= 0 && room_share(busy, worker->room) < room_share(best_busy, input->workers[best].room);
+            if (best < 0 || soon_ms < best_ms || (soon_ms == best_ms && less)) {
                 best = (int)i;
-                bestMs = soonMs;
-                bestBusy = busy;
+                best_ms = soon_ms;
+                best_busy = busy;
             }
         }
         if (best < 0)
             break;
         used[best] = true;
-        const size_t holds = holdsEmpty(&input->workers[best], step->room);
+        const size_t holds = holds_empty(&input->workers[best], step->room);
         left = left > holds ? left - holds : 0;
-        kept->until_ms[kept->worker_count] = bestMs;
+        kept->until_ms[kept->worker_count] = best_ms;
         kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
     }
     if (left > 0) { /* all that it needs, or none */
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -9,15 +9,15 @@
 static int elsewhere(Pass *pass, const TaskOn *on, size_t worker)
 {
     const JobTask *task = &on->job->tasks[on->task];
-    const PlanNeed need = passNeed(on->job, task->step);
+    const PlanNeed need = pass_need(on->job, task->step);
     bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     excluded[worker] = true;
-    const int at = chooseFor(pass, on->job, on->task, &need, excluded, NULL);
+    const int at = choose_for(pass, on->job, on->task, &need, excluded, NULL);
     talloc_free(excluded);
     return at;
 }
 
-static bool mustGo(const Pass *pass, const TaskOn *on, size_t worker, int64_t staysMs, bool room)
+static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool room)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -27,17 +27,17 @@
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
     if (job->spec.lasting)
-        return room || staysMs < LEAVE_LAST_MS;
-    const int64_t left_ms = passLeftMs(pass, job, task, worker);
-    if (left_ms < staysMs - LEAVE_LAST_MS / 2)
+        return room || stays_ms < LEAVE_LAST_MS;
+    const int64_t left_ms = pass_left_ms(pass, job, task, worker);
+    if (left_ms < stays_ms - LEAVE_LAST_MS / 2)
         return false;
     if (saves)
-        return room || staysMs < LEAVE_LAST_MS;
+        return room || stays_ms < LEAVE_LAST_MS;
     /* estimates are off: what might just end is left to try */
-    return room && left_ms * 2 / 3 > staysMs;
+    return room && left_ms * 2 / 3 > stays_ms;
 }
 
-void leaveFind(Pass *pass, StopList *list)
+void leave_find(Pass *pass, StopList *list)
 {
     const int64_t now_ms = loop_now_ms(pass->core->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
@@ -48,8 +48,8 @@
         const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
-            if (mustGo(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
-                !stopAdd(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
+            if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
+                !stop_add(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
                 return;
         }
     }
--- a/packages/core/src/mend.c
+++ b/packages/core/src/mend.c
@@ -19,12 +19,12 @@
     return false;
 }
 
-void gangsMend(Core *core, void *mem)
+void gangs_mend(Core *core, void *mem)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms < core->mendMs)
+    if (now_ms < core->mend_ms)
         return;
-    core->mendMs = now_ms + MEND_MS;
+    core->mend_ms = now_ms + MEND_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
     for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
@@ -41,5 +41,5 @@
     }
     ChangeResult result;
     if (list.rounds_count > 0)
-        coreSubmit(core, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
+        core_submit(core, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/move.c
+++ b/packages/core/src/move.c
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-static bool zonesMove(const Pass *pass)
+static bool zones_move(const Pass *pass)
 {
     const char **zones;
     const size_t count = table_drains(pass->core->table, pass->mem, &zones);
@@ -14,22 +14,22 @@
 }
 
 /* Whether the plan would hold with the task on the worker at that place. */
-static bool holdsThere(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
+static bool holds_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
 {
     if (job->spec.protection != PROTECTION_PROTECTED || !pass->asks)
         return true;
     PlanWorker *to = &pass->input.workers[at];
     const Room before = to->free;
     to->free = room_less(to->free, job->spec.steps[task->step].room);
-    passCount(pass, &job->spec, need, (size_t)at);
-    const bool holds = passHolds(pass);
+    pass_count(pass, &job->spec, need, (size_t)at);
+    const bool holds = pass_holds(pass);
     pass->input.task_count--;
     to->free = before;
     return holds;
 }
 
 /* What of the worker may go now; false: nothing. */
-static bool moveFind(Pass *pass, const char *worker, RoundId *round)
+static bool move_find(Pass *pass, const char *worker, RoundId *round)
 {
     const TaskOn *on;
     const size_t count = table_on(pass->core->table, worker, &on);
@@ -38,9 +38,9 @@
         const JobTask *task = &job->tasks[on[t].task];
         if (task->phase != TASK_RUNNING || job->spec.steps[task->step].gang || job->ending != JOB_ACTIVE)
             continue;
-        const PlanNeed need = passNeed(job, task->step);
+        const PlanNeed need = pass_need(job, task->step);
         const int at = plan_choose(pass->input.workers, pass->input.worker_count, &need, NULL);
-        if (at < 0 || !holdsThere(pass, job, task, &need, at))
+        if (at < 0 || !holds_there(pass, job, task, &need, at))
             continue;
         *round = (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
         return true;
@@ -48,7 +48,7 @@
     return false;
 }
 
-static bool anyStops(const Pass *pass, const char *worker)
+static bool any_stops(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
     const size_t count = table_on(pass->core->table, worker, &on);
@@ -62,24 +62,24 @@
  * where another worker has room for it now and the plan would hold with it there.
  * Its stop is confirmed before it starts again; gangs and what nobody else can
  * run stay until they end. */
-bool moveOne(Pass *pass)
+bool move_one(Pass *pass)
 {
     Core *core = pass->core;
     RoundId round;
     bool found = false;
-    if (!zonesMove(pass))
+    if (!zones_move(pass))
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
-        if (table_drain_moves(core->table, pass->input.workers[i].zone) && anyStops(pass, pass->input.workers[i].name))
+        if (table_drain_moves(core->table, pass->input.workers[i].zone) && any_stops(pass, pass->input.workers[i].name))
             return false; /* the last one is on its way */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
         found = table_drain_moves(core->table, pass->input.workers[i].zone) &&
-                moveFind(pass, pass->input.workers[i].name, &round);
+                move_find(pass, pass->input.workers[i].name, &round);
     if (!found)
         return false;
     const StopList list = {&round, 1, "moved off an emptied zone"};
     ChangeResult result;
-    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK)
+    if (core_submit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK)
         core->counts.moved += result.number;
     return true;
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -28,7 +28,7 @@
     Signal added;
 };
 
-static void batchLeave(Batch *batch)
+static void batch_leave(Batch *batch)
 {
     if (--batch->users == 0)
         talloc_free(batch);
@@ -49,7 +49,7 @@
     return news->last;
 }
 
-static void batchAdd(Core *core, Batch *batch, const RoundNews *one)
+static void batch_add(Core *core, Batch *batch, const RoundNews *one)
 {
     if (batch->list.news_count == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
@@ -60,51 +60,51 @@
     shape_copy(&RoundNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
 }
 
-Status newsTell(Core *core, const RoundNews *list, size_t count)
+Status news_tell(Core *core, const RoundNews *list, size_t count)
 {
     News *news = core->told;
     if (count == 0)
         return STATUS_OK;
     Batch *batch = batch_last(news);
     for (size_t i = 0; i < count; i++)
-        batchAdd(core, batch, &list[i]);
+        batch_add(core, batch, &list[i]);
     batch->waited = true;
     batch->users++;
     signal_raise(core->loop, &news->added);
     while (!batch->over)
         signal_wait(core->loop, &batch->ended, INT64_MAX);
     const Status status = batch->status;
-    batchLeave(batch);
+    batch_leave(batch);
     return status;
 }
 
-void newsLater(Core *core, const RoundNews *one)
+void news_later(Core *core, const RoundNews *one)
 {
-    batchAdd(core, batch_last(core->told), one);
+    batch_add(core, batch_last(core->told), one);
     signal_raise(core->loop, &core->told->added);
 }
 
-void newsHurry(Core *core)
+void news_hurry(Core *core)
 {
     if (core->told->first != NULL)
         core->told->first->waited = true;
     signal_raise(core->loop, &core->told->added);
 }
 
-bool newsIdle(const Core *core)
+bool news_idle(const Core *core)
 {
     return core->told->first == NULL && !core->told->busy;
 }
 
 /* Those that nobody waits for are not told again by their agent. */
-static void newsKeep(Core *core, const Batch *batch)
+static void news_keep(Core *core, const Batch *batch)
 {
     for (size_t i = 0; i < batch->list.news_count && view_holds(core->view); i++)
         if (batch->list.news[i].word == ROUND_RUNNING)
-            newsLater(core, &batch->list.news[i]);
+            news_later(core, &batch->list.news[i]);
 }
 
-static void newsMain(void *arg)
+static void news_main(void *arg)
 {
     News *news = arg;
     Core *core = news->core;
@@ -126,19 +126,19 @@
                 batch->list.news[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
-        batch->status = coreSubmit(core, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
+        batch->status = core_submit(core, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
         news->busy = false;
         if (batch->status != STATUS_OK)
-            newsKeep(core, batch);
+            news_keep(core, batch);
         batch->over = true;
         signal_raise(core->loop, &batch->ended);
-        batchLeave(batch);
+        batch_leave(batch);
     }
 }
 
-void newsStart(Core *core)
+void news_start(Core *core)
 {
     core->told = talloc_zero(core, News);
     core->told->core = core;
-    loop_spawn(core->loop, "news", newsMain, core->told);
+    loop_spawn(core->loop, "news", news_main, core->told);
 }
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -4,7 +4,7 @@
 
 #include "inside.h"
 
-AgentLine *agentLine(Core *core, const char *worker)
+AgentLine *agent_line(Core *core, const char *worker)
 {
     AgentLine *line = map_get(core->lines, worker);
     if (line == NULL) {
@@ -14,7 +14,7 @@
     return line;
 }
 
-static void onOrders(void *arg, const char *worker)
+static void on_orders(void *arg, const char *worker)
 {
     Core *core = arg;
     AgentLine *line = map_get(core->lines, worker);
@@ -22,7 +22,7 @@
         signal_raise(core->loop, &line->news);
 }
 
-void ordersWake(Core *core)
+void orders_wake(Core *core)
 {
     void *mem = talloc_new(core);
     const char **names;
@@ -32,10 +32,10 @@
     talloc_free(mem);
 }
 
-void ordersStart(Core *core)
+void orders_start(Core *core)
 {
     core->lines = map_new(core);
-    table_orders_watch(core->table, onOrders, core);
+    table_orders_watch(core->table, on_orders, core);
 }
 
 static bool listed(const RoundId *list, size_t count, const char *job, uint64_t task, uint64_t round)
@@ -46,7 +46,7 @@
     return false;
 }
 
-static void ordersFill(Core *core, void *mem, const BeatAsk *beat, BeatAnswer *out)
+static void orders_fill(Core *core, void *mem, const BeatAsk *beat, BeatAnswer *out)
 {
     const TaskOn *on;
     const size_t count = table_on(core->table, beat->worker.name, &on);
@@ -59,16 +59,16 @@
             continue;
         const char *id = talloc_strdup(mem, job->spec.id);
         const uint64_t number = task_number(task);
-        out->wanted[out->wantedCount++] = (RoundId){id, number, task->round};
+        out->wanted[out->wanted_count++] = (RoundId){id, number, task->round};
         if (task->phase != TASK_PLACED || listed(beat->rounds, beat->rounds_count, id, number, task->round))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
-        out->starts[out->startsCount++] = (Order){
+        out->starts[out->starts_count++] = (Order){
             id, number, task->round, step->room, talloc_strdup(mem, step->payload), talloc_strdup(mem, task->saved)};
     }
 }
 
-static bool ordersNew(const Core *core, const BeatAsk *beat)
+static bool orders_new(const Core *core, const BeatAsk *beat)
 {
     const LiveRow *row = liveset_find(core->liveset, beat->worker.name);
     return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
@@ -76,19 +76,19 @@
            (table_orders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->have_epoch);
 }
 
-void ordersAnswer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
+void orders_answer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
 {
     const int64_t until_ms = loop_now_ms(core->loop) + wait_ms;
-    AgentLine *line = agentLine(core, beat->worker.name);
+    AgentLine *line = agent_line(core, beat->worker.name);
     const uint64_t turn = ++line->turn;
     signal_raise(core->loop, &line->news); /* an earlier question waits no longer */
-    while (!ordersNew(core, beat))
+    while (!orders_new(core, beat))
         if (!signal_wait(core->loop, &line->news, until_ms) || turn != line->turn)
             return;
-    if (!coreDecides(core))
+    if (!core_decides(core))
         return;
     out->orders = true;
     out->revision = table_orders(core->table, beat->worker.name);
     out->expiry_ms = ORDER_EXPIRY_MS;
-    ordersFill(core, mem, beat, out);
+    orders_fill(core, mem, beat, out);
 }
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -16,40 +16,40 @@
     uint64_t moves; /* words of progress */
 };
 
-Paces *pacesNew(void *mem)
+Paces *paces_new(void *mem)
 {
     Paces *paces = talloc_zero(mem, Paces);
     paces->rounds = map_new(paces);
     return paces;
 }
 
-void pacesReset(Paces *paces)
+void paces_reset(Paces *paces)
 {
     talloc_free(paces->rounds);
     paces->rounds = map_new(paces);
     paces->kept = 0;
 }
 
-bool pacesCredible(const Paces *paces)
+bool paces_credible(const Paces *paces)
 {
     return paces->moves >= PACE_CREDIT;
 }
 
-static const char *paceKey(char key[PACE_KEY], const char *job, uint64_t task)
+static const char *pace_key(char key[PACE_KEY], const char *job, uint64_t task)
 {
     snprintf(key, PACE_KEY, "%" PRIu64 " %s", task, job);
     return key;
 }
 
-const Pace *paceFind(const Paces *paces, const char *job, uint64_t task, uint64_t round)
+const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t round)
 {
     char key[PACE_KEY];
-    const Pace *pace = map_get(paces->rounds, paceKey(key, job, task));
+    const Pace *pace = map_get(paces->rounds, pace_key(key, job, task));
     return pace != NULL && pace->round == round ? pace : NULL;
 }
 
 /* Those of tasks that run no more are dropped whenever there are twice as many as then. */
-static void pacesSweep(const Core *core, Paces *paces)
+static void paces_sweep(const Core *core, Paces *paces)
 {
     if (map_count(paces->rounds) < PACES_LEAST || map_count(paces->rounds) < 2 * paces->kept)
         return;
@@ -71,7 +71,7 @@
 }
 
 /* What the way from one word to the next says of the worker. */
-static void workerTake(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t span_ms)
+static void worker_take(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t span_ms)
 {
     const Job *job = table_job(core->table, told->job);
     const size_t at = job != NULL ? task_index(job, told->task) : 0;
@@ -82,23 +82,23 @@
     const int64_t guess = guess_ms(core->guesses, job, job->tasks[at].step);
     if (guess <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
-    const double due = (double)span_ms * 10000.0 / ((double)guess * (double)scoreFarPercent(core, its, step));
+    const double due = (double)span_ms * 10000.0 / ((double)guess * (double)score_far_percent(core, its, step));
     if (due >= 4) /* less is lost in whole percents */
         guesses_pace(core->guesses, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
                      loop_now_ms(core->loop));
 }
 
-void paceTake(Core *core, const char *worker, const RoundSaved *told)
+void pace_take(Core *core, const char *worker, const RoundSaved *told)
 {
     Paces *paces = core->paces;
     char key[PACE_KEY];
     if (told->percent_ms <= 0)
         return;
-    Pace *pace = map_get(paces->rounds, paceKey(key, told->job, told->task));
+    Pace *pace = map_get(paces->rounds, pace_key(key, told->job, told->task));
     if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percent_ms)))
         return;
     if (pace == NULL) {
-        pacesSweep(core, paces);
+        paces_sweep(core, paces);
         pace = talloc_zero(paces->rounds, Pace);
         pace->job = talloc_strdup(pace, told->job);
         pace->task = told->task;
@@ -111,14 +111,14 @@
     pace->round = told->round;
     paces->moves += more > 0;
     /* a round that goes on from what an earlier one saved begins with that */
-    if (goes_on && pacesCredible(paces))
-        workerTake(core, worker, told, more, span_ms);
-    pace->perMs = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
+    if (goes_on && paces_credible(paces))
+        worker_take(core, worker, told, more, span_ms);
+    pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
     if (!goes_on || more > 0)
-        pace->stillMs = goes_on || told->percent > 0 ? told->percent_ms : 0;
+        pace->still_ms = goes_on || told->percent > 0 ? told->percent_ms : 0;
     pace->percent = told->percent;
     pace->ran_ms = told->percent_ms;
-    pace->toldMs = loop_now_ms(core->loop);
+    pace->told_ms = loop_now_ms(core->loop);
 }
--- a/packages/core/src/pace.h
+++ b/packages/core/src/pace.h
@@ -10,23 +10,23 @@
 typedef struct Paces Paces;
 
 /* Of one round. Invariant: percent was reached when it had run for ran_ms, and was the
- * same since it had run for stillMs. */
+ * same since it had run for still_ms. */
 typedef struct Pace {
     const char *job;
     uint64_t task, round;
     uint64_t percent;
-    int64_t ran_ms, stillMs;
-    int64_t toldMs; /* own clock */
-    double perMs;   /* percent a millisecond between the last two words; 0: not known, or it stands still */
+    int64_t ran_ms, still_ms;
+    int64_t told_ms; /* own clock */
+    double per_ms;   /* percent a millisecond between the last two words; 0: not known, or it stands still */
 } Pace;
 
-Paces *pacesNew(void *mem);
-void pacesReset(Paces *paces);
+Paces *paces_new(void *mem);
+void paces_reset(Paces *paces);
 /* Takes a word of a round's progress, and what it says of the worker. */
-void paceTake(struct Core *core, const char *worker, const RoundSaved *told);
+void pace_take(struct Core *core, const char *worker, const RoundSaved *told);
 /* Null: that round has told none. */
-const Pace *paceFind(const Paces *paces, const char *job, uint64_t task, uint64_t round);
+const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t round);
 /* Whether a word of no progress is to be believed. */
-bool pacesCredible(const Paces *paces);
+bool paces_credible(const Paces *paces);
 
 #endif
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -6,19 +6,19 @@
 #include "pass.h"
 
 /* What the worker may be given; none when it may be given nothing now. */
-static Room roomNow(const Core *core, const Worker *worker, Room *strays)
+static Room room_now(const Core *core, const Worker *worker, Room *strays)
 {
     const LiveRow *row = liveset_find(core->liveset, worker->name);
     const bool known = strays_room(core->strays, worker->name, strays);
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(core->loop)) && !worker->excluded &&
-                       !table_drained(core->table, worker->zone) && !scoreRests(core, worker->name);
+                       !table_drained(core->table, worker->zone) && !score_rests(core, worker->name);
     const Room none = {0};
     return ready ? room_less(worker->room, row->others) : none;
 }
 
 /* Workers that may be given work have their free room; the others have none,
  * but what runs on them still counts as to be restarted. */
-static void workersFind(Pass *pass)
+static void workers_find(Pass *pass)
 {
     Core *core = pass->core;
     const Worker **workers;
@@ -29,7 +29,7 @@
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
         Room strays;
-        const Room room = roomNow(core, worker, &strays);
+        const Room room = room_now(core, worker, &strays);
         const Room used = room_more(strays, table_used_on(core->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
@@ -39,14 +39,14 @@
                                               .label_count = worker->labels_count,
                                               .room = room,
                                               .free = room_less(room, used),
-                                              .penalty = scoreRate(core, worker->name) * 10};
+                                              .penalty = score_rate(core, worker->name) * 10};
         pass->speeds[i] = guess_speed(core->guesses, worker->name, loop_now_ms(core->loop));
         pass->fleet = room_more(pass->fleet, room);
     }
     pass->largest = plan_largest(pass->input.workers, count);
 }
 
-size_t passPlace(const Pass *pass, const char *worker)
+size_t pass_place(const Pass *pass, const char *worker)
 {
     size_t low = 0, high = pass->input.worker_count;
     while (low < high) { /* they are in the order of their names */
@@ -62,32 +62,32 @@
     return SIZE_MAX;
 }
 
-Pass *passNew(Core *core, void *mem)
+Pass *pass_new(Core *core, void *mem)
 {
     Pass *pass = talloc_zero(mem, Pass);
     pass->core = core;
     pass->mem = pass;
-    pass->config = coreConfig(core);
+    pass->config = core_config(core);
     pass->asks = (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
-    pass->clock = coreClock(core);
+    pass->clock = core_clock(core);
     pass->next_ms = INT64_MAX;
     pass->input =
         (PlanInput){.r = pass->config->r, .zone_loss = pass->config->zone_loss, .rack_loss = pass->config->rack_loss};
-    workersFind(pass);
+    workers_find(pass);
     pass->sight = (QueueSight){.table = core->table,
                                .config = pass->config,
                                .config_stamp = core->config_stamp,
                                .fleet = pass->fleet,
                                .clock = pass->clock,
-                               .policy = corePolicy,
+                               .policy = core_policy,
                                .arg = core};
     return pass;
 }
 
-void passTasks(Pass *pass)
+void pass_tasks(Pass *pass)
 {
     Core *core = pass->core;
-    pushableCount(pass);
+    pushable_count(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
         const size_t count = table_on(core->table, pass->input.workers[i].name, &on);
@@ -98,15 +98,15 @@
             const bool counts = pass->asks ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
             if (!counts || task->phase == TASK_STOPPING)
                 continue;
-            const PlanNeed need = passNeed(job, task->step);
-            passCount(pass, &job->spec, &need, i);
+            const PlanNeed need = pass_need(job, task->step);
+            pass_count(pass, &job->spec, &need, i);
         }
     }
 }
 
-PlanInput plannerInput(Core *core, void *mem)
+PlanInput planner_input(Core *core, void *mem)
 {
-    Pass *pass = passNew(core, mem);
-    passTasks(pass);
+    Pass *pass = pass_new(core, mem);
+    pass_tasks(pass);
     return pass->input;
 }
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -13,7 +13,7 @@
     const Job *job;
     size_t first;   /* index of the step's first task */
     int *on_worker; /* tasks of the step, for each worker */
-    int *onRack;    /* ... on the worker's rack */
+    int *on_rack;   /* ... on the worker's rack */
     int *near;      /* ... in its zone, and again in its rack */
 } StepSight;
 
@@ -30,8 +30,8 @@
     void *mem;
     const Config *config;
     QueueClock clock;
-    PlanInput input; /* its tasks only after passTasks */
-    size_t taskRoom;
+    PlanInput input; /* its tasks only after pass_tasks */
+    size_t task_room;
     uint64_t *speeds; /* of each worker: time there in thousandths of that on a sound one */
     Room fleet;
     Room largest; /* the largest worker, part by part */
@@ -39,85 +39,85 @@
     Line *line;
     PlaceList places;
     Placed *placed; /* as many as places */
-    size_t placeRoom, placedCount;
+    size_t place_room, placed_count;
     StepSight step;
     PlanNeed full[FULL_MOST]; /* needs that found no room */
-    size_t fullCount;
+    size_t full_count;
     bool asks; /* the configuration names losses that each start must leave a plan for */
-    size_t checks, checksMax;
+    size_t checks, checks_max;
     StopList pushes; /* rounds to be pushed aside */
     Map *cells;      /* names of cells with a policy to their place + 1 in input.pushable */
-    size_t pushLooks;
+    size_t push_looks;
     Room reserved;   /* kept in this pass for what found none */
     int64_t next_ms; /* log time when more can be decided by itself */
 } Pass;
 
 /* On mem, with all that lives as long as it. */
-Pass *passNew(Core *core, void *mem);
+Pass *pass_new(Core *core, void *mem);
 /* Takes in what the plan must hold for. */
-void passTasks(Pass *pass);
+void pass_tasks(Pass *pass);
 /* The worker's place; SIZE_MAX: it has none. */
-size_t passPlace(const Pass *pass, const char *worker);
+size_t pass_place(const Pass *pass, const char *worker);
 
 /* Decides what starts where, at most PLACE_BATCH. */
-void passPlaces(Pass *pass);
-void lostFind(Core *core, void *mem);
-void copiesFind(Core *core, void *mem);
+void pass_places(Pass *pass);
+void lost_find(Core *core, void *mem);
+void copies_find(Core *core, void *mem);
 /* Stops what runs of gangs that are not whole, so that they go again as one. */
-void gangsMend(Core *core, void *mem);
-void assureMore(Pass *pass);
+void gangs_mend(Core *core, void *mem);
+void assure_more(Pass *pass);
 /* True: something was stopped, and the pass is over. */
-bool moveOne(Pass *pass);
+bool move_one(Pass *pass);
 /* Stops what is better begun anew elsewhere. True: something was, and the pass is over. */
-bool stopLook(Pass *pass);
+bool stop_look(Pass *pass);
 /* The round is to be stopped, and finds room on the worker at that place, if at is one;
  * false: there are as many as may be. */
-bool stopAdd(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most);
+bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most);
 /* Adds what stands still, or is far too slow, where it is; and takes the room that it
  * will need elsewhere. */
-void slowFind(Pass *pass, StopList *list);
+void slow_find(Pass *pass, StopList *list);
 /* Adds what could not end before its worker has left. */
-void leaveFind(Pass *pass, StopList *list);
+void leave_find(Pass *pass, StopList *list);
 /* How long the task, on the worker at that place, should still take; INT64_MAX: nobody knows. */
-int64_t passLeftMs(const Pass *pass, const Job *job, const JobTask *task, size_t worker);
+int64_t pass_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker);
 /* When the worker should have so much room; 0: now, INT64_MAX: nobody knows. */
-int64_t soonestMs(const Pass *pass, size_t worker, Room need);
-PlanNeed passNeed(const Job *job, uint64_t step);
+int64_t soonest_ms(const Pass *pass, size_t worker, Room need);
+PlanNeed pass_need(const Job *job, uint64_t step);
 /* One more protected task that plans must include. */
-void passCount(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
-bool passHolds(Pass *pass);
+void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
+bool pass_holds(Pass *pass);
 /* Places all members of the candidate or none. */
-bool placeOne(Pass *pass, const Candidate *candidate);
+bool place_one(Pass *pass, const Candidate *candidate);
 
-void sightFind(Pass *pass, const Job *job, size_t task);
-void sightAdd(Pass *pass, size_t at, int by);
+void sight_find(Pass *pass, const Job *job, size_t task);
+void sight_add(Pass *pass, size_t at, int by);
 /* The best worker for the task, not one of those in not, on the rack when it is
  * not null; -1: none has room. Not where its last round failed, unless there is
  * no other. */
-int chooseFor(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
+int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
 /* What the place makes of the step's time; 100: it is near its data and the others. */
-uint64_t chooseFarPercent(const Pass *pass, const StepSpec *step, size_t at);
+uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at);
 /* Whether to wait a moment for room that is near, rather than take the longer way. */
-bool chooseWaits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent);
+bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent);
 /* Room that protected work may push aside, into pass->input. */
-void pushableCount(Pass *pass);
+void pushable_count(Pass *pass);
 /* The place of the task's cell in it; PLAN_NO_CELL: none. */
-size_t pushableCell(const Pass *pass, const JobSpec *spec);
+size_t pushable_cell(const Pass *pass, const JobSpec *spec);
 /* Who wants room looks for running work that its cell's policy lets it push
  * aside, all on one worker. */
-void pushFor(Pass *pass, const Candidate *candidate);
+void push_for(Pass *pass, const Candidate *candidate);
 /* The same by the built-in policy, for what would miss its aim. */
-void pushAim(Pass *pass, const Candidate *candidate);
+void push_aim(Pass *pass, const Candidate *candidate);
 
 /* The candidate found no room: what is nearest to having it is left to it, for as
  * long as this pass goes on. */
-void reserveFor(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded);
+void reserve_for(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded);
 
 /* Which workers are kept for big work that small work overtakes. */
-void keptBegin(Pass *pass);
+void kept_begin(Pass *pass);
 /* Marks in not what is kept for others than this candidate; true when any is. */
-bool keptFrom(const Pass *pass, const Candidate *candidate, bool *excluded);
+bool kept_from(const Pass *pass, const Candidate *candidate, bool *excluded);
 /* The candidate found no room: it may be time to keep some for it. */
-void keptWant(Pass *pass, const Candidate *candidate, const StepSpec *step);
+void kept_want(Pass *pass, const Candidate *candidate, const StepSpec *step);
 
 #endif
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -4,33 +4,33 @@
 
 #include "pass.h"
 
-PlanNeed passNeed(const Job *job, uint64_t step)
+PlanNeed pass_need(const Job *job, uint64_t step)
 {
     const StepSpec *spec = &job->spec.steps[step];
     return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labels_count};
 }
 
-void passCount(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
+void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
 {
     PlanInput *input = &pass->input;
-    if (input->task_count == pass->taskRoom) {
-        pass->taskRoom = pass->taskRoom ? pass->taskRoom * 2 : 64;
-        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->taskRoom);
+    if (input->task_count == pass->task_room) {
+        pass->task_room = pass->task_room ? pass->task_room * 2 : 64;
+        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_room);
     }
-    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushableCell(pass, spec)};
+    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
 }
 
-bool passHolds(Pass *pass)
+bool pass_holds(Pass *pass)
 {
     pass->checks++;
-    pass->core->counts.planChecks++;
+    pass->core->counts.plan_checks++;
     const bool holds = plan_always_possible(&pass->input, NULL);
     if (!holds)
-        pass->core->counts.planRefusals++;
+        pass->core->counts.plan_refusals++;
     return holds;
 }
 
-static bool underQuota(Pass *pass, const Candidate *candidate, const StepSpec *step)
+static bool under_quota(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
     const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
     const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, candidate->job->spec.tenant) : NULL;
@@ -48,15 +48,15 @@
 static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t round,
                       const char *saved, bool assured)
 {
-    if (pass->places.placements_count == pass->placeRoom) {
-        pass->placeRoom = pass->placeRoom ? pass->placeRoom * 2 : 32;
+    if (pass->places.placements_count == pass->place_room) {
+        pass->place_room = pass->place_room ? pass->place_room * 2 : 32;
         pass->places.placements =
-            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->placeRoom);
-        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->placeRoom);
+            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_room);
+        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_room);
     }
     const LiveRow *row = liveset_find(pass->core->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
-    pass->placed[pass->placedCount++] = (Placed){candidate->job, task, worker};
+    pass->placed[pass->placed_count++] = (Placed){candidate->job, task, worker};
     pass->places.placements[pass->places.placements_count++] = (Placement){
         .job = candidate->job->spec.id,
         .task = task_number(&candidate->job->tasks[task]),
@@ -68,33 +68,33 @@
     };
 }
 
-static void takeBack(Pass *pass, const StepSpec *step, const int *where, size_t count)
+static void take_back(Pass *pass, const StepSpec *step, const int *where, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         PlanWorker *worker = &pass->input.workers[where[i]];
         worker->free = room_more(worker->free, step->room);
-        sightAdd(pass, (size_t)where[i], -1);
+        sight_add(pass, (size_t)where[i], -1);
     }
 }
 
 /* Chooses for every member, on one rack when it is named. What is chosen is taken
  * out of free; nothing is unless all found room. */
-static bool chooseAll(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, const char *rack,
-                      int *where, uint64_t *percent)
+static bool choose_all(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, const char *rack,
+                       int *where, uint64_t *percent)
 {
     const StepSpec *step = &candidate->job->spec.steps[candidate->job->tasks[candidate->first].step];
     *percent = 100;
     for (size_t i = 0; i < candidate->count; i++) {
-        const int at = chooseFor(pass, candidate->job, candidate_task(candidate, i), need, excluded, rack);
+        const int at = choose_for(pass, candidate->job, candidate_task(candidate, i), need, excluded, rack);
         if (at < 0) {
-            takeBack(pass, step, where, i);
+            take_back(pass, step, where, i);
             return false;
         }
-        const uint64_t its = chooseFarPercent(pass, step, (size_t)at);
+        const uint64_t its = choose_far_percent(pass, step, (size_t)at);
         if (its > *percent)
             *percent = its;
         pass->input.workers[at].free = room_less(pass->input.workers[at].free, step->room);
-        sightAdd(pass, (size_t)at, 1);
+        sight_add(pass, (size_t)at, 1);
         where[i] = at;
     }
     return true;
@@ -102,42 +102,42 @@
 
 /* A gang that is faster on one rack tries each, the one of its data first; then all
  * together. */
-static bool chooseRacks(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, int *where,
-                        uint64_t *percent)
+static bool choose_racks(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, int *where,
+                         uint64_t *percent)
 {
     const StepSpec *step = &candidate->job->spec.steps[candidate->job->tasks[candidate->first].step];
     if (candidate->count > 1 && step->same_rack) {
-        if (step->near[0] != '\0' && chooseAll(pass, candidate, need, excluded, step->near, where, percent))
+        if (step->near[0] != '\0' && choose_all(pass, candidate, need, excluded, step->near, where, percent))
             return true;
         for (size_t i = 0; i < pass->input.worker_count; i++) {
             const char *rack = pass->input.workers[i].rack;
             bool seen = rack[0] == '\0' || strcmp(rack, step->near) == 0;
             for (size_t k = 0; k < i && !seen; k++)
                 seen = strcmp(pass->input.workers[k].rack, rack) == 0;
-            if (!seen && chooseAll(pass, candidate, need, excluded, rack, where, percent))
+            if (!seen && choose_all(pass, candidate, need, excluded, rack, where, percent))
                 return true;
         }
     }
-    return chooseAll(pass, candidate, need, excluded, NULL, where, percent);
+    return choose_all(pass, candidate, need, excluded, NULL, where, percent);
 }
 
 /* Whether the plan would still hold with the candidate there. */
 static bool assures(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
     if (!pass->asks) /* no loss is to be survived: what the last look said is shown */
-        return pass->core->planHolds;
-    if (pass->checks >= pass->checksMax)
+        return pass->core->plan_holds;
+    if (pass->checks >= pass->checks_max)
         return false;
     const size_t before = pass->input.task_count;
     for (size_t i = 0; i < candidate->count; i++)
-        passCount(pass, &candidate->job->spec, need, (size_t)where[i]);
-    const bool holds = passHolds(pass);
+        pass_count(pass, &candidate->job->spec, need, (size_t)where[i]);
+    const bool holds = pass_holds(pass);
     if (!holds)
         pass->input.task_count = before;
     return holds;
 }
 
-static void placeAll(Pass *pass, const Candidate *candidate, const int *where, bool assured)
+static void place_all(Pass *pass, const Candidate *candidate, const int *where, bool assured)
 {
     uint64_t round = 0;
     const char *saved = "";
@@ -147,7 +147,7 @@
             round = task->round + 1;
         /* of a round that was lost with its worker the beats alone have told */
         const char *told =
-            task->round > 0 ? coreSaved(pass->core, candidate->job->spec.id, task_number(task), task->round) : "";
+            task->round > 0 ? core_saved(pass->core, candidate->job->spec.id, task_number(task), task->round) : "";
         if (saved[0] == '\0')
             saved = told[0] != '\0' ? told : task->saved;
     }
@@ -160,44 +160,44 @@
 
 /* Whether as much room, or less, was not to be found before in this pass. Free room only
  * shrinks in a pass, so what found none finds none later. */
-static bool knownFull(const Pass *pass, const PlanNeed *need)
+static bool known_full(const Pass *pass, const PlanNeed *need)
 {
-    for (size_t i = 0; i < pass->fullCount; i++)
+    for (size_t i = 0; i < pass->full_count; i++)
         if (room_fits(pass->full[i].room, need->room) && strcmp(pass->full[i].kind, need->kind) == 0)
             return true;
     return false;
 }
 
-static void fullAdd(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool kept)
+static void full_add(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool kept)
 {
     /* what asks for more than room may fail where another finds some */
-    if (kept || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->fullCount == FULL_MOST)
+    if (kept || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->full_count == FULL_MOST)
         return;
-    pass->full[pass->fullCount++] = *need;
+    pass->full[pass->full_count++] = *need;
 }
 
-bool placeOne(Pass *pass, const Candidate *candidate)
+bool place_one(Pass *pass, const Candidate *candidate)
 {
     const JobSpec *spec = &candidate->job->spec;
-    const uint64_t stepAt = candidate->job->tasks[candidate->first].step;
-    const StepSpec *step = &spec->steps[stepAt];
-    if (!underQuota(pass, candidate, step))
+    const uint64_t step_at = candidate->job->tasks[candidate->first].step;
+    const StepSpec *step = &spec->steps[step_at];
+    if (!under_quota(pass, candidate, step))
         return false;
-    const PlanNeed need = passNeed(candidate->job, stepAt);
+    const PlanNeed need = pass_need(candidate->job, step_at);
     void *mem = talloc_new(pass->mem);
     int *where = talloc_array(mem, int, (unsigned)candidate->count);
     bool *excluded = talloc_zero_array(mem, bool, (unsigned)pass->input.worker_count);
-    const bool kept = keptFrom(pass, candidate, excluded), full = knownFull(pass, &need);
+    const bool kept = kept_from(pass, candidate, excluded), full = known_full(pass, &need);
     uint64_t percent = 100;
-    const bool found = !full && chooseRacks(pass, candidate, &need, excluded, where, &percent);
+    const bool found = !full && choose_racks(pass, candidate, &need, excluded, where, &percent);
     bool fits = found, assured = false;
     if (!found) {
         if (!full)
-            fullAdd(pass, candidate, step, &need, kept);
-        reserveFor(pass, candidate, &need, excluded);
-        pushFor(pass, candidate);
-        keptWant(pass, candidate, step);
-    } else if (chooseWaits(pass, candidate, step, &need, percent)) {
+            full_add(pass, candidate, step, &need, kept);
+        reserve_for(pass, candidate, &need, excluded);
+        push_for(pass, candidate);
+        kept_want(pass, candidate, step);
+    } else if (choose_waits(pass, candidate, step, &need, percent)) {
         fits = false;
     } else if (spec->protection == PROTECTION_PROTECTED) {
         assured = assures(pass, candidate, &need, where);
@@ -206,9 +206,9 @@
             fits = candidate->restart || pass->clock.log_ms - candidate->since_ms >= ASSURE_WAIT_MS;
     }
     if (fits)
-        placeAll(pass, candidate, where, assured);
+        place_all(pass, candidate, where, assured);
     else if (found)
-        takeBack(pass, step, where, candidate->count);
+        take_back(pass, step, where, candidate->count);
     talloc_free(mem);
     return fits;
 }
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -17,44 +17,44 @@
 
 /* Looks whether the plan holds as things stand. Where no loss is to be survived by
  * each start this is to be shown, and once in a while is enough. */
-static void planLook(Pass *pass)
+static void plan_look(Pass *pass)
 {
     Core *core = pass->core;
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (!pass->asks && now_ms < core->planLookMs)
+    if (!pass->asks && now_ms < core->plan_look_ms)
         return;
-    core->planLookMs = now_ms + PLAN_LOOK_MS;
-    passTasks(pass);
+    core->plan_look_ms = now_ms + PLAN_LOOK_MS;
+    pass_tasks(pass);
     /* one look costs about losses times (tasks and workers) */
     const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
-    pass->checksMax = PLAN_WORK_MAX / each;
-    if (pass->checksMax > PLAN_CHECKS_MAX)
-        pass->checksMax = PLAN_CHECKS_MAX;
-    if (pass->checksMax < PLAN_CHECKS_LEAST)
-        pass->checksMax = PLAN_CHECKS_LEAST;
+    pass->checks_max = PLAN_WORK_MAX / each;
+    if (pass->checks_max > PLAN_CHECKS_MAX)
+        pass->checks_max = PLAN_CHECKS_MAX;
+    if (pass->checks_max < PLAN_CHECKS_LEAST)
+        pass->checks_max = PLAN_CHECKS_LEAST;
     PlanBreak broken = {LOSS_WORKER, ""};
-    core->planHolds = plan_always_possible(&pass->input, &broken);
-    core->brokenByLoss = broken.loss;
-    snprintf(core->brokenBy, sizeof(core->brokenBy), "%s", broken.name);
+    core->plan_holds = plan_always_possible(&pass->input, &broken);
+    core->broken_by_loss = broken.loss;
+    snprintf(core->broken_by, sizeof(core->broken_by), "%s", broken.name);
 }
 
-static void policiesLook(Core *core)
+static void policies_look(Core *core)
 {
     const char *words;
-    const uint64_t failures = corePolicyFailures(core, &words);
-    if (failures > 0 && core->policyFailuresTold == 0)
+    const uint64_t failures = core_policy_failures(core, &words);
+    if (failures > 0 && core->policy_failures_told == 0)
         ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "a policy failed, first come goes first: %s", words);
-    core->policyFailuresTold = failures;
+    core->policy_failures_told = failures;
 }
 
-void passPlaces(Pass *pass)
+void pass_places(Pass *pass)
 {
     pass->line = line_new(pass->mem, pass->core->queue, &pass->sight);
-    policiesLook(pass->core);
-    keptBegin(pass);
+    policies_look(pass->core);
+    kept_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = line_next(pass->line)) != NULL)
-        if (placeOne(pass, candidate))
+        if (place_one(pass, candidate))
             line_placed(pass->line);
         else
             line_stuck(pass->line);
@@ -63,7 +63,7 @@
 }
 
 /* So long until the next pass: one takes time by what it looks at. */
-static int64_t gapMs(const Pass *pass)
+static int64_t gap_ms(const Pass *pass)
 {
     const int64_t looks = (int64_t)(pass->input.worker_count + line_count(pass->line));
     const int64_t wait_ms = PASS_GAP_MS + looks / PASS_GAP_LOOKS;
@@ -72,52 +72,52 @@
 
 /* One look at everything; true when there may be more to decide at once. next_ms: when
  * there will be by itself, by the own clock. */
-static bool passRun(Core *core, int64_t *next_ms)
+static bool pass_run(Core *core, int64_t *next_ms)
 {
     uint64_t seen = core->news;
-    Pass *pass = passNew(core, core);
+    Pass *pass = pass_new(core, core);
     core->counts.passes++;
     *next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
-    if (stopLook(pass)) { /* the table has changed: what the pass knows is over */
+    if (stop_look(pass)) { /* the table has changed: what the pass knows is over */
         talloc_free(pass);
         return true;
     }
-    planLook(pass);
-    passPlaces(pass);
-    core->passGapMs = gapMs(pass);
+    plan_look(pass);
+    pass_places(pass);
+    core->pass_gap_ms = gap_ms(pass);
     if (pass->next_ms < pass->clock.log_ms + PLACE_TICK_MS)
         *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.log_ms;
     const bool more = pass->places.placements_count >= PLACE_BATCH;
     ChangeResult result;
     if (pass->places.placements_count > 0) {
-        if (coreSubmit(core, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) == STATUS_OK)
+        if (core_submit(core, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) == STATUS_OK)
             core->counts.placed += result.number;
         seen++; /* our own change is no news */
     }
-    if (pass->pushes.rounds_count > 0 && coreDecides(core)) {
-        if (coreSubmit(core, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) == STATUS_OK)
+    if (pass->pushes.rounds_count > 0 && core_decides(core)) {
+        if (core_submit(core, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) == STATUS_OK)
             core->counts.pushed += result.number;
     } else if (pass->places.placements_count == 0) {
-        if (!moveOne(pass) && pass->asks && pass->checks == 0 && coreDecides(core))
-            assureMore(pass);
+        if (!move_one(pass) && pass->asks && pass->checks == 0 && core_decides(core))
+            assure_more(pass);
     }
     talloc_free(pass);
     return more || core->news > seen;
 }
 
 /* What must not wait for a quiet moment. */
-static void silentLook(Core *core)
+static void silent_look(Core *core)
 {
     void *mem = talloc_new(core);
-    lostFind(core, mem);
-    if (coreDecides(core))
-        copiesFind(core, mem);
-    if (loop_now_ms(core->loop) >= core->placeFromMs && coreDecides(core))
-        gangsMend(core, mem);
+    lost_find(core, mem);
+    if (core_decides(core))
+        copies_find(core, mem);
+    if (loop_now_ms(core->loop) >= core->place_from_ms && core_decides(core))
+        gangs_mend(core, mem);
     talloc_free(mem);
 }
 
-static void plannerMain(void *arg)
+static void planner_main(void *arg)
 {
     Core *core = arg;
     bool more = false;
@@ -125,20 +125,20 @@
     while (!loop_stopping(core->loop)) {
         if (!more)
             signal_wait(core->loop, &core->wake, next_ms);
-        loop_sleep(core->loop, core->passGapMs > 0 ? core->passGapMs : PASS_GAP_MS);
+        loop_sleep(core->loop, core->pass_gap_ms > 0 ? core->pass_gap_ms : PASS_GAP_MS);
         more = false;
         next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
-        if (!coreDecides(core))
+        if (!core_decides(core))
             continue;
-        silentLook(core);
-        if (loop_now_ms(core->loop) >= core->placeFromMs && coreDecides(core))
-            more = passRun(core, &next_ms);
-        else if (core->placeFromMs < next_ms)
-            next_ms = core->placeFromMs;
+        silent_look(core);
+        if (loop_now_ms(core->loop) >= core->place_from_ms && core_decides(core))
+            more = pass_run(core, &next_ms);
+        else if (core->place_from_ms < next_ms)
+            next_ms = core->place_from_ms;
     }
 }
 
-void plannerStart(Core *core)
+void planner_start(Core *core)
 {
-    loop_spawn(core->loop, "planner", plannerMain, core);
+    loop_spawn(core->loop, "planner", planner_main, core);
 }
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -6,7 +6,7 @@
 #include "base/map.h"
 #include "pass.h"
 
-size_t pushableCell(const Pass *pass, const JobSpec *spec)
+size_t pushable_cell(const Pass *pass, const JobSpec *spec)
 {
     const size_t at = pass->cells != NULL ? (size_t)(uintptr_t)map_get(pass->cells, spec->cell) : 0;
     return at > 0 ? at - 1 : PLAN_NO_CELL;
@@ -20,7 +20,7 @@
     bool whole; /* every queue has its speaker here */
 } Speakers;
 
-static void speakersFind(const Core *core, const char *cell, Speakers *speakers)
+static void speakers_find(const Core *core, const char *cell, Speakers *speakers)
 {
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
@@ -48,7 +48,7 @@
 
 /* A running task that is itself not protected counts when every speaker of its
  * cell may push it: so no two of them count on room that only one may have. */
-void pushableCount(Pass *pass)
+void pushable_count(Pass *pass)
 {
     Core *core = pass->core;
     const Config *config = pass->config;
@@ -56,7 +56,7 @@
     size_t cells = 0;
     pass->cells = map_new(pass->mem);
     for (size_t c = 0; c < config->cell_count; c++)
-        if (corePolicy(core, &config->cells[c]) != policy_plain())
+        if (core_policy(core, &config->cells[c]) != policy_plain())
             map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
     if (cells == 0)
         return;
@@ -67,11 +67,11 @@
     size_t looks = 0;
     for (size_t c = 0; c < config->cell_count; c++) {
         const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
-        const Policy *policy = corePolicy(core, &config->cells[c]);
+        const Policy *policy = core_policy(core, &config->cells[c]);
         Speakers speakers;
         if (place == 0)
             continue;
-        speakersFind(core, config->cells[c].name, &speakers);
+        speakers_find(core, config->cells[c].name, &speakers);
         if (speakers.count == 0 || !speakers.whole)
             continue;
         for (size_t j = 0; j < count; j++) {
@@ -80,7 +80,7 @@
                 continue;
             for (size_t t = 0; t < jobs[j]->tasks_count && looks < PUSH_LOOKS_MAX; t++) {
                 const JobTask *task = &jobs[j]->tasks[t];
-                const size_t at = task->phase == TASK_RUNNING ? passPlace(pass, task->worker) : SIZE_MAX;
+                const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
                 /* a worker that is given nothing has no room to be had either */
                 if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
                     continue;
@@ -102,20 +102,20 @@
  * aside, all on one worker. The room is used only once the old rounds are known
  * to be over. Room that is being given up already counts: nothing more is pushed
  * while that would do. */
-void pushFor(Pass *pass, const Candidate *candidate)
+void push_for(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
     const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
-    const Policy *policy = corePolicy(core, cell);
+    const Policy *policy = core_policy(core, cell);
     if (pass->pushes.rounds_count > 0)
         return;
     if (policy == policy_plain()) {
-        pushAim(pass, candidate);
+        push_aim(pass, candidate);
         return;
     }
-    if (candidate->count != 1 || pass->pushLooks >= PUSH_LOOKS_MAX)
+    if (candidate->count != 1 || pass->push_looks >= PUSH_LOOKS_MAX)
         return;
-    const PlanNeed need = passNeed(candidate->job, candidate->job->tasks[candidate->first].step);
+    const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
     const PolicySight mine = queue_see(core->queue, &pass->sight, candidate->job, candidate->first);
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
@@ -125,10 +125,10 @@
             continue;
         Room free = worker->free;
         RoundId victims[PUSH_TASKS_MAX];
-        size_t victimCount = 0, looked = 0;
+        size_t victim_count = 0, looked = 0;
         const TaskOn *on;
-        const size_t onCount = table_on(core->table, worker->name, &on);
-        for (size_t i = 0; i < onCount; i++) {
+        const size_t on_count = table_on(core->table, worker->name, &on);
+        for (size_t i = 0; i < on_count; i++) {
             const JobTask *task = &on[i].job->tasks[on[i].task];
             if (task->phase == TASK_STOPPING)
                 free = room_more(free, on[i].job->spec.steps[task->step].room);
@@ -145,18 +145,18 @@
                     continue;
                 const PolicySight other = queue_see(core->queue, &pass->sight, job, t);
                 looked++;
-                pass->pushLooks++;
+                pass->push_looks++;
                 if (!policy->may_push(policy->arg, &mine, &other))
                     continue;
-                victims[victimCount++] =
+                victims[victim_count++] =
                     (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
                 free = room_more(free, job->spec.steps[task->step].room);
             }
         }
         if (!room_fits(need.room, free))
             continue;
-        pass->pushes.rounds = talloc_memdup(pass->mem, victims, victimCount * sizeof(*victims));
-        pass->pushes.rounds_count = victimCount;
+        pass->pushes.rounds = talloc_memdup(pass->mem, victims, victim_count * sizeof(*victims));
+        pass->pushes.rounds_count = victim_count;
         pass->pushes.why = "pushed aside";
         return;
     }
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -7,12 +7,12 @@
 
 #include "pass.h"
 
-static int64_t priorityOf(Pass *pass, const Job *job, size_t task)
+static int64_t priority_of(Pass *pass, const Job *job, size_t task)
 {
     return queue_see(pass->core->queue, &pass->sight, job, task).queue_priority;
 }
 
-static bool mostUrgent(const Pass *pass, const Job *job, int64_t priority)
+static bool most_urgent(const Pass *pass, const Job *job, int64_t priority)
 {
     const ConfigCell *cell = config_cell(pass->config, job->spec.cell);
     for (size_t i = 0; cell != NULL && i < cell->queue_count; i++)
@@ -22,14 +22,14 @@
 }
 
 /* Core-milliseconds that are done again when the round is stopped now; -1: it is not to be. */
-static int64_t costOf(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
+static int64_t cost_of(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
     if (task->phase != TASK_RUNNING || step->gang || job->ending != JOB_ACTIVE || job == candidate->job ||
         task->round >= SLOW_ROUNDS_MOST || strcmp(job->spec.cell, candidate->job->spec.cell) != 0 ||
-        priorityOf(pass, job, on->task) >= priority)
+        priority_of(pass, job, on->task) >= priority)
         return -1;
     /* what keeps its progress saves once more when it is stopped */
     const int64_t lost_ms = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
@@ -43,7 +43,7 @@
 } Push;
 
 /* The cheapest first, until there is room; false: there is none to be had. */
-static bool pushFind(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need, Push *push)
+static bool push_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need, Push *push)
 {
     Room free = pass->input.workers[worker].free;
     const TaskOn *on;
@@ -52,12 +52,12 @@
     *push = (Push){.count = 0};
     while (!room_fits(need, free) && push->count < PUSH_VICTIMS_MOST) {
         size_t best = count;
-        int64_t bestCost = 0;
+        int64_t best_cost = 0;
         for (size_t i = 0; i < count; i++) {
-            const int64_t cost = taken[i] ? -1 : costOf(pass, candidate, priority, &on[i]);
-            if (cost >= 0 && (best == count || cost < bestCost)) {
+            const int64_t cost = taken[i] ? -1 : cost_of(pass, candidate, priority, &on[i]);
+            if (cost >= 0 && (best == count || cost < best_cost)) {
                 best = i;
-                bestCost = cost;
+                best_cost = cost;
             }
         }
         if (best == count)
@@ -65,35 +65,35 @@
         const JobTask *task = &on[best].job->tasks[on[best].task];
         taken[best] = true;
         free = room_more(free, on[best].job->spec.steps[task->step].room);
-        push->cost += bestCost;
+        push->cost += best_cost;
         push->rounds[push->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
     }
     talloc_free(taken);
     return room_fits(need, free);
 }
 
-void pushAim(Pass *pass, const Candidate *candidate)
+void push_aim(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
     if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PUSH_SLACK_MS ||
-        candidate->slack_ms < -candidate->guess_ms / 2 || loop_now_ms(core->loop) < core->pushFromMs)
+        candidate->slack_ms < -candidate->guess_ms / 2 || loop_now_ms(core->loop) < core->push_from_ms)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
-    const int64_t priority = priorityOf(pass, candidate->job, candidate->first);
-    if (!mostUrgent(pass, candidate->job, priority))
+    const int64_t priority = priority_of(pass, candidate->job, candidate->first);
+    if (!most_urgent(pass, candidate->job, priority))
         return;
-    const PlanNeed need = passNeed(candidate->job, task->step);
+    const PlanNeed need = pass_need(candidate->job, task->step);
     const int64_t most = PUSH_COST * candidate->guess_ms * (int64_t)need.room.cpu_milli / 1000;
     Push best = {.count = 0};
-    core->pushFromMs = loop_now_ms(core->loop) + PUSH_GAP_MS;
+    core->push_from_ms = loop_now_ms(core->loop) + PUSH_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
-        if (soonestMs(pass, w, need.room) <= PUSH_TAKES_MS)
+        if (soonest_ms(pass, w, need.room) <= PUSH_TAKES_MS)
             return; /* it has room before anybody could be out of the way */
         Push push;
-        if (pushFind(pass, candidate, priority, w, need.room, &push) && push.cost <= most &&
+        if (push_find(pass, candidate, priority, w, need.room, &push) && push.cost <= most &&
             (best.count == 0 || push.cost < best.cost))
             best = push;
     }
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -12,29 +12,29 @@
     const Policy *policy;
 } Trying;
 
-static const Policy *policyTried(void *arg, const ConfigCell *cell)
+static const Policy *policy_tried(void *arg, const ConfigCell *cell)
 {
     const Trying *trying = arg;
     const bool mine = cell != NULL && trying->policy != NULL && strcmp(cell->name, trying->cell) == 0;
-    return mine ? trying->policy : corePolicy(trying->core, cell);
+    return mine ? trying->policy : core_policy(trying->core, cell);
 }
 
-static void queueShow(Way *way, const Policy *policy)
+static void queue_show(Way *way, const Policy *policy)
 {
     Core *core = way->core;
     int64_t limit = LIST_PAGE;
     query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
     const char *cell = query_value(way->mem, way->task->query, "cell");
-    const Config *config = coreConfig(core);
+    const Config *config = core_config(core);
     if (cell == NULL || config_cell(config, cell) == NULL)
         fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
     if (way->faults->count > 0) {
-        wayRefuse(way);
+        way_refuse(way);
         return;
     }
-    Pass *pass = passNew(core, way->mem);
+    Pass *pass = pass_new(core, way->mem);
     Trying trying = {core, cell, policy};
-    pass->sight.policy = policyTried;
+    pass->sight.policy = policy_tried;
     pass->sight.arg = &trying;
     Line *line = line_new(pass, core->queue, &pass->sight);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
@@ -59,13 +59,13 @@
     show_result(way->task, 200, body);
 }
 
-void queueGet(Way *way)
+void queue_get(Way *way)
 {
-    queueShow(way, NULL);
+    queue_show(way, NULL);
 }
 
 /* What a policy would decide on the present queue; nothing is changed. */
-void queueTry(Way *way)
+void queue_try(Way *way)
 {
     const char *text = talloc_strndup(way->mem, (const char *)way->task->body.data, way->task->body.count);
     LuaPolicy *policy;
@@ -75,7 +75,7 @@
     else if (lua_policy_new(way->mem, "policy", text, &policy, &failure) != STATUS_OK)
         fault_add(way->faults, STATUS_BAD_POLICY, "", "%s", failure.text);
     if (way->faults->count > 0)
-        wayRefuse(way);
+        way_refuse(way);
     else
-        queueShow(way, lua_policy(policy));
+        queue_show(way, lua_policy(policy));
 }
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -23,7 +23,7 @@
     char address[ADDRESS_MAX];
 } RetellPart;
 
-static void retellingLeave(Retelling *retelling)
+static void retelling_leave(Retelling *retelling)
 {
     if (--retelling->users == 0)
         talloc_free(retelling);
@@ -52,7 +52,7 @@
     }
     retelling->pending--;
     signal_raise(core->loop, &retelling->ended);
-    retellingLeave(retelling);
+    retelling_leave(retelling);
     talloc_free(part);
 }
 
@@ -62,7 +62,7 @@
 static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD, CHANGE_JOB_CANCEL,
                                  CHANGE_ZONE_DRAIN, CHANGE_ROUNDS,  CHANGE_JOB_END};
 
-static size_t kindPlace(uint64_t change)
+static size_t kind_place(uint64_t change)
 {
     size_t at = 0;
     while (at < sizeof(KINDS) / sizeof(KINDS[0]) && KINDS[at] != change)
@@ -70,16 +70,16 @@
     return at;
 }
 
-static int itemOrder(const void *a, const void *b)
+static int item_order(const void *a, const void *b)
 {
     const KeepItem *x = a, *y = b;
-    const size_t p = kindPlace(x->change), q = kindPlace(y->change);
+    const size_t p = kind_place(x->change), q = kind_place(y->change);
     if (p != q)
         return p < q ? -1 : 1;
     return x->index < y->index ? -1 : x->index > y->index;
 }
 
-static uint64_t revisionOf(const ConfigSet *set)
+static uint64_t revision_of(const ConfigSet *set)
 {
     return set->revision != 0 ? set->revision : set->base + 1;
 }
@@ -105,7 +105,7 @@
     }
     case CHANGE_CONFIG_SET:
         return shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK ||
-               revisions_newest(table_revisions(table)) >= revisionOf(&set);
+               revisions_newest(table_revisions(table)) >= revision_of(&set);
     case CHANGE_ZONE_DRAIN:
         return shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) != STATUS_OK ||
                table_drain_stamp(table, drain.zone) >= drain.stamp || table_drain_known(table, &drain) != DRAIN_NEW;
@@ -127,7 +127,7 @@
     if (item->change != CHANGE_CONFIG_SET ||
         shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK)
         return item->payload;
-    set.revision = revisionOf(&set);
+    set.revision = revision_of(&set);
     set.restored = true;
     Bytes payload = {0};
     shape_pack(&ConfigSet_shape, &set, mem, &payload);
@@ -136,19 +136,19 @@
 
 /* A configuration that is told as a change counts only upon the one before: they
  * are put in the order of their revisions, from wherever they are told. */
-static void configsOrder(Retelling *retelling)
+static void configs_order(Retelling *retelling)
 {
     for (size_t i = 0; i < retelling->count; i++) {
         KeepItem *item = &retelling->items[i];
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
             shape_unpack(&ConfigSet_shape, item->payload, retelling, &set, NULL) == STATUS_OK)
-            item->index = revisionOf(&set);
+            item->index = revision_of(&set);
     }
 }
 
 /* Asks everybody once and submits what is missing; true when all of it was. */
-static bool repairOnce(Core *core, uint64_t turn)
+static bool repair_once(Core *core, uint64_t turn)
 {
     /* those who were told first must have found this process again: a connection to
      * its last life may be silent */
@@ -181,9 +181,9 @@
         memcpy(retelling->items + retelling->count, own.items, own.items_count * sizeof(KeepItem));
         retelling->count += own.items_count;
     }
-    configsOrder(retelling);
+    configs_order(retelling);
     if (retelling->count > 0)
-        qsort(retelling->items, retelling->count, sizeof(KeepItem), itemOrder);
+        qsort(retelling->items, retelling->count, sizeof(KeepItem), item_order);
     size_t told = 0;
     for (size_t i = 0; i < retelling->count; i++) {
         const KeepItem *item = &retelling->items[i];
@@ -200,40 +200,40 @@
         if (status == STATUS_OK)
             status = view_offer(core->view, item->change, restored(mem, item));
         talloc_free(mem);
-        if (status != STATUS_OK || turn != core->repairTurn) {
-            retellingLeave(retelling);
+        if (status != STATUS_OK || turn != core->repair_turn) {
+            retelling_leave(retelling);
             return false;
         }
         told++;
     }
-    const size_t itemCount = retelling->count;
-    retellingLeave(retelling);
-    if (view_repaired(core->view) != STATUS_OK || turn != core->repairTurn)
+    const size_t item_count = retelling->count;
+    retelling_leave(retelling);
+    if (view_repaired(core->view) != STATUS_OK || turn != core->repair_turn)
         return false;
     core->repairing = false;
     core->counts.repairs++;
     core->counts.retold += told;
     ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop),
-             "the view rested on woken seats: %zu of %zu changes told again were missing", told, itemCount);
-    ordersWake(core);
-    coreNews(core);
+             "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
+    orders_wake(core);
+    core_news(core);
     return true;
 }
 
 /* Goes on until the repair is committed, also over views opened anew; ends when
  * another lead of this node begins a repair of its own. */
-static void repairMain(void *arg)
+static void repair_main(void *arg)
 {
     Core *core = arg;
-    const uint64_t turn = ++core->repairTurn;
-    while (turn == core->repairTurn && core->repairing && !loop_stopping(core->loop)) {
-        if (view_leading(core->view) && repairOnce(core, turn))
+    const uint64_t turn = ++core->repair_turn;
+    while (turn == core->repair_turn && core->repairing && !loop_stopping(core->loop)) {
+        if (view_leading(core->view) && repair_once(core, turn))
             return;
         signal_wait(core->loop, view_news(core->view), loop_now_ms(core->loop) + BEAT_MS / 10);
     }
 }
 
-void repairStart(Core *core)
+void repair_start(Core *core)
 {
-    loop_spawn(core->loop, "repair", repairMain, core);
+    loop_spawn(core->loop, "repair", repair_main, core);
 }
--- a/packages/core/src/reserve.c
+++ b/packages/core/src/reserve.c
@@ -10,7 +10,7 @@
 #include "pass.h"
 
 /* The parts of the room that are free, in thousandths of what is needed: the least of them. */
-static uint64_t nearTo(Room need, Room free)
+static uint64_t near_to(Room need, Room free)
 {
     const uint64_t most = room_share(need, free);
     return free.cpu_milli == 0 && free.mem_mb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
@@ -19,21 +19,21 @@
 static int nearest(const Pass *pass, const PlanNeed *need, const bool *excluded, const bool *taken)
 {
     int best = -1;
-    uint64_t bestNear = 0;
+    uint64_t best_near = 0;
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
         if (excluded[i] || taken[i] || !plan_able(worker, need) || !room_fits(need->room, worker->room))
             continue;
-        const uint64_t near = nearTo(need->room, worker->free);
-        if (best < 0 || near > bestNear) {
+        const uint64_t near = near_to(need->room, worker->free);
+        if (best < 0 || near > best_near) {
             best = (int)i;
-            bestNear = near;
+            best_near = near;
         }
     }
     return best;
 }
 
-void reserveFor(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded)
+void reserve_for(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded)
 {
     if (candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->guess_ms ||
         candidate->count > pass->input.worker_count)
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -18,16 +18,16 @@
     const char *text;
 } Saved;
 
-static const char *savedKey(char key[SAVED_KEY], const char *job, uint64_t task)
+static const char *saved_key(char key[SAVED_KEY], const char *job, uint64_t task)
 {
     snprintf(key, SAVED_KEY, "%" PRIu64 " %s", task, job);
     return key;
 }
 
 /* What nobody will go on from is dropped whenever there is twice as much as then. */
-static void savedSweep(Core *core)
+static void saved_sweep(Core *core)
 {
-    if (map_count(core->saved) < SAVED_LEAST || map_count(core->saved) < 2 * core->savedKept)
+    if (map_count(core->saved) < SAVED_LEAST || map_count(core->saved) < 2 * core->saved_kept)
         return;
     void *mem = talloc_new(core);
     const char **keys;
@@ -41,20 +41,20 @@
         map_drop(core->saved, keys[i]);
         talloc_free(saved);
     }
-    core->savedKept = map_count(core->saved);
+    core->saved_kept = map_count(core->saved);
     talloc_free(mem);
 }
 
-void savedTake(Core *core, const RoundSaved *told)
+void saved_take(Core *core, const RoundSaved *told)
 {
     char key[SAVED_KEY];
     if (told->text[0] == '\0')
         return;
-    Saved *saved = map_get(core->saved, savedKey(key, told->job, told->task));
+    Saved *saved = map_get(core->saved, saved_key(key, told->job, told->task));
     if (saved != NULL && saved->round > told->round)
         return;
     if (saved == NULL) {
-        savedSweep(core);
+        saved_sweep(core);
         saved = talloc_zero(core->saved, Saved);
         saved->job = talloc_strdup(saved, told->job);
         saved->task = told->task;
@@ -65,9 +65,9 @@
     saved->round = told->round;
 }
 
-const char *coreSaved(const Core *core, const char *job, uint64_t task, uint64_t round)
+const char *core_saved(const Core *core, const char *job, uint64_t task, uint64_t round)
 {
     char key[SAVED_KEY];
-    const Saved *saved = map_get(core->saved, savedKey(key, job, task));
+    const Saved *saved = map_get(core->saved, saved_key(key, job, task));
     return saved != NULL && saved->round == round ? saved->text : "";
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -7,35 +7,35 @@
 
 #include "inside.h"
 
-const Score *scoreFind(const Core *core, const char *worker)
+const Score *score_find(const Core *core, const char *worker)
 {
     return map_get(core->scores, worker);
 }
 
 /* A rate that nothing renews fades. */
-static uint64_t tallyRate(const Core *core, const Score *score, const Tally *tally)
+static uint64_t tally_rate(const Core *core, const Score *score, const Tally *tally)
 {
-    const int64_t from = tally->ratedMs > score->rest_until_ms ? tally->ratedMs : score->rest_until_ms;
+    const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
     const int64_t halvings = (loop_now_ms(core->loop) - from) / SCORE_FADE_MS;
     if (halvings > 7)
         return 0;
-    return halvings > 0 ? tally->ratePercent >> halvings : tally->ratePercent;
+    return halvings > 0 ? tally->rate_percent >> halvings : tally->rate_percent;
 }
 
-uint64_t scoreRate(const Core *core, const char *worker)
+uint64_t score_rate(const Core *core, const char *worker)
 {
-    const Score *score = scoreFind(core, worker);
+    const Score *score = score_find(core, worker);
     if (score == NULL)
         return 0;
-    const uint64_t failed = tallyRate(core, score, &score->failed);
+    const uint64_t failed = tally_rate(core, score, &score->failed);
     /* one sign alone may have been one pause */
-    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tallyRate(core, score, &score->slow) : 0;
+    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(core, score, &score->slow) : 0;
     return failed > slow ? failed : slow;
 }
 
-bool scoreRests(const Core *core, const char *worker)
+bool score_rests(const Core *core, const char *worker)
 {
-    const Score *score = scoreFind(core, worker);
+    const Score *score = score_find(core, worker);
     return score != NULL && loop_now_ms(core->loop) < score->rest_until_ms;
 }
 
@@ -45,14 +45,14 @@
     const size_t count = map_keys(core->scores, mem, &names);
     size_t rest = 0;
     for (size_t i = 0; i < count; i++)
-        rest += scoreRests(core, names[i]);
+        rest += score_rests(core, names[i]);
     return rest;
 }
 
-static void restMaybe(Core *core, const char *worker, Score *score, Tally *tally, const char *how)
+static void rest_maybe(Core *core, const char *worker, Score *score, Tally *tally, const char *how)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (tally->ratePercent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->rest_until_ms)
+    if (tally->rate_percent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->rest_until_ms)
         return;
     void *mem = talloc_new(core);
     const Worker **workers;
@@ -66,28 +66,28 @@
                                                               : SCORE_REST_MAX_MS;
     score->rest_until_ms = now_ms + score->rest_ms;
     /* after the rest it is tried again: a single bad round sends it back */
-    tally->ratePercent = SCORE_REST;
+    tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
     if (view_leading(core->view))
         ring_say(core->ring, RING_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
                  score->rest_ms);
 }
 
-static void tallyTake(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
-                      uint64_t weight, const char *how)
+static void tally_take(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
+                       uint64_t weight, const char *how)
 {
-    tally->ratePercent = tallyRate(core, score, tally);
-    tally->ratedMs = loop_now_ms(core->loop);
-    tally->ratePercent = (tally->ratePercent * (100 - weight) + (bad ? 100 : 0) * weight) / 100;
+    tally->rate_percent = tally_rate(core, score, tally);
+    tally->rated_ms = loop_now_ms(core->loop);
+    tally->rate_percent = (tally->rate_percent * (100 - weight) + (bad ? 100 : 0) * weight) / 100;
     if (!bad) {
         tally->jobs = 0;
-        if (score->failed.ratePercent < SCORE_WEIGHT && score->slow.ratePercent < SCORE_WEIGHT)
+        if (score->failed.rate_percent < SCORE_WEIGHT && score->slow.rate_percent < SCORE_WEIGHT)
             score->rest_ms = 0; /* it does well again: forgiven */
-    } else if (job != NULL && job->number != tally->lastJob) {
+    } else if (job != NULL && job->number != tally->last_job) {
         tally->jobs++;
-        tally->lastJob = job->number;
+        tally->last_job = job->number;
     }
-    restMaybe(core, worker, score, tally, how);
+    rest_maybe(core, worker, score, tally, how);
 }
 
 /* A first round's time on its worker, by the log; -1: not to be compared. */
@@ -97,7 +97,7 @@
                                                                                  : -1;
 }
 
-static int spanOrder(const void *a, const void *b)
+static int span_order(const void *a, const void *b)
 {
     const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
     return x < y ? -1 : x > y;
@@ -108,31 +108,31 @@
 static bool compared(const Job *job, size_t at, bool *slow)
 {
     const JobTask *mine = &job->tasks[at];
-    const int64_t mineMs = took_ms(mine);
+    const int64_t mine_ms = took_ms(mine);
     int64_t *spans = talloc_array(NULL, int64_t, (unsigned)job->tasks_count);
     size_t count = 0;
-    for (size_t t = 0; t < job->tasks_count && mineMs >= 0 && count < SLOW_OTHERS_MOST; t++)
+    for (size_t t = 0; t < job->tasks_count && mine_ms >= 0 && count < SLOW_OTHERS_MOST; t++)
         if (t != at && job->tasks[t].step == mine->step && took_ms(&job->tasks[t]) >= 0)
             spans[count++] = took_ms(&job->tasks[t]);
     bool enough = count >= SLOW_OTHERS;
     if (enough) {
-        qsort(spans, count, sizeof(*spans), spanOrder);
-        const int64_t medianMs = spans[count / 2];
-        enough = medianMs >= SLOW_LEAST_MS;
-        *slow = mineMs >= medianMs * SLOW_TIMES;
+        qsort(spans, count, sizeof(*spans), span_order);
+        const int64_t median_ms = spans[count / 2];
+        enough = median_ms >= SLOW_LEAST_MS;
+        *slow = mine_ms >= median_ms * SLOW_TIMES;
     }
     talloc_free(spans);
     return enough;
 }
 
 /* What the round's place made of its time, near its data or not. */
-uint64_t scoreFarPercent(const Core *core, const Worker *worker, const StepSpec *step)
+uint64_t score_far_percent(const Core *core, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
     return far ? (uint64_t)core->props->bounds.far_percent : 100;
 }
 
-static void guessTake(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
+static void guess_take(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
 {
     const Worker *worker = table_worker(core->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
@@ -140,21 +140,21 @@
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        guesses_end(core->guesses, job, task->step, news->worker, ran_ms, scoreFarPercent(core, worker, step),
+        guesses_end(core->guesses, job, task->step, news->worker, ran_ms, score_far_percent(core, worker, step),
                     loop_now_ms(core->loop));
 }
 
-void scoreStill(Core *core, const char *worker, const Job *job)
+void score_still(Core *core, const char *worker, const Job *job)
 {
     Score *score = map_get(core->scores, worker);
     if (score == NULL) {
         score = talloc_zero(core->scores, Score);
         map_set(core->scores, worker, score);
     }
-    tallyTake(core, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
+    tally_take(core, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
 }
 
-void scoreTake(Core *core, const RoundList *list)
+void score_take(Core *core, const RoundList *list)
 {
     for (size_t i = 0; i < list->news_count; i++) {
         const RoundNews *news = &list->news[i];
@@ -168,21 +168,21 @@
             news->word == ROUND_DONE && job != NULL && at < job->tasks_count && job->tasks[at].round == news->round;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            guessTake(core, news, job, &job->tasks[at]);
+            guess_take(core, news, job, &job->tasks[at]);
         if (score == NULL && ((news->word == ROUND_DONE && !slow) || table_worker(core->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
             score = talloc_zero(core->scores, Score);
             map_set(core->scores, news->worker, score);
         }
-        tallyTake(core, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
-                  "fails its work");
+        tally_take(core, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
+                   "fails its work");
         /* rounds that ran beside one already counted may all have met the same
          * pause: one pause is one sign */
-        const bool beside = slow && job->tasks[at].started_ms < score->slowEndMs;
+        const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
-            tallyTake(core, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
+            tally_take(core, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
-            score->slowEndMs = job->tasks[at].changed_ms;
+            score->slow_end_ms = job->tasks[at].changed_ms;
     }
 }
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -11,11 +11,11 @@
 {
     const LiveRow *row = liveset_find(core->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + coreClaimMs(core);
+    const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + core_claim_ms(core);
     return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
 }
 
-void lostFind(Core *core, void *mem)
+void lost_find(Core *core, void *mem)
 {
     Map *lost = map_new(mem);
     const char *worker;
@@ -23,8 +23,8 @@
         if (lapsed(core, worker))
             map_set(lost, worker, core);
     const char **names;
-    const size_t lostCount = map_keys(lost, mem, &names);
-    for (size_t i = 0; i < lostCount && coreDecides(core); i++) {
+    const size_t lost_count = map_keys(lost, mem, &names);
+    for (size_t i = 0; i < lost_count && core_decides(core); i++) {
         if (!lapsed(core, names[i]))
             continue; /* back while the loss of another was committed: what it was told since stands */
         const WorkerLost change = {names[i], UINT64_MAX};
@@ -32,7 +32,7 @@
          * before may reach it any more */
         liveset_losing(core->liveset, names[i], true);
         ChangeResult result;
-        if (coreSubmit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
+        if (core_submit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
             ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "worker %s is lost with %" PRIu64 " rounds",
                      names[i], result.number);
@@ -40,7 +40,7 @@
     }
 }
 
-void copiesFind(Core *core, void *mem)
+void copies_find(Core *core, void *mem)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
     RoundList list = {0};
@@ -69,7 +69,7 @@
     }
     ChangeResult result;
     if (list.news_count > 0)
-        coreSubmit(core, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
+        core_submit(core, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
     /* that they are over is our word alone: they count there until the agent says so */
     for (size_t i = 0; i < list.news_count; i++) {
         const RoundNews *news = &list.news[i];
