--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -13,32 +13,32 @@
     const Job *job;
     size_t task;
     size_t worker;
-    double wholeMs; /* what all of its work should take in such a place on a sound worker */
+    double whole_ms; /* what all of its work should take in such a place on a sound worker */
     bool still;
-    double left_ms;   /* until it is done, as it comes along */
-    double doneShare; /* of its work that another round need not do again */
+    double left_ms;    /* until it is done, as it comes along */
+    double done_share; /* of its work that another round need not do again */
 } Going;
 
-static bool standsStill(const Pass *pass, const Pace *pace, const Going *going, const StepSpec *step)
+static bool stands_still(const Pass *pass, const Pace *pace, const Going *going, const StepSpec *step)
 {
-    if (pace == NULL || !pacesCredible(pass->core->paces))
+    if (pace == NULL || !paces_credible(pass->core->paces))
         return false;
-    const int64_t stillMs = pace->ran_ms - pace->stillMs;
+    const int64_t still_ms = pace->ran_ms - pace->still_ms;
     /* members of a gang wait for each other first */
     if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->props->bounds.gang_ms + STILL_LEAST_MS)
         return false;
-    return stillMs >= STILL_LEAST_MS && (double)stillMs * 100 >= going->wholeMs * STILL_PERCENT;
+    return still_ms >= STILL_LEAST_MS && (double)still_ms * 100 >= going->whole_ms * STILL_PERCENT;
 }
 
 /* One member that goes elsewhere breaks its gang: all that the others have done is lost as
  * well, and they all come along as slowly as the slowest, wherever that is. */
-static bool ofGang(const Going *going)
+static bool of_gang(const Going *going)
 {
     return going->job->spec.steps[going->job->tasks[going->task].step].gang;
 }
 
 /* How it comes along; false: nothing is wrong that can be seen. */
-static bool goingFind(const Pass *pass, const TaskOn *on, size_t worker, Going *going)
+static bool going_find(const Pass *pass, const TaskOn *on, size_t worker, Going *going)
 {
     const Core *core = pass->core;
     const Job *job = on->job;
@@ -49,27 +49,28 @@
         task->round >= SLOW_ROUNDS_MOST)
         return false;
     const Worker *its = table_worker(core->table, task->worker);
-    const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
+    const uint64_t far = its != NULL ? score_far_percent(core, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
-    going->wholeMs = (double)guess * (double)far / 100 * (double)guess_pace(core->guesses) / 1000;
-    const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
+    going->whole_ms = (double)guess * (double)far / 100 * (double)guess_pace(core->guesses) / 1000;
+    const Pace *pace = pace_find(core->paces, job->spec.id, task_number(task), task->round);
     if (pace == NULL)
         return false;
-    going->still = standsStill(pass, pace, going, step);
-    going->doneShare = step->saves ? (double)pace->percent / 100 : 0;
+    going->still = stands_still(pass, pace, going, step);
+    going->done_share = step->saves ? (double)pace->percent / 100 : 0;
     if (going->still) {
         going->left_ms = STANDS_MS;
-    } else if (pace->perMs > 0) {
+    } else if (pace->per_ms > 0) {
         /* how long it takes here says how much work it is, estimates or not */
-        const double hereMs = 100 / pace->perMs;
-        going->wholeMs = hereMs * 1000 / (double)pass->speeds[worker];
-        going->left_ms = (double)(100 - pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
+        const double here_ms = 100 / pace->per_ms;
+        going->whole_ms = here_ms * 1000 / (double)pass->speeds[worker];
+        going->left_ms =
+            (double)(100 - pace->percent) / pace->per_ms - (double)(loop_now_ms(core->loop) - pace->told_ms);
     }
-    return going->left_ms > going->wholeMs;
+    return going->left_ms > going->whole_ms;
 }
 
 /* Whether the job's aim is met though the round goes on as it does. */
-static bool meetsAim(const Pass *pass, const Going *going)
+static bool meets_aim(const Pass *pass, const Going *going)
 {
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
@@ -83,29 +84,29 @@
 static int elsewhere(Pass *pass, const Going *going)
 {
     const JobTask *task = &going->job->tasks[going->task];
-    const PlanNeed need = passNeed(going->job, task->step);
+    const PlanNeed need = pass_need(going->job, task->step);
     bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     excluded[going->worker] = true;
-    const int at = chooseFor(pass, going->job, going->task, &need, excluded, NULL);
+    const int at = choose_for(pass, going->job, going->task, &need, excluded, NULL);
     talloc_free(excluded);
     if (at < 0)
         return -1;
-    const double thereMs = going->wholeMs * (1 - going->doneShare) * (double)pass->speeds[at] / 1000;
-    return going->left_ms > thereMs * SLOW_GAIN + SLOW_COST_MS ? at : -1;
+    const double there_ms = going->whole_ms * (1 - going->done_share) * (double)pass->speeds[at] / 1000;
+    return going->left_ms > there_ms * SLOW_GAIN + SLOW_COST_MS ? at : -1;
 }
 
-void slowFind(Pass *pass, StopList *list)
+void slow_find(Pass *pass, StopList *list)
 {
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
         const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             Going going;
-            if (!goingFind(pass, &on[t], i, &going) || (!going.still && (ofGang(&going) || meetsAim(pass, &going))))
+            if (!going_find(pass, &on[t], i, &going) || (!going.still && (of_gang(&going) || meets_aim(pass, &going))))
                 continue;
             const int at = elsewhere(pass, &going);
-            if (at >= 0 && stopAdd(pass, list, going.job, going.task, at, STOPS_MOST) && going.still)
-                scoreStill(pass->core, pass->input.workers[i].name, going.job);
+            if (at >= 0 && stop_add(pass, list, going.job, going.task, at, STOPS_MOST) && going.still)
+                score_still(pass->core, pass->input.workers[i].name, going.job);
         }
     }
 }
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -5,7 +5,7 @@
 
 #include "pass.h"
 
-int64_t passLeftMs(const Pass *pass, const Job *job, const JobTask *task, size_t worker)
+int64_t pass_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker)
 {
     const Core *core = pass->core;
     if (task->phase == TASK_STOPPING)
@@ -13,19 +13,19 @@
     const int64_t guess = guess_ms(core->guesses, job, task->step);
     if (guess <= 0 || job->spec.lasting)
         return INT64_MAX;
-    const Pace *pace = paceFind(core->paces, job->spec.id, task_number(task), task->round);
-    if (pace != NULL && pace->perMs > 0) {
+    const Pace *pace = pace_find(core->paces, job->spec.id, task_number(task), task->round);
+    if (pace != NULL && pace->per_ms > 0) {
         const double left_ms =
-            (100 - (double)pace->percent) / pace->perMs - (double)(loop_now_ms(core->loop) - pace->toldMs);
+            (100 - (double)pace->percent) / pace->per_ms - (double)(loop_now_ms(core->loop) - pace->told_ms);
         return left_ms > ENDS_LEAST_MS ? (int64_t)left_ms : ENDS_LEAST_MS;
     }
     const Worker *its = table_worker(core->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
-    const uint64_t far = its != NULL ? scoreFarPercent(core, its, step) : 100;
-    const int64_t wholeMs = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
+    const uint64_t far = its != NULL ? score_far_percent(core, its, step) : 100;
+    const int64_t whole_ms = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
-    return wholeMs - ran_ms > wholeMs / 8 ? wholeMs - ran_ms : wholeMs / 8 + ENDS_LEAST_MS;
+    return whole_ms - ran_ms > whole_ms / 8 ? whole_ms - ran_ms : whole_ms / 8 + ENDS_LEAST_MS;
 }
 
 typedef struct End {
@@ -33,13 +33,13 @@
     Room room;
 } End;
 
-static int endOrder(const void *a, const void *b)
+static int end_order(const void *a, const void *b)
 {
     const End *x = a, *y = b;
     return x->left_ms < y->left_ms ? -1 : x->left_ms > y->left_ms;
 }
 
-int64_t soonestMs(const Pass *pass, size_t worker, Room need)
+int64_t soonest_ms(const Pass *pass, size_t worker, Room need)
 {
     Room free = pass->input.workers[worker].free;
     if (room_fits(need, free))
@@ -49,9 +49,9 @@
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
-        ends[i] = (End){passLeftMs(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].room};
+        ends[i] = (End){pass_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].room};
     }
-    qsort(ends, count, sizeof(*ends), endOrder);
+    qsort(ends, count, sizeof(*ends), end_order);
     int64_t left_ms = INT64_MAX;
     for (size_t i = 0; i < count && left_ms == INT64_MAX && ends[i].left_ms < INT64_MAX; i++) {
         free = room_more(free, ends[i].room);
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -12,12 +12,12 @@
     return json_object_new_string(text);
 }
 
-static json_object *numberOf(int64_t number)
+static json_object *number_of(int64_t number)
 {
     return json_object_new_int64(number);
 }
 
-static json_object *diskOf(uint64_t disk)
+static json_object *disk_of(uint64_t disk)
 {
     char text[20];
     snprintf(text, sizeof(text), "%016" PRIx64, disk);
@@ -31,61 +31,61 @@
 }
 
 /* Entries that the disk has not synced yet, as far as the leader knows. */
-static json_object *behindOf(const ViewSight *sight, uint64_t match_index)
+static json_object *behind_of(const ViewSight *sight, uint64_t match_index)
 {
-    return numberOf(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
+    return number_of(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
 }
 
-static json_object *showLearners(const Core *core, const ViewSight *sight)
+static json_object *show_learners(const Core *core, const ViewSight *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->learner_count; i++) {
         const ViewLearnerSight *learner = &sight->learners[i];
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "disk", diskOf(learner->disk));
+        json_object_object_add(one, "disk", disk_of(learner->disk));
         json_object_object_add(one, "core", core_of(core, learner->disk));
         json_object_object_add(one, "answers", json_object_new_boolean(learner->answers));
         json_object_object_add(one, "ready", json_object_new_boolean(learner->ready));
-        json_object_object_add(one, "index", numberOf((int64_t)learner->match_index));
-        json_object_object_add(one, "behind", behindOf(sight, learner->match_index));
+        json_object_object_add(one, "index", number_of((int64_t)learner->match_index));
+        json_object_object_add(one, "behind", behind_of(sight, learner->match_index));
         json_object_array_add(list, one);
     }
     return list;
 }
 
-static json_object *showLosses(const ViewSight *sight)
+static json_object *show_losses(const ViewSight *sight)
 {
     json_object *losses = json_object_new_object();
-    json_object_object_add(losses, "borne", numberOf(sight->losses_borne));
-    json_object_object_add(losses, "asked", numberOf(sight->losses_asked));
+    json_object_object_add(losses, "borne", number_of(sight->losses_borne));
+    json_object_object_add(losses, "asked", number_of(sight->losses_asked));
     return losses;
 }
 
-static json_object *showSeats(const Core *core, const ViewSight *sight)
+static json_object *show_seats(const Core *core, const ViewSight *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->seat_count; i++) {
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "disk", diskOf(sight->seats[i].disk));
+        json_object_object_add(one, "disk", disk_of(sight->seats[i].disk));
         json_object_object_add(one, "core", core_of(core, sight->seats[i].disk));
         json_object_object_add(one, "inView", json_object_new_boolean(sight->seats[i].in_view));
         json_object_object_add(one, "answers", json_object_new_boolean(sight->seats[i].answers));
         json_object_object_add(one, "woke", json_object_new_boolean(sight->seats[i].woke));
-        json_object_object_add(one, "syncMs", numberOf(sight->seats[i].sync_ms));
-        json_object_object_add(one, "index", numberOf((int64_t)sight->seats[i].match_index));
-        json_object_object_add(one, "sight", numberOf((int64_t)sight->seats[i].sight));
-        json_object_object_add(one, "behind", behindOf(sight, sight->seats[i].match_index));
+        json_object_object_add(one, "syncMs", number_of(sight->seats[i].sync_ms));
+        json_object_object_add(one, "index", number_of((int64_t)sight->seats[i].match_index));
+        json_object_object_add(one, "sight", number_of((int64_t)sight->seats[i].sight));
+        json_object_object_add(one, "behind", behind_of(sight, sight->seats[i].match_index));
         json_object_array_add(list, one);
     }
     return list;
 }
 
-static json_object *showLiveset(Core *core, void *mem)
+static json_object *show_liveset(Core *core, void *mem)
 {
     const LiveRow **rows;
     const size_t count = liveset_rows(core->liveset, mem, &rows);
     const int64_t now_ms = loop_now_ms(core->loop);
-    const PlanInput input = plannerInput(core, mem);
+    const PlanInput input = planner_input(core, mem);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
@@ -95,14 +95,14 @@
         json_object_object_add(one, "ready", json_object_new_boolean(live_row_ready(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
-        const Score *score = scoreFind(core, rows[i]->name);
+        const Score *score = score_find(core, rows[i]->name);
         if (score != NULL) {
-            json_object_object_add(one, "failurePercent", numberOf((int64_t)scoreRate(core, rows[i]->name)));
+            json_object_object_add(one, "failurePercent", number_of((int64_t)score_rate(core, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
-                                   numberOf(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
+                                   number_of(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
         }
         json_object_object_add(one, "holdLeftMs",
-                               numberOf(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
+                               number_of(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
         for (size_t k = 0; k < input.worker_count; k++)
             if (strcmp(input.workers[k].name, rows[i]->name) == 0) {
                 json_object_object_add(one, "room", show_room(input.workers[k].room));
@@ -113,7 +113,7 @@
     return list;
 }
 
-static json_object *showMembers(Core *core)
+static json_object *show_members(Core *core)
 {
     const MemberTable *table = members_table(core->members);
     json_object *list = json_object_new_array();
@@ -131,10 +131,10 @@
     return list;
 }
 
-static json_object *showPlan(Core *core)
+static json_object *show_plan(Core *core)
 {
     json_object *plan = json_object_new_object();
-    const Config *config = coreConfig(core);
+    const Config *config = core_config(core);
     Job *const *jobs;
     const size_t count = table_active(core->table, &jobs);
     int64_t assured = 0, unassured = 0, waiting = 0;
@@ -147,84 +147,84 @@
                 unassured += !task->assured;
             }
         }
-    json_object_object_add(plan, "r", numberOf((int64_t)config->r));
+    json_object_object_add(plan, "r", number_of((int64_t)config->r));
     json_object_object_add(plan, "zoneLoss", json_object_new_boolean(config->zone_loss));
     json_object_object_add(plan, "rackLoss", json_object_new_boolean(config->rack_loss));
-    json_object_object_add(plan, "holds", json_object_new_boolean(core->planHolds));
-    if (!core->planHolds) {
+    json_object_object_add(plan, "holds", json_object_new_boolean(core->plan_holds));
+    if (!core->plan_holds) {
         json_object *broken = json_object_new_object();
-        json_object_object_add(broken, "loss", text_of(loss_word(core->brokenByLoss)));
-        json_object_object_add(broken, "name", text_of(core->brokenBy));
+        json_object_object_add(broken, "loss", text_of(loss_word(core->broken_by_loss)));
+        json_object_object_add(broken, "name", text_of(core->broken_by));
         json_object_object_add(plan, "brokenBy", broken);
     }
-    json_object_object_add(plan, "assured", numberOf(assured));
-    json_object_object_add(plan, "unassured", numberOf(unassured));
-    json_object_object_add(plan, "waiting", numberOf(waiting));
+    json_object_object_add(plan, "assured", number_of(assured));
+    json_object_object_add(plan, "unassured", number_of(unassured));
+    json_object_object_add(plan, "waiting", number_of(waiting));
     return plan;
 }
 
 /* What came over the wire and was another's, or nobody's. */
-static json_object *showRefusedFrames(const Core *core)
+static json_object *show_refused_frames(const Core *core)
 {
     const CourierCounts *counts = courier_counts(core->courier);
     json_object *frames = json_object_new_object();
-#define X(name, outside) json_object_object_add(frames, outside, numberOf((int64_t)counts->name));
+#define X(name, outside) json_object_object_add(frames, outside, number_of((int64_t)counts->name));
     COURIER_REFUSED_LIST(X)
 #undef X
     return frames;
 }
 
-json_object *coreStatus(Core *core)
+json_object *core_status(Core *core)
 {
     void *mem = talloc_new(core);
     ViewSight sight;
     view_sight(core->view, &sight);
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "cluster", diskOf(courier_cluster(core->courier)));
+    json_object_object_add(body, "cluster", disk_of(courier_cluster(core->courier)));
     json_object_object_add(body, "leader", text_of(core->props->name));
-    json_object_object_add(body, "epoch", numberOf((int64_t)epoch_counter(sight.epoch)));
-    json_object_object_add(body, "holdLeftMs", numberOf(sight.hold_left_ms));
+    json_object_object_add(body, "epoch", number_of((int64_t)epoch_counter(sight.epoch)));
+    json_object_object_add(body, "holdLeftMs", number_of(sight.hold_left_ms));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
-    json_object_object_add(body, "clockMs", numberOf(view_clock_ms(core->view)));
+    json_object_object_add(body, "clockMs", number_of(view_clock_ms(core->view)));
     json_object *log = json_object_new_object();
-    json_object_object_add(log, "lastIndex", numberOf((int64_t)sight.last_index));
-    json_object_object_add(log, "committed", numberOf((int64_t)sight.commit_index));
-    json_object_object_add(log, "base", numberOf((int64_t)sight.base_index));
-    json_object_object_add(log, "viewChanges", numberOf((int64_t)sight.view_changes));
-    json_object_object_add(log, "syncs", numberOf((int64_t)sight.journal.syncs));
-    json_object_object_add(log, "records", numberOf((int64_t)sight.journal.records));
-    json_object_object_add(log, "rewrites", numberOf((int64_t)sight.journal.rewrites));
-    json_object_object_add(log, "otherHistories", numberOf((int64_t)sight.other_histories));
-    json_object_object_add(log, "tornBytes", numberOf((int64_t)sight.journal.torn_bytes));
+    json_object_object_add(log, "lastIndex", number_of((int64_t)sight.last_index));
+    json_object_object_add(log, "committed", number_of((int64_t)sight.commit_index));
+    json_object_object_add(log, "base", number_of((int64_t)sight.base_index));
+    json_object_object_add(log, "viewChanges", number_of((int64_t)sight.view_changes));
+    json_object_object_add(log, "syncs", number_of((int64_t)sight.journal.syncs));
+    json_object_object_add(log, "records", number_of((int64_t)sight.journal.records));
+    json_object_object_add(log, "rewrites", number_of((int64_t)sight.journal.rewrites));
+    json_object_object_add(log, "otherHistories", number_of((int64_t)sight.other_histories));
+    json_object_object_add(log, "tornBytes", number_of((int64_t)sight.journal.torn_bytes));
     json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
-    json_object_object_add(log, "worstSyncMs", numberOf(sight.journal.worst_sync_ms));
+    json_object_object_add(log, "worstSyncMs", number_of(sight.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
-    json_object_object_add(body, "seats", showSeats(core, &sight));
-    json_object_object_add(body, "learners", showLearners(core, &sight));
-    json_object_object_add(body, "losses", showLosses(&sight));
-    json_object_object_add(body, "plan", showPlan(core));
-    json_object_object_add(body, "liveset", showLiveset(core, mem));
-    json_object_object_add(body, "members", showMembers(core));
+    json_object_object_add(body, "seats", show_seats(core, &sight));
+    json_object_object_add(body, "learners", show_learners(core, &sight));
+    json_object_object_add(body, "losses", show_losses(&sight));
+    json_object_object_add(body, "plan", show_plan(core));
+    json_object_object_add(body, "liveset", show_liveset(core, mem));
+    json_object_object_add(body, "members", show_members(core));
     const char **zones;
-    const size_t zoneCount = table_drains(core->table, mem, &zones);
+    const size_t zone_count = table_drains(core->table, mem, &zones);
     json_object *drained = json_object_new_array();
-    for (size_t i = 0; i < zoneCount; i++)
+    for (size_t i = 0; i < zone_count; i++)
         json_object_array_add(drained, text_of(zones[i]));
     json_object_object_add(body, "drainedZones", drained);
-    json_object_object_add(body, "configRevision", numberOf((int64_t)revisions_newest(table_revisions(core->table))));
+    json_object_object_add(body, "configRevision", number_of((int64_t)revisions_newest(table_revisions(core->table))));
     const char *words;
-    const uint64_t policyFailures = corePolicyFailures(core, &words);
-    json_object_object_add(body, "policyFailures", numberOf((int64_t)policyFailures));
-    if (policyFailures > 0)
+    const uint64_t policy_failures = core_policy_failures(core, &words);
+    json_object_object_add(body, "policyFailures", number_of((int64_t)policy_failures));
+    if (policy_failures > 0)
         json_object_object_add(body, "policyLastFailure", text_of(words));
-    json_object_object_add(body, "refusedFrames", showRefusedFrames(core));
-    json_object_object_add(body, "alerts", alertsShow(core));
+    json_object_object_add(body, "refusedFrames", show_refused_frames(core));
+    json_object_object_add(body, "alerts", alerts_show(core));
     json_object *counts = json_object_new_object();
-#define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)core->counts.name));
+#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)core->counts.name));
     CORE_COUNT_LIST(X)
 #undef X
     const CourierCounts *courier = courier_counts(core->courier);
-#define X(name, outside) json_object_object_add(counts, outside, numberOf((int64_t)courier->name));
+#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)courier->name));
     COURIER_COUNT_LIST(X)
 #undef X
     json_object_object_add(body, "counts", counts);
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -4,7 +4,7 @@
 
 #include "pass.h"
 
-bool stopAdd(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most)
+bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most)
 {
     if (list->rounds_count >= most)
         return false;
@@ -19,20 +19,20 @@
     return true;
 }
 
-bool stopLook(Pass *pass)
+bool stop_look(Pass *pass)
 {
     Core *core = pass->core;
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms < core->stopLookMs)
+    if (now_ms < core->stop_look_ms)
         return false;
-    core->stopLookMs = now_ms + STOP_LOOK_MS;
+    core->stop_look_ms = now_ms + STOP_LOOK_MS;
     StopList list = {.why = "goes on better elsewhere"};
-    leaveFind(pass, &list);
-    slowFind(pass, &list);
+    leave_find(pass, &list);
+    slow_find(pass, &list);
     if (list.rounds_count == 0)
         return false;
     ChangeResult result;
-    if (coreSubmit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
+    if (core_submit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
         core->counts.slowed += result.number;
         ring_say(core->ring, RING_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.rounds_count);
     }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -4,7 +4,7 @@
 
 #include "inside.h"
 
-static void tracePlaces(Core *core, const PlaceList *places)
+static void trace_places(Core *core, const PlaceList *places)
 {
     char detail[64];
     for (size_t i = 0; i < places->placements_count; i++) {
@@ -15,7 +15,7 @@
     }
 }
 
-static void traceRounds(Core *core, const RoundList *rounds)
+static void trace_rounds(Core *core, const RoundList *rounds)
 {
     char detail[64];
     for (size_t i = 0; i < rounds->news_count; i++) {
@@ -26,7 +26,7 @@
     }
 }
 
-void traceDelivered(Core *core, const Record *change, const void *body, const ChangeResult *result)
+void trace_delivered(Core *core, const Record *change, const void *body, const ChangeResult *result)
 {
     if (body == NULL || core->trace == NULL)
         return;
@@ -42,10 +42,10 @@
         trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
         break;
     case CHANGE_PLACE:
-        tracePlaces(core, body);
+        trace_places(core, body);
         break;
     case CHANGE_ROUNDS:
-        traceRounds(core, body);
+        trace_rounds(core, body);
         break;
     case CHANGE_CONFIG_SET:
         trace_say(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->revision);
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -13,7 +13,7 @@
     bool (*pass)(Way *way);
 } Guard;
 
-static bool passLead(Way *way)
+static bool pass_lead(Way *way)
 {
     if (view_leading(way->core->view))
         return true;
@@ -21,7 +21,7 @@
     return false;
 }
 
-static bool passRepair(Way *way)
+static bool pass_repair(Way *way)
 {
     if (!way->core->repairing || strcmp(way->task->path, "/v1/status") == 0)
         return true;
@@ -29,11 +29,11 @@
     return false;
 }
 
-static const Guard GUARDS[] = {{"lead", passLead}, {"repair", passRepair}};
+static const Guard GUARDS[] = {{"lead", pass_lead}, {"repair", pass_repair}};
 
 /* --- results ---------------------------------------------------------------------- */
 
-bool wayDelivered(Way *way, Status status)
+bool way_delivered(Way *way, Status status)
 {
     switch (status) {
     case STATUS_OK:
@@ -49,38 +49,38 @@
     }
 }
 
-void wayRefuse(Way *way)
+void way_refuse(Way *way)
 {
     const Faults *faults = way->faults;
     way->core->counts.refused++;
     show_refusal(way->task, faults->list[0].status, faults->list[0].text, faults);
 }
 
-void wayKeep(Way *way, const KeepItem *item)
+void way_keep(Way *way, const KeepItem *item)
 {
     KeepList *keeps = way->keeps;
     keeps->items = talloc_realloc(way->mem, keeps->items, KeepItem, (unsigned)(keeps->items_count + 1));
     keeps->items[keeps->items_count++] = *item;
 }
 
-void wayKeepEnd(Way *way, const Job *job)
+void way_keep_end(Way *way, const Job *job)
 {
     if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->ended_ms > REPAIR_KEEP_MS)
         return;
     KeepItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
     shape_pack(&JobEnd_shape, &end, way->mem, &item.payload);
-    wayKeep(way, &item);
+    way_keep(way, &item);
 }
 
-static void statusGet(Way *way)
+static void status_get(Way *way)
 {
-    show_result(way->task, 200, coreStatus(way->core));
+    show_result(way->task, 200, core_status(way->core));
 }
 
-static void alertsGet(Way *way)
+static void alerts_get(Way *way)
 {
-    show_result(way->task, 200, alertsShow(way->core));
+    show_result(way->task, 200, alerts_show(way->core));
 }
 
 /* --- routes ---------------------------------------------------------------------------------- */
@@ -100,47 +100,47 @@
 
 static const Route ROUTES[] = {
     /* a job that is known was committed, and stays */
-    {"POST", {"jobs"}, jobPost, PROOF_LEASE, PROOF_CONTACT},
+    {"POST", {"jobs"}, job_post, PROOF_LEASE, PROOF_CONTACT},
     /* asked for often; a state that is late by a lease is asked for again */
-    {"GET", {"jobs"}, jobList, PROOF_LEASE, PROOF_LEASE},
-    {"GET", {"jobs", "*"}, jobGet, PROOF_LEASE, PROOF_CONTACT},
-    {"DELETE", {"jobs", "*"}, jobCancel, PROOF_LEASE, PROOF_CONTACT},
-    {"POST", {"jobs", "*", "cancel"}, jobCancel, PROOF_LEASE, PROOF_CONTACT},
+    {"GET", {"jobs"}, job_list, PROOF_LEASE, PROOF_LEASE},
+    {"GET", {"jobs", "*"}, job_get, PROOF_LEASE, PROOF_CONTACT},
+    {"DELETE", {"jobs", "*"}, job_cancel, PROOF_LEASE, PROOF_CONTACT},
+    {"POST", {"jobs", "*", "cancel"}, job_cancel, PROOF_LEASE, PROOF_CONTACT},
     /* operators act on what they read */
-    {"GET", {"config"}, configGet, PROOF_CONTACT, PROOF_CONTACT},
+    {"GET", {"config"}, config_get, PROOF_CONTACT, PROOF_CONTACT},
     /* one that was taken before is known by its digest: committed, and stays */
-    {"PUT", {"config"}, configPut, PROOF_LEASE, PROOF_CONTACT},
-    {"PATCH", {"config"}, configPatched, PROOF_LEASE, PROOF_CONTACT},
-    {"GET", {"config", "history"}, configHistory, PROOF_CONTACT, PROOF_CONTACT},
-    {"GET", {"zones", "*", "drain"}, zoneGet, PROOF_CONTACT, PROOF_CONTACT},
-    {"POST", {"zones", "*", "drain"}, zoneDrain, PROOF_CONTACT, PROOF_CONTACT},
-    {"PUT", {"zones", "*", "drain"}, zoneDrain, PROOF_CONTACT, PROOF_CONTACT},
-    {"DELETE", {"zones", "*", "drain"}, zoneBack, PROOF_CONTACT, PROOF_CONTACT},
+    {"PUT", {"config"}, config_put, PROOF_LEASE, PROOF_CONTACT},
+    {"PATCH", {"config"}, config_patched, PROOF_LEASE, PROOF_CONTACT},
+    {"GET", {"config", "history"}, config_history, PROOF_CONTACT, PROOF_CONTACT},
+    {"GET", {"zones", "*", "drain"}, zone_get, PROOF_CONTACT, PROOF_CONTACT},
+    {"POST", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
+    {"PUT", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
+    {"DELETE", {"zones", "*", "drain"}, zone_back, PROOF_CONTACT, PROOF_CONTACT},
     /* figures of the moment, and a trial of a job: nothing is acknowledged by them */
-    {"GET", {"queue"}, queueGet, PROOF_LEASE, PROOF_LEASE},
-    {"POST", {"queue", "try"}, queueTry, PROOF_LEASE, PROOF_LEASE},
+    {"GET", {"queue"}, queue_get, PROOF_LEASE, PROOF_LEASE},
+    {"POST", {"queue", "try"}, queue_try, PROOF_LEASE, PROOF_LEASE},
     /* shows the lease itself */
-    {"GET", {"status"}, statusGet, PROOF_LEASE, PROOF_LEASE},
-    {"GET", {"alerts"}, alertsGet, PROOF_LEASE, PROOF_LEASE},
+    {"GET", {"status"}, status_get, PROOF_LEASE, PROOF_LEASE},
+    {"GET", {"alerts"}, alerts_get, PROOF_LEASE, PROOF_LEASE},
 };
 
 /* Jobs at their queue's address: as at /v1/jobs. */
-static const Route ENTRY = {"", {0}, entryServe, PROOF_LEASE, PROOF_CONTACT};
+static const Route ENTRY = {"", {0}, entry_serve, PROOF_LEASE, PROOF_CONTACT};
 
 /* Asked for by any entry point: it has come to a leader that serves. */
-static void readyGet(Way *way)
+static void ready_get(Way *way)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "ready", json_object_new_boolean(true));
     show_result(way->task, 200, body);
 }
 
-static const Route READY = {"GET", {0}, readyGet, PROOF_LEASE, PROOF_LEASE};
+static const Route READY = {"GET", {0}, ready_get, PROOF_LEASE, PROOF_LEASE};
 
-static const Route *routeFind(Way *way, bool *pathKnown)
+static const Route *route_find(Way *way, bool *path_known)
 {
     const char *path = way->task->path;
-    *pathKnown = false;
+    *path_known = false;
     if (strcmp(path, "/readyz") == 0)
         return &READY;
     if (strncmp(path, "/v1/", 4) != 0)
@@ -171,7 +171,7 @@
         }
         if (!fits)
             continue;
-        *pathKnown = true;
+        *path_known = true;
         if (strcmp(route->method, way->task->method) == 0) {
             found = route;
             way->name = name;
@@ -180,17 +180,17 @@
     return found;
 }
 
-static const Route *routeOf(Way *way, bool *pathKnown)
+static const Route *route_of(Way *way, bool *path_known)
 {
     if (strncmp(way->task->path, ENTRY_PATH "/", sizeof(ENTRY_PATH)) == 0)
         return &ENTRY;
-    return routeFind(way, pathKnown);
+    return route_find(way, path_known);
 }
 
 /* --- proofs ------------------------------------------------------------------------------------ */
 
 /* "Come back": it says nothing of what there is. */
-static bool claimsNothing(const HttpTask *task)
+static bool claims_nothing(const HttpTask *task)
 {
     return task->code >= 500;
 }
@@ -211,7 +211,7 @@
 static void prove(Way *way, const Route *route, uint64_t epoch)
 {
     HttpTask *task = way->task;
-    if (way->committed || claimsNothing(task))
+    if (way->committed || claims_nothing(task))
         return;
     if (proven(way, task->code < 400 ? route->answer : route->refusal, epoch))
         return;
@@ -220,20 +220,20 @@
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
-void leaderServe(Core *core, HttpTask *task, void *mem, KeepList *keeps)
+void leader_serve(Core *core, HttpTask *task, void *mem, KeepList *keeps)
 {
     Way way = {.core = core, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .keeps = keeps};
     way.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
         if (!GUARDS[i].pass(&way))
             return;
-    bool pathKnown = false;
+    bool path_known = false;
     const uint64_t epoch = view_epoch(core->view);
-    const Route *route = routeOf(&way, &pathKnown);
+    const Route *route = route_of(&way, &path_known);
     if (route != NULL) {
         route->serve(&way);
         prove(&way, route, epoch);
-    } else if (pathKnown) {
+    } else if (path_known) {
         show_refusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
     } else {
         show_refusal(task, STATUS_BAD_PATH, "there is no such path", NULL);
--- a/packages/core/src/way.h
+++ b/packages/core/src/way.h
@@ -21,48 +21,48 @@
 } Way;
 
 /* The Status of a submission as a refusal; true when it was delivered. */
-bool wayDelivered(Way *way, Status status);
+bool way_delivered(Way *way, Status status);
 /* The faults as the result. */
-void wayRefuse(Way *way);
+void way_refuse(Way *way);
 
 /* Whoever carries the result keeps this for a while, for repair. */
-void wayKeep(Way *way, const KeepItem *item);
+void way_keep(Way *way, const KeepItem *item);
 /* Likewise the word that a job has ended: no task of it may start again, whatever
  * the disks forget. */
-void wayKeepEnd(Way *way, const Job *job);
+void way_keep_end(Way *way, const Job *job);
 
 /* Waits. Takes a job that is not known yet; null: the result has been given.
  * The spec's texts live on way->mem. */
-const Job *jobTake(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh);
+const Job *job_take(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh);
 /* Whether the same job was sent again; else the result has been given. */
-bool jobAgain(Way *way, const Job *known, const JobSpec *spec);
+bool job_again(Way *way, const Job *known, const JobSpec *spec);
 /* Waits. Cancels the job named by the way; false: the result has been given. */
-bool jobCancelled(Way *way, ChangeResult *result);
+bool job_cancelled(Way *way, ChangeResult *result);
 /* What a queue's jobs are accepted under; null: nothing in particular. */
-JobTerms jobTerms(const ConfigQueue *queue);
+JobTerms job_terms(const ConfigQueue *queue);
 
 /* Waits. Another node keeps them too, if one answers. */
-void elsewhereKeep(Core *core, void *mem, const KeepList *keeps);
+void elsewhere_keep(Core *core, void *mem, const KeepList *keeps);
 
-void jobPost(Way *way);
-void jobGet(Way *way);
-void jobCancel(Way *way);
-void jobList(Way *way);
+void job_post(Way *way);
+void job_get(Way *way);
+void job_cancel(Way *way);
+void job_list(Way *way);
 
 /* What is asked at a queue's own address: paths that begin with ENTRY_PATH. */
 #define ENTRY_PATH "/v1/entry"
-void entryServe(Way *way);
+void entry_serve(Way *way);
 
-void queueGet(Way *way);
-void queueTry(Way *way);
+void queue_get(Way *way);
+void queue_try(Way *way);
 
-void zoneGet(Way *way);
-void zoneDrain(Way *way);
-void zoneBack(Way *way);
+void zone_get(Way *way);
+void zone_drain(Way *way);
+void zone_back(Way *way);
 
-void configGet(Way *way);
-void configHistory(Way *way);
-void configPut(Way *way);
-void configPatched(Way *way);
+void config_get(Way *way);
+void config_history(Way *way);
+void config_put(Way *way);
+void config_patched(Way *way);
 
 #endif
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -4,7 +4,7 @@
 
 #include "way.h"
 
-static bool zoneKnown(Way *way)
+static bool zone_known(Way *way)
 {
     const Worker **workers;
     const size_t count = table_workers(way->core->table, way->mem, &workers);
@@ -18,7 +18,7 @@
     return false;
 }
 
-static void zoneShow(Way *way)
+static void zone_show(Way *way)
 {
     json_object *body = json_object_new_object();
     Job *const *jobs;
@@ -36,7 +36,7 @@
     json_object_object_add(body, "moves", json_object_new_boolean(table_drain_moves(way->core->table, way->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
-    const PlanInput input = plannerInput(way->core, way->mem);
+    const PlanInput input = planner_input(way->core, way->mem);
     for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, way->name) == 0)
             input.workers[i].free = (Room){0};
@@ -53,7 +53,7 @@
 }
 
 /* What the query says of the order: its name, what it builds on. */
-static bool orderRead(Way *way, ZoneDrain *drain)
+static bool order_read(Way *way, ZoneDrain *drain)
 {
     int64_t move = 0, after = -1;
     const char *order = query_value(way->mem, way->task->query, "order");
@@ -71,22 +71,22 @@
 }
 
 /* Whoever carries the first answer may have been lost with it. */
-static void keepNewest(Way *way)
+static void keep_newest(Way *way)
 {
     KeepItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
     shape_pack(&ZoneDrain_shape, table_drain_newest(way->core->table, way->name), way->mem, &item.payload);
-    wayKeep(way, &item);
+    way_keep(way, &item);
 }
 
 /* False: the order changes nothing, and the result has been given. */
-static bool orderTakes(Way *way, DrainKnown known)
+static bool order_takes(Way *way, DrainKnown known)
 {
     switch (known) {
     case DRAIN_NEW:
         return true;
     case DRAIN_TAKEN:
-        keepNewest(way);
-        zoneShow(way);
+        keep_newest(way);
+        zone_show(way);
         return false;
     case DRAIN_OVERTAKEN:
         show_refusal(way->task, STATUS_STALE_ORDER, "nothing was taken: there has been another order for this zone",
@@ -99,46 +99,46 @@
     return false;
 }
 
-static void zoneSet(Way *way, bool drained)
+static void zone_set(Way *way, bool drained)
 {
     ZoneDrain drain = {.zone = way->name, .drained = drained};
-    if (!orderRead(way, &drain)) {
-        wayRefuse(way);
+    if (!order_read(way, &drain)) {
+        way_refuse(way);
         return;
     }
-    if (!zoneKnown(way)) {
+    if (!zone_known(way)) {
         show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
         return;
     }
     const Table *table = way->core->table;
-    if (!orderTakes(way, table_drain_known(table, &drain)))
+    if (!order_takes(way, table_drain_known(table, &drain)))
         return;
-    const int64_t clock_ms = view_clock_ms(way->core->view), lastStamp = table_drain_stamp(table, way->name);
-    drain.stamp = clock_ms > lastStamp ? clock_ms : lastStamp + 1;
+    const int64_t clock_ms = view_clock_ms(way->core->view), last_stamp = table_drain_stamp(table, way->name);
+    drain.stamp = clock_ms > last_stamp ? clock_ms : last_stamp + 1;
     ChangeResult result;
-    if (!wayDelivered(
-            way, coreSubmit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result, way->keeps)))
+    if (!way_delivered(
+            way, core_submit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result, way->keeps)))
         return;
     if (result.status == STATUS_OK)
-        zoneShow(way);
+        zone_show(way);
     else
-        orderTakes(way, table_drain_known(table, &drain));
+        order_takes(way, table_drain_known(table, &drain));
 }
 
-void zoneDrain(Way *way)
+void zone_drain(Way *way)
 {
-    zoneSet(way, true);
+    zone_set(way, true);
 }
 
-void zoneBack(Way *way)
+void zone_back(Way *way)
 {
-    zoneSet(way, false);
+    zone_set(way, false);
 }
 
-void zoneGet(Way *way)
+void zone_get(Way *way)
 {
-    if (zoneKnown(way))
-        zoneShow(way);
+    if (zone_known(way))
+        zone_show(way);
     else
         show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
 }
--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -121,7 +121,7 @@
     uint64_t done[ACT_KINDS]; /* acts that found somebody to do it to */
     bool lived;               /* liveness was asked for */
     int64_t liveMs;           /* from the end of the adversary to the first acknowledgement */
-    int64_t wholeMs;          /* ... until as many voters as are wanted live */
+    int64_t whole_ms;         /* ... until as many voters as are wanted live */
 } ExploreResult;
 
 /* The plan of a seed: the same for all time, as long as the drawing is not changed. */
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -61,7 +61,7 @@
     node->heldEpoch = window->epoch;
     size_t synced = 0;
     for (size_t i = 0; i < window->voter_count; i++) {
-        const DiskModel *model = diskOf(explore, window->voters[i]);
+        const DiskModel *model = disk_of(explore, window->voters[i]);
         synced += model != NULL && model->promised >= window->epoch;
     }
     if (synced < lock_majority(window->voter_count))
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -6,7 +6,7 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-DiskModel *diskOf(const Explore *explore, uint64_t disk)
+DiskModel *disk_of(const Explore *explore, uint64_t disk)
 {
     for (size_t i = 0; i < explore->diskCount; i++)
         if (explore->disks[i]->disk == disk)
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -116,7 +116,7 @@
 void diskChanged(void *explore, int machine, const char *path, Bytes bytes, bool whole);
 /* The disk of the machine is gone. */
 void diskLost(Explore *explore, Node *node);
-DiskModel *diskOf(const Explore *explore, uint64_t disk);
+DiskModel *disk_of(const Explore *explore, uint64_t disk);
 /* The entry at the index, or null. */
 const Item *diskItem(const DiskModel *model, uint64_t index);
 /* How many disks ever held the item at the index. */
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -242,7 +242,7 @@
 {
     size_t lost = 0;
     for (size_t i = 0; i < count; i++) {
-        const DiskModel *model = diskOf(explore, disks[i]);
+        const DiskModel *model = disk_of(explore, disks[i]);
         lost += model == NULL || model->lost;
     }
     /* one that is about to leave is lost as well */
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -86,7 +86,7 @@
                          explore->history.voter_count, wanted);
         runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
     }
-    explore->result->wholeMs = sim_now_ms(explore->world) - from_ms;
+    explore->result->whole_ms = sim_now_ms(explore->world) - from_ms;
 }
 
 /* After all failures have ended, a change is committed within a stated span. */
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -17,7 +17,7 @@
 typedef struct Sum {
     uint64_t seeds, broken, steps, committed, acknowledged, leads, voterChanges, lived;
     uint64_t done[ACT_KINDS];
-    int64_t worstMs, wholeMs;
+    int64_t worstMs, whole_ms;
 } Sum;
 
 static double cpuS(void)
@@ -41,8 +41,8 @@
         sum->done[i] += result->done[i];
     if (result->liveMs > sum->worstMs)
         sum->worstMs = result->liveMs;
-    if (result->wholeMs > sum->wholeMs)
-        sum->wholeMs = result->wholeMs;
+    if (result->whole_ms > sum->whole_ms)
+        sum->whole_ms = result->whole_ms;
 }
 
 static void sumPrint(const Sum *sum, double tookS)
@@ -56,7 +56,7 @@
            " committed, %" PRIu64 " acknowledged, %" PRIu64 " leads, %" PRIu64 " changes of voters, %" PRIu64
            " lived, worst %" PRId64 " ms, whole after %" PRId64 " ms\n",
            sum->seeds, sum->broken, sum->steps, (double)sum->steps / tookS, sum->committed, sum->acknowledged,
-           sum->leads, sum->voterChanges, sum->lived, sum->worstMs, sum->wholeMs);
+           sum->leads, sum->voterChanges, sum->lived, sum->worstMs, sum->whole_ms);
     for (int i = 0; i < ACT_KINDS; i++)
         printf("%s%s %" PRIu64, i > 0 ? ", " : "acts: ", WORDS[i], sum->done[i]);
     printf("\n");
--- a/packages/face/src/face.c
+++ b/packages/face/src/face.c
@@ -18,7 +18,7 @@
 void faceTake(const FaceNode *node, HttpTask *task)
 {
     if (node->core != NULL)
-        coreTake(node->core, task);
+        core_take(node->core, task);
     else
         gateTake(node->gate, task);
 }
--- a/packages/gate/include/gate/gate.h
+++ b/packages/gate/include/gate/gate.h
@@ -9,7 +9,7 @@
 typedef struct Gate Gate;
 
 Status gateStart(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **gate, Failure *failure);
-/* Waits. As coreTake. */
+/* Waits. As core_take. */
 void gateTake(Gate *gate, HttpTask *task);
 /* Waits. A configuration that is large, in the task's body or (back) in its result, is
  * no load for a gate's narrow link: its caller is sent to the leader itself. True when
@@ -17,7 +17,7 @@
  * leader that serves now is asked by callers; or a refusal, when none serves. False:
  * the gate carries it. */
 bool gateElsewhere(Gate *gate, HttpTask *task, bool back, const char **leader);
-/* As coreReady. */
+/* As core_ready. */
 bool gateReady(const Gate *gate);
 /* Waits: not ready at once; requests in work get their result. */
 void gateDrain(Gate *gate);
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -96,7 +96,7 @@
     return !gate->leaving && ways_serve(forwarder_ways(gate->forwarder));
 }
 
-static Status onRetell(void *arg, void *mem, const void *question, void *answer)
+static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     Gate *gate = arg;
     const RetellAsk *ask = question;
@@ -106,7 +106,7 @@
     return STATUS_OK;
 }
 
-static Status onKeep(void *arg, void *mem, const void *question, void *answer)
+static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     Gate *gate = arg;
     const KeepList *list = question;
@@ -117,7 +117,7 @@
 }
 
 /* A gate holds no lock and runs nothing: that it answers is what counts. */
-static Status onKnow(void *arg, void *mem, const void *question, void *answer)
+static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     Gate *gate = arg;
     (void)mem;
@@ -157,9 +157,9 @@
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
     gate->feed = feed_new(gate, loop, gate->courier, forwarder_ways(gate->forwarder), gate->trace);
-    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, onRetell, gate);
-    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, onKnow, gate);
-    courier_handle(gate->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, onKeep, gate);
+    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, gate);
+    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
+    courier_handle(gate->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
     forwarder_start(gate->forwarder);
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -277,12 +277,12 @@
     Callers *callers = pouring->callers;
     const Site *site = callers->ground->site;
     Loop *loop = simLoop(callers->ground->world, callers->machines[pouring->zone]);
-    const int64_t gapMs = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
-    loop_sleep(loop, diceSpan(&pouring->dice, 0, gapMs));
+    const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
+    loop_sleep(loop, diceSpan(&pouring->dice, 0, gap_ms));
     while (!callers->over) {
         handIn(pouring);
         loop_sleep(loop,
-                   diceSpan(&pouring->dice, gapMs / 4, gapMs * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
+                   diceSpan(&pouring->dice, gap_ms / 4, gap_ms * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
     }
 }
 
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -52,7 +52,7 @@
 /* Troubles of the core keep apart: no more is lost at once than is to be borne. */
 static bool fits(const Trouble *list, size_t count, const Trouble *one, const Site *site)
 {
-    const int64_t gapMs = site->sync_ms + CORE_GAP_MS;
+    const int64_t gap_ms = site->sync_ms + CORE_GAP_MS;
     /* one zone is emptied at a time, too */
     for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].forMs + site->ackMs &&
@@ -60,7 +60,7 @@
             return false;
     for (size_t i = 0; i < count && troubleCore(one->kind); i++)
         if (list[i].kind != TROUBLE_COUNT && troubleCore(list[i].kind) &&
-            one->at_ms < list[i].at_ms + list[i].forMs + gapMs && list[i].at_ms < one->at_ms + one->forMs + gapMs)
+            one->at_ms < list[i].at_ms + list[i].forMs + gap_ms && list[i].at_ms < one->at_ms + one->forMs + gap_ms)
             return false;
     return true;
 }
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -185,7 +185,7 @@
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
     Status status = settingsRead(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
-        status = coreStart(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
+        status = core_start(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
         status = gateStart(node->mem, loop, node->ring, props, &node->node.gate, &failure);
     else if (status == STATUS_OK)
@@ -254,7 +254,7 @@
     Rolling *rolling = arg;
     const FaceNode *node = &rolling->node->node;
     if (node->core != NULL)
-        coreDrain(node->core);
+        core_drain(node->core);
     if (node->gate != NULL)
         gateDrain(node->gate);
     if (node->agent != NULL)
@@ -380,7 +380,7 @@
     for (size_t i = 0; i < ground->edgeCount; i++) {
         GroundNode *node = &ground->edges[i];
         if (node->up && node->node.core != NULL && !simFrozen(ground->world, node->machine) &&
-            view_leading(coreView(node->node.core)))
+            view_leading(core_view(node->node.core)))
             return node;
     }
     return NULL;
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -115,9 +115,9 @@
 
 ZoneOrder *ledgerZone(Ledger *ledger, const char *zone)
 {
-    for (size_t i = 0; i < ledger->zoneCount; i++)
+    for (size_t i = 0; i < ledger->zone_count; i++)
         if (strcmp(ledger->zones[i].zone, zone) == 0)
             return &ledger->zones[i];
-    ledger->zones[ledger->zoneCount] = (ZoneOrder){.zone = zone};
-    return &ledger->zones[ledger->zoneCount++];
+    ledger->zones[ledger->zone_count] = (ZoneOrder){.zone = zone};
+    return &ledger->zones[ledger->zone_count++];
 }
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -27,7 +27,7 @@
     Sent **rows;
     size_t count;
     ZoneOrder zones[4];
-    size_t zoneCount;
+    size_t zone_count;
     bool running; /* the first document has been taken */
 } Ledger;
 
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -132,7 +132,7 @@
 typedef struct Storm {
     Operator *owner;
     int count;
-    int64_t gapMs;
+    int64_t gap_ms;
 } Storm;
 
 static void stormMain(void *arg)
@@ -140,15 +140,15 @@
     Storm *storm = arg;
     while (storm->count-- > 0) {
         changeOnce(storm->owner);
-        loop_sleep(operatorLoop(storm->owner), storm->gapMs);
+        loop_sleep(operatorLoop(storm->owner), storm->gap_ms);
     }
     talloc_free(storm);
 }
 
-void operatorStorm(Operator *self, int count, int64_t gapMs)
+void operatorStorm(Operator *self, int count, int64_t gap_ms)
 {
     Storm *storm = talloc_zero(self, Storm);
-    *storm = (Storm){self, count, gapMs};
+    *storm = (Storm){self, count, gap_ms};
     loop_spawn(operatorLoop(self), "storm", stormMain, storm);
 }
 
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -24,7 +24,7 @@
 /* Two on top of the same. */
 void operatorRace(Operator *self);
 /* One after the other. */
-void operatorStorm(Operator *self, int count, int64_t gapMs);
+void operatorStorm(Operator *self, int count, int64_t gap_ms);
 void operatorSpoilt(Operator *self);
 /* Many queues at once. */
 void operatorBig(Operator *self);
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -294,8 +294,8 @@
 {
     const SeenWorker *on = seenWorker(checker, worker);
     for (SeenRun *run = seenTask(seenJob(checker, id), task)->runs; run != NULL; run = run->next)
-        if (run->worker == on->worker.name && run->round == round && run->toldMs == 0)
-            run->toldMs = checkerNow(checker);
+        if (run->worker == on->worker.name && run->round == round && run->told_ms == 0)
+            run->told_ms = checkerNow(checker);
 }
 
 void checkerFault(Checker *checker)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -27,7 +27,7 @@
     const char *worker;
     uint64_t round;
     Room room;
-    int64_t toldMs;    /* the worker was told to stop it; 0: not */
+    int64_t told_ms;   /* the worker was told to stop it; 0: not */
     bool besideFrozen; /* another began while this one's machine stood still */
 } SeenRun;
 
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -33,9 +33,9 @@
             if (job->cancelledMs != 0 && checkerDebtMs(checker, job->cancelledMs) > STOP_LATE_MS)
                 checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
                              job->id, tasks[t], run->worker, now_ms - job->cancelledMs);
-            if (run->toldMs != 0 && now_ms - run->toldMs > TOLD_LATE_MS)
+            if (run->told_ms != 0 && now_ms - run->told_ms > TOLD_LATE_MS)
                 checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after the worker was told",
-                             job->id, tasks[t], run->worker, now_ms - run->toldMs);
+                             job->id, tasks[t], run->worker, now_ms - run->told_ms);
         }
     }
     talloc_free(mem);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -150,12 +150,12 @@
 {
     SimFile *sf = (SimFile *)file;
     SimMachine *machine = sf->machine;
-    const int64_t wholeMs = sync_ms(sf);
+    const int64_t whole_ms = sync_ms(sf);
     SimName *fresh = name_of(machine, talloc_asprintf(sf, "%s.new", sf->path));
     SimContent *content = talloc_zero(machine->disk, SimContent);
     fresh->content = fresh->lasting = content;
     content->inflight = bytes;
-    loop_sleep(file->loop, wholeMs / 2);
+    loop_sleep(file->loop, whole_ms / 2);
     content->inflight = (Bytes){0};
     if (!takes(machine, bytes.count)) {
         written(content, begun(machine, bytes));
@@ -167,7 +167,7 @@
     SimName *name = name_of(machine, sf->path);
     name->content = content;
     fresh->content = NULL;
-    loop_sleep(file->loop, wholeMs - wholeMs / 2);
+    loop_sleep(file->loop, whole_ms - whole_ms / 2);
     if (machine->diskFails)
         return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
     name->lasting = name->content;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -42,8 +42,8 @@
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!node->up || node->core == NULL)
             continue;
-        const Job *job = table_job(coreTable(node->core), id);
-        if (job != NULL && (found == NULL || view_leading(coreView(node->core))))
+        const Job *job = table_job(core_table(node->core), id);
+        if (job != NULL && (found == NULL || view_leading(core_view(node->core))))
             found = job;
     }
     return found;
@@ -148,7 +148,7 @@
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
     case FLEET_CORE:
-        status = coreStart(loop, loop, node->ring, &node->props, &watch, &node->core, &failure);
+        status = core_start(loop, loop, node->ring, &node->props, &watch, &node->core, &failure);
         break;
     case FLEET_GATE:
         status = gateStart(loop, loop, node->ring, &node->props, &node->gate, &failure);
@@ -217,7 +217,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (node->up && node->core != NULL && !simFrozen(fleet->world, node->machine) &&
-            view_leading(coreView(node->core)))
+            view_leading(core_view(node->core)))
             return i;
     }
     return -1;
@@ -240,7 +240,7 @@
         return false;
     void *mem = talloc_new(NULL);
     const Worker **workers;
-    const size_t count = table_workers(coreTable(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
+    const size_t count = table_workers(core_table(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
     talloc_free(mem);
     return count == (size_t)fleet->nodeCount[FLEET_WORKER];
 }
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -19,7 +19,7 @@
 static void drain(FleetNode *node)
 {
     if (node->core != NULL)
-        coreDrain(node->core);
+        core_drain(node->core);
     else if (node->gate != NULL)
         gateDrain(node->gate);
     else if (node->agent != NULL)
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -23,11 +23,11 @@
         if (!runs(fleet, node) || node->core == NULL)
             continue;
         ViewSight sight;
-        view_sight(coreView(node->core), &sight);
+        view_sight(core_view(node->core), &sight);
         if (count > 0 && sight.commit_index <= furthest)
             continue;
         furthest = sight.commit_index;
-        count = view_seats(coreView(node->core), seats);
+        count = view_seats(core_view(node->core), seats);
     }
     return count;
 }
@@ -44,7 +44,7 @@
             continue;
         bool seated = false;
         for (size_t s = 0; s < seat_count; s++)
-            seated |= seats[s] == view_disk(coreView(node->core));
+            seated |= seats[s] == view_disk(core_view(node->core));
         if (seated)
             good[count++] = node;
     }
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -116,12 +116,12 @@
                 times[at] = times[at - 1];
             times[at] = jobs[i]->accepted_ms;
         }
-    int64_t gapMs = 0;
+    int64_t gap_ms = 0;
     for (size_t i = 1; i < n; i++)
-        if (times[i] - times[i - 1] > gapMs)
-            gapMs = times[i] - times[i - 1];
+        if (times[i] - times[i - 1] > gap_ms)
+            gap_ms = times[i] - times[i - 1];
     talloc_free(times);
-    return gapMs;
+    return gap_ms;
 }
 
 static bool callersAct(Timeline *timeline, const Column *column, const char *verb, const char *value)
@@ -162,11 +162,11 @@
         return other == 0 || fault(timeline, column->name, text);
     }
     if (strncmp(verb, "gap<", 4) == 0) {
-        const int64_t gapMs = longestGap(timeline);
-        if (gapMs < atoi(verb + 4))
+        const int64_t gap_ms = longestGap(timeline);
+        if (gap_ms < atoi(verb + 4))
             return true;
         char text[64];
-        snprintf(text, sizeof(text), "the longest gap is %" PRId64 " ms", gapMs);
+        snprintf(text, sizeof(text), "the longest gap is %" PRId64 " ms", gap_ms);
         return fault(timeline, column->name, text);
     }
     return fault(timeline, column->name, "callers do not know this word");
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -9,7 +9,7 @@
     const SimLoop *sim = (const SimLoop *)loop;
     const SimMachine *machine = &sim->world->machines[sim->machine];
     return machine->bootOffsetMs + machine->rateFromMs +
-           (sim->world->now_ms - machine->rateFromMs) * machine->ratePercent / 100;
+           (sim->world->now_ms - machine->rateFromMs) * machine->rate_percent / 100;
 }
 
 static int64_t simLoopWallMs(const Loop *loop)
@@ -170,7 +170,7 @@
     snprintf(machine->ip, sizeof(machine->ip), "10.0.0.%d", number + 1);
     machine->bootOffsetMs = (int64_t)(simRandom(world) % 100000000);
     machine->wall_offset_ms = (int64_t)(simRandom(world) % 200) - 100;
-    machine->ratePercent = 100;
+    machine->rate_percent = 100;
     machine->sync_ms = 3;
     machine->disk = map_new(world);
     return number;
@@ -237,7 +237,7 @@
     SimTurn *one = talloc_zero(sim->world, SimTurn);
     *one = (SimTurn){machine, machine->life, when_ms};
     const int64_t span_ms = when_ms - machine->bootOffsetMs - machine->rateFromMs;
-    simAt(sim->world, machine->rateFromMs + (span_ms * 100 + machine->ratePercent - 1) / machine->ratePercent, turn,
+    simAt(sim->world, machine->rateFromMs + (span_ms * 100 + machine->rate_percent - 1) / machine->rate_percent, turn,
           one);
 }
 
@@ -316,10 +316,10 @@
 void simClockRate(SimWorld *world, int number, int64_t percent)
 {
     SimMachine *machine = &world->machines[number];
-    const int64_t aheadMs = (world->now_ms - machine->rateFromMs) * (machine->ratePercent - 100) / 100;
+    const int64_t aheadMs = (world->now_ms - machine->rateFromMs) * (machine->rate_percent - 100) / 100;
     machine->bootOffsetMs += aheadMs;
     machine->rateFromMs = world->now_ms;
-    machine->ratePercent = percent;
+    machine->rate_percent = percent;
 }
 
 void simCut(SimWorld *world, int from, int to, bool cut)
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -59,7 +59,7 @@
     bool silent;   /* it ends without telling its peers */
     int64_t frozenUntilMs;
     int64_t bootOffsetMs;
-    int64_t ratePercent, rateFromMs; /* of its clock, since that world time */
+    int64_t rate_percent, rateFromMs; /* of its clock, since that world time */
     int64_t wall_offset_ms;
     uint64_t sentBytes;
     int64_t bytesPerMs;             /* of its link; 0: unbounded */
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -12,7 +12,7 @@
 #include "sim/timeline.h"
 
 static int64_t now_ms;
-static bool standsStill;
+static bool stands_still;
 static Job job;
 
 static int64_t testNow(void *arg)
@@ -24,7 +24,7 @@
 static bool testFrozen(void *arg, const char *worker)
 {
     (void)arg;
-    return standsStill && strcmp(worker, "w1") == 0;
+    return stands_still && strcmp(worker, "w1") == 0;
 }
 
 static const Job *testJob(void *arg, const char *id)
@@ -60,7 +60,7 @@
                 .tasks = tasks,
                 .tasks_count = 3};
     now_ms = 1000;
-    standsStill = false;
+    stands_still = false;
     for (int i = 1; i <= 3; i++) {
         const Worker worker = {.name = i == 1   ? "w1"
                                        : i == 2 ? "w2"
@@ -108,9 +108,9 @@
     c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
     checkerStarted(c, "w2", "j", 0, 2, ONE), only(c, NEVER_TWICE);
 
-    c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), standsStill = true;
+    c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), stands_still = true;
     checkerStarted(c, "w2", "j", 0, 2, ONE), good(c);
-    standsStill = false, checkerWorkerWoke(c, "w1"), only(c, NEVER_TWICE);
+    stands_still = false, checkerWorkerWoke(c, "w1"), only(c, NEVER_TWICE);
 
     c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE);
     checkerKnown(c, "w1", "j", 0, 1, ROUND_DONE), good(c);
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -9,7 +9,7 @@
 
 static inline View *viewOf(Fleet *fleet, int core)
 {
-    return coreView(fleetNode(fleet, FLEET_CORE, core)->core);
+    return core_view(fleetNode(fleet, FLEET_CORE, core)->core);
 }
 
 static inline bool runs(Fleet *fleet, int core)
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -44,7 +44,7 @@
     assert_int_equal(courier_listen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
 }
 
-static void askOne(Seen *seen, int64_t wait_ms)
+static void ask_one(Seen *seen, int64_t wait_ms)
 {
     Loop *loop = seen->loop[0];
     void *mem = talloc_new(loop);
@@ -60,17 +60,17 @@
 static void clientMain(void *arg)
 {
     Seen *seen = arg;
-    askOne(seen, 500); /* 0: answered */
+    ask_one(seen, 500); /* 0: answered */
     loop_sleep(seen->loop[0], 1000 - 500);
-    askOne(seen, 500); /* 1: cut meanwhile: expired */
+    ask_one(seen, 500); /* 1: cut meanwhile: expired */
     loop_sleep(seen->loop[0], 1000);
-    askOne(seen, 500); /* 2: joined again: answered */
+    ask_one(seen, 500); /* 2: joined again: answered */
     loop_sleep(seen->loop[0], 2000);
-    askOne(seen, 3000); /* 3: server frozen: answered late */
-    askOne(seen, 500);  /* 4: server dead: unreachable */
+    ask_one(seen, 3000); /* 3: server frozen: answered late */
+    ask_one(seen, 500);  /* 4: server dead: unreachable */
     courier_set_cluster(seen->courier[0], 8);
     loop_sleep(seen->loop[0], 3000);
-    askOne(seen, 500); /* 5: of another cluster: stranger */
+    ask_one(seen, 500); /* 5: of another cluster: stranger */
 }
 
 static void clientStart(void *arg, Loop *loop)
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -38,7 +38,7 @@
 {
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
-    return table_drained(coreTable(fleet->nodes[FLEET_CORE][leader].core), ZONE);
+    return table_drained(core_table(fleet->nodes[FLEET_CORE][leader].core), ZONE);
 }
 
 static Handed *order(Fleet *fleet, int gate, const char *method)
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -16,7 +16,7 @@
 static const View *viewOf(Fleet *fleet, int core)
 {
     const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
-    return node->up && node->core != NULL ? coreView(node->core) : NULL;
+    return node->up && node->core != NULL ? core_view(node->core) : NULL;
 }
 
 /* Clusters known to the cores; they must be one. */
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -39,12 +39,12 @@
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
     ViewSight sight;
-    view_sight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    view_sight(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
     assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
     fleetStartNode(fleet, FLEET_CORE, away);
     fleetRun(fleet, 20000);
     ViewSight back;
-    view_sight(coreView(fleetNode(fleet, FLEET_CORE, away)->core), &back);
+    view_sight(core_view(fleetNode(fleet, FLEET_CORE, away)->core), &back);
     assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
     assert_true(back.delivered_index > sight.delivered_index);
     assert_false(back.woke);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -62,7 +62,7 @@
         return 0;
     ViewSight sight;
     size_t count = 0;
-    view_sight(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    view_sight(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
     for (size_t i = 0; i < sight.seat_count; i++)
         count += sight.seats[i].in_view;
     return count;
@@ -77,7 +77,7 @@
         return false;
     uint64_t disks[SEAT_MOST];
     const FleetNode *first = fleetNode(fleet, FLEET_CORE, leader);
-    const size_t count = view_seats(coreView(first->core), disks);
+    const size_t count = view_seats(core_view(first->core), disks);
     size_t good = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
         const FleetNode *node = fleetNode(fleet, FLEET_CORE, i);
@@ -86,7 +86,7 @@
             simIsCut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
-            good += disks[k] == view_disk(coreView(node->core));
+            good += disks[k] == view_disk(core_view(node->core));
     }
     return good == trial->wanted;
 }
@@ -98,9 +98,9 @@
     const int leader = fleetLeader(fleet);
     if (leader < 0 || !node->up || node->core == NULL)
         return false;
-    const size_t count = view_seats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
     for (size_t i = 0; i < count; i++)
-        if (disks[i] == view_disk(coreView(node->core)))
+        if (disks[i] == view_disk(core_view(node->core)))
             return true;
     return false;
 }
@@ -190,7 +190,7 @@
 }
 
 /* The longest time without an acceptance since then. */
-static int64_t gapMs(Fleet *fleet, int64_t since_ms)
+static int64_t gap_ms(Fleet *fleet, int64_t since_ms)
 {
     CallerJob *const *jobs;
     const size_t count = callerJobs(fleet->callers[0], &jobs);
@@ -219,9 +219,9 @@
         const FleetNode *node = fleetNode(fleet, FLEET_CORE, c);
         if (!node->up || node->core == NULL)
             continue;
-        view_sight(coreView(node->core), &sight);
+        view_sight(core_view(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
-                node->props.name, (unsigned long long)view_disk(coreView(node->core)), (int)sight.phase,
+                node->props.name, (unsigned long long)view_disk(core_view(node->core)), (int)sight.phase,
                 (unsigned long long)sight.epoch, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
@@ -273,7 +273,7 @@
         printf("%8ld %s%s", (long)from_ms, withLeader ? "leader " : "", whole ? "" : "NOT WHOLE ");
         for (int i = 0; i < count; i++)
             printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].core + 1);
-        printf("out %ld, whole after %ld, gap %ld\n", (long)outMs, (long)took_ms, (long)gapMs(fleet, from_ms - outMs));
+        printf("out %ld, whole after %ld, gap %ld\n", (long)outMs, (long)took_ms, (long)gap_ms(fleet, from_ms - outMs));
     }
     if (took_ms > trial->worstMs) {
         trial->worstMs = took_ms;
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -64,7 +64,7 @@
 
 /* Work on one worker stands still while the worker claims health: it is stopped there
  * and begun anew elsewhere within seconds, and the worker is given less. */
-static void standsStill(void **state)
+static void stands_still(void **state)
 {
     (void)state;
     Fleet *fleet = begin(11);
@@ -163,11 +163,11 @@
 
 static const char *rackOf(const Fleet *fleet, const char *worker)
 {
-    const Worker *its = table_worker(coreTable(fleet->nodes[FLEET_CORE][fleetLeader(fleet)].core), worker);
+    const Worker *its = table_worker(core_table(fleet->nodes[FLEET_CORE][fleetLeader(fleet)].core), worker);
     return its != NULL ? its->rack : "";
 }
 
-static size_t onRack(const Fleet *fleet, const char *id, const char *rack)
+static size_t on_rack(const Fleet *fleet, const char *id, const char *rack)
 {
     const Job *job = fleetJob(fleet, id);
     size_t count = 0;
@@ -186,13 +186,13 @@
         fleet, "near", "bulk",
         "{\"name\":\"a\",\"count\":6,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
     fleetRun(fleet, 1000);
-    assert_int_equal(onRack(fleet, "near", "rack1"), 6);
+    assert_int_equal(on_rack(fleet, "near", "rack1"), 6);
     hand(
         fleet, "gang", "bulk",
         "{\"name\":\"g\",\"count\":4,\"gang\":true,\"sameRack\":true,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":4000,"
         "\"payload\":{\"runMs\":4000}}");
     fleetRun(fleet, 500);
-    assert_true(onRack(fleet, "gang", "rack0") == 4 || onRack(fleet, "gang", "rack1") == 4);
+    assert_true(on_rack(fleet, "gang", "rack0") == 4 || on_rack(fleet, "gang", "rack1") == 4);
     const Job *gang = fleetJob(fleet, "gang");
     for (size_t i = 1; i < gang->tasks_count; i++)
         assert_int_equal(gang->tasks[i].round, gang->tasks[0].round);
@@ -201,11 +201,11 @@
         fleet, "more", "bulk",
         "{\"name\":\"a\",\"count\":30,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
     fleetRun(fleet, 300);
-    const size_t near = onRack(fleet, "more", "rack1");
+    const size_t near = on_rack(fleet, "more", "rack1");
     assert_true(near > 0);
-    assert_int_equal(onRack(fleet, "more", "rack0"), 0);
+    assert_int_equal(on_rack(fleet, "more", "rack0"), 0);
     fleetRun(fleet, 2500);
-    assert_true(onRack(fleet, "more", "rack0") > 0);
+    assert_true(on_rack(fleet, "more", "rack0") > 0);
     end(fleet);
 }
 
@@ -266,7 +266,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(standsStill),    cmocka_unit_test(tooSlow),     cmocka_unit_test(longerThanSaid),
+        cmocka_unit_test(stands_still),   cmocka_unit_test(tooSlow),     cmocka_unit_test(longerThanSaid),
         cmocka_unit_test(newLeaderHears), cmocka_unit_test(apartAlways), cmocka_unit_test(racks),
         cmocka_unit_test(urgentPushes),   cmocka_unit_test(leaves),
     };
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -277,7 +277,7 @@
     fleetRun(fleet, 1500);
     const Job *job = fleetJob(fleet, "three");
     const Worker *at[3];
-    const Table *table = coreTable(fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->core);
+    const Table *table = core_table(fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->core);
     for (int i = 0; i < 3; i++)
         at[i] = table_worker(table, job->tasks[i].worker);
     for (int i = 0; i < 3; i++)
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -68,7 +68,7 @@
     const char *history = (const char *)call.result.data;
     const int leader = fleetLeader(fleet);
     assert_true(leader >= 0);
-    const Table *table = coreTable(fleet->nodes[FLEET_CORE][leader].core);
+    const Table *table = core_table(fleet->nodes[FLEET_CORE][leader].core);
     const Job *known = table_job(table, "known");
     Job *const *jobs;
     return talloc_asprintf(mem, "jobs %zu, ending %d, zone %d %lld, %s", table_jobs(table, &jobs), (int)known->ending,
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -112,10 +112,10 @@
     const int leader = fleetLeader(fleet);
     const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
     assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = view_seats(coreView(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
-        found |= disks[i] == view_disk(coreView(node->core));
+        found |= disks[i] == view_disk(core_view(node->core));
     return found;
 }
 
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -89,8 +89,8 @@
 
 static Pass *pass(Stand *stand)
 {
-    Pass *one = passNew(stand->core, stand->core);
-    passPlaces(one);
+    Pass *one = pass_new(stand->core, stand->core);
+    pass_places(one);
     return one;
 }
 
@@ -124,15 +124,15 @@
     sim_start(world, sim_machine(world), started, &core->loop);
     core->ring = ring_new(core, "bench");
     core->table = table_new(core);
-    const ViewProps viewProps = {.loop = core->loop, .ring = core->ring, .state = table_state(core->table)};
-    core->view = view_new(core, &viewProps);
+    const ViewProps view_props = {.loop = core->loop, .ring = core->ring, .state = table_state(core->table)};
+    core->view = view_new(core, &view_props);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
     core->kept = map_new(core);
     core->guesses = guesses_new(core);
     core->strays = strays_new(core);
-    core->paces = pacesNew(core);
+    core->paces = paces_new(core);
     core->queue = queue_new(core, core->guesses);
     Stand stand = {core, 0, 0};
     const ConfigSet set = {
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -111,8 +111,8 @@
 /* How far it has come. */
 static int64_t percentOf(const Run *run)
 {
-    const int64_t wholeMs = run->endMs - run->beganMs, ran_ms = loop_now_ms(run->worker->loop) - run->beganMs;
-    return wholeMs <= 0 || ran_ms >= wholeMs ? 100 : (int64_t)((double)ran_ms * 100 / (double)wholeMs);
+    const int64_t whole_ms = run->endMs - run->beganMs, ran_ms = loop_now_ms(run->worker->loop) - run->beganMs;
+    return whole_ms <= 0 || ran_ms >= whole_ms ? 100 : (int64_t)((double)ran_ms * 100 / (double)whole_ms);
 }
 
 static Run *runFind(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
@@ -259,9 +259,9 @@
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
-    const int64_t staysMs = worker->leaveAtMs - loop_now_ms(worker->loop);
-    if (worker->leaving && staysMs > 0)
-        json_object_object_add(body, "leaveMs", json_object_new_int64(staysMs));
+    const int64_t stays_ms = worker->leaveAtMs - loop_now_ms(worker->loop);
+    if (worker->leaving && stays_ms > 0)
+        json_object_object_add(body, "leaveMs", json_object_new_int64(stays_ms));
     json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_MS));
     json_object *running = json_object_new_array(), *ended = json_object_new_array();
     for (Run *run = worker->runs; run != NULL; run = run->next) {
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -151,7 +151,7 @@
           "const int64_t until_ms = now_ms + hold_claim_ms(hold_ms);", "const int64_t until_ms = now_ms + hold_ms / 3;",
           CLAIM, "timeline", "trentvale", 3, MACHINE_OFF),
     Guard("hold-after-win", "a new leader waits a whole hold before it calls anybody lost", "packages/core/src/core.c",
-          "liveset_reset(core->liveset, view_won_ms(core->view) + coreClaimMs(core), names, count);",
+          "liveset_reset(core->liveset, view_won_ms(core->view) + core_claim_ms(core), names, count);",
           "liveset_reset(core->liveset, view_won_ms(core->view), names, count);",
           CLAIM, "timeline", "trentvale", 6, OFF_WITH_LEADER),
     Guard("hold-counted-from-sending", "an agent counts its hold from when it sent the beat", "packages/agent/src/beat.c",
@@ -218,7 +218,7 @@
 12000  .              end
 """),
     Guard("quota", "a tenant's work is held to its quota", "packages/core/src/place.c",
-          "    if (!underQuota(pass, candidate, step))\n        return false;\n", "    (void)underQuota;\n",
+          "    if (!under_quota(pass, candidate, step))\n        return false;\n", "    (void)under_quota;\n",
           "more of a tenant", "timeline", "varied", 2, WORKERS_KILLED),
     Guard("kind", "a worker is of the kind asked for", "packages/plan/src/plan.c",
           "if (need->kind[0] != '\\0' && strcmp(need->kind, worker->kind) != 0)", "if (false)",
@@ -257,7 +257,7 @@
           "            round->phase = PHASE_STOPPING;\n        signal_raise", "            (void)round;\n        signal_raise",
           "running on after", "timeline", "trentvale", 3, CANCELLED),
     Guard("gang-whole", "a gang is placed whole or not at all", "packages/core/src/place.c",
-          "            takeBack(pass, step, where, i);\n            return false;",
+          "            take_back(pass, step, where, i);\n            return false;",
           "            ((Candidate *)(uintptr_t)candidate)->count = i;\n            return i > 0;",
           "left waiting alone", "timeline", "varied", 4, """
 ms     worker1  worker2  worker3  worker4  worker5  worker6  worker7  worker8  callers
@@ -265,22 +265,22 @@
 40000  start    start    start    start    start    start    start    start    .
 60000  .        .        .        .        .        .        .        .        end
 """, also=[("packages/table/src/deliverplace.c", "return together == left ? together : 0;", "return together;"),
-           ("packages/core/src/planner.c", "        gangsMend(core, mem);", "        (void)mem;")]),
+           ("packages/core/src/planner.c", "        gangs_mend(core, mem);", "        (void)mem;")]),
     Guard("gang-stopped", "when a member is lost the others stop", "packages/table/src/gang.c",
           "        if (other != task && (other->phase", "        if (false && (other->phase",
           "left waiting alone", "sweep", "varied", 1, 40,
-          also=[("packages/core/src/planner.c", "        gangsMend(core, mem);", "        (void)mem;")]),
+          also=[("packages/core/src/planner.c", "        gangs_mend(core, mem);", "        (void)mem;")]),
     Guard("base-check", "a configuration builds on the one in force", "packages/table/src/deliverconfig.c",
           "set->base == current && revision > current && (!set->patch", "(!set->patch",
           "configuration", "sweep", "varied", 1, 60),
     Guard("config-refused", "a refused configuration is not taken", "packages/core/src/configs.c",
-          "    if (set.base != current) {\n        refuseStale(way, current);\n        return;\n    }",
-          "    if (set.base != current) {\n        refuseStale(way, current);\n        set.base = current;\n        "
+          "    if (set.base != current) {\n        refuse_stale(way, current);\n        return;\n    }",
+          "    if (set.base != current) {\n        refuse_stale(way, current);\n        set.base = current;\n        "
           "way->task = talloc_memdup(way->mem, way->task, sizeof(HttpTask));\n    }",
           "refused configuration|configuration", "sweep", "varied", 1, 60),
     Guard("refused-not-run", "a refused job is not submitted", "packages/core/src/jobs.c",
-          "    if (!job_admissible(way->faults, spec, config, core->table)) {\n        wayRefuse(way);\n        return NULL;\n    }",
-          "    if (!job_admissible(way->faults, spec, config, core->table)) {\n        wayRefuse(way);\n        way->task = talloc_memdup(way->mem, way->task, sizeof(HttpTask));\n    }",
+          "    if (!job_admissible(way->faults, spec, config, core->table)) {\n        way_refuse(way);\n        return NULL;\n    }",
+          "    if (!job_admissible(way->faults, spec, config, core->table)) {\n        way_refuse(way);\n        way->task = talloc_memdup(way->mem, way->task, sizeof(HttpTask));\n    }",
           "a refused job running", "sweep", "varied", 1, 12),
     Guard("read-synced", "what a restarted process reads is synced before it counts", "packages/sim/src/disk.c",
           "    synced(sf->machine, from);\n", "", "read_is_synced", "test", "journal", "read_is_synced"),
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -51,8 +51,8 @@
     const char *http = "";
     const CoreWatch watch = {daemon, onPlans};
     if (daemon->role == PROPS_CORE)
-        status = coreStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props,
-                           daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
+        status = core_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props,
+                            daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
     else if (daemon->role == PROPS_GATE)
         status = gateStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->gate, &failure);
     else
@@ -64,7 +64,7 @@
         return;
     }
     if (daemon->core != NULL)
-        http = coreHttpAddress(daemon->core);
+        http = core_http_address(daemon->core);
     else if (daemon->gate != NULL)
         http = gateHttpAddress(daemon->gate);
     else
@@ -84,7 +84,7 @@
 {
     Daemon *daemon = arg;
     if (daemon->core != NULL)
-        coreDrain(daemon->core);
+        core_drain(daemon->core);
     if (daemon->gate != NULL)
         gateDrain(daemon->gate);
     if (daemon->agent != NULL)
--- a/src/node.c
+++ b/src/node.c
@@ -41,7 +41,7 @@
     for (int i = 0; i < SEEDS; i++)
         run->place.props.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.props.seeds[i]);
     if (run->node.core != NULL)
-        coreSeeds(run->node.core, seeds);
+        core_seeds(run->node.core, seeds);
     else if (run->node.gate != NULL)
         gateSeeds(run->node.gate, seeds);
     else if (run->node.agent != NULL)
@@ -87,7 +87,7 @@
     Failure failure = {0};
     Status status;
     if (run->place.role == PROPS_CORE)
-        status = coreStart(run->mem, node->loop, node->ring, props, NULL, &node->core, &failure);
+        status = core_start(run->mem, node->loop, node->ring, props, NULL, &node->core, &failure);
     else if (run->place.role == PROPS_GATE)
         status = gateStart(run->mem, node->loop, node->ring, props, &node->gate, &failure);
     else
@@ -116,7 +116,7 @@
 {
     NodeRun *run = arg;
     if (run->node.core != NULL)
-        coreDrain(run->node.core);
+        core_drain(run->node.core);
     if (run->node.gate != NULL)
         gateDrain(run->node.gate);
     if (run->node.agent != NULL)
--- a/src/standins.c
+++ b/src/standins.c
@@ -179,7 +179,7 @@
     recordRun(arg, "unknown", "-", id, 0, 0, "");
 }
 
-static int spanOrder(const void *a, const void *b)
+static int span_order(const void *a, const void *b)
 {
     const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
     return x < y ? -1 : x > y;
@@ -204,7 +204,7 @@
         for (size_t i = 0; i < count; i++)
             if ((int)jobs[i]->kind == kind && jobs[i]->started_ms != 0)
                 spans[n++] = jobs[i]->started_ms - jobs[i]->accepted_ms;
-        qsort(spans, n, sizeof(*spans), spanOrder);
+        qsort(spans, n, sizeof(*spans), span_order);
         if (n > 0)
             printf("accepted-to-started %s n %zu p50 %" PRId64 " p90 %" PRId64 " p99 %" PRId64 " max %" PRId64 " ms\n",
                    classWord((MixClass)kind), n, spans[n / 2], spans[n * 9 / 10], spans[n * 99 / 100], spans[n - 1]);
@@ -213,12 +213,12 @@
     for (size_t i = 0; i < count; i++)
         if (jobs[i]->accepted_ms != 0)
             spans[n++] = jobs[i]->accepted_ms;
-    qsort(spans, n, sizeof(*spans), spanOrder);
-    int64_t gapMs = 0;
+    qsort(spans, n, sizeof(*spans), span_order);
+    int64_t gap_ms = 0;
     for (size_t i = 1; i < n; i++)
-        if (spans[i] - spans[i - 1] > gapMs)
-            gapMs = spans[i] - spans[i - 1];
-    printf("longest-gap-between-acceptances %" PRId64 " ms\n", gapMs);
+        if (spans[i] - spans[i - 1] > gap_ms)
+            gap_ms = spans[i] - spans[i - 1];
+    printf("longest-gap-between-acceptances %" PRId64 " ms\n", gap_ms);
 }
 
 static void caller_main(void *arg)
