--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -23,7 +23,7 @@
     return false;
 }
 
-static void startTake(Agent *agent, const Order *order, uint64_t epoch, int64_t expiry_ms)
+static void start_take(Agent *agent, const Order *order, uint64_t epoch, int64_t expiry_ms)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     Round *round = round_find(agent, order->job, order->task, order->round);
@@ -63,5 +63,5 @@
         signal_raise(agent->loop, &agent->forWorker);
     }
     for (size_t i = 0; i < answer->starts_count; i++)
-        startTake(agent, &answer->starts[i], answer->epoch, sent_ms + answer->expiry_ms);
+        start_take(agent, &answer->starts[i], answer->epoch, sent_ms + answer->expiry_ms);
 }
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -7,7 +7,7 @@
 
 #define KEY_MAX (ID_MAX + 48) /* bytes; a name and two numbers */
 
-static const char *taskKey(char key[KEY_MAX], const char *job, uint64_t task)
+static const char *task_key(char key[KEY_MAX], const char *job, uint64_t task)
 {
     snprintf(key, KEY_MAX, "%" PRIu64 " %s", task, job);
     return key;
@@ -34,7 +34,7 @@
 Round *roundNewest(Agent *agent, const char *job, uint64_t task)
 {
     char key[KEY_MAX];
-    return map_get(agent->rounds.newest, taskKey(key, job, task));
+    return map_get(agent->rounds.newest, task_key(key, job, task));
 }
 
 static void chainLeave(Round *round)
@@ -85,7 +85,7 @@
     map_set(agent->rounds.by_id, roundKey(key, order->job, order->task, order->round), round);
     const Round *newest = roundNewest(agent, order->job, order->task);
     if (newest == NULL || newest->order.round < order->round)
-        map_set(agent->rounds.newest, taskKey(key, order->job, order->task), round);
+        map_set(agent->rounds.newest, task_key(key, order->job, order->task), round);
     return round;
 }
 
@@ -210,7 +210,7 @@
         chainLeave(round);
         map_drop(rounds->by_id, roundKey(key, round->order.job, round->order.task, round->order.round));
         if (roundNewest(agent, round->order.job, round->order.task) == round)
-            map_drop(rounds->newest, taskKey(key, round->order.job, round->order.task));
+            map_drop(rounds->newest, task_key(key, round->order.job, round->order.task));
         talloc_free(round);
     }
 }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -134,9 +134,9 @@
     loop_spawn(loop, "boot", agentBoot, arg);
 }
 
-static void run(Case *c, int64_t forMs)
+static void run(Case *c, int64_t for_ms)
 {
-    sim_run_until(c->world, sim_now_ms(c->world) + forMs);
+    sim_run_until(c->world, sim_now_ms(c->world) + for_ms);
 }
 
 static Case *caseNew(int64_t hold_ms, int64_t worker_hold_ms)
--- a/packages/core/src/alerts.h
+++ b/packages/core/src/alerts.h
@@ -31,7 +31,7 @@
 const char *alert_word(Alert alert);
 /* Looks at everything and notes since when each alert stands. */
 void alerts_look(Core *core);
-/* [{"alert", "subject", "forMs", "todo"}], the oldest first. */
+/* [{"alert", "subject", "for_ms", "todo"}], the oldest first. */
 json_object *alerts_show(const Core *core);
 size_t alerts_count(const Core *core, Alert alert);
 void alerts_start(Core *core);
--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -59,7 +59,7 @@
     ActKind kind;
     Who who;
     unsigned pick; /* which of them: modulo their number */
-    int64_t forMs;
+    int64_t for_ms;
     unsigned amount;
 } Act;
 
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -112,12 +112,12 @@
     talloc_free(arg);
 }
 
-static void blackout(Explore *explore, int64_t forMs)
+static void blackout(Explore *explore, int64_t for_ms)
 {
     for (int i = 0; i < explore->nodeCount; i++)
         if (!explore->nodes[i].gone) {
             nodeKill(&explore->nodes[i], true);
-            nodeStartLater(&explore->nodes[i], forMs + (int64_t)(simRandom(explore->world) % 300));
+            nodeStartLater(&explore->nodes[i], for_ms + (int64_t)(simRandom(explore->world) % 300));
         }
 }
 
@@ -140,7 +140,7 @@
 {
     switch (act->kind) {
     case ACT_BLACKOUT:
-        blackout(explore, act->forMs);
+        blackout(explore, act->for_ms);
         return true;
     case ACT_JOIN:
         join(explore);
@@ -168,7 +168,7 @@
 {
     if (act->kind == ACT_WIPE) {
         nodeWipe(node);
-        nodeStartLater(node, act->forMs);
+        nodeStartLater(node, act->for_ms);
     } else if (act->kind == ACT_LEAVE) {
         nodeLeave(node);
     } else {
@@ -182,10 +182,10 @@
     case ACT_KILL:
     case ACT_POWER:
         nodeKill(node, act->kind == ACT_POWER);
-        nodeStartLater(node, act->forMs);
+        nodeStartLater(node, act->for_ms);
         break;
     case ACT_FREEZE:
-        simFreeze(explore->world, node->machine, sim_now_ms(explore->world) + act->forMs);
+        simFreeze(explore->world, node->machine, sim_now_ms(explore->world) + act->for_ms);
         break;
     case ACT_FAR:
         simFar(explore->world, node->machine, act->amount);
@@ -201,7 +201,7 @@
         break;
     case ACT_STEP_DOWN:
         if (node->up)
-            view_step_down(node->view, act->forMs);
+            view_step_down(node->view, act->for_ms);
         break;
     case ACT_CHANGES:
         changes(explore, node, act->amount);
@@ -235,17 +235,17 @@
         }
         end->node = node;
         end->other = explore->nodes[act->amount % (unsigned)explore->nodeCount].machine;
-        exploreSay(explore, "%s %s for %" PRId64 " ms, %u", actWord(act->kind), node->name, act->forMs, act->amount);
+        exploreSay(explore, "%s %s for %" PRId64 " ms, %u", actWord(act->kind), node->name, act->for_ms, act->amount);
         if (loses(act->kind))
             lose(node, act);
         else
             nodeAct(explore, node, act, end);
     } else {
-        exploreSay(explore, "%s for %" PRId64 " ms, %u", actWord(act->kind), act->forMs, act->amount);
+        exploreSay(explore, "%s for %" PRId64 " ms, %u", actWord(act->kind), act->for_ms, act->amount);
     }
     paceLost(explore, act->kind);
     explore->result->done[act->kind]++;
-    simAt(explore->world, sim_now_ms(explore->world) + act->forMs, actEnd, end);
+    simAt(explore->world, sim_now_ms(explore->world) + act->for_ms, actEnd, end);
 }
 
 void actsEnd(Explore *explore)
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -100,7 +100,7 @@
         const ActKind kind = kindOf(&draw);
         Act *act = &plan->acts[plan->actCount++];
         *act = (Act){at_ms, kind, whoOf(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
-        act->forMs =
+        act->for_ms =
             SHAPES[kind].leastMs + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].most_ms - SHAPES[kind].leastMs + 1));
         act->amount = SHAPES[kind].least + (unsigned)below(&draw, SHAPES[kind].most - SHAPES[kind].least + 1);
     }
@@ -161,6 +161,6 @@
     for (size_t i = 0; i < plan->actCount; i++)
         if (!plan->skipped[i])
             printf("    {%" PRId64 ", %s, %s, %u, %" PRId64 ", %u},\n", plan->acts[i].at_ms, KINDS[plan->acts[i].kind],
-                   WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].forMs, plan->acts[i].amount);
+                   WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].for_ms, plan->acts[i].amount);
     printf("}}\n");
 }
--- a/packages/face/include/face/face.h
+++ b/packages/face/include/face/face.h
@@ -43,10 +43,10 @@
 extern const Face *const FACES[];
 
 /* Null when there is none of this name. */
-const Face *faceFind(const char *name);
+const Face *face_find(const char *name);
 /* An entry point's way for a request, whichever of the two it is. Waits. */
-void faceTake(const FaceNode *node, HttpTask *task);
-/* As gateElsewhere; a core carries everything itself. */
-bool faceElsewhere(const FaceNode *node, HttpTask *task, bool back, const char **leader);
+void face_take(const FaceNode *node, HttpTask *task);
+/* As gate_elsewhere; a core carries everything itself. */
+bool face_elsewhere(const FaceNode *node, HttpTask *task, bool back, const char **leader);
 
 #endif
--- a/packages/face/src/face.c
+++ b/packages/face/src/face.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-const Face *faceFind(const char *name)
+const Face *face_find(const char *name)
 {
     for (const Face *const *face = FACES; *face != NULL; face++)
         if (strcmp((*face)->name, name) == 0)
@@ -10,15 +10,15 @@
     return NULL;
 }
 
-bool faceElsewhere(const FaceNode *node, HttpTask *task, bool back, const char **leader)
+bool face_elsewhere(const FaceNode *node, HttpTask *task, bool back, const char **leader)
 {
-    return node->gate != NULL && gateElsewhere(node->gate, task, back, leader);
+    return node->gate != NULL && gate_elsewhere(node->gate, task, back, leader);
 }
 
-void faceTake(const FaceNode *node, HttpTask *task)
+void face_take(const FaceNode *node, HttpTask *task)
 {
     if (node->core != NULL)
         core_take(node->core, task);
     else
-        gateTake(node->gate, task);
+        gate_take(node->gate, task);
 }
--- a/packages/gate/include/gate/gate.h
+++ b/packages/gate/include/gate/gate.h
@@ -8,21 +8,21 @@
  * configuration. */
 typedef struct Gate Gate;
 
-Status gateStart(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **gate, Failure *failure);
+Status gate_start(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **gate, Failure *failure);
 /* Waits. As core_take. */
-void gateTake(Gate *gate, HttpTask *task);
+void gate_take(Gate *gate, HttpTask *task);
 /* Waits. A configuration that is large, in the task's body or (back) in its result, is
  * no load for a gate's narrow link: its caller is sent to the leader itself. True when
  * the task has its result: 307, and leader is the address, on the task, at which the
  * leader that serves now is asked by callers; or a refusal, when none serves. False:
  * the gate carries it. */
-bool gateElsewhere(Gate *gate, HttpTask *task, bool back, const char **leader);
+bool gate_elsewhere(Gate *gate, HttpTask *task, bool back, const char **leader);
 /* As core_ready. */
-bool gateReady(const Gate *gate);
+bool gate_ready(const Gate *gate);
 /* Waits: not ready at once; requests in work get their result. */
-void gateDrain(Gate *gate);
+void gate_drain(Gate *gate);
 /* Other seeds from now on. */
-void gateSeeds(Gate *gate, const char *const seeds[SEEDS]);
-const char *gateHttpAddress(const Gate *gate);
+void gate_seeds(Gate *gate, const char *const seeds[SEEDS]);
+const char *gate_http_address(const Gate *gate);
 
 #endif
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -22,14 +22,14 @@
     Feed *feed;
     int64_t grace_ms, unready_ms;
     bool leaving;
-    size_t inWork;
+    size_t in_work;
 };
 
 static void metrics(Gate *gate, HttpTask *task)
 {
     const CourierCounts *counts = courier_counts(gate->courier);
     show_metrics_begin(task);
-    show_metric(task, "inWork", (int64_t)gate->inWork);
+    show_metric(task, "inWork", (int64_t)gate->in_work);
     show_metric(task, "kept", (int64_t)keeper_count(gate->keeper));
     show_metric(task, "keptBytes", (int64_t)keeper_bytes(gate->keeper));
     show_metric(task, "configRevision", (int64_t)feed_revision(gate->feed));
@@ -40,14 +40,14 @@
 #undef X
 }
 
-void gateTake(Gate *gate, HttpTask *task)
+void gate_take(Gate *gate, HttpTask *task)
 {
     if (strcmp(task->path, "/livez") == 0) {
         json_object *body = json_object_new_object();
         json_object_object_add(body, "live", json_object_new_boolean(true));
         show_result(task, 200, body);
     } else if (strcmp(task->path, "/readyz") == 0) {
-        show_ready(task, gateReady(gate), gate->leaving);
+        show_ready(task, gate_ready(gate), gate->leaving);
     } else if (strcmp(task->path, "/metrics") == 0) {
         metrics(gate, task);
     } else if (strcmp(task->path, "/v1/ring") == 0) {
@@ -55,13 +55,13 @@
     } else if (strcmp(task->path, "/v1/trace") == 0) {
         trace_serve(gate->trace, task);
     } else {
-        gate->inWork++;
+        gate->in_work++;
         forward_request(gate->forwarder, task);
-        gate->inWork--;
+        gate->in_work--;
     }
 }
 
-bool gateElsewhere(Gate *gate, HttpTask *task, bool back, const char **leader)
+bool gate_elsewhere(Gate *gate, HttpTask *task, bool back, const char **leader)
 {
     if (task->body.count <= CONFIG_LARGE_BYTES && !(back && feed_size(gate->feed) > CONFIG_LARGE_BYTES))
         return false;
@@ -88,10 +88,10 @@
 
 static void on_http(void *arg, HttpTask *task)
 {
-    gateTake(arg, task);
+    gate_take(arg, task);
 }
 
-bool gateReady(const Gate *gate)
+bool gate_ready(const Gate *gate)
 {
     return !gate->leaving && ways_serve(forwarder_ways(gate->forwarder));
 }
@@ -126,7 +126,7 @@
     return STATUS_OK;
 }
 
-Status gateStart(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **out, Failure *failure)
+Status gate_start(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **out, Failure *failure)
 {
     Gate *gate = talloc_zero(mem, Gate);
     gate->loop = loop;
@@ -168,7 +168,7 @@
     return STATUS_OK;
 }
 
-void gateDrain(Gate *gate)
+void gate_drain(Gate *gate)
 {
     const int64_t now_ms = loop_now_ms(gate->loop);
     gate->leaving = true;
@@ -180,12 +180,12 @@
         loop_sleep(gate->loop, DRAIN_LOOK_MS);
 }
 
-const char *gateHttpAddress(const Gate *gate)
+const char *gate_http_address(const Gate *gate)
 {
     return gate->http;
 }
 
-void gateSeeds(Gate *gate, const char *const seeds[SEEDS])
+void gate_seeds(Gate *gate, const char *const seeds[SEEDS])
 {
     members_seeds(gate->members, seeds);
 }
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -10,7 +10,7 @@
 /* What has become of a task, or of a gang as one. */
 typedef struct Fate {
     bool done; /* a worker has ended it well */
-    int64_t doneMs;
+    int64_t done_ms;
     int64_t notedMs;            /* ... and was told that this is known; 0: not yet */
     uint64_t failed[FAILS_MAX]; /* rounds: a gang's failure counts once */
     bool failNoted[FAILS_MAX];
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -208,7 +208,7 @@
     }
 }
 
-static void followMain(void *arg)
+static void follow_main(void *arg)
 {
     CallerTask *task = arg;
     BookJob *job = task->job;
@@ -232,7 +232,7 @@
 }
 
 /* The same job through another entry point at the same time. */
-static void twinMain(void *arg)
+static void twin_main(void *arg)
 {
     postOnce(arg);
 }
@@ -263,11 +263,11 @@
     job->poison = dicePercent(&pouring->dice, callers->poisonPercent);
     const uint64_t number = callers->drawn++;
     CallerTask *task = taskNew(callers, pouring, job, number * 2);
-    loop_spawn(task->loop, "caller", followMain, task);
+    loop_spawn(task->loop, "caller", follow_main, task);
     if (dicePercent(&pouring->dice, kind->twicePercent)) {
         CallerTask *twin = taskNew(callers, pouring, job, number * 2 + 1);
         twin->first = true;
-        loop_spawn(twin->loop, "twin", twinMain, twin);
+        loop_spawn(twin->loop, "twin", twin_main, twin);
     }
 }
 
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -55,12 +55,12 @@
     const int64_t gap_ms = site->sync_ms + CORE_GAP_MS;
     /* one zone is emptied at a time, too */
     for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
-        if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].forMs + site->ackMs &&
-            list[i].at_ms < one->at_ms + one->forMs + site->ackMs)
+        if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].for_ms + site->ackMs &&
+            list[i].at_ms < one->at_ms + one->for_ms + site->ackMs)
             return false;
     for (size_t i = 0; i < count && troubleCore(one->kind); i++)
         if (list[i].kind != TROUBLE_COUNT && troubleCore(list[i].kind) &&
-            one->at_ms < list[i].at_ms + list[i].forMs + gap_ms && list[i].at_ms < one->at_ms + one->forMs + gap_ms)
+            one->at_ms < list[i].at_ms + list[i].for_ms + gap_ms && list[i].at_ms < one->at_ms + one->for_ms + gap_ms)
             return false;
     return true;
 }
@@ -79,12 +79,12 @@
         bool good = false;
         for (int tries = 0; tries < 12 && !good; tries++) {
             one->at_ms = diceSpan(&dice, 1500, last_ms - 2000);
-            one->forMs = diceSpan(&dice, 800, 7000);
+            one->for_ms = diceSpan(&dice, 800, 7000);
             /* a loss counts for a while after the return: the closing fault may be the next */
-            const int64_t endMs = last_ms - (troubleCore(one->kind) ? site->sync_ms : 0);
-            if (one->at_ms + one->forMs > endMs)
-                one->forMs = endMs - one->at_ms;
-            good = one->forMs >= 500 && fits(list, i, one, site);
+            const int64_t end_ms = last_ms - (troubleCore(one->kind) ? site->sync_ms : 0);
+            if (one->at_ms + one->for_ms > end_ms)
+                one->for_ms = end_ms - one->at_ms;
+            good = one->for_ms >= 500 && fits(list, i, one, site);
         }
         one->dice = diceOf(props->seed, "strike", i);
         if (!good || props->skipped[i]) {
@@ -92,7 +92,7 @@
             continue;
         }
         snprintf(result->troubles[i], sizeof(result->troubles[i]), "%s@%" PRId64 "+%" PRId64, troubleName(one->kind),
-                 one->at_ms, one->forMs);
+                 one->at_ms, one->for_ms);
     }
     result->troubleCount = props->troubles;
     return props->troubles;
@@ -108,7 +108,7 @@
         Trouble *trouble = &list[count];
         char kind[24] = "";
         *trouble = (Trouble){.day = day, .dice = diceOf(props->seed, "strike", count)};
-        const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->at_ms, &trouble->forMs,
+        const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->at_ms, &trouble->for_ms,
                                trouble->whom);
         trouble->kind = got >= 3 ? troubleOf(kind) : TROUBLE_COUNT;
         if (trouble->kind == TROUBLE_COUNT || props->skipped[count])
@@ -121,9 +121,9 @@
     return count;
 }
 
-static void dayFor(const Day *day, int64_t forMs)
+static void dayFor(const Day *day, int64_t for_ms)
 {
-    sim_run_until(day->ground->world, groundNowMs(day->ground) + forMs);
+    sim_run_until(day->ground->world, groundNowMs(day->ground) + for_ms);
 }
 
 static void closingStart(void *arg)
@@ -208,18 +208,18 @@
     day->operator= operatorNew(mem, ground, day->ledger);
     groundStart(ground);
     if (props->wrongClocks)
-        simAt(ground->world, ground->beganMs + 2000, clocksSpoil, day);
+        simAt(ground->world, ground->began_ms + 2000, clocksSpoil, day);
     doorStart(day->door);
     simAt(ground->world, groundNowMs(ground) + diceSpan(&dice, 0, 1500), handsBegin, day);
     simAt(ground->world, groundNowMs(ground) + 1000, operatorBegin, day);
-    simAt(ground->world, ground->beganMs, callersBegin, day);
+    simAt(ground->world, ground->began_ms, callersBegin, day);
     Trouble *troubles = talloc_zero_array(mem, Trouble, DAY_TROUBLES_MAX);
     const size_t count =
         props->script != NULL ? troublesRead(day, props, troubles, result) : troublesDraw(day, props, troubles, result);
     for (size_t i = 0; i < count; i++)
         if (troubles[i].kind != TROUBLE_COUNT) {
-            simAt(ground->world, ground->beganMs + troubles[i].at_ms, begin, &troubles[i]);
-            simAt(ground->world, ground->beganMs + troubles[i].at_ms + troubles[i].forMs, end, &troubles[i]);
+            simAt(ground->world, ground->began_ms + troubles[i].at_ms, begin, &troubles[i]);
+            simAt(ground->world, ground->began_ms + troubles[i].at_ms + troubles[i].for_ms, end, &troubles[i]);
         }
     dayFor(day, site->leadMs + site->trafficMs);
     Closing closing = props->closing;
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -27,11 +27,11 @@
                          .method = "GET",
                          .path = ground->tongue->readyPath,
                          .wait_ms = LOOK_MS};
-        const int64_t beganMs = loop_now_ms(loop);
+        const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
         door->misses[looking->edge] = ready ? 0 : door->misses[looking->edge] + 1;
         talloc_free(mem);
-        loop_sleep(loop, beganMs + LOOK_MS - loop_now_ms(loop));
+        loop_sleep(loop, began_ms + LOOK_MS - loop_now_ms(loop));
     }
 }
 
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -17,7 +17,7 @@
 
 int64_t groundDayMs(const Ground *ground)
 {
-    return sim_now_ms(ground->world) - ground->beganMs;
+    return sim_now_ms(ground->world) - ground->began_ms;
 }
 
 void groundSay(const Ground *ground, const char *format, ...)
@@ -99,7 +99,7 @@
     ground->world = sim_world_new(ground, seed);
     ground->site = site;
     ground->tongue = tongue;
-    ground->face = faceFind(tongue->face);
+    ground->face = face_find(tongue->face);
     ground->rules = rules;
     ground->seed = seed;
     const CheckerProps props = {ground, checkNow, checkFrozen, checkJob, NULL};
@@ -187,7 +187,7 @@
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
         status = core_start(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
-        status = gateStart(node->mem, loop, node->ring, props, &node->node.gate, &failure);
+        status = gate_start(node->mem, loop, node->ring, props, &node->node.gate, &failure);
     else if (status == STATUS_OK)
         status = agentStart(node->mem, loop, node->ring, props, &node->node.agent, &failure);
     if (status == STATUS_OK)
@@ -256,7 +256,7 @@
     if (node->core != NULL)
         core_drain(node->core);
     if (node->gate != NULL)
-        gateDrain(node->gate);
+        gate_drain(node->gate);
     if (node->agent != NULL)
         agentDrain(node->agent);
     rolling->ended = true;
@@ -339,12 +339,12 @@
     nodeTrouble(arg, -1);
 }
 
-void nodeFreeze(GroundNode *node, int64_t forMs)
+void nodeFreeze(GroundNode *node, int64_t for_ms)
 {
     Ground *ground = node->ground;
-    simFreeze(ground->world, node->machine, groundNowMs(ground) + forMs);
+    simFreeze(ground->world, node->machine, groundNowMs(ground) + for_ms);
     nodeTrouble(node, 1);
-    simAt(ground->world, groundNowMs(ground) + forMs, thawed, node);
+    simAt(ground->world, groundNowMs(ground) + for_ms, thawed, node);
 }
 
 static bool since(int64_t troubleMs, int64_t now_ms, int64_t span_ms)
@@ -388,7 +388,7 @@
 
 void groundStart(Ground *ground)
 {
-    ground->beganMs = groundNowMs(ground) + ground->site->leadMs;
+    ground->began_ms = groundNowMs(ground) + ground->site->leadMs;
     for (size_t i = 0; i < ground->edgeCount; i++)
         if (ground->edges[i].used)
             nodeStart(&ground->edges[i]);
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -42,8 +42,8 @@
     Rules *rules;
     Checker *checker; /* of leaders alone */
     uint64_t seed;
-    char folder[32]; /* settings files */
-    int64_t beganMs; /* traffic begins */
+    char folder[32];  /* settings files */
+    int64_t began_ms; /* traffic begins */
     GroundNode edges[EDGES_MAX], sides[SIDES_MAX];
     size_t edgeCount, sideCount;
     int64_t coreMs; /* last trouble of the core, as troubleMs */
@@ -73,7 +73,7 @@
 /* A polite stop, by force after grace; then it is started again. */
 void nodeRoll(GroundNode *node);
 void nodeCut(GroundNode *node, bool cut);
-void nodeFreeze(GroundNode *node, int64_t forMs);
+void nodeFreeze(GroundNode *node, int64_t for_ms);
 /* A trouble that lasts begins or ends; or one happens. */
 void nodeTrouble(GroundNode *node, int change);
 /* The ways between two machines of the system. */
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -61,7 +61,7 @@
                      .address = talloc_asprintf(mem, "%s:8080", simAddress(hand->hands->ground->world, hand->machine)),
                      .room = hand->room,
                      .leaving = hand->leaving,
-                     .leave_ms = hand->leaveAtMs > now_ms ? hand->leaveAtMs - now_ms : 0,
+                     .leave_ms = hand->leave_at_ms > now_ms ? hand->leave_at_ms - now_ms : 0,
                      .clock_ms = loop_now_ms(hand->loop),
                      .sequence = ++hand->sequence,
                      .running = talloc_zero_array(mem, HandRunning, (unsigned)count),
@@ -146,7 +146,7 @@
     for (;;) {
         const int64_t now_ms = groundNowMs(ground);
         const bool known = hand->leaveAckMs != 0 && now_ms >= hand->leaveAckMs + ground->site->drainMs + 100;
-        if (now_ms >= hand->leaveAtMs && (known || now_ms >= hand->leaveAtMs + LEAVE_ANYWAY_MS))
+        if (now_ms >= hand->leave_at_ms && (known || now_ms >= hand->leave_at_ms + LEAVE_ANYWAY_MS))
             break;
         loop_sleep(hand->loop, 50);
     }
@@ -168,7 +168,7 @@
     if (!hand->up || hand->leaving)
         return;
     hand->leaving = true;
-    hand->leaveAtMs = groundNowMs(hand->hands->ground) + after_ms;
+    hand->leave_at_ms = groundNowMs(hand->hands->ground) + after_ms;
     hand->newsOpen = true;
     signal_raise(hand->loop, &hand->news);
     loop_spawn(hand->loop, "leave", leaveMain, hand);
@@ -189,7 +189,7 @@
     hand->highest = map_new(hand->mem);
     hand->work = hand->news = (Signal){0};
     hand->leaving = hand->newsOpen = false;
-    hand->leaveAtMs = hand->leaveAckMs = 0;
+    hand->leave_at_ms = hand->leaveAckMs = 0;
     loop_spawn(loop, "work", handWorkMain, hand);
     loop_spawn(loop, "beat", beatMain, hand);
 }
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -27,7 +27,7 @@
     BookTask *task;
     uint64_t round;
     Crew *crew;
-    int64_t beganMs, stopAtMs; /* 0: it is not being stopped */
+    int64_t began_ms, stopAtMs; /* 0: it is not being stopped */
 } HandRun;
 
 typedef struct HandEnd {
@@ -52,7 +52,7 @@
     bool hangs;                /* nothing on it comes forward */
     bool up;
     bool leaving;
-    int64_t leaveAtMs, leaveAckMs;
+    int64_t leave_at_ms, leaveAckMs;
     bool leaveAckTouch; /* the machine that acknowledged was in touch */
     /* of the process */
     void *mem;
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -22,8 +22,8 @@
 /* Progress that is kept: after each so much of work, and all of it at a stop. */
 int64_t handSavedMs(const HandRun *run, bool all)
 {
-    const int64_t save_ms = run->hand->hands->ground->site->save_ms, doneMs = crewProgressMs(run->crew);
-    const int64_t keptMs = all ? doneMs : run->crew->from_ms + (doneMs - run->crew->from_ms) / save_ms * save_ms;
+    const int64_t save_ms = run->hand->hands->ground->site->save_ms, done_ms = crewProgressMs(run->crew);
+    const int64_t keptMs = all ? done_ms : run->crew->from_ms + (done_ms - run->crew->from_ms) / save_ms * save_ms;
     if (run->task->job->draft.saves && keptMs > run->task->fate->savedMs)
         run->task->fate->savedMs = keptMs;
     return keptMs;
@@ -45,7 +45,7 @@
     talloc_free(run);
 }
 
-static void highestSet(Hand *hand, const TaskName *name, uint64_t round)
+static void highest_set(Hand *hand, const TaskName *name, uint64_t round)
 {
     const char *text = nameText(hand->mem, name);
     if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < round)
@@ -57,7 +57,7 @@
     hand->ends = talloc_realloc(hand->mem, hand->ends, HandEnd, (unsigned)(hand->endCount + 1));
     hand->ends[hand->endCount++] =
         (HandEnd){.told = {++hand->endNumber, *name, round, word, saved}, .task = task, .lapsedSince = false};
-    highestSet(hand, name, round);
+    highest_set(hand, name, round);
     hand->hands->book->kinds[word]++;
     groundTell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, round_word(word), hand->boot,
                saved);
@@ -76,7 +76,7 @@
     const char *saved = word == ROUND_DONE ? "" : bookSaved(hand->mem, task, handSavedMs(run, stopped));
     if (word == ROUND_DONE && !fate->done) {
         fate->done = true;
-        fate->doneMs = now_ms;
+        fate->done_ms = now_ms;
     }
     if (word == ROUND_FAILED)
         bookFail(fate, run->round);
@@ -121,7 +121,7 @@
             crewEnd(run, ROUND_STOPPED, ROUND_BROKEN);
             return true;
         }
-        if (!crew->begun && now_ms - run->beganMs >= site->gang_ms) {
+        if (!crew->begun && now_ms - run->began_ms >= site->gang_ms) {
             handRunEnd(run, ROUND_ALONE);
             return true;
         }
@@ -146,8 +146,8 @@
         int64_t due_ms = crewNextMs(run->crew);
         if (run->stopAtMs != 0 && run->stopAtMs < due_ms)
             due_ms = run->stopAtMs;
-        if (!run->crew->begun && run->beganMs + hand->hands->ground->site->gang_ms < due_ms)
-            due_ms = run->beganMs + hand->hands->ground->site->gang_ms;
+        if (!run->crew->begun && run->began_ms + hand->hands->ground->site->gang_ms < due_ms)
+            due_ms = run->began_ms + hand->hands->ground->site->gang_ms;
         if (due_ms - now_ms < wait_ms)
             wait_ms = due_ms - now_ms;
     }
@@ -167,7 +167,7 @@
 
 /* --- orders ------------------------------------------------------------------------------------------ */
 
-static HandRun *runFind(const Hand *hand, const TaskName *name, uint64_t round)
+static HandRun *run_find(const Hand *hand, const TaskName *name, uint64_t round)
 {
     for (HandRun *run = hand->runs; run != NULL; run = run->next)
         if (run->round == round && run->task->name.turn == name->turn && run->task->name.step == name->step &&
@@ -178,8 +178,8 @@
 
 static void stopTake(Hand *hand, const HandRunning *stop)
 {
-    HandRun *run = runFind(hand, &stop->name, stop->round);
-    highestSet(hand, &stop->name, stop->round);
+    HandRun *run = run_find(hand, &stop->name, stop->round);
+    highest_set(hand, &stop->name, stop->round);
     groundTell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->round, hand->boot,
                run == NULL ? ", which does not run it" : "");
     if (run == NULL || run->stopAtMs != 0)
@@ -189,11 +189,11 @@
     signal_raise(hand->loop, &hand->work);
 }
 
-static void startTake(Hand *hand, const HandStart *start)
+static void start_take(Hand *hand, const HandStart *start)
 {
     Hands *hands = hand->hands;
     const Site *site = hands->ground->site;
-    if (runFind(hand, &start->name, start->round) != NULL)
+    if (run_find(hand, &start->name, start->round) != NULL)
         return;
     for (size_t i = 0; i < hand->endCount; i++)
         if (nameEqual(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.round == start->round)
@@ -218,7 +218,7 @@
                hand->side->name, start->saved);
     HandRun *run = talloc_zero(hand->mem, HandRun);
     *run = (HandRun){.next = hand->runs, .nextLive = task->live, .hand = hand, .task = task, .round = start->round};
-    run->beganMs = groundNowMs(hands->ground);
+    run->began_ms = groundNowMs(hands->ground);
     hand->runs = run;
     task->live = run;
     const int64_t from_ms = bookProgress(task, start->saved);
@@ -257,6 +257,6 @@
     if (sent_ms + hold_ms > hand->hold_until_ms)
         hand->hold_until_ms = sent_ms + hold_ms;
     for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
-        startTake(hand, &orders->starts[i]);
+        start_take(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
 }
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -83,7 +83,7 @@
     return outcome == OUTCOME_GOOD || outcome == OUTCOME_STALE || outcome == OUTCOME_WRONG ? outcome : OUTCOME_UNCLEAR;
 }
 
-Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t forMs)
+Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t for_ms)
 {
     Operator *self = ordering->owner;
     ordering->sent_ms = groundNowMs(self->ground);
@@ -91,7 +91,7 @@
     Outcome outcome = OUTCOME_UNCLEAR;
     self->orders++;
     self->opened++;
-    while (outcome == OUTCOME_UNCLEAR && groundNowMs(self->ground) - ordering->sent_ms < forMs) {
+    while (outcome == OUTCOME_UNCLEAR && groundNowMs(self->ground) - ordering->sent_ms < for_ms) {
         void *mem = talloc_new(ordering);
         outcome = orderOnce(ordering, mem, worded);
         talloc_free(mem);
--- a/packages/model/src/operatororder.h
+++ b/packages/model/src/operatororder.h
@@ -24,6 +24,6 @@
 Outcome operatorAsk(const Operator *self, void *mem, const GroundNode *node, const char *method, const Worded *worded,
                     Bytes *result);
 /* Sends the order until it is answered clearly, for so long; UNCLEAR: it never was. */
-Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t forMs);
+Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t for_ms);
 
 #endif
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -42,7 +42,7 @@
     if (start->job->draft.lasting || !fate->done)
         return;
     if (!copies && fate->notedMs != 0)
-        BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->doneMs);
+        BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->done_ms);
     else if (!copies)
         fate->againRound = start->order->round;
     const bool late = (fate->notedMs != 0 && start->now_ms - fate->notedMs > NOTED_LATE_MS) ||
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -158,7 +158,7 @@
         return;
     old->gone = true;
     nodeKill(old, true);
-    simAt(ground->world, groundNowMs(ground) + trouble->forMs, again, spare);
+    simAt(ground->world, groundNowMs(ground) + trouble->for_ms, again, spare);
 }
 
 /* Waits for the next thing that an entry point acknowledges. */
@@ -167,7 +167,7 @@
     Trouble *trouble = arg;
     Day *day = trouble->day;
     Ground *ground = day->ground;
-    const int64_t from_ms = ground->beganMs + trouble->at_ms;
+    const int64_t from_ms = ground->began_ms + trouble->at_ms;
     GroundNode *taker = day->operator->lastTakenMs> from_ms
         ? day->operator->lastTaker : day->callers->lastTakenMs> from_ms ? day->callers->lastTaker : NULL;
     if (taker == NULL) {
@@ -224,7 +224,7 @@
         nodeRoll(node);
         break;
     }
-    if (groundDayMs(ground) < trouble->at_ms + trouble->forMs)
+    if (groundDayMs(ground) < trouble->at_ms + trouble->for_ms)
         simAt(ground->world, groundNowMs(ground) + 1300, rollNext, trouble);
 }
 
@@ -241,7 +241,7 @@
             nodeKill(hand->side, false);
             break;
         case TROUBLE_SIDE_FREEZE:
-            nodeFreeze(hand->side, trouble->forMs);
+            nodeFreeze(hand->side, trouble->for_ms);
             break;
         case TROUBLE_SIDE_CUT:
             nodeCut(hand->side, true);
@@ -300,7 +300,7 @@
         break;
     case TROUBLE_CORE_FREEZE:
     case TROUBLE_GATE_FREEZE:
-        nodeFreeze(node, trouble->forMs);
+        nodeFreeze(node, trouble->for_ms);
         break;
     case TROUBLE_CORE_CUT:
         coreCut(trouble, true);
--- a/packages/model/src/trouble.h
+++ b/packages/model/src/trouble.h
@@ -68,7 +68,7 @@
 typedef struct Trouble {
     Day *day;
     TroubleKind kind;
-    int64_t at_ms, forMs; /* since traffic began; how long */
+    int64_t at_ms, for_ms; /* since traffic began; how long */
     Dice dice;
     char whom[16]; /* "": drawn */
     /* struck: to be healed */
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -20,10 +20,10 @@
 
 /* Where a fleet stands, when it is not the product's usual three zones. */
 typedef struct FleetSite {
-    int zones;     /* 2 to 4; node N of a role stands in zone N modulo this */
-    int losses;    /* disk machines that may be lost at once */
-    int gateSeeds; /* so many of the three seeds are gates, the others cores */
-    bool votes;    /* founded by the seeds' votes; a process started again founds nothing */
+    int zones;      /* 2 to 4; node N of a role stands in zone N modulo this */
+    int losses;     /* disk machines that may be lost at once */
+    int gate_seeds; /* so many of the three seeds are gates, the others cores */
+    bool votes;     /* founded by the seeds' votes; a process started again founds nothing */
     bool disks_keep;
     int64_t seat_back_ms;
     int64_t staggerMs; /* processes start at moments drawn from so long a span */
@@ -67,7 +67,7 @@
 void fleetStartNode(Fleet *fleet, FleetRole role, int number);
 void fleetKill(Fleet *fleet, FleetRole role, int number);
 void fleetPowerOff(Fleet *fleet, FleetRole role, int number);
-void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t forMs);
+void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms);
 /* Runs until no machine stands still. */
 void fleetThaw(Fleet *fleet);
 /* SIGTERM, and once it has drained, the next release of it is started. */
@@ -81,7 +81,7 @@
 int fleetLeader(const Fleet *fleet); /* number of the core that leads now; -1 */
 const Job *fleetJob(const Fleet *fleet, const char *id);
 /* Runs on for so long. */
-void fleetRun(Fleet *fleet, int64_t forMs);
+void fleetRun(Fleet *fleet, int64_t for_ms);
 /* Runs until a core leads and all workers are ready, at most so long. */
 bool fleetSettle(Fleet *fleet, int64_t most_ms);
 /* Whether callers of the gate can be served now: it is up, and two cores with a
@@ -94,7 +94,7 @@
 /* Sets the mix's configuration; runs until it is told. */
 bool fleetConfigure(Fleet *fleet);
 /* Hands in the mix for so long, through all gates. */
-Caller *fleetCall(Fleet *fleet, const char *name, int64_t rateMilli, int64_t forMs);
+Caller *fleetCall(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms);
 /* Runs until every accepted job has been shown as ended, at most so long. */
 bool fleetFinish(Fleet *fleet, int64_t most_ms);
 /* One request by the operators' machine; runs until it is answered. The result
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -86,7 +86,7 @@
 
 static const char *seedOf(const Fleet *fleet, int number)
 {
-    const int gates = fleet->site.gateSeeds;
+    const int gates = fleet->site.gate_seeds;
     return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].props.listen
                           : fleet->nodes[FLEET_CORE][(number - gates) % fleet->shape.cores].props.listen;
 }
@@ -151,13 +151,13 @@
         status = core_start(loop, loop, node->ring, &node->props, &watch, &node->core, &failure);
         break;
     case FLEET_GATE:
-        status = gateStart(loop, loop, node->ring, &node->props, &node->gate, &failure);
+        status = gate_start(loop, loop, node->ring, &node->props, &node->gate, &failure);
         break;
     case FLEET_AGENT:
         status = agentStart(loop, loop, node->ring, &node->props, &node->agent, &failure);
         break;
     default:
-        node->worker = standWorkerStart(loop, loop, &node->workerProps);
+        node->worker = stand_worker_start(loop, loop, &node->workerProps);
         break;
     }
     node->up = status == STATUS_OK;
@@ -223,9 +223,9 @@
     return -1;
 }
 
-void fleetRun(Fleet *fleet, int64_t forMs)
+void fleetRun(Fleet *fleet, int64_t for_ms)
 {
-    const int64_t until_ms = sim_now_ms(fleet->world) + forMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + for_ms;
     while (sim_now_ms(fleet->world) < until_ms) {
         const int64_t next_ms = sim_now_ms(fleet->world) + 500;
         sim_run_until(fleet->world, next_ms < until_ms ? next_ms : until_ms);
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -54,7 +54,7 @@
     for (int round = 0; round < 40; round++) {
         void *mem = talloc_new(NULL);
         const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, round % fleet->nodeCount[FLEET_GATE], "PUT",
-                                       "/v1/config?base=0", mixConfig(fleet->shape.mix));
+                                       "/v1/config?base=0", mix_config(fleet->shape.mix));
         const int code = call.code;
         talloc_free(mem);
         if (code == 200 || code == 409)
@@ -64,18 +64,18 @@
     return false;
 }
 
-Caller *fleetCall(Fleet *fleet, const char *name, int64_t rateMilli, int64_t forMs)
+Caller *fleetCall(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms)
 {
     CallerProps props = {.name = name,
                          .mix = fleet->shape.mix,
-                         .rateMilli = rateMilli,
-                         .forMs = forMs,
+                         .rate_milli = rate_milli,
+                         .for_ms = for_ms,
                          .twins = fleet->shape.mix == MIX_VARIED,
                          .watch = fleetCallerWatch(fleet)};
     for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++)
         props.entries[props.entry_count++] = fleet->nodes[FLEET_GATE][i].props.http;
     Loop *loop = simLoop(fleet->world, fleet->caller);
-    Caller *caller = callerStart(loop, loop, &props);
+    Caller *caller = caller_start(loop, loop, &props);
     fleet->callers[fleet->callerCount++] = caller;
     return caller;
 }
@@ -86,7 +86,7 @@
     for (;;) {
         bool done = checkerOpen(fleet->checker) == 0;
         for (int i = 0; i < fleet->callerCount; i++)
-            done &= callerDone(fleet->callers[i]);
+            done &= caller_done(fleet->callers[i]);
         if (done || sim_now_ms(fleet->world) >= until_ms) {
             checkerEnd(fleet->checker);
             return done;
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -21,7 +21,7 @@
     if (node->core != NULL)
         core_drain(node->core);
     else if (node->gate != NULL)
-        gateDrain(node->gate);
+        gate_drain(node->gate);
     else if (node->agent != NULL)
         agentDrain(node->agent);
 }
@@ -91,10 +91,10 @@
         checkerWorkerWoke(node->fleet->checker, node->props.name);
 }
 
-void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t forMs)
+void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms)
 {
     FleetNode *node = fleetNode(fleet, role, number);
-    const int64_t until_ms = sim_now_ms(fleet->world) + forMs;
+    const int64_t until_ms = sim_now_ms(fleet->world) + for_ms;
     if (!simAlive(fleet->world, node->machine))
         return;
     simFreeze(fleet->world, node->machine, until_ms);
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -53,7 +53,7 @@
     checkerSent(fleet->checker, id);
     HttpCall call;
     const Status status =
-        callAt(probe, probe->gate, mem, "POST", "/v1/jobs", mixProbe(mem, fleet->shape.mix, tenant, id), &call);
+        callAt(probe, probe->gate, mem, "POST", "/v1/jobs", mix_probe(mem, fleet->shape.mix, tenant, id), &call);
     const bool taken = status == STATUS_OK && (call.code == 200 || call.code == 201);
     const bool stranger =
         status == STATUS_OK && call.code == 422 && strstr((const char *)call.result.data, "unknown-tenant");
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -88,7 +88,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++) {
         const FleetNode *worker = &fleet->nodes[FLEET_WORKER][i], *agent = &fleet->nodes[FLEET_AGENT][i];
         count += runs(fleet, worker) && runs(fleet, agent) && bothWays(fleet, worker->machine, agent->machine) &&
-                 !worker->workerProps.failsAll && reachesVoters(fleet, agent->machine);
+                 !worker->workerProps.fails_all && reachesVoters(fleet, agent->machine);
     }
     return count;
 }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -112,7 +112,7 @@
     }
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++) {
         FleetNode *worker = fleetNode(fleet, FLEET_WORKER, i);
-        worker->workerProps.failsAll = worker->workerProps.repeats = false;
+        worker->workerProps.fails_all = worker->workerProps.repeats = false;
         worker->workerProps.slow_times = 1;
         fleetKill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
     }
@@ -217,7 +217,7 @@
     tellSelf(fleet, FLEET_GATE);
     for (int c = 0; c < fleet->callerCount; c++) {
         CallerJob *const *jobs;
-        const size_t count = callerJobs(fleet->callers[c], &jobs);
+        const size_t count = caller_jobs(fleet->callers[c], &jobs);
         size_t told = 0;
         for (size_t i = 0; i < count && told < TELL_MOST; i++) {
             const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleetJob(fleet, jobs[i]->id) : NULL;
@@ -246,7 +246,7 @@
          .disks_keep = true,
          .seat_back_ms = 6000,
          .staggerMs = 500,
-         .gateSeeds = 1},
+         .gate_seeds = 1},
         {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .staggerMs = 500},
     };
     const FleetSite *site = &SITES[props->site];
@@ -282,7 +282,7 @@
         }
         probesStop(fleet);
         for (int i = 0; i < fleet->callerCount; i++)
-            callerStop(fleet->callers[i]);
+            caller_stop(fleet->callers[i]);
         const bool finished = broken(sweep) || fleetFinish(fleet, 180000);
         if (broken(sweep) || !finished) {
             result->good = false;
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -49,9 +49,9 @@
 void actFreeze(Sweep *sweep)
 {
     FleetNode *node = sweepAny(sweep);
-    const int64_t forMs = 200 + (int64_t)sweepDraw(sweep, 6000);
-    sweepSay(sweep, "freeze %s for %" PRId64, node->props.name, forMs);
-    fleetFreeze(sweep->fleet, node->role, node->number, forMs);
+    const int64_t for_ms = 200 + (int64_t)sweepDraw(sweep, 6000);
+    sweepSay(sweep, "freeze %s for %" PRId64, node->props.name, for_ms);
+    fleetFreeze(sweep->fleet, node->role, node->number, for_ms);
 }
 
 void actCutOff(Sweep *sweep)
@@ -179,15 +179,15 @@
 void actStoreGone(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    const int64_t forMs = 1000 + (int64_t)sweepDraw(sweep, 7000);
-    sweepSay(sweep, "cores reach no core for %" PRId64, forMs);
+    const int64_t for_ms = 1000 + (int64_t)sweepDraw(sweep, 7000);
+    sweepSay(sweep, "cores reach no core for %" PRId64, for_ms);
     for (int turn = 0; turn < 2; turn++) {
         for (int a = 0; a < fleet->nodeCount[FLEET_CORE]; a++)
             for (int b = 0; b < fleet->nodeCount[FLEET_CORE]; b++)
                 simCut(fleet->world, fleet->nodes[FLEET_CORE][a].machine, fleet->nodes[FLEET_CORE][b].machine,
                        turn == 0);
         if (turn == 0)
-            fleetRun(fleet, forMs);
+            fleetRun(fleet, for_ms);
     }
 }
 
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -90,7 +90,7 @@
     *operator=(Operator){.sweep = sweep, .gate = (int)sweepDraw(sweep, 3), .tenant = tenant, .in = in, .base = base};
     operator->revision = base % 2 == 0 ? base + 1 + base % 3 : 0;
     operator->body = talloc_asprintf(operator, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
-                                     mixCell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
+                                     mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
     return operator;
 }
 
@@ -147,7 +147,7 @@
         operator->base--;
     else
         operator->body = talloc_asprintf(operator, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
-                                         mixCell(sweep->fleet->shape.mix), PROBE_NEVER);
+                                         mix_cell(sweep->fleet->shape.mix), PROBE_NEVER);
     operatorSend(operator);
     operatorWait(operator);
     sweepSay(sweep, "a %s configuration: %d", stale ? "stale" : "faulty", operator->code);
@@ -175,7 +175,7 @@
 {
     Fleet *fleet = sweep->fleet;
     CallerJob *const *jobs;
-    const size_t count = callerJobs(fleet->callers[0], &jobs);
+    const size_t count = caller_jobs(fleet->callers[0], &jobs);
     if (count == 0)
         return;
     const CallerJob *job = jobs[count - 1 - sweepDraw(sweep, count < 10 ? count : 10)];
@@ -221,7 +221,7 @@
     if (worker->worker == NULL || !simAlive(sweep->fleet->world, worker->machine))
         return;
     sweepSay(sweep, "%s leaves, gone in %" PRId64, worker->props.name, noticeMs);
-    standWorkerLeave(worker->worker);
+    stand_worker_leave(worker->worker);
     checkerLeaving(sweep->fleet->checker, worker->props.name, true);
     fleetRun(sweep->fleet, noticeMs);
     fleetKill(sweep->fleet, FLEET_WORKER, worker->number);
@@ -238,12 +238,12 @@
              : how == 1 ? "is five times slower"
              : how == 2 ? "repeats its reports"
                         : "is well");
-    worker->workerProps.failsAll = how == 0;
+    worker->workerProps.fails_all = how == 0;
     worker->workerProps.slow_times = how == 1 ? 5 : 1;
     worker->workerProps.repeats = how == 2;
-    standWorkerFail(worker->worker, how == 0);
-    standWorkerSlow(worker->worker, how == 1 ? 5 : 1);
-    standWorkerRepeat(worker->worker, how == 2);
+    stand_worker_fail(worker->worker, how == 0);
+    stand_worker_slow(worker->worker, how == 1 ? 5 : 1);
+    stand_worker_repeat(worker->worker, how == 2);
 }
 
 /* It comes back at once and knows nothing of what it ran. */
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -106,7 +106,7 @@
 static int64_t longestGap(const Timeline *timeline)
 {
     CallerJob *const *jobs;
-    const size_t count = timeline->caller != NULL ? callerJobs(timeline->caller, &jobs) : 0;
+    const size_t count = timeline->caller != NULL ? caller_jobs(timeline->caller, &jobs) : 0;
     int64_t *times = talloc_array(NULL, int64_t, (unsigned)count + 1);
     size_t n = 0;
     for (size_t i = 0; i < count; i++)
@@ -141,19 +141,19 @@
     }
     if (strcmp(verb, "end") == 0) {
         for (int i = 0; i < fleet->callerCount; i++)
-            callerStop(fleet->callers[i]);
+            caller_stop(fleet->callers[i]);
         if (!fleetFinish(fleet, 90000))
             return fault(timeline, column->name, "not every accepted job has ended");
         return true;
     }
     if (strcmp(verb, "cancel") == 0) {
         for (int i = 0; i < fleet->callerCount; i++)
-            callerGiveUp(fleet->callers[i]);
+            caller_give_up(fleet->callers[i]);
         return true;
     }
     if (strcmp(verb, "allDone") == 0) {
         CallerJob *const *jobs;
-        const size_t count = callerJobs(timeline->caller, &jobs);
+        const size_t count = caller_jobs(timeline->caller, &jobs);
         size_t other = 0;
         for (size_t i = 0; i < count; i++)
             other += strcmp(jobs[i]->phase, "done") != 0;
@@ -220,17 +220,17 @@
     } else if (strcmp(verb, "rate") == 0) {
         simClockRate(world, node->machine, number);
     } else if (strcmp(verb, "leave") == 0 && node->worker != NULL) {
-        standWorkerLeave(node->worker);
+        stand_worker_leave(node->worker);
         checkerLeaving(fleet->checker, node->props.name, true);
     } else if ((strcmp(verb, "fails") == 0 || strcmp(verb, "heals") == 0) && node->worker != NULL) {
-        node->workerProps.failsAll = verb[0] == 'f';
-        standWorkerFail(node->worker, verb[0] == 'f');
+        node->workerProps.fails_all = verb[0] == 'f';
+        stand_worker_fail(node->worker, verb[0] == 'f');
     } else if (strcmp(verb, "leads") == 0 || strcmp(verb, "!leads") == 0) {
         const bool leads = node->core != NULL && fleetLeader(fleet) == node->number;
         if (leads != (verb[0] == 'l'))
             return fault(timeline, column->name, leads ? "it leads" : "it does not lead");
     } else if (strcmp(verb, "runs") == 0 || strcmp(verb, "idle") == 0) {
-        const bool runs = node->worker != NULL && (standWorkerRunning(node->worker) > 0 ||
+        const bool runs = node->worker != NULL && (stand_worker_running(node->worker) > 0 ||
                                                    checkerStartedSince(fleet->checker, node->props.name) < RAN_MS);
         if (runs != (verb[0] == 'r'))
             return fault(timeline, column->name, runs ? "it runs something" : "it runs nothing");
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -82,9 +82,9 @@
     return ask;
 }
 
-static inline void runFor(SimWorld *world, int64_t forMs)
+static inline void runFor(SimWorld *world, int64_t for_ms)
 {
-    sim_run_until(world, sim_now_ms(world) + forMs);
+    sim_run_until(world, sim_now_ms(world) + for_ms);
 }
 
 #endif
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -20,7 +20,7 @@
 
 static inline Fleet *begin(uint64_t seed)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = true, .disks_keep = true};
+    const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = true, .disks_keep = true};
     Fleet *fleet = fleetNewAt(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
     fleetStart(fleet);
     assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -102,7 +102,7 @@
         fleetRun(fleet, 40000);
         pouring->stop = true;
         if (with) {
-            print_message("%s: poured: %zu taken, %zu refused, %zu told to come back, %zu other; ", mixWord(mix),
+            print_message("%s: poured: %zu taken, %zu refused, %zu told to come back, %zu other; ", mix_word(mix),
                           pouring->taken, pouring->refused, pouring->back, pouring->other);
             assert_true(pouring->refused > 1000 && pouring->taken > 50);
             assert_int_equal(pouring->other, 0);
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -328,7 +328,7 @@
 {
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .gateSeeds = 1, .votes = votes == 1, .disks_keep = true};
+        const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = votes == 1, .disks_keep = true};
         Fleet *fleet = fleetNewAt(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleetStart(fleet);
         assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -127,15 +127,15 @@
 static void disklessSeed(void **state)
 {
     (void)state;
-    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true, .gateSeeds = 1},
-           3);
+    founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
+           (FleetSite){.zones = 3, .losses = 1, .votes = true, .gate_seeds = 1}, 3);
 }
 
 static void disklessSeeds(void **state)
 {
     (void)state;
-    founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 2, .votes = true, .gateSeeds = 3},
-           5);
+    founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
+           (FleetSite){.zones = 3, .losses = 2, .votes = true, .gate_seeds = 3}, 5);
 }
 
 /* Cores that do not hear of each other, and seeds of which each hears only some:
@@ -144,7 +144,7 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 30; seed++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .gateSeeds = 3, .staggerMs = 800};
+        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .gate_seeds = 3, .staggerMs = 800};
         Fleet *fleet = fleetNewAt(NULL, seed, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &site);
         fleetStart(fleet);
         for (int a = 0; a < 4; a++) {
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -113,7 +113,7 @@
         faults->mem = mem;
         size_t count;
         const MixClass kind = (MixClass)draw(CLASS_COUNT);
-        const char *text = spoil(mem, mixJob(mem, MIX_VARIED, kind, "j", 1700000000000), &count);
+        const char *text = spoil(mem, mix_job(mem, MIX_VARIED, kind, "j", 1700000000000), &count);
         JobSpec spec;
         if (job_read(faults, text, count, &spec)) {
             assert_true(strlen(spec.id) >= 1 && strlen(spec.id) <= ID_MAX);
@@ -139,7 +139,7 @@
         Faults *faults = talloc_zero(mem, Faults);
         faults->mem = mem;
         size_t count;
-        const char *whole = mixConfig((Mix)draw(MIX_COUNT));
+        const char *whole = mix_config((Mix)draw(MIX_COUNT));
         const char *text = spoil(mem, whole, &count);
         if (draw(3) == 0) { /* as a patch upon a good one */
             text = config_patch(mem, whole, text, count, faults);
@@ -212,7 +212,7 @@
         const char *path = report ? "/v1/workers/worker4/report" : PATHS[draw(sizeof(PATHS) / sizeof(PATHS[0]))];
         if (draw(6) == 0)
             path = talloc_asprintf(mem, "%s%s", path, PARTS[9 + draw(6)]);
-        const char *body = spoil(mem, report ? REPORT : mixJob(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
+        const char *body = spoil(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
         const HttpCall call = fleetAsk(fleet, mem,
                                        report    ? FLEET_AGENT
                                        : draw(2) ? FLEET_GATE
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -17,7 +17,7 @@
 static inline void handMain(void *arg)
 {
     Handed *handed = arg;
-    gateTake(handed->gate, handed->task);
+    gate_take(handed->gate, handed->task);
     handed->done = true;
 }
 
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -73,7 +73,7 @@
         /* one of the first is forgotten, one of the last half hour is not */
         const Job *const old = fleetJob(fleet, "h-urgent-0");
         CallerJob *const *jobs;
-        const size_t count = callerJobs(fleet->callers[0], &jobs);
+        const size_t count = caller_jobs(fleet->callers[0], &jobs);
         assert_true(old == NULL && fleetJob(fleet, jobs[0]->id) == NULL);
         assert_non_null(fleetJob(fleet, jobs[count - 10000]->id));
     }
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -193,7 +193,7 @@
 static int64_t gap_ms(Fleet *fleet, int64_t since_ms)
 {
     CallerJob *const *jobs;
-    const size_t count = callerJobs(fleet->callers[0], &jobs);
+    const size_t count = caller_jobs(fleet->callers[0], &jobs);
     const int64_t offset_ms = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
     for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
@@ -305,7 +305,7 @@
     printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worstMs,
            trial.worst);
     for (int i = 0; i < fleet->callerCount; i++)
-        callerStop(fleet->callers[i]);
+        caller_stop(fleet->callers[i]);
     const bool finished = fleetFinish(fleet, 60000);
     if (!finished || checkerBrokenAll(fleet->checker) > 0)
         fleetDump(fleet);
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -29,7 +29,7 @@
 {
     size_t count = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        count += standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker);
+        count += stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker);
     return count;
 }
 
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -68,7 +68,7 @@
 {
     (void)state;
     Fleet *fleet = begin(11);
-    standWorkerHang(fleetNode(fleet, FLEET_WORKER, 0)->worker, true);
+    stand_worker_hang(fleetNode(fleet, FLEET_WORKER, 0)->worker, true);
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
     fleetRun(fleet, 1000);
@@ -91,7 +91,7 @@
 {
     (void)state;
     Fleet *fleet = begin(13);
-    standWorkerSlow(fleetNode(fleet, FLEET_WORKER, 1)->worker, 8);
+    stand_worker_slow(fleetNode(fleet, FLEET_WORKER, 1)->worker, 8);
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":4000}}");
     fleetRun(fleet, 1000);
@@ -252,7 +252,7 @@
     fleetRun(fleet, 1500);
     assert_int_equal(on_worker(fleet, "long", "worker1"), 1);
     assert_int_equal(on_worker(fleet, "short", "worker1"), 2);
-    standWorkerLeaveIn(fleetNode(fleet, FLEET_WORKER, 0)->worker, 4000);
+    stand_worker_leave_in(fleetNode(fleet, FLEET_WORKER, 0)->worker, 4000);
     fleetRun(fleet, 2500);
     assert_int_equal(on_worker(fleet, "long", "worker1"), 0);
     const Job *job = fleetJob(fleet, "short");
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -198,10 +198,10 @@
 static void slowWorker(void **state)
 {
     (void)state;
-    Fleet *fleet = begin(mixConfig(MIX_TRENTVALE));
+    Fleet *fleet = begin(mix_config(MIX_TRENTVALE));
     FleetNode *worker = fleetNode(fleet, FLEET_WORKER, 0);
     worker->workerProps.slow_times = 5;
-    standWorkerSlow(worker->worker, 5);
+    stand_worker_slow(worker->worker, 5);
     fleetCall(fleet, "c", 15000, 60000);
     fleetRun(fleet, 60000);
     const size_t slow = checkerStartsOn(fleet->checker, "worker1"), all = checkerStarts(fleet->checker);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -79,7 +79,7 @@
 {
     const bool whole = strcmp(row->method, "PUT") == 0 && strcmp(row->path, "/v1/config") == 0;
     const HttpTask task = {.method = row->method, .path = row->path, .query = row->query, .host = HOST};
-    return hand(fleet, 0, &task, whole ? mixConfig(MIX_TRENTVALE) : row->body);
+    return hand(fleet, 0, &task, whole ? mix_config(MIX_TRENTVALE) : row->body);
 }
 
 /* The leader has the request when its answers begin not to reach the gate; others go on. */
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -169,10 +169,10 @@
     (void)state;
     Fleet *fleet = begin();
     Loop *loop = simLoop(fleet->world, fleet->caller);
-    CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rateMilli = 10000, .forMs = 3000, .entry_count = 1};
+    CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
         props.entries[0] = fleetNode(fleet, FLEET_GATE, i)->props.http;
-        Caller *caller = callerStart(loop, loop, &props);
+        Caller *caller = caller_start(loop, loop, &props);
         fleet->callers[fleet->callerCount++] = caller;
     }
     fleetRun(fleet, 20000);
@@ -181,7 +181,7 @@
     /* three callers draw other classes for the same numbers: each id is one job */
     for (int i = 0; i < fleet->callerCount; i++) {
         CallerJob *const *jobs;
-        const size_t count = callerJobs(fleet->callers[i], &jobs);
+        const size_t count = caller_jobs(fleet->callers[i], &jobs);
         assert_int_equal(count, 30);
         for (size_t k = 0; k < count; k++) {
             const char *first = strstr(text, talloc_asprintf(fleet, "\"id\":\"%s\"", jobs[k]->id));
@@ -243,7 +243,7 @@
     /* a member is lost with its worker: the others stop, all start again */
     int victim = -1;
     for (int i = 0; i < 11 && victim < 0; i++)
-        if (standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
+        if (stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
             victim = i;
     assert_true(victim >= 0);
     fleetKill(fleet, FLEET_WORKER, victim);
@@ -270,7 +270,7 @@
     checkerCancelled(fleet->checker, "c");
     fleetRun(fleet, 2000);
     for (int i = 0; i < 11; i++)
-        assert_int_equal(standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
     assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* again: the same answer */
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/c", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"cancelled\""));
@@ -312,7 +312,7 @@
     fleetRun(fleet, 1500);
     int on = -1;
     for (int i = 0; i < 11 && on < 0; i++)
-        if (standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
+        if (stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
             on = i;
     assert_true(on >= 0);
     /* it ends a second later, within the hold; the restart elsewhere begins after
@@ -326,7 +326,7 @@
     assert_non_null(strstr(text, "\"phase\":\"done\""));
     fleetRun(fleet, 1000);
     for (int i = 0; i < 11; i++)
-        assert_int_equal(standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
     end(fleet);
 }
 
@@ -335,7 +335,7 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    assert_int_equal(ask(fleet, "PUT", "/v1/config?base=0", mixConfig(MIX_TRENTVALE), &text), 409);
+    assert_int_equal(ask(fleet, "PUT", "/v1/config?base=0", mix_config(MIX_TRENTVALE), &text), 409);
     assert_non_null(strstr(text, "\"current\":1"));
     assert_int_equal(
         ask(fleet, "PATCH", "/v1/config?base=1", "{\"r\":2,\"cells\":{\"spare\":{\"tenants\":{\"t\":{}}}}}", &text),
@@ -462,7 +462,7 @@
     fleetRun(fleet, 6000);
     assert_int_equal(checkerStarts(fleet->checker), 12); /* of 64 cores; four are left on each other */
     for (int i = 0; i < 10; i++)
-        assert_int_equal(standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
     end(fleet);
 }
 
@@ -470,7 +470,7 @@
 {
     size_t count = 0;
     for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        count += standWorkerRunning(fleetNode(fleet, FLEET_WORKER, i)->worker);
+        count += stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker);
     return count;
 }
 
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -53,7 +53,7 @@
 /* The first document with a note of its own. */
 static const char *wholeBody(Fleet *fleet, const char *note)
 {
-    return talloc_asprintf(fleet, "{\"note\":\"%s\",%s", note, mixConfig(fleet->shape.mix) + 1);
+    return talloc_asprintf(fleet, "{\"note\":\"%s\",%s", note, mix_config(fleet->shape.mix) + 1);
 }
 
 static const char *patchBody(Fleet *fleet, const char *note)
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -54,7 +54,7 @@
     if (handed->node->core != NULL)
         core_take(handed->node->core, handed->task);
     else
-        gateTake(handed->node->gate, handed->task);
+        gate_take(handed->node->gate, handed->task);
     handed->took_ms = loop_now_ms(loop) - from_ms;
     handed->done = true;
 }
@@ -190,7 +190,7 @@
         for (int i = 0; i < 3; i++) {
             const FleetNode *node = fleetNode(fleet, (FleetRole)role, i);
             if (simAlive(fleet->world, node->machine) && node->up)
-                ready += node->core != NULL ? core_ready(node->core) : gateReady(node->gate);
+                ready += node->core != NULL ? core_ready(node->core) : gate_ready(node->gate);
         }
     return ready;
 }
@@ -266,7 +266,7 @@
     int64_t readyMs = loop_now_ms(loop);
     while (!sending->stop && loop_now_ms(loop) - readyMs <= 300) {
         FleetNode *node = sending->node;
-        if (node->up && (node->core != NULL ? core_ready(node->core) : gateReady(node->gate)))
+        if (node->up && (node->core != NULL ? core_ready(node->core) : gate_ready(node->gate)))
             readyMs = loop_now_ms(loop);
         Send *one = talloc_zero(sending->fleet, Send);
         *one = (Send){sending, sending->sent++};
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -49,12 +49,12 @@
         return job;
     MixClass kind = CLASS_URGENT;
     for (int i = 0; i < CLASS_COUNT; i++)
-        if (strstr(id, classWord((MixClass)i)) != NULL)
+        if (strstr(id, class_word((MixClass)i)) != NULL)
             kind = (MixClass)i;
     job = talloc_zero(replay->jobs, Job);
     Faults *faults = talloc_zero(job, Faults);
     faults->mem = job;
-    const char *text = mixJob(job, replay->mix, kind, id, 0);
+    const char *text = mix_job(job, replay->mix, kind, id, 0);
     if (!job_read(faults, text, strlen(text), &job->spec))
         return NULL;
     for (size_t s = 0; s < job->spec.steps_count; s++)
@@ -132,14 +132,14 @@
     /* open: the record ends while jobs are under way */
     const bool open = argc == 4 && strcmp(argv[3], "open") == 0;
     FILE *file = argc == 3 || open ? fopen(argv[1], "r") : NULL;
-    if (file == NULL || mixOfWord(argv[2]) == MIX_COUNT) {
+    if (file == NULL || mix_of_word(argv[2]) == MIX_COUNT) {
         fprintf(stderr, "usage: spancart-replay RECORD trentvale|atlas [open]\n");
         if (file != NULL)
             fclose(file);
         return 2;
     }
     Replay *replay = talloc_zero(NULL, Replay);
-    replay->mix = mixOfWord(argv[2]);
+    replay->mix = mix_of_word(argv[2]);
     replay->jobs = map_new(replay);
     replay->frozen = map_new(replay);
     const CheckerProps props = {replay, replayNow, replayFrozen, replayJob, NULL};
--- a/packages/sim/tool/sweep.c
+++ b/packages/sim/tool/sweep.c
@@ -33,7 +33,7 @@
         else if (sweepSiteOf(argv[i]) != SWEEP_SITES)
             props.site = sweepSiteOf(argv[i]);
         else
-            props.mix = mixOfWord(argv[i]);
+            props.mix = mix_of_word(argv[i]);
     }
     if (argc < 3 || props.mix == MIX_COUNT) {
         fprintf(
@@ -55,7 +55,7 @@
         sum.asserted += result.asserted;
         broken += !result.good;
         if (!result.good)
-            printf("seed %" PRIu64 " %s BROKE of %zu steps: %s\n", props.seed, mixWord(props.mix), result.steps,
+            printf("seed %" PRIu64 " %s BROKE of %zu steps: %s\n", props.seed, mix_word(props.mix), result.steps,
                    result.why);
         fflush(stdout);
     }
--- a/packages/sim/tool/timeline.c
+++ b/packages/sim/tool/timeline.c
@@ -14,7 +14,7 @@
 {
     static char text[16384];
     FILE *file = argc >= 4 ? fopen(argv[1], "r") : NULL;
-    const Mix mix = argc > 4 ? mixOfWord(argv[4]) : MIX_TRENTVALE;
+    const Mix mix = argc > 4 ? mix_of_word(argv[4]) : MIX_TRENTVALE;
     if (file == NULL || mix == MIX_COUNT) {
         fprintf(stderr, "usage: spancart-timeline FILE FIRST LAST [trentvale|atlas|varied]\n");
         if (file != NULL)
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -43,17 +43,17 @@
         CLASS_COUNT
 } MixClass;
 
-const char *mixWord(Mix mix);
-Mix mixOfWord(const char *word); /* MIX_COUNT: none */
-const char *classWord(MixClass kind);
+const char *mix_word(Mix mix);
+Mix mix_of_word(const char *word); /* MIX_COUNT: none */
+const char *class_word(MixClass kind);
 /* The configuration that the mix needs. */
-const char *mixConfig(Mix mix);
+const char *mix_config(Mix mix);
 /* A job of the class as JSON, on mem. wall_ms: the caller's, when it sent it first. */
-const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms);
+const char *mix_job(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms);
 /* The cell in which operators let tenants in and out. */
-const char *mixCell(Mix mix);
+const char *mix_cell(Mix mix);
 /* A light job of any tenant of that cell. */
-const char *mixProbe(void *mem, Mix mix, const char *tenant, const char *id);
+const char *mix_probe(void *mem, Mix mix, const char *tenant, const char *id);
 
 #define ENTRIES_MAX 16
 
@@ -83,23 +83,23 @@
     const char *entries[ENTRIES_MAX];
     size_t entry_count;
     Mix mix;
-    bool twins;        /* now and then the same job is sent at two entries at once */
-    int64_t rateMilli; /* jobs in a thousand seconds */
-    int64_t forMs;     /* hands in for so long */
-    size_t most;       /* at the most so many jobs; 0: no bound */
+    bool twins;         /* now and then the same job is sent at two entries at once */
+    int64_t rate_milli; /* jobs in a thousand seconds */
+    int64_t for_ms;     /* hands in for so long */
+    size_t most;        /* at the most so many jobs; 0: no bound */
     CallerWatch watch;
 } CallerProps;
 
 typedef struct Caller Caller;
 
-Caller *callerStart(void *mem, Loop *loop, const CallerProps *props);
+Caller *caller_start(void *mem, Loop *loop, const CallerProps *props);
 /* Hands in no more; goes on following what it has handed in. */
-void callerStop(Caller *caller);
+void caller_stop(Caller *caller);
 /* Cancels all that it has handed in and that has not ended, and all that it yet hands in. */
-void callerGiveUp(Caller *caller);
-size_t callerJobs(const Caller *caller, CallerJob *const **jobs);
-bool callerDone(const Caller *caller);
+void caller_give_up(Caller *caller);
+size_t caller_jobs(const Caller *caller, CallerJob *const **jobs);
+bool caller_done(const Caller *caller);
 /* Sets the mix's configuration through an entry; waits. */
-Status callerConfigure(void *mem, Loop *loop, const char *entry, Mix mix);
+Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix);
 
 #endif
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -32,24 +32,24 @@
     const char *agent; /* HTTP address */
     StandWorkerWatch watch;
     Room others;        /* room taken by somebody else, told as not free */
-    bool failsAll;      /* claims health, fails every task */
+    bool fails_all;     /* claims health, fails every task */
     bool repeats;       /* now and then an old report is told again, out of order */
     bool hangs;         /* what it starts stands still */
     int64_t slow_times; /* takes so many times as long; 0 or 1: as asked */
 } StandWorkerProps;
 
-StandWorker *standWorkerStart(void *mem, Loop *loop, const StandWorkerProps *props);
+StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerProps *props);
 /* Says that it leaves; takes nothing new from then on. */
-void standWorkerLeave(StandWorker *worker);
-void standWorkerFail(StandWorker *worker, bool fails);
+void stand_worker_leave(StandWorker *worker);
+void stand_worker_fail(StandWorker *worker, bool fails);
 /* ... and stays for so long. */
-void standWorkerLeaveIn(StandWorker *worker, int64_t forMs);
+void stand_worker_leave_in(StandWorker *worker, int64_t for_ms);
 /* What starts from now on stands still until it is stopped. */
-void standWorkerHang(StandWorker *worker, bool hangs);
+void stand_worker_hang(StandWorker *worker, bool hangs);
 /* What starts from now on takes so many times as long. */
-void standWorkerSlow(StandWorker *worker, int64_t times);
+void stand_worker_slow(StandWorker *worker, int64_t times);
 /* Tells each report twice, the second time as it was before: a repeated, late one. */
-void standWorkerRepeat(StandWorker *worker, bool repeats);
-size_t standWorkerRunning(const StandWorker *worker);
+void stand_worker_repeat(StandWorker *worker, bool repeats);
+size_t stand_worker_running(const StandWorker *worker);
 
 #endif
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -18,7 +18,7 @@
     bool stop;   /* is to hand in no more */
     bool over;   /* hands in no more */
     uint64_t draw;
-    bool gaveUp; /* whatever has not ended is cancelled */
+    bool gave_up; /* whatever has not ended is cancelled */
 };
 
 typedef struct Following {
@@ -57,7 +57,7 @@
     CallerJob *job = following->job;
     while (!loop_stopping(caller->loop)) {
         void *mem = talloc_new(caller);
-        const char *body = mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms);
+        const char *body = mix_job(mem, caller->props.mix, job->kind, job->id, job->wall_ms);
         HttpCall call;
         job->sends++;
         const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
@@ -82,7 +82,7 @@
 }
 
 /* The same job at another entry, at the same time: it counts once. */
-static void twinMain(void *arg)
+static void twin_main(void *arg)
 {
     Following *following = arg;
     Caller *caller = following->caller;
@@ -90,7 +90,7 @@
     void *mem = talloc_new(caller);
     HttpCall call;
     const Status status = call_once(following, mem, "POST", "/v1/jobs",
-                                    mixJob(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
+                                    mix_job(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
     if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->props.watch.accepted != NULL)
         caller->props.watch.accepted(caller->props.watch.arg, job->id);
     if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->props.watch.refused != NULL)
@@ -120,12 +120,12 @@
 }
 
 /* Lasting work has to be ended by its caller, other work when it is given up. */
-static void cancelMaybe(Following *following)
+static void cancel_maybe(Following *following)
 {
     Caller *caller = following->caller;
     CallerJob *job = following->job;
     const bool due = job->kind == CLASS_LASTING && loop_now_ms(caller->loop) - job->accepted_ms >= LASTING_FOR_MS;
-    if (job->cancelled || (!due && !caller->gaveUp))
+    if (job->cancelled || (!due && !caller->gave_up))
         return;
     void *mem = talloc_new(caller);
     HttpCall call;
@@ -139,7 +139,7 @@
         caller->props.watch.cancelled(caller->props.watch.arg, job->id);
 }
 
-static void followMain(void *arg)
+static void follow_main(void *arg)
 {
     Following *following = arg;
     Caller *caller = following->caller;
@@ -149,7 +149,7 @@
         while (!loop_stopping(caller->loop) && job->ended_ms == 0) {
             loop_sleep(caller->loop, wait_ms);
             wait_ms = wait_ms < 1500 ? wait_ms + 200 : wait_ms;
-            cancelMaybe(following);
+            cancel_maybe(following);
             void *mem = talloc_new(caller);
             HttpCall call;
             following->entry++; /* each time at another entry: all know it alike */
@@ -177,7 +177,7 @@
 
 /* Trentvale: of ten jobs about seven masks, two sweeps, one rebuild in two
  * seconds; Atlas: of nine about six refreshes, two sweeps, one reindex. */
-static MixClass drawClass(Caller *caller)
+static MixClass draw_class(Caller *caller)
 {
     static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4}; /* of a hundred */
     if (caller->props.mix == MIX_VARIED) {
@@ -194,19 +194,19 @@
     return at < heavy ? CLASS_HEAVY : at < heavy + sweep ? CLASS_SWEEP : CLASS_URGENT;
 }
 
-static void handInMain(void *arg)
+static void hand_in_main(void *arg)
 {
     Caller *caller = arg;
     const int64_t start_ms = loop_now_ms(caller->loop);
     for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
-        const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->props.rateMilli;
-        if (due_ms - start_ms >= caller->props.forMs || (caller->props.most > 0 && n >= caller->props.most))
+        const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->props.rate_milli;
+        if (due_ms - start_ms >= caller->props.for_ms || (caller->props.most > 0 && n >= caller->props.most))
             break;
         if (due_ms > loop_now_ms(caller->loop))
             loop_sleep(caller->loop, due_ms - loop_now_ms(caller->loop));
         CallerJob *job = talloc_zero(caller, CallerJob);
-        job->kind = drawClass(caller);
-        job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, classWord(job->kind), n);
+        job->kind = draw_class(caller);
+        job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, class_word(job->kind), n);
         job->sent_ms = loop_now_ms(caller->loop);
         job->wall_ms = loop_wall_ms(caller->loop);
         if (caller->props.watch.sent != NULL)
@@ -219,17 +219,17 @@
         caller->open++;
         Following *following = talloc_zero(caller, Following);
         *following = (Following){caller, job, draw(caller, caller->props.entry_count)};
-        loop_spawn(caller->loop, "job", followMain, following);
+        loop_spawn(caller->loop, "job", follow_main, following);
         if (caller->props.twins && draw(caller, 8) == 0) {
             Following *twin = talloc_zero(caller, Following);
             *twin = (Following){caller, job, following->entry + 1};
-            loop_spawn(caller->loop, "twin", twinMain, twin);
+            loop_spawn(caller->loop, "twin", twin_main, twin);
         }
     }
     caller->over = true;
 }
 
-Caller *callerStart(void *mem, Loop *loop, const CallerProps *props)
+Caller *caller_start(void *mem, Loop *loop, const CallerProps *props)
 {
     Caller *caller = talloc_zero(mem, Caller);
     caller->loop = loop;
@@ -238,32 +238,32 @@
     for (size_t i = 0; i < props->entry_count; i++)
         caller->props.entries[i] = talloc_strdup(caller, props->entries[i]);
     caller->draw = loop_random(loop);
-    loop_spawn(loop, "hand-in", handInMain, caller);
+    loop_spawn(loop, "hand-in", hand_in_main, caller);
     return caller;
 }
 
-void callerGiveUp(Caller *caller)
+void caller_give_up(Caller *caller)
 {
-    caller->gaveUp = true;
+    caller->gave_up = true;
 }
 
-void callerStop(Caller *caller)
+void caller_stop(Caller *caller)
 {
     caller->stop = true;
 }
 
-size_t callerJobs(const Caller *caller, CallerJob *const **jobs)
+size_t caller_jobs(const Caller *caller, CallerJob *const **jobs)
 {
     *jobs = caller->jobs;
     return caller->count;
 }
 
-bool callerDone(const Caller *caller)
+bool caller_done(const Caller *caller)
 {
     return caller->over && caller->open == 0;
 }
 
-Status callerConfigure(void *mem, Loop *loop, const char *entry, Mix mix)
+Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix)
 {
     for (int round = 0; round < 60; round++) {
         HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
@@ -280,7 +280,7 @@
                             .method = "PUT",
                             .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, base),
                             .wait_ms = 3000};
-            bytes_add(mem, &put.body, mixConfig(mix), strlen(mixConfig(mix)));
+            bytes_add(mem, &put.body, mix_config(mix), strlen(mix_config(mix)));
             status = loop_call(loop, &put);
             if (status == STATUS_OK && put.code == 200)
                 return STATUS_OK;
--- a/packages/standin/src/mix.c
+++ b/packages/standin/src/mix.c
@@ -15,12 +15,12 @@
 #undef X
 };
 
-const char *mixWord(Mix mix)
+const char *mix_word(Mix mix)
 {
     return MIXES[mix];
 }
 
-Mix mixOfWord(const char *word)
+Mix mix_of_word(const char *word)
 {
     for (int i = 0; i < MIX_COUNT; i++)
         if (strcmp(MIXES[i], word) == 0)
@@ -28,7 +28,7 @@
     return MIX_COUNT;
 }
 
-const char *classWord(MixClass kind)
+const char *class_word(MixClass kind)
 {
     return CLASSES[kind];
 }
@@ -45,7 +45,7 @@
     "\"registry\":{\"share\":1,\"tenants\":{\"backend\":{},\"pipelines\":{}},"
     "\"queues\":{\"reindex\":{\"priority\":0},\"tags\":{\"priority\":10}}}}}";
 
-const char *mixConfig(Mix mix)
+const char *mix_config(Mix mix)
 {
     if (mix == MIX_VARIED)
         return VARIED_CONFIG;
@@ -56,21 +56,21 @@
            "\"queues\":{\"reindex\":{\"priority\":0},\"sweeps\":{\"priority\":2},\"tags\":{\"priority\":10}}}}}";
 }
 
-const char *mixCell(Mix mix)
+const char *mix_cell(Mix mix)
 {
     return mix == MIX_ATLAS ? "registry" : "imagery";
 }
 
-const char *mixProbe(void *mem, Mix mix, const char *tenant, const char *id)
+const char *mix_probe(void *mem, Mix mix, const char *tenant, const char *id)
 {
     return talloc_asprintf(mem,
                            "{\"id\":\"%s\",\"cell\":\"%s\",\"tenant\":\"%s\",\"queue\":\"%s\","
                            "\"steps\":[{\"name\":\"probe\",\"room\":{\"cpu\":0.1,\"memMb\":16},"
                            "\"payload\":{\"runMs\":50}}]}",
-                           id, mixCell(mix), tenant, mix == MIX_ATLAS ? "tags" : "masks");
+                           id, mix_cell(mix), tenant, mix == MIX_ATLAS ? "tags" : "masks");
 }
 
-static const char *variedJob(void *mem, MixClass kind, const char *id, int64_t wall_ms)
+static const char *varied_job(void *mem, MixClass kind, const char *id, int64_t wall_ms)
 {
     const char *tail = ""; /* after the queue */
     const char *step = "\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":900}";
@@ -134,10 +134,10 @@
     return talloc_asprintf(mem, "{\"id\":\"%s\",%s%s,\"steps\":[{\"name\":\"one\",%s}]}", id, head, tail, step);
 }
 
-const char *mixJob(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms)
+const char *mix_job(void *mem, Mix mix, MixClass kind, const char *id, int64_t wall_ms)
 {
     if (kind > CLASS_HEAVY)
-        return kind == CLASS_PROBE ? mixProbe(mem, mix, "probe", id) : variedJob(mem, kind, id, wall_ms);
+        return kind == CLASS_PROBE ? mix_probe(mem, mix, "probe", id) : varied_job(mem, kind, id, wall_ms);
     if (mix != MIX_ATLAS)
         switch (kind) {
         case CLASS_URGENT: /* a cloud mask */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -15,7 +15,7 @@
     const char *job;
     uint64_t task, round;
     Room room;
-    int64_t beganMs, endMs;
+    int64_t began_ms, end_ms;
     int64_t from_ms, save_ms, times; /* progress: from where it began, how often it is saved, how slow */
     char saved[ID_MAX + 48];         /* "TASK@MS of JOB"; empty: nothing */
     bool fails;
@@ -36,43 +36,43 @@
     uint64_t fence, seq;
     Map *highest;
     bool leaving;
-    int64_t leaveAtMs; /* leaving: it stays until then; 0: not told */
+    int64_t leave_at_ms; /* leaving: it stays until then; 0: not told */
     Run *runs;
     HttpCall *asking; /* the one question that is out; its answer may carry a hold */
 };
 
-static char *taskKey(void *mem, const char *job, uint64_t task)
+static char *task_key(void *mem, const char *job, uint64_t task)
 {
     return talloc_asprintf(mem, "%" PRIu64 " %s", task, job);
 }
 
-static void highestSet(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
+static void highest_set(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
 {
-    char *key = taskKey(worker, job, task);
+    char *key = task_key(worker, job, task);
     if ((uint64_t)(uintptr_t)map_get(worker->highest, key) < round)
         map_set(worker->highest, key, (void *)(uintptr_t)round);
     talloc_free(key);
 }
 
 /* What is done by now, in steps of save_ms; at a stop, all of it. */
-static void runSave(Run *run, bool all)
+static void run_save(Run *run, bool all)
 {
-    const int64_t ran_ms = (loop_now_ms(run->worker->loop) - run->beganMs) / run->times;
-    int64_t doneMs = run->from_ms + ran_ms;
+    const int64_t ran_ms = (loop_now_ms(run->worker->loop) - run->began_ms) / run->times;
+    int64_t done_ms = run->from_ms + ran_ms;
     if (!all)
-        doneMs -= doneMs % run->save_ms;
-    if (run->save_ms > 0 && doneMs > run->from_ms)
-        snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, doneMs, run->job);
+        done_ms -= done_ms % run->save_ms;
+    if (run->save_ms > 0 && done_ms > run->from_ms)
+        snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, done_ms, run->job);
 }
 
-static void runEnd(Run *run, RoundWord word)
+static void run_end(Run *run, RoundWord word)
 {
     if (run->ended)
         return;
     StandWorker *worker = run->worker;
     if (run->save_ms > 0)
-        runSave(run, word == ROUND_STOPPED);
-    highestSet(worker, run->job, run->task, run->round);
+        run_save(run, word == ROUND_STOPPED);
+    highest_set(worker, run->job, run->task, run->round);
     run->ended = true;
     run->word = word;
     if (worker->props.watch.ended != NULL)
@@ -85,37 +85,37 @@
 }
 
 /* On waking, the clock is looked at before anything else. */
-static bool holdOver(StandWorker *worker)
+static bool hold_over(StandWorker *worker)
 {
     if (loop_now_ms(worker->loop) < worker->until_ms)
         return false;
     for (Run *run = worker->runs; run != NULL; run = run->next)
-        runEnd(run, ROUND_LAPSED);
+        run_end(run, ROUND_LAPSED);
     return true;
 }
 
-static void runMain(void *arg)
+static void run_main(void *arg)
 {
     Run *run = arg;
     StandWorker *worker = run->worker;
     while (!run->ended) {
-        const int64_t wake_ms = run->endMs < worker->until_ms ? run->endMs : worker->until_ms;
+        const int64_t wake_ms = run->end_ms < worker->until_ms ? run->end_ms : worker->until_ms;
         signal_wait(worker->loop, &run->stopped, wake_ms);
-        if (run->ended || holdOver(worker))
+        if (run->ended || hold_over(worker))
             break;
-        if (loop_now_ms(worker->loop) >= run->endMs)
-            runEnd(run, run->fails ? ROUND_FAILED : ROUND_DONE);
+        if (loop_now_ms(worker->loop) >= run->end_ms)
+            run_end(run, run->fails ? ROUND_FAILED : ROUND_DONE);
     }
 }
 
 /* How far it has come. */
-static int64_t percentOf(const Run *run)
+static int64_t percent_of(const Run *run)
 {
-    const int64_t whole_ms = run->endMs - run->beganMs, ran_ms = loop_now_ms(run->worker->loop) - run->beganMs;
+    const int64_t whole_ms = run->end_ms - run->began_ms, ran_ms = loop_now_ms(run->worker->loop) - run->began_ms;
     return whole_ms <= 0 || ran_ms >= whole_ms ? 100 : (int64_t)((double)ran_ms * 100 / (double)whole_ms);
 }
 
-static Run *runFind(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
+static Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
 {
     for (Run *run = worker->runs; run != NULL; run = run->next)
         if (run->round == round && run->task == task && strcmp(run->job, job) == 0)
@@ -123,7 +123,7 @@
     return NULL;
 }
 
-static int64_t intOf(json_object *object, const char *key, int64_t otherwise)
+static int64_t int_of(json_object *object, const char *key, int64_t otherwise)
 {
     json_object *value;
     return json_object_is_type(object, json_type_object) && json_object_object_get_ex(object, key, &value)
@@ -137,16 +137,16 @@
     return json_object_object_get_ex(object, key, &value) ? json_object_get_string(value) : "";
 }
 
-static void startTake(StandWorker *worker, json_object *start, int64_t sent_ms)
+static void start_take(StandWorker *worker, json_object *start, int64_t sent_ms)
 {
     const int64_t now_ms = loop_now_ms(worker->loop);
     const char *job = text_of(start, "job");
-    const uint64_t task = (uint64_t)intOf(start, "task", 0), round = (uint64_t)intOf(start, "round", 0);
-    if (now_ms >= sent_ms + intOf(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
-        runFind(worker, job, task, round) != NULL)
+    const uint64_t task = (uint64_t)int_of(start, "task", 0), round = (uint64_t)int_of(start, "round", 0);
+    if (now_ms >= sent_ms + int_of(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
+        run_find(worker, job, task, round) != NULL)
         return;
     void *mem = talloc_new(worker);
-    const uint64_t highest = (uint64_t)(uintptr_t)map_get(worker->highest, taskKey(mem, job, task));
+    const uint64_t highest = (uint64_t)(uintptr_t)map_get(worker->highest, task_key(mem, job, task));
     talloc_free(mem);
     json_object *payload = NULL, *room = NULL;
     json_object_object_get_ex(start, "payload", &payload);
@@ -158,18 +158,18 @@
     run->round = round;
     json_object *cpu = NULL;
     json_object_object_get_ex(room, "cpu", &cpu);
-    run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)intOf(room, "memMb", 0),
-                       (uint64_t)intOf(room, "gpu", 0)};
+    run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)int_of(room, "memMb", 0),
+                       (uint64_t)int_of(room, "gpu", 0)};
     run->times = worker->props.slow_times > 1 ? worker->props.slow_times : 1;
-    run->save_ms = intOf(payload, "saveMs", 0);
-    run->beganMs = now_ms;
+    run->save_ms = int_of(payload, "saveMs", 0);
+    run->began_ms = now_ms;
     snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
     const char *at = strchr(run->saved, '@');
     run->from_ms = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
-    run->endMs = now_ms + (intOf(payload, "runMs", 1000) - run->from_ms) * run->times;
+    run->end_ms = now_ms + (int_of(payload, "runMs", 1000) - run->from_ms) * run->times;
     if (worker->props.hangs)
-        run->endMs = INT64_MAX / 2;
-    run->fails = worker->props.failsAll || (int64_t)round <= intOf(payload, "failRounds", 0);
+        run->end_ms = INT64_MAX / 2;
+    run->fails = worker->props.fails_all || (int64_t)round <= int_of(payload, "failRounds", 0);
     run->next = worker->runs;
     worker->runs = run;
     if (round <= highest) { /* it is not above one that was here: turned away */
@@ -183,19 +183,19 @@
     if (worker->props.watch.started != NULL)
         worker->props.watch.started(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
                                     run->room);
-    loop_spawn(worker->loop, "run", runMain, run);
+    loop_spawn(worker->loop, "run", run_main, run);
 }
 
 static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    const int64_t hold_ms = intOf(body, "holdMs", 0);
-    const uint64_t fence = (uint64_t)intOf(body, "fence", 0);
+    const int64_t hold_ms = int_of(body, "holdMs", 0);
+    const uint64_t fence = (uint64_t)int_of(body, "fence", 0);
     if (fence < worker->fence)
         return;
     worker->fence = fence;
     if (sent_ms + hold_ms > worker->until_ms)
         worker->until_ms = sent_ms + hold_ms;
-    if (holdOver(worker))
+    if (hold_over(worker))
         return;
     if (worker->props.watch.held != NULL)
         worker->props.watch.held(worker->props.watch.arg, worker->props.worker.name,
@@ -204,8 +204,8 @@
     if (json_object_object_get_ex(body, "known", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++) {
             json_object *one = json_object_array_get_idx(list, i);
-            Run *run =
-                runFind(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
+            Run *run = run_find(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
+                                (uint64_t)int_of(one, "round", 0));
             if (run == NULL || !run->ended)
                 continue;
             if (worker->props.watch.known != NULL)
@@ -221,25 +221,25 @@
     if (json_object_object_get_ex(body, "stops", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++) {
             json_object *one = json_object_array_get_idx(list, i);
-            Run *run =
-                runFind(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0), (uint64_t)intOf(one, "round", 0));
+            Run *run = run_find(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
+                                (uint64_t)int_of(one, "round", 0));
             if (run == NULL) /* one that has not come yet will be turned away */
-                highestSet(worker, text_of(one, "job"), (uint64_t)intOf(one, "task", 0),
-                           (uint64_t)intOf(one, "round", 0));
+                highest_set(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
+                            (uint64_t)int_of(one, "round", 0));
             if (run == NULL || run->ended)
                 continue;
             if (worker->props.watch.told != NULL)
                 worker->props.watch.told(worker->props.watch.arg, worker->props.worker.name, run->job, run->task,
                                          run->round);
-            runEnd(run, ROUND_STOPPED);
+            run_end(run, ROUND_STOPPED);
         }
     /* also while it leaves: that nothing comes then is what is to be shown */
     if (json_object_object_get_ex(body, "starts", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++)
-            startTake(worker, json_object_array_get_idx(list, i), sent_ms);
+            start_take(worker, json_object_array_get_idx(list, i), sent_ms);
 }
 
-static json_object *reportOf(StandWorker *worker)
+static json_object *report_of(StandWorker *worker)
 {
     const Worker *self = &worker->props.worker;
     json_object *body = show_worker(self);
@@ -259,7 +259,7 @@
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
-    const int64_t stays_ms = worker->leaveAtMs - loop_now_ms(worker->loop);
+    const int64_t stays_ms = worker->leave_at_ms - loop_now_ms(worker->loop);
     if (worker->leaving && stays_ms > 0)
         json_object_object_add(body, "leaveMs", json_object_new_int64(stays_ms));
     json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_MS));
@@ -267,14 +267,14 @@
     for (Run *run = worker->runs; run != NULL; run = run->next) {
         json_object *one = json_object_new_object();
         if (run->save_ms > 0 && !run->ended)
-            runSave(run, false);
+            run_save(run, false);
         json_object_object_add(one, "job", json_object_new_string(run->job));
         json_object_object_add(one, "task", json_object_new_int64((int64_t)run->task));
         json_object_object_add(one, "round", json_object_new_int64((int64_t)run->round));
         if (run->saved[0] != '\0')
             json_object_object_add(one, "saved", json_object_new_string(run->saved));
         if (!run->ended)
-            json_object_object_add(one, "percent", json_object_new_int64(percentOf(run)));
+            json_object_object_add(one, "percent", json_object_new_int64(percent_of(run)));
         if (run->ended)
             json_object_object_add(one, "word", json_object_new_string(round_word(run->word)));
         json_object_array_add(run->ended ? ended : running, one);
@@ -286,14 +286,14 @@
 
 /* Tells again what was told before, its answer unheard: a report repeated and out
  * of order, as a retry lower down makes them. */
-static void repeatLast(StandWorker *worker, void *mem, const char *path, const char *last)
+static void repeat_last(StandWorker *worker, void *mem, const char *path, const char *last)
 {
     HttpCall call = {.mem = mem, .address = worker->props.agent, .method = "POST", .path = path, .wait_ms = 20};
     bytes_add(mem, &call.body, last, strlen(last));
     loop_call(worker->loop, &call);
 }
 
-static void reportMain(void *arg)
+static void report_main(void *arg)
 {
     StandWorker *worker = arg;
     char *last = NULL;
@@ -302,9 +302,9 @@
     while (!loop_stopping(worker->loop)) {
         void *mem = talloc_new(worker);
         if (worker->props.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
-            repeatLast(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name), last);
-        holdOver(worker);
-        json_object *body = reportOf(worker);
+            repeat_last(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name), last);
+        hold_over(worker);
+        json_object *body = report_of(worker);
         const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
         HttpCall call = {.mem = mem,
                          .address = worker->props.agent,
@@ -332,7 +332,7 @@
     }
 }
 
-StandWorker *standWorkerStart(void *mem, Loop *loop, const StandWorkerProps *props)
+StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerProps *props)
 {
     StandWorker *worker = talloc_zero(mem, StandWorker);
     worker->loop = loop;
@@ -341,42 +341,42 @@
     worker->props.agent = talloc_strdup(worker, props->agent);
     worker->highest = map_new(worker);
     snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loop_random(loop));
-    loop_spawn(loop, "report", reportMain, worker);
+    loop_spawn(loop, "report", report_main, worker);
     return worker;
 }
 
-void standWorkerLeave(StandWorker *worker)
+void stand_worker_leave(StandWorker *worker)
 {
     worker->leaving = true;
 }
 
-void standWorkerLeaveIn(StandWorker *worker, int64_t forMs)
+void stand_worker_leave_in(StandWorker *worker, int64_t for_ms)
 {
     worker->leaving = true;
-    worker->leaveAtMs = loop_now_ms(worker->loop) + forMs;
+    worker->leave_at_ms = loop_now_ms(worker->loop) + for_ms;
 }
 
-void standWorkerFail(StandWorker *worker, bool fails)
+void stand_worker_fail(StandWorker *worker, bool fails)
 {
-    worker->props.failsAll = fails;
+    worker->props.fails_all = fails;
 }
 
-void standWorkerHang(StandWorker *worker, bool hangs)
+void stand_worker_hang(StandWorker *worker, bool hangs)
 {
     worker->props.hangs = hangs;
 }
 
-void standWorkerSlow(StandWorker *worker, int64_t times)
+void stand_worker_slow(StandWorker *worker, int64_t times)
 {
     worker->props.slow_times = times;
 }
 
-void standWorkerRepeat(StandWorker *worker, bool repeats)
+void stand_worker_repeat(StandWorker *worker, bool repeats)
 {
     worker->props.repeats = repeats;
 }
 
-size_t standWorkerRunning(const StandWorker *worker)
+size_t stand_worker_running(const StandWorker *worker)
 {
     size_t count = 0;
     for (const Run *run = worker->runs; run != NULL; run = run->next)
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -54,7 +54,7 @@
         status = core_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props,
                             daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
     else if (daemon->role == PROPS_GATE)
-        status = gateStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->gate, &failure);
+        status = gate_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->gate, &failure);
     else
         status = agentStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->agent, &failure);
     if (status != STATUS_OK) {
@@ -66,7 +66,7 @@
     if (daemon->core != NULL)
         http = core_http_address(daemon->core);
     else if (daemon->gate != NULL)
-        http = gateHttpAddress(daemon->gate);
+        http = gate_http_address(daemon->gate);
     else
         http = agentHttpAddress(daemon->agent);
     printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->props.name, http);
@@ -86,7 +86,7 @@
     if (daemon->core != NULL)
         core_drain(daemon->core);
     if (daemon->gate != NULL)
-        gateDrain(daemon->gate);
+        gate_drain(daemon->gate);
     if (daemon->agent != NULL)
         agentDrain(daemon->agent);
     loop_stop(daemon->loop);
--- a/src/node.c
+++ b/src/node.c
@@ -43,7 +43,7 @@
     if (run->node.core != NULL)
         core_seeds(run->node.core, seeds);
     else if (run->node.gate != NULL)
-        gateSeeds(run->node.gate, seeds);
+        gate_seeds(run->node.gate, seeds);
     else if (run->node.agent != NULL)
         agentSeeds(run->node.agent, seeds);
     talloc_free(mem);
@@ -89,7 +89,7 @@
     if (run->place.role == PROPS_CORE)
         status = core_start(run->mem, node->loop, node->ring, props, NULL, &node->core, &failure);
     else if (run->place.role == PROPS_GATE)
-        status = gateStart(run->mem, node->loop, node->ring, props, &node->gate, &failure);
+        status = gate_start(run->mem, node->loop, node->ring, props, &node->gate, &failure);
     else
         status = agentStart(run->mem, node->loop, node->ring, props, &node->agent, &failure);
     if (status == STATUS_OK)
@@ -118,7 +118,7 @@
     if (run->node.core != NULL)
         core_drain(run->node.core);
     if (run->node.gate != NULL)
-        gateDrain(run->node.gate);
+        gate_drain(run->node.gate);
     if (run->node.agent != NULL)
         agentDrain(run->node.agent);
     loop_stop(run->node.loop);
@@ -158,7 +158,7 @@
         code = wrong("node", "%s: what is this?", left);
     else if (log != NULL && !ring_level_of_word(log, &level))
         code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
-    else if (name == NULL || (run->face = faceFind(name)) == NULL)
+    else if (name == NULL || (run->face = face_find(name)) == NULL)
         code = faceWrong(name);
     else if ((run->path = path != NULL ? path : run->face->path(&failure)) == NULL)
         code = wrong("node", "%s", failure.text);
--- a/src/standins.c
+++ b/src/standins.c
@@ -82,10 +82,10 @@
 static void workerTerm(void *arg)
 {
     StandIn *stand_in = arg;
-    standWorkerLeave(stand_in->worker);
+    stand_worker_leave(stand_in->worker);
     recordRun(&stand_in->record, "leaving", stand_in->name, "-", 0, 0, "");
     const int64_t until_ms = loop_now_ms(stand_in->loop) + DRAIN_MS;
-    while (standWorkerRunning(stand_in->worker) > 0 && loop_now_ms(stand_in->loop) < until_ms)
+    while (stand_worker_running(stand_in->worker) > 0 && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
     loop_sleep(stand_in->loop, WORKER_POLL_MS);
     loop_stop(stand_in->loop);
@@ -94,7 +94,7 @@
 int runWorker(int argc, const char **argv)
 {
     char *agent = NULL, *name = NULL, *zone = NULL, *rack = NULL, *kind = NULL, *label = NULL, *path = NULL;
-    int cores = 64, mem_mb = 131072, failsAll = 0, slow = 1;
+    int cores = 64, mem_mb = 131072, fails_all = 0, slow = 1;
     struct poptOption options[] = {
         {"agent", 'a', POPT_ARG_STRING, &agent, 0, "HTTP address of the agent beside it", "IP:PORT"},
         {"name", 0, POPT_ARG_STRING, &name, 0, "name of this worker", "NAME"},
@@ -104,7 +104,7 @@
         {"label", 0, POPT_ARG_STRING, &label, 0, "a label", "LABEL"},
         {"cores", 0, POPT_ARG_INT, &cores, 0, "cores", "N"},
         {"mem", 0, POPT_ARG_INT, &mem_mb, 0, "memory in MB", "N"},
-        {"fails", 0, POPT_ARG_NONE, &failsAll, 0, "fail every task while claiming health", NULL},
+        {"fails", 0, POPT_ARG_NONE, &fails_all, 0, "fail every task while claiming health", NULL},
         {"slow", 0, POPT_ARG_INT, &slow, 0, "take so many times as long", "N"},
         {"record", 0, POPT_ARG_STRING, &path, 0, "append what really runs to this file", "FILE"},
         POPT_AUTOHELP POPT_TABLEEND};
@@ -139,13 +139,13 @@
                        .room = {(uint64_t)cores * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
-            .failsAll = failsAll != 0,
+            .fails_all = fails_all != 0,
             .slow_times = slow,
         };
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, mem_mb);
         recordRun(&stand_in->record, "worker", name, zone, 0, 0, rest);
-        stand_in->worker = standWorkerStart(mem, stand_in->loop, &props);
+        stand_in->worker = stand_worker_start(mem, stand_in->loop, &props);
         real_loop_run(stand_in->loop, workerTerm, stand_in);
     }
     poptFreeContext(context);
@@ -189,7 +189,7 @@
 static void summary(StandIn *stand_in)
 {
     CallerJob *const *jobs;
-    const size_t count = callerJobs(stand_in->caller, &jobs);
+    const size_t count = caller_jobs(stand_in->caller, &jobs);
     int64_t *spans = talloc_array(stand_in, int64_t, (unsigned)count + 1);
     size_t accepted = 0, done = 0, refused = 0, again = 0;
     for (size_t i = 0; i < count; i++) {
@@ -207,7 +207,7 @@
         qsort(spans, n, sizeof(*spans), span_order);
         if (n > 0)
             printf("accepted-to-started %s n %zu p50 %" PRId64 " p90 %" PRId64 " p99 %" PRId64 " max %" PRId64 " ms\n",
-                   classWord((MixClass)kind), n, spans[n / 2], spans[n * 9 / 10], spans[n * 99 / 100], spans[n - 1]);
+                   class_word((MixClass)kind), n, spans[n / 2], spans[n * 9 / 10], spans[n * 99 / 100], spans[n - 1]);
     }
     size_t n = 0;
     for (size_t i = 0; i < count; i++)
@@ -225,31 +225,31 @@
 {
     StandIn *stand_in = arg;
     const CallerProps *props = &stand_in->callerProps;
-    if (stand_in->configure && callerConfigure(stand_in, stand_in->loop, props->entries[0], props->mix) != STATUS_OK) {
+    if (stand_in->configure && caller_configure(stand_in, stand_in->loop, props->entries[0], props->mix) != STATUS_OK) {
         fprintf(stderr, "spancart caller: the configuration could not be set\n");
         stand_in->code = EXIT_UNREACHABLE;
         loop_stop(stand_in->loop);
         return;
     }
-    stand_in->caller = callerStart(stand_in, stand_in->loop, props);
-    const int64_t until_ms = loop_now_ms(stand_in->loop) + props->forMs + 120000;
-    while (!callerDone(stand_in->caller) && loop_now_ms(stand_in->loop) < until_ms)
+    stand_in->caller = caller_start(stand_in, stand_in->loop, props);
+    const int64_t until_ms = loop_now_ms(stand_in->loop) + props->for_ms + 120000;
+    while (!caller_done(stand_in->caller) && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
     summary(stand_in);
-    stand_in->code = callerDone(stand_in->caller) ? EXIT_GOOD : EXIT_FAILED;
+    stand_in->code = caller_done(stand_in->caller) ? EXIT_GOOD : EXIT_FAILED;
     loop_stop(stand_in->loop);
 }
 
 int runCaller(int argc, const char **argv)
 {
     char *entries = NULL, *mix = NULL, *name = NULL, *path = NULL;
-    int configure = 0, rateMilli = 10000, forMs = 10000;
+    int configure = 0, rate_milli = 10000, for_ms = 10000;
     struct poptOption options[] = {
         {"entries", 'e', POPT_ARG_STRING, &entries, 0, "entry points", "IP:PORT,..."},
         {"mix", 'm', POPT_ARG_STRING, &mix, 0, "trentvale or atlas", "MIX"},
         {"name", 0, POPT_ARG_STRING, &name, 0, "begins every job's id", "NAME"},
-        {"rate", 'r', POPT_ARG_INT, &rateMilli, 0, "jobs in a thousand seconds", "N"},
-        {"for", 0, POPT_ARG_INT, &forMs, 0, "hand in for so long", "MS"},
+        {"rate", 'r', POPT_ARG_INT, &rate_milli, 0, "jobs in a thousand seconds", "N"},
+        {"for", 0, POPT_ARG_INT, &for_ms, 0, "hand in for so long", "MS"},
         {"configure", 'c', POPT_ARG_NONE, &configure, 0, "set the mix's configuration first", NULL},
         {"record", 0, POPT_ARG_STRING, &path, 0, "append what was told to this file", "FILE"},
         POPT_AUTOHELP POPT_TABLEEND};
@@ -259,8 +259,8 @@
     void *mem = talloc_new(NULL);
     StandIn *stand_in = talloc_zero(mem, StandIn);
     CallerProps *props = &stand_in->callerProps;
-    *props = (CallerProps){.name = name != NULL ? name : "job", .rateMilli = rateMilli, .forMs = forMs};
-    props->mix = mixOfWord(mix != NULL ? mix : "trentvale");
+    *props = (CallerProps){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .for_ms = for_ms};
+    props->mix = mix_of_word(mix != NULL ? mix : "trentvale");
     for (char *at = entries; at != NULL && props->entry_count < ENTRIES_MAX;) {
         char *comma = strchr(at, ',');
         if (comma != NULL)
@@ -278,7 +278,7 @@
         code = wrong("caller", "--entries: at least one is needed");
     else if (props->mix == MIX_COUNT)
         code = wrong("caller", "--mix: must be trentvale or atlas");
-    else if (rateMilli < 1 || forMs < 0)
+    else if (rate_milli < 1 || for_ms < 0)
         code = wrong("caller", "--rate and --for must be positive");
     if (code == EXIT_GOOD) {
         stand_in->loop = real_loop_new(mem);
