--- a/examples/counter.c
+++ b/examples/counter.c
@@ -76,7 +76,7 @@
     return liveset_beat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &list_counts);
 }
 
-static void beatMain(void *arg)
+static void beat_main(void *arg)
 {
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
@@ -170,7 +170,7 @@
     courier_handle(counter->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
     members_start(counter->members);
     view_founding(counter->view);
-    loop_spawn(counter->loop, "beat", beatMain, counter);
+    loop_spawn(counter->loop, "beat", beat_main, counter);
     loop_spawn(counter->loop, "plus", plusMain, counter);
 }
 
--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -7,10 +7,10 @@
  * on to it and tells what its rounds came to. Diskless. */
 typedef struct Agent Agent;
 
-Status agentStart(void *mem, Loop *loop, Ring *ring, const Props *props, Agent **agent, Failure *failure);
-void agentDrain(Agent *agent);
+Status agent_start(void *mem, Loop *loop, Ring *ring, const Props *props, Agent **agent, Failure *failure);
+void agent_drain(Agent *agent);
 /* Other seeds from now on. */
-void agentSeeds(Agent *agent, const char *const seeds[SEEDS]);
-const char *agentHttpAddress(const Agent *agent);
+void agent_seeds(Agent *agent, const char *const seeds[SEEDS]);
+const char *agent_http_address(const Agent *agent);
 
 #endif
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -9,17 +9,17 @@
 typedef struct WorkerReport {
     const char *boot; /* the worker's present life: nothing of one outlives it */
     Worker worker;    /* its name is not looked at: the agent stands beside one worker */
-    bool bootEnds;    /* a new boot means for certain that the old one is over */
+    bool boot_ends;   /* a new boot means for certain that the old one is over */
     uint64_t seq;     /* grows with each report of one boot, so that a late one is known; 0: not told */
     bool leaving;
     int64_t leave_ms; /* leaving: it stays at least so long; 0: not told */
     bool left;        /* it has left in order: nothing runs there any more */
-    bool freeTold;
+    bool free_told;
     Room free;
     int64_t wait_ms; /* the answer may be held back for so long */
-    bool endsWait;   /* it says nothing more before it is answered, not even that something has ended */
+    bool ends_wait;  /* it says nothing more before it is answered, not even that something has ended */
     const RoundNews *running, *ended;
-    size_t runningCount, endedCount;
+    size_t running_count, ended_count;
 } WorkerReport;
 
 /* What it is told. A hold counts from when the worker sent its question; 0: none,
@@ -33,9 +33,9 @@
     size_t starts_count;
     int64_t start_ms; /* none of the starts stands longer than this from now */
     const RoundId *stops;
-    size_t stopsCount;
+    size_t stops_count;
     const RoundId *known; /* of the rounds that it has told as ended: those whose end is committed */
-    size_t knownCount;
+    size_t known_count;
     int64_t again_ms; /* unless something ends there, it need not ask again before */
 } WorkerOrders;
 
@@ -43,6 +43,6 @@
  * while it waits. orders hang on mem, and are over once they have been taken: what
  * they start counts as given. CLOSED: another question has come since, or the asker
  * has gone; DUPLICATE_WORKER: another boot may still be running, or this one is over. */
-Status agentReport(Agent *agent, void *mem, const bool *gone, const WorkerReport *report, WorkerOrders *orders);
+Status agent_report(Agent *agent, void *mem, const bool *gone, const WorkerReport *report, WorkerOrders *orders);
 
 #endif
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -61,18 +61,18 @@
         talloc_strndup(task, task->path + sizeof(BEFORE) - 1, length - (sizeof(BEFORE) - 1) - (sizeof(AFTER) - 1)));
 }
 
-Status agentStart(void *mem, Loop *loop, Ring *ring, const Props *props, Agent **out, Failure *failure)
+Status agent_start(void *mem, Loop *loop, Ring *ring, const Props *props, Agent **out, Failure *failure)
 {
     Agent *agent = talloc_zero(mem, Agent);
     agent->loop = loop;
     agent->ring = ring;
     agent->props = props;
-    agent->workerName = props->worker != NULL ? props->worker : props->name;
+    agent->worker_name = props->worker != NULL ? props->worker : props->name;
     agent->incarnation = (uint64_t)loop_wall_ms(loop);
     agent->started_ms = loop_now_ms(loop);
-    agent->workerMem = talloc_new(agent);
-    const Worker unheard = {.name = agent->workerName, .zone = props->zone, .rack = "", .kind = ""};
-    shape_copy(&Worker_shape, &unheard, agent->workerMem, &agent->worker);
+    agent->worker_mem = talloc_new(agent);
+    const Worker unheard = {.name = agent->worker_name, .zone = props->zone, .rack = "", .kind = ""};
+    shape_copy(&Worker_shape, &unheard, agent->worker_mem, &agent->worker);
     agent->courier = courier_new(agent, loop, ring);
     Status status = courier_listen(agent->courier, props->listen, agent->address, failure);
     if (status == STATUS_OK)
@@ -88,12 +88,12 @@
                                .incarnation = agent->incarnation};
     agent->members = members_new(agent, loop, agent->courier, ring, &self, props->seeds);
     agent->trace = trace_new(agent, loop, agent->courier, agent->members, props->name);
-    roundsInit(agent);
-    beatStart(agent);
-    tellStart(agent);
-    aloneStart(agent);
+    rounds_init(agent);
+    beat_start(agent);
+    tell_start(agent);
+    alone_start(agent);
     members_set_voter(agent->members, props->bounds.founds == 1);
-    watchStart(agent);
+    watch_start(agent);
     members_start(agent->members);
     *out = agent;
     return STATUS_OK;
@@ -101,20 +101,20 @@
 
 /* Waits. A leaving agent takes its worker with it: no new work, what runs is
  * stopped when the hold lapses. */
-void agentDrain(Agent *agent)
+void agent_drain(Agent *agent)
 {
     agent->leaving = true;
     members_set_leaving(agent->members);
-    beatNow(agent);
+    beat_now(agent);
     loop_sleep(agent->loop, DRAIN_MS / 3);
 }
 
-const char *agentHttpAddress(const Agent *agent)
+const char *agent_http_address(const Agent *agent)
 {
     return agent->http;
 }
 
-void agentSeeds(Agent *agent, const char *const seeds[SEEDS])
+void agent_seeds(Agent *agent, const char *const seeds[SEEDS])
 {
     members_seeds(agent->members, seeds);
 }
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -18,7 +18,7 @@
     Signal ended;
     bool all;                         /* everyone asked so far has answered no */
     uint64_t answered[SEAT_MOST * 4]; /* disks of cores that did */
-    size_t answeredCount;
+    size_t answered_count;
     uint64_t seats[SEAT_MOST]; /* as a core told them */
     size_t seat_count;         /* 0: none has told them */
 } Asking;
@@ -30,7 +30,7 @@
     PeerLife peer;
 } AskPart;
 
-static void askingLeave(Asking *asking)
+static void asking_leave(Asking *asking)
 {
     if (--asking->users == 0)
         talloc_free(asking);
@@ -49,8 +49,8 @@
     if (status != STATUS_OK || answer.knows || answer.epoch > agent->hold.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
-        if (asking->answeredCount < sizeof(asking->answered) / sizeof(asking->answered[0]))
-            asking->answered[asking->answeredCount++] = part->disk;
+        if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
+            asking->answered[asking->answered_count++] = part->disk;
         if (answer.seats_count > 0 && answer.seats_count <= SEAT_MOST) {
             /* cores that know other seats than each other do not all see the same */
             const bool told = asking->seat_count > 0;
@@ -66,15 +66,15 @@
     }
     asking->pending--;
     signal_raise(agent->loop, &asking->ended);
-    askingLeave(asking);
+    asking_leave(asking);
     talloc_free(part);
 }
 
-static bool seatsAnswered(const Asking *asking)
+static bool seats_answered(const Asking *asking)
 {
     for (size_t s = 0; s < asking->seat_count; s++) {
         bool found = false;
-        for (size_t i = 0; i < asking->answeredCount && !found; i++)
+        for (size_t i = 0; i < asking->answered_count && !found; i++)
             found = asking->answered[i] == asking->seats[s];
         if (!found)
             return false;
@@ -82,7 +82,7 @@
     return asking->seat_count > 0;
 }
 
-static void askThose(Asking *asking, bool cores)
+static void ask_those(Asking *asking, bool cores)
 {
     Agent *agent = asking->agent;
     const MemberTable *table = members_table(agent->members);
@@ -105,7 +105,7 @@
         signal_wait(agent->loop, &asking->ended, INT64_MAX);
 }
 
-static void askAll(Agent *agent)
+static void ask_all(Agent *agent)
 {
     Asking *asking = talloc_zero(agent, Asking);
     asking->agent = agent;
@@ -114,12 +114,12 @@
     const int64_t sent_ms = loop_now_ms(agent->loop);
     /* the cores first: a holder that is gone leaves one that does not answer, and
      * then nobody else need be asked by every agent of the fleet */
-    askThose(asking, true);
-    if (asking->all && seatsAnswered(asking))
-        askThose(asking, false);
+    ask_those(asking, true);
+    if (asking->all && seats_answered(asking))
+        ask_those(asking, false);
     const int64_t hold_ms = agent->props->bounds.hold_ms;
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
-    if (asking->all && seatsAnswered(asking) && hold_runs(&agent->hold, loop_now_ms(agent->loop))) {
+    if (asking->all && seats_answered(asking) && hold_runs(&agent->hold, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
                      "no lock holder, and every member knows none: goes on while all see each other");
@@ -127,10 +127,10 @@
         if (sent_ms + hold_ms > agent->hold.until_ms)
             agent->hold.until_ms = sent_ms + hold_ms;
     }
-    askingLeave(asking);
+    asking_leave(asking);
 }
 
-static void aloneMain(void *arg)
+static void alone_main(void *arg)
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
@@ -138,7 +138,7 @@
         const int64_t late_ms = agent->props->bounds.hold_ms / 2;
         /* the second half of the hold: several beats have gone unanswered */
         if (left_ms > 0 && left_ms < late_ms)
-            askAll(agent);
+            ask_all(agent);
         loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : BEAT_MS / 5);
     }
 }
@@ -150,13 +150,13 @@
     (void)mem;
     (void)question;
     /* its beats are answered: a holder lives */
-    out->knows = agent->beatMs != 0 && loop_now_ms(agent->loop) - agent->beatMs < 2 * BEAT_MS;
+    out->knows = agent->beat_ms != 0 && loop_now_ms(agent->loop) - agent->beat_ms < 2 * BEAT_MS;
     out->epoch = agent->hold.epoch;
     return STATUS_OK;
 }
 
-void aloneStart(Agent *agent)
+void alone_start(Agent *agent)
 {
     courier_handle(agent->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, agent);
-    loop_spawn(agent->loop, "alone", aloneMain, agent);
+    loop_spawn(agent->loop, "alone", alone_main, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -19,7 +19,7 @@
     uint64_t *turns; /* of each of the told rounds' saved */
 } Beat;
 
-bool leaderAddress(Agent *agent, char address[ADDRESS_MAX])
+bool leader_address(Agent *agent, char address[ADDRESS_MAX])
 {
     const char *leader = members_leader_address(agent->members);
     if (leader == NULL)
@@ -28,18 +28,18 @@
     return true;
 }
 
-void beatNow(Agent *agent)
+void beat_now(Agent *agent)
 {
-    agent->beatNow = true;
+    agent->beat_now = true;
     signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
-static RoundId idOf(void *mem, const Round *round)
+static RoundId id_of(void *mem, const Round *round)
 {
     return (RoundId){talloc_strdup(mem, round->order.job), round->order.task, round->order.round};
 }
 
-static void roundsTell(Agent *agent, Beat *beat, BeatAsk *ask)
+static void rounds_tell(Agent *agent, Beat *beat, BeatAsk *ask)
 {
     const Rounds *rounds = &agent->rounds;
     const int64_t now_ms = loop_now_ms(agent->loop);
@@ -47,30 +47,30 @@
     ask->saved = talloc_array(beat, RoundSaved, (unsigned)rounds->lives.count);
     beat->turns = talloc_array(beat, uint64_t, (unsigned)rounds->lives.count);
     for (const Round *round = rounds->lives.first; round != NULL; round = round->next) {
-        ask->rounds[ask->rounds_count++] = idOf(beat, round);
-        if (round->savedTurn == round->toldTurn)
+        ask->rounds[ask->rounds_count++] = id_of(beat, round);
+        if (round->saved_turn == round->told_turn)
             continue;
-        beat->turns[ask->saved_count] = round->savedTurn;
+        beat->turns[ask->saved_count] = round->saved_turn;
         ask->saved[ask->saved_count++] = (RoundSaved){talloc_strdup(beat, round->order.job),
                                                       round->order.task,
                                                       round->order.round,
                                                       talloc_strdup(beat, round->saved),
-                                                      round->runsMs != 0 ? now_ms - round->runsMs : 0,
+                                                      round->runs_ms != 0 ? now_ms - round->runs_ms : 0,
                                                       round->percent,
                                                       round->percent_ms};
     }
     for (const Round *round = rounds->ended.first; round != NULL; round = round->next)
-        ask->rounds[ask->rounds_count++] = idOf(beat, round);
+        ask->rounds[ask->rounds_count++] = id_of(beat, round);
 }
 
-static void askFill(Agent *agent, Beat *beat, BeatAsk *ask)
+static void ask_fill(Agent *agent, Beat *beat, BeatAsk *ask)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    *ask = (BeatAsk){.agent = agent->workerName,
+    *ask = (BeatAsk){.agent = agent->worker_name,
                      .incarnation = agent->incarnation,
                      .number = beat->number,
                      .worker_live = agent->worker_live,
-                     .leaving = agent->workerLeaving || agent->leaving,
+                     .leaving = agent->worker_leaving || agent->leaving,
                      .settled = agent->settled,
                      .others = agent->others,
                      .leave_ms = agent->leave_until_ms > now_ms ? agent->leave_until_ms - now_ms : 0,
@@ -78,22 +78,22 @@
                      .have_epoch = agent->have_epoch,
                      .wait_ms = BEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, beat, &ask->worker);
-    roundsTell(agent, beat, ask);
+    rounds_tell(agent, beat, ask);
 }
 
 /* The leader of this epoch has what the beat told. */
-static void savedKnown(Agent *agent, const Beat *beat, const BeatAsk *ask, uint64_t epoch)
+static void saved_known(Agent *agent, const Beat *beat, const BeatAsk *ask, uint64_t epoch)
 {
-    if (epoch != agent->savedEpoch) {
-        agent->savedEpoch = epoch;
+    if (epoch != agent->saved_epoch) {
+        agent->saved_epoch = epoch;
         for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
-            round->toldTurn = 0;
+            round->told_turn = 0;
     }
     for (size_t i = 0; i < ask->saved_count; i++) {
         const RoundSaved *saved = &ask->saved[i];
         Round *round = round_find(agent, saved->job, saved->task, saved->round);
-        if (round != NULL && beat->turns[i] > round->toldTurn)
-            round->toldTurn = beat->turns[i];
+        if (round != NULL && beat->turns[i] > round->told_turn)
+            round->told_turn = beat->turns[i];
     }
 }
 
@@ -105,10 +105,10 @@
         return;
     }
     agent->alone = false;
-    agent->beatMs = loop_now_ms(agent->loop);
-    savedKnown(agent, beat, ask, answer->epoch);
-    if (answer->epoch > agent->epochTold) {
-        agent->epochTold = answer->epoch;
+    agent->beat_ms = loop_now_ms(agent->loop);
+    saved_known(agent, beat, ask, answer->epoch);
+    if (answer->epoch > agent->epoch_told) {
+        agent->epoch_told = answer->epoch;
         trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
     /* of two answers the later sent may come first */
@@ -116,7 +116,7 @@
         (answer->epoch > agent->have_epoch || (answer->epoch == agent->have_epoch && answer->revision > agent->have))) {
         agent->have = answer->revision;
         agent->have_epoch = answer->epoch;
-        ordersTake(agent, answer, beat->sent_ms);
+        orders_take(agent, answer, beat->sent_ms);
     }
 }
 
@@ -127,7 +127,7 @@
     BeatAsk ask;
     BeatAnswer answer = {0};
     beat->sent_ms = loop_now_ms(agent->loop);
-    askFill(agent, beat, &ask);
+    ask_fill(agent, beat, &ask);
     const CourierTarget target = {beat->address, beat->peer, NULL};
     const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAsk_shape, &ask,
                                            BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
@@ -136,22 +136,22 @@
     if (status == STATUS_OK)
         answer_take(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
-        ring_say(agent->ring, RING_ALERT, now_ms, "another agent beats for worker %s", agent->workerName);
+        ring_say(agent->ring, RING_ALERT, now_ms, "another agent beats for worker %s", agent->worker_name);
     agent->beats--;
     if (agent->beat == beat) {
         agent->beat = NULL;
         if (status != STATUS_OK)
-            agent->beatDueMs = now_ms + BEAT_MS / 5;
+            agent->beat_due_ms = now_ms + BEAT_MS / 5;
         else if (answer.orders || now_ms - beat->sent_ms >= BEAT_WAIT_MS)
-            agent->beatDueMs = now_ms;
+            agent->beat_due_ms = now_ms;
         else
-            agent->beatDueMs = beat->sent_ms + BEAT_MS; /* it was not held back */
+            agent->beat_due_ms = beat->sent_ms + BEAT_MS; /* it was not held back */
         signal_raise(agent->loop, members_leader_signal(agent->members));
     }
     talloc_free(beat);
 }
 
-static void beatSend(Agent *agent, const char *address)
+static void beat_send(Agent *agent, const char *address)
 {
     Beat *beat = talloc_zero(agent, Beat);
     beat->agent = agent;
@@ -161,24 +161,24 @@
     beat->peer = members_leader_peer(agent->members);
     agent->beat = beat;
     agent->beats++;
-    agent->beatNow = false;
+    agent->beat_now = false;
     loop_spawn(agent->loop, "beat", ask_main, beat);
 }
 
 /* Whether one is to be sent now; else when. */
-static bool beatDue(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
+static bool beat_due(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
 {
     *due_ms = now_ms + BEAT_MS;
     if (agent->beats >= BEATS_MOST)
         return false;
-    if (agent->beatNow || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
+    if (agent->beat_now || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
         return true;
     /* one that goes unanswered is not waited for to its end */
-    *due_ms = agent->beat == NULL ? agent->beatDueMs : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
+    *due_ms = agent->beat == NULL ? agent->beat_due_ms : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
     return now_ms >= *due_ms;
 }
 
-static void beatMain(void *arg)
+static void beat_main(void *arg)
 {
     Agent *agent = arg;
     char last[ADDRESS_MAX] = "";
@@ -186,19 +186,19 @@
         const int64_t now_ms = loop_now_ms(agent->loop);
         char address[ADDRESS_MAX];
         int64_t due_ms = now_ms + BEAT_MS;
-        const bool known = leaderAddress(agent, address);
+        const bool known = leader_address(agent, address);
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
-            signal_raise(agent->loop, &agent->toTell); /* what the last one has not answered is told to this one */
+            signal_raise(agent->loop, &agent->to_tell); /* what the last one has not answered is told to this one */
         }
-        if (known && beatDue(agent, address, now_ms, &due_ms))
-            beatSend(agent, address);
+        if (known && beat_due(agent, address, now_ms, &due_ms))
+            beat_send(agent, address);
         else
             signal_wait(agent->loop, members_leader_signal(agent->members), due_ms);
     }
 }
 
-void beatStart(Agent *agent)
+void beat_start(Agent *agent)
 {
-    loop_spawn(agent->loop, "beats", beatMain, agent);
+    loop_spawn(agent->loop, "beats", beat_main, agent);
 }
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -16,7 +16,7 @@
 /* Invariants:
  *  - no round is given to the worker while hold does not run, nor one whose
  *    epoch is older than hold.epoch when it was ordered, nor any once it leaves;
- *  - workerUntilMs is never earlier than the end of any hold passed on to the
+ *  - worker_until_ms is never earlier than the end of any hold passed on to the
  *    worker of the present boot;
  *  - settled: rounds holds everything that may run on the worker;
  *  - boots holds the boots known to be over; the present one is none of them. */
@@ -24,7 +24,7 @@
     Loop *loop;
     Ring *ring;
     const Props *props;
-    const char *workerName;
+    const char *worker_name;
     Courier *courier;
     Members *members;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
@@ -34,64 +34,64 @@
     /* beats */
     struct Beat *beat;         /* the newest on its way; null: none */
     size_t beats;              /* on their way */
-    int64_t beatDueMs;         /* the next, unless there is news */
-    bool beatNow;              /* there is news that does not wait */
+    int64_t beat_due_ms;       /* the next, unless there is news */
+    bool beat_now;             /* there is news that does not wait */
     uint64_t have, have_epoch; /* of the last orders taken: no older ones are taken after them */
-    uint64_t savedEpoch;       /* whose leader the rounds' toldTurn speaks of */
-    int64_t beatMs;            /* its last beat was answered then; 0: none was */
+    uint64_t saved_epoch;      /* whose leader the rounds' told_turn speaks of */
+    int64_t beat_ms;           /* its last beat was answered then; 0: none was */
     bool alone;                /* its hold runs by the second survival rule */
     /* the worker */
     Worker worker;
-    void *workerMem;
+    void *worker_mem;
     Room others; /* of the worker's room, in use by what is not ours */
     char *boot;  /* null: none has been heard, or the last one is over */
     char *boots[BOOTS_KEPT];
-    size_t bootCount;
+    size_t boot_count;
     uint64_t seq; /* of the present boot's newest report; 0: it tells none */
-    bool worker_live, workerLeaving, settled;
+    bool worker_live, worker_leaving, settled;
     int64_t leave_until_ms; /* leaving: it stays at least until then; 0: not told */
     uint64_t questions;     /* of the worker; only the newest is answered */
-    int64_t started_ms, asked_ms, workerUntilMs;
+    int64_t started_ms, asked_ms, worker_until_ms;
     Rounds rounds;
-    Signal forWorker; /* there is something to answer the worker with */
-    Signal toTell;    /* there is something to tell the leader */
+    Signal for_worker; /* there is something to answer the worker with */
+    Signal to_tell;    /* there is something to tell the leader */
     bool leaving;
     Trace *trace;
-    uint64_t epochTold;
+    uint64_t epoch_told;
 };
 
-void roundsInit(Agent *agent);
+void rounds_init(Agent *agent);
 Round *round_find(Agent *agent, const char *job, uint64_t task, uint64_t round);
 /* The highest of the task; null: none. */
-Round *roundNewest(Agent *agent, const char *job, uint64_t task);
-Round *roundAdd(Agent *agent, const Order *order, RoundPhase phase);
-void roundTrace(Agent *agent, const Round *round, TraceStep step);
+Round *round_newest(Agent *agent, const char *job, uint64_t task);
+Round *round_add(Agent *agent, const Order *order, RoundPhase phase);
+void round_trace(Agent *agent, const Round *round, TraceStep step);
 /* The worker says that it runs, and how far it has come. */
-void roundRuns(Agent *agent, Round *round, const RoundNews *news);
+void round_runs(Agent *agent, Round *round, const RoundNews *news);
 /* guessed: the worker has not said so itself. */
-void roundEnd(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed);
+void round_end(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed);
 /* Its end is to be told (again), with this word. */
-void roundRetell(Agent *agent, Round *round, RoundWord word, const char *text);
-void roundKnown(Agent *agent, Round *round);
+void round_retell(Agent *agent, Round *round, RoundWord word, const char *text);
+void round_known(Agent *agent, Round *round);
 /* Everything that may run is to stop. */
-void roundsStop(Agent *agent);
+void rounds_stop(Agent *agent);
 /* Nothing runs there any more; what was never given goes elsewhere. */
-void roundsGone(Agent *agent, const char *why);
+void rounds_gone(Agent *agent, const char *why);
 /* An offered round that is not to be given: it goes elsewhere. While an earlier agent
  * may have given it, it is stopped first. */
-void roundWithdraw(Agent *agent, Round *round, const char *why);
-void roundsWithdraw(Agent *agent, const char *why);
-void roundsForget(Agent *agent);
+void round_withdraw(Agent *agent, Round *round, const char *why);
+void rounds_withdraw(Agent *agent, const char *why);
+void rounds_forget(Agent *agent);
 
-void beatStart(Agent *agent);
+void beat_start(Agent *agent);
 /* The leader is to hear at once. */
-void beatNow(Agent *agent);
+void beat_now(Agent *agent);
 /* Null-terminated into address; false: no leader is known. */
-bool leaderAddress(Agent *agent, char address[ADDRESS_MAX]);
-void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sent_ms);
-void tellStart(Agent *agent);
-void aloneStart(Agent *agent);
+bool leader_address(Agent *agent, char address[ADDRESS_MAX]);
+void orders_take(Agent *agent, const BeatAnswer *answer, int64_t sent_ms);
+void tell_start(Agent *agent);
+void alone_start(Agent *agent);
 void worker_take(Agent *agent, HttpTask *task, const char *name);
-void watchStart(Agent *agent);
+void watch_start(Agent *agent);
 
 #endif
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -14,7 +14,7 @@
 }
 
 /* An older round of the task may still run: it is not wanted and is being stopped. */
-static bool olderLives(const Agent *agent, const Order *order)
+static bool older_lives(const Agent *agent, const Order *order)
 {
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         if (round->order.round < order->round && round->order.task == order->task &&
@@ -32,35 +32,35 @@
             round->expiry_ms = expiry_ms;
             round->epoch = epoch;
         } else if (round->phase == PHASE_KNOWN) {
-            roundRetell(agent, round, (RoundWord)round->word, round->text); /* the leader has forgotten its end */
+            round_retell(agent, round, (RoundWord)round->word, round->text); /* the leader has forgotten its end */
         }
         return;
     }
-    if (!hold_runs(&agent->hold, now_ms) || now_ms >= expiry_ms || olderLives(agent, order))
+    if (!hold_runs(&agent->hold, now_ms) || now_ms >= expiry_ms || older_lives(agent, order))
         return;
-    const Round *newest = roundNewest(agent, order->job, order->task);
-    round = roundAdd(agent, order, PHASE_OFFERED);
+    const Round *newest = round_newest(agent, order->job, order->task);
+    round = round_add(agent, order, PHASE_OFFERED);
     round->epoch = epoch;
     round->expiry_ms = expiry_ms;
-    roundTrace(agent, round, TRACE_FETCHED);
+    round_trace(agent, round, TRACE_FETCHED);
     if (newest != NULL && newest->order.round > order->round)
-        roundEnd(agent, round, ROUND_REFUSED, "a newer round has been here", true);
-    else if (agent->workerLeaving)
-        roundWithdraw(agent, round, "the worker leaves");
-    signal_raise(agent->loop, &agent->forWorker);
+        round_end(agent, round, ROUND_REFUSED, "a newer round has been here", true);
+    else if (agent->worker_leaving)
+        round_withdraw(agent, round, "the worker leaves");
+    signal_raise(agent->loop, &agent->for_worker);
 }
 
-void ordersTake(Agent *agent, const BeatAnswer *answer, int64_t sent_ms)
+void orders_take(Agent *agent, const BeatAnswer *answer, int64_t sent_ms)
 {
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
         if (round->phase == PHASE_STOPPING || wanted(answer, &round->order))
             continue;
         if (round->phase == PHASE_OFFERED)
-            roundWithdraw(agent, round, "no longer wanted");
+            round_withdraw(agent, round, "no longer wanted");
         else
             round->phase = PHASE_STOPPING;
-        signal_raise(agent->loop, &agent->forWorker);
+        signal_raise(agent->loop, &agent->for_worker);
     }
     for (size_t i = 0; i < answer->starts_count; i++)
         start_take(agent, &answer->starts[i], answer->epoch, sent_ms + answer->expiry_ms);
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -6,7 +6,7 @@
 #include "config/check.h"
 #include "inside.h"
 
-static size_t readRounds(Faults *faults, json_object *object, const char *key, bool withWord, const RoundNews **out)
+static size_t read_rounds(Faults *faults, json_object *object, const char *key, bool with_word, const RoundNews **out)
 {
     static const char *const KEYS[] = {"job", "task", "round", "word", "text", "saved", "percent", NULL};
     json_object *list;
@@ -30,7 +30,7 @@
         news->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
         news->round = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
         news->word = ROUND_RUNNING;
-        if (withWord) {
+        if (with_word) {
             news->word = round_of_word(check_name(faults, one, path, "word", NULL));
             if (news->word == ROUND_WORD_COUNT || news->word == ROUND_RUNNING)
                 fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
@@ -46,7 +46,7 @@
     return count;
 }
 
-static bool reportRead(Faults *faults, const HttpTask *task, const char *name, WorkerReport *report)
+static bool report_read(Faults *faults, const HttpTask *task, const char *name, WorkerReport *report)
 {
     static const char *const KEYS[] = {"boot",    "zone",  "rack",   "kind", "labels",  "room", "free", "leaving",
                                        "running", "ended", "waitMs", "seq",  "leaveMs", "left", NULL};
@@ -61,21 +61,21 @@
                                   .kind = check_name(faults, object, "", "kind", ""),
                                   .room = check_room(faults, object, "", "room", true)};
         report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labels_count);
-        report->freeTold = json_object_object_get_ex(object, "free", NULL);
+        report->free_told = json_object_object_get_ex(object, "free", NULL);
         report->free = check_room(faults, object, "", "free", false);
         report->leaving = check_flag(faults, object, "", "leaving", false);
         report->left = check_flag(faults, object, "", "left", false);
         report->leave_ms = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
         report->seq = (uint64_t)check_int(faults, object, "", "seq", 0, INT64_MAX, 0);
         report->wait_ms = check_int(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
-        report->runningCount = readRounds(faults, object, "running", false, &report->running);
-        report->endedCount = readRounds(faults, object, "ended", true, &report->ended);
+        report->running_count = read_rounds(faults, object, "running", false, &report->running);
+        report->ended_count = read_rounds(faults, object, "ended", true, &report->ended);
     }
     json_object_put(object);
     return faults->seen == 0;
 }
 
-static json_object *idOf(const char *job, uint64_t task, uint64_t round)
+static json_object *id_of(const char *job, uint64_t task, uint64_t round)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "job", json_object_new_string(job));
@@ -84,20 +84,20 @@
     return object;
 }
 
-static json_object *idsOf(const RoundId *ids, size_t count)
+static json_object *ids_of(const RoundId *ids, size_t count)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++)
-        json_object_array_add(list, idOf(ids[i].job, ids[i].task, ids[i].round));
+        json_object_array_add(list, id_of(ids[i].job, ids[i].task, ids[i].round));
     return list;
 }
 
-static void ordersShow(HttpTask *task, const WorkerOrders *orders)
+static void orders_show(HttpTask *task, const WorkerOrders *orders)
 {
     json_object *body = json_object_new_object(), *starts = json_object_new_array();
     for (size_t i = 0; i < orders->starts_count; i++) {
         const Order *order = &orders->starts[i];
-        json_object *one = idOf(order->job, order->task, order->round);
+        json_object *one = id_of(order->job, order->task, order->round);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->epoch));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
         json_object_object_add(one, "room", show_room(order->room));
@@ -108,8 +108,8 @@
     json_object_object_add(body, "holdMs", json_object_new_int64(orders->hold_ms));
     json_object_object_add(body, "fence", json_object_new_int64((int64_t)orders->fence));
     json_object_object_add(body, "starts", starts);
-    json_object_object_add(body, "stops", idsOf(orders->stops, orders->stopsCount));
-    json_object_object_add(body, "known", idsOf(orders->known, orders->knownCount));
+    json_object_object_add(body, "stops", ids_of(orders->stops, orders->stops_count));
+    json_object_object_add(body, "known", ids_of(orders->known, orders->known_count));
     show_result(task, 200, body);
 }
 
@@ -119,19 +119,19 @@
     faults->mem = faults;
     WorkerReport report = {0};
     WorkerOrders orders;
-    if (strcmp(name, agent->workerName) != 0) {
+    if (strcmp(name, agent->worker_name) != 0) {
         show_refusal(task, STATUS_UNKNOWN_WORKER, "this agent stands beside another worker", NULL);
         return;
     }
-    if (!reportRead(faults, task, name, &report)) {
+    if (!report_read(faults, task, name, &report)) {
         show_refusal(task, faults->list[0].status, faults->list[0].text, faults);
         return;
     }
-    const Status status = agentReport(agent, task, &task->gone, &report, &orders);
+    const Status status = agent_report(agent, task, &task->gone, &report, &orders);
     if (status == STATUS_DUPLICATE_WORKER)
         show_refusal(task, status, "another process of this name may still be running", NULL);
     else if (status != STATUS_OK)
         show_refusal(task, status, "another question has come since", NULL);
     else
-        ordersShow(task, &orders);
+        orders_show(task, &orders);
 }
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -32,17 +32,17 @@
     RoundPhase phase;
     int64_t expiry_ms; /* not started after this */
     int64_t changed_ms;
-    int64_t givenMs;    /* given to the worker then; 0: not by this agent */
-    int64_t runsMs;     /* it runs, since then; 0: that is not known */
-    const char *saved;  /* how far it has come, by the worker's last word */
-    uint64_t savedTurn; /* grows with each such word */
-    uint64_t percent;   /* of its work, as the worker last reported it ... */
-    int64_t percent_ms; /* ... when it had run so long */
-    int64_t paceMs;     /* that is told anew once it has run so long */
-    uint64_t toldTurn;  /* the last one that the leader of the present epoch has */
-    uint64_t word;      /* ENDED, KNOWN: what it came to */
-    bool guessed;       /* ... by the agent's own judgement, not by the worker's word */
-    int64_t ran_ms;     /* ... and how long it ran */
+    int64_t given_ms;    /* given to the worker then; 0: not by this agent */
+    int64_t runs_ms;     /* it runs, since then; 0: that is not known */
+    const char *saved;   /* how far it has come, by the worker's last word */
+    uint64_t saved_turn; /* grows with each such word */
+    uint64_t percent;    /* of its work, as the worker last reported it ... */
+    int64_t percent_ms;  /* ... when it had run so long */
+    int64_t pace_ms;     /* that is told anew once it has run so long */
+    uint64_t told_turn;  /* the last one that the leader of the present epoch has */
+    uint64_t word;       /* ENDED, KNOWN: what it came to */
+    bool guessed;        /* ... by the agent's own judgement, not by the worker's word */
+    int64_t ran_ms;      /* ... and how long it ran */
     const char *text;
 } Round;
 
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -13,13 +13,13 @@
     return key;
 }
 
-static const char *roundKey(char key[KEY_MAX], const char *job, uint64_t task, uint64_t round)
+static const char *round_key(char key[KEY_MAX], const char *job, uint64_t task, uint64_t round)
 {
     snprintf(key, KEY_MAX, "%" PRIu64 " %" PRIu64 " %s", round, task, job);
     return key;
 }
 
-void roundsInit(Agent *agent)
+void rounds_init(Agent *agent)
 {
     agent->rounds.by_id = map_new(agent);
     agent->rounds.newest = map_new(agent);
@@ -28,16 +28,16 @@
 Round *round_find(Agent *agent, const char *job, uint64_t task, uint64_t round)
 {
     char key[KEY_MAX];
-    return map_get(agent->rounds.by_id, roundKey(key, job, task, round));
+    return map_get(agent->rounds.by_id, round_key(key, job, task, round));
 }
 
-Round *roundNewest(Agent *agent, const char *job, uint64_t task)
+Round *round_newest(Agent *agent, const char *job, uint64_t task)
 {
     char key[KEY_MAX];
     return map_get(agent->rounds.newest, task_key(key, job, task));
 }
 
-static void chainLeave(Round *round)
+static void chain_leave(Round *round)
 {
     RoundChain *chain = round->chain;
     if (round->prev != NULL)
@@ -51,7 +51,7 @@
     chain->count--;
 }
 
-static void chainJoin(RoundChain *chain, Round *round)
+static void chain_join(RoundChain *chain, Round *round)
 {
     round->chain = chain;
     round->prev = chain->last;
@@ -73,7 +73,7 @@
     *at = text[0] != '\0' ? talloc_strdup(round, text) : "";
 }
 
-Round *roundAdd(Agent *agent, const Order *order, RoundPhase phase)
+Round *round_add(Agent *agent, const Order *order, RoundPhase phase)
 {
     Round *round = talloc_zero(agent, Round);
     char key[KEY_MAX];
@@ -81,15 +81,15 @@
     round->phase = phase;
     round->saved = round->text = "";
     round->changed_ms = loop_now_ms(agent->loop);
-    chainJoin(&agent->rounds.lives, round);
-    map_set(agent->rounds.by_id, roundKey(key, order->job, order->task, order->round), round);
-    const Round *newest = roundNewest(agent, order->job, order->task);
+    chain_join(&agent->rounds.lives, round);
+    map_set(agent->rounds.by_id, round_key(key, order->job, order->task, order->round), round);
+    const Round *newest = round_newest(agent, order->job, order->task);
     if (newest == NULL || newest->order.round < order->round)
         map_set(agent->rounds.newest, task_key(key, order->job, order->task), round);
     return round;
 }
 
-void roundTrace(Agent *agent, const Round *round, TraceStep step)
+void round_trace(Agent *agent, const Round *round, TraceStep step)
 {
     char detail[48];
     snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 "%s%s", round->order.task, round->order.round,
@@ -103,102 +103,102 @@
 static void pace_take(Agent *agent, Round *round, uint64_t percent)
 {
     round->percent = percent;
-    round->percent_ms = loop_now_ms(agent->loop) - round->runsMs;
-    if (round->paceMs == 0)
-        round->paceMs = PACE_FIRST_MS;
-    if (round->percent_ms < round->paceMs)
+    round->percent_ms = loop_now_ms(agent->loop) - round->runs_ms;
+    if (round->pace_ms == 0)
+        round->pace_ms = PACE_FIRST_MS;
+    if (round->percent_ms < round->pace_ms)
         return;
-    round->paceMs = round->percent_ms + round->percent_ms / 2;
-    round->savedTurn++;
+    round->pace_ms = round->percent_ms + round->percent_ms / 2;
+    round->saved_turn++;
 }
 
-void roundRuns(Agent *agent, Round *round, const RoundNews *news)
+void round_runs(Agent *agent, Round *round, const RoundNews *news)
 {
     if (round->phase == PHASE_OFFERED || round->phase == PHASE_SENT) {
         round->phase = PHASE_RUNNING;
-        roundTrace(agent, round, TRACE_RUNS);
+        round_trace(agent, round, TRACE_RUNS);
     }
-    if (round->runsMs == 0)
-        round->runsMs = round->givenMs != 0 ? round->givenMs : loop_now_ms(agent->loop);
-    if (round->savedTurn == 0 || strcmp(round->saved, news->saved) != 0) {
+    if (round->runs_ms == 0)
+        round->runs_ms = round->given_ms != 0 ? round->given_ms : loop_now_ms(agent->loop);
+    if (round->saved_turn == 0 || strcmp(round->saved, news->saved) != 0) {
         text_set(round, &round->saved, news->saved);
-        round->savedTurn++; /* the next beat tells it */
+        round->saved_turn++; /* the next beat tells it */
     }
     pace_take(agent, round, news->percent);
 }
 
-void roundRetell(Agent *agent, Round *round, RoundWord word, const char *text)
+void round_retell(Agent *agent, Round *round, RoundWord word, const char *text)
 {
     round->phase = PHASE_ENDED;
     round->word = word;
     text_set(round, &round->text, text);
-    chainLeave(round);
-    chainJoin(&agent->rounds.ended, round);
-    signal_raise(agent->loop, &agent->toTell);
+    chain_leave(round);
+    chain_join(&agent->rounds.ended, round);
+    signal_raise(agent->loop, &agent->to_tell);
 }
 
-void roundEnd(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed)
+void round_end(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed)
 {
     if (round->phase >= PHASE_ENDED)
         return;
     const int64_t now_ms = loop_now_ms(agent->loop);
     round->guessed = guessed;
-    const int64_t since_ms = round->runsMs != 0 || guessed ? round->runsMs : round->givenMs;
+    const int64_t since_ms = round->runs_ms != 0 || guessed ? round->runs_ms : round->given_ms;
     round->ran_ms = since_ms != 0 ? now_ms - since_ms : 0;
     round->changed_ms = now_ms;
     /* thousands of ended ones are kept */
     talloc_free((void *)(uintptr_t)round->order.payload);
     talloc_free((void *)(uintptr_t)round->order.saved);
     round->order.payload = round->order.saved = "";
-    roundRetell(agent, round, word, text);
-    roundTrace(agent, round, TRACE_OVER);
+    round_retell(agent, round, word, text);
+    round_trace(agent, round, TRACE_OVER);
 }
 
-void roundKnown(Agent *agent, Round *round)
+void round_known(Agent *agent, Round *round)
 {
     round->phase = PHASE_KNOWN;
     round->changed_ms = loop_now_ms(agent->loop);
-    chainLeave(round);
-    chainJoin(&agent->rounds.known, round);
-    roundTrace(agent, round, TRACE_KNOWN);
-    signal_raise(agent->loop, &agent->forWorker);
+    chain_leave(round);
+    chain_join(&agent->rounds.known, round);
+    round_trace(agent, round, TRACE_KNOWN);
+    signal_raise(agent->loop, &agent->for_worker);
 }
 
-void roundWithdraw(Agent *agent, Round *round, const char *why)
+void round_withdraw(Agent *agent, Round *round, const char *why)
 {
     if (agent->settled)
-        roundEnd(agent, round, ROUND_STOPPED, why, true);
+        round_end(agent, round, ROUND_STOPPED, why, true);
     else
         round->phase = PHASE_STOPPING; /* an earlier agent may have given it */
 }
 
-void roundsWithdraw(Agent *agent, const char *why)
+void rounds_withdraw(Agent *agent, const char *why)
 {
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
         if (round->phase == PHASE_OFFERED)
-            roundWithdraw(agent, round, why);
+            round_withdraw(agent, round, why);
     }
 }
 
-void roundsStop(Agent *agent)
+void rounds_stop(Agent *agent)
 {
-    roundsWithdraw(agent, "the hold lapsed before it started");
+    rounds_withdraw(agent, "the hold lapsed before it started");
     for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         round->phase = PHASE_STOPPING;
-    signal_raise(agent->loop, &agent->forWorker);
+    signal_raise(agent->loop, &agent->for_worker);
 }
 
-void roundsGone(Agent *agent, const char *why)
+void rounds_gone(Agent *agent, const char *why)
 {
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
         if (round->phase != PHASE_OFFERED)
-            roundEnd(agent, round, round->phase == PHASE_STOPPING ? ROUND_STOPPED : ROUND_LOST, why, true);
+            round_end(agent, round, round->phase == PHASE_STOPPING ? ROUND_STOPPED : ROUND_LOST, why, true);
     }
 }
 
-void roundsForget(Agent *agent)
+void rounds_forget(Agent *agent)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     Rounds *rounds = &agent->rounds;
@@ -207,9 +207,9 @@
         if (now_ms - round->changed_ms <= REPAIR_KEEP_MS && rounds->known.count <= KNOWN_MOST)
             return;
         char key[KEY_MAX];
-        chainLeave(round);
-        map_drop(rounds->by_id, roundKey(key, round->order.job, round->order.task, round->order.round));
-        if (roundNewest(agent, round->order.job, round->order.task) == round)
+        chain_leave(round);
+        map_drop(rounds->by_id, round_key(key, round->order.job, round->order.task, round->order.round));
+        if (round_newest(agent, round->order.job, round->order.task) == round)
             map_drop(rounds->newest, task_key(key, round->order.job, round->order.task));
         talloc_free(round);
     }
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -5,27 +5,27 @@
 
 #include "inside.h"
 
-static RoundNews newsOf(const Agent *agent, void *mem, const Round *round)
+static RoundNews news_of(const Agent *agent, void *mem, const Round *round)
 {
     const bool over = round->phase >= PHASE_ENDED;
     return (RoundNews){.job = talloc_strdup(mem, round->order.job),
                        .task = round->order.task,
                        .round = round->order.round,
-                       .worker = agent->workerName,
+                       .worker = agent->worker_name,
                        .word = over ? round->word : ROUND_RUNNING,
                        .text = talloc_strdup(mem, round->text),
                        .saved = talloc_strdup(mem, round->saved),
-                       .ran_ms = over                 ? round->ran_ms
-                                 : round->runsMs != 0 ? loop_now_ms(agent->loop) - round->runsMs
-                                                      : 0};
+                       .ran_ms = over                  ? round->ran_ms
+                                 : round->runs_ms != 0 ? loop_now_ms(agent->loop) - round->runs_ms
+                                                       : 0};
 }
 
-static size_t newsGather(Agent *agent, void *mem, TellAsk *ask)
+static size_t news_gather(Agent *agent, void *mem, TellAsk *ask)
 {
     const size_t count = agent->rounds.ended.count < TELLING_MOST ? agent->rounds.ended.count : TELLING_MOST;
     ask->news = talloc_zero_array(mem, RoundNews, (unsigned)count);
     for (const Round *round = agent->rounds.ended.first; round != NULL && ask->news_count < count; round = round->next)
-        ask->news[ask->news_count++] = newsOf(agent, mem, round);
+        ask->news[ask->news_count++] = news_of(agent, mem, round);
     return ask->news_count;
 }
 
@@ -35,11 +35,11 @@
         const RoundNews *news = &ask->news[i];
         Round *round = round_find(agent, news->job, news->task, news->round);
         if (round != NULL && round->phase == PHASE_ENDED && round->word == news->word)
-            roundKnown(agent, round);
+            round_known(agent, round);
     }
     /* a worker that has left is let go once nothing of it is open */
-    if (agent->workerLeaving && !agent->worker_live && agent->rounds.lives.count + agent->rounds.ended.count == 0)
-        beatNow(agent);
+    if (agent->worker_leaving && !agent->worker_live && agent->rounds.lives.count + agent->rounds.ended.count == 0)
+        beat_now(agent);
 }
 
 /* One on its way. Freed by whoever ends last. */
@@ -53,7 +53,7 @@
     Status status;
 } Telling;
 
-static void tellingLeave(Telling *telling)
+static void telling_leave(Telling *telling)
 {
     if (--telling->users == 0)
         talloc_free(telling);
@@ -70,52 +70,52 @@
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
-    signal_raise(agent->loop, &agent->toTell);
-    tellingLeave(telling);
+    signal_raise(agent->loop, &agent->to_tell);
+    telling_leave(telling);
 }
 
 /* Waits until it is answered, or somebody else leads: a leader that has gone dark is not
  * waited for to the end. */
-static Status tellOnce(Agent *agent, Telling *telling)
+static Status tell_once(Agent *agent, Telling *telling)
 {
     telling->ask.number = ++agent->number;
     telling->users++;
     loop_spawn(agent->loop, "telling", ask_main, telling);
     while (!telling->over) {
         char address[ADDRESS_MAX];
-        if (leaderAddress(agent, address) && strcmp(address, telling->address) != 0)
+        if (leader_address(agent, address) && strcmp(address, telling->address) != 0)
             return STATUS_NOT_LEADER;
         /* a beat that finds another leader raises this too */
-        signal_wait(agent->loop, &agent->toTell, loop_now_ms(agent->loop) + BEAT_MS);
+        signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + BEAT_MS);
     }
     return telling->status;
 }
 
-static void tellMain(void *arg)
+static void tell_main(void *arg)
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         Telling *telling = talloc_zero(agent, Telling);
         telling->agent = agent;
         telling->users = 1;
-        telling->ask = (TellAsk){.agent = agent->workerName, .incarnation = agent->incarnation};
-        if (newsGather(agent, telling, &telling->ask) == 0) {
-            tellingLeave(telling);
-            signal_wait(agent->loop, &agent->toTell, loop_now_ms(agent->loop) + BEAT_MS * 4);
+        telling->ask = (TellAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
+        if (news_gather(agent, telling, &telling->ask) == 0) {
+            telling_leave(telling);
+            signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + BEAT_MS * 4);
             continue;
         }
         char old[ADDRESS_MAX];
         Status status = STATUS_NO_LEADER;
         telling->peer = members_leader_peer(agent->members);
-        if (leaderAddress(agent, telling->address))
-            status = tellOnce(agent, telling);
+        if (leader_address(agent, telling->address))
+            status = tell_once(agent, telling);
         snprintf(old, sizeof(old), "%s", telling->address);
-        tellingLeave(telling);
+        telling_leave(telling);
         if (status == STATUS_OK)
             continue;
         /* told again until it is committed; to another leader at once */
         char address[ADDRESS_MAX];
-        if (!leaderAddress(agent, address) || strcmp(address, old) == 0)
+        if (!leader_address(agent, address) || strcmp(address, old) == 0)
             loop_sleep(agent->loop, BEAT_MS / 5);
     }
 }
@@ -130,12 +130,12 @@
     RoundList told = {talloc_zero_array(mem, RoundNews, (unsigned)most), 0};
     for (const Round *round = rounds->lives.first; round != NULL; round = round->next)
         if (round->phase != PHASE_OFFERED)
-            told.news[told.news_count++] = newsOf(agent, mem, round);
+            told.news[told.news_count++] = news_of(agent, mem, round);
     const Round *firsts[] = {rounds->ended.first, rounds->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Round *round = firsts[i]; round != NULL; round = round->next)
             if (round->word == ROUND_DONE)
-                told.news[told.news_count++] = newsOf(agent, mem, round);
+                told.news[told.news_count++] = news_of(agent, mem, round);
     if (told.news_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, KeepItem);
@@ -145,8 +145,8 @@
     return STATUS_OK;
 }
 
-void tellStart(Agent *agent)
+void tell_start(Agent *agent)
 {
     courier_handle(agent->courier, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, on_retell, agent);
-    loop_spawn(agent->loop, "tell", tellMain, agent);
+    loop_spawn(agent->loop, "tell", tell_main, agent);
 }
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -13,45 +13,45 @@
     return agent->props->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
 
-static void lapseWatch(Agent *agent, int64_t now_ms, bool *ran)
+static void lapse_watch(Agent *agent, int64_t now_ms, bool *ran)
 {
     const bool runs = hold_runs(&agent->hold, now_ms);
     if (*ran && !runs) {
         ring_say(agent->ring, RING_ALERT, now_ms, "the hold has lapsed: all rounds stop");
-        roundsStop(agent);
+        rounds_stop(agent);
     }
     *ran = runs;
 }
 
-static void silenceWatch(Agent *agent, int64_t now_ms)
+static void silence_watch(Agent *agent, int64_t now_ms)
 {
-    const int64_t silentMs = now_ms - agent->asked_ms;
-    if (agent->worker_live && silentMs > quiet_ms(agent)) {
+    const int64_t silent_ms = now_ms - agent->asked_ms;
+    if (agent->worker_live && silent_ms > quiet_ms(agent)) {
         agent->worker_live = false;
-        beatNow(agent);
+        beat_now(agent);
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
-    if (agent->settled && !agent->worker_live && silentMs > least(WORKER_LOST_MS, quiet_ms(agent)) &&
-        now_ms >= agent->workerUntilMs && agent->rounds.lives.count > 0) {
-        roundsWithdraw(agent, "the worker fell silent");
-        roundsGone(agent, "the worker fell silent");
+    if (agent->settled && !agent->worker_live && silent_ms > least(WORKER_LOST_MS, quiet_ms(agent)) &&
+        now_ms >= agent->worker_until_ms && agent->rounds.lives.count > 0) {
+        rounds_withdraw(agent, "the worker fell silent");
+        rounds_gone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
-    const int64_t earlierMs = hold_claim_ms(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
-    if (!agent->settled && now_ms - agent->started_ms > earlierMs) {
+    const int64_t earlier_ms = hold_claim_ms(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
+    if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
-        beatNow(agent);
+        beat_now(agent);
     }
 }
 
-static void expiryWatch(Agent *agent, int64_t now_ms)
+static void expiry_watch(Agent *agent, int64_t now_ms)
 {
     if (!agent->settled)
         return; /* an earlier agent may have given them */
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms)
-            roundEnd(agent, round, ROUND_REFUSED, "the order expired before it started", true);
+            round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
     }
 }
 
@@ -61,8 +61,8 @@
     int64_t until_ms = now_ms + BEAT_MS / 2;
     if (hold_runs(&agent->hold, now_ms))
         until_ms = least(until_ms, agent->hold.until_ms);
-    if (agent->workerUntilMs > now_ms)
-        until_ms = least(until_ms, agent->workerUntilMs);
+    if (agent->worker_until_ms > now_ms)
+        until_ms = least(until_ms, agent->worker_until_ms);
     return until_ms;
 }
 
@@ -72,15 +72,15 @@
     bool ran = false;
     while (!loop_stopping(agent->loop)) {
         const int64_t now_ms = loop_now_ms(agent->loop);
-        lapseWatch(agent, now_ms, &ran);
-        silenceWatch(agent, now_ms);
-        expiryWatch(agent, now_ms);
-        roundsForget(agent);
+        lapse_watch(agent, now_ms, &ran);
+        silence_watch(agent, now_ms);
+        expiry_watch(agent, now_ms);
+        rounds_forget(agent);
         loop_sleep(agent->loop, next_ms(agent, now_ms) - now_ms);
     }
 }
 
-void watchStart(Agent *agent)
+void watch_start(Agent *agent)
 {
     loop_spawn(agent->loop, "watch", watch_main, agent);
 }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -43,7 +43,7 @@
 typedef struct Case {
     SimWorld *world;
     Boss boss, other; /* the other leads when the case says so */
-    int bossMachine, agentMachine, otherMachine;
+    int boss_machine, agent_machine, other_machine;
     Props props;
     Agent *agent;
     Worker worker;
@@ -93,7 +93,7 @@
     return STATUS_OK;
 }
 
-static void bossStart(void *arg, Loop *loop)
+static void boss_start(void *arg, Loop *loop)
 {
     Boss *boss = arg;
     Ring *ring = ring_new(loop, boss->id);
@@ -119,19 +119,19 @@
         members_set_leader(boss->members, boss->epoch, boss->id);
 }
 
-static void agentBoot(void *arg)
+static void agent_boot(void *arg)
 {
     Case *c = arg;
-    Loop *loop = simLoop(c->world, c->agentMachine);
+    Loop *loop = sim_loop(c->world, c->agent_machine);
     Ring *ring = ring_new(loop, "agent");
     ring_quiet(ring);
     Failure failure = {0};
-    assert_int_equal(agentStart(loop, loop, ring, &c->props, &c->agent, &failure), STATUS_OK);
+    assert_int_equal(agent_start(loop, loop, ring, &c->props, &c->agent, &failure), STATUS_OK);
 }
 
-static void agentBegin(void *arg, Loop *loop)
+static void agent_begin(void *arg, Loop *loop)
 {
-    loop_spawn(loop, "boot", agentBoot, arg);
+    loop_spawn(loop, "boot", agent_boot, arg);
 }
 
 static void run(Case *c, int64_t for_ms)
@@ -139,13 +139,13 @@
     sim_run_until(c->world, sim_now_ms(c->world) + for_ms);
 }
 
-static Case *caseNew(int64_t hold_ms, int64_t worker_hold_ms)
+static Case *case_new(int64_t hold_ms, int64_t worker_hold_ms)
 {
     Case *c = talloc_zero(NULL, Case);
     c->world = sim_world_new(c, 1);
-    c->bossMachine = sim_machine(c->world);
-    c->agentMachine = sim_machine(c->world);
-    c->otherMachine = sim_machine(c->world);
+    c->boss_machine = sim_machine(c->world);
+    c->agent_machine = sim_machine(c->world);
+    c->other_machine = sim_machine(c->world);
     c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .hold_ms = hold_ms, .commits = true};
     c->other = (Boss){.id = "other", .address = OTHER, .hold_ms = hold_ms, .commits = true};
     c->props = (Props){.name = "a1",
@@ -158,9 +158,9 @@
     c->props.bounds.hold_ms = hold_ms;
     c->props.bounds.worker_hold_ms = worker_hold_ms;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
-    sim_start(c->world, c->bossMachine, bossStart, &c->boss);
-    sim_start(c->world, c->otherMachine, bossStart, &c->other);
-    sim_start(c->world, c->agentMachine, agentBegin, c);
+    sim_start(c->world, c->boss_machine, boss_start, &c->boss);
+    sim_start(c->world, c->other_machine, boss_start, &c->other);
+    sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2000);
     assert_non_null(c->agent);
     return c;
@@ -178,11 +178,11 @@
     int64_t took_ms;
 } Say;
 
-static void sayMain(void *arg)
+static void say_main(void *arg)
 {
     Say *say = arg;
     const int64_t since_ms = sim_now_ms(say->c->world);
-    say->status = agentReport(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
+    say->status = agent_report(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
     say->took_ms = sim_now_ms(say->c->world) - since_ms;
     say->over = true;
 }
@@ -191,19 +191,19 @@
 {
     Say *it = talloc_zero(c, Say);
     it->c = c;
-    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .bootEnds = true, .wait_ms = 400};
+    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .boot_ends = true, .wait_ms = 400};
     return it;
 }
 
-static void sayBegin(Say *it)
+static void say_begin(Say *it)
 {
-    loop_spawn(simLoop(it->c->world, it->c->agentMachine), "say", sayMain, it);
+    loop_spawn(sim_loop(it->c->world, it->c->agent_machine), "say", say_main, it);
     run(it->c, 1);
 }
 
-static void sayAll(Say *it)
+static void say_all(Say *it)
 {
-    sayBegin(it);
+    say_begin(it);
     for (int i = 0; i < 100 && !it->over; i++)
         run(it->c, 10);
     assert_true(it->over);
@@ -215,15 +215,15 @@
         .job = job, .task = task, .round = round, .worker = "", .word = word, .text = "", .saved = saved};
 }
 
-static Say *saying(Case *c, const char *boot, const RoundNews *running, size_t runningCount, const RoundNews *ended,
-                   size_t endedCount)
+static Say *saying(Case *c, const char *boot, const RoundNews *running, size_t running_count, const RoundNews *ended,
+                   size_t ended_count)
 {
     Say *it = say(c, boot);
     it->report.running = running;
-    it->report.runningCount = runningCount;
+    it->report.running_count = running_count;
     it->report.ended = ended;
-    it->report.endedCount = endedCount;
-    sayAll(it);
+    it->report.ended_count = ended_count;
+    say_all(it);
     return it;
 }
 
@@ -262,7 +262,7 @@
     return count;
 }
 
-static const RoundSaved *savedLast(const Boss *boss, const char *job, uint64_t task)
+static const RoundSaved *saved_last(const Boss *boss, const char *job, uint64_t task)
 {
     const RoundSaved *last = NULL;
     for (size_t i = 0; i < boss->saved_count; i++)
@@ -273,14 +273,14 @@
 
 /* --- cases ---------------------------------------------------------------------------- */
 
-static void orderReachesAQuestionThatWaits(void **state)
+static void order_reaches_a_question_that_waits(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     run(c, 700); /* the beat that says that it lives has been answered */
     Say *it = say(c, "b1");
-    sayBegin(it);
+    say_begin(it);
     run(c, 100);
     assert_false(it->over);
     const Order orders[] = {one("j", 3, 1, "from here")};
@@ -297,50 +297,50 @@
     talloc_free(c);
 }
 
-static void holdIsPassedOnLessTwoPercent(void **state)
+static void hold_is_passed_on_less_two_percent(void **state)
 {
     (void)state;
-    Case *c = caseNew(6000, 2000);
+    Case *c = case_new(6000, 2000);
     Say *it = say(c, "b1");
     it->report.wait_ms = 0;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.hold_ms, 1960);
     assert_true(hold_claim_ms(it->orders.hold_ms) >= it->orders.hold_ms * 102 / 100 + HOLD_SLACK_MS);
     /* of a short rest the rest counts: it ends before the agent's own */
-    simCut(c->world, c->agentMachine, c->bossMachine, true);
+    sim_cut(c->world, c->agent_machine, c->boss_machine, true);
     run(c, 5000);
     it = say(c, "b1");
     it->report.wait_ms = 0;
-    sayAll(it);
+    say_all(it);
     assert_in_range(it->orders.hold_ms, 1, 1500);
     talloc_free(c);
 }
 
-static void lapsedAgentGrantsNothing(void **state)
+static void lapsed_agent_grants_nothing(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
-    sayAll(say(c, "b1"));
+    say_all(say(c, "b1"));
     assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.hold_ms > 0);
     c->boss.deaf = true;
-    simCut(c->world, c->agentMachine, c->bossMachine, true);
+    sim_cut(c->world, c->agent_machine, c->boss_machine, true);
     run(c, 3100);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.hold_ms, 0);
     assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(it->orders.stopsCount, 1);
+    assert_int_equal(it->orders.stops_count, 1);
     talloc_free(c);
 }
 
-static void newBootEndsClaims(void **state)
+static void new_boot_ends_claims(void **state)
 {
     (void)state;
-    Case *c = caseNew(5000, 5000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(5000, 5000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
     order(c, orders, 2);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 2);
@@ -348,7 +348,7 @@
     saying(c, "b1", runs, 2, NULL, 0);
     /* the next process: the old one's hold would run on for seconds */
     Say *it = say(c, "b2");
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->status, STATUS_OK);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
@@ -361,35 +361,35 @@
     talloc_free(c);
 }
 
-static void unvouchedBootWaitsForTheHold(void **state)
+static void unvouched_boot_waits_for_the_hold(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     Say *it = say(c, "b2");
-    it->report.bootEnds = false;
-    sayAll(it);
+    it->report.boot_ends = false;
+    say_all(it);
     assert_int_equal(it->status, STATUS_DUPLICATE_WORKER);
     run(c, 3200);
     it = say(c, "b2");
-    it->report.bootEnds = false;
-    sayAll(it);
+    it->report.boot_ends = false;
+    say_all(it);
     assert_int_equal(it->status, STATUS_OK);
     talloc_free(c);
 }
 
-static void leavingWorkerIsGivenNothing(void **state)
+static void leaving_worker_is_given_nothing(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1); /* offered, not given yet */
     Say *it = say(c, "b1");
     it->report.leaving = true;
     it->report.leave_ms = 7000;
     it->report.wait_ms = 0;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
@@ -400,17 +400,17 @@
     order(c, more, 1);
     it = say(c, "b1");
     it->report.leaving = true;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(told(&c->boss, "j", 1, 1, ROUND_STOPPED), 1);
     talloc_free(c);
 }
 
-static void leftWorkerIsOver(void **state)
+static void left_worker_is_over(void **state)
 {
     (void)state;
-    Case *c = caseNew(5000, 5000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(5000, 5000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
@@ -418,7 +418,7 @@
     saying(c, "b1", runs, 1, NULL, 0);
     Say *it = say(c, "b1");
     it->report.leaving = it->report.left = true;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.hold_ms, 0);
     run(c, 100);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
@@ -430,12 +430,12 @@
     talloc_free(c);
 }
 
-static void savedTravelsOnceAndAgainToANewLeader(void **state)
+static void saved_travels_once_and_again_to_a_new_leader(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
+    Case *c = case_new(3000, 3000);
     Boss *boss = &c->boss;
-    sayAll(say(c, "b1"));
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
@@ -443,8 +443,8 @@
     saying(c, "b1", first, 1, NULL, 0);
     run(c, 700);
     assert_int_equal(boss->saved_count, 1); /* that it runs is told, and once */
-    assert_string_equal(savedLast(boss, "j", 0)->text, "");
-    assert_true(savedLast(boss, "j", 0)->ran_ms > 0);
+    assert_string_equal(saved_last(boss, "j", 0)->text, "");
+    assert_true(saved_last(boss, "j", 0)->ran_ms > 0);
     saying(c, "b1", half, 1, NULL, 0);
     run(c, 1000);
     saying(c, "b1", half, 1, NULL, 0);
@@ -452,13 +452,13 @@
     /* once, and once more for how far it has come by now: not with each of the beats */
     assert_in_range(boss->saved_count, 2, 3);
     assert_true(boss->beats > 8);
-    assert_string_equal(savedLast(boss, "j", 0)->text, "half");
+    assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     const size_t before = boss->saved_count;
     boss->epoch = EPOCH(6);
     signal_raise(boss->loop, &boss->changed);
     run(c, 300); /* the worker has said nothing new */
     assert_int_equal(boss->saved_count, before + 1);
-    assert_string_equal(savedLast(boss, "j", 0)->text, "half");
+    assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     /* and with its end, unless the worker has a newer word */
     const RoundNews ended[] = {news("j", 0, 1, ROUND_LAPSED, "")};
     saying(c, "b1", NULL, 0, ended, 1);
@@ -469,143 +469,143 @@
 }
 
 /* A leader that goes dark with an end on its way to it. */
-static void endIsToldToTheNextLeaderAtOnce(void **state)
+static void end_is_told_to_the_next_leader_at_once(void **state)
 {
     (void)state;
-    Case *c = caseNew(8000, 8000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(8000, 8000);
+    say_all(say(c, "b1"));
     c->boss.commits = false;
     const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
     saying(c, "b1", NULL, 0, ended, 1);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_DONE), 1);
-    sim_power_off(c->world, c->bossMachine);
+    sim_power_off(c->world, c->boss_machine);
     run(c, 500);
     c->other.epoch = EPOCH(6);
     members_set_leader(c->other.members, c->other.epoch, "other");
     run(c, 1000); /* a hello's turn; the question to the dark one would be given up after five seconds */
     assert_int_equal(told(&c->other, "j", 0, 1, ROUND_DONE), 1);
-    assert_int_equal(saying(c, "b1", NULL, 0, ended, 1)->orders.knownCount, 1);
+    assert_int_equal(saying(c, "b1", NULL, 0, ended, 1)->orders.known_count, 1);
     talloc_free(c);
 }
 
-static void endIsKnownOnlyWhenCommitted(void **state)
+static void end_is_known_only_when_committed(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
+    Case *c = case_new(3000, 3000);
     Boss *boss = &c->boss;
-    sayAll(say(c, "b1"));
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
     boss->commits = false;
     const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
     Say *it = saying(c, "b1", NULL, 0, ended, 1);
-    assert_int_equal(it->orders.knownCount, 0);
+    assert_int_equal(it->orders.known_count, 0);
     it = saying(c, "b1", NULL, 0, ended, 1); /* told again: the leader need not hear it again */
-    assert_int_equal(it->orders.knownCount, 0);
+    assert_int_equal(it->orders.known_count, 0);
     assert_int_equal(told(boss, "j", 0, 1, ROUND_DONE), 1);
     boss->commits = true;
     signal_raise(boss->loop, &boss->changed);
     run(c, 20);
     it = saying(c, "b1", NULL, 0, ended, 1);
-    assert_int_equal(it->orders.knownCount, 1);
+    assert_int_equal(it->orders.known_count, 1);
     it = saying(c, "b1", NULL, 0, ended, 1); /* the answer was lost: known again */
-    assert_int_equal(it->orders.knownCount, 1);
+    assert_int_equal(it->orders.known_count, 1);
     assert_int_equal(told(boss, "j", 0, 1, ROUND_DONE), 1);
     talloc_free(c);
 }
 
-static void fiveHundredEndsAtOnce(void **state)
+static void five_hundred_ends_at_once(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
+    Case *c = case_new(3000, 3000);
     RoundNews *ended = talloc_array(c, RoundNews, 500);
     for (uint64_t i = 0; i < 500; i++)
         ended[i] = news("j", i, 1, i % 5 == 0 ? ROUND_FAILED : ROUND_DONE, "");
     Say *it = saying(c, "b1", NULL, 0, ended, 500);
     run(c, 50);
     it = saying(c, "b1", NULL, 0, ended, 500);
-    assert_int_equal(it->orders.knownCount, 500);
+    assert_int_equal(it->orders.known_count, 500);
     assert_in_range(c->boss.tellings, 1, 2);
     assert_int_equal(c->boss.news_count, 500);
     talloc_free(c);
 }
 
-static void fenceNeverFalls(void **state)
+static void fence_never_falls(void **state)
 {
     (void)state;
-    Case *c = caseNew(4000, 4000);
+    Case *c = case_new(4000, 4000);
     Say *it = say(c, "b1");
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.fence, 5);
     c->boss.epoch = EPOCH(9);
     run(c, 1200);
     it = say(c, "b1");
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.fence, 9);
     c->boss.epoch = EPOCH(7); /* an older holder that still answers */
     run(c, 1200);
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     it = say(c, "b1");
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.fence, 9);
     assert_int_equal(it->orders.starts_count, 0);
     talloc_free(c);
 }
 
-static void lateAndRepeatedReports(void **state)
+static void late_and_repeated_reports(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
+    Case *c = case_new(3000, 3000);
     Say *it = say(c, "b1");
     it->report.seq = 4;
-    sayAll(it);
+    say_all(it);
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     it = say(c, "b1");
     it->report.seq = 5;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.starts_count, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     it = say(c, "b1");
     it->report.seq = 6;
     it->report.running = runs;
-    it->report.runningCount = 1;
-    sayAll(it);
+    it->report.running_count = 1;
+    say_all(it);
     /* one from before it ran comes only now: it is not lost by that */
     it = say(c, "b1");
     it->report.seq = 4;
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->status, STATUS_CLOSED);
     run(c, 50);
     assert_int_equal(c->boss.news_count, 0);
     talloc_free(c);
 }
 
-static void answerThatWasLostIsGivenAgain(void **state)
+static void answer_that_was_lost_is_given_again(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
     run(c, ORDER_EXPIRY_MS);
     Say *it = say(c, "b1");
-    sayAll(it);
+    say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_REFUSED), 1);
     talloc_free(c);
 }
 
-static void whatIsNotWantedIsStopped(void **state)
+static void what_is_not_wanted_is_stopped(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
@@ -613,7 +613,7 @@
     saying(c, "b1", runs, 1, NULL, 0);
     order(c, NULL, 0);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    assert_int_equal(it->orders.stopsCount, 1);
+    assert_int_equal(it->orders.stops_count, 1);
     const RoundNews ended[] = {news("j", 0, 1, ROUND_STOPPED, "some")};
     saying(c, "b1", NULL, 0, ended, 1);
     run(c, 20);
@@ -621,37 +621,37 @@
     assert_string_equal(c->boss.news[0].saved, "some");
     /* it says that what is over for us runs: it is to stop */
     it = saying(c, "b1", runs, 1, NULL, 0);
-    assert_int_equal(it->orders.stopsCount, 1);
+    assert_int_equal(it->orders.stops_count, 1);
     talloc_free(c);
 }
 
 /* An agent that has just started is ordered again what the one before it has given. */
-static void earlierAgentsRoundIsNotTakenBack(void **state)
+static void earlier_agents_round_is_not_taken_back(void **state)
 {
     (void)state;
-    Case *c = caseNew(5000, 5000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(5000, 5000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
-    sim_kill(c->world, c->agentMachine);
-    sim_start(c->world, c->agentMachine, agentBegin, c);
+    sim_kill(c->world, c->agent_machine);
+    sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2500); /* the order has expired, the worker has not asked yet */
     assert_int_equal(c->boss.news_count, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(it->orders.stopsCount, 0);
+    assert_int_equal(it->orders.stops_count, 0);
     run(c, 50);
     assert_int_equal(c->boss.news_count, 0);
     talloc_free(c);
 }
 
-static void silentWorkerHasLostItsRoundsWhenItsHoldIsOver(void **state)
+static void silent_worker_has_lost_its_rounds_when_its_hold_is_over(void **state)
 {
     (void)state;
-    Case *c = caseNew(8000, 2000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(8000, 2000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
@@ -671,48 +671,48 @@
     talloc_free(c);
 }
 
-static void endsThatWaitAreNotHeldBackLong(void **state)
+static void ends_that_wait_are_not_held_back_long(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = say(c, "b1");
     it->report.running = runs;
-    it->report.runningCount = 1;
-    it->report.endsWait = true;
-    sayAll(it);
+    it->report.running_count = 1;
+    it->report.ends_wait = true;
+    say_all(it);
     assert_in_range(it->took_ms, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
     assert_int_equal(it->orders.again_ms, WORKER_AGAIN_MS);
     /* what comes next goes in the same answer as the word that the end is known */
     const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
     it = say(c, "b1");
     it->report.ended = ended;
-    it->report.endedCount = 1;
-    it->report.endsWait = true;
-    sayBegin(it);
+    it->report.ended_count = 1;
+    it->report.ends_wait = true;
+    say_begin(it);
     run(c, 20);
     assert_false(it->over);
     const Order next[] = {one("j", 1, 1, "")};
     order(c, next, 1);
     assert_true(it->over);
-    assert_int_equal(it->orders.knownCount, 1);
+    assert_int_equal(it->orders.known_count, 1);
     assert_int_equal(it->orders.starts_count, 1);
     talloc_free(c);
 }
 
-static void idleAgentSaysLittle(void **state)
+static void idle_agent_says_little(void **state)
 {
     (void)state;
-    Case *c = caseNew(3000, 3000);
-    sayAll(say(c, "b1"));
+    Case *c = case_new(3000, 3000);
+    say_all(say(c, "b1"));
     run(c, 1000);
     const size_t beats = c->boss.beats, tellings = c->boss.tellings;
     for (int i = 0; i < 25; i++) /* ten seconds of an idle worker's questions */
-        sayAll(say(c, "b1"));
+        say_all(say(c, "b1"));
     run(c, 1);
     const size_t more = c->boss.beats - beats;
     assert_in_range(more, 18, 24);
@@ -723,25 +723,25 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(orderReachesAQuestionThatWaits),
-        cmocka_unit_test(holdIsPassedOnLessTwoPercent),
-        cmocka_unit_test(lapsedAgentGrantsNothing),
-        cmocka_unit_test(newBootEndsClaims),
-        cmocka_unit_test(unvouchedBootWaitsForTheHold),
-        cmocka_unit_test(leavingWorkerIsGivenNothing),
-        cmocka_unit_test(leftWorkerIsOver),
-        cmocka_unit_test(savedTravelsOnceAndAgainToANewLeader),
-        cmocka_unit_test(endIsToldToTheNextLeaderAtOnce),
-        cmocka_unit_test(endIsKnownOnlyWhenCommitted),
-        cmocka_unit_test(fiveHundredEndsAtOnce),
-        cmocka_unit_test(fenceNeverFalls),
-        cmocka_unit_test(lateAndRepeatedReports),
-        cmocka_unit_test(answerThatWasLostIsGivenAgain),
-        cmocka_unit_test(whatIsNotWantedIsStopped),
-        cmocka_unit_test(earlierAgentsRoundIsNotTakenBack),
-        cmocka_unit_test(silentWorkerHasLostItsRoundsWhenItsHoldIsOver),
-        cmocka_unit_test(endsThatWaitAreNotHeldBackLong),
-        cmocka_unit_test(idleAgentSaysLittle),
+        cmocka_unit_test(order_reaches_a_question_that_waits),
+        cmocka_unit_test(hold_is_passed_on_less_two_percent),
+        cmocka_unit_test(lapsed_agent_grants_nothing),
+        cmocka_unit_test(new_boot_ends_claims),
+        cmocka_unit_test(unvouched_boot_waits_for_the_hold),
+        cmocka_unit_test(leaving_worker_is_given_nothing),
+        cmocka_unit_test(left_worker_is_over),
+        cmocka_unit_test(saved_travels_once_and_again_to_a_new_leader),
+        cmocka_unit_test(end_is_told_to_the_next_leader_at_once),
+        cmocka_unit_test(end_is_known_only_when_committed),
+        cmocka_unit_test(five_hundred_ends_at_once),
+        cmocka_unit_test(fence_never_falls),
+        cmocka_unit_test(late_and_repeated_reports),
+        cmocka_unit_test(answer_that_was_lost_is_given_again),
+        cmocka_unit_test(what_is_not_wanted_is_stopped),
+        cmocka_unit_test(earlier_agents_round_is_not_taken_back),
+        cmocka_unit_test(silent_worker_has_lost_its_rounds_when_its_hold_is_over),
+        cmocka_unit_test(ends_that_wait_are_not_held_back_long),
+        cmocka_unit_test(idle_agent_says_little),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -62,16 +62,16 @@
     for (int i = 0; i < explore->nodeCount; i++) {
         const int other = explore->nodes[i].machine;
         if (out)
-            simCut(explore->world, node->machine, other, cut);
+            sim_cut(explore->world, node->machine, other, cut);
         if (in)
-            simCut(explore->world, other, node->machine, cut);
+            sim_cut(explore->world, other, node->machine, cut);
     }
 }
 
 static void cutSet(Explore *explore, const ActEnd *end, bool cut)
 {
     if (end->kind == ACT_CUT_ONE)
-        simCut(explore->world, end->node->machine, end->other, cut);
+        sim_cut(explore->world, end->node->machine, end->other, cut);
     else
         cutAll(explore, end->node, end->kind != ACT_CUT_IN, end->kind != ACT_CUT_OUT, cut);
 }
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -50,7 +50,7 @@
         explore->orders = talloc_realloc(explore, explore->orders, Order, (unsigned)explore->orderRoom);
     }
     explore->orders[explore->orderCount++] = (Order){0};
-    Loop *loop = simLoop(explore->world, node->machine);
+    Loop *loop = sim_loop(explore->world, node->machine);
     Handing *handing = talloc_zero(loop, Handing);
     *handing = (Handing){explore, node, explore->orderCount, {0}};
     bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -123,7 +123,7 @@
 {
     Node *node = arg;
     Failure failure = {0};
-    const Status status = boot(node, simLoop(node->explore->world, node->machine), &failure);
+    const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
     if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
         simAt(node->explore->world, sim_now_ms(node->explore->world), startAgain, node);
@@ -196,7 +196,7 @@
     if (view_leading(node->view))
         view_settle(node->view);
     view_leave(node->view,
-               loop_now_ms(simLoop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
+               loop_now_ms(sim_loop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
 
 void nodeLeave(Node *node)
@@ -206,7 +206,7 @@
         return;
     }
     node->leaving = true;
-    loop_spawn(simLoop(node->explore->world, node->machine), "leave", leaveMain, node);
+    loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leaveMain, node);
     simAt(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
 }
 
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -50,9 +50,9 @@
     int64_t leave_ms, clock_ms;
     uint64_t sequence;
     HandRunning *running;
-    size_t runningCount;
+    size_t running_count;
     HandEnded *ended;
-    size_t endedCount;
+    size_t ended_count;
 } HandReport;
 
 typedef struct HandStart {
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -243,7 +243,7 @@
 {
     CallerTask *task = talloc_zero(callers, CallerTask);
     *task = (CallerTask){.callers = callers,
-                         .loop = simLoop(callers->ground->world, callers->machines[pouring->zone]),
+                         .loop = sim_loop(callers->ground->world, callers->machines[pouring->zone]),
                          .zone = siteZone(pouring->zone),
                          .job = job,
                          .dice = diceOf(callers->ground->seed, "caller", number)};
@@ -276,7 +276,7 @@
     Pouring *pouring = arg;
     Callers *callers = pouring->callers;
     const Site *site = callers->ground->site;
-    Loop *loop = simLoop(callers->ground->world, callers->machines[pouring->zone]);
+    Loop *loop = sim_loop(callers->ground->world, callers->machines[pouring->zone]);
     const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
     loop_sleep(loop, diceSpan(&pouring->dice, 0, gap_ms));
     while (!callers->over) {
@@ -313,7 +313,7 @@
             Pouring *pouring = talloc_zero(callers, Pouring);
             *pouring =
                 (Pouring){callers, zone, kind, diceOf(callers->ground->seed, "pour", (uint64_t)zone * 64 + kind)};
-            loop_spawn(simLoop(callers->ground->world, callers->machines[zone]), "pour", pourMain, pouring);
+            loop_spawn(sim_loop(callers->ground->world, callers->machines[zone]), "pour", pourMain, pouring);
         }
     }
 }
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -232,7 +232,7 @@
     groundSay(ground, "traffic ends");
     callersFinish(day->callers);
     operatorFinish(day->operator);
-    for (int64_t passedMs = 0; passedMs < site->finishMs; passedMs += LOOK_MS) {
+    for (int64_t passed_ms = 0; passed_ms < site->finishMs; passed_ms += LOOK_MS) {
         dayFor(day, LOOK_MS);
         callersIdle(day->callers, day->hands);
     }
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -17,7 +17,7 @@
     Looking *looking = arg;
     Door *door = looking->door;
     const Ground *ground = door->ground;
-    Loop *loop = simLoop(ground->world, door->machine);
+    Loop *loop = sim_loop(ground->world, door->machine);
     const GroundNode *node = &ground->edges[looking->edge];
     for (;;) {
         void *mem = talloc_new(looking);
@@ -52,7 +52,7 @@
 void doorStart(Door *door)
 {
     sim_start(door->ground->world, door->machine, nothing, NULL);
-    Loop *loop = simLoop(door->ground->world, door->machine);
+    Loop *loop = sim_loop(door->ground->world, door->machine);
     for (size_t i = 0; i < door->ground->edgeCount; i++) {
         Looking *looking = talloc_zero(loop, Looking);
         *looking = (Looking){door, i};
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -178,7 +178,7 @@
     GroundNode *node = arg;
     Ground *ground = node->ground;
     Failure failure = {0};
-    Loop *loop = simLoop(ground->world, node->machine);
+    Loop *loop = sim_loop(ground->world, node->machine);
     const CoreWatch watch = {node, onPlans};
     const Props *props = &node->place.props;
     node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
@@ -189,7 +189,7 @@
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
         status = gate_start(node->mem, loop, node->ring, props, &node->node.gate, &failure);
     else if (status == STATUS_OK)
-        status = agentStart(node->mem, loop, node->ring, props, &node->node.agent, &failure);
+        status = agent_start(node->mem, loop, node->ring, props, &node->node.agent, &failure);
     if (status == STATUS_OK)
         status = ground->face->start(node->mem, &node->node, &failure);
     node->up = status == STATUS_OK;
@@ -258,7 +258,7 @@
     if (node->gate != NULL)
         gate_drain(node->gate);
     if (node->agent != NULL)
-        agentDrain(node->agent);
+        agent_drain(node->agent);
     rolling->ended = true;
 }
 
@@ -314,8 +314,8 @@
     SimWorld *world = a->ground->world;
     if (a == b || simIsCut(world, a->machine, b->machine) == cut)
         return;
-    simCut(world, a->machine, b->machine, cut);
-    simCut(world, b->machine, a->machine, cut);
+    sim_cut(world, a->machine, b->machine, cut);
+    sim_cut(world, b->machine, a->machine, cut);
     nodeTrouble(a, cut ? 1 : -1);
     nodeTrouble(b, cut ? 1 : -1);
 }
@@ -328,8 +328,8 @@
         GroundNode *other = i < ground->edgeCount ? &ground->edges[i] : &ground->sides[i - ground->edgeCount];
         if (other == node)
             continue;
-        simCut(ground->world, node->machine, other->machine, cut);
-        simCut(ground->world, other->machine, node->machine, cut);
+        sim_cut(ground->world, node->machine, other->machine, cut);
+        sim_cut(ground->world, other->machine, node->machine, cut);
     }
     nodeTrouble(node, cut ? 1 : -1);
 }
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -69,12 +69,12 @@
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crewAdvance(run->crew);
         const int64_t work_ms = run->crew->workUs / 1000;
-        report->running[report->runningCount++] =
+        report->running[report->running_count++] =
             (HandRunning){run->task->name, run->round, bookSaved(mem, run->task, handSavedMs(run, false)),
                           work_ms > 0 ? (int)(crewProgressMs(run->crew) * 100 / work_ms) : 0};
     }
     for (size_t i = 0; i < hand->endCount && i < ENDS_AT_ONCE; i++)
-        report->ended[report->endedCount++] = hand->ends[i].told;
+        report->ended[report->ended_count++] = hand->ends[i].told;
 }
 
 static void leaveAcked(Hand *hand)
@@ -112,10 +112,10 @@
     if (leaving)
         leaveAcked(hand);
     handOrdersTake(hand, orders, sent_ms);
-    return orders->again_ms >= 0 && orders->again_ms < ground->site->beatMs ? orders->again_ms : ground->site->beatMs;
+    return orders->again_ms >= 0 && orders->again_ms < ground->site->beat_ms ? orders->again_ms : ground->site->beat_ms;
 }
 
-static void beatMain(void *arg)
+static void beat_main(void *arg)
 {
     Hand *hand = arg;
     for (;;) {
@@ -191,7 +191,7 @@
     hand->leaving = hand->newsOpen = false;
     hand->leave_at_ms = hand->leaveAckMs = 0;
     loop_spawn(loop, "work", handWorkMain, hand);
-    loop_spawn(loop, "beat", beatMain, hand);
+    loop_spawn(loop, "beat", beat_main, hand);
 }
 
 void handStart(Hand *hand)
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -8,7 +8,7 @@
 
 Loop *operatorLoop(const Operator *self)
 {
-    return simLoop(self->ground->world, self->machine);
+    return sim_loop(self->ground->world, self->machine);
 }
 
 GroundNode *operatorNode(Operator *self)
--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -40,7 +40,7 @@
 /* Starts a process there; start is called at once and spawns its tasks. */
 void sim_start(SimWorld *world, int machine, SimStart start, void *arg);
 bool simAlive(const SimWorld *world, int machine);
-Loop *simLoop(const SimWorld *world, int machine);
+Loop *sim_loop(const SimWorld *world, int machine);
 /* SIGKILL: the kernel tells the peers. */
 void sim_kill(SimWorld *world, int machine);
 /* Power off: nobody is told, what the disk held back is lost. */
@@ -56,7 +56,7 @@
  * no machine that spancart trusts does this; the checkers are tried with it. */
 void simClockRate(SimWorld *world, int machine, int64_t percent);
 /* Cuts (or joins again) the way from one machine to another; one way only. */
-void simCut(SimWorld *world, int from, int to, bool cut);
+void sim_cut(SimWorld *world, int from, int to, bool cut);
 /* A cut way is not silent: connections are refused, and one on which something is sent is
  * reset, at both ends. */
 void simRefuse(SimWorld *world, int from, int to, bool refused);
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -141,7 +141,7 @@
 static void bootMain(void *arg)
 {
     FleetNode *node = arg;
-    Loop *loop = simLoop(node->fleet->world, node->machine);
+    Loop *loop = sim_loop(node->fleet->world, node->machine);
     Failure failure = {0};
     Status status = STATUS_OK;
     const CoreWatch watch = fleetCoreWatch(node);
@@ -154,7 +154,7 @@
         status = gate_start(loop, loop, node->ring, &node->props, &node->gate, &failure);
         break;
     case FLEET_AGENT:
-        status = agentStart(loop, loop, node->ring, &node->props, &node->agent, &failure);
+        status = agent_start(loop, loop, node->ring, &node->props, &node->agent, &failure);
         break;
     default:
         node->worker = stand_worker_start(loop, loop, &node->workerProps);
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -14,7 +14,7 @@
 static void ask_main(void *arg)
 {
     Asked *asked = arg;
-    asked->status = loop_call(simLoop(asked->fleet->world, asked->fleet->caller), asked->call);
+    asked->status = loop_call(sim_loop(asked->fleet->world, asked->fleet->caller), asked->call);
     asked->done = true;
 }
 
@@ -39,7 +39,7 @@
     Asked *asked = talloc_zero(fleet, Asked);
     asked->fleet = fleet;
     asked->call = &call;
-    loop_spawn(simLoop(fleet->world, fleet->caller), "ask", ask_main, asked);
+    loop_spawn(sim_loop(fleet->world, fleet->caller), "ask", ask_main, asked);
     while (!asked->done)
         fleetRun(fleet, 5);
     if (asked->status != STATUS_OK)
@@ -74,7 +74,7 @@
                          .watch = fleetCallerWatch(fleet)};
     for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++)
         props.entries[props.entry_count++] = fleet->nodes[FLEET_GATE][i].props.http;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     Caller *caller = caller_start(loop, loop, &props);
     fleet->callers[fleet->callerCount++] = caller;
     return caller;
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -23,7 +23,7 @@
     else if (node->gate != NULL)
         gate_drain(node->gate);
     else if (node->agent != NULL)
-        agentDrain(node->agent);
+        agent_drain(node->agent);
 }
 
 static void drainMain(void *arg)
@@ -45,14 +45,14 @@
 {
     FleetNode *node = fleetNode(fleet, role, number);
     if (node->up)
-        loop_spawn(simLoop(fleet->world, node->machine), "term", leaveMain, node);
+        loop_spawn(sim_loop(fleet->world, node->machine), "term", leaveMain, node);
 }
 
 void fleetRoll(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleetNode(fleet, role, number);
     if (node->up)
-        loop_spawn(simLoop(fleet->world, node->machine), "term", drainMain, node);
+        loop_spawn(sim_loop(fleet->world, node->machine), "term", drainMain, node);
 }
 
 static void nodeGone(FleetNode *node)
@@ -112,8 +112,8 @@
 
 static void cutBoth(Fleet *fleet, int a, int b, bool cut)
 {
-    simCut(fleet->world, a, b, cut);
-    simCut(fleet->world, b, a, cut);
+    sim_cut(fleet->world, a, b, cut);
+    sim_cut(fleet->world, b, a, cut);
 }
 
 void fleetIsolate(Fleet *fleet, FleetRole role, int number, bool cut)
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -37,7 +37,7 @@
                        .wait_ms = 2000};
     if (body != NULL)
         bytes_add(mem, &call->body, body, strlen(body));
-    const Status status = loop_call(simLoop(fleet->world, fleet->caller), call);
+    const Status status = loop_call(sim_loop(fleet->world, fleet->caller), call);
     bytes_add(mem, &call->result, "", 1);
     return status;
 }
@@ -111,7 +111,7 @@
 {
     Probe *probe = arg;
     Fleet *fleet = probe->fleet;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     while (!fleet->probesOver || probe->openCount > 0) {
         if (!fleet->probesOver && probe->openCount < PROBE_OPEN_MAX / 2)
             handIn(probe);
@@ -125,7 +125,7 @@
     for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++) {
         Probe *probe = talloc_zero(fleet, Probe);
         *probe = (Probe){.fleet = fleet, .gate = i, .everyMs = everyMs};
-        loop_spawn(simLoop(fleet->world, fleet->caller), "probe", probeMain, probe);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "probe", probeMain, probe);
     }
 }
 
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -93,7 +93,7 @@
     for (int a = 0; a < SIM_NODES_MAX; a++)
         for (int b = 0; b < SIM_NODES_MAX; b++)
             if (a != b)
-                simCut(sweep->fleet->world, a, b, false);
+                sim_cut(sweep->fleet->world, a, b, false);
 }
 
 static void heal(Sweep *sweep)
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -65,7 +65,7 @@
 {
     const FleetNode *from = sweepAny(sweep), *to = sweepAny(sweep);
     sweepSay(sweep, "cut %s > %s", from->props.name, to->props.name);
-    simCut(sweep->fleet->world, from->machine, to->machine, true);
+    sim_cut(sweep->fleet->world, from->machine, to->machine, true);
 }
 
 /* A link that comes and goes, both ways or one. */
@@ -76,9 +76,9 @@
     const int64_t eachMs = 50 + (int64_t)sweepDraw(sweep, 900);
     sweepSay(sweep, "flap %s %s %s each %" PRId64, a->props.name, both ? "<>" : ">", b->props.name, eachMs);
     for (int i = 0; i < 8; i++) {
-        simCut(sweep->fleet->world, a->machine, b->machine, i % 2 == 0);
+        sim_cut(sweep->fleet->world, a->machine, b->machine, i % 2 == 0);
         if (both)
-            simCut(sweep->fleet->world, b->machine, a->machine, i % 2 == 0);
+            sim_cut(sweep->fleet->world, b->machine, a->machine, i % 2 == 0);
         fleetRun(sweep->fleet, eachMs);
     }
 }
@@ -184,8 +184,8 @@
     for (int turn = 0; turn < 2; turn++) {
         for (int a = 0; a < fleet->nodeCount[FLEET_CORE]; a++)
             for (int b = 0; b < fleet->nodeCount[FLEET_CORE]; b++)
-                simCut(fleet->world, fleet->nodes[FLEET_CORE][a].machine, fleet->nodes[FLEET_CORE][b].machine,
-                       turn == 0);
+                sim_cut(fleet->world, fleet->nodes[FLEET_CORE][a].machine, fleet->nodes[FLEET_CORE][b].machine,
+                        turn == 0);
         if (turn == 0)
             fleetRun(fleet, for_ms);
     }
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -44,7 +44,7 @@
                      .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
                      .wait_ms = wait_ms};
     bytes_add(mem, &call.body, operator->body, strlen(operator->body));
-    const Status status = loop_call(simLoop(fleet->world, fleet->caller), &call);
+    const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
     bytes_add(mem, &call.result, "", 1);
     if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, revision) != 1)
         *revision = 0;
@@ -60,7 +60,7 @@
     told(operator, TENANT_ASKED);
     operator->code = operatorTry(operator, operator->gate, operator->revision> 0 ? 1000 : 9000, &revision);
     for (int i = 1; i < OPERATOR_TRIES && operator->revision> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
-        loop_sleep(simLoop(fleet->world, fleet->caller), 250 * i);
+        loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
         operator->code = operatorTry(operator, operator->gate + i, 2000, &revision);
     }
     if (operator->code == 200 && revision> 0) {
@@ -96,7 +96,7 @@
 
 static void operatorSend(Operator *operator)
 {
-    loop_spawn(simLoop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
+    loop_spawn(sim_loop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
                operatorMain, operator);
 }
 
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -186,7 +186,7 @@
         for (size_t i = 0; i < timeline->columnCount; i++)
             if (strcmp(timeline->columns[i].name, way + 1) == 0)
                 to = timeline->columns[i];
-        simCut(world, node->machine, to.node->machine, verb[0] == 'c');
+        sim_cut(world, node->machine, to.node->machine, verb[0] == 'c');
     } else if (strcmp(verb, "kill") == 0) {
         fleetKill(fleet, node->role, node->number);
     } else if (strcmp(verb, "off") == 0) {
@@ -214,8 +214,8 @@
     } else if (strcmp(verb, "blind") == 0 || strcmp(verb, "sees") == 0) {
         for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
             for (int i = 0; i < fleet->nodeCount[role]; i++) {
-                simCut(world, node->machine, fleet->nodes[role][i].machine, verb[0] == 'b');
-                simCut(world, fleet->nodes[role][i].machine, node->machine, verb[0] == 'b');
+                sim_cut(world, node->machine, fleet->nodes[role][i].machine, verb[0] == 'b');
+                sim_cut(world, fleet->nodes[role][i].machine, node->machine, verb[0] == 'b');
             }
     } else if (strcmp(verb, "rate") == 0) {
         simClockRate(world, node->machine, number);
--- a/packages/sim/src/world.c
+++ b/packages/sim/src/world.c
@@ -263,7 +263,7 @@
     return world->machines[machine].loop != NULL;
 }
 
-Loop *simLoop(const SimWorld *world, int machine)
+Loop *sim_loop(const SimWorld *world, int machine)
 {
     return &world->machines[machine].loop->loop;
 }
@@ -322,7 +322,7 @@
     machine->rate_percent = percent;
 }
 
-void simCut(SimWorld *world, int from, int to, bool cut)
+void sim_cut(SimWorld *world, int from, int to, bool cut)
 {
     if (from != to)
         world->cut[from][to] = cut;
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -76,7 +76,7 @@
 
 static size_t memoryOf(Fleet *fleet, int core)
 {
-    return talloc_total_size(simLoop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine));
+    return talloc_total_size(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine));
 }
 
 /* Has all that the leader has committed. */
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -58,7 +58,7 @@
 static void changeSend(Operator *operator, Change * change)
 {
     Fleet *fleet = operator->fleet;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     for (change->tries = 1; !operator->stop; change->tries++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
@@ -86,7 +86,7 @@
 static const char *wholeBody(Operator *operator, const Change * change)
 {
     Fleet *fleet = operator->fleet;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall call = {.mem = mem,
                      .address = fleetNode(fleet, FLEET_GATE, operator->number % 3)->props.http,
@@ -112,7 +112,7 @@
 static void operateMain(void *arg)
 {
     Operator *operator= arg;
-    Loop *loop = simLoop(operator->fleet->world, operator->fleet->caller);
+    Loop *loop = sim_loop(operator->fleet->world, operator->fleet->caller);
     while (operator->count<CHANGES && !operator->stop) {
         Change *change = &operator->changes[operator->count];
         snprintf(change->marker, sizeof(change->marker), "o%d-%zu", operator->number, operator->count);
@@ -138,7 +138,7 @@
         all[i].fleet = fleet;
         all[i].number = i;
         all[i].believed = 1;
-        loop_spawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &all[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operateMain, &all[i]);
     }
     return all;
 }
@@ -264,7 +264,7 @@
             *change = (Change){.base = base, .revision = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
-            loop_spawn(simLoop(fleet->world, fleet->caller), "racer", sendMain, &pair[k]);
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", sendMain, &pair[k]);
         }
         while (!pair[0].done || !pair[1].done)
             fleetRun(fleet, 5);
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -92,9 +92,9 @@
     sim_start(world, server, serverStart, &seen);
     sim_start(world, client, clientStart, &seen);
     sim_run_until(world, 1300);
-    simCut(world, client, server, true);
+    sim_cut(world, client, server, true);
     sim_run_until(world, 2400);
-    simCut(world, client, server, false);
+    sim_cut(world, client, server, false);
     sim_run_until(world, 3500);
     simFreeze(world, server, 6000);
     sim_run_until(world, 6300);
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -57,7 +57,7 @@
 {
     Pouring *pouring = arg;
     Fleet *fleet = pouring->fleet;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     const bool trentvale = fleet->shape.mix == MIX_TRENTVALE;
     for (int i = 0; !pouring->stop; i++) {
         void *mem = talloc_new(loop);
@@ -96,7 +96,7 @@
         Pouring *pouring = talloc_zero(fleet, Pouring);
         pouring->fleet = fleet;
         if (with)
-            loop_spawn(simLoop(fleet->world, fleet->caller), "pour", pourMain, pouring);
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", pourMain, pouring);
         fleetRun(fleet, with ? 15000 : 1000); /* by now the fleet is full */
         fleetCall(fleet, "u", 10000, 30000);
         fleetRun(fleet, 40000);
@@ -147,7 +147,7 @@
 {
     Operator *operator= arg;
     Fleet *fleet = operator->fleet;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     uint64_t base = 1;
     for (int i = 0; i < 60; i++) {
         void *mem = talloc_new(loop);
@@ -180,7 +180,7 @@
     Operator *operators = talloc_zero_array(fleet, Operator, 5);
     for (int i = 0; i < 5; i++) {
         operators[i] = (Operator){.fleet = fleet, .number = i};
-        loop_spawn(simLoop(fleet->world, fleet->caller), "operator", operateMain, &operators[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operateMain, &operators[i]);
     }
     fleetRun(fleet, 4000);
     fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -186,7 +186,7 @@
     const uint64_t index = view->commit_index, epoch = log_at(view->log, index)->epoch;
     Orders orders = {.view = view};
     fleetIsolate(fleet, FLEET_CORE, core, true);
-    loop_spawn(simLoop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "orders", ordersMain, &orders);
+    loop_spawn(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "orders", ordersMain, &orders);
     fleetRun(fleet, 200);
     assert_true(orders.done);
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
@@ -284,7 +284,7 @@
 {
     Writing *writing = talloc_zero(fleet, Writing);
     *writing = (Writing){viewOf(fleet, core), record};
-    loop_spawn(simLoop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "write", writeMain, writing);
+    loop_spawn(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "write", writeMain, writing);
     fleetRun(fleet, 200);
     fleetKill(fleet, FLEET_CORE, core);
     checkerFault(fleet->checker);
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -59,9 +59,9 @@
     for (int i = 0; i < 3; i++) {
         const int core = fleetNode(fleet, FLEET_CORE, i)->machine;
         if (ways & CUT_TO_CORES)
-            simCut(fleet->world, machine, core, cut);
+            sim_cut(fleet->world, machine, core, cut);
         if (ways & CUT_FROM_CORES)
-            simCut(fleet->world, core, machine, cut);
+            sim_cut(fleet->world, core, machine, cut);
     }
 }
 
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -149,12 +149,12 @@
         fleetStart(fleet);
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                simCut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine, fleetNode(fleet, FLEET_CORE, b)->machine,
-                       simRandom(fleet->world) % 2 == 0);
+                sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine,
+                        fleetNode(fleet, FLEET_CORE, b)->machine, simRandom(fleet->world) % 2 == 0);
             for (int g = 0; g < 3; g++) {
                 const bool cut = simRandom(fleet->world) % 3 == 0;
-                simCut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine, fleetNode(fleet, FLEET_GATE, g)->machine,
-                       cut);
+                sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine,
+                        fleetNode(fleet, FLEET_GATE, g)->machine, cut);
             }
         }
         for (int i = 0; i < 60; i++) {
@@ -163,11 +163,11 @@
         }
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                simCut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine, fleetNode(fleet, FLEET_CORE, b)->machine,
-                       false);
+                sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine,
+                        fleetNode(fleet, FLEET_CORE, b)->machine, false);
             for (int g = 0; g < 3; g++)
-                simCut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine, fleetNode(fleet, FLEET_GATE, g)->machine,
-                       false);
+                sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, a)->machine,
+                        fleetNode(fleet, FLEET_GATE, g)->machine, false);
         }
         fleetRun(fleet, 8000);
         assert_int_equal(clusters(fleet), 1);
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -29,7 +29,7 @@
     handed->gate = node->gate;
     handed->task = talloc_zero(handed, HttpTask);
     *handed->task = *task;
-    handed->task->loop = simLoop(fleet->world, node->machine);
+    handed->task->loop = sim_loop(fleet->world, node->machine);
     if (body != NULL)
         bytes_add(handed->task, &handed->task->body, body, strlen(body));
     loop_spawn(handed->task->loop, "hand", handMain, handed);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -15,7 +15,7 @@
 static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
     const FleetNode *node = &fleet->nodes[role][number];
-    return simAlive(fleet->world, node->machine) ? talloc_total_size(simLoop(fleet->world, node->machine)) : 0;
+    return simAlive(fleet->world, node->machine) ? talloc_total_size(sim_loop(fleet->world, node->machine)) : 0;
 }
 
 static void hour(void **state)
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -142,8 +142,8 @@
             for (int i = 0; i < fleet->nodeCount[role]; i++) {
                 const int other = fleetNode(fleet, (FleetRole)role, i)->machine;
                 if (other != node->machine)
-                    simCut(fleet->world, lost->kind == LOSS_CUT_IN ? other : node->machine,
-                           lost->kind == LOSS_CUT_IN ? node->machine : other, true);
+                    sim_cut(fleet->world, lost->kind == LOSS_CUT_IN ? other : node->machine,
+                            lost->kind == LOSS_CUT_IN ? node->machine : other, true);
             }
         break;
     case LOSS_DISK_SLOW:
@@ -194,7 +194,7 @@
 {
     CallerJob *const *jobs;
     const size_t count = caller_jobs(fleet->callers[0], &jobs);
-    const int64_t offset_ms = loop_now_ms(simLoop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
+    const int64_t offset_ms = loop_now_ms(sim_loop(fleet->world, fleet->caller)) - sim_now_ms(fleet->world);
     int64_t worst = 0;
     for (int64_t at_ms = since_ms, next_ms; at_ms < sim_now_ms(fleet->world); at_ms = next_ms) {
         next_ms = sim_now_ms(fleet->world);
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -177,13 +177,13 @@
         const int client = sim_machine(world), machine = sim_machine(world);
         sim_start(world, machine, serverStart, &server);
         sim_start(world, client, askerStart, &asker);
-        simCut(world, client, machine, true);
+        sim_cut(world, client, machine, true);
         Ask *ask = begin(&asker, (PeerLife){0}, 7, 3000);
         ask->sending = &sending;
         runFor(world, 300);
         assert_false(sending.sent);
         sending.cancelled = cancel == 1;
-        simCut(world, client, machine, false);
+        sim_cut(world, client, machine, false);
         runFor(world, 3000);
         assert_int_equal(ask->status, cancel ? STATUS_UNREACHABLE : STATUS_OK);
         assert_int_equal(server.served, !cancel);
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -95,7 +95,7 @@
         fleetRun(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int gate = fleetNode(fleet, FLEET_GATE, 0)->machine;
         const int leader = fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine;
-        simCut(fleet->world, leader, gate, true);
+        sim_cut(fleet->world, leader, gate, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
         fleetRun(fleet, COMMITTED_MS);
         assert_false(handed->done);
@@ -110,7 +110,7 @@
         assert_true(took_ms < 4000);
         if (row->code == 504)
             assert_true(handed->task->retry_after_s > 0);
-        simCut(fleet->world, leader, gate, false);
+        sim_cut(fleet->world, leader, gate, false);
         fleetRun(fleet, 3000);
         assert_string_equal(state_of(fleet, fleet), first); /* applied once */
         assert_int_equal(checkerBrokenAll(fleet->checker), 0);
@@ -133,7 +133,7 @@
         fleetRun(fleet, 1);
     assert_false(handed->done);
     const int lost = fleetLeader(fleet); /* its answer never comes */
-    simCut(fleet->world, fleetNode(fleet, FLEET_CORE, lost)->machine, fleetNode(fleet, FLEET_GATE, 0)->machine, true);
+    sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, lost)->machine, fleetNode(fleet, FLEET_GATE, 0)->machine, true);
     for (int i = 0; i < 3; i++) {
         fleetPowerOff(fleet, FLEET_CORE, i);
         simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -168,7 +168,7 @@
 {
     (void)state;
     Fleet *fleet = begin();
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
         props.entries[0] = fleetNode(fleet, FLEET_GATE, i)->props.http;
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -64,7 +64,7 @@
 /* 0: no clear answer. */
 static int sendOnce(const Call *call, int node)
 {
-    Loop *loop = simLoop(call->fleet->world, call->fleet->caller);
+    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall sent = {.mem = mem,
                      .address = nodeAt(call->fleet, node)->props.http,
@@ -80,7 +80,7 @@
 static void callMain(void *arg)
 {
     Call *call = arg;
-    Loop *loop = simLoop(call->fleet->world, call->fleet->caller);
+    Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
     for (int i = 0; i < TRIES_MOST && call->code == 0; i++) {
         call->code = sendOnce(call, call->node + i);
         loop_sleep(loop, 20);
@@ -90,7 +90,7 @@
 
 static void callStart(Call *call)
 {
-    loop_spawn(simLoop(call->fleet->world, call->fleet->caller), "call", callMain, call);
+    loop_spawn(sim_loop(call->fleet->world, call->fleet->caller), "call", callMain, call);
 }
 
 static void callsWait(Fleet *fleet, const Call *calls, size_t count)
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -104,7 +104,7 @@
 {
     const Reader *reader = arg;
     Watched *watched = reader->watched;
-    Loop *loop = simLoop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     while (!watched->stop) {
         void *mem = talloc_new(loop);
         readConfig(reader, loop, mem);
@@ -119,7 +119,7 @@
 static void operatorMain(void *arg)
 {
     Watched *watched = arg;
-    Loop *loop = simLoop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     uint64_t base = watched->acknowledged;
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
@@ -140,7 +140,7 @@
 static void senderMain(void *arg)
 {
     Watched *watched = arg;
-    Loop *loop = simLoop(watched->fleet->world, watched->fleet->caller);
+    Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
         const char *address = fleetNode(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
@@ -161,7 +161,7 @@
     Watched *watched = talloc_zero(fleet, Watched);
     watched->fleet = fleet;
     watched->acknowledged = 1;
-    Loop *loop = simLoop(fleet->world, fleet->caller);
+    Loop *loop = sim_loop(fleet->world, fleet->caller);
     for (int i = 0; i < CORES + GATES; i++) {
         const FleetNode *node = i < CORES ? fleetNode(fleet, FLEET_CORE, i) : fleetNode(fleet, FLEET_GATE, i - CORES);
         Reader *reader = talloc_zero(watched, Reader);
@@ -192,9 +192,9 @@
         simRefuse(fleet->world, other, machine, kind == CUT_REFUSED);
         simRefuse(fleet->world, machine, other, kind == CUT_REFUSED);
         if (kind != CUT_OUT)
-            simCut(fleet->world, other, machine, cut);
+            sim_cut(fleet->world, other, machine, cut);
         if (kind != CUT_IN)
-            simCut(fleet->world, machine, other, cut);
+            sim_cut(fleet->world, machine, other, cut);
     }
 }
 
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -64,7 +64,7 @@
                       int64_t wait_ms, int64_t *took_ms)
 {
     Handed handed = {.node = fleetNode(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
-    *handed.task = (HttpTask){.loop = simLoop(fleet->world, handed.node->machine),
+    *handed.task = (HttpTask){.loop = sim_loop(fleet->world, handed.node->machine),
                               .method = method,
                               .path = path,
                               .query = "",
@@ -142,8 +142,8 @@
     Fleet *fleet = begin(34);
     const int leader = fleetLeader(fleet);
     const int a = fleetNode(fleet, FLEET_GATE, 0)->machine, b = fleetNode(fleet, FLEET_CORE, leader)->machine;
-    simCut(fleet->world, a, b, true);
-    simCut(fleet->world, b, a, true);
+    sim_cut(fleet->world, a, b, true);
+    sim_cut(fleet->world, b, a, true);
     int64_t took_ms;
     const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "round-0"), 3000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
@@ -156,8 +156,8 @@
         assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
     }
     assert_int_equal(fleetLeader(fleet), leader);
-    simCut(fleet->world, a, b, false);
-    simCut(fleet->world, b, a, false);
+    sim_cut(fleet->world, a, b, false);
+    sim_cut(fleet->world, b, a, false);
     end(fleet);
 }
 
@@ -250,7 +250,7 @@
         .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
     const char *body = jobOf(one, id);
     bytes_add(one, &call.body, body, strlen(body));
-    const Status status = loop_call(simLoop(fleet->world, fleet->caller), &call);
+    const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
     sending->good += status == STATUS_OK && call.code == 201;
     sending->again += status == STATUS_OK && call.code >= 500;
     sending->cut += status != STATUS_OK;
@@ -262,7 +262,7 @@
 static void sendingMain(void *arg)
 {
     Sending *sending = arg;
-    Loop *loop = simLoop(sending->fleet->world, sending->fleet->caller);
+    Loop *loop = sim_loop(sending->fleet->world, sending->fleet->caller);
     int64_t readyMs = loop_now_ms(loop);
     while (!sending->stop && loop_now_ms(loop) - readyMs <= 300) {
         FleetNode *node = sending->node;
@@ -284,7 +284,7 @@
         Fleet *fleet = begin(36);
         const int number = role == FLEET_CORE ? fleetLeader(fleet) : 0;
         Sending sending = {.fleet = fleet, .node = fleetNode(fleet, (FleetRole)role, number)};
-        loop_spawn(simLoop(fleet->world, fleet->caller), "sending", sendingMain, &sending);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sendingMain, &sending);
         fleetRun(fleet, 500);
         fleetRoll(fleet, (FleetRole)role, number);
         fleetRun(fleet, 4000);
@@ -334,7 +334,7 @@
     SimWorld *world = sim_world_new(NULL, 1);
     const int machine = sim_machine(world);
     sim_start(world, machine, nothing, NULL);
-    Loop *loop = simLoop(world, machine);
+    Loop *loop = sim_loop(world, machine);
     Keeping keeping = {keeper_new(world, loop, 30000), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keepMain, &keeping);
     sim_run_until(world, 1000);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -38,7 +38,7 @@
     talloc_free(mem);
 }
 
-static const char *workerName(void *mem, size_t at)
+static const char *worker_name(void *mem, size_t at)
 {
     return talloc_asprintf(mem, "worker%05zu", at);
 }
@@ -47,7 +47,7 @@
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++) {
-        const Worker worker = {.name = workerName(mem, i),
+        const Worker worker = {.name = worker_name(mem, i),
                                .zone = talloc_asprintf(mem, "zone%zu", i % 3),
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -56,7 +56,7 @@
     else if (daemon->role == PROPS_GATE)
         status = gate_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->gate, &failure);
     else
-        status = agentStart(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->agent, &failure);
+        status = agent_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->agent, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
         daemon->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
@@ -68,7 +68,7 @@
     else if (daemon->gate != NULL)
         http = gate_http_address(daemon->gate);
     else
-        http = agentHttpAddress(daemon->agent);
+        http = agent_http_address(daemon->agent);
     printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->props.name, http);
     fflush(stdout);
 }
@@ -88,7 +88,7 @@
     if (daemon->gate != NULL)
         gate_drain(daemon->gate);
     if (daemon->agent != NULL)
-        agentDrain(daemon->agent);
+        agent_drain(daemon->agent);
     loop_stop(daemon->loop);
 }
 
--- a/src/node.c
+++ b/src/node.c
@@ -45,7 +45,7 @@
     else if (run->node.gate != NULL)
         gate_seeds(run->node.gate, seeds);
     else if (run->node.agent != NULL)
-        agentSeeds(run->node.agent, seeds);
+        agent_seeds(run->node.agent, seeds);
     talloc_free(mem);
 }
 
@@ -91,7 +91,7 @@
     else if (run->place.role == PROPS_GATE)
         status = gate_start(run->mem, node->loop, node->ring, props, &node->gate, &failure);
     else
-        status = agentStart(run->mem, node->loop, node->ring, props, &node->agent, &failure);
+        status = agent_start(run->mem, node->loop, node->ring, props, &node->agent, &failure);
     if (status == STATUS_OK)
         status = run->face->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
@@ -120,7 +120,7 @@
     if (run->node.gate != NULL)
         gate_drain(run->node.gate);
     if (run->node.agent != NULL)
-        agentDrain(run->node.agent);
+        agent_drain(run->node.agent);
     loop_stop(run->node.loop);
 }
 
