--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -46,12 +46,12 @@
 static Node *find(Explore *explore, Who who, unsigned pick)
 {
     unsigned count = 0;
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         count += suits(explore, &explore->nodes[i], who);
     if (count == 0)
         return NULL;
     unsigned left = pick % count;
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         if (suits(explore, &explore->nodes[i], who) && left-- == 0)
             return &explore->nodes[i];
     return NULL;
@@ -59,7 +59,7 @@
 
 static void cutAll(Explore *explore, const Node *node, bool out, bool in, bool cut)
 {
-    for (int i = 0; i < explore->nodeCount; i++) {
+    for (int i = 0; i < explore->node_count; i++) {
         const int other = explore->nodes[i].machine;
         if (out)
             sim_cut(explore->world, node->machine, other, cut);
@@ -88,17 +88,17 @@
         cutSet(explore, end, false);
         break;
     case ACT_DELAY:
-        simDelay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
+        sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
         break;
     case ACT_DROP:
     case ACT_REPEAT:
-        simFrames(explore->world, 0, 0, 0);
+        sim_frames(explore->world, 0, 0, 0);
         break;
     case ACT_FAR:
-        simFar(explore->world, end->node->machine, 0);
+        sim_far(explore->world, end->node->machine, 0);
         break;
     case ACT_CLOCK:
-        simClockRate(explore->world, end->node->machine, 100);
+        sim_clock_rate(explore->world, end->node->machine, 100);
         break;
     case ACT_DISK_SLOW:
         sim_disk_slow(explore->world, end->node->machine, SYNC_MS);
@@ -114,18 +114,18 @@
 
 static void blackout(Explore *explore, int64_t for_ms)
 {
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         if (!explore->nodes[i].gone) {
             nodeKill(&explore->nodes[i], true);
-            nodeStartLater(&explore->nodes[i], for_ms + (int64_t)(simRandom(explore->world) % 300));
+            nodeStartLater(&explore->nodes[i], for_ms + (int64_t)(sim_random(explore->world) % 300));
         }
 }
 
 static void join(Explore *explore)
 {
-    Node *node = nodeAdd(explore);
+    Node *node = node_add(explore);
     if (node != NULL)
-        nodeStart(node);
+        node_start(node);
 }
 
 /* Changes handed in at once. */
@@ -146,13 +146,13 @@
         join(explore);
         return true;
     case ACT_DELAY:
-        simDelay(explore->world, LINK_LOW_MS, LINK_HIGH_MS + (int64_t)act->amount);
+        sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS + (int64_t)act->amount);
         return true;
     case ACT_DROP:
-        simFrames(explore->world, act->amount, 0, LATE_MS);
+        sim_frames(explore->world, act->amount, 0, LATE_MS);
         return true;
     case ACT_REPEAT:
-        simFrames(explore->world, 0, act->amount, LATE_MS);
+        sim_frames(explore->world, 0, act->amount, LATE_MS);
         return true;
     default:
         return false;
@@ -176,7 +176,7 @@
     }
 }
 
-static void nodeAct(Explore *explore, Node *node, const Act *act, const ActEnd *end)
+static void node_act(Explore *explore, Node *node, const Act *act, const ActEnd *end)
 {
     switch (act->kind) {
     case ACT_KILL:
@@ -185,13 +185,13 @@
         nodeStartLater(node, act->for_ms);
         break;
     case ACT_FREEZE:
-        simFreeze(explore->world, node->machine, sim_now_ms(explore->world) + act->for_ms);
+        sim_freeze(explore->world, node->machine, sim_now_ms(explore->world) + act->for_ms);
         break;
     case ACT_FAR:
-        simFar(explore->world, node->machine, act->amount);
+        sim_far(explore->world, node->machine, act->amount);
         break;
     case ACT_CLOCK:
-        simClockRate(explore->world, node->machine, act->amount);
+        sim_clock_rate(explore->world, node->machine, act->amount);
         break;
     case ACT_DISK_SLOW:
         sim_disk_slow(explore->world, node->machine, act->amount);
@@ -234,33 +234,33 @@
             return;
         }
         end->node = node;
-        end->other = explore->nodes[act->amount % (unsigned)explore->nodeCount].machine;
+        end->other = explore->nodes[act->amount % (unsigned)explore->node_count].machine;
         exploreSay(explore, "%s %s for %" PRId64 " ms, %u", actWord(act->kind), node->name, act->for_ms, act->amount);
         if (loses(act->kind))
             lose(node, act);
         else
-            nodeAct(explore, node, act, end);
+            node_act(explore, node, act, end);
     } else {
         exploreSay(explore, "%s for %" PRId64 " ms, %u", actWord(act->kind), act->for_ms, act->amount);
     }
     paceLost(explore, act->kind);
     explore->result->done[act->kind]++;
-    simAt(explore->world, sim_now_ms(explore->world) + act->for_ms, actEnd, end);
+    sim_at(explore->world, sim_now_ms(explore->world) + act->for_ms, actEnd, end);
 }
 
 void actsEnd(Explore *explore)
 {
-    simDelay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
-    simFrames(explore->world, 0, 0, 0);
-    for (int i = 0; i < explore->nodeCount; i++) {
+    sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
+    sim_frames(explore->world, 0, 0, 0);
+    for (int i = 0; i < explore->node_count; i++) {
         Node *node = &explore->nodes[i];
         cutAll(explore, node, true, true, false);
-        simFar(explore->world, node->machine, 0);
-        simClockRate(explore->world, node->machine, 100);
+        sim_far(explore->world, node->machine, 0);
+        sim_clock_rate(explore->world, node->machine, 100);
         sim_disk_slow(explore->world, node->machine, SYNC_MS);
         sim_disk_fail(explore->world, node->machine, false);
         if (node->leaving && !node->gone)
             nodeVanish(node);
-        nodeStart(node);
+        node_start(node);
     }
 }
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -152,9 +152,9 @@
     const Node *claims = NULL;
     if (explore->result->rule != RULE_NONE)
         return;
-    for (int i = 0; i < explore->nodeCount; i++) {
+    for (int i = 0; i < explore->node_count; i++) {
         Node *node = &explore->nodes[i];
-        if (!node->up || !simAlive(explore->world, node->machine))
+        if (!node->up || !sim_alive(explore->world, node->machine))
             continue;
         ViewWindow window;
         view_window(node->view, &window);
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -26,7 +26,7 @@
     explore->result->acknowledged++;
 }
 
-static void handMain(void *arg)
+static void hand_main(void *arg)
 {
     const Handing *handing = arg;
     Explore *explore = handing->explore;
@@ -55,17 +55,17 @@
     *handing = (Handing){explore, node, explore->orderCount, {0}};
     bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
     static const uint8_t FILL[CLIENT_BYTES] = {0};
-    bytes_add(handing, &handing->payload, FILL, simRandom(explore->world) % CLIENT_BYTES);
-    loop_spawn(loop, "client", handMain, handing);
+    bytes_add(handing, &handing->payload, FILL, sim_random(explore->world) % CLIENT_BYTES);
+    loop_spawn(loop, "client", hand_main, handing);
 }
 
 /* Mostly the leader, at times anybody. */
 static Node *target(Explore *explore)
 {
-    Node *leader = simRandom(explore->world) % 4 != 0 ? nodeLeader(explore) : NULL;
+    Node *leader = sim_random(explore->world) % 4 != 0 ? nodeLeader(explore) : NULL;
     if (leader != NULL)
         return leader;
-    Node *node = &explore->nodes[simRandom(explore->world) % (uint64_t)explore->nodeCount];
+    Node *node = &explore->nodes[sim_random(explore->world) % (uint64_t)explore->node_count];
     return node->up ? node : NULL;
 }
 
@@ -75,11 +75,12 @@
     Node *node = target(explore);
     if (node != NULL)
         clientSubmit(explore, node);
-    simAt(explore->world, sim_now_ms(explore->world) + 1 + (int64_t)(simRandom(explore->world) % (2 * CLIENT_EACH_MS)),
-          clientTick, explore);
+    sim_at(explore->world,
+           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)), clientTick,
+           explore);
 }
 
-void clientStart(Explore *explore)
+void client_start(Explore *explore)
 {
     clientTick(explore);
 }
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -123,9 +123,9 @@
     return model;
 }
 
-static Node *nodeAt(Explore *explore, int machine)
+static Node *node_at(Explore *explore, int machine)
 {
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         if (explore->nodes[i].machine == machine)
             return &explore->nodes[i];
     return NULL;
@@ -134,7 +134,7 @@
 void diskChanged(void *arg, int machine, const char *path, Bytes bytes, bool whole)
 {
     Explore *explore = arg;
-    Node *node = nodeAt(explore, machine);
+    Node *node = node_at(explore, machine);
     (void)path;
     if (node == NULL)
         return;
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -87,7 +87,7 @@
     bool loud;
     int64_t start_ms; /* the adversary's */
     Node nodes[NODES_MAX];
-    int nodeCount;
+    int node_count;
     DiskModel *disks[DISKS_MAX];
     size_t diskCount;
     History history;
@@ -126,8 +126,8 @@
 void checkStep(void *explore);
 
 /* Nodes. */
-Node *nodeAdd(Explore *explore);
-void nodeStart(Node *node);
+Node *node_add(Explore *explore);
+void node_start(Node *node);
 void nodeStartLater(Node *node, int64_t after_ms);
 void nodeKill(Node *node, bool power);
 void nodeWipe(Node *node);
@@ -146,7 +146,7 @@
 bool votersThere(const Explore *explore);
 
 /* Clients. */
-void clientStart(Explore *explore);
+void client_start(Explore *explore);
 void clientSubmit(Explore *explore, Node *node);
 
 /* The adversary. */
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -43,15 +43,15 @@
 
 /* --- their lives ----------------------------------------------------------------- */
 
-Node *nodeAdd(Explore *explore)
+Node *node_add(Explore *explore)
 {
-    if (explore->nodeCount == NODES_MAX)
+    if (explore->node_count == NODES_MAX)
         return NULL;
-    const int number = explore->nodeCount++;
+    const int number = explore->node_count++;
     Node *node = &explore->nodes[number];
     *node = (Node){.explore = explore, .machine = sim_machine(explore->world)};
     node->name = talloc_asprintf(explore, "node%d", number + 1);
-    node->listen = talloc_asprintf(explore, "%s:7000", simAddress(explore->world, node->machine));
+    node->listen = talloc_asprintf(explore, "%s:7000", sim_address(explore->world, node->machine));
     node->ring = ring_new(explore, node->name);
     ring_quiet(node->ring);
     return node;
@@ -61,7 +61,7 @@
 static void seedsOf(const Explore *explore, const char *seeds[SEEDS])
 {
     int count = 0;
-    for (int i = 0; i < explore->nodeCount && count < SEEDS; i++)
+    for (int i = 0; i < explore->node_count && count < SEEDS; i++)
         if (!explore->nodes[i].gone && !explore->nodes[i].leaving)
             seeds[count++] = explore->nodes[i].listen;
     for (int i = count; i < SEEDS; i++)
@@ -119,14 +119,14 @@
     nodeStartLater(node, START_AGAIN_MS);
 }
 
-static void bootMain(void *arg)
+static void boot_main(void *arg)
 {
     Node *node = arg;
     Failure failure = {0};
     const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
     if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
-        simAt(node->explore->world, sim_now_ms(node->explore->world), startAgain, node);
+        sim_at(node->explore->world, sim_now_ms(node->explore->world), startAgain, node);
     else if (!node->up)
         exploreBreak(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
 }
@@ -139,25 +139,25 @@
     node->chain = (Chain){0};
     node->promisedSeen = node->commitSeen = node->heldEpoch = node->ledEpoch = node->listSeen = 0;
     node->votersBefore = node->listBefore = 0;
-    loop_spawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", boot_main, node);
 }
 
-void nodeStart(Node *node)
+void node_start(Node *node)
 {
-    if (!node->gone && !simAlive(node->explore->world, node->machine)) {
+    if (!node->gone && !sim_alive(node->explore->world, node->machine)) {
         exploreSay(node->explore, "%s starts", node->name);
         sim_start(node->explore->world, node->machine, onStart, node);
     }
 }
 
-static void startLater(void *arg)
+static void start_later(void *arg)
 {
-    nodeStart(arg);
+    node_start(arg);
 }
 
 void nodeStartLater(Node *node, int64_t after_ms)
 {
-    simAt(node->explore->world, sim_now_ms(node->explore->world) + after_ms, startLater, node);
+    sim_at(node->explore->world, sim_now_ms(node->explore->world) + after_ms, start_later, node);
 }
 
 void nodeKill(Node *node, bool power)
@@ -170,7 +170,7 @@
 {
     nodeKill(node, true);
     diskLost(node->explore, node);
-    simDiskWipe(node->explore->world, node->machine);
+    sim_disk_wipe(node->explore->world, node->machine);
 }
 
 void nodeVanish(Node *node)
@@ -188,7 +188,7 @@
 }
 
 /* As a core's process does it when it is told to end. */
-static void leaveMain(void *arg)
+static void leave_main(void *arg)
 {
     Node *node = arg;
     members_set_leaving(node->members);
@@ -206,20 +206,20 @@
         return;
     }
     node->leaving = true;
-    loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leaveMain, node);
-    simAt(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
+    loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leave_main, node);
+    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
 }
 
 /* --- what they are --------------------------------------------------------------- */
 
 bool nodeLeads(const Node *node)
 {
-    return node->up && simAlive(node->explore->world, node->machine) && view_leading(node->view);
+    return node->up && sim_alive(node->explore->world, node->machine) && view_leading(node->view);
 }
 
 Node *nodeLeader(Explore *explore)
 {
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         if (nodeLeads(&explore->nodes[i]))
             return &explore->nodes[i];
     return NULL;
@@ -246,7 +246,7 @@
         lost += model == NULL || model->lost;
     }
     /* one that is about to leave is lost as well */
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         lost += explore->nodes[i].leaving && !explore->nodes[i].gone && explore->nodes[i].model != NULL &&
                 has(disks, count, explore->nodes[i].model->disk);
     return lost;
@@ -265,7 +265,7 @@
         return true;
     if (!bears(explore, node, explore->history.voters, explore->history.voter_count))
         return false;
-    for (int i = 0; i < explore->nodeCount; i++) {
+    for (int i = 0; i < explore->node_count; i++) {
         const Node *other = &explore->nodes[i];
         if (!other->up)
             continue;
@@ -286,7 +286,7 @@
 size_t disksLeft(const Explore *explore)
 {
     size_t count = 0;
-    for (int i = 0; i < explore->nodeCount; i++)
+    for (int i = 0; i < explore->node_count; i++)
         count += explore->nodes[i].model != NULL && !explore->nodes[i].leaving;
     return count;
 }
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -40,14 +40,14 @@
     const ExplorePlan *plan = explore->plan;
     const int voters = 2 * plan->losses + 1;
     for (int i = 0; i < voters + plan->spares; i++) {
-        nodeAdd(explore);
+        node_add(explore);
         explore->nodes[i].founds = plan->byVotes || i < SEEDS;
     }
     /* three empty disks found: the others come once these have */
-    const int first = plan->byVotes ? explore->nodeCount : SEEDS;
-    for (int i = 0; i < explore->nodeCount; i++)
-        nodeStartLater(&explore->nodes[i], i < first ? (int64_t)(simRandom(explore->world) % 300) : 6000);
-    clientStart(explore);
+    const int first = plan->byVotes ? explore->node_count : SEEDS;
+    for (int i = 0; i < explore->node_count; i++)
+        nodeStartLater(&explore->nodes[i], i < first ? (int64_t)(sim_random(explore->world) % 300) : 6000);
+    client_start(explore);
     const int64_t until_ms = sim_now_ms(explore->world) + FOUND_MS;
     while (!broken(explore) && sim_now_ms(explore->world) < until_ms &&
            (explore->history.voter_count < (size_t)voters || nodeLeader(explore) == NULL))
@@ -69,8 +69,8 @@
 
 static bool frozen(const Explore *explore)
 {
-    for (int i = 0; i < explore->nodeCount; i++)
-        if (simFrozen(explore->world, explore->nodes[i].machine))
+    for (int i = 0; i < explore->node_count; i++)
+        if (sim_frozen(explore->world, explore->nodes[i].machine))
             return true;
     return false;
 }
@@ -114,7 +114,7 @@
 
 static void dump(const Explore *explore)
 {
-    for (int i = 0; i < explore->nodeCount; i++) {
+    for (int i = 0; i < explore->node_count; i++) {
         printf("--- %s\n", explore->nodes[i].name);
         ring_dump(explore->nodes[i].ring, stdout);
     }
@@ -128,17 +128,17 @@
     explore->result = result;
     explore->loud = loud;
     explore->world = sim_world_new(explore, plan->world);
-    simWatch(explore->world, checkStep, explore);
-    simWatchDisks(explore->world, diskChanged, explore);
+    sim_watch(explore->world, checkStep, explore);
+    sim_watch_disks(explore->world, diskChanged, explore);
     found(explore);
     explore->start_ms = sim_now_ms(explore->world);
     adversary(explore);
     if (!broken(explore))
         live(explore);
-    result->steps = simEvents(explore->world);
+    result->steps = sim_events(explore->world);
     if (loud && broken(explore))
         dump(explore);
-    simWatchDisks(explore->world, NULL, NULL);
+    sim_watch_disks(explore->world, NULL, NULL);
     talloc_free(explore->world); /* first: what runs there reaches back to the rest */
     talloc_free(explore);
 }
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -17,7 +17,7 @@
 typedef struct Sum {
     uint64_t seeds, broken, steps, committed, acknowledged, leads, voterChanges, lived;
     uint64_t done[ACT_KINDS];
-    int64_t worstMs, whole_ms;
+    int64_t worst_ms, whole_ms;
 } Sum;
 
 static double cpuS(void)
@@ -39,8 +39,8 @@
     sum->lived += result->lived;
     for (int i = 0; i < ACT_KINDS; i++)
         sum->done[i] += result->done[i];
-    if (result->liveMs > sum->worstMs)
-        sum->worstMs = result->liveMs;
+    if (result->liveMs > sum->worst_ms)
+        sum->worst_ms = result->liveMs;
     if (result->whole_ms > sum->whole_ms)
         sum->whole_ms = result->whole_ms;
 }
@@ -56,7 +56,7 @@
            " committed, %" PRIu64 " acknowledged, %" PRIu64 " leads, %" PRIu64 " changes of voters, %" PRIu64
            " lived, worst %" PRId64 " ms, whole after %" PRId64 " ms\n",
            sum->seeds, sum->broken, sum->steps, (double)sum->steps / tookS, sum->committed, sum->acknowledged,
-           sum->leads, sum->voterChanges, sum->lived, sum->worstMs, sum->whole_ms);
+           sum->leads, sum->voterChanges, sum->lived, sum->worst_ms, sum->whole_ms);
     for (int i = 0; i < ACT_KINDS; i++)
         printf("%s%s %" PRIu64, i > 0 ? ", " : "acts: ", WORDS[i], sum->done[i]);
     printf("\n");
@@ -79,7 +79,7 @@
     return end != from && *end == '\0' && *first <= *last;
 }
 
-static bool skipRead(ExplorePlan *plan, const char *text)
+static bool skip_read(ExplorePlan *plan, const char *text)
 {
     while (*text != '\0') {
         char *end;
@@ -129,7 +129,7 @@
         (wish->pace ? explorePaceOf : explorePlanOf)(seed, &plan);
         if (wish->world != 0)
             plan.world = wish->world;
-        if (wish->skip != NULL && !skipRead(&plan, wish->skip)) {
+        if (wish->skip != NULL && !skip_read(&plan, wish->skip)) {
             fprintf(stderr, "--skip takes numbers of acts, like 0,3,4\n");
             return 2;
         }
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -54,7 +54,7 @@
                               {tongue->waitHead, talloc_asprintf(mem, "%" PRId64, ground->site->callerWaitMs)}};
     HttpCall call = {.mem = mem,
                      .address =
-                         talloc_asprintf(mem, "%s:%d", simAddress(ground->world, (*node)->machine), tongue->frontPort),
+                         talloc_asprintf(mem, "%s:%d", sim_address(ground->world, (*node)->machine), tongue->frontPort),
                      .method = method,
                      .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->draft.id),
                      .body = body,
@@ -251,7 +251,7 @@
     return task;
 }
 
-static void handIn(Pouring *pouring)
+static void hand_in(Pouring *pouring)
 {
     Callers *callers = pouring->callers;
     const Site *site = callers->ground->site;
@@ -271,7 +271,7 @@
     }
 }
 
-static void pourMain(void *arg)
+static void pour_main(void *arg)
 {
     Pouring *pouring = arg;
     Callers *callers = pouring->callers;
@@ -280,7 +280,7 @@
     const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
     loop_sleep(loop, diceSpan(&pouring->dice, 0, gap_ms));
     while (!callers->over) {
-        handIn(pouring);
+        hand_in(pouring);
         loop_sleep(loop,
                    diceSpan(&pouring->dice, gap_ms / 4, gap_ms * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
     }
@@ -313,7 +313,7 @@
             Pouring *pouring = talloc_zero(callers, Pouring);
             *pouring =
                 (Pouring){callers, zone, kind, diceOf(callers->ground->seed, "pour", (uint64_t)zone * 64 + kind)};
-            loop_spawn(sim_loop(callers->ground->world, callers->machines[zone]), "pour", pourMain, pouring);
+            loop_spawn(sim_loop(callers->ground->world, callers->machines[zone]), "pour", pour_main, pouring);
         }
     }
 }
@@ -349,7 +349,7 @@
     for (size_t i = 0; i < hands->count; i++) {
         const Hand *hand = &hands->list[i];
         const ZoneOrder *zone = ledgerZone(hands->ledger, hand->zone);
-        if (!hand->up || hand->leaving || zone->drainedMs != 0 ||
+        if (!hand->up || hand->leaving || zone->drained_ms != 0 ||
             (step->needs != NULL && strcmp(step->needs, hand->label) != 0))
             continue;
         const Room used = handUsed(hand);
@@ -365,7 +365,7 @@
 
 static bool mayRun(const Hands *hands, const BookJob *job)
 {
-    const int64_t wall_ms = simWallMs(hands->ground->world);
+    const int64_t wall_ms = sim_wall_ms(hands->ground->world);
     for (size_t i = 0; i < job->task_count; i++)
         if (job->tasks[i].live != NULL || bookSpent(job, job->tasks[i].fate))
             return false;
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -43,7 +43,7 @@
         GroundNode *node = &ground->edges[i];
         if (!node->disk || !node->used)
             continue;
-        simClockRate(ground->world, node->machine, node == leader ? 10 : 1000);
+        sim_clock_rate(ground->world, node->machine, node == leader ? 10 : 1000);
     }
     if (leader != NULL)
         nodeCut(leader, true);
@@ -132,9 +132,9 @@
     Ground *ground = day->ground;
     for (size_t i = 0; i < ground->edgeCount; i++)
         if (ground->edges[i].used && !ground->edges[i].gone)
-            nodeStart(&ground->edges[i]);
+            node_start(&ground->edges[i]);
     for (size_t i = 0; i < ground->sideCount; i++)
-        nodeStart(&ground->sides[i]);
+        node_start(&ground->sides[i]);
     day->callers->backMs = groundNowMs(ground);
 }
 
@@ -152,8 +152,8 @@
     for (size_t i = 0; i < ground->sideCount; i++)
         nodeKill(&ground->sides[i], closing != CLOSING_KILL);
     if (wiped != NULL)
-        simDiskWipe(ground->world, wiped->machine);
-    simAt(ground->world, groundNowMs(ground) + diceSpan(dice, 700, 1500), closingStart, day);
+        sim_disk_wipe(ground->world, wiped->machine);
+    sim_at(ground->world, groundNowMs(ground) + diceSpan(dice, 700, 1500), closingStart, day);
 }
 
 /* How much of what could be done was shown as done in time. */
@@ -185,8 +185,8 @@
         result->timely += took_ms <= aimMs;
         result->late += took_ms > aimMs && took_ms <= aimMs * 3;
     }
-    if (checkerBroken(day->ground->checker, NEVER_TWO_LEADERS) > 0)
-        rulesBroke(&result->rules, RULE_LEADERS, groundDayMs(day->ground), "%s", checkerFirst(day->ground->checker));
+    if (checker_broken(day->ground->checker, NEVER_TWO_LEADERS) > 0)
+        rulesBroke(&result->rules, RULE_LEADERS, groundDayMs(day->ground), "%s", checker_first(day->ground->checker));
 }
 
 void dayRun(const DayProps *props, DayResult *result)
@@ -205,21 +205,21 @@
     day->hands = handsNew(mem, day->book, day->ledger);
     day->door = doorNew(mem, ground);
     day->callers = callersNew(mem, day->door, day->book, day->ledger);
-    day->operator= operatorNew(mem, ground, day->ledger);
+    day->operator= operator_new(mem, ground, day->ledger);
     groundStart(ground);
     if (props->wrongClocks)
-        simAt(ground->world, ground->began_ms + 2000, clocksSpoil, day);
+        sim_at(ground->world, ground->began_ms + 2000, clocksSpoil, day);
     doorStart(day->door);
-    simAt(ground->world, groundNowMs(ground) + diceSpan(&dice, 0, 1500), handsBegin, day);
-    simAt(ground->world, groundNowMs(ground) + 1000, operatorBegin, day);
-    simAt(ground->world, ground->began_ms, callersBegin, day);
+    sim_at(ground->world, groundNowMs(ground) + diceSpan(&dice, 0, 1500), handsBegin, day);
+    sim_at(ground->world, groundNowMs(ground) + 1000, operatorBegin, day);
+    sim_at(ground->world, ground->began_ms, callersBegin, day);
     Trouble *troubles = talloc_zero_array(mem, Trouble, DAY_TROUBLES_MAX);
     const size_t count =
         props->script != NULL ? troublesRead(day, props, troubles, result) : troublesDraw(day, props, troubles, result);
     for (size_t i = 0; i < count; i++)
         if (troubles[i].kind != TROUBLE_COUNT) {
-            simAt(ground->world, ground->began_ms + troubles[i].at_ms, begin, &troubles[i]);
-            simAt(ground->world, ground->began_ms + troubles[i].at_ms + troubles[i].for_ms, end, &troubles[i]);
+            sim_at(ground->world, ground->began_ms + troubles[i].at_ms, begin, &troubles[i]);
+            sim_at(ground->world, ground->began_ms + troubles[i].at_ms + troubles[i].for_ms, end, &troubles[i]);
         }
     dayFor(day, site->leadMs + site->trafficMs);
     Closing closing = props->closing;
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -22,7 +22,7 @@
     for (;;) {
         void *mem = talloc_new(looking);
         HttpCall call = {.mem = mem,
-                         .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, node->machine),
+                         .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine),
                                                     ground->tongue->readyPort),
                          .method = "GET",
                          .path = ground->tongue->readyPath,
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -72,7 +72,7 @@
         stepDraw(callers, kind, dice, draft, i);
     if (!draft->lasting && dicePercent(dice, kind->turnsPercent)) {
         draft->turns = (uint64_t)diceSpan(dice, 2, 6);
-        draft->first_wall_ms = simWallMs(callers->ground->world) + TURNS_FROM_MS + diceSpan(dice, 0, 4000);
+        draft->first_wall_ms = sim_wall_ms(callers->ground->world) + TURNS_FROM_MS + diceSpan(dice, 0, 4000);
         draft->period_ms = diceSpan(dice, 1500, 4000);
     }
 }
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -65,9 +65,9 @@
     return NULL;
 }
 
-static void onPlans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t epoch)
 {
-    checkerPlans(((GroundNode *)arg)->ground->checker, name, epoch);
+    checker_plans(((GroundNode *)arg)->ground->checker, name, epoch);
 }
 
 /* --- making ------------------------------------------------------------------------------ */
@@ -78,7 +78,7 @@
     return 0;
 }
 
-static GroundNode *nodeAdd(Ground *ground, bool side, bool disk, int64_t number, int64_t zone)
+static GroundNode *node_add(Ground *ground, bool side, bool disk, int64_t number, int64_t zone)
 {
     GroundNode *node = side ? &ground->sides[ground->sideCount++] : &ground->edges[ground->edgeCount++];
     *node = (GroundNode){.ground = ground,
@@ -103,18 +103,18 @@
     ground->rules = rules;
     ground->seed = seed;
     const CheckerProps props = {ground, checkNow, checkFrozen, checkJob, NULL};
-    ground->checker = checkerNew(ground, &props);
+    ground->checker = checker_new(ground, &props);
     snprintf(ground->folder, sizeof(ground->folder), "/tmp/model-XXXXXX");
     if (mkdtemp(ground->folder) == NULL)
         ground->folder[0] = '\0';
     talloc_set_destructor(ground, groundFree);
-    simDelay(ground->world, 1, site->linkMs > 1 ? site->linkMs : 1);
+    sim_delay(ground->world, 1, site->linkMs > 1 ? site->linkMs : 1);
     for (int64_t i = 0; i < site->cores + site->spares; i++)
-        nodeAdd(ground, false, true, i, i % site->zones)->used = i < site->cores;
+        node_add(ground, false, true, i, i % site->zones)->used = i < site->cores;
     for (int64_t i = 0; i < site->gates; i++)
-        nodeAdd(ground, false, false, i, i % site->zones)->used = true;
+        node_add(ground, false, false, i, i % site->zones)->used = true;
     for (int64_t i = 0; i < site->hands; i++)
-        nodeAdd(ground, true, false, i, i % site->zones)->used = true;
+        node_add(ground, true, false, i, i % site->zones)->used = true;
     return ground;
 }
 
@@ -128,7 +128,7 @@
                        node->life > 1 || groundDayMs(ground) >= 0 ? node->life * 64 + (uint64_t)node->machine : 0);
     for (int i = 0; i < 3;) {
         const GroundNode *one = &ground->edges[diceSpan(&dice, 0, (int64_t)ground->edgeCount - 1)];
-        const char *ip = simAddress(ground->world, one->machine);
+        const char *ip = sim_address(ground->world, one->machine);
         bool known = false;
         for (int k = 0; k < i; k++)
             known |= strcmp(seeds[k], ip) == 0;
@@ -142,7 +142,7 @@
     const Ground *ground = node->ground;
     TongueNode told = {.name = node->name,
                        .zone = node->zone,
-                       .ip = simAddress(ground->world, node->machine),
+                       .ip = sim_address(ground->world, node->machine),
                        .side = node->side,
                        .disk = node->disk,
                        .founds = node->life == 1 && groundDayMs(ground) < 0};
@@ -162,24 +162,24 @@
 static void againLater(void *arg)
 {
     GroundNode *node = arg;
-    if (!simAlive(node->ground->world, node->machine) && !node->gone)
-        nodeStart(node);
+    if (!sim_alive(node->ground->world, node->machine) && !node->gone)
+        node_start(node);
 }
 
 static void endsAlone(void *arg)
 {
     GroundNode *node = arg;
     nodeKill(node, false);
-    simAt(node->ground->world, groundNowMs(node->ground) + RESTART_MS, againLater, node);
+    sim_at(node->ground->world, groundNowMs(node->ground) + RESTART_MS, againLater, node);
 }
 
-static void bootMain(void *arg)
+static void boot_main(void *arg)
 {
     GroundNode *node = arg;
     Ground *ground = node->ground;
     Failure failure = {0};
     Loop *loop = sim_loop(ground->world, node->machine);
-    const CoreWatch watch = {node, onPlans};
+    const CoreWatch watch = {node, on_plans};
     const Props *props = &node->place.props;
     node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
@@ -198,19 +198,19 @@
     groundSay(ground, "%s does not start: %s", node->name, failure.text);
     if (node->troubles == 0)
         rulesBroke(ground->rules, RULE_FAULT, groundDayMs(ground), "%s does not start: %s", node->name, failure.text);
-    simAt(ground->world, groundNowMs(ground), endsAlone, node);
+    sim_at(ground->world, groundNowMs(ground), endsAlone, node);
 }
 
 static void processStart(void *arg, Loop *loop)
 {
     GroundNode *node = arg;
     node->mem = talloc_new(loop);
-    loop_spawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", boot_main, node);
 }
 
-void nodeStart(GroundNode *node)
+void node_start(GroundNode *node)
 {
-    if (simAlive(node->ground->world, node->machine))
+    if (sim_alive(node->ground->world, node->machine))
         return;
     node->used = true;
     node->life++;
@@ -223,14 +223,14 @@
 static void nodeOver(GroundNode *node)
 {
     if (node->node.core != NULL)
-        checkerLeaderGone(node->ground->checker, node->name);
+        checker_leader_gone(node->ground->checker, node->name);
     node->node = (FaceNode){0};
     node->up = node->leaving = false;
 }
 
 void nodeKill(GroundNode *node, bool power)
 {
-    if (!simAlive(node->ground->world, node->machine))
+    if (!sim_alive(node->ground->world, node->machine))
         return;
     nodeOver(node);
     if (power)
@@ -267,15 +267,15 @@
     Rolling *rolling = arg;
     GroundNode *node = rolling->node;
     Ground *ground = node->ground;
-    if (node->life == rolling->life && simAlive(ground->world, node->machine)) {
+    if (node->life == rolling->life && sim_alive(ground->world, node->machine)) {
         if (!rolling->ended && groundNowMs(ground) < rolling->until_ms) {
-            simAt(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
+            sim_at(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
             return;
         }
         if (!rolling->ended)
             groundSay(ground, "%s is ended by force", node->name);
         nodeKill(node, false);
-        simAt(ground->world, groundNowMs(ground) + RESTART_MS, againLater, node);
+        sim_at(ground->world, groundNowMs(ground) + RESTART_MS, againLater, node);
     }
     talloc_free(rolling);
 }
@@ -290,7 +290,7 @@
     node->leaving = true;
     nodeTrouble(node, 0);
     loop_spawn(node->node.loop, "term", termMain, rolling);
-    simAt(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
+    sim_at(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
 }
 
 /* --- links and health ---------------------------------------------------------------------------- */
@@ -312,7 +312,7 @@
 void groundCut(GroundNode *a, GroundNode *b, bool cut)
 {
     SimWorld *world = a->ground->world;
-    if (a == b || simIsCut(world, a->machine, b->machine) == cut)
+    if (a == b || sim_is_cut(world, a->machine, b->machine) == cut)
         return;
     sim_cut(world, a->machine, b->machine, cut);
     sim_cut(world, b->machine, a->machine, cut);
@@ -342,9 +342,9 @@
 void nodeFreeze(GroundNode *node, int64_t for_ms)
 {
     Ground *ground = node->ground;
-    simFreeze(ground->world, node->machine, groundNowMs(ground) + for_ms);
+    sim_freeze(ground->world, node->machine, groundNowMs(ground) + for_ms);
     nodeTrouble(node, 1);
-    simAt(ground->world, groundNowMs(ground) + for_ms, thawed, node);
+    sim_at(ground->world, groundNowMs(ground) + for_ms, thawed, node);
 }
 
 static bool since(int64_t troubleMs, int64_t now_ms, int64_t span_ms)
@@ -379,7 +379,7 @@
 {
     for (size_t i = 0; i < ground->edgeCount; i++) {
         GroundNode *node = &ground->edges[i];
-        if (node->up && node->node.core != NULL && !simFrozen(ground->world, node->machine) &&
+        if (node->up && node->node.core != NULL && !sim_frozen(ground->world, node->machine) &&
             view_leading(core_view(node->node.core)))
             return node;
     }
@@ -391,9 +391,9 @@
     ground->began_ms = groundNowMs(ground) + ground->site->leadMs;
     for (size_t i = 0; i < ground->edgeCount; i++)
         if (ground->edges[i].used)
-            nodeStart(&ground->edges[i]);
+            node_start(&ground->edges[i]);
     for (size_t i = 0; i < ground->sideCount; i++)
-        nodeStart(&ground->sides[i]);
+        node_start(&ground->sides[i]);
 }
 
 void groundDump(const Ground *ground)
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -68,7 +68,7 @@
 /* The log rings of all machines, when it is loud. */
 void groundDump(const Ground *ground);
 
-void nodeStart(GroundNode *node);
+void node_start(GroundNode *node);
 void nodeKill(GroundNode *node, bool power);
 /* A polite stop, by force after grace; then it is started again. */
 void nodeRoll(GroundNode *node);
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -58,7 +58,7 @@
                      .zone = hand->zone,
                      .label = hand->label,
                      .rack = hand->rack,
-                     .address = talloc_asprintf(mem, "%s:8080", simAddress(hand->hands->ground->world, hand->machine)),
+                     .address = talloc_asprintf(mem, "%s:8080", sim_address(hand->hands->ground->world, hand->machine)),
                      .room = hand->room,
                      .leaving = hand->leaving,
                      .leave_ms = hand->leave_at_ms > now_ms ? hand->leave_at_ms - now_ms : 0,
@@ -96,7 +96,7 @@
     const bool leaving = report.leaving;
     HttpCall call = {
         .mem = mem,
-        .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, hand->side->machine), tongue->operatorPort),
+        .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine), tongue->operatorPort),
         .method = "POST",
         .path = tongue->beatPath(mem, hand->boot, false),
         .body = tongue->report(mem, &report),
@@ -139,7 +139,7 @@
         handCrash(hand, false);
 }
 
-static void leaveMain(void *arg)
+static void leave_main(void *arg)
 {
     Hand *hand = arg;
     const Ground *ground = hand->hands->ground;
@@ -152,7 +152,7 @@
     }
     void *mem = talloc_new(hand->mem);
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, hand->side->machine),
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
                                                 ground->tongue->operatorPort),
                      .method = "POST",
                      .path = ground->tongue->beatPath(mem, hand->boot, true),
@@ -160,7 +160,7 @@
     loop_call(hand->loop, &call);
     talloc_free(mem);
     groundSay(ground, "%s has left", hand->boot);
-    simAt(ground->world, groundNowMs(ground), overLater, hand);
+    sim_at(ground->world, groundNowMs(ground), overLater, hand);
 }
 
 void handLeave(Hand *hand, int64_t after_ms)
@@ -171,7 +171,7 @@
     hand->leave_at_ms = groundNowMs(hand->hands->ground) + after_ms;
     hand->newsOpen = true;
     signal_raise(hand->loop, &hand->news);
-    loop_spawn(hand->loop, "leave", leaveMain, hand);
+    loop_spawn(hand->loop, "leave", leave_main, hand);
 }
 
 /* --- its process ------------------------------------------------------------------------------------------ */
@@ -254,7 +254,7 @@
         snprintf(hand->rack, sizeof(hand->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
                  (int64_t)i / site->zones / site->rackHands);
         if (i % 3 == 1 && site->slowPercent > 0)
-            simClockRate(ground->world, hand->machine, 100 - site->slowPercent);
+            sim_clock_rate(ground->world, hand->machine, 100 - site->slowPercent);
     }
     return hands;
 }
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -16,7 +16,7 @@
 
 typedef struct ZoneOrder {
     const char *zone;
-    int64_t drainedMs; /* acknowledged; 0: not, or taken back */
+    int64_t drained_ms; /* acknowledged; 0: not, or taken back */
     int64_t backSentMs;
     bool open; /* an order is under way */
 } ZoneOrder;
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -205,7 +205,7 @@
         zone->backSentMs = groundNowMs(ground);
     const Outcome outcome = orderSend(ordering, &worded, ordering->drain ? ground->site->ackMs : GIVE_UP_MS);
     if (outcome == OUTCOME_GOOD) {
-        zone->drainedMs = ordering->drain ? groundNowMs(ground) : 0;
+        zone->drained_ms = ordering->drain ? groundNowMs(ground) : 0;
         zone->backSentMs = 0;
     }
     zone->open = false;
@@ -249,7 +249,7 @@
     const HttpPair heads[] = {{"host", queue.host}, {ground->tongue->waitHead, "1000"}};
     HttpCall call = {
         .mem = mem,
-        .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, node->machine), ground->tongue->frontPort),
+        .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine), ground->tongue->frontPort),
         .method = "GET",
         .path = queue.prefix,
         .wait_ms = CALL_MOST_MS,
@@ -284,7 +284,7 @@
     (void)loop;
 }
 
-Operator *operatorNew(void *mem, Ground *ground, Ledger *ledger)
+Operator *operator_new(void *mem, Ground *ground, Ledger *ledger)
 {
     Operator *self = talloc_zero(mem, Operator);
     *self = (Operator){.ground = ground,
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -17,7 +17,7 @@
     int64_t lastTakenMs;
 } Operator;
 
-Operator *operatorNew(void *mem, Ground *ground, Ledger *ledger);
+Operator *operator_new(void *mem, Ground *ground, Ledger *ledger);
 /* Sends the first document until it is taken; looks at entry points from then on. */
 void operatorStart(Operator *self);
 void operatorChange(Operator *self);
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -35,7 +35,7 @@
     const Ground *ground = self->ground;
     const HttpPair heads[] = {{worded->headName, worded->headValue}};
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", simAddress(ground->world, node->machine),
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine),
                                                 ground->tongue->operatorPort),
                      .method = method,
                      .path = worded->path,
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -56,7 +56,7 @@
     const TaskName *name = &start->order->name;
     if (!bookReady(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t due_ms = bookDueWallMs(start->job, name->turn), wall_ms = simWallMs(start->ground->world);
+    const int64_t due_ms = bookDueWallMs(start->job, name->turn), wall_ms = sim_wall_ms(start->ground->world);
     if (due_ms != 0 && wall_ms < due_ms - start->ground->site->earlyMs)
         BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", due_ms - wall_ms);
 }
@@ -126,8 +126,9 @@
         start->now_ms - hand->leaveAckMs > site->drainMs)
         BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->now_ms - hand->leaveAckMs);
     const ZoneOrder *zone = ledgerZone(hand->hands->ledger, hand->zone);
-    if (zone->drainedMs != 0 && zone->backSentMs == 0 && start->touch && start->now_ms - zone->drainedMs > site->evacMs)
-        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->now_ms - zone->drainedMs);
+    if (zone->drained_ms != 0 && zone->backSentMs == 0 && start->touch &&
+        start->now_ms - zone->drained_ms > site->evacMs)
+        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->now_ms - zone->drained_ms);
 }
 
 bool startCheck(Hand *hand, const HandStart *order)
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -136,7 +136,7 @@
 {
     GroundNode *node = arg;
     if (!node->gone)
-        nodeStart(node);
+        node_start(node);
 }
 
 static void coreCut(Trouble *trouble, bool cut)
@@ -158,7 +158,7 @@
         return;
     old->gone = true;
     nodeKill(old, true);
-    simAt(ground->world, groundNowMs(ground) + trouble->for_ms, again, spare);
+    sim_at(ground->world, groundNowMs(ground) + trouble->for_ms, again, spare);
 }
 
 /* Waits for the next thing that an entry point acknowledges. */
@@ -172,7 +172,7 @@
         ? day->operator->lastTaker : day->callers->lastTakenMs> from_ms ? day->callers->lastTaker : NULL;
     if (taker == NULL) {
         if (groundNowMs(ground) < from_ms + 2000)
-            simAt(ground->world, groundNowMs(ground) + 1, ackLook, trouble);
+            sim_at(ground->world, groundNowMs(ground) + 1, ackLook, trouble);
         return;
     }
     GroundNode *node = taker->disk ? taker : groundLeader(ground);
@@ -183,10 +183,10 @@
               trouble->kind == TROUBLE_ACK_WIPE ? "its disk" : "power");
     nodeKill(node, true);
     if (trouble->kind == TROUBLE_ACK_WIPE)
-        simDiskWipe(ground->world, node->machine);
+        sim_disk_wipe(ground->world, node->machine);
 }
 
-static void zoneOff(Trouble *trouble)
+static void zone_off(Trouble *trouble)
 {
     Day *day = trouble->day;
     trouble->zone = zoneDraw(trouble);
@@ -225,7 +225,7 @@
         break;
     }
     if (groundDayMs(ground) < trouble->at_ms + trouble->for_ms)
-        simAt(ground->world, groundNowMs(ground) + 1300, rollNext, trouble);
+        sim_at(ground->world, groundNowMs(ground) + 1300, rollNext, trouble);
 }
 
 static void strikeHands(Trouble *trouble)
@@ -296,7 +296,7 @@
         break;
     case TROUBLE_CORE_WIPE:
         nodeKill(node, true);
-        simDiskWipe(ground->world, node->machine);
+        sim_disk_wipe(ground->world, node->machine);
         break;
     case TROUBLE_CORE_FREEZE:
     case TROUBLE_GATE_FREEZE:
@@ -383,7 +383,7 @@
         ackLook(trouble);
         break;
     case TROUBLE_ZONE_OFF:
-        zoneOff(trouble);
+        zone_off(trouble);
         groundSay(trouble->day->ground, "zoneOff %s", trouble->zone);
         break;
     case TROUBLE_SIDE_KILL:
@@ -412,13 +412,13 @@
         ground->anyMs = groundNowMs(ground);
     switch (trouble->kind) {
     case TROUBLE_SIDE_KILL:
-        nodeStart(hand->side);
+        node_start(hand->side);
         break;
     case TROUBLE_SIDE_CUT:
         nodeCut(hand->side, false);
         break;
     case TROUBLE_SIDE_OFF:
-        nodeStart(hand->side);
+        node_start(hand->side);
         handStart(hand);
         break;
     case TROUBLE_HAND_CRASH:
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -32,7 +32,7 @@
         NEVER_COUNT
 } Never;
 
-const char *neverWords(Never never);
+const char *never_words(Never never);
 
 /* What an entry point serves, and the fleet. */
 #define SERVE_LIST(X)          \
@@ -46,7 +46,7 @@
         SERVE_COUNT
 } Serve;
 
-const char *serveWord(Serve serve);
+const char *serve_word(Serve serve);
 
 /* What became of an operator's change that concerns a tenant: it was sent (its
  * outcome is open), acknowledged with the tenant in or out, refused for good. */
@@ -66,72 +66,74 @@
     int64_t (*wall_ms)(void *arg);
 } CheckerProps;
 
-Checker *checkerNew(void *mem, const CheckerProps *props);
+Checker *checker_new(void *mem, const CheckerProps *props);
 /* What was seen to break: count, and the first one's words. */
-size_t checkerBroken(const Checker *checker, Never never);
-size_t checkerBrokenAll(const Checker *checker);
-const char *checkerFirst(const Checker *checker);
+size_t checker_broken(const Checker *checker, Never never);
+size_t checker_broken_all(const Checker *checker);
+const char *checker_first(const Checker *checker);
 
-void checkerPlans(Checker *checker, const char *leader, uint64_t epoch);
+void checker_plans(Checker *checker, const char *leader, uint64_t epoch);
 /* The process that leads or led has ended. */
-void checkerLeaderGone(Checker *checker, const char *leader);
-void checkerWorker(Checker *checker, const Worker *worker);
-void checkerStarted(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round, Room room);
+void checker_leader_gone(Checker *checker, const char *leader);
+void checker_worker(Checker *checker, const Worker *worker);
+void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round, Room room);
 /* The round that is about to start goes on from what was saved: the stand-ins word it
  * "TASK@MS of JOB". */
-void checkerResumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
-                    const char *saved);
-void checkerEnded(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word);
-void checkerKnown(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word);
+void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+                     const char *saved);
+void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+                   RoundWord word);
+void checker_known(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+                   RoundWord word);
 /* The worker's process is gone: nothing runs there any more. */
-void checkerWorkerGone(Checker *checker, const char *worker);
+void checker_worker_gone(Checker *checker, const char *worker);
 /* It has just begun to run again after standing still. */
-void checkerWorkerWoke(Checker *checker, const char *worker);
-void checkerLeaving(Checker *checker, const char *worker, bool leaving);
-void checkerZone(Checker *checker, const char *zone, bool drained);
+void checker_worker_woke(Checker *checker, const char *worker);
+void checker_leaving(Checker *checker, const char *worker, bool leaving);
+void checker_zone(Checker *checker, const char *zone, bool drained);
 /* A new process of the worker has asked its agent: nothing of the old one runs. */
-void checkerBooted(Checker *checker, const char *worker);
+void checker_booted(Checker *checker, const char *worker);
 /* The worker holds a claim on all it runs until then, on the one clock. */
-void checkerHeld(Checker *checker, const char *worker, int64_t until_ms);
+void checker_held(Checker *checker, const char *worker, int64_t until_ms);
 /* The worker has been told to stop the round. */
-void checkerTold(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round);
+void checker_told(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round);
 /* A failure is brought about, or mended, just now. */
-void checkerFault(Checker *checker);
+void checker_fault(Checker *checker);
 /* An entry point has served something; what it must have served by now, 12 s
  * after the last failure; likewise the fleet a start. */
-void checkerServed(Checker *checker, const char *entry, Serve serve);
-void checkerMustServe(Checker *checker, const char *entry);
-void checkerMustStart(Checker *checker);
+void checker_served(Checker *checker, const char *entry, Serve serve);
+void checker_must_serve(Checker *checker, const char *entry);
+void checker_must_start(Checker *checker);
 /* The longest time from the last failure to the first service after it, of those asserted. */
-int64_t checkerWorstMs(const Checker *checker, Serve serve);
+int64_t checker_worst_ms(const Checker *checker, Serve serve);
 /* The job is sent for the first time. */
-void checkerSent(Checker *checker, const char *job);
-void checkerAccepted(Checker *checker, const char *job);
-void checkerRefused(Checker *checker, const char *job);
-void checkerCancelled(Checker *checker, const char *job);
-void checkerJobEnded(Checker *checker, const char *job, const char *phase);
-void checkerUnknown(Checker *checker, const char *job);
+void checker_sent(Checker *checker, const char *job);
+void checker_accepted(Checker *checker, const char *job);
+void checker_refused(Checker *checker, const char *job);
+void checker_cancelled(Checker *checker, const char *job);
+void checker_job_ended(Checker *checker, const char *job, const char *phase);
+void checker_unknown(Checker *checker, const char *job);
 /* The revision that an operator was told is in force, and one read back later. */
-void checkerConfigSet(Checker *checker, uint64_t revision);
+void checker_config_set(Checker *checker, uint64_t revision);
 /* Two operators were both told that their change built on this base. */
-void checkerConfigBoth(Checker *checker, uint64_t base);
-void checkerConfigRead(Checker *checker, uint64_t revision);
+void checker_config_both(Checker *checker, uint64_t base);
+void checker_config_read(Checker *checker, uint64_t revision);
 /* The effect of configurations: who is in and out, tried by work sent at sent_ms
  * and answered now; a quota of the tenant in every cell. */
-void checkerTenant(Checker *checker, const char *tenant, TenantWord word);
-void checkerProbe(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
-void checkerQuota(Checker *checker, const char *tenant, Room quota, TenantWord word);
+void checker_tenant(Checker *checker, const char *tenant, TenantWord word);
+void checker_probe(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
+void checker_quota(Checker *checker, const char *tenant, Room quota, TenantWord word);
 /* Accepted jobs not shown as ended. */
-size_t checkerOpen(const Checker *checker);
-size_t checkerStarts(const Checker *checker);
+size_t checker_open(const Checker *checker);
+size_t checker_starts(const Checker *checker);
 /* Of those, how many went on from what was saved. */
-size_t checkerResumes(const Checker *checker);
-size_t checkerStartsOn(Checker *checker, const char *worker);
+size_t checker_resumes(const Checker *checker);
+size_t checker_starts_on(Checker *checker, const char *worker);
 /* How long ago the worker last started something. */
-int64_t checkerStartedSince(Checker *checker, const char *worker);
+int64_t checker_started_since(Checker *checker, const char *worker);
 /* To be called now and then: looks for what takes time to go wrong. */
-void checkerLook(Checker *checker);
+void checker_look(Checker *checker);
 /* At the end of a run: every accepted job must have ended. */
-void checkerEnd(Checker *checker);
+void checker_end(Checker *checker);
 
 #endif
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -26,7 +26,7 @@
     bool votes;     /* founded by the seeds' votes; a process started again founds nothing */
     bool disks_keep;
     int64_t seat_back_ms;
-    int64_t staggerMs; /* processes start at moments drawn from so long a span */
+    int64_t stagger_ms; /* processes start at moments drawn from so long a span */
 } FleetSite;
 
 typedef enum FleetRole { FLEET_CORE, FLEET_GATE, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
@@ -42,7 +42,7 @@
     Gate *gate;
     Agent *agent;
     StandWorker *worker;
-    StandWorkerProps workerProps;
+    StandWorkerProps worker_props;
     bool up; /* its start has come to an end well */
     Ring *ring;
 } FleetNode;
@@ -53,58 +53,58 @@
     FleetShape shape;
     FleetSite site;
     FleetNode nodes[FLEET_ROLES][FLEET_EACH_MAX];
-    int nodeCount[FLEET_ROLES];
+    int node_count[FLEET_ROLES];
     int caller; /* the machine of callers and operators */
     Caller *callers[8];
-    int callerCount;
-    bool probesOver;
+    int caller_count;
+    bool probes_over;
 } Fleet;
 
-Fleet *fleetNew(void *mem, uint64_t seed, FleetShape shape);
-Fleet *fleetNewAt(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site);
-void fleetStart(Fleet *fleet);
-FleetNode *fleetNode(Fleet *fleet, FleetRole role, int number);
-void fleetStartNode(Fleet *fleet, FleetRole role, int number);
-void fleetKill(Fleet *fleet, FleetRole role, int number);
-void fleetPowerOff(Fleet *fleet, FleetRole role, int number);
-void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms);
+Fleet *fleet_new(void *mem, uint64_t seed, FleetShape shape);
+Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site);
+void fleet_start(Fleet *fleet);
+FleetNode *fleet_node(Fleet *fleet, FleetRole role, int number);
+void fleet_start_node(Fleet *fleet, FleetRole role, int number);
+void fleet_kill(Fleet *fleet, FleetRole role, int number);
+void fleet_power_off(Fleet *fleet, FleetRole role, int number);
+void fleet_freeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms);
 /* Runs until no machine stands still. */
-void fleetThaw(Fleet *fleet);
+void fleet_thaw(Fleet *fleet);
 /* SIGTERM, and once it has drained, the next release of it is started. */
-void fleetRoll(Fleet *fleet, FleetRole role, int number);
+void fleet_roll(Fleet *fleet, FleetRole role, int number);
 /* SIGTERM, and it is not started again. */
-void fleetLeave(Fleet *fleet, FleetRole role, int number);
+void fleet_leave(Fleet *fleet, FleetRole role, int number);
 /* Cuts every way between a node and all others (but callers when kept). */
-void fleetIsolate(Fleet *fleet, FleetRole role, int number, bool cut);
+void fleet_isolate(Fleet *fleet, FleetRole role, int number, bool cut);
 /* Cuts a zone off from the others. */
-void fleetZoneCut(Fleet *fleet, const char *zone, bool cut);
-int fleetLeader(const Fleet *fleet); /* number of the core that leads now; -1 */
-const Job *fleetJob(const Fleet *fleet, const char *id);
+void fleet_zone_cut(Fleet *fleet, const char *zone, bool cut);
+int fleet_leader(const Fleet *fleet); /* number of the core that leads now; -1 */
+const Job *fleet_job(const Fleet *fleet, const char *id);
 /* Runs on for so long. */
-void fleetRun(Fleet *fleet, int64_t for_ms);
+void fleet_run(Fleet *fleet, int64_t for_ms);
 /* Runs until a core leads and all workers are ready, at most so long. */
-bool fleetSettle(Fleet *fleet, int64_t most_ms);
+bool fleet_settle(Fleet *fleet, int64_t most_ms);
 /* Whether callers of the gate can be served now: it is up, and two cores with a
  * seat are, with working disks, each reaching the other and the gate. */
-bool fleetServable(const Fleet *fleet, int gate);
+bool fleet_servable(const Fleet *fleet, int gate);
 /* Cores that run, hold a seat and have a working disk. */
-int fleetSeats(const Fleet *fleet);
+int fleet_seats(const Fleet *fleet);
 /* Workers that could take work: up with their agents, and those reach such cores. */
-int fleetWorkable(const Fleet *fleet);
+int fleet_workable(const Fleet *fleet);
 /* Sets the mix's configuration; runs until it is told. */
-bool fleetConfigure(Fleet *fleet);
+bool fleet_configure(Fleet *fleet);
 /* Hands in the mix for so long, through all gates. */
-Caller *fleetCall(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms);
+Caller *fleet_call(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms);
 /* Runs until every accepted job has been shown as ended, at most so long. */
-bool fleetFinish(Fleet *fleet, int64_t most_ms);
+bool fleet_finish(Fleet *fleet, int64_t most_ms);
 /* One request by the operators' machine; runs until it is answered. The result
  * hangs on mem. */
-HttpCall fleetAsk(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                  const char *body);
+HttpCall fleet_ask(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
+                   const char *body);
 /* The same with headers. */
-HttpCall fleetAskAs(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                    const char *body, const HttpPair *heads, size_t head_count);
+HttpCall fleet_ask_as(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
+                      const char *body, const HttpPair *heads, size_t head_count);
 /* Ring lines of all nodes, for a failed run. */
-void fleetDump(const Fleet *fleet);
+void fleet_dump(const Fleet *fleet);
 
 #endif
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -21,7 +21,7 @@
 } SweepSite;
 
 /* SWEEP_SITES when the word is none of them. */
-SweepSite sweepSiteOf(const char *word);
+SweepSite sweep_site_of(const char *word);
 
 /* What is drawn besides the mix. */
 typedef struct SweepProps {
@@ -37,7 +37,7 @@
     char why[512];
     size_t starts, faults, asserted; /* asserted: times that an entry point had to serve */
     size_t steps;                    /* drawn, with those skipped */
-    int64_t worstMs[SERVE_COUNT];    /* from a burst's last failure to the first service, over all entries */
+    int64_t worst_ms[SERVE_COUNT];   /* from a burst's last failure to the first service, over all entries */
 } SweepResult;
 
 /* One run of failures drawn from the seed, of all the kinds that the brief names
@@ -50,6 +50,6 @@
  * In one seed of four, disks may lose all that they acknowledged. Then diskless nodes
  * are not lost or cut off as well: what was told first is kept for two minutes by
  * one gate and by agents, and the design promises repair from them, not from nobody. */
-void sweepRun(const SweepProps *props, SweepResult *result);
+void sweep_run(const SweepProps *props, SweepResult *result);
 
 #endif
--- a/packages/sim/include/sim/timeline.h
+++ b/packages/sim/include/sim/timeline.h
@@ -29,6 +29,6 @@
 
 /* Builds the fleet, draws the timeline, checks every never at each step. True
  * when all claims held and no never broke; else why says which. */
-bool timelineRun(uint64_t seed, FleetShape shape, const char *text, char *why, size_t whySize);
+bool timeline_run(uint64_t seed, FleetShape shape, const char *text, char *why, size_t why_size);
 
 #endif
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -8,7 +8,7 @@
 
 typedef void (*ClaimFn)(SeenTask *task, const SeenWorker *worker);
 
-static void eachTask(Checker *checker, const SeenWorker *worker, ClaimFn fn)
+static void each_task(Checker *checker, const SeenWorker *worker, ClaimFn fn)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
@@ -24,15 +24,15 @@
 }
 
 /* The claims stand as they were when the process ended. */
-static void claimsStand(SeenTask *task, const SeenWorker *worker)
+static void claims_stand(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim *claim = task->claims; claim != NULL; claim = claim->next)
         if (claim->worker == worker->worker.name && claim->until_ms == 0)
-            claim->until_ms = worker->claimUntilMs > 0 ? worker->claimUntilMs : 1;
+            claim->until_ms = worker->claim_until_ms > 0 ? worker->claim_until_ms : 1;
 }
 
 /* A new boot of the worker has been heard: it runs nothing of the old one. */
-static void claimsDrop(SeenTask *task, const SeenWorker *worker)
+static void claims_drop(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim **at = &task->claims; *at != NULL;) {
         SeenClaim *claim = *at;
@@ -45,34 +45,34 @@
     }
 }
 
-void checkerHeld(Checker *checker, const char *worker, int64_t until_ms)
+void checker_held(Checker *checker, const char *worker, int64_t until_ms)
 {
-    SeenWorker *on = seenWorker(checker, worker);
-    if (until_ms - checkerNow(checker) > CLAIM_MOST_MS)
-        checkerBroke(checker, NEVER_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
-                     until_ms - checkerNow(checker));
-    if (until_ms > on->claimUntilMs)
-        on->claimUntilMs = until_ms;
+    SeenWorker *on = seen_worker(checker, worker);
+    if (until_ms - checker_now(checker) > CLAIM_MOST_MS)
+        checker_broke(checker, NEVER_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
+                      until_ms - checker_now(checker));
+    if (until_ms > on->claim_until_ms)
+        on->claim_until_ms = until_ms;
 }
 
-void checkerBooted(Checker *checker, const char *worker)
+void checker_booted(Checker *checker, const char *worker)
 {
-    eachTask(checker, seenWorker(checker, worker), claimsDrop);
+    each_task(checker, seen_worker(checker, worker), claims_drop);
 }
 
-void claimStart(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
-                uint64_t round, bool copies)
+void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
+                 uint64_t round, bool copies)
 {
-    const int64_t now_ms = checkerNow(checker);
+    const int64_t now_ms = checker_now(checker);
     for (SeenClaim **at = &task->claims; *at != NULL;) {
         SeenClaim *claim = *at;
         const int64_t until_ms =
-            claim->until_ms != 0 ? claim->until_ms : seenWorker(checker, claim->worker)->claimUntilMs;
+            claim->until_ms != 0 ? claim->until_ms : seen_worker(checker, claim->worker)->claim_until_ms;
         if (now_ms < until_ms && !copies)
-            checkerBroke(checker, NEVER_EARLY_RESTART,
-                         "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
-                         " ms before %s's claim of round %" PRIu64 " lapses",
-                         job->id, number, round, worker, until_ms - now_ms, claim->worker, claim->round);
+            checker_broke(checker, NEVER_EARLY_RESTART,
+                          "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
+                          " ms before %s's claim of round %" PRIu64 " lapses",
+                          job->id, number, round, worker, until_ms - now_ms, claim->worker, claim->round);
         *at = claim->next;
         talloc_free(claim);
     }
@@ -81,13 +81,13 @@
     task->claims = mine;
 }
 
-void claimGone(Checker *checker, SeenWorker *worker)
+void claim_gone(Checker *checker, SeenWorker *worker)
 {
-    eachTask(checker, worker, claimsStand);
-    worker->claimUntilMs = 0;
+    each_task(checker, worker, claims_stand);
+    worker->claim_until_ms = 0;
 }
 
-void claimEnd(SeenTask *task, const char *worker, uint64_t round)
+void claim_end(SeenTask *task, const char *worker, uint64_t round)
 {
     for (SeenClaim **at = &task->claims; *at != NULL; at = &(*at)->next)
         if ((*at)->round == round && (*at)->worker == worker) {
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *neverWords(Never never)
+const char *never_words(Never never)
 {
     static const char *const WORDS[] = {
 #define X(name, words) words,
@@ -16,7 +16,7 @@
     return never < NEVER_COUNT ? WORDS[never] : "";
 }
 
-Checker *checkerNew(void *mem, const CheckerProps *props)
+Checker *checker_new(void *mem, const CheckerProps *props)
 {
     Checker *checker = talloc_zero(mem, Checker);
     checker->props = *props;
@@ -31,45 +31,45 @@
     return checker;
 }
 
-int64_t checkerNow(const Checker *checker)
+int64_t checker_now(const Checker *checker)
 {
     return checker->props.now_ms(checker->props.arg);
 }
 
-void checkerBroke(Checker *checker, Never never, const char *format, ...)
+void checker_broke(Checker *checker, Never never, const char *format, ...)
 {
     checker->broken[never]++;
-    if (checker->brokenAll++ > 0)
+    if (checker->broken_all++ > 0)
         return;
     va_list args;
     va_start(args, format);
     char *detail = talloc_vasprintf(checker, format, args);
     va_end(args);
     checker->first =
-        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checkerNow(checker), neverWords(never), detail);
+        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), never_words(never), detail);
 }
 
-size_t checkerBroken(const Checker *checker, Never never)
+size_t checker_broken(const Checker *checker, Never never)
 {
     return checker->broken[never];
 }
 
-size_t checkerBrokenAll(const Checker *checker)
+size_t checker_broken_all(const Checker *checker)
 {
-    return checker->brokenAll;
+    return checker->broken_all;
 }
 
-const char *checkerFirst(const Checker *checker)
+const char *checker_first(const Checker *checker)
 {
     return checker->first;
 }
 
-size_t checkerStarts(const Checker *checker)
+size_t checker_starts(const Checker *checker)
 {
     return checker->starts;
 }
 
-SeenJob *seenJob(Checker *checker, const char *id)
+SeenJob *seen_job(Checker *checker, const char *id)
 {
     SeenJob *job = map_get(checker->jobs, id);
     if (job == NULL) {
@@ -82,7 +82,7 @@
     return job;
 }
 
-SeenTask *seenTask(SeenJob *job, uint64_t task)
+SeenTask *seen_task(SeenJob *job, uint64_t task)
 {
     char key[24];
     snprintf(key, sizeof(key), "%" PRIu64, task);
@@ -94,7 +94,7 @@
     return seen;
 }
 
-SeenWorker *seenWorker(Checker *checker, const char *name)
+SeenWorker *seen_worker(Checker *checker, const char *name)
 {
     SeenWorker *worker = map_get(checker->workers, name);
     if (worker == NULL) {
@@ -105,9 +105,9 @@
     return worker;
 }
 
-void checkerWorker(Checker *checker, const Worker *worker)
+void checker_worker(Checker *checker, const Worker *worker)
 {
-    SeenWorker *seen = seenWorker(checker, worker->name);
+    SeenWorker *seen = seen_worker(checker, worker->name);
     const char *name = seen->worker.name;
     shape_copy(&Worker_shape, worker, seen, &seen->worker);
     seen->worker.name = name; /* runs and claims point at it */
@@ -116,47 +116,47 @@
 /* An epoch below the highest that planned may plan only if it is new and the
  * one with the highest has ended: then disks have forgotten, but nobody plans
  * at once with another. */
-void checkerPlans(Checker *checker, const char *leader, uint64_t epoch)
+void checker_plans(Checker *checker, const char *leader, uint64_t epoch)
 {
     char key[24];
     snprintf(key, sizeof(key), "%" PRIu64, epoch);
     const char *holder = map_get(checker->epochs, key);
-    const bool lower = epoch < checker->planEpoch && (holder != NULL || !checker->planGone);
+    const bool lower = epoch < checker->plan_epoch && (holder != NULL || !checker->plan_gone);
     if (lower || (holder != NULL && strcmp(holder, leader) != 0)) {
-        checkerBroke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, epoch,
-                     checker->planLeader, checker->planEpoch);
+        checker_broke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, epoch,
+                      checker->plan_leader, checker->plan_epoch);
         return;
     }
     if (holder == NULL)
         map_set(checker->epochs, key, talloc_strdup(checker, leader));
-    if (checker->planLeader == NULL || strcmp(checker->planLeader, leader) != 0)
-        checker->planLeader = talloc_strdup(checker, leader);
-    checker->planEpoch = epoch;
-    checker->planGone = false;
+    if (checker->plan_leader == NULL || strcmp(checker->plan_leader, leader) != 0)
+        checker->plan_leader = talloc_strdup(checker, leader);
+    checker->plan_epoch = epoch;
+    checker->plan_gone = false;
 }
 
-void checkerLeaderGone(Checker *checker, const char *leader)
+void checker_leader_gone(Checker *checker, const char *leader)
 {
-    if (checker->planLeader != NULL && strcmp(checker->planLeader, leader) == 0)
-        checker->planGone = true;
+    if (checker->plan_leader != NULL && strcmp(checker->plan_leader, leader) == 0)
+        checker->plan_gone = true;
 }
 
-size_t checkerResumes(const Checker *checker)
+size_t checker_resumes(const Checker *checker)
 {
     return checker->resumes;
 }
 
-size_t checkerStartsOn(Checker *checker, const char *worker)
+size_t checker_starts_on(Checker *checker, const char *worker)
 {
-    return seenWorker(checker, worker)->starts;
+    return seen_worker(checker, worker)->starts;
 }
 
-int64_t checkerStartedSince(Checker *checker, const char *worker)
+int64_t checker_started_since(Checker *checker, const char *worker)
 {
-    return checkerNow(checker) - seenWorker(checker, worker)->started_ms;
+    return checker_now(checker) - seen_worker(checker, worker)->started_ms;
 }
 
-bool seenRunTake(SeenWorker *on, SeenTask *seen, uint64_t round)
+bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t round)
 {
     for (SeenRun **at = &seen->runs; *at != NULL; at = &(*at)->next) {
         SeenRun *run = *at;
@@ -170,63 +170,63 @@
     return false;
 }
 
-void checkerEnded(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
+void checker_ended(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
 {
-    SeenTask *seen = seenTask(seenJob(checker, id), task);
-    seenRunTake(seenWorker(checker, worker), seen, round);
-    claimEnd(seen, seenWorker(checker, worker)->worker.name, round);
+    SeenTask *seen = seen_task(seen_job(checker, id), task);
+    seen_run_take(seen_worker(checker, worker), seen, round);
+    claim_end(seen, seen_worker(checker, worker)->worker.name, round);
     if (word == ROUND_DONE)
         seen->done = true;
 }
 
-void checkerKnown(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
+void checker_known(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
 {
     (void)worker;
     (void)round;
     if (word == ROUND_DONE)
-        seenTask(seenJob(checker, id), task)->doneKnown = true;
+        seen_task(seen_job(checker, id), task)->done_known = true;
 }
 
 /* Looks at the task of that index, or at each member of its gang. */
-static bool seenAny(const Job *known, SeenJob *job, size_t at, bool (*is)(const SeenTask *task))
+static bool seen_any(const Job *known, SeenJob *job, size_t at, bool (*is)(const SeenTask *task))
 {
     const JobTask *task = &known->tasks[at];
     const StepSpec *step = &known->spec.steps[task->step];
     const size_t first = step->gang ? task_first(known, task) : at, count = step->gang ? (size_t)step->count : 1;
     bool any = false;
     for (size_t t = first; t < first + count && !any; t++)
-        any = is(seenTask(job, task_number(&known->tasks[t])));
+        any = is(seen_task(job, task_number(&known->tasks[t])));
     return any;
 }
 
-static bool isDone(const SeenTask *task)
+static bool is_done(const SeenTask *task)
 {
     return task->done;
 }
 
-static bool isDoneKnown(const SeenTask *task)
+static bool is_done_known(const SeenTask *task)
 {
-    return task->doneKnown;
+    return task->done_known;
 }
 
-bool seenDoneKnown(const Job *known, SeenJob *job, size_t at)
+bool seen_done_known(const Job *known, SeenJob *job, size_t at)
 {
-    return seenAny(known, job, at, isDoneKnown);
+    return seen_any(known, job, at, is_done_known);
 }
 
-bool seenDone(const Job *known, SeenJob *job, size_t at)
+bool seen_done(const Job *known, SeenJob *job, size_t at)
 {
-    return seenAny(known, job, at, isDone);
+    return seen_any(known, job, at, is_done);
 }
 
 typedef void (*RunFn)(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run);
 
-static void eachRun(Checker *checker, const char *worker, RunFn fn)
+static void each_run(Checker *checker, const char *worker, RunFn fn)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
     const size_t count = map_keys(checker->unsettled, mem, &ids);
-    const SeenWorker *on = seenWorker(checker, worker);
+    const SeenWorker *on = seen_worker(checker, worker);
     for (size_t i = 0; i < count; i++) {
         SeenJob *job = map_get(checker->jobs, ids[i]);
         const char **tasks;
@@ -243,64 +243,64 @@
     talloc_free(mem);
 }
 
-static void runGone(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+static void run_gone(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)job;
-    seenRunTake(seenWorker(checker, run->worker), task, run->round);
+    seen_run_take(seen_worker(checker, run->worker), task, run->round);
 }
 
-void checkerWorkerGone(Checker *checker, const char *worker)
+void checker_worker_gone(Checker *checker, const char *worker)
 {
-    eachRun(checker, worker, runGone);
-    claimGone(checker, seenWorker(checker, worker));
+    each_run(checker, worker, run_gone);
+    claim_gone(checker, seen_worker(checker, worker));
 }
 
-static void runWoke(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+static void run_woke(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)task;
-    if (run->besideFrozen)
-        checkerBroke(checker, NEVER_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
-                     run->round, run->worker);
+    if (run->beside_frozen)
+        checker_broke(checker, NEVER_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
+                      run->round, run->worker);
 }
 
-void checkerWorkerWoke(Checker *checker, const char *worker)
+void checker_worker_woke(Checker *checker, const char *worker)
 {
-    eachRun(checker, worker, runWoke);
+    each_run(checker, worker, run_woke);
 }
 
-void checkerLeaving(Checker *checker, const char *worker, bool leaving)
+void checker_leaving(Checker *checker, const char *worker, bool leaving)
 {
-    seenWorker(checker, worker)->leavingMs = leaving ? checkerNow(checker) : 0;
+    seen_worker(checker, worker)->leaving_ms = leaving ? checker_now(checker) : 0;
 }
 
-void checkerZone(Checker *checker, const char *name, bool drained)
+void checker_zone(Checker *checker, const char *name, bool drained)
 {
     SeenZone *zone = map_get(checker->zones, name);
     if (zone == NULL) {
         zone = talloc_zero(checker, SeenZone);
         map_set(checker->zones, name, zone);
     }
-    zone->drainedMs = drained ? checkerNow(checker) : 0;
+    zone->drained_ms = drained ? checker_now(checker) : 0;
 }
 
-void checkerSent(Checker *checker, const char *id)
+void checker_sent(Checker *checker, const char *id)
 {
-    SeenJob *job = seenJob(checker, id);
+    SeenJob *job = seen_job(checker, id);
     if (job->sent_ms == 0)
-        job->sent_ms = checkerNow(checker);
+        job->sent_ms = checker_now(checker);
 }
 
-void checkerTold(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round)
+void checker_told(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round)
 {
-    const SeenWorker *on = seenWorker(checker, worker);
-    for (SeenRun *run = seenTask(seenJob(checker, id), task)->runs; run != NULL; run = run->next)
+    const SeenWorker *on = seen_worker(checker, worker);
+    for (SeenRun *run = seen_task(seen_job(checker, id), task)->runs; run != NULL; run = run->next)
         if (run->worker == on->worker.name && run->round == round && run->told_ms == 0)
-            run->told_ms = checkerNow(checker);
+            run->told_ms = checker_now(checker);
 }
 
-void checkerFault(Checker *checker)
+void checker_fault(Checker *checker)
 {
-    checker->faultMs = checkerNow(checker);
+    checker->fault_ms = checker_now(checker);
     checker->started_ms = 0;
     void *mem = talloc_new(NULL);
     const char **names;
@@ -310,56 +310,56 @@
     talloc_free(mem);
 }
 
-int64_t checkerDebtMs(const Checker *checker, int64_t asked_ms)
+int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms)
 {
-    const int64_t servesMs = checker->faultMs == 0 ? 0 : checker->faultMs + SERVE_LATE_MS;
-    return checkerNow(checker) - (asked_ms > servesMs ? asked_ms : servesMs);
+    const int64_t serves_ms = checker->fault_ms == 0 ? 0 : checker->fault_ms + SERVE_LATE_MS;
+    return checker_now(checker) - (asked_ms > serves_ms ? asked_ms : serves_ms);
 }
 
-void checkerAccepted(Checker *checker, const char *id)
+void checker_accepted(Checker *checker, const char *id)
 {
-    SeenJob *job = seenJob(checker, id);
+    SeenJob *job = seen_job(checker, id);
     job->accepted = true;
     if (job->refused)
-        checkerBroke(checker, NEVER_REFUSED_RAN, "%s was accepted after it was refused", id);
+        checker_broke(checker, NEVER_REFUSED_RAN, "%s was accepted after it was refused", id);
 }
 
-void checkerRefused(Checker *checker, const char *id)
+void checker_refused(Checker *checker, const char *id)
 {
-    SeenJob *job = seenJob(checker, id);
+    SeenJob *job = seen_job(checker, id);
     job->refused = true;
     void *mem = talloc_new(NULL);
     const char **tasks;
     if (map_keys(job->tasks, mem, &tasks) > 0 || job->accepted)
-        checkerBroke(checker, NEVER_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
+        checker_broke(checker, NEVER_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
     talloc_free(mem);
 }
 
-void checkerCancelled(Checker *checker, const char *id)
+void checker_cancelled(Checker *checker, const char *id)
 {
-    seenJob(checker, id)->cancelledMs = checkerNow(checker);
+    seen_job(checker, id)->cancelled_ms = checker_now(checker);
 }
 
-void checkerJobEnded(Checker *checker, const char *id, const char *phase)
+void checker_job_ended(Checker *checker, const char *id, const char *phase)
 {
-    SeenJob *job = seenJob(checker, id);
+    SeenJob *job = seen_job(checker, id);
     job->ended = true;
     const Job *known = checker->props.job(checker->props.arg, id);
     if (known != NULL && known->spec.lasting && strcmp(phase, "cancelled") != 0)
-        checkerBroke(checker, NEVER_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
+        checker_broke(checker, NEVER_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
     if (strcmp(phase, "done") != 0)
         return;
     for (size_t t = 0; known != NULL && t < known->tasks_count; t++)
-        if (!seenDone(known, job, t))
-            checkerBroke(checker, NEVER_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
+        if (!seen_done(known, job, t))
+            checker_broke(checker, NEVER_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
 }
 
-void checkerUnknown(Checker *checker, const char *id)
+void checker_unknown(Checker *checker, const char *id)
 {
-    checkerBroke(checker, NEVER_FORGOTTEN, "%s is unknown", id);
+    checker_broke(checker, NEVER_FORGOTTEN, "%s is unknown", id);
 }
 
-size_t checkerOpen(const Checker *checker)
+size_t checker_open(const Checker *checker)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -27,8 +27,8 @@
     const char *worker;
     uint64_t round;
     Room room;
-    int64_t told_ms;   /* the worker was told to stop it; 0: not */
-    bool besideFrozen; /* another began while this one's machine stood still */
+    int64_t told_ms;    /* the worker was told to stop it; 0: not */
+    bool beside_frozen; /* another began while this one's machine stood still */
 } SeenRun;
 
 /* What a worker may claim of a task: like a run, but it outlives the worker's
@@ -44,7 +44,7 @@
     SeenRun *runs; /* that run now */
     SeenClaim *claims;
     bool done; /* a worker finished it well */
-    bool doneKnown;
+    bool done_known;
     int64_t started_ms;
 } SeenTask;
 
@@ -54,32 +54,32 @@
     bool copies, lasting; /* as its spec said when it was last seen */
     bool settled;         /* shown as ended and nothing of it runs: there is nothing to look for */
     int64_t sent_ms;      /* first; 0: not told */
-    int64_t cancelledMs;  /* 0: not */
+    int64_t cancelled_ms; /* 0: not */
     Map *tasks;
 } SeenJob;
 
 typedef struct SeenWorker {
     Worker worker;
     Room used;
-    int64_t leavingMs;  /* 0: not */
+    int64_t leaving_ms; /* 0: not */
     int64_t started_ms; /* 0: never */
     size_t starts;
-    int64_t claimUntilMs; /* by the questions it sent that were answered */
+    int64_t claim_until_ms; /* by the questions it sent that were answered */
 } SeenWorker;
 
 typedef struct SeenZone {
-    int64_t drainedMs;
+    int64_t drained_ms;
 } SeenZone;
 
 /* A tenant as operators were told of it. Invariant: unsure is set from the
  * sending of a change until its outcome is known. */
 typedef struct SeenTenant {
     bool in, unsure;
-    bool everIn; /* some configuration that was not refused had it */
+    bool ever_in; /* some configuration that was not refused had it */
     int64_t since_ms;
     Room quota, looser; /* in force; the loosest that may still be */
-    int64_t quotaMs;
-    bool quotaUnsure;
+    int64_t quota_ms;
+    bool quota_unsure;
 } SeenTenant;
 
 typedef struct SeenEntry {
@@ -91,42 +91,42 @@
     Map *jobs;
     Map *unsettled; /* those of jobs that are not settled: what is looked at again and again */
     Map *workers, *zones, *tenants, *entries;
-    uint64_t planEpoch;
-    const char *planLeader;
-    bool planGone; /* the process that planned under planEpoch has ended */
-    Map *epochs;   /* every epoch that planned, to its leader */
+    uint64_t plan_epoch;
+    const char *plan_leader;
+    bool plan_gone; /* the process that planned under plan_epoch has ended */
+    Map *epochs;    /* every epoch that planned, to its leader */
     uint64_t revision;
-    int64_t faultMs;    /* the last failure brought about; 0: none */
+    int64_t fault_ms;   /* the last failure brought about; 0: none */
     int64_t started_ms; /* the first start since then; 0: none yet */
-    int64_t worstMs[SERVE_COUNT];
+    int64_t worst_ms[SERVE_COUNT];
     size_t starts, resumes;
     size_t broken[NEVER_COUNT];
-    size_t brokenAll;
+    size_t broken_all;
     char *first;
 };
 
-int64_t checkerNow(const Checker *checker);
-void checkerBroke(Checker *checker, Never never, const char *format, ...) __attribute__((format(printf, 3, 4)));
-SeenJob *seenJob(Checker *checker, const char *id);
-SeenTask *seenTask(SeenJob *job, uint64_t task);
+int64_t checker_now(const Checker *checker);
+void checker_broke(Checker *checker, Never never, const char *format, ...) __attribute__((format(printf, 3, 4)));
+SeenJob *seen_job(Checker *checker, const char *id);
+SeenTask *seen_task(SeenJob *job, uint64_t task);
 /* Whether the task of that index finished well; of a gang one member's end stands for all. */
-bool seenDone(const Job *known, SeenJob *job, size_t at);
+bool seen_done(const Job *known, SeenJob *job, size_t at);
 /* ... and its worker was told that this is known. */
-bool seenDoneKnown(const Job *known, SeenJob *job, size_t at);
-SeenWorker *seenWorker(Checker *checker, const char *name);
-SeenTenant *seenTenant(Checker *checker, const char *name);
+bool seen_done_known(const Job *known, SeenJob *job, size_t at);
+SeenWorker *seen_worker(Checker *checker, const char *name);
+SeenTenant *seen_tenant(Checker *checker, const char *name);
 /* The worker's round of the task runs no more. */
-bool seenRunTake(SeenWorker *on, SeenTask *seen, uint64_t round);
+bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t round);
 /* A start beside claims of other workers; the new claim. */
-void claimStart(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
-                uint64_t round, bool copies);
+void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
+                 uint64_t round, bool copies);
 /* The worker's process is gone: a later one of its name has claims of its own. */
-void claimGone(Checker *checker, SeenWorker *worker);
-void claimEnd(SeenTask *task, const char *worker, uint64_t round);
+void claim_gone(Checker *checker, SeenWorker *worker);
+void claim_end(SeenTask *task, const char *worker, uint64_t round);
 /* A start of so much by the job's tenant. */
-void quotaStart(Checker *checker, const Job *job, Room room);
+void quota_start(Checker *checker, const Job *job, Room room);
 /* A span from the later of when something was asked and when the last failure
  * had its 12 s: how long the system has been in debt of it. */
-int64_t checkerDebtMs(const Checker *checker, int64_t asked_ms);
+int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms);
 
 #endif
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -7,7 +7,7 @@
 #include <talloc.h>
 
 /* Nothing of it runs. */
-static bool seenIdle(const SeenJob *job)
+static bool seen_idle(const SeenJob *job)
 {
     void *mem = talloc_new(NULL);
     const char **tasks;
@@ -19,9 +19,9 @@
     return idle;
 }
 
-static void stopsLook(Checker *checker, const SeenJob *job)
+static void stops_look(Checker *checker, const SeenJob *job)
 {
-    const int64_t now_ms = checkerNow(checker);
+    const int64_t now_ms = checker_now(checker);
     void *mem = talloc_new(NULL);
     const char **tasks;
     const size_t count = map_keys(job->tasks, mem, &tasks);
@@ -30,18 +30,18 @@
         for (const SeenRun *run = task->runs; run != NULL; run = run->next) {
             if (checker->props.frozen(checker->props.arg, run->worker))
                 continue;
-            if (job->cancelledMs != 0 && checkerDebtMs(checker, job->cancelledMs) > STOP_LATE_MS)
-                checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
-                             job->id, tasks[t], run->worker, now_ms - job->cancelledMs);
+            if (job->cancelled_ms != 0 && checker_debt_ms(checker, job->cancelled_ms) > STOP_LATE_MS)
+                checker_broke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
+                              job->id, tasks[t], run->worker, now_ms - job->cancelled_ms);
             if (run->told_ms != 0 && now_ms - run->told_ms > TOLD_LATE_MS)
-                checkerBroke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after the worker was told",
-                             job->id, tasks[t], run->worker, now_ms - run->told_ms);
+                checker_broke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after the worker was told",
+                              job->id, tasks[t], run->worker, now_ms - run->told_ms);
         }
     }
     talloc_free(mem);
 }
 
-static void gangsLook(Checker *checker, SeenJob *job)
+static void gangs_look(Checker *checker, SeenJob *job)
 {
     const Job *known = job->accepted && !job->ended ? checker->props.job(checker->props.arg, job->id) : NULL;
     if (known == NULL)
@@ -51,38 +51,38 @@
         const StepSpec *step = &known->spec.steps[known->tasks[first].step];
         const size_t end = first + (size_t)step->count;
         size_t running = 0, ever = 0;
-        int64_t newestMs = 0;
+        int64_t newest_ms = 0;
         for (size_t t = first; t < end && step->gang; t++) {
-            const SeenTask *task = seenTask(job, task_number(&known->tasks[t]));
+            const SeenTask *task = seen_task(job, task_number(&known->tasks[t]));
             running += task->runs != NULL;
             ever += task->runs != NULL || task->done;
-            if (task->started_ms > newestMs)
-                newestMs = task->started_ms;
+            if (task->started_ms > newest_ms)
+                newest_ms = task->started_ms;
         }
-        if (running > 0 && ever < step->count && checkerDebtMs(checker, newestMs) > GANG_LATE_MS)
-            checkerBroke(checker, NEVER_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name, running,
-                         step->count);
+        if (running > 0 && ever < step->count && checker_debt_ms(checker, newest_ms) > GANG_LATE_MS)
+            checker_broke(checker, NEVER_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name, running,
+                          step->count);
         first = end;
     }
 }
 
-void checkerLook(Checker *checker)
+void checker_look(Checker *checker)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
     const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
         SeenJob *job = map_get(checker->jobs, ids[i]);
-        stopsLook(checker, job);
-        gangsLook(checker, job);
-        job->settled = job->ended && seenIdle(job);
+        stops_look(checker, job);
+        gangs_look(checker, job);
+        job->settled = job->ended && seen_idle(job);
         if (job->settled)
             map_drop(checker->unsettled, ids[i]);
     }
     talloc_free(mem);
 }
 
-void checkerEnd(Checker *checker)
+void checker_end(Checker *checker)
 {
     void *mem = talloc_new(NULL);
     const char **ids;
@@ -90,7 +90,7 @@
     for (size_t i = 0; i < count; i++) {
         const SeenJob *job = map_get(checker->jobs, ids[i]);
         if (job->accepted && !job->ended)
-            checkerBroke(checker, NEVER_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
+            checker_broke(checker, NEVER_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
     }
     talloc_free(mem);
 }
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <talloc.h>
 
-const char *serveWord(Serve serve)
+const char *serve_word(Serve serve)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -15,7 +15,7 @@
     return WORDS[serve];
 }
 
-static SeenEntry *entryOf(Checker *checker, const char *name)
+static SeenEntry *entry_of(Checker *checker, const char *name)
 {
     SeenEntry *entry = map_get(checker->entries, name);
     if (entry == NULL) {
@@ -25,36 +25,36 @@
     return entry;
 }
 
-void checkerServed(Checker *checker, const char *name, Serve serve)
+void checker_served(Checker *checker, const char *name, Serve serve)
 {
-    SeenEntry *entry = entryOf(checker, name);
+    SeenEntry *entry = entry_of(checker, name);
     if (entry->served_ms[serve] == 0)
-        entry->served_ms[serve] = checkerNow(checker);
+        entry->served_ms[serve] = checker_now(checker);
 }
 
 static void within(Checker *checker, const char *where, Serve serve, int64_t served_ms)
 {
-    const int64_t took_ms = (served_ms != 0 ? served_ms : checkerNow(checker)) - checker->faultMs;
-    if (took_ms > checker->worstMs[serve])
-        checker->worstMs[serve] = took_ms;
+    const int64_t took_ms = (served_ms != 0 ? served_ms : checker_now(checker)) - checker->fault_ms;
+    if (took_ms > checker->worst_ms[serve])
+        checker->worst_ms[serve] = took_ms;
     if (served_ms == 0 || took_ms > SERVE_LATE_MS)
-        checkerBroke(checker, NEVER_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
-                     serveWord(serve), served_ms == 0 ? "not yet," : "first", took_ms);
+        checker_broke(checker, NEVER_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
+                      serve_word(serve), served_ms == 0 ? "not yet," : "first", took_ms);
 }
 
-void checkerMustServe(Checker *checker, const char *name)
+void checker_must_serve(Checker *checker, const char *name)
 {
-    const SeenEntry *entry = entryOf(checker, name);
+    const SeenEntry *entry = entry_of(checker, name);
     within(checker, name, SERVE_ACCEPT, entry->served_ms[SERVE_ACCEPT]);
     within(checker, name, SERVE_STATUS, entry->served_ms[SERVE_STATUS]);
 }
 
-void checkerMustStart(Checker *checker)
+void checker_must_start(Checker *checker)
 {
     within(checker, "the fleet", SERVE_START, checker->started_ms);
 }
 
-int64_t checkerWorstMs(const Checker *checker, Serve serve)
+int64_t checker_worst_ms(const Checker *checker, Serve serve)
 {
-    return checker->worstMs[serve];
+    return checker->worst_ms[serve];
 }
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <talloc.h>
 
-static void specStart(Checker *checker, SeenJob *seen, const char *worker, uint64_t task)
+static void spec_start(Checker *checker, SeenJob *seen, const char *worker, uint64_t task)
 {
     const Job *job = checker->props.job(checker->props.arg, seen->id);
     const size_t at = job != NULL ? task_index(job, task) : 0;
@@ -17,22 +17,22 @@
     for (size_t a = 0; a < step->after_count; a++)
         for (size_t t = 0; t < job->tasks_count; t++)
             if (strcmp(job->spec.steps[job->tasks[t].step].name, step->after[a]) == 0 &&
-                job->tasks[t].turn == job->tasks[at].turn && !seenDone(job, seen, t))
-                checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id, task,
-                             t, step->after[a]);
-    if (job->spec.delay_ms > 0 && seen->sent_ms != 0 && checkerNow(checker) < seen->sent_ms + job->spec.delay_ms)
-        checkerBroke(checker, NEVER_TOO_EARLY,
-                     "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
-                     task, checkerNow(checker) - seen->sent_ms, job->spec.delay_ms);
+                job->tasks[t].turn == job->tasks[at].turn && !seen_done(job, seen, t))
+                checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id,
+                              task, t, step->after[a]);
+    if (job->spec.delay_ms > 0 && seen->sent_ms != 0 && checker_now(checker) < seen->sent_ms + job->spec.delay_ms)
+        checker_broke(checker, NEVER_TOO_EARLY,
+                      "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
+                      task, checker_now(checker) - seen->sent_ms, job->spec.delay_ms);
     const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
     const int64_t turn_ms = task_due_wall_ms(job, &job->tasks[at]);
     if (turn_ms != 0 && wall_ms < turn_ms - WALL_SLACK_MS)
-        checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
-                     task, turn_ms - wall_ms);
+        checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
+                      task, turn_ms - wall_ms);
     if (job->spec.due_wall_ms != 0 && wall_ms < job->spec.due_wall_ms - WALL_SLACK_MS)
-        checkerBroke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id, task,
-                     job->spec.due_wall_ms - wall_ms);
-    const Worker *on = &seenWorker(checker, worker)->worker;
+        checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id,
+                      task, job->spec.due_wall_ms - wall_ms);
+    const Worker *on = &seen_worker(checker, worker)->worker;
     /* looked at here by itself: the planner's own look is what is being checked */
     bool able = step->kind[0] == '\0' || strcmp(step->kind, on->kind) == 0;
     for (size_t i = 0; i < step->labels_count; i++) {
@@ -42,26 +42,26 @@
         able &= has;
     }
     if (!able)
-        checkerBroke(checker, NEVER_OVERPACKED, "%s task %" PRIu64 " on %s of kind %s", seen->id, task, worker,
-                     on->kind);
+        checker_broke(checker, NEVER_OVERPACKED, "%s task %" PRIu64 " on %s of kind %s", seen->id, task, worker,
+                      on->kind);
 }
 
-void checkerResumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
-                    const char *saved)
+void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+                     const char *saved)
 {
     checker->resumes++;
     const char *of = strstr(saved, " of ");
     if (strtoull(saved, NULL, 10) != task || of == NULL || strcmp(of + 4, job) != 0)
-        checkerBroke(checker, NEVER_STRANGE_SAVED, "%s task %" PRIu64 " round %" PRIu64 " on %s goes on from %s", job,
-                     task, round, worker, saved);
+        checker_broke(checker, NEVER_STRANGE_SAVED, "%s task %" PRIu64 " round %" PRIu64 " on %s goes on from %s", job,
+                      task, round, worker, saved);
 }
 
-void checkerStarted(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, Room room)
+void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, Room room)
 {
-    const int64_t now_ms = checkerNow(checker);
-    SeenJob *job = seenJob(checker, id);
-    SeenTask *seen = seenTask(job, task);
-    SeenWorker *on = seenWorker(checker, worker);
+    const int64_t now_ms = checker_now(checker);
+    SeenJob *job = seen_job(checker, id);
+    SeenTask *seen = seen_task(job, task);
+    SeenWorker *on = seen_worker(checker, worker);
     const Job *known = checker->props.job(checker->props.arg, id);
     /* for a while no node may know it: all disks have just lost it */
     if (known != NULL) {
@@ -72,38 +72,39 @@
     checker->starts++;
     for (SeenRun *run = seen->runs; run != NULL; run = run->next) {
         if (checker->props.frozen(checker->props.arg, run->worker))
-            run->besideFrozen = true; /* it must be over once its machine runs again */
+            run->beside_frozen = true; /* it must be over once its machine runs again */
         else if (!copies)
-            checkerBroke(checker, NEVER_TWICE,
-                         "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task, round,
-                         worker, run->round, run->worker);
+            checker_broke(checker, NEVER_TWICE,
+                          "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task, round,
+                          worker, run->round, run->worker);
     }
     const size_t at = known != NULL ? task_index(known, task) : 0;
     const bool finished =
-        !job->lasting && (known == NULL || at == known->tasks_count ? seen->doneKnown : seenDoneKnown(known, job, at));
+        !job->lasting &&
+        (known == NULL || at == known->tasks_count ? seen->done_known : seen_done_known(known, job, at));
     if (finished || job->ended)
-        checkerBroke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, round,
-                     worker);
+        checker_broke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, round,
+                      worker);
     if (job->refused)
-        checkerBroke(checker, NEVER_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
-    if (job->cancelledMs != 0 && now_ms - job->cancelledMs > CANCEL_LATE_MS)
-        checkerBroke(checker, NEVER_CANCELLED_RAN, "%s task %" PRIu64 " %" PRId64 " ms later", id, task,
-                     now_ms - job->cancelledMs);
-    if (on->leavingMs != 0 && now_ms - on->leavingMs > LEAVING_LATE_MS)
-        checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
+        checker_broke(checker, NEVER_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
+    if (job->cancelled_ms != 0 && now_ms - job->cancelled_ms > CANCEL_LATE_MS)
+        checker_broke(checker, NEVER_CANCELLED_RAN, "%s task %" PRIu64 " %" PRId64 " ms later", id, task,
+                      now_ms - job->cancelled_ms);
+    if (on->leaving_ms != 0 && now_ms - on->leaving_ms > LEAVING_LATE_MS)
+        checker_broke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
     const SeenZone *zone = map_get(checker->zones, on->worker.zone);
-    if (zone != NULL && zone->drainedMs != 0 && now_ms - zone->drainedMs > ZONE_LATE_MS)
-        checkerBroke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
+    if (zone != NULL && zone->drained_ms != 0 && now_ms - zone->drained_ms > ZONE_LATE_MS)
+        checker_broke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->started_ms = now_ms;
     on->starts++;
     on->used = room_more(on->used, room);
     if (on->used.cpu_milli > on->worker.room.cpu_milli || on->used.mem_mb > on->worker.room.mem_mb)
-        checkerBroke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
-                     on->used.cpu_milli, on->used.mem_mb);
-    specStart(checker, job, worker, task);
-    claimStart(checker, job, seen, task, on->worker.name, round, copies);
+        checker_broke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
+                      on->used.cpu_milli, on->used.mem_mb);
+    spec_start(checker, job, worker, task);
+    claim_start(checker, job, seen, task, on->worker.name, round, copies);
     if (known != NULL)
-        quotaStart(checker, known, room);
+        quota_start(checker, known, room);
     if (checker->started_ms == 0)
         checker->started_ms = now_ms;
     SeenRun *run = talloc_zero(seen, SeenRun);
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -22,7 +22,7 @@
     return name;
 }
 
-static SimContent *contentOf(SimMachine *machine, const char *path)
+static SimContent *content_of(SimMachine *machine, const char *path)
 {
     SimName *name = name_of(machine, path);
     if (name->content == NULL) /* a new file lasts once it has been synced itself: empty, it loses nothing */
@@ -35,25 +35,25 @@
     if (bytes.count == 0)
         return;
     bytes_add(content, &content->bytes, bytes.data, bytes.count);
-    if (content->writeCount == DISK_WRITES_MOST) /* the last ones count as one */
-        content->writeCount--;
-    content->writeEnds[content->writeCount++] = content->bytes.count;
+    if (content->write_count == DISK_WRITES_MOST) /* the last ones count as one */
+        content->write_count--;
+    content->write_ends[content->write_count++] = content->bytes.count;
 }
 
 /* What of a file has been synced: bytes at its end, or all of it. */
 static void tell(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
 {
     const SimWorld *world = machine->world;
-    if (world->diskWatch != NULL && bytes.count + whole > 0)
-        world->diskWatch(world->diskWatchArg, machine->number, path, bytes, whole);
+    if (world->disk_watch != NULL && bytes.count + whole > 0)
+        world->disk_watch(world->disk_watch_arg, machine->number, path, bytes, whole);
 }
 
 static void synced(SimMachine *machine, SimContent *content)
 {
-    if (machine->diskLies)
+    if (machine->disk_lies)
         return;
-    content->syncedCount = content->bytes.count;
-    content->writeCount = 0;
+    content->synced_count = content->bytes.count;
+    content->write_count = 0;
 }
 
 static size_t used_of(const SimMachine *machine)
@@ -73,15 +73,15 @@
 /* Whether the disk takes the bytes. */
 static bool takes(const SimMachine *machine, size_t count)
 {
-    return !machine->diskFails && (machine->diskRoom == 0 || used_of(machine) + count <= machine->diskRoom);
+    return !machine->disk_fails && (machine->disk_room == 0 || used_of(machine) + count <= machine->disk_room);
 }
 
 /* How much of a write that was broken off is there: all, nothing, or a beginning. */
 static size_t part_of(SimMachine *machine, size_t count)
 {
-    const uint64_t fate = simRandom(machine->world) % 3;
+    const uint64_t fate = sim_random(machine->world) % 3;
     if (fate == 2)
-        return (size_t)(simRandom(machine->world) % (count + 1));
+        return (size_t)(sim_random(machine->world) % (count + 1));
     return fate == 1 ? count : 0;
 }
 
@@ -90,7 +90,7 @@
     return (Bytes){bytes.data, part_of(machine, bytes.count), 0};
 }
 
-Status simFileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
+Status sim_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
 {
     SimLoop *sim = (SimLoop *)loop;
     (void)failure;
@@ -98,7 +98,7 @@
     sf->file.loop = loop;
     sf->machine = &sim->world->machines[sim->machine];
     sf->path = talloc_strdup(sf, path);
-    contentOf(sf->machine, path);
+    content_of(sf->machine, path);
     /* the folder is synced at each opening */
     SimName *name = name_of(sf->machine, path);
     name->lasting = name->content;
@@ -108,17 +108,17 @@
 
 static int64_t sync_ms(const SimFile *sf)
 {
-    return sf->machine->sync_ms + (int64_t)(simRandom(sf->machine->world) % 3);
+    return sf->machine->sync_ms + (int64_t)(sim_random(sf->machine->world) % 3);
 }
 
-Status simFileRead(File *file, void *mem, Bytes *content)
+Status sim_file_read(File *file, void *mem, Bytes *content)
 {
     SimFile *sf = (SimFile *)file;
-    SimContent *from = contentOf(sf->machine, sf->path);
+    SimContent *from = content_of(sf->machine, sf->path);
     loop_sleep(file->loop, 1);
-    if (from->writeCount > 0)
+    if (from->write_count > 0)
         loop_sleep(file->loop, sync_ms(sf));
-    if (sf->machine->diskFails)
+    if (sf->machine->disk_fails)
         return STATUS_DISK_FAILED;
     synced(sf->machine, from);
     tell(sf->machine, sf->path, from->bytes, true);
@@ -126,11 +126,11 @@
     return STATUS_OK;
 }
 
-Status simFileAppend(File *file, Bytes bytes)
+Status sim_file_append(File *file, Bytes bytes)
 {
     SimFile *sf = (SimFile *)file;
     SimMachine *machine = sf->machine;
-    SimContent *content = contentOf(machine, sf->path);
+    SimContent *content = content_of(machine, sf->path);
     content->inflight = bytes;
     loop_sleep(file->loop, sync_ms(sf));
     content->inflight = (Bytes){0};
@@ -146,7 +146,7 @@
 
 /* New file, its sync, rename, sync of the folder; a process or its power may end between
  * any two of them. */
-Status simFileReplace(File *file, Bytes bytes)
+Status sim_file_replace(File *file, Bytes bytes)
 {
     SimFile *sf = (SimFile *)file;
     SimMachine *machine = sf->machine;
@@ -162,13 +162,13 @@
         return STATUS_DISK_FAILED;
     }
     written(content, bytes);
-    content->syncedCount = content->bytes.count; /* honest also on a disk that lies about appends */
-    content->writeCount = 0;
+    content->synced_count = content->bytes.count; /* honest also on a disk that lies about appends */
+    content->write_count = 0;
     SimName *name = name_of(machine, sf->path);
     name->content = content;
     fresh->content = NULL;
     loop_sleep(file->loop, whole_ms - whole_ms / 2);
-    if (machine->diskFails)
+    if (machine->disk_fails)
         return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
     name->lasting = name->content;
     fresh->lasting = fresh->content;
@@ -180,23 +180,23 @@
 
 /* Each write that no sync has covered is there, missing or torn; what is missing before
  * what is there reads as zeroes. Some losses of power remove all of them. */
-static void powerLost(SimMachine *machine, SimContent *content)
+static void power_lost(SimMachine *machine, SimContent *content)
 {
-    size_t kept = content->syncedCount, from = kept;
-    const bool all = machine->diskLies || simRandom(machine->world) % 3 == 0;
-    for (size_t i = 0; i < content->writeCount && !all; i++) {
-        const size_t end = content->writeEnds[i];
+    size_t kept = content->synced_count, from = kept;
+    const bool all = machine->disk_lies || sim_random(machine->world) % 3 == 0;
+    for (size_t i = 0; i < content->write_count && !all; i++) {
+        const size_t end = content->write_ends[i];
         const size_t there = part_of(machine, end - from);
         memset(content->bytes.data + from + there, 0, end - from - there);
         if (there > 0)
             kept = from + there;
         from = end;
     }
-    content->bytes.count = content->syncedCount = kept;
-    content->writeCount = 0;
+    content->bytes.count = content->synced_count = kept;
+    content->write_count = 0;
 }
 
-static void contentEnds(SimMachine *machine, SimContent *content, bool power)
+static void content_ends(SimMachine *machine, SimContent *content, bool power)
 {
     if (content == NULL)
         return;
@@ -204,20 +204,20 @@
     content->inflight = (Bytes){0};
     if (inflight.count > 0)
         written(content, begun(machine, inflight));
-    if (power && content->writeCount > 0)
-        powerLost(machine, content);
+    if (power && content->write_count > 0)
+        power_lost(machine, content);
 }
 
-void simDiskAfterEnd(SimMachine *machine, bool power)
+void sim_disk_after_end(SimMachine *machine, bool power)
 {
     const char **paths;
     void *mem = talloc_new(NULL);
     const size_t count = map_keys(machine->disk, mem, &paths);
     for (size_t i = 0; i < count; i++) {
         SimName *name = map_get(machine->disk, paths[i]);
-        contentEnds(machine, name->content, power);
+        content_ends(machine, name->content, power);
         if (power && name->content != name->lasting) {
-            if (simRandom(machine->world) % 2 == 0) /* the rename or removal is lost */
+            if (sim_random(machine->world) % 2 == 0) /* the rename or removal is lost */
                 name->content = name->lasting;
             name->lasting = name->content;
         }
@@ -227,19 +227,19 @@
 
 /* --- troubles -------------------------------------------------------------------------- */
 
-void sim_disk_slow(SimWorld *world, int machine, int64_t syncTakesMs)
+void sim_disk_slow(SimWorld *world, int machine, int64_t sync_takes_ms)
 {
-    world->machines[machine].sync_ms = syncTakesMs;
+    world->machines[machine].sync_ms = sync_takes_ms;
 }
 
 void sim_disk_fail(SimWorld *world, int machine, bool fails)
 {
-    world->machines[machine].diskFails = fails;
+    world->machines[machine].disk_fails = fails;
 }
 
 void sim_disk_room(SimWorld *world, int machine, size_t bytes)
 {
-    world->machines[machine].diskRoom = bytes;
+    world->machines[machine].disk_room = bytes;
 }
 
 size_t sim_disk_used(const SimWorld *world, int machine)
@@ -247,17 +247,17 @@
     return used_of(&world->machines[machine]);
 }
 
-void simDiskLie(SimWorld *world, int machine, bool lies)
+void sim_disk_lie(SimWorld *world, int machine, bool lies)
 {
-    world->machines[machine].diskLies = lies;
+    world->machines[machine].disk_lies = lies;
 }
 
-bool simDiskGood(const SimWorld *world, int machine, int64_t most_ms)
+bool sim_disk_good(const SimWorld *world, int machine, int64_t most_ms)
 {
-    return !world->machines[machine].diskFails && world->machines[machine].sync_ms <= most_ms;
+    return !world->machines[machine].disk_fails && world->machines[machine].sync_ms <= most_ms;
 }
 
-void simDiskWipe(SimWorld *world, int machine)
+void sim_disk_wipe(SimWorld *world, int machine)
 {
     SimMachine *one = &world->machines[machine];
     talloc_free(one->disk);
@@ -266,9 +266,9 @@
 
 Bytes *sim_disk_content(SimWorld *world, int machine, const char *path)
 {
-    SimContent *content = contentOf(&world->machines[machine], path);
+    SimContent *content = content_of(&world->machines[machine], path);
     /* whatever a test leaves there is what stands */
-    content->syncedCount = content->bytes.count;
-    content->writeCount = 0;
+    content->synced_count = content->bytes.count;
+    content->write_count = 0;
     return &content->bytes;
 }
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -10,35 +10,35 @@
 
 static const char *const SSD[] = {"ssd"};
 
-static int64_t worldNow(void *arg)
+static int64_t world_now(void *arg)
 {
     return sim_now_ms(((const Fleet *)arg)->world);
 }
 
-static int64_t worldWall(void *arg)
+static int64_t world_wall(void *arg)
 {
-    return simWallMs(((const Fleet *)arg)->world);
+    return sim_wall_ms(((const Fleet *)arg)->world);
 }
 
-static FleetNode *workerNode(const Fleet *fleet, const char *name)
+static FleetNode *worker_node(const Fleet *fleet, const char *name)
 {
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
         if (strcmp(fleet->nodes[FLEET_WORKER][i].props.name, name) == 0)
             return (FleetNode *)(uintptr_t)&fleet->nodes[FLEET_WORKER][i];
     return NULL;
 }
 
-static bool workerFrozen(void *arg, const char *name)
+static bool worker_frozen(void *arg, const char *name)
 {
     const Fleet *fleet = arg;
-    const FleetNode *node = workerNode(fleet, name);
-    return node != NULL && simFrozen(fleet->world, node->machine);
+    const FleetNode *node = worker_node(fleet, name);
+    return node != NULL && sim_frozen(fleet->world, node->machine);
 }
 
-const Job *fleetJob(const Fleet *fleet, const char *id)
+const Job *fleet_job(const Fleet *fleet, const char *id)
 {
     const Job *found = NULL;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!node->up || node->core == NULL)
             continue;
@@ -49,22 +49,22 @@
     return found;
 }
 
-static const Job *jobOf(void *arg, const char *id)
+static const Job *job_of(void *arg, const char *id)
 {
-    return fleetJob(arg, id);
+    return fleet_job(arg, id);
 }
 
 /* --- building ------------------------------------------------------------------------ */
 
-static FleetNode *nodeAdd(Fleet *fleet, FleetRole role)
+static FleetNode *node_add(Fleet *fleet, FleetRole role)
 {
-    const int number = fleet->nodeCount[role]++;
+    const int number = fleet->node_count[role]++;
     FleetNode *node = &fleet->nodes[role][number];
     node->fleet = fleet;
     node->role = role;
     node->number = number;
     node->machine = sim_machine(fleet->world);
-    const char *ip = simAddress(fleet->world, node->machine);
+    const char *ip = sim_address(fleet->world, node->machine);
     node->props.bounds = bounds_first();
     node->props.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
     node->props.zone = ZONES[number % fleet->site.zones];
@@ -79,36 +79,36 @@
     return node;
 }
 
-Fleet *fleetNew(void *mem, uint64_t seed, FleetShape shape)
+Fleet *fleet_new(void *mem, uint64_t seed, FleetShape shape)
 {
-    return fleetNewAt(mem, seed, shape, &(FleetSite){.zones = 3, .losses = 1});
+    return fleet_new_at(mem, seed, shape, &(FleetSite){.zones = 3, .losses = 1});
 }
 
-static const char *seedOf(const Fleet *fleet, int number)
+static const char *seed_of(const Fleet *fleet, int number)
 {
     const int gates = fleet->site.gate_seeds;
     return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].props.listen
                           : fleet->nodes[FLEET_CORE][(number - gates) % fleet->shape.cores].props.listen;
 }
 
-Fleet *fleetNewAt(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
+Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
 {
     Fleet *fleet = talloc_zero(mem, Fleet);
     fleet->world = sim_world_new(fleet, seed);
     fleet->shape = shape;
     fleet->site = *site;
-    const CheckerProps props = {fleet, worldNow, workerFrozen, jobOf, worldWall};
-    fleet->checker = checkerNew(fleet, &props);
+    const CheckerProps props = {fleet, world_now, worker_frozen, job_of, world_wall};
+    fleet->checker = checker_new(fleet, &props);
     for (int i = 0; i < shape.cores + shape.spares; i++)
-        nodeAdd(fleet, FLEET_CORE)->props.data = "data";
+        node_add(fleet, FLEET_CORE)->props.data = "data";
     for (int i = 0; i < shape.gates; i++)
-        nodeAdd(fleet, FLEET_GATE);
+        node_add(fleet, FLEET_GATE);
     for (int i = 0; i < shape.workers; i++) {
-        FleetNode *agent = nodeAdd(fleet, FLEET_AGENT);
-        FleetNode *worker = nodeAdd(fleet, FLEET_WORKER);
+        FleetNode *agent = node_add(fleet, FLEET_AGENT);
+        FleetNode *worker = node_add(fleet, FLEET_WORKER);
         agent->props.worker = worker->props.name;
         const bool large = shape.mix == MIX_TRENTVALE;
-        worker->workerProps = (StandWorkerProps){
+        worker->worker_props = (StandWorkerProps){
             .worker = {.name = worker->props.name,
                        .zone = worker->props.zone,
                        .rack = talloc_asprintf(fleet, "rack%d", i / 3),
@@ -117,34 +117,34 @@
                        .labels_count = shape.mix == MIX_VARIED && i % 2 == 0,
                        .room = large ? (Room){64000, 131072, 0} : (Room){16000, 65536, 0}},
             .agent = agent->props.http,
-            .watch = fleetWorkerWatch(worker),
+            .watch = fleet_worker_watch(worker),
         };
-        checkerWorker(fleet->checker, &worker->workerProps.worker);
+        checker_worker(fleet->checker, &worker->worker_props.worker);
     }
     fleet->caller = sim_machine(fleet->world);
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
+        for (int i = 0; i < fleet->node_count[role]; i++)
             for (int s = 0; s < SEEDS; s++)
-                fleet->nodes[role][i].props.seeds[s] = seedOf(fleet, s);
+                fleet->nodes[role][i].props.seeds[s] = seed_of(fleet, s);
     /* the seeds have changed hands by the time that a spare comes */
-    for (int i = shape.cores; i < fleet->nodeCount[FLEET_CORE]; i++)
+    for (int i = shape.cores; i < fleet->node_count[FLEET_CORE]; i++)
         for (int s = 0; s < SEEDS; s++)
             fleet->nodes[FLEET_CORE][i].props.seeds[s] = fleet->nodes[FLEET_GATE][s % shape.gates].props.listen;
     return fleet;
 }
 
-FleetNode *fleetNode(Fleet *fleet, FleetRole role, int number)
+FleetNode *fleet_node(Fleet *fleet, FleetRole role, int number)
 {
     return &fleet->nodes[role][number];
 }
 
-static void bootMain(void *arg)
+static void boot_main(void *arg)
 {
     FleetNode *node = arg;
     Loop *loop = sim_loop(node->fleet->world, node->machine);
     Failure failure = {0};
     Status status = STATUS_OK;
-    const CoreWatch watch = fleetCoreWatch(node);
+    const CoreWatch watch = fleet_core_watch(node);
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
     case FLEET_CORE:
@@ -157,7 +157,7 @@
         status = agent_start(loop, loop, node->ring, &node->props, &node->agent, &failure);
         break;
     default:
-        node->worker = stand_worker_start(loop, loop, &node->workerProps);
+        node->worker = stand_worker_start(loop, loop, &node->worker_props);
         break;
     }
     node->up = status == STATUS_OK;
@@ -165,7 +165,7 @@
         ring_say(node->ring, RING_FATAL, loop_now_ms(loop), "%s: %s", status_word(status), failure.text);
 }
 
-static void nodeStart(void *arg, Loop *loop)
+static void node_start(void *arg, Loop *loop)
 {
     FleetNode *node = arg;
     node->core = NULL;
@@ -173,90 +173,91 @@
     node->agent = NULL;
     node->worker = NULL;
     node->up = false;
-    loop_spawn(loop, "boot", bootMain, node);
+    loop_spawn(loop, "boot", boot_main, node);
 }
 
-void fleetStartNode(Fleet *fleet, FleetRole role, int number)
+void fleet_start_node(Fleet *fleet, FleetRole role, int number)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
+    FleetNode *node = fleet_node(fleet, role, number);
     if (node->ring == NULL) {
         node->ring = ring_new(fleet, node->props.name);
         ring_quiet(node->ring);
     }
-    if (!simAlive(fleet->world, node->machine))
-        sim_start(fleet->world, node->machine, nodeStart, node);
+    if (!sim_alive(fleet->world, node->machine))
+        sim_start(fleet->world, node->machine, node_start, node);
 }
 
-static void emptyStart(void *arg, Loop *loop)
+static void empty_start(void *arg, Loop *loop)
 {
     (void)arg;
     (void)loop;
 }
 
-static void startLater(void *arg)
+static void start_later(void *arg)
 {
     FleetNode *node = arg;
-    fleetStartNode(node->fleet, node->role, node->number);
+    fleet_start_node(node->fleet, node->role, node->number);
 }
 
-void fleetStart(Fleet *fleet)
+void fleet_start(Fleet *fleet)
 {
-    sim_start(fleet->world, fleet->caller, emptyStart, fleet);
+    sim_start(fleet->world, fleet->caller, empty_start, fleet);
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role] - (role == FLEET_CORE ? fleet->shape.spares : 0); i++)
-            if (fleet->site.staggerMs > 0)
-                simAt(fleet->world,
-                      sim_now_ms(fleet->world) + (int64_t)(simRandom(fleet->world) % (uint64_t)fleet->site.staggerMs),
-                      startLater, fleetNode(fleet, (FleetRole)role, i));
+        for (int i = 0; i < fleet->node_count[role] - (role == FLEET_CORE ? fleet->shape.spares : 0); i++)
+            if (fleet->site.stagger_ms > 0)
+                sim_at(fleet->world,
+                       sim_now_ms(fleet->world) +
+                           (int64_t)(sim_random(fleet->world) % (uint64_t)fleet->site.stagger_ms),
+                       start_later, fleet_node(fleet, (FleetRole)role, i));
             else
-                fleetStartNode(fleet, (FleetRole)role, i);
+                fleet_start_node(fleet, (FleetRole)role, i);
 }
 
-int fleetLeader(const Fleet *fleet)
+int fleet_leader(const Fleet *fleet)
 {
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (node->up && node->core != NULL && !simFrozen(fleet->world, node->machine) &&
+        if (node->up && node->core != NULL && !sim_frozen(fleet->world, node->machine) &&
             view_leading(core_view(node->core)))
             return i;
     }
     return -1;
 }
 
-void fleetRun(Fleet *fleet, int64_t for_ms)
+void fleet_run(Fleet *fleet, int64_t for_ms)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + for_ms;
     while (sim_now_ms(fleet->world) < until_ms) {
         const int64_t next_ms = sim_now_ms(fleet->world) + 500;
         sim_run_until(fleet->world, next_ms < until_ms ? next_ms : until_ms);
-        checkerLook(fleet->checker);
+        checker_look(fleet->checker);
     }
 }
 
 static bool settled(Fleet *fleet)
 {
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     if (leader < 0)
         return false;
     void *mem = talloc_new(NULL);
     const Worker **workers;
     const size_t count = table_workers(core_table(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
     talloc_free(mem);
-    return count == (size_t)fleet->nodeCount[FLEET_WORKER];
+    return count == (size_t)fleet->node_count[FLEET_WORKER];
 }
 
-bool fleetSettle(Fleet *fleet, int64_t most_ms)
+bool fleet_settle(Fleet *fleet, int64_t most_ms)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     while (!settled(fleet) && sim_now_ms(fleet->world) < until_ms)
-        fleetRun(fleet, 100);
+        fleet_run(fleet, 100);
     return settled(fleet);
 }
 
-void fleetDump(const Fleet *fleet)
+void fleet_dump(const Fleet *fleet)
 {
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
+        for (int i = 0; i < fleet->node_count[role]; i++)
             if (fleet->nodes[role][i].ring != NULL)
                 ring_dump(fleet->nodes[role][i].ring, stderr);
 }
--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -4,8 +4,8 @@
 #include "sim/fleet.h"
 
 /* Who listens to a node or to callers on behalf of the fleet's checker. */
-CoreWatch fleetCoreWatch(FleetNode *node);
-StandWorkerWatch fleetWorkerWatch(FleetNode *node);
-CallerWatch fleetCallerWatch(Fleet *fleet);
+CoreWatch fleet_core_watch(FleetNode *node);
+StandWorkerWatch fleet_worker_watch(FleetNode *node);
+CallerWatch fleet_caller_watch(Fleet *fleet);
 
 #endif
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -18,17 +18,17 @@
     asked->done = true;
 }
 
-HttpCall fleetAsk(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                  const char *body)
+HttpCall fleet_ask(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
+                   const char *body)
 {
-    return fleetAskAs(fleet, mem, role, number, method, path, body, NULL, 0);
+    return fleet_ask_as(fleet, mem, role, number, method, path, body, NULL, 0);
 }
 
-HttpCall fleetAskAs(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
-                    const char *body, const HttpPair *heads, size_t head_count)
+HttpCall fleet_ask_as(Fleet *fleet, void *mem, FleetRole role, int number, const char *method, const char *path,
+                      const char *body, const HttpPair *heads, size_t head_count)
 {
     HttpCall call = {.mem = mem,
-                     .address = fleetNode(fleet, role, number)->props.http,
+                     .address = fleet_node(fleet, role, number)->props.http,
                      .method = method,
                      .path = path,
                      .wait_ms = 10000,
@@ -41,7 +41,7 @@
     asked->call = &call;
     loop_spawn(sim_loop(fleet->world, fleet->caller), "ask", ask_main, asked);
     while (!asked->done)
-        fleetRun(fleet, 5);
+        fleet_run(fleet, 5);
     if (asked->status != STATUS_OK)
         call.code = 0;
     talloc_free(asked);
@@ -49,48 +49,48 @@
     return call;
 }
 
-bool fleetConfigure(Fleet *fleet)
+bool fleet_configure(Fleet *fleet)
 {
     for (int round = 0; round < 40; round++) {
         void *mem = talloc_new(NULL);
-        const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, round % fleet->nodeCount[FLEET_GATE], "PUT",
-                                       "/v1/config?base=0", mix_config(fleet->shape.mix));
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, round % fleet->node_count[FLEET_GATE], "PUT",
+                                        "/v1/config?base=0", mix_config(fleet->shape.mix));
         const int code = call.code;
         talloc_free(mem);
         if (code == 200 || code == 409)
             return true;
-        fleetRun(fleet, 500);
+        fleet_run(fleet, 500);
     }
     return false;
 }
 
-Caller *fleetCall(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms)
+Caller *fleet_call(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms)
 {
     CallerProps props = {.name = name,
                          .mix = fleet->shape.mix,
                          .rate_milli = rate_milli,
                          .for_ms = for_ms,
                          .twins = fleet->shape.mix == MIX_VARIED,
-                         .watch = fleetCallerWatch(fleet)};
-    for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++)
+                         .watch = fleet_caller_watch(fleet)};
+    for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
         props.entries[props.entry_count++] = fleet->nodes[FLEET_GATE][i].props.http;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     Caller *caller = caller_start(loop, loop, &props);
-    fleet->callers[fleet->callerCount++] = caller;
+    fleet->callers[fleet->caller_count++] = caller;
     return caller;
 }
 
-bool fleetFinish(Fleet *fleet, int64_t most_ms)
+bool fleet_finish(Fleet *fleet, int64_t most_ms)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + most_ms;
     for (;;) {
-        bool done = checkerOpen(fleet->checker) == 0;
-        for (int i = 0; i < fleet->callerCount; i++)
+        bool done = checker_open(fleet->checker) == 0;
+        for (int i = 0; i < fleet->caller_count; i++)
             done &= caller_done(fleet->callers[i]);
         if (done || sim_now_ms(fleet->world) >= until_ms) {
-            checkerEnd(fleet->checker);
+            checker_end(fleet->checker);
             return done;
         }
-        fleetRun(fleet, 200);
+        fleet_run(fleet, 200);
     }
 }
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -6,14 +6,14 @@
 static void rolled(void *arg)
 {
     FleetNode *node = arg;
-    fleetKill(node->fleet, node->role, node->number);
-    fleetStartNode(node->fleet, node->role, node->number);
+    fleet_kill(node->fleet, node->role, node->number);
+    fleet_start_node(node->fleet, node->role, node->number);
 }
 
 static void left(void *arg)
 {
     FleetNode *node = arg;
-    fleetKill(node->fleet, node->role, node->number);
+    fleet_kill(node->fleet, node->role, node->number);
 }
 
 static void drain(FleetNode *node)
@@ -26,36 +26,36 @@
         agent_drain(node->agent);
 }
 
-static void drainMain(void *arg)
+static void drain_main(void *arg)
 {
     FleetNode *node = arg;
     drain(node);
     /* a process ends from outside of its own tasks */
-    simAt(node->fleet->world, sim_now_ms(node->fleet->world), rolled, node);
+    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), rolled, node);
 }
 
-static void leaveMain(void *arg)
+static void leave_main(void *arg)
 {
     FleetNode *node = arg;
     drain(node);
-    simAt(node->fleet->world, sim_now_ms(node->fleet->world), left, node);
+    sim_at(node->fleet->world, sim_now_ms(node->fleet->world), left, node);
 }
 
-void fleetLeave(Fleet *fleet, FleetRole role, int number)
+void fleet_leave(Fleet *fleet, FleetRole role, int number)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
+    FleetNode *node = fleet_node(fleet, role, number);
     if (node->up)
-        loop_spawn(sim_loop(fleet->world, node->machine), "term", leaveMain, node);
+        loop_spawn(sim_loop(fleet->world, node->machine), "term", leave_main, node);
 }
 
-void fleetRoll(Fleet *fleet, FleetRole role, int number)
+void fleet_roll(Fleet *fleet, FleetRole role, int number)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
+    FleetNode *node = fleet_node(fleet, role, number);
     if (node->up)
-        loop_spawn(sim_loop(fleet->world, node->machine), "term", drainMain, node);
+        loop_spawn(sim_loop(fleet->world, node->machine), "term", drain_main, node);
 }
 
-static void nodeGone(FleetNode *node)
+static void node_gone(FleetNode *node)
 {
     node->core = NULL;
     node->worker = NULL;
@@ -64,22 +64,22 @@
     if (node->fleet->site.votes)
         node->props.bounds.founds = 0;
     if (node->role == FLEET_WORKER)
-        checkerWorkerGone(node->fleet->checker, node->props.name);
+        checker_worker_gone(node->fleet->checker, node->props.name);
     if (node->role == FLEET_CORE)
-        checkerLeaderGone(node->fleet->checker, node->props.name);
+        checker_leader_gone(node->fleet->checker, node->props.name);
 }
 
-void fleetKill(Fleet *fleet, FleetRole role, int number)
+void fleet_kill(Fleet *fleet, FleetRole role, int number)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
-    nodeGone(node);
+    FleetNode *node = fleet_node(fleet, role, number);
+    node_gone(node);
     sim_kill(fleet->world, node->machine);
 }
 
-void fleetPowerOff(Fleet *fleet, FleetRole role, int number)
+void fleet_power_off(Fleet *fleet, FleetRole role, int number)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
-    nodeGone(node);
+    FleetNode *node = fleet_node(fleet, role, number);
+    node_gone(node);
     sim_power_off(fleet->world, node->machine);
 }
 
@@ -87,54 +87,54 @@
 {
     FleetNode *node = arg;
     /* a later freeze may have begun before this one ended */
-    if (simAlive(node->fleet->world, node->machine) && !simFrozen(node->fleet->world, node->machine))
-        checkerWorkerWoke(node->fleet->checker, node->props.name);
+    if (sim_alive(node->fleet->world, node->machine) && !sim_frozen(node->fleet->world, node->machine))
+        checker_worker_woke(node->fleet->checker, node->props.name);
 }
 
-void fleetFreeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms)
+void fleet_freeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms)
 {
-    FleetNode *node = fleetNode(fleet, role, number);
+    FleetNode *node = fleet_node(fleet, role, number);
     const int64_t until_ms = sim_now_ms(fleet->world) + for_ms;
-    if (!simAlive(fleet->world, node->machine))
+    if (!sim_alive(fleet->world, node->machine))
         return;
-    simFreeze(fleet->world, node->machine, until_ms);
+    sim_freeze(fleet->world, node->machine, until_ms);
     if (role == FLEET_WORKER)
-        simAt(fleet->world, until_ms + 1, woke, node);
+        sim_at(fleet->world, until_ms + 1, woke, node);
 }
 
-void fleetThaw(Fleet *fleet)
+void fleet_thaw(Fleet *fleet)
 {
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
-            while (simFrozen(fleet->world, fleet->nodes[role][i].machine))
-                fleetRun(fleet, 50);
+        for (int i = 0; i < fleet->node_count[role]; i++)
+            while (sim_frozen(fleet->world, fleet->nodes[role][i].machine))
+                fleet_run(fleet, 50);
 }
 
-static void cutBoth(Fleet *fleet, int a, int b, bool cut)
+static void cut_both(Fleet *fleet, int a, int b, bool cut)
 {
     sim_cut(fleet->world, a, b, cut);
     sim_cut(fleet->world, b, a, cut);
 }
 
-void fleetIsolate(Fleet *fleet, FleetRole role, int number, bool cut)
+void fleet_isolate(Fleet *fleet, FleetRole role, int number, bool cut)
 {
-    const int machine = fleetNode(fleet, role, number)->machine;
+    const int machine = fleet_node(fleet, role, number)->machine;
     for (int r = 0; r < FLEET_ROLES; r++)
-        for (int i = 0; i < fleet->nodeCount[r]; i++)
+        for (int i = 0; i < fleet->node_count[r]; i++)
             /* a worker and its agent stand on one machine in truth */
             if (!((r == FLEET_WORKER && role == FLEET_AGENT && i == number) ||
                   (r == FLEET_AGENT && role == FLEET_WORKER && i == number)))
-                cutBoth(fleet, machine, fleet->nodes[r][i].machine, cut);
+                cut_both(fleet, machine, fleet->nodes[r][i].machine, cut);
 }
 
-void fleetZoneCut(Fleet *fleet, const char *zone, bool cut)
+void fleet_zone_cut(Fleet *fleet, const char *zone, bool cut)
 {
     for (int r = 0; r < FLEET_ROLES; r++)
-        for (int i = 0; i < fleet->nodeCount[r]; i++)
+        for (int i = 0; i < fleet->node_count[r]; i++)
             for (int q = 0; q < FLEET_ROLES; q++)
-                for (int k = 0; k < fleet->nodeCount[q]; k++) {
+                for (int k = 0; k < fleet->node_count[q]; k++) {
                     const FleetNode *a = &fleet->nodes[r][i], *b = &fleet->nodes[q][k];
                     if ((strcmp(a->props.zone, zone) == 0) != (strcmp(b->props.zone, zone) == 0))
-                        cutBoth(fleet, a->machine, b->machine, cut);
+                        cut_both(fleet, a->machine, b->machine, cut);
                 }
 }
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -1,89 +1,89 @@
 /* What the nodes and callers of a fleet tell its checker. */
 #include "fleet.h"
 
-static void onPlans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t epoch)
 {
-    checkerPlans(((FleetNode *)arg)->fleet->checker, name, epoch);
+    checker_plans(((FleetNode *)arg)->fleet->checker, name, epoch);
 }
 
-static void onStarted(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
 {
-    checkerStarted(((FleetNode *)arg)->fleet->checker, worker, job, task, round, room);
+    checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, round, room);
 }
 
-static void onEnded(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    checkerEnded(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
+    checker_ended(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
 }
 
-static void onKnown(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    checkerKnown(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
+    checker_known(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
 }
 
-static void onBooted(void *arg, const char *worker)
+static void on_booted(void *arg, const char *worker)
 {
-    checkerBooted(((FleetNode *)arg)->fleet->checker, worker);
+    checker_booted(((FleetNode *)arg)->fleet->checker, worker);
 }
 
-static void onHeld(void *arg, const char *worker, int64_t left_ms)
+static void on_held(void *arg, const char *worker, int64_t left_ms)
 {
     const FleetNode *node = arg;
-    checkerHeld(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
+    checker_held(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
 }
 
-static void onResumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
+static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
 {
-    checkerResumed(((FleetNode *)arg)->fleet->checker, worker, job, task, round, saved);
+    checker_resumed(((FleetNode *)arg)->fleet->checker, worker, job, task, round, saved);
 }
 
-static void onTold(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
+static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
 {
-    checkerTold(((FleetNode *)arg)->fleet->checker, worker, job, task, round);
+    checker_told(((FleetNode *)arg)->fleet->checker, worker, job, task, round);
 }
 
-static void onSent(void *arg, const char *id)
+static void on_sent(void *arg, const char *id)
 {
-    checkerSent(((Fleet *)arg)->checker, id);
+    checker_sent(((Fleet *)arg)->checker, id);
 }
 
-static void onAccepted(void *arg, const char *id)
+static void on_accepted(void *arg, const char *id)
 {
-    checkerAccepted(((Fleet *)arg)->checker, id);
+    checker_accepted(((Fleet *)arg)->checker, id);
 }
 
-static void onRefused(void *arg, const char *id, int code)
+static void on_refused(void *arg, const char *id, int code)
 {
     (void)code;
-    checkerRefused(((Fleet *)arg)->checker, id);
+    checker_refused(((Fleet *)arg)->checker, id);
 }
 
-static void onJobEnded(void *arg, const char *id, const char *phase)
+static void on_job_ended(void *arg, const char *id, const char *phase)
 {
-    checkerJobEnded(((Fleet *)arg)->checker, id, phase);
+    checker_job_ended(((Fleet *)arg)->checker, id, phase);
 }
 
-static void onUnknown(void *arg, const char *id)
+static void on_unknown(void *arg, const char *id)
 {
-    checkerUnknown(((Fleet *)arg)->checker, id);
+    checker_unknown(((Fleet *)arg)->checker, id);
 }
 
-static void onCancelled(void *arg, const char *id)
+static void on_cancelled(void *arg, const char *id)
 {
-    checkerCancelled(((Fleet *)arg)->checker, id);
+    checker_cancelled(((Fleet *)arg)->checker, id);
 }
 
-CoreWatch fleetCoreWatch(FleetNode *node)
+CoreWatch fleet_core_watch(FleetNode *node)
 {
-    return (CoreWatch){node, onPlans};
+    return (CoreWatch){node, on_plans};
 }
 
-StandWorkerWatch fleetWorkerWatch(FleetNode *node)
+StandWorkerWatch fleet_worker_watch(FleetNode *node)
 {
-    return (StandWorkerWatch){node, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold};
+    return (StandWorkerWatch){node, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_told};
 }
 
-CallerWatch fleetCallerWatch(Fleet *fleet)
+CallerWatch fleet_caller_watch(Fleet *fleet)
 {
-    return (CallerWatch){fleet, onSent, onAccepted, onRefused, onJobEnded, onUnknown, onCancelled};
+    return (CallerWatch){fleet, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, on_cancelled};
 }
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -10,11 +10,11 @@
 typedef struct SimHttp {
     SimWorld *world;
     int from, to;
-    uint64_t toLife;
+    uint64_t to_life;
     HttpCall *call;
     SimLoop *caller;
     SimPort port;
-    bool serverOver;
+    bool server_over;
     bool answered;
     Status status;
     Signal done;
@@ -36,7 +36,7 @@
 } SimServed;
 
 /* Copies, with room for further ones. */
-static HttpPair *pairsCopy(void *mem, const HttpPair *pairs, size_t count, size_t further)
+static HttpPair *pairs_copy(void *mem, const HttpPair *pairs, size_t count, size_t further)
 {
     HttpPair *copy = talloc_array(mem, HttpPair, (unsigned)(count + further));
     for (size_t i = 0; i < count; i++)
@@ -44,41 +44,41 @@
     return copy;
 }
 
-static void httpMaybeFree(SimHttp *http)
+static void http_maybe_free(SimHttp *http)
 {
-    if (http->call == NULL && http->serverOver)
+    if (http->call == NULL && http->server_over)
         talloc_free(http);
 }
 
-static void resultArrives(void *arg)
+static void result_arrives(void *arg)
 {
     SimHttp *http = arg;
     SimWorld *world = http->world;
     if (http->call != NULL) {
         if (world->cut[http->to][http->from]) {
-            simAt(world, world->now_ms + HELD_RETRY_MS, resultArrives, http);
+            sim_at(world, world->now_ms + HELD_RETRY_MS, result_arrives, http);
             return;
         }
-        const int64_t frozenMs = world->machines[http->from].frozenUntilMs;
-        if (frozenMs > world->now_ms) {
-            simAt(world, frozenMs, resultArrives, http);
+        const int64_t frozen_ms = world->machines[http->from].frozen_until_ms;
+        if (frozen_ms > world->now_ms) {
+            sim_at(world, frozen_ms, result_arrives, http);
             return;
         }
         HttpCall *call = http->call;
         call->code = http->code;
         call->retry_after_s = http->retry_after_s;
         call->result = bytes_copy(call->mem, http->result);
-        call->tells = pairsCopy(call->mem, http->tells, http->tell_count, 0);
+        call->tells = pairs_copy(call->mem, http->tells, http->tell_count, 0);
         call->tell_count = http->tell_count;
         http->answered = true;
         signal_raise(&http->caller->loop, &http->done);
     }
-    http->serverOver = true;
-    httpMaybeFree(http);
+    http->server_over = true;
+    http_maybe_free(http);
 }
 
 /* The server's process ended before its result. */
-static int servedFree(SimServed *served)
+static int served_free(SimServed *served)
 {
     SimHttp *http = served->http;
     served->loop->http_tasks--;
@@ -86,10 +86,10 @@
         return 0;
     http->status = STATUS_CLOSED;
     if (http->world->machines[http->to].silent) {
-        http->serverOver = true; /* the caller waits until it gives up */
-        httpMaybeFree(http);
+        http->server_over = true; /* the caller waits until it gives up */
+        http_maybe_free(http);
     } else {
-        simAt(http->world, http->world->now_ms + simLinkMs(http->world), resultArrives, http);
+        sim_at(http->world, http->world->now_ms + sim_link_ms(http->world), result_arrives, http);
     }
     return 0;
 }
@@ -103,49 +103,49 @@
     http->code = served->task.code;
     http->retry_after_s = served->task.retry_after_s;
     http->result = bytes_copy(http, served->task.result);
-    http->tells = pairsCopy(http, served->task.tells, served->task.tell_count, 0);
+    http->tells = pairs_copy(http, served->task.tells, served->task.tell_count, 0);
     http->tell_count = served->task.tell_count;
-    simAt(http->world, simArrivalMs(http->world, http->to, http->from, http->result.count), resultArrives, http);
+    sim_at(http->world, sim_arrival_ms(http->world, http->to, http->from, http->result.count), result_arrives, http);
     talloc_free(served);
 }
 
-static void requestArrives(void *arg)
+static void request_arrives(void *arg)
 {
     SimHttp *http = arg;
     SimWorld *world = http->world;
     SimMachine *machine = &world->machines[http->to];
     if (http->call == NULL) {
-        http->serverOver = true;
-        httpMaybeFree(http);
+        http->server_over = true;
+        http_maybe_free(http);
         return;
     }
     if (world->cut[http->from][http->to]) {
-        simAt(world, world->now_ms + HELD_RETRY_MS, requestArrives, http);
+        sim_at(world, world->now_ms + HELD_RETRY_MS, request_arrives, http);
         return;
     }
-    if (machine->loop == NULL || machine->life != http->toLife) {
+    if (machine->loop == NULL || machine->life != http->to_life) {
         http->status = STATUS_CLOSED;
         if (machine->silent)
-            http->serverOver = true;
+            http->server_over = true;
         else
-            resultArrives(http);
+            result_arrives(http);
         return;
     }
-    if (machine->frozenUntilMs > world->now_ms) {
-        simAt(world, machine->frozenUntilMs, requestArrives, http);
+    if (machine->frozen_until_ms > world->now_ms) {
+        sim_at(world, machine->frozen_until_ms, request_arrives, http);
         return;
     }
     const HttpLimits *limits = &machine->loop->limits;
     if (http->body.count > (limits->body_bytes > 0 ? limits->body_bytes : HTTP_BODY_MAX)) {
         http->code = status_http(STATUS_TOO_LARGE);
-        resultArrives(http);
+        result_arrives(http);
         return;
     }
     SimServed *served = talloc_zero(machine->loop, SimServed);
     served->loop = machine->loop;
     machine->loop->http_tasks++;
     served->http = http;
-    talloc_set_destructor(served, servedFree);
+    talloc_set_destructor(served, served_free);
     HttpTask *task = &served->task;
     task->loop = &machine->loop->loop;
     task->method = talloc_strdup(served, http->method);
@@ -154,7 +154,7 @@
                           : talloc_strdup(served, http->path);
     task->query = question ? talloc_strdup(served, question + 1) : "";
     task->head_count = http->head_count;
-    task->heads = pairsCopy(served, http->heads, http->head_count, 0);
+    task->heads = pairs_copy(served, http->heads, http->head_count, 0);
     task->host = http_host(served, http_head(task, "host"));
     task->body = bytes_copy(served, http->body);
     task->code = 500;
@@ -162,25 +162,25 @@
     loop_spawn(&machine->loop->loop, "http", served_main, served);
 }
 
-Status simServe(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
+Status sim_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure)
 {
     (void)failure;
-    simTakePort((SimLoop *)loop, address, (SimPort){NULL, fn, arg}, bound);
+    sim_take_port((SimLoop *)loop, address, (SimPort){NULL, fn, arg}, bound);
     return STATUS_OK;
 }
 
-void simLimit(Loop *loop, const HttpLimits *limits)
+void sim_limit(Loop *loop, const HttpLimits *limits)
 {
     ((SimLoop *)loop)->limits = *limits;
 }
 
 /* Simulated calls have a connection each. */
-void simLeave(Loop *loop)
+void sim_leave(Loop *loop)
 {
     (void)loop;
 }
 
-size_t simBusy(const Loop *loop)
+size_t sim_busy(const Loop *loop)
 {
     return ((const SimLoop *)loop)->http_tasks;
 }
@@ -190,24 +190,24 @@
     SimHttp *http;
 } SimCallMark;
 
-static int callMarkFree(SimCallMark *mark)
+static int call_mark_free(SimCallMark *mark)
 {
     mark->http->call = NULL;
-    httpMaybeFree(mark->http);
+    http_maybe_free(mark->http);
     return 0;
 }
 
-Status simCall(Loop *loop, HttpCall *call)
+Status sim_call(Loop *loop, HttpCall *call)
 {
     SimLoop *sim = (SimLoop *)loop;
     SimWorld *world = sim->world;
     int target;
     const char *port;
-    if (!simFind(world, call->address, &target, &port))
+    if (!sim_find(world, call->address, &target, &port))
         return STATUS_BAD_PROPS;
     const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
     for (;;) {
-        loop_sleep(loop, simLinkMs(world) + simLinkMs(world));
+        loop_sleep(loop, sim_link_ms(world) + sim_link_ms(world));
         const SimMachine *machine = &world->machines[target];
         const bool hidden = world->cut[sim->machine][target] || world->cut[target][sim->machine] ||
                             (machine->loop == NULL && machine->silent);
@@ -227,14 +227,14 @@
     http->world = world;
     http->from = sim->machine;
     http->to = target;
-    http->toLife = machine->life;
+    http->to_life = machine->life;
     http->call = call;
     http->caller = sim;
     http->port = *found;
     http->method = talloc_strdup(http, call->method);
     http->path = talloc_strdup(http, call->path);
     http->body = bytes_copy(http, call->body);
-    http->heads = pairsCopy(http, call->heads, call->head_count, 1);
+    http->heads = pairs_copy(http, call->heads, call->head_count, 1);
     http->head_count = call->head_count;
     bool named = false;
     for (size_t i = 0; i < call->head_count; i++)
@@ -243,9 +243,9 @@
         http->heads[http->head_count++] = (HttpPair){"host", talloc_strdup(http->heads, call->address)};
     SimCallMark *mark = talloc_zero(sim, SimCallMark);
     mark->http = http;
-    talloc_set_destructor(mark, callMarkFree);
+    talloc_set_destructor(mark, call_mark_free);
     call->sent = true;
-    simAt(world, simArrivalMs(world, http->from, http->to, http->body.count), requestArrives, http);
+    sim_at(world, sim_arrival_ms(world, http->from, http->to, http->body.count), request_arrives, http);
     call->waiting = &http->done;
     while (!http->answered && !call->cut)
         if (!signal_wait(loop, &http->done, until_ms))
--- a/packages/sim/src/link.c
+++ b/packages/sim/src/link.c
@@ -4,27 +4,27 @@
 
 #define US_IN_MS 1000
 
-void simLinkRate(SimWorld *world, int machine, int64_t bytesPerMs)
+void sim_link_rate(SimWorld *world, int machine, int64_t bytes_per_ms)
 {
-    world->machines[machine].bytesPerMs = bytesPerMs;
+    world->machines[machine].bytes_per_ms = bytes_per_ms;
 }
 
-static int64_t carryUs(const SimMachine *machine, size_t bytes)
+static int64_t carry_us(const SimMachine *machine, size_t bytes)
 {
-    return machine->bytesPerMs > 0 ? (int64_t)bytes * US_IN_MS / machine->bytesPerMs : 0;
+    return machine->bytes_per_ms > 0 ? (int64_t)bytes * US_IN_MS / machine->bytes_per_ms : 0;
 }
 
-int64_t simArrivalMs(SimWorld *world, int from, int to, size_t bytes)
+int64_t sim_arrival_ms(SimWorld *world, int from, int to, size_t bytes)
 {
     SimMachine *sender = &world->machines[from], *taker = &world->machines[to];
-    int64_t beginUs = world->now_ms * US_IN_MS;
-    if (sender->bytesPerMs > 0 && sender->sendFreeUs > beginUs)
-        beginUs = sender->sendFreeUs;
-    if (taker->bytesPerMs > 0 && taker->takeFreeUs > beginUs)
-        beginUs = taker->takeFreeUs;
-    const int64_t sendUs = carryUs(sender, bytes), takeUs = carryUs(taker, bytes);
-    const int64_t endUs = beginUs + (sendUs > takeUs ? sendUs : takeUs);
-    sender->sendFreeUs = endUs;
-    taker->takeFreeUs = endUs;
-    return (endUs + US_IN_MS - 1) / US_IN_MS + simLinkMs(world);
+    int64_t begin_us = world->now_ms * US_IN_MS;
+    if (sender->bytes_per_ms > 0 && sender->send_free_us > begin_us)
+        begin_us = sender->send_free_us;
+    if (taker->bytes_per_ms > 0 && taker->take_free_us > begin_us)
+        begin_us = taker->take_free_us;
+    const int64_t send_us = carry_us(sender, bytes), take_us = carry_us(taker, bytes);
+    const int64_t end_us = begin_us + (send_us > take_us ? send_us : take_us);
+    sender->send_free_us = end_us;
+    taker->take_free_us = end_us;
+    return (end_us + US_IN_MS - 1) / US_IN_MS + sim_link_ms(world);
 }
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -32,7 +32,7 @@
     int side;
 };
 
-static void pairMaybeFree(SimPair *pair)
+static void pair_maybe_free(SimPair *pair)
 {
     if (pair->end[0] == NULL && pair->end[1] == NULL && !pair->pumping[0] && !pair->pumping[1] && pair->repeats == 0)
         talloc_free(pair);
@@ -44,7 +44,7 @@
 } SimPump;
 
 /* What is on its way is lost, and both ends hear of it. */
-static void pairReset(SimPair *pair)
+static void pair_reset(SimPair *pair)
 {
     for (int side = 0; side < 2; side++) {
         while (pair->first[side] != NULL) {
@@ -67,10 +67,10 @@
     const int side = one->side, other = 1 - side;
     const bool cut = world->cut[pair->machine[side]][pair->machine[other]];
     if (cut && world->refused[pair->machine[side]][pair->machine[other]]) {
-        pairReset(pair);
+        pair_reset(pair);
     } else if (pair->first[side] != NULL && pair->end[other] != NULL) {
         if (cut) {
-            simAt(world, world->now_ms + HELD_RETRY_MS, pump, one);
+            sim_at(world, world->now_ms + HELD_RETRY_MS, pump, one);
             return;
         }
         /* a machine that stands still takes frames all the same: its kernel keeps
@@ -90,12 +90,12 @@
         talloc_free(frame);
     }
     if (pair->first[side] != NULL) {
-        simAt(world, pair->first[side]->due_ms, pump, one);
+        sim_at(world, pair->first[side]->due_ms, pump, one);
         return;
     }
     pair->pumping[side] = false;
     talloc_free(one);
-    pairMaybeFree(pair);
+    pair_maybe_free(pair);
 }
 
 typedef struct SimRepeat {
@@ -104,7 +104,7 @@
     Bytes bytes;
 } SimRepeat;
 
-static void repeatArrive(void *arg)
+static void repeat_arrive(void *arg)
 {
     SimRepeat *repeat = arg;
     SimPair *pair = repeat->pair;
@@ -113,30 +113,30 @@
         channel_arrive(&pair->end[other]->channel, repeat->bytes);
     pair->repeats--;
     talloc_free(repeat);
-    pairMaybeFree(pair);
+    pair_maybe_free(pair);
 }
 
 /* Whether the frame is lost; it may come once more otherwise. */
-static bool frameDrawn(SimPair *pair, int side, Bytes bytes)
+static bool frame_drawn(SimPair *pair, int side, Bytes bytes)
 {
     SimWorld *world = pair->world;
-    if (world->frameDropped == 0 && world->frameRepeated == 0)
+    if (world->frame_dropped == 0 && world->frame_repeated == 0)
         return false;
-    if (simRandom(world) % 1000 < world->frameDropped)
+    if (sim_random(world) % 1000 < world->frame_dropped)
         return true;
-    if (simRandom(world) % 1000 < world->frameRepeated) {
+    if (sim_random(world) % 1000 < world->frame_repeated) {
         SimRepeat *repeat = talloc_zero(world, SimRepeat);
         *repeat = (SimRepeat){pair, side, bytes_copy(repeat, bytes)};
         pair->repeats++;
-        const int64_t late_ms = (int64_t)(simRandom(world) % (uint64_t)(world->frameLateMs + 1));
-        simAt(world, world->now_ms + simLinkMs(world) + late_ms, repeatArrive, repeat);
+        const int64_t late_ms = (int64_t)(sim_random(world) % (uint64_t)(world->frame_late_ms + 1));
+        sim_at(world, world->now_ms + sim_link_ms(world) + late_ms, repeat_arrive, repeat);
     }
     return false;
 }
 
-uint64_t simSentBytes(const SimWorld *world, int machine)
+uint64_t sim_sent_bytes(const SimWorld *world, int machine)
 {
-    return world->machines[machine].sentBytes;
+    return world->machines[machine].sent_bytes;
 }
 
 static void push(SimPair *pair, int side, bool fin, Bytes bytes)
@@ -148,9 +148,9 @@
     SimFrame *frame = talloc_zero(pair, SimFrame);
     frame->fin = fin;
     frame->bytes = bytes_copy(frame, bytes);
-    world->machines[pair->machine[side]].sentBytes += bytes.count;
-    frame->due_ms = simArrivalMs(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
-                    world->machines[pair->machine[0]].farMs + world->machines[pair->machine[1]].farMs;
+    world->machines[pair->machine[side]].sent_bytes += bytes.count;
+    frame->due_ms = sim_arrival_ms(world, pair->machine[side], pair->machine[1 - side], bytes.count) +
+                    world->machines[pair->machine[0]].far_ms + world->machines[pair->machine[1]].far_ms;
     if (pair->last[side] != NULL) {
         if (frame->due_ms < pair->last[side]->due_ms)
             frame->due_ms = pair->last[side]->due_ms;
@@ -163,28 +163,28 @@
         pair->pumping[side] = true;
         SimPump *one = talloc_zero(pair, SimPump);
         *one = (SimPump){pair, side};
-        simAt(world, frame->due_ms, pump, one);
+        sim_at(world, frame->due_ms, pump, one);
     }
 }
 
-static int simChannelFree(SimChannel *sc)
+static int sim_channel_free(SimChannel *sc)
 {
     SimPair *pair = sc->pair;
     pair->end[sc->side] = NULL;
     if (!pair->world->machines[pair->machine[sc->side]].silent)
         push(pair, sc->side, true, (Bytes){0});
-    pairMaybeFree(pair);
+    pair_maybe_free(pair);
     return 0;
 }
 
-static SimChannel *simChannelNew(SimPair *pair, int side, Loop *loop, void *mem)
+static SimChannel *sim_channel_new(SimPair *pair, int side, Loop *loop, void *mem)
 {
     SimChannel *sc = talloc_zero(mem, SimChannel);
     sc->channel.loop = loop;
     sc->pair = pair;
     sc->side = side;
     pair->end[side] = sc;
-    talloc_set_destructor(sc, simChannelFree);
+    talloc_set_destructor(sc, sim_channel_free);
     return sc;
 }
 
@@ -198,27 +198,27 @@
     SimAccepted *accepted = arg;
     const SimAccepted copy = *accepted;
     talloc_free(accepted);
-    copy.port.onChannel(copy.port.arg, copy.channel);
+    copy.port.on_channel(copy.port.arg, copy.channel);
 }
 
-Status simListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure)
+Status sim_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure)
 {
     (void)failure;
-    simTakePort((SimLoop *)loop, address, (SimPort){fn, NULL, arg}, bound);
+    sim_take_port((SimLoop *)loop, address, (SimPort){fn, NULL, arg}, bound);
     return STATUS_OK;
 }
 
-Status simOpen(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
+Status sim_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
 {
     SimLoop *sim = (SimLoop *)loop;
     SimWorld *world = sim->world;
     int target;
     const char *port;
     const int64_t until_ms = loop_now_ms(loop) + wait_ms;
-    if (!simFind(world, address, &target, &port))
+    if (!sim_find(world, address, &target, &port))
         return STATUS_BAD_PROPS;
     do {
-        loop_sleep(loop, simLinkMs(world) + simLinkMs(world));
+        loop_sleep(loop, sim_link_ms(world) + sim_link_ms(world));
         if (world->cut[sim->machine][target] || world->cut[target][sim->machine]) {
             if (world->refused[sim->machine][target] || world->refused[target][sim->machine])
                 return STATUS_UNREACHABLE;
@@ -234,14 +234,14 @@
             return STATUS_UNREACHABLE;
         }
         const SimPort *found = map_get(machine->loop->ports, port);
-        if (found == NULL || found->onChannel == NULL)
+        if (found == NULL || found->on_channel == NULL)
             return STATUS_UNREACHABLE;
         SimPair *pair = talloc_zero(world, SimPair);
         pair->world = world;
         pair->machine[0] = sim->machine;
         pair->machine[1] = target;
-        SimChannel *mine = simChannelNew(pair, 0, loop, mem);
-        SimChannel *theirs = simChannelNew(pair, 1, &machine->loop->loop, machine->loop);
+        SimChannel *mine = sim_channel_new(pair, 0, loop, mem);
+        SimChannel *theirs = sim_channel_new(pair, 1, &machine->loop->loop, machine->loop);
         SimAccepted *accepted = talloc_zero(machine->loop, SimAccepted);
         *accepted = (SimAccepted){*found, &theirs->channel};
         loop_spawn(&machine->loop->loop, "connection", accepted_main, accepted);
@@ -251,7 +251,7 @@
     return STATUS_UNREACHABLE;
 }
 
-Status simSend(Channel *channel, Bytes frame)
+Status sim_send(Channel *channel, Bytes frame)
 {
     SimChannel *sc = (SimChannel *)channel;
     if (frame.count > FRAME_MAX_BYTES)
@@ -259,12 +259,12 @@
     channel->queued += frame.count;
     if (!sc->pair->fin[sc->side])
         channel->handed = channel->queued;
-    if (!frameDrawn(sc->pair, sc->side, frame))
+    if (!frame_drawn(sc->pair, sc->side, frame))
         push(sc->pair, sc->side, false, frame);
     return STATUS_OK;
 }
 
-void simShut(Channel *channel)
+void sim_shut(Channel *channel)
 {
     SimChannel *sc = (SimChannel *)channel;
     push(sc->pair, sc->side, true, (Bytes){0});
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -3,22 +3,22 @@
 
 #define DISK_GOOD_MS 100 /* ms; a sync that takes longer is a failing disk's */
 
-static bool bothWays(const Fleet *fleet, int a, int b)
+static bool both_ways(const Fleet *fleet, int a, int b)
 {
-    return !simIsCut(fleet->world, a, b) && !simIsCut(fleet->world, b, a);
+    return !sim_is_cut(fleet->world, a, b) && !sim_is_cut(fleet->world, b, a);
 }
 
 static bool runs(const Fleet *fleet, const FleetNode *node)
 {
-    return simAlive(fleet->world, node->machine) && !simFrozen(fleet->world, node->machine) && node->up;
+    return sim_alive(fleet->world, node->machine) && !sim_frozen(fleet->world, node->machine) && node->up;
 }
 
 /* The list of seats as the running core that is furthest has it. */
-static size_t votersNow(const Fleet *fleet, uint64_t seats[SEAT_MOST])
+static size_t voters_now(const Fleet *fleet, uint64_t seats[SEAT_MOST])
 {
     uint64_t furthest = 0;
     size_t count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!runs(fleet, node) || node->core == NULL)
             continue;
@@ -33,14 +33,14 @@
 }
 
 /* Cores that run, hold a seat, and have a working disk; needed: so many decide. */
-static int votersGood(const Fleet *fleet, const FleetNode **good, int *needed)
+static int voters_good(const Fleet *fleet, const FleetNode **good, int *needed)
 {
     uint64_t seats[SEAT_MOST] = {0};
-    const size_t seat_count = votersNow(fleet, seats);
+    const size_t seat_count = voters_now(fleet, seats);
     int count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (!runs(fleet, node) || node->core == NULL || !simDiskGood(fleet->world, node->machine, DISK_GOOD_MS))
+        if (!runs(fleet, node) || node->core == NULL || !sim_disk_good(fleet->world, node->machine, DISK_GOOD_MS))
             continue;
         bool seated = false;
         for (size_t s = 0; s < seat_count; s++)
@@ -52,43 +52,43 @@
     return count;
 }
 
-int fleetSeats(const Fleet *fleet)
+int fleet_seats(const Fleet *fleet)
 {
     const FleetNode *good[FLEET_EACH_MAX];
     int needed;
-    return votersGood(fleet, good, &needed);
+    return voters_good(fleet, good, &needed);
 }
 
 /* Whether the machine reaches a majority of good seats that one of them reaches. */
-static bool reachesVoters(const Fleet *fleet, int machine)
+static bool reaches_voters(const Fleet *fleet, int machine)
 {
     const FleetNode *good[FLEET_EACH_MAX];
     int needed;
-    const int count = votersGood(fleet, good, &needed);
+    const int count = voters_good(fleet, good, &needed);
     for (int a = 0; a < count; a++) {
         int reached = 0;
         for (int b = 0; b < count; b++)
-            reached += bothWays(fleet, good[b]->machine, machine) &&
-                       (a == b || bothWays(fleet, good[a]->machine, good[b]->machine));
-        if (reached >= needed && bothWays(fleet, good[a]->machine, machine))
+            reached += both_ways(fleet, good[b]->machine, machine) &&
+                       (a == b || both_ways(fleet, good[a]->machine, good[b]->machine));
+        if (reached >= needed && both_ways(fleet, good[a]->machine, machine))
             return true;
     }
     return false;
 }
 
-bool fleetServable(const Fleet *fleet, int gate)
+bool fleet_servable(const Fleet *fleet, int gate)
 {
     const FleetNode *node = &fleet->nodes[FLEET_GATE][gate];
-    return runs(fleet, node) && reachesVoters(fleet, node->machine);
+    return runs(fleet, node) && reaches_voters(fleet, node->machine);
 }
 
-int fleetWorkable(const Fleet *fleet)
+int fleet_workable(const Fleet *fleet)
 {
     int count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
         const FleetNode *worker = &fleet->nodes[FLEET_WORKER][i], *agent = &fleet->nodes[FLEET_AGENT][i];
-        count += runs(fleet, worker) && runs(fleet, agent) && bothWays(fleet, worker->machine, agent->machine) &&
-                 !worker->workerProps.fails_all && reachesVoters(fleet, agent->machine);
+        count += runs(fleet, worker) && runs(fleet, agent) && both_ways(fleet, worker->machine, agent->machine) &&
+                 !worker->worker_props.fails_all && reaches_voters(fleet, agent->machine);
     }
     return count;
 }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -21,12 +21,12 @@
     uint64_t weight;
     SweepAct act;
 } ACTS[] = {
-#define X(name, outside, weight) {outside, weight, act##name},
+#define X(name, outside, weight) {outside, weight, act_##name},
     SWEEP_ACT_LIST(X)
 #undef X
 };
 
-SweepSite sweepSiteOf(const char *word)
+SweepSite sweep_site_of(const char *word)
 {
     static const char *const WORDS[] = {
 #define X(name, text) text,
@@ -39,7 +39,7 @@
     return (SweepSite)site;
 }
 
-uint64_t sweepDraw(Sweep *sweep, uint64_t below)
+uint64_t sweep_draw(Sweep *sweep, uint64_t below)
 {
     uint64_t z = (sweep->state += 0x9e3779b97f4a7c15u);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -47,10 +47,10 @@
     return (z ^ (z >> 31)) % below;
 }
 
-void sweepSay(Sweep *sweep, const char *format, ...)
+void sweep_say(Sweep *sweep, const char *format, ...)
 {
     sweep->faults++;
-    checkerFault(sweep->fleet->checker);
+    checker_fault(sweep->fleet->checker);
     if (!sweep->loud)
         return;
     va_list args;
@@ -61,34 +61,34 @@
     va_end(args);
 }
 
-FleetNode *sweepNode(Sweep *sweep, FleetRole role)
+FleetNode *sweep_node(Sweep *sweep, FleetRole role)
 {
-    return fleetNode(sweep->fleet, role, (int)sweepDraw(sweep, (uint64_t)sweep->fleet->nodeCount[role]));
+    return fleet_node(sweep->fleet, role, (int)sweep_draw(sweep, (uint64_t)sweep->fleet->node_count[role]));
 }
 
-FleetNode *sweepAny(Sweep *sweep)
+FleetNode *sweep_any(Sweep *sweep)
 {
     static const FleetRole ROLES[] = {FLEET_CORE, FLEET_CORE, FLEET_CORE, FLEET_GATE, FLEET_AGENT, FLEET_WORKER};
-    FleetNode *node = sweepNode(sweep, ROLES[sweepDraw(sweep, 6)]);
+    FleetNode *node = sweep_node(sweep, ROLES[sweep_draw(sweep, 6)]);
     if (sweep->liars && (node->role == FLEET_GATE || node->role == FLEET_AGENT))
-        node = sweepNode(sweep, FLEET_CORE);
+        node = sweep_node(sweep, FLEET_CORE);
     return node;
 }
 
-void sweepStartAll(Sweep *sweep)
+void sweep_start_all(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++) {
-            if (role == FLEET_WORKER && !simAlive(fleet->world, fleet->nodes[role][i].machine))
-                checkerLeaving(fleet->checker, fleet->nodes[role][i].props.name, false);
+        for (int i = 0; i < fleet->node_count[role]; i++) {
+            if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
+                checker_leaving(fleet->checker, fleet->nodes[role][i].props.name, false);
             /* a spare comes only in another's place */
             if (role != FLEET_CORE || i < fleet->shape.cores || fleet->nodes[role][i].ring != NULL)
-                fleetStartNode(fleet, (FleetRole)role, i);
+                fleet_start_node(fleet, (FleetRole)role, i);
         }
 }
 
-void sweepJoinAll(Sweep *sweep)
+void sweep_join_all(Sweep *sweep)
 {
     for (int a = 0; a < SIM_NODES_MAX; a++)
         for (int b = 0; b < SIM_NODES_MAX; b++)
@@ -99,36 +99,36 @@
 static void heal(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    sweepJoinAll(sweep);
-    simDelay(fleet->world, 1, 3);
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
+    sweep_join_all(sweep);
+    sim_delay(fleet->world, 1, 3);
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         sim_disk_slow(fleet->world, fleet->nodes[FLEET_CORE][i].machine, 3);
-        simDiskLie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
-        if (!simDiskGood(fleet->world, fleet->nodes[FLEET_CORE][i].machine, INT64_MAX)) {
+        sim_disk_lie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
+        if (!sim_disk_good(fleet->world, fleet->nodes[FLEET_CORE][i].machine, INT64_MAX)) {
             /* a core whose disk has failed leads no more until it is started anew */
             sim_disk_fail(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
-            fleetKill(fleet, FLEET_CORE, i);
+            fleet_kill(fleet, FLEET_CORE, i);
         }
     }
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++) {
-        FleetNode *worker = fleetNode(fleet, FLEET_WORKER, i);
-        worker->workerProps.fails_all = worker->workerProps.repeats = false;
-        worker->workerProps.slow_times = 1;
-        fleetKill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
+        FleetNode *worker = fleet_node(fleet, FLEET_WORKER, i);
+        worker->worker_props.fails_all = worker->worker_props.repeats = false;
+        worker->worker_props.slow_times = 1;
+        fleet_kill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
     }
-    sweepStartAll(sweep);
+    sweep_start_all(sweep);
     for (int i = 0; i < 40 && sweep->drained != NULL; i++) {
         void *mem = talloc_new(NULL);
-        checkerZone(fleet->checker, sweep->drained, false);
-        if (fleetAsk(fleet, mem, FLEET_GATE, i % 3, "DELETE",
-                     talloc_asprintf(mem, "/v1/zones/%s/drain", sweep->drained), NULL)
+        checker_zone(fleet->checker, sweep->drained, false);
+        if (fleet_ask(fleet, mem, FLEET_GATE, i % 3, "DELETE",
+                      talloc_asprintf(mem, "/v1/zones/%s/drain", sweep->drained), NULL)
                 .code == 200)
             sweep->drained = NULL;
         else
-            fleetRun(fleet, 500);
+            fleet_run(fleet, 500);
         talloc_free(mem);
     }
-    sweepSay(sweep, "healed (start %" PRId64 ")", sweep->start_ms);
+    sweep_say(sweep, "healed (start %" PRId64 ")", sweep->start_ms);
 }
 
 /* One failure, drawn from the seed and the step alone, so that leaving another
@@ -139,7 +139,7 @@
     sweep->state = props->seed * 1000003 + number * 7919 + 5;
     for (size_t i = 0; i < sizeof(ACTS) / sizeof(ACTS[0]); i++)
         weights += ACTS[i].weight;
-    uint64_t left = sweepDraw(sweep, weights);
+    uint64_t left = sweep_draw(sweep, weights);
     size_t at = 0;
     while (left >= ACTS[at].weight)
         left -= ACTS[at++].weight;
@@ -148,23 +148,23 @@
 }
 
 /* 12 s after the last failure: who must have served by now. */
-static void mustServe(Sweep *sweep, SweepResult *result)
+static void must_serve(Sweep *sweep, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
     bool any = false;
-    for (int i = 0; i < fleet->nodeCount[FLEET_GATE]; i++)
-        if (fleetServable(fleet, i)) {
-            checkerMustServe(fleet->checker, fleet->nodes[FLEET_GATE][i].props.name);
+    for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
+        if (fleet_servable(fleet, i)) {
+            checker_must_serve(fleet->checker, fleet->nodes[FLEET_GATE][i].props.name);
             result->asserted++;
             any = true;
         }
-    if (any && sweep->drained == NULL && fleetWorkable(fleet) >= WORKABLE_LEAST)
-        checkerMustStart(fleet->checker);
+    if (any && sweep->drained == NULL && fleet_workable(fleet) >= WORKABLE_LEAST)
+        checker_must_start(fleet->checker);
 }
 
 static bool broken(const Sweep *sweep)
 {
-    return checkerBrokenAll(sweep->fleet->checker) > 0;
+    return checker_broken_all(sweep->fleet->checker) > 0;
 }
 
 static void dense(Sweep *sweep, const SweepProps *props, SweepResult *result)
@@ -172,7 +172,7 @@
     Fleet *fleet = sweep->fleet;
     while (sim_now_ms(fleet->world) - sweep->start_ms < DENSE_MS && !broken(sweep) && result->steps < SWEEP_STEPS_MAX) {
         step(sweep, props, result->steps++);
-        fleetRun(fleet, (int64_t)sweepDraw(sweep, 2000));
+        fleet_run(fleet, (int64_t)sweep_draw(sweep, 2000));
     }
 }
 
@@ -181,28 +181,28 @@
     Fleet *fleet = sweep->fleet;
     for (int burst = 0; burst < BURSTS && !broken(sweep); burst++) {
         sweep->state = props->seed * 31337 + (uint64_t)burst;
-        const uint64_t failures = 1 + sweepDraw(sweep, BURST_MOST);
+        const uint64_t failures = 1 + sweep_draw(sweep, BURST_MOST);
         for (uint64_t i = 0; i < failures && !broken(sweep); i++) {
             step(sweep, props, result->steps++);
-            fleetRun(fleet, (int64_t)sweepDraw(sweep, 1200));
+            fleet_run(fleet, (int64_t)sweep_draw(sweep, 1200));
         }
         /* a freeze that is still on ends before the quiet begins */
-        fleetThaw(fleet);
-        checkerFault(fleet->checker);
-        fleetRun(fleet, QUIET_MS);
+        fleet_thaw(fleet);
+        checker_fault(fleet->checker);
+        fleet_run(fleet, QUIET_MS);
         if (!broken(sweep))
-            mustServe(sweep, result);
+            must_serve(sweep, result);
     }
 }
 
 /* What every gate and core that is up says of itself at the end of a broken run. */
-static void tellSelf(Fleet *fleet, FleetRole role)
+static void tell_self(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
-    for (int i = 0; i < fleet->nodeCount[role]; i++)
-        for (int p = 0; p < 2 && simAlive(fleet->world, fleet->nodes[role][i].machine); p++) {
+    for (int i = 0; i < fleet->node_count[role]; i++)
+        for (int p = 0; p < 2 && sim_alive(fleet->world, fleet->nodes[role][i].machine); p++) {
             void *mem = talloc_new(NULL);
-            const HttpCall call = fleetAsk(fleet, mem, role, i, "GET", PATHS[p], NULL);
+            const HttpCall call = fleet_ask(fleet, mem, role, i, "GET", PATHS[p], NULL);
             printf("%s %s %d: %s\n", fleet->nodes[role][i].props.name, PATHS[p], call.code,
                    (const char *)call.result.data);
             talloc_free(mem);
@@ -212,15 +212,15 @@
 static void tell(const Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    fleetDump(fleet);
-    tellSelf(fleet, FLEET_CORE);
-    tellSelf(fleet, FLEET_GATE);
-    for (int c = 0; c < fleet->callerCount; c++) {
+    fleet_dump(fleet);
+    tell_self(fleet, FLEET_CORE);
+    tell_self(fleet, FLEET_GATE);
+    for (int c = 0; c < fleet->caller_count; c++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[c], &jobs);
         size_t told = 0;
         for (size_t i = 0; i < count && told < TELL_MOST; i++) {
-            const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleetJob(fleet, jobs[i]->id) : NULL;
+            const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleet_job(fleet, jobs[i]->id) : NULL;
             if (jobs[i]->ended_ms != 0 || jobs[i]->refused)
                 continue;
             told++;
@@ -232,25 +232,25 @@
     }
 }
 
-void sweepRun(const SweepProps *props, SweepResult *result)
+void sweep_run(const SweepProps *props, SweepResult *result)
 {
     void *mem = talloc_new(NULL);
     Sweep *sweep = talloc_zero(mem, Sweep);
     static const int CORES[] = {3, 3, 6, 8};
     static const FleetSite SITES[] = {
         {.zones = 3, .losses = 1},
-        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000, .staggerMs = 500},
+        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000, .stagger_ms = 500},
         {.zones = 3,
          .losses = 2,
          .votes = true,
          .disks_keep = true,
          .seat_back_ms = 6000,
-         .staggerMs = 500,
+         .stagger_ms = 500,
          .gate_seeds = 1},
-        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .staggerMs = 500},
+        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .stagger_ms = 500},
     };
     const FleetSite *site = &SITES[props->site];
-    Fleet *fleet = fleetNewAt(
+    Fleet *fleet = fleet_new_at(
         mem, props->seed,
         (FleetShape){CORES[props->site], props->mix == MIX_ATLAS ? 4 : 3, 11, props->mix, 2 * site->losses}, site);
     sweep->fleet = fleet;
@@ -258,42 +258,42 @@
     sweep->jumped = -1;
     sweep->liars = props->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
     *result = (SweepResult){.good = true};
-    fleetStart(fleet);
-    if (!fleetSettle(fleet, 30000) || !fleetConfigure(fleet)) {
+    fleet_start(fleet);
+    if (!fleet_settle(fleet, 30000) || !fleet_configure(fleet)) {
         snprintf(result->why, sizeof(result->why), "the fleet did not settle");
         result->good = false;
     } else {
-        checkerConfigSet(fleet->checker, 1);
+        checker_config_set(fleet->checker, 1);
         if (props->mix == MIX_VARIED)
-            checkerQuota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
+            checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
         sweep->start_ms = sim_now_ms(fleet->world);
         for (int i = 0; i < fleet->shape.cores && sweep->liars; i++)
-            simDiskLie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, true);
+            sim_disk_lie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, true);
         const bool sparse = props->seed % 2 == 0;
-        fleetCall(fleet, "s", sparse ? 4000 : props->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
-        probesStart(fleet, sparse ? 400 : 900);
-        fleetRun(fleet, 1000);
+        fleet_call(fleet, "s", sparse ? 4000 : props->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
+        probes_start(fleet, sparse ? 400 : 900);
+        fleet_run(fleet, 1000);
         (sparse ? bursts : dense)(sweep, props, result);
         if (!broken(sweep)) {
             heal(sweep);
-            fleetThaw(fleet);
-            fleetRun(fleet, QUIET_MS);
-            mustServe(sweep, result);
+            fleet_thaw(fleet);
+            fleet_run(fleet, QUIET_MS);
+            must_serve(sweep, result);
         }
-        probesStop(fleet);
-        for (int i = 0; i < fleet->callerCount; i++)
+        probes_stop(fleet);
+        for (int i = 0; i < fleet->caller_count; i++)
             caller_stop(fleet->callers[i]);
-        const bool finished = broken(sweep) || fleetFinish(fleet, 180000);
+        const bool finished = broken(sweep) || fleet_finish(fleet, 180000);
         if (broken(sweep) || !finished) {
             result->good = false;
             snprintf(result->why, sizeof(result->why), "%s",
-                     broken(sweep) ? checkerFirst(fleet->checker) : "jobs have not ended");
+                     broken(sweep) ? checker_first(fleet->checker) : "jobs have not ended");
         }
     }
-    result->starts = checkerStarts(fleet->checker);
+    result->starts = checker_starts(fleet->checker);
     result->faults = sweep->faults;
     for (int i = 0; i < SERVE_COUNT; i++)
-        result->worstMs[i] = checkerWorstMs(fleet->checker, (Serve)i);
+        result->worst_ms[i] = checker_worst_ms(fleet->checker, (Serve)i);
     if (!result->good && props->loud)
         tell(sweep);
     talloc_free(mem);
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -8,220 +8,220 @@
 
 static const char *const ZONES[] = {"north", "south", "west"};
 
-static int votersAlive(const Sweep *sweep)
+static int voters_alive(const Sweep *sweep)
 {
     int count = 0;
-    for (int i = 0; i < sweep->fleet->nodeCount[FLEET_CORE]; i++)
-        count += simAlive(sweep->fleet->world, sweep->fleet->nodes[FLEET_CORE][i].machine);
+    for (int i = 0; i < sweep->fleet->node_count[FLEET_CORE]; i++)
+        count += sim_alive(sweep->fleet->world, sweep->fleet->nodes[FLEET_CORE][i].machine);
     return count;
 }
 
 /* Seats that the site wants and no running core with a good disk has. */
-static int votersMissing(Sweep *sweep)
+static int voters_missing(Sweep *sweep)
 {
-    return 2 * sweep->fleet->site.losses + 1 - fleetSeats(sweep->fleet);
+    return 2 * sweep->fleet->site.losses + 1 - fleet_seats(sweep->fleet);
 }
 
-void actKill(Sweep *sweep)
+void act_kill(Sweep *sweep)
 {
-    FleetNode *node = sweepAny(sweep);
-    if (node->role == FLEET_CORE && votersAlive(sweep) < sweep->fleet->shape.cores && sweepDraw(sweep, 3) != 0)
+    FleetNode *node = sweep_any(sweep);
+    if (node->role == FLEET_CORE && voters_alive(sweep) < sweep->fleet->shape.cores && sweep_draw(sweep, 3) != 0)
         return;
-    sweepSay(sweep, "kill %s", node->props.name);
-    fleetKill(sweep->fleet, node->role, node->number);
+    sweep_say(sweep, "kill %s", node->props.name);
+    fleet_kill(sweep->fleet, node->role, node->number);
 }
 
-void actPowerOff(Sweep *sweep)
+void act_power_off(Sweep *sweep)
 {
-    FleetNode *node = sweepAny(sweep);
-    if (sweep->liars && sweepDraw(sweep, 2) == 0) {
-        sweepSay(sweep, "power lost at all seats");
-        for (int i = 0; i < sweep->fleet->nodeCount[FLEET_CORE]; i++)
-            fleetPowerOff(sweep->fleet, FLEET_CORE, i);
-        fleetRun(sweep->fleet, (int64_t)sweepDraw(sweep, 1500));
-        sweepStartAll(sweep);
+    FleetNode *node = sweep_any(sweep);
+    if (sweep->liars && sweep_draw(sweep, 2) == 0) {
+        sweep_say(sweep, "power lost at all seats");
+        for (int i = 0; i < sweep->fleet->node_count[FLEET_CORE]; i++)
+            fleet_power_off(sweep->fleet, FLEET_CORE, i);
+        fleet_run(sweep->fleet, (int64_t)sweep_draw(sweep, 1500));
+        sweep_start_all(sweep);
         return;
     }
-    sweepSay(sweep, "power off %s", node->props.name);
-    fleetPowerOff(sweep->fleet, node->role, node->number);
+    sweep_say(sweep, "power off %s", node->props.name);
+    fleet_power_off(sweep->fleet, node->role, node->number);
 }
 
-void actFreeze(Sweep *sweep)
+void act_freeze(Sweep *sweep)
 {
-    FleetNode *node = sweepAny(sweep);
-    const int64_t for_ms = 200 + (int64_t)sweepDraw(sweep, 6000);
-    sweepSay(sweep, "freeze %s for %" PRId64, node->props.name, for_ms);
-    fleetFreeze(sweep->fleet, node->role, node->number, for_ms);
+    FleetNode *node = sweep_any(sweep);
+    const int64_t for_ms = 200 + (int64_t)sweep_draw(sweep, 6000);
+    sweep_say(sweep, "freeze %s for %" PRId64, node->props.name, for_ms);
+    fleet_freeze(sweep->fleet, node->role, node->number, for_ms);
 }
 
-void actCutOff(Sweep *sweep)
+void act_cut_off(Sweep *sweep)
 {
-    FleetNode *node = sweepAny(sweep);
-    sweepSay(sweep, "cut off %s", node->props.name);
-    fleetIsolate(sweep->fleet, node->role, node->number, true);
+    FleetNode *node = sweep_any(sweep);
+    sweep_say(sweep, "cut off %s", node->props.name);
+    fleet_isolate(sweep->fleet, node->role, node->number, true);
 }
 
-void actCutOneWay(Sweep *sweep)
+void act_cut_one_way(Sweep *sweep)
 {
-    const FleetNode *from = sweepAny(sweep), *to = sweepAny(sweep);
-    sweepSay(sweep, "cut %s > %s", from->props.name, to->props.name);
+    const FleetNode *from = sweep_any(sweep), *to = sweep_any(sweep);
+    sweep_say(sweep, "cut %s > %s", from->props.name, to->props.name);
     sim_cut(sweep->fleet->world, from->machine, to->machine, true);
 }
 
 /* A link that comes and goes, both ways or one. */
-void actFlap(Sweep *sweep)
+void act_flap(Sweep *sweep)
 {
-    const FleetNode *a = sweepAny(sweep), *b = sweepNode(sweep, FLEET_CORE);
-    const bool both = sweepDraw(sweep, 2) == 0;
-    const int64_t eachMs = 50 + (int64_t)sweepDraw(sweep, 900);
-    sweepSay(sweep, "flap %s %s %s each %" PRId64, a->props.name, both ? "<>" : ">", b->props.name, eachMs);
+    const FleetNode *a = sweep_any(sweep), *b = sweep_node(sweep, FLEET_CORE);
+    const bool both = sweep_draw(sweep, 2) == 0;
+    const int64_t each_ms = 50 + (int64_t)sweep_draw(sweep, 900);
+    sweep_say(sweep, "flap %s %s %s each %" PRId64, a->props.name, both ? "<>" : ">", b->props.name, each_ms);
     for (int i = 0; i < 8; i++) {
         sim_cut(sweep->fleet->world, a->machine, b->machine, i % 2 == 0);
         if (both)
             sim_cut(sweep->fleet->world, b->machine, a->machine, i % 2 == 0);
-        fleetRun(sweep->fleet, eachMs);
+        fleet_run(sweep->fleet, each_ms);
     }
 }
 
-void actJoinAll(Sweep *sweep)
+void act_join_all(Sweep *sweep)
 {
-    sweepSay(sweep, "all joined");
-    sweepJoinAll(sweep);
+    sweep_say(sweep, "all joined");
+    sweep_join_all(sweep);
 }
 
-void actStartAll(Sweep *sweep)
+void act_start_all(Sweep *sweep)
 {
-    sweepSay(sweep, "all started");
-    sweepStartAll(sweep);
+    sweep_say(sweep, "all started");
+    sweep_start_all(sweep);
 }
 
-void actDiskSlow(Sweep *sweep)
+void act_disk_slow(Sweep *sweep)
 {
-    const FleetNode *core = sweepNode(sweep, FLEET_CORE);
-    const int64_t sync_ms = sweepDraw(sweep, 2) ? 3 : (int64_t)sweepDraw(sweep, 4000);
-    sweepSay(sweep, "disk of %s takes %" PRId64, core->props.name, sync_ms);
+    const FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    const int64_t sync_ms = sweep_draw(sweep, 2) ? 3 : (int64_t)sweep_draw(sweep, 4000);
+    sweep_say(sweep, "disk of %s takes %" PRId64, core->props.name, sync_ms);
     sim_disk_slow(sweep->fleet->world, core->machine, sync_ms);
 }
 
 /* Full, or failing: nothing is written until it works again. */
-void actDiskFails(Sweep *sweep)
+void act_disk_fails(Sweep *sweep)
 {
-    const FleetNode *core = sweepNode(sweep, FLEET_CORE);
-    const bool fails = sweepDraw(sweep, 2) == 0;
-    sweepSay(sweep, "disk of %s %s", core->props.name, fails ? "fails" : "works");
+    const FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    const bool fails = sweep_draw(sweep, 2) == 0;
+    sweep_say(sweep, "disk of %s %s", core->props.name, fails ? "fails" : "works");
     sim_disk_fail(sweep->fleet->world, core->machine, fails);
 }
 
 /* A journal torn or spoilt while its core is down. One spoilt before its end is
  * refused, so that core starts with an empty disk: it has been replaced. */
-void actDiskSpoilt(Sweep *sweep)
+void act_disk_spoilt(Sweep *sweep)
 {
-    FleetNode *core = sweepNode(sweep, FLEET_CORE);
-    if (votersMissing(sweep) >= sweep->fleet->site.losses) /* so many disks may be lost, not one more */
+    FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    if (voters_missing(sweep) >= sweep->fleet->site.losses) /* so many disks may be lost, not one more */
         return;
-    fleetPowerOff(sweep->fleet, FLEET_CORE, core->number);
+    fleet_power_off(sweep->fleet, FLEET_CORE, core->number);
     Bytes *journal = sim_disk_content(sweep->fleet->world, core->machine, "data/journal");
-    const bool torn = sweepDraw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
+    const bool torn = sweep_draw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
     if (torn && journal->count > 600) {
-        const size_t cut = 1 + (size_t)sweepDraw(sweep, 300);
-        sweepSay(sweep, "%s loses the last %zu bytes", core->props.name, cut);
+        const size_t cut = 1 + (size_t)sweep_draw(sweep, 300);
+        sweep_say(sweep, "%s loses the last %zu bytes", core->props.name, cut);
         journal->count -= cut;
     } else {
-        sweepSay(sweep, "%s's disk is spoilt and emptied", core->props.name);
-        simDiskWipe(sweep->fleet->world, core->machine);
+        sweep_say(sweep, "%s's disk is spoilt and emptied", core->props.name);
+        sim_disk_wipe(sweep->fleet->world, core->machine);
     }
-    fleetRun(sweep->fleet, 500 + (int64_t)sweepDraw(sweep, 2000));
-    fleetStartNode(sweep->fleet, FLEET_CORE, core->number);
+    fleet_run(sweep->fleet, 500 + (int64_t)sweep_draw(sweep, 2000));
+    fleet_start_node(sweep->fleet, FLEET_CORE, core->number);
 }
 
 /* One machine's wall clock is off at a time: the median of three is right. */
-void actClockJump(Sweep *sweep)
+void act_clock_jump(Sweep *sweep)
 {
-    const FleetNode *node = sweepAny(sweep);
-    const int64_t byMs = (int64_t)sweepDraw(sweep, 7200000) - 3600000;
+    const FleetNode *node = sweep_any(sweep);
+    const int64_t by_ms = (int64_t)sweep_draw(sweep, 7200000) - 3600000;
     if (sweep->jumped >= 0) {
-        sweepSay(sweep, "the clock that was off is set right");
-        simClockRight(sweep->fleet->world, sweep->jumped);
+        sweep_say(sweep, "the clock that was off is set right");
+        sim_clock_right(sweep->fleet->world, sweep->jumped);
         sweep->jumped = -1;
         return;
     }
-    sweepSay(sweep, "clock of %s jumps by %" PRId64, node->props.name, byMs);
-    simJump(sweep->fleet->world, node->machine, byMs);
+    sweep_say(sweep, "clock of %s jumps by %" PRId64, node->props.name, by_ms);
+    sim_jump(sweep->fleet->world, node->machine, by_ms);
     sweep->jumped = node->machine;
 }
 
-static void zoneEach(Sweep *sweep, const char *zone, void (*fn)(Fleet *, FleetRole, int))
+static void zone_each(Sweep *sweep, const char *zone, void (*fn)(Fleet *, FleetRole, int))
 {
     Fleet *fleet = sweep->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
+        for (int i = 0; i < fleet->node_count[role]; i++)
             if (strcmp(fleet->nodes[role][i].props.zone, zone) == 0 && !(sweep->liars && role != FLEET_CORE))
                 fn(fleet, (FleetRole)role, i);
 }
 
-void actZoneOff(Sweep *sweep)
+void act_zone_off(Sweep *sweep)
 {
-    const char *zone = ZONES[sweepDraw(sweep, 3)];
-    sweepSay(sweep, "zone %s has no power", zone);
-    zoneEach(sweep, zone, fleetPowerOff);
+    const char *zone = ZONES[sweep_draw(sweep, 3)];
+    sweep_say(sweep, "zone %s has no power", zone);
+    zone_each(sweep, zone, fleet_power_off);
 }
 
-void actZoneCut(Sweep *sweep)
+void act_zone_cut(Sweep *sweep)
 {
-    const char *zone = ZONES[sweepDraw(sweep, 3)];
+    const char *zone = ZONES[sweep_draw(sweep, 3)];
     if (sweep->liars)
         return;
-    sweepSay(sweep, "zone %s is cut off", zone);
-    fleetZoneCut(sweep->fleet, zone, true);
+    sweep_say(sweep, "zone %s is cut off", zone);
+    fleet_zone_cut(sweep->fleet, zone, true);
 }
 
 /* No seat for anybody, for a while: the paper's second rule, and its end. */
-void actStoreGone(Sweep *sweep)
+void act_store_gone(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    const int64_t for_ms = 1000 + (int64_t)sweepDraw(sweep, 7000);
-    sweepSay(sweep, "cores reach no core for %" PRId64, for_ms);
+    const int64_t for_ms = 1000 + (int64_t)sweep_draw(sweep, 7000);
+    sweep_say(sweep, "cores reach no core for %" PRId64, for_ms);
     for (int turn = 0; turn < 2; turn++) {
-        for (int a = 0; a < fleet->nodeCount[FLEET_CORE]; a++)
-            for (int b = 0; b < fleet->nodeCount[FLEET_CORE]; b++)
+        for (int a = 0; a < fleet->node_count[FLEET_CORE]; a++)
+            for (int b = 0; b < fleet->node_count[FLEET_CORE]; b++)
                 sim_cut(fleet->world, fleet->nodes[FLEET_CORE][a].machine, fleet->nodes[FLEET_CORE][b].machine,
                         turn == 0);
         if (turn == 0)
-            fleetRun(fleet, for_ms);
+            fleet_run(fleet, for_ms);
     }
 }
 
-void actAllKilled(Sweep *sweep)
+void act_all_killed(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     if (sweep->liars)
         return;
-    sweepSay(sweep, "everything is killed");
+    sweep_say(sweep, "everything is killed");
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
-            fleetKill(fleet, (FleetRole)role, i);
-    fleetRun(fleet, (int64_t)sweepDraw(sweep, 4000));
-    sweepStartAll(sweep);
+        for (int i = 0; i < fleet->node_count[role]; i++)
+            fleet_kill(fleet, (FleetRole)role, i);
+    fleet_run(fleet, (int64_t)sweep_draw(sweep, 4000));
+    sweep_start_all(sweep);
 }
 
 /* A core goes for good; an empty one at a new address comes, its seeds others. */
-void actCoreReplaced(Sweep *sweep)
+void act_core_replaced(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    const int spare = fleet->shape.cores + (int)sweepDraw(sweep, (uint64_t)fleet->shape.spares);
-    FleetNode *gone = fleetNode(fleet, FLEET_CORE, (int)sweepDraw(sweep, (uint64_t)fleet->shape.cores));
-    if (simAlive(fleet->world, fleet->nodes[FLEET_CORE][spare].machine) || votersMissing(sweep) >= fleet->site.losses)
+    const int spare = fleet->shape.cores + (int)sweep_draw(sweep, (uint64_t)fleet->shape.spares);
+    FleetNode *gone = fleet_node(fleet, FLEET_CORE, (int)sweep_draw(sweep, (uint64_t)fleet->shape.cores));
+    if (sim_alive(fleet->world, fleet->nodes[FLEET_CORE][spare].machine) || voters_missing(sweep) >= fleet->site.losses)
         return;
-    sweepSay(sweep, "%s is gone for good, empty %s comes", gone->props.name,
-             fleet->nodes[FLEET_CORE][spare].props.name);
-    fleetPowerOff(fleet, FLEET_CORE, gone->number);
-    simDiskWipe(fleet->world, gone->machine);
-    fleetStartNode(fleet, FLEET_CORE, spare);
+    sweep_say(sweep, "%s is gone for good, empty %s comes", gone->props.name,
+              fleet->nodes[FLEET_CORE][spare].props.name);
+    fleet_power_off(fleet, FLEET_CORE, gone->number);
+    sim_disk_wipe(fleet->world, gone->machine);
+    fleet_start_node(fleet, FLEET_CORE, spare);
 }
 
-void actLinksSlow(Sweep *sweep)
+void act_links_slow(Sweep *sweep)
 {
-    const int64_t most_ms = sweepDraw(sweep, 2) ? 3 : 5 + (int64_t)sweepDraw(sweep, 55);
-    sweepSay(sweep, "links take up to %" PRId64, most_ms);
-    simDelay(sweep->fleet->world, 1, most_ms);
+    const int64_t most_ms = sweep_draw(sweep, 2) ? 3 : 5 + (int64_t)sweep_draw(sweep, 55);
+    sweep_say(sweep, "links take up to %" PRId64, most_ms);
+    sim_delay(sweep->fleet->world, 1, most_ms);
 }
