--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -25,15 +25,15 @@
 {
     Checker *checker = operator->sweep->fleet->checker;
     if (operator->quota)
-        checkerQuota(checker, operator->tenant, operator->room, word);
+        checker_quota(checker, operator->tenant, operator->room, word);
     else
-        checkerTenant(checker, operator->tenant, word);
+        checker_tenant(checker, operator->tenant, word);
 }
 
 #define OPERATOR_TRIES 4 /* count; of a call that names its revision */
 
 /* One try at one gate; the code, 0 after silence, and the revision that was told. */
-static int operatorTry(Operator *operator, int gate, int64_t wait_ms, uint64_t *revision)
+static int operator_try(Operator *operator, int gate, int64_t wait_ms, uint64_t *revision)
 {
     Fleet *fleet = operator->sweep->fleet;
     void *mem = talloc_new(fleet);
@@ -52,19 +52,19 @@
     return status == STATUS_OK ? call.code : 0;
 }
 
-static void operatorMain(void *arg)
+static void operator_main(void *arg)
 {
     Operator *operator= arg;
     Fleet *fleet = operator->sweep->fleet;
     uint64_t revision = 0;
     told(operator, TENANT_ASKED);
-    operator->code = operatorTry(operator, operator->gate, operator->revision> 0 ? 1000 : 9000, &revision);
+    operator->code = operator_try(operator, operator->gate, operator->revision> 0 ? 1000 : 9000, &revision);
     for (int i = 1; i < OPERATOR_TRIES && operator->revision> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
         loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
-        operator->code = operatorTry(operator, operator->gate + i, 2000, &revision);
+        operator->code = operator_try(operator, operator->gate + i, 2000, &revision);
     }
     if (operator->code == 200 && revision> 0) {
-        checkerConfigSet(fleet->checker, revision);
+        checker_config_set(fleet->checker, revision);
         told(operator, operator->quota || operator->in ? TENANT_IN : TENANT_OUT);
     } else if (operator->code >= 400 && operator->code<500) {
         told(operator, TENANT_REFUSED);
@@ -73,139 +73,139 @@
 }
 
 /* The revision in force, as a gate tells it; false when it does not. */
-static bool baseAsk(Sweep *sweep, uint64_t *base)
+static bool base_ask(Sweep *sweep, uint64_t *base)
 {
     void *mem = talloc_new(NULL);
-    const HttpCall got = fleetAsk(sweep->fleet, mem, FLEET_GATE, (int)sweepDraw(sweep, 3), "GET", "/v1/config", NULL);
+    const HttpCall got = fleet_ask(sweep->fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), "GET", "/v1/config", NULL);
     const bool known = got.code == 200 && sscanf((const char *)got.result.data, "{\"revision\":%" SCNu64, base) == 1;
     if (known)
-        checkerConfigRead(sweep->fleet->checker, *base);
+        checker_config_read(sweep->fleet->checker, *base);
     talloc_free(mem);
     return known;
 }
 
-static Operator *operatorNew(Sweep *sweep, uint64_t base, const char *tenant, bool in)
+static Operator *operator_new(Sweep *sweep, uint64_t base, const char *tenant, bool in)
 {
     Operator *operator= talloc_zero(sweep, Operator);
-    *operator=(Operator){.sweep = sweep, .gate = (int)sweepDraw(sweep, 3), .tenant = tenant, .in = in, .base = base};
+    *operator=(Operator){.sweep = sweep, .gate = (int)sweep_draw(sweep, 3), .tenant = tenant, .in = in, .base = base};
     operator->revision = base % 2 == 0 ? base + 1 + base % 3 : 0;
     operator->body = talloc_asprintf(operator, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
                                      mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
     return operator;
 }
 
-static void operatorSend(Operator *operator)
+static void operator_send(Operator *operator)
 {
     loop_spawn(sim_loop(operator->sweep->fleet->world, operator->sweep->fleet->caller), "operator",
-               operatorMain, operator);
+               operator_main, operator);
 }
 
-static void operatorWait(Operator *operator)
+static void operator_wait(Operator *operator)
 {
     while (!operator->done)
-        fleetRun(operator->sweep->fleet, 5);
+        fleet_run(operator->sweep->fleet, 5);
 }
 
-void actConfig(Sweep *sweep)
+void act_config(Sweep *sweep)
 {
     uint64_t base;
-    if (!baseAsk(sweep, &base))
+    if (!base_ask(sweep, &base))
         return;
-    const char *tenant = PROBE_IN_OUT[sweepDraw(sweep, PROBE_TENANTS)];
-    Operator *operator= operatorNew(sweep, base, tenant, sweepDraw(sweep, 2) == 0);
-    operatorSend(operator);
-    operatorWait(operator);
-    sweepSay(sweep, "%s %s, on %" PRIu64 ": %d", tenant, operator->in ? "in" : "out", base, operator->code);
+    const char *tenant = PROBE_IN_OUT[sweep_draw(sweep, PROBE_TENANTS)];
+    Operator *operator= operator_new(sweep, base, tenant, sweep_draw(sweep, 2) == 0);
+    operator_send(operator);
+    operator_wait(operator);
+    sweep_say(sweep, "%s %s, on %" PRIu64 ": %d", tenant, operator->in ? "in" : "out", base, operator->code);
 }
 
 /* Two operators at once, on the same base: at the most one may win. */
-void actConfigRace(Sweep *sweep)
+void act_config_race(Sweep *sweep)
 {
     uint64_t base;
-    if (!baseAsk(sweep, &base))
+    if (!base_ask(sweep, &base))
         return;
-    Operator *a = operatorNew(sweep, base, PROBE_IN_OUT[0], sweepDraw(sweep, 2) == 0);
-    Operator *b = operatorNew(sweep, base, PROBE_IN_OUT[1], sweepDraw(sweep, 2) == 0);
-    operatorSend(a);
-    operatorSend(b);
-    operatorWait(a);
-    operatorWait(b);
-    sweepSay(sweep, "two operators on %" PRIu64 ": %d %d", base, a->code, b->code);
+    Operator *a = operator_new(sweep, base, PROBE_IN_OUT[0], sweep_draw(sweep, 2) == 0);
+    Operator *b = operator_new(sweep, base, PROBE_IN_OUT[1], sweep_draw(sweep, 2) == 0);
+    operator_send(a);
+    operator_send(b);
+    operator_wait(a);
+    operator_wait(b);
+    sweep_say(sweep, "two operators on %" PRIu64 ": %d %d", base, a->code, b->code);
     if (a->code == 200 && b->code == 200)
-        checkerConfigBoth(sweep->fleet->checker, base);
+        checker_config_both(sweep->fleet->checker, base);
 }
 
 /* Refused ones: a stale base, or a fault in them. What they held must never show. */
-void actConfigRefused(Sweep *sweep)
+void act_config_refused(Sweep *sweep)
 {
     uint64_t base;
-    if (!baseAsk(sweep, &base) || base == 0)
+    if (!base_ask(sweep, &base) || base == 0)
         return;
-    Operator *operator= operatorNew(sweep, base, PROBE_NEVER, true);
-    const bool stale = sweepDraw(sweep, 2) == 0;
+    Operator *operator= operator_new(sweep, base, PROBE_NEVER, true);
+    const bool stale = sweep_draw(sweep, 2) == 0;
     if (stale)
         operator->base--;
     else
         operator->body = talloc_asprintf(operator, "{\"r\":99,\"cells\":{\"%s\":{\"tenants\":{\"%s\":{}}}}}",
                                          mix_cell(sweep->fleet->shape.mix), PROBE_NEVER);
-    operatorSend(operator);
-    operatorWait(operator);
-    sweepSay(sweep, "a %s configuration: %d", stale ? "stale" : "faulty", operator->code);
+    operator_send(operator);
+    operator_wait(operator);
+    sweep_say(sweep, "a %s configuration: %d", stale ? "stale" : "faulty", operator->code);
 }
 
-void actQuota(Sweep *sweep)
+void act_quota(Sweep *sweep)
 {
     uint64_t base;
-    if (sweep->fleet->shape.mix != MIX_VARIED || !baseAsk(sweep, &base))
+    if (sweep->fleet->shape.mix != MIX_VARIED || !base_ask(sweep, &base))
         return;
-    Operator *operator= operatorNew(sweep, base, "bounded", true);
+    Operator *operator= operator_new(sweep, base, "bounded", true);
     operator->quota = true;
-    operator->room =(Room){1000 * (1 + sweepDraw(sweep, 4)), 0, 0};
+    operator->room =(Room){1000 * (1 + sweep_draw(sweep, 4)), 0, 0};
     operator->body =
         talloc_asprintf(operator, "{\"cells\":{\"imagery\":{\"tenants\":{\"bounded\":{\"quota\":{\"cpu\":%" PRIu64
                                   ",\"memMb\":0}}}}}}",
                                   operator->room.cpu_milli / 1000);
-    operatorSend(operator);
-    operatorWait(operator);
-    sweepSay(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->room.cpu_milli,
-             base, operator->code);
+    operator_send(operator);
+    operator_wait(operator);
+    sweep_say(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->room.cpu_milli,
+              base, operator->code);
 }
 
-void actCancel(Sweep *sweep)
+void act_cancel(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     CallerJob *const *jobs;
     const size_t count = caller_jobs(fleet->callers[0], &jobs);
     if (count == 0)
         return;
-    const CallerJob *job = jobs[count - 1 - sweepDraw(sweep, count < 10 ? count : 10)];
+    const CallerJob *job = jobs[count - 1 - sweep_draw(sweep, count < 10 ? count : 10)];
     if (job->accepted_ms == 0 || job->ended_ms != 0)
         return;
     void *mem = talloc_new(NULL);
-    const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, (int)sweepDraw(sweep, 3), "DELETE",
-                                   talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), "DELETE",
+                                    talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL);
     if (call.code == 200)
-        checkerCancelled(fleet->checker, job->id);
-    sweepSay(sweep, "cancel %s: %d", job->id, call.code);
+        checker_cancelled(fleet->checker, job->id);
+    sweep_say(sweep, "cancel %s: %d", job->id, call.code);
     talloc_free(mem);
 }
 
 /* Empties a zone, or takes the one back that was emptied: other failures come between. */
-void actDrain(Sweep *sweep)
+void act_drain(Sweep *sweep)
 {
     static const char *const ZONES[] = {"north", "south", "west"};
     Fleet *fleet = sweep->fleet;
     void *mem = talloc_new(NULL);
     const bool back = sweep->drained != NULL;
-    const char *zone = back ? sweep->drained : ZONES[sweepDraw(sweep, 3)];
+    const char *zone = back ? sweep->drained : ZONES[sweep_draw(sweep, 3)];
     if (back)
-        checkerZone(fleet->checker, zone, false); /* from the asking on it may be given work */
-    const int code = fleetAsk(fleet, mem, FLEET_GATE, (int)sweepDraw(sweep, 3), back ? "DELETE" : "POST",
-                              talloc_asprintf(mem, "/v1/zones/%s/drain", zone), NULL)
+        checker_zone(fleet->checker, zone, false); /* from the asking on it may be given work */
+    const int code = fleet_ask(fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), back ? "DELETE" : "POST",
+                               talloc_asprintf(mem, "/v1/zones/%s/drain", zone), NULL)
                          .code;
-    sweepSay(sweep, "%s %s: %d", back ? "back" : "drain", zone, code);
+    sweep_say(sweep, "%s %s: %d", back ? "back" : "drain", zone, code);
     if (!back && code == 200)
-        checkerZone(fleet->checker, zone, true);
+        checker_zone(fleet->checker, zone, true);
     /* an outcome that is not known is settled by asking for it back later */
     if (!back && (code == 200 || code == 504 || code == 0))
         sweep->drained = zone;
@@ -214,54 +214,54 @@
     talloc_free(mem);
 }
 
-void actWorkerLeaves(Sweep *sweep)
+void act_worker_leaves(Sweep *sweep)
 {
-    FleetNode *worker = sweepNode(sweep, FLEET_WORKER);
-    const int64_t noticeMs = (int64_t)sweepDraw(sweep, 3000);
-    if (worker->worker == NULL || !simAlive(sweep->fleet->world, worker->machine))
+    FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
+    const int64_t notice_ms = (int64_t)sweep_draw(sweep, 3000);
+    if (worker->worker == NULL || !sim_alive(sweep->fleet->world, worker->machine))
         return;
-    sweepSay(sweep, "%s leaves, gone in %" PRId64, worker->props.name, noticeMs);
+    sweep_say(sweep, "%s leaves, gone in %" PRId64, worker->props.name, notice_ms);
     stand_worker_leave(worker->worker);
-    checkerLeaving(sweep->fleet->checker, worker->props.name, true);
-    fleetRun(sweep->fleet, noticeMs);
-    fleetKill(sweep->fleet, FLEET_WORKER, worker->number);
+    checker_leaving(sweep->fleet->checker, worker->props.name, true);
+    fleet_run(sweep->fleet, notice_ms);
+    fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
 }
 
-void actWorkerSick(Sweep *sweep)
+void act_worker_sick(Sweep *sweep)
 {
-    FleetNode *worker = sweepNode(sweep, FLEET_WORKER);
-    const uint64_t how = sweepDraw(sweep, 5);
+    FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
+    const uint64_t how = sweep_draw(sweep, 5);
     if (worker->worker == NULL)
         return;
-    sweepSay(sweep, "%s %s", worker->props.name,
-             how == 0   ? "fails its work"
-             : how == 1 ? "is five times slower"
-             : how == 2 ? "repeats its reports"
-                        : "is well");
-    worker->workerProps.fails_all = how == 0;
-    worker->workerProps.slow_times = how == 1 ? 5 : 1;
-    worker->workerProps.repeats = how == 2;
+    sweep_say(sweep, "%s %s", worker->props.name,
+              how == 0   ? "fails its work"
+              : how == 1 ? "is five times slower"
+              : how == 2 ? "repeats its reports"
+                         : "is well");
+    worker->worker_props.fails_all = how == 0;
+    worker->worker_props.slow_times = how == 1 ? 5 : 1;
+    worker->worker_props.repeats = how == 2;
     stand_worker_fail(worker->worker, how == 0);
     stand_worker_slow(worker->worker, how == 1 ? 5 : 1);
     stand_worker_repeat(worker->worker, how == 2);
 }
 
 /* It comes back at once and knows nothing of what it ran. */
-void actWorkerRestarts(Sweep *sweep)
+void act_worker_restarts(Sweep *sweep)
 {
-    FleetNode *worker = sweepNode(sweep, FLEET_WORKER);
-    sweepSay(sweep, "%s starts anew", worker->props.name);
-    fleetKill(sweep->fleet, FLEET_WORKER, worker->number);
-    checkerLeaving(sweep->fleet->checker, worker->props.name, false);
-    fleetStartNode(sweep->fleet, FLEET_WORKER, worker->number);
+    FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
+    sweep_say(sweep, "%s starts anew", worker->props.name);
+    fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
+    checker_leaving(sweep->fleet->checker, worker->props.name, false);
+    fleet_start_node(sweep->fleet, FLEET_WORKER, worker->number);
 }
 
-void actCrowd(Sweep *sweep)
+void act_crowd(Sweep *sweep)
 {
     char name[32];
     if (sweep->calls >= 4)
         return;
     snprintf(name, sizeof(name), "crowd%d", sweep->calls++);
-    sweepSay(sweep, "a crowd: 40 jobs in a second");
-    fleetCall(sweep->fleet, name, 40000, 1000);
+    sweep_say(sweep, "a crowd: 40 jobs in a second");
+    fleet_call(sweep->fleet, name, 40000, 1000);
 }
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -18,25 +18,25 @@
 struct Timeline {
     Fleet *fleet;
     Column columns[COLUMNS_MAX];
-    size_t columnCount;
+    size_t column_count;
     int64_t start_ms;
     Caller *caller;
     int calls;
     char *why;
-    size_t whySize;
+    size_t why_size;
 };
 
 static bool fault(Timeline *timeline, const char *column, const char *what)
 {
     /* a never that broke is the cause of what does not hold */
-    if (checkerBrokenAll(timeline->fleet->checker) > 0)
-        what = checkerFirst(timeline->fleet->checker);
-    snprintf(timeline->why, timeline->whySize, "at %" PRId64 " ms, column %s: %s",
+    if (checker_broken_all(timeline->fleet->checker) > 0)
+        what = checker_first(timeline->fleet->checker);
+    snprintf(timeline->why, timeline->why_size, "at %" PRId64 " ms, column %s: %s",
              sim_now_ms(timeline->fleet->world) - timeline->start_ms, column, what);
     return false;
 }
 
-static bool columnFind(Timeline *timeline, const char *name, Column *column)
+static bool column_find(Timeline *timeline, const char *name, Column *column)
 {
     static const char *const ROLES[] = {"core", "gate", "agent", "worker"};
     Fleet *fleet = timeline->fleet;
@@ -47,63 +47,63 @@
         column->zone = name + 5;
         return true;
     }
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     int others[FLEET_EACH_MAX], count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++)
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
         if (i != leader)
             others[count++] = i;
     if (strcmp(name, "leader") == 0)
-        column->node = fleetNode(fleet, FLEET_CORE, leader);
+        column->node = fleet_node(fleet, FLEET_CORE, leader);
     else if (strcmp(name, "second") == 0)
-        column->node = fleetNode(fleet, FLEET_CORE, others[0]);
+        column->node = fleet_node(fleet, FLEET_CORE, others[0]);
     else if (strcmp(name, "third") == 0)
-        column->node = fleetNode(fleet, FLEET_CORE, others[1]);
+        column->node = fleet_node(fleet, FLEET_CORE, others[1]);
     for (int role = 0; role < FLEET_ROLES && column->node == NULL; role++) {
         const size_t length = strlen(ROLES[role]);
         const int number = atoi(name + (strlen(name) > length ? length : 0));
-        if (strncmp(name, ROLES[role], length) == 0 && number >= 1 && number <= fleet->nodeCount[role])
-            column->node = fleetNode(fleet, (FleetRole)role, number - 1);
+        if (strncmp(name, ROLES[role], length) == 0 && number >= 1 && number <= fleet->node_count[role])
+            column->node = fleet_node(fleet, (FleetRole)role, number - 1);
     }
     return column->node != NULL;
 }
 
-static void zoneEach(Timeline *timeline, const char *zone, void (*fn)(Fleet *, FleetRole, int))
+static void zone_each(Timeline *timeline, const char *zone, void (*fn)(Fleet *, FleetRole, int))
 {
     Fleet *fleet = timeline->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
+        for (int i = 0; i < fleet->node_count[role]; i++)
             if (strcmp(fleet->nodes[role][i].props.zone, zone) == 0)
                 fn(fleet, (FleetRole)role, i);
 }
 
-static bool zoneAct(Timeline *timeline, const Column *column, const char *verb)
+static bool zone_act(Timeline *timeline, const Column *column, const char *verb)
 {
     Fleet *fleet = timeline->fleet;
     if (strcmp(verb, "kill") == 0)
-        zoneEach(timeline, column->zone, fleetKill);
+        zone_each(timeline, column->zone, fleet_kill);
     else if (strcmp(verb, "off") == 0)
-        zoneEach(timeline, column->zone, fleetPowerOff);
+        zone_each(timeline, column->zone, fleet_power_off);
     else if (strcmp(verb, "start") == 0)
-        zoneEach(timeline, column->zone, fleetStartNode);
+        zone_each(timeline, column->zone, fleet_start_node);
     else if (strcmp(verb, "cut") == 0 || strcmp(verb, "join") == 0)
-        fleetZoneCut(fleet, column->zone, verb[0] == 'c');
+        fleet_zone_cut(fleet, column->zone, verb[0] == 'c');
     else if (strcmp(verb, "drain") == 0 || strcmp(verb, "back") == 0) {
         void *mem = talloc_new(NULL);
         const bool drain = verb[0] == 'd';
-        const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 0, drain ? "POST" : "DELETE",
-                                       talloc_asprintf(mem, "/v1/zones/%s/drain", column->zone), NULL);
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, drain ? "POST" : "DELETE",
+                                        talloc_asprintf(mem, "/v1/zones/%s/drain", column->zone), NULL);
         const bool taken = call.code == 200;
         talloc_free(mem);
         if (!taken)
             return fault(timeline, column->name, "the drain was not taken");
-        checkerZone(fleet->checker, column->zone, drain);
+        checker_zone(fleet->checker, column->zone, drain);
     } else {
         return fault(timeline, column->name, "a zone does not know this word");
     }
     return true;
 }
 
-static int64_t longestGap(const Timeline *timeline)
+static int64_t longest_gap(const Timeline *timeline)
 {
     CallerJob *const *jobs;
     const size_t count = timeline->caller != NULL ? caller_jobs(timeline->caller, &jobs) : 0;
@@ -124,7 +124,7 @@
     return gap_ms;
 }
 
-static bool callersAct(Timeline *timeline, const Column *column, const char *verb, const char *value)
+static bool callers_act(Timeline *timeline, const Column *column, const char *verb, const char *value)
 {
     Fleet *fleet = timeline->fleet;
     if (strcmp(verb, "call") == 0 && value != NULL) {
@@ -132,22 +132,22 @@
         char name[16];
         snprintf(name, sizeof(name), "c%d", timeline->calls++);
         timeline->caller =
-            fleetCall(fleet, name, atoi(value) * 1000, slash != NULL ? atoi(slash + 1) : INT64_C(1) << 40);
+            fleet_call(fleet, name, atoi(value) * 1000, slash != NULL ? atoi(slash + 1) : INT64_C(1) << 40);
         return true;
     }
     if (strcmp(verb, "links") == 0) {
-        simDelay(fleet->world, 1, value != NULL ? atoi(value) : 3);
+        sim_delay(fleet->world, 1, value != NULL ? atoi(value) : 3);
         return true;
     }
     if (strcmp(verb, "end") == 0) {
-        for (int i = 0; i < fleet->callerCount; i++)
+        for (int i = 0; i < fleet->caller_count; i++)
             caller_stop(fleet->callers[i]);
-        if (!fleetFinish(fleet, 90000))
+        if (!fleet_finish(fleet, 90000))
             return fault(timeline, column->name, "not every accepted job has ended");
         return true;
     }
     if (strcmp(verb, "cancel") == 0) {
-        for (int i = 0; i < fleet->callerCount; i++)
+        for (int i = 0; i < fleet->caller_count; i++)
             caller_give_up(fleet->callers[i]);
         return true;
     }
@@ -162,7 +162,7 @@
         return other == 0 || fault(timeline, column->name, text);
     }
     if (strncmp(verb, "gap<", 4) == 0) {
-        const int64_t gap_ms = longestGap(timeline);
+        const int64_t gap_ms = longest_gap(timeline);
         if (gap_ms < atoi(verb + 4))
             return true;
         char text[64];
@@ -172,7 +172,7 @@
     return fault(timeline, column->name, "callers do not know this word");
 }
 
-static bool nodeAct(Timeline *timeline, const Column *column, const char *verb, const char *value)
+static bool node_act(Timeline *timeline, const Column *column, const char *verb, const char *value)
 {
     Fleet *fleet = timeline->fleet;
     FleetNode *node = column->node;
@@ -181,57 +181,57 @@
     const char *way = strchr(verb, '>');
     if (way != NULL) {
         Column to;
-        if (!columnFind(timeline, way + 1, &to))
+        if (!column_find(timeline, way + 1, &to))
             return fault(timeline, column->name, "no such column to cut from");
-        for (size_t i = 0; i < timeline->columnCount; i++)
+        for (size_t i = 0; i < timeline->column_count; i++)
             if (strcmp(timeline->columns[i].name, way + 1) == 0)
                 to = timeline->columns[i];
         sim_cut(world, node->machine, to.node->machine, verb[0] == 'c');
     } else if (strcmp(verb, "kill") == 0) {
-        fleetKill(fleet, node->role, node->number);
+        fleet_kill(fleet, node->role, node->number);
     } else if (strcmp(verb, "off") == 0) {
-        fleetPowerOff(fleet, node->role, node->number);
+        fleet_power_off(fleet, node->role, node->number);
     } else if (strcmp(verb, "start") == 0) {
-        fleetStartNode(fleet, node->role, node->number);
+        fleet_start_node(fleet, node->role, node->number);
         if (node->role == FLEET_WORKER)
-            checkerLeaving(fleet->checker, node->props.name, false);
+            checker_leaving(fleet->checker, node->props.name, false);
     } else if (strcmp(verb, "roll") == 0) {
-        fleetRoll(fleet, node->role, node->number);
+        fleet_roll(fleet, node->role, node->number);
     } else if (strcmp(verb, "wipe") == 0) {
-        simDiskWipe(world, node->machine);
+        sim_disk_wipe(world, node->machine);
     } else if (strcmp(verb, "freeze") == 0) {
-        fleetFreeze(fleet, node->role, node->number, number);
+        fleet_freeze(fleet, node->role, node->number, number);
     } else if (strcmp(verb, "cut") == 0 || strcmp(verb, "join") == 0) {
-        fleetIsolate(fleet, node->role, node->number, verb[0] == 'c');
+        fleet_isolate(fleet, node->role, node->number, verb[0] == 'c');
     } else if (strcmp(verb, "slow") == 0) {
         sim_disk_slow(world, node->machine, number);
     } else if (strcmp(verb, "lie") == 0 || strcmp(verb, "honest") == 0) {
-        simDiskLie(world, node->machine, verb[0] == 'l');
+        sim_disk_lie(world, node->machine, verb[0] == 'l');
     } else if (strcmp(verb, "diskfails") == 0 || strcmp(verb, "diskworks") == 0) {
         sim_disk_fail(world, node->machine, verb[4] == 'f');
     } else if (strcmp(verb, "jump") == 0) {
-        simJump(world, node->machine, number);
+        sim_jump(world, node->machine, number);
     } else if (strcmp(verb, "blind") == 0 || strcmp(verb, "sees") == 0) {
         for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
-            for (int i = 0; i < fleet->nodeCount[role]; i++) {
+            for (int i = 0; i < fleet->node_count[role]; i++) {
                 sim_cut(world, node->machine, fleet->nodes[role][i].machine, verb[0] == 'b');
                 sim_cut(world, fleet->nodes[role][i].machine, node->machine, verb[0] == 'b');
             }
     } else if (strcmp(verb, "rate") == 0) {
-        simClockRate(world, node->machine, number);
+        sim_clock_rate(world, node->machine, number);
     } else if (strcmp(verb, "leave") == 0 && node->worker != NULL) {
         stand_worker_leave(node->worker);
-        checkerLeaving(fleet->checker, node->props.name, true);
+        checker_leaving(fleet->checker, node->props.name, true);
     } else if ((strcmp(verb, "fails") == 0 || strcmp(verb, "heals") == 0) && node->worker != NULL) {
-        node->workerProps.fails_all = verb[0] == 'f';
+        node->worker_props.fails_all = verb[0] == 'f';
         stand_worker_fail(node->worker, verb[0] == 'f');
     } else if (strcmp(verb, "leads") == 0 || strcmp(verb, "!leads") == 0) {
-        const bool leads = node->core != NULL && fleetLeader(fleet) == node->number;
+        const bool leads = node->core != NULL && fleet_leader(fleet) == node->number;
         if (leads != (verb[0] == 'l'))
             return fault(timeline, column->name, leads ? "it leads" : "it does not lead");
     } else if (strcmp(verb, "runs") == 0 || strcmp(verb, "idle") == 0) {
         const bool runs = node->worker != NULL && (stand_worker_running(node->worker) > 0 ||
-                                                   checkerStartedSince(fleet->checker, node->props.name) < RAN_MS);
+                                                   checker_started_since(fleet->checker, node->props.name) < RAN_MS);
         if (runs != (verb[0] == 'r'))
             return fault(timeline, column->name, runs ? "it runs something" : "it runs nothing");
     } else if (strcmp(verb, "up") == 0 || strcmp(verb, "!up") == 0) {
@@ -244,7 +244,7 @@
 }
 
 /* Whether the word brings a failure about or mends one, rather than claims something. */
-static bool isFault(const char *verb)
+static bool is_fault(const char *verb)
 {
     static const char *const CLAIMS[] = {"leads", "!leads", "runs", "idle", "up", "!up"};
     for (size_t i = 0; i < sizeof(CLAIMS) / sizeof(CLAIMS[0]); i++)
@@ -253,7 +253,7 @@
     return true;
 }
 
-static bool cellAct(Timeline *timeline, const Column *column, char *cell)
+static bool cell_act(Timeline *timeline, const Column *column, char *cell)
 {
     for (char *save = NULL, *word = strtok_r(cell, "+", &save); word != NULL; word = strtok_r(NULL, "+", &save)) {
         if (strcmp(word, ".") == 0)
@@ -261,11 +261,11 @@
         char *value = strchr(word, ':');
         if (value != NULL)
             *value++ = '\0';
-        if ((column->zone != NULL || column->node != NULL) && isFault(word))
-            checkerFault(timeline->fleet->checker);
-        const bool good = column->zone != NULL   ? zoneAct(timeline, column, word)
-                          : column->node != NULL ? nodeAct(timeline, column, word, value)
-                                                 : callersAct(timeline, column, word, value);
+        if ((column->zone != NULL || column->node != NULL) && is_fault(word))
+            checker_fault(timeline->fleet->checker);
+        const bool good = column->zone != NULL   ? zone_act(timeline, column, word)
+                          : column->node != NULL ? node_act(timeline, column, word, value)
+                                                 : callers_act(timeline, column, word, value);
         if (!good)
             return false;
     }
@@ -275,53 +275,53 @@
 static bool draw(Timeline *timeline, char *text)
 {
     Fleet *fleet = timeline->fleet;
-    char *saveRow = NULL;
+    char *save_row = NULL;
     bool header = true;
-    for (char *row = strtok_r(text, "\n", &saveRow); row != NULL; row = strtok_r(NULL, "\n", &saveRow)) {
-        char *saveCell = NULL;
-        char *cell = strtok_r(row, " ", &saveCell);
+    for (char *row = strtok_r(text, "\n", &save_row); row != NULL; row = strtok_r(NULL, "\n", &save_row)) {
+        char *save_cell = NULL;
+        char *cell = strtok_r(row, " ", &save_cell);
         if (cell == NULL)
             continue;
         if (!header) {
             const int64_t at_ms = timeline->start_ms + atoll(cell);
             if (at_ms > sim_now_ms(fleet->world))
-                fleetRun(fleet, at_ms - sim_now_ms(fleet->world));
+                fleet_run(fleet, at_ms - sim_now_ms(fleet->world));
         }
-        for (size_t i = 0; (cell = strtok_r(NULL, " ", &saveCell)) != NULL; i++) {
+        for (size_t i = 0; (cell = strtok_r(NULL, " ", &save_cell)) != NULL; i++) {
             if (header) {
-                if (i >= COLUMNS_MAX || !columnFind(timeline, cell, &timeline->columns[i]))
+                if (i >= COLUMNS_MAX || !column_find(timeline, cell, &timeline->columns[i]))
                     return fault(timeline, cell, "there is no such column");
-                timeline->columnCount = i + 1;
-            } else if (i >= timeline->columnCount || !cellAct(timeline, &timeline->columns[i], cell)) {
-                return i < timeline->columnCount ? false : fault(timeline, cell, "more cells than columns");
+                timeline->column_count = i + 1;
+            } else if (i >= timeline->column_count || !cell_act(timeline, &timeline->columns[i], cell)) {
+                return i < timeline->column_count ? false : fault(timeline, cell, "more cells than columns");
             }
         }
         header = false;
-        if (checkerBrokenAll(fleet->checker) > 0)
-            return fault(timeline, "checker", checkerFirst(fleet->checker));
+        if (checker_broken_all(fleet->checker) > 0)
+            return fault(timeline, "checker", checker_first(fleet->checker));
     }
     return true;
 }
 
-bool timelineRun(uint64_t seed, FleetShape shape, const char *text, char *why, size_t whySize)
+bool timeline_run(uint64_t seed, FleetShape shape, const char *text, char *why, size_t why_size)
 {
     void *mem = talloc_new(NULL);
     Timeline *timeline = talloc_zero(mem, Timeline);
-    Fleet *fleet = fleetNew(mem, seed, shape);
+    Fleet *fleet = fleet_new(mem, seed, shape);
     timeline->fleet = fleet;
     timeline->why = why;
-    timeline->whySize = whySize;
+    timeline->why_size = why_size;
     why[0] = '\0';
-    fleetStart(fleet);
-    bool good = fleetSettle(fleet, 30000) && fleetConfigure(fleet);
+    fleet_start(fleet);
+    bool good = fleet_settle(fleet, 30000) && fleet_configure(fleet);
     if (!good)
         fault(timeline, "-", "the fleet did not settle");
     timeline->start_ms = sim_now_ms(fleet->world);
     if (shape.mix == MIX_VARIED)
-        checkerQuota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
+        checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
     good = good && draw(timeline, talloc_strdup(mem, text));
     if (!good)
-        fleetDump(fleet);
+        fleet_dump(fleet);
     talloc_free(mem);
     return good;
 }
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -16,12 +16,12 @@
 #define DISK_WRITES_MOST 64 /* count; unsynced writes of one file told from each other */
 
 /* A file, as processes see it; it outlives them.
- * Invariants: bytes past syncedCount may be lost at the next loss of power, each write
- * by itself; writeEnds tells where those writes end, in order. */
+ * Invariants: bytes past synced_count may be lost at the next loss of power, each write
+ * by itself; write_ends tells where those writes end, in order. */
 typedef struct SimContent {
     Bytes bytes;
-    size_t syncedCount;
-    size_t writeEnds[DISK_WRITES_MOST], writeCount;
+    size_t synced_count;
+    size_t write_ends[DISK_WRITES_MOST], write_count;
     Bytes inflight; /* being written: a kill leaves a random prefix of it */
 } SimContent;
 
@@ -32,7 +32,7 @@
 } SimName;
 
 typedef struct SimPort {
-    ChannelFn onChannel;
+    ChannelFn on_channel;
     HttpFn on_http;
     void *arg;
 } SimPort;
@@ -42,10 +42,10 @@
     SimWorld *world;
     int machine;
     Map *ports;
-    int nextPort;
+    int next_port;
     HttpLimits limits;
     size_t http_tasks; /* in work now */
-    int64_t armedMs;   /* an event that runs this loop is due then; INT64_MAX: none */
+    int64_t armed_ms;  /* an event that runs this loop is due then; INT64_MAX: none */
 } SimLoop;
 
 /* Invariant: loop is null exactly when no process runs there. */
@@ -57,63 +57,63 @@
     uint64_t turns;
     uint64_t life; /* grows with each start */
     bool silent;   /* it ends without telling its peers */
-    int64_t frozenUntilMs;
-    int64_t bootOffsetMs;
-    int64_t rate_percent, rateFromMs; /* of its clock, since that world time */
+    int64_t frozen_until_ms;
+    int64_t boot_offset_ms;
+    int64_t rate_percent, rate_from_ms; /* of its clock, since that world time */
     int64_t wall_offset_ms;
-    uint64_t sentBytes;
-    int64_t bytesPerMs;             /* of its link; 0: unbounded */
-    int64_t sendFreeUs, takeFreeUs; /* world time in us; when its link has carried what it was given */
-    int64_t farMs;                  /* its frames take so much longer */
+    uint64_t sent_bytes;
+    int64_t bytes_per_ms;               /* of its link; 0: unbounded */
+    int64_t send_free_us, take_free_us; /* world time in us; when its link has carried what it was given */
+    int64_t far_ms;                     /* its frames take so much longer */
     int64_t sync_ms;
-    bool diskFails, diskLies;
-    size_t diskRoom; /* bytes of all its files together; 0: no bound */
-    Map *disk;       /* path to SimName */
+    bool disk_fails, disk_lies;
+    size_t disk_room; /* bytes of all its files together; 0: no bound */
+    Map *disk;        /* path to SimName */
 } SimMachine;
 
 struct SimWorld {
     int64_t now_ms;
     uint64_t state; /* of the random numbers */
     uint64_t order;
-    uint64_t eventCount;
+    uint64_t event_count;
     SimEvent *events;
     size_t count, room;
     SimMachine machines[SIM_NODES_MAX];
-    int machineCount;
+    int machine_count;
     bool cut[SIM_NODES_MAX][SIM_NODES_MAX];
     bool refused[SIM_NODES_MAX][SIM_NODES_MAX]; /* ... and who sends or connects is told so */
-    int64_t delayLowMs, delayHighMs;
+    int64_t delay_low_ms, delay_high_ms;
     SimFn watch;
-    void *watchArg;
-    SimDiskFn diskWatch;
-    void *diskWatchArg;
-    unsigned frameDropped, frameRepeated; /* of a thousand */
-    int64_t frameLateMs;
+    void *watch_arg;
+    SimDiskFn disk_watch;
+    void *disk_watch_arg;
+    unsigned frame_dropped, frame_repeated; /* of a thousand */
+    int64_t frame_late_ms;
 };
 
-int64_t simLinkMs(SimWorld *world);
+int64_t sim_link_ms(SimWorld *world);
 /* When bytes that leave now have come from one machine to another. */
-int64_t simArrivalMs(SimWorld *world, int from, int to, size_t bytes);
+int64_t sim_arrival_ms(SimWorld *world, int from, int to, size_t bytes);
 /* The machine and port behind "10.0.0.N:port"; false when there is none. */
-bool simFind(SimWorld *world, const char *address, int *machine, const char **port);
+bool sim_find(SimWorld *world, const char *address, int *machine, const char **port);
 /* Runs the machine's loop when that is next due. */
-void simArm(Loop *loop, int64_t when_ms);
-int simTakePort(SimLoop *loop, const char *address, SimPort port, char *bound);
+void sim_arm(Loop *loop, int64_t when_ms);
+int sim_take_port(SimLoop *loop, const char *address, SimPort port, char *bound);
 
-Status simListen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
-Status simOpen(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
-Status simSend(Channel *channel, Bytes frame);
-void simShut(Channel *channel);
-Status simServe(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
-void simLimit(Loop *loop, const HttpLimits *limits);
-void simLeave(Loop *loop);
-size_t simBusy(const Loop *loop);
-Status simCall(Loop *loop, HttpCall *call);
-Status simFileOpen(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
-Status simFileRead(File *file, void *mem, Bytes *content);
-Status simFileAppend(File *file, Bytes bytes);
-Status simFileReplace(File *file, Bytes bytes);
+Status sim_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
+Status sim_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
+Status sim_send(Channel *channel, Bytes frame);
+void sim_shut(Channel *channel);
+Status sim_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
+void sim_limit(Loop *loop, const HttpLimits *limits);
+void sim_leave(Loop *loop);
+size_t sim_busy(const Loop *loop);
+Status sim_call(Loop *loop, HttpCall *call);
+Status sim_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
+Status sim_file_read(File *file, void *mem, Bytes *content);
+Status sim_file_append(File *file, Bytes bytes);
+Status sim_file_replace(File *file, Bytes bytes);
 /* What a process's end does to its disk. */
-void simDiskAfterEnd(SimMachine *machine, bool power);
+void sim_disk_after_end(SimMachine *machine, bool power);
 
 #endif
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -11,7 +11,7 @@
     uint64_t peer, life;
 } Forger;
 
-static void forgeSend(const Forger *forger, Channel *channel, void *mem, const OldFrame *question)
+static void forge_send(const Forger *forger, Channel *channel, void *mem, const OldFrame *question)
 {
     const OldFrame *change = &forger->change;
     OldFrame answer = *question;
@@ -25,13 +25,13 @@
                           answer.status,  answer.payload, forger->peer, forger->life};
     Bytes frame = {0};
     if (forger->says)
-        shape_pack(&NowFrameShape, &now, mem, &frame);
+        shape_pack(&NowFrame_shape, &now, mem, &frame);
     else
-        shape_pack(&OldFrameShape, &answer, mem, &frame);
+        shape_pack(&OldFrame_shape, &answer, mem, &frame);
     channel_send(channel, frame);
 }
 
-static void forgeMain(void *arg, Channel *channel)
+static void forge_main(void *arg, Channel *channel)
 {
     Forger *forger = arg;
     for (;;) {
@@ -40,24 +40,24 @@
         OldFrame question;
         if (channel_receive(channel, mem, INT64_MAX, &frame) != STATUS_OK)
             break;
-        assert_int_equal(shape_unpack(&OldFrameShape, frame, mem, &question, NULL), STATUS_OK);
-        forgeSend(forger, channel, mem, &question);
+        assert_int_equal(shape_unpack(&OldFrame_shape, frame, mem, &question, NULL), STATUS_OK);
+        forge_send(forger, channel, mem, &question);
         talloc_free(mem);
     }
     channel_close(channel);
 }
 
-static void forgeStart(void *arg, Loop *loop)
+static void forge_start(void *arg, Loop *loop)
 {
     Forger *forger = arg;
     char bound[ADDRESS_MAX];
     forger->loop = loop;
-    assert_int_equal(loop_listen(loop, ADDRESS, forgeMain, forger, bound, NULL), STATUS_OK);
+    assert_int_equal(loop_listen(loop, ADDRESS, forge_main, forger, bound, NULL), STATUS_OK);
 }
 
 /* --- answers that are none of the question's --------------------------------------------- */
 
-static void wrongAnswers(void **state)
+static void wrong_answers(void **state)
 {
     (void)state;
     static const struct {
@@ -77,10 +77,10 @@
         Asker asker = {0};
         Forger forger = {.change = ROWS[i].change};
         const int client = sim_machine(world), server = sim_machine(world);
-        sim_start(world, server, forgeStart, &forger);
-        sim_start(world, client, askerStart, &asker);
+        sim_start(world, server, forge_start, &forger);
+        sim_start(world, client, asker_start, &asker);
         const Ask *ask = begin(&asker, (PeerLife){0}, 41, 500);
-        runFor(world, 1000);
+        run_for(world, 1000);
         assert_true(ask->done);
         if ((ask->status == STATUS_OK) != ROWS[i].taken)
             fail_msg("an answer %s: %s", ROWS[i].word, status_word(ask->status));
@@ -91,7 +91,7 @@
 }
 
 /* Whom an answer says that it is from, beside whom the question was meant for. */
-static void wrongPeers(void **state)
+static void wrong_peers(void **state)
 {
     (void)state;
     static const struct {
@@ -111,10 +111,10 @@
         Asker asker = {0};
         Forger forger = {.says = true, .peer = i == 0 ? 0 : meant.id + ROWS[i].peer, .life = 999 + ROWS[i].life};
         const int client = sim_machine(world), server = sim_machine(world);
-        sim_start(world, server, forgeStart, &forger);
-        sim_start(world, client, askerStart, &asker);
+        sim_start(world, server, forge_start, &forger);
+        sim_start(world, client, asker_start, &asker);
         const Ask *ask = begin(&asker, meant, 41, 500);
-        runFor(world, 1000);
+        run_for(world, 1000);
         assert_true(ask->done);
         if (ask->status != ROWS[i].status)
             fail_msg("row %zu: %s", i, status_word(ask->status));
@@ -126,8 +126,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(wrongAnswers),
-        cmocka_unit_test(wrongPeers),
+        cmocka_unit_test(wrong_answers),
+        cmocka_unit_test(wrong_peers),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -46,7 +46,7 @@
     Courier *courier;
 } Asker;
 
-static inline void askerStart(void *arg, Loop *loop)
+static inline void asker_start(void *arg, Loop *loop)
 {
     Asker *asker = arg;
     asker->loop = loop;
@@ -70,7 +70,7 @@
     Ask *ask = arg;
     const Echo echo = {ask->number};
     ask->status = courier_ask_peer(ask->asker->courier, ask, &(CourierTarget){ADDRESS, ask->meant, ask->sending},
-                                   MESSAGE_KNOW, &EchoShape, &echo, ask->wait_ms, &EchoShape, &ask->answer);
+                                   MESSAGE_KNOW, &Echo_shape, &echo, ask->wait_ms, &Echo_shape, &ask->answer);
     ask->done = true;
 }
 
@@ -82,7 +82,7 @@
     return ask;
 }
 
-static inline void runFor(SimWorld *world, int64_t for_ms)
+static inline void run_for(SimWorld *world, int64_t for_ms)
 {
     sim_run_until(world, sim_now_ms(world) + for_ms);
 }
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -25,11 +25,11 @@
 
 /* Pieces out of their order, given twice, of another snapshot, spoilt, or beyond the whole:
  * nothing is put together but the very bytes whose checksum was told. */
-static void piecesRefused(void **state)
+static void pieces_refused(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    View *view = viewOf(fleet, 0);
+    View *view = view_of(fleet, 0);
     Bytes whole = {talloc_zero_size(fleet, 1000), 1000, 0};
     whole.data[500] = 7;
     Record record;
@@ -74,17 +74,17 @@
 #define MEMORY_BYTES (130 * 1024 * 1024) /* bytes; half of the smallest memory: the other half is work's */
 #define BIG_BYTES (300 * 1024)           /* bytes; a whole configuration of a large site */
 
-static size_t memoryOf(Fleet *fleet, int core)
+static size_t memory_of(Fleet *fleet, int core)
 {
-    return talloc_total_size(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine));
+    return talloc_total_size(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine));
 }
 
 /* Has all that the leader has committed. */
-static bool caughtUp(Fleet *fleet, int core)
+static bool caught_up(Fleet *fleet, int core)
 {
-    const int leader = fleetLeader(fleet);
-    return leader >= 0 && runs(fleet, core) && viewOf(fleet, core)->delivered_index > 0 &&
-           viewOf(fleet, core)->delivered_index + 2 >= viewOf(fleet, leader)->commit_index;
+    const int leader = fleet_leader(fleet);
+    return leader >= 0 && runs(fleet, core) && view_of(fleet, core)->delivered_index > 0 &&
+           view_of(fleet, core)->delivered_index + 2 >= view_of(fleet, leader)->commit_index;
 }
 
 typedef struct CatchUp {
@@ -93,73 +93,73 @@
     size_t memory, disk; /* the most of any core */
 } CatchUp;
 
-static void mostTake(Fleet *fleet, CatchUp *catchUp)
+static void most_take(Fleet *fleet, CatchUp *catch_up)
 {
     for (int i = 0; i < 3; i++) {
-        const size_t disk = sim_disk_used(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine);
-        const size_t memory = runs(fleet, i) ? memoryOf(fleet, i) : 0;
-        catchUp->disk = disk > catchUp->disk ? disk : catchUp->disk;
-        catchUp->memory = memory > catchUp->memory ? memory : catchUp->memory;
+        const size_t disk = sim_disk_used(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine);
+        const size_t memory = runs(fleet, i) ? memory_of(fleet, i) : 0;
+        catch_up->disk = disk > catch_up->disk ? disk : catch_up->disk;
+        catch_up->memory = memory > catch_up->memory ? memory : catch_up->memory;
     }
 }
 
 /* A core is away while so many changes of so many bytes are made, a few at a time. */
-static CatchUp awayFor(uint64_t seed, int changes, size_t bytes, int atOnce)
+static CatchUp away_for(uint64_t seed, int changes, size_t bytes, int at_once)
 {
     Fleet *fleet = begin(seed);
-    CatchUp catchUp = {0};
+    CatchUp catch_up = {0};
     for (int i = 0; i < 3; i++) {
-        const int machine = fleetNode(fleet, FLEET_CORE, i)->machine;
-        simLinkRate(fleet->world, machine, LINK_BYTES_MS);
+        const int machine = fleet_node(fleet, FLEET_CORE, i)->machine;
+        sim_link_rate(fleet->world, machine, LINK_BYTES_MS);
         sim_disk_room(fleet->world, machine, DISK_BYTES);
     }
-    const int away = (fleetLeader(fleet) + 1) % 3;
-    checkerFault(fleet->checker);
-    fleetPowerOff(fleet, FLEET_CORE, away);
-    for (int made = 0; made < changes; made += atOnce) {
-        offer(fleet, atOnce, bytes);
-        fleetRun(fleet, 200);
-        mostTake(fleet, &catchUp);
+    const int away = (fleet_leader(fleet) + 1) % 3;
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_CORE, away);
+    for (int made = 0; made < changes; made += at_once) {
+        offer(fleet, at_once, bytes);
+        fleet_run(fleet, 200);
+        most_take(fleet, &catch_up);
     }
-    fleetRun(fleet, 2000);
-    const int leader = fleetLeader(fleet);
+    fleet_run(fleet, 2000);
+    const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     const int64_t from_ms = sim_now_ms(fleet->world);
-    const uint64_t sent = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine);
-    fleetStartNode(fleet, FLEET_CORE, away);
-    for (int i = 0; i < 3000 && !caughtUp(fleet, away); i++) {
-        fleetRun(fleet, 10);
-        mostTake(fleet, &catchUp);
+    const uint64_t sent = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CORE, leader)->machine);
+    fleet_start_node(fleet, FLEET_CORE, away);
+    for (int i = 0; i < 3000 && !caught_up(fleet, away); i++) {
+        fleet_run(fleet, 10);
+        most_take(fleet, &catch_up);
     }
-    assert_true(caughtUp(fleet, away));
-    catchUp.took_ms = sim_now_ms(fleet->world) - from_ms;
-    catchUp.bytes = simSentBytes(fleet->world, fleetNode(fleet, FLEET_CORE, leader)->machine) - sent;
+    assert_true(caught_up(fleet, away));
+    catch_up.took_ms = sim_now_ms(fleet->world) - from_ms;
+    catch_up.bytes = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CORE, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
-        assert_false(view_disk_failed(viewOf(fleet, i)));
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+        assert_false(view_disk_failed(view_of(fleet, i)));
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     print_message("away for %d changes of %zu bytes: caught up in %d ms with %zu KB; at most %zu KB on disk, %zu KB of "
                   "memory\n",
-                  changes, bytes, (int)catchUp.took_ms, (size_t)catchUp.bytes / 1024, catchUp.disk / 1024,
-                  catchUp.memory / 1024);
+                  changes, bytes, (int)catch_up.took_ms, (size_t)catch_up.bytes / 1024, catch_up.disk / 1024,
+                  catch_up.memory / 1024);
     talloc_free(fleet);
-    return catchUp;
+    return catch_up;
 }
 
 /* Time and bytes grow with what was missed, up to a snapshot, and no further. */
-static void awayForMany(void **state)
+static void away_for_many(void **state)
 {
     (void)state;
-    const CatchUp few = awayFor(1, 10, 200, 10);
-    const CatchUp some = awayFor(1, 300, 200, 10);
-    const CatchUp many = awayFor(1, 3000, 200, 20);
-    const CatchUp most = awayFor(1, 9000, 200, 50); /* beyond a snapshot */
+    const CatchUp few = away_for(1, 10, 200, 10);
+    const CatchUp some = away_for(1, 300, 200, 10);
+    const CatchUp many = away_for(1, 3000, 200, 20);
+    const CatchUp most = away_for(1, 9000, 200, 50); /* beyond a snapshot */
     assert_true(few.bytes < some.bytes && some.bytes < many.bytes);
     assert_true(most.bytes < many.bytes * 2);
     assert_true(most.took_ms < few.took_ms + 1500);
 }
 
 /* A state of so many megabytes: workers whose labels are that long. */
-static void stateGrow(Fleet *fleet, int megabytes)
+static void state_grow(Fleet *fleet, int megabytes)
 {
     void *mem = talloc_new(NULL);
     char *label = talloc_zero_array(mem, char, 1024 * 1024 + 1);
@@ -175,8 +175,8 @@
                                .labels_count = 1,
                                .excluded = true};
         shape_pack(&Worker_shape, &worker, mem, &payload);
-        view_offer(viewOf(fleet, fleetLeader(fleet)), CHANGE_WORKER_SET, payload);
-        fleetRun(fleet, 100);
+        view_offer(view_of(fleet, fleet_leader(fleet)), CHANGE_WORKER_SET, payload);
+        fleet_run(fleet, 100);
     }
     talloc_free(mem);
 }
@@ -184,46 +184,46 @@
 /* A state that no single frame holds, to an empty disk, over a narrow link that breaks in
  * the middle; whoever leads goes on leading, and the one that catches up loses nothing
  * that it already has of it. */
-static void largeState(void **state)
+static void large_state(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int leader = fleetLeader(fleet), away = (leader + 1) % 3;
-    stateGrow(fleet, 34);
-    view_compact_maybe(viewOf(fleet, leader), true);
-    fleetRun(fleet, 500);
-    assert_true(viewOf(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
+    const int leader = fleet_leader(fleet), away = (leader + 1) % 3;
+    state_grow(fleet, 34);
+    view_compact_maybe(view_of(fleet, leader), true);
+    fleet_run(fleet, 500);
+    assert_true(view_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
     for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
-        simLinkRate(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, 4 * 1024);
-    checkerFault(fleet->checker);
-    fleetPowerOff(fleet, FLEET_CORE, away);
-    simDiskWipe(fleet->world, fleetNode(fleet, FLEET_CORE, away)->machine);
-    fleetRun(fleet, 500);
-    fleetStartNode(fleet, FLEET_CORE, away);
+        sim_link_rate(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, 4 * 1024);
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_CORE, away);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, away)->machine);
+    fleet_run(fleet, 500);
+    fleet_start_node(fleet, FLEET_CORE, away);
     const int64_t from_ms = sim_now_ms(fleet->world);
     uint64_t most = 0;
-    for (int i = 0; i < 600 && !(caughtUp(fleet, away) && seated(fleet, away)); i++) {
-        fleetRun(fleet, 100);
+    for (int i = 0; i < 600 && !(caught_up(fleet, away) && seated(fleet, away)); i++) {
+        fleet_run(fleet, 100);
         if (i == 60)
-            fleetIsolate(fleet, FLEET_CORE, away, true);
+            fleet_isolate(fleet, FLEET_CORE, away, true);
         if (i == 90)
-            fleetIsolate(fleet, FLEET_CORE, away, false);
-        const uint64_t filled = runs(fleet, away) ? fill_count(viewOf(fleet, away)) : 0;
+            fleet_isolate(fleet, FLEET_CORE, away, false);
+        const uint64_t filled = runs(fleet, away) ? fill_count(view_of(fleet, away)) : 0;
         most = filled > most ? filled : most;
         assert_true(filled == most || filled == 0);
     }
-    assert_true(caughtUp(fleet, away) && seated(fleet, away));
-    assert_int_equal(fleetLeader(fleet), leader);
+    assert_true(caught_up(fleet, away) && seated(fleet, away));
+    assert_int_equal(fleet_leader(fleet), leader);
     print_message("34 MB over 4 MB/s, cut for 3 s: %d ms\n", (int)(sim_now_ms(fleet->world) - from_ms));
     assert_true(most > FRAME_MAX_BYTES);
     talloc_free(fleet);
 }
 
 /* Hundreds of whole configurations: neither the disk nor the memory grows with them. */
-static void awayForBig(void **state)
+static void away_for_big(void **state)
 {
     (void)state;
-    const CatchUp big = awayFor(1, 400, BIG_BYTES, 2);
+    const CatchUp big = away_for(1, 400, BIG_BYTES, 2);
     assert_true(big.disk < DISK_BYTES / 2);
     assert_true(big.memory < MEMORY_BYTES);
 }
@@ -231,10 +231,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(piecesRefused),
-        cmocka_unit_test(awayForMany),
-        cmocka_unit_test(awayForBig),
-        cmocka_unit_test(largeState),
+        cmocka_unit_test(pieces_refused),
+        cmocka_unit_test(away_for_many),
+        cmocka_unit_test(away_for_big),
+        cmocka_unit_test(large_state),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -15,25 +15,25 @@
 static bool stands_still;
 static Job job;
 
-static int64_t testNow(void *arg)
+static int64_t test_now(void *arg)
 {
     (void)arg;
     return now_ms;
 }
 
-static bool testFrozen(void *arg, const char *worker)
+static bool test_frozen(void *arg, const char *worker)
 {
     (void)arg;
     return stands_still && strcmp(worker, "w1") == 0;
 }
 
-static const Job *testJob(void *arg, const char *id)
+static const Job *test_job(void *arg, const char *id)
 {
     (void)arg;
     return strcmp(id, "j") == 0 ? &job : NULL;
 }
 
-static int64_t testWall(void *arg)
+static int64_t test_wall(void *arg)
 {
     (void)arg;
     return 500000 + now_ms;
@@ -45,8 +45,8 @@
 
 static Checker *begin(void)
 {
-    const CheckerProps props = {NULL, testNow, testFrozen, testJob, testWall};
-    Checker *checker = checkerNew(NULL, &props);
+    const CheckerProps props = {NULL, test_now, test_frozen, test_job, test_wall};
+    Checker *checker = checker_new(NULL, &props);
     static StepSpec steps[2];
     static JobTask tasks[3];
     static const char *after[] = {"one"};
@@ -69,7 +69,7 @@
                                .rack = "",
                                .kind = i == 3 ? "gpu" : "std",
                                .room = {2000, 100, 0}};
-        checkerWorker(checker, &worker);
+        checker_worker(checker, &worker);
     }
     return checker;
 }
@@ -78,161 +78,162 @@
 
 static void only(Checker *checker, Never never)
 {
-    assert_true(checkerBroken(checker, never) > 0);
-    assert_int_equal(checkerBrokenAll(checker), checkerBroken(checker, never));
-    assert_true(strlen(checkerFirst(checker)) > 0);
+    assert_true(checker_broken(checker, never) > 0);
+    assert_int_equal(checker_broken_all(checker), checker_broken(checker, never));
+    assert_true(strlen(checker_first(checker)) > 0);
     talloc_free(checker);
 }
 
 static void good(Checker *checker)
 {
-    assert_int_equal(checkerBrokenAll(checker), 0);
+    assert_int_equal(checker_broken_all(checker), 0);
 }
 
-static void byHand(void **state)
+static void by_hand(void **state)
 {
     (void)state;
     Checker *c = begin();
-    checkerPlans(c, "a", 5), checkerPlans(c, "b", 6), checkerPlans(c, "b", 6), good(c);
-    checkerPlans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
+    checker_plans(c, "a", 5), checker_plans(c, "b", 6), checker_plans(c, "b", 6), good(c);
+    checker_plans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
 
-    c = begin(), checkerPlans(c, "a", 5), checkerPlans(c, "b", 5), only(c, NEVER_TWO_LEADERS);
+    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 5), only(c, NEVER_TWO_LEADERS);
 
     /* forgotten by the disks: a new lower epoch after the end of the higher one is
      * no second leader, an old one that wakes is */
-    c = begin(), checkerPlans(c, "a", 5), checkerPlans(c, "b", 7), checkerLeaderGone(c, "b"), checkerPlans(c, "c", 6);
-    good(c), checkerPlans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
-    c = begin(), checkerPlans(c, "b", 7), checkerLeaderGone(c, "a"), checkerPlans(c, "c", 6),
+    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 7), checker_leader_gone(c, "b"),
+    checker_plans(c, "c", 6);
+    good(c), checker_plans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
+    c = begin(), checker_plans(c, "b", 7), checker_leader_gone(c, "a"), checker_plans(c, "c", 6),
     only(c, NEVER_TWO_LEADERS);
 
-    c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
-    checkerStarted(c, "w2", "j", 0, 2, ONE), only(c, NEVER_TWICE);
+    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), good(c);
+    checker_started(c, "w2", "j", 0, 2, ONE), only(c, NEVER_TWICE);
 
-    c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), stands_still = true;
-    checkerStarted(c, "w2", "j", 0, 2, ONE), good(c);
-    stands_still = false, checkerWorkerWoke(c, "w1"), only(c, NEVER_TWICE);
+    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), stands_still = true;
+    checker_started(c, "w2", "j", 0, 2, ONE), good(c);
+    stands_still = false, checker_worker_woke(c, "w1"), only(c, NEVER_TWICE);
 
-    c = begin(), checkerStarted(c, "w1", "j", 0, 1, ONE), checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE);
-    checkerKnown(c, "w1", "j", 0, 1, ROUND_DONE), good(c);
-    checkerStarted(c, "w2", "j", 0, 2, ONE), only(c, NEVER_AFTER_FINISH);
+    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ROUND_DONE);
+    checker_known(c, "w1", "j", 0, 1, ROUND_DONE), good(c);
+    checker_started(c, "w2", "j", 0, 2, ONE), only(c, NEVER_AFTER_FINISH);
 
-    c = begin(), checkerAccepted(c, "j"), good(c), checkerEnd(c), only(c, NEVER_FORGOTTEN);
-    c = begin(), checkerAccepted(c, "j"), checkerUnknown(c, "j"), only(c, NEVER_FORGOTTEN);
-    c = begin(), checkerAccepted(c, "j"), checkerJobEnded(c, "j", "done"), only(c, NEVER_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, NEVER_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), checker_unknown(c, "j"), only(c, NEVER_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), checker_job_ended(c, "j", "done"), only(c, NEVER_FORGOTTEN);
 
     /* one end of a gang stands for all of it; of other tasks for itself alone */
-    c = begin(), checkerAccepted(c, "j"), checkerStarted(c, "w1", "j", 0, 1, ONE),
-    checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE);
-    checkerStarted(c, "w1", "j", FIRST, 1, ONE), checkerStarted(c, "w2", "j", SECOND, 1, ONE);
-    checkerEnded(c, "w1", "j", FIRST, 1, ROUND_DONE), checkerEnded(c, "w2", "j", SECOND, 1, ROUND_STOPPED);
-    checkerJobEnded(c, "j", "done"), good(c);
+    c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE),
+    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE);
+    checker_started(c, "w1", "j", FIRST, 1, ONE), checker_started(c, "w2", "j", SECOND, 1, ONE);
+    checker_ended(c, "w1", "j", FIRST, 1, ROUND_DONE), checker_ended(c, "w2", "j", SECOND, 1, ROUND_STOPPED);
+    checker_job_ended(c, "j", "done"), good(c);
 
     /* lasting work ends by a cancel alone */
-    c = begin(), job.spec.lasting = true, checkerAccepted(c, "j"), checkerJobEnded(c, "j", "cancelled"), good(c);
-    c = begin(), job.spec.lasting = true, checkerAccepted(c, "j"), checkerJobEnded(c, "j", "failed"),
+    c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "cancelled"), good(c);
+    c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "failed"),
     only(c, NEVER_FORGOTTEN);
     /* turns by their own due times */
-    c = begin(), job.spec.first_wall_ms = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
-    c = begin(), checkerRefused(c, "x"), checkerStarted(c, "w1", "x", 0, 1, ONE), only(c, NEVER_REFUSED_RAN);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerRefused(c, "x"), only(c, NEVER_REFUSED_RAN);
+    c = begin(), checker_refused(c, "x"), checker_started(c, "w1", "x", 0, 1, ONE), only(c, NEVER_REFUSED_RAN);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_refused(c, "x"), only(c, NEVER_REFUSED_RAN);
 
-    c = begin(), checkerStarted(c, "w1", "j", FIRST, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, NEVER_TOO_EARLY);
 
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, NEVER_OVERPACKED);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerStarted(c, "w1", "x", 1, 1, (Room){500, 95, 0});
+    c = begin(), checker_started(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, NEVER_OVERPACKED);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Room){500, 95, 0});
     only(c, NEVER_OVERPACKED);
-    c = begin(), checkerStarted(c, "gpu", "j", 0, 1, ONE), only(c, NEVER_OVERPACKED);
+    c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, NEVER_OVERPACKED);
 
-    c = begin(), checkerCancelled(c, "x"), now_ms += 2900, checkerStarted(c, "w1", "x", 0, 1, ONE), good(c);
-    now_ms += 200, checkerStarted(c, "w1", "x", 1, 1, ONE), only(c, NEVER_CANCELLED_RAN);
+    c = begin(), checker_cancelled(c, "x"), now_ms += 2900, checker_started(c, "w1", "x", 0, 1, ONE), good(c);
+    now_ms += 200, checker_started(c, "w1", "x", 1, 1, ONE), only(c, NEVER_CANCELLED_RAN);
 
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), now_ms += 3000, checkerLook(c),
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), now_ms += 3000, checker_look(c),
     good(c);
-    now_ms += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
+    now_ms += 1100, checker_look(c), only(c, NEVER_STOPPED_RAN);
     /* a failure meanwhile: from when service must be back */
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerCancelled(c, "x"), checkerFault(c), now_ms += 15000;
-    checkerLook(c), good(c), now_ms += 1100, checkerLook(c), only(c, NEVER_STOPPED_RAN);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerTold(c, "w1", "x", 0, 1), now_ms += 400,
-    checkerLook(c);
-    good(c), now_ms += 200, checkerLook(c), only(c, NEVER_STOPPED_RAN);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), checker_fault(c), now_ms += 15000;
+    checker_look(c), good(c), now_ms += 1100, checker_look(c), only(c, NEVER_STOPPED_RAN);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_told(c, "w1", "x", 0, 1), now_ms += 400,
+    checker_look(c);
+    good(c), now_ms += 200, checker_look(c), only(c, NEVER_STOPPED_RAN);
 
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
-    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
-    checkerWorkerGone(c, "w1");
-    now_ms += 3000, checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
-    checkerWorkerGone(c, "w1");
-    checkerBooted(c, "w1"), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c); /* a new boot */
-    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
-    checkerWorkerGone(c, "w1");
+    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(c, "w1");
+    now_ms += 3000, checker_started(c, "w2", "x", 0, 2, ONE), good(c);
+    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(c, "w1");
+    checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c); /* a new boot */
+    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(c, "w1");
     const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .room = {2000, 100, 0}};
-    checkerWorker(c, &again); /* ... that says what it is */
-    checkerBooted(c, "w1"), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE),
-    checkerWorkerGone(c, "w1");
-    now_ms += 2900, checkerStarted(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
-    c = begin(), checkerHeld(c, "w1", now_ms + 3000), checkerStarted(c, "w1", "x", 0, 1, ONE);
-    checkerEnded(c, "w1", "x", 0, 1, ROUND_FAILED), checkerStarted(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checkerHeld(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
+    checker_worker(c, &again); /* ... that says what it is */
+    checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
+    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(c, "w1");
+    now_ms += 2900, checker_started(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
+    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE);
+    checker_ended(c, "w1", "x", 0, 1, ROUND_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
+    c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
 
     /* due times and delays */
-    c = begin(), checkerSent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checkerStarted(c, "w1", "j", 0, 1, ONE);
+    c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checker_started(c, "w1", "j", 0, 1, ONE);
     only(c, NEVER_TOO_EARLY);
-    c = begin(), checkerSent(c, "j"), job.spec.delay_ms = 500, now_ms += 500, checkerStarted(c, "w1", "j", 0, 1, ONE),
+    c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 500, checker_started(c, "w1", "j", 0, 1, ONE),
     good(c);
-    c = begin(), job.spec.due_wall_ms = 502000, checkerStarted(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
-    c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checkerStarted(c, "w1", "j", 0, 1, ONE), good(c);
+    c = begin(), job.spec.due_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
     /* configurations by their effect */
-    c = begin(), checkerTenant(c, "g", TENANT_IN), now_ms += 2000, checkerProbe(c, "g", now_ms, true), good(c);
-    checkerProbe(c, "g", now_ms, false), only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_OUT),
-    checkerProbe(c, "g", now_ms, true);
-    good(c), now_ms += 2000, checkerProbe(c, "g", now_ms, true), only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerTenant(c, "g", TENANT_IN), checkerTenant(c, "g", TENANT_ASKED), now_ms += 2000;
-    checkerProbe(c, "g", now_ms, false), good(c), checkerTenant(c, "g", TENANT_REFUSED),
-        checkerProbe(c, "g", now_ms, false);
+    c = begin(), checker_tenant(c, "g", TENANT_IN), now_ms += 2000, checker_probe(c, "g", now_ms, true), good(c);
+    checker_probe(c, "g", now_ms, false), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_OUT),
+    checker_probe(c, "g", now_ms, true);
+    good(c), now_ms += 2000, checker_probe(c, "g", now_ms, true), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_ASKED), now_ms += 2000;
+    checker_probe(c, "g", now_ms, false), good(c), checker_tenant(c, "g", TENANT_REFUSED),
+        checker_probe(c, "g", now_ms, false);
     only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerTenant(c, "n", TENANT_ASKED), checkerTenant(c, "n", TENANT_REFUSED),
-    checkerProbe(c, "n", now_ms, true);
+    c = begin(), checker_tenant(c, "n", TENANT_ASKED), checker_tenant(c, "n", TENANT_REFUSED),
+    checker_probe(c, "n", now_ms, true);
     only(c, NEVER_REFUSED_CONFIG);
-    c = begin(), checkerConfigBoth(c, 3), only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerQuota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checkerStarted(c, "w1", "j", 0, 1, ONE);
-    checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE), checkerStarted(c, "w1", "j", FIRST, 1, ONE), good(c);
-    checkerStarted(c, "w1", "j", SECOND, 1, ONE), only(c, NEVER_OVER_QUOTA);
-    c = begin(), checkerQuota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checkerStarted(c, "w1", "j", 0, 1, ONE);
-    checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE), checkerStarted(c, "w1", "j", FIRST, 1, ONE);
-    checkerQuota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checkerStarted(c, "w1", "j", SECOND, 1, ONE),
+    c = begin(), checker_config_both(c, 3), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
+    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
+    checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, NEVER_OVER_QUOTA);
+    c = begin(), checker_quota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
+    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
+    checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checker_started(c, "w1", "j", SECOND, 1, ONE),
         good(c);
-    checkerEnded(c, "w1", "j", SECOND, 1, ROUND_LOST), now_ms += 200, checkerStarted(c, "w1", "j", SECOND, 2, ONE);
+    checker_ended(c, "w1", "j", SECOND, 1, ROUND_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
     only(c, NEVER_OVER_QUOTA);
 
     /* service, at each entry by itself */
-    c = begin(), checkerServed(c, "g1", SERVE_ACCEPT), checkerServed(c, "g1", SERVE_STATUS), checkerFault(c),
+    c = begin(), checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_fault(c),
     now_ms += 12000;
-    checkerServed(c, "g1", SERVE_ACCEPT), checkerServed(c, "g1", SERVE_STATUS), checkerMustServe(c, "g1"), good(c);
-    assert_int_equal(checkerWorstMs(c, SERVE_ACCEPT), 12000);
-    checkerServed(c, "g2", SERVE_ACCEPT), checkerMustServe(c, "g2"), only(c, NEVER_NOT_SERVING);
-    c = begin(), checkerFault(c), now_ms += 12001, checkerServed(c, "g1", SERVE_ACCEPT),
-    checkerServed(c, "g1", SERVE_STATUS);
-    checkerMustServe(c, "g1"), only(c, NEVER_NOT_SERVING);
-    c = begin(), checkerStarted(c, "w1", "x", 0, 1, ONE), checkerFault(c), now_ms += 12001, checkerMustStart(c);
+    checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_must_serve(c, "g1"), good(c);
+    assert_int_equal(checker_worst_ms(c, SERVE_ACCEPT), 12000);
+    checker_served(c, "g2", SERVE_ACCEPT), checker_must_serve(c, "g2"), only(c, NEVER_NOT_SERVING);
+    c = begin(), checker_fault(c), now_ms += 12001, checker_served(c, "g1", SERVE_ACCEPT),
+    checker_served(c, "g1", SERVE_STATUS);
+    checker_must_serve(c, "g1"), only(c, NEVER_NOT_SERVING);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_fault(c), now_ms += 12001, checker_must_start(c);
     only(c, NEVER_NOT_SERVING);
 
-    c = begin(), checkerLeaving(c, "w1", true), now_ms += 2100, checkerStarted(c, "w1", "x", 0, 1, ONE);
+    c = begin(), checker_leaving(c, "w1", true), now_ms += 2100, checker_started(c, "w1", "x", 0, 1, ONE);
     only(c, NEVER_LEAVING_GIVEN);
-    c = begin(), checkerZone(c, "z", true), now_ms += 5100, checkerStarted(c, "w1", "x", 0, 1, ONE);
+    c = begin(), checker_zone(c, "z", true), now_ms += 5100, checker_started(c, "w1", "x", 0, 1, ONE);
     only(c, NEVER_LEAVING_GIVEN);
 
-    c = begin(), checkerAccepted(c, "j"), checkerStarted(c, "w1", "j", 0, 1, ONE);
-    checkerEnded(c, "w1", "j", 0, 1, ROUND_DONE), checkerStarted(c, "w1", "j", FIRST, 1, ONE);
-    now_ms += 5000, checkerLook(c), good(c), now_ms += 20000, checkerLook(c), only(c, NEVER_GANG_SPLIT);
+    c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE);
+    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
+    now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, NEVER_GANG_SPLIT);
 
-    c = begin(), checkerConfigSet(c, 3), checkerConfigRead(c, 3), good(c), checkerConfigRead(c, 2);
+    c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
     only(c, NEVER_CONFIG_LOST);
-    c = begin(), checkerConfigSet(c, 3), checkerConfigSet(c, 3), only(c, NEVER_CONFIG_LOST);
+    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, NEVER_CONFIG_LOST);
 }
 
 static const FleetShape SHAPE
@@ -242,7 +243,7 @@
 {
     char why[512];
     for (uint64_t seed = 1; seed <= 6; seed++)
-        if (!timelineRun(seed, SHAPE, text, why, sizeof(why)) && strstr(why, words) != NULL) {
+        if (!timeline_run(seed, SHAPE, text, why, sizeof(why)) && strstr(why, words) != NULL) {
             print_message("caught: %s\n", why);
             return;
         }
@@ -250,7 +251,7 @@
 }
 
 /* A worker whose clock runs at a tenth of the true speed outlives its hold. */
-static void slowClockRunsTwice(void **state)
+static void slow_clock_runs_twice(void **state)
 {
     (void)state;
     caught("ms     worker1              agent1  callers\n"
@@ -262,7 +263,7 @@
 }
 
 /* Seats whose clocks run ten times too fast let a hold lapse that still runs. */
-static void fastSeatsMakeTwoLeaders(void **state)
+static void fast_seats_make_two_leaders(void **state)
 {
     (void)state;
     caught("ms     leader  second     third      callers\n"
@@ -276,9 +277,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(byHand),
-        cmocka_unit_test(slowClockRunsTwice),
-        cmocka_unit_test(fastSeatsMakeTwoLeaders),
+        cmocka_unit_test(by_hand),
+        cmocka_unit_test(slow_clock_runs_twice),
+        cmocka_unit_test(fast_seats_make_two_leaders),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -35,19 +35,19 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
 }
 
-static const char *pathOf(void *mem, const Change *change)
+static const char *path_of(void *mem, const Change *change)
 {
     return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, change->base, change->revision);
 }
 
 /* The number behind a key of a result; 0: it is not there. */
-static uint64_t numberIn(const HttpCall *call, void *mem, const char *key)
+static uint64_t number_in(const HttpCall *call, void *mem, const char *key)
 {
     const char *text = talloc_strndup(mem, (const char *)call->result.data, call->result.count);
     const char *at = text != NULL ? strstr(text, key) : NULL;
@@ -55,21 +55,21 @@
 }
 
 /* Sends until an answer is clear, unchanged, at one entry point after the other. */
-static void changeSend(Operator *operator, Change * change)
+static void change_send(Operator *operator, Change * change)
 {
     Fleet *fleet = operator->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     for (change->tries = 1; !operator->stop; change->tries++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
-                         .address = fleetNode(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->props.http,
+                         .address = fleet_node(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->props.http,
                          .method = change->method,
-                         .path = pathOf(mem, change),
+                         .path = path_of(mem, change),
                          .wait_ms = 1000}; /* a second of silence is given up on */
         bytes_add(mem, &call.body, change->body, strlen(change->body));
         const Status status = loop_call(loop, &call);
         const uint64_t told =
-            numberIn(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
+            number_in(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
         change->code = status == STATUS_OK && call.code < 500 ? call.code : 0;
         if (change->code == 200)
             assert_int_equal(told, change->revision);
@@ -83,13 +83,13 @@
 }
 
 /* Every other change is a whole document: the one in force with one thing changed. */
-static const char *wholeBody(Operator *operator, const Change * change)
+static const char *whole_body(Operator *operator, const Change * change)
 {
     Fleet *fleet = operator->fleet;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall call = {.mem = mem,
-                     .address = fleetNode(fleet, FLEET_GATE, operator->number % 3)->props.http,
+                     .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->props.http,
                      .method = "GET",
                      .path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, change->base),
                      .wait_ms = 2000};
@@ -109,7 +109,7 @@
     return body;
 }
 
-static void operateMain(void *arg)
+static void operate_main(void *arg)
 {
     Operator *operator= arg;
     Loop *loop = sim_loop(operator->fleet->world, operator->fleet->caller);
@@ -120,12 +120,12 @@
         change->revision = change->base + 1 + loop_random(loop) % 4;
         change->method = "PATCH";
         change->body = NULL;
-        if (loop_random(loop) % 2 == 0 && (change->body = wholeBody(operator, change)) != NULL)
+        if (loop_random(loop) % 2 == 0 && (change->body = whole_body(operator, change)) != NULL)
             change->method = "PUT";
         if (change->body == NULL)
             change->body = talloc_asprintf(operator->fleet, "{\"note\":\"%s\"}", change->marker);
         operator->count++;
-        changeSend(operator, change);
+        change_send(operator, change);
         loop_sleep(loop, (int64_t)(loop_random(loop) % 300));
     }
     operator->done = true;
@@ -138,16 +138,16 @@
         all[i].fleet = fleet;
         all[i].number = i;
         all[i].believed = 1;
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operateMain, &all[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &all[i]);
     }
     return all;
 }
 
 /* The marker of a revision as it is read back; "" when it can't be. */
-static const char *markerAt(Fleet *fleet, void *mem, uint64_t revision)
+static const char *marker_at(Fleet *fleet, void *mem, uint64_t revision)
 {
     const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, revision);
-    const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", path, NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", path, NULL);
     if (call.code != 200)
         return "";
     const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
@@ -173,27 +173,27 @@
                 assert_true(change->revision < 100000 && !bases[change->base]);
                 bases[change->base] = true;
                 highest = change->revision > highest ? change->revision : highest;
-                assert_string_equal(markerAt(fleet, mem, change->revision), change->marker);
+                assert_string_equal(marker_at(fleet, mem, change->revision), change->marker);
                 const HttpCall call =
-                    fleetAsk(fleet, mem, FLEET_GATE, 1, change->method, pathOf(mem, change), change->body);
+                    fleet_ask(fleet, mem, FLEET_GATE, 1, change->method, path_of(mem, change), change->body);
                 assert_int_equal(call.code, 200);
-                assert_int_equal(numberIn(&call, mem, "\"revision\":"), change->revision);
+                assert_int_equal(number_in(&call, mem, "\"revision\":"), change->revision);
             } else if (change->code != 0) {
                 assert_int_equal(change->code, 409);
                 refused++;
-                assert_string_not_equal(markerAt(fleet, mem, change->revision), change->marker);
+                assert_string_not_equal(marker_at(fleet, mem, change->revision), change->marker);
             } else {
                 silent++;
             }
         }
-    const HttpCall newest = fleetAsk(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
+    const HttpCall newest = fleet_ask(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
     assert_int_equal(newest.code, 200);
-    assert_true(numberIn(&newest, mem, "\"revision\":") >= highest);
+    assert_true(number_in(&newest, mem, "\"revision\":") >= highest);
     print_message("%zu taken, %zu refused, %zu without an answer; %zu sent more than once\n", taken, refused, silent,
                   again);
     assert_true(taken > 20 && refused > 5 && silent <= (size_t)operators);
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(mem);
 }
 
@@ -201,10 +201,10 @@
 {
     for (int i = 0; i < operators; i++)
         for (int turns = 0; !all[i].done && turns < 600; turns++)
-            fleetRun(fleet, 500);
+            fleet_run(fleet, 500);
     for (int i = 0; i < operators; i++)
         all[i].stop = true;
-    fleetRun(fleet, 5000);
+    fleet_run(fleet, 5000);
 }
 
 /* The leader is killed, frozen and cut off in turn while three operators send. */
@@ -215,23 +215,23 @@
         Fleet *fleet = begin(40 + seed);
         Operator *all = operate(fleet, 3);
         for (int i = 0; i < 6; i++) {
-            fleetRun(fleet, 1500 + (int64_t)seed * 130);
-            const int leader = fleetLeader(fleet);
+            fleet_run(fleet, 1500 + (int64_t)seed * 130);
+            const int leader = fleet_leader(fleet);
             if (leader < 0)
                 continue;
-            checkerFault(fleet->checker);
+            checker_fault(fleet->checker);
             if (i % 3 == 0)
-                fleetKill(fleet, FLEET_CORE, leader);
+                fleet_kill(fleet, FLEET_CORE, leader);
             else if (i % 3 == 1)
-                fleetFreeze(fleet, FLEET_CORE, leader, 4000);
+                fleet_freeze(fleet, FLEET_CORE, leader, 4000);
             else
-                fleetIsolate(fleet, FLEET_CORE, leader, true);
-            fleetRun(fleet, 6000);
+                fleet_isolate(fleet, FLEET_CORE, leader, true);
+            fleet_run(fleet, 6000);
             if (i % 3 == 0)
-                fleetStartNode(fleet, FLEET_CORE, leader);
+                fleet_start_node(fleet, FLEET_CORE, leader);
             else if (i % 3 == 2)
-                fleetIsolate(fleet, FLEET_CORE, leader, false);
-            fleetRun(fleet, 3000);
+                fleet_isolate(fleet, FLEET_CORE, leader, false);
+            fleet_run(fleet, 3000);
         }
         wait(fleet, all, 3);
         judge(fleet, all, 3);
@@ -239,11 +239,11 @@
     }
 }
 
-static void sendMain(void *arg)
+static void send_main(void *arg)
 {
     Operator *operator= arg;
     operator->count = 1;
-    changeSend(operator, & operator->changes[0]);
+    change_send(operator, & operator->changes[0]);
     operator->done = true;
 }
 
@@ -264,20 +264,20 @@
             *change = (Change){.base = base, .revision = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", sendMain, &pair[k]);
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", send_main, &pair[k]);
         }
         while (!pair[0].done || !pair[1].done)
-            fleetRun(fleet, 5);
+            fleet_run(fleet, 5);
         const int a = pair[0].changes[0].code, b = pair[1].changes[0].code;
         assert_true((a == 200 && b == 409) || (a == 409 && b == 200));
         firsts += a == 200;
         void *mem = talloc_new(fleet);
-        assert_string_equal(markerAt(fleet, mem, base + 2), pair[a == 200 ? 0 : 1].changes[0].marker);
+        assert_string_equal(marker_at(fleet, mem, base + 2), pair[a == 200 ? 0 : 1].changes[0].marker);
         talloc_free(mem);
         for (int k = 0; k < 2; k++) {
             const int before = pair[k].changes[0].code;
-            const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, k, "PATCH", pathOf(fleet, &pair[k].changes[0]),
-                                           pair[k].changes[0].body);
+            const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, k, "PATCH", path_of(fleet, &pair[k].changes[0]),
+                                            pair[k].changes[0].body);
             assert_int_equal(call.code, before);
         }
         base += 2;
@@ -329,7 +329,7 @@
     };
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         const HttpCall call =
-            fleetAsk(fleet, mem, FLEET_GATE, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
+            fleet_ask(fleet, mem, FLEET_GATE, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
         const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
         if (call.code != CASES[i].code || strstr(text, CASES[i].words) == NULL)
             fail_msg("%s %s %s: %d %s", CASES[i].method, CASES[i].path, CASES[i].body, call.code, text);
@@ -337,7 +337,7 @@
     char *large = talloc_size(mem, CONFIG_BODY_MAX + 2);
     memset(large, ' ', CONFIG_BODY_MAX + 1);
     large[CONFIG_BODY_MAX + 1] = '\0';
-    assert_int_equal(fleetAsk(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=9007199254740993", large).code, 413);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=9007199254740993", large).code, 413);
     /* many patches that together are too large */
     int code = 200;
     for (int i = 0; i < CONFIG_BODY_MAX / 60000 + 12 && code == 200; i++) {
@@ -347,7 +347,7 @@
         const char *body =
             talloc_asprintf(mem, "{\"cells\":{\"c%d\":{\"queues\":{\"q\":{\"note\":\"%s\"}}}}}", i, note);
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64, UINT64_C(9007199254740993) + (uint64_t)i);
-        code = fleetAsk(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code;
+        code = fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code;
     }
     assert_int_equal(code, 413);
     talloc_free(mem);
@@ -356,39 +356,40 @@
 
 /* Disks that lose hours of what they acknowledged: the gates have the document and
  * all that was changed of it since, also what was changed long ago. */
-static void toldAgain(void **state)
+static void told_again(void **state)
 {
     (void)state;
     Fleet *fleet = begin(53);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
     uint64_t base = 1;
     for (int i = 0; i < 20; i++) {
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 3);
         const char *body =
             talloc_asprintf(mem, "{\"note\":\"t%d\",\"cells\":{\"x%d\":{\"share\":%d}}}", i, i % 5, i + 1);
-        assert_int_equal(fleetAsk(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code, 200);
+        assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code, 200);
         base += 3;
-        fleetRun(fleet, i == 15 ? REPAIR_KEEP_MS + 10000 : 200);
+        fleet_run(fleet, i == 15 ? REPAIR_KEEP_MS + 10000 : 200);
     }
-    fleetRun(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
-    const HttpCall before = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
-    checkerFault(fleet->checker);
+    fleet_run(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
+    const HttpCall before = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < 3; i++) {
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-        fleetStartNode(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CORE, i);
     }
-    fleetRun(fleet, 12000);
-    const HttpCall after = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    fleet_run(fleet, 12000);
+    const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
     assert_true(bytes_equal(before.result, after.result));
     /* the last call, sent again, is known from what was told */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
     assert_int_equal(
-        fleetAsk(fleet, mem, FLEET_GATE, 0, "PATCH", path, "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}").code,
+        fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
+            .code,
         200);
     talloc_free(mem);
     talloc_free(fleet);
@@ -410,32 +411,32 @@
                                              i % 7, note);
     }
     text = talloc_strdup_append_buffer(text, "}}}}");
-    HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=1&revision=2", text);
+    HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=1&revision=2", text);
     assert_int_equal(call.code, 200);
-    assert_int_equal(fleetAsk(fleet, mem, FLEET_GATE, 1, "PUT", "/v1/config?base=1&revision=2", text).code, 200);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 1, "PUT", "/v1/config?base=1&revision=2", text).code, 200);
     for (int k = 0; k < 2; k++) {
-        call = fleetAsk(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
+        call = fleet_ask(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
         assert_int_equal(call.code, 200);
         const char *read = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
         assert_non_null(strstr(read, text));
-        checkerFault(fleet->checker);
-        const int leader = fleetLeader(fleet);
-        fleetKill(fleet, FLEET_CORE, leader);
-        fleetRun(fleet, 8000);
-        fleetStartNode(fleet, FLEET_CORE, leader);
-        fleetRun(fleet, 5000);
+        checker_fault(fleet->checker);
+        const int leader = fleet_leader(fleet);
+        fleet_kill(fleet, FLEET_CORE, leader);
+        fleet_run(fleet, 8000);
+        fleet_start_node(fleet, FLEET_CORE, leader);
+        fleet_run(fleet, 5000);
     }
-    checkerFault(fleet->checker);
+    checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < 3; i++)
-        fleetStartNode(fleet, FLEET_CORE, i);
-    fleetRun(fleet, 12000);
-    assert_int_equal(fleetAsk(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=2",
-                              "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
+        fleet_start_node(fleet, FLEET_CORE, i);
+    fleet_run(fleet, 12000);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=2",
+                               "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
                          .code,
                      200);
-    call = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
     const char *read = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
     assert_non_null(strstr(read, strstr(text, "\"q1\"")));
     assert_null(strstr(read, "\"q0\""));
@@ -444,35 +445,35 @@
 }
 
 /* A document that a gate does not take at once comes in a calm moment. */
-static void largeToldAgain(void **state)
+static void large_told_again(void **state)
 {
     (void)state;
     Fleet *fleet = begin(54);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
     char *note = talloc_size(mem, 60001);
     memset(note, 'n', 60000);
     note[60000] = '\0';
     const char *body = talloc_asprintf(mem, "{\"limits\":{\"idleMs\":9000},\"note\":\"%s\"}", note);
-    assert_int_equal(fleetAsk(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=1&revision=5", body).code, 200);
-    fleetRun(fleet, 200);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=1&revision=5", body).code, 200);
+    fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++) { /* its number and limits are known at once */
-        const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, i, "GET", "/metrics", NULL);
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, i, "GET", "/metrics", NULL);
         assert_non_null(
             strstr(talloc_strndup(mem, (const char *)call.result.data, call.result.count), "config_revision 5\n"));
     }
-    fleetRun(fleet, REPAIR_KEEP_MS + 10000);
-    checkerFault(fleet->checker);
+    fleet_run(fleet, REPAIR_KEEP_MS + 10000);
+    checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < 3; i++) {
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-        fleetStartNode(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CORE, i);
     }
-    fleetRun(fleet, 12000);
-    const HttpCall after = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
-    assert_int_equal(numberIn(&after, mem, "\"revision\":"), 5);
+    fleet_run(fleet, 12000);
+    const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    assert_int_equal(number_in(&after, mem, "\"revision\":"), 5);
     assert_true(after.result.count > 60000);
     talloc_free(mem);
     talloc_free(fleet);
@@ -481,8 +482,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(storm),     cmocka_unit_test(races),          cmocka_unit_test(refused),
-        cmocka_unit_test(toldAgain), cmocka_unit_test(largeToldAgain), cmocka_unit_test(largest),
+        cmocka_unit_test(storm),
+        cmocka_unit_test(races),
+        cmocka_unit_test(refused),
+        cmocka_unit_test(told_again),
+        cmocka_unit_test(large_told_again),
+        cmocka_unit_test(largest),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -7,43 +7,44 @@
 
 #define FILLER 60000 /* number of a change that no state knows: it is kept in the log and does nothing */
 
-static inline View *viewOf(Fleet *fleet, int core)
+static inline View *view_of(Fleet *fleet, int core)
 {
-    return core_view(fleetNode(fleet, FLEET_CORE, core)->core);
+    return core_view(fleet_node(fleet, FLEET_CORE, core)->core);
 }
 
 static inline bool runs(Fleet *fleet, int core)
 {
-    const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
-    return node->up && node->core != NULL && simAlive(fleet->world, node->machine);
+    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
+    return node->up && node->core != NULL && sim_alive(fleet->world, node->machine);
 }
 
 static inline Fleet *begin(uint64_t seed)
 {
     const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = true, .disks_keep = true};
-    Fleet *fleet = fleetNewAt(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
 }
 
 static inline void offer(Fleet *fleet, int count, size_t bytes)
 {
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     if (leader < 0)
         return;
     void *mem = talloc_new(NULL);
     const Bytes payload = {talloc_zero_size(mem, bytes + 1), bytes, 0};
     for (int i = 0; i < count; i++)
-        if (view_leading(viewOf(fleet, leader)))
-            view_offer(viewOf(fleet, leader), FILLER, payload);
+        if (view_leading(view_of(fleet, leader)))
+            view_offer(view_of(fleet, leader), FILLER, payload);
     talloc_free(mem);
 }
 
 static inline bool seated(Fleet *fleet, int core)
 {
-    const int leader = fleetLeader(fleet);
-    return leader >= 0 && runs(fleet, core) && view_seat_of(viewOf(fleet, leader), view_disk(viewOf(fleet, core))) >= 0;
+    const int leader = fleet_leader(fleet);
+    return leader >= 0 && runs(fleet, core) &&
+           view_seat_of(view_of(fleet, leader), view_disk(view_of(fleet, core))) >= 0;
 }
 
 #endif
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -34,13 +34,13 @@
     return STATUS_OK;
 }
 
-static void serverStart(void *arg, Loop *loop)
+static void server_start(void *arg, Loop *loop)
 {
     Seen *seen = arg;
     Ring *ring = ring_new(loop, "server");
     seen->courier[1] = courier_new(loop, loop, ring);
     courier_set_cluster(seen->courier[1], 7);
-    courier_handle(seen->courier[1], MESSAGE_KNOW, &EchoShape, &EchoShape, echo, seen);
+    courier_handle(seen->courier[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, seen);
     assert_int_equal(courier_listen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
 }
 
@@ -51,13 +51,13 @@
     const Echo ask = {41};
     Echo answer = {0};
     const int at = seen->count++;
-    seen->status[at] = courier_ask(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &EchoShape, &ask, wait_ms,
-                                   &EchoShape, &answer);
+    seen->status[at] = courier_ask(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms,
+                                   &Echo_shape, &answer);
     seen->number[at] = answer.number;
     talloc_free(mem);
 }
 
-static void clientMain(void *arg)
+static void client_main(void *arg)
 {
     Seen *seen = arg;
     ask_one(seen, 500); /* 0: answered */
@@ -73,13 +73,13 @@
     ask_one(seen, 500); /* 5: of another cluster: stranger */
 }
 
-static void clientStart(void *arg, Loop *loop)
+static void client_start(void *arg, Loop *loop)
 {
     Seen *seen = arg;
     seen->loop[0] = loop;
     seen->courier[0] = courier_new(loop, loop, ring_new(loop, "client"));
     courier_set_cluster(seen->courier[0], 7);
-    loop_spawn(loop, "client", clientMain, seen);
+    loop_spawn(loop, "client", client_main, seen);
 }
 
 static void life(void **state)
@@ -89,18 +89,18 @@
     SimWorld *world = sim_world_new(mem, 1);
     Seen seen = {0};
     const int client = sim_machine(world), server = sim_machine(world);
-    sim_start(world, server, serverStart, &seen);
-    sim_start(world, client, clientStart, &seen);
+    sim_start(world, server, server_start, &seen);
+    sim_start(world, client, client_start, &seen);
     sim_run_until(world, 1300);
     sim_cut(world, client, server, true);
     sim_run_until(world, 2400);
     sim_cut(world, client, server, false);
     sim_run_until(world, 3500);
-    simFreeze(world, server, 6000);
+    sim_freeze(world, server, 6000);
     sim_run_until(world, 6300);
     sim_kill(world, server);
     sim_run_until(world, 8000);
-    sim_start(world, server, serverStart, &seen);
+    sim_start(world, server, server_start, &seen);
     sim_run_until(world, 30000);
     assert_int_equal(seen.count, 6);
     assert_int_equal(seen.status[0], STATUS_OK);
@@ -119,7 +119,7 @@
     int ended, answered;
 } Spoiler;
 
-static void spoilMain(void *arg)
+static void spoil_main(void *arg)
 {
     Spoiler *spoiler = arg;
     static const uint8_t FRAMES[][12] = {
@@ -146,15 +146,15 @@
     }
 }
 
-static void spoilStart(void *arg, Loop *loop)
+static void spoil_start(void *arg, Loop *loop)
 {
     Spoiler *spoiler = arg;
     spoiler->loop = loop;
-    loop_spawn(loop, "spoil", spoilMain, spoiler);
+    loop_spawn(loop, "spoil", spoil_main, spoiler);
 }
 
 /* Each ends its connection and is counted; the server goes on serving others. */
-static void brokenFrames(void **state)
+static void broken_frames(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -162,12 +162,12 @@
     Seen seen = {0};
     Spoiler spoiler = {0};
     const int client = sim_machine(world), server = sim_machine(world), other = sim_machine(world);
-    sim_start(world, server, serverStart, &seen);
-    sim_start(world, other, spoilStart, &spoiler);
+    sim_start(world, server, server_start, &seen);
+    sim_start(world, other, spoil_start, &spoiler);
     sim_run_until(world, 6000);
     assert_int_equal(spoiler.ended, 6);
     assert_int_equal(courier_counts(seen.courier[1])->bad_frames, 6);
-    sim_start(world, client, clientStart, &seen);
+    sim_start(world, client, client_start, &seen);
     sim_run_until(world, 7000);
     assert_int_equal(seen.status[0], STATUS_OK);
     talloc_free(mem);
@@ -175,6 +175,6 @@
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(life), cmocka_unit_test(brokenFrames)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(life), cmocka_unit_test(broken_frames)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -20,12 +20,12 @@
 }
 
 /* p50 and p99 of accepted to started, of the urgent class, in log time. */
-static void urgentSpans(const Fleet *fleet, const char *name, int64_t *p50, int64_t *p99)
+static void urgent_spans(const Fleet *fleet, const char *name, int64_t *p50, int64_t *p99)
 {
     int64_t spans[4000];
     size_t count = 0;
     for (int i = 0; i < 4000; i++) {
-        const Job *job = fleetJob(fleet, talloc_asprintf((void *)(uintptr_t)fleet, "%s-urgent-%d", name, i));
+        const Job *job = fleet_job(fleet, talloc_asprintf((void *)(uintptr_t)fleet, "%s-urgent-%d", name, i));
         if (job == NULL)
             continue;
         assert_true(job->tasks[0].started_ms > 0);
@@ -39,10 +39,10 @@
 
 static Fleet *begin(Mix mix)
 {
-    Fleet *fleet = fleetNew(NULL, 21, (FleetShape){3, 3, 11, mix, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    assert_true(fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, 21, (FleetShape){3, 3, 11, mix, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
     return fleet;
 }
 
@@ -53,7 +53,7 @@
 } Pouring;
 
 /* Fifty impossible jobs a second and five of bulk, from the same machine. */
-static void pourMain(void *arg)
+static void pour_main(void *arg)
 {
     Pouring *pouring = arg;
     Fleet *fleet = pouring->fleet;
@@ -63,7 +63,7 @@
         void *mem = talloc_new(loop);
         const bool bulk = i % 11 == 0;
         HttpCall call = {.mem = mem,
-                         .address = fleetNode(fleet, FLEET_GATE, i % 3)->props.http,
+                         .address = fleet_node(fleet, FLEET_GATE, i % 3)->props.http,
                          .method = "POST",
                          .path = "/v1/jobs",
                          .wait_ms = 5000};
@@ -88,7 +88,7 @@
     }
 }
 
-static void crowdOf(Mix mix)
+static void crowd_of(Mix mix)
 {
     int64_t p50[2], p99[2];
     for (int with = 0; with < 2; with++) {
@@ -96,10 +96,10 @@
         Pouring *pouring = talloc_zero(fleet, Pouring);
         pouring->fleet = fleet;
         if (with)
-            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", pourMain, pouring);
-        fleetRun(fleet, with ? 15000 : 1000); /* by now the fleet is full */
-        fleetCall(fleet, "u", 10000, 30000);
-        fleetRun(fleet, 40000);
+            loop_spawn(sim_loop(fleet->world, fleet->caller), "pour", pour_main, pouring);
+        fleet_run(fleet, with ? 15000 : 1000); /* by now the fleet is full */
+        fleet_call(fleet, "u", 10000, 30000);
+        fleet_run(fleet, 40000);
         pouring->stop = true;
         if (with) {
             print_message("%s: poured: %zu taken, %zu refused, %zu told to come back, %zu other; ", mix_word(mix),
@@ -107,10 +107,10 @@
             assert_true(pouring->refused > 1000 && pouring->taken > 50);
             assert_int_equal(pouring->other, 0);
         }
-        fleetRun(fleet, 60000);
-        urgentSpans(fleet, "u", &p50[with], &p99[with]);
-        if (checkerBrokenAll(fleet->checker) > 0)
-            fail_msg("%s", checkerFirst(fleet->checker));
+        fleet_run(fleet, 60000);
+        urgent_spans(fleet, "u", &p50[with], &p99[with]);
+        if (checker_broken_all(fleet->checker) > 0)
+            fail_msg("%s", checker_first(fleet->checker));
         talloc_free(fleet);
     }
     print_message("urgent alone p50 %d p99 %d ms, in the crowd %d and %d ms\n", (int)p50[0], (int)p99[0], (int)p50[1],
@@ -123,13 +123,13 @@
 static void trentvale(void **state)
 {
     (void)state;
-    crowdOf(MIX_TRENTVALE);
+    crowd_of(MIX_TRENTVALE);
 }
 
 static void atlas(void **state)
 {
     (void)state;
-    crowdOf(MIX_ATLAS);
+    crowd_of(MIX_ATLAS);
 }
 
 /* --- configurations ------------------------------------------------------------------- */
@@ -143,7 +143,7 @@
 } Operator;
 
 /* Patches on whatever revision it last saw, at one gate; races with the others. */
-static void operateMain(void *arg)
+static void operate_main(void *arg)
 {
     Operator *operator= arg;
     Fleet *fleet = operator->fleet;
@@ -152,7 +152,7 @@
     for (int i = 0; i < 60; i++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
-                         .address = fleetNode(fleet, FLEET_GATE, operator->number % 3)->props.http,
+                         .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->props.http,
                          .method = "PATCH",
                          .path = talloc_asprintf(mem, "/v1/config?base=%llu", (unsigned long long)base),
                          .wait_ms = 4000};
@@ -173,18 +173,18 @@
     operator->done = true;
 }
 
-static void configStorm(void **state)
+static void config_storm(void **state)
 {
     (void)state;
     Fleet *fleet = begin(MIX_ATLAS);
     Operator *operators = talloc_zero_array(fleet, Operator, 5);
     for (int i = 0; i < 5; i++) {
         operators[i] = (Operator){.fleet = fleet, .number = i};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operateMain, &operators[i]);
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &operators[i]);
     }
-    fleetRun(fleet, 4000);
-    fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
-    fleetRun(fleet, 60000);
+    fleet_run(fleet, 4000);
+    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_run(fleet, 60000);
     size_t acknowledged = 0, stale = 0;
     uint64_t highest = 0;
     bool seen[1000] = {false};
@@ -202,7 +202,7 @@
     }
     print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/config", NULL);
     assert_true(strtoull((const char *)call.result.data + strlen("{\"revision\":"), NULL, 10) >= highest);
     /* each acknowledged one is in the history as it was sent */
     for (int i = 0; i < 5; i++)
@@ -210,7 +210,7 @@
             char path[64], cell[24];
             snprintf(path, sizeof(path), "/v1/config?revision=%llu", (unsigned long long)operators[i].acknowledged[k]);
             snprintf(cell, sizeof(cell), "\"op%d\":", i);
-            const HttpCall read = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", path, NULL);
+            const HttpCall read = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", path, NULL);
             assert_int_equal(read.code, 200);
             assert_non_null(strstr((const char *)read.result.data, cell));
         }
@@ -222,7 +222,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(trentvale),
         cmocka_unit_test(atlas),
-        cmocka_unit_test(configStorm),
+        cmocka_unit_test(config_storm),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -22,9 +22,9 @@
     uint64_t promised, list_index;
 } Held;
 
-static Held heldOf(Fleet *fleet, int core)
+static Held held_of(Fleet *fleet, int core)
 {
-    const View *view = viewOf(fleet, core);
+    const View *view = view_of(fleet, core);
     Held held = {0};
     if (journal_sync_since(view->journal) != INT64_MAX || journal_failed(view->journal) || view->compacting)
         return held;
@@ -39,9 +39,9 @@
     return held;
 }
 
-static void assertBack(Fleet *fleet, int core, const Held *held)
+static void assert_back(Fleet *fleet, int core, const Held *held)
 {
-    const View *view = viewOf(fleet, core);
+    const View *view = view_of(fleet, core);
     if (!held->known)
         return;
     assert_true(log_last_index(view->log) >= held->last_index);
@@ -55,62 +55,62 @@
 /* Ends the core and starts it again where nobody reaches it: its log is that of its disk. */
 static void restart(Fleet *fleet, int core, bool power)
 {
-    const Held held = heldOf(fleet, core);
+    const Held held = held_of(fleet, core);
     if (power)
-        fleetPowerOff(fleet, FLEET_CORE, core);
+        fleet_power_off(fleet, FLEET_CORE, core);
     else
-        fleetKill(fleet, FLEET_CORE, core);
-    fleetIsolate(fleet, FLEET_CORE, core, true);
-    fleetStartNode(fleet, FLEET_CORE, core);
-    sim_disk_slow(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, 3);
+        fleet_kill(fleet, FLEET_CORE, core);
+    fleet_isolate(fleet, FLEET_CORE, core, true);
+    fleet_start_node(fleet, FLEET_CORE, core);
+    sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine, 3);
     for (int i = 0; i < 100 && !runs(fleet, core); i++)
-        fleetRun(fleet, 10);
+        fleet_run(fleet, 10);
     assert_true(runs(fleet, core));
-    assertBack(fleet, core, &held);
-    fleetIsolate(fleet, FLEET_CORE, core, false);
+    assert_back(fleet, core, &held);
+    fleet_isolate(fleet, FLEET_CORE, core, false);
 }
 
-static void strikeAny(Fleet *fleet, bool *cut)
+static void strike_any(Fleet *fleet, bool *cut)
 {
     SimWorld *world = fleet->world;
-    const int core = (int)(simRandom(world) % 3);
-    const int machine = fleetNode(fleet, FLEET_CORE, core)->machine;
-    switch (simRandom(world) % 6) {
+    const int core = (int)(sim_random(world) % 3);
+    const int machine = fleet_node(fleet, FLEET_CORE, core)->machine;
+    switch (sim_random(world) % 6) {
     case 0:
         if (runs(fleet, core) && !cut[core])
-            restart(fleet, core, simRandom(world) % 2 == 0);
+            restart(fleet, core, sim_random(world) % 2 == 0);
         break;
     case 1:
         cut[core] = !cut[core];
-        fleetIsolate(fleet, FLEET_CORE, core, cut[core]);
+        fleet_isolate(fleet, FLEET_CORE, core, cut[core]);
         break;
     case 2:
-        sim_disk_slow(world, machine, (int64_t)(simRandom(world) % 400));
+        sim_disk_slow(world, machine, (int64_t)(sim_random(world) % 400));
         break;
     case 3:
         if (runs(fleet, core))
-            view_compact_maybe(viewOf(fleet, core), true);
+            view_compact_maybe(view_of(fleet, core), true);
         break;
     default:
-        offer(fleet, (int)(simRandom(world) % 20), 10);
+        offer(fleet, (int)(sim_random(world) % 20), 10);
         break;
     }
 }
 
 /* Restarts, losses of power, cuts, slow disks and snapshots at any moment: what an idle
  * journal held is what the next process has. */
-static void comesBack(void **state)
+static void comes_back(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 25; seed++) {
         Fleet *fleet = begin(seed);
         bool cut[3] = {false};
         for (int step = 0; step < 150; step++) {
-            strikeAny(fleet, cut);
-            fleetRun(fleet, (int64_t)(simRandom(fleet->world) % 300));
+            strike_any(fleet, cut);
+            fleet_run(fleet, (int64_t)(sim_random(fleet->world) % 300));
         }
-        if (checkerBrokenAll(fleet->checker) > 0)
-            fail_msg("seed %" PRIu64 ": %s", seed, checkerFirst(fleet->checker));
+        if (checker_broken_all(fleet->checker) > 0)
+            fail_msg("seed %" PRIu64 ": %s", seed, checker_first(fleet->checker));
         talloc_free(fleet);
     }
 }
@@ -118,30 +118,30 @@
 /* A leader whose disk is slow orders what its journal has not been given yet, makes a
  * snapshot, and is cut off at once; the others go on without those entries. When it is
  * back and has what they have, its disk must say so too. */
-static void snapshotThenTrimmed(void **state)
+static void snapshot_then_trimmed(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 10; seed++) {
         Fleet *fleet = begin(seed);
-        const int leader = fleetLeader(fleet);
-        const int machine = fleetNode(fleet, FLEET_CORE, leader)->machine;
+        const int leader = fleet_leader(fleet);
+        const int machine = fleet_node(fleet, FLEET_CORE, leader)->machine;
         sim_disk_slow(fleet->world, machine, 2500); /* longer than the lock is held */
         offer(fleet, 3, 10);
-        fleetRun(fleet, 60 + 10 * (int64_t)seed);
+        fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
-        view_compact_maybe(viewOf(fleet, leader), true);
-        simTurn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
-        fleetIsolate(fleet, FLEET_CORE, leader, true);
-        fleetRun(fleet, 5000);
+        view_compact_maybe(view_of(fleet, leader), true);
+        sim_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
+        fleet_isolate(fleet, FLEET_CORE, leader, true);
+        fleet_run(fleet, 5000);
         sim_disk_slow(fleet->world, machine, 3);
-        assert_true(fleetLeader(fleet) >= 0 && fleetLeader(fleet) != leader);
+        assert_true(fleet_leader(fleet) >= 0 && fleet_leader(fleet) != leader);
         offer(fleet, 12, 10);
-        fleetRun(fleet, 1000);
-        fleetIsolate(fleet, FLEET_CORE, leader, false);
-        fleetRun(fleet, 5000);
-        const uint64_t told = log_last_index(viewOf(fleet, leader)->log);
+        fleet_run(fleet, 1000);
+        fleet_isolate(fleet, FLEET_CORE, leader, false);
+        fleet_run(fleet, 5000);
+        const uint64_t told = log_last_index(view_of(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
-        assert_true(log_last_index(viewOf(fleet, leader)->log) >= told);
+        assert_true(log_last_index(view_of(fleet, leader)->log) >= told);
         talloc_free(fleet);
     }
 }
@@ -155,7 +155,7 @@
 } Orders;
 
 /* As some leader would that has not what a majority has committed. */
-static void ordersMain(void *arg)
+static void orders_main(void *arg)
 {
     Orders *orders = arg;
     View *view = orders->view;
@@ -175,19 +175,19 @@
 }
 
 /* An order to drop what is committed is refused and counted; the log stays. */
-static void committedStays(void **state)
+static void committed_stays(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleetLeader(fleet) + 1) % 3;
+    const int core = (fleet_leader(fleet) + 1) % 3;
     offer(fleet, 10, 10);
-    fleetRun(fleet, 1000);
-    View *view = viewOf(fleet, core);
+    fleet_run(fleet, 1000);
+    View *view = view_of(fleet, core);
     const uint64_t index = view->commit_index, epoch = log_at(view->log, index)->epoch;
     Orders orders = {.view = view};
-    fleetIsolate(fleet, FLEET_CORE, core, true);
-    loop_spawn(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "orders", ordersMain, &orders);
-    fleetRun(fleet, 200);
+    fleet_isolate(fleet, FLEET_CORE, core, true);
+    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "orders", orders_main, &orders);
+    fleet_run(fleet, 200);
     assert_true(orders.done);
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
     assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
@@ -196,27 +196,27 @@
     ViewSight sight;
     view_sight(view, &sight);
     assert_int_equal(sight.other_histories, 2);
-    assert_non_null(strstr(ring_text(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
+    assert_non_null(strstr(ring_text(fleet_node(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
     talloc_free(fleet);
 }
 
 /* A log whose list of voters is older than one that is known to be committed: neither
  * votes nor leads, whoever asks. */
-static void oldListVotesNot(void **state)
+static void old_list_votes_not(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int leader = fleetLeader(fleet);
-    View *view = viewOf(fleet, leader);
+    const int leader = fleet_leader(fleet);
+    View *view = view_of(fleet, leader);
     assert_true(view->list_index > 0 && view->list_index <= view->commit_index);
-    fleetIsolate(fleet, FLEET_CORE, leader, true);
-    fleetRun(fleet, 3000);
+    fleet_isolate(fleet, FLEET_CORE, leader, true);
+    fleet_run(fleet, 3000);
     const uint64_t list_index = view->list_index;
     for (uint64_t i = list_index; i <= log_last_index(view->log); i++) /* as a disk would that lost the entry */
         view->log->entries[i - view->log->base_index - 1].change = FILLER;
     view_reread(view);
     assert_true(view->list_index < list_index && view_disk_failed(view));
-    fleetRun(fleet, 10000);
+    fleet_run(fleet, 10000);
     assert_false(view_leading(view));
     const ProposeAsk ask = {UINT64_MAX / 2, view->disk, 0, UINT64_MAX / 2, 1};
     assert_int_equal(seat_propose(view, &ask), STATUS_DISK_FAILED);
@@ -227,30 +227,30 @@
 
 static void spoil(Fleet *fleet, int core)
 {
-    Bytes *journal = sim_disk_content(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine, "data/journal");
+    Bytes *journal = sim_disk_content(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine, "data/journal");
     assert_true(journal->count > 400);
     journal->data[100] ^= 4; /* past the identity, long before the end */
 }
 
 /* A journal that is spoilt before its end: its node comes back by itself as an empty disk
  * with another id, says so, and is a voter again only by the others' change of the list. */
-static void spoiltIsEmpty(void **state)
+static void spoilt_is_empty(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed);
         const int core = (int)(seed % 3);
-        const uint64_t before = view_disk(viewOf(fleet, core));
+        const uint64_t before = view_disk(view_of(fleet, core));
         offer(fleet, 50, 100);
-        fleetRun(fleet, 1000);
-        fleetKill(fleet, FLEET_CORE, core);
+        fleet_run(fleet, 1000);
+        fleet_kill(fleet, FLEET_CORE, core);
         spoil(fleet, core);
-        checkerFault(fleet->checker);
-        fleetIsolate(fleet, FLEET_CORE, core, true);
-        fleetStartNode(fleet, FLEET_CORE, core);
-        fleetRun(fleet, 3000);
+        checker_fault(fleet->checker);
+        fleet_isolate(fleet, FLEET_CORE, core, true);
+        fleet_start_node(fleet, FLEET_CORE, core);
+        fleet_run(fleet, 3000);
         assert_true(runs(fleet, core));
-        const View *view = viewOf(fleet, core);
+        const View *view = view_of(fleet, core);
         ViewSight sight;
         view_sight(view, &sight);
         assert_true(sight.journal.begun_anew && view_disk(view) != before);
@@ -258,12 +258,12 @@
         assert_int_equal(log_last_index(view->log), 0);
         assert_int_equal(view->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
-        assert_int_equal(seat_propose(viewOf(fleet, core), &ask), STATUS_NO_SEAT);
-        fleetIsolate(fleet, FLEET_CORE, core, false);
+        assert_int_equal(seat_propose(view_of(fleet, core), &ask), STATUS_NO_SEAT);
+        fleet_isolate(fleet, FLEET_CORE, core, false);
         for (int i = 0; i < 60 && !seated(fleet, core); i++)
-            fleetRun(fleet, 500);
+            fleet_run(fleet, 500);
         assert_true(seated(fleet, core));
-        assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+        assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -273,80 +273,80 @@
     Record record;
 } Writing;
 
-static void writeMain(void *arg)
+static void write_main(void *arg)
 {
     const Writing *writing = arg;
     assert_int_equal(journal_write(writing->view->journal, &writing->record, 1), STATUS_OK);
 }
 
 /* Puts a record into the core's journal behind its back, and starts the core again. */
-static void recordAndRestart(Fleet *fleet, int core, Record record)
+static void record_and_restart(Fleet *fleet, int core, Record record)
 {
     Writing *writing = talloc_zero(fleet, Writing);
-    *writing = (Writing){viewOf(fleet, core), record};
-    loop_spawn(sim_loop(fleet->world, fleetNode(fleet, FLEET_CORE, core)->machine), "write", writeMain, writing);
-    fleetRun(fleet, 200);
-    fleetKill(fleet, FLEET_CORE, core);
-    checkerFault(fleet->checker);
-    fleetStartNode(fleet, FLEET_CORE, core);
-    fleetRun(fleet, 1000);
+    *writing = (Writing){view_of(fleet, core), record};
+    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "write", write_main, writing);
+    fleet_run(fleet, 200);
+    fleet_kill(fleet, FLEET_CORE, core);
+    checker_fault(fleet->checker);
+    fleet_start_node(fleet, FLEET_CORE, core);
+    fleet_run(fleet, 1000);
 }
 
 /* Each block is good, but a record is of a later release: the node does not start, and
  * its disk stays as it is. */
-static void unknownRecord(void **state)
+static void unknown_record(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleetLeader(fleet) + 1) % 3;
-    recordAndRestart(fleet, core, (Record){.kind = 99, .name = ""});
+    const int core = (fleet_leader(fleet) + 1) % 3;
+    record_and_restart(fleet, core, (Record){.kind = 99, .name = ""});
     assert_false(runs(fleet, core));
-    assert_non_null(strstr(ring_text(fleetNode(fleet, FLEET_CORE, core)->ring, fleet), "journal-format"));
+    assert_non_null(strstr(ring_text(fleet_node(fleet, FLEET_CORE, core)->ring, fleet), "journal-format"));
     talloc_free(fleet);
 }
 
 /* Each block is good, but entries are missing: the log is not whole. */
-static void entriesMissing(void **state)
+static void entries_missing(void **state)
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleetLeader(fleet) + 1) % 3;
-    const View *view = viewOf(fleet, core);
+    const int core = (fleet_leader(fleet) + 1) % 3;
+    const View *view = view_of(fleet, core);
     const uint64_t before = view_disk(view);
     const Record far = {.kind = RECORD_ENTRY,
                         .epoch = log_last_epoch(view->log),
                         .index = log_last_index(view->log) + 2,
                         .change = FILLER,
                         .name = ""};
-    recordAndRestart(fleet, core, far);
-    assert_true(runs(fleet, core) && view_disk(viewOf(fleet, core)) != before);
+    record_and_restart(fleet, core, far);
+    assert_true(runs(fleet, core) && view_disk(view_of(fleet, core)) != before);
     talloc_free(fleet);
 }
 
 /* All of them spoilt: more than can be borne. Nobody founds a second cluster over it. */
-static void allSpoilt(void **state)
+static void all_spoilt(void **state)
 {
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
         const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = votes == 1, .disks_keep = true};
-        Fleet *fleet = fleetNewAt(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
-        fleetStart(fleet);
-        assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+        Fleet *fleet = fleet_new_at(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
+        fleet_start(fleet);
+        assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
         for (int life = 0; life < 2; life++) {
             for (int core = 0; core < 3; core++) {
-                fleetPowerOff(fleet, FLEET_CORE, core);
+                fleet_power_off(fleet, FLEET_CORE, core);
                 if (life == 0)
                     spoil(fleet, core);
             }
             for (int role = FLEET_GATE; role <= FLEET_AGENT; role++) /* nobody else remembers the cluster */
-                fleetPowerOff(fleet, (FleetRole)role, 0);
+                fleet_power_off(fleet, (FleetRole)role, 0);
             for (int core = 0; core < 3; core++)
-                fleetStartNode(fleet, FLEET_CORE, core);
+                fleet_start_node(fleet, FLEET_CORE, core);
             for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
-                fleetStartNode(fleet, (FleetRole)role, 0);
-            fleetRun(fleet, 20000);
+                fleet_start_node(fleet, (FleetRole)role, 0);
+            fleet_run(fleet, 20000);
             for (int core = 0; core < 3; core++)
-                assert_true(runs(fleet, core) && !view_founded(viewOf(fleet, core)));
+                assert_true(runs(fleet, core) && !view_founded(view_of(fleet, core)));
         }
         talloc_free(fleet);
     }
@@ -355,9 +355,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(committedStays),      cmocka_unit_test(oldListVotesNot), cmocka_unit_test(comesBack),
-        cmocka_unit_test(snapshotThenTrimmed), cmocka_unit_test(spoiltIsEmpty),   cmocka_unit_test(allSpoilt),
-        cmocka_unit_test(unknownRecord),       cmocka_unit_test(entriesMissing),
+        cmocka_unit_test(committed_stays),       cmocka_unit_test(old_list_votes_not), cmocka_unit_test(comes_back),
+        cmocka_unit_test(snapshot_then_trimmed), cmocka_unit_test(spoilt_is_empty),    cmocka_unit_test(all_spoilt),
+        cmocka_unit_test(unknown_record),        cmocka_unit_test(entries_missing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -19,30 +19,30 @@
     "\",\"prefix\":\"/sweeps/\"},\"rounds\":2,\"stretch\":2.5,\"targetMs\":900},"
     "\"urgent\":{\"priority\":5,\"entry\":{\"host\":\"" HOST "\",\"prefix\":\"/sweeps/now/\"}}}}}}";
 
-#define BODY(runMs) \
-    "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #runMs "}}]}"
+#define BODY(run_ms) \
+    "{\"steps\":[{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":" #run_ms "}}]}"
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    assert_true(fleetConfigure(fleet));
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     return fleet;
 }
 
 static void end(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
 static int ask(Fleet *fleet, int gate, const char *method, const char *path, const char *body, const char **text)
 {
     const HttpPair host = {"host", HOST ":8080"};
-    const HttpCall call = fleetAskAs(fleet, fleet, FLEET_GATE, gate, method, path, body, &host, 1);
+    const HttpCall call = fleet_ask_as(fleet, fleet, FLEET_GATE, gate, method, path, body, &host, 1);
     if (text != NULL)
         *text = (const char *)call.result.data;
     return call.code;
@@ -54,7 +54,7 @@
             fail_msg("%s is not in %s", word, text); \
     } while (0)
 
-static void wholeLife(void **state)
+static void whole_life(void **state)
 {
     (void)state;
     Fleet *fleet = begin(21);
@@ -62,7 +62,7 @@
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4000), &text), 201);
     assert_told(text, "\"phase\":\"queued\"");
     /* the terms are the queue's */
-    const Job *job = fleetJob(fleet, "one");
+    const Job *job = fleet_job(fleet, "one");
     assert_non_null(job);
     assert_string_equal(job->spec.queue, "sweeps");
     assert_int_equal(job->terms.round_limit, 2);
@@ -71,17 +71,17 @@
     /* the same again, elsewhere, by ?host=, and under the longer prefix: one job */
     assert_int_equal(ask(fleet, 1, "POST", "/v1/entry/sweeps/one", BODY(4000), NULL), 200);
     assert_int_equal(ask(fleet, 2, "POST", "/v1/entry/sweeps/now/one", BODY(4000), NULL), 200);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code,
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code,
                      200);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4001), NULL), 409);
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
     assert_told(text, "\"waiting\":1");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/now/", NULL, &text), 200);
     assert_told(text, "\"waiting\":0");
-    fleetRun(fleet, 2000);
+    fleet_run(fleet, 2000);
     assert_int_equal(ask(fleet, 2, "GET", "/v1/entry/sweeps/one", NULL, &text), 200);
     assert_told(text, "\"phase\":\"active\"");
-    fleetRun(fleet, 4000);
+    fleet_run(fleet, 4000);
     assert_int_equal(ask(fleet, 1, "GET", "/v1/entry/sweeps/one", NULL, &text), 200);
     assert_told(text, "\"phase\":\"done\"");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
@@ -98,11 +98,11 @@
     Fleet *fleet = begin(22);
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/now/two", BODY(60000), NULL), 201);
-    assert_string_equal(fleetJob(fleet, "two")->spec.queue, "urgent");
-    assert_int_equal(fleetJob(fleet, "two")->terms.priority, 5);
-    fleetRun(fleet, 1500);
+    assert_string_equal(fleet_job(fleet, "two")->spec.queue, "urgent");
+    assert_int_equal(fleet_job(fleet, "two")->terms.priority, 5);
+    fleet_run(fleet, 1500);
     assert_int_equal(ask(fleet, 1, "DELETE", "/v1/entry/sweeps/two", NULL, NULL), 200);
-    fleetRun(fleet, 2000);
+    fleet_run(fleet, 2000);
     assert_int_equal(ask(fleet, 2, "GET", "/v1/entry/sweeps/two", NULL, &text), 200);
     assert_told(text, "\"phase\":\"cancelled\"");
     assert_int_equal(ask(fleet, 1, "DELETE", "/v1/entry/sweeps/two", NULL, NULL), 200);
@@ -140,23 +140,23 @@
         if (code != ROWS[i].code || strstr(text, ROWS[i].status) == NULL)
             fail_msg("%s %s: %d, not %d: %s", ROWS[i].method, ROWS[i].path, code, ROWS[i].code, text);
     }
-    assert_null(fleetJob(fleet, "x"));
+    assert_null(fleet_job(fleet, "x"));
     /* another host */
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
     /* its queue is full: certainly not taken, and when to come back */
     assert_int_equal(
-        fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=2", "{\"cells\":{\"imagery\":{\"limit\":1}}}")
+        fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=2", "{\"cells\":{\"imagery\":{\"limit\":1}}}")
             .code,
         200);
     const HttpPair host = {"host", HOST};
     const HttpCall full =
-        fleetAskAs(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x",
-                   "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
+        fleet_ask_as(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x",
+                     "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
     assert_int_equal(full.code, 503);
     assert_true(full.retry_after_s > 0);
     /* its entry is gone */
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=3",
-                              "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=3",
+                               "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
                          .code,
                      200);
     for (int gate = 0; gate < 3; gate++)
@@ -171,13 +171,13 @@
     (void)state;
     Fleet *fleet = begin(25);
     for (int i = 0; i < 3; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/kept", BODY(30000), NULL), 201);
     for (int i = 0; i < 3; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < 3; i++) {
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-        fleetStartNode(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CORE, i);
     }
     int code = 0, refused = 0;
     const int64_t until_ms = sim_now_ms(fleet->world) + 12000;
@@ -186,7 +186,7 @@
         if (code != 200 && code != 503 && code != 504 && code != 0)
             fail_msg("told %d", code);
         refused += code != 200;
-        fleetRun(fleet, 20);
+        fleet_run(fleet, 20);
     }
     assert_int_equal(code, 200);
     assert_true(refused > 0);
@@ -195,12 +195,12 @@
 }
 
 /* Nobody has sent a document: callers are to come back, not to give up. */
-static void noDocument(void **state)
+static void no_document(void **state)
 {
     (void)state;
-    Fleet *fleet = fleetNew(NULL, 24, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
+    Fleet *fleet = fleet_new(NULL, 24, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/x", BODY(1), &text), 503);
     assert_told(text, "no-config");
@@ -211,8 +211,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(wholeLife),  cmocka_unit_test(cancelled), cmocka_unit_test(refused),
-        cmocka_unit_test(noDocument), cmocka_unit_test(forgotten),
+        cmocka_unit_test(whole_life),  cmocka_unit_test(cancelled), cmocka_unit_test(refused),
+        cmocka_unit_test(no_document), cmocka_unit_test(forgotten),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/first.c
+++ b/packages/sim/test/first.c
@@ -10,31 +10,31 @@
 
 #include "sim/fleet.h"
 
-static void wholePath(void **state)
+static void whole_path(void **state)
 {
     (void)state;
-    Fleet *fleet = fleetNew(NULL, 1, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    const bool settled = fleetSettle(fleet, 20000);
-    printf("settled %d at %ld leader %d\n", settled, (long)sim_now_ms(fleet->world), fleetLeader(fleet));
+    Fleet *fleet = fleet_new(NULL, 1, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    const bool settled = fleet_settle(fleet, 20000);
+    printf("settled %d at %ld leader %d\n", settled, (long)sim_now_ms(fleet->world), fleet_leader(fleet));
     if (!settled)
-        fleetDump(fleet);
+        fleet_dump(fleet);
     assert_true(settled);
-    assert_true(fleetConfigure(fleet));
-    fleetCall(fleet, "c", 10000, 20000);
-    fleetRun(fleet, 5000);
-    const bool done = fleetFinish(fleet, 60000);
+    assert_true(fleet_configure(fleet));
+    fleet_call(fleet, "c", 10000, 20000);
+    fleet_run(fleet, 5000);
+    const bool done = fleet_finish(fleet, 60000);
     printf("done %d at %ld starts %zu broken %zu %s\n", done, (long)sim_now_ms(fleet->world),
-           checkerStarts(fleet->checker), checkerBrokenAll(fleet->checker), checkerFirst(fleet->checker));
+           checker_starts(fleet->checker), checker_broken_all(fleet->checker), checker_first(fleet->checker));
     if (!done)
-        fleetDump(fleet);
+        fleet_dump(fleet);
     assert_true(done);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(wholePath)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(whole_path)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -198,11 +198,11 @@
                                         "/v1/status",        "/v1/jobs?after=-1&limit=0",
                                         "/metrics",          "/readyz"};
     static const char *const METHODS[] = {"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"};
-    Fleet *fleet = fleetNew(NULL, 4, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
-    fleetKill(fleet, FLEET_WORKER, 3); /* its agent hears reports of ours */
-    fleetRun(fleet, 4000);
+    Fleet *fleet = fleet_new(NULL, 4, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    fleet_kill(fleet, FLEET_WORKER, 3); /* its agent hears reports of ours */
+    fleet_run(fleet, 4000);
     size_t codes[600] = {0};
     seed_now = 4;
     for (int i = 0; i < 600; i++) {
@@ -213,11 +213,11 @@
         if (draw(6) == 0)
             path = talloc_asprintf(mem, "%s%s", path, PARTS[9 + draw(6)]);
         const char *body = spoil(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
-        const HttpCall call = fleetAsk(fleet, mem,
-                                       report    ? FLEET_AGENT
-                                       : draw(2) ? FLEET_GATE
-                                                 : FLEET_CORE,
-                                       report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
+        const HttpCall call = fleet_ask(fleet, mem,
+                                        report    ? FLEET_AGENT
+                                        : draw(2) ? FLEET_GATE
+                                                  : FLEET_CORE,
+                                        report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
         assert_in_range(call.code, 200, 504);
         assert_true(call.code != 500);
         codes[call.code]++;
@@ -226,11 +226,11 @@
     print_message("requests: %zu of 200, %zu of 400, %zu of 404, %zu of 422\n", codes[200], codes[400], codes[404],
                   codes[422]);
     assert_true(codes[400] > 50 && codes[422] > 20);
-    fleetStartNode(fleet, FLEET_WORKER, 3);
-    fleetCall(fleet, "after", 10000, 2000);
-    assert_true(fleetFinish(fleet, 60000));
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    fleet_start_node(fleet, FLEET_WORKER, 3);
+    fleet_call(fleet, "after", 10000, 2000);
+    assert_true(fleet_finish(fleet, 60000));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
@@ -271,7 +271,7 @@
 {
     (void)state;
     static const Shape *const SHAPES[] = {
-#define X(name) &name##Shape,
+#define X(name) &name##_shape,
         MESSAGES(X)
 #undef X
     };
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -14,7 +14,7 @@
     bool done;
 } Handed;
 
-static inline void handMain(void *arg)
+static inline void hand_main(void *arg)
 {
     Handed *handed = arg;
     gate_take(handed->gate, handed->task);
@@ -24,7 +24,7 @@
 /* Does not wait. task says what is asked; its texts outlive the fleet. */
 static inline Handed *hand(Fleet *fleet, int gate, const HttpTask *task, const char *body)
 {
-    const FleetNode *node = fleetNode(fleet, FLEET_GATE, gate);
+    const FleetNode *node = fleet_node(fleet, FLEET_GATE, gate);
     Handed *handed = talloc_zero(fleet, Handed);
     handed->gate = node->gate;
     handed->task = talloc_zero(handed, HttpTask);
@@ -32,7 +32,7 @@
     handed->task->loop = sim_loop(fleet->world, node->machine);
     if (body != NULL)
         bytes_add(handed->task, &handed->task->body, body, strlen(body));
-    loop_spawn(handed->task->loop, "hand", handMain, handed);
+    loop_spawn(handed->task->loop, "hand", hand_main, handed);
     return handed;
 }
 
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -15,7 +15,7 @@
 static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
     const FleetNode *node = &fleet->nodes[role][number];
-    return simAlive(fleet->world, node->machine) ? talloc_total_size(sim_loop(fleet->world, node->machine)) : 0;
+    return sim_alive(fleet->world, node->machine) ? talloc_total_size(sim_loop(fleet->world, node->machine)) : 0;
 }
 
 static void hour(void **state)
@@ -26,31 +26,31 @@
 #else
     const int64_t minutes = 75;
 #endif
-    Fleet *fleet = fleetNew(NULL, 3, (FleetShape){3, 3, 4, MIX_ATLAS, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    assert_true(fleetConfigure(fleet));
-    fleetCall(fleet, "h", 9000, minutes * 60000);
-    fleetRun(fleet, 60000);
+    Fleet *fleet = fleet_new(NULL, 3, (FleetShape){3, 3, 4, MIX_ATLAS, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
+    fleet_call(fleet, "h", 9000, minutes * 60000);
+    fleet_run(fleet, 60000);
     /* one core is away while the others rewrite their journals */
-    const int away = (fleetLeader(fleet) + 1) % 3;
-    fleetPowerOff(fleet, FLEET_CORE, away);
-    fleetRun(fleet, 120000);
-    const int leader = fleetLeader(fleet);
+    const int away = (fleet_leader(fleet) + 1) % 3;
+    fleet_power_off(fleet, FLEET_CORE, away);
+    fleet_run(fleet, 120000);
+    const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     ViewSight sight;
-    view_sight(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    view_sight(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
     assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
-    fleetStartNode(fleet, FLEET_CORE, away);
-    fleetRun(fleet, 20000);
+    fleet_start_node(fleet, FLEET_CORE, away);
+    fleet_run(fleet, 20000);
     ViewSight back;
-    view_sight(core_view(fleetNode(fleet, FLEET_CORE, away)->core), &back);
+    view_sight(core_view(fleet_node(fleet, FLEET_CORE, away)->core), &back);
     assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
     assert_true(back.delivered_index > sight.delivered_index);
     assert_false(back.woke);
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
-        fleetRun(fleet, 60000);
+        fleet_run(fleet, 60000);
         const size_t now[3] = {bytes_of(fleet, FLEET_CORE, leader), bytes_of(fleet, FLEET_GATE, 0),
                                bytes_of(fleet, FLEET_AGENT, 0)};
         for (int i = 0; i < 3; i++) {
@@ -63,19 +63,19 @@
     }
     print_message("after %d minutes: leader %zu, gate %zu, agent %zu KB; journal %zu KB in %zu rewrites; %zu starts\n",
                   (int)minutes, worst[0] / 1024, worst[1] / 1024, worst[2] / 1024, (size_t)sight.journal.bytes / 1024,
-                  (size_t)sight.journal.rewrites, checkerStarts(fleet->checker));
+                  (size_t)sight.journal.rewrites, checker_starts(fleet->checker));
     for (int i = 0; i < 3 && minutes > 70; i++)
         assert_true(worst[i] < settled[i] + settled[i] / 4);
-    assert_true(fleetFinish(fleet, 60000));
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    assert_true(fleet_finish(fleet, 60000));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     if (minutes > 70) {
         /* one of the first is forgotten, one of the last half hour is not */
-        const Job *const old = fleetJob(fleet, "h-urgent-0");
+        const Job *const old = fleet_job(fleet, "h-urgent-0");
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[0], &jobs);
-        assert_true(old == NULL && fleetJob(fleet, jobs[0]->id) == NULL);
-        assert_non_null(fleetJob(fleet, jobs[count - 10000]->id));
+        assert_true(old == NULL && fleet_job(fleet, jobs[0]->id) == NULL);
+        assert_non_null(fleet_job(fleet, jobs[count - 10000]->id));
     }
     talloc_free(fleet);
 }
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -45,45 +45,45 @@
     uint64_t seed;
     size_t wanted;
     int losses;
-    int nextSpare;
-    int64_t worstMs; /* from a return until all seats are in the view */
+    int next_spare;
+    int64_t worst_ms; /* from a return until all seats are in the view */
     char worst[64];
 } Trial;
 
 static uint64_t drawn(Trial *trial, uint64_t below)
 {
-    return simRandom(trial->fleet->world) % below;
+    return sim_random(trial->fleet->world) % below;
 }
 
 static size_t in_view(Fleet *fleet)
 {
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     if (leader < 0)
         return 0;
     ViewSight sight;
     size_t count = 0;
-    view_sight(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), &sight);
+    view_sight(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
     for (size_t i = 0; i < sight.seat_count; i++)
         count += sight.seats[i].in_view;
     return count;
 }
 
 /* All seats that are wanted are in the view, each of a core that runs and is reached. */
-static bool isWhole(Trial *trial)
+static bool is_whole(Trial *trial)
 {
     Fleet *fleet = trial->fleet;
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     if (leader < 0 || in_view(fleet) != trial->wanted)
         return false;
     uint64_t disks[SEAT_MOST];
-    const FleetNode *first = fleetNode(fleet, FLEET_CORE, leader);
+    const FleetNode *first = fleet_node(fleet, FLEET_CORE, leader);
     const size_t count = view_seats(core_view(first->core), disks);
     size_t good = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++) {
-        const FleetNode *node = fleetNode(fleet, FLEET_CORE, i);
-        if (!node->up || node->core == NULL || simFrozen(fleet->world, node->machine) ||
-            simIsCut(fleet->world, first->machine, node->machine) ||
-            simIsCut(fleet->world, node->machine, first->machine))
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
+        const FleetNode *node = fleet_node(fleet, FLEET_CORE, i);
+        if (!node->up || node->core == NULL || sim_frozen(fleet->world, node->machine) ||
+            sim_is_cut(fleet->world, first->machine, node->machine) ||
+            sim_is_cut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
             good += disks[k] == view_disk(core_view(node->core));
@@ -94,11 +94,11 @@
 static bool seated(Fleet *fleet, int core)
 {
     uint64_t disks[SEAT_MOST];
-    const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
-    const int leader = fleetLeader(fleet);
+    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
+    const int leader = fleet_leader(fleet);
     if (leader < 0 || !node->up || node->core == NULL)
         return false;
-    const size_t count = view_seats(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     for (size_t i = 0; i < count; i++)
         if (disks[i] == view_disk(core_view(node->core)))
             return true;
@@ -110,37 +110,37 @@
     LossKind kind;
 } Lost;
 
-static void strike(Trial *trial, Lost *lost, int64_t outMs)
+static void strike(Trial *trial, Lost *lost, int64_t out_ms)
 {
     Fleet *fleet = trial->fleet;
-    FleetNode *node = fleetNode(fleet, FLEET_CORE, lost->core);
-    checkerFault(fleet->checker);
+    FleetNode *node = fleet_node(fleet, FLEET_CORE, lost->core);
+    checker_fault(fleet->checker);
     switch (lost->kind) {
     case LOSS_KILL:
-        fleetKill(fleet, FLEET_CORE, lost->core);
+        fleet_kill(fleet, FLEET_CORE, lost->core);
         break;
     case LOSS_REPLACE_TERM:
-        fleetLeave(fleet, FLEET_CORE, lost->core);
+        fleet_leave(fleet, FLEET_CORE, lost->core);
         break;
     case LOSS_POWER:
     case LOSS_REPLACE:
-        fleetPowerOff(fleet, FLEET_CORE, lost->core);
+        fleet_power_off(fleet, FLEET_CORE, lost->core);
         break;
     case LOSS_WIPE:
-        fleetPowerOff(fleet, FLEET_CORE, lost->core);
-        simDiskWipe(fleet->world, node->machine);
+        fleet_power_off(fleet, FLEET_CORE, lost->core);
+        sim_disk_wipe(fleet->world, node->machine);
         break;
     case LOSS_FREEZE:
-        fleetFreeze(fleet, FLEET_CORE, lost->core, outMs);
+        fleet_freeze(fleet, FLEET_CORE, lost->core, out_ms);
         break;
     case LOSS_CUT:
-        fleetIsolate(fleet, FLEET_CORE, lost->core, true);
+        fleet_isolate(fleet, FLEET_CORE, lost->core, true);
         break;
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
         for (int role = 0; role < FLEET_ROLES; role++)
-            for (int i = 0; i < fleet->nodeCount[role]; i++) {
-                const int other = fleetNode(fleet, (FleetRole)role, i)->machine;
+            for (int i = 0; i < fleet->node_count[role]; i++) {
+                const int other = fleet_node(fleet, (FleetRole)role, i)->machine;
                 if (other != node->machine)
                     sim_cut(fleet->world, lost->kind == LOSS_CUT_IN ? other : node->machine,
                             lost->kind == LOSS_CUT_IN ? node->machine : other, true);
@@ -161,20 +161,20 @@
 static void back(Trial *trial, Lost *lost)
 {
     Fleet *fleet = trial->fleet;
-    FleetNode *node = fleetNode(fleet, FLEET_CORE, lost->core);
-    checkerFault(fleet->checker);
+    FleetNode *node = fleet_node(fleet, FLEET_CORE, lost->core);
+    checker_fault(fleet->checker);
     switch (lost->kind) {
     case LOSS_KILL:
     case LOSS_POWER:
     case LOSS_WIPE:
-        fleetStartNode(fleet, FLEET_CORE, lost->core);
+        fleet_start_node(fleet, FLEET_CORE, lost->core);
         break;
     case LOSS_FREEZE:
         break; /* by itself */
     case LOSS_CUT:
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
-        fleetIsolate(fleet, FLEET_CORE, lost->core, false);
+        fleet_isolate(fleet, FLEET_CORE, lost->core, false);
         break;
     case LOSS_DISK_SLOW:
     case LOSS_DISK_HANG:
@@ -184,7 +184,7 @@
         sim_disk_fail(fleet->world, node->machine, false);
         break;
     default: /* another machine, for good */
-        fleetStartNode(fleet, FLEET_CORE, trial->nextSpare++);
+        fleet_start_node(fleet, FLEET_CORE, trial->next_spare++);
         break;
     }
 }
@@ -212,11 +212,11 @@
                                                              : 700 + (int64_t)drawn(trial, 5000);
 }
 
-static void votersShow(Fleet *fleet)
+static void voters_show(Fleet *fleet)
 {
     ViewSight sight;
-    for (int c = 0; c < fleet->nodeCount[FLEET_CORE]; c++) {
-        const FleetNode *node = fleetNode(fleet, FLEET_CORE, c);
+    for (int c = 0; c < fleet->node_count[FLEET_CORE]; c++) {
+        const FleetNode *node = fleet_node(fleet, FLEET_CORE, c);
         if (!node->up || node->core == NULL)
             continue;
         view_sight(core_view(node->core), &sight);
@@ -234,17 +234,17 @@
 
 /* Strikes as many seated cores as may be lost together, has them return together,
  * and waits for the seats. */
-static void round_(Trial *trial, LossKind kind, bool withLeader, int64_t boundMs)
+static void round_(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
     Fleet *fleet = trial->fleet;
     Lost lost[4];
     int count = 0;
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    if (withLeader)
+    if (with_leader)
         lost[count++] = (Lost){leader, kind};
     for (int tries = 0; tries < 200 && count < trial->losses; tries++) {
-        const int core = (int)drawn(trial, (uint64_t)fleet->nodeCount[FLEET_CORE]);
+        const int core = (int)drawn(trial, (uint64_t)fleet->node_count[FLEET_CORE]);
         bool again = !seated(fleet, core) || core == leader;
         for (int i = 0; i < count; i++)
             again |= lost[i].core == core;
@@ -253,68 +253,69 @@
         const LossKind next = count == 0 ? kind : (LossKind)drawn(trial, LOSS_COUNT);
         lost[count++] = (Lost){core, next};
     }
-    int64_t outMs = wait_ms(trial, kind);
+    int64_t out_ms = wait_ms(trial, kind);
     for (int i = 0; i < count; i++)
         if (lost[i].kind == LOSS_REPLACE || lost[i].kind == LOSS_REPLACE_TERM)
-            outMs = wait_ms(trial, lost[i].kind);
+            out_ms = wait_ms(trial, lost[i].kind);
     for (int i = 0; i < count; i++)
-        strike(trial, &lost[i], outMs);
-    fleetRun(fleet, outMs);
+        strike(trial, &lost[i], out_ms);
+    fleet_run(fleet, out_ms);
     for (int i = 0; i < count; i++)
         back(trial, &lost[i]);
     const int64_t from_ms = sim_now_ms(fleet->world);
     int64_t took_ms = 0;
     bool whole = false;
-    for (; !whole && took_ms < boundMs; took_ms = sim_now_ms(fleet->world) - from_ms) {
-        fleetRun(fleet, 20);
-        whole = isWhole(trial);
+    for (; !whole && took_ms < bound_ms; took_ms = sim_now_ms(fleet->world) - from_ms) {
+        fleet_run(fleet, 20);
+        whole = is_whole(trial);
     }
     if (getenv("SPANCART_LOSSES") != NULL) {
-        printf("%8ld %s%s", (long)from_ms, withLeader ? "leader " : "", whole ? "" : "NOT WHOLE ");
+        printf("%8ld %s%s", (long)from_ms, with_leader ? "leader " : "", whole ? "" : "NOT WHOLE ");
         for (int i = 0; i < count; i++)
             printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].core + 1);
-        printf("out %ld, whole after %ld, gap %ld\n", (long)outMs, (long)took_ms, (long)gap_ms(fleet, from_ms - outMs));
+        printf("out %ld, whole after %ld, gap %ld\n", (long)out_ms, (long)took_ms,
+               (long)gap_ms(fleet, from_ms - out_ms));
     }
-    if (took_ms > trial->worstMs) {
-        trial->worstMs = took_ms;
-        snprintf(trial->worst, sizeof(trial->worst), "%s%s", withLeader ? "leader " : "", WORDS[kind]);
+    if (took_ms > trial->worst_ms) {
+        trial->worst_ms = took_ms;
+        snprintf(trial->worst, sizeof(trial->worst), "%s%s", with_leader ? "leader " : "", WORDS[kind]);
     }
-    if (!whole || checkerBrokenAll(fleet->checker) > 0) {
-        fleetDump(fleet);
-        votersShow(fleet);
+    if (!whole || checker_broken_all(fleet->checker) > 0) {
+        fleet_dump(fleet);
+        voters_show(fleet);
         fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
-                 checkerBrokenAll(fleet->checker) > 0 ? checkerFirst(fleet->checker) : "not whole in time", WORDS[kind],
-                 withLeader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
+                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "not whole in time",
+                 WORDS[kind], with_leader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
     }
 }
 
 static void one(uint64_t seed, FleetShape shape, const FleetSite *site, size_t wanted, int rounds)
 {
-    Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .nextSpare = shape.cores};
-    Fleet *fleet = trial.fleet = fleetNewAt(NULL, seed, shape, site);
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 20000) && fleetConfigure(fleet));
-    checkerConfigSet(fleet->checker, 1);
-    fleetRun(fleet, 3000);
-    fleetCall(fleet, "c", 12000, 1000000);
-    fleetRun(fleet, 1000);
+    Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .next_spare = shape.cores};
+    Fleet *fleet = trial.fleet = fleet_new_at(NULL, seed, shape, site);
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
+    checker_config_set(fleet->checker, 1);
+    fleet_run(fleet, 3000);
+    fleet_call(fleet, "c", 12000, 1000000);
+    fleet_run(fleet, 1000);
     for (int i = 0; i < rounds; i++) {
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
         round_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->seat_back_ms - 300);
     }
-    printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worstMs,
+    printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worst_ms,
            trial.worst);
-    for (int i = 0; i < fleet->callerCount; i++)
+    for (int i = 0; i < fleet->caller_count; i++)
         caller_stop(fleet->callers[i]);
-    const bool finished = fleetFinish(fleet, 60000);
-    if (!finished || checkerBrokenAll(fleet->checker) > 0)
-        fleetDump(fleet);
+    const bool finished = fleet_finish(fleet, 60000);
+    if (!finished || checker_broken_all(fleet->checker) > 0)
+        fleet_dump(fleet);
     assert_true(finished);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
-static void threeSeats(void **state)
+static void three_seats(void **state)
 {
     (void)state;
     const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000};
@@ -322,7 +323,7 @@
         one(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
 }
 
-static void fiveSeatsOfSix(void **state)
+static void five_seats_of_six(void **state)
 {
     (void)state;
     const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
@@ -330,7 +331,7 @@
         one(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
 }
 
-static void fiveSeatsOfEight(void **state)
+static void five_seats_of_eight(void **state)
 {
     (void)state;
     const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
@@ -341,9 +342,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(threeSeats),
-        cmocka_unit_test(fiveSeatsOfSix),
-        cmocka_unit_test(fiveSeatsOfEight),
+        cmocka_unit_test(three_seats),
+        cmocka_unit_test(five_seats_of_six),
+        cmocka_unit_test(five_seats_of_eight),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -17,76 +17,76 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
-    fleetRun(fleet, 2000);
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
+    fleet_run(fleet, 2000);
     return fleet;
 }
 
 static size_t running(Fleet *fleet)
 {
     size_t count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        count += stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker);
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
+        count += stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker);
     return count;
 }
 
 static void taken(Fleet *fleet, int gate, const char *name)
 {
-    fleetKill(fleet, FLEET_GATE, gate);
-    fleetNode(fleet, FLEET_GATE, gate)->props.name = name;
-    fleetStartNode(fleet, FLEET_GATE, gate);
+    fleet_kill(fleet, FLEET_GATE, gate);
+    fleet_node(fleet, FLEET_GATE, gate)->props.name = name;
+    fleet_start_node(fleet, FLEET_GATE, gate);
 }
 
 /* No disk works, nobody holds the lock, and work goes on only while every member answers
  * that it knows no holder. One is lost, and a stranger answers at its address: that is not
  * the lost one's answer, and the work stops. */
-static void answersForAnother(void **state)
+static void answers_for_another(void **state)
 {
     (void)state;
     for (int with = 0; with < 2; with++) {
         Fleet *fleet = begin(81);
         assert_int_equal(running(fleet), 11);
         for (int i = 0; i < 3; i++)
-            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
-        fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", "{\"r\":0}"); /* shows the failure */
-        fleetRun(fleet, 8000);
-        assert_int_equal(fleetLeader(fleet), -1);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", "{\"r\":0}"); /* shows the failure */
+        fleet_run(fleet, 8000);
+        assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(running(fleet), 11);
         if (with)
             taken(fleet, 1, "another");
-        fleetRun(fleet, 6000);
+        fleet_run(fleet, 6000);
         assert_int_equal(running(fleet), with ? 0 : 11);
-        assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+        assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
 
 /* Entry points go on when one of them is another, at the same address. */
-static void entryTaken(void **state)
+static void entry_taken(void **state)
 {
     (void)state;
     Fleet *fleet = begin(82);
     taken(fleet, 1, "another");
-    fleetRun(fleet, 2000);
+    fleet_run(fleet, 2000);
     for (int i = 0; i < 3; i++) {
-        const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, i, "GET", "/v1/jobs/l", NULL);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, i, "GET", "/v1/jobs/l", NULL);
         assert_int_equal(call.code, 200);
     }
-    const HttpCall status = fleetAsk(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/status", NULL);
+    const HttpCall status = fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/status", NULL);
     assert_non_null(strstr((const char *)status.result.data, "\"refusedFrames\""));
-    fleetRun(fleet, 8000);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    fleet_run(fleet, 8000);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(answersForAnother),
-        cmocka_unit_test(entryTaken),
+        cmocka_unit_test(answers_for_another),
+        cmocka_unit_test(entry_taken),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -17,20 +17,20 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", CONFIG);
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", CONFIG);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     return fleet;
 }
 
 static void end(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
@@ -38,15 +38,15 @@
 {
     const char *body = talloc_asprintf(
         fleet, "{\"id\":\"%s\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"%s\",\"steps\":[%s]}", id, queue, steps);
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
-    checkerAccepted(fleet->checker, id);
+    checker_accepted(fleet->checker, id);
 }
 
-static size_t inPhase(const Fleet *fleet, const char *id, TaskPhase phase)
+static size_t in_phase(const Fleet *fleet, const char *id, TaskPhase phase)
 {
-    const Job *job = fleetJob(fleet, id);
+    const Job *job = fleet_job(fleet, id);
     size_t count = 0;
     for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == phase;
@@ -55,7 +55,7 @@
 
 static size_t on_worker(const Fleet *fleet, const char *id, const char *worker)
 {
-    const Job *job = fleetJob(fleet, id);
+    const Job *job = fleet_job(fleet, id);
     size_t count = 0;
     for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += strcmp(job->tasks[t].worker, worker) == 0;
@@ -68,49 +68,49 @@
 {
     (void)state;
     Fleet *fleet = begin(11);
-    stand_worker_hang(fleetNode(fleet, FLEET_WORKER, 0)->worker, true);
+    stand_worker_hang(fleet_node(fleet, FLEET_WORKER, 0)->worker, true);
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     const size_t stuck = on_worker(fleet, "a", "worker1");
     assert_true(stuck > 0);
-    fleetRun(fleet, 6000);
-    assert_int_equal(inPhase(fleet, "a", TASK_DONE), 24);
-    const size_t before = checkerStartsOn(fleet->checker, "worker1");
+    fleet_run(fleet, 6000);
+    assert_int_equal(in_phase(fleet, "a", TASK_DONE), 24);
+    const size_t before = checker_starts_on(fleet->checker, "worker1");
     hand(fleet, "b", "bulk",
          "{\"name\":\"a\",\"count\":10,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
-    fleetRun(fleet, 2500);
-    assert_int_equal(inPhase(fleet, "b", TASK_DONE), 10);
-    assert_int_equal(checkerStartsOn(fleet->checker, "worker1"), before);
+    fleet_run(fleet, 2500);
+    assert_int_equal(in_phase(fleet, "b", TASK_DONE), 10);
+    assert_int_equal(checker_starts_on(fleet->checker, "worker1"), before);
     end(fleet);
 }
 
 /* A worker eight times as slow as the others keeps nothing that another would be done
  * with much sooner. */
-static void tooSlow(void **state)
+static void too_slow(void **state)
 {
     (void)state;
     Fleet *fleet = begin(13);
-    stand_worker_slow(fleetNode(fleet, FLEET_WORKER, 1)->worker, 8);
+    stand_worker_slow(fleet_node(fleet, FLEET_WORKER, 1)->worker, 8);
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":24,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":4000}}");
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     assert_true(on_worker(fleet, "a", "worker2") > 0);
-    fleetRun(fleet, 9000); /* 32 s where they began */
-    assert_int_equal(inPhase(fleet, "a", TASK_DONE), 24);
+    fleet_run(fleet, 9000); /* 32 s where they began */
+    assert_int_equal(in_phase(fleet, "a", TASK_DONE), 24);
     end(fleet);
 }
 
 /* Work whose estimate is far too low is not taken for standing still. */
-static void longerThanSaid(void **state)
+static void longer_than_said(void **state)
 {
     (void)state;
     Fleet *fleet = begin(12);
     hand(fleet, "a", "bulk",
          "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":6000}}");
-    fleetRun(fleet, 8000);
-    assert_int_equal(inPhase(fleet, "a", TASK_DONE), 12);
-    const Job *job = fleetJob(fleet, "a");
+    fleet_run(fleet, 8000);
+    assert_int_equal(in_phase(fleet, "a", TASK_DONE), 12);
+    const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].round, 1);
     end(fleet);
@@ -118,28 +118,28 @@
 
 /* The first word of a round that a new leader hears says that it has come so far, not
  * that it has stood there since it began. */
-static void newLeaderHears(void **state)
+static void new_leader_hears(void **state)
 {
     (void)state;
     Fleet *fleet = begin(16);
     hand(
         fleet, "a", "bulk",
         "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":6,\"memMb\":64},\"estMs\":14000,\"payload\":{\"runMs\":14000}}");
-    fleetRun(fleet, 5000);
+    fleet_run(fleet, 5000);
     hand(fleet, "short", "bulk", /* whose progress makes words of none credible at once */
          "{\"name\":\"a\",\"count\":36,\"room\":{\"cpu\":1,\"memMb\":64},\"estMs\":9000,\"payload\":{\"runMs\":9000}}");
-    fleetRun(fleet, 500);
-    fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
-    fleetRun(fleet, 13000);
-    assert_int_equal(inPhase(fleet, "a", TASK_DONE), 12);
-    const Job *job = fleetJob(fleet, "a");
+    fleet_run(fleet, 500);
+    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_run(fleet, 13000);
+    assert_int_equal(in_phase(fleet, "a", TASK_DONE), 12);
+    const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].round, 1);
     end(fleet);
 }
 
 /* No more of a step on one worker than it allows, gone or not; the others wait. */
-static void apartAlways(void **state)
+static void apart_always(void **state)
 {
     (void)state;
     Fleet *fleet = begin(14);
@@ -147,32 +147,32 @@
         fleet, "a", "bulk",
         "{\"name\":\"a\",\"count\":14,\"apart\":2,\"room\":{\"cpu\":1,\"memMb\":64},\"estMs\":3000,\"payload\":{\"runMs\":3000}}");
     for (int i = 0; i < 24; i++) {
-        fleetRun(fleet, 250);
+        fleet_run(fleet, 250);
         for (int w = 1; w <= 6; w++) {
             char name[16];
             snprintf(name, sizeof(name), "worker%d", w);
             assert_true(on_worker(fleet, "a", name) <= 2);
         }
         if (i == 6)
-            assert_int_equal(inPhase(fleet, "a", TASK_RUNNING), 12);
+            assert_int_equal(in_phase(fleet, "a", TASK_RUNNING), 12);
     }
-    fleetRun(fleet, 2000);
-    assert_int_equal(inPhase(fleet, "a", TASK_DONE), 14);
+    fleet_run(fleet, 2000);
+    assert_int_equal(in_phase(fleet, "a", TASK_DONE), 14);
     end(fleet);
 }
 
-static const char *rackOf(const Fleet *fleet, const char *worker)
+static const char *rack_of(const Fleet *fleet, const char *worker)
 {
-    const Worker *its = table_worker(core_table(fleet->nodes[FLEET_CORE][fleetLeader(fleet)].core), worker);
+    const Worker *its = table_worker(core_table(fleet->nodes[FLEET_CORE][fleet_leader(fleet)].core), worker);
     return its != NULL ? its->rack : "";
 }
 
 static size_t on_rack(const Fleet *fleet, const char *id, const char *rack)
 {
-    const Job *job = fleetJob(fleet, id);
+    const Job *job = fleet_job(fleet, id);
     size_t count = 0;
     for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
-        count += strcmp(rackOf(fleet, job->tasks[t].worker), rack) == 0;
+        count += strcmp(rack_of(fleet, job->tasks[t].worker), rack) == 0;
     return count;
 }
 
@@ -185,33 +185,33 @@
     hand(
         fleet, "near", "bulk",
         "{\"name\":\"a\",\"count\":6,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     assert_int_equal(on_rack(fleet, "near", "rack1"), 6);
     hand(
         fleet, "gang", "bulk",
         "{\"name\":\"g\",\"count\":4,\"gang\":true,\"sameRack\":true,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":4000,"
         "\"payload\":{\"runMs\":4000}}");
-    fleetRun(fleet, 500);
+    fleet_run(fleet, 500);
     assert_true(on_rack(fleet, "gang", "rack0") == 4 || on_rack(fleet, "gang", "rack1") == 4);
-    const Job *gang = fleetJob(fleet, "gang");
+    const Job *gang = fleet_job(fleet, "gang");
     for (size_t i = 1; i < gang->tasks_count; i++)
         assert_int_equal(gang->tasks[i].round, gang->tasks[0].round);
     /* rack1 holds 24 of these at most: the others take the longer way within two seconds */
     hand(
         fleet, "more", "bulk",
         "{\"name\":\"a\",\"count\":30,\"near\":\"rack1\",\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":4000,\"payload\":{\"runMs\":4000}}");
-    fleetRun(fleet, 300);
+    fleet_run(fleet, 300);
     const size_t near = on_rack(fleet, "more", "rack1");
     assert_true(near > 0);
     assert_int_equal(on_rack(fleet, "more", "rack0"), 0);
-    fleetRun(fleet, 2500);
+    fleet_run(fleet, 2500);
     assert_true(on_rack(fleet, "more", "rack0") > 0);
     end(fleet);
 }
 
 /* A full fleet: urgent work that would miss its aim pushes out what is young or keeps its
  * progress, and no more of it than it needs. */
-static void urgentPushes(void **state)
+static void urgent_pushes(void **state)
 {
     (void)state;
     for (int saves = 0; saves < 2; saves++) {
@@ -221,18 +221,18 @@
             saves
                 ? "{\"name\":\"a\",\"count\":12,\"saves\":true,\"room\":{\"cpu\":32,\"memMb\":64},\"estMs\":20000,\"payload\":{\"runMs\":20000}}"
                 : "{\"name\":\"a\",\"count\":12,\"room\":{\"cpu\":32,\"memMb\":64},\"estMs\":20000,\"payload\":{\"runMs\":20000}}");
-        fleetRun(fleet, 6000);
-        assert_int_equal(inPhase(fleet, "bulk", TASK_RUNNING), 12);
+        fleet_run(fleet, 6000);
+        assert_int_equal(in_phase(fleet, "bulk", TASK_RUNNING), 12);
         hand(
             fleet, "now", "urgent",
             "{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":24,\"memMb\":64},\"estMs\":1000,\"payload\":{\"runMs\":1000}}");
-        fleetRun(fleet, 4000);
+        fleet_run(fleet, 4000);
         /* what keeps nothing has run for six seconds: too much to throw away */
-        assert_int_equal(inPhase(fleet, "now", TASK_DONE), saves ? 2 : 0);
-        assert_true(inPhase(fleet, "bulk", TASK_RUNNING) >= (saves ? 10 : 12));
-        fleetRun(fleet, 50000);
-        assert_int_equal(inPhase(fleet, "now", TASK_DONE), 2);
-        assert_int_equal(inPhase(fleet, "bulk", TASK_DONE), 12);
+        assert_int_equal(in_phase(fleet, "now", TASK_DONE), saves ? 2 : 0);
+        assert_true(in_phase(fleet, "bulk", TASK_RUNNING) >= (saves ? 10 : 12));
+        fleet_run(fleet, 50000);
+        assert_int_equal(in_phase(fleet, "now", TASK_DONE), 2);
+        assert_int_equal(in_phase(fleet, "bulk", TASK_DONE), 12);
         end(fleet);
     }
 }
@@ -249,13 +249,13 @@
     hand(
         fleet, "short", "bulk",
         "{\"name\":\"a\",\"count\":12,\"apart\":2,\"room\":{\"cpu\":8,\"memMb\":64},\"estMs\":2000,\"payload\":{\"runMs\":2000}}");
-    fleetRun(fleet, 1500);
+    fleet_run(fleet, 1500);
     assert_int_equal(on_worker(fleet, "long", "worker1"), 1);
     assert_int_equal(on_worker(fleet, "short", "worker1"), 2);
-    stand_worker_leave_in(fleetNode(fleet, FLEET_WORKER, 0)->worker, 4000);
-    fleetRun(fleet, 2500);
+    stand_worker_leave_in(fleet_node(fleet, FLEET_WORKER, 0)->worker, 4000);
+    fleet_run(fleet, 2500);
     assert_int_equal(on_worker(fleet, "long", "worker1"), 0);
-    const Job *job = fleetJob(fleet, "short");
+    const Job *job = fleet_job(fleet, "short");
     for (size_t i = 0; i < job->tasks_count; i++) {
         assert_int_equal(job->tasks[i].round, 1);
         assert_int_equal(job->tasks[i].phase, TASK_DONE);
@@ -266,9 +266,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(stands_still),   cmocka_unit_test(tooSlow),     cmocka_unit_test(longerThanSaid),
-        cmocka_unit_test(newLeaderHears), cmocka_unit_test(apartAlways), cmocka_unit_test(racks),
-        cmocka_unit_test(urgentPushes),   cmocka_unit_test(leaves),
+        cmocka_unit_test(stands_still),     cmocka_unit_test(too_slow),     cmocka_unit_test(longer_than_said),
+        cmocka_unit_test(new_leader_hears), cmocka_unit_test(apart_always), cmocka_unit_test(racks),
+        cmocka_unit_test(urgent_pushes),    cmocka_unit_test(leaves),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
