--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -12,40 +12,40 @@
 
 static Fleet *begin(const char *config)
 {
-    Fleet *fleet = fleetNew(NULL, 5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", config);
+    Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", config);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     return fleet;
 }
 
 static void end(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
 static void hand(Fleet *fleet, const char *id, const char *cell, const char *tenant, const char *queue, int count,
-                 int cpu, int runMs)
+                 int cpu, int run_ms)
 {
     const char *body = talloc_asprintf(
         fleet,
         "{\"id\":\"%s\",\"cell\":\"%s\",\"tenant\":\"%s\",\"queue\":\"%s\",\"protection\":\"best-effort\",\"steps\":[{\"name\":"
         "\"a\",\"count\":%d,\"room\":{\"cpu\":%d,\"memMb\":64},\"payload\":{\"runMs\":%d}}]}",
-        id, cell, tenant, queue, count, cpu, runMs);
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
+        id, cell, tenant, queue, count, cpu, run_ms);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
-    checkerAccepted(fleet->checker, id);
+    checker_accepted(fleet->checker, id);
 }
 
-static size_t inPhase(Fleet *fleet, const char *id, TaskPhase phase)
+static size_t in_phase(Fleet *fleet, const char *id, TaskPhase phase)
 {
-    const Job *job = fleetJob(fleet, id);
+    const Job *job = fleet_job(fleet, id);
     size_t count = 0;
     for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == phase;
@@ -56,7 +56,7 @@
     "\"" name "\":{\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{\"bulk\":{},\"urgent\":{\"priority\":5}}" more "}"
 
 /* Without a policy the urgent task waits for the bulk; with one it pushes. */
-static void pushesAside(void **state)
+static void pushes_aside(void **state)
 {
     (void)state;
     for (int with = 0; with < 2; with++) {
@@ -68,19 +68,19 @@
                                            "t.queue_priority end function may_push(a, b) return a.queue == 'urgent' and b.queue == 'bulk' end\"}}"
                 : "{\"cells\":{" CELL("c", "") "}}");
         hand(fleet, "bulk", "c", "t", "bulk", 22, 32, 15000);
-        fleetRun(fleet, 2000);
-        assert_int_equal(inPhase(fleet, "bulk", TASK_RUNNING), 22); /* the fleet is full */
+        fleet_run(fleet, 2000);
+        assert_int_equal(in_phase(fleet, "bulk", TASK_RUNNING), 22); /* the fleet is full */
         hand(fleet, "urgent", "c", "t", "urgent", 3, 16, 1000);
-        fleetRun(fleet, 3500);
+        fleet_run(fleet, 3500);
         if (with)
-            assert_int_equal(inPhase(fleet, "urgent", TASK_DONE) + inPhase(fleet, "urgent", TASK_RUNNING), 3);
+            assert_int_equal(in_phase(fleet, "urgent", TASK_DONE) + in_phase(fleet, "urgent", TASK_RUNNING), 3);
         else
-            assert_int_equal(inPhase(fleet, "urgent", TASK_WAITING), 3);
+            assert_int_equal(in_phase(fleet, "urgent", TASK_WAITING), 3);
         /* two of 16 fit where one of 32 was: no more than two were pushed */
-        assert_true(inPhase(fleet, "bulk", TASK_RUNNING) >= (with ? 20 : 22));
-        fleetRun(fleet, 40000);
-        assert_int_equal(inPhase(fleet, "urgent", TASK_DONE), 3);
-        assert_int_equal(inPhase(fleet, "bulk", TASK_DONE), 22);
+        assert_true(in_phase(fleet, "bulk", TASK_RUNNING) >= (with ? 20 : 22));
+        fleet_run(fleet, 40000);
+        assert_int_equal(in_phase(fleet, "urgent", TASK_DONE), 3);
+        assert_int_equal(in_phase(fleet, "bulk", TASK_DONE), 22);
         end(fleet);
     }
 }
@@ -93,9 +93,9 @@
     hand(fleet, "s", "small", "t", "bulk", 400, 8, 4000);
     hand(fleet, "b1", "big", "t", "bulk", 400, 8, 4000);
     hand(fleet, "b2", "big", "u", "bulk", 200, 8, 4000);
-    fleetRun(fleet, 11000); /* what was there first has left by now */
-    const size_t small = inPhase(fleet, "s", TASK_RUNNING);
-    const size_t one = inPhase(fleet, "b1", TASK_RUNNING), two = inPhase(fleet, "b2", TASK_RUNNING);
+    fleet_run(fleet, 11000); /* what was there first has left by now */
+    const size_t small = in_phase(fleet, "s", TASK_RUNNING);
+    const size_t one = in_phase(fleet, "b1", TASK_RUNNING), two = in_phase(fleet, "b2", TASK_RUNNING);
     print_message("of 88 places: small %zu, big %zu + %zu\n", small, one, two);
     assert_in_range(small + one + two, 70, 88);
     assert_in_range((one + two) * 100 / (small + 1), 220, 400);
@@ -104,30 +104,31 @@
 }
 
 /* Urgent light work overtakes bulk that was there first. */
-static void rankWithin(void **state)
+static void rank_within(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL(
         "c", ",\"policy\":\"p\"") "},\"policies\":{\"p\":\"function rank(t) if t.queue "
                                   "== 'urgent' then return 100 - t.cpu end return t.waited_ms / 100000 end\"}}");
     hand(fleet, "bulk", "c", "t", "bulk", 300, 8, 2000);
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     hand(fleet, "urgent", "c", "u", "urgent", 10, 1, 200);
-    fleetRun(fleet, 2600);
-    assert_int_equal(inPhase(fleet, "urgent", TASK_DONE), 10);
-    assert_true(inPhase(fleet, "bulk", TASK_WAITING) > 50);
+    fleet_run(fleet, 2600);
+    assert_int_equal(in_phase(fleet, "urgent", TASK_DONE), 10);
+    assert_true(in_phase(fleet, "bulk", TASK_WAITING) > 50);
     /* what another policy would make of the queue, without doing it */
     hand(fleet, "later", "c", "u", "bulk", 1, 8, 200);
-    HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
     assert_int_equal(call.code, 200);
-    call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c&limit=1",
-                    "function rank(t) return t.id == 'later' and 1 or 0 end");
+    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c&limit=1",
+                     "function rank(t) return t.id == 'later' and 1 or 0 end");
     assert_int_equal(call.code, 200);
     assert_non_null(strstr((const char *)call.result.data, "\"order\":[{\"job\":\"later\""));
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code, 422);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code,
+                     422);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
     for (int role = FLEET_CORE; role <= FLEET_AGENT; role++) {
-        call = fleetAsk(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
+        call = fleet_ask(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
         assert_int_equal(call.code, 200);
         assert_non_null(strstr((const char *)call.result.data, "\nspancart_bad_frames 0\n"));
     }
@@ -143,14 +144,14 @@
                                                             "'u' then while true do end end return 1 end\"}}");
     hand(fleet, "x", "c", "u", "bulk", 5, 1, 500);
     hand(fleet, "y", "c", "t", "bulk", 5, 1, 500);
-    fleetRun(fleet, 4000);
-    assert_int_equal(inPhase(fleet, "x", TASK_DONE), 5);
-    assert_int_equal(inPhase(fleet, "y", TASK_DONE), 5);
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/status", NULL);
+    fleet_run(fleet, 4000);
+    assert_int_equal(in_phase(fleet, "x", TASK_DONE), 5);
+    assert_int_equal(in_phase(fleet, "y", TASK_DONE), 5);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/status", NULL);
     assert_null(strstr((const char *)call.result.data, "\"policyFailures\":0"));
     assert_non_null(strstr((const char *)call.result.data, "more than"));
-    const HttpCall bad = fleetAsk(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1",
-                                  "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
+    const HttpCall bad = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1",
+                                   "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
     assert_int_equal(bad.code, 422);
     assert_non_null(strstr((const char *)bad.result.data, "policies.q"));
     assert_non_null(strstr((const char *)bad.result.data, ":2: more than"));
@@ -160,51 +161,51 @@
 /* Small work without end, some of each ending all the time: a task of a whole
  * worker's room starts all the same, for one worker is kept for it. A gang of two
  * such has two kept. */
-static void bigAmongSmall(void **state)
+static void big_among_small(void **state)
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     char id[32];
-    int64_t started_ms = 0, bothMs = 0;
+    int64_t started_ms = 0, both_ms = 0;
     const int64_t from_ms = sim_now_ms(fleet->world);
-    for (int i = 0; i < 120 && bothMs == 0; i++) {
+    for (int i = 0; i < 120 && both_ms == 0; i++) {
         snprintf(id, sizeof(id), "small%d", i);
         hand(fleet, id, "c", "t", "bulk", 44, 4, 3000 + i % 7 * 200);
         if (i == 8)
             hand(fleet, "big", "c", "u", "bulk", 1, 64, 1000);
         if (i == 40) {
-            const HttpCall call = fleetAsk(
+            const HttpCall call = fleet_ask(
                 fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs",
                 "{\"id\":\"gang\",\"cell\":\"c\",\"tenant\":\"u\",\"queue\":\"bulk\",\"steps\":[{\"name\":\"g\",\"gang\":true,"
                 "\"count\":2,\"room\":{\"cpu\":60,\"memMb\":64},\"payload\":{\"runMs\":1000}}]}");
             assert_int_equal(call.code, 201);
         }
-        fleetRun(fleet, 900);
-        const Job *big = fleetJob(fleet, "big"), *gang = fleetJob(fleet, "gang");
+        fleet_run(fleet, 900);
+        const Job *big = fleet_job(fleet, "big"), *gang = fleet_job(fleet, "gang");
         if (started_ms == 0 && big != NULL && big->tasks[0].started_ms != 0)
             started_ms = sim_now_ms(fleet->world) - from_ms;
         if (gang != NULL && gang->tasks[0].started_ms != 0 && gang->tasks[1].started_ms != 0)
-            bothMs = sim_now_ms(fleet->world) - from_ms;
+            both_ms = sim_now_ms(fleet->world) - from_ms;
     }
-    print_message("big started after %lld ms, the gang after %lld ms\n", (long long)started_ms, (long long)bothMs);
+    print_message("big started after %lld ms, the gang after %lld ms\n", (long long)started_ms, (long long)both_ms);
     assert_true(started_ms > 0 && started_ms < 40000);
-    assert_true(bothMs > 0);
+    assert_true(both_ms > 0);
     end(fleet);
 }
 
 /* A worker five times as slow as the others of the same steps, that claims
  * health: it gets less than a tenth of what each of the others
  * gets (a third, when only its own fullness speaks against it). */
-static void slowWorker(void **state)
+static void slow_worker(void **state)
 {
     (void)state;
     Fleet *fleet = begin(mix_config(MIX_TRENTVALE));
-    FleetNode *worker = fleetNode(fleet, FLEET_WORKER, 0);
-    worker->workerProps.slow_times = 5;
+    FleetNode *worker = fleet_node(fleet, FLEET_WORKER, 0);
+    worker->worker_props.slow_times = 5;
     stand_worker_slow(worker->worker, 5);
-    fleetCall(fleet, "c", 15000, 60000);
-    fleetRun(fleet, 60000);
-    const size_t slow = checkerStartsOn(fleet->checker, "worker1"), all = checkerStarts(fleet->checker);
+    fleet_call(fleet, "c", 15000, 60000);
+    fleet_run(fleet, 60000);
+    const size_t slow = checker_starts_on(fleet->checker, "worker1"), all = checker_starts(fleet->checker);
     print_message("starts on the slow one %zu, on each other %zu\n", slow, (all - slow) / 10);
     assert_true(slow * 10 < (all - slow) / 10);
     end(fleet);
@@ -218,18 +219,18 @@
     for (int move = 0; move < 2; move++) {
         Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
         hand(fleet, "long", "c", "t", "bulk", 11, 4, 60000);
-        fleetRun(fleet, 2000);
-        assert_int_equal(inPhase(fleet, "long", TASK_RUNNING), 11);
-        assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "POST",
-                                  move ? "/v1/zones/west/drain?move=1" : "/v1/zones/west/drain", NULL)
+        fleet_run(fleet, 2000);
+        assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST",
+                                   move ? "/v1/zones/west/drain?move=1" : "/v1/zones/west/drain", NULL)
                              .code,
                          200);
-        assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
-        checkerZone(fleet->checker, "west", true);
-        fleetRun(fleet, 12000);
-        const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/zones/west/drain", NULL);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
+        checker_zone(fleet->checker, "west", true);
+        fleet_run(fleet, 12000);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/zones/west/drain", NULL);
         assert_non_null(strstr((const char *)call.result.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
-        assert_int_equal(inPhase(fleet, "long", TASK_RUNNING), 11);
+        assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
         end(fleet);
     }
 }
@@ -240,30 +241,30 @@
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
-    HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
     hand(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
-    fleetRun(fleet, 1000);
-    fleetKill(fleet, FLEET_WORKER, 1);
-    const int second = (fleetLeader(fleet) + 1) % 3;
-    fleetKill(fleet, FLEET_CORE, second);
-    fleetRun(fleet, 6000);
-    call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    fleet_run(fleet, 1000);
+    fleet_kill(fleet, FLEET_WORKER, 1);
+    const int second = (fleet_leader(fleet) + 1) % 3;
+    fleet_kill(fleet, FLEET_CORE, second);
+    fleet_run(fleet, 6000);
+    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\""));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
-    call = fleetAsk(fleet, fleet, FLEET_CORE, fleetLeader(fleet), "GET", "/metrics", NULL);
+    call = fleet_ask(fleet, fleet, FLEET_CORE, fleet_leader(fleet), "GET", "/metrics", NULL);
     assert_non_null(strstr((const char *)call.result.data, "\nspancart_alert_worker_lost 1\n"));
     for (int role = FLEET_CORE; role <= FLEET_AGENT; role++) {
-        call = fleetAsk(fleet, fleet, (FleetRole)role, role == FLEET_CORE ? fleetLeader(fleet) : 0, "GET", "/v1/ring",
-                        NULL);
+        call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CORE ? fleet_leader(fleet) : 0, "GET", "/v1/ring",
+                         NULL);
         assert_int_equal(call.code, 200);
         assert_true(role != FLEET_CORE || strstr((const char *)call.result.data, "leaves the view") != NULL);
     }
-    fleetStartNode(fleet, FLEET_WORKER, 1);
-    fleetStartNode(fleet, FLEET_CORE, second);
-    fleetRun(fleet, 8000);
-    call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    fleet_start_node(fleet, FLEET_WORKER, 1);
+    fleet_start_node(fleet, FLEET_CORE, second);
+    fleet_run(fleet, 8000);
+    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
     end(fleet);
 }
@@ -274,10 +275,10 @@
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
     hand(fleet, "three", "c", "t", "bulk", 3, 2, 5000);
-    fleetRun(fleet, 1500);
-    const Job *job = fleetJob(fleet, "three");
+    fleet_run(fleet, 1500);
+    const Job *job = fleet_job(fleet, "three");
     const Worker *at[3];
-    const Table *table = core_table(fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->core);
+    const Table *table = core_table(fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->core);
     for (int i = 0; i < 3; i++)
         at[i] = table_worker(table, job->tasks[i].worker);
     for (int i = 0; i < 3; i++)
@@ -291,9 +292,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(pushesAside), cmocka_unit_test(shares),        cmocka_unit_test(rankWithin),
-        cmocka_unit_test(failing),     cmocka_unit_test(bigAmongSmall), cmocka_unit_test(spreads),
-        cmocka_unit_test(slowWorker),  cmocka_unit_test(moved),         cmocka_unit_test(alerts),
+        cmocka_unit_test(pushes_aside), cmocka_unit_test(shares),          cmocka_unit_test(rank_within),
+        cmocka_unit_test(failing),      cmocka_unit_test(big_among_small), cmocka_unit_test(spreads),
+        cmocka_unit_test(slow_worker),  cmocka_unit_test(moved),           cmocka_unit_test(alerts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -9,7 +9,7 @@
     bool answered;
 } Hand;
 
-static void handMain(void *arg)
+static void hand_main(void *arg)
 {
     Hand *hand = arg;
     void *mem = talloc_new(hand->loop);
@@ -17,11 +17,11 @@
     Bytes frame = {0};
     const Echo echo = {1};
     assert_int_equal(loop_open(hand->loop, mem, ADDRESS, 500, &channel), STATUS_OK);
-    shape_pack(&EchoShape, &echo, mem, &hand->question.payload);
-    shape_pack(&OldFrameShape, &hand->question, mem, &frame);
+    shape_pack(&Echo_shape, &echo, mem, &hand->question.payload);
+    shape_pack(&OldFrame_shape, &hand->question, mem, &frame);
     channel_send(channel, frame);
     hand->answered = channel_receive(channel, mem, loop_now_ms(hand->loop) + 500, &frame) == STATUS_OK &&
-                     shape_unpack(&OldFrameShape, frame, mem, &hand->answer, NULL) == STATUS_OK;
+                     shape_unpack(&OldFrame_shape, frame, mem, &hand->answer, NULL) == STATUS_OK;
     channel_close(channel);
     hand->answer.payload = (Bytes){0};
     talloc_free(mem);
@@ -50,7 +50,7 @@
     return STATUS_OK;
 }
 
-static void serverStart(void *arg, Loop *loop)
+static void server_start(void *arg, Loop *loop)
 {
     Server *server = arg;
     char bound[ADDRESS_MAX];
@@ -59,13 +59,13 @@
     courier_set_cluster(server->courier, CLUSTER);
     if (server->self.id != 0)
         courier_set_self(server->courier, server->self);
-    courier_handle(server->courier, MESSAGE_KNOW, &EchoShape, &EchoShape, echo, server);
+    courier_handle(server->courier, MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, server);
     assert_int_equal(courier_listen(server->courier, ADDRESS, bound, NULL), STATUS_OK);
 }
 
 /* An address is used again by another machine, or by the same one after a restart: what
  * was meant for the one before is refused, and not carried out. */
-static void addressReused(void **state)
+static void address_reused(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -73,10 +73,10 @@
     Asker asker = {0};
     Server server = {.self = peer_life("gate1", 1000)};
     const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, serverStart, &server);
-    sim_start(world, client, askerStart, &asker);
+    sim_start(world, machine, server_start, &server);
+    sim_start(world, client, asker_start, &asker);
     Ask *ask = begin(&asker, server.self, 41, 500);
-    runFor(world, 1000);
+    run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
     static const struct {
         const char *id;
@@ -88,21 +88,21 @@
         const PeerLife before = peer_life("gate1", 1000);
         sim_kill(world, machine);
         server = (Server){.self = peer_life(NEXT[i].id, NEXT[i].life)};
-        sim_start(world, machine, serverStart, &server);
-        runFor(world, 100);
+        sim_start(world, machine, server_start, &server);
+        run_for(world, 100);
         ask = begin(&asker, before, 41, 500);
-        runFor(world, 1000);
+        run_for(world, 1000);
         assert_int_equal(ask->status, NEXT[i].status);
         assert_int_equal(server.served, 0);
         ask = begin(&asker, server.self, 41, 500);
-        runFor(world, 1000);
+        run_for(world, 1000);
         assert_int_equal(ask->status, STATUS_OK);
     }
     /* one that has had to say that it is newer is the same process still */
     const PeerLife born = server.self;
     courier_set_self(server.courier, peer_life("gate1", 3000));
     ask = begin(&asker, born, 41, 500);
-    runFor(world, 1000);
+    run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
     talloc_free(mem);
 }
@@ -110,7 +110,7 @@
 /* --- late answers, ended connections ------------------------------------------------------ */
 
 /* A question that was given up: its answer comes while another waits on the same line. */
-static void lateAnswer(void **state)
+static void late_answer(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -118,13 +118,13 @@
     Asker asker = {0};
     Server server = {0};
     const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, serverStart, &server);
-    sim_start(world, client, askerStart, &asker);
+    sim_start(world, machine, server_start, &server);
+    sim_start(world, client, asker_start, &asker);
     const Ask *first = begin(&asker, (PeerLife){0}, 1000, 500);
-    runFor(world, 700);
+    run_for(world, 700);
     assert_int_equal(first->status, STATUS_EXPIRED);
     const Ask *second = begin(&asker, (PeerLife){0}, 1500, 3000), *third = begin(&asker, (PeerLife){0}, 7, 500);
-    runFor(world, 2000);
+    run_for(world, 2000);
     assert_int_equal(second->status, STATUS_OK);
     assert_int_equal(second->answer.number, 1501);
     assert_int_equal(third->answer.number, 8);
@@ -135,7 +135,7 @@
 
 /* A connection ends with questions on it: each is told that its outcome is not known, and
  * none gets an answer of the next connection. */
-static void endedLine(void **state)
+static void ended_line(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -143,18 +143,18 @@
     Asker asker = {0};
     Server server = {0};
     const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, serverStart, &server);
-    sim_start(world, client, askerStart, &asker);
+    sim_start(world, machine, server_start, &server);
+    sim_start(world, client, asker_start, &asker);
     const Ask *lost[3];
     for (int i = 0; i < 3; i++)
         lost[i] = begin(&asker, (PeerLife){0}, 1000 + (uint64_t)i, 5000);
-    runFor(world, 300);
+    run_for(world, 300);
     assert_int_equal(server.served, 3);
     sim_kill(world, machine);
-    sim_start(world, machine, serverStart, &server);
-    runFor(world, 100);
+    sim_start(world, machine, server_start, &server);
+    run_for(world, 100);
     const Ask *next = begin(&asker, (PeerLife){0}, 1003, 5000);
-    runFor(world, 3000);
+    run_for(world, 3000);
     for (int i = 0; i < 3; i++) {
         assert_int_equal(lost[i]->status, STATUS_CLOSED);
         assert_int_equal(lost[i]->answer.number, 0);
@@ -175,16 +175,16 @@
         Server server = {0};
         CourierSending sending = {0};
         const int client = sim_machine(world), machine = sim_machine(world);
-        sim_start(world, machine, serverStart, &server);
-        sim_start(world, client, askerStart, &asker);
+        sim_start(world, machine, server_start, &server);
+        sim_start(world, client, asker_start, &asker);
         sim_cut(world, client, machine, true);
         Ask *ask = begin(&asker, (PeerLife){0}, 7, 3000);
         ask->sending = &sending;
-        runFor(world, 300);
+        run_for(world, 300);
         assert_false(sending.sent);
         sending.cancelled = cancel == 1;
         sim_cut(world, client, machine, false);
-        runFor(world, 3000);
+        run_for(world, 3000);
         assert_int_equal(ask->status, cancel ? STATUS_UNREACHABLE : STATUS_OK);
         assert_int_equal(server.served, !cancel);
         assert_int_equal(sending.sent, !cancel);
@@ -193,7 +193,7 @@
 }
 
 /* A question of another version, and one that nobody knows: typed, and not carried out. */
-static void refusedQuestions(void **state)
+static void refused_questions(void **state)
 {
     (void)state;
     static const struct {
@@ -210,12 +210,12 @@
     Server server = {.self = peer_life("gate1", 1000)};
     Asker asker = {0};
     const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, serverStart, &server);
-    sim_start(world, client, askerStart, &asker);
+    sim_start(world, machine, server_start, &server);
+    sim_start(world, client, asker_start, &asker);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         Hand one = {.loop = asker.loop, .question = ROWS[i].question};
-        loop_spawn(asker.loop, "hand", handMain, &one);
-        runFor(world, 1000);
+        loop_spawn(asker.loop, "hand", hand_main, &one);
+        run_for(world, 1000);
         assert_true(one.answered);
         assert_int_equal(one.answer.status, ROWS[i].status);
         assert_int_equal(one.answer.call, ROWS[i].question.call);
@@ -229,8 +229,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(addressReused), cmocka_unit_test(lateAnswer),       cmocka_unit_test(endedLine),
-        cmocka_unit_test(cancelled),     cmocka_unit_test(refusedQuestions),
+        cmocka_unit_test(address_reused), cmocka_unit_test(late_answer),       cmocka_unit_test(ended_line),
+        cmocka_unit_test(cancelled),      cmocka_unit_test(refused_questions),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -48,25 +48,25 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
-    fleetRun(fleet, 1000);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    fleet_run(fleet, 1000);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     const char *body = JOB("known");
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/jobs", body).code, 201);
-    simDelay(fleet->world, LINK_MS, LINK_MS);
-    fleetRun(fleet, 1000);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/jobs", body).code, 201);
+    sim_delay(fleet->world, LINK_MS, LINK_MS);
+    fleet_run(fleet, 1000);
     return fleet;
 }
 
 /* The state as far as these requests change it: equal texts, equal states. */
 static char *state_of(void *mem, Fleet *fleet)
 {
-    const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 1, "GET", "/v1/config/history", NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 1, "GET", "/v1/config/history", NULL);
     assert_int_equal(call.code, 200);
     const char *history = (const char *)call.result.data;
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     const Table *table = core_table(fleet->nodes[FLEET_CORE][leader].core);
     const Job *known = table_job(table, "known");
@@ -83,7 +83,7 @@
 }
 
 /* The leader has the request when its answers begin not to reach the gate; others go on. */
-static void answersLost(void **state)
+static void answers_lost(void **state)
 {
     (void)state;
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
@@ -92,17 +92,17 @@
         const char *before = state_of(fleet, fleet);
         const Handed *handed = request(fleet, row);
         const bool ordered = forward_repeat(row->method, row->path, row->query) == REPEAT_ORDERED;
-        fleetRun(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
-        const int gate = fleetNode(fleet, FLEET_GATE, 0)->machine;
-        const int leader = fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine;
+        fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
+        const int gate = fleet_node(fleet, FLEET_GATE, 0)->machine;
+        const int leader = fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->machine;
         sim_cut(fleet->world, leader, gate, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
-        fleetRun(fleet, COMMITTED_MS);
+        fleet_run(fleet, COMMITTED_MS);
         assert_false(handed->done);
         const char *first = state_of(fleet, fleet);
         assert_string_not_equal(first, before);
         while (!handed->done)
-            fleetRun(fleet, 5);
+            fleet_run(fleet, 5);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s?%s: %d after %lld ms, %s", row->method, row->path, row->query, handed->task->code,
                       (long long)took_ms, first);
@@ -111,9 +111,9 @@
         if (row->code == 504)
             assert_true(handed->task->retry_after_s > 0);
         sim_cut(fleet->world, leader, gate, false);
-        fleetRun(fleet, 3000);
+        fleet_run(fleet, 3000);
         assert_string_equal(state_of(fleet, fleet), first); /* applied once */
-        assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+        assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
@@ -127,33 +127,34 @@
     const Row row = {"POST", "/v1/jobs", "", JOB("one"), 201};
     Fleet *fleet = begin(71);
     for (int i = 0; i < 3; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
     const Handed *handed = request(fleet, &row);
-    while (fleetJob(fleet, "one") == NULL)
-        fleetRun(fleet, 1);
+    while (fleet_job(fleet, "one") == NULL)
+        fleet_run(fleet, 1);
     assert_false(handed->done);
-    const int lost = fleetLeader(fleet); /* its answer never comes */
-    sim_cut(fleet->world, fleetNode(fleet, FLEET_CORE, lost)->machine, fleetNode(fleet, FLEET_GATE, 0)->machine, true);
+    const int lost = fleet_leader(fleet); /* its answer never comes */
+    sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine, fleet_node(fleet, FLEET_GATE, 0)->machine,
+            true);
     for (int i = 0; i < 3; i++) {
-        fleetPowerOff(fleet, FLEET_CORE, i);
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
+        fleet_power_off(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
     }
-    fleetRun(fleet, 200);
+    fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++)
-        fleetStartNode(fleet, FLEET_CORE, i);
+        fleet_start_node(fleet, FLEET_CORE, i);
     const int64_t from_ms = sim_now_ms(fleet->world);
     while (!handed->done)
-        fleetRun(fleet, 5);
+        fleet_run(fleet, 5);
     print_message("%d after %lld ms\n", handed->task->code, (long long)(sim_now_ms(fleet->world) - from_ms));
     assert_int_equal(handed->task->code, row.code);
-    fleetRun(fleet, 5000);
-    assert_non_null(fleetJob(fleet, "one"));
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    fleet_run(fleet, 5000);
+    assert_non_null(fleet_job(fleet, "one"));
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 /* Every row of the table that changes something is tried above. */
-static void rowsTried(void **state)
+static void rows_tried(void **state)
 {
     (void)state;
     size_t count;
@@ -171,7 +172,7 @@
 }
 
 /* What stands in no row is sent once. */
-static void notRepeated(void **state)
+static void not_repeated(void **state)
 {
     (void)state;
     static const struct {
@@ -199,10 +200,10 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(answersLost),
+        cmocka_unit_test(answers_lost),
         cmocka_unit_test(repair_awaited),
-        cmocka_unit_test(rowsTried),
-        cmocka_unit_test(notRepeated),
+        cmocka_unit_test(rows_tried),
+        cmocka_unit_test(not_repeated),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -16,88 +16,88 @@
 #define SERVED_MS 6000   /* ms; after a loss another core leads within this */
 
 static const FleetSite ONE_LOSS = {
-    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = SYNC_MS, .staggerMs = 500};
+    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = SYNC_MS, .stagger_ms = 500};
 
 static Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
-    Fleet *fleet = fleetNewAt(NULL, seed, shape, site);
+    Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++)
-        fleetNode(fleet, FLEET_CORE, i)->props.bounds.unready_ms = 0;
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 20000) && fleetConfigure(fleet));
-    checkerConfigSet(fleet->checker, 1);
-    fleetRun(fleet, SYNC_MS);
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
+        fleet_node(fleet, FLEET_CORE, i)->props.bounds.unready_ms = 0;
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
+    checker_config_set(fleet->checker, 1);
+    fleet_run(fleet, SYNC_MS);
     return fleet;
 }
 
 static void finish(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fleetDump(fleet);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    if (checker_broken_all(fleet->checker) > 0)
+        fleet_dump(fleet);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 /* A core that leads is there within the span; else shows what all have said. */
-static void mustLead(Fleet *fleet, const char *when)
+static void must_lead(Fleet *fleet, const char *when)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + SERVED_MS;
-    while (fleetLeader(fleet) < 0 && sim_now_ms(fleet->world) < until_ms)
-        fleetRun(fleet, 50);
-    if (fleetLeader(fleet) >= 0)
+    while (fleet_leader(fleet) < 0 && sim_now_ms(fleet->world) < until_ms)
+        fleet_run(fleet, 50);
+    if (fleet_leader(fleet) >= 0)
         return;
-    fleetDump(fleet);
+    fleet_dump(fleet);
     fail_msg("nobody leads %s", when);
 }
 
 /* A core of those that run, which is not the one to spare; the leader when asked for. */
 static int drawn(Fleet *fleet, int spared, bool leader)
 {
-    const int leads = fleetLeader(fleet);
+    const int leads = fleet_leader(fleet);
     if (leader && leads != spared)
         return leads;
     for (;;) {
-        const int core = (int)(simRandom(fleet->world) % (uint64_t)fleet->nodeCount[FLEET_CORE]);
-        if (fleetNode(fleet, FLEET_CORE, core)->up && core != spared)
+        const int core = (int)(sim_random(fleet->world) % (uint64_t)fleet->node_count[FLEET_CORE]);
+        if (fleet_node(fleet, FLEET_CORE, core)->up && core != spared)
             return core;
     }
 }
 
 /* The new core stands ready before the old one is told to go; the next loss comes
  * as soon as it may. */
-static void plannedThenLost(uint64_t seed, bool leaderGoes, bool leaderLost)
+static void planned_then_lost(uint64_t seed, bool leader_goes, bool leader_lost)
 {
     Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 1}, &ONE_LOSS);
     const int fresh = 3;
-    fleetStartNode(fleet, FLEET_CORE, fresh);
-    fleetRun(fleet, FOLLOWED_MS);
-    fleetLeave(fleet, FLEET_CORE, drawn(fleet, fresh, leaderGoes));
-    fleetRun(fleet, SYNC_MS);
-    mustLead(fleet, "after a planned replacement");
-    fleetPowerOff(fleet, FLEET_CORE, drawn(fleet, fresh, leaderLost));
-    fleetRun(fleet, 1000);
-    mustLead(fleet, "after a planned replacement and one more loss");
+    fleet_start_node(fleet, FLEET_CORE, fresh);
+    fleet_run(fleet, FOLLOWED_MS);
+    fleet_leave(fleet, FLEET_CORE, drawn(fleet, fresh, leader_goes));
+    fleet_run(fleet, SYNC_MS);
+    must_lead(fleet, "after a planned replacement");
+    fleet_power_off(fleet, FLEET_CORE, drawn(fleet, fresh, leader_lost));
+    fleet_run(fleet, 1000);
+    must_lead(fleet, "after a planned replacement and one more loss");
     finish(fleet);
 }
 
-static void plannedThenLoss(void **state)
+static void planned_then_loss(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++)
-        plannedThenLost(seed, seed % 2 == 0, seed / 2 % 2 == 0);
+        planned_then_lost(seed, seed % 2 == 0, seed / 2 % 2 == 0);
 }
 
 /* One that has stood ready all the while takes the vote of one that is lost with no notice. */
-static void standbyThenLoss(void **state)
+static void standby_then_loss(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         for (int loss = 0; loss < 2; loss++) {
-            fleetPowerOff(fleet, FLEET_CORE, drawn(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
-            fleetRun(fleet, SYNC_MS);
-            mustLead(fleet, "after losses without notice");
+            fleet_power_off(fleet, FLEET_CORE, drawn(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
+            fleet_run(fleet, SYNC_MS);
+            must_lead(fleet, "after losses without notice");
         }
         finish(fleet);
     }
@@ -109,10 +109,10 @@
 static bool votes(Fleet *fleet, int core)
 {
     uint64_t disks[SEAT_MOST];
-    const int leader = fleetLeader(fleet);
-    const FleetNode *node = fleetNode(fleet, FLEET_CORE, core);
+    const int leader = fleet_leader(fleet);
+    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
     assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = view_seats(core_view(fleetNode(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_seats(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
         found |= disks[i] == view_disk(core_view(node->core));
@@ -120,47 +120,47 @@
 }
 
 /* A voter of those that run; the leader, or any other. */
-static int voterDrawn(Fleet *fleet, bool leader)
+static int voter_drawn(Fleet *fleet, bool leader)
 {
     for (;;) {
         const int core = drawn(fleet, -1, leader);
-        if (votes(fleet, core) && (core == fleetLeader(fleet)) == leader)
+        if (votes(fleet, core) && (core == fleet_leader(fleet)) == leader)
             return core;
     }
 }
 
 /* SIGTERM at a voter while a learner stands ready: as soon as the process has ended its
  * vote is another's, so that the next loss may follow at once. */
-static void leavesThenLoss(void **state)
+static void leaves_then_loss(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voterDrawn(fleet, seed % 2 == 0);
-        fleetLeave(fleet, FLEET_CORE, gone);
-        while (fleetNode(fleet, FLEET_CORE, gone)->up)
-            fleetRun(fleet, 10);
-        mustLead(fleet, "after a voter has left");
-        fleetPowerOff(fleet, FLEET_CORE, voterDrawn(fleet, seed / 2 % 2 == 0));
-        fleetRun(fleet, 100);
-        mustLead(fleet, "after a voter has left, and one more loss at once");
+        const int gone = voter_drawn(fleet, seed % 2 == 0);
+        fleet_leave(fleet, FLEET_CORE, gone);
+        while (fleet_node(fleet, FLEET_CORE, gone)->up)
+            fleet_run(fleet, 10);
+        must_lead(fleet, "after a voter has left");
+        fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, seed / 2 % 2 == 0));
+        fleet_run(fleet, 100);
+        must_lead(fleet, "after a voter has left, and one more loss at once");
         finish(fleet);
     }
 }
 
 /* Without a learner it stays a voter, and does not wait for one. */
-static void leavesWithoutLearner(void **state)
+static void leaves_without_learner(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voterDrawn(fleet, seed % 2 == 0);
-        fleetLeave(fleet, FLEET_CORE, gone);
-        fleetRun(fleet, 3000);
-        assert_false(fleetNode(fleet, FLEET_CORE, gone)->up);
-        fleetStartNode(fleet, FLEET_CORE, gone);
-        fleetRun(fleet, 2000);
-        mustLead(fleet, "after a restart");
+        const int gone = voter_drawn(fleet, seed % 2 == 0);
+        fleet_leave(fleet, FLEET_CORE, gone);
+        fleet_run(fleet, 3000);
+        assert_false(fleet_node(fleet, FLEET_CORE, gone)->up);
+        fleet_start_node(fleet, FLEET_CORE, gone);
+        fleet_run(fleet, 2000);
+        must_lead(fleet, "after a restart");
         assert_true(votes(fleet, gone));
         finish(fleet);
     }
@@ -174,10 +174,10 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         for (int core = 0; core < 4; core++) {
-            fleetRoll(fleet, FLEET_CORE, core);
-            fleetRun(fleet, SYNC_MS);
-            mustLead(fleet, "while all are restarted");
-            assert_int_equal(fleetSeats(fleet), 3);
+            fleet_roll(fleet, FLEET_CORE, core);
+            fleet_run(fleet, SYNC_MS);
+            must_lead(fleet, "while all are restarted");
+            assert_int_equal(fleet_seats(fleet), 3);
         }
         finish(fleet);
     }
@@ -185,22 +185,22 @@
 
 /* A voter lost with its disk kept, replaced meanwhile, comes back as a learner, and has
  * the vote again after the next loss. */
-static void returnsAsLearner(void **state)
+static void returns_as_learner(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        const int gone = voterDrawn(fleet, seed % 2 == 0);
-        fleetPowerOff(fleet, FLEET_CORE, gone);
-        fleetRun(fleet, SYNC_MS);
-        mustLead(fleet, "after a loss");
-        fleetStartNode(fleet, FLEET_CORE, gone);
-        fleetRun(fleet, FOLLOWED_MS);
-        mustLead(fleet, "after a return");
+        const int gone = voter_drawn(fleet, seed % 2 == 0);
+        fleet_power_off(fleet, FLEET_CORE, gone);
+        fleet_run(fleet, SYNC_MS);
+        must_lead(fleet, "after a loss");
+        fleet_start_node(fleet, FLEET_CORE, gone);
+        fleet_run(fleet, FOLLOWED_MS);
+        must_lead(fleet, "after a return");
         assert_false(votes(fleet, gone));
-        fleetPowerOff(fleet, FLEET_CORE, voterDrawn(fleet, seed / 2 % 2 == 0));
-        fleetRun(fleet, SYNC_MS);
-        mustLead(fleet, "after one more loss");
+        fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, seed / 2 % 2 == 0));
+        fleet_run(fleet, SYNC_MS);
+        must_lead(fleet, "after one more loss");
         assert_true(votes(fleet, gone));
         finish(fleet);
     }
@@ -208,9 +208,9 @@
 
 /* --- what is told ----------------------------------------------------------------------- */
 
-static void statusHas(Fleet *fleet, const char *text)
+static void status_has(Fleet *fleet, const char *text)
 {
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_CORE, fleetLeader(fleet), "GET", "/v1/status", NULL);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_CORE, fleet_leader(fleet), "GET", "/v1/status", NULL);
     assert_int_equal(call.code, 200);
     const char *body = talloc_strndup(fleet, (const char *)call.result.data, call.result.count);
     if (strstr(body, text) == NULL)
@@ -219,19 +219,19 @@
 
 /* Status tells who follows, how far behind it is, and how many losses are borne: fewer
  * right after a loss, as many as before once the learner votes. */
-static void statusTells(void **state)
+static void status_tells(void **state)
 {
     (void)state;
     Fleet *fleet = begin(3, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &ONE_LOSS);
-    statusHas(fleet, "\"losses\":{\"borne\":1,\"asked\":1}");
-    statusHas(fleet, "\"answers\":true,\"ready\":true,\"index\":");
-    statusHas(fleet, "\"behind\":0}]");
-    fleetPowerOff(fleet, FLEET_CORE, voterDrawn(fleet, false));
-    fleetRun(fleet, 1000);
-    statusHas(fleet, "\"losses\":{\"borne\":0,\"asked\":1}");
-    fleetRun(fleet, SYNC_MS);
-    statusHas(fleet, "\"losses\":{\"borne\":1,\"asked\":1}");
-    statusHas(fleet, "\"learners\":[]");
+    status_has(fleet, "\"losses\":{\"borne\":1,\"asked\":1}");
+    status_has(fleet, "\"answers\":true,\"ready\":true,\"index\":");
+    status_has(fleet, "\"behind\":0}]");
+    fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, false));
+    fleet_run(fleet, 1000);
+    status_has(fleet, "\"losses\":{\"borne\":0,\"asked\":1}");
+    fleet_run(fleet, SYNC_MS);
+    status_has(fleet, "\"losses\":{\"borne\":1,\"asked\":1}");
+    status_has(fleet, "\"learners\":[]");
     finish(fleet);
 }
 
@@ -245,32 +245,32 @@
 
 typedef struct Trial {
     Fleet *fleet;
-    int64_t diskSinceMs[FLEET_EACH_MAX]; /* of each core's present disk */
-    int nextSpare;
+    int64_t disk_since_ms[FLEET_EACH_MAX]; /* of each core's present disk */
+    int next_spare;
 } Trial;
 
-static void coreBegin(Trial *trial, int core)
+static void core_begin(Trial *trial, int core)
 {
-    trial->diskSinceMs[core] = sim_now_ms(trial->fleet->world);
-    fleetStartNode(trial->fleet, FLEET_CORE, core);
+    trial->disk_since_ms[core] = sim_now_ms(trial->fleet->world);
+    fleet_start_node(trial->fleet, FLEET_CORE, core);
 }
 
 /* A voter that runs and is not spared; -1 spares none. */
-static int targetDrawn(Trial *trial, Target target, int spared)
+static int target_drawn(Trial *trial, Target target, int spared)
 {
     Fleet *fleet = trial->fleet;
     if (target != TARGET_OLDEST) {
         for (;;) {
-            const int core = target == TARGET_LEADER && fleetLeader(fleet) != spared ? fleetLeader(fleet)
-                                                                                     : drawn(fleet, spared, false);
+            const int core = target == TARGET_LEADER && fleet_leader(fleet) != spared ? fleet_leader(fleet)
+                                                                                      : drawn(fleet, spared, false);
             if (votes(fleet, core))
                 return core;
         }
     }
     int oldest = -1;
-    for (int i = 0; i < fleet->nodeCount[FLEET_CORE]; i++)
-        if (fleetNode(fleet, FLEET_CORE, i)->up && i != spared && votes(fleet, i) &&
-            (oldest < 0 || trial->diskSinceMs[i] < trial->diskSinceMs[oldest]))
+    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
+        if (fleet_node(fleet, FLEET_CORE, i)->up && i != spared && votes(fleet, i) &&
+            (oldest < 0 || trial->disk_since_ms[i] < trial->disk_since_ms[oldest]))
             oldest = i;
     return oldest;
 }
@@ -278,108 +278,108 @@
 static void strike(Trial *trial, int core, LossKind kind)
 {
     if (kind == LOSS_PLANNED) {
-        fleetLeave(trial->fleet, FLEET_CORE, core);
+        fleet_leave(trial->fleet, FLEET_CORE, core);
         return;
     }
-    fleetPowerOff(trial->fleet, FLEET_CORE, core);
+    fleet_power_off(trial->fleet, FLEET_CORE, core);
     if (kind == LOSS_WIPED)
-        simDiskWipe(trial->fleet->world, fleetNode(trial->fleet, FLEET_CORE, core)->machine);
+        sim_disk_wipe(trial->fleet->world, fleet_node(trial->fleet, FLEET_CORE, core)->machine);
 }
 
 static void back(Trial *trial, int core, LossKind kind)
 {
     if (kind == LOSS_WIPED)
-        coreBegin(trial, core);
+        core_begin(trial, core);
     else if (kind == LOSS_REPLACED)
-        coreBegin(trial, trial->nextSpare++);
+        core_begin(trial, trial->next_spare++);
 }
 
 /* Each round as many are lost at once as may be, and all return before the next. */
-static void lossRounds(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cutShort)
+static void loss_rounds(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
 {
-    Trial trial = {.fleet = begin(seed, shape, site), .nextSpare = shape.cores};
+    Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.cores};
     Fleet *fleet = trial.fleet;
     for (int round = 0; round < ROUNDS; round++) {
         const LossKind kind = (LossKind)((seed + (uint64_t)round) % LOSS_KINDS);
         int lost[2] = {-1, -1};
         for (int i = 0; i < site->losses && kind == LOSS_PLANNED; i++)
-            coreBegin(&trial, trial.nextSpare++);
-        fleetRun(fleet, kind == LOSS_PLANNED ? FOLLOWED_MS : 0);
-        mustLead(fleet, "before a loss");
+            core_begin(&trial, trial.next_spare++);
+        fleet_run(fleet, kind == LOSS_PLANNED ? FOLLOWED_MS : 0);
+        must_lead(fleet, "before a loss");
         for (int i = 0; i < site->losses; i++)
-            lost[i] = targetDrawn(&trial, i == 0 ? target : TARGET_ANY, lost[0]);
+            lost[i] = target_drawn(&trial, i == 0 ? target : TARGET_ANY, lost[0]);
         for (int i = 0; i < site->losses; i++)
             strike(&trial, lost[i], kind);
-        fleetRun(fleet, OUT_MS);
-        if (cutShort) { /* a learner is lost while it catches up, and another comes */
-            const int learner = trial.nextSpare++;
-            coreBegin(&trial, learner);
-            fleetRun(fleet, 20 + (int64_t)(simRandom(fleet->world) % 400));
-            fleetPowerOff(fleet, FLEET_CORE, learner);
+        fleet_run(fleet, OUT_MS);
+        if (cut_short) { /* a learner is lost while it catches up, and another comes */
+            const int learner = trial.next_spare++;
+            core_begin(&trial, learner);
+            fleet_run(fleet, 20 + (int64_t)(sim_random(fleet->world) % 400));
+            fleet_power_off(fleet, FLEET_CORE, learner);
         }
         for (int i = 0; i < site->losses; i++)
             back(&trial, lost[i], kind);
-        fleetRun(fleet, site->seat_back_ms);
-        mustLead(fleet, "after a loss");
-        assert_int_equal(fleetSeats(fleet), 2 * site->losses + 1);
+        fleet_run(fleet, site->seat_back_ms);
+        must_lead(fleet, "after a loss");
+        assert_int_equal(fleet_seats(fleet), 2 * site->losses + 1);
     }
     finish(fleet);
 }
 
 #define ONE_SHAPE ((FleetShape){3, 3, 2, MIX_TRENTVALE, 3 * ROUNDS})
 
-static void roundsAny(void **state)
+static void rounds_any(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        lossRounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_ANY, false);
+        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_ANY, false);
 }
 
-static void roundsOldest(void **state)
+static void rounds_oldest(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        lossRounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_OLDEST, false);
+        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_OLDEST, false);
 }
 
-static void roundsLeader(void **state)
+static void rounds_leader(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        lossRounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_LEADER, false);
+        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_LEADER, false);
 }
 
-static void roundsLearnerLost(void **state)
+static void rounds_learner_lost(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        lossRounds(seed, ONE_SHAPE, &ONE_LOSS, (Target)(seed % TARGETS), true);
+        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, (Target)(seed % TARGETS), true);
 }
 
-static void roundsTwoAtOnce(void **state)
+static void rounds_two_at_once(void **state)
 {
     (void)state;
     const FleetSite site = {
-        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .staggerMs = 500};
+        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .stagger_ms = 500};
     for (uint64_t seed = 1; seed <= 6; seed++)
-        lossRounds(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ROUNDS}, &site, (Target)(seed % TARGETS), false);
+        loss_rounds(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ROUNDS}, &site, (Target)(seed % TARGETS), false);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(plannedThenLoss),
-        cmocka_unit_test(standbyThenLoss),
-        cmocka_unit_test(leavesThenLoss),
-        cmocka_unit_test(leavesWithoutLearner),
+        cmocka_unit_test(planned_then_loss),
+        cmocka_unit_test(standby_then_loss),
+        cmocka_unit_test(leaves_then_loss),
+        cmocka_unit_test(leaves_without_learner),
         cmocka_unit_test(rolled),
-        cmocka_unit_test(statusTells),
-        cmocka_unit_test(returnsAsLearner),
-        cmocka_unit_test(roundsAny),
-        cmocka_unit_test(roundsOldest),
-        cmocka_unit_test(roundsLeader),
-        cmocka_unit_test(roundsLearnerLost),
-        cmocka_unit_test(roundsTwoAtOnce),
+        cmocka_unit_test(status_tells),
+        cmocka_unit_test(returns_as_learner),
+        cmocka_unit_test(rounds_any),
+        cmocka_unit_test(rounds_oldest),
+        cmocka_unit_test(rounds_leader),
+        cmocka_unit_test(rounds_learner_lost),
+        cmocka_unit_test(rounds_two_at_once),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -13,23 +13,23 @@
 
 static Fleet *begin(void)
 {
-    Fleet *fleet = fleetNew(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    assert_true(fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
     return fleet;
 }
 
 static void end(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
 static int ask(Fleet *fleet, const char *method, const char *path, const char *body, const char **text)
 {
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, method, path, body);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, method, path, body);
     if (text != NULL)
         *text = (const char *)call.result.data;
     return call.code;
@@ -42,7 +42,7 @@
     "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[" steps "]}"
 #define ROOM "\"room\":{\"cpu\":1,\"memMb\":10}"
 
-static void badJobs(void **state)
+static void bad_jobs(void **state)
 {
     (void)state;
     static const struct {
@@ -123,15 +123,15 @@
     char *large = talloc_zero_array(fleet, char, JOB_BODY_MAX + 100);
     memset(large, ' ', JOB_BODY_MAX + 50);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", large, NULL), 413);
-    fleetRun(fleet, 5000);
-    assert_int_equal(checkerStarts(fleet->checker), 0); /* nothing of it ran */
+    fleet_run(fleet, 5000);
+    assert_int_equal(checker_starts(fleet->checker), 0); /* nothing of it ran */
     const char *text;
     assert_int_equal(ask(fleet, "GET", "/v1/jobs", NULL, &text), 200);
     assert_string_equal(text, "{\"jobs\":[]}\n");
     end(fleet);
 }
 
-static void badPaths(void **state)
+static void bad_paths(void **state)
 {
     (void)state;
     static const struct {
@@ -164,22 +164,22 @@
 }
 
 /* The same job at two gates at once counts once; another body is refused. */
-static void twiceAtOnce(void **state)
+static void twice_at_once(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
-        props.entries[0] = fleetNode(fleet, FLEET_GATE, i)->props.http;
+        props.entries[0] = fleet_node(fleet, FLEET_GATE, i)->props.http;
         Caller *caller = caller_start(loop, loop, &props);
-        fleet->callers[fleet->callerCount++] = caller;
+        fleet->callers[fleet->caller_count++] = caller;
     }
-    fleetRun(fleet, 20000);
+    fleet_run(fleet, 20000);
     const char *text;
     assert_int_equal(ask(fleet, "GET", "/v1/jobs?limit=1000", NULL, &text), 200);
     /* three callers draw other classes for the same numbers: each id is one job */
-    for (int i = 0; i < fleet->callerCount; i++) {
+    for (int i = 0; i < fleet->caller_count; i++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[i], &jobs);
         assert_int_equal(count, 30);
@@ -197,7 +197,7 @@
     end(fleet);
 }
 
-static void dueAndDelay(void **state)
+static void due_and_delay(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -208,17 +208,17 @@
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
     /* one seat's wall clock jumps by an hour: the median does not */
-    simJump(fleet->world, fleetNode(fleet, FLEET_CORE, fleetLeader(fleet))->machine, 3600000);
-    fleetRun(fleet, 4200);
-    assert_int_equal(checkerStarts(fleet->checker), 0);
+    sim_jump(fleet->world, fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->machine, 3600000);
+    fleet_run(fleet, 4200);
+    assert_int_equal(checker_starts(fleet->checker), 0);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/due", NULL, &text), 200);
     assert_non_null(strstr(text, "\"waitsFor\":\"due-time\""));
-    fleetRun(fleet, 3000);
-    assert_int_equal(checkerStarts(fleet->checker), 2);
+    fleet_run(fleet, 3000);
+    assert_int_equal(checker_starts(fleet->checker), 2);
     end(fleet);
 }
 
-static void gangAllOrNone(void **state)
+static void gang_all_or_none(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -229,26 +229,26 @@
                                      "\"payload\":{\"runMs\":6000}}"),
                          &text),
                      201);
-    fleetRun(fleet, 3000);
-    assert_int_equal(checkerStarts(fleet->checker), 6);
+    fleet_run(fleet, 3000);
+    assert_int_equal(checker_starts(fleet->checker), 6);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                          STEPS("g2", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
                                      "\"payload\":{\"runMs\":9000}}"),
                          &text),
                      201);
-    fleetRun(fleet, 2000);
-    assert_int_equal(checkerStarts(fleet->checker), 6); /* none of it */
-    fleetRun(fleet, 6000);
-    assert_int_equal(checkerStarts(fleet->checker), 12); /* all of it */
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 6); /* none of it */
+    fleet_run(fleet, 6000);
+    assert_int_equal(checker_starts(fleet->checker), 12); /* all of it */
     /* a member is lost with its worker: the others stop, all start again */
     int victim = -1;
     for (int i = 0; i < 11 && victim < 0; i++)
-        if (stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
+        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
             victim = i;
     assert_true(victim >= 0);
-    fleetKill(fleet, FLEET_WORKER, victim);
-    fleetRun(fleet, 25000);
-    assert_true(checkerStarts(fleet->checker) >= 18);
+    fleet_kill(fleet, FLEET_WORKER, victim);
+    fleet_run(fleet, 25000);
+    assert_true(checker_starts(fleet->checker) >= 18);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/g2", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
     end(fleet);
@@ -264,23 +264,23 @@
                                     "{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"),
                          &text),
                      201);
-    fleetRun(fleet, 2000);
-    assert_int_equal(checkerStarts(fleet->checker), 20);
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 20);
     assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200);
-    checkerCancelled(fleet->checker, "c");
-    fleetRun(fleet, 2000);
+    checker_cancelled(fleet->checker, "c");
+    fleet_run(fleet, 2000);
     for (int i = 0; i < 11; i++)
-        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
     assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* again: the same answer */
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/c", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"cancelled\""));
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("d", ""), &text), 201);
-    fleetRun(fleet, 3000);
+    fleet_run(fleet, 3000);
     assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/d", NULL, &text), 409);
     end(fleet);
 }
 
-static void failsThenWorks(void **state)
+static void fails_then_works(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -291,17 +291,17 @@
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                          STEPS("g", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":3}}"), &text),
                      201);
-    fleetRun(fleet, 10000);
+    fleet_run(fleet, 10000);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/f", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/g", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"failed\""));
-    assert_int_equal(checkerStarts(fleet->checker), 6);
+    assert_int_equal(checker_starts(fleet->checker), 6);
     end(fleet);
 }
 
 /* An agent is cut off just before its task ends; the finish is told late. */
-static void finishToldLate(void **state)
+static void finish_told_late(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -309,28 +309,28 @@
     assert_int_equal(
         ask(fleet, "POST", "/v1/jobs", STEPS("l", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":2500}}"), &text),
         201);
-    fleetRun(fleet, 1500);
+    fleet_run(fleet, 1500);
     int on = -1;
     for (int i = 0; i < 11 && on < 0; i++)
-        if (stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker) > 0)
+        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
             on = i;
     assert_true(on >= 0);
     /* it ends a second later, within the hold; the restart elsewhere begins after
      * three seconds and is still running when the finish arrives */
-    fleetIsolate(fleet, FLEET_AGENT, on, true);
-    fleetRun(fleet, 4500);
-    assert_int_equal(checkerStarts(fleet->checker), 2);
-    fleetIsolate(fleet, FLEET_AGENT, on, false);
-    fleetRun(fleet, 1500);
+    fleet_isolate(fleet, FLEET_AGENT, on, true);
+    fleet_run(fleet, 4500);
+    assert_int_equal(checker_starts(fleet->checker), 2);
+    fleet_isolate(fleet, FLEET_AGENT, on, false);
+    fleet_run(fleet, 1500);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
-    fleetRun(fleet, 1000);
+    fleet_run(fleet, 1000);
     for (int i = 0; i < 11; i++)
-        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
     end(fleet);
 }
 
-static void configRaces(void **state)
+static void config_races(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -367,14 +367,14 @@
             fail_msg("%s: %d %s", BAD[i].body, code, text);
     }
     /* refused ones took no effect; a leader's death loses nothing */
-    fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
-    fleetRun(fleet, 6000);
+    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_run(fleet, 6000);
     assert_int_equal(ask(fleet, "GET", "/v1/config", NULL, &text), 200);
     assert_non_null(strstr(text, "\"revision\":3"));
     end(fleet);
 }
 
-static void badReports(void **state)
+static void bad_reports(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -388,20 +388,20 @@
         "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"ended\":[{\"job\":\"j\",\"task\":1,\"round\":1,\"word\":\"running\"}]}",
     };
     for (size_t i = 0; i < sizeof(BAD) / sizeof(BAD[0]); i++) {
-        const HttpCall call = fleetAsk(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
         if (call.code < 400 || call.code >= 500)
             fail_msg("%s: %d", BAD[i], call.code);
     }
     static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
     /* a second process of the same name while the first one's hold runs */
-    fleetRun(fleet, 2000);
-    HttpCall call = fleetAsk(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
+    fleet_run(fleet, 2000);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
     if (call.code != 409)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
-    call = fleetAsk(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
+    call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
     assert_int_equal(call.code, 404);
-    fleetRun(fleet, 2000);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
+    fleet_run(fleet, 2000);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
     end(fleet);
 }
 
@@ -420,64 +420,64 @@
                  with ? "may" : "not", with ? "true" : "false", STEP);
         assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     }
-    fleetRun(fleet, 2000);
-    assert_int_equal(checkerStarts(fleet->checker), 22);
-    fleetIsolate(fleet, FLEET_AGENT, 0, true);
-    fleetRun(fleet, 2400);
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 22);
+    fleet_isolate(fleet, FLEET_AGENT, 0, true);
+    fleet_run(fleet, 2400);
     size_t may = 0, not = 0;
     for (size_t t = 0; t < 11; t++) {
-        may += fleetJob(fleet, "may")->tasks[t].round == 2;
-        not += fleetJob(fleet, "not")->tasks[t].round == 2;
+        may += fleet_job(fleet, "may")->tasks[t].round == 2;
+        not += fleet_job(fleet, "not")->tasks[t].round == 2;
     }
     assert_true(may > 0);
     assert_int_equal(not, 0);
-    fleetRun(fleet, 3000);
+    fleet_run(fleet, 3000);
     for (size_t t = 0; t < 11; t++)
-        not += fleetJob(fleet, "not")->tasks[t].round == 2;
+        not += fleet_job(fleet, "not")->tasks[t].round == 2;
     assert_true(not > 0);
-    fleetIsolate(fleet, FLEET_AGENT, 0, false);
-    fleetRun(fleet, 15000);
+    fleet_isolate(fleet, FLEET_AGENT, 0, false);
+    fleet_run(fleet, 15000);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/may", NULL, &text), 200);
     assert_non_null(strstr(text, "\"phase\":\"done\""));
     end(fleet);
 }
 
 /* Room that somebody else uses on a worker is not given away. */
-static void othersUse(void **state)
+static void others_use(void **state)
 {
     (void)state;
-    Fleet *fleet = fleetNew(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     for (int i = 0; i < 10; i++)
-        fleetNode(fleet, FLEET_WORKER, i)->workerProps.others = (Room){60000, 0, 0};
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000));
-    assert_true(fleetConfigure(fleet));
-    fleetRun(fleet, 2000);
+        fleet_node(fleet, FLEET_WORKER, i)->worker_props.others = (Room){60000, 0, 0};
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
+    fleet_run(fleet, 2000);
     const char *text;
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                          STEPS("o", "{\"name\":\"a\",\"count\":20,\"room\":{\"cpu\":5,\"memMb\":10},\"payload\":{"
                                     "\"runMs\":30000}}"),
                          &text),
                      201);
-    fleetRun(fleet, 6000);
-    assert_int_equal(checkerStarts(fleet->checker), 12); /* of 64 cores; four are left on each other */
+    fleet_run(fleet, 6000);
+    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 cores; four are left on each other */
     for (int i = 0; i < 10; i++)
-        assert_int_equal(stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker), 0);
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
     end(fleet);
 }
 
 static size_t running(Fleet *fleet)
 {
     size_t count = 0;
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        count += stand_worker_running(fleetNode(fleet, FLEET_WORKER, i)->worker);
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
+        count += stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker);
     return count;
 }
 
 /* The second survival rule: all disks fail, nobody can hold the lock, and all
  * members see each other: work goes on. One more failure, and it stops. When the
  * disks work again after a restart, it is planned anew. */
-static void storeGone(void **state)
+static void store_gone(void **state)
 {
     (void)state;
     for (int with = 0; with < 2; with++) {
@@ -486,31 +486,31 @@
         assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                              STEPS("l", "{\"name\":\"a\",\"count\":22," ROOM ",\"payload\":{\"runMs\":40000}}"), &text),
                          201);
-        fleetRun(fleet, 2000);
+        fleet_run(fleet, 2000);
         assert_int_equal(running(fleet), 22);
         for (int i = 0; i < 3; i++)
-            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
         /* a change that can't be written shows the failure */
         ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
-        fleetRun(fleet, 10000);
-        assert_int_equal(fleetLeader(fleet), -1);
+        fleet_run(fleet, 10000);
+        assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(running(fleet), 22);
         if (with) { /* a gate is lost: not every member answers any more */
-            fleetPowerOff(fleet, FLEET_GATE, 1);
-            fleetRun(fleet, 6000);
+            fleet_power_off(fleet, FLEET_GATE, 1);
+            fleet_run(fleet, 6000);
             assert_int_equal(running(fleet), 0);
         }
         for (int i = 0; i < 3; i++) {
-            sim_disk_fail(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-            fleetKill(fleet, FLEET_CORE, i);
-            fleetStartNode(fleet, FLEET_CORE, i);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+            fleet_kill(fleet, FLEET_CORE, i);
+            fleet_start_node(fleet, FLEET_CORE, i);
         }
-        fleetRun(fleet, 15000);
-        assert_true(fleetLeader(fleet) >= 0);
-        fleetRun(fleet, 60000);
+        fleet_run(fleet, 15000);
+        assert_true(fleet_leader(fleet) >= 0);
+        fleet_run(fleet, 60000);
         assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
         assert_non_null(strstr(text, "\"phase\":\"done\""));
-        assert_true(with ? checkerStarts(fleet->checker) >= 44 : checkerStarts(fleet->checker) >= 22);
+        assert_true(with ? checker_starts(fleet->checker) >= 44 : checker_starts(fleet->checker) >= 22);
         end(fleet);
     }
 }
@@ -522,8 +522,8 @@
     Fleet *fleet = begin();
     const char *text;
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("seen", ""), &text), 201);
-    fleetRun(fleet, 3000);
-    fleetKill(fleet, FLEET_GATE, 2);
+    fleet_run(fleet, 3000);
+    fleet_kill(fleet, FLEET_GATE, 2);
     assert_int_equal(ask(fleet, "GET", "/v1/trace?key=job:seen", NULL, &text), 200);
     static const char *const WAY[] = {"carried", "delivered", "fetched", "given", "runs", "over", "known"};
     const char *at = text;
@@ -550,7 +550,7 @@
 /* A leader that freezes with requests on the way: nobody waits out a long expiry.
  * What carries an identity is asked of the new leader; a change of configuration
  * gets its 504 as soon as a newer epoch is heard of, reads their answer. */
-static void leaderFreezes(void **state)
+static void leader_freezes(void **state)
 {
     (void)state;
     static const char JOB[] =
@@ -563,13 +563,13 @@
                  {"PATCH", "/v1/config?base=1", "{\"r\":0}", 504},
                  {"GET", "/v1/config", NULL, 200}};
     for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++) {
-        Fleet *fleet = fleetNew(NULL, 3 + i, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-        fleetStart(fleet);
-        assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
-        fleetRun(fleet, 1000);
-        fleetFreeze(fleet, FLEET_CORE, fleetLeader(fleet), 9000);
+        Fleet *fleet = fleet_new(NULL, 3 + i, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+        fleet_start(fleet);
+        assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+        fleet_run(fleet, 1000);
+        fleet_freeze(fleet, FLEET_CORE, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
-        const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
                       call.code >= 400 ? 120 : 0, (const char *)call.result.data);
@@ -578,43 +578,43 @@
         else
             assert_int_equal(call.code, ASKED[i].code);
         assert_true(took_ms < 5000);
-        assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+        assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
 }
 
 /* /readyz tells the truth in each zone while one is cut off. */
-static void readyInACut(void **state)
+static void ready_in_a_cut(void **state)
 {
     (void)state;
-    Fleet *fleet = fleetNew(NULL, 8, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, 8, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
-        assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, i, "GET", "/readyz", NULL).code, 200);
-    fleetZoneCut(fleet, "north", true);
-    fleetRun(fleet, 8000);
-    const HttpCall cut = fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, i, "GET", "/readyz", NULL).code, 200);
+    fleet_zone_cut(fleet, "north", true);
+    fleet_run(fleet, 8000);
+    const HttpCall cut = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL);
     assert_int_equal(cut.code, 503);
     assert_true(cut.retry_after_s > 0);
-    assert_int_not_equal(fleetAsk(fleet, fleet, FLEET_CORE, 0, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 1, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 2, "GET", "/readyz", NULL).code, 200);
-    fleetZoneCut(fleet, "north", false);
-    fleetRun(fleet, 5000);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_not_equal(fleet_ask(fleet, fleet, FLEET_CORE, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "GET", "/readyz", NULL).code, 200);
+    fleet_zone_cut(fleet, "north", false);
+    fleet_run(fleet, 5000);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
     talloc_free(fleet);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(badJobs),        cmocka_unit_test(badPaths),       cmocka_unit_test(twiceAtOnce),
-        cmocka_unit_test(dueAndDelay),    cmocka_unit_test(gangAllOrNone),  cmocka_unit_test(cancelled),
-        cmocka_unit_test(failsThenWorks), cmocka_unit_test(finishToldLate), cmocka_unit_test(configRaces),
-        cmocka_unit_test(badReports),     cmocka_unit_test(traced),         cmocka_unit_test(storeGone),
-        cmocka_unit_test(copies),         cmocka_unit_test(othersUse),      cmocka_unit_test(leaderFreezes),
-        cmocka_unit_test(readyInACut),
+        cmocka_unit_test(bad_jobs),         cmocka_unit_test(bad_paths),        cmocka_unit_test(twice_at_once),
+        cmocka_unit_test(due_and_delay),    cmocka_unit_test(gang_all_or_none), cmocka_unit_test(cancelled),
+        cmocka_unit_test(fails_then_works), cmocka_unit_test(finish_told_late), cmocka_unit_test(config_races),
+        cmocka_unit_test(bad_reports),      cmocka_unit_test(traced),           cmocka_unit_test(store_gone),
+        cmocka_unit_test(copies),           cmocka_unit_test(others_use),       cmocka_unit_test(leader_freezes),
+        cmocka_unit_test(ready_in_a_cut),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -33,43 +33,43 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){CORES, GATES, 3, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CORES, GATES, 3, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
 }
 
-static const FleetNode *nodeAt(Fleet *fleet, int number)
+static const FleetNode *node_at(Fleet *fleet, int number)
 {
     const int at = number % NODES;
-    return at < GATES ? fleetNode(fleet, FLEET_GATE, at) : fleetNode(fleet, FLEET_CORE, at - GATES);
+    return at < GATES ? fleet_node(fleet, FLEET_GATE, at) : fleet_node(fleet, FLEET_CORE, at - GATES);
 }
 
-static const char *pathOf(void *mem, const Call *call)
+static const char *path_of(void *mem, const Call *call)
 {
     return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, call->base, call->version);
 }
 
 /* The first document with a note of its own. */
-static const char *wholeBody(Fleet *fleet, const char *note)
+static const char *whole_body(Fleet *fleet, const char *note)
 {
     return talloc_asprintf(fleet, "{\"note\":\"%s\",%s", note, mix_config(fleet->shape.mix) + 1);
 }
 
-static const char *patchBody(Fleet *fleet, const char *note)
+static const char *patch_body(Fleet *fleet, const char *note)
 {
     return talloc_asprintf(fleet, "{\"note\":\"%s\"}", note);
 }
 
 /* 0: no clear answer. */
-static int sendOnce(const Call *call, int node)
+static int send_once(const Call *call, int node)
 {
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall sent = {.mem = mem,
-                     .address = nodeAt(call->fleet, node)->props.http,
+                     .address = node_at(call->fleet, node)->props.http,
                      .method = call->method,
-                     .path = pathOf(mem, call),
+                     .path = path_of(mem, call),
                      .wait_ms = ASK_WAIT_MS};
     bytes_add(mem, &sent.body, call->body, strlen(call->body));
     const int code = loop_call(loop, &sent) == STATUS_OK && sent.code < 500 ? sent.code : 0;
@@ -77,40 +77,41 @@
     return code;
 }
 
-static void callMain(void *arg)
+static void call_main(void *arg)
 {
     Call *call = arg;
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
     for (int i = 0; i < TRIES_MOST && call->code == 0; i++) {
-        call->code = sendOnce(call, call->node + i);
+        call->code = send_once(call, call->node + i);
         loop_sleep(loop, 20);
     }
     call->done = true;
 }
 
-static void callStart(Call *call)
+static void call_start(Call *call)
 {
-    loop_spawn(sim_loop(call->fleet->world, call->fleet->caller), "call", callMain, call);
+    loop_spawn(sim_loop(call->fleet->world, call->fleet->caller), "call", call_main, call);
 }
 
-static void callsWait(Fleet *fleet, const Call *calls, size_t count)
+static void calls_wait(Fleet *fleet, const Call *calls, size_t count)
 {
     for (size_t i = 0; i < count; i++)
         for (int turns = 0; !calls[i].done && turns < 100000; turns++)
-            fleetRun(fleet, 5);
+            fleet_run(fleet, 5);
 }
 
 /* Sends it once more, unchanged, to the node. */
 static int again(const Call *call, int node)
 {
     void *mem = talloc_new(NULL);
-    const FleetNode *at = nodeAt(call->fleet, node);
-    const int code = fleetAsk(call->fleet, mem, at->role, at->number, call->method, pathOf(mem, call), call->body).code;
+    const FleetNode *at = node_at(call->fleet, node);
+    const int code =
+        fleet_ask(call->fleet, mem, at->role, at->number, call->method, path_of(mem, call), call->body).code;
     talloc_free(mem);
     return code;
 }
 
-static void againEverywhere(const Call *call, int code)
+static void again_everywhere(const Call *call, int code)
 {
     for (int i = 0; i < NODES; i++)
         assert_int_equal(again(call, i), code);
@@ -119,7 +120,7 @@
 static uint64_t newest(Fleet *fleet)
 {
     void *mem = talloc_new(NULL);
-    const HttpCall call = fleetAsk(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
     assert_int_equal(call.code, 200);
     const char *at = strstr((const char *)call.result.data, "\"revision\":");
     const uint64_t version = strtoull(at + strlen("\"revision\":"), NULL, 10);
@@ -128,7 +129,7 @@
 }
 
 /* So many patches, one upon the other. */
-static void changesMore(Fleet *fleet, int count)
+static void changes_more(Fleet *fleet, int count)
 {
     uint64_t base = newest(fleet);
     for (int i = 0; i < count; i++, base++) {
@@ -136,7 +137,7 @@
                            .base = base,
                            .version = base + 1,
                            .method = "PATCH",
-                           .body = patchBody(fleet, i % 2 == 0 ? "even" : "odd")};
+                           .body = patch_body(fleet, i % 2 == 0 ? "even" : "odd")};
         assert_int_equal(again(&more, i % GATES), 200);
     }
 }
@@ -145,25 +146,25 @@
 {
     const uint64_t base = newest(fleet);
     Call call = {.fleet = fleet, .base = base, .version = base + 3, .method = method};
-    call.body = strcmp(method, "PUT") == 0 ? wholeBody(fleet, note) : patchBody(fleet, note);
+    call.body = strcmp(method, "PUT") == 0 ? whole_body(fleet, note) : patch_body(fleet, note);
     assert_int_equal(again(&call, 0), 200);
     return call;
 }
 
 /* Kills leaders until the core leads. */
-static void makeLead(Fleet *fleet, int core)
+static void make_lead(Fleet *fleet, int core)
 {
-    for (int i = 0; i < 12 && fleetLeader(fleet) != core; i++) {
-        const int leader = fleetLeader(fleet);
-        checkerFault(fleet->checker);
+    for (int i = 0; i < 12 && fleet_leader(fleet) != core; i++) {
+        const int leader = fleet_leader(fleet);
+        checker_fault(fleet->checker);
         if (leader >= 0) {
-            fleetKill(fleet, FLEET_CORE, leader);
-            fleetRun(fleet, 4000);
-            fleetStartNode(fleet, FLEET_CORE, leader);
+            fleet_kill(fleet, FLEET_CORE, leader);
+            fleet_run(fleet, 4000);
+            fleet_start_node(fleet, FLEET_CORE, leader);
         }
-        fleetRun(fleet, 5000);
+        fleet_run(fleet, 5000);
     }
-    assert_int_equal(fleetLeader(fleet), core);
+    assert_int_equal(fleet_leader(fleet), core);
 }
 
 /* --- races ---------------------------------------------------------------------------------- */
@@ -173,34 +174,34 @@
 static void upset(Fleet *fleet, Upset how, int leader, bool begins)
 {
     if (how == UPSET_KILL && begins)
-        fleetKill(fleet, FLEET_CORE, leader);
+        fleet_kill(fleet, FLEET_CORE, leader);
     else if (how == UPSET_KILL)
-        fleetStartNode(fleet, FLEET_CORE, leader);
+        fleet_start_node(fleet, FLEET_CORE, leader);
     else if (how == UPSET_FREEZE && begins)
-        fleetFreeze(fleet, FLEET_CORE, leader, 3000);
+        fleet_freeze(fleet, FLEET_CORE, leader, 3000);
     else if (how == UPSET_CUT)
-        fleetIsolate(fleet, FLEET_CORE, leader, begins);
+        fleet_isolate(fleet, FLEET_CORE, leader, begins);
 }
 
 /* Two calls on one base at the same moment; the leader is lost some ms after they were sent. */
-static void raceOnce(Fleet *fleet, Call pair[2], Upset how, int64_t after_ms)
+static void race_once(Fleet *fleet, Call pair[2], Upset how, int64_t after_ms)
 {
-    const int leader = fleetLeader(fleet);
+    const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     for (int k = 0; k < 2; k++)
-        callStart(&pair[k]);
+        call_start(&pair[k]);
     if (how != UPSET_NONE) {
-        checkerFault(fleet->checker);
-        fleetRun(fleet, after_ms);
+        checker_fault(fleet->checker);
+        fleet_run(fleet, after_ms);
         upset(fleet, how, leader, true);
-        fleetRun(fleet, 3000);
+        fleet_run(fleet, 3000);
         upset(fleet, how, leader, false);
     }
-    callsWait(fleet, pair, 2);
-    fleetRun(fleet, how != UPSET_NONE ? 5000 : 50);
+    calls_wait(fleet, pair, 2);
+    fleet_run(fleet, how != UPSET_NONE ? 5000 : 50);
 }
 
-static void racesOf(uint64_t seed, const char *methodA, const char *methodB)
+static void races_of(uint64_t seed, const char *method_a, const char *method_b)
 {
     Fleet *fleet = begin(seed);
     int firsts = 0, rounds = 0;
@@ -209,50 +210,50 @@
             const uint64_t base = newest(fleet);
             Call pair[2];
             for (int k = 0; k < 2; k++) {
-                const char *method = k == 0 ? methodA : methodB;
+                const char *method = k == 0 ? method_a : method_b;
                 const char *note = talloc_asprintf(fleet, "r%d-%d", rounds, k);
                 pair[k] = (Call){.fleet = fleet, .base = base, .version = base + 2, .method = method};
                 pair[k].version += (uint64_t)(rounds % 2 * k); /* one number, or one each */
-                pair[k].body = strcmp(method, "PUT") == 0 ? wholeBody(fleet, note) : patchBody(fleet, note);
+                pair[k].body = strcmp(method, "PUT") == 0 ? whole_body(fleet, note) : patch_body(fleet, note);
                 pair[k].node = rounds + 2 * k;
             }
-            raceOnce(fleet, pair, (Upset)how, after_ms);
+            race_once(fleet, pair, (Upset)how, after_ms);
             const bool first = pair[0].code == 200 && pair[1].code == 409;
             if (!first && !(pair[0].code == 409 && pair[1].code == 200))
-                fail_msg("%s against %s, upset %d after %d ms: %d and %d", methodA, methodB, how, (int)after_ms,
+                fail_msg("%s against %s, upset %d after %d ms: %d and %d", method_a, method_b, how, (int)after_ms,
                          pair[0].code, pair[1].code);
             firsts += first;
             assert_int_equal(newest(fleet), pair[first ? 0 : 1].version);
             for (int k = 0; k < 2; k++)
-                againEverywhere(&pair[k], pair[k].code);
+                again_everywhere(&pair[k], pair[k].code);
         }
-    print_message("%s against %s: the first won %d of %d\n", methodA, methodB, firsts, rounds);
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    print_message("%s against %s: the first won %d of %d\n", method_a, method_b, firsts, rounds);
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
-static void wholeAgainstWhole(void **state)
+static void whole_against_whole(void **state)
 {
     (void)state;
-    racesOf(61, "PUT", "PUT");
+    races_of(61, "PUT", "PUT");
 }
 
-static void wholeAgainstPatch(void **state)
+static void whole_against_patch(void **state)
 {
     (void)state;
-    racesOf(62, "PUT", "PATCH");
+    races_of(62, "PUT", "PATCH");
 }
 
-static void patchAgainstPatch(void **state)
+static void patch_against_patch(void **state)
 {
     (void)state;
-    racesOf(63, "PATCH", "PATCH");
+    races_of(63, "PATCH", "PATCH");
 }
 
 /* Eight at once, each with a body of its own, some with the same number: one is confirmed. Then the
  * same call eight times: it is one change, and confirmed to all. */
-static void eightAtOnce(void **state)
+static void eight_at_once(void **state)
 {
     (void)state;
     Fleet *fleet = begin(64);
@@ -264,10 +265,10 @@
             const char *note = talloc_asprintf(fleet, "e%d-%d", round, same ? 0 : i);
             const uint64_t version = base + 5 + (same ? 0 : (uint64_t)(i % 3));
             calls[i] = (Call){.fleet = fleet, .base = base, .version = version, .node = i, .method = "PATCH"};
-            calls[i].body = patchBody(fleet, note);
-            callStart(&calls[i]);
+            calls[i].body = patch_body(fleet, note);
+            call_start(&calls[i]);
         }
-        callsWait(fleet, calls, RACERS);
+        calls_wait(fleet, calls, RACERS);
         int confirmed = 0;
         for (int i = 0; i < RACERS; i++) {
             assert_true(calls[i].code == 200 || calls[i].code == 409);
@@ -281,92 +282,93 @@
 }
 
 /* One body, and one number, on two bases: it is not the same call. */
-static void otherBase(void **state)
+static void other_base(void **state)
 {
     (void)state;
     Fleet *fleet = begin(65);
     const Call first = taken(fleet, "PATCH", "a");
-    changesMore(fleet, 1);
+    changes_more(fleet, 1);
     Call other = first;
     other.base = newest(fleet);
     other.version = other.base + 1;
     assert_int_equal(again(&other, 1), 200);
-    againEverywhere(&first, 200);
+    again_everywhere(&first, 200);
     Call number = other;
     number.base = first.base;
-    againEverywhere(&number, 409);
+    again_everywhere(&number, 409);
     talloc_free(fleet);
 }
 
 /* --- sent again -------------------------------------------------------------------------------- */
 
 /* A disk is lost and brought up to date by a snapshot; then its core leads. */
-static void afterWipe(void **state)
+static void after_wipe(void **state)
 {
     (void)state;
     Fleet *fleet = begin(66);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
-    const int lost = (fleetLeader(fleet) + 1) % CORES;
-    checkerFault(fleet->checker);
-    fleetPowerOff(fleet, FLEET_CORE, lost);
-    simDiskWipe(fleet->world, fleetNode(fleet, FLEET_CORE, lost)->machine);
+    const int lost = (fleet_leader(fleet) + 1) % CORES;
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_CORE, lost);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine);
     for (int i = 0; i < GATES; i++) /* while it is away */
         assert_int_equal(again(&patch, i), 200);
-    fleetStartNode(fleet, FLEET_CORE, lost);
-    fleetRun(fleet, 20000);
-    makeLead(fleet, lost);
-    againEverywhere(&whole, 200);
-    againEverywhere(&patch, 200);
+    fleet_start_node(fleet, FLEET_CORE, lost);
+    fleet_run(fleet, 20000);
+    make_lead(fleet, lost);
+    again_everywhere(&whole, 200);
+    again_everywhere(&patch, 200);
     talloc_free(fleet);
 }
 
 /* All lose power; the disks keep what they synced. */
-static void afterPower(void **state)
+static void after_power(void **state)
 {
     (void)state;
     Fleet *fleet = begin(67);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
-    checkerFault(fleet->checker);
+    checker_fault(fleet->checker);
     for (int i = 0; i < CORES; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < CORES; i++)
-        fleetStartNode(fleet, FLEET_CORE, i);
-    fleetRun(fleet, 12000);
-    againEverywhere(&patch, 200);
-    againEverywhere(&whole, 200);
+        fleet_start_node(fleet, FLEET_CORE, i);
+    fleet_run(fleet, 12000);
+    again_everywhere(&patch, 200);
+    again_everywhere(&whole, 200);
     talloc_free(fleet);
 }
 
 /* An order whose answers were all lost is sent on for as long as its operator likes, while
  * others make hundreds of changes; through a log shortened into a snapshot as well. */
-static void afterHundreds(void **state)
+static void after_hundreds(void **state)
 {
     (void)state;
     Fleet *fleet = begin(68);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
-    changesMore(fleet, 5);
-    againEverywhere(&whole, 200);
-    changesMore(fleet, 500);
-    againEverywhere(&whole, 200);
-    againEverywhere(&patch, 200);
-    const int lost = (fleetLeader(fleet) + 1) % CORES;
-    checkerFault(fleet->checker);
-    fleetPowerOff(fleet, FLEET_CORE, lost);
-    simDiskWipe(fleet->world, fleetNode(fleet, FLEET_CORE, lost)->machine);
-    fleetStartNode(fleet, FLEET_CORE, lost);
-    fleetRun(fleet, 20000);
-    makeLead(fleet, lost);
-    againEverywhere(&whole, 200);
-    againEverywhere(&patch, 200);
+    changes_more(fleet, 5);
+    again_everywhere(&whole, 200);
+    changes_more(fleet, 500);
+    again_everywhere(&whole, 200);
+    again_everywhere(&patch, 200);
+    const int lost = (fleet_leader(fleet) + 1) % CORES;
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_CORE, lost);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine);
+    fleet_start_node(fleet, FLEET_CORE, lost);
+    fleet_run(fleet, 20000);
+    make_lead(fleet, lost);
+    again_everywhere(&whole, 200);
+    again_everywhere(&patch, 200);
     talloc_free(fleet);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(wholeAgainstWhole), cmocka_unit_test(wholeAgainstPatch), cmocka_unit_test(patchAgainstPatch),
-        cmocka_unit_test(eightAtOnce),       cmocka_unit_test(otherBase),         cmocka_unit_test(afterWipe),
-        cmocka_unit_test(afterPower),        cmocka_unit_test(afterHundreds),
+        cmocka_unit_test(whole_against_whole), cmocka_unit_test(whole_against_patch),
+        cmocka_unit_test(patch_against_patch), cmocka_unit_test(eight_at_once),
+        cmocka_unit_test(other_base),          cmocka_unit_test(after_wipe),
+        cmocka_unit_test(after_power),         cmocka_unit_test(after_hundreds),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -19,25 +19,25 @@
 
 static Fleet *begun(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
-            fleetNode(fleet, (FleetRole)role, i)->props.bounds.hold_ms = HOLD_MS;
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 20000));
-    assert_true(fleetConfigure(fleet));
-    const HttpCall call = fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", JOB);
+        for (int i = 0; i < fleet->node_count[role]; i++)
+            fleet_node(fleet, (FleetRole)role, i)->props.bounds.hold_ms = HOLD_MS;
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 20000));
+    assert_true(fleet_configure(fleet));
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", JOB);
     assert_int_equal(call.code / 100, 2);
     return fleet;
 }
 
-static int workerOf(Fleet *fleet)
+static int worker_of(Fleet *fleet)
 {
-    const Job *job = fleetJob(fleet, "s");
+    const Job *job = fleet_job(fleet, "s");
     assert_non_null(job);
     assert_true(task_on_worker(job->tasks[0].phase));
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        if (strcmp(fleetNode(fleet, FLEET_WORKER, i)->props.name, job->tasks[0].worker) == 0)
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
+        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->props.name, job->tasks[0].worker) == 0)
             return i;
     return -1;
 }
@@ -45,52 +45,52 @@
 static int64_t ended_ms(Fleet *fleet)
 {
     for (int i = 0; i < 300; i++) {
-        const Job *job = fleetJob(fleet, "s");
+        const Job *job = fleet_job(fleet, "s");
         if (job != NULL && job->phase == JOB_DONE)
             return sim_now_ms(fleet->world);
-        fleetRun(fleet, 50);
+        fleet_run(fleet, 50);
     }
     return INT64_MAX;
 }
 
 /* The machine goes dark seven seconds into nine; nobody tells what it came to. */
-static void machineLost(void **state)
+static void machine_lost(void **state)
 {
     (void)state;
     Fleet *fleet = begun(3);
-    fleetRun(fleet, 7000);
-    const int at = workerOf(fleet);
-    fleetPowerOff(fleet, FLEET_AGENT, at);
-    fleetPowerOff(fleet, FLEET_WORKER, at);
-    const int64_t offMs = sim_now_ms(fleet->world);
+    fleet_run(fleet, 7000);
+    const int at = worker_of(fleet);
+    fleet_power_off(fleet, FLEET_AGENT, at);
+    fleet_power_off(fleet, FLEET_WORKER, at);
+    const int64_t off_ms = sim_now_ms(fleet->world);
     /* the hold, and what is left: not the whole again */
-    assert_in_range(ended_ms(fleet) - offMs, 1, HOLD_MS + 4500);
-    assert_int_equal(checkerResumes(fleet->checker), 1);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    assert_in_range(ended_ms(fleet) - off_ms, 1, HOLD_MS + 4500);
+    assert_int_equal(checker_resumes(fleet->checker), 1);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 /* The leader dies first; the next one hears it all from the beats. */
-static void leaderLostBefore(void **state)
+static void leader_lost_before(void **state)
 {
     (void)state;
     Fleet *fleet = begun(4);
-    fleetRun(fleet, 2000);
-    fleetKill(fleet, FLEET_CORE, fleetLeader(fleet));
-    fleetRun(fleet, 5000); /* another leads; beats have come */
-    assert_true(fleetLeader(fleet) >= 0);
-    const int at = workerOf(fleet);
-    fleetPowerOff(fleet, FLEET_AGENT, at);
-    fleetPowerOff(fleet, FLEET_WORKER, at);
-    const int64_t offMs = sim_now_ms(fleet->world);
-    assert_in_range(ended_ms(fleet) - offMs, 1, HOLD_MS + 4500);
-    assert_int_equal(checkerResumes(fleet->checker), 1);
-    assert_int_equal(checkerBrokenAll(fleet->checker), 0);
+    fleet_run(fleet, 2000);
+    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_run(fleet, 5000); /* another leads; beats have come */
+    assert_true(fleet_leader(fleet) >= 0);
+    const int at = worker_of(fleet);
+    fleet_power_off(fleet, FLEET_AGENT, at);
+    fleet_power_off(fleet, FLEET_WORKER, at);
+    const int64_t off_ms = sim_now_ms(fleet->world);
+    assert_in_range(ended_ms(fleet) - off_ms, 1, HOLD_MS + 4500);
+    assert_int_equal(checker_resumes(fleet->checker), 1);
+    assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(machineLost), cmocka_unit_test(leaderLostBefore)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(machine_lost), cmocka_unit_test(leader_lost_before)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -49,7 +49,7 @@
 }
 
 /* The last number behind a key; 0: it is not there. */
-static uint64_t numberIn(const HttpCall *call, const char *key)
+static uint64_t number_in(const HttpCall *call, const char *key)
 {
     const char *at = strstr((const char *)call->result.data, key);
     return at != NULL ? strtoull(at + strlen(key), NULL, 10) : 0;
@@ -63,25 +63,25 @@
                  sim_now_ms(watched->fleet->world), what, told, known);
 }
 
-static void readConfig(const Reader *reader, Loop *loop, void *mem)
+static void read_config(const Reader *reader, Loop *loop, void *mem)
 {
     Watched *watched = reader->watched;
     const uint64_t known = watched->acknowledged;
     const HttpCall call = ask(loop, mem, reader->address, "GET", "/v1/config", NULL);
-    const uint64_t told = numberIn(&call, "\"revision\":");
+    const uint64_t told = number_in(&call, "\"revision\":");
     watched->answers += call.code == 200;
     if (call.code == 200 && told < known)
         wrong(watched, reader, "the configuration", told, known);
 }
 
 /* A refusal tells what is in force. */
-static void readRefusal(const Reader *reader, Loop *loop, void *mem)
+static void read_refusal(const Reader *reader, Loop *loop, void *mem)
 {
     Watched *watched = reader->watched;
     const uint64_t known = watched->acknowledged;
     const HttpCall call =
         ask(loop, mem, reader->address, "PATCH", "/v1/config?base=0&revision=1", "{\"note\":\"never\"}");
-    const uint64_t told = numberIn(&call, "\"current\":");
+    const uint64_t told = number_in(&call, "\"current\":");
     watched->answers += call.code == 409;
     if (call.code == 200 || (call.code == 409 && told < known))
         wrong(watched, reader, "a refusal", told, known);
@@ -100,15 +100,15 @@
         wrong(watched, reader, "that it knows no job", 0, known);
 }
 
-static void readerMain(void *arg)
+static void reader_main(void *arg)
 {
     const Reader *reader = arg;
     Watched *watched = reader->watched;
     Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     while (!watched->stop) {
         void *mem = talloc_new(loop);
-        readConfig(reader, loop, mem);
-        readRefusal(reader, loop, mem);
+        read_config(reader, loop, mem);
+        read_refusal(reader, loop, mem);
         read_job(reader, loop, mem);
         talloc_free(mem);
         loop_sleep(loop, READ_PAUSE_MS);
@@ -116,19 +116,19 @@
 }
 
 /* Changes the configuration without a pause, at one core after the other. */
-static void operatorMain(void *arg)
+static void operator_main(void *arg)
 {
     Watched *watched = arg;
     Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     uint64_t base = watched->acknowledged;
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleetNode(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 1);
         const HttpCall call = ask(loop, mem, address, "PATCH", path, "{\"note\":\"n\"}");
         if (call.code == 200 && base + 1 > watched->acknowledged)
             watched->acknowledged = base + 1;
-        const uint64_t current = numberIn(&call, "\"current\":");
+        const uint64_t current = number_in(&call, "\"current\":");
         base = call.code == 409 && current > base ? current
                : watched->acknowledged > base     ? watched->acknowledged
                                                   : base;
@@ -137,13 +137,13 @@
     }
 }
 
-static void senderMain(void *arg)
+static void sender_main(void *arg)
 {
     Watched *watched = arg;
     Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleetNode(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
         const char *body = talloc_asprintf(
             mem,
             "{\"id\":\"j-%zu\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":"
@@ -163,34 +163,34 @@
     watched->acknowledged = 1;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     for (int i = 0; i < CORES + GATES; i++) {
-        const FleetNode *node = i < CORES ? fleetNode(fleet, FLEET_CORE, i) : fleetNode(fleet, FLEET_GATE, i - CORES);
+        const FleetNode *node = i < CORES ? fleet_node(fleet, FLEET_CORE, i) : fleet_node(fleet, FLEET_GATE, i - CORES);
         Reader *reader = talloc_zero(watched, Reader);
         *reader = (Reader){watched, node->props.http, node->props.name};
-        loop_spawn(loop, "reader", readerMain, reader);
+        loop_spawn(loop, "reader", reader_main, reader);
     }
-    loop_spawn(loop, "operator", operatorMain, watched);
-    loop_spawn(loop, "sender", senderMain, watched);
+    loop_spawn(loop, "operator", operator_main, watched);
+    loop_spawn(loop, "sender", sender_main, watched);
     return watched;
 }
 
-static void cutCore(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
+static void cut_core(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
 {
     if (kind == CUT_FREEZE) { /* it wakes by itself, with all that was sent to it meanwhile */
         if (cut)
-            fleetFreeze(fleet, FLEET_CORE, victim, span_ms);
+            fleet_freeze(fleet, FLEET_CORE, victim, span_ms);
         return;
     }
     if (kind == CUT_ALL) {
-        fleetIsolate(fleet, FLEET_CORE, victim, cut);
+        fleet_isolate(fleet, FLEET_CORE, victim, cut);
         return;
     }
-    const int machine = fleetNode(fleet, FLEET_CORE, victim)->machine;
+    const int machine = fleet_node(fleet, FLEET_CORE, victim)->machine;
     for (int i = 0; i < CORES; i++) {
-        const int other = fleetNode(fleet, FLEET_CORE, i)->machine;
+        const int other = fleet_node(fleet, FLEET_CORE, i)->machine;
         if (i == victim)
             continue;
-        simRefuse(fleet->world, other, machine, kind == CUT_REFUSED);
-        simRefuse(fleet->world, machine, other, kind == CUT_REFUSED);
+        sim_refuse(fleet->world, other, machine, kind == CUT_REFUSED);
+        sim_refuse(fleet->world, machine, other, kind == CUT_REFUSED);
         if (kind != CUT_OUT)
             sim_cut(fleet->world, other, machine, cut);
         if (kind != CUT_IN)
@@ -200,9 +200,9 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){CORES, GATES, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CORES, GATES, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
 }
 
@@ -214,33 +214,34 @@
     CutKind kind;
     int64_t span_ms;
     bool restart;
-    int64_t rate, othersRate;
+    int64_t rate, others_rate;
 } CutCase;
 
-static void cutOnce(uint64_t seed, const CutCase *one)
+static void cut_once(uint64_t seed, const CutCase *one)
 {
     Fleet *fleet = begin(seed);
-    const int victim = (fleetLeader(fleet) + one->after) % CORES;
+    const int victim = (fleet_leader(fleet) + one->after) % CORES;
     Watched *watched = watch(fleet);
-    fleetRun(fleet, 1500 + (int64_t)(seed * 37 % 400));
+    fleet_run(fleet, 1500 + (int64_t)(seed * 37 % 400));
     const uint64_t before = watched->acknowledged;
-    checkerFault(fleet->checker);
-    cutCore(fleet, victim, one->kind, one->span_ms, true);
+    checker_fault(fleet->checker);
+    cut_core(fleet, victim, one->kind, one->span_ms, true);
     for (int i = 0; i < CORES; i++)
-        simClockRate(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, i == victim ? one->rate : one->othersRate);
-    fleetRun(fleet, one->span_ms / 2);
+        sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine,
+                       i == victim ? one->rate : one->others_rate);
+    fleet_run(fleet, one->span_ms / 2);
     if (one->restart) {
-        fleetKill(fleet, FLEET_CORE, victim);
-        fleetRun(fleet, 400);
-        fleetStartNode(fleet, FLEET_CORE, victim);
+        fleet_kill(fleet, FLEET_CORE, victim);
+        fleet_run(fleet, 400);
+        fleet_start_node(fleet, FLEET_CORE, victim);
     }
-    fleetRun(fleet, one->span_ms / 2);
+    fleet_run(fleet, one->span_ms / 2);
     const uint64_t during = watched->acknowledged;
-    cutCore(fleet, victim, one->kind, one->span_ms, false);
-    simClockRate(fleet->world, fleetNode(fleet, FLEET_CORE, victim)->machine, 100);
-    fleetRun(fleet, 4000);
+    cut_core(fleet, victim, one->kind, one->span_ms, false);
+    sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CORE, victim)->machine, 100);
+    fleet_run(fleet, 4000);
     watched->stop = true;
-    fleetRun(fleet, 2 * ASK_WAIT_MS);
+    fleet_run(fleet, 2 * ASK_WAIT_MS);
     if (watched->wrong[0] != '\0')
         fail_msg("%s, seed %" PRIu64 ": %s", one->name, seed, watched->wrong);
     assert_true(before > 1 && during >= before && watched->acknowledged > during);
@@ -249,14 +250,14 @@
     talloc_free(fleet);
 }
 
-static void cutEach(const CutCase *cases, size_t count, uint64_t seeds)
+static void cut_each(const CutCase *cases, size_t count, uint64_t seeds)
 {
     for (size_t i = 0; i < count; i++)
         for (uint64_t seed = 1; seed <= seeds; seed++)
-            cutOnce(100 * (i + 1) + seed, &cases[i]);
+            cut_once(100 * (i + 1) + seed, &cases[i]);
 }
 
-static void cutOff(void **state)
+static void cut_off(void **state)
 {
     (void)state;
     static const CutCase CASES[] = {
@@ -272,10 +273,10 @@
         {"the next, nothing goes out", 1, CUT_OUT, 5000, false, 100, 100},
         {"the next, started again", 1, CUT_BOTH, 6000, true, 100, 100},
     };
-    cutEach(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
+    cut_each(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
 }
 
-static void cutOffLong(void **state)
+static void cut_off_long(void **state)
 {
     (void)state;
     static const CutCase CASES[] = {
@@ -283,7 +284,7 @@
         {"leader, 60 s, started again", 0, CUT_BOTH, 60000, true, 100, 100},
         {"the next, 20 s", 1, CUT_BOTH, 20000, false, 100, 100},
     };
-    cutEach(CASES, sizeof(CASES) / sizeof(CASES[0]), 1);
+    cut_each(CASES, sizeof(CASES) / sizeof(CASES[0]), 1);
 }
 
 /* A process that stands still between its look at the lease and its answer, or wakes with
@@ -297,7 +298,7 @@
         {"leader frozen until another leads", 0, CUT_FREEZE, 4000, false, 100, 100},
         {"the next frozen", 1, CUT_FREEZE, 3000, false, 100, 100},
     };
-    cutEach(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
+    cut_each(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
 }
 
 /* The holder's clock is slow and the others' are quick: their grants lapse first. */
@@ -308,13 +309,13 @@
         {"leader slow by 2%", 0, CUT_BOTH, 5000, false, 98, 100},
         {"others quick by 2%", 0, CUT_BOTH, 5000, false, 100, 102},
     };
-    cutEach(CASES, sizeof(CASES) / sizeof(CASES[0]), 3);
+    cut_each(CASES, sizeof(CASES) / sizeof(CASES[0]), 3);
 }
 
 /* A clock that all but stands still inside its lease: the lease seems to go on for ever.
  * The configuration, and every refusal that claims to know what is in force or which jobs
  * there are, rests on a round of contact, not on a clock. */
-static void clockStands(void **state)
+static void clock_stands(void **state)
 {
     (void)state;
     static const CutCase CASES[] = {
@@ -322,14 +323,14 @@
         {"leader's clock stands, nothing comes in", 0, CUT_IN, 6000, false, 1, 100},
         {"leader's clock stands, refused and reset", 0, CUT_REFUSED, 6000, false, 1, 100},
     };
-    cutEach(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
+    cut_each(CASES, sizeof(CASES) / sizeof(CASES[0]), 2);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(cutOff),       cmocka_unit_test(cutOffLong),  cmocka_unit_test(frozen),
-        cmocka_unit_test(clocks_apart), cmocka_unit_test(clockStands),
+        cmocka_unit_test(cut_off),      cmocka_unit_test(cut_off_long), cmocka_unit_test(frozen),
+        cmocka_unit_test(clocks_apart), cmocka_unit_test(clock_stands),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -19,70 +19,70 @@
 
 static size_t running(Fleet *fleet)
 {
-    const Job *job = fleetJob(fleet, "g");
+    const Job *job = fleet_job(fleet, "g");
     size_t count = 0;
     for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
         count += job->tasks[t].phase == TASK_RUNNING;
     return count;
 }
 
-static int workerNumber(Fleet *fleet, const char *name)
+static int worker_number(Fleet *fleet, const char *name)
 {
-    for (int i = 0; i < fleet->nodeCount[FLEET_WORKER]; i++)
-        if (strcmp(fleetNode(fleet, FLEET_WORKER, i)->props.name, name) == 0)
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
+        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->props.name, name) == 0)
             return i;
     fail_msg("no worker %s", name);
     return -1;
 }
 
-static void goesWhole(void **state)
+static void goes_whole(void **state)
 {
     (void)state;
-    Fleet *fleet = fleetNew(NULL, 5, (FleetShape){3, 3, 5, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 5, MIX_TRENTVALE, 0});
     /* what runs outlives the loss of all cores */
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
+        for (int i = 0; i < fleet->node_count[role]; i++)
             fleet->nodes[role][i].props.bounds.hold_ms = fleet->nodes[role][i].props.bounds.worker_hold_ms = HOLD_MS;
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
-    assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", BODY).code, 201);
-    checkerAccepted(fleet->checker, "g");
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", BODY).code, 201);
+    checker_accepted(fleet->checker, "g");
     for (int i = 0; i < 50 && running(fleet) < 2; i++)
-        fleetRun(fleet, 100);
-    const Job *job = fleetJob(fleet, "g");
+        fleet_run(fleet, 100);
+    const Job *job = fleet_job(fleet, "g");
     assert_int_equal(running(fleet), 2);
     assert_int_equal(job->tasks[0].round, job->tasks[1].round);
     const uint64_t round = job->tasks[0].round;
-    const int gone = workerNumber(fleet, job->tasks[0].worker);
-    checkerFault(fleet->checker);
-    fleetPowerOff(fleet, FLEET_WORKER, gone);
-    fleetPowerOff(fleet, FLEET_AGENT, gone);
+    const int gone = worker_number(fleet, job->tasks[0].worker);
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_WORKER, gone);
+    fleet_power_off(fleet, FLEET_AGENT, gone);
     for (int i = 0; i < 3; i++)
-        fleetPowerOff(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CORE, i);
     for (int i = 0; i < 3; i++) {
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-        fleetStartNode(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CORE, i);
     }
-    fleetRun(fleet, 15000);
-    job = fleetJob(fleet, "g");
+    fleet_run(fleet, 15000);
+    job = fleet_job(fleet, "g");
     assert_non_null(job);
     if (running(fleet) != 2)
         fail_msg("%zu of 2 run: %s, %s", running(fleet), task_phase_word(job->tasks[0].phase),
                  task_phase_word(job->tasks[1].phase));
     assert_true(job->tasks[0].round > round);
     assert_int_equal(job->tasks[0].round, job->tasks[1].round);
-    fleetRun(fleet, 30000);
-    assert_int_equal(fleetJob(fleet, "g")->phase, JOB_DONE);
+    fleet_run(fleet, 30000);
+    assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
     /* claims are longer than the checker's bound for them, by the hold above */
-    if (checkerBrokenAll(fleet->checker) > checkerBroken(fleet->checker, NEVER_EARLY_RESTART))
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, NEVER_EARLY_RESTART))
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(goesWhole)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(goes_whole)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -27,9 +27,9 @@
 
 typedef struct Walk {
     Trigger trigger;
-    FleetRole role;   /* who is struck; of cores: the leader, or its follower after a kill */
-    int64_t freezeMs; /* 0: killed */
-    int stepsMost;
+    FleetRole role;    /* who is struck; of cores: the leader, or its follower after a kill */
+    int64_t freeze_ms; /* 0: killed */
+    int steps_most;
 } Walk;
 
 /* The node that the walk strikes; after a loss of the leader, the core that is
@@ -37,25 +37,25 @@
 static FleetNode *victim(Fleet *fleet, const Walk *walk, int leader, int step)
 {
     if (walk->role != FLEET_CORE)
-        return fleetNode(fleet, walk->role, 0);
+        return fleet_node(fleet, walk->role, 0);
     if (walk->trigger == ON_SUBMIT || walk->trigger == ON_CONFIG)
-        return fleetNode(fleet, FLEET_CORE, leader);
-    return fleetNode(fleet, FLEET_CORE, walk->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
+        return fleet_node(fleet, FLEET_CORE, leader);
+    return fleet_node(fleet, FLEET_CORE, walk->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
 }
 
 static void trigger(Fleet *fleet, const Walk *walk, int leader)
 {
-    checkerFault(fleet->checker);
+    checker_fault(fleet->checker);
     switch (walk->trigger) {
     case ON_LEADER_KILLED:
-        fleetKill(fleet, FLEET_CORE, leader);
+        fleet_kill(fleet, FLEET_CORE, leader);
         break;
     case ON_POWER_LOST:
         for (int i = 0; i < 3; i++)
-            fleetPowerOff(fleet, FLEET_CORE, i);
+            fleet_power_off(fleet, FLEET_CORE, i);
         for (int i = 0; i < 3; i++) {
-            simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, false);
-            fleetStartNode(fleet, FLEET_CORE, i);
+            sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+            fleet_start_node(fleet, FLEET_CORE, i);
         }
         break;
     default:
@@ -66,34 +66,34 @@
 /* One run, struck at the given turn; false: the way was shorter. */
 static bool strike(const Walk *walk, int step)
 {
-    Fleet *fleet = fleetNew(NULL, 11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
+    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3 && walk->trigger == ON_POWER_LOST; i++)
-        simDiskLie(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine, true);
-    checkerConfigSet(fleet->checker, 1);
-    fleetCall(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
-    fleetRun(fleet, 200);
-    const int leader = fleetLeader(fleet);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+    checker_config_set(fleet->checker, 1);
+    fleet_call(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
+    fleet_run(fleet, 200);
+    const int leader = fleet_leader(fleet);
     FleetNode *node = victim(fleet, walk, leader, step);
     trigger(fleet, walk, leader);
     const int64_t until_ms = sim_now_ms(fleet->world) + 6000;
     bool reached = true;
     for (int i = 0; i <= step && reached; i++)
-        reached = simTurn(fleet->world, node->machine, until_ms);
-    if (reached && walk->freezeMs > 0)
-        fleetFreeze(fleet, node->role, node->number, walk->freezeMs);
+        reached = sim_turn(fleet->world, node->machine, until_ms);
+    if (reached && walk->freeze_ms > 0)
+        fleet_freeze(fleet, node->role, node->number, walk->freeze_ms);
     else if (reached)
-        fleetKill(fleet, node->role, node->number);
-    checkerFault(fleet->checker);
-    fleetRun(fleet, 3000);
+        fleet_kill(fleet, node->role, node->number);
+    checker_fault(fleet->checker);
+    fleet_run(fleet, 3000);
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->nodeCount[role]; i++)
-            fleetStartNode(fleet, (FleetRole)role, i);
-    const bool finished = fleetFinish(fleet, 60000);
-    if (checkerBrokenAll(fleet->checker) > 0 || !finished)
+        for (int i = 0; i < fleet->node_count[role]; i++)
+            fleet_start_node(fleet, (FleetRole)role, i);
+    const bool finished = fleet_finish(fleet, 60000);
+    if (checker_broken_all(fleet->checker) > 0 || !finished)
         fail_msg("trigger %d, role %d, turn %d: %s", (int)walk->trigger, (int)walk->role, step,
-                 checkerBrokenAll(fleet->checker) > 0 ? checkerFirst(fleet->checker) : "jobs have not ended");
+                 checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "jobs have not ended");
     talloc_free(fleet);
     return reached;
 }
@@ -101,51 +101,51 @@
 static void walked(const Walk *walk, int some)
 {
     int runs = 0;
-    for (int step = 0; step < walk->stepsMost && strike(walk, step); step += stride(some))
+    for (int step = 0; step < walk->steps_most && strike(walk, step); step += stride(some))
         runs++;
-    print_message("%d turns of %d struck\n", runs, walk->stepsMost);
+    print_message("%d turns of %d struck\n", runs, walk->steps_most);
     assert_true(runs > 0);
 }
 
 /* Between taking, ordering, committing, answering; between an order and its record. */
-static void leaderKilled(void **state)
+static void leader_killed(void **state)
 {
     (void)state;
     walked(&(Walk){ON_SUBMIT, FLEET_CORE, 0, 160}, 8);
 }
 
-static void leaderFrozen(void **state)
+static void leader_frozen(void **state)
 {
     (void)state;
     walked(&(Walk){ON_SUBMIT, FLEET_CORE, 5000, 160}, 16);
 }
 
-static void gateKilled(void **state)
+static void gate_killed(void **state)
 {
     (void)state;
     walked(&(Walk){ON_SUBMIT, FLEET_GATE, 0, 80}, 8);
 }
 
-static void agentKilled(void **state)
+static void agent_killed(void **state)
 {
     (void)state;
     walked(&(Walk){ON_SUBMIT, FLEET_AGENT, 0, 120}, 8);
 }
 
-static void agentFrozen(void **state)
+static void agent_frozen(void **state)
 {
     (void)state;
     walked(&(Walk){ON_SUBMIT, FLEET_AGENT, 4000, 120}, 16);
 }
 
 /* Each step of a change of view: one of three is dead, the next is struck too. */
-static void duringChangeOfView(void **state)
+static void during_change_of_view(void **state)
 {
     (void)state;
     walked(&(Walk){ON_LEADER_KILLED, FLEET_CORE, 0, 200}, 14);
 }
 
-static void duringRepair(void **state)
+static void during_repair(void **state)
 {
     (void)state;
     walked(&(Walk){ON_POWER_LOST, FLEET_CORE, 0, 200}, 14);
@@ -154,9 +154,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(leaderKilled), cmocka_unit_test(leaderFrozen), cmocka_unit_test(gateKilled),
-        cmocka_unit_test(agentKilled),  cmocka_unit_test(agentFrozen),  cmocka_unit_test(duringChangeOfView),
-        cmocka_unit_test(duringRepair),
+        cmocka_unit_test(leader_killed), cmocka_unit_test(leader_frozen), cmocka_unit_test(gate_killed),
+        cmocka_unit_test(agent_killed),  cmocka_unit_test(agent_frozen),  cmocka_unit_test(during_change_of_view),
+        cmocka_unit_test(during_repair),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -8,7 +8,7 @@
 
 #include "sim/sweep.h"
 
-static void seedsAt(SweepSite site, Mix mix, const uint64_t *list, size_t count)
+static void seeds_at(SweepSite site, Mix mix, const uint64_t *list, size_t count)
 {
 #if defined(__SANITIZE_ADDRESS__)
     count = count < 2 ? count : 2; /* some ten times slower there */
@@ -16,7 +16,7 @@
     for (size_t i = 0; i < count; i++) {
         SweepResult result;
         const SweepProps props = {.seed = list[i], .mix = mix, .site = site};
-        sweepRun(&props, &result);
+        sweep_run(&props, &result);
         if (!result.good)
             fail_msg("seed %u: %s", (unsigned)list[i], result.why);
         assert_true(result.starts > 100);
@@ -25,12 +25,12 @@
 }
 
 /* Each a case of its own, so that they are walked side by side. */
-#define SWEPT_AT(name, site, mix, ...)                            \
-    static void name(void **state)                                \
-    {                                                             \
-        static const uint64_t LIST[] = {__VA_ARGS__};             \
-        (void)state;                                              \
-        seedsAt(site, mix, LIST, sizeof(LIST) / sizeof(LIST[0])); \
+#define SWEPT_AT(name, site, mix, ...)                             \
+    static void name(void **state)                                 \
+    {                                                              \
+        static const uint64_t LIST[] = {__VA_ARGS__};              \
+        (void)state;                                               \
+        seeds_at(site, mix, LIST, sizeof(LIST) / sizeof(LIST[0])); \
     }
 #define SWEPT(name, mix, ...) SWEPT_AT(name, SWEEP_PLAIN, mix, __VA_ARGS__)
 
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -22,7 +22,7 @@
     if (seeds > SEEDS_MAX)
         seeds = SEEDS_MAX;
     for (uint64_t seed = 1; seed <= seeds; seed++)
-        if (!timelineRun(seed, shape, text, why, sizeof(why)))
+        if (!timeline_run(seed, shape, text, why, sizeof(why)))
             fail_msg("seed %u: %s", (unsigned)seed, why);
 }
 
@@ -41,14 +41,14 @@
          "0      leads   !leads  !leads  call:10/4000\n"
          "5000   leads   !leads  !leads  end+gap<1000\n")
 
-TIMELINE(leaderKilled, TRENTVALE, 3,
+TIMELINE(leader_killed, TRENTVALE, 3,
          "ms     leader  second  third   callers\n"
          "0      leads   .       .       call:10\n"
          "4000   kill    .       .       .\n"
          "12000  start   .       .       .\n"
          "20000  up      .       .       end+gap<6000\n")
 
-TIMELINE(workerKilled, TRENTVALE, 3,
+TIMELINE(worker_killed, TRENTVALE, 3,
          "ms     worker2  agent2  worker3  callers\n"
          "0      .        .       .        call:10\n"
          "4000   kill     .       .        .\n"
@@ -56,14 +56,14 @@
          "18000  runs     .       start    .\n"
          "20000  .        .       .        end+gap<1000\n")
 
-TIMELINE(machineOff, ATLAS, 3,
+TIMELINE(machine_off, ATLAS, 3,
          "ms     worker2  agent2  callers\n"
          "0      .        .       call:9\n"
          "4000   off      off     .\n"
          "12000  start    start   .\n"
          "20000  .        .       end+gap<1000\n")
 
-TIMELINE(agentFrozen, TRENTVALE, 3,
+TIMELINE(agent_frozen, TRENTVALE, 3,
          "ms     agent1       worker1  agent2      callers\n"
          "0      .            .        .           call:10\n"
          "4000   freeze:6000  .        freeze:900  .\n"
@@ -71,21 +71,21 @@
          "16000  .            runs     .           .\n"
          "20000  .            .        .           end+gap<1000\n")
 
-TIMELINE(workerFrozen, TRENTVALE, 3,
+TIMELINE(worker_frozen, TRENTVALE, 3,
          "ms     worker1      worker2      callers\n"
          "0      .            .            call:10\n"
          "4000   freeze:6000  freeze:2500  .\n"
          "16000  runs         runs         .\n"
          "20000  .            .            end+gap<1000\n")
 
-TIMELINE(leaderFrozen, TRENTVALE, 3,
+TIMELINE(leader_frozen, TRENTVALE, 3,
          "ms     leader       second  third  callers\n"
          "0      leads        .       .      call:10\n"
          "4000   freeze:7000  .       .      .\n"
          "11100  !leads       .       .      .\n"
          "20000  .            .       .      end+gap<6000\n")
 
-TIMELINE(minorityCut, TRENTVALE, 3,
+TIMELINE(minority_cut, TRENTVALE, 3,
          "ms     leader  second  third  callers\n"
          "0      .       .       .      call:10\n"
          "4000   cut     .       .      .\n"
@@ -96,7 +96,7 @@
          "30000  .       .       .      end+gap<6000\n")
 
 /* So much work that no worker is without a start for two seconds by chance. */
-TIMELINE(agentCut, ATLAS, 3,
+TIMELINE(agent_cut, ATLAS, 3,
          "ms     agent1  worker1  agent2  callers\n"
          "0      .       .        .       call:18\n"
          "4000   cut     .        cut     .\n"
@@ -106,21 +106,21 @@
          "16000  .       runs     .       .\n"
          "20000  .       .        .       end+gap<1000\n")
 
-TIMELINE(zoneOff, TRENTVALE, 3,
+TIMELINE(zone_off, TRENTVALE, 3,
          "ms     zone:north  callers\n"
          "0      .           call:10\n"
          "4000   off         .\n"
          "16000  start       .\n"
          "30000  .           end+gap<12000\n")
 
-TIMELINE(zoneCut, ATLAS, 3,
+TIMELINE(zone_cut, ATLAS, 3,
          "ms     zone:south  callers\n"
          "0      .           call:9\n"
          "4000   cut         .\n"
          "16000  join        .\n"
          "30000  .           end+gap<12000\n")
 
-TIMELINE(zoneDrained, TRENTVALE, 2,
+TIMELINE(zone_drained, TRENTVALE, 2,
          "ms     zone:west  worker3  worker1  callers\n"
          "0      .          .        .        call:30\n"
          "4000   drain      .        .        .\n"
@@ -129,7 +129,7 @@
          "26000  .          runs     .        .\n"
          "30000  .          .        .        end+gap<1000\n")
 
-TIMELINE(workerLeaves, TRENTVALE, 2,
+TIMELINE(worker_leaves, TRENTVALE, 2,
          "ms     worker1  worker4  callers\n"
          "0      .        .        call:10\n"
          "4000   leave    leave    .\n"
@@ -137,14 +137,14 @@
          "12000  idle     start    .\n"
          "20000  .        .        end+gap<1000\n")
 
-TIMELINE(allSeatsKilled, TRENTVALE, 3,
+TIMELINE(all_seats_killed, TRENTVALE, 3,
          "ms     core1  core2  core3  callers\n"
          "0      .      .      .      call:10\n"
          "4000   kill   kill   kill   .\n"
          "5000   start  start  start  .\n"
          "20000  .      .      .      end+gap<12000\n")
 
-TIMELINE(powerLostAfterAcknowledgement, ATLAS, 5,
+TIMELINE(power_lost_after_acknowledgement, ATLAS, 5,
          "ms     core1      core2      core3      callers\n"
          "0      lie        lie        lie        .\n"
          "1000   .          .          .          call:9\n"
@@ -153,7 +153,7 @@
          "5000   start      start      start      .\n"
          "25000  .          .          .          end+gap<12000\n")
 
-TIMELINE(oneDiskLies, ATLAS, 3,
+TIMELINE(one_disk_lies, ATLAS, 3,
          "ms     leader  second  third  callers\n"
          "0      .       lie     .      .\n"
          "1000   .       .       .      call:9\n"
@@ -163,7 +163,7 @@
          "12000  start   honest  .      .\n"
          "25000  .       .       .      end+gap<12000\n")
 
-TIMELINE(slowDisks, TRENTVALE, 3,
+TIMELINE(slow_disks, TRENTVALE, 3,
          "ms     leader     second     third  callers\n"
          "0      .          .          .      call:10\n"
          "4000   slow:4000  .          .      .\n"
@@ -171,13 +171,13 @@
          "20000  .          slow:3     .      .\n"
          "26000  .          .          .      end+gap<8000\n")
 
-TIMELINE(diskFails, ATLAS, 2,
+TIMELINE(disk_fails, ATLAS, 2,
          "ms     leader     second  third  callers\n"
          "0      .          .       .      call:9\n"
          "4000   diskfails  .       .      .\n"
          "20000  .          .       .      end+gap<8000\n")
 
-TIMELINE(clocksJump, ATLAS, 2,
+TIMELINE(clocks_jump, ATLAS, 2,
          "ms     leader        second         agent1        callers\n"
          "0      .             .              .             call:9\n"
          "4000   jump:3600000  .              jump:-600000  .\n"
@@ -186,7 +186,7 @@
          "9000   kill          .              .             .\n"
          "20000  .             .              .             end+gap<6000\n")
 
-TIMELINE(oneWayCuts, TRENTVALE, 3,
+TIMELINE(one_way_cuts, TRENTVALE, 3,
          "ms     leader       second       third       callers\n"
          "0      .            .            .           call:10\n"
          "4000   cut>second   .            .           .\n"
@@ -194,7 +194,7 @@
          "14000  .            join>leader  .           .\n"
          "24000  .            .            .           end+gap<9000\n")
 
-TIMELINE(gateKilled, TRENTVALE, 2,
+TIMELINE(gate_killed, TRENTVALE, 2,
          "ms     gate1  gate2        callers\n"
          "0      .      .            call:10\n"
          "4000   kill   freeze:3000  .\n"
@@ -203,7 +203,7 @@
 
 /* A new version rolled out over the running fleet, one process at a time: no
  * job fails, and nobody waits longer than for one change of leader. */
-TIMELINE(rolledOut, TRENTVALE, 2,
+TIMELINE(rolled_out, TRENTVALE, 2,
          "ms     leader  second  third  gate1  gate2  gate3  agent1  agent2  agent3  callers\n"
          "0      .       .       .      .      .      .      .       .       .       call:20\n"
          "3000   .       roll    .      .      .      .      .       .       .       .\n"
@@ -219,7 +219,7 @@
 
 /* A leader that reaches the seats but no other member is not in the best
  * partition: it hands the lock over. */
-TIMELINE(leaderBlind, TRENTVALE, 3,
+TIMELINE(leader_blind, TRENTVALE, 3,
          "ms     leader  second  third  callers\n"
          "0      leads   .       .      call:10\n"
          "4000   blind   .       .      .\n"
@@ -229,7 +229,7 @@
 
 /* A worker that fails everything while it claims health: jobs succeed on others
  * (allDone), it is left alone for growing spans, and has work again once it works. */
-TIMELINE(workerFails, TRENTVALE, 3,
+TIMELINE(worker_fails, TRENTVALE, 3,
          "ms     worker1  worker2  callers\n"
          "0      .        .        call:20\n"
          "3000   fails    .        .\n"
@@ -245,7 +245,7 @@
          "22000  idle     end\n")
 
 /* Half the fleet fails: no more than a quarter is left alone. */
-TIMELINE(manyFail, TRENTVALE, 2,
+TIMELINE(many_fail, TRENTVALE, 2,
          "ms     worker1  worker2  worker3  worker4  worker5  callers\n"
          "0      .        .        .        .        .        call:10\n"
          "3000   fails    fails    fails    fails    fails    .\n"
@@ -257,7 +257,7 @@
 /* Two cores replaced in sequence by empty ones at new addresses whose seeds are
  * others; the first returns with its old disk; in the end only the new two are
  * left of the seats that vote. */
-TIMELINE(coresReplaced, SPARES, 3,
+TIMELINE(cores_replaced, SPARES, 3,
          "ms     core1  core2  core3  core4  core5  callers\n"
          "0      .      .      .      .      .      call:10\n"
          "4000   off    .      .      .      .      .\n"
@@ -270,20 +270,20 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(rolledOut),      cmocka_unit_test(leaderBlind),
-        cmocka_unit_test(workerFails),    cmocka_unit_test(manyFail),
-        cmocka_unit_test(cancelled),      cmocka_unit_test(founding),
-        cmocka_unit_test(leaderKilled),   cmocka_unit_test(workerKilled),
-        cmocka_unit_test(machineOff),     cmocka_unit_test(agentFrozen),
-        cmocka_unit_test(workerFrozen),   cmocka_unit_test(leaderFrozen),
-        cmocka_unit_test(minorityCut),    cmocka_unit_test(agentCut),
-        cmocka_unit_test(zoneOff),        cmocka_unit_test(zoneCut),
-        cmocka_unit_test(zoneDrained),    cmocka_unit_test(workerLeaves),
-        cmocka_unit_test(allSeatsKilled), cmocka_unit_test(powerLostAfterAcknowledgement),
-        cmocka_unit_test(oneDiskLies),    cmocka_unit_test(slowDisks),
-        cmocka_unit_test(diskFails),      cmocka_unit_test(clocksJump),
-        cmocka_unit_test(oneWayCuts),     cmocka_unit_test(gateKilled),
-        cmocka_unit_test(coresReplaced),
+        cmocka_unit_test(rolled_out),       cmocka_unit_test(leader_blind),
+        cmocka_unit_test(worker_fails),     cmocka_unit_test(many_fail),
+        cmocka_unit_test(cancelled),        cmocka_unit_test(founding),
+        cmocka_unit_test(leader_killed),    cmocka_unit_test(worker_killed),
+        cmocka_unit_test(machine_off),      cmocka_unit_test(agent_frozen),
+        cmocka_unit_test(worker_frozen),    cmocka_unit_test(leader_frozen),
+        cmocka_unit_test(minority_cut),     cmocka_unit_test(agent_cut),
+        cmocka_unit_test(zone_off),         cmocka_unit_test(zone_cut),
+        cmocka_unit_test(zone_drained),     cmocka_unit_test(worker_leaves),
+        cmocka_unit_test(all_seats_killed), cmocka_unit_test(power_lost_after_acknowledgement),
+        cmocka_unit_test(one_disk_lies),    cmocka_unit_test(slow_disks),
+        cmocka_unit_test(disk_fails),       cmocka_unit_test(clocks_jump),
+        cmocka_unit_test(one_way_cuts),     cmocka_unit_test(gate_killed),
+        cmocka_unit_test(cores_replaced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -14,21 +14,21 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleetNew(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleetStart(fleet);
-    assert_true(fleetSettle(fleet, 30000) && fleetConfigure(fleet));
-    fleetRun(fleet, 1000);
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    fleet_run(fleet, 1000);
     return fleet;
 }
 
 static void end(Fleet *fleet)
 {
-    if (checkerBrokenAll(fleet->checker) > 0)
-        fail_msg("%s", checkerFirst(fleet->checker));
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
 
-static const char *jobOf(void *mem, const char *id)
+static const char *job_of(void *mem, const char *id)
 {
     return talloc_asprintf(mem,
                            "{\"id\":\"%s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":["
@@ -45,7 +45,7 @@
     bool done;
 } Handed;
 
-static void handMain(void *arg)
+static void hand_main(void *arg)
 {
     Handed *handed = arg;
     Loop *loop = handed->task->loop;
@@ -63,7 +63,7 @@
 static HttpTask *hand(Fleet *fleet, FleetRole role, int number, const char *method, const char *path, const char *body,
                       int64_t wait_ms, int64_t *took_ms)
 {
-    Handed handed = {.node = fleetNode(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
+    Handed handed = {.node = fleet_node(fleet, role, number), .task = talloc_zero(fleet, HttpTask)};
     *handed.task = (HttpTask){.loop = sim_loop(fleet->world, handed.node->machine),
                               .method = method,
                               .path = path,
@@ -72,63 +72,63 @@
                               .expiry_ms = wait_ms};
     if (body != NULL)
         bytes_add(handed.task, &handed.task->body, body, strlen(body));
-    loop_spawn(handed.task->loop, "hand", handMain, &handed);
+    loop_spawn(handed.task->loop, "hand", hand_main, &handed);
     while (!handed.done)
-        fleetRun(fleet, 5);
+        fleet_run(fleet, 5);
     *took_ms = handed.took_ms;
     return handed.task;
 }
 
-static void expiryKept(void **state)
+static void expiry_kept(void **state)
 {
     (void)state;
     Fleet *fleet = begin(31);
     int64_t took_ms;
-    fleetFreeze(fleet, FLEET_CORE, fleetLeader(fleet), 30000);
-    HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "short"), 300, &took_ms);
+    fleet_freeze(fleet, FLEET_CORE, fleet_leader(fleet), 30000);
+    HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
     assert_true(took_ms <= 310);
     /* whoever has more time is asked again of the next leader */
-    task = hand(fleet, FLEET_GATE, 1, "POST", "/v1/jobs", jobOf(fleet, "long"), 7000, &took_ms);
+    task = hand(fleet, FLEET_GATE, 1, "POST", "/v1/jobs", job_of(fleet, "long"), 7000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     print_message("served after %lld ms\n", (long long)took_ms);
-    fleetRun(fleet, 30000);
+    fleet_run(fleet, 30000);
     end(fleet);
 }
 
 /* Nobody can have taken it: it is refused at once, with when to come back. */
-static void refusedAtOnce(void **state)
+static void refused_at_once(void **state)
 {
     (void)state;
     Fleet *fleet = begin(32);
     for (int i = 0; i < 3; i++)
-        fleetKill(fleet, FLEET_CORE, i);
-    fleetRun(fleet, 600);
+        fleet_kill(fleet, FLEET_CORE, i);
+    fleet_run(fleet, 600);
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "none-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
+        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
         if (took_ms > LEADER_WAIT_MS)
             fail_msg("refused after %lld ms", (long long)took_ms);
-        fleetRun(fleet, 100);
+        fleet_run(fleet, 100);
     }
     end(fleet);
 }
 
 /* A leader that is slow but lives is waited for: asking it twice would make it slower. */
-static void slowIsWaitedFor(void **state)
+static void slow_is_waited_for(void **state)
 {
     (void)state;
     Fleet *fleet = begin(33);
     for (int i = 0; i < 3; i++)
-        sim_disk_slow(fleet->world, fleetNode(fleet, FLEET_CORE, i)->machine,
+        sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine,
                       240); /* its own and one under way: a leader slower than 500 ms hands over */
     for (int i = 0; i < 5; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
+        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms > 240);
     }
@@ -136,43 +136,43 @@
 }
 
 /* The way between one gate and the leader is cut: others carry on. */
-static void otherWays(void **state)
+static void other_ways(void **state)
 {
     (void)state;
     Fleet *fleet = begin(34);
-    const int leader = fleetLeader(fleet);
-    const int a = fleetNode(fleet, FLEET_GATE, 0)->machine, b = fleetNode(fleet, FLEET_CORE, leader)->machine;
+    const int leader = fleet_leader(fleet);
+    const int a = fleet_node(fleet, FLEET_GATE, 0)->machine, b = fleet_node(fleet, FLEET_CORE, leader)->machine;
     sim_cut(fleet->world, a, b, true);
     sim_cut(fleet->world, b, a, true);
     int64_t took_ms;
-    const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, "round-0"), 3000, &took_ms);
+    const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, "round-0"), 3000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     for (int i = 1; i < 40; i++) {
         char *id = talloc_asprintf(fleet, "round-%d", i);
-        task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
+        task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms < 200);
-        fleetRun(fleet, 200);
-        assert_int_equal(fleetAsk(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
+        fleet_run(fleet, 200);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
     }
-    assert_int_equal(fleetLeader(fleet), leader);
+    assert_int_equal(fleet_leader(fleet), leader);
     sim_cut(fleet->world, a, b, false);
     sim_cut(fleet->world, b, a, false);
     end(fleet);
 }
 
 /* A gate that stands still costs the leader's own callers its wait once, not each time. */
-static void keptElsewhere(void **state)
+static void kept_elsewhere(void **state)
 {
     (void)state;
     Fleet *fleet = begin(37);
-    fleetFreeze(fleet, FLEET_GATE, 0, 3000);
+    fleet_freeze(fleet, FLEET_GATE, 0, 3000);
     int slow = 0;
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "own-%d", i);
         const HttpTask *task =
-            hand(fleet, FLEET_CORE, fleetLeader(fleet), "POST", "/v1/jobs", jobOf(fleet, id), 3000, &took_ms);
+            hand(fleet, FLEET_CORE, fleet_leader(fleet), "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms < KEEP_ASK_MS + 100);
         slow += took_ms >= KEEP_ASK_MS;
@@ -188,8 +188,8 @@
     int ready = 0;
     for (int role = FLEET_CORE; role <= FLEET_GATE; role++)
         for (int i = 0; i < 3; i++) {
-            const FleetNode *node = fleetNode(fleet, (FleetRole)role, i);
-            if (simAlive(fleet->world, node->machine) && node->up)
+            const FleetNode *node = fleet_node(fleet, (FleetRole)role, i);
+            if (sim_alive(fleet->world, node->machine) && node->up)
                 ready += node->core != NULL ? core_ready(node->core) : gate_ready(node->gate);
         }
     return ready;
@@ -200,27 +200,27 @@
 {
     (void)state;
     Fleet *fleet = begin(35);
-    fleetRun(fleet, 3000);
+    fleet_run(fleet, 3000);
     assert_int_equal(ready_count(fleet), 6);
-    const int leader = fleetLeader(fleet);
-    fleetRoll(fleet, FLEET_CORE, leader);
-    fleetRun(fleet, 10);
+    const int leader = fleet_leader(fleet);
+    fleet_roll(fleet, FLEET_CORE, leader);
+    fleet_run(fleet, 10);
     for (int i = 0; i < 40; i++) {
         assert_true(ready_count(fleet) >= 5); /* all but the one that leaves */
-        fleetRun(fleet, 100);
+        fleet_run(fleet, 100);
     }
-    fleetRun(fleet, 8000);
+    fleet_run(fleet, 8000);
     assert_int_equal(ready_count(fleet), 6);
-    const int next = fleetLeader(fleet);
-    fleetKill(fleet, FLEET_CORE, next);
-    fleetRun(fleet, 1500);
+    const int next = fleet_leader(fleet);
+    fleet_kill(fleet, FLEET_CORE, next);
+    fleet_run(fleet, 1500);
     assert_int_equal(ready_count(fleet), 5);
-    fleetRun(fleet, 6000);
+    fleet_run(fleet, 6000);
     assert_int_equal(ready_count(fleet), 5);
     for (int i = 0; i < 3; i++)
         if (i != next)
-            fleetKill(fleet, FLEET_CORE, i);
-    fleetRun(fleet, 2500);
+            fleet_kill(fleet, FLEET_CORE, i);
+    fleet_run(fleet, 2500);
     assert_int_equal(ready_count(fleet), 0);
     end(fleet);
 }
@@ -240,7 +240,7 @@
     int number;
 } Send;
 
-static void sendMain(void *arg)
+static void send_main(void *arg)
 {
     Send *one = arg;
     Sending *sending = one->sending;
@@ -248,7 +248,7 @@
     char *id = talloc_asprintf(one, "left-%s-%d", sending->node->props.name, one->number);
     HttpCall call = {
         .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
-    const char *body = jobOf(one, id);
+    const char *body = job_of(one, id);
     bytes_add(one, &call.body, body, strlen(body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
     sending->good += status == STATUS_OK && call.code == 201;
@@ -259,19 +259,19 @@
 }
 
 /* Callers come as long as the process says that it is ready, and 300 ms longer. */
-static void sendingMain(void *arg)
+static void sending_main(void *arg)
 {
     Sending *sending = arg;
     Loop *loop = sim_loop(sending->fleet->world, sending->fleet->caller);
-    int64_t readyMs = loop_now_ms(loop);
-    while (!sending->stop && loop_now_ms(loop) - readyMs <= 300) {
+    int64_t ready_ms = loop_now_ms(loop);
+    while (!sending->stop && loop_now_ms(loop) - ready_ms <= 300) {
         FleetNode *node = sending->node;
         if (node->up && (node->core != NULL ? core_ready(node->core) : gate_ready(node->gate)))
-            readyMs = loop_now_ms(loop);
+            ready_ms = loop_now_ms(loop);
         Send *one = talloc_zero(sending->fleet, Send);
         *one = (Send){sending, sending->sent++};
         sending->calls++;
-        loop_spawn(loop, "send", sendMain, one);
+        loop_spawn(loop, "send", send_main, one);
         loop_sleep(loop, 7);
     }
 }
@@ -282,14 +282,14 @@
     (void)state;
     for (int role = FLEET_CORE; role <= FLEET_GATE; role++) {
         Fleet *fleet = begin(36);
-        const int number = role == FLEET_CORE ? fleetLeader(fleet) : 0;
-        Sending sending = {.fleet = fleet, .node = fleetNode(fleet, (FleetRole)role, number)};
-        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sendingMain, &sending);
-        fleetRun(fleet, 500);
-        fleetRoll(fleet, (FleetRole)role, number);
-        fleetRun(fleet, 4000);
+        const int number = role == FLEET_CORE ? fleet_leader(fleet) : 0;
+        Sending sending = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
+        loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sending_main, &sending);
+        fleet_run(fleet, 500);
+        fleet_roll(fleet, (FleetRole)role, number);
+        fleet_run(fleet, 4000);
         sending.stop = true;
-        fleetRun(fleet, 1000);
+        fleet_run(fleet, 1000);
         print_message("%s: %d sent, %d taken, %d to come back, %d cut\n", sending.node->props.name, sending.sent,
                       sending.good, sending.again, sending.cut);
         assert_int_equal(sending.cut, 0);
@@ -315,7 +315,7 @@
     size_t each; /* bytes of a payload */
 } Keeping;
 
-static void keepMain(void *arg)
+static void keep_main(void *arg)
 {
     const Keeping *keeping = arg;
     uint8_t *data = talloc_zero_size(keeping->mem, keeping->each);
@@ -328,7 +328,7 @@
 }
 
 /* A crowd costs no more than the bound; the newest are kept, and none for too long. */
-static void keepsBounded(void **state)
+static void keeps_bounded(void **state)
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 1);
@@ -336,11 +336,11 @@
     sim_start(world, machine, nothing, NULL);
     Loop *loop = sim_loop(world, machine);
     Keeping keeping = {keeper_new(world, loop, 30000), loop, world, 100, 1000};
-    loop_spawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 1000);
     assert_int_equal(keeper_count(keeping.keeper), 100);
     keeping.number = 20000;
-    loop_spawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 2000);
     assert_true(keeper_bytes(keeping.keeper) <= KEEPER_BYTES_MAX);
     assert_true(keeper_bytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
@@ -354,7 +354,7 @@
     assert_int_equal(keeper_bytes(keeping.keeper), 0);
     /* a deployment that trusts its disks keeps nothing */
     keeping = (Keeping){keeper_new(world, loop, 0), loop, world, 100, 1000};
-    loop_spawn(loop, "keep", keepMain, &keeping);
+    loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 50000);
     assert_int_equal(keeper_count(keeping.keeper), 0);
     talloc_free(world);
@@ -363,9 +363,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(expiryKept),   cmocka_unit_test(refusedAtOnce), cmocka_unit_test(slowIsWaitedFor),
-        cmocka_unit_test(otherWays),    cmocka_unit_test(readiness),     cmocka_unit_test(leaving),
-        cmocka_unit_test(keepsBounded), cmocka_unit_test(keptElsewhere),
+        cmocka_unit_test(expiry_kept),   cmocka_unit_test(refused_at_once), cmocka_unit_test(slow_is_waited_for),
+        cmocka_unit_test(other_ways),    cmocka_unit_test(readiness),       cmocka_unit_test(leaving),
+        cmocka_unit_test(keeps_bounded), cmocka_unit_test(kept_elsewhere),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -43,7 +43,7 @@
     return talloc_asprintf(mem, "worker%05zu", at);
 }
 
-static void workersAdd(Stand *stand, size_t count, uint64_t cpu_milli)
+static void workers_add(Stand *stand, size_t count, uint64_t cpu_milli)
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++) {
@@ -114,7 +114,7 @@
     *(Loop **)arg = loop;
 }
 
-static Stand standNew(void *mem, size_t times)
+static Stand stand_new(void *mem, size_t times)
 {
     SimWorld *world = sim_world_new(mem, 1);
     Core *core = talloc_zero(mem, Core);
@@ -140,14 +140,14 @@
         .text =
             "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}"};
     tell(&stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
-    workersAdd(&stand, WORKERS * times, 64000);
+    workers_add(&stand, WORKERS * times, 64000);
     return stand;
 }
 
 static void look(size_t times, size_t waiting, int rounds)
 {
     void *mem = talloc_new(NULL);
-    Stand stand = standNew(mem, times);
+    Stand stand = stand_new(mem, times);
     const bool crowded = waiting > 0;
     for (size_t i = 0; i < WORKERS * times * EACH / 9; i++)
         job_add(&stand, 9, crowded ? 64000 / EACH : 1000);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -30,18 +30,18 @@
     Map *jobs, *frozen;
 } Replay;
 
-static int64_t replayNow(void *arg)
+static int64_t replay_now(void *arg)
 {
     return ((Replay *)arg)->now_ms;
 }
 
-static bool replayFrozen(void *arg, const char *worker)
+static bool replay_frozen(void *arg, const char *worker)
 {
     return map_get(((Replay *)arg)->frozen, worker) != NULL;
 }
 
 /* The job as the mix makes it: its id says its class. */
-static const Job *replayJob(void *arg, const char *id)
+static const Job *replay_job(void *arg, const char *id)
 {
     Replay *replay = arg;
     Job *job = map_get(replay->jobs, id);
@@ -66,7 +66,7 @@
     return job;
 }
 
-static int lineOrder(const void *a, const void *b)
+static int line_order(const void *a, const void *b)
 {
     const Line *x = a, *y = b;
     if (x->at_ms != y->at_ms)
@@ -79,51 +79,51 @@
     Checker *checker = replay->checker;
     replay->now_ms = line->at_ms;
     if (strcmp(line->what, "plans") == 0) {
-        checkerPlans(checker, line->who, strtoull(line->more, NULL, 10));
+        checker_plans(checker, line->who, strtoull(line->more, NULL, 10));
     } else if (strcmp(line->what, "worker") == 0) {
         Worker worker = {.name = line->who, .zone = line->job, .rack = "", .kind = "std"};
         sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.room.cpu_milli, &worker.room.mem_mb);
-        checkerWorker(checker, &worker);
-        checkerLeaving(checker, line->who, false);
+        checker_worker(checker, &worker);
+        checker_leaving(checker, line->who, false);
     } else if (strcmp(line->what, "leaving") == 0) {
-        checkerLeaving(checker, line->who, true);
+        checker_leaving(checker, line->who, true);
     } else if (strcmp(line->what, "started") == 0) {
         Room room = {0};
         sscanf(line->more, "%" SCNu64 " %" SCNu64, &room.cpu_milli, &room.mem_mb);
-        checkerStarted(checker, line->who, line->job, line->task, line->round, room);
+        checker_started(checker, line->who, line->job, line->task, line->round, room);
     } else if (strcmp(line->what, "ended") == 0) {
-        checkerEnded(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
+        checker_ended(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
     } else if (strcmp(line->what, "known") == 0) {
-        checkerKnown(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
+        checker_known(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
     } else if (strcmp(line->what, "booted") == 0) {
-        checkerBooted(checker, line->who);
+        checker_booted(checker, line->who);
     } else if (strcmp(line->what, "held") == 0) {
-        checkerHeld(checker, line->who, line->at_ms + strtoll(line->more, NULL, 10));
+        checker_held(checker, line->who, line->at_ms + strtoll(line->more, NULL, 10));
     } else if (strcmp(line->what, "resumed") == 0) {
-        checkerResumed(checker, line->who, line->job, line->task, line->round, line->more);
+        checker_resumed(checker, line->who, line->job, line->task, line->round, line->more);
     } else if (strcmp(line->what, "told") == 0) {
-        checkerTold(checker, line->who, line->job, line->task, line->round);
+        checker_told(checker, line->who, line->job, line->task, line->round);
     } else if (strcmp(line->what, "sent") == 0) {
-        checkerSent(checker, line->job);
+        checker_sent(checker, line->job);
     } else if (strcmp(line->what, "gone") == 0) {
-        checkerWorkerGone(checker, line->who);
-        checkerLeaderGone(checker, line->who);
-        checkerFault(checker);
+        checker_worker_gone(checker, line->who);
+        checker_leader_gone(checker, line->who);
+        checker_fault(checker);
     } else if (strcmp(line->what, "frozen") == 0) {
         map_set(replay->frozen, line->who, replay);
-        checkerFault(checker);
+        checker_fault(checker);
     } else if (strcmp(line->what, "woke") == 0) {
         map_drop(replay->frozen, line->who);
-        checkerFault(checker);
-        checkerWorkerWoke(checker, line->who);
+        checker_fault(checker);
+        checker_worker_woke(checker, line->who);
     } else if (strcmp(line->what, "accepted") == 0) {
-        checkerAccepted(checker, line->job);
+        checker_accepted(checker, line->job);
     } else if (strcmp(line->what, "refused") == 0) {
-        checkerRefused(checker, line->job);
+        checker_refused(checker, line->job);
     } else if (strcmp(line->what, "job-ended") == 0) {
-        checkerJobEnded(checker, line->job, line->more);
+        checker_job_ended(checker, line->job, line->more);
     } else if (strcmp(line->what, "unknown") == 0) {
-        checkerUnknown(checker, line->job);
+        checker_unknown(checker, line->job);
     }
 }
 
@@ -142,8 +142,8 @@
     replay->mix = mix_of_word(argv[2]);
     replay->jobs = map_new(replay);
     replay->frozen = map_new(replay);
-    const CheckerProps props = {replay, replayNow, replayFrozen, replayJob, NULL};
-    replay->checker = checkerNew(replay, &props);
+    const CheckerProps props = {replay, replay_now, replay_frozen, replay_job, NULL};
+    replay->checker = checker_new(replay, &props);
     Line *lines = NULL;
     size_t count = 0, room = 0;
     char text[512];
@@ -165,21 +165,21 @@
     }
     fclose(file);
     if (count > 0)
-        qsort(lines, count, sizeof(*lines), lineOrder);
-    int64_t lookMs = count > 0 ? lines[0].at_ms : 0;
+        qsort(lines, count, sizeof(*lines), line_order);
+    int64_t look_ms = count > 0 ? lines[0].at_ms : 0;
     for (size_t i = 0; i < count; i++) {
         play(replay, &lines[i]);
-        if (replay->now_ms - lookMs >= 500) {
-            lookMs = replay->now_ms;
-            checkerLook(replay->checker);
+        if (replay->now_ms - look_ms >= 500) {
+            look_ms = replay->now_ms;
+            checker_look(replay->checker);
         }
     }
     if (!open)
-        checkerEnd(replay->checker);
-    printf("replay: %zu lines, %zu starts, %zu nevers broken%s%s\n", count, checkerStarts(replay->checker),
-           checkerBrokenAll(replay->checker), checkerBrokenAll(replay->checker) ? "; first " : "",
-           checkerFirst(replay->checker));
-    const int code = checkerBrokenAll(replay->checker) == 0 && checkerStarts(replay->checker) > 0 ? 0 : 1;
+        checker_end(replay->checker);
+    printf("replay: %zu lines, %zu starts, %zu nevers broken%s%s\n", count, checker_starts(replay->checker),
+           checker_broken_all(replay->checker), checker_broken_all(replay->checker) ? "; first " : "",
+           checker_first(replay->checker));
+    const int code = checker_broken_all(replay->checker) == 0 && checker_starts(replay->checker) > 0 ? 0 : 1;
     talloc_free(replay);
     return code;
 }
--- a/packages/sim/tool/sweep.c
+++ b/packages/sim/tool/sweep.c
@@ -11,7 +11,7 @@
 
 #include "sim/sweep.h"
 
-static void skipRead(SweepProps *props, const char *text)
+static void skip_read(SweepProps *props, const char *text)
 {
     for (char *end; *text != '\0'; text = *end == ',' ? end + 1 : end) {
         const unsigned long at = strtoul(text, &end, 10);
@@ -29,9 +29,9 @@
         if (strcmp(argv[i], "-v") == 0)
             props.loud = true;
         else if (strcmp(argv[i], "--skip") == 0 && i + 1 < argc)
-            skipRead(&props, argv[++i]);
-        else if (sweepSiteOf(argv[i]) != SWEEP_SITES)
-            props.site = sweepSiteOf(argv[i]);
+            skip_read(&props, argv[++i]);
+        else if (sweep_site_of(argv[i]) != SWEEP_SITES)
+            props.site = sweep_site_of(argv[i]);
         else
             props.mix = mix_of_word(argv[i]);
     }
@@ -46,10 +46,10 @@
     SweepResult sum = {0};
     for (props.seed = first; props.seed <= last; props.seed++) {
         SweepResult result;
-        sweepRun(&props, &result);
+        sweep_run(&props, &result);
         for (int i = 0; i < SERVE_COUNT; i++)
-            if (result.good && result.worstMs[i] > sum.worstMs[i])
-                sum.worstMs[i] = result.worstMs[i];
+            if (result.good && result.worst_ms[i] > sum.worst_ms[i])
+                sum.worst_ms[i] = result.worst_ms[i];
         sum.faults += result.faults;
         sum.starts += result.starts;
         sum.asserted += result.asserted;
@@ -62,7 +62,7 @@
     printf("%" PRIu64 " seeds, %d broke, %zu failures, %zu starts, %zu times served, worst", last - first + 1, broken,
            sum.faults, sum.starts, sum.asserted);
     for (int i = 0; i < SERVE_COUNT; i++)
-        printf(" %" PRId64, sum.worstMs[i]);
+        printf(" %" PRId64, sum.worst_ms[i]);
     printf(" ms\n");
     return broken > 0;
 }
--- a/packages/sim/tool/timeline.c
+++ b/packages/sim/tool/timeline.c
@@ -26,7 +26,7 @@
     const FleetShape shape = {3, mix == MIX_ATLAS ? 4 : 3, 11, mix, 2};
     for (uint64_t seed = strtoull(argv[2], NULL, 10); seed <= strtoull(argv[3], NULL, 10); seed++) {
         char why[512];
-        if (!timelineRun(seed, shape, text, why, sizeof(why))) {
+        if (!timeline_run(seed, shape, text, why, sizeof(why))) {
             printf("seed %" PRIu64 " BROKE: %s\n", seed, why);
             return 1;
         }
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -29,7 +29,7 @@
 
 #define RECORD_GAP_MS 20 /* ms; planning under one epoch is recorded this often */
 
-static void onPlans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t epoch)
 {
     Daemon *daemon = arg;
     const int64_t now_ms = loop_now_ms(daemon->loop);
@@ -49,7 +49,7 @@
     Failure failure = {0};
     Status status;
     const char *http = "";
-    const CoreWatch watch = {daemon, onPlans};
+    const CoreWatch watch = {daemon, on_plans};
     if (daemon->role == PROPS_CORE)
         status = core_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props,
                             daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
--- a/src/operate.c
+++ b/src/operate.c
@@ -18,7 +18,7 @@
     Status status;
 } Operation;
 
-static void operateMain(void *arg)
+static void operate_main(void *arg)
 {
     Operation *operation = arg;
     operation->status = loop_call(operation->loop, &operation->call);
@@ -91,7 +91,7 @@
                                  .path = path,
                                  .body = body,
                                  .wait_ms = FORWARD_DEADLINE_MS + 2000};
-    loop_spawn(operation->loop, "operate", operateMain, operation);
+    loop_spawn(operation->loop, "operate", operate_main, operation);
     real_loop_run(operation->loop, NULL, NULL);
     if (operation->status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s did not answer: %s\n", order->command, at, status_word(operation->status));
--- a/src/standins.c
+++ b/src/standins.c
@@ -29,41 +29,41 @@
     }
 }
 
-static void onStarted(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
 {
     char rest[64];
     snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpu_milli, room.mem_mb);
     recordRun(arg, "started", worker, job, task, round, rest);
 }
 
-static void onEnded(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
     recordRun(arg, "ended", worker, job, task, round, round_word(word));
 }
 
-static void onKnown(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
     recordRun(arg, "known", worker, job, task, round, round_word(word));
 }
 
-static void onBooted(void *arg, const char *worker)
+static void on_booted(void *arg, const char *worker)
 {
     recordRun(arg, "booted", worker, "-", 0, 0, "");
 }
 
-static void onHeld(void *arg, const char *worker, int64_t left_ms)
+static void on_held(void *arg, const char *worker, int64_t left_ms)
 {
     char rest[32];
     snprintf(rest, sizeof(rest), "%" PRId64, left_ms);
     recordRun(arg, "held", worker, "-", 0, 0, rest);
 }
 
-static void onResumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
+static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
 {
     recordRun(arg, "resumed", worker, job, task, round, saved);
 }
 
-static void onTold(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
+static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
 {
     recordRun(arg, "told", worker, job, task, round, "");
 }
@@ -138,7 +138,7 @@
                        .labels_count = label != NULL,
                        .room = {(uint64_t)cores * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
-            .watch = {&stand_in->record, onStarted, onEnded, onKnown, onBooted, onHeld, onResumed, onTold},
+            .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_told},
             .fails_all = fails_all != 0,
             .slow_times = slow,
         };
@@ -152,29 +152,29 @@
     return code;
 }
 
-static void onSent(void *arg, const char *id)
+static void on_sent(void *arg, const char *id)
 {
     recordRun(arg, "sent", "-", id, 0, 0, "");
 }
 
-static void onAccepted(void *arg, const char *id)
+static void on_accepted(void *arg, const char *id)
 {
     recordRun(arg, "accepted", "-", id, 0, 0, "");
 }
 
-static void onRefused(void *arg, const char *id, int httpCode)
+static void on_refused(void *arg, const char *id, int httpCode)
 {
     char rest[16];
     snprintf(rest, sizeof(rest), "%d", httpCode);
     recordRun(arg, "refused", "-", id, 0, 0, rest);
 }
 
-static void onJobEnded(void *arg, const char *id, const char *phase)
+static void on_job_ended(void *arg, const char *id, const char *phase)
 {
     recordRun(arg, "job-ended", "-", id, 0, 0, phase);
 }
 
-static void onUnknown(void *arg, const char *id)
+static void on_unknown(void *arg, const char *id)
 {
     recordRun(arg, "unknown", "-", id, 0, 0, "");
 }
@@ -284,7 +284,8 @@
         stand_in->loop = real_loop_new(mem);
         stand_in->record = (Record){stand_in->loop, path != NULL ? fopen(path, "a") : NULL};
         stand_in->configure = configure != 0;
-        props->watch = (CallerWatch){&stand_in->record, onSent, onAccepted, onRefused, onJobEnded, onUnknown, NULL};
+        props->watch =
+            (CallerWatch){&stand_in->record, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, NULL};
         loop_spawn(stand_in->loop, "caller", caller_main, stand_in);
         real_loop_run(stand_in->loop, NULL, NULL);
         code = stand_in->code;
