--- a/examples/counter.c
+++ b/examples/counter.c
@@ -174,7 +174,7 @@
     loop_spawn(counter->loop, "plus", plusMain, counter);
 }
 
-static void termMain(void *arg)
+static void term_main(void *arg)
 {
     Counter *counter = arg;
     view_step_down(counter->view, INT32_MAX);
@@ -202,6 +202,6 @@
     counter->loop = real_loop_new(mem);
     counter->ring = ring_new(mem, counter->name);
     loop_spawn(counter->loop, "start", startMain, counter);
-    real_loop_run(counter->loop, termMain, counter);
+    real_loop_run(counter->loop, term_main, counter);
     return 0;
 }
--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -67,18 +67,18 @@
 
 /* Invariant: acts are in order of time. */
 typedef struct ExplorePlan {
-    uint64_t seed, world; /* the plan's, and the world's: of delays, disks, clients */
-    int losses;           /* disks that may be lost at once: twice that and one voters are wanted */
-    int spares;           /* machines beyond the voters, from the start on */
-    bool byVotes;         /* founded by the seeds' votes; else by three empty disks */
-    bool pace;            /* disks are lost one after another, as soon as what was lost is to be made good */
-    bool beyond;          /* more disks may be lost than are borne: then only safety is asked for */
-    size_t snapshot;      /* the log is shortened after so many entries */
-    int64_t voterBackMs;  /* as the settings say: a voter is whole again within this */
-    int64_t lengthMs;     /* of the adversary */
+    uint64_t seed, world;  /* the plan's, and the world's: of delays, disks, clients */
+    int losses;            /* disks that may be lost at once: twice that and one voters are wanted */
+    int spares;            /* machines beyond the voters, from the start on */
+    bool by_votes;         /* founded by the seeds' votes; else by three empty disks */
+    bool pace;             /* disks are lost one after another, as soon as what was lost is to be made good */
+    bool beyond;           /* more disks may be lost than are borne: then only safety is asked for */
+    size_t snapshot;       /* the log is shortened after so many entries */
+    int64_t voter_back_ms; /* as the settings say: a voter is whole again within this */
+    int64_t length_ms;     /* of the adversary */
     Act acts[EXPLORE_ACTS_MAX];
     bool skipped[EXPLORE_ACTS_MAX];
-    size_t actCount;
+    size_t act_count;
 } ExplorePlan;
 
 /* What may never be. */
@@ -117,22 +117,22 @@
     Rule rule; /* the first that was broken */
     int64_t at_ms;
     char why[240];
-    uint64_t steps, committed, acknowledged, leads, voterChanges;
+    uint64_t steps, committed, acknowledged, leads, voter_changes;
     uint64_t done[ACT_KINDS]; /* acts that found somebody to do it to */
     bool lived;               /* liveness was asked for */
-    int64_t liveMs;           /* from the end of the adversary to the first acknowledgement */
+    int64_t live_ms;          /* from the end of the adversary to the first acknowledgement */
     int64_t whole_ms;         /* ... until as many voters as are wanted live */
 } ExploreResult;
 
 /* The plan of a seed: the same for all time, as long as the drawing is not changed. */
-void explorePlanOf(uint64_t seed, ExplorePlan *plan);
+void explore_plan_of(uint64_t seed, ExplorePlan *plan);
 /* Losses one after another and nothing else, each as soon as the last is to be made good. */
-void explorePaceOf(uint64_t seed, ExplorePlan *plan);
-void exploreRun(const ExplorePlan *plan, bool loud, ExploreResult *result);
+void explore_pace_of(uint64_t seed, ExplorePlan *plan);
+void explore_run(const ExplorePlan *plan, bool loud, ExploreResult *result);
 /* Leaves out every act that the break does not need; false when the plan breaks nothing. */
-bool exploreShrink(ExplorePlan *plan, ExploreResult *result);
+bool explore_shrink(ExplorePlan *plan, ExploreResult *result);
 /* The plan as rows, those that are skipped left out. */
-void explorePrint(const ExplorePlan *plan);
-const char *ruleText(Rule rule);
+void explore_print(const ExplorePlan *plan);
+const char *rule_text(Rule rule);
 
 #endif
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -17,7 +17,7 @@
     int other;
 } ActEnd;
 
-static const char *actWord(ActKind kind)
+static const char *act_word(ActKind kind)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -33,11 +33,11 @@
         return false;
     switch (who) {
     case WHO_LEADER:
-        return nodeLeads(node);
+        return node_leads(node);
     case WHO_VOTER:
-        return nodeVotes(explore, node);
+        return node_votes(explore, node);
     case WHO_LEARNER:
-        return !nodeVotes(explore, node);
+        return !node_votes(explore, node);
     default:
         return true;
     }
@@ -57,7 +57,7 @@
     return NULL;
 }
 
-static void cutAll(Explore *explore, const Node *node, bool out, bool in, bool cut)
+static void cut_all(Explore *explore, const Node *node, bool out, bool in, bool cut)
 {
     for (int i = 0; i < explore->node_count; i++) {
         const int other = explore->nodes[i].machine;
@@ -68,15 +68,15 @@
     }
 }
 
-static void cutSet(Explore *explore, const ActEnd *end, bool cut)
+static void cut_set(Explore *explore, const ActEnd *end, bool cut)
 {
     if (end->kind == ACT_CUT_ONE)
         sim_cut(explore->world, end->node->machine, end->other, cut);
     else
-        cutAll(explore, end->node, end->kind != ACT_CUT_IN, end->kind != ACT_CUT_OUT, cut);
+        cut_all(explore, end->node, end->kind != ACT_CUT_IN, end->kind != ACT_CUT_OUT, cut);
 }
 
-static void actEnd(void *arg)
+static void act_end(void *arg)
 {
     const ActEnd *end = arg;
     Explore *explore = end->explore;
@@ -85,7 +85,7 @@
     case ACT_CUT_OUT:
     case ACT_CUT_IN:
     case ACT_CUT_ONE:
-        cutSet(explore, end, false);
+        cut_set(explore, end, false);
         break;
     case ACT_DELAY:
         sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
@@ -116,8 +116,8 @@
 {
     for (int i = 0; i < explore->node_count; i++)
         if (!explore->nodes[i].gone) {
-            nodeKill(&explore->nodes[i], true);
-            nodeStartLater(&explore->nodes[i], for_ms + (int64_t)(sim_random(explore->world) % 300));
+            node_kill(&explore->nodes[i], true);
+            node_start_later(&explore->nodes[i], for_ms + (int64_t)(sim_random(explore->world) % 300));
         }
 }
 
@@ -132,11 +132,11 @@
 static void changes(Explore *explore, Node *node, unsigned count)
 {
     for (unsigned i = 0; i < count && node->up; i++)
-        clientSubmit(explore, node);
+        client_submit(explore, node);
 }
 
 /* Acts of no node. */
-static bool worldAct(Explore *explore, const Act *act)
+static bool world_act(Explore *explore, const Act *act)
 {
     switch (act->kind) {
     case ACT_BLACKOUT:
@@ -167,12 +167,12 @@
 static void lose(Node *node, const Act *act)
 {
     if (act->kind == ACT_WIPE) {
-        nodeWipe(node);
-        nodeStartLater(node, act->for_ms);
+        node_wipe(node);
+        node_start_later(node, act->for_ms);
     } else if (act->kind == ACT_LEAVE) {
-        nodeLeave(node);
+        node_leave(node);
     } else {
-        nodeVanish(node);
+        node_vanish(node);
     }
 }
 
@@ -181,8 +181,8 @@
     switch (act->kind) {
     case ACT_KILL:
     case ACT_POWER:
-        nodeKill(node, act->kind == ACT_POWER);
-        nodeStartLater(node, act->for_ms);
+        node_kill(node, act->kind == ACT_POWER);
+        node_start_later(node, act->for_ms);
         break;
     case ACT_FREEZE:
         sim_freeze(explore->world, node->machine, sim_now_ms(explore->world) + act->for_ms);
@@ -207,60 +207,60 @@
         changes(explore, node, act->amount);
         break;
     default:
-        cutSet(explore, end, true);
+        cut_set(explore, end, true);
         break;
     }
 }
 
 /* Between two losses a change was acknowledged, and what was lost has been replaced. */
-static void paceLost(Explore *explore, ActKind kind)
+static void pace_lost(Explore *explore, ActKind kind)
 {
     if (!explore->plan->pace || !loses(kind))
         return;
-    if (explore->lostSeen && explore->result->acknowledged == explore->ackedAtLoss)
-        exploreBreak(explore, RULE_NOT_LIVE, "between two losses");
-    explore->lostSeen = true;
-    explore->ackedAtLoss = explore->result->acknowledged;
+    if (explore->lost_seen && explore->result->acknowledged == explore->acked_at_loss)
+        explore_break(explore, RULE_NOT_LIVE, "between two losses");
+    explore->lost_seen = true;
+    explore->acked_at_loss = explore->result->acknowledged;
 }
 
-void actDo(Explore *explore, const Act *act)
+void act_do(Explore *explore, const Act *act)
 {
     ActEnd *end = talloc_zero(explore, ActEnd);
     *end = (ActEnd){explore, act->kind, NULL, 0};
-    if (!worldAct(explore, act)) {
+    if (!world_act(explore, act)) {
         Node *node = find(explore, act->who, act->pick);
-        if (node == NULL || (loses(act->kind) && (node->leaving || !nodeMayLose(explore, node)))) {
+        if (node == NULL || (loses(act->kind) && (node->leaving || !node_may_lose(explore, node)))) {
             talloc_free(end);
             return;
         }
         end->node = node;
         end->other = explore->nodes[act->amount % (unsigned)explore->node_count].machine;
-        exploreSay(explore, "%s %s for %" PRId64 " ms, %u", actWord(act->kind), node->name, act->for_ms, act->amount);
+        explore_say(explore, "%s %s for %" PRId64 " ms, %u", act_word(act->kind), node->name, act->for_ms, act->amount);
         if (loses(act->kind))
             lose(node, act);
         else
             node_act(explore, node, act, end);
     } else {
-        exploreSay(explore, "%s for %" PRId64 " ms, %u", actWord(act->kind), act->for_ms, act->amount);
+        explore_say(explore, "%s for %" PRId64 " ms, %u", act_word(act->kind), act->for_ms, act->amount);
     }
-    paceLost(explore, act->kind);
+    pace_lost(explore, act->kind);
     explore->result->done[act->kind]++;
-    sim_at(explore->world, sim_now_ms(explore->world) + act->for_ms, actEnd, end);
+    sim_at(explore->world, sim_now_ms(explore->world) + act->for_ms, act_end, end);
 }
 
-void actsEnd(Explore *explore)
+void acts_end(Explore *explore)
 {
     sim_delay(explore->world, LINK_LOW_MS, LINK_HIGH_MS);
     sim_frames(explore->world, 0, 0, 0);
     for (int i = 0; i < explore->node_count; i++) {
         Node *node = &explore->nodes[i];
-        cutAll(explore, node, true, true, false);
+        cut_all(explore, node, true, true, false);
         sim_far(explore->world, node->machine, 0);
         sim_clock_rate(explore->world, node->machine, 100);
         sim_disk_slow(explore->world, node->machine, SYNC_MS);
         sim_disk_fail(explore->world, node->machine, false);
         if (node->leaving && !node->gone)
-            nodeVanish(node);
+            node_vanish(node);
         node_start(node);
     }
 }
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -8,7 +8,7 @@
 #include "base/epoch.h"
 #include "history.h"
 
-const char *ruleText(Rule rule)
+const char *rule_text(Rule rule)
 {
     static const char *const TEXTS[] = {
 #define X(name, text) text,
@@ -18,7 +18,7 @@
     return TEXTS[rule];
 }
 
-void exploreBreak(Explore *explore, Rule rule, const char *format, ...)
+void explore_break(Explore *explore, Rule rule, const char *format, ...)
 {
     ExploreResult *result = explore->result;
     if (result->rule != RULE_NONE)
@@ -29,66 +29,66 @@
     va_start(args, format);
     vsnprintf(result->why, sizeof(result->why), format, args);
     va_end(args);
-    exploreSay(explore, "BROKE %s: %s", ruleText(rule), result->why);
+    explore_say(explore, "BROKE %s: %s", rule_text(rule), result->why);
 }
 
 /* What is committed is never another, and never taken back. */
-static void checkCommitted(Explore *explore, Node *node, const ViewWindow *window)
+static void check_committed(Explore *explore, Node *node, const ViewWindow *window)
 {
-    if (window->commit_index < node->commitSeen)
-        exploreBreak(explore, RULE_COMMITTED_CHANGED, "%s had committed %" PRIu64 ", now %" PRIu64, node->name,
-                     node->commitSeen, window->commit_index);
-    node->commitSeen = window->commit_index;
-    historyFollow(explore, node, window);
+    if (window->commit_index < node->commit_seen)
+        explore_break(explore, RULE_COMMITTED_CHANGED, "%s had committed %" PRIu64 ", now %" PRIu64, node->name,
+                      node->commit_seen, window->commit_index);
+    node->commit_seen = window->commit_index;
+    history_follow(explore, node, window);
     uint64_t epoch;
-    const Item *item = historyItem(&explore->history, window->commit_index);
+    const Item *item = history_item(&explore->history, window->commit_index);
     if (item != NULL && log_epoch_at(window->log, window->commit_index, &epoch) && epoch != item->epoch)
-        exploreBreak(explore, RULE_COMMITTED_CHANGED, "%s holds another entry at %" PRIu64, node->name,
-                     window->commit_index);
-    const Item *delivered = historyItem(&explore->history, window->delivered_index);
+        explore_break(explore, RULE_COMMITTED_CHANGED, "%s holds another entry at %" PRIu64, node->name,
+                      window->commit_index);
+    const Item *delivered = history_item(&explore->history, window->delivered_index);
     if (window->delivered_index > 0 && (delivered == NULL || delivered->chain != node->chain.hash))
-        exploreBreak(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->delivered_index);
+        explore_break(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->delivered_index);
 }
 
-static void checkPromise(Explore *explore, Node *node, const ViewWindow *window)
+static void check_promise(Explore *explore, Node *node, const ViewWindow *window)
 {
-    if (window->promised < node->promisedSeen)
-        exploreBreak(explore, RULE_PROMISE_FELL, "of %s", node->name);
-    node->promisedSeen = window->promised;
-    if (!window->holding || window->epoch == node->heldEpoch)
+    if (window->promised < node->promised_seen)
+        explore_break(explore, RULE_PROMISE_FELL, "of %s", node->name);
+    node->promised_seen = window->promised;
+    if (!window->holding || window->epoch == node->held_epoch)
         return;
     /* just won: the promises of a majority are on disks */
-    node->heldEpoch = window->epoch;
+    node->held_epoch = window->epoch;
     size_t synced = 0;
     for (size_t i = 0; i < window->voter_count; i++) {
         const DiskModel *model = disk_of(explore, window->voters[i]);
         synced += model != NULL && model->promised >= window->epoch;
     }
     if (synced < lock_majority(window->voter_count))
-        exploreBreak(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
-                     epoch_counter(window->epoch), synced, window->voter_count);
+        explore_break(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
+                      epoch_counter(window->epoch), synced, window->voter_count);
 }
 
-static void checkEpochOwner(Explore *explore, const Node *node, uint64_t epoch)
+static void check_epoch_owner(Explore *explore, const Node *node, uint64_t epoch)
 {
     const uint64_t disk = view_disk(node->view);
-    for (size_t i = 0; i < explore->leadCount; i++)
+    for (size_t i = 0; i < explore->lead_count; i++)
         if (explore->leads[i].epoch == epoch) {
             if (explore->leads[i].disk != disk)
-                exploreBreak(explore, RULE_TWO_LEADERS, "%s leads view %" PRIu64 " of another disk", node->name,
-                             epoch_counter(epoch));
+                explore_break(explore, RULE_TWO_LEADERS, "%s leads view %" PRIu64 " of another disk", node->name,
+                              epoch_counter(epoch));
             return;
         }
-    if (explore->leadCount == explore->leadRoom) {
-        explore->leadRoom = explore->leadRoom > 0 ? explore->leadRoom * 2 : 64;
-        explore->leads = talloc_realloc(explore, explore->leads, Lead, (unsigned)explore->leadRoom);
+    if (explore->lead_count == explore->lead_room) {
+        explore->lead_room = explore->lead_room > 0 ? explore->lead_room * 2 : 64;
+        explore->leads = talloc_realloc(explore, explore->leads, Lead, (unsigned)explore->lead_room);
     }
-    explore->leads[explore->leadCount++] = (Lead){epoch, disk};
+    explore->leads[explore->lead_count++] = (Lead){epoch, disk};
     explore->result->leads++;
-    exploreSay(explore, "%s leads view %" PRIu64, node->name, epoch_counter(epoch));
+    explore_say(explore, "%s leads view %" PRIu64, node->name, epoch_counter(epoch));
 }
 
-static bool sameVoters(const History *history, const ViewWindow *window)
+static bool same_voters(const History *history, const ViewWindow *window)
 {
     size_t same = 0;
     for (size_t i = 0; i < window->voter_count; i++)
@@ -97,7 +97,7 @@
     return same == history->voter_count && same == window->voter_count;
 }
 
-static size_t listsPending(const ViewWindow *window)
+static size_t lists_pending(const ViewWindow *window)
 {
     size_t count = 0;
     for (uint64_t i = window->commit_index + 1; i <= log_last_index(window->log); i++) {
@@ -110,43 +110,43 @@
 }
 
 /* A leader has all that was committed, and the newest list of voters. */
-static void checkLeader(Explore *explore, Node *node, const ViewWindow *window)
+static void check_leader(Explore *explore, Node *node, const ViewWindow *window)
 {
     const History *history = &explore->history;
-    if (window->epoch != node->ledEpoch)
-        checkEpochOwner(explore, node, window->epoch);
-    node->ledEpoch = window->epoch;
+    if (window->epoch != node->led_epoch)
+        check_epoch_owner(explore, node, window->epoch);
+    node->led_epoch = window->epoch;
     uint64_t epoch;
     const uint64_t newest = history->items.count;
     if (newest > window->log->base_index &&
-        (!log_epoch_at(window->log, newest, &epoch) || epoch != historyItem(history, newest)->epoch))
-        exploreBreak(explore, RULE_COMMITTED_LOST, "%s leads view %" PRIu64 " without %" PRIu64, node->name,
-                     epoch_counter(window->epoch), newest);
-    if (window->list_index <= window->commit_index && !sameVoters(history, window))
-        exploreBreak(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epoch_counter(window->epoch));
-    if (window->list_index != node->listSeen && listsPending(window) > 1)
-        exploreBreak(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->list_index);
-    node->listSeen = window->list_index;
+        (!log_epoch_at(window->log, newest, &epoch) || epoch != history_item(history, newest)->epoch))
+        explore_break(explore, RULE_COMMITTED_LOST, "%s leads view %" PRIu64 " without %" PRIu64, node->name,
+                      epoch_counter(window->epoch), newest);
+    if (window->list_index <= window->commit_index && !same_voters(history, window))
+        explore_break(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epoch_counter(window->epoch));
+    if (window->list_index != node->list_seen && lists_pending(window) > 1)
+        explore_break(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->list_index);
+    node->list_seen = window->list_index;
 }
 
-static void checkAcks(Explore *explore)
+static void check_acks(Explore *explore)
 {
-    for (size_t i = 0; i < explore->ackCount; i++) {
+    for (size_t i = 0; i < explore->ack_count; i++) {
         const uint64_t number = explore->acks[i];
         const uint64_t index = explore->orders[number - 1].index;
-        const Item *item = historyItem(&explore->history, index);
+        const Item *item = history_item(&explore->history, index);
         if (item == NULL) {
-            exploreBreak(explore, RULE_ACK_LOST, "change %" PRIu64, number);
+            explore_break(explore, RULE_ACK_LOST, "change %" PRIu64, number);
             continue;
         }
-        const size_t holders = diskHolders(explore, index, item->epoch);
+        const size_t holders = disk_holders(explore, index, item->epoch);
         if (holders < (size_t)explore->plan->losses + 1)
-            exploreBreak(explore, RULE_ACK_DISKS, "change %" PRIu64 " at %" PRIu64 " on %zu", number, index, holders);
+            explore_break(explore, RULE_ACK_DISKS, "change %" PRIu64 " at %" PRIu64 " on %zu", number, index, holders);
     }
-    explore->ackCount = 0;
+    explore->ack_count = 0;
 }
 
-void checkStep(void *arg)
+void check_step(void *arg)
 {
     Explore *explore = arg;
     const Node *claims = NULL;
@@ -158,16 +158,16 @@
             continue;
         ViewWindow window;
         view_window(node->view, &window);
-        checkPromise(explore, node, &window);
-        checkCommitted(explore, node, &window);
-        node->votersBefore = window.voter_count;
-        node->listBefore = window.list_index;
-        if (window.phase == VIEW_LEADING && nodeLeads(node)) {
-            checkLeader(explore, node, &window);
+        check_promise(explore, node, &window);
+        check_committed(explore, node, &window);
+        node->voters_before = window.voter_count;
+        node->list_before = window.list_index;
+        if (window.phase == VIEW_LEADING && node_leads(node)) {
+            check_leader(explore, node, &window);
             if (claims != NULL)
-                exploreBreak(explore, RULE_TWO_CLAIMS, "%s and %s", claims->name, node->name);
+                explore_break(explore, RULE_TWO_CLAIMS, "%s and %s", claims->name, node->name);
             claims = node;
         }
     }
-    checkAcks(explore);
+    check_acks(explore);
 }
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -17,11 +17,11 @@
 
 static void acknowledged(Explore *explore, uint64_t number)
 {
-    if (explore->ackCount == explore->ackRoom) {
-        explore->ackRoom = explore->ackRoom > 0 ? explore->ackRoom * 2 : 64;
-        explore->acks = talloc_realloc(explore, explore->acks, uint64_t, (unsigned)explore->ackRoom);
+    if (explore->ack_count == explore->ack_room) {
+        explore->ack_room = explore->ack_room > 0 ? explore->ack_room * 2 : 64;
+        explore->acks = talloc_realloc(explore, explore->acks, uint64_t, (unsigned)explore->ack_room);
     }
-    explore->acks[explore->ackCount++] = number;
+    explore->acks[explore->ack_count++] = number;
     explore->orders[number - 1].acknowledged = true;
     explore->result->acknowledged++;
 }
@@ -38,21 +38,21 @@
     else if (status == STATUS_NOT_LEADER || status == STATUS_BUSY)
         order->refused = true;
     if (status == STATUS_OK && result.number != handing->number)
-        exploreBreak(explore, RULE_ACK_LOST, "the result is that of another change");
+        explore_break(explore, RULE_ACK_LOST, "the result is that of another change");
     if (order->refused && order->index != 0)
-        exploreBreak(explore, RULE_REFUSED_TAKEN, "refused when it was committed already");
+        explore_break(explore, RULE_REFUSED_TAKEN, "refused when it was committed already");
 }
 
-void clientSubmit(Explore *explore, Node *node)
+void client_submit(Explore *explore, Node *node)
 {
-    if (explore->orderCount == explore->orderRoom) {
-        explore->orderRoom = explore->orderRoom > 0 ? explore->orderRoom * 2 : 512;
-        explore->orders = talloc_realloc(explore, explore->orders, Order, (unsigned)explore->orderRoom);
+    if (explore->order_count == explore->order_room) {
+        explore->order_room = explore->order_room > 0 ? explore->order_room * 2 : 512;
+        explore->orders = talloc_realloc(explore, explore->orders, Order, (unsigned)explore->order_room);
     }
-    explore->orders[explore->orderCount++] = (Order){0};
+    explore->orders[explore->order_count++] = (Order){0};
     Loop *loop = sim_loop(explore->world, node->machine);
     Handing *handing = talloc_zero(loop, Handing);
-    *handing = (Handing){explore, node, explore->orderCount, {0}};
+    *handing = (Handing){explore, node, explore->order_count, {0}};
     bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
     static const uint8_t FILL[CLIENT_BYTES] = {0};
     bytes_add(handing, &handing->payload, FILL, sim_random(explore->world) % CLIENT_BYTES);
@@ -62,25 +62,25 @@
 /* Mostly the leader, at times anybody. */
 static Node *target(Explore *explore)
 {
-    Node *leader = sim_random(explore->world) % 4 != 0 ? nodeLeader(explore) : NULL;
+    Node *leader = sim_random(explore->world) % 4 != 0 ? node_leader(explore) : NULL;
     if (leader != NULL)
         return leader;
     Node *node = &explore->nodes[sim_random(explore->world) % (uint64_t)explore->node_count];
     return node->up ? node : NULL;
 }
 
-static void clientTick(void *arg)
+static void client_tick(void *arg)
 {
     Explore *explore = arg;
     Node *node = target(explore);
     if (node != NULL)
-        clientSubmit(explore, node);
+        client_submit(explore, node);
     sim_at(explore->world,
-           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)), clientTick,
+           sim_now_ms(explore->world) + 1 + (int64_t)(sim_random(explore->world) % (2 * CLIENT_EACH_MS)), client_tick,
            explore);
 }
 
 void client_start(Explore *explore)
 {
-    clientTick(explore);
+    client_tick(explore);
 }
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -8,13 +8,13 @@
 
 DiskModel *disk_of(const Explore *explore, uint64_t disk)
 {
-    for (size_t i = 0; i < explore->diskCount; i++)
+    for (size_t i = 0; i < explore->disk_count; i++)
         if (explore->disks[i]->disk == disk)
             return explore->disks[i];
     return NULL;
 }
 
-const Item *diskItem(const DiskModel *model, uint64_t index)
+const Item *disk_item(const DiskModel *model, uint64_t index)
 {
     return index > model->base_index && index <= model->base_index + model->entries.count
                ? &model->entries.list[index - model->base_index - 1]
@@ -27,27 +27,27 @@
 }
 
 /* The epoch at the index; false when it is not known there. */
-static bool epochAt(const DiskModel *model, uint64_t index, uint64_t *epoch)
+static bool epoch_at(const DiskModel *model, uint64_t index, uint64_t *epoch)
 {
-    const Item *item = diskItem(model, index);
+    const Item *item = disk_item(model, index);
     if (item == NULL && index != model->base_index)
         return false;
     *epoch = item != NULL ? item->epoch : model->base_epoch;
     return true;
 }
 
-size_t diskHolders(const Explore *explore, uint64_t index, uint64_t epoch)
+size_t disk_holders(const Explore *explore, uint64_t index, uint64_t epoch)
 {
     size_t count = 0;
-    for (size_t i = 0; i < explore->diskCount; i++) {
+    for (size_t i = 0; i < explore->disk_count; i++) {
         const DiskModel *model = explore->disks[i];
-        const Item *item = diskItem(model, index);
+        const Item *item = disk_item(model, index);
         count += item != NULL ? item->epoch == epoch : index <= model->base_index;
     }
     return count;
 }
 
-static void trimTo(DiskModel *model, uint64_t index)
+static void trim_to(DiskModel *model, uint64_t index)
 {
     while (model->entries.count > 0 && last_index(model) > index)
         model->entries.count--;
@@ -76,12 +76,12 @@
         break;
     case RECORD_ENTRY:
         if (record->index == last_index(model) + 1) {
-            const Item item = itemOf(model, record);
-            itemsAdd(model, &model->entries, &item);
+            const Item item = item_of(model, record);
+            items_add(model, &model->entries, &item);
         }
         break;
     case RECORD_TRIM:
-        trimTo(model, record->index);
+        trim_to(model, record->index);
         break;
     case RECORD_SNAPSHOT:
         rebase(model, record);
@@ -95,30 +95,30 @@
 static bool shortened(const DiskModel *older, const DiskModel *newer)
 {
     uint64_t before, after;
-    return last_index(newer) < last_index(older) && epochAt(older, last_index(newer), &before) &&
-           epochAt(newer, last_index(newer), &after) && before == after;
+    return last_index(newer) < last_index(older) && epoch_at(older, last_index(newer), &before) &&
+           epoch_at(newer, last_index(newer), &after) && before == after;
 }
 
 static void compare(Explore *explore, const DiskModel *older, const DiskModel *newer)
 {
     if (newer->promised < older->promised)
-        exploreBreak(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
-                     epoch_counter(older->promised), epoch_counter(newer->promised));
+        explore_break(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64,
+                      newer->machine, epoch_counter(older->promised), epoch_counter(newer->promised));
     if (shortened(older, newer))
-        exploreBreak(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
-                     last_index(older), last_index(newer));
+        explore_break(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
+                      last_index(older), last_index(newer));
     if (newer->cluster != 0 && explore->cluster == 0)
         explore->cluster = newer->cluster;
     if (newer->cluster != 0 && newer->cluster != explore->cluster)
-        exploreBreak(explore, RULE_TWO_CLUSTERS, "node %d is of another cluster", newer->machine);
+        explore_break(explore, RULE_TWO_CLUSTERS, "node %d is of another cluster", newer->machine);
 }
 
-static DiskModel *modelNew(Explore *explore, Node *node)
+static DiskModel *model_new(Explore *explore, Node *node)
 {
     DiskModel *model = talloc_zero(explore, DiskModel);
     model->machine = node->machine;
-    if (explore->diskCount < DISKS_MAX)
-        explore->disks[explore->diskCount++] = model;
+    if (explore->disk_count < DISKS_MAX)
+        explore->disks[explore->disk_count++] = model;
     node->model = model;
     return model;
 }
@@ -131,14 +131,14 @@
     return NULL;
 }
 
-void diskChanged(void *arg, int machine, const char *path, Bytes bytes, bool whole)
+void disk_changed(void *arg, int machine, const char *path, Bytes bytes, bool whole)
 {
     Explore *explore = arg;
     Node *node = node_at(explore, machine);
     (void)path;
     if (node == NULL)
         return;
-    DiskModel *model = node->model != NULL ? node->model : modelNew(explore, node);
+    DiskModel *model = node->model != NULL ? node->model : model_new(explore, node);
     DiskModel before = *model;
     if (whole) {
         model->entries = (Items){0};
@@ -154,7 +154,7 @@
         talloc_free(before.entries.list);
 }
 
-void diskLost(Explore *explore, Node *node)
+void disk_lost(Explore *explore, Node *node)
 {
     (void)explore;
     if (node->model != NULL)
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -24,7 +24,7 @@
 /* How often an act is drawn, and within what its span and amount are. */
 static const struct {
     unsigned weight;
-    int64_t leastMs, most_ms;
+    int64_t least_ms, most_ms;
     unsigned least, most;
 } SHAPES[ACT_KINDS] = {
     [ACT_KILL] = {10, 0, 4000, 0, 0},
@@ -50,7 +50,7 @@
     [ACT_CHANGES] = {6, 0, 0, 5, 400},
 };
 
-static ActKind kindOf(Draw *draw)
+static ActKind kind_of(Draw *draw)
 {
     uint64_t sum = 0;
     for (int i = 0; i < ACT_KINDS; i++)
@@ -62,7 +62,7 @@
     return (ActKind)kind;
 }
 
-static Who whoOf(Draw *draw, ActKind kind)
+static Who who_of(Draw *draw, ActKind kind)
 {
     static const Who WHOS[] = {WHO_LEADER, WHO_LEADER, WHO_VOTER, WHO_VOTER, WHO_VOTER, WHO_LEARNER, WHO_ANY, WHO_ANY};
     const Who who = WHOS[below(draw, sizeof(WHOS) / sizeof(WHOS[0]))];
@@ -71,7 +71,7 @@
 }
 
 /* Mostly one shortly after another, so that they meet; at times a while of quiet. */
-static int64_t gapOf(Draw *draw, bool dense)
+static int64_t gap_of(Draw *draw, bool dense)
 {
     if (dense)
         return (int64_t)below(draw, 160);
@@ -79,48 +79,48 @@
     return (int64_t)below(draw, span);
 }
 
-void explorePlanOf(uint64_t seed, ExplorePlan *plan)
+void explore_plan_of(uint64_t seed, ExplorePlan *plan)
 {
     Draw draw = {seed * 1000003 + 17};
     memset(plan, 0, sizeof(*plan));
     plan->seed = plan->world = seed;
     plan->losses = below(&draw, 3) == 0 ? 2 : 1;
     plan->spares = (int)below(&draw, 4);
-    plan->byVotes = below(&draw, 2) == 0;
+    plan->by_votes = below(&draw, 2) == 0;
     plan->beyond = below(&draw, 6) == 0;
     plan->snapshot = (size_t[]){5, 20, 80, 400}[below(&draw, 4)];
-    plan->voterBackMs = (int64_t[]){0, 3000, 6000}[below(&draw, 3)];
+    plan->voter_back_ms = (int64_t[]){0, 3000, 6000}[below(&draw, 3)];
     const bool dense = below(&draw, 4) == 0;
-    plan->lengthMs = dense ? 9000 : 20000 + (int64_t)below(&draw, 20000);
+    plan->length_ms = dense ? 9000 : 20000 + (int64_t)below(&draw, 20000);
     int64_t at_ms = 0;
-    while (plan->actCount < EXPLORE_ACTS_MAX) {
-        at_ms += gapOf(&draw, dense);
-        if (at_ms >= plan->lengthMs)
+    while (plan->act_count < EXPLORE_ACTS_MAX) {
+        at_ms += gap_of(&draw, dense);
+        if (at_ms >= plan->length_ms)
             break;
-        const ActKind kind = kindOf(&draw);
-        Act *act = &plan->acts[plan->actCount++];
-        *act = (Act){at_ms, kind, whoOf(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
+        const ActKind kind = kind_of(&draw);
+        Act *act = &plan->acts[plan->act_count++];
+        *act = (Act){at_ms, kind, who_of(&draw, kind), (unsigned)below(&draw, NODES_MAX), 0, 0};
         act->for_ms =
-            SHAPES[kind].leastMs + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].most_ms - SHAPES[kind].leastMs + 1));
+            SHAPES[kind].least_ms + (int64_t)below(&draw, (uint64_t)(SHAPES[kind].most_ms - SHAPES[kind].least_ms + 1));
         act->amount = SHAPES[kind].least + (unsigned)below(&draw, SHAPES[kind].most - SHAPES[kind].least + 1);
     }
 }
 
 /* One voter after another is lost. A learner comes shortly before each loss, or all of them stand
  * ready from the start on. */
-static void paceLoss(Draw *draw, ExplorePlan *plan, int64_t at_ms, bool standing)
+static void pace_loss(Draw *draw, ExplorePlan *plan, int64_t at_ms, bool standing)
 {
     static const ActKind LOSSES[] = {ACT_LEAVE, ACT_LEAVE, ACT_VANISH, ACT_WIPE};
     const Who who = (Who[]){WHO_LEADER, WHO_VOTER, WHO_VOTER}[below(draw, 3)];
     const ActKind kind = LOSSES[below(draw, sizeof(LOSSES) / sizeof(LOSSES[0]))];
     const int64_t before_ms = (int64_t)below(draw, PACE_BEFORE_MS);
     if (kind != ACT_WIPE && !standing) /* one that is wiped comes back as a learner itself */
-        plan->acts[plan->actCount++] = (Act){at_ms - before_ms, ACT_JOIN, WHO_ANY, 0, 0, 0};
-    plan->acts[plan->actCount++] =
+        plan->acts[plan->act_count++] = (Act){at_ms - before_ms, ACT_JOIN, WHO_ANY, 0, 0, 0};
+    plan->acts[plan->act_count++] =
         (Act){at_ms, kind, who, (unsigned)below(draw, NODES_MAX), (int64_t)below(draw, 1000), 0};
 }
 
-void explorePaceOf(uint64_t seed, ExplorePlan *plan)
+void explore_pace_of(uint64_t seed, ExplorePlan *plan)
 {
     Draw draw = {seed * 1000003 + 29};
     memset(plan, 0, sizeof(*plan));
@@ -129,18 +129,18 @@
     plan->losses = below(&draw, 3) == 0 ? 2 : 1;
     const bool standing = below(&draw, 2) == 0;
     plan->spares = standing ? PACE_LOSSES : (int)below(&draw, 2);
-    plan->byVotes = true;
+    plan->by_votes = true;
     plan->snapshot = (size_t[]){5, 80, 4000}[below(&draw, 3)];
-    plan->voterBackMs = (int64_t[]){4000, 6000}[below(&draw, 2)];
+    plan->voter_back_ms = (int64_t[]){4000, 6000}[below(&draw, 2)];
     int64_t at_ms = PACE_BEFORE_MS;
     for (int i = 0; i < PACE_LOSSES; i++) {
-        paceLoss(&draw, plan, at_ms, standing);
-        at_ms += plan->voterBackMs + PACE_BEFORE_MS + (int64_t)below(&draw, 500);
+        pace_loss(&draw, plan, at_ms, standing);
+        at_ms += plan->voter_back_ms + PACE_BEFORE_MS + (int64_t)below(&draw, 500);
     }
-    plan->lengthMs = at_ms;
+    plan->length_ms = at_ms;
 }
 
-void explorePrint(const ExplorePlan *plan)
+void explore_print(const ExplorePlan *plan)
 {
     static const char *const KINDS[] = {
 #define X(name, word) "ACT_" #name,
@@ -155,10 +155,10 @@
     printf("{.seed = %" PRIu64 ", .world = %" PRIu64
            ", .losses = %d, .spares = %d, .byVotes = %s, .pace = %s, .beyond = %s, .snapshot = %zu,\n"
            " .voterBackMs = %" PRId64 ", .lengthMs = %" PRId64 ", .acts = {\n",
-           plan->seed, plan->world, plan->losses, plan->spares, plan->byVotes ? "true" : "false",
-           plan->pace ? "true" : "false", plan->beyond ? "true" : "false", plan->snapshot, plan->voterBackMs,
-           plan->lengthMs);
-    for (size_t i = 0; i < plan->actCount; i++)
+           plan->seed, plan->world, plan->losses, plan->spares, plan->by_votes ? "true" : "false",
+           plan->pace ? "true" : "false", plan->beyond ? "true" : "false", plan->snapshot, plan->voter_back_ms,
+           plan->length_ms);
+    for (size_t i = 0; i < plan->act_count; i++)
         if (!plan->skipped[i])
             printf("    {%" PRId64 ", %s, %s, %u, %" PRId64 ", %u},\n", plan->acts[i].at_ms, KINDS[plan->acts[i].kind],
                    WHOS[plan->acts[i].who], plan->acts[i].pick, plan->acts[i].for_ms, plan->acts[i].amount);
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -5,7 +5,7 @@
 
 #include "history.h"
 
-const Item *historyItem(const History *history, uint64_t index)
+const Item *history_item(const History *history, uint64_t index)
 {
     return index > 0 && index <= history->items.count ? &history->items.list[index - 1] : NULL;
 }
@@ -20,7 +20,7 @@
 
 /* Any two majorities of lists that follow each other share a disk, and one step leads from the
  * one to the other: a disk more, a disk less, or one in another's place. */
-static void votersNext(Explore *explore, uint64_t index, const Item *item)
+static void voters_next(Explore *explore, uint64_t index, const Item *item)
 {
     History *history = &explore->history;
     size_t added = 0, gone = 0;
@@ -31,66 +31,66 @@
     const size_t both = history->voter_count + added;
     const bool meet = lock_majority(history->voter_count) + lock_majority(item->voter_count) > both;
     if (history->voter_count > 0 && (added > 1 || gone > 1 || !meet))
-        exploreBreak(explore, RULE_VOTERS_STEP, "at %" PRIu64 ", %zu voters, %zu added, %zu gone", index,
-                     item->voter_count, added, gone);
+        explore_break(explore, RULE_VOTERS_STEP, "at %" PRIu64 ", %zu voters, %zu added, %zu gone", index,
+                      item->voter_count, added, gone);
     memcpy(history->voters, item->voters, item->voter_count * sizeof(*item->voters));
     history->voter_count = item->voter_count;
     history->list_index = index;
-    explore->result->voterChanges++;
+    explore->result->voter_changes++;
 }
 
-static void orderCommitted(Explore *explore, uint64_t index, uint64_t number)
+static void order_committed(Explore *explore, uint64_t index, uint64_t number)
 {
-    if (number == 0 || number > explore->orderCount)
+    if (number == 0 || number > explore->order_count)
         return;
     Order *order = &explore->orders[number - 1];
     if (order->index != 0)
-        exploreBreak(explore, RULE_TWICE, "change %" PRIu64 " at %" PRIu64 " and at %" PRIu64, number, order->index,
-                     index);
+        explore_break(explore, RULE_TWICE, "change %" PRIu64 " at %" PRIu64 " and at %" PRIu64, number, order->index,
+                      index);
     if (order->refused)
-        exploreBreak(explore, RULE_REFUSED_TAKEN, "change %" PRIu64 " at %" PRIu64, number, index);
+        explore_break(explore, RULE_REFUSED_TAKEN, "change %" PRIu64 " at %" PRIu64, number, index);
     order->index = index;
 }
 
 /* How many voters a commit is counted among: those of the newest list in the leader's log, as
  * it was at the commit. A list that this very step has ordered came after what the step
  * commits, unless it is committed itself: then the one from before the step counts. */
-static size_t votersCounted(const Node *node, const ViewWindow *window)
+static size_t voters_counted(const Node *node, const ViewWindow *window)
 {
-    const bool ordered = window->list_index > node->listBefore && window->list_index > window->commit_index;
-    return ordered && node->votersBefore > 0 ? node->votersBefore : window->voter_count;
+    const bool ordered = window->list_index > node->list_before && window->list_index > window->commit_index;
+    return ordered && node->voters_before > 0 ? node->voters_before : window->voter_count;
 }
 
-static void commitOne(Explore *explore, const Node *node, const ViewWindow *window, uint64_t index)
+static void commit_one(Explore *explore, const Node *node, const ViewWindow *window, uint64_t index)
 {
     History *history = &explore->history;
-    const Item *held = node->model != NULL ? diskItem(node->model, index) : NULL;
+    const Item *held = node->model != NULL ? disk_item(node->model, index) : NULL;
     if (held == NULL) {
-        exploreBreak(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 ", which its own disk does not hold", node->name,
-                     index);
+        explore_break(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 ", which its own disk does not hold",
+                      node->name, index);
         return;
     }
-    const size_t holders = diskHolders(explore, index, held->epoch);
-    const size_t voters = votersCounted(node, window);
+    const size_t holders = disk_holders(explore, index, held->epoch);
+    const size_t voters = voters_counted(node, window);
     if (holders < lock_majority(voters))
-        exploreBreak(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 " on %zu disks of %zu voters", node->name, index,
-                     holders, voters);
+        explore_break(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 " on %zu disks of %zu voters", node->name,
+                      index, holders, voters);
     Item item = *held;
-    item.chain = chainNext(history->items.count > 0 ? history->items.list[history->items.count - 1].chain : 0, held);
-    itemsAdd(explore, &history->items, &item);
+    item.chain = chain_next(history->items.count > 0 ? history->items.list[history->items.count - 1].chain : 0, held);
+    items_add(explore, &history->items, &item);
     if (history->voter_count == 0) {
         memcpy(history->voters, window->voters, sizeof(window->voters));
         history->voter_count = window->voter_count;
     }
     if (item.voters != NULL)
-        votersNext(explore, index, &item);
-    orderCommitted(explore, index, item.number);
+        voters_next(explore, index, &item);
+    order_committed(explore, index, item.number);
     if (item.number != 0)
         explore->result->committed++;
 }
 
-void historyFollow(Explore *explore, const Node *node, const ViewWindow *window)
+void history_follow(Explore *explore, const Node *node, const ViewWindow *window)
 {
     while (explore->history.items.count < window->commit_index && explore->result->rule == RULE_NONE)
-        commitOne(explore, node, window, explore->history.items.count + 1);
+        commit_one(explore, node, window, explore->history.items.count + 1);
 }
--- a/packages/explore/src/history.h
+++ b/packages/explore/src/history.h
@@ -4,8 +4,8 @@
 #include "inside.h"
 
 /* The item at the index, or null. */
-const Item *historyItem(const History *history, uint64_t index);
+const Item *history_item(const History *history, uint64_t index);
 /* Takes in what the node has committed beyond the history. */
-void historyFollow(Explore *explore, const Node *node, const ViewWindow *window);
+void history_follow(Explore *explore, const Node *node, const ViewWindow *window);
 
 #endif
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -71,9 +71,9 @@
     View *view;
     Members *members;
     Chain chain;
-    uint64_t promisedSeen, commitSeen, heldEpoch, ledEpoch, listSeen;
-    size_t votersBefore; /* in the list that was in force after the step before */
-    uint64_t listBefore; /* its index */
+    uint64_t promised_seen, commit_seen, held_epoch, led_epoch, list_seen;
+    size_t voters_before; /* in the list that was in force after the step before */
+    uint64_t list_before; /* its index */
 } Node;
 
 typedef struct Lead {
@@ -89,69 +89,69 @@
     Node nodes[NODES_MAX];
     int node_count;
     DiskModel *disks[DISKS_MAX];
-    size_t diskCount;
+    size_t disk_count;
     History history;
     uint64_t cluster;
     Order *orders; /* by number - 1 */
-    size_t orderCount, orderRoom;
+    size_t order_count, order_room;
     uint64_t *acks; /* numbers acknowledged in this step */
-    size_t ackCount, ackRoom;
+    size_t ack_count, ack_room;
     Lead *leads;
-    size_t leadCount, leadRoom;
-    bool lostSeen; /* pace: a disk has been lost */
-    uint64_t ackedAtLoss;
+    size_t lead_count, lead_room;
+    bool lost_seen; /* pace: a disk has been lost */
+    uint64_t acked_at_loss;
 } Explore;
 
 /* The first break stands; later ones follow from it. */
-void exploreBreak(Explore *explore, Rule rule, const char *format, ...) __attribute__((format(printf, 3, 4)));
-void exploreSay(const Explore *explore, const char *format, ...) __attribute__((format(printf, 2, 3)));
+void explore_break(Explore *explore, Rule rule, const char *format, ...) __attribute__((format(printf, 3, 4)));
+void explore_say(const Explore *explore, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
 /* Items, in order. */
-Item *itemsAdd(void *mem, Items *items, const Item *item);
+Item *items_add(void *mem, Items *items, const Item *item);
 /* What an entry of the log is. */
-Item itemOf(void *mem, const Record *entry);
-uint64_t chainNext(uint64_t chain, const Item *item);
+Item item_of(void *mem, const Record *entry);
+uint64_t chain_next(uint64_t chain, const Item *item);
 
 /* Disks. */
-void diskChanged(void *explore, int machine, const char *path, Bytes bytes, bool whole);
+void disk_changed(void *explore, int machine, const char *path, Bytes bytes, bool whole);
 /* The disk of the machine is gone. */
-void diskLost(Explore *explore, Node *node);
+void disk_lost(Explore *explore, Node *node);
 DiskModel *disk_of(const Explore *explore, uint64_t disk);
 /* The entry at the index, or null. */
-const Item *diskItem(const DiskModel *model, uint64_t index);
+const Item *disk_item(const DiskModel *model, uint64_t index);
 /* How many disks ever held the item at the index. */
-size_t diskHolders(const Explore *explore, uint64_t index, uint64_t epoch);
+size_t disk_holders(const Explore *explore, uint64_t index, uint64_t epoch);
 
 /* Rules. */
-void checkStep(void *explore);
+void check_step(void *explore);
 
 /* Nodes. */
 Node *node_add(Explore *explore);
 void node_start(Node *node);
-void nodeStartLater(Node *node, int64_t after_ms);
-void nodeKill(Node *node, bool power);
-void nodeWipe(Node *node);
-void nodeLeave(Node *node);
-void nodeVanish(Node *node);
-bool nodeLeads(const Node *node);
-Node *nodeLeader(Explore *explore);
-bool nodeVotes(const Explore *explore, const Node *node);
+void node_start_later(Node *node, int64_t after_ms);
+void node_kill(Node *node, bool power);
+void node_wipe(Node *node);
+void node_leave(Node *node);
+void node_vanish(Node *node);
+bool node_leads(const Node *node);
+Node *node_leader(Explore *explore);
+bool node_votes(const Explore *explore, const Node *node);
 /* Whether the disk may be lost now: what is borne bears it. */
-bool nodeMayLose(const Explore *explore, const Node *node);
+bool node_may_lose(const Explore *explore, const Node *node);
 /* How many of the voters are there. */
-size_t votersLeft(const Explore *explore);
+size_t voters_left(const Explore *explore);
 /* How many disks there are. */
-size_t disksLeft(const Explore *explore);
+size_t disks_left(const Explore *explore);
 /* Whether a majority of the voters is there. */
-bool votersThere(const Explore *explore);
+bool voters_there(const Explore *explore);
 
 /* Clients. */
 void client_start(Explore *explore);
-void clientSubmit(Explore *explore, Node *node);
+void client_submit(Explore *explore, Node *node);
 
 /* The adversary. */
-void actDo(Explore *explore, const Act *act);
+void act_do(Explore *explore, const Act *act);
 /* Ends all that it does; starts everybody that has not gone. */
-void actsEnd(Explore *explore);
+void acts_end(Explore *explore);
 
 #endif
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -6,7 +6,7 @@
 
 #define ITEMS_FIRST 256 /* count */
 
-Item *itemsAdd(void *mem, Items *items, const Item *item)
+Item *items_add(void *mem, Items *items, const Item *item)
 {
     if (items->count == items->room) {
         items->room = items->room > 0 ? items->room * 2 : ITEMS_FIRST;
@@ -23,7 +23,7 @@
     return z ^ (z >> 31);
 }
 
-Item itemOf(void *mem, const Record *entry)
+Item item_of(void *mem, const Record *entry)
 {
     const uint64_t crc = bytes_crc(entry->payload.data, entry->payload.count);
     Item item = {.epoch = entry->epoch, .hash = mix(mix(mix(entry->epoch) + entry->change) + crc)};
@@ -35,7 +35,7 @@
     return item;
 }
 
-uint64_t chainNext(uint64_t chain, const Item *item)
+uint64_t chain_next(uint64_t chain, const Item *item)
 {
     return item->number == 0 ? chain : mix(chain + item->hash);
 }
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -16,8 +16,8 @@
 {
     Chain *chain = arg;
     void *scratch = talloc_new(NULL);
-    const Item item = itemOf(scratch, change);
-    chain->hash = chainNext(chain->hash, &item);
+    const Item item = item_of(scratch, change);
+    chain->hash = chain_next(chain->hash, &item);
     result->number = item.number;
     talloc_free(scratch);
 }
@@ -58,7 +58,7 @@
 }
 
 /* Seeds change hands when a machine goes for good: the oldest that are left. */
-static void seedsOf(const Explore *explore, const char *seeds[SEEDS])
+static void seeds_of(const Explore *explore, const char *seeds[SEEDS])
 {
     int count = 0;
     for (int i = 0; i < explore->node_count && count < SEEDS; i++)
@@ -71,7 +71,7 @@
 static Status boot(Node *node, Loop *loop, Failure *failure)
 {
     const Explore *explore = node->explore;
-    const ViewFounds first = explore->plan->byVotes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
+    const ViewFounds first = explore->plan->by_votes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
     node->courier = courier_new(loop, loop, node->ring);
     const ViewProps how = {.loop = loop,
                            .courier = node->courier,
@@ -80,7 +80,7 @@
                            .losses = explore->plan->losses,
                            .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
                            .disks_keep = true,
-                           .seat_back_ms = explore->plan->voterBackMs,
+                           .seat_back_ms = explore->plan->voter_back_ms,
                            .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
     node->view = view_new(loop, &how);
@@ -102,7 +102,7 @@
         .empty = !view_founded(node->view),
     };
     const char *seeds[SEEDS];
-    seedsOf(explore, seeds);
+    seeds_of(explore, seeds);
     node->members = members_new(loop, loop, node->courier, node->ring, &self, seeds);
     view_start(node->view, node->members);
     members_start(node->members);
@@ -110,13 +110,13 @@
     return STATUS_OK;
 }
 
-static void startAgain(void *arg)
+static void start_again(void *arg)
 {
     Node *node = arg;
     if (node->up)
         return;
-    nodeKill(node, false);
-    nodeStartLater(node, START_AGAIN_MS);
+    node_kill(node, false);
+    node_start_later(node, START_AGAIN_MS);
 }
 
 static void boot_main(void *arg)
@@ -126,27 +126,27 @@
     const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
     if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
-        sim_at(node->explore->world, sim_now_ms(node->explore->world), startAgain, node);
+        sim_at(node->explore->world, sim_now_ms(node->explore->world), start_again, node);
     else if (!node->up)
-        exploreBreak(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
+        explore_break(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
 }
 
-static void onStart(void *arg, Loop *loop)
+static void on_start(void *arg, Loop *loop)
 {
     Node *node = arg;
     node->up = false;
     node->life++;
     node->chain = (Chain){0};
-    node->promisedSeen = node->commitSeen = node->heldEpoch = node->ledEpoch = node->listSeen = 0;
-    node->votersBefore = node->listBefore = 0;
+    node->promised_seen = node->commit_seen = node->held_epoch = node->led_epoch = node->list_seen = 0;
+    node->voters_before = node->list_before = 0;
     loop_spawn(loop, "boot", boot_main, node);
 }
 
 void node_start(Node *node)
 {
     if (!node->gone && !sim_alive(node->explore->world, node->machine)) {
-        exploreSay(node->explore, "%s starts", node->name);
-        sim_start(node->explore->world, node->machine, onStart, node);
+        explore_say(node->explore, "%s starts", node->name);
+        sim_start(node->explore->world, node->machine, on_start, node);
     }
 }
 
@@ -155,36 +155,36 @@
     node_start(arg);
 }
 
-void nodeStartLater(Node *node, int64_t after_ms)
+void node_start_later(Node *node, int64_t after_ms)
 {
     sim_at(node->explore->world, sim_now_ms(node->explore->world) + after_ms, start_later, node);
 }
 
-void nodeKill(Node *node, bool power)
+void node_kill(Node *node, bool power)
 {
     node->up = false;
     (power ? sim_power_off : sim_kill)(node->explore->world, node->machine);
 }
 
-void nodeWipe(Node *node)
+void node_wipe(Node *node)
 {
-    nodeKill(node, true);
-    diskLost(node->explore, node);
+    node_kill(node, true);
+    disk_lost(node->explore, node);
     sim_disk_wipe(node->explore->world, node->machine);
 }
 
-void nodeVanish(Node *node)
+void node_vanish(Node *node)
 {
-    nodeKill(node, true);
-    diskLost(node->explore, node);
+    node_kill(node, true);
+    disk_lost(node->explore, node);
     node->gone = true;
 }
 
-static void leftNow(void *arg)
+static void left_now(void *arg)
 {
     Node *node = arg;
     if (!node->gone)
-        nodeVanish(node);
+        node_vanish(node);
 }
 
 /* As a core's process does it when it is told to end. */
@@ -199,28 +199,28 @@
                loop_now_ms(sim_loop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
 
-void nodeLeave(Node *node)
+void node_leave(Node *node)
 {
     if (!node->up) {
-        nodeVanish(node);
+        node_vanish(node);
         return;
     }
     node->leaving = true;
     loop_spawn(sim_loop(node->explore->world, node->machine), "leave", leave_main, node);
-    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, leftNow, node);
+    sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, left_now, node);
 }
 
 /* --- what they are --------------------------------------------------------------- */
 
-bool nodeLeads(const Node *node)
+bool node_leads(const Node *node)
 {
     return node->up && sim_alive(node->explore->world, node->machine) && view_leading(node->view);
 }
 
-Node *nodeLeader(Explore *explore)
+Node *node_leader(Explore *explore)
 {
     for (int i = 0; i < explore->node_count; i++)
-        if (nodeLeads(&explore->nodes[i]))
+        if (node_leads(&explore->nodes[i]))
             return &explore->nodes[i];
     return NULL;
 }
@@ -233,12 +233,12 @@
     return false;
 }
 
-bool nodeVotes(const Explore *explore, const Node *node)
+bool node_votes(const Explore *explore, const Node *node)
 {
     return node->model != NULL && has(explore->history.voters, explore->history.voter_count, node->model->disk);
 }
 
-static size_t lostOf(const Explore *explore, const uint64_t *disks, size_t count)
+static size_t lost_of(const Explore *explore, const uint64_t *disks, size_t count)
 {
     size_t lost = 0;
     for (size_t i = 0; i < count; i++) {
@@ -256,10 +256,10 @@
 {
     if (!has(disks, count, node->model->disk))
         return true;
-    return lostOf(explore, disks, count) + 1 <= count - lock_majority(count);
+    return lost_of(explore, disks, count) + 1 <= count - lock_majority(count);
 }
 
-bool nodeMayLose(const Explore *explore, const Node *node)
+bool node_may_lose(const Explore *explore, const Node *node)
 {
     if (explore->plan->beyond || explore->plan->pace || node->model == NULL)
         return true;
@@ -277,13 +277,13 @@
     return true;
 }
 
-size_t votersLeft(const Explore *explore)
+size_t voters_left(const Explore *explore)
 {
     const History *history = &explore->history;
-    return history->voter_count - lostOf(explore, history->voters, history->voter_count);
+    return history->voter_count - lost_of(explore, history->voters, history->voter_count);
 }
 
-size_t disksLeft(const Explore *explore)
+size_t disks_left(const Explore *explore)
 {
     size_t count = 0;
     for (int i = 0; i < explore->node_count; i++)
@@ -291,7 +291,7 @@
     return count;
 }
 
-bool votersThere(const Explore *explore)
+bool voters_there(const Explore *explore)
 {
-    return votersLeft(explore) >= lock_majority(explore->history.voter_count);
+    return voters_left(explore) >= lock_majority(explore->history.voter_count);
 }
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -10,7 +10,7 @@
 #define FOUND_MS 30000 /* ms; from the first start until the voters are whole */
 #define LOOK_MS 50     /* ms; between two looks at whether something broke */
 
-void exploreSay(const Explore *explore, const char *format, ...)
+void explore_say(const Explore *explore, const char *format, ...)
 {
     if (!explore->loud)
         return;
@@ -27,7 +27,7 @@
     return explore->result->rule != RULE_NONE;
 }
 
-static void runUntil(Explore *explore, int64_t until_ms)
+static void run_until(Explore *explore, int64_t until_ms)
 {
     while (!broken(explore) && sim_now_ms(explore->world) < until_ms) {
         const int64_t next_ms = sim_now_ms(explore->world) + LOOK_MS;
@@ -41,30 +41,30 @@
     const int voters = 2 * plan->losses + 1;
     for (int i = 0; i < voters + plan->spares; i++) {
         node_add(explore);
-        explore->nodes[i].founds = plan->byVotes || i < SEEDS;
+        explore->nodes[i].founds = plan->by_votes || i < SEEDS;
     }
     /* three empty disks found: the others come once these have */
-    const int first = plan->byVotes ? explore->node_count : SEEDS;
+    const int first = plan->by_votes ? explore->node_count : SEEDS;
     for (int i = 0; i < explore->node_count; i++)
-        nodeStartLater(&explore->nodes[i], i < first ? (int64_t)(sim_random(explore->world) % 300) : 6000);
+        node_start_later(&explore->nodes[i], i < first ? (int64_t)(sim_random(explore->world) % 300) : 6000);
     client_start(explore);
     const int64_t until_ms = sim_now_ms(explore->world) + FOUND_MS;
     while (!broken(explore) && sim_now_ms(explore->world) < until_ms &&
-           (explore->history.voter_count < (size_t)voters || nodeLeader(explore) == NULL))
-        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
-    if (explore->history.voter_count < (size_t)voters || nodeLeader(explore) == NULL)
-        exploreBreak(explore, RULE_NOT_FOUNDED, "%zu voters of %d", explore->history.voter_count, voters);
+           (explore->history.voter_count < (size_t)voters || node_leader(explore) == NULL))
+        run_until(explore, sim_now_ms(explore->world) + LOOK_MS);
+    if (explore->history.voter_count < (size_t)voters || node_leader(explore) == NULL)
+        explore_break(explore, RULE_NOT_FOUNDED, "%zu voters of %d", explore->history.voter_count, voters);
 }
 
 static void adversary(Explore *explore)
 {
     const ExplorePlan *plan = explore->plan;
-    for (size_t i = 0; i < plan->actCount && !broken(explore); i++) {
-        runUntil(explore, explore->start_ms + plan->acts[i].at_ms);
+    for (size_t i = 0; i < plan->act_count && !broken(explore); i++) {
+        run_until(explore, explore->start_ms + plan->acts[i].at_ms);
         if (!plan->skipped[i] && !broken(explore))
-            actDo(explore, &plan->acts[i]);
+            act_do(explore, &plan->acts[i]);
     }
-    runUntil(explore, explore->start_ms + plan->lengthMs);
+    run_until(explore, explore->start_ms + plan->length_ms);
 }
 
 static bool frozen(const Explore *explore)
@@ -79,12 +79,12 @@
 static void whole(Explore *explore, int64_t from_ms)
 {
     const size_t wanted = 2 * (size_t)explore->plan->losses + 1;
-    while (!broken(explore) && disksLeft(explore) >= wanted &&
-           (explore->history.voter_count < wanted || votersLeft(explore) < wanted)) {
+    while (!broken(explore) && disks_left(explore) >= wanted &&
+           (explore->history.voter_count < wanted || voters_left(explore) < wanted)) {
         if (sim_now_ms(explore->world) >= from_ms + WHOLE_MS)
-            exploreBreak(explore, RULE_NOT_WHOLE, "%zu of %zu left, %zu wanted", votersLeft(explore),
-                         explore->history.voter_count, wanted);
-        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
+            explore_break(explore, RULE_NOT_WHOLE, "%zu of %zu left, %zu wanted", voters_left(explore),
+                          explore->history.voter_count, wanted);
+        run_until(explore, sim_now_ms(explore->world) + LOOK_MS);
     }
     explore->result->whole_ms = sim_now_ms(explore->world) - from_ms;
 }
@@ -93,22 +93,22 @@
 static void live(Explore *explore)
 {
     while (!broken(explore) && frozen(explore))
-        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
-    actsEnd(explore);
-    exploreSay(explore, "the adversary has ended");
+        run_until(explore, sim_now_ms(explore->world) + LOOK_MS);
+    acts_end(explore);
+    explore_say(explore, "the adversary has ended");
     ExploreResult *result = explore->result;
     const int64_t from_ms = sim_now_ms(explore->world);
     const uint64_t before = result->acknowledged;
-    result->lived = votersThere(explore);
+    result->lived = voters_there(explore);
     if (explore->plan->pace && !result->lived)
-        exploreBreak(explore, RULE_NOT_LIVE, "no majority of the voters is left");
+        explore_break(explore, RULE_NOT_LIVE, "no majority of the voters is left");
     if (!result->lived)
         return;
     while (!broken(explore) && result->acknowledged == before && sim_now_ms(explore->world) < from_ms + LIVE_MS)
-        runUntil(explore, sim_now_ms(explore->world) + LOOK_MS);
-    result->liveMs = sim_now_ms(explore->world) - from_ms;
+        run_until(explore, sim_now_ms(explore->world) + LOOK_MS);
+    result->live_ms = sim_now_ms(explore->world) - from_ms;
     if (result->acknowledged == before)
-        exploreBreak(explore, RULE_NOT_LIVE, "%" PRId64 " ms after the last failure", result->liveMs);
+        explore_break(explore, RULE_NOT_LIVE, "%" PRId64 " ms after the last failure", result->live_ms);
     whole(explore, from_ms);
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-void exploreRun(const ExplorePlan *plan, bool loud, ExploreResult *result)
+void explore_run(const ExplorePlan *plan, bool loud, ExploreResult *result)
 {
     *result = (ExploreResult){.rule = RULE_NONE};
     Explore *explore = talloc_zero(NULL, Explore);
@@ -128,8 +128,8 @@
     explore->result = result;
     explore->loud = loud;
     explore->world = sim_world_new(explore, plan->world);
-    sim_watch(explore->world, checkStep, explore);
-    sim_watch_disks(explore->world, diskChanged, explore);
+    sim_watch(explore->world, check_step, explore);
+    sim_watch_disks(explore->world, disk_changed, explore);
     found(explore);
     explore->start_ms = sim_now_ms(explore->world);
     adversary(explore);
--- a/packages/explore/src/shrink.c
+++ b/packages/explore/src/shrink.c
@@ -11,18 +11,18 @@
     const uint64_t world = plan->world;
     for (uint64_t i = 0; i < WORLDS; i++) {
         plan->world = world + i * 7919;
-        exploreRun(plan, false, result);
+        explore_run(plan, false, result);
         if (result->rule == rule)
             return true;
     }
     return false;
 }
 
-static bool leaveOut(ExplorePlan *plan, size_t from, size_t span, Rule rule, ExploreResult *result)
+static bool leave_out(ExplorePlan *plan, size_t from, size_t span, Rule rule, ExploreResult *result)
 {
     ExplorePlan tried = *plan;
     ExploreResult got;
-    for (size_t i = from; i < from + span && i < plan->actCount; i++)
+    for (size_t i = from; i < from + span && i < plan->act_count; i++)
         tried.skipped[i] = true;
     if (memcmp(tried.skipped, plan->skipped, sizeof(tried.skipped)) == 0 || !breaks(&tried, rule, &got))
         return false;
@@ -31,18 +31,18 @@
     return true;
 }
 
-bool exploreShrink(ExplorePlan *plan, ExploreResult *result)
+bool explore_shrink(ExplorePlan *plan, ExploreResult *result)
 {
-    exploreRun(plan, false, result);
+    explore_run(plan, false, result);
     const Rule rule = result->rule;
     if (rule == RULE_NONE)
         return false;
     /* first many at once, then fewer, at last one after another until none can go */
     bool any = true;
-    for (size_t span = plan->actCount / 2 + 1; span > 0; span = span > 1 ? span / 2 : any ? 1 : 0) {
+    for (size_t span = plan->act_count / 2 + 1; span > 0; span = span > 1 ? span / 2 : any ? 1 : 0) {
         any = false;
-        for (size_t from = 0; from < plan->actCount; from += span)
-            any |= leaveOut(plan, from, span, rule, result);
+        for (size_t from = 0; from < plan->act_count; from += span)
+            any |= leave_out(plan, from, span, rule, result);
     }
     return true;
 }
--- a/packages/explore/test/explored.c
+++ b/packages/explore/test/explored.c
@@ -3,7 +3,7 @@
 
 /* A snapshot for a voter whose log was of another history came once more, when the log had been
  * mended and had gone on: it was taken back behind what had been committed on it. */
-static void snapshotComesOnceMore(void **state)
+static void snapshot_comes_once_more(void **state)
 {
     (void)state;
     plays((ExplorePlan){.seed = 364,
@@ -11,8 +11,8 @@
                         .losses = 1,
                         .spares = 2,
                         .snapshot = 20,
-                        .voterBackMs = 6000,
-                        .lengthMs = 34656,
+                        .voter_back_ms = 6000,
+                        .length_ms = 34656,
                         .acts = {
                             {1021, ACT_CUT_BOTH, WHO_VOTER, 23, 3014, 0},
                             {2222, ACT_REPEAT, WHO_ANY, 11, 2947, 314},
@@ -22,10 +22,10 @@
                         .world = 23796,
                         .losses = 2,
                         .spares = 3,
-                        .byVotes = true,
+                        .by_votes = true,
                         .snapshot = 5,
-                        .voterBackMs = 6000,
-                        .lengthMs = 37583,
+                        .voter_back_ms = 6000,
+                        .length_ms = 37583,
                         .acts = {
                             {4876, ACT_REPEAT, WHO_LEADER, 2, 1757, 970},
                             {5721, ACT_KILL, WHO_VOTER, 11, 251, 0},
@@ -36,8 +36,8 @@
                         .losses = 2,
                         .spares = 3,
                         .snapshot = 80,
-                        .voterBackMs = 6000,
-                        .lengthMs = 38190,
+                        .voter_back_ms = 6000,
+                        .length_ms = 38190,
                         .acts = {
                             {58, ACT_WIPE, WHO_LEADER, 7, 3353, 0},
                             {280, ACT_BLACKOUT, WHO_VOTER, 18, 2188, 0},
@@ -47,17 +47,17 @@
 
 /* A voter that was silent for a while was removed just when another was lost and it came back:
  * the list of the two that were left was ordered, and only one of them lived. */
-static void removalJustAfterALoss(void **state)
+static void removal_just_after_a_loss(void **state)
 {
     (void)state;
     plays((ExplorePlan){.seed = 158,
                         .world = 8077,
                         .losses = 1,
                         .spares = 3,
-                        .byVotes = true,
+                        .by_votes = true,
                         .snapshot = 20,
-                        .voterBackMs = 3000,
-                        .lengthMs = 22766,
+                        .voter_back_ms = 3000,
+                        .length_ms = 22766,
                         .acts = {
                             {7159, ACT_LEAVE, WHO_VOTER, 6, 0, 0},
                             {8819, ACT_CUT_OUT, WHO_VOTER, 21, 2674, 0},
@@ -67,7 +67,7 @@
 
 /* A learner got a vote while it was down, and one of the two others was lost before it heard of
  * that: it refused to vote, for its own log did not have it among the voters. */
-static void votedInWhileAway(void **state)
+static void voted_in_while_away(void **state)
 {
     (void)state;
     plays((ExplorePlan){.seed = 384,
@@ -75,8 +75,8 @@
                         .losses = 1,
                         .spares = 1,
                         .snapshot = 400,
-                        .voterBackMs = 3000,
-                        .lengthMs = 23795,
+                        .voter_back_ms = 3000,
+                        .length_ms = 23795,
                         .acts = {
                             {8933, ACT_KILL, WHO_LEADER, 19, 3666, 0},
                             {8945, ACT_JOIN, WHO_ANY, 7, 0, 0},
@@ -89,9 +89,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(snapshotComesOnceMore),
-        cmocka_unit_test(removalJustAfterALoss),
-        cmocka_unit_test(votedInWhileAway),
+        cmocka_unit_test(snapshot_comes_once_more),
+        cmocka_unit_test(removal_just_after_a_loss),
+        cmocka_unit_test(voted_in_while_away),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/explore/test/plays.h
+++ b/packages/explore/test/plays.h
@@ -15,13 +15,13 @@
 static inline void plays(ExplorePlan plan)
 {
     ExploreResult result;
-    while (plan.actCount < EXPLORE_ACTS_MAX && plan.acts[plan.actCount].at_ms > 0)
-        plan.actCount++;
-    exploreRun(&plan, false, &result);
+    while (plan.act_count < EXPLORE_ACTS_MAX && plan.acts[plan.act_count].at_ms > 0)
+        plan.act_count++;
+    explore_run(&plan, false, &result);
     if (result.rule != RULE_NONE)
-        fail_msg("seed %u: %s: %s", (unsigned)plan.seed, ruleText(result.rule), result.why);
+        fail_msg("seed %u: %s: %s", (unsigned)plan.seed, rule_text(result.rule), result.why);
     assert_true(result.acknowledged > 20);
-    for (size_t i = 0; i < plan.actCount; i++)
+    for (size_t i = 0; i < plan.act_count; i++)
         assert_true(result.done[plan.acts[i].kind] > 0);
 }
 
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -15,19 +15,19 @@
 #include "explore/explore.h"
 
 typedef struct Sum {
-    uint64_t seeds, broken, steps, committed, acknowledged, leads, voterChanges, lived;
+    uint64_t seeds, broken, steps, committed, acknowledged, leads, voter_changes, lived;
     uint64_t done[ACT_KINDS];
     int64_t worst_ms, whole_ms;
 } Sum;
 
-static double cpuS(void)
+static double cpu_s(void)
 {
     struct timespec at;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &at);
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static void sumAdd(Sum *sum, const ExploreResult *result)
+static void sum_add(Sum *sum, const ExploreResult *result)
 {
     sum->seeds++;
     sum->broken += result->rule != RULE_NONE;
@@ -35,17 +35,17 @@
     sum->committed += result->committed;
     sum->acknowledged += result->acknowledged;
     sum->leads += result->leads;
-    sum->voterChanges += result->voterChanges;
+    sum->voter_changes += result->voter_changes;
     sum->lived += result->lived;
     for (int i = 0; i < ACT_KINDS; i++)
         sum->done[i] += result->done[i];
-    if (result->liveMs > sum->worst_ms)
-        sum->worst_ms = result->liveMs;
+    if (result->live_ms > sum->worst_ms)
+        sum->worst_ms = result->live_ms;
     if (result->whole_ms > sum->whole_ms)
         sum->whole_ms = result->whole_ms;
 }
 
-static void sumPrint(const Sum *sum, double tookS)
+static void sum_print(const Sum *sum, double took_s)
 {
     static const char *const WORDS[] = {
 #define X(name, word) word,
@@ -55,8 +55,8 @@
     printf("%" PRIu64 " seeds, %" PRIu64 " broke, %" PRIu64 " steps (%.0f a second of processor time), %" PRIu64
            " committed, %" PRIu64 " acknowledged, %" PRIu64 " leads, %" PRIu64 " changes of voters, %" PRIu64
            " lived, worst %" PRId64 " ms, whole after %" PRId64 " ms\n",
-           sum->seeds, sum->broken, sum->steps, (double)sum->steps / tookS, sum->committed, sum->acknowledged,
-           sum->leads, sum->voterChanges, sum->lived, sum->worst_ms, sum->whole_ms);
+           sum->seeds, sum->broken, sum->steps, (double)sum->steps / took_s, sum->committed, sum->acknowledged,
+           sum->leads, sum->voter_changes, sum->lived, sum->worst_ms, sum->whole_ms);
     for (int i = 0; i < ACT_KINDS; i++)
         printf("%s%s %" PRIu64, i > 0 ? ", " : "acts: ", WORDS[i], sum->done[i]);
     printf("\n");
@@ -64,7 +64,7 @@
 
 /* --- arguments ------------------------------------------------------------------- */
 
-static bool rangeRead(const char *text, uint64_t *first, uint64_t *last)
+static bool range_read(const char *text, uint64_t *first, uint64_t *last)
 {
     char *end;
     *first = *last = strtoull(text, &end, 10);
@@ -94,17 +94,17 @@
 
 static void tell(const ExplorePlan *plan, const ExploreResult *result)
 {
-    printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, ruleText(result->rule), result->at_ms,
+    printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, rule_text(result->rule), result->at_ms,
            result->why);
 }
 
-static void tellShrunk(const ExplorePlan *plan)
+static void tell_shrunk(const ExplorePlan *plan)
 {
-    explorePrint(plan);
+    explore_print(plan);
     printf("again: spancart-explore%s --seed %" PRIu64 " --world %" PRIu64 " --verbose", plan->pace ? " --pace" : "",
            plan->seed, plan->world);
     bool any = false;
-    for (size_t i = 0; i < plan->actCount; i++)
+    for (size_t i = 0; i < plan->act_count; i++)
         if (plan->skipped[i]) {
             printf("%s%zu", any ? "," : " --skip ", i);
             any = true;
@@ -119,32 +119,32 @@
     bool pace, shrink, loud;
 } Wish;
 
-static int exploreAll(const Wish *wish)
+static int explore_all(const Wish *wish)
 {
     Sum sum = {0};
-    const double beganS = cpuS();
+    const double began_s = cpu_s();
     for (uint64_t seed = wish->first; seed <= wish->last; seed++) {
         ExplorePlan plan;
         ExploreResult result;
-        (wish->pace ? explorePaceOf : explorePlanOf)(seed, &plan);
+        (wish->pace ? explore_pace_of : explore_plan_of)(seed, &plan);
         if (wish->world != 0)
             plan.world = wish->world;
         if (wish->skip != NULL && !skip_read(&plan, wish->skip)) {
             fprintf(stderr, "--skip takes numbers of acts, like 0,3,4\n");
             return 2;
         }
-        exploreRun(&plan, wish->loud, &result);
-        sumAdd(&sum, &result);
+        explore_run(&plan, wish->loud, &result);
+        sum_add(&sum, &result);
         if (result.rule != RULE_NONE) {
             tell(&plan, &result);
-            if (wish->shrink && exploreShrink(&plan, &result)) {
+            if (wish->shrink && explore_shrink(&plan, &result)) {
                 printf("shrunk: at %" PRId64 " ms, %s\n", result.at_ms, result.why);
-                tellShrunk(&plan);
+                tell_shrunk(&plan);
             }
         }
         fflush(stdout);
     }
-    sumPrint(&sum, cpuS() - beganS);
+    sum_print(&sum, cpu_s() - began_s);
     return sum.broken > 0;
 }
 
@@ -169,7 +169,7 @@
     const char *range = seeds != NULL ? seeds : seed;
     if (got < -1)
         fprintf(stderr, "%s: %s\n", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
-    else if (range == NULL || !rangeRead(range, &wish.first, &wish.last))
+    else if (range == NULL || !range_read(range, &wish.first, &wish.last))
         fprintf(stderr, "give --seeds A..B or --seed N\n");
     else {
         wish.skip = skip;
@@ -177,7 +177,7 @@
         wish.pace = pace != 0;
         wish.shrink = seeds != NULL && plain == 0;
         wish.loud = loud != 0;
-        code = exploreAll(&wish);
+        code = explore_all(&wish);
     }
     poptFreeContext(context);
     free(seeds);
--- a/packages/model/include/model/dice.h
+++ b/packages/model/include/model/dice.h
@@ -10,12 +10,12 @@
     uint64_t state;
 } Dice;
 
-Dice diceOf(uint64_t seed, const char *purpose, uint64_t number);
-uint64_t diceNext(Dice *dice);
+Dice dice_of(uint64_t seed, const char *purpose, uint64_t number);
+uint64_t dice_next(Dice *dice);
 /* From least to most, both possible. */
-int64_t diceSpan(Dice *dice, int64_t least, int64_t most);
-bool dicePercent(Dice *dice, int64_t percent);
+int64_t dice_span(Dice *dice, int64_t least, int64_t most);
+bool dice_percent(Dice *dice, int64_t percent);
 /* About a mean: from a third of it to three times it, mostly near. */
-int64_t diceAbout(Dice *dice, int64_t mean);
+int64_t dice_about(Dice *dice, int64_t mean);
 
 #endif
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -17,10 +17,10 @@
     uint64_t seed;
     const Site *site;
     const Tongue *tongue;
-    bool loud;        /* tells what happens */
-    const char *job;  /* tells what happens to this one; null: to none */
-    size_t troubles;  /* so many are drawn */
-    bool wrongClocks; /* the leader's clock runs too slow, others' too fast, which none does in truth */
+    bool loud;         /* tells what happens */
+    const char *job;   /* tells what happens to this one; null: to none */
+    size_t troubles;   /* so many are drawn */
+    bool wrong_clocks; /* the leader's clock runs too slow, others' too fast, which none does in truth */
     Closing closing;
     const char *only;               /* only troubles of this kind; null: all */
     const char *script;             /* these instead of drawn ones: KIND@AT+FOR=WHOM,..; null: drawn. WHOM: a machine, a
@@ -35,9 +35,9 @@
     size_t owed;
     size_t orders;
     char troubles[DAY_TROUBLES_MAX][64]; /* what was drawn, with its time, as a script has it */
-    size_t troubleCount;
+    size_t trouble_count;
 } DayResult;
 
-void dayRun(const DayProps *props, DayResult *result);
+void day_run(const DayProps *props, DayResult *result);
 
 #endif
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -33,8 +33,8 @@
         RULE_COUNT
 } Rule;
 
-const char *ruleName(Rule rule);
-const char *ruleWords(Rule rule);
+const char *rule_name(Rule rule);
+const char *rule_words(Rule rule);
 
 #define BREAKS_TOLD 40 /* count; of one run so many are kept with their words */
 
@@ -48,9 +48,9 @@
 typedef struct Rules {
     size_t broken[RULE_COUNT], all;
     Break told[BREAKS_TOLD];
-    size_t toldCount;
+    size_t told_count;
 } Rules;
 
-void rulesBroke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...) __attribute__((format(printf, 4, 5)));
+void rules_broke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...) __attribute__((format(printf, 4, 5)));
 
 #endif
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -64,9 +64,9 @@
 /* What it is answered. hold_ms and again_ms below 0: not said. */
 typedef struct HandOrders {
     HandStart *starts;
-    size_t startCount;
+    size_t start_count;
     HandRunning *stops;
-    size_t stopCount;
+    size_t stop_count;
     uint64_t seen, fence;
     int64_t hold_ms, again_ms;
 } HandOrders;
@@ -91,7 +91,7 @@
     char id[MODEL_ID_BYTES];
     const char *payload;
     DraftStep steps[DRAFT_STEPS_MAX];
-    size_t stepCount;
+    size_t step_count;
     bool saves, copies, lasting;
     uint64_t turns; /* 0: once, at once */
     int64_t first_wall_ms, period_ms;
@@ -122,7 +122,7 @@
 typedef struct DocumentQueue {
     char name[32], host[48], prefix[48];
     const char *kind; /* of worker */
-    int64_t timeoutMs, aimMs, priority, rounds, stretchPercent;
+    int64_t timeout_ms, aim_ms, priority, rounds, stretch_percent;
 } DocumentQueue;
 
 #define DOCUMENT_QUEUES_MAX 64
@@ -149,19 +149,19 @@
 
 /* An order of the operator, worded. */
 typedef struct Worded {
-    const char *path, *headName, *headValue;
+    const char *path, *head_name, *head_value;
     Bytes body;
 } Worded;
 
 typedef struct Tongue {
     const char *face; /* whose tongue it is */
-    int frontPort, readyPort, operatorPort;
-    const char *readyPath, *configPath, *waitHead;
+    int front_port, ready_port, operator_port;
+    const char *ready_path, *config_path, *wait_head;
     /* Of an HTTP code; 0: no answer came. */
     Outcome (*outcome)(int code);
     /* All on mem. */
     char *(*settings)(void *mem, const Site *site, const TongueNode *node);
-    char *(*beatPath)(void *mem, const char *boot, bool leaves);
+    char *(*beat_path)(void *mem, const char *boot, bool leaves);
     Bytes (*report)(void *mem, const HandReport *report);
     bool (*orders)(void *mem, Bytes result, HandOrders *orders);
     Bytes (*job)(void *mem, const Draft *draft);
@@ -173,7 +173,7 @@
     Worded (*patch)(void *mem, const Document *from, const Document *to);
     /* Whether what was read back is the document. */
     bool (*same)(Bytes result, const Document *document, uint64_t *revision);
-    char *(*zonePath)(void *mem, const char *zone, bool drain);
+    char *(*zone_path)(void *mem, const char *zone, bool drain);
 } Tongue;
 
 #endif
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -11,21 +11,21 @@
 typedef struct Fate {
     bool done; /* a worker has ended it well */
     int64_t done_ms;
-    int64_t notedMs;            /* ... and was told that this is known; 0: not yet */
+    int64_t noted_ms;           /* ... and was told that this is known; 0: not yet */
     uint64_t failed[FAILS_MAX]; /* rounds: a gang's failure counts once */
-    bool failNoted[FAILS_MAX];
+    bool fail_noted[FAILS_MAX];
     size_t fails;
-    int64_t failsNotedMs; /* the last that was taken note of */
-    int64_t savedMs;      /* the most progress that was ever told */
-    uint64_t againRound;  /* started after it was done; 0: none. If an end before it is noted, it was one too many */
-    uint64_t beyondRound; /* likewise after all its rounds had failed */
+    int64_t fails_noted_ms; /* the last that was taken note of */
+    int64_t saved_ms;       /* the most progress that was ever told */
+    uint64_t again_round;   /* started after it was done; 0: none. If an end before it is noted, it was one too many */
+    uint64_t beyond_round;  /* likewise after all its rounds had failed */
 } Fate;
 
 typedef struct BookTask {
     struct BookJob *job;
     TaskName name;
     Fate *fate;
-    struct HandRun *live; /* runs on workers that are up, by nextLive */
+    struct HandRun *live; /* runs on workers that are up, by next_live */
 } BookTask;
 
 typedef struct BookJob {
@@ -34,16 +34,16 @@
     size_t queue; /* of the document's first queues */
     bool poison, timed;
     BookTask *tasks;
-    size_t task_count, eachTurn;
-    size_t stepFirst[DRAFT_STEPS_MAX];
+    size_t task_count, each_turn;
+    size_t step_first[DRAFT_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not */
-    const GroundNode *acceptedBy;
-    int triesOpen;                  /* that may yet be answered */
-    bool maybe;                     /* some try has had no clear answer */
-    int64_t refusedMs;              /* every try was turned away, since; 0: not so */
-    int64_t cancelSentMs, cancelMs; /* acknowledged */
+    const GroundNode *accepted_by;
+    int tries_open;                    /* that may yet be answered */
+    bool maybe;                        /* some try has had no clear answer */
+    int64_t refused_ms;                /* every try was turned away, since; 0: not so */
+    int64_t cancel_sent_ms, cancel_ms; /* acknowledged */
     JobWord shown;
-    int64_t shownMs;  /* its end; 0: not yet */
+    int64_t shown_ms; /* its end; 0: not yet */
     int64_t idle_ms;  /* nothing of it runs though there is room, since; 0: not so */
     int64_t asked_ms; /* answered clearly after traffic ended */
 } BookJob;
@@ -56,25 +56,25 @@
     size_t starts, kinds[ROUND_WORD_COUNT];
 } Book;
 
-Book *bookNew(void *mem, Ground *ground);
+Book *book_new(void *mem, Ground *ground);
 /* The draft is copied; its texts must last. */
-BookJob *bookAdd(Book *book, const Draft *draft, const SiteKind *kind);
-BookJob *bookJob(const Book *book, const char *id);
+BookJob *book_add(Book *book, const Draft *draft, const SiteKind *kind);
+BookJob *book_job(const Book *book, const char *id);
 /* Null when there is no such task. */
-BookTask *bookTask(const Book *book, const TaskName *name);
-const DraftStep *bookStep(const BookTask *task);
+BookTask *book_task(const Book *book, const TaskName *name);
+const DraftStep *book_step(const BookTask *task);
 /* Whether all tasks that the step waits for are done. */
-bool bookReady(const BookJob *job, uint64_t turn, uint64_t step);
+bool book_ready(const BookJob *job, uint64_t turn, uint64_t step);
 /* When the turn may begin, on the true wall clock; 0: at once. */
-int64_t bookDueWallMs(const BookJob *job, uint64_t turn);
-bool bookDone(const BookJob *job);
+int64_t book_due_wall_ms(const BookJob *job, uint64_t turn);
+bool book_done(const BookJob *job);
 /* Ends of failed rounds below that one that were taken note of. */
-size_t bookFailsNoted(const Fate *fate, uint64_t round);
-void bookFail(Fate *fate, uint64_t round);
+size_t book_fails_noted(const Fate *fate, uint64_t round);
+void book_fail(Fate *fate, uint64_t round);
 /* A round that it can't be given any more. */
-bool bookSpent(const BookJob *job, const Fate *fate);
+bool book_spent(const BookJob *job, const Fate *fate);
 /* Progress as a text that says whose it is, and what of such a text; -1: not this task's. */
-const char *bookSaved(void *mem, const BookTask *task, int64_t progressMs);
-int64_t bookProgress(const BookTask *task, const char *saved);
+const char *book_saved(void *mem, const BookTask *task, int64_t progress_ms);
+int64_t book_progress(const BookTask *task, const char *saved);
 
 #endif
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -26,15 +26,15 @@
     bool first; /* its first try has been counted */
 } CallerTask;
 
-void callersQueue(const Site *site, size_t kind, DocumentQueue *queue)
+void callers_queue(const Site *site, size_t kind, DocumentQueue *queue)
 {
     const SiteKind *one = &site->kinds[kind];
     *queue = (DocumentQueue){.kind = "std",
-                             .timeoutMs = site->callerWaitMs,
-                             .aimMs = one->aimMs,
+                             .timeout_ms = site->caller_wait_ms,
+                             .aim_ms = one->aim_ms,
                              .priority = one->priority,
                              .rounds = one->rounds,
-                             .stretchPercent = one->stretchPercent};
+                             .stretch_percent = one->stretch_percent};
     snprintf(queue->name, sizeof(queue->name), "%s", one->name);
     snprintf(queue->host, sizeof(queue->host), "work%zu.example", kind % 2);
     snprintf(queue->prefix, sizeof(queue->prefix), "/%s/", one->name);
@@ -44,56 +44,56 @@
 
 /* Asks an entry point about the job. */
 static Outcome ask(CallerTask *task, void *mem, const char *method, Bytes body, GroundNode **node, int64_t *sent_ms,
-                   Bytes *result, int *againS)
+                   Bytes *result, int *again_s)
 {
     const Ground *ground = task->callers->ground;
     const Tongue *tongue = ground->tongue;
-    *node = doorEntry(task->callers->door, &task->dice, task->zone);
-    *sent_ms = groundNowMs(ground);
+    *node = door_entry(task->callers->door, &task->dice, task->zone);
+    *sent_ms = ground_now_ms(ground);
     const HttpPair heads[] = {{"host", task->queue.host},
-                              {tongue->waitHead, talloc_asprintf(mem, "%" PRId64, ground->site->callerWaitMs)}};
-    HttpCall call = {.mem = mem,
-                     .address =
-                         talloc_asprintf(mem, "%s:%d", sim_address(ground->world, (*node)->machine), tongue->frontPort),
-                     .method = method,
-                     .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->draft.id),
-                     .body = body,
-                     .wait_ms = ground->site->callerWaitMs,
-                     .heads = heads,
-                     .head_count = 2};
+                              {tongue->wait_head, talloc_asprintf(mem, "%" PRId64, ground->site->caller_wait_ms)}};
+    HttpCall call = {
+        .mem = mem,
+        .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, (*node)->machine), tongue->front_port),
+        .method = method,
+        .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->draft.id),
+        .body = body,
+        .wait_ms = ground->site->caller_wait_ms,
+        .heads = heads,
+        .head_count = 2};
     const uint64_t life = (*node)->life;
     const Status status = loop_call(task->loop, &call);
     *result = call.result;
-    *againS = call.retry_after_s;
-    groundTell(ground, &task->job->tasks[0].name, "%s through %s: %s %d %.*s", method, (*node)->name,
-               status_word(status), call.code, (int)(call.result.count < 60 ? call.result.count : 60),
-               (const char *)call.result.data);
+    *again_s = call.retry_after_s;
+    ground_tell(ground, &task->job->tasks[0].name, "%s through %s: %s %d %.*s", method, (*node)->name,
+                status_word(status), call.code, (int)(call.result.count < 60 ? call.result.count : 60),
+                (const char *)call.result.data);
     const Outcome outcome = tongue->outcome(status == STATUS_OK ? call.code : 0);
     if ((*node)->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
-        ledgerShown(task->callers->ledger, *node, task->queue.host, task->queue.prefix, *sent_ms,
-                    outcome == OUTCOME_GOOD);
+        ledger_shown(task->callers->ledger, *node, task->queue.host, task->queue.prefix, *sent_ms,
+                     outcome == OUTCOME_GOOD);
     return outcome;
 }
 
 /* --- handing in ------------------------------------------------------------------------------- */
 
-static void firstCount(CallerTask *task, bool served, int64_t sent_ms)
+static void first_count(CallerTask *task, bool served, int64_t sent_ms)
 {
     Callers *callers = task->callers;
     if (task->first)
         return;
     task->first = true;
-    if (callers->closingMs == 0) {
-        callers->sentBefore++;
-        callers->servedBefore += served;
-    } else if (callers->backMs != 0 && sent_ms > callers->backMs + callers->ground->site->recoverMs) {
-        callers->sentAfter++;
-        callers->servedAfter += served;
+    if (callers->closing_ms == 0) {
+        callers->sent_before++;
+        callers->served_before += served;
+    } else if (callers->back_ms != 0 && sent_ms > callers->back_ms + callers->ground->site->recover_ms) {
+        callers->sent_after++;
+        callers->served_after += served;
     }
 }
 
 /* One try; true when it need not be tried again. */
-static bool postOnce(CallerTask *task)
+static bool post_once(CallerTask *task)
 {
     Callers *callers = task->callers;
     BookJob *job = task->job;
@@ -101,69 +101,69 @@
     GroundNode *node;
     int64_t sent_ms;
     Bytes result;
-    int againS = 0;
-    job->triesOpen++;
+    int again_s = 0;
+    job->tries_open++;
     const Outcome outcome =
-        ask(task, mem, "POST", callers->ground->tongue->job(mem, &job->draft), &node, &sent_ms, &result, &againS);
-    job->triesOpen--;
+        ask(task, mem, "POST", callers->ground->tongue->job(mem, &job->draft), &node, &sent_ms, &result, &again_s);
+    job->tries_open--;
     const bool taken = outcome == OUTCOME_GOOD;
-    firstCount(task, taken, sent_ms);
+    first_count(task, taken, sent_ms);
     if (taken && job->accepted_ms == 0) {
-        job->accepted_ms = groundNowMs(callers->ground);
-        job->acceptedBy = node;
-        callers->lastTaker = node;
-        callers->lastTakenMs = job->accepted_ms;
+        job->accepted_ms = ground_now_ms(callers->ground);
+        job->accepted_by = node;
+        callers->last_taker = node;
+        callers->last_taken_ms = job->accepted_ms;
     } else if (outcome == OUTCOME_UNCLEAR) {
         job->maybe = true;
     }
     talloc_free(mem);
     if (!taken)
-        loop_sleep(task->loop, againS > 0 ? againS * 1000 : diceSpan(&task->dice, 100, 500));
+        loop_sleep(task->loop, again_s > 0 ? again_s * 1000 : dice_span(&task->dice, 100, 500));
     return taken;
 }
 
-static bool postAll(CallerTask *task)
+static bool post_all(CallerTask *task)
 {
     BookJob *job = task->job;
-    job->sent_ms = groundNowMs(task->callers->ground);
-    for (size_t i = 0; i < job->draft.stepCount; i++) {
+    job->sent_ms = ground_now_ms(task->callers->ground);
+    for (size_t i = 0; i < job->draft.step_count; i++) {
         const DraftStep *step = &job->draft.steps[i];
-        groundTell(task->callers->ground, &job->tasks[job->stepFirst[i]].name,
-                   "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
-                   " ms%s%s, near %s, needs %s, apart %" PRIu64,
-                   job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->work_ms,
-                   step->gang ? ", gang" : "", step->same_rack ? " on a rack" : "",
-                   step->near != NULL ? step->near : "-", step->needs != NULL ? step->needs : "-", step->apart);
+        ground_tell(task->callers->ground, &job->tasks[job->step_first[i]].name,
+                    "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
+                    " ms%s%s, near %s, needs %s, apart %" PRIu64,
+                    job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->work_ms,
+                    step->gang ? ", gang" : "", step->same_rack ? " on a rack" : "",
+                    step->near != NULL ? step->near : "-", step->needs != NULL ? step->needs : "-", step->apart);
     }
-    for (int64_t i = 0; i <= task->callers->ground->site->callerTries; i++)
-        if (postOnce(task))
+    for (int64_t i = 0; i <= task->callers->ground->site->caller_tries; i++)
+        if (post_once(task))
             return true;
-    if (job->triesOpen == 0 && job->accepted_ms == 0 && !job->maybe)
-        job->refusedMs = groundNowMs(task->callers->ground);
+    if (job->tries_open == 0 && job->accepted_ms == 0 && !job->maybe)
+        job->refused_ms = ground_now_ms(task->callers->ground);
     return job->accepted_ms != 0;
 }
 
 /* --- asking ------------------------------------------------------------------------------------- */
 
-static void shownCheck(CallerTask *task, JobWord word, const GroundNode *node)
+static void shown_check(CallerTask *task, JobWord word, const GroundNode *node)
 {
     BookJob *job = task->job;
     Ground *ground = task->callers->ground;
-    bool cause = word == JOB_WORD_CANCELLED && job->cancelSentMs != 0;
+    bool cause = word == JOB_WORD_CANCELLED && job->cancel_sent_ms != 0;
     for (size_t i = 0; i < job->task_count; i++) {
-        cause |= word == JOB_WORD_FAILED && bookSpent(job, job->tasks[i].fate);
+        cause |= word == JOB_WORD_FAILED && book_spent(job, job->tasks[i].fate);
         if (word == JOB_WORD_DONE && !job->tasks[i].fate->done) {
-            rulesBroke(ground->rules, RULE_MIXED, groundDayMs(ground),
-                       "%s shows %s as done, %" PRIu64 ".%" PRIu64 ".%" PRIu64 " is not", node->name, job->draft.id,
-                       job->tasks[i].name.turn, job->tasks[i].name.step, job->tasks[i].name.at);
+            rules_broke(ground->rules, RULE_MIXED, ground_day_ms(ground),
+                        "%s shows %s as done, %" PRIu64 ".%" PRIu64 ".%" PRIu64 " is not", node->name, job->draft.id,
+                        job->tasks[i].name.turn, job->tasks[i].name.step, job->tasks[i].name.at);
             break;
         }
     }
     if (word != JOB_WORD_DONE && !cause)
-        rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "%s shows %s as %s without a cause", node->name,
-                   job->draft.id, word == JOB_WORD_FAILED ? "failed" : "cancelled");
+        rules_broke(ground->rules, RULE_LOST, ground_day_ms(ground), "%s shows %s as %s without a cause", node->name,
+                    job->draft.id, word == JOB_WORD_FAILED ? "failed" : "cancelled");
     job->shown = word;
-    job->shownMs = groundNowMs(ground);
+    job->shown_ms = ground_now_ms(ground);
 }
 
 /* Asks once; true when it was answered clearly. */
@@ -175,16 +175,16 @@
     GroundNode *node;
     int64_t sent_ms;
     Bytes result;
-    int againS;
-    const Outcome outcome = ask(task, mem, "GET", (Bytes){0}, &node, &sent_ms, &result, &againS);
+    int again_s;
+    const Outcome outcome = ask(task, mem, "GET", (Bytes){0}, &node, &sent_ms, &result, &again_s);
     const JobWord word = outcome == OUTCOME_GOOD ? ground->tongue->state(result) : JOB_WORD_NONE;
-    if (outcome == OUTCOME_GONE && job->accepted_ms != 0 && sent_ms - job->accepted_ms > ground->site->visibleMs &&
-        nodeInTouch(node))
-        rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground),
-                   "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->draft.id,
-                   job->acceptedBy->name, sent_ms - job->accepted_ms);
-    if (word >= JOB_WORD_DONE && word <= JOB_WORD_CANCELLED && job->shownMs == 0)
-        shownCheck(task, word, node);
+    if (outcome == OUTCOME_GONE && job->accepted_ms != 0 && sent_ms - job->accepted_ms > ground->site->visible_ms &&
+        node_in_touch(node))
+        rules_broke(ground->rules, RULE_LOST, ground_day_ms(ground),
+                    "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->draft.id,
+                    job->accepted_by->name, sent_ms - job->accepted_ms);
+    if (word >= JOB_WORD_DONE && word <= JOB_WORD_CANCELLED && job->shown_ms == 0)
+        shown_check(task, word, node);
     talloc_free(mem);
     return word != JOB_WORD_NONE;
 }
@@ -193,17 +193,17 @@
 {
     BookJob *job = task->job;
     Ground *ground = task->callers->ground;
-    job->cancelSentMs = groundNowMs(ground);
-    for (int64_t i = 0; i <= ground->site->callerTries && job->cancelMs == 0; i++) {
+    job->cancel_sent_ms = ground_now_ms(ground);
+    for (int64_t i = 0; i <= ground->site->caller_tries && job->cancel_ms == 0; i++) {
         void *mem = talloc_new(task);
         GroundNode *node;
         int64_t sent_ms;
         Bytes result;
-        int againS;
-        if (ask(task, mem, "DELETE", (Bytes){0}, &node, &sent_ms, &result, &againS) == OUTCOME_GOOD)
-            job->cancelMs = groundNowMs(ground);
+        int again_s;
+        if (ask(task, mem, "DELETE", (Bytes){0}, &node, &sent_ms, &result, &again_s) == OUTCOME_GOOD)
+            job->cancel_ms = ground_now_ms(ground);
         talloc_free(mem);
-        if (job->cancelMs == 0)
+        if (job->cancel_ms == 0)
             loop_sleep(task->loop, ASK_AGAIN_MS);
     }
 }
@@ -213,19 +213,19 @@
     CallerTask *task = arg;
     BookJob *job = task->job;
     const Ground *ground = task->callers->ground;
-    if (!postAll(task))
+    if (!post_all(task))
         return;
-    const bool cancels = job->draft.lasting || dicePercent(&task->dice, job->kind->cancelPercent);
-    const int64_t cancelMs =
-        cancels ? groundNowMs(ground) + diceSpan(&task->dice, 200, job->draft.lasting ? 20000 : 4000) : INT64_MAX;
-    int64_t ask_ms = groundNowMs(ground) + diceSpan(&task->dice, 500, 6000);
-    while (job->shownMs == 0) {
-        const int64_t now_ms = groundNowMs(ground);
-        if (job->cancelSentMs == 0 && (now_ms >= cancelMs || (job->draft.lasting && task->callers->over)))
+    const bool cancels = job->draft.lasting || dice_percent(&task->dice, job->kind->cancel_percent);
+    const int64_t cancel_ms =
+        cancels ? ground_now_ms(ground) + dice_span(&task->dice, 200, job->draft.lasting ? 20000 : 4000) : INT64_MAX;
+    int64_t ask_ms = ground_now_ms(ground) + dice_span(&task->dice, 500, 6000);
+    while (job->shown_ms == 0) {
+        const int64_t now_ms = ground_now_ms(ground);
+        if (job->cancel_sent_ms == 0 && (now_ms >= cancel_ms || (job->draft.lasting && task->callers->over)))
             cancel(task);
-        if (now_ms >= ask_ms || bookDone(job) || job->cancelMs != 0) {
+        if (now_ms >= ask_ms || book_done(job) || job->cancel_ms != 0) {
             ask_once(task);
-            ask_ms = now_ms + diceSpan(&task->dice, 2000, 8000);
+            ask_ms = now_ms + dice_span(&task->dice, 2000, 8000);
         }
         loop_sleep(task->loop, ASK_AGAIN_MS);
     }
@@ -234,20 +234,20 @@
 /* The same job through another entry point at the same time. */
 static void twin_main(void *arg)
 {
-    postOnce(arg);
+    post_once(arg);
 }
 
 /* --- many ------------------------------------------------------------------------------------------- */
 
-static CallerTask *taskNew(Callers *callers, const Pouring *pouring, BookJob *job, uint64_t number)
+static CallerTask *task_new(Callers *callers, const Pouring *pouring, BookJob *job, uint64_t number)
 {
     CallerTask *task = talloc_zero(callers, CallerTask);
     *task = (CallerTask){.callers = callers,
                          .loop = sim_loop(callers->ground->world, callers->machines[pouring->zone]),
-                         .zone = siteZone(pouring->zone),
+                         .zone = site_zone(pouring->zone),
                          .job = job,
-                         .dice = diceOf(callers->ground->seed, "caller", number)};
-    callersQueue(callers->ground->site, pouring->kind, &task->queue);
+                         .dice = dice_of(callers->ground->seed, "caller", number)};
+    callers_queue(callers->ground->site, pouring->kind, &task->queue);
     return task;
 }
 
@@ -257,15 +257,15 @@
     const Site *site = callers->ground->site;
     const SiteKind *kind = &site->kinds[pouring->kind];
     Draft draft;
-    draftDraw(callers, kind, &pouring->dice, &draft);
-    BookJob *job = bookAdd(callers->book, &draft, kind);
+    draft_draw(callers, kind, &pouring->dice, &draft);
+    BookJob *job = book_add(callers->book, &draft, kind);
     job->queue = pouring->kind;
-    job->poison = dicePercent(&pouring->dice, callers->poisonPercent);
+    job->poison = dice_percent(&pouring->dice, callers->poison_percent);
     const uint64_t number = callers->drawn++;
-    CallerTask *task = taskNew(callers, pouring, job, number * 2);
+    CallerTask *task = task_new(callers, pouring, job, number * 2);
     loop_spawn(task->loop, "caller", follow_main, task);
-    if (dicePercent(&pouring->dice, kind->twicePercent)) {
-        CallerTask *twin = taskNew(callers, pouring, job, number * 2 + 1);
+    if (dice_percent(&pouring->dice, kind->twice_percent)) {
+        CallerTask *twin = task_new(callers, pouring, job, number * 2 + 1);
         twin->first = true;
         loop_spawn(twin->loop, "twin", twin_main, twin);
     }
@@ -277,12 +277,12 @@
     Callers *callers = pouring->callers;
     const Site *site = callers->ground->site;
     Loop *loop = sim_loop(callers->ground->world, callers->machines[pouring->zone]);
-    const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].perMinute;
-    loop_sleep(loop, diceSpan(&pouring->dice, 0, gap_ms));
+    const int64_t gap_ms = 60000 * site->zones / site->kinds[pouring->kind].per_minute;
+    loop_sleep(loop, dice_span(&pouring->dice, 0, gap_ms));
     while (!callers->over) {
         hand_in(pouring);
         loop_sleep(loop,
-                   diceSpan(&pouring->dice, gap_ms / 4, gap_ms * 7 / 4) * 1000 / callers->timesMilli[pouring->kind]);
+                   dice_span(&pouring->dice, gap_ms / 4, gap_ms * 7 / 4) * 1000 / callers->times_milli[pouring->kind]);
     }
 }
 
@@ -292,7 +292,7 @@
     (void)loop;
 }
 
-Callers *callersNew(void *mem, Door *door, Book *book, Ledger *ledger)
+Callers *callers_new(void *mem, Door *door, Book *book, Ledger *ledger)
 {
     Callers *callers = talloc_zero(mem, Callers);
     *callers = (Callers){.ground = door->ground, .door = door, .book = book, .ledger = ledger};
@@ -301,18 +301,18 @@
     return callers;
 }
 
-void callersStart(Callers *callers)
+void callers_start(Callers *callers)
 {
     const Site *site = callers->ground->site;
     for (int64_t zone = 0; zone < site->zones; zone++) {
         sim_start(callers->ground->world, callers->machines[zone], nothing, NULL);
         for (size_t kind = 0; kind < site->kind_count; kind++) {
-            callers->timesMilli[kind] = 1000;
-            if (site->kinds[kind].perMinute <= 0)
+            callers->times_milli[kind] = 1000;
+            if (site->kinds[kind].per_minute <= 0)
                 continue;
             Pouring *pouring = talloc_zero(callers, Pouring);
             *pouring =
-                (Pouring){callers, zone, kind, diceOf(callers->ground->seed, "pour", (uint64_t)zone * 64 + kind)};
+                (Pouring){callers, zone, kind, dice_of(callers->ground->seed, "pour", (uint64_t)zone * 64 + kind)};
             loop_spawn(sim_loop(callers->ground->world, callers->machines[zone]), "pour", pour_main, pouring);
         }
     }
@@ -320,39 +320,39 @@
 
 /* --- the end -------------------------------------------------------------------------------------------- */
 
-static void finishMain(void *arg)
+static void finish_main(void *arg)
 {
     CallerTask *task = arg;
     while (!ask_once(task))
         loop_sleep(task->loop, ASK_AGAIN_MS);
-    task->job->asked_ms = groundNowMs(task->callers->ground);
+    task->job->asked_ms = ground_now_ms(task->callers->ground);
 }
 
-void callersFinish(Callers *callers)
+void callers_finish(Callers *callers)
 {
     callers->over = true;
-    callers->finishMs = groundNowMs(callers->ground);
+    callers->finish_ms = ground_now_ms(callers->ground);
     for (size_t i = 0; i < callers->book->count; i++) {
         BookJob *job = callers->book->jobs[i];
         const Pouring pouring = {callers, (int64_t)i % callers->ground->site->zones, job->queue, {0}};
         if (job->accepted_ms == 0)
             continue;
-        CallerTask *task = taskNew(callers, &pouring, job, (UINT64_C(1) << 32) + i);
-        loop_spawn(task->loop, "finish", finishMain, task);
+        CallerTask *task = task_new(callers, &pouring, job, (UINT64_C(1) << 32) + i);
+        loop_spawn(task->loop, "finish", finish_main, task);
     }
 }
 
 /* How many of the task's step could stand in twice their room, over all workers that take any. */
-static uint64_t placesFor(const Hands *hands, const DraftStep *step)
+static uint64_t places_for(const Hands *hands, const DraftStep *step)
 {
     uint64_t places = 0;
     for (size_t i = 0; i < hands->count; i++) {
         const Hand *hand = &hands->list[i];
-        const ZoneOrder *zone = ledgerZone(hands->ledger, hand->zone);
+        const ZoneOrder *zone = ledger_zone(hands->ledger, hand->zone);
         if (!hand->up || hand->leaving || zone->drained_ms != 0 ||
             (step->needs != NULL && strcmp(step->needs, hand->label) != 0))
             continue;
-        const Room used = handUsed(hand);
+        const Room used = hand_used(hand);
         if (used.cpu_milli > hand->room.cpu_milli || used.mem_mb > hand->room.mem_mb)
             continue;
         const uint64_t cpu = (hand->room.cpu_milli - used.cpu_milli) / (step->room.cpu_milli * 2);
@@ -363,23 +363,23 @@
     return places;
 }
 
-static bool mayRun(const Hands *hands, const BookJob *job)
+static bool may_run(const Hands *hands, const BookJob *job)
 {
     const int64_t wall_ms = sim_wall_ms(hands->ground->world);
     for (size_t i = 0; i < job->task_count; i++)
-        if (job->tasks[i].live != NULL || bookSpent(job, job->tasks[i].fate))
+        if (job->tasks[i].live != NULL || book_spent(job, job->tasks[i].fate))
             return false;
     for (size_t i = 0; i < job->task_count; i++) {
         const BookTask *task = &job->tasks[i];
-        const DraftStep *step = bookStep(task);
-        if (!task->fate->done && wall_ms >= bookDueWallMs(job, task->name.turn) &&
-            bookReady(job, task->name.turn, task->name.step))
-            return placesFor(hands, step) >= (step->gang ? step->count : 1);
+        const DraftStep *step = book_step(task);
+        if (!task->fate->done && wall_ms >= book_due_wall_ms(job, task->name.turn) &&
+            book_ready(job, task->name.turn, task->name.step))
+            return places_for(hands, step) >= (step->gang ? step->count : 1);
     }
     return false;
 }
 
-void callersIdle(Callers *callers, const Hands *hands)
+void callers_idle(Callers *callers, const Hands *hands)
 {
     Ground *ground = callers->ground;
     Room used = {0}, all = {0};
@@ -387,7 +387,7 @@
         const Hand *hand = &hands->list[i];
         if (!hand->up)
             continue;
-        const Room one = handUsed(hand);
+        const Room one = hand_used(hand);
         used = (Room){used.cpu_milli + one.cpu_milli, used.mem_mb + one.mem_mb, 0};
         all = (Room){all.cpu_milli + hand->room.cpu_milli, all.mem_mb + hand->room.mem_mb, 0};
     }
@@ -395,30 +395,30 @@
     for (size_t i = 0; i < callers->book->count; i++) {
         BookJob *job = callers->book->jobs[i];
         const bool idle =
-            room && job->accepted_ms != 0 && job->cancelSentMs == 0 && job->shownMs == 0 && mayRun(hands, job);
+            room && job->accepted_ms != 0 && job->cancel_sent_ms == 0 && job->shown_ms == 0 && may_run(hands, job);
         if (!idle)
             job->idle_ms = 0;
         else if (job->idle_ms == 0)
-            job->idle_ms = groundNowMs(ground);
-        else if (job->idle_ms > 0 && groundNowMs(ground) - job->idle_ms >= IDLE_MS) {
-            rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "%s stands still though there is room",
-                       job->draft.id);
+            job->idle_ms = ground_now_ms(ground);
+        else if (job->idle_ms > 0 && ground_now_ms(ground) - job->idle_ms >= IDLE_MS) {
+            rules_broke(ground->rules, RULE_LOST, ground_day_ms(ground), "%s stands still though there is room",
+                        job->draft.id);
             job->idle_ms = -1; /* once */
         }
     }
 }
 
-void callersEnd(Callers *callers)
+void callers_end(Callers *callers)
 {
     Ground *ground = callers->ground;
     for (size_t i = 0; i < callers->book->count; i++) {
         const BookJob *job = callers->book->jobs[i];
-        if (job->accepted_ms != 0 && job->accepted_ms <= callers->finishMs && job->asked_ms == 0 && job->shownMs == 0)
-            rulesBroke(ground->rules, RULE_LOST, groundDayMs(ground), "nobody tells of %s, accepted by %s",
-                       job->draft.id, job->acceptedBy->name);
+        if (job->accepted_ms != 0 && job->accepted_ms <= callers->finish_ms && job->asked_ms == 0 && job->shown_ms == 0)
+            rules_broke(ground->rules, RULE_LOST, ground_day_ms(ground), "nobody tells of %s, accepted by %s",
+                        job->draft.id, job->accepted_by->name);
     }
-    if (callers->sentAfter > 10 && callers->servedBefore * 4 >= callers->sentBefore &&
-        callers->servedAfter * 4 < callers->sentAfter)
-        rulesBroke(ground->rules, RULE_RECOVER, groundDayMs(ground), "%zu of %zu are served after the closing fault",
-                   callers->servedAfter, callers->sentAfter);
+    if (callers->sent_after > 10 && callers->served_before * 4 >= callers->sent_before &&
+        callers->served_after * 4 < callers->sent_after)
+        rules_broke(ground->rules, RULE_RECOVER, ground_day_ms(ground), "%zu of %zu are served after the closing fault",
+                    callers->served_after, callers->sent_after);
 }
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -23,9 +23,9 @@
         void *mem = talloc_new(looking);
         HttpCall call = {.mem = mem,
                          .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine),
-                                                    ground->tongue->readyPort),
+                                                    ground->tongue->ready_port),
                          .method = "GET",
-                         .path = ground->tongue->readyPath,
+                         .path = ground->tongue->ready_path,
                          .wait_ms = LOOK_MS};
         const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
@@ -41,7 +41,7 @@
     (void)loop;
 }
 
-Door *doorNew(void *mem, Ground *ground)
+Door *door_new(void *mem, Ground *ground)
 {
     Door *door = talloc_zero(mem, Door);
     door->ground = ground;
@@ -49,37 +49,37 @@
     return door;
 }
 
-void doorStart(Door *door)
+void door_start(Door *door)
 {
     sim_start(door->ground->world, door->machine, nothing, NULL);
     Loop *loop = sim_loop(door->ground->world, door->machine);
-    for (size_t i = 0; i < door->ground->edgeCount; i++) {
+    for (size_t i = 0; i < door->ground->edge_count; i++) {
         Looking *looking = talloc_zero(loop, Looking);
         *looking = (Looking){door, i};
         loop_spawn(loop, "look", look_main, looking);
     }
 }
 
-GroundNode *doorEntry(const Door *door, Dice *dice, const char *zone)
+GroundNode *door_entry(const Door *door, Dice *dice, const char *zone)
 {
     Ground *ground = door->ground;
     GroundNode *in[EDGES_MAX], *all[EDGES_MAX], *any[EDGES_MAX];
-    int64_t inCount = 0, allCount = 0, anyCount = 0;
-    for (size_t i = 0; i < ground->edgeCount; i++) {
+    int64_t in_count = 0, all_count = 0, any_count = 0;
+    for (size_t i = 0; i < ground->edge_count; i++) {
         GroundNode *node = &ground->edges[i];
         const bool here = strcmp(node->zone, zone) == 0, ready = door->misses[i] < MISSES_OUT;
         if (!node->used || node->gone)
             continue;
         if (here)
-            all[allCount++] = node;
+            all[all_count++] = node;
         if (here && ready)
-            in[inCount++] = node;
+            in[in_count++] = node;
         if (ready)
-            any[anyCount++] = node;
+            any[any_count++] = node;
     }
-    if (inCount * 2 >= allCount && inCount > 0)
-        return in[diceSpan(dice, 0, inCount - 1)];
-    if (inCount > 0 || anyCount == 0)
-        return allCount > 0 ? all[diceSpan(dice, 0, allCount - 1)] : &ground->edges[0];
-    return any[diceSpan(dice, 0, anyCount - 1)];
+    if (in_count * 2 >= all_count && in_count > 0)
+        return in[dice_span(dice, 0, in_count - 1)];
+    if (in_count > 0 || any_count == 0)
+        return all_count > 0 ? all[dice_span(dice, 0, all_count - 1)] : &ground->edges[0];
+    return any[dice_span(dice, 0, any_count - 1)];
 }
--- a/packages/model/src/door.h
+++ b/packages/model/src/door.h
@@ -11,9 +11,9 @@
     int misses[EDGES_MAX];
 } Door;
 
-Door *doorNew(void *mem, Ground *ground);
-void doorStart(Door *door);
+Door *door_new(void *mem, Ground *ground);
+void door_start(Door *door);
 /* Where a new connection of the zone is led to. */
-GroundNode *doorEntry(const Door *door, Dice *dice, const char *zone);
+GroundNode *door_entry(const Door *door, Dice *dice, const char *zone);
 
 #endif
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -10,35 +10,36 @@
 
 #define RESTART_MS 300 /* ms; the platform starts a process that has ended again after this */
 
-int64_t groundNowMs(const Ground *ground)
+int64_t ground_now_ms(const Ground *ground)
 {
     return sim_now_ms(ground->world);
 }
 
-int64_t groundDayMs(const Ground *ground)
+int64_t ground_day_ms(const Ground *ground)
 {
     return sim_now_ms(ground->world) - ground->began_ms;
 }
 
-void groundSay(const Ground *ground, const char *format, ...)
+void ground_say(const Ground *ground, const char *format, ...)
 {
     if (!ground->loud)
         return;
     va_list args;
     va_start(args, format);
-    printf("%7" PRId64 " ", groundDayMs(ground));
+    printf("%7" PRId64 " ", ground_day_ms(ground));
     vprintf(format, args);
     putchar('\n');
     va_end(args);
 }
 
-void groundTell(const Ground *ground, const TaskName *name, const char *format, ...)
+void ground_tell(const Ground *ground, const TaskName *name, const char *format, ...)
 {
     if (ground->job == NULL || strcmp(ground->job, name->job) != 0)
         return;
     va_list args;
     va_start(args, format);
-    printf("%7" PRId64 " .%" PRIu64 ".%" PRIu64 ".%" PRIu64 " ", groundDayMs(ground), name->turn, name->step, name->at);
+    printf("%7" PRId64 " .%" PRIu64 ".%" PRIu64 ".%" PRIu64 " ", ground_day_ms(ground), name->turn, name->step,
+           name->at);
     vprintf(format, args);
     putchar('\n');
     va_end(args);
@@ -46,19 +47,19 @@
 
 /* --- what the checker of leaders asks ------------------------------------------------- */
 
-static int64_t checkNow(void *arg)
+static int64_t check_now(void *arg)
 {
-    return groundNowMs(arg);
+    return ground_now_ms(arg);
 }
 
-static bool checkFrozen(void *arg, const char *worker)
+static bool check_frozen(void *arg, const char *worker)
 {
     (void)arg;
     (void)worker;
     return false;
 }
 
-static const Job *checkJob(void *arg, const char *id)
+static const Job *check_job(void *arg, const char *id)
 {
     (void)arg;
     (void)id;
@@ -72,7 +73,7 @@
 
 /* --- making ------------------------------------------------------------------------------ */
 
-static int groundFree(Ground *ground)
+static int ground_free(Ground *ground)
 {
     rmdir(ground->folder);
     return 0;
@@ -80,9 +81,9 @@
 
 static GroundNode *node_add(Ground *ground, bool side, bool disk, int64_t number, int64_t zone)
 {
-    GroundNode *node = side ? &ground->sides[ground->sideCount++] : &ground->edges[ground->edgeCount++];
+    GroundNode *node = side ? &ground->sides[ground->side_count++] : &ground->edges[ground->edge_count++];
     *node = (GroundNode){.ground = ground,
-                         .zone = siteZone(zone),
+                         .zone = site_zone(zone),
                          .machine = sim_machine(ground->world),
                          .side = side,
                          .disk = disk,
@@ -93,7 +94,7 @@
     return node;
 }
 
-Ground *groundNew(void *mem, const Site *site, const Tongue *tongue, uint64_t seed, Rules *rules)
+Ground *ground_new(void *mem, const Site *site, const Tongue *tongue, uint64_t seed, Rules *rules)
 {
     Ground *ground = talloc_zero(mem, Ground);
     ground->world = sim_world_new(ground, seed);
@@ -102,13 +103,13 @@
     ground->face = face_find(tongue->face);
     ground->rules = rules;
     ground->seed = seed;
-    const CheckerProps props = {ground, checkNow, checkFrozen, checkJob, NULL};
+    const CheckerProps props = {ground, check_now, check_frozen, check_job, NULL};
     ground->checker = checker_new(ground, &props);
     snprintf(ground->folder, sizeof(ground->folder), "/tmp/model-XXXXXX");
     if (mkdtemp(ground->folder) == NULL)
         ground->folder[0] = '\0';
-    talloc_set_destructor(ground, groundFree);
-    sim_delay(ground->world, 1, site->linkMs > 1 ? site->linkMs : 1);
+    talloc_set_destructor(ground, ground_free);
+    sim_delay(ground->world, 1, site->link_ms > 1 ? site->link_ms : 1);
     for (int64_t i = 0; i < site->cores + site->spares; i++)
         node_add(ground, false, true, i, i % site->zones)->used = i < site->cores;
     for (int64_t i = 0; i < site->gates; i++)
@@ -121,23 +122,23 @@
 /* --- a process ----------------------------------------------------------------------------- */
 
 /* The same three for all at the first start; later whichever the operator's list has. */
-static void seedsDraw(const GroundNode *node, const char *seeds[3])
+static void seeds_draw(const GroundNode *node, const char *seeds[3])
 {
     const Ground *ground = node->ground;
-    Dice dice = diceOf(ground->seed, "seeds",
-                       node->life > 1 || groundDayMs(ground) >= 0 ? node->life * 64 + (uint64_t)node->machine : 0);
+    Dice dice = dice_of(ground->seed, "seeds",
+                        node->life > 1 || ground_day_ms(ground) >= 0 ? node->life * 64 + (uint64_t)node->machine : 0);
     for (int i = 0; i < 3;) {
-        const GroundNode *one = &ground->edges[diceSpan(&dice, 0, (int64_t)ground->edgeCount - 1)];
+        const GroundNode *one = &ground->edges[dice_span(&dice, 0, (int64_t)ground->edge_count - 1)];
         const char *ip = sim_address(ground->world, one->machine);
         bool known = false;
         for (int k = 0; k < i; k++)
             known |= strcmp(seeds[k], ip) == 0;
-        if (one->used && !one->gone && (!known || ground->edgeCount < 3))
+        if (one->used && !one->gone && (!known || ground->edge_count < 3))
             seeds[i++] = ip;
     }
 }
 
-static bool settingsRead(GroundNode *node, Failure *failure)
+static bool settings_read(GroundNode *node, Failure *failure)
 {
     const Ground *ground = node->ground;
     TongueNode told = {.name = node->name,
@@ -145,8 +146,8 @@
                        .ip = sim_address(ground->world, node->machine),
                        .side = node->side,
                        .disk = node->disk,
-                       .founds = node->life == 1 && groundDayMs(ground) < 0};
-    seedsDraw(node, told.seeds);
+                       .founds = node->life == 1 && ground_day_ms(ground) < 0};
+    seeds_draw(node, told.seeds);
     const char *text = ground->tongue->settings(node->mem, ground->site, &told);
     const char *path = talloc_asprintf(node->mem, "%s/%s", ground->folder, node->name);
     FILE *file = fopen(path, "w");
@@ -159,18 +160,18 @@
     return status == STATUS_OK;
 }
 
-static void againLater(void *arg)
+static void again_later(void *arg)
 {
     GroundNode *node = arg;
     if (!sim_alive(node->ground->world, node->machine) && !node->gone)
         node_start(node);
 }
 
-static void endsAlone(void *arg)
+static void ends_alone(void *arg)
 {
     GroundNode *node = arg;
-    nodeKill(node, false);
-    sim_at(node->ground->world, groundNowMs(node->ground) + RESTART_MS, againLater, node);
+    node_kill(node, false);
+    sim_at(node->ground->world, ground_now_ms(node->ground) + RESTART_MS, again_later, node);
 }
 
 static void boot_main(void *arg)
@@ -183,7 +184,7 @@
     const Props *props = &node->place.props;
     node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
-    Status status = settingsRead(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
+    Status status = settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
         status = core_start(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
@@ -195,13 +196,14 @@
     node->up = status == STATUS_OK;
     if (node->up)
         return;
-    groundSay(ground, "%s does not start: %s", node->name, failure.text);
+    ground_say(ground, "%s does not start: %s", node->name, failure.text);
     if (node->troubles == 0)
-        rulesBroke(ground->rules, RULE_FAULT, groundDayMs(ground), "%s does not start: %s", node->name, failure.text);
-    sim_at(ground->world, groundNowMs(ground), endsAlone, node);
+        rules_broke(ground->rules, RULE_FAULT, ground_day_ms(ground), "%s does not start: %s", node->name,
+                    failure.text);
+    sim_at(ground->world, ground_now_ms(ground), ends_alone, node);
 }
 
-static void processStart(void *arg, Loop *loop)
+static void process_start(void *arg, Loop *loop)
 {
     GroundNode *node = arg;
     node->mem = talloc_new(loop);
@@ -214,13 +216,13 @@
         return;
     node->used = true;
     node->life++;
-    node->sawRevision = 0;
+    node->saw_revision = 0;
     node->up = node->leaving = false;
-    sim_start(node->ground->world, node->machine, processStart, node);
-    nodeTrouble(node, 0);
+    sim_start(node->ground->world, node->machine, process_start, node);
+    node_trouble(node, 0);
 }
 
-static void nodeOver(GroundNode *node)
+static void node_over(GroundNode *node)
 {
     if (node->node.core != NULL)
         checker_leader_gone(node->ground->checker, node->name);
@@ -228,16 +230,16 @@
     node->up = node->leaving = false;
 }
 
-void nodeKill(GroundNode *node, bool power)
+void node_kill(GroundNode *node, bool power)
 {
     if (!sim_alive(node->ground->world, node->machine))
         return;
-    nodeOver(node);
+    node_over(node);
     if (power)
         sim_power_off(node->ground->world, node->machine);
     else
         sim_kill(node->ground->world, node->machine);
-    nodeTrouble(node, 0);
+    node_trouble(node, 0);
 }
 
 /* --- a polite stop ---------------------------------------------------------------------------- */
@@ -249,7 +251,7 @@
     bool ended; /* its process has come to its end by itself */
 } Rolling;
 
-static void termMain(void *arg)
+static void term_main(void *arg)
 {
     Rolling *rolling = arg;
     const FaceNode *node = &rolling->node->node;
@@ -262,122 +264,122 @@
     rolling->ended = true;
 }
 
-static void rollLook(void *arg)
+static void roll_look(void *arg)
 {
     Rolling *rolling = arg;
     GroundNode *node = rolling->node;
     Ground *ground = node->ground;
     if (node->life == rolling->life && sim_alive(ground->world, node->machine)) {
-        if (!rolling->ended && groundNowMs(ground) < rolling->until_ms) {
-            sim_at(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
+        if (!rolling->ended && ground_now_ms(ground) < rolling->until_ms) {
+            sim_at(ground->world, ground_now_ms(ground) + 10, roll_look, rolling);
             return;
         }
         if (!rolling->ended)
-            groundSay(ground, "%s is ended by force", node->name);
-        nodeKill(node, false);
-        sim_at(ground->world, groundNowMs(ground) + RESTART_MS, againLater, node);
+            ground_say(ground, "%s is ended by force", node->name);
+        node_kill(node, false);
+        sim_at(ground->world, ground_now_ms(ground) + RESTART_MS, again_later, node);
     }
     talloc_free(rolling);
 }
 
-void nodeRoll(GroundNode *node)
+void node_roll(GroundNode *node)
 {
     Ground *ground = node->ground;
     if (!node->up || node->leaving)
         return;
     Rolling *rolling = talloc_zero(ground, Rolling);
-    *rolling = (Rolling){node, node->life, groundNowMs(ground) + ground->site->grace_ms, false};
+    *rolling = (Rolling){node, node->life, ground_now_ms(ground) + ground->site->grace_ms, false};
     node->leaving = true;
-    nodeTrouble(node, 0);
-    loop_spawn(node->node.loop, "term", termMain, rolling);
-    sim_at(ground->world, groundNowMs(ground) + 10, rollLook, rolling);
+    node_trouble(node, 0);
+    loop_spawn(node->node.loop, "term", term_main, rolling);
+    sim_at(ground->world, ground_now_ms(ground) + 10, roll_look, rolling);
 }
 
 /* --- links and health ---------------------------------------------------------------------------- */
 
-void nodeTrouble(GroundNode *node, int change)
+void node_trouble(GroundNode *node, int change)
 {
     Ground *ground = node->ground;
-    const int64_t now_ms = groundNowMs(ground);
+    const int64_t now_ms = ground_now_ms(ground);
     node->troubles += change;
-    node->troubleMs = node->troubles > 0 ? INT64_MAX : now_ms;
-    ground->anyTroubles += change;
-    ground->anyMs = ground->anyTroubles > 0 ? INT64_MAX : now_ms;
+    node->trouble_ms = node->troubles > 0 ? INT64_MAX : now_ms;
+    ground->any_troubles += change;
+    ground->any_ms = ground->any_troubles > 0 ? INT64_MAX : now_ms;
     if (!node->disk)
         return;
-    ground->coreTroubles += change;
-    ground->coreMs = ground->coreTroubles > 0 ? INT64_MAX : now_ms;
+    ground->core_troubles += change;
+    ground->core_ms = ground->core_troubles > 0 ? INT64_MAX : now_ms;
 }
 
-void groundCut(GroundNode *a, GroundNode *b, bool cut)
+void ground_cut(GroundNode *a, GroundNode *b, bool cut)
 {
     SimWorld *world = a->ground->world;
     if (a == b || sim_is_cut(world, a->machine, b->machine) == cut)
         return;
     sim_cut(world, a->machine, b->machine, cut);
     sim_cut(world, b->machine, a->machine, cut);
-    nodeTrouble(a, cut ? 1 : -1);
-    nodeTrouble(b, cut ? 1 : -1);
+    node_trouble(a, cut ? 1 : -1);
+    node_trouble(b, cut ? 1 : -1);
 }
 
-void nodeCut(GroundNode *node, bool cut)
+void node_cut(GroundNode *node, bool cut)
 {
     Ground *ground = node->ground;
     /* a machine beside a worker speaks to the edge alone: the others are in no trouble by it */
-    for (size_t i = 0; i < ground->edgeCount + ground->sideCount; i++) {
-        GroundNode *other = i < ground->edgeCount ? &ground->edges[i] : &ground->sides[i - ground->edgeCount];
+    for (size_t i = 0; i < ground->edge_count + ground->side_count; i++) {
+        GroundNode *other = i < ground->edge_count ? &ground->edges[i] : &ground->sides[i - ground->edge_count];
         if (other == node)
             continue;
         sim_cut(ground->world, node->machine, other->machine, cut);
         sim_cut(ground->world, other->machine, node->machine, cut);
     }
-    nodeTrouble(node, cut ? 1 : -1);
+    node_trouble(node, cut ? 1 : -1);
 }
 
 static void thawed(void *arg)
 {
-    nodeTrouble(arg, -1);
+    node_trouble(arg, -1);
 }
 
-void nodeFreeze(GroundNode *node, int64_t for_ms)
+void node_freeze(GroundNode *node, int64_t for_ms)
 {
     Ground *ground = node->ground;
-    sim_freeze(ground->world, node->machine, groundNowMs(ground) + for_ms);
-    nodeTrouble(node, 1);
-    sim_at(ground->world, groundNowMs(ground) + for_ms, thawed, node);
+    sim_freeze(ground->world, node->machine, ground_now_ms(ground) + for_ms);
+    node_trouble(node, 1);
+    sim_at(ground->world, ground_now_ms(ground) + for_ms, thawed, node);
 }
 
-static bool since(int64_t troubleMs, int64_t now_ms, int64_t span_ms)
+static bool since(int64_t trouble_ms, int64_t now_ms, int64_t span_ms)
 {
-    return troubleMs != INT64_MAX && now_ms - troubleMs >= span_ms;
+    return trouble_ms != INT64_MAX && now_ms - trouble_ms >= span_ms;
 }
 
-bool groundSettled(const Ground *ground)
+bool ground_settled(const Ground *ground)
 {
     int64_t running = 0, all = 0;
-    for (size_t i = 0; i < ground->edgeCount; i++) {
+    for (size_t i = 0; i < ground->edge_count; i++) {
         const GroundNode *node = &ground->edges[i];
         all += node->disk && node->used && !node->gone;
         running += node->disk && node->up && !node->gone;
     }
-    return running * 2 > all && since(ground->coreMs, groundNowMs(ground), ground->site->contactMs);
+    return running * 2 > all && since(ground->core_ms, ground_now_ms(ground), ground->site->contact_ms);
 }
 
-bool nodeInTouch(const GroundNode *node)
+bool node_in_touch(const GroundNode *node)
 {
     const Ground *ground = node->ground;
-    return node->up && !node->leaving && since(node->troubleMs, groundNowMs(ground), ground->site->contactMs) &&
-           groundSettled(ground);
+    return node->up && !node->leaving && since(node->trouble_ms, ground_now_ms(ground), ground->site->contact_ms) &&
+           ground_settled(ground);
 }
 
-bool groundCalm(const Ground *ground)
+bool ground_calm(const Ground *ground)
 {
-    return since(ground->anyMs, groundNowMs(ground), ground->site->contactMs);
+    return since(ground->any_ms, ground_now_ms(ground), ground->site->contact_ms);
 }
 
-GroundNode *groundLeader(Ground *ground)
+GroundNode *ground_leader(Ground *ground)
 {
-    for (size_t i = 0; i < ground->edgeCount; i++) {
+    for (size_t i = 0; i < ground->edge_count; i++) {
         GroundNode *node = &ground->edges[i];
         if (node->up && node->node.core != NULL && !sim_frozen(ground->world, node->machine) &&
             view_leading(core_view(node->node.core)))
@@ -386,20 +388,20 @@
     return NULL;
 }
 
-void groundStart(Ground *ground)
+void ground_start(Ground *ground)
 {
-    ground->began_ms = groundNowMs(ground) + ground->site->leadMs;
-    for (size_t i = 0; i < ground->edgeCount; i++)
+    ground->began_ms = ground_now_ms(ground) + ground->site->lead_ms;
+    for (size_t i = 0; i < ground->edge_count; i++)
         if (ground->edges[i].used)
             node_start(&ground->edges[i]);
-    for (size_t i = 0; i < ground->sideCount; i++)
+    for (size_t i = 0; i < ground->side_count; i++)
         node_start(&ground->sides[i]);
 }
 
-void groundDump(const Ground *ground)
+void ground_dump(const Ground *ground)
 {
-    for (size_t i = 0; i < ground->edgeCount && ground->loud; i++)
+    for (size_t i = 0; i < ground->edge_count && ground->loud; i++)
         ring_dump(ground->edges[i].ring, stderr);
-    for (size_t i = 0; i < ground->sideCount && ground->loud; i++)
+    for (size_t i = 0; i < ground->side_count && ground->loud; i++)
         ring_dump(ground->sides[i].ring, stderr);
 }
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -12,7 +12,7 @@
 #define SIDES_MAX 40
 
 /* A machine of the system with its one process.
- * Invariant: troubleMs is when its last trouble ended or happened, INT64_MAX while one lasts. */
+ * Invariant: trouble_ms is when its last trouble ended or happened, INT64_MAX while one lasts. */
 typedef struct GroundNode {
     struct Ground *ground;
     char name[24];
@@ -23,14 +23,14 @@
     bool gone; /* taken away for good */
     bool up, leaving;
     uint64_t life;
-    int64_t troubleMs;
+    int64_t trouble_ms;
     int troubles; /* that last now */
     FacePlace place;
     FaceNode node;
     Ring *ring;
-    void *mem;            /* of the process that runs */
-    uint64_t sawRevision; /* the newest document whose effect it has shown in this life */
-    int64_t sawMs;
+    void *mem;             /* of the process that runs */
+    uint64_t saw_revision; /* the newest document whose effect it has shown in this life */
+    int64_t saw_ms;
 } GroundNode;
 
 /* All machines of a site in one world, and what is known of their health. */
@@ -45,45 +45,45 @@
     char folder[32];  /* settings files */
     int64_t began_ms; /* traffic begins */
     GroundNode edges[EDGES_MAX], sides[SIDES_MAX];
-    size_t edgeCount, sideCount;
-    int64_t coreMs; /* last trouble of the core, as troubleMs */
-    int coreTroubles;
-    int anyTroubles;
-    int64_t anyMs; /* of any machine or worker, beyond what is planned */
+    size_t edge_count, side_count;
+    int64_t core_ms; /* last trouble of the core, as trouble_ms */
+    int core_troubles;
+    int any_troubles;
+    int64_t any_ms; /* of any machine or worker, beyond what is planned */
     bool loud;
     const char *job; /* what happens to it is told */
 } Ground;
 
-Ground *groundNew(void *mem, const Site *site, const Tongue *tongue, uint64_t seed, Rules *rules);
+Ground *ground_new(void *mem, const Site *site, const Tongue *tongue, uint64_t seed, Rules *rules);
 /* Starts all machines but the spares. */
-void groundStart(Ground *ground);
-int64_t groundNowMs(const Ground *ground);
+void ground_start(Ground *ground);
+int64_t ground_now_ms(const Ground *ground);
 /* Since traffic began. */
-int64_t groundDayMs(const Ground *ground);
-void groundSay(const Ground *ground, const char *format, ...) __attribute__((format(printf, 2, 3)));
+int64_t ground_day_ms(const Ground *ground);
+void ground_say(const Ground *ground, const char *format, ...) __attribute__((format(printf, 2, 3)));
 /* What happens to a task, when its job is the one that is looked at. */
-void groundTell(const Ground *ground, const TaskName *name, const char *format, ...)
+void ground_tell(const Ground *ground, const TaskName *name, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
 /* The log rings of all machines, when it is loud. */
-void groundDump(const Ground *ground);
+void ground_dump(const Ground *ground);
 
 void node_start(GroundNode *node);
-void nodeKill(GroundNode *node, bool power);
+void node_kill(GroundNode *node, bool power);
 /* A polite stop, by force after grace; then it is started again. */
-void nodeRoll(GroundNode *node);
-void nodeCut(GroundNode *node, bool cut);
-void nodeFreeze(GroundNode *node, int64_t for_ms);
+void node_roll(GroundNode *node);
+void node_cut(GroundNode *node, bool cut);
+void node_freeze(GroundNode *node, int64_t for_ms);
 /* A trouble that lasts begins or ends; or one happens. */
-void nodeTrouble(GroundNode *node, int change);
+void node_trouble(GroundNode *node, int change);
 /* The ways between two machines of the system. */
-void groundCut(GroundNode *a, GroundNode *b, bool cut);
+void ground_cut(GroundNode *a, GroundNode *b, bool cut);
 
 /* Health, as the rules reckon it. */
-bool groundSettled(const Ground *ground);
-bool nodeInTouch(const GroundNode *node);
-/* Nothing but planned work has happened anywhere for contactMs. */
-bool groundCalm(const Ground *ground);
-GroundNode *groundLeader(Ground *ground);
+bool ground_settled(const Ground *ground);
+bool node_in_touch(const GroundNode *node);
+/* Nothing but planned work has happened anywhere for contact_ms. */
+bool ground_calm(const Ground *ground);
+GroundNode *ground_leader(Ground *ground);
 
 #endif
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -12,44 +12,44 @@
 #define LEAVE_ANYWAY_MS 4000 /* ms; it leaves so long after it had to, though nobody took note */
 #define ENDS_AT_ONCE 500     /* count; in one beat */
 
-Room handUsed(const Hand *hand)
+Room hand_used(const Hand *hand)
 {
     Room used = {0};
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
-        const Room room = bookStep(run->task)->room;
+        const Room room = book_step(run->task)->room;
         used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
     }
     return used;
 }
 
-void handPace(Hand *hand)
+void hand_pace(Hand *hand)
 {
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
-        crewPace(run->crew);
+        crew_pace(run->crew);
         for (size_t i = 0; i < run->crew->count; i++)
             signal_raise(run->crew->members[i]->hand->loop, &run->crew->members[i]->hand->work);
     }
 }
 
-void handSlow(Hand *hand, int64_t times)
+void hand_slow(Hand *hand, int64_t times)
 {
     hand->slow_times = times;
     if (hand->up)
-        handPace(hand);
+        hand_pace(hand);
 }
 
-void handHang(Hand *hand, bool hangs)
+void hand_hang(Hand *hand, bool hangs)
 {
     hand->hangs = hangs;
     if (hand->up)
-        handPace(hand);
+        hand_pace(hand);
 }
 
 /* --- beats --------------------------------------------------------------------------------------------- */
 
-static void reportFill(Hand *hand, void *mem, HandReport *report)
+static void report_fill(Hand *hand, void *mem, HandReport *report)
 {
-    const int64_t now_ms = groundNowMs(hand->hands->ground);
+    const int64_t now_ms = ground_now_ms(hand->hands->ground);
     size_t count = 0;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next)
         count++;
@@ -67,51 +67,51 @@
                      .running = talloc_zero_array(mem, HandRunning, (unsigned)count),
                      .ended = talloc_zero_array(mem, HandEnded, ENDS_AT_ONCE)};
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
-        crewAdvance(run->crew);
-        const int64_t work_ms = run->crew->workUs / 1000;
+        crew_advance(run->crew);
+        const int64_t work_ms = run->crew->work_us / 1000;
         report->running[report->running_count++] =
-            (HandRunning){run->task->name, run->round, bookSaved(mem, run->task, handSavedMs(run, false)),
-                          work_ms > 0 ? (int)(crewProgressMs(run->crew) * 100 / work_ms) : 0};
+            (HandRunning){run->task->name, run->round, book_saved(mem, run->task, hand_saved_ms(run, false)),
+                          work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
     }
-    for (size_t i = 0; i < hand->endCount && i < ENDS_AT_ONCE; i++)
+    for (size_t i = 0; i < hand->end_count && i < ENDS_AT_ONCE; i++)
         report->ended[report->ended_count++] = hand->ends[i].told;
 }
 
-static void leaveAcked(Hand *hand)
+static void leave_acked(Hand *hand)
 {
-    if (!hand->leaving || hand->leaveAckMs != 0)
+    if (!hand->leaving || hand->leave_ack_ms != 0)
         return;
-    hand->leaveAckMs = groundNowMs(hand->hands->ground);
-    hand->leaveAckTouch = nodeInTouch(hand->side);
+    hand->leave_ack_ms = ground_now_ms(hand->hands->ground);
+    hand->leave_ack_touch = node_in_touch(hand->side);
 }
 
 /* One beat; how long until the next is due. */
-static int64_t beatOnce(Hand *hand, void *mem)
+static int64_t beat_once(Hand *hand, void *mem)
 {
     const Ground *ground = hand->hands->ground;
     const Tongue *tongue = ground->tongue;
     HandReport report;
-    reportFill(hand, mem, &report);
-    hand->newsOpen = false;
+    report_fill(hand, mem, &report);
+    hand->news_open = false;
     const bool leaving = report.leaving;
-    HttpCall call = {
-        .mem = mem,
-        .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine), tongue->operatorPort),
-        .method = "POST",
-        .path = tongue->beatPath(mem, hand->boot, false),
-        .body = tongue->report(mem, &report),
-        .wait_ms = ANSWER_MOST_MS};
+    HttpCall call = {.mem = mem,
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
+                                                tongue->operator_port),
+                     .method = "POST",
+                     .path = tongue->beat_path(mem, hand->boot, false),
+                     .body = tongue->report(mem, &report),
+                     .wait_ms = ANSWER_MOST_MS};
     const int64_t sent_ms = loop_now_ms(hand->loop);
     const Status status = loop_call(hand->loop, &call);
     HandOrders *orders = talloc_zero(mem, HandOrders);
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
         loop_now_ms(hand->loop) - sent_ms > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
-        hand->newsOpen = true;
+        hand->news_open = true;
         return BEAT_AGAIN_MS;
     }
     if (leaving)
-        leaveAcked(hand);
-    handOrdersTake(hand, orders, sent_ms);
+        leave_acked(hand);
+    hand_orders_take(hand, orders, sent_ms);
     return orders->again_ms >= 0 && orders->again_ms < ground->site->beat_ms ? orders->again_ms : ground->site->beat_ms;
 }
 
@@ -120,23 +120,23 @@
     Hand *hand = arg;
     for (;;) {
         void *mem = talloc_new(hand->mem);
-        const int64_t wait_ms = beatOnce(hand, mem);
+        const int64_t wait_ms = beat_once(hand, mem);
         talloc_free(mem);
         const int64_t until_ms = loop_now_ms(hand->loop) + wait_ms;
-        if (wait_ms == BEAT_AGAIN_MS && hand->newsOpen)
+        if (wait_ms == BEAT_AGAIN_MS && hand->news_open)
             loop_sleep(hand->loop, wait_ms);
-        else if (hand->newsOpen || signal_wait(hand->loop, &hand->news, until_ms))
+        else if (hand->news_open || signal_wait(hand->loop, &hand->news, until_ms))
             loop_sleep(hand->loop, NEWS_GAP_MS);
     }
 }
 
 /* --- leaving --------------------------------------------------------------------------------------------- */
 
-static void overLater(void *arg)
+static void over_later(void *arg)
 {
     Hand *hand = arg;
     if (hand->up && hand->leaving)
-        handCrash(hand, false);
+        hand_crash(hand, false);
 }
 
 static void leave_main(void *arg)
@@ -144,8 +144,8 @@
     Hand *hand = arg;
     const Ground *ground = hand->hands->ground;
     for (;;) {
-        const int64_t now_ms = groundNowMs(ground);
-        const bool known = hand->leaveAckMs != 0 && now_ms >= hand->leaveAckMs + ground->site->drainMs + 100;
+        const int64_t now_ms = ground_now_ms(ground);
+        const bool known = hand->leave_ack_ms != 0 && now_ms >= hand->leave_ack_ms + ground->site->drain_ms + 100;
         if (now_ms >= hand->leave_at_ms && (known || now_ms >= hand->leave_at_ms + LEAVE_ANYWAY_MS))
             break;
         loop_sleep(hand->loop, 50);
@@ -153,75 +153,75 @@
     void *mem = talloc_new(hand->mem);
     HttpCall call = {.mem = mem,
                      .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
-                                                ground->tongue->operatorPort),
+                                                ground->tongue->operator_port),
                      .method = "POST",
-                     .path = ground->tongue->beatPath(mem, hand->boot, true),
+                     .path = ground->tongue->beat_path(mem, hand->boot, true),
                      .wait_ms = ANSWER_MOST_MS};
     loop_call(hand->loop, &call);
     talloc_free(mem);
-    groundSay(ground, "%s has left", hand->boot);
-    sim_at(ground->world, groundNowMs(ground), overLater, hand);
+    ground_say(ground, "%s has left", hand->boot);
+    sim_at(ground->world, ground_now_ms(ground), over_later, hand);
 }
 
-void handLeave(Hand *hand, int64_t after_ms)
+void hand_leave(Hand *hand, int64_t after_ms)
 {
     if (!hand->up || hand->leaving)
         return;
     hand->leaving = true;
-    hand->leave_at_ms = groundNowMs(hand->hands->ground) + after_ms;
-    hand->newsOpen = true;
+    hand->leave_at_ms = ground_now_ms(hand->hands->ground) + after_ms;
+    hand->news_open = true;
     signal_raise(hand->loop, &hand->news);
     loop_spawn(hand->loop, "leave", leave_main, hand);
 }
 
 /* --- its process ------------------------------------------------------------------------------------------ */
 
-static void processStart(void *arg, Loop *loop)
+static void process_start(void *arg, Loop *loop)
 {
     Hand *hand = arg;
     hand->mem = talloc_new(loop);
     hand->loop = loop;
-    hand->sequence = hand->fence = hand->endNumber = 0;
+    hand->sequence = hand->fence = hand->end_number = 0;
     hand->hold_until_ms = 0;
     hand->runs = NULL;
     hand->ends = NULL;
-    hand->endCount = 0;
+    hand->end_count = 0;
     hand->highest = map_new(hand->mem);
     hand->work = hand->news = (Signal){0};
-    hand->leaving = hand->newsOpen = false;
-    hand->leave_at_ms = hand->leaveAckMs = 0;
-    loop_spawn(loop, "work", handWorkMain, hand);
+    hand->leaving = hand->news_open = false;
+    hand->leave_at_ms = hand->leave_ack_ms = 0;
+    loop_spawn(loop, "work", hand_work_main, hand);
     loop_spawn(loop, "beat", beat_main, hand);
 }
 
-void handStart(Hand *hand)
+void hand_start(Hand *hand)
 {
     if (hand->up)
         return;
     hand->life++;
     snprintf(hand->boot, sizeof(hand->boot), "i-%08" PRIx64,
-             diceOf(hand->hands->ground->seed, "boot", hand->hands->boots++).state >> 32);
+             dice_of(hand->hands->ground->seed, "boot", hand->hands->boots++).state >> 32);
     hand->up = true;
-    sim_start(hand->hands->ground->world, hand->machine, processStart, hand);
+    sim_start(hand->hands->ground->world, hand->machine, process_start, hand);
 }
 
-void handCrash(Hand *hand, bool power)
+void hand_crash(Hand *hand, bool power)
 {
     if (!hand->up)
         return;
     hand->up = false;
     while (hand->runs != NULL) {
         HandRun *run = hand->runs;
-        groundTell(hand->hands->ground, &run->task->name, "round %" PRIu64 " is gone with %s", run->round, hand->boot);
+        ground_tell(hand->hands->ground, &run->task->name, "round %" PRIu64 " is gone with %s", run->round, hand->boot);
         Crew *crew = run->crew;
         HandRun *others[sizeof(crew->members) / sizeof(crew->members[0])];
         size_t count = 0;
         for (size_t i = 0; i < crew->count && crew->begun; i++)
             if (crew->members[i]->hand != hand)
                 others[count++] = crew->members[i];
-        handRunDrop(run);
+        hand_run_drop(run);
         for (size_t i = 0; i < count; i++)
-            handRunEnd(others[i], ROUND_BROKEN);
+            hand_run_end(others[i], ROUND_BROKEN);
     }
     if (power)
         sim_power_off(hand->hands->ground->world, hand->machine);
@@ -229,7 +229,7 @@
         sim_kill(hand->hands->ground->world, hand->machine);
 }
 
-Hands *handsNew(void *mem, Book *book, Ledger *ledger)
+Hands *hands_new(void *mem, Book *book, Ledger *ledger)
 {
     static const int64_t SPEEDS[] = {100, 80, 125};
     Hands *hands = talloc_zero(mem, Hands);
@@ -238,7 +238,7 @@
     hands->ground = ground;
     hands->book = book;
     hands->ledger = ledger;
-    hands->count = ground->sideCount;
+    hands->count = ground->side_count;
     for (size_t i = 0; i < hands->count; i++) {
         Hand *hand = &hands->list[i];
         *hand = (Hand){.hands = hands,
@@ -248,19 +248,19 @@
                        .kind = "std",
                        .zone = ground->sides[i].zone,
                        .label = i % 2 == 0 ? "a" : "b",
-                       .room = {(uint64_t)site->handCpuMilli, (uint64_t)site->handMemMb, 0},
+                       .room = {(uint64_t)site->hand_cpu_milli, (uint64_t)site->hand_mem_mb, 0},
                        .speed = SPEEDS[i % 3],
                        .slow_times = 1};
         snprintf(hand->rack, sizeof(hand->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
-                 (int64_t)i / site->zones / site->rackHands);
-        if (i % 3 == 1 && site->slowPercent > 0)
-            sim_clock_rate(ground->world, hand->machine, 100 - site->slowPercent);
+                 (int64_t)i / site->zones / site->rack_hands);
+        if (i % 3 == 1 && site->slow_percent > 0)
+            sim_clock_rate(ground->world, hand->machine, 100 - site->slow_percent);
     }
     return hands;
 }
 
-void handsStart(Hands *hands)
+void hands_start(Hands *hands)
 {
     for (size_t i = 0; i < hands->count; i++)
-        handStart(&hands->list[i]);
+        hand_start(&hands->list[i]);
 }
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -5,13 +5,13 @@
 
 #include "hand.h"
 
-static const char *nameText(void *mem, const TaskName *name)
+static const char *name_text(void *mem, const TaskName *name)
 {
     return talloc_asprintf(mem, "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64, name->job, name->turn, name->step, name->at);
 }
 
 /* By what they say: what follows the end of a text is left out. */
-static bool nameEqual(const TaskName *one, const TaskName *other)
+static bool name_equal(const TaskName *one, const TaskName *other)
 {
     return strcmp(one->job, other->job) == 0 && one->turn == other->turn && one->step == other->step &&
            one->at == other->at;
@@ -20,17 +20,17 @@
 /* --- ends ------------------------------------------------------------------------------------ */
 
 /* Progress that is kept: after each so much of work, and all of it at a stop. */
-int64_t handSavedMs(const HandRun *run, bool all)
+int64_t hand_saved_ms(const HandRun *run, bool all)
 {
-    const int64_t save_ms = run->hand->hands->ground->site->save_ms, done_ms = crewProgressMs(run->crew);
-    const int64_t keptMs = all ? done_ms : run->crew->from_ms + (done_ms - run->crew->from_ms) / save_ms * save_ms;
-    if (run->task->job->draft.saves && keptMs > run->task->fate->savedMs)
-        run->task->fate->savedMs = keptMs;
-    return keptMs;
+    const int64_t save_ms = run->hand->hands->ground->site->save_ms, done_ms = crew_progress_ms(run->crew);
+    const int64_t kept_ms = all ? done_ms : run->crew->from_ms + (done_ms - run->crew->from_ms) / save_ms * save_ms;
+    if (run->task->job->draft.saves && kept_ms > run->task->fate->saved_ms)
+        run->task->fate->saved_ms = kept_ms;
+    return kept_ms;
 }
 
 /* The run is no more: out of all lists. */
-void handRunDrop(HandRun *run)
+void hand_run_drop(HandRun *run)
 {
     HandRun **at = &run->hand->runs;
     while (*at != run)
@@ -38,56 +38,56 @@
     *at = run->next;
     at = &run->task->live;
     while (*at != run)
-        at = &(*at)->nextLive;
-    *at = run->nextLive;
+        at = &(*at)->next_live;
+    *at = run->next_live;
     if (run->crew != NULL)
-        crewLeave(run);
+        crew_leave(run);
     talloc_free(run);
 }
 
 static void highest_set(Hand *hand, const TaskName *name, uint64_t round)
 {
-    const char *text = nameText(hand->mem, name);
+    const char *text = name_text(hand->mem, name);
     if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < round)
         map_set(hand->highest, text, (void *)(uintptr_t)round);
 }
 
-static void endAdd(Hand *hand, BookTask *task, const TaskName *name, uint64_t round, RoundWord word, const char *saved)
+static void end_add(Hand *hand, BookTask *task, const TaskName *name, uint64_t round, RoundWord word, const char *saved)
 {
-    hand->ends = talloc_realloc(hand->mem, hand->ends, HandEnd, (unsigned)(hand->endCount + 1));
-    hand->ends[hand->endCount++] =
-        (HandEnd){.told = {++hand->endNumber, *name, round, word, saved}, .task = task, .lapsedSince = false};
+    hand->ends = talloc_realloc(hand->mem, hand->ends, HandEnd, (unsigned)(hand->end_count + 1));
+    hand->ends[hand->end_count++] =
+        (HandEnd){.told = {++hand->end_number, *name, round, word, saved}, .task = task, .lapsed_since = false};
     highest_set(hand, name, round);
     hand->hands->book->kinds[word]++;
-    groundTell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, round_word(word), hand->boot,
-               saved);
-    hand->newsOpen = true;
+    ground_tell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, round_word(word),
+                hand->boot, saved);
+    hand->news_open = true;
     signal_raise(hand->loop, &hand->news);
 }
 
-void handRunEnd(HandRun *run, RoundWord word)
+void hand_run_end(HandRun *run, RoundWord word)
 {
     Hand *hand = run->hand;
     BookTask *task = run->task;
     Fate *fate = task->fate;
-    const int64_t now_ms = groundNowMs(hand->hands->ground);
-    crewAdvance(run->crew);
+    const int64_t now_ms = ground_now_ms(hand->hands->ground);
+    crew_advance(run->crew);
     const bool stopped = word == ROUND_STOPPED || word == ROUND_BROKEN;
-    const char *saved = word == ROUND_DONE ? "" : bookSaved(hand->mem, task, handSavedMs(run, stopped));
+    const char *saved = word == ROUND_DONE ? "" : book_saved(hand->mem, task, hand_saved_ms(run, stopped));
     if (word == ROUND_DONE && !fate->done) {
         fate->done = true;
         fate->done_ms = now_ms;
     }
     if (word == ROUND_FAILED)
-        bookFail(fate, run->round);
+        book_fail(fate, run->round);
     if (word == ROUND_ALONE)
-        aloneCheck(run);
-    endAdd(hand, task, &task->name, run->round, word, saved);
-    handRunDrop(run);
+        alone_check(run);
+    end_add(hand, task, &task->name, run->round, word, saved);
+    hand_run_drop(run);
 }
 
 /* One member has ended so: the others end as told. */
-static void crewEnd(HandRun *first, RoundWord word, RoundWord others)
+static void crew_end(HandRun *first, RoundWord word, RoundWord others)
 {
     HandRun *members[sizeof(first->crew->members) / sizeof(first->crew->members[0])];
     Crew *crew = first->crew;
@@ -95,42 +95,42 @@
     const bool begun = crew->begun;
     for (size_t i = 0; i < count; i++)
         members[i] = crew->members[i];
-    handRunEnd(first, word);
+    hand_run_end(first, word);
     for (size_t i = 0; i < count && begun; i++)
         if (members[i] != first)
-            handRunEnd(members[i], others);
+            hand_run_end(members[i], others);
 }
 
 /* --- what comes due ------------------------------------------------------------------------------ */
 
 /* True when something ended: the list has changed. */
-static bool dueOne(Hand *hand, int64_t now_ms)
+static bool due_one(Hand *hand, int64_t now_ms)
 {
     const Site *site = hand->hands->ground->site;
     const bool held = loop_now_ms(hand->loop) < hand->hold_until_ms;
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
-        crewAdvance(run->crew);
+        crew_advance(run->crew);
         const Crew *crew = run->crew;
         if (!held) {
-            for (size_t i = 0; i < hand->endCount; i++)
-                hand->ends[i].lapsedSince = true;
-            crewEnd(run, ROUND_LAPSED, ROUND_BROKEN);
+            for (size_t i = 0; i < hand->end_count; i++)
+                hand->ends[i].lapsed_since = true;
+            crew_end(run, ROUND_LAPSED, ROUND_BROKEN);
             return true;
         }
-        if (run->stopAtMs != 0 && now_ms >= run->stopAtMs) {
-            crewEnd(run, ROUND_STOPPED, ROUND_BROKEN);
+        if (run->stop_at_ms != 0 && now_ms >= run->stop_at_ms) {
+            crew_end(run, ROUND_STOPPED, ROUND_BROKEN);
             return true;
         }
         if (!crew->begun && now_ms - run->began_ms >= site->gang_ms) {
-            handRunEnd(run, ROUND_ALONE);
+            hand_run_end(run, ROUND_ALONE);
             return true;
         }
-        if (crew->begun && crew->doneUs >= crew->failUs) {
-            crewEnd(crew->failing, ROUND_FAILED, ROUND_BROKEN);
+        if (crew->begun && crew->done_us >= crew->fail_us) {
+            crew_end(crew->failing, ROUND_FAILED, ROUND_BROKEN);
             return true;
         }
-        if (crew->begun && crew->doneUs >= crew->workUs) {
-            crewEnd(run, ROUND_DONE, ROUND_DONE);
+        if (crew->begun && crew->done_us >= crew->work_us) {
+            crew_end(run, ROUND_DONE, ROUND_DONE);
             return true;
         }
     }
@@ -138,30 +138,30 @@
 }
 
 /* On the worker's clock, which may be slow: it looks early rather than late. */
-static int64_t nextDueMs(const Hand *hand, int64_t now_ms)
+static int64_t next_due_ms(const Hand *hand, int64_t now_ms)
 {
-    const int64_t ownMs = loop_now_ms(hand->loop);
-    int64_t wait_ms = hand->runs != NULL ? hand->hold_until_ms - ownMs : 3600000;
+    const int64_t own_ms = loop_now_ms(hand->loop);
+    int64_t wait_ms = hand->runs != NULL ? hand->hold_until_ms - own_ms : 3600000;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
-        int64_t due_ms = crewNextMs(run->crew);
-        if (run->stopAtMs != 0 && run->stopAtMs < due_ms)
-            due_ms = run->stopAtMs;
+        int64_t due_ms = crew_next_ms(run->crew);
+        if (run->stop_at_ms != 0 && run->stop_at_ms < due_ms)
+            due_ms = run->stop_at_ms;
         if (!run->crew->begun && run->began_ms + hand->hands->ground->site->gang_ms < due_ms)
             due_ms = run->began_ms + hand->hands->ground->site->gang_ms;
         if (due_ms - now_ms < wait_ms)
             wait_ms = due_ms - now_ms;
     }
-    return ownMs + (wait_ms > 1 ? wait_ms : 1);
+    return own_ms + (wait_ms > 1 ? wait_ms : 1);
 }
 
-void handWorkMain(void *arg)
+void hand_work_main(void *arg)
 {
     Hand *hand = arg;
     for (;;) {
-        const int64_t now_ms = groundNowMs(hand->hands->ground);
-        while (dueOne(hand, now_ms))
+        const int64_t now_ms = ground_now_ms(hand->hands->ground);
+        while (due_one(hand, now_ms))
             ;
-        signal_wait(hand->loop, &hand->work, nextDueMs(hand, now_ms));
+        signal_wait(hand->loop, &hand->work, next_due_ms(hand, now_ms));
     }
 }
 
@@ -176,16 +176,16 @@
     return NULL;
 }
 
-static void stopTake(Hand *hand, const HandRunning *stop)
+static void stop_take(Hand *hand, const HandRunning *stop)
 {
     HandRun *run = run_find(hand, &stop->name, stop->round);
     highest_set(hand, &stop->name, stop->round);
-    groundTell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->round, hand->boot,
-               run == NULL ? ", which does not run it" : "");
-    if (run == NULL || run->stopAtMs != 0)
+    ground_tell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->round, hand->boot,
+                run == NULL ? ", which does not run it" : "");
+    if (run == NULL || run->stop_at_ms != 0)
         return;
-    Dice dice = diceOf(stop->round, run->task->name.job, hand->sequence);
-    run->stopAtMs = groundNowMs(hand->hands->ground) + diceSpan(&dice, 1, hand->hands->ground->site->stop_ms);
+    Dice dice = dice_of(stop->round, run->task->name.job, hand->sequence);
+    run->stop_at_ms = ground_now_ms(hand->hands->ground) + dice_span(&dice, 1, hand->hands->ground->site->stop_ms);
     signal_raise(hand->loop, &hand->work);
 }
 
@@ -195,68 +195,68 @@
     const Site *site = hands->ground->site;
     if (run_find(hand, &start->name, start->round) != NULL)
         return;
-    for (size_t i = 0; i < hand->endCount; i++)
-        if (nameEqual(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.round == start->round)
+    for (size_t i = 0; i < hand->end_count; i++)
+        if (name_equal(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.round == start->round)
             return;
-    BookTask *task = bookTask(hands->book, &start->name);
-    const uint64_t highest = (uint64_t)(uintptr_t)map_get(hand->highest, nameText(hand->mem, &start->name));
-    const Room used = handUsed(hand);
+    BookTask *task = book_task(hands->book, &start->name);
+    const uint64_t highest = (uint64_t)(uintptr_t)map_get(hand->highest, name_text(hand->mem, &start->name));
+    const Room used = hand_used(hand);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
-        const Room room = bookStep(task)->room;
+        const Room room = book_step(task)->room;
         fits = used.cpu_milli + room.cpu_milli <= hand->room.cpu_milli &&
                used.mem_mb + room.mem_mb <= hand->room.mem_mb && used.gpu + room.gpu <= hand->room.gpu;
     }
     if (start->round <= highest || !fits) {
-        endAdd(hand, task, &start->name, start->round, ROUND_REFUSED, "");
+        end_add(hand, task, &start->name, start->round, ROUND_REFUSED, "");
         return;
     }
-    if (!startCheck(hand, start))
+    if (!start_check(hand, start))
         return;
     hands->book->starts++;
-    groundTell(hands->ground, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'", start->round, hand->boot,
-               hand->side->name, start->saved);
+    ground_tell(hands->ground, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'", start->round,
+                hand->boot, hand->side->name, start->saved);
     HandRun *run = talloc_zero(hand->mem, HandRun);
-    *run = (HandRun){.next = hand->runs, .nextLive = task->live, .hand = hand, .task = task, .round = start->round};
-    run->began_ms = groundNowMs(hands->ground);
+    *run = (HandRun){.next = hand->runs, .next_live = task->live, .hand = hand, .task = task, .round = start->round};
+    run->began_ms = ground_now_ms(hands->ground);
     hand->runs = run;
     task->live = run;
-    const int64_t from_ms = bookProgress(task, start->saved);
-    crewJoin(hands, run, from_ms > 0 ? from_ms : 0);
+    const int64_t from_ms = book_progress(task, start->saved);
+    crew_join(hands, run, from_ms > 0 ? from_ms : 0);
 }
 
-static void seenTake(Hand *hand, uint64_t seen)
+static void seen_take(Hand *hand, uint64_t seen)
 {
     size_t kept = 0;
-    for (size_t i = 0; i < hand->endCount; i++) {
+    for (size_t i = 0; i < hand->end_count; i++) {
         if (hand->ends[i].told.number <= seen)
-            endNoted(hand, &hand->ends[i]);
+            end_noted(hand, &hand->ends[i]);
         else
             hand->ends[kept++] = hand->ends[i];
     }
-    hand->endCount = kept;
+    hand->end_count = kept;
 }
 
-void handOrdersTake(Hand *hand, const HandOrders *orders, int64_t sent_ms)
+void hand_orders_take(Hand *hand, const HandOrders *orders, int64_t sent_ms)
 {
     const Site *site = hand->hands->ground->site;
     if (orders->fence < hand->fence)
         return;
     hand->fence = orders->fence;
-    for (size_t i = 0; i < hand->endCount && loop_now_ms(hand->loop) >= hand->hold_until_ms; i++)
-        hand->ends[i].lapsedSince = true;
-    seenTake(hand, orders->seen);
-    for (size_t i = 0; i < orders->stopCount; i++)
-        stopTake(hand, &orders->stops[i]);
+    for (size_t i = 0; i < hand->end_count && loop_now_ms(hand->loop) >= hand->hold_until_ms; i++)
+        hand->ends[i].lapsed_since = true;
+    seen_take(hand, orders->seen);
+    for (size_t i = 0; i < orders->stop_count; i++)
+        stop_take(hand, &orders->stops[i]);
     if (orders->hold_ms <= 0)
         return;
-    const int64_t hold_ms = orders->hold_ms < site->holdMaxMs ? orders->hold_ms : site->holdMaxMs;
+    const int64_t hold_ms = orders->hold_ms < site->hold_max_ms ? orders->hold_ms : site->hold_max_ms;
     /* what was held until now may be over: that is seen before anything new is held */
-    while (dueOne(hand, groundNowMs(hand->hands->ground)))
+    while (due_one(hand, ground_now_ms(hand->hands->ground)))
         ;
     if (sent_ms + hold_ms > hand->hold_until_ms)
         hand->hold_until_ms = sent_ms + hold_ms;
-    for (size_t i = 0; i < orders->startCount && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
+    for (size_t i = 0; i < orders->start_count && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
         start_take(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
 }
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -11,13 +11,13 @@
     uint64_t base;
     Spoil spoil;
     SentWord word;
-    int64_t sent_ms, takenMs;
+    int64_t sent_ms, taken_ms;
 } Sent;
 
 typedef struct ZoneOrder {
     const char *zone;
     int64_t drained_ms; /* acknowledged; 0: not, or taken back */
-    int64_t backSentMs;
+    int64_t back_sent_ms;
     bool open; /* an order is under way */
 } ZoneOrder;
 
@@ -31,16 +31,16 @@
     bool running; /* the first document has been taken */
 } Ledger;
 
-Ledger *ledgerNew(void *mem, Ground *ground);
-Sent *ledgerSend(Ledger *ledger, const Document *document, uint64_t base, Spoil spoil);
-void ledgerTaken(Ledger *ledger, Sent *sent);
+Ledger *ledger_new(void *mem, Ground *ground);
+Sent *ledger_send(Ledger *ledger, const Document *document, uint64_t base, Spoil spoil);
+void ledger_taken(Ledger *ledger, Sent *sent);
 /* The newest that was acknowledged; null: none. */
-const Sent *ledgerNewest(const Ledger *ledger);
+const Sent *ledger_newest(const Ledger *ledger);
 /* A queue's place in all documents that may be in force for a request of that time:
  * 1 in all, -1 in none, 0 in some. */
-int ledgerHas(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms);
+int ledger_has(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms);
 /* An entry point has shown a queue to be there or not, for a request sent at that time. */
-void ledgerShown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there);
-ZoneOrder *ledgerZone(Ledger *ledger, const char *zone);
+void ledger_shown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there);
+ZoneOrder *ledger_zone(Ledger *ledger, const char *zone);
 
 #endif
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -13,23 +13,23 @@
     uint64_t revision; /* the highest that was ever used */
     uint64_t idle;     /* numbers queues that nobody hands in to */
     size_t opened, orders, unclear;
-    GroundNode *lastTaker; /* who has acknowledged something last */
-    int64_t lastTakenMs;
+    GroundNode *last_taker; /* who has acknowledged something last */
+    int64_t last_taken_ms;
 } Operator;
 
 Operator *operator_new(void *mem, Ground *ground, Ledger *ledger);
 /* Sends the first document until it is taken; looks at entry points from then on. */
-void operatorStart(Operator *self);
-void operatorChange(Operator *self);
+void operator_start(Operator *self);
+void operator_change(Operator *self);
 /* Two on top of the same. */
-void operatorRace(Operator *self);
+void operator_race(Operator *self);
 /* One after the other. */
-void operatorStorm(Operator *self, int count, int64_t gap_ms);
-void operatorSpoilt(Operator *self);
+void operator_storm(Operator *self, int count, int64_t gap_ms);
+void operator_spoilt(Operator *self);
 /* Many queues at once. */
-void operatorBig(Operator *self);
-void operatorZone(Operator *self, const char *zone, bool drain);
-/* Reads back, from now for contactMs; then what must hold is checked. */
-void operatorFinish(Operator *self);
+void operator_big(Operator *self);
+void operator_zone(Operator *self, const char *zone, bool drain);
+/* Reads back, from now for contact_ms; then what must hold is checked. */
+void operator_finish(Operator *self);
 
 #endif
--- a/packages/model/src/operatororder.h
+++ b/packages/model/src/operatororder.h
@@ -13,17 +13,17 @@
     bool drain, patch, raced;
     Document from; /* what a patch begins with */
     int64_t sent_ms;
-    bool lateTold, over;
+    bool late_told, over;
 } Ordering;
 
-Loop *operatorLoop(const Operator *self);
+Loop *operator_loop(const Operator *self);
 /* A node that serves operators, of a list that lags. */
-GroundNode *operatorNode(Operator *self);
-const char *outcomeWord(Outcome outcome);
+GroundNode *operator_node(Operator *self);
+const char *outcome_word(Outcome outcome);
 /* Asks a node once; result may be NULL. */
-Outcome operatorAsk(const Operator *self, void *mem, const GroundNode *node, const char *method, const Worded *worded,
-                    Bytes *result);
+Outcome operator_ask(const Operator *self, void *mem, const GroundNode *node, const char *method, const Worded *worded,
+                     Bytes *result);
 /* Sends the order until it is answered clearly, for so long; UNCLEAR: it never was. */
-Outcome orderSend(Ordering *ordering, const Worded *worded, int64_t for_ms);
+Outcome order_send(Ordering *ordering, const Worded *worded, int64_t for_ms);
 
 #endif
--- a/packages/model/src/rules.c
+++ b/packages/model/src/rules.c
@@ -3,7 +3,7 @@
 #include <stdarg.h>
 #include <stdio.h>
 
-const char *ruleName(Rule rule)
+const char *rule_name(Rule rule)
 {
     static const char *const NAMES[] = {
 #define X(name, words) #name,
@@ -13,7 +13,7 @@
     return NAMES[rule];
 }
 
-const char *ruleWords(Rule rule)
+const char *rule_words(Rule rule)
 {
     static const char *const WORDS[] = {
 #define X(name, words) words,
@@ -23,13 +23,13 @@
     return WORDS[rule];
 }
 
-void rulesBroke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
+void rules_broke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...)
 {
     rules->broken[rule]++;
     rules->all++;
-    if (rules->toldCount == BREAKS_TOLD)
+    if (rules->told_count == BREAKS_TOLD)
         return;
-    Break *one = &rules->told[rules->toldCount++];
+    Break *one = &rules->told[rules->told_count++];
     one->rule = rule;
     one->at_ms = at_ms;
     va_list args;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-static Site siteFirst(const char *name)
+static Site site_first(const char *name)
 {
     Site site = {
 #define X(name, outside, otherwise, meaning) .name = otherwise,
@@ -16,7 +16,7 @@
     return site;
 }
 
-static SiteKind *kindAdd(Site *site, const char *name)
+static SiteKind *kind_add(Site *site, const char *name)
 {
     SiteKind *kind = &site->kinds[site->kind_count++];
     *kind = (SiteKind){
@@ -31,73 +31,73 @@
 /* Few large workers, heavy work among quick. */
 static void tiles(Site *site)
 {
-    SiteKind *rebuild = kindAdd(site, "rebuild");
-    rebuild->perMinute = 32;
+    SiteKind *rebuild = kind_add(site, "rebuild");
+    rebuild->per_minute = 32;
     rebuild->steps = 3;
     rebuild->tasks = 4;
     rebuild->task_ms = 6000;
     rebuild->cpu_milli = 11000;
     rebuild->mem_mb = 21000;
-    rebuild->aimMs = 2000;
-    rebuild->stretchPercent = 220;
+    rebuild->aim_ms = 2000;
+    rebuild->stretch_percent = 220;
     rebuild->rounds = 4;
-    rebuild->gangPercent = 30;
-    rebuild->savesPercent = 50;
-    rebuild->needsPercent = 20;
-    rebuild->turnsPercent = 5;
-    SiteKind *sweep = kindAdd(site, "sweep");
-    sweep->perMinute = 95;
+    rebuild->gang_percent = 30;
+    rebuild->saves_percent = 50;
+    rebuild->needs_percent = 20;
+    rebuild->turns_percent = 5;
+    SiteKind *sweep = kind_add(site, "sweep");
+    sweep->per_minute = 95;
     sweep->steps = 3;
     sweep->tasks = 10;
     sweep->task_ms = 1400;
     sweep->cpu_milli = 3200;
     sweep->mem_mb = 4600;
-    sweep->aimMs = 4000;
-    sweep->stretchPercent = 320;
+    sweep->aim_ms = 4000;
+    sweep->stretch_percent = 320;
     sweep->priority = 2;
-    sweep->failMilli = 20;
-    sweep->copiesPercent = 10;
-    sweep->cancelPercent = 6;
-    sweep->twicePercent = 15;
-    SiteKind *check = kindAdd(site, "check");
-    check->perMinute = 440;
+    sweep->fail_milli = 20;
+    sweep->copies_percent = 10;
+    sweep->cancel_percent = 6;
+    sweep->twice_percent = 15;
+    SiteKind *check = kind_add(site, "check");
+    check->per_minute = 440;
     check->tasks = 2;
     check->task_ms = 800;
     check->cpu_milli = 4600;
     check->mem_mb = 6600;
-    check->aimMs = 1200;
+    check->aim_ms = 1200;
     check->priority = 0;
     check->rounds = 2;
-    check->failMilli = 20;
-    check->gangPercent = 15;
-    check->turnsPercent = 2;
-    check->lastingPercent = 1;
+    check->fail_milli = 20;
+    check->gang_percent = 15;
+    check->turns_percent = 2;
+    check->lasting_percent = 1;
 }
 
 /* Small workers that bound what may run: many small tasks. */
 static void registry(Site *site)
 {
     site->gates = 4;
-    site->handCpuMilli = 16000;
-    site->handMemMb = 65536;
-    site->holdMaxMs = 6000;
+    site->hand_cpu_milli = 16000;
+    site->hand_mem_mb = 65536;
+    site->hold_max_ms = 6000;
     site->save_ms = 2000;
-    site->restoreMs = 600;
+    site->restore_ms = 600;
     tiles(site);
     static const char *const NAMES[] = {"reindex", "collect", "refresh"};
     static const int64_t PER_MINUTE[] = {40, 75, 355}, CPU[] = {2900, 800, 1100}, MEM[] = {9000, 2400, 3300};
     for (size_t i = 0; i < site->kind_count; i++) {
         SiteKind *kind = &site->kinds[i];
         snprintf(kind->name, sizeof(kind->name), "%s", NAMES[i]);
-        kind->perMinute = PER_MINUTE[i];
+        kind->per_minute = PER_MINUTE[i];
         kind->cpu_milli = CPU[i];
         kind->mem_mb = MEM[i];
     }
 }
 
-bool siteNamed(const char *name, Site *site)
+bool site_named(const char *name, Site *site)
 {
-    *site = siteFirst(name);
+    *site = site_first(name);
     if (strcmp(name, "tiles") == 0)
         tiles(site);
     else if (strcmp(name, "registry") == 0)
@@ -107,7 +107,7 @@
     return true;
 }
 
-static bool siteField(Site *site, const char *key, int64_t value)
+static bool site_field(Site *site, const char *key, int64_t value)
 {
 #define X(name, outside, otherwise, meaning) \
     if (strcmp(key, outside) == 0) {         \
@@ -119,7 +119,7 @@
     return false;
 }
 
-static bool kindField(SiteKind *kind, const char *key, int64_t value)
+static bool kind_field(SiteKind *kind, const char *key, int64_t value)
 {
 #define X(name, outside, otherwise, meaning) \
     if (strcmp(key, outside) == 0) {         \
@@ -131,12 +131,12 @@
     return false;
 }
 
-static Status groupRead(GKeyFile *file, const char *group, Site *site, Failure *failure)
+static Status group_read(GKeyFile *file, const char *group, Site *site, Failure *failure)
 {
     const bool whole = strcmp(group, "site") == 0;
     if (!whole && site->kind_count == SITE_KINDS_MAX)
         return failure_set(failure, STATUS_BAD_PROPS, "[%s]: there are too many kinds", group);
-    SiteKind *kind = whole ? NULL : kindAdd(site, group);
+    SiteKind *kind = whole ? NULL : kind_add(site, group);
     gsize count = 0;
     char **keys = g_key_file_get_keys(file, group, &count, NULL);
     Status status = STATUS_OK;
@@ -145,7 +145,7 @@
         const int64_t value = g_key_file_get_int64(file, group, keys[i], &error);
         if (error != NULL || value < 0)
             status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: must be a number", group, keys[i]);
-        else if (whole ? !siteField(site, keys[i], value) : !kindField(kind, keys[i], value))
+        else if (whole ? !site_field(site, keys[i], value) : !kind_field(kind, keys[i], value))
             status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: there is no such key", group, keys[i]);
         g_clear_error(&error);
     }
@@ -153,32 +153,32 @@
     return status;
 }
 
-Status siteRead(const char *path, Site *site, Failure *failure)
+Status site_read(const char *path, Site *site, Failure *failure)
 {
     GKeyFile *file = g_key_file_new();
     GError *error = NULL;
     Status status = STATUS_OK;
-    *site = siteFirst("own");
+    *site = site_first("own");
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
         status = failure_set(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
         g_error_free(error);
     }
     char **groups = status == STATUS_OK ? g_key_file_get_groups(file, NULL) : NULL;
     for (size_t i = 0; groups != NULL && groups[i] != NULL && status == STATUS_OK; i++)
-        status = groupRead(file, groups[i], site, failure);
+        status = group_read(file, groups[i], site, failure);
     g_strfreev(groups);
     g_key_file_free(file);
     if (status == STATUS_OK && site->kind_count == 0)
         tiles(site);
     if (status == STATUS_OK &&
         (site->cores < 3 || site->hands < 1 || site->hands > 40 || site->cores + site->spares > 16 ||
-         site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rackHands < 1))
+         site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
         status = failure_set(failure, STATUS_BAD_PROPS,
                              "%s: there are too few machines, or more than the simulator holds", path);
     return status;
 }
 
-const char *siteZone(int64_t zone)
+const char *site_zone(int64_t zone)
 {
     static const char *const ZONES[] = {"north", "south", "west", "east"};
     return ZONES[zone];
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -17,22 +17,22 @@
     bool touch; /* its sender is in touch */
 } Start;
 
-#define BROKE(start, rule, format, ...)                                                                              \
-    rulesBroke((start)->ground->rules, rule, groundDayMs((start)->ground),                                           \
-               "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64 " round %" PRIu64 " on %s: " format, (start)->order->name.job,  \
-               (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at, (start)->order->round, \
-               (start)->hand->boot, __VA_ARGS__)
+#define BROKE(start, rule, format, ...)                                                                               \
+    rules_broke((start)->ground->rules, rule, ground_day_ms((start)->ground),                                         \
+                "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64 " round %" PRIu64 " on %s: " format, (start)->order->name.job,  \
+                (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at, (start)->order->round, \
+                (start)->hand->boot, __VA_ARGS__)
 
-static void roomCheck(const Start *start)
+static void room_check(const Start *start)
 {
-    const Room used = handUsed(start->hand), room = start->step->room, all = start->hand->room;
+    const Room used = hand_used(start->hand), room = start->step->room, all = start->hand->room;
     if (start->ground->site->guards == 0 && (used.cpu_milli + room.cpu_milli > all.cpu_milli ||
                                              used.mem_mb + room.mem_mb > all.mem_mb || used.gpu + room.gpu > all.gpu))
         BROKE(start, RULE_LIMIT, "%" PRIu64 " milli-CPU and %" PRIu64 " MB beside %" PRIu64 " and %" PRIu64,
               room.cpu_milli, room.mem_mb, used.cpu_milli, used.mem_mb);
 }
 
-static void twiceCheck(const Start *start)
+static void twice_check(const Start *start)
 {
     Fate *fate = start->task->fate;
     const bool copies = start->job->draft.copies;
@@ -41,27 +41,27 @@
         BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->round, live->hand->boot);
     if (start->job->draft.lasting || !fate->done)
         return;
-    if (!copies && fate->notedMs != 0)
+    if (!copies && fate->noted_ms != 0)
         BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->done_ms);
     else if (!copies)
-        fate->againRound = start->order->round;
-    const bool late = (fate->notedMs != 0 && start->now_ms - fate->notedMs > NOTED_LATE_MS) ||
-                      (start->job->shown == JOB_WORD_DONE && start->now_ms - start->job->shownMs > NOTED_LATE_MS);
+        fate->again_round = start->order->round;
+    const bool late = (fate->noted_ms != 0 && start->now_ms - fate->noted_ms > NOTED_LATE_MS) ||
+                      (start->job->shown == JOB_WORD_DONE && start->now_ms - start->job->shown_ms > NOTED_LATE_MS);
     if (copies && start->touch && late)
-        BROKE(start, RULE_TWICE, "its end was noted %" PRId64 " ms ago", start->now_ms - fate->notedMs);
+        BROKE(start, RULE_TWICE, "its end was noted %" PRId64 " ms ago", start->now_ms - fate->noted_ms);
 }
 
-static void orderCheck(const Start *start)
+static void order_check(const Start *start)
 {
     const TaskName *name = &start->order->name;
-    if (!bookReady(start->job, name->turn, name->step))
+    if (!book_ready(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t due_ms = bookDueWallMs(start->job, name->turn), wall_ms = sim_wall_ms(start->ground->world);
-    if (due_ms != 0 && wall_ms < due_ms - start->ground->site->earlyMs)
+    const int64_t due_ms = book_due_wall_ms(start->job, name->turn), wall_ms = sim_wall_ms(start->ground->world);
+    if (due_ms != 0 && wall_ms < due_ms - start->ground->site->early_ms)
         BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", due_ms - wall_ms);
 }
 
-static void routeCheck(const Start *start)
+static void route_check(const Start *start)
 {
     const DraftStep *step = start->step;
     if (step->needs != NULL && strcmp(step->needs, start->hand->label) != 0)
@@ -84,113 +84,113 @@
         BROKE(start, RULE_ROUTE, "no document leads %s to %s", start->job->kind->name, start->hand->kind);
 }
 
-static void budgetCheck(const Start *start)
+static void budget_check(const Start *start)
 {
     Fate *fate = start->task->fate;
-    const size_t rounds = (size_t)start->job->kind->rounds, noted = bookFailsNoted(fate, start->order->round);
+    const size_t rounds = (size_t)start->job->kind->rounds, noted = book_fails_noted(fate, start->order->round);
     if (start->job->draft.lasting || fate->fails < rounds)
         return;
-    const bool late = start->touch && start->now_ms - fate->failsNotedMs > NOTED_LATE_MS;
+    const bool late = start->touch && start->now_ms - fate->fails_noted_ms > NOTED_LATE_MS;
     if (noted >= rounds && (late || !start->job->draft.copies))
         BROKE(start, RULE_BUDGET, "%zu rounds have failed", noted);
     else if (!start->job->draft.copies)
-        fate->beyondRound = start->order->round;
+        fate->beyond_round = start->order->round;
 }
 
-static void askedCheck(const Start *start)
+static void asked_check(const Start *start)
 {
     const BookJob *job = start->job;
     const Site *site = start->ground->site;
     if (strcmp(start->order->payload, job->draft.payload) != 0)
         BROKE(start, RULE_UNASKED, "'%.20s' instead of '%.20s'", start->order->payload, job->draft.payload);
-    const int64_t progressMs = bookProgress(start->task, start->order->saved);
-    if (progressMs < 0 || progressMs > start->task->fate->savedMs)
+    const int64_t progress_ms = book_progress(start->task, start->order->saved);
+    if (progress_ms < 0 || progress_ms > start->task->fate->saved_ms)
         BROKE(start, RULE_UNASKED, "'%.20s' is not what it saved", start->order->saved);
     for (size_t i = 0; start->step->gang && i < start->job->task_count; i++)
-        for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->nextLive)
+        for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->next_live)
             if (start->job->tasks[i].fate == start->task->fate && run->round == start->order->round &&
-                run->crew != NULL && run->crew->from_ms != (progressMs > 0 ? progressMs : 0))
-                BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progressMs,
+                run->crew != NULL && run->crew->from_ms != (progress_ms > 0 ? progress_ms : 0))
+                BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progress_ms,
                       run->crew->from_ms);
-    if (job->cancelMs != 0 && start->touch && start->now_ms - job->cancelMs > site->cancelMs)
-        BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancelMs);
-    if (job->refusedMs != 0)
-        BROKE(start, RULE_REFUSED, "turned away each time, %" PRId64 " ms ago", start->now_ms - job->refusedMs);
+    if (job->cancel_ms != 0 && start->touch && start->now_ms - job->cancel_ms > site->cancel_ms)
+        BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancel_ms);
+    if (job->refused_ms != 0)
+        BROKE(start, RULE_REFUSED, "turned away each time, %" PRId64 " ms ago", start->now_ms - job->refused_ms);
 }
 
-static void placeCheck(const Start *start)
+static void place_check(const Start *start)
 {
     const Site *site = start->ground->site;
     const Hand *hand = start->hand;
-    if (hand->leaveAckMs != 0 && hand->leaveAckTouch && start->touch &&
-        start->now_ms - hand->leaveAckMs > site->drainMs)
-        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->now_ms - hand->leaveAckMs);
-    const ZoneOrder *zone = ledgerZone(hand->hands->ledger, hand->zone);
-    if (zone->drained_ms != 0 && zone->backSentMs == 0 && start->touch &&
-        start->now_ms - zone->drained_ms > site->evacMs)
+    if (hand->leave_ack_ms != 0 && hand->leave_ack_touch && start->touch &&
+        start->now_ms - hand->leave_ack_ms > site->drain_ms)
+        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->now_ms - hand->leave_ack_ms);
+    const ZoneOrder *zone = ledger_zone(hand->hands->ledger, hand->zone);
+    if (zone->drained_ms != 0 && zone->back_sent_ms == 0 && start->touch &&
+        start->now_ms - zone->drained_ms > site->evac_ms)
         BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->now_ms - zone->drained_ms);
 }
 
-bool startCheck(Hand *hand, const HandStart *order)
+bool start_check(Hand *hand, const HandStart *order)
 {
     Ground *ground = hand->hands->ground;
     Start start = {.hand = hand,
                    .order = order,
-                   .task = bookTask(hand->hands->book, &order->name),
+                   .task = book_task(hand->hands->book, &order->name),
                    .ground = ground,
-                   .now_ms = groundNowMs(ground),
-                   .touch = nodeInTouch(hand->side)};
+                   .now_ms = ground_now_ms(ground),
+                   .touch = node_in_touch(hand->side)};
     if (start.task == NULL) {
         BROKE(&start, RULE_UNASKED, "%s", "there is no such task");
         return false;
     }
     start.job = start.task->job;
-    start.step = bookStep(start.task);
-    roomCheck(&start);
-    twiceCheck(&start);
-    orderCheck(&start);
-    routeCheck(&start);
-    budgetCheck(&start);
-    askedCheck(&start);
-    placeCheck(&start);
+    start.step = book_step(start.task);
+    room_check(&start);
+    twice_check(&start);
+    order_check(&start);
+    route_check(&start);
+    budget_check(&start);
+    asked_check(&start);
+    place_check(&start);
     return true;
 }
 
-void endNoted(Hand *hand, const HandEnd *end)
+void end_noted(Hand *hand, const HandEnd *end)
 {
     Ground *ground = hand->hands->ground;
-    groundTell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.round,
-               round_word(end->told.word), hand->boot, end->lapsedSince ? ", its hold was over" : "");
-    if (end->task == NULL || end->lapsedSince)
+    ground_tell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.round,
+                round_word(end->told.word), hand->boot, end->lapsed_since ? ", its hold was over" : "");
+    if (end->task == NULL || end->lapsed_since)
         return;
     BookJob *job = end->task->job;
     Fate *fate = end->task->fate;
     const HandStart order = {.name = end->told.name, .round = end->told.round};
     const Start start = {.hand = hand, .order = &order, .ground = ground};
-    const int64_t now_ms = groundNowMs(ground);
+    const int64_t now_ms = ground_now_ms(ground);
     if (end->told.word == ROUND_DONE) {
-        if (end->told.round < fate->againRound && !job->draft.lasting)
+        if (end->told.round < fate->again_round && !job->draft.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
-                  fate->againRound);
-        if (fate->notedMs == 0)
-            fate->notedMs = now_ms;
+                  fate->again_round);
+        if (fate->noted_ms == 0)
+            fate->noted_ms = now_ms;
     }
     for (size_t i = 0; i < fate->fails && end->told.word == ROUND_FAILED; i++)
-        if (fate->failed[i] == end->told.round && !fate->failNoted[i]) {
-            fate->failNoted[i] = true;
-            fate->failsNotedMs = now_ms;
-            if (end->told.round < fate->beyondRound && !job->draft.lasting &&
-                bookFailsNoted(fate, fate->beyondRound) == (size_t)job->kind->rounds)
+        if (fate->failed[i] == end->told.round && !fate->fail_noted[i]) {
+            fate->fail_noted[i] = true;
+            fate->fails_noted_ms = now_ms;
+            if (end->told.round < fate->beyond_round && !job->draft.lasting &&
+                book_fails_noted(fate, fate->beyond_round) == (size_t)job->kind->rounds)
                 BROKE(&start, RULE_BUDGET, "this end is noted now, round %" PRIu64 " was started after it",
-                      fate->beyondRound);
+                      fate->beyond_round);
         }
 }
 
-void aloneCheck(const HandRun *run)
+void alone_check(const HandRun *run)
 {
     Ground *ground = run->hand->hands->ground;
     const HandStart order = {.name = run->task->name, .round = run->round};
     const Start start = {.hand = run->hand, .order = &order, .ground = ground};
-    if (run->task->job->cancelSentMs == 0 && groundCalm(ground) && nodeInTouch(run->hand->side))
+    if (run->task->job->cancel_sent_ms == 0 && ground_calm(ground) && node_in_touch(run->hand->side))
         BROKE(&start, RULE_GANG, "the others of %" PRIu64 " did not come", run->crew->needed);
 }
