--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *troubleName(TroubleKind kind)
+const char *trouble_name(TroubleKind kind)
 {
     static const char *const NAMES[] = {
 #define X(name, outside, core, planned, meaning) outside,
@@ -15,7 +15,7 @@
     return NAMES[kind];
 }
 
-const char *troubleMeaning(TroubleKind kind)
+const char *trouble_meaning(TroubleKind kind)
 {
     static const char *const MEANINGS[] = {
 #define X(name, outside, core, planned, meaning) meaning,
@@ -25,15 +25,15 @@
     return MEANINGS[kind];
 }
 
-TroubleKind troubleOf(const char *name)
+TroubleKind trouble_of(const char *name)
 {
     int kind = 0;
-    while (kind < TROUBLE_COUNT && strcmp(troubleName((TroubleKind)kind), name) != 0)
+    while (kind < TROUBLE_COUNT && strcmp(trouble_name((TroubleKind)kind), name) != 0)
         kind++;
     return (TroubleKind)kind;
 }
 
-bool troubleCore(TroubleKind kind)
+bool trouble_core(TroubleKind kind)
 {
     static const bool CORE[] = {
 #define X(name, outside, core, planned, meaning) core,
@@ -46,64 +46,64 @@
 /* --- whom it strikes -------------------------------------------------------------------------- */
 
 /* The machine that the script names; null: none. */
-static GroundNode *nodeNamed(const Trouble *trouble)
+static GroundNode *node_named(const Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
     if (strcmp(trouble->whom, "leader") == 0)
-        return groundLeader(ground);
-    for (size_t i = 0; i < ground->edgeCount; i++)
+        return ground_leader(ground);
+    for (size_t i = 0; i < ground->edge_count; i++)
         if (strcmp(ground->edges[i].name, trouble->whom) == 0)
             return &ground->edges[i];
     return NULL;
 }
 
 /* Half of the time the one that leads. */
-static GroundNode *coreDraw(Trouble *trouble)
+static GroundNode *core_draw(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
-    GroundNode *leader = groundLeader(ground);
+    GroundNode *leader = ground_leader(ground);
     if (trouble->whom[0] != '\0')
-        return nodeNamed(trouble);
-    if (leader != NULL && dicePercent(&trouble->dice, 50))
+        return node_named(trouble);
+    if (leader != NULL && dice_percent(&trouble->dice, 50))
         return leader;
     GroundNode *cores[EDGES_MAX];
     int64_t count = 0;
-    for (size_t i = 0; i < ground->edgeCount; i++)
+    for (size_t i = 0; i < ground->edge_count; i++)
         if (ground->edges[i].disk && ground->edges[i].up && !ground->edges[i].gone)
             cores[count++] = &ground->edges[i];
-    return count > 0 ? cores[diceSpan(&trouble->dice, 0, count - 1)] : NULL;
+    return count > 0 ? cores[dice_span(&trouble->dice, 0, count - 1)] : NULL;
 }
 
-static GroundNode *gateDraw(Trouble *trouble)
+static GroundNode *gate_draw(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
     GroundNode *gates[EDGES_MAX];
     int64_t count = 0;
     if (trouble->whom[0] != '\0')
-        return nodeNamed(trouble);
-    for (size_t i = 0; i < ground->edgeCount; i++)
+        return node_named(trouble);
+    for (size_t i = 0; i < ground->edge_count; i++)
         if (!ground->edges[i].disk && ground->edges[i].up)
             gates[count++] = &ground->edges[i];
-    return count > 0 ? gates[diceSpan(&trouble->dice, 0, count - 1)] : NULL;
+    return count > 0 ? gates[dice_span(&trouble->dice, 0, count - 1)] : NULL;
 }
 
-static void nodeTake(Trouble *trouble, GroundNode *node)
+static void node_take(Trouble *trouble, GroundNode *node)
 {
     if (node != NULL && trouble->count < SIDES_MAX)
         trouble->nodes[trouble->count++] = node;
 }
 
-static const char *zoneDraw(Trouble *trouble)
+static const char *zone_draw(Trouble *trouble)
 {
     const int64_t zones = trouble->day->ground->site->zones;
     for (int64_t i = 0; i < zones; i++)
-        if (strcmp(siteZone(i), trouble->whom) == 0)
-            return siteZone(i);
-    return siteZone(diceSpan(&trouble->dice, 0, zones - 1));
+        if (strcmp(site_zone(i), trouble->whom) == 0)
+            return site_zone(i);
+    return site_zone(dice_span(&trouble->dice, 0, zones - 1));
 }
 
 /* Up to a fifth of the workers, with their machines. */
-static void handsDraw(Trouble *trouble)
+static void hands_draw(Trouble *trouble)
 {
     Hands *hands = trouble->day->hands;
     for (size_t i = 0; i < hands->count && trouble->whom[0] != '\0'; i++)
@@ -114,12 +114,12 @@
     if (trouble->whom[0] != '\0')
         return;
     const int64_t most = (int64_t)hands->count / 5 > 1 ? (int64_t)hands->count / 5 : 1;
-    const int64_t wanted = diceSpan(&trouble->dice, 1, most);
+    const int64_t wanted = dice_span(&trouble->dice, 1, most);
     size_t up = 0;
     for (size_t i = 0; i < hands->count; i++)
         up += hands->list[i].up && !hands->list[i].leaving;
     for (int tries = 0; trouble->count < (size_t)wanted && tries < 40 && up * 10 > hands->count * 6; tries++) {
-        Hand *hand = &hands->list[diceSpan(&trouble->dice, 0, (int64_t)hands->count - 1)];
+        Hand *hand = &hands->list[dice_span(&trouble->dice, 0, (int64_t)hands->count - 1)];
         bool known = !hand->up || hand->leaving;
         for (size_t i = 0; i < trouble->count; i++)
             known |= trouble->struck[i] == hand;
@@ -139,49 +139,49 @@
         node_start(node);
 }
 
-static void coreCut(Trouble *trouble, bool cut)
+static void core_cut(Trouble *trouble, bool cut)
 {
     Ground *ground = trouble->day->ground;
-    for (size_t i = 0; i < ground->edgeCount && trouble->count > 0; i++)
+    for (size_t i = 0; i < ground->edge_count && trouble->count > 0; i++)
         if (ground->edges[i].disk && ground->edges[i].used)
-            groundCut(trouble->nodes[0], &ground->edges[i], cut);
+            ground_cut(trouble->nodes[0], &ground->edges[i], cut);
 }
 
 static void replace(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
     GroundNode *old = trouble->nodes[0], *spare = NULL;
-    for (size_t i = 0; i < ground->edgeCount; i++)
+    for (size_t i = 0; i < ground->edge_count; i++)
         if (ground->edges[i].disk && !ground->edges[i].used)
             spare = spare == NULL || strcmp(ground->edges[i].zone, old->zone) == 0 ? &ground->edges[i] : spare;
     if (spare == NULL)
         return;
     old->gone = true;
-    nodeKill(old, true);
-    sim_at(ground->world, groundNowMs(ground) + trouble->for_ms, again, spare);
+    node_kill(old, true);
+    sim_at(ground->world, ground_now_ms(ground) + trouble->for_ms, again, spare);
 }
 
 /* Waits for the next thing that an entry point acknowledges. */
-static void ackLook(void *arg)
+static void ack_look(void *arg)
 {
     Trouble *trouble = arg;
     Day *day = trouble->day;
     Ground *ground = day->ground;
     const int64_t from_ms = ground->began_ms + trouble->at_ms;
-    GroundNode *taker = day->operator->lastTakenMs> from_ms
-        ? day->operator->lastTaker : day->callers->lastTakenMs> from_ms ? day->callers->lastTaker : NULL;
+    GroundNode *taker = day->operator->last_taken_ms> from_ms
+        ? day->operator->last_taker : day->callers->last_taken_ms> from_ms ? day->callers->last_taker : NULL;
     if (taker == NULL) {
-        if (groundNowMs(ground) < from_ms + 2000)
-            sim_at(ground->world, groundNowMs(ground) + 1, ackLook, trouble);
+        if (ground_now_ms(ground) < from_ms + 2000)
+            sim_at(ground->world, ground_now_ms(ground) + 1, ack_look, trouble);
         return;
     }
-    GroundNode *node = taker->disk ? taker : groundLeader(ground);
+    GroundNode *node = taker->disk ? taker : ground_leader(ground);
     if (node == NULL || !node->up)
         return;
-    nodeTake(trouble, node);
-    groundSay(ground, "%s has acknowledged through %s and loses %s", taker->name, node->name,
-              trouble->kind == TROUBLE_ACK_WIPE ? "its disk" : "power");
-    nodeKill(node, true);
+    node_take(trouble, node);
+    ground_say(ground, "%s has acknowledged through %s and loses %s", taker->name, node->name,
+               trouble->kind == TROUBLE_ACK_WIPE ? "its disk" : "power");
+    node_kill(node, true);
     if (trouble->kind == TROUBLE_ACK_WIPE)
         sim_disk_wipe(ground->world, node->machine);
 }
@@ -189,12 +189,12 @@
 static void zone_off(Trouble *trouble)
 {
     Day *day = trouble->day;
-    trouble->zone = zoneDraw(trouble);
-    for (size_t i = 0; i < day->ground->edgeCount; i++) {
+    trouble->zone = zone_draw(trouble);
+    for (size_t i = 0; i < day->ground->edge_count; i++) {
         GroundNode *node = &day->ground->edges[i];
         if (node->up && strcmp(node->zone, trouble->zone) == 0) {
-            nodeTake(trouble, node);
-            nodeKill(node, true);
+            node_take(trouble, node);
+            node_kill(node, true);
         }
     }
     for (size_t i = 0; i < day->hands->count; i++) {
@@ -202,116 +202,116 @@
         if (strcmp(hand->zone, trouble->zone) != 0 || !hand->up || trouble->count == SIDES_MAX)
             continue;
         trouble->struck[trouble->count] = hand;
-        nodeTake(trouble, hand->side);
-        handCrash(hand, true);
-        nodeKill(hand->side, true);
+        node_take(trouble, hand->side);
+        hand_crash(hand, true);
+        node_kill(hand->side, true);
     }
 }
 
 /* One after the other, each once the last is back. */
-static void rollNext(void *arg)
+static void roll_next(void *arg)
 {
     Trouble *trouble = arg;
     Ground *ground = trouble->day->ground;
-    const int64_t all = (int64_t)(ground->edgeCount + ground->sideCount);
+    const int64_t all = (int64_t)(ground->edge_count + ground->side_count);
     for (int tries = 0; tries < 10; tries++) {
-        const int64_t at = diceSpan(&trouble->dice, 0, all - 1);
+        const int64_t at = dice_span(&trouble->dice, 0, all - 1);
         GroundNode *node =
-            at < (int64_t)ground->edgeCount ? &ground->edges[at] : &ground->sides[at - (int64_t)ground->edgeCount];
-        if (!node->up || node->gone || node->troubles > 0 || (node->disk && !groundSettled(ground)))
+            at < (int64_t)ground->edge_count ? &ground->edges[at] : &ground->sides[at - (int64_t)ground->edge_count];
+        if (!node->up || node->gone || node->troubles > 0 || (node->disk && !ground_settled(ground)))
             continue;
-        groundSay(ground, "%s is stopped", node->name);
-        nodeRoll(node);
+        ground_say(ground, "%s is stopped", node->name);
+        node_roll(node);
         break;
     }
-    if (groundDayMs(ground) < trouble->at_ms + trouble->for_ms)
-        sim_at(ground->world, groundNowMs(ground) + 1300, rollNext, trouble);
+    if (ground_day_ms(ground) < trouble->at_ms + trouble->for_ms)
+        sim_at(ground->world, ground_now_ms(ground) + 1300, roll_next, trouble);
 }
 
-static void strikeHands(Trouble *trouble)
+static void strike_hands(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
-    handsDraw(trouble);
+    hands_draw(trouble);
     for (size_t i = 0; i < trouble->count; i++) {
         Hand *hand = trouble->struck[i];
-        ground->anyTroubles++;
-        ground->anyMs = INT64_MAX;
+        ground->any_troubles++;
+        ground->any_ms = INT64_MAX;
         switch (trouble->kind) {
         case TROUBLE_SIDE_KILL:
-            nodeKill(hand->side, false);
+            node_kill(hand->side, false);
             break;
         case TROUBLE_SIDE_FREEZE:
-            nodeFreeze(hand->side, trouble->for_ms);
+            node_freeze(hand->side, trouble->for_ms);
             break;
         case TROUBLE_SIDE_CUT:
-            nodeCut(hand->side, true);
+            node_cut(hand->side, true);
             break;
         case TROUBLE_SIDE_OFF:
-            handCrash(hand, true);
-            nodeKill(hand->side, true);
+            hand_crash(hand, true);
+            node_kill(hand->side, true);
             break;
         case TROUBLE_HAND_CRASH:
-            handCrash(hand, dicePercent(&trouble->dice, 30));
+            hand_crash(hand, dice_percent(&trouble->dice, 30));
             break;
         case TROUBLE_HAND_GONE:
-            handCrash(hand, true);
+            hand_crash(hand, true);
             break;
         case TROUBLE_HAND_SLOW:
-            handSlow(hand, diceSpan(&trouble->dice, 3, 7));
+            hand_slow(hand, dice_span(&trouble->dice, 3, 7));
             break;
         case TROUBLE_HAND_GREY:
-            hand->greyPercent = diceSpan(&trouble->dice, 30, 90);
+            hand->grey_percent = dice_span(&trouble->dice, 30, 90);
             break;
         case TROUBLE_HAND_HANG:
-            handHang(hand, true);
+            hand_hang(hand, true);
             break;
         case TROUBLE_HAND_LEAVE:
-            handLeave(hand, ground->site->drainMs + 3000);
+            hand_leave(hand, ground->site->drain_ms + 3000);
             break;
         case TROUBLE_HAND_SPOT:
-            handLeave(hand, ground->site->drainMs + diceSpan(&trouble->dice, 0, 500));
+            hand_leave(hand, ground->site->drain_ms + dice_span(&trouble->dice, 0, 500));
             break;
         default:
             break;
         }
-        groundSay(ground, "%s %s (%s)", troubleName(trouble->kind), hand->boot, hand->side->name);
+        ground_say(ground, "%s %s (%s)", trouble_name(trouble->kind), hand->boot, hand->side->name);
     }
 }
 
-static void strikeNode(Trouble *trouble, GroundNode *node)
+static void strike_node(Trouble *trouble, GroundNode *node)
 {
     Ground *ground = trouble->day->ground;
-    nodeTake(trouble, node);
+    node_take(trouble, node);
     if (node == NULL)
         return;
-    groundSay(ground, "%s %s%s", troubleName(trouble->kind), node->name,
-              node == groundLeader(ground) ? ", which leads" : "");
+    ground_say(ground, "%s %s%s", trouble_name(trouble->kind), node->name,
+               node == ground_leader(ground) ? ", which leads" : "");
     switch (trouble->kind) {
     case TROUBLE_CORE_KILL:
     case TROUBLE_GATE_KILL:
-        nodeKill(node, false);
+        node_kill(node, false);
         break;
     case TROUBLE_CORE_POWER:
-        nodeKill(node, true);
+        node_kill(node, true);
         break;
     case TROUBLE_CORE_WIPE:
-        nodeKill(node, true);
+        node_kill(node, true);
         sim_disk_wipe(ground->world, node->machine);
         break;
     case TROUBLE_CORE_FREEZE:
     case TROUBLE_GATE_FREEZE:
-        nodeFreeze(node, trouble->for_ms);
+        node_freeze(node, trouble->for_ms);
         break;
     case TROUBLE_CORE_CUT:
-        coreCut(trouble, true);
+        core_cut(trouble, true);
         break;
     case TROUBLE_CORE_ALONE:
     case TROUBLE_GATE_CUT:
-        nodeCut(node, true);
+        node_cut(node, true);
         break;
     case TROUBLE_DISK_SLOW:
-        sim_disk_slow(ground->world, node->machine, diceSpan(&trouble->dice, 20, 400));
-        nodeTrouble(node, 1);
+        sim_disk_slow(ground->world, node->machine, dice_span(&trouble->dice, 20, 400));
+        node_trouble(node, 1);
         break;
     case TROUBLE_CORE_REPLACE:
         replace(trouble);
@@ -321,46 +321,46 @@
     }
 }
 
-static void strikeWork(Trouble *trouble)
+static void strike_work(Trouble *trouble)
 {
     Day *day = trouble->day;
-    const size_t kind = (size_t)diceSpan(&trouble->dice, 0, (int64_t)day->ground->site->kind_count - 1);
-    groundSay(day->ground, "%s", troubleName(trouble->kind));
+    const size_t kind = (size_t)dice_span(&trouble->dice, 0, (int64_t)day->ground->site->kind_count - 1);
+    ground_say(day->ground, "%s", trouble_name(trouble->kind));
     switch (trouble->kind) {
     case TROUBLE_BURST:
-        day->callers->timesMilli[kind] = diceSpan(&trouble->dice, 2000, 3000);
+        day->callers->times_milli[kind] = dice_span(&trouble->dice, 2000, 3000);
         break;
     case TROUBLE_POISON:
-        day->callers->poisonPercent = 30;
+        day->callers->poison_percent = 30;
         break;
     case TROUBLE_ROLL:
-        rollNext(trouble);
+        roll_next(trouble);
         break;
     case TROUBLE_CHANGE:
-        operatorChange(day->operator);
+        operator_change(day->operator);
         break;
     case TROUBLE_STORM:
-        operatorStorm(day->operator,(int) diceSpan(&trouble->dice, 3, 10), diceSpan(&trouble->dice, 30, 400));
+        operator_storm(day->operator,(int) dice_span(&trouble->dice, 3, 10), dice_span(&trouble->dice, 30, 400));
         break;
     case TROUBLE_RACE:
-        operatorRace(day->operator);
+        operator_race(day->operator);
         break;
     case TROUBLE_SPOILT:
-        operatorSpoilt(day->operator);
+        operator_spoilt(day->operator);
         break;
     case TROUBLE_BIG:
-        operatorBig(day->operator);
+        operator_big(day->operator);
         break;
     case TROUBLE_ZONE_DRAIN:
-        trouble->zone = zoneDraw(trouble);
-        operatorZone(day->operator, trouble->zone, true);
+        trouble->zone = zone_draw(trouble);
+        operator_zone(day->operator, trouble->zone, true);
         break;
     default:
         break;
     }
 }
 
-void troubleBegin(Trouble *trouble)
+void trouble_begin(Trouble *trouble)
 {
     switch (trouble->kind) {
     case TROUBLE_CORE_KILL:
@@ -371,20 +371,20 @@
     case TROUBLE_DISK_SLOW:
     case TROUBLE_CORE_WIPE:
     case TROUBLE_CORE_REPLACE:
-        strikeNode(trouble, coreDraw(trouble));
+        strike_node(trouble, core_draw(trouble));
         break;
     case TROUBLE_GATE_KILL:
     case TROUBLE_GATE_FREEZE:
     case TROUBLE_GATE_CUT:
-        strikeNode(trouble, gateDraw(trouble));
+        strike_node(trouble, gate_draw(trouble));
         break;
     case TROUBLE_ACK_POWER:
     case TROUBLE_ACK_WIPE:
-        ackLook(trouble);
+        ack_look(trouble);
         break;
     case TROUBLE_ZONE_OFF:
         zone_off(trouble);
-        groundSay(trouble->day->ground, "zoneOff %s", trouble->zone);
+        ground_say(trouble->day->ground, "zoneOff %s", trouble->zone);
         break;
     case TROUBLE_SIDE_KILL:
     case TROUBLE_SIDE_FREEZE:
@@ -397,54 +397,54 @@
     case TROUBLE_HAND_HANG:
     case TROUBLE_HAND_LEAVE:
     case TROUBLE_HAND_SPOT:
-        strikeHands(trouble);
+        strike_hands(trouble);
         break;
     default:
-        strikeWork(trouble);
+        strike_work(trouble);
         break;
     }
 }
 
-static void healHand(Trouble *trouble, Hand *hand)
+static void heal_hand(Trouble *trouble, Hand *hand)
 {
     Ground *ground = trouble->day->ground;
-    if (--ground->anyTroubles <= 0)
-        ground->anyMs = groundNowMs(ground);
+    if (--ground->any_troubles <= 0)
+        ground->any_ms = ground_now_ms(ground);
     switch (trouble->kind) {
     case TROUBLE_SIDE_KILL:
         node_start(hand->side);
         break;
     case TROUBLE_SIDE_CUT:
-        nodeCut(hand->side, false);
+        node_cut(hand->side, false);
         break;
     case TROUBLE_SIDE_OFF:
         node_start(hand->side);
-        handStart(hand);
+        hand_start(hand);
         break;
     case TROUBLE_HAND_CRASH:
-        handStart(hand);
+        hand_start(hand);
         break;
     case TROUBLE_HAND_SLOW:
-        handSlow(hand, 1);
+        hand_slow(hand, 1);
         break;
     case TROUBLE_HAND_GREY:
-        hand->greyPercent = 0;
+        hand->grey_percent = 0;
         break;
     case TROUBLE_HAND_HANG:
-        handHang(hand, false);
+        hand_hang(hand, false);
         break;
     /* a new one takes its place now and then */
     case TROUBLE_HAND_LEAVE:
     case TROUBLE_HAND_SPOT:
-        if (dicePercent(&trouble->dice, 50))
-            handStart(hand);
+        if (dice_percent(&trouble->dice, 50))
+            hand_start(hand);
         break;
     default:
         break;
     }
 }
 
-void troubleEnd(Trouble *trouble)
+void trouble_end(Trouble *trouble)
 {
     Day *day = trouble->day;
     Ground *ground = day->ground;
@@ -452,11 +452,11 @@
         for (size_t i = 0; i < trouble->count; i++) {
             again(trouble->nodes[i]);
             if (trouble->struck[i] != NULL)
-                handStart(trouble->struck[i]);
+                hand_start(trouble->struck[i]);
         }
     } else if (trouble->kind >= TROUBLE_SIDE_KILL && trouble->kind <= TROUBLE_HAND_SPOT) {
         for (size_t i = 0; i < trouble->count; i++)
-            healHand(trouble, trouble->struck[i]);
+            heal_hand(trouble, trouble->struck[i]);
     }
     GroundNode *node = trouble->count > 0 ? trouble->nodes[0] : NULL;
     switch (trouble->kind) {
@@ -470,28 +470,28 @@
             again(node);
         break;
     case TROUBLE_CORE_CUT:
-        coreCut(trouble, false);
+        core_cut(trouble, false);
         break;
     case TROUBLE_CORE_ALONE:
     case TROUBLE_GATE_CUT:
         if (node != NULL)
-            nodeCut(node, false);
+            node_cut(node, false);
         break;
     case TROUBLE_DISK_SLOW:
         if (node != NULL) {
             sim_disk_slow(ground->world, node->machine, 3);
-            nodeTrouble(node, -1);
+            node_trouble(node, -1);
         }
         break;
     case TROUBLE_BURST:
         for (size_t i = 0; i < ground->site->kind_count; i++)
-            day->callers->timesMilli[i] = 1000;
+            day->callers->times_milli[i] = 1000;
         break;
     case TROUBLE_POISON:
-        day->callers->poisonPercent = 0;
+        day->callers->poison_percent = 0;
         break;
     case TROUBLE_ZONE_DRAIN:
-        operatorZone(day->operator, trouble->zone, false);
+        operator_zone(day->operator, trouble->zone, false);
         break;
     default:
         break;
--- a/packages/model/src/trouble.h
+++ b/packages/model/src/trouble.h
@@ -49,9 +49,9 @@
         TROUBLE_COUNT
 } TroubleKind;
 
-const char *troubleName(TroubleKind kind);
-const char *troubleMeaning(TroubleKind kind);
-TroubleKind troubleOf(const char *name); /* TROUBLE_COUNT: none */
+const char *trouble_name(TroubleKind kind);
+const char *trouble_meaning(TroubleKind kind);
+TroubleKind trouble_of(const char *name); /* TROUBLE_COUNT: none */
 
 /* A day under way: all that troubles touch. */
 typedef struct Day {
@@ -78,8 +78,8 @@
     const char *zone;
 } Trouble;
 
-bool troubleCore(TroubleKind kind);
-void troubleBegin(Trouble *trouble);
-void troubleEnd(Trouble *trouble);
+bool trouble_core(TroubleKind kind);
+void trouble_begin(Trouble *trouble);
+void trouble_end(Trouble *trouble);
 
 #endif
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -389,7 +389,7 @@
           "no_step_bears_less", "test", "membership"),
     Guard("members-asked", "all are asked once more before a change of membership", "packages/view/src/voters.c",
           "    look_take(view, contact, look);", "    look_take(view, contact != 0 ? 0 : contact, look);",
-          "justGone", "test", "members"),
+          "just_gone", "test", "members"),
     Guard("fill-keeps", "a snapshot that the log holds already replaces nothing", "packages/view/src/seat.c",
           "if (snapshot_held(view, &ask->snapshot, ask->over))", "if (false && snapshot_held(view, &ask->snapshot, ask->over))",
           "has changed|got shorter", "explore", "seeds", 1, 240,
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -80,7 +80,7 @@
     fflush(stderr);
 }
 
-static void termMain(void *arg)
+static void term_main(void *arg)
 {
     Daemon *daemon = arg;
     if (daemon->core != NULL)
@@ -147,7 +147,7 @@
         ring_set_level(daemon->ring, daemon->props.log);
         loop_spawn(daemon->loop, "start", startMain, daemon);
         real_loop_on_user(daemon->loop, userMain, daemon);
-        real_loop_run(daemon->loop, termMain, daemon);
+        real_loop_run(daemon->loop, term_main, daemon);
         code = daemon->code;
         /* the process ends here: its memory is the kernel's to take back */
         return code;
--- a/src/node.c
+++ b/src/node.c
@@ -112,7 +112,7 @@
     fflush(stderr);
 }
 
-static void termMain(void *arg)
+static void term_main(void *arg)
 {
     NodeRun *run = arg;
     if (run->node.core != NULL)
@@ -175,7 +175,7 @@
         loop_spawn(run->node.loop, "start", startMain, run);
         real_loop_on_user(run->node.loop, userMain, run);
         real_loop_on_hup(run->node.loop, hupMain, run);
-        real_loop_run(run->node.loop, termMain, run);
+        real_loop_run(run->node.loop, term_main, run);
         /* the process ends here: its memory is the kernel's to take back */
         return run->code;
     }
--- a/src/operate.c
+++ b/src/operate.c
@@ -286,7 +286,7 @@
 }
 
 /* One of a list, as text. */
-static const char *itemOf(json_object *list, size_t at)
+static const char *item_of(json_object *list, size_t at)
 {
     const char *text = json_object_get_string(json_object_array_get_idx(list, at));
     return text != NULL ? text : "?";
@@ -351,7 +351,7 @@
     }
     json_object *zones = get(body, "drainedZones");
     for (size_t i = 0; i < listLength(zones); i++)
-        printf("zone %s is drained\n", itemOf(zones, i));
+        printf("zone %s is drained\n", item_of(zones, i));
 }
 
 /* The result as JSON, or as print tells it; one that is no JSON is told as it is. */
@@ -387,7 +387,7 @@
     if (listLength(steps) == 0)
         printf("no node that answered remembers it\n");
     for (size_t i = 0; i < listLength(silent); i++)
-        printf("%s did not answer\n", itemOf(silent, i));
+        printf("%s did not answer\n", item_of(silent, i));
 }
 
 int runTrace(int argc, const char **argv)
