--- a/examples/counter.c
+++ b/examples/counter.c
@@ -119,7 +119,7 @@
 
 /* --- ordered delivery ------------------------------------------------------------- */
 
-static void plusMain(void *arg)
+static void plus_main(void *arg)
 {
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
@@ -134,7 +134,7 @@
     }
 }
 
-static void startMain(void *arg)
+static void start_main(void *arg)
 {
     Counter *counter = arg;
     Failure failure = {0};
@@ -171,7 +171,7 @@
     members_start(counter->members);
     view_founding(counter->view);
     loop_spawn(counter->loop, "beat", beat_main, counter);
-    loop_spawn(counter->loop, "plus", plusMain, counter);
+    loop_spawn(counter->loop, "plus", plus_main, counter);
 }
 
 static void term_main(void *arg)
@@ -201,7 +201,7 @@
         }
     counter->loop = real_loop_new(mem);
     counter->ring = ring_new(mem, counter->name);
-    loop_spawn(counter->loop, "start", startMain, counter);
+    loop_spawn(counter->loop, "start", start_main, counter);
     real_loop_run(counter->loop, term_main, counter);
     return 0;
 }
--- a/src/build.c
+++ b/src/build.c
@@ -8,7 +8,7 @@
 #include "options.h"
 #include "template/template.h"
 
-static int tellFaults(const Faults *faults, const char *what)
+static int tell_faults(const Faults *faults, const char *what)
 {
     for (size_t i = 0; i < faults->count; i++)
         fprintf(stderr, "spancart config build: %s: %s: %s %s\n", what, status_word(faults->list[i].status),
@@ -16,7 +16,7 @@
     return EXIT_WRONG;
 }
 
-static json_object *fileParse(Faults *faults, const char *path)
+static json_object *file_parse(Faults *faults, const char *path)
 {
     json_object *object = json_object_from_file(path);
     if (object == NULL)
@@ -25,7 +25,7 @@
 }
 
 /* NAME=VALUE each. */
-static size_t valuesRead(void *mem, const char *const *sets, TemplateValue **out, Faults *faults)
+static size_t values_read(void *mem, const char *const *sets, TemplateValue **out, Faults *faults)
 {
     size_t count = 0;
     while (sets != NULL && sets[count] != NULL)
@@ -42,18 +42,18 @@
 }
 
 /* The whole document, or null and faults; what says where they are. */
-static json_object *build(Faults *faults, const char *templatePath, const char *const *sets,
+static json_object *build(Faults *faults, const char *template_path, const char *const *sets,
                           const char *const *overlays, const char **what)
 {
     TemplateValue *values;
-    *what = templatePath;
-    const size_t count = valuesRead(faults->mem, sets, &values, faults);
-    json_object *template = faults->seen == 0 ? fileParse(faults, templatePath) : NULL;
+    *what = template_path;
+    const size_t count = values_read(faults->mem, sets, &values, faults);
+    json_object *template = faults->seen == 0 ? file_parse(faults, template_path) : NULL;
     json_object *document = template != NULL ? template_fill(faults, template, values, count) : NULL;
     json_object_put(template);
     for (size_t i = 0; document != NULL && overlays != NULL && overlays[i] != NULL; i++) {
         *what = overlays[i];
-        json_object *overlay = fileParse(faults, overlays[i]);
+        json_object *overlay = file_parse(faults, overlays[i]);
         json_object *next = overlay != NULL ? template_overlay(faults, document, overlay) : NULL;
         json_object_put(overlay);
         json_object_put(document);
@@ -62,7 +62,7 @@
     return document;
 }
 
-int runBuild(int argc, const char **argv)
+int run_build(int argc, const char **argv)
 {
     char *path = NULL;
     const char **sets = NULL, **overlays = NULL;
@@ -91,7 +91,7 @@
             puts(text);
     }
     if (code == EXIT_GOOD && faults->seen > 0)
-        code = tellFaults(faults, what);
+        code = tell_faults(faults, what);
     json_object_put(document);
     poptFreeContext(context);
     talloc_free(mem);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -22,8 +22,8 @@
     Gate *gate;
     Agent *agent;
     FILE *record; /* for proof: who plans under which epoch */
-    int64_t recordedMs;
-    uint64_t recordedEpoch;
+    int64_t recorded_ms;
+    uint64_t recorded_epoch;
     int code;
 } Daemon;
 
@@ -33,17 +33,17 @@
 {
     Daemon *daemon = arg;
     const int64_t now_ms = loop_now_ms(daemon->loop);
-    if (epoch == daemon->recordedEpoch && now_ms - daemon->recordedMs < RECORD_GAP_MS)
+    if (epoch == daemon->recorded_epoch && now_ms - daemon->recorded_ms < RECORD_GAP_MS)
         return;
-    daemon->recordedMs = now_ms;
-    daemon->recordedEpoch = epoch;
+    daemon->recorded_ms = now_ms;
+    daemon->recorded_epoch = epoch;
     fprintf(daemon->record, "%" PRId64 " plans %s - 0 0 %" PRIu64 "\n", now_ms, name, epoch);
     fflush(daemon->record);
 }
 
 static const char *const ROLES[] = {"core", "gate", "agent"};
 
-static void startMain(void *arg)
+static void start_main(void *arg)
 {
     Daemon *daemon = arg;
     Failure failure = {0};
@@ -73,7 +73,7 @@
     fflush(stdout);
 }
 
-static void userMain(void *arg)
+static void user_main(void *arg)
 {
     const Daemon *daemon = arg;
     ring_dump(daemon->ring, stderr);
@@ -93,8 +93,8 @@
 }
 
 /* Reads --props FILE and flags over it; EXIT_GOOD, or what to return. */
-static int propsTake(void *mem, PropsRole role, const char *command, int argc, const char **argv, Props *props,
-                     char **record)
+static int props_take(void *mem, PropsRole role, const char *command, int argc, const char **argv, Props *props,
+                      char **record)
 {
     static const char *const KEYS[] = {"name", "zone", "listen", "http", "seeds", "data", "worker", "log"};
     enum { KEY_COUNT = sizeof(KEYS) / sizeof(KEYS[0]) };
@@ -130,7 +130,7 @@
     return code;
 }
 
-static int runDaemon(PropsRole role, int argc, const char **argv)
+static int run_daemon(PropsRole role, int argc, const char **argv)
 {
     void *mem = talloc_new(NULL);
     Daemon *daemon = talloc_zero(mem, Daemon);
@@ -138,15 +138,15 @@
     daemon->role = role;
     daemon->props.bounds = bounds_first();
     char *record = NULL;
-    int code = propsTake(mem, role, ROLES[role], argc, argv, &daemon->props, &record);
+    int code = props_take(mem, role, ROLES[role], argc, argv, &daemon->props, &record);
     if (code == EXIT_GOOD && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
         daemon->loop = real_loop_new(mem);
         daemon->ring = ring_new(mem, daemon->props.name);
         ring_set_level(daemon->ring, daemon->props.log);
-        loop_spawn(daemon->loop, "start", startMain, daemon);
-        real_loop_on_user(daemon->loop, userMain, daemon);
+        loop_spawn(daemon->loop, "start", start_main, daemon);
+        real_loop_on_user(daemon->loop, user_main, daemon);
         real_loop_run(daemon->loop, term_main, daemon);
         code = daemon->code;
         /* the process ends here: its memory is the kernel's to take back */
@@ -156,22 +156,22 @@
     return code;
 }
 
-int runCore(int argc, const char **argv)
+int run_core(int argc, const char **argv)
 {
-    return runDaemon(PROPS_CORE, argc, argv);
+    return run_daemon(PROPS_CORE, argc, argv);
 }
 
-int runGate(int argc, const char **argv)
+int run_gate(int argc, const char **argv)
 {
-    return runDaemon(PROPS_GATE, argc, argv);
+    return run_daemon(PROPS_GATE, argc, argv);
 }
 
-int runAgent(int argc, const char **argv)
+int run_agent(int argc, const char **argv)
 {
-    return runDaemon(PROPS_AGENT, argc, argv);
+    return run_daemon(PROPS_AGENT, argc, argv);
 }
 
-int runCheck(int argc, const char **argv)
+int run_check(int argc, const char **argv)
 {
     if (argc < 2 || strcmp(argv[1], "--help") == 0) {
         printf("usage: spancart check core|gate|agent --props FILE [flags over it]\n");
@@ -182,7 +182,7 @@
             void *mem = talloc_new(NULL);
             Props props = {.bounds = bounds_first()};
             char *record = NULL;
-            const int code = propsTake(mem, (PropsRole)role, "check", argc - 1, argv + 1, &props, &record);
+            const int code = props_take(mem, (PropsRole)role, "check", argc - 1, argv + 1, &props, &record);
             if (code == EXIT_GOOD)
                 printf("good: %s %s in zone %s\n", ROLES[role], props.name, props.zone);
             talloc_free(mem);
--- a/src/main.c
+++ b/src/main.c
@@ -5,19 +5,19 @@
 #include "options.h"
 
 static const Command COMMANDS[] = {
-    {"core", "a core: a disk, perhaps a seat, perhaps the lead", runCore},
-    {"gate", "a gate: a diskless entry point", runGate},
-    {"agent", "an agent beside a worker", runAgent},
-    {"node", "whichever of the three a platform's settings say", runNode},
-    {"check", "check a props file", runCheck},
-    {"job", "hand in, show, list or cancel jobs", runJob},
-    {"config", "show, set or patch the configuration", runConfig},
-    {"zone", "empty a zone, or take it back", runZone},
-    {"status", "what the leader sees", runStatus},
-    {"policy", "show the queue's order, or what a policy would make of it", runPolicy},
-    {"trace", "follow one change through all nodes", runTrace},
-    {"worker", "a stand-in for a worker, for proof", runWorker},
-    {"caller", "a stand-in for callers, for proof", runCaller},
+    {"core", "a core: a disk, perhaps a seat, perhaps the lead", run_core},
+    {"gate", "a gate: a diskless entry point", run_gate},
+    {"agent", "an agent beside a worker", run_agent},
+    {"node", "whichever of the three a platform's settings say", run_node},
+    {"check", "check a props file", run_check},
+    {"job", "hand in, show, list or cancel jobs", run_job},
+    {"config", "show, set or patch the configuration", run_config},
+    {"zone", "empty a zone, or take it back", run_zone},
+    {"status", "what the leader sees", run_status},
+    {"policy", "show the queue's order, or what a policy would make of it", run_policy},
+    {"trace", "follow one change through all nodes", run_trace},
+    {"worker", "a stand-in for a worker, for proof", run_worker},
+    {"caller", "a stand-in for callers, for proof", run_caller},
 };
 
 int wrong(const char *command, const char *format, ...)
--- a/src/node.c
+++ b/src/node.c
@@ -25,7 +25,7 @@
 static const char *const ROLES[] = {"core", "gate", "agent"};
 
 /* Seeds and bounds take effect; what else has changed does at the next start. */
-static void settingsAgain(NodeRun *run)
+static void settings_again(NodeRun *run)
 {
     Failure failure = {0};
     void *mem = talloc_new(run->mem);
@@ -50,7 +50,7 @@
 }
 
 /* Whether the file is another than the one read last. */
-static bool settingsChanged(NodeRun *run)
+static bool settings_changed(NodeRun *run)
 {
     struct stat now;
     if (stat(run->path, &now) != 0)
@@ -67,19 +67,19 @@
     NodeRun *run = arg;
     while (!loop_stopping(run->node.loop)) {
         loop_sleep(run->node.loop, SETTINGS_LOOK_MS);
-        if (settingsChanged(run))
-            settingsAgain(run);
+        if (settings_changed(run))
+            settings_again(run);
     }
 }
 
-static void hupMain(void *arg)
+static void hup_main(void *arg)
 {
     NodeRun *run = arg;
-    settingsChanged(run);
-    settingsAgain(run);
+    settings_changed(run);
+    settings_again(run);
 }
 
-static void startMain(void *arg)
+static void start_main(void *arg)
 {
     NodeRun *run = arg;
     FaceNode *node = &run->node;
@@ -105,7 +105,7 @@
     loop_spawn(node->loop, "settings", look_main, run);
 }
 
-static void userMain(void *arg)
+static void user_main(void *arg)
 {
     const NodeRun *run = arg;
     ring_dump(run->node.ring, stderr);
@@ -124,7 +124,7 @@
     loop_stop(run->node.loop);
 }
 
-static int faceWrong(const char *name)
+static int face_wrong(const char *name)
 {
     char names[200] = "";
     for (const Face *const *face = FACES; *face != NULL; face++)
@@ -133,7 +133,7 @@
                  name != NULL ? ": there is no such face" : "", names);
 }
 
-int runNode(int argc, const char **argv)
+int run_node(int argc, const char **argv)
 {
     char *name = NULL, *path = NULL, *log = NULL;
     int only = 0;
@@ -159,11 +159,11 @@
     else if (log != NULL && !ring_level_of_word(log, &level))
         code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
     else if (name == NULL || (run->face = face_find(name)) == NULL)
-        code = faceWrong(name);
+        code = face_wrong(name);
     else if ((run->path = path != NULL ? path : run->face->path(&failure)) == NULL)
         code = wrong("node", "%s", failure.text);
     if (code == EXIT_GOOD)
-        settingsChanged(run);
+        settings_changed(run);
     if (code == EXIT_GOOD && run->face->read(mem, run->path, &run->place, &failure) != STATUS_OK)
         code = wrong("node", "%s", failure.text);
     if (code == EXIT_GOOD && only) {
@@ -172,9 +172,9 @@
         run->node =
             (FaceNode){.loop = real_loop_new(mem), .ring = ring_new(mem, run->place.props.name), .place = &run->place};
         ring_set_level(run->node.ring, level);
-        loop_spawn(run->node.loop, "start", startMain, run);
-        real_loop_on_user(run->node.loop, userMain, run);
-        real_loop_on_hup(run->node.loop, hupMain, run);
+        loop_spawn(run->node.loop, "start", start_main, run);
+        real_loop_on_user(run->node.loop, user_main, run);
+        real_loop_on_hup(run->node.loop, hup_main, run);
         real_loop_run(run->node.loop, term_main, run);
         /* the process ends here: its memory is the kernel's to take back */
         return run->code;
--- a/src/operate.c
+++ b/src/operate.c
@@ -41,7 +41,7 @@
 
 enum { ORDER_WORDS_MAX = 2 };
 
-/* A command as it was typed. Invariant: as long as orderTake gave EXIT_GOOD, verb is one of the command's and
+/* A command as it was typed. Invariant: as long as order_take gave EXIT_GOOD, verb is one of the command's and
  * words[] holds as many as it takes; else nothing here but mem is to be read. */
 typedef struct Order {
     const char *command;
@@ -52,7 +52,7 @@
     const char *text; /* the entry point's result, once ask gave EXIT_GOOD */
 } Order;
 
-static Bytes streamAll(void *mem, FILE *stream)
+static Bytes stream_all(void *mem, FILE *stream)
 {
     Bytes bytes = {0};
     char buffer[4096];
@@ -62,17 +62,17 @@
     return bytes;
 }
 
-static Bytes fileAll(void *mem, const char *path, bool *ok)
+static Bytes file_all(void *mem, const char *path, bool *ok)
 {
     *ok = true;
     if (strcmp(path, "-") == 0)
-        return streamAll(mem, stdin);
+        return stream_all(mem, stdin);
     FILE *file = fopen(path, "rb");
     if (file == NULL) {
         *ok = false;
         return (Bytes){0};
     }
-    const Bytes bytes = streamAll(mem, file);
+    const Bytes bytes = stream_all(mem, file);
     fclose(file);
     return bytes;
 }
@@ -106,7 +106,7 @@
     return EXIT_GOOD;
 }
 
-static int printJson(const char *text)
+static int print_json(const char *text)
 {
     json_object *object = json_tokener_parse(text);
     if (object == NULL)
@@ -119,7 +119,7 @@
 }
 
 /* Takes the words: a known verb and what it needs, no more. */
-static int wordsTake(Order *order, const char *usage, const Verb *verbs, poptContext context)
+static int words_take(Order *order, const char *usage, const Verb *verbs, poptContext context)
 {
     const char *first = poptPeekArg(context) != NULL ? poptPeekArg(context) : "";
     for (order->verb = verbs; order->verb->name != NULL && strcmp(order->verb->name, first) != 0;)
@@ -137,8 +137,8 @@
 }
 
 /* Parses what was typed; usage also tells which words there are. */
-static int orderTake(Order *order, const char *command, const char *usage, const Verb *verbs, int argc,
-                     const char **argv)
+static int order_take(Order *order, const char *command, const char *usage, const Verb *verbs, int argc,
+                      const char **argv)
 {
     *order = (Order){.command = command, .mem = talloc_new(NULL)};
     Flags *flags = &order->flags;
@@ -159,45 +159,45 @@
     const int got = poptGetNextOpt(context);
     const int code = got < -1
                          ? wrong(command, "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got))
-                         : wordsTake(order, usage, verbs, context);
+                         : words_take(order, usage, verbs, context);
     poptFreeContext(context);
     return code;
 }
 
-static int orderEnd(const Order *order, int code)
+static int order_end(const Order *order, int code)
 {
     talloc_free(order->mem);
     return code;
 }
 
-static bool orderIs(const Order *order, const char *verb)
+static bool order_is(const Order *order, const char *verb)
 {
     return strcmp(order->verb->name, verb) == 0;
 }
 
 /* What --file names; false when there is none or it can't be read. */
-static bool orderFile(const Order *order, Bytes *body)
+static bool order_file(const Order *order, Bytes *body)
 {
     bool ok = order->flags.file != NULL;
     if (ok)
-        *body = fileAll(order->mem, order->flags.file, &ok);
+        *body = file_all(order->mem, order->flags.file, &ok);
     return ok;
 }
 
-static int orderPrint(const Order *order, int code)
+static int order_print(const Order *order, int code)
 {
-    return orderEnd(order, code == EXIT_GOOD ? printJson(order->text) : code);
+    return order_end(order, code == EXIT_GOOD ? print_json(order->text) : code);
 }
 
-static int jobAsk(Order *order)
+static int job_ask(Order *order)
 {
     const Flags *flags = &order->flags;
     Bytes body = {0};
-    if (orderIs(order, "submit"))
-        return orderFile(order, &body) ? ask(order, "POST", "/v1/jobs", body)
-                                       : wrong("job", "--file: a readable file with the job is needed");
-    if (!orderIs(order, "list"))
-        return ask(order, orderIs(order, "show") ? "GET" : "DELETE",
+    if (order_is(order, "submit"))
+        return order_file(order, &body) ? ask(order, "POST", "/v1/jobs", body)
+                                        : wrong("job", "--file: a readable file with the job is needed");
+    if (!order_is(order, "list"))
+        return ask(order, order_is(order, "show") ? "GET" : "DELETE",
                    talloc_asprintf(order->mem, "/v1/jobs/%s", order->words[1]), body);
     char *path = talloc_asprintf(order->mem, "/v1/jobs?after=%lld&limit=%lld", flags->after,
                                  flags->limit > 0 ? flags->limit : (long long)LIST_PAGE);
@@ -208,62 +208,62 @@
     return ask(order, "GET", path, body);
 }
 
-int runJob(int argc, const char **argv)
+int run_job(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"submit", 1}, {"show", 2}, {"list", 1}, {"cancel", 2}, {NULL, 0}};
     Order order;
-    const int code = orderTake(&order, "job", "submit -f FILE | show ID | list | cancel ID", VERBS, argc, argv);
-    return orderPrint(&order, code == EXIT_GOOD ? jobAsk(&order) : code);
+    const int code = order_take(&order, "job", "submit -f FILE | show ID | list | cancel ID", VERBS, argc, argv);
+    return order_print(&order, code == EXIT_GOOD ? job_ask(&order) : code);
 }
 
-static int configAsk(Order *order)
+static int config_ask(Order *order)
 {
     const Flags *flags = &order->flags;
     Bytes body = {0};
-    if (orderIs(order, "show"))
+    if (order_is(order, "show"))
         return ask(order, "GET",
                    flags->revision >= 0 ? talloc_asprintf(order->mem, "/v1/config?revision=%lld", flags->revision)
                                         : "/v1/config",
                    body);
-    if (orderIs(order, "history"))
+    if (order_is(order, "history"))
         return ask(order, "GET", "/v1/config/history", body);
-    if (!orderFile(order, &body))
+    if (!order_file(order, &body))
         return wrong("config", "--file: a readable file is needed");
     if (flags->base < 0)
         return wrong("config", "--base: the revision that this builds on is needed");
     const char *revision = flags->revision >= 0 ? talloc_asprintf(order->mem, "&revision=%lld", flags->revision) : "";
-    return ask(order, orderIs(order, "set") ? "PUT" : "PATCH",
+    return ask(order, order_is(order, "set") ? "PUT" : "PATCH",
                talloc_asprintf(order->mem, "/v1/config?base=%lld%s", flags->base, revision), body);
 }
 
-int runConfig(int argc, const char **argv)
+int run_config(int argc, const char **argv)
 {
     if (argc > 1 && strcmp(argv[1], "build") == 0)
-        return runBuild(argc - 1, argv + 1);
+        return run_build(argc - 1, argv + 1);
     static const Verb VERBS[] = {{"show", 1}, {"history", 1}, {"set", 1}, {"patch", 1}, {NULL, 0}};
     Order order;
-    const int code = orderTake(
+    const int code = order_take(
         &order, "config",
         "show [-r N] | history | set -b BASE [-r N] -f FILE | patch -b BASE [-r N] -f FILE | build -t FILE ...", VERBS,
         argc, argv);
-    return orderPrint(&order, code == EXIT_GOOD ? configAsk(&order) : code);
+    return order_print(&order, code == EXIT_GOOD ? config_ask(&order) : code);
 }
 
-static int zoneAsk(Order *order)
+static int zone_ask(Order *order)
 {
-    const char *method = orderIs(order, "show") ? "GET" : orderIs(order, "back") ? "DELETE" : "POST";
+    const char *method = order_is(order, "show") ? "GET" : order_is(order, "back") ? "DELETE" : "POST";
     return ask(
         order, method,
-        talloc_asprintf(order->mem, "/v1/zones/%s/drain%s", order->words[1], orderIs(order, "move") ? "?move=1" : ""),
+        talloc_asprintf(order->mem, "/v1/zones/%s/drain%s", order->words[1], order_is(order, "move") ? "?move=1" : ""),
         (Bytes){0});
 }
 
-int runZone(int argc, const char **argv)
+int run_zone(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"drain", 2}, {"move", 2}, {"back", 2}, {"show", 2}, {NULL, 0}};
     Order order;
-    const int code = orderTake(&order, "zone", "drain ZONE | move ZONE | back ZONE | show ZONE", VERBS, argc, argv);
-    return orderPrint(&order, code == EXIT_GOOD ? zoneAsk(&order) : code);
+    const int code = order_take(&order, "zone", "drain ZONE | move ZONE | back ZONE | show ZONE", VERBS, argc, argv);
+    return order_print(&order, code == EXIT_GOOD ? zone_ask(&order) : code);
 }
 
 static json_object *get(json_object *object, const char *key)
@@ -274,7 +274,7 @@
 }
 
 /* What is no list has no items. */
-static size_t listLength(json_object *list)
+static size_t list_length(json_object *list)
 {
     return json_object_is_type(list, json_type_array) ? json_object_array_length(list) : 0;
 }
@@ -292,135 +292,135 @@
     return text != NULL ? text : "?";
 }
 
-static bool flagOf(json_object *object, const char *key)
+static bool flag_of(json_object *object, const char *key)
 {
     return json_object_get_boolean(get(object, key));
 }
 
 /* Who votes, who follows, how far behind each is, and how many more losses are borne. */
-static void printVoters(json_object *body)
+static void print_voters(json_object *body)
 {
     json_object *voters = get(body, "seats"), *learners = get(body, "learners"), *losses = get(body, "losses");
     printf("losses of a core that are borne now: %s, asked for: %s\n", text_of(losses, "borne"),
            text_of(losses, "asked"));
-    for (size_t i = 0; i < listLength(voters); i++) {
+    for (size_t i = 0; i < list_length(voters); i++) {
         json_object *voter = json_object_array_get_idx(voters, i);
         printf("voter   %-12s %s  %s%s  sync %s ms  behind %s\n", text_of(voter, "core"), text_of(voter, "disk"),
-               flagOf(voter, "inView") ? "in view" : "OUT", flagOf(voter, "answers") ? "" : " SILENT",
+               flag_of(voter, "inView") ? "in view" : "OUT", flag_of(voter, "answers") ? "" : " SILENT",
                text_of(voter, "syncMs"), text_of(voter, "behind"));
     }
-    for (size_t i = 0; i < listLength(learners); i++) {
+    for (size_t i = 0; i < list_length(learners); i++) {
         json_object *learner = json_object_array_get_idx(learners, i);
         printf("learner %-12s %s  %s%s  behind %s\n", text_of(learner, "core"), text_of(learner, "disk"),
-               flagOf(learner, "ready") ? "ready" : "CATCHES UP", flagOf(learner, "answers") ? "" : " SILENT",
+               flag_of(learner, "ready") ? "ready" : "CATCHES UP", flag_of(learner, "answers") ? "" : " SILENT",
                text_of(learner, "behind"));
     }
 }
 
-static void printStatus(json_object *body)
+static void print_status(json_object *body)
 {
     json_object *plan = get(body, "plan"), *live = get(body, "liveset");
     printf("cluster %s  leader %s  epoch %s  lock held for %s ms more%s\n", text_of(body, "cluster"),
            text_of(body, "leader"), text_of(body, "epoch"), text_of(body, "holdLeftMs"),
-           flagOf(body, "repairing") ? "  REPAIRING" : "");
+           flag_of(body, "repairing") ? "  REPAIRING" : "");
     printf("configuration %s  log %s committed of %s\n", text_of(body, "configRevision"),
            text_of(get(body, "log"), "committed"), text_of(get(body, "log"), "lastIndex"));
-    printf("plan survives r=%s%s: %s", text_of(plan, "r"), flagOf(plan, "zoneLoss") ? " and a zone" : "",
-           flagOf(plan, "holds") ? "yes" : "NO");
-    if (!flagOf(plan, "holds"))
+    printf("plan survives r=%s%s: %s", text_of(plan, "r"), flag_of(plan, "zoneLoss") ? " and a zone" : "",
+           flag_of(plan, "holds") ? "yes" : "NO");
+    if (!flag_of(plan, "holds"))
         printf(" (broken by the loss of %s)", text_of(get(plan, "brokenBy"), "name"));
     printf("  assured %s  unassured %s  waiting %s\n", text_of(plan, "assured"), text_of(plan, "unassured"),
            text_of(plan, "waiting"));
-    printVoters(body);
-    for (size_t i = 0; i < listLength(live); i++) {
+    print_voters(body);
+    for (size_t i = 0; i < list_length(live); i++) {
         json_object *row = json_object_array_get_idx(live, i);
         json_object *room = get(row, "room"), *free = get(row, "free");
         printf("worker %-12s %-8s %s%s%s  hold %s ms", text_of(row, "worker"), text_of(row, "zone"),
-               flagOf(row, "ready") ? "ready" : "NOT READY", flagOf(row, "leaving") ? " leaving" : "",
-               flagOf(row, "excluded") ? " excluded" : "", text_of(row, "holdLeftMs"));
+               flag_of(row, "ready") ? "ready" : "NOT READY", flag_of(row, "leaving") ? " leaving" : "",
+               flag_of(row, "excluded") ? " excluded" : "", text_of(row, "holdLeftMs"));
         if (room != NULL)
             printf("  free %.1f of %.1f cores, %s of %s MB", json_object_get_double(get(free, "cpu")),
                    json_object_get_double(get(room, "cpu")), text_of(free, "memMb"), text_of(room, "memMb"));
         putchar('\n');
     }
     json_object *alerts = get(body, "alerts");
-    for (size_t i = 0; i < listLength(alerts); i++) {
+    for (size_t i = 0; i < list_length(alerts); i++) {
         json_object *one = json_object_array_get_idx(alerts, i);
         printf("ALERT  %s %s, for %s ms: %s\n", text_of(one, "alert"), text_of(one, "subject"), text_of(one, "forMs"),
                text_of(one, "todo"));
     }
     json_object *zones = get(body, "drainedZones");
-    for (size_t i = 0; i < listLength(zones); i++)
+    for (size_t i = 0; i < list_length(zones); i++)
         printf("zone %s is drained\n", item_of(zones, i));
 }
 
 /* The result as JSON, or as print tells it; one that is no JSON is told as it is. */
-static int orderTell(const Order *order, int code, void (*print)(json_object *body))
+static int order_tell(const Order *order, int code, void (*print)(json_object *body))
 {
     json_object *body = code == EXIT_GOOD && !order->flags.json ? json_tokener_parse(order->text) : NULL;
     if (code == EXIT_GOOD && json_object_is_type(body, json_type_object))
         print(body);
     else if (code == EXIT_GOOD)
-        printJson(order->text);
+        print_json(order->text);
     json_object_put(body);
-    return orderEnd(order, code);
+    return order_end(order, code);
 }
 
-int runStatus(int argc, const char **argv)
+int run_status(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"", 0}, {NULL, 0}};
     Order order;
-    int code = orderTake(&order, "status", "no words, only flags", VERBS, argc, argv);
+    int code = order_take(&order, "status", "no words, only flags", VERBS, argc, argv);
     if (code == EXIT_GOOD)
         code = ask(&order, "GET", "/v1/status", (Bytes){0});
-    return orderTell(&order, code, printStatus);
+    return order_tell(&order, code, print_status);
 }
 
-static void printTrace(json_object *body)
+static void print_trace(json_object *body)
 {
     json_object *steps = get(body, "steps"), *silent = get(body, "silent");
-    for (size_t i = 0; i < listLength(steps); i++) {
+    for (size_t i = 0; i < list_length(steps); i++) {
         json_object *one = json_object_array_get_idx(steps, i);
         printf("%8s ms  %-10s %-10s %s\n", text_of(one, "sinceMs"), text_of(one, "node"), text_of(one, "step"),
                text_of(one, "detail"));
     }
-    if (listLength(steps) == 0)
+    if (list_length(steps) == 0)
         printf("no node that answered remembers it\n");
-    for (size_t i = 0; i < listLength(silent); i++)
+    for (size_t i = 0; i < list_length(silent); i++)
         printf("%s did not answer\n", item_of(silent, i));
 }
 
-int runTrace(int argc, const char **argv)
+int run_trace(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"job", 2}, {"config", 2}, {"zone", 2}, {"view", 2}, {NULL, 0}};
     Order order;
-    int code = orderTake(&order, "trace", "job ID | config REVISION | zone ZONE | view EPOCH", VERBS, argc, argv);
+    int code = order_take(&order, "trace", "job ID | config REVISION | zone ZONE | view EPOCH", VERBS, argc, argv);
     if (code == EXIT_GOOD)
         code = ask(&order, "GET", talloc_asprintf(order.mem, "/v1/trace?key=%s:%s", order.words[0], order.words[1]),
                    (Bytes){0});
-    return orderTell(&order, code, printTrace);
+    return order_tell(&order, code, print_trace);
 }
 
-static void printPolicy(json_object *body)
+static void print_policy(json_object *body)
 {
     json_object *order = get(body, "order");
-    for (size_t i = 0; i < listLength(order); i++) {
+    for (size_t i = 0; i < list_length(order); i++) {
         json_object *one = json_object_array_get_idx(order, i);
         printf("%4zu  rank %-10.3f %s task %s  %s/%s%s\n", i + 1, json_object_get_double(get(one, "rank")),
                text_of(one, "job"), text_of(one, "task"), text_of(one, "tenant"), text_of(one, "queue"),
-               flagOf(one, "restart") ? "  restart" : "");
+               flag_of(one, "restart") ? "  restart" : "");
     }
     printf("%s ready to start in cell %s\n", text_of(body, "ready"), text_of(body, "cell"));
 }
 
-static int policyAsk(Order *order)
+static int policy_ask(Order *order)
 {
     const Flags *flags = &order->flags;
-    const bool tries = orderIs(order, "try");
+    const bool tries = order_is(order, "try");
     Bytes body = {0};
     if (flags->cell == NULL)
         return wrong("policy", "--cell: a cell is needed");
-    if (tries && !orderFile(order, &body))
+    if (tries && !order_file(order, &body))
         return wrong("policy", "--file: a readable file with the policy is needed");
     return ask(order, tries ? "POST" : "GET",
                talloc_asprintf(order->mem, "/v1/queue%s?cell=%s&limit=%lld", tries ? "/try" : "", flags->cell,
@@ -428,10 +428,10 @@
                body);
 }
 
-int runPolicy(int argc, const char **argv)
+int run_policy(int argc, const char **argv)
 {
     static const Verb VERBS[] = {{"show", 1}, {"try", 1}, {NULL, 0}};
     Order order;
-    const int code = orderTake(&order, "policy", "show --cell C | try --cell C --file F", VERBS, argc, argv);
-    return orderTell(&order, code == EXIT_GOOD ? policyAsk(&order) : code, printPolicy);
+    const int code = order_take(&order, "policy", "show --cell C | try --cell C --file F", VERBS, argc, argv);
+    return order_tell(&order, code == EXIT_GOOD ? policy_ask(&order) : code, print_policy);
 }
--- a/src/options.h
+++ b/src/options.h
@@ -16,20 +16,20 @@
     int (*run)(int argc, const char **argv);
 } Command;
 
-int runCore(int argc, const char **argv);
-int runGate(int argc, const char **argv);
-int runAgent(int argc, const char **argv);
-int runNode(int argc, const char **argv);
-int runCheck(int argc, const char **argv);
-int runWorker(int argc, const char **argv);
-int runCaller(int argc, const char **argv);
-int runJob(int argc, const char **argv);
-int runConfig(int argc, const char **argv);
-int runBuild(int argc, const char **argv); /* config build */
-int runZone(int argc, const char **argv);
-int runStatus(int argc, const char **argv);
-int runPolicy(int argc, const char **argv);
-int runTrace(int argc, const char **argv);
+int run_core(int argc, const char **argv);
+int run_gate(int argc, const char **argv);
+int run_agent(int argc, const char **argv);
+int run_node(int argc, const char **argv);
+int run_check(int argc, const char **argv);
+int run_worker(int argc, const char **argv);
+int run_caller(int argc, const char **argv);
+int run_job(int argc, const char **argv);
+int run_config(int argc, const char **argv);
+int run_build(int argc, const char **argv); /* config build */
+int run_zone(int argc, const char **argv);
+int run_status(int argc, const char **argv);
+int run_policy(int argc, const char **argv);
+int run_trace(int argc, const char **argv);
 
 /* Says what is wrong in one line and returns EXIT_WRONG. */
 int wrong(const char *command, const char *format, ...) __attribute__((format(printf, 2, 3)));
--- a/src/standins.c
+++ b/src/standins.c
@@ -18,8 +18,8 @@
     FILE *to;
 } Record;
 
-static void recordRun(void *arg, const char *verb, const char *worker, const char *job, uint64_t task, uint64_t round,
-                      const char *rest)
+static void record_run(void *arg, const char *verb, const char *worker, const char *job, uint64_t task, uint64_t round,
+                       const char *rest)
 {
     const Record *record = arg;
     if (record->to != NULL) {
@@ -33,39 +33,39 @@
 {
     char rest[64];
     snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpu_milli, room.mem_mb);
-    recordRun(arg, "started", worker, job, task, round, rest);
+    record_run(arg, "started", worker, job, task, round, rest);
 }
 
 static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    recordRun(arg, "ended", worker, job, task, round, round_word(word));
+    record_run(arg, "ended", worker, job, task, round, round_word(word));
 }
 
 static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
 {
-    recordRun(arg, "known", worker, job, task, round, round_word(word));
+    record_run(arg, "known", worker, job, task, round, round_word(word));
 }
 
 static void on_booted(void *arg, const char *worker)
 {
-    recordRun(arg, "booted", worker, "-", 0, 0, "");
+    record_run(arg, "booted", worker, "-", 0, 0, "");
 }
 
 static void on_held(void *arg, const char *worker, int64_t left_ms)
 {
     char rest[32];
     snprintf(rest, sizeof(rest), "%" PRId64, left_ms);
-    recordRun(arg, "held", worker, "-", 0, 0, rest);
+    record_run(arg, "held", worker, "-", 0, 0, rest);
 }
 
 static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
 {
-    recordRun(arg, "resumed", worker, job, task, round, saved);
+    record_run(arg, "resumed", worker, job, task, round, saved);
 }
 
 static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
 {
-    recordRun(arg, "told", worker, job, task, round, "");
+    record_run(arg, "told", worker, job, task, round, "");
 }
 
 typedef struct StandIn {
@@ -74,16 +74,16 @@
     const char *name;
     StandWorker *worker;
     Caller *caller;
-    CallerProps callerProps;
+    CallerProps caller_props;
     bool configure;
     int code;
 } StandIn;
 
-static void workerTerm(void *arg)
+static void worker_term(void *arg)
 {
     StandIn *stand_in = arg;
     stand_worker_leave(stand_in->worker);
-    recordRun(&stand_in->record, "leaving", stand_in->name, "-", 0, 0, "");
+    record_run(&stand_in->record, "leaving", stand_in->name, "-", 0, 0, "");
     const int64_t until_ms = loop_now_ms(stand_in->loop) + DRAIN_MS;
     while (stand_worker_running(stand_in->worker) > 0 && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
@@ -91,7 +91,7 @@
     loop_stop(stand_in->loop);
 }
 
-int runWorker(int argc, const char **argv)
+int run_worker(int argc, const char **argv)
 {
     char *agent = NULL, *name = NULL, *zone = NULL, *rack = NULL, *kind = NULL, *label = NULL, *path = NULL;
     int cores = 64, mem_mb = 131072, fails_all = 0, slow = 1;
@@ -144,9 +144,9 @@
         };
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, mem_mb);
-        recordRun(&stand_in->record, "worker", name, zone, 0, 0, rest);
+        record_run(&stand_in->record, "worker", name, zone, 0, 0, rest);
         stand_in->worker = stand_worker_start(mem, stand_in->loop, &props);
-        real_loop_run(stand_in->loop, workerTerm, stand_in);
+        real_loop_run(stand_in->loop, worker_term, stand_in);
     }
     poptFreeContext(context);
     return code;
@@ -154,29 +154,29 @@
 
 static void on_sent(void *arg, const char *id)
 {
-    recordRun(arg, "sent", "-", id, 0, 0, "");
+    record_run(arg, "sent", "-", id, 0, 0, "");
 }
 
 static void on_accepted(void *arg, const char *id)
 {
-    recordRun(arg, "accepted", "-", id, 0, 0, "");
+    record_run(arg, "accepted", "-", id, 0, 0, "");
 }
 
-static void on_refused(void *arg, const char *id, int httpCode)
+static void on_refused(void *arg, const char *id, int http_code)
 {
     char rest[16];
-    snprintf(rest, sizeof(rest), "%d", httpCode);
-    recordRun(arg, "refused", "-", id, 0, 0, rest);
+    snprintf(rest, sizeof(rest), "%d", http_code);
+    record_run(arg, "refused", "-", id, 0, 0, rest);
 }
 
 static void on_job_ended(void *arg, const char *id, const char *phase)
 {
-    recordRun(arg, "job-ended", "-", id, 0, 0, phase);
+    record_run(arg, "job-ended", "-", id, 0, 0, phase);
 }
 
 static void on_unknown(void *arg, const char *id)
 {
-    recordRun(arg, "unknown", "-", id, 0, 0, "");
+    record_run(arg, "unknown", "-", id, 0, 0, "");
 }
 
 static int span_order(const void *a, const void *b)
@@ -224,7 +224,7 @@
 static void caller_main(void *arg)
 {
     StandIn *stand_in = arg;
-    const CallerProps *props = &stand_in->callerProps;
+    const CallerProps *props = &stand_in->caller_props;
     if (stand_in->configure && caller_configure(stand_in, stand_in->loop, props->entries[0], props->mix) != STATUS_OK) {
         fprintf(stderr, "spancart caller: the configuration could not be set\n");
         stand_in->code = EXIT_UNREACHABLE;
@@ -240,7 +240,7 @@
     loop_stop(stand_in->loop);
 }
 
-int runCaller(int argc, const char **argv)
+int run_caller(int argc, const char **argv)
 {
     char *entries = NULL, *mix = NULL, *name = NULL, *path = NULL;
     int configure = 0, rate_milli = 10000, for_ms = 10000;
@@ -258,7 +258,7 @@
     int code = EXIT_GOOD;
     void *mem = talloc_new(NULL);
     StandIn *stand_in = talloc_zero(mem, StandIn);
-    CallerProps *props = &stand_in->callerProps;
+    CallerProps *props = &stand_in->caller_props;
     *props = (CallerProps){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .for_ms = for_ms};
     props->mix = mix_of_word(mix != NULL ? mix : "trentvale");
     for (char *at = entries; at != NULL && props->entry_count < ENTRIES_MAX;) {
--- a/tests/cases.c
+++ b/tests/cases.c
@@ -61,18 +61,18 @@
         return 2;
     }
     struct CMUnitTest *chosen = calloc(count + 1, sizeof(*chosen));
-    size_t chosenCount = 0, wanted = 1;
+    size_t chosen_count = 0, wanted = 1;
     for (size_t i = 0; chosen != NULL && i < count; i++)
         if (listed(list, tests[i].name) == only)
-            chosen[chosenCount++] = tests[i];
+            chosen[chosen_count++] = tests[i];
     for (const char *at = list; (at = strchr(at, ',')) != NULL; at++)
         wanted++;
     int code = 0;
-    if (chosen == NULL || (only && chosenCount != wanted)) {
+    if (chosen == NULL || (only && chosen_count != wanted)) {
         fprintf(stderr, "%s: not all of %s are there\n", group, list);
         code = 2;
-    } else if (chosenCount > 0) {
-        code = __real__cmocka_run_group_tests(group, chosen, chosenCount, setup, teardown);
+    } else if (chosen_count > 0) {
+        code = __real__cmocka_run_group_tests(group, chosen, chosen_count, setup, teardown);
     }
     free(chosen);
     return code;
