--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -138,7 +138,7 @@
     }
 }
 
-static bool settings_read(GroundNode *node, Failure *failure)
+static bool node_settings_read(GroundNode *node, Failure *failure)
 {
     const Ground *ground = node->ground;
     TongueNode told = {.name = node->name,
@@ -184,7 +184,7 @@
     const Props *props = &node->place.props;
     node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
     ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
-    Status status = settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
+    Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
         status = core_start(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
