--- a/examples/counter.c
+++ b/examples/counter.c
@@ -23,7 +23,7 @@
     Ring *ring;
     const char *name, *listen, *folder;
     const char *seeds[SEEDS];
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     View *view;
     Liveset *liveset;
@@ -90,8 +90,8 @@
                                  .worker_live = true,
                                  .settled = true};
             BeatAnswer answer = {0};
-            courier_ask(counter->courier, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask,
-                        ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
+            rpc_ask(counter->rpc, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask, ASK_EXPIRY_MS,
+                    &BeatAnswer_shape, &answer);
             talloc_free(mem);
         }
         loop_sleep(counter->loop, BEAT_MS);
@@ -140,7 +140,7 @@
     Failure failure = {0};
     char address[ADDRESS_MAX];
     const ViewProps props = {.loop = counter->loop,
-                             .courier = counter->courier = courier_new(counter, counter->loop, counter->ring),
+                             .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->ring),
                              .ring = counter->ring,
                              .state = {counter, deliver, save, load},
                              .opened = on_opened,
@@ -150,7 +150,7 @@
     counter->view = view_new(counter, &props);
     if (view_open_disk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name,
                        &failure) != STATUS_OK ||
-        courier_listen(counter->courier, counter->listen, address, &failure) != STATUS_OK) {
+        rpc_listen(counter->rpc, counter->listen, address, &failure) != STATUS_OK) {
         fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
         loop_stop(counter->loop);
         return;
@@ -165,9 +165,9 @@
                                .incarnation = (uint64_t)loop_wall_ms(counter->loop),
                                .disk = view_disk(counter->view),
                                .empty = !view_founded(counter->view)};
-    counter->members = members_new(counter, counter->loop, counter->courier, counter->ring, &self, counter->seeds);
+    counter->members = members_new(counter, counter->loop, counter->rpc, counter->ring, &self, counter->seeds);
     view_start(counter->view, counter->members);
-    courier_handle(counter->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
+    rpc_handle(counter->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
     members_start(counter->members);
     view_founding(counter->view);
     loop_spawn(counter->loop, "beat", beat_main, counter);
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -7,7 +7,7 @@
 
 static void metrics(Agent *agent, HttpTask *task)
 {
-    const CourierCounts *counts = courier_counts(agent->courier);
+    const RpcCounts *counts = rpc_counts(agent->rpc);
     int64_t rounds[PHASE_KNOWN + 1] = {0};
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
@@ -19,7 +19,7 @@
     show_metric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
     show_metric(task, "roundsKept", (int64_t)agent->rounds.known.count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
-    COURIER_COUNT_LIST(X)
+    RPC_COUNT_LIST(X)
 #undef X
 }
 
@@ -73,8 +73,8 @@
     agent->worker_mem = talloc_new(agent);
     const Worker unheard = {.name = agent->worker_name, .zone = props->zone, .rack = "", .kind = ""};
     shape_copy(&Worker_shape, &unheard, agent->worker_mem, &agent->worker);
-    agent->courier = courier_new(agent, loop, ring);
-    Status status = courier_listen(agent->courier, props->listen, agent->address, failure);
+    agent->rpc = rpc_new(agent, loop, ring);
+    Status status = rpc_listen(agent->rpc, props->listen, agent->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, agent, agent->http, failure);
     if (status != STATUS_OK)
@@ -86,8 +86,8 @@
                                .address = agent->address,
                                .http = agent->http,
                                .incarnation = agent->incarnation};
-    agent->members = members_new(agent, loop, agent->courier, ring, &self, props->seeds);
-    agent->trace = trace_new(agent, loop, agent->courier, agent->members, props->name);
+    agent->members = members_new(agent, loop, agent->rpc, ring, &self, props->seeds);
+    agent->trace = trace_new(agent, loop, agent->rpc, agent->members, props->name);
     rounds_init(agent);
     beat_start(agent);
     tell_start(agent);
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -43,9 +43,8 @@
     Agent *agent = asking->agent;
     const KnowAsk ask = {0};
     KnowAnswer answer = {0};
-    const Status status =
-        courier_ask_peer(agent->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
-                         &KnowAsk_shape, &ask, ASK_EXPIRY_MS, &KnowAnswer_shape, &answer);
+    const Status status = rpc_ask_peer(agent->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
+                                       &KnowAsk_shape, &ask, ASK_EXPIRY_MS, &KnowAnswer_shape, &answer);
     if (status != STATUS_OK || answer.knows || answer.epoch > agent->hold.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
@@ -157,6 +156,6 @@
 
 void alone_start(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, agent);
+    rpc_handle(agent->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, agent);
     loop_spawn(agent->loop, "alone", alone_main, agent);
 }
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -128,9 +128,9 @@
     BeatAnswer answer = {0};
     beat->sent_ms = loop_now_ms(agent->loop);
     ask_fill(agent, beat, &ask);
-    const CourierTarget target = {beat->address, beat->peer, NULL};
-    const Status status = courier_ask_peer(agent->courier, beat, &target, MESSAGE_BEAT, &BeatAsk_shape, &ask,
-                                           BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
+    const RpcTarget target = {beat->address, beat->peer, NULL};
+    const Status status = rpc_ask_peer(agent->rpc, beat, &target, MESSAGE_BEAT, &BeatAsk_shape, &ask,
+                                       BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
     members_rest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -25,7 +25,7 @@
     Ring *ring;
     const Props *props;
     const char *worker_name;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     uint64_t incarnation;
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -65,8 +65,8 @@
     Agent *agent = telling->agent;
     TellAnswer answer = {0};
     telling->status =
-        courier_ask_peer(agent->courier, telling, &(CourierTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
-                         &TellAsk_shape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswer_shape, &answer);
+        rpc_ask_peer(agent->rpc, telling, &(RpcTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
+                     &TellAsk_shape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswer_shape, &answer);
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
@@ -147,6 +147,6 @@
 
 void tell_start(Agent *agent)
 {
-    courier_handle(agent->courier, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, on_retell, agent);
+    rpc_handle(agent->rpc, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, on_retell, agent);
     loop_spawn(agent->loop, "tell", tell_main, agent);
 }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -23,7 +23,7 @@
 typedef struct Boss {
     const char *id, *address;
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     uint64_t epoch;
     int64_t hold_ms;
@@ -59,11 +59,11 @@
         return STATUS_NOT_LEADER;
     boss->beats++;
     talloc_free((void *)(uintptr_t)boss->beat.agent);
-    void *kept = talloc_named_const(boss->courier, 1, "beat");
+    void *kept = talloc_named_const(boss->rpc, 1, "beat");
     shape_copy(&BeatAsk_shape, beat, kept, &boss->beat);
     boss->beat.agent = kept;
     for (size_t i = 0; i < beat->saved_count && boss->saved_count < LISTED; i++)
-        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->courier, &boss->saved[boss->saved_count++]);
+        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
     while (beat->have == boss->revision && beat->have_epoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
@@ -87,7 +87,7 @@
     (void)answer;
     boss->tellings++;
     for (size_t i = 0; i < ask->news_count && boss->news_count < LISTED * 2; i++)
-        shape_copy(&RoundNews_shape, &ask->news[i], boss->courier, &boss->news[boss->news_count++]);
+        shape_copy(&RoundNews_shape, &ask->news[i], boss->rpc, &boss->news[boss->news_count++]);
     while (!boss->commits)
         signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
@@ -99,12 +99,12 @@
     Ring *ring = ring_new(loop, boss->id);
     ring_quiet(ring);
     boss->loop = loop;
-    boss->courier = courier_new(loop, loop, ring);
-    courier_set_cluster(boss->courier, 7);
-    courier_handle(boss->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, boss);
-    courier_handle(boss->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
+    boss->rpc = rpc_new(loop, loop, ring);
+    rpc_set_cluster(boss->rpc, 7);
+    rpc_handle(boss->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, boss);
+    rpc_handle(boss->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
     char address[ADDRESS_MAX];
-    assert_int_equal(courier_listen(boss->courier, boss->address, address, NULL), STATUS_OK);
+    assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
                                .name = boss->id,
                                .role = ROLE_CORE,
@@ -113,7 +113,7 @@
                                .http = "",
                                .incarnation = 1};
     const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
-    boss->members = members_new(loop, loop, boss->courier, ring, &self, seeds);
+    boss->members = members_new(loop, loop, boss->rpc, ring, &self, seeds);
     members_start(boss->members);
     if (boss->epoch != 0)
         members_set_leader(boss->members, boss->epoch, boss->id);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -270,8 +270,8 @@
 {
     orders_start(core);
     news_start(core);
-    courier_handle(core->courier, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, core);
-    courier_handle(core->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, core);
-    courier_handle(core->courier, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, core);
-    courier_handle(core->courier, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, core);
+    rpc_handle(core->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, core);
+    rpc_handle(core->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, core);
+    rpc_handle(core->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, core);
+    rpc_handle(core->rpc, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, core);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -41,9 +41,9 @@
 #define X(name, outside) show_metric(task, outside, (int64_t)core->counts.name);
     CORE_COUNT_LIST(X)
 #undef X
-    const CourierCounts *counts = courier_counts(core->courier);
+    const RpcCounts *counts = rpc_counts(core->rpc);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
-    COURIER_COUNT_LIST(X)
+    RPC_COUNT_LIST(X)
 #undef X
 }
 
@@ -164,8 +164,8 @@
 
 void callers_serve(Core *core)
 {
-    courier_handle(core->courier, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
-    courier_handle(core->courier, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, on_feed, core);
-    courier_handle(core->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, core);
-    courier_handle(core->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, core);
+    rpc_handle(core->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
+    rpc_handle(core->rpc, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, on_feed, core);
+    rpc_handle(core->rpc, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, core);
+    rpc_handle(core->rpc, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, core);
 }
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -167,7 +167,7 @@
     core->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
-    core->courier = courier_new(core, loop, ring);
+    core->rpc = rpc_new(core, loop, ring);
     core->table = table_new(core);
     table_watch(core->table, on_delivered, core);
     core->piece_source.mem = core;
@@ -183,7 +183,7 @@
     core->kept = map_new(core);
     core->alerts = map_new(core);
     const ViewProps view_props = {.loop = loop,
-                                  .courier = core->courier,
+                                  .rpc = core->rpc,
                                   .ring = ring,
                                   .state = table_state(core->table),
                                   .opened = on_opened,
@@ -198,7 +198,7 @@
     if (status == STATUS_OK)
         ring_set_place(ring, place_now, core);
     if (status == STATUS_OK)
-        status = courier_listen(core->courier, props->listen, core->address, failure);
+        status = rpc_listen(core->rpc, props->listen, core->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, core, core->http, failure);
     if (status != STATUS_OK)
@@ -214,10 +214,10 @@
         .disk = view_disk(core->view),
         .empty = !view_founded(core->view),
     };
-    core->members = members_new(core, loop, core->courier, ring, &self, props->seeds);
-    core->trace = trace_new(core, loop, core->courier, core->members, props->name);
+    core->members = members_new(core, loop, core->rpc, ring, &self, props->seeds);
+    core->trace = trace_new(core, loop, core->rpc, core->members, props->name);
     core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
-                                                               .courier = core->courier,
+                                                               .rpc = core->rpc,
                                                                .members = core->members,
                                                                .keeper = core->keeper,
                                                                .trace = core->trace,
@@ -226,7 +226,7 @@
                                                                .arg = core,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    core->feed = feed_new(core, loop, core->courier, forwarder_ways(core->forwarder), core->trace);
+    core->feed = feed_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
     view_start(core->view, core->members);
     agents_serve(core);
     callers_serve(core);
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -11,8 +11,8 @@
 static bool ask_one(Core *core, void *mem, const char *address, const KeepList *keeps)
 {
     Nothing answer = {0};
-    return courier_ask(core->courier, mem, address, MESSAGE_KEEP, &KeepList_shape, keeps, KEEP_ASK_MS, &Nothing_shape,
-                       &answer) == STATUS_OK;
+    return rpc_ask(core->rpc, mem, address, MESSAGE_KEEP, &KeepList_shape, keeps, KEEP_ASK_MS, &Nothing_shape,
+                   &answer) == STATUS_OK;
 }
 
 static size_t bytes_of(const KeepList *keeps)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -61,7 +61,7 @@
     Ring *ring;
     const Props *props;
     CoreWatch watch;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     View *view;
     Table *table;
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -39,8 +39,8 @@
     const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
     Status status;
     do {
-        status = courier_ask(core->courier, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
-                             until_ms - loop_now_ms(core->loop), &KeepList_shape, &answer);
+        status = rpc_ask(core->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
+                         until_ms - loop_now_ms(core->loop), &KeepList_shape, &answer);
         if (status != STATUS_OK)
             loop_sleep(core->loop, 100);
     } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -166,10 +166,10 @@
 /* What came over the wire and was another's, or nobody's. */
 static json_object *show_refused_frames(const Core *core)
 {
-    const CourierCounts *counts = courier_counts(core->courier);
+    const RpcCounts *counts = rpc_counts(core->rpc);
     json_object *frames = json_object_new_object();
 #define X(name, outside) json_object_object_add(frames, outside, number_of((int64_t)counts->name));
-    COURIER_REFUSED_LIST(X)
+    RPC_REFUSED_LIST(X)
 #undef X
     return frames;
 }
@@ -180,7 +180,7 @@
     ViewSight sight;
     view_sight(core->view, &sight);
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "cluster", disk_of(courier_cluster(core->courier)));
+    json_object_object_add(body, "cluster", disk_of(rpc_cluster(core->rpc)));
     json_object_object_add(body, "leader", text_of(core->props->name));
     json_object_object_add(body, "epoch", number_of((int64_t)epoch_counter(sight.epoch)));
     json_object_object_add(body, "holdLeftMs", number_of(sight.hold_left_ms));
@@ -223,9 +223,9 @@
 #define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)core->counts.name));
     CORE_COUNT_LIST(X)
 #undef X
-    const CourierCounts *courier = courier_counts(core->courier);
-#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)courier->name));
-    COURIER_COUNT_LIST(X)
+    const RpcCounts *rpc = rpc_counts(core->rpc);
+#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)rpc->name));
+    RPC_COUNT_LIST(X)
 #undef X
     json_object_object_add(body, "counts", counts);
     talloc_free(mem);
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -67,7 +67,7 @@
     /* of one life */
     bool up;
     uint64_t life;
-    Courier *courier;
+    Rpc *rpc;
     View *view;
     Members *members;
     Chain chain;
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -1,4 +1,4 @@
-/* Nodes: a courier, members and a view on a simulated machine each. */
+/* Nodes: an RPC endpoint, members and a view on a simulated machine each. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -72,9 +72,9 @@
 {
     const Explore *explore = node->explore;
     const ViewFounds first = explore->plan->by_votes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
-    node->courier = courier_new(loop, loop, node->ring);
+    node->rpc = rpc_new(loop, loop, node->ring);
     const ViewProps how = {.loop = loop,
-                           .courier = node->courier,
+                           .rpc = node->rpc,
                            .ring = node->ring,
                            .state = {&node->chain, deliver, save, load},
                            .losses = explore->plan->losses,
@@ -87,7 +87,7 @@
     Status status = view_open_disk(node->view, NODE_DATA, node->name, failure);
     char address[ADDRESS_MAX];
     if (status == STATUS_OK)
-        status = courier_listen(node->courier, node->listen, address, failure);
+        status = rpc_listen(node->rpc, node->listen, address, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
@@ -103,7 +103,7 @@
     };
     const char *seeds[SEEDS];
     seeds_of(explore, seeds);
-    node->members = members_new(loop, loop, node->courier, node->ring, &self, seeds);
+    node->members = members_new(loop, loop, node->rpc, node->ring, &self, seeds);
     view_start(node->view, node->members);
     members_start(node->members);
     view_founding(node->view);
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -21,7 +21,7 @@
  * asked no more than whether it serves. */
 typedef bool (*FeedFn)(void *arg);
 
-Feed *feed_new(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace);
+Feed *feed_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace);
 /* Begins to ask. */
 void feed_start(Feed *feed, FeedFn wanted, void *arg);
 /* The newest that is known; 0: none. */
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -18,7 +18,7 @@
 
 typedef struct ForwarderSettings {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     Keeper *keeper;
     Trace *trace;
--- a/packages/feed/include/feed/ways.h
+++ b/packages/feed/include/feed/ways.h
@@ -14,7 +14,7 @@
 /* Whether this process leads now. Null: it never does. */
 typedef bool (*WaysLeads)(const void *arg);
 
-Ways *ways_new(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg);
+Ways *ways_new(void *mem, Loop *loop, Rpc *rpc, Members *members, WaysLeads leads, const void *arg);
 void ways_start(Ways *ways);
 
 /* One way, as it was taken. Invariant: turn names the state of the ways in which it
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -18,7 +18,7 @@
     size_t users;
     WaysTaken taken;
     ForwardAsk ask;
-    CourierSending sending;
+    RpcSending sending;
     int64_t deadline_ms;
     bool done;
     Signal news; /* it is done, or the ways have moved on */
@@ -79,10 +79,10 @@
         forwarder->settings.serve(forwarder->settings.arg, attempt, &attempt->ask, &attempt->answer);
         attempt->status = STATUS_OK;
     } else {
-        const CourierTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
+        const RpcTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
         attempt->status =
-            courier_ask_peer(forwarder->settings.courier, attempt, &target, MESSAGE_FORWARD, &ForwardAsk_shape,
-                             &attempt->ask, attempt->deadline_ms - start_ms, &ForwardAnswer_shape, &attempt->answer);
+            rpc_ask_peer(forwarder->settings.rpc, attempt, &target, MESSAGE_FORWARD, &ForwardAsk_shape, &attempt->ask,
+                         attempt->deadline_ms - start_ms, &ForwardAnswer_shape, &attempt->answer);
     }
     if (attempt->status == STATUS_OK) {
         if (!attempt->taken.own)
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -16,7 +16,7 @@
 
 struct Feed {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Ways *ways;
     Trace *trace;
     FeedFn wanted;
@@ -36,10 +36,10 @@
     bool again; /* it has been answered along this way */
 } FeedAsking;
 
-Feed *feed_new(void *mem, Loop *loop, Courier *courier, Ways *ways, Trace *trace)
+Feed *feed_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace)
 {
     Feed *feed = talloc_zero(mem, Feed);
-    *feed = (Feed){.loop = loop, .courier = courier, .ways = ways, .trace = trace};
+    *feed = (Feed){.loop = loop, .rpc = rpc, .ways = ways, .trace = trace};
     feed->revisions = revisions_new(feed, FEED_KEEP, FEED_KEEP);
     feed->pieces.mem = feed;
     return feed;
@@ -169,9 +169,8 @@
     pieces_ask(&feed->pieces, &ask);
     ask.first = first;
     FeedAnswer answer = {0};
-    const Status status =
-        courier_ask_peer(feed->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
-                         &FeedAsk_shape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswer_shape, &answer);
+    const Status status = rpc_ask_peer(feed->rpc, mem, &(RpcTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
+                                       &FeedAsk_shape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswer_shape, &answer);
     if (status == STATUS_OK) {
         ways_heard(feed->ways, taken, !answer.waits);
         if (wanted)
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -174,8 +174,8 @@
     const int64_t wait_ms =
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status =
-        courier_ask_peer(forwarder->settings.courier, mem, &(CourierTarget){taken.address, taken.peer, NULL},
-                         MESSAGE_FORWARD, &ForwardAsk_shape, &onward, wait_ms, &ForwardAnswer_shape, answer);
+        rpc_ask_peer(forwarder->settings.rpc, mem, &(RpcTarget){taken.address, taken.peer, NULL}, MESSAGE_FORWARD,
+                     &ForwardAsk_shape, &onward, wait_ms, &ForwardAnswer_shape, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
         ways_failed(forwarder->ways, &taken);
     return status;
@@ -201,7 +201,7 @@
     Forwarder *forwarder = talloc_zero(mem, Forwarder);
     forwarder->settings = *settings;
     forwarder->ways =
-        ways_new(forwarder, settings->loop, settings->courier, settings->members, settings->leads, settings->arg);
+        ways_new(forwarder, settings->loop, settings->rpc, settings->members, settings->leads, settings->arg);
     return forwarder;
 }
 
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -20,7 +20,7 @@
  *  - looking says that the looking task runs, which it does while lost, or while at > 0. */
 struct Ways {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     WaysLeads leads;
     const void *arg;
@@ -35,11 +35,11 @@
     Signal moved;
 };
 
-Ways *ways_new(void *mem, Loop *loop, Courier *courier, Members *members, WaysLeads leads, const void *arg)
+Ways *ways_new(void *mem, Loop *loop, Rpc *rpc, Members *members, WaysLeads leads, const void *arg)
 {
     Ways *ways = talloc_zero(mem, Ways);
     *ways = (Ways){.loop = loop,
-                   .courier = courier,
+                   .rpc = rpc,
                    .members = members,
                    .leads = leads,
                    .arg = arg,
@@ -100,9 +100,8 @@
     const ForwardAsk ask = {
         .method = "GET", .path = "/readyz", .relay = taken->relay, .host = "", .wait_ms = (uint64_t)wait_ms};
     ForwardAnswer answer = {0};
-    const Status status =
-        courier_ask_peer(ways->courier, mem, &(CourierTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
-                         &ForwardAsk_shape, &ask, wait_ms, &ForwardAnswer_shape, &answer);
+    const Status status = rpc_ask_peer(ways->rpc, mem, &(RpcTarget){taken->address, taken->peer, NULL}, MESSAGE_FORWARD,
+                                       &ForwardAsk_shape, &ask, wait_ms, &ForwardAnswer_shape, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
         members_meet(ways->members, taken->address);
     else if (status != STATUS_OK)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -12,7 +12,7 @@
 
 struct Gate {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     Keeper *keeper;
     Forwarder *forwarder;
@@ -27,7 +27,7 @@
 
 static void metrics(Gate *gate, HttpTask *task)
 {
-    const CourierCounts *counts = courier_counts(gate->courier);
+    const RpcCounts *counts = rpc_counts(gate->rpc);
     show_metrics_begin(task);
     show_metric(task, "inWork", (int64_t)gate->in_work);
     show_metric(task, "kept", (int64_t)keeper_count(gate->keeper));
@@ -36,7 +36,7 @@
     show_metric(task, "configHeld", (int64_t)feed_held(gate->feed));
     show_metric(task, "members", (int64_t)members_table(gate->members)->count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
-    COURIER_COUNT_LIST(X)
+    RPC_COUNT_LIST(X)
 #undef X
 }
 
@@ -133,9 +133,9 @@
     gate->ring = ring;
     gate->grace_ms = props->bounds.grace_ms;
     gate->unready_ms = props->bounds.unready_ms;
-    gate->courier = courier_new(gate, loop, ring);
+    gate->rpc = rpc_new(gate, loop, ring);
     gate->keeper = keeper_new(gate, loop, props->bounds.retell_ms);
-    Status status = courier_listen(gate->courier, props->listen, gate->address, failure);
+    Status status = rpc_listen(gate->rpc, props->listen, gate->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
     if (status != STATUS_OK)
@@ -147,19 +147,19 @@
                                .address = gate->address,
                                .http = gate->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
-    gate->members = members_new(gate, loop, gate->courier, ring, &self, props->seeds);
-    gate->trace = trace_new(gate, loop, gate->courier, gate->members, props->name);
+    gate->members = members_new(gate, loop, gate->rpc, ring, &self, props->seeds);
+    gate->trace = trace_new(gate, loop, gate->rpc, gate->members, props->name);
     gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
-                                                               .courier = gate->courier,
+                                                               .rpc = gate->rpc,
                                                                .members = gate->members,
                                                                .keeper = gate->keeper,
                                                                .trace = gate->trace,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    gate->feed = feed_new(gate, loop, gate->courier, forwarder_ways(gate->forwarder), gate->trace);
-    courier_handle(gate->courier, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, gate);
-    courier_handle(gate->courier, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
-    courier_handle(gate->courier, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, gate);
+    gate->feed = feed_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
+    rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, gate);
+    rpc_handle(gate->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
+    rpc_handle(gate->rpc, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
     forwarder_start(gate->forwarder);
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -14,7 +14,7 @@
 /* Invariant: table is never null; self is also a row of it. */
 struct Members {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Ring *ring;
     MemberRecord self;
     const char *seeds[SEEDS];
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -107,7 +107,7 @@
         if (record->incarnation > members->self.incarnation ||
             (record->incarnation == members->self.incarnation && !is_self(members, record)))
             members->self.incarnation = record->incarnation + 1;
-        courier_set_self(members->courier, member_peer(&members->self));
+        rpc_set_self(members->rpc, member_peer(&members->self));
         return;
     }
     bool found;
@@ -118,7 +118,7 @@
             if (members->table->rows[other].record.incarnation >= record->incarnation)
                 return; /* told of one that is gone */
             row_drop(members, other);
-            courier_renew(members->courier, record->address);
+            rpc_renew(members->rpc, record->address);
             at = row_place(members, record->id, &found);
         }
     }
@@ -131,7 +131,7 @@
     if (found && newer(record, &row->record)) {
         row->seen_ms = now_ms;
         if (record->incarnation > row->record.incarnation)
-            courier_renew(members->courier, record->address);
+            rpc_renew(members->rpc, record->address);
         row_write(members, row, record);
     }
     if (direct)
@@ -155,15 +155,15 @@
     }
 }
 
-Members *members_new(void *mem, Loop *loop, Courier *courier, Ring *ring, const MemberRecord *self,
+Members *members_new(void *mem, Loop *loop, Rpc *rpc, Ring *ring, const MemberRecord *self,
                      const char *const seeds[SEEDS])
 {
     Members *members = talloc_zero(mem, Members);
     members->loop = loop;
-    members->courier = courier;
+    members->rpc = rpc;
     members->ring = ring;
     shape_copy(&MemberRecord_shape, self, members, &members->self);
-    courier_set_self(courier, member_peer(&members->self));
+    rpc_set_self(rpc, member_peer(&members->self));
     members->leader_id = talloc_strdup(members, "");
     for (int i = 0; i < SEEDS; i++)
         members->seeds[i] = talloc_strdup(members, seeds[i]);
@@ -280,7 +280,7 @@
 static void hello_fill(Members *members, void *mem, Hello *hello)
 {
     members->self.tick++;
-    members->self.cluster = courier_cluster(members->courier);
+    members->self.cluster = rpc_cluster(members->rpc);
     rows_tend(members);
     const MemberTable *table = members->table;
     shape_copy(&MemberRecord_shape, &members->self, mem, &hello->self);
@@ -296,11 +296,11 @@
 
 static void hello_take(Members *members, const Hello *hello, bool answered)
 {
-    const uint64_t mine = courier_cluster(members->courier);
+    const uint64_t mine = rpc_cluster(members->rpc);
     if (hello->cluster != 0 && mine != 0 && hello->cluster != mine)
         return; /* of another cluster: nothing it says is taken */
     if (mine == 0 && hello->cluster != 0) {
-        courier_set_cluster(members->courier, hello->cluster);
+        rpc_set_cluster(members->rpc, hello->cluster);
         ring_say(members->ring, RING_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64, hello->cluster);
     }
     for (size_t i = 0; i < hello->members_count && hello->members_count <= MEMBERS_MAX; i++)
@@ -314,7 +314,7 @@
 {
     Members *members = arg;
     const Hello *hello = ask;
-    const uint64_t mine = courier_cluster(members->courier);
+    const uint64_t mine = rpc_cluster(members->rpc);
     if (hello->cluster != 0 && mine != 0 && hello->cluster != mine)
         return STATUS_STRANGER;
     hello_take(members, hello, false);
@@ -327,8 +327,8 @@
     void *mem = talloc_new(members);
     Hello ask = {0}, answer = {0};
     hello_fill(members, mem, &ask);
-    if (courier_ask(members->courier, mem, address, MESSAGE_HELLO, &Hello_shape, &ask, ASK_EXPIRY_MS, &Hello_shape,
-                    &answer) == STATUS_OK)
+    if (rpc_ask(members->rpc, mem, address, MESSAGE_HELLO, &Hello_shape, &ask, ASK_EXPIRY_MS, &Hello_shape, &answer) ==
+        STATUS_OK)
         hello_take(members, &answer, true);
     talloc_free(mem);
 }
@@ -437,8 +437,8 @@
 
 void members_start(Members *members)
 {
-    courier_handle(members->courier, MESSAGE_HELLO, &Hello_shape, &Hello_shape, on_hello, members);
-    courier_handle(members->courier, MESSAGE_VOTE, &VoteAsk_shape, &VoteAnswer_shape, vote_asked, members);
+    rpc_handle(members->rpc, MESSAGE_HELLO, &Hello_shape, &Hello_shape, on_hello, members);
+    rpc_handle(members->rpc, MESSAGE_VOTE, &VoteAsk_shape, &VoteAnswer_shape, vote_asked, members);
     for (int i = 0; i < SEEDS; i++) {
         SeedTask *seed = talloc_zero(members, SeedTask);
         *seed = (SeedTask){members, (size_t)i};
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -36,7 +36,7 @@
         vote->back_round = ask->round;
         return true;
     }
-    if (!vote->mine || courier_cluster(members->courier) != 0 || ask->disk == 0 ||
+    if (!vote->mine || rpc_cluster(members->rpc) != 0 || ask->disk == 0 ||
         (ask->disk == vote->back_disk && ask->round <= vote->back_round))
         return false;
     const uint64_t lowest = members_lowest_empty(members);
@@ -81,8 +81,8 @@
     VoteAnswer answer = {0};
     if (strcmp(part->address, members->self.address) == 0)
         answer.granted = vote_take(members, &voting->ask);
-    else if (courier_ask(members->courier, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask,
-                         ASK_EXPIRY_MS, &VoteAnswer_shape, &answer) != STATUS_OK)
+    else if (rpc_ask(members->rpc, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask, ASK_EXPIRY_MS,
+                     &VoteAnswer_shape, &answer) != STATUS_OK)
         answer.granted = false;
     voting->granted += answer.granted;
     voting->pending--;
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -1,5 +1,5 @@
 /* An answer goes to whoever asked, and to nobody else: frames made by hand on one side, a
- * courier on the other. */
+ * RPC endpoint on the other. */
 #include "asker.h"
 
 /* --- one who answers by hand ------------------------------------------------------------- */
@@ -118,7 +118,7 @@
         assert_true(ask->done);
         if (ask->status != ROWS[i].status)
             fail_msg("row %zu: %s", i, status_word(ask->status));
-        assert_int_equal(courier_counts(asker.courier)->other_peers, ROWS[i].status != STATUS_OK);
+        assert_int_equal(rpc_counts(asker.rpc)->other_peers, ROWS[i].status != STATUS_OK);
         talloc_free(mem);
     }
 }
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_ASKER_H
 #define SIM_TEST_ASKER_H
 
-/* One who asks by a courier, and the frames of its questions as they stand on the wire. */
+/* One who asks by an RPC endpoint, and the frames of its questions as they stand on the wire. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -43,21 +43,21 @@
 
 typedef struct Asker {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
 } Asker;
 
 static inline void asker_start(void *arg, Loop *loop)
 {
     Asker *asker = arg;
     asker->loop = loop;
-    asker->courier = courier_new(loop, loop, ring_new(loop, "asker"));
-    courier_set_cluster(asker->courier, CLUSTER);
+    asker->rpc = rpc_new(loop, loop, ring_new(loop, "asker"));
+    rpc_set_cluster(asker->rpc, CLUSTER);
 }
 
 typedef struct Ask {
     Asker *asker;
     PeerLife meant;
-    CourierSending *sending;
+    RpcSending *sending;
     uint64_t number;
     int64_t wait_ms;
     bool done;
@@ -69,8 +69,8 @@
 {
     Ask *ask = arg;
     const Echo echo = {ask->number};
-    ask->status = courier_ask_peer(ask->asker->courier, ask, &(CourierTarget){ADDRESS, ask->meant, ask->sending},
-                                   MESSAGE_KNOW, &Echo_shape, &echo, ask->wait_ms, &Echo_shape, &ask->answer);
+    ask->status = rpc_ask_peer(ask->asker->rpc, ask, &(RpcTarget){ADDRESS, ask->meant, ask->sending}, MESSAGE_KNOW,
+                               &Echo_shape, &echo, ask->wait_ms, &Echo_shape, &ask->answer);
     ask->done = true;
 }
 
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -16,7 +16,7 @@
 SHAPE_TABLE(Echo, ECHO_FIELDS)
 
 typedef struct Seen {
-    Courier *courier[2];
+    Rpc *rpc[2];
     Loop *loop[2];
     char address[ADDRESS_MAX];
     Status status[8];
@@ -38,10 +38,10 @@
 {
     Seen *seen = arg;
     Ring *ring = ring_new(loop, "server");
-    seen->courier[1] = courier_new(loop, loop, ring);
-    courier_set_cluster(seen->courier[1], 7);
-    courier_handle(seen->courier[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, seen);
-    assert_int_equal(courier_listen(seen->courier[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
+    seen->rpc[1] = rpc_new(loop, loop, ring);
+    rpc_set_cluster(seen->rpc[1], 7);
+    rpc_handle(seen->rpc[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, seen);
+    assert_int_equal(rpc_listen(seen->rpc[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
 }
 
 static void ask_one(Seen *seen, int64_t wait_ms)
@@ -51,8 +51,8 @@
     const Echo ask = {41};
     Echo answer = {0};
     const int at = seen->count++;
-    seen->status[at] = courier_ask(seen->courier[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms,
-                                   &Echo_shape, &answer);
+    seen->status[at] =
+        rpc_ask(seen->rpc[0], mem, "10.0.0.2:7000", MESSAGE_KNOW, &Echo_shape, &ask, wait_ms, &Echo_shape, &answer);
     seen->number[at] = answer.number;
     talloc_free(mem);
 }
@@ -68,7 +68,7 @@
     loop_sleep(seen->loop[0], 2000);
     ask_one(seen, 3000); /* 3: server frozen: answered late */
     ask_one(seen, 500);  /* 4: server dead: unreachable */
-    courier_set_cluster(seen->courier[0], 8);
+    rpc_set_cluster(seen->rpc[0], 8);
     loop_sleep(seen->loop[0], 3000);
     ask_one(seen, 500); /* 5: of another cluster: stranger */
 }
@@ -77,8 +77,8 @@
 {
     Seen *seen = arg;
     seen->loop[0] = loop;
-    seen->courier[0] = courier_new(loop, loop, ring_new(loop, "client"));
-    courier_set_cluster(seen->courier[0], 7);
+    seen->rpc[0] = rpc_new(loop, loop, ring_new(loop, "client"));
+    rpc_set_cluster(seen->rpc[0], 7);
     loop_spawn(loop, "client", client_main, seen);
 }
 
@@ -166,7 +166,7 @@
     sim_start(world, other, spoil_start, &spoiler);
     sim_run_until(world, 6000);
     assert_int_equal(spoiler.ended, 6);
-    assert_int_equal(courier_counts(seen.courier[1])->bad_frames, 6);
+    assert_int_equal(rpc_counts(seen.rpc[1])->bad_frames, 6);
     sim_start(world, client, client_start, &seen);
     sim_run_until(world, 7000);
     assert_int_equal(seen.status[0], STATUS_OK);
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -31,7 +31,7 @@
 
 typedef struct Server {
     PeerLife self;
-    Courier *courier;
+    Rpc *rpc;
     Loop *loop;
     uint64_t served, sum;
 } Server;
@@ -55,12 +55,12 @@
     Server *server = arg;
     char bound[ADDRESS_MAX];
     server->loop = loop;
-    server->courier = courier_new(loop, loop, ring_new(loop, "server"));
-    courier_set_cluster(server->courier, CLUSTER);
+    server->rpc = rpc_new(loop, loop, ring_new(loop, "server"));
+    rpc_set_cluster(server->rpc, CLUSTER);
     if (server->self.id != 0)
-        courier_set_self(server->courier, server->self);
-    courier_handle(server->courier, MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, server);
-    assert_int_equal(courier_listen(server->courier, ADDRESS, bound, NULL), STATUS_OK);
+        rpc_set_self(server->rpc, server->self);
+    rpc_handle(server->rpc, MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, server);
+    assert_int_equal(rpc_listen(server->rpc, ADDRESS, bound, NULL), STATUS_OK);
 }
 
 /* An address is used again by another machine, or by the same one after a restart: what
@@ -100,7 +100,7 @@
     }
     /* one that has had to say that it is newer is the same process still */
     const PeerLife born = server.self;
-    courier_set_self(server.courier, peer_life("gate1", 3000));
+    rpc_set_self(server.rpc, peer_life("gate1", 3000));
     ask = begin(&asker, born, 41, 500);
     run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
@@ -128,7 +128,7 @@
     assert_int_equal(second->status, STATUS_OK);
     assert_int_equal(second->answer.number, 1501);
     assert_int_equal(third->answer.number, 8);
-    assert_int_equal(courier_counts(asker.courier)->late_answers, 1);
+    assert_int_equal(rpc_counts(asker.rpc)->late_answers, 1);
     assert_int_equal(first->answer.number, 0);
     talloc_free(mem);
 }
@@ -173,7 +173,7 @@
         SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Server server = {0};
-        CourierSending sending = {0};
+        RpcSending sending = {0};
         const int client = sim_machine(world), machine = sim_machine(world);
         sim_start(world, machine, server_start, &server);
         sim_start(world, client, asker_start, &asker);
@@ -221,8 +221,8 @@
         assert_int_equal(one.answer.call, ROWS[i].question.call);
     }
     assert_int_equal(server.served, 1);
-    assert_int_equal(courier_counts(server.courier)->other_versions, 1);
-    assert_int_equal(courier_counts(server.courier)->strangers, 1);
+    assert_int_equal(rpc_counts(server.rpc)->other_versions, 1);
+    assert_int_equal(rpc_counts(server.rpc)->strangers, 1);
     talloc_free(mem);
 }
 
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -27,7 +27,7 @@
  * Invariant: the last TRACE_EVENTS are held, in order. */
 typedef struct Trace Trace;
 
-Trace *trace_new(void *mem, Loop *loop, Courier *courier, Members *members, const char *node);
+Trace *trace_new(void *mem, Loop *loop, Rpc *rpc, Members *members, const char *node);
 /* Null trace: nothing is done. */
 void trace_say(Trace *trace, TraceStep step, const char *detail, const char *key_format, ...)
     __attribute__((format(printf, 4, 5)));
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -19,7 +19,7 @@
 
 struct Trace {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members;
     const char *node;
     uint64_t count; /* ever said */
@@ -64,14 +64,14 @@
     return STATUS_OK;
 }
 
-Trace *trace_new(void *mem, Loop *loop, Courier *courier, Members *members, const char *node)
+Trace *trace_new(void *mem, Loop *loop, Rpc *rpc, Members *members, const char *node)
 {
     Trace *trace = talloc_zero(mem, Trace);
     trace->loop = loop;
-    trace->courier = courier;
+    trace->rpc = rpc;
     trace->members = members;
     trace->node = talloc_strdup(trace, node);
-    courier_handle(courier, MESSAGE_TRACE, &TraceAsk_shape, &TraceAnswer_shape, on_trace, trace);
+    rpc_handle(rpc, MESSAGE_TRACE, &TraceAsk_shape, &TraceAnswer_shape, on_trace, trace);
     return trace;
 }
 
@@ -143,9 +143,8 @@
     Trace *trace = gathering->trace;
     TraceAnswer answer = {0};
     const int64_t sent_ms = loop_now_ms(trace->loop);
-    const Status status =
-        courier_ask_peer(trace->courier, part, &(CourierTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
-                         &TraceAsk_shape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswer_shape, &answer);
+    const Status status = rpc_ask_peer(trace->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
+                                       &TraceAsk_shape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswer_shape, &answer);
     if (status == STATUS_OK) {
         rows_add(gathering, &answer, (sent_ms + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
     } else {
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -54,7 +54,7 @@
 
 typedef struct ViewProps {
     Loop *loop;
-    Courier *courier;
+    Rpc *rpc;
     Members *members; /* set by view_start */
     Ring *ring;
     ViewState state;
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -258,7 +258,7 @@
         view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_HOLD_MS;
     view->lock.sure = view->props.disks_keep;
     if (view->cluster != 0)
-        courier_set_cluster(view->props.courier, view->cluster);
+        rpc_set_cluster(view->props.rpc, view->cluster);
     return STATUS_OK;
 }
 
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -34,7 +34,7 @@
     const int64_t from_ms = loop_now_ms(view->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loop_stopping(view->loop) && !view_founded(view) && courier_cluster(view->props.courier) == 0) {
+    while (!loop_stopping(view->loop) && !view_founded(view) && rpc_cluster(view->props.rpc) == 0) {
         loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
         if (members_lowest_empty(members) != view->disk) {
@@ -45,7 +45,7 @@
         } else if (loop_now_ms(view->loop) >= from_ms) {
             stands = true;
             const size_t granted = members_votes(members, view->disk, round, false, &seeds);
-            if (granted < seeds / 2 + 1 || courier_cluster(view->props.courier) != 0)
+            if (granted < seeds / 2 + 1 || rpc_cluster(view->props.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
@@ -88,7 +88,7 @@
     View *view = arg;
     const FoundAsk *ask = question;
     (void)mem;
-    const uint64_t known = courier_cluster(view->props.courier);
+    const uint64_t known = rpc_cluster(view->props.rpc);
     Status status = STATUS_STRANGER;
     uint64_t seats[SEAT_FIRST] = {0};
     bool mine = false;
@@ -98,7 +98,7 @@
     }
     if (ask->seats_count == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
         status = found_now(view, ask->cluster, seats, SEAT_FIRST);
-    ((FoundAnswer *)answer)->cluster = courier_cluster(view->props.courier);
+    ((FoundAnswer *)answer)->cluster = rpc_cluster(view->props.rpc);
     return status;
 }
 
@@ -113,8 +113,8 @@
         for (int k = 0; k < SEAT_FIRST; k++)
             ask.seats[k].disk = disks[k];
         FoundAnswer answer = {0};
-        courier_ask(view->props.courier, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND,
-                    &FoundAsk_shape, &ask, ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
+        rpc_ask(view->props.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape, &ask,
+                ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
         talloc_free(mem);
     }
 }
@@ -134,10 +134,10 @@
             if (view_seats(view, disks) != SEAT_FIRST || members_leader_id(view->props.members)[0] != '\0')
                 return;
             if (disks[0] == view_disk(view))
-                offer(view, disks, courier_cluster(view->props.courier));
+                offer(view, disks, rpc_cluster(view->props.rpc));
             continue;
         }
-        if (courier_cluster(view->props.courier) != 0 || !three_empty(view, disks)) {
+        if (rpc_cluster(view->props.rpc) != 0 || !three_empty(view, disks)) {
             since_ms = 0;
             continue;
         }
@@ -163,6 +163,6 @@
         loop_spawn(view->loop, "votes", votes_main, view);
     if (view->props.founds != VIEW_FOUNDS_BY_THREE)
         return;
-    courier_handle(view->props.courier, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
+    rpc_handle(view->props.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
     loop_spawn(view->loop, "found", three_main, view);
 }
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -136,8 +136,8 @@
     const int64_t sent_ms = loop_now_ms(view->loop);
     if (peer->append_since_ms == INT64_MAX)
         peer->append_since_ms = sent_ms;
-    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
-                                      APPEND_EXPIRY_MS, &SeatAnswer_shape, &answer);
+    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
+                                  APPEND_EXPIRY_MS, &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
@@ -235,8 +235,8 @@
     void *mem = talloc_new(view);
     const ProposeAsk ask = {0, view->disk, lead->disk, log_last_epoch(view->log), log_last_index(view->log)};
     SeatAnswer answer = {0};
-    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                      ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+                                  ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
     const bool reached = poll_reached(status);
     if (reached && !lead_peer_over(lead))
         lead_answered(view, lead->slot, &answer);
@@ -252,8 +252,8 @@
         lead->disk,  0};
     const uint64_t contact = view->contact_asked;
     SeatAnswer answer = {0};
-    const Status status = courier_ask(view->props.courier, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
-                                      ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask, ASK_EXPIRY_MS,
+                                  &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
@@ -341,8 +341,8 @@
 {
     Giving *giving = arg;
     SeatAnswer answer = {0};
-    courier_ask(giving->view->props.courier, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
-                ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+    rpc_ask(giving->view->props.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
+            ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
     talloc_free(giving);
 }
 
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -59,8 +59,8 @@
     LogAsk ask = {view->epoch, view->disk, 0, view->delivered_index, view->seats[seat]};
     log_epoch_at(view->log, ask.after_index, &ask.after_epoch);
     LogAnswer answer = {0};
-    Status status = courier_ask(view->props.courier, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask, VIEW_EXPIRY_MS * 4,
-                                &LogAnswer_shape, &answer);
+    Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask, VIEW_EXPIRY_MS * 4,
+                            &LogAnswer_shape, &answer);
     if (status == STATUS_OK && view->epoch != view->lock.promised)
         status = STATUS_OLD_EPOCH;
     if (status == STATUS_OK && answer.whole) {
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -32,8 +32,8 @@
         SeatAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
-        const Status status = courier_ask(view->props.courier, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                          ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+        const Status status = rpc_ask(view->props.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+                                      ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -200,7 +200,7 @@
 {
     Record promise;
     size_t count = 0;
-    if (view->cluster == 0 && courier_cluster(view->props.courier) == 0)
+    if (view->cluster == 0 && rpc_cluster(view->props.rpc) == 0)
         return STATUS_STRANGER;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
@@ -259,7 +259,7 @@
     view->queued_index = log_last_index(view->log);
     view_reread(view);
     if (view->cluster == 0) {
-        view->cluster = courier_cluster(view->props.courier);
+        view->cluster = rpc_cluster(view->props.rpc);
         seats_founded(view, view->list);
         members_set_empty(view->props.members, false);
     }
@@ -380,11 +380,11 @@
 
 void seat_serve(View *view)
 {
-    Courier *courier = view->props.courier;
-    courier_handle(courier, MESSAGE_PROPOSE, &ProposeAsk_shape, &SeatAnswer_shape, on_propose, view);
-    courier_handle(courier, MESSAGE_RENEW, &RenewAsk_shape, &SeatAnswer_shape, on_renew, view);
-    courier_handle(courier, MESSAGE_RELEASE, &RenewAsk_shape, &SeatAnswer_shape, on_release, view);
-    courier_handle(courier, MESSAGE_APPEND, &AppendAsk_shape, &SeatAnswer_shape, on_append, view);
-    courier_handle(courier, MESSAGE_FILL, &FillAsk_shape, &SeatAnswer_shape, on_fill, view);
-    courier_handle(courier, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, view);
+    Rpc *rpc = view->props.rpc;
+    rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &SeatAnswer_shape, on_propose, view);
+    rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &SeatAnswer_shape, on_renew, view);
+    rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &SeatAnswer_shape, on_release, view);
+    rpc_handle(rpc, MESSAGE_APPEND, &AppendAsk_shape, &SeatAnswer_shape, on_append, view);
+    rpc_handle(rpc, MESSAGE_FILL, &FillAsk_shape, &SeatAnswer_shape, on_fill, view);
+    rpc_handle(rpc, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, view);
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -257,7 +257,7 @@
     view->cluster = cluster;
     seats_founded(view, seats);
     view_reread(view);
-    courier_set_cluster(view->props.courier, cluster);
+    rpc_set_cluster(view->props.rpc, cluster);
     members_set_empty(view->props.members, false);
     void *mem = talloc_new(view);
     size_t count;
--- a/packages/wire/src/courier.c
+++ b/packages/wire/src/courier.c
@@ -15,12 +15,12 @@
 #undef X
 };
 
-bool courier_open_kind(uint64_t kind)
+bool rpc_open_kind(uint64_t kind)
 {
     return kind < MESSAGE_MAX && KINDS[kind].open;
 }
 
-bool courier_same_cluster(uint64_t a, uint64_t b)
+bool rpc_same_cluster(uint64_t a, uint64_t b)
 {
     return a == 0 || b == 0 || a == b;
 }
@@ -30,47 +30,47 @@
     return (PeerLife){bytes_crc(id, strlen(id)), life};
 }
 
-void courier_set_self(Courier *courier, PeerLife self)
+void rpc_set_self(Rpc *rpc, PeerLife self)
 {
-    if (courier->self.id == 0)
-        courier->born_life = self.life;
-    courier->self = self;
+    if (rpc->self.id == 0)
+        rpc->born_life = self.life;
+    rpc->self = self;
 }
 
-Courier *courier_new(void *mem, Loop *loop, Ring *ring)
+Rpc *rpc_new(void *mem, Loop *loop, Ring *ring)
 {
-    Courier *courier = talloc_zero(mem, Courier);
-    courier->loop = loop;
-    courier->ring = ring;
-    courier->lines = map_new(courier);
-    return courier;
+    Rpc *rpc = talloc_zero(mem, Rpc);
+    rpc->loop = loop;
+    rpc->ring = ring;
+    rpc->lines = map_new(rpc);
+    return rpc;
 }
 
-void courier_set_cluster(Courier *courier, uint64_t cluster)
+void rpc_set_cluster(Rpc *rpc, uint64_t cluster)
 {
-    courier->cluster = cluster;
+    rpc->cluster = cluster;
 }
 
-uint64_t courier_cluster(const Courier *courier)
+uint64_t rpc_cluster(const Rpc *rpc)
 {
-    return courier->cluster;
+    return rpc->cluster;
 }
 
-const CourierCounts *courier_counts(const Courier *courier)
+const RpcCounts *rpc_counts(const Rpc *rpc)
 {
-    return &courier->counts;
+    return &rpc->counts;
 }
 
-void courier_handle(Courier *courier, MessageKind kind, const Shape *ask, const Shape *answer, CourierFn fn, void *arg)
+void rpc_handle(Rpc *rpc, MessageKind kind, const Shape *ask, const Shape *answer, RpcFn fn, void *arg)
 {
-    courier->handlers[kind] = (Handler){ask, answer, fn, arg};
+    rpc->handlers[kind] = (Handler){ask, answer, fn, arg};
 }
 
 /* --- serving ---------------------------------------------------------------- */
 
 /* A connection served; freed when its reader and all its questions have ended. */
 typedef struct Served {
-    Courier *courier;
+    Rpc *rpc;
     Channel *channel;
     size_t users;
 } Served;
@@ -90,26 +90,26 @@
 
 static void answer_send(Served *served, void *mem, const Envelope *question, Status status, Bytes payload)
 {
-    const Courier *courier = served->courier;
+    const Rpc *rpc = served->rpc;
     const Envelope envelope = {.version = WIRE_VERSION,
-                               .cluster = courier->cluster,
+                               .cluster = rpc->cluster,
                                .kind = question->kind,
                                .call = question->call,
                                .answer = true,
                                .status = (uint64_t)status,
                                .payload = payload,
-                               .peer = courier->self.id,
-                               .peer_life = courier->self.life};
+                               .peer = rpc->self.id,
+                               .peer_life = rpc->self.life};
     Bytes frame = {0};
     shape_pack(&Envelope_shape, &envelope, mem, &frame);
     channel_send(served->channel, frame);
 }
 
-void courier_note_refused(Courier *courier, Status status, const char *what, const Envelope *envelope)
+void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope)
 {
-    const uint64_t count = ++courier->refused;
+    const uint64_t count = ++rpc->refused;
     if ((count & (count - 1)) == 0) /* the first, the second, the fourth: the log is not filled by them */
-        ring_say(courier->ring, RING_NOTE, loop_now_ms(courier->loop),
+        ring_say(rpc->ring, RING_NOTE, loop_now_ms(rpc->loop),
                  "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
                  " so far",
                  what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
@@ -117,46 +117,46 @@
 
 /* Whether a question is one for this process: of its version, its cluster, and meant for
  * it in its present life. One that is not is refused, and certainly not carried out. */
-static Status question_check(Courier *courier, const Envelope *envelope)
+static Status question_check(Rpc *rpc, const Envelope *envelope)
 {
-    const PeerLife *self = &courier->self;
+    const PeerLife *self = &rpc->self;
     if (envelope->version != WIRE_VERSION) {
-        courier->counts.other_versions++;
+        rpc->counts.other_versions++;
         return STATUS_OTHER_VERSION;
     }
-    if (!courier_same_cluster(envelope->cluster, courier->cluster) ||
-        ((envelope->cluster == 0 || courier->cluster == 0) && !courier_open_kind(envelope->kind))) {
-        courier->counts.strangers++;
+    if (!rpc_same_cluster(envelope->cluster, rpc->cluster) ||
+        ((envelope->cluster == 0 || rpc->cluster == 0) && !rpc_open_kind(envelope->kind))) {
+        rpc->counts.strangers++;
         return STATUS_STRANGER;
     }
     if (envelope->peer == 0 || self->id == 0)
         return STATUS_OK; /* whoever stands here was asked, or by an earlier release */
     if (envelope->peer != self->id) {
-        courier->counts.other_peers++;
+        rpc->counts.other_peers++;
         return STATUS_OTHER_PEER;
     }
-    if (envelope->peer_life != self->life && envelope->peer_life != courier->born_life) {
-        courier->counts.other_lives++;
+    if (envelope->peer_life != self->life && envelope->peer_life != rpc->born_life) {
+        rpc->counts.other_lives++;
         return STATUS_OTHER_LIFE;
     }
     return STATUS_OK;
 }
 
-static void note_bad(Courier *courier, const char *text)
+static void note_bad(Rpc *rpc, const char *text)
 {
-    courier->counts.bad_frames++;
-    ring_say(courier->ring, RING_NOTE, loop_now_ms(courier->loop), "bad frame, connection ended: %s", text);
+    rpc->counts.bad_frames++;
+    ring_say(rpc->ring, RING_NOTE, loop_now_ms(rpc->loop), "bad frame, connection ended: %s", text);
 }
 
 static Status question_serve(Question *question, Bytes *payload)
 {
     Served *served = question->served;
-    Courier *courier = served->courier;
+    Rpc *rpc = served->rpc;
     const Envelope *envelope = &question->envelope;
-    const Handler *handler = &courier->handlers[envelope->kind];
-    Status status = question_check(courier, envelope);
+    const Handler *handler = &rpc->handlers[envelope->kind];
+    Status status = question_check(rpc, envelope);
     if (status != STATUS_OK) {
-        courier_note_refused(courier, status, "a question", envelope);
+        rpc_note_refused(rpc, status, "a question", envelope);
         return status;
     }
     void *ask = talloc_zero_size(question, handler->ask->size);
@@ -164,13 +164,13 @@
     Failure failure = {0};
     status = shape_unpack(handler->ask, envelope->payload, question, ask, &failure);
     if (status != STATUS_OK) {
-        note_bad(courier, failure.text);
+        note_bad(rpc, failure.text);
         channel_shut(served->channel);
         return status;
     }
     status = handler->fn(handler->arg, question, ask, answer);
     shape_pack(handler->answer, answer, question, payload);
-    courier->counts.served++;
+    rpc->counts.served++;
     return status;
 }
 
@@ -188,17 +188,17 @@
 /* Takes a frame as a question; false: the connection is to end. */
 static bool question_read(Served *served, Question *question, Bytes frame)
 {
-    Courier *courier = served->courier;
+    Rpc *rpc = served->rpc;
     Envelope *envelope = &question->envelope;
     Failure failure = {0};
     if (shape_unpack(&Envelope_shape, frame, question, envelope, &failure) != STATUS_OK || envelope->answer) {
-        note_bad(courier, envelope->answer ? "an answer where a question belongs" : failure.text);
+        note_bad(rpc, envelope->answer ? "an answer where a question belongs" : failure.text);
         return false;
     }
-    if (envelope->kind >= MESSAGE_MAX || courier->handlers[envelope->kind].fn == NULL) {
+    if (envelope->kind >= MESSAGE_MAX || rpc->handlers[envelope->kind].fn == NULL) {
         /* of a later release, or meant for another role: certainly not carried out */
         answer_send(served, question, envelope, STATUS_UNKNOWN_QUESTION, (Bytes){0});
-        note_bad(courier, "a question that is not known here");
+        note_bad(rpc, "a question that is not known here");
         return false;
     }
     return true;
@@ -206,11 +206,11 @@
 
 static void serve(void *arg, Channel *channel)
 {
-    Courier *courier = arg;
-    Served *served = talloc_zero(courier, Served);
-    *served = (Served){courier, channel, 1};
+    Rpc *rpc = arg;
+    Served *served = talloc_zero(rpc, Served);
+    *served = (Served){rpc, channel, 1};
     for (;;) {
-        Question *question = talloc_zero(courier, Question);
+        Question *question = talloc_zero(rpc, Question);
         Bytes frame;
         if (channel_receive(channel, question, INT64_MAX, &frame) != STATUS_OK ||
             !question_read(served, question, frame)) {
@@ -219,13 +219,13 @@
         }
         question->served = served;
         served->users++;
-        loop_spawn(courier->loop, "question", question_main, question);
+        loop_spawn(rpc->loop, "question", question_main, question);
     }
     channel_shut(channel);
     served_leave(served);
 }
 
-Status courier_listen(Courier *courier, const char *address, char bound[ADDRESS_MAX], Failure *failure)
+Status rpc_listen(Rpc *rpc, const char *address, char bound[ADDRESS_MAX], Failure *failure)
 {
-    return loop_listen(courier->loop, address, serve, courier, bound, failure);
+    return loop_listen(rpc->loop, address, serve, rpc, bound, failure);
 }
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -1,18 +1,18 @@
 #ifndef WIRE_SRC_INSIDE_H
 #define WIRE_SRC_INSIDE_H
 
-/* Shared by the two halves of the courier: the one that serves and the one that asks. */
+/* Shared by the two halves of the RPC endpoint: the one that serves and the one that asks. */
 #include "base/map.h"
 #include "envelope.h"
 #include "wire/courier.h"
 
 typedef struct Handler {
     const Shape *ask, *answer;
-    CourierFn fn;
+    RpcFn fn;
     void *arg;
 } Handler;
 
-struct Courier {
+struct Rpc {
     Loop *loop;
     Ring *ring;
     uint64_t cluster;
@@ -22,15 +22,15 @@
     uint64_t last_call; /* never used again in this process's life, on whatever line */
     Map *lines;
     Handler handlers[MESSAGE_MAX];
-    CourierCounts counts;
+    RpcCounts counts;
 };
 
 /* Whether a question of this kind may be asked and answered before a cluster is known. */
-bool courier_open_kind(uint64_t kind);
+bool rpc_open_kind(uint64_t kind);
 /* Whether two clusters, as far as they are known, are one. */
-bool courier_same_cluster(uint64_t a, uint64_t b);
+bool rpc_same_cluster(uint64_t a, uint64_t b);
 
 /* Tells the log of a frame that is not taken. */
-void courier_note_refused(Courier *courier, Status status, const char *what, const Envelope *envelope);
+void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope);
 
 #endif
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -24,7 +24,7 @@
  * Invariant: while channel is non-null a reading task serves it; misses counts
  * questions in a row that expired. */
 typedef struct Line {
-    Courier *courier;
+    Rpc *rpc;
     const char *address;
     Channel *channel;
     bool opening;
@@ -49,7 +49,7 @@
     asking_take(line, asking->call);
     asking->done = true;
     asking->status = status;
-    signal_raise(line->courier->loop, &asking->answered);
+    signal_raise(line->rpc->loop, &asking->answered);
 }
 
 /* Whether an answer is that of the process that was asked, as far as both say who it is. */
@@ -61,19 +61,19 @@
 
 /* How the answer to a question that is on the line is to be taken. A refusal by another
  * process, cluster or life is one as well: it says that nothing was carried out. */
-static Status answer_check(Courier *courier, const Asking *asking, const Envelope *envelope)
+static Status answer_check(Rpc *rpc, const Asking *asking, const Envelope *envelope)
 {
     const Status status = envelope->status < STATUS_COUNT ? (Status)envelope->status : STATUS_INTERNAL;
     if (envelope->version != WIRE_VERSION) {
-        courier->counts.other_versions++;
+        rpc->counts.other_versions++;
         return STATUS_OTHER_VERSION;
     }
-    if (!courier_same_cluster(envelope->cluster, courier->cluster)) {
-        courier->counts.strangers++;
+    if (!rpc_same_cluster(envelope->cluster, rpc->cluster)) {
+        rpc->counts.strangers++;
         return STATUS_STRANGER;
     }
     if (!from_meant(asking, envelope)) {
-        courier->counts.other_peers++;
+        rpc->counts.other_peers++;
         return status != STATUS_OK ? status : STATUS_CLOSED; /* whoever it is may have carried it out */
     }
     return status;
@@ -83,29 +83,29 @@
  * trusted. An answer to a question that was given up goes to nobody. */
 static bool answer_take(Line *line, Bytes frame, void *mem)
 {
-    Courier *courier = line->courier;
+    Rpc *rpc = line->rpc;
     Envelope envelope = {0};
     if (shape_unpack(&Envelope_shape, frame, mem, &envelope, NULL) != STATUS_OK || !envelope.answer) {
-        courier->counts.bad_frames++;
+        rpc->counts.bad_frames++;
         return false;
     }
     Asking *asking = asking_take(line, envelope.call);
     if (asking == NULL) {
-        courier->counts.late_answers++;
+        rpc->counts.late_answers++;
         return true;
     }
     if (envelope.kind != asking->kind) {
-        courier->counts.other_kinds++;
-        courier_note_refused(courier, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
+        rpc->counts.other_kinds++;
+        rpc_note_refused(rpc, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
         asking_end(line, asking, STATUS_CLOSED);
         return false;
     }
-    const Status status = answer_check(courier, asking, &envelope);
+    const Status status = answer_check(rpc, asking, &envelope);
     if (status == (Status)envelope.status) {
         asking->payload = envelope.payload;
         talloc_steal(asking->mem, envelope.payload.data);
     } else {
-        courier_note_refused(courier, status, "an answer", &envelope);
+        rpc_note_refused(rpc, status, "an answer", &envelope);
     }
     asking_end(line, asking, status);
     return true;
@@ -114,10 +114,10 @@
 static void line_main(void *arg)
 {
     Line *line = arg;
-    Courier *courier = line->courier;
+    Rpc *rpc = line->rpc;
     Channel *channel = line->channel;
     for (bool good = true; good;) {
-        void *mem = talloc_new(courier);
+        void *mem = talloc_new(rpc);
         Bytes frame;
         good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answer_take(line, frame, mem);
         talloc_free(mem);
@@ -131,58 +131,58 @@
     channel_close(channel);
 }
 
-void courier_renew(Courier *courier, const char *address)
+void rpc_renew(Rpc *rpc, const char *address)
 {
-    const Line *line = map_get(courier->lines, address);
+    const Line *line = map_get(rpc->lines, address);
     if (line == NULL || line->channel == NULL)
         return;
     /* questions of its present life are answered or under way; one that waits for long went to the last */
     for (const Asking *asking = line->asking; asking != NULL; asking = asking->next)
-        if (loop_now_ms(courier->loop) - asking->sent_ms >= LINE_SILENT_MS) {
+        if (loop_now_ms(rpc->loop) - asking->sent_ms >= LINE_SILENT_MS) {
             channel_shut(line->channel);
             return;
         }
 }
 
 /* Waits until the line has a channel; null when the peer can't be reached. */
-static Line *line_ready(Courier *courier, const char *address, int64_t until_ms)
+static Line *line_ready(Rpc *rpc, const char *address, int64_t until_ms)
 {
-    Line *line = map_get(courier->lines, address);
+    Line *line = map_get(rpc->lines, address);
     if (line == NULL) {
-        line = talloc_zero(courier, Line);
-        line->courier = courier;
+        line = talloc_zero(rpc, Line);
+        line->rpc = rpc;
         line->address = talloc_strdup(line, address);
-        map_set(courier->lines, address, line);
+        map_set(rpc->lines, address, line);
     }
     while (line->channel == NULL && line->opening)
-        if (!signal_wait(courier->loop, &line->opened, until_ms))
+        if (!signal_wait(rpc->loop, &line->opened, until_ms))
             return NULL;
     if (line->channel != NULL)
         return line;
-    int64_t wait_ms = until_ms - loop_now_ms(courier->loop);
+    int64_t wait_ms = until_ms - loop_now_ms(rpc->loop);
     if (wait_ms <= 0)
         return NULL;
     if (wait_ms > CONNECT_EXPIRY_MS)
         wait_ms = CONNECT_EXPIRY_MS;
     line->opening = true;
     Channel *channel;
-    const Status status = loop_open(courier->loop, line, address, wait_ms, &channel);
+    const Status status = loop_open(rpc->loop, line, address, wait_ms, &channel);
     line->opening = false;
     if (status == STATUS_OK) {
         line->channel = channel;
-        courier->counts.lines_opened++;
-        loop_spawn(courier->loop, "line", line_main, line);
+        rpc->counts.lines_opened++;
+        loop_spawn(rpc->loop, "line", line_main, line);
     }
-    signal_raise(courier->loop, &line->opened);
+    signal_raise(rpc->loop, &line->opened);
     return line->channel != NULL ? line : NULL;
 }
 
 /* Puts the question on the line. */
 static Status asking_send(Line *line, Asking *asking, const Shape *ask_shape, const void *ask)
 {
-    Courier *courier = line->courier;
+    Rpc *rpc = line->rpc;
     Envelope envelope = {.version = WIRE_VERSION,
-                         .cluster = courier->cluster,
+                         .cluster = rpc->cluster,
                          .kind = asking->kind,
                          .call = asking->call,
                          .peer = asking->meant.id,
@@ -202,35 +202,34 @@
 /* The answer as it came; the status is the peer's own, or why it is not taken. */
 static Status answer_read(Line *line, const Asking *asking, void *mem, const Shape *answer_shape, void *answer)
 {
-    Courier *courier = line->courier;
+    Rpc *rpc = line->rpc;
     if (asking->payload.count > 0 || (asking->status != STATUS_CLOSED && asking->status != STATUS_UNREACHABLE)) {
         line->misses = 0;
-        courier->counts.answered++;
+        rpc->counts.answered++;
     }
     if (asking->payload.count == 0)
         return asking->status == STATUS_OK ? STATUS_BAD_FRAME : asking->status;
     const Status unpacked = shape_unpack(answer_shape, asking->payload, mem, answer, NULL);
     if (unpacked == STATUS_OK)
         return asking->status;
-    courier->counts.bad_frames++;
+    rpc->counts.bad_frames++;
     return unpacked;
 }
 
-Status courier_ask_peer(Courier *courier, void *mem, const CourierTarget *target, MessageKind kind,
-                        const Shape *ask_shape, const void *ask, int64_t wait_ms, const Shape *answer_shape,
-                        void *answer)
+Status rpc_ask_peer(Rpc *rpc, void *mem, const RpcTarget *target, MessageKind kind, const Shape *ask_shape,
+                    const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer)
 {
-    const int64_t until_ms = loop_now_ms(courier->loop) + wait_ms;
-    courier->counts.asked++;
-    Line *line = line_ready(courier, target->address, until_ms);
+    const int64_t until_ms = loop_now_ms(rpc->loop) + wait_ms;
+    rpc->counts.asked++;
+    Line *line = line_ready(rpc, target->address, until_ms);
     if (line == NULL || (target->sending != NULL && target->sending->cancelled))
         return STATUS_UNREACHABLE;
     void *scratch = talloc_new(mem);
     Asking *asking = talloc_zero(scratch, Asking);
-    *asking = (Asking){.call = ++courier->last_call,
+    *asking = (Asking){.call = ++rpc->last_call,
                        .kind = kind,
                        .meant = target->meant,
-                       .sent_ms = loop_now_ms(courier->loop),
+                       .sent_ms = loop_now_ms(rpc->loop),
                        .mem = scratch};
     Status status = asking_send(line, asking, ask_shape, ask);
     if (status != STATUS_OK) {
@@ -240,11 +239,11 @@
     if (target->sending != NULL)
         target->sending->sent = true;
     while (!asking->done)
-        if (!signal_wait(courier->loop, &asking->answered, until_ms))
+        if (!signal_wait(rpc->loop, &asking->answered, until_ms))
             break;
     if (!asking->done) {
         asking_take(line, asking->call);
-        courier->counts.expired++;
+        rpc->counts.expired++;
         /* a line that has gone quiet may be a dead connection: open it anew */
         if (++line->misses >= LINE_MISSES && line->channel != NULL)
             channel_shut(line->channel);
@@ -256,9 +255,9 @@
     return status;
 }
 
-Status courier_ask(Courier *courier, void *mem, const char *address, MessageKind kind, const Shape *ask_shape,
-                   const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer)
+Status rpc_ask(Rpc *rpc, void *mem, const char *address, MessageKind kind, const Shape *ask_shape, const void *ask,
+               int64_t wait_ms, const Shape *answer_shape, void *answer)
 {
-    return courier_ask_peer(courier, mem, &(CourierTarget){.address = address}, kind, ask_shape, ask, wait_ms,
-                            answer_shape, answer);
+    return rpc_ask_peer(rpc, mem, &(RpcTarget){.address = address}, kind, ask_shape, ask, wait_ms, answer_shape,
+                        answer);
 }
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -31,10 +31,10 @@
     ("packages/view/include/view/messages.h", "VIEW_RECORD_FIELDS", "X(U64, added_later, 0)"),
     ("packages/table/include/table/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
 ]
-NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = courier_ask_peer\(",
+NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = rpc_ask_peer\(",
              "\n    /* a message that the release before does not know */\n"
-             "    courier_ask(agent->courier, beat, beat->address, (MessageKind)250, &BeatAsk_shape, &ask, 50, &BeatAnswer_shape, &answer);\n"
-             "    const Status status = courier_ask_peer(")
+             "    rpc_ask(agent->rpc, beat, beat->address, (MessageKind)250, &BeatAsk_shape, &ask, 50, &BeatAnswer_shape, &answer);\n"
+             "    const Status status = rpc_ask_peer(")
 
 
 def edited(root, path, pattern, instead):
