--- a/examples/counter.c
+++ b/examples/counter.c
@@ -20,7 +20,7 @@
 
 typedef struct Counter {
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     const char *name, *listen, *folder;
     const char *seeds[SEEDS];
     Rpc *rpc;
@@ -140,8 +140,8 @@
     Failure failure = {0};
     char address[ADDRESS_MAX];
     const ViewProps props = {.loop = counter->loop,
-                             .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->ring),
-                             .ring = counter->ring,
+                             .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
+                             .recorder = counter->recorder,
                              .state = {counter, deliver, save, load},
                              .opened = on_opened,
                              .opened_arg = counter,
@@ -165,7 +165,7 @@
                                .incarnation = (uint64_t)loop_wall_ms(counter->loop),
                                .disk = view_disk(counter->view),
                                .empty = !view_founded(counter->view)};
-    counter->members = members_new(counter, counter->loop, counter->rpc, counter->ring, &self, counter->seeds);
+    counter->members = members_new(counter, counter->loop, counter->rpc, counter->recorder, &self, counter->seeds);
     view_start(counter->view, counter->members);
     rpc_handle(counter->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
     members_start(counter->members);
@@ -200,7 +200,7 @@
             return 2;
         }
     counter->loop = real_loop_new(mem);
-    counter->ring = ring_new(mem, counter->name);
+    counter->recorder = recorder_new(mem, counter->name);
     loop_spawn(counter->loop, "start", start_main, counter);
     real_loop_run(counter->loop, term_main, counter);
     return 0;
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -42,7 +42,7 @@
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
-        show_ring(task, agent->ring);
+        show_recorder(task, agent->recorder);
         return;
     }
     static const char BEFORE[] = "/v1/workers/", AFTER[] = "/report";
@@ -61,11 +61,11 @@
         talloc_strndup(task, task->path + sizeof(BEFORE) - 1, length - (sizeof(BEFORE) - 1) - (sizeof(AFTER) - 1)));
 }
 
-Status agent_start(void *mem, Loop *loop, Ring *ring, const Props *props, Agent **out, Failure *failure)
+Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Agent **out, Failure *failure)
 {
     Agent *agent = talloc_zero(mem, Agent);
     agent->loop = loop;
-    agent->ring = ring;
+    agent->recorder = recorder;
     agent->props = props;
     agent->worker_name = props->worker != NULL ? props->worker : props->name;
     agent->incarnation = (uint64_t)loop_wall_ms(loop);
@@ -73,7 +73,7 @@
     agent->worker_mem = talloc_new(agent);
     const Worker unheard = {.name = agent->worker_name, .zone = props->zone, .rack = "", .kind = ""};
     shape_copy(&Worker_shape, &unheard, agent->worker_mem, &agent->worker);
-    agent->rpc = rpc_new(agent, loop, ring);
+    agent->rpc = rpc_new(agent, loop, recorder);
     Status status = rpc_listen(agent->rpc, props->listen, agent->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, agent, agent->http, failure);
@@ -86,7 +86,7 @@
                                .address = agent->address,
                                .http = agent->http,
                                .incarnation = agent->incarnation};
-    agent->members = members_new(agent, loop, agent->rpc, ring, &self, props->seeds);
+    agent->members = members_new(agent, loop, agent->rpc, recorder, &self, props->seeds);
     agent->trace = trace_new(agent, loop, agent->rpc, agent->members, props->name);
     rounds_init(agent);
     beat_start(agent);
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -120,8 +120,8 @@
     /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
     if (asking->all && seats_answered(asking) && hold_runs(&agent->hold, loop_now_ms(agent->loop))) {
         if (!agent->alone)
-            ring_say(agent->ring, RING_ALERT, loop_now_ms(agent->loop),
-                     "no lock holder, and every member knows none: goes on while all see each other");
+            recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
+                           "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
         if (sent_ms + hold_ms > agent->hold.until_ms)
             agent->hold.until_ms = sent_ms + hold_ms;
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -100,8 +100,8 @@
 static void answer_take(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
     if (!hold_answered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)) {
-        ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "a beat was answered under old epoch %" PRIu64,
-                 epoch_counter(answer->epoch));
+        recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
+                       "a beat was answered under old epoch %" PRIu64, epoch_counter(answer->epoch));
         return;
     }
     agent->alone = false;
@@ -136,7 +136,8 @@
     if (status == STATUS_OK)
         answer_take(agent, beat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
-        ring_say(agent->ring, RING_ALERT, now_ms, "another agent beats for worker %s", agent->worker_name);
+        recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "another agent beats for worker %s",
+                       agent->worker_name);
     agent->beats--;
     if (agent->beat == beat) {
         agent->beat = NULL;
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -22,7 +22,7 @@
  *  - boots holds the boots known to be over; the present one is none of them. */
 struct Agent {
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     const Props *props;
     const char *worker_name;
     Rpc *rpc;
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -17,7 +17,7 @@
 {
     const bool runs = hold_runs(&agent->hold, now_ms);
     if (*ran && !runs) {
-        ring_say(agent->ring, RING_ALERT, now_ms, "the hold has lapsed: all rounds stop");
+        recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "the hold has lapsed: all rounds stop");
         rounds_stop(agent);
     }
     *ran = runs;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -47,8 +47,8 @@
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
         /* another process of this name: unless the old one is known to be over, its hold must lapse first */
         if (!report->boot_ends && loop_now_ms(agent->loop) < agent->worker_until_ms) {
-            ring_say(agent->ring, RING_NOTE, loop_now_ms(agent->loop), "worker %s asks as a second process",
-                     agent->worker_name);
+            recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
+                           "worker %s asks as a second process", agent->worker_name);
             return STATUS_DUPLICATE_WORKER;
         }
         boot_end(agent, report->boot_ends, "the worker's process was replaced");
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -96,10 +96,10 @@
 static void boss_start(void *arg, Loop *loop)
 {
     Boss *boss = arg;
-    Ring *ring = ring_new(loop, boss->id);
-    ring_quiet(ring);
+    Recorder *recorder = recorder_new(loop, boss->id);
+    recorder_quiet(recorder);
     boss->loop = loop;
-    boss->rpc = rpc_new(loop, loop, ring);
+    boss->rpc = rpc_new(loop, loop, recorder);
     rpc_set_cluster(boss->rpc, 7);
     rpc_handle(boss->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, boss);
     rpc_handle(boss->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
@@ -113,7 +113,7 @@
                                .http = "",
                                .incarnation = 1};
     const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
-    boss->members = members_new(loop, loop, boss->rpc, ring, &self, seeds);
+    boss->members = members_new(loop, loop, boss->rpc, recorder, &self, seeds);
     members_start(boss->members);
     if (boss->epoch != 0)
         members_set_leader(boss->members, boss->epoch, boss->id);
@@ -123,10 +123,10 @@
 {
     Case *c = arg;
     Loop *loop = sim_loop(c->world, c->agent_machine);
-    Ring *ring = ring_new(loop, "agent");
-    ring_quiet(ring);
+    Recorder *recorder = recorder_new(loop, "agent");
+    recorder_quiet(recorder);
     Failure failure = {0};
-    assert_int_equal(agent_start(loop, loop, ring, &c->props, &c->agent, &failure), STATUS_OK);
+    assert_int_equal(agent_start(loop, loop, recorder, &c->props, &c->agent, &failure), STATUS_OK);
 }
 
 static void agent_begin(void *arg, Loop *loop)
--- a/packages/api/include/api/show.h
+++ b/packages/api/include/api/show.h
@@ -24,7 +24,7 @@
 /* Whether callers should come to this process. */
 void show_ready(HttpTask *task, bool ready, bool leaving);
 /* The log ring of this process, as text. */
-void show_ring(HttpTask *task, const Ring *ring);
+void show_recorder(HttpTask *task, const Recorder *recorder);
 /* One line for a scraper: spancart_NAME VALUE. */
 void show_metric(HttpTask *task, const char *name, int64_t value);
 /* Makes the result a page of metrics; lines are added by show_metric. */
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -193,12 +193,12 @@
     show_result(task, 200, body);
 }
 
-void show_ring(HttpTask *task, const Ring *ring)
+void show_recorder(HttpTask *task, const Recorder *recorder)
 {
     task->code = 200;
     task->kind = "text/plain";
     task->result = (Bytes){0};
-    const char *text = ring_text(ring, task);
+    const char *text = recorder_text(recorder, task);
     bytes_add(task, &task->result, text, strlen(text));
 }
 
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -270,20 +270,21 @@
 #define CHANNEL_QUEUE_FRAMES 4096              /* count; more unread than this ends the connection */
 #define HTTP_BODY_MAX (2 * 1024 * 1024)        /* bytes */
 #define HTTP_HEAD_MAX (32 * 1024) /* bytes; of a request, with its path: far more than any caller of ours sends */
-#define HTTP_HEAD_MS 5000     /* ms; a head that has begun is whole within this: callers stand in the same network */
-#define HTTP_IDLE_MS 60000    /* ms; a caller's connection without a request is closed after this */
-#define HTTP_TASKS_MAX 2048   /* count; requests in work in one process; more are told to come back */
-#define TRACE_EVENTS 2048     /* count; steps of changes that a node remembers: minutes at today's loads */
-#define RING_LINES 256        /* count; the log ring */
-#define RING_LINE_BYTES 200   /* bytes */
-#define RING_NOTES_AT_ONCE 20 /* count; notes that are written together, so that a change of leader is told whole */
-#define RING_NOTE_GAP_MS 500  /* ms; after those, one note is written for each: a line costs processor time */
-#define RETRY_AFTER_S 1       /* s; told with a 503: another entry point, or the same in a moment, will do */
-#define RETRY_ELECTION_S 2    /* s; ... when no leader serves: one is found again in 2 to 3 s */
-#define RETRY_CROWD_S 5       /* s; ... when too much waits: some of it has run by then */
-#define DRAIN_MS 3000         /* ms; SIGTERM: not ready at once, gone after this at the latest */
-#define DRAIN_MARGIN_MS 100   /* ms; ... less this, to end in */
-#define DRAIN_LOOK_MS 10      /* ms; whether the last request has been answered */
+#define HTTP_HEAD_MS 5000       /* ms; a head that has begun is whole within this: callers stand in the same network */
+#define HTTP_IDLE_MS 60000      /* ms; a caller's connection without a request is closed after this */
+#define HTTP_TASKS_MAX 2048     /* count; requests in work in one process; more are told to come back */
+#define TRACE_EVENTS 2048       /* count; steps of changes that a node remembers: minutes at today's loads */
+#define RECORDER_LINES 256      /* count; the log ring */
+#define RECORDER_LINE_BYTES 200 /* bytes */
+#define RECORDER_NOTES_AT_ONCE 20 /* count; notes that are written together, so that a change of leader is told whole \
+                                   */
+#define RECORDER_NOTE_GAP_MS 500  /* ms; after those, one note is written for each: a line costs processor time */
+#define RETRY_AFTER_S 1           /* s; told with a 503: another entry point, or the same in a moment, will do */
+#define RETRY_ELECTION_S 2        /* s; ... when no leader serves: one is found again in 2 to 3 s */
+#define RETRY_CROWD_S 5           /* s; ... when too much waits: some of it has run by then */
+#define DRAIN_MS 3000             /* ms; SIGTERM: not ready at once, gone after this at the latest */
+#define DRAIN_MARGIN_MS 100       /* ms; ... less this, to end in */
+#define DRAIN_LOOK_MS 10          /* ms; whether the last request has been answered */
 
 /* --- formats ------------------------------------------------------------------ */
 #define WIRE_VERSION 1    /* the version of frames; peers ignore trailing fields they do not know */
--- a/packages/base/test/ring.c
+++ b/packages/base/test/ring.c
@@ -15,7 +15,7 @@
 #define LINES_MOST 1000
 
 typedef struct Line {
-    char message[RING_LINE_BYTES * 2], node[16], level[16], at_ms[24], term[24], index[24];
+    char message[RECORDER_LINE_BYTES * 2], node[16], level[16], at_ms[24], term[24], index[24];
 } Line;
 
 typedef struct Written {
@@ -51,10 +51,10 @@
     return G_LOG_WRITER_HANDLED;
 }
 
-static RingPlace place_seven(void *arg)
+static RecorderPlace place_seven(void *arg)
 {
     (void)arg;
-    return (RingPlace){.term = 7, .index = 4001};
+    return (RecorderPlace){.term = 7, .index = 4001};
 }
 
 /* The lines written since the last time it was asked. */
@@ -68,9 +68,9 @@
 static void told_with_its_fields(void **state)
 {
     Written *written = written_new(state);
-    Ring *ring = ring_new(NULL, "one");
-    ring_set_place(ring, place_seven, NULL);
-    ring_say(ring, RING_NOTE, 1500, "leads with %d", 3);
+    Recorder *recorder = recorder_new(NULL, "one");
+    recorder_set_place(recorder, place_seven, NULL);
+    recorder_write(recorder, RECORDER_NOTE, 1500, "leads with %d", 3);
     assert_int_equal(written->count, 1);
     const Line *line = &written->lines[0];
     assert_string_equal(line->node, "one");
@@ -79,69 +79,69 @@
     assert_string_equal(line->term, "7");
     assert_string_equal(line->index, "4001");
     assert_string_equal(line->message, "one 1500 note term=7 index=4001 leads with 3");
-    talloc_free(ring);
+    talloc_free(recorder);
 }
 
 static void without_a_place(void **state)
 {
     Written *written = written_new(state);
-    Ring *ring = ring_new(NULL, "gate");
-    ring_say(ring, RING_ALERT, 2, "lost");
+    Recorder *recorder = recorder_new(NULL, "gate");
+    recorder_write(recorder, RECORDER_ALERT, 2, "lost");
     assert_int_equal(written->count, 1);
     assert_string_equal(written->lines[0].term, "0");
     assert_string_equal(written->lines[0].message, "gate 2 alert lost");
-    talloc_free(ring);
+    talloc_free(recorder);
 }
 
 static void notes_are_bounded(void **state)
 {
     Written *written = written_new(state);
-    Ring *ring = ring_new(NULL, "one");
+    Recorder *recorder = recorder_new(NULL, "one");
     for (int i = 0; i < 100; i++)
-        ring_say(ring, RING_NOTE, 10, "note %d", i);
-    assert_int_equal(written->count, RING_NOTES_AT_ONCE);
+        recorder_write(recorder, RECORDER_NOTE, 10, "note %d", i);
+    assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE);
     /* one more for each gap, in order */
-    ring_say(ring, RING_NOTE, 10 + 2 * RING_NOTE_GAP_MS, "note 100");
-    assert_int_equal(written->count, RING_NOTES_AT_ONCE + 2);
-    assert_non_null(strstr(written->lines[RING_NOTES_AT_ONCE + 1].message, "note 21"));
+    recorder_write(recorder, RECORDER_NOTE, 10 + 2 * RECORDER_NOTE_GAP_MS, "note 100");
+    assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE + 2);
+    assert_non_null(strstr(written->lines[RECORDER_NOTES_AT_ONCE + 1].message, "note 21"));
     /* an alert doesn't wait, and comes after all that does */
-    ring_say(ring, RING_ALERT, 10 + 2 * RING_NOTE_GAP_MS, "now");
+    recorder_write(recorder, RECORDER_ALERT, 10 + 2 * RECORDER_NOTE_GAP_MS, "now");
     assert_int_equal(written->count, 102);
     assert_non_null(strstr(written->lines[101].message, "alert now"));
-    talloc_free(ring);
+    talloc_free(recorder);
 }
 
 static void what_is_missed_is_counted(void **state)
 {
     Written *written = written_new(state);
-    Ring *ring = ring_new(NULL, "one");
-    for (int i = 0; i < RING_NOTES_AT_ONCE + RING_LINES + 5; i++)
-        ring_say(ring, RING_NOTE, 10, "note %d", i);
-    ring_say(ring, RING_ALERT, 10, "now"); /* overwrites one more */
-    assert_int_equal(written->count, RING_NOTES_AT_ONCE + 1 + RING_LINES);
-    assert_non_null(strstr(written->lines[RING_NOTES_AT_ONCE].message, " 6 lines were not written"));
-    talloc_free(ring);
+    Recorder *recorder = recorder_new(NULL, "one");
+    for (int i = 0; i < RECORDER_NOTES_AT_ONCE + RECORDER_LINES + 5; i++)
+        recorder_write(recorder, RECORDER_NOTE, 10, "note %d", i);
+    recorder_write(recorder, RECORDER_ALERT, 10, "now"); /* overwrites one more */
+    assert_int_equal(written->count, RECORDER_NOTES_AT_ONCE + 1 + RECORDER_LINES);
+    assert_non_null(strstr(written->lines[RECORDER_NOTES_AT_ONCE].message, " 6 lines were not written"));
+    talloc_free(recorder);
 }
 
 static void level_and_quiet(void **state)
 {
     Written *written = written_new(state);
-    RingLevel level = RING_NOTE;
-    assert_true(ring_level_of_word("alert", &level));
-    assert_int_equal(level, RING_ALERT);
-    assert_false(ring_level_of_word("loud", &level));
-    assert_false(ring_level_of_word("", &level));
-    assert_int_equal(level, RING_ALERT);
-    Ring *ring = ring_new(NULL, "one");
-    ring_set_level(ring, RING_ALERT);
-    ring_say(ring, RING_NOTE, 1, "kept");
+    RecorderLevel level = RECORDER_NOTE;
+    assert_true(recorder_level_of_word("alert", &level));
+    assert_int_equal(level, RECORDER_ALERT);
+    assert_false(recorder_level_of_word("loud", &level));
+    assert_false(recorder_level_of_word("", &level));
+    assert_int_equal(level, RECORDER_ALERT);
+    Recorder *recorder = recorder_new(NULL, "one");
+    recorder_set_level(recorder, RECORDER_ALERT);
+    recorder_write(recorder, RECORDER_NOTE, 1, "kept");
     assert_int_equal(written->count, 0);
-    ring_say(ring, RING_ALERT, 1, "now");
+    recorder_write(recorder, RECORDER_ALERT, 1, "now");
     assert_int_equal(written->count, 2); /* the note says what came before */
-    ring_quiet(ring);
-    ring_say(ring, RING_FATAL, 1, "unheard");
+    recorder_quiet(recorder);
+    recorder_write(recorder, RECORDER_FATAL, 1, "unheard");
     assert_int_equal(written->count, 2);
-    talloc_free(ring);
+    talloc_free(recorder);
 }
 
 int main(void)
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -64,7 +64,7 @@
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
-        show_ring(task, core->ring);
+        show_recorder(task, core->recorder);
         return;
     }
     if (strcmp(task->path, "/v1/trace") == 0) {
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -148,26 +148,26 @@
 }
 
 /* Where in the log the node is, for its lines. */
-static RingPlace place_now(void *arg)
+static RecorderPlace place_now(void *arg)
 {
     const Core *core = arg;
     uint64_t epoch, commit_index;
     view_place(core->view, &epoch, &commit_index);
-    return (RingPlace){.term = epoch_counter(epoch), .index = commit_index};
+    return (RecorderPlace){.term = epoch_counter(epoch), .index = commit_index};
 }
 
-Status core_start(void *mem, Loop *loop, Ring *ring, const Props *props, const CoreWatch *watch, Core **out,
+Status core_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, const CoreWatch *watch, Core **out,
                   Failure *failure)
 {
     Core *core = talloc_zero(mem, Core);
     core->loop = loop;
-    core->ring = ring;
+    core->recorder = recorder;
     core->props = props;
     core->plan_holds = true;
     core->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         core->watch = *watch;
-    core->rpc = rpc_new(core, loop, ring);
+    core->rpc = rpc_new(core, loop, recorder);
     core->table = table_new(core);
     table_watch(core->table, on_delivered, core);
     core->piece_source.mem = core;
@@ -184,7 +184,7 @@
     core->alerts = map_new(core);
     const ViewProps view_props = {.loop = loop,
                                   .rpc = core->rpc,
-                                  .ring = ring,
+                                  .recorder = recorder,
                                   .state = table_state(core->table),
                                   .opened = on_opened,
                                   .opened_arg = core,
@@ -196,7 +196,7 @@
     /* the disk first: its id is part of our name */
     Status status = view_open_disk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
     if (status == STATUS_OK)
-        ring_set_place(ring, place_now, core);
+        recorder_set_place(recorder, place_now, core);
     if (status == STATUS_OK)
         status = rpc_listen(core->rpc, props->listen, core->address, failure);
     if (status == STATUS_OK)
@@ -214,7 +214,7 @@
         .disk = view_disk(core->view),
         .empty = !view_founded(core->view),
     };
-    core->members = members_new(core, loop, core->rpc, ring, &self, props->seeds);
+    core->members = members_new(core, loop, core->rpc, recorder, &self, props->seeds);
     core->trace = trace_new(core, loop, core->rpc, core->members, props->name);
     core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
                                                                .rpc = core->rpc,
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -27,8 +27,9 @@
     const Config *config = config_build(core, tree, revision, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
-        ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "revision %" PRIu64 " can't be read: %s %s", revision,
-                 faults->list[0].path, faults->list[0].text);
+        recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+                       "revision %" PRIu64 " can't be read: %s %s", revision, faults->list[0].path,
+                       faults->list[0].text);
         core->config_unread = revision;
         if (core->config == NULL) {
             const char *first = config_first_text();
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -58,7 +58,7 @@
  *    forgotten has lapsed, or every agent has told what it has. */
 struct Core {
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     const Props *props;
     CoreWatch watch;
     Rpc *rpc;
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -30,8 +30,8 @@
 static void kept_drop(Core *core, const char *cell, const char *why)
 {
     Kept *kept = map_get(core->kept, cell);
-    ring_say(core->ring, RING_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
-             kept->worker_count, kept->job, why);
+    recorder_write(core->recorder, RECORDER_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
+                   kept->worker_count, kept->job, why);
     map_drop(core->kept, cell);
     talloc_free(kept);
 }
@@ -157,7 +157,7 @@
     kept->since_ms = loop_now_ms(core->loop);
     map_set(core->kept, cell, kept);
     core->counts.kept++;
-    ring_say(core->ring, RING_NOTE, kept->since_ms,
-             "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
-             kept->workers[0], kept->job, log_ms - candidate->since_ms);
+    recorder_write(core->recorder, RECORDER_NOTE, kept->since_ms,
+                   "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
+                   kept->workers[0], kept->job, log_ms - candidate->since_ms);
 }
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -43,7 +43,8 @@
     const char *words;
     const uint64_t failures = core_policy_failures(core, &words);
     if (failures > 0 && core->policy_failures_told == 0)
-        ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "a policy failed, first come goes first: %s", words);
+        recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+                       "a policy failed, first come goes first: %s", words);
     core->policy_failures_told = failures;
 }
 
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -213,8 +213,8 @@
     core->repairing = false;
     core->counts.repairs++;
     core->counts.retold += told;
-    ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop),
-             "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
+    recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+                   "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
     orders_wake(core);
     core_news(core);
     return true;
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -69,8 +69,8 @@
     tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
     if (view_leading(core->view))
-        ring_say(core->ring, RING_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker, how,
-                 score->rest_ms);
+        recorder_write(core->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker,
+                       how, score->rest_ms);
 }
 
 static void tally_take(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -34,8 +34,8 @@
         ChangeResult result;
         if (core_submit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
             core->counts.lost += result.number;
-            ring_say(core->ring, RING_ALERT, loop_now_ms(core->loop), "worker %s is lost with %" PRIu64 " rounds",
-                     names[i], result.number);
+            recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+                           "worker %s is lost with %" PRIu64 " rounds", names[i], result.number);
         }
     }
 }
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -34,7 +34,7 @@
     ChangeResult result;
     if (core_submit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
         core->counts.slowed += result.number;
-        ring_say(core->ring, RING_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.rounds_count);
+        recorder_write(core->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.rounds_count);
     }
     return true;
 }
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -60,7 +60,7 @@
     struct Explore *explore;
     int machine;
     const char *name, *listen;
-    Ring *ring;
+    Recorder *recorder;
     bool founds; /* its first start may found the cluster */
     bool leaving, gone;
     DiskModel *model; /* null: its disk is new */
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -52,8 +52,8 @@
     *node = (Node){.explore = explore, .machine = sim_machine(explore->world)};
     node->name = talloc_asprintf(explore, "node%d", number + 1);
     node->listen = talloc_asprintf(explore, "%s:7000", sim_address(explore->world, node->machine));
-    node->ring = ring_new(explore, node->name);
-    ring_quiet(node->ring);
+    node->recorder = recorder_new(explore, node->name);
+    recorder_quiet(node->recorder);
     return node;
 }
 
@@ -72,10 +72,10 @@
 {
     const Explore *explore = node->explore;
     const ViewFounds first = explore->plan->by_votes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
-    node->rpc = rpc_new(loop, loop, node->ring);
+    node->rpc = rpc_new(loop, loop, node->recorder);
     const ViewProps how = {.loop = loop,
                            .rpc = node->rpc,
-                           .ring = node->ring,
+                           .recorder = node->recorder,
                            .state = {&node->chain, deliver, save, load},
                            .losses = explore->plan->losses,
                            .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
@@ -103,7 +103,7 @@
     };
     const char *seeds[SEEDS];
     seeds_of(explore, seeds);
-    node->members = members_new(loop, loop, node->rpc, node->ring, &self, seeds);
+    node->members = members_new(loop, loop, node->rpc, node->recorder, &self, seeds);
     view_start(node->view, node->members);
     members_start(node->members);
     view_founding(node->view);
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -116,7 +116,7 @@
 {
     for (int i = 0; i < explore->node_count; i++) {
         printf("--- %s\n", explore->nodes[i].name);
-        ring_dump(explore->nodes[i].ring, stdout);
+        recorder_dump(explore->nodes[i].recorder, stdout);
     }
 }
 
--- a/packages/face/include/face/face.h
+++ b/packages/face/include/face/face.h
@@ -22,7 +22,7 @@
 /* A process that runs. Invariant: exactly one of core, gate and agent is set. */
 typedef struct FaceNode {
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     const FacePlace *place;
     Core *core;
     Gate *gate;
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -17,7 +17,7 @@
     Keeper *keeper;
     Forwarder *forwarder;
     Trace *trace;
-    Ring *ring;
+    Recorder *recorder;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     Feed *feed;
     int64_t grace_ms, unready_ms;
@@ -51,7 +51,7 @@
     } else if (strcmp(task->path, "/metrics") == 0) {
         metrics(gate, task);
     } else if (strcmp(task->path, "/v1/ring") == 0) {
-        show_ring(task, gate->ring);
+        show_recorder(task, gate->recorder);
     } else if (strcmp(task->path, "/v1/trace") == 0) {
         trace_serve(gate->trace, task);
     } else {
@@ -126,14 +126,14 @@
     return STATUS_OK;
 }
 
-Status gate_start(void *mem, Loop *loop, Ring *ring, const Props *props, Gate **out, Failure *failure)
+Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Gate **out, Failure *failure)
 {
     Gate *gate = talloc_zero(mem, Gate);
     gate->loop = loop;
-    gate->ring = ring;
+    gate->recorder = recorder;
     gate->grace_ms = props->bounds.grace_ms;
     gate->unready_ms = props->bounds.unready_ms;
-    gate->rpc = rpc_new(gate, loop, ring);
+    gate->rpc = rpc_new(gate, loop, recorder);
     gate->keeper = keeper_new(gate, loop, props->bounds.retell_ms);
     Status status = rpc_listen(gate->rpc, props->listen, gate->address, failure);
     if (status == STATUS_OK)
@@ -147,7 +147,7 @@
                                .address = gate->address,
                                .http = gate->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
-    gate->members = members_new(gate, loop, gate->rpc, ring, &self, props->seeds);
+    gate->members = members_new(gate, loop, gate->rpc, recorder, &self, props->seeds);
     gate->trace = trace_new(gate, loop, gate->rpc, gate->members, props->name);
     gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
                                                                .rpc = gate->rpc,
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -28,7 +28,7 @@
 /* Finds everybody from the seeds and keeps finding them. */
 typedef struct Members Members;
 
-Members *members_new(void *mem, Loop *loop, Rpc *rpc, Ring *ring, const MemberRecord *self,
+Members *members_new(void *mem, Loop *loop, Rpc *rpc, Recorder *recorder, const MemberRecord *self,
                      const char *const seeds[SEEDS]);
 /* Other seeds from now on. */
 void members_seeds(Members *members, const char *const seeds[SEEDS]);
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -15,7 +15,7 @@
 struct Members {
     Loop *loop;
     Rpc *rpc;
-    Ring *ring;
+    Recorder *recorder;
     MemberRecord self;
     const char *seeds[SEEDS];
     MemberTable *table;
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -155,13 +155,13 @@
     }
 }
 
-Members *members_new(void *mem, Loop *loop, Rpc *rpc, Ring *ring, const MemberRecord *self,
+Members *members_new(void *mem, Loop *loop, Rpc *rpc, Recorder *recorder, const MemberRecord *self,
                      const char *const seeds[SEEDS])
 {
     Members *members = talloc_zero(mem, Members);
     members->loop = loop;
     members->rpc = rpc;
-    members->ring = ring;
+    members->recorder = recorder;
     shape_copy(&MemberRecord_shape, self, members, &members->self);
     rpc_set_self(rpc, member_peer(&members->self));
     members->leader_id = talloc_strdup(members, "");
@@ -301,7 +301,8 @@
         return; /* of another cluster: nothing it says is taken */
     if (mine == 0 && hello->cluster != 0) {
         rpc_set_cluster(members->rpc, hello->cluster);
-        ring_say(members->ring, RING_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64, hello->cluster);
+        recorder_write(members->recorder, RECORDER_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64,
+                       hello->cluster);
     }
     for (size_t i = 0; i < hello->members_count && hello->members_count <= MEMBERS_MAX; i++)
         row_take(members, &hello->members[i], false, false);
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -89,8 +89,8 @@
                          .disk = disk,
                          .counted = disk};
     snprintf(node->name, sizeof(node->name), "%s%d", side ? "side" : disk ? "core" : "gate", (int)number + 1);
-    node->ring = ring_new(ground, node->name);
-    ring_quiet(node->ring);
+    node->recorder = recorder_new(ground, node->name);
+    recorder_quiet(node->recorder);
     return node;
 }
 
@@ -182,15 +182,15 @@
     Loop *loop = sim_loop(ground->world, node->machine);
     const CoreWatch watch = {node, on_plans};
     const Props *props = &node->place.props;
-    node->node = (FaceNode){.loop = loop, .ring = node->ring, .place = &node->place};
-    ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
+    node->node = (FaceNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
+    recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
     if (status == STATUS_OK && node->place.role == PROPS_CORE)
-        status = core_start(node->mem, loop, node->ring, props, &watch, &node->node.core, &failure);
+        status = core_start(node->mem, loop, node->recorder, props, &watch, &node->node.core, &failure);
     else if (status == STATUS_OK && node->place.role == PROPS_GATE)
-        status = gate_start(node->mem, loop, node->ring, props, &node->node.gate, &failure);
+        status = gate_start(node->mem, loop, node->recorder, props, &node->node.gate, &failure);
     else if (status == STATUS_OK)
-        status = agent_start(node->mem, loop, node->ring, props, &node->node.agent, &failure);
+        status = agent_start(node->mem, loop, node->recorder, props, &node->node.agent, &failure);
     if (status == STATUS_OK)
         status = ground->face->start(node->mem, &node->node, &failure);
     node->up = status == STATUS_OK;
@@ -401,7 +401,7 @@
 void ground_dump(const Ground *ground)
 {
     for (size_t i = 0; i < ground->edge_count && ground->loud; i++)
-        ring_dump(ground->edges[i].ring, stderr);
+        recorder_dump(ground->edges[i].recorder, stderr);
     for (size_t i = 0; i < ground->side_count && ground->loud; i++)
-        ring_dump(ground->sides[i].ring, stderr);
+        recorder_dump(ground->sides[i].recorder, stderr);
 }
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -27,7 +27,7 @@
     int troubles; /* that last now */
     FacePlace place;
     FaceNode node;
-    Ring *ring;
+    Recorder *recorder;
     void *mem;             /* of the process that runs */
     uint64_t saw_revision; /* the newest document whose effect it has shown in this life */
     int64_t saw_ms;
--- a/packages/props/include/props/props.h
+++ b/packages/props/include/props/props.h
@@ -14,7 +14,7 @@
     const char *seeds[SEEDS];
     const char *data;   /* cores: the folder of the journal */
     const char *worker; /* agents: the worker it is beside; the name when not given */
-    RingLevel log;      /* lines below it are only kept in memory */
+    RecorderLevel log;  /* lines below it are only kept in memory */
     Bounds bounds;      /* whoever fills in a Props begins with bounds_first */
 } Props;
 
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -25,7 +25,7 @@
     else if (strcmp(key, "worker") == 0)
         props->worker = copy;
     else if (strcmp(key, "log") == 0) {
-        if (!ring_level_of_word(value, &props->log))
+        if (!recorder_level_of_word(value, &props->log))
             return failure_set(failure, STATUS_BAD_PROPS, "log: %s is no level: note, alert or fatal", value);
     } else if (strcmp(key, "seeds") == 0) {
         char **parts = g_strsplit_set(value, ",;", -1);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -44,7 +44,7 @@
     StandWorker *worker;
     StandWorkerProps worker_props;
     bool up; /* its start has come to an end well */
-    Ring *ring;
+    Recorder *recorder;
 } FleetNode;
 
 typedef struct Fleet {
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -145,16 +145,16 @@
     Failure failure = {0};
     Status status = STATUS_OK;
     const CoreWatch watch = fleet_core_watch(node);
-    ring_set_place(node->ring, NULL, NULL); /* it outlives the process that was there before */
+    recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
     case FLEET_CORE:
-        status = core_start(loop, loop, node->ring, &node->props, &watch, &node->core, &failure);
+        status = core_start(loop, loop, node->recorder, &node->props, &watch, &node->core, &failure);
         break;
     case FLEET_GATE:
-        status = gate_start(loop, loop, node->ring, &node->props, &node->gate, &failure);
+        status = gate_start(loop, loop, node->recorder, &node->props, &node->gate, &failure);
         break;
     case FLEET_AGENT:
-        status = agent_start(loop, loop, node->ring, &node->props, &node->agent, &failure);
+        status = agent_start(loop, loop, node->recorder, &node->props, &node->agent, &failure);
         break;
     default:
         node->worker = stand_worker_start(loop, loop, &node->worker_props);
@@ -162,7 +162,7 @@
     }
     node->up = status == STATUS_OK;
     if (!node->up)
-        ring_say(node->ring, RING_FATAL, loop_now_ms(loop), "%s: %s", status_word(status), failure.text);
+        recorder_write(node->recorder, RECORDER_FATAL, loop_now_ms(loop), "%s: %s", status_word(status), failure.text);
 }
 
 static void node_start(void *arg, Loop *loop)
@@ -179,9 +179,9 @@
 void fleet_start_node(Fleet *fleet, FleetRole role, int number)
 {
     FleetNode *node = fleet_node(fleet, role, number);
-    if (node->ring == NULL) {
-        node->ring = ring_new(fleet, node->props.name);
-        ring_quiet(node->ring);
+    if (node->recorder == NULL) {
+        node->recorder = recorder_new(fleet, node->props.name);
+        recorder_quiet(node->recorder);
     }
     if (!sim_alive(fleet->world, node->machine))
         sim_start(fleet->world, node->machine, node_start, node);
@@ -258,6 +258,6 @@
 {
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            if (fleet->nodes[role][i].ring != NULL)
-                ring_dump(fleet->nodes[role][i].ring, stderr);
+            if (fleet->nodes[role][i].recorder != NULL)
+                recorder_dump(fleet->nodes[role][i].recorder, stderr);
 }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -83,7 +83,7 @@
             if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
                 checker_leaving(fleet->checker, fleet->nodes[role][i].props.name, false);
             /* a spare comes only in another's place */
-            if (role != FLEET_CORE || i < fleet->shape.cores || fleet->nodes[role][i].ring != NULL)
+            if (role != FLEET_CORE || i < fleet->shape.cores || fleet->nodes[role][i].recorder != NULL)
                 fleet_start_node(fleet, (FleetRole)role, i);
         }
 }
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -50,7 +50,7 @@
 {
     Asker *asker = arg;
     asker->loop = loop;
-    asker->rpc = rpc_new(loop, loop, ring_new(loop, "asker"));
+    asker->rpc = rpc_new(loop, loop, recorder_new(loop, "asker"));
     rpc_set_cluster(asker->rpc, CLUSTER);
 }
 
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/courier.c
@@ -37,8 +37,8 @@
 static void server_start(void *arg, Loop *loop)
 {
     Seen *seen = arg;
-    Ring *ring = ring_new(loop, "server");
-    seen->rpc[1] = rpc_new(loop, loop, ring);
+    Recorder *recorder = recorder_new(loop, "server");
+    seen->rpc[1] = rpc_new(loop, loop, recorder);
     rpc_set_cluster(seen->rpc[1], 7);
     rpc_handle(seen->rpc[1], MESSAGE_KNOW, &Echo_shape, &Echo_shape, echo, seen);
     assert_int_equal(rpc_listen(seen->rpc[1], "10.0.0.2:7000", seen->address, NULL), STATUS_OK);
@@ -77,7 +77,7 @@
 {
     Seen *seen = arg;
     seen->loop[0] = loop;
-    seen->rpc[0] = rpc_new(loop, loop, ring_new(loop, "client"));
+    seen->rpc[0] = rpc_new(loop, loop, recorder_new(loop, "client"));
     rpc_set_cluster(seen->rpc[0], 7);
     loop_spawn(loop, "client", client_main, seen);
 }
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -196,7 +196,7 @@
     ViewSight sight;
     view_sight(view, &sight);
     assert_int_equal(sight.other_histories, 2);
-    assert_non_null(strstr(ring_text(fleet_node(fleet, FLEET_CORE, core)->ring, fleet), "other-history"));
+    assert_non_null(strstr(recorder_text(fleet_node(fleet, FLEET_CORE, core)->recorder, fleet), "other-history"));
     talloc_free(fleet);
 }
 
@@ -301,7 +301,7 @@
     const int core = (fleet_leader(fleet) + 1) % 3;
     record_and_restart(fleet, core, (Record){.kind = 99, .name = ""});
     assert_false(runs(fleet, core));
-    assert_non_null(strstr(ring_text(fleet_node(fleet, FLEET_CORE, core)->ring, fleet), "journal-format"));
+    assert_non_null(strstr(recorder_text(fleet_node(fleet, FLEET_CORE, core)->recorder, fleet), "journal-format"));
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -55,7 +55,7 @@
     Server *server = arg;
     char bound[ADDRESS_MAX];
     server->loop = loop;
-    server->rpc = rpc_new(loop, loop, ring_new(loop, "server"));
+    server->rpc = rpc_new(loop, loop, recorder_new(loop, "server"));
     rpc_set_cluster(server->rpc, CLUSTER);
     if (server->self.id != 0)
         rpc_set_self(server->rpc, server->self);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -122,9 +122,9 @@
     props->bounds = bounds_first();
     core->props = props;
     sim_start(world, sim_machine(world), started, &core->loop);
-    core->ring = ring_new(core, "bench");
+    core->recorder = recorder_new(core, "bench");
     core->table = table_new(core);
-    const ViewProps view_props = {.loop = core->loop, .ring = core->ring, .state = table_state(core->table)};
+    const ViewProps view_props = {.loop = core->loop, .recorder = core->recorder, .state = table_state(core->table)};
     core->view = view_new(core, &view_props);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -56,7 +56,7 @@
     Loop *loop;
     Rpc *rpc;
     Members *members; /* set by view_start */
-    Ring *ring;
+    Recorder *recorder;
     ViewState state;
     ViewOpened opened;
     void *opened_arg;
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -26,9 +26,9 @@
     view->other_histories++;
     if (view->other_told_ms == 0 || now_ms - view->other_told_ms >= HISTORY_TOLD_MS) {
         view->other_told_ms = now_ms;
-        ring_say(view->props.ring, RING_ALERT, now_ms,
-                 "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
-                 status_word(STATUS_OTHER_HISTORY), index, view->commit_index);
+        recorder_write(view->props.recorder, RECORDER_ALERT, now_ms,
+                       "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
+                       status_word(STATUS_OTHER_HISTORY), index, view->commit_index);
     }
     return STATUS_OTHER_HISTORY;
 }
@@ -118,8 +118,9 @@
     shape_pack(&Snapshot_shape, &snapshot, mem, &record.payload);
     view->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (view->too_large) {
-        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: a state of %zu bytes can't be a snapshot",
-                 status_word(STATUS_TOO_LARGE), record.payload.count);
+        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                       "%s: a state of %zu bytes can't be a snapshot", status_word(STATUS_TOO_LARGE),
+                       record.payload.count);
         talloc_free(mem);
         return;
     }
@@ -231,8 +232,8 @@
 /* The journal is not whole: what it has promised and acknowledged is not known. */
 static Status disk_begin_anew(View *view, const char *path, Failure *failure)
 {
-    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "%s: %s; begins as a new, empty disk",
-             status_word(failure->status), failure->text);
+    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "%s: %s; begins as a new, empty disk",
+                   status_word(failure->status), failure->text);
     *failure = (Failure){0};
     disk_forget(view);
     return journal_begin(view->loop, view, path, view->node_name, &view->journal, failure);
@@ -275,7 +276,8 @@
         if (journal_anew(view) == STATUS_OK) {
             if (view->rest_until_ms > loop_now_ms(view->loop) + PROPOSE_MS)
                 view->rest_until_ms = loop_now_ms(view->loop) + PROPOSE_MS;
-            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk takes writes again");
+            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                           "own disk takes writes again");
         }
         view->mending = false;
     }
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -50,7 +50,8 @@
             const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
             if (found_now(view, cluster, &view->disk, 1) == STATUS_OK)
-                ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "founds cluster %016" PRIx64, cluster);
+                recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+                               "founds cluster %016" PRIx64, cluster);
         }
     }
 }
@@ -150,7 +151,7 @@
             continue;
         const uint64_t cluster = loop_random(view->loop) | 1;
         if (found_now(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
-            ring_say(view->props.ring, RING_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
+            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
     }
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -86,7 +86,8 @@
         if (lead_over(view, lead.turn))
             return;
         if (status != STATUS_OK) {
-            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "own disk failed: gives up the lock");
+            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                           "own disk failed: gives up the lock");
             lead_down(view, INT32_MAX);
             return;
         }
@@ -391,7 +392,8 @@
             /* nothing is decided under this hold any more: the seats may forget it */
             lock_release(&view->lock, view->epoch, view->disk, now_ms);
             lead_release(view, lead_next(view, false));
-            ring_say(view->props.ring, RING_NOTE, now_ms, "gives up view %" PRIu64, epoch_counter(view->epoch));
+            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
+                           epoch_counter(view->epoch));
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -329,8 +329,8 @@
         if (lead_over(view, opening->turn))
             return STATUS_NOT_LEADER;
         if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_hold_until(&view->hold)) {
-            ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "view %" PRIu64 " did not come about",
-                     epoch_counter(opening->epoch));
+            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                           "view %" PRIu64 " did not come about", epoch_counter(opening->epoch));
             lead_down(view, 0);
             return STATUS_EXPIRED;
         }
@@ -349,8 +349,9 @@
     members_set_leader(view->props.members, opening->epoch, members_self(view->props.members)->id);
     if (opening->new_holder)
         members_announce(view->props.members);
-    ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "leads view %" PRIu64 " with %zu seats%s",
-             epoch_counter(opening->epoch), promised_count(view, view->in_view), view->last.repair ? ", repairs" : "");
+    recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+                   "leads view %" PRIu64 " with %zu seats%s", epoch_counter(opening->epoch),
+                   promised_count(view, view->in_view), view->last.repair ? ", repairs" : "");
     signal_raise(view->loop, &view->news);
 }
 
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -89,9 +89,9 @@
     if (view->commit_index > index)
         view->commit_index = index;
     if (view->delivered_index > index) {
-        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
-                 "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew", index + 1,
-                 view->delivered_index);
+        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                       "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
+                       index + 1, view->delivered_index);
         view->delivered_index = view->log->base_index;
         if (view->log->snapshot.kind == RECORD_SNAPSHOT)
             view_load(view, &view->log->snapshot);
@@ -238,9 +238,9 @@
     if (last_index < view->commit_index && view->props.disks_keep)
         return history_refuse(view, last_index + 1);
     if (goes_back(view, snapshot, entry_count)) {
-        ring_say(view->props.ring, RING_FATAL, loop_now_ms(view->loop),
-                 "own log may not go back from %" PRIu64 " to %" PRIu64, view->queued_index,
-                 snapshot->index + entry_count);
+        recorder_write(view->props.recorder, RECORDER_FATAL, loop_now_ms(view->loop),
+                       "own log may not go back from %" PRIu64 " to %" PRIu64, view->queued_index,
+                       snapshot->index + entry_count);
         return STATUS_INTERNAL;
     }
     Status status = view_load(view, snapshot);
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -130,9 +130,9 @@
     if (!view->props.disks_keep || index >= view->list_committed || view->list_old)
         return;
     view->list_old = true;
-    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop),
-             "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more", view->list_committed,
-             index);
+    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                   "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more",
+                   view->list_committed, index);
 }
 
 void view_reread(View *view)
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -125,7 +125,8 @@
 static void voter_remove(View *view, int place)
 {
     const uint64_t disk = view->seats[place];
-    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed", disk);
+    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed",
+                   disk);
     list_committed(view, place, 0);
 }
 
@@ -156,8 +157,8 @@
     lock_hold_answered(&view->hold, place, peer.renewed_ms);
     lead_renew(view, place);
     lead_peer(view, place);
-    ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "seat %d of %zu is given to disk %016" PRIx64,
-             place + 1, view->seat_count, disk);
+    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                   "seat %d of %zu is given to disk %016" PRIx64, place + 1, view->seat_count, disk);
     view_settle(view);
 }
 
@@ -253,10 +254,11 @@
     while (given && view_seated(view) && loop_now_ms(view->loop) < until_ms)
         loop_sleep(view->loop, MEMBERSHIP_SOON_MS);
     if (votes && view_seated(view))
-        ring_say(view->props.ring, RING_ALERT, loop_now_ms(view->loop), "leaves and keeps its vote: %s",
-                 given ? "no learner took it in time" : "there is no learner");
+        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "leaves and keeps its vote: %s",
+                       given ? "no learner took it in time" : "there is no learner");
     else if (votes)
-        ring_say(view->props.ring, RING_NOTE, loop_now_ms(view->loop), "leaves, and its vote is another's");
+        recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+                       "leaves, and its vote is another's");
 }
 
 void voters_start(View *view)
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -55,7 +55,8 @@
         if (view->seats[i] != 0 && view->seats[i] != view->disk && !in_view[i] && returns(view, i, now_ms)) {
             in_view[i] = changed = true;
             count++;
-            ring_say(view->props.ring, RING_NOTE, now_ms, "seat %016" PRIx64 " comes into the view", view->seats[i]);
+            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "seat %016" PRIx64 " comes into the view",
+                           view->seats[i]);
         }
     for (int i = 0; i < SEAT_MOST; i++) {
         Peer *peer = &view->peers[i];
@@ -74,8 +75,8 @@
             count--;
             peer->return_ms = now_ms + SEAT_REST_MS;
             peer->slow_times = 0;
-            ring_say(view->props.ring, RING_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s", view->seats[i],
-                     why);
+            recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s",
+                           view->seats[i], why);
             continue;
         }
         /* it restarted within the view; one just taken in takes a renewal to be heard of */
@@ -146,18 +147,18 @@
             bool skip[SEAT_MOST];
             const int64_t since_ms = journal_sync_since(view->journal);
             if (now_ms >= lock_hold_until(&view->hold)) {
-                ring_say(view->props.ring, RING_ALERT, now_ms, "the hold of the lock has lapsed");
+                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
                 lead_down(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
                        (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
                          view->slow_times >= SEAT_SLOW_TIMES) &&
                         lead_next(view, true) != 0)) {
                 view->slow_times = 0;
-                ring_say(view->props.ring, RING_ALERT, now_ms, "own disk is slow: hands the lock over");
+                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "own disk is slow: hands the lock over");
                 lead_down(view, SLOW_DISK_REST_MS);
             } else if (view_blind(view)) {
-                ring_say(view->props.ring, RING_ALERT, now_ms,
-                         "another seat sees many more members: hands the lock over");
+                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms,
+                               "another seat sees many more members: hands the lock over");
                 view->blind_since_ms = 0;
                 lead_down(view, SLOW_DISK_REST_MS);
             } else if (view_tend(view, skip)) {
--- a/packages/wire/include/wire/courier.h
+++ b/packages/wire/include/wire/courier.h
@@ -47,7 +47,7 @@
  * ask, answer and all they hold live on mem. */
 typedef Status (*RpcFn)(void *arg, void *mem, const void *ask, void *answer);
 
-Rpc *rpc_new(void *mem, Loop *loop, Ring *ring);
+Rpc *rpc_new(void *mem, Loop *loop, Recorder *recorder);
 /* The cluster whose frames are taken; 0 while none is known. */
 void rpc_set_cluster(Rpc *rpc, uint64_t cluster);
 uint64_t rpc_cluster(const Rpc *rpc);
--- a/packages/wire/src/courier.c
+++ b/packages/wire/src/courier.c
@@ -37,11 +37,11 @@
     rpc->self = self;
 }
 
-Rpc *rpc_new(void *mem, Loop *loop, Ring *ring)
+Rpc *rpc_new(void *mem, Loop *loop, Recorder *recorder)
 {
     Rpc *rpc = talloc_zero(mem, Rpc);
     rpc->loop = loop;
-    rpc->ring = ring;
+    rpc->recorder = recorder;
     rpc->lines = map_new(rpc);
     return rpc;
 }
@@ -109,10 +109,10 @@
 {
     const uint64_t count = ++rpc->refused;
     if ((count & (count - 1)) == 0) /* the first, the second, the fourth: the log is not filled by them */
-        ring_say(rpc->ring, RING_NOTE, loop_now_ms(rpc->loop),
-                 "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
-                 " so far",
-                 what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
+        recorder_write(rpc->recorder, RECORDER_NOTE, loop_now_ms(rpc->loop),
+                       "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
+                       " so far",
+                       what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
 }
 
 /* Whether a question is one for this process: of its version, its cluster, and meant for
@@ -145,7 +145,7 @@
 static void note_bad(Rpc *rpc, const char *text)
 {
     rpc->counts.bad_frames++;
-    ring_say(rpc->ring, RING_NOTE, loop_now_ms(rpc->loop), "bad frame, connection ended: %s", text);
+    recorder_write(rpc->recorder, RECORDER_NOTE, loop_now_ms(rpc->loop), "bad frame, connection ended: %s", text);
 }
 
 static Status question_serve(Question *question, Bytes *payload)
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -14,7 +14,7 @@
 
 struct Rpc {
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     uint64_t cluster;
     PeerLife self;      /* what this process says that it is */
     uint64_t born_life; /* ... and said first */
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -17,7 +17,7 @@
     PropsRole role;
     Props props;
     Loop *loop;
-    Ring *ring;
+    Recorder *recorder;
     Core *core;
     Gate *gate;
     Agent *agent;
@@ -51,12 +51,12 @@
     const char *http = "";
     const CoreWatch watch = {daemon, on_plans};
     if (daemon->role == PROPS_CORE)
-        status = core_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props,
+        status = core_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props,
                             daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
     else if (daemon->role == PROPS_GATE)
-        status = gate_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->gate, &failure);
+        status = gate_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props, &daemon->gate, &failure);
     else
-        status = agent_start(daemon->mem, daemon->loop, daemon->ring, &daemon->props, &daemon->agent, &failure);
+        status = agent_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props, &daemon->agent, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
         daemon->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
@@ -76,7 +76,7 @@
 static void user_main(void *arg)
 {
     const Daemon *daemon = arg;
-    ring_dump(daemon->ring, stderr);
+    recorder_dump(daemon->recorder, stderr);
     fflush(stderr);
 }
 
@@ -143,8 +143,8 @@
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
         daemon->loop = real_loop_new(mem);
-        daemon->ring = ring_new(mem, daemon->props.name);
-        ring_set_level(daemon->ring, daemon->props.log);
+        daemon->recorder = recorder_new(mem, daemon->props.name);
+        recorder_set_level(daemon->recorder, daemon->props.log);
         loop_spawn(daemon->loop, "start", start_main, daemon);
         real_loop_on_user(daemon->loop, user_main, daemon);
         real_loop_run(daemon->loop, term_main, daemon);
--- a/src/node.c
+++ b/src/node.c
@@ -31,8 +31,8 @@
     void *mem = talloc_new(run->mem);
     FacePlace place = {0};
     if (run->face->read(mem, run->path, &place, &failure) != STATUS_OK) {
-        ring_say(run->node.ring, RING_ALERT, loop_now_ms(run->node.loop), "settings left as they were: %s",
-                 failure.text);
+        recorder_write(run->node.recorder, RECORDER_ALERT, loop_now_ms(run->node.loop),
+                       "settings left as they were: %s", failure.text);
         talloc_free(mem);
         return;
     }
@@ -87,11 +87,11 @@
     Failure failure = {0};
     Status status;
     if (run->place.role == PROPS_CORE)
-        status = core_start(run->mem, node->loop, node->ring, props, NULL, &node->core, &failure);
+        status = core_start(run->mem, node->loop, node->recorder, props, NULL, &node->core, &failure);
     else if (run->place.role == PROPS_GATE)
-        status = gate_start(run->mem, node->loop, node->ring, props, &node->gate, &failure);
+        status = gate_start(run->mem, node->loop, node->recorder, props, &node->gate, &failure);
     else
-        status = agent_start(run->mem, node->loop, node->ring, props, &node->agent, &failure);
+        status = agent_start(run->mem, node->loop, node->recorder, props, &node->agent, &failure);
     if (status == STATUS_OK)
         status = run->face->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
@@ -108,7 +108,7 @@
 static void user_main(void *arg)
 {
     const NodeRun *run = arg;
-    ring_dump(run->node.ring, stderr);
+    recorder_dump(run->node.recorder, stderr);
     fflush(stderr);
 }
 
@@ -137,7 +137,7 @@
 {
     char *name = NULL, *path = NULL, *log = NULL;
     int only = 0;
-    RingLevel level = RING_NOTE;
+    RecorderLevel level = RECORDER_NOTE;
     struct poptOption options[] = {
         {"face", 'f', POPT_ARG_STRING, &name, 0, "the platform that this is run on", "NAME"},
         {"props", 'p', POPT_ARG_STRING, &path, 0, "settings file; else as the platform names it", "FILE"},
@@ -156,7 +156,7 @@
         code = wrong("node", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (left != NULL)
         code = wrong("node", "%s: what is this?", left);
-    else if (log != NULL && !ring_level_of_word(log, &level))
+    else if (log != NULL && !recorder_level_of_word(log, &level))
         code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
     else if (name == NULL || (run->face = face_find(name)) == NULL)
         code = face_wrong(name);
@@ -169,9 +169,9 @@
     if (code == EXIT_GOOD && only) {
         printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.props.name, run->place.props.zone);
     } else if (code == EXIT_GOOD) {
-        run->node =
-            (FaceNode){.loop = real_loop_new(mem), .ring = ring_new(mem, run->place.props.name), .place = &run->place};
-        ring_set_level(run->node.ring, level);
+        run->node = (FaceNode){
+            .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.props.name), .place = &run->place};
+        recorder_set_level(run->node.recorder, level);
         loop_spawn(run->node.loop, "start", start_main, run);
         real_loop_on_user(run->node.loop, user_main, run);
         real_loop_on_hup(run->node.loop, hup_main, run);
