--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -123,7 +123,7 @@
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     Agent *agent = arg;
-    KeepList *list = answer;
+    RepairList *list = answer;
     (void)question;
     const Rounds *rounds = &agent->rounds;
     const size_t most = rounds->lives.count + rounds->ended.count + rounds->known.count;
@@ -138,7 +138,7 @@
                 told.news[told.news_count++] = news_of(agent, mem, round);
     if (told.news_count == 0)
         return STATUS_OK;
-    list->items = talloc_zero(mem, KeepItem);
+    list->items = talloc_zero(mem, RepairItem);
     list->items[0].change = CHANGE_ROUNDS;
     list->items_count = 1;
     shape_pack(&RoundList_shape, &told, mem, &list->items[0].payload);
@@ -147,6 +147,6 @@
 
 void tell_start(Agent *agent)
 {
-    rpc_handle(agent->rpc, MESSAGE_RETELL, &Nothing_shape, &KeepList_shape, on_retell, agent);
+    rpc_handle(agent->rpc, MESSAGE_RETELL, &Nothing_shape, &RepairList_shape, on_retell, agent);
     loop_spawn(agent->loop, "tell", tell_main, agent);
 }
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -126,7 +126,7 @@
     (LINE_MISSES * ASK_EXPIRY_MS + 2 * HELLO_MS) /* ms; a process that has just started asks nobody before: a line to \
                                                     its last life is given up and opened anew within this */
 #define KEEP_ASK_MS 100 /* ms; a gate that lives keeps at once; a caller waits for it meanwhile */
-#define KEEPER_BYTES_MAX \
+#define REPAIR_BUFFER_BYTES_MAX \
     (4 * 1024 * 1024)           /* bytes; of what one node keeps for repair: some 5,000 jobs; memory is priced */
 #define REPAIR_KEEP_MS 120000   /* ms; how long gates and agents keep what they were told, for repair */
 #define SLOW_DISK_REST_MS 10000 /* ms; a leader that handed over for its slow disk does not propose for this long */
@@ -276,15 +276,16 @@
 #define TRACE_EVENTS 2048       /* count; steps of changes that a node remembers: minutes at today's loads */
 #define RECORDER_LINES 256      /* count; the log ring */
 #define RECORDER_LINE_BYTES 200 /* bytes */
-#define RECORDER_NOTES_AT_ONCE 20 /* count; notes that are written together, so that a change of leader is told whole \
-                                   */
-#define RECORDER_NOTE_GAP_MS 500  /* ms; after those, one note is written for each: a line costs processor time */
-#define RETRY_AFTER_S 1           /* s; told with a 503: another entry point, or the same in a moment, will do */
-#define RETRY_ELECTION_S 2        /* s; ... when no leader serves: one is found again in 2 to 3 s */
-#define RETRY_CROWD_S 5           /* s; ... when too much waits: some of it has run by then */
-#define DRAIN_MS 3000             /* ms; SIGTERM: not ready at once, gone after this at the latest */
-#define DRAIN_MARGIN_MS 100       /* ms; ... less this, to end in */
-#define DRAIN_LOOK_MS 10          /* ms; whether the last request has been answered */
+#define RECORDER_NOTES_AT_ONCE                                                                                       \
+    20                           /* count; notes that are written together, so that a change of leader is told whole \
+                                  */
+#define RECORDER_NOTE_GAP_MS 500 /* ms; after those, one note is written for each: a line costs processor time */
+#define RETRY_AFTER_S 1          /* s; told with a 503: another entry point, or the same in a moment, will do */
+#define RETRY_ELECTION_S 2       /* s; ... when no leader serves: one is found again in 2 to 3 s */
+#define RETRY_CROWD_S 5          /* s; ... when too much waits: some of it has run by then */
+#define DRAIN_MS 3000            /* ms; SIGTERM: not ready at once, gone after this at the latest */
+#define DRAIN_MARGIN_MS 100      /* ms; ... less this, to end in */
+#define DRAIN_LOOK_MS 10         /* ms; whether the last request has been answered */
 
 /* --- formats ------------------------------------------------------------------ */
 #define WIRE_VERSION 1    /* the version of frames; peers ignore trailing fields they do not know */
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -86,23 +86,23 @@
                        .again = ask->again,
                        .expiry_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
-    KeepList keeps = {0};
-    leader_serve(core, task, mem, &keeps);
+    RepairList repair_items = {0};
+    leader_serve(core, task, mem, &repair_items);
     out->code = (uint64_t)task->code;
     out->status = task->status;
     out->kind = task->kind;
     out->body = task->result;
     out->retry_after_s = (uint64_t)task->retry_after_s;
-    out->keeps = keeps.items;
-    out->keeps_count = keeps.items_count;
+    out->repair_items = repair_items.items;
+    out->repair_items_count = repair_items.items_count;
 }
 
 void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     Core *core = arg;
     lead_serve(core, mem, ask, answer);
-    if (answer->keeps_count > 0 && core->props->bounds.retell_ms > 0)
-        elsewhere_keep(core, mem, &(KeepList){answer->keeps, answer->keeps_count});
+    if (answer->repair_items_count > 0 && core->props->bounds.retell_ms > 0)
+        elsewhere_keep(core, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
 }
 
 static Status on_forward(void *arg, void *mem, const void *question, void *answer)
@@ -147,7 +147,7 @@
 {
     Core *core = arg;
     const RetellAsk *ask = question;
-    keeper_tell(core->keeper, mem, ask->config_have, answer);
+    repair_buffer_tell(core->repair_buffer, mem, ask->config_have, answer);
     feed_tell(core->feed, mem, ask->config_have, answer);
     return STATUS_OK;
 }
@@ -155,10 +155,10 @@
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
-    const KeepList *list = question;
+    const RepairList *list = question;
     (void)mem;
     (void)answer;
-    keeper_keep(core->keeper, list->items, list->items_count);
+    repair_buffer_keep(core->repair_buffer, list->items, list->items_count);
     return STATUS_OK;
 }
 
@@ -166,6 +166,6 @@
 {
     rpc_handle(core->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
     rpc_handle(core->rpc, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, on_feed, core);
-    rpc_handle(core->rpc, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, core);
-    rpc_handle(core->rpc, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, core);
+    rpc_handle(core->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, core);
+    rpc_handle(core->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, core);
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -218,7 +218,8 @@
     Trial trial = {.set = set, .config = config};
     trial_enter(core, &trial);
     ChangeResult result;
-    const Status status = core_submit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->keeps);
+    const Status status =
+        core_submit(core, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->repair_items);
     if (status == STATUS_OK && result.status == STATUS_OK)
         core_config(core); /* takes what was checked, before another change is delivered */
     trial_leave(core, &trial);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -28,14 +28,15 @@
 }
 
 Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                   KeepList *keeps)
+                   RepairList *repair_items)
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
     const Status status = view_submit(core->view, kind, payload, result);
-    if (status == STATUS_OK && result->status == STATUS_OK && keeps != NULL) {
-        keeps->items = talloc_realloc(mem, keeps->items, KeepItem, (unsigned)(keeps->items_count + 1));
-        keeps->items[keeps->items_count++] = (KeepItem){kind, result->index, payload};
+    if (status == STATUS_OK && result->status == STATUS_OK && repair_items != NULL) {
+        repair_items->items =
+            talloc_realloc(mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
+        repair_items->items[repair_items->items_count++] = (RepairItem){kind, result->index, payload};
     }
     return status;
 }
@@ -171,7 +172,7 @@
     core->table = table_new(core);
     table_watch(core->table, on_delivered, core);
     core->piece_source.mem = core;
-    core->keeper = keeper_new(core, loop, props->bounds.retell_ms);
+    core->repair_buffer = repair_buffer_new(core, loop, props->bounds.retell_ms);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
@@ -219,7 +220,7 @@
     core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
                                                                .rpc = core->rpc,
                                                                .members = core->members,
-                                                               .keeper = core->keeper,
+                                                               .repair_buffer = core->repair_buffer,
                                                                .trace = core->trace,
                                                                .leads = leads,
                                                                .serve = callers_lead,
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -8,26 +8,26 @@
 
 #define ELSEWHERE_MOST 3 /* count; gates tried, one after the other */
 
-static bool ask_one(Core *core, void *mem, const char *address, const KeepList *keeps)
+static bool ask_one(Core *core, void *mem, const char *address, const RepairList *repair_items)
 {
     Nothing answer = {0};
-    return rpc_ask(core->rpc, mem, address, MESSAGE_KEEP, &KeepList_shape, keeps, KEEP_ASK_MS, &Nothing_shape,
+    return rpc_ask(core->rpc, mem, address, MESSAGE_KEEP, &RepairList_shape, repair_items, KEEP_ASK_MS, &Nothing_shape,
                    &answer) == STATUS_OK;
 }
 
-static size_t bytes_of(const KeepList *keeps)
+static size_t bytes_of(const RepairList *repair_items)
 {
     size_t bytes = 0;
-    for (size_t i = 0; i < keeps->items_count; i++)
-        bytes += keeps->items[i].payload.count;
+    for (size_t i = 0; i < repair_items->items_count; i++)
+        bytes += repair_items->items[i].payload.count;
     return bytes;
 }
 
-void elsewhere_keep(Core *core, void *mem, const KeepList *keeps)
+void elsewhere_keep(Core *core, void *mem, const RepairList *repair_items)
 {
     /* a large configuration would fill a gate's link for seconds: it is on the disks that the bounds
      * ask for, and the feed brings it to the gates */
-    if (bytes_of(keeps) > CONFIG_LARGE_BYTES)
+    if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)
         return;
     const MemberTable *table = members_table(core->members);
     char addresses[ELSEWHERE_MOST][ADDRESS_MAX];
@@ -46,7 +46,7 @@
         count += count < ELSEWHERE_MOST;
     }
     for (size_t i = 0; i < count; i++)
-        if (ask_one(core, mem, addresses[i], keeps)) {
+        if (ask_one(core, mem, addresses[i], repair_items)) {
             snprintf(core->kept_at, ADDRESS_MAX, "%s", addresses[i]);
             return;
         }
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -65,7 +65,7 @@
     Members *members;
     View *view;
     Table *table;
-    Keeper *keeper;
+    RepairBuffer *repair_buffer;
     char kept_at[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
     Forwarder *forwarder;
     Feed *feed; /* asks for the document while this core has no seat */
@@ -125,7 +125,7 @@
 /* Waits. Submits a shape as a change; keeps (may be null) takes it when it was
  * committed and accepted. What is packed lives on mem. */
 Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                   KeepList *keeps);
+                   RepairList *repair_items);
 
 /* How long any hold runs that this or the last leader may have answered, by the own clock. */
 int64_t core_claim_ms(const Core *core);
@@ -201,7 +201,7 @@
  * answer, and kept by another node as well. */
 void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 /* A caller's request, as leader. keeps: what was committed by it. */
-void leader_serve(Core *core, HttpTask *task, void *mem, KeepList *keeps);
+void leader_serve(Core *core, HttpTask *task, void *mem, RepairList *repair_items);
 json_object *core_status(Core *core);
 
 #endif
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -23,7 +23,8 @@
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
-    if (!way_delivered(way, core_submit(core, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result, way->keeps)))
+    if (!way_delivered(way,
+                       core_submit(core, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result, way->repair_items)))
         return NULL;
     const Job *job = table_job(core->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
@@ -41,7 +42,7 @@
         return false;
     }
     /* whoever carries this result may be the only one to have heard it */
-    KeepItem item = {CHANGE_JOB_ADD, 0, {0}};
+    RepairItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
     shape_pack(&JobAdd_shape, &add, way->mem, &item.payload);
     way_keep(way, &item);
@@ -94,7 +95,7 @@
 {
     const JobCancel cancel = {way->name};
     return way_delivered(
-        way, core_submit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result, way->keeps));
+        way, core_submit(way->core, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result, way->repair_items));
 }
 
 void job_cancel(Way *way)
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -14,7 +14,7 @@
     size_t pending;
     uint64_t config_have; /* the newest revision of the table when it began */
     Signal ended;
-    KeepItem *items;
+    RepairItem *items;
     size_t count;
 } Retelling;
 
@@ -35,19 +35,19 @@
     Retelling *retelling = part->retelling;
     Core *core = retelling->core;
     const RetellAsk ask = {.config_have = retelling->config_have};
-    KeepList answer = {0}; /* of whoever stands there now: each item carries its own identity */
+    RepairList answer = {0}; /* of whoever stands there now: each item carries its own identity */
     const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
     Status status;
     do {
         status = rpc_ask(core->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
-                         until_ms - loop_now_ms(core->loop), &KeepList_shape, &answer);
+                         until_ms - loop_now_ms(core->loop), &RepairList_shape, &answer);
         if (status != STATUS_OK)
             loop_sleep(core->loop, 100);
     } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
     if (status == STATUS_OK && answer.items_count > 0) {
         retelling->items =
-            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + answer.items_count));
-        memcpy(retelling->items + retelling->count, answer.items, answer.items_count * sizeof(KeepItem));
+            talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + answer.items_count));
+        memcpy(retelling->items + retelling->count, answer.items, answer.items_count * sizeof(RepairItem));
         retelling->count += answer.items_count;
     }
     retelling->pending--;
@@ -72,7 +72,7 @@
 
 static int item_order(const void *a, const void *b)
 {
-    const KeepItem *x = a, *y = b;
+    const RepairItem *x = a, *y = b;
     const size_t p = kind_place(x->change), q = kind_place(y->change);
     if (p != q)
         return p < q ? -1 : 1;
@@ -85,7 +85,7 @@
 }
 
 /* Whether the state has it already, so that telling it would change nothing. */
-static bool known(Core *core, void *mem, const KeepItem *item)
+static bool known(Core *core, void *mem, const RepairItem *item)
 {
     const Table *table = core->table;
     JobAdd add;
@@ -121,7 +121,7 @@
 }
 
 /* A configuration told again counts by its revision, not by its base. */
-static Bytes restored(void *mem, const KeepItem *item)
+static Bytes restored(void *mem, const RepairItem *item)
 {
     ConfigSet set;
     if (item->change != CHANGE_CONFIG_SET ||
@@ -139,7 +139,7 @@
 static void configs_order(Retelling *retelling)
 {
     for (size_t i = 0; i < retelling->count; i++) {
-        KeepItem *item = &retelling->items[i];
+        RepairItem *item = &retelling->items[i];
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
             shape_unpack(&ConfigSet_shape, item->payload, retelling, &set, NULL) == STATUS_OK)
@@ -172,21 +172,21 @@
     }
     while (retelling->pending > 0)
         signal_wait(core->loop, &retelling->ended, INT64_MAX);
-    KeepList own = {0};
-    keeper_tell(core->keeper, retelling, retelling->config_have, &own);
+    RepairList own = {0};
+    repair_buffer_tell(core->repair_buffer, retelling, retelling->config_have, &own);
     feed_tell(core->feed, retelling, retelling->config_have, &own);
     if (own.items_count > 0) {
         retelling->items =
-            talloc_realloc(retelling, retelling->items, KeepItem, (unsigned)(retelling->count + own.items_count));
-        memcpy(retelling->items + retelling->count, own.items, own.items_count * sizeof(KeepItem));
+            talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + own.items_count));
+        memcpy(retelling->items + retelling->count, own.items, own.items_count * sizeof(RepairItem));
         retelling->count += own.items_count;
     }
     configs_order(retelling);
     if (retelling->count > 0)
-        qsort(retelling->items, retelling->count, sizeof(KeepItem), item_order);
+        qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
     size_t told = 0;
     for (size_t i = 0; i < retelling->count; i++) {
-        const KeepItem *item = &retelling->items[i];
+        const RepairItem *item = &retelling->items[i];
         void *mem = talloc_new(core);
         /* what needs another kind before it is looked at once that is delivered;
          * within a kind none waits for the last: a long repair is not a slow one */
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -56,18 +56,19 @@
     show_refusal(way->task, faults->list[0].status, faults->list[0].text, faults);
 }
 
-void way_keep(Way *way, const KeepItem *item)
+void way_keep(Way *way, const RepairItem *item)
 {
-    KeepList *keeps = way->keeps;
-    keeps->items = talloc_realloc(way->mem, keeps->items, KeepItem, (unsigned)(keeps->items_count + 1));
-    keeps->items[keeps->items_count++] = *item;
+    RepairList *repair_items = way->repair_items;
+    repair_items->items =
+        talloc_realloc(way->mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
+    repair_items->items[repair_items->items_count++] = *item;
 }
 
 void way_keep_end(Way *way, const Job *job)
 {
     if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->ended_ms > REPAIR_KEEP_MS)
         return;
-    KeepItem item = {CHANGE_JOB_END, 0, {0}};
+    RepairItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
     shape_pack(&JobEnd_shape, &end, way->mem, &item.payload);
     way_keep(way, &item);
@@ -220,9 +221,10 @@
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
-void leader_serve(Core *core, HttpTask *task, void *mem, KeepList *keeps)
+void leader_serve(Core *core, HttpTask *task, void *mem, RepairList *repair_items)
 {
-    Way way = {.core = core, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .keeps = keeps};
+    Way way = {
+        .core = core, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
     way.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
         if (!GUARDS[i].pass(&way))
--- a/packages/core/src/way.h
+++ b/packages/core/src/way.h
@@ -15,7 +15,7 @@
     HttpTask *task;
     void *mem;
     Faults *faults;
-    KeepList *keeps;
+    RepairList *repair_items;
     const char *name; /* what the path names: a job, a zone */
     bool committed;   /* a change was, for this request: a majority has it */
 } Way;
@@ -26,7 +26,7 @@
 void way_refuse(Way *way);
 
 /* Whoever carries the result keeps this for a while, for repair. */
-void way_keep(Way *way, const KeepItem *item);
+void way_keep(Way *way, const RepairItem *item);
 /* Likewise the word that a job has ended: no task of it may start again, whatever
  * the disks forget. */
 void way_keep_end(Way *way, const Job *job);
@@ -42,7 +42,7 @@
 JobTerms job_terms(const ConfigQueue *queue);
 
 /* Waits. Another node keeps them too, if one answers. */
-void elsewhere_keep(Core *core, void *mem, const KeepList *keeps);
+void elsewhere_keep(Core *core, void *mem, const RepairList *repair_items);
 
 void job_post(Way *way);
 void job_get(Way *way);
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -73,7 +73,7 @@
 /* Whoever carries the first answer may have been lost with it. */
 static void keep_newest(Way *way)
 {
-    KeepItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
+    RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
     shape_pack(&ZoneDrain_shape, table_drain_newest(way->core->table, way->name), way->mem, &item.payload);
     way_keep(way, &item);
 }
@@ -116,8 +116,8 @@
     const int64_t clock_ms = view_clock_ms(way->core->view), last_stamp = table_drain_stamp(table, way->name);
     drain.stamp = clock_ms > last_stamp ? clock_ms : last_stamp + 1;
     ChangeResult result;
-    if (!way_delivered(
-            way, core_submit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result, way->keeps)))
+    if (!way_delivered(way, core_submit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result,
+                                        way->repair_items)))
         return;
     if (result.status == STATUS_OK)
         zone_show(way);
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -31,7 +31,7 @@
 /* The revision whose whole document is held for repair; 0: none. */
 uint64_t feed_held(const Feed *feed);
 /* Adds what is kept of the document, on mem, to be told again to one that has a revision. */
-void feed_tell(const Feed *feed, void *mem, uint64_t have, KeepList *list);
+void feed_tell(const Feed *feed, void *mem, uint64_t have, RepairList *list);
 
 /* What the leader answers out of its revisions, under the answer's epoch; true when there
  * is news. On mem, and valid until the next wait. */
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -20,7 +20,7 @@
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    Keeper *keeper;
+    RepairBuffer *repair_buffer;
     Trace *trace;
     /* Cores: whether this one leads, and how it serves then. The answer lives on mem. */
     WaysLeads leads;
--- a/packages/feed/include/feed/keeper.h
+++ b/packages/feed/include/feed/keeper.h
@@ -1,5 +1,5 @@
-#ifndef FEED_KEEPER_H
-#define FEED_KEEPER_H
+#ifndef FEED_REPAIR_BUFFER_H
+#define FEED_REPAIR_BUFFER_H
 
 #include "feed/messages.h"
 #include "loop/loop.h"
@@ -13,15 +13,15 @@
  * oldest first, which the disks have had the longest.
  * Invariants: items are in the order of their keeping and none is older than the span
  * by more than the time since the last keep; their bytes, with what each costs beside
- * its payload, are at most KEEPER_BYTES_MAX. */
-typedef struct Keeper Keeper;
+ * its payload, are at most REPAIR_BUFFER_BYTES_MAX. */
+typedef struct RepairBuffer RepairBuffer;
 
 /* span_ms 0: nothing is kept. */
-Keeper *keeper_new(void *mem, Loop *loop, int64_t span_ms);
-void keeper_keep(Keeper *keeper, const KeepItem *items, size_t count);
+RepairBuffer *repair_buffer_new(void *mem, Loop *loop, int64_t span_ms);
+void repair_buffer_keep(RepairBuffer *repair_buffer, const RepairItem *items, size_t count);
 /* All that is kept, on mem. */
-void keeper_tell(Keeper *keeper, void *mem, uint64_t config_have, KeepList *list);
-size_t keeper_count(const Keeper *keeper);
-size_t keeper_bytes(const Keeper *keeper);
+void repair_buffer_tell(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list);
+size_t repair_buffer_count(const RepairBuffer *repair_buffer);
+size_t repair_buffer_bytes(const RepairBuffer *repair_buffer);
 
 #endif
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -4,14 +4,14 @@
 #include "table/change.h"
 
 /* A committed change as kept by those who were told of it first. */
-#define KEEP_ITEM_FIELDS(X) \
-    X(U64, change, 0)       \
-    X(U64, index, 0)        \
+#define REPAIR_ITEM_FIELDS(X) \
+    X(U64, change, 0)         \
+    X(U64, index, 0)          \
     X(BIN, payload, 0)
-SHAPE(KeepItem, KEEP_ITEM_FIELDS)
+SHAPE(RepairItem, REPAIR_ITEM_FIELDS)
 
-#define KEEP_LIST_FIELDS(X) X(LST, items, KeepItem)
-SHAPE(KeepList, KEEP_LIST_FIELDS)
+#define REPAIR_LIST_FIELDS(X) X(LST, items, RepairItem)
+SHAPE(RepairList, REPAIR_LIST_FIELDS)
 
 #define NOTHING_FIELDS(X) X(U64, nothing, 0)
 SHAPE(Nothing, NOTHING_FIELDS)
@@ -40,7 +40,7 @@
     X(TXT, kind, 0)                                                                        \
     X(BIN, body, 0)                                                                        \
     X(U64, retry_after_s, 0)                                                               \
-    X(LST, keeps, KeepItem)                                                                \
+    X(LST, repair_items, RepairItem)                                                       \
     X(U64, status, 0)                                                                      \
     X(U64, leader_epoch, 0) /* the newest leader that is known to one who does not lead */ \
     X(TXT, leader_id, 0)
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -32,8 +32,8 @@
     char detail[TRACE_DETAIL_BYTES];
     const ForwardAnswer *answer = &attempt->answer;
     snprintf(detail, sizeof(detail), "%s %d, %lld ms", attempt->ask.method, (int)answer->code, (long long)took_ms);
-    for (size_t i = 0; i < answer->keeps_count; i++) {
-        const KeepItem *item = &answer->keeps[i];
+    for (size_t i = 0; i < answer->repair_items_count; i++) {
+        const RepairItem *item = &answer->repair_items[i];
         void *mem = talloc_new(NULL);
         JobAdd add;
         JobCancel cancel;
@@ -88,8 +88,9 @@
         if (!attempt->taken.own)
             ways_heard(forwarder->ways, &attempt->taken, served(&attempt->answer));
         trace_answered(forwarder, attempt, loop_now_ms(loop) - start_ms);
-        keeper_keep(forwarder->settings.keeper, attempt->answer.keeps, attempt->answer.keeps_count);
-        attempt->answer.keeps_count = 0;
+        repair_buffer_keep(forwarder->settings.repair_buffer, attempt->answer.repair_items,
+                           attempt->answer.repair_items_count);
+        attempt->answer.repair_items_count = 0;
     } else {
         ways_told(forwarder->ways, &attempt->answer);
     }
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -239,14 +239,14 @@
     return needs_more ? revisions->whole : from;
 }
 
-void feed_tell(const Feed *feed, void *mem, uint64_t have, KeepList *list)
+void feed_tell(const Feed *feed, void *mem, uint64_t have, RepairList *list)
 {
     const Revisions *revisions = feed->revisions;
     for (size_t i = tell_from(revisions, have); i < revisions->count; i++) {
         const ConfigSet set = set_of(&revisions->rows[i]);
-        KeepItem item = {CHANGE_CONFIG_SET, 0, {0}};
+        RepairItem item = {CHANGE_CONFIG_SET, 0, {0}};
         shape_pack(&ConfigSet_shape, &set, mem, &item.payload);
-        list->items = talloc_realloc(mem, list->items, KeepItem, (unsigned)(list->items_count + 1));
+        list->items = talloc_realloc(mem, list->items, RepairItem, (unsigned)(list->items_count + 1));
         list->items[list->items_count++] = item;
     }
 }
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -6,12 +6,12 @@
 #define KEPT_BESIDE_BYTES 160 /* bytes; what an item costs beside its payload: itself, its place, two allocations */
 
 typedef struct Kept {
-    KeepItem item; /* first; its payload is the kept's own */
+    RepairItem item; /* first; its payload is the kept's own */
     struct Kept *next;
     int64_t at_ms;
 } Kept;
 
-struct Keeper {
+struct RepairBuffer {
     Loop *loop;
     int64_t span_ms;
     Kept *first, *last;
@@ -21,30 +21,30 @@
 
 static guint item_hash(gconstpointer data)
 {
-    const KeepItem *item = data;
+    const RepairItem *item = data;
     return bytes_crc(item->payload.data, item->payload.count) ^ (guint)item->change;
 }
 
 static gboolean item_equal(gconstpointer a, gconstpointer b)
 {
-    const KeepItem *x = a, *y = b;
+    const RepairItem *x = a, *y = b;
     return x->change == y->change && bytes_equal(x->payload, y->payload);
 }
 
-static int keeper_free(Keeper *keeper)
+static int repair_buffer_free(RepairBuffer *repair_buffer)
 {
-    g_hash_table_destroy(keeper->known);
+    g_hash_table_destroy(repair_buffer->known);
     return 0;
 }
 
-Keeper *keeper_new(void *mem, Loop *loop, int64_t span_ms)
+RepairBuffer *repair_buffer_new(void *mem, Loop *loop, int64_t span_ms)
 {
-    Keeper *keeper = talloc_zero(mem, Keeper);
-    keeper->loop = loop;
-    keeper->span_ms = span_ms;
-    keeper->known = g_hash_table_new(item_hash, item_equal);
-    talloc_set_destructor(keeper, keeper_free);
-    return keeper;
+    RepairBuffer *repair_buffer = talloc_zero(mem, RepairBuffer);
+    repair_buffer->loop = loop;
+    repair_buffer->span_ms = span_ms;
+    repair_buffer->known = g_hash_table_new(item_hash, item_equal);
+    talloc_set_destructor(repair_buffer, repair_buffer_free);
+    return repair_buffer;
 }
 
 static size_t bytes_of(const Kept *kept)
@@ -52,42 +52,42 @@
     return kept->item.payload.count + KEPT_BESIDE_BYTES;
 }
 
-static void forget(Keeper *keeper)
+static void forget(RepairBuffer *repair_buffer)
 {
-    const int64_t now_ms = loop_now_ms(keeper->loop);
-    while (keeper->first != NULL &&
-           (now_ms - keeper->first->at_ms > keeper->span_ms || keeper->bytes > KEEPER_BYTES_MAX)) {
-        Kept *kept = keeper->first;
-        keeper->first = kept->next;
-        if (keeper->first == NULL)
-            keeper->last = NULL;
-        keeper->bytes -= bytes_of(kept);
-        g_hash_table_remove(keeper->known, kept);
+    const int64_t now_ms = loop_now_ms(repair_buffer->loop);
+    while (repair_buffer->first != NULL && (now_ms - repair_buffer->first->at_ms > repair_buffer->span_ms ||
+                                            repair_buffer->bytes > REPAIR_BUFFER_BYTES_MAX)) {
+        Kept *kept = repair_buffer->first;
+        repair_buffer->first = kept->next;
+        if (repair_buffer->first == NULL)
+            repair_buffer->last = NULL;
+        repair_buffer->bytes -= bytes_of(kept);
+        g_hash_table_remove(repair_buffer->known, kept);
         talloc_free(kept);
     }
 }
 
-void keeper_keep(Keeper *keeper, const KeepItem *items, size_t count)
+void repair_buffer_keep(RepairBuffer *repair_buffer, const RepairItem *items, size_t count)
 {
-    for (size_t i = 0; i < count && keeper->span_ms > 0; i++) {
-        if (g_hash_table_contains(keeper->known, &items[i]))
+    for (size_t i = 0; i < count && repair_buffer->span_ms > 0; i++) {
+        if (g_hash_table_contains(repair_buffer->known, &items[i]))
             continue;
-        Kept *kept = talloc_zero(keeper, Kept);
+        Kept *kept = talloc_zero(repair_buffer, Kept);
         kept->item = items[i];
         kept->item.payload = bytes_copy(kept, items[i].payload);
-        kept->at_ms = loop_now_ms(keeper->loop);
-        g_hash_table_add(keeper->known, kept);
-        if (keeper->last != NULL)
-            keeper->last->next = kept;
+        kept->at_ms = loop_now_ms(repair_buffer->loop);
+        g_hash_table_add(repair_buffer->known, kept);
+        if (repair_buffer->last != NULL)
+            repair_buffer->last->next = kept;
         else
-            keeper->first = kept;
-        keeper->last = kept;
-        keeper->bytes += bytes_of(kept);
+            repair_buffer->first = kept;
+        repair_buffer->last = kept;
+        repair_buffer->bytes += bytes_of(kept);
     }
-    forget(keeper);
+    forget(repair_buffer);
 }
 
-static bool config_had(const KeepItem *item, uint64_t have)
+static bool config_had(const RepairItem *item, uint64_t have)
 {
     if (item->change != CHANGE_CONFIG_SET)
         return false;
@@ -99,22 +99,22 @@
     return had;
 }
 
-void keeper_tell(Keeper *keeper, void *mem, uint64_t config_have, KeepList *list)
+void repair_buffer_tell(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list)
 {
-    forget(keeper);
-    list->items = talloc_array(mem, KeepItem, (unsigned)keeper_count(keeper));
+    forget(repair_buffer);
+    list->items = talloc_array(mem, RepairItem, (unsigned)repair_buffer_count(repair_buffer));
     list->items_count = 0;
-    for (const Kept *kept = keeper->first; kept != NULL; kept = kept->next)
+    for (const Kept *kept = repair_buffer->first; kept != NULL; kept = kept->next)
         if (!config_had(&kept->item, config_have))
-            shape_copy(&KeepItem_shape, &kept->item, mem, &list->items[list->items_count++]);
+            shape_copy(&RepairItem_shape, &kept->item, mem, &list->items[list->items_count++]);
 }
 
-size_t keeper_count(const Keeper *keeper)
+size_t repair_buffer_count(const RepairBuffer *repair_buffer)
 {
-    return g_hash_table_size(keeper->known);
+    return g_hash_table_size(repair_buffer->known);
 }
 
-size_t keeper_bytes(const Keeper *keeper)
+size_t repair_buffer_bytes(const RepairBuffer *repair_buffer)
 {
-    return keeper->bytes;
+    return repair_buffer->bytes;
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -14,7 +14,7 @@
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    Keeper *keeper;
+    RepairBuffer *repair_buffer;
     Forwarder *forwarder;
     Trace *trace;
     Recorder *recorder;
@@ -30,8 +30,8 @@
     const RpcCounts *counts = rpc_counts(gate->rpc);
     show_metrics_begin(task);
     show_metric(task, "inWork", (int64_t)gate->in_work);
-    show_metric(task, "kept", (int64_t)keeper_count(gate->keeper));
-    show_metric(task, "keptBytes", (int64_t)keeper_bytes(gate->keeper));
+    show_metric(task, "kept", (int64_t)repair_buffer_count(gate->repair_buffer));
+    show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(gate->repair_buffer));
     show_metric(task, "configRevision", (int64_t)feed_revision(gate->feed));
     show_metric(task, "configHeld", (int64_t)feed_held(gate->feed));
     show_metric(task, "members", (int64_t)members_table(gate->members)->count);
@@ -100,8 +100,8 @@
 {
     Gate *gate = arg;
     const RetellAsk *ask = question;
-    KeepList *list = answer;
-    keeper_tell(gate->keeper, mem, ask->config_have, list);
+    RepairList *list = answer;
+    repair_buffer_tell(gate->repair_buffer, mem, ask->config_have, list);
     feed_tell(gate->feed, mem, ask->config_have, list);
     return STATUS_OK;
 }
@@ -109,10 +109,10 @@
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     Gate *gate = arg;
-    const KeepList *list = question;
+    const RepairList *list = question;
     (void)mem;
     (void)answer;
-    keeper_keep(gate->keeper, list->items, list->items_count);
+    repair_buffer_keep(gate->repair_buffer, list->items, list->items_count);
     return STATUS_OK;
 }
 
@@ -134,7 +134,7 @@
     gate->grace_ms = props->bounds.grace_ms;
     gate->unready_ms = props->bounds.unready_ms;
     gate->rpc = rpc_new(gate, loop, recorder);
-    gate->keeper = keeper_new(gate, loop, props->bounds.retell_ms);
+    gate->repair_buffer = repair_buffer_new(gate, loop, props->bounds.retell_ms);
     Status status = rpc_listen(gate->rpc, props->listen, gate->address, failure);
     if (status == STATUS_OK)
         status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
@@ -152,14 +152,14 @@
     gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
                                                                .rpc = gate->rpc,
                                                                .members = gate->members,
-                                                               .keeper = gate->keeper,
+                                                               .repair_buffer = gate->repair_buffer,
                                                                .trace = gate->trace,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
     gate->feed = feed_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
-    rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &KeepList_shape, on_retell, gate);
+    rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, gate);
     rpc_handle(gate->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
-    rpc_handle(gate->rpc, MESSAGE_KEEP, &KeepList_shape, &Nothing_shape, on_keep, gate);
+    rpc_handle(gate->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
     forwarder_start(gate->forwarder);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -254,7 +254,7 @@
     X(RetellAsk)     \
     X(FeedAsk)       \
     X(FeedAnswer)    \
-    X(KeepList)      \
+    X(RepairList)    \
     X(JobAdd)        \
     X(PlaceList)     \
     X(RoundList)     \
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -308,7 +308,7 @@
 }
 
 typedef struct Keeping {
-    Keeper *keeper;
+    RepairBuffer *repair_buffer;
     Loop *loop;
     void *mem;
     uint64_t number;
@@ -321,9 +321,9 @@
     uint8_t *data = talloc_zero_size(keeping->mem, keeping->each);
     for (uint64_t i = 0; i < keeping->number; i++) {
         memcpy(data, &i, sizeof(i));
-        const KeepItem item = {CHANGE_JOB_ADD, i + 1, {data, keeping->each, 0}};
-        keeper_keep(keeping->keeper, &item, 1);
-        keeper_keep(keeping->keeper, &item, 1); /* the same is kept once */
+        const RepairItem item = {CHANGE_JOB_ADD, i + 1, {data, keeping->each, 0}};
+        repair_buffer_keep(keeping->repair_buffer, &item, 1);
+        repair_buffer_keep(keeping->repair_buffer, &item, 1); /* the same is kept once */
     }
 }
 
@@ -335,28 +335,28 @@
     const int machine = sim_machine(world);
     sim_start(world, machine, nothing, NULL);
     Loop *loop = sim_loop(world, machine);
-    Keeping keeping = {keeper_new(world, loop, 30000), loop, world, 100, 1000};
+    Keeping keeping = {repair_buffer_new(world, loop, 30000), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 1000);
-    assert_int_equal(keeper_count(keeping.keeper), 100);
+    assert_int_equal(repair_buffer_count(keeping.repair_buffer), 100);
     keeping.number = 20000;
     loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 2000);
-    assert_true(keeper_bytes(keeping.keeper) <= KEEPER_BYTES_MAX);
-    assert_true(keeper_bytes(keeping.keeper) > KEEPER_BYTES_MAX - 2000);
-    KeepList list = {0};
-    keeper_tell(keeping.keeper, world, 0, &list);
+    assert_true(repair_buffer_bytes(keeping.repair_buffer) <= REPAIR_BUFFER_BYTES_MAX);
+    assert_true(repair_buffer_bytes(keeping.repair_buffer) > REPAIR_BUFFER_BYTES_MAX - 2000);
+    RepairList list = {0};
+    repair_buffer_tell(keeping.repair_buffer, world, 0, &list);
     assert_int_equal(list.items[list.items_count - 1].index, 20000);
     assert_int_equal(list.items[0].index, 20000 - list.items_count + 1);
     sim_run_until(world, 40000);
-    keeper_tell(keeping.keeper, world, 0, &list);
+    repair_buffer_tell(keeping.repair_buffer, world, 0, &list);
     assert_int_equal(list.items_count, 0);
-    assert_int_equal(keeper_bytes(keeping.keeper), 0);
+    assert_int_equal(repair_buffer_bytes(keeping.repair_buffer), 0);
     /* a deployment that trusts its disks keeps nothing */
-    keeping = (Keeping){keeper_new(world, loop, 0), loop, world, 100, 1000};
+    keeping = (Keeping){repair_buffer_new(world, loop, 0), loop, world, 100, 1000};
     loop_spawn(loop, "keep", keep_main, &keeping);
     sim_run_until(world, 50000);
-    assert_int_equal(keeper_count(keeping.keeper), 0);
+    assert_int_equal(repair_buffer_count(keeping.repair_buffer), 0);
     talloc_free(world);
 }
 
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -341,7 +341,7 @@
           "    if (task->body.count > 0 || !back || feed_size(gate->feed) > 0)\n",
           "read_at_any_node|others_are_served", "test", "largeconfig"),
     Guard("large-kept", "a large change is not pushed to gates before it is answered", "packages/core/src/elsewhere.c",
-          "    if (bytes_of(keeps) > CONFIG_LARGE_BYTES)", "    if (bytes_of(keeps) == 0)",
+          "    if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)", "    if (bytes_of(repair_items) == 0)",
           "changed_at_a_gate", "test", "largeconfig"),
     Guard("large-pieces", "a gate comes to hold a large document in pieces", "packages/feed/src/feed.c",
           ".piece_most = FEED_EAGER_BYTES};", ".piece_most = 0};",
