--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -54,9 +54,9 @@
 #define POLL_GRACE_MS                                                                                              \
     60 /* ms; once a majority of seats has answered, the last ones have this long: who is late comes into the view \
           later */
-#define VIEW_EXPIRY_MS 1200 /* ms; one step of a view change */
-#define FETCH_HOLD_MS 900   /* ms; orders asked for without a beat; less than half ORDER_EXPIRY_MS */
-#define FEED_HOLD_MS 2000   /* ms; configuration long poll between processes */
+#define VIEW_EXPIRY_MS 1200       /* ms; one step of a view change */
+#define FETCH_HOLD_MS 900         /* ms; orders asked for without a beat; less than half ORDER_EXPIRY_MS */
+#define CONFIG_WATCH_WAIT_MS 2000 /* ms; configuration long poll between processes */
 #define LEADER_WAIT_MS                                                                                              \
     150                  /* ms; from a leader's loss, what nobody can have taken waits so long for a way to another \
                           */
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -122,20 +122,20 @@
     return status;
 }
 
-static Status on_feed(void *arg, void *mem, const void *question, void *answer)
+static Status on_config_watch(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
-    const FeedAsk *ask = question;
-    FeedAnswer *out = answer;
-    const int64_t until_ms = loop_now_ms(core->loop) + FEED_HOLD_MS;
+    const ConfigWatchAsk *ask = question;
+    ConfigWatchAnswer *out = answer;
+    const int64_t until_ms = loop_now_ms(core->loop) + CONFIG_WATCH_WAIT_MS;
     const bool waits = core->repairing;
     for (;;) {
         if (!view_leading(core->view))
             return STATUS_NOT_LEADER;
         out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
-        if (!core->repairing &&
-            feed_answer(&core->piece_source, table_revisions(core->table), ask, loop_now_ms(core->loop), mem, out))
+        if (!core->repairing && config_watch_answer(&core->piece_source, table_revisions(core->table), ask,
+                                                    loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->revision = ask->have;
         if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
@@ -148,7 +148,7 @@
     Core *core = arg;
     const RetellAsk *ask = question;
     repair_buffer_tell(core->repair_buffer, mem, ask->config_have, answer);
-    feed_tell(core->feed, mem, ask->config_have, answer);
+    config_watch_notify(core->config_watch, mem, ask->config_have, answer);
     return STATUS_OK;
 }
 
@@ -165,7 +165,7 @@
 void callers_serve(Core *core)
 {
     rpc_handle(core->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
-    rpc_handle(core->rpc, MESSAGE_FEED, &FeedAsk_shape, &FeedAnswer_shape, on_feed, core);
+    rpc_handle(core->rpc, MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ConfigWatchAnswer_shape, on_config_watch, core);
     rpc_handle(core->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, core);
     rpc_handle(core->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, core);
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -44,7 +44,7 @@
     int64_t revision = 0, have = -1, wait_ms = 0;
     query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
     query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
-    query_int(way->faults, way->task->query, "waitMs", 0, FEED_HOLD_MS * 2, &wait_ms);
+    query_int(way->faults, way->task->query, "waitMs", 0, CONFIG_WATCH_WAIT_MS * 2, &wait_ms);
     if (way->faults->count > 0) {
         way_refuse(way);
         return;
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -227,7 +227,7 @@
                                                                .arg = core,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    core->feed = feed_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
+    core->config_watch = config_watch_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
     view_start(core->view, core->members);
     agents_serve(core);
     callers_serve(core);
@@ -236,7 +236,7 @@
     planner_start(core);
     alerts_start(core);
     forwarder_start(core->forwarder);
-    feed_start(core->feed, seatless, core);
+    config_watch_start(core->config_watch, seatless, core);
     loop_spawn(loop, "forget", forget_main, core);
     *out = core;
     return STATUS_OK;
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -174,7 +174,7 @@
         signal_wait(core->loop, &retelling->ended, INT64_MAX);
     RepairList own = {0};
     repair_buffer_tell(core->repair_buffer, retelling, retelling->config_have, &own);
-    feed_tell(core->feed, retelling, retelling->config_have, &own);
+    config_watch_notify(core->config_watch, retelling, retelling->config_have, &own);
     if (own.items_count > 0) {
         retelling->items =
             talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + own.items_count));
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -15,27 +15,27 @@
  * differences come at once, a whole one once nothing has changed for a while, so
  * that a storm of changes does not fill a narrow link.
  * Invariant: revisions never has a revision above the one known. */
-typedef struct Feed Feed;
+typedef struct ConfigWatch ConfigWatch;
 
 /* Whether to ask for the configuration now; null: always. Otherwise the leader is
  * asked no more than whether it serves. */
-typedef bool (*FeedFn)(void *arg);
+typedef bool (*ConfigWatchFn)(void *arg);
 
-Feed *feed_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace);
+ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace);
 /* Begins to ask. */
-void feed_start(Feed *feed, FeedFn wanted, void *arg);
+void config_watch_start(ConfigWatch *config_watch, ConfigWatchFn wanted, void *arg);
 /* The newest that is known; 0: none. */
-uint64_t feed_revision(const Feed *feed);
+uint64_t config_watch_revision(const ConfigWatch *config_watch);
 /* Bytes of the newest document that is known, at most; 0: none, or its leader does not say. */
-uint64_t feed_size(const Feed *feed);
+uint64_t config_watch_size(const ConfigWatch *config_watch);
 /* The revision whose whole document is held for repair; 0: none. */
-uint64_t feed_held(const Feed *feed);
+uint64_t config_watch_held(const ConfigWatch *config_watch);
 /* Adds what is kept of the document, on mem, to be told again to one that has a revision. */
-void feed_tell(const Feed *feed, void *mem, uint64_t have, RepairList *list);
+void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list);
 
 /* What the leader answers out of its revisions, under the answer's epoch; true when there
  * is news. On mem, and valid until the next wait. */
-bool feed_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
-                 FeedAnswer *answer);
+bool config_watch_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+                         void *mem, ConfigWatchAnswer *answer);
 
 #endif
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -48,7 +48,7 @@
 
 /* Answered when there is a revision above have, or, when the document is wanted
  * too, above the one that it is had of. */
-#define FEED_ASK_FIELDS(X)                                                                              \
+#define CONFIG_WATCH_ASK_FIELDS(X)                                                                      \
     X(U64, have, 0)                                                                                     \
     X(U64, text_have, 0)                                                                                \
     X(FLAG, wants, 0)     /* the document whatever its size; else small changes only */                 \
@@ -57,9 +57,9 @@
     X(U64, piece_most, 0) /* bytes; a document that is larger comes in pieces of so many; 0: at once */ \
     X(U64, piece_of, 0)   /* the revision whose document has begun to come; 0: none */                  \
     X(U64, piece_from, 0) /* bytes; so much of it is there */
-SHAPE(FeedAsk, FEED_ASK_FIELDS)
+SHAPE(ConfigWatchAsk, CONFIG_WATCH_ASK_FIELDS)
 
-#define FEED_ANSWER_FIELDS(X)                                                                                \
+#define CONFIG_WATCH_ANSWER_FIELDS(X)                                                                        \
     X(U64, epoch, 0)                                                                                         \
     X(U64, revision, 0)                                                                                      \
     X(TXT, text, 0)                                                                                          \
@@ -71,6 +71,6 @@
     X(U64, piece_from, 0)        /* bytes; of the text that are before it */                                 \
     X(U64, piece_length, 0)      /* bytes; of the whole text */                                              \
     X(BIN, piece, 0)
-SHAPE(FeedAnswer, FEED_ANSWER_FIELDS)
+SHAPE(ConfigWatchAnswer, CONFIG_WATCH_ANSWER_FIELDS)
 
 #endif
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/feed/include/feed/pieces.h
@@ -23,8 +23,8 @@
 /* The piece that was asked for, if it is of the version that is being handed over; else the
  * first of that one. A text costs a reading of the whole document: while one is asked for, all
  * who ask are given that, and what has changed since as differences. */
-void piece_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
-                  FeedAnswer *answer);
+void piece_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+                  ConfigWatchAnswer *answer);
 /* Gives back the text that nobody has asked for of late. */
 void piece_rest(PieceSource *source, int64_t now_ms);
 
@@ -41,9 +41,9 @@
 /* Whether some of a document is there and the rest is not. */
 bool pieces_begun(const Pieces *pieces);
 /* Says in the question which piece is wanted. */
-void pieces_ask(const Pieces *pieces, FeedAsk *ask);
+void pieces_ask(const Pieces *pieces, ConfigWatchAsk *ask);
 /* Adds a piece. True when the document is whole: set is filled in, its text on mem. */
-bool pieces_take(void *mem, Pieces *pieces, const FeedAnswer *answer, ConfigSet *set);
+bool pieces_take(void *mem, Pieces *pieces, const ConfigWatchAnswer *answer, ConfigSet *set);
 /* Another leader is asked: what was begun is dropped. */
 void pieces_drop(Pieces *pieces);
 
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -8,18 +8,18 @@
 #include "feed/limits.h"
 #include "table/deliverconfig.h"
 
-#define FEED_KEEP 8                 /* count; revisions kept for repair: any later one holds all of them */
-#define FEED_CALM_MS 5000           /* ms; nothing has changed for so long: the document itself is asked for */
-#define FEED_EAGER_BYTES 16384      /* bytes; so much of it comes at once: 65 ms of a 2 Mbit/s link */
-#define FEED_PIECE_REST 3           /* times; what a piece took, before the next: a quarter of the link at most */
-#define FEED_PIECE_REST_MAX_MS 1000 /* ms; ... but no longer than this */
+#define CONFIG_WATCH_KEEP 8            /* count; revisions kept for repair: any later one holds all of them */
+#define CONFIG_WATCH_CALM_MS 5000      /* ms; nothing has changed for so long: the document itself is asked for */
+#define CONFIG_WATCH_EAGER_BYTES 16384 /* bytes; so much of it comes at once: 65 ms of a 2 Mbit/s link */
+#define CONFIG_WATCH_PIECE_REST 3      /* times; what a piece took, before the next: a quarter of the link at most */
+#define CONFIG_WATCH_PIECE_REST_MAX_MS 1000 /* ms; ... but no longer than this */
 
-struct Feed {
+struct ConfigWatch {
     Loop *loop;
     Rpc *rpc;
     Ways *ways;
     Trace *trace;
-    FeedFn wanted;
+    ConfigWatchFn wanted;
     void *arg;
     uint64_t epoch; /* the newest heard of */
     uint64_t revision, size;
@@ -30,34 +30,34 @@
 };
 
 /* Asks as long as its way is the one in use, so that a leader lost is not waited for. */
-typedef struct FeedAsking {
-    Feed *feed;
+typedef struct ConfigWatchAsking {
+    ConfigWatch *config_watch;
     WaysTaken taken;
     bool again; /* it has been answered along this way */
-} FeedAsking;
+} ConfigWatchAsking;
 
-Feed *feed_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace)
+ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace)
 {
-    Feed *feed = talloc_zero(mem, Feed);
-    *feed = (Feed){.loop = loop, .rpc = rpc, .ways = ways, .trace = trace};
-    feed->revisions = revisions_new(feed, FEED_KEEP, FEED_KEEP);
-    feed->pieces.mem = feed;
-    return feed;
+    ConfigWatch *config_watch = talloc_zero(mem, ConfigWatch);
+    *config_watch = (ConfigWatch){.loop = loop, .rpc = rpc, .ways = ways, .trace = trace};
+    config_watch->revisions = revisions_new(config_watch, CONFIG_WATCH_KEEP, CONFIG_WATCH_KEEP);
+    config_watch->pieces.mem = config_watch;
+    return config_watch;
 }
 
-uint64_t feed_revision(const Feed *feed)
+uint64_t config_watch_revision(const ConfigWatch *config_watch)
 {
-    return feed->revision;
+    return config_watch->revision;
 }
 
-uint64_t feed_size(const Feed *feed)
+uint64_t config_watch_size(const ConfigWatch *config_watch)
 {
-    return feed->size;
+    return config_watch->size;
 }
 
-uint64_t feed_held(const Feed *feed)
+uint64_t config_watch_held(const ConfigWatch *config_watch)
 {
-    return revisions_newest(feed->revisions);
+    return revisions_newest(config_watch->revisions);
 }
 
 /* --- the leader's side ----------------------------------------------------------------- */
@@ -74,7 +74,7 @@
 }
 
 /* The changes since a revision, when there are texts of all of them. */
-static bool changes_since(const Revisions *revisions, uint64_t have, size_t most, void *mem, FeedAnswer *answer)
+static bool changes_since(const Revisions *revisions, uint64_t have, size_t most, void *mem, ConfigWatchAnswer *answer)
 {
     size_t from = revisions->count, bytes = 0;
     while (from > 0 && revisions->rows[from - 1].revision > have)
@@ -89,7 +89,7 @@
     return true;
 }
 
-static bool whole_now(const Revisions *revisions, size_t most, void *mem, FeedAnswer *answer)
+static bool whole_now(const Revisions *revisions, size_t most, void *mem, ConfigWatchAnswer *answer)
 {
     if (revisions_size(revisions) > most)
         return false;
@@ -102,8 +102,8 @@
     return true;
 }
 
-bool feed_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms, void *mem,
-                 FeedAnswer *answer)
+bool config_watch_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+                         void *mem, ConfigWatchAnswer *answer)
 {
     piece_rest(source, now_ms);
     const uint64_t newest = revisions_newest(revisions);
@@ -112,7 +112,7 @@
     answer->revision = newest;
     answer->limits = *revisions_limits(revisions);
     answer->size = revisions_size(revisions);
-    const size_t most = !ask->wants ? FEED_EAGER_BYTES : ask->piece_most > 0 ? ask->piece_most : SIZE_MAX;
+    const size_t most = !ask->wants ? CONFIG_WATCH_EAGER_BYTES : ask->piece_most > 0 ? ask->piece_most : SIZE_MAX;
     if (!ask->brief) /* a gate of an earlier release */
         answer->text = revisions_text(revisions, mem, newest);
     else if (newest > ask->text_have && !changes_since(revisions, ask->text_have, most, mem, answer) &&
@@ -123,109 +123,111 @@
 
 /* --- the asking side --------------------------------------------------------------------- */
 
-static void keep_set(Feed *feed, ConfigSet set)
+static void keep_set(ConfigWatch *config_watch, ConfigSet set)
 {
     ChangeResult result = {0};
     set.restored = true;
-    if (set.revision <= feed->revision)
-        deliver_config(feed->revisions, &set, &result);
+    if (set.revision <= config_watch->revision)
+        deliver_config(config_watch->revisions, &set, &result);
 }
 
-static void learn(Feed *feed, void *mem, const FeedAnswer *answer)
+static void learn(ConfigWatch *config_watch, void *mem, const ConfigWatchAnswer *answer)
 {
-    if (answer->epoch > feed->epoch) {
-        feed->epoch = answer->epoch;
-        trace_say(feed->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
+    if (answer->epoch > config_watch->epoch) {
+        config_watch->epoch = answer->epoch;
+        trace_say(config_watch->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
-    if (answer->revision > feed->revision) {
-        trace_say(feed->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
-        feed->revision = answer->revision;
-        feed->size = answer->size;
-        feed->learnt_ms = loop_now_ms(feed->loop);
-        limits_serve(feed->loop, &answer->limits);
+    if (answer->revision > config_watch->revision) {
+        trace_say(config_watch->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
+        config_watch->revision = answer->revision;
+        config_watch->size = answer->size;
+        config_watch->learnt_ms = loop_now_ms(config_watch->loop);
+        limits_serve(config_watch->loop, &answer->limits);
     }
     for (size_t i = 0; i < answer->sets_count; i++)
-        keep_set(feed, answer->sets[i]);
+        keep_set(config_watch, answer->sets[i]);
     ConfigSet whole;
-    if (pieces_take(mem, &feed->pieces, answer, &whole))
-        keep_set(feed, whole);
+    if (pieces_take(mem, &config_watch->pieces, answer, &whole))
+        keep_set(config_watch, whole);
 }
 
-static Status ask_once(Feed *feed, const WaysTaken *taken, bool first)
+static Status ask_once(ConfigWatch *config_watch, const WaysTaken *taken, bool first)
 {
-    void *mem = talloc_new(feed);
-    const uint64_t text_have = revisions_newest(feed->revisions);
-    const bool wanted = feed->wanted == NULL || feed->wanted(feed->arg);
-    const bool calm = loop_now_ms(feed->loop) - feed->learnt_ms >= FEED_CALM_MS;
+    void *mem = talloc_new(config_watch);
+    const uint64_t text_have = revisions_newest(config_watch->revisions);
+    const bool wanted = config_watch->wanted == NULL || config_watch->wanted(config_watch->arg);
+    const bool calm = loop_now_ms(config_watch->loop) - config_watch->learnt_ms >= CONFIG_WATCH_CALM_MS;
     if (first)
-        pieces_drop(&feed->pieces);
-    FeedAsk ask = {.have = UINT64_MAX, .text_have = UINT64_MAX, .brief = true};
+        pieces_drop(&config_watch->pieces);
+    ConfigWatchAsk ask = {.have = UINT64_MAX, .text_have = UINT64_MAX, .brief = true};
     if (wanted)
-        ask = (FeedAsk){.have = feed->revision,
-                        .text_have = text_have,
-                        .wants = text_have < feed->revision && (calm || pieces_begun(&feed->pieces)),
-                        .brief = true,
-                        .piece_most = FEED_EAGER_BYTES};
-    pieces_ask(&feed->pieces, &ask);
+        ask = (ConfigWatchAsk){.have = config_watch->revision,
+                               .text_have = text_have,
+                               .wants =
+                                   text_have < config_watch->revision && (calm || pieces_begun(&config_watch->pieces)),
+                               .brief = true,
+                               .piece_most = CONFIG_WATCH_EAGER_BYTES};
+    pieces_ask(&config_watch->pieces, &ask);
     ask.first = first;
-    FeedAnswer answer = {0};
-    const Status status = rpc_ask_peer(feed->rpc, mem, &(RpcTarget){taken->address, taken->peer, NULL}, MESSAGE_FEED,
-                                       &FeedAsk_shape, &ask, FEED_HOLD_MS + ASK_EXPIRY_MS, &FeedAnswer_shape, &answer);
+    ConfigWatchAnswer answer = {0};
+    const Status status = rpc_ask_peer(config_watch->rpc, mem, &(RpcTarget){taken->address, taken->peer, NULL},
+                                       MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ask,
+                                       CONFIG_WATCH_WAIT_MS + ASK_EXPIRY_MS, &ConfigWatchAnswer_shape, &answer);
     if (status == STATUS_OK) {
-        ways_heard(feed->ways, taken, !answer.waits);
+        ways_heard(config_watch->ways, taken, !answer.waits);
         if (wanted)
-            learn(feed, mem, &answer);
+            learn(config_watch, mem, &answer);
     }
     talloc_free(mem);
     return status;
 }
 
 /* Between two pieces of a document other frames have the link. */
-static void piece_rest_wait(const Feed *feed, int64_t took_ms)
+static void piece_rest_wait(const ConfigWatch *config_watch, int64_t took_ms)
 {
-    const int64_t rest_ms = took_ms * FEED_PIECE_REST;
-    loop_sleep(feed->loop, rest_ms < FEED_PIECE_REST_MAX_MS ? rest_ms : FEED_PIECE_REST_MAX_MS);
+    const int64_t rest_ms = took_ms * CONFIG_WATCH_PIECE_REST;
+    loop_sleep(config_watch->loop, rest_ms < CONFIG_WATCH_PIECE_REST_MAX_MS ? rest_ms : CONFIG_WATCH_PIECE_REST_MAX_MS);
 }
 
 /* Asks with the revision that it has and is answered when there is news, or after a
  * while. */
 static void ask_main(void *arg)
 {
-    FeedAsking *asking = arg;
-    Feed *feed = asking->feed;
-    while (!loop_stopping(feed->loop) && ways_current(feed->ways, &asking->taken)) {
-        const int64_t asked_ms = loop_now_ms(feed->loop);
-        if (ask_once(feed, &asking->taken, !asking->again) == STATUS_OK)
+    ConfigWatchAsking *asking = arg;
+    ConfigWatch *config_watch = asking->config_watch;
+    while (!loop_stopping(config_watch->loop) && ways_current(config_watch->ways, &asking->taken)) {
+        const int64_t asked_ms = loop_now_ms(config_watch->loop);
+        if (ask_once(config_watch, &asking->taken, !asking->again) == STATUS_OK)
             asking->again = true;
         else
-            ways_failed(feed->ways, &asking->taken);
-        if (pieces_begun(&feed->pieces))
-            piece_rest_wait(feed, loop_now_ms(feed->loop) - asked_ms);
+            ways_failed(config_watch->ways, &asking->taken);
+        if (pieces_begun(&config_watch->pieces))
+            piece_rest_wait(config_watch, loop_now_ms(config_watch->loop) - asked_ms);
     }
     talloc_free(asking);
 }
 
 /* A leader is asked directly, never through others. */
-static void feed_main(void *arg)
+static void config_watch_main(void *arg)
 {
-    Feed *feed = arg;
-    while (!loop_stopping(feed->loop)) {
+    ConfigWatch *config_watch = arg;
+    while (!loop_stopping(config_watch->loop)) {
         WaysTaken taken;
-        if (ways_take(feed->ways, &taken) && !taken.own && !taken.relay && taken.turn != feed->turn) {
-            feed->turn = taken.turn;
-            FeedAsking *asking = talloc_zero(feed, FeedAsking);
-            *asking = (FeedAsking){.feed = feed, .taken = taken};
-            loop_spawn(feed->loop, "feed", ask_main, asking);
+        if (ways_take(config_watch->ways, &taken) && !taken.own && !taken.relay && taken.turn != config_watch->turn) {
+            config_watch->turn = taken.turn;
+            ConfigWatchAsking *asking = talloc_zero(config_watch, ConfigWatchAsking);
+            *asking = (ConfigWatchAsking){.config_watch = config_watch, .taken = taken};
+            loop_spawn(config_watch->loop, "feed", ask_main, asking);
         }
-        signal_wait(feed->loop, ways_moved(feed->ways), INT64_MAX);
+        signal_wait(config_watch->loop, ways_moved(config_watch->ways), INT64_MAX);
     }
 }
 
-void feed_start(Feed *feed, FeedFn wanted, void *arg)
+void config_watch_start(ConfigWatch *config_watch, ConfigWatchFn wanted, void *arg)
 {
-    feed->wanted = wanted;
-    feed->arg = arg;
-    loop_spawn(feed->loop, "feeds", feed_main, feed);
+    config_watch->wanted = wanted;
+    config_watch->arg = arg;
+    loop_spawn(config_watch->loop, "feeds", config_watch_main, config_watch);
 }
 
 /* The first row to tell to one that has a revision. */
@@ -239,9 +241,9 @@
     return needs_more ? revisions->whole : from;
 }
 
-void feed_tell(const Feed *feed, void *mem, uint64_t have, RepairList *list)
+void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list)
 {
-    const Revisions *revisions = feed->revisions;
+    const Revisions *revisions = config_watch->revisions;
     for (size_t i = tell_from(revisions, have); i < revisions->count; i++) {
         const ConfigSet set = set_of(&revisions->rows[i]);
         RepairItem item = {CHANGE_CONFIG_SET, 0, {0}};
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -23,8 +23,8 @@
 }
 
 /* Whether its text may go on being handed over to the asker. */
-static bool source_good(const PieceSource *source, const Revisions *revisions, const FeedAsk *ask, uint64_t epoch,
-                        int64_t now_ms)
+static bool source_good(const PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask,
+                        uint64_t epoch, int64_t now_ms)
 {
     return source->text != NULL && source->epoch == epoch && source->version > ask->text_have &&
            now_ms - source->used_ms <= PIECE_TEXT_MS && row_of(revisions, source->version) != NULL;
@@ -39,8 +39,8 @@
     source->length = strlen(source->text);
 }
 
-void piece_answer(PieceSource *source, const Revisions *revisions, const FeedAsk *ask, int64_t now_ms,
-                  FeedAnswer *answer)
+void piece_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+                  ConfigWatchAnswer *answer)
 {
     if (!source_good(source, revisions, ask, answer->epoch, now_ms))
         source_set(source, revisions, answer->epoch);
@@ -76,7 +76,7 @@
     return pieces->version != 0;
 }
 
-void pieces_ask(const Pieces *pieces, FeedAsk *ask)
+void pieces_ask(const Pieces *pieces, ConfigWatchAsk *ask)
 {
     ask->piece_of = pieces->version;
     ask->piece_from = pieces->text.count;
@@ -88,7 +88,7 @@
     *pieces = (Pieces){.mem = pieces->mem};
 }
 
-bool pieces_take(void *mem, Pieces *pieces, const FeedAnswer *answer, ConfigSet *set)
+bool pieces_take(void *mem, Pieces *pieces, const ConfigWatchAnswer *answer, ConfigSet *set)
 {
     if (answer->piece_set.revision == 0)
         return false;
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -53,8 +53,8 @@
 /* One question of an asker; true when its document is whole. */
 static bool step(Hand *hand, Pieces *pieces, uint64_t text_have, ConfigSet *set)
 {
-    FeedAsk ask = {.text_have = text_have, .wants = true, .piece_most = MOST};
-    FeedAnswer answer = {.epoch = hand->epoch};
+    ConfigWatchAsk ask = {.text_have = text_have, .wants = true, .piece_most = MOST};
+    ConfigWatchAnswer answer = {.epoch = hand->epoch};
     hand->now_ms += 100;
     pieces_ask(pieces, &ask);
     piece_answer(&hand->source, hand->revisions, &ask, hand->now_ms, &answer);
@@ -164,7 +164,7 @@
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
-    const FeedAnswer strange[] = {
+    const ConfigWatchAnswer strange[] = {
         {.piece_set = {.revision = 2}, .piece_from = MOST, .piece_length = sizeof(FIRST) - 1},
         {.piece_set = {.revision = 1}, .piece_from = MOST + 1, .piece_length = sizeof(FIRST) - 1},
         {.piece_set = {.revision = 1}, .piece_from = MOST, .piece_length = sizeof(FIRST)},
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -19,7 +19,7 @@
     Trace *trace;
     Recorder *recorder;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
-    Feed *feed;
+    ConfigWatch *config_watch;
     int64_t grace_ms, unready_ms;
     bool leaving;
     size_t in_work;
@@ -32,8 +32,8 @@
     show_metric(task, "inWork", (int64_t)gate->in_work);
     show_metric(task, "kept", (int64_t)repair_buffer_count(gate->repair_buffer));
     show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(gate->repair_buffer));
-    show_metric(task, "configRevision", (int64_t)feed_revision(gate->feed));
-    show_metric(task, "configHeld", (int64_t)feed_held(gate->feed));
+    show_metric(task, "configRevision", (int64_t)config_watch_revision(gate->config_watch));
+    show_metric(task, "configHeld", (int64_t)config_watch_held(gate->config_watch));
     show_metric(task, "members", (int64_t)members_table(gate->members)->count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     RPC_COUNT_LIST(X)
@@ -63,7 +63,7 @@
 
 bool gate_elsewhere(Gate *gate, HttpTask *task, bool back, const char **leader)
 {
-    if (task->body.count <= CONFIG_LARGE_BYTES && !(back && feed_size(gate->feed) > CONFIG_LARGE_BYTES))
+    if (task->body.count <= CONFIG_LARGE_BYTES && !(back && config_watch_size(gate->config_watch) > CONFIG_LARGE_BYTES))
         return false;
     HttpTask *ask = talloc(task, HttpTask);
     *ask = (HttpTask){
@@ -102,7 +102,7 @@
     const RetellAsk *ask = question;
     RepairList *list = answer;
     repair_buffer_tell(gate->repair_buffer, mem, ask->config_have, list);
-    feed_tell(gate->feed, mem, ask->config_have, list);
+    config_watch_notify(gate->config_watch, mem, ask->config_have, list);
     return STATUS_OK;
 }
 
@@ -156,14 +156,14 @@
                                                                .trace = gate->trace,
                                                                .leader_wait_ms = props->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = props->bounds.outcome_wait_ms});
-    gate->feed = feed_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
+    gate->config_watch = config_watch_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
     rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, gate);
     rpc_handle(gate->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
     rpc_handle(gate->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, gate);
     members_set_voter(gate->members, props->bounds.founds == 1);
     members_start(gate->members);
     forwarder_start(gate->forwarder);
-    feed_start(gate->feed, NULL, NULL);
+    config_watch_start(gate->config_watch, NULL, NULL);
     *out = gate;
     return STATUS_OK;
 }
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -234,35 +234,35 @@
     talloc_free(fleet);
 }
 
-#define MESSAGES(X)  \
-    X(Hello)         \
-    X(ProposeAsk)    \
-    X(SeatAnswer)    \
-    X(RenewAsk)      \
-    X(AppendAsk)     \
-    X(FillAsk)       \
-    X(LogAsk)        \
-    X(LogAnswer)     \
-    X(BeatAsk)       \
-    X(BeatAnswer)    \
-    X(KnowAnswer)    \
-    X(TellAsk)       \
-    X(FetchAsk)      \
-    X(FetchAnswer)   \
-    X(ForwardAsk)    \
-    X(ForwardAnswer) \
-    X(RetellAsk)     \
-    X(FeedAsk)       \
-    X(FeedAnswer)    \
-    X(RepairList)    \
-    X(JobAdd)        \
-    X(PlaceList)     \
-    X(RoundList)     \
-    X(StopList)      \
-    X(WorkerLost)    \
-    X(ConfigSet)     \
-    X(ZoneDrain)     \
-    X(Record)        \
+#define MESSAGES(X)      \
+    X(Hello)             \
+    X(ProposeAsk)        \
+    X(SeatAnswer)        \
+    X(RenewAsk)          \
+    X(AppendAsk)         \
+    X(FillAsk)           \
+    X(LogAsk)            \
+    X(LogAnswer)         \
+    X(BeatAsk)           \
+    X(BeatAnswer)        \
+    X(KnowAnswer)        \
+    X(TellAsk)           \
+    X(FetchAsk)          \
+    X(FetchAnswer)       \
+    X(ForwardAsk)        \
+    X(ForwardAnswer)     \
+    X(RetellAsk)         \
+    X(ConfigWatchAsk)    \
+    X(ConfigWatchAnswer) \
+    X(RepairList)        \
+    X(JobAdd)            \
+    X(PlaceList)         \
+    X(RoundList)         \
+    X(StopList)          \
+    X(WorkerLost)        \
+    X(ConfigSet)         \
+    X(ZoneDrain)         \
+    X(Record)            \
     X(Worker)
 
 /* Random bytes, and packed ones spoilt, for every shape: refused, or a whole
