--- a/examples/counter.c
+++ b/examples/counter.c
@@ -72,8 +72,8 @@
     out->epoch = view_epoch(counter->view);
     if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
-    out->hold_ms = AGENT_HOLD_MS;
-    return liveset_beat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_HOLD_MS, &list_counts);
+    out->lease_ms = AGENT_LEASE_MS;
+    return liveset_beat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
 }
 
 static void beat_main(void *arg)
@@ -113,8 +113,8 @@
     Counter *counter = arg;
     (void)epoch;
     (void)repair;
-    if (new_holder) /* nobody is lost before every hold of the last holder has lapsed */
-        liveset_reset(counter->liveset, view_won_ms(counter->view) + AGENT_HOLD_MS + HOLD_SLACK_MS, NULL, 0);
+    if (new_holder) /* nobody is lost before every lease of the last holder has lapsed */
+        liveset_reset(counter->liveset, view_won_ms(counter->view) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
 }
 
 /* --- ordered delivery ------------------------------------------------------------- */
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -22,13 +22,13 @@
     size_t running_count, ended_count;
 } WorkerReport;
 
-/* What it is told. A hold counts from when the worker sent its question; 0: none,
- * and no start. Invariants: fence never falls within one boot; a hold that is
+/* What it is told. A lease counts from when the worker sent its question; 0: none,
+ * and no start. Invariants: fence never falls within one boot; a lease that is
  * passed on ends, on a clock CLOCK_SLOW_PERCENT slow, before the agent's own. */
 typedef struct WorkerOrders {
     uint64_t epoch; /* the newest that the agent knows */
     uint64_t fence; /* its counter */
-    int64_t hold_ms;
+    int64_t lease_ms;
     const Order *starts;
     size_t starts_count;
     int64_t start_ms; /* none of the starts stands longer than this from now */
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -12,7 +12,7 @@
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         rounds[round->phase]++;
     show_metrics_begin(task);
-    show_metric(task, "holdLeftMs", hold_left_ms(&agent->hold, loop_now_ms(agent->loop)));
+    show_metric(task, "holdLeftMs", lease_left_ms(&agent->lease, loop_now_ms(agent->loop)));
     show_metric(task, "workerLive", agent->worker_live);
     show_metric(task, "roundsRunning", rounds[PHASE_RUNNING]);
     show_metric(task, "roundsStopping", rounds[PHASE_STOPPING]);
@@ -28,7 +28,7 @@
     Agent *agent = arg;
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
         const bool live = task->path[1] == 'l';
-        if (!live && (agent->leaving || !hold_runs(&agent->hold, loop_now_ms(agent->loop)))) {
+        if (!live && (agent->leaving || !lease_runs(&agent->lease, loop_now_ms(agent->loop)))) {
             show_refusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
             return;
         }
@@ -100,7 +100,7 @@
 }
 
 /* Waits. A leaving agent takes its worker with it: no new work, what runs is
- * stopped when the hold lapses. */
+ * stopped when the lease lapses. */
 void agent_drain(Agent *agent)
 {
     agent->leaving = true;
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -1,11 +1,11 @@
 /* The paper's second survival rule: nobody holds the lock, and all members see
  * each other. The agent asks every member, all seats included, whether it
- * knows a holder. When all have said no, its hold runs on from the sending of the
+ * knows a holder. When all have said no, its lease runs on from the sending of the
  * oldest of those questions.
  *
  * Why that is safe: a lock is won with the grants of a majority of the seats. Each seat had granted
  * nothing when it answered, so any lock is won later than the oldest question,
- * and its winner treats nobody as lost for a whole hold after that. */
+ * and its winner treats nobody as lost for a whole lease after that. */
 #include <string.h>
 #include <talloc.h>
 
@@ -45,7 +45,7 @@
     KnowAnswer answer = {0};
     const Status status = rpc_ask_peer(agent->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
                                        &KnowAsk_shape, &ask, ASK_EXPIRY_MS, &KnowAnswer_shape, &answer);
-    if (status != STATUS_OK || answer.knows || answer.epoch > agent->hold.epoch) {
+    if (status != STATUS_OK || answer.knows || answer.epoch > agent->lease.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
         if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
@@ -116,15 +116,15 @@
     ask_those(asking, true);
     if (asking->all && seats_answered(asking))
         ask_those(asking, false);
-    const int64_t hold_ms = agent->props->bounds.hold_ms;
-    /* a hold that has lapsed meanwhile is not brought back: its rounds are stopping */
-    if (asking->all && seats_answered(asking) && hold_runs(&agent->hold, loop_now_ms(agent->loop))) {
+    const int64_t lease_ms = agent->props->bounds.lease_ms;
+    /* a lease that has lapsed meanwhile is not brought back: its rounds are stopping */
+    if (asking->all && seats_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
                            "no lock holder, and every member knows none: goes on while all see each other");
         agent->alone = true;
-        if (sent_ms + hold_ms > agent->hold.until_ms)
-            agent->hold.until_ms = sent_ms + hold_ms;
+        if (sent_ms + lease_ms > agent->lease.until_ms)
+            agent->lease.until_ms = sent_ms + lease_ms;
     }
     asking_leave(asking);
 }
@@ -133,9 +133,9 @@
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
-        const int64_t left_ms = hold_left_ms(&agent->hold, loop_now_ms(agent->loop));
-        const int64_t late_ms = agent->props->bounds.hold_ms / 2;
-        /* the second half of the hold: several beats have gone unanswered */
+        const int64_t left_ms = lease_left_ms(&agent->lease, loop_now_ms(agent->loop));
+        const int64_t late_ms = agent->props->bounds.lease_ms / 2;
+        /* the second half of the lease: several beats have gone unanswered */
         if (left_ms > 0 && left_ms < late_ms)
             ask_all(agent);
         loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : BEAT_MS / 5);
@@ -150,7 +150,7 @@
     (void)question;
     /* its beats are answered: a holder lives */
     out->knows = agent->beat_ms != 0 && loop_now_ms(agent->loop) - agent->beat_ms < 2 * BEAT_MS;
-    out->epoch = agent->hold.epoch;
+    out->epoch = agent->lease.epoch;
     return STATUS_OK;
 }
 
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -1,4 +1,4 @@
-/* The agent's beats: what the leader knows of it, how long its hold runs, and the
+/* The agent's beats: what the leader knows of it, how long its lease runs, and the
  * question for orders, in one. The leader holds a beat back until there are newer
  * orders; what does not wait goes in another meanwhile. */
 #include <inttypes.h>
@@ -99,7 +99,7 @@
 
 static void answer_take(Agent *agent, const Beat *beat, const BeatAsk *ask, const BeatAnswer *answer)
 {
-    if (!hold_answered(&agent->hold, answer->epoch, beat->sent_ms, answer->hold_ms)) {
+    if (!lease_answered(&agent->lease, answer->epoch, beat->sent_ms, answer->lease_ms)) {
         recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
                        "a beat was answered under old epoch %" PRIu64, epoch_counter(answer->epoch));
         return;
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -16,7 +16,7 @@
 /* Invariants:
  *  - no round is given to the worker while hold does not run, nor one whose
  *    epoch is older than hold.epoch when it was ordered, nor any once it leaves;
- *  - worker_until_ms is never earlier than the end of any hold passed on to the
+ *  - worker_until_ms is never earlier than the end of any lease passed on to the
  *    worker of the present boot;
  *  - settled: rounds holds everything that may run on the worker;
  *  - boots holds the boots known to be over; the present one is none of them. */
@@ -30,7 +30,7 @@
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     uint64_t incarnation;
     uint64_t number; /* of the last beat or telling */
-    Hold hold;
+    Lease lease;
     /* beats */
     struct Beat *beat;         /* the newest on its way; null: none */
     size_t beats;              /* on their way */
@@ -39,7 +39,7 @@
     uint64_t have, have_epoch; /* of the last orders taken: no older ones are taken after them */
     uint64_t saved_epoch;      /* whose leader the rounds' told_turn speaks of */
     int64_t beat_ms;           /* its last beat was answered then; 0: none was */
-    bool alone;                /* its hold runs by the second survival rule */
+    bool alone;                /* its lease runs by the second survival rule */
     /* the worker */
     Worker worker;
     void *worker_mem;
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -36,7 +36,7 @@
         }
         return;
     }
-    if (!hold_runs(&agent->hold, now_ms) || now_ms >= expiry_ms || older_lives(agent, order))
+    if (!lease_runs(&agent->lease, now_ms) || now_ms >= expiry_ms || older_lives(agent, order))
         return;
     const Round *newest = round_newest(agent, order->job, order->task);
     round = round_add(agent, order, PHASE_OFFERED);
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -105,7 +105,7 @@
         json_object_object_add(one, "saved", json_object_new_string(order->saved));
         json_object_array_add(starts, one);
     }
-    json_object_object_add(body, "holdMs", json_object_new_int64(orders->hold_ms));
+    json_object_object_add(body, "holdMs", json_object_new_int64(orders->lease_ms));
     json_object_object_add(body, "fence", json_object_new_int64((int64_t)orders->fence));
     json_object_object_add(body, "starts", starts);
     json_object_object_add(body, "stops", ids_of(orders->stops, orders->stops_count));
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -15,7 +15,7 @@
 
 static void lapse_watch(Agent *agent, int64_t now_ms, bool *ran)
 {
-    const bool runs = hold_runs(&agent->hold, now_ms);
+    const bool runs = lease_runs(&agent->lease, now_ms);
     if (*ran && !runs) {
         recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "the hold has lapsed: all rounds stop");
         rounds_stop(agent);
@@ -37,7 +37,8 @@
         rounds_gone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
-    const int64_t earlier_ms = hold_claim_ms(least(agent->props->bounds.hold_ms, agent->props->bounds.worker_hold_ms));
+    const int64_t earlier_ms =
+        lease_claim_ms(least(agent->props->bounds.lease_ms, agent->props->bounds.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
         beat_now(agent);
@@ -59,8 +60,8 @@
 static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
     int64_t until_ms = now_ms + BEAT_MS / 2;
-    if (hold_runs(&agent->hold, now_ms))
-        until_ms = least(until_ms, agent->hold.until_ms);
+    if (lease_runs(&agent->lease, now_ms))
+        until_ms = least(until_ms, agent->lease.until_ms);
     if (agent->worker_until_ms > now_ms)
         until_ms = least(until_ms, agent->worker_until_ms);
     return until_ms;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -24,7 +24,7 @@
     return false;
 }
 
-/* The present boot is over: nothing of it runs, no hold that it was given counts.
+/* The present boot is over: nothing of it runs, no lease that it was given counts.
  * for_good: it does not come back. */
 static void boot_end(Agent *agent, bool for_good, const char *why)
 {
@@ -45,7 +45,7 @@
     if (report->boot_ends && boot_over(agent, report->boot))
         return STATUS_DUPLICATE_WORKER; /* on its way for long: a newer one has been heard, or it has left */
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
-        /* another process of this name: unless the old one is known to be over, its hold must lapse first */
+        /* another process of this name: unless the old one is known to be over, its lease must lapse first */
         if (!report->boot_ends && loop_now_ms(agent->loop) < agent->worker_until_ms) {
             recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
                            "worker %s asks as a second process", agent->worker_name);
@@ -190,7 +190,7 @@
 static bool anything_for(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    const bool runs = hold_runs(&agent->hold, now_ms);
+    const bool runs = lease_runs(&agent->lease, now_ms);
     for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
         if ((round->phase == PHASE_OFFERED && runs) || round->phase == PHASE_STOPPING)
             return true;
@@ -213,15 +213,15 @@
     return loop_now_ms(agent->loop) + wait_ms;
 }
 
-/* What of the rest of the agent's own hold is passed on. */
-static int64_t hold_pass(Agent *agent, int64_t now_ms)
+/* What of the rest of the agent's own lease is passed on. */
+static int64_t lease_pass(Agent *agent, int64_t now_ms)
 {
-    int64_t left_ms = hold_left_ms(&agent->hold, now_ms);
-    if (left_ms > agent->props->bounds.worker_hold_ms)
-        left_ms = agent->props->bounds.worker_hold_ms;
-    const int64_t passed_ms = hold_passed_ms(left_ms);
-    if (passed_ms > 0 && now_ms + hold_claim_ms(passed_ms) > agent->worker_until_ms)
-        agent->worker_until_ms = now_ms + hold_claim_ms(passed_ms);
+    int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
+    if (left_ms > agent->props->bounds.worker_lease_ms)
+        left_ms = agent->props->bounds.worker_lease_ms;
+    const int64_t passed_ms = lease_passed_ms(left_ms);
+    if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_until_ms)
+        agent->worker_until_ms = now_ms + lease_claim_ms(passed_ms);
     return passed_ms;
 }
 
@@ -237,9 +237,9 @@
     Order *starts = talloc_zero_array(mem, Order, lives);
     RoundId *stops = talloc_zero_array(mem, RoundId, lives + (unsigned)report->running_count);
     RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->ended_count);
-    *orders = (WorkerOrders){.epoch = agent->hold.epoch,
-                             .fence = epoch_counter(agent->hold.epoch),
-                             .hold_ms = hold_pass(agent, now_ms),
+    *orders = (WorkerOrders){.epoch = agent->lease.epoch,
+                             .fence = epoch_counter(agent->lease.epoch),
+                             .lease_ms = lease_pass(agent, now_ms),
                              .starts = starts,
                              .start_ms = INT64_MAX,
                              .stops = stops,
@@ -249,7 +249,7 @@
         next = round->next;
         if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
             round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
-        } else if (round->phase == PHASE_OFFERED && orders->hold_ms > 0) {
+        } else if (round->phase == PHASE_OFFERED && orders->lease_ms > 0) {
             shape_copy(&Order_shape, &round->order, mem, &starts[orders->starts_count++]);
             if (round->expiry_ms - now_ms < orders->start_ms)
                 orders->start_ms = round->expiry_ms - now_ms;
@@ -289,7 +289,7 @@
     if (report->left) {
         boot_end(agent, report->boot_ends, "the worker has left");
         orders_fill(agent, mem, report, orders);
-        orders->hold_ms = 0;
+        orders->lease_ms = 0;
         return STATUS_OK;
     }
     const int64_t until_ms = answer_until_ms(agent, report);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -26,7 +26,7 @@
     Rpc *rpc;
     Members *members;
     uint64_t epoch;
-    int64_t hold_ms;
+    int64_t lease_ms;
     bool deaf;    /* answers no beat */
     bool commits; /* else a telling waits */
     uint64_t revision;
@@ -72,7 +72,7 @@
         return STATUS_NOT_LEADER;
     *out = boss->orders;
     out->epoch = boss->epoch;
-    out->hold_ms = boss->hold_ms;
+    out->lease_ms = boss->lease_ms;
     out->revision = boss->revision;
     out->expiry_ms = ORDER_EXPIRY_MS;
     out->orders = beat->have != boss->revision || beat->have_epoch != boss->epoch;
@@ -139,15 +139,15 @@
     sim_run_until(c->world, sim_now_ms(c->world) + for_ms);
 }
 
-static Case *case_new(int64_t hold_ms, int64_t worker_hold_ms)
+static Case *case_new(int64_t lease_ms, int64_t worker_lease_ms)
 {
     Case *c = talloc_zero(NULL, Case);
     c->world = sim_world_new(c, 1);
     c->boss_machine = sim_machine(c->world);
     c->agent_machine = sim_machine(c->world);
     c->other_machine = sim_machine(c->world);
-    c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .hold_ms = hold_ms, .commits = true};
-    c->other = (Boss){.id = "other", .address = OTHER, .hold_ms = hold_ms, .commits = true};
+    c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .lease_ms = lease_ms, .commits = true};
+    c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
     c->props = (Props){.name = "a1",
                        .worker = "w1",
                        .zone = "z",
@@ -155,8 +155,8 @@
                        .http = "10.0.0.2:8000",
                        .seeds = {BOSS, OTHER, BOSS},
                        .bounds = bounds_first()};
-    c->props.bounds.hold_ms = hold_ms;
-    c->props.bounds.worker_hold_ms = worker_hold_ms;
+    c->props.bounds.lease_ms = lease_ms;
+    c->props.bounds.worker_lease_ms = worker_lease_ms;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
     sim_start(c->world, c->boss_machine, boss_start, &c->boss);
     sim_start(c->world, c->other_machine, boss_start, &c->other);
@@ -297,22 +297,22 @@
     talloc_free(c);
 }
 
-static void hold_is_passed_on_less_two_percent(void **state)
+static void lease_is_passed_on_less_two_percent(void **state)
 {
     (void)state;
     Case *c = case_new(6000, 2000);
     Say *it = say(c, "b1");
     it->report.wait_ms = 0;
     say_all(it);
-    assert_int_equal(it->orders.hold_ms, 1960);
-    assert_true(hold_claim_ms(it->orders.hold_ms) >= it->orders.hold_ms * 102 / 100 + HOLD_SLACK_MS);
+    assert_int_equal(it->orders.lease_ms, 1960);
+    assert_true(lease_claim_ms(it->orders.lease_ms) >= it->orders.lease_ms * 102 / 100 + LEASE_SLACK_MS);
     /* of a short rest the rest counts: it ends before the agent's own */
     sim_cut(c->world, c->agent_machine, c->boss_machine, true);
     run(c, 5000);
     it = say(c, "b1");
     it->report.wait_ms = 0;
     say_all(it);
-    assert_in_range(it->orders.hold_ms, 1, 1500);
+    assert_in_range(it->orders.lease_ms, 1, 1500);
     talloc_free(c);
 }
 
@@ -325,12 +325,12 @@
     order(c, orders, 1);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     say_all(say(c, "b1"));
-    assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.hold_ms > 0);
+    assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.lease_ms > 0);
     c->boss.deaf = true;
     sim_cut(c->world, c->agent_machine, c->boss_machine, true);
     run(c, 3100);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    assert_int_equal(it->orders.hold_ms, 0);
+    assert_int_equal(it->orders.lease_ms, 0);
     assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stops_count, 1);
     talloc_free(c);
@@ -357,11 +357,11 @@
     /* a word of the old one that was late says nothing any more */
     it = saying(c, "b1", runs, 2, NULL, 0);
     assert_int_equal(it->status, STATUS_DUPLICATE_WORKER);
-    assert_int_equal(it->orders.hold_ms, 0);
+    assert_int_equal(it->orders.lease_ms, 0);
     talloc_free(c);
 }
 
-static void unvouched_boot_waits_for_the_hold(void **state)
+static void unvouched_boot_waits_for_the_lease(void **state)
 {
     (void)state;
     Case *c = case_new(3000, 3000);
@@ -419,7 +419,7 @@
     Say *it = say(c, "b1");
     it->report.leaving = it->report.left = true;
     say_all(it);
-    assert_int_equal(it->orders.hold_ms, 0);
+    assert_int_equal(it->orders.lease_ms, 0);
     run(c, 100);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
     assert_true(c->boss.beat.leaving);
@@ -647,7 +647,7 @@
     talloc_free(c);
 }
 
-static void silent_worker_has_lost_its_rounds_when_its_hold_is_over(void **state)
+static void silent_worker_has_lost_its_rounds_when_its_lease_is_over(void **state)
 {
     (void)state;
     Case *c = case_new(8000, 2000);
@@ -657,7 +657,7 @@
     saying(c, "b1", NULL, 0, NULL, 0);
     const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
-    const int64_t until_ms = sim_now_ms(c->world) + it->orders.hold_ms * 102 / 100;
+    const int64_t until_ms = sim_now_ms(c->world) + it->orders.lease_ms * 102 / 100;
     sim_run_until(c->world, until_ms);
     assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
@@ -724,10 +724,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(order_reaches_a_question_that_waits),
-        cmocka_unit_test(hold_is_passed_on_less_two_percent),
+        cmocka_unit_test(lease_is_passed_on_less_two_percent),
         cmocka_unit_test(lapsed_agent_grants_nothing),
         cmocka_unit_test(new_boot_ends_claims),
-        cmocka_unit_test(unvouched_boot_waits_for_the_hold),
+        cmocka_unit_test(unvouched_boot_waits_for_the_lease),
         cmocka_unit_test(leaving_worker_is_given_nothing),
         cmocka_unit_test(left_worker_is_over),
         cmocka_unit_test(saved_travels_once_and_again_to_a_new_leader),
@@ -739,7 +739,7 @@
         cmocka_unit_test(answer_that_was_lost_is_given_again),
         cmocka_unit_test(what_is_not_wanted_is_stopped),
         cmocka_unit_test(earlier_agents_round_is_not_taken_back),
-        cmocka_unit_test(silent_worker_has_lost_its_rounds_when_its_hold_is_over),
+        cmocka_unit_test(silent_worker_has_lost_its_rounds_when_its_lease_is_over),
         cmocka_unit_test(ends_that_wait_are_not_held_back_long),
         cmocka_unit_test(idle_agent_says_little),
     };
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -6,9 +6,9 @@
 
 /* --- beats and holds: the sum of the steps after a leader's death is
  * LOCK_HOLD + one proposal + one view change + AGENT_HOLD < 12 s ----------- */
-#define BEAT_MS 500        /* ms; six beats fit in an agent's hold, so five may be lost */
-#define AGENT_HOLD_MS 3000 /* ms; a lost worker's claim lapses after this: "a few seconds at most" */
-#define LOCK_HOLD_MS 1500  /* ms; a seat grants the lock for so long */
+#define BEAT_MS 500         /* ms; six beats fit in an agent's lease, so five may be lost */
+#define AGENT_LEASE_MS 3000 /* ms; a lost worker's claim lapses after this: "a few seconds at most" */
+#define LOCK_GRANT_MS 1500  /* ms; a seat grants the lock for so long */
 #define LOCK_LEASE_MS                                                                                                 \
     1440 /* ms; the holder counts on so much of it: its clock may be 2% slow and a seat's 2% quick; four renewals fit \
           */
@@ -20,9 +20,9 @@
     120 /* ms; each seat stands so much later than the one before it: a question and its answer take less */
 #define HANDED_MS 600        /* ms; one that the last holder named is left alone for so long */
 #define ORDER_EXPIRY_MS 2000 /* ms; an order older than this is refused by the agent */
-#define ORDER_GONE_MS                                                                              \
-    (ORDER_EXPIRY_MS + ORDER_EXPIRY_MS / 50 + HOLD_SLACK_MS) /* ms; ... by a clock that is 2% slow \
-                                                              */
+#define ORDER_GONE_MS                                                                               \
+    (ORDER_EXPIRY_MS + ORDER_EXPIRY_MS / 50 + LEASE_SLACK_MS) /* ms; ... by a clock that is 2% slow \
+                                                               */
 #define WORKER_POLL_MS 400   /* ms; a worker's question to its agent is held at most this long */
 #define BEAT_WAIT_MS 450     /* ms; a beat waits so long for orders: with the way there and back, one each BEAT_MS */
 #define BEATS_MOST 4         /* count; an agent's beats on their way at once: one waits, the others have news */
@@ -30,7 +30,7 @@
 #define WORKER_BUSY_MS 50    /* ms; what has ended there waits no longer for an answer that is held back ... */
 #define WORKER_AGAIN_MS \
     50 /* ms; ... and then an order waits so long for the next question: as long as the other costs least */
-#define WORKER_LOST_MS 3000 /* ms; ... and has lost its rounds after this at the latest, once its hold has lapsed */
+#define WORKER_LOST_MS 3000 /* ms; ... and has lost its rounds after this at the latest, once its lease has lapsed */
 #define TELLING_MOST 500    /* count; news in one telling: a worker's longest list of ends */
 #define NEWS_MOST 1000      /* count; news of rounds in one change */
 #define NEWS_LAZY_MS 200    /* ms; that a round runs waits so long for other news to be committed with */
@@ -38,11 +38,11 @@
 #define BOOTS_KEPT 16       /* count; earlier boots of its worker that an agent tells from new ones */
 #define COPY_SILENT_MS 1500 /* ms; work whose owner allows copies restarts when its worker is silent so long */
 #define CLOCK_SLOW_PERCENT \
-    2                    /* percent; a worker's steady clock may be so much slow: holds passed on are so much shorter */
-#define HOLD_SLACK_MS 50 /* ms; the leader adds this to its count of a hold: timer granularity */
+    2 /* percent; a worker's steady clock may be so much slow: holds passed on are so much shorter */
+#define LEASE_SLACK_MS 50 /* ms; the leader adds this to its count of a lease: timer granularity */
 
 /* --- asking ------------------------------------------------------------- */
-#define ASK_EXPIRY_MS 800     /* ms; a plain question between processes; shorter than a lock hold */
+#define ASK_EXPIRY_MS 800     /* ms; a plain question between processes; shorter than a lock lease */
 #define APPEND_EXPIRY_MS 1500 /* ms; a seat that does not sync in this time leaves the view */
 #define WATCH_MS 100          /* ms; the holder looks at its seats, and a seat for a holder, this often */
 #define SEAT_LATE_MS                                                                                                \
@@ -55,7 +55,7 @@
     60 /* ms; once a majority of seats has answered, the last ones have this long: who is late comes into the view \
           later */
 #define VIEW_EXPIRY_MS 1200       /* ms; one step of a view change */
-#define FETCH_HOLD_MS 900         /* ms; orders asked for without a beat; less than half ORDER_EXPIRY_MS */
+#define FETCH_WAIT_MS 900         /* ms; orders asked for without a beat; less than half ORDER_EXPIRY_MS */
 #define CONFIG_WATCH_WAIT_MS 2000 /* ms; configuration long poll between processes */
 #define LEADER_WAIT_MS                                                                                              \
     150                  /* ms; from a leader's loss, what nobody can have taken waits so long for a way to another \
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -18,7 +18,7 @@
 
 /* An agent's beat, which is also its question for orders. rounds: all it knows of that may run or whose end is not yet
  * known to the leader. settled: that list is complete (it has heard its worker,
- * or the worker's hold has lapsed, since it started).
+ * or the worker's lease has lapsed, since it started).
  * others: room that is in use there by what is not ours. */
 #define BEAT_ASK_FIELDS(X)                                                    \
     X(TXT, agent, 0)                                                          \
@@ -48,12 +48,12 @@
     X(TXT, saved, 0)
 SHAPE(Order, ORDER_FIELDS)
 
-/* hold_ms counts from when the question was sent. orders: newer ones than the agent
+/* lease_ms counts from when the question was sent. orders: newer ones than the agent
  * has; starts are those of wanted that have not begun and that its question did not
  * name, wanted every round that is to be there. */
 #define BEAT_ANSWER_FIELDS(X) \
     X(U64, epoch, 0)          \
-    X(I64, hold_ms, 0)        \
+    X(I64, lease_ms, 0)       \
     X(FLAG, orders, 0)        \
     X(U64, revision, 0)       \
     X(I64, expiry_ms, 0)      \
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -2,32 +2,32 @@
 
 #include "base/constants.h"
 
-bool hold_answered(Hold *hold, uint64_t epoch, int64_t sent_ms, int64_t hold_ms)
+bool lease_answered(Lease *lease, uint64_t epoch, int64_t sent_ms, int64_t lease_ms)
 {
-    if (epoch < hold->epoch)
+    if (epoch < lease->epoch)
         return false;
-    hold->epoch = epoch;
-    if (sent_ms + hold_ms > hold->until_ms)
-        hold->until_ms = sent_ms + hold_ms;
+    lease->epoch = epoch;
+    if (sent_ms + lease_ms > lease->until_ms)
+        lease->until_ms = sent_ms + lease_ms;
     return true;
 }
 
-bool hold_runs(const Hold *hold, int64_t now_ms)
+bool lease_runs(const Lease *lease, int64_t now_ms)
 {
-    return now_ms < hold->until_ms;
+    return now_ms < lease->until_ms;
 }
 
-int64_t hold_left_ms(const Hold *hold, int64_t now_ms)
+int64_t lease_left_ms(const Lease *lease, int64_t now_ms)
 {
-    return now_ms < hold->until_ms ? hold->until_ms - now_ms : 0;
+    return now_ms < lease->until_ms ? lease->until_ms - now_ms : 0;
 }
 
-int64_t hold_claim_ms(int64_t hold_ms)
+int64_t lease_claim_ms(int64_t lease_ms)
 {
-    return hold_ms + hold_ms * CLOCK_SLOW_PERCENT / (100 - CLOCK_SLOW_PERCENT) + 1 + HOLD_SLACK_MS;
+    return lease_ms + lease_ms * CLOCK_SLOW_PERCENT / (100 - CLOCK_SLOW_PERCENT) + 1 + LEASE_SLACK_MS;
 }
 
-int64_t hold_passed_ms(int64_t hold_ms)
+int64_t lease_passed_ms(int64_t lease_ms)
 {
-    return hold_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
+    return lease_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
 }
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -40,7 +40,7 @@
         row_of(liveset, workers[i]);
 }
 
-Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t hold_ms, bool *list_counts)
+Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t lease_ms, bool *list_counts)
 {
     LiveRow *row = row_of(liveset, beat->worker.name);
     *list_counts = false;
@@ -49,12 +49,12 @@
     if (beat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
     if (beat->incarnation != row->incarnation) {
-        /* a new agent: the old one's hold runs on until it has lapsed */
+        /* a new agent: the old one's lease runs on until it has lapsed */
         row->incarnation = beat->incarnation;
         row->number = 0;
         row->joined_ms = now_ms;
     }
-    const int64_t until_ms = now_ms + hold_claim_ms(hold_ms);
+    const int64_t until_ms = now_ms + lease_claim_ms(lease_ms);
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
     row->heard_ms = now_ms;
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -49,7 +49,7 @@
     return list;
 }
 
-/* What a beat makes known, committed beside it: the hold is not kept back for
+/* What a beat makes known, committed beside it: the lease is not kept back for
  * the disks. */
 typedef struct Learning {
     Core *core;
@@ -186,8 +186,8 @@
     const LiveRow *before = liveset_find(core->liveset, beat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms);
     bool list_counts;
-    const int64_t hold_ms = core->props->bounds.hold_ms;
-    const Status status = liveset_beat(core->liveset, beat, now_ms, hold_ms, &list_counts);
+    const int64_t lease_ms = core->props->bounds.lease_ms;
+    const Status status = liveset_beat(core->liveset, beat, now_ms, lease_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
     if (liveset_find(core->liveset, beat->worker.name)->number == beat->number)
@@ -200,12 +200,12 @@
     place_maybe(core);
     if (beat->wait_ms > 0)
         orders_answer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
-    /* the hold counts from when the question was sent, so a holder that has lost the
+    /* the lease counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
     out->epoch = view_epoch(core->view);
-    out->hold_ms = hold_ms;
+    out->lease_ms = lease_ms;
     return STATUS_OK;
 }
 
@@ -243,7 +243,7 @@
         return STATUS_UNKNOWN_WORKER; /* it has to beat first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
-    orders_answer(core, mem, &beat, FETCH_HOLD_MS, &orders);
+    orders_answer(core, mem, &beat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
     *out = (FetchAnswer){view_epoch(core->view), orders.revision, orders.expiry_ms,   orders.starts,
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -10,7 +10,7 @@
 #include "base/map.h"
 
 #define ALERTS_LOOK_MS 1000 /* ms; between two looks */
-#define LOST_AFTER_MS 1000  /* ms; beyond the hold: a restart of an agent takes less */
+#define LOST_AFTER_MS 1000  /* ms; beyond the lease: a restart of an agent takes less */
 
 #define LOSSES_TEXT 40 /* bytes; two counts in words */
 
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -43,7 +43,7 @@
 
 int64_t core_claim_ms(const Core *core)
 {
-    return hold_claim_ms(core->props->bounds.hold_ms);
+    return lease_claim_ms(core->props->bounds.lease_ms);
 }
 
 static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
@@ -58,7 +58,7 @@
         const char **names = talloc_array(mem, const char *, (unsigned)count);
         for (size_t i = 0; i < count; i++)
             names[i] = workers[i]->name;
-        /* any hold that the last leader answered runs out within this */
+        /* any lease that the last leader answered runs out within this */
         strays_reset(core->strays);
         paces_reset(core->paces);
         liveset_reset(core->liveset, view_won_ms(core->view) + core_claim_ms(core), names, count);
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -127,7 +127,7 @@
 Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
                    RepairList *repair_items);
 
-/* How long any hold runs that this or the last leader may have answered, by the own clock. */
+/* How long any lease runs that this or the last leader may have answered, by the own clock. */
 int64_t core_claim_ms(const Core *core);
 
 /* The way to one agent. Never freed while the process runs. */
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -9,10 +9,10 @@
  * process's own clock; the two halves are never compared. The holder counts on a
  * little less than a seat grants, so that clocks may run apart.
  *
- * Why at most one holder: a holder counts its hold from when it SENT the
+ * Why at most one holder: a holder counts its lease from when it SENT the
  * question, a seat from when it ANSWERED, which is later. A holder needs the
  * holds of a majority of the seats; another needs promises of a majority, and a
- * seat promises nothing while a hold it granted runs. The two sets share a seat;
+ * seat promises nothing while a lease it granted runs. The two sets share a seat;
  * so they do while seats are added or removed one at a time, for any two
  * majorities of lists that differ in one seat share one. */
 
@@ -27,11 +27,11 @@
 
 /* A seat's half.
  * Invariants: promised never falls while the process lives, and is synced
- * before it is answered; hold_until_ms is the hold of holder under promised. */
+ * before it is answered; lease_until_ms is the lease of holder under promised. */
 typedef struct LockSeat {
     uint64_t promised;
     uint64_t holder; /* disk id */
-    int64_t hold_until_ms;
+    int64_t lease_until_ms;
     uint64_t released;     /* epoch: given back by its holder, so that nothing late renews it */
     int64_t not_before_ms; /* woken: what was granted may be forgotten, so nothing is promised before this ... */
     bool sure;             /* ... but promised and holder are known to be the last: only holder may hold anything */
@@ -40,7 +40,7 @@
 /* Whether epoch may be promised to holder now. */
 Status lock_may_promise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
 void lock_promise(LockSeat *seat, uint64_t epoch, uint64_t holder);
-/* Lets the hold run on from now; OLD_EPOCH or OTHER_HOLDER when it is not the promised one. */
+/* Lets the lease run on from now; OLD_EPOCH or OTHER_HOLDER when it is not the promised one. */
 Status lock_renew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
 void lock_release(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
 bool lock_held(const LockSeat *seat, int64_t now_ms);
@@ -49,14 +49,14 @@
  * Invariants: sent_ms[i] is when the last question that the seat at place i answered
  * well was sent, INT64_MIN when there is none under this epoch or nobody has the
  * place; seats is the number of places that somebody has. */
-typedef struct LockHold {
+typedef struct LockLease {
     size_t seats;
     int64_t sent_ms[SEAT_MOST];
-} LockHold;
+} LockLease;
 
-void lock_hold_clear(LockHold *hold);
-void lock_hold_answered(LockHold *hold, int seat, int64_t sent_ms);
+void lock_lease_clear(LockLease *lease);
+void lock_lease_answered(LockLease *lease, int seat, int64_t sent_ms);
 /* Until when a majority's holds run; INT64_MIN: not held. */
-int64_t lock_hold_until(const LockHold *hold);
+int64_t lock_lease_until(const LockLease *lease);
 
 #endif
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -25,7 +25,7 @@
         return STATUS_OLD_EPOCH;
     if (holder != seat->holder)
         return STATUS_OTHER_HOLDER;
-    seat->hold_until_ms = now_ms + LOCK_HOLD_MS;
+    seat->lease_until_ms = now_ms + LOCK_GRANT_MS;
     return STATUS_OK;
 }
 
@@ -33,7 +33,7 @@
 {
     if (epoch != seat->promised || holder != seat->holder)
         return;
-    seat->hold_until_ms = now_ms;
+    seat->lease_until_ms = now_ms;
     seat->released = epoch;
     if (seat->sure && seat->not_before_ms > now_ms)
         seat->not_before_ms = now_ms;
@@ -41,32 +41,32 @@
 
 bool lock_held(const LockSeat *seat, int64_t now_ms)
 {
-    return seat->holder != 0 && now_ms < seat->hold_until_ms;
+    return seat->holder != 0 && now_ms < seat->lease_until_ms;
 }
 
-void lock_hold_clear(LockHold *hold)
+void lock_lease_clear(LockLease *lease)
 {
     for (int i = 0; i < SEAT_MOST; i++)
-        hold->sent_ms[i] = INT64_MIN;
+        lease->sent_ms[i] = INT64_MIN;
 }
 
-void lock_hold_answered(LockHold *hold, int seat, int64_t sent_ms)
+void lock_lease_answered(LockLease *lease, int seat, int64_t sent_ms)
 {
-    if (sent_ms > hold->sent_ms[seat])
-        hold->sent_ms[seat] = sent_ms;
+    if (sent_ms > lease->sent_ms[seat])
+        lease->sent_ms[seat] = sent_ms;
 }
 
-int64_t lock_hold_until(const LockHold *hold)
+int64_t lock_lease_until(const LockLease *lease)
 {
     /* the oldest of the best majority */
     int64_t newest[SEAT_MOST];
     size_t count = 0;
     for (int i = 0; i < SEAT_MOST; i++) {
         size_t at = count++;
-        for (; at > 0 && newest[at - 1] < hold->sent_ms[i]; at--)
+        for (; at > 0 && newest[at - 1] < lease->sent_ms[i]; at--)
             newest[at] = newest[at - 1];
-        newest[at] = hold->sent_ms[i];
+        newest[at] = lease->sent_ms[i];
     }
-    const int64_t oldest = hold->seats > 0 ? newest[lock_majority(hold->seats) - 1] : INT64_MIN;
+    const int64_t oldest = lease->seats > 0 ? newest[lock_majority(lease->seats) - 1] : INT64_MIN;
     return oldest == INT64_MIN ? INT64_MIN : oldest + LOCK_LEASE_MS;
 }
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -24,16 +24,16 @@
 static void lease_ends_first(int64_t holder_percent, int64_t voter_percent)
 {
     for (int64_t sent_ms = 100; sent_ms < 200; sent_ms++) {
-        LockHold hold = {.seats = VOTERS};
+        LockLease lease = {.seats = VOTERS};
         LockSeat voters[VOTERS] = {{0}};
-        lock_hold_clear(&hold);
+        lock_lease_clear(&lease);
         for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
             lock_promise(&voters[i], EPOCH, HOLDER);
             assert_int_equal(lock_renew(&voters[i], EPOCH, HOLDER, clock_at(sent_ms, voter_percent)), STATUS_OK);
-            lock_hold_answered(&hold, i, clock_at(sent_ms, holder_percent));
+            lock_lease_answered(&lease, i, clock_at(sent_ms, holder_percent));
         }
         int64_t true_ms = sent_ms;
-        for (; clock_at(true_ms, holder_percent) < lock_hold_until(&hold); true_ms++)
+        for (; clock_at(true_ms, holder_percent) < lock_lease_until(&lease); true_ms++)
             for (int i = 0; i < VOTERS - 1; i++)
                 assert_int_equal(lock_may_promise(&voters[i], EPOCH + 1, RIVAL, clock_at(true_ms, voter_percent)),
                                  STATUS_OTHER_HOLDER);
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -37,7 +37,7 @@
     X(revert_ms, "revertMs", 250, "a machine that has shown it does not go back after this")               \
     X(evac_ms, "evacMs", 5000, "an emptied zone gets nothing new after this")                              \
     X(recover_ms, "recoverMs", 12000, "all served again within this after the closing fault")              \
-    X(hold_max_ms, "holdMaxMs", 10000, "a longer hold is cut to this")                                     \
+    X(lease_max_ms, "holdMaxMs", 10000, "a longer hold is cut to this")                                    \
     X(stop_ms, "stopMs", 200, "a worker stops a round within this")                                        \
     X(gang_ms, "gangMs", 3000, "a gang's members wait so long for the others")                             \
     X(cancel_ms, "cancelMs", 3000, "nothing of a cancelled job starts after this")                         \
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -61,14 +61,14 @@
     const char *payload, *saved;
 } HandStart;
 
-/* What it is answered. hold_ms and again_ms below 0: not said. */
+/* What it is answered. lease_ms and again_ms below 0: not said. */
 typedef struct HandOrders {
     HandStart *starts;
     size_t start_count;
     HandRunning *stops;
     size_t stop_count;
     uint64_t seen, fence;
-    int64_t hold_ms, again_ms;
+    int64_t lease_ms, again_ms;
 } HandOrders;
 
 /* --- jobs ------------------------------------------------------------------------------ */
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -182,7 +182,7 @@
     hand->mem = talloc_new(loop);
     hand->loop = loop;
     hand->sequence = hand->fence = hand->end_number = 0;
-    hand->hold_until_ms = 0;
+    hand->lease_until_ms = 0;
     hand->runs = NULL;
     hand->ends = NULL;
     hand->end_count = 0;
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -20,7 +20,7 @@
     struct HandRun *failing;
 } Crew;
 
-/* A run on a worker. Times are true ones but those of the hold, which are the worker's. */
+/* A run on a worker. Times are true ones but those of the lease, which are the worker's. */
 typedef struct HandRun {
     struct HandRun *next, *next_live;
     struct Hand *hand;
@@ -33,7 +33,7 @@
 typedef struct HandEnd {
     HandEnded told;
     BookTask *task;
-    bool lapsed_since; /* the hold was over since: nobody need take note of it */
+    bool lapsed_since; /* the lease was over since: nobody need take note of it */
 } HandEnd;
 
 /* A stand-in for a worker: it does what it is told, keeps what it runs only as long as
@@ -58,7 +58,7 @@
     void *mem;
     Loop *loop;
     uint64_t sequence, fence, end_number;
-    int64_t hold_until_ms;
+    int64_t lease_until_ms;
     HandRun *runs;
     HandEnd *ends;
     size_t end_count;
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -107,7 +107,7 @@
 static bool due_one(Hand *hand, int64_t now_ms)
 {
     const Site *site = hand->hands->ground->site;
-    const bool held = loop_now_ms(hand->loop) < hand->hold_until_ms;
+    const bool held = loop_now_ms(hand->loop) < hand->lease_until_ms;
     for (HandRun *run = hand->runs; run != NULL; run = run->next) {
         crew_advance(run->crew);
         const Crew *crew = run->crew;
@@ -141,7 +141,7 @@
 static int64_t next_due_ms(const Hand *hand, int64_t now_ms)
 {
     const int64_t own_ms = loop_now_ms(hand->loop);
-    int64_t wait_ms = hand->runs != NULL ? hand->hold_until_ms - own_ms : 3600000;
+    int64_t wait_ms = hand->runs != NULL ? hand->lease_until_ms - own_ms : 3600000;
     for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
         int64_t due_ms = crew_next_ms(run->crew);
         if (run->stop_at_ms != 0 && run->stop_at_ms < due_ms)
@@ -243,20 +243,20 @@
     if (orders->fence < hand->fence)
         return;
     hand->fence = orders->fence;
-    for (size_t i = 0; i < hand->end_count && loop_now_ms(hand->loop) >= hand->hold_until_ms; i++)
+    for (size_t i = 0; i < hand->end_count && loop_now_ms(hand->loop) >= hand->lease_until_ms; i++)
         hand->ends[i].lapsed_since = true;
     seen_take(hand, orders->seen);
     for (size_t i = 0; i < orders->stop_count; i++)
         stop_take(hand, &orders->stops[i]);
-    if (orders->hold_ms <= 0)
+    if (orders->lease_ms <= 0)
         return;
-    const int64_t hold_ms = orders->hold_ms < site->hold_max_ms ? orders->hold_ms : site->hold_max_ms;
+    const int64_t lease_ms = orders->lease_ms < site->lease_max_ms ? orders->lease_ms : site->lease_max_ms;
     /* what was held until now may be over: that is seen before anything new is held */
     while (due_one(hand, ground_now_ms(hand->hands->ground)))
         ;
-    if (sent_ms + hold_ms > hand->hold_until_ms)
-        hand->hold_until_ms = sent_ms + hold_ms;
-    for (size_t i = 0; i < orders->start_count && loop_now_ms(hand->loop) < hand->hold_until_ms; i++)
+    if (sent_ms + lease_ms > hand->lease_until_ms)
+        hand->lease_until_ms = sent_ms + lease_ms;
+    for (size_t i = 0; i < orders->start_count && loop_now_ms(hand->loop) < hand->lease_until_ms; i++)
         start_take(hand, &orders->starts[i]);
     signal_raise(hand->loop, &hand->work);
 }
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -80,7 +80,7 @@
     site->gates = 4;
     site->hand_cpu_milli = 16000;
     site->hand_mem_mb = 65536;
-    site->hold_max_ms = 6000;
+    site->lease_max_ms = 6000;
     site->save_ms = 2000;
     site->restore_ms = 600;
     tiles(site);
--- a/packages/props/include/props/bounds.h
+++ b/packages/props/include/props/bounds.h
@@ -9,8 +9,8 @@
  * processes of a cluster must be given the same.
  * X(name, default, least, most, meaning). Units are in the names. */
 #define BOUND_LIST(X)                                                                                            \
-    X(hold_ms, "holdMs", AGENT_HOLD_MS, 1000, 60000, "an agent's hold, as the leader answers its beat")          \
-    X(worker_hold_ms, "workerHoldMs", AGENT_HOLD_MS, 500, 60000,                                                 \
+    X(lease_ms, "holdMs", AGENT_LEASE_MS, 1000, 60000, "an agent's hold, as the leader answers its beat")        \
+    X(worker_lease_ms, "workerHoldMs", AGENT_LEASE_MS, 500, 60000,                                               \
       "the most of it that the agent passes on to its worker")                                                   \
     X(worker_poll_ms, "workerPollMs", WORKER_POLL_MS, 0, 10000, "a worker's question is held at most so long")   \
     X(stop_ms, "stopMs", 1000, 1, 60000, "a worker stops a round within this")                                   \
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -12,11 +12,11 @@
 #define CONFIG_LATE_MS 2000  /* ms; "ignored after about 2 seconds" */
 #define UNKNOWN_LATE_MS 3000 /* ms; "unknown when asked about 3 seconds after acceptance" */
 #define SERVE_LATE_MS 12000  /* ms; "serving again within about 12 seconds" */
-#define CLAIM_MOST_MS 4000   /* ms; a claim is "a few seconds at most": an agent's hold and the way there */
+#define CLAIM_MOST_MS 4000   /* ms; a claim is "a few seconds at most": an agent's lease and the way there */
 #define TOLD_LATE_MS 500     /* ms; a worker that was told to stop has stopped: it is told again with each answer */
-#define STOP_LATE_MS 4000    /* ms; a cancel reaches every worker at once, or its hold of 3 s lapses */
-#define GANG_LATE_MS                                                                                                  \
-    6000                  /* ms; a member's order expires (2 s) or its hold lapses (3 s); then the others are stopped \
+#define STOP_LATE_MS 4000    /* ms; a cancel reaches every worker at once, or its lease of 3 s lapses */
+#define GANG_LATE_MS                                                                                                   \
+    6000                  /* ms; a member's order expires (2 s) or its lease lapses (3 s); then the others are stopped \
                            */
 #define WALL_SLACK_MS 250 /* ms; seats' honest clocks differ by up to 100 ms each way */
 
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -250,7 +250,7 @@
     fail_msg("not caught: %s; last: %s", words, why);
 }
 
-/* A worker whose clock runs at a tenth of the true speed outlives its hold. */
+/* A worker whose clock runs at a tenth of the true speed outlives its lease. */
 static void slow_clock_runs_twice(void **state)
 {
     (void)state;
@@ -262,7 +262,7 @@
            "running twice");
 }
 
-/* Seats whose clocks run ten times too fast let a hold lapse that still runs. */
+/* Seats whose clocks run ten times too fast let a lease lapse that still runs. */
 static void fast_seats_make_two_leaders(void **state)
 {
     (void)state;
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -315,7 +315,7 @@
         if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
             on = i;
     assert_true(on >= 0);
-    /* it ends a second later, within the hold; the restart elsewhere begins after
+    /* it ends a second later, within the lease; the restart elsewhere begins after
      * three seconds and is still running when the finish arrives */
     fleet_isolate(fleet, FLEET_AGENT, on, true);
     fleet_run(fleet, 4500);
@@ -393,7 +393,7 @@
             fail_msg("%s: %d", BAD[i], call.code);
     }
     static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
-    /* a second process of the same name while the first one's hold runs */
+    /* a second process of the same name while the first one's lease runs */
     fleet_run(fleet, 2000);
     HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
     if (call.code != 409)
@@ -405,7 +405,7 @@
     end(fleet);
 }
 
-/* Work whose owner allows copies restarts before the silent worker's hold has
+/* Work whose owner allows copies restarts before the silent worker's lease has
  * lapsed; other work does not. */
 static void copies(void **state)
 {
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -14,15 +14,15 @@
     "{\"id\":\"s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"one\"," \
     "\"saves\":true,\"room\":{\"cpu\":1,\"memMb\":512},\"payload\":{\"runMs\":9000,\"saveMs\":500}}]}"
 
-/* A hold that outlives a change of leader. */
-#define HOLD_MS 8000
+/* A lease that outlives a change of leader. */
+#define LEASE_MS 8000
 
 static Fleet *begun(uint64_t seed)
 {
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->props.bounds.hold_ms = HOLD_MS;
+            fleet_node(fleet, (FleetRole)role, i)->props.bounds.lease_ms = LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000));
     assert_true(fleet_configure(fleet));
@@ -63,8 +63,8 @@
     fleet_power_off(fleet, FLEET_AGENT, at);
     fleet_power_off(fleet, FLEET_WORKER, at);
     const int64_t off_ms = sim_now_ms(fleet->world);
-    /* the hold, and what is left: not the whole again */
-    assert_in_range(ended_ms(fleet) - off_ms, 1, HOLD_MS + 4500);
+    /* the lease, and what is left: not the whole again */
+    assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
     assert_int_equal(checker_resumes(fleet->checker), 1);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
@@ -83,7 +83,7 @@
     fleet_power_off(fleet, FLEET_AGENT, at);
     fleet_power_off(fleet, FLEET_WORKER, at);
     const int64_t off_ms = sim_now_ms(fleet->world);
-    assert_in_range(ended_ms(fleet) - off_ms, 1, HOLD_MS + 4500);
+    assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
     assert_int_equal(checker_resumes(fleet->checker), 1);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -11,7 +11,7 @@
 
 #include "sim/fleet.h"
 
-#define HOLD_MS 8000 /* ms; no core leads for some 4 s */
+#define LEASE_MS 8000 /* ms; no core leads for some 4 s */
 
 #define BODY                                                                                                                 \
     "{\"id\":\"g\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"gang\":true," \
@@ -42,7 +42,7 @@
     /* what runs outlives the loss of all cores */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet->nodes[role][i].props.bounds.hold_ms = fleet->nodes[role][i].props.bounds.worker_hold_ms = HOLD_MS;
+            fleet->nodes[role][i].props.bounds.lease_ms = fleet->nodes[role][i].props.bounds.worker_lease_ms = LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
@@ -75,7 +75,7 @@
     assert_int_equal(job->tasks[0].round, job->tasks[1].round);
     fleet_run(fleet, 30000);
     assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
-    /* claims are longer than the checker's bound for them, by the hold above */
+    /* claims are longer than the checker's bound for them, by the lease above */
     if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, NEVER_EARLY_RESTART))
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -25,7 +25,7 @@
 } Run;
 
 /* Invariants: nothing runs past until_ms, which counts from when the question
- * was sent that brought the hold; an ended run is told until it is known; fence is
+ * was sent that brought the lease; an ended run is told until it is known; fence is
  * the highest seen, and an answer with a lower one does nothing; highest holds of
  * each task the highest round that was stopped or ended here. */
 struct StandWorker {
@@ -38,7 +38,7 @@
     bool leaving;
     int64_t leave_at_ms; /* leaving: it stays until then; 0: not told */
     Run *runs;
-    HttpCall *asking; /* the one question that is out; its answer may carry a hold */
+    HttpCall *asking; /* the one question that is out; its answer may carry a lease */
 };
 
 static char *task_key(void *mem, const char *job, uint64_t task)
@@ -85,7 +85,7 @@
 }
 
 /* On waking, the clock is looked at before anything else. */
-static bool hold_over(StandWorker *worker)
+static bool lease_over(StandWorker *worker)
 {
     if (loop_now_ms(worker->loop) < worker->until_ms)
         return false;
@@ -101,7 +101,7 @@
     while (!run->ended) {
         const int64_t wake_ms = run->end_ms < worker->until_ms ? run->end_ms : worker->until_ms;
         signal_wait(worker->loop, &run->stopped, wake_ms);
-        if (run->ended || hold_over(worker))
+        if (run->ended || lease_over(worker))
             break;
         if (loop_now_ms(worker->loop) >= run->end_ms)
             run_end(run, run->fails ? ROUND_FAILED : ROUND_DONE);
@@ -188,14 +188,14 @@
 
 static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    const int64_t hold_ms = int_of(body, "holdMs", 0);
+    const int64_t lease_ms = int_of(body, "holdMs", 0);
     const uint64_t fence = (uint64_t)int_of(body, "fence", 0);
     if (fence < worker->fence)
         return;
     worker->fence = fence;
-    if (sent_ms + hold_ms > worker->until_ms)
-        worker->until_ms = sent_ms + hold_ms;
-    if (hold_over(worker))
+    if (sent_ms + lease_ms > worker->until_ms)
+        worker->until_ms = sent_ms + lease_ms;
+    if (lease_over(worker))
         return;
     if (worker->props.watch.held != NULL)
         worker->props.watch.held(worker->props.watch.arg, worker->props.worker.name,
@@ -303,7 +303,7 @@
         void *mem = talloc_new(worker);
         if (worker->props.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
             repeat_last(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name), last);
-        hold_over(worker);
+        lease_over(worker);
         json_object *body = report_of(worker);
         const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
         HttpCall call = {.mem = mem,
--- a/packages/table/include/table/worker.h
+++ b/packages/table/include/table/worker.h
@@ -23,7 +23,7 @@
     X(STOPPED, "stopped") /* it runs no more because it was told to stop */   \
     X(REFUSED, "refused") /* never started: expired, no room, unknown kind */ \
     X(LOST, "lost")       /* it runs no more: the worker lost it */           \
-    X(LAPSED, "lapsed")   /* ... its hold was over */                         \
+    X(LAPSED, "lapsed")   /* ... its lease was over */                        \
     X(BROKEN, "broken")   /* ... another member of its gang ended */          \
     X(ALONE, "alone")     /* ... it waited too long for the others of its gang */
 typedef enum RoundWord {
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -84,7 +84,7 @@
 }
 
 /* Sums against a walk over everything, after each of many changes drawn by lot. */
-static void sums_hold(const Board *b)
+static void sums_lease(const Board *b)
 {
     Job *const *jobs;
     const size_t count = table_jobs(b->table, &jobs);
@@ -195,7 +195,7 @@
                 say(&b, id, number, task != NULL ? task->round : 1, task != NULL ? task->worker : worker,
                     (RoundWord)draw(&lot, ROUND_WORD_COUNT), "s");
             }
-            sums_hold(&b);
+            sums_lease(&b);
         }
         talloc_free(b.table);
     }
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -51,7 +51,7 @@
 #define SEAT_ANSWER_FIELDS(X)                                                          \
     X(U64, promised, 0)                                                                \
     X(U64, holder, 0)                                                                  \
-    X(FLAG, held, 0)     /* a hold it granted runs */                                  \
+    X(FLAG, held, 0)     /* a lease it granted runs */                                 \
     X(U64, log_epoch, 0) /* of its last entry */                                       \
     X(U64, log_index, 0)                                                               \
     X(FLAG, woke, 0)      /* restarted, and no view has brought it up to date since */ \
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -148,7 +148,7 @@
     uint64_t holder;
     bool woke;
     uint64_t last_index, commit_index, delivered_index, base_index;
-    int64_t hold_left_ms;
+    int64_t lease_left_ms;
     uint64_t view_changes;
     size_t seat_count; /* of the rows of seats, which are those of the disks that have one */
     ViewSeatSight seats[SEAT_MOST];
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -256,7 +256,7 @@
     view->woke = view->cluster != 0;
     /* a disk that was never part of a cluster has granted nothing */
     if (view->cluster != 0)
-        view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_HOLD_MS;
+        view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_GRANT_MS;
     view->lock.sure = view->props.disks_keep;
     if (view->cluster != 0)
         rpc_set_cluster(view->props.rpc, view->cluster);
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -97,7 +97,7 @@
     ViewPhase phase;
     uint64_t lead_turn;
     uint64_t epoch;
-    LockHold hold;
+    LockLease lease;
     int64_t won_ms;
     bool holding;   /* the lock was won and not given up (also while a view is opened anew) */
     bool reopening; /* the opening under way is of a holder that never lost the lock */
@@ -300,7 +300,7 @@
 uint64_t contact_members(View *view, int64_t most_ms);
 /* Sleeps so long, or until another round of contact is asked for. */
 void contact_rest(View *view, int slot, int64_t rest_ms);
-/* Watches the hold and the seats of the view. */
+/* Watches the lease and the seats of the view. */
 void view_watch(View *view);
 
 #endif
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -114,7 +114,7 @@
 {
     view->peers[slot].renewed_ms = sent_ms;
     if (slot < SEAT_MOST)
-        lock_hold_answered(&view->hold, slot, sent_ms);
+        lock_lease_answered(&view->lease, slot, sent_ms);
     contact_granted(view, slot, contact);
 }
 
@@ -150,7 +150,7 @@
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            /* a seat that takes an append lets the hold go on as well */
+            /* a seat that takes an append lets the lease go on as well */
             granted(view, lead->slot, sent_ms, contact);
             lead_commit(view);
         } else if (status == STATUS_LOG_GAP) {
@@ -216,7 +216,7 @@
     offsets[count++] = loop_wall_ms(view->loop) - now_ms;
     for (int i = 0; i < SEAT_MOST; i++)
         if (view->seats[i] != 0 && view->seats[i] != view->disk && view->peers[i].wall_at_ms != 0 &&
-            now_ms - view->peers[i].wall_at_ms < LOCK_HOLD_MS)
+            now_ms - view->peers[i].wall_at_ms < LOCK_GRANT_MS)
             offsets[count++] = view->peers[i].wall_ms - view->peers[i].wall_at_ms;
     for (int i = 1; i < count; i++)
         for (int k = i; k > 0 && offsets[k] < offsets[k - 1]; k--) {
@@ -286,7 +286,7 @@
         }
         if (lead.disk == view->disk) {
             if (lock_renew(&view->lock, view->epoch, view->disk, sent_ms) == STATUS_OK)
-                lock_hold_answered(&view->hold, lead.slot, sent_ms);
+                lock_lease_answered(&view->lease, lead.slot, sent_ms);
             wall_take(view);
         } else if (seat_address(view, lead.slot, address)) {
             Status status = STATUS_EXPIRED;
@@ -397,7 +397,7 @@
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
-        lock_hold_clear(&view->hold);
+        lock_lease_clear(&view->lease);
     }
     view_waiters_end(view, STATUS_OUTCOME_UNKNOWN);
     signal_raise(view->loop, &view->news);
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -186,7 +186,7 @@
             (a->log_epoch == b->log_epoch &&
              (a->log_index > b->log_index || (a->log_index == b->log_index && view->seats[i] == view->disk))))
             opening->best = i;
-        lock_hold_answered(&view->hold, i, poll->sent_ms[i]);
+        lock_lease_answered(&view->lease, i, poll->sent_ms[i]);
     }
 }
 
@@ -222,13 +222,13 @@
     View *view = opening->view;
     opening->epoch = epoch_next(opening->highest, view->disk);
     Poll *poll = poll_seats(view, opening->epoch, opening->skip);
-    /* a hold that lapsed before this question was sent was not carried on */
-    const int64_t held_until_ms = lock_hold_until(&view->hold);
+    /* a lease that lapsed before this question was sent was not carried on */
+    const int64_t held_until_ms = lock_lease_until(&view->lease);
     for (int i = 0; i < SEAT_MOST; i++)
         opening->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
     view->reopening = !opening->new_holder;
     if (opening->new_holder)
-        lock_hold_clear(&view->hold);
+        lock_lease_clear(&view->lease);
     promises_count(opening, poll);
     const int own = view_own_seat(view);
     const bool own_failed =
@@ -328,7 +328,7 @@
         }
         if (lead_over(view, opening->turn))
             return STATUS_NOT_LEADER;
-        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_hold_until(&view->hold)) {
+        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_lease_until(&view->lease)) {
             recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                            "view %" PRIu64 " did not come about", epoch_counter(opening->epoch));
             lead_down(view, 0);
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -41,7 +41,7 @@
 {
     view->founded = talloc_zero(view, SeatList);
     view->list = talloc_zero(view, SeatList);
-    lock_hold_clear(&view->hold);
+    lock_lease_clear(&view->lease);
 }
 
 void seats_founded(View *view, const SeatList *list)
@@ -68,9 +68,9 @@
         view->seats[i] = disk;
         view->in_view[i] = false;
         view->peers[i] = (Peer){.next_index = UINT64_MAX, .renewed_ms = INT64_MIN, .append_since_ms = INT64_MAX};
-        view->hold.sent_ms[i] = INT64_MIN;
+        view->lease.sent_ms[i] = INT64_MIN;
     }
-    view->hold.seats = view->seat_count;
+    view->lease.seats = view->seat_count;
 }
 
 static const SeatCore *core_of(const View *view, uint64_t disk)
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -47,7 +47,7 @@
 
 bool view_orders(const View *view)
 {
-    return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lock_hold_until(&view->hold);
+    return view->phase == VIEW_LEADING && loop_now_ms(view->loop) < lock_lease_until(&view->lease);
 }
 
 /* What is acknowledged outlives the losses that must be borne: it is on one disk more than
@@ -68,7 +68,7 @@
 bool view_holds(const View *view)
 {
     return (view->phase == VIEW_LEADING || (view->phase == VIEW_OPENING && view->reopening)) &&
-           loop_now_ms(view->loop) < lock_hold_until(&view->hold);
+           loop_now_ms(view->loop) < lock_lease_until(&view->lease);
 }
 
 bool view_knows_holder(const View *view)
@@ -360,7 +360,7 @@
 void view_sight(const View *view, ViewSight *sight)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    const int64_t until_ms = lock_hold_until(&view->hold);
+    const int64_t until_ms = lock_lease_until(&view->lease);
     memset(sight, 0, sizeof(*sight));
     sight->phase = view->phase;
     view_place(view, &sight->epoch, &sight->commit_index);
@@ -369,7 +369,7 @@
     sight->last_index = log_last_index(view->log);
     sight->delivered_index = view->delivered_index;
     sight->base_index = view->log->base_index;
-    sight->hold_left_ms = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
+    sight->lease_left_ms = view->holding && until_ms > now_ms ? until_ms - now_ms : 0;
     sight->view_changes = view->view_changes;
     sight->other_histories = view->other_histories;
     sight->journal = *journal_counts(view->journal);
@@ -381,7 +381,7 @@
         sight->seats[sight->seat_count++] = (ViewSeatSight){
             .disk = view->seats[i],
             .in_view = view->in_view[i],
-            .answers = self || now_ms - peer->answered_ms < LOCK_HOLD_MS,
+            .answers = self || now_ms - peer->answered_ms < LOCK_GRANT_MS,
             .woke = self ? view->woke : peer->woke,
             .sync_ms = self ? sight->journal.last_sync_ms : peer->sync_ms,
             .match_index = self ? view->synced_index : peer->match_index,
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -16,7 +16,7 @@
     if (member != NULL && member->record.leaving)
         return 2 * LOCK_RENEW_MS;
     const int64_t part_ms = view_back_ms(view) / VOTER_SILENT_PART;
-    return part_ms > LOCK_HOLD_MS + LOCK_RENEW_MS ? part_ms : LOCK_HOLD_MS + LOCK_RENEW_MS;
+    return part_ms > LOCK_GRANT_MS + LOCK_RENEW_MS ? part_ms : LOCK_GRANT_MS + LOCK_RENEW_MS;
 }
 
 bool voter_live(const View *view, int place)
@@ -102,7 +102,7 @@
             continue;
         sight->learners[sight->learner_count++] =
             (ViewLearnerSight){.disk = view->learners[i].disk,
-                               .answers = now_ms - peer->answered_ms < LOCK_HOLD_MS,
+                               .answers = now_ms - peer->answered_ms < LOCK_GRANT_MS,
                                .ready = learner_ready(view, i),
                                .match_index = peer->match_index};
     }
@@ -154,7 +154,7 @@
         return;
     learner_done(view, learner);
     view->peers[place] = peer;
-    lock_hold_answered(&view->hold, place, peer.renewed_ms);
+    lock_lease_answered(&view->lease, place, peer.renewed_ms);
     lead_renew(view, place);
     lead_peer(view, place);
     recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -13,7 +13,7 @@
     const bool near = peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log);
     if (seat_dead(view, view->seats[place], false))
         return "its disk is gone";
-    if (now_ms - peer->answered_ms > LOCK_HOLD_MS)
+    if (now_ms - peer->answered_ms > LOCK_GRANT_MS)
         return "silent";
     if (!spare)
         return NULL;
@@ -96,7 +96,7 @@
     const uint64_t own = members_sight(view->props.members);
     bool blind = false;
     for (int i = 0; i < SEAT_MOST; i++)
-        if (view->in_view[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_HOLD_MS)
+        if (view->in_view[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_GRANT_MS)
             blind |= view->peers[i].sight > own + SIGHT_MARGIN && view->peers[i].sight > own + own / 2;
     if (!blind || now_ms - view->won_ms < MEMBER_QUIET_MS)
         view->blind_since_ms = 0;
@@ -138,7 +138,7 @@
         const int64_t now_ms = loop_now_ms(view->loop);
         /* after a pause of its own, it first reads what has come in meanwhile */
         const bool paused = due_ms != 0 && now_ms - due_ms > WATCH_MS;
-        if (view->phase == VIEW_LEADING && paused && now_ms < lock_hold_until(&view->hold)) {
+        if (view->phase == VIEW_LEADING && paused && now_ms < lock_lease_until(&view->lease)) {
             due_ms = now_ms + WATCH_MS / 4;
             loop_sleep(view->loop, WATCH_MS / 4);
             continue;
@@ -146,7 +146,7 @@
         if (view->phase == VIEW_LEADING) {
             bool skip[SEAT_MOST];
             const int64_t since_ms = journal_sync_since(view->journal);
-            if (now_ms >= lock_hold_until(&view->hold)) {
+            if (now_ms >= lock_lease_until(&view->lease)) {
                 recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
                 lead_down(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
@@ -182,8 +182,8 @@
             }
         }
         due_ms = loop_now_ms(view->loop) + WATCH_MS;
-        /* the moment that the holder's hold lapses is known */
-        const int64_t lapse_ms = view->lock.hold_until_ms;
+        /* the moment that the holder's lease lapses is known */
+        const int64_t lapse_ms = view->lock.lease_until_ms;
         const bool soon = view->phase == VIEW_FOLLOWING && lapse_ms > loop_now_ms(view->loop) && lapse_ms < due_ms;
         signal_wait(view->loop, &view->released, soon ? lapse_ms : due_ms);
     }
--- a/packages/wire/src/shape.c
+++ b/packages/wire/src/shape.c
@@ -194,7 +194,7 @@
  * library allocates by the count it is told, so a frame of a few bytes could
  * otherwise ask for gigabytes. Order of nesting does not matter here: each
  * value needs at least one byte, and owed is how many are still to come. */
-static bool counts_hold(Bytes from)
+static bool counts_lease(Bytes from)
 {
     uint64_t owed = 1;
     size_t at = 0;
@@ -247,7 +247,7 @@
 
 Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure)
 {
-    if (!counts_hold(from))
+    if (!counts_lease(from))
         return failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
