--- a/examples/counter.c
+++ b/examples/counter.c
@@ -139,15 +139,15 @@
     Counter *counter = arg;
     Failure failure = {0};
     char address[ADDRESS_MAX];
-    const ViewProps props = {.loop = counter->loop,
-                             .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
-                             .recorder = counter->recorder,
-                             .state = {counter, deliver, save, load},
-                             .opened = on_opened,
-                             .opened_arg = counter,
-                             .founds = VIEW_FOUNDS_BY_THREE};
+    const ViewSettings settings = {.loop = counter->loop,
+                                   .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
+                                   .recorder = counter->recorder,
+                                   .state = {counter, deliver, save, load},
+                                   .opened = on_opened,
+                                   .opened_arg = counter,
+                                   .founds = VIEW_FOUNDS_BY_THREE};
     counter->liveset = liveset_new(counter);
-    counter->view = view_new(counter, &props);
+    counter->view = view_new(counter, &settings);
     if (view_open_disk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name,
                        &failure) != STATUS_OK ||
         rpc_listen(counter->rpc, counter->listen, address, &failure) != STATUS_OK) {
--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -7,7 +7,8 @@
  * on to it and tells what its rounds came to. Diskless. */
 typedef struct Agent Agent;
 
-Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Agent **agent, Failure *failure);
+Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Agent **agent,
+                   Failure *failure);
 void agent_drain(Agent *agent);
 /* Other seeds from now on. */
 void agent_seeds(Agent *agent, const char *const seeds[SEEDS]);
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -61,38 +61,38 @@
         talloc_strndup(task, task->path + sizeof(BEFORE) - 1, length - (sizeof(BEFORE) - 1) - (sizeof(AFTER) - 1)));
 }
 
-Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Agent **out, Failure *failure)
+Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Agent **out, Failure *failure)
 {
     Agent *agent = talloc_zero(mem, Agent);
     agent->loop = loop;
     agent->recorder = recorder;
-    agent->props = props;
-    agent->worker_name = props->worker != NULL ? props->worker : props->name;
+    agent->settings = settings;
+    agent->worker_name = settings->worker != NULL ? settings->worker : settings->name;
     agent->incarnation = (uint64_t)loop_wall_ms(loop);
     agent->started_ms = loop_now_ms(loop);
     agent->worker_mem = talloc_new(agent);
-    const Worker unheard = {.name = agent->worker_name, .zone = props->zone, .rack = "", .kind = ""};
+    const Worker unheard = {.name = agent->worker_name, .zone = settings->zone, .rack = "", .kind = ""};
     shape_copy(&Worker_shape, &unheard, agent->worker_mem, &agent->worker);
     agent->rpc = rpc_new(agent, loop, recorder);
-    Status status = rpc_listen(agent->rpc, props->listen, agent->address, failure);
+    Status status = rpc_listen(agent->rpc, settings->listen, agent->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, props->http, on_http, agent, agent->http, failure);
+        status = loop_serve(loop, settings->http, on_http, agent, agent->http, failure);
     if (status != STATUS_OK)
         return status;
-    const MemberRecord self = {.id = props->name,
-                               .name = props->name,
+    const MemberRecord self = {.id = settings->name,
+                               .name = settings->name,
                                .role = ROLE_AGENT,
-                               .zone = props->zone,
+                               .zone = settings->zone,
                                .address = agent->address,
                                .http = agent->http,
                                .incarnation = agent->incarnation};
-    agent->members = members_new(agent, loop, agent->rpc, recorder, &self, props->seeds);
-    agent->trace = trace_new(agent, loop, agent->rpc, agent->members, props->name);
+    agent->members = members_new(agent, loop, agent->rpc, recorder, &self, settings->seeds);
+    agent->trace = trace_new(agent, loop, agent->rpc, agent->members, settings->name);
     rounds_init(agent);
     beat_start(agent);
     tell_start(agent);
     alone_start(agent);
-    members_set_voter(agent->members, props->bounds.founds == 1);
+    members_set_voter(agent->members, settings->bounds.founds == 1);
     watch_start(agent);
     members_start(agent->members);
     *out = agent;
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -116,7 +116,7 @@
     ask_those(asking, true);
     if (asking->all && seats_answered(asking))
         ask_those(asking, false);
-    const int64_t lease_ms = agent->props->bounds.lease_ms;
+    const int64_t lease_ms = agent->settings->bounds.lease_ms;
     /* a lease that has lapsed meanwhile is not brought back: its rounds are stopping */
     if (asking->all && seats_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->alone)
@@ -134,7 +134,7 @@
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         const int64_t left_ms = lease_left_ms(&agent->lease, loop_now_ms(agent->loop));
-        const int64_t late_ms = agent->props->bounds.lease_ms / 2;
+        const int64_t late_ms = agent->settings->bounds.lease_ms / 2;
         /* the second half of the lease: several beats have gone unanswered */
         if (left_ms > 0 && left_ms < late_ms)
             ask_all(agent);
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -23,7 +23,7 @@
 struct Agent {
     Loop *loop;
     Recorder *recorder;
-    const Props *props;
+    const Settings *settings;
     const char *worker_name;
     Rpc *rpc;
     Members *members;
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -10,7 +10,7 @@
 /* A worker asks again within its poll and the way there and back. */
 static int64_t quiet_ms(const Agent *agent)
 {
-    return agent->props->bounds.worker_poll_ms + WORKER_QUIET_MS;
+    return agent->settings->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
 
 static void lapse_watch(Agent *agent, int64_t now_ms, bool *ran)
@@ -38,7 +38,7 @@
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
     const int64_t earlier_ms =
-        lease_claim_ms(least(agent->props->bounds.lease_ms, agent->props->bounds.worker_lease_ms));
+        lease_claim_ms(least(agent->settings->bounds.lease_ms, agent->settings->bounds.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
         beat_now(agent);
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -205,7 +205,7 @@
  * question: of each the half costs least. While nothing does, only an order can come. */
 static int64_t answer_until_ms(const Agent *agent, const WorkerReport *report)
 {
-    int64_t wait_ms = agent->props->bounds.worker_poll_ms;
+    int64_t wait_ms = agent->settings->bounds.worker_poll_ms;
     if (report->wait_ms < wait_ms)
         wait_ms = report->wait_ms;
     if (report->ends_wait && report->running_count + report->ended_count > 0 && wait_ms > WORKER_BUSY_MS)
@@ -217,8 +217,8 @@
 static int64_t lease_pass(Agent *agent, int64_t now_ms)
 {
     int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
-    if (left_ms > agent->props->bounds.worker_lease_ms)
-        left_ms = agent->props->bounds.worker_lease_ms;
+    if (left_ms > agent->settings->bounds.worker_lease_ms)
+        left_ms = agent->settings->bounds.worker_lease_ms;
     const int64_t passed_ms = lease_passed_ms(left_ms);
     if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_until_ms)
         agent->worker_until_ms = now_ms + lease_claim_ms(passed_ms);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -44,7 +44,7 @@
     SimWorld *world;
     Boss boss, other; /* the other leads when the case says so */
     int boss_machine, agent_machine, other_machine;
-    Props props;
+    Settings settings;
     Agent *agent;
     Worker worker;
 } Case;
@@ -126,7 +126,7 @@
     Recorder *recorder = recorder_new(loop, "agent");
     recorder_quiet(recorder);
     Failure failure = {0};
-    assert_int_equal(agent_start(loop, loop, recorder, &c->props, &c->agent, &failure), STATUS_OK);
+    assert_int_equal(agent_start(loop, loop, recorder, &c->settings, &c->agent, &failure), STATUS_OK);
 }
 
 static void agent_begin(void *arg, Loop *loop)
@@ -148,15 +148,15 @@
     c->other_machine = sim_machine(c->world);
     c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .lease_ms = lease_ms, .commits = true};
     c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
-    c->props = (Props){.name = "a1",
-                       .worker = "w1",
-                       .zone = "z",
-                       .listen = "10.0.0.2:7000",
-                       .http = "10.0.0.2:8000",
-                       .seeds = {BOSS, OTHER, BOSS},
-                       .bounds = bounds_first()};
-    c->props.bounds.lease_ms = lease_ms;
-    c->props.bounds.worker_lease_ms = worker_lease_ms;
+    c->settings = (Settings){.name = "a1",
+                             .worker = "w1",
+                             .zone = "z",
+                             .listen = "10.0.0.2:7000",
+                             .http = "10.0.0.2:8000",
+                             .seeds = {BOSS, OTHER, BOSS},
+                             .bounds = bounds_first()};
+    c->settings.bounds.lease_ms = lease_ms;
+    c->settings.bounds.worker_lease_ms = worker_lease_ms;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
     sim_start(c->world, c->boss_machine, boss_start, &c->boss);
     sim_start(c->world, c->other_machine, boss_start, &c->other);
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -7,7 +7,7 @@
 #define STATUS_LIST(X)                           \
     X(OK, "ok", 200)                             \
     X(BAD_FLAG, "bad-flag", 400)                 \
-    X(BAD_PROPS, "bad-props", 400)               \
+    X(BAD_SETTINGS, "bad-props", 400)            \
     X(BAD_JSON, "bad-json", 400)                 \
     X(BAD_FIELD, "bad-field", 422)               \
     X(BAD_FRAME, "bad-frame", 400)               \
--- a/packages/core/include/core/core.h
+++ b/packages/core/include/core/core.h
@@ -15,8 +15,8 @@
 } CoreWatch;
 
 /* Waits. Opens the disk and the addresses and starts all tasks. */
-Status core_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, const CoreWatch *watch, Core **core,
-                  Failure *failure);
+Status core_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, const CoreWatch *watch,
+                  Core **core, Failure *failure);
 /* Waits. A request as if it had come to the own HTTP address: whoever translates
  * for callers of another kind hands it in here. */
 void core_take(Core *core, HttpTask *task);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -186,7 +186,7 @@
     const LiveRow *before = liveset_find(core->liveset, beat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms);
     bool list_counts;
-    const int64_t lease_ms = core->props->bounds.lease_ms;
+    const int64_t lease_ms = core->settings->bounds.lease_ms;
     const Status status = liveset_beat(core->liveset, beat, now_ms, lease_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -101,7 +101,7 @@
 {
     Core *core = arg;
     lead_serve(core, mem, ask, answer);
-    if (answer->repair_items_count > 0 && core->props->bounds.retell_ms > 0)
+    if (answer->repair_items_count > 0 && core->settings->bounds.retell_ms > 0)
         elsewhere_keep(core, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
 }
 
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -12,7 +12,7 @@
     if (!view_leading(core->view) || core->repairing)
         return false;
     if (core->watch.plans != NULL)
-        core->watch.plans(core->watch.arg, core->props->name, view_epoch(core->view));
+        core->watch.plans(core->watch.arg, core->settings->name, view_epoch(core->view));
     return true;
 }
 
@@ -43,7 +43,7 @@
 
 int64_t core_claim_ms(const Core *core)
 {
-    return lease_claim_ms(core->props->bounds.lease_ms);
+    return lease_claim_ms(core->settings->bounds.lease_ms);
 }
 
 static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
@@ -116,7 +116,7 @@
 {
     Core *core = arg;
     while (!loop_stopping(core->loop)) {
-        const int64_t keep_ms = core->props->bounds.job_keep_ms;
+        const int64_t keep_ms = core->settings->bounds.job_keep_ms;
         loop_sleep(core->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
         if (!core_decides(core))
             continue;
@@ -157,13 +157,13 @@
     return (RecorderPlace){.term = epoch_counter(epoch), .index = commit_index};
 }
 
-Status core_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, const CoreWatch *watch, Core **out,
-                  Failure *failure)
+Status core_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, const CoreWatch *watch,
+                  Core **out, Failure *failure)
 {
     Core *core = talloc_zero(mem, Core);
     core->loop = loop;
     core->recorder = recorder;
-    core->props = props;
+    core->settings = settings;
     core->plan_holds = true;
     core->started_ms = loop_now_ms(loop);
     if (watch != NULL)
@@ -172,7 +172,7 @@
     core->table = table_new(core);
     table_watch(core->table, on_delivered, core);
     core->piece_source.mem = core;
-    core->repair_buffer = repair_buffer_new(core, loop, props->bounds.retell_ms);
+    core->repair_buffer = repair_buffer_new(core, loop, settings->bounds.retell_ms);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
@@ -183,40 +183,41 @@
     table_left_watch(core->table, on_left, core);
     core->kept = map_new(core);
     core->alerts = map_new(core);
-    const ViewProps view_props = {.loop = loop,
-                                  .rpc = core->rpc,
-                                  .recorder = recorder,
-                                  .state = table_state(core->table),
-                                  .opened = on_opened,
-                                  .opened_arg = core,
-                                  .losses = (int)props->bounds.losses,
-                                  .founds = (ViewFounds)props->bounds.founds,
-                                  .disks_keep = props->bounds.disks_keep != 0,
-                                  .seat_back_ms = props->bounds.seat_back_ms};
-    core->view = view_new(core, &view_props);
+    const ViewSettings view_settings = {.loop = loop,
+                                        .rpc = core->rpc,
+                                        .recorder = recorder,
+                                        .state = table_state(core->table),
+                                        .opened = on_opened,
+                                        .opened_arg = core,
+                                        .losses = (int)settings->bounds.losses,
+                                        .founds = (ViewFounds)settings->bounds.founds,
+                                        .disks_keep = settings->bounds.disks_keep != 0,
+                                        .seat_back_ms = settings->bounds.seat_back_ms};
+    core->view = view_new(core, &view_settings);
     /* the disk first: its id is part of our name */
-    Status status = view_open_disk(core->view, talloc_asprintf(core, "%s/journal", props->data), props->name, failure);
+    Status status =
+        view_open_disk(core->view, talloc_asprintf(core, "%s/journal", settings->data), settings->name, failure);
     if (status == STATUS_OK)
         recorder_set_place(recorder, place_now, core);
     if (status == STATUS_OK)
-        status = rpc_listen(core->rpc, props->listen, core->address, failure);
+        status = rpc_listen(core->rpc, settings->listen, core->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, props->http, on_http, core, core->http, failure);
+        status = loop_serve(loop, settings->http, on_http, core, core->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(core, "%s@%016" PRIx64, props->name, view_disk(core->view)),
-        .name = props->name,
+        .id = talloc_asprintf(core, "%s@%016" PRIx64, settings->name, view_disk(core->view)),
+        .name = settings->name,
         .role = ROLE_CORE,
-        .zone = props->zone,
+        .zone = settings->zone,
         .address = core->address,
         .http = core->http,
         .incarnation = (uint64_t)loop_wall_ms(loop),
         .disk = view_disk(core->view),
         .empty = !view_founded(core->view),
     };
-    core->members = members_new(core, loop, core->rpc, recorder, &self, props->seeds);
-    core->trace = trace_new(core, loop, core->rpc, core->members, props->name);
+    core->members = members_new(core, loop, core->rpc, recorder, &self, settings->seeds);
+    core->trace = trace_new(core, loop, core->rpc, core->members, settings->name);
     core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
                                                                .rpc = core->rpc,
                                                                .members = core->members,
@@ -225,8 +226,8 @@
                                                                .leads = leads,
                                                                .serve = callers_lead,
                                                                .arg = core,
-                                                               .leader_wait_ms = props->bounds.leader_wait_ms,
-                                                               .outcome_wait_ms = props->bounds.outcome_wait_ms});
+                                                               .leader_wait_ms = settings->bounds.leader_wait_ms,
+                                                               .outcome_wait_ms = settings->bounds.outcome_wait_ms});
     core->config_watch = config_watch_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
     view_start(core->view, core->members);
     agents_serve(core);
@@ -250,7 +251,8 @@
 
 void core_drain(Core *core)
 {
-    const int64_t now_ms = loop_now_ms(core->loop), until_ms = now_ms + core->props->bounds.grace_ms - DRAIN_MARGIN_MS;
+    const int64_t now_ms = loop_now_ms(core->loop),
+                  until_ms = now_ms + core->settings->bounds.grace_ms - DRAIN_MARGIN_MS;
     core->leaving = true;
     loop_serve_leave(core->loop);
     members_set_leaving(core->members);
@@ -260,7 +262,7 @@
         view_settle(core->view);
     view_leave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
-    const int64_t unready_until_ms = now_ms + core->props->bounds.unready_ms;
+    const int64_t unready_until_ms = now_ms + core->settings->bounds.unready_ms;
     if (loop_now_ms(core->loop) < unready_until_ms)
         loop_sleep(core->loop, unready_until_ms - loop_now_ms(core->loop));
     while (loop_serve_busy(core->loop) > 0 && loop_now_ms(core->loop) < until_ms)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -59,7 +59,7 @@
 struct Core {
     Loop *loop;
     Recorder *recorder;
-    const Props *props;
+    const Settings *settings;
     CoreWatch watch;
     Rpc *rpc;
     Members *members;
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -129,7 +129,7 @@
 uint64_t score_far_percent(const Core *core, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
-    return far ? (uint64_t)core->props->bounds.far_percent : 100;
+    return far ? (uint64_t)core->settings->bounds.far_percent : 100;
 }
 
 static void guess_take(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -25,7 +25,7 @@
         return false;
     const int64_t still_ms = pace->ran_ms - pace->still_ms;
     /* members of a gang wait for each other first */
-    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->props->bounds.gang_ms + STILL_LEAST_MS)
+    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->core->settings->bounds.gang_ms + STILL_LEAST_MS)
         return false;
     return still_ms >= STILL_LEAST_MS && (double)still_ms * 100 >= going->whole_ms * STILL_PERCENT;
 }
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -73,15 +73,15 @@
     const Explore *explore = node->explore;
     const ViewFounds first = explore->plan->by_votes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
     node->rpc = rpc_new(loop, loop, node->recorder);
-    const ViewProps how = {.loop = loop,
-                           .rpc = node->rpc,
-                           .recorder = node->recorder,
-                           .state = {&node->chain, deliver, save, load},
-                           .losses = explore->plan->losses,
-                           .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
-                           .disks_keep = true,
-                           .seat_back_ms = explore->plan->voter_back_ms,
-                           .snapshot_entries = explore->plan->snapshot};
+    const ViewSettings how = {.loop = loop,
+                              .rpc = node->rpc,
+                              .recorder = node->recorder,
+                              .state = {&node->chain, deliver, save, load},
+                              .losses = explore->plan->losses,
+                              .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
+                              .disks_keep = true,
+                              .seat_back_ms = explore->plan->voter_back_ms,
+                              .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
     node->view = view_new(loop, &how);
     Status status = view_open_disk(node->view, NODE_DATA, node->name, failure);
--- a/packages/face/include/face/face.h
+++ b/packages/face/include/face/face.h
@@ -7,15 +7,15 @@
 #include "props/props.h"
 
 /* A face is how the product meets a platform: it reads the platform's settings
- * into props, serves the platform's addresses and translates. It decides
+ * into settings, serves the platform's addresses and translates. It decides
  * nothing, remembers nothing that a restart would miss, and recovers nothing.
  * Translated requests go to the same function that the product's own address
  * gives its own to. */
 
 /* What a face has read. */
 typedef struct FacePlace {
-    PropsRole role;
-    Props props;
+    SettingsRole role;
+    Settings settings;
     const void *own; /* the face's own settings: where it listens */
 } FacePlace;
 
@@ -33,7 +33,7 @@
     const char *name;
     /* The settings file, as the platform names it; null and a failure when it does not. */
     const char *(*path)(Failure *failure);
-    /* Reads the file. BAD_PROPS with the field's name. All on mem. */
+    /* Reads the file. BAD_SETTINGS with the field's name. All on mem. */
     Status (*read)(void *mem, const char *path, FacePlace *place, Failure *failure);
     /* Serves the platform's addresses; the node lives as long as the process. */
     Status (*start)(void *mem, const FaceNode *node, Failure *failure);
--- a/packages/gate/include/gate/gate.h
+++ b/packages/gate/include/gate/gate.h
@@ -8,7 +8,7 @@
  * configuration. */
 typedef struct Gate Gate;
 
-Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Gate **gate, Failure *failure);
+Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Gate **gate, Failure *failure);
 /* Waits. As core_take. */
 void gate_take(Gate *gate, HttpTask *task);
 /* Waits. A configuration that is large, in the task's body or (back) in its result, is
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -126,41 +126,41 @@
     return STATUS_OK;
 }
 
-Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Props *props, Gate **out, Failure *failure)
+Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Gate **out, Failure *failure)
 {
     Gate *gate = talloc_zero(mem, Gate);
     gate->loop = loop;
     gate->recorder = recorder;
-    gate->grace_ms = props->bounds.grace_ms;
-    gate->unready_ms = props->bounds.unready_ms;
+    gate->grace_ms = settings->bounds.grace_ms;
+    gate->unready_ms = settings->bounds.unready_ms;
     gate->rpc = rpc_new(gate, loop, recorder);
-    gate->repair_buffer = repair_buffer_new(gate, loop, props->bounds.retell_ms);
-    Status status = rpc_listen(gate->rpc, props->listen, gate->address, failure);
+    gate->repair_buffer = repair_buffer_new(gate, loop, settings->bounds.retell_ms);
+    Status status = rpc_listen(gate->rpc, settings->listen, gate->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, props->http, on_http, gate, gate->http, failure);
+        status = loop_serve(loop, settings->http, on_http, gate, gate->http, failure);
     if (status != STATUS_OK)
         return status;
-    const MemberRecord self = {.id = props->name,
-                               .name = props->name,
+    const MemberRecord self = {.id = settings->name,
+                               .name = settings->name,
                                .role = ROLE_GATE,
-                               .zone = props->zone,
+                               .zone = settings->zone,
                                .address = gate->address,
                                .http = gate->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
-    gate->members = members_new(gate, loop, gate->rpc, recorder, &self, props->seeds);
-    gate->trace = trace_new(gate, loop, gate->rpc, gate->members, props->name);
+    gate->members = members_new(gate, loop, gate->rpc, recorder, &self, settings->seeds);
+    gate->trace = trace_new(gate, loop, gate->rpc, gate->members, settings->name);
     gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
                                                                .rpc = gate->rpc,
                                                                .members = gate->members,
                                                                .repair_buffer = gate->repair_buffer,
                                                                .trace = gate->trace,
-                                                               .leader_wait_ms = props->bounds.leader_wait_ms,
-                                                               .outcome_wait_ms = props->bounds.outcome_wait_ms});
+                                                               .leader_wait_ms = settings->bounds.leader_wait_ms,
+                                                               .outcome_wait_ms = settings->bounds.outcome_wait_ms});
     gate->config_watch = config_watch_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
     rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, gate);
     rpc_handle(gate->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
     rpc_handle(gate->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, gate);
-    members_set_voter(gate->members, props->bounds.founds == 1);
+    members_set_voter(gate->members, settings->bounds.founds == 1);
     members_start(gate->members);
     forwarder_start(gate->forwarder);
     config_watch_start(gate->config_watch, NULL, NULL);
--- a/packages/loop/src/real.c
+++ b/packages/loop/src/real.c
@@ -91,14 +91,14 @@
 {
     struct sockaddr_in sin;
     if (!real_address(address, &sin)) {
-        failure_set(failure, STATUS_BAD_PROPS, "%s is not an IP address with a port", address);
+        failure_set(failure, STATUS_BAD_SETTINGS, "%s is not an IP address with a port", address);
         return NULL;
     }
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
     if (fd < 0 || setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) != 0 ||
         bind(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0 || listen(fd, SOMAXCONN) != 0) {
-        failure_set(failure, STATUS_BAD_PROPS, "cannot listen on %s: %s", address, strerror(errno));
+        failure_set(failure, STATUS_BAD_SETTINGS, "cannot listen on %s: %s", address, strerror(errno));
         if (fd >= 0)
             close(fd);
         return NULL;
--- a/packages/loop/src/realcall.c
+++ b/packages/loop/src/realcall.c
@@ -88,7 +88,7 @@
     RealLoop *real = (RealLoop *)loop;
     struct sockaddr_in sin;
     if (!real_address(call->address, &sin))
-        return STATUS_BAD_PROPS;
+        return STATUS_BAD_SETTINGS;
     Calling *calling = talloc_zero(call->mem, Calling);
     calling->real = real;
     calling->call = call;
--- a/packages/loop/src/realchannel.c
+++ b/packages/loop/src/realchannel.c
@@ -181,7 +181,7 @@
     RealLoop *real = (RealLoop *)loop;
     Listener *listener = talloc_zero(real, Listener);
     *listener = (Listener){real, fn, arg};
-    return real_bind(real, address, on_accept, listener, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
+    return real_bind(real, address, on_accept, listener, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_SETTINGS;
 }
 
 static void on_connect(h2o_socket_t *sock, const char *err)
@@ -202,7 +202,7 @@
     RealLoop *real = (RealLoop *)loop;
     struct sockaddr_in sin;
     if (!real_address(address, &sin))
-        return STATUS_BAD_PROPS;
+        return STATUS_BAD_SETTINGS;
     h2o_socket_t *sock = h2o_socket_connect(real->evloop, (struct sockaddr *)&sin, sizeof(sin), on_connect);
     if (sock == NULL)
         return STATUS_UNREACHABLE;
--- a/packages/loop/src/realserve.c
+++ b/packages/loop/src/realserve.c
@@ -282,7 +282,7 @@
         serve_begin(real);
     Door *door = talloc_zero(real, Door);
     *door = (Door){real, fn, arg};
-    return real_bind(real, address, on_accept, door, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_PROPS;
+    return real_bind(real, address, on_accept, door, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_SETTINGS;
 }
 
 void real_limit(Loop *loop, const HttpLimits *limits)
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -13,7 +13,7 @@
 
 typedef enum Closing { CLOSING_DRAWN, CLOSING_NONE, CLOSING_KILL, CLOSING_POWER, CLOSING_WIPE, CLOSING_COUNT } Closing;
 
-typedef struct DayProps {
+typedef struct DaySettings {
     uint64_t seed;
     const Site *site;
     const Tongue *tongue;
@@ -26,7 +26,7 @@
     const char *script;             /* these instead of drawn ones: KIND@AT+FOR=WHOM,..; null: drawn. WHOM: a machine, a
                                        zone, leader; left out: drawn */
     bool skipped[DAY_TROUBLES_MAX]; /* leaves these out */
-} DayProps;
+} DaySettings;
 
 typedef struct DayResult {
     Rules rules;
@@ -38,6 +38,6 @@
     size_t trouble_count;
 } DayResult;
 
-void day_run(const DayProps *props, DayResult *result);
+void day_run(const DaySettings *settings, DayResult *result);
 
 #endif
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -65,17 +65,18 @@
     return true;
 }
 
-static size_t troubles_draw(Day *day, const DayProps *props, Trouble *list, DayResult *result)
+static size_t troubles_draw(Day *day, const DaySettings *settings, Trouble *list, DayResult *result)
 {
-    const Site *site = props->site;
+    const Site *site = settings->site;
     const int64_t last_ms = site->traffic_ms - CALM_END_MS;
-    for (size_t i = 0; i < props->troubles; i++) {
-        Dice dice = dice_of(props->seed, "trouble", i);
+    for (size_t i = 0; i < settings->troubles; i++) {
+        Dice dice = dice_of(settings->seed, "trouble", i);
         Trouble *one = &list[i];
         *one = (Trouble){.day = day};
         do
             one->kind = (TroubleKind)dice_span(&dice, 0, TROUBLE_COUNT - 1);
-        while (props->only != NULL && trouble_of(props->only) < TROUBLE_COUNT && one->kind != trouble_of(props->only));
+        while (settings->only != NULL && trouble_of(settings->only) < TROUBLE_COUNT &&
+               one->kind != trouble_of(settings->only));
         bool good = false;
         for (int tries = 0; tries < 12 && !good; tries++) {
             one->at_ms = dice_span(&dice, 1500, last_ms - 2000);
@@ -86,32 +87,32 @@
                 one->for_ms = end_ms - one->at_ms;
             good = one->for_ms >= 500 && fits(list, i, one, site);
         }
-        one->dice = dice_of(props->seed, "strike", i);
-        if (!good || props->skipped[i]) {
+        one->dice = dice_of(settings->seed, "strike", i);
+        if (!good || settings->skipped[i]) {
             one->kind = TROUBLE_COUNT;
             continue;
         }
         snprintf(result->troubles[i], sizeof(result->troubles[i]), "%s@%" PRId64 "+%" PRId64, trouble_name(one->kind),
                  one->at_ms, one->for_ms);
     }
-    result->trouble_count = props->troubles;
-    return props->troubles;
+    result->trouble_count = settings->troubles;
+    return settings->troubles;
 }
 
 /* KIND@AT+FOR=WHOM,... */
-static size_t troubles_read(Day *day, const DayProps *props, Trouble *list, DayResult *result)
+static size_t troubles_read(Day *day, const DaySettings *settings, Trouble *list, DayResult *result)
 {
     size_t count = 0;
-    char *text = talloc_strdup(day, props->script), *save = NULL;
+    char *text = talloc_strdup(day, settings->script), *save = NULL;
     for (char *one = strtok_r(text, ",", &save); one != NULL && count < DAY_TROUBLES_MAX;
          one = strtok_r(NULL, ",", &save)) {
         Trouble *trouble = &list[count];
         char kind[24] = "";
-        *trouble = (Trouble){.day = day, .dice = dice_of(props->seed, "strike", count)};
+        *trouble = (Trouble){.day = day, .dice = dice_of(settings->seed, "strike", count)};
         const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->at_ms, &trouble->for_ms,
                                trouble->whom);
         trouble->kind = got >= 3 ? trouble_of(kind) : TROUBLE_COUNT;
-        if (trouble->kind == TROUBLE_COUNT || props->skipped[count])
+        if (trouble->kind == TROUBLE_COUNT || settings->skipped[count])
             trouble->kind = TROUBLE_COUNT;
         snprintf(result->troubles[count], sizeof(result->troubles[count]), "%s%s", one,
                  trouble->kind == TROUBLE_COUNT ? "(not understood, or left out)" : "");
@@ -190,17 +191,17 @@
                     checker_first(day->ground->checker));
 }
 
-void day_run(const DayProps *props, DayResult *result)
+void day_run(const DaySettings *settings, DayResult *result)
 {
-    const Site *site = props->site;
+    const Site *site = settings->site;
     void *mem = talloc_new(NULL);
     *result = (DayResult){0};
-    Dice dice = dice_of(props->seed, "day", 0);
+    Dice dice = dice_of(settings->seed, "day", 0);
     Day *day = talloc_zero(mem, Day);
-    day->ground = ground_new(mem, site, props->tongue, props->seed, &result->rules);
+    day->ground = ground_new(mem, site, settings->tongue, settings->seed, &result->rules);
     Ground *ground = day->ground;
-    ground->loud = props->loud;
-    ground->job = props->job;
+    ground->loud = settings->loud;
+    ground->job = settings->job;
     day->book = book_new(mem, ground);
     day->ledger = ledger_new(mem, ground);
     day->hands = hands_new(mem, day->book, day->ledger);
@@ -208,22 +209,22 @@
     day->callers = callers_new(mem, day->door, day->book, day->ledger);
     day->operator= operator_new(mem, ground, day->ledger);
     ground_start(ground);
-    if (props->wrong_clocks)
+    if (settings->wrong_clocks)
         sim_at(ground->world, ground->began_ms + 2000, clocks_spoil, day);
     door_start(day->door);
     sim_at(ground->world, ground_now_ms(ground) + dice_span(&dice, 0, 1500), hands_begin, day);
     sim_at(ground->world, ground_now_ms(ground) + 1000, operator_begin, day);
     sim_at(ground->world, ground->began_ms, callers_begin, day);
     Trouble *troubles = talloc_zero_array(mem, Trouble, DAY_TROUBLES_MAX);
-    const size_t count = props->script != NULL ? troubles_read(day, props, troubles, result)
-                                               : troubles_draw(day, props, troubles, result);
+    const size_t count = settings->script != NULL ? troubles_read(day, settings, troubles, result)
+                                                  : troubles_draw(day, settings, troubles, result);
     for (size_t i = 0; i < count; i++)
         if (troubles[i].kind != TROUBLE_COUNT) {
             sim_at(ground->world, ground->began_ms + troubles[i].at_ms, begin, &troubles[i]);
             sim_at(ground->world, ground->began_ms + troubles[i].at_ms + troubles[i].for_ms, end, &troubles[i]);
         }
     day_for(day, site->lead_ms + site->traffic_ms);
-    Closing closing = props->closing;
+    Closing closing = settings->closing;
     if (closing == CLOSING_DRAWN)
         closing = (Closing)dice_span(&dice, CLOSING_NONE, CLOSING_COUNT - 1);
     if (closing != CLOSING_NONE) {
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -103,8 +103,8 @@
     ground->face = face_find(tongue->face);
     ground->rules = rules;
     ground->seed = seed;
-    const CheckerProps props = {ground, check_now, check_frozen, check_job, NULL};
-    ground->checker = checker_new(ground, &props);
+    const CheckerSettings settings = {ground, check_now, check_frozen, check_job, NULL};
+    ground->checker = checker_new(ground, &settings);
     snprintf(ground->folder, sizeof(ground->folder), "/tmp/model-XXXXXX");
     if (mkdtemp(ground->folder) == NULL)
         ground->folder[0] = '\0';
@@ -181,16 +181,16 @@
     Failure failure = {0};
     Loop *loop = sim_loop(ground->world, node->machine);
     const CoreWatch watch = {node, on_plans};
-    const Props *props = &node->place.props;
+    const Settings *settings = &node->place.settings;
     node->node = (FaceNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
     recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
-    Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_PROPS;
-    if (status == STATUS_OK && node->place.role == PROPS_CORE)
-        status = core_start(node->mem, loop, node->recorder, props, &watch, &node->node.core, &failure);
-    else if (status == STATUS_OK && node->place.role == PROPS_GATE)
-        status = gate_start(node->mem, loop, node->recorder, props, &node->node.gate, &failure);
+    Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_SETTINGS;
+    if (status == STATUS_OK && node->place.role == SETTINGS_CORE)
+        status = core_start(node->mem, loop, node->recorder, settings, &watch, &node->node.core, &failure);
+    else if (status == STATUS_OK && node->place.role == SETTINGS_GATE)
+        status = gate_start(node->mem, loop, node->recorder, settings, &node->node.gate, &failure);
     else if (status == STATUS_OK)
-        status = agent_start(node->mem, loop, node->recorder, props, &node->node.agent, &failure);
+        status = agent_start(node->mem, loop, node->recorder, settings, &node->node.agent, &failure);
     if (status == STATUS_OK)
         status = ground->face->start(node->mem, &node->node, &failure);
     node->up = status == STATUS_OK;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -135,7 +135,7 @@
 {
     const bool whole = strcmp(group, "site") == 0;
     if (!whole && site->kind_count == SITE_KINDS_MAX)
-        return failure_set(failure, STATUS_BAD_PROPS, "[%s]: there are too many kinds", group);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "[%s]: there are too many kinds", group);
     SiteKind *kind = whole ? NULL : kind_add(site, group);
     gsize count = 0;
     char **keys = g_key_file_get_keys(file, group, &count, NULL);
@@ -144,9 +144,9 @@
         GError *error = NULL;
         const int64_t value = g_key_file_get_int64(file, group, keys[i], &error);
         if (error != NULL || value < 0)
-            status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: must be a number", group, keys[i]);
+            status = failure_set(failure, STATUS_BAD_SETTINGS, "[%s] %s: must be a number", group, keys[i]);
         else if (whole ? !site_field(site, keys[i], value) : !kind_field(kind, keys[i], value))
-            status = failure_set(failure, STATUS_BAD_PROPS, "[%s] %s: there is no such key", group, keys[i]);
+            status = failure_set(failure, STATUS_BAD_SETTINGS, "[%s] %s: there is no such key", group, keys[i]);
         g_clear_error(&error);
     }
     g_strfreev(keys);
@@ -160,7 +160,7 @@
     Status status = STATUS_OK;
     *site = site_first("own");
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
-        status = failure_set(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s", path, error->message);
         g_error_free(error);
     }
     char **groups = status == STATUS_OK ? g_key_file_get_groups(file, NULL) : NULL;
@@ -173,7 +173,7 @@
     if (status == STATUS_OK &&
         (site->cores < 3 || site->hands < 1 || site->hands > 40 || site->cores + site->spares > 16 ||
          site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
-        status = failure_set(failure, STATUS_BAD_PROPS,
+        status = failure_set(failure, STATUS_BAD_SETTINGS,
                              "%s: there are too few machines, or more than the simulator holds", path);
     return status;
 }
--- a/packages/props/include/props/bounds.h
+++ b/packages/props/include/props/bounds.h
@@ -1,5 +1,5 @@
-#ifndef PROPS_BOUNDS_H
-#define PROPS_BOUNDS_H
+#ifndef SETTINGS_BOUNDS_H
+#define SETTINGS_BOUNDS_H
 
 #include <stdint.h>
 
--- a/packages/props/include/props/props.h
+++ b/packages/props/include/props/props.h
@@ -1,12 +1,12 @@
-#ifndef PROPS_PROPS_H
-#define PROPS_PROPS_H
+#ifndef SETTINGS_SETTINGS_H
+#define SETTINGS_SETTINGS_H
 
 #include "base/ring.h"
 #include "member/members.h"
 #include "props/bounds.h"
 
 /* What a process is told of its place. Nothing else tells it of others. */
-typedef struct Props {
+typedef struct Settings {
     const char *name;
     const char *zone;
     const char *listen; /* address for peers */
@@ -15,17 +15,17 @@
     const char *data;   /* cores: the folder of the journal */
     const char *worker; /* agents: the worker it is beside; the name when not given */
     RecorderLevel log;  /* lines below it are only kept in memory */
-    Bounds bounds;      /* whoever fills in a Props begins with bounds_first */
-} Props;
+    Bounds bounds;      /* whoever fills in a Settings begins with bounds_first */
+} Settings;
 
 /* Which keys a role must have; others are refused. */
-typedef enum PropsRole { PROPS_CORE, PROPS_GATE, PROPS_AGENT } PropsRole;
+typedef enum SettingsRole { SETTINGS_CORE, SETTINGS_GATE, SETTINGS_AGENT } SettingsRole;
 
-/* Reads an ini file (group [spancart]). BAD_PROPS with the key's name. */
-Status props_read(void *mem, const char *path, PropsRole role, Props *props, Failure *failure);
+/* Reads an ini file (group [spancart]). BAD_SETTINGS with the key's name. */
+Status settings_read(void *mem, const char *path, SettingsRole role, Settings *settings, Failure *failure);
 /* Puts one "key=value" over what was read, as flags do. */
-Status props_set(void *mem, Props *props, const char *key, const char *value, Failure *failure);
+Status settings_set(void *mem, Settings *settings, const char *key, const char *value, Failure *failure);
 /* Checks the whole. */
-Status props_check(const Props *props, PropsRole role, Failure *failure);
+Status settings_check(const Settings *settings, SettingsRole role, Failure *failure);
 
 #endif
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -9,24 +9,24 @@
 
 #define GROUP "spancart"
 
-Status props_set(void *mem, Props *props, const char *key, const char *value, Failure *failure)
+Status settings_set(void *mem, Settings *settings, const char *key, const char *value, Failure *failure)
 {
     const char *copy = talloc_strdup(mem, value);
     if (strcmp(key, "name") == 0)
-        props->name = copy;
+        settings->name = copy;
     else if (strcmp(key, "zone") == 0)
-        props->zone = copy;
+        settings->zone = copy;
     else if (strcmp(key, "listen") == 0)
-        props->listen = copy;
+        settings->listen = copy;
     else if (strcmp(key, "http") == 0)
-        props->http = copy;
+        settings->http = copy;
     else if (strcmp(key, "data") == 0)
-        props->data = copy;
+        settings->data = copy;
     else if (strcmp(key, "worker") == 0)
-        props->worker = copy;
+        settings->worker = copy;
     else if (strcmp(key, "log") == 0) {
-        if (!recorder_level_of_word(value, &props->log))
-            return failure_set(failure, STATUS_BAD_PROPS, "log: %s is no level: note, alert or fatal", value);
+        if (!recorder_level_of_word(value, &settings->log))
+            return failure_set(failure, STATUS_BAD_SETTINGS, "log: %s is no level: note, alert or fatal", value);
     } else if (strcmp(key, "seeds") == 0) {
         char **parts = g_strsplit_set(value, ",;", -1);
         size_t count = 0;
@@ -35,37 +35,37 @@
             if (text[0] == '\0')
                 continue;
             if (count < SEEDS)
-                props->seeds[count] = talloc_strdup(mem, text);
+                settings->seeds[count] = talloc_strdup(mem, text);
             count++;
         }
         g_strfreev(parts);
         if (count != SEEDS)
-            return failure_set(failure, STATUS_BAD_PROPS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
+            return failure_set(failure, STATUS_BAD_SETTINGS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
     } else {
-        return failure_set(failure, STATUS_BAD_PROPS, "%s: there is no such key", key);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: there is no such key", key);
     }
     return STATUS_OK;
 }
 
-Status props_read(void *mem, const char *path, PropsRole role, Props *props, Failure *failure)
+Status settings_read(void *mem, const char *path, SettingsRole role, Settings *settings, Failure *failure)
 {
     GKeyFile *file = g_key_file_new();
     GError *error = NULL;
     (void)role;
     if (!g_key_file_load_from_file(file, path, G_KEY_FILE_NONE, &error)) {
-        failure_set(failure, STATUS_BAD_PROPS, "%s: %s", path, error->message);
+        failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s", path, error->message);
         g_error_free(error);
         g_key_file_free(file);
-        return STATUS_BAD_PROPS;
+        return STATUS_BAD_SETTINGS;
     }
     gsize count = 0;
     char **keys = g_key_file_get_keys(file, GROUP, &count, NULL);
     Status status = STATUS_OK;
     if (keys == NULL)
-        status = failure_set(failure, STATUS_BAD_PROPS, "%s: there is no group [%s]", path, GROUP);
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "%s: there is no group [%s]", path, GROUP);
     for (gsize i = 0; i < count && status == STATUS_OK; i++) {
         char *value = g_key_file_get_string(file, GROUP, keys[i], NULL);
-        status = props_set(mem, props, keys[i], value != NULL ? value : "", failure);
+        status = settings_set(mem, settings, keys[i], value != NULL ? value : "", failure);
         g_free(value);
     }
     g_strfreev(keys);
@@ -76,34 +76,34 @@
 static Status need(const char *key, const char *value, bool address, Failure *failure)
 {
     if (value == NULL || value[0] == '\0')
-        return failure_set(failure, STATUS_BAD_PROPS, "%s: is missing", key);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: is missing", key);
     if (address && !real_address_valid(value))
-        return failure_set(failure, STATUS_BAD_PROPS, "%s: %s is not an IP address with a port", key, value);
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s is not an IP address with a port", key, value);
     return STATUS_OK;
 }
 
-Status props_check(const Props *props, PropsRole role, Failure *failure)
+Status settings_check(const Settings *settings, SettingsRole role, Failure *failure)
 {
-    Status status = need("name", props->name, false, failure);
-    if (status == STATUS_OK && !check_name_text(props->name))
-        status = failure_set(failure, STATUS_BAD_PROPS, "name: must be letters, digits or ._:-");
+    Status status = need("name", settings->name, false, failure);
+    if (status == STATUS_OK && !check_name_text(settings->name))
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "name: must be letters, digits or ._:-");
     if (status == STATUS_OK)
-        status = need("zone", props->zone, false, failure);
-    if (status == STATUS_OK && !check_name_text(props->zone))
-        status = failure_set(failure, STATUS_BAD_PROPS, "zone: must be letters, digits or ._:-");
+        status = need("zone", settings->zone, false, failure);
+    if (status == STATUS_OK && !check_name_text(settings->zone))
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "zone: must be letters, digits or ._:-");
     if (status == STATUS_OK)
-        status = need("listen", props->listen, true, failure);
+        status = need("listen", settings->listen, true, failure);
     if (status == STATUS_OK)
-        status = need("http", props->http, true, failure);
+        status = need("http", settings->http, true, failure);
     for (int i = 0; i < SEEDS && status == STATUS_OK; i++)
-        status = need("seeds", props->seeds[i], true, failure);
-    if (status == STATUS_OK && role == PROPS_CORE)
-        status = need("data", props->data, false, failure);
-    if (status == STATUS_OK && role != PROPS_CORE && props->data != NULL)
-        status = failure_set(failure, STATUS_BAD_PROPS, "data: only a core has a disk");
-    if (status == STATUS_OK && role != PROPS_AGENT && props->worker != NULL)
-        status = failure_set(failure, STATUS_BAD_PROPS, "worker: only an agent stands beside one");
-    if (status == STATUS_OK && props->worker != NULL && !check_name_text(props->worker))
-        status = failure_set(failure, STATUS_BAD_PROPS, "worker: must be letters, digits or ._:-");
+        status = need("seeds", settings->seeds[i], true, failure);
+    if (status == STATUS_OK && role == SETTINGS_CORE)
+        status = need("data", settings->data, false, failure);
+    if (status == STATUS_OK && role != SETTINGS_CORE && settings->data != NULL)
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "data: only a core has a disk");
+    if (status == STATUS_OK && role != SETTINGS_AGENT && settings->worker != NULL)
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "worker: only an agent stands beside one");
+    if (status == STATUS_OK && settings->worker != NULL && !check_name_text(settings->worker))
+        status = failure_set(failure, STATUS_BAD_SETTINGS, "worker: must be letters, digits or ._:-");
     return status;
 }
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -55,7 +55,7 @@
 typedef struct Checker Checker;
 
 /* now_ms is one clock for all that is told. */
-typedef struct CheckerProps {
+typedef struct CheckerSettings {
     void *arg;
     int64_t (*now_ms)(void *arg);
     /* Whether the worker's machine stands still now, so that what it "runs" does not run. */
@@ -64,9 +64,9 @@
     const Job *(*job)(void *arg, const char *id);
     /* True wall time; null where nobody knows it. */
     int64_t (*wall_ms)(void *arg);
-} CheckerProps;
+} CheckerSettings;
 
-Checker *checker_new(void *mem, const CheckerProps *props);
+Checker *checker_new(void *mem, const CheckerSettings *settings);
 /* What was seen to break: count, and the first one's words. */
 size_t checker_broken(const Checker *checker, Never never);
 size_t checker_broken_all(const Checker *checker);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -36,13 +36,13 @@
     FleetRole role;
     int number;
     int machine;
-    Props props;
+    Settings settings;
     void *mem;
     Core *core;
     Gate *gate;
     Agent *agent;
     StandWorker *worker;
-    StandWorkerProps worker_props;
+    StandWorkerSettings worker_settings;
     bool up; /* its start has come to an end well */
     Recorder *recorder;
 } FleetNode;
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -24,13 +24,13 @@
 SweepSite sweep_site_of(const char *word);
 
 /* What is drawn besides the mix. */
-typedef struct SweepProps {
+typedef struct SweepSettings {
     uint64_t seed;
     Mix mix;
     SweepSite site;
     bool loud;                     /* failures are printed as they are drawn */
     bool skipped[SWEEP_STEPS_MAX]; /* drawn but not brought about: to shorten a failing run */
-} SweepProps;
+} SweepSettings;
 
 typedef struct SweepResult {
     bool good;
@@ -50,6 +50,6 @@
  * In one seed of four, disks may lose all that they acknowledged. Then diskless nodes
  * are not lost or cut off as well: what was told first is kept for two minutes by
  * one gate and by agents, and the design promises repair from them, not from nobody. */
-void sweep_run(const SweepProps *props, SweepResult *result);
+void sweep_run(const SweepSettings *settings, SweepResult *result);
 
 #endif
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -104,7 +104,7 @@
     const size_t count = map_keys(checker->unsettled, mem, &ids);
     for (size_t i = 0; i < count; i++) {
         const SeenJob *job = map_get(checker->jobs, ids[i]);
-        const Job *known = job->settled ? NULL : checker->props.job(checker->props.arg, job->id);
+        const Job *known = job->settled ? NULL : checker->settings.job(checker->settings.arg, job->id);
         if (known == NULL || known->spec.copies || strcmp(known->spec.tenant, name) != 0 ||
             strcmp(known->spec.cell, cell) != 0)
             continue;
@@ -113,7 +113,7 @@
         for (size_t t = 0; t < task_count; t++)
             for (const SeenRun *run = ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs; run != NULL;
                  run = run->next)
-                if (!checker->props.frozen(checker->props.arg, run->worker)) {
+                if (!checker->settings.frozen(checker->settings.arg, run->worker)) {
                     used = room_more(used, run->room);
                     break;
                 }
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -16,10 +16,10 @@
     return never < NEVER_COUNT ? WORDS[never] : "";
 }
 
-Checker *checker_new(void *mem, const CheckerProps *props)
+Checker *checker_new(void *mem, const CheckerSettings *settings)
 {
     Checker *checker = talloc_zero(mem, Checker);
-    checker->props = *props;
+    checker->settings = *settings;
     checker->jobs = map_new(checker);
     checker->unsettled = map_new(checker);
     checker->workers = map_new(checker);
@@ -33,7 +33,7 @@
 
 int64_t checker_now(const Checker *checker)
 {
-    return checker->props.now_ms(checker->props.arg);
+    return checker->settings.now_ms(checker->settings.arg);
 }
 
 void checker_broke(Checker *checker, Never never, const char *format, ...)
@@ -344,7 +344,7 @@
 {
     SeenJob *job = seen_job(checker, id);
     job->ended = true;
-    const Job *known = checker->props.job(checker->props.arg, id);
+    const Job *known = checker->settings.job(checker->settings.arg, id);
     if (known != NULL && known->spec.lasting && strcmp(phase, "cancelled") != 0)
         checker_broke(checker, NEVER_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
     if (strcmp(phase, "done") != 0)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -87,7 +87,7 @@
 } SeenEntry;
 
 struct Checker {
-    CheckerProps props;
+    CheckerSettings settings;
     Map *jobs;
     Map *unsettled; /* those of jobs that are not settled: what is looked at again and again */
     Map *workers, *zones, *tenants, *entries;
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -28,7 +28,7 @@
     for (size_t t = 0; t < count; t++) {
         const SeenTask *task = map_get(job->tasks, tasks[t]);
         for (const SeenRun *run = task->runs; run != NULL; run = run->next) {
-            if (checker->props.frozen(checker->props.arg, run->worker))
+            if (checker->settings.frozen(checker->settings.arg, run->worker))
                 continue;
             if (job->cancelled_ms != 0 && checker_debt_ms(checker, job->cancelled_ms) > STOP_LATE_MS)
                 checker_broke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
@@ -43,7 +43,7 @@
 
 static void gangs_look(Checker *checker, SeenJob *job)
 {
-    const Job *known = job->accepted && !job->ended ? checker->props.job(checker->props.arg, job->id) : NULL;
+    const Job *known = job->accepted && !job->ended ? checker->settings.job(checker->settings.arg, job->id) : NULL;
     if (known == NULL)
         return;
     /* a gang's tasks stand one after another, for each turn and step */
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -9,7 +9,7 @@
 
 static void spec_start(Checker *checker, SeenJob *seen, const char *worker, uint64_t task)
 {
-    const Job *job = checker->props.job(checker->props.arg, seen->id);
+    const Job *job = checker->settings.job(checker->settings.arg, seen->id);
     const size_t at = job != NULL ? task_index(job, task) : 0;
     if (job == NULL || at == job->tasks_count)
         return; /* nobody is left that knows it; other nevers speak of that */
@@ -24,7 +24,8 @@
         checker_broke(checker, NEVER_TOO_EARLY,
                       "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
                       task, checker_now(checker) - seen->sent_ms, job->spec.delay_ms);
-    const int64_t wall_ms = checker->props.wall_ms != NULL ? checker->props.wall_ms(checker->props.arg) : INT64_MAX;
+    const int64_t wall_ms =
+        checker->settings.wall_ms != NULL ? checker->settings.wall_ms(checker->settings.arg) : INT64_MAX;
     const int64_t turn_ms = task_due_wall_ms(job, &job->tasks[at]);
     if (turn_ms != 0 && wall_ms < turn_ms - WALL_SLACK_MS)
         checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
@@ -62,7 +63,7 @@
     SeenJob *job = seen_job(checker, id);
     SeenTask *seen = seen_task(job, task);
     SeenWorker *on = seen_worker(checker, worker);
-    const Job *known = checker->props.job(checker->props.arg, id);
+    const Job *known = checker->settings.job(checker->settings.arg, id);
     /* for a while no node may know it: all disks have just lost it */
     if (known != NULL) {
         job->copies = known->spec.copies;
@@ -71,7 +72,7 @@
     const bool copies = job->copies;
     checker->starts++;
     for (SeenRun *run = seen->runs; run != NULL; run = run->next) {
-        if (checker->props.frozen(checker->props.arg, run->worker))
+        if (checker->settings.frozen(checker->settings.arg, run->worker))
             run->beside_frozen = true; /* it must be over once its machine runs again */
         else if (!copies)
             checker_broke(checker, NEVER_TWICE,
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -23,7 +23,7 @@
 static FleetNode *worker_node(const Fleet *fleet, const char *name)
 {
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
-        if (strcmp(fleet->nodes[FLEET_WORKER][i].props.name, name) == 0)
+        if (strcmp(fleet->nodes[FLEET_WORKER][i].settings.name, name) == 0)
             return (FleetNode *)(uintptr_t)&fleet->nodes[FLEET_WORKER][i];
     return NULL;
 }
@@ -65,17 +65,17 @@
     node->number = number;
     node->machine = sim_machine(fleet->world);
     const char *ip = sim_address(fleet->world, node->machine);
-    node->props.bounds = bounds_first();
-    node->props.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
-    node->props.zone = ZONES[number % fleet->site.zones];
-    node->props.bounds.losses = fleet->site.losses;
+    node->settings.bounds = bounds_first();
+    node->settings.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
+    node->settings.zone = ZONES[number % fleet->site.zones];
+    node->settings.bounds.losses = fleet->site.losses;
     if (fleet->site.seat_back_ms > 0)
-        node->props.bounds.seat_back_ms = fleet->site.seat_back_ms;
-    node->props.bounds.disks_keep = fleet->site.disks_keep;
+        node->settings.bounds.seat_back_ms = fleet->site.seat_back_ms;
+    node->settings.bounds.disks_keep = fleet->site.disks_keep;
     if (fleet->site.votes)
-        node->props.bounds.founds = 1;
-    node->props.listen = talloc_asprintf(fleet, "%s:7000", ip);
-    node->props.http = talloc_asprintf(fleet, "%s:8000", ip);
+        node->settings.bounds.founds = 1;
+    node->settings.listen = talloc_asprintf(fleet, "%s:7000", ip);
+    node->settings.http = talloc_asprintf(fleet, "%s:8000", ip);
     return node;
 }
 
@@ -87,8 +87,8 @@
 static const char *seed_of(const Fleet *fleet, int number)
 {
     const int gates = fleet->site.gate_seeds;
-    return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].props.listen
-                          : fleet->nodes[FLEET_CORE][(number - gates) % fleet->shape.cores].props.listen;
+    return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].settings.listen
+                          : fleet->nodes[FLEET_CORE][(number - gates) % fleet->shape.cores].settings.listen;
 }
 
 Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
@@ -97,39 +97,39 @@
     fleet->world = sim_world_new(fleet, seed);
     fleet->shape = shape;
     fleet->site = *site;
-    const CheckerProps props = {fleet, world_now, worker_frozen, job_of, world_wall};
-    fleet->checker = checker_new(fleet, &props);
+    const CheckerSettings settings = {fleet, world_now, worker_frozen, job_of, world_wall};
+    fleet->checker = checker_new(fleet, &settings);
     for (int i = 0; i < shape.cores + shape.spares; i++)
-        node_add(fleet, FLEET_CORE)->props.data = "data";
+        node_add(fleet, FLEET_CORE)->settings.data = "data";
     for (int i = 0; i < shape.gates; i++)
         node_add(fleet, FLEET_GATE);
     for (int i = 0; i < shape.workers; i++) {
         FleetNode *agent = node_add(fleet, FLEET_AGENT);
         FleetNode *worker = node_add(fleet, FLEET_WORKER);
-        agent->props.worker = worker->props.name;
+        agent->settings.worker = worker->settings.name;
         const bool large = shape.mix == MIX_TRENTVALE;
-        worker->worker_props = (StandWorkerProps){
-            .worker = {.name = worker->props.name,
-                       .zone = worker->props.zone,
+        worker->worker_settings = (StandWorkerSettings){
+            .worker = {.name = worker->settings.name,
+                       .zone = worker->settings.zone,
                        .rack = talloc_asprintf(fleet, "rack%d", i / 3),
                        .kind = shape.mix == MIX_VARIED && i % 4 == 1 ? "gpu" : "std",
                        .labels = (const char **)(uintptr_t)SSD,
                        .labels_count = shape.mix == MIX_VARIED && i % 2 == 0,
                        .room = large ? (Room){64000, 131072, 0} : (Room){16000, 65536, 0}},
-            .agent = agent->props.http,
+            .agent = agent->settings.http,
             .watch = fleet_worker_watch(worker),
         };
-        checker_worker(fleet->checker, &worker->worker_props.worker);
+        checker_worker(fleet->checker, &worker->worker_settings.worker);
     }
     fleet->caller = sim_machine(fleet->world);
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             for (int s = 0; s < SEEDS; s++)
-                fleet->nodes[role][i].props.seeds[s] = seed_of(fleet, s);
+                fleet->nodes[role][i].settings.seeds[s] = seed_of(fleet, s);
     /* the seeds have changed hands by the time that a spare comes */
     for (int i = shape.cores; i < fleet->node_count[FLEET_CORE]; i++)
         for (int s = 0; s < SEEDS; s++)
-            fleet->nodes[FLEET_CORE][i].props.seeds[s] = fleet->nodes[FLEET_GATE][s % shape.gates].props.listen;
+            fleet->nodes[FLEET_CORE][i].settings.seeds[s] = fleet->nodes[FLEET_GATE][s % shape.gates].settings.listen;
     return fleet;
 }
 
@@ -148,16 +148,16 @@
     recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
     case FLEET_CORE:
-        status = core_start(loop, loop, node->recorder, &node->props, &watch, &node->core, &failure);
+        status = core_start(loop, loop, node->recorder, &node->settings, &watch, &node->core, &failure);
         break;
     case FLEET_GATE:
-        status = gate_start(loop, loop, node->recorder, &node->props, &node->gate, &failure);
+        status = gate_start(loop, loop, node->recorder, &node->settings, &node->gate, &failure);
         break;
     case FLEET_AGENT:
-        status = agent_start(loop, loop, node->recorder, &node->props, &node->agent, &failure);
+        status = agent_start(loop, loop, node->recorder, &node->settings, &node->agent, &failure);
         break;
     default:
-        node->worker = stand_worker_start(loop, loop, &node->worker_props);
+        node->worker = stand_worker_start(loop, loop, &node->worker_settings);
         break;
     }
     node->up = status == STATUS_OK;
@@ -180,7 +180,7 @@
 {
     FleetNode *node = fleet_node(fleet, role, number);
     if (node->recorder == NULL) {
-        node->recorder = recorder_new(fleet, node->props.name);
+        node->recorder = recorder_new(fleet, node->settings.name);
         recorder_quiet(node->recorder);
     }
     if (!sim_alive(fleet->world, node->machine))
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -28,7 +28,7 @@
                       const char *body, const HttpPair *heads, size_t head_count)
 {
     HttpCall call = {.mem = mem,
-                     .address = fleet_node(fleet, role, number)->props.http,
+                     .address = fleet_node(fleet, role, number)->settings.http,
                      .method = method,
                      .path = path,
                      .wait_ms = 10000,
@@ -66,16 +66,16 @@
 
 Caller *fleet_call(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms)
 {
-    CallerProps props = {.name = name,
-                         .mix = fleet->shape.mix,
-                         .rate_milli = rate_milli,
-                         .for_ms = for_ms,
-                         .twins = fleet->shape.mix == MIX_VARIED,
-                         .watch = fleet_caller_watch(fleet)};
+    CallerSettings settings = {.name = name,
+                               .mix = fleet->shape.mix,
+                               .rate_milli = rate_milli,
+                               .for_ms = for_ms,
+                               .twins = fleet->shape.mix == MIX_VARIED,
+                               .watch = fleet_caller_watch(fleet)};
     for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
-        props.entries[props.entry_count++] = fleet->nodes[FLEET_GATE][i].props.http;
+        settings.entries[settings.entry_count++] = fleet->nodes[FLEET_GATE][i].settings.http;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
-    Caller *caller = caller_start(loop, loop, &props);
+    Caller *caller = caller_start(loop, loop, &settings);
     fleet->callers[fleet->caller_count++] = caller;
     return caller;
 }
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -62,11 +62,11 @@
     node->up = false;
     /* the first start of all is over for it */
     if (node->fleet->site.votes)
-        node->props.bounds.founds = 0;
+        node->settings.bounds.founds = 0;
     if (node->role == FLEET_WORKER)
-        checker_worker_gone(node->fleet->checker, node->props.name);
+        checker_worker_gone(node->fleet->checker, node->settings.name);
     if (node->role == FLEET_CORE)
-        checker_leader_gone(node->fleet->checker, node->props.name);
+        checker_leader_gone(node->fleet->checker, node->settings.name);
 }
 
 void fleet_kill(Fleet *fleet, FleetRole role, int number)
@@ -88,7 +88,7 @@
     FleetNode *node = arg;
     /* a later freeze may have begun before this one ended */
     if (sim_alive(node->fleet->world, node->machine) && !sim_frozen(node->fleet->world, node->machine))
-        checker_worker_woke(node->fleet->checker, node->props.name);
+        checker_worker_woke(node->fleet->checker, node->settings.name);
 }
 
 void fleet_freeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms)
@@ -134,7 +134,7 @@
             for (int q = 0; q < FLEET_ROLES; q++)
                 for (int k = 0; k < fleet->node_count[q]; k++) {
                     const FleetNode *a = &fleet->nodes[r][i], *b = &fleet->nodes[q][k];
-                    if ((strcmp(a->props.zone, zone) == 0) != (strcmp(b->props.zone, zone) == 0))
+                    if ((strcmp(a->settings.zone, zone) == 0) != (strcmp(b->settings.zone, zone) == 0))
                         cut_both(fleet, a->machine, b->machine, cut);
                 }
 }
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -204,7 +204,7 @@
     int target;
     const char *port;
     if (!sim_find(world, call->address, &target, &port))
-        return STATUS_BAD_PROPS;
+        return STATUS_BAD_SETTINGS;
     const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
     for (;;) {
         loop_sleep(loop, sim_link_ms(world) + sim_link_ms(world));
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -216,7 +216,7 @@
     const char *port;
     const int64_t until_ms = loop_now_ms(loop) + wait_ms;
     if (!sim_find(world, address, &target, &port))
-        return STATUS_BAD_PROPS;
+        return STATUS_BAD_SETTINGS;
     do {
         loop_sleep(loop, sim_link_ms(world) + sim_link_ms(world));
         if (world->cut[sim->machine][target] || world->cut[target][sim->machine]) {
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -31,7 +31,7 @@
 {
     Fleet *fleet = probe->fleet;
     *call = (HttpCall){.mem = mem,
-                       .address = fleet->nodes[FLEET_GATE][gate % fleet->node_count[FLEET_GATE]].props.http,
+                       .address = fleet->nodes[FLEET_GATE][gate % fleet->node_count[FLEET_GATE]].settings.http,
                        .method = method,
                        .path = path,
                        .wait_ms = 2000};
@@ -59,7 +59,7 @@
         status == STATUS_OK && call.code == 422 && strstr((const char *)call.result.data, "unknown-tenant");
     if (taken) {
         checker_accepted(fleet->checker, id);
-        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].props.name, SERVE_ACCEPT);
+        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].settings.name, SERVE_ACCEPT);
         if (probe->open_count < PROBE_OPEN_MAX)
             probe->open[probe->open_count++] = (ProbeJob){id, sim_now_ms(fleet->world)};
     } else if (status == STATUS_OK && call.code >= 400 && call.code < 500) {
@@ -82,7 +82,7 @@
     HttpCall call;
     if (call_at(probe, probe->gate, mem, "GET", path, NULL, &call) == STATUS_OK &&
         (call.code == 200 || call.code == 404))
-        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].props.name, SERVE_STATUS);
+        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].settings.name, SERVE_STATUS);
     if (probe->open_count > 0 && sim_now_ms(fleet->world) - job.accepted_ms >= ASK_LATE_MS &&
         call_at(probe, probe->gate + (int)(probe->count % (uint64_t)fleet->node_count[FLEET_GATE]), mem, "GET", path,
                 NULL, &call) == STATUS_OK) {
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -88,7 +88,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
         const FleetNode *worker = &fleet->nodes[FLEET_WORKER][i], *agent = &fleet->nodes[FLEET_AGENT][i];
         count += runs(fleet, worker) && runs(fleet, agent) && both_ways(fleet, worker->machine, agent->machine) &&
-                 !worker->worker_props.fails_all && reaches_voters(fleet, agent->machine);
+                 !worker->worker_settings.fails_all && reaches_voters(fleet, agent->machine);
     }
     return count;
 }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -81,7 +81,7 @@
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++) {
             if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
-                checker_leaving(fleet->checker, fleet->nodes[role][i].props.name, false);
+                checker_leaving(fleet->checker, fleet->nodes[role][i].settings.name, false);
             /* a spare comes only in another's place */
             if (role != FLEET_CORE || i < fleet->shape.cores || fleet->nodes[role][i].recorder != NULL)
                 fleet_start_node(fleet, (FleetRole)role, i);
@@ -112,8 +112,8 @@
     }
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
         FleetNode *worker = fleet_node(fleet, FLEET_WORKER, i);
-        worker->worker_props.fails_all = worker->worker_props.repeats = false;
-        worker->worker_props.slow_times = 1;
+        worker->worker_settings.fails_all = worker->worker_settings.repeats = false;
+        worker->worker_settings.slow_times = 1;
         fleet_kill(fleet, FLEET_WORKER, i); /* those that left come back as new processes */
     }
     sweep_start_all(sweep);
@@ -133,17 +133,17 @@
 
 /* One failure, drawn from the seed and the step alone, so that leaving another
  * out changes nothing in it. */
-static void step(Sweep *sweep, const SweepProps *props, size_t number)
+static void step(Sweep *sweep, const SweepSettings *settings, size_t number)
 {
     uint64_t weights = 0;
-    sweep->state = props->seed * 1000003 + number * 7919 + 5;
+    sweep->state = settings->seed * 1000003 + number * 7919 + 5;
     for (size_t i = 0; i < sizeof(ACTS) / sizeof(ACTS[0]); i++)
         weights += ACTS[i].weight;
     uint64_t left = sweep_draw(sweep, weights);
     size_t at = 0;
     while (left >= ACTS[at].weight)
         left -= ACTS[at++].weight;
-    if (!props->skipped[number])
+    if (!settings->skipped[number])
         ACTS[at].act(sweep);
 }
 
@@ -154,7 +154,7 @@
     bool any = false;
     for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
         if (fleet_servable(fleet, i)) {
-            checker_must_serve(fleet->checker, fleet->nodes[FLEET_GATE][i].props.name);
+            checker_must_serve(fleet->checker, fleet->nodes[FLEET_GATE][i].settings.name);
             result->asserted++;
             any = true;
         }
@@ -167,23 +167,23 @@
     return checker_broken_all(sweep->fleet->checker) > 0;
 }
 
-static void dense(Sweep *sweep, const SweepProps *props, SweepResult *result)
+static void dense(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
     while (sim_now_ms(fleet->world) - sweep->start_ms < DENSE_MS && !broken(sweep) && result->steps < SWEEP_STEPS_MAX) {
-        step(sweep, props, result->steps++);
+        step(sweep, settings, result->steps++);
         fleet_run(fleet, (int64_t)sweep_draw(sweep, 2000));
     }
 }
 
-static void bursts(Sweep *sweep, const SweepProps *props, SweepResult *result)
+static void bursts(Sweep *sweep, const SweepSettings *settings, SweepResult *result)
 {
     Fleet *fleet = sweep->fleet;
     for (int burst = 0; burst < BURSTS && !broken(sweep); burst++) {
-        sweep->state = props->seed * 31337 + (uint64_t)burst;
+        sweep->state = settings->seed * 31337 + (uint64_t)burst;
         const uint64_t failures = 1 + sweep_draw(sweep, BURST_MOST);
         for (uint64_t i = 0; i < failures && !broken(sweep); i++) {
-            step(sweep, props, result->steps++);
+            step(sweep, settings, result->steps++);
             fleet_run(fleet, (int64_t)sweep_draw(sweep, 1200));
         }
         /* a freeze that is still on ends before the quiet begins */
@@ -203,7 +203,7 @@
         for (int p = 0; p < 2 && sim_alive(fleet->world, fleet->nodes[role][i].machine); p++) {
             void *mem = talloc_new(NULL);
             const HttpCall call = fleet_ask(fleet, mem, role, i, "GET", PATHS[p], NULL);
-            printf("%s %s %d: %s\n", fleet->nodes[role][i].props.name, PATHS[p], call.code,
+            printf("%s %s %d: %s\n", fleet->nodes[role][i].settings.name, PATHS[p], call.code,
                    (const char *)call.result.data);
             talloc_free(mem);
         }
@@ -232,7 +232,7 @@
     }
 }
 
-void sweep_run(const SweepProps *props, SweepResult *result)
+void sweep_run(const SweepSettings *settings, SweepResult *result)
 {
     void *mem = talloc_new(NULL);
     Sweep *sweep = talloc_zero(mem, Sweep);
@@ -249,14 +249,15 @@
          .gate_seeds = 1},
         {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .stagger_ms = 500},
     };
-    const FleetSite *site = &SITES[props->site];
+    const FleetSite *site = &SITES[settings->site];
     Fleet *fleet = fleet_new_at(
-        mem, props->seed,
-        (FleetShape){CORES[props->site], props->mix == MIX_ATLAS ? 4 : 3, 11, props->mix, 2 * site->losses}, site);
+        mem, settings->seed,
+        (FleetShape){CORES[settings->site], settings->mix == MIX_ATLAS ? 4 : 3, 11, settings->mix, 2 * site->losses},
+        site);
     sweep->fleet = fleet;
-    sweep->loud = props->loud;
+    sweep->loud = settings->loud;
     sweep->jumped = -1;
-    sweep->liars = props->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
+    sweep->liars = settings->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
     *result = (SweepResult){.good = true};
     fleet_start(fleet);
     if (!fleet_settle(fleet, 30000) || !fleet_configure(fleet)) {
@@ -264,16 +265,16 @@
         result->good = false;
     } else {
         checker_config_set(fleet->checker, 1);
-        if (props->mix == MIX_VARIED)
+        if (settings->mix == MIX_VARIED)
             checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
         sweep->start_ms = sim_now_ms(fleet->world);
         for (int i = 0; i < fleet->shape.cores && sweep->liars; i++)
             sim_disk_lie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, true);
-        const bool sparse = props->seed % 2 == 0;
-        fleet_call(fleet, "s", sparse ? 4000 : props->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
+        const bool sparse = settings->seed % 2 == 0;
+        fleet_call(fleet, "s", sparse ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
         probes_start(fleet, sparse ? 400 : 900);
         fleet_run(fleet, 1000);
-        (sparse ? bursts : dense)(sweep, props, result);
+        (sparse ? bursts : dense)(sweep, settings, result);
         if (!broken(sweep)) {
             heal(sweep);
             fleet_thaw(fleet);
@@ -294,7 +295,7 @@
     result->faults = sweep->faults;
     for (int i = 0; i < SERVE_COUNT; i++)
         result->worst_ms[i] = checker_worst_ms(fleet->checker, (Serve)i);
-    if (!result->good && props->loud)
+    if (!result->good && settings->loud)
         tell(sweep);
     talloc_free(mem);
 }
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -27,7 +27,7 @@
     FleetNode *node = sweep_any(sweep);
     if (node->role == FLEET_CORE && voters_alive(sweep) < sweep->fleet->shape.cores && sweep_draw(sweep, 3) != 0)
         return;
-    sweep_say(sweep, "kill %s", node->props.name);
+    sweep_say(sweep, "kill %s", node->settings.name);
     fleet_kill(sweep->fleet, node->role, node->number);
 }
 
@@ -42,7 +42,7 @@
         sweep_start_all(sweep);
         return;
     }
-    sweep_say(sweep, "power off %s", node->props.name);
+    sweep_say(sweep, "power off %s", node->settings.name);
     fleet_power_off(sweep->fleet, node->role, node->number);
 }
 
@@ -50,21 +50,21 @@
 {
     FleetNode *node = sweep_any(sweep);
     const int64_t for_ms = 200 + (int64_t)sweep_draw(sweep, 6000);
-    sweep_say(sweep, "freeze %s for %" PRId64, node->props.name, for_ms);
+    sweep_say(sweep, "freeze %s for %" PRId64, node->settings.name, for_ms);
     fleet_freeze(sweep->fleet, node->role, node->number, for_ms);
 }
 
 void act_cut_off(Sweep *sweep)
 {
     FleetNode *node = sweep_any(sweep);
-    sweep_say(sweep, "cut off %s", node->props.name);
+    sweep_say(sweep, "cut off %s", node->settings.name);
     fleet_isolate(sweep->fleet, node->role, node->number, true);
 }
 
 void act_cut_one_way(Sweep *sweep)
 {
     const FleetNode *from = sweep_any(sweep), *to = sweep_any(sweep);
-    sweep_say(sweep, "cut %s > %s", from->props.name, to->props.name);
+    sweep_say(sweep, "cut %s > %s", from->settings.name, to->settings.name);
     sim_cut(sweep->fleet->world, from->machine, to->machine, true);
 }
 
@@ -74,7 +74,7 @@
     const FleetNode *a = sweep_any(sweep), *b = sweep_node(sweep, FLEET_CORE);
     const bool both = sweep_draw(sweep, 2) == 0;
     const int64_t each_ms = 50 + (int64_t)sweep_draw(sweep, 900);
-    sweep_say(sweep, "flap %s %s %s each %" PRId64, a->props.name, both ? "<>" : ">", b->props.name, each_ms);
+    sweep_say(sweep, "flap %s %s %s each %" PRId64, a->settings.name, both ? "<>" : ">", b->settings.name, each_ms);
     for (int i = 0; i < 8; i++) {
         sim_cut(sweep->fleet->world, a->machine, b->machine, i % 2 == 0);
         if (both)
@@ -99,7 +99,7 @@
 {
     const FleetNode *core = sweep_node(sweep, FLEET_CORE);
     const int64_t sync_ms = sweep_draw(sweep, 2) ? 3 : (int64_t)sweep_draw(sweep, 4000);
-    sweep_say(sweep, "disk of %s takes %" PRId64, core->props.name, sync_ms);
+    sweep_say(sweep, "disk of %s takes %" PRId64, core->settings.name, sync_ms);
     sim_disk_slow(sweep->fleet->world, core->machine, sync_ms);
 }
 
@@ -108,7 +108,7 @@
 {
     const FleetNode *core = sweep_node(sweep, FLEET_CORE);
     const bool fails = sweep_draw(sweep, 2) == 0;
-    sweep_say(sweep, "disk of %s %s", core->props.name, fails ? "fails" : "works");
+    sweep_say(sweep, "disk of %s %s", core->settings.name, fails ? "fails" : "works");
     sim_disk_fail(sweep->fleet->world, core->machine, fails);
 }
 
@@ -124,10 +124,10 @@
     const bool torn = sweep_draw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
     if (torn && journal->count > 600) {
         const size_t cut = 1 + (size_t)sweep_draw(sweep, 300);
-        sweep_say(sweep, "%s loses the last %zu bytes", core->props.name, cut);
+        sweep_say(sweep, "%s loses the last %zu bytes", core->settings.name, cut);
         journal->count -= cut;
     } else {
-        sweep_say(sweep, "%s's disk is spoilt and emptied", core->props.name);
+        sweep_say(sweep, "%s's disk is spoilt and emptied", core->settings.name);
         sim_disk_wipe(sweep->fleet->world, core->machine);
     }
     fleet_run(sweep->fleet, 500 + (int64_t)sweep_draw(sweep, 2000));
@@ -145,7 +145,7 @@
         sweep->jumped = -1;
         return;
     }
-    sweep_say(sweep, "clock of %s jumps by %" PRId64, node->props.name, by_ms);
+    sweep_say(sweep, "clock of %s jumps by %" PRId64, node->settings.name, by_ms);
     sim_jump(sweep->fleet->world, node->machine, by_ms);
     sweep->jumped = node->machine;
 }
@@ -155,7 +155,7 @@
     Fleet *fleet = sweep->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            if (strcmp(fleet->nodes[role][i].props.zone, zone) == 0 && !(sweep->liars && role != FLEET_CORE))
+            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0 && !(sweep->liars && role != FLEET_CORE))
                 fn(fleet, (FleetRole)role, i);
 }
 
@@ -212,8 +212,8 @@
     FleetNode *gone = fleet_node(fleet, FLEET_CORE, (int)sweep_draw(sweep, (uint64_t)fleet->shape.cores));
     if (sim_alive(fleet->world, fleet->nodes[FLEET_CORE][spare].machine) || voters_missing(sweep) >= fleet->site.losses)
         return;
-    sweep_say(sweep, "%s is gone for good, empty %s comes", gone->props.name,
-              fleet->nodes[FLEET_CORE][spare].props.name);
+    sweep_say(sweep, "%s is gone for good, empty %s comes", gone->settings.name,
+              fleet->nodes[FLEET_CORE][spare].settings.name);
     fleet_power_off(fleet, FLEET_CORE, gone->number);
     sim_disk_wipe(fleet->world, gone->machine);
     fleet_start_node(fleet, FLEET_CORE, spare);
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -39,7 +39,7 @@
     void *mem = talloc_new(fleet);
     const char *named = operator->revision> 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, operator->revision) : "";
     HttpCall call = {.mem = mem,
-                     .address = fleet->nodes[FLEET_GATE][gate % 3].props.http,
+                     .address = fleet->nodes[FLEET_GATE][gate % 3].settings.http,
                      .method = "PATCH",
                      .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
                      .wait_ms = wait_ms};
@@ -220,9 +220,9 @@
     const int64_t notice_ms = (int64_t)sweep_draw(sweep, 3000);
     if (worker->worker == NULL || !sim_alive(sweep->fleet->world, worker->machine))
         return;
-    sweep_say(sweep, "%s leaves, gone in %" PRId64, worker->props.name, notice_ms);
+    sweep_say(sweep, "%s leaves, gone in %" PRId64, worker->settings.name, notice_ms);
     stand_worker_leave(worker->worker);
-    checker_leaving(sweep->fleet->checker, worker->props.name, true);
+    checker_leaving(sweep->fleet->checker, worker->settings.name, true);
     fleet_run(sweep->fleet, notice_ms);
     fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
 }
@@ -233,14 +233,14 @@
     const uint64_t how = sweep_draw(sweep, 5);
     if (worker->worker == NULL)
         return;
-    sweep_say(sweep, "%s %s", worker->props.name,
+    sweep_say(sweep, "%s %s", worker->settings.name,
               how == 0   ? "fails its work"
               : how == 1 ? "is five times slower"
               : how == 2 ? "repeats its reports"
                          : "is well");
-    worker->worker_props.fails_all = how == 0;
-    worker->worker_props.slow_times = how == 1 ? 5 : 1;
-    worker->worker_props.repeats = how == 2;
+    worker->worker_settings.fails_all = how == 0;
+    worker->worker_settings.slow_times = how == 1 ? 5 : 1;
+    worker->worker_settings.repeats = how == 2;
     stand_worker_fail(worker->worker, how == 0);
     stand_worker_slow(worker->worker, how == 1 ? 5 : 1);
     stand_worker_repeat(worker->worker, how == 2);
@@ -250,9 +250,9 @@
 void act_worker_restarts(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
-    sweep_say(sweep, "%s starts anew", worker->props.name);
+    sweep_say(sweep, "%s starts anew", worker->settings.name);
     fleet_kill(sweep->fleet, FLEET_WORKER, worker->number);
-    checker_leaving(sweep->fleet->checker, worker->props.name, false);
+    checker_leaving(sweep->fleet->checker, worker->settings.name, false);
     fleet_start_node(sweep->fleet, FLEET_WORKER, worker->number);
 }
 
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -72,7 +72,7 @@
     Fleet *fleet = timeline->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            if (strcmp(fleet->nodes[role][i].props.zone, zone) == 0)
+            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0)
                 fn(fleet, (FleetRole)role, i);
 }
 
@@ -194,7 +194,7 @@
     } else if (strcmp(verb, "start") == 0) {
         fleet_start_node(fleet, node->role, node->number);
         if (node->role == FLEET_WORKER)
-            checker_leaving(fleet->checker, node->props.name, false);
+            checker_leaving(fleet->checker, node->settings.name, false);
     } else if (strcmp(verb, "roll") == 0) {
         fleet_roll(fleet, node->role, node->number);
     } else if (strcmp(verb, "wipe") == 0) {
@@ -221,9 +221,9 @@
         sim_clock_rate(world, node->machine, number);
     } else if (strcmp(verb, "leave") == 0 && node->worker != NULL) {
         stand_worker_leave(node->worker);
-        checker_leaving(fleet->checker, node->props.name, true);
+        checker_leaving(fleet->checker, node->settings.name, true);
     } else if ((strcmp(verb, "fails") == 0 || strcmp(verb, "heals") == 0) && node->worker != NULL) {
-        node->worker_props.fails_all = verb[0] == 'f';
+        node->worker_settings.fails_all = verb[0] == 'f';
         stand_worker_fail(node->worker, verb[0] == 'f');
     } else if (strcmp(verb, "leads") == 0 || strcmp(verb, "!leads") == 0) {
         const bool leads = node->core != NULL && fleet_leader(fleet) == node->number;
@@ -231,7 +231,7 @@
             return fault(timeline, column->name, leads ? "it leads" : "it does not lead");
     } else if (strcmp(verb, "runs") == 0 || strcmp(verb, "idle") == 0) {
         const bool runs = node->worker != NULL && (stand_worker_running(node->worker) > 0 ||
-                                                   checker_started_since(fleet->checker, node->props.name) < RAN_MS);
+                                                   checker_started_since(fleet->checker, node->settings.name) < RAN_MS);
         if (runs != (verb[0] == 'r'))
             return fault(timeline, column->name, runs ? "it runs something" : "it runs nothing");
     } else if (strcmp(verb, "up") == 0 || strcmp(verb, "!up") == 0) {
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -45,8 +45,8 @@
 
 static Checker *begin(void)
 {
-    const CheckerProps props = {NULL, test_now, test_frozen, test_job, test_wall};
-    Checker *checker = checker_new(NULL, &props);
+    const CheckerSettings settings = {NULL, test_now, test_frozen, test_job, test_wall};
+    Checker *checker = checker_new(NULL, &settings);
     static StepSpec steps[2];
     static JobTask tasks[3];
     static const char *after[] = {"one"};
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -62,7 +62,8 @@
     for (change->tries = 1; !operator->stop; change->tries++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
-                         .address = fleet_node(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->props.http,
+                         .address =
+                             fleet_node(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->settings.http,
                          .method = change->method,
                          .path = path_of(mem, change),
                          .wait_ms = 1000}; /* a second of silence is given up on */
@@ -89,7 +90,7 @@
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall call = {.mem = mem,
-                     .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->props.http,
+                     .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->settings.http,
                      .method = "GET",
                      .path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, change->base),
                      .wait_ms = 2000};
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -63,7 +63,7 @@
         void *mem = talloc_new(loop);
         const bool bulk = i % 11 == 0;
         HttpCall call = {.mem = mem,
-                         .address = fleet_node(fleet, FLEET_GATE, i % 3)->props.http,
+                         .address = fleet_node(fleet, FLEET_GATE, i % 3)->settings.http,
                          .method = "POST",
                          .path = "/v1/jobs",
                          .wait_ms = 5000};
@@ -152,7 +152,7 @@
     for (int i = 0; i < 60; i++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
-                         .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->props.http,
+                         .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->settings.http,
                          .method = "PATCH",
                          .path = talloc_asprintf(mem, "/v1/config?base=%llu", (unsigned long long)base),
                          .wait_ms = 4000};
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -49,7 +49,7 @@
         for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
             for (size_t k = 0; k < count; k++)
                 if (view_of(fleet, i) != NULL && view_disk(view_of(fleet, i)) == disks[k])
-                    zones[k] = fleet_node(fleet, FLEET_CORE, i)->props.zone;
+                    zones[k] = fleet_node(fleet, FLEET_CORE, i)->settings.zone;
         for (size_t k = 0; k < count; k++)
             same += zones[s] != NULL && zones[k] != NULL && strcmp(zones[s], zones[k]) == 0;
         *most = same > *most ? same : *most;
@@ -221,7 +221,7 @@
         fleet_new_at(NULL, 5, (FleetShape){3, 3, 2, MIX_TRENTVALE, 0}, &(FleetSite){.zones = 3, .losses = 1});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->props.bounds.founds = 0;
+            fleet_node(fleet, (FleetRole)role, i)->settings.bounds.founds = 0;
     fleet_start(fleet);
     fleet_run(fleet, 15000);
     assert_int_equal(clusters(fleet), 0);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -221,7 +221,7 @@
             continue;
         view_sight(core_view(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
-                node->props.name, (unsigned long long)view_disk(core_view(node->core)), (int)sight.phase,
+                node->settings.name, (unsigned long long)view_disk(core_view(node->core)), (int)sight.phase,
                 (unsigned long long)sight.epoch, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -36,7 +36,7 @@
 static void taken(Fleet *fleet, int gate, const char *name)
 {
     fleet_kill(fleet, FLEET_GATE, gate);
-    fleet_node(fleet, FLEET_GATE, gate)->props.name = name;
+    fleet_node(fleet, FLEET_GATE, gate)->settings.name = name;
     fleet_start_node(fleet, FLEET_GATE, gate);
 }
 
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -201,7 +201,7 @@
     (void)state;
     Fleet *fleet = begin(mix_config(MIX_TRENTVALE));
     FleetNode *worker = fleet_node(fleet, FLEET_WORKER, 0);
-    worker->worker_props.slow_times = 5;
+    worker->worker_settings.slow_times = 5;
     stand_worker_slow(worker->worker, 5);
     fleet_call(fleet, "c", 15000, 60000);
     fleet_run(fleet, 60000);
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -23,7 +23,7 @@
     Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
-        fleet_node(fleet, FLEET_CORE, i)->props.bounds.unready_ms = 0;
+        fleet_node(fleet, FLEET_CORE, i)->settings.bounds.unready_ms = 0;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
     checker_config_set(fleet->checker, 1);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -169,10 +169,11 @@
     (void)state;
     Fleet *fleet = begin();
     Loop *loop = sim_loop(fleet->world, fleet->caller);
-    CallerProps props = {.name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
+    CallerSettings settings = {
+        .name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
-        props.entries[0] = fleet_node(fleet, FLEET_GATE, i)->props.http;
-        Caller *caller = caller_start(loop, loop, &props);
+        settings.entries[0] = fleet_node(fleet, FLEET_GATE, i)->settings.http;
+        Caller *caller = caller_start(loop, loop, &settings);
         fleet->callers[fleet->caller_count++] = caller;
     }
     fleet_run(fleet, 20000);
@@ -448,7 +449,7 @@
     (void)state;
     Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     for (int i = 0; i < 10; i++)
-        fleet_node(fleet, FLEET_WORKER, i)->worker_props.others = (Room){60000, 0, 0};
+        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Room){60000, 0, 0};
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
     assert_true(fleet_configure(fleet));
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -67,7 +67,7 @@
     Loop *loop = sim_loop(call->fleet->world, call->fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall sent = {.mem = mem,
-                     .address = node_at(call->fleet, node)->props.http,
+                     .address = node_at(call->fleet, node)->settings.http,
                      .method = call->method,
                      .path = path_of(mem, call),
                      .wait_ms = ASK_WAIT_MS};
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -22,7 +22,7 @@
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 2, 5, MIX_VARIED, 0});
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet_node(fleet, (FleetRole)role, i)->props.bounds.lease_ms = LEASE_MS;
+            fleet_node(fleet, (FleetRole)role, i)->settings.bounds.lease_ms = LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000));
     assert_true(fleet_configure(fleet));
@@ -37,7 +37,7 @@
     assert_non_null(job);
     assert_true(task_on_worker(job->tasks[0].phase));
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
-        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->props.name, job->tasks[0].worker) == 0)
+        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->settings.name, job->tasks[0].worker) == 0)
             return i;
     return -1;
 }
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -123,7 +123,7 @@
     uint64_t base = watched->acknowledged;
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->settings.http;
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 1);
         const HttpCall call = ask(loop, mem, address, "PATCH", path, "{\"note\":\"n\"}");
         if (call.code == 200 && base + 1 > watched->acknowledged)
@@ -143,7 +143,7 @@
     Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->props.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->settings.http;
         const char *body = talloc_asprintf(
             mem,
             "{\"id\":\"j-%zu\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":"
@@ -165,7 +165,7 @@
     for (int i = 0; i < CORES + GATES; i++) {
         const FleetNode *node = i < CORES ? fleet_node(fleet, FLEET_CORE, i) : fleet_node(fleet, FLEET_GATE, i - CORES);
         Reader *reader = talloc_zero(watched, Reader);
-        *reader = (Reader){watched, node->props.http, node->props.name};
+        *reader = (Reader){watched, node->settings.http, node->settings.name};
         loop_spawn(loop, "reader", reader_main, reader);
     }
     loop_spawn(loop, "operator", operator_main, watched);
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -29,7 +29,7 @@
 static int worker_number(Fleet *fleet, const char *name)
 {
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
-        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->props.name, name) == 0)
+        if (strcmp(fleet_node(fleet, FLEET_WORKER, i)->settings.name, name) == 0)
             return i;
     fail_msg("no worker %s", name);
     return -1;
@@ -42,7 +42,8 @@
     /* what runs outlives the loss of all cores */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            fleet->nodes[role][i].props.bounds.lease_ms = fleet->nodes[role][i].props.bounds.worker_lease_ms = LEASE_MS;
+            fleet->nodes[role][i].settings.bounds.lease_ms = fleet->nodes[role][i].settings.bounds.worker_lease_ms =
+                LEASE_MS;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -15,8 +15,8 @@
 #endif
     for (size_t i = 0; i < count; i++) {
         SweepResult result;
-        const SweepProps props = {.seed = list[i], .mix = mix, .site = site};
-        sweep_run(&props, &result);
+        const SweepSettings settings = {.seed = list[i], .mix = mix, .site = site};
+        sweep_run(&settings, &result);
         if (!result.good)
             fail_msg("seed %u: %s", (unsigned)list[i], result.why);
         assert_true(result.starts > 100);
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -245,9 +245,9 @@
     Send *one = arg;
     Sending *sending = one->sending;
     Fleet *fleet = sending->fleet;
-    char *id = talloc_asprintf(one, "left-%s-%d", sending->node->props.name, one->number);
+    char *id = talloc_asprintf(one, "left-%s-%d", sending->node->settings.name, one->number);
     HttpCall call = {
-        .mem = one, .address = sending->node->props.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
+        .mem = one, .address = sending->node->settings.http, .method = "POST", .path = "/v1/jobs", .wait_ms = 5000};
     const char *body = job_of(one, id);
     bytes_add(one, &call.body, body, strlen(body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
@@ -290,7 +290,7 @@
         fleet_run(fleet, 4000);
         sending.stop = true;
         fleet_run(fleet, 1000);
-        print_message("%s: %d sent, %d taken, %d to come back, %d cut\n", sending.node->props.name, sending.sent,
+        print_message("%s: %d sent, %d taken, %d to come back, %d cut\n", sending.node->settings.name, sending.sent,
                       sending.good, sending.again, sending.cut);
         assert_int_equal(sending.cut, 0);
         assert_int_equal(sending.calls, 0);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -118,14 +118,15 @@
 {
     SimWorld *world = sim_world_new(mem, 1);
     Core *core = talloc_zero(mem, Core);
-    Props *props = talloc_zero(core, Props);
-    props->bounds = bounds_first();
-    core->props = props;
+    Settings *settings = talloc_zero(core, Settings);
+    settings->bounds = bounds_first();
+    core->settings = settings;
     sim_start(world, sim_machine(world), started, &core->loop);
     core->recorder = recorder_new(core, "bench");
     core->table = table_new(core);
-    const ViewProps view_props = {.loop = core->loop, .recorder = core->recorder, .state = table_state(core->table)};
-    core->view = view_new(core, &view_props);
+    const ViewSettings view_settings = {
+        .loop = core->loop, .recorder = core->recorder, .state = table_state(core->table)};
+    core->view = view_new(core, &view_settings);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -142,8 +142,8 @@
     replay->mix = mix_of_word(argv[2]);
     replay->jobs = map_new(replay);
     replay->frozen = map_new(replay);
-    const CheckerProps props = {replay, replay_now, replay_frozen, replay_job, NULL};
-    replay->checker = checker_new(replay, &props);
+    const CheckerSettings settings = {replay, replay_now, replay_frozen, replay_job, NULL};
+    replay->checker = checker_new(replay, &settings);
     Line *lines = NULL;
     size_t count = 0, room = 0;
     char text[512];
--- a/packages/sim/tool/sweep.c
+++ b/packages/sim/tool/sweep.c
@@ -11,31 +11,31 @@
 
 #include "sim/sweep.h"
 
-static void skip_read(SweepProps *props, const char *text)
+static void skip_read(SweepSettings *settings, const char *text)
 {
     for (char *end; *text != '\0'; text = *end == ',' ? end + 1 : end) {
         const unsigned long at = strtoul(text, &end, 10);
         if (end == text)
             break;
         if (at < SWEEP_STEPS_MAX)
-            props->skipped[at] = true;
+            settings->skipped[at] = true;
     }
 }
 
 int main(int argc, char **argv)
 {
-    SweepProps props = {.mix = MIX_TRENTVALE};
+    SweepSettings settings = {.mix = MIX_TRENTVALE};
     for (int i = 3; i < argc; i++) {
         if (strcmp(argv[i], "-v") == 0)
-            props.loud = true;
+            settings.loud = true;
         else if (strcmp(argv[i], "--skip") == 0 && i + 1 < argc)
-            skip_read(&props, argv[++i]);
+            skip_read(&settings, argv[++i]);
         else if (sweep_site_of(argv[i]) != SWEEP_SITES)
-            props.site = sweep_site_of(argv[i]);
+            settings.site = sweep_site_of(argv[i]);
         else
-            props.mix = mix_of_word(argv[i]);
+            settings.mix = mix_of_word(argv[i]);
     }
-    if (argc < 3 || props.mix == MIX_COUNT) {
+    if (argc < 3 || settings.mix == MIX_COUNT) {
         fprintf(
             stderr,
             "usage: spancart-sweep FIRST LAST [trentvale|atlas|varied] [plain|three|six|eight] [-v] [--skip N,N,...]\n");
@@ -44,9 +44,9 @@
     const uint64_t first = strtoull(argv[1], NULL, 10), last = strtoull(argv[2], NULL, 10);
     int broken = 0;
     SweepResult sum = {0};
-    for (props.seed = first; props.seed <= last; props.seed++) {
+    for (settings.seed = first; settings.seed <= last; settings.seed++) {
         SweepResult result;
-        sweep_run(&props, &result);
+        sweep_run(&settings, &result);
         for (int i = 0; i < SERVE_COUNT; i++)
             if (result.good && result.worst_ms[i] > sum.worst_ms[i])
                 sum.worst_ms[i] = result.worst_ms[i];
@@ -55,7 +55,7 @@
         sum.asserted += result.asserted;
         broken += !result.good;
         if (!result.good)
-            printf("seed %" PRIu64 " %s BROKE of %zu steps: %s\n", props.seed, mix_word(props.mix), result.steps,
+            printf("seed %" PRIu64 " %s BROKE of %zu steps: %s\n", settings.seed, mix_word(settings.mix), result.steps,
                    result.why);
         fflush(stdout);
     }
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -78,7 +78,7 @@
     void (*cancelled)(void *arg, const char *id);
 } CallerWatch;
 
-typedef struct CallerProps {
+typedef struct CallerSettings {
     const char *name; /* begins every job's id */
     const char *entries[ENTRIES_MAX];
     size_t entry_count;
@@ -88,11 +88,11 @@
     int64_t for_ms;     /* hands in for so long */
     size_t most;        /* at the most so many jobs; 0: no bound */
     CallerWatch watch;
-} CallerProps;
+} CallerSettings;
 
 typedef struct Caller Caller;
 
-Caller *caller_start(void *mem, Loop *loop, const CallerProps *props);
+Caller *caller_start(void *mem, Loop *loop, const CallerSettings *settings);
 /* Hands in no more; goes on following what it has handed in. */
 void caller_stop(Caller *caller);
 /* Cancels all that it has handed in and that has not ended, and all that it yet hands in. */
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -27,7 +27,7 @@
     void (*told)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round);
 } StandWorkerWatch;
 
-typedef struct StandWorkerProps {
+typedef struct StandWorkerSettings {
     Worker worker;
     const char *agent; /* HTTP address */
     StandWorkerWatch watch;
@@ -36,9 +36,9 @@
     bool repeats;       /* now and then an old report is told again, out of order */
     bool hangs;         /* what it starts stands still */
     int64_t slow_times; /* takes so many times as long; 0 or 1: as asked */
-} StandWorkerProps;
+} StandWorkerSettings;
 
-StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerProps *props);
+StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings);
 /* Says that it leaves; takes nothing new from then on. */
 void stand_worker_leave(StandWorker *worker);
 void stand_worker_fail(StandWorker *worker, bool fails);
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -11,7 +11,7 @@
 
 struct Caller {
     Loop *loop;
-    CallerProps props;
+    CallerSettings settings;
     CallerJob **jobs;
     size_t count, room;
     size_t open; /* jobs that have neither ended nor been refused */
@@ -39,7 +39,7 @@
 {
     Caller *caller = following->caller;
     *call = (HttpCall){.mem = mem,
-                       .address = caller->props.entries[following->entry % caller->props.entry_count],
+                       .address = caller->settings.entries[following->entry % caller->settings.entry_count],
                        .method = method,
                        .path = path,
                        .wait_ms = 3000};
@@ -57,7 +57,7 @@
     CallerJob *job = following->job;
     while (!loop_stopping(caller->loop)) {
         void *mem = talloc_new(caller);
-        const char *body = mix_job(mem, caller->props.mix, job->kind, job->id, job->wall_ms);
+        const char *body = mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms);
         HttpCall call;
         job->sends++;
         const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
@@ -66,14 +66,14 @@
         talloc_free(mem);
         if (taken) {
             job->accepted_ms = loop_now_ms(caller->loop);
-            if (caller->props.watch.accepted != NULL)
-                caller->props.watch.accepted(caller->props.watch.arg, job->id);
+            if (caller->settings.watch.accepted != NULL)
+                caller->settings.watch.accepted(caller->settings.watch.arg, job->id);
             return true;
         }
         if (refused) {
             job->refused = true;
-            if (caller->props.watch.refused != NULL)
-                caller->props.watch.refused(caller->props.watch.arg, job->id, call.code);
+            if (caller->settings.watch.refused != NULL)
+                caller->settings.watch.refused(caller->settings.watch.arg, job->id, call.code);
             return false;
         }
         loop_sleep(caller->loop, 200 + (int64_t)draw(caller, 200));
@@ -90,11 +90,11 @@
     void *mem = talloc_new(caller);
     HttpCall call;
     const Status status = call_once(following, mem, "POST", "/v1/jobs",
-                                    mix_job(mem, caller->props.mix, job->kind, job->id, job->wall_ms), &call);
-    if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->props.watch.accepted != NULL)
-        caller->props.watch.accepted(caller->props.watch.arg, job->id);
-    if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->props.watch.refused != NULL)
-        caller->props.watch.refused(caller->props.watch.arg, job->id, call.code);
+                                    mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms), &call);
+    if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->settings.watch.accepted != NULL)
+        caller->settings.watch.accepted(caller->settings.watch.arg, job->id);
+    if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->settings.watch.refused != NULL)
+        caller->settings.watch.refused(caller->settings.watch.arg, job->id, call.code);
     talloc_free(mem);
     talloc_free(following);
 }
@@ -135,8 +135,8 @@
     if (status != STATUS_OK || call.code != 200)
         return; /* again when it is next asked for */
     job->cancelled = true;
-    if (caller->props.watch.cancelled != NULL)
-        caller->props.watch.cancelled(caller->props.watch.arg, job->id);
+    if (caller->settings.watch.cancelled != NULL)
+        caller->settings.watch.cancelled(caller->settings.watch.arg, job->id);
 }
 
 static void follow_main(void *arg)
@@ -159,12 +159,12 @@
                 look(caller, job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
                 if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0) {
                     job->ended_ms = loop_now_ms(caller->loop);
-                    if (caller->props.watch.ended != NULL)
-                        caller->props.watch.ended(caller->props.watch.arg, job->id, job->phase);
+                    if (caller->settings.watch.ended != NULL)
+                        caller->settings.watch.ended(caller->settings.watch.arg, job->id, job->phase);
                 }
             } else if (status == STATUS_OK && call.code == 404) {
-                if (caller->props.watch.unknown != NULL)
-                    caller->props.watch.unknown(caller->props.watch.arg, job->id);
+                if (caller->settings.watch.unknown != NULL)
+                    caller->settings.watch.unknown(caller->settings.watch.arg, job->id);
                 snprintf(job->phase, sizeof(job->phase), "unknown");
                 job->ended_ms = loop_now_ms(caller->loop);
             }
@@ -180,7 +180,7 @@
 static MixClass draw_class(Caller *caller)
 {
     static const uint8_t VARIED[CLASS_COUNT] = {20, 12, 8, 10, 6, 6, 6, 6, 5, 8, 3, 0, 4, 2, 4}; /* of a hundred */
-    if (caller->props.mix == MIX_VARIED) {
+    if (caller->settings.mix == MIX_VARIED) {
         uint64_t left = draw(caller, 100);
         for (int i = 0; i < CLASS_COUNT; i++) {
             if (left < VARIED[i])
@@ -189,8 +189,8 @@
         }
     }
     const uint64_t at = draw(caller, 100);
-    const uint64_t heavy = caller->props.mix == MIX_TRENTVALE ? 6 : 11;
-    const uint64_t sweep = caller->props.mix == MIX_TRENTVALE ? 20 : 17;
+    const uint64_t heavy = caller->settings.mix == MIX_TRENTVALE ? 6 : 11;
+    const uint64_t sweep = caller->settings.mix == MIX_TRENTVALE ? 20 : 17;
     return at < heavy ? CLASS_HEAVY : at < heavy + sweep ? CLASS_SWEEP : CLASS_URGENT;
 }
 
@@ -199,18 +199,18 @@
     Caller *caller = arg;
     const int64_t start_ms = loop_now_ms(caller->loop);
     for (size_t n = 0; !caller->stop && !loop_stopping(caller->loop); n++) {
-        const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->props.rate_milli;
-        if (due_ms - start_ms >= caller->props.for_ms || (caller->props.most > 0 && n >= caller->props.most))
+        const int64_t due_ms = start_ms + (int64_t)n * 1000000 / caller->settings.rate_milli;
+        if (due_ms - start_ms >= caller->settings.for_ms || (caller->settings.most > 0 && n >= caller->settings.most))
             break;
         if (due_ms > loop_now_ms(caller->loop))
             loop_sleep(caller->loop, due_ms - loop_now_ms(caller->loop));
         CallerJob *job = talloc_zero(caller, CallerJob);
         job->kind = draw_class(caller);
-        job->id = talloc_asprintf(job, "%s-%s-%zu", caller->props.name, class_word(job->kind), n);
+        job->id = talloc_asprintf(job, "%s-%s-%zu", caller->settings.name, class_word(job->kind), n);
         job->sent_ms = loop_now_ms(caller->loop);
         job->wall_ms = loop_wall_ms(caller->loop);
-        if (caller->props.watch.sent != NULL)
-            caller->props.watch.sent(caller->props.watch.arg, job->id);
+        if (caller->settings.watch.sent != NULL)
+            caller->settings.watch.sent(caller->settings.watch.arg, job->id);
         if (caller->count == caller->room) {
             caller->room = caller->room ? caller->room * 2 : 64;
             caller->jobs = talloc_realloc(caller, caller->jobs, CallerJob *, (unsigned)caller->room);
@@ -218,9 +218,9 @@
         caller->jobs[caller->count++] = job;
         caller->open++;
         Following *following = talloc_zero(caller, Following);
-        *following = (Following){caller, job, draw(caller, caller->props.entry_count)};
+        *following = (Following){caller, job, draw(caller, caller->settings.entry_count)};
         loop_spawn(caller->loop, "job", follow_main, following);
-        if (caller->props.twins && draw(caller, 8) == 0) {
+        if (caller->settings.twins && draw(caller, 8) == 0) {
             Following *twin = talloc_zero(caller, Following);
             *twin = (Following){caller, job, following->entry + 1};
             loop_spawn(caller->loop, "twin", twin_main, twin);
@@ -229,14 +229,14 @@
     caller->over = true;
 }
 
-Caller *caller_start(void *mem, Loop *loop, const CallerProps *props)
+Caller *caller_start(void *mem, Loop *loop, const CallerSettings *settings)
 {
     Caller *caller = talloc_zero(mem, Caller);
     caller->loop = loop;
-    caller->props = *props;
-    caller->props.name = talloc_strdup(caller, props->name);
-    for (size_t i = 0; i < props->entry_count; i++)
-        caller->props.entries[i] = talloc_strdup(caller, props->entries[i]);
+    caller->settings = *settings;
+    caller->settings.name = talloc_strdup(caller, settings->name);
+    for (size_t i = 0; i < settings->entry_count; i++)
+        caller->settings.entries[i] = talloc_strdup(caller, settings->entries[i]);
     caller->draw = loop_random(loop);
     loop_spawn(loop, "hand-in", hand_in_main, caller);
     return caller;
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -30,7 +30,7 @@
  * each task the highest round that was stopped or ended here. */
 struct StandWorker {
     Loop *loop;
-    StandWorkerProps props;
+    StandWorkerSettings settings;
     char boot[24];
     int64_t until_ms;
     uint64_t fence, seq;
@@ -75,9 +75,9 @@
     highest_set(worker, run->job, run->task, run->round);
     run->ended = true;
     run->word = word;
-    if (worker->props.watch.ended != NULL)
-        worker->props.watch.ended(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
-                                  word);
+    if (worker->settings.watch.ended != NULL)
+        worker->settings.watch.ended(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                     run->round, word);
     signal_raise(worker->loop, &run->stopped);
     /* never two questions at once: the one that waits is given up for a new one */
     if (worker->asking != NULL)
@@ -160,16 +160,16 @@
     json_object_object_get_ex(room, "cpu", &cpu);
     run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)int_of(room, "memMb", 0),
                        (uint64_t)int_of(room, "gpu", 0)};
-    run->times = worker->props.slow_times > 1 ? worker->props.slow_times : 1;
+    run->times = worker->settings.slow_times > 1 ? worker->settings.slow_times : 1;
     run->save_ms = int_of(payload, "saveMs", 0);
     run->began_ms = now_ms;
     snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
     const char *at = strchr(run->saved, '@');
     run->from_ms = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
     run->end_ms = now_ms + (int_of(payload, "runMs", 1000) - run->from_ms) * run->times;
-    if (worker->props.hangs)
+    if (worker->settings.hangs)
         run->end_ms = INT64_MAX / 2;
-    run->fails = worker->props.fails_all || (int64_t)round <= int_of(payload, "failRounds", 0);
+    run->fails = worker->settings.fails_all || (int64_t)round <= int_of(payload, "failRounds", 0);
     run->next = worker->runs;
     worker->runs = run;
     if (round <= highest) { /* it is not above one that was here: turned away */
@@ -177,12 +177,12 @@
         run->word = ROUND_REFUSED;
         return;
     }
-    if (run->saved[0] != '\0' && worker->props.watch.resumed != NULL)
-        worker->props.watch.resumed(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
-                                    run->saved);
-    if (worker->props.watch.started != NULL)
-        worker->props.watch.started(worker->props.watch.arg, worker->props.worker.name, run->job, run->task, run->round,
-                                    run->room);
+    if (run->saved[0] != '\0' && worker->settings.watch.resumed != NULL)
+        worker->settings.watch.resumed(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                       run->round, run->saved);
+    if (worker->settings.watch.started != NULL)
+        worker->settings.watch.started(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                       run->round, run->room);
     loop_spawn(worker->loop, "run", run_main, run);
 }
 
@@ -197,9 +197,9 @@
         worker->until_ms = sent_ms + lease_ms;
     if (lease_over(worker))
         return;
-    if (worker->props.watch.held != NULL)
-        worker->props.watch.held(worker->props.watch.arg, worker->props.worker.name,
-                                 worker->until_ms - loop_now_ms(worker->loop));
+    if (worker->settings.watch.held != NULL)
+        worker->settings.watch.held(worker->settings.watch.arg, worker->settings.worker.name,
+                                    worker->until_ms - loop_now_ms(worker->loop));
     json_object *list;
     if (json_object_object_get_ex(body, "known", &list))
         for (size_t i = 0; i < json_object_array_length(list); i++) {
@@ -208,9 +208,9 @@
                                 (uint64_t)int_of(one, "round", 0));
             if (run == NULL || !run->ended)
                 continue;
-            if (worker->props.watch.known != NULL)
-                worker->props.watch.known(worker->props.watch.arg, worker->props.worker.name, run->job, run->task,
-                                          run->round, run->word);
+            if (worker->settings.watch.known != NULL)
+                worker->settings.watch.known(worker->settings.watch.arg, worker->settings.worker.name, run->job,
+                                             run->task, run->round, run->word);
             for (Run **at = &worker->runs; *at != NULL; at = &(*at)->next)
                 if (*at == run) {
                     *at = run->next;
@@ -228,9 +228,9 @@
                             (uint64_t)int_of(one, "round", 0));
             if (run == NULL || run->ended)
                 continue;
-            if (worker->props.watch.told != NULL)
-                worker->props.watch.told(worker->props.watch.arg, worker->props.worker.name, run->job, run->task,
-                                         run->round);
+            if (worker->settings.watch.told != NULL)
+                worker->settings.watch.told(worker->settings.watch.arg, worker->settings.worker.name, run->job,
+                                            run->task, run->round);
             run_end(run, ROUND_STOPPED);
         }
     /* also while it leaves: that nothing comes then is what is to be shown */
@@ -241,11 +241,11 @@
 
 static json_object *report_of(StandWorker *worker)
 {
-    const Worker *self = &worker->props.worker;
+    const Worker *self = &worker->settings.worker;
     json_object *body = show_worker(self);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
-    Room used = self->room.cpu_milli ? worker->props.others : (Room){0};
+    Room used = self->room.cpu_milli ? worker->settings.others : (Room){0};
     for (const Run *run = worker->runs; run != NULL; run = run->next)
         if (!run->ended) {
             used.cpu_milli += run->room.cpu_milli;
@@ -288,7 +288,7 @@
  * of order, as a retry lower down makes them. */
 static void repeat_last(StandWorker *worker, void *mem, const char *path, const char *last)
 {
-    HttpCall call = {.mem = mem, .address = worker->props.agent, .method = "POST", .path = path, .wait_ms = 20};
+    HttpCall call = {.mem = mem, .address = worker->settings.agent, .method = "POST", .path = path, .wait_ms = 20};
     bytes_add(mem, &call.body, last, strlen(last));
     loop_call(worker->loop, &call);
 }
@@ -297,23 +297,23 @@
 {
     StandWorker *worker = arg;
     char *last = NULL;
-    if (worker->props.watch.booted != NULL)
-        worker->props.watch.booted(worker->props.watch.arg, worker->props.worker.name);
+    if (worker->settings.watch.booted != NULL)
+        worker->settings.watch.booted(worker->settings.watch.arg, worker->settings.worker.name);
     while (!loop_stopping(worker->loop)) {
         void *mem = talloc_new(worker);
-        if (worker->props.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
-            repeat_last(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name), last);
+        if (worker->settings.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
+            repeat_last(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name), last);
         lease_over(worker);
         json_object *body = report_of(worker);
         const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
         HttpCall call = {.mem = mem,
-                         .address = worker->props.agent,
+                         .address = worker->settings.agent,
                          .method = "POST",
-                         .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->props.worker.name),
+                         .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name),
                          .wait_ms = WORKER_POLL_MS + ASK_EXPIRY_MS};
         bytes_add(mem, &call.body, text, strlen(text));
         talloc_free(last);
-        last = worker->props.repeats ? talloc_strdup(worker, text) : NULL;
+        last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
         json_object_put(body);
         const int64_t sent_ms = loop_now_ms(worker->loop);
         worker->asking = &call;
@@ -332,13 +332,13 @@
     }
 }
 
-StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerProps *props)
+StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings)
 {
     StandWorker *worker = talloc_zero(mem, StandWorker);
     worker->loop = loop;
-    worker->props = *props;
-    shape_copy(&Worker_shape, &props->worker, worker, &worker->props.worker);
-    worker->props.agent = talloc_strdup(worker, props->agent);
+    worker->settings = *settings;
+    shape_copy(&Worker_shape, &settings->worker, worker, &worker->settings.worker);
+    worker->settings.agent = talloc_strdup(worker, settings->agent);
     worker->highest = map_new(worker);
     snprintf(worker->boot, sizeof(worker->boot), "%016" PRIx64, loop_random(loop));
     loop_spawn(loop, "report", report_main, worker);
@@ -358,22 +358,22 @@
 
 void stand_worker_fail(StandWorker *worker, bool fails)
 {
-    worker->props.fails_all = fails;
+    worker->settings.fails_all = fails;
 }
 
 void stand_worker_hang(StandWorker *worker, bool hangs)
 {
-    worker->props.hangs = hangs;
+    worker->settings.hangs = hangs;
 }
 
 void stand_worker_slow(StandWorker *worker, int64_t times)
 {
-    worker->props.slow_times = times;
+    worker->settings.slow_times = times;
 }
 
 void stand_worker_repeat(StandWorker *worker, bool repeats)
 {
-    worker->props.repeats = repeats;
+    worker->settings.repeats = repeats;
 }
 
 size_t stand_worker_running(const StandWorker *worker)
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -52,7 +52,7 @@
     VIEW_FOUNDS_BY_THREE, /* when exactly three empty disks see each other and nobody knows a cluster */
 } ViewFounds;
 
-typedef struct ViewProps {
+typedef struct ViewSettings {
     Loop *loop;
     Rpc *rpc;
     Members *members; /* set by view_start */
@@ -65,9 +65,9 @@
     bool disks_keep;         /* what a disk has synced outlasts a loss of power */
     int64_t seat_back_ms;    /* a seat that returns, or is replaced, is whole again within this; 0: SEAT_GONE_MS */
     size_t snapshot_entries; /* the log is shortened after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
-} ViewProps;
+} ViewSettings;
 
-View *view_new(void *mem, const ViewProps *props);
+View *view_new(void *mem, const ViewSettings *settings);
 /* Waits. Opens the journal and reads it: from here on view_disk is known. */
 Status view_open_disk(View *view, const char *path, const char *node_name, Failure *failure);
 /* Begins to answer as a seat and to stand for the lock. */
@@ -118,7 +118,7 @@
 size_t view_seats(const View *view, uint64_t seats[SEAT_MOST]);
 /* Waits. Makes this disk part of a cluster. */
 Status view_found(View *view, uint64_t cluster, const SeatList *seats);
-/* Founds a cluster, as the props say. */
+/* Founds a cluster, as the settings say. */
 void view_founding(View *view);
 /* Whether a lock holder is known to run here (rule 2's question). */
 bool view_knows_holder(const View *view);
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -13,7 +13,7 @@
     Snapshot snapshot;
     Status status = shape_unpack(&Snapshot_shape, record->payload, mem, &snapshot, NULL);
     if (status == STATUS_OK)
-        status = view->props.state.load(view->props.state.arg, snapshot.state);
+        status = view->settings.state.load(view->settings.state.arg, snapshot.state);
     if (status == STATUS_OK)
         view->delivered_index = record->index;
     talloc_free(mem);
@@ -26,7 +26,7 @@
     view->other_histories++;
     if (view->other_told_ms == 0 || now_ms - view->other_told_ms >= HISTORY_TOLD_MS) {
         view->other_told_ms = now_ms;
-        recorder_write(view->props.recorder, RECORDER_ALERT, now_ms,
+        recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms,
                        "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
                        status_word(STATUS_OTHER_HISTORY), index, view->commit_index);
     }
@@ -79,7 +79,7 @@
 static bool long_enough(const View *view)
 {
     const Log *log = view->log;
-    const size_t most = view->props.snapshot_entries > 0 ? view->props.snapshot_entries : LOG_SNAPSHOT_ENTRIES;
+    const size_t most = view->settings.snapshot_entries > 0 ? view->settings.snapshot_entries : LOG_SNAPSHOT_ENTRIES;
     const size_t bytes =
         log->snapshot.payload.count > LOG_SNAPSHOT_BYTES ? log->snapshot.payload.count : LOG_SNAPSHOT_BYTES;
     return log->count >= most || log->bytes >= bytes;
@@ -109,7 +109,7 @@
     snapshot.cores = view->list->cores;
     snapshot.cores_count = view->list->cores_count;
     snapshot.last = view->last;
-    snapshot.state = view->props.state.save(view->props.state.arg, mem);
+    snapshot.state = view->settings.state.save(view->settings.state.arg, mem);
     Record record = {.kind = RECORD_SNAPSHOT,
                      .epoch = epoch,
                      .index = view->delivered_index,
@@ -118,7 +118,7 @@
     shape_pack(&Snapshot_shape, &snapshot, mem, &record.payload);
     view->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (view->too_large) {
-        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+        recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                        "%s: a state of %zu bytes can't be a snapshot", status_word(STATUS_TOO_LARGE),
                        record.payload.count);
         talloc_free(mem);
@@ -226,14 +226,14 @@
     view->clock_base_ms = view->clock_at_ms = view->clock_log_ms = 0;
     view->clock_runs = false;
     view->commit_index = view->delivered_index = 0;
-    view->props.state.load(view->props.state.arg, (Bytes){0});
+    view->settings.state.load(view->settings.state.arg, (Bytes){0});
 }
 
 /* The journal is not whole: what it has promised and acknowledged is not known. */
 static Status disk_begin_anew(View *view, const char *path, Failure *failure)
 {
-    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "%s: %s; begins as a new, empty disk",
-                   status_word(failure->status), failure->text);
+    recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                   "%s: %s; begins as a new, empty disk", status_word(failure->status), failure->text);
     *failure = (Failure){0};
     disk_forget(view);
     return journal_begin(view->loop, view, path, view->node_name, &view->journal, failure);
@@ -250,16 +250,16 @@
         return failure_set(failure, status, "%s", read.text);
     view->disk = journal_disk(view->journal);
     if (journal_counts(view->journal)->begun_anew)
-        view->props.founds = VIEW_FOUNDS_NEVER; /* the cluster that it was of may live */
+        view->settings.founds = VIEW_FOUNDS_NEVER; /* the cluster that it was of may live */
     view->queued_index = log_last_index(view->log);
     view_reread(view);
     view->woke = view->cluster != 0;
     /* a disk that was never part of a cluster has granted nothing */
     if (view->cluster != 0)
         view->lock.not_before_ms = loop_now_ms(view->loop) + LOCK_GRANT_MS;
-    view->lock.sure = view->props.disks_keep;
+    view->lock.sure = view->settings.disks_keep;
     if (view->cluster != 0)
-        rpc_set_cluster(view->props.rpc, view->cluster);
+        rpc_set_cluster(view->settings.rpc, view->cluster);
     return STATUS_OK;
 }
 
@@ -276,7 +276,7 @@
         if (journal_anew(view) == STATUS_OK) {
             if (view->rest_until_ms > loop_now_ms(view->loop) + PROPOSE_MS)
                 view->rest_until_ms = loop_now_ms(view->loop) + PROPOSE_MS;
-            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+            recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                            "own disk takes writes again");
         }
         view->mending = false;
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -11,7 +11,7 @@
     ViewRecord record = {.epoch = view->epoch,
                          .holder = view->disk,
                          .members = talloc_array(mem, DiskId, SEAT_MOST),
-                         .holder_id = members_self(view->props.members)->id,
+                         .holder_id = members_self(view->settings.members)->id,
                          .repair = repair || view->last.repair};
     for (int i = 0; i < SEAT_MOST; i++)
         if (in_view[i])
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -67,8 +67,8 @@
     ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
     if (ask->total == 0)
         ask->snapshot.payload = whole;
-    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask, VIEW_EXPIRY_MS * 4,
-                                  &SeatAnswer_shape, answer);
+    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
+                                  VIEW_EXPIRY_MS * 4, &SeatAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
         lead_answered(view, lead->slot, answer);
     talloc_free(mem);
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -30,11 +30,11 @@
 static void votes_main(void *arg)
 {
     View *view = arg;
-    Members *members = view->props.members;
+    Members *members = view->settings.members;
     const int64_t from_ms = loop_now_ms(view->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loop_stopping(view->loop) && !view_founded(view) && rpc_cluster(view->props.rpc) == 0) {
+    while (!loop_stopping(view->loop) && !view_founded(view) && rpc_cluster(view->settings.rpc) == 0) {
         loop_sleep(view->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
         if (members_lowest_empty(members) != view->disk) {
@@ -45,12 +45,12 @@
         } else if (loop_now_ms(view->loop) >= from_ms) {
             stands = true;
             const size_t granted = members_votes(members, view->disk, round, false, &seeds);
-            if (granted < seeds / 2 + 1 || rpc_cluster(view->props.rpc) != 0)
+            if (granted < seeds / 2 + 1 || rpc_cluster(view->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(view->loop) | 1;
             view->named = true; /* nobody else can stand */
             if (found_now(view, cluster, &view->disk, 1) == STATUS_OK)
-                recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+                recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
                                "founds cluster %016" PRIx64, cluster);
         }
     }
@@ -62,7 +62,7 @@
  * exactly three or when anybody knows a cluster. */
 static bool three_empty(const View *view, uint64_t disks[SEAT_FIRST])
 {
-    const MemberTable *table = members_table(view->props.members);
+    const MemberTable *table = members_table(view->settings.members);
     const int64_t now_ms = loop_now_ms(view->loop);
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
@@ -89,7 +89,7 @@
     View *view = arg;
     const FoundAsk *ask = question;
     (void)mem;
-    const uint64_t known = rpc_cluster(view->props.rpc);
+    const uint64_t known = rpc_cluster(view->settings.rpc);
     Status status = STATUS_STRANGER;
     uint64_t seats[SEAT_FIRST] = {0};
     bool mine = false;
@@ -99,14 +99,14 @@
     }
     if (ask->seats_count == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
         status = found_now(view, ask->cluster, seats, SEAT_FIRST);
-    ((FoundAnswer *)answer)->cluster = rpc_cluster(view->props.rpc);
+    ((FoundAnswer *)answer)->cluster = rpc_cluster(view->settings.rpc);
     return status;
 }
 
 static void offer(View *view, const uint64_t disks[SEAT_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < SEAT_FIRST; i++) {
-        const Member *member = members_find_disk(view->props.members, disks[i]);
+        const Member *member = members_find_disk(view->settings.members, disks[i]);
         if (disks[i] == view_disk(view) || member == NULL || !member->record.empty)
             continue;
         void *mem = talloc_new(view);
@@ -114,8 +114,8 @@
         for (int k = 0; k < SEAT_FIRST; k++)
             ask.seats[k].disk = disks[k];
         FoundAnswer answer = {0};
-        rpc_ask(view->props.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape, &ask,
-                ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
+        rpc_ask(view->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape,
+                &ask, ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
         talloc_free(mem);
     }
 }
@@ -132,13 +132,13 @@
         const int64_t now_ms = loop_now_ms(view->loop);
         if (view_founded(view)) {
             /* until a first view stands, the others may not have heard the offer */
-            if (view_seats(view, disks) != SEAT_FIRST || members_leader_id(view->props.members)[0] != '\0')
+            if (view_seats(view, disks) != SEAT_FIRST || members_leader_id(view->settings.members)[0] != '\0')
                 return;
             if (disks[0] == view_disk(view))
-                offer(view, disks, rpc_cluster(view->props.rpc));
+                offer(view, disks, rpc_cluster(view->settings.rpc));
             continue;
         }
-        if (rpc_cluster(view->props.rpc) != 0 || !three_empty(view, disks)) {
+        if (rpc_cluster(view->settings.rpc) != 0 || !three_empty(view, disks)) {
             since_ms = 0;
             continue;
         }
@@ -151,7 +151,7 @@
             continue;
         const uint64_t cluster = loop_random(view->loop) | 1;
         if (found_now(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
-            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
+            recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
     }
@@ -159,11 +159,11 @@
 
 void view_founding(View *view)
 {
-    members_set_voter(view->props.members, view->props.founds == VIEW_FOUNDS_BY_VOTES);
-    if (view->props.founds == VIEW_FOUNDS_BY_VOTES && !view_founded(view))
+    members_set_voter(view->settings.members, view->settings.founds == VIEW_FOUNDS_BY_VOTES);
+    if (view->settings.founds == VIEW_FOUNDS_BY_VOTES && !view_founded(view))
         loop_spawn(view->loop, "votes", votes_main, view);
-    if (view->props.founds != VIEW_FOUNDS_BY_THREE)
+    if (view->settings.founds != VIEW_FOUNDS_BY_THREE)
         return;
-    rpc_handle(view->props.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
+    rpc_handle(view->settings.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
     loop_spawn(view->loop, "found", three_main, view);
 }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -63,7 +63,7 @@
  *  - of the SEATS entries in the log all but the newest are committed;
  *  - tasks of a lead end when lead_turn is no longer theirs. */
 struct View {
-    ViewProps props;
+    ViewSettings settings;
     Loop *loop;
     Journal *journal;
     const char *node_name;
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -86,7 +86,7 @@
         if (lead_over(view, lead.turn))
             return;
         if (status != STATUS_OK) {
-            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+            recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                            "own disk failed: gives up the lock");
             lead_down(view, INT32_MAX);
             return;
@@ -137,7 +137,7 @@
     const int64_t sent_ms = loop_now_ms(view->loop);
     if (peer->append_since_ms == INT64_MAX)
         peer->append_since_ms = sent_ms;
-    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
+    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
                                   APPEND_EXPIRY_MS, &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
@@ -236,7 +236,7 @@
     void *mem = talloc_new(view);
     const ProposeAsk ask = {0, view->disk, lead->disk, log_last_epoch(view->log), log_last_index(view->log)};
     SeatAnswer answer = {0};
-    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
                                   ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
     const bool reached = poll_reached(status);
     if (reached && !lead_peer_over(lead))
@@ -249,11 +249,11 @@
 {
     void *mem = talloc_new(view);
     const RenewAsk ask = {
-        view->epoch, view->disk, view->commit_index, view_clock_ms(view), members_self(view->props.members)->id,
+        view->epoch, view->disk, view->commit_index, view_clock_ms(view), members_self(view->settings.members)->id,
         lead->disk,  0};
     const uint64_t contact = view->contact_asked;
     SeatAnswer answer = {0};
-    const Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask, ASK_EXPIRY_MS,
+    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask, ASK_EXPIRY_MS,
                                   &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
@@ -342,7 +342,7 @@
 {
     Giving *giving = arg;
     SeatAnswer answer = {0};
-    rpc_ask(giving->view->props.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
+    rpc_ask(giving->view->settings.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
             ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
     talloc_free(giving);
 }
@@ -392,7 +392,7 @@
             /* nothing is decided under this hold any more: the seats may forget it */
             lock_release(&view->lock, view->epoch, view->disk, now_ms);
             lead_release(view, lead_next(view, false));
-            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
+            recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
                            epoch_counter(view->epoch));
         }
         view->phase = VIEW_FOLLOWING;
--- a/packages/view/src/learners.c
+++ b/packages/view/src/learners.c
@@ -6,7 +6,7 @@
 
 int64_t view_back_ms(const View *view)
 {
-    return view->props.seat_back_ms > 0 ? view->props.seat_back_ms : SEAT_GONE_MS;
+    return view->settings.seat_back_ms > 0 ? view->settings.seat_back_ms : SEAT_GONE_MS;
 }
 
 /* A core that runs, is of this cluster and has no vote. One that leaves follows on: it
@@ -100,12 +100,12 @@
     if (view->learners_turn != view->lead_turn)
         learners_clear(view);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
-        const Member *row = members_find_disk(view->props.members, view->learners[i].disk);
+        const Member *row = members_find_disk(view->settings.members, view->learners[i].disk);
         if (view->learners[i].disk != 0 && (row == NULL || !learner_may_follow(view, row)))
             learner_done(view, i);
     }
     ready_mark(view);
-    const MemberTable *table = members_table(view->props.members);
+    const MemberTable *table = members_table(view->settings.members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (!learner_may_follow(view, row) || follows(view, row->record.disk))
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -32,7 +32,7 @@
                   (answer->log_epoch == newest->log_epoch && answer->log_index > newest->log_index))))
                 newest = answer;
         }
-    *repair = any_woke && !view->props.disks_keep && newest != NULL && newest->view_epoch != 0;
+    *repair = any_woke && !view->settings.disks_keep && newest != NULL && newest->view_epoch != 0;
     if (!*repair)
         return true;
     bool heard_all = true;
@@ -59,7 +59,7 @@
     LogAsk ask = {view->epoch, view->disk, 0, view->delivered_index, view->seats[seat]};
     log_epoch_at(view->log, ask.after_index, &ask.after_epoch);
     LogAnswer answer = {0};
-    Status status = rpc_ask(view->props.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask, VIEW_EXPIRY_MS * 4,
+    Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask, VIEW_EXPIRY_MS * 4,
                             &LogAnswer_shape, &answer);
     if (status == STATUS_OK && view->epoch != view->lock.promised)
         status = STATUS_OLD_EPOCH;
@@ -133,8 +133,8 @@
     /* disks that lie may have forgotten promises and epochs; those who followed a
      * leader have not */
     opening->highest = view->lock.promised;
-    if (members_leader_epoch(view->props.members) > opening->highest)
-        opening->highest = members_leader_epoch(view->props.members);
+    if (members_leader_epoch(view->settings.members) > opening->highest)
+        opening->highest = members_leader_epoch(view->settings.members);
     for (int i = 0; i < SEAT_MOST; i++)
         if (poll_reached(poll->status[i])) {
             heard.count++;
@@ -329,7 +329,7 @@
         if (lead_over(view, opening->turn))
             return STATUS_NOT_LEADER;
         if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_lease_until(&view->lease)) {
-            recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+            recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                            "view %" PRIu64 " did not come about", epoch_counter(opening->epoch));
             lead_down(view, 0);
             return STATUS_EXPIRED;
@@ -341,15 +341,15 @@
 static void lead_begin(const Opening *opening)
 {
     View *view = opening->view;
-    if (view->props.opened != NULL)
-        view->props.opened(view->props.opened_arg, opening->epoch, opening->new_holder, view->last.repair);
+    if (view->settings.opened != NULL)
+        view->settings.opened(view->settings.opened_arg, opening->epoch, opening->new_holder, view->last.repair);
     view->phase = VIEW_LEADING;
     view->changed_ms = loop_now_ms(view->loop);
     view->view_changes++;
-    members_set_leader(view->props.members, opening->epoch, members_self(view->props.members)->id);
+    members_set_leader(view->settings.members, opening->epoch, members_self(view->settings.members)->id);
     if (opening->new_holder)
-        members_announce(view->props.members);
-    recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+        members_announce(view->settings.members);
+    recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
                    "leads view %" PRIu64 " with %zu seats%s", epoch_counter(opening->epoch),
                    promised_count(view, view->in_view), view->last.repair ? ", repairs" : "");
     signal_raise(view->loop, &view->news);
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -32,7 +32,7 @@
         SeatAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
-        const Status status = rpc_ask(view->props.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+        const Status status = rpc_ask(view->settings.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
                                       ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
@@ -77,7 +77,7 @@
             woke |= poll_reached(poll->status[i]) && poll->answers[i].woke;
         }
         const int64_t grace_ms = loop_now_ms(view->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!woke || view->props.disks_keep) && grace_ms < until_ms)
+        if (!majority && heard >= needed && (!woke || view->settings.disks_keep) && grace_ms < until_ms)
             until_ms = grace_ms;
         majority |= heard >= needed;
     }
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -19,7 +19,7 @@
         .view_members_count = view->last.members_count,
         .wall_ms = loop_wall_ms(view->loop),
         .sync_ms = journal_counts(view->journal)->last_sync_ms,
-        .sight = members_sight(view->props.members),
+        .sight = members_sight(view->settings.members),
         .filled = fill_count(view),
     };
     answer->view_members = talloc_array(mem, DiskId, (unsigned)view->last.members_count);
@@ -53,7 +53,7 @@
         return STATUS_NO_SEAT;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    if (ask->epoch < members_leader_epoch(view->props.members))
+    if (ask->epoch < members_leader_epoch(view->settings.members))
         return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
     const Status may = lock_may_promise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
@@ -89,14 +89,14 @@
     if (view->commit_index > index)
         view->commit_index = index;
     if (view->delivered_index > index) {
-        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+        recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                        "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
                        index + 1, view->delivered_index);
         view->delivered_index = view->log->base_index;
         if (view->log->snapshot.kind == RECORD_SNAPSHOT)
             view_load(view, &view->log->snapshot);
         else
-            view->props.state.load(view->props.state.arg, (Bytes){0});
+            view->settings.state.load(view->settings.state.arg, (Bytes){0});
         view_deliver(view);
     }
 }
@@ -120,7 +120,7 @@
             if (entry->epoch > log->base_epoch) /* our snapshot is of another history */
                 status = STATUS_LOG_GAP;
         } else if (!log_epoch_at(log, entry->index, &epoch) || epoch != entry->epoch) {
-            if (entry->index <= view->commit_index && view->props.disks_keep)
+            if (entry->index <= view->commit_index && view->settings.disks_keep)
                 return history_refuse(view, entry->index);
             if (entry->index <= log_last_index(log)) {
                 trim(view, entry->index - 1);
@@ -200,7 +200,7 @@
 {
     Record promise;
     size_t count = 0;
-    if (view->cluster == 0 && rpc_cluster(view->props.rpc) == 0)
+    if (view->cluster == 0 && rpc_cluster(view->settings.rpc) == 0)
         return STATUS_STRANGER;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
@@ -235,10 +235,10 @@
 Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
-    if (last_index < view->commit_index && view->props.disks_keep)
+    if (last_index < view->commit_index && view->settings.disks_keep)
         return history_refuse(view, last_index + 1);
     if (goes_back(view, snapshot, entry_count)) {
-        recorder_write(view->props.recorder, RECORDER_FATAL, loop_now_ms(view->loop),
+        recorder_write(view->settings.recorder, RECORDER_FATAL, loop_now_ms(view->loop),
                        "own log may not go back from %" PRIu64 " to %" PRIu64, view->queued_index,
                        snapshot->index + entry_count);
         return STATUS_INTERNAL;
@@ -259,9 +259,9 @@
     view->queued_index = log_last_index(view->log);
     view_reread(view);
     if (view->cluster == 0) {
-        view->cluster = rpc_cluster(view->props.rpc);
+        view->cluster = rpc_cluster(view->settings.rpc);
         seats_founded(view, view->list);
-        members_set_empty(view->props.members, false);
+        members_set_empty(view->settings.members, false);
     }
     void *mem = talloc_new(view);
     size_t record_count;
@@ -316,7 +316,7 @@
     const Status status = lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
         view_clock_set(view, ask->clock_ms);
-        members_set_leader(view->props.members, ask->epoch, ask->holder_id);
+        members_set_leader(view->settings.members, ask->epoch, ask->holder_id);
         const uint64_t commit = ask->commit_index < view->verified_index ? ask->commit_index : view->verified_index;
         if (commit > view->commit_index)
             view->commit_index = commit;
@@ -380,7 +380,7 @@
 
 void seat_serve(View *view)
 {
-    Rpc *rpc = view->props.rpc;
+    Rpc *rpc = view->settings.rpc;
     rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &SeatAnswer_shape, on_propose, view);
     rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &SeatAnswer_shape, on_renew, view);
     rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &SeatAnswer_shape, on_release, view);
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -90,7 +90,7 @@
         list->seats[i].disk = disks[i];
         if (disks[i] == 0)
             continue;
-        const Member *member = members_find_disk(view->props.members, disks[i]);
+        const Member *member = members_find_disk(view->settings.members, disks[i]);
         const SeatCore *core = core_of(view, disks[i]);
         SeatCore *to = &list->cores[list->cores_count++];
         *to = (SeatCore){disks[i], "", "", ""};
@@ -118,7 +118,7 @@
 bool seat_address(const View *view, int place, char address[ADDRESS_MAX])
 {
     const uint64_t disk = slot_disk(view, place);
-    const Member *member = members_find_disk(view->props.members, disk);
+    const Member *member = members_find_disk(view->settings.members, disk);
     const SeatCore *core = core_of(view, disk);
     const char *found = member != NULL ? member->record.address : core != NULL ? core->address : "";
     strncpy(address, found, ADDRESS_MAX - 1);
@@ -131,13 +131,13 @@
     const SeatCore *core = core_of(view, disk);
     if (core == NULL || core->name[0] == '\0')
         return false;
-    const Member *other = members_other_disk(view->props.members, core->name, disk);
+    const Member *other = members_other_disk(view->settings.members, core->name, disk);
     return other != NULL && (!same_address || strcmp(other->record.address, core->address) == 0);
 }
 
 const char *seat_zone(const View *view, uint64_t disk)
 {
-    const Member *member = members_find_disk(view->props.members, disk);
+    const Member *member = members_find_disk(view->settings.members, disk);
     const SeatCore *core = core_of(view, disk);
     return member != NULL ? member->record.zone : core != NULL ? core->zone : "";
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -5,11 +5,11 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-View *view_new(void *mem, const ViewProps *props)
+View *view_new(void *mem, const ViewSettings *settings)
 {
     View *view = talloc_zero(mem, View);
-    view->props = *props;
-    view->loop = props->loop;
+    view->settings = *settings;
+    view->loop = settings->loop;
     view->log = log_new(view);
     seats_first(view);
     return view;
@@ -127,10 +127,10 @@
 {
     if (view->list_index <= view->commit_index && view->list_index > view->list_committed)
         view->list_committed = view->list_index;
-    if (!view->props.disks_keep || index >= view->list_committed || view->list_old)
+    if (!view->settings.disks_keep || index >= view->list_committed || view->list_old)
         return;
     view->list_old = true;
-    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+    recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                    "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more",
                    view->list_committed, index);
 }
@@ -196,7 +196,7 @@
             break;
         ChangeResult result = {STATUS_OK, 0, entry->index};
         if (entry->change >= VIEW_CHANGE_FIRST)
-            view->props.state.deliver(view->props.state.arg, entry, &result);
+            view->settings.state.deliver(view->settings.state.arg, entry, &result);
         else if (entry->change == VIEW_CHANGE_VIEW && entry->epoch == view->lock.promised && last_has(view, view->disk))
             view->woke = false; /* a view has brought this seat up to date */
         view->delivered_index = entry->index;
@@ -236,7 +236,7 @@
 
 void view_start(View *view, Members *members)
 {
-    view->props.members = members;
+    view->settings.members = members;
     seat_serve(view);
     /* a holder that starts anew holds nothing: the others need not wait it out, and it
      * is the first that they may promise anything to */
@@ -257,8 +257,8 @@
     view->cluster = cluster;
     seats_founded(view, seats);
     view_reread(view);
-    rpc_set_cluster(view->props.rpc, cluster);
-    members_set_empty(view->props.members, false);
+    rpc_set_cluster(view->settings.rpc, cluster);
+    members_set_empty(view->settings.members, false);
     void *mem = talloc_new(view);
     size_t count;
     const Record *records = view_records(view, mem, &count);
@@ -385,7 +385,7 @@
             .woke = self ? view->woke : peer->woke,
             .sync_ms = self ? sight->journal.last_sync_ms : peer->sync_ms,
             .match_index = self ? view->synced_index : peer->match_index,
-            .sight = self ? members_sight(view->props.members) : peer->sight,
+            .sight = self ? members_sight(view->settings.members) : peer->sight,
         };
     }
     voters_sight(view, sight);
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -32,7 +32,7 @@
         return false;
     if (seat_dead(view, disk, false))
         return true;
-    const Member *member = members_find_disk(view->props.members, disk);
+    const Member *member = members_find_disk(view->settings.members, disk);
     int64_t heard_ms = member != NULL ? member->seen_ms : view->won_ms;
     if (view->peers[place].answered_ms > heard_ms)
         heard_ms = view->peers[place].answered_ms;
@@ -49,18 +49,18 @@
 
 static MemberState state_of(const View *view, uint64_t disk)
 {
-    const Member *member = members_find_disk(view->props.members, disk);
+    const Member *member = members_find_disk(view->settings.members, disk);
     const bool self = disk == view->disk;
     return (MemberState){.disk = disk,
                          .zone = seat_zone(view, disk),
                          .self = self,
-                         .leaving = self ? members_self(view->props.members)->leaving
+                         .leaving = self ? members_self(view->settings.members)->leaving
                                          : member != NULL && member->record.leaving};
 }
 
 size_t voters_wanted(const View *view)
 {
-    const size_t losses = view->props.losses > 0 ? (size_t)view->props.losses : 1;
+    const size_t losses = view->settings.losses > 0 ? (size_t)view->settings.losses : 1;
     return 2 * losses + 1 < SEAT_MOST ? 2 * losses + 1 : SEAT_MOST;
 }
 
@@ -125,7 +125,7 @@
 static void voter_remove(View *view, int place)
 {
     const uint64_t disk = view->seats[place];
-    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed",
+    recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed",
                    disk);
     list_committed(view, place, 0);
 }
@@ -157,7 +157,7 @@
     lock_lease_answered(&view->lease, place, peer.renewed_ms);
     lead_renew(view, place);
     lead_peer(view, place);
-    recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+    recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
                    "seat %d of %zu is given to disk %016" PRIx64, place + 1, view->seat_count, disk);
     view_settle(view);
 }
@@ -228,7 +228,7 @@
  * is known to the leader alone. */
 static bool successor_runs(const View *view)
 {
-    const MemberTable *table = members_table(view->props.members);
+    const MemberTable *table = members_table(view->settings.members);
     bool runs = false;
     for (size_t i = 0; i < table->count; i++)
         runs |= !table->rows[i].record.leaving && learner_may_follow(view, &table->rows[i]);
@@ -254,10 +254,10 @@
     while (given && view_seated(view) && loop_now_ms(view->loop) < until_ms)
         loop_sleep(view->loop, MEMBERSHIP_SOON_MS);
     if (votes && view_seated(view))
-        recorder_write(view->props.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "leaves and keeps its vote: %s",
-                       given ? "no learner took it in time" : "there is no learner");
+        recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+                       "leaves and keeps its vote: %s", given ? "no learner took it in time" : "there is no learner");
     else if (votes)
-        recorder_write(view->props.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+        recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
                        "leaves, and its vote is another's");
 }
 
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -17,7 +17,7 @@
         return "silent";
     if (!spare)
         return NULL;
-    const Member *member = members_find_disk(view->props.members, view->seats[place]);
+    const Member *member = members_find_disk(view->settings.members, view->seats[place]);
     if (member != NULL && member->record.leaving)
         return "its core leaves";
     if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > SEAT_LATE_MS)
@@ -30,7 +30,7 @@
 static bool returns(const View *view, int place, int64_t now_ms)
 {
     const Peer *peer = &view->peers[place];
-    const Member *member = members_find_disk(view->props.members, view->seats[place]);
+    const Member *member = members_find_disk(view->settings.members, view->seats[place]);
     return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
            peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log) &&
@@ -55,7 +55,7 @@
         if (view->seats[i] != 0 && view->seats[i] != view->disk && !in_view[i] && returns(view, i, now_ms)) {
             in_view[i] = changed = true;
             count++;
-            recorder_write(view->props.recorder, RECORDER_NOTE, now_ms, "seat %016" PRIx64 " comes into the view",
+            recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "seat %016" PRIx64 " comes into the view",
                            view->seats[i]);
         }
     for (int i = 0; i < SEAT_MOST; i++) {
@@ -75,7 +75,7 @@
             count--;
             peer->return_ms = now_ms + SEAT_REST_MS;
             peer->slow_times = 0;
-            recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s",
+            recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s",
                            view->seats[i], why);
             continue;
         }
@@ -93,7 +93,7 @@
 static bool view_blind(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    const uint64_t own = members_sight(view->props.members);
+    const uint64_t own = members_sight(view->settings.members);
     bool blind = false;
     for (int i = 0; i < SEAT_MOST; i++)
         if (view->in_view[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_GRANT_MS)
@@ -147,17 +147,18 @@
             bool skip[SEAT_MOST];
             const int64_t since_ms = journal_sync_since(view->journal);
             if (now_ms >= lock_lease_until(&view->lease)) {
-                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
+                recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
                 lead_down(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
                        (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
                          view->slow_times >= SEAT_SLOW_TIMES) &&
                         lead_next(view, true) != 0)) {
                 view->slow_times = 0;
-                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms, "own disk is slow: hands the lock over");
+                recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms,
+                               "own disk is slow: hands the lock over");
                 lead_down(view, SLOW_DISK_REST_MS);
             } else if (view_blind(view)) {
-                recorder_write(view->props.recorder, RECORDER_ALERT, now_ms,
+                recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms,
                                "another seat sees many more members: hands the lock over");
                 view->blind_since_ms = 0;
                 lead_down(view, SLOW_DISK_REST_MS);
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -14,8 +14,8 @@
 /* A process of one role. Invariant: one of core, gate, agent is set once it runs. */
 typedef struct Daemon {
     void *mem;
-    PropsRole role;
-    Props props;
+    SettingsRole role;
+    Settings settings;
     Loop *loop;
     Recorder *recorder;
     Core *core;
@@ -50,16 +50,16 @@
     Status status;
     const char *http = "";
     const CoreWatch watch = {daemon, on_plans};
-    if (daemon->role == PROPS_CORE)
-        status = core_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props,
+    if (daemon->role == SETTINGS_CORE)
+        status = core_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings,
                             daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
-    else if (daemon->role == PROPS_GATE)
-        status = gate_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props, &daemon->gate, &failure);
+    else if (daemon->role == SETTINGS_GATE)
+        status = gate_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->gate, &failure);
     else
-        status = agent_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->props, &daemon->agent, &failure);
+        status = agent_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->agent, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
-        daemon->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
+        daemon->code = status == STATUS_BAD_SETTINGS ? EXIT_WRONG : EXIT_FAILED;
         loop_stop(daemon->loop);
         return;
     }
@@ -69,7 +69,7 @@
         http = gate_http_address(daemon->gate);
     else
         http = agent_http_address(daemon->agent);
-    printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->props.name, http);
+    printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->settings.name, http);
     fflush(stdout);
 }
 
@@ -92,9 +92,9 @@
     loop_stop(daemon->loop);
 }
 
-/* Reads --props FILE and flags over it; EXIT_GOOD, or what to return. */
-static int props_take(void *mem, PropsRole role, const char *command, int argc, const char **argv, Props *props,
-                      char **record)
+/* Reads --settings FILE and flags over it; EXIT_GOOD, or what to return. */
+static int settings_take(void *mem, SettingsRole role, const char *command, int argc, const char **argv,
+                         Settings *settings, char **record)
 {
     static const char *const KEYS[] = {"name", "zone", "listen", "http", "seeds", "data", "worker", "log"};
     enum { KEY_COUNT = sizeof(KEYS) / sizeof(KEYS[0]) };
@@ -119,32 +119,32 @@
         code = wrong(command, "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (poptPeekArg(context) != NULL)
         code = wrong(command, "%s: what is this?", poptPeekArg(context));
-    else if (path != NULL && props_read(mem, path, role, props, &failure) != STATUS_OK)
+    else if (path != NULL && settings_read(mem, path, role, settings, &failure) != STATUS_OK)
         code = wrong(command, "%s", failure.text);
     for (int i = 0; i < KEY_COUNT && code == EXIT_GOOD; i++)
-        if (values[i] != NULL && props_set(mem, props, KEYS[i], values[i], &failure) != STATUS_OK)
+        if (values[i] != NULL && settings_set(mem, settings, KEYS[i], values[i], &failure) != STATUS_OK)
             code = wrong(command, "%s", failure.text);
-    if (code == EXIT_GOOD && props_check(props, role, &failure) != STATUS_OK)
+    if (code == EXIT_GOOD && settings_check(settings, role, &failure) != STATUS_OK)
         code = wrong(command, "%s", failure.text);
     poptFreeContext(context);
     return code;
 }
 
-static int run_daemon(PropsRole role, int argc, const char **argv)
+static int run_daemon(SettingsRole role, int argc, const char **argv)
 {
     void *mem = talloc_new(NULL);
     Daemon *daemon = talloc_zero(mem, Daemon);
     daemon->mem = mem;
     daemon->role = role;
-    daemon->props.bounds = bounds_first();
+    daemon->settings.bounds = bounds_first();
     char *record = NULL;
-    int code = props_take(mem, role, ROLES[role], argc, argv, &daemon->props, &record);
+    int code = settings_take(mem, role, ROLES[role], argc, argv, &daemon->settings, &record);
     if (code == EXIT_GOOD && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
         daemon->loop = real_loop_new(mem);
-        daemon->recorder = recorder_new(mem, daemon->props.name);
-        recorder_set_level(daemon->recorder, daemon->props.log);
+        daemon->recorder = recorder_new(mem, daemon->settings.name);
+        recorder_set_level(daemon->recorder, daemon->settings.log);
         loop_spawn(daemon->loop, "start", start_main, daemon);
         real_loop_on_user(daemon->loop, user_main, daemon);
         real_loop_run(daemon->loop, term_main, daemon);
@@ -158,17 +158,17 @@
 
 int run_core(int argc, const char **argv)
 {
-    return run_daemon(PROPS_CORE, argc, argv);
+    return run_daemon(SETTINGS_CORE, argc, argv);
 }
 
 int run_gate(int argc, const char **argv)
 {
-    return run_daemon(PROPS_GATE, argc, argv);
+    return run_daemon(SETTINGS_GATE, argc, argv);
 }
 
 int run_agent(int argc, const char **argv)
 {
-    return run_daemon(PROPS_AGENT, argc, argv);
+    return run_daemon(SETTINGS_AGENT, argc, argv);
 }
 
 int run_check(int argc, const char **argv)
@@ -180,11 +180,11 @@
     for (int role = 0; role < 3; role++)
         if (strcmp(argv[1], ROLES[role]) == 0) {
             void *mem = talloc_new(NULL);
-            Props props = {.bounds = bounds_first()};
+            Settings settings = {.bounds = bounds_first()};
             char *record = NULL;
-            const int code = props_take(mem, (PropsRole)role, "check", argc - 1, argv + 1, &props, &record);
+            const int code = settings_take(mem, (SettingsRole)role, "check", argc - 1, argv + 1, &settings, &record);
             if (code == EXIT_GOOD)
-                printf("good: %s %s in zone %s\n", ROLES[role], props.name, props.zone);
+                printf("good: %s %s in zone %s\n", ROLES[role], settings.name, settings.zone);
             talloc_free(mem);
             return code;
         }
--- a/src/node.c
+++ b/src/node.c
@@ -11,7 +11,7 @@
 
 #define SETTINGS_LOOK_MS 1000 /* ms; the file may change without a signal */
 
-/* Invariant: what place.props points to is never freed, for others hold pointers into it. */
+/* Invariant: what place.settings points to is never freed, for others hold pointers into it. */
 typedef struct NodeRun {
     void *mem;
     const Face *face;
@@ -36,10 +36,10 @@
         talloc_free(mem);
         return;
     }
-    run->place.props.bounds = place.props.bounds;
+    run->place.settings.bounds = place.settings.bounds;
     const char *seeds[SEEDS];
     for (int i = 0; i < SEEDS; i++)
-        run->place.props.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.props.seeds[i]);
+        run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
     if (run->node.core != NULL)
         core_seeds(run->node.core, seeds);
     else if (run->node.gate != NULL)
@@ -83,24 +83,25 @@
 {
     NodeRun *run = arg;
     FaceNode *node = &run->node;
-    const Props *props = &run->place.props;
+    const Settings *settings = &run->place.settings;
     Failure failure = {0};
     Status status;
-    if (run->place.role == PROPS_CORE)
-        status = core_start(run->mem, node->loop, node->recorder, props, NULL, &node->core, &failure);
-    else if (run->place.role == PROPS_GATE)
-        status = gate_start(run->mem, node->loop, node->recorder, props, &node->gate, &failure);
+    if (run->place.role == SETTINGS_CORE)
+        status = core_start(run->mem, node->loop, node->recorder, settings, NULL, &node->core, &failure);
+    else if (run->place.role == SETTINGS_GATE)
+        status = gate_start(run->mem, node->loop, node->recorder, settings, &node->gate, &failure);
     else
-        status = agent_start(run->mem, node->loop, node->recorder, props, &node->agent, &failure);
+        status = agent_start(run->mem, node->loop, node->recorder, settings, &node->agent, &failure);
     if (status == STATUS_OK)
         status = run->face->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart node: %s: %s\n", status_word(status), failure.text);
-        run->code = status == STATUS_BAD_PROPS ? EXIT_WRONG : EXIT_FAILED;
+        run->code = status == STATUS_BAD_SETTINGS ? EXIT_WRONG : EXIT_FAILED;
         loop_stop(node->loop);
         return;
     }
-    printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], props->name, props->zone, run->face->name);
+    printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], settings->name, settings->zone,
+           run->face->name);
     fflush(stdout);
     loop_spawn(node->loop, "settings", look_main, run);
 }
@@ -167,10 +168,10 @@
     if (code == EXIT_GOOD && run->face->read(mem, run->path, &run->place, &failure) != STATUS_OK)
         code = wrong("node", "%s", failure.text);
     if (code == EXIT_GOOD && only) {
-        printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.props.name, run->place.props.zone);
+        printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.settings.name, run->place.settings.zone);
     } else if (code == EXIT_GOOD) {
         run->node = (FaceNode){
-            .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.props.name), .place = &run->place};
+            .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.settings.name), .place = &run->place};
         recorder_set_level(run->node.recorder, level);
         loop_spawn(run->node.loop, "start", start_main, run);
         real_loop_on_user(run->node.loop, user_main, run);
--- a/src/options.h
+++ b/src/options.h
@@ -6,7 +6,7 @@
 /* Exit codes of all subcommands. */
 #define EXIT_GOOD 0
 #define EXIT_FAILED 1      /* it was understood and did not succeed */
-#define EXIT_WRONG 2       /* wrong flags, props or values: nothing was begun */
+#define EXIT_WRONG 2       /* wrong flags, settings or values: nothing was begun */
 #define EXIT_UNREACHABLE 3 /* the node asked did not answer in time */
 
 /* One subcommand. run gets what follows its name and returns an exit code. */
--- a/src/standins.c
+++ b/src/standins.c
@@ -74,7 +74,7 @@
     const char *name;
     StandWorker *worker;
     Caller *caller;
-    CallerProps caller_props;
+    CallerSettings caller_settings;
     bool configure;
     int code;
 } StandIn;
@@ -129,7 +129,7 @@
         stand_in->name = name;
         const char **labels = talloc_array(mem, const char *, 1);
         labels[0] = label;
-        const StandWorkerProps props = {
+        const StandWorkerSettings settings = {
             .worker = {.name = name,
                        .zone = zone,
                        .rack = rack != NULL ? rack : "",
@@ -145,7 +145,7 @@
         char rest[64];
         snprintf(rest, sizeof(rest), "%d %d", cores * 1000, mem_mb);
         record_run(&stand_in->record, "worker", name, zone, 0, 0, rest);
-        stand_in->worker = stand_worker_start(mem, stand_in->loop, &props);
+        stand_in->worker = stand_worker_start(mem, stand_in->loop, &settings);
         real_loop_run(stand_in->loop, worker_term, stand_in);
     }
     poptFreeContext(context);
@@ -224,15 +224,16 @@
 static void caller_main(void *arg)
 {
     StandIn *stand_in = arg;
-    const CallerProps *props = &stand_in->caller_props;
-    if (stand_in->configure && caller_configure(stand_in, stand_in->loop, props->entries[0], props->mix) != STATUS_OK) {
+    const CallerSettings *settings = &stand_in->caller_settings;
+    if (stand_in->configure &&
+        caller_configure(stand_in, stand_in->loop, settings->entries[0], settings->mix) != STATUS_OK) {
         fprintf(stderr, "spancart caller: the configuration could not be set\n");
         stand_in->code = EXIT_UNREACHABLE;
         loop_stop(stand_in->loop);
         return;
     }
-    stand_in->caller = caller_start(stand_in, stand_in->loop, props);
-    const int64_t until_ms = loop_now_ms(stand_in->loop) + props->for_ms + 120000;
+    stand_in->caller = caller_start(stand_in, stand_in->loop, settings);
+    const int64_t until_ms = loop_now_ms(stand_in->loop) + settings->for_ms + 120000;
     while (!caller_done(stand_in->caller) && loop_now_ms(stand_in->loop) < until_ms)
         loop_sleep(stand_in->loop, 50);
     summary(stand_in);
@@ -258,25 +259,25 @@
     int code = EXIT_GOOD;
     void *mem = talloc_new(NULL);
     StandIn *stand_in = talloc_zero(mem, StandIn);
-    CallerProps *props = &stand_in->caller_props;
-    *props = (CallerProps){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .for_ms = for_ms};
-    props->mix = mix_of_word(mix != NULL ? mix : "trentvale");
-    for (char *at = entries; at != NULL && props->entry_count < ENTRIES_MAX;) {
+    CallerSettings *settings = &stand_in->caller_settings;
+    *settings = (CallerSettings){.name = name != NULL ? name : "job", .rate_milli = rate_milli, .for_ms = for_ms};
+    settings->mix = mix_of_word(mix != NULL ? mix : "trentvale");
+    for (char *at = entries; at != NULL && settings->entry_count < ENTRIES_MAX;) {
         char *comma = strchr(at, ',');
         if (comma != NULL)
             *comma++ = '\0';
         if (!real_address_valid(at))
             code = wrong("caller", "--entries: %s is not an IP address with a port", at);
-        props->entries[props->entry_count++] = at;
+        settings->entries[settings->entry_count++] = at;
         at = comma;
     }
     if (got < -1)
         code = wrong("caller", "%s: %s", poptBadOption(context, POPT_BADOPTION_NOALIAS), poptStrerror(got));
     else if (poptPeekArg(context) != NULL)
         code = wrong("caller", "%s: what is this?", poptPeekArg(context));
-    else if (props->entry_count == 0)
+    else if (settings->entry_count == 0)
         code = wrong("caller", "--entries: at least one is needed");
-    else if (props->mix == MIX_COUNT)
+    else if (settings->mix == MIX_COUNT)
         code = wrong("caller", "--mix: must be trentvale or atlas");
     else if (rate_milli < 1 || for_ms < 0)
         code = wrong("caller", "--rate and --for must be positive");
@@ -284,7 +285,7 @@
         stand_in->loop = real_loop_new(mem);
         stand_in->record = (Record){stand_in->loop, path != NULL ? fopen(path, "a") : NULL};
         stand_in->configure = configure != 0;
-        props->watch =
+        settings->watch =
             (CallerWatch){&stand_in->record, on_sent, on_accepted, on_refused, on_job_ended, on_unknown, NULL};
         loop_spawn(stand_in->loop, "caller", caller_main, stand_in);
         real_loop_run(stand_in->loop, NULL, NULL);
