--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -113,8 +113,8 @@
     }
     /* of two answers the later sent may come first */
     if (answer->orders &&
-        (answer->epoch > agent->have_epoch || (answer->epoch == agent->have_epoch && answer->revision > agent->have))) {
-        agent->have = answer->revision;
+        (answer->epoch > agent->have_epoch || (answer->epoch == agent->have_epoch && answer->version > agent->have))) {
+        agent->have = answer->version;
         agent->have_epoch = answer->epoch;
         orders_take(agent, answer, beat->sent_ms);
     }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -29,7 +29,7 @@
     int64_t lease_ms;
     bool deaf;    /* answers no beat */
     bool commits; /* else a telling waits */
-    uint64_t revision;
+    uint64_t version;
     BeatAnswer orders;
     Signal changed;
     BeatAsk beat; /* the newest */
@@ -65,7 +65,7 @@
     for (size_t i = 0; i < beat->saved_count && boss->saved_count < LISTED; i++)
         shape_copy(&RoundSaved_shape, &beat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
-    while (beat->have == boss->revision && beat->have_epoch == boss->epoch)
+    while (beat->have == boss->version && beat->have_epoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
             break;
     if (boss->deaf)
@@ -73,9 +73,9 @@
     *out = boss->orders;
     out->epoch = boss->epoch;
     out->lease_ms = boss->lease_ms;
-    out->revision = boss->revision;
+    out->version = boss->version;
     out->expiry_ms = ORDER_EXPIRY_MS;
-    out->orders = beat->have != boss->revision || beat->have_epoch != boss->epoch;
+    out->orders = beat->have != boss->version || beat->have_epoch != boss->epoch;
     return STATUS_OK;
 }
 
@@ -243,7 +243,7 @@
     boss->orders.starts_count = count;
     boss->orders.wanted = wanted;
     boss->orders.wanted_count = count;
-    boss->revision++;
+    boss->version++;
     signal_raise(boss->loop, &boss->changed);
     run(c, 60);
 }
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -147,9 +147,9 @@
 #define CONFIG_SPAN_MAX_MS 1000000000         /* ms; eleven days: longer ones are mistakes */
 #define CONFIG_BYTES_MAX (1024 * 1024 * 1024) /* bytes; a larger limit is a mistake */
 #define CONFIG_STRETCH_MAX 1000               /* times; a larger stretch is a mistake */
-#define CONFIG_HISTORY 200                    /* count; revisions that can be read back, as far as the bytes allow */
-#define CONFIG_KNOWN                                                                                              \
-    1000 /* count; revisions whose calls are known when they are sent again: some 100 bytes each; changes come at \
+#define CONFIG_HISTORY 200                    /* count; versions that can be read back, as far as the bytes allow */
+#define CONFIG_KNOWN                                                                                             \
+    1000 /* count; versions whose calls are known when they are sent again: some 100 bytes each; changes come at \
             most some ten a second, and an operator gives up sooner than after 100 s */
 #define CONFIG_HISTORY_STEP 50             /* count; ... older ones go by so many at once */
 #define CONFIG_HISTORY_BYTES (1024 * 1024) /* bytes; texts and patches kept beside one whole text */
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -19,14 +19,14 @@
     X(UNKNOWN_QUEUE, "unknown-queue", 422)       \
     X(UNKNOWN_CELL, "unknown-cell", 422)         \
     X(UNKNOWN_ZONE, "unknown-zone", 404)         \
-    X(UNKNOWN_REVISION, "unknown-revision", 404) \
+    X(UNKNOWN_VERSION, "unknown-revision", 404)  \
     X(UNKNOWN_WORKER, "unknown-worker", 404)     \
     X(IMPOSSIBLE_ROOM, "impossible-room", 422)   \
     X(IMPOSSIBLE_KIND, "impossible-kind", 422)   \
     X(OVER_QUOTA, "over-quota", 422)             \
     X(CYCLIC_STEPS, "cyclic-steps", 422)         \
     X(OTHER_BODY, "other-body", 409)             \
-    X(STALE_REVISION, "stale-revision", 409)     \
+    X(STALE_VERSION, "stale-revision", 409)      \
     X(ALREADY_ENDED, "already-ended", 409)       \
     X(QUEUE_FULL, "queue-full", 503)             \
     X(NO_LEADER, "no-leader", 503)               \
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -32,7 +32,7 @@
     X(ONE, others, Room)                                                      \
     X(LST, saved, RoundSaved)                                                 \
     X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not told */ \
-    X(U64, have, 0)     /* revision and epoch of the orders it has */         \
+    X(U64, have, 0)     /* version and epoch of the orders it has */          \
     X(U64, have_epoch, 0)                                                     \
     X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
 SHAPE(BeatAsk, BEAT_ASK_FIELDS)
@@ -55,7 +55,7 @@
     X(U64, epoch, 0)          \
     X(I64, lease_ms, 0)       \
     X(FLAG, orders, 0)        \
-    X(U64, revision, 0)       \
+    X(U64, version, 0)        \
     X(I64, expiry_ms, 0)      \
     X(LST, starts, Order)     \
     X(LST, wanted, RoundId)
@@ -92,7 +92,7 @@
 
 #define FETCH_ANSWER_FIELDS(X) \
     X(U64, epoch, 0)           \
-    X(U64, revision, 0)        \
+    X(U64, version, 0)         \
     X(I64, expiry_ms, 0)       \
     X(LST, starts, Order)      \
     X(LST, wanted, RoundId)
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -61,10 +61,10 @@
     LuaPolicy *lua;
 } ConfigPolicy;
 
-/* One revision of the operators' document, read and checked. Immutable; the
+/* One version of the operators' document, read and checked. Immutable; the
  * next one is swapped in whole, and shares with it what both say alike. */
 typedef struct Config {
-    uint64_t revision;
+    uint64_t version;
     json_object *tree; /* the document; the Config's own */
     uint64_t r;        /* worker losses that every plan must survive */
     bool r_named;      /* the document names r: starts that break the plan are held back a while */
@@ -84,10 +84,10 @@
 /* The document in force until an operator sends one. */
 const char *config_first_text(void);
 /* Null when there are faults. On mem. */
-const Config *config_read(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults);
+const Config *config_read(void *mem, const char *text, size_t count, uint64_t version, Faults *faults);
 /* As config_read, of a tree; earlier (may be null): what stands in its tree too,
  * by pointer, is taken from there and not read again. */
-const Config *config_build(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults);
+const Config *config_build(void *mem, json_object *tree, uint64_t version, const Config *earlier, Faults *faults);
 /* An RFC 7396 merge patch upon a text; null and a fault when either is no JSON object. */
 const char *config_patch(void *mem, const char *text, const char *patch, size_t patch_count, Faults *faults);
 
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -243,13 +243,13 @@
     return 0;
 }
 
-const Config *config_build(void *mem, json_object *tree, uint64_t revision, const Config *earlier, Faults *faults)
+const Config *config_build(void *mem, json_object *tree, uint64_t version, const Config *earlier, Faults *faults)
 {
     static const char *const KEYS[] = {"r",     "zoneLoss", "rackLoss", "cells", "policies",
                                        "kinds", "limits",   "note",     NULL};
     const size_t before = faults->seen;
     Config *config = talloc_zero(mem, Config);
-    config->revision = revision;
+    config->version = version;
     config->tree = json_object_get(tree);
     config->note = "";
     config->cell_names = g_hash_table_new(g_str_hash, g_str_equal);
@@ -274,7 +274,7 @@
     return NULL;
 }
 
-const Config *config_read(void *mem, const char *text, size_t count, uint64_t revision, Faults *faults)
+const Config *config_read(void *mem, const char *text, size_t count, uint64_t version, Faults *faults)
 {
     if (count > CONFIG_BODY_MAX) {
         fault_add(faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
@@ -283,7 +283,7 @@
     json_object *tree = check_parse(faults, text, count);
     if (tree == NULL)
         return NULL;
-    const Config *config = config_build(mem, tree, revision, NULL, faults);
+    const Config *config = config_build(mem, tree, version, NULL, faults);
     json_object_put(tree);
     return config;
 }
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -3,7 +3,7 @@
 
 #include "config/config.h"
 
-/* What two revisions may share: it is read once from its place in the tree and
+/* What two versions may share: it is read once from its place in the tree and
  * lives as long as any Config uses it.
  * Invariant: from is the value that it was read from, kept, so that no other
  * value can come to stand at the same address. */
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -1,5 +1,5 @@
 /* Documents of operators: what is read of them, what is wrong with them, where
- * requests find their queue, what two revisions share. */
+ * requests find their queue, what two versions share. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -238,7 +238,7 @@
     talloc_free(mem);
 }
 
-/* --- revisions that share ------------------------------------------------------------ */
+/* --- versions that share ------------------------------------------------------------ */
 
 static const char *wide(void *mem, int queues)
 {
@@ -317,7 +317,7 @@
     }
 }
 
-/* Read onward from an earlier revision, it is what its text alone is read as:
+/* Read onward from an earlier version, it is what its text alone is read as:
  * the same result, the same queues, the same entries. */
 static void drawn_onward(void **state)
 {
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -44,14 +44,14 @@
     return faults;
 }
 
-static void deliver(Revisions *revisions, const ConfigSet *set, void *mem, size_t *bytes)
+static void deliver(Versions *versions, const ConfigSet *set, void *mem, size_t *bytes)
 {
     Bytes packed = {0};
     ConfigSet taken;
     ChangeResult result = {0};
     shape_pack(&ConfigSet_shape, set, mem, &packed);
     if (shape_unpack(&ConfigSet_shape, packed, mem, &taken, NULL) == STATUS_OK)
-        deliver_config(revisions, &taken, &result);
+        deliver_config(versions, &taken, &result);
     if (result.status != STATUS_OK)
         exit(1);
     *bytes += packed.count;
@@ -68,7 +68,7 @@
     double check_us = 0, seat_us = 0, read_us = 0;
     size_t bytes = 0;
     const char *now = text;
-    Revisions *revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
     for (int i = 1; i <= changes; i++) {
         void *mem = talloc_new(all);
         Faults *faults = faults_new(mem);
@@ -80,9 +80,9 @@
         if (config == NULL)
             fail(faults);
         check_us += now_us() - from_us;
-        const ConfigSet set = {.base = (uint64_t)i - 1, .revision = (uint64_t)i, .text = next, .digest = ""};
+        const ConfigSet set = {.base = (uint64_t)i - 1, .version = (uint64_t)i, .text = next, .digest = ""};
         from_us = now_us();
-        deliver(revisions, &set, mem, &bytes);
+        deliver(versions, &set, mem, &bytes);
         seat_us += now_us() - from_us;
         from_us = now_us();
         if (config_read(mem, next, strlen(next), (uint64_t)i, faults) == NULL)
@@ -100,10 +100,10 @@
         const Config *config = config_read(all, text, strlen(text), 1, faults);
         if (config == NULL)
             fail(faults);
-        revisions = revisions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
-        ConfigSet first = {.base = 0, .revision = 1, .text = text, .digest = ""};
+        versions = versions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
+        ConfigSet first = {.base = 0, .version = 1, .text = text, .digest = ""};
         bytes = 0;
-        deliver(revisions, &first, all, &bytes);
+        deliver(versions, &first, all, &bytes);
         bytes = 0;
         check_us = seat_us = 0;
         for (int i = 1; i <= changes; i++) {
@@ -120,7 +120,7 @@
             json_object *tree = document_merged(config->tree, patch);
             const Config *next = config_build(all, tree, (uint64_t)i + 1, config, faults);
             const ConfigSet set = {.base = (uint64_t)i,
-                                   .revision = (uint64_t)i + 1,
+                                   .version = (uint64_t)i + 1,
                                    .text = document_text(mem, patch),
                                    .patch = true,
                                    .digest = ""};
@@ -133,7 +133,7 @@
             config = next;
             check_us += now_us() - from_us;
             from_us = now_us();
-            deliver(revisions, &set, mem, &bytes);
+            deliver(versions, &set, mem, &bytes);
             seat_us += now_us() - from_us;
             talloc_free(mem);
         }
@@ -150,11 +150,11 @@
         }
         const double entry_us = (now_us() - from_us) / 100000;
         from_us = now_us();
-        json_object *tree = revisions_tree(revisions, NULL, 0);
+        json_object *tree = versions_tree(versions, NULL, 0);
         const Config *anew = config_build(all, tree, 1, NULL, faults);
         const double anew_us = now_us() - from_us;
         from_us = now_us();
-        const char *read = revisions_text(revisions, all, revisions_newest(revisions));
+        const char *read = versions_text(versions, all, versions_newest(versions));
         printf("            look-up %.2f us, read by a new leader %.0f us, read back %.0f us (%zu bytes)\n", entry_us,
                anew_us, now_us() - from_us, strlen(read));
         json_object_put(tree);
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -134,10 +134,10 @@
             return STATUS_NOT_LEADER;
         out->epoch = view_epoch(core->view);
         out->waits = core->repairing;
-        if (!core->repairing && config_watch_answer(&core->piece_source, table_revisions(core->table), ask,
+        if (!core->repairing && config_watch_answer(&core->piece_source, table_versions(core->table), ask,
                                                     loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
-        out->revision = ask->have;
+        out->version = ask->have;
         if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
             return STATUS_OK;
     }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -11,11 +11,11 @@
 /* --- reading ----------------------------------------------------------------------- */
 
 /* The text goes out as it is kept: a document is given back as it was sent. */
-static void show_config(Way *way, uint64_t revision, const char *text)
+static void show_config(Way *way, uint64_t version, const char *text)
 {
     HttpTask *task = way->task;
     char head[64];
-    const int length = snprintf(head, sizeof(head), "{\"revision\":%" PRIu64 ",\"config\":", revision);
+    const int length = snprintf(head, sizeof(head), "{\"revision\":%" PRIu64 ",\"config\":", version);
     task->code = 200;
     task->kind = "application/json";
     bytes_add(task, &task->result, head, (size_t)length);
@@ -25,40 +25,40 @@
 
 static void show_newest(Way *way)
 {
-    const Revisions *revisions = table_revisions(way->core->table);
-    const uint64_t newest = revisions_newest(revisions);
+    const Versions *versions = table_versions(way->core->table);
+    const uint64_t newest = versions_newest(versions);
     const Config *config = core_config(way->core);
     const char *text;
     if (newest == 0)
         text = config_first_text();
-    else if (revisions->rows[revisions->count - 1].patch && config->revision == newest) /* it is read already */
+    else if (versions->rows[versions->count - 1].patch && config->version == newest) /* it is read already */
         text = document_text(way->mem, config->tree);
     else
-        text = revisions_text(revisions, way->mem, newest);
+        text = versions_text(versions, way->mem, newest);
     show_config(way, newest, text);
 }
 
 void config_get(Way *way)
 {
-    const Revisions *revisions = table_revisions(way->core->table);
-    int64_t revision = 0, have = -1, wait_ms = 0;
-    query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &revision);
+    const Versions *versions = table_versions(way->core->table);
+    int64_t version = 0, have = -1, wait_ms = 0;
+    query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &version);
     query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
     query_int(way->faults, way->task->query, "waitMs", 0, CONFIG_WATCH_WAIT_MS * 2, &wait_ms);
     if (way->faults->count > 0) {
         way_refuse(way);
         return;
     }
-    if (revision > 0) {
-        const char *text = revisions_text(revisions, way->mem, (uint64_t)revision);
+    if (version > 0) {
+        const char *text = versions_text(versions, way->mem, (uint64_t)version);
         if (text == NULL)
-            show_refusal(way->task, STATUS_UNKNOWN_REVISION, "this revision can't be read back", NULL);
+            show_refusal(way->task, STATUS_UNKNOWN_VERSION, "this revision can't be read back", NULL);
         else
-            show_config(way, (uint64_t)revision, text);
+            show_config(way, (uint64_t)version, text);
         return;
     }
     const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
-    while (have >= 0 && revisions_newest(table_revisions(way->core->table)) <= (uint64_t)have)
+    while (have >= 0 && versions_newest(table_versions(way->core->table)) <= (uint64_t)have)
         if (!signal_wait(way->core->loop, view_news(way->core->view), until_ms))
             break;
     if (!view_leading(way->core->view))
@@ -69,10 +69,10 @@
 
 void config_history(Way *way)
 {
-    const Revisions *revisions = table_revisions(way->core->table);
+    const Versions *versions = table_versions(way->core->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
-    for (size_t i = revisions->whole; i < revisions->count; i++)
-        json_object_array_add(list, json_object_new_uint64(revisions->rows[i].revision));
+    for (size_t i = versions->whole; i < versions->count; i++)
+        json_object_array_add(list, json_object_new_uint64(versions->rows[i].version));
     json_object_object_add(body, "revisions", list);
     show_result(way->task, 200, body);
 }
@@ -81,26 +81,26 @@
 
 static void refuse_stale(Way *way, uint64_t current)
 {
-    json_object *body = show_failure(STATUS_STALE_REVISION, "another revision is in force: build on that", NULL);
+    json_object *body = show_failure(STATUS_STALE_VERSION, "another revision is in force: build on that", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
-    way->task->status = STATUS_STALE_REVISION;
-    show_result(way->task, status_http(STATUS_STALE_REVISION), body);
+    way->task->status = STATUS_STALE_VERSION;
+    show_result(way->task, status_http(STATUS_STALE_VERSION), body);
 }
 
-static void show_taken(Way *way, uint64_t revision)
+static void show_taken(Way *way, uint64_t version)
 {
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "revision", json_object_new_uint64(revision));
+    json_object_object_add(body, "revision", json_object_new_uint64(version));
     show_result(way->task, 200, body);
 }
 
-/* What makes a call that names its revision the same one when it is sent again:
+/* What makes a call that names its version the same one when it is sent again:
  * calls are told apart, not protected from forgers. */
-static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t revision)
+static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t version)
 {
     char head[80];
     const int length =
-        snprintf(head, sizeof(head), "%s %" PRIu64 " %" PRIu64 "\n", patch ? "patch" : "put", base, revision);
+        snprintf(head, sizeof(head), "%s %" PRIu64 " %" PRIu64 "\n", patch ? "patch" : "put", base, version);
     GChecksum *sum = g_checksum_new(G_CHECKSUM_MD5);
     g_checksum_update(sum, (const guchar *)head, length);
     g_checksum_update(sum, way->task->body.data, (gssize)way->task->body.count);
@@ -118,7 +118,7 @@
         return NULL;
     }
     json_object *tree = document_merged(now->tree, patch);
-    set->patch = now->revision > 0;
+    set->patch = now->version > 0;
     set->text = document_text(way->mem, set->patch ? patch : tree);
     return tree;
 }
@@ -127,7 +127,7 @@
  * difference, and shares with it what is the same. */
 static json_object *replaced(Way *way, const Config *now, json_object *whole, ConfigSet *set)
 {
-    json_object *patch = now->revision > 0 ? document_difference(now->tree, whole) : NULL;
+    json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
     const char *text = patch != NULL ? document_text(way->mem, patch) : NULL;
     json_object *tree;
     if (text != NULL && strlen(text) < way->task->body.count / 2) {
@@ -146,7 +146,7 @@
  * measured only where their sizes do not settle it. */
 static void check_size(Way *way, json_object *tree)
 {
-    if (revisions_size(table_revisions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
+    if (versions_size(table_versions(way->core->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
         fault_add(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
@@ -168,12 +168,12 @@
     json_object_put(sent);
     if (patch && tree != NULL)
         check_size(way, tree);
-    const Config *config = tree != NULL ? config_build(way->mem, tree, set->revision, now, way->faults) : NULL;
+    const Config *config = tree != NULL ? config_build(way->mem, tree, set->version, now, way->faults) : NULL;
     json_object_put(tree);
     return config;
 }
 
-static bool query_revisions(Way *way, uint64_t *base, uint64_t *revision)
+static bool query_versions(Way *way, uint64_t *base, uint64_t *version)
 {
     int64_t builds = -1, named = 0;
     if (query_value(way->mem, way->task->query, "base") == NULL)
@@ -181,7 +181,7 @@
     query_int(way->faults, way->task->query, "base", 0, INT64_MAX, &builds);
     query_int(way->faults, way->task->query, "revision", 1, INT64_MAX, &named);
     *base = (uint64_t)builds;
-    *revision = (uint64_t)named;
+    *version = (uint64_t)named;
     return way->faults->count == 0;
 }
 
@@ -189,14 +189,14 @@
 {
     Core *core = way->core;
     ConfigSet set = {.text = "", .digest = "", .patch = false};
-    if (!query_revisions(way, &set.base, &set.revision)) {
+    if (!query_versions(way, &set.base, &set.version)) {
         way_refuse(way);
         return;
     }
-    const Revisions *revisions = table_revisions(core->table);
-    if (set.revision != 0)
-        set.digest = digest_of(way, patch, set.base, set.revision);
-    const uint64_t current = revisions_newest(revisions), known = revisions_digest(revisions, set.digest);
+    const Versions *versions = table_versions(core->table);
+    if (set.version != 0)
+        set.digest = digest_of(way, patch, set.base, set.version);
+    const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
     if (known != 0) { /* sent again: it was taken, whatever has come since */
         show_taken(way, known);
         return;
@@ -205,9 +205,9 @@
         refuse_stale(way, current);
         return;
     }
-    if (set.revision == 0)
-        set.revision = current + 1;
-    else if (set.revision <= current)
+    if (set.version == 0)
+        set.version = current + 1;
+    else if (set.version <= current)
         fault_add(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
     const Config *config = config_of(way, core_config(core), patch, &set);
     if (config == NULL || way->faults->count > 0) {
--- a/packages/core/src/entry.c
+++ b/packages/core/src/entry.c
@@ -100,7 +100,7 @@
         show_refusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
         return;
     }
-    if (revisions_newest(table_revisions(core->table)) == 0) {
+    if (versions_newest(table_versions(core->table)) == 0) {
         show_refusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
         return;
     }
--- a/packages/core/src/inforce.c
+++ b/packages/core/src/inforce.c
@@ -11,26 +11,26 @@
 /* What the table has, made from what was read before where it can be. */
 static json_object *tree_now(const Core *core, bool same_load)
 {
-    const Revisions *revisions = table_revisions(core->table);
-    if (revisions_newest(revisions) == 0)
+    const Versions *versions = table_versions(core->table);
+    if (versions_newest(versions) == 0)
         return document_parse(config_first_text());
-    const bool have = same_load && core->config != NULL && core->config->revision > 0;
-    return revisions_tree(revisions, have ? core->config->tree : NULL, have ? core->config->revision : 0);
+    const bool have = same_load && core->config != NULL && core->config->version > 0;
+    return versions_tree(versions, have ? core->config->tree : NULL, have ? core->config->version : 0);
 }
 
-static const Config *read_now(Core *core, uint64_t revision, bool same_load)
+static const Config *read_now(Core *core, uint64_t version, bool same_load)
 {
     void *mem = talloc_new(core);
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
     json_object *tree = tree_now(core, same_load);
-    const Config *config = config_build(core, tree, revision, core->config, faults);
+    const Config *config = config_build(core, tree, version, core->config, faults);
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
         recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
-                       "revision %" PRIu64 " can't be read: %s %s", revision, faults->list[0].path,
+                       "revision %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
                        faults->list[0].text);
-        core->config_unread = revision;
+        core->config_unread = version;
         if (core->config == NULL) {
             const char *first = config_first_text();
             config = config_read(core, first, strlen(first), 0, faults);
@@ -41,10 +41,10 @@
 }
 
 /* What was checked before it was committed needs no second reading. */
-static const Config *trial_take(Core *core, const Revision *newest)
+static const Config *trial_take(Core *core, const Version *newest)
 {
     for (Trial *at = core->trials; at != NULL; at = at->next)
-        if (at->config != NULL && at->set.revision == newest->revision && at->set.base == newest->base &&
+        if (at->config != NULL && at->set.version == newest->version && at->set.base == newest->base &&
             at->set.patch == newest->patch && at->loads == table_loads(core->table) &&
             strcmp(at->set.text, newest->text) == 0) {
             const Config *config = talloc_steal(core, at->config);
@@ -56,15 +56,15 @@
 
 const Config *core_config(Core *core)
 {
-    const Revisions *revisions = table_revisions(core->table);
-    const uint64_t revision = revisions_newest(revisions), loads = table_loads(core->table);
+    const Versions *versions = table_versions(core->table);
+    const uint64_t version = versions_newest(versions), loads = table_loads(core->table);
     const bool same_load = core->config_loads == loads;
-    if (core->config != NULL && same_load && (core->config->revision == revision || core->config_unread == revision))
+    if (core->config != NULL && same_load && (core->config->version == version || core->config_unread == version))
         return core->config;
     core->config_unread = UINT64_MAX;
-    const Config *config = revision > 0 ? trial_take(core, &revisions->rows[revisions->count - 1]) : NULL;
+    const Config *config = version > 0 ? trial_take(core, &versions->rows[versions->count - 1]) : NULL;
     if (config == NULL)
-        config = read_now(core, revision, same_load);
+        config = read_now(core, version, same_load);
     core->config_loads = loads;
     if (config == NULL)
         return core->config;
@@ -91,13 +91,13 @@
 
 void limits_follow(Core *core)
 {
-    const Revisions *revisions = table_revisions(core->table);
-    const uint64_t newest = revisions_newest(revisions), loads = table_loads(core->table);
-    if (newest == 0 || (newest == core->limits_revision && loads == core->limits_loads))
+    const Versions *versions = table_versions(core->table);
+    const uint64_t newest = versions_newest(versions), loads = table_loads(core->table);
+    if (newest == 0 || (newest == core->limits_version && loads == core->limits_loads))
         return;
-    core->limits_revision = newest;
+    core->limits_version = newest;
     core->limits_loads = loads;
-    limits_serve(core->loop, revisions_limits(revisions));
+    limits_serve(core->loop, versions_limits(versions));
 }
 
 const Policy *core_policy(void *arg, const ConfigCell *cell)
--- a/packages/core/src/inforce.h
+++ b/packages/core/src/inforce.h
@@ -16,7 +16,7 @@
 void trial_enter(Core *core, Trial *trial);
 void trial_leave(Core *core, Trial *trial);
 
-/* Keeps callers within the limits of the table's newest revision. */
+/* Keeps callers within the limits of the table's newest version. */
 void limits_follow(Core *core);
 
 #endif
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -86,13 +86,13 @@
     Map *kept;            /* names of cells to Kept */
     Map *alerts;          /* those that stand */
     uint64_t alert_looks;
-    const Config *config;  /* of the table's newest revision that could be read */
+    const Config *config;  /* of the table's newest version that could be read */
     uint64_t config_loads; /* table_loads when it was read */
     PieceSource piece_source;
     uint64_t config_stamp;  /* another with each other config */
-    uint64_t config_unread; /* a revision that can't be read */
+    uint64_t config_unread; /* a version that can't be read */
     struct Trial *trials;
-    uint64_t limits_revision, limits_loads; /* whose limits this process keeps */
+    uint64_t limits_version, limits_loads; /* whose limits this process keeps */
     uint64_t policy_failures_told;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -88,7 +88,7 @@
     if (!core_decides(core))
         return;
     out->orders = true;
-    out->revision = table_orders(core->table, beat->worker.name);
+    out->version = table_orders(core->table, beat->worker.name);
     out->expiry_ms = ORDER_EXPIRY_MS;
     orders_fill(core, mem, beat, out);
 }
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -12,7 +12,7 @@
     Core *core;
     size_t users;
     size_t pending;
-    uint64_t config_have; /* the newest revision of the table when it began */
+    uint64_t config_have; /* the newest version of the table when it began */
     Signal ended;
     RepairItem *items;
     size_t count;
@@ -79,9 +79,9 @@
     return x->index < y->index ? -1 : x->index > y->index;
 }
 
-static uint64_t revision_of(const ConfigSet *set)
+static uint64_t version_of(const ConfigSet *set)
 {
-    return set->revision != 0 ? set->revision : set->base + 1;
+    return set->version != 0 ? set->version : set->base + 1;
 }
 
 /* Whether the state has it already, so that telling it would change nothing. */
@@ -105,7 +105,7 @@
     }
     case CHANGE_CONFIG_SET:
         return shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK ||
-               revisions_newest(table_revisions(table)) >= revision_of(&set);
+               versions_newest(table_versions(table)) >= version_of(&set);
     case CHANGE_ZONE_DRAIN:
         return shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) != STATUS_OK ||
                table_drain_stamp(table, drain.zone) >= drain.stamp || table_drain_known(table, &drain) != DRAIN_NEW;
@@ -120,14 +120,14 @@
     }
 }
 
-/* A configuration told again counts by its revision, not by its base. */
+/* A configuration told again counts by its version, not by its base. */
 static Bytes restored(void *mem, const RepairItem *item)
 {
     ConfigSet set;
     if (item->change != CHANGE_CONFIG_SET ||
         shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) != STATUS_OK)
         return item->payload;
-    set.revision = revision_of(&set);
+    set.version = version_of(&set);
     set.restored = true;
     Bytes payload = {0};
     shape_pack(&ConfigSet_shape, &set, mem, &payload);
@@ -135,7 +135,7 @@
 }
 
 /* A configuration that is told as a change counts only upon the one before: they
- * are put in the order of their revisions, from wherever they are told. */
+ * are put in the order of their versions, from wherever they are told. */
 static void configs_order(Retelling *retelling)
 {
     for (size_t i = 0; i < retelling->count; i++) {
@@ -143,7 +143,7 @@
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
             shape_unpack(&ConfigSet_shape, item->payload, retelling, &set, NULL) == STATUS_OK)
-            item->index = revision_of(&set);
+            item->index = version_of(&set);
     }
 }
 
@@ -157,7 +157,7 @@
     Retelling *retelling = talloc_zero(core, Retelling);
     retelling->core = core;
     retelling->users = 1;
-    retelling->config_have = revisions_newest(table_revisions(core->table));
+    retelling->config_have = versions_newest(table_versions(core->table));
     const MemberTable *table = members_table(core->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -211,7 +211,7 @@
     for (size_t i = 0; i < zone_count; i++)
         json_object_array_add(drained, text_of(zones[i]));
     json_object_object_add(body, "drainedZones", drained);
-    json_object_object_add(body, "configRevision", number_of((int64_t)revisions_newest(table_revisions(core->table))));
+    json_object_object_add(body, "configRevision", number_of((int64_t)versions_newest(table_versions(core->table))));
     const char *words;
     const uint64_t policy_failures = core_policy_failures(core, &words);
     json_object_object_add(body, "policyFailures", number_of((int64_t)policy_failures));
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -48,7 +48,7 @@
         trace_rounds(core, body);
         break;
     case CHANGE_CONFIG_SET:
-        trace_say(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->revision);
+        trace_say(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->version);
         break;
     case CHANGE_ZONE_DRAIN: {
         const ZoneDrain *drain = body;
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -8,13 +8,13 @@
 #include "trace/trace.h"
 
 /* What a process without a seat knows of the configuration, told by the leader
- * within a moment: which revision is in force and its limits. They are put in
+ * within a moment: which version is in force and its limits. They are put in
  * force here.
  *
  * The document is kept for repair only: what the disks lose is told again. Small
  * differences come at once, a whole one once nothing has changed for a while, so
  * that a storm of changes does not fill a narrow link.
- * Invariant: revisions never has a revision above the one known. */
+ * Invariant: versions never has a version above the one known. */
 typedef struct ConfigWatch ConfigWatch;
 
 /* Whether to ask for the configuration now; null: always. Otherwise the leader is
@@ -25,17 +25,17 @@
 /* Begins to ask. */
 void config_watch_start(ConfigWatch *config_watch, ConfigWatchFn wanted, void *arg);
 /* The newest that is known; 0: none. */
-uint64_t config_watch_revision(const ConfigWatch *config_watch);
+uint64_t config_watch_version(const ConfigWatch *config_watch);
 /* Bytes of the newest document that is known, at most; 0: none, or its leader does not say. */
 uint64_t config_watch_size(const ConfigWatch *config_watch);
-/* The revision whose whole document is held for repair; 0: none. */
+/* The version whose whole document is held for repair; 0: none. */
 uint64_t config_watch_held(const ConfigWatch *config_watch);
-/* Adds what is kept of the document, on mem, to be told again to one that has a revision. */
+/* Adds what is kept of the document, on mem, to be told again to one that has a version. */
 void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list);
 
-/* What the leader answers out of its revisions, under the answer's epoch; true when there
+/* What the leader answers out of its versions, under the answer's epoch; true when there
  * is news. On mem, and valid until the next wait. */
-bool config_watch_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+bool config_watch_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                          void *mem, ConfigWatchAnswer *answer);
 
 #endif
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -17,7 +17,7 @@
 SHAPE(Nothing, NOTHING_FIELDS)
 
 /* A leader whose disks may have forgotten asks for what was told. Configurations up to the
- * revision that it has are left out: a large one fills a narrow link. */
+ * version that it has are left out: a large one fills a narrow link. */
 #define RETELL_ASK_FIELDS(X) \
     X(U64, nothing, 0)       \
     X(U64, config_have, 0)
@@ -46,7 +46,7 @@
     X(TXT, leader_id, 0)
 SHAPE(ForwardAnswer, FORWARD_ANSWER_FIELDS)
 
-/* Answered when there is a revision above have, or, when the document is wanted
+/* Answered when there is a version above have, or, when the document is wanted
  * too, above the one that it is had of. */
 #define CONFIG_WATCH_ASK_FIELDS(X)                                                                      \
     X(U64, have, 0)                                                                                     \
@@ -55,21 +55,21 @@
     X(FLAG, brief, 0)     /* as sets, not as a text */                                                  \
     X(FLAG, first, 0)     /* of this leader: answered at once, so that it is known to serve */          \
     X(U64, piece_most, 0) /* bytes; a document that is larger comes in pieces of so many; 0: at once */ \
-    X(U64, piece_of, 0)   /* the revision whose document has begun to come; 0: none */                  \
+    X(U64, piece_of, 0)   /* the version whose document has begun to come; 0: none */                   \
     X(U64, piece_from, 0) /* bytes; so much of it is there */
 SHAPE(ConfigWatchAsk, CONFIG_WATCH_ASK_FIELDS)
 
-#define CONFIG_WATCH_ANSWER_FIELDS(X)                                                                        \
-    X(U64, epoch, 0)                                                                                         \
-    X(U64, revision, 0)                                                                                      \
-    X(TXT, text, 0)                                                                                          \
-    X(ONE, limits, ConfigLimits)                                                                             \
-    X(LST, sets, ConfigSet)      /* from text_have on, or one whole */                                       \
-    X(FLAG, waits, 0)            /* it does not serve yet */                                                 \
-    X(U64, size, 0)              /* bytes; of the whole document, at most so many */                         \
-    X(ONE, piece_set, ConfigSet) /* what the piece is of, without its text; revision 0: there is no piece */ \
-    X(U64, piece_from, 0)        /* bytes; of the text that are before it */                                 \
-    X(U64, piece_length, 0)      /* bytes; of the whole text */                                              \
+#define CONFIG_WATCH_ANSWER_FIELDS(X)                                                                       \
+    X(U64, epoch, 0)                                                                                        \
+    X(U64, version, 0)                                                                                      \
+    X(TXT, text, 0)                                                                                         \
+    X(ONE, limits, ConfigLimits)                                                                            \
+    X(LST, sets, ConfigSet)      /* from text_have on, or one whole */                                      \
+    X(FLAG, waits, 0)            /* it does not serve yet */                                                \
+    X(U64, size, 0)              /* bytes; of the whole document, at most so many */                        \
+    X(ONE, piece_set, ConfigSet) /* what the piece is of, without its text; version 0: there is no piece */ \
+    X(U64, piece_from, 0)        /* bytes; of the text that are before it */                                \
+    X(U64, piece_length, 0)      /* bytes; of the whole text */                                             \
     X(BIN, piece, 0)
 SHAPE(ConfigWatchAnswer, CONFIG_WATCH_ANSWER_FIELDS)
 
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/feed/include/feed/pieces.h
@@ -23,7 +23,7 @@
 /* The piece that was asked for, if it is of the version that is being handed over; else the
  * first of that one. A text costs a reading of the whole document: while one is asked for, all
  * who ask are given that, and what has changed since as differences. */
-void piece_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+void piece_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                   ConfigWatchAnswer *answer);
 /* Gives back the text that nobody has asked for of late. */
 void piece_rest(PieceSource *source, int64_t now_ms);
--- a/packages/feed/src/attempt.c
+++ b/packages/feed/src/attempt.c
@@ -46,7 +46,7 @@
             trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
         else if (item->change == CHANGE_CONFIG_SET &&
                  shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK)
-            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.revision);
+            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.version);
         else if (item->change == CHANGE_ZONE_DRAIN &&
                  shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) == STATUS_OK)
             trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -8,7 +8,7 @@
 #include "feed/limits.h"
 #include "table/deliverconfig.h"
 
-#define CONFIG_WATCH_KEEP 8            /* count; revisions kept for repair: any later one holds all of them */
+#define CONFIG_WATCH_KEEP 8            /* count; versions kept for repair: any later one holds all of them */
 #define CONFIG_WATCH_CALM_MS 5000      /* ms; nothing has changed for so long: the document itself is asked for */
 #define CONFIG_WATCH_EAGER_BYTES 16384 /* bytes; so much of it comes at once: 65 ms of a 2 Mbit/s link */
 #define CONFIG_WATCH_PIECE_REST 3      /* times; what a piece took, before the next: a quarter of the link at most */
@@ -22,9 +22,9 @@
     ConfigWatchFn wanted;
     void *arg;
     uint64_t epoch; /* the newest heard of */
-    uint64_t revision, size;
+    uint64_t version, size;
     int64_t learnt_ms;
-    Revisions *revisions;
+    Versions *versions;
     Pieces pieces; /* of a large document on its way */
     uint64_t turn; /* of the ways, when the newest asking task began */
 };
@@ -40,14 +40,14 @@
 {
     ConfigWatch *config_watch = talloc_zero(mem, ConfigWatch);
     *config_watch = (ConfigWatch){.loop = loop, .rpc = rpc, .ways = ways, .trace = trace};
-    config_watch->revisions = revisions_new(config_watch, CONFIG_WATCH_KEEP, CONFIG_WATCH_KEEP);
+    config_watch->versions = versions_new(config_watch, CONFIG_WATCH_KEEP, CONFIG_WATCH_KEEP);
     config_watch->pieces.mem = config_watch;
     return config_watch;
 }
 
-uint64_t config_watch_revision(const ConfigWatch *config_watch)
+uint64_t config_watch_version(const ConfigWatch *config_watch)
 {
-    return config_watch->revision;
+    return config_watch->version;
 }
 
 uint64_t config_watch_size(const ConfigWatch *config_watch)
@@ -57,15 +57,15 @@
 
 uint64_t config_watch_held(const ConfigWatch *config_watch)
 {
-    return revisions_newest(config_watch->revisions);
+    return versions_newest(config_watch->versions);
 }
 
 /* --- the leader's side ----------------------------------------------------------------- */
 
-static ConfigSet set_of(const Revision *row)
+static ConfigSet set_of(const Version *row)
 {
     return (ConfigSet){.base = row->base,
-                       .revision = row->revision,
+                       .version = row->version,
                        .text = row->text,
                        .restored = true,
                        .patch = row->patch,
@@ -73,51 +73,51 @@
                        .limits = row->limits};
 }
 
-/* The changes since a revision, when there are texts of all of them. */
-static bool changes_since(const Revisions *revisions, uint64_t have, size_t most, void *mem, ConfigWatchAnswer *answer)
+/* The changes since a version, when there are texts of all of them. */
+static bool changes_since(const Versions *versions, uint64_t have, size_t most, void *mem, ConfigWatchAnswer *answer)
 {
-    size_t from = revisions->count, bytes = 0;
-    while (from > 0 && revisions->rows[from - 1].revision > have)
-        bytes += strlen(revisions->rows[--from].text);
-    const bool known = from > 0 && revisions->rows[from - 1].revision == have && from >= revisions->whole;
+    size_t from = versions->count, bytes = 0;
+    while (from > 0 && versions->rows[from - 1].version > have)
+        bytes += strlen(versions->rows[--from].text);
+    const bool known = from > 0 && versions->rows[from - 1].version == have && from >= versions->whole;
     if (!known || bytes > most)
         return false;
-    answer->sets_count = revisions->count - from;
+    answer->sets_count = versions->count - from;
     answer->sets = talloc_array(mem, ConfigSet, (unsigned)answer->sets_count);
     for (size_t i = 0; i < answer->sets_count; i++)
-        answer->sets[i] = set_of(&revisions->rows[from + i]);
+        answer->sets[i] = set_of(&versions->rows[from + i]);
     return true;
 }
 
-static bool whole_now(const Revisions *revisions, size_t most, void *mem, ConfigWatchAnswer *answer)
+static bool whole_now(const Versions *versions, size_t most, void *mem, ConfigWatchAnswer *answer)
 {
-    if (revisions_size(revisions) > most)
+    if (versions_size(versions) > most)
         return false;
-    const Revision *newest = &revisions->rows[revisions->count - 1];
+    const Version *newest = &versions->rows[versions->count - 1];
     answer->sets = talloc(mem, ConfigSet);
     answer->sets_count = 1;
     *answer->sets = set_of(newest);
     answer->sets->patch = false;
-    answer->sets->text = revisions_text(revisions, mem, newest->revision);
+    answer->sets->text = versions_text(versions, mem, newest->version);
     return true;
 }
 
-bool config_watch_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+bool config_watch_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                          void *mem, ConfigWatchAnswer *answer)
 {
     piece_rest(source, now_ms);
-    const uint64_t newest = revisions_newest(revisions);
+    const uint64_t newest = versions_newest(versions);
     if (newest <= ask->have && !(ask->wants && newest > ask->text_have))
         return false;
-    answer->revision = newest;
-    answer->limits = *revisions_limits(revisions);
-    answer->size = revisions_size(revisions);
+    answer->version = newest;
+    answer->limits = *versions_limits(versions);
+    answer->size = versions_size(versions);
     const size_t most = !ask->wants ? CONFIG_WATCH_EAGER_BYTES : ask->piece_most > 0 ? ask->piece_most : SIZE_MAX;
     if (!ask->brief) /* a gate of an earlier release */
-        answer->text = revisions_text(revisions, mem, newest);
-    else if (newest > ask->text_have && !changes_since(revisions, ask->text_have, most, mem, answer) &&
-             !whole_now(revisions, most, mem, answer) && ask->wants)
-        piece_answer(source, revisions, ask, now_ms, answer);
+        answer->text = versions_text(versions, mem, newest);
+    else if (newest > ask->text_have && !changes_since(versions, ask->text_have, most, mem, answer) &&
+             !whole_now(versions, most, mem, answer) && ask->wants)
+        piece_answer(source, versions, ask, now_ms, answer);
     return true;
 }
 
@@ -127,8 +127,8 @@
 {
     ChangeResult result = {0};
     set.restored = true;
-    if (set.revision <= config_watch->revision)
-        deliver_config(config_watch->revisions, &set, &result);
+    if (set.version <= config_watch->version)
+        deliver_config(config_watch->versions, &set, &result);
 }
 
 static void learn(ConfigWatch *config_watch, void *mem, const ConfigWatchAnswer *answer)
@@ -137,9 +137,9 @@
         config_watch->epoch = answer->epoch;
         trace_say(config_watch->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
     }
-    if (answer->revision > config_watch->revision) {
-        trace_say(config_watch->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->revision);
-        config_watch->revision = answer->revision;
+    if (answer->version > config_watch->version) {
+        trace_say(config_watch->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->version);
+        config_watch->version = answer->version;
         config_watch->size = answer->size;
         config_watch->learnt_ms = loop_now_ms(config_watch->loop);
         limits_serve(config_watch->loop, &answer->limits);
@@ -154,17 +154,17 @@
 static Status ask_once(ConfigWatch *config_watch, const WaysTaken *taken, bool first)
 {
     void *mem = talloc_new(config_watch);
-    const uint64_t text_have = revisions_newest(config_watch->revisions);
+    const uint64_t text_have = versions_newest(config_watch->versions);
     const bool wanted = config_watch->wanted == NULL || config_watch->wanted(config_watch->arg);
     const bool calm = loop_now_ms(config_watch->loop) - config_watch->learnt_ms >= CONFIG_WATCH_CALM_MS;
     if (first)
         pieces_drop(&config_watch->pieces);
     ConfigWatchAsk ask = {.have = UINT64_MAX, .text_have = UINT64_MAX, .brief = true};
     if (wanted)
-        ask = (ConfigWatchAsk){.have = config_watch->revision,
+        ask = (ConfigWatchAsk){.have = config_watch->version,
                                .text_have = text_have,
                                .wants =
-                                   text_have < config_watch->revision && (calm || pieces_begun(&config_watch->pieces)),
+                                   text_have < config_watch->version && (calm || pieces_begun(&config_watch->pieces)),
                                .brief = true,
                                .piece_most = CONFIG_WATCH_EAGER_BYTES};
     pieces_ask(&config_watch->pieces, &ask);
@@ -189,7 +189,7 @@
     loop_sleep(config_watch->loop, rest_ms < CONFIG_WATCH_PIECE_REST_MAX_MS ? rest_ms : CONFIG_WATCH_PIECE_REST_MAX_MS);
 }
 
-/* Asks with the revision that it has and is answered when there is news, or after a
+/* Asks with the version that it has and is answered when there is news, or after a
  * while. */
 static void ask_main(void *arg)
 {
@@ -230,22 +230,21 @@
     loop_spawn(config_watch->loop, "feeds", config_watch_main, config_watch);
 }
 
-/* The first row to tell to one that has a revision. */
-static size_t tell_from(const Revisions *revisions, uint64_t have)
+/* The first row to tell to one that has a version. */
+static size_t tell_from(const Versions *versions, uint64_t have)
 {
-    size_t from = revisions->whole;
-    while (from < revisions->count && revisions->rows[from].revision <= have)
+    size_t from = versions->whole;
+    while (from < versions->count && versions->rows[from].version <= have)
         from++;
-    const bool needs_more =
-        from < revisions->count && revisions->rows[from].patch && revisions->rows[from].base != have;
-    return needs_more ? revisions->whole : from;
+    const bool needs_more = from < versions->count && versions->rows[from].patch && versions->rows[from].base != have;
+    return needs_more ? versions->whole : from;
 }
 
 void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list)
 {
-    const Revisions *revisions = config_watch->revisions;
-    for (size_t i = tell_from(revisions, have); i < revisions->count; i++) {
-        const ConfigSet set = set_of(&revisions->rows[i]);
+    const Versions *versions = config_watch->versions;
+    for (size_t i = tell_from(versions, have); i < versions->count; i++) {
+        const ConfigSet set = set_of(&versions->rows[i]);
         RepairItem item = {CHANGE_CONFIG_SET, 0, {0}};
         shape_pack(&ConfigSet_shape, &set, mem, &item.payload);
         list->items = talloc_realloc(mem, list->items, RepairItem, (unsigned)(list->items_count + 1));
--- a/packages/feed/src/keeper.c
+++ b/packages/feed/src/keeper.c
@@ -94,7 +94,7 @@
     void *mem = talloc_new(NULL);
     ConfigSet set;
     const bool had = shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK &&
-                     (set.revision != 0 ? set.revision : set.base + 1) <= have;
+                     (set.version != 0 ? set.version : set.base + 1) <= have;
     talloc_free(mem);
     return had;
 }
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -14,45 +14,45 @@
     source->version = 0;
 }
 
-static const Revision *row_of(const Revisions *revisions, uint64_t version)
+static const Version *row_of(const Versions *versions, uint64_t version)
 {
-    for (size_t i = revisions->count; i > 0; i--)
-        if (revisions->rows[i - 1].revision == version)
-            return &revisions->rows[i - 1];
+    for (size_t i = versions->count; i > 0; i--)
+        if (versions->rows[i - 1].version == version)
+            return &versions->rows[i - 1];
     return NULL;
 }
 
 /* Whether its text may go on being handed over to the asker. */
-static bool source_good(const PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask,
-                        uint64_t epoch, int64_t now_ms)
+static bool source_good(const PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, uint64_t epoch,
+                        int64_t now_ms)
 {
     return source->text != NULL && source->epoch == epoch && source->version > ask->text_have &&
-           now_ms - source->used_ms <= PIECE_TEXT_MS && row_of(revisions, source->version) != NULL;
+           now_ms - source->used_ms <= PIECE_TEXT_MS && row_of(versions, source->version) != NULL;
 }
 
-static void source_set(PieceSource *source, const Revisions *revisions, uint64_t epoch)
+static void source_set(PieceSource *source, const Versions *versions, uint64_t epoch)
 {
     source_drop(source);
     source->epoch = epoch;
-    source->version = revisions_newest(revisions);
-    source->text = revisions_text(revisions, source->mem, source->version);
+    source->version = versions_newest(versions);
+    source->text = versions_text(versions, source->mem, source->version);
     source->length = strlen(source->text);
 }
 
-void piece_answer(PieceSource *source, const Revisions *revisions, const ConfigWatchAsk *ask, int64_t now_ms,
+void piece_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                   ConfigWatchAnswer *answer)
 {
-    if (!source_good(source, revisions, ask, answer->epoch, now_ms))
-        source_set(source, revisions, answer->epoch);
+    if (!source_good(source, versions, ask, answer->epoch, now_ms))
+        source_set(source, versions, answer->epoch);
     source->used_ms = now_ms;
     const bool goes_on = ask->piece_of == source->version && ask->piece_from <= source->length;
     const uint64_t from = goes_on ? ask->piece_from : 0;
     const uint64_t left = source->length - from;
-    const Revision *row = row_of(revisions, source->version);
+    const Version *row = row_of(versions, source->version);
     if (row == NULL) /* no piece: it is asked for anew */
         return;
     answer->piece_set = (ConfigSet){.base = row->base,
-                                    .revision = row->revision,
+                                    .version = row->version,
                                     .text = "",
                                     .restored = true,
                                     .digest = row->digest,
@@ -90,14 +90,14 @@
 
 bool pieces_take(void *mem, Pieces *pieces, const ConfigWatchAnswer *answer, ConfigSet *set)
 {
-    if (answer->piece_set.revision == 0)
+    if (answer->piece_set.version == 0)
         return false;
     if (answer->piece_from == 0) {
         pieces_drop(pieces);
-        pieces->version = answer->piece_set.revision;
+        pieces->version = answer->piece_set.version;
         pieces->length = answer->piece_length;
     }
-    const bool follows = answer->piece_set.revision == pieces->version && answer->piece_from == pieces->text.count &&
+    const bool follows = answer->piece_set.version == pieces->version && answer->piece_from == pieces->text.count &&
                          answer->piece_length == pieces->length &&
                          answer->piece.count <= pieces->length - pieces->text.count;
     if (!follows) {
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -20,7 +20,7 @@
 static const char FIRST[] = "{\"note\":\"a text that is longer than one piece or two of them\",\"r\":1}";
 
 typedef struct Hand {
-    Revisions *revisions;
+    Versions *versions;
     PieceSource source;
     Pieces pieces;
     int64_t now_ms;
@@ -29,20 +29,20 @@
 
 static void change(Hand *hand, uint64_t version, const char *text, bool patch)
 {
-    const ConfigSet set = {.base = revisions_newest(hand->revisions),
-                           .revision = version,
+    const ConfigSet set = {.base = versions_newest(hand->versions),
+                           .version = version,
                            .text = text,
                            .patch = patch,
                            .digest = talloc_asprintf(hand, "digest %d", (int)version)};
     ChangeResult result = {0};
-    deliver_config(hand->revisions, &set, &result);
+    deliver_config(hand->versions, &set, &result);
     assert_int_equal(result.status, STATUS_OK);
 }
 
 static Hand *hand_new(void)
 {
     Hand *hand = talloc_zero(NULL, Hand);
-    hand->revisions = revisions_new(hand, KEPT, KEPT);
+    hand->versions = versions_new(hand, KEPT, KEPT);
     hand->source.mem = hand;
     hand->pieces.mem = hand;
     hand->epoch = EPOCH;
@@ -57,7 +57,7 @@
     ConfigWatchAnswer answer = {.epoch = hand->epoch};
     hand->now_ms += 100;
     pieces_ask(pieces, &ask);
-    piece_answer(&hand->source, hand->revisions, &ask, hand->now_ms, &answer);
+    piece_answer(&hand->source, hand->versions, &ask, hand->now_ms, &answer);
     assert_true(answer.piece.count <= MOST);
     return pieces_take(hand, pieces, &answer, set);
 }
@@ -78,7 +78,7 @@
     (void)state;
     const ConfigSet set = whole(hand, &hand->pieces);
     assert_string_equal(set.text, FIRST);
-    assert_int_equal(set.revision, 1);
+    assert_int_equal(set.version, 1);
     assert_string_equal(set.digest, "digest 1");
     assert_true(set.restored && !set.patch);
     assert_false(pieces_begun(&hand->pieces));
@@ -94,12 +94,12 @@
     assert_false(step(hand, &hand->pieces, 0, &set));
     change(hand, 2, "{\"r\":2}", true);
     set = whole(hand, &hand->pieces);
-    assert_int_equal(set.revision, 1);
+    assert_int_equal(set.version, 1);
     assert_string_equal(set.text, FIRST);
     /* one that has it already is given the next, not the same again */
     assert_false(step(hand, &hand->pieces, 1, &set));
     set = whole(hand, &hand->pieces);
-    assert_int_equal(set.revision, 2);
+    assert_int_equal(set.version, 2);
     assert_non_null(strstr(set.text, "\"r\":2"));
     talloc_free(hand);
 }
@@ -113,10 +113,10 @@
     assert_false(step(hand, &hand->pieces, 0, &set));
     for (uint64_t version = 2; version < 2 * (KEPT + CONFIG_HISTORY_STEP); version++)
         change(hand, version, talloc_asprintf(hand, "{\"r\":%d}", (int)version), true);
-    assert_true(hand->revisions->rows[0].revision > 1);
+    assert_true(hand->versions->rows[0].version > 1);
     set = whole(hand, &hand->pieces);
-    assert_int_equal(set.revision, revisions_newest(hand->revisions));
-    assert_string_equal(set.text, revisions_text(hand->revisions, hand, set.revision));
+    assert_int_equal(set.version, versions_newest(hand->versions));
+    assert_string_equal(set.text, versions_text(hand->versions, hand, set.version));
     talloc_free(hand);
 }
 
@@ -128,7 +128,7 @@
     ConfigSet set;
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
-    hand->revisions = revisions_new(hand, KEPT, KEPT);
+    hand->versions = versions_new(hand, KEPT, KEPT);
     change(hand, 1, OTHER, false);
     hand->epoch++;
     pieces_drop(&hand->pieces); /* as the feed does with each other leader */
@@ -165,10 +165,10 @@
     (void)state;
     assert_false(step(hand, &hand->pieces, 0, &set));
     const ConfigWatchAnswer strange[] = {
-        {.piece_set = {.revision = 2}, .piece_from = MOST, .piece_length = sizeof(FIRST) - 1},
-        {.piece_set = {.revision = 1}, .piece_from = MOST + 1, .piece_length = sizeof(FIRST) - 1},
-        {.piece_set = {.revision = 1}, .piece_from = MOST, .piece_length = sizeof(FIRST)},
-        {.piece_set = {.revision = 1},
+        {.piece_set = {.version = 2}, .piece_from = MOST, .piece_length = sizeof(FIRST) - 1},
+        {.piece_set = {.version = 1}, .piece_from = MOST + 1, .piece_length = sizeof(FIRST) - 1},
+        {.piece_set = {.version = 1}, .piece_from = MOST, .piece_length = sizeof(FIRST)},
+        {.piece_set = {.version = 1},
          .piece_from = MOST,
          .piece_length = sizeof(FIRST) - 1,
          .piece = {.data = (uint8_t *)(uintptr_t)FIRST, .count = sizeof(FIRST)}},
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -32,7 +32,7 @@
     show_metric(task, "inWork", (int64_t)gate->in_work);
     show_metric(task, "kept", (int64_t)repair_buffer_count(gate->repair_buffer));
     show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(gate->repair_buffer));
-    show_metric(task, "configRevision", (int64_t)config_watch_revision(gate->config_watch));
+    show_metric(task, "configRevision", (int64_t)config_watch_version(gate->config_watch));
     show_metric(task, "configHeld", (int64_t)config_watch_held(gate->config_watch));
     show_metric(task, "members", (int64_t)members_table(gate->members)->count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -128,7 +128,7 @@
 #define DOCUMENT_QUEUES_MAX 64
 
 typedef struct Document {
-    uint64_t revision;
+    uint64_t version;
     DocumentQueue queues[DOCUMENT_QUEUES_MAX];
     size_t queue_count;
     const char *kinds[4];
@@ -172,7 +172,7 @@
     /* The change from one to the other, as named items. */
     Worded (*patch)(void *mem, const Document *from, const Document *to);
     /* Whether what was read back is the document. */
-    bool (*same)(Bytes result, const Document *document, uint64_t *revision);
+    bool (*same)(Bytes result, const Document *document, uint64_t *version);
     char *(*zone_path)(void *mem, const char *zone, bool drain);
 } Tongue;
 
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -216,7 +216,7 @@
         return;
     node->used = true;
     node->life++;
-    node->saw_revision = 0;
+    node->saw_version = 0;
     node->up = node->leaving = false;
     sim_start(node->ground->world, node->machine, process_start, node);
     node_trouble(node, 0);
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -28,8 +28,8 @@
     FacePlace place;
     FaceNode node;
     Recorder *recorder;
-    void *mem;             /* of the process that runs */
-    uint64_t saw_revision; /* the newest document whose effect it has shown in this life */
+    void *mem;            /* of the process that runs */
+    uint64_t saw_version; /* the newest document whose effect it has shown in this life */
     int64_t saw_ms;
 } GroundNode;
 
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -28,13 +28,13 @@
     ledger->running = true;
     if (sent->spoil != SPOIL_NONE)
         rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
-                    "invalid document %" PRIu64 " (%d) is acknowledged", sent->document.revision, (int)sent->spoil);
+                    "invalid document %" PRIu64 " (%d) is acknowledged", sent->document.version, (int)sent->spoil);
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *other = ledger->rows[i];
         if (other != sent && other->word == SENT_TAKEN && other->base == sent->base)
             rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
-                        "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64,
-                        other->document.revision, sent->document.revision, sent->base);
+                        "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64, other->document.version,
+                        sent->document.version, sent->base);
     }
 }
 
@@ -43,7 +43,7 @@
     const Sent *newest = NULL;
     for (size_t i = 0; i < ledger->count; i++)
         if (ledger->rows[i]->word == SENT_TAKEN &&
-            (newest == NULL || ledger->rows[i]->document.revision > newest->document.revision))
+            (newest == NULL || ledger->rows[i]->document.version > newest->document.version))
             newest = ledger->rows[i];
     return newest;
 }
@@ -59,7 +59,7 @@
 /* A document that may be in force: it is not refused, not spoilt, and not below least. */
 static bool may_be(const Sent *sent, uint64_t least)
 {
-    return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.revision >= least;
+    return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= least;
 }
 
 static int has_from(const Ledger *ledger, const char *host, const char *prefix, uint64_t least)
@@ -80,8 +80,8 @@
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *sent = ledger->rows[i];
         if (sent->word == SENT_TAKEN && sent_ms > sent->taken_ms + ledger->ground->site->apply_ms &&
-            sent->document.revision > least)
-            least = sent->document.revision;
+            sent->document.version > least)
+            least = sent->document.version;
     }
     return least == 0 ? 0 : has_from(ledger, host, prefix, least);
 }
@@ -94,22 +94,22 @@
     if (node_in_touch(node) && ((known > 0 && !there) || (known < 0 && there)))
         rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground), "%s says that %s%s is %s", node->name, host,
                     prefix, word);
-    if (node->saw_revision != 0 && sent_ms > node->saw_ms + ground->site->revert_ms) {
-        const int seen = has_from(ledger, host, prefix, node->saw_revision);
+    if (node->saw_version != 0 && sent_ms > node->saw_ms + ground->site->revert_ms) {
+        const int seen = has_from(ledger, host, prefix, node->saw_version);
         if ((seen > 0 && !there) || (seen < 0 && there))
             rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
-                        "%s goes back behind %" PRIu64 ": %s%s is %s", node->name, node->saw_revision, host, prefix,
+                        "%s goes back behind %" PRIu64 ": %s%s is %s", node->name, node->saw_version, host, prefix,
                         word);
     }
     /* the oldest document from which on it is so: what it shows is at least that */
     uint64_t least = UINT64_MAX;
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *sent = ledger->rows[i];
-        if (may_be(sent, 0) && has(&sent->document, host, prefix) == there && sent->document.revision < least)
-            least = sent->document.revision;
+        if (may_be(sent, 0) && has(&sent->document, host, prefix) == there && sent->document.version < least)
+            least = sent->document.version;
     }
-    if (least != UINT64_MAX && least > node->saw_revision) {
-        node->saw_revision = least;
+    if (least != UINT64_MAX && least > node->saw_version) {
+        node->saw_version = least;
         node->saw_ms = ground_now_ms(ground);
     }
 }
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -23,7 +23,7 @@
         ledger_taken(self->ledger, sent);
     else if (outcome != OUTCOME_UNCLEAR)
         sent->word = SENT_REFUSED;
-    ground_say(ground, "document %" PRIu64 " on %" PRIu64 "%s%s: %s", sent->document.revision, sent->base,
+    ground_say(ground, "document %" PRIu64 " on %" PRIu64 "%s%s: %s", sent->document.version, sent->base,
                ordering->patch ? ", patched" : "", sent->spoil != SPOIL_NONE ? ", spoilt" : "", outcome_word(outcome));
     talloc_free(ordering);
 }
@@ -31,7 +31,7 @@
 static Ordering *document_order(Operator *self, const Document *document, const Document *from, Spoil spoil, bool raced)
 {
     Ordering *ordering = talloc_zero(self, Ordering);
-    const uint64_t base = from != NULL ? from->revision : 0;
+    const uint64_t base = from != NULL ? from->version : 0;
     *ordering = (Ordering){.owner = self, .raced = raced};
     ordering->sent = ledger_send(self->ledger, document, base, spoil);
     ordering->patch = from != NULL && spoil == SPOIL_NONE && dice_percent(&self->dice, 50);
@@ -68,7 +68,7 @@
 static void next(Operator *self, Document *document)
 {
     const uint64_t step = (uint64_t)dice_span(&self->dice, 1, 4);
-    document->revision = self->revision += step;
+    document->version = self->version += step;
 }
 
 /* What is in force, as far as the operator knows. */
@@ -99,9 +99,9 @@
     if (operator_ask(self, mem, operator_node(self), "GET", &worded, &result) == OUTCOME_GOOD)
         for (size_t i = 0; i < self->ledger->count; i++) {
             Sent *sent = self->ledger->rows[i];
-            uint64_t revision = 0;
-            const bool same = self->ground->tongue->same(result, &sent->document, &revision);
-            if (same && sent->word == SENT_OPEN && revision == sent->document.revision)
+            uint64_t version = 0;
+            const bool same = self->ground->tongue->same(result, &sent->document, &version);
+            if (same && sent->word == SENT_OPEN && version == sent->document.version)
                 ledger_taken(self->ledger, sent);
         }
     talloc_free(mem);
@@ -173,7 +173,7 @@
     const Spoil spoil = (Spoil)dice_span(&self->dice, SPOIL_NONE + 1, SPOIL_COUNT - 1);
     next(self, &to);
     if (spoil == SPOIL_OLD)
-        to.revision = from.revision;
+        to.version = from.version;
     loop_spawn(operator_loop(self), "spoilt", document_main, document_order(self, &to, &from, spoil, false));
 }
 
@@ -315,23 +315,23 @@
 {
     const Ground *ground = self->ground;
     const Sent *newest = ledger_newest(self->ledger), *known = NULL;
-    uint64_t revision = 0;
+    uint64_t version = 0;
     bool same = false;
     for (size_t i = 0; i < self->ledger->count && !same; i++) {
         const Sent *sent = self->ledger->rows[i];
-        same = ground->tongue->same(result, &sent->document, &revision) && sent->spoil == SPOIL_NONE;
-        if (sent->document.revision == revision && (known == NULL || same))
+        same = ground->tongue->same(result, &sent->document, &version) && sent->spoil == SPOIL_NONE;
+        if (sent->document.version == version && (known == NULL || same))
             known = sent;
     }
-    if (newest != NULL && revision < newest->document.revision)
+    if (newest != NULL && version < newest->document.version)
         rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
-                    "%" PRIu64 " is read back, %" PRIu64 " was acknowledged", revision, newest->document.revision);
+                    "%" PRIu64 " is read back, %" PRIu64 " was acknowledged", version, newest->document.version);
     else if (!same)
         rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
-                    "what is read back as %" PRIu64 " was not sent so", revision);
+                    "what is read back as %" PRIu64 " was not sent so", version);
     else if (known != NULL && known->word == SENT_REFUSED)
         rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground), "%" PRIu64 " was refused and is in force",
-                    revision);
+                    version);
 }
 
 static void finish_main(void *arg)
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -10,8 +10,8 @@
     Ledger *ledger;
     int machine;
     Dice dice;
-    uint64_t revision; /* the highest that was ever used */
-    uint64_t idle;     /* numbers queues that nobody hands in to */
+    uint64_t version; /* the highest that was ever used */
+    uint64_t idle;    /* numbers queues that nobody hands in to */
     size_t opened, orders, unclear;
     GroundNode *last_taker; /* who has acknowledged something last */
     int64_t last_taken_ms;
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -67,7 +67,7 @@
     rules_broke(ground->rules, RULE_ACK, ground_day_ms(ground),
                 "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
                 ordering->sent != NULL ? "document" : ordering->zone,
-                ordering->sent != NULL ? ordering->sent->document.revision : 0, now_ms - from_ms);
+                ordering->sent != NULL ? ordering->sent->document.version : 0, now_ms - from_ms);
 }
 
 /* UNCLEAR: go on; else what ended it. */
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -113,11 +113,11 @@
 void checker_cancelled(Checker *checker, const char *job);
 void checker_job_ended(Checker *checker, const char *job, const char *phase);
 void checker_unknown(Checker *checker, const char *job);
-/* The revision that an operator was told is in force, and one read back later. */
-void checker_config_set(Checker *checker, uint64_t revision);
+/* The version that an operator was told is in force, and one read back later. */
+void checker_config_set(Checker *checker, uint64_t version);
 /* Two operators were both told that their change built on this base. */
 void checker_config_both(Checker *checker, uint64_t base);
-void checker_config_read(Checker *checker, uint64_t revision);
+void checker_config_read(Checker *checker, uint64_t version);
 /* The effect of configurations: who is in and out, tried by work sent at sent_ms
  * and answered now; a quota of the tenant in every cell. */
 void checker_tenant(Checker *checker, const char *tenant, TenantWord word);
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -6,19 +6,19 @@
 #include <string.h>
 #include <talloc.h>
 
-void checker_config_set(Checker *checker, uint64_t revision)
+void checker_config_set(Checker *checker, uint64_t version)
 {
-    if (revision <= checker->revision)
-        checker_broke(checker, NEVER_CONFIG_LOST, "revision %" PRIu64 " was given again after %" PRIu64, revision,
-                      checker->revision);
-    checker->revision = revision;
+    if (version <= checker->version)
+        checker_broke(checker, NEVER_CONFIG_LOST, "revision %" PRIu64 " was given again after %" PRIu64, version,
+                      checker->version);
+    checker->version = version;
 }
 
-void checker_config_read(Checker *checker, uint64_t revision)
+void checker_config_read(Checker *checker, uint64_t version)
 {
-    if (revision < checker->revision)
+    if (version < checker->version)
         checker_broke(checker, NEVER_CONFIG_LOST, "revision %" PRIu64 " is in force after %" PRIu64 " was acknowledged",
-                      revision, checker->revision);
+                      version, checker->version);
 }
 
 void checker_config_both(Checker *checker, uint64_t base)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -95,7 +95,7 @@
     const char *plan_leader;
     bool plan_gone; /* the process that planned under plan_epoch has ended */
     Map *epochs;    /* every epoch that planned, to its leader */
-    uint64_t revision;
+    uint64_t version;
     int64_t fault_ms;   /* the last failure brought about; 0: none */
     int64_t started_ms; /* the first start since then; 0: none yet */
     int64_t worst_ms[SERVE_COUNT];
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -14,7 +14,7 @@
     bool in, quota;
     Room room;
     uint64_t base;
-    uint64_t revision; /* named by it; 0: none. Such a call is sent again after silence */
+    uint64_t version; /* named by it; 0: none. Such a call is sent again after silence */
     const char *body;
     bool done;
     int code;
@@ -30,14 +30,14 @@
         checker_tenant(checker, operator->tenant, word);
 }
 
-#define OPERATOR_TRIES 4 /* count; of a call that names its revision */
+#define OPERATOR_TRIES 4 /* count; of a call that names its version */
 
-/* One try at one gate; the code, 0 after silence, and the revision that was told. */
-static int operator_try(Operator *operator, int gate, int64_t wait_ms, uint64_t *revision)
+/* One try at one gate; the code, 0 after silence, and the version that was told. */
+static int operator_try(Operator *operator, int gate, int64_t wait_ms, uint64_t *version)
 {
     Fleet *fleet = operator->sweep->fleet;
     void *mem = talloc_new(fleet);
-    const char *named = operator->revision> 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, operator->revision) : "";
+    const char *named = operator->version> 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, operator->version) : "";
     HttpCall call = {.mem = mem,
                      .address = fleet->nodes[FLEET_GATE][gate % 3].settings.http,
                      .method = "PATCH",
@@ -46,8 +46,8 @@
     bytes_add(mem, &call.body, operator->body, strlen(operator->body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), &call);
     bytes_add(mem, &call.result, "", 1);
-    if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, revision) != 1)
-        *revision = 0;
+    if (status != STATUS_OK || sscanf((const char *)call.result.data, "{\"revision\":%" SCNu64, version) != 1)
+        *version = 0;
     talloc_free(mem);
     return status == STATUS_OK ? call.code : 0;
 }
@@ -56,15 +56,15 @@
 {
     Operator *operator= arg;
     Fleet *fleet = operator->sweep->fleet;
-    uint64_t revision = 0;
+    uint64_t version = 0;
     told(operator, TENANT_ASKED);
-    operator->code = operator_try(operator, operator->gate, operator->revision> 0 ? 1000 : 9000, &revision);
-    for (int i = 1; i < OPERATOR_TRIES && operator->revision> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
+    operator->code = operator_try(operator, operator->gate, operator->version> 0 ? 1000 : 9000, &version);
+    for (int i = 1; i < OPERATOR_TRIES && operator->version> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
         loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
-        operator->code = operator_try(operator, operator->gate + i, 2000, &revision);
+        operator->code = operator_try(operator, operator->gate + i, 2000, &version);
     }
-    if (operator->code == 200 && revision> 0) {
-        checker_config_set(fleet->checker, revision);
+    if (operator->code == 200 && version> 0) {
+        checker_config_set(fleet->checker, version);
         told(operator, operator->quota || operator->in ? TENANT_IN : TENANT_OUT);
     } else if (operator->code >= 400 && operator->code<500) {
         told(operator, TENANT_REFUSED);
@@ -72,7 +72,7 @@
     operator->done = true;
 }
 
-/* The revision in force, as a gate tells it; false when it does not. */
+/* The version in force, as a gate tells it; false when it does not. */
 static bool base_ask(Sweep *sweep, uint64_t *base)
 {
     void *mem = talloc_new(NULL);
@@ -88,7 +88,7 @@
 {
     Operator *operator= talloc_zero(sweep, Operator);
     *operator=(Operator){.sweep = sweep, .gate = (int)sweep_draw(sweep, 3), .tenant = tenant, .in = in, .base = base};
-    operator->revision = base % 2 == 0 ? base + 1 + base % 3 : 0;
+    operator->version = base % 2 == 0 ? base + 1 + base % 3 : 0;
     operator->body = talloc_asprintf(operator, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
                                      mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
     return operator;
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -1,4 +1,4 @@
-/* Operators who name their revisions: races, storms, and calls sent again after
+/* Operators who name their versions: races, storms, and calls sent again after
  * silence, through kills, freezes and cuts of the leader. In virtual time. */
 #include <inttypes.h>
 #include <setjmp.h>
@@ -18,7 +18,7 @@
 
 /* One change as its operator sees it. */
 typedef struct Change {
-    uint64_t base, revision;
+    uint64_t base, version;
     const char *method, *body;
     char marker[40];
     int tries, code; /* code: the first clear answer; 0: none */
@@ -29,7 +29,7 @@
     int number;
     Change changes[CHANGES];
     size_t count;
-    uint64_t believed; /* the newest revision that it knows of */
+    uint64_t believed; /* the newest version that it knows of */
     bool stop, done;
 } Operator;
 
@@ -43,7 +43,7 @@
 
 static const char *path_of(void *mem, const Change *change)
 {
-    return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, change->base, change->revision);
+    return talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, change->base, change->version);
 }
 
 /* The number behind a key of a result; 0: it is not there. */
@@ -73,7 +73,7 @@
             number_in(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
         change->code = status == STATUS_OK && call.code < 500 ? call.code : 0;
         if (change->code == 200)
-            assert_int_equal(told, change->revision);
+            assert_int_equal(told, change->version);
         if (change->code != 0 && told > operator->believed)
             operator->believed = told;
         talloc_free(mem);
@@ -118,7 +118,7 @@
         Change *change = &operator->changes[operator->count];
         snprintf(change->marker, sizeof(change->marker), "o%d-%zu", operator->number, operator->count);
         change->base = operator->believed;
-        change->revision = change->base + 1 + loop_random(loop) % 4;
+        change->version = change->base + 1 + loop_random(loop) % 4;
         change->method = "PATCH";
         change->body = NULL;
         if (loop_random(loop) % 2 == 0 && (change->body = whole_body(operator, change)) != NULL)
@@ -144,10 +144,10 @@
     return all;
 }
 
-/* The marker of a revision as it is read back; "" when it can't be. */
-static const char *marker_at(Fleet *fleet, void *mem, uint64_t revision)
+/* The marker of a version as it is read back; "" when it can't be. */
+static const char *marker_at(Fleet *fleet, void *mem, uint64_t version)
 {
-    const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, revision);
+    const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, version);
     const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", path, NULL);
     if (call.code != 200)
         return "";
@@ -171,18 +171,18 @@
             again += change->tries > 1;
             if (change->code == 200) {
                 taken++;
-                assert_true(change->revision < 100000 && !bases[change->base]);
+                assert_true(change->version < 100000 && !bases[change->base]);
                 bases[change->base] = true;
-                highest = change->revision > highest ? change->revision : highest;
-                assert_string_equal(marker_at(fleet, mem, change->revision), change->marker);
+                highest = change->version > highest ? change->version : highest;
+                assert_string_equal(marker_at(fleet, mem, change->version), change->marker);
                 const HttpCall call =
                     fleet_ask(fleet, mem, FLEET_GATE, 1, change->method, path_of(mem, change), change->body);
                 assert_int_equal(call.code, 200);
-                assert_int_equal(number_in(&call, mem, "\"revision\":"), change->revision);
+                assert_int_equal(number_in(&call, mem, "\"revision\":"), change->version);
             } else if (change->code != 0) {
                 assert_int_equal(change->code, 409);
                 refused++;
-                assert_string_not_equal(marker_at(fleet, mem, change->revision), change->marker);
+                assert_string_not_equal(marker_at(fleet, mem, change->version), change->marker);
             } else {
                 silent++;
             }
@@ -262,7 +262,7 @@
             pair[k].fleet = fleet;
             pair[k].number = i + k;
             Change *change = &pair[k].changes[0];
-            *change = (Change){.base = base, .revision = base + 2, .method = "PATCH"};
+            *change = (Change){.base = base, .version = base + 2, .method = "PATCH"};
             snprintf(change->marker, sizeof(change->marker), "r%d-%d", i, k);
             change->body = talloc_asprintf(fleet, "{\"note\":\"%s\"}", change->marker);
             loop_spawn(sim_loop(fleet->world, fleet->caller), "racer", send_main, &pair[k]);
@@ -287,7 +287,7 @@
     talloc_free(fleet);
 }
 
-/* Revisions that are not above, bases that are not in force, faults: refused, and
+/* Versions that are not above, bases that are not in force, faults: refused, and
  * what was in force stays. */
 static void refused(void **state)
 {
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -142,7 +142,7 @@
     bool done;
 } Operator;
 
-/* Patches on whatever revision it last saw, at one gate; races with the others. */
+/* Patches on whatever version it last saw, at one gate; races with the others. */
 static void operate_main(void *arg)
 {
     Operator *operator= arg;
@@ -193,11 +193,11 @@
         acknowledged += operators[i].count;
         stale += operators[i].stale;
         for (size_t k = 0; k < operators[i].count; k++) {
-            const uint64_t revision = operators[i].acknowledged[k];
-            assert_true(revision < 1000);
-            assert_false(seen[revision]); /* no two were given the same */
-            seen[revision] = true;
-            highest = revision > highest ? revision : highest;
+            const uint64_t version = operators[i].acknowledged[k];
+            assert_true(version < 1000);
+            assert_false(seen[version]); /* no two were given the same */
+            seen[version] = true;
+            highest = version > highest ? version : highest;
         }
     }
     print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -137,7 +137,7 @@
     core->queue = queue_new(core, core->guesses);
     Stand stand = {core, 0, 0};
     const ConfigSet set = {
-        .revision = 1,
+        .version = 1,
         .text =
             "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}"};
     tell(&stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -271,9 +271,9 @@
         if (status == STATUS_OK && call.code == 200) {
             json_object *body =
                 json_tokener_parse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
-            json_object *revision = NULL;
-            json_object_object_get_ex(body, "revision", &revision);
-            const int64_t base = json_object_get_int64(revision);
+            json_object *version = NULL;
+            json_object_object_get_ex(body, "revision", &version);
+            const int64_t base = json_object_get_int64(version);
             json_object_put(body);
             HttpCall put = {.mem = mem,
                             .address = entry,
--- a/packages/table/include/table/change.h
+++ b/packages/table/include/table/change.h
@@ -85,12 +85,12 @@
     X(I64, idle_ms, 0) /* a connection without a request is closed after this */
 SHAPE(ConfigLimits, CONFIG_LIMITS_FIELDS)
 
-/* base: the revision it builds on. restored: told again in a repair, where only
- * a higher revision counts. A call that names its revision has a digest, by which
+/* base: the version it builds on. restored: told again in a repair, where only
+ * a higher version counts. A call that names its version has a digest, by which
  * the same call sent again is known. */
 #define CONFIG_SET_FIELDS(X)                                                    \
     X(U64, base, 0)                                                             \
-    X(U64, revision, 0) /* 0: the one after base */                             \
+    X(U64, version, 0) /* 0: the one after base */                              \
     X(TXT, text, 0)                                                             \
     X(FLAG, restored, 0)                                                        \
     X(FLAG, patch, 0) /* the text is a merge patch upon base, else the whole */ \
--- a/packages/table/include/table/deliverconfig.h
+++ b/packages/table/include/table/deliverconfig.h
@@ -3,8 +3,8 @@
 
 #include "table/table.h"
 
-/* Two calls that build on one revision: the one delivered first wins. The result's
- * number is the revision that the call brought, or else the current one. */
-void deliver_config(Revisions *revisions, const ConfigSet *set, ChangeResult *result);
+/* Two calls that build on one version: the one delivered first wins. The result's
+ * number is the version that the call brought, or else the current one. */
+void deliver_config(Versions *versions, const ConfigSet *set, ChangeResult *result);
 
 #endif
--- a/packages/table/include/table/table.h
+++ b/packages/table/include/table/table.h
@@ -66,8 +66,8 @@
 Room table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
 
 /* Configuration: the newest, and those that can be read back. */
-const Revisions *table_revisions(const Table *table);
-/* Grows whenever the whole state is replaced: what is remembered of a revision of
+const Versions *table_versions(const Table *table);
+/* Grows whenever the whole state is replaced: what is remembered of a version of
  * an earlier one may be of another document. */
 uint64_t table_loads(const Table *table);
 
--- a/packages/table/src/deliverconfig.c
+++ b/packages/table/src/deliverconfig.c
@@ -1,25 +1,25 @@
 #include "table/deliverconfig.h"
 
-void deliver_config(Revisions *revisions, const ConfigSet *set, ChangeResult *result)
+void deliver_config(Versions *versions, const ConfigSet *set, ChangeResult *result)
 {
-    const uint64_t current = revisions_newest(revisions);
-    const uint64_t revision = set->revision != 0 ? set->revision : set->base + 1;
-    const uint64_t known = revisions_digest(revisions, set->digest);
+    const uint64_t current = versions_newest(versions);
+    const uint64_t version = set->version != 0 ? set->version : set->base + 1;
+    const uint64_t known = versions_digest(versions, set->digest);
     result->number = known != 0 ? known : current;
     /* the same call sent again, or told again in a repair */
-    if (known != 0 || (set->restored && revision <= current))
+    if (known != 0 || (set->restored && version <= current))
         return;
-    const bool follows = set->base == current && revision > current && (!set->patch || revisions->count > 0);
+    const bool follows = set->base == current && version > current && (!set->patch || versions->count > 0);
     if (!follows && (!set->restored || set->patch)) {
-        result->status = STATUS_STALE_REVISION;
+        result->status = STATUS_STALE_VERSION;
         return;
     }
-    const Revision row = {.revision = revision,
-                          .text = set->text,
-                          .base = set->base,
-                          .patch = set->patch,
-                          .digest = set->digest,
-                          .limits = set->limits};
-    revisions_add(revisions, &row);
-    result->number = revision;
+    const Version row = {.version = version,
+                         .text = set->text,
+                         .base = set->base,
+                         .patch = set->patch,
+                         .digest = set->digest,
+                         .limits = set->limits};
+    versions_add(versions, &row);
+    result->number = version;
 }
--- a/packages/table/src/inside.h
+++ b/packages/table/src/inside.h
@@ -9,7 +9,7 @@
  * knows its place there. A row is never dropped. */
 typedef struct WorkerOn {
     const char *name;
-    uint64_t revision;
+    uint64_t version;
     TaskOn *on;
     size_t count, room;
     Room used;      /* by them */
@@ -77,7 +77,7 @@
     Orphan *orphans; /* each owned by the table; forgotten as ended jobs are */
     size_t orphan_count;
     Map *drains; /* zone to ZoneOrders */
-    Revisions *revisions;
+    Versions *versions;
     uint64_t loads;
     TableFn fn;
     void *arg;
--- a/packages/table/src/on.c
+++ b/packages/table/src/on.c
@@ -19,7 +19,7 @@
 {
     if (worker[0] == '\0')
         return;
-    worker_on(table, worker)->revision++;
+    worker_on(table, worker)->version++;
     if (table->orders_fn != NULL)
         table->orders_fn(table->orders_arg, worker);
 }
@@ -132,7 +132,7 @@
 uint64_t table_orders(const Table *table, const char *worker)
 {
     const WorkerOn *its = map_get(table->on, worker);
-    return its != NULL ? its->revision : 0;
+    return its != NULL ? its->version : 0;
 }
 
 void table_orders_watch(Table *table, TableOrdersFn fn, void *arg)
--- a/packages/table/src/revisions.c
+++ b/packages/table/src/revisions.c
@@ -6,43 +6,43 @@
 #include "base/constants.h"
 #include "document/document.h"
 
-SHAPE_TABLE(Revision, REVISION_FIELDS)
+SHAPE_TABLE(Version, VERSION_FIELDS)
 
-Revisions *revisions_new(void *mem, size_t keep, size_t known)
+Versions *versions_new(void *mem, size_t keep, size_t known)
 {
-    Revisions *revisions = talloc_zero(mem, Revisions);
-    revisions->keep = keep;
-    revisions->known = known;
-    return revisions;
+    Versions *versions = talloc_zero(mem, Versions);
+    versions->keep = keep;
+    versions->known = known;
+    return versions;
 }
 
-uint64_t revisions_newest(const Revisions *revisions)
+uint64_t versions_newest(const Versions *versions)
 {
-    return revisions->count > 0 ? revisions->rows[revisions->count - 1].revision : 0;
+    return versions->count > 0 ? versions->rows[versions->count - 1].version : 0;
 }
 
-const ConfigLimits *revisions_limits(const Revisions *revisions)
+const ConfigLimits *versions_limits(const Versions *versions)
 {
     static const ConfigLimits NONE = {0};
-    return revisions->count > 0 ? &revisions->rows[revisions->count - 1].limits : &NONE;
+    return versions->count > 0 ? &versions->rows[versions->count - 1].limits : &NONE;
 }
 
-size_t revisions_size(const Revisions *revisions)
+size_t versions_size(const Versions *versions)
 {
     size_t size = 0;
-    for (size_t i = revisions->count; i > revisions->whole; i--) {
-        size += strlen(revisions->rows[i - 1].text);
-        if (!revisions->rows[i - 1].patch)
+    for (size_t i = versions->count; i > versions->whole; i--) {
+        size += strlen(versions->rows[i - 1].text);
+        if (!versions->rows[i - 1].patch)
             break;
     }
     return size;
 }
 
-uint64_t revisions_digest(const Revisions *revisions, const char *digest)
+uint64_t versions_digest(const Versions *versions, const char *digest)
 {
-    for (size_t i = revisions->count; digest[0] != '\0' && i > 0; i--)
-        if (strcmp(revisions->rows[i - 1].digest, digest) == 0)
-            return revisions->rows[i - 1].revision;
+    for (size_t i = versions->count; digest[0] != '\0' && i > 0; i--)
+        if (strcmp(versions->rows[i - 1].digest, digest) == 0)
+            return versions->rows[i - 1].version;
     return 0;
 }
 
@@ -50,128 +50,128 @@
 
 /* The tree at a row, from the last whole text before it or, where that is later,
  * from the row that have is of. */
-static json_object *tree_at(const Revisions *revisions, size_t at, json_object *have, uint64_t have_revision)
+static json_object *tree_at(const Versions *versions, size_t at, json_object *have, uint64_t have_version)
 {
     size_t from = at;
-    while (revisions->rows[from].patch && !(have != NULL && revisions->rows[from].revision == have_revision))
+    while (versions->rows[from].patch && !(have != NULL && versions->rows[from].version == have_version))
         from--;
-    const Revision *first = &revisions->rows[from];
+    const Version *first = &versions->rows[from];
     json_object *tree =
-        have != NULL && first->revision == have_revision ? json_object_get(have) : document_parse(first->text);
+        have != NULL && first->version == have_version ? json_object_get(have) : document_parse(first->text);
     const char **patches = talloc_array(NULL, const char *, (unsigned)(at - from));
     for (size_t i = from; i < at; i++)
-        patches[i - from] = revisions->rows[i + 1].text;
+        patches[i - from] = versions->rows[i + 1].text;
     json_object *result = document_merged_all(tree, patches, at - from);
     talloc_free(patches);
     json_object_put(tree);
     return result;
 }
 
-static const char *text_at(const Revisions *revisions, void *mem, size_t at)
+static const char *text_at(const Versions *versions, void *mem, size_t at)
 {
-    if (!revisions->rows[at].patch) /* as it was sent */
-        return talloc_strdup(mem, revisions->rows[at].text);
-    json_object *tree = tree_at(revisions, at, NULL, 0);
+    if (!versions->rows[at].patch) /* as it was sent */
+        return talloc_strdup(mem, versions->rows[at].text);
+    json_object *tree = tree_at(versions, at, NULL, 0);
     const char *text = document_text(mem, tree);
     json_object_put(tree);
     return text;
 }
 
-const char *revisions_text(const Revisions *revisions, void *mem, uint64_t revision)
+const char *versions_text(const Versions *versions, void *mem, uint64_t version)
 {
-    for (size_t i = revisions->whole; i < revisions->count; i++)
-        if (revisions->rows[i].revision == revision)
-            return text_at(revisions, mem, i);
+    for (size_t i = versions->whole; i < versions->count; i++)
+        if (versions->rows[i].version == version)
+            return text_at(versions, mem, i);
     return NULL;
 }
 
-json_object *revisions_tree(const Revisions *revisions, json_object *have, uint64_t have_revision)
+json_object *versions_tree(const Versions *versions, json_object *have, uint64_t have_version)
 {
-    return revisions->count > 0 ? tree_at(revisions, revisions->count - 1, have, have_revision) : NULL;
+    return versions->count > 0 ? tree_at(versions, versions->count - 1, have, have_version) : NULL;
 }
 
 /* --- keeping ---------------------------------------------------------------------- */
 
-static void text_set(Revisions *revisions, Revision *row, const char *text)
+static void text_set(Versions *versions, Version *row, const char *text)
 {
-    revisions->bytes -= strlen(row->text);
+    versions->bytes -= strlen(row->text);
     talloc_free((void *)(uintptr_t)row->text);
     row->text = text;
-    revisions->bytes += strlen(text);
+    versions->bytes += strlen(text);
 }
 
-static void whole_measure(Revisions *revisions)
+static void whole_measure(Versions *versions)
 {
-    revisions->whole_bytes = revisions->whole < revisions->count ? strlen(revisions->rows[revisions->whole].text) : 0;
+    versions->whole_bytes = versions->whole < versions->count ? strlen(versions->rows[versions->whole].text) : 0;
 }
 
 /* The row becomes the first whole one; the texts before it are dropped. */
-static void whole_set(Revisions *revisions, size_t at)
+static void whole_set(Versions *versions, size_t at)
 {
-    Revision *row = &revisions->rows[at];
+    Version *row = &versions->rows[at];
     if (row->patch) {
-        text_set(revisions, row, text_at(revisions, revisions, at));
+        text_set(versions, row, text_at(versions, versions, at));
         row->patch = false;
     }
-    for (size_t i = revisions->whole; i < at; i++)
-        text_set(revisions, &revisions->rows[i], talloc_strdup(revisions, ""));
-    revisions->whole = at;
-    whole_measure(revisions);
+    for (size_t i = versions->whole; i < at; i++)
+        text_set(versions, &versions->rows[i], talloc_strdup(versions, ""));
+    versions->whole = at;
+    whole_measure(versions);
 }
 
-static void rows_drop(Revisions *revisions, size_t count)
+static void rows_drop(Versions *versions, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
-        talloc_free((void *)(uintptr_t)revisions->rows[i].text);
-        talloc_free((void *)(uintptr_t)revisions->rows[i].digest);
+        talloc_free((void *)(uintptr_t)versions->rows[i].text);
+        talloc_free((void *)(uintptr_t)versions->rows[i].digest);
     }
-    revisions->count -= count;
-    revisions->whole -= count;
-    memmove(revisions->rows, revisions->rows + count, revisions->count * sizeof(*revisions->rows));
+    versions->count -= count;
+    versions->whole -= count;
+    memmove(versions->rows, versions->rows + count, versions->count * sizeof(*versions->rows));
 }
 
 /* Texts and rows go by CONFIG_HISTORY_STEP at once: making a patch whole costs a reading. */
-static void trim(Revisions *revisions)
-{
-    if (revisions->count - revisions->whole > revisions->keep + CONFIG_HISTORY_STEP)
-        whole_set(revisions, revisions->count - revisions->keep);
-    if (revisions->count > revisions->known + CONFIG_HISTORY_STEP) {
-        const size_t drop = revisions->count - revisions->known;
-        if (revisions->whole < drop)
-            whole_set(revisions, drop);
-        rows_drop(revisions, drop);
+static void trim(Versions *versions)
+{
+    if (versions->count - versions->whole > versions->keep + CONFIG_HISTORY_STEP)
+        whole_set(versions, versions->count - versions->keep);
+    if (versions->count > versions->known + CONFIG_HISTORY_STEP) {
+        const size_t drop = versions->count - versions->known;
+        if (versions->whole < drop)
+            whole_set(versions, drop);
+        rows_drop(versions, drop);
     }
-    size_t at = revisions->whole, beside = revisions->bytes - revisions->whole_bytes;
+    size_t at = versions->whole, beside = versions->bytes - versions->whole_bytes;
     if (beside <= CONFIG_HISTORY_BYTES)
         return;
     while (beside > CONFIG_HISTORY_BYTES / 2) /* at the newest it is 0 */
-        beside -= strlen(revisions->rows[++at].text);
-    whole_set(revisions, at);
+        beside -= strlen(versions->rows[++at].text);
+    whole_set(versions, at);
 }
 
-static void row_add(Revisions *revisions, const Revision *row)
+static void row_add(Versions *versions, const Version *row)
 {
-    revisions->rows = talloc_realloc(revisions, revisions->rows, Revision, (unsigned)(revisions->count + 1));
-    Revision *kept = &revisions->rows[revisions->count++];
+    versions->rows = talloc_realloc(versions, versions->rows, Version, (unsigned)(versions->count + 1));
+    Version *kept = &versions->rows[versions->count++];
     *kept = *row;
-    kept->text = talloc_strdup(revisions, row->text);
-    kept->digest = talloc_strdup(revisions, row->digest);
-    revisions->bytes += strlen(kept->text);
+    kept->text = talloc_strdup(versions, row->text);
+    kept->digest = talloc_strdup(versions, row->digest);
+    versions->bytes += strlen(kept->text);
 }
 
-void revisions_add(Revisions *revisions, const Revision *row)
+void versions_add(Versions *versions, const Version *row)
 {
-    row_add(revisions, row);
-    if (revisions->count == 1)
-        whole_measure(revisions);
-    trim(revisions);
+    row_add(versions, row);
+    if (versions->count == 1)
+        whole_measure(versions);
+    trim(versions);
 }
 
-void revisions_load(Revisions *revisions, const Revision *rows, size_t count)
+void versions_load(Versions *versions, const Version *rows, size_t count)
 {
     for (size_t i = 0; i < count; i++)
-        row_add(revisions, &rows[i]);
-    while (revisions->whole < revisions->count && revisions->rows[revisions->whole].text[0] == '\0')
-        revisions->whole++;
-    whole_measure(revisions);
+        row_add(versions, &rows[i]);
+    while (versions->whole < versions->count && versions->rows[versions->whole].text[0] == '\0')
+        versions->whole++;
+    whole_measure(versions);
 }
--- a/packages/table/src/saved.c
+++ b/packages/table/src/saved.c
@@ -7,7 +7,7 @@
     X(U64, last_number, 0)    \
     X(LST, jobs, Job)         \
     X(LST, workers, Worker)   \
-    X(LST, configs, Revision) \
+    X(LST, configs, Version)  \
     X(LST, drains, ZoneDrain) \
     X(LST, orphans, Orphan)   \
     X(LST, zone_orders, ZoneOrder)
@@ -42,8 +42,8 @@
     saved.workers = talloc_array(scratch, Worker, (unsigned)saved.workers_count);
     for (size_t i = 0; i < saved.workers_count; i++)
         saved.workers[i] = *workers[i];
-    saved.configs = table->revisions->rows;
-    saved.configs_count = table->revisions->count;
+    saved.configs = table->versions->rows;
+    saved.configs_count = table->versions->count;
     zones_save(table, scratch, &saved);
     saved.orphans = table->orphans;
     saved.orphans_count = table->orphan_count;
@@ -99,7 +99,7 @@
         table->last_number = saved.last_number;
         for (size_t i = 0; i < saved.workers_count; i++)
             deliver_worker_set(table, NULL, &saved.workers[i], NULL);
-        revisions_load(table->revisions, saved.configs, saved.configs_count);
+        versions_load(table->versions, saved.configs, saved.configs_count);
         for (size_t i = 0; i < saved.drains_count; i++)
             deliver_zone_drain(table, NULL, &saved.drains[i], NULL);
         zone_orders_load(table, saved.zone_orders, saved.zone_orders_count);
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -24,7 +24,7 @@
     table->used = map_new(table->mem);
     table->queues = map_new(table->mem);
     table->drains = map_new(table->mem);
-    table->revisions = revisions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    table->versions = versions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
 }
 
 Table *table_new(void *mem)
@@ -71,9 +71,9 @@
     return oldest_ms;
 }
 
-const Revisions *table_revisions(const Table *table)
+const Versions *table_versions(const Table *table)
 {
-    return table->revisions;
+    return table->versions;
 }
 
 uint64_t table_loads(const Table *table)
@@ -130,7 +130,7 @@
             deliver_worker_left(table, change, body, result);
             break;
         case CHANGE_CONFIG_SET:
-            deliver_config(table->revisions, body, result);
+            deliver_config(table->versions, body, result);
             break;
         case CHANGE_ZONE_DRAIN:
             deliver_zone_drain(table, change, body, result);
--- a/packages/table/test/revisions.c
+++ b/packages/table/test/revisions.c
@@ -14,24 +14,24 @@
 
 #define DIGEST_BYTES 32 /* bytes; of a call, as text */
 
-static ChangeResult deliver(Revisions *revisions, ConfigSet set)
+static ChangeResult deliver(Versions *versions, ConfigSet set)
 {
     ChangeResult result = {0};
     if (set.digest == NULL)
         set.digest = "";
-    deliver_config(revisions, &set, &result);
+    deliver_config(versions, &set, &result);
     return result;
 }
 
-static ConfigSet set_of(uint64_t base, uint64_t revision, const char *text, bool patch, const char *digest)
+static ConfigSet set_of(uint64_t base, uint64_t version, const char *text, bool patch, const char *digest)
 {
-    return (ConfigSet){.base = base, .revision = revision, .text = text, .patch = patch, .digest = digest};
+    return (ConfigSet){.base = base, .version = version, .text = text, .patch = patch, .digest = digest};
 }
 
-static void expect_text(const Revisions *revisions, uint64_t revision, const char *wanted)
+static void expect_text(const Versions *versions, uint64_t version, const char *wanted)
 {
     void *mem = talloc_new(NULL);
-    const char *text = revisions_text(revisions, mem, revision);
+    const char *text = versions_text(versions, mem, version);
     if (wanted == NULL)
         assert_null(text);
     else
@@ -42,24 +42,24 @@
 static void chains(void **state)
 {
     (void)state;
-    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    assert_int_equal(revisions_newest(revisions), 0);
-    assert_null(revisions_tree(revisions, NULL, 0));
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    assert_int_equal(versions_newest(versions), 0);
+    assert_null(versions_tree(versions, NULL, 0));
     /* no patch can come first */
-    assert_int_equal(deliver(revisions, set_of(0, 1, "{}", true, "")).status, STATUS_STALE_REVISION);
-    assert_int_equal(deliver(revisions, set_of(0, 5, "{ \"r\": 1.0 }", false, "")).number, 5);
-    assert_int_equal(deliver(revisions, set_of(5, 7, "{\"a\":{\"b\":2.50}}", true, "")).number, 7);
-    assert_int_equal(deliver(revisions, set_of(7, 0, "{\"a\":{\"c\":1},\"r\":null}", true, "")).number, 8);
-    assert_int_equal(deliver(revisions, set_of(8, 20, "{\"x\":1}", false, "")).number, 20);
-    expect_text(revisions, 5, "{ \"r\": 1.0 }"); /* as it was sent */
-    expect_text(revisions, 7, "{\"r\":1.0,\"a\":{\"b\":2.50}}");
-    expect_text(revisions, 8, "{\"a\":{\"b\":2.50,\"c\":1}}");
-    expect_text(revisions, 20, "{\"x\":1}");
-    expect_text(revisions, 6, NULL);
+    assert_int_equal(deliver(versions, set_of(0, 1, "{}", true, "")).status, STATUS_STALE_VERSION);
+    assert_int_equal(deliver(versions, set_of(0, 5, "{ \"r\": 1.0 }", false, "")).number, 5);
+    assert_int_equal(deliver(versions, set_of(5, 7, "{\"a\":{\"b\":2.50}}", true, "")).number, 7);
+    assert_int_equal(deliver(versions, set_of(7, 0, "{\"a\":{\"c\":1},\"r\":null}", true, "")).number, 8);
+    assert_int_equal(deliver(versions, set_of(8, 20, "{\"x\":1}", false, "")).number, 20);
+    expect_text(versions, 5, "{ \"r\": 1.0 }"); /* as it was sent */
+    expect_text(versions, 7, "{\"r\":1.0,\"a\":{\"b\":2.50}}");
+    expect_text(versions, 8, "{\"a\":{\"b\":2.50,\"c\":1}}");
+    expect_text(versions, 20, "{\"x\":1}");
+    expect_text(versions, 6, NULL);
     /* a tree that was had before is gone on from */
-    assert_int_equal(deliver(revisions, set_of(20, 21, "{\"y\":2}", true, "")).number, 21);
-    json_object *whole = revisions_tree(revisions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
-    json_object *onward = revisions_tree(revisions, had, 20);
+    assert_int_equal(deliver(versions, set_of(20, 21, "{\"y\":2}", true, "")).number, 21);
+    json_object *whole = versions_tree(versions, NULL, 0), *had = document_parse("{\"x\":{\"kept\":1}}");
+    json_object *onward = versions_tree(versions, had, 20);
     void *mem = talloc_new(NULL);
     assert_string_equal(document_text(mem, whole), "{\"x\":1,\"y\":2}");
     assert_string_equal(document_text(mem, onward), "{\"x\":{\"kept\":1},\"y\":2}");
@@ -68,91 +68,91 @@
     json_object_put(had);
     json_object_put(onward);
     talloc_free(mem);
-    talloc_free(revisions);
+    talloc_free(versions);
 }
 
-/* Of two calls on one revision the first delivered wins; the same call again,
+/* Of two calls on one version the first delivered wins; the same call again,
  * at any later time, has the result that it had. */
 static void calls(void **state)
 {
     (void)state;
-    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, set_of(0, 3, "{}", false, "first"));
-    ChangeResult result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(versions, set_of(0, 3, "{}", false, "first"));
+    ChangeResult result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
-    result = deliver(revisions, set_of(3, 9, "{\"a\":2}", true, "two"));
-    assert_int_equal(result.status, STATUS_STALE_REVISION);
+    result = deliver(versions, set_of(3, 9, "{\"a\":2}", true, "two"));
+    assert_int_equal(result.status, STATUS_STALE_VERSION);
     assert_int_equal(result.number, 9);
-    result = deliver(revisions, set_of(3, 12, "{\"a\":2}", true, "three"));
-    assert_int_equal(result.status, STATUS_STALE_REVISION);
+    result = deliver(versions, set_of(3, 12, "{\"a\":2}", true, "three"));
+    assert_int_equal(result.status, STATUS_STALE_VERSION);
     /* on the newest, but not above it */
-    result = deliver(revisions, set_of(9, 9, "{\"a\":2}", true, "four"));
-    assert_int_equal(result.status, STATUS_STALE_REVISION);
-    result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
+    result = deliver(versions, set_of(9, 9, "{\"a\":2}", true, "four"));
+    assert_int_equal(result.status, STATUS_STALE_VERSION);
+    result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
     assert_int_equal(result.number, 9);
-    deliver(revisions, set_of(9, 14, "{\"a\":3}", true, "five"));
-    result = deliver(revisions, set_of(3, 9, "{\"a\":1}", true, "one"));
+    deliver(versions, set_of(9, 14, "{\"a\":3}", true, "five"));
+    result = deliver(versions, set_of(3, 9, "{\"a\":1}", true, "one"));
     assert_int_equal(result.status, STATUS_OK);
     assert_int_equal(result.number, 9);
-    assert_int_equal(revisions_newest(revisions), 14);
+    assert_int_equal(versions_newest(versions), 14);
     /* without a digest nothing is known again */
-    assert_int_equal(deliver(revisions, set_of(14, 0, "{\"a\":4}", true, "")).number, 15);
-    assert_int_equal(deliver(revisions, set_of(14, 0, "{\"a\":4}", true, "")).status, STATUS_STALE_REVISION);
-    talloc_free(revisions);
+    assert_int_equal(deliver(versions, set_of(14, 0, "{\"a\":4}", true, "")).number, 15);
+    assert_int_equal(deliver(versions, set_of(14, 0, "{\"a\":4}", true, "")).status, STATUS_STALE_VERSION);
+    talloc_free(versions);
 }
 
 /* Told again in a repair: what is newer counts, a patch only upon its base. */
 static void restored(void **state)
 {
     (void)state;
-    Revisions *revisions = revisions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, set_of(0, 3, "{\"a\":1}", false, "first"));
+    Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(versions, set_of(0, 3, "{\"a\":1}", false, "first"));
     ConfigSet set = set_of(5, 8, "{\"b\":1}", true, "gap");
     set.restored = true;
-    assert_int_equal(deliver(revisions, set).status, STATUS_STALE_REVISION);
+    assert_int_equal(deliver(versions, set).status, STATUS_STALE_VERSION);
     set = set_of(3, 5, "{\"c\":1}", true, "next");
     set.restored = true;
-    assert_int_equal(deliver(revisions, set).number, 5);
+    assert_int_equal(deliver(versions, set).number, 5);
     set = set_of(5, 8, "{\"b\":1}", true, "gap");
     set.restored = true;
-    assert_int_equal(deliver(revisions, set).number, 8);
+    assert_int_equal(deliver(versions, set).number, 8);
     set = set_of(2, 4, "{}", false, "old");
     set.restored = true;
-    assert_int_equal(deliver(revisions, set).status, STATUS_OK);
-    expect_text(revisions, 8, "{\"a\":1,\"c\":1,\"b\":1}");
+    assert_int_equal(deliver(versions, set).status, STATUS_OK);
+    expect_text(versions, 8, "{\"a\":1,\"c\":1,\"b\":1}");
     set = set_of(30, 31, "{\"z\":1}", false, "far");
     set.restored = true;
-    assert_int_equal(deliver(revisions, set).number, 31);
-    expect_text(revisions, 31, "{\"z\":1}");
-    assert_int_equal(revisions_digest(revisions, "gap"), 8);
-    talloc_free(revisions);
+    assert_int_equal(deliver(versions, set).number, 31);
+    expect_text(versions, 31, "{\"z\":1}");
+    assert_int_equal(versions_digest(versions, "gap"), 8);
+    talloc_free(versions);
 }
 
-static void check_invariants(const Revisions *revisions)
+static void check_invariants(const Versions *versions)
 {
     size_t bytes = 0;
-    assert_true(revisions->whole < revisions->count);
-    assert_false(revisions->rows[revisions->whole].patch);
-    for (size_t i = 0; i < revisions->count; i++) {
-        bytes += strlen(revisions->rows[i].text);
-        assert_true((revisions->rows[i].text[0] == '\0') == (i < revisions->whole));
+    assert_true(versions->whole < versions->count);
+    assert_false(versions->rows[versions->whole].patch);
+    for (size_t i = 0; i < versions->count; i++) {
+        bytes += strlen(versions->rows[i].text);
+        assert_true((versions->rows[i].text[0] == '\0') == (i < versions->whole));
         if (i > 0)
-            assert_true(revisions->rows[i].revision > revisions->rows[i - 1].revision);
+            assert_true(versions->rows[i].version > versions->rows[i - 1].version);
     }
-    assert_int_equal(bytes, revisions->bytes);
-    assert_int_equal(revisions->whole_bytes, strlen(revisions->rows[revisions->whole].text));
-    assert_true(bytes - strlen(revisions->rows[revisions->whole].text) <= CONFIG_HISTORY_BYTES);
-    assert_true(revisions->count - revisions->whole <= revisions->keep + CONFIG_HISTORY_STEP);
-    assert_true(revisions->count <= revisions->known + CONFIG_HISTORY_STEP);
+    assert_int_equal(bytes, versions->bytes);
+    assert_int_equal(versions->whole_bytes, strlen(versions->rows[versions->whole].text));
+    assert_true(bytes - strlen(versions->rows[versions->whole].text) <= CONFIG_HISTORY_BYTES);
+    assert_true(versions->count - versions->whole <= versions->keep + CONFIG_HISTORY_STEP);
+    assert_true(versions->count <= versions->known + CONFIG_HISTORY_STEP);
 }
 
 /* What the rows take whose texts are dropped, each with a digest as calls have it. */
-static size_t known_bytes(const Revisions *revisions)
+static size_t known_bytes(const Versions *versions)
 {
     size_t bytes = 0;
-    for (size_t i = 0; i < revisions->whole; i++)
-        bytes += sizeof(revisions->rows[i]) + strlen(revisions->rows[i].text) + 1 + DIGEST_BYTES + 1;
+    for (size_t i = 0; i < versions->whole; i++)
+        bytes += sizeof(versions->rows[i]) + strlen(versions->rows[i].text) + 1 + DIGEST_BYTES + 1;
     return bytes;
 }
 
@@ -162,25 +162,25 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
-    deliver(revisions, set_of(0, 1, "{\"k\":{}}", false, "d1"));
+    Versions *versions = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    deliver(versions, set_of(0, 1, "{\"k\":{}}", false, "d1"));
     for (uint64_t i = 2; i <= 1500; i++) {
         const char *text = talloc_asprintf(mem, "{\"k\":{\"a%d\":%d}}", (int)(i % 7), (int)i);
         assert_int_equal(
-            deliver(revisions, set_of(i - 1, i, text, i % 97 != 0, talloc_asprintf(mem, "d%d", (int)i))).number, i);
-        check_invariants(revisions);
+            deliver(versions, set_of(i - 1, i, text, i % 97 != 0, talloc_asprintf(mem, "d%d", (int)i))).number, i);
+        check_invariants(versions);
     }
     for (uint64_t i = 1301; i <= 1500; i++) {
-        const char *text = revisions_text(revisions, mem, i);
+        const char *text = versions_text(versions, mem, i);
         assert_non_null(text);
         assert_non_null(strstr(text, talloc_asprintf(mem, "\"a%d\":%d", (int)(i % 7), (int)i)));
-        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
+        assert_int_equal(versions_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i);
     }
-    assert_null(revisions_text(revisions, mem, 1200));
+    assert_null(versions_text(versions, mem, 1200));
     for (uint64_t i = 501; i <= 1500; i++)
-        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
-    assert_int_equal(revisions_digest(revisions, "d400"), 0);
-    assert_true(known_bytes(revisions) < (size_t)CONFIG_KNOWN * 120);
+        assert_int_equal(versions_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i);
+    assert_int_equal(versions_digest(versions, "d400"), 0);
+    assert_true(known_bytes(versions) < (size_t)CONFIG_KNOWN * 120);
     talloc_free(mem);
 }
 
@@ -190,15 +190,15 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisions_new(mem, 8, 8);
+    Versions *versions = versions_new(mem, 8, 8);
     char *note = talloc_zero_size(mem, 200001);
     memset(note, 'n', 200000);
     for (uint64_t i = 1; i <= 300; i++) {
         const char *text = talloc_asprintf(mem, "{\"k%d\":\"%s\"}", (int)(i % 3), i % 70 < 12 ? note : "small");
-        assert_int_equal(deliver(revisions, set_of(i - 1, i, text, i > 1, talloc_asprintf(mem, "d%d", (int)i))).number,
+        assert_int_equal(deliver(versions, set_of(i - 1, i, text, i > 1, talloc_asprintf(mem, "d%d", (int)i))).number,
                          i);
-        check_invariants(revisions);
-        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i);
+        check_invariants(versions);
+        assert_int_equal(versions_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i);
     }
     talloc_free(mem);
 }
@@ -209,7 +209,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    Revisions *revisions = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    Versions *versions = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
     char *note = talloc_zero_size(mem, 300001);
     memset(note, 'n', 300000);
     uint64_t base = 0;
@@ -219,21 +219,21 @@
         const char *text = talloc_asprintf(mem, "{\"k%d\":\"%s\"}", (int)(i % 3), note);
         note[60000] = 'n';
         assert_int_equal(
-            deliver(revisions, set_of(base, i * 3, text, patch, talloc_asprintf(mem, "d%d", (int)i))).number, i * 3);
+            deliver(versions, set_of(base, i * 3, text, patch, talloc_asprintf(mem, "d%d", (int)i))).number, i * 3);
         base = i * 3;
-        check_invariants(revisions);
-        assert_non_null(revisions_text(revisions, mem, base));
+        check_invariants(versions);
+        assert_non_null(versions_text(versions, mem, base));
     }
     for (uint64_t i = 1; i <= 150; i++)
-        assert_int_equal(revisions_digest(revisions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
-    assert_null(revisions_text(revisions, mem, 3));
+        assert_int_equal(versions_digest(versions, talloc_asprintf(mem, "d%d", (int)i)), i * 3);
+    assert_null(versions_text(versions, mem, 3));
     /* saved and loaded, all is as it was */
-    Revisions *loaded = revisions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
-    revisions_load(loaded, revisions->rows, revisions->count);
+    Versions *loaded = versions_new(mem, CONFIG_HISTORY, CONFIG_KNOWN);
+    versions_load(loaded, versions->rows, versions->count);
     check_invariants(loaded);
-    assert_int_equal(loaded->whole, revisions->whole);
-    assert_string_equal(revisions_text(loaded, mem, base), revisions_text(revisions, mem, base));
-    assert_true(revisions_size(loaded) >= strlen(revisions_text(loaded, mem, base)));
+    assert_int_equal(loaded->whole, versions->whole);
+    assert_string_equal(versions_text(loaded, mem, base), versions_text(versions, mem, base));
+    assert_true(versions_size(loaded) >= strlen(versions_text(loaded, mem, base)));
     talloc_free(mem);
 }
 
--- a/src/operate.c
+++ b/src/operate.c
@@ -29,7 +29,7 @@
     char *at;
     char *file;
     char *cell, *phase;
-    long long base, revision, after, limit;
+    long long base, version, after, limit;
     int json;
 } Flags;
 
@@ -142,12 +142,12 @@
 {
     *order = (Order){.command = command, .mem = talloc_new(NULL)};
     Flags *flags = &order->flags;
-    flags->base = flags->revision = -1;
+    flags->base = flags->version = -1;
     const struct poptOption options[] = {
         {"at", 'a', POPT_ARG_STRING, &flags->at, 0, "entry point to ask", "IP:PORT"},
         {"file", 'f', POPT_ARG_STRING, &flags->file, 0, "JSON to send; - for standard input", "FILE"},
         {"base", 'b', POPT_ARG_LONGLONG, &flags->base, 0, "revision that a change builds on", "N"},
-        {"revision", 'r', POPT_ARG_LONGLONG, &flags->revision, 0, "revision to read back, or to give to a change", "N"},
+        {"revision", 'r', POPT_ARG_LONGLONG, &flags->version, 0, "revision to read back, or to give to a change", "N"},
         {"cell", 0, POPT_ARG_STRING, &flags->cell, 0, "only this cell", "NAME"},
         {"phase", 0, POPT_ARG_STRING, &flags->phase, 0, "only this phase", "WORD"},
         {"after", 0, POPT_ARG_LONGLONG, &flags->after, 0, "jobs after this number", "N"},
@@ -222,8 +222,8 @@
     Bytes body = {0};
     if (order_is(order, "show"))
         return ask(order, "GET",
-                   flags->revision >= 0 ? talloc_asprintf(order->mem, "/v1/config?revision=%lld", flags->revision)
-                                        : "/v1/config",
+                   flags->version >= 0 ? talloc_asprintf(order->mem, "/v1/config?revision=%lld", flags->version)
+                                       : "/v1/config",
                    body);
     if (order_is(order, "history"))
         return ask(order, "GET", "/v1/config/history", body);
@@ -231,9 +231,9 @@
         return wrong("config", "--file: a readable file is needed");
     if (flags->base < 0)
         return wrong("config", "--base: the revision that this builds on is needed");
-    const char *revision = flags->revision >= 0 ? talloc_asprintf(order->mem, "&revision=%lld", flags->revision) : "";
+    const char *version = flags->version >= 0 ? talloc_asprintf(order->mem, "&revision=%lld", flags->version) : "";
     return ask(order, order_is(order, "set") ? "PUT" : "PATCH",
-               talloc_asprintf(order->mem, "/v1/config?base=%lld%s", flags->base, revision), body);
+               talloc_asprintf(order->mem, "/v1/config?base=%lld%s", flags->base, version), body);
 }
 
 int run_config(int argc, const char **argv)
