--- a/examples/counter.c
+++ b/examples/counter.c
@@ -90,7 +90,7 @@
                                  .worker_live = true,
                                  .settled = true};
             BeatAnswer answer = {0};
-            rpc_ask(counter->rpc, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask, ASK_EXPIRY_MS,
+            rpc_ask(counter->rpc, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask, ASK_TIMEOUT_MS,
                     &BeatAnswer_shape, &answer);
             talloc_free(mem);
         }
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -44,7 +44,7 @@
     const KnowAsk ask = {0};
     KnowAnswer answer = {0};
     const Status status = rpc_ask_peer(agent->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
-                                       &KnowAsk_shape, &ask, ASK_EXPIRY_MS, &KnowAnswer_shape, &answer);
+                                       &KnowAsk_shape, &ask, ASK_TIMEOUT_MS, &KnowAnswer_shape, &answer);
     if (status != STATUS_OK || answer.knows || answer.epoch > agent->lease.epoch) {
         asking->all = false;
     } else if (part->disk != 0) {
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -130,7 +130,7 @@
     ask_fill(agent, beat, &ask);
     const RpcTarget target = {beat->address, beat->peer, NULL};
     const Status status = rpc_ask_peer(agent->rpc, beat, &target, MESSAGE_BEAT, &BeatAsk_shape, &ask,
-                                       BEAT_WAIT_MS + ASK_EXPIRY_MS, &BeatAnswer_shape, &answer);
+                                       BEAT_WAIT_MS + ASK_TIMEOUT_MS, &BeatAnswer_shape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
     members_rest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
@@ -175,7 +175,7 @@
     if (agent->beat_now || (agent->beat != NULL && strcmp(agent->beat->address, address) != 0))
         return true;
     /* one that goes unanswered is not waited for to its end */
-    *due_ms = agent->beat == NULL ? agent->beat_due_ms : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_EXPIRY_MS / 2;
+    *due_ms = agent->beat == NULL ? agent->beat_due_ms : agent->beat->sent_ms + BEAT_WAIT_MS + ASK_TIMEOUT_MS / 2;
     return now_ms >= *due_ms;
 }
 
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -30,7 +30,7 @@
     Order order;              /* payload is empty for an adopted round, and once it is over */
     uint64_t epoch;
     RoundPhase phase;
-    int64_t expiry_ms; /* not started after this */
+    int64_t timeout_ms; /* not started after this */
     int64_t changed_ms;
     int64_t given_ms;    /* given to the worker then; 0: not by this agent */
     int64_t runs_ms;     /* it runs, since then; 0: that is not known */
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -66,7 +66,7 @@
     TellAnswer answer = {0};
     telling->status =
         rpc_ask_peer(agent->rpc, telling, &(RpcTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
-                     &TellAsk_shape, &telling->ask, SUBMIT_EXPIRY_MS, &TellAnswer_shape, &answer);
+                     &TellAsk_shape, &telling->ask, SUBMIT_TIMEOUT_MS, &TellAnswer_shape, &answer);
     if (telling->status == STATUS_OK)
         told(agent, &telling->ask);
     telling->over = true;
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -45,13 +45,13 @@
     }
 }
 
-static void expiry_watch(Agent *agent, int64_t now_ms)
+static void timeout_watch(Agent *agent, int64_t now_ms)
 {
     if (!agent->settled)
         return; /* an earlier agent may have given them */
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
-        if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms)
+        if (round->phase == PHASE_OFFERED && now_ms >= round->timeout_ms)
             round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
     }
 }
@@ -75,7 +75,7 @@
         const int64_t now_ms = loop_now_ms(agent->loop);
         lapse_watch(agent, now_ms, &ran);
         silence_watch(agent, now_ms);
-        expiry_watch(agent, now_ms);
+        timeout_watch(agent, now_ms);
         rounds_forget(agent);
         loop_sleep(agent->loop, next_ms(agent, now_ms) - now_ms);
     }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -112,7 +112,7 @@
             round_end(agent, round, ROUND_STOPPED, "stopped", true);
         else if (round->phase == PHASE_RUNNING)
             round_end(agent, round, ROUND_LOST, "the worker knows nothing of it any more", true);
-        else if (now_ms < round->expiry_ms)
+        else if (now_ms < round->timeout_ms)
             round->phase = PHASE_OFFERED; /* the answer that carried it was lost */
         else
             round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
@@ -247,12 +247,12 @@
                              .again_ms = WORKER_AGAIN_MS};
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
-        if (round->phase == PHASE_OFFERED && now_ms >= round->expiry_ms) {
+        if (round->phase == PHASE_OFFERED && now_ms >= round->timeout_ms) {
             round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
         } else if (round->phase == PHASE_OFFERED && orders->lease_ms > 0) {
             shape_copy(&Order_shape, &round->order, mem, &starts[orders->starts_count++]);
-            if (round->expiry_ms - now_ms < orders->start_ms)
-                orders->start_ms = round->expiry_ms - now_ms;
+            if (round->timeout_ms - now_ms < orders->start_ms)
+                orders->start_ms = round->timeout_ms - now_ms;
             round->phase = PHASE_SENT;
             round->given_ms = now_ms;
             round_trace(agent, round, TRACE_GIVEN);
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -74,7 +74,7 @@
     out->epoch = boss->epoch;
     out->lease_ms = boss->lease_ms;
     out->version = boss->version;
-    out->expiry_ms = ORDER_EXPIRY_MS;
+    out->timeout_ms = ORDER_LIFETIME_MS;
     out->orders = beat->have != boss->version || beat->have_epoch != boss->epoch;
     return STATUS_OK;
 }
@@ -592,7 +592,7 @@
     order(c, orders, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 1);
-    run(c, ORDER_EXPIRY_MS);
+    run(c, ORDER_LIFETIME_MS);
     Say *it = say(c, "b1");
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -18,11 +18,11 @@
 #define PROPOSE_MS 500      /* ms; ... up to this, and a draw as long */
 #define PROPOSE_TURN_MS \
     120 /* ms; each seat stands so much later than the one before it: a question and its answer take less */
-#define HANDED_MS 600        /* ms; one that the last holder named is left alone for so long */
-#define ORDER_EXPIRY_MS 2000 /* ms; an order older than this is refused by the agent */
-#define ORDER_GONE_MS                                                                               \
-    (ORDER_EXPIRY_MS + ORDER_EXPIRY_MS / 50 + LEASE_SLACK_MS) /* ms; ... by a clock that is 2% slow \
-                                                               */
+#define HANDED_MS 600          /* ms; one that the last holder named is left alone for so long */
+#define ORDER_LIFETIME_MS 2000 /* ms; an order older than this is refused by the agent */
+#define ORDER_GONE_MS                                                                                   \
+    (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS) /* ms; ... by a clock that is 2% slow \
+                                                                   */
 #define WORKER_POLL_MS 400   /* ms; a worker's question to its agent is held at most this long */
 #define BEAT_WAIT_MS 450     /* ms; a beat waits so long for orders: with the way there and back, one each BEAT_MS */
 #define BEATS_MOST 4         /* count; an agent's beats on their way at once: one waits, the others have news */
@@ -42,9 +42,9 @@
 #define LEASE_SLACK_MS 50 /* ms; the leader adds this to its count of a lease: timer granularity */
 
 /* --- asking ------------------------------------------------------------- */
-#define ASK_EXPIRY_MS 800     /* ms; a plain question between processes; shorter than a lock lease */
-#define APPEND_EXPIRY_MS 1500 /* ms; a seat that does not sync in this time leaves the view */
-#define WATCH_MS 100          /* ms; the holder looks at its seats, and a seat for a holder, this often */
+#define ASK_TIMEOUT_MS 800     /* ms; a plain question between processes; shorter than a lock lease */
+#define APPEND_TIMEOUT_MS 1500 /* ms; a seat that does not sync in this time leaves the view */
+#define WATCH_MS 100           /* ms; the holder looks at its seats, and a seat for a holder, this often */
 #define SEAT_LATE_MS                                                                                                \
     400 /* ms; a seat that has not synced by then leaves the view, when that can spare it: it costs nothing, and it \
            comes back as soon as it is quick */
@@ -54,16 +54,16 @@
 #define POLL_GRACE_MS                                                                                              \
     60 /* ms; once a majority of seats has answered, the last ones have this long: who is late comes into the view \
           later */
-#define VIEW_EXPIRY_MS 1200       /* ms; one step of a view change */
-#define FETCH_WAIT_MS 900         /* ms; orders asked for without a beat; less than half ORDER_EXPIRY_MS */
-#define CONFIG_WATCH_WAIT_MS 2000 /* ms; configuration long poll between processes */
+#define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; one step of a view change */
+#define FETCH_WAIT_MS 900             /* ms; orders asked for without a beat; less than half ORDER_LIFETIME_MS */
+#define CONFIG_WATCH_WAIT_MS 2000     /* ms; configuration long poll between processes */
 #define LEADER_WAIT_MS                                                                                              \
     150                  /* ms; from a leader's loss, what nobody can have taken waits so long for a way to another \
                           */
 #define ELECTION_MS 3000 /* ms; another leader is normally found within this: callers are told to come back then */
 #define FORWARD_DEADLINE_MS 8000 /* ms; a gate gives a request up after this */
-#define SUBMIT_EXPIRY_MS 5000    /* ms; a change not committed in this time has an unknown outcome */
-#define CONNECT_EXPIRY_MS 600    /* ms; a connection that takes longer is as good as none */
+#define SUBMIT_TIMEOUT_MS 5000   /* ms; a change not committed in this time has an unknown outcome */
+#define CONNECT_TIMEOUT_MS 600   /* ms; a connection that takes longer is as good as none */
 #define LINE_UNHEARD_MS \
     4000 /* ms; a connection whose bytes nobody acknowledges for so long ends: its machine is cut off or gone */
 #define LINE_QUIET_S 3 /* s; one that is silent for so long is probed: a machine that is cut off says nothing ... */
@@ -122,8 +122,8 @@
     3000 /* ms; a view resting on woken seats waits this long for the last view's members: a process starts in less, \
             and the steps after it must end within 12 s */
 #define REPAIR_MS 1500 /* ms; those who were told first have this long to tell again */
-#define REPAIR_HEAR_MS                                                                                                \
-    (LINE_MISSES * ASK_EXPIRY_MS + 2 * HELLO_MS) /* ms; a process that has just started asks nobody before: a line to \
+#define REPAIR_HEAR_MS                                                                                                 \
+    (LINE_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS) /* ms; a process that has just started asks nobody before: a line to \
                                                     its last life is given up and opened anew within this */
 #define KEEP_ASK_MS 100 /* ms; a gate that lives keeps at once; a caller waits for it meanwhile */
 #define REPAIR_BUFFER_BYTES_MAX \
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -37,7 +37,7 @@
     X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
 SHAPE(BeatAsk, BEAT_ASK_FIELDS)
 
-/* An order to start a round. It stands for expiry_ms from when the question that
+/* An order to start a round. It stands for timeout_ms from when the question that
  * brought it was sent. */
 #define ORDER_FIELDS(X) \
     X(TXT, job, 0)      \
@@ -56,7 +56,7 @@
     X(I64, lease_ms, 0)       \
     X(FLAG, orders, 0)        \
     X(U64, version, 0)        \
-    X(I64, expiry_ms, 0)      \
+    X(I64, timeout_ms, 0)     \
     X(LST, starts, Order)     \
     X(LST, wanted, RoundId)
 SHAPE(BeatAnswer, BEAT_ANSWER_FIELDS)
@@ -93,7 +93,7 @@
 #define FETCH_ANSWER_FIELDS(X) \
     X(U64, epoch, 0)           \
     X(U64, version, 0)         \
-    X(I64, expiry_ms, 0)       \
+    X(I64, timeout_ms, 0)      \
     X(LST, starts, Order)      \
     X(LST, wanted, RoundId)
 SHAPE(FetchAnswer, FETCH_ANSWER_FIELDS)
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -20,7 +20,7 @@
     uint64_t rounds;           /* failed rounds that fail a task */
     uint64_t stretch_milli;    /* a job's aim: stretch x its longest chain of work ... */
     int64_t target_ms;         /* ... + this */
-    int64_t expiry_ms;         /* a request there is given up after this */
+    int64_t timeout_ms;        /* a request there is given up after this */
     const char *host, *prefix; /* its entry; empty: none. The host in small letters */
     const char *tenant;        /* who hands in there; empty: the cell's first one */
     const char *note;          /* the operator's, not read */
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -75,13 +75,13 @@
     assert_int_equal(queue->rounds, 4);
     assert_int_equal(queue->stretch_milli, 2200);
     assert_int_equal(queue->target_ms, 2000);
-    assert_int_equal(queue->expiry_ms, 3000);
+    assert_int_equal(queue->timeout_ms, 3000);
     assert_string_equal(queue->host, "nony24.example");
     assert_string_equal(queue->prefix, "/lohu930/");
     assert_string_equal(queue->note, "{\"tls\":false}");
     assert_int_equal(config_queue(cell, "theirs")->stretch_milli, 3000);
     const ConfigQueue *bare = config_queue(cell, "bare");
-    assert_true(bare->rounds == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->expiry_ms == 0);
+    assert_true(bare->rounds == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->timeout_ms == 0);
     assert_true(bare->kind[0] == '\0' && bare->host[0] == '\0' && bare->tenant[0] == '\0');
     assert_null(config_queue(cell, "none"));
     assert_non_null(config_policy(config, "p")->lua);
@@ -277,8 +277,8 @@
     assert_ptr_equal(config_policy(first, "p"), config_policy(second, "p"));
     /* what is shared outlives the first */
     talloc_free((void *)(uintptr_t)first);
-    assert_int_equal(config_queue(two, "q7")->expiry_ms, 5);
-    assert_int_equal(config_queue(two, "q49")->expiry_ms, 1049);
+    assert_int_equal(config_queue(two, "q7")->timeout_ms, 5);
+    assert_int_equal(config_queue(two, "q49")->timeout_ms, 1049);
     assert_string_equal(config_entry(second, "h4.example", "/p49/x")->queue->name, "q49");
     assert_null(config_entry(second, "h3.example", "/p8/x"));
     assert_ptr_equal(config_entry(second, "h2.example", "/p7/x")->queue, config_queue(two, "q7"));
@@ -359,7 +359,7 @@
                 assert_string_equal(x->name, y->name);
                 assert_string_equal(x->kind, y->kind);
                 assert_string_equal(x->note, y->note);
-                assert_int_equal(x->expiry_ms, y->expiry_ms);
+                assert_int_equal(x->timeout_ms, y->timeout_ms);
                 assert_ptr_equal(config_queue(a, x->name), x);
                 queues++;
                 reused += old != NULL && config_queue(old, x->name) == x;
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -246,7 +246,7 @@
     orders_answer(core, mem, &beat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){view_epoch(core->view), orders.version, orders.expiry_ms,   orders.starts,
+    *out = (FetchAnswer){view_epoch(core->view), orders.version, orders.timeout_ms,  orders.starts,
                          orders.starts_count,    orders.wanted,  orders.wanted_count};
     return STATUS_OK;
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -84,7 +84,7 @@
                        .host = ask->host,
                        .body = ask->body,
                        .again = ask->again,
-                       .expiry_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
+                       .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
     RepairList repair_items = {0};
     leader_serve(core, task, mem, &repair_items);
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -89,6 +89,6 @@
         return;
     out->orders = true;
     out->version = table_orders(core->table, beat->worker.name);
-    out->expiry_ms = ORDER_EXPIRY_MS;
+    out->timeout_ms = ORDER_LIFETIME_MS;
     orders_fill(core, mem, beat, out);
 }
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -203,8 +203,8 @@
     if (proof == PROOF_LEASE)
         return view_leading(view) && view_epoch(view) == epoch;
     int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
-    if (way->task->expiry_ms != 0 && way->task->expiry_ms < until_ms)
-        until_ms = way->task->expiry_ms;
+    if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
+        until_ms = way->task->timeout_ms;
     return view_contact(way->core->view, until_ms) == STATUS_OK && view_epoch(view) == epoch;
 }
 
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -172,7 +172,7 @@
     ConfigWatchAnswer answer = {0};
     const Status status = rpc_ask_peer(config_watch->rpc, mem, &(RpcTarget){taken->address, taken->peer, NULL},
                                        MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ask,
-                                       CONFIG_WATCH_WAIT_MS + ASK_EXPIRY_MS, &ConfigWatchAnswer_shape, &answer);
+                                       CONFIG_WATCH_WAIT_MS + ASK_TIMEOUT_MS, &ConfigWatchAnswer_shape, &answer);
     if (status == STATUS_OK) {
         ways_heard(config_watch->ways, taken, !answer.waits);
         if (wanted)
--- a/packages/feed/src/forward.c
+++ b/packages/feed/src/forward.c
@@ -148,8 +148,8 @@
                       .repeat = forward_repeat(task->method, task->path, task->query),
                       .start_ms = start_ms,
                       .until_ms = start_ms + FORWARD_DEADLINE_MS};
-    if (task->expiry_ms != 0 && task->expiry_ms - FORWARD_BACK_MS < one.until_ms)
-        one.until_ms = task->expiry_ms - FORWARD_BACK_MS;
+    if (task->timeout_ms != 0 && task->timeout_ms - FORWARD_BACK_MS < one.until_ms)
+        one.until_ms = task->timeout_ms - FORWARD_BACK_MS;
     ForwardAsk ask = {
         .method = task->method, .path = task->path, .query = task->query, .body = task->body, .host = task->host};
     ForwardAnswer answer = {0};
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -66,8 +66,12 @@
     if (task->body.count <= CONFIG_LARGE_BYTES && !(back && config_watch_size(gate->config_watch) > CONFIG_LARGE_BYTES))
         return false;
     HttpTask *ask = talloc(task, HttpTask);
-    *ask = (HttpTask){
-        .loop = gate->loop, .method = "GET", .path = "/readyz", .query = "", .host = "", .expiry_ms = task->expiry_ms};
+    *ask = (HttpTask){.loop = gate->loop,
+                      .method = "GET",
+                      .path = "/readyz",
+                      .query = "",
+                      .host = "",
+                      .timeout_ms = task->timeout_ms};
     forward_request(gate->forwarder, ask);
     const Member *member = members_find(gate->members, members_leader_id(gate->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -120,9 +120,9 @@
     const HttpPair *heads; /* all headers of the request, their names in lower case */
     size_t head_count;
     Bytes body;
-    int64_t expiry_ms; /* own clock; nobody waits for the result after this; 0: none is known */
-    bool again;        /* it was carried to another leader before, whose answer was lost */
-    bool gone;         /* the caller has left; a result would go nowhere */
+    int64_t timeout_ms; /* own clock; nobody waits for the result after this; 0: none is known */
+    bool again;         /* it was carried to another leader before, whose answer was lost */
+    bool gone;          /* the caller has left; a result would go nowhere */
     /* the result */
     int code;
     Status status;    /* why it was refused; OK otherwise */
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -328,7 +328,7 @@
     void *mem = talloc_new(members);
     Hello ask = {0}, answer = {0};
     hello_fill(members, mem, &ask);
-    if (rpc_ask(members->rpc, mem, address, MESSAGE_HELLO, &Hello_shape, &ask, ASK_EXPIRY_MS, &Hello_shape, &answer) ==
+    if (rpc_ask(members->rpc, mem, address, MESSAGE_HELLO, &Hello_shape, &ask, ASK_TIMEOUT_MS, &Hello_shape, &answer) ==
         STATUS_OK)
         hello_take(members, &answer, true);
     talloc_free(mem);
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -81,7 +81,7 @@
     VoteAnswer answer = {0};
     if (strcmp(part->address, members->self.address) == 0)
         answer.granted = vote_take(members, &voting->ask);
-    else if (rpc_ask(members->rpc, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask, ASK_EXPIRY_MS,
+    else if (rpc_ask(members->rpc, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask, ASK_TIMEOUT_MS,
                      &VoteAnswer_shape, &answer) != STATUS_OK)
         answer.granted = false;
     voting->granted += answer.granted;
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -36,7 +36,7 @@
                            id);
 }
 
-/* --- a request handed to a process from within, with an expiry of its own ----------------- */
+/* --- a request handed to a process from within, with a time-out of its own ----------------- */
 
 typedef struct Handed {
     FleetNode *node;
@@ -50,7 +50,7 @@
     Handed *handed = arg;
     Loop *loop = handed->task->loop;
     const int64_t from_ms = loop_now_ms(loop);
-    handed->task->expiry_ms += handed->task->expiry_ms > 0 ? from_ms : 0;
+    handed->task->timeout_ms += handed->task->timeout_ms > 0 ? from_ms : 0;
     if (handed->node->core != NULL)
         core_take(handed->node->core, handed->task);
     else
@@ -69,7 +69,7 @@
                               .path = path,
                               .query = "",
                               .host = "",
-                              .expiry_ms = wait_ms};
+                              .timeout_ms = wait_ms};
     if (body != NULL)
         bytes_add(handed.task, &handed.task->body, body, strlen(body));
     loop_spawn(handed.task->loop, "hand", hand_main, &handed);
@@ -79,7 +79,7 @@
     return handed.task;
 }
 
-static void expiry_kept(void **state)
+static void timeout_kept(void **state)
 {
     (void)state;
     Fleet *fleet = begin(31);
@@ -363,7 +363,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(expiry_kept),   cmocka_unit_test(refused_at_once), cmocka_unit_test(slow_is_waited_for),
+        cmocka_unit_test(timeout_kept),  cmocka_unit_test(refused_at_once), cmocka_unit_test(slow_is_waited_for),
         cmocka_unit_test(other_ways),    cmocka_unit_test(readiness),       cmocka_unit_test(leaving),
         cmocka_unit_test(keeps_bounded), cmocka_unit_test(kept_elsewhere),
     };
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -310,7 +310,7 @@
                          .address = worker->settings.agent,
                          .method = "POST",
                          .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name),
-                         .wait_ms = WORKER_POLL_MS + ASK_EXPIRY_MS};
+                         .wait_ms = WORKER_POLL_MS + ASK_TIMEOUT_MS};
         bytes_add(mem, &call.body, text, strlen(text));
         talloc_free(last);
         last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -144,7 +144,7 @@
     TraceAnswer answer = {0};
     const int64_t sent_ms = loop_now_ms(trace->loop);
     const Status status = rpc_ask_peer(trace->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_TRACE,
-                                       &TraceAsk_shape, &gathering->ask, ASK_EXPIRY_MS, &TraceAnswer_shape, &answer);
+                                       &TraceAsk_shape, &gathering->ask, ASK_TIMEOUT_MS, &TraceAnswer_shape, &answer);
     if (status == STATUS_OK) {
         rows_add(gathering, &answer, (sent_ms + loop_now_ms(trace->loop)) / 2 - answer.now_ms);
     } else {
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -68,7 +68,7 @@
     if (ask->total == 0)
         ask->snapshot.payload = whole;
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
-                                  VIEW_EXPIRY_MS * 4, &SeatAnswer_shape, answer);
+                                  ELECTION_STEP_TIMEOUT_MS * 4, &SeatAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
         lead_answered(view, lead->slot, answer);
     talloc_free(mem);
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -115,7 +115,7 @@
             ask.seats[k].disk = disks[k];
         FoundAnswer answer = {0};
         rpc_ask(view->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape,
-                &ask, ASK_EXPIRY_MS, &FoundAnswer_shape, &answer);
+                &ask, ASK_TIMEOUT_MS, &FoundAnswer_shape, &answer);
         talloc_free(mem);
     }
 }
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -138,7 +138,7 @@
     if (peer->append_since_ms == INT64_MAX)
         peer->append_since_ms = sent_ms;
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
-                                  APPEND_EXPIRY_MS, &SeatAnswer_shape, &answer);
+                                  APPEND_TIMEOUT_MS, &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
@@ -237,7 +237,7 @@
     const ProposeAsk ask = {0, view->disk, lead->disk, log_last_epoch(view->log), log_last_index(view->log)};
     SeatAnswer answer = {0};
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                  ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+                                  ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
     const bool reached = poll_reached(status);
     if (reached && !lead_peer_over(lead))
         lead_answered(view, lead->slot, &answer);
@@ -253,8 +253,8 @@
         lead->disk,  0};
     const uint64_t contact = view->contact_asked;
     SeatAnswer answer = {0};
-    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask, ASK_EXPIRY_MS,
-                                  &SeatAnswer_shape, &answer);
+    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
+                                  ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
@@ -343,7 +343,7 @@
     Giving *giving = arg;
     SeatAnswer answer = {0};
     rpc_ask(giving->view->settings.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
-            ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+            ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
     talloc_free(giving);
 }
 
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -59,8 +59,8 @@
     LogAsk ask = {view->epoch, view->disk, 0, view->delivered_index, view->seats[seat]};
     log_epoch_at(view->log, ask.after_index, &ask.after_epoch);
     LogAnswer answer = {0};
-    Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask, VIEW_EXPIRY_MS * 4,
-                            &LogAnswer_shape, &answer);
+    Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask,
+                            ELECTION_STEP_TIMEOUT_MS * 4, &LogAnswer_shape, &answer);
     if (status == STATUS_OK && view->epoch != view->lock.promised)
         status = STATUS_OLD_EPOCH;
     if (status == STATUS_OK && answer.whole) {
@@ -316,14 +316,14 @@
 static Status entry_committed(const Opening *opening)
 {
     View *view = opening->view;
-    int64_t until_ms = loop_now_ms(view->loop) + VIEW_EXPIRY_MS;
+    int64_t until_ms = loop_now_ms(view->loop) + ELECTION_STEP_TIMEOUT_MS;
     uint64_t gained = 0;
     while (view->commit_index < view->view_index) {
         if (!signal_wait(view->loop, &view->news, loop_now_ms(view->loop) + 100) && !lead_over(view, opening->turn)) {
             const uint64_t sum = gained_sum(view);
             if (sum != gained) {
                 gained = sum;
-                until_ms = loop_now_ms(view->loop) + VIEW_EXPIRY_MS;
+                until_ms = loop_now_ms(view->loop) + ELECTION_STEP_TIMEOUT_MS;
             }
         }
         if (lead_over(view, opening->turn))
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -33,7 +33,7 @@
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
         const Status status = rpc_ask(view->settings.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                      ASK_EXPIRY_MS, &SeatAnswer_shape, &answer);
+                                      ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
@@ -66,7 +66,7 @@
         loop_spawn(view->loop, "poll", poll_main, part);
     }
     /* also the own disk is not waited for without end */
-    int64_t until_ms = loop_now_ms(view->loop) + ASK_EXPIRY_MS + ASK_EXPIRY_MS / 4;
+    int64_t until_ms = loop_now_ms(view->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
     const size_t needed = view_majority(view);
     bool majority = false;
     while (poll->pending > 0 && signal_wait(view->loop, &poll->ended, until_ms)) {
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -297,7 +297,7 @@
 
 Status view_offer(View *view, uint64_t change, Bytes payload)
 {
-    const Status status = may_order(view, change, loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS);
+    const Status status = may_order(view, change, loop_now_ms(view->loop) + SUBMIT_TIMEOUT_MS);
     if (status == STATUS_OK)
         order_add(view, change, payload);
     return status;
@@ -306,7 +306,7 @@
 Status view_settle(View *view)
 {
     const uint64_t last_index = log_last_index(view->log);
-    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
+    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_TIMEOUT_MS;
     while (view->delivered_index < last_index)
         if (!view->holding || !signal_wait(view->loop, &view->news, until_ms))
             return STATUS_NOT_LEADER;
@@ -315,7 +315,7 @@
 
 Status view_submit(View *view, uint64_t change, Bytes payload, ChangeResult *result)
 {
-    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_EXPIRY_MS;
+    const int64_t until_ms = loop_now_ms(view->loop) + SUBMIT_TIMEOUT_MS;
     Status status = may_order(view, change, until_ms);
     if (status != STATUS_OK)
         return status;
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -149,7 +149,7 @@
             if (now_ms >= lock_lease_until(&view->lease)) {
                 recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
                 lead_down(view, 0);
-            } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_EXPIRY_MS) ||
+            } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS) ||
                        (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
                          view->slow_times >= SEAT_SLOW_TIMES) &&
                         lead_next(view, true) != 0)) {
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -162,8 +162,8 @@
     int64_t wait_ms = until_ms - loop_now_ms(rpc->loop);
     if (wait_ms <= 0)
         return NULL;
-    if (wait_ms > CONNECT_EXPIRY_MS)
-        wait_ms = CONNECT_EXPIRY_MS;
+    if (wait_ms > CONNECT_TIMEOUT_MS)
+        wait_ms = CONNECT_TIMEOUT_MS;
     line->opening = true;
     Channel *channel;
     const Status status = loop_open(rpc->loop, line, address, wait_ms, &channel);
