--- a/examples/counter.c
+++ b/examples/counter.c
@@ -3,7 +3,7 @@
  *     counter NAME LISTEN SEED,SEED,SEED FOLDER
  *
  * The lock's holder adds one a few times a second; every process delivers the
- * same additions in the same order. The others beat to the holder, which keeps
+ * same additions in the same order. The others heartbeat to the holder, which keeps
  * a liveset of them. Each addition delivered is a line on standard output:
  * index, sum, and how many the holder held live when it added. */
 #include <inttypes.h>
@@ -28,7 +28,7 @@
     View *view;
     Liveset *liveset;
     uint64_t sum; /* the state */
-    uint64_t beats;
+    uint64_t heartbeats;
 } Counter;
 
 /* --- the state: what deliver, save and load know ----------------------------- */
@@ -61,40 +61,40 @@
     return saved.count == 0 || saved.count == sizeof(counter->sum) ? STATUS_OK : STATUS_BAD_FRAME;
 }
 
-/* --- liveset: beats and holds --------------------------------------------------- */
+/* --- liveset: heartbeats and holds --------------------------------------------------- */
 
-static Status on_beat(void *arg, void *mem, const void *ask, void *answer)
+static Status on_heartbeat(void *arg, void *mem, const void *ask, void *answer)
 {
     Counter *counter = arg;
-    BeatAnswer *out = answer;
+    HeartbeatAnswer *out = answer;
     bool list_counts;
     (void)mem;
     out->epoch = view_epoch(counter->view);
     if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
-    return liveset_beat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
+    return liveset_heartbeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
 }
 
-static void beat_main(void *arg)
+static void heartbeat_main(void *arg)
 {
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
         const char *leader = members_leader_address(counter->members);
         if (leader != NULL && !view_leading(counter->view)) {
             void *mem = talloc_new(counter);
-            const BeatAsk ask = {.agent = counter->name,
-                                 .incarnation = members_self(counter->members)->incarnation,
-                                 .number = ++counter->beats,
-                                 .worker = {.name = counter->name, .zone = "", .rack = "", .kind = ""},
-                                 .worker_live = true,
-                                 .settled = true};
-            BeatAnswer answer = {0};
-            rpc_ask(counter->rpc, mem, talloc_strdup(mem, leader), MESSAGE_BEAT, &BeatAsk_shape, &ask, ASK_TIMEOUT_MS,
-                    &BeatAnswer_shape, &answer);
+            const HeartbeatAsk ask = {.agent = counter->name,
+                                      .incarnation = members_self(counter->members)->incarnation,
+                                      .number = ++counter->heartbeats,
+                                      .worker = {.name = counter->name, .zone = "", .rack = "", .kind = ""},
+                                      .worker_live = true,
+                                      .settled = true};
+            HeartbeatAnswer answer = {0};
+            rpc_ask(counter->rpc, mem, talloc_strdup(mem, leader), MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &ask,
+                    ASK_TIMEOUT_MS, &HeartbeatAnswer_shape, &answer);
             talloc_free(mem);
         }
-        loop_sleep(counter->loop, BEAT_MS);
+        loop_sleep(counter->loop, HEARTBEAT_MS);
     }
 }
 
@@ -167,10 +167,10 @@
                                .empty = !view_founded(counter->view)};
     counter->members = members_new(counter, counter->loop, counter->rpc, counter->recorder, &self, counter->seeds);
     view_start(counter->view, counter->members);
-    rpc_handle(counter->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, counter);
+    rpc_handle(counter->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, counter);
     members_start(counter->members);
     view_founding(counter->view);
-    loop_spawn(counter->loop, "beat", beat_main, counter);
+    loop_spawn(counter->loop, "beat", heartbeat_main, counter);
     loop_spawn(counter->loop, "plus", plus_main, counter);
 }
 
@@ -178,7 +178,7 @@
 {
     Counter *counter = arg;
     view_step_down(counter->view, INT32_MAX);
-    loop_sleep(counter->loop, BEAT_MS);
+    loop_sleep(counter->loop, HEARTBEAT_MS);
     loop_stop(counter->loop);
 }
 
--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -3,7 +3,7 @@
 
 #include "props/props.h"
 
-/* Stands beside one worker: beats for it, fetches its orders, passes its lease
+/* Stands beside one worker: heartbeats for it, fetches its orders, passes its lease
  * on to it and tells what its rounds came to. Diskless. */
 typedef struct Agent Agent;
 
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -89,7 +89,7 @@
     agent->members = members_new(agent, loop, agent->rpc, recorder, &self, settings->seeds);
     agent->trace = trace_new(agent, loop, agent->rpc, agent->members, settings->name);
     rounds_init(agent);
-    beat_start(agent);
+    heartbeat_start(agent);
     tell_start(agent);
     alone_start(agent);
     members_set_voter(agent->members, settings->bounds.founds == 1);
@@ -105,7 +105,7 @@
 {
     agent->leaving = true;
     members_set_leaving(agent->members);
-    beat_now(agent);
+    heartbeat_now(agent);
     loop_sleep(agent->loop, DRAIN_MS / 3);
 }
 
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -135,10 +135,10 @@
     while (!loop_stopping(agent->loop)) {
         const int64_t left_ms = lease_left_ms(&agent->lease, loop_now_ms(agent->loop));
         const int64_t late_ms = agent->settings->bounds.lease_ms / 2;
-        /* the second half of the lease: several beats have gone unanswered */
+        /* the second half of the lease: several heartbeats have gone unanswered */
         if (left_ms > 0 && left_ms < late_ms)
             ask_all(agent);
-        loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : BEAT_MS / 5);
+        loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : HEARTBEAT_MS / 5);
     }
 }
 
@@ -148,8 +148,8 @@
     KnowAnswer *out = answer;
     (void)mem;
     (void)question;
-    /* its beats are answered: a holder lives */
-    out->knows = agent->beat_ms != 0 && loop_now_ms(agent->loop) - agent->beat_ms < 2 * BEAT_MS;
+    /* its heartbeats are answered: a holder lives */
+    out->knows = agent->heartbeat_ms != 0 && loop_now_ms(agent->loop) - agent->heartbeat_ms < 2 * HEARTBEAT_MS;
     out->epoch = agent->lease.epoch;
     return STATUS_OK;
 }
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -11,7 +11,7 @@
 #include "round.h"
 #include "trace/trace.h"
 
-struct Beat;
+struct Heartbeat;
 
 /* Invariants:
  *  - no round is given to the worker while hold does not run, nor one whose
@@ -29,17 +29,17 @@
     Members *members;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     uint64_t incarnation;
-    uint64_t number; /* of the last beat or telling */
+    uint64_t number; /* of the last heartbeat or telling */
     Lease lease;
-    /* beats */
-    struct Beat *beat;         /* the newest on its way; null: none */
-    size_t beats;              /* on their way */
-    int64_t beat_due_ms;       /* the next, unless there is news */
-    bool beat_now;             /* there is news that does not wait */
-    uint64_t have, have_epoch; /* of the last orders taken: no older ones are taken after them */
-    uint64_t saved_epoch;      /* whose leader the rounds' told_turn speaks of */
-    int64_t beat_ms;           /* its last beat was answered then; 0: none was */
-    bool alone;                /* its lease runs by the second survival rule */
+    /* heartbeats */
+    struct Heartbeat *heartbeat; /* the newest on its way; null: none */
+    size_t heartbeats;           /* on their way */
+    int64_t heartbeat_due_ms;    /* the next, unless there is news */
+    bool heartbeat_now;          /* there is news that does not wait */
+    uint64_t have, have_epoch;   /* of the last orders taken: no older ones are taken after them */
+    uint64_t saved_epoch;        /* whose leader the rounds' told_turn speaks of */
+    int64_t heartbeat_ms;        /* its last heartbeat was answered then; 0: none was */
+    bool alone;                  /* its lease runs by the second survival rule */
     /* the worker */
     Worker worker;
     void *worker_mem;
@@ -83,12 +83,12 @@
 void rounds_withdraw(Agent *agent, const char *why);
 void rounds_forget(Agent *agent);
 
-void beat_start(Agent *agent);
+void heartbeat_start(Agent *agent);
 /* The leader is to hear at once. */
-void beat_now(Agent *agent);
+void heartbeat_now(Agent *agent);
 /* Null-terminated into address; false: no leader is known. */
 bool leader_address(Agent *agent, char address[ADDRESS_MAX]);
-void orders_take(Agent *agent, const BeatAnswer *answer, int64_t sent_ms);
+void orders_take(Agent *agent, const HeartbeatAnswer *answer, int64_t sent_ms);
 void tell_start(Agent *agent);
 void alone_start(Agent *agent);
 void worker_take(Agent *agent, HttpTask *task, const char *name);
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -4,7 +4,7 @@
 
 #include "inside.h"
 
-static bool wanted(const BeatAnswer *answer, const Order *order)
+static bool wanted(const HeartbeatAnswer *answer, const Order *order)
 {
     for (size_t i = 0; i < answer->wanted_count; i++)
         if (answer->wanted[i].round == order->round && answer->wanted[i].task == order->task &&
@@ -50,7 +50,7 @@
     signal_raise(agent->loop, &agent->for_worker);
 }
 
-void orders_take(Agent *agent, const BeatAnswer *answer, int64_t sent_ms)
+void orders_take(Agent *agent, const HeartbeatAnswer *answer, int64_t sent_ms)
 {
     for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
         next = round->next;
--- a/packages/agent/src/rounds.c
+++ b/packages/agent/src/rounds.c
@@ -122,7 +122,7 @@
         round->runs_ms = round->given_ms != 0 ? round->given_ms : loop_now_ms(agent->loop);
     if (round->saved_turn == 0 || strcmp(round->saved, news->saved) != 0) {
         text_set(round, &round->saved, news->saved);
-        round->saved_turn++; /* the next beat tells it */
+        round->saved_turn++; /* the next heartbeat tells it */
     }
     pace_take(agent, round, news->percent);
 }
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -39,7 +39,7 @@
     }
     /* a worker that has left is let go once nothing of it is open */
     if (agent->worker_leaving && !agent->worker_live && agent->rounds.lives.count + agent->rounds.ended.count == 0)
-        beat_now(agent);
+        heartbeat_now(agent);
 }
 
 /* One on its way. Freed by whoever ends last. */
@@ -85,8 +85,8 @@
         char address[ADDRESS_MAX];
         if (leader_address(agent, address) && strcmp(address, telling->address) != 0)
             return STATUS_NOT_LEADER;
-        /* a beat that finds another leader raises this too */
-        signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + BEAT_MS);
+        /* a heartbeat that finds another leader raises this too */
+        signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS);
     }
     return telling->status;
 }
@@ -101,7 +101,7 @@
         telling->ask = (TellAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
         if (news_gather(agent, telling, &telling->ask) == 0) {
             telling_leave(telling);
-            signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + BEAT_MS * 4);
+            signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
             continue;
         }
         char old[ADDRESS_MAX];
@@ -116,7 +116,7 @@
         /* told again until it is committed; to another leader at once */
         char address[ADDRESS_MAX];
         if (!leader_address(agent, address) || strcmp(address, old) == 0)
-            loop_sleep(agent->loop, BEAT_MS / 5);
+            loop_sleep(agent->loop, HEARTBEAT_MS / 5);
     }
 }
 
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -28,7 +28,7 @@
     const int64_t silent_ms = now_ms - agent->asked_ms;
     if (agent->worker_live && silent_ms > quiet_ms(agent)) {
         agent->worker_live = false;
-        beat_now(agent);
+        heartbeat_now(agent);
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
     if (agent->settled && !agent->worker_live && silent_ms > least(WORKER_LOST_MS, quiet_ms(agent)) &&
@@ -41,7 +41,7 @@
         lease_claim_ms(least(agent->settings->bounds.lease_ms, agent->settings->bounds.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
-        beat_now(agent);
+        heartbeat_now(agent);
     }
 }
 
@@ -59,7 +59,7 @@
 /* When to look again: nothing that time brings about is earlier than this. */
 static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
-    int64_t until_ms = now_ms + BEAT_MS / 2;
+    int64_t until_ms = now_ms + HEARTBEAT_MS / 2;
     if (lease_runs(&agent->lease, now_ms))
         until_ms = least(until_ms, agent->lease.until_ms);
     if (agent->worker_until_ms > now_ms)
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -163,7 +163,7 @@
     if (leaving)
         rounds_withdraw(agent, "the worker leaves");
     if (news)
-        beat_now(agent);
+        heartbeat_now(agent);
 }
 
 /* --- answering ------------------------------------------------------------------------- */
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -27,13 +27,13 @@
     Members *members;
     uint64_t epoch;
     int64_t lease_ms;
-    bool deaf;    /* answers no beat */
+    bool deaf;    /* answers no heartbeat */
     bool commits; /* else a telling waits */
     uint64_t version;
-    BeatAnswer orders;
+    HeartbeatAnswer orders;
     Signal changed;
-    BeatAsk beat; /* the newest */
-    size_t beats, tellings;
+    HeartbeatAsk heartbeat; /* the newest */
+    size_t heartbeats, tellings;
     RoundNews news[LISTED * 2];
     size_t news_count;
     RoundSaved saved[LISTED];
@@ -49,23 +49,23 @@
     Worker worker;
 } Case;
 
-static Status on_beat(void *arg, void *mem, const void *question, void *answer)
+static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
 {
     Boss *boss = arg;
-    const BeatAsk *beat = question;
-    BeatAnswer *out = answer;
+    const HeartbeatAsk *heartbeat = question;
+    HeartbeatAnswer *out = answer;
     (void)mem;
     if (boss->deaf)
         return STATUS_NOT_LEADER;
-    boss->beats++;
-    talloc_free((void *)(uintptr_t)boss->beat.agent);
+    boss->heartbeats++;
+    talloc_free((void *)(uintptr_t)boss->heartbeat.agent);
     void *kept = talloc_named_const(boss->rpc, 1, "beat");
-    shape_copy(&BeatAsk_shape, beat, kept, &boss->beat);
-    boss->beat.agent = kept;
-    for (size_t i = 0; i < beat->saved_count && boss->saved_count < LISTED; i++)
-        shape_copy(&RoundSaved_shape, &beat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
-    const int64_t until_ms = loop_now_ms(boss->loop) + beat->wait_ms;
-    while (beat->have == boss->version && beat->have_epoch == boss->epoch)
+    shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &boss->heartbeat);
+    boss->heartbeat.agent = kept;
+    for (size_t i = 0; i < heartbeat->saved_count && boss->saved_count < LISTED; i++)
+        shape_copy(&RoundSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
+    const int64_t until_ms = loop_now_ms(boss->loop) + heartbeat->wait_ms;
+    while (heartbeat->have == boss->version && heartbeat->have_epoch == boss->epoch)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
             break;
     if (boss->deaf)
@@ -75,7 +75,7 @@
     out->lease_ms = boss->lease_ms;
     out->version = boss->version;
     out->timeout_ms = ORDER_LIFETIME_MS;
-    out->orders = beat->have != boss->version || beat->have_epoch != boss->epoch;
+    out->orders = heartbeat->have != boss->version || heartbeat->have_epoch != boss->epoch;
     return STATUS_OK;
 }
 
@@ -101,7 +101,7 @@
     boss->loop = loop;
     boss->rpc = rpc_new(loop, loop, recorder);
     rpc_set_cluster(boss->rpc, 7);
-    rpc_handle(boss->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, boss);
+    rpc_handle(boss->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, boss);
     rpc_handle(boss->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
     char address[ADDRESS_MAX];
     assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
@@ -278,7 +278,7 @@
     (void)state;
     Case *c = case_new(3000, 3000);
     say_all(say(c, "b1"));
-    run(c, 700); /* the beat that says that it lives has been answered */
+    run(c, 700); /* the heartbeat that says that it lives has been answered */
     Say *it = say(c, "b1");
     say_begin(it);
     run(c, 100);
@@ -393,8 +393,8 @@
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
-    assert_true(c->boss.beat.leaving);
-    assert_in_range(c->boss.beat.leave_ms, 6900, 7000);
+    assert_true(c->boss.heartbeat.leaving);
+    assert_in_range(c->boss.heartbeat.leave_ms, 6900, 7000);
     /* nor what is ordered later */
     const Order more[] = {one("j", 1, 1, "")};
     order(c, more, 1);
@@ -422,10 +422,10 @@
     assert_int_equal(it->orders.lease_ms, 0);
     run(c, 100);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
-    assert_true(c->boss.beat.leaving);
-    assert_false(c->boss.beat.worker_live);
-    assert_true(c->boss.beat.settled);
-    assert_int_equal(c->boss.beat.rounds_count, 0);
+    assert_true(c->boss.heartbeat.leaving);
+    assert_false(c->boss.heartbeat.worker_live);
+    assert_true(c->boss.heartbeat.settled);
+    assert_int_equal(c->boss.heartbeat.rounds_count, 0);
     assert_int_equal(saying(c, "b1", runs, 1, NULL, 0)->status, STATUS_DUPLICATE_WORKER);
     talloc_free(c);
 }
@@ -449,9 +449,9 @@
     run(c, 1000);
     saying(c, "b1", half, 1, NULL, 0);
     run(c, 1000);
-    /* once, and once more for how far it has come by now: not with each of the beats */
+    /* once, and once more for how far it has come by now: not with each of the heartbeats */
     assert_in_range(boss->saved_count, 2, 3);
-    assert_true(boss->beats > 8);
+    assert_true(boss->heartbeats > 8);
     assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     const size_t before = boss->saved_count;
     boss->epoch = EPOCH(6);
@@ -662,7 +662,7 @@
     assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
-    assert_false(c->boss.beat.worker_live);
+    assert_false(c->boss.heartbeat.worker_live);
     /* its own word, when it comes after all, weighs more */
     const RoundNews failed[] = {news("j", 0, 1, ROUND_FAILED, "")};
     saying(c, "b1", NULL, 0, failed, 1);
@@ -710,11 +710,11 @@
     Case *c = case_new(3000, 3000);
     say_all(say(c, "b1"));
     run(c, 1000);
-    const size_t beats = c->boss.beats, tellings = c->boss.tellings;
+    const size_t heartbeats = c->boss.heartbeats, tellings = c->boss.tellings;
     for (int i = 0; i < 25; i++) /* ten seconds of an idle worker's questions */
         say_all(say(c, "b1"));
     run(c, 1);
-    const size_t more = c->boss.beats - beats;
+    const size_t more = c->boss.heartbeats - heartbeats;
     assert_in_range(more, 18, 24);
     assert_int_equal(c->boss.tellings, tellings);
     talloc_free(c);
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -4,9 +4,9 @@
 /* Every constant of spancart, with its unit and its reason. Spans are counted
  * on CLOCK_BOOTTIME (or the simulator's clock), never on wall time. */
 
-/* --- beats and holds: the sum of the steps after a leader's death is
+/* --- heartbeats and holds: the sum of the steps after a leader's death is
  * LOCK_HOLD + one proposal + one view change + AGENT_HOLD < 12 s ----------- */
-#define BEAT_MS 500         /* ms; six beats fit in an agent's lease, so five may be lost */
+#define HEARTBEAT_MS 500    /* ms; six heartbeats fit in an agent's lease, so five may be lost */
 #define AGENT_LEASE_MS 3000 /* ms; a lost worker's claim lapses after this: "a few seconds at most" */
 #define LOCK_GRANT_MS 1500  /* ms; a seat grants the lock for so long */
 #define LOCK_LEASE_MS                                                                                                 \
@@ -23,9 +23,10 @@
 #define ORDER_GONE_MS                                                                                   \
     (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS) /* ms; ... by a clock that is 2% slow \
                                                                    */
-#define WORKER_POLL_MS 400   /* ms; a worker's question to its agent is held at most this long */
-#define BEAT_WAIT_MS 450     /* ms; a beat waits so long for orders: with the way there and back, one each BEAT_MS */
-#define BEATS_MOST 4         /* count; an agent's beats on their way at once: one waits, the others have news */
+#define WORKER_POLL_MS 400 /* ms; a worker's question to its agent is held at most this long */
+#define HEARTBEAT_WAIT_MS \
+    450 /* ms; a heartbeat waits so long for orders: with the way there and back, one each HEARTBEAT_MS */
+#define HEARTBEATS_MOST 4    /* count; an agent's heartbeats on their way at once: one waits, the others have news */
 #define WORKER_QUIET_MS 1200 /* ms; a worker that has not asked for so long, and its poll, is given nothing new */
 #define WORKER_BUSY_MS 50    /* ms; what has ended there waits no longer for an answer that is held back ... */
 #define WORKER_AGAIN_MS \
@@ -55,7 +56,7 @@
     60 /* ms; once a majority of seats has answered, the last ones have this long: who is late comes into the view \
           later */
 #define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; one step of a view change */
-#define FETCH_WAIT_MS 900             /* ms; orders asked for without a beat; less than half ORDER_LIFETIME_MS */
+#define FETCH_WAIT_MS 900             /* ms; orders asked for without a heartbeat; less than half ORDER_LIFETIME_MS */
 #define CONFIG_WATCH_WAIT_MS 2000     /* ms; configuration long poll between processes */
 #define LEADER_WAIT_MS                                                                                              \
     150                  /* ms; from a leader's loss, what nobody can have taken waits so long for a way to another \
@@ -167,8 +168,8 @@
     50 /* ms; a failed task rests this long, doubled with each miss: aims are a second or two, and it goes elsewhere \
         */
 #define FAILED_REST_MAX_MS 8000 /* ms */
-#define REFUSED_REST_MS                                                                          \
-    200 /* ms; one that was refused: what its worker has is better known after a beat or a start \
+#define REFUSED_REST_MS                                                                               \
+    200 /* ms; one that was refused: what its worker has is better known after a heartbeat or a start \
          */
 #define LASTING_STEADY_MS 5000   /* ms; a lasting task that ran so long had not failed at once */
 #define LASTING_REST_MAX_MS 2000 /* ms; one that fails at once, again and again, rests at most so long */
--- a/packages/beat/include/beat/hold.h
+++ b/packages/beat/include/beat/hold.h
@@ -1,11 +1,11 @@
-#ifndef BEAT_LEASE_H
-#define BEAT_LEASE_H
+#ifndef HEARTBEAT_LEASE_H
+#define HEARTBEAT_LEASE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /* An agent's claim to run work, on the agent's own clock.
- * Invariant: until_ms is the sending time of some answered beat plus the lease it
+ * Invariant: until_ms is the sending time of some answered heartbeat plus the lease it
  * was answered with, so it lapses before the leader's count of it does. */
 typedef struct Lease {
     uint64_t epoch; /* the highest seen; orders of older ones are refused */
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/beat/include/beat/liveset.h
@@ -1,5 +1,5 @@
-#ifndef BEAT_LIVESET_H
-#define BEAT_LIVESET_H
+#ifndef HEARTBEAT_LIVESET_H
+#define HEARTBEAT_LIVESET_H
 
 #include "beat/messages.h"
 
@@ -8,9 +8,9 @@
 typedef struct LiveRow {
     const char *name;
     uint64_t incarnation;
-    uint64_t number;  /* of the newest beat or telling received */
+    uint64_t number;  /* of the newest heartbeat or telling received */
     int64_t until_ms; /* its lease has lapsed after this, by the leader's clock */
-    int64_t heard_ms; /* its last beat under this leader; INT64_MIN: none */
+    int64_t heard_ms; /* its last heartbeat under this leader; INT64_MIN: none */
     bool worker_live;
     bool leaving;
     bool settled;
@@ -26,11 +26,12 @@
 Liveset *liveset_new(void *mem);
 /* A new leader: nobody is lost before until_ms, nobody has been heard yet. */
 void liveset_reset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
-/* Takes a beat that is answered with a lease of lease_ms; the row's until_ms covers it
+/* Takes a heartbeat that is answered with a lease of lease_ms; the row's until_ms covers it
  * on the agent's clock and on the worker's.
  * DUPLICATE_WORKER: another incarnation that is not the newer one. */
-Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t lease_ms, bool *list_counts);
-/* A telling counts as newer than all beats numbered before it. */
+Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
+                         bool *list_counts);
+/* A telling counts as newer than all heartbeats numbered before it. */
 void liveset_told(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
 void liveset_losing(Liveset *liveset, const char *worker, bool losing);
 const LiveRow *liveset_find(const Liveset *liveset, const char *name);
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -1,5 +1,5 @@
-#ifndef BEAT_MESSAGES_H
-#define BEAT_MESSAGES_H
+#ifndef HEARTBEAT_MESSAGES_H
+#define HEARTBEAT_MESSAGES_H
 
 #include "table/change.h"
 #include "view/messages.h"
@@ -16,11 +16,10 @@
     X(I64, percent_ms, 0) /* ... when it had run so long; 0: not told */
 SHAPE(RoundSaved, ROUND_SAVED_FIELDS)
 
-/* An agent's beat, which is also its question for orders. rounds: all it knows of that may run or whose end is not yet
- * known to the leader. settled: that list is complete (it has heard its worker,
- * or the worker's lease has lapsed, since it started).
- * others: room that is in use there by what is not ours. */
-#define BEAT_ASK_FIELDS(X)                                                    \
+/* An agent's heartbeat, which is also its question for orders. rounds: all it knows of that may run or whose end is not
+ * yet known to the leader. settled: that list is complete (it has heard its worker, or the worker's lease has lapsed,
+ * since it started). others: room that is in use there by what is not ours. */
+#define HEARTBEAT_ASK_FIELDS(X)                                               \
     X(TXT, agent, 0)                                                          \
     X(U64, incarnation, 0)                                                    \
     X(U64, number, 0)                                                         \
@@ -35,7 +34,7 @@
     X(U64, have, 0)     /* version and epoch of the orders it has */          \
     X(U64, have_epoch, 0)                                                     \
     X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
-SHAPE(BeatAsk, BEAT_ASK_FIELDS)
+SHAPE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
 
 /* An order to start a round. It stands for timeout_ms from when the question that
  * brought it was sent. */
@@ -51,15 +50,15 @@
 /* lease_ms counts from when the question was sent. orders: newer ones than the agent
  * has; starts are those of wanted that have not begun and that its question did not
  * name, wanted every round that is to be there. */
-#define BEAT_ANSWER_FIELDS(X) \
-    X(U64, epoch, 0)          \
-    X(I64, lease_ms, 0)       \
-    X(FLAG, orders, 0)        \
-    X(U64, version, 0)        \
-    X(I64, timeout_ms, 0)     \
-    X(LST, starts, Order)     \
+#define HEARTBEAT_ANSWER_FIELDS(X) \
+    X(U64, epoch, 0)               \
+    X(I64, lease_ms, 0)            \
+    X(FLAG, orders, 0)             \
+    X(U64, version, 0)             \
+    X(I64, timeout_ms, 0)          \
+    X(LST, starts, Order)          \
     X(LST, wanted, RoundId)
-SHAPE(BeatAnswer, BEAT_ANSWER_FIELDS)
+SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
 /* Rule 2's question: do you know a lock holder? Cores tell the seats too. */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
--- a/packages/beat/include/beat/strays.h
+++ b/packages/beat/include/beat/strays.h
@@ -1,5 +1,5 @@
-#ifndef BEAT_STRAYS_H
-#define BEAT_STRAYS_H
+#ifndef HEARTBEAT_STRAYS_H
+#define HEARTBEAT_STRAYS_H
 
 #include "beat/messages.h"
 #include "table/table.h"
@@ -7,7 +7,7 @@
 /* Rounds that may still be on a worker though the table has them there no longer:
  * another round of the task finished, or its owner allows copies. Their room is not
  * free until the worker's agent has told that they are over. In the leader's memory:
- * a new one learns of them from the first beats, before which it gives nothing. */
+ * a new one learns of them from the first heartbeats, before which it gives nothing. */
 typedef struct Strays Strays;
 
 Strays *strays_new(void *mem);
@@ -16,9 +16,9 @@
 /* A round of the task that may yet be on the worker, or come there until until_ms. */
 void strays_add(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
                 int64_t until_ms);
-/* A beat's list is all that may run there: whatever of it the table has elsewhere
+/* A heartbeat's list is all that may run there: whatever of it the table has elsewhere
  * or nowhere counts, what is not in it and on no way any more counts no longer. */
-void strays_beat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms);
+void strays_heartbeat(Strays *strays, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
 /* The agent told of the round's end. */
 void strays_end(Strays *strays, const RoundNews *news);
 /* Room in use there; false: something of unknown size is there. */
--- a/packages/beat/src/liveset.c
+++ b/packages/beat/src/liveset.c
@@ -40,17 +40,18 @@
         row_of(liveset, workers[i]);
 }
 
-Status liveset_beat(Liveset *liveset, const BeatAsk *beat, int64_t now_ms, int64_t lease_ms, bool *list_counts)
+Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
+                         bool *list_counts)
 {
-    LiveRow *row = row_of(liveset, beat->worker.name);
+    LiveRow *row = row_of(liveset, heartbeat->worker.name);
     *list_counts = false;
     /* an older one may be a second process, or the same after its clock jumped
      * back: it is taken once the newer one's hold has lapsed */
-    if (beat->incarnation < row->incarnation && now_ms < row->until_ms)
+    if (heartbeat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
-    if (beat->incarnation != row->incarnation) {
+    if (heartbeat->incarnation != row->incarnation) {
         /* a new agent: the old one's lease runs on until it has lapsed */
-        row->incarnation = beat->incarnation;
+        row->incarnation = heartbeat->incarnation;
         row->number = 0;
         row->joined_ms = now_ms;
     }
@@ -58,14 +59,14 @@
     if (until_ms > row->until_ms)
         row->until_ms = until_ms;
     row->heard_ms = now_ms;
-    if (beat->number > row->number) {
-        row->number = beat->number;
-        row->worker_live = beat->worker_live;
-        row->leaving = beat->leaving;
-        row->settled = beat->settled;
-        row->others = beat->others;
-        row->leave_until_ms = beat->leaving && beat->leave_ms > 0 ? now_ms + beat->leave_ms : 0;
-        *list_counts = beat->settled;
+    if (heartbeat->number > row->number) {
+        row->number = heartbeat->number;
+        row->worker_live = heartbeat->worker_live;
+        row->leaving = heartbeat->leaving;
+        row->settled = heartbeat->settled;
+        row->others = heartbeat->others;
+        row->leave_until_ms = heartbeat->leaving && heartbeat->leave_ms > 0 ? now_ms + heartbeat->leave_ms : 0;
+        *list_counts = heartbeat->settled;
     }
     return STATUS_OK;
 }
@@ -89,7 +90,7 @@
 
 bool live_row_ready(const LiveRow *row, int64_t now_ms)
 {
-    return row->heard_ms != INT64_MIN && now_ms < row->until_ms && now_ms - row->heard_ms < 3 * BEAT_MS &&
+    return row->heard_ms != INT64_MIN && now_ms < row->until_ms && now_ms - row->heard_ms < 3 * HEARTBEAT_MS &&
            row->worker_live && !row->leaving && row->settled && !row->losing;
 }
 
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -12,7 +12,7 @@
     uint64_t round;
     Room room;
     bool known;       /* room is what it takes */
-    bool listed;      /* by the newest beat */
+    bool listed;      /* by the newest heartbeat */
     int64_t until_ms; /* it may yet start there */
 } Stray;
 
@@ -81,7 +81,7 @@
 }
 
 /* Whether the table has the round there: then it counts as that. */
-static bool tabled(const Table *table, const BeatAsk *beat, const RoundId *round, Room *room, bool *known)
+static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const RoundId *round, Room *room, bool *known)
 {
     const Job *job = table_job(table, round->job);
     const size_t at = job != NULL ? task_index(job, round->task) : 0;
@@ -90,29 +90,29 @@
         return false;
     const JobTask *task = &job->tasks[at];
     *room = job->spec.steps[task->step].room;
-    return task_on_worker(task->phase) && strcmp(task->worker, beat->worker.name) == 0;
+    return task_on_worker(task->phase) && strcmp(task->worker, heartbeat->worker.name) == 0;
 }
 
-void strays_beat(Strays *strays, const Table *table, const BeatAsk *beat, int64_t now_ms)
+void strays_heartbeat(Strays *strays, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms)
 {
-    StrayList *list = map_get(strays->workers, beat->worker.name);
+    StrayList *list = map_get(strays->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
-    for (size_t i = 0; i < beat->rounds_count; i++) {
+    for (size_t i = 0; i < heartbeat->rounds_count; i++) {
         Room room = {0};
         bool known;
-        if (tabled(table, beat, &beat->rounds[i], &room, &known))
+        if (tabled(table, heartbeat, &heartbeat->rounds[i], &room, &known))
             continue;
-        Stray *stray = stray_of(strays, beat->worker.name, beat->rounds[i].job, beat->rounds[i].task);
+        Stray *stray = stray_of(strays, heartbeat->worker.name, heartbeat->rounds[i].job, heartbeat->rounds[i].task);
         stray->listed = true;
-        if (beat->rounds[i].round > stray->round)
-            stray->round = beat->rounds[i].round;
+        if (heartbeat->rounds[i].round > stray->round)
+            stray->round = heartbeat->rounds[i].round;
         if (known) {
             stray->room = room;
             stray->known = true;
         }
     }
-    list = map_get(strays->workers, beat->worker.name);
+    list = map_get(strays->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
             stray_drop(list, i);
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -33,10 +33,10 @@
     return room.cpu_milli;
 }
 
-static void beat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
+static void heartbeat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
 {
-    const BeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
-    strays_beat(it->strays, it->board.table, &ask, now_ms);
+    const HeartbeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
+    strays_heartbeat(it->strays, it->board.table, &ask, now_ms);
 }
 
 /* An older round finishes well while a newer one runs elsewhere: that one is to be
@@ -55,7 +55,7 @@
     assert_int_equal(it.job->tasks[0].phase, TASK_DONE);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
     RoundId listed = {"j", 0, 2};
-    beat(&it, "w2", &listed, 1, UNTIL_MS + 1);
+    heartbeat(&it, "w2", &listed, 1, UNTIL_MS + 1);
     assert_int_equal(cpu_on(&it, "w2"), 3000); /* still there, though no order is on its way */
     const RoundNews older = {.job = "j", .task = 0, .round = 1, .worker = "w2", .word = ROUND_STOPPED};
     strays_end(it.strays, &older);
@@ -72,9 +72,9 @@
     (void)state;
     Case it = begin();
     strays_add(it.strays, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
-    beat(&it, "w1", NULL, 0, UNTIL_MS - 1);
+    heartbeat(&it, "w1", NULL, 0, UNTIL_MS - 1);
     assert_int_equal(cpu_on(&it, "w1"), 3000);
-    beat(&it, "w1", NULL, 0, UNTIL_MS + 1);
+    heartbeat(&it, "w1", NULL, 0, UNTIL_MS + 1);
     assert_int_equal(cpu_on(&it, "w1"), 0);
     talloc_free(it.board.table);
 }
@@ -88,15 +88,15 @@
     const uint64_t both[] = {0, 1};
     place(&it.board, "j", both, 2, 1, "w1", "");
     RoundId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
-    beat(&it, "w1", listed, 2, 10);
+    heartbeat(&it, "w1", listed, 2, 10);
     assert_int_equal(cpu_on(&it, "w1"), 0);
-    beat(&it, "w2", listed, 1, 10);
+    heartbeat(&it, "w2", listed, 1, 10);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
     RoundId unknown = {"k", 0, 1};
-    beat(&it, "w2", &unknown, 1, 20);
+    heartbeat(&it, "w2", &unknown, 1, 20);
     Room room;
     assert_false(strays_room(it.strays, "w2", &room));
-    beat(&it, "w2", NULL, 0, 30);
+    heartbeat(&it, "w2", NULL, 0, 30);
     assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
 }
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -1,13 +1,14 @@
-/* The leader towards agents: beats, tellings, orders. */
+/* The leader towards agents: heartbeats, tellings, orders. */
 #include <string.h>
 #include <talloc.h>
 
 #include "inside.h"
 
-static bool listed(const BeatAsk *beat, const char *job, uint64_t task, uint64_t round)
+static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t round)
 {
-    for (size_t i = 0; i < beat->rounds_count; i++)
-        if (beat->rounds[i].round == round && beat->rounds[i].task == task && strcmp(beat->rounds[i].job, job) == 0)
+    for (size_t i = 0; i < heartbeat->rounds_count; i++)
+        if (heartbeat->rounds[i].round == round && heartbeat->rounds[i].task == task &&
+            strcmp(heartbeat->rounds[i].job, job) == 0)
             return true;
     return false;
 }
@@ -15,33 +16,33 @@
 /* Not in its agent's list though it is to be stopped: it has stopped, or it never
  * came there. An order for it may still be on its way, until it expires or the agent
  * has newer ones. */
-static bool stop_over(const Core *core, const BeatAsk *beat, const JobTask *task)
+static bool stop_over(const Core *core, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
-    return task->phase == TASK_STOPPING &&
-           (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
-            (beat->have_epoch == view_epoch(core->view) && beat->have == table_orders(core->table, beat->worker.name)));
+    return task->phase == TASK_STOPPING && (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
+                                            (heartbeat->have_epoch == view_epoch(core->view) &&
+                                             heartbeat->have == table_orders(core->table, heartbeat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
  * those that were to stop have stopped. */
-static RoundList missing(const Core *core, void *mem, const BeatAsk *beat)
+static RoundList missing(const Core *core, void *mem, const HeartbeatAsk *heartbeat)
 {
     RoundList list = {0};
     const TaskOn *on;
-    const size_t count = table_on(core->table, beat->worker.name, &on);
+    const size_t count = table_on(core->table, heartbeat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
         const uint64_t number = task_number(task);
-        if ((task->phase != TASK_RUNNING && !stop_over(core, beat, task)) ||
-            listed(beat, job->spec.id, number, task->round))
+        if ((task->phase != TASK_RUNNING && !stop_over(core, heartbeat, task)) ||
+            listed(heartbeat, job->spec.id, number, task->round))
             continue;
         if (list.news == NULL)
             list.news = talloc_array(mem, RoundNews, (unsigned)count);
         list.news[list.news_count++] = (RoundNews){.job = talloc_strdup(mem, job->spec.id),
                                                    .task = number,
                                                    .round = task->round,
-                                                   .worker = talloc_strdup(mem, beat->worker.name),
+                                                   .worker = talloc_strdup(mem, heartbeat->worker.name),
                                                    .word = task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST,
                                                    .text = "not on its worker any more",
                                                    .saved = ""};
@@ -49,7 +50,7 @@
     return list;
 }
 
-/* What a beat makes known, committed beside it: the lease is not kept back for
+/* What a heartbeat makes known, committed beside it: the lease is not kept back for
  * the disks. */
 typedef struct Learning {
     Core *core;
@@ -76,21 +77,21 @@
 }
 
 /* One at a time for each worker: what is on its way need not be submitted again. */
-static void learn(Core *core, const BeatAsk *beat, bool list_counts)
+static void learn(Core *core, const HeartbeatAsk *heartbeat, bool list_counts)
 {
-    AgentLine *line = agent_line(core, beat->worker.name);
+    AgentLine *line = agent_line(core, heartbeat->worker.name);
     if (line->learning)
         return;
-    const Worker *known = table_worker(core->table, beat->worker.name);
-    Worker worker = beat->worker;
-    const bool here = beat->worker_live && !beat->leaving;
+    const Worker *known = table_worker(core->table, heartbeat->worker.name);
+    Worker worker = heartbeat->worker;
+    const bool here = heartbeat->worker_live && !heartbeat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
-    const bool learns = beat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
+    const bool learns = heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
-    const bool left = known != NULL && !known->excluded && beat->leaving && !beat->worker_live && beat->settled &&
-                      beat->rounds_count == 0;
+    const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
+                      heartbeat->settled && heartbeat->rounds_count == 0;
     void *mem = talloc_new(core);
-    const RoundList gone = list_counts ? missing(core, mem, beat) : (RoundList){0};
+    const RoundList gone = list_counts ? missing(core, mem, heartbeat) : (RoundList){0};
     if (learns || left || gone.news_count > 0) {
         Learning *learning = talloc_zero(core, Learning);
         *learning = (Learning){.core = core, .line = line, .learn = learns, .left = left, .missing = gone};
@@ -117,18 +118,18 @@
                : task->phase == TASK_PLACED && saved->round == task->round && strcmp(task->worker, worker) == 0;
 }
 
-static void runs_take(Core *core, const BeatAsk *beat)
+static void runs_take(Core *core, const HeartbeatAsk *heartbeat)
 {
-    for (size_t i = 0; i < beat->saved_count; i++) {
-        const RoundSaved *saved = &beat->saved[i];
+    for (size_t i = 0; i < heartbeat->saved_count; i++) {
+        const RoundSaved *saved = &heartbeat->saved[i];
         saved_take(core, saved);
-        pace_take(core, beat->worker.name, saved);
-        if (!runs_untold(core, beat->worker.name, saved))
+        pace_take(core, heartbeat->worker.name, saved);
+        if (!runs_untold(core, heartbeat->worker.name, saved))
             continue;
         const RoundNews news = {.job = saved->job,
                                 .task = saved->task,
                                 .round = saved->round,
-                                .worker = beat->worker.name,
+                                .worker = heartbeat->worker.name,
                                 .word = ROUND_RUNNING,
                                 .text = "",
                                 .saved = saved->text,
@@ -172,34 +173,35 @@
     core_news(core);
 }
 
-static Status on_beat(void *arg, void *mem, const void *question, void *answer)
+static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
 {
     Core *core = arg;
-    const BeatAsk *beat = question;
-    BeatAnswer *out = answer;
+    const HeartbeatAsk *heartbeat = question;
+    HeartbeatAnswer *out = answer;
     out->epoch = view_epoch(core->view);
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
-    if (!check_name_text(beat->worker.name) || !check_name_text(beat->worker.zone))
+    if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
     const int64_t now_ms = loop_now_ms(core->loop);
-    const LiveRow *before = liveset_find(core->liveset, beat->worker.name);
+    const LiveRow *before = liveset_find(core->liveset, heartbeat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms);
     bool list_counts;
     const int64_t lease_ms = core->settings->bounds.lease_ms;
-    const Status status = liveset_beat(core->liveset, beat, now_ms, lease_ms, &list_counts);
+    const Status status = liveset_heartbeat(core->liveset, heartbeat, now_ms, lease_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
-    if (liveset_find(core->liveset, beat->worker.name)->number == beat->number)
-        strays_beat(core->strays, core->table, beat, now_ms);
-    if (was_ready != live_row_ready(liveset_find(core->liveset, beat->worker.name), now_ms))
+    if (liveset_find(core->liveset, heartbeat->worker.name)->number == heartbeat->number)
+        strays_heartbeat(core->strays, core->table, heartbeat, now_ms);
+    if (was_ready != live_row_ready(liveset_find(core->liveset, heartbeat->worker.name), now_ms))
         core_news(core);
-    runs_take(core, beat);
+    runs_take(core, heartbeat);
     if (!core->repairing && view_leading(core->view))
-        learn(core, beat, list_counts);
+        learn(core, heartbeat, list_counts);
     place_maybe(core);
-    if (beat->wait_ms > 0)
-        orders_answer(core, mem, beat, beat->wait_ms < BEAT_WAIT_MS ? beat->wait_ms : BEAT_WAIT_MS, out);
+    if (heartbeat->wait_ms > 0)
+        orders_answer(core, mem, heartbeat,
+                      heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
     /* the lease counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
     if (!view_holds(core->view))
@@ -230,9 +232,9 @@
     Core *core = arg;
     const FetchAsk *ask = question;
     FetchAnswer *out = answer;
-    const BeatAsk beat = {
+    const HeartbeatAsk heartbeat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_epoch = ask->have_epoch};
-    BeatAnswer orders = {0};
+    HeartbeatAnswer orders = {0};
     out->epoch = view_epoch(core->view);
     if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
@@ -240,10 +242,10 @@
         return STATUS_REPAIRING;
     const LiveRow *row = liveset_find(core->liveset, ask->agent);
     if (row == NULL)
-        return STATUS_UNKNOWN_WORKER; /* it has to beat first */
+        return STATUS_UNKNOWN_WORKER; /* it has to heartbeat first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
-    orders_answer(core, mem, &beat, FETCH_WAIT_MS, &orders);
+    orders_answer(core, mem, &heartbeat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
     *out = (FetchAnswer){view_epoch(core->view), orders.version, orders.timeout_ms,  orders.starts,
@@ -270,7 +272,7 @@
 {
     orders_start(core);
     news_start(core);
-    rpc_handle(core->rpc, MESSAGE_BEAT, &BeatAsk_shape, &BeatAnswer_shape, on_beat, core);
+    rpc_handle(core->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, core);
     rpc_handle(core->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, core);
     rpc_handle(core->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, core);
     rpc_handle(core->rpc, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, core);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -92,7 +92,7 @@
         const RoundNews *news = &rounds->news[i];
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
-            continue; /* a beat has told how far it has come since */
+            continue; /* a heartbeat has told how far it has come since */
         if (view_holds(core->view))
             saved_take(core, &saved);
         strays_end(core->strays, news);
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -134,7 +134,7 @@
 typedef struct AgentLine {
     Signal news;   /* its orders have changed, or whether they may be given */
     uint64_t turn; /* of its newest question; an earlier one waits no longer */
-    bool learning; /* what a beat made known is being committed */
+    bool learning; /* what a heartbeat made known is being committed */
 } AgentLine;
 
 AgentLine *agent_line(Core *core, const char *worker);
@@ -143,7 +143,7 @@
 void orders_wake(Core *core);
 /* Waits, at most wait_ms, for newer orders than the agent has; answers with them, or
  * leaves the answer as it is. */
-void orders_answer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out);
+void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out);
 
 typedef struct News News;
 void news_start(Core *core);
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -46,10 +46,10 @@
     return false;
 }
 
-static void orders_fill(Core *core, void *mem, const BeatAsk *beat, BeatAnswer *out)
+static void orders_fill(Core *core, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
-    const size_t count = table_on(core->table, beat->worker.name, &on);
+    const size_t count = table_on(core->table, heartbeat->worker.name, &on);
     out->wanted = talloc_array(mem, RoundId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
@@ -60,7 +60,7 @@
         const char *id = talloc_strdup(mem, job->spec.id);
         const uint64_t number = task_number(task);
         out->wanted[out->wanted_count++] = (RoundId){id, number, task->round};
-        if (task->phase != TASK_PLACED || listed(beat->rounds, beat->rounds_count, id, number, task->round))
+        if (task->phase != TASK_PLACED || listed(heartbeat->rounds, heartbeat->rounds_count, id, number, task->round))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
         out->starts[out->starts_count++] = (Order){
@@ -68,27 +68,28 @@
     }
 }
 
-static bool orders_new(const Core *core, const BeatAsk *beat)
+static bool orders_new(const Core *core, const HeartbeatAsk *heartbeat)
 {
-    const LiveRow *row = liveset_find(core->liveset, beat->worker.name);
-    return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == beat->incarnation &&
+    const LiveRow *row = liveset_find(core->liveset, heartbeat->worker.name);
+    return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == heartbeat->incarnation &&
            !row->losing &&
-           (table_orders(core->table, beat->worker.name) != beat->have || view_epoch(core->view) != beat->have_epoch);
+           (table_orders(core->table, heartbeat->worker.name) != heartbeat->have ||
+            view_epoch(core->view) != heartbeat->have_epoch);
 }
 
-void orders_answer(Core *core, void *mem, const BeatAsk *beat, int64_t wait_ms, BeatAnswer *out)
+void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out)
 {
     const int64_t until_ms = loop_now_ms(core->loop) + wait_ms;
-    AgentLine *line = agent_line(core, beat->worker.name);
+    AgentLine *line = agent_line(core, heartbeat->worker.name);
     const uint64_t turn = ++line->turn;
     signal_raise(core->loop, &line->news); /* an earlier question waits no longer */
-    while (!orders_new(core, beat))
+    while (!orders_new(core, heartbeat))
         if (!signal_wait(core->loop, &line->news, until_ms) || turn != line->turn)
             return;
     if (!core_decides(core))
         return;
     out->orders = true;
-    out->version = table_orders(core->table, beat->worker.name);
+    out->version = table_orders(core->table, heartbeat->worker.name);
     out->timeout_ms = ORDER_LIFETIME_MS;
-    orders_fill(core, mem, beat, out);
+    orders_fill(core, mem, heartbeat, out);
 }
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -145,7 +145,7 @@
         const JobTask *task = &candidate->job->tasks[candidate_task(candidate, i)];
         if (task->round >= round)
             round = task->round + 1;
-        /* of a round that was lost with its worker the beats alone have told */
+        /* of a round that was lost with its worker the heartbeats alone have told */
         const char *told =
             task->round > 0 ? core_saved(pass->core, candidate->job->spec.id, task_number(task), task->round) : "";
         if (saved[0] == '\0')
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -9,7 +9,7 @@
 #define PLAN_CHECKS_MAX 200 /* count; looks at the r-loss plan in one pass */
 #define PLAN_CHECKS_LEAST 4 /* count; as many are always made */
 #define PLAN_WORK_MAX \
-    4000000           /* count; tasks and workers looked at for plans in one pass: some 50 ms, a tenth of a beat */
+    4000000           /* count; tasks and workers looked at for plans in one pass: some 50 ms, a tenth of a heartbeat */
 #define PASS_GAP_MS 5 /* ms; news that come together are decided on together; ... */
 #define PASS_GAP_MOST_MS \
     40                    /* ms; ... on large sites, and when many wait, a pass takes longer, and more come together */
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -153,7 +153,7 @@
     /* those who were told first must have found this process again: a connection to
      * its last life may be silent */
     while (loop_now_ms(core->loop) - core->started_ms < REPAIR_HEAR_MS)
-        loop_sleep(core->loop, BEAT_MS / 5);
+        loop_sleep(core->loop, HEARTBEAT_MS / 5);
     Retelling *retelling = talloc_zero(core, Retelling);
     retelling->core = core;
     retelling->users = 1;
@@ -229,7 +229,7 @@
     while (turn == core->repair_turn && core->repairing && !loop_stopping(core->loop)) {
         if (view_leading(core->view) && repair_once(core, turn))
             return;
-        signal_wait(core->loop, view_news(core->view), loop_now_ms(core->loop) + BEAT_MS / 10);
+        signal_wait(core->loop, view_news(core->view), loop_now_ms(core->loop) + HEARTBEAT_MS / 10);
     }
 }
 
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -1,5 +1,5 @@
-/* How far running rounds have come, as their agents' beats tell: in memory alone.
- * A new leader has it from the next beats; the log has it with the end of a round
+/* How far running rounds have come, as their agents' heartbeats tell: in memory alone.
+ * A new leader has it from the next heartbeats; the log has it with the end of a round
  * and with the placement of the next. */
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -47,7 +47,7 @@
     X(far_percent, "farPercent", 150, "away from its data, or over racks, work takes so much of its time") \
     X(save_ms, "saveMs", 1000, "progress is saved after each so much of work")                             \
     X(restore_ms, "restoreMs", 250, "work that goes on from what was saved begins after this")             \
-    X(beat_ms, "beatMs", 1500, "a worker beats at least this often")                                       \
+    X(heartbeat_ms, "beatMs", 1500, "a worker beats at least this often")                                  \
     X(deaf, "deaf", 0, "1: workers can't say that they leave")
 
 /* One kind of work that callers hand in: a queue's.
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -161,7 +161,7 @@
     Outcome (*outcome)(int code);
     /* All on mem. */
     char *(*settings)(void *mem, const Site *site, const TongueNode *node);
-    char *(*beat_path)(void *mem, const char *boot, bool leaves);
+    char *(*heartbeat_path)(void *mem, const char *boot, bool leaves);
     Bytes (*report)(void *mem, const HandReport *report);
     bool (*orders)(void *mem, Bytes result, HandOrders *orders);
     Bytes (*job)(void *mem, const Draft *draft);
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -1,4 +1,4 @@
-/* A stand-in for a worker: its process, its beats, its pace, how it leaves. */
+/* A stand-in for a worker: its process, its heartbeats, its pace, how it leaves. */
 #include "hand.h"
 
 #include <inttypes.h>
@@ -6,11 +6,11 @@
 #include <string.h>
 #include <talloc.h>
 
-#define ANSWER_MOST_MS 1000  /* ms; an answer that takes longer is dropped */
-#define NEWS_GAP_MS 50       /* ms; from an end to the beat that tells it */
-#define BEAT_AGAIN_MS 300    /* ms; after a beat that nobody took */
-#define LEAVE_ANYWAY_MS 4000 /* ms; it leaves so long after it had to, though nobody took note */
-#define ENDS_AT_ONCE 500     /* count; in one beat */
+#define ANSWER_MOST_MS 1000    /* ms; an answer that takes longer is dropped */
+#define NEWS_GAP_MS 50         /* ms; from an end to the heartbeat that tells it */
+#define HEARTBEAT_AGAIN_MS 300 /* ms; after a heartbeat that nobody took */
+#define LEAVE_ANYWAY_MS 4000   /* ms; it leaves so long after it had to, though nobody took note */
+#define ENDS_AT_ONCE 500       /* count; in one heartbeat */
 
 Room hand_used(const Hand *hand)
 {
@@ -45,7 +45,7 @@
         hand_pace(hand);
 }
 
-/* --- beats --------------------------------------------------------------------------------------------- */
+/* --- heartbeats --------------------------------------------------------------------------------------------- */
 
 static void report_fill(Hand *hand, void *mem, HandReport *report)
 {
@@ -85,8 +85,8 @@
     hand->leave_ack_touch = node_in_touch(hand->side);
 }
 
-/* One beat; how long until the next is due. */
-static int64_t beat_once(Hand *hand, void *mem)
+/* One heartbeat; how long until the next is due. */
+static int64_t heartbeat_once(Hand *hand, void *mem)
 {
     const Ground *ground = hand->hands->ground;
     const Tongue *tongue = ground->tongue;
@@ -98,7 +98,7 @@
                      .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
                                                 tongue->operator_port),
                      .method = "POST",
-                     .path = tongue->beat_path(mem, hand->boot, false),
+                     .path = tongue->heartbeat_path(mem, hand->boot, false),
                      .body = tongue->report(mem, &report),
                      .wait_ms = ANSWER_MOST_MS};
     const int64_t sent_ms = loop_now_ms(hand->loop);
@@ -107,23 +107,24 @@
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
         loop_now_ms(hand->loop) - sent_ms > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
         hand->news_open = true;
-        return BEAT_AGAIN_MS;
+        return HEARTBEAT_AGAIN_MS;
     }
     if (leaving)
         leave_acked(hand);
     hand_orders_take(hand, orders, sent_ms);
-    return orders->again_ms >= 0 && orders->again_ms < ground->site->beat_ms ? orders->again_ms : ground->site->beat_ms;
+    return orders->again_ms >= 0 && orders->again_ms < ground->site->heartbeat_ms ? orders->again_ms
+                                                                                  : ground->site->heartbeat_ms;
 }
 
-static void beat_main(void *arg)
+static void heartbeat_main(void *arg)
 {
     Hand *hand = arg;
     for (;;) {
         void *mem = talloc_new(hand->mem);
-        const int64_t wait_ms = beat_once(hand, mem);
+        const int64_t wait_ms = heartbeat_once(hand, mem);
         talloc_free(mem);
         const int64_t until_ms = loop_now_ms(hand->loop) + wait_ms;
-        if (wait_ms == BEAT_AGAIN_MS && hand->news_open)
+        if (wait_ms == HEARTBEAT_AGAIN_MS && hand->news_open)
             loop_sleep(hand->loop, wait_ms);
         else if (hand->news_open || signal_wait(hand->loop, &hand->news, until_ms))
             loop_sleep(hand->loop, NEWS_GAP_MS);
@@ -155,7 +156,7 @@
                      .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
                                                 ground->tongue->operator_port),
                      .method = "POST",
-                     .path = ground->tongue->beat_path(mem, hand->boot, true),
+                     .path = ground->tongue->heartbeat_path(mem, hand->boot, true),
                      .wait_ms = ANSWER_MOST_MS};
     loop_call(hand->loop, &call);
     talloc_free(mem);
@@ -191,7 +192,7 @@
     hand->leaving = hand->news_open = false;
     hand->leave_at_ms = hand->leave_ack_ms = 0;
     loop_spawn(loop, "work", hand_work_main, hand);
-    loop_spawn(loop, "beat", beat_main, hand);
+    loop_spawn(loop, "beat", heartbeat_main, hand);
 }
 
 void hand_start(Hand *hand)
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -98,7 +98,7 @@
 void hand_run_end(HandRun *run, RoundWord word);
 /* A task of its process: what comes due. */
 void hand_work_main(void *arg);
-/* An answer to a beat that was sent then, by the worker's clock. */
+/* An answer to a heartbeat that was sent then, by the worker's clock. */
 void hand_orders_take(Hand *hand, const HandOrders *orders, int64_t sent_ms);
 
 /* --- crews -------------------------------------------------------------------------------- */
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -243,8 +243,8 @@
     X(FillAsk)           \
     X(LogAsk)            \
     X(LogAnswer)         \
-    X(BeatAsk)           \
-    X(BeatAnswer)        \
+    X(HeartbeatAsk)      \
+    X(HeartbeatAnswer)   \
     X(KnowAnswer)        \
     X(TellAsk)           \
     X(FetchAsk)          \
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -70,14 +70,14 @@
     talloc_free(fleet);
 }
 
-/* The leader dies first; the next one hears it all from the beats. */
+/* The leader dies first; the next one hears it all from the heartbeats. */
 static void leader_lost_before(void **state)
 {
     (void)state;
     Fleet *fleet = begun(4);
     fleet_run(fleet, 2000);
     fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
-    fleet_run(fleet, 5000); /* another leads; beats have come */
+    fleet_run(fleet, 5000); /* another leads; heartbeats have come */
     assert_true(fleet_leader(fleet) >= 0);
     const int at = worker_of(fleet);
     fleet_power_off(fleet, FLEET_AGENT, at);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -53,14 +53,14 @@
                                .kind = "std",
                                .room = {cpu_milli, 262144, 0}};
         tell(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
-        const BeatAsk beat = {.agent = worker.name,
-                              .incarnation = 1,
-                              .number = 1,
-                              .worker = worker,
-                              .worker_live = true,
-                              .settled = true};
+        const HeartbeatAsk heartbeat = {.agent = worker.name,
+                                        .incarnation = 1,
+                                        .number = 1,
+                                        .worker = worker,
+                                        .worker_live = true,
+                                        .settled = true};
         bool counts;
-        liveset_beat(stand->core->liveset, &beat, loop_now_ms(stand->core->loop), 60000, &counts);
+        liveset_heartbeat(stand->core->liveset, &heartbeat, loop_now_ms(stand->core->loop), 60000, &counts);
     }
     talloc_free(mem);
 }
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -254,7 +254,7 @@
     assert_string_equal(job->tasks[0].saved, "p2");
     say(&b, "j", 0, 1, "w", ROUND_LAPSED, ""); /* told late, and empty: nothing to keep */
     assert_string_equal(job->tasks[0].saved, "p2");
-    place(&b, "j", FIRST, 1, 2, "w", "p3"); /* the leader has heard more from beats */
+    place(&b, "j", FIRST, 1, 2, "w", "p3"); /* the leader has heard more from heartbeats */
     assert_string_equal(job->tasks[0].saved, "p3");
     say(&b, "j", 0, 1, "w", ROUND_STOPPED, "p2"); /* of an older round */
     assert_string_equal(job->tasks[0].saved, "p3");
--- a/packages/wire/include/wire/kinds.h
+++ b/packages/wire/include/wire/kinds.h
@@ -15,7 +15,7 @@
     X(APPEND, 7, "append", false)      /* view: entries of the log */                          \
     X(FILL, 8, "fill", false)          /* view: a whole snapshot */                            \
     X(LOG, 9, "log", false)            /* view: give me your log from here */                  \
-    X(BEAT, 10, "beat", false)         /* beat: agent to leader, answered with a lease */      \
+    X(HEARTBEAT, 10, "beat", false)    /* heartbeat: agent to leader, answered with a lease */ \
     X(TELL, 11, "tell", false)         /* agent to leader: started, finished */                \
     X(FETCH, 12, "fetch", false)       /* agent to leader: orders, by long poll */             \
     X(CONFIG_WATCH, 13, "feed", false) /* data plane to leader: configuration, by long poll */ \
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -155,7 +155,7 @@
           "liveset_reset(core->liveset, view_won_ms(core->view), names, count);",
           CLAIM, "timeline", "trentvale", 6, OFF_WITH_LEADER),
     Guard("hold-counted-from-sending", "an agent counts its hold from when it sent the beat", "packages/agent/src/beat.c",
-          "lease_answered(&agent->lease, answer->epoch, beat->sent_ms, answer->lease_ms)",
+          "lease_answered(&agent->lease, answer->epoch, heartbeat->sent_ms, answer->lease_ms)",
           "lease_answered(&agent->lease, answer->epoch, loop_now_ms(agent->loop), answer->lease_ms)",
           "running twice|" + CLAIM, "timeline", "trentvale", 16, AGENTS_FROZEN_THEN_CUT),
     Guard("hold-handed-on", "the agent hands the worker no more than is left of its own hold", "packages/agent/src/worker.c",
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -22,10 +22,10 @@
 HERE = os.path.dirname(os.path.abspath(__file__))
 ROOT = os.path.dirname(HERE)
 
-# What the next release adds: fields at the end, of a beat, of an answer with
+# What the next release adds: fields at the end, of a heartbeat, of an answer with
 # orders, of a carried request, of a record of the log; and a message kind.
 NEXT_FIELDS = [
-    ("packages/beat/include/beat/messages.h", "BEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/beat/include/beat/messages.h", "HEARTBEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
     ("packages/beat/include/beat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
     ("packages/feed/include/feed/messages.h", "FORWARD_ASK_FIELDS", "X(U64, added_later, 0)"),
     ("packages/view/include/view/messages.h", "VIEW_RECORD_FIELDS", "X(U64, added_later, 0)"),
@@ -33,7 +33,7 @@
 ]
 NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = rpc_ask_peer\(",
              "\n    /* a message that the release before does not know */\n"
-             "    rpc_ask(agent->rpc, beat, beat->address, (MessageKind)250, &BeatAsk_shape, &ask, 50, &BeatAnswer_shape, &answer);\n"
+             "    rpc_ask(agent->rpc, heartbeat, heartbeat->address, (MessageKind)250, &HeartbeatAsk_shape, &ask, 50, &HeartbeatAnswer_shape, &answer);\n"
              "    const Status status = rpc_ask_peer(")
 
 
