--- a/packages/beat/include/beat/strays.h
+++ b/packages/beat/include/beat/strays.h
@@ -1,5 +1,5 @@
-#ifndef HEARTBEAT_STRAYS_H
-#define HEARTBEAT_STRAYS_H
+#ifndef HEARTBEAT_ORPHANS_H
+#define HEARTBEAT_ORPHANS_H
 
 #include "beat/messages.h"
 #include "table/table.h"
@@ -8,20 +8,20 @@
  * another round of the task finished, or its owner allows copies. Their room is not
  * free until the worker's agent has told that they are over. In the leader's memory:
  * a new one learns of them from the first heartbeats, before which it gives nothing. */
-typedef struct Strays Strays;
+typedef struct Orphans Orphans;
 
-Strays *strays_new(void *mem);
+Orphans *orphans_new(void *mem);
 /* A new leader knows of none. */
-void strays_reset(Strays *strays);
+void orphans_reset(Orphans *orphans);
 /* A round of the task that may yet be on the worker, or come there until until_ms. */
-void strays_add(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
-                int64_t until_ms);
+void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+                 int64_t until_ms);
 /* A heartbeat's list is all that may run there: whatever of it the table has elsewhere
  * or nowhere counts, what is not in it and on no way any more counts no longer. */
-void strays_heartbeat(Strays *strays, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
+void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
 /* The agent told of the round's end. */
-void strays_end(Strays *strays, const RoundNews *news);
+void orphans_end(Orphans *orphans, const RoundNews *news);
 /* Room in use there; false: something of unknown size is there. */
-bool strays_room(const Strays *strays, const char *worker, Room *room);
+bool orphans_room(const Orphans *orphans, const char *worker, Room *room);
 
 #endif
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -6,7 +6,7 @@
 #include "base/map.h"
 
 /* Invariant: one row for each task of a job on a worker, of its newest round there. */
-typedef struct Stray {
+typedef struct Orphan {
     const char *job;
     uint64_t task; /* its number */
     uint64_t round;
@@ -14,31 +14,31 @@
     bool known;       /* room is what it takes */
     bool listed;      /* by the newest heartbeat */
     int64_t until_ms; /* it may yet start there */
-} Stray;
+} Orphan;
 
-typedef struct StrayList {
-    Stray **rows; /* each owned by the list */
+typedef struct OrphanList {
+    Orphan **rows; /* each owned by the list */
     size_t count;
-} StrayList;
+} OrphanList;
 
-struct Strays {
-    Map *workers; /* names to StrayList */
+struct Orphans {
+    Map *workers; /* names to OrphanList */
 };
 
-Strays *strays_new(void *mem)
+Orphans *orphans_new(void *mem)
 {
-    Strays *strays = talloc_zero(mem, Strays);
-    strays->workers = map_new(strays);
-    return strays;
+    Orphans *orphans = talloc_zero(mem, Orphans);
+    orphans->workers = map_new(orphans);
+    return orphans;
 }
 
-void strays_reset(Strays *strays)
+void orphans_reset(Orphans *orphans)
 {
-    talloc_free(strays->workers);
-    strays->workers = map_new(strays);
+    talloc_free(orphans->workers);
+    orphans->workers = map_new(orphans);
 }
 
-static Stray *stray_find(const StrayList *list, const char *job, uint64_t task)
+static Orphan *orphan_find(const OrphanList *list, const char *job, uint64_t task)
 {
     for (size_t i = 0; list != NULL && i < list->count; i++)
         if (list->rows[i]->task == task && strcmp(list->rows[i]->job, job) == 0)
@@ -46,38 +46,38 @@
     return NULL;
 }
 
-static Stray *stray_of(Strays *strays, const char *worker, const char *job, uint64_t task)
+static Orphan *orphan_of(Orphans *orphans, const char *worker, const char *job, uint64_t task)
 {
-    StrayList *list = map_get(strays->workers, worker);
+    OrphanList *list = map_get(orphans->workers, worker);
     if (list == NULL) {
-        list = talloc_zero(strays->workers, StrayList);
-        map_set(strays->workers, worker, list);
+        list = talloc_zero(orphans->workers, OrphanList);
+        map_set(orphans->workers, worker, list);
     }
-    Stray *stray = stray_find(list, job, task);
-    if (stray != NULL)
-        return stray;
-    stray = talloc_zero(list, Stray);
-    stray->job = talloc_strdup(stray, job);
-    stray->task = task;
-    list->rows = talloc_realloc(list, list->rows, Stray *, (unsigned)(list->count + 1));
-    list->rows[list->count++] = stray;
-    return stray;
+    Orphan *orphan = orphan_find(list, job, task);
+    if (orphan != NULL)
+        return orphan;
+    orphan = talloc_zero(list, Orphan);
+    orphan->job = talloc_strdup(orphan, job);
+    orphan->task = task;
+    list->rows = talloc_realloc(list, list->rows, Orphan *, (unsigned)(list->count + 1));
+    list->rows[list->count++] = orphan;
+    return orphan;
 }
 
-static void stray_drop(StrayList *list, size_t at)
+static void orphan_drop(OrphanList *list, size_t at)
 {
     talloc_free(list->rows[at]);
     list->rows[at] = list->rows[--list->count];
 }
 
-void strays_add(Strays *strays, const char *worker, const Job *job, const JobTask *task, uint64_t round,
-                int64_t until_ms)
+void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+                 int64_t until_ms)
 {
-    Stray *stray = stray_of(strays, worker, job->spec.id, task_number(task));
-    stray->room = job->spec.steps[task->step].room;
-    stray->known = true;
-    stray->round = round;
-    stray->until_ms = until_ms;
+    Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
+    orphan->room = job->spec.steps[task->step].room;
+    orphan->known = true;
+    orphan->round = round;
+    orphan->until_ms = until_ms;
 }
 
 /* Whether the table has the round there: then it counts as that. */
@@ -93,9 +93,9 @@
     return task_on_worker(task->phase) && strcmp(task->worker, heartbeat->worker.name) == 0;
 }
 
-void strays_heartbeat(Strays *strays, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms)
+void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms)
 {
-    StrayList *list = map_get(strays->workers, heartbeat->worker.name);
+    OrphanList *list = map_get(orphans->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
     for (size_t i = 0; i < heartbeat->rounds_count; i++) {
@@ -103,37 +103,38 @@
         bool known;
         if (tabled(table, heartbeat, &heartbeat->rounds[i], &room, &known))
             continue;
-        Stray *stray = stray_of(strays, heartbeat->worker.name, heartbeat->rounds[i].job, heartbeat->rounds[i].task);
-        stray->listed = true;
-        if (heartbeat->rounds[i].round > stray->round)
-            stray->round = heartbeat->rounds[i].round;
+        Orphan *orphan =
+            orphan_of(orphans, heartbeat->worker.name, heartbeat->rounds[i].job, heartbeat->rounds[i].task);
+        orphan->listed = true;
+        if (heartbeat->rounds[i].round > orphan->round)
+            orphan->round = heartbeat->rounds[i].round;
         if (known) {
-            stray->room = room;
-            stray->known = true;
+            orphan->room = room;
+            orphan->known = true;
         }
     }
-    list = map_get(strays->workers, heartbeat->worker.name);
+    list = map_get(orphans->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
-            stray_drop(list, i);
+            orphan_drop(list, i);
         else
             i++;
 }
 
-void strays_end(Strays *strays, const RoundNews *news)
+void orphans_end(Orphans *orphans, const RoundNews *news)
 {
-    StrayList *list = map_get(strays->workers, news->worker);
+    OrphanList *list = map_get(orphans->workers, news->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         if (list->rows[i]->task == news->task && list->rows[i]->round <= news->round &&
             strcmp(list->rows[i]->job, news->job) == 0) {
-            stray_drop(list, i);
+            orphan_drop(list, i);
             return;
         }
 }
 
-bool strays_room(const Strays *strays, const char *worker, Room *room)
+bool orphans_room(const Orphans *orphans, const char *worker, Room *room)
 {
-    const StrayList *list = map_get(strays->workers, worker);
+    const OrphanList *list = map_get(orphans->workers, worker);
     *room = (Room){0};
     for (size_t i = 0; list != NULL && i < list->count; i++) {
         if (!list->rows[i]->known)
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -6,21 +6,21 @@
 
 typedef struct Case {
     Board board;
-    Strays *strays;
+    Orphans *orphans;
     const Job *job;
 } Case;
 
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
-    strays_add(arg, task->worker, job, task, task->round, UNTIL_MS);
+    orphans_add(arg, task->worker, job, task, task->round, UNTIL_MS);
 }
 
 static Case begin(void)
 {
     static StepSpec step = {.name = "a", .count = 2, .room = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
     Case it = {board_new(), NULL, NULL};
-    it.strays = strays_new(it.board.table);
-    table_left_watch(it.board.table, on_left, it.strays);
+    it.orphans = orphans_new(it.board.table);
+    table_left_watch(it.board.table, on_left, it.orphans);
     const JobSpec spec = spec_of("j", &step, 1);
     it.job = job_add(&it.board, &spec, (JobTerms){.kind = ""});
     return it;
@@ -29,14 +29,14 @@
 static uint64_t cpu_on(const Case *it, const char *worker)
 {
     Room room;
-    assert_true(strays_room(it->strays, worker, &room));
+    assert_true(orphans_room(it->orphans, worker, &room));
     return room.cpu_milli;
 }
 
 static void heartbeat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
 {
     const HeartbeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
-    strays_heartbeat(it->strays, it->board.table, &ask, now_ms);
+    orphans_heartbeat(it->orphans, it->board.table, &ask, now_ms);
 }
 
 /* An older round finishes well while a newer one runs elsewhere: that one is to be
@@ -58,10 +58,10 @@
     heartbeat(&it, "w2", &listed, 1, UNTIL_MS + 1);
     assert_int_equal(cpu_on(&it, "w2"), 3000); /* still there, though no order is on its way */
     const RoundNews older = {.job = "j", .task = 0, .round = 1, .worker = "w2", .word = ROUND_STOPPED};
-    strays_end(it.strays, &older);
+    orphans_end(it.orphans, &older);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
     const RoundNews end = {.job = "j", .task = 0, .round = 2, .worker = "w2", .word = ROUND_STOPPED};
-    strays_end(it.strays, &end);
+    orphans_end(it.orphans, &end);
     assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
 }
@@ -71,7 +71,7 @@
 {
     (void)state;
     Case it = begin();
-    strays_add(it.strays, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
+    orphans_add(it.orphans, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
     heartbeat(&it, "w1", NULL, 0, UNTIL_MS - 1);
     assert_int_equal(cpu_on(&it, "w1"), 3000);
     heartbeat(&it, "w1", NULL, 0, UNTIL_MS + 1);
@@ -95,7 +95,7 @@
     RoundId unknown = {"k", 0, 1};
     heartbeat(&it, "w2", &unknown, 1, 20);
     Room room;
-    assert_false(strays_room(it.strays, "w2", &room));
+    assert_false(orphans_room(it.orphans, "w2", &room));
     heartbeat(&it, "w2", NULL, 0, 30);
     assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -192,7 +192,7 @@
     if (status != STATUS_OK)
         return status;
     if (liveset_find(core->liveset, heartbeat->worker.name)->number == heartbeat->number)
-        strays_heartbeat(core->strays, core->table, heartbeat, now_ms);
+        orphans_heartbeat(core->orphans, core->table, heartbeat, now_ms);
     if (was_ready != live_row_ready(liveset_find(core->liveset, heartbeat->worker.name), now_ms))
         core_news(core);
     runs_take(core, heartbeat);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -59,7 +59,7 @@
         for (size_t i = 0; i < count; i++)
             names[i] = workers[i]->name;
         /* any lease that the last leader answered runs out within this */
-        strays_reset(core->strays);
+        orphans_reset(core->orphans);
         paces_reset(core->paces);
         liveset_reset(core->liveset, view_won_ms(core->view) + core_claim_ms(core), names, count);
         talloc_free(mem);
@@ -82,7 +82,7 @@
 {
     const Core *core = arg;
     if (view_holds(core->view))
-        strays_add(core->strays, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
+        orphans_add(core->orphans, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
 static void rounds_take(Core *core, const RoundList *rounds)
@@ -95,7 +95,7 @@
             continue; /* a heartbeat has told how far it has come since */
         if (view_holds(core->view))
             saved_take(core, &saved);
-        strays_end(core->strays, news);
+        orphans_end(core->orphans, news);
     }
 }
 
@@ -178,7 +178,7 @@
     core->scores = map_new(core);
     core->guesses = guesses_new(core);
     core->queue = queue_new(core, core->guesses);
-    core->strays = strays_new(core);
+    core->orphans = orphans_new(core);
     core->paces = paces_new(core);
     table_left_watch(core->table, on_left, core);
     core->kept = map_new(core);
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -76,7 +76,7 @@
     Map *saved;        /* tasks to how far their rounds have come */
     size_t saved_kept; /* of them when they were last looked through */
     Map *scores;       /* worker names to Score */
-    Strays *strays;
+    Orphans *orphans;
     Queue *queue;
     Paces *paces;
     int64_t pass_gap_ms;  /* between two passes */
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -6,10 +6,10 @@
 #include "pass.h"
 
 /* What the worker may be given; none when it may be given nothing now. */
-static Room room_now(const Core *core, const Worker *worker, Room *strays)
+static Room room_now(const Core *core, const Worker *worker, Room *orphans)
 {
     const LiveRow *row = liveset_find(core->liveset, worker->name);
-    const bool known = strays_room(core->strays, worker->name, strays);
+    const bool known = orphans_room(core->orphans, worker->name, orphans);
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(core->loop)) && !worker->excluded &&
                        !table_drained(core->table, worker->zone) && !score_rests(core, worker->name);
     const Room none = {0};
@@ -28,9 +28,9 @@
     pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
-        Room strays;
-        const Room room = room_now(core, worker, &strays);
-        const Room used = room_more(strays, table_used_on(core->table, worker->name));
+        Room orphans;
+        const Room room = room_now(core, worker, &orphans);
+        const Room used = room_more(orphans, table_used_on(core->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
                                               .rack = worker->rack,
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -76,6 +76,6 @@
         const Job *job = table_job(core->table, news->job);
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            strays_add(core->strays, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
+            orphans_add(core->orphans, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -132,7 +132,7 @@
     core->scores = map_new(core);
     core->kept = map_new(core);
     core->guesses = guesses_new(core);
-    core->strays = strays_new(core);
+    core->orphans = orphans_new(core);
     core->paces = paces_new(core);
     core->queue = queue_new(core, core->guesses);
     Stand stand = {core, 0, 0};
