--- a/examples/counter.c
+++ b/examples/counter.c
@@ -69,7 +69,7 @@
     HeartbeatAnswer *out = answer;
     bool list_counts;
     (void)mem;
-    out->epoch = view_epoch(counter->view);
+    out->term = view_term(counter->view);
     if (!view_holds(counter->view))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
@@ -108,10 +108,10 @@
     return ready;
 }
 
-static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
+static void on_opened(void *arg, uint64_t term, bool new_holder, bool repair)
 {
     Counter *counter = arg;
-    (void)epoch;
+    (void)term;
     (void)repair;
     if (new_holder) /* nobody is lost before every lease of the last holder has lapsed */
         liveset_reset(counter->liveset, view_won_ms(counter->view) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -26,7 +26,7 @@
  * and no start. Invariants: fence never falls within one boot; a lease that is
  * passed on ends, on a clock CLOCK_SLOW_PERCENT slow, before the agent's own. */
 typedef struct WorkerOrders {
-    uint64_t epoch; /* the newest that the agent knows */
+    uint64_t term;  /* the newest that the agent knows */
     uint64_t fence; /* its counter */
     int64_t lease_ms;
     const Order *starts;
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -45,7 +45,7 @@
     KnowAnswer answer = {0};
     const Status status = rpc_ask_peer(agent->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
                                        &KnowAsk_shape, &ask, ASK_TIMEOUT_MS, &KnowAnswer_shape, &answer);
-    if (status != STATUS_OK || answer.knows || answer.epoch > agent->lease.epoch) {
+    if (status != STATUS_OK || answer.knows || answer.term > agent->lease.term) {
         asking->all = false;
     } else if (part->disk != 0) {
         if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
@@ -150,7 +150,7 @@
     (void)question;
     /* its heartbeats are answered: a holder lives */
     out->knows = agent->heartbeat_ms != 0 && loop_now_ms(agent->loop) - agent->heartbeat_ms < 2 * HEARTBEAT_MS;
-    out->epoch = agent->lease.epoch;
+    out->term = agent->lease.term;
     return STATUS_OK;
 }
 
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -75,17 +75,17 @@
                           .others = agent->others,
                           .leave_ms = agent->leave_until_ms > now_ms ? agent->leave_until_ms - now_ms : 0,
                           .have = agent->have,
-                          .have_epoch = agent->have_epoch,
+                          .have_term = agent->have_term,
                           .wait_ms = HEARTBEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, heartbeat, &ask->worker);
     rounds_tell(agent, heartbeat, ask);
 }
 
-/* The leader of this epoch has what the heartbeat told. */
-static void saved_known(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t epoch)
+/* The leader of this term has what the heartbeat told. */
+static void saved_known(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t term)
 {
-    if (epoch != agent->saved_epoch) {
-        agent->saved_epoch = epoch;
+    if (term != agent->saved_term) {
+        agent->saved_term = term;
         for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
             round->told_turn = 0;
     }
@@ -100,23 +100,23 @@
 static void answer_take(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask,
                         const HeartbeatAnswer *answer)
 {
-    if (!lease_answered(&agent->lease, answer->epoch, heartbeat->sent_ms, answer->lease_ms)) {
+    if (!lease_answered(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)) {
         recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
-                       "a beat was answered under old epoch %" PRIu64, epoch_counter(answer->epoch));
+                       "a beat was answered under old epoch %" PRIu64, term_counter(answer->term));
         return;
     }
     agent->alone = false;
     agent->heartbeat_ms = loop_now_ms(agent->loop);
-    saved_known(agent, heartbeat, ask, answer->epoch);
-    if (answer->epoch > agent->epoch_told) {
-        agent->epoch_told = answer->epoch;
-        trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
+    saved_known(agent, heartbeat, ask, answer->term);
+    if (answer->term > agent->term_told) {
+        agent->term_told = answer->term;
+        trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
     /* of two answers the later sent may come first */
     if (answer->orders &&
-        (answer->epoch > agent->have_epoch || (answer->epoch == agent->have_epoch && answer->version > agent->have))) {
+        (answer->term > agent->have_term || (answer->term == agent->have_term && answer->version > agent->have))) {
         agent->have = answer->version;
-        agent->have_epoch = answer->epoch;
+        agent->have_term = answer->term;
         orders_take(agent, answer, heartbeat->sent_ms);
     }
 }
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -15,7 +15,7 @@
 
 /* Invariants:
  *  - no round is given to the worker while hold does not run, nor one whose
- *    epoch is older than hold.epoch when it was ordered, nor any once it leaves;
+ *    term is older than hold.term when it was ordered, nor any once it leaves;
  *  - worker_until_ms is never earlier than the end of any lease passed on to the
  *    worker of the present boot;
  *  - settled: rounds holds everything that may run on the worker;
@@ -36,8 +36,8 @@
     size_t heartbeats;           /* on their way */
     int64_t heartbeat_due_ms;    /* the next, unless there is news */
     bool heartbeat_now;          /* there is news that does not wait */
-    uint64_t have, have_epoch;   /* of the last orders taken: no older ones are taken after them */
-    uint64_t saved_epoch;        /* whose leader the rounds' told_turn speaks of */
+    uint64_t have, have_term;    /* of the last orders taken: no older ones are taken after them */
+    uint64_t saved_term;         /* whose leader the rounds' told_turn speaks of */
     int64_t heartbeat_ms;        /* its last heartbeat was answered then; 0: none was */
     bool alone;                  /* its lease runs by the second survival rule */
     /* the worker */
@@ -57,7 +57,7 @@
     Signal to_tell;    /* there is something to tell the leader */
     bool leaving;
     Trace *trace;
-    uint64_t epoch_told;
+    uint64_t term_told;
 };
 
 void rounds_init(Agent *agent);
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -23,14 +23,14 @@
     return false;
 }
 
-static void start_take(Agent *agent, const Order *order, uint64_t epoch, int64_t timeout_ms)
+static void start_take(Agent *agent, const Order *order, uint64_t term, int64_t timeout_ms)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     Round *round = round_find(agent, order->job, order->task, order->round);
     if (round != NULL) {
         if (round->phase == PHASE_OFFERED) { /* offered again: it stands longer */
             round->timeout_ms = timeout_ms;
-            round->epoch = epoch;
+            round->term = term;
         } else if (round->phase == PHASE_KNOWN) {
             round_retell(agent, round, (RoundWord)round->word, round->text); /* the leader has forgotten its end */
         }
@@ -40,7 +40,7 @@
         return;
     const Round *newest = round_newest(agent, order->job, order->task);
     round = round_add(agent, order, PHASE_OFFERED);
-    round->epoch = epoch;
+    round->term = term;
     round->timeout_ms = timeout_ms;
     round_trace(agent, round, TRACE_FETCHED);
     if (newest != NULL && newest->order.round > order->round)
@@ -63,5 +63,5 @@
         signal_raise(agent->loop, &agent->for_worker);
     }
     for (size_t i = 0; i < answer->starts_count; i++)
-        start_take(agent, &answer->starts[i], answer->epoch, sent_ms + answer->timeout_ms);
+        start_take(agent, &answer->starts[i], answer->term, sent_ms + answer->timeout_ms);
 }
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -98,7 +98,7 @@
     for (size_t i = 0; i < orders->starts_count; i++) {
         const Order *order = &orders->starts[i];
         json_object *one = id_of(order->job, order->task, order->round);
-        json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->epoch));
+        json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->term));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
         json_object_object_add(one, "room", show_room(order->room));
         json_object_object_add(one, "payload", order->payload[0] ? json_tokener_parse(order->payload) : NULL);
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -28,7 +28,7 @@
     struct Round *prev, *next;
     struct RoundChain *chain; /* of its phase: lives, ended or known */
     Order order;              /* payload is empty for an adopted round, and once it is over */
-    uint64_t epoch;
+    uint64_t term;
     RoundPhase phase;
     int64_t timeout_ms; /* not started after this */
     int64_t changed_ms;
@@ -39,7 +39,7 @@
     uint64_t percent;    /* of its work, as the worker last reported it ... */
     int64_t percent_ms;  /* ... when it had run so long */
     int64_t pace_ms;     /* that is told anew once it has run so long */
-    uint64_t told_turn;  /* the last one that the leader of the present epoch has */
+    uint64_t told_turn;  /* the last one that the leader of the present term has */
     uint64_t word;       /* ENDED, KNOWN: what it came to */
     bool guessed;        /* ... by the agent's own judgement, not by the worker's word */
     int64_t ran_ms;      /* ... and how long it ran */
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -237,8 +237,8 @@
     Order *starts = talloc_zero_array(mem, Order, lives);
     RoundId *stops = talloc_zero_array(mem, RoundId, lives + (unsigned)report->running_count);
     RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->ended_count);
-    *orders = (WorkerOrders){.epoch = agent->lease.epoch,
-                             .fence = epoch_counter(agent->lease.epoch),
+    *orders = (WorkerOrders){.term = agent->lease.term,
+                             .fence = term_counter(agent->lease.term),
                              .lease_ms = lease_pass(agent, now_ms),
                              .starts = starts,
                              .start_ms = INT64_MAX,
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -16,7 +16,7 @@
 
 #define BOSS "10.0.0.1:7000"
 #define OTHER "10.0.0.3:7000"
-#define EPOCH(counter) ((uint64_t)(counter) << EPOCH_HOLDER_BITS | 1)
+#define TERM(counter) ((uint64_t)(counter) << TERM_HOLDER_BITS | 1)
 #define LISTED 600 /* count; more than a worker lists at once */
 
 /* A leader of the case's making, and all that the agent told it. */
@@ -25,7 +25,7 @@
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    uint64_t epoch;
+    uint64_t term;
     int64_t lease_ms;
     bool deaf;    /* answers no heartbeat */
     bool commits; /* else a telling waits */
@@ -65,17 +65,17 @@
     for (size_t i = 0; i < heartbeat->saved_count && boss->saved_count < LISTED; i++)
         shape_copy(&RoundSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + heartbeat->wait_ms;
-    while (heartbeat->have == boss->version && heartbeat->have_epoch == boss->epoch)
+    while (heartbeat->have == boss->version && heartbeat->have_term == boss->term)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
             break;
     if (boss->deaf)
         return STATUS_NOT_LEADER;
     *out = boss->orders;
-    out->epoch = boss->epoch;
+    out->term = boss->term;
     out->lease_ms = boss->lease_ms;
     out->version = boss->version;
     out->timeout_ms = ORDER_LIFETIME_MS;
-    out->orders = heartbeat->have != boss->version || heartbeat->have_epoch != boss->epoch;
+    out->orders = heartbeat->have != boss->version || heartbeat->have_term != boss->term;
     return STATUS_OK;
 }
 
@@ -115,8 +115,8 @@
     const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
     boss->members = members_new(loop, loop, boss->rpc, recorder, &self, seeds);
     members_start(boss->members);
-    if (boss->epoch != 0)
-        members_set_leader(boss->members, boss->epoch, boss->id);
+    if (boss->term != 0)
+        members_set_leader(boss->members, boss->term, boss->id);
 }
 
 static void agent_boot(void *arg)
@@ -146,7 +146,7 @@
     c->boss_machine = sim_machine(c->world);
     c->agent_machine = sim_machine(c->world);
     c->other_machine = sim_machine(c->world);
-    c->boss = (Boss){.id = "boss", .address = BOSS, .epoch = EPOCH(5), .lease_ms = lease_ms, .commits = true};
+    c->boss = (Boss){.id = "boss", .address = BOSS, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
     c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
     c->settings = (Settings){.name = "a1",
                              .worker = "w1",
@@ -454,7 +454,7 @@
     assert_true(boss->heartbeats > 8);
     assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     const size_t before = boss->saved_count;
-    boss->epoch = EPOCH(6);
+    boss->term = TERM(6);
     signal_raise(boss->loop, &boss->changed);
     run(c, 300); /* the worker has said nothing new */
     assert_int_equal(boss->saved_count, before + 1);
@@ -480,8 +480,8 @@
     assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_DONE), 1);
     sim_power_off(c->world, c->boss_machine);
     run(c, 500);
-    c->other.epoch = EPOCH(6);
-    members_set_leader(c->other.members, c->other.epoch, "other");
+    c->other.term = TERM(6);
+    members_set_leader(c->other.members, c->other.term, "other");
     run(c, 1000); /* a hello's turn; the question to the dark one would be given up after five seconds */
     assert_int_equal(told(&c->other, "j", 0, 1, ROUND_DONE), 1);
     assert_int_equal(saying(c, "b1", NULL, 0, ended, 1)->orders.known_count, 1);
@@ -538,12 +538,12 @@
     Say *it = say(c, "b1");
     say_all(it);
     assert_int_equal(it->orders.fence, 5);
-    c->boss.epoch = EPOCH(9);
+    c->boss.term = TERM(9);
     run(c, 1200);
     it = say(c, "b1");
     say_all(it);
     assert_int_equal(it->orders.fence, 9);
-    c->boss.epoch = EPOCH(7); /* an older holder that still answers */
+    c->boss.term = TERM(7); /* an older holder that still answers */
     run(c, 1200);
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -35,7 +35,7 @@
     X(LEAVING, "leaving", 503)                   \
     X(OUTCOME_UNKNOWN, "outcome-unknown", 504)   \
     X(STRANGER, "stranger-cluster", 403)         \
-    X(OLD_EPOCH, "old-epoch", 409)               \
+    X(OLD_TERM, "old-epoch", 409)                \
     X(OTHER_HOLDER, "other-holder", 409)         \
     X(LOG_GAP, "log-gap", 409)                   \
     X(WOKEN, "woken", 409)                       \
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -31,8 +31,8 @@
     X(ONE, others, Room)                                                      \
     X(LST, saved, RoundSaved)                                                 \
     X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not told */ \
-    X(U64, have, 0)     /* version and epoch of the orders it has */          \
-    X(U64, have_epoch, 0)                                                     \
+    X(U64, have, 0)     /* version and term of the orders it has */           \
+    X(U64, have_term, 0)                                                      \
     X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
 SHAPE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
 
@@ -51,7 +51,7 @@
  * has; starts are those of wanted that have not begun and that its question did not
  * name, wanted every round that is to be there. */
 #define HEARTBEAT_ANSWER_FIELDS(X) \
-    X(U64, epoch, 0)               \
+    X(U64, term, 0)                \
     X(I64, lease_ms, 0)            \
     X(FLAG, orders, 0)             \
     X(U64, version, 0)             \
@@ -66,7 +66,7 @@
 
 #define KNOW_ANSWER_FIELDS(X) \
     X(FLAG, knows, 0)         \
-    X(U64, epoch, 0)          \
+    X(U64, term, 0)           \
     X(LST, seats, DiskId)
 SHAPE(KnowAnswer, KNOW_ANSWER_FIELDS)
 
@@ -77,7 +77,7 @@
     X(LST, news, RoundNews)
 SHAPE(TellAsk, TELL_ASK_FIELDS)
 
-#define TELL_ANSWER_FIELDS(X) X(U64, epoch, 0)
+#define TELL_ANSWER_FIELDS(X) X(U64, term, 0)
 SHAPE(TellAnswer, TELL_ANSWER_FIELDS)
 
 /* Orders alone, as agents of the first release ask for them. wanted: every round
@@ -86,11 +86,11 @@
     X(TXT, agent, 0)        \
     X(U64, incarnation, 0)  \
     X(U64, have, 0)         \
-    X(U64, have_epoch, 0)
+    X(U64, have_term, 0)
 SHAPE(FetchAsk, FETCH_ASK_FIELDS)
 
 #define FETCH_ANSWER_FIELDS(X) \
-    X(U64, epoch, 0)           \
+    X(U64, term, 0)            \
     X(U64, version, 0)         \
     X(I64, timeout_ms, 0)      \
     X(LST, starts, Order)      \
--- a/packages/beat/src/hold.c
+++ b/packages/beat/src/hold.c
@@ -2,11 +2,11 @@
 
 #include "base/constants.h"
 
-bool lease_answered(Lease *lease, uint64_t epoch, int64_t sent_ms, int64_t lease_ms)
+bool lease_answered(Lease *lease, uint64_t term, int64_t sent_ms, int64_t lease_ms)
 {
-    if (epoch < lease->epoch)
+    if (term < lease->term)
         return false;
-    lease->epoch = epoch;
+    lease->term = term;
     if (sent_ms + lease_ms > lease->until_ms)
         lease->until_ms = sent_ms + lease_ms;
     return true;
--- a/packages/core/include/core/core.h
+++ b/packages/core/include/core/core.h
@@ -10,8 +10,8 @@
 /* What a watcher of proofs is told; null in production. */
 typedef struct CoreWatch {
     void *arg;
-    /* It decides something as leader, under this epoch, now. */
-    void (*plans)(void *arg, const char *name, uint64_t epoch);
+    /* It decides something as leader, under this term, now. */
+    void (*plans)(void *arg, const char *name, uint64_t term);
 } CoreWatch;
 
 /* Waits. Opens the disk and the addresses and starts all tasks. */
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -19,7 +19,7 @@
 static bool stop_over(const Core *core, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING && (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
-                                            (heartbeat->have_epoch == view_epoch(core->view) &&
+                                            (heartbeat->have_term == view_term(core->view) &&
                                              heartbeat->have == table_orders(core->table, heartbeat->worker.name)));
 }
 
@@ -178,7 +178,7 @@
     Core *core = arg;
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
-    out->epoch = view_epoch(core->view);
+    out->term = view_term(core->view);
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
@@ -206,7 +206,7 @@
      * lock since has granted it before: but it is not to be counted on any more */
     if (!view_holds(core->view))
         return STATUS_NOT_LEADER;
-    out->epoch = view_epoch(core->view);
+    out->term = view_term(core->view);
     out->lease_ms = lease_ms;
     return STATUS_OK;
 }
@@ -216,7 +216,7 @@
     Core *core = arg;
     const TellAsk *ask = question;
     (void)mem;
-    ((TellAnswer *)answer)->epoch = view_epoch(core->view);
+    ((TellAnswer *)answer)->term = view_term(core->view);
     if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
     if (core->repairing)
@@ -233,9 +233,9 @@
     const FetchAsk *ask = question;
     FetchAnswer *out = answer;
     const HeartbeatAsk heartbeat = {
-        .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_epoch = ask->have_epoch};
+        .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_term = ask->have_term};
     HeartbeatAnswer orders = {0};
-    out->epoch = view_epoch(core->view);
+    out->term = view_term(core->view);
     if (!view_leading(core->view))
         return STATUS_NOT_LEADER;
     if (core->repairing)
@@ -248,8 +248,8 @@
     orders_answer(core, mem, &heartbeat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){view_epoch(core->view), orders.version, orders.timeout_ms,  orders.starts,
-                         orders.starts_count,    orders.wanted,  orders.wanted_count};
+    *out = (FetchAnswer){view_term(core->view), orders.version, orders.timeout_ms,  orders.starts,
+                         orders.starts_count,   orders.wanted,  orders.wanted_count};
     return STATUS_OK;
 }
 
@@ -260,7 +260,7 @@
     (void)question;
     uint64_t seats[SEAT_MOST];
     out->knows = view_knows_holder(core->view);
-    out->epoch = members_leader_epoch(core->members);
+    out->term = members_leader_term(core->members);
     out->seats_count = view_seats(core->view, seats);
     out->seats = talloc_array(mem, DiskId, SEAT_MOST);
     for (size_t i = 0; i < out->seats_count; i++)
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -116,7 +116,7 @@
     }
     const Status status = ask->relay ? forward_relay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
     if (status != STATUS_OK) {
-        out->leader_epoch = members_leader_epoch(core->members);
+        out->leader_term = members_leader_term(core->members);
         out->leader_id = talloc_strdup(mem, members_leader_id(core->members));
     }
     return status;
@@ -132,7 +132,7 @@
     for (;;) {
         if (!view_leading(core->view))
             return STATUS_NOT_LEADER;
-        out->epoch = view_epoch(core->view);
+        out->term = view_term(core->view);
         out->waits = core->repairing;
         if (!core->repairing && config_watch_answer(&core->piece_source, table_versions(core->table), ask,
                                                     loop_now_ms(core->loop), mem, out))
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -12,7 +12,7 @@
     if (!view_leading(core->view) || core->repairing)
         return false;
     if (core->watch.plans != NULL)
-        core->watch.plans(core->watch.arg, core->settings->name, view_epoch(core->view));
+        core->watch.plans(core->watch.arg, core->settings->name, view_term(core->view));
     return true;
 }
 
@@ -46,11 +46,11 @@
     return lease_claim_ms(core->settings->bounds.lease_ms);
 }
 
-static void on_opened(void *arg, uint64_t epoch, bool new_holder, bool repair)
+static void on_opened(void *arg, uint64_t term, bool new_holder, bool repair)
 {
     Core *core = arg;
     trace_say(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
-              epoch_counter(epoch));
+              term_counter(term));
     if (new_holder) {
         void *mem = talloc_new(core);
         const Worker **workers;
@@ -152,9 +152,9 @@
 static RecorderPlace place_now(void *arg)
 {
     const Core *core = arg;
-    uint64_t epoch, commit_index;
-    view_place(core->view, &epoch, &commit_index);
-    return (RecorderPlace){.term = epoch_counter(epoch), .index = commit_index};
+    uint64_t term, commit_index;
+    view_place(core->view, &term, &commit_index);
+    return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
 Status core_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, const CoreWatch *watch,
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -74,7 +74,7 @@
     return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == heartbeat->incarnation &&
            !row->losing &&
            (table_orders(core->table, heartbeat->worker.name) != heartbeat->have ||
-            view_epoch(core->view) != heartbeat->have_epoch);
+            view_term(core->view) != heartbeat->have_term);
 }
 
 void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out)
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -182,7 +182,7 @@
     json_object *body = json_object_new_object();
     json_object_object_add(body, "cluster", disk_of(rpc_cluster(core->rpc)));
     json_object_object_add(body, "leader", text_of(core->settings->name));
-    json_object_object_add(body, "epoch", number_of((int64_t)epoch_counter(sight.epoch)));
+    json_object_object_add(body, "epoch", number_of((int64_t)term_counter(sight.term)));
     json_object_object_add(body, "holdLeftMs", number_of(sight.lease_left_ms));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
     json_object_object_add(body, "clockMs", number_of(view_clock_ms(core->view)));
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -196,25 +196,25 @@
     return task->code >= 500;
 }
 
-/* Whether the answer may go out, which was made under the epoch. Waits. */
-static bool proven(Way *way, Proof proof, uint64_t epoch)
+/* Whether the answer may go out, which was made under the term. Waits. */
+static bool proven(Way *way, Proof proof, uint64_t term)
 {
     const View *view = way->core->view;
     if (proof == PROOF_LEASE)
-        return view_leading(view) && view_epoch(view) == epoch;
+        return view_leading(view) && view_term(view) == term;
     int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
     if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
         until_ms = way->task->timeout_ms;
-    return view_contact(way->core->view, until_ms) == STATUS_OK && view_epoch(view) == epoch;
+    return view_contact(way->core->view, until_ms) == STATUS_OK && view_term(view) == term;
 }
 
 /* The last look before the answer goes out, after all that the route has waited for. */
-static void prove(Way *way, const Route *route, uint64_t epoch)
+static void prove(Way *way, const Route *route, uint64_t term)
 {
     HttpTask *task = way->task;
     if (way->committed || claims_nothing(task))
         return;
-    if (proven(way, task->code < 400 ? route->answer : route->refusal, epoch))
+    if (proven(way, task->code < 400 ? route->answer : route->refusal, term))
         return;
     way->core->counts.unproven++;
     task->result = (Bytes){0};
@@ -230,11 +230,11 @@
         if (!GUARDS[i].pass(&way))
             return;
     bool path_known = false;
-    const uint64_t epoch = view_epoch(core->view);
+    const uint64_t term = view_term(core->view);
     const Route *route = route_of(&way, &path_known);
     if (route != NULL) {
         route->serve(&way);
-        prove(&way, route, epoch);
+        prove(&way, route, term);
     } else if (path_known) {
         show_refusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
     } else {
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -40,9 +40,9 @@
                       node->commit_seen, window->commit_index);
     node->commit_seen = window->commit_index;
     history_follow(explore, node, window);
-    uint64_t epoch;
+    uint64_t term;
     const Item *item = history_item(&explore->history, window->commit_index);
-    if (item != NULL && log_epoch_at(window->log, window->commit_index, &epoch) && epoch != item->epoch)
+    if (item != NULL && log_term_at(window->log, window->commit_index, &term) && term != item->term)
         explore_break(explore, RULE_COMMITTED_CHANGED, "%s holds another entry at %" PRIu64, node->name,
                       window->commit_index);
     const Item *delivered = history_item(&explore->history, window->delivered_index);
@@ -55,37 +55,37 @@
     if (window->promised < node->promised_seen)
         explore_break(explore, RULE_PROMISE_FELL, "of %s", node->name);
     node->promised_seen = window->promised;
-    if (!window->holding || window->epoch == node->held_epoch)
+    if (!window->holding || window->term == node->held_term)
         return;
     /* just won: the promises of a majority are on disks */
-    node->held_epoch = window->epoch;
+    node->held_term = window->term;
     size_t synced = 0;
     for (size_t i = 0; i < window->voter_count; i++) {
         const DiskModel *model = disk_of(explore, window->voters[i]);
-        synced += model != NULL && model->promised >= window->epoch;
+        synced += model != NULL && model->promised >= window->term;
     }
     if (synced < lock_majority(window->voter_count))
         explore_break(explore, RULE_PROMISE_UNSYNCED, "%s won view %" PRIu64 " with %zu of %zu", node->name,
-                      epoch_counter(window->epoch), synced, window->voter_count);
+                      term_counter(window->term), synced, window->voter_count);
 }
 
-static void check_epoch_owner(Explore *explore, const Node *node, uint64_t epoch)
+static void check_term_owner(Explore *explore, const Node *node, uint64_t term)
 {
     const uint64_t disk = view_disk(node->view);
     for (size_t i = 0; i < explore->lead_count; i++)
-        if (explore->leads[i].epoch == epoch) {
+        if (explore->leads[i].term == term) {
             if (explore->leads[i].disk != disk)
                 explore_break(explore, RULE_TWO_LEADERS, "%s leads view %" PRIu64 " of another disk", node->name,
-                              epoch_counter(epoch));
+                              term_counter(term));
             return;
         }
     if (explore->lead_count == explore->lead_room) {
         explore->lead_room = explore->lead_room > 0 ? explore->lead_room * 2 : 64;
         explore->leads = talloc_realloc(explore, explore->leads, Lead, (unsigned)explore->lead_room);
     }
-    explore->leads[explore->lead_count++] = (Lead){epoch, disk};
+    explore->leads[explore->lead_count++] = (Lead){term, disk};
     explore->result->leads++;
-    explore_say(explore, "%s leads view %" PRIu64, node->name, epoch_counter(epoch));
+    explore_say(explore, "%s leads view %" PRIu64, node->name, term_counter(term));
 }
 
 static bool same_voters(const History *history, const ViewWindow *window)
@@ -113,17 +113,17 @@
 static void check_leader(Explore *explore, Node *node, const ViewWindow *window)
 {
     const History *history = &explore->history;
-    if (window->epoch != node->led_epoch)
-        check_epoch_owner(explore, node, window->epoch);
-    node->led_epoch = window->epoch;
-    uint64_t epoch;
+    if (window->term != node->led_term)
+        check_term_owner(explore, node, window->term);
+    node->led_term = window->term;
+    uint64_t term;
     const uint64_t newest = history->items.count;
     if (newest > window->log->base_index &&
-        (!log_epoch_at(window->log, newest, &epoch) || epoch != history_item(history, newest)->epoch))
+        (!log_term_at(window->log, newest, &term) || term != history_item(history, newest)->term))
         explore_break(explore, RULE_COMMITTED_LOST, "%s leads view %" PRIu64 " without %" PRIu64, node->name,
-                      epoch_counter(window->epoch), newest);
+                      term_counter(window->term), newest);
     if (window->list_index <= window->commit_index && !same_voters(history, window))
-        explore_break(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, epoch_counter(window->epoch));
+        explore_break(explore, RULE_OLD_VOTERS, "%s leads view %" PRIu64, node->name, term_counter(window->term));
     if (window->list_index != node->list_seen && lists_pending(window) > 1)
         explore_break(explore, RULE_TWO_CHANGES, "%s at %" PRIu64, node->name, window->list_index);
     node->list_seen = window->list_index;
@@ -139,7 +139,7 @@
             explore_break(explore, RULE_ACK_LOST, "change %" PRIu64, number);
             continue;
         }
-        const size_t holders = disk_holders(explore, index, item->epoch);
+        const size_t holders = disk_holders(explore, index, item->term);
         if (holders < (size_t)explore->plan->losses + 1)
             explore_break(explore, RULE_ACK_DISKS, "change %" PRIu64 " at %" PRIu64 " on %zu", number, index, holders);
     }
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -26,23 +26,23 @@
     return model->base_index + model->entries.count;
 }
 
-/* The epoch at the index; false when it is not known there. */
-static bool epoch_at(const DiskModel *model, uint64_t index, uint64_t *epoch)
+/* The term at the index; false when it is not known there. */
+static bool term_at(const DiskModel *model, uint64_t index, uint64_t *term)
 {
     const Item *item = disk_item(model, index);
     if (item == NULL && index != model->base_index)
         return false;
-    *epoch = item != NULL ? item->epoch : model->base_epoch;
+    *term = item != NULL ? item->term : model->base_term;
     return true;
 }
 
-size_t disk_holders(const Explore *explore, uint64_t index, uint64_t epoch)
+size_t disk_holders(const Explore *explore, uint64_t index, uint64_t term)
 {
     size_t count = 0;
     for (size_t i = 0; i < explore->disk_count; i++) {
         const DiskModel *model = explore->disks[i];
         const Item *item = disk_item(model, index);
-        count += item != NULL ? item->epoch == epoch : index <= model->base_index;
+        count += item != NULL ? item->term == term : index <= model->base_index;
     }
     return count;
 }
@@ -57,7 +57,7 @@
 {
     model->entries.count = 0;
     model->base_index = snapshot->index;
-    model->base_epoch = snapshot->epoch;
+    model->base_term = snapshot->term;
 }
 
 /* As the view itself reads its journal. */
@@ -69,10 +69,10 @@
         model->disk = record->index;
         break;
     case RECORD_CLUSTER:
-        model->cluster = record->epoch;
+        model->cluster = record->term;
         break;
     case RECORD_PROMISE:
-        model->promised = record->epoch;
+        model->promised = record->term;
         break;
     case RECORD_ENTRY:
         if (record->index == last_index(model) + 1) {
@@ -95,15 +95,15 @@
 static bool shortened(const DiskModel *older, const DiskModel *newer)
 {
     uint64_t before, after;
-    return last_index(newer) < last_index(older) && epoch_at(older, last_index(newer), &before) &&
-           epoch_at(newer, last_index(newer), &after) && before == after;
+    return last_index(newer) < last_index(older) && term_at(older, last_index(newer), &before) &&
+           term_at(newer, last_index(newer), &after) && before == after;
 }
 
 static void compare(Explore *explore, const DiskModel *older, const DiskModel *newer)
 {
     if (newer->promised < older->promised)
         explore_break(explore, RULE_PROMISE_FELL, "on the disk of node %d, from %" PRIu64 " to %" PRIu64,
-                      newer->machine, epoch_counter(older->promised), epoch_counter(newer->promised));
+                      newer->machine, term_counter(older->promised), term_counter(newer->promised));
     if (shortened(older, newer))
         explore_break(explore, RULE_LOG_SHORTER, "on the disk of node %d, from %" PRIu64 " to %" PRIu64, newer->machine,
                       last_index(older), last_index(newer));
@@ -142,7 +142,7 @@
     DiskModel before = *model;
     if (whole) {
         model->entries = (Items){0};
-        model->base_index = model->base_epoch = model->promised = 0;
+        model->base_index = model->base_term = model->promised = 0;
     } else {
         /* entries are only overwritten after a trim: the older ones are needed to compare */
         before.entries.list = talloc_memdup(explore, model->entries.list, sizeof(Item) * model->entries.count);
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -70,7 +70,7 @@
                       node->name, index);
         return;
     }
-    const size_t holders = disk_holders(explore, index, held->epoch);
+    const size_t holders = disk_holders(explore, index, held->term);
     const size_t voters = voters_counted(node, window);
     if (holders < lock_majority(voters))
         explore_break(explore, RULE_COMMIT_DISKS, "%s commits %" PRIu64 " on %zu disks of %zu voters", node->name,
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -12,7 +12,7 @@
 
 /* One change of the history, or an entry of a disk. */
 typedef struct Item {
-    uint64_t epoch;
+    uint64_t term;
     uint64_t hash;
     uint64_t chain;   /* of the state after it; history only */
     uint64_t number;  /* of a client's change; 0: the view's own */
@@ -32,7 +32,7 @@
     bool lost; /* wiped, or its machine has gone for good */
     uint64_t disk, cluster;
     uint64_t promised;
-    uint64_t base_index, base_epoch;
+    uint64_t base_index, base_term;
     Items entries;
 } DiskModel;
 
@@ -71,13 +71,13 @@
     View *view;
     Members *members;
     Chain chain;
-    uint64_t promised_seen, commit_seen, held_epoch, led_epoch, list_seen;
+    uint64_t promised_seen, commit_seen, held_term, led_term, list_seen;
     size_t voters_before; /* in the list that was in force after the step before */
     uint64_t list_before; /* its index */
 } Node;
 
 typedef struct Lead {
-    uint64_t epoch, disk;
+    uint64_t term, disk;
 } Lead;
 
 typedef struct Explore {
@@ -120,7 +120,7 @@
 /* The entry at the index, or null. */
 const Item *disk_item(const DiskModel *model, uint64_t index);
 /* How many disks ever held the item at the index. */
-size_t disk_holders(const Explore *explore, uint64_t index, uint64_t epoch);
+size_t disk_holders(const Explore *explore, uint64_t index, uint64_t term);
 
 /* Rules. */
 void check_step(void *explore);
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -26,7 +26,7 @@
 Item item_of(void *mem, const Record *entry)
 {
     const uint64_t crc = bytes_crc(entry->payload.data, entry->payload.count);
-    Item item = {.epoch = entry->epoch, .hash = mix(mix(mix(entry->epoch) + entry->change) + crc)};
+    Item item = {.term = entry->term, .hash = mix(mix(mix(entry->term) + entry->change) + crc)};
     if (entry->change >= VIEW_CHANGE_FIRST && entry->payload.count >= sizeof(item.number))
         memcpy(&item.number, entry->payload.data, sizeof(item.number));
     uint64_t voters[VIEW_VOTERS_MAX];
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -137,7 +137,7 @@
     node->up = false;
     node->life++;
     node->chain = (Chain){0};
-    node->promised_seen = node->commit_seen = node->held_epoch = node->led_epoch = node->list_seen = 0;
+    node->promised_seen = node->commit_seen = node->held_term = node->led_term = node->list_seen = 0;
     node->voters_before = node->list_before = 0;
     loop_spawn(loop, "boot", boot_main, node);
 }
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -33,7 +33,7 @@
 /* Adds what is kept of the document, on mem, to be told again to one that has a version. */
 void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list);
 
-/* What the leader answers out of its versions, under the answer's epoch; true when there
+/* What the leader answers out of its versions, under the answer's term; true when there
  * is news. On mem, and valid until the next wait. */
 bool config_watch_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                          void *mem, ConfigWatchAnswer *answer);
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -12,7 +12,7 @@
  *
  * A way along which nothing has come back for a while is asked whether it lives, by
  * whoever waits on it first; a leader that is slow but lives is waited for, one that
- * says nothing is given up by all at once, and so is one that a newer epoch is heard
+ * says nothing is given up by all at once, and so is one that a newer term is heard
  * after. What carries an identity may then be asked of the next leader. */
 typedef struct Forwarder Forwarder;
 
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -35,14 +35,14 @@
     X(FLAG, again, 0)  /* asked before, of a leader that was lost: its caller has had no answer */
 SHAPE(ForwardAsk, FORWARD_ASK_FIELDS)
 
-#define FORWARD_ANSWER_FIELDS(X)                                                           \
-    X(U64, code, 0)                                                                        \
-    X(TXT, kind, 0)                                                                        \
-    X(BIN, body, 0)                                                                        \
-    X(U64, retry_after_s, 0)                                                               \
-    X(LST, repair_items, RepairItem)                                                       \
-    X(U64, status, 0)                                                                      \
-    X(U64, leader_epoch, 0) /* the newest leader that is known to one who does not lead */ \
+#define FORWARD_ANSWER_FIELDS(X)                                                          \
+    X(U64, code, 0)                                                                       \
+    X(TXT, kind, 0)                                                                       \
+    X(BIN, body, 0)                                                                       \
+    X(U64, retry_after_s, 0)                                                              \
+    X(LST, repair_items, RepairItem)                                                      \
+    X(U64, status, 0)                                                                     \
+    X(U64, leader_term, 0) /* the newest leader that is known to one who does not lead */ \
     X(TXT, leader_id, 0)
 SHAPE(ForwardAnswer, FORWARD_ANSWER_FIELDS)
 
@@ -60,7 +60,7 @@
 SHAPE(ConfigWatchAsk, CONFIG_WATCH_ASK_FIELDS)
 
 #define CONFIG_WATCH_ANSWER_FIELDS(X)                                                                       \
-    X(U64, epoch, 0)                                                                                        \
+    X(U64, term, 0)                                                                                         \
     X(U64, version, 0)                                                                                      \
     X(TXT, text, 0)                                                                                         \
     X(ONE, limits, ConfigLimits)                                                                            \
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/feed/include/feed/pieces.h
@@ -11,10 +11,10 @@
 /* --- the leader's side ---------------------------------------------------------------------- */
 
 /* The document that is being handed over, as one text for all who ask.
- * Invariant: text is null or that of the version, as committed under the epoch. */
+ * Invariant: text is null or that of the version, as committed under the term. */
 typedef struct PieceSource {
     void *mem;
-    uint64_t epoch, version;
+    uint64_t term, version;
     const char *text;
     size_t length;
     int64_t used_ms;
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -21,7 +21,7 @@
     Trace *trace;
     ConfigWatchFn wanted;
     void *arg;
-    uint64_t epoch; /* the newest heard of */
+    uint64_t term; /* the newest heard of */
     uint64_t version, size;
     int64_t learnt_ms;
     Versions *versions;
@@ -133,9 +133,9 @@
 
 static void learn(ConfigWatch *config_watch, void *mem, const ConfigWatchAnswer *answer)
 {
-    if (answer->epoch > config_watch->epoch) {
-        config_watch->epoch = answer->epoch;
-        trace_say(config_watch->trace, TRACE_LEARNT, "", "view:%" PRIu64, epoch_counter(answer->epoch));
+    if (answer->term > config_watch->term) {
+        config_watch->term = answer->term;
+        trace_say(config_watch->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
     if (answer->version > config_watch->version) {
         trace_say(config_watch->trace, TRACE_LEARNT, "", "config:%" PRIu64, answer->version);
--- a/packages/feed/src/pieces.c
+++ b/packages/feed/src/pieces.c
@@ -23,17 +23,17 @@
 }
 
 /* Whether its text may go on being handed over to the asker. */
-static bool source_good(const PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, uint64_t epoch,
+static bool source_good(const PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, uint64_t term,
                         int64_t now_ms)
 {
-    return source->text != NULL && source->epoch == epoch && source->version > ask->text_have &&
+    return source->text != NULL && source->term == term && source->version > ask->text_have &&
            now_ms - source->used_ms <= PIECE_TEXT_MS && row_of(versions, source->version) != NULL;
 }
 
-static void source_set(PieceSource *source, const Versions *versions, uint64_t epoch)
+static void source_set(PieceSource *source, const Versions *versions, uint64_t term)
 {
     source_drop(source);
-    source->epoch = epoch;
+    source->term = term;
     source->version = versions_newest(versions);
     source->text = versions_text(versions, source->mem, source->version);
     source->length = strlen(source->text);
@@ -42,8 +42,8 @@
 void piece_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                   ConfigWatchAnswer *answer)
 {
-    if (!source_good(source, versions, ask, answer->epoch, now_ms))
-        source_set(source, versions, answer->epoch);
+    if (!source_good(source, versions, ask, answer->term, now_ms))
+        source_set(source, versions, answer->term);
     source->used_ms = now_ms;
     const bool goes_on = ask->piece_of == source->version && ask->piece_from <= source->length;
     const uint64_t from = goes_on ? ask->piece_from : 0;
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -25,7 +25,7 @@
     WaysLeads leads;
     const void *arg;
     uint64_t turn;
-    uint64_t epoch; /* of the leader that they lead to */
+    uint64_t term; /* of the leader that they lead to */
     size_t at;
     int64_t lost_ms;
     bool looking;
@@ -186,9 +186,9 @@
 /* Another leader, or the first: it is reached directly until that fails. */
 static void leader_new(Ways *ways)
 {
-    if (members_leader_epoch(ways->members) == ways->epoch)
+    if (members_leader_term(ways->members) == ways->term)
         return; /* also before any is known: whoever is met tells of him */
-    ways->epoch = members_leader_epoch(ways->members);
+    ways->term = members_leader_term(ways->members);
     if (members_leader_address(ways->members) == NULL) {
         if (ways->lost_ms == INT64_MAX)
             ways->lost_ms = loop_now_ms(ways->loop);
@@ -230,7 +230,7 @@
         move_on(ways);
     }
     miss(ways);
-    if (ways->epoch != 0)
+    if (ways->term != 0)
         look(ways);
     return false;
 }
@@ -289,9 +289,9 @@
 
 void ways_told(Ways *ways, const ForwardAnswer *answer)
 {
-    if (answer->leader_epoch > members_leader_epoch(ways->members) && answer->leader_id != NULL &&
+    if (answer->leader_term > members_leader_term(ways->members) && answer->leader_id != NULL &&
         answer->leader_id[0] != '\0')
-        members_set_leader(ways->members, answer->leader_epoch, answer->leader_id);
+        members_set_leader(ways->members, answer->leader_term, answer->leader_id);
 }
 
 bool ways_serve(const Ways *ways)
--- a/packages/feed/test/pieces.c
+++ b/packages/feed/test/pieces.c
@@ -14,7 +14,7 @@
 
 #define MOST 16 /* bytes of a piece */
 #define KEPT 4  /* count; of the history */
-#define EPOCH 7
+#define TERM 7
 #define PIECES_MAX 200 /* count; more say that it does not come to an end */
 
 static const char FIRST[] = "{\"note\":\"a text that is longer than one piece or two of them\",\"r\":1}";
@@ -24,7 +24,7 @@
     PieceSource source;
     Pieces pieces;
     int64_t now_ms;
-    uint64_t epoch;
+    uint64_t term;
 } Hand;
 
 static void change(Hand *hand, uint64_t version, const char *text, bool patch)
@@ -45,7 +45,7 @@
     hand->versions = versions_new(hand, KEPT, KEPT);
     hand->source.mem = hand;
     hand->pieces.mem = hand;
-    hand->epoch = EPOCH;
+    hand->term = TERM;
     change(hand, 1, FIRST, false);
     return hand;
 }
@@ -54,7 +54,7 @@
 static bool step(Hand *hand, Pieces *pieces, uint64_t text_have, ConfigSet *set)
 {
     ConfigWatchAsk ask = {.text_have = text_have, .wants = true, .piece_most = MOST};
-    ConfigWatchAnswer answer = {.epoch = hand->epoch};
+    ConfigWatchAnswer answer = {.term = hand->term};
     hand->now_ms += 100;
     pieces_ask(pieces, &ask);
     piece_answer(&hand->source, hand->versions, &ask, hand->now_ms, &answer);
@@ -121,7 +121,7 @@
 }
 
 /* Another leader's document of the same number is another one. */
-static void other_epoch(void **state)
+static void other_term(void **state)
 {
     static const char OTHER[] = "{\"note\":\"another text, that is longer than one piece or two of them\",\"r\":1}";
     Hand *hand = hand_new();
@@ -130,7 +130,7 @@
     assert_false(step(hand, &hand->pieces, 0, &set));
     hand->versions = versions_new(hand, KEPT, KEPT);
     change(hand, 1, OTHER, false);
-    hand->epoch++;
+    hand->term++;
     pieces_drop(&hand->pieces); /* as the feed does with each other leader */
     assert_string_equal(whole(hand, &hand->pieces).text, OTHER);
     talloc_free(hand);
@@ -187,7 +187,7 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(put_together), cmocka_unit_test(changed_meanwhile), cmocka_unit_test(dropped_meanwhile),
-        cmocka_unit_test(other_epoch),  cmocka_unit_test(one_text_for_all),  cmocka_unit_test(strange_piece),
+        cmocka_unit_test(other_term),   cmocka_unit_test(one_text_for_all),  cmocka_unit_test(strange_piece),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -126,7 +126,7 @@
     Gate *gate = arg;
     (void)mem;
     (void)question;
-    ((KnowAnswer *)answer)->epoch = members_leader_epoch(gate->members);
+    ((KnowAnswer *)answer)->term = members_leader_term(gate->members);
     return STATUS_OK;
 }
 
--- a/packages/journal/include/journal/record.h
+++ b/packages/journal/include/journal/record.h
@@ -6,8 +6,8 @@
 /* What a journal holds. Numbers are part of the format. */
 #define RECORD_LIST(X)                                                                                 \
     X(IDENTITY, 1, "identity") /* first record: format version, the disk's id; change 1: begun anew */ \
-    X(CLUSTER, 2, "cluster")   /* epoch: cluster id; payload: packed SeatList */                       \
-    X(PROMISE, 3, "promise")   /* epoch and holder promised */                                         \
+    X(CLUSTER, 2, "cluster")   /* term: cluster id; payload: packed SeatList */                        \
+    X(PROMISE, 3, "promise")   /* term and holder promised */                                          \
     X(ENTRY, 4, "entry")       /* an entry of the ordered log */                                       \
     X(TRIM, 5, "trim")         /* all entries after index are gone */                                  \
     X(SNAPSHOT, 6, "snapshot") /* the state after index; earlier entries are gone */                   \
@@ -22,7 +22,7 @@
 /* One shape for all kinds; each uses the fields it needs. */
 #define RECORD_FIELDS(X) \
     X(U64, kind, 0)      \
-    X(U64, epoch, 0)     \
+    X(U64, term, 0)      \
     X(U64, index, 0)     \
     X(I64, at_ms, 0)     \
     X(U64, change, 0)    \
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -127,7 +127,7 @@
 static Record identity(const Journal *journal)
 {
     return (Record){.kind = RECORD_IDENTITY,
-                    .epoch = JOURNAL_VERSION,
+                    .term = JOURNAL_VERSION,
                     .index = journal->disk,
                     .change = journal->counts.begun_anew,
                     .name = journal->node_name};
@@ -169,9 +169,9 @@
     if (opening->records++ == 0) {
         if (record->kind != RECORD_IDENTITY)
             failure_set(&opening->failure, STATUS_JOURNAL_CORRUPT, "the first record is not the identity");
-        else if (record->epoch > JOURNAL_VERSION)
+        else if (record->term > JOURNAL_VERSION)
             failure_set(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
-                        record->epoch, JOURNAL_VERSION);
+                        record->term, JOURNAL_VERSION);
         else if (strcmp(record->name, journal->node_name) != 0)
             failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
                         record->name, journal->node_name);
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -43,7 +43,7 @@
     uint8_t body[50] = {7};
     for (size_t i = 1; i <= seen->writes; i++) {
         const Record record = {.kind = RECORD_ENTRY,
-                               .epoch = 1,
+                               .term = 1,
                                .index = seen->last_index + 1,
                                .name = "",
                                .payload = {body, sizeof(body), 0}};
@@ -167,7 +167,7 @@
     const int machine = sim_machine(world);
     run(world, machine, "core1", 1, false);
     /* the identity record of a later release */
-    const Record later = {.kind = RECORD_IDENTITY, .epoch = JOURNAL_VERSION + 1, .index = 9, .name = "core1"};
+    const Record later = {.kind = RECORD_IDENTITY, .term = JOURNAL_VERSION + 1, .index = 9, .name = "core1"};
     Bytes packed = {0}, body = {0}, block = {0};
     shape_pack(&Record_shape, &later, mem, &packed);
     const uint8_t size[4] = {0, 0, 0, (uint8_t)packed.count};
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -32,22 +32,22 @@
     uint64_t promised;
     uint64_t holder; /* disk id */
     int64_t lease_until_ms;
-    uint64_t released;     /* epoch: given back by its holder, so that nothing late renews it */
+    uint64_t released;     /* term: given back by its holder, so that nothing late renews it */
     int64_t not_before_ms; /* woken: what was granted may be forgotten, so nothing is promised before this ... */
     bool sure;             /* ... but promised and holder are known to be the last: only holder may hold anything */
 } LockSeat;
 
-/* Whether epoch may be promised to holder now. */
-Status lock_may_promise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
-void lock_promise(LockSeat *seat, uint64_t epoch, uint64_t holder);
-/* Lets the lease run on from now; OLD_EPOCH or OTHER_HOLDER when it is not the promised one. */
-Status lock_renew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
-void lock_release(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms);
+/* Whether term may be promised to holder now. */
+Status lock_may_promise(const LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms);
+void lock_promise(LockSeat *seat, uint64_t term, uint64_t holder);
+/* Lets the lease run on from now; OLD_TERM or OTHER_HOLDER when it is not the promised one. */
+Status lock_renew(LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms);
+void lock_release(LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms);
 bool lock_held(const LockSeat *seat, int64_t now_ms);
 
 /* The holder's half.
  * Invariants: sent_ms[i] is when the last question that the seat at place i answered
- * well was sent, INT64_MIN when there is none under this epoch or nobody has the
+ * well was sent, INT64_MIN when there is none under this term or nobody has the
  * place; seats is the number of places that somebody has. */
 typedef struct LockLease {
     size_t seats;
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -2,10 +2,10 @@
 
 #include "base/constants.h"
 
-Status lock_may_promise(const LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+Status lock_may_promise(const LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms)
 {
-    if (epoch <= seat->promised)
-        return STATUS_OLD_EPOCH;
+    if (term <= seat->promised)
+        return STATUS_OLD_TERM;
     if (now_ms < seat->not_before_ms && !(seat->sure && seat->holder == holder))
         return STATUS_WOKEN;
     if (seat->holder != holder && lock_held(seat, now_ms))
@@ -13,28 +13,28 @@
     return STATUS_OK;
 }
 
-void lock_promise(LockSeat *seat, uint64_t epoch, uint64_t holder)
+void lock_promise(LockSeat *seat, uint64_t term, uint64_t holder)
 {
-    seat->promised = epoch;
+    seat->promised = term;
     seat->holder = holder;
 }
 
-Status lock_renew(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+Status lock_renew(LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms)
 {
-    if (epoch != seat->promised || epoch == seat->released)
-        return STATUS_OLD_EPOCH;
+    if (term != seat->promised || term == seat->released)
+        return STATUS_OLD_TERM;
     if (holder != seat->holder)
         return STATUS_OTHER_HOLDER;
     seat->lease_until_ms = now_ms + LOCK_GRANT_MS;
     return STATUS_OK;
 }
 
-void lock_release(LockSeat *seat, uint64_t epoch, uint64_t holder, int64_t now_ms)
+void lock_release(LockSeat *seat, uint64_t term, uint64_t holder, int64_t now_ms)
 {
-    if (epoch != seat->promised || holder != seat->holder)
+    if (term != seat->promised || holder != seat->holder)
         return;
     seat->lease_until_ms = now_ms;
-    seat->released = epoch;
+    seat->released = term;
     if (seat->sure && seat->not_before_ms > now_ms)
         seat->not_before_ms = now_ms;
 }
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -11,7 +11,7 @@
 
 #define HOLDER 7
 #define RIVAL 8
-#define EPOCH 3
+#define TERM 3
 #define VOTERS 3
 
 /* A steady clock that runs at so many percent, in milliseconds. */
@@ -28,14 +28,14 @@
         LockSeat voters[VOTERS] = {{0}};
         lock_lease_clear(&lease);
         for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
-            lock_promise(&voters[i], EPOCH, HOLDER);
-            assert_int_equal(lock_renew(&voters[i], EPOCH, HOLDER, clock_at(sent_ms, voter_percent)), STATUS_OK);
+            lock_promise(&voters[i], TERM, HOLDER);
+            assert_int_equal(lock_renew(&voters[i], TERM, HOLDER, clock_at(sent_ms, voter_percent)), STATUS_OK);
             lock_lease_answered(&lease, i, clock_at(sent_ms, holder_percent));
         }
         int64_t true_ms = sent_ms;
         for (; clock_at(true_ms, holder_percent) < lock_lease_until(&lease); true_ms++)
             for (int i = 0; i < VOTERS - 1; i++)
-                assert_int_equal(lock_may_promise(&voters[i], EPOCH + 1, RIVAL, clock_at(true_ms, voter_percent)),
+                assert_int_equal(lock_may_promise(&voters[i], TERM + 1, RIVAL, clock_at(true_ms, voter_percent)),
                                  STATUS_OTHER_HOLDER);
         assert_true(true_ms > sent_ms + 4 * LOCK_RENEW_MS); /* four renewals still fit in it */
     }
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -55,11 +55,11 @@
 void members_set_empty(Members *members, bool empty);
 void members_set_leaving(Members *members);
 /* The newest leader known; empty id when none is. */
-void members_set_leader(Members *members, uint64_t epoch, const char *id);
+void members_set_leader(Members *members, uint64_t term, const char *id);
 /* Says hello to everybody: a new leader is heard of at once. */
 void members_announce(Members *members);
 const char *members_leader_id(const Members *members);
-uint64_t members_leader_epoch(const Members *members);
+uint64_t members_leader_term(const Members *members);
 /* Of one that is to be asked, and no other. */
 PeerLife member_peer(const MemberRecord *record);
 /* Another process than the one known has answered there: it is asked who it is. */
--- a/packages/member/include/member/record.h
+++ b/packages/member/include/member/record.h
@@ -40,7 +40,7 @@
     X(ONE, self, MemberRecord)    \
     X(LST, members, MemberRecord) \
     X(U64, cluster, 0)            \
-    X(U64, leader_epoch, 0)       \
+    X(U64, leader_term, 0)        \
     X(TXT, leader_id, 0)
 SHAPE(Hello, HELLO_FIELDS)
 
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -20,7 +20,7 @@
     const char *seeds[SEEDS];
     MemberTable *table;
     size_t room;
-    uint64_t leader_epoch;
+    uint64_t leader_term;
     char *leader_id;
     Signal leader_changed;
     int64_t rest_until_ms; /* hellos are spaced out until then */
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -224,11 +224,11 @@
     members->self.leaving = true;
 }
 
-void members_set_leader(Members *members, uint64_t epoch, const char *id)
+void members_set_leader(Members *members, uint64_t term, const char *id)
 {
-    if (epoch < members->leader_epoch || (epoch == members->leader_epoch && strcmp(id, members->leader_id) == 0))
+    if (term < members->leader_term || (term == members->leader_term && strcmp(id, members->leader_id) == 0))
         return;
-    members->leader_epoch = epoch;
+    members->leader_term = term;
     talloc_free(members->leader_id);
     members->leader_id = talloc_strdup(members, id);
     signal_raise(members->loop, &members->leader_changed);
@@ -239,9 +239,9 @@
     return members->leader_id;
 }
 
-uint64_t members_leader_epoch(const Members *members)
+uint64_t members_leader_term(const Members *members)
 {
-    return members->leader_epoch;
+    return members->leader_term;
 }
 
 PeerLife member_peer(const MemberRecord *record)
@@ -290,7 +290,7 @@
         if (!member_quiet(&table->rows[i], loop_now_ms(members->loop)))
             shape_copy(&MemberRecord_shape, &table->rows[i].record, mem, &hello->members[hello->members_count++]);
     hello->cluster = members->self.cluster;
-    hello->leader_epoch = members->leader_epoch;
+    hello->leader_term = members->leader_term;
     hello->leader_id = talloc_strdup(mem, members->leader_id);
 }
 
@@ -307,8 +307,8 @@
     for (size_t i = 0; i < hello->members_count && hello->members_count <= MEMBERS_MAX; i++)
         row_take(members, &hello->members[i], false, false);
     row_take(members, &hello->self, true, answered);
-    if (hello->leader_epoch > members->leader_epoch)
-        members_set_leader(members, hello->leader_epoch, hello->leader_id);
+    if (hello->leader_term > members->leader_term)
+        members_set_leader(members, hello->leader_term, hello->leader_id);
 }
 
 static Status on_hello(void *arg, void *mem, const void *ask, void *answer)
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -66,9 +66,9 @@
     return NULL;
 }
 
-static void on_plans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t term)
 {
-    checker_plans(((GroundNode *)arg)->ground->checker, name, epoch);
+    checker_plans(((GroundNode *)arg)->ground->checker, name, term);
 }
 
 /* --- making ------------------------------------------------------------------------------ */
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -72,7 +72,7 @@
 size_t checker_broken_all(const Checker *checker);
 const char *checker_first(const Checker *checker);
 
-void checker_plans(Checker *checker, const char *leader, uint64_t epoch);
+void checker_plans(Checker *checker, const char *leader, uint64_t term);
 /* The process that leads or led has ended. */
 void checker_leader_gone(Checker *checker, const char *leader);
 void checker_worker(Checker *checker, const Worker *worker);
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -24,7 +24,7 @@
     checker->unsettled = map_new(checker);
     checker->workers = map_new(checker);
     checker->zones = map_new(checker);
-    checker->epochs = map_new(checker);
+    checker->terms = map_new(checker);
     checker->tenants = map_new(checker);
     checker->entries = map_new(checker);
     checker->first = talloc_strdup(checker, "");
@@ -113,25 +113,25 @@
     seen->worker.name = name; /* runs and claims point at it */
 }
 
-/* An epoch below the highest that planned may plan only if it is new and the
+/* A term below the highest that planned may plan only if it is new and the
  * one with the highest has ended: then disks have forgotten, but nobody plans
  * at once with another. */
-void checker_plans(Checker *checker, const char *leader, uint64_t epoch)
+void checker_plans(Checker *checker, const char *leader, uint64_t term)
 {
     char key[24];
-    snprintf(key, sizeof(key), "%" PRIu64, epoch);
-    const char *holder = map_get(checker->epochs, key);
-    const bool lower = epoch < checker->plan_epoch && (holder != NULL || !checker->plan_gone);
+    snprintf(key, sizeof(key), "%" PRIu64, term);
+    const char *holder = map_get(checker->terms, key);
+    const bool lower = term < checker->plan_term && (holder != NULL || !checker->plan_gone);
     if (lower || (holder != NULL && strcmp(holder, leader) != 0)) {
-        checker_broke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, epoch,
-                      checker->plan_leader, checker->plan_epoch);
+        checker_broke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, term,
+                      checker->plan_leader, checker->plan_term);
         return;
     }
     if (holder == NULL)
-        map_set(checker->epochs, key, talloc_strdup(checker, leader));
+        map_set(checker->terms, key, talloc_strdup(checker, leader));
     if (checker->plan_leader == NULL || strcmp(checker->plan_leader, leader) != 0)
         checker->plan_leader = talloc_strdup(checker, leader);
-    checker->plan_epoch = epoch;
+    checker->plan_term = term;
     checker->plan_gone = false;
 }
 
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -91,10 +91,10 @@
     Map *jobs;
     Map *unsettled; /* those of jobs that are not settled: what is looked at again and again */
     Map *workers, *zones, *tenants, *entries;
-    uint64_t plan_epoch;
+    uint64_t plan_term;
     const char *plan_leader;
-    bool plan_gone; /* the process that planned under plan_epoch has ended */
-    Map *epochs;    /* every epoch that planned, to its leader */
+    bool plan_gone; /* the process that planned under plan_term has ended */
+    Map *terms;     /* every term that planned, to its leader */
     uint64_t version;
     int64_t fault_ms;   /* the last failure brought about; 0: none */
     int64_t started_ms; /* the first start since then; 0: none yet */
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -1,9 +1,9 @@
 /* What the nodes and callers of a fleet tell its checker. */
 #include "fleet.h"
 
-static void on_plans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t term)
 {
-    checker_plans(((FleetNode *)arg)->fleet->checker, name, epoch);
+    checker_plans(((FleetNode *)arg)->fleet->checker, name, term);
 }
 
 static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -14,7 +14,7 @@
 static FillAsk piece_of(Bytes whole, size_t from, size_t count)
 {
     return (FillAsk){.snapshot = {.kind = RECORD_SNAPSHOT,
-                                  .epoch = 9,
+                                  .term = 9,
                                   .index = 70,
                                   .name = "",
                                   .payload = {whole.data + from, count, 0}},
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -98,7 +98,7 @@
 
     c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 5), only(c, NEVER_TWO_LEADERS);
 
-    /* forgotten by the disks: a new lower epoch after the end of the higher one is
+    /* forgotten by the disks: a new lower term after the end of the higher one is
      * no second leader, an old one that wakes is */
     c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 7), checker_leader_gone(c, "b"),
     checker_plans(c, "c", 6);
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -18,7 +18,7 @@
 typedef struct Held {
     bool known;
     uint64_t base_index, last_index;
-    uint64_t *epochs; /* of base_index + 1 on */
+    uint64_t *terms; /* of base_index + 1 on */
     uint64_t promised, list_index;
 } Held;
 
@@ -33,9 +33,9 @@
     held.last_index = view->queued_index;
     held.promised = view->lock.promised;
     held.list_index = view->list_index <= held.last_index ? view->list_index : 0;
-    held.epochs = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.base_index + 1));
+    held.terms = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.base_index + 1));
     for (uint64_t i = held.base_index + 1; i <= held.last_index; i++)
-        held.epochs[i - held.base_index - 1] = log_at(view->log, i)->epoch;
+        held.terms[i - held.base_index - 1] = log_at(view->log, i)->term;
     return held;
 }
 
@@ -49,7 +49,7 @@
     assert_true(view->list_index >= held->list_index);
     for (uint64_t i = held->base_index + 1; i <= held->last_index; i++)
         if (i > view->log->base_index)
-            assert_int_equal(log_at(view->log, i)->epoch, held->epochs[i - held->base_index - 1]);
+            assert_int_equal(log_at(view->log, i)->term, held->terms[i - held->base_index - 1]);
 }
 
 /* Ends the core and starts it again where nobody reaches it: its log is that of its disk. */
@@ -160,16 +160,16 @@
     Orders *orders = arg;
     View *view = orders->view;
     const uint64_t index = view->commit_index;
-    const Record older = {.kind = RECORD_SNAPSHOT, .epoch = view->log->base_epoch, .index = index - 1, .name = ""};
+    const Record older = {.kind = RECORD_SNAPSHOT, .term = view->log->base_term, .index = index - 1, .name = ""};
     orders->replaced = seat_replace(view, &older, NULL, 0);
     Record other = *log_at(view->log, index);
-    AppendAsk ask = {.epoch = view->lock.promised + 100,
+    AppendAsk ask = {.term = view->lock.promised + 100,
                      .holder = view->disk + 1,
                      .prev_index = index - 1,
-                     .prev_epoch = log_at(view->log, index - 1)->epoch,
+                     .prev_term = log_at(view->log, index - 1)->term,
                      .entries = &other,
                      .entries_count = 1};
-    other.epoch = ask.epoch;
+    other.term = ask.term;
     orders->appended = seat_append(view, &ask);
     orders->done = true;
 }
@@ -183,7 +183,7 @@
     offer(fleet, 10, 10);
     fleet_run(fleet, 1000);
     View *view = view_of(fleet, core);
-    const uint64_t index = view->commit_index, epoch = log_at(view->log, index)->epoch;
+    const uint64_t index = view->commit_index, term = log_at(view->log, index)->term;
     Orders orders = {.view = view};
     fleet_isolate(fleet, FLEET_CORE, core, true);
     loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "orders", orders_main, &orders);
@@ -192,7 +192,7 @@
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
     assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
     assert_int_equal(view->commit_index, index);
-    assert_int_equal(log_at(view->log, index)->epoch, epoch);
+    assert_int_equal(log_at(view->log, index)->term, term);
     ViewSight sight;
     view_sight(view, &sight);
     assert_int_equal(sight.other_histories, 2);
@@ -314,7 +314,7 @@
     const View *view = view_of(fleet, core);
     const uint64_t before = view_disk(view);
     const Record far = {.kind = RECORD_ENTRY,
-                        .epoch = log_last_epoch(view->log),
+                        .term = log_last_term(view->log),
                         .index = log_last_index(view->log) + 2,
                         .change = FILLER,
                         .name = ""};
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -282,7 +282,7 @@
         void *mem = talloc_new(NULL);
         Bytes packed = {0};
         const FetchAnswer answer = {
-            .epoch = 9, .version = 3, .timeout_ms = 2000, .wanted = (RoundId *)(uintptr_t)rounds, .wanted_count = 2};
+            .term = 9, .version = 3, .timeout_ms = 2000, .wanted = (RoundId *)(uintptr_t)rounds, .wanted_count = 2};
         shape_pack(&FetchAnswer_shape, &answer, mem, &packed);
         if (i % 3 == 0)
             for (size_t at = 0; at < packed.count; at++)
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -222,7 +222,7 @@
         view_sight(core_view(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
                 node->settings.name, (unsigned long long)view_disk(core_view(node->core)), (int)sight.phase,
-                (unsigned long long)sight.epoch, (unsigned long long)sight.last_index,
+                (unsigned long long)sight.term, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
         for (size_t i = 0; i < sight.seat_count && sight.phase == VIEW_LEADING; i++)
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -550,7 +550,7 @@
 
 /* A leader that freezes with requests on the way: nobody waits out a long time-out.
  * What carries an identity is asked of the new leader; a change of configuration
- * gets its 504 as soon as a newer epoch is heard of, reads their answer. */
+ * gets its 504 as soon as a newer term is heard of, reads their answer. */
 static void leader_freezes(void **state)
 {
     (void)state;
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -34,7 +34,7 @@
     }
 #define SWEPT(name, mix, ...) SWEPT_AT(name, SWEEP_PLAIN, mix, __VA_ARGS__)
 
-/* 8, 28: views opened anew without end; 80, 88, 260: epochs forgotten; 28, 416:
+/* 8, 28: views opened anew without end; 80, 88, 260: terms forgotten; 28, 416:
  * accepted jobs not told again; 809: an order given while its worker's loss was
  * decided but not yet committed; 866: a repair that a change of view cut short */
 SWEPT(trentvale1, MIX_TRENTVALE, 1, 2, 3)
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -24,12 +24,12 @@
     X(LST, cores, SeatCore)
 SHAPE(SeatList, SEAT_LIST_FIELDS)
 
-/* The first entry of each epoch: whose it is and which seats are in the view.
+/* The first entry of each term: whose it is and which seats are in the view.
  * repair: committed changes may have been lost and are still to be told again;
  * it stands until a REPAIRED entry, whoever leads meanwhile.
  * Invariant: members are a majority of the seats and hold holder. */
 #define VIEW_RECORD_FIELDS(X) \
-    X(U64, epoch, 0)          \
+    X(U64, term, 0)           \
     X(U64, holder, 0)         \
     X(LST, members, DiskId)   \
     X(TXT, holder_id, 0)      \
@@ -40,31 +40,31 @@
  * names nobody: a core with a new disk may stand where another's seat stood. 0: an
  * older release asks, which did not say. */
 #define PROPOSE_ASK_FIELDS(X) \
-    X(U64, epoch, 0)          \
+    X(U64, term, 0)           \
     X(U64, holder, 0)         \
     X(U64, to, 0)             \
-    X(U64, log_epoch, 0)      \
+    X(U64, log_term, 0)       \
     X(U64, log_index, 0) /* of the asking seat's last entry */
 SHAPE(ProposeAsk, PROPOSE_ASK_FIELDS)
 
 /* What a seat is, told with each answer. */
-#define SEAT_ANSWER_FIELDS(X)                                                          \
-    X(U64, promised, 0)                                                                \
-    X(U64, holder, 0)                                                                  \
-    X(FLAG, held, 0)     /* a lease it granted runs */                                 \
-    X(U64, log_epoch, 0) /* of its last entry */                                       \
-    X(U64, log_index, 0)                                                               \
-    X(FLAG, woke, 0)      /* restarted, and no view has brought it up to date since */ \
-    X(U64, view_epoch, 0) /* of the last view recorded */                              \
-    X(LST, view_members, DiskId)                                                       \
-    X(I64, wall_ms, 0)                                                                 \
-    X(I64, sync_ms, 0) /* its last sync took so long */                                \
-    X(U64, sight, 0)   /* members that have spoken to it of late */                    \
+#define SEAT_ANSWER_FIELDS(X)                                                         \
+    X(U64, promised, 0)                                                               \
+    X(U64, holder, 0)                                                                 \
+    X(FLAG, held, 0)    /* a lease it granted runs */                                 \
+    X(U64, log_term, 0) /* of its last entry */                                       \
+    X(U64, log_index, 0)                                                              \
+    X(FLAG, woke, 0)     /* restarted, and no view has brought it up to date since */ \
+    X(U64, view_term, 0) /* of the last view recorded */                              \
+    X(LST, view_members, DiskId)                                                      \
+    X(I64, wall_ms, 0)                                                                \
+    X(I64, sync_ms, 0) /* its last sync took so long */                               \
+    X(U64, sight, 0)   /* members that have spoken to it of late */                   \
     X(U64, filled, 0)  /* bytes that it has of a snapshot that comes in pieces */
 SHAPE(SeatAnswer, SEAT_ANSWER_FIELDS)
 
 #define RENEW_ASK_FIELDS(X) \
-    X(U64, epoch, 0)        \
+    X(U64, term, 0)         \
     X(U64, holder, 0)       \
     X(U64, commit_index, 0) \
     X(I64, clock_ms, 0)     \
@@ -73,12 +73,12 @@
     X(U64, next, 0) /* in a release: the seat that is to propose itself at once; 0: none */
 SHAPE(RenewAsk, RENEW_ASK_FIELDS)
 
-/* Entries after (prev_epoch, prev_index). What the seat has beyond that and the
+/* Entries after (prev_term, prev_index). What the seat has beyond that and the
  * holder has not is trimmed. */
 #define APPEND_ASK_FIELDS(X) \
-    X(U64, epoch, 0)         \
+    X(U64, term, 0)          \
     X(U64, holder, 0)        \
-    X(U64, prev_epoch, 0)    \
+    X(U64, prev_term, 0)     \
     X(U64, prev_index, 0)    \
     X(U64, commit_index, 0)  \
     X(LST, entries, Record)  \
@@ -91,7 +91,7 @@
  * over: its log was found to be of another history: what lies under its own snapshot
  * does not count as that, unless that snapshot is as new. */
 #define FILL_ASK_FIELDS(X)   \
-    X(U64, epoch, 0)         \
+    X(U64, term, 0)          \
     X(U64, holder, 0)        \
     X(ONE, snapshot, Record) \
     X(U64, commit_index, 0)  \
@@ -104,9 +104,9 @@
 
 /* Asks a seat for its log after an index. */
 #define LOG_ASK_FIELDS(X)  \
-    X(U64, epoch, 0)       \
+    X(U64, term, 0)        \
     X(U64, holder, 0)      \
-    X(U64, after_epoch, 0) \
+    X(U64, after_term, 0)  \
     X(U64, after_index, 0) \
     X(U64, to, 0)
 SHAPE(LogAsk, LOG_ASK_FIELDS)
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -8,7 +8,7 @@
 #include "view/messages.h"
 
 /* Ordered delivery. All members of a view deliver the same changes in one
- * order, numbered by (epoch, index). The lock's holder orders. A change is
+ * order, numbered by (term, index). The lock's holder orders. A change is
  * committed once every seat still in the view has synced it, and a view is at
  * least a majority of the seats. A seat that does not sync in time is taken out
  * by a change of view, never waited for without end. */
@@ -43,7 +43,7 @@
 /* Called within the commit of the first entry of a view opened by this node,
  * before it counts as leading; does not wait. repair: it rests on woken seats,
  * so committed changes may have been lost and must be told again. */
-typedef void (*ViewOpened)(void *arg, uint64_t epoch, bool new_holder, bool repair);
+typedef void (*ViewOpened)(void *arg, uint64_t term, bool new_holder, bool repair);
 
 /* How this process may come to found a cluster. */
 typedef enum ViewFounds {
@@ -94,7 +94,7 @@
  * questions that were sent after the call: whatever the clocks do, nobody else had led by
  * the time of the call. NOT_LEADER: another may; EXPIRED: nobody knows. */
 Status view_contact(View *view, int64_t until_ms);
-uint64_t view_epoch(const View *view);
+uint64_t view_term(const View *view);
 /* When this node won the lock from another (or from nobody). */
 int64_t view_won_ms(const View *view);
 /* The time that the log counts: never goes back, passes only while a leader's
@@ -144,7 +144,7 @@
 
 typedef struct ViewSight {
     ViewPhase phase;
-    uint64_t epoch;
+    uint64_t term;
     uint64_t holder;
     bool woke;
     uint64_t last_index, commit_index, delivered_index, base_index;
@@ -161,9 +161,9 @@
 } ViewSight;
 
 void view_sight(const View *view, ViewSight *sight);
-/* For lines of the log, at any time, also before the disk is open: the epoch that this
+/* For lines of the log, at any time, also before the disk is open: the term that this
  * node is in, and how far it knows the log to be committed. */
-void view_place(const View *view, uint64_t *epoch, uint64_t *commit_index);
+void view_place(const View *view, uint64_t *term, uint64_t *commit_index);
 /* Raised after each delivery and each change of phase. */
 Signal *view_news(View *view);
 
--- a/packages/view/include/view/window.h
+++ b/packages/view/include/view/window.h
@@ -10,7 +10,7 @@
 typedef struct ViewWindow {
     ViewPhase phase;
     bool holding;      /* it won the lock and has not given it up */
-    uint64_t epoch;    /* its own lead's, while it holds or opens */
+    uint64_t term;     /* its own lead's, while it holds or opens */
     uint64_t promised; /* in memory */
     uint64_t commit_index, delivered_index;
     uint64_t list_index; /* of the entry that holds the list of voters; 0: the founded one */
--- a/packages/view/src/contact.c
+++ b/packages/view/src/contact.c
@@ -10,7 +10,7 @@
         if (view->seats[i] == 0)
             continue;
         if (view->seats[i] == view->disk)
-            count += view->lock.promised == view->epoch && view->lock.released != view->epoch;
+            count += view->lock.promised == view->term && view->lock.released != view->term;
         else
             count += view->peers[i].contact >= wanted;
     }
@@ -69,13 +69,13 @@
 {
     if (!view_leading(view))
         return STATUS_NOT_LEADER;
-    const uint64_t epoch = view->epoch, wanted = ++view->contact_asked;
+    const uint64_t term = view->term, wanted = ++view->contact_asked;
     signal_raise(view->loop, &view->contact_news);
     while (contact_count(view, wanted) < view_majority(view)) {
         if (!signal_wait(view->loop, &view->contact_made, until_ms))
             return STATUS_EXPIRED;
-        if (view->epoch != epoch || !view_leading(view))
+        if (view->term != term || !view_leading(view))
             return STATUS_NOT_LEADER;
     }
-    return view->epoch == epoch && view_leading(view) ? STATUS_OK : STATUS_NOT_LEADER;
+    return view->term == term && view_leading(view) ? STATUS_OK : STATUS_NOT_LEADER;
 }
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -41,10 +41,10 @@
     Record *records = talloc_zero_array(mem, Record, (unsigned)(log->count + 3));
     size_t at = 0;
     if (view->cluster != 0) {
-        records[at] = (Record){.kind = RECORD_CLUSTER, .epoch = view->cluster, .name = ""};
+        records[at] = (Record){.kind = RECORD_CLUSTER, .term = view->cluster, .name = ""};
         shape_pack(&SeatList_shape, view->founded, mem, &records[at++].payload);
         records[at++] =
-            (Record){.kind = RECORD_PROMISE, .epoch = view->lock.promised, .index = view->lock.holder, .name = ""};
+            (Record){.kind = RECORD_PROMISE, .term = view->lock.promised, .index = view->lock.holder, .name = ""};
     }
     if (log->snapshot.kind == RECORD_SNAPSHOT)
         records[at++] = log->snapshot;
@@ -93,8 +93,8 @@
         return;
     void *mem = talloc_new(view);
     /* seats and last as of delivered_index: later ones are still in the log */
-    uint64_t epoch = 0;
-    log_epoch_at(log, view->delivered_index, &epoch);
+    uint64_t term = 0;
+    log_term_at(log, view->delivered_index, &term);
     Snapshot snapshot = {0};
     const uint64_t last_index = log_last_index(log);
     bool later = false;
@@ -111,7 +111,7 @@
     snapshot.last = view->last;
     snapshot.state = view->settings.state.save(view->settings.state.arg, mem);
     Record record = {.kind = RECORD_SNAPSHOT,
-                     .epoch = epoch,
+                     .term = term,
                      .index = view->delivered_index,
                      .at_ms = view_clock_ms(view),
                      .name = ""};
@@ -144,7 +144,7 @@
         talloc_free(view->founded);
         view->founded = seats;
     }
-    view->cluster = record->epoch;
+    view->cluster = record->term;
 }
 
 static void entry_found(Reading *reading, const Record *record)
@@ -169,7 +169,7 @@
         cluster_found(view, record);
         break;
     case RECORD_PROMISE:
-        lock_promise(&view->lock, record->epoch, record->index);
+        lock_promise(&view->lock, record->term, record->index);
         break;
     case RECORD_ENTRY:
         entry_found(reading, record);
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -8,7 +8,7 @@
 {
     memmove(view->in_view, in_view, sizeof(view->in_view));
     void *mem = talloc_new(view);
-    ViewRecord record = {.epoch = view->epoch,
+    ViewRecord record = {.term = view->term,
                          .holder = view->disk,
                          .members = talloc_array(mem, DiskId, SEAT_MOST),
                          .holder_id = members_self(view->settings.members)->id,
@@ -17,7 +17,7 @@
         if (in_view[i])
             record.members[record.members_count++].disk = view->seats[i];
     Record entry = {.kind = RECORD_ENTRY,
-                    .epoch = view->epoch,
+                    .term = view->term,
                     .index = log_last_index(view->log) + 1,
                     .at_ms = view_clock_ms(view),
                     .change = VIEW_CHANGE_VIEW,
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -11,7 +11,7 @@
 
 static bool same_filling(const Filling *filling, const FillAsk *ask)
 {
-    return filling != NULL && filling->epoch == ask->snapshot.epoch && filling->index == ask->snapshot.index &&
+    return filling != NULL && filling->term == ask->snapshot.term && filling->index == ask->snapshot.index &&
            filling->total == ask->total && filling->checksum == ask->checksum;
 }
 
@@ -33,7 +33,7 @@
     if (!same_filling(view->filling, ask)) {
         fill_drop(view);
         view->filling = talloc_zero(view, Filling);
-        *view->filling = (Filling){ask->snapshot.epoch, ask->snapshot.index, ask->total, ask->checksum, {0}};
+        *view->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
     }
     Filling *filling = view->filling;
     if (ask->from != filling->bytes.count)
@@ -62,7 +62,7 @@
 {
     void *mem = talloc_new(view);
     const size_t left = whole.count - (size_t)ask->from;
-    ask->epoch = view->epoch;
+    ask->term = view->term;
     ask->commit_index = view->commit_index;
     ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
     if (ask->total == 0)
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -4,7 +4,7 @@
 #include "view/log.h"
 #include "view/view.h"
 
-/* What the leader knows of one voter or learner, under its epoch.
+/* What the leader knows of one voter or learner, under its term.
  * Invariant: match_index is synced there; next_index > match_index. */
 typedef struct Peer {
     uint64_t match_index, next_index;
@@ -37,7 +37,7 @@
 
 /* A snapshot that comes in pieces. Invariant: bytes.count < total. */
 typedef struct Filling {
-    uint64_t epoch, index; /* of the snapshot */
+    uint64_t term, index; /* of the snapshot */
     uint64_t total, checksum;
     Bytes bytes;
 } Filling;
@@ -45,7 +45,7 @@
 /* A submitted change that waits for its delivery. */
 typedef struct Waiter {
     struct Waiter *next;
-    uint64_t epoch, index;
+    uint64_t term, index;
     bool done;
     Status status;
     ChangeResult result;
@@ -59,7 +59,7 @@
  *    committed or not;
  *  - a place in seats that nobody has is 0, and so are in_view, peers and
  *    hold.sent_ms of it;
- *  - phase is LEADING only after the first entry of epoch was committed;
+ *  - phase is LEADING only after the first entry of term was committed;
  *  - of the SEATS entries in the log all but the newest are committed;
  *  - tasks of a lead end when lead_turn is no longer theirs. */
 struct View {
@@ -80,7 +80,7 @@
     LockSeat lock;
     bool woke;
     Log *log;
-    uint64_t verified_index; /* entries known to be the holder's, under the promised epoch */
+    uint64_t verified_index; /* entries known to be the holder's, under the promised term */
     uint64_t commit_index, delivered_index;
     int64_t clock_base_ms, clock_at_ms; /* the log's clock, and our own when it was told */
     int64_t clock_log_ms;               /* the latest in the log: it never goes back behind that */
@@ -96,7 +96,7 @@
     /* the holder */
     ViewPhase phase;
     uint64_t lead_turn;
-    uint64_t epoch;
+    uint64_t term;
     LockLease lease;
     int64_t won_ms;
     bool holding;   /* the lock was won and not given up (also while a view is opened anew) */
@@ -238,7 +238,7 @@
 
 /* Waits until all have answered or can't be reached; once a majority of seats
  * that never slept has answered, a short grace is enough. Ends with poll_leave. */
-Poll *poll_seats(View *view, uint64_t epoch, const bool skip[SEAT_MOST]);
+Poll *poll_seats(View *view, uint64_t term, const bool skip[SEAT_MOST]);
 void poll_leave(Poll *poll);
 /* Whether the answer is the seat's own. */
 bool poll_reached(Status status);
@@ -271,7 +271,7 @@
 void lead_renew(View *view, int slot);
 void lead_peer(View *view, int slot);
 void lead_answered(View *view, int slot, const SeatAnswer *answer);
-/* Tells all other seats that what they granted under the epoch is not used. next:
+/* Tells all other seats that what they granted under the term is not used. next:
  * the disk that is to take over at once; 0: whoever comes first. */
 void lead_release(View *view, uint64_t next);
 /* Spawns the task that syncs the own journal. */
@@ -280,14 +280,14 @@
 void lead_commit(View *view);
 /* The first entry of a view. */
 void lead_view_entry(View *view, const bool in_view[SEAT_MOST], bool repair);
-/* Changes the view under the same epoch. What was ordered before is committed
+/* Changes the view under the same term. What was ordered before is committed
  * together with the change, so that the last view recorded has all of it. */
 void lead_turn(View *view, const bool in_view[SEAT_MOST]);
 /* The seat in the view that is to follow: the least behind; quick: only one whose
  * disk is; 0: none. */
 uint64_t lead_next(const View *view, bool quick);
 /* Stops taking changes, collects the logs of a majority, takes the best one,
- * trims the others to it, opens the next epoch and goes on. skip: seats that
+ * trims the others to it, opens the next term and goes on. skip: seats that
  * are to stay out. Waits. */
 Status view_open(View *view, const bool skip[SEAT_MOST]);
 /* The seat at the slot has granted the lock in answer to a question that was sent when the
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -122,8 +122,8 @@
 {
     Peer *peer = &view->peers[lead->slot];
     void *mem = talloc_new(view);
-    AppendAsk ask = {.epoch = view->epoch, .holder = view->disk, .prev_index = peer->next_index - 1, .to = lead->disk};
-    log_epoch_at(view->log, ask.prev_index, &ask.prev_epoch);
+    AppendAsk ask = {.term = view->term, .holder = view->disk, .prev_index = peer->next_index - 1, .to = lead->disk};
+    log_term_at(view->log, ask.prev_index, &ask.prev_term);
     ask.commit_index = view->commit_index;
     ask.entries = talloc_array(mem, Record, LOG_BATCH_ENTRIES);
     size_t bytes = 0;
@@ -185,7 +185,7 @@
     View *view = lead.view;
     talloc_free(arg);
     Peer *peer = &view->peers[lead.slot];
-    bool told = false; /* it has taken an append under this epoch */
+    bool told = false; /* it has taken an append under this term */
     while (!lead_peer_over(&lead)) {
         char address[ADDRESS_MAX];
         if (!seat_address(view, lead.slot, address)) {
@@ -234,7 +234,7 @@
 static bool heard(View *view, const Lead *lead, const char *address)
 {
     void *mem = talloc_new(view);
-    const ProposeAsk ask = {0, view->disk, lead->disk, log_last_epoch(view->log), log_last_index(view->log)};
+    const ProposeAsk ask = {0, view->disk, lead->disk, log_last_term(view->log), log_last_index(view->log)};
     SeatAnswer answer = {0};
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
                                   ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
@@ -249,8 +249,8 @@
 {
     void *mem = talloc_new(view);
     const RenewAsk ask = {
-        view->epoch, view->disk, view->commit_index, view_clock_ms(view), members_self(view->settings.members)->id,
-        lead->disk,  0};
+        view->term, view->disk, view->commit_index, view_clock_ms(view), members_self(view->settings.members)->id,
+        lead->disk, 0};
     const uint64_t contact = view->contact_asked;
     SeatAnswer answer = {0};
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
@@ -285,7 +285,7 @@
             continue;
         }
         if (lead.disk == view->disk) {
-            if (lock_renew(&view->lock, view->epoch, view->disk, sent_ms) == STATUS_OK)
+            if (lock_renew(&view->lock, view->term, view->disk, sent_ms) == STATUS_OK)
                 lock_lease_answered(&view->lease, lead.slot, sent_ms);
             wall_take(view);
         } else if (seat_address(view, lead.slot, address)) {
@@ -356,7 +356,7 @@
             continue;
         }
         giving->view = view;
-        giving->ask = (RenewAsk){view->epoch, view->disk, 0, 0, "", view->seats[i], next};
+        giving->ask = (RenewAsk){view->term, view->disk, 0, 0, "", view->seats[i], next};
         loop_spawn(view->loop, "release", release_main, giving);
     }
 }
@@ -390,10 +390,10 @@
     if (view->phase != VIEW_FOLLOWING || view->holding) {
         if (view->holding) {
             /* nothing is decided under this hold any more: the seats may forget it */
-            lock_release(&view->lock, view->epoch, view->disk, now_ms);
+            lock_release(&view->lock, view->term, view->disk, now_ms);
             lead_release(view, lead_next(view, false));
             recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
-                           epoch_counter(view->epoch));
+                           term_counter(view->term));
         }
         view->phase = VIEW_FOLLOWING;
         view->holding = false;
--- a/packages/view/src/log.c
+++ b/packages/view/src/log.c
@@ -13,9 +13,9 @@
     return log->base_index + log->count;
 }
 
-uint64_t log_last_epoch(const Log *log)
+uint64_t log_last_term(const Log *log)
 {
-    return log->count > 0 ? log->entries[log->count - 1].epoch : log->base_epoch;
+    return log->count > 0 ? log->entries[log->count - 1].term : log->base_term;
 }
 
 const Record *log_at(const Log *log, uint64_t index)
@@ -23,12 +23,12 @@
     return index > log->base_index && index <= log_last_index(log) ? &log->entries[index - log->base_index - 1] : NULL;
 }
 
-bool log_epoch_at(const Log *log, uint64_t index, uint64_t *epoch)
+bool log_term_at(const Log *log, uint64_t index, uint64_t *term)
 {
     const Record *entry = log_at(log, index);
     if (entry == NULL && index != log->base_index)
         return false;
-    *epoch = entry != NULL ? entry->epoch : log->base_epoch;
+    *term = entry != NULL ? entry->term : log->base_term;
     return true;
 }
 
@@ -47,15 +47,15 @@
 
 Status log_take(Log *log, const Record *entry)
 {
-    uint64_t epoch;
+    uint64_t term;
     if (entry->index <= log->base_index)
         return STATUS_OK; /* the snapshot stands for it */
     if (entry->index > log_last_index(log) + 1)
         return STATUS_JOURNAL_CORRUPT;
-    if (log_epoch_at(log, entry->index, &epoch) && epoch == entry->epoch)
+    if (log_term_at(log, entry->index, &term) && term == entry->term)
         return STATUS_OK;
     log_trim(log, entry->index - 1);
-    if (entry->epoch < log_last_epoch(log))
+    if (entry->term < log_last_term(log))
         return STATUS_JOURNAL_CORRUPT;
     log_add(log, entry);
     return STATUS_OK;
@@ -90,6 +90,6 @@
     log->snapshot = *snapshot;
     log->snapshot.name = "";
     log->snapshot.payload = bytes_copy(log, snapshot->payload);
-    log->base_epoch = snapshot->epoch;
+    log->base_term = snapshot->term;
     log->base_index = snapshot->index;
 }
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -25,14 +25,14 @@
         if (poll_reached(poll->status[i])) {
             const SeatAnswer *answer = &poll->answers[i];
             any_woke |= answer->woke;
-            /* of one epoch, the longer log has the later change of view */
-            if (newest == NULL || answer->view_epoch > newest->view_epoch ||
-                (answer->view_epoch == newest->view_epoch &&
-                 (answer->log_epoch > newest->log_epoch ||
-                  (answer->log_epoch == newest->log_epoch && answer->log_index > newest->log_index))))
+            /* of one term, the longer log has the later change of view */
+            if (newest == NULL || answer->view_term > newest->view_term ||
+                (answer->view_term == newest->view_term &&
+                 (answer->log_term > newest->log_term ||
+                  (answer->log_term == newest->log_term && answer->log_index > newest->log_index))))
                 newest = answer;
         }
-    *repair = any_woke && !view->settings.disks_keep && newest != NULL && newest->view_epoch != 0;
+    *repair = any_woke && !view->settings.disks_keep && newest != NULL && newest->view_term != 0;
     if (!*repair)
         return true;
     bool heard_all = true;
@@ -56,22 +56,22 @@
     if (!seat_address(view, seat, address))
         return STATUS_UNREACHABLE;
     void *mem = talloc_new(view);
-    LogAsk ask = {view->epoch, view->disk, 0, view->delivered_index, view->seats[seat]};
-    log_epoch_at(view->log, ask.after_index, &ask.after_epoch);
+    LogAsk ask = {view->term, view->disk, 0, view->delivered_index, view->seats[seat]};
+    log_term_at(view->log, ask.after_index, &ask.after_term);
     LogAnswer answer = {0};
     Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask,
                             ELECTION_STEP_TIMEOUT_MS * 4, &LogAnswer_shape, &answer);
-    if (status == STATUS_OK && view->epoch != view->lock.promised)
-        status = STATUS_OLD_EPOCH;
+    if (status == STATUS_OK && view->term != view->lock.promised)
+        status = STATUS_OLD_TERM;
     if (status == STATUS_OK && answer.whole) {
         /* at once, so that this disk never holds less than before */
         status = seat_replace(view, &answer.snapshot, answer.entries, answer.entries_count);
-        if (status == STATUS_OK && view->epoch != view->lock.promised)
-            status = STATUS_OLD_EPOCH;
+        if (status == STATUS_OK && view->term != view->lock.promised)
+            status = STATUS_OLD_TERM;
     } else if (status == STATUS_OK) {
-        AppendAsk append = {.epoch = view->epoch, .holder = view->disk};
+        AppendAsk append = {.term = view->term, .holder = view->disk};
         append.prev_index = answer.entries_count > 0 ? answer.entries[0].index - 1 : ask.after_index;
-        log_epoch_at(view->log, append.prev_index, &append.prev_epoch);
+        log_term_at(view->log, append.prev_index, &append.prev_term);
         append.entries = answer.entries;
         append.entries_count = answer.entries_count;
         status = seat_append(view, &append);
@@ -98,7 +98,7 @@
     for (int i = 0; i < SEAT_MOST && count > view_majority(view); i++) {
         const SeatAnswer *one = &poll->answers[i];
         if (in_view[i] && view->seats[i] != view->disk &&
-            (one->log_epoch < most->log_epoch || one->log_index + LOG_BATCH_ENTRIES < most->log_index)) {
+            (one->log_term < most->log_term || one->log_index + LOG_BATCH_ENTRIES < most->log_index)) {
             in_view[i] = false;
             count--;
         }
@@ -112,8 +112,8 @@
     const bool *skip; /* voters that are to stay out */
     bool new_holder;  /* it does not hold the lock already */
     bool repair;
-    uint64_t highest;             /* epoch that anybody has heard of */
-    uint64_t epoch;               /* the one to be promised */
+    uint64_t highest;             /* term that anybody has heard of */
+    uint64_t term;                /* the one to be promised */
     int best;                     /* place of the best log; -1: nobody promised */
     bool in_view[SEAT_MOST];      /* who promised, and is near enough */
     uint64_t promised[SEAT_MOST]; /* the disks, by their places before a log is taken over */
@@ -123,18 +123,18 @@
 typedef struct Heard {
     size_t count, free; /* who answered; who of them grants nothing to another */
     bool removed;       /* our place is another's */
-    bool ahead;         /* another stands under a higher epoch */
+    bool ahead;         /* another stands under a higher term */
 } Heard;
 
 static Heard heard_of(Opening *opening, const Poll *poll)
 {
     const View *view = opening->view;
     Heard heard = {0};
-    /* disks that lie may have forgotten promises and epochs; those who followed a
+    /* disks that lie may have forgotten promises and terms; those who followed a
      * leader have not */
     opening->highest = view->lock.promised;
-    if (members_leader_epoch(view->settings.members) > opening->highest)
-        opening->highest = members_leader_epoch(view->settings.members);
+    if (members_leader_term(view->settings.members) > opening->highest)
+        opening->highest = members_leader_term(view->settings.members);
     for (int i = 0; i < SEAT_MOST; i++)
         if (poll_reached(poll->status[i])) {
             heard.count++;
@@ -163,7 +163,7 @@
         return STATUS_NO_SEAT;
     }
     /* what a majority does not hold for another, nobody holds; but one that stands just
-     * now under a higher epoch goes first */
+     * now under a higher term goes first */
     const bool held =
         opening->new_holder && heard.count >= view_majority(view) && (heard.free < view_majority(view) || heard.ahead);
     if (heard.count >= view_majority(view) && rest && !held)
@@ -182,15 +182,15 @@
         opening->in_view[i] = true;
         const SeatAnswer *a = &poll->answers[i];
         const SeatAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
-        if (b == NULL || a->log_epoch > b->log_epoch ||
-            (a->log_epoch == b->log_epoch &&
+        if (b == NULL || a->log_term > b->log_term ||
+            (a->log_term == b->log_term &&
              (a->log_index > b->log_index || (a->log_index == b->log_index && view->seats[i] == view->disk))))
             opening->best = i;
         lock_lease_answered(&view->lease, i, poll->sent_ms[i]);
     }
 }
 
-/* What is known of the peers under the new epoch. */
+/* What is known of the peers under the new term. */
 static void peers_begin(View *view, const Poll *poll)
 {
     for (int i = 0; i < SEAT_MOST; i++) {
@@ -211,17 +211,17 @@
     View *view = opening->view;
     if (lead_over(view, opening->turn))
         return;
-    view->epoch = opening->epoch;
+    view->term = opening->term;
     lead_release(view, 0);
     lead_down(view, own_failed ? SLOW_DISK_REST_MS : 0);
 }
 
-/* Waits. The renewals of the old epoch have ended with lead_turn: asks for promises. */
+/* Waits. The renewals of the old term have ended with lead_turn: asks for promises. */
 static Status promises_ask(Opening *opening)
 {
     View *view = opening->view;
-    opening->epoch = epoch_next(opening->highest, view->disk);
-    Poll *poll = poll_seats(view, opening->epoch, opening->skip);
+    opening->term = term_next(opening->highest, view->disk);
+    Poll *poll = poll_seats(view, opening->term, opening->skip);
     /* a lease that lapsed before this question was sent was not carried on */
     const int64_t held_until_ms = lock_lease_until(&view->lease);
     for (int i = 0; i < SEAT_MOST; i++)
@@ -251,7 +251,7 @@
 static void lease_begin(const Opening *opening)
 {
     View *view = opening->view;
-    view->epoch = opening->epoch;
+    view->term = opening->term;
     if (!view->clock_runs) /* nobody's log has a time yet */
         view_clock_set(view, view->clock_base_ms);
     if (opening->new_holder)
@@ -330,7 +330,7 @@
             return STATUS_NOT_LEADER;
         if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_lease_until(&view->lease)) {
             recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
-                           "view %" PRIu64 " did not come about", epoch_counter(opening->epoch));
+                           "view %" PRIu64 " did not come about", term_counter(opening->term));
             lead_down(view, 0);
             return STATUS_EXPIRED;
         }
@@ -342,15 +342,15 @@
 {
     View *view = opening->view;
     if (view->settings.opened != NULL)
-        view->settings.opened(view->settings.opened_arg, opening->epoch, opening->new_holder, view->last.repair);
+        view->settings.opened(view->settings.opened_arg, opening->term, opening->new_holder, view->last.repair);
     view->phase = VIEW_LEADING;
     view->changed_ms = loop_now_ms(view->loop);
     view->view_changes++;
-    members_set_leader(view->settings.members, opening->epoch, members_self(view->settings.members)->id);
+    members_set_leader(view->settings.members, opening->term, members_self(view->settings.members)->id);
     if (opening->new_holder)
         members_announce(view->settings.members);
     recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
-                   "leads view %" PRIu64 " with %zu seats%s", epoch_counter(opening->epoch),
+                   "leads view %" PRIu64 " with %zu seats%s", term_counter(opening->term),
                    promised_count(view, view->in_view), view->last.repair ? ", repairs" : "");
     signal_raise(view->loop, &view->news);
 }
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -48,11 +48,11 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-Poll *poll_seats(View *view, uint64_t epoch, const bool skip[SEAT_MOST])
+Poll *poll_seats(View *view, uint64_t term, const bool skip[SEAT_MOST])
 {
     Poll *poll = talloc_zero(view, Poll);
     poll->view = view;
-    poll->ask = (ProposeAsk){epoch, view->disk, 0, log_last_epoch(view->log), log_last_index(view->log)};
+    poll->ask = (ProposeAsk){term, view->disk, 0, log_last_term(view->log), log_last_index(view->log)};
     poll->users = 1;
     for (int i = 0; i < SEAT_MOST; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -12,10 +12,10 @@
         .promised = view->lock.promised,
         .holder = view->lock.holder,
         .held = view_knows_holder(view),
-        .log_epoch = log_last_epoch(view->log),
+        .log_term = log_last_term(view->log),
         .log_index = log_last_index(view->log),
         .woke = view->woke,
-        .view_epoch = view->last.epoch,
+        .view_term = view->last.term,
         .view_members_count = view->last.members_count,
         .wall_ms = loop_wall_ms(view->loop),
         .sync_ms = journal_counts(view->journal)->last_sync_ms,
@@ -27,25 +27,25 @@
         memcpy(answer->view_members, view->last.members, view->last.members_count * sizeof(DiskId));
 }
 
-/* Takes a higher epoch as promised. The record must be synced before anything
+/* Takes a higher term as promised. The record must be synced before anything
  * is answered under it. */
-static Record promise_take(View *view, uint64_t epoch, uint64_t holder)
+static Record promise_take(View *view, uint64_t term, uint64_t holder)
 {
-    lock_promise(&view->lock, epoch, holder);
+    lock_promise(&view->lock, term, holder);
     view->verified_index = 0;
     if ((view->holding || view->phase != VIEW_FOLLOWING) && holder != view->disk)
         lead_down(view, 0);
-    return (Record){.kind = RECORD_PROMISE, .epoch = epoch, .index = holder, .name = ""};
+    return (Record){.kind = RECORD_PROMISE, .term = term, .index = holder, .name = ""};
 }
 
 Status seat_propose(View *view, const ProposeAsk *ask)
 {
     /* one that our list of seats does not have was given a seat later than our log
      * goes, or has lost the one it had */
-    const bool later = ask->log_epoch > log_last_epoch(view->log) ||
-                       (ask->log_epoch == log_last_epoch(view->log) && ask->log_index > log_last_index(view->log));
+    const bool later = ask->log_term > log_last_term(view->log) ||
+                       (ask->log_term == log_last_term(view->log) && ask->log_index > log_last_index(view->log));
     const bool stranger = view_seat_of(view, ask->holder) < 0 && !later;
-    if (ask->epoch == 0) /* only a look */
+    if (ask->term == 0) /* only a look */
         return stranger && view->cluster != 0 && view->list_index <= view->commit_index ? STATUS_NO_SEAT : STATUS_OK;
     /* a learner may have been made a voter by an entry that it has not been told yet: without
      * its promise, one that nobody leads to commit would stand for good */
@@ -53,32 +53,32 @@
         return STATUS_NO_SEAT;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    if (ask->epoch < members_leader_epoch(view->settings.members))
-        return STATUS_OLD_EPOCH; /* forgotten by our disk, remembered by others */
-    const Status may = lock_may_promise(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    if (ask->term < members_leader_term(view->settings.members))
+        return STATUS_OLD_TERM; /* forgotten by our disk, remembered by others */
+    const Status may = lock_may_promise(&view->lock, ask->term, ask->holder, loop_now_ms(view->loop));
     if (may != STATUS_OK)
         return may;
-    const Record record = promise_take(view, ask->epoch, ask->holder);
+    const Record record = promise_take(view, ask->term, ask->holder);
     const Status status = journal_write(view->journal, &record, 1);
     if (status != STATUS_OK)
         return status;
-    return lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    return lock_renew(&view->lock, ask->term, ask->holder, loop_now_ms(view->loop));
 }
 
-/* Epoch and holder of an append or fill; adds the promise record when it is newer. */
-static Status holder_take(View *view, uint64_t epoch, uint64_t holder, Record *records, size_t *count)
+/* Term and holder of an append or fill; adds the promise record when it is newer. */
+static Status holder_take(View *view, uint64_t term, uint64_t holder, Record *records, size_t *count)
 {
-    if (epoch < view->lock.promised)
-        return STATUS_OLD_EPOCH;
-    if (epoch == view->lock.promised && holder != view->lock.holder)
+    if (term < view->lock.promised)
+        return STATUS_OLD_TERM;
+    if (term == view->lock.promised && holder != view->lock.holder)
         return STATUS_OTHER_HOLDER;
-    if (epoch == view->lock.promised) {
+    if (term == view->lock.promised) {
         /* whoever stands meanwhile does so on a log that is changing */
         if (view->phase == VIEW_OPENING && !view->holding && holder != view->disk)
             lead_down(view, 0);
         return STATUS_OK;
     }
-    records[(*count)++] = promise_take(view, epoch, holder);
+    records[(*count)++] = promise_take(view, term, holder);
     return STATUS_OK;
 }
 
@@ -106,9 +106,9 @@
 static Status entries_take(View *view, const AppendAsk *ask, uint64_t *trimmed_to)
 {
     Log *log = view->log;
-    uint64_t epoch;
+    uint64_t term;
     /* what lies under our snapshot is committed and so the same */
-    if (ask->prev_index > log->base_index && (!log_epoch_at(log, ask->prev_index, &epoch) || epoch != ask->prev_epoch))
+    if (ask->prev_index > log->base_index && (!log_term_at(log, ask->prev_index, &term) || term != ask->prev_term))
         return STATUS_LOG_GAP;
     bool reread = false;
     Status status = STATUS_OK;
@@ -117,9 +117,9 @@
         if (entry->index != ask->prev_index + 1 + i || entry->kind != RECORD_ENTRY) {
             status = STATUS_BAD_FRAME;
         } else if (entry->index <= log->base_index) {
-            if (entry->epoch > log->base_epoch) /* our snapshot is of another history */
+            if (entry->term > log->base_term) /* our snapshot is of another history */
                 status = STATUS_LOG_GAP;
-        } else if (!log_epoch_at(log, entry->index, &epoch) || epoch != entry->epoch) {
+        } else if (!log_term_at(log, entry->index, &term) || term != entry->term) {
             if (entry->index <= view->commit_index && view->settings.disks_keep)
                 return history_refuse(view, entry->index);
             if (entry->index <= log_last_index(log)) {
@@ -146,7 +146,7 @@
         return STATUS_LOG_GAP; /* an empty disk begins with the whole */
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    Status status = holder_take(view, ask->epoch, ask->holder, first, &count);
+    Status status = holder_take(view, ask->term, ask->holder, first, &count);
     if (status != STATUS_OK)
         return status;
     uint64_t trimmed_to = UINT64_MAX;
@@ -171,8 +171,8 @@
         return written;
     if (status != STATUS_OK)
         return status;
-    if (lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
-        return STATUS_OLD_EPOCH;
+    if (lock_renew(&view->lock, ask->term, ask->holder, loop_now_ms(view->loop)) != STATUS_OK)
+        return STATUS_OLD_TERM;
     const uint64_t verified = ask->prev_index + ask->entries_count;
     if (verified > view->verified_index)
         view->verified_index = verified;
@@ -188,12 +188,12 @@
  * may have been mended since, and the question come late or once more. */
 static bool snapshot_held(const View *view, const Record *snapshot, bool over)
 {
-    uint64_t epoch;
+    uint64_t term;
     if (view->cluster == 0 || snapshot->index > log_last_index(view->log) || snapshot->index > view->queued_index)
         return false;
     if (snapshot->index < view->log->base_index)
-        return !over || snapshot->epoch <= view->log->base_epoch;
-    return (log_epoch_at(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch);
+        return !over || snapshot->term <= view->log->base_term;
+    return (log_term_at(view->log, snapshot->index, &term) && term == snapshot->term);
 }
 
 Status seat_fill(View *view, const FillAsk *ask)
@@ -204,7 +204,7 @@
         return STATUS_STRANGER;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
-    Status status = holder_take(view, ask->epoch, ask->holder, &promise, &count);
+    Status status = holder_take(view, ask->term, ask->holder, &promise, &count);
     if (status != STATUS_OK)
         return status;
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
@@ -221,15 +221,15 @@
     view->filling = NULL;
     status = seat_replace(view, &whole, NULL, 0);
     talloc_free(filling);
-    return status == STATUS_OK && ask->epoch != view->lock.promised ? STATUS_OLD_EPOCH : status;
+    return status == STATUS_OK && ask->term != view->lock.promised ? STATUS_OLD_TERM : status;
 }
 
 /* Whether the log would lose what it has synced of the same history: that must never be. */
 static bool goes_back(const View *view, const Record *snapshot, size_t entry_count)
 {
-    uint64_t epoch;
+    uint64_t term;
     return view->cluster != 0 && snapshot->index + entry_count < view->queued_index &&
-           log_epoch_at(view->log, snapshot->index, &epoch) && epoch == snapshot->epoch;
+           log_term_at(view->log, snapshot->index, &term) && term == snapshot->term;
 }
 
 Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count)
@@ -275,9 +275,9 @@
 void seat_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = view->log;
-    uint64_t epoch;
+    uint64_t term;
     uint64_t from = ask->after_index;
-    if (!log_epoch_at(log, from, &epoch) || epoch != ask->after_epoch) {
+    if (!log_term_at(log, from, &term) || term != ask->after_term) {
         answer->whole = log->snapshot.kind == RECORD_SNAPSHOT;
         if (answer->whole)
             shape_copy(&Record_shape, &log->snapshot, mem, &answer->snapshot);
@@ -313,10 +313,10 @@
     const RenewAsk *ask = question;
     if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = lock_renew(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    const Status status = lock_renew(&view->lock, ask->term, ask->holder, loop_now_ms(view->loop));
     if (status == STATUS_OK) {
         view_clock_set(view, ask->clock_ms);
-        members_set_leader(view->settings.members, ask->epoch, ask->holder_id);
+        members_set_leader(view->settings.members, ask->term, ask->holder_id);
         const uint64_t commit = ask->commit_index < view->verified_index ? ask->commit_index : view->verified_index;
         if (commit > view->commit_index)
             view->commit_index = commit;
@@ -332,8 +332,8 @@
     const RenewAsk *ask = question;
     if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    if (ask->epoch == view->lock.promised && ask->holder == view->lock.holder) {
-        lock_release(&view->lock, ask->epoch, ask->holder, loop_now_ms(view->loop));
+    if (ask->term == view->lock.promised && ask->holder == view->lock.holder) {
+        lock_release(&view->lock, ask->term, ask->holder, loop_now_ms(view->loop));
         view->named = ask->next == view->disk;
         /* the others give the one that was named a head start */
         if (ask->next != 0 && !view->named && view->rest_until_ms < loop_now_ms(view->loop) + HANDED_MS)
@@ -372,8 +372,8 @@
     const LogAsk *question = ask;
     if (!is_for(view, question->to))
         return STATUS_OTHER_DISK;
-    if (question->epoch != view->lock.promised || question->holder != view->lock.holder)
-        return STATUS_OLD_EPOCH;
+    if (question->term != view->lock.promised || question->holder != view->lock.holder)
+        return STATUS_OLD_TERM;
     seat_log(view, mem, question, answer);
     return STATUS_OK;
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -35,9 +35,9 @@
     return view->disk;
 }
 
-uint64_t view_epoch(const View *view)
+uint64_t view_term(const View *view)
 {
-    return view->epoch;
+    return view->term;
 }
 
 int64_t view_won_ms(const View *view)
@@ -197,7 +197,7 @@
         ChangeResult result = {STATUS_OK, 0, entry->index};
         if (entry->change >= VIEW_CHANGE_FIRST)
             view->settings.state.deliver(view->settings.state.arg, entry, &result);
-        else if (entry->change == VIEW_CHANGE_VIEW && entry->epoch == view->lock.promised && last_has(view, view->disk))
+        else if (entry->change == VIEW_CHANGE_VIEW && entry->term == view->lock.promised && last_has(view, view->disk))
             view->woke = false; /* a view has brought this seat up to date */
         view->delivered_index = entry->index;
         any = true;
@@ -210,7 +210,7 @@
             *at = waiter->next;
             waiter->done = true;
             /* another entry took the place: the submitted one is gone for good */
-            waiter->status = waiter->epoch == entry->epoch ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
+            waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
             waiter->result = result;
             signal_raise(view->loop, &waiter->ended);
         }
@@ -241,7 +241,7 @@
     /* a holder that starts anew holds nothing: the others need not wait it out, and it
      * is the first that they may promise anything to */
     if (view->lock.promised != 0 && view->lock.holder == view->disk && view_seated(view)) {
-        view->epoch = view->lock.promised;
+        view->term = view->lock.promised;
         view->named = view->lock.sure;
         lead_release(view, view->lock.sure ? view->disk : 0);
     }
@@ -282,7 +282,7 @@
 static Record order_add(View *view, uint64_t change, Bytes payload)
 {
     const Record entry = {.kind = RECORD_ENTRY,
-                          .epoch = view->epoch,
+                          .term = view->term,
                           .index = log_last_index(view->log) + 1,
                           .at_ms = view_clock_ms(view),
                           .change = change,
@@ -321,7 +321,7 @@
         return status;
     const Record entry = order_add(view, change, payload);
     Waiter *waiter = talloc_zero(view, Waiter);
-    waiter->epoch = entry.epoch;
+    waiter->term = entry.term;
     waiter->index = entry.index;
     waiter->next = view->waiters;
     view->waiters = waiter;
@@ -351,9 +351,9 @@
     return view_submit(view, VIEW_CHANGE_REPAIRED, (Bytes){0}, &result);
 }
 
-void view_place(const View *view, uint64_t *epoch, uint64_t *commit_index)
+void view_place(const View *view, uint64_t *term, uint64_t *commit_index)
 {
-    *epoch = view->phase == VIEW_FOLLOWING ? view->lock.promised : view->epoch;
+    *term = view->phase == VIEW_FOLLOWING ? view->lock.promised : view->term;
     *commit_index = view->commit_index;
 }
 
@@ -363,7 +363,7 @@
     const int64_t until_ms = lock_lease_until(&view->lease);
     memset(sight, 0, sizeof(*sight));
     sight->phase = view->phase;
-    view_place(view, &sight->epoch, &sight->commit_index);
+    view_place(view, &sight->term, &sight->commit_index);
     sight->holder = view->lock.holder;
     sight->woke = view->woke;
     sight->last_index = log_last_index(view->log);
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -38,9 +38,9 @@
            !seat_dead(view, view->seats[place], false);
 }
 
-/* Changes the view under the same epoch: takes in who is up to date, lets go who
+/* Changes the view under the same term: takes in who is up to date, lets go who
  * keeps the others waiting, as long as a majority stays. True when a promise given
- * to another asks for a new epoch; skip is filled in then. */
+ * to another asks for a new term; skip is filled in then. */
 static bool view_tend(View *view, bool skip[SEAT_MOST])
 {
     const int64_t now_ms = loop_now_ms(view->loop);
@@ -65,7 +65,7 @@
         /* a seat that has promised more takes nothing of ours, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
         skip[i] = silent || seat_dead(view, view->seats[i], false);
-        anew |= !skip[i] && peer->promised > view->epoch && now_ms - view->changed_ms > LOCK_RENEW_MS;
+        anew |= !skip[i] && peer->promised > view->term && now_ms - view->changed_ms > LOCK_RENEW_MS;
         if (!in_view[i])
             continue;
         const char *why = view->in_view[i] ? leaves(view, i, count > view_majority(view), now_ms) : NULL;
--- a/packages/view/src/window.c
+++ b/packages/view/src/window.c
@@ -10,7 +10,7 @@
     *window = (ViewWindow){
         .phase = view->phase,
         .holding = view->holding,
-        .epoch = view->epoch,
+        .term = view->term,
         .promised = view->lock.promised,
         .commit_index = view->commit_index,
         .delivered_index = view->delivered_index,
--- a/packages/wire/include/wire/kinds.h
+++ b/packages/wire/include/wire/kinds.h
@@ -9,7 +9,7 @@
     X(HELLO, 1, "hello", true)         /* member: exchange the table */                        \
     X(FOUND, 2, "found", true)         /* core: offer of a new cluster */                      \
     X(KNOW, 3, "know", false)          /* lock: do you know a holder? (rule 2) */              \
-    X(PROPOSE, 4, "propose", false)    /* lock: promise me this epoch */                       \
+    X(PROPOSE, 4, "propose", false)    /* lock: promise me this term */                        \
     X(RENEW, 5, "renew", false)        /* lock: let my hold go on */                           \
     X(RELEASE, 6, "release", false)    /* lock: I give it up */                                \
     X(APPEND, 7, "append", false)      /* view: entries of the log */                          \
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -21,23 +21,23 @@
     Core *core;
     Gate *gate;
     Agent *agent;
-    FILE *record; /* for proof: who plans under which epoch */
+    FILE *record; /* for proof: who plans under which term */
     int64_t recorded_ms;
-    uint64_t recorded_epoch;
+    uint64_t recorded_term;
     int code;
 } Daemon;
 
-#define RECORD_GAP_MS 20 /* ms; planning under one epoch is recorded this often */
+#define RECORD_GAP_MS 20 /* ms; planning under one term is recorded this often */
 
-static void on_plans(void *arg, const char *name, uint64_t epoch)
+static void on_plans(void *arg, const char *name, uint64_t term)
 {
     Daemon *daemon = arg;
     const int64_t now_ms = loop_now_ms(daemon->loop);
-    if (epoch == daemon->recorded_epoch && now_ms - daemon->recorded_ms < RECORD_GAP_MS)
+    if (term == daemon->recorded_term && now_ms - daemon->recorded_ms < RECORD_GAP_MS)
         return;
     daemon->recorded_ms = now_ms;
-    daemon->recorded_epoch = epoch;
-    fprintf(daemon->record, "%" PRId64 " plans %s - 0 0 %" PRIu64 "\n", now_ms, name, epoch);
+    daemon->recorded_term = term;
+    fprintf(daemon->record, "%" PRId64 " plans %s - 0 0 %" PRIu64 "\n", now_ms, name, term);
     fflush(daemon->record);
 }
 
