--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -1,9 +1,9 @@
 /* The paper's second survival rule: nobody holds the lock, and all members see
- * each other. The agent asks every member, all seats included, whether it
+ * each other. The agent asks every member, all voters included, whether it
  * knows a holder. When all have said no, its lease runs on from the sending of the
  * oldest of those questions.
  *
- * Why that is safe: a lock is won with the grants of a majority of the seats. Each seat had granted
+ * Why that is safe: a lock is won with the grants of a majority of the voters. Each voter had granted
  * nothing when it answered, so any lock is won later than the oldest question,
  * and its winner treats nobody as lost for a whole lease after that. */
 #include <string.h>
@@ -16,11 +16,11 @@
     Agent *agent;
     size_t users, pending;
     Signal ended;
-    bool all;                         /* everyone asked so far has answered no */
-    uint64_t answered[SEAT_MOST * 4]; /* disks of cores that did */
+    bool all;                          /* everyone asked so far has answered no */
+    uint64_t answered[VOTER_MOST * 4]; /* disks of cores that did */
     size_t answered_count;
-    uint64_t seats[SEAT_MOST]; /* as a core told them */
-    size_t seat_count;         /* 0: none has told them */
+    uint64_t voters[VOTER_MOST]; /* as a core told them */
+    size_t voter_count;          /* 0: none has told them */
 } Asking;
 
 typedef struct AskPart {
@@ -50,16 +50,16 @@
     } else if (part->disk != 0) {
         if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
             asking->answered[asking->answered_count++] = part->disk;
-        if (answer.seats_count > 0 && answer.seats_count <= SEAT_MOST) {
-            /* cores that know other seats than each other do not all see the same */
-            const bool told = asking->seat_count > 0;
-            if (told && asking->seat_count != answer.seats_count)
+        if (answer.voters_count > 0 && answer.voters_count <= VOTER_MOST) {
+            /* cores that know other voters than each other do not all see the same */
+            const bool told = asking->voter_count > 0;
+            if (told && asking->voter_count != answer.voters_count)
                 asking->all = false;
-            asking->seat_count = answer.seats_count;
-            for (size_t i = 0; i < answer.seats_count; i++) {
-                if (told && asking->seats[i] != answer.seats[i].disk)
+            asking->voter_count = answer.voters_count;
+            for (size_t i = 0; i < answer.voters_count; i++) {
+                if (told && asking->voters[i] != answer.voters[i].disk)
                     asking->all = false;
-                asking->seats[i] = answer.seats[i].disk;
+                asking->voters[i] = answer.voters[i].disk;
             }
         }
     }
@@ -69,16 +69,16 @@
     talloc_free(part);
 }
 
-static bool seats_answered(const Asking *asking)
+static bool voters_answered(const Asking *asking)
 {
-    for (size_t s = 0; s < asking->seat_count; s++) {
+    for (size_t s = 0; s < asking->voter_count; s++) {
         bool found = false;
         for (size_t i = 0; i < asking->answered_count && !found; i++)
-            found = asking->answered[i] == asking->seats[s];
+            found = asking->answered[i] == asking->voters[s];
         if (!found)
             return false;
     }
-    return asking->seat_count > 0;
+    return asking->voter_count > 0;
 }
 
 static void ask_those(Asking *asking, bool cores)
@@ -114,11 +114,11 @@
     /* the cores first: a holder that is gone leaves one that does not answer, and
      * then nobody else need be asked by every agent of the fleet */
     ask_those(asking, true);
-    if (asking->all && seats_answered(asking))
+    if (asking->all && voters_answered(asking))
         ask_those(asking, false);
     const int64_t lease_ms = agent->settings->bounds.lease_ms;
     /* a lease that has lapsed meanwhile is not brought back: its rounds are stopping */
-    if (asking->all && seats_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
+    if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
                            "no lock holder, and every member knows none: goes on while all see each other");
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -8,16 +8,16 @@
  * LOCK_HOLD + one proposal + one view change + AGENT_HOLD < 12 s ----------- */
 #define HEARTBEAT_MS 500    /* ms; six heartbeats fit in an agent's lease, so five may be lost */
 #define AGENT_LEASE_MS 3000 /* ms; a lost worker's claim lapses after this: "a few seconds at most" */
-#define LOCK_GRANT_MS 1500  /* ms; a seat grants the lock for so long */
-#define LOCK_LEASE_MS                                                                                                 \
-    1440 /* ms; the holder counts on so much of it: its clock may be 2% slow and a seat's 2% quick; four renewals fit \
+#define LOCK_GRANT_MS 1500  /* ms; a voter grants the lock for so long */
+#define LOCK_LEASE_MS                                                                                                  \
+    1440 /* ms; the holder counts on so much of it: its clock may be 2% slow and a voter's 2% quick; four renewals fit \
           */
-#define LOCK_RENEW_MS 350   /* ms; a seat that takes appends renews with them */
+#define LOCK_RENEW_MS 350   /* ms; a voter that takes appends renews with them */
 #define LOCK_TELL_MS 1000   /* ms; a renewal also tells what appends do not: clock and holder's name */
 #define PROPOSE_AGAIN_MS 60 /* ms; a core that did not win the lock stands again after this, then twice that ... */
 #define PROPOSE_MS 500      /* ms; ... up to this, and a draw as long */
 #define PROPOSE_TURN_MS \
-    120 /* ms; each seat stands so much later than the one before it: a question and its answer take less */
+    120 /* ms; each voter stands so much later than the one before it: a question and its answer take less */
 #define HANDED_MS 600          /* ms; one that the last holder named is left alone for so long */
 #define ORDER_LIFETIME_MS 2000 /* ms; an order older than this is refused by the agent */
 #define ORDER_GONE_MS                                                                                   \
@@ -44,16 +44,16 @@
 
 /* --- asking ------------------------------------------------------------- */
 #define ASK_TIMEOUT_MS 800     /* ms; a plain question between processes; shorter than a lock lease */
-#define APPEND_TIMEOUT_MS 1500 /* ms; a seat that does not sync in this time leaves the view */
-#define WATCH_MS 100           /* ms; the holder looks at its seats, and a seat for a holder, this often */
-#define SEAT_LATE_MS                                                                                                \
-    400 /* ms; a seat that has not synced by then leaves the view, when that can spare it: it costs nothing, and it \
+#define APPEND_TIMEOUT_MS 1500 /* ms; a voter that does not sync in this time leaves the view */
+#define WATCH_MS 100           /* ms; the holder looks at its voters, and a voter for a holder, this often */
+#define VOTER_LATE_MS                                                                                                \
+    400 /* ms; a voter that has not synced by then leaves the view, when that can spare it: it costs nothing, and it \
            comes back as soon as it is quick */
-#define DISK_MEND_MS 300  /* ms; a disk that refused a write is tried again this often */
-#define SEAT_SLOW_MS 500  /* ms; a seat that takes longer to sync keeps every caller waiting ... */
-#define SEAT_SLOW_TIMES 3 /* count; ... and leaves a view of three when it does so this often in a row */
-#define POLL_GRACE_MS                                                                                              \
-    60 /* ms; once a majority of seats has answered, the last ones have this long: who is late comes into the view \
+#define DISK_MEND_MS 300   /* ms; a disk that refused a write is tried again this often */
+#define VOTER_SLOW_MS 500  /* ms; a voter that takes longer to sync keeps every caller waiting ... */
+#define VOTER_SLOW_TIMES 3 /* count; ... and leaves a view of three when it does so this often in a row */
+#define POLL_GRACE_MS                                                                                               \
+    60 /* ms; once a majority of voters has answered, the last ones have this long: who is late comes into the view \
           later */
 #define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; one step of a view change */
 #define FETCH_WAIT_MS 900             /* ms; orders asked for without a heartbeat; less than half ORDER_LIFETIME_MS */
@@ -80,7 +80,7 @@
 #define MEMBER_QUIET_MS 4000    /* ms; a member not heard of for this long counts as quiet */
 #define MEMBER_FORGET_MS 600000 /* ms; a quiet member is dropped from the table: ten minutes of absence */
 #define SIGHT_MS 2000           /* ms; a core asks every member once in this; what answers it is its sight */
-#define SIGHT_MARGIN 3          /* count; a seat that sees so many more than the leader is the better one ... */
+#define SIGHT_MARGIN 3          /* count; a voter that sees so many more than the leader is the better one ... */
 #define SIGHT_HAND_MS 2000      /* ms; ... when it has been so for this long */
 #define MEMBERS_MAX 512         /* count; bound on a table told by a peer: ten times today's sizes */
 #define FOUND_WAIT_MS 1500      /* ms; three empty disks must see each other for this long before founding */
@@ -95,10 +95,10 @@
 #define VOTE_LEAVE_PART \
     2 /* count; a voter that is told to end waits for this part of its grace span that its vote is another's */
 #define LEARNER_LATE_MS \
-    2500                  /* ms; a learner that is not ready by then makes way for another: megabytes take a second */
-#define SEAT_REST_MS 1000 /* ms; a seat that left the view for being late is out for so long at least */
-#define SEAT_LOST_REST_MS 5000 /* ms; a core that was told that its seat is another's does not stand for so long */
-#define SEAT_GONE_MS 15000     /* ms; where the settings do not say how soon a loss is made good */
+    2500                   /* ms; a learner that is not ready by then makes way for another: megabytes take a second */
+#define VOTER_REST_MS 1000 /* ms; a voter that left the view for being late is out for so long at least */
+#define VOTER_LOST_REST_MS 5000 /* ms; a core that was told that its voter is another's does not stand for so long */
+#define VOTER_GONE_MS 15000     /* ms; where the settings do not say how soon a loss is made good */
 #define VOTER_SILENT_PART \
     2 /* count; a voter silent for this part of that span is replaced: the other part is for the change itself */
 
@@ -113,14 +113,14 @@
 #define LOG_BATCH_BYTES (512 * 1024)       /* bytes; one append carries at most this much */
 #define LOG_BATCH_ENTRIES 256              /* count; likewise */
 #define LOG_WRITE_BYTES (16 * 1024 * 1024) /* bytes; one write of the holder to its own journal */
-#define LOG_BACK_STEP 64 /* count; a seat whose log differs is asked again from so many entries earlier */
+#define LOG_BACK_STEP 64 /* count; a voter whose log differs is asked again from so many entries earlier */
 #define RECORD_MAX_BYTES (64 * 1024 * 1024) /* bytes; a journal record larger than this is corruption */
 #define JOURNAL_OPEN_MS 3000                /* ms; a disk that refuses writes at the start is tried again for so long */
 #define JOURNAL_BAD_BYTES \
     (16 * 1024 * 1024)       /* bytes; a journal that is not whole is kept beside the new one when it is smaller */
 #define HISTORY_TOLD_MS 1000 /* ms; orders to drop what is committed are told in the log at most so often */
-#define WOKEN_WAIT_MS                                                                                                \
-    3000 /* ms; a view resting on woken seats waits this long for the last view's members: a process starts in less, \
+#define WOKEN_WAIT_MS                                                                                                 \
+    3000 /* ms; a view resting on woken voters waits this long for the last view's members: a process starts in less, \
             and the steps after it must end within 12 s */
 #define REPAIR_MS 1500 /* ms; those who were told first have this long to tell again */
 #define REPAIR_HEAR_MS                                                                                                 \
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -39,7 +39,7 @@
     X(OTHER_HOLDER, "other-holder", 409)         \
     X(LOG_GAP, "log-gap", 409)                   \
     X(WOKEN, "woken", 409)                       \
-    X(NO_SEAT, "no-seat", 409)                   \
+    X(NO_VOTER, "no-seat", 409)                  \
     X(DUPLICATE_WORKER, "duplicate-worker", 409) \
     X(EXPIRED, "expired", 504)                   \
     X(CLOSED, "closed", 503)                     \
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -60,14 +60,14 @@
     X(LST, wanted, RoundId)
 SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
-/* Rule 2's question: do you know a lock holder? Cores tell the seats too. */
+/* Rule 2's question: do you know a lock holder? Cores tell the voters too. */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
 SHAPE(KnowAsk, KNOW_ASK_FIELDS)
 
 #define KNOW_ANSWER_FIELDS(X) \
     X(FLAG, knows, 0)         \
     X(U64, term, 0)           \
-    X(LST, seats, DiskId)
+    X(LST, voters, DiskId)
 SHAPE(KnowAnswer, KNOW_ANSWER_FIELDS)
 
 #define TELL_ASK_FIELDS(X) \
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -65,7 +65,7 @@
     printf("%d queues, %zu bytes, %d changes of one queue each\n", queues, strlen(text), changes);
 
     /* as it was: whole texts all the way */
-    double check_us = 0, seat_us = 0, read_us = 0;
+    double check_us = 0, voter_us = 0, read_us = 0;
     size_t bytes = 0;
     const char *now = text;
     Versions *versions = versions_new(all, CONFIG_HISTORY, CONFIG_KNOWN);
@@ -83,7 +83,7 @@
         const ConfigSet set = {.base = (uint64_t)i - 1, .version = (uint64_t)i, .text = next, .digest = ""};
         from_us = now_us();
         deliver(versions, &set, mem, &bytes);
-        seat_us += now_us() - from_us;
+        voter_us += now_us() - from_us;
         from_us = now_us();
         if (config_read(mem, next, strlen(next), (uint64_t)i, faults) == NULL)
             fail(faults);
@@ -92,7 +92,7 @@
         talloc_free(mem);
     }
     printf("whole:      check %.0f us, each seat %.0f us, read again %.0f us, %zu bytes logged\n", check_us / changes,
-           seat_us / changes, read_us / changes, bytes / (size_t)changes);
+           voter_us / changes, read_us / changes, bytes / (size_t)changes);
 
     /* as it is */
     for (int put = 0; put < 2; put++) {
@@ -105,7 +105,7 @@
         bytes = 0;
         deliver(versions, &first, all, &bytes);
         bytes = 0;
-        check_us = seat_us = 0;
+        check_us = voter_us = 0;
         for (int i = 1; i <= changes; i++) {
             void *mem = talloc_new(all);
             json_object *change = document_parse(
@@ -134,11 +134,11 @@
             check_us += now_us() - from_us;
             from_us = now_us();
             deliver(versions, &set, mem, &bytes);
-            seat_us += now_us() - from_us;
+            voter_us += now_us() - from_us;
             talloc_free(mem);
         }
         printf("%s check %.0f us, each seat %.1f us, read again 0 us, %zu bytes logged\n",
-               put ? "PUT:       " : "PATCH:     ", check_us / changes, seat_us / changes, bytes / (size_t)changes);
+               put ? "PUT:       " : "PATCH:     ", check_us / changes, voter_us / changes, bytes / (size_t)changes);
         /* a look-up, and what a leader that is new pays once */
         double from_us = now_us();
         for (int i = 0; i < 100000; i++) {
--- a/packages/core/include/core/core.h
+++ b/packages/core/include/core/core.h
@@ -4,7 +4,7 @@
 #include "props/props.h"
 #include "table/table.h"
 
-/* A core: a disk, perhaps a seat, perhaps the lead. */
+/* A core: a disk, perhaps a voter, perhaps the lead. */
 typedef struct Core Core;
 
 /* What a watcher of proofs is told; null in production. */
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -258,13 +258,13 @@
     Core *core = arg;
     KnowAnswer *out = answer;
     (void)question;
-    uint64_t seats[SEAT_MOST];
+    uint64_t voters[VOTER_MOST];
     out->knows = view_knows_holder(core->view);
     out->term = members_leader_term(core->members);
-    out->seats_count = view_seats(core->view, seats);
-    out->seats = talloc_array(mem, DiskId, SEAT_MOST);
-    for (size_t i = 0; i < out->seats_count; i++)
-        out->seats[i].disk = seats[i];
+    out->voters_count = view_voters(core->view, voters);
+    out->voters = talloc_array(mem, DiskId, VOTER_MOST);
+    for (size_t i = 0; i < out->voters_count; i++)
+        out->voters[i].disk = voters[i];
     return STATUS_OK;
 }
 
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -54,19 +54,19 @@
     standing->look = core->alert_looks;
 }
 
-static void seats_look(Core *core)
+static void voters_look(Core *core)
 {
     ViewSight sight;
     view_sight(core->view, &sight);
-    for (size_t i = 0; i < sight.seat_count; i++) {
-        const Member *member = members_find_disk(core->members, sight.seats[i].disk);
+    for (size_t i = 0; i < sight.voter_count; i++) {
+        const Member *member = members_find_disk(core->members, sight.voters[i].disk);
         char disk[20];
-        snprintf(disk, sizeof(disk), "%016" PRIx64, sight.seats[i].disk);
+        snprintf(disk, sizeof(disk), "%016" PRIx64, sight.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
-        if (!sight.seats[i].in_view)
-            see(core, ALERT_SEAT_OUT, name);
-        if (sight.seats[i].sync_ms > SEAT_SLOW_MS)
-            see(core, ALERT_SEAT_SLOW, name);
+        if (!sight.voters[i].in_view)
+            see(core, ALERT_VOTER_OUT, name);
+        if (sight.voters[i].sync_ms > VOTER_SLOW_MS)
+            see(core, ALERT_VOTER_SLOW, name);
     }
     char borne[LOSSES_TEXT];
     snprintf(borne, sizeof(borne), "%d of %d", sight.losses_borne, sight.losses_asked);
@@ -122,7 +122,7 @@
     if (leads && core->repairing)
         see(core, ALERT_REPAIRING, "cluster");
     if (leads && !core->repairing) {
-        seats_look(core);
+        voters_look(core);
         workers_look(core, mem);
         work_look(core);
         if (core_policy_failures(core, &words) > 0)
--- a/packages/core/src/alerts.h
+++ b/packages/core/src/alerts.h
@@ -6,11 +6,11 @@
 /* What an operator should look at, and what to do. A word never changes its
  * meaning; the page of alerts in docs/operating.md tells the same. */
 #define ALERT_LIST(X)                                                                                           \
-    X(SEAT_OUT, "seat-out",                                                                                     \
+    X(VOTER_OUT, "seat-out",                                                                                    \
       "no further loss of a core is survived: look at its machine, disk and network, or start an empty core")   \
     X(LOSSES_FEW, "losses-few",                                                                                 \
       "fewer losses of a core are borne than the settings ask: start a core with an empty disk")                \
-    X(SEAT_SLOW, "seat-slow", "its disk takes long to sync: look at the disk")                                  \
+    X(VOTER_SLOW, "seat-slow", "its disk takes long to sync: look at the disk")                                 \
     X(PLAN_BROKEN, "plan-broken",                                                                               \
       "after this loss some protected work would wait for room: add room, or ask for less")                     \
     X(UNASSURED, "unassured", "protected work runs that no plan covers: add room, or let it push work aside")   \
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -192,7 +192,7 @@
                                         .losses = (int)settings->bounds.losses,
                                         .founds = (ViewFounds)settings->bounds.founds,
                                         .disks_keep = settings->bounds.disks_keep != 0,
-                                        .seat_back_ms = settings->bounds.seat_back_ms};
+                                        .voter_back_ms = settings->bounds.voter_back_ms};
     core->view = view_new(core, &view_settings);
     /* the disk first: its id is part of our name */
     Status status =
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -68,7 +68,7 @@
     RepairBuffer *repair_buffer;
     char kept_at[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
     Forwarder *forwarder;
-    ConfigWatch *config_watch; /* asks for the document while this core has no seat */
+    ConfigWatch *config_watch; /* asks for the document while this core has no voter */
     Trace *trace;
     Liveset *liveset;
     Map *lines;        /* worker names to AgentLine */
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -1,4 +1,4 @@
-/* Repair: a view that rests on woken seats may have lost what was acknowledged.
+/* Repair: a view that rests on woken voters may have lost what was acknowledged.
  * Those who were told first tell it again, each change with its identity. */
 #include <inttypes.h>
 #include <stdlib.h>
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -61,20 +61,20 @@
     return losses;
 }
 
-static json_object *show_seats(const Core *core, const ViewSight *sight)
+static json_object *show_voters(const Core *core, const ViewSight *sight)
 {
     json_object *list = json_object_new_array();
-    for (size_t i = 0; i < sight->seat_count; i++) {
+    for (size_t i = 0; i < sight->voter_count; i++) {
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "disk", disk_of(sight->seats[i].disk));
-        json_object_object_add(one, "core", core_of(core, sight->seats[i].disk));
-        json_object_object_add(one, "inView", json_object_new_boolean(sight->seats[i].in_view));
-        json_object_object_add(one, "answers", json_object_new_boolean(sight->seats[i].answers));
-        json_object_object_add(one, "woke", json_object_new_boolean(sight->seats[i].woke));
-        json_object_object_add(one, "syncMs", number_of(sight->seats[i].sync_ms));
-        json_object_object_add(one, "index", number_of((int64_t)sight->seats[i].match_index));
-        json_object_object_add(one, "sight", number_of((int64_t)sight->seats[i].sight));
-        json_object_object_add(one, "behind", behind_of(sight, sight->seats[i].match_index));
+        json_object_object_add(one, "disk", disk_of(sight->voters[i].disk));
+        json_object_object_add(one, "core", core_of(core, sight->voters[i].disk));
+        json_object_object_add(one, "inView", json_object_new_boolean(sight->voters[i].in_view));
+        json_object_object_add(one, "answers", json_object_new_boolean(sight->voters[i].answers));
+        json_object_object_add(one, "woke", json_object_new_boolean(sight->voters[i].woke));
+        json_object_object_add(one, "syncMs", number_of(sight->voters[i].sync_ms));
+        json_object_object_add(one, "index", number_of((int64_t)sight->voters[i].match_index));
+        json_object_object_add(one, "sight", number_of((int64_t)sight->voters[i].sight));
+        json_object_object_add(one, "behind", behind_of(sight, sight->voters[i].match_index));
         json_object_array_add(list, one);
     }
     return list;
@@ -199,7 +199,7 @@
     json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
     json_object_object_add(log, "worstSyncMs", number_of(sight.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
-    json_object_object_add(body, "seats", show_seats(core, &sight));
+    json_object_object_add(body, "seats", show_voters(core, &sight));
     json_object_object_add(body, "learners", show_learners(core, &sight));
     json_object_object_add(body, "losses", show_losses(&sight));
     json_object_object_add(body, "plan", show_plan(core));
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -80,7 +80,7 @@
                               .losses = explore->plan->losses,
                               .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
                               .disks_keep = true,
-                              .seat_back_ms = explore->plan->voter_back_ms,
+                              .voter_back_ms = explore->plan->voter_back_ms,
                               .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
     node->view = view_new(loop, &how);
--- a/packages/feed/include/feed/feed.h
+++ b/packages/feed/include/feed/feed.h
@@ -7,7 +7,7 @@
 #include "table/revisions.h"
 #include "trace/trace.h"
 
-/* What a process without a seat knows of the configuration, told by the leader
+/* What a process without a voter knows of the configuration, told by the leader
  * within a moment: which version is in force and its limits. They are put in
  * force here.
  *
--- a/packages/journal/include/journal/record.h
+++ b/packages/journal/include/journal/record.h
@@ -6,7 +6,7 @@
 /* What a journal holds. Numbers are part of the format. */
 #define RECORD_LIST(X)                                                                                 \
     X(IDENTITY, 1, "identity") /* first record: format version, the disk's id; change 1: begun anew */ \
-    X(CLUSTER, 2, "cluster")   /* term: cluster id; payload: packed SeatList */                        \
+    X(CLUSTER, 2, "cluster")   /* term: cluster id; payload: packed VoterList */                       \
     X(PROMISE, 3, "promise")   /* term and holder promised */                                          \
     X(ENTRY, 4, "entry")       /* an entry of the ordered log */                                       \
     X(TRIM, 5, "trim")         /* all entries after index are gone */                                  \
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -24,8 +24,8 @@
 static void lease_ends_first(int64_t holder_percent, int64_t voter_percent)
 {
     for (int64_t sent_ms = 100; sent_ms < 200; sent_ms++) {
-        LockLease lease = {.seats = VOTERS};
-        LockSeat voters[VOTERS] = {{0}};
+        LockLease lease = {.voters = VOTERS};
+        LockVoter voters[VOTERS] = {{0}};
         lock_lease_clear(&lease);
         for (int i = 0; i < VOTERS - 1; i++) { /* answered at once, which is the worst */
             lock_promise(&voters[i], TERM, HOLDER);
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -124,7 +124,7 @@
     }
     if (!found && members->table->count >= MEMBERS_MAX)
         return;
-    /* cores find each other at once: a seat may be waiting for this one */
+    /* cores find each other at once: a voter may be waiting for this one */
     if (!found && !direct && record->role == ROLE_CORE && members->self.role == ROLE_CORE)
         greet(members, record->address);
     Member *row = found ? &rows_of(members)[at] : row_add(members, at, record);
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -22,7 +22,7 @@
 
 typedef struct QueueClock {
     int64_t log_ms;  /* the log's time */
-    int64_t wall_ms; /* the median of the seats' wall clocks */
+    int64_t wall_ms; /* the median of the voters' wall clocks */
 } QueueClock;
 
 /* Why a waiting task does not start now. */
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -25,7 +25,7 @@
     int gate_seeds; /* so many of the three seeds are gates, the others cores */
     bool votes;     /* founded by the seeds' votes; a process started again founds nothing */
     bool disks_keep;
-    int64_t seat_back_ms;
+    int64_t voter_back_ms;
     int64_t stagger_ms; /* processes start at moments drawn from so long a span */
 } FleetSite;
 
@@ -85,10 +85,10 @@
 /* Runs until a core leads and all workers are ready, at most so long. */
 bool fleet_settle(Fleet *fleet, int64_t most_ms);
 /* Whether callers of the gate can be served now: it is up, and two cores with a
- * seat are, with working disks, each reaching the other and the gate. */
+ * voter are, with working disks, each reaching the other and the gate. */
 bool fleet_servable(const Fleet *fleet, int gate);
-/* Cores that run, hold a seat and have a working disk. */
-int fleet_seats(const Fleet *fleet);
+/* Cores that run, hold a voter and have a working disk. */
+int fleet_voters(const Fleet *fleet);
 /* Workers that could take work: up with their agents, and those reach such cores. */
 int fleet_workable(const Fleet *fleet);
 /* Sets the mix's configuration; runs until it is told. */
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -43,7 +43,7 @@
 /* One run of failures drawn from the seed, of all the kinds that the brief names
  * (SWEEP_ACT_LIST in sweepact.h), several at a time. Odd seeds: one after another
  * for some 40 virtual seconds. Even ones: six bursts, each left alone for 13 s,
- * after which every entry point that is up and reaches a seat majority must have
+ * after which every entry point that is up and reaches a voter majority must have
  * served within 12 s, and the fleet must have started work. Then all is healed;
  * every entry must serve within 12 s and every accepted job must end.
  *
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -18,7 +18,7 @@
 #define GANG_LATE_MS                                                                                                   \
     6000                  /* ms; a member's order expires (2 s) or its lease lapses (3 s); then the others are stopped \
                            */
-#define WALL_SLACK_MS 250 /* ms; seats' honest clocks differ by up to 100 ms each way */
+#define WALL_SLACK_MS 250 /* ms; voters' honest clocks differ by up to 100 ms each way */
 
 /* Invariant: a run is in the list from its start until its end, its worker's
  * stop, or the end of its worker's process. */
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -69,8 +69,8 @@
     node->settings.name = talloc_asprintf(fleet, "%s%d", ROLE_NAMES[role], number + 1);
     node->settings.zone = ZONES[number % fleet->site.zones];
     node->settings.bounds.losses = fleet->site.losses;
-    if (fleet->site.seat_back_ms > 0)
-        node->settings.bounds.seat_back_ms = fleet->site.seat_back_ms;
+    if (fleet->site.voter_back_ms > 0)
+        node->settings.bounds.voter_back_ms = fleet->site.voter_back_ms;
     node->settings.bounds.disks_keep = fleet->site.disks_keep;
     if (fleet->site.votes)
         node->settings.bounds.founds = 1;
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -13,8 +13,8 @@
     return sim_alive(fleet->world, node->machine) && !sim_frozen(fleet->world, node->machine) && node->up;
 }
 
-/* The list of seats as the running core that is furthest has it. */
-static size_t voters_now(const Fleet *fleet, uint64_t seats[SEAT_MOST])
+/* The list of voters as the running core that is furthest has it. */
+static size_t voters_now(const Fleet *fleet, uint64_t voters[VOTER_MOST])
 {
     uint64_t furthest = 0;
     size_t count = 0;
@@ -27,39 +27,39 @@
         if (count > 0 && sight.commit_index <= furthest)
             continue;
         furthest = sight.commit_index;
-        count = view_seats(core_view(node->core), seats);
+        count = view_voters(core_view(node->core), voters);
     }
     return count;
 }
 
-/* Cores that run, hold a seat, and have a working disk; needed: so many decide. */
+/* Cores that run, hold a voter, and have a working disk; needed: so many decide. */
 static int voters_good(const Fleet *fleet, const FleetNode **good, int *needed)
 {
-    uint64_t seats[SEAT_MOST] = {0};
-    const size_t seat_count = voters_now(fleet, seats);
+    uint64_t voters[VOTER_MOST] = {0};
+    const size_t voter_count = voters_now(fleet, voters);
     int count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!runs(fleet, node) || node->core == NULL || !sim_disk_good(fleet->world, node->machine, DISK_GOOD_MS))
             continue;
         bool seated = false;
-        for (size_t s = 0; s < seat_count; s++)
-            seated |= seats[s] == view_disk(core_view(node->core));
+        for (size_t s = 0; s < voter_count; s++)
+            seated |= voters[s] == view_disk(core_view(node->core));
         if (seated)
             good[count++] = node;
     }
-    *needed = (int)lock_majority(seat_count > SEAT_FIRST ? seat_count : SEAT_FIRST);
+    *needed = (int)lock_majority(voter_count > VOTER_FIRST ? voter_count : VOTER_FIRST);
     return count;
 }
 
-int fleet_seats(const Fleet *fleet)
+int fleet_voters(const Fleet *fleet)
 {
     const FleetNode *good[FLEET_EACH_MAX];
     int needed;
     return voters_good(fleet, good, &needed);
 }
 
-/* Whether the machine reaches a majority of good seats that one of them reaches. */
+/* Whether the machine reaches a majority of good voters that one of them reaches. */
 static bool reaches_voters(const Fleet *fleet, int machine)
 {
     const FleetNode *good[FLEET_EACH_MAX];
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -239,15 +239,15 @@
     static const int CORES[] = {3, 3, 6, 8};
     static const FleetSite SITES[] = {
         {.zones = 3, .losses = 1},
-        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000, .stagger_ms = 500},
+        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000, .stagger_ms = 500},
         {.zones = 3,
          .losses = 2,
          .votes = true,
          .disks_keep = true,
-         .seat_back_ms = 6000,
+         .voter_back_ms = 6000,
          .stagger_ms = 500,
          .gate_seeds = 1},
-        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .stagger_ms = 500},
+        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
     };
     const FleetSite *site = &SITES[settings->site];
     Fleet *fleet = fleet_new_at(
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -16,10 +16,10 @@
     return count;
 }
 
-/* Seats that the site wants and no running core with a good disk has. */
+/* Voters that the site wants and no running core with a good disk has. */
 static int voters_missing(Sweep *sweep)
 {
-    return 2 * sweep->fleet->site.losses + 1 - fleet_seats(sweep->fleet);
+    return 2 * sweep->fleet->site.losses + 1 - fleet_voters(sweep->fleet);
 }
 
 void act_kill(Sweep *sweep)
@@ -175,7 +175,7 @@
     fleet_zone_cut(sweep->fleet, zone, true);
 }
 
-/* No seat for anybody, for a while: the paper's second rule, and its end. */
+/* No voter for anybody, for a while: the paper's second rule, and its end. */
 void act_store_gone(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -262,8 +262,8 @@
            "running twice");
 }
 
-/* Seats whose clocks run ten times too fast let a lease lapse that still runs. */
-static void fast_seats_make_two_leaders(void **state)
+/* Voters whose clocks run ten times too fast let a lease lapse that still runs. */
+static void fast_voters_make_two_leaders(void **state)
 {
     (void)state;
     caught("ms     leader  second     third      callers\n"
@@ -279,7 +279,7 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(by_hand),
         cmocka_unit_test(slow_clock_runs_twice),
-        cmocka_unit_test(fast_seats_make_two_leaders),
+        cmocka_unit_test(fast_voters_make_two_leaders),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -396,7 +396,7 @@
     talloc_free(fleet);
 }
 
-/* A document of 900 KB and a change of it: taken, on all seats, through the death of
+/* A document of 900 KB and a change of it: taken, on all voters, through the death of
  * the leader and from the disks, as it was sent. */
 static void largest(void **state)
 {
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -44,7 +44,7 @@
 {
     const int leader = fleet_leader(fleet);
     return leader >= 0 && runs(fleet, core) &&
-           view_seat_of(view_of(fleet, leader), view_disk(view_of(fleet, core))) >= 0;
+           view_voter_of(view_of(fleet, leader), view_disk(view_of(fleet, core))) >= 0;
 }
 
 #endif
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -161,7 +161,7 @@
     View *view = orders->view;
     const uint64_t index = view->commit_index;
     const Record older = {.kind = RECORD_SNAPSHOT, .term = view->log->base_term, .index = index - 1, .name = ""};
-    orders->replaced = seat_replace(view, &older, NULL, 0);
+    orders->replaced = voter_replace(view, &older, NULL, 0);
     Record other = *log_at(view->log, index);
     AppendAsk ask = {.term = view->lock.promised + 100,
                      .holder = view->disk + 1,
@@ -170,7 +170,7 @@
                      .entries = &other,
                      .entries_count = 1};
     other.term = ask.term;
-    orders->appended = seat_append(view, &ask);
+    orders->appended = voter_append(view, &ask);
     orders->done = true;
 }
 
@@ -219,7 +219,7 @@
     fleet_run(fleet, 10000);
     assert_false(view_leading(view));
     const ProposeAsk ask = {UINT64_MAX / 2, view->disk, 0, UINT64_MAX / 2, 1};
-    assert_int_equal(seat_propose(view, &ask), STATUS_DISK_FAILED);
+    assert_int_equal(voter_propose(view, &ask), STATUS_DISK_FAILED);
     talloc_free(fleet);
 }
 
@@ -258,7 +258,7 @@
         assert_int_equal(log_last_index(view->log), 0);
         assert_int_equal(view->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
-        assert_int_equal(seat_propose(view_of(fleet, core), &ask), STATUS_NO_SEAT);
+        assert_int_equal(voter_propose(view_of(fleet, core), &ask), STATUS_NO_VOTER);
         fleet_isolate(fleet, FLEET_CORE, core, false);
         for (int i = 0; i < 60 && !seated(fleet, core); i++)
             fleet_run(fleet, 500);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -1,4 +1,4 @@
-/* The first start of all: exactly one cluster, with the seats that are wanted, soon. */
+/* The first start of all: exactly one cluster, with the voters that are wanted, soon. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #include "sim/fleet.h"
 
 #define SERVES_MS 3000 /* ms; a leader that takes changes is there so long after the last start */
-#define SEATED_MS 4000 /* ms; ... and has given all the seats that are wanted */
+#define SEATED_MS 4000 /* ms; ... and has given all the voters that are wanted */
 
 static const View *view_of(Fleet *fleet, int core)
 {
@@ -36,15 +36,15 @@
     return count;
 }
 
-/* Seats as the leader has them; most: in one zone. */
-static size_t seats(Fleet *fleet, size_t *most)
+/* Voters as the leader has them; most: in one zone. */
+static size_t voters(Fleet *fleet, size_t *most)
 {
-    uint64_t disks[SEAT_MOST];
+    uint64_t disks[VOTER_MOST];
     const int leader = fleet_leader(fleet);
-    const size_t count = leader >= 0 ? view_seats(view_of(fleet, leader), disks) : 0;
+    const size_t count = leader >= 0 ? view_voters(view_of(fleet, leader), disks) : 0;
     *most = 0;
     for (size_t s = 0; s < count; s++) {
-        const char *zones[SEAT_MOST] = {0};
+        const char *zones[VOTER_MOST] = {0};
         size_t same = 0;
         for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
             for (size_t k = 0; k < count; k++)
@@ -57,14 +57,14 @@
     return count;
 }
 
-/* Seats in the leader's view. */
+/* Voters in the leader's view. */
 static size_t in_view(Fleet *fleet)
 {
     ViewSight sight;
     size_t count = 0;
     view_sight(view_of(fleet, fleet_leader(fleet)), &sight);
-    for (size_t i = 0; i < sight.seat_count; i++)
-        count += sight.seats[i].in_view;
+    for (size_t i = 0; i < sight.voter_count; i++)
+        count += sight.voters[i].in_view;
     return count;
 }
 
@@ -80,9 +80,9 @@
         assert_true(fleet_leader(fleet) >= 0);
         fleet_run(fleet, SEATED_MS - SERVES_MS);
         size_t most;
-        if (seats(fleet, &most) != wanted || in_view(fleet) != wanted)
+        if (voters(fleet, &most) != wanted || in_view(fleet) != wanted)
             fleet_dump(fleet);
-        assert_int_equal(seats(fleet, &most), wanted);
+        assert_int_equal(voters(fleet, &most), wanted);
         assert_true(wanted < 3 || most < wanted / 2 + 1);
         assert_int_equal(in_view(fleet), wanted);
         assert_true(fleet_configure(fleet));
@@ -117,7 +117,7 @@
     founds((FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, (FleetSite){.zones = 3, .losses = 1, .votes = true}, 3);
 }
 
-/* Four seats bear no more losses than three. */
+/* Four voters bear no more losses than three. */
 static void four_of_five(void **state)
 {
     (void)state;
@@ -172,10 +172,10 @@
         fleet_run(fleet, 8000);
         assert_int_equal(clusters(fleet), 1);
         size_t most;
-        if (fleet_leader(fleet) < 0 || seats(fleet, &most) != 3)
+        if (fleet_leader(fleet) < 0 || voters(fleet, &most) != 3)
             fleet_dump(fleet);
         assert_true(fleet_leader(fleet) >= 0);
-        assert_int_equal(seats(fleet, &most), 3);
+        assert_int_equal(voters(fleet, &most), 3);
         talloc_free(fleet);
     }
 }
@@ -203,10 +203,10 @@
         fleet_start_node(fleet, FLEET_CORE, founder);
         fleet_run(fleet, 6000);
         size_t most;
-        if (fleet_leader(fleet) < 0 || seats(fleet, &most) != 3)
+        if (fleet_leader(fleet) < 0 || voters(fleet, &most) != 3)
             fleet_dump(fleet);
         assert_true(fleet_leader(fleet) >= 0);
-        assert_int_equal(seats(fleet, &most), 3);
+        assert_int_equal(voters(fleet, &most), 3);
         assert_int_equal(clusters(fleet), 1);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -237,7 +237,7 @@
 #define MESSAGES(X)      \
     X(Hello)             \
     X(ProposeAsk)        \
-    X(SeatAnswer)        \
+    X(VoterAnswer)       \
     X(RenewAsk)          \
     X(AppendAsk)         \
     X(FillAsk)           \
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -1,5 +1,5 @@
 /* Losses of disk machines one right after another, as many together as must be borne,
- * under load: each time that one has returned, its seat is whole again in time for
+ * under load: each time that one has returned, its voter is whole again in time for
  * the next. And everything at once. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -46,7 +46,7 @@
     size_t wanted;
     int losses;
     int next_spare;
-    int64_t worst_ms; /* from a return until all seats are in the view */
+    int64_t worst_ms; /* from a return until all voters are in the view */
     char worst[64];
 } Trial;
 
@@ -63,21 +63,21 @@
     ViewSight sight;
     size_t count = 0;
     view_sight(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
-    for (size_t i = 0; i < sight.seat_count; i++)
-        count += sight.seats[i].in_view;
+    for (size_t i = 0; i < sight.voter_count; i++)
+        count += sight.voters[i].in_view;
     return count;
 }
 
-/* All seats that are wanted are in the view, each of a core that runs and is reached. */
+/* All voters that are wanted are in the view, each of a core that runs and is reached. */
 static bool is_whole(Trial *trial)
 {
     Fleet *fleet = trial->fleet;
     const int leader = fleet_leader(fleet);
     if (leader < 0 || in_view(fleet) != trial->wanted)
         return false;
-    uint64_t disks[SEAT_MOST];
+    uint64_t disks[VOTER_MOST];
     const FleetNode *first = fleet_node(fleet, FLEET_CORE, leader);
-    const size_t count = view_seats(core_view(first->core), disks);
+    const size_t count = view_voters(core_view(first->core), disks);
     size_t good = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = fleet_node(fleet, FLEET_CORE, i);
@@ -93,12 +93,12 @@
 
 static bool seated(Fleet *fleet, int core)
 {
-    uint64_t disks[SEAT_MOST];
+    uint64_t disks[VOTER_MOST];
     const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
     const int leader = fleet_leader(fleet);
     if (leader < 0 || !node->up || node->core == NULL)
         return false;
-    const size_t count = view_seats(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     for (size_t i = 0; i < count; i++)
         if (disks[i] == view_disk(core_view(node->core)))
             return true;
@@ -225,15 +225,16 @@
                 (unsigned long long)sight.term, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
-        for (size_t i = 0; i < sight.seat_count && sight.phase == VIEW_LEADING; i++)
+        for (size_t i = 0; i < sight.voter_count && sight.phase == VIEW_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
-                    (unsigned long long)sight.seats[i].disk, sight.seats[i].in_view, sight.seats[i].answers,
-                    sight.seats[i].woke, (long)sight.seats[i].sync_ms, (unsigned long long)sight.seats[i].match_index);
+                    (unsigned long long)sight.voters[i].disk, sight.voters[i].in_view, sight.voters[i].answers,
+                    sight.voters[i].woke, (long)sight.voters[i].sync_ms,
+                    (unsigned long long)sight.voters[i].match_index);
     }
 }
 
 /* Strikes as many seated cores as may be lost together, has them return together,
- * and waits for the seats. */
+ * and waits for the voters. */
 static void round_(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
     Fleet *fleet = trial->fleet;
@@ -301,7 +302,7 @@
     fleet_run(fleet, 1000);
     for (int i = 0; i < rounds; i++) {
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
-        round_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->seat_back_ms - 300);
+        round_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->voter_back_ms - 300);
     }
     printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worst_ms,
            trial.worst);
@@ -315,26 +316,26 @@
     talloc_free(fleet);
 }
 
-static void three_seats(void **state)
+static void three_voters(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = 4000};
+    const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000};
     for (uint64_t seed = 1; seed <= 4; seed++)
         one(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 12}, &site, 3, 2 * LOSS_COUNT);
 }
 
-static void five_seats_of_six(void **state)
+static void five_voters_of_six(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
+    const FleetSite site = {.zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 1; seed <= 3; seed++)
         one(seed, (FleetShape){6, 4, 6, MIX_ATLAS, 20}, &site, 5, LOSS_COUNT);
 }
 
-static void five_seats_of_eight(void **state)
+static void five_voters_of_eight(void **state)
 {
     (void)state;
-    const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000};
+    const FleetSite site = {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000};
     for (uint64_t seed = 4; seed <= 6; seed++)
         one(seed, (FleetShape){8, 4, 6, MIX_TRENTVALE, 20}, &site, 5, LOSS_COUNT);
 }
@@ -342,9 +343,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(three_seats),
-        cmocka_unit_test(five_seats_of_six),
-        cmocka_unit_test(five_seats_of_eight),
+        cmocka_unit_test(three_voters),
+        cmocka_unit_test(five_voters_of_six),
+        cmocka_unit_test(five_voters_of_eight),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -16,7 +16,7 @@
 #define SERVED_MS 6000   /* ms; after a loss another core leads within this */
 
 static const FleetSite ONE_LOSS = {
-    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .seat_back_ms = SYNC_MS, .stagger_ms = 500};
+    .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
 
 static Fleet *begin(uint64_t seed, FleetShape shape, const FleetSite *site)
 {
@@ -108,11 +108,11 @@
 /* Whether the core's disk has a vote, by the list of whoever leads. */
 static bool votes(Fleet *fleet, int core)
 {
-    uint64_t disks[SEAT_MOST];
+    uint64_t disks[VOTER_MOST];
     const int leader = fleet_leader(fleet);
     const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
     assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = view_seats(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = view_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
         found |= disks[i] == view_disk(core_view(node->core));
@@ -177,7 +177,7 @@
             fleet_roll(fleet, FLEET_CORE, core);
             fleet_run(fleet, SYNC_MS);
             must_lead(fleet, "while all are restarted");
-            assert_int_equal(fleet_seats(fleet), 3);
+            assert_int_equal(fleet_voters(fleet), 3);
         }
         finish(fleet);
     }
@@ -319,9 +319,9 @@
         }
         for (int i = 0; i < site->losses; i++)
             back(&trial, lost[i], kind);
-        fleet_run(fleet, site->seat_back_ms);
+        fleet_run(fleet, site->voter_back_ms);
         must_lead(fleet, "after a loss");
-        assert_int_equal(fleet_seats(fleet), 2 * site->losses + 1);
+        assert_int_equal(fleet_voters(fleet), 2 * site->losses + 1);
     }
     finish(fleet);
 }
@@ -360,7 +360,7 @@
 {
     (void)state;
     const FleetSite site = {
-        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .seat_back_ms = 6000, .stagger_ms = 500};
+        .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500};
     for (uint64_t seed = 1; seed <= 6; seed++)
         loss_rounds(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ROUNDS}, &site, (Target)(seed % TARGETS), false);
 }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -208,7 +208,7 @@
     snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
-    /* one seat's wall clock jumps by an hour: the median does not */
+    /* one voter's wall clock jumps by an hour: the median does not */
     sim_jump(fleet->world, fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->machine, 3600000);
     fleet_run(fleet, 4200);
     assert_int_equal(checker_starts(fleet->checker), 0);
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -49,7 +49,7 @@
 
 /* 5, 14: a gang, some of whose members had finished, never started again; 17: one
  * whose members rest unequally; 23, 65: a core with a new disk at an address where
- * a seat's disk had stood answered for it; 80: a repair that took a commit for each
+ * a voter's disk had stood answered for it; 80: a repair that took a commit for each
  * change told again; 110: claims and a worker's new boot. Of the others' seeds above,
  * 512: a core whose disk fails went on proposing itself; 178: a disk that takes 1.4 s,
  * just too little to leave the view; 86: a gate cut one way from the leader alone */
@@ -58,12 +58,12 @@
 SWEPT(varied65, MIX_VARIED, 65, 77, 110)
 
 /* 9030: two that stood asked each other for ever while the third's disk was slow; 9038: a list
- * of seats was ordered that nobody was there to commit */
+ * of voters was ordered that nobody was there to commit */
 SWEPT(trentvale9030, MIX_TRENTVALE, 9030)
 SWEPT(varied9038, MIX_VARIED, 9038)
 
-/* 71: a snapshot older than a seat's log took it back to the founding; 14, 20, 38: a delay was
- * counted by the clock of a seat that had started before the holder */
+/* 71: a snapshot older than a voter's log took it back to the founding; 14, 20, 38: a delay was
+ * counted by the clock of a voter that had started before the holder */
 SWEPT_AT(three71, SWEEP_THREE, MIX_VARIED, 71, 14, 20, 38)
 SWEPT_AT(six101, SWEEP_SIX, MIX_ATLAS, 101, 202)
 SWEPT_AT(eight102, SWEEP_EIGHT, MIX_VARIED, 102, 104)
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -137,7 +137,7 @@
          "12000  idle     start    .\n"
          "20000  .        .        end+gap<1000\n")
 
-TIMELINE(all_seats_killed, TRENTVALE, 3,
+TIMELINE(all_voters_killed, TRENTVALE, 3,
          "ms     core1  core2  core3  callers\n"
          "0      .      .      .      call:10\n"
          "4000   kill   kill   kill   .\n"
@@ -217,7 +217,7 @@
          "41000  .       .       .      .      .      .      .       .       roll    .\n"
          "50000  up      up      up     up     up     up     up      up      up      end+allDone+gap<3000\n")
 
-/* A leader that reaches the seats but no other member is not in the best
+/* A leader that reaches the voters but no other member is not in the best
  * partition: it hands the lock over. */
 TIMELINE(leader_blind, TRENTVALE, 3,
          "ms     leader  second  third  callers\n"
@@ -256,7 +256,7 @@
 
 /* Two cores replaced in sequence by empty ones at new addresses whose seeds are
  * others; the first returns with its old disk; in the end only the new two are
- * left of the seats that vote. */
+ * left of the voters that vote. */
 TIMELINE(cores_replaced, SPARES, 3,
          "ms     core1  core2  core3  core4  core5  callers\n"
          "0      .      .      .      .      .      call:10\n"
@@ -270,19 +270,19 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(rolled_out),       cmocka_unit_test(leader_blind),
-        cmocka_unit_test(worker_fails),     cmocka_unit_test(many_fail),
-        cmocka_unit_test(cancelled),        cmocka_unit_test(founding),
-        cmocka_unit_test(leader_killed),    cmocka_unit_test(worker_killed),
-        cmocka_unit_test(machine_off),      cmocka_unit_test(agent_frozen),
-        cmocka_unit_test(worker_frozen),    cmocka_unit_test(leader_frozen),
-        cmocka_unit_test(minority_cut),     cmocka_unit_test(agent_cut),
-        cmocka_unit_test(zone_off),         cmocka_unit_test(zone_cut),
-        cmocka_unit_test(zone_drained),     cmocka_unit_test(worker_leaves),
-        cmocka_unit_test(all_seats_killed), cmocka_unit_test(power_lost_after_acknowledgement),
-        cmocka_unit_test(one_disk_lies),    cmocka_unit_test(slow_disks),
-        cmocka_unit_test(disk_fails),       cmocka_unit_test(clocks_jump),
-        cmocka_unit_test(one_way_cuts),     cmocka_unit_test(gate_killed),
+        cmocka_unit_test(rolled_out),        cmocka_unit_test(leader_blind),
+        cmocka_unit_test(worker_fails),      cmocka_unit_test(many_fail),
+        cmocka_unit_test(cancelled),         cmocka_unit_test(founding),
+        cmocka_unit_test(leader_killed),     cmocka_unit_test(worker_killed),
+        cmocka_unit_test(machine_off),       cmocka_unit_test(agent_frozen),
+        cmocka_unit_test(worker_frozen),     cmocka_unit_test(leader_frozen),
+        cmocka_unit_test(minority_cut),      cmocka_unit_test(agent_cut),
+        cmocka_unit_test(zone_off),          cmocka_unit_test(zone_cut),
+        cmocka_unit_test(zone_drained),      cmocka_unit_test(worker_leaves),
+        cmocka_unit_test(all_voters_killed), cmocka_unit_test(power_lost_after_acknowledgement),
+        cmocka_unit_test(one_disk_lies),     cmocka_unit_test(slow_disks),
+        cmocka_unit_test(disk_fails),        cmocka_unit_test(clocks_jump),
+        cmocka_unit_test(one_way_cuts),      cmocka_unit_test(gate_killed),
         cmocka_unit_test(cores_replaced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/packages/table/src/deliverworker.c
+++ b/packages/table/src/deliverworker.c
@@ -54,7 +54,7 @@
 }
 
 /* In the order of jobs and tasks: what becomes of one may turn on another of its job,
- * and every seat must come to the same. */
+ * and every voter must come to the same. */
 static int on_order(const void *a, const void *b)
 {
     const TaskOn *x = a, *y = b;
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -6,28 +6,28 @@
 #define DISK_ID_FIELDS(X) X(U64, disk, 0)
 SHAPE(DiskId, DISK_ID_FIELDS)
 
-/* Where the core of a seat's disk stood when the seat was given. It helps to find
- * it again; the disk alone says whose the seat is. */
-#define SEAT_CORE_FIELDS(X) \
-    X(U64, disk, 0)         \
-    X(TXT, name, 0)         \
-    X(TXT, zone, 0)         \
+/* Where the core of a voter's disk stood when the voter was given. It helps to find
+ * it again; the disk alone says whose the voter is. */
+#define VOTER_CORE_FIELDS(X) \
+    X(U64, disk, 0)          \
+    X(TXT, name, 0)          \
+    X(TXT, zone, 0)          \
     X(TXT, address, 0)
-SHAPE(SeatCore, SEAT_CORE_FIELDS)
+SHAPE(VoterCore, VOTER_CORE_FIELDS)
 
-/* Who holds the seats, place by place. Held in the log from the founding on.
+/* Who holds the voters, place by place. Held in the log from the founding on.
  * Invariants: disk 0 is a place that nobody has; of two lists that follow each
- * other in the log, one has at most one seat more than the other, and the same
- * seats besides. */
-#define SEAT_LIST_FIELDS(X) \
-    X(LST, seats, DiskId)   \
-    X(LST, cores, SeatCore)
-SHAPE(SeatList, SEAT_LIST_FIELDS)
+ * other in the log, one has at most one voter more than the other, and the same
+ * voters besides. */
+#define VOTER_LIST_FIELDS(X) \
+    X(LST, voters, DiskId)   \
+    X(LST, cores, VoterCore)
+SHAPE(VoterList, VOTER_LIST_FIELDS)
 
-/* The first entry of each term: whose it is and which seats are in the view.
+/* The first entry of each term: whose it is and which voters are in the view.
  * repair: committed changes may have been lost and are still to be told again;
  * it stands until a REPAIRED entry, whoever leads meanwhile.
- * Invariant: members are a majority of the seats and hold holder. */
+ * Invariant: members are a majority of the voters and hold holder. */
 #define VIEW_RECORD_FIELDS(X) \
     X(U64, term, 0)           \
     X(U64, holder, 0)         \
@@ -36,19 +36,19 @@
     X(FLAG, repair, 0)
 SHAPE(ViewRecord, VIEW_RECORD_FIELDS)
 
-/* to, in all that is asked of a seat: the disk that it is meant for. An address
- * names nobody: a core with a new disk may stand where another's seat stood. 0: an
+/* to, in all that is asked of a voter: the disk that it is meant for. An address
+ * names nobody: a core with a new disk may stand where another's voter stood. 0: an
  * older release asks, which did not say. */
 #define PROPOSE_ASK_FIELDS(X) \
     X(U64, term, 0)           \
     X(U64, holder, 0)         \
     X(U64, to, 0)             \
     X(U64, log_term, 0)       \
-    X(U64, log_index, 0) /* of the asking seat's last entry */
+    X(U64, log_index, 0) /* of the asking voter's last entry */
 SHAPE(ProposeAsk, PROPOSE_ASK_FIELDS)
 
-/* What a seat is, told with each answer. */
-#define SEAT_ANSWER_FIELDS(X)                                                         \
+/* What a voter is, told with each answer. */
+#define VOTER_ANSWER_FIELDS(X)                                                        \
     X(U64, promised, 0)                                                               \
     X(U64, holder, 0)                                                                 \
     X(FLAG, held, 0)    /* a lease it granted runs */                                 \
@@ -61,7 +61,7 @@
     X(I64, sync_ms, 0) /* its last sync took so long */                               \
     X(U64, sight, 0)   /* members that have spoken to it of late */                   \
     X(U64, filled, 0)  /* bytes that it has of a snapshot that comes in pieces */
-SHAPE(SeatAnswer, SEAT_ANSWER_FIELDS)
+SHAPE(VoterAnswer, VOTER_ANSWER_FIELDS)
 
 #define RENEW_ASK_FIELDS(X) \
     X(U64, term, 0)         \
@@ -70,10 +70,10 @@
     X(I64, clock_ms, 0)     \
     X(TXT, holder_id, 0)    \
     X(U64, to, 0)           \
-    X(U64, next, 0) /* in a release: the seat that is to propose itself at once; 0: none */
+    X(U64, next, 0) /* in a release: the voter that is to propose itself at once; 0: none */
 SHAPE(RenewAsk, RENEW_ASK_FIELDS)
 
-/* Entries after (prev_term, prev_index). What the seat has beyond that and the
+/* Entries after (prev_term, prev_index). What the voter has beyond that and the
  * holder has not is trimmed. */
 #define APPEND_ASK_FIELDS(X) \
     X(U64, term, 0)          \
@@ -87,7 +87,7 @@
 
 /* total: 0, or the snapshot's payload is the piece that begins at from of so many bytes,
  * whose checksum together is told.
- * A seat that has what the snapshot stands for keeps its log, which may go further.
+ * A voter that has what the snapshot stands for keeps its log, which may go further.
  * over: its log was found to be of another history: what lies under its own snapshot
  * does not count as that, unless that snapshot is as new. */
 #define FILL_ASK_FIELDS(X)   \
@@ -102,7 +102,7 @@
     X(U64, checksum, 0)
 SHAPE(FillAsk, FILL_ASK_FIELDS)
 
-/* Asks a seat for its log after an index. */
+/* Asks a voter for its log after an index. */
 #define LOG_ASK_FIELDS(X)  \
     X(U64, term, 0)        \
     X(U64, holder, 0)      \
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -9,14 +9,14 @@
 
 /* Ordered delivery. All members of a view deliver the same changes in one
  * order, numbered by (term, index). The lock's holder orders. A change is
- * committed once every seat still in the view has synced it, and a view is at
- * least a majority of the seats. A seat that does not sync in time is taken out
+ * committed once every voter still in the view has synced it, and a view is at
+ * least a majority of the voters. A voter that does not sync in time is taken out
  * by a change of view, never waited for without end. */
 typedef struct View View;
 
 /* Numbers of changes that the view itself owns; the embedder's start above. */
 #define VIEW_CHANGE_VIEW 1     /* payload: ViewRecord */
-#define VIEW_CHANGE_SEATS 2    /* payload: SeatList */
+#define VIEW_CHANGE_VOTERS 2   /* payload: VoterList */
 #define VIEW_CHANGE_REPAIRED 3 /* no payload */
 #define VIEW_CHANGE_FIRST 16
 
@@ -41,7 +41,7 @@
 typedef enum ViewPhase { VIEW_FOLLOWING, VIEW_OPENING, VIEW_LEADING } ViewPhase;
 
 /* Called within the commit of the first entry of a view opened by this node,
- * before it counts as leading; does not wait. repair: it rests on woken seats,
+ * before it counts as leading; does not wait. repair: it rests on woken voters,
  * so committed changes may have been lost and must be told again. */
 typedef void (*ViewOpened)(void *arg, uint64_t term, bool new_holder, bool repair);
 
@@ -60,17 +60,17 @@
     ViewState state;
     ViewOpened opened;
     void *opened_arg;
-    int losses; /* disks that may be lost at once: twice that and one seats are wanted; 0: 1 */
+    int losses; /* disks that may be lost at once: twice that and one voters are wanted; 0: 1 */
     ViewFounds founds;
     bool disks_keep;         /* what a disk has synced outlasts a loss of power */
-    int64_t seat_back_ms;    /* a seat that returns, or is replaced, is whole again within this; 0: SEAT_GONE_MS */
+    int64_t voter_back_ms;   /* a voter that returns, or is replaced, is whole again within this; 0: VOTER_GONE_MS */
     size_t snapshot_entries; /* the log is shortened after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
 } ViewSettings;
 
 View *view_new(void *mem, const ViewSettings *settings);
 /* Waits. Opens the journal and reads it: from here on view_disk is known. */
 Status view_open_disk(View *view, const char *path, const char *node_name, Failure *failure);
-/* Begins to answer as a seat and to stand for the lock. */
+/* Begins to answer as a voter and to stand for the lock. */
 void view_start(View *view, Members *members);
 
 /* Waits until the change is delivered here. NOT_LEADER, BUSY: certainly not
@@ -90,7 +90,7 @@
 /* Whether it holds the lock, also while it opens a view anew: holds may be
  * answered, nothing may be decided. */
 bool view_holds(const View *view);
-/* Waits until a majority of the seats has granted the lock to this node in answer to
+/* Waits until a majority of the voters has granted the lock to this node in answer to
  * questions that were sent after the call: whatever the clocks do, nobody else had led by
  * the time of the call. NOT_LEADER: another may; EXPIRED: nobody knows. */
 Status view_contact(View *view, int64_t until_ms);
@@ -100,7 +100,7 @@
 /* The time that the log counts: never goes back, passes only while a leader's
  * or follower's own clock passes. */
 int64_t view_clock_ms(const View *view);
-/* The median of the seats' wall clocks, carried on by the own clock. */
+/* The median of the voters' wall clocks, carried on by the own clock. */
 int64_t view_wall_ms(const View *view);
 /* Gives the lock up, if held; does not propose itself for rest_ms. */
 void view_step_down(View *view, int64_t rest_ms);
@@ -109,22 +109,22 @@
  * removes this voter. Where no learner is there it stays a voter, and says so. */
 void view_leave(View *view, int64_t until_ms);
 
-/* Cluster and seats. */
+/* Cluster and voters. */
 bool view_founded(const View *view);
 uint64_t view_cluster(const View *view); /* 0: none */
 bool view_seated(const View *view);
 uint64_t view_disk(const View *view);
-/* The disks that have a seat; their count. */
-size_t view_seats(const View *view, uint64_t seats[SEAT_MOST]);
+/* The disks that have a voter; their count. */
+size_t view_voters(const View *view, uint64_t voters[VOTER_MOST]);
 /* Waits. Makes this disk part of a cluster. */
-Status view_found(View *view, uint64_t cluster, const SeatList *seats);
+Status view_found(View *view, uint64_t cluster, const VoterList *voters);
 /* Founds a cluster, as the settings say. */
 void view_founding(View *view);
 /* Whether a lock holder is known to run here (rule 2's question). */
 bool view_knows_holder(const View *view);
 
 /* For status. */
-typedef struct ViewSeatSight {
+typedef struct ViewVoterSight {
     uint64_t disk;
     bool in_view;
     bool answers;
@@ -132,7 +132,7 @@
     int64_t sync_ms;
     uint64_t match_index;
     uint64_t sight;
-} ViewSeatSight;
+} ViewVoterSight;
 
 /* A core without a vote that follows the log; known to the leader alone. */
 typedef struct ViewLearnerSight {
@@ -150,8 +150,8 @@
     uint64_t last_index, commit_index, delivered_index, base_index;
     int64_t lease_left_ms;
     uint64_t view_changes;
-    size_t seat_count; /* of the rows of seats, which are those of the disks that have one */
-    ViewSeatSight seats[SEAT_MOST];
+    size_t voter_count; /* of the rows of voters, which are those of the disks that have one */
+    ViewVoterSight voters[VOTER_MOST];
     size_t learner_count;
     ViewLearnerSight learners[LEARNER_MOST];
     int losses_borne; /* so many more voters may be lost; negative: so many are missing for a majority */
--- a/packages/view/include/view/window.h
+++ b/packages/view/include/view/window.h
@@ -4,7 +4,7 @@
 #include "view/log.h"
 #include "view/view.h"
 
-#define VIEW_VOTERS_MAX SEAT_MOST
+#define VIEW_VOTERS_MAX VOTER_MOST
 
 /* What a checker sees of a view: for proof only, nothing decides by it. */
 typedef struct ViewWindow {
--- a/packages/view/src/contact.c
+++ b/packages/view/src/contact.c
@@ -2,14 +2,14 @@
  * questions that were sent after the round began. No clock is asked. */
 #include "inside.h"
 
-/* How many seats are known to grant the lock to this node since the round was asked for. */
+/* How many voters are known to grant the lock to this node since the round was asked for. */
 static size_t contact_count(const View *view, uint64_t wanted)
 {
     size_t count = 0;
-    for (int i = 0; i < SEAT_MOST; i++) {
-        if (view->seats[i] == 0)
+    for (int i = 0; i < VOTER_MOST; i++) {
+        if (view->voters[i] == 0)
             continue;
-        if (view->seats[i] == view->disk)
+        if (view->voters[i] == view->disk)
             count += view->lock.promised == view->term && view->lock.released != view->term;
         else
             count += view->peers[i].contact >= wanted;
@@ -28,7 +28,7 @@
 
 bool contact_owed(const View *view, int slot)
 {
-    const uint64_t wanted = slot < SEAT_MOST ? view->contact_asked : view->contact_learners;
+    const uint64_t wanted = slot < VOTER_MOST ? view->contact_asked : view->contact_learners;
     return slot_disk(view, slot) != view->disk && view->peers[slot].contact < wanted;
 }
 
@@ -47,7 +47,7 @@
     for (int i = 0; i < SLOT_MOST; i++) {
         if (slot_disk(view, i) == 0 || slot_disk(view, i) == view->disk)
             continue;
-        const bool lives = i < SEAT_MOST ? voter_live(view, i) : learner_ready(view, (size_t)(i - SEAT_MOST));
+        const bool lives = i < VOTER_MOST ? voter_live(view, i) : learner_ready(view, (size_t)(i - VOTER_MOST));
         whole &= !lives || view->peers[i].contact >= wanted;
     }
     return whole;
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -42,7 +42,7 @@
     size_t at = 0;
     if (view->cluster != 0) {
         records[at] = (Record){.kind = RECORD_CLUSTER, .term = view->cluster, .name = ""};
-        shape_pack(&SeatList_shape, view->founded, mem, &records[at++].payload);
+        shape_pack(&VoterList_shape, view->founded, mem, &records[at++].payload);
         records[at++] =
             (Record){.kind = RECORD_PROMISE, .term = view->lock.promised, .index = view->lock.holder, .name = ""};
     }
@@ -92,7 +92,7 @@
         (!force && !long_enough(view)))
         return;
     void *mem = talloc_new(view);
-    /* seats and last as of delivered_index: later ones are still in the log */
+    /* voters and last as of delivered_index: later ones are still in the log */
     uint64_t term = 0;
     log_term_at(log, view->delivered_index, &term);
     Snapshot snapshot = {0};
@@ -104,8 +104,8 @@
         talloc_free(mem);
         return;
     }
-    snapshot.seats = view->list->seats;
-    snapshot.seats_count = view->list->seats_count;
+    snapshot.voters = view->list->voters;
+    snapshot.voters_count = view->list->voters_count;
     snapshot.cores = view->list->cores;
     snapshot.cores_count = view->list->cores_count;
     snapshot.last = view->last;
@@ -139,10 +139,10 @@
 
 static void cluster_found(View *view, const Record *record)
 {
-    SeatList *seats = talloc_zero(view, SeatList);
-    if (shape_unpack(&SeatList_shape, record->payload, seats, seats, NULL) == STATUS_OK) {
+    VoterList *voters = talloc_zero(view, VoterList);
+    if (shape_unpack(&VoterList_shape, record->payload, voters, voters, NULL) == STATUS_OK) {
         talloc_free(view->founded);
-        view->founded = seats;
+        view->founded = voters;
     }
     view->cluster = record->term;
 }
@@ -220,9 +220,9 @@
     view->log = log_new(view);
     talloc_free(view->founded);
     talloc_free(view->list);
-    seats_first(view);
+    voters_first(view);
     view->cluster = 0;
-    view->lock = (LockSeat){0};
+    view->lock = (LockVoter){0};
     view->clock_base_ms = view->clock_at_ms = view->clock_log_ms = 0;
     view->clock_runs = false;
     view->commit_index = view->delivered_index = 0;
@@ -264,7 +264,7 @@
 }
 
 /* A disk that refused a write is tried again, with all that it should hold. Until
- * that is there, the seat takes nothing, so that memory and disk do not part. */
+ * that is there, the voter takes nothing, so that memory and disk do not part. */
 static void mend_main(void *arg)
 {
     View *view = arg;
--- a/packages/view/src/entry.c
+++ b/packages/view/src/entry.c
@@ -4,18 +4,18 @@
 
 #include "inside.h"
 
-void lead_view_entry(View *view, const bool in_view[SEAT_MOST], bool repair)
+void lead_view_entry(View *view, const bool in_view[VOTER_MOST], bool repair)
 {
     memmove(view->in_view, in_view, sizeof(view->in_view));
     void *mem = talloc_new(view);
     ViewRecord record = {.term = view->term,
                          .holder = view->disk,
-                         .members = talloc_array(mem, DiskId, SEAT_MOST),
+                         .members = talloc_array(mem, DiskId, VOTER_MOST),
                          .holder_id = members_self(view->settings.members)->id,
                          .repair = repair || view->last.repair};
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         if (in_view[i])
-            record.members[record.members_count++].disk = view->seats[i];
+            record.members[record.members_count++].disk = view->voters[i];
     Record entry = {.kind = RECORD_ENTRY,
                     .term = view->term,
                     .index = log_last_index(view->log) + 1,
@@ -29,7 +29,7 @@
     talloc_free(mem);
 }
 
-void lead_turn(View *view, const bool in_view[SEAT_MOST])
+void lead_turn(View *view, const bool in_view[VOTER_MOST])
 {
     lead_view_entry(view, in_view, false);
     view->changed_ms = loop_now_ms(view->loop);
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -37,7 +37,7 @@
     }
     Filling *filling = view->filling;
     if (ask->from != filling->bytes.count)
-        return STATUS_LOG_GAP; /* seat_describe tells how far it has come */
+        return STATUS_LOG_GAP; /* voter_describe tells how far it has come */
     bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (filling->bytes.count < filling->total)
         return STATUS_BUSY;
@@ -58,7 +58,7 @@
 
 /* One piece of the snapshot, or all of it. */
 static Status piece_send(View *view, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
-                         SeatAnswer *answer)
+                         VoterAnswer *answer)
 {
     void *mem = talloc_new(view);
     const size_t left = whole.count - (size_t)ask->from;
@@ -68,7 +68,7 @@
     if (ask->total == 0)
         ask->snapshot.payload = whole;
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
-                                  ELECTION_STEP_TIMEOUT_MS * 4, &SeatAnswer_shape, answer);
+                                  ELECTION_STEP_TIMEOUT_MS * 4, &VoterAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
         lead_answered(view, lead->slot, answer);
     talloc_free(mem);
@@ -76,7 +76,7 @@
 }
 
 /* Whether there is another piece, after this answer. */
-static bool goes_on(FillAsk *ask, Status status, const SeatAnswer *answer, size_t sent)
+static bool goes_on(FillAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
         return false;
@@ -110,10 +110,10 @@
         ask.total = whole.count;
         ask.checksum = bytes_crc(whole.data, whole.count);
     }
-    SeatAnswer answer;
+    VoterAnswer answer;
     Status status;
     do {
-        answer = (SeatAnswer){0};
+        answer = (VoterAnswer){0};
         status = piece_send(view, lead, address, &ask, whole, &answer);
     } while (!lead_peer_over(lead) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
     if (!lead_peer_over(lead)) {
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -7,7 +7,7 @@
 
 #define FOUND_ASK_FIELDS(X) \
     X(U64, cluster, 0)      \
-    X(LST, seats, DiskId)
+    X(LST, voters, DiskId)
 SHAPE(FoundAsk, FOUND_ASK_FIELDS)
 SHAPE_TABLE(FoundAsk, FOUND_ASK_FIELDS)
 
@@ -18,7 +18,7 @@
 static Status found_now(View *view, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(view);
-    const Status status = view_found(view, cluster, seats_of(view, mem, disks, count));
+    const Status status = view_found(view, cluster, voters_of(view, mem, disks, count));
     talloc_free(mem);
     return status;
 }
@@ -26,7 +26,7 @@
 /* --- by the seeds' votes --------------------------------------------------------- */
 
 /* The empty core with the lowest disk that it has heard of stands; with the votes
- * of a majority of the seeds it founds, alone, and then gives seats to the others. */
+ * of a majority of the seeds it founds, alone, and then gives voters to the others. */
 static void votes_main(void *arg)
 {
     View *view = arg;
@@ -60,7 +60,7 @@
 
 /* The three empty disks in the order of their ids; false when there are not
  * exactly three or when anybody knows a cluster. */
-static bool three_empty(const View *view, uint64_t disks[SEAT_FIRST])
+static bool three_empty(const View *view, uint64_t disks[VOTER_FIRST])
 {
     const MemberTable *table = members_table(view->settings.members);
     const int64_t now_ms = loop_now_ms(view->loop);
@@ -71,7 +71,7 @@
             return false;
         if (row->record.role != ROLE_CORE || member_quiet(row, now_ms))
             continue;
-        if (!row->record.empty || row->direct_ms == INT64_MIN || count == SEAT_FIRST)
+        if (!row->record.empty || row->direct_ms == INT64_MIN || count == VOTER_FIRST)
             return false;
         disks[count++] = row->record.disk;
     }
@@ -81,7 +81,7 @@
             disks[k] = disks[k - 1];
             disks[k - 1] = swap;
         }
-    return count == SEAT_FIRST;
+    return count == VOTER_FIRST;
 }
 
 static Status on_found(void *arg, void *mem, const void *question, void *answer)
@@ -91,28 +91,28 @@
     (void)mem;
     const uint64_t known = rpc_cluster(view->settings.rpc);
     Status status = STATUS_STRANGER;
-    uint64_t seats[SEAT_FIRST] = {0};
+    uint64_t voters[VOTER_FIRST] = {0};
     bool mine = false;
-    for (size_t i = 0; i < ask->seats_count && i < SEAT_FIRST; i++) {
-        seats[i] = ask->seats[i].disk;
-        mine |= seats[i] == view_disk(view);
+    for (size_t i = 0; i < ask->voters_count && i < VOTER_FIRST; i++) {
+        voters[i] = ask->voters[i].disk;
+        mine |= voters[i] == view_disk(view);
     }
-    if (ask->seats_count == SEAT_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
-        status = found_now(view, ask->cluster, seats, SEAT_FIRST);
+    if (ask->voters_count == VOTER_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
+        status = found_now(view, ask->cluster, voters, VOTER_FIRST);
     ((FoundAnswer *)answer)->cluster = rpc_cluster(view->settings.rpc);
     return status;
 }
 
-static void offer(View *view, const uint64_t disks[SEAT_FIRST], uint64_t cluster)
+static void offer(View *view, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
 {
-    for (int i = 0; i < SEAT_FIRST; i++) {
+    for (int i = 0; i < VOTER_FIRST; i++) {
         const Member *member = members_find_disk(view->settings.members, disks[i]);
         if (disks[i] == view_disk(view) || member == NULL || !member->record.empty)
             continue;
         void *mem = talloc_new(view);
-        FoundAsk ask = {cluster, talloc_array(mem, DiskId, SEAT_FIRST), SEAT_FIRST};
-        for (int k = 0; k < SEAT_FIRST; k++)
-            ask.seats[k].disk = disks[k];
+        FoundAsk ask = {cluster, talloc_array(mem, DiskId, VOTER_FIRST), VOTER_FIRST};
+        for (int k = 0; k < VOTER_FIRST; k++)
+            ask.voters[k].disk = disks[k];
         FoundAnswer answer = {0};
         rpc_ask(view->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape,
                 &ask, ASK_TIMEOUT_MS, &FoundAnswer_shape, &answer);
@@ -124,15 +124,15 @@
 static void three_main(void *arg)
 {
     View *view = arg;
-    uint64_t before[SEAT_FIRST] = {0};
+    uint64_t before[VOTER_FIRST] = {0};
     int64_t since_ms = 0;
     while (!loop_stopping(view->loop)) {
         loop_sleep(view->loop, 200);
-        uint64_t disks[SEAT_MOST];
+        uint64_t disks[VOTER_MOST];
         const int64_t now_ms = loop_now_ms(view->loop);
         if (view_founded(view)) {
             /* until a first view stands, the others may not have heard the offer */
-            if (view_seats(view, disks) != SEAT_FIRST || members_leader_id(view->settings.members)[0] != '\0')
+            if (view_voters(view, disks) != VOTER_FIRST || members_leader_id(view->settings.members)[0] != '\0')
                 return;
             if (disks[0] == view_disk(view))
                 offer(view, disks, rpc_cluster(view->settings.rpc));
@@ -150,7 +150,7 @@
         if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != view_disk(view))
             continue;
         const uint64_t cluster = loop_random(view->loop) | 1;
-        if (found_now(view, cluster, disks, SEAT_FIRST) == STATUS_OK) {
+        if (found_now(view, cluster, disks, VOTER_FIRST) == STATUS_OK) {
             recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
             offer(view, disks, cluster);
         }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -14,7 +14,7 @@
     int64_t append_took_ms;  /* the last one */
     bool refill;             /* its log can't be mended by entries: send the snapshot */
     bool woke;
-    int slow_times;    /* appends in a row that took longer than SEAT_SLOW_MS */
+    int slow_times;    /* appends in a row that took longer than VOTER_SLOW_MS */
     int64_t return_ms; /* it left the view for being late: not back before this */
     uint64_t promised;
     int64_t wall_ms, wall_at_ms; /* its wall clock, and our clock when it was told; wall_at_ms 0: never */
@@ -24,7 +24,7 @@
 } Peer;
 
 /* The slots of peers: one for each place of a voter, then one for each learner. */
-#define SLOT_MOST (SEAT_MOST + LEARNER_MOST)
+#define SLOT_MOST (VOTER_MOST + LEARNER_MOST)
 
 /* A core without a vote that follows the log, so that it can be given one at once.
  * Invariant: turn grows each time that the slot is given; tasks of an earlier turn end. */
@@ -55,9 +55,9 @@
 /* Invariants:
  *  - delivered_index <= commit_index <= last index; all up to delivered_index have
  *    been given to the state, in order, once since it was last loaded;
- *  - seats and last are those of the newest SEATS and VIEW entries in the log,
+ *  - voters and last are those of the newest SEATS and VIEW entries in the log,
  *    committed or not;
- *  - a place in seats that nobody has is 0, and so are in_view, peers and
+ *  - a place in voters that nobody has is 0, and so are in_view, peers and
  *    hold.sent_ms of it;
  *  - phase is LEADING only after the first entry of term was committed;
  *  - of the SEATS entries in the log all but the newest are committed;
@@ -68,16 +68,16 @@
     Journal *journal;
     const char *node_name;
     uint64_t disk;
-    /* the seat */
+    /* the voter */
     uint64_t cluster;
-    SeatList *founded;         /* never null */
-    SeatList *list;            /* the newest; never null */
-    uint64_t list_index;       /* of its entry; 0: it is the founded one */
-    uint64_t seats[SEAT_MOST]; /* the disks of list */
-    size_t places, seat_count; /* the length of list; how many of them somebody has */
+    VoterList *founded;          /* never null */
+    VoterList *list;             /* the newest; never null */
+    uint64_t list_index;         /* of its entry; 0: it is the founded one */
+    uint64_t voters[VOTER_MOST]; /* the disks of list */
+    size_t places, voter_count;  /* the length of list; how many of them somebody has */
     ViewRecord last;
     void *last_mem;
-    LockSeat lock;
+    LockVoter lock;
     bool woke;
     Log *log;
     uint64_t verified_index; /* entries known to be the holder's, under the promised term */
@@ -102,7 +102,7 @@
     bool holding;   /* the lock was won and not given up (also while a view is opened anew) */
     bool reopening; /* the opening under way is of a holder that never lost the lock */
     uint64_t view_index;
-    bool in_view[SEAT_MOST];
+    bool in_view[VOTER_MOST];
     Peer peers[SLOT_MOST];
     Learner learners[LEARNER_MOST];
     uint64_t learners_turn;   /* the lead that they follow */
@@ -114,37 +114,37 @@
     int64_t changed_ms;       /* the last change of view */
     uint64_t view_changes;
     int64_t rest_until_ms;
-    int64_t blind_since_ms; /* since when a seat sees many more members than we do; 0: none does */
+    int64_t blind_since_ms; /* since when a voter sees many more members than we do; 0: none does */
     int64_t woken_since_ms; /* since when an opening waits for the last view's members; 0: none does */
     int64_t wall_offset_ms;
     bool wall_known;
     Waiter *waiters;
     Signal grew;
-    int slow_times;  /* own syncs in a row that took longer than SEAT_SLOW_MS */
+    int slow_times;  /* own syncs in a row that took longer than VOTER_SLOW_MS */
     Signal released; /* the holder of the lock has given it up */
-    bool named;      /* ... and named this seat to be the next */
+    bool named;      /* ... and named this voter to be the next */
     Signal news;
     uint64_t contact_asked;    /* rounds of contact that were asked for */
     uint64_t contact_learners; /* the newest one that learners are asked in as well */
     Signal contact_news;       /* one more is */
-    Signal contact_made;       /* a seat has answered one */
+    Signal contact_made;       /* a voter has answered one */
 };
 
 #define SNAPSHOT_FIELDS(X)   \
-    X(LST, seats, DiskId)    \
+    X(LST, voters, DiskId)   \
     X(ONE, last, ViewRecord) \
     X(BIN, state, 0)         \
-    X(LST, cores, SeatCore)
+    X(LST, cores, VoterCore)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
-int view_seat_of(const View *view, uint64_t disk);
-int view_own_seat(const View *view);
-/* How many seats decide. */
+int view_voter_of(const View *view, uint64_t disk);
+int view_own_voter(const View *view);
+/* How many voters decide. */
 size_t view_majority(const View *view);
 /* Whether it holds the lock and orders, by its own clock; others may not be told
  * so yet, when too few disks would hold what it acknowledges. */
 bool view_orders(const View *view);
-/* Reads seats and last out of the log again. */
+/* Reads voters and last out of the log again. */
 void view_reread(View *view);
 void view_deliver(View *view);
 /* The records that stand for all this node knows; on mem. */
@@ -167,25 +167,25 @@
 /* Spawns the task that tries a failed disk again. */
 void disk_start(View *view);
 
-/* The list of seats. */
-void seats_first(View *view);
+/* The list of voters. */
+void voters_first(View *view);
 /* Takes a list as the newest; what the holder knew of a place counts for nothing
  * once another has it. */
-void seats_take(View *view, const SeatList *list, uint64_t index);
-void seats_founded(View *view, const SeatList *list);
+void voters_take(View *view, const VoterList *list, uint64_t index);
+void voters_founded(View *view, const VoterList *list);
 /* The list of these disks, with what is known of their cores; on mem. */
-SeatList *seats_of(const View *view, void *mem, const uint64_t disks[], size_t count);
+VoterList *voters_of(const View *view, void *mem, const uint64_t disks[], size_t count);
 /* The list with the disk at the place, or the place vacated (0); on mem. */
-SeatList *seats_with(const View *view, void *mem, int place, uint64_t disk);
+VoterList *voters_with(const View *view, void *mem, int place, uint64_t disk);
 /* Where the core of a place's disk is asked; false when nobody knows. */
-bool seat_address(const View *view, int place, char address[ADDRESS_MAX]);
+bool voter_address(const View *view, int place, char address[ADDRESS_MAX]);
 /* The disk of a slot: a voter's place, or a learner's. */
 uint64_t slot_disk(const View *view, int slot);
 /* Whether the disk is gone for certain: its core has come back with another, at the
  * same address when asked for. */
-bool seat_dead(const View *view, uint64_t disk, bool same_address);
+bool voter_dead(const View *view, uint64_t disk, bool same_address);
 /* Where its core stands; empty when nobody knows. */
-const char *seat_zone(const View *view, uint64_t disk);
+const char *voter_zone(const View *view, uint64_t disk);
 /* Whether the disk of a voter is gone for so long, or for certain, that it is to be replaced. */
 bool voter_gone(const View *view, int place);
 /* Whether it answers and has all that is committed. */
@@ -212,17 +212,17 @@
 /* How many voters the settings ask for: twice the losses to be borne, and one. */
 size_t voters_wanted(const View *view);
 
-/* The seat's part; each may wait for the disk. */
-void seat_describe(const View *view, void *mem, SeatAnswer *answer);
-Status seat_propose(View *view, const ProposeAsk *ask);
-Status seat_append(View *view, const AppendAsk *ask);
-Status seat_fill(View *view, const FillAsk *ask);
+/* The voter's part; each may wait for the disk. */
+void voter_describe(const View *view, void *mem, VoterAnswer *answer);
+Status voter_propose(View *view, const ProposeAsk *ask);
+Status voter_append(View *view, const AppendAsk *ask);
+Status voter_fill(View *view, const FillAsk *ask);
 /* Puts the snapshot and what follows it in the place of the whole log, in one write. */
-Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count);
-void seat_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer);
-void seat_serve(View *view);
+Status voter_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count);
+void voter_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer);
+void voter_serve(View *view);
 
-/* Asking all seats at once. Freed by whichever of the asking task and the asked
+/* Asking all voters at once. Freed by whichever of the asking task and the asked
  * ones ends last. */
 typedef struct Poll {
     View *view;
@@ -230,17 +230,17 @@
     size_t users;
     int pending;
     Signal ended;
-    uint64_t disks[SEAT_MOST]; /* asked; 0: none at that place */
-    Status status[SEAT_MOST];
-    SeatAnswer answers[SEAT_MOST];
-    int64_t sent_ms[SEAT_MOST];
+    uint64_t disks[VOTER_MOST]; /* asked; 0: none at that place */
+    Status status[VOTER_MOST];
+    VoterAnswer answers[VOTER_MOST];
+    int64_t sent_ms[VOTER_MOST];
 } Poll;
 
-/* Waits until all have answered or can't be reached; once a majority of seats
+/* Waits until all have answered or can't be reached; once a majority of voters
  * that never slept has answered, a short grace is enough. Ends with poll_leave. */
-Poll *poll_seats(View *view, uint64_t term, const bool skip[SEAT_MOST]);
+Poll *poll_voters(View *view, uint64_t term, const bool skip[VOTER_MOST]);
 void poll_leave(Poll *poll);
-/* Whether the answer is the seat's own. */
+/* Whether the answer is the voter's own. */
 bool poll_reached(Status status);
 
 /* Takes a snapshot or a piece of one. OK: whole is all of it, on the ask or on filling; BUSY: more must come; LOG_GAP:
@@ -270,37 +270,37 @@
 /* Spawns the task that keeps the grant of the disk at the slot; ... its log. */
 void lead_renew(View *view, int slot);
 void lead_peer(View *view, int slot);
-void lead_answered(View *view, int slot, const SeatAnswer *answer);
-/* Tells all other seats that what they granted under the term is not used. next:
+void lead_answered(View *view, int slot, const VoterAnswer *answer);
+/* Tells all other voters that what they granted under the term is not used. next:
  * the disk that is to take over at once; 0: whoever comes first. */
 void lead_release(View *view, uint64_t next);
 /* Spawns the task that syncs the own journal. */
 void lead_local(View *view);
-/* Commits what every seat in the view, and a majority of the seats, has synced. */
+/* Commits what every voter in the view, and a majority of the voters, has synced. */
 void lead_commit(View *view);
 /* The first entry of a view. */
-void lead_view_entry(View *view, const bool in_view[SEAT_MOST], bool repair);
+void lead_view_entry(View *view, const bool in_view[VOTER_MOST], bool repair);
 /* Changes the view under the same term. What was ordered before is committed
  * together with the change, so that the last view recorded has all of it. */
-void lead_turn(View *view, const bool in_view[SEAT_MOST]);
-/* The seat in the view that is to follow: the least behind; quick: only one whose
+void lead_turn(View *view, const bool in_view[VOTER_MOST]);
+/* The voter in the view that is to follow: the least behind; quick: only one whose
  * disk is; 0: none. */
 uint64_t lead_next(const View *view, bool quick);
 /* Stops taking changes, collects the logs of a majority, takes the best one,
- * trims the others to it, opens the next term and goes on. skip: seats that
+ * trims the others to it, opens the next term and goes on. skip: voters that
  * are to stay out. Waits. */
-Status view_open(View *view, const bool skip[SEAT_MOST]);
-/* The seat at the slot has granted the lock in answer to a question that was sent when the
+Status view_open(View *view, const bool skip[VOTER_MOST]);
+/* The voter at the slot has granted the lock in answer to a question that was sent when the
  * rounds of contact up to this one had been asked for. */
 void contact_granted(View *view, int slot, uint64_t contact);
-/* Whether a round of contact waits for the seat at the slot. */
+/* Whether a round of contact waits for the voter at the slot. */
 bool contact_owed(const View *view, int slot);
 /* Waits, at most so long, until all voters and learners that are taken for alive have
  * answered a question that was sent since; the number of the round. */
 uint64_t contact_members(View *view, int64_t most_ms);
 /* Sleeps so long, or until another round of contact is asked for. */
 void contact_rest(View *view, int slot, int64_t rest_ms);
-/* Watches the lease and the seats of the view. */
+/* Watches the lease and the voters of the view. */
 void view_watch(View *view);
 
 #endif
--- a/packages/view/src/lead.c
+++ b/packages/view/src/lead.c
@@ -1,4 +1,4 @@
-/* The holder's part: ordering changes, keeping the seats up to date. */
+/* The holder's part: ordering changes, keeping the voters up to date. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -13,15 +13,15 @@
     return view->lead_turn != turn || loop_stopping(view->loop);
 }
 
-/* What a majority of the seats has synced. */
+/* What a majority of the voters has synced. */
 static uint64_t majority_index(const View *view)
 {
-    uint64_t matches[SEAT_MOST];
+    uint64_t matches[VOTER_MOST];
     size_t count = 0;
-    for (int i = 0; i < SEAT_MOST; i++) {
-        if (view->seats[i] == 0)
+    for (int i = 0; i < VOTER_MOST; i++) {
+        if (view->voters[i] == 0)
             continue;
-        const uint64_t match = view->seats[i] == view->disk ? view->synced_index : view->peers[i].match_index;
+        const uint64_t match = view->voters[i] == view->disk ? view->synced_index : view->peers[i].match_index;
         size_t at = count++;
         for (; at > 0 && matches[at - 1] < match; at--)
             matches[at] = matches[at - 1];
@@ -33,10 +33,10 @@
 void lead_commit(View *view)
 {
     uint64_t least = view->synced_index;
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->in_view[i] && view->seats[i] != view->disk && view->peers[i].match_index < least)
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->in_view[i] && view->voters[i] != view->disk && view->peers[i].match_index < least)
             least = view->peers[i].match_index;
-    /* the view is a majority of the seats; only while a seat was just added it may not be */
+    /* the view is a majority of the voters; only while a voter was just added it may not be */
     const uint64_t majority = majority_index(view);
     if (majority < least)
         least = majority;
@@ -49,7 +49,7 @@
 
 static uint64_t learner_turn(const View *view, int slot)
 {
-    return slot >= SEAT_MOST ? view->learners[slot - SEAT_MOST].turn : 0;
+    return slot >= VOTER_MOST ? view->learners[slot - VOTER_MOST].turn : 0;
 }
 
 bool lead_peer_over(const Lead *lead)
@@ -58,7 +58,7 @@
            learner_turn(lead->view, lead->slot) != lead->learner_turn;
 }
 
-/* Syncs the own journal: a seat as the others, but asked directly. */
+/* Syncs the own journal: a voter as the others, but asked directly. */
 static void local_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
@@ -91,13 +91,13 @@
             lead_down(view, INT32_MAX);
             return;
         }
-        view->slow_times = loop_now_ms(view->loop) - start_ms > SEAT_SLOW_MS ? view->slow_times + 1 : 0;
+        view->slow_times = loop_now_ms(view->loop) - start_ms > VOTER_SLOW_MS ? view->slow_times + 1 : 0;
         view->synced_index = last_index;
         lead_commit(view);
     }
 }
 
-void lead_answered(View *view, int slot, const SeatAnswer *answer)
+void lead_answered(View *view, int slot, const VoterAnswer *answer)
 {
     Peer *peer = &view->peers[slot];
     peer->answered_ms = loop_now_ms(view->loop);
@@ -113,7 +113,7 @@
 static void granted(View *view, int slot, int64_t sent_ms, uint64_t contact)
 {
     view->peers[slot].renewed_ms = sent_ms;
-    if (slot < SEAT_MOST)
+    if (slot < VOTER_MOST)
         lock_lease_answered(&view->lease, slot, sent_ms);
     contact_granted(view, slot, contact);
 }
@@ -133,24 +133,24 @@
         shape_copy(&Record_shape, log_at(view->log, i), mem, &ask.entries[ask.entries_count++]);
     }
     const uint64_t match = ask.prev_index + ask.entries_count, contact = view->contact_asked;
-    SeatAnswer answer = {0};
+    VoterAnswer answer = {0};
     const int64_t sent_ms = loop_now_ms(view->loop);
     if (peer->append_since_ms == INT64_MAX)
         peer->append_since_ms = sent_ms;
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
-                                  APPEND_TIMEOUT_MS, &SeatAnswer_shape, &answer);
+                                  APPEND_TIMEOUT_MS, &VoterAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
         if (status == STATUS_OK || status == STATUS_LOG_GAP) {
             peer->append_since_ms = INT64_MAX;
             peer->append_took_ms = loop_now_ms(view->loop) - sent_ms;
-            peer->slow_times = peer->append_took_ms > SEAT_SLOW_MS ? peer->slow_times + 1 : 0;
+            peer->slow_times = peer->append_took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
         }
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            /* a seat that takes an append lets the lease go on as well */
+            /* a voter that takes an append lets the lease go on as well */
             granted(view, lead->slot, sent_ms, contact);
             lead_commit(view);
         } else if (status == STATUS_LOG_GAP) {
@@ -175,7 +175,7 @@
 /* A learner whose last append took long is measured again, also when there is nothing new. */
 static bool slow_learner(const Lead *lead)
 {
-    return lead->slot >= SEAT_MOST && lead->view->peers[lead->slot].append_took_ms >= SEAT_SLOW_MS;
+    return lead->slot >= VOTER_MOST && lead->view->peers[lead->slot].append_took_ms >= VOTER_SLOW_MS;
 }
 
 /* One task for each other voter, in the view or not, and for each learner. */
@@ -188,7 +188,7 @@
     bool told = false; /* it has taken an append under this term */
     while (!lead_peer_over(&lead)) {
         char address[ADDRESS_MAX];
-        if (!seat_address(view, lead.slot, address)) {
+        if (!voter_address(view, lead.slot, address)) {
             loop_sleep(view->loop, 100);
             continue;
         }
@@ -198,7 +198,7 @@
             append_one(view, &lead, address);
             told |= peer->match_index + 1 == peer->next_index;
             /* nobody waits for a learner: it takes several changes in one append */
-            if (lead.slot >= SEAT_MOST && peer->next_index > log_last_index(view->log))
+            if (lead.slot >= VOTER_MOST && peer->next_index > log_last_index(view->log))
                 loop_sleep(view->loop, LEARNER_APPEND_MS);
         } else {
             signal_wait(view->loop, &view->grew, loop_now_ms(view->loop) + LOCK_RENEW_MS);
@@ -206,16 +206,16 @@
     }
 }
 
-/* The median of the seats' wall clocks as an offset to the own clock; of two
+/* The median of the voters' wall clocks as an offset to the own clock; of two
  * the lower, so that nothing due comes early. */
 static void wall_take(View *view)
 {
-    int64_t offsets[SEAT_MOST];
+    int64_t offsets[VOTER_MOST];
     int count = 0;
     const int64_t now_ms = loop_now_ms(view->loop);
     offsets[count++] = loop_wall_ms(view->loop) - now_ms;
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] != 0 && view->seats[i] != view->disk && view->peers[i].wall_at_ms != 0 &&
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->voters[i] != 0 && view->voters[i] != view->disk && view->peers[i].wall_at_ms != 0 &&
             now_ms - view->peers[i].wall_at_ms < LOCK_GRANT_MS)
             offsets[count++] = view->peers[i].wall_ms - view->peers[i].wall_at_ms;
     for (int i = 1; i < count; i++)
@@ -224,20 +224,20 @@
             offsets[k] = offsets[k - 1];
             offsets[k - 1] = swap;
         }
-    if ((size_t)count == view->seat_count || !view->wall_known) {
+    if ((size_t)count == view->voter_count || !view->wall_known) {
         view->wall_offset_ms = offsets[(count - 1) / 2];
         view->wall_known = true;
     }
 }
 
-/* Asks the seat for nothing but an answer. */
+/* Asks the voter for nothing but an answer. */
 static bool heard(View *view, const Lead *lead, const char *address)
 {
     void *mem = talloc_new(view);
     const ProposeAsk ask = {0, view->disk, lead->disk, log_last_term(view->log), log_last_index(view->log)};
-    SeatAnswer answer = {0};
+    VoterAnswer answer = {0};
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                  ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
+                                  ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
     const bool reached = poll_reached(status);
     if (reached && !lead_peer_over(lead))
         lead_answered(view, lead->slot, &answer);
@@ -252,9 +252,9 @@
         view->term, view->disk, view->commit_index, view_clock_ms(view), members_self(view->settings.members)->id,
         lead->disk, 0};
     const uint64_t contact = view->contact_asked;
-    SeatAnswer answer = {0};
+    VoterAnswer answer = {0};
     const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
-                                  ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
+                                  ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(view, lead->slot, &answer);
@@ -265,7 +265,7 @@
     return status;
 }
 
-/* A seat that hears us while we do not hear it must not go on granting: one that
+/* A voter that hears us while we do not hear it must not go on granting: one that
  * left a renewal unanswered is first asked for an answer alone. */
 static void renew_main(void *arg)
 {
@@ -288,7 +288,7 @@
             if (lock_renew(&view->lock, view->term, view->disk, sent_ms) == STATUS_OK)
                 lock_lease_answered(&view->lease, lead.slot, sent_ms);
             wall_take(view);
-        } else if (seat_address(view, lead.slot, address)) {
+        } else if (voter_address(view, lead.slot, address)) {
             Status status = STATUS_EXPIRED;
             if (doubt) {
                 doubt = !heard(view, &lead, address);
@@ -327,7 +327,7 @@
 
 void lead_local(View *view)
 {
-    lead_spawn(view, "local", local_main, view_own_seat(view));
+    lead_spawn(view, "local", local_main, view_own_voter(view));
 }
 
 /* --- giving back ----------------------------------------------------------------------- */
@@ -341,22 +341,22 @@
 static void release_main(void *arg)
 {
     Giving *giving = arg;
-    SeatAnswer answer = {0};
+    VoterAnswer answer = {0};
     rpc_ask(giving->view->settings.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
-            ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
+            ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
     talloc_free(giving);
 }
 
 void lead_release(View *view, uint64_t next)
 {
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         Giving *giving = talloc_zero(view, Giving);
-        if (view->seats[i] == 0 || view->seats[i] == view->disk || !seat_address(view, i, giving->address)) {
+        if (view->voters[i] == 0 || view->voters[i] == view->disk || !voter_address(view, i, giving->address)) {
             talloc_free(giving);
             continue;
         }
         giving->view = view;
-        giving->ask = (RenewAsk){view->term, view->disk, 0, 0, "", view->seats[i], next};
+        giving->ask = (RenewAsk){view->term, view->disk, 0, 0, "", view->voters[i], next};
         loop_spawn(view->loop, "release", release_main, giving);
     }
 }
@@ -366,16 +366,16 @@
     const int64_t now_ms = loop_now_ms(view->loop);
     const Peer *best = NULL;
     uint64_t disk = 0;
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &view->peers[i];
-        if (view->seats[i] == view->disk || !view->in_view[i] || now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
+        if (view->voters[i] == view->disk || !view->in_view[i] || now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
-        if (quick && (peer->sync_ms > SEAT_SLOW_MS / 2 || peer->append_took_ms > SEAT_SLOW_MS / 2 ||
-                      (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > SEAT_LATE_MS / 2)))
+        if (quick && (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
+                      (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
             continue;
         if (best == NULL || peer->match_index > best->match_index) {
             best = peer;
-            disk = view->seats[i];
+            disk = view->voters[i];
         }
     }
     return disk;
@@ -389,7 +389,7 @@
     view->lead_turn++;
     if (view->phase != VIEW_FOLLOWING || view->holding) {
         if (view->holding) {
-            /* nothing is decided under this hold any more: the seats may forget it */
+            /* nothing is decided under this hold any more: the voters may forget it */
             lock_release(&view->lock, view->term, view->disk, now_ms);
             lead_release(view, lead_next(view, false));
             recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
--- a/packages/view/src/learners.c
+++ b/packages/view/src/learners.c
@@ -6,7 +6,7 @@
 
 int64_t view_back_ms(const View *view)
 {
-    return view->settings.seat_back_ms > 0 ? view->settings.seat_back_ms : SEAT_GONE_MS;
+    return view->settings.voter_back_ms > 0 ? view->settings.voter_back_ms : VOTER_GONE_MS;
 }
 
 /* A core that runs, is of this cluster and has no vote. One that leaves follows on: it
@@ -14,7 +14,7 @@
 bool learner_may_follow(const View *view, const Member *row)
 {
     return row->record.role == ROLE_CORE && row->record.disk != 0 && !member_quiet(row, loop_now_ms(view->loop)) &&
-           view_seat_of(view, row->record.disk) < 0 && row->record.cluster == view->cluster;
+           view_voter_of(view, row->record.disk) < 0 && row->record.cluster == view->cluster;
 }
 
 static bool follows(const View *view, uint64_t disk)
@@ -43,7 +43,7 @@
 static void learner_begin(View *view, size_t learner, uint64_t disk)
 {
     Learner *slot = &view->learners[learner];
-    const int place = SEAT_MOST + (int)learner;
+    const int place = VOTER_MOST + (int)learner;
     *slot = (Learner){disk, slot->turn + 1, loop_now_ms(view->loop), INT64_MAX};
     view->peers[place] =
         (Peer){.next_index = log_last_index(view->log) + 1, .renewed_ms = INT64_MIN, .append_since_ms = INT64_MAX};
@@ -53,11 +53,11 @@
 
 bool learner_ready(const View *view, size_t learner)
 {
-    const Peer *peer = &view->peers[SEAT_MOST + learner];
+    const Peer *peer = &view->peers[VOTER_MOST + learner];
     const int64_t now_ms = loop_now_ms(view->loop);
     return view->learners[learner].disk != 0 && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log) && peer->renewed_ms != INT64_MIN &&
-           now_ms - peer->renewed_ms < 2 * LOCK_RENEW_MS && peer->append_took_ms < SEAT_SLOW_MS;
+           now_ms - peer->renewed_ms < 2 * LOCK_RENEW_MS && peer->append_took_ms < VOTER_SLOW_MS;
 }
 
 bool learner_steady(const View *view, size_t learner)
--- a/packages/view/src/membership.c
+++ b/packages/view/src/membership.c
@@ -99,7 +99,7 @@
 
 static MembershipChange added(const Membership *now, size_t learner)
 {
-    const bool fits = learner != NONE && now->voter_count < SEAT_MOST &&
+    const bool fits = learner != NONE && now->voter_count < VOTER_MOST &&
                       live_count(now->voters, now->voter_count) + 1 >= lock_majority(now->voter_count + 1);
     return fits ? (MembershipChange){MEMBERSHIP_ADD, learner} : KEEP;
 }
@@ -108,7 +108,7 @@
  * learners stand ready before an odd number grows. */
 static MembershipChange missing_added(const Membership *now, size_t ready_count)
 {
-    const size_t needed = now->voter_count < SEAT_FIRST || now->voter_count % 2 == 0 ? 1 : 2;
+    const size_t needed = now->voter_count < VOTER_FIRST || now->voter_count % 2 == 0 ? 1 : 2;
     return ready_count >= needed ? added(now, best_learner(now, false)) : KEEP;
 }
 
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -6,7 +6,7 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-static bool among(const SeatAnswer *answer, uint64_t disk)
+static bool among(const VoterAnswer *answer, uint64_t disk)
 {
     for (size_t i = 0; i < answer->view_members_count; i++)
         if (answer->view_members[i].disk == disk)
@@ -14,16 +14,16 @@
     return false;
 }
 
-/* Whether the view may rest on the seats that answered. With none of them
+/* Whether the view may rest on the voters that answered. With none of them
  * woken, any majority will do. Woken ones may have lost what they acknowledged:
  * then every member of the last recorded view is heard first, or waited for. */
 static bool may_rest(View *view, const Poll *poll, bool *repair)
 {
-    const SeatAnswer *newest = NULL;
+    const VoterAnswer *newest = NULL;
     bool any_woke = false;
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
-            const SeatAnswer *answer = &poll->answers[i];
+            const VoterAnswer *answer = &poll->answers[i];
             any_woke |= answer->woke;
             /* of one term, the longer log has the later change of view */
             if (newest == NULL || answer->view_term > newest->view_term ||
@@ -36,8 +36,8 @@
     if (!*repair)
         return true;
     bool heard_all = true;
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (among(newest, view->seats[i]) && !poll_reached(poll->status[i]))
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (among(newest, view->voters[i]) && !poll_reached(poll->status[i]))
             heard_all = false;
     if (heard_all) {
         view->woken_since_ms = 0;
@@ -49,14 +49,14 @@
     return now_ms - view->woken_since_ms >= WOKEN_WAIT_MS;
 }
 
-/* Makes the own log equal to that of the seat with the best one. */
-static Status log_adopt(View *view, int seat)
+/* Makes the own log equal to that of the voter with the best one. */
+static Status log_adopt(View *view, int voter)
 {
     char address[ADDRESS_MAX];
-    if (!seat_address(view, seat, address))
+    if (!voter_address(view, voter, address))
         return STATUS_UNREACHABLE;
     void *mem = talloc_new(view);
-    LogAsk ask = {view->term, view->disk, 0, view->delivered_index, view->seats[seat]};
+    LogAsk ask = {view->term, view->disk, 0, view->delivered_index, view->voters[voter]};
     log_term_at(view->log, ask.after_index, &ask.after_term);
     LogAnswer answer = {0};
     Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask,
@@ -65,7 +65,7 @@
         status = STATUS_OLD_TERM;
     if (status == STATUS_OK && answer.whole) {
         /* at once, so that this disk never holds less than before */
-        status = seat_replace(view, &answer.snapshot, answer.entries, answer.entries_count);
+        status = voter_replace(view, &answer.snapshot, answer.entries, answer.entries_count);
         if (status == STATUS_OK && view->term != view->lock.promised)
             status = STATUS_OLD_TERM;
     } else if (status == STATUS_OK) {
@@ -74,30 +74,30 @@
         log_term_at(view->log, append.prev_index, &append.prev_term);
         append.entries = answer.entries;
         append.entries_count = answer.entries_count;
-        status = seat_append(view, &append);
+        status = voter_append(view, &append);
     }
     talloc_free(mem);
     return status;
 }
 
-/* How many of the seats, as the newest list has them, have promised. */
-static size_t promised_count(const View *view, const bool in_view[SEAT_MOST])
+/* How many of the voters, as the newest list has them, have promised. */
+static size_t promised_count(const View *view, const bool in_view[VOTER_MOST])
 {
     size_t count = 0;
-    for (int i = 0; i < SEAT_MOST; i++)
-        count += view->seats[i] != 0 && in_view[i];
+    for (int i = 0; i < VOTER_MOST; i++)
+        count += view->voters[i] != 0 && in_view[i];
     return count;
 }
 
-/* Seats far behind the best log come into the view once they are near; the view
+/* Voters far behind the best log come into the view once they are near; the view
  * stays a majority, with ourselves in it. */
-static void lag_leave(const View *view, const Poll *poll, int best, bool in_view[SEAT_MOST])
+static void lag_leave(const View *view, const Poll *poll, int best, bool in_view[VOTER_MOST])
 {
-    const SeatAnswer *most = &poll->answers[best];
+    const VoterAnswer *most = &poll->answers[best];
     size_t count = promised_count(view, in_view);
-    for (int i = 0; i < SEAT_MOST && count > view_majority(view); i++) {
-        const SeatAnswer *one = &poll->answers[i];
-        if (in_view[i] && view->seats[i] != view->disk &&
+    for (int i = 0; i < VOTER_MOST && count > view_majority(view); i++) {
+        const VoterAnswer *one = &poll->answers[i];
+        if (in_view[i] && view->voters[i] != view->disk &&
             (one->log_term < most->log_term || one->log_index + LOG_BATCH_ENTRIES < most->log_index)) {
             in_view[i] = false;
             count--;
@@ -112,11 +112,11 @@
     const bool *skip; /* voters that are to stay out */
     bool new_holder;  /* it does not hold the lock already */
     bool repair;
-    uint64_t highest;             /* term that anybody has heard of */
-    uint64_t term;                /* the one to be promised */
-    int best;                     /* place of the best log; -1: nobody promised */
-    bool in_view[SEAT_MOST];      /* who promised, and is near enough */
-    uint64_t promised[SEAT_MOST]; /* the disks, by their places before a log is taken over */
+    uint64_t highest;              /* term that anybody has heard of */
+    uint64_t term;                 /* the one to be promised */
+    int best;                      /* place of the best log; -1: nobody promised */
+    bool in_view[VOTER_MOST];      /* who promised, and is near enough */
+    uint64_t promised[VOTER_MOST]; /* the disks, by their places before a log is taken over */
 } Opening;
 
 /* What the voters said of themselves, before anything is asked of them. */
@@ -135,10 +135,10 @@
     opening->highest = view->lock.promised;
     if (members_leader_term(view->settings.members) > opening->highest)
         opening->highest = members_leader_term(view->settings.members);
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
             heard.count++;
-            heard.removed |= poll->status[i] == STATUS_NO_SEAT;
+            heard.removed |= poll->status[i] == STATUS_NO_VOTER;
             if (poll->answers[i].promised > opening->highest)
                 opening->highest = poll->answers[i].promised;
             const bool other = poll->answers[i].held && poll->answers[i].holder != view->disk;
@@ -152,15 +152,15 @@
 static Status hear(Opening *opening)
 {
     View *view = opening->view;
-    Poll *poll = poll_seats(view, 0, opening->skip);
+    Poll *poll = poll_voters(view, 0, opening->skip);
     const Heard heard = heard_of(opening, poll);
     const bool rest = may_rest(view, poll, &opening->repair);
     poll_leave(poll);
     if (lead_over(view, opening->turn))
         return STATUS_NOT_LEADER;
-    if (heard.removed) { /* our seat has been given to another disk; whoever leads tells us more */
-        lead_down(view, SEAT_LOST_REST_MS);
-        return STATUS_NO_SEAT;
+    if (heard.removed) { /* our voter has been given to another disk; whoever leads tells us more */
+        lead_down(view, VOTER_LOST_REST_MS);
+        return STATUS_NO_VOTER;
     }
     /* what a majority does not hold for another, nobody holds; but one that stands just
      * now under a higher term goes first */
@@ -176,15 +176,15 @@
 static void promises_count(Opening *opening, const Poll *poll)
 {
     View *view = opening->view;
-    for (int i = 0; i < SEAT_MOST; i++) {
-        if (poll->status[i] != STATUS_OK || poll->disks[i] != view->seats[i])
+    for (int i = 0; i < VOTER_MOST; i++) {
+        if (poll->status[i] != STATUS_OK || poll->disks[i] != view->voters[i])
             continue;
         opening->in_view[i] = true;
-        const SeatAnswer *a = &poll->answers[i];
-        const SeatAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
+        const VoterAnswer *a = &poll->answers[i];
+        const VoterAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
         if (b == NULL || a->log_term > b->log_term ||
             (a->log_term == b->log_term &&
-             (a->log_index > b->log_index || (a->log_index == b->log_index && view->seats[i] == view->disk))))
+             (a->log_index > b->log_index || (a->log_index == b->log_index && view->voters[i] == view->disk))))
             opening->best = i;
         lock_lease_answered(&view->lease, i, poll->sent_ms[i]);
     }
@@ -193,7 +193,7 @@
 /* What is known of the peers under the new term. */
 static void peers_begin(View *view, const Poll *poll)
 {
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         if (poll->status[i] == STATUS_OK || poll_reached(poll->status[i]))
             lead_answered(view, i, &poll->answers[i]);
         view->peers[i].match_index = 0;
@@ -221,16 +221,16 @@
 {
     View *view = opening->view;
     opening->term = term_next(opening->highest, view->disk);
-    Poll *poll = poll_seats(view, opening->term, opening->skip);
+    Poll *poll = poll_voters(view, opening->term, opening->skip);
     /* a lease that lapsed before this question was sent was not carried on */
     const int64_t held_until_ms = lock_lease_until(&view->lease);
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         opening->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
     view->reopening = !opening->new_holder;
     if (opening->new_holder)
         lock_lease_clear(&view->lease);
     promises_count(opening, poll);
-    const int own = view_own_seat(view);
+    const int own = view_own_voter(view);
     const bool own_failed =
         own >= 0 && (poll->status[own] == STATUS_DISK_FAILED || poll->status[own] == STATUS_UNREACHABLE);
     const bool lost = lead_over(view, opening->turn) || promised_count(view, opening->in_view) < view_majority(view) ||
@@ -239,7 +239,7 @@
         lag_leave(view, poll, opening->best, opening->in_view);
         peers_begin(view, poll);
     }
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         opening->promised[i] = poll->status[i] == STATUS_OK ? poll->disks[i] : 0;
     poll_leave(poll);
     if (lost)
@@ -258,8 +258,8 @@
         view->won_ms = loop_now_ms(view->loop);
     view->holding = true;
     view->woken_since_ms = 0;
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] != 0)
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->voters[i] != 0)
             lead_renew(view, i);
 }
 
@@ -267,16 +267,16 @@
 static Status best_adopt(Opening *opening)
 {
     View *view = opening->view;
-    if (view->seats[opening->best] == view->disk)
+    if (view->voters[opening->best] == view->disk)
         return STATUS_OK;
     const Status status = log_adopt(view, opening->best);
-    /* the log may have another list of seats: the promises must be a majority of those too */
-    for (int i = 0; i < SEAT_MOST; i++) {
-        opening->in_view[i] &= view->seats[i] == opening->promised[i];
-        if (view->seats[i] != 0 && view->seats[i] != opening->promised[i] && !lead_over(view, opening->turn))
+    /* the log may have another list of voters: the promises must be a majority of those too */
+    for (int i = 0; i < VOTER_MOST; i++) {
+        opening->in_view[i] &= view->voters[i] == opening->promised[i];
+        if (view->voters[i] != 0 && view->voters[i] != opening->promised[i] && !lead_over(view, opening->turn))
             lead_renew(view, i);
     }
-    const int own = view_own_seat(view);
+    const int own = view_own_voter(view);
     const bool lost = promised_count(view, opening->in_view) < view_majority(view) || own < 0 || !opening->in_view[own];
     if (!lead_over(view, opening->turn) && status == STATUS_OK && !lost)
         return STATUS_OK;
@@ -293,13 +293,13 @@
     /* what is in the own journal's queue is synced before what follows; what an
      * earlier lead had not queued yet is written now */
     view->synced_index = view->queued_index;
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         if (view->peers[i].next_index > log_last_index(view->log) + 1)
             view->peers[i].next_index = log_last_index(view->log) + 1;
     lead_view_entry(view, opening->in_view, opening->repair);
     lead_local(view);
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] != 0)
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->voters[i] != 0)
             lead_peer(view, i);
 }
 
@@ -307,12 +307,12 @@
 static uint64_t gained_sum(const View *view)
 {
     uint64_t sum = view->synced_index;
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         sum += view->peers[i].match_index + view->peers[i].next_index;
     return sum;
 }
 
-/* Waits until the first entry is committed. A seat that lags is waited for while it gains. */
+/* Waits until the first entry is committed. A voter that lags is waited for while it gains. */
 static Status entry_committed(const Opening *opening)
 {
     View *view = opening->view;
@@ -355,7 +355,7 @@
     signal_raise(view->loop, &view->news);
 }
 
-Status view_open(View *view, const bool skip[SEAT_MOST])
+Status view_open(View *view, const bool skip[VOTER_MOST])
 {
     Opening opening = {.view = view, .turn = ++view->lead_turn, .skip = skip, .new_holder = !view->holding, .best = -1};
     view->phase = VIEW_OPENING;
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -1,4 +1,4 @@
-/* Asking all seats at once. */
+/* Asking all voters at once. */
 #include <string.h>
 #include <talloc.h>
 
@@ -6,7 +6,7 @@
 
 typedef struct PollPart {
     Poll *poll;
-    int seat;
+    int voter;
 } PollPart;
 
 void poll_leave(Poll *poll)
@@ -21,19 +21,19 @@
     Poll *poll = part.poll;
     View *view = poll->view;
     talloc_free(arg);
-    const int i = part.seat;
+    const int i = part.voter;
     char address[ADDRESS_MAX];
     poll->sent_ms[i] = loop_now_ms(view->loop);
     if (poll->disks[i] == view->disk) {
-        const Status status = seat_propose(view, &poll->ask);
-        seat_describe(view, poll, &poll->answers[i]);
+        const Status status = voter_propose(view, &poll->ask);
+        voter_describe(view, poll, &poll->answers[i]);
         poll->status[i] = status;
-    } else if (seat_address(view, i, address)) {
-        SeatAnswer answer = {0};
+    } else if (voter_address(view, i, address)) {
+        VoterAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
         const Status status = rpc_ask(view->settings.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                      ASK_TIMEOUT_MS, &SeatAnswer_shape, &answer);
+                                      ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
@@ -48,17 +48,17 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-Poll *poll_seats(View *view, uint64_t term, const bool skip[SEAT_MOST])
+Poll *poll_voters(View *view, uint64_t term, const bool skip[VOTER_MOST])
 {
     Poll *poll = talloc_zero(view, Poll);
     poll->view = view;
     poll->ask = (ProposeAsk){term, view->disk, 0, log_last_term(view->log), log_last_index(view->log)};
     poll->users = 1;
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
-        if (skip[i] || view->seats[i] == 0)
+        if (skip[i] || view->voters[i] == 0)
             continue;
-        poll->disks[i] = view->seats[i];
+        poll->disks[i] = view->voters[i];
         poll->users++;
         poll->pending++;
         PollPart *part = talloc_zero(view, PollPart);
@@ -72,7 +72,7 @@
     while (poll->pending > 0 && signal_wait(view->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
         bool woke = false;
-        for (int i = 0; i < SEAT_MOST; i++) {
+        for (int i = 0; i < VOTER_MOST; i++) {
             heard += poll_reached(poll->status[i]);
             woke |= poll_reached(poll->status[i]) && poll->answers[i].woke;
         }
--- a/packages/view/src/seat.c
+++ b/packages/view/src/seat.c
@@ -1,4 +1,4 @@
-/* The seat's part: what it promises, and the log it keeps. */
+/* The voter's part: what it promises, and the log it keeps. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -6,9 +6,9 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-void seat_describe(const View *view, void *mem, SeatAnswer *answer)
+void voter_describe(const View *view, void *mem, VoterAnswer *answer)
 {
-    *answer = (SeatAnswer){
+    *answer = (VoterAnswer){
         .promised = view->lock.promised,
         .holder = view->lock.holder,
         .held = view_knows_holder(view),
@@ -38,19 +38,19 @@
     return (Record){.kind = RECORD_PROMISE, .term = term, .index = holder, .name = ""};
 }
 
-Status seat_propose(View *view, const ProposeAsk *ask)
+Status voter_propose(View *view, const ProposeAsk *ask)
 {
-    /* one that our list of seats does not have was given a seat later than our log
+    /* one that our list of voters does not have was given a voter later than our log
      * goes, or has lost the one it had */
     const bool later = ask->log_term > log_last_term(view->log) ||
                        (ask->log_term == log_last_term(view->log) && ask->log_index > log_last_index(view->log));
-    const bool stranger = view_seat_of(view, ask->holder) < 0 && !later;
+    const bool stranger = view_voter_of(view, ask->holder) < 0 && !later;
     if (ask->term == 0) /* only a look */
-        return stranger && view->cluster != 0 && view->list_index <= view->commit_index ? STATUS_NO_SEAT : STATUS_OK;
+        return stranger && view->cluster != 0 && view->list_index <= view->commit_index ? STATUS_NO_VOTER : STATUS_OK;
     /* a learner may have been made a voter by an entry that it has not been told yet: without
      * its promise, one that nobody leads to commit would stand for good */
-    if (stranger || (view_own_seat(view) < 0 && !(later && view->cluster != 0)))
-        return STATUS_NO_SEAT;
+    if (stranger || (view_own_voter(view) < 0 && !(later && view->cluster != 0)))
+        return STATUS_NO_VOTER;
     if (view_disk_failed(view))
         return STATUS_DISK_FAILED;
     if (ask->term < members_leader_term(view->settings.members))
@@ -138,7 +138,7 @@
     return status;
 }
 
-Status seat_append(View *view, const AppendAsk *ask)
+Status voter_append(View *view, const AppendAsk *ask)
 {
     Record first[2] = {{0}};
     size_t count = 0;
@@ -196,7 +196,7 @@
     return (log_term_at(view->log, snapshot->index, &term) && term == snapshot->term);
 }
 
-Status seat_fill(View *view, const FillAsk *ask)
+Status voter_fill(View *view, const FillAsk *ask)
 {
     Record promise;
     size_t count = 0;
@@ -219,7 +219,7 @@
     }
     Filling *filling = view->filling; /* another may begin while the disk is waited for */
     view->filling = NULL;
-    status = seat_replace(view, &whole, NULL, 0);
+    status = voter_replace(view, &whole, NULL, 0);
     talloc_free(filling);
     return status == STATUS_OK && ask->term != view->lock.promised ? STATUS_OLD_TERM : status;
 }
@@ -232,7 +232,7 @@
            log_term_at(view->log, snapshot->index, &term) && term == snapshot->term;
 }
 
-Status seat_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count)
+Status voter_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
     if (last_index < view->commit_index && view->settings.disks_keep)
@@ -260,7 +260,7 @@
     view_reread(view);
     if (view->cluster == 0) {
         view->cluster = rpc_cluster(view->settings.rpc);
-        seats_founded(view, view->list);
+        voters_founded(view, view->list);
         members_set_empty(view->settings.members, false);
     }
     void *mem = talloc_new(view);
@@ -272,7 +272,7 @@
     return status;
 }
 
-void seat_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer)
+void voter_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = view->log;
     uint64_t term;
@@ -302,8 +302,8 @@
     const ProposeAsk *ask = question;
     if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seat_propose(view, ask);
-    seat_describe(view, mem, answer);
+    const Status status = voter_propose(view, ask);
+    voter_describe(view, mem, answer);
     return status;
 }
 
@@ -322,7 +322,7 @@
             view->commit_index = commit;
         view_deliver(view);
     }
-    seat_describe(view, mem, answer);
+    voter_describe(view, mem, answer);
     return status;
 }
 
@@ -340,7 +340,7 @@
             view->rest_until_ms = loop_now_ms(view->loop) + HANDED_MS;
         signal_raise(view->loop, &view->released);
     }
-    seat_describe(view, mem, answer);
+    voter_describe(view, mem, answer);
     return STATUS_OK;
 }
 
@@ -350,8 +350,8 @@
     const AppendAsk *ask = question;
     if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seat_append(view, ask);
-    seat_describe(view, mem, answer);
+    const Status status = voter_append(view, ask);
+    voter_describe(view, mem, answer);
     return status;
 }
 
@@ -361,8 +361,8 @@
     const FillAsk *ask = question;
     if (!is_for(view, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = seat_fill(view, ask);
-    seat_describe(view, mem, answer);
+    const Status status = voter_fill(view, ask);
+    voter_describe(view, mem, answer);
     return status;
 }
 
@@ -374,17 +374,17 @@
         return STATUS_OTHER_DISK;
     if (question->term != view->lock.promised || question->holder != view->lock.holder)
         return STATUS_OLD_TERM;
-    seat_log(view, mem, question, answer);
+    voter_log(view, mem, question, answer);
     return STATUS_OK;
 }
 
-void seat_serve(View *view)
+void voter_serve(View *view)
 {
     Rpc *rpc = view->settings.rpc;
-    rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &SeatAnswer_shape, on_propose, view);
-    rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &SeatAnswer_shape, on_renew, view);
-    rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &SeatAnswer_shape, on_release, view);
-    rpc_handle(rpc, MESSAGE_APPEND, &AppendAsk_shape, &SeatAnswer_shape, on_append, view);
-    rpc_handle(rpc, MESSAGE_FILL, &FillAsk_shape, &SeatAnswer_shape, on_fill, view);
+    rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &VoterAnswer_shape, on_propose, view);
+    rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &VoterAnswer_shape, on_renew, view);
+    rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &VoterAnswer_shape, on_release, view);
+    rpc_handle(rpc, MESSAGE_APPEND, &AppendAsk_shape, &VoterAnswer_shape, on_append, view);
+    rpc_handle(rpc, MESSAGE_FILL, &FillAsk_shape, &VoterAnswer_shape, on_fill, view);
     rpc_handle(rpc, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, view);
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -11,7 +11,7 @@
     view->settings = *settings;
     view->loop = settings->loop;
     view->log = log_new(view);
-    seats_first(view);
+    voters_first(view);
     return view;
 }
 
@@ -27,7 +27,7 @@
 
 bool view_seated(const View *view)
 {
-    return view_own_seat(view) >= 0;
+    return view_own_voter(view) >= 0;
 }
 
 uint64_t view_disk(const View *view)
@@ -55,7 +55,7 @@
 static bool wide_enough(const View *view)
 {
     size_t copies = 0;
-    for (int i = 0; i < SEAT_MOST; i++)
+    for (int i = 0; i < VOTER_MOST; i++)
         copies += view->in_view[i];
     return copies >= lock_majority(voters_wanted(view));
 }
@@ -74,7 +74,7 @@
 bool view_knows_holder(const View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    /* a woken seat may have forgotten: it must not say that it knows none */
+    /* a woken voter may have forgotten: it must not say that it knows none */
     return lock_held(&view->lock, now_ms) || now_ms < view->lock.not_before_ms || view->holding;
 }
 
@@ -113,7 +113,7 @@
     lead_down(view, rest_ms);
 }
 
-/* --- seats and last view, from the log ------------------------------------ */
+/* --- voters and last view, from the log ------------------------------------ */
 
 static void last_set(View *view, const ViewRecord *record)
 {
@@ -138,18 +138,18 @@
 void view_reread(View *view)
 {
     void *mem = talloc_new(view);
-    const SeatList *seats = NULL;
+    const VoterList *voters = NULL;
     const ViewRecord *last = NULL;
-    uint64_t seats_index = 0;
-    SeatList seat_list;
+    uint64_t voters_index = 0;
+    VoterList voter_list;
     ViewRecord view_record;
     bool repaired = false;
-    for (size_t i = view->log->count; i > 0 && (seats == NULL || last == NULL); i--) {
+    for (size_t i = view->log->count; i > 0 && (voters == NULL || last == NULL); i--) {
         const Record *entry = &view->log->entries[i - 1];
-        if (entry->change == VIEW_CHANGE_SEATS && seats == NULL &&
-            shape_unpack(&SeatList_shape, entry->payload, mem, &seat_list, NULL) == STATUS_OK) {
-            seats = &seat_list;
-            seats_index = entry->index;
+        if (entry->change == VIEW_CHANGE_VOTERS && voters == NULL &&
+            shape_unpack(&VoterList_shape, entry->payload, mem, &voter_list, NULL) == STATUS_OK) {
+            voters = &voter_list;
+            voters_index = entry->index;
         }
         if (entry->change == VIEW_CHANGE_REPAIRED && last == NULL)
             repaired = true;
@@ -158,18 +158,18 @@
             last = &view_record;
     }
     Snapshot snapshot;
-    if ((seats == NULL || last == NULL) && view->log->snapshot.kind == RECORD_SNAPSHOT &&
+    if ((voters == NULL || last == NULL) && view->log->snapshot.kind == RECORD_SNAPSHOT &&
         shape_unpack(&Snapshot_shape, view->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
-        if (seats == NULL) {
-            seat_list = (SeatList){snapshot.seats, snapshot.seats_count, snapshot.cores, snapshot.cores_count};
-            seats = &seat_list;
-            seats_index = view->log->base_index;
+        if (voters == NULL) {
+            voter_list = (VoterList){snapshot.voters, snapshot.voters_count, snapshot.cores, snapshot.cores_count};
+            voters = &voter_list;
+            voters_index = view->log->base_index;
         }
         if (last == NULL)
             last = &snapshot.last;
     }
-    list_check(view, seats_index);
-    seats_take(view, seats != NULL ? seats : view->founded, seats_index);
+    list_check(view, voters_index);
+    voters_take(view, voters != NULL ? voters : view->founded, voters_index);
     if (last != NULL) {
         last_set(view, last);
         view->last.repair &= !repaired;
@@ -198,7 +198,7 @@
         if (entry->change >= VIEW_CHANGE_FIRST)
             view->settings.state.deliver(view->settings.state.arg, entry, &result);
         else if (entry->change == VIEW_CHANGE_VIEW && entry->term == view->lock.promised && last_has(view, view->disk))
-            view->woke = false; /* a view has brought this seat up to date */
+            view->woke = false; /* a view has brought this voter up to date */
         view->delivered_index = entry->index;
         any = true;
         for (Waiter **at = &view->waiters; *at != NULL;) {
@@ -237,7 +237,7 @@
 void view_start(View *view, Members *members)
 {
     view->settings.members = members;
-    seat_serve(view);
+    voter_serve(view);
     /* a holder that starts anew holds nothing: the others need not wait it out, and it
      * is the first that they may promise anything to */
     if (view->lock.promised != 0 && view->lock.holder == view->disk && view_seated(view)) {
@@ -250,12 +250,12 @@
     voters_start(view);
 }
 
-Status view_found(View *view, uint64_t cluster, const SeatList *seats)
+Status view_found(View *view, uint64_t cluster, const VoterList *voters)
 {
     if (view->cluster != 0)
         return view->cluster == cluster ? STATUS_OK : STATUS_STRANGER;
     view->cluster = cluster;
-    seats_founded(view, seats);
+    voters_founded(view, voters);
     view_reread(view);
     rpc_set_cluster(view->settings.rpc, cluster);
     members_set_empty(view->settings.members, false);
@@ -373,13 +373,13 @@
     sight->view_changes = view->view_changes;
     sight->other_histories = view->other_histories;
     sight->journal = *journal_counts(view->journal);
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &view->peers[i];
-        const bool self = view->seats[i] == view->disk;
-        if (view->seats[i] == 0)
+        const bool self = view->voters[i] == view->disk;
+        if (view->voters[i] == 0)
             continue;
-        sight->seats[sight->seat_count++] = (ViewSeatSight){
-            .disk = view->seats[i],
+        sight->voters[sight->voter_count++] = (ViewVoterSight){
+            .disk = view->voters[i],
             .in_view = view->in_view[i],
             .answers = self || now_ms - peer->answered_ms < LOCK_GRANT_MS,
             .woke = self ? view->woke : peer->woke,
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -21,16 +21,16 @@
 
 bool voter_live(const View *view, int place)
 {
-    return view->seats[place] == view->disk ||
+    return view->voters[place] == view->disk ||
            (view->in_view[place] && loop_now_ms(view->loop) - view->peers[place].answered_ms < 2 * LOCK_RENEW_MS);
 }
 
 bool voter_gone(const View *view, int place)
 {
-    const uint64_t disk = view->seats[place];
+    const uint64_t disk = view->voters[place];
     if (disk == 0 || disk == view->disk || view->in_view[place])
         return false;
-    if (seat_dead(view, disk, false))
+    if (voter_dead(view, disk, false))
         return true;
     const Member *member = members_find_disk(view->settings.members, disk);
     int64_t heard_ms = member != NULL ? member->seen_ms : view->won_ms;
@@ -41,8 +41,8 @@
 
 /* The members of one look, and where each of them stands. */
 typedef struct Look {
-    MemberState voters[SEAT_MOST], learners[LEARNER_MOST];
-    int places[SEAT_MOST]; /* of the voters */
+    MemberState voters[VOTER_MOST], learners[LEARNER_MOST];
+    int places[VOTER_MOST]; /* of the voters */
     size_t slots[LEARNER_MOST];
     Membership now;
 } Look;
@@ -52,7 +52,7 @@
     const Member *member = members_find_disk(view->settings.members, disk);
     const bool self = disk == view->disk;
     return (MemberState){.disk = disk,
-                         .zone = seat_zone(view, disk),
+                         .zone = voter_zone(view, disk),
                          .self = self,
                          .leaving = self ? members_self(view->settings.members)->leaving
                                          : member != NULL && member->record.leaving};
@@ -61,7 +61,7 @@
 size_t voters_wanted(const View *view)
 {
     const size_t losses = view->settings.losses > 0 ? (size_t)view->settings.losses : 1;
-    return 2 * losses + 1 < SEAT_MOST ? 2 * losses + 1 : SEAT_MOST;
+    return 2 * losses + 1 < VOTER_MOST ? 2 * losses + 1 : VOTER_MOST;
 }
 
 /* Who has not answered that round of contact counts as not alive; 0: as far as is known. */
@@ -69,11 +69,11 @@
 {
     memset(look, 0, sizeof(*look));
     look->now = (Membership){look->voters, 0, look->learners, 0, voters_wanted(view)};
-    for (int i = 0; i < SEAT_MOST; i++) {
-        if (view->seats[i] == 0)
+    for (int i = 0; i < VOTER_MOST; i++) {
+        if (view->voters[i] == 0)
             continue;
         MemberState *voter = &look->voters[look->now.voter_count];
-        *voter = state_of(view, view->seats[i]);
+        *voter = state_of(view, view->voters[i]);
         voter->live = voter_live(view, i) && (voter->self || view->peers[i].contact >= contact);
         voter->gone = voter_gone(view, i);
         look->places[look->now.voter_count++] = i;
@@ -83,7 +83,7 @@
             continue;
         MemberState *learner = &look->learners[look->now.learner_count];
         *learner = state_of(view, view->learners[i].disk);
-        learner->ready = learner_ready(view, i) && view->peers[SEAT_MOST + i].contact >= contact;
+        learner->ready = learner_ready(view, i) && view->peers[VOTER_MOST + i].contact >= contact;
         learner->steady = learner_steady(view, i);
         look->slots[look->now.learner_count++] = i;
     }
@@ -97,7 +97,7 @@
     sight->losses_borne = membership_bears(look.voters, look.now.voter_count);
     sight->losses_asked = (int)(voters_wanted(view) / 2);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
-        const Peer *peer = &view->peers[SEAT_MOST + i];
+        const Peer *peer = &view->peers[VOTER_MOST + i];
         if (view->learners[i].disk == 0)
             continue;
         sight->learners[sight->learner_count++] =
@@ -115,16 +115,16 @@
 {
     void *mem = talloc_new(view);
     Bytes payload = {0};
-    shape_pack(&SeatList_shape, seats_with(view, mem, place, disk), mem, &payload);
+    shape_pack(&VoterList_shape, voters_with(view, mem, place, disk), mem, &payload);
     ChangeResult result;
-    const Status status = view_submit(view, VIEW_CHANGE_SEATS, payload, &result);
+    const Status status = view_submit(view, VIEW_CHANGE_VOTERS, payload, &result);
     talloc_free(mem);
     return status == STATUS_OK;
 }
 
 static void voter_remove(View *view, int place)
 {
-    const uint64_t disk = view->seats[place];
+    const uint64_t disk = view->voters[place];
     recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop), "voter %016" PRIx64 " is removed",
                    disk);
     list_committed(view, place, 0);
@@ -133,8 +133,8 @@
 /* A place that nobody has. */
 static int place_free(const View *view)
 {
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] == 0)
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->voters[i] == 0)
             return i;
     return -1;
 }
@@ -144,13 +144,13 @@
 {
     const int place = place_free(view);
     const uint64_t disk = view->learners[learner].disk;
-    const Peer peer = view->peers[SEAT_MOST + learner];
+    const Peer peer = view->peers[VOTER_MOST + learner];
     void *mem = talloc_new(view);
     Bytes payload = {0};
-    shape_pack(&SeatList_shape, seats_with(view, mem, place, disk), mem, &payload);
-    const Status status = view_offer(view, VIEW_CHANGE_SEATS, payload);
+    shape_pack(&VoterList_shape, voters_with(view, mem, place, disk), mem, &payload);
+    const Status status = view_offer(view, VIEW_CHANGE_VOTERS, payload);
     talloc_free(mem);
-    if (status != STATUS_OK || view->seats[place] != disk)
+    if (status != STATUS_OK || view->voters[place] != disk)
         return;
     learner_done(view, learner);
     view->peers[place] = peer;
@@ -158,7 +158,7 @@
     lead_renew(view, place);
     lead_peer(view, place);
     recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
-                   "seat %d of %zu is given to disk %016" PRIx64, place + 1, view->seat_count, disk);
+                   "seat %d of %zu is given to disk %016" PRIx64, place + 1, view->voter_count, disk);
     view_settle(view);
 }
 
@@ -239,7 +239,7 @@
 static void successor_wait(View *view, int64_t until_ms)
 {
     while (view_orders(view) && view_seated(view) && successor_runs(view) && loop_now_ms(view->loop) < until_ms &&
-           (view->seat_count <= voters_wanted(view) || view->list_index > view->commit_index)) {
+           (view->voter_count <= voters_wanted(view) || view->list_index > view->commit_index)) {
         signal_raise(view->loop, &view->membership);
         loop_sleep(view->loop, MEMBERSHIP_SOON_MS);
     }
--- a/packages/view/src/watch.c
+++ b/packages/view/src/watch.c
@@ -6,65 +6,65 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-/* Why a seat in the view is to leave it; null: it is not. */
+/* Why a voter in the view is to leave it; null: it is not. */
 static const char *leaves(const View *view, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &view->peers[place];
     const bool near = peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log);
-    if (seat_dead(view, view->seats[place], false))
+    if (voter_dead(view, view->voters[place], false))
         return "its disk is gone";
     if (now_ms - peer->answered_ms > LOCK_GRANT_MS)
         return "silent";
     if (!spare)
         return NULL;
-    const Member *member = members_find_disk(view->settings.members, view->seats[place]);
+    const Member *member = members_find_disk(view->settings.members, view->voters[place]);
     if (member != NULL && member->record.leaving)
         return "its core leaves";
-    if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > SEAT_LATE_MS)
+    if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS)
         return "does not sync in time";
-    if (peer->slow_times >= SEAT_SLOW_TIMES)
+    if (peer->slow_times >= VOTER_SLOW_TIMES)
         return "slow";
-    return !near && now_ms - view->changed_ms > SEAT_LATE_MS ? "far behind" : NULL;
+    return !near && now_ms - view->changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
 }
 
 static bool returns(const View *view, int place, int64_t now_ms)
 {
     const Peer *peer = &view->peers[place];
-    const Member *member = members_find_disk(view->settings.members, view->seats[place]);
+    const Member *member = members_find_disk(view->settings.members, view->voters[place]);
     return (member == NULL || !member->record.leaving) && now_ms - peer->answered_ms <= LOCK_RENEW_MS * 2 &&
            peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(view->log) &&
-           peer->append_took_ms < SEAT_SLOW_MS / 2 && peer->sync_ms < SEAT_SLOW_MS / 2 && now_ms >= peer->return_ms &&
-           !seat_dead(view, view->seats[place], false);
+           peer->append_took_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 && now_ms >= peer->return_ms &&
+           !voter_dead(view, view->voters[place], false);
 }
 
 /* Changes the view under the same term: takes in who is up to date, lets go who
  * keeps the others waiting, as long as a majority stays. True when a promise given
  * to another asks for a new term; skip is filled in then. */
-static bool view_tend(View *view, bool skip[SEAT_MOST])
+static bool view_tend(View *view, bool skip[VOTER_MOST])
 {
     const int64_t now_ms = loop_now_ms(view->loop);
-    bool in_view[SEAT_MOST], anew = false, changed = false;
+    bool in_view[VOTER_MOST], anew = false, changed = false;
     size_t count = 0;
     memcpy(in_view, view->in_view, sizeof(in_view));
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         count += in_view[i];
         skip[i] = false;
     }
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->seats[i] != 0 && view->seats[i] != view->disk && !in_view[i] && returns(view, i, now_ms)) {
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->voters[i] != 0 && view->voters[i] != view->disk && !in_view[i] && returns(view, i, now_ms)) {
             in_view[i] = changed = true;
             count++;
             recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "seat %016" PRIx64 " comes into the view",
-                           view->seats[i]);
+                           view->voters[i]);
         }
-    for (int i = 0; i < SEAT_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) {
         Peer *peer = &view->peers[i];
-        if (view->seats[i] == 0 || view->seats[i] == view->disk)
+        if (view->voters[i] == 0 || view->voters[i] == view->disk)
             continue;
-        /* a seat that has promised more takes nothing of ours, in the view or not */
+        /* a voter that has promised more takes nothing of ours, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
-        skip[i] = silent || seat_dead(view, view->seats[i], false);
+        skip[i] = silent || voter_dead(view, view->voters[i], false);
         anew |= !skip[i] && peer->promised > view->term && now_ms - view->changed_ms > LOCK_RENEW_MS;
         if (!in_view[i])
             continue;
@@ -73,10 +73,10 @@
             in_view[i] = false;
             changed = true;
             count--;
-            peer->return_ms = now_ms + SEAT_REST_MS;
+            peer->return_ms = now_ms + VOTER_REST_MS;
             peer->slow_times = 0;
             recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms, "seat %016" PRIx64 " leaves the view: %s",
-                           view->seats[i], why);
+                           view->voters[i], why);
             continue;
         }
         /* it restarted within the view; one just taken in takes a renewal to be heard of */
@@ -87,16 +87,16 @@
     return anew;
 }
 
-/* The best partition is the largest. All that hold a majority of the seats can
- * reach each other's seats, but a leader may be cut off from other members: when
- * a seat in the view sees many more of them, the lock is better there. */
+/* The best partition is the largest. All that hold a majority of the voters can
+ * reach each other's voters, but a leader may be cut off from other members: when
+ * a voter in the view sees many more of them, the lock is better there. */
 static bool view_blind(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     const uint64_t own = members_sight(view->settings.members);
     bool blind = false;
-    for (int i = 0; i < SEAT_MOST; i++)
-        if (view->in_view[i] && view->seats[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_GRANT_MS)
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (view->in_view[i] && view->voters[i] != view->disk && now_ms - view->peers[i].answered_ms < LOCK_GRANT_MS)
             blind |= view->peers[i].sight > own + SIGHT_MARGIN && view->peers[i].sight > own + own / 2;
     if (!blind || now_ms - view->won_ms < MEMBER_QUIET_MS)
         view->blind_since_ms = 0;
@@ -105,25 +105,25 @@
     return view->blind_since_ms != 0 && now_ms - view->blind_since_ms > SIGHT_HAND_MS;
 }
 
-/* Whether this seat knows no holder, and may be one itself. */
+/* Whether this voter knows no holder, and may be one itself. */
 static bool may_stand(View *view)
 {
     const int64_t now_ms = loop_now_ms(view->loop);
     if (!view_founded(view) || !view_seated(view) || view_disk_failed(view) || now_ms < view->rest_until_ms)
         return false;
     /* a holder whose disk is gone holds nothing any more */
-    if (view->lock.holder != view->disk && seat_dead(view, view->lock.holder, true))
+    if (view->lock.holder != view->disk && voter_dead(view, view->lock.holder, true))
         lock_release(&view->lock, view->lock.promised, view->lock.holder, now_ms);
     return !lock_held(&view->lock, now_ms) &&
            lock_may_promise(&view->lock, UINT64_MAX, view->disk, now_ms) == STATUS_OK;
 }
 
-/* Seats stand one after another, from the place after the last holder's on, so that
+/* Voters stand one after another, from the place after the last holder's on, so that
  * two do not ask for each other's promise; a small draw parts those that know
  * different lists. */
 static int64_t turn_ms(View *view)
 {
-    const int last = view_seat_of(view, view->lock.holder), own = view_own_seat(view);
+    const int last = view_voter_of(view, view->lock.holder), own = view_own_voter(view);
     const int places = (int)view->places;
     const int rank = last < 0 ? own : (own - last - 1 + places) % places;
     return rank * PROPOSE_TURN_MS + (int64_t)(loop_random(view->loop) % (PROPOSE_TURN_MS / 3));
@@ -144,14 +144,14 @@
             continue;
         }
         if (view->phase == VIEW_LEADING) {
-            bool skip[SEAT_MOST];
+            bool skip[VOTER_MOST];
             const int64_t since_ms = journal_sync_since(view->journal);
             if (now_ms >= lock_lease_until(&view->lease)) {
                 recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
                 lead_down(view, 0);
             } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS) ||
-                       (((since_ms != INT64_MAX && now_ms - since_ms > SEAT_LATE_MS) ||
-                         view->slow_times >= SEAT_SLOW_TIMES) &&
+                       (((since_ms != INT64_MAX && now_ms - since_ms > VOTER_LATE_MS) ||
+                         view->slow_times >= VOTER_SLOW_TIMES) &&
                         lead_next(view, true) != 0)) {
                 view->slow_times = 0;
                 recorder_write(view->settings.recorder, RECORDER_ALERT, now_ms,
@@ -172,7 +172,7 @@
                 loop_sleep(view->loop, turn_ms(view));
             view->named = false;
             if (view->phase == VIEW_FOLLOWING && may_stand(view)) {
-                const bool skip[SEAT_MOST] = {false};
+                const bool skip[VOTER_MOST] = {false};
                 /* grants lapse one after another: at first it looks again soon */
                 again_ms = view_open(view, skip) == STATUS_OK ? 0
                            : again_ms == 0                    ? PROPOSE_AGAIN_MS
--- a/packages/view/src/window.c
+++ b/packages/view/src/window.c
@@ -17,20 +17,20 @@
         .list_index = view->list_index,
         .log = view->log,
     };
-    window->voter_count = view_seats(view, window->voters);
+    window->voter_count = view_voters(view, window->voters);
 }
 
 bool view_window_list(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count)
 {
-    if (entry->kind != RECORD_ENTRY || entry->change != VIEW_CHANGE_SEATS)
+    if (entry->kind != RECORD_ENTRY || entry->change != VIEW_CHANGE_VOTERS)
         return false;
     void *mem = talloc_new(NULL);
-    SeatList list;
-    const bool whole = shape_unpack(&SeatList_shape, entry->payload, mem, &list, NULL) == STATUS_OK;
+    VoterList list;
+    const bool whole = shape_unpack(&VoterList_shape, entry->payload, mem, &list, NULL) == STATUS_OK;
     *count = 0;
-    for (size_t i = 0; whole && i < list.seats_count && i < VIEW_VOTERS_MAX; i++)
-        if (list.seats[i].disk != 0)
-            voters[(*count)++] = list.seats[i].disk;
+    for (size_t i = 0; whole && i < list.voters_count && i < VIEW_VOTERS_MAX; i++)
+        if (list.voters[i].disk != 0)
+            voters[(*count)++] = list.voters[i].disk;
     talloc_free(mem);
     return whole;
 }
--- a/packages/view/test/membership.c
+++ b/packages/view/test/membership.c
@@ -18,7 +18,7 @@
 
 /* A state under change. */
 typedef struct Model {
-    MemberState voters[SEAT_MOST + 1], learners[LEARNERS];
+    MemberState voters[VOTER_MOST + 1], learners[LEARNERS];
     size_t voter_count, learner_count, wanted;
 } Model;
 
@@ -45,7 +45,7 @@
 /* On how many disks what is acknowledged is synced, by the rule that a leader keeps. */
 static size_t copies_of(const Model *model)
 {
-    const size_t majority = lock_majority(model->voter_count > SEAT_FIRST ? model->voter_count : SEAT_FIRST);
+    const size_t majority = lock_majority(model->voter_count > VOTER_FIRST ? model->voter_count : VOTER_FIRST);
     const size_t asked = model->wanted / 2 + 1;
     return asked < majority ? asked : majority;
 }
@@ -67,7 +67,7 @@
             assert_true(model->learners[change.index].ready && !model->learners[change.index].leaving);
         assert_true(before >= 0); /* without a majority nothing can be committed */
         apply(model, change);
-        assert_in_range(model->voter_count, 1, SEAT_MOST);
+        assert_in_range(model->voter_count, 1, VOTER_MOST);
         assert_true(membership_bears(model->voters, model->voter_count) >= before);
         assert_true(copies_of(model) >= copies);
     }
@@ -140,7 +140,7 @@
 static void vacated_first_bears_less(void **state)
 {
     (void)state;
-    for (size_t count = 3; count <= SEAT_MOST; count += 2) {
+    for (size_t count = 3; count <= VOTER_MOST; count += 2) {
         Model model = model_of(count, 0, 1, count);
         const int before = membership_bears(model.voters, model.voter_count);
         apply(&model, (MembershipChange){MEMBERSHIP_REMOVE, 1});
