--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -179,21 +179,22 @@
 
 /* --- aims and estimates ------------------------------------------------------------ */
 #define PACE_FIRST_MS 700      /* ms; a running round's progress is told first after this, a short task's never */
-#define GUESS_KEPT 32          /* count; ratios that a median is taken of: what is older says little */
-#define GUESS_LEAST 5          /* count; ends before a step's estimate is corrected */
-#define GUESS_FRESH_KEPT 9     /* count; as GUESS_KEPT; fewer, since a worker turns slow within seconds ... */
-#define GUESS_FRESH_LEAST 3    /* count; ... and fewer than these say nothing */
-#define GUESS_FRESH_MS 4000    /* ms; what a worker did before this says nothing of a slow spell: those are as short */
-#define GUESS_POOL 64          /* count; ratios of all workers: enough that one of them does not decide */
-#define GUESS_RATIO_MOST 20000 /* thousandths; a worker that much slower stands still */
-#define GUESS_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
-#define GUESS_SPEED_MOST 1700  /* ... with estimates off by up to half, beyond this it is a slow spell */
-#define STILL_PERCENT 15       /* percent; a round that did nothing while so much of its work was due stands still */
-#define STILL_LEAST_MS 1000    /* ms; ... and this long: what goes on from what was saved begins with a pause */
-#define PACE_CREDIT 16         /* count; words of progress before no progress is believed: some workers tell none */
-#define STOP_LOOK_MS 200       /* ms; between two looks for rounds that go on better elsewhere */
-#define SLOW_GAIN 2.5          /* 1; a round is begun anew elsewhere when that takes so many times less ... */
-#define SLOW_COST_MS 1000      /* ms; ... and this much besides: stopping, starting, and what is thrown away */
+#define ESTIMATE_KEPT 32       /* count; ratios that a median is taken of: what is older says little */
+#define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
+#define ESTIMATE_FRESH_KEPT 9  /* count; as ESTIMATE_KEPT; fewer, since a worker turns slow within seconds ... */
+#define ESTIMATE_FRESH_LEAST 3 /* count; ... and fewer than these say nothing */
+#define ESTIMATE_FRESH_MS 4000 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
+                                */
+#define ESTIMATE_POOL 64       /* count; ratios of all workers: enough that one of them does not decide */
+#define ESTIMATE_RATIO_MOST 20000 /* thousandths; a worker that much slower stands still */
+#define ESTIMATE_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
+#define ESTIMATE_SPEED_MOST 1700  /* ... with estimates off by up to half, beyond this it is a slow spell */
+#define STILL_PERCENT 15          /* percent; a round that did nothing while so much of its work was due stands still */
+#define STILL_LEAST_MS 1000       /* ms; ... and this long: what goes on from what was saved begins with a pause */
+#define PACE_CREDIT 16            /* count; words of progress before no progress is believed: some workers tell none */
+#define STOP_LOOK_MS 200          /* ms; between two looks for rounds that go on better elsewhere */
+#define SLOW_GAIN 2.5             /* 1; a round is begun anew elsewhere when that takes so many times less ... */
+#define SLOW_COST_MS 1000         /* ms; ... and this much besides: stopping, starting, and what is thrown away */
 #define LEAVE_LAST_MS                                                                                                  \
     1500                    /* ms; what a leaving worker has is stopped this long before, so that it is saved and told \
                              */
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -134,7 +134,7 @@
     if (percent <= 100 || candidate->restart)
         return false;
     /* half of what the way would cost, never more than a part of what time there is */
-    int64_t wait_ms = candidate->guess_ms * (int64_t)(percent - 100) / 200;
+    int64_t wait_ms = candidate->estimate_ms * (int64_t)(percent - 100) / 200;
     if (candidate->slack_ms < INT64_MAX && candidate->slack_ms / 2 < wait_ms)
         wait_ms = candidate->slack_ms / 2;
     if (wait_ms > FAR_WAIT_MS)
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -176,8 +176,8 @@
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
-    core->guesses = guesses_new(core);
-    core->queue = queue_new(core, core->guesses);
+    core->estimates = estimates_new(core);
+    core->queue = queue_new(core, core->estimates);
     core->orphans = orphans_new(core);
     core->paces = paces_new(core);
     table_left_watch(core->table, on_left, core);
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -82,7 +82,7 @@
     int64_t pass_gap_ms;  /* between two passes */
     int64_t push_from_ms; /* nobody is pushed aside for an aim before this */
     int64_t stop_look_ms; /* rounds that go on better elsewhere are looked for again from then on */
-    Guesses *guesses;     /* how long work takes, as seen by this leader */
+    Estimates *estimates; /* how long work takes, as seen by this leader */
     Map *kept;            /* names of cells to Kept */
     Map *alerts;          /* those that stand */
     uint64_t alert_looks;
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -76,8 +76,8 @@
         for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = pass_place(pass, kept->workers[i]);
             /* what is over before there is room for the other takes nothing from it */
-            const bool passes = candidate->guess_ms > 0 && kept->until_ms[i] < INT64_MAX &&
-                                candidate->guess_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
+            const bool passes = candidate->estimate_ms > 0 && kept->until_ms[i] < INT64_MAX &&
+                                candidate->estimate_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
             if (at != SIZE_MAX && !passes)
                 excluded[at] = any = true;
         }
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -79,13 +79,13 @@
     if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
-    const int64_t guess = guess_ms(core->guesses, job, job->tasks[at].step);
-    if (guess <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
+    const int64_t estimate = estimate_ms(core->estimates, job, job->tasks[at].step);
+    if (estimate <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
-    const double due = (double)span_ms * 10000.0 / ((double)guess * (double)score_far_percent(core, its, step));
+    const double due = (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(core, its, step));
     if (due >= 4) /* less is lost in whole percents */
-        guesses_pace(core->guesses, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
-                     loop_now_ms(core->loop));
+        estimates_pace(core->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
+                       loop_now_ms(core->loop));
 }
 
 void pace_take(Core *core, const char *worker, const RoundSaved *told)
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -40,7 +40,7 @@
                                               .room = room,
                                               .free = room_less(room, used),
                                               .penalty = score_rate(core, worker->name) * 10};
-        pass->speeds[i] = guess_speed(core->guesses, worker->name, loop_now_ms(core->loop));
+        pass->speeds[i] = estimate_speed(core->estimates, worker->name, loop_now_ms(core->loop));
         pass->fleet = room_more(pass->fleet, room);
     }
     pass->largest = plan_largest(pass->input.workers, count);
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -76,14 +76,14 @@
 {
     Core *core = pass->core;
     if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PUSH_SLACK_MS ||
-        candidate->slack_ms < -candidate->guess_ms / 2 || loop_now_ms(core->loop) < core->push_from_ms)
+        candidate->slack_ms < -candidate->estimate_ms / 2 || loop_now_ms(core->loop) < core->push_from_ms)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priority_of(pass, candidate->job, candidate->first);
     if (!most_urgent(pass, candidate->job, priority))
         return;
     const PlanNeed need = pass_need(candidate->job, task->step);
-    const int64_t most = PUSH_COST * candidate->guess_ms * (int64_t)need.room.cpu_milli / 1000;
+    const int64_t most = PUSH_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
     Push best = {.count = 0};
     core->push_from_ms = loop_now_ms(core->loop) + PUSH_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
--- a/packages/core/src/reserve.c
+++ b/packages/core/src/reserve.c
@@ -35,7 +35,7 @@
 
 void reserve_for(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded)
 {
-    if (candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->guess_ms ||
+    if (candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->estimate_ms ||
         candidate->count > pass->input.worker_count)
         return;
     Room all = pass->reserved;
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -132,7 +132,7 @@
     return far ? (uint64_t)core->settings->bounds.far_percent : 100;
 }
 
-static void guess_take(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
+static void estimate_take(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
 {
     const Worker *worker = table_worker(core->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
@@ -140,8 +140,8 @@
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        guesses_end(core->guesses, job, task->step, news->worker, ran_ms, score_far_percent(core, worker, step),
-                    loop_now_ms(core->loop));
+        estimates_end(core->estimates, job, task->step, news->worker, ran_ms, score_far_percent(core, worker, step),
+                      loop_now_ms(core->loop));
 }
 
 void score_still(Core *core, const char *worker, const Job *job)
@@ -168,7 +168,7 @@
             news->word == ROUND_DONE && job != NULL && at < job->tasks_count && job->tasks[at].round == news->round;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            guess_take(core, news, job, &job->tasks[at]);
+            estimate_take(core, news, job, &job->tasks[at]);
         if (score == NULL && ((news->word == ROUND_DONE && !slow) || table_worker(core->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -44,14 +44,14 @@
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
-    const int64_t guess = guess_ms(core->guesses, job, task->step);
-    if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || guess <= 0 ||
+    const int64_t estimate = estimate_ms(core->estimates, job, task->step);
+    if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || estimate <= 0 ||
         task->round >= SLOW_ROUNDS_MOST)
         return false;
     const Worker *its = table_worker(core->table, task->worker);
     const uint64_t far = its != NULL ? score_far_percent(core, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
-    going->whole_ms = (double)guess * (double)far / 100 * (double)guess_pace(core->guesses) / 1000;
+    going->whole_ms = (double)estimate * (double)far / 100 * (double)estimate_pace(core->estimates) / 1000;
     const Pace *pace = pace_find(core->paces, job->spec.id, task_number(task), task->round);
     if (pace == NULL)
         return false;
@@ -75,7 +75,7 @@
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
     Aim aim;
-    aim_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->guesses, (Room){0}, &aim);
+    aim_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->estimates, (Room){0}, &aim);
     const int64_t slack_ms = aim_slack_ms(&aim, task->step, pass->clock.log_ms);
     return aim.span_ms > 0 && (double)slack_ms + (double)aim.task_ms[task->step] >= going->left_ms;
 }
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -10,8 +10,8 @@
     const Core *core = pass->core;
     if (task->phase == TASK_STOPPING)
         return STOP_TAKES_MS;
-    const int64_t guess = guess_ms(core->guesses, job, task->step);
-    if (guess <= 0 || job->spec.lasting)
+    const int64_t estimate = estimate_ms(core->estimates, job, task->step);
+    if (estimate <= 0 || job->spec.lasting)
         return INT64_MAX;
     const Pace *pace = pace_find(core->paces, job->spec.id, task_number(task), task->round);
     if (pace != NULL && pace->per_ms > 0) {
@@ -22,7 +22,7 @@
     const Worker *its = table_worker(core->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const uint64_t far = its != NULL ? score_far_percent(core, its, step) : 100;
-    const int64_t whole_ms = guess * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
+    const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
     return whole_ms - ran_ms > whole_ms / 8 ? whole_ms - ran_ms : whole_ms / 8 + ENDS_LEAST_MS;
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -76,7 +76,7 @@
 typedef struct DraftStep {
     uint64_t count;
     Room room;
-    int64_t guess_ms, work_ms;
+    int64_t estimate_ms, work_ms;
     uint64_t after[8];
     size_t after_count;
     bool gang, same_rack;
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -46,7 +46,7 @@
     step->same_rack = step->gang && dice_percent(dice, 50);
     room_draw(site, kind, dice, step);
     step->work_ms = dice_about(dice, kind->task_ms);
-    step->guess_ms = step->work_ms * dice_span(dice, 50, 150) / 100;
+    step->estimate_ms = step->work_ms * dice_span(dice, 50, 150) / 100;
     if (dice_percent(dice, kind->near_percent)) {
         const int64_t hand = dice_span(dice, 0, site->hands - 1);
         step->near = talloc_asprintf(callers->book, "r%" PRId64 "-%" PRId64, hand % site->zones,
--- a/packages/queue/include/queue/aim.h
+++ b/packages/queue/include/queue/aim.h
@@ -14,7 +14,7 @@
 } Aim;
 
 /* quarter: a step wider than this runs in waves. */
-void aim_find(const Job *job, int64_t from_ms, const Guesses *guesses, Room quarter, Aim *aim);
+void aim_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, Aim *aim);
 /* Time that may pass before the step must be under way for the aim to be met;
  * negative: it can't be met any more. */
 int64_t aim_slack_ms(const Aim *aim, uint64_t step, int64_t now_ms);
--- a/packages/queue/include/queue/line.h
+++ b/packages/queue/include/queue/line.h
@@ -6,14 +6,14 @@
 /* Something to place: one task, or a whole gang. */
 typedef struct Candidate {
     const Job *job;
-    size_t first;     /* index of its first task */
-    size_t count;     /* 1, or the members of a gang that have not finished */
-    bool restart;     /* protected work without an aim that was lost: goes before all else */
-    double rank;      /* by its cell's policy: counts within the cell only */
-    int64_t since_ms; /* log time since when it could have started */
-    int64_t slack_ms; /* time left before it must be under way; INT64_MAX: it has no aim */
-    int64_t span_ms;  /* of its aim; 0: none */
-    int64_t guess_ms; /* what a task of it should take; 0: not known */
+    size_t first;        /* index of its first task */
+    size_t count;        /* 1, or the members of a gang that have not finished */
+    bool restart;        /* protected work without an aim that was lost: goes before all else */
+    double rank;         /* by its cell's policy: counts within the cell only */
+    int64_t since_ms;    /* log time since when it could have started */
+    int64_t slack_ms;    /* time left before it must be under way; INT64_MAX: it has no aim */
+    int64_t span_ms;     /* of its aim; 0: none */
+    int64_t estimate_ms; /* what a task of it should take; 0: not known */
 } Candidate;
 
 /* The index of its nth task: a gang's members that have finished are left out. */
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -53,8 +53,8 @@
  * Invariant: nothing in it is the only copy; dropped whole, it is found again. */
 typedef struct Queue Queue;
 
-/* guesses may be null. */
-Queue *queue_new(void *mem, const Guesses *guesses);
+/* estimates may be null. */
+Queue *queue_new(void *mem, const Estimates *estimates);
 /* What a policy sees of a task. */
 PolicySight queue_see(Queue *queue, const QueueSight *sight, const Job *job, size_t task);
 
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/aim.c
@@ -24,7 +24,7 @@
     return waves < step->count ? waves : step->count;
 }
 
-void aim_find(const Job *job, int64_t from_ms, const Guesses *guesses, Room quarter, Aim *aim)
+void aim_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, Aim *aim)
 {
     int64_t longest_ms = 0;
     /* steps wait for earlier ones alone */
@@ -35,7 +35,7 @@
             if (aim->after_ms[k] > next_ms && comes_after(&job->spec.steps[k], step->name))
                 next_ms = aim->after_ms[k];
         const int64_t waves = step->gang ? 1 : (int64_t)waves_of(step, quarter);
-        const int64_t task_ms = guess_ms(guesses, job, s);
+        const int64_t task_ms = estimate_ms(estimates, job, s);
         aim->task_ms[s] = (int32_t)(task_ms < INT32_MAX / 2 ? task_ms : INT32_MAX / 2);
         const int64_t after_ms = aim->task_ms[s] * waves + next_ms;
         aim->after_ms[s] = (int32_t)(after_ms < INT32_MAX ? after_ms : INT32_MAX);
@@ -51,7 +51,7 @@
     return aim->from_ms + aim->span_ms - now_ms - aim->after_ms[step];
 }
 
-/* Guesses are off by a part: one that misses by less may still make it. */
+/* Estimates are off by a part: one that misses by less may still make it. */
 static bool can_make(int64_t slack_ms, int64_t work_ms)
 {
     return slack_ms >= -work_ms * AIM_DOUBT_PERCENT / 100;
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/guess.c
@@ -10,36 +10,36 @@
 
 /* The newest ratios, in thousandths, and their median. */
 typedef struct Ratios {
-    uint64_t kept[GUESS_KEPT];
-    uint64_t count; /* ever; the newest is at (count - 1) % GUESS_KEPT */
+    uint64_t kept[ESTIMATE_KEPT];
+    uint64_t count; /* ever; the newest is at (count - 1) % ESTIMATE_KEPT */
     uint64_t median;
     uint64_t told; /* the median when it last counted as moved */
 } Ratios;
 
 /* Of a worker: time taken there to time guessed by us. */
 typedef struct Speed {
-    Ratios ends;                        /* of work done whole */
-    uint64_t fresh[GUESS_FRESH_KEPT];   /* the newest, also of work under way ... */
-    int64_t fresh_ms[GUESS_FRESH_KEPT]; /* ... and when each was taken */
+    Ratios ends;                           /* of work done whole */
+    uint64_t fresh[ESTIMATE_FRESH_KEPT];   /* the newest, also of work under way ... */
+    int64_t fresh_ms[ESTIMATE_FRESH_KEPT]; /* ... and when each was taken */
     uint64_t fresh_count;
 } Speed;
 
-struct Guesses {
-    Map *steps;                /* "cell/queue/step" to Ratios: time taken to time guessed by the caller */
-    Map *plain;                /* the same key to Ratios: milliseconds, for steps whose caller guessed nothing */
-    uint64_t stamp;            /* grows when a median has moved by a twentieth or more */
-    Map *workers;              /* names to Speed */
-    uint64_t pool[GUESS_POOL]; /* the newest of all workers together */
+struct Estimates {
+    Map *steps;                   /* "cell/queue/step" to Ratios: time taken to time guessed by the caller */
+    Map *plain;                   /* the same key to Ratios: milliseconds, for steps whose caller guessed nothing */
+    uint64_t stamp;               /* grows when a median has moved by a twentieth or more */
+    Map *workers;                 /* names to Speed */
+    uint64_t pool[ESTIMATE_POOL]; /* the newest of all workers together */
     uint64_t pool_count, pool_median;
 };
 
-Guesses *guesses_new(void *mem)
+Estimates *estimates_new(void *mem)
 {
-    Guesses *guesses = talloc_zero(mem, Guesses);
-    guesses->steps = map_new(guesses);
-    guesses->plain = map_new(guesses);
-    guesses->workers = map_new(guesses);
-    return guesses;
+    Estimates *estimates = talloc_zero(mem, Estimates);
+    estimates->steps = map_new(estimates);
+    estimates->plain = map_new(estimates);
+    estimates->workers = map_new(estimates);
+    return estimates;
 }
 
 static int order(const void *a, const void *b)
@@ -48,17 +48,17 @@
     return x < y ? -1 : x > y;
 }
 
-uint64_t guesses_stamp(const Guesses *guesses)
+uint64_t estimates_stamp(const Estimates *estimates)
 {
-    return guesses != NULL ? guesses->stamp : 0;
+    return estimates != NULL ? estimates->stamp : 0;
 }
 
 /* True when the median has moved enough to count. */
 static bool ratio_take(Ratios *ratios, uint64_t ratio)
 {
-    ratios->kept[ratios->count++ % GUESS_KEPT] = ratio;
-    uint64_t sorted[GUESS_KEPT];
-    const size_t count = ratios->count < GUESS_KEPT ? (size_t)ratios->count : GUESS_KEPT;
+    ratios->kept[ratios->count++ % ESTIMATE_KEPT] = ratio;
+    uint64_t sorted[ESTIMATE_KEPT];
+    const size_t count = ratios->count < ESTIMATE_KEPT ? (size_t)ratios->count : ESTIMATE_KEPT;
     memcpy(sorted, ratios->kept, count * sizeof(*sorted));
     qsort(sorted, count, sizeof(*sorted), order);
     ratios->median = sorted[count / 2];
@@ -79,12 +79,12 @@
     return ratios;
 }
 
-static Speed *speed_of(Guesses *guesses, const char *worker)
+static Speed *speed_of(Estimates *estimates, const char *worker)
 {
-    Speed *speed = map_get(guesses->workers, worker);
+    Speed *speed = map_get(estimates->workers, worker);
     if (speed == NULL) {
-        speed = talloc_zero(guesses->workers, Speed);
-        map_set(guesses->workers, worker, speed);
+        speed = talloc_zero(estimates->workers, Speed);
+        map_set(estimates->workers, worker, speed);
     }
     return speed;
 }
@@ -106,73 +106,73 @@
     return ratios != NULL && ratios->count >= least ? ratios->median : otherwise;
 }
 
-int64_t guess_ms(const Guesses *guesses, const Job *job, uint64_t step)
+int64_t estimate_ms(const Estimates *estimates, const Job *job, uint64_t step)
 {
     const int64_t said_ms = (int64_t)job->spec.steps[step].est_ms;
-    if (guesses == NULL)
+    if (estimates == NULL)
         return said_ms;
     const Key key = step_key(job, step);
     if (said_ms == 0)
-        return (int64_t)median_of(guesses->plain, key.text, GUESS_LEAST, 0);
-    return said_ms * (int64_t)median_of(guesses->steps, key.text, GUESS_LEAST, 1000) / 1000;
+        return (int64_t)median_of(estimates->plain, key.text, ESTIMATE_LEAST, 0);
+    return said_ms * (int64_t)median_of(estimates->steps, key.text, ESTIMATE_LEAST, 1000) / 1000;
 }
 
-uint64_t guess_pace(const Guesses *guesses)
+uint64_t estimate_pace(const Estimates *estimates)
 {
-    return guesses != NULL && guesses->pool_median > 1000 ? guesses->pool_median : 1000;
+    return estimates != NULL && estimates->pool_median > 1000 ? estimates->pool_median : 1000;
 }
 
-uint64_t guess_speed(const Guesses *guesses, const char *worker, int64_t now_ms)
+uint64_t estimate_speed(const Estimates *estimates, const char *worker, int64_t now_ms)
 {
-    const Speed *speed = guesses != NULL ? map_get(guesses->workers, worker) : NULL;
+    const Speed *speed = estimates != NULL ? map_get(estimates->workers, worker) : NULL;
     if (speed == NULL)
         return 1000;
-    uint64_t fresh[GUESS_FRESH_KEPT];
+    uint64_t fresh[ESTIMATE_FRESH_KEPT];
     size_t count = 0;
-    for (size_t i = 0; i < GUESS_FRESH_KEPT && i < speed->fresh_count; i++)
-        if (now_ms - speed->fresh_ms[i] <= GUESS_FRESH_MS)
+    for (size_t i = 0; i < ESTIMATE_FRESH_KEPT && i < speed->fresh_count; i++)
+        if (now_ms - speed->fresh_ms[i] <= ESTIMATE_FRESH_MS)
             fresh[count++] = speed->fresh[i];
-    const uint64_t ends = speed->ends.count >= GUESS_LEAST ? speed->ends.median : 1000;
-    const uint64_t lasting = ends < GUESS_SPEED_LEAST  ? GUESS_SPEED_LEAST
-                             : ends > GUESS_SPEED_MOST ? GUESS_SPEED_MOST
-                                                       : ends;
-    if (count < GUESS_FRESH_LEAST)
+    const uint64_t ends = speed->ends.count >= ESTIMATE_LEAST ? speed->ends.median : 1000;
+    const uint64_t lasting = ends < ESTIMATE_SPEED_LEAST  ? ESTIMATE_SPEED_LEAST
+                             : ends > ESTIMATE_SPEED_MOST ? ESTIMATE_SPEED_MOST
+                                                          : ends;
+    if (count < ESTIMATE_FRESH_LEAST)
         return lasting;
     qsort(fresh, count, sizeof(*fresh), order);
     /* a few of late are few: they count when they say something else altogether */
-    const uint64_t own = fresh[count / 2] * 1000 / guess_pace(guesses);
-    return own > GUESS_SPEED_MOST ? own : lasting;
+    const uint64_t own = fresh[count / 2] * 1000 / estimate_pace(estimates);
+    return own > ESTIMATE_SPEED_MOST ? own : lasting;
 }
 
-void guesses_pace(Guesses *guesses, const char *worker, uint64_t ratio, int64_t now_ms)
+void estimates_pace(Estimates *estimates, const char *worker, uint64_t ratio, int64_t now_ms)
 {
-    Speed *speed = speed_of(guesses, worker);
-    const size_t at = (size_t)(speed->fresh_count++ % GUESS_FRESH_KEPT);
-    speed->fresh[at] = ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST;
+    Speed *speed = speed_of(estimates, worker);
+    const size_t at = (size_t)(speed->fresh_count++ % ESTIMATE_FRESH_KEPT);
+    speed->fresh[at] = ratio < ESTIMATE_RATIO_MOST ? ratio : ESTIMATE_RATIO_MOST;
     speed->fresh_ms[at] = now_ms;
-    guesses->pool[guesses->pool_count++ % GUESS_POOL] = speed->fresh[at];
-    uint64_t sorted[GUESS_POOL];
-    const size_t count = guesses->pool_count < GUESS_POOL ? (size_t)guesses->pool_count : GUESS_POOL;
-    memcpy(sorted, guesses->pool, count * sizeof(*sorted));
+    estimates->pool[estimates->pool_count++ % ESTIMATE_POOL] = speed->fresh[at];
+    uint64_t sorted[ESTIMATE_POOL];
+    const size_t count = estimates->pool_count < ESTIMATE_POOL ? (size_t)estimates->pool_count : ESTIMATE_POOL;
+    memcpy(sorted, estimates->pool, count * sizeof(*sorted));
     qsort(sorted, count, sizeof(*sorted), order);
-    guesses->pool_median = sorted[count / 2];
+    estimates->pool_median = sorted[count / 2];
 }
 
-void guesses_end(Guesses *guesses, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
-                 uint64_t far_percent, int64_t now_ms)
+void estimates_end(Estimates *estimates, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
+                   uint64_t far_percent, int64_t now_ms)
 {
     if (took_ms <= 0 || far_percent == 0)
         return;
     const uint64_t sound_ms = (uint64_t)took_ms * 100 / far_percent;
     const uint64_t said_ms = job->spec.steps[step].est_ms;
-    const int64_t expected_ms = guess_ms(guesses, job, step);
+    const int64_t expected_ms = estimate_ms(estimates, job, step);
     const Key key = step_key(job, step);
     if (expected_ms > 0) {
         const uint64_t ratio = sound_ms * 1000 / (uint64_t)expected_ms;
-        ratio_take(&speed_of(guesses, worker)->ends, ratio < GUESS_RATIO_MOST ? ratio : GUESS_RATIO_MOST);
-        guesses_pace(guesses, worker, ratio, now_ms);
+        ratio_take(&speed_of(estimates, worker)->ends, ratio < ESTIMATE_RATIO_MOST ? ratio : ESTIMATE_RATIO_MOST);
+        estimates_pace(estimates, worker, ratio, now_ms);
     }
-    const bool moved = said_ms > 0 ? ratio_take(ratios_of(guesses->steps, key.text), sound_ms * 1000 / said_ms)
-                                   : ratio_take(ratios_of(guesses->plain, key.text), sound_ms);
-    guesses->stamp += moved;
+    const bool moved = said_ms > 0 ? ratio_take(ratios_of(estimates->steps, key.text), sound_ms * 1000 / said_ms)
+                                   : ratio_take(ratios_of(estimates->plain, key.text), sound_ms);
+    estimates->stamp += moved;
 }
--- a/packages/queue/src/inside.h
+++ b/packages/queue/src/inside.h
@@ -21,7 +21,7 @@
     const ConfigQueue *queue;
     Account *cell_account, *tenant_account;
     Aim aim;         /* from the first turn's due time */
-    uint64_t learnt; /* of the guesses, when the aim was found ... */
+    uint64_t learnt; /* of the estimates, when the aim was found ... */
     Room quarter;    /* ... for this part of the fleet */
 } Note;
 
@@ -30,7 +30,7 @@
 Room *account_use(Queue *queue, const QueueSight *sight, Account *account);
 /* A line begins: what accounts use is looked up anew. */
 uint64_t queue_line(Queue *queue, size_t jobs);
-const Guesses *queue_guesses(const Queue *queue);
+const Estimates *queue_estimates(const Queue *queue);
 /* The larger part of the fleet, in millionths: fine enough for one small task. */
 uint64_t part_of(Room room, Room fleet);
 
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -128,7 +128,7 @@
                       .since_ms = free_ms > aim->from_ms ? free_ms : aim->from_ms,
                       .slack_ms = has ? aim_slack_ms(aim, task->step, line->sight->clock.log_ms) : INT64_MAX,
                       .span_ms = has ? aim->span_ms : 0,
-                      .guess_ms = aim->task_ms[task->step]},
+                      .estimate_ms = aim->task_ms[task->step]},
         .note = note,
         .end = end,
     };
@@ -185,9 +185,9 @@
         const bool done = (job->sums.done[turn] >> s & 1) != 0;
         if (!done && first < end && task_steps_done(job, &job->tasks[first])) {
             if (!known) {
-                const uint64_t learnt = guesses_stamp(queue_guesses(line->queue));
+                const uint64_t learnt = estimates_stamp(queue_estimates(line->queue));
                 if (note->learnt != learnt || !room_same(note->quarter, line->quarter))
-                    aim_find(job, 0, queue_guesses(line->queue), line->quarter, &note->aim);
+                    aim_find(job, 0, queue_estimates(line->queue), line->quarter, &note->aim);
                 note->learnt = learnt;
                 note->quarter = line->quarter;
                 note->aim.from_ms = queue_due_ms(job, turn, line->sight->clock);
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -10,7 +10,7 @@
 #define NOTES_SPARE 256 /* count; notes of jobs that are gone are dropped beyond so many */
 
 struct Queue {
-    const Guesses *guesses;
+    const Estimates *estimates;
     GHashTable *notes; /* by job's number */
     Map *accounts;     /* "cell", "cell/tenant" */
     uint64_t line;
@@ -22,19 +22,19 @@
     return 0;
 }
 
-Queue *queue_new(void *mem, const Guesses *guesses)
+Queue *queue_new(void *mem, const Estimates *estimates)
 {
     Queue *queue = talloc_zero(mem, Queue);
-    queue->guesses = guesses;
+    queue->estimates = estimates;
     queue->notes = g_hash_table_new(g_int64_hash, g_int64_equal);
     queue->accounts = map_new(queue);
     talloc_set_destructor(queue, queue_free);
     return queue;
 }
 
-const Guesses *queue_guesses(const Queue *queue)
+const Estimates *queue_estimates(const Queue *queue)
 {
-    return queue->guesses;
+    return queue->estimates;
 }
 
 uint64_t part_of(Room room, Room fleet)
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -158,20 +158,20 @@
     (void)state;
     Board board = board_new();
     const Job *job = add(&board, "a", 1000, aims(1000, 0, 0));
-    Guesses *guesses = guesses_new(board.table);
-    assert_int_equal(guess_ms(guesses, job, 0), 1000);
+    Estimates *estimates = estimates_new(board.table);
+    assert_int_equal(estimate_ms(estimates, job, 0), 1000);
     for (int i = 0; i < 40; i++)
-        guesses_end(guesses, job, 0, "w1", 1500, 100, 0);
-    guesses_end(guesses, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
-    assert_int_equal(guess_ms(guesses, job, 0), 1500);
-    assert_int_equal(guess_speed(guesses, "w1", 0), 1000);
-    assert_int_equal(guess_speed(guesses, "w2", 0), 1000);
+        estimates_end(estimates, job, 0, "w1", 1500, 100, 0);
+    estimates_end(estimates, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
+    assert_int_equal(estimate_ms(estimates, job, 0), 1500);
+    assert_int_equal(estimate_speed(estimates, "w1", 0), 1000);
+    assert_int_equal(estimate_speed(estimates, "w2", 0), 1000);
     for (int i = 0; i < 5; i++)
-        guesses_end(guesses, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
-    assert_int_equal(guess_speed(guesses, "w2", 0), 2000);
+        estimates_end(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
+    assert_int_equal(estimate_speed(estimates, "w2", 0), 2000);
     /* a slow spell is soon forgotten; what a worker has always been like is not, within bounds */
-    assert_int_equal(guess_speed(guesses, "w2", GUESS_FRESH_MS + 1), GUESS_SPEED_MOST);
-    assert_int_equal(guess_ms(guesses, job, 0), 1500);
+    assert_int_equal(estimate_speed(estimates, "w2", ESTIMATE_FRESH_MS + 1), ESTIMATE_SPEED_MOST);
+    assert_int_equal(estimate_ms(estimates, job, 0), 1500);
     talloc_free(board.table);
 }
 
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -131,10 +131,10 @@
     core->saved = map_new(core);
     core->scores = map_new(core);
     core->kept = map_new(core);
-    core->guesses = guesses_new(core);
+    core->estimates = estimates_new(core);
     core->orphans = orphans_new(core);
     core->paces = paces_new(core);
-    core->queue = queue_new(core, core->guesses);
+    core->queue = queue_new(core, core->estimates);
     Stand stand = {core, 0, 0};
     const ConfigSet set = {
         .version = 1,
--- a/packages/table/include/table/job.h
+++ b/packages/table/include/table/job.h
@@ -11,20 +11,20 @@
     X(U64, gpu, 0)
 SHAPE(Room, ROOM_FIELDS)
 
-#define STEP_SPEC_FIELDS(X)                                                          \
-    X(TXT, name, 0)                                                                  \
-    X(TXS, after, 0)      /* names of the steps that must be done before */          \
-    X(U64, count, 0)      /* tasks in this step */                                   \
-    X(FLAG, gang, 0)      /* all of them placed together or none */                  \
-    X(ONE, room, Room)    /* of each task */                                         \
-    X(TXT, kind, 0)       /* of worker; empty: any */                                \
-    X(TXS, labels, 0)     /* the worker must have all */                             \
-    X(TXT, payload, 0)    /* JSON for the worker; not read here */                   \
-    X(U64, est_ms, 0)     /* the caller's rough guess of one task's time; 0: none */ \
-    X(U64, apart, 0)      /* at most so many of its tasks on one worker; 0: any */   \
-    X(FLAG, same_rack, 0) /* faster when all its tasks are in one rack */            \
-    X(TXT, near, 0)       /* the rack that holds its data; empty: none */            \
-    X(FLAG, saves, 0)     /* what a round has done so far is kept for the next */    \
+#define STEP_SPEC_FIELDS(X)                                                             \
+    X(TXT, name, 0)                                                                     \
+    X(TXS, after, 0)      /* names of the steps that must be done before */             \
+    X(U64, count, 0)      /* tasks in this step */                                      \
+    X(FLAG, gang, 0)      /* all of them placed together or none */                     \
+    X(ONE, room, Room)    /* of each task */                                            \
+    X(TXT, kind, 0)       /* of worker; empty: any */                                   \
+    X(TXS, labels, 0)     /* the worker must have all */                                \
+    X(TXT, payload, 0)    /* JSON for the worker; not read here */                      \
+    X(U64, est_ms, 0)     /* the caller's rough estimate of one task's time; 0: none */ \
+    X(U64, apart, 0)      /* at most so many of its tasks on one worker; 0: any */      \
+    X(FLAG, same_rack, 0) /* faster when all its tasks are in one rack */               \
+    X(TXT, near, 0)       /* the rack that holds its data; empty: none */               \
+    X(FLAG, saves, 0)     /* what a round has done so far is kept for the next */       \
     X(FLAG, copies, 0)    /* two rounds of a task at once are allowed */
 SHAPE(StepSpec, STEP_SPEC_FIELDS)
 
