--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -183,9 +183,10 @@
 #define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
 #define ESTIMATE_FRESH_KEPT 9  /* count; as ESTIMATE_KEPT; fewer, since a worker turns slow within seconds ... */
 #define ESTIMATE_FRESH_LEAST 3 /* count; ... and fewer than these say nothing */
-#define ESTIMATE_FRESH_MS 4000 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
-                                */
-#define ESTIMATE_POOL 64       /* count; ratios of all workers: enough that one of them does not decide */
+#define ESTIMATE_FRESH_MS                                                                                      \
+    4000                 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
+                          */
+#define ESTIMATE_POOL 64 /* count; ratios of all workers: enough that one of them does not decide */
 #define ESTIMATE_RATIO_MOST 20000 /* thousandths; a worker that much slower stands still */
 #define ESTIMATE_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
 #define ESTIMATE_SPEED_MOST 1700  /* ... with estimates off by up to half, beyond this it is a slow spell */
@@ -256,12 +257,12 @@
 #define LUA_BYTES_MAX (512 * 1024) /* bytes; what one policy may hold */
 #define STOP_TAKES_MS 300          /* ms; a stop is heard with the worker's next report, takes a moment, and is told */
 #define ENDS_LEAST_MS 50           /* ms; nothing that runs is expected to end sooner */
-#define PUSH_TAKES_MS 600          /* ms; from a push until the room is used: a stop, and a start */
-#define PUSH_SLACK_MS 900          /* ms; what must be under way within this may push: it takes most of it */
-#define PUSH_COST 2                /* 1; a push throws away at most so many times the work that it makes room for */
-#define PUSH_VICTIMS_MOST 4        /* count; rounds pushed aside for one task */
-#define PUSH_GAP_MS 100            /* ms; between two looks at whom to push */
-#define PUSH_TASKS_MAX 32          /* count; running tasks looked at for one that wants room */
+#define PREEMPT_TAKES_MS 600       /* ms; from a push until the room is used: a stop, and a start */
+#define PREEMPT_SLACK_MS 900       /* ms; what must be under way within this may push: it takes most of it */
+#define PREEMPT_COST 2             /* 1; a push throws away at most so many times the work that it makes room for */
+#define PREEMPT_VICTIMS_MOST 4     /* count; rounds pushed aside for one task */
+#define PREEMPT_GAP_MS 100         /* ms; between two looks at whom to push */
+#define PREEMPT_TASKS_MAX 32       /* count; running tasks looked at for one that wants room */
 
 /* --- process ---------------------------------------------------------------- */
 #define TASK_STACK_BYTES (192 * 1024) /* bytes; JSON and printf fit with room to spare, also under ASan */
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -79,12 +79,12 @@
     Orphans *orphans;
     Queue *queue;
     Paces *paces;
-    int64_t pass_gap_ms;  /* between two passes */
-    int64_t push_from_ms; /* nobody is pushed aside for an aim before this */
-    int64_t stop_look_ms; /* rounds that go on better elsewhere are looked for again from then on */
-    Estimates *estimates; /* how long work takes, as seen by this leader */
-    Map *kept;            /* names of cells to Kept */
-    Map *alerts;          /* those that stand */
+    int64_t pass_gap_ms;     /* between two passes */
+    int64_t preempt_from_ms; /* nobody is pushed aside for an aim before this */
+    int64_t stop_look_ms;    /* rounds that go on better elsewhere are looked for again from then on */
+    Estimates *estimates;    /* how long work takes, as seen by this leader */
+    Map *kept;               /* names of cells to Kept */
+    Map *alerts;             /* those that stand */
     uint64_t alert_looks;
     const Config *config;  /* of the table's newest version that could be read */
     uint64_t config_loads; /* table_loads when it was read */
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -3,9 +3,9 @@
 
 #include "inside.h"
 
-#define PUSH_SPEAKERS_MAX 8 /* count; queues of a cell that are asked what they may push */
-#define FULL_MOST 8         /* count; needs that a pass remembers as having found no room */
-#define PUSH_LOOKS_MAX 400  /* count; asks of may_push in one pass, each some 0.01 ms */
+#define PREEMPT_SPEAKERS_MAX 8 /* count; queues of a cell that are asked what they may push */
+#define FULL_MOST 8            /* count; needs that a pass remembers as having found no room */
+#define PREEMPT_LOOKS_MAX 400  /* count; asks of may_preempt in one pass, each some 0.01 ms */
 
 /* Where the others of one step are. Invariant: kept for one step at a time; what
  * this pass has decided counts, and what is being stopped. */
@@ -47,7 +47,7 @@
     size_t checks, checks_max;
     StopList pushes; /* rounds to be pushed aside */
     Map *cells;      /* names of cells with a policy to their place + 1 in input.pushable */
-    size_t push_looks;
+    size_t preempt_looks;
     Room reserved;   /* kept in this pass for what found none */
     int64_t next_ms; /* log time when more can be decided by itself */
 } Pass;
@@ -105,9 +105,9 @@
 size_t pushable_cell(const Pass *pass, const JobSpec *spec);
 /* Who wants room looks for running work that its cell's policy lets it push
  * aside, all on one worker. */
-void push_for(Pass *pass, const Candidate *candidate);
+void preempt_for(Pass *pass, const Candidate *candidate);
 /* The same by the built-in policy, for what would miss its aim. */
-void push_aim(Pass *pass, const Candidate *candidate);
+void preempt_aim(Pass *pass, const Candidate *candidate);
 
 /* The candidate found no room: what is nearest to having it is left to it, for as
  * long as this pass goes on. */
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -195,7 +195,7 @@
         if (!full)
             full_add(pass, candidate, step, &need, kept);
         reserve_for(pass, candidate, &need, excluded);
-        push_for(pass, candidate);
+        preempt_for(pass, candidate);
         kept_want(pass, candidate, step);
     } else if (choose_waits(pass, candidate, step, &need, percent)) {
         fits = false;
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -14,8 +14,8 @@
 
 /* One protected task of each queue of the cell speaks for its queue. */
 typedef struct Speakers {
-    const Job *jobs[PUSH_SPEAKERS_MAX];
-    size_t tasks[PUSH_SPEAKERS_MAX];
+    const Job *jobs[PREEMPT_SPEAKERS_MAX];
+    size_t tasks[PREEMPT_SPEAKERS_MAX];
     size_t count;
     bool whole; /* every queue has its speaker here */
 } Speakers;
@@ -36,7 +36,7 @@
             if (!task_on_worker(job->tasks[t].phase))
                 continue;
             seen = true;
-            if (speakers->count == PUSH_SPEAKERS_MAX) {
+            if (speakers->count == PREEMPT_SPEAKERS_MAX) {
                 speakers->whole = false;
                 continue;
             }
@@ -78,7 +78,7 @@
             if (jobs[j]->spec.protection == PROTECTION_PROTECTED ||
                 strcmp(jobs[j]->spec.cell, config->cells[c].name) != 0)
                 continue;
-            for (size_t t = 0; t < jobs[j]->tasks_count && looks < PUSH_LOOKS_MAX; t++) {
+            for (size_t t = 0; t < jobs[j]->tasks_count && looks < PREEMPT_LOOKS_MAX; t++) {
                 const JobTask *task = &jobs[j]->tasks[t];
                 const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
                 /* a worker that is given nothing has no room to be had either */
@@ -88,7 +88,7 @@
                 bool all = true;
                 for (size_t i = 0; i < speakers.count && all; i++, looks++) {
                     const PolicySight mine = queue_see(core->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
-                    all = policy->may_push(policy->arg, &mine, &other);
+                    all = policy->may_preempt(policy->arg, &mine, &other);
                 }
                 Room *room = &input->pushable[(place - 1) * input->worker_count + at];
                 if (all)
@@ -102,7 +102,7 @@
  * aside, all on one worker. The room is used only once the old rounds are known
  * to be over. Room that is being given up already counts: nothing more is pushed
  * while that would do. */
-void push_for(Pass *pass, const Candidate *candidate)
+void preempt_for(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
     const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
@@ -110,10 +110,10 @@
     if (pass->pushes.rounds_count > 0)
         return;
     if (policy == policy_plain()) {
-        push_aim(pass, candidate);
+        preempt_aim(pass, candidate);
         return;
     }
-    if (candidate->count != 1 || pass->push_looks >= PUSH_LOOKS_MAX)
+    if (candidate->count != 1 || pass->preempt_looks >= PREEMPT_LOOKS_MAX)
         return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
     const PolicySight mine = queue_see(core->queue, &pass->sight, candidate->job, candidate->first);
@@ -124,7 +124,7 @@
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
         Room free = worker->free;
-        RoundId victims[PUSH_TASKS_MAX];
+        RoundId victims[PREEMPT_TASKS_MAX];
         size_t victim_count = 0, looked = 0;
         const TaskOn *on;
         const size_t on_count = table_on(core->table, worker->name, &on);
@@ -135,18 +135,18 @@
         }
         if (room_fits(need.room, free))
             return; /* it is on its way */
-        for (size_t j = count; j > 0 && !room_fits(need.room, free) && looked < PUSH_TASKS_MAX; j--) {
+        for (size_t j = count; j > 0 && !room_fits(need.room, free) && looked < PREEMPT_TASKS_MAX; j--) {
             const Job *job = jobs[j - 1];
             if (strcmp(job->spec.cell, candidate->job->spec.cell) != 0 || job == candidate->job)
                 continue;
-            for (size_t t = 0; t < job->tasks_count && !room_fits(need.room, free) && looked < PUSH_TASKS_MAX; t++) {
+            for (size_t t = 0; t < job->tasks_count && !room_fits(need.room, free) && looked < PREEMPT_TASKS_MAX; t++) {
                 const JobTask *task = &job->tasks[t];
                 if (task->phase != TASK_RUNNING || strcmp(task->worker, worker->name) != 0)
                     continue;
                 const PolicySight other = queue_see(core->queue, &pass->sight, job, t);
                 looked++;
-                pass->push_looks++;
-                if (!policy->may_push(policy->arg, &mine, &other))
+                pass->preempt_looks++;
+                if (!policy->may_preempt(policy->arg, &mine, &other))
                     continue;
                 victims[victim_count++] =
                     (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -33,24 +33,25 @@
         return -1;
     /* what keeps its progress saves once more when it is stopped */
     const int64_t lost_ms = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
-    return (lost_ms + PUSH_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
+    return (lost_ms + PREEMPT_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
 }
 
-typedef struct Push {
-    RoundId rounds[PUSH_VICTIMS_MOST];
+typedef struct Preemption {
+    RoundId rounds[PREEMPT_VICTIMS_MOST];
     size_t count;
     int64_t cost;
-} Push;
+} Preemption;
 
 /* The cheapest first, until there is room; false: there is none to be had. */
-static bool push_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need, Push *push)
+static bool preempt_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need,
+                         Preemption *preemption)
 {
     Room free = pass->input.workers[worker].free;
     const TaskOn *on;
     const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
-    *push = (Push){.count = 0};
-    while (!room_fits(need, free) && push->count < PUSH_VICTIMS_MOST) {
+    *preemption = (Preemption){.count = 0};
+    while (!room_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
         size_t best = count;
         int64_t best_cost = 0;
         for (size_t i = 0; i < count; i++) {
@@ -65,37 +66,37 @@
         const JobTask *task = &on[best].job->tasks[on[best].task];
         taken[best] = true;
         free = room_more(free, on[best].job->spec.steps[task->step].room);
-        push->cost += best_cost;
-        push->rounds[push->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
+        preemption->cost += best_cost;
+        preemption->rounds[preemption->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
     }
     talloc_free(taken);
     return room_fits(need, free);
 }
 
-void push_aim(Pass *pass, const Candidate *candidate)
+void preempt_aim(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
-    if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PUSH_SLACK_MS ||
-        candidate->slack_ms < -candidate->estimate_ms / 2 || loop_now_ms(core->loop) < core->push_from_ms)
+    if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PREEMPT_SLACK_MS ||
+        candidate->slack_ms < -candidate->estimate_ms / 2 || loop_now_ms(core->loop) < core->preempt_from_ms)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priority_of(pass, candidate->job, candidate->first);
     if (!most_urgent(pass, candidate->job, priority))
         return;
     const PlanNeed need = pass_need(candidate->job, task->step);
-    const int64_t most = PUSH_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
-    Push best = {.count = 0};
-    core->push_from_ms = loop_now_ms(core->loop) + PUSH_GAP_MS;
+    const int64_t most = PREEMPT_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
+    Preemption best = {.count = 0};
+    core->preempt_from_ms = loop_now_ms(core->loop) + PREEMPT_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
-        if (soonest_ms(pass, w, need.room) <= PUSH_TAKES_MS)
+        if (soonest_ms(pass, w, need.room) <= PREEMPT_TAKES_MS)
             return; /* it has room before anybody could be out of the way */
-        Push push;
-        if (push_find(pass, candidate, priority, w, need.room, &push) && push.cost <= most &&
-            (best.count == 0 || push.cost < best.cost))
-            best = push;
+        Preemption preemption;
+        if (preempt_find(pass, candidate, priority, w, need.room, &preemption) && preemption.cost <= most &&
+            (best.count == 0 || preemption.cost < best.cost))
+            best = preemption;
     }
     if (best.count == 0)
         return;
--- a/packages/policy/include/policy/lua.h
+++ b/packages/policy/include/policy/lua.h
@@ -5,7 +5,7 @@
 #include "policy/policy.h"
 
 /* An operator's policy: Lua text that defines rank(task) and, if it likes,
- * may_push(task, running). It runs in a bare state: no files, no modules, no
+ * may_preempt(task, running). It runs in a bare state: no files, no modules, no
  * clock, no randomness, no printing; bounded in instructions for each call and
  * in memory. A call that fails gives the built-in answer and is counted. */
 typedef struct LuaPolicy LuaPolicy;
--- a/packages/policy/include/policy/policy.h
+++ b/packages/policy/include/policy/policy.h
@@ -21,7 +21,7 @@
     void *arg;
     /* Higher goes first; equal ranks go in the order of acceptance. */
     double (*rank)(void *arg, const PolicySight *task);
-    bool (*may_push)(void *arg, const PolicySight *task, const PolicySight *running);
+    bool (*may_preempt)(void *arg, const PolicySight *task, const PolicySight *running);
 } Policy;
 
 /* Priority of the job and of its queue; nobody pushes anybody. */
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -91,7 +91,7 @@
     lua_setfield(lua, -2, name);
 }
 
-static void push_sight(lua_State *lua, const PolicySight *sight)
+static void preempt_sight(lua_State *lua, const PolicySight *sight)
 {
     const JobSpec *spec = &sight->job->spec;
     lua_createtable(lua, 0, 16);
@@ -127,9 +127,9 @@
     LuaCall *call = lua_touserdata(lua, 1);
     lua_settop(lua, 0);
     lua_getglobal(lua, call->name);
-    push_sight(lua, call->task);
+    preempt_sight(lua, call->task);
     if (call->running != NULL)
-        push_sight(lua, call->running);
+        preempt_sight(lua, call->running);
     lua_call(lua, call->running != NULL ? 2 : 1, 1);
     if (call->running != NULL) {
         if (!lua_isboolean(lua, -1))
@@ -168,7 +168,7 @@
     return 0; /* first come, first served */
 }
 
-static bool lua_may_push(void *arg, const PolicySight *task, const PolicySight *running)
+static bool lua_may_preempt(void *arg, const PolicySight *task, const PolicySight *running)
 {
     LuaPolicy *policy = arg;
     lua_getglobal(policy->lua, "may_push");
@@ -202,15 +202,15 @@
     lua_getglobal(policy->lua, "may_push");
     const bool defined = lua_isfunction(policy->lua, -1);
     lua_settop(policy->lua, 0);
-    LuaCall push = {.name = "may_push", .task = &sight, .running = &sight};
-    return !defined || call_once(policy, &push);
+    LuaCall preemption = {.name = "may_push", .task = &sight, .running = &sight};
+    return !defined || call_once(policy, &preemption);
 }
 
 Status lua_policy_new(void *mem, const char *name, const char *text, LuaPolicy **out, Failure *failure)
 {
     LuaPolicy *policy = talloc_zero(mem, LuaPolicy);
     talloc_set_destructor(policy, policy_free);
-    policy->policy = (Policy){talloc_strdup(policy, name), policy, lua_rank, lua_may_push};
+    policy->policy = (Policy){talloc_strdup(policy, name), policy, lua_rank, lua_may_preempt};
     policy->lua = lua_newstate(allocate, policy);
     const char *why = "no memory";
     bool good = policy->lua != NULL;
--- a/packages/policy/src/plain.c
+++ b/packages/policy/src/plain.c
@@ -6,7 +6,7 @@
     return (double)(task->job->spec.priority + task->queue_priority);
 }
 
-static bool plain_may_push(void *arg, const PolicySight *task, const PolicySight *running)
+static bool plain_may_preempt(void *arg, const PolicySight *task, const PolicySight *running)
 {
     (void)arg;
     (void)task;
@@ -16,6 +16,6 @@
 
 const Policy *policy_plain(void)
 {
-    static const Policy PLAIN = {"plain", NULL, plain_rank, plain_may_push};
+    static const Policy PLAIN = {"plain", NULL, plain_rank, plain_may_preempt};
     return &PLAIN;
 }
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -76,8 +76,8 @@
     assert_true(policy->rank(policy->arg, &one) == 8.5);
     const StepSpec large = {.name = "s", .kind = "", .room = {8000, 64, 0}};
     const PolicySight other = {.job = &job, .step = &large};
-    assert_true(policy->may_push(policy->arg, &one, &other));
-    assert_false(policy->may_push(policy->arg, &other, &one));
+    assert_true(policy->may_preempt(policy->arg, &one, &other));
+    assert_false(policy->may_preempt(policy->arg, &other, &one));
     assert_int_equal(lua_policy_failures(lua, NULL), 0);
     talloc_free(mem);
 }
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -139,7 +139,7 @@
     return world->machines[machine].sent_bytes;
 }
 
-static void push(SimPair *pair, int side, bool fin, Bytes bytes)
+static void preemption(SimPair *pair, int side, bool fin, Bytes bytes)
 {
     if (pair->fin[side])
         return;
@@ -172,7 +172,7 @@
     SimPair *pair = sc->pair;
     pair->end[sc->side] = NULL;
     if (!pair->world->machines[pair->machine[sc->side]].silent)
-        push(pair, sc->side, true, (Bytes){0});
+        preemption(pair, sc->side, true, (Bytes){0});
     pair_maybe_free(pair);
     return 0;
 }
@@ -260,12 +260,12 @@
     if (!sc->pair->fin[sc->side])
         channel->handed = channel->queued;
     if (!frame_drawn(sc->pair, sc->side, frame))
-        push(sc->pair, sc->side, false, frame);
+        preemption(sc->pair, sc->side, false, frame);
     return STATUS_OK;
 }
 
 void sim_shut(Channel *channel)
 {
     SimChannel *sc = (SimChannel *)channel;
-    push(sc->pair, sc->side, true, (Bytes){0});
+    preemption(sc->pair, sc->side, true, (Bytes){0});
 }
