--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -164,8 +164,9 @@
 #define PLACE_BATCH 128     /* count; starts decided in one change */
 #define ROUNDS_FORGOTTEN_MAX \
     10000 /* count; rounds of a task that disks may have forgotten; a number further on is a mistake */
-#define FAILED_REST_MS                                                                                               \
-    50 /* ms; a failed task rests this long, doubled with each miss: aims are a second or two, and it goes elsewhere \
+#define FAILED_REST_MS                                                                                        \
+    50 /* ms; a failed task rests this long, doubled with each miss: targets are a second or two, and it goes \
+        * elsewhere                                                                                           \
         */
 #define FAILED_REST_MAX_MS 8000 /* ms */
 #define REFUSED_REST_MS                                                                               \
@@ -177,7 +178,7 @@
 #define LIST_PAGE_MAX 1000       /* count */
 #define ROOM_MAX 100000000ULL    /* milli-CPU or MB; larger numbers are mistakes */
 
-/* --- aims and estimates ------------------------------------------------------------ */
+/* --- targets and estimates ------------------------------------------------------------ */
 #define PACE_FIRST_MS 700      /* ms; a running round's progress is told first after this, a short task's never */
 #define ESTIMATE_KEPT 32       /* count; ratios that a median is taken of: what is older says little */
 #define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
@@ -203,17 +204,18 @@
 #define LEAVE_STOPS_MOST 32 /* count; rounds taken off leaving workers by one look */
 #define STOPS_MOST 4        /* count; rounds begun anew elsewhere by one look */
 #define SLOW_ROUNDS_MOST 5  /* count; a task that has had so many rounds is left where it is */
-#define AIM_LATE_TIMES 3    /* count; until so many times its aim a job is still worth something */
-#define AIM_DOUBT_PERCENT \
-    25 /* percent of the work left; an aim missed by less may still be met: estimates are off by up to half */
-#define AIM_LOOK_MS 2000      /* ms; an aim that is so much farther off weighs 2.7 times less: about one task's time */
-#define AIM_PRIORITY_RANK 1.4 /* 1; a queue's step of priority weighs 4 times more */
-#define AIM_BEGUN_RANK \
+#define TARGET_LATE_TIMES 3 /* count; until so many times its target a job is still worth something */
+#define TARGET_DOUBT_PERCENT \
+    25 /* percent of the work left; a target missed by less may still be met: estimates are off by up to half */
+#define TARGET_LOOK_MS 2000 /* ms; a target that is so much farther off weighs 2.7 times less: about one task's time \
+                             */
+#define TARGET_PRIORITY_RANK 1.4 /* 1; a queue's step of priority weighs 4 times more */
+#define TARGET_BEGUN_RANK \
     1.0 /* 1; a job that is nearly done weighs so much more than one not begun: its room is well spent */
-#define AIM_LATE_RANK (-1.5)    /* 1; what is late is worth a fifth */
-#define AIM_LOST_RANK (-1000.0) /* 1; what is worth nothing goes last */
-#define AIM_BAND 4.0            /* in 1; ranks closer than a part of this size count as equal: tenants take turns */
-#define AIM_WAVE_PART 4         /* a step wider than this part of the fleet counts in waves */
+#define TARGET_LATE_RANK (-1.5)    /* 1; what is late is worth a fifth */
+#define TARGET_LOST_RANK (-1000.0) /* 1; what is worth nothing goes last */
+#define TARGET_BAND 4.0            /* in 1; ranks closer than a part of this size count as equal: tenants take turns */
+#define TARGET_WAVE_PART 4         /* a step wider than this part of the fleet counts in waves */
 
 /* --- scores of workers that claim health ---------------------------------------- */
 #define SCORE_WEIGHT 25          /* percent; what the newest round counts in a worker's rate of failures */
@@ -246,7 +248,7 @@
 #define RESERVE_SLACK_MS 3000 /* ms; what must be under way within this has room that falls free kept for it */
 #define RESERVE_SHARE 3       /* of the fleet's room at most one part in so many */
 #define KEEP_WAIT_MS 10000    /* ms; what fits a whole worker and no gap for so long has one kept for it */
-#define KEEP_LEAST_MS 300     /* ms; ... of a job with an aim after an eighth of its span, but not before this */
+#define KEEP_LEAST_MS 300     /* ms; ... of a job with a target after an eighth of its span, but not before this */
 #define KEEP_SHARE 4          /* of the fleet's workers at most one in so many is kept at once */
 #define ZONE_ORDERS_MAX 16    /* count; orders for a zone that are known when they are sent again */
 #define KEPT_MEMBERS_MAX 64   /* count; workers kept for one gang */
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -18,7 +18,7 @@
     int64_t priority;
     const char *kind;          /* of worker that serves it; empty: any */
     uint64_t rounds;           /* failed rounds that fail a task */
-    uint64_t stretch_milli;    /* a job's aim: stretch x its longest chain of work ... */
+    uint64_t stretch_milli;    /* a job's target: stretch x its longest chain of work ... */
     int64_t target_ms;         /* ... + this */
     int64_t timeout_ms;        /* a request there is given up after this */
     const char *host, *prefix; /* its entry; empty: none. The host in small letters */
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -80,7 +80,7 @@
     Queue *queue;
     Paces *paces;
     int64_t pass_gap_ms;     /* between two passes */
-    int64_t preempt_from_ms; /* nobody is pushed aside for an aim before this */
+    int64_t preempt_from_ms; /* nobody is pushed aside for a target before this */
     int64_t stop_look_ms;    /* rounds that go on better elsewhere are looked for again from then on */
     Estimates *estimates;    /* how long work takes, as seen by this leader */
     Map *kept;               /* names of cells to Kept */
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -96,7 +96,7 @@
     return count;
 }
 
-/* With an aim, an eighth of its span. */
+/* With a target, an eighth of its span. */
 static int64_t wait_ms(const Candidate *candidate)
 {
     const int64_t part = candidate->span_ms > 0 ? candidate->span_ms / 8 : KEEP_WAIT_MS;
@@ -109,7 +109,7 @@
     const int64_t log_ms = pass->clock.log_ms;
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
-    if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= AIM_LOST_RANK / 2 ||
+    if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
         map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -106,8 +106,8 @@
 /* Who wants room looks for running work that its cell's policy lets it push
  * aside, all on one worker. */
 void preempt_for(Pass *pass, const Candidate *candidate);
-/* The same by the built-in policy, for what would miss its aim. */
-void preempt_aim(Pass *pass, const Candidate *candidate);
+/* The same by the built-in policy, for what would miss its target. */
+void preempt_target(Pass *pass, const Candidate *candidate);
 
 /* The candidate found no room: what is nearest to having it is left to it, for as
  * long as this pass goes on. */
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -110,7 +110,7 @@
     if (pass->pushes.rounds_count > 0)
         return;
     if (policy == policy_plain()) {
-        preempt_aim(pass, candidate);
+        preempt_target(pass, candidate);
         return;
     }
     if (candidate->count != 1 || pass->preempt_looks >= PREEMPT_LOOKS_MAX)
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -1,5 +1,5 @@
 /* Pushing aside by the built-in policy: work of the cell's most urgent queue that would
- * miss its aim otherwise may have room given up by work of a lower queue. What is thrown
+ * miss its target otherwise may have room given up by work of a lower queue. What is thrown
  * away is little: the work keeps its progress, or is young. Members of gangs stay, for
  * all of them would go. One push at a time. */
 #include <string.h>
@@ -73,7 +73,7 @@
     return room_fits(need, free);
 }
 
-void preempt_aim(Pass *pass, const Candidate *candidate)
+void preempt_target(Pass *pass, const Candidate *candidate)
 {
     Core *core = pass->core;
     if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PREEMPT_SLACK_MS ||
--- a/packages/core/src/reserve.c
+++ b/packages/core/src/reserve.c
@@ -3,7 +3,7 @@
  * for as long as smaller ones wait: each takes the gap as soon as it opens.
  *
  * Nothing is remembered: the next pass finds the same again, since the worker that is
- * nearest to having room becomes nearer. What is far from its aim, and what has missed
+ * nearest to having room becomes nearer. What is far from its target, and what has missed
  * it, is given nothing this way. */
 #include <talloc.h>
 
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -1,6 +1,6 @@
 /* Rounds that stand still, or come along so slowly on their worker that another would
  * be done with them sooner, are stopped there and begun anew elsewhere: where room is
- * there now, a few at a time, and never what meets its aim as it is. */
+ * there now, a few at a time, and never what meets its target as it is. */
 #include <string.h>
 #include <talloc.h>
 
@@ -69,15 +69,15 @@
     return going->left_ms > going->whole_ms;
 }
 
-/* Whether the job's aim is met though the round goes on as it does. */
-static bool meets_aim(const Pass *pass, const Going *going)
+/* Whether the job's target is met though the round goes on as it does. */
+static bool meets_target(const Pass *pass, const Going *going)
 {
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
-    Aim aim;
-    aim_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->estimates, (Room){0}, &aim);
-    const int64_t slack_ms = aim_slack_ms(&aim, task->step, pass->clock.log_ms);
-    return aim.span_ms > 0 && (double)slack_ms + (double)aim.task_ms[task->step] >= going->left_ms;
+    LatencyTarget target;
+    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->core->estimates, (Room){0}, &target);
+    const int64_t slack_ms = target_slack_ms(&target, task->step, pass->clock.log_ms);
+    return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= going->left_ms;
 }
 
 /* Another worker with room for it now; -1: none, or none that would be done sooner. */
@@ -102,7 +102,8 @@
         const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             Going going;
-            if (!going_find(pass, &on[t], i, &going) || (!going.still && (of_gang(&going) || meets_aim(pass, &going))))
+            if (!going_find(pass, &on[t], i, &going) ||
+                (!going.still && (of_gang(&going) || meets_target(pass, &going))))
                 continue;
             const int at = elsewhere(pass, &going);
             if (at >= 0 && stop_add(pass, list, going.job, going.task, at, STOPS_MOST) && going.still)
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -31,7 +31,7 @@
 typedef struct DayResult {
     Rules rules;
     size_t jobs, accepted, refused, starts, ends[ROUND_WORD_COUNT];
-    size_t timely, late; /* of jobs that could be done: within the aim, within thrice */
+    size_t timely, late; /* of jobs that could be done: within the target, within thrice */
     size_t owed;
     size_t orders;
     char troubles[DAY_TROUBLES_MAX][64]; /* what was drawn, with its time, as a script has it */
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -52,27 +52,27 @@
 
 /* One kind of work that callers hand in: a queue's.
  * X(name, default, meaning) */
-#define SITE_KIND_LIST(X)                                                                   \
-    X(per_minute, "perMinute", 60, "jobs in a minute, from all zones")                      \
-    X(steps, "steps", 1, "steps of a job, at most")                                         \
-    X(tasks, "tasks", 4, "tasks of a step, in the mean")                                    \
-    X(task_ms, "taskMs", 1000, "work of a task on a sound worker, in the mean")             \
-    X(cpu_milli, "cpuMilli", 4000, "room of a task, in the mean")                           \
-    X(mem_mb, "memMb", 8000, "... and its memory")                                          \
-    X(aim_ms, "aimMs", 1000, "time beyond the stretched work within which it is worth all") \
-    X(stretch_percent, "stretchPercent", 150, "... of the longest chain of work")           \
-    X(priority, "priority", 1, "0 goes first")                                              \
-    X(rounds, "rounds", 3, "a task is given so many")                                       \
-    X(fail_milli, "failMilli", 10, "of a thousand rounds so many fail by themselves")       \
-    X(gang_percent, "gangPercent", 0, "of steps so many work only together")                \
-    X(saves_percent, "savesPercent", 0, "of jobs so many keep their progress")              \
-    X(needs_percent, "needsPercent", 0, "of steps so many need a label")                    \
-    X(near_percent, "nearPercent", 20, "of steps so many have their data on a rack")        \
-    X(apart_percent, "apartPercent", 10, "of steps so many may not stand together")         \
-    X(copies_percent, "copiesPercent", 0, "of jobs so many may run twice")                  \
-    X(turns_percent, "turnsPercent", 0, "of jobs so many run at several times")             \
-    X(lasting_percent, "lastingPercent", 0, "of jobs so many run until cancelled")          \
-    X(cancel_percent, "cancelPercent", 3, "of jobs so many are cancelled")                  \
+#define SITE_KIND_LIST(X)                                                                      \
+    X(per_minute, "perMinute", 60, "jobs in a minute, from all zones")                         \
+    X(steps, "steps", 1, "steps of a job, at most")                                            \
+    X(tasks, "tasks", 4, "tasks of a step, in the mean")                                       \
+    X(task_ms, "taskMs", 1000, "work of a task on a sound worker, in the mean")                \
+    X(cpu_milli, "cpuMilli", 4000, "room of a task, in the mean")                              \
+    X(mem_mb, "memMb", 8000, "... and its memory")                                             \
+    X(target_ms, "aimMs", 1000, "time beyond the stretched work within which it is worth all") \
+    X(stretch_percent, "stretchPercent", 150, "... of the longest chain of work")              \
+    X(priority, "priority", 1, "0 goes first")                                                 \
+    X(rounds, "rounds", 3, "a task is given so many")                                          \
+    X(fail_milli, "failMilli", 10, "of a thousand rounds so many fail by themselves")          \
+    X(gang_percent, "gangPercent", 0, "of steps so many work only together")                   \
+    X(saves_percent, "savesPercent", 0, "of jobs so many keep their progress")                 \
+    X(needs_percent, "needsPercent", 0, "of steps so many need a label")                       \
+    X(near_percent, "nearPercent", 20, "of steps so many have their data on a rack")           \
+    X(apart_percent, "apartPercent", 10, "of steps so many may not stand together")            \
+    X(copies_percent, "copiesPercent", 0, "of jobs so many may run twice")                     \
+    X(turns_percent, "turnsPercent", 0, "of jobs so many run at several times")                \
+    X(lasting_percent, "lastingPercent", 0, "of jobs so many run until cancelled")             \
+    X(cancel_percent, "cancelPercent", 3, "of jobs so many are cancelled")                     \
     X(twice_percent, "twicePercent", 5, "of jobs so many are handed in twice at once")
 
 typedef struct SiteKind {
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -122,7 +122,7 @@
 typedef struct DocumentQueue {
     char name[32], host[48], prefix[48];
     const char *kind; /* of worker */
-    int64_t timeout_ms, aim_ms, priority, rounds, stretch_percent;
+    int64_t timeout_ms, target_ms, priority, rounds, stretch_percent;
 } DocumentQueue;
 
 #define DOCUMENT_QUEUES_MAX 64
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -31,7 +31,7 @@
     const SiteKind *one = &site->kinds[kind];
     *queue = (DocumentQueue){.kind = "std",
                              .timeout_ms = site->caller_wait_ms,
-                             .aim_ms = one->aim_ms,
+                             .target_ms = one->target_ms,
                              .priority = one->priority,
                              .rounds = one->rounds,
                              .stretch_percent = one->stretch_percent};
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -180,11 +180,11 @@
             chain_ms[s] += draft->steps[s].work_ms;
             longest_ms = chain_ms[s] > longest_ms ? chain_ms[s] : longest_ms;
         }
-        const int64_t aim_ms = longest_ms * job->kind->stretch_percent / 100 + job->kind->aim_ms;
+        const int64_t target_ms = longest_ms * job->kind->stretch_percent / 100 + job->kind->target_ms;
         const int64_t took_ms = job->shown == JOB_WORD_DONE ? job->shown_ms - job->sent_ms : INT64_MAX;
         result->owed++;
-        result->timely += took_ms <= aim_ms;
-        result->late += took_ms > aim_ms && took_ms <= aim_ms * 3;
+        result->timely += took_ms <= target_ms;
+        result->late += took_ms > target_ms && took_ms <= target_ms * 3;
     }
     if (checker_broken(day->ground->checker, NEVER_TWO_LEADERS) > 0)
         rules_broke(&result->rules, RULE_LEADERS, ground_day_ms(day->ground), "%s",
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -38,7 +38,7 @@
     rebuild->task_ms = 6000;
     rebuild->cpu_milli = 11000;
     rebuild->mem_mb = 21000;
-    rebuild->aim_ms = 2000;
+    rebuild->target_ms = 2000;
     rebuild->stretch_percent = 220;
     rebuild->rounds = 4;
     rebuild->gang_percent = 30;
@@ -52,7 +52,7 @@
     sweep->task_ms = 1400;
     sweep->cpu_milli = 3200;
     sweep->mem_mb = 4600;
-    sweep->aim_ms = 4000;
+    sweep->target_ms = 4000;
     sweep->stretch_percent = 320;
     sweep->priority = 2;
     sweep->fail_milli = 20;
@@ -65,7 +65,7 @@
     check->task_ms = 800;
     check->cpu_milli = 4600;
     check->mem_mb = 6600;
-    check->aim_ms = 1200;
+    check->target_ms = 1200;
     check->priority = 0;
     check->rounds = 2;
     check->fail_milli = 20;
--- a/packages/queue/include/queue/line.h
+++ b/packages/queue/include/queue/line.h
@@ -8,11 +8,11 @@
     const Job *job;
     size_t first;        /* index of its first task */
     size_t count;        /* 1, or the members of a gang that have not finished */
-    bool restart;        /* protected work without an aim that was lost: goes before all else */
+    bool restart;        /* protected work without a target that was lost: goes before all else */
     double rank;         /* by its cell's policy: counts within the cell only */
     int64_t since_ms;    /* log time since when it could have started */
-    int64_t slack_ms;    /* time left before it must be under way; INT64_MAX: it has no aim */
-    int64_t span_ms;     /* of its aim; 0: none */
+    int64_t slack_ms;    /* time left before it must be under way; INT64_MAX: it has no target */
+    int64_t span_ms;     /* of its target; 0: none */
     int64_t estimate_ms; /* what a task of it should take; 0: not known */
 } Candidate;
 
@@ -20,9 +20,9 @@
 size_t candidate_task(const Candidate *candidate, size_t member);
 
 /* All that could start now, in the order in which it is to be placed: restarts of
- * what has no aim, biggest first, as the plan that promised them did; then cells by
+ * what has no target, biggest first, as the plan that promised them did; then cells by
  * what they use of their share; within a cell by its policy's rank, to which the
- * built-in one adds how near the job's aim is; then tenants by what they use, then
+ * built-in one adds how near the job's target is; then tenants by what they use, then
  * the order of acceptance.
  *
  * A line stands for one moment: it is over once the table changes. A step whose
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/aim.c
@@ -24,7 +24,7 @@
     return waves < step->count ? waves : step->count;
 }
 
-void aim_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, Aim *aim)
+void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, LatencyTarget *target)
 {
     int64_t longest_ms = 0;
     /* steps wait for earlier ones alone */
@@ -32,45 +32,45 @@
         const StepSpec *step = &job->spec.steps[s];
         int64_t next_ms = 0;
         for (size_t k = s + 1; k < job->spec.steps_count; k++)
-            if (aim->after_ms[k] > next_ms && comes_after(&job->spec.steps[k], step->name))
-                next_ms = aim->after_ms[k];
+            if (target->after_ms[k] > next_ms && comes_after(&job->spec.steps[k], step->name))
+                next_ms = target->after_ms[k];
         const int64_t waves = step->gang ? 1 : (int64_t)waves_of(step, quarter);
         const int64_t task_ms = estimate_ms(estimates, job, s);
-        aim->task_ms[s] = (int32_t)(task_ms < INT32_MAX / 2 ? task_ms : INT32_MAX / 2);
-        const int64_t after_ms = aim->task_ms[s] * waves + next_ms;
-        aim->after_ms[s] = (int32_t)(after_ms < INT32_MAX ? after_ms : INT32_MAX);
-        if (aim->after_ms[s] > longest_ms)
-            longest_ms = aim->after_ms[s];
+        target->task_ms[s] = (int32_t)(task_ms < INT32_MAX / 2 ? task_ms : INT32_MAX / 2);
+        const int64_t after_ms = target->task_ms[s] * waves + next_ms;
+        target->after_ms[s] = (int32_t)(after_ms < INT32_MAX ? after_ms : INT32_MAX);
+        if (target->after_ms[s] > longest_ms)
+            longest_ms = target->after_ms[s];
     }
-    aim->from_ms = from_ms;
-    aim->span_ms = (int64_t)job->terms.stretch_milli * longest_ms / 1000 + job->terms.target_ms;
+    target->from_ms = from_ms;
+    target->span_ms = (int64_t)job->terms.stretch_milli * longest_ms / 1000 + job->terms.target_ms;
 }
 
-int64_t aim_slack_ms(const Aim *aim, uint64_t step, int64_t now_ms)
+int64_t target_slack_ms(const LatencyTarget *target, uint64_t step, int64_t now_ms)
 {
-    return aim->from_ms + aim->span_ms - now_ms - aim->after_ms[step];
+    return target->from_ms + target->span_ms - now_ms - target->after_ms[step];
 }
 
 /* Estimates are off by a part: one that misses by less may still make it. */
 static bool can_make(int64_t slack_ms, int64_t work_ms)
 {
-    return slack_ms >= -work_ms * AIM_DOUBT_PERCENT / 100;
+    return slack_ms >= -work_ms * TARGET_DOUBT_PERCENT / 100;
 }
 
 static double nearness(int64_t slack_ms)
 {
-    return slack_ms > 0 ? -(double)slack_ms / AIM_LOOK_MS : 0.0;
+    return slack_ms > 0 ? -(double)slack_ms / TARGET_LOOK_MS : 0.0;
 }
 
-double aim_rank(const Aim *aim, uint64_t step, int64_t now_ms)
+double target_rank(const LatencyTarget *target, uint64_t step, int64_t now_ms)
 {
-    const int64_t work_ms = aim->after_ms[step], slack_ms = aim_slack_ms(aim, step, now_ms);
+    const int64_t work_ms = target->after_ms[step], slack_ms = target_slack_ms(target, step, now_ms);
     if (can_make(slack_ms, work_ms))
         return nearness(slack_ms);
-    const int64_t late_ms = slack_ms + (AIM_LATE_TIMES - 1) * aim->span_ms;
+    const int64_t late_ms = slack_ms + (TARGET_LATE_TIMES - 1) * target->span_ms;
     if (can_make(late_ms, work_ms))
-        return AIM_LATE_RANK + nearness(late_ms);
+        return TARGET_LATE_RANK + nearness(late_ms);
     /* worth nothing any more; the oldest first */
-    const int64_t age_ms = now_ms - aim->from_ms;
-    return AIM_LOST_RANK + (double)age_ms / (double)(age_ms + JOB_KEEP_MS);
+    const int64_t age_ms = now_ms - target->from_ms;
+    return TARGET_LOST_RANK + (double)age_ms / (double)(age_ms + JOB_KEEP_MS);
 }
--- a/packages/queue/src/inside.h
+++ b/packages/queue/src/inside.h
@@ -20,9 +20,9 @@
     const ConfigCell *cell;
     const ConfigQueue *queue;
     Account *cell_account, *tenant_account;
-    Aim aim;         /* from the first turn's due time */
-    uint64_t learnt; /* of the estimates, when the aim was found ... */
-    Room quarter;    /* ... for this part of the fleet */
+    LatencyTarget target; /* from the first turn's due time */
+    uint64_t learnt;      /* of the estimates, when the target was found ... */
+    Room quarter;         /* ... for this part of the fleet */
 } Note;
 
 Note *note_of(Queue *queue, const QueueSight *sight, const Job *job);
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -71,34 +71,34 @@
     return (double)(each - waiting) / (double)each;
 }
 
-/* Ranks of jobs with an aim are cut into bands, inside which tenants take turns. */
-static double rank_of(const Line *line, const Note *note, const Job *job, size_t task, const Aim *aim)
+/* Ranks of jobs with a target are cut into bands, inside which tenants take turns. */
+static double rank_of(const Line *line, const Note *note, const Job *job, size_t task, const LatencyTarget *target)
 {
     const QueueSight *sight = line->sight;
     const Policy *policy = sight->policy(sight->arg, note->cell);
     const PolicySight seen = queue_see(line->queue, sight, job, task);
     const double rank = policy->rank(policy->arg, &seen);
-    if (policy != policy_plain() || aim->span_ms <= 0)
+    if (policy != policy_plain() || target->span_ms <= 0)
         return rank;
     const JobTask *one = &job->tasks[task];
-    const double near = job->spec.lasting ? 0.0 : aim_rank(aim, one->step, sight->clock.log_ms);
-    const double begun = begun_of(job, one->turn) * AIM_BEGUN_RANK;
-    return floor((rank * AIM_PRIORITY_RANK + near + begun) * AIM_BAND) / AIM_BAND;
+    const double near = job->spec.lasting ? 0.0 : target_rank(target, one->step, sight->clock.log_ms);
+    const double begun = begun_of(job, one->turn) * TARGET_BEGUN_RANK;
+    return floor((rank * TARGET_PRIORITY_RANK + near + begun) * TARGET_BAND) / TARGET_BAND;
 }
 
 /* --- building ---------------------------------------------------------------------- */
 
-static bool restarts(const Job *job, const JobTask *task, const Aim *aim)
+static bool restarts(const Job *job, const JobTask *task, const LatencyTarget *target)
 {
-    return aim->span_ms <= 0 && task->losses > 0 && job->spec.protection == PROTECTION_PROTECTED;
+    return target->span_ms <= 0 && task->losses > 0 && job->spec.protection == PROTECTION_PROTECTED;
 }
 
 /* The next task from at on that could start and is, or is not, a restart. */
-static size_t task_next(Line *line, const Job *job, size_t at, size_t end, const Aim *aim, bool restart)
+static size_t task_next(Line *line, const Job *job, size_t at, size_t end, const LatencyTarget *target, bool restart)
 {
     for (; at < end; at++) {
         const JobTask *task = &job->tasks[at];
-        if (task->phase != TASK_WAITING || restarts(job, task, aim) != restart)
+        if (task->phase != TASK_WAITING || restarts(job, task, target) != restart)
             continue;
         if (line->sight->clock.log_ms >= task->rest_until_ms)
             return at;
@@ -108,7 +108,7 @@
 }
 
 static Place *place_add(Line *line, const Note *note, size_t at, size_t end, size_t members, double rank,
-                        const Aim *aim, bool restart)
+                        const LatencyTarget *target, bool restart)
 {
     if (line->count == line->room) {
         line->room = line->room ? line->room * 2 : 64;
@@ -116,7 +116,7 @@
     }
     const Job *job = note->job;
     const JobTask *task = &job->tasks[at];
-    const bool has = aim->span_ms > 0;
+    const bool has = target->span_ms > 0;
     const int64_t free_ms = task->changed_ms > task->rest_until_ms ? task->changed_ms : task->rest_until_ms;
     Place *place = &line->places[line->count++];
     *place = (Place){
@@ -125,10 +125,10 @@
                       .count = members,
                       .restart = restart,
                       .rank = rank,
-                      .since_ms = free_ms > aim->from_ms ? free_ms : aim->from_ms,
-                      .slack_ms = has ? aim_slack_ms(aim, task->step, line->sight->clock.log_ms) : INT64_MAX,
-                      .span_ms = has ? aim->span_ms : 0,
-                      .estimate_ms = aim->task_ms[task->step]},
+                      .since_ms = free_ms > target->from_ms ? free_ms : target->from_ms,
+                      .slack_ms = has ? target_slack_ms(target, task->step, line->sight->clock.log_ms) : INT64_MAX,
+                      .span_ms = has ? target->span_ms : 0,
+                      .estimate_ms = target->task_ms[task->step]},
         .note = note,
         .end = end,
     };
@@ -152,18 +152,18 @@
     return ready ? left : 0;
 }
 
-static void step_walk(Line *line, const Note *note, size_t first, size_t end, const Aim *aim)
+static void step_walk(Line *line, const Note *note, size_t first, size_t end, const LatencyTarget *target)
 {
     const Job *job = note->job;
     const StepSpec *step = &job->spec.steps[job->tasks[first].step];
     for (int restart = 0; restart < 2; restart++) {
-        const size_t at = task_next(line, job, first, end, aim, restart != 0);
+        const size_t at = task_next(line, job, first, end, target, restart != 0);
         if (at == end)
             continue;
         const size_t members = step->gang ? members_ready(line, job, first, end) : 1;
         if (members == 0)
             return;
-        place_add(line, note, at, end, members, rank_of(line, note, job, at, aim), aim, restart != 0);
+        place_add(line, note, at, end, members, rank_of(line, note, job, at, target), target, restart != 0);
         if (step->gang)
             return;
     }
@@ -187,13 +187,13 @@
             if (!known) {
                 const uint64_t learnt = estimates_stamp(queue_estimates(line->queue));
                 if (note->learnt != learnt || !room_same(note->quarter, line->quarter))
-                    aim_find(job, 0, queue_estimates(line->queue), line->quarter, &note->aim);
+                    target_find(job, 0, queue_estimates(line->queue), line->quarter, &note->target);
                 note->learnt = learnt;
                 note->quarter = line->quarter;
-                note->aim.from_ms = queue_due_ms(job, turn, line->sight->clock);
+                note->target.from_ms = queue_due_ms(job, turn, line->sight->clock);
                 known = true;
             }
-            step_walk(line, note, first, end, &note->aim);
+            step_walk(line, note, first, end, &note->target);
         }
         first = end;
     }
@@ -251,7 +251,8 @@
     line->queue = queue;
     line->sight = sight;
     line->next_ms = INT64_MAX;
-    line->quarter = (Room){fleet.cpu_milli / AIM_WAVE_PART, fleet.mem_mb / AIM_WAVE_PART, fleet.gpu / AIM_WAVE_PART};
+    line->quarter =
+        (Room){fleet.cpu_milli / TARGET_WAVE_PART, fleet.mem_mb / TARGET_WAVE_PART, fleet.gpu / TARGET_WAVE_PART};
     Job *const *jobs;
     const size_t job_count = table_active(sight->table, &jobs);
     queue_line(queue, job_count);
@@ -383,9 +384,10 @@
     account_more(line, place->note->cell_account, more);
     account_more(line, place->note->tenant_account, more);
     const bool gang = candidate->job->spec.steps[candidate->job->tasks[candidate->first].step].gang;
-    const Aim aim = {.span_ms = candidate->span_ms};
+    const LatencyTarget target = {.span_ms = candidate->span_ms};
     if (!gang)
-        candidate->first = task_next(line, candidate->job, candidate->first + 1, place->end, &aim, candidate->restart);
+        candidate->first =
+            task_next(line, candidate->job, candidate->first + 1, place->end, &target, candidate->restart);
     place->out = gang || candidate->first == place->end;
 }
 
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -1,4 +1,4 @@
-/* In which order work is placed: aims, turns, what estimates have taught. */
+/* In which order work is placed: targets, turns, what estimates have taught. */
 #include "../../table/test/board.h"
 #include "queue/line.h"
 
@@ -58,7 +58,7 @@
     return order_in(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", log_ms, 100);
 }
 
-/* The later comer with the nearer aim goes first; of two alike, the first comer. */
+/* The later comer with the nearer target goes first; of two alike, the first comer. */
 static void soonest_first(void **state)
 {
     (void)state;
@@ -67,17 +67,17 @@
     add(&board, "b", 1000, aims(1500, 500, 0));
     add(&board, "c", 1000, aims(1500, 500, 0));
     assert_string_equal(order_of(&board, 1000), "bca");
-    /* a's aim is 15.2 s from 1000: at 9.9 s it must go now; b and c are lost since 4.5 s */
+    /* a's target is 15.2 s from 1000: at 9.9 s it must go now; b and c are lost since 4.5 s */
     assert_string_equal(order_of(&board, 9900), "abc");
     talloc_free(board.table);
 }
 
-/* What can't make its aim goes behind what can, and before what is worth nothing. */
+/* What can't make its target goes behind what can, and before what is worth nothing. */
 static void late_behind(void **state)
 {
     (void)state;
     Board board = board_new();
-    add(&board, "x", 1000, aims(1000, 1000, 0)); /* aim 2 s: worth nothing after 6 s */
+    add(&board, "x", 1000, aims(1000, 1000, 0)); /* target 2 s: worth nothing after 6 s */
     board.at_ms = 4000;
     add(&board, "y", 1000, aims(1000, 1000, 0)); /* late at 7 s */
     board.at_ms = 7000;
@@ -86,7 +86,7 @@
     talloc_free(board.table);
 }
 
-/* An urgent queue goes first, though the other's aim is as near. */
+/* An urgent queue goes first, though the other's target is as near. */
 static void urgent_first(void **state)
 {
     (void)state;
@@ -97,7 +97,7 @@
     talloc_free(board.table);
 }
 
-/* Aims count from each turn's own due time, and no turn starts before it. */
+/* Targets count from each turn's own due time, and no turn starts before it. */
 static void turns_due(void **state)
 {
     (void)state;
@@ -116,7 +116,7 @@
 }
 
 /* The chain of work to come counts: the first step of a long job is more urgent than
- * the only one of a short one with the same aim. */
+ * the only one of a short one with the same target. */
 static void chains(void **state)
 {
     (void)state;
@@ -129,15 +129,15 @@
     const JobSpec spec = spec_of("l", two, 2);
     const Job *job = job_add(&board, &spec, aims(0, 10000, 0));
     assert_string_equal(order_of(&board, 1000), "ls");
-    Aim aim;
-    aim_find(job, 1000, NULL, (Room){0}, &aim);
-    assert_int_equal(aim.after_ms[0], 8000);
-    assert_int_equal(aim.after_ms[1], 4000);
-    assert_int_equal(aim_slack_ms(&aim, 0, 1000), 2000);
+    LatencyTarget target;
+    target_find(job, 1000, NULL, (Room){0}, &target);
+    assert_int_equal(target.after_ms[0], 8000);
+    assert_int_equal(target.after_ms[1], 4000);
+    assert_int_equal(target_slack_ms(&target, 0, 1000), 2000);
     talloc_free(board.table);
 }
 
-/* A step wider than its part of the fleet runs in waves, and its aim knows. */
+/* A step wider than its part of the fleet runs in waves, and its target knows. */
 static void waves(void **state)
 {
     (void)state;
@@ -145,10 +145,10 @@
     StepSpec wide = step("a", 30, 1000);
     const JobSpec spec = spec_of("w", &wide, 1);
     const Job *job = job_add(&board, &spec, aims(2000, 0, 0));
-    Aim aim;
-    aim_find(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &aim);
-    assert_int_equal(aim.after_ms[0], 3000);
-    assert_int_equal(aim.span_ms, 6000);
+    LatencyTarget target;
+    target_find(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &target);
+    assert_int_equal(target.after_ms[0], 3000);
+    assert_int_equal(target.span_ms, 6000);
     talloc_free(board.table);
 }
 
@@ -175,7 +175,7 @@
     talloc_free(board.table);
 }
 
-/* What has waited for its aim in vain is served in the end: the oldest of what is worth
+/* What has waited for its target in vain is served in the end: the oldest of what is worth
  * nothing any more goes first among its like. */
 static void oldest_of_the_lost(void **state)
 {
@@ -197,7 +197,7 @@
     job_add(board, &spec, (JobTerms){.kind = ""});
 }
 
-/* Without aims: cells by their shares, tenants in turns, then who came first. */
+/* Without targets: cells by their shares, tenants in turns, then who came first. */
 static void shares_and_turns(void **state)
 {
     (void)state;
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -209,7 +209,7 @@
     end(fleet);
 }
 
-/* A full fleet: urgent work that would miss its aim pushes out what is young or keeps its
+/* A full fleet: urgent work that would miss its target pushes out what is young or keeps its
  * progress, and no more of it than it needs. */
 static void urgent_pushes(void **state)
 {
--- a/packages/table/include/table/job.h
+++ b/packages/table/include/table/job.h
@@ -118,7 +118,7 @@
  * the body: the same job sent again under a newer configuration is the same job. */
 #define JOB_TERMS_FIELDS(X)                                                                                \
     X(U64, round_limit, 0)   /* failed rounds of one task, or one gang, that fail it; 0: the spec's own */ \
-    X(U64, stretch_milli, 0) /* its aim: stretch x its longest chain of work ...  */                       \
+    X(U64, stretch_milli, 0) /* its target: stretch x its longest chain of work ...  */                    \
     X(I64, target_ms, 0)     /* ... + this, from acceptance or due time; both 0: none */                   \
     X(I64, priority, 0)      /* of the queue */                                                            \
     X(TXT, kind, 0)          /* of worker that the queue is served by; empty: any */
