--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -207,8 +207,9 @@
 #define TARGET_LATE_TIMES 3 /* count; until so many times its target a job is still worth something */
 #define TARGET_DOUBT_PERCENT \
     25 /* percent of the work left; a target missed by less may still be met: estimates are off by up to half */
-#define TARGET_LOOK_MS 2000 /* ms; a target that is so much farther off weighs 2.7 times less: about one task's time \
-                             */
+#define TARGET_LOOK_MS                                                                            \
+    2000 /* ms; a target that is so much farther off weighs 2.7 times less: about one task's time \
+          */
 #define TARGET_PRIORITY_RANK 1.4 /* 1; a queue's step of priority weighs 4 times more */
 #define TARGET_BEGUN_RANK \
     1.0 /* 1; a job that is nearly done weighs so much more than one not begun: its room is well spent */
@@ -245,13 +246,13 @@
 #define FAR_WAIT_MS 1500 /* ms; work waits at most so long for room near its data: half of what may stand still */
 
 /* --- room kept for big work ------------------------------------------------------ */
-#define RESERVE_SLACK_MS 3000 /* ms; what must be under way within this has room that falls free kept for it */
-#define RESERVE_SHARE 3       /* of the fleet's room at most one part in so many */
-#define KEEP_WAIT_MS 10000    /* ms; what fits a whole worker and no gap for so long has one kept for it */
-#define KEEP_LEAST_MS 300     /* ms; ... of a job with a target after an eighth of its span, but not before this */
-#define KEEP_SHARE 4          /* of the fleet's workers at most one in so many is kept at once */
-#define ZONE_ORDERS_MAX 16    /* count; orders for a zone that are known when they are sent again */
-#define KEPT_MEMBERS_MAX 64   /* count; workers kept for one gang */
+#define RESERVE_SLACK_MS 3000      /* ms; what must be under way within this has room that falls free kept for it */
+#define RESERVE_SHARE 3            /* of the fleet's room at most one part in so many */
+#define KEEP_WAIT_MS 10000         /* ms; what fits a whole worker and no gap for so long has one kept for it */
+#define KEEP_LEAST_MS 300          /* ms; ... of a job with a target after an eighth of its span, but not before this */
+#define KEEP_SHARE 4               /* of the fleet's workers at most one in so many is kept at once */
+#define ZONE_ORDERS_MAX 16         /* count; orders for a zone that are known when they are sent again */
+#define RESERVATION_MEMBERS_MAX 64 /* count; workers kept for one gang */
 
 /* --- policies ---------------------------------------------------------------- */
 #define LUA_STEPS_MAX 20000        /* count; instructions of one call: some 0.2 ms */
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -40,15 +40,15 @@
 } CoreCounts;
 
 /* Workers kept for one candidate that small work would overtake for ever. */
-typedef struct Kept {
+typedef struct Reservation {
     const char *job;
     size_t task; /* its first */
     double rank;
     int64_t since_ms;
     size_t worker_count;
-    const char *workers[KEPT_MEMBERS_MAX];
-    int64_t until_ms[KEPT_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
-} Kept;
+    const char *workers[RESERVATION_MEMBERS_MAX];
+    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
+} Reservation;
 
 /* Invariants:
  *  - only a node for which view_leading is true plans, answers callers or gives
--- a/packages/core/src/kept.c
+++ b/packages/core/src/kept.c
@@ -12,24 +12,24 @@
 #include "base/map.h"
 #include "pass.h"
 
-static bool is_for(const Kept *kept, const Candidate *candidate)
+static bool is_for(const Reservation *kept, const Candidate *candidate)
 {
     return strcmp(kept->job, candidate->job->spec.id) == 0 && kept->task == candidate->first;
 }
 
-static size_t kept_workers(const Core *core, void *mem)
+static size_t reservation_workers(const Core *core, void *mem)
 {
     const char **cells;
     const size_t count = map_keys(core->kept, mem, &cells);
     size_t workers = 0;
     for (size_t i = 0; i < count; i++)
-        workers += ((const Kept *)map_get(core->kept, cells[i]))->worker_count;
+        workers += ((const Reservation *)map_get(core->kept, cells[i]))->worker_count;
     return workers;
 }
 
-static void kept_drop(Core *core, const char *cell, const char *why)
+static void reservation_drop(Core *core, const char *cell, const char *why)
 {
-    Kept *kept = map_get(core->kept, cell);
+    Reservation *kept = map_get(core->kept, cell);
     recorder_write(core->recorder, RECORDER_NOTE, loop_now_ms(core->loop), "%zu workers are kept for %s no longer: %s",
                    kept->worker_count, kept->job, why);
     map_drop(core->kept, cell);
@@ -38,23 +38,23 @@
 
 /* What is kept for a candidate that is none any more, or on workers that may be
  * given nothing now, is let go. */
-void kept_begin(Pass *pass)
+void reservation_begin(Pass *pass)
 {
     Core *core = pass->core;
     const char **cells;
     const size_t cell_count = map_keys(core->kept, pass->mem, &cells);
     for (size_t c = 0; c < cell_count; c++) {
-        Kept *kept = map_get(core->kept, cells[c]);
+        Reservation *kept = map_get(core->kept, cells[c]);
         const Job *job = table_job(core->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
         if (!waits || !line_rank(pass->line, job, kept->task, &kept->rank)) {
-            kept_drop(core, cells[c], "it waits no more");
+            reservation_drop(core, cells[c], "it waits no more");
             continue;
         }
         for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = pass_place(pass, kept->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
-                kept_drop(core, cells[c], "one of them may be given nothing");
+                reservation_drop(core, cells[c], "one of them may be given nothing");
                 break;
             }
             kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
@@ -62,14 +62,14 @@
     }
 }
 
-bool kept_from(const Pass *pass, const Candidate *candidate, bool *excluded)
+bool reservation_from(const Pass *pass, const Candidate *candidate, bool *excluded)
 {
     bool any = false;
     void *mem = talloc_new(NULL);
     const char **cells;
     const size_t count = map_keys(pass->core->kept, mem, &cells);
     for (size_t c = 0; c < count; c++) {
-        const Kept *kept = map_get(pass->core->kept, cells[c]);
+        const Reservation *kept = map_get(pass->core->kept, cells[c]);
         const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
         if (is_for(kept, candidate) || above || candidate->restart)
             continue;
@@ -91,7 +91,7 @@
 {
     size_t count = 0;
     Room room = worker->room;
-    for (; room_fits(each, room) && count < KEPT_MEMBERS_MAX; count++)
+    for (; room_fits(each, room) && count < RESERVATION_MEMBERS_MAX; count++)
         room = room_less(room, each);
     return count;
 }
@@ -103,7 +103,7 @@
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
 }
 
-void kept_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
+void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
     Core *core = pass->core;
     const int64_t log_ms = pass->clock.log_ms;
@@ -113,12 +113,12 @@
         map_get(core->kept, cell) != NULL)
         return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const size_t taken = kept_workers(core, pass->mem);
+    const size_t taken = reservation_workers(core, pass->mem);
     const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
-    Kept *kept = talloc_zero(core, Kept);
+    Reservation *kept = talloc_zero(core, Reservation);
     size_t left = candidate->count;
-    kept_from(pass, candidate, used);
+    reservation_from(pass, candidate, used);
     while (left > 0 && taken + kept->worker_count < most) {
         int best = -1;
         int64_t best_ms = 0;
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -114,10 +114,10 @@
 void reserve_for(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded);
 
 /* Which workers are kept for big work that small work overtakes. */
-void kept_begin(Pass *pass);
+void reservation_begin(Pass *pass);
 /* Marks in not what is kept for others than this candidate; true when any is. */
-bool kept_from(const Pass *pass, const Candidate *candidate, bool *excluded);
+bool reservation_from(const Pass *pass, const Candidate *candidate, bool *excluded);
 /* The candidate found no room: it may be time to keep some for it. */
-void kept_want(Pass *pass, const Candidate *candidate, const StepSpec *step);
+void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step);
 
 #endif
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -187,7 +187,7 @@
     void *mem = talloc_new(pass->mem);
     int *where = talloc_array(mem, int, (unsigned)candidate->count);
     bool *excluded = talloc_zero_array(mem, bool, (unsigned)pass->input.worker_count);
-    const bool kept = kept_from(pass, candidate, excluded), full = known_full(pass, &need);
+    const bool kept = reservation_from(pass, candidate, excluded), full = known_full(pass, &need);
     uint64_t percent = 100;
     const bool found = !full && choose_racks(pass, candidate, &need, excluded, where, &percent);
     bool fits = found, assured = false;
@@ -196,7 +196,7 @@
             full_add(pass, candidate, step, &need, kept);
         reserve_for(pass, candidate, &need, excluded);
         preempt_for(pass, candidate);
-        kept_want(pass, candidate, step);
+        reservation_want(pass, candidate, step);
     } else if (choose_waits(pass, candidate, step, &need, percent)) {
         fits = false;
     } else if (spec->protection == PROTECTION_PROTECTED) {
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -52,7 +52,7 @@
 {
     pass->line = line_new(pass->mem, pass->core->queue, &pass->sight);
     policies_look(pass->core);
-    kept_begin(pass);
+    reservation_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = line_next(pass->line)) != NULL)
         if (place_one(pass, candidate))
