--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -1,4 +1,4 @@
-/* A worker's report and its orders as JSON over HTTP: the product's own face. */
+/* A worker's report and its orders as JSON over HTTP: the product's own adapter. */
 #include <string.h>
 #include <talloc.h>
 
--- a/packages/face/src/face.c
+++ b/packages/face/src/face.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-const Face *face_find(const char *name)
+const Adapter *adapter_find(const char *name)
 {
-    for (const Face *const *face = FACES; *face != NULL; face++)
-        if (strcmp((*face)->name, name) == 0)
-            return *face;
+    for (const Adapter *const *adapter = FACES; *adapter != NULL; adapter++)
+        if (strcmp((*adapter)->name, name) == 0)
+            return *adapter;
     return NULL;
 }
 
-bool face_elsewhere(const FaceNode *node, HttpTask *task, bool back, const char **leader)
+bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, bool back, const char **leader)
 {
     return node->gate != NULL && gate_elsewhere(node->gate, task, back, leader);
 }
 
-void face_take(const FaceNode *node, HttpTask *task)
+void adapter_take(const AdapterNode *node, HttpTask *task)
 {
     if (node->core != NULL)
         core_take(node->core, task);
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -5,7 +5,7 @@
 #include "model/site.h"
 #include "model/tongue.h"
 
-/* A day of a deployment in virtual time: the product's own processes behind a face, and
+/* A day of a deployment in virtual time: the product's own processes behind an adapter, and
  * stand-ins for all that it meets: workers, callers, the operator, troubles. Built from
  * what the platform's pages say. The same seed gives the same day. */
 
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -154,7 +154,7 @@
 } Worded;
 
 typedef struct Tongue {
-    const char *face; /* whose tongue it is */
+    const char *adapter; /* whose tongue it is */
     int front_port, ready_port, operator_port;
     const char *ready_path, *config_path, *wait_head;
     /* Of an HTTP code; 0: no answer came. */
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -100,7 +100,7 @@
     ground->world = sim_world_new(ground, seed);
     ground->site = site;
     ground->tongue = tongue;
-    ground->face = face_find(tongue->face);
+    ground->adapter = adapter_find(tongue->adapter);
     ground->rules = rules;
     ground->seed = seed;
     const CheckerSettings settings = {ground, check_now, check_frozen, check_job, NULL};
@@ -155,7 +155,7 @@
         fputs(text, file);
         fclose(file);
     }
-    const Status status = ground->face->read(node->mem, path, &node->place, failure);
+    const Status status = ground->adapter->read(node->mem, path, &node->place, failure);
     (void)unlink(path); /* only this process reads it */
     return status == STATUS_OK;
 }
@@ -182,7 +182,7 @@
     Loop *loop = sim_loop(ground->world, node->machine);
     const CoreWatch watch = {node, on_plans};
     const Settings *settings = &node->place.settings;
-    node->node = (FaceNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
+    node->node = (AdapterNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
     recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_SETTINGS;
     if (status == STATUS_OK && node->place.role == SETTINGS_CORE)
@@ -192,7 +192,7 @@
     else if (status == STATUS_OK)
         status = agent_start(node->mem, loop, node->recorder, settings, &node->node.agent, &failure);
     if (status == STATUS_OK)
-        status = ground->face->start(node->mem, &node->node, &failure);
+        status = ground->adapter->start(node->mem, &node->node, &failure);
     node->up = status == STATUS_OK;
     if (node->up)
         return;
@@ -226,7 +226,7 @@
 {
     if (node->node.core != NULL)
         checker_leader_gone(node->ground->checker, node->name);
-    node->node = (FaceNode){0};
+    node->node = (AdapterNode){0};
     node->up = node->leaving = false;
 }
 
@@ -254,7 +254,7 @@
 static void term_main(void *arg)
 {
     Rolling *rolling = arg;
-    const FaceNode *node = &rolling->node->node;
+    const AdapterNode *node = &rolling->node->node;
     if (node->core != NULL)
         core_drain(node->core);
     if (node->gate != NULL)
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -25,8 +25,8 @@
     uint64_t life;
     int64_t trouble_ms;
     int troubles; /* that last now */
-    FacePlace place;
-    FaceNode node;
+    AdapterPlace place;
+    AdapterNode node;
     Recorder *recorder;
     void *mem;            /* of the process that runs */
     uint64_t saw_version; /* the newest document whose effect it has shown in this life */
@@ -38,7 +38,7 @@
     SimWorld *world;
     const Site *site;
     const Tongue *tongue;
-    const Face *face;
+    const Adapter *adapter;
     Rules *rules;
     Checker *checker; /* of leaders alone */
     uint64_t seed;
--- a/src/node.c
+++ b/src/node.c
@@ -1,4 +1,4 @@
-/* node: a process of whichever role the platform's settings give it, behind a face. */
+/* node: a process of whichever role the platform's settings give it, behind an adapter. */
 #include <popt.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,11 +14,11 @@
 /* Invariant: what place.settings points to is never freed, for others hold pointers into it. */
 typedef struct NodeRun {
     void *mem;
-    const Face *face;
+    const Adapter *adapter;
     const char *path;
     struct stat seen; /* of the file as it was read last */
-    FacePlace place;
-    FaceNode node;
+    AdapterPlace place;
+    AdapterNode node;
     int code;
 } NodeRun;
 
@@ -29,8 +29,8 @@
 {
     Failure failure = {0};
     void *mem = talloc_new(run->mem);
-    FacePlace place = {0};
-    if (run->face->read(mem, run->path, &place, &failure) != STATUS_OK) {
+    AdapterPlace place = {0};
+    if (run->adapter->read(mem, run->path, &place, &failure) != STATUS_OK) {
         recorder_write(run->node.recorder, RECORDER_ALERT, loop_now_ms(run->node.loop),
                        "settings left as they were: %s", failure.text);
         talloc_free(mem);
@@ -82,7 +82,7 @@
 static void start_main(void *arg)
 {
     NodeRun *run = arg;
-    FaceNode *node = &run->node;
+    AdapterNode *node = &run->node;
     const Settings *settings = &run->place.settings;
     Failure failure = {0};
     Status status;
@@ -93,7 +93,7 @@
     else
         status = agent_start(run->mem, node->loop, node->recorder, settings, &node->agent, &failure);
     if (status == STATUS_OK)
-        status = run->face->start(run->mem, node, &failure);
+        status = run->adapter->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart node: %s: %s\n", status_word(status), failure.text);
         run->code = status == STATUS_BAD_SETTINGS ? EXIT_WRONG : EXIT_FAILED;
@@ -101,7 +101,7 @@
         return;
     }
     printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], settings->name, settings->zone,
-           run->face->name);
+           run->adapter->name);
     fflush(stdout);
     loop_spawn(node->loop, "settings", look_main, run);
 }
@@ -125,11 +125,11 @@
     loop_stop(run->node.loop);
 }
 
-static int face_wrong(const char *name)
+static int adapter_wrong(const char *name)
 {
     char names[200] = "";
-    for (const Face *const *face = FACES; *face != NULL; face++)
-        snprintf(names + strlen(names), sizeof(names) - strlen(names), " %s", (*face)->name);
+    for (const Adapter *const *adapter = FACES; *adapter != NULL; adapter++)
+        snprintf(names + strlen(names), sizeof(names) - strlen(names), " %s", (*adapter)->name);
     return wrong("node", "--face: %s%s; there is%s", name != NULL ? name : "is missing",
                  name != NULL ? ": there is no such face" : "", names);
 }
@@ -159,18 +159,18 @@
         code = wrong("node", "%s: what is this?", left);
     else if (log != NULL && !recorder_level_of_word(log, &level))
         code = wrong("node", "--log: %s is no level: note, alert or fatal", log);
-    else if (name == NULL || (run->face = face_find(name)) == NULL)
-        code = face_wrong(name);
-    else if ((run->path = path != NULL ? path : run->face->path(&failure)) == NULL)
+    else if (name == NULL || (run->adapter = adapter_find(name)) == NULL)
+        code = adapter_wrong(name);
+    else if ((run->path = path != NULL ? path : run->adapter->path(&failure)) == NULL)
         code = wrong("node", "%s", failure.text);
     if (code == EXIT_GOOD)
         settings_changed(run);
-    if (code == EXIT_GOOD && run->face->read(mem, run->path, &run->place, &failure) != STATUS_OK)
+    if (code == EXIT_GOOD && run->adapter->read(mem, run->path, &run->place, &failure) != STATUS_OK)
         code = wrong("node", "%s", failure.text);
     if (code == EXIT_GOOD && only) {
         printf("good: %s %s in zone %s\n", ROLES[run->place.role], run->place.settings.name, run->place.settings.zone);
     } else if (code == EXIT_GOOD) {
-        run->node = (FaceNode){
+        run->node = (AdapterNode){
             .loop = real_loop_new(mem), .recorder = recorder_new(mem, run->place.settings.name), .place = &run->place};
         recorder_set_level(run->node.recorder, level);
         loop_spawn(run->node.loop, "start", start_main, run);
