--- a/examples/counter.c
+++ b/examples/counter.c
@@ -15,7 +15,7 @@
 #include <loop/real.h>
 #include <view/view.h>
 
-#define CHANGE_PLUS VIEW_CHANGE_FIRST
+#define CHANGE_PLUS REPLICATION_CHANGE_FIRST
 #define PLUS_MS 200
 
 typedef struct Counter {
@@ -25,7 +25,7 @@
     const char *seeds[SEEDS];
     Rpc *rpc;
     Members *members;
-    View *view;
+    Replication *replication;
     Liveset *liveset;
     uint64_t sum; /* the state */
     uint64_t heartbeats;
@@ -69,8 +69,8 @@
     HeartbeatAnswer *out = answer;
     bool list_counts;
     (void)mem;
-    out->term = view_term(counter->view);
-    if (!view_holds(counter->view))
+    out->term = configuration_term(counter->replication);
+    if (!replication_holds(counter->replication))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
     return liveset_heartbeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
@@ -81,7 +81,7 @@
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
         const char *leader = members_leader_address(counter->members);
-        if (leader != NULL && !view_leading(counter->view)) {
+        if (leader != NULL && !replication_leading(counter->replication)) {
             void *mem = talloc_new(counter);
             const HeartbeatAsk ask = {.agent = counter->name,
                                       .incarnation = members_self(counter->members)->incarnation,
@@ -114,7 +114,8 @@
     (void)term;
     (void)repair;
     if (new_holder) /* nobody is lost before every lease of the last holder has lapsed */
-        liveset_reset(counter->liveset, view_won_ms(counter->view) + AGENT_LEASE_MS + LEASE_SLACK_MS, NULL, 0);
+        liveset_reset(counter->liveset, replication_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS,
+                      NULL, 0);
 }
 
 /* --- ordered delivery ------------------------------------------------------------- */
@@ -124,12 +125,12 @@
     Counter *counter = arg;
     while (!loop_stopping(counter->loop)) {
         loop_sleep(counter->loop, PLUS_MS);
-        if (!view_leading(counter->view))
+        if (!replication_leading(counter->replication))
             continue;
         void *mem = talloc_new(counter);
         uint8_t others = (uint8_t)live(counter, mem);
         ChangeResult result;
-        view_submit(counter->view, CHANGE_PLUS, (Bytes){&others, 1, 0}, &result);
+        replication_submit(counter->replication, CHANGE_PLUS, (Bytes){&others, 1, 0}, &result);
         talloc_free(mem);
     }
 }
@@ -139,37 +140,37 @@
     Counter *counter = arg;
     Failure failure = {0};
     char address[ADDRESS_MAX];
-    const ViewSettings settings = {.loop = counter->loop,
-                                   .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
-                                   .recorder = counter->recorder,
-                                   .state = {counter, deliver, save, load},
-                                   .opened = on_opened,
-                                   .opened_arg = counter,
-                                   .founds = VIEW_FOUNDS_BY_THREE};
+    const ReplicationSettings settings = {.loop = counter->loop,
+                                          .rpc = counter->rpc = rpc_new(counter, counter->loop, counter->recorder),
+                                          .recorder = counter->recorder,
+                                          .state = {counter, deliver, save, load},
+                                          .opened = on_opened,
+                                          .opened_arg = counter,
+                                          .founds = REPLICATION_FOUNDS_BY_THREE};
     counter->liveset = liveset_new(counter);
-    counter->view = view_new(counter, &settings);
-    if (view_open_disk(counter->view, talloc_asprintf(counter, "%s/journal", counter->folder), counter->name,
-                       &failure) != STATUS_OK ||
+    counter->replication = replication_new(counter, &settings);
+    if (replication_open_disk(counter->replication, talloc_asprintf(counter, "%s/journal", counter->folder),
+                              counter->name, &failure) != STATUS_OK ||
         rpc_listen(counter->rpc, counter->listen, address, &failure) != STATUS_OK) {
         fprintf(stderr, "counter: %s: %s\n", status_word(failure.status), failure.text);
         loop_stop(counter->loop);
         return;
     }
-    const MemberRecord self = {.id =
-                                   talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, view_disk(counter->view)),
-                               .name = counter->name,
-                               .role = ROLE_CORE,
-                               .zone = "",
-                               .address = address,
-                               .http = "",
-                               .incarnation = (uint64_t)loop_wall_ms(counter->loop),
-                               .disk = view_disk(counter->view),
-                               .empty = !view_founded(counter->view)};
+    const MemberRecord self = {
+        .id = talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, replication_disk(counter->replication)),
+        .name = counter->name,
+        .role = ROLE_CORE,
+        .zone = "",
+        .address = address,
+        .http = "",
+        .incarnation = (uint64_t)loop_wall_ms(counter->loop),
+        .disk = replication_disk(counter->replication),
+        .empty = !replication_founded(counter->replication)};
     counter->members = members_new(counter, counter->loop, counter->rpc, counter->recorder, &self, counter->seeds);
-    view_start(counter->view, counter->members);
+    replication_start(counter->replication, counter->members);
     rpc_handle(counter->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, counter);
     members_start(counter->members);
-    view_founding(counter->view);
+    replication_founding(counter->replication);
     loop_spawn(counter->loop, "beat", heartbeat_main, counter);
     loop_spawn(counter->loop, "plus", plus_main, counter);
 }
@@ -177,7 +178,7 @@
 static void term_main(void *arg)
 {
     Counter *counter = arg;
-    view_step_down(counter->view, INT32_MAX);
+    replication_step_down(counter->replication, INT32_MAX);
     loop_sleep(counter->loop, HEARTBEAT_MS);
     loop_stop(counter->loop);
 }
--- a/packages/core/include/core/core.h
+++ b/packages/core/include/core/core.h
@@ -27,7 +27,7 @@
 void core_drain(Core *core);
 /* Other seeds from now on. */
 void core_seeds(Core *core, const char *const seeds[SEEDS]);
-View *core_view(Core *core);
+Replication *core_view(Core *core);
 const Table *core_table(const Core *core);
 const char *core_http_address(const Core *core);
 const char *core_address(const Core *core);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -18,9 +18,10 @@
  * has newer ones. */
 static bool stop_over(const Core *core, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
-    return task->phase == TASK_STOPPING && (view_clock_ms(core->view) - task->changed_ms > ORDER_GONE_MS ||
-                                            (heartbeat->have_term == view_term(core->view) &&
-                                             heartbeat->have == table_orders(core->table, heartbeat->worker.name)));
+    return task->phase == TASK_STOPPING &&
+           (replication_clock_ms(core->replication) - task->changed_ms > ORDER_GONE_MS ||
+            (heartbeat->have_term == configuration_term(core->replication) &&
+             heartbeat->have == table_orders(core->table, heartbeat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
@@ -167,7 +168,7 @@
 static void place_maybe(Core *core)
 {
     const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms >= core->place_from_ms || core->repairing || !view_leading(core->view) || !all_heard(core))
+    if (now_ms >= core->place_from_ms || core->repairing || !replication_leading(core->replication) || !all_heard(core))
         return;
     core->place_from_ms = now_ms; /* there is nothing that the log has forgotten and that still runs */
     core_news(core);
@@ -178,8 +179,8 @@
     Core *core = arg;
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
-    out->term = view_term(core->view);
-    if (!view_holds(core->view))
+    out->term = configuration_term(core->replication);
+    if (!replication_holds(core->replication))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
@@ -196,7 +197,7 @@
     if (was_ready != live_row_ready(liveset_find(core->liveset, heartbeat->worker.name), now_ms))
         core_news(core);
     runs_take(core, heartbeat);
-    if (!core->repairing && view_leading(core->view))
+    if (!core->repairing && replication_leading(core->replication))
         learn(core, heartbeat, list_counts);
     place_maybe(core);
     if (heartbeat->wait_ms > 0)
@@ -204,9 +205,9 @@
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
     /* the lease counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
-    if (!view_holds(core->view))
+    if (!replication_holds(core->replication))
         return STATUS_NOT_LEADER;
-    out->term = view_term(core->view);
+    out->term = configuration_term(core->replication);
     out->lease_ms = lease_ms;
     return STATUS_OK;
 }
@@ -216,8 +217,8 @@
     Core *core = arg;
     const TellAsk *ask = question;
     (void)mem;
-    ((TellAnswer *)answer)->term = view_term(core->view);
-    if (!view_leading(core->view))
+    ((TellAnswer *)answer)->term = configuration_term(core->replication);
+    if (!replication_leading(core->replication))
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
@@ -235,8 +236,8 @@
     const HeartbeatAsk heartbeat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_term = ask->have_term};
     HeartbeatAnswer orders = {0};
-    out->term = view_term(core->view);
-    if (!view_leading(core->view))
+    out->term = configuration_term(core->replication);
+    if (!replication_leading(core->replication))
         return STATUS_NOT_LEADER;
     if (core->repairing)
         return STATUS_REPAIRING;
@@ -248,8 +249,13 @@
     orders_answer(core, mem, &heartbeat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){view_term(core->view), orders.version, orders.timeout_ms,  orders.starts,
-                         orders.starts_count,   orders.wanted,  orders.wanted_count};
+    *out = (FetchAnswer){configuration_term(core->replication),
+                         orders.version,
+                         orders.timeout_ms,
+                         orders.starts,
+                         orders.starts_count,
+                         orders.wanted,
+                         orders.wanted_count};
     return STATUS_OK;
 }
 
@@ -259,9 +265,9 @@
     KnowAnswer *out = answer;
     (void)question;
     uint64_t voters[VOTER_MOST];
-    out->knows = view_knows_holder(core->view);
+    out->knows = replication_knows_holder(core->replication);
     out->term = members_leader_term(core->members);
-    out->voters_count = view_voters(core->view, voters);
+    out->voters_count = replication_voters(core->replication, voters);
     out->voters = talloc_array(mem, DiskId, VOTER_MOST);
     for (size_t i = 0; i < out->voters_count; i++)
         out->voters[i].disk = voters[i];
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -56,14 +56,14 @@
 
 static void voters_look(Core *core)
 {
-    ViewSight sight;
-    view_sight(core->view, &sight);
+    ReplicationStatus sight;
+    replication_status(core->replication, &sight);
     for (size_t i = 0; i < sight.voter_count; i++) {
         const Member *member = members_find_disk(core->members, sight.voters[i].disk);
         char disk[20];
         snprintf(disk, sizeof(disk), "%016" PRIx64, sight.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
-        if (!sight.voters[i].in_view)
+        if (!sight.voters[i].in_configuration)
             see(core, ALERT_VOTER_OUT, name);
         if (sight.voters[i].sync_ms > VOTER_SLOW_MS)
             see(core, ALERT_VOTER_SLOW, name);
@@ -81,7 +81,8 @@
     const size_t count = table_workers(core->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
         const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
-        const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + core_claim_ms(core);
+        const int64_t until_ms =
+            row != NULL ? row->until_ms : replication_won_ms(core->replication) + core_claim_ms(core);
         const bool silent =
             now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
@@ -117,7 +118,7 @@
 {
     void *mem = talloc_new(core);
     core->alert_looks++;
-    const bool leads = view_leading(core->view);
+    const bool leads = replication_leading(core->replication);
     const char *words;
     if (leads && core->repairing)
         see(core, ALERT_REPAIRING, "cluster");
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -9,12 +9,12 @@
 
 static void metrics(Core *core, HttpTask *task)
 {
-    ViewSight sight;
-    view_sight(core->view, &sight);
+    ReplicationStatus sight;
+    replication_status(core->replication, &sight);
     show_metrics_begin(task);
-    show_metric(task, "leads", view_leading(core->view));
+    show_metric(task, "leads", replication_leading(core->replication));
     show_metric(task, "repairing", core->repairing);
-    show_metric(task, "viewChanges", (int64_t)sight.view_changes);
+    show_metric(task, "viewChanges", (int64_t)sight.configuration_changes);
     show_metric(task, "lastIndex", (int64_t)sight.last_index);
     show_metric(task, "deliveredIndex", (int64_t)sight.delivered_index);
     show_metric(task, "journalBytes", (int64_t)sight.journal.bytes);
@@ -110,7 +110,7 @@
     Core *core = arg;
     const ForwardAsk *ask = question;
     ForwardAnswer *out = answer;
-    if (view_leading(core->view)) {
+    if (replication_leading(core->replication)) {
         lead_serve(core, mem, ask, out);
         return STATUS_OK;
     }
@@ -130,15 +130,16 @@
     const int64_t until_ms = loop_now_ms(core->loop) + CONFIG_WATCH_WAIT_MS;
     const bool waits = core->repairing;
     for (;;) {
-        if (!view_leading(core->view))
+        if (!replication_leading(core->replication))
             return STATUS_NOT_LEADER;
-        out->term = view_term(core->view);
+        out->term = configuration_term(core->replication);
         out->waits = core->repairing;
         if (!core->repairing && config_watch_answer(&core->piece_source, table_versions(core->table), ask,
                                                     loop_now_ms(core->loop), mem, out))
             return STATUS_OK;
         out->version = ask->have;
-        if (ask->first || waits != core->repairing || !signal_wait(core->loop, view_news(core->view), until_ms))
+        if (ask->first || waits != core->repairing ||
+            !signal_wait(core->loop, replication_news(core->replication), until_ms))
             return STATUS_OK;
     }
 }
--- a/packages/core/src/configs.c
+++ b/packages/core/src/configs.c
@@ -59,9 +59,9 @@
     }
     const int64_t until_ms = loop_now_ms(way->core->loop) + wait_ms;
     while (have >= 0 && versions_newest(table_versions(way->core->table)) <= (uint64_t)have)
-        if (!signal_wait(way->core->loop, view_news(way->core->view), until_ms))
+        if (!signal_wait(way->core->loop, replication_news(way->core->replication), until_ms))
             break;
-    if (!view_leading(way->core->view))
+    if (!replication_leading(way->core->replication))
         show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
         show_newest(way);
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -9,10 +9,10 @@
 
 bool core_decides(Core *core)
 {
-    if (!view_leading(core->view) || core->repairing)
+    if (!replication_leading(core->replication) || core->repairing)
         return false;
     if (core->watch.plans != NULL)
-        core->watch.plans(core->watch.arg, core->settings->name, view_term(core->view));
+        core->watch.plans(core->watch.arg, core->settings->name, configuration_term(core->replication));
     return true;
 }
 
@@ -24,7 +24,7 @@
 
 QueueClock core_clock(const Core *core)
 {
-    return (QueueClock){view_clock_ms(core->view), view_wall_ms(core->view)};
+    return (QueueClock){replication_clock_ms(core->replication), replication_wall_ms(core->replication)};
 }
 
 Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
@@ -32,7 +32,7 @@
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
-    const Status status = view_submit(core->view, kind, payload, result);
+    const Status status = replication_submit(core->replication, kind, payload, result);
     if (status == STATUS_OK && result->status == STATUS_OK && repair_items != NULL) {
         repair_items->items =
             talloc_realloc(mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
@@ -61,7 +61,7 @@
         /* any lease that the last leader answered runs out within this */
         orphans_reset(core->orphans);
         paces_reset(core->paces);
-        liveset_reset(core->liveset, view_won_ms(core->view) + core_claim_ms(core), names, count);
+        liveset_reset(core->liveset, replication_won_ms(core->replication) + core_claim_ms(core), names, count);
         talloc_free(mem);
     }
     if (repair && (new_holder || !core->repairing)) {
@@ -81,7 +81,7 @@
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
     const Core *core = arg;
-    if (view_holds(core->view))
+    if (replication_holds(core->replication))
         orphans_add(core->orphans, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
 }
 
@@ -93,7 +93,7 @@
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
             continue; /* a heartbeat has told how far it has come since */
-        if (view_holds(core->view))
+        if (replication_holds(core->replication))
             saved_take(core, &saved);
         orphans_end(core->orphans, news);
     }
@@ -120,7 +120,7 @@
         loop_sleep(core->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
         if (!core_decides(core))
             continue;
-        const Forget forget = {view_clock_ms(core->view) - keep_ms};
+        const Forget forget = {replication_clock_ms(core->replication) - keep_ms};
         if (table_oldest_ms(core->table) >= forget.before_ms)
             continue;
         void *mem = talloc_new(core);
@@ -134,13 +134,13 @@
 static bool seatless(void *arg)
 {
     const Core *core = arg;
-    return !view_seated(core->view);
+    return !replication_seated(core->replication);
 }
 
 static bool leads(const void *arg)
 {
     const Core *core = arg;
-    return view_leading(core->view);
+    return replication_leading(core->replication);
 }
 
 static void on_http(void *arg, HttpTask *task)
@@ -153,7 +153,7 @@
 {
     const Core *core = arg;
     uint64_t term, commit_index;
-    view_place(core->view, &term, &commit_index);
+    replication_place(core->replication, &term, &commit_index);
     return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
@@ -183,20 +183,20 @@
     table_left_watch(core->table, on_left, core);
     core->kept = map_new(core);
     core->alerts = map_new(core);
-    const ViewSettings view_settings = {.loop = loop,
-                                        .rpc = core->rpc,
-                                        .recorder = recorder,
-                                        .state = table_state(core->table),
-                                        .opened = on_opened,
-                                        .opened_arg = core,
-                                        .losses = (int)settings->bounds.losses,
-                                        .founds = (ViewFounds)settings->bounds.founds,
-                                        .disks_keep = settings->bounds.disks_keep != 0,
-                                        .voter_back_ms = settings->bounds.voter_back_ms};
-    core->view = view_new(core, &view_settings);
+    const ReplicationSettings replication_settings = {.loop = loop,
+                                                      .rpc = core->rpc,
+                                                      .recorder = recorder,
+                                                      .state = table_state(core->table),
+                                                      .opened = on_opened,
+                                                      .opened_arg = core,
+                                                      .losses = (int)settings->bounds.losses,
+                                                      .founds = (ReplicationFounds)settings->bounds.founds,
+                                                      .disks_keep = settings->bounds.disks_keep != 0,
+                                                      .voter_back_ms = settings->bounds.voter_back_ms};
+    core->replication = replication_new(core, &replication_settings);
     /* the disk first: its id is part of our name */
-    Status status =
-        view_open_disk(core->view, talloc_asprintf(core, "%s/journal", settings->data), settings->name, failure);
+    Status status = replication_open_disk(core->replication, talloc_asprintf(core, "%s/journal", settings->data),
+                                          settings->name, failure);
     if (status == STATUS_OK)
         recorder_set_place(recorder, place_now, core);
     if (status == STATUS_OK)
@@ -206,15 +206,15 @@
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(core, "%s@%016" PRIx64, settings->name, view_disk(core->view)),
+        .id = talloc_asprintf(core, "%s@%016" PRIx64, settings->name, replication_disk(core->replication)),
         .name = settings->name,
         .role = ROLE_CORE,
         .zone = settings->zone,
         .address = core->address,
         .http = core->http,
         .incarnation = (uint64_t)loop_wall_ms(loop),
-        .disk = view_disk(core->view),
-        .empty = !view_founded(core->view),
+        .disk = replication_disk(core->replication),
+        .empty = !replication_founded(core->replication),
     };
     core->members = members_new(core, loop, core->rpc, recorder, &self, settings->seeds);
     core->trace = trace_new(core, loop, core->rpc, core->members, settings->name);
@@ -229,11 +229,11 @@
                                                                .leader_wait_ms = settings->bounds.leader_wait_ms,
                                                                .outcome_wait_ms = settings->bounds.outcome_wait_ms});
     core->config_watch = config_watch_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
-    view_start(core->view, core->members);
+    replication_start(core->replication, core->members);
     agents_serve(core);
     callers_serve(core);
     members_start(core->members);
-    view_founding(core->view);
+    replication_founding(core->replication);
     planner_start(core);
     alerts_start(core);
     forwarder_start(core->forwarder);
@@ -246,7 +246,7 @@
 bool core_ready(const Core *core)
 {
     return !core->leaving &&
-           (view_leading(core->view) ? !core->repairing : ways_serve(forwarder_ways(core->forwarder)));
+           (replication_leading(core->replication) ? !core->repairing : ways_serve(forwarder_ways(core->forwarder)));
 }
 
 void core_drain(Core *core)
@@ -258,9 +258,9 @@
     members_set_leaving(core->members);
     members_announce(core->members); /* so that the view goes on without waiting for us */
     /* what was ordered gets its result; then the vote and the lock are handed over */
-    if (view_leading(core->view))
-        view_settle(core->view);
-    view_leave(core->view, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
+    if (replication_leading(core->replication))
+        replication_settle(core->replication);
+    replication_leave(core->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
     const int64_t unready_until_ms = now_ms + core->settings->bounds.unready_ms;
     if (loop_now_ms(core->loop) < unready_until_ms)
@@ -269,9 +269,9 @@
         loop_sleep(core->loop, DRAIN_LOOK_MS);
 }
 
-View *core_view(Core *core)
+Replication *core_view(Core *core)
 {
-    return core->view;
+    return core->replication;
 }
 
 const Table *core_table(const Core *core)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -51,7 +51,7 @@
 } Reservation;
 
 /* Invariants:
- *  - only a node for which view_leading is true plans, answers callers or gives
+ *  - only a node for which replication_leading is true plans, answers callers or gives
  *    orders, and it looks at the clock before each;
  *  - while repairing is true nothing is decided and nobody is told of a job;
  *  - nothing is placed before place_from_ms, which is when all that the log may have
@@ -63,7 +63,7 @@
     CoreWatch watch;
     Rpc *rpc;
     Members *members;
-    View *view;
+    Replication *replication;
     Table *table;
     RepairBuffer *repair_buffer;
     char kept_at[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -99,7 +99,7 @@
 /* Those that nobody waits for are not told again by their agent. */
 static void news_keep(Core *core, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.news_count && view_holds(core->view); i++)
+    for (size_t i = 0; i < batch->list.news_count && replication_holds(core->replication); i++)
         if (batch->list.news[i].word == ROUND_RUNNING)
             news_later(core, &batch->list.news[i]);
 }
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -71,10 +71,10 @@
 static bool orders_new(const Core *core, const HeartbeatAsk *heartbeat)
 {
     const LiveRow *row = liveset_find(core->liveset, heartbeat->worker.name);
-    return view_leading(core->view) && !core->repairing && row != NULL && row->incarnation == heartbeat->incarnation &&
-           !row->losing &&
+    return replication_leading(core->replication) && !core->repairing && row != NULL &&
+           row->incarnation == heartbeat->incarnation && !row->losing &&
            (table_orders(core->table, heartbeat->worker.name) != heartbeat->have ||
-            view_term(core->view) != heartbeat->have_term);
+            configuration_term(core->replication) != heartbeat->have_term);
 }
 
 void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out)
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -192,13 +192,13 @@
          * within a kind none waits for the last: a long repair is not a slow one */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
-            status = view_settle(core->view);
+            status = replication_settle(core->replication);
         if (status == STATUS_OK && known(core, mem, item)) {
             talloc_free(mem);
             continue;
         }
         if (status == STATUS_OK)
-            status = view_offer(core->view, item->change, restored(mem, item));
+            status = replication_offer(core->replication, item->change, restored(mem, item));
         talloc_free(mem);
         if (status != STATUS_OK || turn != core->repair_turn) {
             retelling_leave(retelling);
@@ -208,7 +208,7 @@
     }
     const size_t item_count = retelling->count;
     retelling_leave(retelling);
-    if (view_repaired(core->view) != STATUS_OK || turn != core->repair_turn)
+    if (replication_repaired(core->replication) != STATUS_OK || turn != core->repair_turn)
         return false;
     core->repairing = false;
     core->counts.repairs++;
@@ -227,9 +227,9 @@
     Core *core = arg;
     const uint64_t turn = ++core->repair_turn;
     while (turn == core->repair_turn && core->repairing && !loop_stopping(core->loop)) {
-        if (view_leading(core->view) && repair_once(core, turn))
+        if (replication_leading(core->replication) && repair_once(core, turn))
             return;
-        signal_wait(core->loop, view_news(core->view), loop_now_ms(core->loop) + HEARTBEAT_MS / 10);
+        signal_wait(core->loop, replication_news(core->replication), loop_now_ms(core->loop) + HEARTBEAT_MS / 10);
     }
 }
 
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -68,7 +68,7 @@
     /* after the rest it is tried again: a single bad round sends it back */
     tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
-    if (view_leading(core->view))
+    if (replication_leading(core->replication))
         recorder_write(core->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker,
                        how, score->rest_ms);
 }
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -11,7 +11,7 @@
 {
     const LiveRow *row = liveset_find(core->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t until_ms = row != NULL ? row->until_ms : view_won_ms(core->view) + core_claim_ms(core);
+    const int64_t until_ms = row != NULL ? row->until_ms : replication_won_ms(core->replication) + core_claim_ms(core);
     return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
 }
 
@@ -47,7 +47,7 @@
     const char *worker;
     for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
         const LiveRow *row = liveset_find(core->liveset, worker);
-        const int64_t won_ms = view_won_ms(core->view);
+        const int64_t won_ms = replication_won_ms(core->replication);
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -31,16 +31,16 @@
 }
 
 /* Entries that the disk has not synced yet, as far as the leader knows. */
-static json_object *behind_of(const ViewSight *sight, uint64_t match_index)
+static json_object *behind_of(const ReplicationStatus *sight, uint64_t match_index)
 {
     return number_of(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
 }
 
-static json_object *show_learners(const Core *core, const ViewSight *sight)
+static json_object *show_learners(const Core *core, const ReplicationStatus *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->learner_count; i++) {
-        const ViewLearnerSight *learner = &sight->learners[i];
+        const ReplicationLearnerStatus *learner = &sight->learners[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(learner->disk));
         json_object_object_add(one, "core", core_of(core, learner->disk));
@@ -53,7 +53,7 @@
     return list;
 }
 
-static json_object *show_losses(const ViewSight *sight)
+static json_object *show_losses(const ReplicationStatus *sight)
 {
     json_object *losses = json_object_new_object();
     json_object_object_add(losses, "borne", number_of(sight->losses_borne));
@@ -61,14 +61,14 @@
     return losses;
 }
 
-static json_object *show_voters(const Core *core, const ViewSight *sight)
+static json_object *show_voters(const Core *core, const ReplicationStatus *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->voter_count; i++) {
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(sight->voters[i].disk));
         json_object_object_add(one, "core", core_of(core, sight->voters[i].disk));
-        json_object_object_add(one, "inView", json_object_new_boolean(sight->voters[i].in_view));
+        json_object_object_add(one, "inView", json_object_new_boolean(sight->voters[i].in_configuration));
         json_object_object_add(one, "answers", json_object_new_boolean(sight->voters[i].answers));
         json_object_object_add(one, "woke", json_object_new_boolean(sight->voters[i].woke));
         json_object_object_add(one, "syncMs", number_of(sight->voters[i].sync_ms));
@@ -177,20 +177,20 @@
 json_object *core_status(Core *core)
 {
     void *mem = talloc_new(core);
-    ViewSight sight;
-    view_sight(core->view, &sight);
+    ReplicationStatus sight;
+    replication_status(core->replication, &sight);
     json_object *body = json_object_new_object();
     json_object_object_add(body, "cluster", disk_of(rpc_cluster(core->rpc)));
     json_object_object_add(body, "leader", text_of(core->settings->name));
     json_object_object_add(body, "epoch", number_of((int64_t)term_counter(sight.term)));
     json_object_object_add(body, "holdLeftMs", number_of(sight.lease_left_ms));
     json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
-    json_object_object_add(body, "clockMs", number_of(view_clock_ms(core->view)));
+    json_object_object_add(body, "clockMs", number_of(replication_clock_ms(core->replication)));
     json_object *log = json_object_new_object();
     json_object_object_add(log, "lastIndex", number_of((int64_t)sight.last_index));
     json_object_object_add(log, "committed", number_of((int64_t)sight.commit_index));
     json_object_object_add(log, "base", number_of((int64_t)sight.base_index));
-    json_object_object_add(log, "viewChanges", number_of((int64_t)sight.view_changes));
+    json_object_object_add(log, "viewChanges", number_of((int64_t)sight.configuration_changes));
     json_object_object_add(log, "syncs", number_of((int64_t)sight.journal.syncs));
     json_object_object_add(log, "records", number_of((int64_t)sight.journal.records));
     json_object_object_add(log, "rewrites", number_of((int64_t)sight.journal.rewrites));
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -15,7 +15,7 @@
 
 static bool pass_lead(Way *way)
 {
-    if (view_leading(way->core->view))
+    if (replication_leading(way->core->replication))
         return true;
     show_refusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
@@ -66,7 +66,7 @@
 
 void way_keep_end(Way *way, const Job *job)
 {
-    if (job->phase == JOB_ACTIVE || view_clock_ms(way->core->view) - job->ended_ms > REPAIR_KEEP_MS)
+    if (job->phase == JOB_ACTIVE || replication_clock_ms(way->core->replication) - job->ended_ms > REPAIR_KEEP_MS)
         return;
     RepairItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
@@ -199,13 +199,14 @@
 /* Whether the answer may go out, which was made under the term. Waits. */
 static bool proven(Way *way, Proof proof, uint64_t term)
 {
-    const View *view = way->core->view;
+    const Replication *replication = way->core->replication;
     if (proof == PROOF_LEASE)
-        return view_leading(view) && view_term(view) == term;
+        return replication_leading(replication) && configuration_term(replication) == term;
     int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
     if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
         until_ms = way->task->timeout_ms;
-    return view_contact(way->core->view, until_ms) == STATUS_OK && view_term(view) == term;
+    return replication_contact(way->core->replication, until_ms) == STATUS_OK &&
+           configuration_term(replication) == term;
 }
 
 /* The last look before the answer goes out, after all that the route has waited for. */
@@ -230,7 +231,7 @@
         if (!GUARDS[i].pass(&way))
             return;
     bool path_known = false;
-    const uint64_t term = view_term(core->view);
+    const uint64_t term = configuration_term(core->replication);
     const Route *route = route_of(&way, &path_known);
     if (route != NULL) {
         route->serve(&way);
--- a/packages/core/src/zones.c
+++ b/packages/core/src/zones.c
@@ -113,7 +113,8 @@
     const Table *table = way->core->table;
     if (!order_takes(way, table_drain_known(table, &drain)))
         return;
-    const int64_t clock_ms = view_clock_ms(way->core->view), last_stamp = table_drain_stamp(table, way->name);
+    const int64_t clock_ms = replication_clock_ms(way->core->replication),
+                  last_stamp = table_drain_stamp(table, way->name);
     drain.stamp = clock_ms > last_stamp ? clock_ms : last_stamp + 1;
     ChangeResult result;
     if (!way_delivered(way, core_submit(way->core, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result,
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -201,7 +201,7 @@
         break;
     case ACT_STEP_DOWN:
         if (node->up)
-            view_step_down(node->view, act->for_ms);
+            replication_step_down(node->replication, act->for_ms);
         break;
     case ACT_CHANGES:
         changes(explore, node, act->amount);
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -33,7 +33,7 @@
 }
 
 /* What is committed is never another, and never taken back. */
-static void check_committed(Explore *explore, Node *node, const ViewWindow *window)
+static void check_committed(Explore *explore, Node *node, const ReplicationWindow *window)
 {
     if (window->commit_index < node->commit_seen)
         explore_break(explore, RULE_COMMITTED_CHANGED, "%s had committed %" PRIu64 ", now %" PRIu64, node->name,
@@ -50,7 +50,7 @@
         explore_break(explore, RULE_STATE_OTHER, "of %s after %" PRIu64, node->name, window->delivered_index);
 }
 
-static void check_promise(Explore *explore, Node *node, const ViewWindow *window)
+static void check_promise(Explore *explore, Node *node, const ReplicationWindow *window)
 {
     if (window->promised < node->promised_seen)
         explore_break(explore, RULE_PROMISE_FELL, "of %s", node->name);
@@ -71,7 +71,7 @@
 
 static void check_term_owner(Explore *explore, const Node *node, uint64_t term)
 {
-    const uint64_t disk = view_disk(node->view);
+    const uint64_t disk = replication_disk(node->replication);
     for (size_t i = 0; i < explore->lead_count; i++)
         if (explore->leads[i].term == term) {
             if (explore->leads[i].disk != disk)
@@ -88,7 +88,7 @@
     explore_say(explore, "%s leads view %" PRIu64, node->name, term_counter(term));
 }
 
-static bool same_voters(const History *history, const ViewWindow *window)
+static bool same_voters(const History *history, const ReplicationWindow *window)
 {
     size_t same = 0;
     for (size_t i = 0; i < window->voter_count; i++)
@@ -97,20 +97,20 @@
     return same == history->voter_count && same == window->voter_count;
 }
 
-static size_t lists_pending(const ViewWindow *window)
+static size_t lists_pending(const ReplicationWindow *window)
 {
     size_t count = 0;
     for (uint64_t i = window->commit_index + 1; i <= log_last_index(window->log); i++) {
         const Record *entry = log_at(window->log, i);
-        uint64_t voters[VIEW_VOTERS_MAX];
+        uint64_t voters[REPLICATION_VOTERS_MAX];
         size_t voter_count;
-        count += entry != NULL && view_window_list(entry, voters, &voter_count);
+        count += entry != NULL && replication_window_list(entry, voters, &voter_count);
     }
     return count;
 }
 
 /* A leader has all that was committed, and the newest list of voters. */
-static void check_leader(Explore *explore, Node *node, const ViewWindow *window)
+static void check_leader(Explore *explore, Node *node, const ReplicationWindow *window)
 {
     const History *history = &explore->history;
     if (window->term != node->led_term)
@@ -156,13 +156,13 @@
         Node *node = &explore->nodes[i];
         if (!node->up || !sim_alive(explore->world, node->machine))
             continue;
-        ViewWindow window;
-        view_window(node->view, &window);
+        ReplicationWindow window;
+        replication_window(node->replication, &window);
         check_promise(explore, node, &window);
         check_committed(explore, node, &window);
         node->voters_before = window.voter_count;
         node->list_before = window.list_index;
-        if (window.phase == VIEW_LEADING && node_leads(node)) {
+        if (window.phase == REPLICATION_LEADING && node_leads(node)) {
             check_leader(explore, node, &window);
             if (claims != NULL)
                 explore_break(explore, RULE_TWO_CLAIMS, "%s and %s", claims->name, node->name);
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -31,7 +31,8 @@
     const Handing *handing = arg;
     Explore *explore = handing->explore;
     ChangeResult result = {0};
-    const Status status = view_submit(handing->node->view, VIEW_CHANGE_FIRST, handing->payload, &result);
+    const Status status =
+        replication_submit(handing->node->replication, REPLICATION_CHANGE_FIRST, handing->payload, &result);
     Order *order = &explore->orders[handing->number - 1];
     if (status == STATUS_OK)
         acknowledged(explore, handing->number);
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -55,13 +55,13 @@
 /* How many voters a commit is counted among: those of the newest list in the leader's log, as
  * it was at the commit. A list that this very step has ordered came after what the step
  * commits, unless it is committed itself: then the one from before the step counts. */
-static size_t voters_counted(const Node *node, const ViewWindow *window)
+static size_t voters_counted(const Node *node, const ReplicationWindow *window)
 {
     const bool ordered = window->list_index > node->list_before && window->list_index > window->commit_index;
     return ordered && node->voters_before > 0 ? node->voters_before : window->voter_count;
 }
 
-static void commit_one(Explore *explore, const Node *node, const ViewWindow *window, uint64_t index)
+static void commit_one(Explore *explore, const Node *node, const ReplicationWindow *window, uint64_t index)
 {
     History *history = &explore->history;
     const Item *held = node->model != NULL ? disk_item(node->model, index) : NULL;
@@ -89,7 +89,7 @@
         explore->result->committed++;
 }
 
-void history_follow(Explore *explore, const Node *node, const ViewWindow *window)
+void history_follow(Explore *explore, const Node *node, const ReplicationWindow *window)
 {
     while (explore->history.items.count < window->commit_index && explore->result->rule == RULE_NONE)
         commit_one(explore, node, window, explore->history.items.count + 1);
--- a/packages/explore/src/history.h
+++ b/packages/explore/src/history.h
@@ -6,6 +6,6 @@
 /* The item at the index, or null. */
 const Item *history_item(const History *history, uint64_t index);
 /* Takes in what the node has committed beyond the history. */
-void history_follow(Explore *explore, const Node *node, const ViewWindow *window);
+void history_follow(Explore *explore, const Node *node, const ReplicationWindow *window);
 
 #endif
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -41,7 +41,7 @@
 typedef struct History {
     Items items;
     uint64_t list_index;
-    uint64_t voters[VIEW_VOTERS_MAX];
+    uint64_t voters[REPLICATION_VOTERS_MAX];
     size_t voter_count;
 } History;
 
@@ -68,7 +68,7 @@
     bool up;
     uint64_t life;
     Rpc *rpc;
-    View *view;
+    Replication *replication;
     Members *members;
     Chain chain;
     uint64_t promised_seen, commit_seen, held_term, led_term, list_seen;
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -27,10 +27,10 @@
 {
     const uint64_t crc = bytes_crc(entry->payload.data, entry->payload.count);
     Item item = {.term = entry->term, .hash = mix(mix(mix(entry->term) + entry->change) + crc)};
-    if (entry->change >= VIEW_CHANGE_FIRST && entry->payload.count >= sizeof(item.number))
+    if (entry->change >= REPLICATION_CHANGE_FIRST && entry->payload.count >= sizeof(item.number))
         memcpy(&item.number, entry->payload.data, sizeof(item.number));
-    uint64_t voters[VIEW_VOTERS_MAX];
-    if (view_window_list(entry, voters, &item.voter_count))
+    uint64_t voters[REPLICATION_VOTERS_MAX];
+    if (replication_window_list(entry, voters, &item.voter_count))
         item.voters = talloc_memdup(mem, voters, sizeof(voters));
     return item;
 }
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -71,42 +71,42 @@
 static Status boot(Node *node, Loop *loop, Failure *failure)
 {
     const Explore *explore = node->explore;
-    const ViewFounds first = explore->plan->by_votes ? VIEW_FOUNDS_BY_VOTES : VIEW_FOUNDS_BY_THREE;
+    const ReplicationFounds first = explore->plan->by_votes ? REPLICATION_FOUNDS_BY_VOTES : REPLICATION_FOUNDS_BY_THREE;
     node->rpc = rpc_new(loop, loop, node->recorder);
-    const ViewSettings how = {.loop = loop,
-                              .rpc = node->rpc,
-                              .recorder = node->recorder,
-                              .state = {&node->chain, deliver, save, load},
-                              .losses = explore->plan->losses,
-                              .founds = node->founds ? first : VIEW_FOUNDS_NEVER,
-                              .disks_keep = true,
-                              .voter_back_ms = explore->plan->voter_back_ms,
-                              .snapshot_entries = explore->plan->snapshot};
+    const ReplicationSettings how = {.loop = loop,
+                                     .rpc = node->rpc,
+                                     .recorder = node->recorder,
+                                     .state = {&node->chain, deliver, save, load},
+                                     .losses = explore->plan->losses,
+                                     .founds = node->founds ? first : REPLICATION_FOUNDS_NEVER,
+                                     .disks_keep = true,
+                                     .voter_back_ms = explore->plan->voter_back_ms,
+                                     .snapshot_entries = explore->plan->snapshot};
     node->founds = false;
-    node->view = view_new(loop, &how);
-    Status status = view_open_disk(node->view, NODE_DATA, node->name, failure);
+    node->replication = replication_new(loop, &how);
+    Status status = replication_open_disk(node->replication, NODE_DATA, node->name, failure);
     char address[ADDRESS_MAX];
     if (status == STATUS_OK)
         status = rpc_listen(node->rpc, node->listen, address, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(loop, "%s@%016" PRIx64, node->name, view_disk(node->view)),
+        .id = talloc_asprintf(loop, "%s@%016" PRIx64, node->name, replication_disk(node->replication)),
         .name = node->name,
         .role = ROLE_CORE,
         .zone = talloc_asprintf(loop, "zone%d", node->machine % 3),
         .address = node->listen,
         .http = "",
         .incarnation = (uint64_t)loop_wall_ms(loop),
-        .disk = view_disk(node->view),
-        .empty = !view_founded(node->view),
+        .disk = replication_disk(node->replication),
+        .empty = !replication_founded(node->replication),
     };
     const char *seeds[SEEDS];
     seeds_of(explore, seeds);
     node->members = members_new(loop, loop, node->rpc, node->recorder, &self, seeds);
-    view_start(node->view, node->members);
+    replication_start(node->replication, node->members);
     members_start(node->members);
-    view_founding(node->view);
+    replication_founding(node->replication);
     return STATUS_OK;
 }
 
@@ -193,10 +193,10 @@
     Node *node = arg;
     members_set_leaving(node->members);
     members_announce(node->members);
-    if (view_leading(node->view))
-        view_settle(node->view);
-    view_leave(node->view,
-               loop_now_ms(sim_loop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
+    if (replication_leading(node->replication))
+        replication_settle(node->replication);
+    replication_leave(node->replication,
+                      loop_now_ms(sim_loop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
 
 void node_leave(Node *node)
@@ -214,7 +214,7 @@
 
 bool node_leads(const Node *node)
 {
-    return node->up && sim_alive(node->explore->world, node->machine) && view_leading(node->view);
+    return node->up && sim_alive(node->explore->world, node->machine) && replication_leading(node->replication);
 }
 
 Node *node_leader(Explore *explore)
@@ -269,8 +269,8 @@
         const Node *other = &explore->nodes[i];
         if (!other->up)
             continue;
-        ViewWindow window;
-        view_window(other->view, &window);
+        ReplicationWindow window;
+        replication_window(other->replication, &window);
         if (window.list_index > explore->history.list_index && !bears(explore, node, window.voters, window.voter_count))
             return false;
     }
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -382,7 +382,7 @@
     for (size_t i = 0; i < ground->edge_count; i++) {
         GroundNode *node = &ground->edges[i];
         if (node->up && node->node.core != NULL && !sim_frozen(ground->world, node->machine) &&
-            view_leading(core_view(node->node.core)))
+            replication_leading(core_view(node->node.core)))
             return node;
     }
     return NULL;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -43,7 +43,7 @@
         if (!node->up || node->core == NULL)
             continue;
         const Job *job = table_job(core_table(node->core), id);
-        if (job != NULL && (found == NULL || view_leading(core_view(node->core))))
+        if (job != NULL && (found == NULL || replication_leading(core_view(node->core))))
             found = job;
     }
     return found;
@@ -218,7 +218,7 @@
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (node->up && node->core != NULL && !sim_frozen(fleet->world, node->machine) &&
-            view_leading(core_view(node->core)))
+            replication_leading(core_view(node->core)))
             return i;
     }
     return -1;
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -22,12 +22,12 @@
         const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
         if (!runs(fleet, node) || node->core == NULL)
             continue;
-        ViewSight sight;
-        view_sight(core_view(node->core), &sight);
+        ReplicationStatus sight;
+        replication_status(core_view(node->core), &sight);
         if (count > 0 && sight.commit_index <= furthest)
             continue;
         furthest = sight.commit_index;
-        count = view_voters(core_view(node->core), voters);
+        count = replication_voters(core_view(node->core), voters);
     }
     return count;
 }
@@ -44,7 +44,7 @@
             continue;
         bool seated = false;
         for (size_t s = 0; s < voter_count; s++)
-            seated |= voters[s] == view_disk(core_view(node->core));
+            seated |= voters[s] == replication_disk(core_view(node->core));
         if (seated)
             good[count++] = node;
     }
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -29,41 +29,41 @@
 {
     (void)state;
     Fleet *fleet = begin(1);
-    View *view = view_of(fleet, 0);
+    Replication *replication = replication_of(fleet, 0);
     Bytes whole = {talloc_zero_size(fleet, 1000), 1000, 0};
     whole.data[500] = 7;
     Record record;
     FillAsk ask = piece_of(whole, 400, 300);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fill_count(view), 0);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_count(replication), 0);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fill_count(view), 400);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_count(replication), 400);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.payload.count = 700;
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
     whole.data[500] = 8; /* on its way */
     ask = piece_of(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
-    assert_int_equal(fill_count(view), 0);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_count(replication), 0);
     whole.data[500] = 7;
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BUSY);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_OK);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_OK);
     assert_memory_equal(record.payload.data, whole.data, whole.count);
     ask = piece_of(whole, 0, 1000);
     ask.total = RECORD_MAX_BYTES + 1;
-    assert_int_equal(fill_take(view, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
     talloc_free(fleet);
 }
 
@@ -83,8 +83,8 @@
 static bool caught_up(Fleet *fleet, int core)
 {
     const int leader = fleet_leader(fleet);
-    return leader >= 0 && runs(fleet, core) && view_of(fleet, core)->delivered_index > 0 &&
-           view_of(fleet, core)->delivered_index + 2 >= view_of(fleet, leader)->commit_index;
+    return leader >= 0 && runs(fleet, core) && replication_of(fleet, core)->delivered_index > 0 &&
+           replication_of(fleet, core)->delivered_index + 2 >= replication_of(fleet, leader)->commit_index;
 }
 
 typedef struct CatchUp {
@@ -135,7 +135,7 @@
     catch_up.took_ms = sim_now_ms(fleet->world) - from_ms;
     catch_up.bytes = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CORE, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
-        assert_false(view_disk_failed(view_of(fleet, i)));
+        assert_false(replication_disk_failed(replication_of(fleet, i)));
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     print_message("away for %d changes of %zu bytes: caught up in %d ms with %zu KB; at most %zu KB on disk, %zu KB of "
                   "memory\n",
@@ -175,7 +175,7 @@
                                .labels_count = 1,
                                .excluded = true};
         shape_pack(&Worker_shape, &worker, mem, &payload);
-        view_offer(view_of(fleet, fleet_leader(fleet)), CHANGE_WORKER_SET, payload);
+        replication_offer(replication_of(fleet, fleet_leader(fleet)), CHANGE_WORKER_SET, payload);
         fleet_run(fleet, 100);
     }
     talloc_free(mem);
@@ -190,9 +190,9 @@
     Fleet *fleet = begin(1);
     const int leader = fleet_leader(fleet), away = (leader + 1) % 3;
     state_grow(fleet, 34);
-    view_compact_maybe(view_of(fleet, leader), true);
+    replication_compact_maybe(replication_of(fleet, leader), true);
     fleet_run(fleet, 500);
-    assert_true(view_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
+    assert_true(replication_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
     for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
         sim_link_rate(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, 4 * 1024);
     checker_fault(fleet->checker);
@@ -208,7 +208,7 @@
             fleet_isolate(fleet, FLEET_CORE, away, true);
         if (i == 90)
             fleet_isolate(fleet, FLEET_CORE, away, false);
-        const uint64_t filled = runs(fleet, away) ? fill_count(view_of(fleet, away)) : 0;
+        const uint64_t filled = runs(fleet, away) ? fill_count(replication_of(fleet, away)) : 0;
         most = filled > most ? filled : most;
         assert_true(filled == most || filled == 0);
     }
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -7,7 +7,7 @@
 
 #define FILLER 60000 /* number of a change that no state knows: it is kept in the log and does nothing */
 
-static inline View *view_of(Fleet *fleet, int core)
+static inline Replication *replication_of(Fleet *fleet, int core)
 {
     return core_view(fleet_node(fleet, FLEET_CORE, core)->core);
 }
@@ -35,8 +35,8 @@
     void *mem = talloc_new(NULL);
     const Bytes payload = {talloc_zero_size(mem, bytes + 1), bytes, 0};
     for (int i = 0; i < count; i++)
-        if (view_leading(view_of(fleet, leader)))
-            view_offer(view_of(fleet, leader), FILLER, payload);
+        if (replication_leading(replication_of(fleet, leader)))
+            replication_offer(replication_of(fleet, leader), FILLER, payload);
     talloc_free(mem);
 }
 
@@ -44,7 +44,7 @@
 {
     const int leader = fleet_leader(fleet);
     return leader >= 0 && runs(fleet, core) &&
-           view_voter_of(view_of(fleet, leader), view_disk(view_of(fleet, core))) >= 0;
+           replication_voter_of(replication_of(fleet, leader), replication_disk(replication_of(fleet, core))) >= 0;
 }
 
 #endif
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -24,32 +24,33 @@
 
 static Held held_of(Fleet *fleet, int core)
 {
-    const View *view = view_of(fleet, core);
+    const Replication *replication = replication_of(fleet, core);
     Held held = {0};
-    if (journal_sync_since(view->journal) != INT64_MAX || journal_failed(view->journal) || view->compacting)
+    if (journal_sync_since(replication->journal) != INT64_MAX || journal_failed(replication->journal) ||
+        replication->compacting)
         return held;
     held.known = true;
-    held.base_index = view->log->base_index;
-    held.last_index = view->queued_index;
-    held.promised = view->lock.promised;
-    held.list_index = view->list_index <= held.last_index ? view->list_index : 0;
+    held.base_index = replication->log->base_index;
+    held.last_index = replication->queued_index;
+    held.promised = replication->lock.promised;
+    held.list_index = replication->list_index <= held.last_index ? replication->list_index : 0;
     held.terms = talloc_zero_array(fleet, uint64_t, (unsigned)(held.last_index - held.base_index + 1));
     for (uint64_t i = held.base_index + 1; i <= held.last_index; i++)
-        held.terms[i - held.base_index - 1] = log_at(view->log, i)->term;
+        held.terms[i - held.base_index - 1] = log_at(replication->log, i)->term;
     return held;
 }
 
 static void assert_back(Fleet *fleet, int core, const Held *held)
 {
-    const View *view = view_of(fleet, core);
+    const Replication *replication = replication_of(fleet, core);
     if (!held->known)
         return;
-    assert_true(log_last_index(view->log) >= held->last_index);
-    assert_true(view->lock.promised >= held->promised);
-    assert_true(view->list_index >= held->list_index);
+    assert_true(log_last_index(replication->log) >= held->last_index);
+    assert_true(replication->lock.promised >= held->promised);
+    assert_true(replication->list_index >= held->list_index);
     for (uint64_t i = held->base_index + 1; i <= held->last_index; i++)
-        if (i > view->log->base_index)
-            assert_int_equal(log_at(view->log, i)->term, held->terms[i - held->base_index - 1]);
+        if (i > replication->log->base_index)
+            assert_int_equal(log_at(replication->log, i)->term, held->terms[i - held->base_index - 1]);
 }
 
 /* Ends the core and starts it again where nobody reaches it: its log is that of its disk. */
@@ -89,7 +90,7 @@
         break;
     case 3:
         if (runs(fleet, core))
-            view_compact_maybe(view_of(fleet, core), true);
+            replication_compact_maybe(replication_of(fleet, core), true);
         break;
     default:
         offer(fleet, (int)(sim_random(world) % 20), 10);
@@ -129,7 +130,7 @@
         offer(fleet, 3, 10);
         fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
-        view_compact_maybe(view_of(fleet, leader), true);
+        replication_compact_maybe(replication_of(fleet, leader), true);
         sim_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
         fleet_isolate(fleet, FLEET_CORE, leader, true);
         fleet_run(fleet, 5000);
@@ -139,9 +140,9 @@
         fleet_run(fleet, 1000);
         fleet_isolate(fleet, FLEET_CORE, leader, false);
         fleet_run(fleet, 5000);
-        const uint64_t told = log_last_index(view_of(fleet, leader)->log);
+        const uint64_t told = log_last_index(replication_of(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
-        assert_true(log_last_index(view_of(fleet, leader)->log) >= told);
+        assert_true(log_last_index(replication_of(fleet, leader)->log) >= told);
         talloc_free(fleet);
     }
 }
@@ -149,7 +150,7 @@
 /* --- what may never be taken -------------------------------------------------------- */
 
 typedef struct Orders {
-    View *view;
+    Replication *replication;
     Status replaced, appended;
     bool done;
 } Orders;
@@ -158,19 +159,19 @@
 static void orders_main(void *arg)
 {
     Orders *orders = arg;
-    View *view = orders->view;
-    const uint64_t index = view->commit_index;
-    const Record older = {.kind = RECORD_SNAPSHOT, .term = view->log->base_term, .index = index - 1, .name = ""};
-    orders->replaced = voter_replace(view, &older, NULL, 0);
-    Record other = *log_at(view->log, index);
-    AppendAsk ask = {.term = view->lock.promised + 100,
-                     .holder = view->disk + 1,
+    Replication *replication = orders->replication;
+    const uint64_t index = replication->commit_index;
+    const Record older = {.kind = RECORD_SNAPSHOT, .term = replication->log->base_term, .index = index - 1, .name = ""};
+    orders->replaced = voter_replace(replication, &older, NULL, 0);
+    Record other = *log_at(replication->log, index);
+    AppendAsk ask = {.term = replication->lock.promised + 100,
+                     .holder = replication->disk + 1,
                      .prev_index = index - 1,
-                     .prev_term = log_at(view->log, index - 1)->term,
+                     .prev_term = log_at(replication->log, index - 1)->term,
                      .entries = &other,
                      .entries_count = 1};
     other.term = ask.term;
-    orders->appended = voter_append(view, &ask);
+    orders->appended = voter_append(replication, &ask);
     orders->done = true;
 }
 
@@ -182,19 +183,19 @@
     const int core = (fleet_leader(fleet) + 1) % 3;
     offer(fleet, 10, 10);
     fleet_run(fleet, 1000);
-    View *view = view_of(fleet, core);
-    const uint64_t index = view->commit_index, term = log_at(view->log, index)->term;
-    Orders orders = {.view = view};
+    Replication *replication = replication_of(fleet, core);
+    const uint64_t index = replication->commit_index, term = log_at(replication->log, index)->term;
+    Orders orders = {.replication = replication};
     fleet_isolate(fleet, FLEET_CORE, core, true);
     loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "orders", orders_main, &orders);
     fleet_run(fleet, 200);
     assert_true(orders.done);
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
     assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
-    assert_int_equal(view->commit_index, index);
-    assert_int_equal(log_at(view->log, index)->term, term);
-    ViewSight sight;
-    view_sight(view, &sight);
+    assert_int_equal(replication->commit_index, index);
+    assert_int_equal(log_at(replication->log, index)->term, term);
+    ReplicationStatus sight;
+    replication_status(replication, &sight);
     assert_int_equal(sight.other_histories, 2);
     assert_non_null(strstr(recorder_text(fleet_node(fleet, FLEET_CORE, core)->recorder, fleet), "other-history"));
     talloc_free(fleet);
@@ -207,19 +208,19 @@
     (void)state;
     Fleet *fleet = begin(1);
     const int leader = fleet_leader(fleet);
-    View *view = view_of(fleet, leader);
-    assert_true(view->list_index > 0 && view->list_index <= view->commit_index);
+    Replication *replication = replication_of(fleet, leader);
+    assert_true(replication->list_index > 0 && replication->list_index <= replication->commit_index);
     fleet_isolate(fleet, FLEET_CORE, leader, true);
     fleet_run(fleet, 3000);
-    const uint64_t list_index = view->list_index;
-    for (uint64_t i = list_index; i <= log_last_index(view->log); i++) /* as a disk would that lost the entry */
-        view->log->entries[i - view->log->base_index - 1].change = FILLER;
-    view_reread(view);
-    assert_true(view->list_index < list_index && view_disk_failed(view));
+    const uint64_t list_index = replication->list_index;
+    for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as a disk would that lost the entry */
+        replication->log->entries[i - replication->log->base_index - 1].change = FILLER;
+    replication_reread(replication);
+    assert_true(replication->list_index < list_index && replication_disk_failed(replication));
     fleet_run(fleet, 10000);
-    assert_false(view_leading(view));
-    const ProposeAsk ask = {UINT64_MAX / 2, view->disk, 0, UINT64_MAX / 2, 1};
-    assert_int_equal(voter_propose(view, &ask), STATUS_DISK_FAILED);
+    assert_false(replication_leading(replication));
+    const ProposeAsk ask = {UINT64_MAX / 2, replication->disk, 0, UINT64_MAX / 2, 1};
+    assert_int_equal(voter_propose(replication, &ask), STATUS_DISK_FAILED);
     talloc_free(fleet);
 }
 
@@ -240,7 +241,7 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed);
         const int core = (int)(seed % 3);
-        const uint64_t before = view_disk(view_of(fleet, core));
+        const uint64_t before = replication_disk(replication_of(fleet, core));
         offer(fleet, 50, 100);
         fleet_run(fleet, 1000);
         fleet_kill(fleet, FLEET_CORE, core);
@@ -250,15 +251,15 @@
         fleet_start_node(fleet, FLEET_CORE, core);
         fleet_run(fleet, 3000);
         assert_true(runs(fleet, core));
-        const View *view = view_of(fleet, core);
-        ViewSight sight;
-        view_sight(view, &sight);
-        assert_true(sight.journal.begun_anew && view_disk(view) != before);
-        assert_false(view_founded(view));
-        assert_int_equal(log_last_index(view->log), 0);
-        assert_int_equal(view->lock.promised, 0);
+        const Replication *replication = replication_of(fleet, core);
+        ReplicationStatus sight;
+        replication_status(replication, &sight);
+        assert_true(sight.journal.begun_anew && replication_disk(replication) != before);
+        assert_false(replication_founded(replication));
+        assert_int_equal(log_last_index(replication->log), 0);
+        assert_int_equal(replication->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
-        assert_int_equal(voter_propose(view_of(fleet, core), &ask), STATUS_NO_VOTER);
+        assert_int_equal(voter_propose(replication_of(fleet, core), &ask), STATUS_NO_VOTER);
         fleet_isolate(fleet, FLEET_CORE, core, false);
         for (int i = 0; i < 60 && !seated(fleet, core); i++)
             fleet_run(fleet, 500);
@@ -269,21 +270,21 @@
 }
 
 typedef struct Writing {
-    View *view;
+    Replication *replication;
     Record record;
 } Writing;
 
 static void write_main(void *arg)
 {
     const Writing *writing = arg;
-    assert_int_equal(journal_write(writing->view->journal, &writing->record, 1), STATUS_OK);
+    assert_int_equal(journal_write(writing->replication->journal, &writing->record, 1), STATUS_OK);
 }
 
 /* Puts a record into the core's journal behind its back, and starts the core again. */
 static void record_and_restart(Fleet *fleet, int core, Record record)
 {
     Writing *writing = talloc_zero(fleet, Writing);
-    *writing = (Writing){view_of(fleet, core), record};
+    *writing = (Writing){replication_of(fleet, core), record};
     loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "write", write_main, writing);
     fleet_run(fleet, 200);
     fleet_kill(fleet, FLEET_CORE, core);
@@ -311,15 +312,15 @@
     (void)state;
     Fleet *fleet = begin(1);
     const int core = (fleet_leader(fleet) + 1) % 3;
-    const View *view = view_of(fleet, core);
-    const uint64_t before = view_disk(view);
+    const Replication *replication = replication_of(fleet, core);
+    const uint64_t before = replication_disk(replication);
     const Record far = {.kind = RECORD_ENTRY,
-                        .term = log_last_term(view->log),
-                        .index = log_last_index(view->log) + 2,
+                        .term = log_last_term(replication->log),
+                        .index = log_last_index(replication->log) + 2,
                         .change = FILLER,
                         .name = ""};
     record_and_restart(fleet, core, far);
-    assert_true(runs(fleet, core) && view_disk(view_of(fleet, core)) != before);
+    assert_true(runs(fleet, core) && replication_disk(replication_of(fleet, core)) != before);
     talloc_free(fleet);
 }
 
@@ -346,7 +347,7 @@
                 fleet_start_node(fleet, (FleetRole)role, 0);
             fleet_run(fleet, 20000);
             for (int core = 0; core < 3; core++)
-                assert_true(runs(fleet, core) && !view_founded(view_of(fleet, core)));
+                assert_true(runs(fleet, core) && !replication_founded(replication_of(fleet, core)));
         }
         talloc_free(fleet);
     }
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -13,7 +13,7 @@
 #define SERVES_MS 3000 /* ms; a leader that takes changes is there so long after the last start */
 #define SEATED_MS 4000 /* ms; ... and has given all the voters that are wanted */
 
-static const View *view_of(Fleet *fleet, int core)
+static const Replication *replication_of(Fleet *fleet, int core)
 {
     const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
     return node->up && node->core != NULL ? core_view(node->core) : NULL;
@@ -25,8 +25,8 @@
     uint64_t known[FLEET_EACH_MAX];
     int count = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const View *view = view_of(fleet, i);
-        const uint64_t cluster = view != NULL ? view_cluster(view) : 0;
+        const Replication *replication = replication_of(fleet, i);
+        const uint64_t cluster = replication != NULL ? replication_cluster(replication) : 0;
         bool again = cluster == 0;
         for (int k = 0; k < count; k++)
             again |= known[k] == cluster;
@@ -41,14 +41,14 @@
 {
     uint64_t disks[VOTER_MOST];
     const int leader = fleet_leader(fleet);
-    const size_t count = leader >= 0 ? view_voters(view_of(fleet, leader), disks) : 0;
+    const size_t count = leader >= 0 ? replication_voters(replication_of(fleet, leader), disks) : 0;
     *most = 0;
     for (size_t s = 0; s < count; s++) {
         const char *zones[VOTER_MOST] = {0};
         size_t same = 0;
         for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
             for (size_t k = 0; k < count; k++)
-                if (view_of(fleet, i) != NULL && view_disk(view_of(fleet, i)) == disks[k])
+                if (replication_of(fleet, i) != NULL && replication_disk(replication_of(fleet, i)) == disks[k])
                     zones[k] = fleet_node(fleet, FLEET_CORE, i)->settings.zone;
         for (size_t k = 0; k < count; k++)
             same += zones[s] != NULL && zones[k] != NULL && strcmp(zones[s], zones[k]) == 0;
@@ -58,13 +58,13 @@
 }
 
 /* Voters in the leader's view. */
-static size_t in_view(Fleet *fleet)
+static size_t in_configuration(Fleet *fleet)
 {
-    ViewSight sight;
+    ReplicationStatus sight;
     size_t count = 0;
-    view_sight(view_of(fleet, fleet_leader(fleet)), &sight);
+    replication_status(replication_of(fleet, fleet_leader(fleet)), &sight);
     for (size_t i = 0; i < sight.voter_count; i++)
-        count += sight.voters[i].in_view;
+        count += sight.voters[i].in_configuration;
     return count;
 }
 
@@ -80,11 +80,11 @@
         assert_true(fleet_leader(fleet) >= 0);
         fleet_run(fleet, SEATED_MS - SERVES_MS);
         size_t most;
-        if (voters(fleet, &most) != wanted || in_view(fleet) != wanted)
+        if (voters(fleet, &most) != wanted || in_configuration(fleet) != wanted)
             fleet_dump(fleet);
         assert_int_equal(voters(fleet, &most), wanted);
         assert_true(wanted < 3 || most < wanted / 2 + 1);
-        assert_int_equal(in_view(fleet), wanted);
+        assert_int_equal(in_configuration(fleet), wanted);
         assert_true(fleet_configure(fleet));
         assert_int_equal(clusters(fleet), 1);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
@@ -192,7 +192,7 @@
         for (int i = 0; i < 300 && founder < 0; i++) {
             fleet_run(fleet, 10);
             for (int c = 0; c < 3; c++)
-                if (view_of(fleet, c) != NULL && view_cluster(view_of(fleet, c)) != 0)
+                if (replication_of(fleet, c) != NULL && replication_cluster(replication_of(fleet, c)) != 0)
                     founder = c;
         }
         assert_true(founder >= 0);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -38,13 +38,13 @@
     fleet_run(fleet, 120000);
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    ViewSight sight;
-    view_sight(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
+    ReplicationStatus sight;
+    replication_status(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
     assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
     fleet_start_node(fleet, FLEET_CORE, away);
     fleet_run(fleet, 20000);
-    ViewSight back;
-    view_sight(core_view(fleet_node(fleet, FLEET_CORE, away)->core), &back);
+    ReplicationStatus back;
+    replication_status(core_view(fleet_node(fleet, FLEET_CORE, away)->core), &back);
     assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
     assert_true(back.delivered_index > sight.delivered_index);
     assert_false(back.woke);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -55,16 +55,16 @@
     return sim_random(trial->fleet->world) % below;
 }
 
-static size_t in_view(Fleet *fleet)
+static size_t in_configuration(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
     if (leader < 0)
         return 0;
-    ViewSight sight;
+    ReplicationStatus sight;
     size_t count = 0;
-    view_sight(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
+    replication_status(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
     for (size_t i = 0; i < sight.voter_count; i++)
-        count += sight.voters[i].in_view;
+        count += sight.voters[i].in_configuration;
     return count;
 }
 
@@ -73,11 +73,11 @@
 {
     Fleet *fleet = trial->fleet;
     const int leader = fleet_leader(fleet);
-    if (leader < 0 || in_view(fleet) != trial->wanted)
+    if (leader < 0 || in_configuration(fleet) != trial->wanted)
         return false;
     uint64_t disks[VOTER_MOST];
     const FleetNode *first = fleet_node(fleet, FLEET_CORE, leader);
-    const size_t count = view_voters(core_view(first->core), disks);
+    const size_t count = replication_voters(core_view(first->core), disks);
     size_t good = 0;
     for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
         const FleetNode *node = fleet_node(fleet, FLEET_CORE, i);
@@ -86,7 +86,7 @@
             sim_is_cut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
-            good += disks[k] == view_disk(core_view(node->core));
+            good += disks[k] == replication_disk(core_view(node->core));
     }
     return good == trial->wanted;
 }
@@ -98,9 +98,9 @@
     const int leader = fleet_leader(fleet);
     if (leader < 0 || !node->up || node->core == NULL)
         return false;
-    const size_t count = view_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = replication_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     for (size_t i = 0; i < count; i++)
-        if (disks[i] == view_disk(core_view(node->core)))
+        if (disks[i] == replication_disk(core_view(node->core)))
             return true;
     return false;
 }
@@ -214,20 +214,20 @@
 
 static void voters_show(Fleet *fleet)
 {
-    ViewSight sight;
+    ReplicationStatus sight;
     for (int c = 0; c < fleet->node_count[FLEET_CORE]; c++) {
         const FleetNode *node = fleet_node(fleet, FLEET_CORE, c);
         if (!node->up || node->core == NULL)
             continue;
-        view_sight(core_view(node->core), &sight);
+        replication_status(core_view(node->core), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
-                node->settings.name, (unsigned long long)view_disk(core_view(node->core)), (int)sight.phase,
+                node->settings.name, (unsigned long long)replication_disk(core_view(node->core)), (int)sight.phase,
                 (unsigned long long)sight.term, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
-        for (size_t i = 0; i < sight.voter_count && sight.phase == VIEW_LEADING; i++)
+        for (size_t i = 0; i < sight.voter_count && sight.phase == REPLICATION_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
-                    (unsigned long long)sight.voters[i].disk, sight.voters[i].in_view, sight.voters[i].answers,
+                    (unsigned long long)sight.voters[i].disk, sight.voters[i].in_configuration, sight.voters[i].answers,
                     sight.voters[i].woke, (long)sight.voters[i].sync_ms,
                     (unsigned long long)sight.voters[i].match_index);
     }
@@ -286,7 +286,7 @@
         voters_show(fleet);
         fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
                  checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "not whole in time",
-                 WORDS[kind], with_leader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
+                 WORDS[kind], with_leader ? "the leader" : "a follower", in_configuration(fleet), trial->wanted);
     }
 }
 
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -112,10 +112,10 @@
     const int leader = fleet_leader(fleet);
     const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
     assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = view_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count = replication_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
-        found |= disks[i] == view_disk(core_view(node->core));
+        found |= disks[i] == replication_disk(core_view(node->core));
     return found;
 }
 
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -30,10 +30,10 @@
 static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++stand->index, .at_ms = view_clock_ms(stand->core->view)};
+    Record change = {.change = kind, .index = ++stand->index, .at_ms = replication_clock_ms(stand->core->replication)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ViewState state = table_state(stand->core->table);
+    const ReplicationState state = table_state(stand->core->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
 }
@@ -124,9 +124,9 @@
     sim_start(world, sim_machine(world), started, &core->loop);
     core->recorder = recorder_new(core, "bench");
     core->table = table_new(core);
-    const ViewSettings view_settings = {
+    const ReplicationSettings replication_settings = {
         .loop = core->loop, .recorder = core->recorder, .state = table_state(core->table)};
-    core->view = view_new(core, &view_settings);
+    core->replication = replication_new(core, &replication_settings);
     core->liveset = liveset_new(core);
     core->saved = map_new(core);
     core->scores = map_new(core);
--- a/packages/table/include/table/table.h
+++ b/packages/table/include/table/table.h
@@ -20,8 +20,8 @@
 
 Table *table_new(void *mem);
 void table_watch(Table *table, TableFn fn, void *arg);
-/* For view_new. */
-ViewState table_state(Table *table);
+/* For replication_new. */
+ReplicationState table_state(Table *table);
 
 /* Jobs. Pointers are valid until the next wait. */
 const Job *table_job(const Table *table, const char *id);
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -150,7 +150,7 @@
     talloc_free(mem);
 }
 
-ViewState table_state(Table *table)
+ReplicationState table_state(Table *table)
 {
-    return (ViewState){table, table_deliver, table_save, table_load};
+    return (ReplicationState){table, table_deliver, table_save, table_load};
 }
--- a/packages/table/test/board.h
+++ b/packages/table/test/board.h
@@ -26,7 +26,7 @@
     Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ViewState state = table_state(board->table);
+    const ReplicationState state = table_state(board->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
     return result;
@@ -89,7 +89,7 @@
 static inline void again(Board *board)
 {
     void *mem = talloc_new(NULL);
-    const ViewState state = table_state(board->table);
+    const ReplicationState state = table_state(board->table);
     const Bytes bytes = state.save(state.arg, mem);
     assert_int_equal(state.load(state.arg, bytes), STATUS_OK);
     const Bytes twice = state.save(state.arg, mem);
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -312,8 +312,8 @@
     void *mem = talloc_new(NULL);
     Bytes bytes = {0};
     shape_pack(&OldSaved_shape, &saved, mem, &bytes);
-    const ViewState view = table_state(b.table);
-    assert_int_equal(view.load(view.arg, bytes), STATUS_OK);
+    const ReplicationState replication = table_state(b.table);
+    assert_int_equal(replication.load(replication.arg, bytes), STATUS_OK);
     talloc_free(mem);
     const Job *known = table_job(b.table, "j");
     assert_int_equal(known->tasks[3].at, 1);
--- a/packages/view/include/view/log.h
+++ b/packages/view/include/view/log.h
@@ -1,5 +1,5 @@
-#ifndef VIEW_LOG_H
-#define VIEW_LOG_H
+#ifndef REPLICATION_LOG_H
+#define REPLICATION_LOG_H
 
 #include "journal/record.h"
 
--- a/packages/view/include/view/membership.h
+++ b/packages/view/include/view/membership.h
@@ -1,5 +1,5 @@
-#ifndef VIEW_MEMBERSHIP_H
-#define VIEW_MEMBERSHIP_H
+#ifndef REPLICATION_MEMBERSHIP_H
+#define REPLICATION_MEMBERSHIP_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -1,5 +1,5 @@
-#ifndef VIEW_MESSAGES_H
-#define VIEW_MESSAGES_H
+#ifndef REPLICATION_MESSAGES_H
+#define REPLICATION_MESSAGES_H
 
 #include "journal/record.h"
 
@@ -28,13 +28,13 @@
  * repair: committed changes may have been lost and are still to be told again;
  * it stands until a REPAIRED entry, whoever leads meanwhile.
  * Invariant: members are a majority of the voters and hold holder. */
-#define VIEW_RECORD_FIELDS(X) \
+#define TERM_RECORD_FIELDS(X) \
     X(U64, term, 0)           \
     X(U64, holder, 0)         \
     X(LST, members, DiskId)   \
     X(TXT, holder_id, 0)      \
     X(FLAG, repair, 0)
-SHAPE(ViewRecord, VIEW_RECORD_FIELDS)
+SHAPE(TermRecord, TERM_RECORD_FIELDS)
 
 /* to, in all that is asked of a voter: the disk that it is meant for. An address
  * names nobody: a core with a new disk may stand where another's voter stood. 0: an
@@ -48,18 +48,18 @@
 SHAPE(ProposeAsk, PROPOSE_ASK_FIELDS)
 
 /* What a voter is, told with each answer. */
-#define VOTER_ANSWER_FIELDS(X)                                                        \
-    X(U64, promised, 0)                                                               \
-    X(U64, holder, 0)                                                                 \
-    X(FLAG, held, 0)    /* a lease it granted runs */                                 \
-    X(U64, log_term, 0) /* of its last entry */                                       \
-    X(U64, log_index, 0)                                                              \
-    X(FLAG, woke, 0)     /* restarted, and no view has brought it up to date since */ \
-    X(U64, view_term, 0) /* of the last view recorded */                              \
-    X(LST, view_members, DiskId)                                                      \
-    X(I64, wall_ms, 0)                                                                \
-    X(I64, sync_ms, 0) /* its last sync took so long */                               \
-    X(U64, sight, 0)   /* members that have spoken to it of late */                   \
+#define VOTER_ANSWER_FIELDS(X)                                                                 \
+    X(U64, promised, 0)                                                                        \
+    X(U64, holder, 0)                                                                          \
+    X(FLAG, held, 0)    /* a lease it granted runs */                                          \
+    X(U64, log_term, 0) /* of its last entry */                                                \
+    X(U64, log_index, 0)                                                                       \
+    X(FLAG, woke, 0)              /* restarted, and no view has brought it up to date since */ \
+    X(U64, configuration_term, 0) /* of the last view recorded */                              \
+    X(LST, configuration_members, DiskId)                                                      \
+    X(I64, wall_ms, 0)                                                                         \
+    X(I64, sync_ms, 0) /* its last sync took so long */                                        \
+    X(U64, sight, 0)   /* members that have spoken to it of late */                            \
     X(U64, filled, 0)  /* bytes that it has of a snapshot that comes in pieces */
 SHAPE(VoterAnswer, VOTER_ANSWER_FIELDS)
 
--- a/packages/view/include/view/window.h
+++ b/packages/view/include/view/window.h
@@ -1,26 +1,26 @@
-#ifndef VIEW_WINDOW_H
-#define VIEW_WINDOW_H
+#ifndef REPLICATION_WINDOW_H
+#define REPLICATION_WINDOW_H
 
 #include "view/log.h"
 #include "view/view.h"
 
-#define VIEW_VOTERS_MAX VOTER_MOST
+#define REPLICATION_VOTERS_MAX VOTER_MOST
 
 /* What a checker sees of a view: for proof only, nothing decides by it. */
-typedef struct ViewWindow {
-    ViewPhase phase;
+typedef struct ReplicationWindow {
+    ReplicationPhase phase;
     bool holding;      /* it won the lock and has not given it up */
     uint64_t term;     /* its own lead's, while it holds or opens */
     uint64_t promised; /* in memory */
     uint64_t commit_index, delivered_index;
     uint64_t list_index; /* of the entry that holds the list of voters; 0: the founded one */
-    uint64_t voters[VIEW_VOTERS_MAX];
+    uint64_t voters[REPLICATION_VOTERS_MAX];
     size_t voter_count;
     const Log *log; /* valid until the next wait */
-} ViewWindow;
+} ReplicationWindow;
 
-void view_window(const View *view, ViewWindow *window);
+void replication_window(const Replication *replication, ReplicationWindow *window);
 /* The disks of the list of voters that an entry holds; false when it holds none. */
-bool view_window_list(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count);
+bool replication_window_list(const Record *entry, uint64_t voters[REPLICATION_VOTERS_MAX], size_t *count);
 
 #endif
--- a/packages/view/src/fill.c
+++ b/packages/view/src/fill.c
@@ -15,62 +15,62 @@
            filling->total == ask->total && filling->checksum == ask->checksum;
 }
 
-void fill_drop(View *view)
+void fill_drop(Replication *replication)
 {
-    talloc_free(view->filling);
-    view->filling = NULL;
+    talloc_free(replication->filling);
+    replication->filling = NULL;
 }
 
-Status fill_take(View *view, const FillAsk *ask, Record *whole)
+Status fill_take(Replication *replication, const FillAsk *ask, Record *whole)
 {
     *whole = ask->snapshot;
     if (ask->total == 0) {
-        fill_drop(view);
+        fill_drop(replication);
         return STATUS_OK;
     }
     if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
         return STATUS_BAD_FRAME;
-    if (!same_filling(view->filling, ask)) {
-        fill_drop(view);
-        view->filling = talloc_zero(view, Filling);
-        *view->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
+    if (!same_filling(replication->filling, ask)) {
+        fill_drop(replication);
+        replication->filling = talloc_zero(replication, Filling);
+        *replication->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
     }
-    Filling *filling = view->filling;
+    Filling *filling = replication->filling;
     if (ask->from != filling->bytes.count)
         return STATUS_LOG_GAP; /* voter_describe tells how far it has come */
     bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (filling->bytes.count < filling->total)
         return STATUS_BUSY;
     if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
-        fill_drop(view);
+        fill_drop(replication);
         return STATUS_BAD_FRAME;
     }
     whole->payload = filling->bytes;
     return STATUS_OK;
 }
 
-uint64_t fill_count(const View *view)
+uint64_t fill_count(const Replication *replication)
 {
-    return view->filling != NULL ? view->filling->bytes.count : 0;
+    return replication->filling != NULL ? replication->filling->bytes.count : 0;
 }
 
 /* --- the holder ---------------------------------------------------------------------- */
 
 /* One piece of the snapshot, or all of it. */
-static Status piece_send(View *view, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
+static Status piece_send(Replication *replication, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
                          VoterAnswer *answer)
 {
-    void *mem = talloc_new(view);
+    void *mem = talloc_new(replication);
     const size_t left = whole.count - (size_t)ask->from;
-    ask->term = view->term;
-    ask->commit_index = view->commit_index;
+    ask->term = replication->term;
+    ask->commit_index = replication->commit_index;
     ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
     if (ask->total == 0)
         ask->snapshot.payload = whole;
-    const Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
+    const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
                                   ELECTION_STEP_TIMEOUT_MS * 4, &VoterAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
-        lead_answered(view, lead->slot, answer);
+        lead_answered(replication, lead->slot, answer);
     talloc_free(mem);
     return status;
 }
@@ -90,20 +90,20 @@
     return true;
 }
 
-void fill_one(View *view, const Lead *lead, const char *address)
+void fill_one(Replication *replication, const Lead *lead, const char *address)
 {
-    Peer *peer = &view->peers[lead->slot];
+    Peer *peer = &replication->peers[lead->slot];
     /* a large one that is partly there is gone on with */
-    if (view->log->snapshot.kind != RECORD_SNAPSHOT ||
-        (peer->refill && view->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
-        view_compact_maybe(view, true);
-    if (view->log->snapshot.kind != RECORD_SNAPSHOT) {
-        loop_sleep(view->loop, LOCK_RENEW_MS);
+    if (replication->log->snapshot.kind != RECORD_SNAPSHOT ||
+        (peer->refill && replication->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
+        replication_compact_maybe(replication, true);
+    if (replication->log->snapshot.kind != RECORD_SNAPSHOT) {
+        loop_sleep(replication->loop, LOCK_RENEW_MS);
         return;
     }
-    void *mem = talloc_new(view);
-    FillAsk ask = {.holder = view->disk, .to = lead->disk, .over = peer->refill};
-    shape_copy(&Record_shape, &view->log->snapshot, mem, &ask.snapshot);
+    void *mem = talloc_new(replication);
+    FillAsk ask = {.holder = replication->disk, .to = lead->disk, .over = peer->refill};
+    shape_copy(&Record_shape, &replication->log->snapshot, mem, &ask.snapshot);
     const Bytes whole = ask.snapshot.payload;
     const uint64_t index = ask.snapshot.index;
     if (whole.count > FILL_WHOLE_BYTES) {
@@ -114,7 +114,7 @@
     Status status;
     do {
         answer = (VoterAnswer){0};
-        status = piece_send(view, lead, address, &ask, whole, &answer);
+        status = piece_send(replication, lead, address, &ask, whole, &answer);
     } while (!lead_peer_over(lead) && goes_on(&ask, status, &answer, ask.snapshot.payload.count));
     if (!lead_peer_over(lead)) {
         if (status == STATUS_OK) {
@@ -122,7 +122,7 @@
             peer->next_index = index + 1;
             peer->refill = false;
         } else {
-            loop_sleep(view->loop, LOCK_RENEW_MS);
+            loop_sleep(replication->loop, LOCK_RENEW_MS);
         }
     }
     talloc_free(mem);
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -15,10 +15,10 @@
 SHAPE(FoundAnswer, FOUND_ANSWER_FIELDS)
 SHAPE_TABLE(FoundAnswer, FOUND_ANSWER_FIELDS)
 
-static Status found_now(View *view, uint64_t cluster, const uint64_t disks[], size_t count)
+static Status found_now(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
-    void *mem = talloc_new(view);
-    const Status status = view_found(view, cluster, voters_of(view, mem, disks, count));
+    void *mem = talloc_new(replication);
+    const Status status = replication_found(replication, cluster, voters_of(replication, mem, disks, count));
     talloc_free(mem);
     return status;
 }
@@ -29,28 +29,29 @@
  * of a majority of the seeds it founds, alone, and then gives voters to the others. */
 static void votes_main(void *arg)
 {
-    View *view = arg;
-    Members *members = view->settings.members;
-    const int64_t from_ms = loop_now_ms(view->loop) + VOTE_WAIT_MS;
+    Replication *replication = arg;
+    Members *members = replication->settings.members;
+    const int64_t from_ms = loop_now_ms(replication->loop) + VOTE_WAIT_MS;
     uint64_t round = 1;
     bool stands = false;
-    while (!loop_stopping(view->loop) && !view_founded(view) && rpc_cluster(view->settings.rpc) == 0) {
-        loop_sleep(view->loop, VOTE_WAIT_MS / 6);
+    while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
+           rpc_cluster(replication->settings.rpc) == 0) {
+        loop_sleep(replication->loop, VOTE_WAIT_MS / 6);
         size_t seeds;
-        if (members_lowest_empty(members) != view->disk) {
-            if (stands && members_votes(members, view->disk, round, true, &seeds) == seeds) {
+        if (members_lowest_empty(members) != replication->disk) {
+            if (stands && members_votes(members, replication->disk, round, true, &seeds) == seeds) {
                 stands = false;
                 round++;
             }
-        } else if (loop_now_ms(view->loop) >= from_ms) {
+        } else if (loop_now_ms(replication->loop) >= from_ms) {
             stands = true;
-            const size_t granted = members_votes(members, view->disk, round, false, &seeds);
-            if (granted < seeds / 2 + 1 || rpc_cluster(view->settings.rpc) != 0)
+            const size_t granted = members_votes(members, replication->disk, round, false, &seeds);
+            if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
-            const uint64_t cluster = loop_random(view->loop) | 1;
-            view->named = true; /* nobody else can stand */
-            if (found_now(view, cluster, &view->disk, 1) == STATUS_OK)
-                recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+            const uint64_t cluster = loop_random(replication->loop) | 1;
+            replication->named = true; /* nobody else can stand */
+            if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
+                recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
                                "founds cluster %016" PRIx64, cluster);
         }
     }
@@ -60,10 +61,10 @@
 
 /* The three empty disks in the order of their ids; false when there are not
  * exactly three or when anybody knows a cluster. */
-static bool three_empty(const View *view, uint64_t disks[VOTER_FIRST])
+static bool three_empty(const Replication *replication, uint64_t disks[VOTER_FIRST])
 {
-    const MemberTable *table = members_table(view->settings.members);
-    const int64_t now_ms = loop_now_ms(view->loop);
+    const MemberTable *table = members_table(replication->settings.members);
+    const int64_t now_ms = loop_now_ms(replication->loop);
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
@@ -86,36 +87,36 @@
 
 static Status on_found(void *arg, void *mem, const void *question, void *answer)
 {
-    View *view = arg;
+    Replication *replication = arg;
     const FoundAsk *ask = question;
     (void)mem;
-    const uint64_t known = rpc_cluster(view->settings.rpc);
+    const uint64_t known = rpc_cluster(replication->settings.rpc);
     Status status = STATUS_STRANGER;
     uint64_t voters[VOTER_FIRST] = {0};
     bool mine = false;
     for (size_t i = 0; i < ask->voters_count && i < VOTER_FIRST; i++) {
         voters[i] = ask->voters[i].disk;
-        mine |= voters[i] == view_disk(view);
+        mine |= voters[i] == replication_disk(replication);
     }
     if (ask->voters_count == VOTER_FIRST && mine && ask->cluster != 0 && (known == 0 || known == ask->cluster))
-        status = found_now(view, ask->cluster, voters, VOTER_FIRST);
-    ((FoundAnswer *)answer)->cluster = rpc_cluster(view->settings.rpc);
+        status = found_now(replication, ask->cluster, voters, VOTER_FIRST);
+    ((FoundAnswer *)answer)->cluster = rpc_cluster(replication->settings.rpc);
     return status;
 }
 
-static void offer(View *view, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
+static void offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < VOTER_FIRST; i++) {
-        const Member *member = members_find_disk(view->settings.members, disks[i]);
-        if (disks[i] == view_disk(view) || member == NULL || !member->record.empty)
+        const Member *member = members_find_disk(replication->settings.members, disks[i]);
+        if (disks[i] == replication_disk(replication) || member == NULL || !member->record.empty)
             continue;
-        void *mem = talloc_new(view);
+        void *mem = talloc_new(replication);
         FoundAsk ask = {cluster, talloc_array(mem, DiskId, VOTER_FIRST), VOTER_FIRST};
         for (int k = 0; k < VOTER_FIRST; k++)
             ask.voters[k].disk = disks[k];
         FoundAnswer answer = {0};
-        rpc_ask(view->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND, &FoundAsk_shape,
-                &ask, ASK_TIMEOUT_MS, &FoundAnswer_shape, &answer);
+        rpc_ask(replication->settings.rpc, mem, talloc_strdup(mem, member->record.address), MESSAGE_FOUND,
+                &FoundAsk_shape, &ask, ASK_TIMEOUT_MS, &FoundAnswer_shape, &answer);
         talloc_free(mem);
     }
 }
@@ -123,22 +124,23 @@
 /* The one with the lowest id offers, the others accept. */
 static void three_main(void *arg)
 {
-    View *view = arg;
+    Replication *replication = arg;
     uint64_t before[VOTER_FIRST] = {0};
     int64_t since_ms = 0;
-    while (!loop_stopping(view->loop)) {
-        loop_sleep(view->loop, 200);
+    while (!loop_stopping(replication->loop)) {
+        loop_sleep(replication->loop, 200);
         uint64_t disks[VOTER_MOST];
-        const int64_t now_ms = loop_now_ms(view->loop);
-        if (view_founded(view)) {
+        const int64_t now_ms = loop_now_ms(replication->loop);
+        if (replication_founded(replication)) {
             /* until a first view stands, the others may not have heard the offer */
-            if (view_voters(view, disks) != VOTER_FIRST || members_leader_id(view->settings.members)[0] != '\0')
+            if (replication_voters(replication, disks) != VOTER_FIRST ||
+                members_leader_id(replication->settings.members)[0] != '\0')
                 return;
-            if (disks[0] == view_disk(view))
-                offer(view, disks, rpc_cluster(view->settings.rpc));
+            if (disks[0] == replication_disk(replication))
+                offer(replication, disks, rpc_cluster(replication->settings.rpc));
             continue;
         }
-        if (rpc_cluster(view->settings.rpc) != 0 || !three_empty(view, disks)) {
+        if (rpc_cluster(replication->settings.rpc) != 0 || !three_empty(replication, disks)) {
             since_ms = 0;
             continue;
         }
@@ -147,23 +149,24 @@
             memcpy(before, disks, sizeof(before));
             continue;
         }
-        if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != view_disk(view))
+        if (now_ms - since_ms < FOUND_WAIT_MS || disks[0] != replication_disk(replication))
             continue;
-        const uint64_t cluster = loop_random(view->loop) | 1;
-        if (found_now(view, cluster, disks, VOTER_FIRST) == STATUS_OK) {
-            recorder_write(view->settings.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64, cluster);
-            offer(view, disks, cluster);
+        const uint64_t cluster = loop_random(replication->loop) | 1;
+        if (found_now(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
+            recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64,
+                           cluster);
+            offer(replication, disks, cluster);
         }
     }
 }
 
-void view_founding(View *view)
+void replication_founding(Replication *replication)
 {
-    members_set_voter(view->settings.members, view->settings.founds == VIEW_FOUNDS_BY_VOTES);
-    if (view->settings.founds == VIEW_FOUNDS_BY_VOTES && !view_founded(view))
-        loop_spawn(view->loop, "votes", votes_main, view);
-    if (view->settings.founds != VIEW_FOUNDS_BY_THREE)
+    members_set_voter(replication->settings.members, replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES);
+    if (replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES && !replication_founded(replication))
+        loop_spawn(replication->loop, "votes", votes_main, replication);
+    if (replication->settings.founds != REPLICATION_FOUNDS_BY_THREE)
         return;
-    rpc_handle(view->settings.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, view);
-    loop_spawn(view->loop, "found", three_main, view);
+    rpc_handle(replication->settings.rpc, MESSAGE_FOUND, &FoundAsk_shape, &FoundAnswer_shape, on_found, replication);
+    loop_spawn(replication->loop, "found", three_main, replication);
 }
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -1,5 +1,5 @@
-#ifndef VIEW_SRC_INSIDE_H
-#define VIEW_SRC_INSIDE_H
+#ifndef REPLICATION_SRC_INSIDE_H
+#define REPLICATION_SRC_INSIDE_H
 
 #include "view/log.h"
 #include "view/view.h"
@@ -57,13 +57,13 @@
  *    been given to the state, in order, once since it was last loaded;
  *  - voters and last are those of the newest SEATS and VIEW entries in the log,
  *    committed or not;
- *  - a place in voters that nobody has is 0, and so are in_view, peers and
+ *  - a place in voters that nobody has is 0, and so are in_configuration, peers and
  *    hold.sent_ms of it;
  *  - phase is LEADING only after the first entry of term was committed;
  *  - of the SEATS entries in the log all but the newest are committed;
  *  - tasks of a lead end when lead_turn is no longer theirs. */
-struct View {
-    ViewSettings settings;
+struct Replication {
+    ReplicationSettings settings;
     Loop *loop;
     Journal *journal;
     const char *node_name;
@@ -75,7 +75,7 @@
     uint64_t list_index;         /* of its entry; 0: it is the founded one */
     uint64_t voters[VOTER_MOST]; /* the disks of list */
     size_t places, voter_count;  /* the length of list; how many of them somebody has */
-    ViewRecord last;
+    TermRecord last;
     void *last_mem;
     LockVoter lock;
     bool woke;
@@ -94,15 +94,15 @@
     bool too_large;          /* its state is larger than a snapshot may be */
     bool mending;            /* the whole journal is written again after a failure */
     /* the holder */
-    ViewPhase phase;
+    ReplicationPhase phase;
     uint64_t lead_turn;
     uint64_t term;
     LockLease lease;
     int64_t won_ms;
     bool holding;   /* the lock was won and not given up (also while a view is opened anew) */
     bool reopening; /* the opening under way is of a holder that never lost the lock */
-    uint64_t view_index;
-    bool in_view[VOTER_MOST];
+    uint64_t replication_index;
+    bool in_configuration[VOTER_MOST];
     Peer peers[SLOT_MOST];
     Learner learners[LEARNER_MOST];
     uint64_t learners_turn;   /* the lead that they follow */
@@ -112,7 +112,7 @@
     uint64_t queued_index;    /* handed to the own journal; what follows is synced after it */
     uint64_t synced_index;    /* own journal, as far as this lead knows */
     int64_t changed_ms;       /* the last change of view */
-    uint64_t view_changes;
+    uint64_t configuration_changes;
     int64_t rest_until_ms;
     int64_t blind_since_ms; /* since when a voter sees many more members than we do; 0: none does */
     int64_t woken_since_ms; /* since when an opening waits for the last view's members; 0: none does */
@@ -132,100 +132,100 @@
 
 #define SNAPSHOT_FIELDS(X)   \
     X(LST, voters, DiskId)   \
-    X(ONE, last, ViewRecord) \
+    X(ONE, last, TermRecord) \
     X(BIN, state, 0)         \
     X(LST, cores, VoterCore)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
-int view_voter_of(const View *view, uint64_t disk);
-int view_own_voter(const View *view);
+int replication_voter_of(const Replication *replication, uint64_t disk);
+int replication_own_voter(const Replication *replication);
 /* How many voters decide. */
-size_t view_majority(const View *view);
+size_t replication_majority(const Replication *replication);
 /* Whether it holds the lock and orders, by its own clock; others may not be told
  * so yet, when too few disks would hold what it acknowledges. */
-bool view_orders(const View *view);
+bool replication_orders(const Replication *replication);
 /* Reads voters and last out of the log again. */
-void view_reread(View *view);
-void view_deliver(View *view);
+void replication_reread(Replication *replication);
+void replication_deliver(Replication *replication);
 /* The records that stand for all this node knows; on mem. */
-Record *view_records(View *view, void *mem, size_t *count);
-void view_compact_maybe(View *view, bool force);
+Record *replication_records(Replication *replication, void *mem, size_t *count);
+void replication_compact_maybe(Replication *replication, bool force);
 /* Puts a snapshot in place of everything; false when it is not one. */
-Status view_load(View *view, const Record *snapshot);
+Status replication_load(Replication *replication, const Record *snapshot);
 /* What a disk that keeps what it has synced may never come to: it would drop what was
  * committed from index on. Told, counted and refused with OTHER_HISTORY. */
-Status history_refuse(View *view, uint64_t index);
-void view_waiters_end(View *view, Status status);
+Status history_refuse(Replication *replication, uint64_t index);
+void replication_waiters_end(Replication *replication, Status status);
 /* An entry of the log was made then. */
-void view_clock_tell(View *view, int64_t clock_ms);
+void replication_clock_tell(Replication *replication, int64_t clock_ms);
 /* The holder's clock is so now: ours must not run ahead of it, or what is due would
  * be due early under us. */
-void view_clock_set(View *view, int64_t clock_ms);
+void replication_clock_set(Replication *replication, int64_t clock_ms);
 
 /* Its writes fail: nothing may be promised or taken. */
-bool view_disk_failed(const View *view);
+bool replication_disk_failed(const Replication *replication);
 /* Spawns the task that tries a failed disk again. */
-void disk_start(View *view);
+void disk_start(Replication *replication);
 
 /* The list of voters. */
-void voters_first(View *view);
+void voters_first(Replication *replication);
 /* Takes a list as the newest; what the holder knew of a place counts for nothing
  * once another has it. */
-void voters_take(View *view, const VoterList *list, uint64_t index);
-void voters_founded(View *view, const VoterList *list);
+void voters_take(Replication *replication, const VoterList *list, uint64_t index);
+void voters_founded(Replication *replication, const VoterList *list);
 /* The list of these disks, with what is known of their cores; on mem. */
-VoterList *voters_of(const View *view, void *mem, const uint64_t disks[], size_t count);
+VoterList *voters_of(const Replication *replication, void *mem, const uint64_t disks[], size_t count);
 /* The list with the disk at the place, or the place vacated (0); on mem. */
-VoterList *voters_with(const View *view, void *mem, int place, uint64_t disk);
+VoterList *voters_with(const Replication *replication, void *mem, int place, uint64_t disk);
 /* Where the core of a place's disk is asked; false when nobody knows. */
-bool voter_address(const View *view, int place, char address[ADDRESS_MAX]);
+bool voter_address(const Replication *replication, int place, char address[ADDRESS_MAX]);
 /* The disk of a slot: a voter's place, or a learner's. */
-uint64_t slot_disk(const View *view, int slot);
+uint64_t slot_disk(const Replication *replication, int slot);
 /* Whether the disk is gone for certain: its core has come back with another, at the
  * same address when asked for. */
-bool voter_dead(const View *view, uint64_t disk, bool same_address);
+bool voter_dead(const Replication *replication, uint64_t disk, bool same_address);
 /* Where its core stands; empty when nobody knows. */
-const char *voter_zone(const View *view, uint64_t disk);
+const char *voter_zone(const Replication *replication, uint64_t disk);
 /* Whether the disk of a voter is gone for so long, or for certain, that it is to be replaced. */
-bool voter_gone(const View *view, int place);
+bool voter_gone(const Replication *replication, int place);
 /* Whether it answers and has all that is committed. */
-bool voter_live(const View *view, int place);
+bool voter_live(const Replication *replication, int place);
 /* Adds to the sight the learners, and how many losses are borne and asked for. */
-void voters_sight(const View *view, ViewSight *sight);
+void voters_sight(const Replication *replication, ReplicationStatus *sight);
 /* The leader keeps the number of voters wanted, one committed change at a time. */
-void voters_start(View *view);
+void voters_start(Replication *replication);
 
 /* The leader has every core without a vote follow the log, in as many slots as there are. */
-void learners_follow(View *view);
+void learners_follow(Replication *replication);
 /* Whether the member is a core that runs, is of this cluster and has no vote. */
-bool learner_may_follow(const View *view, const Member *row);
+bool learner_may_follow(const Replication *replication, const Member *row);
 /* A lead that is over has no learners. */
-void learners_clear(View *view);
+void learners_clear(Replication *replication);
 /* Whether the learner has nearly all of the log, and grants the lease. */
-bool learner_ready(const View *view, size_t learner);
+bool learner_ready(const Replication *replication, size_t learner);
 /* Ready for at least the span in which a loss is made good. */
-bool learner_steady(const View *view, size_t learner);
+bool learner_steady(const Replication *replication, size_t learner);
 /* The slot is free again: its disk has a vote now. */
-void learner_done(View *view, size_t learner);
+void learner_done(Replication *replication, size_t learner);
 /* The span in which a loss is made good. */
-int64_t view_back_ms(const View *view);
+int64_t replication_back_ms(const Replication *replication);
 /* How many voters the settings ask for: twice the losses to be borne, and one. */
-size_t voters_wanted(const View *view);
+size_t voters_wanted(const Replication *replication);
 
 /* The voter's part; each may wait for the disk. */
-void voter_describe(const View *view, void *mem, VoterAnswer *answer);
-Status voter_propose(View *view, const ProposeAsk *ask);
-Status voter_append(View *view, const AppendAsk *ask);
-Status voter_fill(View *view, const FillAsk *ask);
+void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer);
+Status voter_propose(Replication *replication, const ProposeAsk *ask);
+Status voter_append(Replication *replication, const AppendAsk *ask);
+Status voter_fill(Replication *replication, const FillAsk *ask);
 /* Puts the snapshot and what follows it in the place of the whole log, in one write. */
-Status voter_replace(View *view, const Record *snapshot, const Record *entries, size_t entry_count);
-void voter_log(View *view, void *mem, const LogAsk *ask, LogAnswer *answer);
-void voter_serve(View *view);
+Status voter_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count);
+void voter_log(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer);
+void voter_serve(Replication *replication);
 
 /* Asking all voters at once. Freed by whichever of the asking task and the asked
  * ones ends last. */
 typedef struct Poll {
-    View *view;
+    Replication *replication;
     ProposeAsk ask;
     size_t users;
     int pending;
@@ -238,23 +238,23 @@
 
 /* Waits until all have answered or can't be reached; once a majority of voters
  * that never slept has answered, a short grace is enough. Ends with poll_leave. */
-Poll *poll_voters(View *view, uint64_t term, const bool skip[VOTER_MOST]);
+Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST]);
 void poll_leave(Poll *poll);
 /* Whether the answer is the voter's own. */
 bool poll_reached(Status status);
 
 /* Takes a snapshot or a piece of one. OK: whole is all of it, on the ask or on filling; BUSY: more must come; LOG_GAP:
  * another piece is wanted; BAD_FRAME: it is spoilt. */
-Status fill_take(View *view, const FillAsk *ask, Record *whole);
-void fill_drop(View *view);
+Status fill_take(Replication *replication, const FillAsk *ask, Record *whole);
+void fill_drop(Replication *replication);
 /* Bytes of the one that is coming in. */
-uint64_t fill_count(const View *view);
+uint64_t fill_count(const Replication *replication);
 
 /* A task of one lead for the disk at a slot.
  * Invariant: disk is not 0; the task is over once another disk has the slot, or a
  * learner's slot was given anew. */
 typedef struct Lead {
-    View *view;
+    Replication *replication;
     uint64_t turn;
     int slot;
     uint64_t disk;
@@ -264,43 +264,43 @@
 /* The holder's part. */
 bool lead_peer_over(const Lead *lead);
 /* Waits. Sends the disk the snapshot. */
-void fill_one(View *view, const Lead *lead, const char *address);
-void lead_down(View *view, int64_t rest_ms);
-bool lead_over(const View *view, uint64_t turn);
+void fill_one(Replication *replication, const Lead *lead, const char *address);
+void lead_down(Replication *replication, int64_t rest_ms);
+bool lead_over(const Replication *replication, uint64_t turn);
 /* Spawns the task that keeps the grant of the disk at the slot; ... its log. */
-void lead_renew(View *view, int slot);
-void lead_peer(View *view, int slot);
-void lead_answered(View *view, int slot, const VoterAnswer *answer);
+void lead_renew(Replication *replication, int slot);
+void lead_peer(Replication *replication, int slot);
+void lead_answered(Replication *replication, int slot, const VoterAnswer *answer);
 /* Tells all other voters that what they granted under the term is not used. next:
  * the disk that is to take over at once; 0: whoever comes first. */
-void lead_release(View *view, uint64_t next);
+void lead_release(Replication *replication, uint64_t next);
 /* Spawns the task that syncs the own journal. */
-void lead_local(View *view);
+void lead_local(Replication *replication);
 /* Commits what every voter in the view, and a majority of the voters, has synced. */
-void lead_commit(View *view);
+void lead_commit(Replication *replication);
 /* The first entry of a view. */
-void lead_view_entry(View *view, const bool in_view[VOTER_MOST], bool repair);
+void lead_view_entry(Replication *replication, const bool in_configuration[VOTER_MOST], bool repair);
 /* Changes the view under the same term. What was ordered before is committed
  * together with the change, so that the last view recorded has all of it. */
-void lead_turn(View *view, const bool in_view[VOTER_MOST]);
+void lead_turn(Replication *replication, const bool in_configuration[VOTER_MOST]);
 /* The voter in the view that is to follow: the least behind; quick: only one whose
  * disk is; 0: none. */
-uint64_t lead_next(const View *view, bool quick);
+uint64_t lead_next(const Replication *replication, bool quick);
 /* Stops taking changes, collects the logs of a majority, takes the best one,
  * trims the others to it, opens the next term and goes on. skip: voters that
  * are to stay out. Waits. */
-Status view_open(View *view, const bool skip[VOTER_MOST]);
+Status replication_open(Replication *replication, const bool skip[VOTER_MOST]);
 /* The voter at the slot has granted the lock in answer to a question that was sent when the
  * rounds of contact up to this one had been asked for. */
-void contact_granted(View *view, int slot, uint64_t contact);
+void contact_granted(Replication *replication, int slot, uint64_t contact);
 /* Whether a round of contact waits for the voter at the slot. */
-bool contact_owed(const View *view, int slot);
+bool contact_owed(const Replication *replication, int slot);
 /* Waits, at most so long, until all voters and learners that are taken for alive have
  * answered a question that was sent since; the number of the round. */
-uint64_t contact_members(View *view, int64_t most_ms);
+uint64_t contact_members(Replication *replication, int64_t most_ms);
 /* Sleeps so long, or until another round of contact is asked for. */
-void contact_rest(View *view, int slot, int64_t rest_ms);
+void contact_rest(Replication *replication, int slot, int64_t rest_ms);
 /* Watches the lease and the voters of the view. */
-void view_watch(View *view);
+void replication_watch(Replication *replication);
 
 #endif
--- a/packages/view/src/open.c
+++ b/packages/view/src/open.c
@@ -8,8 +8,8 @@
 
 static bool among(const VoterAnswer *answer, uint64_t disk)
 {
-    for (size_t i = 0; i < answer->view_members_count; i++)
-        if (answer->view_members[i].disk == disk)
+    for (size_t i = 0; i < answer->configuration_members_count; i++)
+        if (answer->configuration_members[i].disk == disk)
             return true;
     return false;
 }
@@ -17,7 +17,7 @@
 /* Whether the view may rest on the voters that answered. With none of them
  * woken, any majority will do. Woken ones may have lost what they acknowledged:
  * then every member of the last recorded view is heard first, or waited for. */
-static bool may_rest(View *view, const Poll *poll, bool *repair)
+static bool may_rest(Replication *replication, const Poll *poll, bool *repair)
 {
     const VoterAnswer *newest = NULL;
     bool any_woke = false;
@@ -26,80 +26,80 @@
             const VoterAnswer *answer = &poll->answers[i];
             any_woke |= answer->woke;
             /* of one term, the longer log has the later change of view */
-            if (newest == NULL || answer->view_term > newest->view_term ||
-                (answer->view_term == newest->view_term &&
+            if (newest == NULL || answer->configuration_term > newest->configuration_term ||
+                (answer->configuration_term == newest->configuration_term &&
                  (answer->log_term > newest->log_term ||
                   (answer->log_term == newest->log_term && answer->log_index > newest->log_index))))
                 newest = answer;
         }
-    *repair = any_woke && !view->settings.disks_keep && newest != NULL && newest->view_term != 0;
+    *repair = any_woke && !replication->settings.disks_keep && newest != NULL && newest->configuration_term != 0;
     if (!*repair)
         return true;
     bool heard_all = true;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (among(newest, view->voters[i]) && !poll_reached(poll->status[i]))
+        if (among(newest, replication->voters[i]) && !poll_reached(poll->status[i]))
             heard_all = false;
     if (heard_all) {
-        view->woken_since_ms = 0;
+        replication->woken_since_ms = 0;
         return true;
     }
-    const int64_t now_ms = loop_now_ms(view->loop);
-    if (view->woken_since_ms == 0)
-        view->woken_since_ms = now_ms;
-    return now_ms - view->woken_since_ms >= WOKEN_WAIT_MS;
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    if (replication->woken_since_ms == 0)
+        replication->woken_since_ms = now_ms;
+    return now_ms - replication->woken_since_ms >= WOKEN_WAIT_MS;
 }
 
 /* Makes the own log equal to that of the voter with the best one. */
-static Status log_adopt(View *view, int voter)
+static Status log_adopt(Replication *replication, int voter)
 {
     char address[ADDRESS_MAX];
-    if (!voter_address(view, voter, address))
+    if (!voter_address(replication, voter, address))
         return STATUS_UNREACHABLE;
-    void *mem = talloc_new(view);
-    LogAsk ask = {view->term, view->disk, 0, view->delivered_index, view->voters[voter]};
-    log_term_at(view->log, ask.after_index, &ask.after_term);
+    void *mem = talloc_new(replication);
+    LogAsk ask = {replication->term, replication->disk, 0, replication->delivered_index, replication->voters[voter]};
+    log_term_at(replication->log, ask.after_index, &ask.after_term);
     LogAnswer answer = {0};
-    Status status = rpc_ask(view->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask,
+    Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_LOG, &LogAsk_shape, &ask,
                             ELECTION_STEP_TIMEOUT_MS * 4, &LogAnswer_shape, &answer);
-    if (status == STATUS_OK && view->term != view->lock.promised)
+    if (status == STATUS_OK && replication->term != replication->lock.promised)
         status = STATUS_OLD_TERM;
     if (status == STATUS_OK && answer.whole) {
         /* at once, so that this disk never holds less than before */
-        status = voter_replace(view, &answer.snapshot, answer.entries, answer.entries_count);
-        if (status == STATUS_OK && view->term != view->lock.promised)
+        status = voter_replace(replication, &answer.snapshot, answer.entries, answer.entries_count);
+        if (status == STATUS_OK && replication->term != replication->lock.promised)
             status = STATUS_OLD_TERM;
     } else if (status == STATUS_OK) {
-        AppendAsk append = {.term = view->term, .holder = view->disk};
+        AppendAsk append = {.term = replication->term, .holder = replication->disk};
         append.prev_index = answer.entries_count > 0 ? answer.entries[0].index - 1 : ask.after_index;
-        log_term_at(view->log, append.prev_index, &append.prev_term);
+        log_term_at(replication->log, append.prev_index, &append.prev_term);
         append.entries = answer.entries;
         append.entries_count = answer.entries_count;
-        status = voter_append(view, &append);
+        status = voter_append(replication, &append);
     }
     talloc_free(mem);
     return status;
 }
 
 /* How many of the voters, as the newest list has them, have promised. */
-static size_t promised_count(const View *view, const bool in_view[VOTER_MOST])
+static size_t promised_count(const Replication *replication, const bool in_configuration[VOTER_MOST])
 {
     size_t count = 0;
     for (int i = 0; i < VOTER_MOST; i++)
-        count += view->voters[i] != 0 && in_view[i];
+        count += replication->voters[i] != 0 && in_configuration[i];
     return count;
 }
 
 /* Voters far behind the best log come into the view once they are near; the view
  * stays a majority, with ourselves in it. */
-static void lag_leave(const View *view, const Poll *poll, int best, bool in_view[VOTER_MOST])
+static void lag_leave(const Replication *replication, const Poll *poll, int best, bool in_configuration[VOTER_MOST])
 {
     const VoterAnswer *most = &poll->answers[best];
-    size_t count = promised_count(view, in_view);
-    for (int i = 0; i < VOTER_MOST && count > view_majority(view); i++) {
+    size_t count = promised_count(replication, in_configuration);
+    for (int i = 0; i < VOTER_MOST && count > replication_majority(replication); i++) {
         const VoterAnswer *one = &poll->answers[i];
-        if (in_view[i] && view->voters[i] != view->disk &&
+        if (in_configuration[i] && replication->voters[i] != replication->disk &&
             (one->log_term < most->log_term || one->log_index + LOG_BATCH_ENTRIES < most->log_index)) {
-            in_view[i] = false;
+            in_configuration[i] = false;
             count--;
         }
     }
@@ -107,16 +107,16 @@
 
 /* One opening of a view, from the first question to the first entry. */
 typedef struct Opening {
-    View *view;
+    Replication *replication;
     uint64_t turn;
     const bool *skip; /* voters that are to stay out */
     bool new_holder;  /* it does not hold the lock already */
     bool repair;
-    uint64_t highest;              /* term that anybody has heard of */
-    uint64_t term;                 /* the one to be promised */
-    int best;                      /* place of the best log; -1: nobody promised */
-    bool in_view[VOTER_MOST];      /* who promised, and is near enough */
-    uint64_t promised[VOTER_MOST]; /* the disks, by their places before a log is taken over */
+    uint64_t highest;                  /* term that anybody has heard of */
+    uint64_t term;                     /* the one to be promised */
+    int best;                          /* place of the best log; -1: nobody promised */
+    bool in_configuration[VOTER_MOST]; /* who promised, and is near enough */
+    uint64_t promised[VOTER_MOST];     /* the disks, by their places before a log is taken over */
 } Opening;
 
 /* What the voters said of themselves, before anything is asked of them. */
@@ -128,22 +128,22 @@
 
 static Heard heard_of(Opening *opening, const Poll *poll)
 {
-    const View *view = opening->view;
+    const Replication *replication = opening->replication;
     Heard heard = {0};
     /* disks that lie may have forgotten promises and terms; those who followed a
      * leader have not */
-    opening->highest = view->lock.promised;
-    if (members_leader_term(view->settings.members) > opening->highest)
-        opening->highest = members_leader_term(view->settings.members);
+    opening->highest = replication->lock.promised;
+    if (members_leader_term(replication->settings.members) > opening->highest)
+        opening->highest = members_leader_term(replication->settings.members);
     for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
             heard.count++;
             heard.removed |= poll->status[i] == STATUS_NO_VOTER;
             if (poll->answers[i].promised > opening->highest)
                 opening->highest = poll->answers[i].promised;
-            const bool other = poll->answers[i].held && poll->answers[i].holder != view->disk;
+            const bool other = poll->answers[i].held && poll->answers[i].holder != replication->disk;
             heard.free += !other;
-            heard.ahead |= other && poll->answers[i].promised > view->lock.promised;
+            heard.ahead |= other && poll->answers[i].promised > replication->lock.promised;
         }
     return heard;
 }
@@ -151,93 +151,95 @@
 /* Waits. Whether it may stand at all: asks for nothing but answers. */
 static Status hear(Opening *opening)
 {
-    View *view = opening->view;
-    Poll *poll = poll_voters(view, 0, opening->skip);
+    Replication *replication = opening->replication;
+    Poll *poll = poll_voters(replication, 0, opening->skip);
     const Heard heard = heard_of(opening, poll);
-    const bool rest = may_rest(view, poll, &opening->repair);
+    const bool rest = may_rest(replication, poll, &opening->repair);
     poll_leave(poll);
-    if (lead_over(view, opening->turn))
+    if (lead_over(replication, opening->turn))
         return STATUS_NOT_LEADER;
     if (heard.removed) { /* our voter has been given to another disk; whoever leads tells us more */
-        lead_down(view, VOTER_LOST_REST_MS);
+        lead_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
     /* what a majority does not hold for another, nobody holds; but one that stands just
      * now under a higher term goes first */
-    const bool held =
-        opening->new_holder && heard.count >= view_majority(view) && (heard.free < view_majority(view) || heard.ahead);
-    if (heard.count >= view_majority(view) && rest && !held)
+    const bool held = opening->new_holder && heard.count >= replication_majority(replication) &&
+                      (heard.free < replication_majority(replication) || heard.ahead);
+    if (heard.count >= replication_majority(replication) && rest && !held)
         return STATUS_OK;
-    lead_down(view, 0);
+    lead_down(replication, 0);
     return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_WOKEN;
 }
 
 /* Who has promised, and which of them has the best log. */
 static void promises_count(Opening *opening, const Poll *poll)
 {
-    View *view = opening->view;
+    Replication *replication = opening->replication;
     for (int i = 0; i < VOTER_MOST; i++) {
-        if (poll->status[i] != STATUS_OK || poll->disks[i] != view->voters[i])
+        if (poll->status[i] != STATUS_OK || poll->disks[i] != replication->voters[i])
             continue;
-        opening->in_view[i] = true;
+        opening->in_configuration[i] = true;
         const VoterAnswer *a = &poll->answers[i];
         const VoterAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
         if (b == NULL || a->log_term > b->log_term ||
             (a->log_term == b->log_term &&
-             (a->log_index > b->log_index || (a->log_index == b->log_index && view->voters[i] == view->disk))))
+             (a->log_index > b->log_index ||
+              (a->log_index == b->log_index && replication->voters[i] == replication->disk))))
             opening->best = i;
-        lock_lease_answered(&view->lease, i, poll->sent_ms[i]);
+        lock_lease_answered(&replication->lease, i, poll->sent_ms[i]);
     }
 }
 
 /* What is known of the peers under the new term. */
-static void peers_begin(View *view, const Poll *poll)
+static void peers_begin(Replication *replication, const Poll *poll)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
         if (poll->status[i] == STATUS_OK || poll_reached(poll->status[i]))
-            lead_answered(view, i, &poll->answers[i]);
-        view->peers[i].match_index = 0;
-        view->peers[i].next_index = poll_reached(poll->status[i]) ? poll->answers[i].log_index + 1 : UINT64_MAX;
-        view->peers[i].append_since_ms = INT64_MAX;
-        view->peers[i].refill = false;
-        view->peers[i].renewed_ms = INT64_MIN;
-        view->peers[i].return_ms = 0;
+            lead_answered(replication, i, &poll->answers[i]);
+        replication->peers[i].match_index = 0;
+        replication->peers[i].next_index = poll_reached(poll->status[i]) ? poll->answers[i].log_index + 1 : UINT64_MAX;
+        replication->peers[i].append_since_ms = INT64_MAX;
+        replication->peers[i].refill = false;
+        replication->peers[i].renewed_ms = INT64_MIN;
+        replication->peers[i].return_ms = 0;
     }
 }
 
 /* Others may have granted what can't be used here: they need not wait it out. */
 static void promises_lost(Opening *opening, bool own_failed)
 {
-    View *view = opening->view;
-    if (lead_over(view, opening->turn))
+    Replication *replication = opening->replication;
+    if (lead_over(replication, opening->turn))
         return;
-    view->term = opening->term;
-    lead_release(view, 0);
-    lead_down(view, own_failed ? SLOW_DISK_REST_MS : 0);
+    replication->term = opening->term;
+    lead_release(replication, 0);
+    lead_down(replication, own_failed ? SLOW_DISK_REST_MS : 0);
 }
 
 /* Waits. The renewals of the old term have ended with lead_turn: asks for promises. */
 static Status promises_ask(Opening *opening)
 {
-    View *view = opening->view;
-    opening->term = term_next(opening->highest, view->disk);
-    Poll *poll = poll_voters(view, opening->term, opening->skip);
+    Replication *replication = opening->replication;
+    opening->term = term_next(opening->highest, replication->disk);
+    Poll *poll = poll_voters(replication, opening->term, opening->skip);
     /* a lease that lapsed before this question was sent was not carried on */
-    const int64_t held_until_ms = lock_lease_until(&view->lease);
+    const int64_t held_until_ms = lock_lease_until(&replication->lease);
     for (int i = 0; i < VOTER_MOST; i++)
         opening->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
-    view->reopening = !opening->new_holder;
+    replication->reopening = !opening->new_holder;
     if (opening->new_holder)
-        lock_lease_clear(&view->lease);
+        lock_lease_clear(&replication->lease);
     promises_count(opening, poll);
-    const int own = view_own_voter(view);
+    const int own = replication_own_voter(replication);
     const bool own_failed =
         own >= 0 && (poll->status[own] == STATUS_DISK_FAILED || poll->status[own] == STATUS_UNREACHABLE);
-    const bool lost = lead_over(view, opening->turn) || promised_count(view, opening->in_view) < view_majority(view) ||
-                      own < 0 || !opening->in_view[own];
+    const bool lost = lead_over(replication, opening->turn) ||
+                      promised_count(replication, opening->in_configuration) < replication_majority(replication) ||
+                      own < 0 || !opening->in_configuration[own];
     if (!lost) {
-        lag_leave(view, poll, opening->best, opening->in_view);
-        peers_begin(view, poll);
+        lag_leave(replication, poll, opening->best, opening->in_configuration);
+        peers_begin(replication, poll);
     }
     for (int i = 0; i < VOTER_MOST; i++)
         opening->promised[i] = poll->status[i] == STATUS_OK ? poll->disks[i] : 0;
@@ -250,88 +252,92 @@
 /* The lock is won: it is kept from here on. */
 static void lease_begin(const Opening *opening)
 {
-    View *view = opening->view;
-    view->term = opening->term;
-    if (!view->clock_runs) /* nobody's log has a time yet */
-        view_clock_set(view, view->clock_base_ms);
+    Replication *replication = opening->replication;
+    replication->term = opening->term;
+    if (!replication->clock_runs) /* nobody's log has a time yet */
+        replication_clock_set(replication, replication->clock_base_ms);
     if (opening->new_holder)
-        view->won_ms = loop_now_ms(view->loop);
-    view->holding = true;
-    view->woken_since_ms = 0;
+        replication->won_ms = loop_now_ms(replication->loop);
+    replication->holding = true;
+    replication->woken_since_ms = 0;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (view->voters[i] != 0)
-            lead_renew(view, i);
+        if (replication->voters[i] != 0)
+            lead_renew(replication, i);
 }
 
 /* Waits. Takes the best log over, when that is another's. */
 static Status best_adopt(Opening *opening)
 {
-    View *view = opening->view;
-    if (view->voters[opening->best] == view->disk)
+    Replication *replication = opening->replication;
+    if (replication->voters[opening->best] == replication->disk)
         return STATUS_OK;
-    const Status status = log_adopt(view, opening->best);
+    const Status status = log_adopt(replication, opening->best);
     /* the log may have another list of voters: the promises must be a majority of those too */
     for (int i = 0; i < VOTER_MOST; i++) {
-        opening->in_view[i] &= view->voters[i] == opening->promised[i];
-        if (view->voters[i] != 0 && view->voters[i] != opening->promised[i] && !lead_over(view, opening->turn))
-            lead_renew(view, i);
+        opening->in_configuration[i] &= replication->voters[i] == opening->promised[i];
+        if (replication->voters[i] != 0 && replication->voters[i] != opening->promised[i] &&
+            !lead_over(replication, opening->turn))
+            lead_renew(replication, i);
     }
-    const int own = view_own_voter(view);
-    const bool lost = promised_count(view, opening->in_view) < view_majority(view) || own < 0 || !opening->in_view[own];
-    if (!lead_over(view, opening->turn) && status == STATUS_OK && !lost)
+    const int own = replication_own_voter(replication);
+    const bool lost = promised_count(replication, opening->in_configuration) < replication_majority(replication) ||
+                      own < 0 || !opening->in_configuration[own];
+    if (!lead_over(replication, opening->turn) && status == STATUS_OK && !lost)
         return STATUS_OK;
     const Status why = lost ? STATUS_OTHER_HOLDER : status != STATUS_OK ? status : STATUS_NOT_LEADER;
-    if (!lead_over(view, opening->turn))
-        lead_down(view, 0);
+    if (!lead_over(replication, opening->turn))
+        lead_down(replication, 0);
     return why;
 }
 
 /* Orders the view's first entry and sends it, with all before it, to everybody. */
 static void entry_order(const Opening *opening)
 {
-    View *view = opening->view;
+    Replication *replication = opening->replication;
     /* what is in the own journal's queue is synced before what follows; what an
      * earlier lead had not queued yet is written now */
-    view->synced_index = view->queued_index;
+    replication->synced_index = replication->queued_index;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (view->peers[i].next_index > log_last_index(view->log) + 1)
-            view->peers[i].next_index = log_last_index(view->log) + 1;
-    lead_view_entry(view, opening->in_view, opening->repair);
-    lead_local(view);
+        if (replication->peers[i].next_index > log_last_index(replication->log) + 1)
+            replication->peers[i].next_index = log_last_index(replication->log) + 1;
+    lead_view_entry(replication, opening->in_configuration, opening->repair);
+    lead_local(replication);
     for (int i = 0; i < VOTER_MOST; i++)
-        if (view->voters[i] != 0)
-            lead_peer(view, i);
+        if (replication->voters[i] != 0)
+            lead_peer(replication, i);
 }
 
 /* How far all have come together. */
-static uint64_t gained_sum(const View *view)
+static uint64_t gained_sum(const Replication *replication)
 {
-    uint64_t sum = view->synced_index;
+    uint64_t sum = replication->synced_index;
     for (int i = 0; i < VOTER_MOST; i++)
-        sum += view->peers[i].match_index + view->peers[i].next_index;
+        sum += replication->peers[i].match_index + replication->peers[i].next_index;
     return sum;
 }
 
 /* Waits until the first entry is committed. A voter that lags is waited for while it gains. */
 static Status entry_committed(const Opening *opening)
 {
-    View *view = opening->view;
-    int64_t until_ms = loop_now_ms(view->loop) + ELECTION_STEP_TIMEOUT_MS;
+    Replication *replication = opening->replication;
+    int64_t until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
     uint64_t gained = 0;
-    while (view->commit_index < view->view_index) {
-        if (!signal_wait(view->loop, &view->news, loop_now_ms(view->loop) + 100) && !lead_over(view, opening->turn)) {
-            const uint64_t sum = gained_sum(view);
+    while (replication->commit_index < replication->replication_index) {
+        if (!signal_wait(replication->loop, &replication->news, loop_now_ms(replication->loop) + 100) &&
+            !lead_over(replication, opening->turn)) {
+            const uint64_t sum = gained_sum(replication);
             if (sum != gained) {
                 gained = sum;
-                until_ms = loop_now_ms(view->loop) + ELECTION_STEP_TIMEOUT_MS;
+                until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
             }
         }
-        if (lead_over(view, opening->turn))
+        if (lead_over(replication, opening->turn))
             return STATUS_NOT_LEADER;
-        if (loop_now_ms(view->loop) > until_ms || loop_now_ms(view->loop) > lock_lease_until(&view->lease)) {
-            recorder_write(view->settings.recorder, RECORDER_ALERT, loop_now_ms(view->loop),
+        if (loop_now_ms(replication->loop) > until_ms ||
+            loop_now_ms(replication->loop) > lock_lease_until(&replication->lease)) {
+            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                            "view %" PRIu64 " did not come about", term_counter(opening->term));
-            lead_down(view, 0);
+            lead_down(replication, 0);
             return STATUS_EXPIRED;
         }
     }
@@ -340,26 +346,32 @@
 
 static void lead_begin(const Opening *opening)
 {
-    View *view = opening->view;
-    if (view->settings.opened != NULL)
-        view->settings.opened(view->settings.opened_arg, opening->term, opening->new_holder, view->last.repair);
-    view->phase = VIEW_LEADING;
-    view->changed_ms = loop_now_ms(view->loop);
-    view->view_changes++;
-    members_set_leader(view->settings.members, opening->term, members_self(view->settings.members)->id);
+    Replication *replication = opening->replication;
+    if (replication->settings.opened != NULL)
+        replication->settings.opened(replication->settings.opened_arg, opening->term, opening->new_holder,
+                                     replication->last.repair);
+    replication->phase = REPLICATION_LEADING;
+    replication->changed_ms = loop_now_ms(replication->loop);
+    replication->configuration_changes++;
+    members_set_leader(replication->settings.members, opening->term, members_self(replication->settings.members)->id);
     if (opening->new_holder)
-        members_announce(view->settings.members);
-    recorder_write(view->settings.recorder, RECORDER_NOTE, loop_now_ms(view->loop),
+        members_announce(replication->settings.members);
+    recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
                    "leads view %" PRIu64 " with %zu seats%s", term_counter(opening->term),
-                   promised_count(view, view->in_view), view->last.repair ? ", repairs" : "");
-    signal_raise(view->loop, &view->news);
+                   promised_count(replication, replication->in_configuration),
+                   replication->last.repair ? ", repairs" : "");
+    signal_raise(replication->loop, &replication->news);
 }
 
-Status view_open(View *view, const bool skip[VOTER_MOST])
+Status replication_open(Replication *replication, const bool skip[VOTER_MOST])
 {
-    Opening opening = {.view = view, .turn = ++view->lead_turn, .skip = skip, .new_holder = !view->holding, .best = -1};
-    view->phase = VIEW_OPENING;
-    view->reopening = !opening.new_holder;
+    Opening opening = {.replication = replication,
+                       .turn = ++replication->lead_turn,
+                       .skip = skip,
+                       .new_holder = !replication->holding,
+                       .best = -1};
+    replication->phase = REPLICATION_OPENING;
+    replication->reopening = !opening.new_holder;
     Status status = hear(&opening);
     if (status == STATUS_OK)
         status = promises_ask(&opening);
--- a/packages/view/src/poll.c
+++ b/packages/view/src/poll.c
@@ -19,26 +19,26 @@
 {
     const PollPart part = *(PollPart *)arg;
     Poll *poll = part.poll;
-    View *view = poll->view;
+    Replication *replication = poll->replication;
     talloc_free(arg);
     const int i = part.voter;
     char address[ADDRESS_MAX];
-    poll->sent_ms[i] = loop_now_ms(view->loop);
-    if (poll->disks[i] == view->disk) {
-        const Status status = voter_propose(view, &poll->ask);
-        voter_describe(view, poll, &poll->answers[i]);
+    poll->sent_ms[i] = loop_now_ms(replication->loop);
+    if (poll->disks[i] == replication->disk) {
+        const Status status = voter_propose(replication, &poll->ask);
+        voter_describe(replication, poll, &poll->answers[i]);
         poll->status[i] = status;
-    } else if (voter_address(view, i, address)) {
+    } else if (voter_address(replication, i, address)) {
         VoterAnswer answer = {0};
         ProposeAsk ask = poll->ask;
         ask.to = poll->disks[i];
-        const Status status = rpc_ask(view->settings.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
-                                      ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+        const Status status = rpc_ask(replication->settings.rpc, poll, address, MESSAGE_PROPOSE, &ProposeAsk_shape,
+                                      &ask, ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
         poll->answers[i] = answer;
         poll->status[i] = status;
     }
     poll->pending--;
-    signal_raise(view->loop, &poll->ended);
+    signal_raise(replication->loop, &poll->ended);
     poll_leave(poll);
 }
 
@@ -48,36 +48,37 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-Poll *poll_voters(View *view, uint64_t term, const bool skip[VOTER_MOST])
+Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST])
 {
-    Poll *poll = talloc_zero(view, Poll);
-    poll->view = view;
-    poll->ask = (ProposeAsk){term, view->disk, 0, log_last_term(view->log), log_last_index(view->log)};
+    Poll *poll = talloc_zero(replication, Poll);
+    poll->replication = replication;
+    poll->ask =
+        (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
     poll->users = 1;
     for (int i = 0; i < VOTER_MOST; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
-        if (skip[i] || view->voters[i] == 0)
+        if (skip[i] || replication->voters[i] == 0)
             continue;
-        poll->disks[i] = view->voters[i];
+        poll->disks[i] = replication->voters[i];
         poll->users++;
         poll->pending++;
-        PollPart *part = talloc_zero(view, PollPart);
+        PollPart *part = talloc_zero(replication, PollPart);
         *part = (PollPart){poll, i};
-        loop_spawn(view->loop, "poll", poll_main, part);
+        loop_spawn(replication->loop, "poll", poll_main, part);
     }
     /* also the own disk is not waited for without end */
-    int64_t until_ms = loop_now_ms(view->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
-    const size_t needed = view_majority(view);
+    int64_t until_ms = loop_now_ms(replication->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
+    const size_t needed = replication_majority(replication);
     bool majority = false;
-    while (poll->pending > 0 && signal_wait(view->loop, &poll->ended, until_ms)) {
+    while (poll->pending > 0 && signal_wait(replication->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
         bool woke = false;
         for (int i = 0; i < VOTER_MOST; i++) {
             heard += poll_reached(poll->status[i]);
             woke |= poll_reached(poll->status[i]) && poll->answers[i].woke;
         }
-        const int64_t grace_ms = loop_now_ms(view->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!woke || view->settings.disks_keep) && grace_ms < until_ms)
+        const int64_t grace_ms = loop_now_ms(replication->loop) + POLL_GRACE_MS;
+        if (!majority && heard >= needed && (!woke || replication->settings.disks_keep) && grace_ms < until_ms)
             until_ms = grace_ms;
         majority |= heard >= needed;
     }
--- a/packages/view/src/window.c
+++ b/packages/view/src/window.c
@@ -5,30 +5,30 @@
 
 #include "inside.h"
 
-void view_window(const View *view, ViewWindow *window)
+void replication_window(const Replication *replication, ReplicationWindow *window)
 {
-    *window = (ViewWindow){
-        .phase = view->phase,
-        .holding = view->holding,
-        .term = view->term,
-        .promised = view->lock.promised,
-        .commit_index = view->commit_index,
-        .delivered_index = view->delivered_index,
-        .list_index = view->list_index,
-        .log = view->log,
+    *window = (ReplicationWindow){
+        .phase = replication->phase,
+        .holding = replication->holding,
+        .term = replication->term,
+        .promised = replication->lock.promised,
+        .commit_index = replication->commit_index,
+        .delivered_index = replication->delivered_index,
+        .list_index = replication->list_index,
+        .log = replication->log,
     };
-    window->voter_count = view_voters(view, window->voters);
+    window->voter_count = replication_voters(replication, window->voters);
 }
 
-bool view_window_list(const Record *entry, uint64_t voters[VIEW_VOTERS_MAX], size_t *count)
+bool replication_window_list(const Record *entry, uint64_t voters[REPLICATION_VOTERS_MAX], size_t *count)
 {
-    if (entry->kind != RECORD_ENTRY || entry->change != VIEW_CHANGE_VOTERS)
+    if (entry->kind != RECORD_ENTRY || entry->change != REPLICATION_CHANGE_VOTERS)
         return false;
     void *mem = talloc_new(NULL);
     VoterList list;
     const bool whole = shape_unpack(&VoterList_shape, entry->payload, mem, &list, NULL) == STATUS_OK;
     *count = 0;
-    for (size_t i = 0; whole && i < list.voters_count && i < VIEW_VOTERS_MAX; i++)
+    for (size_t i = 0; whole && i < list.voters_count && i < REPLICATION_VOTERS_MAX; i++)
         if (list.voters[i].disk != 0)
             voters[(*count)++] = list.voters[i].disk;
     talloc_free(mem);
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -28,7 +28,7 @@
     ("packages/beat/include/beat/messages.h", "HEARTBEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
     ("packages/beat/include/beat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
     ("packages/feed/include/feed/messages.h", "FORWARD_ASK_FIELDS", "X(U64, added_later, 0)"),
-    ("packages/view/include/view/messages.h", "VIEW_RECORD_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/view/include/view/messages.h", "TERM_RECORD_FIELDS", "X(U64, added_later, 0)"),
     ("packages/table/include/table/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
 ]
 NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = rpc_ask_peer\(",
