--- a/examples/counter.c
+++ b/examples/counter.c
@@ -159,7 +159,7 @@
     const MemberRecord self = {
         .id = talloc_asprintf(counter, "%s@%016" PRIx64, counter->name, replication_disk(counter->replication)),
         .name = counter->name,
-        .role = ROLE_CORE,
+        .role = ROLE_CONTROLLER,
         .zone = "",
         .address = address,
         .http = "",
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -17,9 +17,9 @@
     size_t users, pending;
     Signal ended;
     bool all;                          /* everyone asked so far has answered no */
-    uint64_t answered[VOTER_MOST * 4]; /* disks of cores that did */
+    uint64_t answered[VOTER_MOST * 4]; /* disks of controllers that did */
     size_t answered_count;
-    uint64_t voters[VOTER_MOST]; /* as a core told them */
+    uint64_t voters[VOTER_MOST]; /* as a controller told them */
     size_t voter_count;          /* 0: none has told them */
 } Asking;
 
@@ -51,7 +51,7 @@
         if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
             asking->answered[asking->answered_count++] = part->disk;
         if (answer.voters_count > 0 && answer.voters_count <= VOTER_MOST) {
-            /* cores that know other voters than each other do not all see the same */
+            /* controllers that know other voters than each other do not all see the same */
             const bool told = asking->voter_count > 0;
             if (told && asking->voter_count != answer.voters_count)
                 asking->all = false;
@@ -81,19 +81,19 @@
     return asking->voter_count > 0;
 }
 
-static void ask_those(Asking *asking, bool cores)
+static void ask_those(Asking *asking, bool controllers)
 {
     Agent *agent = asking->agent;
     const MemberTable *table = members_table(agent->members);
     for (size_t i = 0; i < table->count; i++) {
         const MemberRecord *record = &table->rows[i].record;
         /* one that left cleanly is excluded: it neither runs nor holds anything */
-        if (record->leaving || (record->role == ROLE_CORE) != cores ||
+        if (record->leaving || (record->role == ROLE_CONTROLLER) != controllers ||
             strcmp(record->id, members_self(agent->members)->id) == 0)
             continue;
         AskPart *part = talloc_zero(agent, AskPart);
         part->asking = asking;
-        part->disk = cores ? record->disk : 0;
+        part->disk = controllers ? record->disk : 0;
         strncpy(part->address, record->address, sizeof(part->address) - 1);
         part->peer = member_peer(record);
         asking->users++;
@@ -111,7 +111,7 @@
     asking->users = 1;
     asking->all = true;
     const int64_t sent_ms = loop_now_ms(agent->loop);
-    /* the cores first: a holder that is gone leaves one that does not answer, and
+    /* the controllers first: a holder that is gone leaves one that does not answer, and
      * then nobody else need be asked by every agent of the fleet */
     ask_those(asking, true);
     if (asking->all && voters_answered(asking))
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -107,7 +107,7 @@
     assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
                                .name = boss->id,
-                               .role = ROLE_CORE,
+                               .role = ROLE_CONTROLLER,
                                .zone = "z",
                                .address = boss->address,
                                .http = "",
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -12,10 +12,11 @@
 #define LOCK_LEASE_MS                                                                                                  \
     1440 /* ms; the holder counts on so much of it: its clock may be 2% slow and a voter's 2% quick; four renewals fit \
           */
-#define LOCK_RENEW_MS 350   /* ms; a voter that takes appends renews with them */
-#define LOCK_TELL_MS 1000   /* ms; a renewal also tells what appends do not: clock and holder's name */
-#define PROPOSE_AGAIN_MS 60 /* ms; a core that did not win the lock stands again after this, then twice that ... */
-#define PROPOSE_MS 500      /* ms; ... up to this, and a draw as long */
+#define LOCK_RENEW_MS 350 /* ms; a voter that takes appends renews with them */
+#define LOCK_TELL_MS 1000 /* ms; a renewal also tells what appends do not: clock and holder's name */
+#define PROPOSE_AGAIN_MS \
+    60                 /* ms; a controller that did not win the lock stands again after this, then twice that ... */
+#define PROPOSE_MS 500 /* ms; ... up to this, and a draw as long */
 #define PROPOSE_TURN_MS \
     120 /* ms; each voter stands so much later than the one before it: a question and its answer take less */
 #define HANDED_MS 600          /* ms; one that the last holder named is left alone for so long */
@@ -79,26 +80,27 @@
 #define HELLO_REST_MS 2000      /* ms; ... for one that the leader answers anyway; half of MEMBER_QUIET_MS */
 #define MEMBER_QUIET_MS 4000    /* ms; a member not heard of for this long counts as quiet */
 #define MEMBER_FORGET_MS 600000 /* ms; a quiet member is dropped from the table: ten minutes of absence */
-#define SIGHT_MS 2000           /* ms; a core asks every member once in this; what answers it is its sight */
+#define SIGHT_MS 2000           /* ms; a controller asks every member once in this; what answers it is its sight */
 #define SIGHT_MARGIN 3          /* count; a voter that sees so many more than the leader is the better one ... */
 #define SIGHT_HAND_MS 2000      /* ms; ... when it has been so for this long */
 #define MEMBERS_MAX 512         /* count; bound on a table told by a peer: ten times today's sizes */
 #define FOUND_WAIT_MS 1500      /* ms; three empty disks must see each other for this long before founding */
 #define VOTE_WAIT_MS \
-    600 /* ms; a core stands as the founder so long after its start: those started with it have been heard of */
+    600 /* ms; a controller stands as the founder so long after its start: those started with it have been heard of */
 #define MEMBERSHIP_LOOK_MS 200 /* ms; the leader looks so often whether a change of membership is due */
-#define MEMBERSHIP_SOON_MS                                                                                            \
-    30                        /* ms; ... and so often while a learner is not ready yet, or one change follows another \
-                               */
-#define LEARNER_MOST 4        /* count; cores without a vote that follow the log at a time: each costs a copy of it */
+#define MEMBERSHIP_SOON_MS                                                                                     \
+    30                 /* ms; ... and so often while a learner is not ready yet, or one change follows another \
+                        */
+#define LEARNER_MOST 4 /* count; controllers without a vote that follow the log at a time: each costs a copy of it */
 #define LEARNER_APPEND_MS 100 /* ms; a learner takes what has come within this in one append: nobody waits for it */
 #define VOTE_LEAVE_PART \
     2 /* count; a voter that is told to end waits for this part of its grace span that its vote is another's */
 #define LEARNER_LATE_MS \
     2500                   /* ms; a learner that is not ready by then makes way for another: megabytes take a second */
 #define VOTER_REST_MS 1000 /* ms; a voter that left the view for being late is out for so long at least */
-#define VOTER_LOST_REST_MS 5000 /* ms; a core that was told that its voter is another's does not stand for so long */
-#define VOTER_GONE_MS 15000     /* ms; where the settings do not say how soon a loss is made good */
+#define VOTER_LOST_REST_MS \
+    5000                    /* ms; a controller that was told that its voter is another's does not stand for so long */
+#define VOTER_GONE_MS 15000 /* ms; where the settings do not say how soon a loss is made good */
 #define VOTER_SILENT_PART \
     2 /* count; a voter silent for this part of that span is replaced: the other part is for the change itself */
 
@@ -140,7 +142,7 @@
 #define JOB_SPAN_MAX_MS (INT64_C(366) * 24 * 3600 * 1000) /* ms; a year: a job's longer spans are mistakes */
 #define JOB_BODY_MAX (256 * 1024)                         /* bytes; one job's JSON */
 #define CONFIG_BODY_MAX \
-    (2 * 1024 * 1024) /* bytes; one configuration's JSON: some 5,000 queues, 0.15 s of a core to check */
+    (2 * 1024 * 1024) /* bytes; one configuration's JSON: some 5,000 queues, 0.15 s of a controller to check */
 #define CONFIG_LARGE_BYTES \
     (32 * 1024) /* bytes; a larger one is not carried through a gate: 130 ms of a 2 Mbit/s link, each way */
 #define CONFIG_NOTE_MAX (64 * 1024)           /* bytes; an operator's note on a queue, a kind, or the whole */
--- a/packages/beat/include/beat/messages.h
+++ b/packages/beat/include/beat/messages.h
@@ -60,7 +60,7 @@
     X(LST, wanted, RoundId)
 SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
-/* Rule 2's question: do you know a lock holder? Cores tell the voters too. */
+/* Rule 2's question: do you know a lock holder? Controllers tell the voters too. */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
 SHAPE(KnowAsk, KNOW_ASK_FIELDS)
 
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -43,7 +43,7 @@
 bool check_name_text(const char *text);
 /* Names in an array; the count is told. */
 const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
-/* {"cpu": cores, "mem_mb": MB, "gpu": count}; cores may have a fraction down to a thousandth. */
+/* {"cpu": controllers, "mem_mb": MB, "gpu": count}; controllers may have a fraction down to a thousandth. */
 Room check_room(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
 const char *check_path(Faults *faults, const char *path, const char *key);
 
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -16,26 +16,26 @@
 /* Not in its agent's list though it is to be stopped: it has stopped, or it never
  * came there. An order for it may still be on its way, until it expires or the agent
  * has newer ones. */
-static bool stop_over(const Core *core, const HeartbeatAsk *heartbeat, const JobTask *task)
+static bool stop_over(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
-           (replication_clock_ms(core->replication) - task->changed_ms > ORDER_GONE_MS ||
-            (heartbeat->have_term == configuration_term(core->replication) &&
-             heartbeat->have == table_orders(core->table, heartbeat->worker.name)));
+           (replication_clock_ms(controller->replication) - task->changed_ms > ORDER_GONE_MS ||
+            (heartbeat->have_term == configuration_term(controller->replication) &&
+             heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
 /* Rounds that should run there and that a complete list does not have are lost;
  * those that were to stop have stopped. */
-static RoundList missing(const Core *core, void *mem, const HeartbeatAsk *heartbeat)
+static RoundList missing(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
     RoundList list = {0};
     const TaskOn *on;
-    const size_t count = table_on(core->table, heartbeat->worker.name, &on);
+    const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
         const uint64_t number = task_number(task);
-        if ((task->phase != TASK_RUNNING && !stop_over(core, heartbeat, task)) ||
+        if ((task->phase != TASK_RUNNING && !stop_over(controller, heartbeat, task)) ||
             listed(heartbeat, job->spec.id, number, task->round))
             continue;
         if (list.news == NULL)
@@ -54,7 +54,7 @@
 /* What a heartbeat makes known, committed beside it: the lease is not kept back for
  * the disks. */
 typedef struct Learning {
-    Core *core;
+    Controller *controller;
     AgentLine *line;
     Worker worker;
     bool learn, left;
@@ -64,26 +64,26 @@
 static void learn_main(void *arg)
 {
     Learning *learning = arg;
-    Core *core = learning->core;
+    Controller *controller = learning->controller;
     ChangeResult result;
-    news_tell(core, learning->missing.news, learning->missing.news_count);
+    news_tell(controller, learning->missing.news, learning->missing.news_count);
     if (learning->learn)
-        core_submit(core, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
+        controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
     if (learning->left) {
         const WorkerLeft left = {learning->worker.name, true};
-        core_submit(core, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
+        controller_submit(controller, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
     }
     learning->line->learning = false;
     talloc_free(learning);
 }
 
 /* One at a time for each worker: what is on its way need not be submitted again. */
-static void learn(Core *core, const HeartbeatAsk *heartbeat, bool list_counts)
+static void learn(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
 {
-    AgentLine *line = agent_line(core, heartbeat->worker.name);
+    AgentLine *line = agent_line(controller, heartbeat->worker.name);
     if (line->learning)
         return;
-    const Worker *known = table_worker(core->table, heartbeat->worker.name);
+    const Worker *known = table_worker(controller->table, heartbeat->worker.name);
     Worker worker = heartbeat->worker;
     const bool here = heartbeat->worker_live && !heartbeat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
@@ -91,24 +91,24 @@
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
                       heartbeat->settled && heartbeat->rounds_count == 0;
-    void *mem = talloc_new(core);
-    const RoundList gone = list_counts ? missing(core, mem, heartbeat) : (RoundList){0};
+    void *mem = talloc_new(controller);
+    const RoundList gone = list_counts ? missing(controller, mem, heartbeat) : (RoundList){0};
     if (learns || left || gone.news_count > 0) {
-        Learning *learning = talloc_zero(core, Learning);
-        *learning = (Learning){.core = core, .line = line, .learn = learns, .left = left, .missing = gone};
+        Learning *learning = talloc_zero(controller, Learning);
+        *learning = (Learning){.controller = controller, .line = line, .learn = learns, .left = left, .missing = gone};
         shape_copy(&Worker_shape, &worker, learning, &learning->worker);
         talloc_steal(learning, mem);
         line->learning = true;
-        loop_spawn(core->loop, "learn", learn_main, learning);
+        loop_spawn(controller->loop, "learn", learn_main, learning);
     } else {
         talloc_free(mem);
     }
 }
 
 /* Whether the table is to hear that the round runs. */
-static bool runs_untold(const Core *core, const char *worker, const RoundSaved *saved)
+static bool runs_untold(const Controller *controller, const char *worker, const RoundSaved *saved)
 {
-    const Job *job = table_job(core->table, saved->job);
+    const Job *job = table_job(controller->table, saved->job);
     const size_t at = job != NULL ? task_index(job, saved->task) : 0;
     if (job == NULL || at == job->tasks_count)
         return false;
@@ -119,13 +119,13 @@
                : task->phase == TASK_PLACED && saved->round == task->round && strcmp(task->worker, worker) == 0;
 }
 
-static void runs_take(Core *core, const HeartbeatAsk *heartbeat)
+static void runs_take(Controller *controller, const HeartbeatAsk *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const RoundSaved *saved = &heartbeat->saved[i];
-        saved_take(core, saved);
-        pace_take(core, heartbeat->worker.name, saved);
-        if (!runs_untold(core, heartbeat->worker.name, saved))
+        saved_take(controller, saved);
+        pace_take(controller, heartbeat->worker.name, saved);
+        if (!runs_untold(controller, heartbeat->worker.name, saved))
             continue;
         const RoundNews news = {.job = saved->job,
                                 .task = saved->task,
@@ -135,121 +135,122 @@
                                 .text = "",
                                 .saved = saved->text,
                                 .ran_ms = saved->ran_ms};
-        news_later(core, &news);
+        news_later(controller, &news);
     }
-    if (core->place_from_ms > loop_now_ms(core->loop))
-        news_hurry(core);
+    if (controller->place_from_ms > loop_now_ms(controller->loop))
+        news_hurry(controller);
 }
 
 /* After a loss of what the disks had acknowledged: every agent that anybody knows of
  * has told all that may run beside it, and it is in the table. */
-static bool all_heard(Core *core)
+static bool all_heard(Controller *controller)
 {
-    void *mem = talloc_new(core);
+    void *mem = talloc_new(controller);
     const Worker **workers;
-    const size_t count = table_workers(core->table, mem, &workers);
-    bool all = news_idle(core);
+    const size_t count = table_workers(controller->table, mem, &workers);
+    bool all = news_idle(controller);
     for (size_t i = 0; i < count && all; i++) {
-        const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
+        const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
         all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
     }
     const LiveRow **rows;
-    const size_t row_count = liveset_rows(core->liveset, mem, &rows);
+    const size_t row_count = liveset_rows(controller->liveset, mem, &rows);
     size_t heard = 0, agents = 0;
     for (size_t i = 0; i < row_count; i++)
         heard += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
-    const MemberTable *members = members_table(core->members);
+    const MemberTable *members = members_table(controller->members);
     for (size_t i = 0; i < members->count; i++)
         agents += members->rows[i].record.role == ROLE_AGENT && !members->rows[i].record.leaving;
     talloc_free(mem);
     return all && heard >= agents;
 }
 
-static void place_maybe(Core *core)
+static void place_maybe(Controller *controller)
 {
-    const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms >= core->place_from_ms || core->repairing || !replication_leading(core->replication) || !all_heard(core))
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    if (now_ms >= controller->place_from_ms || controller->repairing || !replication_leading(controller->replication) ||
+        !all_heard(controller))
         return;
-    core->place_from_ms = now_ms; /* there is nothing that the log has forgotten and that still runs */
-    core_news(core);
+    controller->place_from_ms = now_ms; /* there is nothing that the log has forgotten and that still runs */
+    controller_news(controller);
 }
 
 static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
-    out->term = configuration_term(core->replication);
-    if (!replication_holds(core->replication))
+    out->term = configuration_term(controller->replication);
+    if (!replication_holds(controller->replication))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
-    const int64_t now_ms = loop_now_ms(core->loop);
-    const LiveRow *before = liveset_find(core->liveset, heartbeat->worker.name);
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    const LiveRow *before = liveset_find(controller->liveset, heartbeat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms);
     bool list_counts;
-    const int64_t lease_ms = core->settings->bounds.lease_ms;
-    const Status status = liveset_heartbeat(core->liveset, heartbeat, now_ms, lease_ms, &list_counts);
+    const int64_t lease_ms = controller->settings->bounds.lease_ms;
+    const Status status = liveset_heartbeat(controller->liveset, heartbeat, now_ms, lease_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
-    if (liveset_find(core->liveset, heartbeat->worker.name)->number == heartbeat->number)
-        orphans_heartbeat(core->orphans, core->table, heartbeat, now_ms);
-    if (was_ready != live_row_ready(liveset_find(core->liveset, heartbeat->worker.name), now_ms))
-        core_news(core);
-    runs_take(core, heartbeat);
-    if (!core->repairing && replication_leading(core->replication))
-        learn(core, heartbeat, list_counts);
-    place_maybe(core);
+    if (liveset_find(controller->liveset, heartbeat->worker.name)->number == heartbeat->number)
+        orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
+    if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
+        controller_news(controller);
+    runs_take(controller, heartbeat);
+    if (!controller->repairing && replication_leading(controller->replication))
+        learn(controller, heartbeat, list_counts);
+    place_maybe(controller);
     if (heartbeat->wait_ms > 0)
-        orders_answer(core, mem, heartbeat,
+        orders_answer(controller, mem, heartbeat,
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
     /* the lease counts from when the question was sent, so a holder that has lost the
      * lock since has granted it before: but it is not to be counted on any more */
-    if (!replication_holds(core->replication))
+    if (!replication_holds(controller->replication))
         return STATUS_NOT_LEADER;
-    out->term = configuration_term(core->replication);
+    out->term = configuration_term(controller->replication);
     out->lease_ms = lease_ms;
     return STATUS_OK;
 }
 
 static Status on_tell(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const TellAsk *ask = question;
     (void)mem;
-    ((TellAnswer *)answer)->term = configuration_term(core->replication);
-    if (!replication_leading(core->replication))
+    ((TellAnswer *)answer)->term = configuration_term(controller->replication);
+    if (!replication_leading(controller->replication))
         return STATUS_NOT_LEADER;
-    if (core->repairing)
+    if (controller->repairing)
         return STATUS_REPAIRING;
-    liveset_told(core->liveset, ask->agent, ask->incarnation, ask->number);
+    liveset_told(controller->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent tells it again */
-    return news_tell(core, ask->news, ask->news_count);
+    return news_tell(controller, ask->news, ask->news_count);
 }
 
 /* As agents of the first release ask. */
 static Status on_fetch(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const FetchAsk *ask = question;
     FetchAnswer *out = answer;
     const HeartbeatAsk heartbeat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_term = ask->have_term};
     HeartbeatAnswer orders = {0};
-    out->term = configuration_term(core->replication);
-    if (!replication_leading(core->replication))
+    out->term = configuration_term(controller->replication);
+    if (!replication_leading(controller->replication))
         return STATUS_NOT_LEADER;
-    if (core->repairing)
+    if (controller->repairing)
         return STATUS_REPAIRING;
-    const LiveRow *row = liveset_find(core->liveset, ask->agent);
+    const LiveRow *row = liveset_find(controller->liveset, ask->agent);
     if (row == NULL)
         return STATUS_UNKNOWN_WORKER; /* it has to heartbeat first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
-    orders_answer(core, mem, &heartbeat, FETCH_WAIT_MS, &orders);
+    orders_answer(controller, mem, &heartbeat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){configuration_term(core->replication),
+    *out = (FetchAnswer){configuration_term(controller->replication),
                          orders.version,
                          orders.timeout_ms,
                          orders.starts,
@@ -261,25 +262,26 @@
 
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     KnowAnswer *out = answer;
     (void)question;
     uint64_t voters[VOTER_MOST];
-    out->knows = replication_knows_holder(core->replication);
-    out->term = members_leader_term(core->members);
-    out->voters_count = replication_voters(core->replication, voters);
+    out->knows = replication_knows_holder(controller->replication);
+    out->term = members_leader_term(controller->members);
+    out->voters_count = replication_voters(controller->replication, voters);
     out->voters = talloc_array(mem, DiskId, VOTER_MOST);
     for (size_t i = 0; i < out->voters_count; i++)
         out->voters[i].disk = voters[i];
     return STATUS_OK;
 }
 
-void agents_serve(Core *core)
+void agents_serve(Controller *controller)
 {
-    orders_start(core);
-    news_start(core);
-    rpc_handle(core->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, core);
-    rpc_handle(core->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, core);
-    rpc_handle(core->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, core);
-    rpc_handle(core->rpc, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, core);
+    orders_start(controller);
+    news_start(controller);
+    rpc_handle(controller->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat,
+               controller);
+    rpc_handle(controller->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, controller);
+    rpc_handle(controller->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, controller);
+    rpc_handle(controller->rpc, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, controller);
 }
--- a/packages/core/src/alerts.c
+++ b/packages/core/src/alerts.c
@@ -41,61 +41,61 @@
     return TODOS[alert];
 }
 
-static void see(Core *core, Alert alert, const char *subject)
+static void see(Controller *controller, Alert alert, const char *subject)
 {
     char key[ID_MAX * 2];
     snprintf(key, sizeof(key), "%d %s", (int)alert, subject);
-    Standing *standing = map_get(core->alerts, key);
+    Standing *standing = map_get(controller->alerts, key);
     if (standing == NULL) {
-        standing = talloc_zero(core->alerts, Standing);
-        *standing = (Standing){alert, talloc_strdup(standing, subject), loop_now_ms(core->loop), 0};
-        map_set(core->alerts, key, standing);
+        standing = talloc_zero(controller->alerts, Standing);
+        *standing = (Standing){alert, talloc_strdup(standing, subject), loop_now_ms(controller->loop), 0};
+        map_set(controller->alerts, key, standing);
     }
-    standing->look = core->alert_looks;
+    standing->look = controller->alert_looks;
 }
 
-static void voters_look(Core *core)
+static void voters_look(Controller *controller)
 {
     ReplicationStatus sight;
-    replication_status(core->replication, &sight);
+    replication_status(controller->replication, &sight);
     for (size_t i = 0; i < sight.voter_count; i++) {
-        const Member *member = members_find_disk(core->members, sight.voters[i].disk);
+        const Member *member = members_find_disk(controller->members, sight.voters[i].disk);
         char disk[20];
         snprintf(disk, sizeof(disk), "%016" PRIx64, sight.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
         if (!sight.voters[i].in_configuration)
-            see(core, ALERT_VOTER_OUT, name);
+            see(controller, ALERT_VOTER_OUT, name);
         if (sight.voters[i].sync_ms > VOTER_SLOW_MS)
-            see(core, ALERT_VOTER_SLOW, name);
+            see(controller, ALERT_VOTER_SLOW, name);
     }
     char borne[LOSSES_TEXT];
     snprintf(borne, sizeof(borne), "%d of %d", sight.losses_borne, sight.losses_asked);
     if (sight.losses_borne < sight.losses_asked)
-        see(core, ALERT_LOSSES_FEW, borne);
+        see(controller, ALERT_LOSSES_FEW, borne);
 }
 
-static void workers_look(Core *core, void *mem)
+static void workers_look(Controller *controller, void *mem)
 {
-    const int64_t now_ms = loop_now_ms(core->loop);
+    const int64_t now_ms = loop_now_ms(controller->loop);
     const Worker **workers;
-    const size_t count = table_workers(core->table, mem, &workers);
+    const size_t count = table_workers(controller->table, mem, &workers);
     for (size_t i = 0; i < count; i++) {
-        const LiveRow *row = liveset_find(core->liveset, workers[i]->name);
+        const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
         const int64_t until_ms =
-            row != NULL ? row->until_ms : replication_won_ms(core->replication) + core_claim_ms(core);
+            row != NULL ? row->until_ms : replication_won_ms(controller->replication) + controller_claim_ms(controller);
         const bool silent =
             now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
-            see(core, ALERT_WORKER_LOST, workers[i]->name);
-        if (score_rests(core, workers[i]->name))
-            see(core, ALERT_WORKER_RESTS, workers[i]->name);
+            see(controller, ALERT_WORKER_LOST, workers[i]->name);
+        if (score_rests(controller, workers[i]->name))
+            see(controller, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
 
-static void work_look(Core *core)
+static void work_look(Controller *controller)
 {
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     bool unassured = false, waits = false;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count && jobs[j]->spec.protection == PROTECTION_PROTECTED; t++) {
@@ -104,55 +104,55 @@
             waits |= task->phase == TASK_WAITING && task->losses > 0;
         }
     if (unassured)
-        see(core, ALERT_UNASSURED, "tasks");
+        see(controller, ALERT_UNASSURED, "tasks");
     if (waits)
-        see(core, ALERT_PROTECTED_WAITS, "tasks");
-    if (!core->plan_holds) {
+        see(controller, ALERT_PROTECTED_WAITS, "tasks");
+    if (!controller->plan_holds) {
         char subject[ID_MAX + 16];
-        snprintf(subject, sizeof(subject), "%s %s", loss_word(core->broken_by_loss), core->broken_by);
-        see(core, ALERT_PLAN_BROKEN, subject);
+        snprintf(subject, sizeof(subject), "%s %s", loss_word(controller->broken_by_loss), controller->broken_by);
+        see(controller, ALERT_PLAN_BROKEN, subject);
     }
 }
 
-void alerts_look(Core *core)
+void alerts_look(Controller *controller)
 {
-    void *mem = talloc_new(core);
-    core->alert_looks++;
-    const bool leads = replication_leading(core->replication);
+    void *mem = talloc_new(controller);
+    controller->alert_looks++;
+    const bool leads = replication_leading(controller->replication);
     const char *words;
-    if (leads && core->repairing)
-        see(core, ALERT_REPAIRING, "cluster");
-    if (leads && !core->repairing) {
-        voters_look(core);
-        workers_look(core, mem);
-        work_look(core);
-        if (core_policy_failures(core, &words) > 0)
-            see(core, ALERT_POLICY_FAILS, words);
+    if (leads && controller->repairing)
+        see(controller, ALERT_REPAIRING, "cluster");
+    if (leads && !controller->repairing) {
+        voters_look(controller);
+        workers_look(controller, mem);
+        work_look(controller);
+        if (controller_policy_failures(controller, &words) > 0)
+            see(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
-        const size_t zone_count = table_drains(core->table, mem, &zones);
+        const size_t zone_count = table_drains(controller->table, mem, &zones);
         for (size_t i = 0; i < zone_count; i++)
-            see(core, ALERT_ZONE_EMPTIED, zones[i]);
+            see(controller, ALERT_ZONE_EMPTIED, zones[i]);
     }
     const char **keys;
-    const size_t count = map_keys(core->alerts, mem, &keys);
+    const size_t count = map_keys(controller->alerts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Standing *standing = map_get(core->alerts, keys[i]);
-        if (standing->look == core->alert_looks)
+        Standing *standing = map_get(controller->alerts, keys[i]);
+        if (standing->look == controller->alert_looks)
             continue;
-        map_drop(core->alerts, keys[i]);
+        map_drop(controller->alerts, keys[i]);
         talloc_free(standing);
     }
     talloc_free(mem);
 }
 
-size_t alerts_count(const Core *core, Alert alert)
+size_t alerts_count(const Controller *controller, Alert alert)
 {
     void *mem = talloc_new(NULL);
     const char **keys;
-    const size_t count = map_keys(core->alerts, mem, &keys);
+    const size_t count = map_keys(controller->alerts, mem, &keys);
     size_t standing = 0;
     for (size_t i = 0; i < count; i++)
-        standing += ((const Standing *)map_get(core->alerts, keys[i]))->alert == alert;
+        standing += ((const Standing *)map_get(controller->alerts, keys[i]))->alert == alert;
     talloc_free(mem);
     return standing;
 }
@@ -163,15 +163,15 @@
     return x->since_ms != y->since_ms ? (x->since_ms < y->since_ms ? -1 : 1) : (int)x->alert - (int)y->alert;
 }
 
-json_object *alerts_show(const Core *core)
+json_object *alerts_show(const Controller *controller)
 {
     void *mem = talloc_new(NULL);
     const char **keys;
-    const size_t count = map_keys(core->alerts, mem, &keys);
+    const size_t count = map_keys(controller->alerts, mem, &keys);
     const Standing **list = talloc_array(mem, const Standing *, (unsigned)count + 1);
-    const int64_t now_ms = loop_now_ms(core->loop);
+    const int64_t now_ms = loop_now_ms(controller->loop);
     for (size_t i = 0; i < count; i++)
-        list[i] = map_get(core->alerts, keys[i]);
+        list[i] = map_get(controller->alerts, keys[i]);
     qsort(list, count, sizeof(*list), since_order);
     json_object *body = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
@@ -188,14 +188,14 @@
 
 static void alerts_main(void *arg)
 {
-    Core *core = arg;
-    while (!loop_stopping(core->loop)) {
-        alerts_look(core);
-        loop_sleep(core->loop, ALERTS_LOOK_MS);
+    Controller *controller = arg;
+    while (!loop_stopping(controller->loop)) {
+        alerts_look(controller);
+        loop_sleep(controller->loop, ALERTS_LOOK_MS);
     }
 }
 
-void alerts_start(Core *core)
+void alerts_start(Controller *controller)
 {
-    loop_spawn(core->loop, "alerts", alerts_main, core);
+    loop_spawn(controller->loop, "alerts", alerts_main, controller);
 }
--- a/packages/core/src/alerts.h
+++ b/packages/core/src/alerts.h
@@ -1,5 +1,5 @@
-#ifndef CORE_SRC_ALERTS_H
-#define CORE_SRC_ALERTS_H
+#ifndef CONTROLLER_SRC_ALERTS_H
+#define CONTROLLER_SRC_ALERTS_H
 
 #include "inside.h"
 
@@ -30,10 +30,10 @@
 
 const char *alert_word(Alert alert);
 /* Looks at everything and notes since when each alert stands. */
-void alerts_look(Core *core);
+void alerts_look(Controller *controller);
 /* [{"alert", "subject", "for_ms", "todo"}], the oldest first. */
-json_object *alerts_show(const Core *core);
-size_t alerts_count(const Core *core, Alert alert);
-void alerts_start(Core *core);
+json_object *alerts_show(const Controller *controller);
+size_t alerts_count(const Controller *controller, Alert alert);
+void alerts_start(Controller *controller);
 
 #endif
--- a/packages/core/src/assure.c
+++ b/packages/core/src/assure.c
@@ -6,10 +6,10 @@
 /* Running unassured work that a plan can now include. */
 void assure_more(Pass *pass)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     StopList list = {0};
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     for (size_t j = 0; j < count && pass->checks < pass->checks_max; j++) {
         const Job *job = jobs[j];
         if (job->spec.protection != PROTECTION_PROTECTED)
@@ -33,5 +33,5 @@
     list.why = "";
     ChangeResult result;
     if (list.rounds_count > 0)
-        core_submit(core, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
+        controller_submit(controller, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/callers.c
+++ b/packages/core/src/callers.c
@@ -1,4 +1,4 @@
-/* Every core towards its peers, and on its own address. */
+/* Every controller towards its peers, and on its own address. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -7,13 +7,13 @@
 #include "alerts.h"
 #include "way.h"
 
-static void metrics(Core *core, HttpTask *task)
+static void metrics(Controller *controller, HttpTask *task)
 {
     ReplicationStatus sight;
-    replication_status(core->replication, &sight);
+    replication_status(controller->replication, &sight);
     show_metrics_begin(task);
-    show_metric(task, "leads", replication_leading(core->replication));
-    show_metric(task, "repairing", core->repairing);
+    show_metric(task, "leads", replication_leading(controller->replication));
+    show_metric(task, "repairing", controller->repairing);
     show_metric(task, "viewChanges", (int64_t)sight.configuration_changes);
     show_metric(task, "lastIndex", (int64_t)sight.last_index);
     show_metric(task, "deliveredIndex", (int64_t)sight.delivered_index);
@@ -25,32 +25,32 @@
     show_metric(task, "journalBegunAnew", sight.journal.begun_anew);
     show_metric(task, "lastSyncMs", sight.journal.last_sync_ms);
     show_metric(task, "worstSyncMs", sight.journal.worst_sync_ms);
-    show_metric(task, "sight", (int64_t)members_sight(core->members));
-    show_metric(task, "planHolds", core->plan_holds);
+    show_metric(task, "sight", (int64_t)members_sight(controller->members));
+    show_metric(task, "planHolds", controller->plan_holds);
     for (int i = 0; i < ALERT_COUNT; i++) {
         char name[48];
         snprintf(name, sizeof(name), "alert_%s", alert_word((Alert)i));
         for (char *at = name; *at != '\0'; at++)
             if (*at == '-')
                 *at = '_';
-        show_metric(task, name, (int64_t)alerts_count(core, (Alert)i));
+        show_metric(task, name, (int64_t)alerts_count(controller, (Alert)i));
     }
     Job *const *jobs;
-    show_metric(task, "jobsActive", (int64_t)table_active(core->table, &jobs));
-    show_metric(task, "jobsKnown", (int64_t)table_jobs(core->table, &jobs));
-#define X(name, outside) show_metric(task, outside, (int64_t)core->counts.name);
-    CORE_COUNT_LIST(X)
+    show_metric(task, "jobsActive", (int64_t)table_active(controller->table, &jobs));
+    show_metric(task, "jobsKnown", (int64_t)table_jobs(controller->table, &jobs));
+#define X(name, outside) show_metric(task, outside, (int64_t)controller->counts.name);
+    CONTROLLER_COUNT_LIST(X)
 #undef X
-    const RpcCounts *counts = rpc_counts(core->rpc);
+    const RpcCounts *counts = rpc_counts(controller->rpc);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     RPC_COUNT_LIST(X)
 #undef X
 }
 
-void core_take(Core *core, HttpTask *task)
+void controller_take(Controller *controller, HttpTask *task)
 {
     if (strcmp(task->path, "/metrics") == 0) {
-        metrics(core, task);
+        metrics(controller, task);
         return;
     }
     if (strcmp(task->path, "/livez") == 0) {
@@ -60,34 +60,34 @@
         return;
     }
     if (strcmp(task->path, "/readyz") == 0) {
-        show_ready(task, core_ready(core), core->leaving);
+        show_ready(task, controller_ready(controller), controller->leaving);
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
-        show_recorder(task, core->recorder);
+        show_recorder(task, controller->recorder);
         return;
     }
     if (strcmp(task->path, "/v1/trace") == 0) {
-        trace_serve(core->trace, task);
+        trace_serve(controller->trace, task);
         return;
     }
-    forward_request(core->forwarder, task);
+    forward_request(controller->forwarder, task);
 }
 
-static void lead_serve(Core *core, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
+static void lead_serve(Controller *controller, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
 {
     HttpTask *task = talloc_zero(mem, HttpTask);
-    *task = (HttpTask){.loop = core->loop,
+    *task = (HttpTask){.loop = controller->loop,
                        .method = ask->method,
                        .path = ask->path,
                        .query = ask->query,
                        .host = ask->host,
                        .body = ask->body,
                        .again = ask->again,
-                       .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(core->loop) + (int64_t)ask->wait_ms : 0,
+                       .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(controller->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
     RepairList repair_items = {0};
-    leader_serve(core, task, mem, &repair_items);
+    leader_serve(controller, task, mem, &repair_items);
     out->code = (uint64_t)task->code;
     out->status = task->status;
     out->kind = task->kind;
@@ -99,74 +99,75 @@
 
 void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
-    Core *core = arg;
-    lead_serve(core, mem, ask, answer);
-    if (answer->repair_items_count > 0 && core->settings->bounds.retell_ms > 0)
-        elsewhere_keep(core, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
+    Controller *controller = arg;
+    lead_serve(controller, mem, ask, answer);
+    if (answer->repair_items_count > 0 && controller->settings->bounds.retell_ms > 0)
+        elsewhere_keep(controller, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
 }
 
 static Status on_forward(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const ForwardAsk *ask = question;
     ForwardAnswer *out = answer;
-    if (replication_leading(core->replication)) {
-        lead_serve(core, mem, ask, out);
+    if (replication_leading(controller->replication)) {
+        lead_serve(controller, mem, ask, out);
         return STATUS_OK;
     }
-    const Status status = ask->relay ? forward_relay(core->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
+    const Status status = ask->relay ? forward_relay(controller->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
     if (status != STATUS_OK) {
-        out->leader_term = members_leader_term(core->members);
-        out->leader_id = talloc_strdup(mem, members_leader_id(core->members));
+        out->leader_term = members_leader_term(controller->members);
+        out->leader_id = talloc_strdup(mem, members_leader_id(controller->members));
     }
     return status;
 }
 
 static Status on_config_watch(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const ConfigWatchAsk *ask = question;
     ConfigWatchAnswer *out = answer;
-    const int64_t until_ms = loop_now_ms(core->loop) + CONFIG_WATCH_WAIT_MS;
-    const bool waits = core->repairing;
+    const int64_t until_ms = loop_now_ms(controller->loop) + CONFIG_WATCH_WAIT_MS;
+    const bool waits = controller->repairing;
     for (;;) {
-        if (!replication_leading(core->replication))
+        if (!replication_leading(controller->replication))
             return STATUS_NOT_LEADER;
-        out->term = configuration_term(core->replication);
-        out->waits = core->repairing;
-        if (!core->repairing && config_watch_answer(&core->piece_source, table_versions(core->table), ask,
-                                                    loop_now_ms(core->loop), mem, out))
+        out->term = configuration_term(controller->replication);
+        out->waits = controller->repairing;
+        if (!controller->repairing && config_watch_answer(&controller->piece_source, table_versions(controller->table),
+                                                          ask, loop_now_ms(controller->loop), mem, out))
             return STATUS_OK;
         out->version = ask->have;
-        if (ask->first || waits != core->repairing ||
-            !signal_wait(core->loop, replication_news(core->replication), until_ms))
+        if (ask->first || waits != controller->repairing ||
+            !signal_wait(controller->loop, replication_news(controller->replication), until_ms))
             return STATUS_OK;
     }
 }
 
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const RetellAsk *ask = question;
-    repair_buffer_tell(core->repair_buffer, mem, ask->config_have, answer);
-    config_watch_notify(core->config_watch, mem, ask->config_have, answer);
+    repair_buffer_tell(controller->repair_buffer, mem, ask->config_have, answer);
+    config_watch_notify(controller->config_watch, mem, ask->config_have, answer);
     return STATUS_OK;
 }
 
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     const RepairList *list = question;
     (void)mem;
     (void)answer;
-    repair_buffer_keep(core->repair_buffer, list->items, list->items_count);
+    repair_buffer_keep(controller->repair_buffer, list->items, list->items_count);
     return STATUS_OK;
 }
 
-void callers_serve(Core *core)
+void callers_serve(Controller *controller)
 {
-    rpc_handle(core->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, core);
-    rpc_handle(core->rpc, MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ConfigWatchAnswer_shape, on_config_watch, core);
-    rpc_handle(core->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, core);
-    rpc_handle(core->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, core);
+    rpc_handle(controller->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, controller);
+    rpc_handle(controller->rpc, MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ConfigWatchAnswer_shape, on_config_watch,
+               controller);
+    rpc_handle(controller->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, controller);
+    rpc_handle(controller->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, controller);
 }
--- a/packages/core/src/choose.c
+++ b/packages/core/src/choose.c
@@ -76,7 +76,7 @@
 
 uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at)
 {
-    const uint64_t far = (uint64_t)pass->core->settings->bounds.far_percent;
+    const uint64_t far = (uint64_t)pass->controller->settings->bounds.far_percent;
     uint64_t percent = 100;
     if (step->near[0] != '\0' && strcmp(step->near, pass->input.workers[at].rack) != 0)
         percent = percent * far / 100;
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -7,32 +7,33 @@
 #include "alerts.h"
 #include "inforce.h"
 
-bool core_decides(Core *core)
+bool controller_decides(Controller *controller)
 {
-    if (!replication_leading(core->replication) || core->repairing)
+    if (!replication_leading(controller->replication) || controller->repairing)
         return false;
-    if (core->watch.plans != NULL)
-        core->watch.plans(core->watch.arg, core->settings->name, configuration_term(core->replication));
+    if (controller->watch.plans != NULL)
+        controller->watch.plans(controller->watch.arg, controller->settings->name,
+                                configuration_term(controller->replication));
     return true;
 }
 
-void core_news(Core *core)
+void controller_news(Controller *controller)
 {
-    core->news++;
-    signal_raise(core->loop, &core->wake);
+    controller->news++;
+    signal_raise(controller->loop, &controller->wake);
 }
 
-QueueClock core_clock(const Core *core)
+QueueClock controller_clock(const Controller *controller)
 {
-    return (QueueClock){replication_clock_ms(core->replication), replication_wall_ms(core->replication)};
+    return (QueueClock){replication_clock_ms(controller->replication), replication_wall_ms(controller->replication)};
 }
 
-Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                   RepairList *repair_items)
+Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
+                         ChangeResult *result, RepairList *repair_items)
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
-    const Status status = replication_submit(core->replication, kind, payload, result);
+    const Status status = replication_submit(controller->replication, kind, payload, result);
     if (status == STATUS_OK && result->status == STATUS_OK && repair_items != NULL) {
         repair_items->items =
             talloc_realloc(mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
@@ -41,255 +42,260 @@
     return status;
 }
 
-int64_t core_claim_ms(const Core *core)
+int64_t controller_claim_ms(const Controller *controller)
 {
-    return lease_claim_ms(core->settings->bounds.lease_ms);
+    return lease_claim_ms(controller->settings->bounds.lease_ms);
 }
 
 static void on_opened(void *arg, uint64_t term, bool new_holder, bool repair)
 {
-    Core *core = arg;
-    trace_say(core->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
+    Controller *controller = arg;
+    trace_say(controller->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
               term_counter(term));
     if (new_holder) {
-        void *mem = talloc_new(core);
+        void *mem = talloc_new(controller);
         const Worker **workers;
-        const size_t count = table_workers(core->table, mem, &workers);
+        const size_t count = table_workers(controller->table, mem, &workers);
         const char **names = talloc_array(mem, const char *, (unsigned)count);
         for (size_t i = 0; i < count; i++)
             names[i] = workers[i]->name;
         /* any lease that the last leader answered runs out within this */
-        orphans_reset(core->orphans);
-        paces_reset(core->paces);
-        liveset_reset(core->liveset, replication_won_ms(core->replication) + core_claim_ms(core), names, count);
+        orphans_reset(controller->orphans);
+        paces_reset(controller->paces);
+        liveset_reset(controller->liveset,
+                      replication_won_ms(controller->replication) + controller_claim_ms(controller), names, count);
         talloc_free(mem);
     }
-    if (repair && (new_holder || !core->repairing)) {
-        core->repairing = true; /* a repair under way goes on over views opened anew */
+    if (repair && (new_holder || !controller->repairing)) {
+        controller->repairing = true; /* a repair under way goes on over views opened anew */
         /* rounds that the log has forgotten are told again or have lapsed by then */
-        core->place_from_ms = loop_now_ms(core->loop) + core_claim_ms(core);
-        repair_start(core);
+        controller->place_from_ms = loop_now_ms(controller->loop) + controller_claim_ms(controller);
+        repair_start(controller);
     }
     if (!repair)
-        core->repairing = false;
-    orders_wake(core);
-    core_news(core);
+        controller->repairing = false;
+    orders_wake(controller);
+    controller_news(controller);
 }
 
 /* An order that was told before may be on its way until it expires, by an agent's
  * clock that is slow. */
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
-    const Core *core = arg;
-    if (replication_holds(core->replication))
-        orphans_add(core->orphans, task->worker, job, task, task->round, loop_now_ms(core->loop) + ORDER_GONE_MS);
+    const Controller *controller = arg;
+    if (replication_holds(controller->replication))
+        orphans_add(controller->orphans, task->worker, job, task, task->round,
+                    loop_now_ms(controller->loop) + ORDER_GONE_MS);
 }
 
-static void rounds_take(Core *core, const RoundList *rounds)
+static void rounds_take(Controller *controller, const RoundList *rounds)
 {
-    score_take(core, rounds);
+    score_take(controller, rounds);
     for (size_t i = 0; i < rounds->news_count; i++) {
         const RoundNews *news = &rounds->news[i];
         const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
         if (news->word == ROUND_RUNNING)
             continue; /* a heartbeat has told how far it has come since */
-        if (replication_holds(core->replication))
-            saved_take(core, &saved);
-        orphans_end(core->orphans, news);
+        if (replication_holds(controller->replication))
+            saved_take(controller, &saved);
+        orphans_end(controller->orphans, news);
     }
 }
 
 static void on_delivered(void *arg, const Record *change, const void *body, const ChangeResult *result)
 {
-    Core *core = arg;
-    trace_delivered(core, change, body, result);
-    core_news(core);
-    limits_follow(core);
+    Controller *controller = arg;
+    trace_delivered(controller, change, body, result);
+    controller_news(controller);
+    limits_follow(controller);
     if (body != NULL && change->change == CHANGE_ROUNDS)
-        rounds_take(core, body);
+        rounds_take(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
-        liveset_losing(core->liveset, ((const WorkerLost *)body)->worker, false);
+        liveset_losing(controller->liveset, ((const WorkerLost *)body)->worker, false);
 }
 
 /* Ended jobs are kept for a stated span. */
 static void forget_main(void *arg)
 {
-    Core *core = arg;
-    while (!loop_stopping(core->loop)) {
-        const int64_t keep_ms = core->settings->bounds.job_keep_ms;
-        loop_sleep(core->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
-        if (!core_decides(core))
+    Controller *controller = arg;
+    while (!loop_stopping(controller->loop)) {
+        const int64_t keep_ms = controller->settings->bounds.job_keep_ms;
+        loop_sleep(controller->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
+        if (!controller_decides(controller))
             continue;
-        const Forget forget = {replication_clock_ms(core->replication) - keep_ms};
-        if (table_oldest_ms(core->table) >= forget.before_ms)
+        const Forget forget = {replication_clock_ms(controller->replication) - keep_ms};
+        if (table_oldest_ms(controller->table) >= forget.before_ms)
             continue;
-        void *mem = talloc_new(core);
+        void *mem = talloc_new(controller);
         ChangeResult result;
-        core_submit(core, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
+        controller_submit(controller, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
         talloc_free(mem);
     }
 }
 
-/* A core in waiting hears of the configuration as a gate does. */
+/* A controller in waiting hears of the configuration as a gate does. */
 static bool seatless(void *arg)
 {
-    const Core *core = arg;
-    return !replication_seated(core->replication);
+    const Controller *controller = arg;
+    return !replication_seated(controller->replication);
 }
 
 static bool leads(const void *arg)
 {
-    const Core *core = arg;
-    return replication_leading(core->replication);
+    const Controller *controller = arg;
+    return replication_leading(controller->replication);
 }
 
 static void on_http(void *arg, HttpTask *task)
 {
-    core_take(arg, task);
+    controller_take(arg, task);
 }
 
 /* Where in the log the node is, for its lines. */
 static RecorderPlace place_now(void *arg)
 {
-    const Core *core = arg;
+    const Controller *controller = arg;
     uint64_t term, commit_index;
-    replication_place(core->replication, &term, &commit_index);
+    replication_place(controller->replication, &term, &commit_index);
     return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
-Status core_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, const CoreWatch *watch,
-                  Core **out, Failure *failure)
+Status controller_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings,
+                        const ControllerWatch *watch, Controller **out, Failure *failure)
 {
-    Core *core = talloc_zero(mem, Core);
-    core->loop = loop;
-    core->recorder = recorder;
-    core->settings = settings;
-    core->plan_holds = true;
-    core->started_ms = loop_now_ms(loop);
+    Controller *controller = talloc_zero(mem, Controller);
+    controller->loop = loop;
+    controller->recorder = recorder;
+    controller->settings = settings;
+    controller->plan_holds = true;
+    controller->started_ms = loop_now_ms(loop);
     if (watch != NULL)
-        core->watch = *watch;
-    core->rpc = rpc_new(core, loop, recorder);
-    core->table = table_new(core);
-    table_watch(core->table, on_delivered, core);
-    core->piece_source.mem = core;
-    core->repair_buffer = repair_buffer_new(core, loop, settings->bounds.retell_ms);
-    core->liveset = liveset_new(core);
-    core->saved = map_new(core);
-    core->scores = map_new(core);
-    core->estimates = estimates_new(core);
-    core->queue = queue_new(core, core->estimates);
-    core->orphans = orphans_new(core);
-    core->paces = paces_new(core);
-    table_left_watch(core->table, on_left, core);
-    core->kept = map_new(core);
-    core->alerts = map_new(core);
+        controller->watch = *watch;
+    controller->rpc = rpc_new(controller, loop, recorder);
+    controller->table = table_new(controller);
+    table_watch(controller->table, on_delivered, controller);
+    controller->piece_source.mem = controller;
+    controller->repair_buffer = repair_buffer_new(controller, loop, settings->bounds.retell_ms);
+    controller->liveset = liveset_new(controller);
+    controller->saved = map_new(controller);
+    controller->scores = map_new(controller);
+    controller->estimates = estimates_new(controller);
+    controller->queue = queue_new(controller, controller->estimates);
+    controller->orphans = orphans_new(controller);
+    controller->paces = paces_new(controller);
+    table_left_watch(controller->table, on_left, controller);
+    controller->kept = map_new(controller);
+    controller->alerts = map_new(controller);
     const ReplicationSettings replication_settings = {.loop = loop,
-                                                      .rpc = core->rpc,
+                                                      .rpc = controller->rpc,
                                                       .recorder = recorder,
-                                                      .state = table_state(core->table),
+                                                      .state = table_state(controller->table),
                                                       .opened = on_opened,
-                                                      .opened_arg = core,
+                                                      .opened_arg = controller,
                                                       .losses = (int)settings->bounds.losses,
                                                       .founds = (ReplicationFounds)settings->bounds.founds,
                                                       .disks_keep = settings->bounds.disks_keep != 0,
                                                       .voter_back_ms = settings->bounds.voter_back_ms};
-    core->replication = replication_new(core, &replication_settings);
+    controller->replication = replication_new(controller, &replication_settings);
     /* the disk first: its id is part of our name */
-    Status status = replication_open_disk(core->replication, talloc_asprintf(core, "%s/journal", settings->data),
-                                          settings->name, failure);
+    Status status = replication_open_disk(
+        controller->replication, talloc_asprintf(controller, "%s/journal", settings->data), settings->name, failure);
     if (status == STATUS_OK)
-        recorder_set_place(recorder, place_now, core);
+        recorder_set_place(recorder, place_now, controller);
     if (status == STATUS_OK)
-        status = rpc_listen(core->rpc, settings->listen, core->address, failure);
+        status = rpc_listen(controller->rpc, settings->listen, controller->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, settings->http, on_http, core, core->http, failure);
+        status = loop_serve(loop, settings->http, on_http, controller, controller->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {
-        .id = talloc_asprintf(core, "%s@%016" PRIx64, settings->name, replication_disk(core->replication)),
+        .id = talloc_asprintf(controller, "%s@%016" PRIx64, settings->name, replication_disk(controller->replication)),
         .name = settings->name,
-        .role = ROLE_CORE,
+        .role = ROLE_CONTROLLER,
         .zone = settings->zone,
-        .address = core->address,
-        .http = core->http,
+        .address = controller->address,
+        .http = controller->http,
         .incarnation = (uint64_t)loop_wall_ms(loop),
-        .disk = replication_disk(core->replication),
-        .empty = !replication_founded(core->replication),
+        .disk = replication_disk(controller->replication),
+        .empty = !replication_founded(controller->replication),
     };
-    core->members = members_new(core, loop, core->rpc, recorder, &self, settings->seeds);
-    core->trace = trace_new(core, loop, core->rpc, core->members, settings->name);
-    core->forwarder = forwarder_new(core, &(ForwarderSettings){.loop = loop,
-                                                               .rpc = core->rpc,
-                                                               .members = core->members,
-                                                               .repair_buffer = core->repair_buffer,
-                                                               .trace = core->trace,
-                                                               .leads = leads,
-                                                               .serve = callers_lead,
-                                                               .arg = core,
-                                                               .leader_wait_ms = settings->bounds.leader_wait_ms,
-                                                               .outcome_wait_ms = settings->bounds.outcome_wait_ms});
-    core->config_watch = config_watch_new(core, loop, core->rpc, forwarder_ways(core->forwarder), core->trace);
-    replication_start(core->replication, core->members);
-    agents_serve(core);
-    callers_serve(core);
-    members_start(core->members);
-    replication_founding(core->replication);
-    planner_start(core);
-    alerts_start(core);
-    forwarder_start(core->forwarder);
-    config_watch_start(core->config_watch, seatless, core);
-    loop_spawn(loop, "forget", forget_main, core);
-    *out = core;
+    controller->members = members_new(controller, loop, controller->rpc, recorder, &self, settings->seeds);
+    controller->trace = trace_new(controller, loop, controller->rpc, controller->members, settings->name);
+    controller->forwarder =
+        forwarder_new(controller, &(ForwarderSettings){.loop = loop,
+                                                       .rpc = controller->rpc,
+                                                       .members = controller->members,
+                                                       .repair_buffer = controller->repair_buffer,
+                                                       .trace = controller->trace,
+                                                       .leads = leads,
+                                                       .serve = callers_lead,
+                                                       .arg = controller,
+                                                       .leader_wait_ms = settings->bounds.leader_wait_ms,
+                                                       .outcome_wait_ms = settings->bounds.outcome_wait_ms});
+    controller->config_watch =
+        config_watch_new(controller, loop, controller->rpc, forwarder_ways(controller->forwarder), controller->trace);
+    replication_start(controller->replication, controller->members);
+    agents_serve(controller);
+    callers_serve(controller);
+    members_start(controller->members);
+    replication_founding(controller->replication);
+    planner_start(controller);
+    alerts_start(controller);
+    forwarder_start(controller->forwarder);
+    config_watch_start(controller->config_watch, seatless, controller);
+    loop_spawn(loop, "forget", forget_main, controller);
+    *out = controller;
     return STATUS_OK;
 }
 
-bool core_ready(const Core *core)
+bool controller_ready(const Controller *controller)
 {
-    return !core->leaving &&
-           (replication_leading(core->replication) ? !core->repairing : ways_serve(forwarder_ways(core->forwarder)));
+    return !controller->leaving &&
+           (replication_leading(controller->replication) ? !controller->repairing
+                                                         : ways_serve(forwarder_ways(controller->forwarder)));
 }
 
-void core_drain(Core *core)
+void controller_drain(Controller *controller)
 {
-    const int64_t now_ms = loop_now_ms(core->loop),
-                  until_ms = now_ms + core->settings->bounds.grace_ms - DRAIN_MARGIN_MS;
-    core->leaving = true;
-    loop_serve_leave(core->loop);
-    members_set_leaving(core->members);
-    members_announce(core->members); /* so that the view goes on without waiting for us */
+    const int64_t now_ms = loop_now_ms(controller->loop),
+                  until_ms = now_ms + controller->settings->bounds.grace_ms - DRAIN_MARGIN_MS;
+    controller->leaving = true;
+    loop_serve_leave(controller->loop);
+    members_set_leaving(controller->members);
+    members_announce(controller->members); /* so that the view goes on without waiting for us */
     /* what was ordered gets its result; then the vote and the lock are handed over */
-    if (replication_leading(core->replication))
-        replication_settle(core->replication);
-    replication_leave(core->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
+    if (replication_leading(controller->replication))
+        replication_settle(controller->replication);
+    replication_leave(controller->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are taken on, and carried to the next leader, until the last moment */
-    const int64_t unready_until_ms = now_ms + core->settings->bounds.unready_ms;
-    if (loop_now_ms(core->loop) < unready_until_ms)
-        loop_sleep(core->loop, unready_until_ms - loop_now_ms(core->loop));
-    while (loop_serve_busy(core->loop) > 0 && loop_now_ms(core->loop) < until_ms)
-        loop_sleep(core->loop, DRAIN_LOOK_MS);
+    const int64_t unready_until_ms = now_ms + controller->settings->bounds.unready_ms;
+    if (loop_now_ms(controller->loop) < unready_until_ms)
+        loop_sleep(controller->loop, unready_until_ms - loop_now_ms(controller->loop));
+    while (loop_serve_busy(controller->loop) > 0 && loop_now_ms(controller->loop) < until_ms)
+        loop_sleep(controller->loop, DRAIN_LOOK_MS);
 }
 
-Replication *core_view(Core *core)
+Replication *controller_view(Controller *controller)
 {
-    return core->replication;
+    return controller->replication;
 }
 
-const Table *core_table(const Core *core)
+const Table *controller_table(const Controller *controller)
 {
-    return core->table;
+    return controller->table;
 }
 
-const char *core_http_address(const Core *core)
+const char *controller_http_address(const Controller *controller)
 {
-    return core->http;
+    return controller->http;
 }
 
-const char *core_address(const Core *core)
+const char *controller_address(const Controller *controller)
 {
-    return core->address;
+    return controller->address;
 }
 
-void core_seeds(Core *core, const char *const seeds[SEEDS])
+void controller_seeds(Controller *controller, const char *const seeds[SEEDS])
 {
-    members_seeds(core->members, seeds);
+    members_seeds(controller->members, seeds);
 }
--- a/packages/core/src/inforce.h
+++ b/packages/core/src/inforce.h
@@ -1,5 +1,5 @@
-#ifndef CORE_INFORCE_H
-#define CORE_INFORCE_H
+#ifndef CONTROLLER_INFORCE_H
+#define CONTROLLER_INFORCE_H
 
 #include "inside.h"
 
@@ -12,11 +12,11 @@
     const Config *config;
 } Trial;
 
-/* Between the two, core_config finds it when it has been delivered. */
-void trial_enter(Core *core, Trial *trial);
-void trial_leave(Core *core, Trial *trial);
+/* Between the two, controller_config finds it when it has been delivered. */
+void trial_enter(Controller *controller, Trial *trial);
+void trial_leave(Controller *controller, Trial *trial);
 
 /* Keeps callers within the limits of the table's newest version. */
-void limits_follow(Core *core);
+void limits_follow(Controller *controller);
 
 #endif
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -1,5 +1,5 @@
-#ifndef CORE_SRC_INSIDE_H
-#define CORE_SRC_INSIDE_H
+#ifndef CONTROLLER_SRC_INSIDE_H
+#define CONTROLLER_SRC_INSIDE_H
 
 #include "api/jobjson.h"
 #include "base/map.h"
@@ -16,7 +16,7 @@
 #include "queue/line.h"
 
 /* Figures of the leader's work, for status and measurement. */
-#define CORE_COUNT_LIST(X)           \
+#define CONTROLLER_COUNT_LIST(X)     \
     X(passes, "passes")              \
     X(placed, "placed")              \
     X(unassured, "unassured")        \
@@ -33,11 +33,11 @@
     X(slowed, "slowed")              \
     X(unproven, "unproven")
 
-typedef struct CoreCounts {
+typedef struct ControllerCounts {
 #define X(name, outside) uint64_t name;
-    CORE_COUNT_LIST(X)
+    CONTROLLER_COUNT_LIST(X)
 #undef X
-} CoreCounts;
+} ControllerCounts;
 
 /* Workers kept for one candidate that small work would overtake for ever. */
 typedef struct Reservation {
@@ -56,19 +56,19 @@
  *  - while repairing is true nothing is decided and nobody is told of a job;
  *  - nothing is placed before place_from_ms, which is when all that the log may have
  *    forgotten has lapsed, or every agent has told what it has. */
-struct Core {
+struct Controller {
     Loop *loop;
     Recorder *recorder;
     const Settings *settings;
-    CoreWatch watch;
+    ControllerWatch watch;
     Rpc *rpc;
     Members *members;
     Replication *replication;
     Table *table;
     RepairBuffer *repair_buffer;
-    char kept_at[ADDRESS_MAX]; /* the gate that last kept for this core what came in at its own address */
+    char kept_at[ADDRESS_MAX]; /* the gate that last kept for this controller what came in at its own address */
     Forwarder *forwarder;
-    ConfigWatch *config_watch; /* asks for the document while this core has no voter */
+    ConfigWatch *config_watch; /* asks for the document while this controller has no voter */
     Trace *trace;
     Liveset *liveset;
     Map *lines;        /* worker names to AgentLine */
@@ -108,27 +108,27 @@
     int64_t plan_look_ms; /* where no loss is to be survived, the plan is looked at from then on */
     Loss broken_by_loss;
     char broken_by[ID_MAX + 1];
-    CoreCounts counts;
+    ControllerCounts counts;
 };
 
 /* The configuration in force; never null. Valid until the next wait. */
-const Config *core_config(Core *core);
+const Config *controller_config(Controller *controller);
 /* Leads, by the clock, and has all that was told. */
-bool core_decides(Core *core);
+bool controller_decides(Controller *controller);
 /* There is something for the planner to look at. */
-void core_news(Core *core);
-QueueClock core_clock(const Core *core);
-const Policy *core_policy(void *arg, const ConfigCell *cell);
+void controller_news(Controller *controller);
+QueueClock controller_clock(const Controller *controller);
+const Policy *controller_policy(void *arg, const ConfigCell *cell);
 /* Calls of policies that failed, and the last one's words; "" when none did. */
-uint64_t core_policy_failures(const Core *core, const char **last);
+uint64_t controller_policy_failures(const Controller *controller, const char **last);
 
 /* Waits. Submits a shape as a change; keeps (may be null) takes it when it was
  * committed and accepted. What is packed lives on mem. */
-Status core_submit(Core *core, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result,
-                   RepairList *repair_items);
+Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
+                         ChangeResult *result, RepairList *repair_items);
 
 /* How long any lease runs that this or the last leader may have answered, by the own clock. */
-int64_t core_claim_ms(const Core *core);
+int64_t controller_claim_ms(const Controller *controller);
 
 /* The way to one agent. Never freed while the process runs. */
 typedef struct AgentLine {
@@ -137,29 +137,30 @@
     bool learning; /* what a heartbeat made known is being committed */
 } AgentLine;
 
-AgentLine *agent_line(Core *core, const char *worker);
-void orders_start(Core *core);
+AgentLine *agent_line(Controller *controller, const char *worker);
+void orders_start(Controller *controller);
 /* All agents' questions are looked at again. */
-void orders_wake(Core *core);
+void orders_wake(Controller *controller);
 /* Waits, at most wait_ms, for newer orders than the agent has; answers with them, or
  * leaves the answer as it is. */
-void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out);
+void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
+                   HeartbeatAnswer *out);
 
 typedef struct News News;
-void news_start(Core *core);
+void news_start(Controller *controller);
 /* Waits until the news are committed, together with what others tell. */
-Status news_tell(Core *core, const RoundNews *list, size_t count);
+Status news_tell(Controller *controller, const RoundNews *list, size_t count);
 /* Commits that a round runs when there is an occasion. */
-void news_later(Core *core, const RoundNews *one);
+void news_later(Controller *controller, const RoundNews *one);
 /* What waits for an occasion is committed now. */
-void news_hurry(Core *core);
+void news_hurry(Controller *controller);
 /* Nothing waits and nothing is on its way. */
-bool news_idle(const Core *core);
+bool news_idle(const Controller *controller);
 
 /* Takes how far a round has come. */
-void saved_take(Core *core, const RoundSaved *told);
+void saved_take(Controller *controller, const RoundSaved *told);
 /* How far that round of the task has come, as far as its agent has told; "": nothing. */
-const char *core_saved(const Core *core, const char *job, uint64_t task, uint64_t round);
+const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t round);
 
 /* A rate of bad rounds, the newest counting most. */
 typedef struct Tally {
@@ -179,29 +180,29 @@
 } Score;
 
 /* Takes what a delivered change tells of rounds. */
-void score_take(Core *core, const RoundList *list);
+void score_take(Controller *controller, const RoundList *list);
 /* A round stood still on it. */
-void score_still(Core *core, const char *worker, const Job *job);
+void score_still(Controller *controller, const char *worker, const Job *job);
 /* What the round's place made of its time, near its data or not. */
-uint64_t score_far_percent(const Core *core, const Worker *worker, const StepSpec *step);
+uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step);
 /* Null: nothing bad is known. */
-const Score *score_find(const Core *core, const char *worker);
+const Score *score_find(const Controller *controller, const char *worker);
 /* Its rate of failed, or of slow, rounds now, whichever is worse, in percent. */
-uint64_t score_rate(const Core *core, const char *worker);
-bool score_rests(const Core *core, const char *worker);
+uint64_t score_rate(const Controller *controller, const char *worker);
+bool score_rests(const Controller *controller, const char *worker);
 /* body: as the table tells it. */
-void trace_delivered(Core *core, const Record *change, const void *body, const ChangeResult *result);
-void planner_start(Core *core);
+void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result);
+void planner_start(Controller *controller);
 /* The plan as it stands; on mem. */
-PlanInput planner_input(Core *core, void *mem);
-void repair_start(Core *core);
-void agents_serve(Core *core);
-void callers_serve(Core *core);
+PlanInput planner_input(Controller *controller, void *mem);
+void repair_start(Controller *controller);
+void agents_serve(Controller *controller);
+void callers_serve(Controller *controller);
 /* For the forwarder: a request as this leader answers it; what it committed is in the
  * answer, and kept by another node as well. */
 void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 /* A caller's request, as leader. keeps: what was committed by it. */
-void leader_serve(Core *core, HttpTask *task, void *mem, RepairList *repair_items);
-json_object *core_status(Core *core);
+void leader_serve(Controller *controller, HttpTask *task, void *mem, RepairList *repair_items);
+json_object *controller_status(Controller *controller);
 
 #endif
--- a/packages/core/src/leave.c
+++ b/packages/core/src/leave.c
@@ -39,13 +39,13 @@
 
 void leave_find(Pass *pass, StopList *list)
 {
-    const int64_t now_ms = loop_now_ms(pass->core->loop);
+    const int64_t now_ms = loop_now_ms(pass->controller->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const LiveRow *row = liveset_find(pass->core->liveset, pass->input.workers[i].name);
+        const LiveRow *row = liveset_find(pass->controller->liveset, pass->input.workers[i].name);
         if (row == NULL || !row->leaving || row->leave_until_ms == 0)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(pass->core->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(pass->controller->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
             if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
--- a/packages/core/src/mend.c
+++ b/packages/core/src/mend.c
@@ -19,17 +19,17 @@
     return false;
 }
 
-void gangs_mend(Core *core, void *mem)
+void gangs_mend(Controller *controller, void *mem)
 {
-    const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms < core->mend_ms)
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    if (now_ms < controller->mend_ms)
         return;
-    core->mend_ms = now_ms + MEND_MS;
+    controller->mend_ms = now_ms + MEND_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
+    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++) {
         const TaskOn *on;
-        const size_t count = table_on(core->table, worker, &on);
+        const size_t count = table_on(controller->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             if (!split(&on[t]))
                 continue;
@@ -41,5 +41,5 @@
     }
     ChangeResult result;
     if (list.rounds_count > 0)
-        core_submit(core, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
+        controller_submit(controller, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -22,7 +22,7 @@
 /* Invariant: batches from first to last are in the order in which they are submitted;
  * only the last gathers. */
 struct News {
-    Core *core;
+    Controller *controller;
     Batch *first, *last;
     bool busy; /* one is on its way */
     Signal added;
@@ -39,7 +39,7 @@
     if (news->last == NULL || news->last->list.news_count >= NEWS_MOST) {
         Batch *batch = talloc_zero(news, Batch);
         batch->users = 1;
-        batch->since_ms = loop_now_ms(news->core->loop);
+        batch->since_ms = loop_now_ms(news->controller->loop);
         if (news->last != NULL)
             news->last->next = batch;
         else
@@ -49,73 +49,73 @@
     return news->last;
 }
 
-static void batch_add(Core *core, Batch *batch, const RoundNews *one)
+static void batch_add(Controller *controller, Batch *batch, const RoundNews *one)
 {
     if (batch->list.news_count == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
         batch->list.news = talloc_realloc(batch, batch->list.news, RoundNews, (unsigned)batch->room);
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
-    batch->at_ms[batch->list.news_count] = loop_now_ms(core->loop);
+    batch->at_ms[batch->list.news_count] = loop_now_ms(controller->loop);
     shape_copy(&RoundNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
 }
 
-Status news_tell(Core *core, const RoundNews *list, size_t count)
+Status news_tell(Controller *controller, const RoundNews *list, size_t count)
 {
-    News *news = core->told;
+    News *news = controller->told;
     if (count == 0)
         return STATUS_OK;
     Batch *batch = batch_last(news);
     for (size_t i = 0; i < count; i++)
-        batch_add(core, batch, &list[i]);
+        batch_add(controller, batch, &list[i]);
     batch->waited = true;
     batch->users++;
-    signal_raise(core->loop, &news->added);
+    signal_raise(controller->loop, &news->added);
     while (!batch->over)
-        signal_wait(core->loop, &batch->ended, INT64_MAX);
+        signal_wait(controller->loop, &batch->ended, INT64_MAX);
     const Status status = batch->status;
     batch_leave(batch);
     return status;
 }
 
-void news_later(Core *core, const RoundNews *one)
+void news_later(Controller *controller, const RoundNews *one)
 {
-    batch_add(core, batch_last(core->told), one);
-    signal_raise(core->loop, &core->told->added);
+    batch_add(controller, batch_last(controller->told), one);
+    signal_raise(controller->loop, &controller->told->added);
 }
 
-void news_hurry(Core *core)
+void news_hurry(Controller *controller)
 {
-    if (core->told->first != NULL)
-        core->told->first->waited = true;
-    signal_raise(core->loop, &core->told->added);
+    if (controller->told->first != NULL)
+        controller->told->first->waited = true;
+    signal_raise(controller->loop, &controller->told->added);
 }
 
-bool news_idle(const Core *core)
+bool news_idle(const Controller *controller)
 {
-    return core->told->first == NULL && !core->told->busy;
+    return controller->told->first == NULL && !controller->told->busy;
 }
 
 /* Those that nobody waits for are not told again by their agent. */
-static void news_keep(Core *core, const Batch *batch)
+static void news_keep(Controller *controller, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.news_count && replication_holds(core->replication); i++)
+    for (size_t i = 0; i < batch->list.news_count && replication_holds(controller->replication); i++)
         if (batch->list.news[i].word == ROUND_RUNNING)
-            news_later(core, &batch->list.news[i]);
+            news_later(controller, &batch->list.news[i]);
 }
 
 static void news_main(void *arg)
 {
     News *news = arg;
-    Core *core = news->core;
-    while (!loop_stopping(core->loop)) {
+    Controller *controller = news->controller;
+    while (!loop_stopping(controller->loop)) {
         Batch *batch = news->first;
-        const int64_t now_ms = loop_now_ms(core->loop);
+        const int64_t now_ms = loop_now_ms(controller->loop);
         const int64_t due_ms = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
                                : batch->waited ? now_ms
                                                : batch->since_ms + NEWS_LAZY_MS;
         if (now_ms < due_ms) {
-            signal_wait(core->loop, &news->added, due_ms);
+            signal_wait(controller->loop, &news->added, due_ms);
             continue;
         }
         news->first = batch->next;
@@ -126,19 +126,20 @@
                 batch->list.news[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
-        batch->status = core_submit(core, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
+        batch->status =
+            controller_submit(controller, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
         news->busy = false;
         if (batch->status != STATUS_OK)
-            news_keep(core, batch);
+            news_keep(controller, batch);
         batch->over = true;
-        signal_raise(core->loop, &batch->ended);
+        signal_raise(controller->loop, &batch->ended);
         batch_leave(batch);
     }
 }
 
-void news_start(Core *core)
+void news_start(Controller *controller)
 {
-    core->told = talloc_zero(core, News);
-    core->told->core = core;
-    loop_spawn(core->loop, "news", news_main, core->told);
+    controller->told = talloc_zero(controller, News);
+    controller->told->controller = controller;
+    loop_spawn(controller->loop, "news", news_main, controller->told);
 }
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -4,38 +4,38 @@
 
 #include "inside.h"
 
-AgentLine *agent_line(Core *core, const char *worker)
+AgentLine *agent_line(Controller *controller, const char *worker)
 {
-    AgentLine *line = map_get(core->lines, worker);
+    AgentLine *line = map_get(controller->lines, worker);
     if (line == NULL) {
-        line = talloc_zero(core->lines, AgentLine);
-        map_set(core->lines, worker, line);
+        line = talloc_zero(controller->lines, AgentLine);
+        map_set(controller->lines, worker, line);
     }
     return line;
 }
 
 static void on_orders(void *arg, const char *worker)
 {
-    Core *core = arg;
-    AgentLine *line = map_get(core->lines, worker);
+    Controller *controller = arg;
+    AgentLine *line = map_get(controller->lines, worker);
     if (line != NULL)
-        signal_raise(core->loop, &line->news);
+        signal_raise(controller->loop, &line->news);
 }
 
-void orders_wake(Core *core)
+void orders_wake(Controller *controller)
 {
-    void *mem = talloc_new(core);
+    void *mem = talloc_new(controller);
     const char **names;
-    const size_t count = map_keys(core->lines, mem, &names);
+    const size_t count = map_keys(controller->lines, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signal_raise(core->loop, &((AgentLine *)map_get(core->lines, names[i]))->news);
+        signal_raise(controller->loop, &((AgentLine *)map_get(controller->lines, names[i]))->news);
     talloc_free(mem);
 }
 
-void orders_start(Core *core)
+void orders_start(Controller *controller)
 {
-    core->lines = map_new(core);
-    table_orders_watch(core->table, on_orders, core);
+    controller->lines = map_new(controller);
+    table_orders_watch(controller->table, on_orders, controller);
 }
 
 static bool listed(const RoundId *list, size_t count, const char *job, uint64_t task, uint64_t round)
@@ -46,10 +46,10 @@
     return false;
 }
 
-static void orders_fill(Core *core, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
+static void orders_fill(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
-    const size_t count = table_on(core->table, heartbeat->worker.name, &on);
+    const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
     out->wanted = talloc_array(mem, RoundId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
@@ -68,28 +68,29 @@
     }
 }
 
-static bool orders_new(const Core *core, const HeartbeatAsk *heartbeat)
+static bool orders_new(const Controller *controller, const HeartbeatAsk *heartbeat)
 {
-    const LiveRow *row = liveset_find(core->liveset, heartbeat->worker.name);
-    return replication_leading(core->replication) && !core->repairing && row != NULL &&
+    const LiveRow *row = liveset_find(controller->liveset, heartbeat->worker.name);
+    return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
            row->incarnation == heartbeat->incarnation && !row->losing &&
-           (table_orders(core->table, heartbeat->worker.name) != heartbeat->have ||
-            configuration_term(core->replication) != heartbeat->have_term);
+           (table_orders(controller->table, heartbeat->worker.name) != heartbeat->have ||
+            configuration_term(controller->replication) != heartbeat->have_term);
 }
 
-void orders_answer(Core *core, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms, HeartbeatAnswer *out)
+void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
+                   HeartbeatAnswer *out)
 {
-    const int64_t until_ms = loop_now_ms(core->loop) + wait_ms;
-    AgentLine *line = agent_line(core, heartbeat->worker.name);
+    const int64_t until_ms = loop_now_ms(controller->loop) + wait_ms;
+    AgentLine *line = agent_line(controller, heartbeat->worker.name);
     const uint64_t turn = ++line->turn;
-    signal_raise(core->loop, &line->news); /* an earlier question waits no longer */
-    while (!orders_new(core, heartbeat))
-        if (!signal_wait(core->loop, &line->news, until_ms) || turn != line->turn)
+    signal_raise(controller->loop, &line->news); /* an earlier question waits no longer */
+    while (!orders_new(controller, heartbeat))
+        if (!signal_wait(controller->loop, &line->news, until_ms) || turn != line->turn)
             return;
-    if (!core_decides(core))
+    if (!controller_decides(controller))
         return;
     out->orders = true;
-    out->version = table_orders(core->table, heartbeat->worker.name);
+    out->version = table_orders(controller->table, heartbeat->worker.name);
     out->timeout_ms = ORDER_LIFETIME_MS;
-    orders_fill(core, mem, heartbeat, out);
+    orders_fill(controller, mem, heartbeat, out);
 }
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -49,7 +49,7 @@
 }
 
 /* Those of tasks that run no more are dropped whenever there are twice as many as then. */
-static void paces_sweep(const Core *core, Paces *paces)
+static void paces_sweep(const Controller *controller, Paces *paces)
 {
     if (map_count(paces->rounds) < PACES_LEAST || map_count(paces->rounds) < 2 * paces->kept)
         return;
@@ -58,7 +58,7 @@
     const size_t count = map_keys(paces->rounds, mem, &keys);
     for (size_t i = 0; i < count; i++) {
         Pace *pace = map_get(paces->rounds, keys[i]);
-        const Job *job = table_job(core->table, pace->job);
+        const Job *job = table_job(controller->table, pace->job);
         const size_t at = job != NULL ? task_index(job, pace->task) : 0;
         if (job != NULL && at < job->tasks_count && task_on_worker(job->tasks[at].phase) &&
             job->tasks[at].round == pace->round)
@@ -71,26 +71,28 @@
 }
 
 /* What the way from one word to the next says of the worker. */
-static void worker_take(Core *core, const char *worker, const RoundSaved *told, double percent, int64_t span_ms)
+static void worker_take(Controller *controller, const char *worker, const RoundSaved *told, double percent,
+                        int64_t span_ms)
 {
-    const Job *job = table_job(core->table, told->job);
+    const Job *job = table_job(controller->table, told->job);
     const size_t at = job != NULL ? task_index(job, told->task) : 0;
-    const Worker *its = table_worker(core->table, worker);
+    const Worker *its = table_worker(controller->table, worker);
     if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
-    const int64_t estimate = estimate_ms(core->estimates, job, job->tasks[at].step);
+    const int64_t estimate = estimate_ms(controller->estimates, job, job->tasks[at].step);
     if (estimate <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
-    const double due = (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(core, its, step));
+    const double due =
+        (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(controller, its, step));
     if (due >= 4) /* less is lost in whole percents */
-        estimates_pace(core->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
-                       loop_now_ms(core->loop));
+        estimates_pace(controller->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
+                       loop_now_ms(controller->loop));
 }
 
-void pace_take(Core *core, const char *worker, const RoundSaved *told)
+void pace_take(Controller *controller, const char *worker, const RoundSaved *told)
 {
-    Paces *paces = core->paces;
+    Paces *paces = controller->paces;
     char key[PACE_KEY];
     if (told->percent_ms <= 0)
         return;
@@ -98,7 +100,7 @@
     if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percent_ms)))
         return;
     if (pace == NULL) {
-        paces_sweep(core, paces);
+        paces_sweep(controller, paces);
         pace = talloc_zero(paces->rounds, Pace);
         pace->job = talloc_strdup(pace, told->job);
         pace->task = told->task;
@@ -112,7 +114,7 @@
     paces->moves += more > 0;
     /* a round that goes on from what an earlier one saved begins with that */
     if (goes_on && paces_credible(paces))
-        worker_take(core, worker, told, more, span_ms);
+        worker_take(controller, worker, told, more, span_ms);
     pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
@@ -120,5 +122,5 @@
         pace->still_ms = goes_on || told->percent > 0 ? told->percent_ms : 0;
     pace->percent = told->percent;
     pace->ran_ms = told->percent_ms;
-    pace->told_ms = loop_now_ms(core->loop);
+    pace->told_ms = loop_now_ms(controller->loop);
 }
--- a/packages/core/src/pace.h
+++ b/packages/core/src/pace.h
@@ -1,10 +1,10 @@
-#ifndef CORE_SRC_PACE_H
-#define CORE_SRC_PACE_H
+#ifndef CONTROLLER_SRC_PACE_H
+#define CONTROLLER_SRC_PACE_H
 
 #include "beat/messages.h"
 #include "table/table.h"
 
-struct Core;
+struct Controller;
 
 /* How fast rounds come along, as their agents tell now and then. */
 typedef struct Paces Paces;
@@ -23,7 +23,7 @@
 Paces *paces_new(void *mem);
 void paces_reset(Paces *paces);
 /* Takes a word of a round's progress, and what it says of the worker. */
-void pace_take(struct Core *core, const char *worker, const RoundSaved *told);
+void pace_take(struct Controller *controller, const char *worker, const RoundSaved *told);
 /* Null: that round has told none. */
 const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t round);
 /* Whether a word of no progress is to be believed. */
--- a/packages/core/src/pass.c
+++ b/packages/core/src/pass.c
@@ -6,12 +6,13 @@
 #include "pass.h"
 
 /* What the worker may be given; none when it may be given nothing now. */
-static Room room_now(const Core *core, const Worker *worker, Room *orphans)
+static Room room_now(const Controller *controller, const Worker *worker, Room *orphans)
 {
-    const LiveRow *row = liveset_find(core->liveset, worker->name);
-    const bool known = orphans_room(core->orphans, worker->name, orphans);
-    const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(core->loop)) && !worker->excluded &&
-                       !table_drained(core->table, worker->zone) && !score_rests(core, worker->name);
+    const LiveRow *row = liveset_find(controller->liveset, worker->name);
+    const bool known = orphans_room(controller->orphans, worker->name, orphans);
+    const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(controller->loop)) &&
+                       !worker->excluded && !table_drained(controller->table, worker->zone) &&
+                       !score_rests(controller, worker->name);
     const Room none = {0};
     return ready ? room_less(worker->room, row->others) : none;
 }
@@ -20,17 +21,17 @@
  * but what runs on them still counts as to be restarted. */
 static void workers_find(Pass *pass)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     const Worker **workers;
-    const size_t count = table_workers(core->table, pass->mem, &workers);
+    const size_t count = table_workers(controller->table, pass->mem, &workers);
     pass->input.workers = talloc_array(pass->mem, PlanWorker, (unsigned)count);
     pass->input.worker_count = count;
     pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
         Room orphans;
-        const Room room = room_now(core, worker, &orphans);
-        const Room used = room_more(orphans, table_used_on(core->table, worker->name));
+        const Room room = room_now(controller, worker, &orphans);
+        const Room used = room_more(orphans, table_used_on(controller->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
                                               .rack = worker->rack,
@@ -39,8 +40,8 @@
                                               .label_count = worker->labels_count,
                                               .room = room,
                                               .free = room_less(room, used),
-                                              .penalty = score_rate(core, worker->name) * 10};
-        pass->speeds[i] = estimate_speed(core->estimates, worker->name, loop_now_ms(core->loop));
+                                              .penalty = score_rate(controller, worker->name) * 10};
+        pass->speeds[i] = estimate_speed(controller->estimates, worker->name, loop_now_ms(controller->loop));
         pass->fleet = room_more(pass->fleet, room);
     }
     pass->largest = plan_largest(pass->input.workers, count);
@@ -62,35 +63,35 @@
     return SIZE_MAX;
 }
 
-Pass *pass_new(Core *core, void *mem)
+Pass *pass_new(Controller *controller, void *mem)
 {
     Pass *pass = talloc_zero(mem, Pass);
-    pass->core = core;
+    pass->controller = controller;
     pass->mem = pass;
-    pass->config = core_config(core);
+    pass->config = controller_config(controller);
     pass->asks = (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
-    pass->clock = core_clock(core);
+    pass->clock = controller_clock(controller);
     pass->next_ms = INT64_MAX;
     pass->input =
         (PlanInput){.r = pass->config->r, .zone_loss = pass->config->zone_loss, .rack_loss = pass->config->rack_loss};
     workers_find(pass);
-    pass->sight = (QueueSight){.table = core->table,
+    pass->sight = (QueueSight){.table = controller->table,
                                .config = pass->config,
-                               .config_stamp = core->config_stamp,
+                               .config_stamp = controller->config_stamp,
                                .fleet = pass->fleet,
                                .clock = pass->clock,
-                               .policy = core_policy,
-                               .arg = core};
+                               .policy = controller_policy,
+                               .arg = controller};
     return pass;
 }
 
 void pass_tasks(Pass *pass)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     pushable_count(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
-        const size_t count = table_on(core->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(controller->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const Job *job = on[t].job;
             const JobTask *task = &job->tasks[on[t].task];
@@ -104,9 +105,9 @@
     }
 }
 
-PlanInput planner_input(Core *core, void *mem)
+PlanInput planner_input(Controller *controller, void *mem)
 {
-    Pass *pass = pass_new(core, mem);
+    Pass *pass = pass_new(controller, mem);
     pass_tasks(pass);
     return pass->input;
 }
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -1,5 +1,5 @@
-#ifndef CORE_SRC_PASS_H
-#define CORE_SRC_PASS_H
+#ifndef CONTROLLER_SRC_PASS_H
+#define CONTROLLER_SRC_PASS_H
 
 #include "inside.h"
 
@@ -26,7 +26,7 @@
 
 /* What one pass knows. Workers are in the order of their names. */
 typedef struct Pass {
-    Core *core;
+    Controller *controller;
     void *mem;
     const Config *config;
     QueueClock clock;
@@ -53,7 +53,7 @@
 } Pass;
 
 /* On mem, with all that lives as long as it. */
-Pass *pass_new(Core *core, void *mem);
+Pass *pass_new(Controller *controller, void *mem);
 /* Takes in what the plan must hold for. */
 void pass_tasks(Pass *pass);
 /* The worker's place; SIZE_MAX: it has none. */
@@ -61,10 +61,10 @@
 
 /* Decides what starts where, at most PLACE_BATCH. */
 void pass_places(Pass *pass);
-void lost_find(Core *core, void *mem);
-void copies_find(Core *core, void *mem);
+void lost_find(Controller *controller, void *mem);
+void copies_find(Controller *controller, void *mem);
 /* Stops what runs of gangs that are not whole, so that they go again as one. */
-void gangs_mend(Core *core, void *mem);
+void gangs_mend(Controller *controller, void *mem);
 void assure_more(Pass *pass);
 /* True: something was stopped, and the pass is over. */
 bool move_one(Pass *pass);
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -23,10 +23,10 @@
 bool pass_holds(Pass *pass)
 {
     pass->checks++;
-    pass->core->counts.plan_checks++;
+    pass->controller->counts.plan_checks++;
     const bool holds = plan_always_possible(&pass->input, NULL);
     if (!holds)
-        pass->core->counts.plan_refusals++;
+        pass->controller->counts.plan_refusals++;
     return holds;
 }
 
@@ -54,7 +54,7 @@
             talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_room);
         pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_room);
     }
-    const LiveRow *row = liveset_find(pass->core->liveset, pass->input.workers[worker].name);
+    const LiveRow *row = liveset_find(pass->controller->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
     pass->placed[pass->placed_count++] = (Placed){candidate->job, task, worker};
     pass->places.placements[pass->places.placements_count++] = (Placement){
@@ -125,7 +125,7 @@
 static bool assures(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
     if (!pass->asks) /* no loss is to be survived: what the last look said is shown */
-        return pass->core->plan_holds;
+        return pass->controller->plan_holds;
     if (pass->checks >= pass->checks_max)
         return false;
     const size_t before = pass->input.task_count;
@@ -146,8 +146,9 @@
         if (task->round >= round)
             round = task->round + 1;
         /* of a round that was lost with its worker the heartbeats alone have told */
-        const char *told =
-            task->round > 0 ? core_saved(pass->core, candidate->job->spec.id, task_number(task), task->round) : "";
+        const char *told = task->round > 0 ? controller_saved(pass->controller, candidate->job->spec.id,
+                                                              task_number(task), task->round)
+                                           : "";
         if (saved[0] == '\0')
             saved = told[0] != '\0' ? told : task->saved;
     }
@@ -155,7 +156,7 @@
         place_add(pass, candidate, i, (size_t)where[i], round, saved, assured);
     }
     if (candidate->job->spec.protection == PROTECTION_PROTECTED && !assured)
-        pass->core->counts.unassured += candidate->count;
+        pass->controller->counts.unassured += candidate->count;
 }
 
 /* Whether as much room, or less, was not to be found before in this pass. Free room only
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -19,11 +19,11 @@
  * each start this is to be shown, and once in a while is enough. */
 static void plan_look(Pass *pass)
 {
-    Core *core = pass->core;
-    const int64_t now_ms = loop_now_ms(core->loop);
-    if (!pass->asks && now_ms < core->plan_look_ms)
+    Controller *controller = pass->controller;
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    if (!pass->asks && now_ms < controller->plan_look_ms)
         return;
-    core->plan_look_ms = now_ms + PLAN_LOOK_MS;
+    controller->plan_look_ms = now_ms + PLAN_LOOK_MS;
     pass_tasks(pass);
     /* one look costs about losses times (tasks and workers) */
     const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
@@ -33,25 +33,25 @@
     if (pass->checks_max < PLAN_CHECKS_LEAST)
         pass->checks_max = PLAN_CHECKS_LEAST;
     PlanBreak broken = {LOSS_WORKER, ""};
-    core->plan_holds = plan_always_possible(&pass->input, &broken);
-    core->broken_by_loss = broken.loss;
-    snprintf(core->broken_by, sizeof(core->broken_by), "%s", broken.name);
+    controller->plan_holds = plan_always_possible(&pass->input, &broken);
+    controller->broken_by_loss = broken.loss;
+    snprintf(controller->broken_by, sizeof(controller->broken_by), "%s", broken.name);
 }
 
-static void policies_look(Core *core)
+static void policies_look(Controller *controller)
 {
     const char *words;
-    const uint64_t failures = core_policy_failures(core, &words);
-    if (failures > 0 && core->policy_failures_told == 0)
-        recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+    const uint64_t failures = controller_policy_failures(controller, &words);
+    if (failures > 0 && controller->policy_failures_told == 0)
+        recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
                        "a policy failed, first come goes first: %s", words);
-    core->policy_failures_told = failures;
+    controller->policy_failures_told = failures;
 }
 
 void pass_places(Pass *pass)
 {
-    pass->line = line_new(pass->mem, pass->core->queue, &pass->sight);
-    policies_look(pass->core);
+    pass->line = line_new(pass->mem, pass->controller->queue, &pass->sight);
+    policies_look(pass->controller);
     reservation_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = line_next(pass->line)) != NULL)
@@ -73,73 +73,75 @@
 
 /* One look at everything; true when there may be more to decide at once. next_ms: when
  * there will be by itself, by the own clock. */
-static bool pass_run(Core *core, int64_t *next_ms)
+static bool pass_run(Controller *controller, int64_t *next_ms)
 {
-    uint64_t seen = core->news;
-    Pass *pass = pass_new(core, core);
-    core->counts.passes++;
-    *next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
+    uint64_t seen = controller->news;
+    Pass *pass = pass_new(controller, controller);
+    controller->counts.passes++;
+    *next_ms = loop_now_ms(controller->loop) + PLACE_TICK_MS;
     if (stop_look(pass)) { /* the table has changed: what the pass knows is over */
         talloc_free(pass);
         return true;
     }
     plan_look(pass);
     pass_places(pass);
-    core->pass_gap_ms = gap_ms(pass);
+    controller->pass_gap_ms = gap_ms(pass);
     if (pass->next_ms < pass->clock.log_ms + PLACE_TICK_MS)
-        *next_ms = loop_now_ms(core->loop) + pass->next_ms - pass->clock.log_ms;
+        *next_ms = loop_now_ms(controller->loop) + pass->next_ms - pass->clock.log_ms;
     const bool more = pass->places.placements_count >= PLACE_BATCH;
     ChangeResult result;
     if (pass->places.placements_count > 0) {
-        if (core_submit(core, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) == STATUS_OK)
-            core->counts.placed += result.number;
+        if (controller_submit(controller, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) ==
+            STATUS_OK)
+            controller->counts.placed += result.number;
         seen++; /* our own change is no news */
     }
-    if (pass->pushes.rounds_count > 0 && core_decides(core)) {
-        if (core_submit(core, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) == STATUS_OK)
-            core->counts.pushed += result.number;
+    if (pass->pushes.rounds_count > 0 && controller_decides(controller)) {
+        if (controller_submit(controller, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) ==
+            STATUS_OK)
+            controller->counts.pushed += result.number;
     } else if (pass->places.placements_count == 0) {
-        if (!move_one(pass) && pass->asks && pass->checks == 0 && core_decides(core))
+        if (!move_one(pass) && pass->asks && pass->checks == 0 && controller_decides(controller))
             assure_more(pass);
     }
     talloc_free(pass);
-    return more || core->news > seen;
+    return more || controller->news > seen;
 }
 
 /* What must not wait for a quiet moment. */
-static void silent_look(Core *core)
+static void silent_look(Controller *controller)
 {
-    void *mem = talloc_new(core);
-    lost_find(core, mem);
-    if (core_decides(core))
-        copies_find(core, mem);
-    if (loop_now_ms(core->loop) >= core->place_from_ms && core_decides(core))
-        gangs_mend(core, mem);
+    void *mem = talloc_new(controller);
+    lost_find(controller, mem);
+    if (controller_decides(controller))
+        copies_find(controller, mem);
+    if (loop_now_ms(controller->loop) >= controller->place_from_ms && controller_decides(controller))
+        gangs_mend(controller, mem);
     talloc_free(mem);
 }
 
 static void planner_main(void *arg)
 {
-    Core *core = arg;
+    Controller *controller = arg;
     bool more = false;
     int64_t next_ms = 0;
-    while (!loop_stopping(core->loop)) {
+    while (!loop_stopping(controller->loop)) {
         if (!more)
-            signal_wait(core->loop, &core->wake, next_ms);
-        loop_sleep(core->loop, core->pass_gap_ms > 0 ? core->pass_gap_ms : PASS_GAP_MS);
+            signal_wait(controller->loop, &controller->wake, next_ms);
+        loop_sleep(controller->loop, controller->pass_gap_ms > 0 ? controller->pass_gap_ms : PASS_GAP_MS);
         more = false;
-        next_ms = loop_now_ms(core->loop) + PLACE_TICK_MS;
-        if (!core_decides(core))
+        next_ms = loop_now_ms(controller->loop) + PLACE_TICK_MS;
+        if (!controller_decides(controller))
             continue;
-        silent_look(core);
-        if (loop_now_ms(core->loop) >= core->place_from_ms && core_decides(core))
-            more = pass_run(core, &next_ms);
-        else if (core->place_from_ms < next_ms)
-            next_ms = core->place_from_ms;
+        silent_look(controller);
+        if (loop_now_ms(controller->loop) >= controller->place_from_ms && controller_decides(controller))
+            more = pass_run(controller, &next_ms);
+        else if (controller->place_from_ms < next_ms)
+            next_ms = controller->place_from_ms;
     }
 }
 
-void planner_start(Core *core)
+void planner_start(Controller *controller)
 {
-    loop_spawn(core->loop, "planner", planner_main, core);
+    loop_spawn(controller->loop, "planner", planner_main, controller);
 }
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -20,10 +20,10 @@
     bool whole; /* every queue has its speaker here */
 } Speakers;
 
-static void speakers_find(const Core *core, const char *cell, Speakers *speakers)
+static void speakers_find(const Controller *controller, const char *cell, Speakers *speakers)
 {
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     *speakers = (Speakers){.whole = true};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
@@ -50,28 +50,28 @@
  * cell may push it: so no two of them count on room that only one may have. */
 void pushable_count(Pass *pass)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     const Config *config = pass->config;
     PlanInput *input = &pass->input;
     size_t cells = 0;
     pass->cells = map_new(pass->mem);
     for (size_t c = 0; c < config->cell_count; c++)
-        if (core_policy(core, &config->cells[c]) != policy_plain())
+        if (controller_policy(controller, &config->cells[c]) != policy_plain())
             map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
     if (cells == 0)
         return;
     input->cell_count = cells;
     input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->worker_count));
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     size_t looks = 0;
     for (size_t c = 0; c < config->cell_count; c++) {
         const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
-        const Policy *policy = core_policy(core, &config->cells[c]);
+        const Policy *policy = controller_policy(controller, &config->cells[c]);
         Speakers speakers;
         if (place == 0)
             continue;
-        speakers_find(core, config->cells[c].name, &speakers);
+        speakers_find(controller, config->cells[c].name, &speakers);
         if (speakers.count == 0 || !speakers.whole)
             continue;
         for (size_t j = 0; j < count; j++) {
@@ -84,10 +84,11 @@
                 /* a worker that is given nothing has no room to be had either */
                 if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
                     continue;
-                const PolicySight other = queue_see(core->queue, &pass->sight, jobs[j], t);
+                const PolicySight other = queue_see(controller->queue, &pass->sight, jobs[j], t);
                 bool all = true;
                 for (size_t i = 0; i < speakers.count && all; i++, looks++) {
-                    const PolicySight mine = queue_see(core->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
+                    const PolicySight mine =
+                        queue_see(controller->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
                     all = policy->may_preempt(policy->arg, &mine, &other);
                 }
                 Room *room = &input->pushable[(place - 1) * input->worker_count + at];
@@ -104,9 +105,9 @@
  * while that would do. */
 void preempt_for(Pass *pass, const Candidate *candidate)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
-    const Policy *policy = core_policy(core, cell);
+    const Policy *policy = controller_policy(controller, cell);
     if (pass->pushes.rounds_count > 0)
         return;
     if (policy == policy_plain()) {
@@ -116,9 +117,9 @@
     if (candidate->count != 1 || pass->preempt_looks >= PREEMPT_LOOKS_MAX)
         return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicySight mine = queue_see(core->queue, &pass->sight, candidate->job, candidate->first);
+    const PolicySight mine = queue_see(controller->queue, &pass->sight, candidate->job, candidate->first);
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
@@ -127,7 +128,7 @@
         RoundId victims[PREEMPT_TASKS_MAX];
         size_t victim_count = 0, looked = 0;
         const TaskOn *on;
-        const size_t on_count = table_on(core->table, worker->name, &on);
+        const size_t on_count = table_on(controller->table, worker->name, &on);
         for (size_t i = 0; i < on_count; i++) {
             const JobTask *task = &on[i].job->tasks[on[i].task];
             if (task->phase == TASK_STOPPING)
@@ -143,7 +144,7 @@
                 const JobTask *task = &job->tasks[t];
                 if (task->phase != TASK_RUNNING || strcmp(task->worker, worker->name) != 0)
                     continue;
-                const PolicySight other = queue_see(core->queue, &pass->sight, job, t);
+                const PolicySight other = queue_see(controller->queue, &pass->sight, job, t);
                 looked++;
                 pass->preempt_looks++;
                 if (!policy->may_preempt(policy->arg, &mine, &other))
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -9,7 +9,7 @@
 
 static int64_t priority_of(Pass *pass, const Job *job, size_t task)
 {
-    return queue_see(pass->core->queue, &pass->sight, job, task).queue_priority;
+    return queue_see(pass->controller->queue, &pass->sight, job, task).queue_priority;
 }
 
 static bool most_urgent(const Pass *pass, const Job *job, int64_t priority)
@@ -21,7 +21,7 @@
     return cell != NULL;
 }
 
-/* Core-milliseconds that are done again when the round is stopped now; -1: it is not to be. */
+/* Controller-milliseconds that are done again when the round is stopped now; -1: it is not to be. */
 static int64_t cost_of(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
 {
     const Job *job = on->job;
@@ -48,7 +48,7 @@
 {
     Room free = pass->input.workers[worker].free;
     const TaskOn *on;
-    const size_t count = table_on(pass->core->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_on(pass->controller->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *preemption = (Preemption){.count = 0};
     while (!room_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
@@ -75,9 +75,10 @@
 
 void preempt_target(Pass *pass, const Candidate *candidate)
 {
-    Core *core = pass->core;
+    Controller *controller = pass->controller;
     if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PREEMPT_SLACK_MS ||
-        candidate->slack_ms < -candidate->estimate_ms / 2 || loop_now_ms(core->loop) < core->preempt_from_ms)
+        candidate->slack_ms < -candidate->estimate_ms / 2 ||
+        loop_now_ms(controller->loop) < controller->preempt_from_ms)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priority_of(pass, candidate->job, candidate->first);
@@ -86,7 +87,7 @@
     const PlanNeed need = pass_need(candidate->job, task->step);
     const int64_t most = PREEMPT_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
     Preemption best = {.count = 0};
-    core->preempt_from_ms = loop_now_ms(core->loop) + PREEMPT_GAP_MS;
+    controller->preempt_from_ms = loop_now_ms(controller->loop) + PREEMPT_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
--- a/packages/core/src/ranks.c
+++ b/packages/core/src/ranks.c
@@ -7,7 +7,7 @@
 
 /* One policy for one cell; the others keep theirs. */
 typedef struct Trying {
-    Core *core;
+    Controller *controller;
     const char *cell;
     const Policy *policy;
 } Trying;
@@ -16,27 +16,27 @@
 {
     const Trying *trying = arg;
     const bool mine = cell != NULL && trying->policy != NULL && strcmp(cell->name, trying->cell) == 0;
-    return mine ? trying->policy : core_policy(trying->core, cell);
+    return mine ? trying->policy : controller_policy(trying->controller, cell);
 }
 
 static void queue_show(Way *way, const Policy *policy)
 {
-    Core *core = way->core;
+    Controller *controller = way->controller;
     int64_t limit = LIST_PAGE;
     query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
     const char *cell = query_value(way->mem, way->task->query, "cell");
-    const Config *config = core_config(core);
+    const Config *config = controller_config(controller);
     if (cell == NULL || config_cell(config, cell) == NULL)
         fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
     if (way->faults->count > 0) {
         way_refuse(way);
         return;
     }
-    Pass *pass = pass_new(core, way->mem);
-    Trying trying = {core, cell, policy};
+    Pass *pass = pass_new(controller, way->mem);
+    Trying trying = {controller, cell, policy};
     pass->sight.policy = policy_tried;
     pass->sight.arg = &trying;
-    Line *line = line_new(pass, core->queue, &pass->sight);
+    Line *line = line_new(pass, controller->queue, &pass->sight);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready = 0;
     const Candidate *candidate;
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -9,7 +9,7 @@
 
 /* Freed by whoever ends last. */
 typedef struct Retelling {
-    Core *core;
+    Controller *controller;
     size_t users;
     size_t pending;
     uint64_t config_have; /* the newest version of the table when it began */
@@ -33,17 +33,17 @@
 {
     RetellPart *part = arg;
     Retelling *retelling = part->retelling;
-    Core *core = retelling->core;
+    Controller *controller = retelling->controller;
     const RetellAsk ask = {.config_have = retelling->config_have};
     RepairList answer = {0}; /* of whoever stands there now: each item carries its own identity */
-    const int64_t until_ms = loop_now_ms(core->loop) + REPAIR_MS;
+    const int64_t until_ms = loop_now_ms(controller->loop) + REPAIR_MS;
     Status status;
     do {
-        status = rpc_ask(core->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
-                         until_ms - loop_now_ms(core->loop), &RepairList_shape, &answer);
+        status = rpc_ask(controller->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
+                         until_ms - loop_now_ms(controller->loop), &RepairList_shape, &answer);
         if (status != STATUS_OK)
-            loop_sleep(core->loop, 100);
-    } while (status != STATUS_OK && loop_now_ms(core->loop) < until_ms);
+            loop_sleep(controller->loop, 100);
+    } while (status != STATUS_OK && loop_now_ms(controller->loop) < until_ms);
     if (status == STATUS_OK && answer.items_count > 0) {
         retelling->items =
             talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + answer.items_count));
@@ -51,7 +51,7 @@
         retelling->count += answer.items_count;
     }
     retelling->pending--;
-    signal_raise(core->loop, &retelling->ended);
+    signal_raise(controller->loop, &retelling->ended);
     retelling_leave(retelling);
     talloc_free(part);
 }
@@ -85,9 +85,9 @@
 }
 
 /* Whether the state has it already, so that telling it would change nothing. */
-static bool known(Core *core, void *mem, const RepairItem *item)
+static bool known(Controller *controller, void *mem, const RepairItem *item)
 {
-    const Table *table = core->table;
+    const Table *table = controller->table;
     JobAdd add;
     JobCancel cancel;
     ConfigSet set;
@@ -148,33 +148,34 @@
 }
 
 /* Asks everybody once and submits what is missing; true when all of it was. */
-static bool repair_once(Core *core, uint64_t turn)
+static bool repair_once(Controller *controller, uint64_t turn)
 {
     /* those who were told first must have found this process again: a connection to
      * its last life may be silent */
-    while (loop_now_ms(core->loop) - core->started_ms < REPAIR_HEAR_MS)
-        loop_sleep(core->loop, HEARTBEAT_MS / 5);
-    Retelling *retelling = talloc_zero(core, Retelling);
-    retelling->core = core;
+    while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_HEAR_MS)
+        loop_sleep(controller->loop, HEARTBEAT_MS / 5);
+    Retelling *retelling = talloc_zero(controller, Retelling);
+    retelling->controller = controller;
     retelling->users = 1;
-    retelling->config_have = versions_newest(table_versions(core->table));
-    const MemberTable *table = members_table(core->members);
+    retelling->config_have = versions_newest(table_versions(controller->table));
+    const MemberTable *table = members_table(controller->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (strcmp(row->record.id, members_self(core->members)->id) == 0 || member_quiet(row, loop_now_ms(core->loop)))
+        if (strcmp(row->record.id, members_self(controller->members)->id) == 0 ||
+            member_quiet(row, loop_now_ms(controller->loop)))
             continue;
-        RetellPart *part = talloc_zero(core, RetellPart);
+        RetellPart *part = talloc_zero(controller, RetellPart);
         part->retelling = retelling;
         strncpy(part->address, row->record.address, sizeof(part->address) - 1);
         retelling->users++;
         retelling->pending++;
-        loop_spawn(core->loop, "retell", part_main, part);
+        loop_spawn(controller->loop, "retell", part_main, part);
     }
     while (retelling->pending > 0)
-        signal_wait(core->loop, &retelling->ended, INT64_MAX);
+        signal_wait(controller->loop, &retelling->ended, INT64_MAX);
     RepairList own = {0};
-    repair_buffer_tell(core->repair_buffer, retelling, retelling->config_have, &own);
-    config_watch_notify(core->config_watch, retelling, retelling->config_have, &own);
+    repair_buffer_tell(controller->repair_buffer, retelling, retelling->config_have, &own);
+    config_watch_notify(controller->config_watch, retelling, retelling->config_have, &own);
     if (own.items_count > 0) {
         retelling->items =
             talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + own.items_count));
@@ -187,20 +188,20 @@
     size_t told = 0;
     for (size_t i = 0; i < retelling->count; i++) {
         const RepairItem *item = &retelling->items[i];
-        void *mem = talloc_new(core);
+        void *mem = talloc_new(controller);
         /* what needs another kind before it is looked at once that is delivered;
          * within a kind none waits for the last: a long repair is not a slow one */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
-            status = replication_settle(core->replication);
-        if (status == STATUS_OK && known(core, mem, item)) {
+            status = replication_settle(controller->replication);
+        if (status == STATUS_OK && known(controller, mem, item)) {
             talloc_free(mem);
             continue;
         }
         if (status == STATUS_OK)
-            status = replication_offer(core->replication, item->change, restored(mem, item));
+            status = replication_offer(controller->replication, item->change, restored(mem, item));
         talloc_free(mem);
-        if (status != STATUS_OK || turn != core->repair_turn) {
+        if (status != STATUS_OK || turn != controller->repair_turn) {
             retelling_leave(retelling);
             return false;
         }
@@ -208,15 +209,15 @@
     }
     const size_t item_count = retelling->count;
     retelling_leave(retelling);
-    if (replication_repaired(core->replication) != STATUS_OK || turn != core->repair_turn)
+    if (replication_repaired(controller->replication) != STATUS_OK || turn != controller->repair_turn)
         return false;
-    core->repairing = false;
-    core->counts.repairs++;
-    core->counts.retold += told;
-    recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+    controller->repairing = false;
+    controller->counts.repairs++;
+    controller->counts.retold += told;
+    recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
                    "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
-    orders_wake(core);
-    core_news(core);
+    orders_wake(controller);
+    controller_news(controller);
     return true;
 }
 
@@ -224,16 +225,17 @@
  * another lead of this node begins a repair of its own. */
 static void repair_main(void *arg)
 {
-    Core *core = arg;
-    const uint64_t turn = ++core->repair_turn;
-    while (turn == core->repair_turn && core->repairing && !loop_stopping(core->loop)) {
-        if (replication_leading(core->replication) && repair_once(core, turn))
+    Controller *controller = arg;
+    const uint64_t turn = ++controller->repair_turn;
+    while (turn == controller->repair_turn && controller->repairing && !loop_stopping(controller->loop)) {
+        if (replication_leading(controller->replication) && repair_once(controller, turn))
             return;
-        signal_wait(core->loop, replication_news(core->replication), loop_now_ms(core->loop) + HEARTBEAT_MS / 10);
+        signal_wait(controller->loop, replication_news(controller->replication),
+                    loop_now_ms(controller->loop) + HEARTBEAT_MS / 10);
     }
 }
 
-void repair_start(Core *core)
+void repair_start(Controller *controller)
 {
-    loop_spawn(core->loop, "repair", repair_main, core);
+    loop_spawn(controller->loop, "repair", repair_main, controller);
 }
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -25,49 +25,49 @@
 }
 
 /* What nobody will go on from is dropped whenever there is twice as much as then. */
-static void saved_sweep(Core *core)
+static void saved_sweep(Controller *controller)
 {
-    if (map_count(core->saved) < SAVED_LEAST || map_count(core->saved) < 2 * core->saved_kept)
+    if (map_count(controller->saved) < SAVED_LEAST || map_count(controller->saved) < 2 * controller->saved_kept)
         return;
-    void *mem = talloc_new(core);
+    void *mem = talloc_new(controller);
     const char **keys;
-    const size_t count = map_keys(core->saved, mem, &keys);
+    const size_t count = map_keys(controller->saved, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Saved *saved = map_get(core->saved, keys[i]);
-        const Job *job = table_job(core->table, saved->job);
+        Saved *saved = map_get(controller->saved, keys[i]);
+        const Job *job = table_job(controller->table, saved->job);
         const size_t at = job != NULL ? task_index(job, saved->task) : 0;
         if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasks_count && !task_ended(job->tasks[at].phase))
             continue;
-        map_drop(core->saved, keys[i]);
+        map_drop(controller->saved, keys[i]);
         talloc_free(saved);
     }
-    core->saved_kept = map_count(core->saved);
+    controller->saved_kept = map_count(controller->saved);
     talloc_free(mem);
 }
 
-void saved_take(Core *core, const RoundSaved *told)
+void saved_take(Controller *controller, const RoundSaved *told)
 {
     char key[SAVED_KEY];
     if (told->text[0] == '\0')
         return;
-    Saved *saved = map_get(core->saved, saved_key(key, told->job, told->task));
+    Saved *saved = map_get(controller->saved, saved_key(key, told->job, told->task));
     if (saved != NULL && saved->round > told->round)
         return;
     if (saved == NULL) {
-        saved_sweep(core);
-        saved = talloc_zero(core->saved, Saved);
+        saved_sweep(controller);
+        saved = talloc_zero(controller->saved, Saved);
         saved->job = talloc_strdup(saved, told->job);
         saved->task = told->task;
-        map_set(core->saved, key, saved);
+        map_set(controller->saved, key, saved);
     }
     talloc_free((void *)(uintptr_t)saved->text);
     saved->text = talloc_strdup(saved, told->text);
     saved->round = told->round;
 }
 
-const char *core_saved(const Core *core, const char *job, uint64_t task, uint64_t round)
+const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t round)
 {
     char key[SAVED_KEY];
-    const Saved *saved = map_get(core->saved, saved_key(key, job, task));
+    const Saved *saved = map_get(controller->saved, saved_key(key, job, task));
     return saved != NULL && saved->round == round ? saved->text : "";
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -7,57 +7,57 @@
 
 #include "inside.h"
 
-const Score *score_find(const Core *core, const char *worker)
+const Score *score_find(const Controller *controller, const char *worker)
 {
-    return map_get(core->scores, worker);
+    return map_get(controller->scores, worker);
 }
 
 /* A rate that nothing renews fades. */
-static uint64_t tally_rate(const Core *core, const Score *score, const Tally *tally)
+static uint64_t tally_rate(const Controller *controller, const Score *score, const Tally *tally)
 {
     const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
-    const int64_t halvings = (loop_now_ms(core->loop) - from) / SCORE_FADE_MS;
+    const int64_t halvings = (loop_now_ms(controller->loop) - from) / SCORE_FADE_MS;
     if (halvings > 7)
         return 0;
     return halvings > 0 ? tally->rate_percent >> halvings : tally->rate_percent;
 }
 
-uint64_t score_rate(const Core *core, const char *worker)
+uint64_t score_rate(const Controller *controller, const char *worker)
 {
-    const Score *score = score_find(core, worker);
+    const Score *score = score_find(controller, worker);
     if (score == NULL)
         return 0;
-    const uint64_t failed = tally_rate(core, score, &score->failed);
+    const uint64_t failed = tally_rate(controller, score, &score->failed);
     /* one sign alone may have been one pause */
-    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(core, score, &score->slow) : 0;
+    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(controller, score, &score->slow) : 0;
     return failed > slow ? failed : slow;
 }
 
-bool score_rests(const Core *core, const char *worker)
+bool score_rests(const Controller *controller, const char *worker)
 {
-    const Score *score = score_find(core, worker);
-    return score != NULL && loop_now_ms(core->loop) < score->rest_until_ms;
+    const Score *score = score_find(controller, worker);
+    return score != NULL && loop_now_ms(controller->loop) < score->rest_until_ms;
 }
 
-static size_t resting(const Core *core, void *mem)
+static size_t resting(const Controller *controller, void *mem)
 {
     const char **names;
-    const size_t count = map_keys(core->scores, mem, &names);
+    const size_t count = map_keys(controller->scores, mem, &names);
     size_t rest = 0;
     for (size_t i = 0; i < count; i++)
-        rest += score_rests(core, names[i]);
+        rest += score_rests(controller, names[i]);
     return rest;
 }
 
-static void rest_maybe(Core *core, const char *worker, Score *score, Tally *tally, const char *how)
+static void rest_maybe(Controller *controller, const char *worker, Score *score, Tally *tally, const char *how)
 {
-    const int64_t now_ms = loop_now_ms(core->loop);
+    const int64_t now_ms = loop_now_ms(controller->loop);
     if (tally->rate_percent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->rest_until_ms)
         return;
-    void *mem = talloc_new(core);
+    void *mem = talloc_new(controller);
     const Worker **workers;
-    const size_t fleet = table_workers(core->table, mem, &workers);
-    const size_t rest = resting(core, mem);
+    const size_t fleet = table_workers(controller->table, mem, &workers);
+    const size_t rest = resting(controller, mem);
     talloc_free(mem);
     if ((rest + 1) * SCORE_SHARE > fleet)
         return; /* so many at once: the work is bad, or the fleet is; resting helps neither */
@@ -68,16 +68,16 @@
     /* after the rest it is tried again: a single bad round sends it back */
     tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
-    if (replication_leading(core->replication))
-        recorder_write(core->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms", worker,
-                       how, score->rest_ms);
+    if (replication_leading(controller->replication))
+        recorder_write(controller->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms",
+                       worker, how, score->rest_ms);
 }
 
-static void tally_take(Core *core, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
+static void tally_take(Controller *controller, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
                        uint64_t weight, const char *how)
 {
-    tally->rate_percent = tally_rate(core, score, tally);
-    tally->rated_ms = loop_now_ms(core->loop);
+    tally->rate_percent = tally_rate(controller, score, tally);
+    tally->rated_ms = loop_now_ms(controller->loop);
     tally->rate_percent = (tally->rate_percent * (100 - weight) + (bad ? 100 : 0) * weight) / 100;
     if (!bad) {
         tally->jobs = 0;
@@ -87,7 +87,7 @@
         tally->jobs++;
         tally->last_job = job->number;
     }
-    rest_maybe(core, worker, score, tally, how);
+    rest_maybe(controller, worker, score, tally, how);
 }
 
 /* A first round's time on its worker, by the log; -1: not to be compared. */
@@ -126,62 +126,63 @@
 }
 
 /* What the round's place made of its time, near its data or not. */
-uint64_t score_far_percent(const Core *core, const Worker *worker, const StepSpec *step)
+uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
-    return far ? (uint64_t)core->settings->bounds.far_percent : 100;
+    return far ? (uint64_t)controller->settings->bounds.far_percent : 100;
 }
 
-static void estimate_take(Core *core, const RoundNews *news, const Job *job, const JobTask *task)
+static void estimate_take(Controller *controller, const RoundNews *news, const Job *job, const JobTask *task)
 {
-    const Worker *worker = table_worker(core->table, news->worker);
+    const Worker *worker = table_worker(controller->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->round == 1 || !step->saves;
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        estimates_end(core->estimates, job, task->step, news->worker, ran_ms, score_far_percent(core, worker, step),
-                      loop_now_ms(core->loop));
+        estimates_end(controller->estimates, job, task->step, news->worker, ran_ms,
+                      score_far_percent(controller, worker, step), loop_now_ms(controller->loop));
 }
 
-void score_still(Core *core, const char *worker, const Job *job)
+void score_still(Controller *controller, const char *worker, const Job *job)
 {
-    Score *score = map_get(core->scores, worker);
+    Score *score = map_get(controller->scores, worker);
     if (score == NULL) {
-        score = talloc_zero(core->scores, Score);
-        map_set(core->scores, worker, score);
+        score = talloc_zero(controller->scores, Score);
+        map_set(controller->scores, worker, score);
     }
-    tally_take(core, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
+    tally_take(controller, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
 }
 
-void score_take(Core *core, const RoundList *list)
+void score_take(Controller *controller, const RoundList *list)
 {
     for (size_t i = 0; i < list->news_count; i++) {
         const RoundNews *news = &list->news[i];
         if (news->word != ROUND_FAILED && news->word != ROUND_DONE)
             continue;
-        Score *score = map_get(core->scores, news->worker);
-        const Job *job = table_job(core->table, news->job);
+        Score *score = map_get(controller->scores, news->worker);
+        const Job *job = table_job(controller->table, news->job);
         bool slow = false;
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         const bool ended =
             news->word == ROUND_DONE && job != NULL && at < job->tasks_count && job->tasks[at].round == news->round;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            estimate_take(core, news, job, &job->tasks[at]);
-        if (score == NULL && ((news->word == ROUND_DONE && !slow) || table_worker(core->table, news->worker) == NULL))
+            estimate_take(controller, news, job, &job->tasks[at]);
+        if (score == NULL &&
+            ((news->word == ROUND_DONE && !slow) || table_worker(controller->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
-            score = talloc_zero(core->scores, Score);
-            map_set(core->scores, news->worker, score);
+            score = talloc_zero(controller->scores, Score);
+            map_set(controller->scores, news->worker, score);
         }
-        tally_take(core, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
+        tally_take(controller, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
                    "fails its work");
         /* rounds that ran beside one already counted may all have met the same
          * pause: one pause is one sign */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
-            tally_take(core, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
+            tally_take(controller, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
             score->slow_end_ms = job->tasks[at].changed_ms;
     }
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -7,51 +7,53 @@
 #include "pass.h"
 
 /* Whether the worker may hold nothing any more, and its loss is not yet decided. */
-static bool lapsed(const Core *core, const char *worker)
+static bool lapsed(const Controller *controller, const char *worker)
 {
-    const LiveRow *row = liveset_find(core->liveset, worker);
+    const LiveRow *row = liveset_find(controller->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t until_ms = row != NULL ? row->until_ms : replication_won_ms(core->replication) + core_claim_ms(core);
-    return loop_now_ms(core->loop) > until_ms && (row == NULL || !row->losing);
+    const int64_t until_ms =
+        row != NULL ? row->until_ms : replication_won_ms(controller->replication) + controller_claim_ms(controller);
+    return loop_now_ms(controller->loop) > until_ms && (row == NULL || !row->losing);
 }
 
-void lost_find(Core *core, void *mem)
+void lost_find(Controller *controller, void *mem)
 {
     Map *lost = map_new(mem);
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++)
-        if (lapsed(core, worker))
-            map_set(lost, worker, core);
+    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++)
+        if (lapsed(controller, worker))
+            map_set(lost, worker, controller);
     const char **names;
     const size_t lost_count = map_keys(lost, mem, &names);
-    for (size_t i = 0; i < lost_count && core_decides(core); i++) {
-        if (!lapsed(core, names[i]))
+    for (size_t i = 0; i < lost_count && controller_decides(controller); i++) {
+        if (!lapsed(controller, names[i]))
             continue; /* back while the loss of another was committed: what it was told since stands */
         const WorkerLost change = {names[i], UINT64_MAX};
         /* it may come back before this is committed: then no order of the state
          * before may reach it any more */
-        liveset_losing(core->liveset, names[i], true);
+        liveset_losing(controller->liveset, names[i], true);
         ChangeResult result;
-        if (core_submit(core, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) == STATUS_OK) {
-            core->counts.lost += result.number;
-            recorder_write(core->recorder, RECORDER_ALERT, loop_now_ms(core->loop),
+        if (controller_submit(controller, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) ==
+            STATUS_OK) {
+            controller->counts.lost += result.number;
+            recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
                            "worker %s is lost with %" PRIu64 " rounds", names[i], result.number);
         }
     }
 }
 
-void copies_find(Core *core, void *mem)
+void copies_find(Controller *controller, void *mem)
 {
-    const int64_t now_ms = loop_now_ms(core->loop);
+    const int64_t now_ms = loop_now_ms(controller->loop);
     RoundList list = {0};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(core->table, i)) != NULL; i++) {
-        const LiveRow *row = liveset_find(core->liveset, worker);
-        const int64_t won_ms = replication_won_ms(core->replication);
+    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++) {
+        const LiveRow *row = liveset_find(controller->liveset, worker);
+        const int64_t won_ms = replication_won_ms(controller->replication);
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(core->table, worker, &on);
+        const size_t count = table_on(controller->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             const JobTask *task = &on[t].job->tasks[on[t].task];
             const JobSpec *spec = &on[t].job->spec;
@@ -69,13 +71,13 @@
     }
     ChangeResult result;
     if (list.news_count > 0)
-        core_submit(core, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
+        controller_submit(controller, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
     /* that they are over is our word alone: they count there until the agent says so */
     for (size_t i = 0; i < list.news_count; i++) {
         const RoundNews *news = &list.news[i];
-        const Job *job = table_job(core->table, news->job);
+        const Job *job = table_job(controller->table, news->job);
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            orphans_add(core->orphans, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
+            orphans_add(controller->orphans, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/core/src/status.c
+++ b/packages/core/src/status.c
@@ -24,9 +24,9 @@
     return text_of(text);
 }
 
-static json_object *core_of(const Core *core, uint64_t disk)
+static json_object *controller_of(const Controller *controller, uint64_t disk)
 {
-    const Member *member = members_find_disk(core->members, disk);
+    const Member *member = members_find_disk(controller->members, disk);
     return text_of(member != NULL ? member->record.name : "");
 }
 
@@ -36,14 +36,14 @@
     return number_of(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
 }
 
-static json_object *show_learners(const Core *core, const ReplicationStatus *sight)
+static json_object *show_learners(const Controller *controller, const ReplicationStatus *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->learner_count; i++) {
         const ReplicationLearnerStatus *learner = &sight->learners[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(learner->disk));
-        json_object_object_add(one, "core", core_of(core, learner->disk));
+        json_object_object_add(one, "core", controller_of(controller, learner->disk));
         json_object_object_add(one, "answers", json_object_new_boolean(learner->answers));
         json_object_object_add(one, "ready", json_object_new_boolean(learner->ready));
         json_object_object_add(one, "index", number_of((int64_t)learner->match_index));
@@ -61,13 +61,13 @@
     return losses;
 }
 
-static json_object *show_voters(const Core *core, const ReplicationStatus *sight)
+static json_object *show_voters(const Controller *controller, const ReplicationStatus *sight)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < sight->voter_count; i++) {
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(sight->voters[i].disk));
-        json_object_object_add(one, "core", core_of(core, sight->voters[i].disk));
+        json_object_object_add(one, "core", controller_of(controller, sight->voters[i].disk));
         json_object_object_add(one, "inView", json_object_new_boolean(sight->voters[i].in_configuration));
         json_object_object_add(one, "answers", json_object_new_boolean(sight->voters[i].answers));
         json_object_object_add(one, "woke", json_object_new_boolean(sight->voters[i].woke));
@@ -80,24 +80,24 @@
     return list;
 }
 
-static json_object *show_liveset(Core *core, void *mem)
+static json_object *show_liveset(Controller *controller, void *mem)
 {
     const LiveRow **rows;
-    const size_t count = liveset_rows(core->liveset, mem, &rows);
-    const int64_t now_ms = loop_now_ms(core->loop);
-    const PlanInput input = planner_input(core, mem);
+    const size_t count = liveset_rows(controller->liveset, mem, &rows);
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    const PlanInput input = planner_input(controller, mem);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
-        const Worker *worker = table_worker(core->table, rows[i]->name);
+        const Worker *worker = table_worker(controller->table, rows[i]->name);
         json_object_object_add(one, "worker", text_of(rows[i]->name));
         json_object_object_add(one, "zone", text_of(worker != NULL ? worker->zone : ""));
         json_object_object_add(one, "ready", json_object_new_boolean(live_row_ready(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
-        const Score *score = score_find(core, rows[i]->name);
+        const Score *score = score_find(controller, rows[i]->name);
         if (score != NULL) {
-            json_object_object_add(one, "failurePercent", number_of((int64_t)score_rate(core, rows[i]->name)));
+            json_object_object_add(one, "failurePercent", number_of((int64_t)score_rate(controller, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
                                    number_of(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
         }
@@ -113,9 +113,9 @@
     return list;
 }
 
-static json_object *show_members(Core *core)
+static json_object *show_members(Controller *controller)
 {
-    const MemberTable *table = members_table(core->members);
+    const MemberTable *table = members_table(controller->members);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
@@ -125,18 +125,18 @@
         json_object_object_add(one, "zone", text_of(row->record.zone));
         json_object_object_add(one, "address", text_of(row->record.address));
         json_object_object_add(one, "http", text_of(row->record.http));
-        json_object_object_add(one, "quiet", json_object_new_boolean(member_quiet(row, loop_now_ms(core->loop))));
+        json_object_object_add(one, "quiet", json_object_new_boolean(member_quiet(row, loop_now_ms(controller->loop))));
         json_object_array_add(list, one);
     }
     return list;
 }
 
-static json_object *show_plan(Core *core)
+static json_object *show_plan(Controller *controller)
 {
     json_object *plan = json_object_new_object();
-    const Config *config = core_config(core);
+    const Config *config = controller_config(controller);
     Job *const *jobs;
-    const size_t count = table_active(core->table, &jobs);
+    const size_t count = table_active(controller->table, &jobs);
     int64_t assured = 0, unassured = 0, waiting = 0;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
@@ -150,11 +150,11 @@
     json_object_object_add(plan, "r", number_of((int64_t)config->r));
     json_object_object_add(plan, "zoneLoss", json_object_new_boolean(config->zone_loss));
     json_object_object_add(plan, "rackLoss", json_object_new_boolean(config->rack_loss));
-    json_object_object_add(plan, "holds", json_object_new_boolean(core->plan_holds));
-    if (!core->plan_holds) {
+    json_object_object_add(plan, "holds", json_object_new_boolean(controller->plan_holds));
+    if (!controller->plan_holds) {
         json_object *broken = json_object_new_object();
-        json_object_object_add(broken, "loss", text_of(loss_word(core->broken_by_loss)));
-        json_object_object_add(broken, "name", text_of(core->broken_by));
+        json_object_object_add(broken, "loss", text_of(loss_word(controller->broken_by_loss)));
+        json_object_object_add(broken, "name", text_of(controller->broken_by));
         json_object_object_add(plan, "brokenBy", broken);
     }
     json_object_object_add(plan, "assured", number_of(assured));
@@ -164,9 +164,9 @@
 }
 
 /* What came over the wire and was another's, or nobody's. */
-static json_object *show_refused_frames(const Core *core)
+static json_object *show_refused_frames(const Controller *controller)
 {
-    const RpcCounts *counts = rpc_counts(core->rpc);
+    const RpcCounts *counts = rpc_counts(controller->rpc);
     json_object *frames = json_object_new_object();
 #define X(name, outside) json_object_object_add(frames, outside, number_of((int64_t)counts->name));
     RPC_REFUSED_LIST(X)
@@ -174,18 +174,18 @@
     return frames;
 }
 
-json_object *core_status(Core *core)
+json_object *controller_status(Controller *controller)
 {
-    void *mem = talloc_new(core);
+    void *mem = talloc_new(controller);
     ReplicationStatus sight;
-    replication_status(core->replication, &sight);
+    replication_status(controller->replication, &sight);
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "cluster", disk_of(rpc_cluster(core->rpc)));
-    json_object_object_add(body, "leader", text_of(core->settings->name));
+    json_object_object_add(body, "cluster", disk_of(rpc_cluster(controller->rpc)));
+    json_object_object_add(body, "leader", text_of(controller->settings->name));
     json_object_object_add(body, "epoch", number_of((int64_t)term_counter(sight.term)));
     json_object_object_add(body, "holdLeftMs", number_of(sight.lease_left_ms));
-    json_object_object_add(body, "repairing", json_object_new_boolean(core->repairing));
-    json_object_object_add(body, "clockMs", number_of(replication_clock_ms(core->replication)));
+    json_object_object_add(body, "repairing", json_object_new_boolean(controller->repairing));
+    json_object_object_add(body, "clockMs", number_of(replication_clock_ms(controller->replication)));
     json_object *log = json_object_new_object();
     json_object_object_add(log, "lastIndex", number_of((int64_t)sight.last_index));
     json_object_object_add(log, "committed", number_of((int64_t)sight.commit_index));
@@ -199,31 +199,32 @@
     json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
     json_object_object_add(log, "worstSyncMs", number_of(sight.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
-    json_object_object_add(body, "seats", show_voters(core, &sight));
-    json_object_object_add(body, "learners", show_learners(core, &sight));
+    json_object_object_add(body, "seats", show_voters(controller, &sight));
+    json_object_object_add(body, "learners", show_learners(controller, &sight));
     json_object_object_add(body, "losses", show_losses(&sight));
-    json_object_object_add(body, "plan", show_plan(core));
-    json_object_object_add(body, "liveset", show_liveset(core, mem));
-    json_object_object_add(body, "members", show_members(core));
+    json_object_object_add(body, "plan", show_plan(controller));
+    json_object_object_add(body, "liveset", show_liveset(controller, mem));
+    json_object_object_add(body, "members", show_members(controller));
     const char **zones;
-    const size_t zone_count = table_drains(core->table, mem, &zones);
+    const size_t zone_count = table_drains(controller->table, mem, &zones);
     json_object *drained = json_object_new_array();
     for (size_t i = 0; i < zone_count; i++)
         json_object_array_add(drained, text_of(zones[i]));
     json_object_object_add(body, "drainedZones", drained);
-    json_object_object_add(body, "configRevision", number_of((int64_t)versions_newest(table_versions(core->table))));
+    json_object_object_add(body, "configRevision",
+                           number_of((int64_t)versions_newest(table_versions(controller->table))));
     const char *words;
-    const uint64_t policy_failures = core_policy_failures(core, &words);
+    const uint64_t policy_failures = controller_policy_failures(controller, &words);
     json_object_object_add(body, "policyFailures", number_of((int64_t)policy_failures));
     if (policy_failures > 0)
         json_object_object_add(body, "policyLastFailure", text_of(words));
-    json_object_object_add(body, "refusedFrames", show_refused_frames(core));
-    json_object_object_add(body, "alerts", alerts_show(core));
+    json_object_object_add(body, "refusedFrames", show_refused_frames(controller));
+    json_object_object_add(body, "alerts", alerts_show(controller));
     json_object *counts = json_object_new_object();
-#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)core->counts.name));
-    CORE_COUNT_LIST(X)
+#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)controller->counts.name));
+    CONTROLLER_COUNT_LIST(X)
 #undef X
-    const RpcCounts *rpc = rpc_counts(core->rpc);
+    const RpcCounts *rpc = rpc_counts(controller->rpc);
 #define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)rpc->name));
     RPC_COUNT_LIST(X)
 #undef X
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -21,20 +21,21 @@
 
 bool stop_look(Pass *pass)
 {
-    Core *core = pass->core;
-    const int64_t now_ms = loop_now_ms(core->loop);
-    if (now_ms < core->stop_look_ms)
+    Controller *controller = pass->controller;
+    const int64_t now_ms = loop_now_ms(controller->loop);
+    if (now_ms < controller->stop_look_ms)
         return false;
-    core->stop_look_ms = now_ms + STOP_LOOK_MS;
+    controller->stop_look_ms = now_ms + STOP_LOOK_MS;
     StopList list = {.why = "goes on better elsewhere"};
     leave_find(pass, &list);
     slow_find(pass, &list);
     if (list.rounds_count == 0)
         return false;
     ChangeResult result;
-    if (core_submit(core, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
-        core->counts.slowed += result.number;
-        recorder_write(core->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere", list.rounds_count);
+    if (controller_submit(controller, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
+        controller->counts.slowed += result.number;
+        recorder_write(controller->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere",
+                       list.rounds_count);
     }
     return true;
 }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -4,31 +4,31 @@
 
 #include "inside.h"
 
-static void trace_places(Core *core, const PlaceList *places)
+static void trace_places(Controller *controller, const PlaceList *places)
 {
     char detail[64];
     for (size_t i = 0; i < places->placements_count; i++) {
         const Placement *place = &places->placements[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->round,
                  place->worker);
-        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", place->job);
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", place->job);
     }
 }
 
-static void trace_rounds(Core *core, const RoundList *rounds)
+static void trace_rounds(Controller *controller, const RoundList *rounds)
 {
     char detail[64];
     for (size_t i = 0; i < rounds->news_count; i++) {
         const RoundNews *news = &rounds->news[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->round,
                  round_word(news->word));
-        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
     }
 }
 
-void trace_delivered(Core *core, const Record *change, const void *body, const ChangeResult *result)
+void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result)
 {
-    if (body == NULL || core->trace == NULL)
+    if (body == NULL || controller->trace == NULL)
         return;
     char detail[48];
     const bool good = result->status == STATUS_OK;
@@ -36,23 +36,23 @@
              good ? "" : status_word(result->status));
     switch (change->change) {
     case CHANGE_JOB_ADD:
-        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobAdd *)body)->spec.id);
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobAdd *)body)->spec.id);
         break;
     case CHANGE_JOB_CANCEL:
-        trace_say(core->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
         break;
     case CHANGE_PLACE:
-        trace_places(core, body);
+        trace_places(controller, body);
         break;
     case CHANGE_ROUNDS:
-        trace_rounds(core, body);
+        trace_rounds(controller, body);
         break;
     case CHANGE_CONFIG_SET:
-        trace_say(core->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->version);
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->version);
         break;
     case CHANGE_ZONE_DRAIN: {
         const ZoneDrain *drain = body;
-        trace_say(core->trace, TRACE_DELIVERED, drain->drained ? "drained" : "back", "zone:%s", drain->zone);
+        trace_say(controller->trace, TRACE_DELIVERED, drain->drained ? "drained" : "back", "zone:%s", drain->zone);
         break;
     }
     default:
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -15,7 +15,7 @@
 
 static bool pass_lead(Way *way)
 {
-    if (replication_leading(way->core->replication))
+    if (replication_leading(way->controller->replication))
         return true;
     show_refusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
@@ -23,7 +23,7 @@
 
 static bool pass_repair(Way *way)
 {
-    if (!way->core->repairing || strcmp(way->task->path, "/v1/status") == 0)
+    if (!way->controller->repairing || strcmp(way->task->path, "/v1/status") == 0)
         return true;
     show_refusal(way->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
     return false;
@@ -52,7 +52,7 @@
 void way_refuse(Way *way)
 {
     const Faults *faults = way->faults;
-    way->core->counts.refused++;
+    way->controller->counts.refused++;
     show_refusal(way->task, faults->list[0].status, faults->list[0].text, faults);
 }
 
@@ -66,7 +66,7 @@
 
 void way_keep_end(Way *way, const Job *job)
 {
-    if (job->phase == JOB_ACTIVE || replication_clock_ms(way->core->replication) - job->ended_ms > REPAIR_KEEP_MS)
+    if (job->phase == JOB_ACTIVE || replication_clock_ms(way->controller->replication) - job->ended_ms > REPAIR_KEEP_MS)
         return;
     RepairItem item = {CHANGE_JOB_END, 0, {0}};
     const JobEnd end = {job->spec.id, job->phase};
@@ -76,12 +76,12 @@
 
 static void status_get(Way *way)
 {
-    show_result(way->task, 200, core_status(way->core));
+    show_result(way->task, 200, controller_status(way->controller));
 }
 
 static void alerts_get(Way *way)
 {
-    show_result(way->task, 200, alerts_show(way->core));
+    show_result(way->task, 200, alerts_show(way->controller));
 }
 
 /* --- routes ---------------------------------------------------------------------------------- */
@@ -199,13 +199,13 @@
 /* Whether the answer may go out, which was made under the term. Waits. */
 static bool proven(Way *way, Proof proof, uint64_t term)
 {
-    const Replication *replication = way->core->replication;
+    const Replication *replication = way->controller->replication;
     if (proof == PROOF_LEASE)
         return replication_leading(replication) && configuration_term(replication) == term;
-    int64_t until_ms = loop_now_ms(way->core->loop) + LOCK_LEASE_MS;
+    int64_t until_ms = loop_now_ms(way->controller->loop) + LOCK_LEASE_MS;
     if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
         until_ms = way->task->timeout_ms;
-    return replication_contact(way->core->replication, until_ms) == STATUS_OK &&
+    return replication_contact(way->controller->replication, until_ms) == STATUS_OK &&
            configuration_term(replication) == term;
 }
 
@@ -217,21 +217,24 @@
         return;
     if (proven(way, task->code < 400 ? route->answer : route->refusal, term))
         return;
-    way->core->counts.unproven++;
+    way->controller->counts.unproven++;
     task->result = (Bytes){0};
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
-void leader_serve(Core *core, HttpTask *task, void *mem, RepairList *repair_items)
+void leader_serve(Controller *controller, HttpTask *task, void *mem, RepairList *repair_items)
 {
-    Way way = {
-        .core = core, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
+    Way way = {.controller = controller,
+               .task = task,
+               .mem = mem,
+               .faults = talloc_zero(mem, Faults),
+               .repair_items = repair_items};
     way.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
         if (!GUARDS[i].pass(&way))
             return;
     bool path_known = false;
-    const uint64_t term = configuration_term(core->replication);
+    const uint64_t term = configuration_term(controller->replication);
     const Route *route = route_of(&way, &path_known);
     if (route != NULL) {
         route->serve(&way);
--- a/packages/core/src/way.h
+++ b/packages/core/src/way.h
@@ -1,5 +1,5 @@
-#ifndef CORE_WAY_H
-#define CORE_WAY_H
+#ifndef CONTROLLER_WAY_H
+#define CONTROLLER_WAY_H
 
 #include "inside.h"
 
@@ -11,7 +11,7 @@
 
 /* One request on its way through the leader. */
 typedef struct Way {
-    Core *core;
+    Controller *controller;
     HttpTask *task;
     void *mem;
     Faults *faults;
@@ -42,7 +42,7 @@
 JobTerms job_terms(const ConfigQueue *queue);
 
 /* Waits. Another node keeps them too, if one answers. */
-void elsewhere_keep(Core *core, void *mem, const RepairList *repair_items);
+void elsewhere_keep(Controller *controller, void *mem, const RepairList *repair_items);
 
 void job_post(Way *way);
 void job_get(Way *way);
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -93,7 +93,7 @@
     const MemberRecord self = {
         .id = talloc_asprintf(loop, "%s@%016" PRIx64, node->name, replication_disk(node->replication)),
         .name = node->name,
-        .role = ROLE_CORE,
+        .role = ROLE_CONTROLLER,
         .zone = talloc_asprintf(loop, "zone%d", node->machine % 3),
         .address = node->listen,
         .http = "",
@@ -187,7 +187,7 @@
         node_vanish(node);
 }
 
-/* As a core's process does it when it is told to end. */
+/* As a controller's process does it when it is told to end. */
 static void leave_main(void *arg)
 {
     Node *node = arg;
--- a/packages/face/src/face.c
+++ b/packages/face/src/face.c
@@ -17,8 +17,8 @@
 
 void adapter_take(const AdapterNode *node, HttpTask *task)
 {
-    if (node->core != NULL)
-        core_take(node->core, task);
+    if (node->controller != NULL)
+        controller_take(node->controller, task);
     else
         gate_take(node->gate, task);
 }
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -22,7 +22,7 @@
     Members *members;
     RepairBuffer *repair_buffer;
     Trace *trace;
-    /* Cores: whether this one leads, and how it serves then. The answer lives on mem. */
+    /* Controllers: whether this one leads, and how it serves then. The answer lives on mem. */
     WaysLeads leads;
     void (*serve)(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
     void *arg;
--- a/packages/feed/include/feed/messages.h
+++ b/packages/feed/include/feed/messages.h
@@ -24,14 +24,14 @@
 SHAPE(RetellAsk, RETELL_ASK_FIELDS)
 
 /* A caller's request, carried to the leader; and its result. */
-#define FORWARD_ASK_FIELDS(X)                                                             \
-    X(TXT, method, 0)                                                                     \
-    X(TXT, path, 0)                                                                       \
-    X(TXT, query, 0)                                                                      \
-    X(BIN, body, 0)                                                                       \
-    X(FLAG, relay, 0)  /* a core that does not lead carries it on to the one that does */ \
-    X(TXT, host, 0)    /* whom the caller meant; entries are found by it */               \
-    X(U64, wait_ms, 0) /* nobody waits for the answer after this; 0: not said */          \
+#define FORWARD_ASK_FIELDS(X)                                                                   \
+    X(TXT, method, 0)                                                                           \
+    X(TXT, path, 0)                                                                             \
+    X(TXT, query, 0)                                                                            \
+    X(BIN, body, 0)                                                                             \
+    X(FLAG, relay, 0)  /* a controller that does not lead carries it on to the one that does */ \
+    X(TXT, host, 0)    /* whom the caller meant; entries are found by it */                     \
+    X(U64, wait_ms, 0) /* nobody waits for the answer after this; 0: not said */                \
     X(FLAG, again, 0)  /* asked before, of a leader that was lost: its caller has had no answer */
 SHAPE(ForwardAsk, FORWARD_ASK_FIELDS)
 
--- a/packages/feed/include/feed/ways.h
+++ b/packages/feed/include/feed/ways.h
@@ -4,7 +4,7 @@
 #include "feed/messages.h"
 #include "member/members.h"
 
-/* How the leader is reached from here: directly, or through another core that still
+/* How the leader is reached from here: directly, or through another controller that still
  * reaches it. One way is in use; it is left when it fails, and while it is not known
  * whether another leads anywhere, one task looks and nobody else tries.
  *
--- a/packages/feed/src/ways.c
+++ b/packages/feed/src/ways.c
@@ -15,7 +15,7 @@
 
 /* Invariants:
  *  - turn grows whenever the way in use, or the leader, becomes another one;
- *  - at is the way in use: 0 the leader itself, N the Nth other core; it means
+ *  - at is the way in use: 0 the leader itself, N the Nth other controller; it means
  *    nothing while lost_ms is not INT64_MAX;
  *  - looking says that the looking task runs, which it does while lost, or while at > 0. */
 struct Ways {
@@ -83,7 +83,7 @@
     const MemberTable *table = members_table(ways->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (row->record.role != ROLE_CORE || row->record.leaving ||
+        if (row->record.role != ROLE_CONTROLLER || row->record.leaving ||
             (leader != NULL && strcmp(row->record.address, leader) == 0) || strcmp(row->record.id, self->id) == 0 ||
             member_quiet(row, loop_now_ms(ways->loop)) || --nth > 0)
             continue;
@@ -224,7 +224,7 @@
     }
     if (ways->lost_ms == INT64_MAX && way_at(ways, ways->at, taken))
         return true;
-    /* the core that carried on has gone, or this process has just lost the lead */
+    /* the controller that carried on has gone, or this process has just lost the lead */
     if (ways->lost_ms == INT64_MAX) {
         ways->lost_ms = loop_now_ms(ways->loop);
         move_on(ways);
--- a/packages/gate/include/gate/gate.h
+++ b/packages/gate/include/gate/gate.h
@@ -9,7 +9,7 @@
 typedef struct Gate Gate;
 
 Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Gate **gate, Failure *failure);
-/* Waits. As core_take. */
+/* Waits. As controller_take. */
 void gate_take(Gate *gate, HttpTask *task);
 /* Waits. A configuration that is large, in the task's body or (back) in its result, is
  * no load for a gate's narrow link: its caller is sent to the leader itself. True when
@@ -17,7 +17,7 @@
  * leader that serves now is asked by callers; or a refusal, when none serves. False:
  * the gate carries it. */
 bool gate_elsewhere(Gate *gate, HttpTask *task, bool back, const char **leader);
-/* As core_ready. */
+/* As controller_ready. */
 bool gate_ready(const Gate *gate);
 /* Waits: not ready at once; requests in work get their result. */
 void gate_drain(Gate *gate);
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -18,7 +18,7 @@
     void *mem;           /* of the record */
 } Member;
 
-/* Invariants: rows are ordered by id and ids are unique; of the cores with one name
+/* Invariants: rows are ordered by id and ids are unique; of the controllers with one name
  * there is the newest alone: what stood there with another disk is gone for good. */
 typedef struct MemberTable {
     size_t count;
@@ -39,14 +39,14 @@
 /* Waits. Asks all seeds for their votes, or gives them back: how many of how many
  * seeds said yes. round grows each time that the disk stands anew. */
 size_t members_votes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seed_count);
-/* The empty disk with the lowest id among the cores heard of; 0: none. */
+/* The empty disk with the lowest id among the controllers heard of; 0: none. */
 uint64_t members_lowest_empty(const Members *members);
 /* Valid until the next wait. */
 const MemberTable *members_table(const Members *members);
 /* Null when there is none. Valid until the next wait. */
 const Member *members_find(const Members *members, const char *id);
 const Member *members_find_disk(const Members *members, uint64_t disk);
-/* The core that has come back under this name with another disk, and has said so
+/* The controller that has come back under this name with another disk, and has said so
  * itself; null: none has. */
 const Member *members_other_disk(const Members *members, const char *name, uint64_t disk);
 const MemberRecord *members_self(const Members *members);
@@ -73,7 +73,7 @@
 void members_rest(Members *members, int64_t until_ms);
 /* Raised when the leader known here changes. */
 Signal *members_leader_signal(Members *members);
-/* The number of members, with ourselves, that have answered us of late. Cores only:
+/* The number of members, with ourselves, that have answered us of late. Controllers only:
  * others do not ask everybody. */
 size_t members_sight(const Members *members);
 
--- a/packages/member/include/member/record.h
+++ b/packages/member/include/member/record.h
@@ -3,9 +3,9 @@
 
 #include "wire/shape.h"
 
-#define ROLE_LIST(X) \
-    X(CORE, "core")  \
-    X(GATE, "gate")  \
+#define ROLE_LIST(X)      \
+    X(CONTROLLER, "core") \
+    X(GATE, "gate")       \
     X(AGENT, "agent")
 
 typedef enum Role {
@@ -20,18 +20,18 @@
 /* What a member says of itself. Only the member itself makes new ones: of two
  * records the one with the higher (incarnation, tick) is the newer.
  * Nothing identifies a member by its address. */
-#define MEMBER_FIELDS(X)                                                            \
-    X(TXT, id, 0) /* the name; for a core, the name and its disk's id */            \
-    X(TXT, name, 0)                                                                 \
-    X(U64, role, 0)                                                                 \
-    X(TXT, zone, 0)                                                                 \
-    X(TXT, address, 0) /* where peers ask it */                                     \
-    X(TXT, http, 0)    /* where callers ask it */                                   \
-    X(U64, incarnation, 0)                                                          \
-    X(U64, tick, 0)    /* grows while it lives */                                   \
-    X(U64, cluster, 0) /* 0: it knows none */                                       \
-    X(U64, disk, 0)    /* cores: the id of the disk, which is what holds a voter */ \
-    X(FLAG, empty, 0)  /* cores: the disk has never been part of a cluster */       \
+#define MEMBER_FIELDS(X)                                                                  \
+    X(TXT, id, 0) /* the name; for a controller, the name and its disk's id */            \
+    X(TXT, name, 0)                                                                       \
+    X(U64, role, 0)                                                                       \
+    X(TXT, zone, 0)                                                                       \
+    X(TXT, address, 0) /* where peers ask it */                                           \
+    X(TXT, http, 0)    /* where callers ask it */                                         \
+    X(U64, incarnation, 0)                                                                \
+    X(U64, tick, 0)    /* grows while it lives */                                         \
+    X(U64, cluster, 0) /* 0: it knows none */                                             \
+    X(U64, disk, 0)    /* controllers: the id of the disk, which is what holds a voter */ \
+    X(FLAG, empty, 0)  /* controllers: the disk has never been part of a cluster */       \
     X(FLAG, leaving, 0)
 SHAPE(MemberRecord, MEMBER_FIELDS)
 
@@ -44,7 +44,7 @@
     X(TXT, leader_id, 0)
 SHAPE(Hello, HELLO_FIELDS)
 
-/* A core with an empty disk asks a seed for its vote to found the cluster, or
+/* A controller with an empty disk asks a seed for its vote to found the cluster, or
  * gives it back. round: grows with each time that it stands. */
 #define VOTE_ASK_FIELDS(X) \
     X(U64, disk, 0)        \
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -81,13 +81,13 @@
     return strcmp(record->id, members->self.id) == 0;
 }
 
-/* A core of the same name with another disk, as this one's; the count when there is none. */
+/* A controller of the same name with another disk, as this one's; the count when there is none. */
 static size_t row_named(const Members *members, const MemberRecord *record)
 {
     size_t at = 0;
     while (at < members->table->count) {
         const MemberRecord *row = &members->table->rows[at].record;
-        if (row->role == ROLE_CORE && row->disk != record->disk && strcmp(row->name, record->name) == 0)
+        if (row->role == ROLE_CONTROLLER && row->disk != record->disk && strcmp(row->name, record->name) == 0)
             break;
         at++;
     }
@@ -102,7 +102,7 @@
     if (record->id[0] == '\0' || record->role >= ROLE_COUNT || strlen(record->id) > ID_MAX)
         return;
     const bool mine = record->role == members->self.role && strcmp(record->name, members->self.name) == 0;
-    if (is_self(members, record) || (mine && record->role == ROLE_CORE)) {
+    if (is_self(members, record) || (mine && record->role == ROLE_CONTROLLER)) {
         /* somebody remembers an earlier life of ours, or of this place: be newer than that */
         if (record->incarnation > members->self.incarnation ||
             (record->incarnation == members->self.incarnation && !is_self(members, record)))
@@ -112,7 +112,7 @@
     }
     bool found;
     size_t at = row_place(members, record->id, &found);
-    if (!found && record->role == ROLE_CORE) {
+    if (!found && record->role == ROLE_CONTROLLER) {
         const size_t other = row_named(members, record);
         if (other < members->table->count) {
             if (members->table->rows[other].record.incarnation >= record->incarnation)
@@ -124,8 +124,8 @@
     }
     if (!found && members->table->count >= MEMBERS_MAX)
         return;
-    /* cores find each other at once: a voter may be waiting for this one */
-    if (!found && !direct && record->role == ROLE_CORE && members->self.role == ROLE_CORE)
+    /* controllers find each other at once: a voter may be waiting for this one */
+    if (!found && !direct && record->role == ROLE_CONTROLLER && members->self.role == ROLE_CONTROLLER)
         greet(members, record->address);
     Member *row = found ? &rows_of(members)[at] : row_add(members, at, record);
     if (found && newer(record, &row->record)) {
@@ -189,7 +189,7 @@
 {
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
-        if (row->record.role == ROLE_CORE && row->record.disk != disk && row->direct_ms != INT64_MIN &&
+        if (row->record.role == ROLE_CONTROLLER && row->record.disk != disk && row->direct_ms != INT64_MIN &&
             strcmp(row->record.name, name) == 0)
             return row;
     }
@@ -199,7 +199,7 @@
 const Member *members_find_disk(const Members *members, uint64_t disk)
 {
     for (size_t i = 0; i < members->table->count; i++)
-        if (members->table->rows[i].record.role == ROLE_CORE && members->table->rows[i].record.disk == disk)
+        if (members->table->rows[i].record.role == ROLE_CONTROLLER && members->table->rows[i].record.disk == disk)
             return &members->table->rows[i];
     return NULL;
 }
@@ -397,7 +397,7 @@
     }
 }
 
-/* A core asks every member in turn, each in a task of its own, so that those
+/* A controller asks every member in turn, each in a task of its own, so that those
  * that do not answer keep none waiting. */
 static void look_main(void *arg)
 {
@@ -445,7 +445,7 @@
         *seed = (SeedTask){members, (size_t)i};
         loop_spawn(members->loop, "seed", seed_main, seed);
     }
-    if (members->self.role == ROLE_CORE)
+    if (members->self.role == ROLE_CONTROLLER)
         loop_spawn(members->loop, "look", look_main, members);
     else
         loop_spawn(members->loop, "roam", roam_main, members);
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -19,7 +19,7 @@
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
         const bool self = strcmp(row->record.id, members->self.id) == 0;
-        if (row->record.role == ROLE_CORE && (self ? members->self.empty : row->record.empty) &&
+        if (row->record.role == ROLE_CONTROLLER && (self ? members->self.empty : row->record.empty) &&
             (self || !member_quiet(row, now_ms)) && (lowest == 0 || row->record.disk < lowest))
             lowest = row->record.disk;
     }
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -5,9 +5,9 @@
 
 #include "trouble.h"
 
-#define LOOK_MS 200      /* ms; between looks for jobs that stand still */
-#define CALM_END_MS 3500 /* ms; troubles are over so long before the closing fault or the end of traffic */
-#define CORE_GAP_MS 3000 /* ms; after a core's return has stopped to count as a loss */
+#define LOOK_MS 200            /* ms; between looks for jobs that stand still */
+#define CALM_END_MS 3500       /* ms; troubles are over so long before the closing fault or the end of traffic */
+#define CONTROLLER_GAP_MS 3000 /* ms; after a controller's return has stopped to count as a loss */
 
 static void begin(void *arg)
 {
@@ -49,17 +49,17 @@
         node_cut(leader, true);
 }
 
-/* Troubles of the core keep apart: no more is lost at once than is to be borne. */
+/* Troubles of the controller keep apart: no more is lost at once than is to be borne. */
 static bool fits(const Trouble *list, size_t count, const Trouble *one, const Site *site)
 {
-    const int64_t gap_ms = site->sync_ms + CORE_GAP_MS;
+    const int64_t gap_ms = site->sync_ms + CONTROLLER_GAP_MS;
     /* one zone is emptied at a time, too */
     for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].for_ms + site->ack_ms &&
             list[i].at_ms < one->at_ms + one->for_ms + site->ack_ms)
             return false;
-    for (size_t i = 0; i < count && trouble_core(one->kind); i++)
-        if (list[i].kind != TROUBLE_COUNT && trouble_core(list[i].kind) &&
+    for (size_t i = 0; i < count && trouble_controller(one->kind); i++)
+        if (list[i].kind != TROUBLE_COUNT && trouble_controller(list[i].kind) &&
             one->at_ms < list[i].at_ms + list[i].for_ms + gap_ms && list[i].at_ms < one->at_ms + one->for_ms + gap_ms)
             return false;
     return true;
@@ -82,7 +82,7 @@
             one->at_ms = dice_span(&dice, 1500, last_ms - 2000);
             one->for_ms = dice_span(&dice, 800, 7000);
             /* a loss counts for a while after the return: the closing fault may be the next */
-            const int64_t end_ms = last_ms - (trouble_core(one->kind) ? site->sync_ms : 0);
+            const int64_t end_ms = last_ms - (trouble_controller(one->kind) ? site->sync_ms : 0);
             if (one->at_ms + one->for_ms > end_ms)
                 one->for_ms = end_ms - one->at_ms;
             good = one->for_ms >= 500 && fits(list, i, one, site);
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -110,8 +110,8 @@
         ground->folder[0] = '\0';
     talloc_set_destructor(ground, ground_free);
     sim_delay(ground->world, 1, site->link_ms > 1 ? site->link_ms : 1);
-    for (int64_t i = 0; i < site->cores + site->spares; i++)
-        node_add(ground, false, true, i, i % site->zones)->used = i < site->cores;
+    for (int64_t i = 0; i < site->controllers + site->spares; i++)
+        node_add(ground, false, true, i, i % site->zones)->used = i < site->controllers;
     for (int64_t i = 0; i < site->gates; i++)
         node_add(ground, false, false, i, i % site->zones)->used = true;
     for (int64_t i = 0; i < site->hands; i++)
@@ -180,13 +180,13 @@
     Ground *ground = node->ground;
     Failure failure = {0};
     Loop *loop = sim_loop(ground->world, node->machine);
-    const CoreWatch watch = {node, on_plans};
+    const ControllerWatch watch = {node, on_plans};
     const Settings *settings = &node->place.settings;
     node->node = (AdapterNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
     recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_SETTINGS;
-    if (status == STATUS_OK && node->place.role == SETTINGS_CORE)
-        status = core_start(node->mem, loop, node->recorder, settings, &watch, &node->node.core, &failure);
+    if (status == STATUS_OK && node->place.role == SETTINGS_CONTROLLER)
+        status = controller_start(node->mem, loop, node->recorder, settings, &watch, &node->node.controller, &failure);
     else if (status == STATUS_OK && node->place.role == SETTINGS_GATE)
         status = gate_start(node->mem, loop, node->recorder, settings, &node->node.gate, &failure);
     else if (status == STATUS_OK)
@@ -224,7 +224,7 @@
 
 static void node_over(GroundNode *node)
 {
-    if (node->node.core != NULL)
+    if (node->node.controller != NULL)
         checker_leader_gone(node->ground->checker, node->name);
     node->node = (AdapterNode){0};
     node->up = node->leaving = false;
@@ -255,8 +255,8 @@
 {
     Rolling *rolling = arg;
     const AdapterNode *node = &rolling->node->node;
-    if (node->core != NULL)
-        core_drain(node->core);
+    if (node->controller != NULL)
+        controller_drain(node->controller);
     if (node->gate != NULL)
         gate_drain(node->gate);
     if (node->agent != NULL)
@@ -307,8 +307,8 @@
     ground->any_ms = ground->any_troubles > 0 ? INT64_MAX : now_ms;
     if (!node->disk)
         return;
-    ground->core_troubles += change;
-    ground->core_ms = ground->core_troubles > 0 ? INT64_MAX : now_ms;
+    ground->controller_troubles += change;
+    ground->controller_ms = ground->controller_troubles > 0 ? INT64_MAX : now_ms;
 }
 
 void ground_cut(GroundNode *a, GroundNode *b, bool cut)
@@ -362,7 +362,7 @@
         all += node->disk && node->used && !node->gone;
         running += node->disk && node->up && !node->gone;
     }
-    return running * 2 > all && since(ground->core_ms, ground_now_ms(ground), ground->site->contact_ms);
+    return running * 2 > all && since(ground->controller_ms, ground_now_ms(ground), ground->site->contact_ms);
 }
 
 bool node_in_touch(const GroundNode *node)
@@ -381,8 +381,8 @@
 {
     for (size_t i = 0; i < ground->edge_count; i++) {
         GroundNode *node = &ground->edges[i];
-        if (node->up && node->node.core != NULL && !sim_frozen(ground->world, node->machine) &&
-            replication_leading(core_view(node->node.core)))
+        if (node->up && node->node.controller != NULL && !sim_frozen(ground->world, node->machine) &&
+            replication_leading(controller_view(node->node.controller)))
             return node;
     }
     return NULL;
--- a/packages/model/src/ground.h
+++ b/packages/model/src/ground.h
@@ -46,8 +46,8 @@
     int64_t began_ms; /* traffic begins */
     GroundNode edges[EDGES_MAX], sides[SIDES_MAX];
     size_t edge_count, side_count;
-    int64_t core_ms; /* last trouble of the core, as trouble_ms */
-    int core_troubles;
+    int64_t controller_ms; /* last trouble of the controller, as trouble_ms */
+    int controller_troubles;
     int any_troubles;
     int64_t any_ms; /* of any machine or worker, beyond what is planned */
     bool loud;
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -49,7 +49,7 @@
     return ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
 }
 
-/* Within one stretch of a settled core and whole links it is acknowledged in time. */
+/* Within one stretch of a settled controller and whole links it is acknowledged in time. */
 static void ack_check(Ordering *ordering)
 {
     const Ground *ground = ordering->owner->ground;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -171,7 +171,7 @@
     if (status == STATUS_OK && site->kind_count == 0)
         tiles(site);
     if (status == STATUS_OK &&
-        (site->cores < 3 || site->hands < 1 || site->hands > 40 || site->cores + site->spares > 16 ||
+        (site->controllers < 3 || site->hands < 1 || site->hands > 40 || site->controllers + site->spares > 16 ||
          site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
         status = failure_set(failure, STATUS_BAD_SETTINGS,
                              "%s: there are too few machines, or more than the simulator holds", path);
