--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -8,7 +8,7 @@
 const char *trouble_name(TroubleKind kind)
 {
     static const char *const NAMES[] = {
-#define X(name, outside, core, planned, meaning) outside,
+#define X(name, outside, controller, planned, meaning) outside,
         TROUBLE_LIST(X)
 #undef X
     };
@@ -18,7 +18,7 @@
 const char *trouble_meaning(TroubleKind kind)
 {
     static const char *const MEANINGS[] = {
-#define X(name, outside, core, planned, meaning) meaning,
+#define X(name, outside, controller, planned, meaning) meaning,
         TROUBLE_LIST(X)
 #undef X
     };
@@ -33,14 +33,14 @@
     return (TroubleKind)kind;
 }
 
-bool trouble_core(TroubleKind kind)
+bool trouble_controller(TroubleKind kind)
 {
-    static const bool CORE[] = {
-#define X(name, outside, core, planned, meaning) core,
+    static const bool CONTROLLER[] = {
+#define X(name, outside, controller, planned, meaning) controller,
         TROUBLE_LIST(X)
 #undef X
     };
-    return CORE[kind];
+    return CONTROLLER[kind];
 }
 
 /* --- whom it strikes -------------------------------------------------------------------------- */
@@ -58,7 +58,7 @@
 }
 
 /* Half of the time the one that leads. */
-static GroundNode *core_draw(Trouble *trouble)
+static GroundNode *controller_draw(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
     GroundNode *leader = ground_leader(ground);
@@ -66,12 +66,12 @@
         return node_named(trouble);
     if (leader != NULL && dice_percent(&trouble->dice, 50))
         return leader;
-    GroundNode *cores[EDGES_MAX];
+    GroundNode *controllers[EDGES_MAX];
     int64_t count = 0;
     for (size_t i = 0; i < ground->edge_count; i++)
         if (ground->edges[i].disk && ground->edges[i].up && !ground->edges[i].gone)
-            cores[count++] = &ground->edges[i];
-    return count > 0 ? cores[dice_span(&trouble->dice, 0, count - 1)] : NULL;
+            controllers[count++] = &ground->edges[i];
+    return count > 0 ? controllers[dice_span(&trouble->dice, 0, count - 1)] : NULL;
 }
 
 static GroundNode *gate_draw(Trouble *trouble)
@@ -139,7 +139,7 @@
         node_start(node);
 }
 
-static void core_cut(Trouble *trouble, bool cut)
+static void controller_cut(Trouble *trouble, bool cut)
 {
     Ground *ground = trouble->day->ground;
     for (size_t i = 0; i < ground->edge_count && trouble->count > 0; i++)
@@ -287,25 +287,25 @@
     ground_say(ground, "%s %s%s", trouble_name(trouble->kind), node->name,
                node == ground_leader(ground) ? ", which leads" : "");
     switch (trouble->kind) {
-    case TROUBLE_CORE_KILL:
+    case TROUBLE_CONTROLLER_KILL:
     case TROUBLE_GATE_KILL:
         node_kill(node, false);
         break;
-    case TROUBLE_CORE_POWER:
+    case TROUBLE_CONTROLLER_POWER:
         node_kill(node, true);
         break;
-    case TROUBLE_CORE_WIPE:
+    case TROUBLE_CONTROLLER_WIPE:
         node_kill(node, true);
         sim_disk_wipe(ground->world, node->machine);
         break;
-    case TROUBLE_CORE_FREEZE:
+    case TROUBLE_CONTROLLER_FREEZE:
     case TROUBLE_GATE_FREEZE:
         node_freeze(node, trouble->for_ms);
         break;
-    case TROUBLE_CORE_CUT:
-        core_cut(trouble, true);
+    case TROUBLE_CONTROLLER_CUT:
+        controller_cut(trouble, true);
         break;
-    case TROUBLE_CORE_ALONE:
+    case TROUBLE_CONTROLLER_ALONE:
     case TROUBLE_GATE_CUT:
         node_cut(node, true);
         break;
@@ -313,7 +313,7 @@
         sim_disk_slow(ground->world, node->machine, dice_span(&trouble->dice, 20, 400));
         node_trouble(node, 1);
         break;
-    case TROUBLE_CORE_REPLACE:
+    case TROUBLE_CONTROLLER_REPLACE:
         replace(trouble);
         break;
     default:
@@ -363,15 +363,15 @@
 void trouble_begin(Trouble *trouble)
 {
     switch (trouble->kind) {
-    case TROUBLE_CORE_KILL:
-    case TROUBLE_CORE_POWER:
-    case TROUBLE_CORE_FREEZE:
-    case TROUBLE_CORE_CUT:
-    case TROUBLE_CORE_ALONE:
+    case TROUBLE_CONTROLLER_KILL:
+    case TROUBLE_CONTROLLER_POWER:
+    case TROUBLE_CONTROLLER_FREEZE:
+    case TROUBLE_CONTROLLER_CUT:
+    case TROUBLE_CONTROLLER_ALONE:
     case TROUBLE_DISK_SLOW:
-    case TROUBLE_CORE_WIPE:
-    case TROUBLE_CORE_REPLACE:
-        strike_node(trouble, core_draw(trouble));
+    case TROUBLE_CONTROLLER_WIPE:
+    case TROUBLE_CONTROLLER_REPLACE:
+        strike_node(trouble, controller_draw(trouble));
         break;
     case TROUBLE_GATE_KILL:
     case TROUBLE_GATE_FREEZE:
@@ -460,19 +460,19 @@
     }
     GroundNode *node = trouble->count > 0 ? trouble->nodes[0] : NULL;
     switch (trouble->kind) {
-    case TROUBLE_CORE_KILL:
-    case TROUBLE_CORE_POWER:
-    case TROUBLE_CORE_WIPE:
+    case TROUBLE_CONTROLLER_KILL:
+    case TROUBLE_CONTROLLER_POWER:
+    case TROUBLE_CONTROLLER_WIPE:
     case TROUBLE_GATE_KILL:
     case TROUBLE_ACK_POWER:
     case TROUBLE_ACK_WIPE:
         if (node != NULL)
             again(node);
         break;
-    case TROUBLE_CORE_CUT:
-        core_cut(trouble, false);
+    case TROUBLE_CONTROLLER_CUT:
+        controller_cut(trouble, false);
         break;
-    case TROUBLE_CORE_ALONE:
+    case TROUBLE_CONTROLLER_ALONE:
     case TROUBLE_GATE_CUT:
         if (node != NULL)
             node_cut(node, false);
--- a/packages/model/src/trouble.h
+++ b/packages/model/src/trouble.h
@@ -4,46 +4,46 @@
 #include "model/model.h"
 #include "operator.h"
 
-/* What may befall a day. Where CORE is set at most the losses that are to be borne
- * are in it at once. X(name, core, planned, meaning) */
-#define TROUBLE_LIST(X)                                                                         \
-    X(CORE_KILL, "coreKill", true, false, "a core's process is killed")                         \
-    X(CORE_POWER, "corePower", true, false, "a core loses power")                               \
-    X(CORE_FREEZE, "coreFreeze", true, false, "a core stands still")                            \
-    X(CORE_CUT, "coreCut", true, false, "a core is cut off from the other cores")               \
-    X(CORE_ALONE, "coreAlone", true, false, "a core is cut off from all")                       \
-    X(DISK_SLOW, "diskSlow", true, false, "a core's disk is slow")                              \
-    X(CORE_WIPE, "coreWipe", true, false, "a core returns with an empty disk")                  \
-    X(CORE_REPLACE, "coreReplace", true, false, "a core is replaced by an empty one elsewhere") \
-    X(ACK_POWER, "ackPower", true, false, "whoever acknowledged something loses power")         \
-    X(ACK_WIPE, "ackWipe", true, false, "... and its disk")                                     \
-    X(ZONE_OFF, "zoneOff", true, false, "a zone loses power")                                   \
-    X(GATE_KILL, "gateKill", false, false, "a gate's process is killed")                        \
-    X(GATE_FREEZE, "gateFreeze", false, false, "a gate stands still")                           \
-    X(GATE_CUT, "gateCut", false, false, "a gate is cut off")                                   \
-    X(SIDE_KILL, "sideKill", false, false, "agents are killed")                                 \
-    X(SIDE_FREEZE, "sideFreeze", false, false, "agents stand still")                            \
-    X(SIDE_CUT, "sideCut", false, false, "agents are cut off, their workers run on")            \
-    X(SIDE_OFF, "sideOff", false, false, "machines with worker and agent lose power")           \
-    X(HAND_CRASH, "handCrash", false, false, "workers crash and come back")                     \
-    X(HAND_GONE, "handGone", false, false, "workers are lost for good")                         \
-    X(HAND_SLOW, "handSlow", false, false, "workers turn slow")                                 \
-    X(HAND_GREY, "handGrey", false, false, "workers fail part of what they run")                \
-    X(HAND_HANG, "handHang", false, false, "nothing on some workers comes forward")             \
-    X(HAND_LEAVE, "handLeave", false, true, "workers leave in order")                           \
-    X(HAND_SPOT, "handSpot", false, false, "workers leave at short notice")                     \
-    X(BURST, "burst", false, false, "many jobs of a kind come at once")                         \
-    X(POISON, "poison", false, true, "jobs come that can never be done")                        \
-    X(ROLL, "roll", true, true, "machines are stopped and started in turn")                     \
-    X(CHANGE, "change", false, true, "the document changes")                                    \
-    X(STORM, "storm", false, true, "documents come in quick succession")                        \
-    X(RACE, "race", false, true, "two operators change it at once")                             \
-    X(SPOILT, "spoilt", false, true, "invalid documents are sent")                              \
-    X(BIG, "big", false, true, "the document grows")                                            \
+/* What may befall a day. Where CONTROLLER is set at most the losses that are to be borne
+ * are in it at once. X(name, controller, planned, meaning) */
+#define TROUBLE_LIST(X)                                                                               \
+    X(CONTROLLER_KILL, "coreKill", true, false, "a core's process is killed")                         \
+    X(CONTROLLER_POWER, "corePower", true, false, "a core loses power")                               \
+    X(CONTROLLER_FREEZE, "coreFreeze", true, false, "a core stands still")                            \
+    X(CONTROLLER_CUT, "coreCut", true, false, "a core is cut off from the other cores")               \
+    X(CONTROLLER_ALONE, "coreAlone", true, false, "a core is cut off from all")                       \
+    X(DISK_SLOW, "diskSlow", true, false, "a core's disk is slow")                                    \
+    X(CONTROLLER_WIPE, "coreWipe", true, false, "a core returns with an empty disk")                  \
+    X(CONTROLLER_REPLACE, "coreReplace", true, false, "a core is replaced by an empty one elsewhere") \
+    X(ACK_POWER, "ackPower", true, false, "whoever acknowledged something loses power")               \
+    X(ACK_WIPE, "ackWipe", true, false, "... and its disk")                                           \
+    X(ZONE_OFF, "zoneOff", true, false, "a zone loses power")                                         \
+    X(GATE_KILL, "gateKill", false, false, "a gate's process is killed")                              \
+    X(GATE_FREEZE, "gateFreeze", false, false, "a gate stands still")                                 \
+    X(GATE_CUT, "gateCut", false, false, "a gate is cut off")                                         \
+    X(SIDE_KILL, "sideKill", false, false, "agents are killed")                                       \
+    X(SIDE_FREEZE, "sideFreeze", false, false, "agents stand still")                                  \
+    X(SIDE_CUT, "sideCut", false, false, "agents are cut off, their workers run on")                  \
+    X(SIDE_OFF, "sideOff", false, false, "machines with worker and agent lose power")                 \
+    X(HAND_CRASH, "handCrash", false, false, "workers crash and come back")                           \
+    X(HAND_GONE, "handGone", false, false, "workers are lost for good")                               \
+    X(HAND_SLOW, "handSlow", false, false, "workers turn slow")                                       \
+    X(HAND_GREY, "handGrey", false, false, "workers fail part of what they run")                      \
+    X(HAND_HANG, "handHang", false, false, "nothing on some workers comes forward")                   \
+    X(HAND_LEAVE, "handLeave", false, true, "workers leave in order")                                 \
+    X(HAND_SPOT, "handSpot", false, false, "workers leave at short notice")                           \
+    X(BURST, "burst", false, false, "many jobs of a kind come at once")                               \
+    X(POISON, "poison", false, true, "jobs come that can never be done")                              \
+    X(ROLL, "roll", true, true, "machines are stopped and started in turn")                           \
+    X(CHANGE, "change", false, true, "the document changes")                                          \
+    X(STORM, "storm", false, true, "documents come in quick succession")                              \
+    X(RACE, "race", false, true, "two operators change it at once")                                   \
+    X(SPOILT, "spoilt", false, true, "invalid documents are sent")                                    \
+    X(BIG, "big", false, true, "the document grows")                                                  \
     X(ZONE_DRAIN, "zoneDrain", false, true, "a zone is emptied and taken back")
 
 typedef enum TroubleKind {
-#define X(name, outside, core, planned, meaning) TROUBLE_##name,
+#define X(name, outside, controller, planned, meaning) TROUBLE_##name,
     TROUBLE_LIST(X)
 #undef X
         TROUBLE_COUNT
@@ -78,7 +78,7 @@
     const char *zone;
 } Trouble;
 
-bool trouble_core(TroubleKind kind);
+bool trouble_controller(TroubleKind kind);
 void trouble_begin(Trouble *trouble);
 void trouble_end(Trouble *trouble);
 
--- a/packages/props/include/props/props.h
+++ b/packages/props/include/props/props.h
@@ -12,14 +12,14 @@
     const char *listen; /* address for peers */
     const char *http;   /* address for callers */
     const char *seeds[SEEDS];
-    const char *data;   /* cores: the folder of the journal */
+    const char *data;   /* controllers: the folder of the journal */
     const char *worker; /* agents: the worker it is beside; the name when not given */
     RecorderLevel log;  /* lines below it are only kept in memory */
     Bounds bounds;      /* whoever fills in a Settings begins with bounds_first */
 } Settings;
 
 /* Which keys a role must have; others are refused. */
-typedef enum SettingsRole { SETTINGS_CORE, SETTINGS_GATE, SETTINGS_AGENT } SettingsRole;
+typedef enum SettingsRole { SETTINGS_CONTROLLER, SETTINGS_GATE, SETTINGS_AGENT } SettingsRole;
 
 /* Reads an ini file (group [spancart]). BAD_SETTINGS with the key's name. */
 Status settings_read(void *mem, const char *path, SettingsRole role, Settings *settings, Failure *failure);
--- a/packages/props/src/props.c
+++ b/packages/props/src/props.c
@@ -97,9 +97,9 @@
         status = need("http", settings->http, true, failure);
     for (int i = 0; i < SEEDS && status == STATUS_OK; i++)
         status = need("seeds", settings->seeds[i], true, failure);
-    if (status == STATUS_OK && role == SETTINGS_CORE)
+    if (status == STATUS_OK && role == SETTINGS_CONTROLLER)
         status = need("data", settings->data, false, failure);
-    if (status == STATUS_OK && role != SETTINGS_CORE && settings->data != NULL)
+    if (status == STATUS_OK && role != SETTINGS_CONTROLLER && settings->data != NULL)
         status = failure_set(failure, STATUS_BAD_SETTINGS, "data: only a core has a disk");
     if (status == STATUS_OK && role != SETTINGS_AGENT && settings->worker != NULL)
         status = failure_set(failure, STATUS_BAD_SETTINGS, "worker: only an agent stands beside one");
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -214,7 +214,7 @@
     if (x->candidate.restart != y->candidate.restart)
         return x->candidate.restart ? -1 : 1;
     if (x->candidate.restart) {
-        const Room unit = {1000, 2000, 1}; /* a core weighs as much as 2 GB, and as a GPU */
+        const Room unit = {1000, 2000, 1}; /* a controller weighs as much as 2 GB, and as a GPU */
         const Room *p = &x->candidate.job->spec.steps[x->candidate.job->tasks[x->candidate.first].step].room;
         const Room *q = &y->candidate.job->spec.steps[y->candidate.job->tasks[y->candidate.first].step].room;
         const uint64_t s = part_of(*p, unit), t = part_of(*q, unit);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -13,23 +13,23 @@
 
 /* A whole fleet in a world, watched by a checker. */
 typedef struct FleetShape {
-    int cores, gates, workers; /* each worker has an agent on a machine of its own */
+    int controllers, gates, workers; /* each worker has an agent on a machine of its own */
     Mix mix;
-    int spares; /* cores beyond the others, not started with them; they know gates as seeds too */
+    int spares; /* controllers beyond the others, not started with them; they know gates as seeds too */
 } FleetShape;
 
 /* Where a fleet stands, when it is not the product's usual three zones. */
 typedef struct FleetSite {
     int zones;      /* 2 to 4; node N of a role stands in zone N modulo this */
     int losses;     /* disk machines that may be lost at once */
-    int gate_seeds; /* so many of the three seeds are gates, the others cores */
+    int gate_seeds; /* so many of the three seeds are gates, the others controllers */
     bool votes;     /* founded by the seeds' votes; a process started again founds nothing */
     bool disks_keep;
     int64_t voter_back_ms;
     int64_t stagger_ms; /* processes start at moments drawn from so long a span */
 } FleetSite;
 
-typedef enum FleetRole { FLEET_CORE, FLEET_GATE, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
+typedef enum FleetRole { FLEET_CONTROLLER, FLEET_GATE, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
 
 typedef struct FleetNode {
     struct Fleet *fleet;
@@ -38,7 +38,7 @@
     int machine;
     Settings settings;
     void *mem;
-    Core *core;
+    Controller *controller;
     Gate *gate;
     Agent *agent;
     StandWorker *worker;
@@ -78,18 +78,18 @@
 void fleet_isolate(Fleet *fleet, FleetRole role, int number, bool cut);
 /* Cuts a zone off from the others. */
 void fleet_zone_cut(Fleet *fleet, const char *zone, bool cut);
-int fleet_leader(const Fleet *fleet); /* number of the core that leads now; -1 */
+int fleet_leader(const Fleet *fleet); /* number of the controller that leads now; -1 */
 const Job *fleet_job(const Fleet *fleet, const char *id);
 /* Runs on for so long. */
 void fleet_run(Fleet *fleet, int64_t for_ms);
-/* Runs until a core leads and all workers are ready, at most so long. */
+/* Runs until a controller leads and all workers are ready, at most so long. */
 bool fleet_settle(Fleet *fleet, int64_t most_ms);
-/* Whether callers of the gate can be served now: it is up, and two cores with a
+/* Whether callers of the gate can be served now: it is up, and two controllers with a
  * voter are, with working disks, each reaching the other and the gate. */
 bool fleet_servable(const Fleet *fleet, int gate);
-/* Cores that run, hold a voter and have a working disk. */
+/* Controllers that run, hold a voter and have a working disk. */
 int fleet_voters(const Fleet *fleet);
-/* Workers that could take work: up with their agents, and those reach such cores. */
+/* Workers that could take work: up with their agents, and those reach such controllers. */
 int fleet_workable(const Fleet *fleet);
 /* Sets the mix's configuration; runs until it is told. */
 bool fleet_configure(Fleet *fleet);
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -5,9 +5,9 @@
 
 #define SWEEP_STEPS_MAX 128 /* count; failures of one run */
 
-/* Where the fleet of a run stands. PLAIN: the product's three cores in three zones.
+/* Where the fleet of a run stands. PLAIN: the product's three controllers in three zones.
  * Others: founded by votes on disks that keep what they synced; two spares more for
- * each core that may be lost. */
+ * each controller that may be lost. */
 #define SWEEP_SITE_LIST(X) \
     X(PLAIN, "plain")      \
     X(THREE, "three")      \
--- a/packages/sim/include/sim/timeline.h
+++ b/packages/sim/include/sim/timeline.h
@@ -11,15 +11,15 @@
  *     9000   !leads        runs        .
  *     20000  .             .           end+gap<6000
  *
- * Columns: leader (the core that leads when the timeline begins), second and
- * third (the other cores in order), core1.., gate1.., agent1.., worker1..,
+ * Columns: leader (the controller that leads when the timeline begins), second and
+ * third (the other controllers in order), core1.., gate1.., agent1.., worker1..,
  * ring of a zone (zone:north), callers. A cell is "." or actions and claims
  * joined by "+". Times count from the beginning of the timeline, which is when
  * the fleet has settled and has its configuration.
  *
  * Actions on nodes: kill, start, roll (drain, end, start), off (power), wipe (an empty disk), freeze:MS,
  * cut, join, cut>COLUMN and join>COLUMN (one way), slow:MS (syncs), lie, honest,
- * blind, sees (cut off from all gates and agents, not from cores), diskfails, diskworks, jump:MS (wall clock),
+ * blind, sees (cut off from all gates and agents, not from controllers), diskfails, diskworks, jump:MS (wall clock),
  * rate:PERCENT (of its own clock: a machine nobody may trust), leave (a worker), fails, heals (a worker fails every
  * task). On a zone: kill, start, off, cut, join, drain, back. On callers: call:N (jobs a second) or call:N/MS, cancel
  * (all that was handed in), end (until every accepted job has ended), links:MS (each frame takes up to so long).
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -38,12 +38,12 @@
 const Job *fleet_job(const Fleet *fleet, const char *id)
 {
     const Job *found = NULL;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (!node->up || node->core == NULL)
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
+        if (!node->up || node->controller == NULL)
             continue;
-        const Job *job = table_job(core_table(node->core), id);
-        if (job != NULL && (found == NULL || replication_leading(core_view(node->core))))
+        const Job *job = table_job(controller_table(node->controller), id);
+        if (job != NULL && (found == NULL || replication_leading(controller_view(node->controller))))
             found = job;
     }
     return found;
@@ -88,7 +88,7 @@
 {
     const int gates = fleet->site.gate_seeds;
     return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].settings.listen
-                          : fleet->nodes[FLEET_CORE][(number - gates) % fleet->shape.cores].settings.listen;
+                          : fleet->nodes[FLEET_CONTROLLER][(number - gates) % fleet->shape.controllers].settings.listen;
 }
 
 Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
@@ -99,8 +99,8 @@
     fleet->site = *site;
     const CheckerSettings settings = {fleet, world_now, worker_frozen, job_of, world_wall};
     fleet->checker = checker_new(fleet, &settings);
-    for (int i = 0; i < shape.cores + shape.spares; i++)
-        node_add(fleet, FLEET_CORE)->settings.data = "data";
+    for (int i = 0; i < shape.controllers + shape.spares; i++)
+        node_add(fleet, FLEET_CONTROLLER)->settings.data = "data";
     for (int i = 0; i < shape.gates; i++)
         node_add(fleet, FLEET_GATE);
     for (int i = 0; i < shape.workers; i++) {
@@ -127,9 +127,10 @@
             for (int s = 0; s < SEEDS; s++)
                 fleet->nodes[role][i].settings.seeds[s] = seed_of(fleet, s);
     /* the seeds have changed hands by the time that a spare comes */
-    for (int i = shape.cores; i < fleet->node_count[FLEET_CORE]; i++)
+    for (int i = shape.controllers; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         for (int s = 0; s < SEEDS; s++)
-            fleet->nodes[FLEET_CORE][i].settings.seeds[s] = fleet->nodes[FLEET_GATE][s % shape.gates].settings.listen;
+            fleet->nodes[FLEET_CONTROLLER][i].settings.seeds[s] =
+                fleet->nodes[FLEET_GATE][s % shape.gates].settings.listen;
     return fleet;
 }
 
@@ -144,11 +145,11 @@
     Loop *loop = sim_loop(node->fleet->world, node->machine);
     Failure failure = {0};
     Status status = STATUS_OK;
-    const CoreWatch watch = fleet_core_watch(node);
+    const ControllerWatch watch = fleet_controller_watch(node);
     recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
     switch (node->role) {
-    case FLEET_CORE:
-        status = core_start(loop, loop, node->recorder, &node->settings, &watch, &node->core, &failure);
+    case FLEET_CONTROLLER:
+        status = controller_start(loop, loop, node->recorder, &node->settings, &watch, &node->controller, &failure);
         break;
     case FLEET_GATE:
         status = gate_start(loop, loop, node->recorder, &node->settings, &node->gate, &failure);
@@ -168,7 +169,7 @@
 static void node_start(void *arg, Loop *loop)
 {
     FleetNode *node = arg;
-    node->core = NULL;
+    node->controller = NULL;
     node->gate = NULL;
     node->agent = NULL;
     node->worker = NULL;
@@ -203,7 +204,7 @@
 {
     sim_start(fleet->world, fleet->caller, empty_start, fleet);
     for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->node_count[role] - (role == FLEET_CORE ? fleet->shape.spares : 0); i++)
+        for (int i = 0; i < fleet->node_count[role] - (role == FLEET_CONTROLLER ? fleet->shape.spares : 0); i++)
             if (fleet->site.stagger_ms > 0)
                 sim_at(fleet->world,
                        sim_now_ms(fleet->world) +
@@ -215,10 +216,10 @@
 
 int fleet_leader(const Fleet *fleet)
 {
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (node->up && node->core != NULL && !sim_frozen(fleet->world, node->machine) &&
-            replication_leading(core_view(node->core)))
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
+        if (node->up && node->controller != NULL && !sim_frozen(fleet->world, node->machine) &&
+            replication_leading(controller_view(node->controller)))
             return i;
     }
     return -1;
@@ -241,7 +242,8 @@
         return false;
     void *mem = talloc_new(NULL);
     const Worker **workers;
-    const size_t count = table_workers(core_table(fleet->nodes[FLEET_CORE][leader].core), mem, &workers);
+    const size_t count =
+        table_workers(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), mem, &workers);
     talloc_free(mem);
     return count == (size_t)fleet->node_count[FLEET_WORKER];
 }
--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -4,7 +4,7 @@
 #include "sim/fleet.h"
 
 /* Who listens to a node or to callers on behalf of the fleet's checker. */
-CoreWatch fleet_core_watch(FleetNode *node);
+ControllerWatch fleet_controller_watch(FleetNode *node);
 StandWorkerWatch fleet_worker_watch(FleetNode *node);
 CallerWatch fleet_caller_watch(Fleet *fleet);
 
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -18,8 +18,8 @@
 
 static void drain(FleetNode *node)
 {
-    if (node->core != NULL)
-        core_drain(node->core);
+    if (node->controller != NULL)
+        controller_drain(node->controller);
     else if (node->gate != NULL)
         gate_drain(node->gate);
     else if (node->agent != NULL)
@@ -57,7 +57,7 @@
 
 static void node_gone(FleetNode *node)
 {
-    node->core = NULL;
+    node->controller = NULL;
     node->worker = NULL;
     node->up = false;
     /* the first start of all is over for it */
@@ -65,7 +65,7 @@
         node->settings.bounds.founds = 0;
     if (node->role == FLEET_WORKER)
         checker_worker_gone(node->fleet->checker, node->settings.name);
-    if (node->role == FLEET_CORE)
+    if (node->role == FLEET_CONTROLLER)
         checker_leader_gone(node->fleet->checker, node->settings.name);
 }
 
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -73,9 +73,9 @@
     checker_cancelled(((Fleet *)arg)->checker, id);
 }
 
-CoreWatch fleet_core_watch(FleetNode *node)
+ControllerWatch fleet_controller_watch(FleetNode *node)
 {
-    return (CoreWatch){node, on_plans};
+    return (ControllerWatch){node, on_plans};
 }
 
 StandWorkerWatch fleet_worker_watch(FleetNode *node)
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -13,38 +13,38 @@
     return sim_alive(fleet->world, node->machine) && !sim_frozen(fleet->world, node->machine) && node->up;
 }
 
-/* The list of voters as the running core that is furthest has it. */
+/* The list of voters as the running controller that is furthest has it. */
 static size_t voters_now(const Fleet *fleet, uint64_t voters[VOTER_MOST])
 {
     uint64_t furthest = 0;
     size_t count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (!runs(fleet, node) || node->core == NULL)
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
+        if (!runs(fleet, node) || node->controller == NULL)
             continue;
         ReplicationStatus sight;
-        replication_status(core_view(node->core), &sight);
+        replication_status(controller_view(node->controller), &sight);
         if (count > 0 && sight.commit_index <= furthest)
             continue;
         furthest = sight.commit_index;
-        count = replication_voters(core_view(node->core), voters);
+        count = replication_voters(controller_view(node->controller), voters);
     }
     return count;
 }
 
-/* Cores that run, hold a voter, and have a working disk; needed: so many decide. */
+/* Controllers that run, hold a voter, and have a working disk; needed: so many decide. */
 static int voters_good(const Fleet *fleet, const FleetNode **good, int *needed)
 {
     uint64_t voters[VOTER_MOST] = {0};
     const size_t voter_count = voters_now(fleet, voters);
     int count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const FleetNode *node = &fleet->nodes[FLEET_CORE][i];
-        if (!runs(fleet, node) || node->core == NULL || !sim_disk_good(fleet->world, node->machine, DISK_GOOD_MS))
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
+        if (!runs(fleet, node) || node->controller == NULL || !sim_disk_good(fleet->world, node->machine, DISK_GOOD_MS))
             continue;
         bool seated = false;
         for (size_t s = 0; s < voter_count; s++)
-            seated |= voters[s] == replication_disk(core_view(node->core));
+            seated |= voters[s] == replication_disk(controller_view(node->controller));
         if (seated)
             good[count++] = node;
     }
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -68,10 +68,11 @@
 
 FleetNode *sweep_any(Sweep *sweep)
 {
-    static const FleetRole ROLES[] = {FLEET_CORE, FLEET_CORE, FLEET_CORE, FLEET_GATE, FLEET_AGENT, FLEET_WORKER};
+    static const FleetRole ROLES[] = {FLEET_CONTROLLER, FLEET_CONTROLLER, FLEET_CONTROLLER,
+                                      FLEET_GATE,       FLEET_AGENT,      FLEET_WORKER};
     FleetNode *node = sweep_node(sweep, ROLES[sweep_draw(sweep, 6)]);
     if (sweep->liars && (node->role == FLEET_GATE || node->role == FLEET_AGENT))
-        node = sweep_node(sweep, FLEET_CORE);
+        node = sweep_node(sweep, FLEET_CONTROLLER);
     return node;
 }
 
@@ -83,7 +84,7 @@
             if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
                 checker_leaving(fleet->checker, fleet->nodes[role][i].settings.name, false);
             /* a spare comes only in another's place */
-            if (role != FLEET_CORE || i < fleet->shape.cores || fleet->nodes[role][i].recorder != NULL)
+            if (role != FLEET_CONTROLLER || i < fleet->shape.controllers || fleet->nodes[role][i].recorder != NULL)
                 fleet_start_node(fleet, (FleetRole)role, i);
         }
 }
@@ -101,13 +102,13 @@
     Fleet *fleet = sweep->fleet;
     sweep_join_all(sweep);
     sim_delay(fleet->world, 1, 3);
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        sim_disk_slow(fleet->world, fleet->nodes[FLEET_CORE][i].machine, 3);
-        sim_disk_lie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
-        if (!sim_disk_good(fleet->world, fleet->nodes[FLEET_CORE][i].machine, INT64_MAX)) {
-            /* a core whose disk has failed leads no more until it is started anew */
-            sim_disk_fail(fleet->world, fleet->nodes[FLEET_CORE][i].machine, false);
-            fleet_kill(fleet, FLEET_CORE, i);
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        sim_disk_slow(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, 3);
+        sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
+        if (!sim_disk_good(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, INT64_MAX)) {
+            /* a controller whose disk has failed leads no more until it is started anew */
+            sim_disk_fail(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, false);
+            fleet_kill(fleet, FLEET_CONTROLLER, i);
         }
     }
     for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++) {
@@ -195,7 +196,7 @@
     }
 }
 
-/* What every gate and core that is up says of itself at the end of a broken run. */
+/* What every gate and controller that is up says of itself at the end of a broken run. */
 static void tell_self(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
@@ -213,7 +214,7 @@
 {
     Fleet *fleet = sweep->fleet;
     fleet_dump(fleet);
-    tell_self(fleet, FLEET_CORE);
+    tell_self(fleet, FLEET_CONTROLLER);
     tell_self(fleet, FLEET_GATE);
     for (int c = 0; c < fleet->caller_count; c++) {
         CallerJob *const *jobs;
@@ -236,7 +237,7 @@
 {
     void *mem = talloc_new(NULL);
     Sweep *sweep = talloc_zero(mem, Sweep);
-    static const int CORES[] = {3, 3, 6, 8};
+    static const int CONTROLLERS[] = {3, 3, 6, 8};
     static const FleetSite SITES[] = {
         {.zones = 3, .losses = 1},
         {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000, .stagger_ms = 500},
@@ -250,10 +251,10 @@
         {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
     };
     const FleetSite *site = &SITES[settings->site];
-    Fleet *fleet = fleet_new_at(
-        mem, settings->seed,
-        (FleetShape){CORES[settings->site], settings->mix == MIX_ATLAS ? 4 : 3, 11, settings->mix, 2 * site->losses},
-        site);
+    Fleet *fleet = fleet_new_at(mem, settings->seed,
+                                (FleetShape){CONTROLLERS[settings->site], settings->mix == MIX_ATLAS ? 4 : 3, 11,
+                                             settings->mix, 2 * site->losses},
+                                site);
     sweep->fleet = fleet;
     sweep->loud = settings->loud;
     sweep->jumped = -1;
@@ -268,8 +269,8 @@
         if (settings->mix == MIX_VARIED)
             checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
         sweep->start_ms = sim_now_ms(fleet->world);
-        for (int i = 0; i < fleet->shape.cores && sweep->liars; i++)
-            sim_disk_lie(fleet->world, fleet->nodes[FLEET_CORE][i].machine, true);
+        for (int i = 0; i < fleet->shape.controllers && sweep->liars; i++)
+            sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, true);
         const bool sparse = settings->seed % 2 == 0;
         fleet_call(fleet, "s", sparse ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
         probes_start(fleet, sparse ? 400 : 900);
--- a/packages/sim/src/sweepact.h
+++ b/packages/sim/src/sweepact.h
@@ -5,34 +5,34 @@
 #include "sim/sweep.h"
 
 /* Kinds of failures and how often each is drawn among all. */
-#define SWEEP_ACT_LIST(X)                   \
-    X(kill, "Kill", 12)                     \
-    X(power_off, "PowerOff", 6)             \
-    X(freeze, "Freeze", 12)                 \
-    X(cut_off, "CutOff", 5)                 \
-    X(cut_one_way, "CutOneWay", 6)          \
-    X(flap, "Flap", 4)                      \
-    X(join_all, "JoinAll", 6)               \
-    X(start_all, "StartAll", 6)             \
-    X(disk_slow, "DiskSlow", 5)             \
-    X(disk_fails, "DiskFails", 3)           \
-    X(disk_spoilt, "DiskSpoilt", 3)         \
-    X(clock_jump, "ClockJump", 5)           \
-    X(zone_off, "ZoneOff", 2)               \
-    X(zone_cut, "ZoneCut", 2)               \
-    X(store_gone, "StoreGone", 2)           \
-    X(all_killed, "AllKilled", 1)           \
-    X(core_replaced, "CoreReplaced", 2)     \
-    X(links_slow, "LinksSlow", 3)           \
-    X(config, "Config", 8)                  \
-    X(config_race, "ConfigRace", 4)         \
-    X(config_refused, "ConfigRefused", 3)   \
-    X(quota, "Quota", 3)                    \
-    X(cancel, "Cancel", 8)                  \
-    X(drain, "Drain", 4)                    \
-    X(worker_leaves, "WorkerLeaves", 5)     \
-    X(worker_sick, "WorkerSick", 5)         \
-    X(worker_restarts, "WorkerRestarts", 4) \
+#define SWEEP_ACT_LIST(X)                     \
+    X(kill, "Kill", 12)                       \
+    X(power_off, "PowerOff", 6)               \
+    X(freeze, "Freeze", 12)                   \
+    X(cut_off, "CutOff", 5)                   \
+    X(cut_one_way, "CutOneWay", 6)            \
+    X(flap, "Flap", 4)                        \
+    X(join_all, "JoinAll", 6)                 \
+    X(start_all, "StartAll", 6)               \
+    X(disk_slow, "DiskSlow", 5)               \
+    X(disk_fails, "DiskFails", 3)             \
+    X(disk_spoilt, "DiskSpoilt", 3)           \
+    X(clock_jump, "ClockJump", 5)             \
+    X(zone_off, "ZoneOff", 2)                 \
+    X(zone_cut, "ZoneCut", 2)                 \
+    X(store_gone, "StoreGone", 2)             \
+    X(all_killed, "AllKilled", 1)             \
+    X(controller_replaced, "CoreReplaced", 2) \
+    X(links_slow, "LinksSlow", 3)             \
+    X(config, "Config", 8)                    \
+    X(config_race, "ConfigRace", 4)           \
+    X(config_refused, "ConfigRefused", 3)     \
+    X(quota, "Quota", 3)                      \
+    X(cancel, "Cancel", 8)                    \
+    X(drain, "Drain", 4)                      \
+    X(worker_leaves, "WorkerLeaves", 5)       \
+    X(worker_sick, "WorkerSick", 5)           \
+    X(worker_restarts, "WorkerRestarts", 4)   \
     X(crowd, "Crowd", 2)
 
 typedef struct Sweep {
@@ -52,7 +52,7 @@
 uint64_t sweep_draw(Sweep *sweep, uint64_t below);
 void sweep_say(Sweep *sweep, const char *format, ...) __attribute__((format(printf, 2, 3)));
 FleetNode *sweep_node(Sweep *sweep, FleetRole role);
-/* A node that may be lost: any, or a core where disks lie. */
+/* A node that may be lost: any, or a controller where disks lie. */
 FleetNode *sweep_any(Sweep *sweep);
 void sweep_start_all(Sweep *sweep);
 void sweep_join_all(Sweep *sweep);
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweepnodes.c
@@ -11,12 +11,12 @@
 static int voters_alive(const Sweep *sweep)
 {
     int count = 0;
-    for (int i = 0; i < sweep->fleet->node_count[FLEET_CORE]; i++)
-        count += sim_alive(sweep->fleet->world, sweep->fleet->nodes[FLEET_CORE][i].machine);
+    for (int i = 0; i < sweep->fleet->node_count[FLEET_CONTROLLER]; i++)
+        count += sim_alive(sweep->fleet->world, sweep->fleet->nodes[FLEET_CONTROLLER][i].machine);
     return count;
 }
 
-/* Voters that the site wants and no running core with a good disk has. */
+/* Voters that the site wants and no running controller with a good disk has. */
 static int voters_missing(Sweep *sweep)
 {
     return 2 * sweep->fleet->site.losses + 1 - fleet_voters(sweep->fleet);
@@ -25,7 +25,8 @@
 void act_kill(Sweep *sweep)
 {
     FleetNode *node = sweep_any(sweep);
-    if (node->role == FLEET_CORE && voters_alive(sweep) < sweep->fleet->shape.cores && sweep_draw(sweep, 3) != 0)
+    if (node->role == FLEET_CONTROLLER && voters_alive(sweep) < sweep->fleet->shape.controllers &&
+        sweep_draw(sweep, 3) != 0)
         return;
     sweep_say(sweep, "kill %s", node->settings.name);
     fleet_kill(sweep->fleet, node->role, node->number);
@@ -36,8 +37,8 @@
     FleetNode *node = sweep_any(sweep);
     if (sweep->liars && sweep_draw(sweep, 2) == 0) {
         sweep_say(sweep, "power lost at all seats");
-        for (int i = 0; i < sweep->fleet->node_count[FLEET_CORE]; i++)
-            fleet_power_off(sweep->fleet, FLEET_CORE, i);
+        for (int i = 0; i < sweep->fleet->node_count[FLEET_CONTROLLER]; i++)
+            fleet_power_off(sweep->fleet, FLEET_CONTROLLER, i);
         fleet_run(sweep->fleet, (int64_t)sweep_draw(sweep, 1500));
         sweep_start_all(sweep);
         return;
@@ -71,7 +72,7 @@
 /* A link that comes and goes, both ways or one. */
 void act_flap(Sweep *sweep)
 {
-    const FleetNode *a = sweep_any(sweep), *b = sweep_node(sweep, FLEET_CORE);
+    const FleetNode *a = sweep_any(sweep), *b = sweep_node(sweep, FLEET_CONTROLLER);
     const bool both = sweep_draw(sweep, 2) == 0;
     const int64_t each_ms = 50 + (int64_t)sweep_draw(sweep, 900);
     sweep_say(sweep, "flap %s %s %s each %" PRId64, a->settings.name, both ? "<>" : ">", b->settings.name, each_ms);
@@ -97,41 +98,41 @@
 
 void act_disk_slow(Sweep *sweep)
 {
-    const FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    const FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
     const int64_t sync_ms = sweep_draw(sweep, 2) ? 3 : (int64_t)sweep_draw(sweep, 4000);
-    sweep_say(sweep, "disk of %s takes %" PRId64, core->settings.name, sync_ms);
-    sim_disk_slow(sweep->fleet->world, core->machine, sync_ms);
+    sweep_say(sweep, "disk of %s takes %" PRId64, controller->settings.name, sync_ms);
+    sim_disk_slow(sweep->fleet->world, controller->machine, sync_ms);
 }
 
 /* Full, or failing: nothing is written until it works again. */
 void act_disk_fails(Sweep *sweep)
 {
-    const FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    const FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
     const bool fails = sweep_draw(sweep, 2) == 0;
-    sweep_say(sweep, "disk of %s %s", core->settings.name, fails ? "fails" : "works");
-    sim_disk_fail(sweep->fleet->world, core->machine, fails);
+    sweep_say(sweep, "disk of %s %s", controller->settings.name, fails ? "fails" : "works");
+    sim_disk_fail(sweep->fleet->world, controller->machine, fails);
 }
 
-/* A journal torn or spoilt while its core is down. One spoilt before its end is
- * refused, so that core starts with an empty disk: it has been replaced. */
+/* A journal torn or spoilt while its controller is down. One spoilt before its end is
+ * refused, so that controller starts with an empty disk: it has been replaced. */
 void act_disk_spoilt(Sweep *sweep)
 {
-    FleetNode *core = sweep_node(sweep, FLEET_CORE);
+    FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
     if (voters_missing(sweep) >= sweep->fleet->site.losses) /* so many disks may be lost, not one more */
         return;
-    fleet_power_off(sweep->fleet, FLEET_CORE, core->number);
-    Bytes *journal = sim_disk_content(sweep->fleet->world, core->machine, "data/journal");
+    fleet_power_off(sweep->fleet, FLEET_CONTROLLER, controller->number);
+    Bytes *journal = sim_disk_content(sweep->fleet->world, controller->machine, "data/journal");
     const bool torn = sweep_draw(sweep, 2) == 0 && !sweep->fleet->site.disks_keep;
     if (torn && journal->count > 600) {
         const size_t cut = 1 + (size_t)sweep_draw(sweep, 300);
-        sweep_say(sweep, "%s loses the last %zu bytes", core->settings.name, cut);
+        sweep_say(sweep, "%s loses the last %zu bytes", controller->settings.name, cut);
         journal->count -= cut;
     } else {
-        sweep_say(sweep, "%s's disk is spoilt and emptied", core->settings.name);
-        sim_disk_wipe(sweep->fleet->world, core->machine);
+        sweep_say(sweep, "%s's disk is spoilt and emptied", controller->settings.name);
+        sim_disk_wipe(sweep->fleet->world, controller->machine);
     }
     fleet_run(sweep->fleet, 500 + (int64_t)sweep_draw(sweep, 2000));
-    fleet_start_node(sweep->fleet, FLEET_CORE, core->number);
+    fleet_start_node(sweep->fleet, FLEET_CONTROLLER, controller->number);
 }
 
 /* One machine's wall clock is off at a time: the median of three is right. */
@@ -155,7 +156,7 @@
     Fleet *fleet = sweep->fleet;
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
-            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0 && !(sweep->liars && role != FLEET_CORE))
+            if (strcmp(fleet->nodes[role][i].settings.zone, zone) == 0 && !(sweep->liars && role != FLEET_CONTROLLER))
                 fn(fleet, (FleetRole)role, i);
 }
 
@@ -182,10 +183,10 @@
     const int64_t for_ms = 1000 + (int64_t)sweep_draw(sweep, 7000);
     sweep_say(sweep, "cores reach no core for %" PRId64, for_ms);
     for (int turn = 0; turn < 2; turn++) {
-        for (int a = 0; a < fleet->node_count[FLEET_CORE]; a++)
-            for (int b = 0; b < fleet->node_count[FLEET_CORE]; b++)
-                sim_cut(fleet->world, fleet->nodes[FLEET_CORE][a].machine, fleet->nodes[FLEET_CORE][b].machine,
-                        turn == 0);
+        for (int a = 0; a < fleet->node_count[FLEET_CONTROLLER]; a++)
+            for (int b = 0; b < fleet->node_count[FLEET_CONTROLLER]; b++)
+                sim_cut(fleet->world, fleet->nodes[FLEET_CONTROLLER][a].machine,
+                        fleet->nodes[FLEET_CONTROLLER][b].machine, turn == 0);
         if (turn == 0)
             fleet_run(fleet, for_ms);
     }
@@ -204,19 +205,20 @@
     sweep_start_all(sweep);
 }
 
-/* A core goes for good; an empty one at a new address comes, its seeds others. */
-void act_core_replaced(Sweep *sweep)
+/* A controller goes for good; an empty one at a new address comes, its seeds others. */
+void act_controller_replaced(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
-    const int spare = fleet->shape.cores + (int)sweep_draw(sweep, (uint64_t)fleet->shape.spares);
-    FleetNode *gone = fleet_node(fleet, FLEET_CORE, (int)sweep_draw(sweep, (uint64_t)fleet->shape.cores));
-    if (sim_alive(fleet->world, fleet->nodes[FLEET_CORE][spare].machine) || voters_missing(sweep) >= fleet->site.losses)
+    const int spare = fleet->shape.controllers + (int)sweep_draw(sweep, (uint64_t)fleet->shape.spares);
+    FleetNode *gone = fleet_node(fleet, FLEET_CONTROLLER, (int)sweep_draw(sweep, (uint64_t)fleet->shape.controllers));
+    if (sim_alive(fleet->world, fleet->nodes[FLEET_CONTROLLER][spare].machine) ||
+        voters_missing(sweep) >= fleet->site.losses)
         return;
     sweep_say(sweep, "%s is gone for good, empty %s comes", gone->settings.name,
-              fleet->nodes[FLEET_CORE][spare].settings.name);
-    fleet_power_off(fleet, FLEET_CORE, gone->number);
+              fleet->nodes[FLEET_CONTROLLER][spare].settings.name);
+    fleet_power_off(fleet, FLEET_CONTROLLER, gone->number);
     sim_disk_wipe(fleet->world, gone->machine);
-    fleet_start_node(fleet, FLEET_CORE, spare);
+    fleet_start_node(fleet, FLEET_CONTROLLER, spare);
 }
 
 void act_links_slow(Sweep *sweep)
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -49,15 +49,15 @@
     }
     const int leader = fleet_leader(fleet);
     int others[FLEET_EACH_MAX], count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         if (i != leader)
             others[count++] = i;
     if (strcmp(name, "leader") == 0)
-        column->node = fleet_node(fleet, FLEET_CORE, leader);
+        column->node = fleet_node(fleet, FLEET_CONTROLLER, leader);
     else if (strcmp(name, "second") == 0)
-        column->node = fleet_node(fleet, FLEET_CORE, others[0]);
+        column->node = fleet_node(fleet, FLEET_CONTROLLER, others[0]);
     else if (strcmp(name, "third") == 0)
-        column->node = fleet_node(fleet, FLEET_CORE, others[1]);
+        column->node = fleet_node(fleet, FLEET_CONTROLLER, others[1]);
     for (int role = 0; role < FLEET_ROLES && column->node == NULL; role++) {
         const size_t length = strlen(ROLES[role]);
         const int number = atoi(name + (strlen(name) > length ? length : 0));
@@ -226,7 +226,7 @@
         node->worker_settings.fails_all = verb[0] == 'f';
         stand_worker_fail(node->worker, verb[0] == 'f');
     } else if (strcmp(verb, "leads") == 0 || strcmp(verb, "!leads") == 0) {
-        const bool leads = node->core != NULL && fleet_leader(fleet) == node->number;
+        const bool leads = node->controller != NULL && fleet_leader(fleet) == node->number;
         if (leads != (verb[0] == 'l'))
             return fault(timeline, column->name, leads ? "it leads" : "it does not lead");
     } else if (strcmp(verb, "runs") == 0 || strcmp(verb, "idle") == 0) {
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -1,4 +1,4 @@
-/* A core that was away has all again, however much has changed meanwhile: time and bytes
+/* A controller that was away has all again, however much has changed meanwhile: time and bytes
  * against the changes that it missed, in virtual time, and what memory and disk hold. */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -74,48 +74,48 @@
 #define MEMORY_BYTES (130 * 1024 * 1024) /* bytes; half of the smallest memory: the other half is work's */
 #define BIG_BYTES (300 * 1024)           /* bytes; a whole configuration of a large site */
 
-static size_t memory_of(Fleet *fleet, int core)
+static size_t memory_of(Fleet *fleet, int controller)
 {
-    return talloc_total_size(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine));
+    return talloc_total_size(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine));
 }
 
 /* Has all that the leader has committed. */
-static bool caught_up(Fleet *fleet, int core)
+static bool caught_up(Fleet *fleet, int controller)
 {
     const int leader = fleet_leader(fleet);
-    return leader >= 0 && runs(fleet, core) && replication_of(fleet, core)->delivered_index > 0 &&
-           replication_of(fleet, core)->delivered_index + 2 >= replication_of(fleet, leader)->commit_index;
+    return leader >= 0 && runs(fleet, controller) && replication_of(fleet, controller)->delivered_index > 0 &&
+           replication_of(fleet, controller)->delivered_index + 2 >= replication_of(fleet, leader)->commit_index;
 }
 
 typedef struct CatchUp {
     int64_t took_ms;     /* from the start of its process */
     uint64_t bytes;      /* that the leader sent meanwhile, to all */
-    size_t memory, disk; /* the most of any core */
+    size_t memory, disk; /* the most of any controller */
 } CatchUp;
 
 static void most_take(Fleet *fleet, CatchUp *catch_up)
 {
     for (int i = 0; i < 3; i++) {
-        const size_t disk = sim_disk_used(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine);
+        const size_t disk = sim_disk_used(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine);
         const size_t memory = runs(fleet, i) ? memory_of(fleet, i) : 0;
         catch_up->disk = disk > catch_up->disk ? disk : catch_up->disk;
         catch_up->memory = memory > catch_up->memory ? memory : catch_up->memory;
     }
 }
 
-/* A core is away while so many changes of so many bytes are made, a few at a time. */
+/* A controller is away while so many changes of so many bytes are made, a few at a time. */
 static CatchUp away_for(uint64_t seed, int changes, size_t bytes, int at_once)
 {
     Fleet *fleet = begin(seed);
     CatchUp catch_up = {0};
     for (int i = 0; i < 3; i++) {
-        const int machine = fleet_node(fleet, FLEET_CORE, i)->machine;
+        const int machine = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         sim_link_rate(fleet->world, machine, LINK_BYTES_MS);
         sim_disk_room(fleet->world, machine, DISK_BYTES);
     }
     const int away = (fleet_leader(fleet) + 1) % 3;
     checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CORE, away);
+    fleet_power_off(fleet, FLEET_CONTROLLER, away);
     for (int made = 0; made < changes; made += at_once) {
         offer(fleet, at_once, bytes);
         fleet_run(fleet, 200);
@@ -125,15 +125,15 @@
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     const int64_t from_ms = sim_now_ms(fleet->world);
-    const uint64_t sent = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CORE, leader)->machine);
-    fleet_start_node(fleet, FLEET_CORE, away);
+    const uint64_t sent = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, leader)->machine);
+    fleet_start_node(fleet, FLEET_CONTROLLER, away);
     for (int i = 0; i < 3000 && !caught_up(fleet, away); i++) {
         fleet_run(fleet, 10);
         most_take(fleet, &catch_up);
     }
     assert_true(caught_up(fleet, away));
     catch_up.took_ms = sim_now_ms(fleet->world) - from_ms;
-    catch_up.bytes = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CORE, leader)->machine) - sent;
+    catch_up.bytes = sim_sent_bytes(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, leader)->machine) - sent;
     for (int i = 0; i < 3; i++)
         assert_false(replication_disk_failed(replication_of(fleet, i)));
     assert_int_equal(checker_broken_all(fleet->checker), 0);
@@ -194,20 +194,20 @@
     fleet_run(fleet, 500);
     assert_true(replication_of(fleet, leader)->log->snapshot.payload.count > FRAME_MAX_BYTES);
     for (int i = 0; i < 3; i++) /* 34 MB take over eight seconds: more than any deadline */
-        sim_link_rate(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, 4 * 1024);
+        sim_link_rate(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, 4 * 1024);
     checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CORE, away);
-    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, away)->machine);
+    fleet_power_off(fleet, FLEET_CONTROLLER, away);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, away)->machine);
     fleet_run(fleet, 500);
-    fleet_start_node(fleet, FLEET_CORE, away);
+    fleet_start_node(fleet, FLEET_CONTROLLER, away);
     const int64_t from_ms = sim_now_ms(fleet->world);
     uint64_t most = 0;
     for (int i = 0; i < 600 && !(caught_up(fleet, away) && seated(fleet, away)); i++) {
         fleet_run(fleet, 100);
         if (i == 60)
-            fleet_isolate(fleet, FLEET_CORE, away, true);
+            fleet_isolate(fleet, FLEET_CONTROLLER, away, true);
         if (i == 90)
-            fleet_isolate(fleet, FLEET_CORE, away, false);
+            fleet_isolate(fleet, FLEET_CONTROLLER, away, false);
         const uint64_t filled = runs(fleet, away) ? fill_count(replication_of(fleet, away)) : 0;
         most = filled > most ? filled : most;
         assert_true(filled == most || filled == 0);
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -222,16 +222,16 @@
                 continue;
             checker_fault(fleet->checker);
             if (i % 3 == 0)
-                fleet_kill(fleet, FLEET_CORE, leader);
+                fleet_kill(fleet, FLEET_CONTROLLER, leader);
             else if (i % 3 == 1)
-                fleet_freeze(fleet, FLEET_CORE, leader, 4000);
+                fleet_freeze(fleet, FLEET_CONTROLLER, leader, 4000);
             else
-                fleet_isolate(fleet, FLEET_CORE, leader, true);
+                fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
             fleet_run(fleet, 6000);
             if (i % 3 == 0)
-                fleet_start_node(fleet, FLEET_CORE, leader);
+                fleet_start_node(fleet, FLEET_CONTROLLER, leader);
             else if (i % 3 == 2)
-                fleet_isolate(fleet, FLEET_CORE, leader, false);
+                fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
             fleet_run(fleet, 3000);
         }
         wait(fleet, all, 3);
@@ -363,7 +363,7 @@
     Fleet *fleet = begin(53);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     uint64_t base = 1;
     for (int i = 0; i < 20; i++) {
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 3);
@@ -377,10 +377,10 @@
     const HttpCall before = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
     checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < 3; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
-        fleet_start_node(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
     fleet_run(fleet, 12000);
     const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
@@ -422,16 +422,16 @@
         assert_non_null(strstr(read, text));
         checker_fault(fleet->checker);
         const int leader = fleet_leader(fleet);
-        fleet_kill(fleet, FLEET_CORE, leader);
+        fleet_kill(fleet, FLEET_CONTROLLER, leader);
         fleet_run(fleet, 8000);
-        fleet_start_node(fleet, FLEET_CORE, leader);
+        fleet_start_node(fleet, FLEET_CONTROLLER, leader);
         fleet_run(fleet, 5000);
     }
     checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < 3; i++)
-        fleet_start_node(fleet, FLEET_CORE, i);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 12000);
     assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=2",
                                "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
@@ -452,7 +452,7 @@
     Fleet *fleet = begin(54);
     void *mem = talloc_new(fleet);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     char *note = talloc_size(mem, 60001);
     memset(note, 'n', 60000);
     note[60000] = '\0';
@@ -467,10 +467,10 @@
     fleet_run(fleet, REPAIR_KEEP_MS + 10000);
     checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < 3; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
-        fleet_start_node(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
     fleet_run(fleet, 12000);
     const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -1,21 +1,21 @@
 #ifndef SIM_TEST_CORESET_H
 #define SIM_TEST_CORESET_H
 
-/* Three cores whose disks keep what they have synced, looked at from inside. */
+/* Three controllers whose disks keep what they have synced, looked at from inside. */
 #include "inside.h"
 #include "sim/fleet.h"
 
 #define FILLER 60000 /* number of a change that no state knows: it is kept in the log and does nothing */
 
-static inline Replication *replication_of(Fleet *fleet, int core)
+static inline Replication *replication_of(Fleet *fleet, int controller)
 {
-    return core_view(fleet_node(fleet, FLEET_CORE, core)->core);
+    return controller_view(fleet_node(fleet, FLEET_CONTROLLER, controller)->controller);
 }
 
-static inline bool runs(Fleet *fleet, int core)
+static inline bool runs(Fleet *fleet, int controller)
 {
-    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
-    return node->up && node->core != NULL && sim_alive(fleet->world, node->machine);
+    const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
+    return node->up && node->controller != NULL && sim_alive(fleet->world, node->machine);
 }
 
 static inline Fleet *begin(uint64_t seed)
@@ -40,11 +40,12 @@
     talloc_free(mem);
 }
 
-static inline bool seated(Fleet *fleet, int core)
+static inline bool seated(Fleet *fleet, int controller)
 {
     const int leader = fleet_leader(fleet);
-    return leader >= 0 && runs(fleet, core) &&
-           replication_voter_of(replication_of(fleet, leader), replication_disk(replication_of(fleet, core))) >= 0;
+    return leader >= 0 && runs(fleet, controller) &&
+           replication_voter_of(replication_of(fleet, leader), replication_disk(replication_of(fleet, controller))) >=
+               0;
 }
 
 #endif
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -183,7 +183,7 @@
         loop_spawn(sim_loop(fleet->world, fleet->caller), "operator", operate_main, &operators[i]);
     }
     fleet_run(fleet, 4000);
-    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 60000);
     size_t acknowledged = 0, stale = 0;
     uint64_t highest = 0;
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -22,9 +22,9 @@
     uint64_t promised, list_index;
 } Held;
 
-static Held held_of(Fleet *fleet, int core)
+static Held held_of(Fleet *fleet, int controller)
 {
-    const Replication *replication = replication_of(fleet, core);
+    const Replication *replication = replication_of(fleet, controller);
     Held held = {0};
     if (journal_sync_since(replication->journal) != INT64_MAX || journal_failed(replication->journal) ||
         replication->compacting)
@@ -40,9 +40,9 @@
     return held;
 }
 
-static void assert_back(Fleet *fleet, int core, const Held *held)
+static void assert_back(Fleet *fleet, int controller, const Held *held)
 {
-    const Replication *replication = replication_of(fleet, core);
+    const Replication *replication = replication_of(fleet, controller);
     if (!held->known)
         return;
     assert_true(log_last_index(replication->log) >= held->last_index);
@@ -53,44 +53,44 @@
             assert_int_equal(log_at(replication->log, i)->term, held->terms[i - held->base_index - 1]);
 }
 
-/* Ends the core and starts it again where nobody reaches it: its log is that of its disk. */
-static void restart(Fleet *fleet, int core, bool power)
+/* Ends the controller and starts it again where nobody reaches it: its log is that of its disk. */
+static void restart(Fleet *fleet, int controller, bool power)
 {
-    const Held held = held_of(fleet, core);
+    const Held held = held_of(fleet, controller);
     if (power)
-        fleet_power_off(fleet, FLEET_CORE, core);
+        fleet_power_off(fleet, FLEET_CONTROLLER, controller);
     else
-        fleet_kill(fleet, FLEET_CORE, core);
-    fleet_isolate(fleet, FLEET_CORE, core, true);
-    fleet_start_node(fleet, FLEET_CORE, core);
-    sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine, 3);
-    for (int i = 0; i < 100 && !runs(fleet, core); i++)
+        fleet_kill(fleet, FLEET_CONTROLLER, controller);
+    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    fleet_start_node(fleet, FLEET_CONTROLLER, controller);
+    sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine, 3);
+    for (int i = 0; i < 100 && !runs(fleet, controller); i++)
         fleet_run(fleet, 10);
-    assert_true(runs(fleet, core));
-    assert_back(fleet, core, &held);
-    fleet_isolate(fleet, FLEET_CORE, core, false);
+    assert_true(runs(fleet, controller));
+    assert_back(fleet, controller, &held);
+    fleet_isolate(fleet, FLEET_CONTROLLER, controller, false);
 }
 
 static void strike_any(Fleet *fleet, bool *cut)
 {
     SimWorld *world = fleet->world;
-    const int core = (int)(sim_random(world) % 3);
-    const int machine = fleet_node(fleet, FLEET_CORE, core)->machine;
+    const int controller = (int)(sim_random(world) % 3);
+    const int machine = fleet_node(fleet, FLEET_CONTROLLER, controller)->machine;
     switch (sim_random(world) % 6) {
     case 0:
-        if (runs(fleet, core) && !cut[core])
-            restart(fleet, core, sim_random(world) % 2 == 0);
+        if (runs(fleet, controller) && !cut[controller])
+            restart(fleet, controller, sim_random(world) % 2 == 0);
         break;
     case 1:
-        cut[core] = !cut[core];
-        fleet_isolate(fleet, FLEET_CORE, core, cut[core]);
+        cut[controller] = !cut[controller];
+        fleet_isolate(fleet, FLEET_CONTROLLER, controller, cut[controller]);
         break;
     case 2:
         sim_disk_slow(world, machine, (int64_t)(sim_random(world) % 400));
         break;
     case 3:
-        if (runs(fleet, core))
-            replication_compact_maybe(replication_of(fleet, core), true);
+        if (runs(fleet, controller))
+            replication_compact_maybe(replication_of(fleet, controller), true);
         break;
     default:
         offer(fleet, (int)(sim_random(world) % 20), 10);
@@ -125,20 +125,20 @@
     for (uint64_t seed = 1; seed <= 10; seed++) {
         Fleet *fleet = begin(seed);
         const int leader = fleet_leader(fleet);
-        const int machine = fleet_node(fleet, FLEET_CORE, leader)->machine;
+        const int machine = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
         sim_disk_slow(fleet->world, machine, 2500); /* longer than the lock is held */
         offer(fleet, 3, 10);
         fleet_run(fleet, 60 + 10 * (int64_t)seed);
         offer(fleet, 5, 10);
         replication_compact_maybe(replication_of(fleet, leader), true);
         sim_turn(fleet->world, machine, sim_now_ms(fleet->world) + 100);
-        fleet_isolate(fleet, FLEET_CORE, leader, true);
+        fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
         fleet_run(fleet, 5000);
         sim_disk_slow(fleet->world, machine, 3);
         assert_true(fleet_leader(fleet) >= 0 && fleet_leader(fleet) != leader);
         offer(fleet, 12, 10);
         fleet_run(fleet, 1000);
-        fleet_isolate(fleet, FLEET_CORE, leader, false);
+        fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
         fleet_run(fleet, 5000);
         const uint64_t told = log_last_index(replication_of(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
@@ -180,14 +180,15 @@
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleet_leader(fleet) + 1) % 3;
+    const int controller = (fleet_leader(fleet) + 1) % 3;
     offer(fleet, 10, 10);
     fleet_run(fleet, 1000);
-    Replication *replication = replication_of(fleet, core);
+    Replication *replication = replication_of(fleet, controller);
     const uint64_t index = replication->commit_index, term = log_at(replication->log, index)->term;
     Orders orders = {.replication = replication};
-    fleet_isolate(fleet, FLEET_CORE, core, true);
-    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "orders", orders_main, &orders);
+    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "orders", orders_main,
+               &orders);
     fleet_run(fleet, 200);
     assert_true(orders.done);
     assert_int_equal(orders.replaced, STATUS_OTHER_HISTORY);
@@ -197,7 +198,8 @@
     ReplicationStatus sight;
     replication_status(replication, &sight);
     assert_int_equal(sight.other_histories, 2);
-    assert_non_null(strstr(recorder_text(fleet_node(fleet, FLEET_CORE, core)->recorder, fleet), "other-history"));
+    assert_non_null(
+        strstr(recorder_text(fleet_node(fleet, FLEET_CONTROLLER, controller)->recorder, fleet), "other-history"));
     talloc_free(fleet);
 }
 
@@ -210,7 +212,7 @@
     const int leader = fleet_leader(fleet);
     Replication *replication = replication_of(fleet, leader);
     assert_true(replication->list_index > 0 && replication->list_index <= replication->commit_index);
-    fleet_isolate(fleet, FLEET_CORE, leader, true);
+    fleet_isolate(fleet, FLEET_CONTROLLER, leader, true);
     fleet_run(fleet, 3000);
     const uint64_t list_index = replication->list_index;
     for (uint64_t i = list_index; i <= log_last_index(replication->log); i++) /* as a disk would that lost the entry */
@@ -226,9 +228,10 @@
 
 /* --- a disk that is not whole ---------------------------------------------------- */
 
-static void spoil(Fleet *fleet, int core)
+static void spoil(Fleet *fleet, int controller)
 {
-    Bytes *journal = sim_disk_content(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine, "data/journal");
+    Bytes *journal =
+        sim_disk_content(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine, "data/journal");
     assert_true(journal->count > 400);
     journal->data[100] ^= 4; /* past the identity, long before the end */
 }
@@ -240,18 +243,18 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed);
-        const int core = (int)(seed % 3);
-        const uint64_t before = replication_disk(replication_of(fleet, core));
+        const int controller = (int)(seed % 3);
+        const uint64_t before = replication_disk(replication_of(fleet, controller));
         offer(fleet, 50, 100);
         fleet_run(fleet, 1000);
-        fleet_kill(fleet, FLEET_CORE, core);
-        spoil(fleet, core);
+        fleet_kill(fleet, FLEET_CONTROLLER, controller);
+        spoil(fleet, controller);
         checker_fault(fleet->checker);
-        fleet_isolate(fleet, FLEET_CORE, core, true);
-        fleet_start_node(fleet, FLEET_CORE, core);
+        fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+        fleet_start_node(fleet, FLEET_CONTROLLER, controller);
         fleet_run(fleet, 3000);
-        assert_true(runs(fleet, core));
-        const Replication *replication = replication_of(fleet, core);
+        assert_true(runs(fleet, controller));
+        const Replication *replication = replication_of(fleet, controller);
         ReplicationStatus sight;
         replication_status(replication, &sight);
         assert_true(sight.journal.begun_anew && replication_disk(replication) != before);
@@ -259,11 +262,11 @@
         assert_int_equal(log_last_index(replication->log), 0);
         assert_int_equal(replication->lock.promised, 0);
         const ProposeAsk ask = {1000, before, 0, 1000, 1000};
-        assert_int_equal(voter_propose(replication_of(fleet, core), &ask), STATUS_NO_VOTER);
-        fleet_isolate(fleet, FLEET_CORE, core, false);
-        for (int i = 0; i < 60 && !seated(fleet, core); i++)
+        assert_int_equal(voter_propose(replication_of(fleet, controller), &ask), STATUS_NO_VOTER);
+        fleet_isolate(fleet, FLEET_CONTROLLER, controller, false);
+        for (int i = 0; i < 60 && !seated(fleet, controller); i++)
             fleet_run(fleet, 500);
-        assert_true(seated(fleet, core));
+        assert_true(seated(fleet, controller));
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
@@ -280,16 +283,17 @@
     assert_int_equal(journal_write(writing->replication->journal, &writing->record, 1), STATUS_OK);
 }
 
-/* Puts a record into the core's journal behind its back, and starts the core again. */
-static void record_and_restart(Fleet *fleet, int core, Record record)
+/* Puts a record into the controller's journal behind its back, and starts the controller again. */
+static void record_and_restart(Fleet *fleet, int controller, Record record)
 {
     Writing *writing = talloc_zero(fleet, Writing);
-    *writing = (Writing){replication_of(fleet, core), record};
-    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CORE, core)->machine), "write", write_main, writing);
+    *writing = (Writing){replication_of(fleet, controller), record};
+    loop_spawn(sim_loop(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine), "write", write_main,
+               writing);
     fleet_run(fleet, 200);
-    fleet_kill(fleet, FLEET_CORE, core);
+    fleet_kill(fleet, FLEET_CONTROLLER, controller);
     checker_fault(fleet->checker);
-    fleet_start_node(fleet, FLEET_CORE, core);
+    fleet_start_node(fleet, FLEET_CONTROLLER, controller);
     fleet_run(fleet, 1000);
 }
 
@@ -299,10 +303,11 @@
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleet_leader(fleet) + 1) % 3;
-    record_and_restart(fleet, core, (Record){.kind = 99, .name = ""});
-    assert_false(runs(fleet, core));
-    assert_non_null(strstr(recorder_text(fleet_node(fleet, FLEET_CORE, core)->recorder, fleet), "journal-format"));
+    const int controller = (fleet_leader(fleet) + 1) % 3;
+    record_and_restart(fleet, controller, (Record){.kind = 99, .name = ""});
+    assert_false(runs(fleet, controller));
+    assert_non_null(
+        strstr(recorder_text(fleet_node(fleet, FLEET_CONTROLLER, controller)->recorder, fleet), "journal-format"));
     talloc_free(fleet);
 }
 
@@ -311,16 +316,16 @@
 {
     (void)state;
     Fleet *fleet = begin(1);
-    const int core = (fleet_leader(fleet) + 1) % 3;
-    const Replication *replication = replication_of(fleet, core);
+    const int controller = (fleet_leader(fleet) + 1) % 3;
+    const Replication *replication = replication_of(fleet, controller);
     const uint64_t before = replication_disk(replication);
     const Record far = {.kind = RECORD_ENTRY,
                         .term = log_last_term(replication->log),
                         .index = log_last_index(replication->log) + 2,
                         .change = FILLER,
                         .name = ""};
-    record_and_restart(fleet, core, far);
-    assert_true(runs(fleet, core) && replication_disk(replication_of(fleet, core)) != before);
+    record_and_restart(fleet, controller, far);
+    assert_true(runs(fleet, controller) && replication_disk(replication_of(fleet, controller)) != before);
     talloc_free(fleet);
 }
 
@@ -334,20 +339,20 @@
         fleet_start(fleet);
         assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
         for (int life = 0; life < 2; life++) {
-            for (int core = 0; core < 3; core++) {
-                fleet_power_off(fleet, FLEET_CORE, core);
+            for (int controller = 0; controller < 3; controller++) {
+                fleet_power_off(fleet, FLEET_CONTROLLER, controller);
                 if (life == 0)
-                    spoil(fleet, core);
+                    spoil(fleet, controller);
             }
             for (int role = FLEET_GATE; role <= FLEET_AGENT; role++) /* nobody else remembers the cluster */
                 fleet_power_off(fleet, (FleetRole)role, 0);
-            for (int core = 0; core < 3; core++)
-                fleet_start_node(fleet, FLEET_CORE, core);
+            for (int controller = 0; controller < 3; controller++)
+                fleet_start_node(fleet, FLEET_CONTROLLER, controller);
             for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
                 fleet_start_node(fleet, (FleetRole)role, 0);
             fleet_run(fleet, 20000);
-            for (int core = 0; core < 3; core++)
-                assert_true(runs(fleet, core) && !replication_founded(replication_of(fleet, core)));
+            for (int controller = 0; controller < 3; controller++)
+                assert_true(runs(fleet, controller) && !replication_founded(replication_of(fleet, controller)));
         }
         talloc_free(fleet);
     }
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -38,7 +38,7 @@
 {
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    return table_drained(core_table(fleet->nodes[FLEET_CORE][leader].core), ZONE);
+    return table_drained(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), ZONE);
 }
 
 static Handed *order(Fleet *fleet, int gate, const char *method)
@@ -51,17 +51,17 @@
     return fleet_ask(fleet, fleet, FLEET_GATE, gate, method, DRAIN, NULL).code;
 }
 
-enum { CUT_TO_CORES = 1, CUT_FROM_CORES = 2 };
+enum { CUT_TO_CONTROLLERS = 1, CUT_FROM_CONTROLLERS = 2 };
 
 static void cut_gate(Fleet *fleet, int gate, int ways, bool cut)
 {
     const int machine = fleet_node(fleet, FLEET_GATE, gate)->machine;
     for (int i = 0; i < 3; i++) {
-        const int core = fleet_node(fleet, FLEET_CORE, i)->machine;
-        if (ways & CUT_TO_CORES)
-            sim_cut(fleet->world, machine, core, cut);
-        if (ways & CUT_FROM_CORES)
-            sim_cut(fleet->world, core, machine, cut);
+        const int controller = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
+        if (ways & CUT_TO_CONTROLLERS)
+            sim_cut(fleet->world, machine, controller, cut);
+        if (ways & CUT_FROM_CONTROLLERS)
+            sim_cut(fleet->world, controller, machine, cut);
     }
 }
 
@@ -73,7 +73,7 @@
     (void)state;
     int held = 0;
     for (int at_ms = 5; at_ms <= 95; at_ms += 10)
-        for (int ways = CUT_TO_CORES; ways <= (CUT_TO_CORES | CUT_FROM_CORES); ways++) {
+        for (int ways = CUT_TO_CONTROLLERS; ways <= (CUT_TO_CONTROLLERS | CUT_FROM_CONTROLLERS); ways++) {
             Fleet *fleet = begin(41);
             Handed *late = order(fleet, 0, "POST");
             fleet_run(fleet, at_ms);
@@ -103,11 +103,11 @@
         assert_int_equal(ask(fleet, 1, "POST"), 200);
         const Handed *late = order(fleet, 0, "DELETE");
         fleet_run(fleet, at_ms);
-        cut_gate(fleet, 0, CUT_FROM_CORES, true);
+        cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, true);
         fleet_run(fleet, 1000);
         assert_int_equal(ask(fleet, 1, "DELETE"), 200);
         assert_int_equal(ask(fleet, 2, "POST"), 200);
-        cut_gate(fleet, 0, CUT_FROM_CORES, false);
+        cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, false);
         fleet_run(fleet, 12000);
         assert_true(late->done && drained(fleet));
         end(fleet);
@@ -124,7 +124,7 @@
     while (!drained(fleet))
         fleet_run(fleet, 1);
     assert_false(late->done);
-    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 9000);
     assert_true(late->done);
     assert_int_equal(late->task->code, 200);
@@ -140,10 +140,10 @@
     Fleet *fleet = begin(44);
     Handed *late = order(fleet, 0, "POST");
     fleet_run(fleet, LINK_MS + LINK_MS / 2); /* its base is on the way back */
-    cut_gate(fleet, 0, CUT_FROM_CORES, true);
+    cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, true);
     assert_int_equal(ask(fleet, 1, "POST"), 200);
     assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-    cut_gate(fleet, 0, CUT_FROM_CORES, false);
+    cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, false);
     while (!late->done)
         fleet_run(fleet, 5);
     assert_int_equal(late->task->code, 503);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -13,18 +13,18 @@
 #define SERVES_MS 3000 /* ms; a leader that takes changes is there so long after the last start */
 #define SEATED_MS 4000 /* ms; ... and has given all the voters that are wanted */
 
-static const Replication *replication_of(Fleet *fleet, int core)
+static const Replication *replication_of(Fleet *fleet, int controller)
 {
-    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
-    return node->up && node->core != NULL ? core_view(node->core) : NULL;
+    const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
+    return node->up && node->controller != NULL ? controller_view(node->controller) : NULL;
 }
 
-/* Clusters known to the cores; they must be one. */
+/* Clusters known to the controllers; they must be one. */
 static int clusters(Fleet *fleet)
 {
     uint64_t known[FLEET_EACH_MAX];
     int count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
         const Replication *replication = replication_of(fleet, i);
         const uint64_t cluster = replication != NULL ? replication_cluster(replication) : 0;
         bool again = cluster == 0;
@@ -46,10 +46,10 @@
     for (size_t s = 0; s < count; s++) {
         const char *zones[VOTER_MOST] = {0};
         size_t same = 0;
-        for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
+        for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
             for (size_t k = 0; k < count; k++)
                 if (replication_of(fleet, i) != NULL && replication_disk(replication_of(fleet, i)) == disks[k])
-                    zones[k] = fleet_node(fleet, FLEET_CORE, i)->settings.zone;
+                    zones[k] = fleet_node(fleet, FLEET_CONTROLLER, i)->settings.zone;
         for (size_t k = 0; k < count; k++)
             same += zones[s] != NULL && zones[k] != NULL && strcmp(zones[s], zones[k]) == 0;
         *most = same > *most ? same : *most;
@@ -138,7 +138,7 @@
            (FleetSite){.zones = 3, .losses = 2, .votes = true, .gate_seeds = 3}, 5);
 }
 
-/* Cores that do not hear of each other, and seeds of which each hears only some:
+/* Controllers that do not hear of each other, and seeds of which each hears only some:
  * still one cluster, whoever gets the votes. */
 static void cut_apart(void **state)
 {
@@ -149,11 +149,11 @@
         fleet_start(fleet);
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, a)->machine,
-                        fleet_node(fleet, FLEET_CORE, b)->machine, sim_random(fleet->world) % 2 == 0);
+                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                        fleet_node(fleet, FLEET_CONTROLLER, b)->machine, sim_random(fleet->world) % 2 == 0);
             for (int g = 0; g < 3; g++) {
                 const bool cut = sim_random(fleet->world) % 3 == 0;
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, a)->machine,
+                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
                         fleet_node(fleet, FLEET_GATE, g)->machine, cut);
             }
         }
@@ -163,10 +163,10 @@
         }
         for (int a = 0; a < 4; a++) {
             for (int b = 0; b < 4; b++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, a)->machine,
-                        fleet_node(fleet, FLEET_CORE, b)->machine, false);
+                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
+                        fleet_node(fleet, FLEET_CONTROLLER, b)->machine, false);
             for (int g = 0; g < 3; g++)
-                sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, a)->machine,
+                sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
                         fleet_node(fleet, FLEET_GATE, g)->machine, false);
         }
         fleet_run(fleet, 8000);
@@ -197,10 +197,11 @@
         }
         assert_true(founder >= 0);
         for (uint64_t i = 0; i < seed * 3; i++)
-            sim_turn(fleet->world, fleet_node(fleet, FLEET_CORE, founder)->machine, sim_now_ms(fleet->world) + 1000);
-        fleet_kill(fleet, FLEET_CORE, founder);
+            sim_turn(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, founder)->machine,
+                     sim_now_ms(fleet->world) + 1000);
+        fleet_kill(fleet, FLEET_CONTROLLER, founder);
         fleet_run(fleet, 500);
-        fleet_start_node(fleet, FLEET_CORE, founder);
+        fleet_start_node(fleet, FLEET_CONTROLLER, founder);
         fleet_run(fleet, 6000);
         size_t most;
         if (fleet_leader(fleet) < 0 || voters(fleet, &most) != 3)
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -183,7 +183,7 @@
     assert_true(good > 20 && bad > 500);
 }
 
-/* Whatever is asked of an agent, a gate and a core over HTTP is answered with a
+/* Whatever is asked of an agent, a gate and a controller over HTTP is answered with a
  * code of the table; they go on serving. */
 static void requests(void **state)
 {
@@ -216,7 +216,7 @@
         const HttpCall call = fleet_ask(fleet, mem,
                                         report    ? FLEET_AGENT
                                         : draw(2) ? FLEET_GATE
-                                                  : FLEET_CORE,
+                                                  : FLEET_CONTROLLER,
                                         report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
         assert_in_range(call.code, 200, 504);
         assert_true(call.code != 500);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -1,4 +1,4 @@
-/* A long virtual run: the journal is rewritten under load, a core that was away
+/* A long virtual run: the journal is rewritten under load, a controller that was away
  * is filled from a snapshot, ended jobs are forgotten after their span, and no
  * process grows without bound. */
 #include <setjmp.h>
@@ -32,26 +32,26 @@
     assert_true(fleet_configure(fleet));
     fleet_call(fleet, "h", 9000, minutes * 60000);
     fleet_run(fleet, 60000);
-    /* one core is away while the others rewrite their journals */
+    /* one controller is away while the others rewrite their journals */
     const int away = (fleet_leader(fleet) + 1) % 3;
-    fleet_power_off(fleet, FLEET_CORE, away);
+    fleet_power_off(fleet, FLEET_CONTROLLER, away);
     fleet_run(fleet, 120000);
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
     ReplicationStatus sight;
-    replication_status(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
+    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &sight);
     assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
-    fleet_start_node(fleet, FLEET_CORE, away);
+    fleet_start_node(fleet, FLEET_CONTROLLER, away);
     fleet_run(fleet, 20000);
     ReplicationStatus back;
-    replication_status(core_view(fleet_node(fleet, FLEET_CORE, away)->core), &back);
+    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, away)->controller), &back);
     assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
     assert_true(back.delivered_index > sight.delivered_index);
     assert_false(back.woke);
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
         fleet_run(fleet, 60000);
-        const size_t now[3] = {bytes_of(fleet, FLEET_CORE, leader), bytes_of(fleet, FLEET_GATE, 0),
+        const size_t now[3] = {bytes_of(fleet, FLEET_CONTROLLER, leader), bytes_of(fleet, FLEET_GATE, 0),
                                bytes_of(fleet, FLEET_AGENT, 0)};
         for (int i = 0; i < 3; i++) {
             if (now[i] > worst[i])
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -62,13 +62,13 @@
         return 0;
     ReplicationStatus sight;
     size_t count = 0;
-    replication_status(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), &sight);
+    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &sight);
     for (size_t i = 0; i < sight.voter_count; i++)
         count += sight.voters[i].in_configuration;
     return count;
 }
 
-/* All voters that are wanted are in the view, each of a core that runs and is reached. */
+/* All voters that are wanted are in the view, each of a controller that runs and is reached. */
 static bool is_whole(Trial *trial)
 {
     Fleet *fleet = trial->fleet;
@@ -76,65 +76,66 @@
     if (leader < 0 || in_configuration(fleet) != trial->wanted)
         return false;
     uint64_t disks[VOTER_MOST];
-    const FleetNode *first = fleet_node(fleet, FLEET_CORE, leader);
-    const size_t count = replication_voters(core_view(first->core), disks);
+    const FleetNode *first = fleet_node(fleet, FLEET_CONTROLLER, leader);
+    const size_t count = replication_voters(controller_view(first->controller), disks);
     size_t good = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++) {
-        const FleetNode *node = fleet_node(fleet, FLEET_CORE, i);
-        if (!node->up || node->core == NULL || sim_frozen(fleet->world, node->machine) ||
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, i);
+        if (!node->up || node->controller == NULL || sim_frozen(fleet->world, node->machine) ||
             sim_is_cut(fleet->world, first->machine, node->machine) ||
             sim_is_cut(fleet->world, node->machine, first->machine))
             continue;
         for (size_t k = 0; k < count; k++)
-            good += disks[k] == replication_disk(core_view(node->core));
+            good += disks[k] == replication_disk(controller_view(node->controller));
     }
     return good == trial->wanted;
 }
 
-static bool seated(Fleet *fleet, int core)
+static bool seated(Fleet *fleet, int controller)
 {
     uint64_t disks[VOTER_MOST];
-    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
+    const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
     const int leader = fleet_leader(fleet);
-    if (leader < 0 || !node->up || node->core == NULL)
+    if (leader < 0 || !node->up || node->controller == NULL)
         return false;
-    const size_t count = replication_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const size_t count =
+        replication_voters(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), disks);
     for (size_t i = 0; i < count; i++)
-        if (disks[i] == replication_disk(core_view(node->core)))
+        if (disks[i] == replication_disk(controller_view(node->controller)))
             return true;
     return false;
 }
 
 typedef struct Lost {
-    int core;
+    int controller;
     LossKind kind;
 } Lost;
 
 static void strike(Trial *trial, Lost *lost, int64_t out_ms)
 {
     Fleet *fleet = trial->fleet;
-    FleetNode *node = fleet_node(fleet, FLEET_CORE, lost->core);
+    FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, lost->controller);
     checker_fault(fleet->checker);
     switch (lost->kind) {
     case LOSS_KILL:
-        fleet_kill(fleet, FLEET_CORE, lost->core);
+        fleet_kill(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_REPLACE_TERM:
-        fleet_leave(fleet, FLEET_CORE, lost->core);
+        fleet_leave(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_POWER:
     case LOSS_REPLACE:
-        fleet_power_off(fleet, FLEET_CORE, lost->core);
+        fleet_power_off(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_WIPE:
-        fleet_power_off(fleet, FLEET_CORE, lost->core);
+        fleet_power_off(fleet, FLEET_CONTROLLER, lost->controller);
         sim_disk_wipe(fleet->world, node->machine);
         break;
     case LOSS_FREEZE:
-        fleet_freeze(fleet, FLEET_CORE, lost->core, out_ms);
+        fleet_freeze(fleet, FLEET_CONTROLLER, lost->controller, out_ms);
         break;
     case LOSS_CUT:
-        fleet_isolate(fleet, FLEET_CORE, lost->core, true);
+        fleet_isolate(fleet, FLEET_CONTROLLER, lost->controller, true);
         break;
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
@@ -161,20 +162,20 @@
 static void back(Trial *trial, Lost *lost)
 {
     Fleet *fleet = trial->fleet;
-    FleetNode *node = fleet_node(fleet, FLEET_CORE, lost->core);
+    FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, lost->controller);
     checker_fault(fleet->checker);
     switch (lost->kind) {
     case LOSS_KILL:
     case LOSS_POWER:
     case LOSS_WIPE:
-        fleet_start_node(fleet, FLEET_CORE, lost->core);
+        fleet_start_node(fleet, FLEET_CONTROLLER, lost->controller);
         break;
     case LOSS_FREEZE:
         break; /* by itself */
     case LOSS_CUT:
     case LOSS_CUT_IN:
     case LOSS_CUT_OUT:
-        fleet_isolate(fleet, FLEET_CORE, lost->core, false);
+        fleet_isolate(fleet, FLEET_CONTROLLER, lost->controller, false);
         break;
     case LOSS_DISK_SLOW:
     case LOSS_DISK_HANG:
@@ -184,7 +185,7 @@
         sim_disk_fail(fleet->world, node->machine, false);
         break;
     default: /* another machine, for good */
-        fleet_start_node(fleet, FLEET_CORE, trial->next_spare++);
+        fleet_start_node(fleet, FLEET_CONTROLLER, trial->next_spare++);
         break;
     }
 }
@@ -215,14 +216,14 @@
 static void voters_show(Fleet *fleet)
 {
     ReplicationStatus sight;
-    for (int c = 0; c < fleet->node_count[FLEET_CORE]; c++) {
-        const FleetNode *node = fleet_node(fleet, FLEET_CORE, c);
-        if (!node->up || node->core == NULL)
+    for (int c = 0; c < fleet->node_count[FLEET_CONTROLLER]; c++) {
+        const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, c);
+        if (!node->up || node->controller == NULL)
             continue;
-        replication_status(core_view(node->core), &sight);
+        replication_status(controller_view(node->controller), &sight);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
-                node->settings.name, (unsigned long long)replication_disk(core_view(node->core)), (int)sight.phase,
-                (unsigned long long)sight.term, (unsigned long long)sight.last_index,
+                node->settings.name, (unsigned long long)replication_disk(controller_view(node->controller)),
+                (int)sight.phase, (unsigned long long)sight.term, (unsigned long long)sight.last_index,
                 (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
                 (unsigned long long)sight.base_index);
         for (size_t i = 0; i < sight.voter_count && sight.phase == REPLICATION_LEADING; i++)
@@ -233,7 +234,7 @@
     }
 }
 
-/* Strikes as many seated cores as may be lost together, has them return together,
+/* Strikes as many seated controllers as may be lost together, has them return together,
  * and waits for the voters. */
 static void round_(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
@@ -245,14 +246,14 @@
     if (with_leader)
         lost[count++] = (Lost){leader, kind};
     for (int tries = 0; tries < 200 && count < trial->losses; tries++) {
-        const int core = (int)drawn(trial, (uint64_t)fleet->node_count[FLEET_CORE]);
-        bool again = !seated(fleet, core) || core == leader;
+        const int controller = (int)drawn(trial, (uint64_t)fleet->node_count[FLEET_CONTROLLER]);
+        bool again = !seated(fleet, controller) || controller == leader;
         for (int i = 0; i < count; i++)
-            again |= lost[i].core == core;
+            again |= lost[i].controller == controller;
         if (again)
             continue;
         const LossKind next = count == 0 ? kind : (LossKind)drawn(trial, LOSS_COUNT);
-        lost[count++] = (Lost){core, next};
+        lost[count++] = (Lost){controller, next};
     }
     int64_t out_ms = wait_ms(trial, kind);
     for (int i = 0; i < count; i++)
@@ -273,7 +274,7 @@
     if (getenv("SPANCART_LOSSES") != NULL) {
         printf("%8ld %s%s", (long)from_ms, with_leader ? "leader " : "", whole ? "" : "NOT WHOLE ");
         for (int i = 0; i < count; i++)
-            printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].core + 1);
+            printf("%s(core%d) ", WORDS[lost[i].kind], lost[i].controller + 1);
         printf("out %ld, whole after %ld, gap %ld\n", (long)out_ms, (long)took_ms,
                (long)gap_ms(fleet, from_ms - out_ms));
     }
@@ -292,7 +293,7 @@
 
 static void one(uint64_t seed, FleetShape shape, const FleetSite *site, size_t wanted, int rounds)
 {
-    Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .next_spare = shape.cores};
+    Trial trial = {.seed = seed, .wanted = wanted, .losses = site->losses, .next_spare = shape.controllers};
     Fleet *fleet = trial.fleet = fleet_new_at(NULL, seed, shape, site);
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -50,7 +50,7 @@
         Fleet *fleet = begin(81);
         assert_int_equal(running(fleet), 11);
         for (int i = 0; i < 3; i++)
-            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
         fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", "{\"r\":0}"); /* shows the failure */
         fleet_run(fleet, 8000);
         assert_int_equal(fleet_leader(fleet), -1);
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -129,7 +129,7 @@
     hand(fleet, "short", "bulk", /* whose progress makes words of none credible at once */
          "{\"name\":\"a\",\"count\":36,\"room\":{\"cpu\":1,\"memMb\":64},\"estMs\":9000,\"payload\":{\"runMs\":9000}}");
     fleet_run(fleet, 500);
-    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 13000);
     assert_int_equal(in_phase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleet_job(fleet, "a");
@@ -163,7 +163,8 @@
 
 static const char *rack_of(const Fleet *fleet, const char *worker)
 {
-    const Worker *its = table_worker(core_table(fleet->nodes[FLEET_CORE][fleet_leader(fleet)].core), worker);
+    const Worker *its =
+        table_worker(controller_table(fleet->nodes[FLEET_CONTROLLER][fleet_leader(fleet)].controller), worker);
     return its != NULL ? its->rack : "";
 }
 
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -127,7 +127,7 @@
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code,
                      422);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
-    for (int role = FLEET_CORE; role <= FLEET_AGENT; role++) {
+    for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
         call = fleet_ask(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
         assert_int_equal(call.code, 200);
         assert_non_null(strstr((const char *)call.result.data, "\nspancart_bad_frames 0\n"));
@@ -247,22 +247,22 @@
     fleet_run(fleet, 1000);
     fleet_kill(fleet, FLEET_WORKER, 1);
     const int second = (fleet_leader(fleet) + 1) % 3;
-    fleet_kill(fleet, FLEET_CORE, second);
+    fleet_kill(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 6000);
     call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\""));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
-    call = fleet_ask(fleet, fleet, FLEET_CORE, fleet_leader(fleet), "GET", "/metrics", NULL);
+    call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/metrics", NULL);
     assert_non_null(strstr((const char *)call.result.data, "\nspancart_alert_worker_lost 1\n"));
-    for (int role = FLEET_CORE; role <= FLEET_AGENT; role++) {
-        call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CORE ? fleet_leader(fleet) : 0, "GET", "/v1/ring",
-                         NULL);
+    for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
+        call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0, "GET",
+                         "/v1/ring", NULL);
         assert_int_equal(call.code, 200);
-        assert_true(role != FLEET_CORE || strstr((const char *)call.result.data, "leaves the view") != NULL);
+        assert_true(role != FLEET_CONTROLLER || strstr((const char *)call.result.data, "leaves the view") != NULL);
     }
     fleet_start_node(fleet, FLEET_WORKER, 1);
-    fleet_start_node(fleet, FLEET_CORE, second);
+    fleet_start_node(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 8000);
     call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
@@ -278,7 +278,7 @@
     fleet_run(fleet, 1500);
     const Job *job = fleet_job(fleet, "three");
     const Worker *at[3];
-    const Table *table = core_table(fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->core);
+    const Table *table = controller_table(fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->controller);
     for (int i = 0; i < 3; i++)
         at[i] = table_worker(table, job->tasks[i].worker);
     for (int i = 0; i < 3; i++)
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -68,7 +68,7 @@
     const char *history = (const char *)call.result.data;
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    const Table *table = core_table(fleet->nodes[FLEET_CORE][leader].core);
+    const Table *table = controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller);
     const Job *known = table_job(table, "known");
     Job *const *jobs;
     return talloc_asprintf(mem, "jobs %zu, ending %d, zone %d %lld, %s", table_jobs(table, &jobs), (int)known->ending,
@@ -94,7 +94,7 @@
         const bool ordered = forward_repeat(row->method, row->path, row->query) == REPEAT_ORDERED;
         fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int gate = fleet_node(fleet, FLEET_GATE, 0)->machine;
-        const int leader = fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->machine;
+        const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
         sim_cut(fleet->world, leader, gate, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
         fleet_run(fleet, COMMITTED_MS);
@@ -118,7 +118,7 @@
     }
 }
 
-/* All cores lose power as a job is committed, and their disks what they had acknowledged:
+/* All controllers lose power as a job is committed, and their disks what they had acknowledged:
  * the next leader has to be told again first. The request waits for that, and is not told
  * that its outcome is unknown because one leader can't say yet. */
 static void repair_awaited(void **state)
@@ -127,21 +127,21 @@
     const Row row = {"POST", "/v1/jobs", "", JOB("one"), 201};
     Fleet *fleet = begin(71);
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     const Handed *handed = request(fleet, &row);
     while (fleet_job(fleet, "one") == NULL)
         fleet_run(fleet, 1);
     assert_false(handed->done);
     const int lost = fleet_leader(fleet); /* its answer never comes */
-    sim_cut(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine, fleet_node(fleet, FLEET_GATE, 0)->machine,
+    sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine, fleet_node(fleet, FLEET_GATE, 0)->machine,
             true);
     for (int i = 0; i < 3; i++) {
-        fleet_power_off(fleet, FLEET_CORE, i);
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
     }
     fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++)
-        fleet_start_node(fleet, FLEET_CORE, i);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     const int64_t from_ms = sim_now_ms(fleet->world);
     while (!handed->done)
         fleet_run(fleet, 5);
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -12,8 +12,8 @@
 #include "sim/fleet.h"
 
 #define SYNC_MS 4000     /* ms; a loss counts for so long after the machine's return */
-#define FOLLOWED_MS 2000 /* ms; a core that starts follows the log after this: founding and one snapshot */
-#define SERVED_MS 6000   /* ms; after a loss another core leads within this */
+#define FOLLOWED_MS 2000 /* ms; a controller that starts follows the log after this: founding and one snapshot */
+#define SERVED_MS 6000   /* ms; after a loss another controller leads within this */
 
 static const FleetSite ONE_LOSS = {
     .zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = SYNC_MS, .stagger_ms = 500};
@@ -22,8 +22,8 @@
 {
     Fleet *fleet = fleet_new_at(NULL, seed, shape, site);
     /* one that is told to end does so as soon as it may */
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
-        fleet_node(fleet, FLEET_CORE, i)->settings.bounds.unready_ms = 0;
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
+        fleet_node(fleet, FLEET_CONTROLLER, i)->settings.bounds.unready_ms = 0;
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000) && fleet_configure(fleet));
     checker_config_set(fleet->checker, 1);
@@ -39,7 +39,7 @@
     talloc_free(fleet);
 }
 
-/* A core that leads is there within the span; else shows what all have said. */
+/* A controller that leads is there within the span; else shows what all have said. */
 static void must_lead(Fleet *fleet, const char *when)
 {
     const int64_t until_ms = sim_now_ms(fleet->world) + SERVED_MS;
@@ -51,31 +51,31 @@
     fail_msg("nobody leads %s", when);
 }
 
-/* A core of those that run, which is not the one to spare; the leader when asked for. */
+/* A controller of those that run, which is not the one to spare; the leader when asked for. */
 static int drawn(Fleet *fleet, int spared, bool leader)
 {
     const int leads = fleet_leader(fleet);
     if (leader && leads != spared)
         return leads;
     for (;;) {
-        const int core = (int)(sim_random(fleet->world) % (uint64_t)fleet->node_count[FLEET_CORE]);
-        if (fleet_node(fleet, FLEET_CORE, core)->up && core != spared)
-            return core;
+        const int controller = (int)(sim_random(fleet->world) % (uint64_t)fleet->node_count[FLEET_CONTROLLER]);
+        if (fleet_node(fleet, FLEET_CONTROLLER, controller)->up && controller != spared)
+            return controller;
     }
 }
 
-/* The new core stands ready before the old one is told to go; the next loss comes
+/* The new controller stands ready before the old one is told to go; the next loss comes
  * as soon as it may. */
 static void planned_then_lost(uint64_t seed, bool leader_goes, bool leader_lost)
 {
     Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 1}, &ONE_LOSS);
     const int fresh = 3;
-    fleet_start_node(fleet, FLEET_CORE, fresh);
+    fleet_start_node(fleet, FLEET_CONTROLLER, fresh);
     fleet_run(fleet, FOLLOWED_MS);
-    fleet_leave(fleet, FLEET_CORE, drawn(fleet, fresh, leader_goes));
+    fleet_leave(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_goes));
     fleet_run(fleet, SYNC_MS);
     must_lead(fleet, "after a planned replacement");
-    fleet_power_off(fleet, FLEET_CORE, drawn(fleet, fresh, leader_lost));
+    fleet_power_off(fleet, FLEET_CONTROLLER, drawn(fleet, fresh, leader_lost));
     fleet_run(fleet, 1000);
     must_lead(fleet, "after a planned replacement and one more loss");
     finish(fleet);
@@ -95,7 +95,7 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         for (int loss = 0; loss < 2; loss++) {
-            fleet_power_off(fleet, FLEET_CORE, drawn(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
+            fleet_power_off(fleet, FLEET_CONTROLLER, drawn(fleet, -1, (seed + (uint64_t)loss) % 2 == 0));
             fleet_run(fleet, SYNC_MS);
             must_lead(fleet, "after losses without notice");
         }
@@ -105,17 +105,18 @@
 
 /* --- leaving ------------------------------------------------------------------------ */
 
-/* Whether the core's disk has a vote, by the list of whoever leads. */
-static bool votes(Fleet *fleet, int core)
+/* Whether the controller's disk has a vote, by the list of whoever leads. */
+static bool votes(Fleet *fleet, int controller)
 {
     uint64_t disks[VOTER_MOST];
     const int leader = fleet_leader(fleet);
-    const FleetNode *node = fleet_node(fleet, FLEET_CORE, core);
-    assert_true(leader >= 0 && node->core != NULL);
-    const size_t count = replication_voters(core_view(fleet_node(fleet, FLEET_CORE, leader)->core), disks);
+    const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, controller);
+    assert_true(leader >= 0 && node->controller != NULL);
+    const size_t count =
+        replication_voters(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), disks);
     bool found = false;
     for (size_t i = 0; i < count; i++)
-        found |= disks[i] == replication_disk(core_view(node->core));
+        found |= disks[i] == replication_disk(controller_view(node->controller));
     return found;
 }
 
@@ -123,9 +124,9 @@
 static int voter_drawn(Fleet *fleet, bool leader)
 {
     for (;;) {
-        const int core = drawn(fleet, -1, leader);
-        if (votes(fleet, core) && (core == fleet_leader(fleet)) == leader)
-            return core;
+        const int controller = drawn(fleet, -1, leader);
+        if (votes(fleet, controller) && (controller == fleet_leader(fleet)) == leader)
+            return controller;
     }
 }
 
@@ -137,11 +138,11 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         const int gone = voter_drawn(fleet, seed % 2 == 0);
-        fleet_leave(fleet, FLEET_CORE, gone);
-        while (fleet_node(fleet, FLEET_CORE, gone)->up)
+        fleet_leave(fleet, FLEET_CONTROLLER, gone);
+        while (fleet_node(fleet, FLEET_CONTROLLER, gone)->up)
             fleet_run(fleet, 10);
         must_lead(fleet, "after a voter has left");
-        fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, seed / 2 % 2 == 0));
+        fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed / 2 % 2 == 0));
         fleet_run(fleet, 100);
         must_lead(fleet, "after a voter has left, and one more loss at once");
         finish(fleet);
@@ -155,10 +156,10 @@
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         const int gone = voter_drawn(fleet, seed % 2 == 0);
-        fleet_leave(fleet, FLEET_CORE, gone);
+        fleet_leave(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, 3000);
-        assert_false(fleet_node(fleet, FLEET_CORE, gone)->up);
-        fleet_start_node(fleet, FLEET_CORE, gone);
+        assert_false(fleet_node(fleet, FLEET_CONTROLLER, gone)->up);
+        fleet_start_node(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, 2000);
         must_lead(fleet, "after a restart");
         assert_true(votes(fleet, gone));
@@ -173,8 +174,8 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 4; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
-        for (int core = 0; core < 4; core++) {
-            fleet_roll(fleet, FLEET_CORE, core);
+        for (int controller = 0; controller < 4; controller++) {
+            fleet_roll(fleet, FLEET_CONTROLLER, controller);
             fleet_run(fleet, SYNC_MS);
             must_lead(fleet, "while all are restarted");
             assert_int_equal(fleet_voters(fleet), 3);
@@ -191,14 +192,14 @@
     for (uint64_t seed = 1; seed <= 8; seed++) {
         Fleet *fleet = begin(seed, (FleetShape){4, 3, 4, MIX_TRENTVALE, 0}, &ONE_LOSS);
         const int gone = voter_drawn(fleet, seed % 2 == 0);
-        fleet_power_off(fleet, FLEET_CORE, gone);
+        fleet_power_off(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, SYNC_MS);
         must_lead(fleet, "after a loss");
-        fleet_start_node(fleet, FLEET_CORE, gone);
+        fleet_start_node(fleet, FLEET_CONTROLLER, gone);
         fleet_run(fleet, FOLLOWED_MS);
         must_lead(fleet, "after a return");
         assert_false(votes(fleet, gone));
-        fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, seed / 2 % 2 == 0));
+        fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, seed / 2 % 2 == 0));
         fleet_run(fleet, SYNC_MS);
         must_lead(fleet, "after one more loss");
         assert_true(votes(fleet, gone));
@@ -210,7 +211,7 @@
 
 static void status_has(Fleet *fleet, const char *text)
 {
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_CORE, fleet_leader(fleet), "GET", "/v1/status", NULL);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_CONTROLLER, fleet_leader(fleet), "GET", "/v1/status", NULL);
     assert_int_equal(call.code, 200);
     const char *body = talloc_strndup(fleet, (const char *)call.result.data, call.result.count);
     if (strstr(body, text) == NULL)
@@ -226,7 +227,7 @@
     status_has(fleet, "\"losses\":{\"borne\":1,\"asked\":1}");
     status_has(fleet, "\"answers\":true,\"ready\":true,\"index\":");
     status_has(fleet, "\"behind\":0}]");
-    fleet_power_off(fleet, FLEET_CORE, voter_drawn(fleet, false));
+    fleet_power_off(fleet, FLEET_CONTROLLER, voter_drawn(fleet, false));
     fleet_run(fleet, 1000);
     status_has(fleet, "\"losses\":{\"borne\":0,\"asked\":1}");
     fleet_run(fleet, SYNC_MS);
@@ -245,14 +246,14 @@
 
 typedef struct Trial {
     Fleet *fleet;
-    int64_t disk_since_ms[FLEET_EACH_MAX]; /* of each core's present disk */
+    int64_t disk_since_ms[FLEET_EACH_MAX]; /* of each controller's present disk */
     int next_spare;
 } Trial;
 
-static void core_begin(Trial *trial, int core)
+static void controller_begin(Trial *trial, int controller)
 {
-    trial->disk_since_ms[core] = sim_now_ms(trial->fleet->world);
-    fleet_start_node(trial->fleet, FLEET_CORE, core);
+    trial->disk_since_ms[controller] = sim_now_ms(trial->fleet->world);
+    fleet_start_node(trial->fleet, FLEET_CONTROLLER, controller);
 }
 
 /* A voter that runs and is not spared; -1 spares none. */
@@ -261,49 +262,50 @@
     Fleet *fleet = trial->fleet;
     if (target != TARGET_OLDEST) {
         for (;;) {
-            const int core = target == TARGET_LEADER && fleet_leader(fleet) != spared ? fleet_leader(fleet)
-                                                                                      : drawn(fleet, spared, false);
-            if (votes(fleet, core))
-                return core;
+            const int controller = target == TARGET_LEADER && fleet_leader(fleet) != spared
+                                       ? fleet_leader(fleet)
+                                       : drawn(fleet, spared, false);
+            if (votes(fleet, controller))
+                return controller;
         }
     }
     int oldest = -1;
-    for (int i = 0; i < fleet->node_count[FLEET_CORE]; i++)
-        if (fleet_node(fleet, FLEET_CORE, i)->up && i != spared && votes(fleet, i) &&
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
+        if (fleet_node(fleet, FLEET_CONTROLLER, i)->up && i != spared && votes(fleet, i) &&
             (oldest < 0 || trial->disk_since_ms[i] < trial->disk_since_ms[oldest]))
             oldest = i;
     return oldest;
 }
 
-static void strike(Trial *trial, int core, LossKind kind)
+static void strike(Trial *trial, int controller, LossKind kind)
 {
     if (kind == LOSS_PLANNED) {
-        fleet_leave(trial->fleet, FLEET_CORE, core);
+        fleet_leave(trial->fleet, FLEET_CONTROLLER, controller);
         return;
     }
-    fleet_power_off(trial->fleet, FLEET_CORE, core);
+    fleet_power_off(trial->fleet, FLEET_CONTROLLER, controller);
     if (kind == LOSS_WIPED)
-        sim_disk_wipe(trial->fleet->world, fleet_node(trial->fleet, FLEET_CORE, core)->machine);
+        sim_disk_wipe(trial->fleet->world, fleet_node(trial->fleet, FLEET_CONTROLLER, controller)->machine);
 }
 
-static void back(Trial *trial, int core, LossKind kind)
+static void back(Trial *trial, int controller, LossKind kind)
 {
     if (kind == LOSS_WIPED)
-        core_begin(trial, core);
+        controller_begin(trial, controller);
     else if (kind == LOSS_REPLACED)
-        core_begin(trial, trial->next_spare++);
+        controller_begin(trial, trial->next_spare++);
 }
 
 /* Each round as many are lost at once as may be, and all return before the next. */
 static void loss_rounds(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
 {
-    Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.cores};
+    Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.controllers};
     Fleet *fleet = trial.fleet;
     for (int round = 0; round < ROUNDS; round++) {
         const LossKind kind = (LossKind)((seed + (uint64_t)round) % LOSS_KINDS);
         int lost[2] = {-1, -1};
         for (int i = 0; i < site->losses && kind == LOSS_PLANNED; i++)
-            core_begin(&trial, trial.next_spare++);
+            controller_begin(&trial, trial.next_spare++);
         fleet_run(fleet, kind == LOSS_PLANNED ? FOLLOWED_MS : 0);
         must_lead(fleet, "before a loss");
         for (int i = 0; i < site->losses; i++)
@@ -313,9 +315,9 @@
         fleet_run(fleet, OUT_MS);
         if (cut_short) { /* a learner is lost while it catches up, and another comes */
             const int learner = trial.next_spare++;
-            core_begin(&trial, learner);
+            controller_begin(&trial, learner);
             fleet_run(fleet, 20 + (int64_t)(sim_random(fleet->world) % 400));
-            fleet_power_off(fleet, FLEET_CORE, learner);
+            fleet_power_off(fleet, FLEET_CONTROLLER, learner);
         }
         for (int i = 0; i < site->losses; i++)
             back(&trial, lost[i], kind);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -209,7 +209,7 @@
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
     /* one voter's wall clock jumps by an hour: the median does not */
-    sim_jump(fleet->world, fleet_node(fleet, FLEET_CORE, fleet_leader(fleet))->machine, 3600000);
+    sim_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
     fleet_run(fleet, 4200);
     assert_int_equal(checker_starts(fleet->checker), 0);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/due", NULL, &text), 200);
@@ -224,7 +224,7 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    /* eleven workers of 64 cores: the first gang leaves room for five of the second */
+    /* eleven workers of 64 controllers: the first gang leaves room for five of the second */
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
                          STEPS("g1", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
                                      "\"payload\":{\"runMs\":6000}}"),
@@ -368,7 +368,7 @@
             fail_msg("%s: %d %s", BAD[i].body, code, text);
     }
     /* refused ones took no effect; a leader's death loses nothing */
-    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 6000);
     assert_int_equal(ask(fleet, "GET", "/v1/config", NULL, &text), 200);
     assert_non_null(strstr(text, "\"revision\":3"));
@@ -461,7 +461,7 @@
                          &text),
                      201);
     fleet_run(fleet, 6000);
-    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 cores; four are left on each other */
+    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 controllers; four are left on each other */
     for (int i = 0; i < 10; i++)
         assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
     end(fleet);
@@ -490,7 +490,7 @@
         fleet_run(fleet, 2000);
         assert_int_equal(running(fleet), 22);
         for (int i = 0; i < 3; i++)
-            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
         /* a change that can't be written shows the failure */
         ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
         fleet_run(fleet, 10000);
@@ -502,9 +502,9 @@
             assert_int_equal(running(fleet), 0);
         }
         for (int i = 0; i < 3; i++) {
-            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
-            fleet_kill(fleet, FLEET_CORE, i);
-            fleet_start_node(fleet, FLEET_CORE, i);
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+            fleet_kill(fleet, FLEET_CONTROLLER, i);
+            fleet_start_node(fleet, FLEET_CONTROLLER, i);
         }
         fleet_run(fleet, 15000);
         assert_true(fleet_leader(fleet) >= 0);
@@ -531,7 +531,8 @@
     for (size_t i = 0; i < sizeof(WAY) / sizeof(WAY[0]); i++) {
         char step[32];
         snprintf(step, sizeof(step), "\"step\":\"%s\"", WAY[i]);
-        if ((at = strstr(i > 1 ? at : text, step)) == NULL) /* gate and core speak within one way there and back */
+        if ((at = strstr(i > 1 ? at : text, step)) ==
+            NULL) /* gate and controller speak within one way there and back */
             fail_msg("%s is not there, or not in its place: %s", WAY[i], text);
     }
     for (int i = 1; i <= 3; i++) {
@@ -568,7 +569,7 @@
         fleet_start(fleet);
         assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
         fleet_run(fleet, 1000);
-        fleet_freeze(fleet, FLEET_CORE, fleet_leader(fleet), 9000);
+        fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
@@ -598,7 +599,7 @@
     const HttpCall cut = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL);
     assert_int_equal(cut.code, 503);
     assert_true(cut.retry_after_s > 0);
-    assert_int_not_equal(fleet_ask(fleet, fleet, FLEET_CORE, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_not_equal(fleet_ask(fleet, fleet, FLEET_CONTROLLER, 0, "GET", "/readyz", NULL).code, 200);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/readyz", NULL).code, 200);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", false);
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -14,9 +14,9 @@
 
 #include "sim/fleet.h"
 
-#define CORES 3
+#define CONTROLLERS 3
 #define GATES 3
-#define NODES (CORES + GATES)
+#define NODES (CONTROLLERS + GATES)
 #define TRIES_MOST 200   /* count; of one call until it is answered clearly */
 #define ASK_WAIT_MS 1000 /* ms; a caller gives an answer up after this */
 #define RACERS 8         /* count; so many orders may be under way at once */
@@ -33,7 +33,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CORES, GATES, 3, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, GATES, 3, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
@@ -42,7 +42,7 @@
 static const FleetNode *node_at(Fleet *fleet, int number)
 {
     const int at = number % NODES;
-    return at < GATES ? fleet_node(fleet, FLEET_GATE, at) : fleet_node(fleet, FLEET_CORE, at - GATES);
+    return at < GATES ? fleet_node(fleet, FLEET_GATE, at) : fleet_node(fleet, FLEET_CONTROLLER, at - GATES);
 }
 
 static const char *path_of(void *mem, const Call *call)
@@ -151,20 +151,20 @@
     return call;
 }
 
-/* Kills leaders until the core leads. */
-static void make_lead(Fleet *fleet, int core)
+/* Kills leaders until the controller leads. */
+static void make_lead(Fleet *fleet, int controller)
 {
-    for (int i = 0; i < 12 && fleet_leader(fleet) != core; i++) {
+    for (int i = 0; i < 12 && fleet_leader(fleet) != controller; i++) {
         const int leader = fleet_leader(fleet);
         checker_fault(fleet->checker);
         if (leader >= 0) {
-            fleet_kill(fleet, FLEET_CORE, leader);
+            fleet_kill(fleet, FLEET_CONTROLLER, leader);
             fleet_run(fleet, 4000);
-            fleet_start_node(fleet, FLEET_CORE, leader);
+            fleet_start_node(fleet, FLEET_CONTROLLER, leader);
         }
         fleet_run(fleet, 5000);
     }
-    assert_int_equal(fleet_leader(fleet), core);
+    assert_int_equal(fleet_leader(fleet), controller);
 }
 
 /* --- races ---------------------------------------------------------------------------------- */
@@ -174,13 +174,13 @@
 static void upset(Fleet *fleet, Upset how, int leader, bool begins)
 {
     if (how == UPSET_KILL && begins)
-        fleet_kill(fleet, FLEET_CORE, leader);
+        fleet_kill(fleet, FLEET_CONTROLLER, leader);
     else if (how == UPSET_KILL)
-        fleet_start_node(fleet, FLEET_CORE, leader);
+        fleet_start_node(fleet, FLEET_CONTROLLER, leader);
     else if (how == UPSET_FREEZE && begins)
-        fleet_freeze(fleet, FLEET_CORE, leader, 3000);
+        fleet_freeze(fleet, FLEET_CONTROLLER, leader, 3000);
     else if (how == UPSET_CUT)
-        fleet_isolate(fleet, FLEET_CORE, leader, begins);
+        fleet_isolate(fleet, FLEET_CONTROLLER, leader, begins);
 }
 
 /* Two calls on one base at the same moment; the leader is lost some ms after they were sent. */
@@ -301,19 +301,19 @@
 
 /* --- sent again -------------------------------------------------------------------------------- */
 
-/* A disk is lost and brought up to date by a snapshot; then its core leads. */
+/* A disk is lost and brought up to date by a snapshot; then its controller leads. */
 static void after_wipe(void **state)
 {
     (void)state;
     Fleet *fleet = begin(66);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
-    const int lost = (fleet_leader(fleet) + 1) % CORES;
+    const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
     checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CORE, lost);
-    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine);
+    fleet_power_off(fleet, FLEET_CONTROLLER, lost);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine);
     for (int i = 0; i < GATES; i++) /* while it is away */
         assert_int_equal(again(&patch, i), 200);
-    fleet_start_node(fleet, FLEET_CORE, lost);
+    fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
     make_lead(fleet, lost);
     again_everywhere(&whole, 200);
@@ -328,10 +328,10 @@
     Fleet *fleet = begin(67);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
     checker_fault(fleet->checker);
-    for (int i = 0; i < CORES; i++)
-        fleet_power_off(fleet, FLEET_CORE, i);
-    for (int i = 0; i < CORES; i++)
-        fleet_start_node(fleet, FLEET_CORE, i);
+    for (int i = 0; i < CONTROLLERS; i++)
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
+    for (int i = 0; i < CONTROLLERS; i++)
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 12000);
     again_everywhere(&patch, 200);
     again_everywhere(&whole, 200);
@@ -350,11 +350,11 @@
     changes_more(fleet, 500);
     again_everywhere(&whole, 200);
     again_everywhere(&patch, 200);
-    const int lost = (fleet_leader(fleet) + 1) % CORES;
+    const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
     checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CORE, lost);
-    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CORE, lost)->machine);
-    fleet_start_node(fleet, FLEET_CORE, lost);
+    fleet_power_off(fleet, FLEET_CONTROLLER, lost);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine);
+    fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
     make_lead(fleet, lost);
     again_everywhere(&whole, 200);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -76,7 +76,7 @@
     (void)state;
     Fleet *fleet = begun(4);
     fleet_run(fleet, 2000);
-    fleet_kill(fleet, FLEET_CORE, fleet_leader(fleet));
+    fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 5000); /* another leads; heartbeats have come */
     assert_true(fleet_leader(fleet) >= 0);
     const int at = worker_of(fleet);
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -1,4 +1,4 @@
-/* What nodes answer while a core is cut off from the others, though callers and gates still
+/* What nodes answer while a controller is cut off from the others, though callers and gates still
  * reach it: no answer may be older than what was acknowledged before it was asked for. In
  * virtual time. */
 #include <inttypes.h>
@@ -14,7 +14,7 @@
 
 #include "sim/fleet.h"
 
-#define CORES 3
+#define CONTROLLERS 3
 #define GATES 3
 #define READ_PAUSE_MS 40  /* ms; between two reads of one reader */
 #define ASK_WAIT_MS 1000  /* ms; a caller gives an answer up after this */
@@ -115,7 +115,7 @@
     }
 }
 
-/* Changes the configuration without a pause, at one core after the other. */
+/* Changes the configuration without a pause, at one controller after the other. */
 static void operator_main(void *arg)
 {
     Watched *watched = arg;
@@ -123,7 +123,7 @@
     uint64_t base = watched->acknowledged;
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->settings.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CONTROLLER, (int)(turn % CONTROLLERS))->settings.http;
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 1);
         const HttpCall call = ask(loop, mem, address, "PATCH", path, "{\"note\":\"n\"}");
         if (call.code == 200 && base + 1 > watched->acknowledged)
@@ -143,7 +143,7 @@
     Loop *loop = sim_loop(watched->fleet->world, watched->fleet->caller);
     for (uint64_t turn = 0; !watched->stop; turn++) {
         void *mem = talloc_new(loop);
-        const char *address = fleet_node(watched->fleet, FLEET_CORE, (int)(turn % CORES))->settings.http;
+        const char *address = fleet_node(watched->fleet, FLEET_CONTROLLER, (int)(turn % CONTROLLERS))->settings.http;
         const char *body = talloc_asprintf(
             mem,
             "{\"id\":\"j-%zu\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":"
@@ -162,8 +162,9 @@
     watched->fleet = fleet;
     watched->acknowledged = 1;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
-    for (int i = 0; i < CORES + GATES; i++) {
-        const FleetNode *node = i < CORES ? fleet_node(fleet, FLEET_CORE, i) : fleet_node(fleet, FLEET_GATE, i - CORES);
+    for (int i = 0; i < CONTROLLERS + GATES; i++) {
+        const FleetNode *node =
+            i < CONTROLLERS ? fleet_node(fleet, FLEET_CONTROLLER, i) : fleet_node(fleet, FLEET_GATE, i - CONTROLLERS);
         Reader *reader = talloc_zero(watched, Reader);
         *reader = (Reader){watched, node->settings.http, node->settings.name};
         loop_spawn(loop, "reader", reader_main, reader);
@@ -173,20 +174,20 @@
     return watched;
 }
 
-static void cut_core(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
+static void cut_controller(Fleet *fleet, int victim, CutKind kind, int64_t span_ms, bool cut)
 {
     if (kind == CUT_FREEZE) { /* it wakes by itself, with all that was sent to it meanwhile */
         if (cut)
-            fleet_freeze(fleet, FLEET_CORE, victim, span_ms);
+            fleet_freeze(fleet, FLEET_CONTROLLER, victim, span_ms);
         return;
     }
     if (kind == CUT_ALL) {
-        fleet_isolate(fleet, FLEET_CORE, victim, cut);
+        fleet_isolate(fleet, FLEET_CONTROLLER, victim, cut);
         return;
     }
-    const int machine = fleet_node(fleet, FLEET_CORE, victim)->machine;
-    for (int i = 0; i < CORES; i++) {
-        const int other = fleet_node(fleet, FLEET_CORE, i)->machine;
+    const int machine = fleet_node(fleet, FLEET_CONTROLLER, victim)->machine;
+    for (int i = 0; i < CONTROLLERS; i++) {
+        const int other = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         if (i == victim)
             continue;
         sim_refuse(fleet->world, other, machine, kind == CUT_REFUSED);
@@ -200,7 +201,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CORES, GATES, 4, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, GATES, 4, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
@@ -210,7 +211,7 @@
  * again. rates: of its clock and of the others', in percent. */
 typedef struct CutCase {
     const char *name;
-    int after; /* 0: the leader, 1: the next core */
+    int after; /* 0: the leader, 1: the next controller */
     CutKind kind;
     int64_t span_ms;
     bool restart;
@@ -220,25 +221,25 @@
 static void cut_once(uint64_t seed, const CutCase *one)
 {
     Fleet *fleet = begin(seed);
-    const int victim = (fleet_leader(fleet) + one->after) % CORES;
+    const int victim = (fleet_leader(fleet) + one->after) % CONTROLLERS;
     Watched *watched = watch(fleet);
     fleet_run(fleet, 1500 + (int64_t)(seed * 37 % 400));
     const uint64_t before = watched->acknowledged;
     checker_fault(fleet->checker);
-    cut_core(fleet, victim, one->kind, one->span_ms, true);
-    for (int i = 0; i < CORES; i++)
-        sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine,
+    cut_controller(fleet, victim, one->kind, one->span_ms, true);
+    for (int i = 0; i < CONTROLLERS; i++)
+        sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine,
                        i == victim ? one->rate : one->others_rate);
     fleet_run(fleet, one->span_ms / 2);
     if (one->restart) {
-        fleet_kill(fleet, FLEET_CORE, victim);
+        fleet_kill(fleet, FLEET_CONTROLLER, victim);
         fleet_run(fleet, 400);
-        fleet_start_node(fleet, FLEET_CORE, victim);
+        fleet_start_node(fleet, FLEET_CONTROLLER, victim);
     }
     fleet_run(fleet, one->span_ms / 2);
     const uint64_t during = watched->acknowledged;
-    cut_core(fleet, victim, one->kind, one->span_ms, false);
-    sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CORE, victim)->machine, 100);
+    cut_controller(fleet, victim, one->kind, one->span_ms, false);
+    sim_clock_rate(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, victim)->machine, 100);
     fleet_run(fleet, 4000);
     watched->stop = true;
     fleet_run(fleet, 2 * ASK_WAIT_MS);
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -11,7 +11,7 @@
 
 #include "sim/fleet.h"
 
-#define LEASE_MS 8000 /* ms; no core leads for some 4 s */
+#define LEASE_MS 8000 /* ms; no controller leads for some 4 s */
 
 #define BODY                                                                                                                 \
     "{\"id\":\"g\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"gang\":true," \
@@ -39,7 +39,7 @@
 {
     (void)state;
     Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 5, MIX_TRENTVALE, 0});
-    /* what runs outlives the loss of all cores */
+    /* what runs outlives the loss of all controllers */
     for (int role = 0; role < FLEET_ROLES; role++)
         for (int i = 0; i < fleet->node_count[role]; i++)
             fleet->nodes[role][i].settings.bounds.lease_ms = fleet->nodes[role][i].settings.bounds.worker_lease_ms =
@@ -47,7 +47,7 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", BODY).code, 201);
     checker_accepted(fleet->checker, "g");
     for (int i = 0; i < 50 && running(fleet) < 2; i++)
@@ -61,10 +61,10 @@
     fleet_power_off(fleet, FLEET_WORKER, gone);
     fleet_power_off(fleet, FLEET_AGENT, gone);
     for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CORE, i);
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < 3; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
-        fleet_start_node(fleet, FLEET_CORE, i);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
     fleet_run(fleet, 15000);
     job = fleet_job(fleet, "g");
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -27,20 +27,20 @@
 
 typedef struct Walk {
     Trigger trigger;
-    FleetRole role;    /* who is struck; of cores: the leader, or its follower after a kill */
+    FleetRole role;    /* who is struck; of controllers: the leader, or its follower after a kill */
     int64_t freeze_ms; /* 0: killed */
     int steps_most;
 } Walk;
 
-/* The node that the walk strikes; after a loss of the leader, the core that is
+/* The node that the walk strikes; after a loss of the leader, the controller that is
  * about to take over is not known yet: each of the two in turn. */
 static FleetNode *victim(Fleet *fleet, const Walk *walk, int leader, int step)
 {
-    if (walk->role != FLEET_CORE)
+    if (walk->role != FLEET_CONTROLLER)
         return fleet_node(fleet, walk->role, 0);
     if (walk->trigger == ON_SUBMIT || walk->trigger == ON_CONFIG)
-        return fleet_node(fleet, FLEET_CORE, leader);
-    return fleet_node(fleet, FLEET_CORE, walk->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
+        return fleet_node(fleet, FLEET_CONTROLLER, leader);
+    return fleet_node(fleet, FLEET_CONTROLLER, walk->trigger == ON_POWER_LOST ? step % 3 : (leader + 1 + step % 2) % 3);
 }
 
 static void trigger(Fleet *fleet, const Walk *walk, int leader)
@@ -48,14 +48,14 @@
     checker_fault(fleet->checker);
     switch (walk->trigger) {
     case ON_LEADER_KILLED:
-        fleet_kill(fleet, FLEET_CORE, leader);
+        fleet_kill(fleet, FLEET_CONTROLLER, leader);
         break;
     case ON_POWER_LOST:
         for (int i = 0; i < 3; i++)
-            fleet_power_off(fleet, FLEET_CORE, i);
+            fleet_power_off(fleet, FLEET_CONTROLLER, i);
         for (int i = 0; i < 3; i++) {
-            sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, false);
-            fleet_start_node(fleet, FLEET_CORE, i);
+            sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+            fleet_start_node(fleet, FLEET_CONTROLLER, i);
         }
         break;
     default:
@@ -70,7 +70,7 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3 && walk->trigger == ON_POWER_LOST; i++)
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine, true);
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     checker_config_set(fleet->checker, 1);
     fleet_call(fleet, "c", 20000, 600); /* a dozen jobs about the strike */
     fleet_run(fleet, 200);
@@ -111,13 +111,13 @@
 static void leader_killed(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_CORE, 0, 160}, 8);
+    walked(&(Walk){ON_SUBMIT, FLEET_CONTROLLER, 0, 160}, 8);
 }
 
 static void leader_frozen(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_CORE, 5000, 160}, 16);
+    walked(&(Walk){ON_SUBMIT, FLEET_CONTROLLER, 5000, 160}, 16);
 }
 
 static void gate_killed(void **state)
@@ -142,13 +142,13 @@
 static void during_change_of_view(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_LEADER_KILLED, FLEET_CORE, 0, 200}, 14);
+    walked(&(Walk){ON_LEADER_KILLED, FLEET_CONTROLLER, 0, 200}, 14);
 }
 
 static void during_repair(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_POWER_LOST, FLEET_CORE, 0, 200}, 14);
+    walked(&(Walk){ON_POWER_LOST, FLEET_CONTROLLER, 0, 200}, 14);
 }
 
 int main(void)
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -48,10 +48,10 @@
 SWEPT(atlas520, MIX_ATLAS, 520, 1572)
 
 /* 5, 14: a gang, some of whose members had finished, never started again; 17: one
- * whose members rest unequally; 23, 65: a core with a new disk at an address where
+ * whose members rest unequally; 23, 65: a controller with a new disk at an address where
  * a voter's disk had stood answered for it; 80: a repair that took a commit for each
  * change told again; 110: claims and a worker's new boot. Of the others' seeds above,
- * 512: a core whose disk fails went on proposing itself; 178: a disk that takes 1.4 s,
+ * 512: a controller whose disk fails went on proposing itself; 178: a disk that takes 1.4 s,
  * just too little to leave the view; 86: a gate cut one way from the leader alone */
 SWEPT(varied5, MIX_VARIED, 5, 80, 86)
 SWEPT(varied14, MIX_VARIED, 14, 23, 17)
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -254,10 +254,10 @@
 
 static const FleetShape SPARES = {3, 3, 11, MIX_TRENTVALE, 2};
 
-/* Two cores replaced in sequence by empty ones at new addresses whose seeds are
+/* Two controllers replaced in sequence by empty ones at new addresses whose seeds are
  * others; the first returns with its old disk; in the end only the new two are
  * left of the voters that vote. */
-TIMELINE(cores_replaced, SPARES, 3,
+TIMELINE(controllers_replaced, SPARES, 3,
          "ms     core1  core2  core3  core4  core5  callers\n"
          "0      .      .      .      .      .      call:10\n"
          "4000   off    .      .      .      .      .\n"
@@ -270,20 +270,33 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(rolled_out),        cmocka_unit_test(leader_blind),
-        cmocka_unit_test(worker_fails),      cmocka_unit_test(many_fail),
-        cmocka_unit_test(cancelled),         cmocka_unit_test(founding),
-        cmocka_unit_test(leader_killed),     cmocka_unit_test(worker_killed),
-        cmocka_unit_test(machine_off),       cmocka_unit_test(agent_frozen),
-        cmocka_unit_test(worker_frozen),     cmocka_unit_test(leader_frozen),
-        cmocka_unit_test(minority_cut),      cmocka_unit_test(agent_cut),
-        cmocka_unit_test(zone_off),          cmocka_unit_test(zone_cut),
-        cmocka_unit_test(zone_drained),      cmocka_unit_test(worker_leaves),
-        cmocka_unit_test(all_voters_killed), cmocka_unit_test(power_lost_after_acknowledgement),
-        cmocka_unit_test(one_disk_lies),     cmocka_unit_test(slow_disks),
-        cmocka_unit_test(disk_fails),        cmocka_unit_test(clocks_jump),
-        cmocka_unit_test(one_way_cuts),      cmocka_unit_test(gate_killed),
-        cmocka_unit_test(cores_replaced),
+        cmocka_unit_test(rolled_out),
+        cmocka_unit_test(leader_blind),
+        cmocka_unit_test(worker_fails),
+        cmocka_unit_test(many_fail),
+        cmocka_unit_test(cancelled),
+        cmocka_unit_test(founding),
+        cmocka_unit_test(leader_killed),
+        cmocka_unit_test(worker_killed),
+        cmocka_unit_test(machine_off),
+        cmocka_unit_test(agent_frozen),
+        cmocka_unit_test(worker_frozen),
+        cmocka_unit_test(leader_frozen),
+        cmocka_unit_test(minority_cut),
+        cmocka_unit_test(agent_cut),
+        cmocka_unit_test(zone_off),
+        cmocka_unit_test(zone_cut),
+        cmocka_unit_test(zone_drained),
+        cmocka_unit_test(worker_leaves),
+        cmocka_unit_test(all_voters_killed),
+        cmocka_unit_test(power_lost_after_acknowledgement),
+        cmocka_unit_test(one_disk_lies),
+        cmocka_unit_test(slow_disks),
+        cmocka_unit_test(disk_fails),
+        cmocka_unit_test(clocks_jump),
+        cmocka_unit_test(one_way_cuts),
+        cmocka_unit_test(gate_killed),
+        cmocka_unit_test(controllers_replaced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -51,8 +51,8 @@
     Loop *loop = handed->task->loop;
     const int64_t from_ms = loop_now_ms(loop);
     handed->task->timeout_ms += handed->task->timeout_ms > 0 ? from_ms : 0;
-    if (handed->node->core != NULL)
-        core_take(handed->node->core, handed->task);
+    if (handed->node->controller != NULL)
+        controller_take(handed->node->controller, handed->task);
     else
         gate_take(handed->node->gate, handed->task);
     handed->took_ms = loop_now_ms(loop) - from_ms;
@@ -84,7 +84,7 @@
     (void)state;
     Fleet *fleet = begin(31);
     int64_t took_ms;
-    fleet_freeze(fleet, FLEET_CORE, fleet_leader(fleet), 30000);
+    fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 30000);
     HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
     assert_true(took_ms <= 310);
@@ -102,7 +102,7 @@
     (void)state;
     Fleet *fleet = begin(32);
     for (int i = 0; i < 3; i++)
-        fleet_kill(fleet, FLEET_CORE, i);
+        fleet_kill(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 600);
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
@@ -123,7 +123,7 @@
     (void)state;
     Fleet *fleet = begin(33);
     for (int i = 0; i < 3; i++)
-        sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CORE, i)->machine,
+        sim_disk_slow(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine,
                       240); /* its own and one under way: a leader slower than 500 ms hands over */
     for (int i = 0; i < 5; i++) {
         int64_t took_ms;
@@ -141,7 +141,7 @@
     (void)state;
     Fleet *fleet = begin(34);
     const int leader = fleet_leader(fleet);
-    const int a = fleet_node(fleet, FLEET_GATE, 0)->machine, b = fleet_node(fleet, FLEET_CORE, leader)->machine;
+    const int a = fleet_node(fleet, FLEET_GATE, 0)->machine, b = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
     sim_cut(fleet->world, a, b, true);
     sim_cut(fleet->world, b, a, true);
     int64_t took_ms;
@@ -172,7 +172,7 @@
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "own-%d", i);
         const HttpTask *task =
-            hand(fleet, FLEET_CORE, fleet_leader(fleet), "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
+            hand(fleet, FLEET_CONTROLLER, fleet_leader(fleet), "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms < KEEP_ASK_MS + 100);
         slow += took_ms >= KEEP_ASK_MS;
@@ -186,16 +186,16 @@
 static int ready_count(Fleet *fleet)
 {
     int ready = 0;
-    for (int role = FLEET_CORE; role <= FLEET_GATE; role++)
+    for (int role = FLEET_CONTROLLER; role <= FLEET_GATE; role++)
         for (int i = 0; i < 3; i++) {
             const FleetNode *node = fleet_node(fleet, (FleetRole)role, i);
             if (sim_alive(fleet->world, node->machine) && node->up)
-                ready += node->core != NULL ? core_ready(node->core) : gate_ready(node->gate);
+                ready += node->controller != NULL ? controller_ready(node->controller) : gate_ready(node->gate);
         }
     return ready;
 }
 
-/* A change of leader takes nobody out; the end of all cores takes all out. */
+/* A change of leader takes nobody out; the end of all controllers takes all out. */
 static void readiness(void **state)
 {
     (void)state;
@@ -203,7 +203,7 @@
     fleet_run(fleet, 3000);
     assert_int_equal(ready_count(fleet), 6);
     const int leader = fleet_leader(fleet);
-    fleet_roll(fleet, FLEET_CORE, leader);
+    fleet_roll(fleet, FLEET_CONTROLLER, leader);
     fleet_run(fleet, 10);
     for (int i = 0; i < 40; i++) {
         assert_true(ready_count(fleet) >= 5); /* all but the one that leaves */
@@ -212,14 +212,14 @@
     fleet_run(fleet, 8000);
     assert_int_equal(ready_count(fleet), 6);
     const int next = fleet_leader(fleet);
-    fleet_kill(fleet, FLEET_CORE, next);
+    fleet_kill(fleet, FLEET_CONTROLLER, next);
     fleet_run(fleet, 1500);
     assert_int_equal(ready_count(fleet), 5);
     fleet_run(fleet, 6000);
     assert_int_equal(ready_count(fleet), 5);
     for (int i = 0; i < 3; i++)
         if (i != next)
-            fleet_kill(fleet, FLEET_CORE, i);
+            fleet_kill(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 2500);
     assert_int_equal(ready_count(fleet), 0);
     end(fleet);
@@ -266,7 +266,7 @@
     int64_t ready_ms = loop_now_ms(loop);
     while (!sending->stop && loop_now_ms(loop) - ready_ms <= 300) {
         FleetNode *node = sending->node;
-        if (node->up && (node->core != NULL ? core_ready(node->core) : gate_ready(node->gate)))
+        if (node->up && (node->controller != NULL ? controller_ready(node->controller) : gate_ready(node->gate)))
             ready_ms = loop_now_ms(loop);
         Send *one = talloc_zero(sending->fleet, Send);
         *one = (Send){sending, sending->sent++};
@@ -280,9 +280,9 @@
 static void leaving(void **state)
 {
     (void)state;
-    for (int role = FLEET_CORE; role <= FLEET_GATE; role++) {
+    for (int role = FLEET_CONTROLLER; role <= FLEET_GATE; role++) {
         Fleet *fleet = begin(36);
-        const int number = role == FLEET_CORE ? fleet_leader(fleet) : 0;
+        const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
         Sending sending = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
         loop_spawn(sim_loop(fleet->world, fleet->caller), "sending", sending_main, &sending);
         fleet_run(fleet, 500);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -16,7 +16,7 @@
 #define EACH 27    /* count; tasks on each */
 
 typedef struct Stand {
-    Core *core;
+    Controller *controller;
     uint64_t index, jobs;
 } Stand;
 
@@ -30,10 +30,11 @@
 static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {.change = kind, .index = ++stand->index, .at_ms = replication_clock_ms(stand->core->replication)};
+    Record change = {
+        .change = kind, .index = ++stand->index, .at_ms = replication_clock_ms(stand->controller->replication)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ReplicationState state = table_state(stand->core->table);
+    const ReplicationState state = table_state(stand->controller->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
 }
@@ -60,7 +61,7 @@
                                         .worker_live = true,
                                         .settled = true};
         bool counts;
-        liveset_heartbeat(stand->core->liveset, &heartbeat, loop_now_ms(stand->core->loop), 60000, &counts);
+        liveset_heartbeat(stand->controller->liveset, &heartbeat, loop_now_ms(stand->controller->loop), 60000, &counts);
     }
     talloc_free(mem);
 }
@@ -89,7 +90,7 @@
 
 static Pass *pass(Stand *stand)
 {
-    Pass *one = pass_new(stand->core, stand->core);
+    Pass *one = pass_new(stand->controller, stand->controller);
     pass_places(one);
     return one;
 }
@@ -117,25 +118,25 @@
 static Stand stand_new(void *mem, size_t times)
 {
     SimWorld *world = sim_world_new(mem, 1);
-    Core *core = talloc_zero(mem, Core);
-    Settings *settings = talloc_zero(core, Settings);
+    Controller *controller = talloc_zero(mem, Controller);
+    Settings *settings = talloc_zero(controller, Settings);
     settings->bounds = bounds_first();
-    core->settings = settings;
-    sim_start(world, sim_machine(world), started, &core->loop);
-    core->recorder = recorder_new(core, "bench");
-    core->table = table_new(core);
+    controller->settings = settings;
+    sim_start(world, sim_machine(world), started, &controller->loop);
+    controller->recorder = recorder_new(controller, "bench");
+    controller->table = table_new(controller);
     const ReplicationSettings replication_settings = {
-        .loop = core->loop, .recorder = core->recorder, .state = table_state(core->table)};
-    core->replication = replication_new(core, &replication_settings);
-    core->liveset = liveset_new(core);
-    core->saved = map_new(core);
-    core->scores = map_new(core);
-    core->kept = map_new(core);
-    core->estimates = estimates_new(core);
-    core->orphans = orphans_new(core);
-    core->paces = paces_new(core);
-    core->queue = queue_new(core, core->estimates);
-    Stand stand = {core, 0, 0};
+        .loop = controller->loop, .recorder = controller->recorder, .state = table_state(controller->table)};
+    controller->replication = replication_new(controller, &replication_settings);
+    controller->liveset = liveset_new(controller);
+    controller->saved = map_new(controller);
+    controller->scores = map_new(controller);
+    controller->kept = map_new(controller);
+    controller->estimates = estimates_new(controller);
+    controller->orphans = orphans_new(controller);
+    controller->paces = paces_new(controller);
+    controller->queue = queue_new(controller, controller->estimates);
+    Stand stand = {controller, 0, 0};
     const ConfigSet set = {
         .version = 1,
         .text =
--- a/packages/view/include/view/messages.h
+++ b/packages/view/include/view/messages.h
@@ -6,14 +6,14 @@
 #define DISK_ID_FIELDS(X) X(U64, disk, 0)
 SHAPE(DiskId, DISK_ID_FIELDS)
 
-/* Where the core of a voter's disk stood when the voter was given. It helps to find
+/* Where the controller of a voter's disk stood when the voter was given. It helps to find
  * it again; the disk alone says whose the voter is. */
-#define VOTER_CORE_FIELDS(X) \
-    X(U64, disk, 0)          \
-    X(TXT, name, 0)          \
-    X(TXT, zone, 0)          \
+#define VOTER_CONTROLLER_FIELDS(X) \
+    X(U64, disk, 0)                \
+    X(TXT, name, 0)                \
+    X(TXT, zone, 0)                \
     X(TXT, address, 0)
-SHAPE(VoterCore, VOTER_CORE_FIELDS)
+SHAPE(VoterController, VOTER_CONTROLLER_FIELDS)
 
 /* Who holds the voters, place by place. Held in the log from the founding on.
  * Invariants: disk 0 is a place that nobody has; of two lists that follow each
@@ -21,7 +21,7 @@
  * voters besides. */
 #define VOTER_LIST_FIELDS(X) \
     X(LST, voters, DiskId)   \
-    X(LST, cores, VoterCore)
+    X(LST, controllers, VoterController)
 SHAPE(VoterList, VOTER_LIST_FIELDS)
 
 /* The first entry of each term: whose it is and which voters are in the view.
@@ -37,7 +37,7 @@
 SHAPE(TermRecord, TERM_RECORD_FIELDS)
 
 /* to, in all that is asked of a voter: the disk that it is meant for. An address
- * names nobody: a core with a new disk may stand where another's voter stood. 0: an
+ * names nobody: a controller with a new disk may stand where another's voter stood. 0: an
  * older release asks, which did not say. */
 #define PROPOSE_ASK_FIELDS(X) \
     X(U64, term, 0)           \
--- a/packages/view/include/view/view.h
+++ b/packages/view/include/view/view.h
@@ -134,7 +134,7 @@
     uint64_t sight;
 } ReplicationVoterStatus;
 
-/* A core without a vote that follows the log; known to the leader alone. */
+/* A controller without a vote that follows the log; known to the leader alone. */
 typedef struct ReplicationLearnerStatus {
     uint64_t disk;
     bool answers;
--- a/packages/view/src/disk.c
+++ b/packages/view/src/disk.c
@@ -107,8 +107,8 @@
     }
     snapshot.voters = replication->list->voters;
     snapshot.voters_count = replication->list->voters_count;
-    snapshot.cores = replication->list->cores;
-    snapshot.cores_count = replication->list->cores_count;
+    snapshot.controllers = replication->list->controllers;
+    snapshot.controllers_count = replication->list->controllers_count;
     snapshot.last = replication->last;
     snapshot.state = replication->settings.state.save(replication->settings.state.arg, mem);
     Record record = {.kind = RECORD_SNAPSHOT,
--- a/packages/view/src/found.c
+++ b/packages/view/src/found.c
@@ -25,7 +25,7 @@
 
 /* --- by the seeds' votes --------------------------------------------------------- */
 
-/* The empty core with the lowest disk that it has heard of stands; with the votes
+/* The empty controller with the lowest disk that it has heard of stands; with the votes
  * of a majority of the seeds it founds, alone, and then gives voters to the others. */
 static void votes_main(void *arg)
 {
@@ -70,7 +70,7 @@
         const Member *row = &table->rows[i];
         if (row->record.cluster != 0)
             return false;
-        if (row->record.role != ROLE_CORE || member_quiet(row, now_ms))
+        if (row->record.role != ROLE_CONTROLLER || member_quiet(row, now_ms))
             continue;
         if (!row->record.empty || row->direct_ms == INT64_MIN || count == VOTER_FIRST)
             return false;
--- a/packages/view/src/inside.h
+++ b/packages/view/src/inside.h
@@ -26,7 +26,7 @@
 /* The slots of peers: one for each place of a voter, then one for each learner. */
 #define SLOT_MOST (VOTER_MOST + LEARNER_MOST)
 
-/* A core without a vote that follows the log, so that it can be given one at once.
+/* A controller without a vote that follows the log, so that it can be given one at once.
  * Invariant: turn grows each time that the slot is given; tasks of an earlier turn end. */
 typedef struct Learner {
     uint64_t disk; /* 0: the slot is free */
@@ -134,7 +134,7 @@
     X(LST, voters, DiskId)   \
     X(ONE, last, TermRecord) \
     X(BIN, state, 0)         \
-    X(LST, cores, VoterCore)
+    X(LST, controllers, VoterController)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
 int replication_voter_of(const Replication *replication, uint64_t disk);
@@ -173,18 +173,18 @@
  * once another has it. */
 void voters_take(Replication *replication, const VoterList *list, uint64_t index);
 void voters_founded(Replication *replication, const VoterList *list);
-/* The list of these disks, with what is known of their cores; on mem. */
+/* The list of these disks, with what is known of their controllers; on mem. */
 VoterList *voters_of(const Replication *replication, void *mem, const uint64_t disks[], size_t count);
 /* The list with the disk at the place, or the place vacated (0); on mem. */
 VoterList *voters_with(const Replication *replication, void *mem, int place, uint64_t disk);
-/* Where the core of a place's disk is asked; false when nobody knows. */
+/* Where the controller of a place's disk is asked; false when nobody knows. */
 bool voter_address(const Replication *replication, int place, char address[ADDRESS_MAX]);
 /* The disk of a slot: a voter's place, or a learner's. */
 uint64_t slot_disk(const Replication *replication, int slot);
-/* Whether the disk is gone for certain: its core has come back with another, at the
+/* Whether the disk is gone for certain: its controller has come back with another, at the
  * same address when asked for. */
 bool voter_dead(const Replication *replication, uint64_t disk, bool same_address);
-/* Where its core stands; empty when nobody knows. */
+/* Where its controller stands; empty when nobody knows. */
 const char *voter_zone(const Replication *replication, uint64_t disk);
 /* Whether the disk of a voter is gone for so long, or for certain, that it is to be replaced. */
 bool voter_gone(const Replication *replication, int place);
@@ -195,9 +195,9 @@
 /* The leader keeps the number of voters wanted, one committed change at a time. */
 void voters_start(Replication *replication);
 
-/* The leader has every core without a vote follow the log, in as many slots as there are. */
+/* The leader has every controller without a vote follow the log, in as many slots as there are. */
 void learners_follow(Replication *replication);
-/* Whether the member is a core that runs, is of this cluster and has no vote. */
+/* Whether the member is a controller that runs, is of this cluster and has no vote. */
 bool learner_may_follow(const Replication *replication, const Member *row);
 /* A lead that is over has no learners. */
 void learners_clear(Replication *replication);
--- a/packages/view/src/learners.c
+++ b/packages/view/src/learners.c
@@ -1,4 +1,4 @@
-/* Learners: cores without a vote that follow the log all the time, so that a vote can
+/* Learners: controllers without a vote that follow the log all the time, so that a vote can
  * be given to one of them by one committed change, without a transfer. */
 #include <string.h>
 
@@ -9,11 +9,11 @@
     return replication->settings.voter_back_ms > 0 ? replication->settings.voter_back_ms : VOTER_GONE_MS;
 }
 
-/* A core that runs, is of this cluster and has no vote. One that leaves follows on: it
+/* A controller that runs, is of this cluster and has no vote. One that leaves follows on: it
  * so learns that its vote has been given away. */
 bool learner_may_follow(const Replication *replication, const Member *row)
 {
-    return row->record.role == ROLE_CORE && row->record.disk != 0 &&
+    return row->record.role == ROLE_CONTROLLER && row->record.disk != 0 &&
            !member_quiet(row, loop_now_ms(replication->loop)) &&
            replication_voter_of(replication, row->record.disk) < 0 && row->record.cluster == replication->cluster;
 }
--- a/packages/view/src/seats.c
+++ b/packages/view/src/seats.c
@@ -73,11 +73,11 @@
     replication->lease.voters = replication->voter_count;
 }
 
-static const VoterCore *core_of(const Replication *replication, uint64_t disk)
+static const VoterController *controller_of(const Replication *replication, uint64_t disk)
 {
-    for (size_t i = 0; i < replication->list->cores_count; i++)
-        if (replication->list->cores[i].disk == disk)
-            return &replication->list->cores[i];
+    for (size_t i = 0; i < replication->list->controllers_count; i++)
+        if (replication->list->controllers[i].disk == disk)
+            return &replication->list->controllers[i];
     return NULL;
 }
 
@@ -85,19 +85,19 @@
 {
     VoterList *list = talloc_zero(mem, VoterList);
     list->voters = talloc_zero_array(list, DiskId, (unsigned)count);
-    list->cores = talloc_zero_array(list, VoterCore, (unsigned)count);
+    list->controllers = talloc_zero_array(list, VoterController, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         list->voters[i].disk = disks[i];
         if (disks[i] == 0)
             continue;
         const Member *member = members_find_disk(replication->settings.members, disks[i]);
-        const VoterCore *core = core_of(replication, disks[i]);
-        VoterCore *to = &list->cores[list->cores_count++];
-        *to = (VoterCore){disks[i], "", "", ""};
+        const VoterController *controller = controller_of(replication, disks[i]);
+        VoterController *to = &list->controllers[list->controllers_count++];
+        *to = (VoterController){disks[i], "", "", ""};
         if (member != NULL)
-            *to = (VoterCore){disks[i], member->record.name, member->record.zone, member->record.address};
-        else if (core != NULL)
-            *to = *core;
+            *to = (VoterController){disks[i], member->record.name, member->record.zone, member->record.address};
+        else if (controller != NULL)
+            *to = *controller;
     }
     list->voters_count = count;
     return list;
@@ -119,8 +119,8 @@
 {
     const uint64_t disk = slot_disk(replication, place);
     const Member *member = members_find_disk(replication->settings.members, disk);
-    const VoterCore *core = core_of(replication, disk);
-    const char *found = member != NULL ? member->record.address : core != NULL ? core->address : "";
+    const VoterController *controller = controller_of(replication, disk);
+    const char *found = member != NULL ? member->record.address : controller != NULL ? controller->address : "";
     strncpy(address, found, ADDRESS_MAX - 1);
     address[ADDRESS_MAX - 1] = '\0';
     return disk != 0 && address[0] != '\0';
@@ -128,16 +128,16 @@
 
 bool voter_dead(const Replication *replication, uint64_t disk, bool same_address)
 {
-    const VoterCore *core = core_of(replication, disk);
-    if (core == NULL || core->name[0] == '\0')
+    const VoterController *controller = controller_of(replication, disk);
+    if (controller == NULL || controller->name[0] == '\0')
         return false;
-    const Member *other = members_other_disk(replication->settings.members, core->name, disk);
-    return other != NULL && (!same_address || strcmp(other->record.address, core->address) == 0);
+    const Member *other = members_other_disk(replication->settings.members, controller->name, disk);
+    return other != NULL && (!same_address || strcmp(other->record.address, controller->address) == 0);
 }
 
 const char *voter_zone(const Replication *replication, uint64_t disk)
 {
     const Member *member = members_find_disk(replication->settings.members, disk);
-    const VoterCore *core = core_of(replication, disk);
-    return member != NULL ? member->record.zone : core != NULL ? core->zone : "";
+    const VoterController *controller = controller_of(replication, disk);
+    return member != NULL ? member->record.zone : controller != NULL ? controller->zone : "";
 }
--- a/packages/view/src/view.c
+++ b/packages/view/src/view.c
@@ -166,7 +166,8 @@
     if ((voters == NULL || last == NULL) && replication->log->snapshot.kind == RECORD_SNAPSHOT &&
         shape_unpack(&Snapshot_shape, replication->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
         if (voters == NULL) {
-            voter_list = (VoterList){snapshot.voters, snapshot.voters_count, snapshot.cores, snapshot.cores_count};
+            voter_list =
+                (VoterList){snapshot.voters, snapshot.voters_count, snapshot.controllers, snapshot.controllers_count};
             voters = &voter_list;
             voters_index = replication->log->base_index;
         }
--- a/packages/view/src/voters.c
+++ b/packages/view/src/voters.c
@@ -226,7 +226,7 @@
 
 /* --- leaving ------------------------------------------------------------------------- */
 
-/* Whether a core without a vote runs that could take one over; whether it has the log
+/* Whether a controller without a vote runs that could take one over; whether it has the log
  * is known to the leader alone. */
 static bool successor_runs(const Replication *replication)
 {
--- a/packages/wire/include/wire/kinds.h
+++ b/packages/wire/include/wire/kinds.h
@@ -7,7 +7,7 @@
  * Last column: may be asked by one that knows no cluster yet. */
 #define MESSAGE_LIST(X)                                                                        \
     X(HELLO, 1, "hello", true)         /* member: exchange the table */                        \
-    X(FOUND, 2, "found", true)         /* core: offer of a new cluster */                      \
+    X(FOUND, 2, "found", true)         /* controller: offer of a new cluster */                \
     X(KNOW, 3, "know", false)          /* lock: do you know a holder? (rule 2) */              \
     X(PROPOSE, 4, "propose", false)    /* lock: promise me this term */                        \
     X(RENEW, 5, "renew", false)        /* lock: let my hold go on */                           \
@@ -23,7 +23,7 @@
     X(KEEP, 15, "keep", false)         /* leader to gate: keep this for repair */              \
     X(RETELL, 16, "retell", false)     /* leader to all: tell me what you were told */         \
     X(TRACE, 17, "trace", false)       /* anybody: what do you know of this change */          \
-    X(VOTE, 18, "vote", true)          /* member: a core asks the seeds for their votes to found */
+    X(VOTE, 18, "vote", true)          /* member: a controller asks the seeds for their votes to found */
 
 typedef enum MessageKind {
 #define X(name, number, word, open) MESSAGE_##name = number,
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -1,4 +1,4 @@
-/* core, gate, agent and check: thin over the library. */
+/* controller, gate, agent and check: thin over the library. */
 #include <inttypes.h>
 #include <popt.h>
 #include <stdio.h>
@@ -11,14 +11,14 @@
 #include "loop/real.h"
 #include "options.h"
 
-/* A process of one role. Invariant: one of core, gate, agent is set once it runs. */
+/* A process of one role. Invariant: one of controller, gate, agent is set once it runs. */
 typedef struct Daemon {
     void *mem;
     SettingsRole role;
     Settings settings;
     Loop *loop;
     Recorder *recorder;
-    Core *core;
+    Controller *controller;
     Gate *gate;
     Agent *agent;
     FILE *record; /* for proof: who plans under which term */
@@ -49,10 +49,10 @@
     Failure failure = {0};
     Status status;
     const char *http = "";
-    const CoreWatch watch = {daemon, on_plans};
-    if (daemon->role == SETTINGS_CORE)
-        status = core_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings,
-                            daemon->record != NULL ? &watch : NULL, &daemon->core, &failure);
+    const ControllerWatch watch = {daemon, on_plans};
+    if (daemon->role == SETTINGS_CONTROLLER)
+        status = controller_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings,
+                                  daemon->record != NULL ? &watch : NULL, &daemon->controller, &failure);
     else if (daemon->role == SETTINGS_GATE)
         status = gate_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->gate, &failure);
     else
@@ -63,8 +63,8 @@
         loop_stop(daemon->loop);
         return;
     }
-    if (daemon->core != NULL)
-        http = core_http_address(daemon->core);
+    if (daemon->controller != NULL)
+        http = controller_http_address(daemon->controller);
     else if (daemon->gate != NULL)
         http = gate_http_address(daemon->gate);
     else
@@ -83,8 +83,8 @@
 static void term_main(void *arg)
 {
     Daemon *daemon = arg;
-    if (daemon->core != NULL)
-        core_drain(daemon->core);
+    if (daemon->controller != NULL)
+        controller_drain(daemon->controller);
     if (daemon->gate != NULL)
         gate_drain(daemon->gate);
     if (daemon->agent != NULL)
@@ -156,9 +156,9 @@
     return code;
 }
 
-int run_core(int argc, const char **argv)
+int run_controller(int argc, const char **argv)
 {
-    return run_daemon(SETTINGS_CORE, argc, argv);
+    return run_daemon(SETTINGS_CONTROLLER, argc, argv);
 }
 
 int run_gate(int argc, const char **argv)
--- a/src/main.c
+++ b/src/main.c
@@ -5,7 +5,7 @@
 #include "options.h"
 
 static const Command COMMANDS[] = {
-    {"core", "a core: a disk, perhaps a seat, perhaps the lead", run_core},
+    {"core", "a core: a disk, perhaps a seat, perhaps the lead", run_controller},
     {"gate", "a gate: a diskless entry point", run_gate},
     {"agent", "an agent beside a worker", run_agent},
     {"node", "whichever of the three a platform's settings say", run_node},
--- a/src/node.c
+++ b/src/node.c
@@ -40,8 +40,8 @@
     const char *seeds[SEEDS];
     for (int i = 0; i < SEEDS; i++)
         run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
-    if (run->node.core != NULL)
-        core_seeds(run->node.core, seeds);
+    if (run->node.controller != NULL)
+        controller_seeds(run->node.controller, seeds);
     else if (run->node.gate != NULL)
         gate_seeds(run->node.gate, seeds);
     else if (run->node.agent != NULL)
@@ -86,8 +86,8 @@
     const Settings *settings = &run->place.settings;
     Failure failure = {0};
     Status status;
-    if (run->place.role == SETTINGS_CORE)
-        status = core_start(run->mem, node->loop, node->recorder, settings, NULL, &node->core, &failure);
+    if (run->place.role == SETTINGS_CONTROLLER)
+        status = controller_start(run->mem, node->loop, node->recorder, settings, NULL, &node->controller, &failure);
     else if (run->place.role == SETTINGS_GATE)
         status = gate_start(run->mem, node->loop, node->recorder, settings, &node->gate, &failure);
     else
@@ -116,8 +116,8 @@
 static void term_main(void *arg)
 {
     NodeRun *run = arg;
-    if (run->node.core != NULL)
-        core_drain(run->node.core);
+    if (run->node.controller != NULL)
+        controller_drain(run->node.controller);
     if (run->node.gate != NULL)
         gate_drain(run->node.gate);
     if (run->node.agent != NULL)
--- a/src/options.h
+++ b/src/options.h
@@ -16,7 +16,7 @@
     int (*run)(int argc, const char **argv);
 } Command;
 
-int run_core(int argc, const char **argv);
+int run_controller(int argc, const char **argv);
 int run_gate(int argc, const char **argv);
 int run_agent(int argc, const char **argv);
 int run_node(int argc, const char **argv);
--- a/src/standins.c
+++ b/src/standins.c
@@ -94,7 +94,7 @@
 int run_worker(int argc, const char **argv)
 {
     char *agent = NULL, *name = NULL, *zone = NULL, *rack = NULL, *kind = NULL, *label = NULL, *path = NULL;
-    int cores = 64, mem_mb = 131072, fails_all = 0, slow = 1;
+    int controllers = 64, mem_mb = 131072, fails_all = 0, slow = 1;
     struct poptOption options[] = {
         {"agent", 'a', POPT_ARG_STRING, &agent, 0, "HTTP address of the agent beside it", "IP:PORT"},
         {"name", 0, POPT_ARG_STRING, &name, 0, "name of this worker", "NAME"},
@@ -102,7 +102,7 @@
         {"rack", 0, POPT_ARG_STRING, &rack, 0, "rack that it stands in", "RACK"},
         {"kind", 0, POPT_ARG_STRING, &kind, 0, "kind of machine", "KIND"},
         {"label", 0, POPT_ARG_STRING, &label, 0, "a label", "LABEL"},
-        {"cores", 0, POPT_ARG_INT, &cores, 0, "cores", "N"},
+        {"cores", 0, POPT_ARG_INT, &controllers, 0, "cores", "N"},
         {"mem", 0, POPT_ARG_INT, &mem_mb, 0, "memory in MB", "N"},
         {"fails", 0, POPT_ARG_NONE, &fails_all, 0, "fail every task while claiming health", NULL},
         {"slow", 0, POPT_ARG_INT, &slow, 0, "take so many times as long", "N"},
@@ -119,7 +119,7 @@
         code = wrong("worker", "--agent: an IP address with a port is needed");
     else if (name == NULL || zone == NULL)
         code = wrong("worker", "--name and --zone are needed");
-    else if (cores < 1 || cores > 100000 || mem_mb < 1 || mem_mb > 100000000)
+    else if (controllers < 1 || controllers > 100000 || mem_mb < 1 || mem_mb > 100000000)
         code = wrong("worker", "--cores and --mem must be positive");
     if (code == EXIT_GOOD) {
         void *mem = talloc_new(NULL);
@@ -136,14 +136,14 @@
                        .kind = kind != NULL ? kind : "std",
                        .labels = labels,
                        .labels_count = label != NULL,
-                       .room = {(uint64_t)cores * 1000, (uint64_t)mem_mb, 0}},
+                       .room = {(uint64_t)controllers * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_told},
             .fails_all = fails_all != 0,
             .slow_times = slow,
         };
         char rest[64];
-        snprintf(rest, sizeof(rest), "%d %d", cores * 1000, mem_mb);
+        snprintf(rest, sizeof(rest), "%d %d", controllers * 1000, mem_mb);
         record_run(&stand_in->record, "worker", name, zone, 0, 0, rest);
         stand_in->worker = stand_worker_start(mem, stand_in->loop, &settings);
         real_loop_run(stand_in->loop, worker_term, stand_in);
