--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -63,7 +63,7 @@
     150                  /* ms; from a leader's loss, what nobody can have taken waits so long for a way to another \
                           */
 #define ELECTION_MS 3000 /* ms; another leader is normally found within this: callers are told to come back then */
-#define FORWARD_DEADLINE_MS 8000 /* ms; a gate gives a request up after this */
+#define FORWARD_DEADLINE_MS 8000 /* ms; an entry point gives a request up after this */
 #define SUBMIT_TIMEOUT_MS 5000   /* ms; a change not committed in this time has an unknown outcome */
 #define CONNECT_TIMEOUT_MS 600   /* ms; a connection that takes longer is as good as none */
 #define LINE_UNHEARD_MS \
@@ -128,10 +128,10 @@
 #define REPAIR_HEAR_MS                                                                                                 \
     (LINE_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS) /* ms; a process that has just started asks nobody before: a line to \
                                                     its last life is given up and opened anew within this */
-#define KEEP_ASK_MS 100 /* ms; a gate that lives keeps at once; a caller waits for it meanwhile */
+#define KEEP_ASK_MS 100 /* ms; an entry point that lives keeps at once; a caller waits for it meanwhile */
 #define REPAIR_BUFFER_BYTES_MAX \
     (4 * 1024 * 1024)           /* bytes; of what one node keeps for repair: some 5,000 jobs; memory is priced */
-#define REPAIR_KEEP_MS 120000   /* ms; how long gates and agents keep what they were told, for repair */
+#define REPAIR_KEEP_MS 120000   /* ms; how long entry points and agents keep what they were told, for repair */
 #define SLOW_DISK_REST_MS 10000 /* ms; a leader that handed over for its slow disk does not propose for this long */
 
 /* --- jobs ----------------------------------------------------------------- */
@@ -144,7 +144,7 @@
 #define CONFIG_BODY_MAX \
     (2 * 1024 * 1024) /* bytes; one configuration's JSON: some 5,000 queues, 0.15 s of a controller to check */
 #define CONFIG_LARGE_BYTES \
-    (32 * 1024) /* bytes; a larger one is not carried through a gate: 130 ms of a 2 Mbit/s link, each way */
+    (32 * 1024) /* bytes; a larger one is not carried through an entry point: 130 ms of a 2 Mbit/s link, each way */
 #define CONFIG_NOTE_MAX (64 * 1024)           /* bytes; an operator's note on a queue, a kind, or the whole */
 #define CONFIG_PATH_MAX 1024                  /* bytes; a host, a prefix, a path: longer ones are mistakes */
 #define CONFIG_SPAN_MAX_MS 1000000000         /* ms; eleven days: longer ones are mistakes */
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -133,7 +133,7 @@
     }
 }
 
-/* A controller in waiting hears of the configuration as a gate does. */
+/* A controller in waiting hears of the configuration as an entry point does. */
 static bool seatless(void *arg)
 {
     const Controller *controller = arg;
--- a/packages/core/src/elsewhere.c
+++ b/packages/core/src/elsewhere.c
@@ -6,7 +6,7 @@
 
 #include "way.h"
 
-#define ELSEWHERE_MOST 3 /* count; gates tried, one after the other */
+#define ELSEWHERE_MOST 3 /* count; entry points tried, one after the other */
 
 static bool ask_one(Controller *controller, void *mem, const char *address, const RepairList *repair_items)
 {
@@ -25,8 +25,8 @@
 
 void elsewhere_keep(Controller *controller, void *mem, const RepairList *repair_items)
 {
-    /* a large configuration would fill a gate's link for seconds: it is on the disks that the bounds
-     * ask for, and the feed brings it to the gates */
+    /* a large configuration would fill an entry point's link for seconds: it is on the disks that the bounds
+     * ask for, and the feed brings it to the entry points */
     if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)
         return;
     const MemberTable *table = members_table(controller->members);
@@ -34,7 +34,8 @@
     size_t count = 0;
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (row->record.role != ROLE_GATE || row->record.leaving || member_quiet(row, loop_now_ms(controller->loop)))
+        if (row->record.role != ROLE_ENTRY_POINT || row->record.leaving ||
+            member_quiet(row, loop_now_ms(controller->loop)))
             continue;
         const bool last = strcmp(row->record.address, controller->kept_at) == 0;
         if (count == ELSEWHERE_MOST && !last)
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -66,7 +66,7 @@
     Replication *replication;
     Table *table;
     RepairBuffer *repair_buffer;
-    char kept_at[ADDRESS_MAX]; /* the gate that last kept for this controller what came in at its own address */
+    char kept_at[ADDRESS_MAX]; /* the entry point that last kept for this controller what came in at its own address */
     Forwarder *forwarder;
     ConfigWatch *config_watch; /* asks for the document while this controller has no voter */
     Trace *trace;
--- a/packages/face/include/face/face.h
+++ b/packages/face/include/face/face.h
@@ -19,13 +19,13 @@
     const void *own; /* the adapter's own settings: where it listens */
 } AdapterPlace;
 
-/* A process that runs. Invariant: exactly one of controller, gate and agent is set. */
+/* A process that runs. Invariant: exactly one of controller, entry point and agent is set. */
 typedef struct AdapterNode {
     Loop *loop;
     Recorder *recorder;
     const AdapterPlace *place;
     Controller *controller;
-    Gate *gate;
+    EntryPoint *entry_point;
     Agent *agent;
 } AdapterNode;
 
@@ -46,7 +46,7 @@
 const Adapter *adapter_find(const char *name);
 /* An entry point's way for a request, whichever of the two it is. Waits. */
 void adapter_take(const AdapterNode *node, HttpTask *task);
-/* As gate_elsewhere; a controller carries everything itself. */
+/* As entry_point_elsewhere; a controller carries everything itself. */
 bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, bool back, const char **leader);
 
 #endif
--- a/packages/face/src/face.c
+++ b/packages/face/src/face.c
@@ -12,7 +12,7 @@
 
 bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, bool back, const char **leader)
 {
-    return node->gate != NULL && gate_elsewhere(node->gate, task, back, leader);
+    return node->entry_point != NULL && entry_point_elsewhere(node->entry_point, task, back, leader);
 }
 
 void adapter_take(const AdapterNode *node, HttpTask *task)
@@ -20,5 +20,5 @@
     if (node->controller != NULL)
         controller_take(node->controller, task);
     else
-        gate_take(node->gate, task);
+        entry_point_take(node->entry_point, task);
 }
--- a/packages/feed/include/feed/forward.h
+++ b/packages/feed/include/feed/forward.h
@@ -34,7 +34,7 @@
 void forwarder_start(Forwarder *forwarder);
 /* Waits. Fills in the result and keeps what was committed. */
 void forward_request(Forwarder *forwarder, HttpTask *task);
-/* Waits. Carries on what a gate could not bring to the leader itself. */
+/* Waits. Carries on what an entry point could not bring to the leader itself. */
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 Ways *forwarder_ways(Forwarder *forwarder);
 
--- a/packages/feed/src/feed.c
+++ b/packages/feed/src/feed.c
@@ -113,7 +113,7 @@
     answer->limits = *versions_limits(versions);
     answer->size = versions_size(versions);
     const size_t most = !ask->wants ? CONFIG_WATCH_EAGER_BYTES : ask->piece_most > 0 ? ask->piece_most : SIZE_MAX;
-    if (!ask->brief) /* a gate of an earlier release */
+    if (!ask->brief) /* an entry point of an earlier release */
         answer->text = versions_text(versions, mem, newest);
     else if (newest > ask->text_have && !changes_since(versions, ask->text_have, most, mem, answer) &&
              !whole_now(versions, most, mem, answer) && ask->wants)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -10,7 +10,7 @@
 
 #define ELSEWHERE_HTTP 307 /* the same request, with its body, at another address */
 
-struct Gate {
+struct EntryPoint {
     Loop *loop;
     Rpc *rpc;
     Members *members;
@@ -25,55 +25,56 @@
     size_t in_work;
 };
 
-static void metrics(Gate *gate, HttpTask *task)
+static void metrics(EntryPoint *entry_point, HttpTask *task)
 {
-    const RpcCounts *counts = rpc_counts(gate->rpc);
+    const RpcCounts *counts = rpc_counts(entry_point->rpc);
     show_metrics_begin(task);
-    show_metric(task, "inWork", (int64_t)gate->in_work);
-    show_metric(task, "kept", (int64_t)repair_buffer_count(gate->repair_buffer));
-    show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(gate->repair_buffer));
-    show_metric(task, "configRevision", (int64_t)config_watch_version(gate->config_watch));
-    show_metric(task, "configHeld", (int64_t)config_watch_held(gate->config_watch));
-    show_metric(task, "members", (int64_t)members_table(gate->members)->count);
+    show_metric(task, "inWork", (int64_t)entry_point->in_work);
+    show_metric(task, "kept", (int64_t)repair_buffer_count(entry_point->repair_buffer));
+    show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(entry_point->repair_buffer));
+    show_metric(task, "configRevision", (int64_t)config_watch_version(entry_point->config_watch));
+    show_metric(task, "configHeld", (int64_t)config_watch_held(entry_point->config_watch));
+    show_metric(task, "members", (int64_t)members_table(entry_point->members)->count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     RPC_COUNT_LIST(X)
 #undef X
 }
 
-void gate_take(Gate *gate, HttpTask *task)
+void entry_point_take(EntryPoint *entry_point, HttpTask *task)
 {
     if (strcmp(task->path, "/livez") == 0) {
         json_object *body = json_object_new_object();
         json_object_object_add(body, "live", json_object_new_boolean(true));
         show_result(task, 200, body);
     } else if (strcmp(task->path, "/readyz") == 0) {
-        show_ready(task, gate_ready(gate), gate->leaving);
+        show_ready(task, entry_point_ready(entry_point), entry_point->leaving);
     } else if (strcmp(task->path, "/metrics") == 0) {
-        metrics(gate, task);
+        metrics(entry_point, task);
     } else if (strcmp(task->path, "/v1/ring") == 0) {
-        show_recorder(task, gate->recorder);
+        show_recorder(task, entry_point->recorder);
     } else if (strcmp(task->path, "/v1/trace") == 0) {
-        trace_serve(gate->trace, task);
+        trace_serve(entry_point->trace, task);
     } else {
-        gate->in_work++;
-        forward_request(gate->forwarder, task);
-        gate->in_work--;
+        entry_point->in_work++;
+        forward_request(entry_point->forwarder, task);
+        entry_point->in_work--;
     }
 }
 
-bool gate_elsewhere(Gate *gate, HttpTask *task, bool back, const char **leader)
+bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, bool back, const char **leader)
 {
-    if (task->body.count <= CONFIG_LARGE_BYTES && !(back && config_watch_size(gate->config_watch) > CONFIG_LARGE_BYTES))
+    if (task->body.count <= CONFIG_LARGE_BYTES &&
+        !(back && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))
         return false;
     HttpTask *ask = talloc(task, HttpTask);
-    *ask = (HttpTask){.loop = gate->loop,
+    *ask = (HttpTask){.loop = entry_point->loop,
                       .method = "GET",
                       .path = "/readyz",
                       .query = "",
                       .host = "",
                       .timeout_ms = task->timeout_ms};
-    forward_request(gate->forwarder, ask);
-    const Member *member = members_find(gate->members, members_leader_id(gate->members));
+    forward_request(entry_point->forwarder, ask);
+    const Member *member = members_find(entry_point->members, members_leader_id(entry_point->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
     if (ask->code == 200 && !known)
         return false;
@@ -92,104 +93,108 @@
 
 static void on_http(void *arg, HttpTask *task)
 {
-    gate_take(arg, task);
+    entry_point_take(arg, task);
 }
 
-bool gate_ready(const Gate *gate)
+bool entry_point_ready(const EntryPoint *entry_point)
 {
-    return !gate->leaving && ways_serve(forwarder_ways(gate->forwarder));
+    return !entry_point->leaving && ways_serve(forwarder_ways(entry_point->forwarder));
 }
 
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
-    Gate *gate = arg;
+    EntryPoint *entry_point = arg;
     const RetellAsk *ask = question;
     RepairList *list = answer;
-    repair_buffer_tell(gate->repair_buffer, mem, ask->config_have, list);
-    config_watch_notify(gate->config_watch, mem, ask->config_have, list);
+    repair_buffer_tell(entry_point->repair_buffer, mem, ask->config_have, list);
+    config_watch_notify(entry_point->config_watch, mem, ask->config_have, list);
     return STATUS_OK;
 }
 
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
-    Gate *gate = arg;
+    EntryPoint *entry_point = arg;
     const RepairList *list = question;
     (void)mem;
     (void)answer;
-    repair_buffer_keep(gate->repair_buffer, list->items, list->items_count);
+    repair_buffer_keep(entry_point->repair_buffer, list->items, list->items_count);
     return STATUS_OK;
 }
 
-/* A gate holds no lock and runs nothing: that it answers is what counts. */
+/* An entry point holds no lock and runs nothing: that it answers is what counts. */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
-    Gate *gate = arg;
+    EntryPoint *entry_point = arg;
     (void)mem;
     (void)question;
-    ((KnowAnswer *)answer)->term = members_leader_term(gate->members);
+    ((KnowAnswer *)answer)->term = members_leader_term(entry_point->members);
     return STATUS_OK;
 }
 
-Status gate_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Gate **out, Failure *failure)
+Status entry_point_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, EntryPoint **out,
+                         Failure *failure)
 {
-    Gate *gate = talloc_zero(mem, Gate);
-    gate->loop = loop;
-    gate->recorder = recorder;
-    gate->grace_ms = settings->bounds.grace_ms;
-    gate->unready_ms = settings->bounds.unready_ms;
-    gate->rpc = rpc_new(gate, loop, recorder);
-    gate->repair_buffer = repair_buffer_new(gate, loop, settings->bounds.retell_ms);
-    Status status = rpc_listen(gate->rpc, settings->listen, gate->address, failure);
+    EntryPoint *entry_point = talloc_zero(mem, EntryPoint);
+    entry_point->loop = loop;
+    entry_point->recorder = recorder;
+    entry_point->grace_ms = settings->bounds.grace_ms;
+    entry_point->unready_ms = settings->bounds.unready_ms;
+    entry_point->rpc = rpc_new(entry_point, loop, recorder);
+    entry_point->repair_buffer = repair_buffer_new(entry_point, loop, settings->bounds.retell_ms);
+    Status status = rpc_listen(entry_point->rpc, settings->listen, entry_point->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, settings->http, on_http, gate, gate->http, failure);
+        status = loop_serve(loop, settings->http, on_http, entry_point, entry_point->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {.id = settings->name,
                                .name = settings->name,
-                               .role = ROLE_GATE,
+                               .role = ROLE_ENTRY_POINT,
                                .zone = settings->zone,
-                               .address = gate->address,
-                               .http = gate->http,
+                               .address = entry_point->address,
+                               .http = entry_point->http,
                                .incarnation = (uint64_t)loop_wall_ms(loop)};
-    gate->members = members_new(gate, loop, gate->rpc, recorder, &self, settings->seeds);
-    gate->trace = trace_new(gate, loop, gate->rpc, gate->members, settings->name);
-    gate->forwarder = forwarder_new(gate, &(ForwarderSettings){.loop = loop,
-                                                               .rpc = gate->rpc,
-                                                               .members = gate->members,
-                                                               .repair_buffer = gate->repair_buffer,
-                                                               .trace = gate->trace,
-                                                               .leader_wait_ms = settings->bounds.leader_wait_ms,
-                                                               .outcome_wait_ms = settings->bounds.outcome_wait_ms});
-    gate->config_watch = config_watch_new(gate, loop, gate->rpc, forwarder_ways(gate->forwarder), gate->trace);
-    rpc_handle(gate->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, gate);
-    rpc_handle(gate->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, gate);
-    rpc_handle(gate->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, gate);
-    members_set_voter(gate->members, settings->bounds.founds == 1);
-    members_start(gate->members);
-    forwarder_start(gate->forwarder);
-    config_watch_start(gate->config_watch, NULL, NULL);
-    *out = gate;
+    entry_point->members = members_new(entry_point, loop, entry_point->rpc, recorder, &self, settings->seeds);
+    entry_point->trace = trace_new(entry_point, loop, entry_point->rpc, entry_point->members, settings->name);
+    entry_point->forwarder =
+        forwarder_new(entry_point, &(ForwarderSettings){.loop = loop,
+                                                        .rpc = entry_point->rpc,
+                                                        .members = entry_point->members,
+                                                        .repair_buffer = entry_point->repair_buffer,
+                                                        .trace = entry_point->trace,
+                                                        .leader_wait_ms = settings->bounds.leader_wait_ms,
+                                                        .outcome_wait_ms = settings->bounds.outcome_wait_ms});
+    entry_point->config_watch = config_watch_new(entry_point, loop, entry_point->rpc,
+                                                 forwarder_ways(entry_point->forwarder), entry_point->trace);
+    rpc_handle(entry_point->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, entry_point);
+    rpc_handle(entry_point->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, entry_point);
+    rpc_handle(entry_point->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, entry_point);
+    members_set_voter(entry_point->members, settings->bounds.founds == 1);
+    members_start(entry_point->members);
+    forwarder_start(entry_point->forwarder);
+    config_watch_start(entry_point->config_watch, NULL, NULL);
+    *out = entry_point;
     return STATUS_OK;
 }
 
-void gate_drain(Gate *gate)
+void entry_point_drain(EntryPoint *entry_point)
 {
-    const int64_t now_ms = loop_now_ms(gate->loop);
-    gate->leaving = true;
-    loop_serve_leave(gate->loop);
-    members_set_leaving(gate->members);
+    const int64_t now_ms = loop_now_ms(entry_point->loop);
+    entry_point->leaving = true;
+    loop_serve_leave(entry_point->loop);
+    members_set_leaving(entry_point->members);
     /* requests are taken on until the last moment: none that was read is cut */
-    loop_sleep(gate->loop, gate->unready_ms);
-    while (loop_serve_busy(gate->loop) > 0 && loop_now_ms(gate->loop) < now_ms + gate->grace_ms - DRAIN_MARGIN_MS)
-        loop_sleep(gate->loop, DRAIN_LOOK_MS);
+    loop_sleep(entry_point->loop, entry_point->unready_ms);
+    while (loop_serve_busy(entry_point->loop) > 0 &&
+           loop_now_ms(entry_point->loop) < now_ms + entry_point->grace_ms - DRAIN_MARGIN_MS)
+        loop_sleep(entry_point->loop, DRAIN_LOOK_MS);
 }
 
-const char *gate_http_address(const Gate *gate)
+const char *entry_point_http_address(const EntryPoint *entry_point)
 {
-    return gate->http;
+    return entry_point->http;
 }
 
-void gate_seeds(Gate *gate, const char *const seeds[SEEDS])
+void entry_point_seeds(EntryPoint *entry_point, const char *const seeds[SEEDS])
 {
-    members_seeds(gate->members, seeds);
+    members_seeds(entry_point->members, seeds);
 }
--- a/packages/member/include/member/record.h
+++ b/packages/member/include/member/record.h
@@ -3,9 +3,9 @@
 
 #include "wire/shape.h"
 
-#define ROLE_LIST(X)      \
-    X(CONTROLLER, "core") \
-    X(GATE, "gate")       \
+#define ROLE_LIST(X)       \
+    X(CONTROLLER, "core")  \
+    X(ENTRY_POINT, "gate") \
     X(AGENT, "agent")
 
 typedef enum Role {
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -13,7 +13,7 @@
 #define SITE_LIST(X)                                                                                       \
     X(zones, "zones", 3, "zones")                                                                          \
     X(controllers, "cores", 3, "machines at the edge with a disk, over the zones in turn")                 \
-    X(gates, "gates", 3, "machines at the edge without one")                                               \
+    X(entry_points, "gates", 3, "machines at the edge without one")                                        \
     X(spares, "spares", 2, "empty machines that may take a core's place")                                  \
     X(hands, "hands", 11, "workers, an agent beside each")                                                 \
     X(rack_hands, "rackHands", 3, "workers of a rack")                                                     \
--- a/packages/model/src/ground.c
+++ b/packages/model/src/ground.c
@@ -112,7 +112,7 @@
     sim_delay(ground->world, 1, site->link_ms > 1 ? site->link_ms : 1);
     for (int64_t i = 0; i < site->controllers + site->spares; i++)
         node_add(ground, false, true, i, i % site->zones)->used = i < site->controllers;
-    for (int64_t i = 0; i < site->gates; i++)
+    for (int64_t i = 0; i < site->entry_points; i++)
         node_add(ground, false, false, i, i % site->zones)->used = true;
     for (int64_t i = 0; i < site->hands; i++)
         node_add(ground, true, false, i, i % site->zones)->used = true;
@@ -187,8 +187,8 @@
     Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_SETTINGS;
     if (status == STATUS_OK && node->place.role == SETTINGS_CONTROLLER)
         status = controller_start(node->mem, loop, node->recorder, settings, &watch, &node->node.controller, &failure);
-    else if (status == STATUS_OK && node->place.role == SETTINGS_GATE)
-        status = gate_start(node->mem, loop, node->recorder, settings, &node->node.gate, &failure);
+    else if (status == STATUS_OK && node->place.role == SETTINGS_ENTRY_POINT)
+        status = entry_point_start(node->mem, loop, node->recorder, settings, &node->node.entry_point, &failure);
     else if (status == STATUS_OK)
         status = agent_start(node->mem, loop, node->recorder, settings, &node->node.agent, &failure);
     if (status == STATUS_OK)
@@ -257,8 +257,8 @@
     const AdapterNode *node = &rolling->node->node;
     if (node->controller != NULL)
         controller_drain(node->controller);
-    if (node->gate != NULL)
-        gate_drain(node->gate);
+    if (node->entry_point != NULL)
+        entry_point_drain(node->entry_point);
     if (node->agent != NULL)
         agent_drain(node->agent);
     rolling->ended = true;
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -77,7 +77,7 @@
 /* Small workers that bound what may run: many small tasks. */
 static void registry(Site *site)
 {
-    site->gates = 4;
+    site->entry_points = 4;
     site->hand_cpu_milli = 16000;
     site->hand_mem_mb = 65536;
     site->lease_max_ms = 6000;
@@ -172,7 +172,7 @@
         tiles(site);
     if (status == STATUS_OK &&
         (site->controllers < 3 || site->hands < 1 || site->hands > 40 || site->controllers + site->spares > 16 ||
-         site->gates > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
+         site->entry_points > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
         status = failure_set(failure, STATUS_BAD_SETTINGS,
                              "%s: there are too few machines, or more than the simulator holds", path);
     return status;
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -74,17 +74,17 @@
     return count > 0 ? controllers[dice_span(&trouble->dice, 0, count - 1)] : NULL;
 }
 
-static GroundNode *gate_draw(Trouble *trouble)
+static GroundNode *entry_point_draw(Trouble *trouble)
 {
     Ground *ground = trouble->day->ground;
-    GroundNode *gates[EDGES_MAX];
+    GroundNode *entry_points[EDGES_MAX];
     int64_t count = 0;
     if (trouble->whom[0] != '\0')
         return node_named(trouble);
     for (size_t i = 0; i < ground->edge_count; i++)
         if (!ground->edges[i].disk && ground->edges[i].up)
-            gates[count++] = &ground->edges[i];
-    return count > 0 ? gates[dice_span(&trouble->dice, 0, count - 1)] : NULL;
+            entry_points[count++] = &ground->edges[i];
+    return count > 0 ? entry_points[dice_span(&trouble->dice, 0, count - 1)] : NULL;
 }
 
 static void node_take(Trouble *trouble, GroundNode *node)
@@ -288,7 +288,7 @@
                node == ground_leader(ground) ? ", which leads" : "");
     switch (trouble->kind) {
     case TROUBLE_CONTROLLER_KILL:
-    case TROUBLE_GATE_KILL:
+    case TROUBLE_ENTRY_POINT_KILL:
         node_kill(node, false);
         break;
     case TROUBLE_CONTROLLER_POWER:
@@ -299,14 +299,14 @@
         sim_disk_wipe(ground->world, node->machine);
         break;
     case TROUBLE_CONTROLLER_FREEZE:
-    case TROUBLE_GATE_FREEZE:
+    case TROUBLE_ENTRY_POINT_FREEZE:
         node_freeze(node, trouble->for_ms);
         break;
     case TROUBLE_CONTROLLER_CUT:
         controller_cut(trouble, true);
         break;
     case TROUBLE_CONTROLLER_ALONE:
-    case TROUBLE_GATE_CUT:
+    case TROUBLE_ENTRY_POINT_CUT:
         node_cut(node, true);
         break;
     case TROUBLE_DISK_SLOW:
@@ -373,10 +373,10 @@
     case TROUBLE_CONTROLLER_REPLACE:
         strike_node(trouble, controller_draw(trouble));
         break;
-    case TROUBLE_GATE_KILL:
-    case TROUBLE_GATE_FREEZE:
-    case TROUBLE_GATE_CUT:
-        strike_node(trouble, gate_draw(trouble));
+    case TROUBLE_ENTRY_POINT_KILL:
+    case TROUBLE_ENTRY_POINT_FREEZE:
+    case TROUBLE_ENTRY_POINT_CUT:
+        strike_node(trouble, entry_point_draw(trouble));
         break;
     case TROUBLE_ACK_POWER:
     case TROUBLE_ACK_WIPE:
@@ -463,7 +463,7 @@
     case TROUBLE_CONTROLLER_KILL:
     case TROUBLE_CONTROLLER_POWER:
     case TROUBLE_CONTROLLER_WIPE:
-    case TROUBLE_GATE_KILL:
+    case TROUBLE_ENTRY_POINT_KILL:
     case TROUBLE_ACK_POWER:
     case TROUBLE_ACK_WIPE:
         if (node != NULL)
@@ -473,7 +473,7 @@
         controller_cut(trouble, false);
         break;
     case TROUBLE_CONTROLLER_ALONE:
-    case TROUBLE_GATE_CUT:
+    case TROUBLE_ENTRY_POINT_CUT:
         if (node != NULL)
             node_cut(node, false);
         break;
--- a/packages/model/src/trouble.h
+++ b/packages/model/src/trouble.h
@@ -18,9 +18,9 @@
     X(ACK_POWER, "ackPower", true, false, "whoever acknowledged something loses power")               \
     X(ACK_WIPE, "ackWipe", true, false, "... and its disk")                                           \
     X(ZONE_OFF, "zoneOff", true, false, "a zone loses power")                                         \
-    X(GATE_KILL, "gateKill", false, false, "a gate's process is killed")                              \
-    X(GATE_FREEZE, "gateFreeze", false, false, "a gate stands still")                                 \
-    X(GATE_CUT, "gateCut", false, false, "a gate is cut off")                                         \
+    X(ENTRY_POINT_KILL, "gateKill", false, false, "a gate's process is killed")                       \
+    X(ENTRY_POINT_FREEZE, "gateFreeze", false, false, "a gate stands still")                          \
+    X(ENTRY_POINT_CUT, "gateCut", false, false, "a gate is cut off")                                  \
     X(SIDE_KILL, "sideKill", false, false, "agents are killed")                                       \
     X(SIDE_FREEZE, "sideFreeze", false, false, "agents stand still")                                  \
     X(SIDE_CUT, "sideCut", false, false, "agents are cut off, their workers run on")                  \
--- a/packages/props/include/props/props.h
+++ b/packages/props/include/props/props.h
@@ -19,7 +19,7 @@
 } Settings;
 
 /* Which keys a role must have; others are refused. */
-typedef enum SettingsRole { SETTINGS_CONTROLLER, SETTINGS_GATE, SETTINGS_AGENT } SettingsRole;
+typedef enum SettingsRole { SETTINGS_CONTROLLER, SETTINGS_ENTRY_POINT, SETTINGS_AGENT } SettingsRole;
 
 /* Reads an ini file (group [spancart]). BAD_SETTINGS with the key's name. */
 Status settings_read(void *mem, const char *path, SettingsRole role, Settings *settings, Failure *failure);
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -13,23 +13,23 @@
 
 /* A whole fleet in a world, watched by a checker. */
 typedef struct FleetShape {
-    int controllers, gates, workers; /* each worker has an agent on a machine of its own */
+    int controllers, entry_points, workers; /* each worker has an agent on a machine of its own */
     Mix mix;
-    int spares; /* controllers beyond the others, not started with them; they know gates as seeds too */
+    int spares; /* controllers beyond the others, not started with them; they know entry points as seeds too */
 } FleetShape;
 
 /* Where a fleet stands, when it is not the product's usual three zones. */
 typedef struct FleetSite {
-    int zones;      /* 2 to 4; node N of a role stands in zone N modulo this */
-    int losses;     /* disk machines that may be lost at once */
-    int gate_seeds; /* so many of the three seeds are gates, the others controllers */
-    bool votes;     /* founded by the seeds' votes; a process started again founds nothing */
+    int zones;             /* 2 to 4; node N of a role stands in zone N modulo this */
+    int losses;            /* disk machines that may be lost at once */
+    int entry_point_seeds; /* so many of the three seeds are entry points, the others controllers */
+    bool votes;            /* founded by the seeds' votes; a process started again founds nothing */
     bool disks_keep;
     int64_t voter_back_ms;
     int64_t stagger_ms; /* processes start at moments drawn from so long a span */
 } FleetSite;
 
-typedef enum FleetRole { FLEET_CONTROLLER, FLEET_GATE, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
+typedef enum FleetRole { FLEET_CONTROLLER, FLEET_ENTRY_POINT, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
 
 typedef struct FleetNode {
     struct Fleet *fleet;
@@ -39,7 +39,7 @@
     Settings settings;
     void *mem;
     Controller *controller;
-    Gate *gate;
+    EntryPoint *entry_point;
     Agent *agent;
     StandWorker *worker;
     StandWorkerSettings worker_settings;
@@ -84,16 +84,16 @@
 void fleet_run(Fleet *fleet, int64_t for_ms);
 /* Runs until a controller leads and all workers are ready, at most so long. */
 bool fleet_settle(Fleet *fleet, int64_t most_ms);
-/* Whether callers of the gate can be served now: it is up, and two controllers with a
- * voter are, with working disks, each reaching the other and the gate. */
-bool fleet_servable(const Fleet *fleet, int gate);
+/* Whether callers of the entry point can be served now: it is up, and two controllers with a
+ * voter are, with working disks, each reaching the other and the entry point. */
+bool fleet_servable(const Fleet *fleet, int entry_point);
 /* Controllers that run, hold a voter and have a working disk. */
 int fleet_voters(const Fleet *fleet);
 /* Workers that could take work: up with their agents, and those reach such controllers. */
 int fleet_workable(const Fleet *fleet);
 /* Sets the mix's configuration; runs until it is told. */
 bool fleet_configure(Fleet *fleet);
-/* Hands in the mix for so long, through all gates. */
+/* Hands in the mix for so long, through all entry points. */
 Caller *fleet_call(Fleet *fleet, const char *name, int64_t rate_milli, int64_t for_ms);
 /* Runs until every accepted job has been shown as ended, at most so long. */
 bool fleet_finish(Fleet *fleet, int64_t most_ms);
--- a/packages/sim/include/sim/probe.h
+++ b/packages/sim/include/sim/probe.h
@@ -9,8 +9,8 @@
 extern const char *const PROBE_IN_OUT[PROBE_TENANTS];
 extern const char *const PROBE_NEVER;
 
-/* A prober at each gate: hands in light work of tenants that are in, out and
- * never were, reads what it handed in back at other gates, and tells the
+/* A prober at each entry point: hands in light work of tenants that are in, out and
+ * never were, reads what it handed in back at other entry points, and tells the
  * checker. It goes on until probes_stop and until all it handed in has ended. */
 void probes_start(Fleet *fleet, int64_t every_ms);
 void probes_stop(Fleet *fleet);
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -49,7 +49,7 @@
  *
  * In one seed of four, disks may lose all that they acknowledged. Then diskless nodes
  * are not lost or cut off as well: what was told first is kept for two minutes by
- * one gate and by agents, and the design promises repair from them, not from nobody. */
+ * one entry point and by agents, and the design promises repair from them, not from nobody. */
 void sweep_run(const SweepSettings *settings, SweepResult *result);
 
 #endif
--- a/packages/sim/include/sim/timeline.h
+++ b/packages/sim/include/sim/timeline.h
@@ -19,10 +19,10 @@
  *
  * Actions on nodes: kill, start, roll (drain, end, start), off (power), wipe (an empty disk), freeze:MS,
  * cut, join, cut>COLUMN and join>COLUMN (one way), slow:MS (syncs), lie, honest,
- * blind, sees (cut off from all gates and agents, not from controllers), diskfails, diskworks, jump:MS (wall clock),
- * rate:PERCENT (of its own clock: a machine nobody may trust), leave (a worker), fails, heals (a worker fails every
- * task). On a zone: kill, start, off, cut, join, drain, back. On callers: call:N (jobs a second) or call:N/MS, cancel
- * (all that was handed in), end (until every accepted job has ended), links:MS (each frame takes up to so long).
+ * blind, sees (cut off from all entry points and agents, not from controllers), diskfails, diskworks, jump:MS (wall
+ * clock), rate:PERCENT (of its own clock: a machine nobody may trust), leave (a worker), fails, heals (a worker fails
+ * every task). On a zone: kill, start, off, cut, join, drain, back. On callers: call:N (jobs a second) or call:N/MS,
+ * cancel (all that was handed in), end (until every accepted job has ended), links:MS (each frame takes up to so long).
  * Claims: leads, !leads, runs (a worker runs something), idle, up, !up; on callers gap<MS (longest time between two
  * acceptances) and allDone (every job of the last call is done). */
 typedef struct Timeline Timeline;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -86,9 +86,10 @@
 
 static const char *seed_of(const Fleet *fleet, int number)
 {
-    const int gates = fleet->site.gate_seeds;
-    return number < gates ? fleet->nodes[FLEET_GATE][number % fleet->shape.gates].settings.listen
-                          : fleet->nodes[FLEET_CONTROLLER][(number - gates) % fleet->shape.controllers].settings.listen;
+    const int entry_points = fleet->site.entry_point_seeds;
+    return number < entry_points
+               ? fleet->nodes[FLEET_ENTRY_POINT][number % fleet->shape.entry_points].settings.listen
+               : fleet->nodes[FLEET_CONTROLLER][(number - entry_points) % fleet->shape.controllers].settings.listen;
 }
 
 Fleet *fleet_new_at(void *mem, uint64_t seed, FleetShape shape, const FleetSite *site)
@@ -101,8 +102,8 @@
     fleet->checker = checker_new(fleet, &settings);
     for (int i = 0; i < shape.controllers + shape.spares; i++)
         node_add(fleet, FLEET_CONTROLLER)->settings.data = "data";
-    for (int i = 0; i < shape.gates; i++)
-        node_add(fleet, FLEET_GATE);
+    for (int i = 0; i < shape.entry_points; i++)
+        node_add(fleet, FLEET_ENTRY_POINT);
     for (int i = 0; i < shape.workers; i++) {
         FleetNode *agent = node_add(fleet, FLEET_AGENT);
         FleetNode *worker = node_add(fleet, FLEET_WORKER);
@@ -130,7 +131,7 @@
     for (int i = shape.controllers; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         for (int s = 0; s < SEEDS; s++)
             fleet->nodes[FLEET_CONTROLLER][i].settings.seeds[s] =
-                fleet->nodes[FLEET_GATE][s % shape.gates].settings.listen;
+                fleet->nodes[FLEET_ENTRY_POINT][s % shape.entry_points].settings.listen;
     return fleet;
 }
 
@@ -151,8 +152,8 @@
     case FLEET_CONTROLLER:
         status = controller_start(loop, loop, node->recorder, &node->settings, &watch, &node->controller, &failure);
         break;
-    case FLEET_GATE:
-        status = gate_start(loop, loop, node->recorder, &node->settings, &node->gate, &failure);
+    case FLEET_ENTRY_POINT:
+        status = entry_point_start(loop, loop, node->recorder, &node->settings, &node->entry_point, &failure);
         break;
     case FLEET_AGENT:
         status = agent_start(loop, loop, node->recorder, &node->settings, &node->agent, &failure);
@@ -170,7 +171,7 @@
 {
     FleetNode *node = arg;
     node->controller = NULL;
-    node->gate = NULL;
+    node->entry_point = NULL;
     node->agent = NULL;
     node->worker = NULL;
     node->up = false;
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -53,8 +53,8 @@
 {
     for (int round = 0; round < 40; round++) {
         void *mem = talloc_new(NULL);
-        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, round % fleet->node_count[FLEET_GATE], "PUT",
-                                        "/v1/config?base=0", mix_config(fleet->shape.mix));
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, round % fleet->node_count[FLEET_ENTRY_POINT],
+                                        "PUT", "/v1/config?base=0", mix_config(fleet->shape.mix));
         const int code = call.code;
         talloc_free(mem);
         if (code == 200 || code == 409)
@@ -72,8 +72,8 @@
                                .for_ms = for_ms,
                                .twins = fleet->shape.mix == MIX_VARIED,
                                .watch = fleet_caller_watch(fleet)};
-    for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
-        settings.entries[settings.entry_count++] = fleet->nodes[FLEET_GATE][i].settings.http;
+    for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT]; i++)
+        settings.entries[settings.entry_count++] = fleet->nodes[FLEET_ENTRY_POINT][i].settings.http;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     Caller *caller = caller_start(loop, loop, &settings);
     fleet->callers[fleet->caller_count++] = caller;
--- a/packages/sim/src/fleettrouble.c
+++ b/packages/sim/src/fleettrouble.c
@@ -20,8 +20,8 @@
 {
     if (node->controller != NULL)
         controller_drain(node->controller);
-    else if (node->gate != NULL)
-        gate_drain(node->gate);
+    else if (node->entry_point != NULL)
+        entry_point_drain(node->entry_point);
     else if (node->agent != NULL)
         agent_drain(node->agent);
 }
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -19,22 +19,23 @@
 
 typedef struct Probe {
     Fleet *fleet;
-    int gate;
+    int entry_point;
     int64_t every_ms;
     uint64_t count;
     ProbeJob open[PROBE_OPEN_MAX];
     size_t open_count;
 } Probe;
 
-static Status call_at(Probe *probe, int gate, void *mem, const char *method, const char *path, const char *body,
+static Status call_at(Probe *probe, int entry_point, void *mem, const char *method, const char *path, const char *body,
                       HttpCall *call)
 {
     Fleet *fleet = probe->fleet;
-    *call = (HttpCall){.mem = mem,
-                       .address = fleet->nodes[FLEET_GATE][gate % fleet->node_count[FLEET_GATE]].settings.http,
-                       .method = method,
-                       .path = path,
-                       .wait_ms = 2000};
+    *call = (HttpCall){
+        .mem = mem,
+        .address = fleet->nodes[FLEET_ENTRY_POINT][entry_point % fleet->node_count[FLEET_ENTRY_POINT]].settings.http,
+        .method = method,
+        .path = path,
+        .wait_ms = 2000};
     if (body != NULL)
         bytes_add(mem, &call->body, body, strlen(body));
     const Status status = loop_call(sim_loop(fleet->world, fleet->caller), call);
@@ -48,18 +49,18 @@
     void *mem = talloc_new(fleet);
     const uint64_t at = probe->count++;
     const char *tenant = at % 2 == 0 ? "probe" : at % 8 == 7 ? PROBE_NEVER : PROBE_IN_OUT[at / 2 % PROBE_TENANTS];
-    char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->gate, at);
+    char *id = talloc_asprintf(fleet, "probe-%d-%" PRIu64, probe->entry_point, at);
     const int64_t sent_ms = sim_now_ms(fleet->world);
     checker_sent(fleet->checker, id);
     HttpCall call;
-    const Status status =
-        call_at(probe, probe->gate, mem, "POST", "/v1/jobs", mix_probe(mem, fleet->shape.mix, tenant, id), &call);
+    const Status status = call_at(probe, probe->entry_point, mem, "POST", "/v1/jobs",
+                                  mix_probe(mem, fleet->shape.mix, tenant, id), &call);
     const bool taken = status == STATUS_OK && (call.code == 200 || call.code == 201);
     const bool stranger =
         status == STATUS_OK && call.code == 422 && strstr((const char *)call.result.data, "unknown-tenant");
     if (taken) {
         checker_accepted(fleet->checker, id);
-        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].settings.name, SERVE_ACCEPT);
+        checker_served(fleet->checker, fleet->nodes[FLEET_ENTRY_POINT][probe->entry_point].settings.name, SERVE_ACCEPT);
         if (probe->open_count < PROBE_OPEN_MAX)
             probe->open[probe->open_count++] = (ProbeJob){id, sim_now_ms(fleet->world)};
     } else if (status == STATUS_OK && call.code >= 400 && call.code < 500) {
@@ -70,7 +71,7 @@
     talloc_free(mem);
 }
 
-/* Asks for the oldest at another gate than the one that took it. */
+/* Asks for the oldest at another entry point than the one that took it. */
 static void read_back(Probe *probe)
 {
     Fleet *fleet = probe->fleet;
@@ -80,12 +81,12 @@
         probe->open_count > 0 ? probe->open[0] : (ProbeJob){talloc_strdup(mem, "no-such-job"), INT64_MIN};
     const char *path = talloc_asprintf(mem, "/v1/jobs/%s", job.id);
     HttpCall call;
-    if (call_at(probe, probe->gate, mem, "GET", path, NULL, &call) == STATUS_OK &&
+    if (call_at(probe, probe->entry_point, mem, "GET", path, NULL, &call) == STATUS_OK &&
         (call.code == 200 || call.code == 404))
-        checker_served(fleet->checker, fleet->nodes[FLEET_GATE][probe->gate].settings.name, SERVE_STATUS);
+        checker_served(fleet->checker, fleet->nodes[FLEET_ENTRY_POINT][probe->entry_point].settings.name, SERVE_STATUS);
     if (probe->open_count > 0 && sim_now_ms(fleet->world) - job.accepted_ms >= ASK_LATE_MS &&
-        call_at(probe, probe->gate + (int)(probe->count % (uint64_t)fleet->node_count[FLEET_GATE]), mem, "GET", path,
-                NULL, &call) == STATUS_OK) {
+        call_at(probe, probe->entry_point + (int)(probe->count % (uint64_t)fleet->node_count[FLEET_ENTRY_POINT]), mem,
+                "GET", path, NULL, &call) == STATUS_OK) {
         bool over = call.code == 404;
         if (call.code == 404)
             checker_unknown(fleet->checker, job.id);
@@ -122,9 +123,9 @@
 
 void probes_start(Fleet *fleet, int64_t every_ms)
 {
-    for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++) {
+    for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT]; i++) {
         Probe *probe = talloc_zero(fleet, Probe);
-        *probe = (Probe){.fleet = fleet, .gate = i, .every_ms = every_ms};
+        *probe = (Probe){.fleet = fleet, .entry_point = i, .every_ms = every_ms};
         loop_spawn(sim_loop(fleet->world, fleet->caller), "probe", probe_main, probe);
     }
 }
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -76,9 +76,9 @@
     return false;
 }
 
-bool fleet_servable(const Fleet *fleet, int gate)
+bool fleet_servable(const Fleet *fleet, int entry_point)
 {
-    const FleetNode *node = &fleet->nodes[FLEET_GATE][gate];
+    const FleetNode *node = &fleet->nodes[FLEET_ENTRY_POINT][entry_point];
     return runs(fleet, node) && reaches_voters(fleet, node->machine);
 }
 
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -68,10 +68,10 @@
 
 FleetNode *sweep_any(Sweep *sweep)
 {
-    static const FleetRole ROLES[] = {FLEET_CONTROLLER, FLEET_CONTROLLER, FLEET_CONTROLLER,
-                                      FLEET_GATE,       FLEET_AGENT,      FLEET_WORKER};
+    static const FleetRole ROLES[] = {FLEET_CONTROLLER,  FLEET_CONTROLLER, FLEET_CONTROLLER,
+                                      FLEET_ENTRY_POINT, FLEET_AGENT,      FLEET_WORKER};
     FleetNode *node = sweep_node(sweep, ROLES[sweep_draw(sweep, 6)]);
-    if (sweep->liars && (node->role == FLEET_GATE || node->role == FLEET_AGENT))
+    if (sweep->liars && (node->role == FLEET_ENTRY_POINT || node->role == FLEET_AGENT))
         node = sweep_node(sweep, FLEET_CONTROLLER);
     return node;
 }
@@ -121,7 +121,7 @@
     for (int i = 0; i < 40 && sweep->drained != NULL; i++) {
         void *mem = talloc_new(NULL);
         checker_zone(fleet->checker, sweep->drained, false);
-        if (fleet_ask(fleet, mem, FLEET_GATE, i % 3, "DELETE",
+        if (fleet_ask(fleet, mem, FLEET_ENTRY_POINT, i % 3, "DELETE",
                       talloc_asprintf(mem, "/v1/zones/%s/drain", sweep->drained), NULL)
                 .code == 200)
             sweep->drained = NULL;
@@ -153,9 +153,9 @@
 {
     Fleet *fleet = sweep->fleet;
     bool any = false;
-    for (int i = 0; i < fleet->node_count[FLEET_GATE]; i++)
+    for (int i = 0; i < fleet->node_count[FLEET_ENTRY_POINT]; i++)
         if (fleet_servable(fleet, i)) {
-            checker_must_serve(fleet->checker, fleet->nodes[FLEET_GATE][i].settings.name);
+            checker_must_serve(fleet->checker, fleet->nodes[FLEET_ENTRY_POINT][i].settings.name);
             result->asserted++;
             any = true;
         }
@@ -196,7 +196,7 @@
     }
 }
 
-/* What every gate and controller that is up says of itself at the end of a broken run. */
+/* What every entry point and controller that is up says of itself at the end of a broken run. */
 static void tell_self(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
@@ -215,7 +215,7 @@
     Fleet *fleet = sweep->fleet;
     fleet_dump(fleet);
     tell_self(fleet, FLEET_CONTROLLER);
-    tell_self(fleet, FLEET_GATE);
+    tell_self(fleet, FLEET_ENTRY_POINT);
     for (int c = 0; c < fleet->caller_count; c++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[c], &jobs);
@@ -247,7 +247,7 @@
          .disks_keep = true,
          .voter_back_ms = 6000,
          .stagger_ms = 500,
-         .gate_seeds = 1},
+         .entry_point_seeds = 1},
         {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
     };
     const FleetSite *site = &SITES[settings->site];
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweepwork.c
@@ -9,7 +9,7 @@
 /* One operator's change: one PATCH that lets a tenant in or out, or sets a quota. */
 typedef struct Operator {
     Sweep *sweep;
-    int gate;
+    int entry_point;
     const char *tenant;
     bool in, quota;
     Room room;
@@ -32,14 +32,14 @@
 
 #define OPERATOR_TRIES 4 /* count; of a call that names its version */
 
-/* One try at one gate; the code, 0 after silence, and the version that was told. */
-static int operator_try(Operator *operator, int gate, int64_t wait_ms, uint64_t *version)
+/* One try at one entry point; the code, 0 after silence, and the version that was told. */
+static int operator_try(Operator *operator, int entry_point, int64_t wait_ms, uint64_t *version)
 {
     Fleet *fleet = operator->sweep->fleet;
     void *mem = talloc_new(fleet);
     const char *named = operator->version> 0 ? talloc_asprintf(mem, "&revision=%" PRIu64, operator->version) : "";
     HttpCall call = {.mem = mem,
-                     .address = fleet->nodes[FLEET_GATE][gate % 3].settings.http,
+                     .address = fleet->nodes[FLEET_ENTRY_POINT][entry_point % 3].settings.http,
                      .method = "PATCH",
                      .path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "%s", operator->base, named),
                      .wait_ms = wait_ms};
@@ -58,10 +58,10 @@
     Fleet *fleet = operator->sweep->fleet;
     uint64_t version = 0;
     told(operator, TENANT_ASKED);
-    operator->code = operator_try(operator, operator->gate, operator->version> 0 ? 1000 : 9000, &version);
+    operator->code = operator_try(operator, operator->entry_point, operator->version> 0 ? 1000 : 9000, &version);
     for (int i = 1; i < OPERATOR_TRIES && operator->version> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
         loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
-        operator->code = operator_try(operator, operator->gate + i, 2000, &version);
+        operator->code = operator_try(operator, operator->entry_point + i, 2000, &version);
     }
     if (operator->code == 200 && version> 0) {
         checker_config_set(fleet->checker, version);
@@ -72,11 +72,12 @@
     operator->done = true;
 }
 
-/* The version in force, as a gate tells it; false when it does not. */
+/* The version in force, as an entry point tells it; false when it does not. */
 static bool base_ask(Sweep *sweep, uint64_t *base)
 {
     void *mem = talloc_new(NULL);
-    const HttpCall got = fleet_ask(sweep->fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), "GET", "/v1/config", NULL);
+    const HttpCall got =
+        fleet_ask(sweep->fleet, mem, FLEET_ENTRY_POINT, (int)sweep_draw(sweep, 3), "GET", "/v1/config", NULL);
     const bool known = got.code == 200 && sscanf((const char *)got.result.data, "{\"revision\":%" SCNu64, base) == 1;
     if (known)
         checker_config_read(sweep->fleet->checker, *base);
@@ -87,7 +88,8 @@
 static Operator *operator_new(Sweep *sweep, uint64_t base, const char *tenant, bool in)
 {
     Operator *operator= talloc_zero(sweep, Operator);
-    *operator=(Operator){.sweep = sweep, .gate = (int)sweep_draw(sweep, 3), .tenant = tenant, .in = in, .base = base};
+    *operator=(Operator){
+        .sweep = sweep, .entry_point = (int)sweep_draw(sweep, 3), .tenant = tenant, .in = in, .base = base};
     operator->version = base % 2 == 0 ? base + 1 + base % 3 : 0;
     operator->body = talloc_asprintf(operator, "{\"cells\":{\"%s\":{\"tenants\":{\"%s\":%s}}}}",
                                      mix_cell(sweep->fleet->shape.mix), tenant, in ? "{}" : "null");
@@ -182,7 +184,7 @@
     if (job->accepted_ms == 0 || job->ended_ms != 0)
         return;
     void *mem = talloc_new(NULL);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), "DELETE",
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)sweep_draw(sweep, 3), "DELETE",
                                     talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL);
     if (call.code == 200)
         checker_cancelled(fleet->checker, job->id);
@@ -200,7 +202,7 @@
     const char *zone = back ? sweep->drained : ZONES[sweep_draw(sweep, 3)];
     if (back)
         checker_zone(fleet->checker, zone, false); /* from the asking on it may be given work */
-    const int code = fleet_ask(fleet, mem, FLEET_GATE, (int)sweep_draw(sweep, 3), back ? "DELETE" : "POST",
+    const int code = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)sweep_draw(sweep, 3), back ? "DELETE" : "POST",
                                talloc_asprintf(mem, "/v1/zones/%s/drain", zone), NULL)
                          .code;
     sweep_say(sweep, "%s %s: %d", back ? "back" : "drain", zone, code);
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -90,7 +90,7 @@
     else if (strcmp(verb, "drain") == 0 || strcmp(verb, "back") == 0) {
         void *mem = talloc_new(NULL);
         const bool drain = verb[0] == 'd';
-        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, drain ? "POST" : "DELETE",
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, drain ? "POST" : "DELETE",
                                         talloc_asprintf(mem, "/v1/zones/%s/drain", column->zone), NULL);
         const bool taken = call.code == 200;
         talloc_free(mem);
@@ -212,7 +212,7 @@
     } else if (strcmp(verb, "jump") == 0) {
         sim_jump(world, node->machine, number);
     } else if (strcmp(verb, "blind") == 0 || strcmp(verb, "sees") == 0) {
-        for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
+        for (int role = FLEET_ENTRY_POINT; role <= FLEET_AGENT; role++)
             for (int i = 0; i < fleet->node_count[role]; i++) {
                 sim_cut(world, node->machine, fleet->nodes[role][i].machine, verb[0] == 'b');
                 sim_cut(world, fleet->nodes[role][i].machine, node->machine, verb[0] == 'b');
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -61,12 +61,12 @@
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     for (change->tries = 1; !operator->stop; change->tries++) {
         void *mem = talloc_new(loop);
-        HttpCall call = {.mem = mem,
-                         .address =
-                             fleet_node(fleet, FLEET_GATE, (operator->number + change->tries) % 3)->settings.http,
-                         .method = change->method,
-                         .path = path_of(mem, change),
-                         .wait_ms = 1000}; /* a second of silence is given up on */
+        HttpCall call = {
+            .mem = mem,
+            .address = fleet_node(fleet, FLEET_ENTRY_POINT, (operator->number + change->tries) % 3)->settings.http,
+            .method = change->method,
+            .path = path_of(mem, change),
+            .wait_ms = 1000}; /* a second of silence is given up on */
         bytes_add(mem, &call.body, change->body, strlen(change->body));
         const Status status = loop_call(loop, &call);
         const uint64_t told =
@@ -90,7 +90,7 @@
     Loop *loop = sim_loop(fleet->world, fleet->caller);
     void *mem = talloc_new(loop);
     HttpCall call = {.mem = mem,
-                     .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->settings.http,
+                     .address = fleet_node(fleet, FLEET_ENTRY_POINT, operator->number % 3)->settings.http,
                      .method = "GET",
                      .path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, change->base),
                      .wait_ms = 2000};
@@ -148,7 +148,7 @@
 static const char *marker_at(Fleet *fleet, void *mem, uint64_t version)
 {
     const char *path = talloc_asprintf(mem, "/v1/config?revision=%" PRIu64, version);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", path, NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
     if (call.code != 200)
         return "";
     const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
@@ -176,7 +176,7 @@
                 highest = change->version > highest ? change->version : highest;
                 assert_string_equal(marker_at(fleet, mem, change->version), change->marker);
                 const HttpCall call =
-                    fleet_ask(fleet, mem, FLEET_GATE, 1, change->method, path_of(mem, change), change->body);
+                    fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, change->method, path_of(mem, change), change->body);
                 assert_int_equal(call.code, 200);
                 assert_int_equal(number_in(&call, mem, "\"revision\":"), change->version);
             } else if (change->code != 0) {
@@ -187,7 +187,7 @@
                 silent++;
             }
         }
-    const HttpCall newest = fleet_ask(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
+    const HttpCall newest = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
     assert_int_equal(newest.code, 200);
     assert_true(number_in(&newest, mem, "\"revision\":") >= highest);
     print_message("%zu taken, %zu refused, %zu without an answer; %zu sent more than once\n", taken, refused, silent,
@@ -277,8 +277,8 @@
         talloc_free(mem);
         for (int k = 0; k < 2; k++) {
             const int before = pair[k].changes[0].code;
-            const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, k, "PATCH", path_of(fleet, &pair[k].changes[0]),
-                                            pair[k].changes[0].body);
+            const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, k, "PATCH",
+                                            path_of(fleet, &pair[k].changes[0]), pair[k].changes[0].body);
             assert_int_equal(call.code, before);
         }
         base += 2;
@@ -330,7 +330,7 @@
     };
     for (size_t i = 0; i < sizeof(CASES) / sizeof(CASES[0]); i++) {
         const HttpCall call =
-            fleet_ask(fleet, mem, FLEET_GATE, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
+            fleet_ask(fleet, mem, FLEET_ENTRY_POINT, (int)(i % 3), CASES[i].method, CASES[i].path, CASES[i].body);
         const char *text = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
         if (call.code != CASES[i].code || strstr(text, CASES[i].words) == NULL)
             fail_msg("%s %s %s: %d %s", CASES[i].method, CASES[i].path, CASES[i].body, call.code, text);
@@ -338,7 +338,8 @@
     char *large = talloc_size(mem, CONFIG_BODY_MAX + 2);
     memset(large, ' ', CONFIG_BODY_MAX + 1);
     large[CONFIG_BODY_MAX + 1] = '\0';
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=9007199254740993", large).code, 413);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=9007199254740993", large).code,
+                     413);
     /* many patches that together are too large */
     int code = 200;
     for (int i = 0; i < CONFIG_BODY_MAX / 60000 + 12 && code == 200; i++) {
@@ -348,14 +349,14 @@
         const char *body =
             talloc_asprintf(mem, "{\"cells\":{\"c%d\":{\"queues\":{\"q\":{\"note\":\"%s\"}}}}}", i, note);
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64, UINT64_C(9007199254740993) + (uint64_t)i);
-        code = fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code;
+        code = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code;
     }
     assert_int_equal(code, 413);
     talloc_free(mem);
     talloc_free(fleet);
 }
 
-/* Disks that lose hours of what they acknowledged: the gates have the document and
+/* Disks that lose hours of what they acknowledged: the entry points have the document and
  * all that was changed of it since, also what was changed long ago. */
 static void told_again(void **state)
 {
@@ -369,12 +370,12 @@
         const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base, base + 3);
         const char *body =
             talloc_asprintf(mem, "{\"note\":\"t%d\",\"cells\":{\"x%d\":{\"share\":%d}}}", i, i % 5, i + 1);
-        assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, body).code, 200);
+        assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path, body).code, 200);
         base += 3;
         fleet_run(fleet, i == 15 ? REPAIR_KEEP_MS + 10000 : 200);
     }
     fleet_run(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
-    const HttpCall before = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    const HttpCall before = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     checker_fault(fleet->checker);
     for (int i = 0; i < 3; i++)
         fleet_power_off(fleet, FLEET_CONTROLLER, i);
@@ -383,15 +384,15 @@
         fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
     fleet_run(fleet, 12000);
-    const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(after.code, 200);
     assert_true(bytes_equal(before.result, after.result));
     /* the last call, sent again, is known from what was told */
     const char *path = talloc_asprintf(mem, "/v1/config?base=%" PRIu64 "&revision=%" PRIu64, base - 3, base);
-    assert_int_equal(
-        fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", path, "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
-            .code,
-        200);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", path,
+                               "{\"note\":\"t19\",\"cells\":{\"x4\":{\"share\":20}}}")
+                         .code,
+                     200);
     talloc_free(mem);
     talloc_free(fleet);
 }
@@ -412,11 +413,12 @@
                                              i % 7, note);
     }
     text = talloc_strdup_append_buffer(text, "}}}}");
-    HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "PUT", "/v1/config?base=1&revision=2", text);
+    HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=1&revision=2", text);
     assert_int_equal(call.code, 200);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 1, "PUT", "/v1/config?base=1&revision=2", text).code, 200);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "PUT", "/v1/config?base=1&revision=2", text).code,
+                     200);
     for (int k = 0; k < 2; k++) {
-        call = fleet_ask(fleet, mem, FLEET_GATE, 2, "GET", "/v1/config", NULL);
+        call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 2, "GET", "/v1/config", NULL);
         assert_int_equal(call.code, 200);
         const char *read = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
         assert_non_null(strstr(read, text));
@@ -433,11 +435,11 @@
     for (int i = 0; i < 3; i++)
         fleet_start_node(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 12000);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=2",
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
                                "{\"cells\":{\"c\":{\"queues\":{\"q0\":null}}}}")
                          .code,
                      200);
-    call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     const char *read = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
     assert_non_null(strstr(read, strstr(text, "\"q1\"")));
     assert_null(strstr(read, "\"q0\""));
@@ -445,7 +447,7 @@
     talloc_free(fleet);
 }
 
-/* A document that a gate does not take at once comes in a calm moment. */
+/* A document that an entry point does not take at once comes in a calm moment. */
 static void large_told_again(void **state)
 {
     (void)state;
@@ -457,10 +459,11 @@
     memset(note, 'n', 60000);
     note[60000] = '\0';
     const char *body = talloc_asprintf(mem, "{\"limits\":{\"idleMs\":9000},\"note\":\"%s\"}", note);
-    assert_int_equal(fleet_ask(fleet, mem, FLEET_GATE, 0, "PATCH", "/v1/config?base=1&revision=5", body).code, 200);
+    assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1&revision=5", body).code,
+                     200);
     fleet_run(fleet, 200);
     for (int i = 0; i < 3; i++) { /* its number and limits are known at once */
-        const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, i, "GET", "/metrics", NULL);
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, i, "GET", "/metrics", NULL);
         assert_non_null(
             strstr(talloc_strndup(mem, (const char *)call.result.data, call.result.count), "config_revision 5\n"));
     }
@@ -473,7 +476,7 @@
         fleet_start_node(fleet, FLEET_CONTROLLER, i);
     }
     fleet_run(fleet, 12000);
-    const HttpCall after = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(number_in(&after, mem, "\"revision\":"), 5);
     assert_true(after.result.count > 60000);
     talloc_free(mem);
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/coreset.h
@@ -20,7 +20,7 @@
 
 static inline Fleet *begin(uint64_t seed)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = true, .disks_keep = true};
+    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = true, .disks_keep = true};
     Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -63,7 +63,7 @@
         void *mem = talloc_new(loop);
         const bool bulk = i % 11 == 0;
         HttpCall call = {.mem = mem,
-                         .address = fleet_node(fleet, FLEET_GATE, i % 3)->settings.http,
+                         .address = fleet_node(fleet, FLEET_ENTRY_POINT, i % 3)->settings.http,
                          .method = "POST",
                          .path = "/v1/jobs",
                          .wait_ms = 5000};
@@ -142,7 +142,7 @@
     bool done;
 } Operator;
 
-/* Patches on whatever version it last saw, at one gate; races with the others. */
+/* Patches on whatever version it last saw, at one entry point; races with the others. */
 static void operate_main(void *arg)
 {
     Operator *operator= arg;
@@ -152,7 +152,7 @@
     for (int i = 0; i < 60; i++) {
         void *mem = talloc_new(loop);
         HttpCall call = {.mem = mem,
-                         .address = fleet_node(fleet, FLEET_GATE, operator->number % 3)->settings.http,
+                         .address = fleet_node(fleet, FLEET_ENTRY_POINT, operator->number % 3)->settings.http,
                          .method = "PATCH",
                          .path = talloc_asprintf(mem, "/v1/config?base=%llu", (unsigned long long)base),
                          .wait_ms = 4000};
@@ -202,7 +202,7 @@
     }
     print_message("%zu acknowledged, %zu refused as stale\n", acknowledged, stale);
     assert_true(acknowledged > 30 && stale > 20);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/config", NULL);
     assert_true(strtoull((const char *)call.result.data + strlen("{\"revision\":"), NULL, 10) >= highest);
     /* each acknowledged one is in the history as it was sent */
     for (int i = 0; i < 5; i++)
@@ -210,7 +210,7 @@
             char path[64], cell[24];
             snprintf(path, sizeof(path), "/v1/config?revision=%llu", (unsigned long long)operators[i].acknowledged[k]);
             snprintf(cell, sizeof(cell), "\"op%d\":", i);
-            const HttpCall read = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", path, NULL);
+            const HttpCall read = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", path, NULL);
             assert_int_equal(read.code, 200);
             assert_non_null(strstr((const char *)read.result.data, cell));
         }
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/diskstate.c
@@ -334,7 +334,8 @@
 {
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .gate_seeds = 1, .votes = votes == 1, .disks_keep = true};
+        const FleetSite site = {
+            .zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = votes == 1, .disks_keep = true};
         Fleet *fleet = fleet_new_at(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
@@ -344,11 +345,11 @@
                 if (life == 0)
                     spoil(fleet, controller);
             }
-            for (int role = FLEET_GATE; role <= FLEET_AGENT; role++) /* nobody else remembers the cluster */
+            for (int role = FLEET_ENTRY_POINT; role <= FLEET_AGENT; role++) /* nobody else remembers the cluster */
                 fleet_power_off(fleet, (FleetRole)role, 0);
             for (int controller = 0; controller < 3; controller++)
                 fleet_start_node(fleet, FLEET_CONTROLLER, controller);
-            for (int role = FLEET_GATE; role <= FLEET_AGENT; role++)
+            for (int role = FLEET_ENTRY_POINT; role <= FLEET_AGENT; role++)
                 fleet_start_node(fleet, (FleetRole)role, 0);
             fleet_run(fleet, 20000);
             for (int controller = 0; controller < 3; controller++)
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -41,21 +41,21 @@
     return table_drained(controller_table(fleet->nodes[FLEET_CONTROLLER][leader].controller), ZONE);
 }
 
-static Handed *order(Fleet *fleet, int gate, const char *method)
+static Handed *order(Fleet *fleet, int entry_point, const char *method)
 {
-    return hand(fleet, gate, &(HttpTask){.method = method, .path = DRAIN, .query = "", .host = ""}, NULL);
+    return hand(fleet, entry_point, &(HttpTask){.method = method, .path = DRAIN, .query = "", .host = ""}, NULL);
 }
 
-static int ask(Fleet *fleet, int gate, const char *method)
+static int ask(Fleet *fleet, int entry_point, const char *method)
 {
-    return fleet_ask(fleet, fleet, FLEET_GATE, gate, method, DRAIN, NULL).code;
+    return fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, DRAIN, NULL).code;
 }
 
 enum { CUT_TO_CONTROLLERS = 1, CUT_FROM_CONTROLLERS = 2 };
 
-static void cut_gate(Fleet *fleet, int gate, int ways, bool cut)
+static void cut_entry_point(Fleet *fleet, int entry_point, int ways, bool cut)
 {
-    const int machine = fleet_node(fleet, FLEET_GATE, gate)->machine;
+    const int machine = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point)->machine;
     for (int i = 0; i < 3; i++) {
         const int controller = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         if (ways & CUT_TO_CONTROLLERS)
@@ -78,12 +78,12 @@
             Handed *late = order(fleet, 0, "POST");
             fleet_run(fleet, at_ms);
             held += !late->done;
-            cut_gate(fleet, 0, ways, true);
+            cut_entry_point(fleet, 0, ways, true);
             fleet_run(fleet, 1000);
             assert_int_equal(ask(fleet, 1, "POST"), 200);
             assert_true(drained(fleet));
             assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-            cut_gate(fleet, 0, ways, false);
+            cut_entry_point(fleet, 0, ways, false);
             fleet_run(fleet, 12000);
             assert_true(late->done);
             if (drained(fleet))
@@ -103,11 +103,11 @@
         assert_int_equal(ask(fleet, 1, "POST"), 200);
         const Handed *late = order(fleet, 0, "DELETE");
         fleet_run(fleet, at_ms);
-        cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, true);
+        cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, true);
         fleet_run(fleet, 1000);
         assert_int_equal(ask(fleet, 1, "DELETE"), 200);
         assert_int_equal(ask(fleet, 2, "POST"), 200);
-        cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, false);
+        cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, false);
         fleet_run(fleet, 12000);
         assert_true(late->done && drained(fleet));
         end(fleet);
@@ -140,10 +140,10 @@
     Fleet *fleet = begin(44);
     Handed *late = order(fleet, 0, "POST");
     fleet_run(fleet, LINK_MS + LINK_MS / 2); /* its base is on the way back */
-    cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, true);
+    cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, true);
     assert_int_equal(ask(fleet, 1, "POST"), 200);
     assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-    cut_gate(fleet, 0, CUT_FROM_CONTROLLERS, false);
+    cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, false);
     while (!late->done)
         fleet_run(fleet, 5);
     assert_int_equal(late->task->code, 503);
@@ -172,12 +172,12 @@
     (void)state;
     Fleet *fleet = begin(46);
     static const char NAMED[] = DRAIN "?order=mine";
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", NAMED, NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", NAMED, NULL).code, 200);
     assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "POST", NAMED, NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", NAMED, NULL).code, 200);
     assert_false(drained(fleet));
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "POST", DRAIN "?after=0", NULL).code, 409);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "POST", DRAIN "?order=a%20b", NULL).code, 422);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?after=0", NULL).code, 409);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?order=a%20b", NULL).code, 422);
     end(fleet);
 }
 
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -28,7 +28,7 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
     assert_true(fleet_configure(fleet));
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     return fleet;
 }
 
@@ -39,10 +39,10 @@
     talloc_free(fleet);
 }
 
-static int ask(Fleet *fleet, int gate, const char *method, const char *path, const char *body, const char **text)
+static int ask(Fleet *fleet, int entry_point, const char *method, const char *path, const char *body, const char **text)
 {
     const HttpPair host = {"host", HOST ":8080"};
-    const HttpCall call = fleet_ask_as(fleet, fleet, FLEET_GATE, gate, method, path, body, &host, 1);
+    const HttpCall call = fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, entry_point, method, path, body, &host, 1);
     if (text != NULL)
         *text = (const char *)call.result.data;
     return call.code;
@@ -71,8 +71,8 @@
     /* the same again, elsewhere, by ?host=, and under the longer prefix: one job */
     assert_int_equal(ask(fleet, 1, "POST", "/v1/entry/sweeps/one", BODY(4000), NULL), 200);
     assert_int_equal(ask(fleet, 2, "POST", "/v1/entry/sweeps/now/one", BODY(4000), NULL), 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code,
-                     200);
+    assert_int_equal(
+        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code, 200);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4001), NULL), 409);
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
     assert_told(text, "\"waiting\":1");
@@ -142,25 +142,25 @@
     }
     assert_null(fleet_job(fleet, "x"));
     /* another host */
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x", BODY(1)).code, 404);
     /* its queue is full: certainly not taken, and when to come back */
-    assert_int_equal(
-        fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=2", "{\"cells\":{\"imagery\":{\"limit\":1}}}")
-            .code,
-        200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
+                               "{\"cells\":{\"imagery\":{\"limit\":1}}}")
+                         .code,
+                     200);
     const HttpPair host = {"host", HOST};
     const HttpCall full =
-        fleet_ask_as(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/entry/sweeps/x",
+        fleet_ask_as(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/entry/sweeps/x",
                      "{\"steps\":[{\"name\":\"a\",\"count\":2,\"room\":{\"cpu\":1,\"memMb\":10}}]}", &host, 1);
     assert_int_equal(full.code, 503);
     assert_true(full.retry_after_s > 0);
     /* its entry is gone */
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=3",
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=3",
                                "{\"cells\":{\"imagery\":{\"queues\":{\"urgent\":null,\"sweeps\":{\"entry\":null}}}}}")
                          .code,
                      200);
-    for (int gate = 0; gate < 3; gate++)
-        assert_int_equal(ask(fleet, gate, "POST", "/v1/entry/sweeps/x", BODY(1), NULL), 404);
+    for (int entry_point = 0; entry_point < 3; entry_point++)
+        assert_int_equal(ask(fleet, entry_point, "POST", "/v1/entry/sweeps/x", BODY(1), NULL), 404);
     end(fleet);
 }
 
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -128,14 +128,14 @@
 {
     (void)state;
     founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 1, .votes = true, .gate_seeds = 1}, 3);
+           (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_seeds = 1}, 3);
 }
 
 static void diskless_seeds(void **state)
 {
     (void)state;
     founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 2, .votes = true, .gate_seeds = 3}, 5);
+           (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_seeds = 3}, 5);
 }
 
 /* Controllers that do not hear of each other, and seeds of which each hears only some:
@@ -144,7 +144,7 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 30; seed++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .gate_seeds = 3, .stagger_ms = 800};
+        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .entry_point_seeds = 3, .stagger_ms = 800};
         Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         for (int a = 0; a < 4; a++) {
@@ -154,7 +154,7 @@
             for (int g = 0; g < 3; g++) {
                 const bool cut = sim_random(fleet->world) % 3 == 0;
                 sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_GATE, g)->machine, cut);
+                        fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, cut);
             }
         }
         for (int i = 0; i < 60; i++) {
@@ -167,7 +167,7 @@
                         fleet_node(fleet, FLEET_CONTROLLER, b)->machine, false);
             for (int g = 0; g < 3; g++)
                 sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, a)->machine,
-                        fleet_node(fleet, FLEET_GATE, g)->machine, false);
+                        fleet_node(fleet, FLEET_ENTRY_POINT, g)->machine, false);
         }
         fleet_run(fleet, 8000);
         assert_int_equal(clusters(fleet), 1);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -183,7 +183,7 @@
     assert_true(good > 20 && bad > 500);
 }
 
-/* Whatever is asked of an agent, a gate and a controller over HTTP is answered with a
+/* Whatever is asked of an agent, an entry point and a controller over HTTP is answered with a
  * code of the table; they go on serving. */
 static void requests(void **state)
 {
@@ -215,7 +215,7 @@
         const char *body = spoil(mem, report ? REPORT : mix_job(mem, MIX_TRENTVALE, CLASS_SWEEP, "j", 0), &count);
         const HttpCall call = fleet_ask(fleet, mem,
                                         report    ? FLEET_AGENT
-                                        : draw(2) ? FLEET_GATE
+                                        : draw(2) ? FLEET_ENTRY_POINT
                                                   : FLEET_CONTROLLER,
                                         report ? 3 : (int)draw(3), report ? "POST" : METHODS[draw(6)], path, body);
         assert_in_range(call.code, 200, 504);
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand.h
@@ -1,7 +1,7 @@
 #ifndef SIM_TEST_HAND_H
 #define SIM_TEST_HAND_H
 
-/* A request handed to a gate from within: the test sees when it is answered, and may let
+/* A request handed to an entry point from within: the test sees when it is answered, and may let
  * its caller leave. */
 #include <string.h>
 #include <talloc.h>
@@ -9,7 +9,7 @@
 #include "sim/fleet.h"
 
 typedef struct Handed {
-    Gate *gate;
+    EntryPoint *entry_point;
     HttpTask *task;
     bool done;
 } Handed;
@@ -17,16 +17,16 @@
 static inline void hand_main(void *arg)
 {
     Handed *handed = arg;
-    gate_take(handed->gate, handed->task);
+    entry_point_take(handed->entry_point, handed->task);
     handed->done = true;
 }
 
 /* Does not wait. task says what is asked; its texts outlive the fleet. */
-static inline Handed *hand(Fleet *fleet, int gate, const HttpTask *task, const char *body)
+static inline Handed *hand(Fleet *fleet, int entry_point, const HttpTask *task, const char *body)
 {
-    const FleetNode *node = fleet_node(fleet, FLEET_GATE, gate);
+    const FleetNode *node = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point);
     Handed *handed = talloc_zero(fleet, Handed);
-    handed->gate = node->gate;
+    handed->entry_point = node->entry_point;
     handed->task = talloc_zero(handed, HttpTask);
     *handed->task = *task;
     handed->task->loop = sim_loop(fleet->world, node->machine);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -51,7 +51,7 @@
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
         fleet_run(fleet, 60000);
-        const size_t now[3] = {bytes_of(fleet, FLEET_CONTROLLER, leader), bytes_of(fleet, FLEET_GATE, 0),
+        const size_t now[3] = {bytes_of(fleet, FLEET_CONTROLLER, leader), bytes_of(fleet, FLEET_ENTRY_POINT, 0),
                                bytes_of(fleet, FLEET_AGENT, 0)};
         for (int i = 0; i < 3; i++) {
             if (now[i] > worst[i])
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -20,7 +20,7 @@
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
     fleet_run(fleet, 2000);
     return fleet;
 }
@@ -33,11 +33,11 @@
     return count;
 }
 
-static void taken(Fleet *fleet, int gate, const char *name)
+static void taken(Fleet *fleet, int entry_point, const char *name)
 {
-    fleet_kill(fleet, FLEET_GATE, gate);
-    fleet_node(fleet, FLEET_GATE, gate)->settings.name = name;
-    fleet_start_node(fleet, FLEET_GATE, gate);
+    fleet_kill(fleet, FLEET_ENTRY_POINT, entry_point);
+    fleet_node(fleet, FLEET_ENTRY_POINT, entry_point)->settings.name = name;
+    fleet_start_node(fleet, FLEET_ENTRY_POINT, entry_point);
 }
 
 /* No disk works, nobody holds the lock, and work goes on only while every member answers
@@ -51,7 +51,8 @@
         assert_int_equal(running(fleet), 11);
         for (int i = 0; i < 3; i++)
             sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-        fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1", "{\"r\":0}"); /* shows the failure */
+        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
+                  "{\"r\":0}"); /* shows the failure */
         fleet_run(fleet, 8000);
         assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(running(fleet), 11);
@@ -72,10 +73,10 @@
     taken(fleet, 1, "another");
     fleet_run(fleet, 2000);
     for (int i = 0; i < 3; i++) {
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, i, "GET", "/v1/jobs/l", NULL);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/v1/jobs/l", NULL);
         assert_int_equal(call.code, 200);
     }
-    const HttpCall status = fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/v1/status", NULL);
+    const HttpCall status = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/v1/status", NULL);
     assert_non_null(strstr((const char *)status.result.data, "\"refusedFrames\""));
     fleet_run(fleet, 8000);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -20,7 +20,7 @@
     Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", CONFIG);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", CONFIG);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
     fleet_run(fleet, 1000);
@@ -38,7 +38,7 @@
 {
     const char *body = talloc_asprintf(
         fleet, "{\"id\":\"%s\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"%s\",\"steps\":[%s]}", id, queue, steps);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
     checker_accepted(fleet->checker, id);
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -15,7 +15,7 @@
     Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PUT", "/v1/config?base=0", config);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
     if (call.code != 200)
         fail_msg("%d %s", call.code, (const char *)call.result.data);
     fleet_run(fleet, 1000);
@@ -37,7 +37,7 @@
         "{\"id\":\"%s\",\"cell\":\"%s\",\"tenant\":\"%s\",\"queue\":\"%s\",\"protection\":\"best-effort\",\"steps\":[{\"name\":"
         "\"a\",\"count\":%d,\"room\":{\"cpu\":%d,\"memMb\":64},\"payload\":{\"runMs\":%d}}]}",
         id, cell, tenant, queue, count, cpu, run_ms);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", body);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", body);
     if (call.code != 201)
         fail_msg("%s: %d %s", id, call.code, (const char *)call.result.data);
     checker_accepted(fleet->checker, id);
@@ -118,15 +118,15 @@
     assert_true(in_phase(fleet, "bulk", TASK_WAITING) > 50);
     /* what another policy would make of the queue, without doing it */
     hand(fleet, "later", "c", "u", "bulk", 1, 8, 200);
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=c&limit=1", NULL);
     assert_int_equal(call.code, 200);
-    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c&limit=1",
+    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c&limit=1",
                      "function rank(t) return t.id == 'later' and 1 or 0 end");
     assert_int_equal(call.code, 200);
     assert_non_null(strstr((const char *)call.result.data, "\"order\":[{\"job\":\"later\""));
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code,
-                     422);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
+    assert_int_equal(
+        fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/queue/try?cell=c", "function rank(").code, 422);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/queue?cell=none", NULL).code, 422);
     for (int role = FLEET_CONTROLLER; role <= FLEET_AGENT; role++) {
         call = fleet_ask(fleet, fleet, (FleetRole)role, 0, "GET", "/metrics", NULL);
         assert_int_equal(call.code, 200);
@@ -147,10 +147,10 @@
     fleet_run(fleet, 4000);
     assert_int_equal(in_phase(fleet, "x", TASK_DONE), 5);
     assert_int_equal(in_phase(fleet, "y", TASK_DONE), 5);
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/status", NULL);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/status", NULL);
     assert_null(strstr((const char *)call.result.data, "\"policyFailures\":0"));
     assert_non_null(strstr((const char *)call.result.data, "more than"));
-    const HttpCall bad = fleet_ask(fleet, fleet, FLEET_GATE, 0, "PATCH", "/v1/config?base=1",
+    const HttpCall bad = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
                                    "{\"policies\":{\"q\":\"function rank(t)\\n while true do end\\nend\"}}");
     assert_int_equal(bad.code, 422);
     assert_non_null(strstr((const char *)bad.result.data, "policies.q"));
@@ -175,7 +175,7 @@
             hand(fleet, "big", "c", "u", "bulk", 1, 64, 1000);
         if (i == 40) {
             const HttpCall call = fleet_ask(
-                fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs",
+                fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs",
                 "{\"id\":\"gang\",\"cell\":\"c\",\"tenant\":\"u\",\"queue\":\"bulk\",\"steps\":[{\"name\":\"g\",\"gang\":true,"
                 "\"count\":2,\"room\":{\"cpu\":60,\"memMb\":64},\"payload\":{\"runMs\":1000}}]}");
             assert_int_equal(call.code, 201);
@@ -221,14 +221,15 @@
         hand(fleet, "long", "c", "t", "bulk", 11, 4, 60000);
         fleet_run(fleet, 2000);
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST",
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST",
                                    move ? "/v1/zones/west/drain?move=1" : "/v1/zones/west/drain", NULL)
                              .code,
                          200);
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
+        assert_int_equal(
+            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/zones/west/drain?move=2", NULL).code, 422);
         checker_zone(fleet->checker, "west", true);
         fleet_run(fleet, 12000);
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/zones/west/drain", NULL);
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/zones/west/drain", NULL);
         assert_non_null(strstr((const char *)call.result.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
         end(fleet);
@@ -241,7 +242,7 @@
 {
     (void)state;
     Fleet *fleet = begin("{\"cells\":{" CELL("c", "") "}}");
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
     hand(fleet, "work", "c", "t", "bulk", 11, 4, 30000);
     fleet_run(fleet, 1000);
@@ -249,7 +250,7 @@
     const int second = (fleet_leader(fleet) + 1) % 3;
     fleet_kill(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 6000);
-    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"worker-lost\",\"subject\":\"worker2\""));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"seat-out\",\"subject\":\"core"));
     assert_non_null(strstr((const char *)call.result.data, "{\"alert\":\"losses-few\",\"subject\":\"0 of 1\""));
@@ -264,7 +265,7 @@
     fleet_start_node(fleet, FLEET_WORKER, 1);
     fleet_start_node(fleet, FLEET_CONTROLLER, second);
     fleet_run(fleet, 8000);
-    call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/v1/alerts", NULL);
+    call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
     end(fleet);
 }
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -52,9 +52,9 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     fleet_run(fleet, 1000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     const char *body = JOB("known");
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "POST", "/v1/jobs", body).code, 201);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/jobs", body).code, 201);
     sim_delay(fleet->world, LINK_MS, LINK_MS);
     fleet_run(fleet, 1000);
     return fleet;
@@ -63,7 +63,7 @@
 /* The state as far as these requests change it: equal texts, equal states. */
 static char *state_of(void *mem, Fleet *fleet)
 {
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 1, "GET", "/v1/config/history", NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 1, "GET", "/v1/config/history", NULL);
     assert_int_equal(call.code, 200);
     const char *history = (const char *)call.result.data;
     const int leader = fleet_leader(fleet);
@@ -82,7 +82,7 @@
     return hand(fleet, 0, &task, whole ? mix_config(MIX_TRENTVALE) : row->body);
 }
 
-/* The leader has the request when its answers begin not to reach the gate; others go on. */
+/* The leader has the request when its answers begin not to reach the entry point; others go on. */
 static void answers_lost(void **state)
 {
     (void)state;
@@ -93,9 +93,9 @@
         const Handed *handed = request(fleet, row);
         const bool ordered = forward_repeat(row->method, row->path, row->query) == REPEAT_ORDERED;
         fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
-        const int gate = fleet_node(fleet, FLEET_GATE, 0)->machine;
+        const int entry_point = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine;
         const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
-        sim_cut(fleet->world, leader, gate, true);
+        sim_cut(fleet->world, leader, entry_point, true);
         const int64_t from_ms = sim_now_ms(fleet->world);
         fleet_run(fleet, COMMITTED_MS);
         assert_false(handed->done);
@@ -110,7 +110,7 @@
         assert_true(took_ms < 4000);
         if (row->code == 504)
             assert_true(handed->task->retry_after_s > 0);
-        sim_cut(fleet->world, leader, gate, false);
+        sim_cut(fleet->world, leader, entry_point, false);
         fleet_run(fleet, 3000);
         assert_string_equal(state_of(fleet, fleet), first); /* applied once */
         assert_int_equal(checker_broken_all(fleet->checker), 0);
@@ -133,8 +133,8 @@
         fleet_run(fleet, 1);
     assert_false(handed->done);
     const int lost = fleet_leader(fleet); /* its answer never comes */
-    sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine, fleet_node(fleet, FLEET_GATE, 0)->machine,
-            true);
+    sim_cut(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine,
+            fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine, true);
     for (int i = 0; i < 3; i++) {
         fleet_power_off(fleet, FLEET_CONTROLLER, i);
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -29,7 +29,7 @@
 
 static int ask(Fleet *fleet, const char *method, const char *path, const char *body, const char **text)
 {
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, method, path, body);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, method, path, body);
     if (text != NULL)
         *text = (const char *)call.result.data;
     return call.code;
@@ -163,7 +163,7 @@
     end(fleet);
 }
 
-/* The same job at two gates at once counts once; another body is refused. */
+/* The same job at two entry points at once counts once; another body is refused. */
 static void twice_at_once(void **state)
 {
     (void)state;
@@ -172,7 +172,7 @@
     CallerSettings settings = {
         .name = "same", .mix = MIX_TRENTVALE, .rate_milli = 10000, .for_ms = 3000, .entry_count = 1};
     for (int i = 0; i < 3; i++) {
-        settings.entries[0] = fleet_node(fleet, FLEET_GATE, i)->settings.http;
+        settings.entries[0] = fleet_node(fleet, FLEET_ENTRY_POINT, i)->settings.http;
         Caller *caller = caller_start(loop, loop, &settings);
         fleet->callers[fleet->caller_count++] = caller;
     }
@@ -496,8 +496,8 @@
         fleet_run(fleet, 10000);
         assert_int_equal(fleet_leader(fleet), -1);
         assert_int_equal(running(fleet), 22);
-        if (with) { /* a gate is lost: not every member answers any more */
-            fleet_power_off(fleet, FLEET_GATE, 1);
+        if (with) { /* an entry point is lost: not every member answers any more */
+            fleet_power_off(fleet, FLEET_ENTRY_POINT, 1);
             fleet_run(fleet, 6000);
             assert_int_equal(running(fleet), 0);
         }
@@ -524,7 +524,7 @@
     const char *text;
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("seen", ""), &text), 201);
     fleet_run(fleet, 3000);
-    fleet_kill(fleet, FLEET_GATE, 2);
+    fleet_kill(fleet, FLEET_ENTRY_POINT, 2);
     assert_int_equal(ask(fleet, "GET", "/v1/trace?key=job:seen", NULL, &text), 200);
     static const char *const WAY[] = {"carried", "delivered", "fetched", "given", "runs", "over", "known"};
     const char *at = text;
@@ -532,7 +532,7 @@
         char step[32];
         snprintf(step, sizeof(step), "\"step\":\"%s\"", WAY[i]);
         if ((at = strstr(i > 1 ? at : text, step)) ==
-            NULL) /* gate and controller speak within one way there and back */
+            NULL) /* entry point and controller speak within one way there and back */
             fail_msg("%s is not there, or not in its place: %s", WAY[i], text);
     }
     for (int i = 1; i <= 3; i++) {
@@ -571,7 +571,8 @@
         fleet_run(fleet, 1000);
         fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
+        const HttpCall call =
+            fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, ASKED[i].method, ASKED[i].path, ASKED[i].body);
         const int64_t took_ms = sim_now_ms(fleet->world) - from_ms;
         print_message("%s %s: %d after %lld ms %.*s\n", ASKED[i].method, ASKED[i].path, call.code, (long long)took_ms,
                       call.code >= 400 ? 120 : 0, (const char *)call.result.data);
@@ -593,18 +594,18 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, i, "GET", "/readyz", NULL).code, 200);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", true);
     fleet_run(fleet, 8000);
-    const HttpCall cut = fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL);
+    const HttpCall cut = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL);
     assert_int_equal(cut.code, 503);
     assert_true(cut.retry_after_s > 0);
     assert_int_not_equal(fleet_ask(fleet, fleet, FLEET_CONTROLLER, 0, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 1, "GET", "/readyz", NULL).code, 200);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 2, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", false);
     fleet_run(fleet, 5000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
     talloc_free(fleet);
 }
 
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -15,8 +15,8 @@
 #include "sim/fleet.h"
 
 #define CONTROLLERS 3
-#define GATES 3
-#define NODES (CONTROLLERS + GATES)
+#define ENTRY_POINTS 3
+#define NODES (CONTROLLERS + ENTRY_POINTS)
 #define TRIES_MOST 200   /* count; of one call until it is answered clearly */
 #define ASK_WAIT_MS 1000 /* ms; a caller gives an answer up after this */
 #define RACERS 8         /* count; so many orders may be under way at once */
@@ -33,7 +33,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, GATES, 3, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 3, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
@@ -42,7 +42,8 @@
 static const FleetNode *node_at(Fleet *fleet, int number)
 {
     const int at = number % NODES;
-    return at < GATES ? fleet_node(fleet, FLEET_GATE, at) : fleet_node(fleet, FLEET_CONTROLLER, at - GATES);
+    return at < ENTRY_POINTS ? fleet_node(fleet, FLEET_ENTRY_POINT, at)
+                             : fleet_node(fleet, FLEET_CONTROLLER, at - ENTRY_POINTS);
 }
 
 static const char *path_of(void *mem, const Call *call)
@@ -120,7 +121,7 @@
 static uint64_t newest(Fleet *fleet)
 {
     void *mem = talloc_new(NULL);
-    const HttpCall call = fleet_ask(fleet, mem, FLEET_GATE, 0, "GET", "/v1/config", NULL);
+    const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
     assert_int_equal(call.code, 200);
     const char *at = strstr((const char *)call.result.data, "\"revision\":");
     const uint64_t version = strtoull(at + strlen("\"revision\":"), NULL, 10);
@@ -138,7 +139,7 @@
                            .version = base + 1,
                            .method = "PATCH",
                            .body = patch_body(fleet, i % 2 == 0 ? "even" : "odd")};
-        assert_int_equal(again(&more, i % GATES), 200);
+        assert_int_equal(again(&more, i % ENTRY_POINTS), 200);
     }
 }
 
@@ -311,7 +312,7 @@
     checker_fault(fleet->checker);
     fleet_power_off(fleet, FLEET_CONTROLLER, lost);
     sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine);
-    for (int i = 0; i < GATES; i++) /* while it is away */
+    for (int i = 0; i < ENTRY_POINTS; i++) /* while it is away */
         assert_int_equal(again(&patch, i), 200);
     fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -26,7 +26,7 @@
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 20000));
     assert_true(fleet_configure(fleet));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", JOB);
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", JOB);
     assert_int_equal(call.code / 100, 2);
     return fleet;
 }
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -1,4 +1,4 @@
-/* What nodes answer while a controller is cut off from the others, though callers and gates still
+/* What nodes answer while a controller is cut off from the others, though callers and entry points still
  * reach it: no answer may be older than what was acknowledged before it was asked for. In
  * virtual time. */
 #include <inttypes.h>
@@ -15,7 +15,7 @@
 #include "sim/fleet.h"
 
 #define CONTROLLERS 3
-#define GATES 3
+#define ENTRY_POINTS 3
 #define READ_PAUSE_MS 40  /* ms; between two reads of one reader */
 #define ASK_WAIT_MS 1000  /* ms; a caller gives an answer up after this */
 #define CHANGE_PAUSE_MS 7 /* ms; between two changes of the operator: as soon as the lock has moved, one is in */
@@ -162,9 +162,9 @@
     watched->fleet = fleet;
     watched->acknowledged = 1;
     Loop *loop = sim_loop(fleet->world, fleet->caller);
-    for (int i = 0; i < CONTROLLERS + GATES; i++) {
-        const FleetNode *node =
-            i < CONTROLLERS ? fleet_node(fleet, FLEET_CONTROLLER, i) : fleet_node(fleet, FLEET_GATE, i - CONTROLLERS);
+    for (int i = 0; i < CONTROLLERS + ENTRY_POINTS; i++) {
+        const FleetNode *node = i < CONTROLLERS ? fleet_node(fleet, FLEET_CONTROLLER, i)
+                                                : fleet_node(fleet, FLEET_ENTRY_POINT, i - CONTROLLERS);
         Reader *reader = talloc_zero(watched, Reader);
         *reader = (Reader){watched, node->settings.http, node->settings.name};
         loop_spawn(loop, "reader", reader_main, reader);
@@ -201,7 +201,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, GATES, 4, MIX_TRENTVALE, 0});
+    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 4, MIX_TRENTVALE, 0});
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     return fleet;
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -48,7 +48,7 @@
     assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
     for (int i = 0; i < 3; i++)
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "POST", "/v1/jobs", BODY).code, 201);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", BODY).code, 201);
     checker_accepted(fleet->checker, "g");
     for (int i = 0; i < 50 && running(fleet) < 2; i++)
         fleet_run(fleet, 100);
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -120,10 +120,10 @@
     walked(&(Walk){ON_SUBMIT, FLEET_CONTROLLER, 5000, 160}, 16);
 }
 
-static void gate_killed(void **state)
+static void entry_point_killed(void **state)
 {
     (void)state;
-    walked(&(Walk){ON_SUBMIT, FLEET_GATE, 0, 80}, 8);
+    walked(&(Walk){ON_SUBMIT, FLEET_ENTRY_POINT, 0, 80}, 8);
 }
 
 static void agent_killed(void **state)
@@ -154,7 +154,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(leader_killed), cmocka_unit_test(leader_frozen), cmocka_unit_test(gate_killed),
+        cmocka_unit_test(leader_killed), cmocka_unit_test(leader_frozen), cmocka_unit_test(entry_point_killed),
         cmocka_unit_test(agent_killed),  cmocka_unit_test(agent_frozen),  cmocka_unit_test(during_change_of_view),
         cmocka_unit_test(during_repair),
     };
--- a/packages/sim/test/sweep.c
+++ b/packages/sim/test/sweep.c
@@ -52,7 +52,7 @@
  * a voter's disk had stood answered for it; 80: a repair that took a commit for each
  * change told again; 110: claims and a worker's new boot. Of the others' seeds above,
  * 512: a controller whose disk fails went on proposing itself; 178: a disk that takes 1.4 s,
- * just too little to leave the view; 86: a gate cut one way from the leader alone */
+ * just too little to leave the view; 86: an entry point cut one way from the leader alone */
 SWEPT(varied5, MIX_VARIED, 5, 80, 86)
 SWEPT(varied14, MIX_VARIED, 14, 23, 17)
 SWEPT(varied65, MIX_VARIED, 65, 77, 110)
--- a/packages/sim/test/timelines.c
+++ b/packages/sim/test/timelines.c
@@ -194,7 +194,7 @@
          "14000  .            join>leader  .           .\n"
          "24000  .            .            .           end+gap<9000\n")
 
-TIMELINE(gate_killed, TRENTVALE, 2,
+TIMELINE(entry_point_killed, TRENTVALE, 2,
          "ms     gate1  gate2        callers\n"
          "0      .      .            call:10\n"
          "4000   kill   freeze:3000  .\n"
@@ -295,7 +295,7 @@
         cmocka_unit_test(disk_fails),
         cmocka_unit_test(clocks_jump),
         cmocka_unit_test(one_way_cuts),
-        cmocka_unit_test(gate_killed),
+        cmocka_unit_test(entry_point_killed),
         cmocka_unit_test(controllers_replaced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -54,7 +54,7 @@
     if (handed->node->controller != NULL)
         controller_take(handed->node->controller, handed->task);
     else
-        gate_take(handed->node->gate, handed->task);
+        entry_point_take(handed->node->entry_point, handed->task);
     handed->took_ms = loop_now_ms(loop) - from_ms;
     handed->done = true;
 }
@@ -85,11 +85,11 @@
     Fleet *fleet = begin(31);
     int64_t took_ms;
     fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 30000);
-    HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
+    HttpTask *task = hand(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "short"), 300, &took_ms);
     assert_int_equal(task->code, 504);
     assert_true(took_ms <= 310);
     /* whoever has more time is asked again of the next leader */
-    task = hand(fleet, FLEET_GATE, 1, "POST", "/v1/jobs", job_of(fleet, "long"), 7000, &took_ms);
+    task = hand(fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/jobs", job_of(fleet, "long"), 7000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     print_message("served after %lld ms\n", (long long)took_ms);
     fleet_run(fleet, 30000);
@@ -107,7 +107,8 @@
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "none-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
+        const HttpTask *task =
+            hand(fleet, FLEET_ENTRY_POINT, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 503);
         assert_true(task->retry_after_s > 0);
         if (took_ms > LEADER_WAIT_MS)
@@ -128,32 +129,35 @@
     for (int i = 0; i < 5; i++) {
         int64_t took_ms;
         char *id = talloc_asprintf(fleet, "slow-%d", i);
-        const HttpTask *task = hand(fleet, FLEET_GATE, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
+        const HttpTask *task =
+            hand(fleet, FLEET_ENTRY_POINT, i % 3, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms > 240);
     }
     end(fleet);
 }
 
-/* The way between one gate and the leader is cut: others carry on. */
+/* The way between one entry point and the leader is cut: others carry on. */
 static void other_ways(void **state)
 {
     (void)state;
     Fleet *fleet = begin(34);
     const int leader = fleet_leader(fleet);
-    const int a = fleet_node(fleet, FLEET_GATE, 0)->machine, b = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
+    const int a = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine,
+              b = fleet_node(fleet, FLEET_CONTROLLER, leader)->machine;
     sim_cut(fleet->world, a, b, true);
     sim_cut(fleet->world, b, a, true);
     int64_t took_ms;
-    const HttpTask *task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, "round-0"), 3000, &took_ms);
+    const HttpTask *task =
+        hand(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, "round-0"), 3000, &took_ms);
     assert_true(task->code == 200 || task->code == 201);
     for (int i = 1; i < 40; i++) {
         char *id = talloc_asprintf(fleet, "round-%d", i);
-        task = hand(fleet, FLEET_GATE, 0, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
+        task = hand(fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", job_of(fleet, id), 3000, &took_ms);
         assert_int_equal(task->code, 201);
         assert_true(took_ms < 200);
         fleet_run(fleet, 200);
-        assert_int_equal(fleet_ask(fleet, fleet, FLEET_GATE, 0, "GET", "/readyz", NULL).code, 200);
+        assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/readyz", NULL).code, 200);
     }
     assert_int_equal(fleet_leader(fleet), leader);
     sim_cut(fleet->world, a, b, false);
@@ -161,12 +165,12 @@
     end(fleet);
 }
 
-/* A gate that stands still costs the leader's own callers its wait once, not each time. */
+/* An entry point that stands still costs the leader's own callers its wait once, not each time. */
 static void kept_elsewhere(void **state)
 {
     (void)state;
     Fleet *fleet = begin(37);
-    fleet_freeze(fleet, FLEET_GATE, 0, 3000);
+    fleet_freeze(fleet, FLEET_ENTRY_POINT, 0, 3000);
     int slow = 0;
     for (int i = 0; i < 20; i++) {
         int64_t took_ms;
@@ -186,11 +190,12 @@
 static int ready_count(Fleet *fleet)
 {
     int ready = 0;
-    for (int role = FLEET_CONTROLLER; role <= FLEET_GATE; role++)
+    for (int role = FLEET_CONTROLLER; role <= FLEET_ENTRY_POINT; role++)
         for (int i = 0; i < 3; i++) {
             const FleetNode *node = fleet_node(fleet, (FleetRole)role, i);
             if (sim_alive(fleet->world, node->machine) && node->up)
-                ready += node->controller != NULL ? controller_ready(node->controller) : gate_ready(node->gate);
+                ready += node->controller != NULL ? controller_ready(node->controller)
+                                                  : entry_point_ready(node->entry_point);
         }
     return ready;
 }
@@ -266,7 +271,8 @@
     int64_t ready_ms = loop_now_ms(loop);
     while (!sending->stop && loop_now_ms(loop) - ready_ms <= 300) {
         FleetNode *node = sending->node;
-        if (node->up && (node->controller != NULL ? controller_ready(node->controller) : gate_ready(node->gate)))
+        if (node->up &&
+            (node->controller != NULL ? controller_ready(node->controller) : entry_point_ready(node->entry_point)))
             ready_ms = loop_now_ms(loop);
         Send *one = talloc_zero(sending->fleet, Send);
         *one = (Send){sending, sending->sent++};
@@ -280,7 +286,7 @@
 static void leaving(void **state)
 {
     (void)state;
-    for (int role = FLEET_CONTROLLER; role <= FLEET_GATE; role++) {
+    for (int role = FLEET_CONTROLLER; role <= FLEET_ENTRY_POINT; role++) {
         Fleet *fleet = begin(36);
         const int number = role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0;
         Sending sending = {.fleet = fleet, .node = fleet_node(fleet, (FleetRole)role, number)};
--- a/packages/table/test/revisions.c
+++ b/packages/table/test/revisions.c
@@ -184,7 +184,7 @@
     talloc_free(mem);
 }
 
-/* As a gate keeps them: few texts, and no more rows than texts. Large ones move the first
+/* As an entry point keeps them: few texts, and no more rows than texts. Large ones move the first
  * whole text on before the rows go. */
 static void few(void **state)
 {
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -5,15 +5,15 @@
 #include "member/members.h"
 
 /* What can be seen of a change on its way. */
-#define TRACE_STEP_LIST(X)                                                         \
-    X(CARRIED, "carried")     /* a gate carried the request and its result */      \
-    X(DELIVERED, "delivered") /* the change took effect in a controller's state */ \
-    X(OPENED, "opened")       /* a controller opened the view */                   \
-    X(LEARNT, "learnt")       /* a node heard of it */                             \
-    X(FETCHED, "fetched")     /* an agent got the order */                         \
-    X(GIVEN, "given")         /* ... and gave it to its worker */                  \
-    X(RUNS, "runs")           /* the worker said that it runs */                   \
-    X(OVER, "over")           /* the round is over */                              \
+#define TRACE_STEP_LIST(X)                                                            \
+    X(CARRIED, "carried")     /* an entry point carried the request and its result */ \
+    X(DELIVERED, "delivered") /* the change took effect in a controller's state */    \
+    X(OPENED, "opened")       /* a controller opened the view */                      \
+    X(LEARNT, "learnt")       /* a node heard of it */                                \
+    X(FETCHED, "fetched")     /* an agent got the order */                            \
+    X(GIVEN, "given")         /* ... and gave it to its worker */                     \
+    X(RUNS, "runs")           /* the worker said that it runs */                      \
+    X(OVER, "over")           /* the round is over */                                 \
     X(KNOWN, "known")         /* ... and the leader knows it */
 
 typedef enum TraceStep {
--- a/packages/wire/include/wire/kinds.h
+++ b/packages/wire/include/wire/kinds.h
@@ -19,8 +19,8 @@
     X(TELL, 11, "tell", false)         /* agent to leader: started, finished */                \
     X(FETCH, 12, "fetch", false)       /* agent to leader: orders, by long poll */             \
     X(CONFIG_WATCH, 13, "feed", false) /* data plane to leader: configuration, by long poll */ \
-    X(FORWARD, 14, "forward", false)   /* gate to leader: a request of a caller */             \
-    X(KEEP, 15, "keep", false)         /* leader to gate: keep this for repair */              \
+    X(FORWARD, 14, "forward", false)   /* entry point to leader: a request of a caller */      \
+    X(KEEP, 15, "keep", false)         /* leader to entry point: keep this for repair */       \
     X(RETELL, 16, "retell", false)     /* leader to all: tell me what you were told */         \
     X(TRACE, 17, "trace", false)       /* anybody: what do you know of this change */          \
     X(VOTE, 18, "vote", true)          /* member: a controller asks the seeds for their votes to found */
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -1,4 +1,4 @@
-/* controller, gate, agent and check: thin over the library. */
+/* controller, entry point, agent and check: thin over the library. */
 #include <inttypes.h>
 #include <popt.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 #include "loop/real.h"
 #include "options.h"
 
-/* A process of one role. Invariant: one of controller, gate, agent is set once it runs. */
+/* A process of one role. Invariant: one of controller, entry point, agent is set once it runs. */
 typedef struct Daemon {
     void *mem;
     SettingsRole role;
@@ -19,7 +19,7 @@
     Loop *loop;
     Recorder *recorder;
     Controller *controller;
-    Gate *gate;
+    EntryPoint *entry_point;
     Agent *agent;
     FILE *record; /* for proof: who plans under which term */
     int64_t recorded_ms;
@@ -53,8 +53,9 @@
     if (daemon->role == SETTINGS_CONTROLLER)
         status = controller_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings,
                                   daemon->record != NULL ? &watch : NULL, &daemon->controller, &failure);
-    else if (daemon->role == SETTINGS_GATE)
-        status = gate_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->gate, &failure);
+    else if (daemon->role == SETTINGS_ENTRY_POINT)
+        status = entry_point_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->entry_point,
+                                   &failure);
     else
         status = agent_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->agent, &failure);
     if (status != STATUS_OK) {
@@ -65,8 +66,8 @@
     }
     if (daemon->controller != NULL)
         http = controller_http_address(daemon->controller);
-    else if (daemon->gate != NULL)
-        http = gate_http_address(daemon->gate);
+    else if (daemon->entry_point != NULL)
+        http = entry_point_http_address(daemon->entry_point);
     else
         http = agent_http_address(daemon->agent);
     printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->settings.name, http);
@@ -85,8 +86,8 @@
     Daemon *daemon = arg;
     if (daemon->controller != NULL)
         controller_drain(daemon->controller);
-    if (daemon->gate != NULL)
-        gate_drain(daemon->gate);
+    if (daemon->entry_point != NULL)
+        entry_point_drain(daemon->entry_point);
     if (daemon->agent != NULL)
         agent_drain(daemon->agent);
     loop_stop(daemon->loop);
@@ -161,9 +162,9 @@
     return run_daemon(SETTINGS_CONTROLLER, argc, argv);
 }
 
-int run_gate(int argc, const char **argv)
+int run_entry_point(int argc, const char **argv)
 {
-    return run_daemon(SETTINGS_GATE, argc, argv);
+    return run_daemon(SETTINGS_ENTRY_POINT, argc, argv);
 }
 
 int run_agent(int argc, const char **argv)
--- a/src/main.c
+++ b/src/main.c
@@ -6,7 +6,7 @@
 
 static const Command COMMANDS[] = {
     {"core", "a core: a disk, perhaps a seat, perhaps the lead", run_controller},
-    {"gate", "a gate: a diskless entry point", run_gate},
+    {"gate", "a gate: a diskless entry point", run_entry_point},
     {"agent", "an agent beside a worker", run_agent},
     {"node", "whichever of the three a platform's settings say", run_node},
     {"check", "check a props file", run_check},
--- a/src/node.c
+++ b/src/node.c
@@ -42,8 +42,8 @@
         run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
     if (run->node.controller != NULL)
         controller_seeds(run->node.controller, seeds);
-    else if (run->node.gate != NULL)
-        gate_seeds(run->node.gate, seeds);
+    else if (run->node.entry_point != NULL)
+        entry_point_seeds(run->node.entry_point, seeds);
     else if (run->node.agent != NULL)
         agent_seeds(run->node.agent, seeds);
     talloc_free(mem);
@@ -88,8 +88,8 @@
     Status status;
     if (run->place.role == SETTINGS_CONTROLLER)
         status = controller_start(run->mem, node->loop, node->recorder, settings, NULL, &node->controller, &failure);
-    else if (run->place.role == SETTINGS_GATE)
-        status = gate_start(run->mem, node->loop, node->recorder, settings, &node->gate, &failure);
+    else if (run->place.role == SETTINGS_ENTRY_POINT)
+        status = entry_point_start(run->mem, node->loop, node->recorder, settings, &node->entry_point, &failure);
     else
         status = agent_start(run->mem, node->loop, node->recorder, settings, &node->agent, &failure);
     if (status == STATUS_OK)
@@ -118,8 +118,8 @@
     NodeRun *run = arg;
     if (run->node.controller != NULL)
         controller_drain(run->node.controller);
-    if (run->node.gate != NULL)
-        gate_drain(run->node.gate);
+    if (run->node.entry_point != NULL)
+        entry_point_drain(run->node.entry_point);
     if (run->node.agent != NULL)
         agent_drain(run->node.agent);
     loop_stop(run->node.loop);
--- a/src/options.h
+++ b/src/options.h
@@ -17,7 +17,7 @@
 } Command;
 
 int run_controller(int argc, const char **argv);
-int run_gate(int argc, const char **argv);
+int run_entry_point(int argc, const char **argv);
 int run_agent(int argc, const char **argv);
 int run_node(int argc, const char **argv);
 int run_check(int argc, const char **argv);
