--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -4,7 +4,7 @@
 #include "props/props.h"
 
 /* Stands beside one worker: heartbeats for it, fetches its orders, passes its lease
- * on to it and tells what its rounds came to. Diskless. */
+ * on to it and tells what its attempts came to. Diskless. */
 typedef struct Agent Agent;
 
 Status agent_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, Agent **agent,
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -4,7 +4,7 @@
 #include "agent/agent.h"
 #include "beat/messages.h"
 
-/* What a worker says of itself, whatever it speaks. Rounds are named by job, task
+/* What a worker says of itself, whatever it speaks. Attempts are named by job, task
  * number (TASK_NUMBER) and round. */
 typedef struct WorkerReport {
     const char *boot; /* the worker's present life: nothing of one outlives it */
@@ -18,7 +18,7 @@
     Room free;
     int64_t wait_ms; /* the answer may be held back for so long */
     bool ends_wait;  /* it says nothing more before it is answered, not even that something has ended */
-    const RoundNews *running, *ended;
+    const AttemptNews *running, *ended;
     size_t running_count, ended_count;
 } WorkerReport;
 
@@ -32,9 +32,9 @@
     const Order *starts;
     size_t starts_count;
     int64_t start_ms; /* none of the starts stands longer than this from now */
-    const RoundId *stops;
+    const AttemptId *stops;
     size_t stops_count;
-    const RoundId *known; /* of the rounds that it has told as ended: those whose end is committed */
+    const AttemptId *known; /* of the attempts that it has told as ended: those whose end is committed */
     size_t known_count;
     int64_t again_ms; /* unless something ends there, it need not ask again before */
 } WorkerOrders;
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -8,16 +8,16 @@
 static void metrics(Agent *agent, HttpTask *task)
 {
     const RpcCounts *counts = rpc_counts(agent->rpc);
-    int64_t rounds[PHASE_KNOWN + 1] = {0};
-    for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
-        rounds[round->phase]++;
+    int64_t attempts[PHASE_KNOWN + 1] = {0};
+    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        attempts[attempt->phase]++;
     show_metrics_begin(task);
     show_metric(task, "holdLeftMs", lease_left_ms(&agent->lease, loop_now_ms(agent->loop)));
     show_metric(task, "workerLive", agent->worker_live);
-    show_metric(task, "roundsRunning", rounds[PHASE_RUNNING]);
-    show_metric(task, "roundsStopping", rounds[PHASE_STOPPING]);
-    show_metric(task, "roundsUntold", (int64_t)agent->rounds.ended.count);
-    show_metric(task, "roundsKept", (int64_t)agent->rounds.known.count);
+    show_metric(task, "roundsRunning", attempts[PHASE_RUNNING]);
+    show_metric(task, "roundsStopping", attempts[PHASE_STOPPING]);
+    show_metric(task, "roundsUntold", (int64_t)agent->attempts.ended.count);
+    show_metric(task, "roundsKept", (int64_t)agent->attempts.known.count);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
     RPC_COUNT_LIST(X)
 #undef X
@@ -88,7 +88,7 @@
                                .incarnation = agent->incarnation};
     agent->members = members_new(agent, loop, agent->rpc, recorder, &self, settings->seeds);
     agent->trace = trace_new(agent, loop, agent->rpc, agent->members, settings->name);
-    rounds_init(agent);
+    attempts_init(agent);
     heartbeat_start(agent);
     tell_start(agent);
     alone_start(agent);
--- a/packages/agent/src/alone.c
+++ b/packages/agent/src/alone.c
@@ -117,7 +117,7 @@
     if (asking->all && voters_answered(asking))
         ask_those(asking, false);
     const int64_t lease_ms = agent->settings->bounds.lease_ms;
-    /* a lease that has lapsed meanwhile is not brought back: its rounds are stopping */
+    /* a lease that has lapsed meanwhile is not brought back: its attempts are stopping */
     if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/beat.c
@@ -16,7 +16,7 @@
     int64_t sent_ms;
     char address[ADDRESS_MAX];
     PeerLife peer;
-    uint64_t *turns; /* of each of the told rounds' saved */
+    uint64_t *turns; /* of each of the told attempts' saved */
 } Heartbeat;
 
 bool leader_address(Agent *agent, char address[ADDRESS_MAX])
@@ -34,33 +34,33 @@
     signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
-static RoundId id_of(void *mem, const Round *round)
+static AttemptId id_of(void *mem, const Attempt *attempt)
 {
-    return (RoundId){talloc_strdup(mem, round->order.job), round->order.task, round->order.round};
+    return (AttemptId){talloc_strdup(mem, attempt->order.job), attempt->order.task, attempt->order.attempt};
 }
 
-static void rounds_tell(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
+static void attempts_tell(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
-    const Rounds *rounds = &agent->rounds;
+    const Attempts *attempts = &agent->attempts;
     const int64_t now_ms = loop_now_ms(agent->loop);
-    ask->rounds = talloc_array(heartbeat, RoundId, (unsigned)(rounds->lives.count + rounds->ended.count));
-    ask->saved = talloc_array(heartbeat, RoundSaved, (unsigned)rounds->lives.count);
-    heartbeat->turns = talloc_array(heartbeat, uint64_t, (unsigned)rounds->lives.count);
-    for (const Round *round = rounds->lives.first; round != NULL; round = round->next) {
-        ask->rounds[ask->rounds_count++] = id_of(heartbeat, round);
-        if (round->saved_turn == round->told_turn)
+    ask->attempts = talloc_array(heartbeat, AttemptId, (unsigned)(attempts->lives.count + attempts->ended.count));
+    ask->saved = talloc_array(heartbeat, AttemptSaved, (unsigned)attempts->lives.count);
+    heartbeat->turns = talloc_array(heartbeat, uint64_t, (unsigned)attempts->lives.count);
+    for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next) {
+        ask->attempts[ask->attempts_count++] = id_of(heartbeat, attempt);
+        if (attempt->saved_turn == attempt->told_turn)
             continue;
-        heartbeat->turns[ask->saved_count] = round->saved_turn;
-        ask->saved[ask->saved_count++] = (RoundSaved){talloc_strdup(heartbeat, round->order.job),
-                                                      round->order.task,
-                                                      round->order.round,
-                                                      talloc_strdup(heartbeat, round->saved),
-                                                      round->runs_ms != 0 ? now_ms - round->runs_ms : 0,
-                                                      round->percent,
-                                                      round->percent_ms};
+        heartbeat->turns[ask->saved_count] = attempt->saved_turn;
+        ask->saved[ask->saved_count++] = (AttemptSaved){talloc_strdup(heartbeat, attempt->order.job),
+                                                        attempt->order.task,
+                                                        attempt->order.attempt,
+                                                        talloc_strdup(heartbeat, attempt->saved),
+                                                        attempt->runs_ms != 0 ? now_ms - attempt->runs_ms : 0,
+                                                        attempt->percent,
+                                                        attempt->percent_ms};
     }
-    for (const Round *round = rounds->ended.first; round != NULL; round = round->next)
-        ask->rounds[ask->rounds_count++] = id_of(heartbeat, round);
+    for (const Attempt *attempt = attempts->ended.first; attempt != NULL; attempt = attempt->next)
+        ask->attempts[ask->attempts_count++] = id_of(heartbeat, attempt);
 }
 
 static void ask_fill(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
@@ -78,7 +78,7 @@
                           .have_term = agent->have_term,
                           .wait_ms = HEARTBEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, heartbeat, &ask->worker);
-    rounds_tell(agent, heartbeat, ask);
+    attempts_tell(agent, heartbeat, ask);
 }
 
 /* The leader of this term has what the heartbeat told. */
@@ -86,14 +86,14 @@
 {
     if (term != agent->saved_term) {
         agent->saved_term = term;
-        for (Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
-            round->told_turn = 0;
+        for (Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+            attempt->told_turn = 0;
     }
     for (size_t i = 0; i < ask->saved_count; i++) {
-        const RoundSaved *saved = &ask->saved[i];
-        Round *round = round_find(agent, saved->job, saved->task, saved->round);
-        if (round != NULL && heartbeat->turns[i] > round->told_turn)
-            round->told_turn = heartbeat->turns[i];
+        const AttemptSaved *saved = &ask->saved[i];
+        Attempt *attempt = attempt_find(agent, saved->job, saved->task, saved->attempt);
+        if (attempt != NULL && heartbeat->turns[i] > attempt->told_turn)
+            attempt->told_turn = heartbeat->turns[i];
     }
 }
 
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -14,11 +14,11 @@
 struct Heartbeat;
 
 /* Invariants:
- *  - no round is given to the worker while hold does not run, nor one whose
+ *  - no attempt is given to the worker while hold does not run, nor one whose
  *    term is older than hold.term when it was ordered, nor any once it leaves;
  *  - worker_until_ms is never earlier than the end of any lease passed on to the
  *    worker of the present boot;
- *  - settled: rounds holds everything that may run on the worker;
+ *  - settled: attempts holds everything that may run on the worker;
  *  - boots holds the boots known to be over; the present one is none of them. */
 struct Agent {
     Loop *loop;
@@ -37,7 +37,7 @@
     int64_t heartbeat_due_ms;    /* the next, unless there is news */
     bool heartbeat_now;          /* there is news that does not wait */
     uint64_t have, have_term;    /* of the last orders taken: no older ones are taken after them */
-    uint64_t saved_term;         /* whose leader the rounds' told_turn speaks of */
+    uint64_t saved_term;         /* whose leader the attempts' told_turn speaks of */
     int64_t heartbeat_ms;        /* its last heartbeat was answered then; 0: none was */
     bool alone;                  /* its lease runs by the second survival rule */
     /* the worker */
@@ -52,7 +52,7 @@
     int64_t leave_until_ms; /* leaving: it stays at least until then; 0: not told */
     uint64_t questions;     /* of the worker; only the newest is answered */
     int64_t started_ms, asked_ms, worker_until_ms;
-    Rounds rounds;
+    Attempts attempts;
     Signal for_worker; /* there is something to answer the worker with */
     Signal to_tell;    /* there is something to tell the leader */
     bool leaving;
@@ -60,28 +60,28 @@
     uint64_t term_told;
 };
 
-void rounds_init(Agent *agent);
-Round *round_find(Agent *agent, const char *job, uint64_t task, uint64_t round);
+void attempts_init(Agent *agent);
+Attempt *attempt_find(Agent *agent, const char *job, uint64_t task, uint64_t attempt);
 /* The highest of the task; null: none. */
-Round *round_newest(Agent *agent, const char *job, uint64_t task);
-Round *round_add(Agent *agent, const Order *order, RoundPhase phase);
-void round_trace(Agent *agent, const Round *round, TraceStep step);
+Attempt *attempt_newest(Agent *agent, const char *job, uint64_t task);
+Attempt *attempt_add(Agent *agent, const Order *order, AttemptPhase phase);
+void attempt_trace(Agent *agent, const Attempt *attempt, TraceStep step);
 /* The worker says that it runs, and how far it has come. */
-void round_runs(Agent *agent, Round *round, const RoundNews *news);
+void attempt_runs(Agent *agent, Attempt *attempt, const AttemptNews *news);
 /* guessed: the worker has not said so itself. */
-void round_end(Agent *agent, Round *round, RoundWord word, const char *text, bool guessed);
+void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed);
 /* Its end is to be told (again), with this word. */
-void round_retell(Agent *agent, Round *round, RoundWord word, const char *text);
-void round_known(Agent *agent, Round *round);
+void attempt_retell(Agent *agent, Attempt *attempt, AttemptWord word, const char *text);
+void attempt_known(Agent *agent, Attempt *attempt);
 /* Everything that may run is to stop. */
-void rounds_stop(Agent *agent);
+void attempts_stop(Agent *agent);
 /* Nothing runs there any more; what was never given goes elsewhere. */
-void rounds_gone(Agent *agent, const char *why);
+void attempts_gone(Agent *agent, const char *why);
 /* An offered round that is not to be given: it goes elsewhere. While an earlier agent
  * may have given it, it is stopped first. */
-void round_withdraw(Agent *agent, Round *round, const char *why);
-void rounds_withdraw(Agent *agent, const char *why);
-void rounds_forget(Agent *agent);
+void attempt_withdraw(Agent *agent, Attempt *attempt, const char *why);
+void attempts_withdraw(Agent *agent, const char *why);
+void attempts_forget(Agent *agent);
 
 void heartbeat_start(Agent *agent);
 /* The leader is to hear at once. */
--- a/packages/agent/src/reportjson.c
+++ b/packages/agent/src/reportjson.c
@@ -6,7 +6,8 @@
 #include "config/check.h"
 #include "inside.h"
 
-static size_t read_rounds(Faults *faults, json_object *object, const char *key, bool with_word, const RoundNews **out)
+static size_t read_attempts(Faults *faults, json_object *object, const char *key, bool with_word,
+                            const AttemptNews **out)
 {
     static const char *const KEYS[] = {"job", "task", "round", "word", "text", "saved", "percent", NULL};
     json_object *list;
@@ -17,22 +18,22 @@
         return 0;
     }
     const size_t count = json_object_array_length(list);
-    RoundNews *read = talloc_zero_array(faults->mem, RoundNews, (unsigned)count);
+    AttemptNews *read = talloc_zero_array(faults->mem, AttemptNews, (unsigned)count);
     *out = read;
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_array_get_idx(list, i);
         const char *path = talloc_asprintf(faults->mem, "%s[%zu]", key, i);
-        RoundNews *news = &read[i];
-        *news = (RoundNews){.job = "", .worker = "", .text = "", .saved = ""};
+        AttemptNews *news = &read[i];
+        *news = (AttemptNews){.job = "", .worker = "", .text = "", .saved = ""};
         if (!check_keys(faults, one, path, KEYS))
             continue;
         news->job = check_name(faults, one, path, "job", NULL);
         news->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
-        news->round = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
-        news->word = ROUND_RUNNING;
+        news->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
+        news->word = ATTEMPT_RUNNING;
         if (with_word) {
-            news->word = round_of_word(check_name(faults, one, path, "word", NULL));
-            if (news->word == ROUND_WORD_COUNT || news->word == ROUND_RUNNING)
+            news->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
+            if (news->word == ATTEMPT_WORD_COUNT || news->word == ATTEMPT_RUNNING)
                 fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
                           "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
         }
@@ -68,27 +69,27 @@
         report->leave_ms = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
         report->seq = (uint64_t)check_int(faults, object, "", "seq", 0, INT64_MAX, 0);
         report->wait_ms = check_int(faults, object, "", "waitMs", 0, WORKER_POLL_MS * 10, WORKER_POLL_MS);
-        report->running_count = read_rounds(faults, object, "running", false, &report->running);
-        report->ended_count = read_rounds(faults, object, "ended", true, &report->ended);
+        report->running_count = read_attempts(faults, object, "running", false, &report->running);
+        report->ended_count = read_attempts(faults, object, "ended", true, &report->ended);
     }
     json_object_put(object);
     return faults->seen == 0;
 }
 
-static json_object *id_of(const char *job, uint64_t task, uint64_t round)
+static json_object *id_of(const char *job, uint64_t task, uint64_t attempt)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "job", json_object_new_string(job));
     json_object_object_add(object, "task", json_object_new_int64((int64_t)task));
-    json_object_object_add(object, "round", json_object_new_int64((int64_t)round));
+    json_object_object_add(object, "round", json_object_new_int64((int64_t)attempt));
     return object;
 }
 
-static json_object *ids_of(const RoundId *ids, size_t count)
+static json_object *ids_of(const AttemptId *ids, size_t count)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++)
-        json_object_array_add(list, id_of(ids[i].job, ids[i].task, ids[i].round));
+        json_object_array_add(list, id_of(ids[i].job, ids[i].task, ids[i].attempt));
     return list;
 }
 
@@ -97,7 +98,7 @@
     json_object *body = json_object_new_object(), *starts = json_object_new_array();
     for (size_t i = 0; i < orders->starts_count; i++) {
         const Order *order = &orders->starts[i];
-        json_object *one = id_of(order->job, order->task, order->round);
+        json_object *one = id_of(order->job, order->task, order->attempt);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->term));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
         json_object_object_add(one, "room", show_room(order->room));
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/round.h
@@ -1,35 +1,35 @@
-#ifndef AGENT_SRC_ROUND_H
-#define AGENT_SRC_ROUND_H
+#ifndef AGENT_SRC_ATTEMPT_H
+#define AGENT_SRC_ATTEMPT_H
 
 #include "beat/messages.h"
 #include "loop/loop.h"
 
-/* The way of one round on this worker. */
-#define ROUND_PHASE_LIST(X)                                               \
+/* The way of one attempt on this worker. */
+#define ATTEMPT_PHASE_LIST(X)                                             \
     X(OFFERED)  /* ordered by the leader, not given to the worker yet */  \
     X(SENT)     /* given in an answer; the worker has not spoken of it */ \
     X(RUNNING)  /* the worker runs it */                                  \
     X(STOPPING) /* the worker is told to stop it with each answer */      \
     X(ENDED)    /* over; the leader does not know it yet */               \
     X(KNOWN)    /* over, and committed: kept for repair and against old orders */
-typedef enum RoundPhase {
+typedef enum AttemptPhase {
 #define X(name) PHASE_##name,
-    ROUND_PHASE_LIST(X)
+    ATTEMPT_PHASE_LIST(X)
 #undef X
-} RoundPhase;
+} AttemptPhase;
 
-struct RoundChain;
+struct AttemptChain;
 
-/* Invariants: of one (job, task) at most one round is in a phase before ENDED;
+/* Invariants: of one (job, task) at most one attempt is in a phase before ENDED;
  * phases only go forward, but for SENT back to OFFERED when the worker has
  * asked again without speaking of it, and KNOWN back to ENDED when the leader has
  * forgotten the end or the worker has a weightier word on it. */
-typedef struct Round {
-    struct Round *prev, *next;
-    struct RoundChain *chain; /* of its phase: lives, ended or known */
-    Order order;              /* payload is empty for an adopted round, and once it is over */
+typedef struct Attempt {
+    struct Attempt *prev, *next;
+    struct AttemptChain *chain; /* of its phase: lives, ended or known */
+    Order order;                /* payload is empty for an adopted round, and once it is over */
     uint64_t term;
-    RoundPhase phase;
+    AttemptPhase phase;
     int64_t timeout_ms; /* not started after this */
     int64_t changed_ms;
     int64_t given_ms;    /* given to the worker then; 0: not by this agent */
@@ -44,18 +44,18 @@
     bool guessed;        /* ... by the agent's own judgement, not by the worker's word */
     int64_t ran_ms;      /* ... and how long it ran */
     const char *text;
-} Round;
+} Attempt;
 
-typedef struct RoundChain {
-    Round *first, *last;
+typedef struct AttemptChain {
+    Attempt *first, *last;
     size_t count;
-} RoundChain;
+} AttemptChain;
 
-/* All rounds of an agent. Invariants: by_id holds every one; newest, by job and task,
+/* All attempts of an agent. Invariants: by_id holds every one; newest, by job and task,
  * the highest of each; known is in the order in which they became so. */
-typedef struct Rounds {
-    RoundChain lives, ended, known;
+typedef struct Attempts {
+    AttemptChain lives, ended, known;
     Map *by_id, *newest;
-} Rounds;
+} Attempts;
 
 #endif
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -1,44 +1,45 @@
-/* What rounds came to, told until it is committed; and told again in a repair. */
+/* What attempts came to, told until it is committed; and told again in a repair. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "inside.h"
 
-static RoundNews news_of(const Agent *agent, void *mem, const Round *round)
+static AttemptNews news_of(const Agent *agent, void *mem, const Attempt *attempt)
 {
-    const bool over = round->phase >= PHASE_ENDED;
-    return (RoundNews){.job = talloc_strdup(mem, round->order.job),
-                       .task = round->order.task,
-                       .round = round->order.round,
-                       .worker = agent->worker_name,
-                       .word = over ? round->word : ROUND_RUNNING,
-                       .text = talloc_strdup(mem, round->text),
-                       .saved = talloc_strdup(mem, round->saved),
-                       .ran_ms = over                  ? round->ran_ms
-                                 : round->runs_ms != 0 ? loop_now_ms(agent->loop) - round->runs_ms
-                                                       : 0};
+    const bool over = attempt->phase >= PHASE_ENDED;
+    return (AttemptNews){.job = talloc_strdup(mem, attempt->order.job),
+                         .task = attempt->order.task,
+                         .attempt = attempt->order.attempt,
+                         .worker = agent->worker_name,
+                         .word = over ? attempt->word : ATTEMPT_RUNNING,
+                         .text = talloc_strdup(mem, attempt->text),
+                         .saved = talloc_strdup(mem, attempt->saved),
+                         .ran_ms = over                    ? attempt->ran_ms
+                                   : attempt->runs_ms != 0 ? loop_now_ms(agent->loop) - attempt->runs_ms
+                                                           : 0};
 }
 
 static size_t news_gather(Agent *agent, void *mem, TellAsk *ask)
 {
-    const size_t count = agent->rounds.ended.count < TELLING_MOST ? agent->rounds.ended.count : TELLING_MOST;
-    ask->news = talloc_zero_array(mem, RoundNews, (unsigned)count);
-    for (const Round *round = agent->rounds.ended.first; round != NULL && ask->news_count < count; round = round->next)
-        ask->news[ask->news_count++] = news_of(agent, mem, round);
+    const size_t count = agent->attempts.ended.count < TELLING_MOST ? agent->attempts.ended.count : TELLING_MOST;
+    ask->news = talloc_zero_array(mem, AttemptNews, (unsigned)count);
+    for (const Attempt *attempt = agent->attempts.ended.first; attempt != NULL && ask->news_count < count;
+         attempt = attempt->next)
+        ask->news[ask->news_count++] = news_of(agent, mem, attempt);
     return ask->news_count;
 }
 
 static void told(Agent *agent, const TellAsk *ask)
 {
     for (size_t i = 0; i < ask->news_count; i++) {
-        const RoundNews *news = &ask->news[i];
-        Round *round = round_find(agent, news->job, news->task, news->round);
-        if (round != NULL && round->phase == PHASE_ENDED && round->word == news->word)
-            round_known(agent, round);
+        const AttemptNews *news = &ask->news[i];
+        Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == news->word)
+            attempt_known(agent, attempt);
     }
     /* a worker that has left is let go once nothing of it is open */
-    if (agent->worker_leaving && !agent->worker_live && agent->rounds.lives.count + agent->rounds.ended.count == 0)
+    if (agent->worker_leaving && !agent->worker_live && agent->attempts.lives.count + agent->attempts.ended.count == 0)
         heartbeat_now(agent);
 }
 
@@ -125,23 +126,23 @@
     Agent *agent = arg;
     RepairList *list = answer;
     (void)question;
-    const Rounds *rounds = &agent->rounds;
-    const size_t most = rounds->lives.count + rounds->ended.count + rounds->known.count;
-    RoundList told = {talloc_zero_array(mem, RoundNews, (unsigned)most), 0};
-    for (const Round *round = rounds->lives.first; round != NULL; round = round->next)
-        if (round->phase != PHASE_OFFERED)
-            told.news[told.news_count++] = news_of(agent, mem, round);
-    const Round *firsts[] = {rounds->ended.first, rounds->known.first};
+    const Attempts *attempts = &agent->attempts;
+    const size_t most = attempts->lives.count + attempts->ended.count + attempts->known.count;
+    AttemptList told = {talloc_zero_array(mem, AttemptNews, (unsigned)most), 0};
+    for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next)
+        if (attempt->phase != PHASE_OFFERED)
+            told.news[told.news_count++] = news_of(agent, mem, attempt);
+    const Attempt *firsts[] = {attempts->ended.first, attempts->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
-        for (const Round *round = firsts[i]; round != NULL; round = round->next)
-            if (round->word == ROUND_DONE)
-                told.news[told.news_count++] = news_of(agent, mem, round);
+        for (const Attempt *attempt = firsts[i]; attempt != NULL; attempt = attempt->next)
+            if (attempt->word == ATTEMPT_DONE)
+                told.news[told.news_count++] = news_of(agent, mem, attempt);
     if (told.news_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, RepairItem);
-    list->items[0].change = CHANGE_ROUNDS;
+    list->items[0].change = CHANGE_ATTEMPTS;
     list->items_count = 1;
-    shape_pack(&RoundList_shape, &told, mem, &list->items[0].payload);
+    shape_pack(&AttemptList_shape, &told, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -18,7 +18,7 @@
     const bool runs = lease_runs(&agent->lease, now_ms);
     if (*ran && !runs) {
         recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "the hold has lapsed: all rounds stop");
-        rounds_stop(agent);
+        attempts_stop(agent);
     }
     *ran = runs;
 }
@@ -32,9 +32,9 @@
     }
     /* silent, and whatever hold it was given has lapsed: nothing runs there */
     if (agent->settled && !agent->worker_live && silent_ms > least(WORKER_LOST_MS, quiet_ms(agent)) &&
-        now_ms >= agent->worker_until_ms && agent->rounds.lives.count > 0) {
-        rounds_withdraw(agent, "the worker fell silent");
-        rounds_gone(agent, "the worker fell silent");
+        now_ms >= agent->worker_until_ms && agent->attempts.lives.count > 0) {
+        attempts_withdraw(agent, "the worker fell silent");
+        attempts_gone(agent, "the worker fell silent");
     }
     /* nobody has asked since our start: what an earlier agent let run has lapsed */
     const int64_t earlier_ms =
@@ -49,10 +49,10 @@
 {
     if (!agent->settled)
         return; /* an earlier agent may have given them */
-    for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
-        next = round->next;
-        if (round->phase == PHASE_OFFERED && now_ms >= round->timeout_ms)
-            round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
+    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+        next = attempt->next;
+        if (attempt->phase == PHASE_OFFERED && now_ms >= attempt->timeout_ms)
+            attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
     }
 }
 
@@ -76,7 +76,7 @@
         lapse_watch(agent, now_ms, &ran);
         silence_watch(agent, now_ms);
         timeout_watch(agent, now_ms);
-        rounds_forget(agent);
+        attempts_forget(agent);
         loop_sleep(agent->loop, next_ms(agent, now_ms) - now_ms);
     }
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -6,10 +6,10 @@
 #include "base/epoch.h"
 #include "inside.h"
 
-static bool listed(const RoundNews *list, size_t count, const Order *order)
+static bool listed(const AttemptNews *list, size_t count, const Order *order)
 {
     for (size_t i = 0; i < count; i++)
-        if (list[i].round == order->round && list[i].task == order->task && strcmp(list[i].job, order->job) == 0)
+        if (list[i].attempt == order->attempt && list[i].task == order->task && strcmp(list[i].job, order->job) == 0)
             return true;
     return false;
 }
@@ -28,7 +28,7 @@
  * for_good: it does not come back. */
 static void boot_end(Agent *agent, bool for_good, const char *why)
 {
-    rounds_gone(agent, why);
+    attempts_gone(agent, why);
     char **at = &agent->boots[agent->boot_count % BOOTS_KEPT];
     talloc_free(for_good ? *at : agent->boot);
     if (for_good) {
@@ -65,73 +65,74 @@
 
 /* --- taking a report ----------------------------------------------------------------- */
 
-static Round *round_of(Agent *agent, const RoundNews *news)
+static Attempt *attempt_of(Agent *agent, const AttemptNews *news)
 {
-    Round *round = round_find(agent, news->job, news->task, news->round);
-    if (round == NULL) {
+    Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+    if (attempt == NULL) {
         /* from before our own start: the leader says whether it is wanted */
-        const Order order = {.job = news->job, .task = news->task, .round = news->round, .payload = "", .saved = ""};
-        round = round_add(agent, &order, PHASE_RUNNING);
+        const Order order = {
+            .job = news->job, .task = news->task, .attempt = news->attempt, .payload = "", .saved = ""};
+        attempt = attempt_add(agent, &order, PHASE_RUNNING);
     }
-    return round;
+    return attempt;
 }
 
-static void end_take(Agent *agent, const RoundNews *news)
+static void end_take(Agent *agent, const AttemptNews *news)
 {
-    Round *round = round_of(agent, news);
-    if (round->phase < PHASE_ENDED) {
+    Attempt *attempt = attempt_of(agent, news);
+    if (attempt->phase < PHASE_ENDED) {
         if (news->saved[0] != '\0')
-            round_runs(agent, round, news);
-        round_end(agent, round, (RoundWord)news->word, news->text, false);
+            attempt_runs(agent, attempt, news);
+        attempt_end(agent, attempt, (AttemptWord)news->word, news->text, false);
         return;
     }
-    /* a finish counts also after the round was given up, and so does a failure of its own */
-    const bool weighs =
-        (news->word == ROUND_DONE && round->word != ROUND_DONE) || (news->word == ROUND_FAILED && round->guessed);
-    round->guessed = false;
+    /* a finish counts also after the attempt was given up, and so does a failure of its own */
+    const bool weighs = (news->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
+                        (news->word == ATTEMPT_FAILED && attempt->guessed);
+    attempt->guessed = false;
     if (weighs)
-        round_retell(agent, round, (RoundWord)news->word, news->text);
+        attempt_retell(agent, attempt, (AttemptWord)news->word, news->text);
 }
 
 /* What the worker says replaces what we thought. */
-static void rounds_take(Agent *agent, const WorkerReport *report)
+static void attempts_take(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     for (size_t i = 0; i < report->running_count; i++) {
-        Round *round = round_of(agent, &report->running[i]);
-        if (round->phase < PHASE_ENDED)
-            round_runs(agent, round, &report->running[i]);
+        Attempt *attempt = attempt_of(agent, &report->running[i]);
+        if (attempt->phase < PHASE_ENDED)
+            attempt_runs(agent, attempt, &report->running[i]);
     }
     for (size_t i = 0; i < report->ended_count; i++)
         end_take(agent, &report->ended[i]);
-    for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
-        next = round->next;
-        if (round->phase == PHASE_OFFERED || listed(report->running, report->running_count, &round->order))
+    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+        next = attempt->next;
+        if (attempt->phase == PHASE_OFFERED || listed(report->running, report->running_count, &attempt->order))
             continue;
-        if (round->phase == PHASE_STOPPING)
-            round_end(agent, round, ROUND_STOPPED, "stopped", true);
-        else if (round->phase == PHASE_RUNNING)
-            round_end(agent, round, ROUND_LOST, "the worker knows nothing of it any more", true);
-        else if (now_ms < round->timeout_ms)
-            round->phase = PHASE_OFFERED; /* the answer that carried it was lost */
+        if (attempt->phase == PHASE_STOPPING)
+            attempt_end(agent, attempt, ATTEMPT_STOPPED, "stopped", true);
+        else if (attempt->phase == PHASE_RUNNING)
+            attempt_end(agent, attempt, ATTEMPT_LOST, "the worker knows nothing of it any more", true);
+        else if (now_ms < attempt->timeout_ms)
+            attempt->phase = PHASE_OFFERED; /* the answer that carried it was lost */
         else
-            round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
+            attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
     }
 }
 
 /* A worker that tells its free room may be used by others too. What it runs for
- * us is not theirs; a round of unknown size (from before our start) counts as theirs. */
+ * us is not theirs; an attempt of unknown size (from before our start) counts as theirs. */
 static void others_take(Agent *agent, const WorkerReport *report)
 {
     agent->others = (Room){0};
     if (!report->free_told)
         return;
     Room known = report->free;
-    for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
-        if (listed(report->running, report->running_count, &round->order)) {
-            known.cpu_milli += round->order.room.cpu_milli;
-            known.mem_mb += round->order.room.mem_mb;
-            known.gpu += round->order.room.gpu;
+    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        if (listed(report->running, report->running_count, &attempt->order)) {
+            known.cpu_milli += attempt->order.room.cpu_milli;
+            known.mem_mb += attempt->order.room.mem_mb;
+            known.gpu += attempt->order.room.gpu;
         }
     const Room whole = report->worker.room;
     agent->others = (Room){whole.cpu_milli > known.cpu_milli ? whole.cpu_milli - known.cpu_milli : 0,
@@ -139,7 +140,7 @@
                            whole.gpu > known.gpu ? whole.gpu - known.gpu : 0};
 }
 
-/* What it is, and how it stands; after its rounds: what an earlier agent gave it is
+/* What it is, and how it stands; after its attempts: what an earlier agent gave it is
  * known then. */
 static void self_take(Agent *agent, const WorkerReport *report)
 {
@@ -155,32 +156,32 @@
         talloc_free(agent->worker_mem);
         agent->worker_mem = mem;
         /* what was ordered was meant for another worker */
-        rounds_withdraw(agent, "the worker is another now");
+        attempts_withdraw(agent, "the worker is another now");
     }
     agent->worker_live = live;
     agent->worker_leaving = leaving;
     agent->leave_until_ms = report->leave_ms > 0 ? loop_now_ms(agent->loop) + report->leave_ms : 0;
     if (leaving)
-        rounds_withdraw(agent, "the worker leaves");
+        attempts_withdraw(agent, "the worker leaves");
     if (news)
         heartbeat_now(agent);
 }
 
 /* --- answering ------------------------------------------------------------------------- */
 
-/* It says of a round that is over for us that it runs: it is to stop. */
-static bool lingers(Agent *agent, const RoundNews *news)
+/* It says of an attempt that is over for us that it runs: it is to stop. */
+static bool lingers(Agent *agent, const AttemptNews *news)
 {
-    const Round *round = round_find(agent, news->job, news->task, news->round);
-    return round != NULL && round->phase >= PHASE_ENDED;
+    const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+    return attempt != NULL && attempt->phase >= PHASE_ENDED;
 }
 
 static bool known_any(Agent *agent, const WorkerReport *report)
 {
     for (size_t i = 0; i < report->ended_count; i++) {
-        const RoundNews *news = &report->ended[i];
-        const Round *round = round_find(agent, news->job, news->task, news->round);
-        if (round != NULL && round->phase == PHASE_KNOWN)
+        const AttemptNews *news = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
             return true;
     }
     return false;
@@ -191,8 +192,8 @@
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     const bool runs = lease_runs(&agent->lease, now_ms);
-    for (const Round *round = agent->rounds.lives.first; round != NULL; round = round->next)
-        if ((round->phase == PHASE_OFFERED && runs) || round->phase == PHASE_STOPPING)
+    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        if ((attempt->phase == PHASE_OFFERED && runs) || attempt->phase == PHASE_STOPPING)
             return true;
     for (size_t i = 0; i < report->running_count; i++)
         if (lingers(agent, &report->running[i]))
@@ -225,18 +226,18 @@
     return passed_ms;
 }
 
-static RoundId id_of(void *mem, const Round *round)
+static AttemptId id_of(void *mem, const Attempt *attempt)
 {
-    return (RoundId){talloc_strdup(mem, round->order.job), round->order.task, round->order.round};
+    return (AttemptId){talloc_strdup(mem, attempt->order.job), attempt->order.task, attempt->order.attempt};
 }
 
 static void orders_fill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    const unsigned lives = (unsigned)agent->rounds.lives.count;
+    const unsigned lives = (unsigned)agent->attempts.lives.count;
     Order *starts = talloc_zero_array(mem, Order, lives);
-    RoundId *stops = talloc_zero_array(mem, RoundId, lives + (unsigned)report->running_count);
-    RoundId *known = talloc_zero_array(mem, RoundId, (unsigned)report->ended_count);
+    AttemptId *stops = talloc_zero_array(mem, AttemptId, lives + (unsigned)report->running_count);
+    AttemptId *known = talloc_zero_array(mem, AttemptId, (unsigned)report->ended_count);
     *orders = (WorkerOrders){.term = agent->lease.term,
                              .fence = term_counter(agent->lease.term),
                              .lease_ms = lease_pass(agent, now_ms),
@@ -245,31 +246,31 @@
                              .stops = stops,
                              .known = known,
                              .again_ms = WORKER_AGAIN_MS};
-    for (Round *round = agent->rounds.lives.first, *next; round != NULL; round = next) {
-        next = round->next;
-        if (round->phase == PHASE_OFFERED && now_ms >= round->timeout_ms) {
-            round_end(agent, round, ROUND_REFUSED, "the order expired before it started", true);
-        } else if (round->phase == PHASE_OFFERED && orders->lease_ms > 0) {
-            shape_copy(&Order_shape, &round->order, mem, &starts[orders->starts_count++]);
-            if (round->timeout_ms - now_ms < orders->start_ms)
-                orders->start_ms = round->timeout_ms - now_ms;
-            round->phase = PHASE_SENT;
-            round->given_ms = now_ms;
-            round_trace(agent, round, TRACE_GIVEN);
-        } else if (round->phase == PHASE_STOPPING) {
-            stops[orders->stops_count++] = id_of(mem, round);
+    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+        next = attempt->next;
+        if (attempt->phase == PHASE_OFFERED && now_ms >= attempt->timeout_ms) {
+            attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
+        } else if (attempt->phase == PHASE_OFFERED && orders->lease_ms > 0) {
+            shape_copy(&Order_shape, &attempt->order, mem, &starts[orders->starts_count++]);
+            if (attempt->timeout_ms - now_ms < orders->start_ms)
+                orders->start_ms = attempt->timeout_ms - now_ms;
+            attempt->phase = PHASE_SENT;
+            attempt->given_ms = now_ms;
+            attempt_trace(agent, attempt, TRACE_GIVEN);
+        } else if (attempt->phase == PHASE_STOPPING) {
+            stops[orders->stops_count++] = id_of(mem, attempt);
         }
     }
     for (size_t i = 0; i < report->running_count; i++) {
-        const RoundNews *news = &report->running[i];
+        const AttemptNews *news = &report->running[i];
         if (lingers(agent, news))
-            stops[orders->stops_count++] = (RoundId){talloc_strdup(mem, news->job), news->task, news->round};
+            stops[orders->stops_count++] = (AttemptId){talloc_strdup(mem, news->job), news->task, news->attempt};
     }
     for (size_t i = 0; i < report->ended_count; i++) {
-        const RoundNews *news = &report->ended[i];
-        const Round *round = round_find(agent, news->job, news->task, news->round);
-        if (round != NULL && round->phase == PHASE_KNOWN)
-            known[orders->known_count++] = id_of(mem, round);
+        const AttemptNews *news = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
+            known[orders->known_count++] = id_of(mem, attempt);
     }
 }
 
@@ -281,7 +282,7 @@
         return status;
     const int64_t now_ms = loop_now_ms(agent->loop);
     agent->asked_ms = now_ms;
-    rounds_take(agent, report);
+    attempts_take(agent, report);
     others_take(agent, report);
     self_take(agent, report);
     const uint64_t question = ++agent->questions;
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -34,9 +34,9 @@
     Signal changed;
     HeartbeatAsk heartbeat; /* the newest */
     size_t heartbeats, tellings;
-    RoundNews news[LISTED * 2];
+    AttemptNews news[LISTED * 2];
     size_t news_count;
-    RoundSaved saved[LISTED];
+    AttemptSaved saved[LISTED];
     size_t saved_count;
 } Boss;
 
@@ -63,7 +63,7 @@
     shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &boss->heartbeat);
     boss->heartbeat.agent = kept;
     for (size_t i = 0; i < heartbeat->saved_count && boss->saved_count < LISTED; i++)
-        shape_copy(&RoundSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
+        shape_copy(&AttemptSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
     const int64_t until_ms = loop_now_ms(boss->loop) + heartbeat->wait_ms;
     while (heartbeat->have == boss->version && heartbeat->have_term == boss->term)
         if (!signal_wait(boss->loop, &boss->changed, until_ms))
@@ -87,7 +87,7 @@
     (void)answer;
     boss->tellings++;
     for (size_t i = 0; i < ask->news_count && boss->news_count < LISTED * 2; i++)
-        shape_copy(&RoundNews_shape, &ask->news[i], boss->rpc, &boss->news[boss->news_count++]);
+        shape_copy(&AttemptNews_shape, &ask->news[i], boss->rpc, &boss->news[boss->news_count++]);
     while (!boss->commits)
         signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
@@ -209,14 +209,14 @@
     assert_true(it->over);
 }
 
-static RoundNews news(const char *job, uint64_t task, uint64_t round, RoundWord word, const char *saved)
+static AttemptNews news(const char *job, uint64_t task, uint64_t attempt, AttemptWord word, const char *saved)
 {
-    return (RoundNews){
-        .job = job, .task = task, .round = round, .worker = "", .word = word, .text = "", .saved = saved};
+    return (AttemptNews){
+        .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
 }
 
-static Say *saying(Case *c, const char *boot, const RoundNews *running, size_t running_count, const RoundNews *ended,
-                   size_t ended_count)
+static Say *saying(Case *c, const char *boot, const AttemptNews *running, size_t running_count,
+                   const AttemptNews *ended, size_t ended_count)
 {
     Say *it = say(c, boot);
     it->report.running = running;
@@ -234,10 +234,10 @@
 {
     Boss *boss = &c->boss;
     Order *starts = talloc_array(c, Order, (unsigned)count);
-    RoundId *wanted = talloc_array(c, RoundId, (unsigned)count);
+    AttemptId *wanted = talloc_array(c, AttemptId, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         starts[i] = orders[i];
-        wanted[i] = (RoundId){orders[i].job, orders[i].task, orders[i].round};
+        wanted[i] = (AttemptId){orders[i].job, orders[i].task, orders[i].attempt};
     }
     boss->orders.starts = starts;
     boss->orders.starts_count = count;
@@ -248,23 +248,23 @@
     run(c, 60);
 }
 
-static Order one(const char *job, uint64_t task, uint64_t round, const char *saved)
+static Order one(const char *job, uint64_t task, uint64_t attempt, const char *saved)
 {
-    return (Order){job, task, round, {1000, 1000, 0}, "\"spec\"", saved};
+    return (Order){job, task, attempt, {1000, 1000, 0}, "\"spec\"", saved};
 }
 
-static size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
     size_t count = 0;
     for (size_t i = 0; i < boss->news_count; i++)
-        count += boss->news[i].word == word && boss->news[i].round == round && boss->news[i].task == task &&
+        count += boss->news[i].word == word && boss->news[i].attempt == attempt && boss->news[i].task == task &&
                  strcmp(boss->news[i].job, job) == 0;
     return count;
 }
 
-static const RoundSaved *saved_last(const Boss *boss, const char *job, uint64_t task)
+static const AttemptSaved *saved_last(const Boss *boss, const char *job, uint64_t task)
 {
-    const RoundSaved *last = NULL;
+    const AttemptSaved *last = NULL;
     for (size_t i = 0; i < boss->saved_count; i++)
         if (boss->saved[i].task == task && strcmp(boss->saved[i].job, job) == 0)
             last = &boss->saved[i];
@@ -323,7 +323,7 @@
     say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     say_all(say(c, "b1"));
     assert_true(saying(c, "b1", runs, 1, NULL, 0)->orders.lease_ms > 0);
     c->boss.deaf = true;
@@ -344,15 +344,15 @@
     const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
     order(c, orders, 2);
     assert_int_equal(saying(c, "b1", NULL, 0, NULL, 0)->orders.starts_count, 2);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "half"), news("j", 1, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "half"), news("j", 1, 1, ATTEMPT_RUNNING, "")};
     saying(c, "b1", runs, 2, NULL, 0);
     /* the next process: the old one's hold would run on for seconds */
     Say *it = say(c, "b2");
     say_all(it);
     assert_int_equal(it->status, STATUS_OK);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
-    assert_int_equal(told(&c->boss, "j", 1, 1, ROUND_LOST), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(told(&c->boss, "j", 1, 1, ATTEMPT_LOST), 1);
     assert_string_equal(c->boss.news[0].saved, "half");
     /* a word of the old one that was late says nothing any more */
     it = saying(c, "b1", runs, 2, NULL, 0);
@@ -392,7 +392,7 @@
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
     assert_true(c->boss.heartbeat.leaving);
     assert_in_range(c->boss.heartbeat.leave_ms, 6900, 7000);
     /* nor what is ordered later */
@@ -402,7 +402,7 @@
     it->report.leaving = true;
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(told(&c->boss, "j", 1, 1, ROUND_STOPPED), 1);
+    assert_int_equal(told(&c->boss, "j", 1, 1, ATTEMPT_STOPPED), 1);
     talloc_free(c);
 }
 
@@ -413,7 +413,7 @@
     say_all(say(c, "b1"));
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     saying(c, "b1", NULL, 0, NULL, 0);
     saying(c, "b1", runs, 1, NULL, 0);
     Say *it = say(c, "b1");
@@ -421,11 +421,11 @@
     say_all(it);
     assert_int_equal(it->orders.lease_ms, 0);
     run(c, 100);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_true(c->boss.heartbeat.leaving);
     assert_false(c->boss.heartbeat.worker_live);
     assert_true(c->boss.heartbeat.settled);
-    assert_int_equal(c->boss.heartbeat.rounds_count, 0);
+    assert_int_equal(c->boss.heartbeat.attempts_count, 0);
     assert_int_equal(saying(c, "b1", runs, 1, NULL, 0)->status, STATUS_DUPLICATE_WORKER);
     talloc_free(c);
 }
@@ -439,7 +439,8 @@
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
-    const RoundNews first[] = {news("j", 0, 1, ROUND_RUNNING, "")}, half[] = {news("j", 0, 1, ROUND_RUNNING, "half")};
+    const AttemptNews first[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")},
+                      half[] = {news("j", 0, 1, ATTEMPT_RUNNING, "half")};
     saying(c, "b1", first, 1, NULL, 0);
     run(c, 700);
     assert_int_equal(boss->saved_count, 1); /* that it runs is told, and once */
@@ -460,10 +461,10 @@
     assert_int_equal(boss->saved_count, before + 1);
     assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     /* and with its end, unless the worker has a newer word */
-    const RoundNews ended[] = {news("j", 0, 1, ROUND_LAPSED, "")};
+    const AttemptNews ended[] = {news("j", 0, 1, ATTEMPT_LAPSED, "")};
     saying(c, "b1", NULL, 0, ended, 1);
     run(c, 20);
-    assert_int_equal(told(boss, "j", 0, 1, ROUND_LAPSED), 1);
+    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
     assert_string_equal(boss->news[0].saved, "half");
     talloc_free(c);
 }
@@ -475,15 +476,15 @@
     Case *c = case_new(8000, 8000);
     say_all(say(c, "b1"));
     c->boss.commits = false;
-    const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
+    const AttemptNews ended[] = {news("j", 0, 1, ATTEMPT_DONE, "")};
     saying(c, "b1", NULL, 0, ended, 1);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_DONE), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_DONE), 1);
     sim_power_off(c->world, c->boss_machine);
     run(c, 500);
     c->other.term = TERM(6);
     members_set_leader(c->other.members, c->other.term, "other");
     run(c, 1000); /* a hello's turn; the question to the dark one would be given up after five seconds */
-    assert_int_equal(told(&c->other, "j", 0, 1, ROUND_DONE), 1);
+    assert_int_equal(told(&c->other, "j", 0, 1, ATTEMPT_DONE), 1);
     assert_int_equal(saying(c, "b1", NULL, 0, ended, 1)->orders.known_count, 1);
     talloc_free(c);
 }
@@ -498,12 +499,12 @@
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
     boss->commits = false;
-    const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
+    const AttemptNews ended[] = {news("j", 0, 1, ATTEMPT_DONE, "")};
     Say *it = saying(c, "b1", NULL, 0, ended, 1);
     assert_int_equal(it->orders.known_count, 0);
     it = saying(c, "b1", NULL, 0, ended, 1); /* told again: the leader need not hear it again */
     assert_int_equal(it->orders.known_count, 0);
-    assert_int_equal(told(boss, "j", 0, 1, ROUND_DONE), 1);
+    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_DONE), 1);
     boss->commits = true;
     signal_raise(boss->loop, &boss->changed);
     run(c, 20);
@@ -511,7 +512,7 @@
     assert_int_equal(it->orders.known_count, 1);
     it = saying(c, "b1", NULL, 0, ended, 1); /* the answer was lost: known again */
     assert_int_equal(it->orders.known_count, 1);
-    assert_int_equal(told(boss, "j", 0, 1, ROUND_DONE), 1);
+    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_DONE), 1);
     talloc_free(c);
 }
 
@@ -519,9 +520,9 @@
 {
     (void)state;
     Case *c = case_new(3000, 3000);
-    RoundNews *ended = talloc_array(c, RoundNews, 500);
+    AttemptNews *ended = talloc_array(c, AttemptNews, 500);
     for (uint64_t i = 0; i < 500; i++)
-        ended[i] = news("j", i, 1, i % 5 == 0 ? ROUND_FAILED : ROUND_DONE, "");
+        ended[i] = news("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
     Say *it = saying(c, "b1", NULL, 0, ended, 500);
     run(c, 50);
     it = saying(c, "b1", NULL, 0, ended, 500);
@@ -567,7 +568,7 @@
     it->report.seq = 5;
     say_all(it);
     assert_int_equal(it->orders.starts_count, 1);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     it = say(c, "b1");
     it->report.seq = 6;
     it->report.running = runs;
@@ -597,7 +598,7 @@
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_REFUSED), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
     talloc_free(c);
 }
 
@@ -609,15 +610,15 @@
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     saying(c, "b1", runs, 1, NULL, 0);
     order(c, NULL, 0);
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.stops_count, 1);
-    const RoundNews ended[] = {news("j", 0, 1, ROUND_STOPPED, "some")};
+    const AttemptNews ended[] = {news("j", 0, 1, ATTEMPT_STOPPED, "some")};
     saying(c, "b1", NULL, 0, ended, 1);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_STOPPED), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
     assert_string_equal(c->boss.news[0].saved, "some");
     /* it says that what is over for us runs: it is to stop */
     it = saying(c, "b1", runs, 1, NULL, 0);
@@ -626,7 +627,7 @@
 }
 
 /* An agent that has just started is ordered again what the one before it has given. */
-static void earlier_agents_round_is_not_taken_back(void **state)
+static void earlier_agents_attempt_is_not_taken_back(void **state)
 {
     (void)state;
     Case *c = case_new(5000, 5000);
@@ -638,7 +639,7 @@
     sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2500); /* the order has expired, the worker has not asked yet */
     assert_int_equal(c->boss.news_count, 0);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stops_count, 0);
@@ -647,7 +648,7 @@
     talloc_free(c);
 }
 
-static void silent_worker_has_lost_its_rounds_when_its_lease_is_over(void **state)
+static void silent_worker_has_lost_its_attempts_when_its_lease_is_over(void **state)
 {
     (void)state;
     Case *c = case_new(8000, 2000);
@@ -655,19 +656,19 @@
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     Say *it = saying(c, "b1", runs, 1, NULL, 0);
     const int64_t until_ms = sim_now_ms(c->world) + it->orders.lease_ms * 102 / 100;
     sim_run_until(c->world, until_ms);
     assert_int_equal(c->boss.news_count, 0);
     run(c, 200);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_LOST), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_false(c->boss.heartbeat.worker_live);
     /* its own word, when it comes after all, weighs more */
-    const RoundNews failed[] = {news("j", 0, 1, ROUND_FAILED, "")};
+    const AttemptNews failed[] = {news("j", 0, 1, ATTEMPT_FAILED, "")};
     saying(c, "b1", NULL, 0, failed, 1);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ROUND_FAILED), 1);
+    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_FAILED), 1);
     talloc_free(c);
 }
 
@@ -679,7 +680,7 @@
     const Order orders[] = {one("j", 0, 1, "")};
     order(c, orders, 1);
     saying(c, "b1", NULL, 0, NULL, 0);
-    const RoundNews runs[] = {news("j", 0, 1, ROUND_RUNNING, "")};
+    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "")};
     Say *it = say(c, "b1");
     it->report.running = runs;
     it->report.running_count = 1;
@@ -688,7 +689,7 @@
     assert_in_range(it->took_ms, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
     assert_int_equal(it->orders.again_ms, WORKER_AGAIN_MS);
     /* what comes next goes in the same answer as the word that the end is known */
-    const RoundNews ended[] = {news("j", 0, 1, ROUND_DONE, "")};
+    const AttemptNews ended[] = {news("j", 0, 1, ATTEMPT_DONE, "")};
     it = say(c, "b1");
     it->report.ended = ended;
     it->report.ended_count = 1;
@@ -738,8 +739,8 @@
         cmocka_unit_test(late_and_repeated_reports),
         cmocka_unit_test(answer_that_was_lost_is_given_again),
         cmocka_unit_test(what_is_not_wanted_is_stopped),
-        cmocka_unit_test(earlier_agents_round_is_not_taken_back),
-        cmocka_unit_test(silent_worker_has_lost_its_rounds_when_its_lease_is_over),
+        cmocka_unit_test(earlier_agents_attempt_is_not_taken_back),
+        cmocka_unit_test(silent_worker_has_lost_its_attempts_when_its_lease_is_over),
         cmocka_unit_test(ends_that_wait_are_not_held_back_long),
         cmocka_unit_test(idle_agent_says_little),
     };
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/jobjson.c
@@ -108,7 +108,7 @@
     spec->first_wall_ms = check_int(faults, object, "", "firstWallMs", 0, INT64_MAX / 4, 0);
     spec->period_ms = check_int(faults, object, "", "periodMs", 0, JOB_SPAN_MAX_MS, 0);
     const char *payload = read_payload(faults, object, "");
-    spec->round_limit = (uint64_t)check_int(faults, object, "", "rounds", 1, ROUNDS_MAX, ROUNDS_DEFAULT);
+    spec->attempt_limit = (uint64_t)check_int(faults, object, "", "rounds", 1, ATTEMPTS_MAX, ATTEMPTS_DEFAULT);
     json_object *steps;
     if (!json_object_object_get_ex(object, "steps", &steps) || !json_object_is_type(steps, json_type_array) ||
         json_object_array_length(steps) == 0 || json_object_array_length(steps) > JOB_STEPS_MAX) {
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -86,8 +86,8 @@
 static void show_terms(json_object *object, const JobTerms *terms)
 {
     json_object *shown = json_object_new_object();
-    if (terms->round_limit > 0)
-        json_object_object_add(shown, "rounds", json_object_new_int64((int64_t)terms->round_limit));
+    if (terms->attempt_limit > 0)
+        json_object_object_add(shown, "rounds", json_object_new_int64((int64_t)terms->attempt_limit));
     if (terms->stretch_milli > 0) {
         const double stretch = (double)terms->stretch_milli / 1000;
         char text[24]; /* as it was written: a double has more digits */
@@ -123,7 +123,7 @@
         }
         json_object_object_add(one, "at", json_object_new_int64((int64_t)task->at));
         json_object_object_add(one, "phase", text_of(task_phase_word(task->phase)));
-        json_object_object_add(one, "round", json_object_new_int64((int64_t)task->round));
+        json_object_object_add(one, "round", json_object_new_int64((int64_t)task->attempt));
         if (task->worker[0] != '\0')
             json_object_object_add(one, "worker", text_of(task->worker));
         if (task->phase == TASK_WAITING)
--- a/packages/api/test/jobjson.c
+++ b/packages/api/test/jobjson.c
@@ -122,7 +122,7 @@
     StepSpec step = {.name = "a", .count = 1, .room = {1000, 10, 2}};
     JobTask tasks[] = {
         {.phase = TASK_DONE, .worker = "", .text = "", .shunned = "", .saved = ""},
-        {.turn = 1, .phase = TASK_RUNNING, .worker = "w", .round = 4, .text = "", .shunned = "", .saved = "p"}};
+        {.turn = 1, .phase = TASK_RUNNING, .worker = "w", .attempt = 4, .text = "", .shunned = "", .saved = "p"}};
     Job job = {.spec = {.id = "j",
                         .cell = "c",
                         .tenant = "t",
@@ -133,7 +133,7 @@
                         .period_ms = 100,
                         .steps = &step,
                         .steps_count = 1},
-               .terms = {.round_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .kind = "std"},
+               .terms = {.attempt_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .kind = "std"},
                .tasks = tasks,
                .tasks_count = 2};
     json_object *body = show_job(&job, (QueueClock){0, 0});
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -32,11 +32,12 @@
 #define WORKER_BUSY_MS 50    /* ms; what has ended there waits no longer for an answer that is held back ... */
 #define WORKER_AGAIN_MS \
     50 /* ms; ... and then an order waits so long for the next question: as long as the other costs least */
-#define WORKER_LOST_MS 3000 /* ms; ... and has lost its rounds after this at the latest, once its lease has lapsed */
+#define WORKER_LOST_MS 3000 /* ms; ... and has lost its attempts after this at the latest, once its lease has lapsed \
+                             */
 #define TELLING_MOST 500    /* count; news in one telling: a worker's longest list of ends */
-#define NEWS_MOST 1000      /* count; news of rounds in one change */
-#define NEWS_LAZY_MS 200    /* ms; that a round runs waits so long for other news to be committed with */
-#define KNOWN_MOST 4096     /* count; ended rounds that an agent keeps for repair: two minutes of 34 a second */
+#define NEWS_MOST 1000      /* count; news of attempts in one change */
+#define NEWS_LAZY_MS 200    /* ms; that an attempt runs waits so long for other news to be committed with */
+#define KNOWN_MOST 4096     /* count; ended attempts that an agent keeps for repair: two minutes of 34 a second */
 #define BOOTS_KEPT 16       /* count; earlier boots of its worker that an agent tells from new ones */
 #define COPY_SILENT_MS 1500 /* ms; work whose owner allows copies restarts when its worker is silent so long */
 #define CLOCK_SLOW_PERCENT \
@@ -157,15 +158,15 @@
 #define CONFIG_HISTORY_STEP 50             /* count; ... older ones go by so many at once */
 #define CONFIG_HISTORY_BYTES (1024 * 1024) /* bytes; texts and patches kept beside one whole text */
 #define ID_MAX 96                          /* bytes; a job's, tenant's, worker's name */
-#define ROUNDS_DEFAULT 3                   /* count; rounds a failing task gets unless its owner says */
-#define ROUNDS_MAX 100                     /* count */
+#define ATTEMPTS_DEFAULT 3                 /* count; attempts a failing task gets unless its owner says */
+#define ATTEMPTS_MAX 100                   /* count */
 #define QUEUE_LIMIT_DEFAULT 20000          /* count; waiting tasks in one cell's queues before 503 */
 #define ASSURE_WAIT_MS 2000 /* ms; a protected start that breaks the plan waits this long, then runs unassured */
 #define PLACE_TICK_MS 250   /* ms; the planner looks again this often even without news */
 #define MEND_MS 1000        /* ms; gangs that a loss of disks has split are looked for so often */
 #define PLACE_BATCH 128     /* count; starts decided in one change */
-#define ROUNDS_FORGOTTEN_MAX \
-    10000 /* count; rounds of a task that disks may have forgotten; a number further on is a mistake */
+#define ATTEMPTS_FORGOTTEN_MAX \
+    10000 /* count; attempts of a task that disks may have forgotten; a number further on is a mistake */
 #define FAILED_REST_MS                                                                                        \
     50 /* ms; a failed task rests this long, doubled with each miss: targets are a second or two, and it goes \
         * elsewhere                                                                                           \
@@ -181,7 +182,7 @@
 #define ROOM_MAX 100000000ULL    /* milli-CPU or MB; larger numbers are mistakes */
 
 /* --- targets and estimates ------------------------------------------------------------ */
-#define PACE_FIRST_MS 700      /* ms; a running round's progress is told first after this, a short task's never */
+#define PACE_FIRST_MS 700      /* ms; a running attempt's progress is told first after this, a short task's never */
 #define ESTIMATE_KEPT 32       /* count; ratios that a median is taken of: what is older says little */
 #define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
 #define ESTIMATE_FRESH_KEPT 9  /* count; as ESTIMATE_KEPT; fewer, since a worker turns slow within seconds ... */
@@ -193,20 +194,20 @@
 #define ESTIMATE_RATIO_MOST 20000 /* thousandths; a worker that much slower stands still */
 #define ESTIMATE_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
 #define ESTIMATE_SPEED_MOST 1700  /* ... with estimates off by up to half, beyond this it is a slow spell */
-#define STILL_PERCENT 15          /* percent; a round that did nothing while so much of its work was due stands still */
-#define STILL_LEAST_MS 1000       /* ms; ... and this long: what goes on from what was saved begins with a pause */
-#define PACE_CREDIT 16            /* count; words of progress before no progress is believed: some workers tell none */
-#define STOP_LOOK_MS 200          /* ms; between two looks for rounds that go on better elsewhere */
-#define SLOW_GAIN 2.5             /* 1; a round is begun anew elsewhere when that takes so many times less ... */
-#define SLOW_COST_MS 1000         /* ms; ... and this much besides: stopping, starting, and what is thrown away */
+#define STILL_PERCENT 15    /* percent; an attempt that did nothing while so much of its work was due stands still */
+#define STILL_LEAST_MS 1000 /* ms; ... and this long: what goes on from what was saved begins with a pause */
+#define PACE_CREDIT 16      /* count; words of progress before no progress is believed: some workers tell none */
+#define STOP_LOOK_MS 200    /* ms; between two looks for attempts that go on better elsewhere */
+#define SLOW_GAIN 2.5       /* 1; an attempt is begun anew elsewhere when that takes so many times less ... */
+#define SLOW_COST_MS 1000   /* ms; ... and this much besides: stopping, starting, and what is thrown away */
 #define LEAVE_LAST_MS                                                                                                  \
     1500                    /* ms; what a leaving worker has is stopped this long before, so that it is saved and told \
                              */
 #define LEAVE_START_MS 300  /* ms; an order that a leaving worker has not begun by then is taken back */
-#define LEAVE_STOPS_MOST 32 /* count; rounds taken off leaving workers by one look */
-#define STOPS_MOST 4        /* count; rounds begun anew elsewhere by one look */
-#define SLOW_ROUNDS_MOST 5  /* count; a task that has had so many rounds is left where it is */
-#define TARGET_LATE_TIMES 3 /* count; until so many times its target a job is still worth something */
+#define LEAVE_STOPS_MOST 32 /* count; attempts taken off leaving workers by one look */
+#define STOPS_MOST 4        /* count; attempts begun anew elsewhere by one look */
+#define SLOW_ATTEMPTS_MOST 5 /* count; a task that has had so many attempts is left where it is */
+#define TARGET_LATE_TIMES 3  /* count; until so many times its target a job is still worth something */
 #define TARGET_DOUBT_PERCENT \
     25 /* percent of the work left; a target missed by less may still be met: estimates are off by up to half */
 #define TARGET_LOOK_MS                                                                            \
@@ -229,12 +230,12 @@
 #define SCORE_FADE_MS 10000      /* ms; a rate that nothing renews halves in this, so that all are tried again */
 #define SCORE_SHARE 4            /* of the fleet's workers at most one in so many rests at once */
 
-#define SLOW_WEIGHT                                                                                                 \
-    50                /* percent; what a slow round counts: rounds beside each other are one sign, so signs are few \
+#define SLOW_WEIGHT                                                                                                   \
+    50                /* percent; what a slow round counts: attempts beside each other are one sign, so signs are few \
                        */
 #define SLOW_SIGNS 2  /* count; of different jobs, before a worker counts as slow at all */
-#define SLOW_TIMES 3  /* count; a round that takes so many times its step's median is a slow one */
-#define SLOW_OTHERS 4 /* count; other rounds of the step that a median needs */
+#define SLOW_TIMES 3  /* count; an attempt that takes so many times its step's median is a slow one */
+#define SLOW_OTHERS 4 /* count; other attempts of the step that a median needs */
 #define SLOW_OTHERS_MOST 64 /* count; ... and more than this are not looked at: a step may have thousands */
 #define SLOW_LEAST_MS 200   /* ms; a median below this says nothing: the way there and back is as long */
 
@@ -265,7 +266,7 @@
 #define PREEMPT_TAKES_MS 600       /* ms; from a push until the room is used: a stop, and a start */
 #define PREEMPT_SLACK_MS 900       /* ms; what must be under way within this may push: it takes most of it */
 #define PREEMPT_COST 2             /* 1; a push throws away at most so many times the work that it makes room for */
-#define PREEMPT_VICTIMS_MOST 4     /* count; rounds pushed aside for one task */
+#define PREEMPT_VICTIMS_MOST 4     /* count; attempts pushed aside for one task */
 #define PREEMPT_GAP_MS 100         /* ms; between two looks at whom to push */
 #define PREEMPT_TASKS_MAX 32       /* count; running tasks looked at for one that wants room */
 
--- a/packages/beat/src/strays.c
+++ b/packages/beat/src/strays.c
@@ -9,7 +9,7 @@
 typedef struct Orphan {
     const char *job;
     uint64_t task; /* its number */
-    uint64_t round;
+    uint64_t attempt;
     Room room;
     bool known;       /* room is what it takes */
     bool listed;      /* by the newest heartbeat */
@@ -70,21 +70,21 @@
     list->rows[at] = list->rows[--list->count];
 }
 
-void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t round,
+void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t attempt,
                  int64_t until_ms)
 {
     Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
     orphan->room = job->spec.steps[task->step].room;
     orphan->known = true;
-    orphan->round = round;
+    orphan->attempt = attempt;
     orphan->until_ms = until_ms;
 }
 
-/* Whether the table has the round there: then it counts as that. */
-static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const RoundId *round, Room *room, bool *known)
+/* Whether the table has the attempt there: then it counts as that. */
+static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt, Room *room, bool *known)
 {
-    const Job *job = table_job(table, round->job);
-    const size_t at = job != NULL ? task_index(job, round->task) : 0;
+    const Job *job = table_job(table, attempt->job);
+    const size_t at = job != NULL ? task_index(job, attempt->task) : 0;
     *known = job != NULL && at < job->tasks_count;
     if (!*known)
         return false;
@@ -98,16 +98,16 @@
     OrphanList *list = map_get(orphans->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
-    for (size_t i = 0; i < heartbeat->rounds_count; i++) {
+    for (size_t i = 0; i < heartbeat->attempts_count; i++) {
         Room room = {0};
         bool known;
-        if (tabled(table, heartbeat, &heartbeat->rounds[i], &room, &known))
+        if (tabled(table, heartbeat, &heartbeat->attempts[i], &room, &known))
             continue;
         Orphan *orphan =
-            orphan_of(orphans, heartbeat->worker.name, heartbeat->rounds[i].job, heartbeat->rounds[i].task);
+            orphan_of(orphans, heartbeat->worker.name, heartbeat->attempts[i].job, heartbeat->attempts[i].task);
         orphan->listed = true;
-        if (heartbeat->rounds[i].round > orphan->round)
-            orphan->round = heartbeat->rounds[i].round;
+        if (heartbeat->attempts[i].attempt > orphan->attempt)
+            orphan->attempt = heartbeat->attempts[i].attempt;
         if (known) {
             orphan->room = room;
             orphan->known = true;
@@ -121,11 +121,11 @@
             i++;
 }
 
-void orphans_end(Orphans *orphans, const RoundNews *news)
+void orphans_end(Orphans *orphans, const AttemptNews *news)
 {
     OrphanList *list = map_get(orphans->workers, news->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
-        if (list->rows[i]->task == news->task && list->rows[i]->round <= news->round &&
+        if (list->rows[i]->task == news->task && list->rows[i]->attempt <= news->attempt &&
             strcmp(list->rows[i]->job, news->job) == 0) {
             orphan_drop(list, i);
             return;
--- a/packages/beat/test/strays.c
+++ b/packages/beat/test/strays.c
@@ -1,4 +1,4 @@
-/* Room of rounds that the table has nowhere, or elsewhere, and that may still run. */
+/* Room of attempts that the table has nowhere, or elsewhere, and that may still run. */
 #include "../../table/test/board.h"
 #include "beat/strays.h"
 
@@ -12,7 +12,7 @@
 
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
-    orphans_add(arg, task->worker, job, task, task->round, UNTIL_MS);
+    orphans_add(arg, task->worker, job, task, task->attempt, UNTIL_MS);
 }
 
 static Case begin(void)
@@ -33,13 +33,14 @@
     return room.cpu_milli;
 }
 
-static void heartbeat(Case *it, const char *worker, RoundId *rounds, size_t count, int64_t now_ms)
+static void heartbeat(Case *it, const char *worker, AttemptId *attempts, size_t count, int64_t now_ms)
 {
-    const HeartbeatAsk ask = {.agent = worker, .worker = {.name = worker}, .rounds = rounds, .rounds_count = count};
+    const HeartbeatAsk ask = {
+        .agent = worker, .worker = {.name = worker}, .attempts = attempts, .attempts_count = count};
     orphans_heartbeat(it->orphans, it->board.table, &ask, now_ms);
 }
 
-/* An older round finishes well while a newer one runs elsewhere: that one is to be
+/* An older attempt finishes well while a newer one runs elsewhere: that one is to be
  * stopped, and takes room until its agent has told so. */
 static void newer_still_runs(void **state)
 {
@@ -49,18 +50,18 @@
     place(&it.board, "j", first, 1, 1, "w1", "");
     lose(&it.board, "w1");
     place(&it.board, "j", first, 1, 2, "w2", "");
-    say(&it.board, "j", 0, 2, "w2", ROUND_RUNNING, "");
+    say(&it.board, "j", 0, 2, "w2", ATTEMPT_RUNNING, "");
     assert_int_equal(cpu_on(&it, "w2"), 0);
-    say(&it.board, "j", 0, 1, "w1", ROUND_DONE, "");
+    say(&it.board, "j", 0, 1, "w1", ATTEMPT_DONE, "");
     assert_int_equal(it.job->tasks[0].phase, TASK_DONE);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
-    RoundId listed = {"j", 0, 2};
+    AttemptId listed = {"j", 0, 2};
     heartbeat(&it, "w2", &listed, 1, UNTIL_MS + 1);
     assert_int_equal(cpu_on(&it, "w2"), 3000); /* still there, though no order is on its way */
-    const RoundNews older = {.job = "j", .task = 0, .round = 1, .worker = "w2", .word = ROUND_STOPPED};
+    const AttemptNews older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(it.orphans, &older);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
-    const RoundNews end = {.job = "j", .task = 0, .round = 2, .worker = "w2", .word = ROUND_STOPPED};
+    const AttemptNews end = {.job = "j", .task = 0, .attempt = 2, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(it.orphans, &end);
     assert_int_equal(cpu_on(&it, "w2"), 0);
     talloc_free(it.board.table);
@@ -87,12 +88,12 @@
     Case it = begin();
     const uint64_t both[] = {0, 1};
     place(&it.board, "j", both, 2, 1, "w1", "");
-    RoundId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
+    AttemptId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
     heartbeat(&it, "w1", listed, 2, 10);
     assert_int_equal(cpu_on(&it, "w1"), 0);
     heartbeat(&it, "w2", listed, 1, 10);
     assert_int_equal(cpu_on(&it, "w2"), 3000);
-    RoundId unknown = {"k", 0, 1};
+    AttemptId unknown = {"k", 0, 1};
     heartbeat(&it, "w2", &unknown, 1, 20);
     Room room;
     assert_false(orphans_room(it.orphans, "w2", &room));
@@ -108,7 +109,7 @@
     Case it = begin();
     const uint64_t first[] = {0};
     place(&it.board, "j", first, 1, 1, "w1", "");
-    say(&it.board, "j", 0, 1, "w1", ROUND_FAILED, "");
+    say(&it.board, "j", 0, 1, "w1", ATTEMPT_FAILED, "");
     assert_int_equal(cpu_on(&it, "w1"), 0);
     talloc_free(it.board.table);
 }
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -17,7 +17,7 @@
     const char *name;
     int64_t priority;
     const char *kind;          /* of worker that serves it; empty: any */
-    uint64_t rounds;           /* failed rounds that fail a task */
+    uint64_t attempts;         /* failed attempts that fail a task */
     uint64_t stretch_milli;    /* a job's target: stretch x its longest chain of work ... */
     int64_t target_ms;         /* ... + this */
     int64_t timeout_ms;        /* a request there is given up after this */
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -47,7 +47,7 @@
         return;
     queue->priority = check_int(faults, value, path, "priority", -1000, 1000, 0);
     queue->kind = talloc_strdup(part, check_name(faults, value, path, "kind", ""));
-    queue->rounds = (uint64_t)check_int(faults, value, path, "rounds", 1, ROUNDS_MAX, 0);
+    queue->attempts = (uint64_t)check_int(faults, value, path, "rounds", 1, ATTEMPTS_MAX, 0);
     queue->stretch_milli = check_milli(faults, value, path, "stretch", 1, CONFIG_STRETCH_MAX * 1000, 0);
     queue->target_ms = check_int(faults, value, path, "targetMs", 0, CONFIG_SPAN_MAX_MS, 0);
     queue->timeout_ms = check_int(faults, value, path, "expiryMs", 1, CONFIG_SPAN_MAX_MS, 0);
--- a/packages/config/test/config.c
+++ b/packages/config/test/config.c
@@ -72,7 +72,7 @@
     const ConfigQueue *queue = config_queue(cell, "r-a3hwrr6");
     assert_int_equal(queue->priority, -1);
     assert_string_equal(queue->kind, "huvo11a");
-    assert_int_equal(queue->rounds, 4);
+    assert_int_equal(queue->attempts, 4);
     assert_int_equal(queue->stretch_milli, 2200);
     assert_int_equal(queue->target_ms, 2000);
     assert_int_equal(queue->timeout_ms, 3000);
@@ -81,7 +81,7 @@
     assert_string_equal(queue->note, "{\"tls\":false}");
     assert_int_equal(config_queue(cell, "theirs")->stretch_milli, 3000);
     const ConfigQueue *bare = config_queue(cell, "bare");
-    assert_true(bare->rounds == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->timeout_ms == 0);
+    assert_true(bare->attempts == 0 && bare->stretch_milli == 0 && bare->target_ms == 0 && bare->timeout_ms == 0);
     assert_true(bare->kind[0] == '\0' && bare->host[0] == '\0' && bare->tenant[0] == '\0');
     assert_null(config_queue(cell, "none"));
     assert_non_null(config_policy(config, "p")->lua);
--- a/packages/core/src/agents.c
+++ b/packages/core/src/agents.c
@@ -4,11 +4,11 @@
 
 #include "inside.h"
 
-static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t round)
+static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t attempt)
 {
-    for (size_t i = 0; i < heartbeat->rounds_count; i++)
-        if (heartbeat->rounds[i].round == round && heartbeat->rounds[i].task == task &&
-            strcmp(heartbeat->rounds[i].job, job) == 0)
+    for (size_t i = 0; i < heartbeat->attempts_count; i++)
+        if (heartbeat->attempts[i].attempt == attempt && heartbeat->attempts[i].task == task &&
+            strcmp(heartbeat->attempts[i].job, job) == 0)
             return true;
     return false;
 }
@@ -24,11 +24,11 @@
              heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
-/* Rounds that should run there and that a complete list does not have are lost;
+/* Attempts that should run there and that a complete list does not have are lost;
  * those that were to stop have stopped. */
-static RoundList missing(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
+static AttemptList missing(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
-    RoundList list = {0};
+    AttemptList list = {0};
     const TaskOn *on;
     const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
@@ -36,17 +36,18 @@
         const JobTask *task = &job->tasks[on[i].task];
         const uint64_t number = task_number(task);
         if ((task->phase != TASK_RUNNING && !stop_over(controller, heartbeat, task)) ||
-            listed(heartbeat, job->spec.id, number, task->round))
+            listed(heartbeat, job->spec.id, number, task->attempt))
             continue;
         if (list.news == NULL)
-            list.news = talloc_array(mem, RoundNews, (unsigned)count);
-        list.news[list.news_count++] = (RoundNews){.job = talloc_strdup(mem, job->spec.id),
-                                                   .task = number,
-                                                   .round = task->round,
-                                                   .worker = talloc_strdup(mem, heartbeat->worker.name),
-                                                   .word = task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST,
-                                                   .text = "not on its worker any more",
-                                                   .saved = ""};
+            list.news = talloc_array(mem, AttemptNews, (unsigned)count);
+        list.news[list.news_count++] =
+            (AttemptNews){.job = talloc_strdup(mem, job->spec.id),
+                          .task = number,
+                          .attempt = task->attempt,
+                          .worker = talloc_strdup(mem, heartbeat->worker.name),
+                          .word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST,
+                          .text = "not on its worker any more",
+                          .saved = ""};
     }
     return list;
 }
@@ -58,7 +59,7 @@
     AgentLine *line;
     Worker worker;
     bool learn, left;
-    RoundList missing;
+    AttemptList missing;
 } Learning;
 
 static void learn_main(void *arg)
@@ -90,9 +91,9 @@
     const bool learns = heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
     /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
-                      heartbeat->settled && heartbeat->rounds_count == 0;
+                      heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
-    const RoundList gone = list_counts ? missing(controller, mem, heartbeat) : (RoundList){0};
+    const AttemptList gone = list_counts ? missing(controller, mem, heartbeat) : (AttemptList){0};
     if (learns || left || gone.news_count > 0) {
         Learning *learning = talloc_zero(controller, Learning);
         *learning = (Learning){.controller = controller, .line = line, .learn = learns, .left = left, .missing = gone};
@@ -105,8 +106,8 @@
     }
 }
 
-/* Whether the table is to hear that the round runs. */
-static bool runs_untold(const Controller *controller, const char *worker, const RoundSaved *saved)
+/* Whether the table is to hear that the attempt runs. */
+static bool runs_untold(const Controller *controller, const char *worker, const AttemptSaved *saved)
 {
     const Job *job = table_job(controller->table, saved->job);
     const size_t at = job != NULL ? task_index(job, saved->task) : 0;
@@ -115,26 +116,26 @@
     const JobTask *task = &job->tasks[at];
     /* its placement may have been lost with the disks */
     return task->phase == TASK_WAITING
-               ? saved->round > task->round
-               : task->phase == TASK_PLACED && saved->round == task->round && strcmp(task->worker, worker) == 0;
+               ? saved->attempt > task->attempt
+               : task->phase == TASK_PLACED && saved->attempt == task->attempt && strcmp(task->worker, worker) == 0;
 }
 
 static void runs_take(Controller *controller, const HeartbeatAsk *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
-        const RoundSaved *saved = &heartbeat->saved[i];
+        const AttemptSaved *saved = &heartbeat->saved[i];
         saved_take(controller, saved);
         pace_take(controller, heartbeat->worker.name, saved);
         if (!runs_untold(controller, heartbeat->worker.name, saved))
             continue;
-        const RoundNews news = {.job = saved->job,
-                                .task = saved->task,
-                                .round = saved->round,
-                                .worker = heartbeat->worker.name,
-                                .word = ROUND_RUNNING,
-                                .text = "",
-                                .saved = saved->text,
-                                .ran_ms = saved->ran_ms};
+        const AttemptNews news = {.job = saved->job,
+                                  .task = saved->task,
+                                  .attempt = saved->attempt,
+                                  .worker = heartbeat->worker.name,
+                                  .word = ATTEMPT_RUNNING,
+                                  .text = "",
+                                  .saved = saved->text,
+                                  .ran_ms = saved->ran_ms};
         news_later(controller, &news);
     }
     if (controller->place_from_ms > loop_now_ms(controller->loop))
--- a/packages/core/src/assure.c
+++ b/packages/core/src/assure.c
@@ -25,13 +25,13 @@
                 pass->input.task_count--;
                 continue;
             }
-            list.rounds = talloc_realloc(pass->mem, list.rounds, RoundId, (unsigned)(list.rounds_count + 1));
-            list.rounds[list.rounds_count++] =
-                (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
+            list.attempts = talloc_realloc(pass->mem, list.attempts, AttemptId, (unsigned)(list.attempts_count + 1));
+            list.attempts[list.attempts_count++] =
+                (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
         }
     }
     list.why = "";
     ChangeResult result;
-    if (list.rounds_count > 0)
+    if (list.attempts_count > 0)
         controller_submit(controller, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/core.c
+++ b/packages/core/src/core.c
@@ -68,7 +68,7 @@
     }
     if (repair && (new_holder || !controller->repairing)) {
         controller->repairing = true; /* a repair under way goes on over views opened anew */
-        /* rounds that the log has forgotten are told again or have lapsed by then */
+        /* attempts that the log has forgotten are told again or have lapsed by then */
         controller->place_from_ms = loop_now_ms(controller->loop) + controller_claim_ms(controller);
         repair_start(controller);
     }
@@ -84,17 +84,18 @@
 {
     const Controller *controller = arg;
     if (replication_holds(controller->replication))
-        orphans_add(controller->orphans, task->worker, job, task, task->round,
+        orphans_add(controller->orphans, task->worker, job, task, task->attempt,
                     loop_now_ms(controller->loop) + ORDER_GONE_MS);
 }
 
-static void rounds_take(Controller *controller, const RoundList *rounds)
+static void attempts_take(Controller *controller, const AttemptList *attempts)
 {
-    score_take(controller, rounds);
-    for (size_t i = 0; i < rounds->news_count; i++) {
-        const RoundNews *news = &rounds->news[i];
-        const RoundSaved saved = {.job = news->job, .task = news->task, .round = news->round, .text = news->saved};
-        if (news->word == ROUND_RUNNING)
+    score_take(controller, attempts);
+    for (size_t i = 0; i < attempts->news_count; i++) {
+        const AttemptNews *news = &attempts->news[i];
+        const AttemptSaved saved = {
+            .job = news->job, .task = news->task, .attempt = news->attempt, .text = news->saved};
+        if (news->word == ATTEMPT_RUNNING)
             continue; /* a heartbeat has told how far it has come since */
         if (replication_holds(controller->replication))
             saved_take(controller, &saved);
@@ -108,8 +109,8 @@
     trace_delivered(controller, change, body, result);
     controller_news(controller);
     limits_follow(controller);
-    if (body != NULL && change->change == CHANGE_ROUNDS)
-        rounds_take(controller, body);
+    if (body != NULL && change->change == CHANGE_ATTEMPTS)
+        attempts_take(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
         liveset_losing(controller->liveset, ((const WorkerLost *)body)->worker, false);
 }
--- a/packages/core/src/inside.h
+++ b/packages/core/src/inside.h
@@ -72,8 +72,8 @@
     Trace *trace;
     Liveset *liveset;
     Map *lines;        /* worker names to AgentLine */
-    struct News *told; /* gathers what rounds came to */
-    Map *saved;        /* tasks to how far their rounds have come */
+    struct News *told; /* gathers what attempts came to */
+    Map *saved;        /* tasks to how far their attempts have come */
     size_t saved_kept; /* of them when they were last looked through */
     Map *scores;       /* worker names to Score */
     Orphans *orphans;
@@ -81,7 +81,7 @@
     Paces *paces;
     int64_t pass_gap_ms;     /* between two passes */
     int64_t preempt_from_ms; /* nobody is pushed aside for a target before this */
-    int64_t stop_look_ms;    /* rounds that go on better elsewhere are looked for again from then on */
+    int64_t stop_look_ms;    /* attempts that go on better elsewhere are looked for again from then on */
     Estimates *estimates;    /* how long work takes, as seen by this leader */
     Map *kept;               /* names of cells to Kept */
     Map *alerts;             /* those that stand */
@@ -149,20 +149,20 @@
 typedef struct News News;
 void news_start(Controller *controller);
 /* Waits until the news are committed, together with what others tell. */
-Status news_tell(Controller *controller, const RoundNews *list, size_t count);
-/* Commits that a round runs when there is an occasion. */
-void news_later(Controller *controller, const RoundNews *one);
+Status news_tell(Controller *controller, const AttemptNews *list, size_t count);
+/* Commits that an attempt runs when there is an occasion. */
+void news_later(Controller *controller, const AttemptNews *one);
 /* What waits for an occasion is committed now. */
 void news_hurry(Controller *controller);
 /* Nothing waits and nothing is on its way. */
 bool news_idle(const Controller *controller);
 
-/* Takes how far a round has come. */
-void saved_take(Controller *controller, const RoundSaved *told);
-/* How far that round of the task has come, as far as its agent has told; "": nothing. */
-const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t round);
+/* Takes how far an attempt has come. */
+void saved_take(Controller *controller, const AttemptSaved *told);
+/* How far that attempt of the task has come, as far as its agent has told; "": nothing. */
+const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t attempt);
 
-/* A rate of bad rounds, the newest counting most. */
+/* A rate of bad attempts, the newest counting most. */
 typedef struct Tally {
     uint64_t rate_percent; /* as of rated_ms */
     int64_t rated_ms;
@@ -172,22 +172,22 @@
 
 /* How a worker that claims health has done of late, as this leader saw it. */
 typedef struct Score {
-    Tally failed;          /* rounds that failed */
-    Tally slow;            /* rounds that took several times as long as the others of their step */
+    Tally failed;          /* attempts that failed */
+    Tally slow;            /* attempts that took several times as long as the others of their step */
     int64_t slow_end_ms;   /* log time of the end of the last one counted as slow */
     int64_t rest_until_ms; /* own clock; given nothing before this */
     int64_t rest_ms;       /* the last rest's length */
 } Score;
 
-/* Takes what a delivered change tells of rounds. */
-void score_take(Controller *controller, const RoundList *list);
-/* A round stood still on it. */
+/* Takes what a delivered change tells of attempts. */
+void score_take(Controller *controller, const AttemptList *list);
+/* An attempt stood still on it. */
 void score_still(Controller *controller, const char *worker, const Job *job);
-/* What the round's place made of its time, near its data or not. */
+/* What the attempt's place made of its time, near its data or not. */
 uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step);
 /* Null: nothing bad is known. */
 const Score *score_find(const Controller *controller, const char *worker);
-/* Its rate of failed, or of slow, rounds now, whichever is worse, in percent. */
+/* Its rate of failed, or of slow, attempts now, whichever is worse, in percent. */
 uint64_t score_rate(const Controller *controller, const char *worker);
 bool score_rests(const Controller *controller, const char *worker);
 /* body: as the table tells it. */
--- a/packages/core/src/jobs.c
+++ b/packages/core/src/jobs.c
@@ -53,7 +53,7 @@
 {
     if (queue == NULL)
         return (JobTerms){.kind = ""};
-    return (JobTerms){queue->rounds, queue->stretch_milli, queue->target_ms, queue->priority,
+    return (JobTerms){queue->attempts, queue->stretch_milli, queue->target_ms, queue->priority,
                       queue->kind != NULL ? queue->kind : ""};
 }
 
--- a/packages/core/src/mend.c
+++ b/packages/core/src/mend.c
@@ -1,6 +1,6 @@
 /* Gangs of which only some members run. Placing, ending and stopping concern all
  * members at once, so it comes about in one way alone: the disks forgot a placement,
- * agents told their rounds again, and of some member nobody is left to tell. */
+ * agents told their attempts again, and of some member nobody is left to tell. */
 #include <talloc.h>
 
 #include "pass.h"
@@ -34,12 +34,12 @@
             if (!split(&on[t]))
                 continue;
             const JobTask *task = &on[t].job->tasks[on[t].task];
-            list.rounds = talloc_realloc(mem, list.rounds, RoundId, (unsigned)(list.rounds_count + 1));
-            list.rounds[list.rounds_count++] =
-                (RoundId){talloc_strdup(mem, on[t].job->spec.id), task_number(task), task->round};
+            list.attempts = talloc_realloc(mem, list.attempts, AttemptId, (unsigned)(list.attempts_count + 1));
+            list.attempts[list.attempts_count++] =
+                (AttemptId){talloc_strdup(mem, on[t].job->spec.id), task_number(task), task->attempt};
         }
     }
     ChangeResult result;
-    if (list.rounds_count > 0)
+    if (list.attempts_count > 0)
         controller_submit(controller, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
 }
--- a/packages/core/src/move.c
+++ b/packages/core/src/move.c
@@ -29,7 +29,7 @@
 }
 
 /* What of the worker may go now; false: nothing. */
-static bool move_find(Pass *pass, const char *worker, RoundId *round)
+static bool move_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
     const TaskOn *on;
     const size_t count = table_on(pass->controller->table, worker, &on);
@@ -42,7 +42,7 @@
         const int at = plan_choose(pass->input.workers, pass->input.worker_count, &need, NULL);
         if (at < 0 || !holds_there(pass, job, task, &need, at))
             continue;
-        *round = (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
+        *attempt = (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
         return true;
     }
     return false;
@@ -65,7 +65,7 @@
 bool move_one(Pass *pass)
 {
     Controller *controller = pass->controller;
-    RoundId round;
+    AttemptId attempt;
     bool found = false;
     if (!zones_move(pass))
         return false;
@@ -75,10 +75,10 @@
             return false; /* the last one is on its way */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
         found = table_drain_moves(controller->table, pass->input.workers[i].zone) &&
-                move_find(pass, pass->input.workers[i].name, &round);
+                move_find(pass, pass->input.workers[i].name, &attempt);
     if (!found)
         return false;
-    const StopList list = {&round, 1, "moved off an emptied zone"};
+    const StopList list = {&attempt, 1, "moved off an emptied zone"};
     ChangeResult result;
     if (controller_submit(controller, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK)
         controller->counts.moved += result.number;
--- a/packages/core/src/news.c
+++ b/packages/core/src/news.c
@@ -1,5 +1,5 @@
-/* What rounds came to, committed for many agents at once: while one change is on its
- * way, the next gathers. That a round runs waits for other news to go with. */
+/* What attempts came to, committed for many agents at once: while one change is on its
+ * way, the next gathers. That an attempt runs waits for other news to go with. */
 #include <string.h>
 #include <talloc.h>
 
@@ -9,7 +9,7 @@
 typedef struct Batch {
     struct Batch *next;
     size_t users;
-    RoundList list;
+    AttemptList list;
     size_t room;
     int64_t *at_ms;   /* when each of them came */
     int64_t since_ms; /* its first news came then */
@@ -49,18 +49,18 @@
     return news->last;
 }
 
-static void batch_add(Controller *controller, Batch *batch, const RoundNews *one)
+static void batch_add(Controller *controller, Batch *batch, const AttemptNews *one)
 {
     if (batch->list.news_count == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
-        batch->list.news = talloc_realloc(batch, batch->list.news, RoundNews, (unsigned)batch->room);
+        batch->list.news = talloc_realloc(batch, batch->list.news, AttemptNews, (unsigned)batch->room);
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
     batch->at_ms[batch->list.news_count] = loop_now_ms(controller->loop);
-    shape_copy(&RoundNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
+    shape_copy(&AttemptNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
 }
 
-Status news_tell(Controller *controller, const RoundNews *list, size_t count)
+Status news_tell(Controller *controller, const AttemptNews *list, size_t count)
 {
     News *news = controller->told;
     if (count == 0)
@@ -78,7 +78,7 @@
     return status;
 }
 
-void news_later(Controller *controller, const RoundNews *one)
+void news_later(Controller *controller, const AttemptNews *one)
 {
     batch_add(controller, batch_last(controller->told), one);
     signal_raise(controller->loop, &controller->told->added);
@@ -100,7 +100,7 @@
 static void news_keep(Controller *controller, const Batch *batch)
 {
     for (size_t i = 0; i < batch->list.news_count && replication_holds(controller->replication); i++)
-        if (batch->list.news[i].word == ROUND_RUNNING)
+        if (batch->list.news[i].word == ATTEMPT_RUNNING)
             news_later(controller, &batch->list.news[i]);
 }
 
@@ -127,7 +127,7 @@
         ChangeResult result;
         news->busy = true;
         batch->status =
-            controller_submit(controller, batch, CHANGE_ROUNDS, &RoundList_shape, &batch->list, &result, NULL);
+            controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result, NULL);
         news->busy = false;
         if (batch->status != STATUS_OK)
             news_keep(controller, batch);
--- a/packages/core/src/orders.c
+++ b/packages/core/src/orders.c
@@ -38,10 +38,10 @@
     table_orders_watch(controller->table, on_orders, controller);
 }
 
-static bool listed(const RoundId *list, size_t count, const char *job, uint64_t task, uint64_t round)
+static bool listed(const AttemptId *list, size_t count, const char *job, uint64_t task, uint64_t attempt)
 {
     for (size_t i = 0; i < count; i++)
-        if (list[i].round == round && list[i].task == task && strcmp(list[i].job, job) == 0)
+        if (list[i].attempt == attempt && list[i].task == task && strcmp(list[i].job, job) == 0)
             return true;
     return false;
 }
@@ -50,7 +50,7 @@
 {
     const TaskOn *on;
     const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
-    out->wanted = talloc_array(mem, RoundId, (unsigned)count);
+    out->wanted = talloc_array(mem, AttemptId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
@@ -59,12 +59,13 @@
             continue;
         const char *id = talloc_strdup(mem, job->spec.id);
         const uint64_t number = task_number(task);
-        out->wanted[out->wanted_count++] = (RoundId){id, number, task->round};
-        if (task->phase != TASK_PLACED || listed(heartbeat->rounds, heartbeat->rounds_count, id, number, task->round))
+        out->wanted[out->wanted_count++] = (AttemptId){id, number, task->attempt};
+        if (task->phase != TASK_PLACED ||
+            listed(heartbeat->attempts, heartbeat->attempts_count, id, number, task->attempt))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
         out->starts[out->starts_count++] = (Order){
-            id, number, task->round, step->room, talloc_strdup(mem, step->payload), talloc_strdup(mem, task->saved)};
+            id, number, task->attempt, step->room, talloc_strdup(mem, step->payload), talloc_strdup(mem, task->saved)};
     }
 }
 
--- a/packages/core/src/pace.c
+++ b/packages/core/src/pace.c
@@ -11,7 +11,7 @@
 #define PACES_LEAST 256        /* count; fewer are not worth looking through */
 
 struct Paces {
-    Map *rounds;    /* by task to Pace */
+    Map *attempts;  /* by task to Pace */
     size_t kept;    /* of them when they were last looked through */
     uint64_t moves; /* words of progress */
 };
@@ -19,14 +19,14 @@
 Paces *paces_new(void *mem)
 {
     Paces *paces = talloc_zero(mem, Paces);
-    paces->rounds = map_new(paces);
+    paces->attempts = map_new(paces);
     return paces;
 }
 
 void paces_reset(Paces *paces)
 {
-    talloc_free(paces->rounds);
-    paces->rounds = map_new(paces);
+    talloc_free(paces->attempts);
+    paces->attempts = map_new(paces);
     paces->kept = 0;
 }
 
@@ -41,37 +41,37 @@
     return key;
 }
 
-const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t round)
+const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t attempt)
 {
     char key[PACE_KEY];
-    const Pace *pace = map_get(paces->rounds, pace_key(key, job, task));
-    return pace != NULL && pace->round == round ? pace : NULL;
+    const Pace *pace = map_get(paces->attempts, pace_key(key, job, task));
+    return pace != NULL && pace->attempt == attempt ? pace : NULL;
 }
 
 /* Those of tasks that run no more are dropped whenever there are twice as many as then. */
 static void paces_sweep(const Controller *controller, Paces *paces)
 {
-    if (map_count(paces->rounds) < PACES_LEAST || map_count(paces->rounds) < 2 * paces->kept)
+    if (map_count(paces->attempts) < PACES_LEAST || map_count(paces->attempts) < 2 * paces->kept)
         return;
     void *mem = talloc_new(paces);
     const char **keys;
-    const size_t count = map_keys(paces->rounds, mem, &keys);
+    const size_t count = map_keys(paces->attempts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Pace *pace = map_get(paces->rounds, keys[i]);
+        Pace *pace = map_get(paces->attempts, keys[i]);
         const Job *job = table_job(controller->table, pace->job);
         const size_t at = job != NULL ? task_index(job, pace->task) : 0;
         if (job != NULL && at < job->tasks_count && task_on_worker(job->tasks[at].phase) &&
-            job->tasks[at].round == pace->round)
+            job->tasks[at].attempt == pace->attempt)
             continue;
-        map_drop(paces->rounds, keys[i]);
+        map_drop(paces->attempts, keys[i]);
         talloc_free(pace);
     }
-    paces->kept = map_count(paces->rounds);
+    paces->kept = map_count(paces->attempts);
     talloc_free(mem);
 }
 
 /* What the way from one word to the next says of the worker. */
-static void worker_take(Controller *controller, const char *worker, const RoundSaved *told, double percent,
+static void worker_take(Controller *controller, const char *worker, const AttemptSaved *told, double percent,
                         int64_t span_ms)
 {
     const Job *job = table_job(controller->table, told->job);
@@ -90,29 +90,30 @@
                        loop_now_ms(controller->loop));
 }
 
-void pace_take(Controller *controller, const char *worker, const RoundSaved *told)
+void pace_take(Controller *controller, const char *worker, const AttemptSaved *told)
 {
     Paces *paces = controller->paces;
     char key[PACE_KEY];
     if (told->percent_ms <= 0)
         return;
-    Pace *pace = map_get(paces->rounds, pace_key(key, told->job, told->task));
-    if (pace != NULL && (pace->round > told->round || (pace->round == told->round && pace->ran_ms >= told->percent_ms)))
+    Pace *pace = map_get(paces->attempts, pace_key(key, told->job, told->task));
+    if (pace != NULL &&
+        (pace->attempt > told->attempt || (pace->attempt == told->attempt && pace->ran_ms >= told->percent_ms)))
         return;
     if (pace == NULL) {
         paces_sweep(controller, paces);
-        pace = talloc_zero(paces->rounds, Pace);
+        pace = talloc_zero(paces->attempts, Pace);
         pace->job = talloc_strdup(pace, told->job);
         pace->task = told->task;
-        map_set(paces->rounds, key, pace);
+        map_set(paces->attempts, key, pace);
     }
-    const bool goes_on = pace->round == told->round;
+    const bool goes_on = pace->attempt == told->attempt;
     const uint64_t before = goes_on ? pace->percent : 0;
     const int64_t span_ms = told->percent_ms - (goes_on ? pace->ran_ms : 0);
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
-    pace->round = told->round;
+    pace->attempt = told->attempt;
     paces->moves += more > 0;
-    /* a round that goes on from what an earlier one saved begins with that */
+    /* an attempt that goes on from what an earlier one saved begins with that */
     if (goes_on && paces_credible(paces))
         worker_take(controller, worker, told, more, span_ms);
     pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
--- a/packages/core/src/pass.h
+++ b/packages/core/src/pass.h
@@ -45,7 +45,7 @@
     size_t full_count;
     bool asks; /* the configuration names losses that each start must leave a plan for */
     size_t checks, checks_max;
-    StopList pushes; /* rounds to be pushed aside */
+    StopList pushes; /* attempts to be pushed aside */
     Map *cells;      /* names of cells with a policy to their place + 1 in input.pushable */
     size_t preempt_looks;
     Room reserved;   /* kept in this pass for what found none */
@@ -70,7 +70,7 @@
 bool move_one(Pass *pass);
 /* Stops what is better begun anew elsewhere. True: something was, and the pass is over. */
 bool stop_look(Pass *pass);
-/* The round is to be stopped, and finds room on the worker at that place, if at is one;
+/* The attempt is to be stopped, and finds room on the worker at that place, if at is one;
  * false: there are as many as may be. */
 bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most);
 /* Adds what stands still, or is far too slow, where it is; and takes the room that it
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -45,7 +45,7 @@
 }
 
 /* The members of a gang go on from the same place, under the same number. */
-static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t round,
+static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t attempt,
                       const char *saved, bool assured)
 {
     if (pass->places.placements_count == pass->place_room) {
@@ -60,7 +60,7 @@
     pass->places.placements[pass->places.placements_count++] = (Placement){
         .job = candidate->job->spec.id,
         .task = task_number(&candidate->job->tasks[task]),
-        .round = round,
+        .attempt = attempt,
         .worker = pass->input.workers[worker].name,
         .incarnation = row != NULL ? row->incarnation : 0,
         .assured = assured,
@@ -139,21 +139,21 @@
 
 static void place_all(Pass *pass, const Candidate *candidate, const int *where, bool assured)
 {
-    uint64_t round = 0;
+    uint64_t attempt = 0;
     const char *saved = "";
     for (size_t i = 0; i < candidate->count; i++) {
         const JobTask *task = &candidate->job->tasks[candidate_task(candidate, i)];
-        if (task->round >= round)
-            round = task->round + 1;
-        /* of a round that was lost with its worker the heartbeats alone have told */
-        const char *told = task->round > 0 ? controller_saved(pass->controller, candidate->job->spec.id,
-                                                              task_number(task), task->round)
-                                           : "";
+        if (task->attempt >= attempt)
+            attempt = task->attempt + 1;
+        /* of an attempt that was lost with its worker the heartbeats alone have told */
+        const char *told = task->attempt > 0 ? controller_saved(pass->controller, candidate->job->spec.id,
+                                                                task_number(task), task->attempt)
+                                             : "";
         if (saved[0] == '\0')
             saved = told[0] != '\0' ? told : task->saved;
     }
     for (size_t i = 0; i < candidate->count; i++) {
-        place_add(pass, candidate, i, (size_t)where[i], round, saved, assured);
+        place_add(pass, candidate, i, (size_t)where[i], attempt, saved, assured);
     }
     if (candidate->job->spec.protection == PROTECTION_PROTECTED && !assured)
         pass->controller->counts.unassured += candidate->count;
--- a/packages/core/src/planner.c
+++ b/packages/core/src/planner.c
@@ -96,7 +96,7 @@
             controller->counts.placed += result.number;
         seen++; /* our own change is no news */
     }
-    if (pass->pushes.rounds_count > 0 && controller_decides(controller)) {
+    if (pass->pushes.attempts_count > 0 && controller_decides(controller)) {
         if (controller_submit(controller, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) ==
             STATUS_OK)
             controller->counts.pushed += result.number;
--- a/packages/core/src/push.c
+++ b/packages/core/src/push.c
@@ -100,7 +100,7 @@
 }
 
 /* Who wants room looks for running work that its cell's policy lets it push
- * aside, all on one worker. The room is used only once the old rounds are known
+ * aside, all on one worker. The room is used only once the old attempts are known
  * to be over. Room that is being given up already counts: nothing more is pushed
  * while that would do. */
 void preempt_for(Pass *pass, const Candidate *candidate)
@@ -108,7 +108,7 @@
     Controller *controller = pass->controller;
     const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
     const Policy *policy = controller_policy(controller, cell);
-    if (pass->pushes.rounds_count > 0)
+    if (pass->pushes.attempts_count > 0)
         return;
     if (policy == policy_plain()) {
         preempt_target(pass, candidate);
@@ -125,7 +125,7 @@
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
         Room free = worker->free;
-        RoundId victims[PREEMPT_TASKS_MAX];
+        AttemptId victims[PREEMPT_TASKS_MAX];
         size_t victim_count = 0, looked = 0;
         const TaskOn *on;
         const size_t on_count = table_on(controller->table, worker->name, &on);
@@ -150,14 +150,14 @@
                 if (!policy->may_preempt(policy->arg, &mine, &other))
                     continue;
                 victims[victim_count++] =
-                    (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->round};
+                    (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
                 free = room_more(free, job->spec.steps[task->step].room);
             }
         }
         if (!room_fits(need.room, free))
             continue;
-        pass->pushes.rounds = talloc_memdup(pass->mem, victims, victim_count * sizeof(*victims));
-        pass->pushes.rounds_count = victim_count;
+        pass->pushes.attempts = talloc_memdup(pass->mem, victims, victim_count * sizeof(*victims));
+        pass->pushes.attempts_count = victim_count;
         pass->pushes.why = "pushed aside";
         return;
     }
--- a/packages/core/src/pushaim.c
+++ b/packages/core/src/pushaim.c
@@ -21,14 +21,14 @@
     return cell != NULL;
 }
 
-/* Controller-milliseconds that are done again when the round is stopped now; -1: it is not to be. */
+/* Controller-milliseconds that are done again when the attempt is stopped now; -1: it is not to be. */
 static int64_t cost_of(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
     if (task->phase != TASK_RUNNING || step->gang || job->ending != JOB_ACTIVE || job == candidate->job ||
-        task->round >= SLOW_ROUNDS_MOST || strcmp(job->spec.cell, candidate->job->spec.cell) != 0 ||
+        task->attempt >= SLOW_ATTEMPTS_MOST || strcmp(job->spec.cell, candidate->job->spec.cell) != 0 ||
         priority_of(pass, job, on->task) >= priority)
         return -1;
     /* what keeps its progress saves once more when it is stopped */
@@ -37,7 +37,7 @@
 }
 
 typedef struct Preemption {
-    RoundId rounds[PREEMPT_VICTIMS_MOST];
+    AttemptId attempts[PREEMPT_VICTIMS_MOST];
     size_t count;
     int64_t cost;
 } Preemption;
@@ -67,7 +67,8 @@
         taken[best] = true;
         free = room_more(free, on[best].job->spec.steps[task->step].room);
         preemption->cost += best_cost;
-        preemption->rounds[preemption->count++] = (RoundId){on[best].job->spec.id, task_number(task), task->round};
+        preemption->attempts[preemption->count++] =
+            (AttemptId){on[best].job->spec.id, task_number(task), task->attempt};
     }
     talloc_free(taken);
     return room_fits(need, free);
@@ -101,11 +102,11 @@
     }
     if (best.count == 0)
         return;
-    pass->pushes.rounds = talloc_array(pass->mem, RoundId, (unsigned)best.count);
-    pass->pushes.rounds_count = best.count;
+    pass->pushes.attempts = talloc_array(pass->mem, AttemptId, (unsigned)best.count);
+    pass->pushes.attempts_count = best.count;
     pass->pushes.why = "pushed aside";
     for (size_t i = 0; i < best.count; i++) {
-        pass->pushes.rounds[i] = best.rounds[i];
-        pass->pushes.rounds[i].job = talloc_strdup(pass->mem, best.rounds[i].job);
+        pass->pushes.attempts[i] = best.attempts[i];
+        pass->pushes.attempts[i].job = talloc_strdup(pass->mem, best.attempts[i].job);
     }
 }
--- a/packages/core/src/repair.c
+++ b/packages/core/src/repair.c
@@ -59,8 +59,8 @@
 /* Kinds that may be told again, in the order in which they are: what needs
  * another comes after it. The number in the old log orders within a kind only:
  * it may be of a history that the disks have lost since. */
-static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD, CHANGE_JOB_CANCEL,
-                                 CHANGE_ZONE_DRAIN, CHANGE_ROUNDS,  CHANGE_JOB_END};
+static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD,  CHANGE_JOB_CANCEL,
+                                 CHANGE_ZONE_DRAIN, CHANGE_ATTEMPTS, CHANGE_JOB_END};
 
 static size_t kind_place(uint64_t change)
 {
@@ -116,7 +116,7 @@
         return job == NULL || job->phase != JOB_ACTIVE;
     }
     default:
-        return item->change != CHANGE_ROUNDS;
+        return item->change != CHANGE_ATTEMPTS;
     }
 }
 
--- a/packages/core/src/saved.c
+++ b/packages/core/src/saved.c
@@ -1,5 +1,5 @@
-/* How far running rounds have come, as their agents' heartbeats tell: in memory alone.
- * A new leader has it from the next heartbeats; the log has it with the end of a round
+/* How far running attempts have come, as their agents' heartbeats tell: in memory alone.
+ * A new leader has it from the next heartbeats; the log has it with the end of an attempt
  * and with the placement of the next. */
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,7 +14,7 @@
 /* Invariant: text is what the highest round that told any last told. */
 typedef struct Saved {
     const char *job;
-    uint64_t task, round;
+    uint64_t task, attempt;
     const char *text;
 } Saved;
 
@@ -45,13 +45,13 @@
     talloc_free(mem);
 }
 
-void saved_take(Controller *controller, const RoundSaved *told)
+void saved_take(Controller *controller, const AttemptSaved *told)
 {
     char key[SAVED_KEY];
     if (told->text[0] == '\0')
         return;
     Saved *saved = map_get(controller->saved, saved_key(key, told->job, told->task));
-    if (saved != NULL && saved->round > told->round)
+    if (saved != NULL && saved->attempt > told->attempt)
         return;
     if (saved == NULL) {
         saved_sweep(controller);
@@ -62,12 +62,12 @@
     }
     talloc_free((void *)(uintptr_t)saved->text);
     saved->text = talloc_strdup(saved, told->text);
-    saved->round = told->round;
+    saved->attempt = told->attempt;
 }
 
-const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t round)
+const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t attempt)
 {
     char key[SAVED_KEY];
     const Saved *saved = map_get(controller->saved, saved_key(key, job, task));
-    return saved != NULL && saved->round == round ? saved->text : "";
+    return saved != NULL && saved->attempt == attempt ? saved->text : "";
 }
--- a/packages/core/src/score.c
+++ b/packages/core/src/score.c
@@ -93,8 +93,8 @@
 /* A first round's time on its worker, by the log; -1: not to be compared. */
 static int64_t took_ms(const JobTask *task)
 {
-    return task->phase == TASK_DONE && task->round == 1 && task->started_ms != 0 ? task->changed_ms - task->started_ms
-                                                                                 : -1;
+    return task->phase == TASK_DONE && task->attempt == 1 && task->started_ms != 0 ? task->changed_ms - task->started_ms
+                                                                                   : -1;
 }
 
 static int span_order(const void *a, const void *b)
@@ -125,18 +125,18 @@
     return enough;
 }
 
-/* What the round's place made of its time, near its data or not. */
+/* What the attempt's place made of its time, near its data or not. */
 uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
     return far ? (uint64_t)controller->settings->bounds.far_percent : 100;
 }
 
-static void estimate_take(Controller *controller, const RoundNews *news, const Job *job, const JobTask *task)
+static void estimate_take(Controller *controller, const AttemptNews *news, const Job *job, const JobTask *task)
 {
     const Worker *worker = table_worker(controller->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
-    const bool whole = task->round == 1 || !step->saves;
+    const bool whole = task->attempt == 1 || !step->saves;
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
@@ -154,31 +154,31 @@
     tally_take(controller, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
 }
 
-void score_take(Controller *controller, const RoundList *list)
+void score_take(Controller *controller, const AttemptList *list)
 {
     for (size_t i = 0; i < list->news_count; i++) {
-        const RoundNews *news = &list->news[i];
-        if (news->word != ROUND_FAILED && news->word != ROUND_DONE)
+        const AttemptNews *news = &list->news[i];
+        if (news->word != ATTEMPT_FAILED && news->word != ATTEMPT_DONE)
             continue;
         Score *score = map_get(controller->scores, news->worker);
         const Job *job = table_job(controller->table, news->job);
         bool slow = false;
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
-        const bool ended =
-            news->word == ROUND_DONE && job != NULL && at < job->tasks_count && job->tasks[at].round == news->round;
+        const bool ended = news->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
+                           job->tasks[at].attempt == news->attempt;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
             estimate_take(controller, news, job, &job->tasks[at]);
         if (score == NULL &&
-            ((news->word == ROUND_DONE && !slow) || table_worker(controller->table, news->worker) == NULL))
+            ((news->word == ATTEMPT_DONE && !slow) || table_worker(controller->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
             score = talloc_zero(controller->scores, Score);
             map_set(controller->scores, news->worker, score);
         }
-        tally_take(controller, news->worker, score, &score->failed, job, news->word == ROUND_FAILED, SCORE_WEIGHT,
+        tally_take(controller, news->worker, score, &score->failed, job, news->word == ATTEMPT_FAILED, SCORE_WEIGHT,
                    "fails its work");
-        /* rounds that ran beside one already counted may all have met the same
+        /* attempts that ran beside one already counted may all have met the same
          * pause: one pause is one sign */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
--- a/packages/core/src/silent.c
+++ b/packages/core/src/silent.c
@@ -45,7 +45,7 @@
 void copies_find(Controller *controller, void *mem)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
-    RoundList list = {0};
+    AttemptList list = {0};
     const char *worker;
     for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++) {
         const LiveRow *row = liveset_find(controller->liveset, worker);
@@ -59,25 +59,25 @@
             const JobSpec *spec = &on[t].job->spec;
             if (task->phase == TASK_STOPPING || (!spec->copies && !spec->steps[task->step].copies))
                 continue;
-            list.news = talloc_realloc(mem, list.news, RoundNews, (unsigned)(list.news_count + 1));
-            list.news[list.news_count++] = (RoundNews){.job = talloc_strdup(mem, spec->id),
-                                                       .task = task_number(task),
-                                                       .round = task->round,
-                                                       .worker = talloc_strdup(mem, worker),
-                                                       .word = ROUND_LOST,
-                                                       .text = "its worker is silent",
-                                                       .saved = ""};
+            list.news = talloc_realloc(mem, list.news, AttemptNews, (unsigned)(list.news_count + 1));
+            list.news[list.news_count++] = (AttemptNews){.job = talloc_strdup(mem, spec->id),
+                                                         .task = task_number(task),
+                                                         .attempt = task->attempt,
+                                                         .worker = talloc_strdup(mem, worker),
+                                                         .word = ATTEMPT_LOST,
+                                                         .text = "its worker is silent",
+                                                         .saved = ""};
         }
     }
     ChangeResult result;
     if (list.news_count > 0)
-        controller_submit(controller, mem, CHANGE_ROUNDS, &RoundList_shape, &list, &result, NULL);
+        controller_submit(controller, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result, NULL);
     /* that they are over is our word alone: they count there until the agent says so */
     for (size_t i = 0; i < list.news_count; i++) {
-        const RoundNews *news = &list.news[i];
+        const AttemptNews *news = &list.news[i];
         const Job *job = table_job(controller->table, news->job);
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            orphans_add(controller->orphans, news->worker, job, &job->tasks[at], news->round, now_ms + ORDER_GONE_MS);
+            orphans_add(controller->orphans, news->worker, job, &job->tasks[at], news->attempt, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/core/src/slow.c
+++ b/packages/core/src/slow.c
@@ -1,4 +1,4 @@
-/* Rounds that stand still, or come along so slowly on their worker that another would
+/* Attempts that stand still, or come along so slowly on their worker that another would
  * be done with them sooner, are stopped there and begun anew elsewhere: where room is
  * there now, a few at a time, and never what meets its target as it is. */
 #include <string.h>
@@ -8,7 +8,7 @@
 
 #define STANDS_MS 1e9 /* ms; what stands still is never done */
 
-/* A running round as this look sees it; times in ms from now. */
+/* A running attempt as this look sees it; times in ms from now. */
 typedef struct Going {
     const Job *job;
     size_t task;
@@ -46,13 +46,13 @@
     const StepSpec *step = &job->spec.steps[task->step];
     const int64_t estimate = estimate_ms(controller->estimates, job, task->step);
     if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || estimate <= 0 ||
-        task->round >= SLOW_ROUNDS_MOST)
+        task->attempt >= SLOW_ATTEMPTS_MOST)
         return false;
     const Worker *its = table_worker(controller->table, task->worker);
     const uint64_t far = its != NULL ? score_far_percent(controller, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
     going->whole_ms = (double)estimate * (double)far / 100 * (double)estimate_pace(controller->estimates) / 1000;
-    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->round);
+    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->attempt);
     if (pace == NULL)
         return false;
     going->still = stands_still(pass, pace, going, step);
@@ -69,7 +69,7 @@
     return going->left_ms > going->whole_ms;
 }
 
-/* Whether the job's target is met though the round goes on as it does. */
+/* Whether the job's target is met though the attempt goes on as it does. */
 static bool meets_target(const Pass *pass, const Going *going)
 {
     const Job *job = going->job;
--- a/packages/core/src/soonest.c
+++ b/packages/core/src/soonest.c
@@ -13,7 +13,7 @@
     const int64_t estimate = estimate_ms(controller->estimates, job, task->step);
     if (estimate <= 0 || job->spec.lasting)
         return INT64_MAX;
-    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->round);
+    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->attempt);
     if (pace != NULL && pace->per_ms > 0) {
         const double left_ms =
             (100 - (double)pace->percent) / pace->per_ms - (double)(loop_now_ms(controller->loop) - pace->told_ms);
--- a/packages/core/src/stop.c
+++ b/packages/core/src/stop.c
@@ -1,4 +1,4 @@
-/* Rounds that are stopped so that they begin anew elsewhere: looked for now and then,
+/* Attempts that are stopped so that they begin anew elsewhere: looked for now and then,
  * committed together, a few at a time. */
 #include <talloc.h>
 
@@ -6,16 +6,17 @@
 
 bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most)
 {
-    if (list->rounds_count >= most)
+    if (list->attempts_count >= most)
         return false;
     if (at >= 0) {
         PlanWorker *to = &pass->input.workers[at];
         to->free = room_less(to->free, job->spec.steps[job->tasks[task].step].room);
     }
-    if (list->rounds == NULL)
-        list->rounds = talloc_array(pass->mem, RoundId, STOPS_MOST > LEAVE_STOPS_MOST ? STOPS_MOST : LEAVE_STOPS_MOST);
-    list->rounds[list->rounds_count++] =
-        (RoundId){talloc_strdup(pass->mem, job->spec.id), task_number(&job->tasks[task]), job->tasks[task].round};
+    if (list->attempts == NULL)
+        list->attempts =
+            talloc_array(pass->mem, AttemptId, STOPS_MOST > LEAVE_STOPS_MOST ? STOPS_MOST : LEAVE_STOPS_MOST);
+    list->attempts[list->attempts_count++] =
+        (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(&job->tasks[task]), job->tasks[task].attempt};
     return true;
 }
 
@@ -29,13 +30,13 @@
     StopList list = {.why = "goes on better elsewhere"};
     leave_find(pass, &list);
     slow_find(pass, &list);
-    if (list.rounds_count == 0)
+    if (list.attempts_count == 0)
         return false;
     ChangeResult result;
     if (controller_submit(controller, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK) {
         controller->counts.slowed += result.number;
         recorder_write(controller->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere",
-                       list.rounds_count);
+                       list.attempts_count);
     }
     return true;
 }
--- a/packages/core/src/traced.c
+++ b/packages/core/src/traced.c
@@ -9,19 +9,19 @@
     char detail[64];
     for (size_t i = 0; i < places->placements_count; i++) {
         const Placement *place = &places->placements[i];
-        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->round,
+        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->attempt,
                  place->worker);
         trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", place->job);
     }
 }
 
-static void trace_rounds(Controller *controller, const RoundList *rounds)
+static void trace_attempts(Controller *controller, const AttemptList *attempts)
 {
     char detail[64];
-    for (size_t i = 0; i < rounds->news_count; i++) {
-        const RoundNews *news = &rounds->news[i];
-        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->round,
-                 round_word(news->word));
+    for (size_t i = 0; i < attempts->news_count; i++) {
+        const AttemptNews *news = &attempts->news[i];
+        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->attempt,
+                 attempt_word(news->word));
         trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
     }
 }
@@ -44,8 +44,8 @@
     case CHANGE_PLACE:
         trace_places(controller, body);
         break;
-    case CHANGE_ROUNDS:
-        trace_rounds(controller, body);
+    case CHANGE_ATTEMPTS:
+        trace_attempts(controller, body);
         break;
     case CHANGE_CONFIG_SET:
         trace_say(controller->trace, TRACE_DELIVERED, detail, "config:%" PRIu64, ((const ConfigSet *)body)->version);
--- a/packages/core/src/way.c
+++ b/packages/core/src/way.c
@@ -89,8 +89,8 @@
 /* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that
  * either needs where nothing was committed for it; one that was is proof in itself.
  *
- * A refusal ends its caller's call for good, so it takes a round of contact wherever it
- * claims to know what is in force or which jobs there are; it is rare, and the round costs
+ * A refusal ends its caller's call for good, so it takes an attempt of contact wherever it
+ * claims to know what is in force or which jobs there are; it is rare, and the attempt costs
  * it one way there and back. */
 typedef struct Route {
     const char *method;
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -30,7 +30,7 @@
 
 typedef struct DayResult {
     Rules rules;
-    size_t jobs, accepted, refused, starts, ends[ROUND_WORD_COUNT];
+    size_t jobs, accepted, refused, starts, ends[ATTEMPT_WORD_COUNT];
     size_t timely, late; /* of jobs that could be done: within the target, within thrice */
     size_t owed;
     size_t orders;
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -62,7 +62,7 @@
     X(target_ms, "aimMs", 1000, "time beyond the stretched work within which it is worth all") \
     X(stretch_percent, "stretchPercent", 150, "... of the longest chain of work")              \
     X(priority, "priority", 1, "0 goes first")                                                 \
-    X(rounds, "rounds", 3, "a task is given so many")                                          \
+    X(attempts, "rounds", 3, "a task is given so many")                                        \
     X(fail_milli, "failMilli", 10, "of a thousand rounds so many fail by themselves")          \
     X(gang_percent, "gangPercent", 0, "of steps so many work only together")                   \
     X(saves_percent, "savesPercent", 0, "of jobs so many keep their progress")                 \
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -29,7 +29,7 @@
 
 typedef struct HandRunning {
     TaskName name;
-    uint64_t round;
+    uint64_t attempt;
     const char *saved;
     int percent;
 } HandRunning;
@@ -37,8 +37,8 @@
 typedef struct HandEnded {
     uint64_t number;
     TaskName name;
-    uint64_t round;
-    RoundWord word;
+    uint64_t attempt;
+    AttemptWord word;
     const char *saved;
 } HandEnded;
 
@@ -57,7 +57,7 @@
 
 typedef struct HandStart {
     TaskName name;
-    uint64_t round;
+    uint64_t attempt;
     const char *payload, *saved;
 } HandStart;
 
@@ -122,7 +122,7 @@
 typedef struct DocumentQueue {
     char name[32], host[48], prefix[48];
     const char *kind; /* of worker */
-    int64_t timeout_ms, target_ms, priority, rounds, stretch_percent;
+    int64_t timeout_ms, target_ms, priority, attempts, stretch_percent;
 } DocumentQueue;
 
 #define DOCUMENT_QUEUES_MAX 64
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -97,26 +97,26 @@
     return !job->draft.lasting;
 }
 
-void book_fail(Fate *fate, uint64_t round)
+void book_fail(Fate *fate, uint64_t attempt)
 {
     for (size_t i = 0; i < fate->fails; i++)
-        if (fate->failed[i] == round)
+        if (fate->failed[i] == attempt)
             return;
     if (fate->fails < FAILS_MAX)
-        fate->failed[fate->fails++] = round;
+        fate->failed[fate->fails++] = attempt;
 }
 
-size_t book_fails_noted(const Fate *fate, uint64_t round)
+size_t book_fails_noted(const Fate *fate, uint64_t attempt)
 {
     size_t count = 0;
     for (size_t i = 0; i < fate->fails; i++)
-        count += fate->fail_noted[i] && fate->failed[i] < round;
+        count += fate->fail_noted[i] && fate->failed[i] < attempt;
     return count;
 }
 
 bool book_spent(const BookJob *job, const Fate *fate)
 {
-    return !job->draft.lasting && fate->fails >= (uint64_t)job->kind->rounds;
+    return !job->draft.lasting && fate->fails >= (uint64_t)job->kind->attempts;
 }
 
 /* Of a gang all members have the same. */
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -12,13 +12,13 @@
     bool done; /* a worker has ended it well */
     int64_t done_ms;
     int64_t noted_ms;           /* ... and was told that this is known; 0: not yet */
-    uint64_t failed[FAILS_MAX]; /* rounds: a gang's failure counts once */
+    uint64_t failed[FAILS_MAX]; /* attempts: a gang's failure counts once */
     bool fail_noted[FAILS_MAX];
     size_t fails;
-    int64_t fails_noted_ms; /* the last that was taken note of */
-    int64_t saved_ms;       /* the most progress that was ever told */
-    uint64_t again_round;   /* started after it was done; 0: none. If an end before it is noted, it was one too many */
-    uint64_t beyond_round;  /* likewise after all its rounds had failed */
+    int64_t fails_noted_ms;  /* the last that was taken note of */
+    int64_t saved_ms;        /* the most progress that was ever told */
+    uint64_t again_attempt;  /* started after it was done; 0: none. If an end before it is noted, it was one too many */
+    uint64_t beyond_attempt; /* likewise after all its attempts had failed */
 } Fate;
 
 typedef struct BookTask {
@@ -53,7 +53,7 @@
     Map *by_id;
     BookJob **jobs;
     size_t count;
-    size_t starts, kinds[ROUND_WORD_COUNT];
+    size_t starts, kinds[ATTEMPT_WORD_COUNT];
 } Book;
 
 Book *book_new(void *mem, Ground *ground);
@@ -68,10 +68,10 @@
 /* When the turn may begin, on the true wall clock; 0: at once. */
 int64_t book_due_wall_ms(const BookJob *job, uint64_t turn);
 bool book_done(const BookJob *job);
-/* Ends of failed rounds below that one that were taken note of. */
-size_t book_fails_noted(const Fate *fate, uint64_t round);
-void book_fail(Fate *fate, uint64_t round);
-/* A round that it can't be given any more. */
+/* Ends of failed attempts below that one that were taken note of. */
+size_t book_fails_noted(const Fate *fate, uint64_t attempt);
+void book_fail(Fate *fate, uint64_t attempt);
+/* An attempt that it can't be given any more. */
 bool book_spent(const BookJob *job, const Fate *fate);
 /* Progress as a text that says whose it is, and what of such a text; -1: not this task's. */
 const char *book_saved(void *mem, const BookTask *task, int64_t progress_ms);
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -33,7 +33,7 @@
                              .timeout_ms = site->caller_wait_ms,
                              .target_ms = one->target_ms,
                              .priority = one->priority,
-                             .rounds = one->rounds,
+                             .attempts = one->attempts,
                              .stretch_percent = one->stretch_percent};
     snprintf(queue->name, sizeof(queue->name), "%s", one->name);
     snprintf(queue->host, sizeof(queue->host), "work%zu.example", kind % 2);
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -32,11 +32,11 @@
     crew->rate = far ? rate * 100 / site->far_percent : rate;
 }
 
-/* Whether and where a round fails by itself: the same for the same round each time. */
+/* Whether and where an attempt fails by itself: the same for the same attempt each time. */
 static void fail_draw(Crew *crew, HandRun *run)
 {
     const BookJob *job = run->task->job;
-    Dice dice = dice_of(bytes_crc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->round);
+    Dice dice = dice_of(bytes_crc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->attempt);
     const bool fails = job->poison || (int64_t)(dice_next(&dice) % 1000) < job->kind->fail_milli ||
                        (job->draft.lasting && dice_percent(&dice, 20)) || dice_percent(&dice, run->hand->grey_percent);
     const int64_t span = job->draft.lasting ? 15000000 : crew->work_us;
@@ -54,7 +54,7 @@
     const size_t first = (size_t)task->name.turn * job->each_turn + job->step_first[task->name.step];
     for (size_t i = first; book_step(task)->gang && i < first + book_step(task)->count; i++)
         for (const HandRun *one = job->tasks[i].live; one != NULL; one = one->next_live)
-            if (one->round == run->round && one->crew != NULL)
+            if (one->attempt == run->attempt && one->crew != NULL)
                 return one->crew;
     return NULL;
 }
@@ -67,7 +67,7 @@
     if (crew == NULL) {
         crew = talloc_zero(hands, Crew);
         crew->hands = hands;
-        crew->round = run->round;
+        crew->attempt = run->attempt;
         crew->needed = step->gang ? step->count : 1;
         crew->work_us = job->draft.lasting ? ENDLESS_US : step->work_ms * 1000;
         crew->from_ms = from_ms;
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -70,7 +70,7 @@
         crew_advance(run->crew);
         const int64_t work_ms = run->crew->work_us / 1000;
         report->running[report->running_count++] =
-            (HandRunning){run->task->name, run->round, book_saved(mem, run->task, hand_saved_ms(run, false)),
+            (HandRunning){run->task->name, run->attempt, book_saved(mem, run->task, hand_saved_ms(run, false)),
                           work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
     }
     for (size_t i = 0; i < hand->end_count && i < ENDS_AT_ONCE; i++)
@@ -213,7 +213,8 @@
     hand->up = false;
     while (hand->runs != NULL) {
         HandRun *run = hand->runs;
-        ground_tell(hand->hands->ground, &run->task->name, "round %" PRIu64 " is gone with %s", run->round, hand->boot);
+        ground_tell(hand->hands->ground, &run->task->name, "round %" PRIu64 " is gone with %s", run->attempt,
+                    hand->boot);
         Crew *crew = run->crew;
         HandRun *others[sizeof(crew->members) / sizeof(crew->members[0])];
         size_t count = 0;
@@ -222,7 +223,7 @@
                 others[count++] = crew->members[i];
         hand_run_drop(run);
         for (size_t i = 0; i < count; i++)
-            hand_run_end(others[i], ROUND_BROKEN);
+            hand_run_end(others[i], ATTEMPT_BROKEN);
     }
     if (power)
         sim_power_off(hand->hands->ground->world, hand->machine);
--- a/packages/model/src/hand.h
+++ b/packages/model/src/hand.h
@@ -4,12 +4,12 @@
 #include "book.h"
 #include "ledger.h"
 
-/* Members of a gang under one round number, or one task by itself. They work from the
+/* Members of a gang under one attempt number, or one task by itself. They work from the
  * moment when all are there, at the pace of the slowest, and end as one.
  * Invariant: freed with its last member. */
 typedef struct Crew {
     struct Hands *hands;
-    uint64_t round, needed;
+    uint64_t attempt, needed;
     struct HandRun *members[128];
     size_t count;
     bool begun;
@@ -25,7 +25,7 @@
     struct HandRun *next, *next_live;
     struct Hand *hand;
     BookTask *task;
-    uint64_t round;
+    uint64_t attempt;
     Crew *crew;
     int64_t began_ms, stop_at_ms; /* 0: it is not being stopped */
 } HandRun;
@@ -48,7 +48,7 @@
     const char *kind, *zone, *label;
     Room room;
     int64_t speed, slow_times; /* percent; times */
-    int64_t grey_percent;      /* so many of its rounds fail */
+    int64_t grey_percent;      /* so many of its attempts fail */
     bool hangs;                /* nothing on it comes forward */
     bool up;
     bool leaving;
@@ -95,14 +95,14 @@
 /* The run is no more, without an end: out of all lists. */
 void hand_run_drop(HandRun *run);
 /* The run has come to this end, which is listed until it is seen. */
-void hand_run_end(HandRun *run, RoundWord word);
+void hand_run_end(HandRun *run, AttemptWord word);
 /* A task of its process: what comes due. */
 void hand_work_main(void *arg);
 /* An answer to a heartbeat that was sent then, by the worker's clock. */
 void hand_orders_take(Hand *hand, const HandOrders *orders, int64_t sent_ms);
 
 /* --- crews -------------------------------------------------------------------------------- */
-/* The run takes its place in the crew of its round. */
+/* The run takes its place in the crew of its attempt. */
 void crew_join(Hands *hands, HandRun *run, int64_t from_ms);
 void crew_leave(HandRun *run);
 /* What it has done until now. */
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -45,49 +45,50 @@
     talloc_free(run);
 }
 
-static void highest_set(Hand *hand, const TaskName *name, uint64_t round)
+static void highest_set(Hand *hand, const TaskName *name, uint64_t attempt)
 {
     const char *text = name_text(hand->mem, name);
-    if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < round)
-        map_set(hand->highest, text, (void *)(uintptr_t)round);
+    if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < attempt)
+        map_set(hand->highest, text, (void *)(uintptr_t)attempt);
 }
 
-static void end_add(Hand *hand, BookTask *task, const TaskName *name, uint64_t round, RoundWord word, const char *saved)
+static void end_add(Hand *hand, BookTask *task, const TaskName *name, uint64_t attempt, AttemptWord word,
+                    const char *saved)
 {
     hand->ends = talloc_realloc(hand->mem, hand->ends, HandEnd, (unsigned)(hand->end_count + 1));
     hand->ends[hand->end_count++] =
-        (HandEnd){.told = {++hand->end_number, *name, round, word, saved}, .task = task, .lapsed_since = false};
-    highest_set(hand, name, round);
+        (HandEnd){.told = {++hand->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
+    highest_set(hand, name, attempt);
     hand->hands->book->kinds[word]++;
-    ground_tell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", round, round_word(word),
+    ground_tell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt, attempt_word(word),
                 hand->boot, saved);
     hand->news_open = true;
     signal_raise(hand->loop, &hand->news);
 }
 
-void hand_run_end(HandRun *run, RoundWord word)
+void hand_run_end(HandRun *run, AttemptWord word)
 {
     Hand *hand = run->hand;
     BookTask *task = run->task;
     Fate *fate = task->fate;
     const int64_t now_ms = ground_now_ms(hand->hands->ground);
     crew_advance(run->crew);
-    const bool stopped = word == ROUND_STOPPED || word == ROUND_BROKEN;
-    const char *saved = word == ROUND_DONE ? "" : book_saved(hand->mem, task, hand_saved_ms(run, stopped));
-    if (word == ROUND_DONE && !fate->done) {
+    const bool stopped = word == ATTEMPT_STOPPED || word == ATTEMPT_BROKEN;
+    const char *saved = word == ATTEMPT_DONE ? "" : book_saved(hand->mem, task, hand_saved_ms(run, stopped));
+    if (word == ATTEMPT_DONE && !fate->done) {
         fate->done = true;
         fate->done_ms = now_ms;
     }
-    if (word == ROUND_FAILED)
-        book_fail(fate, run->round);
-    if (word == ROUND_ALONE)
+    if (word == ATTEMPT_FAILED)
+        book_fail(fate, run->attempt);
+    if (word == ATTEMPT_ALONE)
         alone_check(run);
-    end_add(hand, task, &task->name, run->round, word, saved);
+    end_add(hand, task, &task->name, run->attempt, word, saved);
     hand_run_drop(run);
 }
 
 /* One member has ended so: the others end as told. */
-static void crew_end(HandRun *first, RoundWord word, RoundWord others)
+static void crew_end(HandRun *first, AttemptWord word, AttemptWord others)
 {
     HandRun *members[sizeof(first->crew->members) / sizeof(first->crew->members[0])];
     Crew *crew = first->crew;
@@ -114,23 +115,23 @@
         if (!held) {
             for (size_t i = 0; i < hand->end_count; i++)
                 hand->ends[i].lapsed_since = true;
-            crew_end(run, ROUND_LAPSED, ROUND_BROKEN);
+            crew_end(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
             return true;
         }
         if (run->stop_at_ms != 0 && now_ms >= run->stop_at_ms) {
-            crew_end(run, ROUND_STOPPED, ROUND_BROKEN);
+            crew_end(run, ATTEMPT_STOPPED, ATTEMPT_BROKEN);
             return true;
         }
         if (!crew->begun && now_ms - run->began_ms >= site->gang_ms) {
-            hand_run_end(run, ROUND_ALONE);
+            hand_run_end(run, ATTEMPT_ALONE);
             return true;
         }
         if (crew->begun && crew->done_us >= crew->fail_us) {
-            crew_end(crew->failing, ROUND_FAILED, ROUND_BROKEN);
+            crew_end(crew->failing, ATTEMPT_FAILED, ATTEMPT_BROKEN);
             return true;
         }
         if (crew->begun && crew->done_us >= crew->work_us) {
-            crew_end(run, ROUND_DONE, ROUND_DONE);
+            crew_end(run, ATTEMPT_DONE, ATTEMPT_DONE);
             return true;
         }
     }
@@ -167,10 +168,10 @@
 
 /* --- orders ------------------------------------------------------------------------------------------ */
 
-static HandRun *run_find(const Hand *hand, const TaskName *name, uint64_t round)
+static HandRun *run_find(const Hand *hand, const TaskName *name, uint64_t attempt)
 {
     for (HandRun *run = hand->runs; run != NULL; run = run->next)
-        if (run->round == round && run->task->name.turn == name->turn && run->task->name.step == name->step &&
+        if (run->attempt == attempt && run->task->name.turn == name->turn && run->task->name.step == name->step &&
             run->task->name.at == name->at && strcmp(run->task->name.job, name->job) == 0)
             return run;
     return NULL;
@@ -178,13 +179,13 @@
 
 static void stop_take(Hand *hand, const HandRunning *stop)
 {
-    HandRun *run = run_find(hand, &stop->name, stop->round);
-    highest_set(hand, &stop->name, stop->round);
-    ground_tell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->round, hand->boot,
+    HandRun *run = run_find(hand, &stop->name, stop->attempt);
+    highest_set(hand, &stop->name, stop->attempt);
+    ground_tell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->attempt, hand->boot,
                 run == NULL ? ", which does not run it" : "");
     if (run == NULL || run->stop_at_ms != 0)
         return;
-    Dice dice = dice_of(stop->round, run->task->name.job, hand->sequence);
+    Dice dice = dice_of(stop->attempt, run->task->name.job, hand->sequence);
     run->stop_at_ms = ground_now_ms(hand->hands->ground) + dice_span(&dice, 1, hand->hands->ground->site->stop_ms);
     signal_raise(hand->loop, &hand->work);
 }
@@ -193,10 +194,10 @@
 {
     Hands *hands = hand->hands;
     const Site *site = hands->ground->site;
-    if (run_find(hand, &start->name, start->round) != NULL)
+    if (run_find(hand, &start->name, start->attempt) != NULL)
         return;
     for (size_t i = 0; i < hand->end_count; i++)
-        if (name_equal(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.round == start->round)
+        if (name_equal(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.attempt == start->attempt)
             return;
     BookTask *task = book_task(hands->book, &start->name);
     const uint64_t highest = (uint64_t)(uintptr_t)map_get(hand->highest, name_text(hand->mem, &start->name));
@@ -207,17 +208,18 @@
         fits = used.cpu_milli + room.cpu_milli <= hand->room.cpu_milli &&
                used.mem_mb + room.mem_mb <= hand->room.mem_mb && used.gpu + room.gpu <= hand->room.gpu;
     }
-    if (start->round <= highest || !fits) {
-        end_add(hand, task, &start->name, start->round, ROUND_REFUSED, "");
+    if (start->attempt <= highest || !fits) {
+        end_add(hand, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
         return;
     }
     if (!start_check(hand, start))
         return;
     hands->book->starts++;
-    ground_tell(hands->ground, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'", start->round,
+    ground_tell(hands->ground, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'", start->attempt,
                 hand->boot, hand->side->name, start->saved);
     HandRun *run = talloc_zero(hand->mem, HandRun);
-    *run = (HandRun){.next = hand->runs, .next_live = task->live, .hand = hand, .task = task, .round = start->round};
+    *run =
+        (HandRun){.next = hand->runs, .next_live = task->live, .hand = hand, .task = task, .attempt = start->attempt};
     run->began_ms = ground_now_ms(hands->ground);
     hand->runs = run;
     task->live = run;
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -49,7 +49,7 @@
     DocumentQueue *queue = &document->queues[document->queue_count++];
     const uint64_t number = self->idle++;
     *queue = (DocumentQueue){
-        .kind = "std", .timeout_ms = 2000, .target_ms = 1000, .priority = 1, .rounds = 2, .stretch_percent = 150};
+        .kind = "std", .timeout_ms = 2000, .target_ms = 1000, .priority = 1, .attempts = 2, .stretch_percent = 150};
     snprintf(queue->name, sizeof(queue->name), "idle%" PRIu64, number);
     snprintf(queue->host, sizeof(queue->host), "idle.example");
     snprintf(queue->prefix, sizeof(queue->prefix), "/idle%" PRIu64 "/", number);
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -40,7 +40,7 @@
     rebuild->mem_mb = 21000;
     rebuild->target_ms = 2000;
     rebuild->stretch_percent = 220;
-    rebuild->rounds = 4;
+    rebuild->attempts = 4;
     rebuild->gang_percent = 30;
     rebuild->saves_percent = 50;
     rebuild->needs_percent = 20;
@@ -67,7 +67,7 @@
     check->mem_mb = 6600;
     check->target_ms = 1200;
     check->priority = 0;
-    check->rounds = 2;
+    check->attempts = 2;
     check->fail_milli = 20;
     check->gang_percent = 15;
     check->turns_percent = 2;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -17,11 +17,11 @@
     bool touch; /* its sender is in touch */
 } Start;
 
-#define BROKE(start, rule, format, ...)                                                                               \
-    rules_broke((start)->ground->rules, rule, ground_day_ms((start)->ground),                                         \
-                "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64 " round %" PRIu64 " on %s: " format, (start)->order->name.job,  \
-                (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at, (start)->order->round, \
-                (start)->hand->boot, __VA_ARGS__)
+#define BROKE(start, rule, format, ...)                                                                              \
+    rules_broke((start)->ground->rules, rule, ground_day_ms((start)->ground),                                        \
+                "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64 " round %" PRIu64 " on %s: " format, (start)->order->name.job, \
+                (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at,                       \
+                (start)->order->attempt, (start)->hand->boot, __VA_ARGS__)
 
 static void room_check(const Start *start)
 {
@@ -38,13 +38,13 @@
     const bool copies = start->job->draft.copies;
     const HandRun *live = start->task->live;
     if (live != NULL && !copies)
-        BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->round, live->hand->boot);
+        BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->attempt, live->hand->boot);
     if (start->job->draft.lasting || !fate->done)
         return;
     if (!copies && fate->noted_ms != 0)
         BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->done_ms);
     else if (!copies)
-        fate->again_round = start->order->round;
+        fate->again_attempt = start->order->attempt;
     const bool late = (fate->noted_ms != 0 && start->now_ms - fate->noted_ms > NOTED_LATE_MS) ||
                       (start->job->shown == JOB_WORD_DONE && start->now_ms - start->job->shown_ms > NOTED_LATE_MS);
     if (copies && start->touch && late)
@@ -87,14 +87,14 @@
 static void budget_check(const Start *start)
 {
     Fate *fate = start->task->fate;
-    const size_t rounds = (size_t)start->job->kind->rounds, noted = book_fails_noted(fate, start->order->round);
-    if (start->job->draft.lasting || fate->fails < rounds)
+    const size_t attempts = (size_t)start->job->kind->attempts, noted = book_fails_noted(fate, start->order->attempt);
+    if (start->job->draft.lasting || fate->fails < attempts)
         return;
     const bool late = start->touch && start->now_ms - fate->fails_noted_ms > NOTED_LATE_MS;
-    if (noted >= rounds && (late || !start->job->draft.copies))
+    if (noted >= attempts && (late || !start->job->draft.copies))
         BROKE(start, RULE_BUDGET, "%zu rounds have failed", noted);
     else if (!start->job->draft.copies)
-        fate->beyond_round = start->order->round;
+        fate->beyond_attempt = start->order->attempt;
 }
 
 static void asked_check(const Start *start)
@@ -108,7 +108,7 @@
         BROKE(start, RULE_UNASKED, "'%.20s' is not what it saved", start->order->saved);
     for (size_t i = 0; start->step->gang && i < start->job->task_count; i++)
         for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->next_live)
-            if (start->job->tasks[i].fate == start->task->fate && run->round == start->order->round &&
+            if (start->job->tasks[i].fate == start->task->fate && run->attempt == start->order->attempt &&
                 run->crew != NULL && run->crew->from_ms != (progress_ms > 0 ? progress_ms : 0))
                 BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progress_ms,
                       run->crew->from_ms);
@@ -159,37 +159,37 @@
 void end_noted(Hand *hand, const HandEnd *end)
 {
     Ground *ground = hand->hands->ground;
-    ground_tell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.round,
-                round_word(end->told.word), hand->boot, end->lapsed_since ? ", its hold was over" : "");
+    ground_tell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.attempt,
+                attempt_word(end->told.word), hand->boot, end->lapsed_since ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsed_since)
         return;
     BookJob *job = end->task->job;
     Fate *fate = end->task->fate;
-    const HandStart order = {.name = end->told.name, .round = end->told.round};
+    const HandStart order = {.name = end->told.name, .attempt = end->told.attempt};
     const Start start = {.hand = hand, .order = &order, .ground = ground};
     const int64_t now_ms = ground_now_ms(ground);
-    if (end->told.word == ROUND_DONE) {
-        if (end->told.round < fate->again_round && !job->draft.lasting)
+    if (end->told.word == ATTEMPT_DONE) {
+        if (end->told.attempt < fate->again_attempt && !job->draft.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
-                  fate->again_round);
+                  fate->again_attempt);
         if (fate->noted_ms == 0)
             fate->noted_ms = now_ms;
     }
-    for (size_t i = 0; i < fate->fails && end->told.word == ROUND_FAILED; i++)
-        if (fate->failed[i] == end->told.round && !fate->fail_noted[i]) {
+    for (size_t i = 0; i < fate->fails && end->told.word == ATTEMPT_FAILED; i++)
+        if (fate->failed[i] == end->told.attempt && !fate->fail_noted[i]) {
             fate->fail_noted[i] = true;
             fate->fails_noted_ms = now_ms;
-            if (end->told.round < fate->beyond_round && !job->draft.lasting &&
-                book_fails_noted(fate, fate->beyond_round) == (size_t)job->kind->rounds)
+            if (end->told.attempt < fate->beyond_attempt && !job->draft.lasting &&
+                book_fails_noted(fate, fate->beyond_attempt) == (size_t)job->kind->attempts)
                 BROKE(&start, RULE_BUDGET, "this end is noted now, round %" PRIu64 " was started after it",
-                      fate->beyond_round);
+                      fate->beyond_attempt);
         }
 }
 
 void alone_check(const HandRun *run)
 {
     Ground *ground = run->hand->hands->ground;
-    const HandStart order = {.name = run->task->name, .round = run->round};
+    const HandStart order = {.name = run->task->name, .attempt = run->attempt};
     const Start start = {.hand = run->hand, .order = &order, .ground = ground};
     if (run->task->job->cancel_sent_ms == 0 && ground_calm(ground) && node_in_touch(run->hand->side))
         BROKE(&start, RULE_GANG, "the others of %" PRIu64 " did not come", run->crew->needed);
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -1,6 +1,6 @@
 /* How long a look at the r-loss plan takes: paired, in ratio to a first size.
  *
- *     spancart-plan-bench [ROUNDS] */
+ *     spancart-plan-bench [ATTEMPTS] */
 #include <stdio.h>
 #include <stdlib.h>
 #include <talloc.h>
@@ -15,7 +15,7 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static double look(size_t workers, size_t tasks, uint64_t r, int rounds)
+static double look(size_t workers, size_t tasks, uint64_t r, int attempts)
 {
     void *mem = talloc_new(NULL);
     PlanInput input = {talloc_zero_array(mem, PlanWorker, (unsigned)workers),
@@ -38,9 +38,9 @@
     }
     const double start = seconds();
     bool possible = true;
-    for (int i = 0; i < rounds; i++)
+    for (int i = 0; i < attempts; i++)
         possible &= plan_always_possible(&input, NULL);
-    const double each = (seconds() - start) / rounds;
+    const double each = (seconds() - start) / attempts;
     printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)r, each * 1000,
            possible ? "holds" : "fails");
     talloc_free(mem);
@@ -49,11 +49,11 @@
 
 int main(int argc, char **argv)
 {
-    const int rounds = argc > 1 ? atoi(argv[1]) : 20;
-    const double base = look(11, 220, 1, rounds * 10);
-    look(11, 220, 2, rounds);
-    const double tenfold = look(110, 2200, 1, rounds);
-    look(110, 2200, 2, rounds);
+    const int attempts = argc > 1 ? atoi(argv[1]) : 20;
+    const double base = look(11, 220, 1, attempts * 10);
+    look(11, 220, 2, attempts);
+    const double tenfold = look(110, 2200, 1, attempts);
+    look(110, 2200, 2, attempts);
     printf("ten times the workers and tasks, r=1: ratio %.0f\n", tenfold / base);
     return 0;
 }
--- a/packages/queue/include/queue/guess.h
+++ b/packages/queue/include/queue/guess.h
@@ -3,7 +3,7 @@
 
 #include "table/table.h"
 
-/* What rounds that ended well have shown: how far a queue's estimates are off,
+/* What attempts that ended well have shown: how far a queue's estimates are off,
  * step by step, and how fast each worker is. In the leader's memory alone: a new
  * leader begins with the callers' words.
  *
@@ -12,7 +12,7 @@
 typedef struct Estimates Estimates;
 
 Estimates *estimates_new(void *mem);
-/* A round did the whole of a task's work in took_ms. far_percent: what its place
+/* An attempt did the whole of a task's work in took_ms. far_percent: what its place
  * made of that; 100: it was near its data. */
 void estimates_end(Estimates *estimates, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
                    uint64_t far_percent, int64_t now_ms);
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/aims.c
@@ -254,11 +254,11 @@
     const uint64_t all[] = {0, 1, 2};
     place(&board, "g", all, 3, 1, "w1", "");
     for (uint64_t i = 0; i < 3; i++)
-        say(&board, "g", i, 1, "w1", ROUND_RUNNING, "");
-    say(&board, "g", 1, 1, "w1", ROUND_FAILED, "");
+        say(&board, "g", i, 1, "w1", ATTEMPT_RUNNING, "");
+    say(&board, "g", 1, 1, "w1", ATTEMPT_FAILED, "");
     assert_string_equal(order_of(&board, 100000), ""); /* the others are still being stopped */
-    say(&board, "g", 0, 1, "w1", ROUND_STOPPED, "");
-    say(&board, "g", 2, 1, "w1", ROUND_STOPPED, "");
+    say(&board, "g", 0, 1, "w1", ATTEMPT_STOPPED, "");
+    say(&board, "g", 2, 1, "w1", ATTEMPT_STOPPED, "");
     assert_string_equal(order_of(&board, 1000), ""); /* the failed one rests */
     assert_string_equal(order_of(&board, 100000), "g");
     talloc_free(board.table);
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -76,15 +76,15 @@
 /* The process that leads or led has ended. */
 void checker_leader_gone(Checker *checker, const char *leader);
 void checker_worker(Checker *checker, const Worker *worker);
-void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round, Room room);
-/* The round that is about to start goes on from what was saved: the stand-ins word it
+void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
+/* The attempt that is about to start goes on from what was saved: the stand-ins word it
  * "TASK@MS of JOB". */
-void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      const char *saved);
-void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
-                   RoundWord word);
-void checker_known(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
-                   RoundWord word);
+void checker_ended(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                   AttemptWord word);
+void checker_known(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                   AttemptWord word);
 /* The worker's process is gone: nothing runs there any more. */
 void checker_worker_gone(Checker *checker, const char *worker);
 /* It has just begun to run again after standing still. */
@@ -95,8 +95,8 @@
 void checker_booted(Checker *checker, const char *worker);
 /* The worker holds a claim on all it runs until then, on the one clock. */
 void checker_held(Checker *checker, const char *worker, int64_t until_ms);
-/* The worker has been told to stop the round. */
-void checker_told(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round);
+/* The worker has been told to stop the attempt. */
+void checker_told(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 /* A failure is brought about, or mended, just now. */
 void checker_fault(Checker *checker);
 /* An entry point has served something; what it must have served by now, 12 s
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -61,7 +61,7 @@
 }
 
 void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
-                 uint64_t round, bool copies)
+                 uint64_t attempt, bool copies)
 {
     const int64_t now_ms = checker_now(checker);
     for (SeenClaim **at = &task->claims; *at != NULL;) {
@@ -72,12 +72,12 @@
             checker_broke(checker, NEVER_EARLY_RESTART,
                           "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
                           " ms before %s's claim of round %" PRIu64 " lapses",
-                          job->id, number, round, worker, until_ms - now_ms, claim->worker, claim->round);
+                          job->id, number, attempt, worker, until_ms - now_ms, claim->worker, claim->attempt);
         *at = claim->next;
         talloc_free(claim);
     }
     SeenClaim *mine = talloc_zero(task, SeenClaim);
-    *mine = (SeenClaim){NULL, worker, round, 0};
+    *mine = (SeenClaim){NULL, worker, attempt, 0};
     task->claims = mine;
 }
 
@@ -87,10 +87,10 @@
     worker->claim_until_ms = 0;
 }
 
-void claim_end(SeenTask *task, const char *worker, uint64_t round)
+void claim_end(SeenTask *task, const char *worker, uint64_t attempt)
 {
     for (SeenClaim **at = &task->claims; *at != NULL; at = &(*at)->next)
-        if ((*at)->round == round && (*at)->worker == worker) {
+        if ((*at)->attempt == attempt && (*at)->worker == worker) {
             SeenClaim *claim = *at;
             *at = claim->next;
             talloc_free(claim);
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -156,11 +156,11 @@
     return checker_now(checker) - seen_worker(checker, worker)->started_ms;
 }
 
-bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t round)
+bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t attempt)
 {
     for (SeenRun **at = &seen->runs; *at != NULL; at = &(*at)->next) {
         SeenRun *run = *at;
-        if (run->round != round || run->worker != on->worker.name)
+        if (run->attempt != attempt || run->worker != on->worker.name)
             continue;
         *at = run->next;
         on->used = room_less(on->used, run->room);
@@ -170,20 +170,22 @@
     return false;
 }
 
-void checker_ended(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
+void checker_ended(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
+                   AttemptWord word)
 {
     SeenTask *seen = seen_task(seen_job(checker, id), task);
-    seen_run_take(seen_worker(checker, worker), seen, round);
-    claim_end(seen, seen_worker(checker, worker)->worker.name, round);
-    if (word == ROUND_DONE)
+    seen_run_take(seen_worker(checker, worker), seen, attempt);
+    claim_end(seen, seen_worker(checker, worker)->worker.name, attempt);
+    if (word == ATTEMPT_DONE)
         seen->done = true;
 }
 
-void checker_known(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, RoundWord word)
+void checker_known(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
+                   AttemptWord word)
 {
     (void)worker;
-    (void)round;
-    if (word == ROUND_DONE)
+    (void)attempt;
+    if (word == ATTEMPT_DONE)
         seen_task(seen_job(checker, id), task)->done_known = true;
 }
 
@@ -246,7 +248,7 @@
 static void run_gone(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)job;
-    seen_run_take(seen_worker(checker, run->worker), task, run->round);
+    seen_run_take(seen_worker(checker, run->worker), task, run->attempt);
 }
 
 void checker_worker_gone(Checker *checker, const char *worker)
@@ -260,7 +262,7 @@
     (void)task;
     if (run->beside_frozen)
         checker_broke(checker, NEVER_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
-                      run->round, run->worker);
+                      run->attempt, run->worker);
 }
 
 void checker_worker_woke(Checker *checker, const char *worker)
@@ -290,11 +292,11 @@
         job->sent_ms = checker_now(checker);
 }
 
-void checker_told(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round)
+void checker_told(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt)
 {
     const SeenWorker *on = seen_worker(checker, worker);
     for (SeenRun *run = seen_task(seen_job(checker, id), task)->runs; run != NULL; run = run->next)
-        if (run->worker == on->worker.name && run->round == round && run->told_ms == 0)
+        if (run->worker == on->worker.name && run->attempt == attempt && run->told_ms == 0)
             run->told_ms = checker_now(checker);
 }
 
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -25,7 +25,7 @@
 typedef struct SeenRun {
     struct SeenRun *next;
     const char *worker;
-    uint64_t round;
+    uint64_t attempt;
     Room room;
     int64_t told_ms;    /* the worker was told to stop it; 0: not */
     bool beside_frozen; /* another began while this one's machine stood still */
@@ -36,7 +36,7 @@
 typedef struct SeenClaim {
     struct SeenClaim *next;
     const char *worker;
-    uint64_t round;
+    uint64_t attempt;
     int64_t until_ms; /* the worker's process has gone: its claim as it was then; 0: as the worker's */
 } SeenClaim;
 
@@ -116,13 +116,13 @@
 SeenWorker *seen_worker(Checker *checker, const char *name);
 SeenTenant *seen_tenant(Checker *checker, const char *name);
 /* The worker's round of the task runs no more. */
-bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t round);
+bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t attempt);
 /* A start beside claims of other workers; the new claim. */
 void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
-                 uint64_t round, bool copies);
+                 uint64_t attempt, bool copies);
 /* The worker's process is gone: a later one of its name has claims of its own. */
 void claim_gone(Checker *checker, SeenWorker *worker);
-void claim_end(SeenTask *task, const char *worker, uint64_t round);
+void claim_end(SeenTask *task, const char *worker, uint64_t attempt);
 /* A start of so much by the job's tenant. */
 void quota_start(Checker *checker, const Job *job, Room room);
 /* A span from the later of when something was asked and when the last failure
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -47,17 +47,17 @@
                       on->kind);
 }
 
-void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t round,
+void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      const char *saved)
 {
     checker->resumes++;
     const char *of = strstr(saved, " of ");
     if (strtoull(saved, NULL, 10) != task || of == NULL || strcmp(of + 4, job) != 0)
         checker_broke(checker, NEVER_STRANGE_SAVED, "%s task %" PRIu64 " round %" PRIu64 " on %s goes on from %s", job,
-                      task, round, worker, saved);
+                      task, attempt, worker, saved);
 }
 
-void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t round, Room room)
+void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt, Room room)
 {
     const int64_t now_ms = checker_now(checker);
     SeenJob *job = seen_job(checker, id);
@@ -76,15 +76,15 @@
             run->beside_frozen = true; /* it must be over once its machine runs again */
         else if (!copies)
             checker_broke(checker, NEVER_TWICE,
-                          "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task, round,
-                          worker, run->round, run->worker);
+                          "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task,
+                          attempt, worker, run->attempt, run->worker);
     }
     const size_t at = known != NULL ? task_index(known, task) : 0;
     const bool finished =
         !job->lasting &&
         (known == NULL || at == known->tasks_count ? seen->done_known : seen_done_known(known, job, at));
     if (finished || job->ended)
-        checker_broke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, round,
+        checker_broke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, attempt,
                       worker);
     if (job->refused)
         checker_broke(checker, NEVER_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
@@ -103,14 +103,14 @@
         checker_broke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
                       on->used.cpu_milli, on->used.mem_mb);
     spec_start(checker, job, worker, task);
-    claim_start(checker, job, seen, task, on->worker.name, round, copies);
+    claim_start(checker, job, seen, task, on->worker.name, attempt, copies);
     if (known != NULL)
         quota_start(checker, known, room);
     if (checker->started_ms == 0)
         checker->started_ms = now_ms;
     SeenRun *run = talloc_zero(seen, SeenRun);
     run->worker = on->worker.name;
-    run->round = round;
+    run->attempt = attempt;
     run->room = room;
     run->next = seen->runs;
     seen->runs = run;
--- a/packages/sim/src/fleetask.c
+++ b/packages/sim/src/fleetask.c
@@ -51,9 +51,9 @@
 
 bool fleet_configure(Fleet *fleet)
 {
-    for (int round = 0; round < 40; round++) {
+    for (int attempt = 0; attempt < 40; attempt++) {
         void *mem = talloc_new(NULL);
-        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, round % fleet->node_count[FLEET_ENTRY_POINT],
+        const HttpCall call = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, attempt % fleet->node_count[FLEET_ENTRY_POINT],
                                         "PUT", "/v1/config?base=0", mix_config(fleet->shape.mix));
         const int code = call.code;
         talloc_free(mem);
--- a/packages/sim/src/fleetwatch.c
+++ b/packages/sim/src/fleetwatch.c
@@ -6,19 +6,19 @@
     checker_plans(((FleetNode *)arg)->fleet->checker, name, term);
 }
 
-static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room)
 {
-    checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, round, room);
+    checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, room);
 }
 
-static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
-    checker_ended(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
+    checker_ended(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
 }
 
-static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
-    checker_known(((FleetNode *)arg)->fleet->checker, worker, job, task, round, word);
+    checker_known(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, word);
 }
 
 static void on_booted(void *arg, const char *worker)
@@ -32,14 +32,15 @@
     checker_held(node->fleet->checker, worker, sim_now_ms(node->fleet->world) + left_ms);
 }
 
-static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
+static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                       const char *saved)
 {
-    checker_resumed(((FleetNode *)arg)->fleet->checker, worker, job, task, round, saved);
+    checker_resumed(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, saved);
 }
 
-static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
+static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
 {
-    checker_told(((FleetNode *)arg)->fleet->checker, worker, job, task, round);
+    checker_told(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt);
 }
 
 static void on_sent(void *arg, const char *id)
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -228,7 +228,7 @@
             printf("open: %s accepted %" PRId64 " %s\n", jobs[i]->id, jobs[i]->accepted_ms, job ? "" : "not known");
             for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
                 printf("  task %zu %s round %" PRIu64 " on %s: %s\n", t, task_phase_word(job->tasks[t].phase),
-                       job->tasks[t].round, job->tasks[t].worker, job->tasks[t].text);
+                       job->tasks[t].attempt, job->tasks[t].worker, job->tasks[t].text);
         }
     }
 }
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -113,8 +113,8 @@
     checker_started(c, "w2", "j", 0, 2, ONE), good(c);
     stands_still = false, checker_worker_woke(c, "w1"), only(c, NEVER_TWICE);
 
-    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ROUND_DONE);
-    checker_known(c, "w1", "j", 0, 1, ROUND_DONE), good(c);
+    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
+    checker_known(c, "w1", "j", 0, 1, ATTEMPT_DONE), good(c);
     checker_started(c, "w2", "j", 0, 2, ONE), only(c, NEVER_AFTER_FINISH);
 
     c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, NEVER_FORGOTTEN);
@@ -123,9 +123,9 @@
 
     /* one end of a gang stands for all of it; of other tasks for itself alone */
     c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE),
-    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE);
+    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_started(c, "w1", "j", FIRST, 1, ONE), checker_started(c, "w2", "j", SECOND, 1, ONE);
-    checker_ended(c, "w1", "j", FIRST, 1, ROUND_DONE), checker_ended(c, "w2", "j", SECOND, 1, ROUND_STOPPED);
+    checker_ended(c, "w1", "j", FIRST, 1, ATTEMPT_DONE), checker_ended(c, "w2", "j", SECOND, 1, ATTEMPT_STOPPED);
     checker_job_ended(c, "j", "done"), good(c);
 
     /* lasting work ends by a cancel alone */
@@ -175,7 +175,7 @@
     checker_worker_gone(c, "w1");
     now_ms += 2900, checker_started(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE);
-    checker_ended(c, "w1", "x", 0, 1, ROUND_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
+    checker_ended(c, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
     c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
 
     /* due times and delays */
@@ -201,13 +201,13 @@
     only(c, NEVER_REFUSED_CONFIG);
     c = begin(), checker_config_both(c, 3), only(c, NEVER_CONFIG_LOST);
     c = begin(), checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
+    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
     checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, NEVER_OVER_QUOTA);
     c = begin(), checker_quota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
+    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
     checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checker_started(c, "w1", "j", SECOND, 1, ONE),
         good(c);
-    checker_ended(c, "w1", "j", SECOND, 1, ROUND_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
+    checker_ended(c, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
     only(c, NEVER_OVER_QUOTA);
 
     /* service, at each entry by itself */
@@ -228,7 +228,7 @@
     only(c, NEVER_LEAVING_GIVEN);
 
     c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ROUND_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
+    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
     now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, NEVER_GANG_SPLIT);
 
     c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -65,7 +65,7 @@
     const Job *job = fleet_job(fleet, "one");
     assert_non_null(job);
     assert_string_equal(job->spec.queue, "sweeps");
-    assert_int_equal(job->terms.round_limit, 2);
+    assert_int_equal(job->terms.attempt_limit, 2);
     assert_int_equal(job->terms.stretch_milli, 2500);
     assert_int_equal(job->terms.target_ms, 900);
     /* the same again, elsewhere, by ?host=, and under the longer prefix: one job */
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -257,7 +257,7 @@
     X(RepairList)        \
     X(JobAdd)            \
     X(PlaceList)         \
-    X(RoundList)         \
+    X(AttemptList)       \
     X(StopList)          \
     X(WorkerLost)        \
     X(ConfigSet)         \
@@ -277,12 +277,12 @@
     };
     size_t good = 0, bad = 0;
     seed_now = 5;
-    const RoundId rounds[] = {{"job-1", 7, 2}, {"job-2", 0, 1}};
+    const AttemptId attempts[] = {{"job-1", 7, 2}, {"job-2", 0, 1}};
     for (int i = 0; i < 40000; i++) {
         void *mem = talloc_new(NULL);
         Bytes packed = {0};
         const FetchAnswer answer = {
-            .term = 9, .version = 3, .timeout_ms = 2000, .wanted = (RoundId *)(uintptr_t)rounds, .wanted_count = 2};
+            .term = 9, .version = 3, .timeout_ms = 2000, .wanted = (AttemptId *)(uintptr_t)attempts, .wanted_count = 2};
         shape_pack(&FetchAnswer_shape, &answer, mem, &packed);
         if (i % 3 == 0)
             for (size_t at = 0; at < packed.count; at++)
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -112,11 +112,11 @@
     assert_int_equal(in_phase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
-        assert_int_equal(job->tasks[i].round, 1);
+        assert_int_equal(job->tasks[i].attempt, 1);
     end(fleet);
 }
 
-/* The first word of a round that a new leader hears says that it has come so far, not
+/* The first word of an attempt that a new leader hears says that it has come so far, not
  * that it has stood there since it began. */
 static void new_leader_hears(void **state)
 {
@@ -134,7 +134,7 @@
     assert_int_equal(in_phase(fleet, "a", TASK_DONE), 12);
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
-        assert_int_equal(job->tasks[i].round, 1);
+        assert_int_equal(job->tasks[i].attempt, 1);
     end(fleet);
 }
 
@@ -196,7 +196,7 @@
     assert_true(on_rack(fleet, "gang", "rack0") == 4 || on_rack(fleet, "gang", "rack1") == 4);
     const Job *gang = fleet_job(fleet, "gang");
     for (size_t i = 1; i < gang->tasks_count; i++)
-        assert_int_equal(gang->tasks[i].round, gang->tasks[0].round);
+        assert_int_equal(gang->tasks[i].attempt, gang->tasks[0].attempt);
     /* rack1 holds 24 of these at most: the others take the longer way within two seconds */
     hand(
         fleet, "more", "bulk",
@@ -258,7 +258,7 @@
     assert_int_equal(on_worker(fleet, "long", "worker1"), 0);
     const Job *job = fleet_job(fleet, "short");
     for (size_t i = 0; i < job->tasks_count; i++) {
-        assert_int_equal(job->tasks[i].round, 1);
+        assert_int_equal(job->tasks[i].attempt, 1);
         assert_int_equal(job->tasks[i].phase, TASK_DONE);
     }
     end(fleet);
--- a/packages/sim/test/replaced.c
+++ b/packages/sim/test/replaced.c
@@ -238,7 +238,7 @@
 
 /* --- one after another ---------------------------------------------------------------- */
 
-#define ROUNDS 10
+#define ATTEMPTS 10
 #define OUT_MS 1000 /* ms; from a loss until a machine, or another one, is there again */
 
 typedef enum LossKind { LOSS_WIPED, LOSS_REPLACED, LOSS_PLANNED, LOSS_KINDS } LossKind;
@@ -296,13 +296,13 @@
         controller_begin(trial, trial->next_spare++);
 }
 
-/* Each round as many are lost at once as may be, and all return before the next. */
-static void loss_rounds(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
+/* Each attempt as many are lost at once as may be, and all return before the next. */
+static void loss_attempts(uint64_t seed, FleetShape shape, const FleetSite *site, Target target, bool cut_short)
 {
     Trial trial = {.fleet = begin(seed, shape, site), .next_spare = shape.controllers};
     Fleet *fleet = trial.fleet;
-    for (int round = 0; round < ROUNDS; round++) {
-        const LossKind kind = (LossKind)((seed + (uint64_t)round) % LOSS_KINDS);
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+        const LossKind kind = (LossKind)((seed + (uint64_t)attempt) % LOSS_KINDS);
         int lost[2] = {-1, -1};
         for (int i = 0; i < site->losses && kind == LOSS_PLANNED; i++)
             controller_begin(&trial, trial.next_spare++);
@@ -328,43 +328,43 @@
     finish(fleet);
 }
 
-#define ONE_SHAPE ((FleetShape){3, 3, 2, MIX_TRENTVALE, 3 * ROUNDS})
+#define ONE_SHAPE ((FleetShape){3, 3, 2, MIX_TRENTVALE, 3 * ATTEMPTS})
 
-static void rounds_any(void **state)
+static void attempts_any(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_ANY, false);
+        loss_attempts(seed, ONE_SHAPE, &ONE_LOSS, TARGET_ANY, false);
 }
 
-static void rounds_oldest(void **state)
+static void attempts_oldest(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_OLDEST, false);
+        loss_attempts(seed, ONE_SHAPE, &ONE_LOSS, TARGET_OLDEST, false);
 }
 
-static void rounds_leader(void **state)
+static void attempts_leader(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, TARGET_LEADER, false);
+        loss_attempts(seed, ONE_SHAPE, &ONE_LOSS, TARGET_LEADER, false);
 }
 
-static void rounds_learner_lost(void **state)
+static void attempts_learner_lost(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 6; seed++)
-        loss_rounds(seed, ONE_SHAPE, &ONE_LOSS, (Target)(seed % TARGETS), true);
+        loss_attempts(seed, ONE_SHAPE, &ONE_LOSS, (Target)(seed % TARGETS), true);
 }
 
-static void rounds_two_at_once(void **state)
+static void attempts_two_at_once(void **state)
 {
     (void)state;
     const FleetSite site = {
         .zones = 3, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500};
     for (uint64_t seed = 1; seed <= 6; seed++)
-        loss_rounds(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ROUNDS}, &site, (Target)(seed % TARGETS), false);
+        loss_attempts(seed, (FleetShape){6, 3, 2, MIX_TRENTVALE, 2 * ATTEMPTS}, &site, (Target)(seed % TARGETS), false);
 }
 
 int main(void)
@@ -377,11 +377,11 @@
         cmocka_unit_test(rolled),
         cmocka_unit_test(status_tells),
         cmocka_unit_test(returns_as_learner),
-        cmocka_unit_test(rounds_any),
-        cmocka_unit_test(rounds_oldest),
-        cmocka_unit_test(rounds_leader),
-        cmocka_unit_test(rounds_learner_lost),
-        cmocka_unit_test(rounds_two_at_once),
+        cmocka_unit_test(attempts_any),
+        cmocka_unit_test(attempts_oldest),
+        cmocka_unit_test(attempts_leader),
+        cmocka_unit_test(attempts_learner_lost),
+        cmocka_unit_test(attempts_two_at_once),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -427,14 +427,14 @@
     fleet_run(fleet, 2400);
     size_t may = 0, not = 0;
     for (size_t t = 0; t < 11; t++) {
-        may += fleet_job(fleet, "may")->tasks[t].round == 2;
-        not += fleet_job(fleet, "not")->tasks[t].round == 2;
+        may += fleet_job(fleet, "may")->tasks[t].attempt == 2;
+        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
     }
     assert_true(may > 0);
     assert_int_equal(not, 0);
     fleet_run(fleet, 3000);
     for (size_t t = 0; t < 11; t++)
-        not += fleet_job(fleet, "not")->tasks[t].round == 2;
+        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
     assert_true(not > 0);
     fleet_isolate(fleet, FLEET_AGENT, 0, false);
     fleet_run(fleet, 15000);
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -205,18 +205,18 @@
 static void races_of(uint64_t seed, const char *method_a, const char *method_b)
 {
     Fleet *fleet = begin(seed);
-    int firsts = 0, rounds = 0;
+    int firsts = 0, attempts = 0;
     for (int how = 0; how < UPSET_COUNT; how++)
-        for (int64_t after_ms = 1; after_ms <= 9; after_ms += 2, rounds++) {
+        for (int64_t after_ms = 1; after_ms <= 9; after_ms += 2, attempts++) {
             const uint64_t base = newest(fleet);
             Call pair[2];
             for (int k = 0; k < 2; k++) {
                 const char *method = k == 0 ? method_a : method_b;
-                const char *note = talloc_asprintf(fleet, "r%d-%d", rounds, k);
+                const char *note = talloc_asprintf(fleet, "r%d-%d", attempts, k);
                 pair[k] = (Call){.fleet = fleet, .base = base, .version = base + 2, .method = method};
-                pair[k].version += (uint64_t)(rounds % 2 * k); /* one number, or one each */
+                pair[k].version += (uint64_t)(attempts % 2 * k); /* one number, or one each */
                 pair[k].body = strcmp(method, "PUT") == 0 ? whole_body(fleet, note) : patch_body(fleet, note);
-                pair[k].node = rounds + 2 * k;
+                pair[k].node = attempts + 2 * k;
             }
             race_once(fleet, pair, (Upset)how, after_ms);
             const bool first = pair[0].code == 200 && pair[1].code == 409;
@@ -228,7 +228,7 @@
             for (int k = 0; k < 2; k++)
                 again_everywhere(&pair[k], pair[k].code);
         }
-    print_message("%s against %s: the first won %d of %d\n", method_a, method_b, firsts, rounds);
+    print_message("%s against %s: the first won %d of %d\n", method_a, method_b, firsts, attempts);
     if (checker_broken_all(fleet->checker) > 0)
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
@@ -258,12 +258,12 @@
 {
     (void)state;
     Fleet *fleet = begin(64);
-    for (int round = 0; round < 20; round++) {
+    for (int attempt = 0; attempt < 20; attempt++) {
         Call calls[RACERS];
         const uint64_t base = newest(fleet);
-        const bool same = round % 2 == 1;
+        const bool same = attempt % 2 == 1;
         for (int i = 0; i < RACERS; i++) {
-            const char *note = talloc_asprintf(fleet, "e%d-%d", round, same ? 0 : i);
+            const char *note = talloc_asprintf(fleet, "e%d-%d", attempt, same ? 0 : i);
             const uint64_t version = base + 5 + (same ? 0 : (uint64_t)(i % 3));
             calls[i] = (Call){.fleet = fleet, .base = base, .version = version, .node = i, .method = "PATCH"};
             calls[i].body = patch_body(fleet, note);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -1,4 +1,4 @@
-/* What a round has saved is where the next goes on, whoever was lost meanwhile. */
+/* What an attempt has saved is where the next goes on, whoever was lost meanwhile. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
