--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -54,8 +54,8 @@
         fleet_run(fleet, 100);
     const Job *job = fleet_job(fleet, "g");
     assert_int_equal(running(fleet), 2);
-    assert_int_equal(job->tasks[0].round, job->tasks[1].round);
-    const uint64_t round = job->tasks[0].round;
+    assert_int_equal(job->tasks[0].attempt, job->tasks[1].attempt);
+    const uint64_t attempt = job->tasks[0].attempt;
     const int gone = worker_number(fleet, job->tasks[0].worker);
     checker_fault(fleet->checker);
     fleet_power_off(fleet, FLEET_WORKER, gone);
@@ -72,8 +72,8 @@
     if (running(fleet) != 2)
         fail_msg("%zu of 2 run: %s, %s", running(fleet), task_phase_word(job->tasks[0].phase),
                  task_phase_word(job->tasks[1].phase));
-    assert_true(job->tasks[0].round > round);
-    assert_int_equal(job->tasks[0].round, job->tasks[1].round);
+    assert_true(job->tasks[0].attempt > attempt);
+    assert_int_equal(job->tasks[0].attempt, job->tasks[1].attempt);
     fleet_run(fleet, 30000);
     assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
     /* claims are longer than the checker's bound for them, by the lease above */
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -2,7 +2,7 @@
  * for each start. Calm: some jobs have come, all find room. Crowded: the fleet is full
  * and many wait.
  *
- *     spancart-pass-bench [ROUNDS] */
+ *     spancart-pass-bench [ATTEMPTS] */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -81,7 +81,7 @@
                          .cell = "all",
                          .tenant = "all",
                          .queue = stand->jobs % 3 == 0 ? "a" : "b",
-                         .round_limit = 3,
+                         .attempt_limit = 3,
                          .steps = &step,
                          .steps_count = 1},
                         {.stretch_milli = 2000, .target_ms = 2000, .kind = "std"}};
@@ -146,7 +146,7 @@
     return stand;
 }
 
-static void look(size_t times, size_t waiting, int rounds)
+static void look(size_t times, size_t waiting, int attempts)
 {
     void *mem = talloc_new(NULL);
     Stand stand = stand_new(mem, times);
@@ -158,7 +158,7 @@
         job_add(&stand, 4, 6000 + i % 7 * 1000);
     double passes = 0;
     size_t starts = 0;
-    for (int i = 0; i < rounds; i++) {
+    for (int i = 0; i < attempts; i++) {
         for (int k = 0; k < 2 && !crowded; k++)
             job_add(&stand, 4, 100);
         const double start = seconds();
@@ -170,7 +170,7 @@
         talloc_free(one);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", WORKERS * times, running, waiting,
-           passes * 1000 / rounds);
+           passes * 1000 / attempts);
     if (starts > 0)
         printf(", %7.4f ms a start", passes * 1000 / (double)starts);
     printf("\n");
@@ -179,10 +179,10 @@
 
 int main(int argc, char **argv)
 {
-    const int rounds = argc > 1 ? atoi(argv[1]) : 200;
+    const int attempts = argc > 1 ? atoi(argv[1]) : 200;
     for (size_t times = 1; times <= 16; times *= 4) {
-        look(times, 0, rounds);
-        look(times, 300 * times, rounds);
+        look(times, 0, attempts);
+        look(times, 300 * times, attempts);
     }
     return 0;
 }
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -19,7 +19,7 @@
     int64_t at_ms;
     size_t order;
     char what[16], who[ID_MAX + 1], job[ID_MAX + 1];
-    uint64_t task, round;
+    uint64_t task, attempt;
     char more[64];
 } Line;
 
@@ -90,19 +90,19 @@
     } else if (strcmp(line->what, "started") == 0) {
         Room room = {0};
         sscanf(line->more, "%" SCNu64 " %" SCNu64, &room.cpu_milli, &room.mem_mb);
-        checker_started(checker, line->who, line->job, line->task, line->round, room);
+        checker_started(checker, line->who, line->job, line->task, line->attempt, room);
     } else if (strcmp(line->what, "ended") == 0) {
-        checker_ended(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
+        checker_ended(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
     } else if (strcmp(line->what, "known") == 0) {
-        checker_known(checker, line->who, line->job, line->task, line->round, round_of_word(line->more));
+        checker_known(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
     } else if (strcmp(line->what, "booted") == 0) {
         checker_booted(checker, line->who);
     } else if (strcmp(line->what, "held") == 0) {
         checker_held(checker, line->who, line->at_ms + strtoll(line->more, NULL, 10));
     } else if (strcmp(line->what, "resumed") == 0) {
-        checker_resumed(checker, line->who, line->job, line->task, line->round, line->more);
+        checker_resumed(checker, line->who, line->job, line->task, line->attempt, line->more);
     } else if (strcmp(line->what, "told") == 0) {
-        checker_told(checker, line->who, line->job, line->task, line->round);
+        checker_told(checker, line->who, line->job, line->task, line->attempt);
     } else if (strcmp(line->what, "sent") == 0) {
         checker_sent(checker, line->job);
     } else if (strcmp(line->what, "gone") == 0) {
@@ -155,7 +155,7 @@
         Line *line = &lines[count];
         *line = (Line){.order = count};
         const int got = sscanf(text, "%" SCNd64 " %15s %96s %96s %" SCNu64 " %" SCNu64 " %63[^\n]", &line->at_ms,
-                               line->what, line->who, line->job, &line->task, &line->round, line->more);
+                               line->what, line->who, line->job, &line->task, &line->attempt, line->more);
         if (got < 3) {
             fprintf(stderr, "line %zu of the record can't be read\n", count + 1);
             fclose(file);
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -6,25 +6,25 @@
 
 /* A stand-in for a real worker, for proof only: it speaks to its agent as any
  * worker does and "runs" tasks by letting time pass. Payload: {"run_ms": n,
- * "failRounds": n, "save_ms": n} - the first n rounds fail; what is done is saved this
+ * "failRounds": n, "save_ms": n} - the first n attempts fail; what is done is saved this
  * often, and the next round goes on from there. */
 typedef struct StandWorker StandWorker;
 
 /* Told of what really runs; for the checkers. */
 typedef struct StandWorkerWatch {
     void *arg;
-    void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room);
-    void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word);
-    /* It has heard that the end of the round is known to the leader. */
-    void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word);
+    void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
+    void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
+    /* It has heard that the end of the attempt is known to the leader. */
+    void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
     /* It asks for the first time since its start: a new boot. */
     void (*booted)(void *arg, const char *worker);
     /* It may run what it runs for so much longer: an answer to a question of its own. */
     void (*held)(void *arg, const char *worker, int64_t left_ms);
-    /* The round that starts next goes on from what was saved. */
-    void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved);
-    /* It has heard that the round is to stop. */
-    void (*told)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round);
+    /* The attempt that starts next goes on from what was saved. */
+    void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, const char *saved);
+    /* It has heard that the attempt is to stop. */
+    void (*told)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 } StandWorkerWatch;
 
 typedef struct StandWorkerSettings {
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -265,7 +265,7 @@
 
 Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix)
 {
-    for (int round = 0; round < 60; round++) {
+    for (int attempt = 0; attempt < 60; attempt++) {
         HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
         Status status = loop_call(loop, &call);
         if (status == STATUS_OK && call.code == 200) {
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -13,14 +13,14 @@
     struct Run *next;
     StandWorker *worker;
     const char *job;
-    uint64_t task, round;
+    uint64_t task, attempt;
     Room room;
     int64_t began_ms, end_ms;
     int64_t from_ms, save_ms, times; /* progress: from where it began, how often it is saved, how slow */
     char saved[ID_MAX + 48];         /* "TASK@MS of JOB"; empty: nothing */
     bool fails;
     bool ended;
-    RoundWord word;
+    AttemptWord word;
     Signal stopped;
 } Run;
 
@@ -46,11 +46,11 @@
     return talloc_asprintf(mem, "%" PRIu64 " %s", task, job);
 }
 
-static void highest_set(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
+static void highest_set(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt)
 {
     char *key = task_key(worker, job, task);
-    if ((uint64_t)(uintptr_t)map_get(worker->highest, key) < round)
-        map_set(worker->highest, key, (void *)(uintptr_t)round);
+    if ((uint64_t)(uintptr_t)map_get(worker->highest, key) < attempt)
+        map_set(worker->highest, key, (void *)(uintptr_t)attempt);
     talloc_free(key);
 }
 
@@ -65,19 +65,19 @@
         snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, done_ms, run->job);
 }
 
-static void run_end(Run *run, RoundWord word)
+static void run_end(Run *run, AttemptWord word)
 {
     if (run->ended)
         return;
     StandWorker *worker = run->worker;
     if (run->save_ms > 0)
-        run_save(run, word == ROUND_STOPPED);
-    highest_set(worker, run->job, run->task, run->round);
+        run_save(run, word == ATTEMPT_STOPPED);
+    highest_set(worker, run->job, run->task, run->attempt);
     run->ended = true;
     run->word = word;
     if (worker->settings.watch.ended != NULL)
         worker->settings.watch.ended(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                     run->round, word);
+                                     run->attempt, word);
     signal_raise(worker->loop, &run->stopped);
     /* never two questions at once: the one that waits is given up for a new one */
     if (worker->asking != NULL)
@@ -90,7 +90,7 @@
     if (loop_now_ms(worker->loop) < worker->until_ms)
         return false;
     for (Run *run = worker->runs; run != NULL; run = run->next)
-        run_end(run, ROUND_LAPSED);
+        run_end(run, ATTEMPT_LAPSED);
     return true;
 }
 
@@ -104,7 +104,7 @@
         if (run->ended || lease_over(worker))
             break;
         if (loop_now_ms(worker->loop) >= run->end_ms)
-            run_end(run, run->fails ? ROUND_FAILED : ROUND_DONE);
+            run_end(run, run->fails ? ATTEMPT_FAILED : ATTEMPT_DONE);
     }
 }
 
@@ -115,10 +115,10 @@
     return whole_ms <= 0 || ran_ms >= whole_ms ? 100 : (int64_t)((double)ran_ms * 100 / (double)whole_ms);
 }
 
-static Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t round)
+static Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt)
 {
     for (Run *run = worker->runs; run != NULL; run = run->next)
-        if (run->round == round && run->task == task && strcmp(run->job, job) == 0)
+        if (run->attempt == attempt && run->task == task && strcmp(run->job, job) == 0)
             return run;
     return NULL;
 }
@@ -141,9 +141,9 @@
 {
     const int64_t now_ms = loop_now_ms(worker->loop);
     const char *job = text_of(start, "job");
-    const uint64_t task = (uint64_t)int_of(start, "task", 0), round = (uint64_t)int_of(start, "round", 0);
+    const uint64_t task = (uint64_t)int_of(start, "task", 0), attempt = (uint64_t)int_of(start, "round", 0);
     if (now_ms >= sent_ms + int_of(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
-        run_find(worker, job, task, round) != NULL)
+        run_find(worker, job, task, attempt) != NULL)
         return;
     void *mem = talloc_new(worker);
     const uint64_t highest = (uint64_t)(uintptr_t)map_get(worker->highest, task_key(mem, job, task));
@@ -155,7 +155,7 @@
     run->worker = worker;
     run->job = talloc_strdup(run, job);
     run->task = task;
-    run->round = round;
+    run->attempt = attempt;
     json_object *cpu = NULL;
     json_object_object_get_ex(room, "cpu", &cpu);
     run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)int_of(room, "memMb", 0),
@@ -169,20 +169,20 @@
     run->end_ms = now_ms + (int_of(payload, "runMs", 1000) - run->from_ms) * run->times;
     if (worker->settings.hangs)
         run->end_ms = INT64_MAX / 2;
-    run->fails = worker->settings.fails_all || (int64_t)round <= int_of(payload, "failRounds", 0);
+    run->fails = worker->settings.fails_all || (int64_t)attempt <= int_of(payload, "failRounds", 0);
     run->next = worker->runs;
     worker->runs = run;
-    if (round <= highest) { /* it is not above one that was here: turned away */
+    if (attempt <= highest) { /* it is not above one that was here: turned away */
         run->ended = true;
-        run->word = ROUND_REFUSED;
+        run->word = ATTEMPT_REFUSED;
         return;
     }
     if (run->saved[0] != '\0' && worker->settings.watch.resumed != NULL)
         worker->settings.watch.resumed(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                       run->round, run->saved);
+                                       run->attempt, run->saved);
     if (worker->settings.watch.started != NULL)
         worker->settings.watch.started(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                       run->round, run->room);
+                                       run->attempt, run->room);
     loop_spawn(worker->loop, "run", run_main, run);
 }
 
@@ -210,7 +210,7 @@
                 continue;
             if (worker->settings.watch.known != NULL)
                 worker->settings.watch.known(worker->settings.watch.arg, worker->settings.worker.name, run->job,
-                                             run->task, run->round, run->word);
+                                             run->task, run->attempt, run->word);
             for (Run **at = &worker->runs; *at != NULL; at = &(*at)->next)
                 if (*at == run) {
                     *at = run->next;
@@ -230,8 +230,8 @@
                 continue;
             if (worker->settings.watch.told != NULL)
                 worker->settings.watch.told(worker->settings.watch.arg, worker->settings.worker.name, run->job,
-                                            run->task, run->round);
-            run_end(run, ROUND_STOPPED);
+                                            run->task, run->attempt);
+            run_end(run, ATTEMPT_STOPPED);
         }
     /* also while it leaves: that nothing comes then is what is to be shown */
     if (json_object_object_get_ex(body, "starts", &list))
@@ -270,13 +270,13 @@
             run_save(run, false);
         json_object_object_add(one, "job", json_object_new_string(run->job));
         json_object_object_add(one, "task", json_object_new_int64((int64_t)run->task));
-        json_object_object_add(one, "round", json_object_new_int64((int64_t)run->round));
+        json_object_object_add(one, "round", json_object_new_int64((int64_t)run->attempt));
         if (run->saved[0] != '\0')
             json_object_object_add(one, "saved", json_object_new_string(run->saved));
         if (!run->ended)
             json_object_object_add(one, "percent", json_object_new_int64(percent_of(run)));
         if (run->ended)
-            json_object_object_add(one, "word", json_object_new_string(round_word(run->word)));
+            json_object_object_add(one, "word", json_object_new_string(attempt_word(run->word)));
         json_object_array_add(run->ended ? ended : running, one);
     }
     json_object_object_add(body, "running", running);
--- a/packages/table/include/table/change.h
+++ b/packages/table/include/table/change.h
@@ -5,19 +5,19 @@
 
 /* Every change of the state. Numbers are part of the journal's format. Each may
  * be told twice without harm: what it names has an identity of its own. */
-#define CHANGE_LIST(X)                                                    \
-    X(JOB_ADD, 16, JobAdd)                                                \
-    X(JOB_CANCEL, 17, JobCancel)                                          \
-    X(PLACE, 18, PlaceList)                                               \
-    X(ROUNDS, 19, RoundList) /* what agents tell */                       \
-    X(STOP, 20, StopList)    /* rounds to be stopped and planned again */ \
-    X(WORKER_SET, 21, Worker)                                             \
-    X(WORKER_LOST, 22, WorkerLost)                                        \
-    X(WORKER_LEFT, 23, WorkerLeft)                                        \
-    X(CONFIG_SET, 24, ConfigSet)                                          \
-    X(ZONE_DRAIN, 25, ZoneDrain)                                          \
-    X(FORGET, 26, Forget)   /* ended jobs older than the stated span */   \
-    X(ASSURE, 27, StopList) /* rounds that a plan now includes */         \
+#define CHANGE_LIST(X)                                                          \
+    X(JOB_ADD, 16, JobAdd)                                                      \
+    X(JOB_CANCEL, 17, JobCancel)                                                \
+    X(PLACE, 18, PlaceList)                                                     \
+    X(ATTEMPTS, 19, AttemptList) /* what agents tell */                         \
+    X(STOP, 20, StopList)        /* attempts to be stopped and planned again */ \
+    X(WORKER_SET, 21, Worker)                                                   \
+    X(WORKER_LOST, 22, WorkerLost)                                              \
+    X(WORKER_LEFT, 23, WorkerLeft)                                              \
+    X(CONFIG_SET, 24, ConfigSet)                                                \
+    X(ZONE_DRAIN, 25, ZoneDrain)                                                \
+    X(FORGET, 26, Forget)   /* ended jobs older than the stated span */         \
+    X(ASSURE, 27, StopList) /* attempts that a plan now includes */             \
     X(JOB_END, 28, JobEnd)  /* told again: a caller was shown that it ended */
 
 typedef enum ChangeKind {
@@ -42,27 +42,27 @@
 #define PLACEMENT_FIELDS(X) \
     X(TXT, job, 0)          \
     X(U64, task, 0)         \
-    X(U64, round, 0)        \
+    X(U64, attempt, 0)      \
     X(TXT, worker, 0)       \
     X(U64, incarnation, 0)  \
     X(FLAG, assured, 0)     \
-    X(TXT, saved, 0) /* from where the round goes on */
+    X(TXT, saved, 0) /* from where the attempt goes on */
 SHAPE(Placement, PLACEMENT_FIELDS)
 
 #define PLACE_LIST_FIELDS(X) X(LST, placements, Placement)
 SHAPE(PlaceList, PLACE_LIST_FIELDS)
 
-#define ROUND_LIST_FIELDS(X) X(LST, news, RoundNews)
-SHAPE(RoundList, ROUND_LIST_FIELDS)
+#define ATTEMPT_LIST_FIELDS(X) X(LST, news, AttemptNews)
+SHAPE(AttemptList, ATTEMPT_LIST_FIELDS)
 
-#define ROUND_ID_FIELDS(X) \
-    X(TXT, job, 0)         \
-    X(U64, task, 0)        \
-    X(U64, round, 0)
-SHAPE(RoundId, ROUND_ID_FIELDS)
+#define ATTEMPT_ID_FIELDS(X) \
+    X(TXT, job, 0)           \
+    X(U64, task, 0)          \
+    X(U64, attempt, 0)
+SHAPE(AttemptId, ATTEMPT_ID_FIELDS)
 
-#define STOP_LIST_FIELDS(X) \
-    X(LST, rounds, RoundId) \
+#define STOP_LIST_FIELDS(X)     \
+    X(LST, attempts, AttemptId) \
     X(TXT, why, 0)
 SHAPE(StopList, STOP_LIST_FIELDS)
 
--- a/packages/table/include/table/job.h
+++ b/packages/table/include/table/job.h
@@ -24,8 +24,8 @@
     X(U64, apart, 0)      /* at most so many of its tasks on one worker; 0: any */      \
     X(FLAG, same_rack, 0) /* faster when all its tasks are in one rack */               \
     X(TXT, near, 0)       /* the rack that holds its data; empty: none */               \
-    X(FLAG, saves, 0)     /* what a round has done so far is kept for the next */       \
-    X(FLAG, copies, 0)    /* two rounds of a task at once are allowed */
+    X(FLAG, saves, 0)     /* what an attempt has done so far is kept for the next */    \
+    X(FLAG, copies, 0)    /* two attempts of a task at once are allowed */
 SHAPE(StepSpec, STEP_SPEC_FIELDS)
 
 #define PROTECTION_LIST(X)        \
@@ -41,21 +41,21 @@
 
 /* What the caller handed in. It never changes; two are the same job exactly
  * when their ids are the same, and the same body when all of this is equal. */
-#define JOB_SPEC_FIELDS(X)                                                                                   \
-    X(TXT, id, 0)                                                                                            \
-    X(TXT, cell, 0)                                                                                          \
-    X(TXT, tenant, 0)                                                                                        \
-    X(TXT, queue, 0)                                                                                         \
-    X(I64, priority, 0)                                                                                      \
-    X(U64, protection, 0)                                                                                    \
-    X(FLAG, copies, 0)     /* the owner allows two at once */                                                \
-    X(I64, due_wall_ms, 0) /* not before; 0: none */                                                         \
-    X(I64, delay_ms, 0)    /* not before so long after acceptance */                                         \
-    X(U64, round_limit, 0) /* a task that failed so often has failed */                                      \
-    X(LST, steps, StepSpec)                                                                                  \
-    X(FLAG, lasting, 0)      /* its tasks run until it is cancelled; however a round ends, another starts */ \
-    X(U64, turns, 0)         /* all steps are done so many times; 0 is once */                               \
-    X(I64, first_wall_ms, 0) /* turn K is due at first_wall_ms + K x period_ms; 0: at once */                \
+#define JOB_SPEC_FIELDS(X)                                                                                      \
+    X(TXT, id, 0)                                                                                               \
+    X(TXT, cell, 0)                                                                                             \
+    X(TXT, tenant, 0)                                                                                           \
+    X(TXT, queue, 0)                                                                                            \
+    X(I64, priority, 0)                                                                                         \
+    X(U64, protection, 0)                                                                                       \
+    X(FLAG, copies, 0)       /* the owner allows two at once */                                                 \
+    X(I64, due_wall_ms, 0)   /* not before; 0: none */                                                          \
+    X(I64, delay_ms, 0)      /* not before so long after acceptance */                                          \
+    X(U64, attempt_limit, 0) /* a task that failed so often has failed */                                       \
+    X(LST, steps, StepSpec)                                                                                     \
+    X(FLAG, lasting, 0)      /* its tasks run until it is cancelled; however an attempt ends, another starts */ \
+    X(U64, turns, 0)         /* all steps are done so many times; 0 is once */                                  \
+    X(I64, first_wall_ms, 0) /* turn K is due at first_wall_ms + K x period_ms; 0: at once */                   \
     X(I64, period_ms, 0)
 SHAPE(JobSpec, JOB_SPEC_FIELDS)
 
@@ -81,24 +81,24 @@
 /* One unit of a job. Invariants: round grows with each placement and never
  * falls; worker is non-empty exactly when the phase is one of those on a
  * worker; an ended task never leaves its phase. */
-#define JOB_TASK_FIELDS(X)                                                                                \
-    X(U64, step, 0)                                                                                       \
-    X(U64, phase, 0)                                                                                      \
-    X(U64, round, 0)                                                                                      \
-    X(U64, misses, 0) /* rounds that failed by themselves; of a lasting task: in a row, soon */           \
-    X(U64, losses, 0) /* rounds lost with their worker */                                                 \
-    X(TXT, worker, 0)                                                                                     \
-    X(U64, incarnation, 0)   /* of the agent that the order was for */                                    \
-    X(FLAG, assured, 0)      /* a plan includes its restart */                                            \
-    X(I64, rest_until_ms, 0) /* log time; waits at least so long */                                       \
-    X(I64, changed_ms, 0)    /* log time of its last change of phase */                                   \
-    X(I64, started_ms, 0)    /* log time of the first round's start; 0: none */                           \
-    X(TXT, text, 0)          /* the worker's last word on it */                                           \
-    X(TXT, shunned, 0)       /* the worker that its last round failed on, or that refused it */           \
-    X(U64, turn, 0)          /* from 0; the tasks of one turn wait for that turn's steps alone */         \
-    X(U64, at, 0)            /* its place among its turn's and step's tasks, from 0 */                    \
-    X(TXT, saved, 0)         /* how far its rounds have come, as the worker worded it; a gang's is one */ \
-    X(U64, miss_round, 0)    /* the round that misses last counted: a gang's failure counts once */       \
+#define JOB_TASK_FIELDS(X)                                                                                  \
+    X(U64, step, 0)                                                                                         \
+    X(U64, phase, 0)                                                                                        \
+    X(U64, attempt, 0)                                                                                      \
+    X(U64, misses, 0) /* attempts that failed by themselves; of a lasting task: in a row, soon */           \
+    X(U64, losses, 0) /* attempts lost with their worker */                                                 \
+    X(TXT, worker, 0)                                                                                       \
+    X(U64, incarnation, 0)   /* of the agent that the order was for */                                      \
+    X(FLAG, assured, 0)      /* a plan includes its restart */                                              \
+    X(I64, rest_until_ms, 0) /* log time; waits at least so long */                                         \
+    X(I64, changed_ms, 0)    /* log time of its last change of phase */                                     \
+    X(I64, started_ms, 0)    /* log time of the first round's start; 0: none */                             \
+    X(TXT, text, 0)          /* the worker's last word on it */                                             \
+    X(TXT, shunned, 0)       /* the worker that its last round failed on, or that refused it */             \
+    X(U64, turn, 0)          /* from 0; the tasks of one turn wait for that turn's steps alone */           \
+    X(U64, at, 0)            /* its place among its turn's and step's tasks, from 0 */                      \
+    X(TXT, saved, 0)         /* how far its attempts have come, as the worker worded it; a gang's is one */ \
+    X(U64, miss_attempt, 0)  /* the attempt that misses last counted: a gang's failure counts once */       \
     X(RAM, on_at, size_t)    /* its place among those on its worker */
 SHAPE(JobTask, JOB_TASK_FIELDS)
 
@@ -116,11 +116,11 @@
 
 /* What its queue's configuration said when the job was accepted. It is no part of
  * the body: the same job sent again under a newer configuration is the same job. */
-#define JOB_TERMS_FIELDS(X)                                                                                \
-    X(U64, round_limit, 0)   /* failed rounds of one task, or one gang, that fail it; 0: the spec's own */ \
-    X(U64, stretch_milli, 0) /* its target: stretch x its longest chain of work ...  */                    \
-    X(I64, target_ms, 0)     /* ... + this, from acceptance or due time; both 0: none */                   \
-    X(I64, priority, 0)      /* of the queue */                                                            \
+#define JOB_TERMS_FIELDS(X)                                                                                  \
+    X(U64, attempt_limit, 0) /* failed attempts of one task, or one gang, that fail it; 0: the spec's own */ \
+    X(U64, stretch_milli, 0) /* its target: stretch x its longest chain of work ...  */                      \
+    X(I64, target_ms, 0)     /* ... + this, from acceptance or due time; both 0: none */                     \
+    X(I64, priority, 0)      /* of the queue */                                                              \
     X(TXT, kind, 0)          /* of worker that the queue is served by; empty: any */
 SHAPE(JobTerms, JOB_TERMS_FIELDS)
 
--- a/packages/table/include/table/table.h
+++ b/packages/table/include/table/table.h
@@ -43,7 +43,7 @@
 typedef void (*TableOrdersFn)(void *arg, const char *worker);
 void table_orders_watch(Table *table, TableOrdersFn fn, void *arg);
 
-/* Told of a round that is about to leave its worker without a word of the worker's
+/* Told of an attempt that is about to leave its worker without a word of the worker's
  * agent: it may still run there. Within the delivery; does not wait. */
 typedef void (*TableLeftFn)(void *arg, const Job *job, const JobTask *task);
 void table_left_watch(Table *table, TableLeftFn fn, void *arg);
--- a/packages/table/include/table/worker.h
+++ b/packages/table/include/table/worker.h
@@ -15,8 +15,8 @@
     X(FLAG, excluded, 0)
 SHAPE(Worker, WORKER_FIELDS)
 
-/* What a round came to, told by an agent. */
-#define ROUND_WORD_LIST(X)                                                    \
+/* What an attempt came to, told by an agent. */
+#define ATTEMPT_WORD_LIST(X)                                                  \
     X(RUNNING, "running")                                                     \
     X(DONE, "done")                                                           \
     X(FAILED, "failed")                                                       \
@@ -26,26 +26,26 @@
     X(LAPSED, "lapsed")   /* ... its lease was over */                        \
     X(BROKEN, "broken")   /* ... another member of its gang ended */          \
     X(ALONE, "alone")     /* ... it waited too long for the others of its gang */
-typedef enum RoundWord {
-#define X(name, word) ROUND_##name,
-    ROUND_WORD_LIST(X)
+typedef enum AttemptWord {
+#define X(name, word) ATTEMPT_##name,
+    ATTEMPT_WORD_LIST(X)
 #undef X
-        ROUND_WORD_COUNT
-} RoundWord;
+        ATTEMPT_WORD_COUNT
+} AttemptWord;
 
-const char *round_word(uint64_t word);
-RoundWord round_of_word(const char *word);
+const char *attempt_word(uint64_t word);
+AttemptWord attempt_of_word(const char *word);
 
-#define ROUND_NEWS_FIELDS(X)                                                           \
+#define ATTEMPT_NEWS_FIELDS(X)                                                         \
     X(TXT, job, 0)                                                                     \
     X(U64, task, 0)                                                                    \
-    X(U64, round, 0)                                                                   \
+    X(U64, attempt, 0)                                                                 \
     X(TXT, worker, 0)                                                                  \
     X(U64, word, 0)                                                                    \
     X(TXT, text, 0)                                                                    \
     X(TXT, saved, 0)          /* how far it had come; empty: nothing is kept */        \
     X(I64, ran_ms, 0)         /* for how long its agent knew it to run; 0: not told */ \
     X(RAM, percent, uint64_t) /* of its work, as the worker reports it; 0: not told */
-SHAPE(RoundNews, ROUND_NEWS_FIELDS)
+SHAPE(AttemptNews, ATTEMPT_NEWS_FIELDS)
 
 #endif
--- a/packages/table/src/deliverplace.c
+++ b/packages/table/src/deliverplace.c
@@ -1,4 +1,4 @@
-/* The planner's decisions: where rounds start, which stop, which a plan includes. */
+/* The planner's decisions: where attempts start, which stop, which a plan includes. */
 #include <string.h>
 
 #include "inside.h"
@@ -12,7 +12,7 @@
         return NULL;
     JobTask *task = &(*job)->tasks[at];
     /* members of a gang are given one number, above that of each */
-    return task->phase == TASK_WAITING && place->round > task->round ? task : NULL;
+    return task->phase == TASK_WAITING && place->attempt > task->attempt ? task : NULL;
 }
 
 /* How many placements from here on are of the same gang, as one: 1 for a task that is
@@ -30,7 +30,7 @@
     for (; together < count && together < left; together++) {
         Job *other;
         const JobTask *task = placeable(table, &places[together], &other);
-        if (task < gang.tasks || task >= gang.tasks + gang.count || places[together].round != places[0].round)
+        if (task < gang.tasks || task >= gang.tasks + gang.count || places[together].attempt != places[0].attempt)
             break;
         for (size_t i = 0; i < together; i++)
             if (places[i].task == places[together].task)
@@ -50,7 +50,7 @@
             JobTask *task = together > 0 ? placeable(table, place, &job) : NULL;
             if (task == NULL)
                 continue;
-            task->round = place->round;
+            task->attempt = place->attempt;
             task->incarnation = place->incarnation;
             saved_set(job, task, place->saved);
             task_turn(table, job, task, TASK_PLACED, place->worker, change->at_ms, false);
@@ -60,21 +60,21 @@
     }
 }
 
-static JobTask *round_find(Table *table, const RoundId *id, Job **job)
+static JobTask *attempt_find(Table *table, const AttemptId *id, Job **job)
 {
     *job = map_get(table->by_id, id->job);
     const size_t at = *job != NULL ? task_index(*job, id->task) : 0;
     if (*job == NULL || at == (*job)->tasks_count)
         return NULL;
     JobTask *task = &(*job)->tasks[at];
-    return task->round == id->round ? task : NULL;
+    return task->attempt == id->attempt ? task : NULL;
 }
 
 void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result)
 {
-    for (size_t i = 0; i < list->rounds_count; i++) {
+    for (size_t i = 0; i < list->attempts_count; i++) {
         Job *job;
-        JobTask *task = round_find(table, &list->rounds[i], &job);
+        JobTask *task = attempt_find(table, &list->attempts[i], &job);
         if (task == NULL || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
             continue;
         task_text(job, &task->text, list->why);
@@ -88,9 +88,9 @@
 void deliver_assure(Table *table, const Record *change, const StopList *list, ChangeResult *result)
 {
     (void)change;
-    for (size_t i = 0; i < list->rounds_count; i++) {
+    for (size_t i = 0; i < list->attempts_count; i++) {
         Job *job;
-        JobTask *task = round_find(table, &list->rounds[i], &job);
+        JobTask *task = attempt_find(table, &list->attempts[i], &job);
         if (task != NULL && task_on_worker(task->phase) && !task->assured) {
             task->assured = true;
             result->number++;
--- a/packages/table/src/deliverround.c
+++ b/packages/table/src/deliverround.c
@@ -1,18 +1,18 @@
-/* What agents tell of rounds. */
+/* What agents tell of attempts. */
 #include <string.h>
 
 #include "base/constants.h"
 #include "inside.h"
 
-/* Of a round that is not the one that the task is in: older, or of a placement that
+/* Of an attempt that is not the one that the task is in: older, or of a placement that
  * the disks forgot. */
-static void other_round(Table *table, Job *job, JobTask *task, const RoundNews *news, int64_t at_ms)
+static void other_attempt(Table *table, Job *job, JobTask *task, const AttemptNews *news, int64_t at_ms)
 {
-    if (news->round > task->round) {
-        if (task->phase != TASK_WAITING || news->round - task->round > ROUNDS_FORGOTTEN_MAX)
+    if (news->attempt > task->attempt) {
+        if (task->phase != TASK_WAITING || news->attempt - task->attempt > ATTEMPTS_FORGOTTEN_MAX)
             return;
-        task->round = news->round; /* the next is numbered above it */
-        if (news->word == ROUND_RUNNING) {
+        task->attempt = news->attempt; /* the next is numbered above it */
+        if (news->word == ATTEMPT_RUNNING) {
             /* its placement was lost with the disks; the agent that runs it tells it again */
             task_turn(table, job, task, TASK_RUNNING, news->worker, at_ms, false);
             if (job->ending != JOB_ACTIVE)
@@ -20,24 +20,24 @@
             return;
         }
     }
-    if (news->word == ROUND_FAILED && job->ending == JOB_ACTIVE) {
-        round_miss(job, task, news->round);
-        if (rounds_spent(job, task))
+    if (news->word == ATTEMPT_FAILED && job->ending == JOB_ACTIVE) {
+        attempt_miss(job, task, news->attempt);
+        if (attempts_spent(job, task))
             job_fail(table, job, task, at_ms);
         job_settle(table, job, at_ms);
     }
-    if (news->round == task->round && task->phase == TASK_WAITING)
+    if (news->attempt == task->attempt && task->phase == TASK_WAITING)
         saved_set(job, task, news->saved);
 }
 
 /* When its first round started, by the log, as far as its agent can tell. */
-static void started_set(JobTask *task, const RoundNews *news, int64_t at_ms)
+static void started_set(JobTask *task, const AttemptNews *news, int64_t at_ms)
 {
-    if (task->started_ms == 0 && (news->word == ROUND_RUNNING || news->ran_ms > 0))
+    if (task->started_ms == 0 && (news->word == ATTEMPT_RUNNING || news->ran_ms > 0))
         task->started_ms = news->ran_ms < at_ms ? at_ms - news->ran_ms : at_ms;
 }
 
-static void now_runs(Table *table, Job *job, JobTask *task, const RoundNews *news, int64_t at_ms)
+static void now_runs(Table *table, Job *job, JobTask *task, const AttemptNews *news, int64_t at_ms)
 {
     saved_set(job, task, news->saved);
     if (task->phase != TASK_PLACED)
@@ -46,46 +46,46 @@
     started_set(task, news, at_ms);
 }
 
-static void deliver_one_news(Table *table, const Record *change, const RoundNews *news)
+static void deliver_one_news(Table *table, const Record *change, const AttemptNews *news)
 {
     Job *job = map_get(table->by_id, news->job);
-    if (job == NULL && news->word == ROUND_DONE)
-        orphan_add(table, news->job, news->task, news->round, change->at_ms);
+    if (job == NULL && news->word == ATTEMPT_DONE)
+        orphan_add(table, news->job, news->task, news->attempt, change->at_ms);
     const size_t at = job != NULL ? task_index(job, news->task) : 0;
     if (job == NULL || at == job->tasks_count)
         return;
     JobTask *task = &job->tasks[at];
     if (task_ended(task->phase))
         return;
-    if (news->word == ROUND_DONE && !job->spec.lasting) {
+    if (news->word == ATTEMPT_DONE && !job->spec.lasting) {
         /* finished well is finished, in whichever round: a newer one is stopped
          * by its agent, which finds it no longer wanted */
         task_text(job, &task->text, news->text);
-        if (news->round == task->round)
+        if (news->attempt == task->attempt)
             started_set(task, news, change->at_ms);
-        round_done(table, job, task, news->round, news->worker, change->at_ms);
+        attempt_done(table, job, task, news->attempt, news->worker, change->at_ms);
         job_settle(table, job, change->at_ms);
         return;
     }
-    if (news->round != task->round || !task_on_worker(task->phase) || strcmp(news->worker, task->worker) != 0) {
-        other_round(table, job, task, news, change->at_ms);
+    if (news->attempt != task->attempt || !task_on_worker(task->phase) || strcmp(news->worker, task->worker) != 0) {
+        other_attempt(table, job, task, news, change->at_ms);
         return;
     }
-    if (news->word == ROUND_RUNNING) {
+    if (news->word == ATTEMPT_RUNNING) {
         now_runs(table, job, task, news, change->at_ms);
         return;
     }
     task_text(job, &task->text, news->text);
     /* that one is lost may also be the leader's word, not yet known to the agent */
-    const RoundEnd end = {(RoundWord)news->word, news->saved, news->word != ROUND_LOST, change->at_ms};
-    round_over(table, job, task, &end);
+    const AttemptEnd end = {(AttemptWord)news->word, news->saved, news->word != ATTEMPT_LOST, change->at_ms};
+    attempt_over(table, job, task, &end);
     job_settle(table, job, change->at_ms);
 }
 
-void deliver_rounds(Table *table, const Record *change, const RoundList *list, ChangeResult *result)
+void deliver_attempts(Table *table, const Record *change, const AttemptList *list, ChangeResult *result)
 {
     for (size_t i = 0; i < list->news_count; i++)
-        if (list->news[i].word < ROUND_WORD_COUNT)
+        if (list->news[i].word < ATTEMPT_WORD_COUNT)
             deliver_one_news(table, change, &list->news[i]);
     result->number = list->news_count;
 }
--- a/packages/table/src/deliverworker.c
+++ b/packages/table/src/deliverworker.c
@@ -77,8 +77,9 @@
         JobTask *task = &job->tasks[on[i].task];
         if (task->incarnation > lost->incarnation || !task_on_worker(task->phase))
             continue;
-        const RoundEnd end = {task->phase == TASK_STOPPING ? ROUND_STOPPED : ROUND_LOST, "", false, change->at_ms};
-        round_over(table, job, task, &end);
+        const AttemptEnd end = {task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST, "", false,
+                                change->at_ms};
+        attempt_over(table, job, task, &end);
         job_settle(table, job, change->at_ms);
         result->number++;
     }
--- a/packages/table/src/gang.c
+++ b/packages/table/src/gang.c
@@ -1,4 +1,4 @@
-/* Members of a gang run together, under one round number, and end as one. */
+/* Members of a gang run together, under one attempt number, and end as one. */
 #include "inside.h"
 
 Gang gang_of(Job *job, const JobTask *task)
--- a/packages/table/src/inside.h
+++ b/packages/table/src/inside.h
@@ -31,7 +31,7 @@
 #define ORPHAN_FIELDS(X) \
     X(TXT, job, 0)       \
     X(U64, task, 0)      \
-    X(U64, round, 0)     \
+    X(U64, attempt, 0)   \
     X(I64, at_ms, 0)
 SHAPE(Orphan, ORPHAN_FIELDS)
 
@@ -131,29 +131,29 @@
 /* A member's round is over: the others stop, and all are planned again. */
 void gang_break(Table *table, Job *job, const JobTask *task, int64_t at_ms);
 
-/* --- rounds. What became of one that did not finish well. */
+/* --- attempts. What became of one that did not finish well. */
 
-typedef struct RoundEnd {
-    RoundWord word;
+typedef struct AttemptEnd {
+    AttemptWord word;
     const char *saved; /* empty: nothing told */
     bool told;         /* by its worker's agent */
     int64_t at_ms;
-} RoundEnd;
-void round_over(Table *table, Job *job, JobTask *task, const RoundEnd *end);
-/* Counts a failed round, of a gang once whichever of its members failed. Rounds are
+} AttemptEnd;
+void attempt_over(Table *table, Job *job, JobTask *task, const AttemptEnd *end);
+/* Counts a failed round, of a gang once whichever of its members failed. Attempts are
  * counted as they rise: the same told again counts for nothing. */
-void round_miss(Job *job, JobTask *task, uint64_t round);
-/* Whether the task has had all the rounds it gets. */
-bool rounds_spent(const Job *job, const JobTask *task);
+void attempt_miss(Job *job, JobTask *task, uint64_t attempt);
+/* Whether the task has had all the attempts it gets. */
+bool attempts_spent(const Job *job, const JobTask *task);
 void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms);
-/* It finished well in that round, and its gang with it. */
-void round_done(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms);
-/* What its rounds have come to; a gang's is one. */
+/* It finished well in that attempt, and its gang with it. */
+void attempt_done(Table *table, Job *job, JobTask *task, uint64_t attempt, const char *teller, int64_t at_ms);
+/* What its attempts have come to; a gang's is one. */
 void saved_set(Job *job, JobTask *task, const char *saved);
 
 /* --- orphans */
 
-void orphan_add(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms);
+void orphan_add(Table *table, const char *job, uint64_t task, uint64_t attempt, int64_t at_ms);
 /* What of the job finished well before the disks forgot it stays finished. */
 void orphans_take(Table *table, Job *job, int64_t at_ms);
 void orphans_forget(Table *table, int64_t before_ms);
@@ -167,7 +167,7 @@
 void deliver_place(Table *table, const Record *change, const PlaceList *list, ChangeResult *result);
 void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result);
 void deliver_assure(Table *table, const Record *change, const StopList *list, ChangeResult *result);
-void deliver_rounds(Table *table, const Record *change, const RoundList *list, ChangeResult *result);
+void deliver_attempts(Table *table, const Record *change, const AttemptList *list, ChangeResult *result);
 void deliver_worker_set(Table *table, const Record *change, const Worker *set, ChangeResult *result);
 void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result);
 void deliver_worker_left(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result);
--- a/packages/table/src/orphan.c
+++ b/packages/table/src/orphan.c
@@ -5,13 +5,13 @@
 
 SHAPE_TABLE(Orphan, ORPHAN_FIELDS)
 
-void orphan_add(Table *table, const char *job, uint64_t task, uint64_t round, int64_t at_ms)
+void orphan_add(Table *table, const char *job, uint64_t task, uint64_t attempt, int64_t at_ms)
 {
     for (size_t i = 0; i < table->orphan_count; i++)
         if (table->orphans[i].task == task && strcmp(table->orphans[i].job, job) == 0)
             return;
     table->orphans = talloc_realloc(table->mem, table->orphans, Orphan, (unsigned)(table->orphan_count + 1));
-    table->orphans[table->orphan_count++] = (Orphan){talloc_strdup(table->mem, job), task, round, at_ms};
+    table->orphans[table->orphan_count++] = (Orphan){talloc_strdup(table->mem, job), task, attempt, at_ms};
 }
 
 static void orphan_drop(Table *table, size_t at)
@@ -30,7 +30,7 @@
         }
         const size_t at = task_index(job, orphan.task);
         if (at < job->tasks_count && !job->spec.lasting && !task_ended(job->tasks[at].phase))
-            round_done(table, job, &job->tasks[at], orphan.round, "", at_ms);
+            attempt_done(table, job, &job->tasks[at], orphan.attempt, "", at_ms);
         orphan_drop(table, i);
     }
 }
--- a/packages/table/src/round.c
+++ b/packages/table/src/round.c
@@ -1,4 +1,4 @@
-/* What becomes of a task when its round is over. */
+/* What becomes of a task when its attempt is over. */
 #include <string.h>
 
 #include "base/constants.h"
@@ -6,7 +6,7 @@
 
 static uint64_t limit_of(const Job *job)
 {
-    return job->terms.round_limit > 0 ? job->terms.round_limit : job->spec.round_limit;
+    return job->terms.attempt_limit > 0 ? job->terms.attempt_limit : job->spec.attempt_limit;
 }
 
 /* Doubled with each in a row. */
@@ -20,20 +20,21 @@
 
 /* A lasting task goes on whatever the word was; one that never stays up for long
  * rests longer each time. */
-static void lasting_rest(JobTask *task, const RoundEnd *end)
+static void lasting_rest(JobTask *task, const AttemptEnd *end)
 {
-    if (end->word != ROUND_FAILED && end->word != ROUND_DONE && end->word != ROUND_REFUSED && end->word != ROUND_ALONE)
+    if (end->word != ATTEMPT_FAILED && end->word != ATTEMPT_DONE && end->word != ATTEMPT_REFUSED &&
+        end->word != ATTEMPT_ALONE)
         return;
     const bool steady = task->phase == TASK_RUNNING && end->at_ms - task->changed_ms >= LASTING_STEADY_MS;
     task->misses = steady ? 1 : task->misses + 1;
     task->rest_until_ms = end->at_ms + rest_of(task->misses, LASTING_REST_MAX_MS);
 }
 
-static void rest_set(JobTask *task, const RoundEnd *end)
+static void rest_set(JobTask *task, const AttemptEnd *end)
 {
-    if (end->word == ROUND_FAILED)
+    if (end->word == ATTEMPT_FAILED)
         task->rest_until_ms = end->at_ms + rest_of(task->misses, FAILED_REST_MAX_MS);
-    else if (end->word == ROUND_REFUSED || end->word == ROUND_ALONE)
+    else if (end->word == ATTEMPT_REFUSED || end->word == ATTEMPT_ALONE)
         task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
 }
 
@@ -46,18 +47,18 @@
             gang.tasks[i].losses++;
 }
 
-void round_miss(Job *job, JobTask *task, uint64_t round)
+void attempt_miss(Job *job, JobTask *task, uint64_t attempt)
 {
-    if (job->spec.lasting || round <= task->miss_round)
+    if (job->spec.lasting || attempt <= task->miss_attempt)
         return;
     const Gang gang = gang_of(job, task);
     for (size_t i = 0; i < gang.count; i++) {
-        gang.tasks[i].miss_round = round;
+        gang.tasks[i].miss_attempt = attempt;
         gang.tasks[i].misses++;
     }
 }
 
-bool rounds_spent(const Job *job, const JobTask *task)
+bool attempts_spent(const Job *job, const JobTask *task)
 {
     /* protected work restarts whenever it is down; best-effort work gets one restart
      * after a loss, unprotected work none */
@@ -74,7 +75,7 @@
     job_stop_tasks(table, job, at_ms);
 }
 
-void round_over(Table *table, Job *job, JobTask *task, const RoundEnd *end)
+void attempt_over(Table *table, Job *job, JobTask *task, const AttemptEnd *end)
 {
     if (job->ending != JOB_ACTIVE) {
         task_turn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->told);
@@ -82,18 +83,18 @@
     }
     const bool stopping = task->phase == TASK_STOPPING;
     saved_set(job, task, end->saved);
-    if (end->word == ROUND_FAILED || end->word == ROUND_REFUSED)
+    if (end->word == ATTEMPT_FAILED || end->word == ATTEMPT_REFUSED)
         task->shunned = task->worker;
-    if (end->word == ROUND_FAILED)
-        round_miss(job, task, task->round);
+    if (end->word == ATTEMPT_FAILED)
+        attempt_miss(job, task, task->attempt);
     /* one that was being stopped has stopped: that is no loss */
-    if ((end->word == ROUND_LOST || end->word == ROUND_LAPSED) && !stopping)
+    if ((end->word == ATTEMPT_LOST || end->word == ATTEMPT_LAPSED) && !stopping)
         loss_count(job, task);
     if (job->spec.lasting)
         lasting_rest(task, end);
     else
         rest_set(task, end);
-    if (rounds_spent(job, task)) {
+    if (attempts_spent(job, task)) {
         task_turn(table, job, task, TASK_FAILED, "", end->at_ms, end->told);
         job_fail(table, job, task, end->at_ms);
         return;
@@ -102,7 +103,7 @@
     gang_break(table, job, task, end->at_ms);
 }
 
-void round_done(Table *table, Job *job, JobTask *task, uint64_t round, const char *teller, int64_t at_ms)
+void attempt_done(Table *table, Job *job, JobTask *task, uint64_t attempt, const char *teller, int64_t at_ms)
 {
     const Gang gang = gang_of(job, task);
     const TaskPhase phase = job->ending == JOB_CANCELLED ? TASK_CANCELLED : TASK_DONE;
@@ -110,9 +111,9 @@
         JobTask *each = &gang.tasks[i];
         if (task_ended(each->phase))
             continue;
-        const bool told = each->round == round && strcmp(each->worker, teller) == 0;
-        if (round > each->round)
-            each->round = round;
+        const bool told = each->attempt == attempt && strcmp(each->worker, teller) == 0;
+        if (attempt > each->attempt)
+            each->attempt = attempt;
         task_turn(table, job, each, phase, "", at_ms, told);
     }
 }
--- a/packages/table/src/saved.c
+++ b/packages/table/src/saved.c
@@ -104,7 +104,7 @@
             deliver_zone_drain(table, NULL, &saved.drains[i], NULL);
         zone_orders_load(table, saved.zone_orders, saved.zone_orders_count);
         for (size_t i = 0; i < saved.orphans_count; i++)
-            orphan_add(table, saved.orphans[i].job, saved.orphans[i].task, saved.orphans[i].round,
+            orphan_add(table, saved.orphans[i].job, saved.orphans[i].task, saved.orphans[i].attempt,
                        saved.orphans[i].at_ms);
     }
     talloc_free(mem);
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -114,8 +114,8 @@
         case CHANGE_PLACE:
             deliver_place(table, change, body, result);
             break;
-        case CHANGE_ROUNDS:
-            deliver_rounds(table, change, body, result);
+        case CHANGE_ATTEMPTS:
+            deliver_attempts(table, change, body, result);
             break;
         case CHANGE_STOP:
             deliver_stop(table, change, body, result);
--- a/packages/table/src/worker.c
+++ b/packages/table/src/worker.c
@@ -3,23 +3,23 @@
 #include <string.h>
 
 SHAPE_TABLE(Worker, WORKER_FIELDS)
-SHAPE_TABLE(RoundNews, ROUND_NEWS_FIELDS)
+SHAPE_TABLE(AttemptNews, ATTEMPT_NEWS_FIELDS)
 
 static const char *const WORDS[] = {
 #define X(name, word) word,
-    ROUND_WORD_LIST(X)
+    ATTEMPT_WORD_LIST(X)
 #undef X
 };
 
-const char *round_word(uint64_t word)
+const char *attempt_word(uint64_t word)
 {
-    return word < ROUND_WORD_COUNT ? WORDS[word] : "unlisted";
+    return word < ATTEMPT_WORD_COUNT ? WORDS[word] : "unlisted";
 }
 
-RoundWord round_of_word(const char *word)
+AttemptWord attempt_of_word(const char *word)
 {
-    for (int i = 0; i < ROUND_WORD_COUNT; i++)
+    for (int i = 0; i < ATTEMPT_WORD_COUNT; i++)
         if (strcmp(WORDS[i], word) == 0)
-            return (RoundWord)i;
-    return ROUND_WORD_COUNT;
+            return (AttemptWord)i;
+    return ATTEMPT_WORD_COUNT;
 }
--- a/packages/table/test/board.h
+++ b/packages/table/test/board.h
@@ -40,7 +40,7 @@
 static inline JobSpec spec_of(const char *id, StepSpec *steps, size_t count)
 {
     return (JobSpec){
-        .id = id, .cell = "c", .tenant = "t", .queue = "q", .round_limit = 3, .steps = steps, .steps_count = count};
+        .id = id, .cell = "c", .tenant = "t", .queue = "q", .attempt_limit = 3, .steps = steps, .steps_count = count};
 }
 
 static inline const Job *job_add(Board *board, const JobSpec *spec, JobTerms terms)
@@ -51,26 +51,26 @@
 }
 
 /* How many of them were taken. */
-static inline uint64_t place(Board *board, const char *job, const uint64_t *tasks, size_t count, uint64_t round,
+static inline uint64_t place(Board *board, const char *job, const uint64_t *tasks, size_t count, uint64_t attempt,
                              const char *worker, const char *saved)
 {
     Placement *places = talloc_zero_array(NULL, Placement, (unsigned)count);
     for (size_t i = 0; i < count; i++)
         places[i] = (Placement){
-            .job = job, .task = tasks[i], .round = round, .worker = worker, .incarnation = 1, .saved = saved};
+            .job = job, .task = tasks[i], .attempt = attempt, .worker = worker, .incarnation = 1, .saved = saved};
     const PlaceList list = {places, count};
     const ChangeResult result = tell(board, CHANGE_PLACE, &PlaceList_shape, &list);
     talloc_free(places);
     return result.number;
 }
 
-static inline void say(Board *board, const char *job, uint64_t task, uint64_t round, const char *worker, RoundWord word,
-                       const char *saved)
+static inline void say(Board *board, const char *job, uint64_t task, uint64_t attempt, const char *worker,
+                       AttemptWord word, const char *saved)
 {
-    RoundNews news = {
-        .job = job, .task = task, .round = round, .worker = worker, .word = word, .text = "", .saved = saved};
-    const RoundList list = {&news, 1};
-    tell(board, CHANGE_ROUNDS, &RoundList_shape, &list);
+    AttemptNews news = {
+        .job = job, .task = task, .attempt = attempt, .worker = worker, .word = word, .text = "", .saved = saved};
+    const AttemptList list = {&news, 1};
+    tell(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
 }
 
 static inline void lose(Board *board, const char *worker)
--- a/packages/table/test/gangs.c
+++ b/packages/table/test/gangs.c
@@ -1,4 +1,4 @@
-/* Gangs: placed whole, under one number; they end as one, and fail once for each round. */
+/* Gangs: placed whole, under one number; they end as one, and fail once for each attempt. */
 #include "board.h"
 
 static const uint64_t ALL[] = {TASK_NUMBER(0, 1, 0), TASK_NUMBER(0, 1, 1), TASK_NUMBER(0, 1, 2)};
@@ -10,7 +10,7 @@
     JobSpec spec = spec_of("j", steps, 2);
     spec.protection = protection;
     spec.lasting = lasting;
-    return job_add(b, &spec, (JobTerms){.round_limit = 2});
+    return job_add(b, &spec, (JobTerms){.attempt_limit = 2});
 }
 
 static void all_are(const Job *job, TaskPhase phase)
@@ -44,15 +44,15 @@
     Board b = board_new();
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
-    say(&b, "j", ALL[0], 1, "w", ROUND_REFUSED, "");
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_REFUSED, "");
     assert_int_equal(job->tasks[1].phase, TASK_WAITING);
     assert_int_equal(job->tasks[2].phase, TASK_STOPPING);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 0);
-    say(&b, "j", ALL[1], 1, "w", ROUND_BROKEN, "");
-    say(&b, "j", ALL[2], 1, "w", ROUND_STOPPED, "");
+    say(&b, "j", ALL[1], 1, "w", ATTEMPT_BROKEN, "");
+    say(&b, "j", ALL[2], 1, "w", ATTEMPT_STOPPED, "");
     all_are(job, TASK_WAITING);
     assert_int_equal(job->tasks[1].misses + job->tasks[2].misses + job->tasks[3].misses, 0);
-    say(&b, "j", ALL[2], 4, "w", ROUND_FAILED, ""); /* of a round that the disks forgot */
+    say(&b, "j", ALL[2], 4, "w", ATTEMPT_FAILED, ""); /* of an attempt that the disks forgot */
     assert_int_equal(place(&b, "j", ALL, 3, 4, "w", ""), 0);
     assert_int_equal(place(&b, "j", ALL, 3, 5, "w", ""), 3);
     talloc_free(b.table);
@@ -65,21 +65,21 @@
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     for (size_t i = 0; i < 3; i++)
-        say(&b, "j", ALL[i], 1, "w", ROUND_RUNNING, "");
-    say(&b, "j", ALL[1], 1, "w", ROUND_DONE, "");
+        say(&b, "j", ALL[i], 1, "w", ATTEMPT_RUNNING, "");
+    say(&b, "j", ALL[1], 1, "w", ATTEMPT_DONE, "");
     all_are(job, TASK_DONE);
     assert_int_equal(job->phase, JOB_ACTIVE);
-    say(&b, "j", ALL[0], 1, "w", ROUND_FAILED, ""); /* the others' ends are words of the past */
-    say(&b, "j", ALL[2], 1, "w", ROUND_DONE, "");
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* the others' ends are words of the past */
+    say(&b, "j", ALL[2], 1, "w", ATTEMPT_DONE, "");
     all_are(job, TASK_DONE);
     const uint64_t first = 0;
     place(&b, "j", &first, 1, 1, "w", "");
-    say(&b, "j", 0, 1, "w", ROUND_DONE, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_DONE, "");
     assert_int_equal(job->phase, JOB_DONE);
     talloc_free(b.table);
 }
 
-/* Also in an older round than the one that runs now. */
+/* Also in an older attempt than the one that runs now. */
 static void older_done_of_all(void **state)
 {
     (void)state;
@@ -90,29 +90,29 @@
     all_are(job, TASK_WAITING);
     place(&b, "j", ALL, 3, 2, "v", "");
     const uint64_t orders = table_orders(b.table, "v");
-    say(&b, "j", ALL[2], 1, "w", ROUND_DONE, "");
+    say(&b, "j", ALL[2], 1, "w", ATTEMPT_DONE, "");
     all_are(job, TASK_DONE);
     assert_true(table_orders(b.table, "v") > orders);
     talloc_free(b.table);
 }
 
-static void misses_once_for_a_round(void **state)
+static void misses_once_for_a_attempt(void **state)
 {
     (void)state;
     Board b = board_new();
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
     for (size_t i = 0; i < 3; i++)
-        say(&b, "j", ALL[i], 1, "w", ROUND_FAILED, "");
+        say(&b, "j", ALL[i], 1, "w", ATTEMPT_FAILED, "");
     all_are(job, TASK_WAITING);
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].misses, 1);
-    say(&b, "j", ALL[0], 1, "w", ROUND_FAILED, ""); /* told again */
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* told again */
     assert_int_equal(job->tasks[1].misses, 1);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 3);
-    say(&b, "j", ALL[2], 2, "w", ROUND_BROKEN, "");
-    say(&b, "j", ALL[1], 2, "w", ROUND_FAILED, "");
-    say(&b, "j", ALL[0], 2, "w", ROUND_ALONE, "");
+    say(&b, "j", ALL[2], 2, "w", ATTEMPT_BROKEN, "");
+    say(&b, "j", ALL[1], 2, "w", ATTEMPT_FAILED, "");
+    say(&b, "j", ALL[0], 2, "w", ATTEMPT_ALONE, "");
     assert_int_equal(job->phase, JOB_FAILED);
     talloc_free(b.table);
 }
@@ -129,7 +129,7 @@
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].losses, 1);
     place(&b, "j", ALL, 3, 2, "w", "");
-    say(&b, "j", ALL[0], 2, "w", ROUND_LAPSED, "");
+    say(&b, "j", ALL[0], 2, "w", ATTEMPT_LAPSED, "");
     assert_int_equal(job->ending, JOB_FAILED); /* best effort: one restart */
     talloc_free(b.table);
 }
@@ -140,7 +140,7 @@
     Board b = board_new();
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     place(&b, "j", ALL, 3, 1, "w", "");
-    say(&b, "j", ALL[1], 1, "w", ROUND_STOPPED, "half");
+    say(&b, "j", ALL[1], 1, "w", ATTEMPT_STOPPED, "half");
     for (size_t i = 1; i < 4; i++)
         assert_string_equal(job->tasks[i].saved, "half");
     assert_string_equal(job->tasks[0].saved, "");
@@ -153,12 +153,12 @@
     Board b = board_new();
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, true);
     place(&b, "j", ALL, 3, 1, "w", "");
-    say(&b, "j", ALL[0], 1, "w", ROUND_DONE, "");
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_DONE, "");
     assert_int_equal(job->tasks[1].phase, TASK_WAITING);
     assert_int_equal(job->tasks[2].phase, TASK_STOPPING);
     assert_int_equal(job->tasks[3].phase, TASK_STOPPING);
-    say(&b, "j", ALL[1], 1, "w", ROUND_DONE, "");
-    say(&b, "j", ALL[2], 1, "w", ROUND_BROKEN, "");
+    say(&b, "j", ALL[1], 1, "w", ATTEMPT_DONE, "");
+    say(&b, "j", ALL[2], 1, "w", ATTEMPT_BROKEN, "");
     all_are(job, TASK_WAITING);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 3);
     talloc_free(b.table);
@@ -169,8 +169,8 @@
 {
     (void)state;
     Board b = board_new();
-    say(&b, "j", ALL[1], 3, "w", ROUND_DONE, "");
-    say(&b, "other", 0, 1, "w", ROUND_DONE, "");
+    say(&b, "j", ALL[1], 3, "w", ATTEMPT_DONE, "");
+    say(&b, "other", 0, 1, "w", ATTEMPT_DONE, "");
     again(&b);
     const Job *job = gang_add(&b, PROTECTION_PROTECTED, false);
     all_are(job, TASK_DONE);
@@ -189,7 +189,7 @@
         cmocka_unit_test(placed_under_one_number),
         cmocka_unit_test(one_done_all_done),
         cmocka_unit_test(older_done_of_all),
-        cmocka_unit_test(misses_once_for_a_round),
+        cmocka_unit_test(misses_once_for_a_attempt),
         cmocka_unit_test(losses_once),
         cmocka_unit_test(progress_of_all),
         cmocka_unit_test(lasting_gang),
--- a/packages/table/test/rounds.c
+++ b/packages/table/test/rounds.c
@@ -1,4 +1,4 @@
-/* What becomes of a task by the word that its round ends with: misses, losses, rests,
+/* What becomes of a task by the word that its attempt ends with: misses, losses, rests,
  * limits, lasting work, progress. */
 #include "board.h"
 
@@ -9,30 +9,30 @@
     return (StepSpec){.name = "s", .count = 1, .kind = "", .payload = "", .near = "", .saves = true};
 }
 
-/* One round of the first task, to its end. */
-static void round_(Board *b, uint64_t round, RoundWord word)
+/* One attempt of the first task, to its end. */
+static void attempt_(Board *b, uint64_t attempt, AttemptWord word)
 {
-    assert_int_equal(place(b, "j", FIRST, 1, round, "w", ""), 1);
-    say(b, "j", 0, round, "w", ROUND_RUNNING, "");
-    say(b, "j", 0, round, "w", word, "");
+    assert_int_equal(place(b, "j", FIRST, 1, attempt, "w", ""), 1);
+    say(b, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
+    say(b, "j", 0, attempt, "w", word, "");
 }
 
 static void words_count(void **state)
 {
     (void)state;
     static const struct {
-        RoundWord word;
+        AttemptWord word;
         uint64_t misses, losses;
         bool rests;
-    } WORDS[] = {{ROUND_FAILED, 1, 0, true},   {ROUND_LOST, 0, 1, false},   {ROUND_LAPSED, 0, 1, false},
-                 {ROUND_STOPPED, 0, 0, false}, {ROUND_BROKEN, 0, 0, false}, {ROUND_ALONE, 0, 0, true},
-                 {ROUND_REFUSED, 0, 0, true}};
+    } WORDS[] = {{ATTEMPT_FAILED, 1, 0, true},   {ATTEMPT_LOST, 0, 1, false},   {ATTEMPT_LAPSED, 0, 1, false},
+                 {ATTEMPT_STOPPED, 0, 0, false}, {ATTEMPT_BROKEN, 0, 0, false}, {ATTEMPT_ALONE, 0, 0, true},
+                 {ATTEMPT_REFUSED, 0, 0, true}};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
         Board b = board_new();
         StepSpec step = one();
         const JobSpec spec = spec_of("j", &step, 1);
         const Job *job = job_add(&b, &spec, (JobTerms){0});
-        round_(&b, 1, WORDS[i].word);
+        attempt_(&b, 1, WORDS[i].word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_int_equal(job->tasks[0].misses, WORDS[i].misses);
         assert_int_equal(job->tasks[0].losses, WORDS[i].losses);
@@ -50,14 +50,14 @@
         Board b = board_new();
         StepSpec step = one();
         const JobSpec spec = spec_of("j", &step, 1);
-        const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = limit});
+        const Job *job = job_add(&b, &spec, (JobTerms){.attempt_limit = limit});
         const uint64_t most = limit > 0 ? limit : 3;
         int64_t rest_ms = 0;
-        for (uint64_t round = 1; round <= most; round++) {
+        for (uint64_t attempt = 1; attempt <= most; attempt++) {
             assert_int_equal(job->phase, JOB_ACTIVE);
-            round_(&b, round, ROUND_FAILED);
+            attempt_(&b, attempt, ATTEMPT_FAILED);
             const int64_t next_ms = job->tasks[0].rest_until_ms - b.at_ms;
-            assert_true(round == most || next_ms > rest_ms);
+            assert_true(attempt == most || next_ms > rest_ms);
             rest_ms = next_ms;
         }
         assert_int_equal(job->phase, JOB_FAILED);
@@ -67,7 +67,7 @@
     }
 }
 
-/* A failure told of an older round counts, told twice it does not, and one of a round
+/* A failure told of an older attempt counts, told twice it does not, and one of an attempt
  * that the disks forgot raises the number of the next. */
 static void late_failures(void **state)
 {
@@ -75,35 +75,35 @@
     Board b = board_new();
     StepSpec step = one();
     const JobSpec spec = spec_of("j", &step, 1);
-    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 3});
+    const Job *job = job_add(&b, &spec, (JobTerms){.attempt_limit = 3});
     place(&b, "j", FIRST, 1, 1, "w", "");
     lose(&b, "w");
     assert_int_equal(place(&b, "j", FIRST, 1, 2, "v", ""), 1);
-    say(&b, "j", 0, 1, "w", ROUND_FAILED, "");
-    say(&b, "j", 0, 1, "w", ROUND_FAILED, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_FAILED, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_FAILED, "");
     assert_int_equal(job->tasks[0].misses, 1);
     assert_int_equal(job->tasks[0].phase, TASK_PLACED);
-    say(&b, "j", 0, 2, "v", ROUND_FAILED, "");
-    say(&b, "j", 0, 2, "v", ROUND_FAILED, "");
+    say(&b, "j", 0, 2, "v", ATTEMPT_FAILED, "");
+    say(&b, "j", 0, 2, "v", ATTEMPT_FAILED, "");
     assert_int_equal(job->tasks[0].misses, 2);
     assert_int_equal(place(&b, "j", FIRST, 1, 2, "v", ""), 0); /* a number once given */
-    say(&b, "j", 0, 7, "u", ROUND_FAILED, "");
+    say(&b, "j", 0, 7, "u", ATTEMPT_FAILED, "");
     assert_int_equal(job->phase, JOB_FAILED);
-    assert_int_equal(job->tasks[0].round, 7);
+    assert_int_equal(job->tasks[0].attempt, 7);
     talloc_free(b.table);
 }
 
-/* A round's number far beyond what can have been forgotten would leave none for the next. */
-static void strange_rounds(void **state)
+/* An attempt's number far beyond what can have been forgotten would leave none for the next. */
+static void strange_attempts(void **state)
 {
     (void)state;
     Board b = board_new();
     StepSpec step = one();
     const JobSpec spec = spec_of("j", &step, 1);
     const Job *job = job_add(&b, &spec, (JobTerms){0});
-    for (int word = 0; word < ROUND_WORD_COUNT; word++)
-        if (word != ROUND_DONE)
-            say(&b, "j", 0, UINT64_MAX, "w", (RoundWord)word, "");
+    for (int word = 0; word < ATTEMPT_WORD_COUNT; word++)
+        if (word != ATTEMPT_DONE)
+            say(&b, "j", 0, UINT64_MAX, "w", (AttemptWord)word, "");
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
     assert_int_equal(place(&b, "j", FIRST, 1, 1, "w", ""), 1);
     talloc_free(b.table);
@@ -121,12 +121,12 @@
     lose(&b, "w");
     place(&b, "j", FIRST, 1, 2, "v", "");
     const uint64_t orders = table_orders(b.table, "v");
-    say(&b, "j", 0, 1, "w", ROUND_DONE, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_DONE, "");
     assert_int_equal(job->phase, JOB_DONE);
     assert_true(table_orders(b.table, "v") > orders);
     const TaskOn *on;
     assert_int_equal(table_on(b.table, "v", &on), 0);
-    say(&b, "j", 0, 2, "v", ROUND_FAILED, "");
+    say(&b, "j", 0, 2, "v", ATTEMPT_FAILED, "");
     assert_int_equal(job->phase, JOB_DONE);
     talloc_free(b.table);
 }
@@ -141,16 +141,16 @@
     job_add(&b, &spec, (JobTerms){0});
     place(&b, "j", FIRST, 1, 1, "w", "");
     uint64_t orders = table_orders(b.table, "w");
-    say(&b, "j", 0, 1, "w", ROUND_RUNNING, "");
-    say(&b, "j", 0, 1, "w", ROUND_STOPPED, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_RUNNING, "");
+    say(&b, "j", 0, 1, "w", ATTEMPT_STOPPED, "");
     assert_int_equal(table_orders(b.table, "w"), orders);
     place(&b, "j", FIRST, 1, 2, "w", "");
     assert_true(table_orders(b.table, "w") > orders);
     orders = table_orders(b.table, "w");
-    say(&b, "j", 0, 2, "w", ROUND_LOST, "");
+    say(&b, "j", 0, 2, "w", ATTEMPT_LOST, "");
     assert_true(table_orders(b.table, "w") > orders);
     place(&b, "j", FIRST, 1, 3, "w", "");
-    say(&b, "j", 0, 3, "w", ROUND_RUNNING, "");
+    say(&b, "j", 0, 3, "w", ATTEMPT_RUNNING, "");
     orders = table_orders(b.table, "w");
     cancel(&b, "j");
     assert_true(table_orders(b.table, "w") > orders);
@@ -168,12 +168,12 @@
         spec.protection = PROTECTION_NONE; /* one loss would be its end */
         const Job *job = job_add(&b, &spec, (JobTerms){0});
         place(&b, "j", FIRST, 1, 1, "w", "");
-        RoundId id = {"j", 0, 1};
+        AttemptId id = {"j", 0, 1};
         const StopList list = {&id, 1, "pushed"};
         tell(&b, CHANGE_STOP, &StopList_shape, &list);
         assert_int_equal(job->tasks[0].phase, TASK_STOPPING);
         if (by_news)
-            say(&b, "j", 0, 1, "w", ROUND_LAPSED, "");
+            say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, "");
         else
             lose(&b, "w");
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
@@ -185,7 +185,7 @@
 static void cancelled(void **state)
 {
     (void)state;
-    static const RoundWord WORDS[] = {ROUND_DONE, ROUND_FAILED, ROUND_STOPPED, ROUND_LAPSED};
+    static const AttemptWord WORDS[] = {ATTEMPT_DONE, ATTEMPT_FAILED, ATTEMPT_STOPPED, ATTEMPT_LAPSED};
     for (size_t i = 0; i < sizeof(WORDS) / sizeof(WORDS[0]); i++) {
         Board b = board_new();
         StepSpec step = one();
@@ -211,23 +211,23 @@
     JobSpec spec = spec_of("j", &step, 1);
     spec.lasting = true;
     spec.protection = PROTECTION_NONE;
-    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 1});
-    uint64_t round = 0;
-    for (int word = 0; word < ROUND_WORD_COUNT; word++) {
-        if (word == ROUND_RUNNING)
+    const Job *job = job_add(&b, &spec, (JobTerms){.attempt_limit = 1});
+    uint64_t attempt = 0;
+    for (int word = 0; word < ATTEMPT_WORD_COUNT; word++) {
+        if (word == ATTEMPT_RUNNING)
             continue;
-        round_(&b, ++round, (RoundWord)word);
+        attempt_(&b, ++attempt, (AttemptWord)word);
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_true(job->tasks[0].rest_until_ms - b.at_ms <= LASTING_REST_MAX_MS);
     }
     /* quick failures rest longer each time, up to a bound; a long round forgives them */
     for (int i = 0; i < 20; i++)
-        round_(&b, ++round, ROUND_FAILED);
+        attempt_(&b, ++attempt, ATTEMPT_FAILED);
     assert_int_equal(job->tasks[0].rest_until_ms - b.at_ms, LASTING_REST_MAX_MS);
-    place(&b, "j", FIRST, 1, ++round, "w", "");
-    say(&b, "j", 0, round, "w", ROUND_RUNNING, "");
+    place(&b, "j", FIRST, 1, ++attempt, "w", "");
+    say(&b, "j", 0, attempt, "w", ATTEMPT_RUNNING, "");
     b.at_ms += LASTING_STEADY_MS;
-    say(&b, "j", 0, round, "w", ROUND_FAILED, "");
+    say(&b, "j", 0, attempt, "w", ATTEMPT_FAILED, "");
     assert_int_equal(job->tasks[0].rest_until_ms - b.at_ms, FAILED_REST_MS);
     cancel(&b, "j");
     assert_int_equal(job->phase, JOB_CANCELLED);
@@ -246,17 +246,17 @@
     const uint64_t second = TASK_NUMBER(0, 1, 0);
     place(&b, "j", FIRST, 1, 1, "w", "");
     place(&b, "j", &second, 1, 1, "w", "");
-    say(&b, "j", 0, 1, "w", ROUND_RUNNING, "p1");
-    say(&b, "j", second, 1, "w", ROUND_STOPPED, "p1");
+    say(&b, "j", 0, 1, "w", ATTEMPT_RUNNING, "p1");
+    say(&b, "j", second, 1, "w", ATTEMPT_STOPPED, "p1");
     assert_string_equal(job->tasks[0].saved, "p1");
     assert_string_equal(job->tasks[1].saved, "");
-    say(&b, "j", 0, 1, "w", ROUND_STOPPED, "p2");
+    say(&b, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2");
     assert_string_equal(job->tasks[0].saved, "p2");
-    say(&b, "j", 0, 1, "w", ROUND_LAPSED, ""); /* told late, and empty: nothing to keep */
+    say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, ""); /* told late, and empty: nothing to keep */
     assert_string_equal(job->tasks[0].saved, "p2");
     place(&b, "j", FIRST, 1, 2, "w", "p3"); /* the leader has heard more from heartbeats */
     assert_string_equal(job->tasks[0].saved, "p3");
-    say(&b, "j", 0, 1, "w", ROUND_STOPPED, "p2"); /* of an older round */
+    say(&b, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2"); /* of an older attempt */
     assert_string_equal(job->tasks[0].saved, "p3");
     again(&b);
     assert_string_equal(table_job(b.table, "j")->tasks[0].saved, "p3");
@@ -283,25 +283,25 @@
     for (size_t i = 0; i < sizeof(NUMBERS) / sizeof(NUMBERS[0]); i++) {
         assert_int_equal(task_index(job, NUMBERS[i]), job->tasks_count);
         assert_int_equal(place(&b, "j", &NUMBERS[i], 1, 1, "w", ""), 0);
-        for (int word = 0; word < ROUND_WORD_COUNT; word++)
-            say(&b, "j", NUMBERS[i], 1, "w", (RoundWord)word, "x");
-        RoundId id = {"j", NUMBERS[i], 0};
+        for (int word = 0; word < ATTEMPT_WORD_COUNT; word++)
+            say(&b, "j", NUMBERS[i], 1, "w", (AttemptWord)word, "x");
+        AttemptId id = {"j", NUMBERS[i], 0};
         const StopList list = {&id, 1, ""};
         tell(&b, CHANGE_STOP, &StopList_shape, &list);
         tell(&b, CHANGE_ASSURE, &StopList_shape, &list);
     }
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
-    assert_int_equal(job->tasks[0].round, 0);
+    assert_int_equal(job->tasks[0].attempt, 0);
     talloc_free(b.table);
 }
 
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(words_count),     cmocka_unit_test(limits),         cmocka_unit_test(late_failures),
-        cmocka_unit_test(older_done),      cmocka_unit_test(orders_grow),    cmocka_unit_test(stopped_is_no_loss),
-        cmocka_unit_test(cancelled),       cmocka_unit_test(lasting),        cmocka_unit_test(progress),
-        cmocka_unit_test(strange_numbers), cmocka_unit_test(strange_rounds),
+        cmocka_unit_test(words_count),     cmocka_unit_test(limits),           cmocka_unit_test(late_failures),
+        cmocka_unit_test(older_done),      cmocka_unit_test(orders_grow),      cmocka_unit_test(stopped_is_no_loss),
+        cmocka_unit_test(cancelled),       cmocka_unit_test(lasting),          cmocka_unit_test(progress),
+        cmocka_unit_test(strange_numbers), cmocka_unit_test(strange_attempts),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/table/test/state.c
+++ b/packages/table/test/state.c
@@ -17,10 +17,10 @@
     return spec;
 }
 
-static void finish(Board *b, const char *id, uint64_t number, uint64_t round)
+static void finish(Board *b, const char *id, uint64_t number, uint64_t attempt)
 {
-    assert_int_equal(place(b, id, &number, 1, round, "w", ""), 1);
-    say(b, id, number, round, "w", ROUND_DONE, "");
+    assert_int_equal(place(b, id, &number, 1, attempt, "w", ""), 1);
+    say(b, id, number, attempt, "w", ATTEMPT_DONE, "");
 }
 
 static void turns(void **state)
@@ -68,10 +68,10 @@
     (void)state;
     Board b = board_new();
     JobSpec spec = turning("j");
-    const JobTerms first = {.round_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .priority = 2, .kind = "std"};
+    const JobTerms first = {.attempt_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .priority = 2, .kind = "std"};
     job_add(&b, &spec, first);
-    const Job *job = job_add(&b, &spec, (JobTerms){.round_limit = 9});
-    assert_int_equal(job->terms.round_limit, 4);
+    const Job *job = job_add(&b, &spec, (JobTerms){.attempt_limit = 9});
+    assert_int_equal(job->terms.attempt_limit, 4);
     spec.period_ms++;
     const JobAdd add = {spec, first};
     assert_int_equal(tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
@@ -162,7 +162,7 @@
                 JobSpec spec = turning(id);
                 STEPS[0].gang = (id[1] & 1) != 0;
                 spec.lasting = id[1] == '7';
-                const JobAdd add = {spec, {.round_limit = 2}};
+                const JobAdd add = {spec, {.attempt_limit = 2}};
                 tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add);
                 break;
             }
@@ -188,12 +188,12 @@
             case 7:
             case 8: {
                 const uint64_t both[] = {number, number + 1};
-                place(&b, id, both, 2, (task != NULL ? task->round : 0) + 1, worker, "");
+                place(&b, id, both, 2, (task != NULL ? task->attempt : 0) + 1, worker, "");
                 break;
             }
             default:
-                say(&b, id, number, task != NULL ? task->round : 1, task != NULL ? task->worker : worker,
-                    (RoundWord)draw(&lot, ROUND_WORD_COUNT), "s");
+                say(&b, id, number, task != NULL ? task->attempt : 1, task != NULL ? task->worker : worker,
+                    (AttemptWord)draw(&lot, ATTEMPT_WORD_COUNT), "s");
             }
             sums_lease(&b);
         }
@@ -230,7 +230,7 @@
 #define OLD_TASK_FIELDS(X)   \
     X(U64, step, 0)          \
     X(U64, phase, 0)         \
-    X(U64, round, 0)         \
+    X(U64, attempt, 0)       \
     X(U64, misses, 0)        \
     X(U64, losses, 0)        \
     X(TXT, worker, 0)        \
@@ -262,17 +262,17 @@
 SHAPE(OldStep, OLD_STEP_FIELDS)
 SHAPE_TABLE(OldStep, OLD_STEP_FIELDS)
 
-#define OLD_SPEC_FIELDS(X) \
-    X(TXT, id, 0)          \
-    X(TXT, cell, 0)        \
-    X(TXT, tenant, 0)      \
-    X(TXT, queue, 0)       \
-    X(I64, priority, 0)    \
-    X(U64, protection, 0)  \
-    X(FLAG, copies, 0)     \
-    X(I64, due_wall_ms, 0) \
-    X(I64, delay_ms, 0)    \
-    X(U64, round_limit, 0) \
+#define OLD_SPEC_FIELDS(X)   \
+    X(TXT, id, 0)            \
+    X(TXT, cell, 0)          \
+    X(TXT, tenant, 0)        \
+    X(TXT, queue, 0)         \
+    X(I64, priority, 0)      \
+    X(U64, protection, 0)    \
+    X(FLAG, copies, 0)       \
+    X(I64, due_wall_ms, 0)   \
+    X(I64, delay_ms, 0)      \
+    X(U64, attempt_limit, 0) \
     X(LST, steps, OldStep)
 SHAPE(OldSpec, OLD_SPEC_FIELDS)
 SHAPE_TABLE(OldSpec, OLD_SPEC_FIELDS)
@@ -299,11 +299,13 @@
     (void)state;
     const char *after[] = {"a"};
     OldStep steps[] = {{.name = "a", .count = 2}, {.name = "b", .count = 2, .after = after, .after_count = 1}};
-    OldTask tasks[] = {
-        {.phase = TASK_DONE, .round = 1}, {.phase = TASK_RUNNING, .round = 1, .worker = "w"}, {.step = 1}, {.step = 1}};
+    OldTask tasks[] = {{.phase = TASK_DONE, .attempt = 1},
+                       {.phase = TASK_RUNNING, .attempt = 1, .worker = "w"},
+                       {.step = 1},
+                       {.step = 1}};
     OldJob job = {
         .spec =
-            {.id = "j", .cell = "c", .tenant = "t", .queue = "q", .round_limit = 3, .steps = steps, .steps_count = 2},
+            {.id = "j", .cell = "c", .tenant = "t", .queue = "q", .attempt_limit = 3, .steps = steps, .steps_count = 2},
         .number = 5,
         .tasks = tasks,
         .tasks_count = 4};
@@ -323,7 +325,7 @@
     assert_int_equal(task_index(known, 3), 3);
     assert_int_equal(task_index(known, 4), 4);
     assert_false(task_steps_done(known, &known->tasks[3]));
-    say(&b, "j", 1, 1, "w", ROUND_DONE, "");
+    say(&b, "j", 1, 1, "w", ATTEMPT_DONE, "");
     assert_true(task_steps_done(known, &known->tasks[3]));
     const uint64_t third = 2;
     assert_int_equal(place(&b, "j", &third, 1, 1, "w", ""), 1);
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -13,7 +13,7 @@
     X(FETCHED, "fetched")     /* an agent got the order */                            \
     X(GIVEN, "given")         /* ... and gave it to its worker */                     \
     X(RUNS, "runs")           /* the worker said that it runs */                      \
-    X(OVER, "over")           /* the round is over */                                 \
+    X(OVER, "over")           /* the attempt is over */                               \
     X(KNOWN, "known")         /* ... and the leader knows it */
 
 typedef enum TraceStep {
--- a/src/standins.c
+++ b/src/standins.c
@@ -18,32 +18,32 @@
     FILE *to;
 } Record;
 
-static void record_run(void *arg, const char *verb, const char *worker, const char *job, uint64_t task, uint64_t round,
-                       const char *rest)
+static void record_run(void *arg, const char *verb, const char *worker, const char *job, uint64_t task,
+                       uint64_t attempt, const char *rest)
 {
     const Record *record = arg;
     if (record->to != NULL) {
         fprintf(record->to, "%" PRId64 " %s %s %s %" PRIu64 " %" PRIu64 " %s\n", loop_now_ms(record->loop), verb,
-                worker, job, task, round, rest);
+                worker, job, task, attempt, rest);
         fflush(record->to);
     }
 }
 
-static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room)
 {
     char rest[64];
     snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpu_milli, room.mem_mb);
-    record_run(arg, "started", worker, job, task, round, rest);
+    record_run(arg, "started", worker, job, task, attempt, rest);
 }
 
-static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
-    record_run(arg, "ended", worker, job, task, round, round_word(word));
+    record_run(arg, "ended", worker, job, task, attempt, attempt_word(word));
 }
 
-static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, RoundWord word)
+static void on_known(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
-    record_run(arg, "known", worker, job, task, round, round_word(word));
+    record_run(arg, "known", worker, job, task, attempt, attempt_word(word));
 }
 
 static void on_booted(void *arg, const char *worker)
@@ -58,14 +58,15 @@
     record_run(arg, "held", worker, "-", 0, 0, rest);
 }
 
-static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round, const char *saved)
+static void on_resumed(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                       const char *saved)
 {
-    record_run(arg, "resumed", worker, job, task, round, saved);
+    record_run(arg, "resumed", worker, job, task, attempt, saved);
 }
 
-static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t round)
+static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
 {
-    record_run(arg, "told", worker, job, task, round, "");
+    record_run(arg, "told", worker, job, task, attempt, "");
 }
 
 typedef struct StandIn {
