--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -9,23 +9,23 @@
  * stand-ins for all that it meets: workers, callers, the operator, troubles. Built from
  * what the platform's pages say. The same seed gives the same day. */
 
-#define DAY_TROUBLES_MAX 64
+#define DAY_FAULTS_MAX 64
 
 typedef enum Closing { CLOSING_DRAWN, CLOSING_NONE, CLOSING_KILL, CLOSING_POWER, CLOSING_WIPE, CLOSING_COUNT } Closing;
 
 typedef struct DaySettings {
     uint64_t seed;
     const Site *site;
-    const Tongue *tongue;
+    const Codec *codec;
     bool loud;         /* tells what happens */
     const char *job;   /* tells what happens to this one; null: to none */
-    size_t troubles;   /* so many are drawn */
+    size_t faults;     /* so many are drawn */
     bool wrong_clocks; /* the leader's clock runs too slow, others' too fast, which none does in truth */
     Closing closing;
-    const char *only;               /* only troubles of this kind; null: all */
-    const char *script;             /* these instead of drawn ones: KIND@AT+FOR=WHOM,..; null: drawn. WHOM: a machine, a
-                                       zone, leader; left out: drawn */
-    bool skipped[DAY_TROUBLES_MAX]; /* leaves these out */
+    const char *only;             /* only troubles of this kind; null: all */
+    const char *script;           /* these instead of drawn ones: KIND@AT+FOR=WHOM,..; null: drawn. WHOM: a machine, a
+                                     zone, leader; left out: drawn */
+    bool skipped[DAY_FAULTS_MAX]; /* leaves these out */
 } DaySettings;
 
 typedef struct DayResult {
@@ -34,8 +34,8 @@
     size_t timely, late; /* of jobs that could be done: within the target, within thrice */
     size_t owed;
     size_t orders;
-    char troubles[DAY_TROUBLES_MAX][64]; /* what was drawn, with its time, as a script has it */
-    size_t trouble_count;
+    char faults[DAY_FAULTS_MAX][64]; /* what was drawn, with its time, as a script has it */
+    size_t fault_count;
 } DayResult;
 
 void day_run(const DaySettings *settings, DayResult *result);
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -15,10 +15,10 @@
     X(controllers, "cores", 3, "machines at the edge with a disk, over the zones in turn")                 \
     X(entry_points, "gates", 3, "machines at the edge without one")                                        \
     X(spares, "spares", 2, "empty machines that may take a core's place")                                  \
-    X(hands, "hands", 11, "workers, an agent beside each")                                                 \
-    X(rack_hands, "rackHands", 3, "workers of a rack")                                                     \
-    X(hand_cpu_milli, "handCpuMilli", 64000, "room of a worker")                                           \
-    X(hand_mem_mb, "handMemMb", 131072, "... and its memory")                                              \
+    X(worker_models, "hands", 11, "workers, an agent beside each")                                         \
+    X(rack_worker_models, "rackHands", 3, "workers of a rack")                                             \
+    X(worker_model_cpu_milli, "handCpuMilli", 64000, "room of a worker")                                   \
+    X(worker_model_mem_mb, "handMemMb", 131072, "... and its memory")                                      \
     X(guards, "guards", 0, "1: workers turn away what does not fit")                                       \
     X(losses, "losses", 1, "disk machines that may be lost at once")                                       \
     X(link_ms, "linkMs", 2, "the most that a message takes one way")                                       \
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/tongue.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_TONGUE_H
-#define MODEL_TONGUE_H
+#ifndef MODEL_CODEC_H
+#define MODEL_CODEC_H
 
 #include "base/bytes.h"
 #include "model/site.h"
@@ -10,13 +10,13 @@
 
 /* --- machines ------------------------------------------------------------------------ */
 
-typedef struct TongueNode {
+typedef struct CodecNode {
     const char *name, *zone, *ip;
     bool side; /* beside a worker; else at the edge */
     bool disk;
     bool founds;          /* the first start of all */
     const char *seeds[3]; /* IPs */
-} TongueNode;
+} CodecNode;
 
 /* --- tasks and workers --------------------------------------------------------------- */
 
@@ -27,49 +27,49 @@
     uint64_t turn, step, at;
 } TaskName;
 
-typedef struct HandRunning {
+typedef struct WorkerModelRunning {
     TaskName name;
     uint64_t attempt;
     const char *saved;
     int percent;
-} HandRunning;
+} WorkerModelRunning;
 
-typedef struct HandEnded {
+typedef struct WorkerModelEnded {
     uint64_t number;
     TaskName name;
     uint64_t attempt;
     AttemptWord word;
     const char *saved;
-} HandEnded;
+} WorkerModelEnded;
 
 /* What a worker tells of itself. */
-typedef struct HandReport {
+typedef struct WorkerModelReport {
     const char *kind, *zone, *label, *rack, *address;
     Room room;
     bool leaving;
     int64_t leave_ms, clock_ms;
     uint64_t sequence;
-    HandRunning *running;
+    WorkerModelRunning *running;
     size_t running_count;
-    HandEnded *ended;
+    WorkerModelEnded *ended;
     size_t ended_count;
-} HandReport;
+} WorkerModelReport;
 
-typedef struct HandStart {
+typedef struct WorkerModelStart {
     TaskName name;
     uint64_t attempt;
     const char *payload, *saved;
-} HandStart;
+} WorkerModelStart;
 
 /* What it is answered. lease_ms and again_ms below 0: not said. */
-typedef struct HandOrders {
-    HandStart *starts;
+typedef struct WorkerModelOrders {
+    WorkerModelStart *starts;
     size_t start_count;
-    HandRunning *stops;
+    WorkerModelRunning *stops;
     size_t stop_count;
     uint64_t seen, fence;
     int64_t lease_ms, again_ms;
-} HandOrders;
+} WorkerModelOrders;
 
 /* --- jobs ------------------------------------------------------------------------------ */
 
@@ -153,17 +153,17 @@
     Bytes body;
 } Worded;
 
-typedef struct Tongue {
+typedef struct Codec {
     const char *adapter; /* whose tongue it is */
     int front_port, ready_port, operator_port;
     const char *ready_path, *config_path, *wait_head;
     /* Of an HTTP code; 0: no answer came. */
     Outcome (*outcome)(int code);
     /* All on mem. */
-    char *(*settings)(void *mem, const Site *site, const TongueNode *node);
+    char *(*settings)(void *mem, const Site *site, const CodecNode *node);
     char *(*heartbeat_path)(void *mem, const char *boot, bool leaves);
-    Bytes (*report)(void *mem, const HandReport *report);
-    bool (*orders)(void *mem, Bytes result, HandOrders *orders);
+    Bytes (*report)(void *mem, const WorkerModelReport *report);
+    bool (*orders)(void *mem, Bytes result, WorkerModelOrders *orders);
     Bytes (*job)(void *mem, const Draft *draft);
     JobWord (*state)(Bytes result);
     /* The count of a queue; -1: there is none in it. */
@@ -174,6 +174,6 @@
     /* Whether what was read back is the document. */
     bool (*same)(Bytes result, const Document *document, uint64_t *version);
     char *(*zone_path)(void *mem, const char *zone, bool drain);
-} Tongue;
+} Codec;
 
 #endif
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -6,10 +6,10 @@
 #include <string.h>
 #include <talloc.h>
 
-Book *book_new(void *mem, Ground *ground)
+Book *book_new(void *mem, Topology *topology)
 {
     Book *book = talloc_zero(mem, Book);
-    book->ground = ground;
+    book->topology = topology;
     book->by_id = map_new(book);
     return book;
 }
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -25,7 +25,7 @@
     struct BookJob *job;
     TaskName name;
     Fate *fate;
-    struct HandRun *live; /* runs on workers that are up, by next_live */
+    struct WorkerModelRun *live; /* runs on workers that are up, by next_live */
 } BookTask;
 
 typedef struct BookJob {
@@ -37,7 +37,7 @@
     size_t task_count, each_turn;
     size_t step_first[DRAFT_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not */
-    const GroundNode *accepted_by;
+    const TopologyNode *accepted_by;
     int tries_open;                    /* that may yet be answered */
     bool maybe;                        /* some try has had no clear answer */
     int64_t refused_ms;                /* every try was turned away, since; 0: not so */
@@ -49,14 +49,14 @@
 } BookJob;
 
 typedef struct Book {
-    Ground *ground;
+    Topology *topology;
     Map *by_id;
     BookJob **jobs;
     size_t count;
     size_t starts, kinds[ATTEMPT_WORD_COUNT];
 } Book;
 
-Book *book_new(void *mem, Ground *ground);
+Book *book_new(void *mem, Topology *topology);
 /* The draft is copied; its texts must last. */
 BookJob *book_add(Book *book, const Draft *draft, const SiteKind *kind);
 BookJob *book_job(const Book *book, const char *id);
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -7,7 +7,7 @@
 /* Those who hand jobs in: a machine for each zone. They try again with the same id, ask
  * for states, cancel, and check what they are told. */
 typedef struct Callers {
-    Ground *ground;
+    Topology *topology;
     Door *door;
     Book *book;
     Ledger *ledger;
@@ -20,7 +20,7 @@
     int64_t finish_ms; /* since then */
     /* first tries, before the closing fault and once it must be over */
     int64_t closing_ms, back_ms; /* the fault, and the machines' return; 0: none yet */
-    GroundNode *last_taker;      /* who has accepted a job last */
+    TopologyNode *last_taker;    /* who has accepted a job last */
     int64_t last_taken_ms;
     size_t sent_before, served_before, sent_after, served_after;
 } Callers;
@@ -33,11 +33,11 @@
 /* What callers' queues are in a document. */
 void callers_queue(const Site *site, size_t kind, DocumentQueue *queue);
 /* Looks for jobs that stand still; called often in the end. */
-void callers_idle(Callers *callers, const Hands *hands);
+void callers_idle(Callers *callers, const WorkerModels *worker_models);
 /* What must hold in the end. */
 void callers_end(Callers *callers);
 
 /* Draws a job of the kind. */
-void draft_draw(const Callers *callers, const SiteKind *kind, Dice *dice, Draft *draft);
+void draft_draw(const Callers *callers, const SiteKind *kind, RandomSource *random_source, Draft *draft);
 
 #endif
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -8,7 +8,7 @@
 
 void crew_advance(Crew *crew)
 {
-    const int64_t now_ms = ground_now_ms(crew->hands->ground);
+    const int64_t now_ms = topology_now_ms(crew->worker_models->topology);
     if (crew->begun)
         crew->done_us += (now_ms - crew->last_ms) * crew->rate;
     crew->last_ms = now_ms;
@@ -17,64 +17,66 @@
 /* Away from its data or over several racks it is slower; the slowest member decides. */
 void crew_pace(Crew *crew)
 {
-    const Site *site = crew->hands->ground->site;
+    const Site *site = crew->worker_models->topology->site;
     const DraftStep *step = book_step(crew->members[0]->task);
     crew_advance(crew);
     int64_t rate = INT64_MAX;
     bool far = false;
     for (size_t i = 0; i < crew->count; i++) {
-        const Hand *hand = crew->members[i]->hand;
-        const int64_t own = hand->hangs ? 0 : 10 * hand->speed / hand->slow_times;
+        const WorkerModel *worker_model = crew->members[i]->worker_model;
+        const int64_t own = worker_model->hangs ? 0 : 10 * worker_model->speed / worker_model->slow_times;
         rate = own < rate ? own : rate;
-        far |= step->near != NULL && strcmp(step->near, hand->rack) != 0;
-        far |= step->same_rack && strcmp(hand->rack, crew->members[0]->hand->rack) != 0;
+        far |= step->near != NULL && strcmp(step->near, worker_model->rack) != 0;
+        far |= step->same_rack && strcmp(worker_model->rack, crew->members[0]->worker_model->rack) != 0;
     }
     crew->rate = far ? rate * 100 / site->far_percent : rate;
 }
 
 /* Whether and where an attempt fails by itself: the same for the same attempt each time. */
-static void fail_draw(Crew *crew, HandRun *run)
+static void fail_draw(Crew *crew, WorkerModelRun *run)
 {
     const BookJob *job = run->task->job;
-    Dice dice = dice_of(bytes_crc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->attempt);
-    const bool fails = job->poison || (int64_t)(dice_next(&dice) % 1000) < job->kind->fail_milli ||
-                       (job->draft.lasting && dice_percent(&dice, 20)) || dice_percent(&dice, run->hand->grey_percent);
+    RandomSource random_source =
+        random_source_of(bytes_crc(&run->task->name, sizeof(run->task->name)), job->draft.id, run->attempt);
+    const bool fails = job->poison || (int64_t)(random_source_next(&random_source) % 1000) < job->kind->fail_milli ||
+                       (job->draft.lasting && random_source_percent(&random_source, 20)) ||
+                       random_source_percent(&random_source, run->worker_model->grey_percent);
     const int64_t span = job->draft.lasting ? 15000000 : crew->work_us;
-    const int64_t at = span * dice_span(&dice, 10, 90) / 100;
+    const int64_t at = span * random_source_span(&random_source, 10, 90) / 100;
     if (fails && at < crew->fail_us) {
         crew->fail_us = at;
         crew->failing = run;
     }
 }
 
-static Crew *crew_find(const HandRun *run)
+static Crew *crew_find(const WorkerModelRun *run)
 {
     const BookTask *task = run->task;
     const BookJob *job = task->job;
     const size_t first = (size_t)task->name.turn * job->each_turn + job->step_first[task->name.step];
     for (size_t i = first; book_step(task)->gang && i < first + book_step(task)->count; i++)
-        for (const HandRun *one = job->tasks[i].live; one != NULL; one = one->next_live)
+        for (const WorkerModelRun *one = job->tasks[i].live; one != NULL; one = one->next_live)
             if (one->attempt == run->attempt && one->crew != NULL)
                 return one->crew;
     return NULL;
 }
 
-void crew_join(Hands *hands, HandRun *run, int64_t from_ms)
+void crew_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms)
 {
     const DraftStep *step = book_step(run->task);
     const BookJob *job = run->task->job;
     Crew *crew = crew_find(run);
     if (crew == NULL) {
-        crew = talloc_zero(hands, Crew);
-        crew->hands = hands;
+        crew = talloc_zero(worker_models, Crew);
+        crew->worker_models = worker_models;
         crew->attempt = run->attempt;
         crew->needed = step->gang ? step->count : 1;
         crew->work_us = job->draft.lasting ? ENDLESS_US : step->work_ms * 1000;
         crew->from_ms = from_ms;
         /* bringing it back takes its time: work that was not done */
-        crew->done_us = from_ms * 1000 - (from_ms > 0 ? hands->ground->site->restore_ms * 1000 : 0);
+        crew->done_us = from_ms * 1000 - (from_ms > 0 ? worker_models->topology->site->restore_ms * 1000 : 0);
         crew->fail_us = INT64_MAX;
-        crew->last_ms = ground_now_ms(hands->ground);
+        crew->last_ms = topology_now_ms(worker_models->topology);
     }
     run->crew = crew;
     if (crew->count < sizeof(crew->members) / sizeof(crew->members[0]))
@@ -84,10 +86,10 @@
     crew->begun |= crew->count == crew->needed;
     crew_pace(crew);
     for (size_t i = 0; i < crew->count; i++)
-        signal_raise(crew->members[i]->hand->loop, &crew->members[i]->hand->work);
+        signal_raise(crew->members[i]->worker_model->loop, &crew->members[i]->worker_model->work);
 }
 
-void crew_leave(HandRun *run)
+void crew_leave(WorkerModelRun *run)
 {
     Crew *crew = run->crew;
     crew_advance(crew);
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -11,12 +11,12 @@
 
 static void begin(void *arg)
 {
-    trouble_begin(arg);
+    fault_begin(arg);
 }
 
 static void end(void *arg)
 {
-    trouble_end(arg);
+    fault_end(arg);
 }
 
 static void operator_begin(void *arg)
@@ -29,132 +29,133 @@
     callers_start(((Day *)arg)->callers);
 }
 
-static void hands_begin(void *arg)
+static void worker_models_begin(void *arg)
 {
-    hands_start(((Day *)arg)->hands);
+    worker_models_start(((Day *)arg)->worker_models);
 }
 
 /* For the checkers' own proof: the one assumption that no process can look after. */
 static void clocks_spoil(void *arg)
 {
-    Ground *ground = ((Day *)arg)->ground;
-    GroundNode *leader = ground_leader(ground);
-    for (size_t i = 0; i < ground->edge_count && leader != NULL; i++) {
-        GroundNode *node = &ground->edges[i];
+    Topology *topology = ((Day *)arg)->topology;
+    TopologyNode *leader = topology_leader(topology);
+    for (size_t i = 0; i < topology->edge_count && leader != NULL; i++) {
+        TopologyNode *node = &topology->edges[i];
         if (!node->disk || !node->used)
             continue;
-        sim_clock_rate(ground->world, node->machine, node == leader ? 10 : 1000);
+        sim_clock_rate(topology->world, node->machine, node == leader ? 10 : 1000);
     }
     if (leader != NULL)
         node_cut(leader, true);
 }
 
 /* Troubles of the controller keep apart: no more is lost at once than is to be borne. */
-static bool fits(const Trouble *list, size_t count, const Trouble *one, const Site *site)
+static bool fits(const Fault *list, size_t count, const Fault *one, const Site *site)
 {
     const int64_t gap_ms = site->sync_ms + CONTROLLER_GAP_MS;
     /* one zone is emptied at a time, too */
-    for (size_t i = 0; i < count && one->kind == TROUBLE_ZONE_DRAIN; i++)
+    for (size_t i = 0; i < count && one->kind == FAULT_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].for_ms + site->ack_ms &&
             list[i].at_ms < one->at_ms + one->for_ms + site->ack_ms)
             return false;
-    for (size_t i = 0; i < count && trouble_controller(one->kind); i++)
-        if (list[i].kind != TROUBLE_COUNT && trouble_controller(list[i].kind) &&
+    for (size_t i = 0; i < count && fault_controller(one->kind); i++)
+        if (list[i].kind != FAULT_COUNT && fault_controller(list[i].kind) &&
             one->at_ms < list[i].at_ms + list[i].for_ms + gap_ms && list[i].at_ms < one->at_ms + one->for_ms + gap_ms)
             return false;
     return true;
 }
 
-static size_t troubles_draw(Day *day, const DaySettings *settings, Trouble *list, DayResult *result)
+static size_t faults_draw(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
 {
     const Site *site = settings->site;
     const int64_t last_ms = site->traffic_ms - CALM_END_MS;
-    for (size_t i = 0; i < settings->troubles; i++) {
-        Dice dice = dice_of(settings->seed, "trouble", i);
-        Trouble *one = &list[i];
-        *one = (Trouble){.day = day};
+    for (size_t i = 0; i < settings->faults; i++) {
+        RandomSource random_source = random_source_of(settings->seed, "trouble", i);
+        Fault *one = &list[i];
+        *one = (Fault){.day = day};
         do
-            one->kind = (TroubleKind)dice_span(&dice, 0, TROUBLE_COUNT - 1);
-        while (settings->only != NULL && trouble_of(settings->only) < TROUBLE_COUNT &&
-               one->kind != trouble_of(settings->only));
+            one->kind = (FaultKind)random_source_span(&random_source, 0, FAULT_COUNT - 1);
+        while (settings->only != NULL && fault_of(settings->only) < FAULT_COUNT &&
+               one->kind != fault_of(settings->only));
         bool good = false;
         for (int tries = 0; tries < 12 && !good; tries++) {
-            one->at_ms = dice_span(&dice, 1500, last_ms - 2000);
-            one->for_ms = dice_span(&dice, 800, 7000);
+            one->at_ms = random_source_span(&random_source, 1500, last_ms - 2000);
+            one->for_ms = random_source_span(&random_source, 800, 7000);
             /* a loss counts for a while after the return: the closing fault may be the next */
-            const int64_t end_ms = last_ms - (trouble_controller(one->kind) ? site->sync_ms : 0);
+            const int64_t end_ms = last_ms - (fault_controller(one->kind) ? site->sync_ms : 0);
             if (one->at_ms + one->for_ms > end_ms)
                 one->for_ms = end_ms - one->at_ms;
             good = one->for_ms >= 500 && fits(list, i, one, site);
         }
-        one->dice = dice_of(settings->seed, "strike", i);
+        one->random_source = random_source_of(settings->seed, "strike", i);
         if (!good || settings->skipped[i]) {
-            one->kind = TROUBLE_COUNT;
+            one->kind = FAULT_COUNT;
             continue;
         }
-        snprintf(result->troubles[i], sizeof(result->troubles[i]), "%s@%" PRId64 "+%" PRId64, trouble_name(one->kind),
+        snprintf(result->faults[i], sizeof(result->faults[i]), "%s@%" PRId64 "+%" PRId64, fault_name(one->kind),
                  one->at_ms, one->for_ms);
     }
-    result->trouble_count = settings->troubles;
-    return settings->troubles;
+    result->fault_count = settings->faults;
+    return settings->faults;
 }
 
 /* KIND@AT+FOR=WHOM,... */
-static size_t troubles_read(Day *day, const DaySettings *settings, Trouble *list, DayResult *result)
+static size_t faults_read(Day *day, const DaySettings *settings, Fault *list, DayResult *result)
 {
     size_t count = 0;
     char *text = talloc_strdup(day, settings->script), *save = NULL;
-    for (char *one = strtok_r(text, ",", &save); one != NULL && count < DAY_TROUBLES_MAX;
+    for (char *one = strtok_r(text, ",", &save); one != NULL && count < DAY_FAULTS_MAX;
          one = strtok_r(NULL, ",", &save)) {
-        Trouble *trouble = &list[count];
+        Fault *fault = &list[count];
         char kind[24] = "";
-        *trouble = (Trouble){.day = day, .dice = dice_of(settings->seed, "strike", count)};
-        const int got = sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &trouble->at_ms, &trouble->for_ms,
-                               trouble->whom);
-        trouble->kind = got >= 3 ? trouble_of(kind) : TROUBLE_COUNT;
-        if (trouble->kind == TROUBLE_COUNT || settings->skipped[count])
-            trouble->kind = TROUBLE_COUNT;
-        snprintf(result->troubles[count], sizeof(result->troubles[count]), "%s%s", one,
-                 trouble->kind == TROUBLE_COUNT ? "(not understood, or left out)" : "");
+        *fault = (Fault){.day = day, .random_source = random_source_of(settings->seed, "strike", count)};
+        const int got =
+            sscanf(one, "%23[a-zA-Z]@%" SCNd64 "+%" SCNd64 "=%15s", kind, &fault->at_ms, &fault->for_ms, fault->whom);
+        fault->kind = got >= 3 ? fault_of(kind) : FAULT_COUNT;
+        if (fault->kind == FAULT_COUNT || settings->skipped[count])
+            fault->kind = FAULT_COUNT;
+        snprintf(result->faults[count], sizeof(result->faults[count]), "%s%s", one,
+                 fault->kind == FAULT_COUNT ? "(not understood, or left out)" : "");
         count++;
     }
-    result->trouble_count = count;
+    result->fault_count = count;
     return count;
 }
 
 static void day_for(const Day *day, int64_t for_ms)
 {
-    sim_run_until(day->ground->world, ground_now_ms(day->ground) + for_ms);
+    sim_run_until(day->topology->world, topology_now_ms(day->topology) + for_ms);
 }
 
 static void closing_start(void *arg)
 {
     Day *day = arg;
-    Ground *ground = day->ground;
-    for (size_t i = 0; i < ground->edge_count; i++)
-        if (ground->edges[i].used && !ground->edges[i].gone)
-            node_start(&ground->edges[i]);
-    for (size_t i = 0; i < ground->side_count; i++)
-        node_start(&ground->sides[i]);
-    day->callers->back_ms = ground_now_ms(ground);
+    Topology *topology = day->topology;
+    for (size_t i = 0; i < topology->edge_count; i++)
+        if (topology->edges[i].used && !topology->edges[i].gone)
+            node_start(&topology->edges[i]);
+    for (size_t i = 0; i < topology->side_count; i++)
+        node_start(&topology->sides[i]);
+    day->callers->back_ms = topology_now_ms(topology);
 }
 
 /* All machines of the system at once; workers run on. */
-static void closing_strike(Day *day, Closing closing, Dice *dice)
+static void closing_strike(Day *day, Closing closing, RandomSource *random_source)
 {
-    Ground *ground = day->ground;
+    Topology *topology = day->topology;
     static const char *const WORDS[] = {"", "", "all processes are killed", "all lose power",
                                         "all lose power, one its disk"};
-    ground_say(ground, "%s", WORDS[closing]);
-    day->callers->closing_ms = ground_now_ms(ground);
-    GroundNode *wiped = closing == CLOSING_WIPE ? ground_leader(ground) : NULL;
-    for (size_t i = 0; i < ground->edge_count; i++)
-        node_kill(&ground->edges[i], closing != CLOSING_KILL);
-    for (size_t i = 0; i < ground->side_count; i++)
-        node_kill(&ground->sides[i], closing != CLOSING_KILL);
+    topology_say(topology, "%s", WORDS[closing]);
+    day->callers->closing_ms = topology_now_ms(topology);
+    TopologyNode *wiped = closing == CLOSING_WIPE ? topology_leader(topology) : NULL;
+    for (size_t i = 0; i < topology->edge_count; i++)
+        node_kill(&topology->edges[i], closing != CLOSING_KILL);
+    for (size_t i = 0; i < topology->side_count; i++)
+        node_kill(&topology->sides[i], closing != CLOSING_KILL);
     if (wiped != NULL)
-        sim_disk_wipe(ground->world, wiped->machine);
-    sim_at(ground->world, ground_now_ms(ground) + dice_span(dice, 700, 1500), closing_start, day);
+        sim_disk_wipe(topology->world, wiped->machine);
+    sim_at(topology->world, topology_now_ms(topology) + random_source_span(random_source, 700, 1500), closing_start,
+           day);
 }
 
 /* How much of what could be done was shown as done in time. */
@@ -186,9 +187,9 @@
         result->timely += took_ms <= target_ms;
         result->late += took_ms > target_ms && took_ms <= target_ms * 3;
     }
-    if (checker_broken(day->ground->checker, NEVER_TWO_LEADERS) > 0)
-        rules_broke(&result->rules, RULE_LEADERS, ground_day_ms(day->ground), "%s",
-                    checker_first(day->ground->checker));
+    if (checker_broken(day->topology->checker, NEVER_TWO_LEADERS) > 0)
+        rules_broke(&result->rules, RULE_LEADERS, topology_day_ms(day->topology), "%s",
+                    checker_first(day->topology->checker));
 }
 
 void day_run(const DaySettings *settings, DayResult *result)
@@ -196,50 +197,51 @@
     const Site *site = settings->site;
     void *mem = talloc_new(NULL);
     *result = (DayResult){0};
-    Dice dice = dice_of(settings->seed, "day", 0);
+    RandomSource random_source = random_source_of(settings->seed, "day", 0);
     Day *day = talloc_zero(mem, Day);
-    day->ground = ground_new(mem, site, settings->tongue, settings->seed, &result->rules);
-    Ground *ground = day->ground;
-    ground->loud = settings->loud;
-    ground->job = settings->job;
-    day->book = book_new(mem, ground);
-    day->ledger = ledger_new(mem, ground);
-    day->hands = hands_new(mem, day->book, day->ledger);
-    day->door = door_new(mem, ground);
+    day->topology = topology_new(mem, site, settings->codec, settings->seed, &result->rules);
+    Topology *topology = day->topology;
+    topology->loud = settings->loud;
+    topology->job = settings->job;
+    day->book = book_new(mem, topology);
+    day->ledger = ledger_new(mem, topology);
+    day->worker_models = worker_models_new(mem, day->book, day->ledger);
+    day->door = door_new(mem, topology);
     day->callers = callers_new(mem, day->door, day->book, day->ledger);
-    day->operator= operator_new(mem, ground, day->ledger);
-    ground_start(ground);
+    day->operator= operator_new(mem, topology, day->ledger);
+    topology_start(topology);
     if (settings->wrong_clocks)
-        sim_at(ground->world, ground->began_ms + 2000, clocks_spoil, day);
+        sim_at(topology->world, topology->began_ms + 2000, clocks_spoil, day);
     door_start(day->door);
-    sim_at(ground->world, ground_now_ms(ground) + dice_span(&dice, 0, 1500), hands_begin, day);
-    sim_at(ground->world, ground_now_ms(ground) + 1000, operator_begin, day);
-    sim_at(ground->world, ground->began_ms, callers_begin, day);
-    Trouble *troubles = talloc_zero_array(mem, Trouble, DAY_TROUBLES_MAX);
-    const size_t count = settings->script != NULL ? troubles_read(day, settings, troubles, result)
-                                                  : troubles_draw(day, settings, troubles, result);
+    sim_at(topology->world, topology_now_ms(topology) + random_source_span(&random_source, 0, 1500),
+           worker_models_begin, day);
+    sim_at(topology->world, topology_now_ms(topology) + 1000, operator_begin, day);
+    sim_at(topology->world, topology->began_ms, callers_begin, day);
+    Fault *faults = talloc_zero_array(mem, Fault, DAY_FAULTS_MAX);
+    const size_t count = settings->script != NULL ? faults_read(day, settings, faults, result)
+                                                  : faults_draw(day, settings, faults, result);
     for (size_t i = 0; i < count; i++)
-        if (troubles[i].kind != TROUBLE_COUNT) {
-            sim_at(ground->world, ground->began_ms + troubles[i].at_ms, begin, &troubles[i]);
-            sim_at(ground->world, ground->began_ms + troubles[i].at_ms + troubles[i].for_ms, end, &troubles[i]);
+        if (faults[i].kind != FAULT_COUNT) {
+            sim_at(topology->world, topology->began_ms + faults[i].at_ms, begin, &faults[i]);
+            sim_at(topology->world, topology->began_ms + faults[i].at_ms + faults[i].for_ms, end, &faults[i]);
         }
     day_for(day, site->lead_ms + site->traffic_ms);
     Closing closing = settings->closing;
     if (closing == CLOSING_DRAWN)
-        closing = (Closing)dice_span(&dice, CLOSING_NONE, CLOSING_COUNT - 1);
+        closing = (Closing)random_source_span(&random_source, CLOSING_NONE, CLOSING_COUNT - 1);
     if (closing != CLOSING_NONE) {
-        closing_strike(day, closing, &dice);
+        closing_strike(day, closing, &random_source);
         day_for(day, site->recover_ms + 7000);
     }
-    ground_say(ground, "traffic ends");
+    topology_say(topology, "traffic ends");
     callers_finish(day->callers);
     operator_finish(day->operator);
     for (int64_t passed_ms = 0; passed_ms < site->finish_ms; passed_ms += LOOK_MS) {
         day_for(day, LOOK_MS);
-        callers_idle(day->callers, day->hands);
+        callers_idle(day->callers, day->worker_models);
     }
     callers_end(day->callers);
     sum(day, result);
-    ground_dump(ground);
+    topology_dump(topology);
     talloc_free(mem);
 }
--- a/packages/model/src/dice.c
+++ b/packages/model/src/dice.c
@@ -8,33 +8,34 @@
     return z ^ (z >> 31);
 }
 
-Dice dice_of(uint64_t seed, const char *purpose, uint64_t number)
+RandomSource random_source_of(uint64_t seed, const char *purpose, uint64_t number)
 {
     uint64_t state = mixed(seed + 0x9e3779b97f4a7c15u);
     for (; *purpose != '\0'; purpose++)
         state = mixed(state ^ (uint64_t)(unsigned char)*purpose);
-    return (Dice){mixed(state ^ number)};
+    return (RandomSource){mixed(state ^ number)};
 }
 
-uint64_t dice_next(Dice *dice)
+uint64_t random_source_next(RandomSource *random_source)
 {
-    return mixed(dice->state += 0x9e3779b97f4a7c15u);
+    return mixed(random_source->state += 0x9e3779b97f4a7c15u);
 }
 
-int64_t dice_span(Dice *dice, int64_t least, int64_t most)
+int64_t random_source_span(RandomSource *random_source, int64_t least, int64_t most)
 {
-    return most <= least ? least : least + (int64_t)(dice_next(dice) % (uint64_t)(most - least + 1));
+    return most <= least ? least : least + (int64_t)(random_source_next(random_source) % (uint64_t)(most - least + 1));
 }
 
-bool dice_percent(Dice *dice, int64_t percent)
+bool random_source_percent(RandomSource *random_source, int64_t percent)
 {
-    return (int64_t)(dice_next(dice) % 100) < percent;
+    return (int64_t)(random_source_next(random_source) % 100) < percent;
 }
 
-int64_t dice_about(Dice *dice, int64_t mean)
+int64_t random_source_about(RandomSource *random_source, int64_t mean)
 {
-    const uint64_t kind = dice_next(dice) % 10;
+    const uint64_t kind = random_source_next(random_source) % 10;
     if (kind == 0)
-        return dice_span(dice, mean * 3 / 2, mean * 3);
-    return kind < 3 ? dice_span(dice, mean / 3 + 1, mean * 2 / 3 + 1) : dice_span(dice, mean * 2 / 3 + 1, mean * 4 / 3);
+        return random_source_span(random_source, mean * 3 / 2, mean * 3);
+    return kind < 3 ? random_source_span(random_source, mean / 3 + 1, mean * 2 / 3 + 1)
+                    : random_source_span(random_source, mean * 2 / 3 + 1, mean * 4 / 3);
 }
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -16,16 +16,16 @@
 {
     Looking *looking = arg;
     Door *door = looking->door;
-    const Ground *ground = door->ground;
-    Loop *loop = sim_loop(ground->world, door->machine);
-    const GroundNode *node = &ground->edges[looking->edge];
+    const Topology *topology = door->topology;
+    Loop *loop = sim_loop(topology->world, door->machine);
+    const TopologyNode *node = &topology->edges[looking->edge];
     for (;;) {
         void *mem = talloc_new(looking);
         HttpCall call = {.mem = mem,
-                         .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine),
-                                                    ground->tongue->ready_port),
+                         .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, node->machine),
+                                                    topology->codec->ready_port),
                          .method = "GET",
-                         .path = ground->tongue->ready_path,
+                         .path = topology->codec->ready_path,
                          .wait_ms = LOOK_MS};
         const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
@@ -41,32 +41,32 @@
     (void)loop;
 }
 
-Door *door_new(void *mem, Ground *ground)
+Door *door_new(void *mem, Topology *topology)
 {
     Door *door = talloc_zero(mem, Door);
-    door->ground = ground;
-    door->machine = sim_machine(ground->world);
+    door->topology = topology;
+    door->machine = sim_machine(topology->world);
     return door;
 }
 
 void door_start(Door *door)
 {
-    sim_start(door->ground->world, door->machine, nothing, NULL);
-    Loop *loop = sim_loop(door->ground->world, door->machine);
-    for (size_t i = 0; i < door->ground->edge_count; i++) {
+    sim_start(door->topology->world, door->machine, nothing, NULL);
+    Loop *loop = sim_loop(door->topology->world, door->machine);
+    for (size_t i = 0; i < door->topology->edge_count; i++) {
         Looking *looking = talloc_zero(loop, Looking);
         *looking = (Looking){door, i};
         loop_spawn(loop, "look", look_main, looking);
     }
 }
 
-GroundNode *door_entry(const Door *door, Dice *dice, const char *zone)
+TopologyNode *door_entry(const Door *door, RandomSource *random_source, const char *zone)
 {
-    Ground *ground = door->ground;
-    GroundNode *in[EDGES_MAX], *all[EDGES_MAX], *any[EDGES_MAX];
+    Topology *topology = door->topology;
+    TopologyNode *in[EDGES_MAX], *all[EDGES_MAX], *any[EDGES_MAX];
     int64_t in_count = 0, all_count = 0, any_count = 0;
-    for (size_t i = 0; i < ground->edge_count; i++) {
-        GroundNode *node = &ground->edges[i];
+    for (size_t i = 0; i < topology->edge_count; i++) {
+        TopologyNode *node = &topology->edges[i];
         const bool here = strcmp(node->zone, zone) == 0, ready = door->misses[i] < MISSES_OUT;
         if (!node->used || node->gone)
             continue;
@@ -78,8 +78,8 @@
             any[any_count++] = node;
     }
     if (in_count * 2 >= all_count && in_count > 0)
-        return in[dice_span(dice, 0, in_count - 1)];
+        return in[random_source_span(random_source, 0, in_count - 1)];
     if (in_count > 0 || any_count == 0)
-        return all_count > 0 ? all[dice_span(dice, 0, all_count - 1)] : &ground->edges[0];
-    return any[dice_span(dice, 0, any_count - 1)];
+        return all_count > 0 ? all[random_source_span(random_source, 0, all_count - 1)] : &topology->edges[0];
+    return any[random_source_span(random_source, 0, any_count - 1)];
 }
--- a/packages/model/src/door.h
+++ b/packages/model/src/door.h
@@ -6,14 +6,14 @@
 /* The platform's way of leading callers to entry points: it looks each second which
  * call themselves ready; two misses take one out until it is ready again. */
 typedef struct Door {
-    Ground *ground;
+    Topology *topology;
     int machine;
     int misses[EDGES_MAX];
 } Door;
 
-Door *door_new(void *mem, Ground *ground);
+Door *door_new(void *mem, Topology *topology);
 void door_start(Door *door);
 /* Where a new connection of the zone is led to. */
-GroundNode *door_entry(const Door *door, Dice *dice, const char *zone);
+TopologyNode *door_entry(const Door *door, RandomSource *random_source, const char *zone);
 
 #endif
--- a/packages/model/src/hand.c
+++ b/packages/model/src/hand.c
@@ -12,122 +12,123 @@
 #define LEAVE_ANYWAY_MS 4000   /* ms; it leaves so long after it had to, though nobody took note */
 #define ENDS_AT_ONCE 500       /* count; in one heartbeat */
 
-Room hand_used(const Hand *hand)
+Room worker_model_used(const WorkerModel *worker_model)
 {
     Room used = {0};
-    for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
+    for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         const Room room = book_step(run->task)->room;
         used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
     }
     return used;
 }
 
-void hand_pace(Hand *hand)
+void worker_model_pace(WorkerModel *worker_model)
 {
-    for (HandRun *run = hand->runs; run != NULL; run = run->next) {
+    for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         crew_pace(run->crew);
         for (size_t i = 0; i < run->crew->count; i++)
-            signal_raise(run->crew->members[i]->hand->loop, &run->crew->members[i]->hand->work);
+            signal_raise(run->crew->members[i]->worker_model->loop, &run->crew->members[i]->worker_model->work);
     }
 }
 
-void hand_slow(Hand *hand, int64_t times)
+void worker_model_slow(WorkerModel *worker_model, int64_t times)
 {
-    hand->slow_times = times;
-    if (hand->up)
-        hand_pace(hand);
+    worker_model->slow_times = times;
+    if (worker_model->up)
+        worker_model_pace(worker_model);
 }
 
-void hand_hang(Hand *hand, bool hangs)
+void worker_model_hang(WorkerModel *worker_model, bool hangs)
 {
-    hand->hangs = hangs;
-    if (hand->up)
-        hand_pace(hand);
+    worker_model->hangs = hangs;
+    if (worker_model->up)
+        worker_model_pace(worker_model);
 }
 
 /* --- heartbeats --------------------------------------------------------------------------------------------- */
 
-static void report_fill(Hand *hand, void *mem, HandReport *report)
+static void report_fill(WorkerModel *worker_model, void *mem, WorkerModelReport *report)
 {
-    const int64_t now_ms = ground_now_ms(hand->hands->ground);
+    const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
     size_t count = 0;
-    for (const HandRun *run = hand->runs; run != NULL; run = run->next)
+    for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next)
         count++;
-    *report =
-        (HandReport){.kind = hand->kind,
-                     .zone = hand->zone,
-                     .label = hand->label,
-                     .rack = hand->rack,
-                     .address = talloc_asprintf(mem, "%s:8080", sim_address(hand->hands->ground->world, hand->machine)),
-                     .room = hand->room,
-                     .leaving = hand->leaving,
-                     .leave_ms = hand->leave_at_ms > now_ms ? hand->leave_at_ms - now_ms : 0,
-                     .clock_ms = loop_now_ms(hand->loop),
-                     .sequence = ++hand->sequence,
-                     .running = talloc_zero_array(mem, HandRunning, (unsigned)count),
-                     .ended = talloc_zero_array(mem, HandEnded, ENDS_AT_ONCE)};
-    for (HandRun *run = hand->runs; run != NULL; run = run->next) {
+    *report = (WorkerModelReport){
+        .kind = worker_model->kind,
+        .zone = worker_model->zone,
+        .label = worker_model->label,
+        .rack = worker_model->rack,
+        .address = talloc_asprintf(mem, "%s:8080",
+                                   sim_address(worker_model->worker_models->topology->world, worker_model->machine)),
+        .room = worker_model->room,
+        .leaving = worker_model->leaving,
+        .leave_ms = worker_model->leave_at_ms > now_ms ? worker_model->leave_at_ms - now_ms : 0,
+        .clock_ms = loop_now_ms(worker_model->loop),
+        .sequence = ++worker_model->sequence,
+        .running = talloc_zero_array(mem, WorkerModelRunning, (unsigned)count),
+        .ended = talloc_zero_array(mem, WorkerModelEnded, ENDS_AT_ONCE)};
+    for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         crew_advance(run->crew);
         const int64_t work_ms = run->crew->work_us / 1000;
-        report->running[report->running_count++] =
-            (HandRunning){run->task->name, run->attempt, book_saved(mem, run->task, hand_saved_ms(run, false)),
-                          work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
+        report->running[report->running_count++] = (WorkerModelRunning){
+            run->task->name, run->attempt, book_saved(mem, run->task, worker_model_saved_ms(run, false)),
+            work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
     }
-    for (size_t i = 0; i < hand->end_count && i < ENDS_AT_ONCE; i++)
-        report->ended[report->ended_count++] = hand->ends[i].told;
+    for (size_t i = 0; i < worker_model->end_count && i < ENDS_AT_ONCE; i++)
+        report->ended[report->ended_count++] = worker_model->ends[i].told;
 }
 
-static void leave_acked(Hand *hand)
+static void leave_acked(WorkerModel *worker_model)
 {
-    if (!hand->leaving || hand->leave_ack_ms != 0)
+    if (!worker_model->leaving || worker_model->leave_ack_ms != 0)
         return;
-    hand->leave_ack_ms = ground_now_ms(hand->hands->ground);
-    hand->leave_ack_touch = node_in_touch(hand->side);
+    worker_model->leave_ack_ms = topology_now_ms(worker_model->worker_models->topology);
+    worker_model->leave_ack_touch = node_in_touch(worker_model->side);
 }
 
 /* One heartbeat; how long until the next is due. */
-static int64_t heartbeat_once(Hand *hand, void *mem)
+static int64_t heartbeat_once(WorkerModel *worker_model, void *mem)
 {
-    const Ground *ground = hand->hands->ground;
-    const Tongue *tongue = ground->tongue;
-    HandReport report;
-    report_fill(hand, mem, &report);
-    hand->news_open = false;
+    const Topology *topology = worker_model->worker_models->topology;
+    const Codec *codec = topology->codec;
+    WorkerModelReport report;
+    report_fill(worker_model, mem, &report);
+    worker_model->news_open = false;
     const bool leaving = report.leaving;
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
-                                                tongue->operator_port),
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->side->machine),
+                                                codec->operator_port),
                      .method = "POST",
-                     .path = tongue->heartbeat_path(mem, hand->boot, false),
-                     .body = tongue->report(mem, &report),
+                     .path = codec->heartbeat_path(mem, worker_model->boot, false),
+                     .body = codec->report(mem, &report),
                      .wait_ms = ANSWER_MOST_MS};
-    const int64_t sent_ms = loop_now_ms(hand->loop);
-    const Status status = loop_call(hand->loop, &call);
-    HandOrders *orders = talloc_zero(mem, HandOrders);
+    const int64_t sent_ms = loop_now_ms(worker_model->loop);
+    const Status status = loop_call(worker_model->loop, &call);
+    WorkerModelOrders *orders = talloc_zero(mem, WorkerModelOrders);
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
-        loop_now_ms(hand->loop) - sent_ms > ANSWER_MOST_MS || !tongue->orders(mem, call.result, orders)) {
-        hand->news_open = true;
+        loop_now_ms(worker_model->loop) - sent_ms > ANSWER_MOST_MS || !codec->orders(mem, call.result, orders)) {
+        worker_model->news_open = true;
         return HEARTBEAT_AGAIN_MS;
     }
     if (leaving)
-        leave_acked(hand);
-    hand_orders_take(hand, orders, sent_ms);
-    return orders->again_ms >= 0 && orders->again_ms < ground->site->heartbeat_ms ? orders->again_ms
-                                                                                  : ground->site->heartbeat_ms;
+        leave_acked(worker_model);
+    worker_model_orders_take(worker_model, orders, sent_ms);
+    return orders->again_ms >= 0 && orders->again_ms < topology->site->heartbeat_ms ? orders->again_ms
+                                                                                    : topology->site->heartbeat_ms;
 }
 
 static void heartbeat_main(void *arg)
 {
-    Hand *hand = arg;
+    WorkerModel *worker_model = arg;
     for (;;) {
-        void *mem = talloc_new(hand->mem);
-        const int64_t wait_ms = heartbeat_once(hand, mem);
+        void *mem = talloc_new(worker_model->mem);
+        const int64_t wait_ms = heartbeat_once(worker_model, mem);
         talloc_free(mem);
-        const int64_t until_ms = loop_now_ms(hand->loop) + wait_ms;
-        if (wait_ms == HEARTBEAT_AGAIN_MS && hand->news_open)
-            loop_sleep(hand->loop, wait_ms);
-        else if (hand->news_open || signal_wait(hand->loop, &hand->news, until_ms))
-            loop_sleep(hand->loop, NEWS_GAP_MS);
+        const int64_t until_ms = loop_now_ms(worker_model->loop) + wait_ms;
+        if (wait_ms == HEARTBEAT_AGAIN_MS && worker_model->news_open)
+            loop_sleep(worker_model->loop, wait_ms);
+        else if (worker_model->news_open || signal_wait(worker_model->loop, &worker_model->news, until_ms))
+            loop_sleep(worker_model->loop, NEWS_GAP_MS);
     }
 }
 
@@ -135,134 +136,138 @@
 
 static void over_later(void *arg)
 {
-    Hand *hand = arg;
-    if (hand->up && hand->leaving)
-        hand_crash(hand, false);
+    WorkerModel *worker_model = arg;
+    if (worker_model->up && worker_model->leaving)
+        worker_model_crash(worker_model, false);
 }
 
 static void leave_main(void *arg)
 {
-    Hand *hand = arg;
-    const Ground *ground = hand->hands->ground;
+    WorkerModel *worker_model = arg;
+    const Topology *topology = worker_model->worker_models->topology;
     for (;;) {
-        const int64_t now_ms = ground_now_ms(ground);
-        const bool known = hand->leave_ack_ms != 0 && now_ms >= hand->leave_ack_ms + ground->site->drain_ms + 100;
-        if (now_ms >= hand->leave_at_ms && (known || now_ms >= hand->leave_at_ms + LEAVE_ANYWAY_MS))
+        const int64_t now_ms = topology_now_ms(topology);
+        const bool known =
+            worker_model->leave_ack_ms != 0 && now_ms >= worker_model->leave_ack_ms + topology->site->drain_ms + 100;
+        if (now_ms >= worker_model->leave_at_ms && (known || now_ms >= worker_model->leave_at_ms + LEAVE_ANYWAY_MS))
             break;
-        loop_sleep(hand->loop, 50);
+        loop_sleep(worker_model->loop, 50);
     }
-    void *mem = talloc_new(hand->mem);
+    void *mem = talloc_new(worker_model->mem);
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, hand->side->machine),
-                                                ground->tongue->operator_port),
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->side->machine),
+                                                topology->codec->operator_port),
                      .method = "POST",
-                     .path = ground->tongue->heartbeat_path(mem, hand->boot, true),
+                     .path = topology->codec->heartbeat_path(mem, worker_model->boot, true),
                      .wait_ms = ANSWER_MOST_MS};
-    loop_call(hand->loop, &call);
+    loop_call(worker_model->loop, &call);
     talloc_free(mem);
-    ground_say(ground, "%s has left", hand->boot);
-    sim_at(ground->world, ground_now_ms(ground), over_later, hand);
+    topology_say(topology, "%s has left", worker_model->boot);
+    sim_at(topology->world, topology_now_ms(topology), over_later, worker_model);
 }
 
-void hand_leave(Hand *hand, int64_t after_ms)
+void worker_model_leave(WorkerModel *worker_model, int64_t after_ms)
 {
-    if (!hand->up || hand->leaving)
+    if (!worker_model->up || worker_model->leaving)
         return;
-    hand->leaving = true;
-    hand->leave_at_ms = ground_now_ms(hand->hands->ground) + after_ms;
-    hand->news_open = true;
-    signal_raise(hand->loop, &hand->news);
-    loop_spawn(hand->loop, "leave", leave_main, hand);
+    worker_model->leaving = true;
+    worker_model->leave_at_ms = topology_now_ms(worker_model->worker_models->topology) + after_ms;
+    worker_model->news_open = true;
+    signal_raise(worker_model->loop, &worker_model->news);
+    loop_spawn(worker_model->loop, "leave", leave_main, worker_model);
 }
 
 /* --- its process ------------------------------------------------------------------------------------------ */
 
 static void process_start(void *arg, Loop *loop)
 {
-    Hand *hand = arg;
-    hand->mem = talloc_new(loop);
-    hand->loop = loop;
-    hand->sequence = hand->fence = hand->end_number = 0;
-    hand->lease_until_ms = 0;
-    hand->runs = NULL;
-    hand->ends = NULL;
-    hand->end_count = 0;
-    hand->highest = map_new(hand->mem);
-    hand->work = hand->news = (Signal){0};
-    hand->leaving = hand->news_open = false;
-    hand->leave_at_ms = hand->leave_ack_ms = 0;
-    loop_spawn(loop, "work", hand_work_main, hand);
-    loop_spawn(loop, "beat", heartbeat_main, hand);
+    WorkerModel *worker_model = arg;
+    worker_model->mem = talloc_new(loop);
+    worker_model->loop = loop;
+    worker_model->sequence = worker_model->fence = worker_model->end_number = 0;
+    worker_model->lease_until_ms = 0;
+    worker_model->runs = NULL;
+    worker_model->ends = NULL;
+    worker_model->end_count = 0;
+    worker_model->highest = map_new(worker_model->mem);
+    worker_model->work = worker_model->news = (Signal){0};
+    worker_model->leaving = worker_model->news_open = false;
+    worker_model->leave_at_ms = worker_model->leave_ack_ms = 0;
+    loop_spawn(loop, "work", worker_model_work_main, worker_model);
+    loop_spawn(loop, "beat", heartbeat_main, worker_model);
 }
 
-void hand_start(Hand *hand)
+void worker_model_start(WorkerModel *worker_model)
 {
-    if (hand->up)
+    if (worker_model->up)
         return;
-    hand->life++;
-    snprintf(hand->boot, sizeof(hand->boot), "i-%08" PRIx64,
-             dice_of(hand->hands->ground->seed, "boot", hand->hands->boots++).state >> 32);
-    hand->up = true;
-    sim_start(hand->hands->ground->world, hand->machine, process_start, hand);
+    worker_model->life++;
+    snprintf(worker_model->boot, sizeof(worker_model->boot), "i-%08" PRIx64,
+             random_source_of(worker_model->worker_models->topology->seed, "boot", worker_model->worker_models->boots++)
+                     .state >>
+                 32);
+    worker_model->up = true;
+    sim_start(worker_model->worker_models->topology->world, worker_model->machine, process_start, worker_model);
 }
 
-void hand_crash(Hand *hand, bool power)
+void worker_model_crash(WorkerModel *worker_model, bool power)
 {
-    if (!hand->up)
+    if (!worker_model->up)
         return;
-    hand->up = false;
-    while (hand->runs != NULL) {
-        HandRun *run = hand->runs;
-        ground_tell(hand->hands->ground, &run->task->name, "round %" PRIu64 " is gone with %s", run->attempt,
-                    hand->boot);
+    worker_model->up = false;
+    while (worker_model->runs != NULL) {
+        WorkerModelRun *run = worker_model->runs;
+        topology_tell(worker_model->worker_models->topology, &run->task->name, "round %" PRIu64 " is gone with %s",
+                      run->attempt, worker_model->boot);
         Crew *crew = run->crew;
-        HandRun *others[sizeof(crew->members) / sizeof(crew->members[0])];
+        WorkerModelRun *others[sizeof(crew->members) / sizeof(crew->members[0])];
         size_t count = 0;
         for (size_t i = 0; i < crew->count && crew->begun; i++)
-            if (crew->members[i]->hand != hand)
+            if (crew->members[i]->worker_model != worker_model)
                 others[count++] = crew->members[i];
-        hand_run_drop(run);
+        worker_model_run_drop(run);
         for (size_t i = 0; i < count; i++)
-            hand_run_end(others[i], ATTEMPT_BROKEN);
+            worker_model_run_end(others[i], ATTEMPT_BROKEN);
     }
     if (power)
-        sim_power_off(hand->hands->ground->world, hand->machine);
+        sim_power_off(worker_model->worker_models->topology->world, worker_model->machine);
     else
-        sim_kill(hand->hands->ground->world, hand->machine);
+        sim_kill(worker_model->worker_models->topology->world, worker_model->machine);
 }
 
-Hands *hands_new(void *mem, Book *book, Ledger *ledger)
+WorkerModels *worker_models_new(void *mem, Book *book, Ledger *ledger)
 {
     static const int64_t SPEEDS[] = {100, 80, 125};
-    Hands *hands = talloc_zero(mem, Hands);
-    Ground *ground = book->ground;
-    const Site *site = ground->site;
-    hands->ground = ground;
-    hands->book = book;
-    hands->ledger = ledger;
-    hands->count = ground->side_count;
-    for (size_t i = 0; i < hands->count; i++) {
-        Hand *hand = &hands->list[i];
-        *hand = (Hand){.hands = hands,
-                       .side = &ground->sides[i],
-                       .machine = sim_machine(ground->world),
-                       .number = (int)i,
-                       .kind = "std",
-                       .zone = ground->sides[i].zone,
-                       .label = i % 2 == 0 ? "a" : "b",
-                       .room = {(uint64_t)site->hand_cpu_milli, (uint64_t)site->hand_mem_mb, 0},
-                       .speed = SPEEDS[i % 3],
-                       .slow_times = 1};
-        snprintf(hand->rack, sizeof(hand->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
-                 (int64_t)i / site->zones / site->rack_hands);
+    WorkerModels *worker_models = talloc_zero(mem, WorkerModels);
+    Topology *topology = book->topology;
+    const Site *site = topology->site;
+    worker_models->topology = topology;
+    worker_models->book = book;
+    worker_models->ledger = ledger;
+    worker_models->count = topology->side_count;
+    for (size_t i = 0; i < worker_models->count; i++) {
+        WorkerModel *worker_model = &worker_models->list[i];
+        *worker_model =
+            (WorkerModel){.worker_models = worker_models,
+                          .side = &topology->sides[i],
+                          .machine = sim_machine(topology->world),
+                          .number = (int)i,
+                          .kind = "std",
+                          .zone = topology->sides[i].zone,
+                          .label = i % 2 == 0 ? "a" : "b",
+                          .room = {(uint64_t)site->worker_model_cpu_milli, (uint64_t)site->worker_model_mem_mb, 0},
+                          .speed = SPEEDS[i % 3],
+                          .slow_times = 1};
+        snprintf(worker_model->rack, sizeof(worker_model->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
+                 (int64_t)i / site->zones / site->rack_worker_models);
         if (i % 3 == 1 && site->slow_percent > 0)
-            sim_clock_rate(ground->world, hand->machine, 100 - site->slow_percent);
+            sim_clock_rate(topology->world, worker_model->machine, 100 - site->slow_percent);
     }
-    return hands;
+    return worker_models;
 }
 
-void hands_start(Hands *hands)
+void worker_models_start(WorkerModels *worker_models)
 {
-    for (size_t i = 0; i < hands->count; i++)
-        hand_start(&hands->list[i]);
+    for (size_t i = 0; i < worker_models->count; i++)
+        worker_model_start(&worker_models->list[i]);
 }
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/handwork.c
@@ -20,9 +20,10 @@
 /* --- ends ------------------------------------------------------------------------------------ */
 
 /* Progress that is kept: after each so much of work, and all of it at a stop. */
-int64_t hand_saved_ms(const HandRun *run, bool all)
+int64_t worker_model_saved_ms(const WorkerModelRun *run, bool all)
 {
-    const int64_t save_ms = run->hand->hands->ground->site->save_ms, done_ms = crew_progress_ms(run->crew);
+    const int64_t save_ms = run->worker_model->worker_models->topology->site->save_ms,
+                  done_ms = crew_progress_ms(run->crew);
     const int64_t kept_ms = all ? done_ms : run->crew->from_ms + (done_ms - run->crew->from_ms) / save_ms * save_ms;
     if (run->task->job->draft.saves && kept_ms > run->task->fate->saved_ms)
         run->task->fate->saved_ms = kept_ms;
@@ -30,9 +31,9 @@
 }
 
 /* The run is no more: out of all lists. */
-void hand_run_drop(HandRun *run)
+void worker_model_run_drop(WorkerModelRun *run)
 {
-    HandRun **at = &run->hand->runs;
+    WorkerModelRun **at = &run->worker_model->runs;
     while (*at != run)
         at = &(*at)->next;
     *at = run->next;
@@ -45,36 +46,38 @@
     talloc_free(run);
 }
 
-static void highest_set(Hand *hand, const TaskName *name, uint64_t attempt)
+static void highest_set(WorkerModel *worker_model, const TaskName *name, uint64_t attempt)
 {
-    const char *text = name_text(hand->mem, name);
-    if ((uint64_t)(uintptr_t)map_get(hand->highest, text) < attempt)
-        map_set(hand->highest, text, (void *)(uintptr_t)attempt);
+    const char *text = name_text(worker_model->mem, name);
+    if ((uint64_t)(uintptr_t)map_get(worker_model->highest, text) < attempt)
+        map_set(worker_model->highest, text, (void *)(uintptr_t)attempt);
 }
 
-static void end_add(Hand *hand, BookTask *task, const TaskName *name, uint64_t attempt, AttemptWord word,
+static void end_add(WorkerModel *worker_model, BookTask *task, const TaskName *name, uint64_t attempt, AttemptWord word,
                     const char *saved)
 {
-    hand->ends = talloc_realloc(hand->mem, hand->ends, HandEnd, (unsigned)(hand->end_count + 1));
-    hand->ends[hand->end_count++] =
-        (HandEnd){.told = {++hand->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
-    highest_set(hand, name, attempt);
-    hand->hands->book->kinds[word]++;
-    ground_tell(hand->hands->ground, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt, attempt_word(word),
-                hand->boot, saved);
-    hand->news_open = true;
-    signal_raise(hand->loop, &hand->news);
+    worker_model->ends =
+        talloc_realloc(worker_model->mem, worker_model->ends, WorkerModelEnd, (unsigned)(worker_model->end_count + 1));
+    worker_model->ends[worker_model->end_count++] = (WorkerModelEnd){
+        .told = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
+    highest_set(worker_model, name, attempt);
+    worker_model->worker_models->book->kinds[word]++;
+    topology_tell(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
+                  attempt_word(word), worker_model->boot, saved);
+    worker_model->news_open = true;
+    signal_raise(worker_model->loop, &worker_model->news);
 }
 
-void hand_run_end(HandRun *run, AttemptWord word)
+void worker_model_run_end(WorkerModelRun *run, AttemptWord word)
 {
-    Hand *hand = run->hand;
+    WorkerModel *worker_model = run->worker_model;
     BookTask *task = run->task;
     Fate *fate = task->fate;
-    const int64_t now_ms = ground_now_ms(hand->hands->ground);
+    const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
     crew_advance(run->crew);
     const bool stopped = word == ATTEMPT_STOPPED || word == ATTEMPT_BROKEN;
-    const char *saved = word == ATTEMPT_DONE ? "" : book_saved(hand->mem, task, hand_saved_ms(run, stopped));
+    const char *saved =
+        word == ATTEMPT_DONE ? "" : book_saved(worker_model->mem, task, worker_model_saved_ms(run, stopped));
     if (word == ATTEMPT_DONE && !fate->done) {
         fate->done = true;
         fate->done_ms = now_ms;
@@ -83,38 +86,38 @@
         book_fail(fate, run->attempt);
     if (word == ATTEMPT_ALONE)
         alone_check(run);
-    end_add(hand, task, &task->name, run->attempt, word, saved);
-    hand_run_drop(run);
+    end_add(worker_model, task, &task->name, run->attempt, word, saved);
+    worker_model_run_drop(run);
 }
 
 /* One member has ended so: the others end as told. */
-static void crew_end(HandRun *first, AttemptWord word, AttemptWord others)
+static void crew_end(WorkerModelRun *first, AttemptWord word, AttemptWord others)
 {
-    HandRun *members[sizeof(first->crew->members) / sizeof(first->crew->members[0])];
+    WorkerModelRun *members[sizeof(first->crew->members) / sizeof(first->crew->members[0])];
     Crew *crew = first->crew;
     const size_t count = crew->count;
     const bool begun = crew->begun;
     for (size_t i = 0; i < count; i++)
         members[i] = crew->members[i];
-    hand_run_end(first, word);
+    worker_model_run_end(first, word);
     for (size_t i = 0; i < count && begun; i++)
         if (members[i] != first)
-            hand_run_end(members[i], others);
+            worker_model_run_end(members[i], others);
 }
 
 /* --- what comes due ------------------------------------------------------------------------------ */
 
 /* True when something ended: the list has changed. */
-static bool due_one(Hand *hand, int64_t now_ms)
+static bool due_one(WorkerModel *worker_model, int64_t now_ms)
 {
-    const Site *site = hand->hands->ground->site;
-    const bool held = loop_now_ms(hand->loop) < hand->lease_until_ms;
-    for (HandRun *run = hand->runs; run != NULL; run = run->next) {
+    const Site *site = worker_model->worker_models->topology->site;
+    const bool held = loop_now_ms(worker_model->loop) < worker_model->lease_until_ms;
+    for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         crew_advance(run->crew);
         const Crew *crew = run->crew;
         if (!held) {
-            for (size_t i = 0; i < hand->end_count; i++)
-                hand->ends[i].lapsed_since = true;
+            for (size_t i = 0; i < worker_model->end_count; i++)
+                worker_model->ends[i].lapsed_since = true;
             crew_end(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
             return true;
         }
@@ -123,7 +126,7 @@
             return true;
         }
         if (!crew->begun && now_ms - run->began_ms >= site->gang_ms) {
-            hand_run_end(run, ATTEMPT_ALONE);
+            worker_model_run_end(run, ATTEMPT_ALONE);
             return true;
         }
         if (crew->begun && crew->done_us >= crew->fail_us) {
@@ -139,126 +142,133 @@
 }
 
 /* On the worker's clock, which may be slow: it looks early rather than late. */
-static int64_t next_due_ms(const Hand *hand, int64_t now_ms)
+static int64_t next_due_ms(const WorkerModel *worker_model, int64_t now_ms)
 {
-    const int64_t own_ms = loop_now_ms(hand->loop);
-    int64_t wait_ms = hand->runs != NULL ? hand->lease_until_ms - own_ms : 3600000;
-    for (const HandRun *run = hand->runs; run != NULL; run = run->next) {
+    const int64_t own_ms = loop_now_ms(worker_model->loop);
+    int64_t wait_ms = worker_model->runs != NULL ? worker_model->lease_until_ms - own_ms : 3600000;
+    for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
         int64_t due_ms = crew_next_ms(run->crew);
         if (run->stop_at_ms != 0 && run->stop_at_ms < due_ms)
             due_ms = run->stop_at_ms;
-        if (!run->crew->begun && run->began_ms + hand->hands->ground->site->gang_ms < due_ms)
-            due_ms = run->began_ms + hand->hands->ground->site->gang_ms;
+        if (!run->crew->begun && run->began_ms + worker_model->worker_models->topology->site->gang_ms < due_ms)
+            due_ms = run->began_ms + worker_model->worker_models->topology->site->gang_ms;
         if (due_ms - now_ms < wait_ms)
             wait_ms = due_ms - now_ms;
     }
     return own_ms + (wait_ms > 1 ? wait_ms : 1);
 }
 
-void hand_work_main(void *arg)
+void worker_model_work_main(void *arg)
 {
-    Hand *hand = arg;
+    WorkerModel *worker_model = arg;
     for (;;) {
-        const int64_t now_ms = ground_now_ms(hand->hands->ground);
-        while (due_one(hand, now_ms))
+        const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
+        while (due_one(worker_model, now_ms))
             ;
-        signal_wait(hand->loop, &hand->work, next_due_ms(hand, now_ms));
+        signal_wait(worker_model->loop, &worker_model->work, next_due_ms(worker_model, now_ms));
     }
 }
 
 /* --- orders ------------------------------------------------------------------------------------------ */
 
-static HandRun *run_find(const Hand *hand, const TaskName *name, uint64_t attempt)
+static WorkerModelRun *run_find(const WorkerModel *worker_model, const TaskName *name, uint64_t attempt)
 {
-    for (HandRun *run = hand->runs; run != NULL; run = run->next)
+    for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next)
         if (run->attempt == attempt && run->task->name.turn == name->turn && run->task->name.step == name->step &&
             run->task->name.at == name->at && strcmp(run->task->name.job, name->job) == 0)
             return run;
     return NULL;
 }
 
-static void stop_take(Hand *hand, const HandRunning *stop)
+static void stop_take(WorkerModel *worker_model, const WorkerModelRunning *stop)
 {
-    HandRun *run = run_find(hand, &stop->name, stop->attempt);
-    highest_set(hand, &stop->name, stop->attempt);
-    ground_tell(hand->hands->ground, &stop->name, "round %" PRIu64 " is to stop on %s%s", stop->attempt, hand->boot,
-                run == NULL ? ", which does not run it" : "");
+    WorkerModelRun *run = run_find(worker_model, &stop->name, stop->attempt);
+    highest_set(worker_model, &stop->name, stop->attempt);
+    topology_tell(worker_model->worker_models->topology, &stop->name, "round %" PRIu64 " is to stop on %s%s",
+                  stop->attempt, worker_model->boot, run == NULL ? ", which does not run it" : "");
     if (run == NULL || run->stop_at_ms != 0)
         return;
-    Dice dice = dice_of(stop->attempt, run->task->name.job, hand->sequence);
-    run->stop_at_ms = ground_now_ms(hand->hands->ground) + dice_span(&dice, 1, hand->hands->ground->site->stop_ms);
-    signal_raise(hand->loop, &hand->work);
+    RandomSource random_source = random_source_of(stop->attempt, run->task->name.job, worker_model->sequence);
+    run->stop_at_ms = topology_now_ms(worker_model->worker_models->topology) +
+                      random_source_span(&random_source, 1, worker_model->worker_models->topology->site->stop_ms);
+    signal_raise(worker_model->loop, &worker_model->work);
 }
 
-static void start_take(Hand *hand, const HandStart *start)
+static void start_take(WorkerModel *worker_model, const WorkerModelStart *start)
 {
-    Hands *hands = hand->hands;
-    const Site *site = hands->ground->site;
-    if (run_find(hand, &start->name, start->attempt) != NULL)
+    WorkerModels *worker_models = worker_model->worker_models;
+    const Site *site = worker_models->topology->site;
+    if (run_find(worker_model, &start->name, start->attempt) != NULL)
         return;
-    for (size_t i = 0; i < hand->end_count; i++)
-        if (name_equal(&hand->ends[i].told.name, &start->name) && hand->ends[i].told.attempt == start->attempt)
+    for (size_t i = 0; i < worker_model->end_count; i++)
+        if (name_equal(&worker_model->ends[i].told.name, &start->name) &&
+            worker_model->ends[i].told.attempt == start->attempt)
             return;
-    BookTask *task = book_task(hands->book, &start->name);
-    const uint64_t highest = (uint64_t)(uintptr_t)map_get(hand->highest, name_text(hand->mem, &start->name));
-    const Room used = hand_used(hand);
+    BookTask *task = book_task(worker_models->book, &start->name);
+    const uint64_t highest =
+        (uint64_t)(uintptr_t)map_get(worker_model->highest, name_text(worker_model->mem, &start->name));
+    const Room used = worker_model_used(worker_model);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
         const Room room = book_step(task)->room;
-        fits = used.cpu_milli + room.cpu_milli <= hand->room.cpu_milli &&
-               used.mem_mb + room.mem_mb <= hand->room.mem_mb && used.gpu + room.gpu <= hand->room.gpu;
+        fits = used.cpu_milli + room.cpu_milli <= worker_model->room.cpu_milli &&
+               used.mem_mb + room.mem_mb <= worker_model->room.mem_mb && used.gpu + room.gpu <= worker_model->room.gpu;
     }
     if (start->attempt <= highest || !fits) {
-        end_add(hand, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
+        end_add(worker_model, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
         return;
     }
-    if (!start_check(hand, start))
+    if (!start_check(worker_model, start))
         return;
-    hands->book->starts++;
-    ground_tell(hands->ground, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'", start->attempt,
-                hand->boot, hand->side->name, start->saved);
-    HandRun *run = talloc_zero(hand->mem, HandRun);
-    *run =
-        (HandRun){.next = hand->runs, .next_live = task->live, .hand = hand, .task = task, .attempt = start->attempt};
-    run->began_ms = ground_now_ms(hands->ground);
-    hand->runs = run;
+    worker_models->book->starts++;
+    topology_tell(worker_models->topology, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'",
+                  start->attempt, worker_model->boot, worker_model->side->name, start->saved);
+    WorkerModelRun *run = talloc_zero(worker_model->mem, WorkerModelRun);
+    *run = (WorkerModelRun){.next = worker_model->runs,
+                            .next_live = task->live,
+                            .worker_model = worker_model,
+                            .task = task,
+                            .attempt = start->attempt};
+    run->began_ms = topology_now_ms(worker_models->topology);
+    worker_model->runs = run;
     task->live = run;
     const int64_t from_ms = book_progress(task, start->saved);
-    crew_join(hands, run, from_ms > 0 ? from_ms : 0);
+    crew_join(worker_models, run, from_ms > 0 ? from_ms : 0);
 }
 
-static void seen_take(Hand *hand, uint64_t seen)
+static void seen_take(WorkerModel *worker_model, uint64_t seen)
 {
     size_t kept = 0;
-    for (size_t i = 0; i < hand->end_count; i++) {
-        if (hand->ends[i].told.number <= seen)
-            end_noted(hand, &hand->ends[i]);
+    for (size_t i = 0; i < worker_model->end_count; i++) {
+        if (worker_model->ends[i].told.number <= seen)
+            end_noted(worker_model, &worker_model->ends[i]);
         else
-            hand->ends[kept++] = hand->ends[i];
+            worker_model->ends[kept++] = worker_model->ends[i];
     }
-    hand->end_count = kept;
+    worker_model->end_count = kept;
 }
 
-void hand_orders_take(Hand *hand, const HandOrders *orders, int64_t sent_ms)
+void worker_model_orders_take(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms)
 {
-    const Site *site = hand->hands->ground->site;
-    if (orders->fence < hand->fence)
+    const Site *site = worker_model->worker_models->topology->site;
+    if (orders->fence < worker_model->fence)
         return;
-    hand->fence = orders->fence;
-    for (size_t i = 0; i < hand->end_count && loop_now_ms(hand->loop) >= hand->lease_until_ms; i++)
-        hand->ends[i].lapsed_since = true;
-    seen_take(hand, orders->seen);
+    worker_model->fence = orders->fence;
+    for (size_t i = 0; i < worker_model->end_count && loop_now_ms(worker_model->loop) >= worker_model->lease_until_ms;
+         i++)
+        worker_model->ends[i].lapsed_since = true;
+    seen_take(worker_model, orders->seen);
     for (size_t i = 0; i < orders->stop_count; i++)
-        stop_take(hand, &orders->stops[i]);
+        stop_take(worker_model, &orders->stops[i]);
     if (orders->lease_ms <= 0)
         return;
     const int64_t lease_ms = orders->lease_ms < site->lease_max_ms ? orders->lease_ms : site->lease_max_ms;
     /* what was held until now may be over: that is seen before anything new is held */
-    while (due_one(hand, ground_now_ms(hand->hands->ground)))
+    while (due_one(worker_model, topology_now_ms(worker_model->worker_models->topology)))
         ;
-    if (sent_ms + lease_ms > hand->lease_until_ms)
-        hand->lease_until_ms = sent_ms + lease_ms;
-    for (size_t i = 0; i < orders->start_count && loop_now_ms(hand->loop) < hand->lease_until_ms; i++)
-        start_take(hand, &orders->starts[i]);
-    signal_raise(hand->loop, &hand->work);
+    if (sent_ms + lease_ms > worker_model->lease_until_ms)
+        worker_model->lease_until_ms = sent_ms + lease_ms;
+    for (size_t i = 0; i < orders->start_count && loop_now_ms(worker_model->loop) < worker_model->lease_until_ms; i++)
+        start_take(worker_model, &orders->starts[i]);
+    signal_raise(worker_model->loop, &worker_model->work);
 }
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -4,17 +4,17 @@
 #include <string.h>
 #include <talloc.h>
 
-Ledger *ledger_new(void *mem, Ground *ground)
+Ledger *ledger_new(void *mem, Topology *topology)
 {
     Ledger *ledger = talloc_zero(mem, Ledger);
-    ledger->ground = ground;
+    ledger->topology = topology;
     return ledger;
 }
 
 Sent *ledger_send(Ledger *ledger, const Document *document, uint64_t base, Spoil spoil)
 {
     Sent *sent = talloc_zero(ledger, Sent);
-    *sent = (Sent){*document, base, spoil, SENT_OPEN, ground_now_ms(ledger->ground), 0};
+    *sent = (Sent){*document, base, spoil, SENT_OPEN, topology_now_ms(ledger->topology), 0};
     ledger->rows = talloc_realloc(ledger, ledger->rows, Sent *, (unsigned)(ledger->count + 1));
     ledger->rows[ledger->count++] = sent;
     return sent;
@@ -22,17 +22,17 @@
 
 void ledger_taken(Ledger *ledger, Sent *sent)
 {
-    Ground *ground = ledger->ground;
+    Topology *topology = ledger->topology;
     sent->word = SENT_TAKEN;
-    sent->taken_ms = ground_now_ms(ground);
+    sent->taken_ms = topology_now_ms(topology);
     ledger->running = true;
     if (sent->spoil != SPOIL_NONE)
-        rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
+        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                     "invalid document %" PRIu64 " (%d) is acknowledged", sent->document.version, (int)sent->spoil);
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *other = ledger->rows[i];
         if (other != sent && other->word == SENT_TAKEN && other->base == sent->base)
-            rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
+            rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                         "%" PRIu64 " and %" PRIu64 " are both acknowledged on top of %" PRIu64, other->document.version,
                         sent->document.version, sent->base);
     }
@@ -79,25 +79,25 @@
     uint64_t least = 0;
     for (size_t i = 0; i < ledger->count; i++) {
         const Sent *sent = ledger->rows[i];
-        if (sent->word == SENT_TAKEN && sent_ms > sent->taken_ms + ledger->ground->site->apply_ms &&
+        if (sent->word == SENT_TAKEN && sent_ms > sent->taken_ms + ledger->topology->site->apply_ms &&
             sent->document.version > least)
             least = sent->document.version;
     }
     return least == 0 ? 0 : has_from(ledger, host, prefix, least);
 }
 
-void ledger_shown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there)
+void ledger_shown(Ledger *ledger, TopologyNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there)
 {
-    Ground *ground = ledger->ground;
+    Topology *topology = ledger->topology;
     const char *word = there ? "there" : "not there";
     const int known = ledger_has(ledger, host, prefix, sent_ms);
     if (node_in_touch(node) && ((known > 0 && !there) || (known < 0 && there)))
-        rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground), "%s says that %s%s is %s", node->name, host,
-                    prefix, word);
-    if (node->saw_version != 0 && sent_ms > node->saw_ms + ground->site->revert_ms) {
+        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology), "%s says that %s%s is %s", node->name,
+                    host, prefix, word);
+    if (node->saw_version != 0 && sent_ms > node->saw_ms + topology->site->revert_ms) {
         const int seen = has_from(ledger, host, prefix, node->saw_version);
         if ((seen > 0 && !there) || (seen < 0 && there))
-            rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
+            rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                         "%s goes back behind %" PRIu64 ": %s%s is %s", node->name, node->saw_version, host, prefix,
                         word);
     }
@@ -110,7 +110,7 @@
     }
     if (least != UINT64_MAX && least > node->saw_version) {
         node->saw_version = least;
-        node->saw_ms = ground_now_ms(ground);
+        node->saw_ms = topology_now_ms(topology);
     }
 }
 
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -23,7 +23,7 @@
 
 /* Invariant: rows are in the order of sending. */
 typedef struct Ledger {
-    Ground *ground;
+    Topology *topology;
     Sent **rows;
     size_t count;
     ZoneOrder zones[4];
@@ -31,7 +31,7 @@
     bool running; /* the first document has been taken */
 } Ledger;
 
-Ledger *ledger_new(void *mem, Ground *ground);
+Ledger *ledger_new(void *mem, Topology *topology);
 Sent *ledger_send(Ledger *ledger, const Document *document, uint64_t base, Spoil spoil);
 void ledger_taken(Ledger *ledger, Sent *sent);
 /* The newest that was acknowledged; null: none. */
@@ -40,7 +40,8 @@
  * 1 in all, -1 in none, 0 in some. */
 int ledger_has(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms);
 /* An entry point has shown a queue to be there or not, for a request sent at that time. */
-void ledger_shown(Ledger *ledger, GroundNode *node, const char *host, const char *prefix, int64_t sent_ms, bool there);
+void ledger_shown(Ledger *ledger, TopologyNode *node, const char *host, const char *prefix, int64_t sent_ms,
+                  bool there);
 ZoneOrder *ledger_zone(Ledger *ledger, const char *zone);
 
 #endif
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -13,18 +13,19 @@
     Ordering *ordering = arg;
     Operator *self = ordering->owner;
     Sent *sent = ordering->sent;
-    const Ground *ground = self->ground;
+    const Topology *topology = self->topology;
     const Worded worded = ordering->patch
-                              ? ground->tongue->patch(ordering, &ordering->from, &sent->document)
-                              : ground->tongue->document(ordering, &sent->document, sent->base, sent->spoil);
+                              ? topology->codec->patch(ordering, &ordering->from, &sent->document)
+                              : topology->codec->document(ordering, &sent->document, sent->base, sent->spoil);
     const bool first = sent->base == 0;
     const Outcome outcome = order_send(ordering, &worded, first ? INT64_MAX : GIVE_UP_MS);
     if (outcome == OUTCOME_GOOD)
         ledger_taken(self->ledger, sent);
     else if (outcome != OUTCOME_UNCLEAR)
         sent->word = SENT_REFUSED;
-    ground_say(ground, "document %" PRIu64 " on %" PRIu64 "%s%s: %s", sent->document.version, sent->base,
-               ordering->patch ? ", patched" : "", sent->spoil != SPOIL_NONE ? ", spoilt" : "", outcome_word(outcome));
+    topology_say(topology, "document %" PRIu64 " on %" PRIu64 "%s%s: %s", sent->document.version, sent->base,
+                 ordering->patch ? ", patched" : "", sent->spoil != SPOIL_NONE ? ", spoilt" : "",
+                 outcome_word(outcome));
     talloc_free(ordering);
 }
 
@@ -34,7 +35,7 @@
     const uint64_t base = from != NULL ? from->version : 0;
     *ordering = (Ordering){.owner = self, .raced = raced};
     ordering->sent = ledger_send(self->ledger, document, base, spoil);
-    ordering->patch = from != NULL && spoil == SPOIL_NONE && dice_percent(&self->dice, 50);
+    ordering->patch = from != NULL && spoil == SPOIL_NONE && random_source_percent(&self->random_source, 50);
     if (from != NULL)
         ordering->from = *from;
     return ordering;
@@ -57,17 +58,18 @@
 
 static bool idle_drop(Operator *self, Document *document)
 {
-    const size_t busy = self->ground->site->kind_count;
+    const size_t busy = self->topology->site->kind_count;
     if (document->queue_count <= busy)
         return false;
-    const size_t at = (size_t)dice_span(&self->dice, (int64_t)busy, (int64_t)document->queue_count - 1);
+    const size_t at =
+        (size_t)random_source_span(&self->random_source, (int64_t)busy, (int64_t)document->queue_count - 1);
     document->queues[at] = document->queues[--document->queue_count];
     return true;
 }
 
 static void next(Operator *self, Document *document)
 {
-    const uint64_t step = (uint64_t)dice_span(&self->dice, 1, 4);
+    const uint64_t step = (uint64_t)random_source_span(&self->random_source, 1, 4);
     document->version = self->version += step;
 }
 
@@ -82,11 +84,11 @@
 
 static void vary(Operator *self, Document *document)
 {
-    const int64_t how = dice_span(&self->dice, 0, 2);
+    const int64_t how = random_source_span(&self->random_source, 0, 2);
     if (how == 0 || (how == 1 && !idle_drop(self, document)))
         idle_add(self, document);
     else if (how == 2)
-        document->queues[0].timeout_ms = dice_span(&self->dice, 1500, 4000);
+        document->queues[0].timeout_ms = random_source_span(&self->random_source, 1500, 4000);
     next(self, document);
 }
 
@@ -95,12 +97,12 @@
 {
     void *mem = talloc_new(self);
     Bytes result = {0};
-    const Worded worded = {.path = self->ground->tongue->config_path};
+    const Worded worded = {.path = self->topology->codec->config_path};
     if (operator_ask(self, mem, operator_node(self), "GET", &worded, &result) == OUTCOME_GOOD)
         for (size_t i = 0; i < self->ledger->count; i++) {
             Sent *sent = self->ledger->rows[i];
             uint64_t version = 0;
-            const bool same = self->ground->tongue->same(result, &sent->document, &version);
+            const bool same = self->topology->codec->same(result, &sent->document, &version);
             if (same && sent->word == SENT_OPEN && version == sent->document.version)
                 ledger_taken(self->ledger, sent);
         }
@@ -170,7 +172,7 @@
     if (!current(self, &from))
         return;
     to = from;
-    const Spoil spoil = (Spoil)dice_span(&self->dice, SPOIL_NONE + 1, SPOIL_COUNT - 1);
+    const Spoil spoil = (Spoil)random_source_span(&self->random_source, SPOIL_NONE + 1, SPOIL_COUNT - 1);
     next(self, &to);
     if (spoil == SPOIL_OLD)
         to.version = from.version;
@@ -195,22 +197,22 @@
 {
     Ordering *ordering = arg;
     Operator *self = ordering->owner;
-    const Ground *ground = self->ground;
+    const Topology *topology = self->topology;
     ZoneOrder *zone = ledger_zone(self->ledger, ordering->zone);
-    const Worded worded = {.path = ground->tongue->zone_path(ordering, ordering->zone, ordering->drain)};
+    const Worded worded = {.path = topology->codec->zone_path(ordering, ordering->zone, ordering->drain)};
     while (zone->open)
         loop_sleep(operator_loop(self), 20);
     zone->open = true;
     if (!ordering->drain)
-        zone->back_sent_ms = ground_now_ms(ground);
-    const Outcome outcome = order_send(ordering, &worded, ordering->drain ? ground->site->ack_ms : GIVE_UP_MS);
+        zone->back_sent_ms = topology_now_ms(topology);
+    const Outcome outcome = order_send(ordering, &worded, ordering->drain ? topology->site->ack_ms : GIVE_UP_MS);
     if (outcome == OUTCOME_GOOD) {
-        zone->drained_ms = ordering->drain ? ground_now_ms(ground) : 0;
+        zone->drained_ms = ordering->drain ? topology_now_ms(topology) : 0;
         zone->back_sent_ms = 0;
     }
     zone->open = false;
-    ground_say(ground, "zone %s %s: %s", ordering->zone, ordering->drain ? "is emptied" : "is taken back",
-               outcome_word(outcome));
+    topology_say(topology, "zone %s %s: %s", ordering->zone, ordering->drain ? "is emptied" : "is taken back",
+                 outcome_word(outcome));
     talloc_free(ordering);
 }
 
@@ -225,8 +227,8 @@
 
 typedef struct Looking {
     Operator *owner;
-    GroundNode *node;
-    Dice dice;
+    TopologyNode *node;
+    RandomSource random_source;
 } Looking;
 
 /* One queue, of a document sent lately or of none. */
@@ -234,31 +236,32 @@
 {
     const Ledger *ledger = looking->owner->ledger;
     const int64_t from = (int64_t)ledger->count > 4 ? (int64_t)ledger->count - 4 : 0;
-    const Sent *sent = ledger->rows[dice_span(&looking->dice, from, (int64_t)ledger->count - 1)];
-    if (sent->document.queue_count == 0 || dice_percent(&looking->dice, 15))
+    const Sent *sent = ledger->rows[random_source_span(&looking->random_source, from, (int64_t)ledger->count - 1)];
+    if (sent->document.queue_count == 0 || random_source_percent(&looking->random_source, 15))
         return (DocumentQueue){.host = "nobody.example", .prefix = "/never/"};
-    return sent->document.queues[dice_span(&looking->dice, 0, (int64_t)sent->document.queue_count - 1)];
+    return sent->document
+        .queues[random_source_span(&looking->random_source, 0, (int64_t)sent->document.queue_count - 1)];
 }
 
 static void look_once(Looking *looking, void *mem)
 {
     Operator *self = looking->owner;
-    const Ground *ground = self->ground;
-    GroundNode *node = looking->node;
+    const Topology *topology = self->topology;
+    TopologyNode *node = looking->node;
     const DocumentQueue queue = queue_draw(looking);
-    const HttpPair heads[] = {{"host", queue.host}, {ground->tongue->wait_head, "1000"}};
-    HttpCall call = {
-        .mem = mem,
-        .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine), ground->tongue->front_port),
-        .method = "GET",
-        .path = queue.prefix,
-        .wait_ms = CALL_MOST_MS,
-        .heads = heads,
-        .head_count = 2};
-    const int64_t sent_ms = ground_now_ms(ground);
+    const HttpPair heads[] = {{"host", queue.host}, {topology->codec->wait_head, "1000"}};
+    HttpCall call = {.mem = mem,
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, node->machine),
+                                                topology->codec->front_port),
+                     .method = "GET",
+                     .path = queue.prefix,
+                     .wait_ms = CALL_MOST_MS,
+                     .heads = heads,
+                     .head_count = 2};
+    const int64_t sent_ms = topology_now_ms(topology);
     const uint64_t life = node->life;
     const Status status = loop_call(operator_loop(self), &call);
-    const Outcome outcome = ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
+    const Outcome outcome = topology->codec->outcome(status == STATUS_OK ? call.code : 0);
     if (node->life == life && (outcome == OUTCOME_NOBODY || outcome == OUTCOME_GOOD))
         ledger_shown(self->ledger, node, queue.host, queue.prefix, sent_ms, outcome == OUTCOME_GOOD);
 }
@@ -267,7 +270,8 @@
 {
     Looking *looking = arg;
     for (;;) {
-        loop_sleep(operator_loop(looking->owner), dice_span(&looking->dice, LOOK_GAP_MS / 2, LOOK_GAP_MS * 2));
+        loop_sleep(operator_loop(looking->owner),
+                   random_source_span(&looking->random_source, LOOK_GAP_MS / 2, LOOK_GAP_MS * 2));
         if (!looking->owner->ledger->running || !looking->node->used || looking->node->gone)
             continue;
         void *mem = talloc_new(looking);
@@ -284,64 +288,64 @@
     (void)loop;
 }
 
-Operator *operator_new(void *mem, Ground *ground, Ledger *ledger)
+Operator *operator_new(void *mem, Topology *topology, Ledger *ledger)
 {
     Operator *self = talloc_zero(mem, Operator);
-    *self = (Operator){.ground = ground,
+    *self = (Operator){.topology = topology,
                        .ledger = ledger,
-                       .machine = sim_machine(ground->world),
-                       .dice = dice_of(ground->seed, "operator", 0)};
+                       .machine = sim_machine(topology->world),
+                       .random_source = random_source_of(topology->seed, "operator", 0)};
     return self;
 }
 
 void operator_start(Operator *self)
 {
-    const Site *site = self->ground->site;
-    sim_start(self->ground->world, self->machine, nothing, NULL);
+    const Site *site = self->topology->site;
+    sim_start(self->topology->world, self->machine, nothing, NULL);
     Document first = {.kinds = {"std"}, .kind_count = 1, .guards = site->guards != 0};
     for (size_t i = 0; i < site->kind_count; i++)
         callers_queue(site, i, &first.queues[first.queue_count++]);
     idle_add(self, &first);
     next(self, &first);
     loop_spawn(operator_loop(self), "first", document_main, document_order(self, &first, NULL, SPOIL_NONE, false));
-    for (size_t i = 0; i < self->ground->edge_count; i++) {
+    for (size_t i = 0; i < self->topology->edge_count; i++) {
         Looking *looking = talloc_zero(self, Looking);
-        *looking = (Looking){self, &self->ground->edges[i], dice_of(self->ground->seed, "look", i)};
+        *looking = (Looking){self, &self->topology->edges[i], random_source_of(self->topology->seed, "look", i)};
         loop_spawn(operator_loop(self), "look", look_main, looking);
     }
 }
 
 static void back_check(const Operator *self, Bytes result)
 {
-    const Ground *ground = self->ground;
+    const Topology *topology = self->topology;
     const Sent *newest = ledger_newest(self->ledger), *known = NULL;
     uint64_t version = 0;
     bool same = false;
     for (size_t i = 0; i < self->ledger->count && !same; i++) {
         const Sent *sent = self->ledger->rows[i];
-        same = ground->tongue->same(result, &sent->document, &version) && sent->spoil == SPOIL_NONE;
+        same = topology->codec->same(result, &sent->document, &version) && sent->spoil == SPOIL_NONE;
         if (sent->document.version == version && (known == NULL || same))
             known = sent;
     }
     if (newest != NULL && version < newest->document.version)
-        rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
+        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                     "%" PRIu64 " is read back, %" PRIu64 " was acknowledged", version, newest->document.version);
     else if (!same)
-        rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground),
+        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology),
                     "what is read back as %" PRIu64 " was not sent so", version);
     else if (known != NULL && known->word == SENT_REFUSED)
-        rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground), "%" PRIu64 " was refused and is in force",
+        rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology), "%" PRIu64 " was refused and is in force",
                     version);
 }
 
 static void finish_main(void *arg)
 {
     Operator *self = arg;
-    const Ground *ground = self->ground;
-    const int64_t until_ms = ground_now_ms(ground) + ground->site->contact_ms;
-    const Worded worded = {.path = ground->tongue->config_path};
+    const Topology *topology = self->topology;
+    const int64_t until_ms = topology_now_ms(topology) + topology->site->contact_ms;
+    const Worded worded = {.path = topology->codec->config_path};
     size_t read = 0;
-    while (read == 0 || ground_now_ms(ground) < until_ms) {
+    while (read == 0 || topology_now_ms(topology) < until_ms) {
         void *mem = talloc_new(self);
         Bytes result = {0};
         if (self->opened == 0 &&
@@ -350,8 +354,9 @@
             read++;
         }
         talloc_free(mem);
-        if (read == 0 && ground_now_ms(ground) > until_ms + ground->site->contact_ms) {
-            rules_broke(ground->rules, RULE_CONFIG, ground_day_ms(ground), "%s", "nobody gives the document back");
+        if (read == 0 && topology_now_ms(topology) > until_ms + topology->site->contact_ms) {
+            rules_broke(topology->rules, RULE_CONFIG, topology_day_ms(topology), "%s",
+                        "nobody gives the document back");
             return;
         }
         loop_sleep(operator_loop(self), 300);
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -6,18 +6,18 @@
 /* The operator: documents, changes of them, races, storms, spoilt ones, zones emptied and
  * taken back; and looks at each entry point whether queues are there. */
 typedef struct Operator {
-    Ground *ground;
+    Topology *topology;
     Ledger *ledger;
     int machine;
-    Dice dice;
+    RandomSource random_source;
     uint64_t version; /* the highest that was ever used */
     uint64_t idle;    /* numbers queues that nobody hands in to */
     size_t opened, orders, unclear;
-    GroundNode *last_taker; /* who has acknowledged something last */
+    TopologyNode *last_taker; /* who has acknowledged something last */
     int64_t last_taken_ms;
 } Operator;
 
-Operator *operator_new(void *mem, Ground *ground, Ledger *ledger);
+Operator *operator_new(void *mem, Topology *topology, Ledger *ledger);
 /* Sends the first document until it is taken; looks at entry points from then on. */
 void operator_start(Operator *self);
 void operator_change(Operator *self);
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operatororder.c
@@ -8,14 +8,15 @@
 
 Loop *operator_loop(const Operator *self)
 {
-    return sim_loop(self->ground->world, self->machine);
+    return sim_loop(self->topology->world, self->machine);
 }
 
-GroundNode *operator_node(Operator *self)
+TopologyNode *operator_node(Operator *self)
 {
-    Ground *ground = self->ground;
+    Topology *topology = self->topology;
     for (;;) {
-        GroundNode *node = &ground->edges[dice_span(&self->dice, 0, (int64_t)ground->edge_count - 1)];
+        TopologyNode *node =
+            &topology->edges[random_source_span(&self->random_source, 0, (int64_t)topology->edge_count - 1)];
         if (node->used && !node->gone)
             return node;
     }
@@ -29,14 +30,14 @@
                                       : "unclear";
 }
 
-Outcome operator_ask(const Operator *self, void *mem, const GroundNode *node, const char *method, const Worded *worded,
-                     Bytes *result)
+Outcome operator_ask(const Operator *self, void *mem, const TopologyNode *node, const char *method,
+                     const Worded *worded, Bytes *result)
 {
-    const Ground *ground = self->ground;
+    const Topology *topology = self->topology;
     const HttpPair heads[] = {{worded->head_name, worded->head_value}};
     HttpCall call = {.mem = mem,
-                     .address = talloc_asprintf(mem, "%s:%d", sim_address(ground->world, node->machine),
-                                                ground->tongue->operator_port),
+                     .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, node->machine),
+                                                topology->codec->operator_port),
                      .method = method,
                      .path = worded->path,
                      .body = worded->body,
@@ -46,25 +47,27 @@
     const Status status = loop_call(operator_loop(self), &call);
     if (result != NULL)
         *result = call.result;
-    return ground->tongue->outcome(status == STATUS_OK ? call.code : 0);
+    return topology->codec->outcome(status == STATUS_OK ? call.code : 0);
 }
 
 /* Within one stretch of a settled controller and whole links it is acknowledged in time. */
 static void ack_check(Ordering *ordering)
 {
-    const Ground *ground = ordering->owner->ground;
-    const int64_t now_ms = ground_now_ms(ground);
-    if (ordering->late_told || ordering->raced || ordering->over || !ground_settled(ground) || !ground_calm(ground))
+    const Topology *topology = ordering->owner->topology;
+    const int64_t now_ms = topology_now_ms(topology);
+    if (ordering->late_told || ordering->raced || ordering->over || !topology_settled(topology) ||
+        !topology_calm(topology))
         return;
     if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
         return;
     int64_t from_ms = ordering->sent_ms;
-    from_ms = ground->any_ms + ground->site->contact_ms > from_ms ? ground->any_ms + ground->site->contact_ms : from_ms;
+    from_ms = topology->any_ms + topology->site->contact_ms > from_ms ? topology->any_ms + topology->site->contact_ms
+                                                                      : from_ms;
     const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queue_count : 0;
-    if (now_ms - from_ms < ground->site->ack_ms + queues * ROUTE_MS)
+    if (now_ms - from_ms < topology->site->ack_ms + queues * ROUTE_MS)
         return;
     ordering->late_told = true;
-    rules_broke(ground->rules, RULE_ACK, ground_day_ms(ground),
+    rules_broke(topology->rules, RULE_ACK, topology_day_ms(topology),
                 "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
                 ordering->sent != NULL ? "document" : ordering->zone,
                 ordering->sent != NULL ? ordering->sent->document.version : 0, now_ms - from_ms);
@@ -74,12 +77,12 @@
 static Outcome order_once(Ordering *ordering, void *mem, const Worded *worded)
 {
     Operator *self = ordering->owner;
-    GroundNode *node = operator_node(self);
+    TopologyNode *node = operator_node(self);
     const uint64_t life = node->life;
     const Outcome outcome = operator_ask(self, mem, node, "POST", worded, NULL);
     if (outcome == OUTCOME_GOOD && node->life == life) {
         self->last_taker = node;
-        self->last_taken_ms = ground_now_ms(self->ground);
+        self->last_taken_ms = topology_now_ms(self->topology);
     }
     return outcome == OUTCOME_GOOD || outcome == OUTCOME_STALE || outcome == OUTCOME_WRONG ? outcome : OUTCOME_UNCLEAR;
 }
@@ -87,12 +90,12 @@
 Outcome order_send(Ordering *ordering, const Worded *worded, int64_t for_ms)
 {
     Operator *self = ordering->owner;
-    ordering->sent_ms = ground_now_ms(self->ground);
+    ordering->sent_ms = topology_now_ms(self->topology);
     int64_t pause_ms = 50;
     Outcome outcome = OUTCOME_UNCLEAR;
     self->orders++;
     self->opened++;
-    while (outcome == OUTCOME_UNCLEAR && ground_now_ms(self->ground) - ordering->sent_ms < for_ms) {
+    while (outcome == OUTCOME_UNCLEAR && topology_now_ms(self->topology) - ordering->sent_ms < for_ms) {
         void *mem = talloc_new(ordering);
         outcome = order_once(ordering, mem, worded);
         talloc_free(mem);
--- a/packages/model/src/operatororder.h
+++ b/packages/model/src/operatororder.h
@@ -18,11 +18,11 @@
 
 Loop *operator_loop(const Operator *self);
 /* A node that serves operators, of a list that lags. */
-GroundNode *operator_node(Operator *self);
+TopologyNode *operator_node(Operator *self);
 const char *outcome_word(Outcome outcome);
 /* Asks a node once; result may be NULL. */
-Outcome operator_ask(const Operator *self, void *mem, const GroundNode *node, const char *method, const Worded *worded,
-                     Bytes *result);
+Outcome operator_ask(const Operator *self, void *mem, const TopologyNode *node, const char *method,
+                     const Worded *worded, Bytes *result);
 /* Sends the order until it is answered clearly, for so long; UNCLEAR: it never was. */
 Outcome order_send(Ordering *ordering, const Worded *worded, int64_t for_ms);
 
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -78,8 +78,8 @@
 static void registry(Site *site)
 {
     site->entry_points = 4;
-    site->hand_cpu_milli = 16000;
-    site->hand_mem_mb = 65536;
+    site->worker_model_cpu_milli = 16000;
+    site->worker_model_mem_mb = 65536;
     site->lease_max_ms = 6000;
     site->save_ms = 2000;
     site->restore_ms = 600;
@@ -170,9 +170,9 @@
     g_key_file_free(file);
     if (status == STATUS_OK && site->kind_count == 0)
         tiles(site);
-    if (status == STATUS_OK &&
-        (site->controllers < 3 || site->hands < 1 || site->hands > 40 || site->controllers + site->spares > 16 ||
-         site->entry_points > 16 || site->zones < 1 || site->zones > 4 || site->rack_hands < 1))
+    if (status == STATUS_OK && (site->controllers < 3 || site->worker_models < 1 || site->worker_models > 40 ||
+                                site->controllers + site->spares > 16 || site->entry_points > 16 || site->zones < 1 ||
+                                site->zones > 4 || site->rack_worker_models < 1))
         status = failure_set(failure, STATUS_BAD_SETTINGS,
                              "%s: there are too few machines, or more than the simulator holds", path);
     return status;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -7,27 +7,27 @@
 #define NOTED_LATE_MS 1000 /* ms; a machine in touch knows of an end that was noted so long ago */
 
 typedef struct Start {
-    Hand *hand;
-    const HandStart *order;
+    WorkerModel *worker_model;
+    const WorkerModelStart *order;
     BookTask *task;
     BookJob *job;
     const DraftStep *step;
-    Ground *ground;
+    Topology *topology;
     int64_t now_ms;
     bool touch; /* its sender is in touch */
 } Start;
 
 #define BROKE(start, rule, format, ...)                                                                              \
-    rules_broke((start)->ground->rules, rule, ground_day_ms((start)->ground),                                        \
+    rules_broke((start)->topology->rules, rule, topology_day_ms((start)->topology),                                  \
                 "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64 " round %" PRIu64 " on %s: " format, (start)->order->name.job, \
                 (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at,                       \
-                (start)->order->attempt, (start)->hand->boot, __VA_ARGS__)
+                (start)->order->attempt, (start)->worker_model->boot, __VA_ARGS__)
 
 static void room_check(const Start *start)
 {
-    const Room used = hand_used(start->hand), room = start->step->room, all = start->hand->room;
-    if (start->ground->site->guards == 0 && (used.cpu_milli + room.cpu_milli > all.cpu_milli ||
-                                             used.mem_mb + room.mem_mb > all.mem_mb || used.gpu + room.gpu > all.gpu))
+    const Room used = worker_model_used(start->worker_model), room = start->step->room, all = start->worker_model->room;
+    if (start->topology->site->guards == 0 && (used.cpu_milli + room.cpu_milli > all.cpu_milli ||
+                                               used.mem_mb + room.mem_mb > all.mem_mb || used.gpu + room.gpu > all.gpu))
         BROKE(start, RULE_LIMIT, "%" PRIu64 " milli-CPU and %" PRIu64 " MB beside %" PRIu64 " and %" PRIu64,
               room.cpu_milli, room.mem_mb, used.cpu_milli, used.mem_mb);
 }
@@ -36,9 +36,9 @@
 {
     Fate *fate = start->task->fate;
     const bool copies = start->job->draft.copies;
-    const HandRun *live = start->task->live;
+    const WorkerModelRun *live = start->task->live;
     if (live != NULL && !copies)
-        BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->attempt, live->hand->boot);
+        BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->attempt, live->worker_model->boot);
     if (start->job->draft.lasting || !fate->done)
         return;
     if (!copies && fate->noted_ms != 0)
@@ -56,32 +56,32 @@
     const TaskName *name = &start->order->name;
     if (!book_ready(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t due_ms = book_due_wall_ms(start->job, name->turn), wall_ms = sim_wall_ms(start->ground->world);
-    if (due_ms != 0 && wall_ms < due_ms - start->ground->site->early_ms)
+    const int64_t due_ms = book_due_wall_ms(start->job, name->turn), wall_ms = sim_wall_ms(start->topology->world);
+    if (due_ms != 0 && wall_ms < due_ms - start->topology->site->early_ms)
         BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", due_ms - wall_ms);
 }
 
 static void route_check(const Start *start)
 {
     const DraftStep *step = start->step;
-    if (step->needs != NULL && strcmp(step->needs, start->hand->label) != 0)
+    if (step->needs != NULL && strcmp(step->needs, start->worker_model->label) != 0)
         BROKE(start, RULE_ROUTE, "it needs %s", step->needs);
     uint64_t beside = 0;
-    for (const HandRun *run = start->hand->runs; run != NULL; run = run->next)
+    for (const WorkerModelRun *run = start->worker_model->runs; run != NULL; run = run->next)
         beside += run->task->job == start->job && run->task->name.step == start->order->name.step &&
                   run->task->name.turn == start->order->name.turn && run->task != start->task;
     if (step->apart != 0 && beside >= step->apart)
         BROKE(start, RULE_ROUTE, "%" PRIu64 " of its step are there, at most %" PRIu64 " may be", beside, step->apart);
     bool routed = false;
-    const Ledger *ledger = start->hand->hands->ledger;
+    const Ledger *ledger = start->worker_model->worker_models->ledger;
     for (size_t i = 0; i < ledger->count && !routed; i++) {
         const Document *document = &ledger->rows[i]->document;
         for (size_t q = 0; q < document->queue_count; q++)
             routed |= strcmp(document->queues[q].name, start->job->kind->name) == 0 &&
-                      strcmp(document->queues[q].kind, start->hand->kind) == 0;
+                      strcmp(document->queues[q].kind, start->worker_model->kind) == 0;
     }
     if (!routed && ledger->count > 0)
-        BROKE(start, RULE_ROUTE, "no document leads %s to %s", start->job->kind->name, start->hand->kind);
+        BROKE(start, RULE_ROUTE, "no document leads %s to %s", start->job->kind->name, start->worker_model->kind);
 }
 
 static void budget_check(const Start *start)
@@ -100,14 +100,14 @@
 static void asked_check(const Start *start)
 {
     const BookJob *job = start->job;
-    const Site *site = start->ground->site;
+    const Site *site = start->topology->site;
     if (strcmp(start->order->payload, job->draft.payload) != 0)
         BROKE(start, RULE_UNASKED, "'%.20s' instead of '%.20s'", start->order->payload, job->draft.payload);
     const int64_t progress_ms = book_progress(start->task, start->order->saved);
     if (progress_ms < 0 || progress_ms > start->task->fate->saved_ms)
         BROKE(start, RULE_UNASKED, "'%.20s' is not what it saved", start->order->saved);
     for (size_t i = 0; start->step->gang && i < start->job->task_count; i++)
-        for (const HandRun *run = start->job->tasks[i].live; run != NULL; run = run->next_live)
+        for (const WorkerModelRun *run = start->job->tasks[i].live; run != NULL; run = run->next_live)
             if (start->job->tasks[i].fate == start->task->fate && run->attempt == start->order->attempt &&
                 run->crew != NULL && run->crew->from_ms != (progress_ms > 0 ? progress_ms : 0))
                 BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progress_ms,
@@ -120,26 +120,28 @@
 
 static void place_check(const Start *start)
 {
-    const Site *site = start->ground->site;
-    const Hand *hand = start->hand;
-    if (hand->leave_ack_ms != 0 && hand->leave_ack_touch && start->touch &&
-        start->now_ms - hand->leave_ack_ms > site->drain_ms)
-        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves", start->now_ms - hand->leave_ack_ms);
-    const ZoneOrder *zone = ledger_zone(hand->hands->ledger, hand->zone);
+    const Site *site = start->topology->site;
+    const WorkerModel *worker_model = start->worker_model;
+    if (worker_model->leave_ack_ms != 0 && worker_model->leave_ack_touch && start->touch &&
+        start->now_ms - worker_model->leave_ack_ms > site->drain_ms)
+        BROKE(start, RULE_DRAIN, "it said %" PRId64 " ms ago that it leaves",
+              start->now_ms - worker_model->leave_ack_ms);
+    const ZoneOrder *zone = ledger_zone(worker_model->worker_models->ledger, worker_model->zone);
     if (zone->drained_ms != 0 && zone->back_sent_ms == 0 && start->touch &&
         start->now_ms - zone->drained_ms > site->evac_ms)
-        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", hand->zone, start->now_ms - zone->drained_ms);
+        BROKE(start, RULE_EVAC, "zone %s was emptied %" PRId64 " ms ago", worker_model->zone,
+              start->now_ms - zone->drained_ms);
 }
 
-bool start_check(Hand *hand, const HandStart *order)
+bool start_check(WorkerModel *worker_model, const WorkerModelStart *order)
 {
-    Ground *ground = hand->hands->ground;
-    Start start = {.hand = hand,
+    Topology *topology = worker_model->worker_models->topology;
+    Start start = {.worker_model = worker_model,
                    .order = order,
-                   .task = book_task(hand->hands->book, &order->name),
-                   .ground = ground,
-                   .now_ms = ground_now_ms(ground),
-                   .touch = node_in_touch(hand->side)};
+                   .task = book_task(worker_model->worker_models->book, &order->name),
+                   .topology = topology,
+                   .now_ms = topology_now_ms(topology),
+                   .touch = node_in_touch(worker_model->side)};
     if (start.task == NULL) {
         BROKE(&start, RULE_UNASKED, "%s", "there is no such task");
         return false;
@@ -156,18 +158,18 @@
     return true;
 }
 
-void end_noted(Hand *hand, const HandEnd *end)
+void end_noted(WorkerModel *worker_model, const WorkerModelEnd *end)
 {
-    Ground *ground = hand->hands->ground;
-    ground_tell(ground, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.attempt,
-                attempt_word(end->told.word), hand->boot, end->lapsed_since ? ", its hold was over" : "");
+    Topology *topology = worker_model->worker_models->topology;
+    topology_tell(topology, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.attempt,
+                  attempt_word(end->told.word), worker_model->boot, end->lapsed_since ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsed_since)
         return;
     BookJob *job = end->task->job;
     Fate *fate = end->task->fate;
-    const HandStart order = {.name = end->told.name, .attempt = end->told.attempt};
-    const Start start = {.hand = hand, .order = &order, .ground = ground};
-    const int64_t now_ms = ground_now_ms(ground);
+    const WorkerModelStart order = {.name = end->told.name, .attempt = end->told.attempt};
+    const Start start = {.worker_model = worker_model, .order = &order, .topology = topology};
+    const int64_t now_ms = topology_now_ms(topology);
     if (end->told.word == ATTEMPT_DONE) {
         if (end->told.attempt < fate->again_attempt && !job->draft.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
@@ -186,11 +188,11 @@
         }
 }
 
-void alone_check(const HandRun *run)
+void alone_check(const WorkerModelRun *run)
 {
-    Ground *ground = run->hand->hands->ground;
-    const HandStart order = {.name = run->task->name, .attempt = run->attempt};
-    const Start start = {.hand = run->hand, .order = &order, .ground = ground};
-    if (run->task->job->cancel_sent_ms == 0 && ground_calm(ground) && node_in_touch(run->hand->side))
+    Topology *topology = run->worker_model->worker_models->topology;
+    const WorkerModelStart order = {.name = run->task->name, .attempt = run->attempt};
+    const Start start = {.worker_model = run->worker_model, .order = &order, .topology = topology};
+    if (run->task->job->cancel_sent_ms == 0 && topology_calm(topology) && node_in_touch(run->worker_model->side))
         BROKE(&start, RULE_GANG, "the others of %" PRIu64 " did not come", run->crew->needed);
 }
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/trouble.c
@@ -5,39 +5,39 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *trouble_name(TroubleKind kind)
+const char *fault_name(FaultKind kind)
 {
     static const char *const NAMES[] = {
 #define X(name, outside, controller, planned, meaning) outside,
-        TROUBLE_LIST(X)
+        FAULT_LIST(X)
 #undef X
     };
     return NAMES[kind];
 }
 
-const char *trouble_meaning(TroubleKind kind)
+const char *fault_meaning(FaultKind kind)
 {
     static const char *const MEANINGS[] = {
 #define X(name, outside, controller, planned, meaning) meaning,
-        TROUBLE_LIST(X)
+        FAULT_LIST(X)
 #undef X
     };
     return MEANINGS[kind];
 }
 
-TroubleKind trouble_of(const char *name)
+FaultKind fault_of(const char *name)
 {
     int kind = 0;
-    while (kind < TROUBLE_COUNT && strcmp(trouble_name((TroubleKind)kind), name) != 0)
+    while (kind < FAULT_COUNT && strcmp(fault_name((FaultKind)kind), name) != 0)
         kind++;
-    return (TroubleKind)kind;
+    return (FaultKind)kind;
 }
 
-bool trouble_controller(TroubleKind kind)
+bool fault_controller(FaultKind kind)
 {
     static const bool CONTROLLER[] = {
 #define X(name, outside, controller, planned, meaning) controller,
-        TROUBLE_LIST(X)
+        FAULT_LIST(X)
 #undef X
     };
     return CONTROLLER[kind];
@@ -46,87 +46,88 @@
 /* --- whom it strikes -------------------------------------------------------------------------- */
 
 /* The machine that the script names; null: none. */
-static GroundNode *node_named(const Trouble *trouble)
+static TopologyNode *node_named(const Fault *fault)
 {
-    Ground *ground = trouble->day->ground;
-    if (strcmp(trouble->whom, "leader") == 0)
-        return ground_leader(ground);
-    for (size_t i = 0; i < ground->edge_count; i++)
-        if (strcmp(ground->edges[i].name, trouble->whom) == 0)
-            return &ground->edges[i];
+    Topology *topology = fault->day->topology;
+    if (strcmp(fault->whom, "leader") == 0)
+        return topology_leader(topology);
+    for (size_t i = 0; i < topology->edge_count; i++)
+        if (strcmp(topology->edges[i].name, fault->whom) == 0)
+            return &topology->edges[i];
     return NULL;
 }
 
 /* Half of the time the one that leads. */
-static GroundNode *controller_draw(Trouble *trouble)
+static TopologyNode *controller_draw(Fault *fault)
 {
-    Ground *ground = trouble->day->ground;
-    GroundNode *leader = ground_leader(ground);
-    if (trouble->whom[0] != '\0')
-        return node_named(trouble);
-    if (leader != NULL && dice_percent(&trouble->dice, 50))
+    Topology *topology = fault->day->topology;
+    TopologyNode *leader = topology_leader(topology);
+    if (fault->whom[0] != '\0')
+        return node_named(fault);
+    if (leader != NULL && random_source_percent(&fault->random_source, 50))
         return leader;
-    GroundNode *controllers[EDGES_MAX];
+    TopologyNode *controllers[EDGES_MAX];
     int64_t count = 0;
-    for (size_t i = 0; i < ground->edge_count; i++)
-        if (ground->edges[i].disk && ground->edges[i].up && !ground->edges[i].gone)
-            controllers[count++] = &ground->edges[i];
-    return count > 0 ? controllers[dice_span(&trouble->dice, 0, count - 1)] : NULL;
+    for (size_t i = 0; i < topology->edge_count; i++)
+        if (topology->edges[i].disk && topology->edges[i].up && !topology->edges[i].gone)
+            controllers[count++] = &topology->edges[i];
+    return count > 0 ? controllers[random_source_span(&fault->random_source, 0, count - 1)] : NULL;
 }
 
-static GroundNode *entry_point_draw(Trouble *trouble)
+static TopologyNode *entry_point_draw(Fault *fault)
 {
-    Ground *ground = trouble->day->ground;
-    GroundNode *entry_points[EDGES_MAX];
+    Topology *topology = fault->day->topology;
+    TopologyNode *entry_points[EDGES_MAX];
     int64_t count = 0;
-    if (trouble->whom[0] != '\0')
-        return node_named(trouble);
-    for (size_t i = 0; i < ground->edge_count; i++)
-        if (!ground->edges[i].disk && ground->edges[i].up)
-            entry_points[count++] = &ground->edges[i];
-    return count > 0 ? entry_points[dice_span(&trouble->dice, 0, count - 1)] : NULL;
+    if (fault->whom[0] != '\0')
+        return node_named(fault);
+    for (size_t i = 0; i < topology->edge_count; i++)
+        if (!topology->edges[i].disk && topology->edges[i].up)
+            entry_points[count++] = &topology->edges[i];
+    return count > 0 ? entry_points[random_source_span(&fault->random_source, 0, count - 1)] : NULL;
 }
 
-static void node_take(Trouble *trouble, GroundNode *node)
+static void node_take(Fault *fault, TopologyNode *node)
 {
-    if (node != NULL && trouble->count < SIDES_MAX)
-        trouble->nodes[trouble->count++] = node;
+    if (node != NULL && fault->count < SIDES_MAX)
+        fault->nodes[fault->count++] = node;
 }
 
-static const char *zone_draw(Trouble *trouble)
+static const char *zone_draw(Fault *fault)
 {
-    const int64_t zones = trouble->day->ground->site->zones;
+    const int64_t zones = fault->day->topology->site->zones;
     for (int64_t i = 0; i < zones; i++)
-        if (strcmp(site_zone(i), trouble->whom) == 0)
+        if (strcmp(site_zone(i), fault->whom) == 0)
             return site_zone(i);
-    return site_zone(dice_span(&trouble->dice, 0, zones - 1));
+    return site_zone(random_source_span(&fault->random_source, 0, zones - 1));
 }
 
 /* Up to a fifth of the workers, with their machines. */
-static void hands_draw(Trouble *trouble)
+static void worker_models_draw(Fault *fault)
 {
-    Hands *hands = trouble->day->hands;
-    for (size_t i = 0; i < hands->count && trouble->whom[0] != '\0'; i++)
-        if (strcmp(hands->list[i].side->name, trouble->whom) == 0) {
-            trouble->struck[trouble->count] = &hands->list[i];
-            trouble->nodes[trouble->count++] = hands->list[i].side;
+    WorkerModels *worker_models = fault->day->worker_models;
+    for (size_t i = 0; i < worker_models->count && fault->whom[0] != '\0'; i++)
+        if (strcmp(worker_models->list[i].side->name, fault->whom) == 0) {
+            fault->struck[fault->count] = &worker_models->list[i];
+            fault->nodes[fault->count++] = worker_models->list[i].side;
         }
-    if (trouble->whom[0] != '\0')
+    if (fault->whom[0] != '\0')
         return;
-    const int64_t most = (int64_t)hands->count / 5 > 1 ? (int64_t)hands->count / 5 : 1;
-    const int64_t wanted = dice_span(&trouble->dice, 1, most);
+    const int64_t most = (int64_t)worker_models->count / 5 > 1 ? (int64_t)worker_models->count / 5 : 1;
+    const int64_t wanted = random_source_span(&fault->random_source, 1, most);
     size_t up = 0;
-    for (size_t i = 0; i < hands->count; i++)
-        up += hands->list[i].up && !hands->list[i].leaving;
-    for (int tries = 0; trouble->count < (size_t)wanted && tries < 40 && up * 10 > hands->count * 6; tries++) {
-        Hand *hand = &hands->list[dice_span(&trouble->dice, 0, (int64_t)hands->count - 1)];
-        bool known = !hand->up || hand->leaving;
-        for (size_t i = 0; i < trouble->count; i++)
-            known |= trouble->struck[i] == hand;
+    for (size_t i = 0; i < worker_models->count; i++)
+        up += worker_models->list[i].up && !worker_models->list[i].leaving;
+    for (int tries = 0; fault->count < (size_t)wanted && tries < 40 && up * 10 > worker_models->count * 6; tries++) {
+        WorkerModel *worker_model =
+            &worker_models->list[random_source_span(&fault->random_source, 0, (int64_t)worker_models->count - 1)];
+        bool known = !worker_model->up || worker_model->leaving;
+        for (size_t i = 0; i < fault->count; i++)
+            known |= fault->struck[i] == worker_model;
         if (known)
             continue;
-        trouble->struck[trouble->count] = hand;
-        trouble->nodes[trouble->count++] = hand->side;
+        fault->struck[fault->count] = worker_model;
+        fault->nodes[fault->count++] = worker_model->side;
     }
 }
 
@@ -134,364 +135,367 @@
 
 static void again(void *arg)
 {
-    GroundNode *node = arg;
+    TopologyNode *node = arg;
     if (!node->gone)
         node_start(node);
 }
 
-static void controller_cut(Trouble *trouble, bool cut)
+static void controller_cut(Fault *fault, bool cut)
 {
-    Ground *ground = trouble->day->ground;
-    for (size_t i = 0; i < ground->edge_count && trouble->count > 0; i++)
-        if (ground->edges[i].disk && ground->edges[i].used)
-            ground_cut(trouble->nodes[0], &ground->edges[i], cut);
+    Topology *topology = fault->day->topology;
+    for (size_t i = 0; i < topology->edge_count && fault->count > 0; i++)
+        if (topology->edges[i].disk && topology->edges[i].used)
+            topology_cut(fault->nodes[0], &topology->edges[i], cut);
 }
 
-static void replace(Trouble *trouble)
+static void replace(Fault *fault)
 {
-    Ground *ground = trouble->day->ground;
-    GroundNode *old = trouble->nodes[0], *spare = NULL;
-    for (size_t i = 0; i < ground->edge_count; i++)
-        if (ground->edges[i].disk && !ground->edges[i].used)
-            spare = spare == NULL || strcmp(ground->edges[i].zone, old->zone) == 0 ? &ground->edges[i] : spare;
+    Topology *topology = fault->day->topology;
+    TopologyNode *old = fault->nodes[0], *spare = NULL;
+    for (size_t i = 0; i < topology->edge_count; i++)
+        if (topology->edges[i].disk && !topology->edges[i].used)
+            spare = spare == NULL || strcmp(topology->edges[i].zone, old->zone) == 0 ? &topology->edges[i] : spare;
     if (spare == NULL)
         return;
     old->gone = true;
     node_kill(old, true);
-    sim_at(ground->world, ground_now_ms(ground) + trouble->for_ms, again, spare);
+    sim_at(topology->world, topology_now_ms(topology) + fault->for_ms, again, spare);
 }
 
 /* Waits for the next thing that an entry point acknowledges. */
 static void ack_look(void *arg)
 {
-    Trouble *trouble = arg;
-    Day *day = trouble->day;
-    Ground *ground = day->ground;
-    const int64_t from_ms = ground->began_ms + trouble->at_ms;
-    GroundNode *taker = day->operator->last_taken_ms> from_ms
+    Fault *fault = arg;
+    Day *day = fault->day;
+    Topology *topology = day->topology;
+    const int64_t from_ms = topology->began_ms + fault->at_ms;
+    TopologyNode *taker = day->operator->last_taken_ms> from_ms
         ? day->operator->last_taker : day->callers->last_taken_ms> from_ms ? day->callers->last_taker : NULL;
     if (taker == NULL) {
-        if (ground_now_ms(ground) < from_ms + 2000)
-            sim_at(ground->world, ground_now_ms(ground) + 1, ack_look, trouble);
+        if (topology_now_ms(topology) < from_ms + 2000)
+            sim_at(topology->world, topology_now_ms(topology) + 1, ack_look, fault);
         return;
     }
-    GroundNode *node = taker->disk ? taker : ground_leader(ground);
+    TopologyNode *node = taker->disk ? taker : topology_leader(topology);
     if (node == NULL || !node->up)
         return;
-    node_take(trouble, node);
-    ground_say(ground, "%s has acknowledged through %s and loses %s", taker->name, node->name,
-               trouble->kind == TROUBLE_ACK_WIPE ? "its disk" : "power");
+    node_take(fault, node);
+    topology_say(topology, "%s has acknowledged through %s and loses %s", taker->name, node->name,
+                 fault->kind == FAULT_ACK_WIPE ? "its disk" : "power");
     node_kill(node, true);
-    if (trouble->kind == TROUBLE_ACK_WIPE)
-        sim_disk_wipe(ground->world, node->machine);
+    if (fault->kind == FAULT_ACK_WIPE)
+        sim_disk_wipe(topology->world, node->machine);
 }
 
-static void zone_off(Trouble *trouble)
+static void zone_off(Fault *fault)
 {
-    Day *day = trouble->day;
-    trouble->zone = zone_draw(trouble);
-    for (size_t i = 0; i < day->ground->edge_count; i++) {
-        GroundNode *node = &day->ground->edges[i];
-        if (node->up && strcmp(node->zone, trouble->zone) == 0) {
-            node_take(trouble, node);
+    Day *day = fault->day;
+    fault->zone = zone_draw(fault);
+    for (size_t i = 0; i < day->topology->edge_count; i++) {
+        TopologyNode *node = &day->topology->edges[i];
+        if (node->up && strcmp(node->zone, fault->zone) == 0) {
+            node_take(fault, node);
             node_kill(node, true);
         }
     }
-    for (size_t i = 0; i < day->hands->count; i++) {
-        Hand *hand = &day->hands->list[i];
-        if (strcmp(hand->zone, trouble->zone) != 0 || !hand->up || trouble->count == SIDES_MAX)
+    for (size_t i = 0; i < day->worker_models->count; i++) {
+        WorkerModel *worker_model = &day->worker_models->list[i];
+        if (strcmp(worker_model->zone, fault->zone) != 0 || !worker_model->up || fault->count == SIDES_MAX)
             continue;
-        trouble->struck[trouble->count] = hand;
-        node_take(trouble, hand->side);
-        hand_crash(hand, true);
-        node_kill(hand->side, true);
+        fault->struck[fault->count] = worker_model;
+        node_take(fault, worker_model->side);
+        worker_model_crash(worker_model, true);
+        node_kill(worker_model->side, true);
     }
 }
 
 /* One after the other, each once the last is back. */
 static void roll_next(void *arg)
 {
-    Trouble *trouble = arg;
-    Ground *ground = trouble->day->ground;
-    const int64_t all = (int64_t)(ground->edge_count + ground->side_count);
+    Fault *fault = arg;
+    Topology *topology = fault->day->topology;
+    const int64_t all = (int64_t)(topology->edge_count + topology->side_count);
     for (int tries = 0; tries < 10; tries++) {
-        const int64_t at = dice_span(&trouble->dice, 0, all - 1);
-        GroundNode *node =
-            at < (int64_t)ground->edge_count ? &ground->edges[at] : &ground->sides[at - (int64_t)ground->edge_count];
-        if (!node->up || node->gone || node->troubles > 0 || (node->disk && !ground_settled(ground)))
+        const int64_t at = random_source_span(&fault->random_source, 0, all - 1);
+        TopologyNode *node = at < (int64_t)topology->edge_count ? &topology->edges[at]
+                                                                : &topology->sides[at - (int64_t)topology->edge_count];
+        if (!node->up || node->gone || node->faults > 0 || (node->disk && !topology_settled(topology)))
             continue;
-        ground_say(ground, "%s is stopped", node->name);
+        topology_say(topology, "%s is stopped", node->name);
         node_roll(node);
         break;
     }
-    if (ground_day_ms(ground) < trouble->at_ms + trouble->for_ms)
-        sim_at(ground->world, ground_now_ms(ground) + 1300, roll_next, trouble);
+    if (topology_day_ms(topology) < fault->at_ms + fault->for_ms)
+        sim_at(topology->world, topology_now_ms(topology) + 1300, roll_next, fault);
 }
 
-static void strike_hands(Trouble *trouble)
+static void strike_worker_models(Fault *fault)
 {
-    Ground *ground = trouble->day->ground;
-    hands_draw(trouble);
-    for (size_t i = 0; i < trouble->count; i++) {
-        Hand *hand = trouble->struck[i];
-        ground->any_troubles++;
-        ground->any_ms = INT64_MAX;
-        switch (trouble->kind) {
-        case TROUBLE_SIDE_KILL:
-            node_kill(hand->side, false);
+    Topology *topology = fault->day->topology;
+    worker_models_draw(fault);
+    for (size_t i = 0; i < fault->count; i++) {
+        WorkerModel *worker_model = fault->struck[i];
+        topology->any_faults++;
+        topology->any_ms = INT64_MAX;
+        switch (fault->kind) {
+        case FAULT_SIDE_KILL:
+            node_kill(worker_model->side, false);
             break;
-        case TROUBLE_SIDE_FREEZE:
-            node_freeze(hand->side, trouble->for_ms);
+        case FAULT_SIDE_FREEZE:
+            node_freeze(worker_model->side, fault->for_ms);
             break;
-        case TROUBLE_SIDE_CUT:
-            node_cut(hand->side, true);
+        case FAULT_SIDE_CUT:
+            node_cut(worker_model->side, true);
             break;
-        case TROUBLE_SIDE_OFF:
-            hand_crash(hand, true);
-            node_kill(hand->side, true);
+        case FAULT_SIDE_OFF:
+            worker_model_crash(worker_model, true);
+            node_kill(worker_model->side, true);
             break;
-        case TROUBLE_HAND_CRASH:
-            hand_crash(hand, dice_percent(&trouble->dice, 30));
+        case FAULT_WORKER_MODEL_CRASH:
+            worker_model_crash(worker_model, random_source_percent(&fault->random_source, 30));
             break;
-        case TROUBLE_HAND_GONE:
-            hand_crash(hand, true);
+        case FAULT_WORKER_MODEL_GONE:
+            worker_model_crash(worker_model, true);
             break;
-        case TROUBLE_HAND_SLOW:
-            hand_slow(hand, dice_span(&trouble->dice, 3, 7));
+        case FAULT_WORKER_MODEL_SLOW:
+            worker_model_slow(worker_model, random_source_span(&fault->random_source, 3, 7));
             break;
-        case TROUBLE_HAND_GREY:
-            hand->grey_percent = dice_span(&trouble->dice, 30, 90);
+        case FAULT_WORKER_MODEL_GREY:
+            worker_model->grey_percent = random_source_span(&fault->random_source, 30, 90);
             break;
-        case TROUBLE_HAND_HANG:
-            hand_hang(hand, true);
+        case FAULT_WORKER_MODEL_HANG:
+            worker_model_hang(worker_model, true);
             break;
-        case TROUBLE_HAND_LEAVE:
-            hand_leave(hand, ground->site->drain_ms + 3000);
+        case FAULT_WORKER_MODEL_LEAVE:
+            worker_model_leave(worker_model, topology->site->drain_ms + 3000);
             break;
-        case TROUBLE_HAND_SPOT:
-            hand_leave(hand, ground->site->drain_ms + dice_span(&trouble->dice, 0, 500));
+        case FAULT_WORKER_MODEL_SPOT:
+            worker_model_leave(worker_model,
+                               topology->site->drain_ms + random_source_span(&fault->random_source, 0, 500));
             break;
         default:
             break;
         }
-        ground_say(ground, "%s %s (%s)", trouble_name(trouble->kind), hand->boot, hand->side->name);
+        topology_say(topology, "%s %s (%s)", fault_name(fault->kind), worker_model->boot, worker_model->side->name);
     }
 }
 
-static void strike_node(Trouble *trouble, GroundNode *node)
+static void strike_node(Fault *fault, TopologyNode *node)
 {
-    Ground *ground = trouble->day->ground;
-    node_take(trouble, node);
+    Topology *topology = fault->day->topology;
+    node_take(fault, node);
     if (node == NULL)
         return;
-    ground_say(ground, "%s %s%s", trouble_name(trouble->kind), node->name,
-               node == ground_leader(ground) ? ", which leads" : "");
-    switch (trouble->kind) {
-    case TROUBLE_CONTROLLER_KILL:
-    case TROUBLE_ENTRY_POINT_KILL:
+    topology_say(topology, "%s %s%s", fault_name(fault->kind), node->name,
+                 node == topology_leader(topology) ? ", which leads" : "");
+    switch (fault->kind) {
+    case FAULT_CONTROLLER_KILL:
+    case FAULT_ENTRY_POINT_KILL:
         node_kill(node, false);
         break;
-    case TROUBLE_CONTROLLER_POWER:
+    case FAULT_CONTROLLER_POWER:
         node_kill(node, true);
         break;
-    case TROUBLE_CONTROLLER_WIPE:
+    case FAULT_CONTROLLER_WIPE:
         node_kill(node, true);
-        sim_disk_wipe(ground->world, node->machine);
+        sim_disk_wipe(topology->world, node->machine);
         break;
-    case TROUBLE_CONTROLLER_FREEZE:
-    case TROUBLE_ENTRY_POINT_FREEZE:
-        node_freeze(node, trouble->for_ms);
+    case FAULT_CONTROLLER_FREEZE:
+    case FAULT_ENTRY_POINT_FREEZE:
+        node_freeze(node, fault->for_ms);
         break;
-    case TROUBLE_CONTROLLER_CUT:
-        controller_cut(trouble, true);
+    case FAULT_CONTROLLER_CUT:
+        controller_cut(fault, true);
         break;
-    case TROUBLE_CONTROLLER_ALONE:
-    case TROUBLE_ENTRY_POINT_CUT:
+    case FAULT_CONTROLLER_ALONE:
+    case FAULT_ENTRY_POINT_CUT:
         node_cut(node, true);
         break;
-    case TROUBLE_DISK_SLOW:
-        sim_disk_slow(ground->world, node->machine, dice_span(&trouble->dice, 20, 400));
-        node_trouble(node, 1);
+    case FAULT_DISK_SLOW:
+        sim_disk_slow(topology->world, node->machine, random_source_span(&fault->random_source, 20, 400));
+        node_fault(node, 1);
         break;
-    case TROUBLE_CONTROLLER_REPLACE:
-        replace(trouble);
+    case FAULT_CONTROLLER_REPLACE:
+        replace(fault);
         break;
     default:
         break;
     }
 }
 
-static void strike_work(Trouble *trouble)
+static void strike_work(Fault *fault)
 {
-    Day *day = trouble->day;
-    const size_t kind = (size_t)dice_span(&trouble->dice, 0, (int64_t)day->ground->site->kind_count - 1);
-    ground_say(day->ground, "%s", trouble_name(trouble->kind));
-    switch (trouble->kind) {
-    case TROUBLE_BURST:
-        day->callers->times_milli[kind] = dice_span(&trouble->dice, 2000, 3000);
-        break;
-    case TROUBLE_POISON:
+    Day *day = fault->day;
+    const size_t kind =
+        (size_t)random_source_span(&fault->random_source, 0, (int64_t)day->topology->site->kind_count - 1);
+    topology_say(day->topology, "%s", fault_name(fault->kind));
+    switch (fault->kind) {
+    case FAULT_BURST:
+        day->callers->times_milli[kind] = random_source_span(&fault->random_source, 2000, 3000);
+        break;
+    case FAULT_POISON:
         day->callers->poison_percent = 30;
         break;
-    case TROUBLE_ROLL:
-        roll_next(trouble);
+    case FAULT_ROLL:
+        roll_next(fault);
         break;
-    case TROUBLE_CHANGE:
+    case FAULT_CHANGE:
         operator_change(day->operator);
         break;
-    case TROUBLE_STORM:
-        operator_storm(day->operator,(int) dice_span(&trouble->dice, 3, 10), dice_span(&trouble->dice, 30, 400));
+    case FAULT_STORM:
+        operator_storm(day->operator,(int) random_source_span(&fault->random_source, 3, 10),
+                       random_source_span(&fault->random_source, 30, 400));
         break;
-    case TROUBLE_RACE:
+    case FAULT_RACE:
         operator_race(day->operator);
         break;
-    case TROUBLE_SPOILT:
+    case FAULT_SPOILT:
         operator_spoilt(day->operator);
         break;
-    case TROUBLE_BIG:
+    case FAULT_BIG:
         operator_big(day->operator);
         break;
-    case TROUBLE_ZONE_DRAIN:
-        trouble->zone = zone_draw(trouble);
-        operator_zone(day->operator, trouble->zone, true);
+    case FAULT_ZONE_DRAIN:
+        fault->zone = zone_draw(fault);
+        operator_zone(day->operator, fault->zone, true);
         break;
     default:
         break;
     }
 }
 
-void trouble_begin(Trouble *trouble)
+void fault_begin(Fault *fault)
 {
-    switch (trouble->kind) {
-    case TROUBLE_CONTROLLER_KILL:
-    case TROUBLE_CONTROLLER_POWER:
-    case TROUBLE_CONTROLLER_FREEZE:
-    case TROUBLE_CONTROLLER_CUT:
-    case TROUBLE_CONTROLLER_ALONE:
-    case TROUBLE_DISK_SLOW:
-    case TROUBLE_CONTROLLER_WIPE:
-    case TROUBLE_CONTROLLER_REPLACE:
-        strike_node(trouble, controller_draw(trouble));
-        break;
-    case TROUBLE_ENTRY_POINT_KILL:
-    case TROUBLE_ENTRY_POINT_FREEZE:
-    case TROUBLE_ENTRY_POINT_CUT:
-        strike_node(trouble, entry_point_draw(trouble));
-        break;
-    case TROUBLE_ACK_POWER:
-    case TROUBLE_ACK_WIPE:
-        ack_look(trouble);
-        break;
-    case TROUBLE_ZONE_OFF:
-        zone_off(trouble);
-        ground_say(trouble->day->ground, "zoneOff %s", trouble->zone);
-        break;
-    case TROUBLE_SIDE_KILL:
-    case TROUBLE_SIDE_FREEZE:
-    case TROUBLE_SIDE_CUT:
-    case TROUBLE_SIDE_OFF:
-    case TROUBLE_HAND_CRASH:
-    case TROUBLE_HAND_GONE:
-    case TROUBLE_HAND_SLOW:
-    case TROUBLE_HAND_GREY:
-    case TROUBLE_HAND_HANG:
-    case TROUBLE_HAND_LEAVE:
-    case TROUBLE_HAND_SPOT:
-        strike_hands(trouble);
+    switch (fault->kind) {
+    case FAULT_CONTROLLER_KILL:
+    case FAULT_CONTROLLER_POWER:
+    case FAULT_CONTROLLER_FREEZE:
+    case FAULT_CONTROLLER_CUT:
+    case FAULT_CONTROLLER_ALONE:
+    case FAULT_DISK_SLOW:
+    case FAULT_CONTROLLER_WIPE:
+    case FAULT_CONTROLLER_REPLACE:
+        strike_node(fault, controller_draw(fault));
+        break;
+    case FAULT_ENTRY_POINT_KILL:
+    case FAULT_ENTRY_POINT_FREEZE:
+    case FAULT_ENTRY_POINT_CUT:
+        strike_node(fault, entry_point_draw(fault));
+        break;
+    case FAULT_ACK_POWER:
+    case FAULT_ACK_WIPE:
+        ack_look(fault);
+        break;
+    case FAULT_ZONE_OFF:
+        zone_off(fault);
+        topology_say(fault->day->topology, "zoneOff %s", fault->zone);
+        break;
+    case FAULT_SIDE_KILL:
+    case FAULT_SIDE_FREEZE:
+    case FAULT_SIDE_CUT:
+    case FAULT_SIDE_OFF:
+    case FAULT_WORKER_MODEL_CRASH:
+    case FAULT_WORKER_MODEL_GONE:
+    case FAULT_WORKER_MODEL_SLOW:
+    case FAULT_WORKER_MODEL_GREY:
+    case FAULT_WORKER_MODEL_HANG:
+    case FAULT_WORKER_MODEL_LEAVE:
+    case FAULT_WORKER_MODEL_SPOT:
+        strike_worker_models(fault);
         break;
     default:
-        strike_work(trouble);
+        strike_work(fault);
         break;
     }
 }
 
-static void heal_hand(Trouble *trouble, Hand *hand)
+static void heal_worker_model(Fault *fault, WorkerModel *worker_model)
 {
-    Ground *ground = trouble->day->ground;
-    if (--ground->any_troubles <= 0)
-        ground->any_ms = ground_now_ms(ground);
-    switch (trouble->kind) {
-    case TROUBLE_SIDE_KILL:
-        node_start(hand->side);
+    Topology *topology = fault->day->topology;
+    if (--topology->any_faults <= 0)
+        topology->any_ms = topology_now_ms(topology);
+    switch (fault->kind) {
+    case FAULT_SIDE_KILL:
+        node_start(worker_model->side);
         break;
-    case TROUBLE_SIDE_CUT:
-        node_cut(hand->side, false);
+    case FAULT_SIDE_CUT:
+        node_cut(worker_model->side, false);
         break;
-    case TROUBLE_SIDE_OFF:
-        node_start(hand->side);
-        hand_start(hand);
+    case FAULT_SIDE_OFF:
+        node_start(worker_model->side);
+        worker_model_start(worker_model);
         break;
-    case TROUBLE_HAND_CRASH:
-        hand_start(hand);
+    case FAULT_WORKER_MODEL_CRASH:
+        worker_model_start(worker_model);
         break;
-    case TROUBLE_HAND_SLOW:
-        hand_slow(hand, 1);
+    case FAULT_WORKER_MODEL_SLOW:
+        worker_model_slow(worker_model, 1);
         break;
-    case TROUBLE_HAND_GREY:
-        hand->grey_percent = 0;
+    case FAULT_WORKER_MODEL_GREY:
+        worker_model->grey_percent = 0;
         break;
-    case TROUBLE_HAND_HANG:
-        hand_hang(hand, false);
+    case FAULT_WORKER_MODEL_HANG:
+        worker_model_hang(worker_model, false);
         break;
     /* a new one takes its place now and then */
-    case TROUBLE_HAND_LEAVE:
-    case TROUBLE_HAND_SPOT:
-        if (dice_percent(&trouble->dice, 50))
-            hand_start(hand);
+    case FAULT_WORKER_MODEL_LEAVE:
+    case FAULT_WORKER_MODEL_SPOT:
+        if (random_source_percent(&fault->random_source, 50))
+            worker_model_start(worker_model);
         break;
     default:
         break;
     }
 }
 
-void trouble_end(Trouble *trouble)
+void fault_end(Fault *fault)
 {
-    Day *day = trouble->day;
-    Ground *ground = day->ground;
-    if (trouble->kind == TROUBLE_ZONE_OFF) {
-        for (size_t i = 0; i < trouble->count; i++) {
-            again(trouble->nodes[i]);
-            if (trouble->struck[i] != NULL)
-                hand_start(trouble->struck[i]);
+    Day *day = fault->day;
+    Topology *topology = day->topology;
+    if (fault->kind == FAULT_ZONE_OFF) {
+        for (size_t i = 0; i < fault->count; i++) {
+            again(fault->nodes[i]);
+            if (fault->struck[i] != NULL)
+                worker_model_start(fault->struck[i]);
         }
-    } else if (trouble->kind >= TROUBLE_SIDE_KILL && trouble->kind <= TROUBLE_HAND_SPOT) {
-        for (size_t i = 0; i < trouble->count; i++)
-            heal_hand(trouble, trouble->struck[i]);
+    } else if (fault->kind >= FAULT_SIDE_KILL && fault->kind <= FAULT_WORKER_MODEL_SPOT) {
+        for (size_t i = 0; i < fault->count; i++)
+            heal_worker_model(fault, fault->struck[i]);
     }
-    GroundNode *node = trouble->count > 0 ? trouble->nodes[0] : NULL;
-    switch (trouble->kind) {
-    case TROUBLE_CONTROLLER_KILL:
-    case TROUBLE_CONTROLLER_POWER:
-    case TROUBLE_CONTROLLER_WIPE:
-    case TROUBLE_ENTRY_POINT_KILL:
-    case TROUBLE_ACK_POWER:
-    case TROUBLE_ACK_WIPE:
+    TopologyNode *node = fault->count > 0 ? fault->nodes[0] : NULL;
+    switch (fault->kind) {
+    case FAULT_CONTROLLER_KILL:
+    case FAULT_CONTROLLER_POWER:
+    case FAULT_CONTROLLER_WIPE:
+    case FAULT_ENTRY_POINT_KILL:
+    case FAULT_ACK_POWER:
+    case FAULT_ACK_WIPE:
         if (node != NULL)
             again(node);
         break;
-    case TROUBLE_CONTROLLER_CUT:
-        controller_cut(trouble, false);
+    case FAULT_CONTROLLER_CUT:
+        controller_cut(fault, false);
         break;
-    case TROUBLE_CONTROLLER_ALONE:
-    case TROUBLE_ENTRY_POINT_CUT:
+    case FAULT_CONTROLLER_ALONE:
+    case FAULT_ENTRY_POINT_CUT:
         if (node != NULL)
             node_cut(node, false);
         break;
-    case TROUBLE_DISK_SLOW:
+    case FAULT_DISK_SLOW:
         if (node != NULL) {
-            sim_disk_slow(ground->world, node->machine, 3);
-            node_trouble(node, -1);
+            sim_disk_slow(topology->world, node->machine, 3);
+            node_fault(node, -1);
         }
         break;
-    case TROUBLE_BURST:
-        for (size_t i = 0; i < ground->site->kind_count; i++)
+    case FAULT_BURST:
+        for (size_t i = 0; i < topology->site->kind_count; i++)
             day->callers->times_milli[i] = 1000;
         break;
-    case TROUBLE_POISON:
+    case FAULT_POISON:
         day->callers->poison_percent = 0;
         break;
-    case TROUBLE_ZONE_DRAIN:
-        operator_zone(day->operator, trouble->zone, false);
+    case FAULT_ZONE_DRAIN:
+        operator_zone(day->operator, fault->zone, false);
         break;
     default:
         break;
--- a/packages/model/src/trouble.h
+++ b/packages/model/src/trouble.h
@@ -1,12 +1,12 @@
-#ifndef MODEL_SRC_TROUBLE_H
-#define MODEL_SRC_TROUBLE_H
+#ifndef MODEL_SRC_FAULT_H
+#define MODEL_SRC_FAULT_H
 
 #include "model/model.h"
 #include "operator.h"
 
 /* What may befall a day. Where CONTROLLER is set at most the losses that are to be borne
  * are in it at once. X(name, controller, planned, meaning) */
-#define TROUBLE_LIST(X)                                                                               \
+#define FAULT_LIST(X)                                                                                 \
     X(CONTROLLER_KILL, "coreKill", true, false, "a core's process is killed")                         \
     X(CONTROLLER_POWER, "corePower", true, false, "a core loses power")                               \
     X(CONTROLLER_FREEZE, "coreFreeze", true, false, "a core stands still")                            \
@@ -25,13 +25,13 @@
     X(SIDE_FREEZE, "sideFreeze", false, false, "agents stand still")                                  \
     X(SIDE_CUT, "sideCut", false, false, "agents are cut off, their workers run on")                  \
     X(SIDE_OFF, "sideOff", false, false, "machines with worker and agent lose power")                 \
-    X(HAND_CRASH, "handCrash", false, false, "workers crash and come back")                           \
-    X(HAND_GONE, "handGone", false, false, "workers are lost for good")                               \
-    X(HAND_SLOW, "handSlow", false, false, "workers turn slow")                                       \
-    X(HAND_GREY, "handGrey", false, false, "workers fail part of what they run")                      \
-    X(HAND_HANG, "handHang", false, false, "nothing on some workers comes forward")                   \
-    X(HAND_LEAVE, "handLeave", false, true, "workers leave in order")                                 \
-    X(HAND_SPOT, "handSpot", false, false, "workers leave at short notice")                           \
+    X(WORKER_MODEL_CRASH, "handCrash", false, false, "workers crash and come back")                   \
+    X(WORKER_MODEL_GONE, "handGone", false, false, "workers are lost for good")                       \
+    X(WORKER_MODEL_SLOW, "handSlow", false, false, "workers turn slow")                               \
+    X(WORKER_MODEL_GREY, "handGrey", false, false, "workers fail part of what they run")              \
+    X(WORKER_MODEL_HANG, "handHang", false, false, "nothing on some workers comes forward")           \
+    X(WORKER_MODEL_LEAVE, "handLeave", false, true, "workers leave in order")                         \
+    X(WORKER_MODEL_SPOT, "handSpot", false, false, "workers leave at short notice")                   \
     X(BURST, "burst", false, false, "many jobs of a kind come at once")                               \
     X(POISON, "poison", false, true, "jobs come that can never be done")                              \
     X(ROLL, "roll", true, true, "machines are stopped and started in turn")                           \
@@ -42,44 +42,44 @@
     X(BIG, "big", false, true, "the document grows")                                                  \
     X(ZONE_DRAIN, "zoneDrain", false, true, "a zone is emptied and taken back")
 
-typedef enum TroubleKind {
-#define X(name, outside, controller, planned, meaning) TROUBLE_##name,
-    TROUBLE_LIST(X)
+typedef enum FaultKind {
+#define X(name, outside, controller, planned, meaning) FAULT_##name,
+    FAULT_LIST(X)
 #undef X
-        TROUBLE_COUNT
-} TroubleKind;
+        FAULT_COUNT
+} FaultKind;
 
-const char *trouble_name(TroubleKind kind);
-const char *trouble_meaning(TroubleKind kind);
-TroubleKind trouble_of(const char *name); /* TROUBLE_COUNT: none */
+const char *fault_name(FaultKind kind);
+const char *fault_meaning(FaultKind kind);
+FaultKind fault_of(const char *name); /* FAULT_COUNT: none */
 
 /* A day under way: all that troubles touch. */
 typedef struct Day {
-    Ground *ground;
+    Topology *topology;
     Book *book;
     Ledger *ledger;
-    Hands *hands;
+    WorkerModels *worker_models;
     Door *door;
     Callers *callers;
     Operator *operator;
 } Day;
 
 /* One trouble, drawn: what it strikes follows from its own dice. */
-typedef struct Trouble {
+typedef struct Fault {
     Day *day;
-    TroubleKind kind;
+    FaultKind kind;
     int64_t at_ms, for_ms; /* since traffic began; how long */
-    Dice dice;
+    RandomSource random_source;
     char whom[16]; /* "": drawn */
     /* struck: to be healed */
-    GroundNode *nodes[SIDES_MAX];
-    Hand *struck[SIDES_MAX];
+    TopologyNode *nodes[SIDES_MAX];
+    WorkerModel *struck[SIDES_MAX];
     size_t count;
     const char *zone;
-} Trouble;
+} Fault;
 
-bool trouble_controller(TroubleKind kind);
-void trouble_begin(Trouble *trouble);
-void trouble_end(Trouble *trouble);
+bool fault_controller(FaultKind kind);
+void fault_begin(Fault *fault);
+void fault_end(Fault *fault);
 
 #endif
