--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -187,7 +187,7 @@
         result->timely += took_ms <= target_ms;
         result->late += took_ms > target_ms && took_ms <= target_ms * 3;
     }
-    if (checker_broken(day->topology->checker, NEVER_TWO_LEADERS) > 0)
+    if (checker_broken(day->topology->checker, INVARIANT_TWO_LEADERS) > 0)
         rules_broke(&result->rules, RULE_LEADERS, topology_day_ms(day->topology), "%s",
                     checker_first(day->topology->checker));
 }
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -6,7 +6,7 @@
 
 /* The brief's nevers as invariants. A checker is told what really happens (what
  * workers run, what callers were told, who plans) and says which never broke. */
-#define NEVER_LIST(X)                                                                        \
+#define INVARIANT_LIST(X)                                                                    \
     X(TWO_LEADERS, "two leaders planning at once")                                           \
     X(TWICE, "one task running twice at once")                                               \
     X(AFTER_FINISH, "a task starting after it finished well")                                \
@@ -25,14 +25,14 @@
     X(STRANGE_SAVED, "a round going on from what another task has saved")                    \
     X(NOT_SERVING, "not serving again within 12 s")
 
-typedef enum Never {
-#define X(name, words) NEVER_##name,
-    NEVER_LIST(X)
+typedef enum Invariant {
+#define X(name, words) INVARIANT_##name,
+    INVARIANT_LIST(X)
 #undef X
-        NEVER_COUNT
-} Never;
+        INVARIANT_COUNT
+} Invariant;
 
-const char *never_words(Never never);
+const char *never_words(Invariant invariant);
 
 /* What an entry point serves, and the fleet. */
 #define SERVE_LIST(X)          \
@@ -68,7 +68,7 @@
 
 Checker *checker_new(void *mem, const CheckerSettings *settings);
 /* What was seen to break: count, and the first one's words. */
-size_t checker_broken(const Checker *checker, Never never);
+size_t checker_broken(const Checker *checker, Invariant invariant);
 size_t checker_broken_all(const Checker *checker);
 const char *checker_first(const Checker *checker);
 
--- a/packages/sim/src/checkclaim.c
+++ b/packages/sim/src/checkclaim.c
@@ -49,7 +49,7 @@
 {
     SeenWorker *on = seen_worker(checker, worker);
     if (until_ms - checker_now(checker) > CLAIM_MOST_MS)
-        checker_broke(checker, NEVER_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
+        checker_broke(checker, INVARIANT_EARLY_RESTART, "%s may claim its work for %" PRId64 " ms more", worker,
                       until_ms - checker_now(checker));
     if (until_ms > on->claim_until_ms)
         on->claim_until_ms = until_ms;
@@ -69,7 +69,7 @@
         const int64_t until_ms =
             claim->until_ms != 0 ? claim->until_ms : seen_worker(checker, claim->worker)->claim_until_ms;
         if (now_ms < until_ms && !copies)
-            checker_broke(checker, NEVER_EARLY_RESTART,
+            checker_broke(checker, INVARIANT_EARLY_RESTART,
                           "%s task %" PRIu64 " round %" PRIu64 " on %s, %" PRId64
                           " ms before %s's claim of round %" PRIu64 " lapses",
                           job->id, number, attempt, worker, until_ms - now_ms, claim->worker, claim->attempt);
--- a/packages/sim/src/checkconfig.c
+++ b/packages/sim/src/checkconfig.c
@@ -9,7 +9,7 @@
 void checker_config_set(Checker *checker, uint64_t version)
 {
     if (version <= checker->version)
-        checker_broke(checker, NEVER_CONFIG_LOST, "revision %" PRIu64 " was given again after %" PRIu64, version,
+        checker_broke(checker, INVARIANT_CONFIG_LOST, "revision %" PRIu64 " was given again after %" PRIu64, version,
                       checker->version);
     checker->version = version;
 }
@@ -17,13 +17,14 @@
 void checker_config_read(Checker *checker, uint64_t version)
 {
     if (version < checker->version)
-        checker_broke(checker, NEVER_CONFIG_LOST, "revision %" PRIu64 " is in force after %" PRIu64 " was acknowledged",
-                      version, checker->version);
+        checker_broke(checker, INVARIANT_CONFIG_LOST,
+                      "revision %" PRIu64 " is in force after %" PRIu64 " was acknowledged", version, checker->version);
 }
 
 void checker_config_both(Checker *checker, uint64_t base)
 {
-    checker_broke(checker, NEVER_CONFIG_LOST, "two changes built on revision %" PRIu64 " were both acknowledged", base);
+    checker_broke(checker, INVARIANT_CONFIG_LOST, "two changes built on revision %" PRIu64 " were both acknowledged",
+                  base);
 }
 
 SeenTenant *seen_tenant(Checker *checker, const char *name)
@@ -62,9 +63,10 @@
     if (tenant->unsure || (tenant->since_ms != 0 && sent_ms < tenant->since_ms + CONFIG_LATE_MS) || taken == tenant->in)
         return;
     if (taken && !tenant->ever_in)
-        checker_broke(checker, NEVER_REFUSED_CONFIG, "work of tenant %s is taken, which only a refused one had", name);
+        checker_broke(checker, INVARIANT_REFUSED_CONFIG, "work of tenant %s is taken, which only a refused one had",
+                      name);
     else
-        checker_broke(checker, NEVER_CONFIG_LOST,
+        checker_broke(checker, INVARIANT_CONFIG_LOST,
                       "work of tenant %s is %s, %" PRId64 " ms after the other was acknowledged", name,
                       taken ? "taken" : "refused", checker_now(checker) - tenant->since_ms);
 }
@@ -134,6 +136,6 @@
         return;
     const Room used = room_more(used_by(checker, job->spec.cell, job->spec.tenant), room);
     if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
-        checker_broke(checker, NEVER_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
+        checker_broke(checker, INVARIANT_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
                       job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
 }
--- a/packages/sim/src/checker.c
+++ b/packages/sim/src/checker.c
@@ -6,14 +6,14 @@
 #include <string.h>
 #include <talloc.h>
 
-const char *never_words(Never never)
+const char *never_words(Invariant invariant)
 {
     static const char *const WORDS[] = {
 #define X(name, words) words,
-        NEVER_LIST(X)
+        INVARIANT_LIST(X)
 #undef X
     };
-    return never < NEVER_COUNT ? WORDS[never] : "";
+    return invariant < INVARIANT_COUNT ? WORDS[invariant] : "";
 }
 
 Checker *checker_new(void *mem, const CheckerSettings *settings)
@@ -36,9 +36,9 @@
     return checker->settings.now_ms(checker->settings.arg);
 }
 
-void checker_broke(Checker *checker, Never never, const char *format, ...)
+void checker_broke(Checker *checker, Invariant invariant, const char *format, ...)
 {
-    checker->broken[never]++;
+    checker->broken[invariant]++;
     if (checker->broken_all++ > 0)
         return;
     va_list args;
@@ -46,12 +46,12 @@
     char *detail = talloc_vasprintf(checker, format, args);
     va_end(args);
     checker->first =
-        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), never_words(never), detail);
+        talloc_asprintf(checker, "at %" PRId64 " ms: %s: %s", checker_now(checker), never_words(invariant), detail);
 }
 
-size_t checker_broken(const Checker *checker, Never never)
+size_t checker_broken(const Checker *checker, Invariant invariant)
 {
-    return checker->broken[never];
+    return checker->broken[invariant];
 }
 
 size_t checker_broken_all(const Checker *checker)
@@ -123,7 +123,7 @@
     const char *holder = map_get(checker->terms, key);
     const bool lower = term < checker->plan_term && (holder != NULL || !checker->plan_gone);
     if (lower || (holder != NULL && strcmp(holder, leader) != 0)) {
-        checker_broke(checker, NEVER_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, term,
+        checker_broke(checker, INVARIANT_TWO_LEADERS, "%s under %" PRIu64 " after %s under %" PRIu64, leader, term,
                       checker->plan_leader, checker->plan_term);
         return;
     }
@@ -261,7 +261,7 @@
 {
     (void)task;
     if (run->beside_frozen)
-        checker_broke(checker, NEVER_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
+        checker_broke(checker, INVARIANT_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
                       run->attempt, run->worker);
 }
 
@@ -323,7 +323,7 @@
     SeenJob *job = seen_job(checker, id);
     job->accepted = true;
     if (job->refused)
-        checker_broke(checker, NEVER_REFUSED_RAN, "%s was accepted after it was refused", id);
+        checker_broke(checker, INVARIANT_REFUSED_RAN, "%s was accepted after it was refused", id);
 }
 
 void checker_refused(Checker *checker, const char *id)
@@ -333,7 +333,7 @@
     void *mem = talloc_new(NULL);
     const char **tasks;
     if (map_keys(job->tasks, mem, &tasks) > 0 || job->accepted)
-        checker_broke(checker, NEVER_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
+        checker_broke(checker, INVARIANT_REFUSED_RAN, "%s was refused after it was accepted or ran", id);
     talloc_free(mem);
 }
 
@@ -348,17 +348,17 @@
     job->ended = true;
     const Job *known = checker->settings.job(checker->settings.arg, id);
     if (known != NULL && known->spec.lasting && strcmp(phase, "cancelled") != 0)
-        checker_broke(checker, NEVER_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
+        checker_broke(checker, INVARIANT_FORGOTTEN, "%s lasts, but is shown as %s", id, phase);
     if (strcmp(phase, "done") != 0)
         return;
     for (size_t t = 0; known != NULL && t < known->tasks_count; t++)
         if (!seen_done(known, job, t))
-            checker_broke(checker, NEVER_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
+            checker_broke(checker, INVARIANT_FORGOTTEN, "%s is shown as done, but task %zu never finished", id, t);
 }
 
 void checker_unknown(Checker *checker, const char *id)
 {
-    checker_broke(checker, NEVER_FORGOTTEN, "%s is unknown", id);
+    checker_broke(checker, INVARIANT_FORGOTTEN, "%s is unknown", id);
 }
 
 size_t checker_open(const Checker *checker)
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -100,13 +100,14 @@
     int64_t started_ms; /* the first start since then; 0: none yet */
     int64_t worst_ms[SERVE_COUNT];
     size_t starts, resumes;
-    size_t broken[NEVER_COUNT];
+    size_t broken[INVARIANT_COUNT];
     size_t broken_all;
     char *first;
 };
 
 int64_t checker_now(const Checker *checker);
-void checker_broke(Checker *checker, Never never, const char *format, ...) __attribute__((format(printf, 3, 4)));
+void checker_broke(Checker *checker, Invariant invariant, const char *format, ...)
+    __attribute__((format(printf, 3, 4)));
 SeenJob *seen_job(Checker *checker, const char *id);
 SeenTask *seen_task(SeenJob *job, uint64_t task);
 /* Whether the task of that index finished well; of a gang one member's end stands for all. */
--- a/packages/sim/src/checklook.c
+++ b/packages/sim/src/checklook.c
@@ -31,11 +31,12 @@
             if (checker->settings.frozen(checker->settings.arg, run->worker))
                 continue;
             if (job->cancelled_ms != 0 && checker_debt_ms(checker, job->cancelled_ms) > STOP_LATE_MS)
-                checker_broke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
+                checker_broke(checker, INVARIANT_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after it was cancelled",
                               job->id, tasks[t], run->worker, now_ms - job->cancelled_ms);
             if (run->told_ms != 0 && now_ms - run->told_ms > TOLD_LATE_MS)
-                checker_broke(checker, NEVER_STOPPED_RAN, "%s task %s on %s %" PRId64 " ms after the worker was told",
-                              job->id, tasks[t], run->worker, now_ms - run->told_ms);
+                checker_broke(checker, INVARIANT_STOPPED_RAN,
+                              "%s task %s on %s %" PRId64 " ms after the worker was told", job->id, tasks[t],
+                              run->worker, now_ms - run->told_ms);
         }
     }
     talloc_free(mem);
@@ -60,8 +61,8 @@
                 newest_ms = task->started_ms;
         }
         if (running > 0 && ever < step->count && checker_debt_ms(checker, newest_ms) > GANG_LATE_MS)
-            checker_broke(checker, NEVER_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name, running,
-                          step->count);
+            checker_broke(checker, INVARIANT_GANG_SPLIT, "%s step %s: %zu of %" PRIu64 " run", job->id, step->name,
+                          running, step->count);
         first = end;
     }
 }
@@ -90,7 +91,7 @@
     for (size_t i = 0; i < count; i++) {
         const SeenJob *job = map_get(checker->jobs, ids[i]);
         if (job->accepted && !job->ended)
-            checker_broke(checker, NEVER_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
+            checker_broke(checker, INVARIANT_FORGOTTEN, "%s was accepted and has not ended", ids[i]);
     }
     talloc_free(mem);
 }
--- a/packages/sim/src/checkserve.c
+++ b/packages/sim/src/checkserve.c
@@ -38,7 +38,7 @@
     if (took_ms > checker->worst_ms[serve])
         checker->worst_ms[serve] = took_ms;
     if (served_ms == 0 || took_ms > SERVE_LATE_MS)
-        checker_broke(checker, NEVER_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
+        checker_broke(checker, INVARIANT_NOT_SERVING, "%s: %s %s %" PRId64 " ms after the last failure", where,
                       serve_word(serve), served_ms == 0 ? "not yet," : "first", took_ms);
 }
 
--- a/packages/sim/src/checkstart.c
+++ b/packages/sim/src/checkstart.c
@@ -18,20 +18,20 @@
         for (size_t t = 0; t < job->tasks_count; t++)
             if (strcmp(job->spec.steps[job->tasks[t].step].name, step->after[a]) == 0 &&
                 job->tasks[t].turn == job->tasks[at].turn && !seen_done(job, seen, t))
-                checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id,
+                checker_broke(checker, INVARIANT_TOO_EARLY, "%s task %" PRIu64 " before task %zu of step %s", seen->id,
                               task, t, step->after[a]);
     if (job->spec.delay_ms > 0 && seen->sent_ms != 0 && checker_now(checker) < seen->sent_ms + job->spec.delay_ms)
-        checker_broke(checker, NEVER_TOO_EARLY,
+        checker_broke(checker, INVARIANT_TOO_EARLY,
                       "%s task %" PRIu64 " %" PRId64 " ms after it was first sent, of a delay of %" PRId64, seen->id,
                       task, checker_now(checker) - seen->sent_ms, job->spec.delay_ms);
     const int64_t wall_ms =
         checker->settings.wall_ms != NULL ? checker->settings.wall_ms(checker->settings.arg) : INT64_MAX;
     const int64_t turn_ms = task_due_wall_ms(job, &job->tasks[at]);
     if (turn_ms != 0 && wall_ms < turn_ms - WALL_SLACK_MS)
-        checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due", seen->id,
-                      task, turn_ms - wall_ms);
+        checker_broke(checker, INVARIANT_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its turn is due",
+                      seen->id, task, turn_ms - wall_ms);
     if (job->spec.due_wall_ms != 0 && wall_ms < job->spec.due_wall_ms - WALL_SLACK_MS)
-        checker_broke(checker, NEVER_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id,
+        checker_broke(checker, INVARIANT_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id,
                       task, job->spec.due_wall_ms - wall_ms);
     const Worker *on = &seen_worker(checker, worker)->worker;
     /* looked at here by itself: the planner's own look is what is being checked */
@@ -43,7 +43,7 @@
         able &= has;
     }
     if (!able)
-        checker_broke(checker, NEVER_OVERPACKED, "%s task %" PRIu64 " on %s of kind %s", seen->id, task, worker,
+        checker_broke(checker, INVARIANT_OVERPACKED, "%s task %" PRIu64 " on %s of kind %s", seen->id, task, worker,
                       on->kind);
 }
 
@@ -53,8 +53,8 @@
     checker->resumes++;
     const char *of = strstr(saved, " of ");
     if (strtoull(saved, NULL, 10) != task || of == NULL || strcmp(of + 4, job) != 0)
-        checker_broke(checker, NEVER_STRANGE_SAVED, "%s task %" PRIu64 " round %" PRIu64 " on %s goes on from %s", job,
-                      task, attempt, worker, saved);
+        checker_broke(checker, INVARIANT_STRANGE_SAVED, "%s task %" PRIu64 " round %" PRIu64 " on %s goes on from %s",
+                      job, task, attempt, worker, saved);
 }
 
 void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt, Room room)
@@ -75,7 +75,7 @@
         if (checker->settings.frozen(checker->settings.arg, run->worker))
             run->beside_frozen = true; /* it must be over once its machine runs again */
         else if (!copies)
-            checker_broke(checker, NEVER_TWICE,
+            checker_broke(checker, INVARIANT_TWICE,
                           "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task,
                           attempt, worker, run->attempt, run->worker);
     }
@@ -84,23 +84,23 @@
         !job->lasting &&
         (known == NULL || at == known->tasks_count ? seen->done_known : seen_done_known(known, job, at));
     if (finished || job->ended)
-        checker_broke(checker, NEVER_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, attempt,
+        checker_broke(checker, INVARIANT_AFTER_FINISH, "%s task %" PRIu64 " round %" PRIu64 " on %s", id, task, attempt,
                       worker);
     if (job->refused)
-        checker_broke(checker, NEVER_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
+        checker_broke(checker, INVARIANT_REFUSED_RAN, "%s task %" PRIu64 " on %s", id, task, worker);
     if (job->cancelled_ms != 0 && now_ms - job->cancelled_ms > CANCEL_LATE_MS)
-        checker_broke(checker, NEVER_CANCELLED_RAN, "%s task %" PRIu64 " %" PRId64 " ms later", id, task,
+        checker_broke(checker, INVARIANT_CANCELLED_RAN, "%s task %" PRIu64 " %" PRId64 " ms later", id, task,
                       now_ms - job->cancelled_ms);
     if (on->leaving_ms != 0 && now_ms - on->leaving_ms > LEAVING_LATE_MS)
-        checker_broke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
+        checker_broke(checker, INVARIANT_LEAVING_GIVEN, "%s task %" PRIu64 " on %s", id, task, worker);
     const SeenZone *zone = map_get(checker->zones, on->worker.zone);
     if (zone != NULL && zone->drained_ms != 0 && now_ms - zone->drained_ms > ZONE_LATE_MS)
-        checker_broke(checker, NEVER_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
+        checker_broke(checker, INVARIANT_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->started_ms = now_ms;
     on->starts++;
     on->used = room_more(on->used, room);
     if (on->used.cpu_milli > on->worker.room.cpu_milli || on->used.mem_mb > on->worker.room.mem_mb)
-        checker_broke(checker, NEVER_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
+        checker_broke(checker, INVARIANT_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
                       on->used.cpu_milli, on->used.mem_mb);
     spec_start(checker, job, worker, task);
     claim_start(checker, job, seen, task, on->worker.name, attempt, copies);
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -76,10 +76,10 @@
 
 static const Room ONE = {1000, 10, 0};
 
-static void only(Checker *checker, Never never)
+static void only(Checker *checker, Invariant invariant)
 {
-    assert_true(checker_broken(checker, never) > 0);
-    assert_int_equal(checker_broken_all(checker), checker_broken(checker, never));
+    assert_true(checker_broken(checker, invariant) > 0);
+    assert_int_equal(checker_broken_all(checker), checker_broken(checker, invariant));
     assert_true(strlen(checker_first(checker)) > 0);
     talloc_free(checker);
 }
@@ -94,32 +94,32 @@
     (void)state;
     Checker *c = begin();
     checker_plans(c, "a", 5), checker_plans(c, "b", 6), checker_plans(c, "b", 6), good(c);
-    checker_plans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
+    checker_plans(c, "a", 5), only(c, INVARIANT_TWO_LEADERS);
 
-    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 5), only(c, NEVER_TWO_LEADERS);
+    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 5), only(c, INVARIANT_TWO_LEADERS);
 
     /* forgotten by the disks: a new lower term after the end of the higher one is
      * no second leader, an old one that wakes is */
     c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 7), checker_leader_gone(c, "b"),
     checker_plans(c, "c", 6);
-    good(c), checker_plans(c, "a", 5), only(c, NEVER_TWO_LEADERS);
+    good(c), checker_plans(c, "a", 5), only(c, INVARIANT_TWO_LEADERS);
     c = begin(), checker_plans(c, "b", 7), checker_leader_gone(c, "a"), checker_plans(c, "c", 6),
-    only(c, NEVER_TWO_LEADERS);
+    only(c, INVARIANT_TWO_LEADERS);
 
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), good(c);
-    checker_started(c, "w2", "j", 0, 2, ONE), only(c, NEVER_TWICE);
+    checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_TWICE);
 
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), stands_still = true;
     checker_started(c, "w2", "j", 0, 2, ONE), good(c);
-    stands_still = false, checker_worker_woke(c, "w1"), only(c, NEVER_TWICE);
+    stands_still = false, checker_worker_woke(c, "w1"), only(c, INVARIANT_TWICE);
 
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_known(c, "w1", "j", 0, 1, ATTEMPT_DONE), good(c);
-    checker_started(c, "w2", "j", 0, 2, ONE), only(c, NEVER_AFTER_FINISH);
+    checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_AFTER_FINISH);
 
-    c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, NEVER_FORGOTTEN);
-    c = begin(), checker_accepted(c, "j"), checker_unknown(c, "j"), only(c, NEVER_FORGOTTEN);
-    c = begin(), checker_accepted(c, "j"), checker_job_ended(c, "j", "done"), only(c, NEVER_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, INVARIANT_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), checker_unknown(c, "j"), only(c, INVARIANT_FORGOTTEN);
+    c = begin(), checker_accepted(c, "j"), checker_job_ended(c, "j", "done"), only(c, INVARIANT_FORGOTTEN);
 
     /* one end of a gang stands for all of it; of other tasks for itself alone */
     c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE),
@@ -131,33 +131,34 @@
     /* lasting work ends by a cancel alone */
     c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "cancelled"), good(c);
     c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "failed"),
-    only(c, NEVER_FORGOTTEN);
+    only(c, INVARIANT_FORGOTTEN);
     /* turns by their own due times */
-    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE),
+    only(c, INVARIANT_TOO_EARLY);
     c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
-    c = begin(), checker_refused(c, "x"), checker_started(c, "w1", "x", 0, 1, ONE), only(c, NEVER_REFUSED_RAN);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_refused(c, "x"), only(c, NEVER_REFUSED_RAN);
+    c = begin(), checker_refused(c, "x"), checker_started(c, "w1", "x", 0, 1, ONE), only(c, INVARIANT_REFUSED_RAN);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_refused(c, "x"), only(c, INVARIANT_REFUSED_RAN);
 
-    c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, INVARIANT_TOO_EARLY);
 
-    c = begin(), checker_started(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, NEVER_OVERPACKED);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, INVARIANT_OVERPACKED);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Room){500, 95, 0});
-    only(c, NEVER_OVERPACKED);
-    c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, NEVER_OVERPACKED);
+    only(c, INVARIANT_OVERPACKED);
+    c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, INVARIANT_OVERPACKED);
 
     c = begin(), checker_cancelled(c, "x"), now_ms += 2900, checker_started(c, "w1", "x", 0, 1, ONE), good(c);
-    now_ms += 200, checker_started(c, "w1", "x", 1, 1, ONE), only(c, NEVER_CANCELLED_RAN);
+    now_ms += 200, checker_started(c, "w1", "x", 1, 1, ONE), only(c, INVARIANT_CANCELLED_RAN);
 
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), now_ms += 3000, checker_look(c),
     good(c);
-    now_ms += 1100, checker_look(c), only(c, NEVER_STOPPED_RAN);
+    now_ms += 1100, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
     /* a failure meanwhile: from when service must be back */
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), checker_fault(c), now_ms += 15000;
-    checker_look(c), good(c), now_ms += 1100, checker_look(c), only(c, NEVER_STOPPED_RAN);
+    checker_look(c), good(c), now_ms += 1100, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_told(c, "w1", "x", 0, 1), now_ms += 400,
     checker_look(c);
-    good(c), now_ms += 200, checker_look(c), only(c, NEVER_STOPPED_RAN);
+    good(c), now_ms += 200, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
 
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
@@ -173,67 +174,67 @@
     checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
     checker_worker_gone(c, "w1");
-    now_ms += 2900, checker_started(c, "w2", "x", 0, 2, ONE), only(c, NEVER_EARLY_RESTART);
+    now_ms += 2900, checker_started(c, "w2", "x", 0, 2, ONE), only(c, INVARIANT_EARLY_RESTART);
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE);
     checker_ended(c, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, NEVER_EARLY_RESTART);
+    c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, INVARIANT_EARLY_RESTART);
 
     /* due times and delays */
     c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checker_started(c, "w1", "j", 0, 1, ONE);
-    only(c, NEVER_TOO_EARLY);
+    only(c, INVARIANT_TOO_EARLY);
     c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 500, checker_started(c, "w1", "j", 0, 1, ONE),
     good(c);
-    c = begin(), job.spec.due_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, NEVER_TOO_EARLY);
+    c = begin(), job.spec.due_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, INVARIANT_TOO_EARLY);
     c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
     /* configurations by their effect */
     c = begin(), checker_tenant(c, "g", TENANT_IN), now_ms += 2000, checker_probe(c, "g", now_ms, true), good(c);
-    checker_probe(c, "g", now_ms, false), only(c, NEVER_CONFIG_LOST);
+    checker_probe(c, "g", now_ms, false), only(c, INVARIANT_CONFIG_LOST);
     c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_OUT),
     checker_probe(c, "g", now_ms, true);
-    good(c), now_ms += 2000, checker_probe(c, "g", now_ms, true), only(c, NEVER_CONFIG_LOST);
+    good(c), now_ms += 2000, checker_probe(c, "g", now_ms, true), only(c, INVARIANT_CONFIG_LOST);
     c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_ASKED), now_ms += 2000;
     checker_probe(c, "g", now_ms, false), good(c), checker_tenant(c, "g", TENANT_REFUSED),
         checker_probe(c, "g", now_ms, false);
-    only(c, NEVER_CONFIG_LOST);
+    only(c, INVARIANT_CONFIG_LOST);
     c = begin(), checker_tenant(c, "n", TENANT_ASKED), checker_tenant(c, "n", TENANT_REFUSED),
     checker_probe(c, "n", now_ms, true);
-    only(c, NEVER_REFUSED_CONFIG);
-    c = begin(), checker_config_both(c, 3), only(c, NEVER_CONFIG_LOST);
+    only(c, INVARIANT_REFUSED_CONFIG);
+    c = begin(), checker_config_both(c, 3), only(c, INVARIANT_CONFIG_LOST);
     c = begin(), checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
-    checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, NEVER_OVER_QUOTA);
+    checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, INVARIANT_OVER_QUOTA);
     c = begin(), checker_quota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
     checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checker_started(c, "w1", "j", SECOND, 1, ONE),
         good(c);
     checker_ended(c, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
-    only(c, NEVER_OVER_QUOTA);
+    only(c, INVARIANT_OVER_QUOTA);
 
     /* service, at each entry by itself */
     c = begin(), checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_fault(c),
     now_ms += 12000;
     checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_must_serve(c, "g1"), good(c);
     assert_int_equal(checker_worst_ms(c, SERVE_ACCEPT), 12000);
-    checker_served(c, "g2", SERVE_ACCEPT), checker_must_serve(c, "g2"), only(c, NEVER_NOT_SERVING);
+    checker_served(c, "g2", SERVE_ACCEPT), checker_must_serve(c, "g2"), only(c, INVARIANT_NOT_SERVING);
     c = begin(), checker_fault(c), now_ms += 12001, checker_served(c, "g1", SERVE_ACCEPT),
     checker_served(c, "g1", SERVE_STATUS);
-    checker_must_serve(c, "g1"), only(c, NEVER_NOT_SERVING);
+    checker_must_serve(c, "g1"), only(c, INVARIANT_NOT_SERVING);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_fault(c), now_ms += 12001, checker_must_start(c);
-    only(c, NEVER_NOT_SERVING);
+    only(c, INVARIANT_NOT_SERVING);
 
     c = begin(), checker_leaving(c, "w1", true), now_ms += 2100, checker_started(c, "w1", "x", 0, 1, ONE);
-    only(c, NEVER_LEAVING_GIVEN);
+    only(c, INVARIANT_LEAVING_GIVEN);
     c = begin(), checker_zone(c, "z", true), now_ms += 5100, checker_started(c, "w1", "x", 0, 1, ONE);
-    only(c, NEVER_LEAVING_GIVEN);
+    only(c, INVARIANT_LEAVING_GIVEN);
 
     c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
-    now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, NEVER_GANG_SPLIT);
+    now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, INVARIANT_GANG_SPLIT);
 
     c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
-    only(c, NEVER_CONFIG_LOST);
-    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, NEVER_CONFIG_LOST);
+    only(c, INVARIANT_CONFIG_LOST);
+    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, INVARIANT_CONFIG_LOST);
 }
 
 static const FleetShape SHAPE
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -77,7 +77,7 @@
     fleet_run(fleet, 30000);
     assert_int_equal(fleet_job(fleet, "g")->phase, JOB_DONE);
     /* claims are longer than the checker's bound for them, by the lease above */
-    if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, NEVER_EARLY_RESTART))
+    if (checker_broken_all(fleet->checker) > checker_broken(fleet->checker, INVARIANT_EARLY_RESTART))
         fail_msg("%s", checker_first(fleet->checker));
     talloc_free(fleet);
 }
