--- a/examples/counter.c
+++ b/examples/counter.c
@@ -11,9 +11,9 @@
 #include <string.h>
 #include <talloc.h>
 
-#include <beat/liveset.h>
+#include <heartbeat/liveset.h>
 #include <loop/real.h>
-#include <view/view.h>
+#include <replication/replication.h>
 
 #define CHANGE_PLUS REPLICATION_CHANGE_FIRST
 #define PLUS_MS 200
--- a/packages/face/include/face/face.h
+++ b/packages/adapter/include/adapter/adapter.h
@@ -2,9 +2,9 @@
 #define ADAPTER_ADAPTER_H
 
 #include "agent/agent.h"
-#include "core/core.h"
-#include "gate/gate.h"
-#include "props/props.h"
+#include "controller/controller.h"
+#include "entry_point/entry_point.h"
+#include "settings/settings.h"
 
 /* An adapter is how the product meets a platform: it reads the platform's settings
  * into settings, serves the platform's addresses and translates. It decides
--- a/packages/face/src/face.c
+++ b/packages/adapter/src/adapter.c
@@ -1,4 +1,4 @@
-#include "face/face.h"
+#include "adapter/adapter.h"
 
 #include <string.h>
 
--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -1,7 +1,7 @@
 #ifndef AGENT_AGENT_H
 #define AGENT_AGENT_H
 
-#include "props/props.h"
+#include "settings/settings.h"
 
 /* Stands beside one worker: heartbeats for it, fetches its orders, passes its lease
  * on to it and tells what its attempts came to. Diskless. */
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -2,7 +2,7 @@
 #define AGENT_REPORT_H
 
 #include "agent/agent.h"
-#include "beat/messages.h"
+#include "heartbeat/messages.h"
 
 /* What a worker says of itself, whatever it speaks. Attempts are named by job, task
  * number (TASK_NUMBER) and round. */
--- a/packages/agent/src/round.h
+++ b/packages/agent/src/attempt.h
@@ -1,7 +1,7 @@
 #ifndef AGENT_SRC_ATTEMPT_H
 #define AGENT_SRC_ATTEMPT_H
 
-#include "beat/messages.h"
+#include "heartbeat/messages.h"
 #include "loop/loop.h"
 
 /* The way of one attempt on this worker. */
--- a/packages/agent/src/beat.c
+++ b/packages/agent/src/heartbeat.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 /* One on its way; freed when it has come to its end. */
--- a/packages/agent/src/inside.h
+++ b/packages/agent/src/inside.h
@@ -5,10 +5,10 @@
 #include "agent/report.h"
 #include "api/show.h"
 #include "base/map.h"
-#include "beat/hold.h"
+#include "heartbeat/lease.h"
 #include "lock/lock.h"
-#include "feed/messages.h"
-#include "round.h"
+#include "routing/messages.h"
+#include "attempt.h"
 #include "trace/trace.h"
 
 struct Heartbeat;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 static bool listed(const AttemptNews *list, size_t count, const Order *order)
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -10,8 +10,8 @@
 #include <talloc.h>
 
 #include "agent/report.h"
-#include "base/epoch.h"
-#include "beat/hold.h"
+#include "base/term.h"
+#include "heartbeat/lease.h"
 #include "sim/world.h"
 
 #define BOSS "10.0.0.1:7000"
--- a/packages/api/include/api/jobjson.h
+++ b/packages/api/include/api/job_json.h
@@ -1,8 +1,8 @@
-#ifndef API_JOBJSON_H
-#define API_JOBJSON_H
+#ifndef API_JOB_JSON_H
+#define API_JOB_JSON_H
 
 #include "config/config.h"
-#include "table/table.h"
+#include "state/table.h"
 
 /* Reads a job as a caller hands it in; all on faults->mem. False: see the faults. */
 bool job_read(Faults *faults, const char *text, size_t count, JobSpec *spec);
--- a/packages/api/include/api/show.h
+++ b/packages/api/include/api/show.h
@@ -2,7 +2,7 @@
 #define API_SHOW_H
 
 #include "base/failure.h"
-#include "base/ring.h"
+#include "base/recorder.h"
 #include "loop/loop.h"
 #include "queue/queue.h"
 
--- a/packages/api/src/jobjson.c
+++ b/packages/api/src/job_json.c
@@ -1,4 +1,4 @@
-#include "api/jobjson.h"
+#include "api/job_json.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/api/test/jobjson.c
+++ b/packages/api/test/job_json.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "api/jobjson.h"
+#include "api/job_json.h"
 #include "api/show.h"
 
 #define PLACE "\"id\":\"j\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"q\""
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -32,7 +32,8 @@
 #define WORKER_BUSY_MS 50    /* ms; what has ended there waits no longer for an answer that is held back ... */
 #define WORKER_AGAIN_MS \
     50 /* ms; ... and then an order waits so long for the next question: as long as the other costs least */
-#define WORKER_LOST_MS 3000 /* ms; ... and has lost its attempts after this at the latest, once its lease has lapsed \
+#define WORKER_LOST_MS                                                                                               \
+    3000                    /* ms; ... and has lost its attempts after this at the latest, once its lease has lapsed \
                              */
 #define TELLING_MOST 500    /* count; news in one telling: a worker's longest list of ends */
 #define NEWS_MOST 1000      /* count; news of attempts in one change */
--- a/packages/base/src/ring.c
+++ b/packages/base/src/recorder.c
@@ -1,5 +1,5 @@
 #define G_LOG_DOMAIN "spancart"
-#include "base/ring.h"
+#include "base/recorder.h"
 
 #include <glib.h>
 #include <stdarg.h>
--- a/packages/base/test/ring.c
+++ b/packages/base/test/recorder.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "base/ring.h"
+#include "base/recorder.h"
 
 #define LINES_MOST 1000
 
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -3,7 +3,7 @@
 
 #include <json-c/json.h>
 
-#include "table/job.h"
+#include "state/job.h"
 
 /* What is wrong with a document, each fault by its path. */
 typedef struct Fault {
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -5,7 +5,7 @@
 
 #include "config/check.h"
 #include "policy/lua.h"
-#include "table/change.h"
+#include "state/change.h"
 
 typedef struct ConfigTenant {
     const char *name;
--- a/packages/config/src/entries.h
+++ b/packages/config/src/entries.h
@@ -1,5 +1,5 @@
-#ifndef CONFIG_ENTRIES_INSIDE_H
-#define CONFIG_ENTRIES_INSIDE_H
+#ifndef CONFIG_SRC_ENTRIES_H
+#define CONFIG_SRC_ENTRIES_H
 
 #include "config/config.h"
 
--- a/packages/config/src/parts.h
+++ b/packages/config/src/parts.h
@@ -1,5 +1,5 @@
-#ifndef CONFIG_PARTS_H
-#define CONFIG_PARTS_H
+#ifndef CONFIG_SRC_PARTS_H
+#define CONFIG_SRC_PARTS_H
 
 #include "config/config.h"
 
--- a/packages/config/src/scan.h
+++ b/packages/config/src/scan.h
@@ -1,5 +1,5 @@
-#ifndef CONFIG_SCAN_H
-#define CONFIG_SCAN_H
+#ifndef CONFIG_SRC_SCAN_H
+#define CONFIG_SRC_SCAN_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/packages/config/src/twice.h
+++ b/packages/config/src/twice.h
@@ -1,5 +1,5 @@
-#ifndef CONFIG_TWICE_H
-#define CONFIG_TWICE_H
+#ifndef CONFIG_SRC_TWICE_H
+#define CONFIG_SRC_TWICE_H
 
 #include "config/check.h"
 
--- a/packages/config/tool/bench.c
+++ b/packages/config/tool/bench.c
@@ -9,7 +9,7 @@
 #include "base/constants.h"
 #include "config/config.h"
 #include "document/document.h"
-#include "table/deliverconfig.h"
+#include "state/deliver_config.h"
 
 static double now_us(void)
 {
--- a/packages/core/include/core/core.h
+++ b/packages/controller/include/controller/controller.h
@@ -1,8 +1,8 @@
 #ifndef CONTROLLER_CONTROLLER_H
 #define CONTROLLER_CONTROLLER_H
 
-#include "props/props.h"
-#include "table/table.h"
+#include "settings/settings.h"
+#include "state/table.h"
 
 /* A controller: a disk, perhaps a voter, perhaps the lead. */
 typedef struct Controller Controller;
--- a/packages/core/src/configs.c
+++ b/packages/controller/src/configs.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "document/document.h"
-#include "inforce.h"
+#include "in_force.h"
 #include "way.h"
 
 /* --- reading ----------------------------------------------------------------------- */
--- a/packages/core/src/core.c
+++ b/packages/controller/src/controller.c
@@ -3,9 +3,9 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "alerts.h"
-#include "inforce.h"
+#include "in_force.h"
 
 bool controller_decides(Controller *controller)
 {
--- a/packages/core/src/inforce.c
+++ b/packages/controller/src/in_force.c
@@ -5,8 +5,8 @@
 #include <talloc.h>
 
 #include "document/document.h"
-#include "feed/limits.h"
-#include "inforce.h"
+#include "routing/limits.h"
+#include "in_force.h"
 
 /* What the table has, made from what was read before where it can be. */
 static json_object *tree_now(const Controller *controller, bool same_load)
--- a/packages/core/src/inforce.h
+++ b/packages/controller/src/in_force.h
@@ -1,5 +1,5 @@
-#ifndef CONTROLLER_INFORCE_H
-#define CONTROLLER_INFORCE_H
+#ifndef CONTROLLER_SRC_IN_FORCE_H
+#define CONTROLLER_SRC_IN_FORCE_H
 
 #include "inside.h"
 
--- a/packages/core/src/inside.h
+++ b/packages/controller/src/inside.h
@@ -1,16 +1,16 @@
 #ifndef CONTROLLER_SRC_INSIDE_H
 #define CONTROLLER_SRC_INSIDE_H
 
-#include "api/jobjson.h"
+#include "api/job_json.h"
 #include "base/map.h"
 #include "api/show.h"
-#include "beat/hold.h"
-#include "beat/liveset.h"
-#include "beat/strays.h"
-#include "core/core.h"
+#include "heartbeat/lease.h"
+#include "heartbeat/liveset.h"
+#include "heartbeat/orphans.h"
+#include "controller/controller.h"
 #include "pace.h"
-#include "feed/feed.h"
-#include "feed/forward.h"
+#include "routing/config_watch.h"
+#include "routing/forward.h"
 #include "plan/plan.h"
 #include "policy/lua.h"
 #include "queue/line.h"
--- a/packages/core/src/pace.h
+++ b/packages/controller/src/pace.h
@@ -1,8 +1,8 @@
 #ifndef CONTROLLER_SRC_PACE_H
 #define CONTROLLER_SRC_PACE_H
 
-#include "beat/messages.h"
-#include "table/table.h"
+#include "heartbeat/messages.h"
+#include "state/table.h"
 
 struct Controller;
 
--- a/packages/core/src/status.c
+++ b/packages/controller/src/status.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "alerts.h"
 
 static json_object *text_of(const char *text)
--- a/packages/core/src/way.h
+++ b/packages/controller/src/way.h
@@ -1,5 +1,5 @@
-#ifndef CONTROLLER_WAY_H
-#define CONTROLLER_WAY_H
+#ifndef CONTROLLER_SRC_WAY_H
+#define CONTROLLER_SRC_WAY_H
 
 #include "inside.h"
 
--- a/packages/gate/include/gate/gate.h
+++ b/packages/entry_point/include/entry_point/entry_point.h
@@ -1,7 +1,7 @@
 #ifndef ENTRY_POINT_ENTRY_POINT_H
 #define ENTRY_POINT_ENTRY_POINT_H
 
-#include "props/props.h"
+#include "settings/settings.h"
 
 /* A diskless entry point. It decides nothing: it carries requests to the
  * leader, keeps for a while what was accepted through it, and holds the newest
--- a/packages/gate/src/gate.c
+++ b/packages/entry_point/src/entry_point.c
@@ -1,12 +1,12 @@
-#include "gate/gate.h"
+#include "entry_point/entry_point.h"
 
 #include <string.h>
 #include <talloc.h>
 
 #include "api/show.h"
-#include "beat/messages.h"
-#include "feed/feed.h"
-#include "feed/forward.h"
+#include "heartbeat/messages.h"
+#include "routing/config_watch.h"
+#include "routing/forward.h"
 
 #define ELSEWHERE_HTTP 307 /* the same request, with its body, at another address */
 
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "history.h"
 
 const char *rule_text(Rule rule)
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 DiskModel *disk_of(const Explore *explore, uint64_t disk)
--- a/packages/explore/src/inside.h
+++ b/packages/explore/src/inside.h
@@ -3,7 +3,7 @@
 
 #include "explore/explore.h"
 #include "sim/world.h"
-#include "view/window.h"
+#include "replication/window.h"
 
 #define NODES_MAX 24   /* count; machines in one run */
 #define DISKS_MAX 96   /* count; disks that ever were, wiped ones too */
--- a/packages/beat/include/beat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -1,7 +1,7 @@
 #ifndef HEARTBEAT_LIVESET_H
 #define HEARTBEAT_LIVESET_H
 
-#include "beat/messages.h"
+#include "heartbeat/messages.h"
 
 /* One worker as the leader sees it. Invariant: until_ms is never earlier than
  * the end of any lease that this or an earlier leader may have answered. */
--- a/packages/beat/include/beat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -1,8 +1,8 @@
 #ifndef HEARTBEAT_MESSAGES_H
 #define HEARTBEAT_MESSAGES_H
 
-#include "table/change.h"
-#include "view/messages.h"
+#include "state/change.h"
+#include "replication/messages.h"
 
 /* An attempt that runs and how far it has come, told when that has changed: the first
  * is also the word that it runs. ran_ms: for how long the agent has known it to. */
--- a/packages/beat/include/beat/strays.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -1,8 +1,8 @@
 #ifndef HEARTBEAT_ORPHANS_H
 #define HEARTBEAT_ORPHANS_H
 
-#include "beat/messages.h"
-#include "table/table.h"
+#include "heartbeat/messages.h"
+#include "state/table.h"
 
 /* Attempts that may still be on a worker though the table has them there no longer:
  * another round of the task finished, or its owner allows copies. Their room is not
--- a/packages/beat/src/hold.c
+++ b/packages/heartbeat/src/lease.c
@@ -1,4 +1,4 @@
-#include "beat/hold.h"
+#include "heartbeat/lease.h"
 
 #include "base/constants.h"
 
--- a/packages/beat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -1,10 +1,10 @@
-#include "beat/liveset.h"
+#include "heartbeat/liveset.h"
 
 #include <talloc.h>
 
 #include "base/constants.h"
 #include "base/map.h"
-#include "beat/hold.h"
+#include "heartbeat/lease.h"
 
 struct Liveset {
     Map *rows;
--- a/packages/beat/src/messages.c
+++ b/packages/heartbeat/src/messages.c
@@ -1,4 +1,4 @@
-#include "beat/messages.h"
+#include "heartbeat/messages.h"
 
 SHAPE_TABLE(AttemptSaved, ATTEMPT_SAVED_FIELDS)
 SHAPE_TABLE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
--- a/packages/beat/src/strays.c
+++ b/packages/heartbeat/src/orphans.c
@@ -1,4 +1,4 @@
-#include "beat/strays.h"
+#include "heartbeat/orphans.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/beat/test/strays.c
+++ b/packages/heartbeat/test/orphans.c
@@ -1,6 +1,6 @@
 /* Room of attempts that the table has nowhere, or elsewhere, and that may still run. */
-#include "../../table/test/board.h"
-#include "beat/strays.h"
+#include "../../state/test/board.h"
+#include "heartbeat/orphans.h"
 
 #define UNTIL_MS 5000
 
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -1,10 +1,10 @@
 #ifndef MEMBER_MEMBERS_H
 #define MEMBER_MEMBERS_H
 
-#include "base/ring.h"
+#include "base/recorder.h"
 #include "loop/loop.h"
 #include "member/record.h"
-#include "wire/courier.h"
+#include "wire/rpc.h"
 
 #define SEEDS 3 /* count; three seed addresses are all a process is told */
 
--- a/packages/model/include/model/tongue.h
+++ b/packages/model/include/model/codec.h
@@ -3,7 +3,7 @@
 
 #include "base/bytes.h"
 #include "model/site.h"
-#include "table/worker.h"
+#include "state/worker.h"
 
 /* How a platform words what the model's workers, callers and operator say and are
  * told. The model knows what is meant; only a tongue knows the words. */
--- a/packages/model/include/model/model.h
+++ b/packages/model/include/model/model.h
@@ -3,7 +3,7 @@
 
 #include "model/rules.h"
 #include "model/site.h"
-#include "model/tongue.h"
+#include "model/codec.h"
 
 /* A day of a deployment in virtual time: the product's own processes behind an adapter, and
  * stand-ins for all that it meets: workers, callers, the operator, troubles. Built from
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_BOOK_H
 #define MODEL_SRC_BOOK_H
 
-#include "ground.h"
+#include "topology.h"
 
 /* All that was handed in, what workers really ran of it, and what callers were told. */
 
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -2,7 +2,7 @@
 #define MODEL_SRC_CALLER_H
 
 #include "door.h"
-#include "hand.h"
+#include "worker_model.h"
 
 /* Those who hand jobs in: a machine for each zone. They try again with the same id, ask
  * for states, cancel, and check what they are told. */
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -1,5 +1,5 @@
 /* How long work takes. */
-#include "hand.h"
+#include "worker_model.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "trouble.h"
+#include "fault.h"
 
 #define LOOK_MS 200            /* ms; between looks for jobs that stand still */
 #define CALM_END_MS 3500       /* ms; troubles are over so long before the closing fault or the end of traffic */
--- a/packages/model/src/door.h
+++ b/packages/model/src/door.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_DOOR_H
 #define MODEL_SRC_DOOR_H
 
-#include "ground.h"
+#include "topology.h"
 
 /* The platform's way of leading callers to entry points: it looks each second which
  * call themselves ready; two misses take one out until it is ready again. */
--- a/packages/model/src/trouble.c
+++ b/packages/model/src/fault.c
@@ -1,4 +1,4 @@
-#include "trouble.h"
+#include "fault.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_LEDGER_H
 #define MODEL_SRC_LEDGER_H
 
-#include "ground.h"
+#include "topology.h"
 
 /* What the operator has sent, and how each ended. */
 typedef enum SentWord { SENT_OPEN, SENT_TAKEN, SENT_REFUSED } SentWord;
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -1,4 +1,4 @@
-#include "operatororder.h"
+#include "operator_order.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/model/src/operatororder.c
+++ b/packages/model/src/operator_order.c
@@ -1,5 +1,5 @@
 /* Orders of an operator: sent again until they are answered clearly, and in time. */
-#include "operatororder.h"
+#include "operator_order.h"
 
 #include <inttypes.h>
 #include <talloc.h>
--- a/packages/model/src/operatororder.h
+++ b/packages/model/src/operator_order.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_SRC_OPERATORORDER_H
-#define MODEL_SRC_OPERATORORDER_H
+#ifndef MODEL_SRC_OPERATOR_ORDER_H
+#define MODEL_SRC_OPERATOR_ORDER_H
 
 #include "operator.h"
 
--- a/packages/model/src/dice.c
+++ b/packages/model/src/random_source.c
@@ -1,4 +1,4 @@
-#include "model/dice.h"
+#include "model/random_source.h"
 
 /* splitmix64 */
 static uint64_t mixed(uint64_t z)
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -2,7 +2,7 @@
 #include <inttypes.h>
 #include <string.h>
 
-#include "hand.h"
+#include "worker_model.h"
 
 #define NOTED_LATE_MS 1000 /* ms; a machine in touch knows of an end that was noted so long ago */
 
--- a/packages/model/src/ground.c
+++ b/packages/model/src/topology.c
@@ -1,4 +1,4 @@
-#include "ground.h"
+#include "topology.h"
 
 #include <inttypes.h>
 #include <stdarg.h>
--- a/packages/model/src/ground.h
+++ b/packages/model/src/topology.h
@@ -1,10 +1,10 @@
 #ifndef MODEL_SRC_TOPOLOGY_H
 #define MODEL_SRC_TOPOLOGY_H
 
-#include "face/face.h"
-#include "model/dice.h"
+#include "adapter/adapter.h"
+#include "model/random_source.h"
 #include "model/rules.h"
-#include "model/tongue.h"
+#include "model/codec.h"
 #include "sim/checker.h"
 #include "sim/world.h"
 
--- a/packages/model/src/hand.c
+++ b/packages/model/src/worker_model.c
@@ -1,5 +1,5 @@
 /* A stand-in for a worker: its process, its heartbeats, its pace, how it leaves. */
-#include "hand.h"
+#include "worker_model.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/model/src/handwork.c
+++ b/packages/model/src/worker_model_work.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "hand.h"
+#include "worker_model.h"
 
 static const char *name_text(void *mem, const TaskName *name)
 {
--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -1,7 +1,7 @@
 #ifndef PLAN_PLAN_H
 #define PLAN_PLAN_H
 
-#include "table/job.h"
+#include "state/job.h"
 
 /* What a task asks of a worker. */
 typedef struct PlanNeed {
--- a/packages/policy/include/policy/policy.h
+++ b/packages/policy/include/policy/policy.h
@@ -1,7 +1,7 @@
 #ifndef POLICY_POLICY_H
 #define POLICY_POLICY_H
 
-#include "table/job.h"
+#include "state/job.h"
 
 /* What a policy sees of a waiting or running unit. */
 typedef struct PolicySight {
--- a/packages/queue/include/queue/guess.h
+++ b/packages/queue/include/queue/estimate.h
@@ -1,7 +1,7 @@
 #ifndef QUEUE_ESTIMATE_H
 #define QUEUE_ESTIMATE_H
 
-#include "table/table.h"
+#include "state/table.h"
 
 /* What attempts that ended well have shown: how far a queue's estimates are off,
  * step by step, and how fast each worker is. In the leader's memory alone: a new
--- a/packages/queue/include/queue/aim.h
+++ b/packages/queue/include/queue/latency_target.h
@@ -1,7 +1,7 @@
-#ifndef QUEUE_TARGET_H
-#define QUEUE_TARGET_H
+#ifndef QUEUE_LATENCY_TARGET_H
+#define QUEUE_LATENCY_TARGET_H
 
-#include "queue/guess.h"
+#include "queue/estimate.h"
 
 /* When a job, or a turn of it, is worth most: inside span_ms from from_ms (its
  * acceptance or due time, in log time). Until three times that it is worth
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -3,7 +3,7 @@
 
 #include "config/config.h"
 #include "policy/policy.h"
-#include "queue/aim.h"
+#include "queue/latency_target.h"
 
 /* Why a task waits, for those who ask. */
 #define WAIT_LIST(X)                                              \
--- a/packages/queue/src/guess.c
+++ b/packages/queue/src/estimate.c
@@ -1,4 +1,4 @@
-#include "queue/guess.h"
+#include "queue/estimate.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/queue/src/aim.c
+++ b/packages/queue/src/latency_target.c
@@ -1,4 +1,4 @@
-#include "queue/aim.h"
+#include "queue/latency_target.h"
 
 #include <math.h>
 #include <string.h>
--- a/packages/queue/test/aims.c
+++ b/packages/queue/test/latency_targets.c
@@ -1,5 +1,5 @@
 /* In which order work is placed: targets, turns, what estimates have taught. */
-#include "../../table/test/board.h"
+#include "../../state/test/board.h"
 #include "queue/line.h"
 
 #define CPU 1000
--- a/packages/view/include/view/view.h
+++ b/packages/replication/include/replication/replication.h
@@ -1,11 +1,11 @@
 #ifndef REPLICATION_REPLICATION_H
 #define REPLICATION_REPLICATION_H
 
-#include "base/ring.h"
+#include "base/recorder.h"
 #include "journal/journal.h"
 #include "lock/lock.h"
 #include "member/members.h"
-#include "view/messages.h"
+#include "replication/messages.h"
 
 /* Ordered delivery. All members of a view deliver the same changes in one
  * order, numbered by (term, index). The lock's holder orders. A change is
--- a/packages/view/include/view/window.h
+++ b/packages/replication/include/replication/window.h
@@ -1,8 +1,8 @@
 #ifndef REPLICATION_WINDOW_H
 #define REPLICATION_WINDOW_H
 
-#include "view/log.h"
-#include "view/view.h"
+#include "replication/log.h"
+#include "replication/replication.h"
 
 #define REPLICATION_VOTERS_MAX VOTER_MOST
 
--- a/packages/view/src/inside.h
+++ b/packages/replication/src/inside.h
@@ -1,8 +1,8 @@
 #ifndef REPLICATION_SRC_INSIDE_H
 #define REPLICATION_SRC_INSIDE_H
 
-#include "view/log.h"
-#include "view/view.h"
+#include "replication/log.h"
+#include "replication/replication.h"
 
 /* What the leader knows of one voter or learner, under its term.
  * Invariant: match_index is synced there; next_index > match_index. */
--- a/packages/view/src/log.c
+++ b/packages/replication/src/log.c
@@ -1,4 +1,4 @@
-#include "view/log.h"
+#include "replication/log.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/view/src/membership.c
+++ b/packages/replication/src/membership.c
@@ -1,5 +1,5 @@
 /* Which change of membership comes next. */
-#include "view/membership.h"
+#include "replication/membership.h"
 
 #include <string.h>
 
--- a/packages/view/src/messages.c
+++ b/packages/replication/src/messages.c
@@ -1,4 +1,4 @@
-#include "view/messages.h"
+#include "replication/messages.h"
 
 SHAPE_TABLE(DiskId, DISK_ID_FIELDS)
 SHAPE_TABLE(VoterController, VOTER_CONTROLLER_FIELDS)
--- a/packages/view/src/open.c
+++ b/packages/replication/src/open.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 static bool among(const VoterAnswer *answer, uint64_t disk)
--- a/packages/view/src/view.c
+++ b/packages/replication/src/replication.c
@@ -2,7 +2,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 Replication *replication_new(void *mem, const ReplicationSettings *settings)
--- a/packages/view/src/seat.c
+++ b/packages/replication/src/voter.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer)
--- a/packages/view/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "inside.h"
-#include "view/membership.h"
+#include "replication/membership.h"
 
 /* --- what is known ----------------------------------------------------------------- */
 
--- a/packages/view/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
+#include "base/term.h"
 #include "inside.h"
 
 /* Why a voter in the view is to leave it; null: it is not. */
--- a/packages/view/src/window.c
+++ b/packages/replication/src/window.c
@@ -1,5 +1,5 @@
 /* What a checker sees of a view. */
-#include "view/window.h"
+#include "replication/window.h"
 
 #include <talloc.h>
 
--- a/packages/view/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -9,7 +9,7 @@
 
 #include <cmocka.h>
 
-#include "view/membership.h"
+#include "replication/membership.h"
 
 #define LEARNERS 2
 #define STEPS_MOST 24 /* count; more changes than this in a row never come to rest */
--- a/packages/feed/include/feed/feed.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -1,10 +1,10 @@
-#ifndef FEED_FEED_H
-#define FEED_FEED_H
+#ifndef ROUTING_CONFIG_WATCH_H
+#define ROUTING_CONFIG_WATCH_H
 
-#include "feed/messages.h"
-#include "feed/pieces.h"
-#include "feed/ways.h"
-#include "table/revisions.h"
+#include "routing/messages.h"
+#include "routing/pieces.h"
+#include "routing/ways.h"
+#include "state/versions.h"
 #include "trace/trace.h"
 
 /* What a process without a voter knows of the configuration, told by the leader
--- a/packages/feed/include/feed/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -1,8 +1,8 @@
-#ifndef FEED_FORWARD_H
-#define FEED_FORWARD_H
+#ifndef ROUTING_FORWARD_H
+#define ROUTING_FORWARD_H
 
-#include "feed/keeper.h"
-#include "feed/ways.h"
+#include "routing/repair_buffer.h"
+#include "routing/ways.h"
 #include "trace/trace.h"
 
 /* Carries a caller's request to the leader and its result back.
--- a/packages/feed/include/feed/limits.h
+++ b/packages/routing/include/routing/limits.h
@@ -1,8 +1,8 @@
-#ifndef FEED_LIMITS_H
-#define FEED_LIMITS_H
+#ifndef ROUTING_LIMITS_H
+#define ROUTING_LIMITS_H
 
 #include "loop/loop.h"
-#include "table/change.h"
+#include "state/change.h"
 
 /* From the next request on this process keeps its callers within what the
  * operators' document says. Bodies are bounded where it is known whose they are:
--- a/packages/feed/include/feed/messages.h
+++ b/packages/routing/include/routing/messages.h
@@ -1,7 +1,7 @@
-#ifndef FEED_MESSAGES_H
-#define FEED_MESSAGES_H
+#ifndef ROUTING_MESSAGES_H
+#define ROUTING_MESSAGES_H
 
-#include "table/change.h"
+#include "state/change.h"
 
 /* A committed change as kept by those who were told of it first. */
 #define REPAIR_ITEM_FIELDS(X) \
--- a/packages/feed/include/feed/pieces.h
+++ b/packages/routing/include/routing/pieces.h
@@ -1,8 +1,8 @@
-#ifndef FEED_PIECES_H
-#define FEED_PIECES_H
+#ifndef ROUTING_PIECES_H
+#define ROUTING_PIECES_H
 
-#include "feed/messages.h"
-#include "table/revisions.h"
+#include "routing/messages.h"
+#include "state/versions.h"
 
 /* A large document, handed over in pieces with rests between them, so that a narrow
  * link carries other frames meanwhile. A piece is of one version; what has changed
--- a/packages/feed/include/feed/keeper.h
+++ b/packages/routing/include/routing/repair_buffer.h
@@ -1,7 +1,7 @@
-#ifndef FEED_REPAIR_BUFFER_H
-#define FEED_REPAIR_BUFFER_H
+#ifndef ROUTING_REPAIR_BUFFER_H
+#define ROUTING_REPAIR_BUFFER_H
 
-#include "feed/messages.h"
+#include "routing/messages.h"
 #include "loop/loop.h"
 
 /* Keeps committed changes for a while, so that they can be told again when the
--- a/packages/feed/include/feed/routes.h
+++ b/packages/routing/include/routing/routes.h
@@ -1,5 +1,5 @@
-#ifndef FEED_ROUTES_H
-#define FEED_ROUTES_H
+#ifndef ROUTING_ROUTES_H
+#define ROUTING_ROUTES_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/packages/feed/include/feed/ways.h
+++ b/packages/routing/include/routing/ways.h
@@ -1,7 +1,7 @@
-#ifndef FEED_WAYS_H
-#define FEED_WAYS_H
+#ifndef ROUTING_WAYS_H
+#define ROUTING_WAYS_H
 
-#include "feed/messages.h"
+#include "routing/messages.h"
 #include "member/members.h"
 
 /* How the leader is reached from here: directly, or through another controller that still
--- a/packages/feed/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "table/change.h"
+#include "state/change.h"
 
 #define TRACE_DETAIL_BYTES 48 /* bytes; a method, a code and a time */
 #define ATTEMPT_QUIET_MS 400  /* ms; nothing has come back for so long: does the way live? A commit takes far less */
--- a/packages/feed/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -1,7 +1,7 @@
-#ifndef FEED_ATTEMPT_H
-#define FEED_ATTEMPT_H
+#ifndef ROUTING_SRC_ATTEMPT_H
+#define ROUTING_SRC_ATTEMPT_H
 
-#include "feed/forward.h"
+#include "routing/forward.h"
 
 /* What a leader's answer says of the request, as its caller would be told. */
 #define GOOD_HTTP 200
--- a/packages/feed/src/feed.c
+++ b/packages/routing/src/config_watch.c
@@ -1,12 +1,12 @@
-#include "feed/feed.h"
+#include "routing/config_watch.h"
 
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "base/epoch.h"
-#include "feed/limits.h"
-#include "table/deliverconfig.h"
+#include "base/term.h"
+#include "routing/limits.h"
+#include "state/deliver_config.h"
 
 #define CONFIG_WATCH_KEEP 8            /* count; versions kept for repair: any later one holds all of them */
 #define CONFIG_WATCH_CALM_MS 5000      /* ms; nothing has changed for so long: the document itself is asked for */
--- a/packages/feed/src/forward.c
+++ b/packages/routing/src/forward.c
@@ -1,4 +1,4 @@
-#include "feed/forward.h"
+#include "routing/forward.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/feed/src/forwarding.h
+++ b/packages/routing/src/forwarding.h
@@ -1,8 +1,8 @@
-#ifndef FEED_FORWARDING_H
-#define FEED_FORWARDING_H
+#ifndef ROUTING_SRC_FORWARDING_H
+#define ROUTING_SRC_FORWARDING_H
 
 #include "attempt.h"
-#include "feed/routes.h"
+#include "routing/routes.h"
 
 /* One request on its way, over all attempts. Invariant: maybe_taken says that an attempt
  * which may have changed something has had no clear answer. */
--- a/packages/feed/src/limits.c
+++ b/packages/routing/src/limits.c
@@ -1,4 +1,4 @@
-#include "feed/limits.h"
+#include "routing/limits.h"
 
 void limits_serve(Loop *loop, const ConfigLimits *limits)
 {
--- a/packages/feed/src/messages.c
+++ b/packages/routing/src/messages.c
@@ -1,4 +1,4 @@
-#include "feed/messages.h"
+#include "routing/messages.h"
 
 SHAPE_TABLE(RepairItem, REPAIR_ITEM_FIELDS)
 SHAPE_TABLE(RepairList, REPAIR_LIST_FIELDS)
--- a/packages/feed/src/order.h
+++ b/packages/routing/src/order.h
@@ -1,5 +1,5 @@
-#ifndef FEED_ORDER_H
-#define FEED_ORDER_H
+#ifndef ROUTING_SRC_ORDER_H
+#define ROUTING_SRC_ORDER_H
 
 #include "forwarding.h"
 
--- a/packages/feed/src/pieces.c
+++ b/packages/routing/src/pieces.c
@@ -1,4 +1,4 @@
-#include "feed/pieces.h"
+#include "routing/pieces.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/feed/src/keeper.c
+++ b/packages/routing/src/repair_buffer.c
@@ -1,4 +1,4 @@
-#include "feed/keeper.h"
+#include "routing/repair_buffer.h"
 
 #include <glib.h>
 #include <talloc.h>
--- a/packages/feed/src/routes.c
+++ b/packages/routing/src/routes.c
@@ -1,4 +1,4 @@
-#include "feed/routes.h"
+#include "routing/routes.h"
 
 #include <string.h>
 
--- a/packages/feed/src/ways.c
+++ b/packages/routing/src/ways.c
@@ -1,4 +1,4 @@
-#include "feed/ways.h"
+#include "routing/ways.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/packages/feed/test/pieces.c
+++ b/packages/routing/test/pieces.c
@@ -9,8 +9,8 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "feed/pieces.h"
-#include "table/deliverconfig.h"
+#include "routing/pieces.h"
+#include "state/deliver_config.h"
 
 #define MOST 16 /* bytes of a piece */
 #define KEPT 4  /* count; of the history */
--- a/packages/props/include/props/props.h
+++ b/packages/settings/include/settings/settings.h
@@ -1,9 +1,9 @@
 #ifndef SETTINGS_SETTINGS_H
 #define SETTINGS_SETTINGS_H
 
-#include "base/ring.h"
+#include "base/recorder.h"
 #include "member/members.h"
-#include "props/bounds.h"
+#include "settings/bounds.h"
 
 /* What a process is told of its place. Nothing else tells it of others. */
 typedef struct Settings {
--- a/packages/props/src/bounds.c
+++ b/packages/settings/src/bounds.c
@@ -1,4 +1,4 @@
-#include "props/bounds.h"
+#include "settings/bounds.h"
 
 #include <string.h>
 
--- a/packages/props/src/props.c
+++ b/packages/settings/src/settings.c
@@ -1,4 +1,4 @@
-#include "props/props.h"
+#include "settings/settings.h"
 
 #include <glib.h>
 #include <string.h>
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -2,7 +2,7 @@
 #define SIM_CHECKER_H
 
 #include "loop/loop.h"
-#include "table/table.h"
+#include "state/table.h"
 
 /* The brief's nevers as invariants. A checker is told what really happens (what
  * workers run, what callers were told, who plans) and says which never broke. */
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -2,8 +2,8 @@
 #define SIM_FLEET_H
 
 #include "agent/agent.h"
-#include "core/core.h"
-#include "gate/gate.h"
+#include "controller/controller.h"
+#include "entry_point/entry_point.h"
 #include "sim/checker.h"
 #include "sim/world.h"
 #include "standin/caller.h"
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "sweepact.h"
+#include "sweep_act.h"
 
 #define DENSE_MS 40000     /* ms; how long failures go on, one after another */
 #define BURSTS 6           /* count; of several failures each, and quiet after */
--- a/packages/sim/src/sweepact.h
+++ b/packages/sim/src/sweep_act.h
@@ -1,5 +1,5 @@
-#ifndef SIM_SRC_SWEEPACT_H
-#define SIM_SRC_SWEEPACT_H
+#ifndef SIM_SRC_SWEEP_ACT_H
+#define SIM_SRC_SWEEP_ACT_H
 
 #include "sim/probe.h"
 #include "sim/sweep.h"
--- a/packages/sim/src/sweepnodes.c
+++ b/packages/sim/src/sweep_nodes.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "sweepact.h"
+#include "sweep_act.h"
 
 static const char *const ZONES[] = {"north", "south", "west"};
 
--- a/packages/sim/src/sweepwork.c
+++ b/packages/sim/src/sweep_work.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "sweepact.h"
+#include "sweep_act.h"
 
 /* One operator's change: one PATCH that lets a tenant in or out, or sets a quota. */
 typedef struct Operator {
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "coreset.h"
+#include "controller_set.h"
 
 static FillAsk piece_of(Bytes whole, size_t from, size_t count)
 {
--- a/packages/sim/test/coreset.h
+++ b/packages/sim/test/controller_set.h
@@ -1,5 +1,5 @@
-#ifndef SIM_TEST_CORESET_H
-#define SIM_TEST_CORESET_H
+#ifndef SIM_TEST_CONTROLLER_SET_H
+#define SIM_TEST_CONTROLLER_SET_H
 
 /* Three controllers whose disks keep what they have synced, looked at from inside. */
 #include "inside.h"
--- a/packages/sim/test/diskstate.c
+++ b/packages/sim/test/disk_state.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "coreset.h"
+#include "controller_set.h"
 
 /* --- what was held comes back ------------------------------------------------------ */
 
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -9,8 +9,8 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "hand.h"
-#include "table/table.h"
+#include "hand_worker.h"
+#include "state/table.h"
 
 #define ZONE "west"
 #define DRAIN "/v1/zones/" ZONE "/drain"
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -10,9 +10,9 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "api/jobjson.h"
-#include "beat/messages.h"
-#include "feed/messages.h"
+#include "api/job_json.h"
+#include "heartbeat/messages.h"
+#include "routing/messages.h"
 #include "policy/lua.h"
 #include "sim/fleet.h"
 
--- a/packages/sim/test/hand.h
+++ b/packages/sim/test/hand_worker.h
@@ -1,5 +1,5 @@
-#ifndef SIM_TEST_HAND_H
-#define SIM_TEST_HAND_H
+#ifndef SIM_TEST_HAND_WORKER_H
+#define SIM_TEST_HAND_WORKER_H
 
 /* A request handed to an entry point from within: the test sees when it is answered, and may let
  * its caller leave. */
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -9,9 +9,9 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "feed/routes.h"
-#include "hand.h"
-#include "table/table.h"
+#include "routing/routes.h"
+#include "hand_worker.h"
+#include "state/table.h"
 
 #define LINK_MS 10         /* ms; each frame's way */
 #define CUT_AT_MS 25       /* ms; the request has come to the leader, and its answer is not on the way yet */
--- a/packages/sim/test/courier.c
+++ b/packages/sim/test/rpc.c
@@ -9,7 +9,7 @@
 #include <talloc.h>
 
 #include "sim/world.h"
-#include "wire/courier.h"
+#include "wire/rpc.h"
 
 #define ECHO_FIELDS(X) X(U64, number, 0)
 SHAPE(Echo, ECHO_FIELDS)
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "feed/keeper.h"
+#include "routing/repair_buffer.h"
 #include "sim/fleet.h"
 
 static Fleet *begin(uint64_t seed)
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "api/jobjson.h"
+#include "api/job_json.h"
 #include "base/map.h"
 #include "sim/checker.h"
 #include "standin/caller.h"
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -2,7 +2,7 @@
 #define STANDIN_WORKER_H
 
 #include "loop/loop.h"
-#include "table/worker.h"
+#include "state/worker.h"
 
 /* A stand-in for a real worker, for proof only: it speaks to its agent as any
  * worker does and "runs" tasks by letting time pass. Payload: {"run_ms": n,
--- a/packages/table/include/table/change.h
+++ b/packages/state/include/state/change.h
@@ -1,7 +1,7 @@
-#ifndef TABLE_CHANGE_H
-#define TABLE_CHANGE_H
+#ifndef STATE_CHANGE_H
+#define STATE_CHANGE_H
 
-#include "table/worker.h"
+#include "state/worker.h"
 
 /* Every change of the state. Numbers are part of the journal's format. Each may
  * be told twice without harm: what it names has an identity of its own. */
--- a/packages/table/include/table/deliverconfig.h
+++ b/packages/state/include/state/deliver_config.h
@@ -1,7 +1,7 @@
-#ifndef TABLE_DELIVERCONFIG_H
-#define TABLE_DELIVERCONFIG_H
+#ifndef STATE_DELIVER_CONFIG_H
+#define STATE_DELIVER_CONFIG_H
 
-#include "table/table.h"
+#include "state/table.h"
 
 /* Two calls that build on one version: the one delivered first wins. The result's
  * number is the version that the call brought, or else the current one. */
--- a/packages/table/include/table/job.h
+++ b/packages/state/include/state/job.h
@@ -1,5 +1,5 @@
-#ifndef TABLE_JOB_H
-#define TABLE_JOB_H
+#ifndef STATE_JOB_H
+#define STATE_JOB_H
 
 #include "base/constants.h"
 #include "wire/shape.h"
--- a/packages/table/include/table/table.h
+++ b/packages/state/include/state/table.h
@@ -1,8 +1,8 @@
-#ifndef TABLE_TABLE_H
-#define TABLE_TABLE_H
+#ifndef STATE_TABLE_H
+#define STATE_TABLE_H
 
-#include "table/revisions.h"
-#include "view/view.h"
+#include "state/versions.h"
+#include "replication/replication.h"
 
 /* The state that the ordered log builds up: jobs, workers, configuration,
  * drains. Only delivery changes it, and delivery never waits, so whoever reads
--- a/packages/table/include/table/revisions.h
+++ b/packages/state/include/state/versions.h
@@ -1,9 +1,9 @@
-#ifndef TABLE_VERSIONS_H
-#define TABLE_VERSIONS_H
+#ifndef STATE_VERSIONS_H
+#define STATE_VERSIONS_H
 
 #include <json-c/json.h>
 
-#include "table/change.h"
+#include "state/change.h"
 
 /* One version of the operators' document. */
 #define VERSION_FIELDS(X)                                                                      \
--- a/packages/table/include/table/worker.h
+++ b/packages/state/include/state/worker.h
@@ -1,7 +1,7 @@
-#ifndef TABLE_WORKER_H
-#define TABLE_WORKER_H
+#ifndef STATE_WORKER_H
+#define STATE_WORKER_H
 
-#include "table/job.h"
+#include "state/job.h"
 
 /* What is known of a worker for good: what it is, not how it does. Invariant:
  * excluded is set by a clean departure and cleared by the worker's return. */
--- a/packages/table/src/change.c
+++ b/packages/state/src/change.c
@@ -1,4 +1,4 @@
-#include "table/change.h"
+#include "state/change.h"
 
 SHAPE_TABLE(JobAdd, JOB_ADD_FIELDS)
 SHAPE_TABLE(JobCancel, JOB_CANCEL_FIELDS)
--- a/packages/table/src/deliverconfig.c
+++ b/packages/state/src/deliver_config.c
@@ -1,4 +1,4 @@
-#include "table/deliverconfig.h"
+#include "state/deliver_config.h"
 
 void deliver_config(Versions *versions, const ConfigSet *set, ChangeResult *result)
 {
--- a/packages/table/src/inside.h
+++ b/packages/state/src/inside.h
@@ -1,8 +1,8 @@
-#ifndef TABLE_SRC_INSIDE_H
-#define TABLE_SRC_INSIDE_H
+#ifndef STATE_SRC_INSIDE_H
+#define STATE_SRC_INSIDE_H
 
 #include "base/map.h"
-#include "table/table.h"
+#include "state/table.h"
 
 /* What the table knows of a worker's orders. Invariants: name is the table's own, and
  * tasks point at it; on holds exactly the tasks whose worker it is, and each of them
--- a/packages/table/src/job.c
+++ b/packages/state/src/job.c
@@ -1,4 +1,4 @@
-#include "table/job.h"
+#include "state/job.h"
 
 #include <string.h>
 
--- a/packages/table/src/sums.c
+++ b/packages/state/src/sums.c
@@ -2,7 +2,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "table/job.h"
+#include "state/job.h"
 
 static uint32_t *left_of(const Job *job, const JobTask *task)
 {
--- a/packages/table/src/table.c
+++ b/packages/state/src/table.c
@@ -3,7 +3,7 @@
 
 #include "base/constants.h"
 #include "inside.h"
-#include "table/deliverconfig.h"
+#include "state/deliver_config.h"
 
 void table_clear(Table *table)
 {
--- a/packages/table/src/revisions.c
+++ b/packages/state/src/versions.c
@@ -1,4 +1,4 @@
-#include "table/revisions.h"
+#include "state/versions.h"
 
 #include <string.h>
 #include <talloc.h>
--- a/packages/table/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,4 +1,4 @@
-#include "table/worker.h"
+#include "state/worker.h"
 
 #include <string.h>
 
--- a/packages/table/test/board.h
+++ b/packages/state/test/board.h
@@ -1,5 +1,5 @@
-#ifndef TABLE_TEST_BOARD_H
-#define TABLE_TEST_BOARD_H
+#ifndef STATE_TEST_BOARD_H
+#define STATE_TEST_BOARD_H
 
 /* A table driven by hand: each call delivers one change and looks at the result. */
 #include <setjmp.h>
@@ -12,7 +12,7 @@
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "table/table.h"
+#include "state/table.h"
 
 typedef struct Board {
     Table *table;
--- a/packages/table/test/revisions.c
+++ b/packages/state/test/versions.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "table/deliverconfig.h"
+#include "state/deliver_config.h"
 #include "base/constants.h"
 #include "document/document.h"
 
--- a/packages/wire/include/wire/courier.h
+++ b/packages/wire/include/wire/rpc.h
@@ -1,7 +1,7 @@
 #ifndef WIRE_RPC_H
 #define WIRE_RPC_H
 
-#include "base/ring.h"
+#include "base/recorder.h"
 #include "loop/loop.h"
 #include "wire/kinds.h"
 #include "wire/shape.h"
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -4,7 +4,7 @@
 /* Shared by the two halves of the RPC endpoint: the one that serves and the one that asks. */
 #include "base/map.h"
 #include "envelope.h"
-#include "wire/courier.h"
+#include "wire/rpc.h"
 
 typedef struct Handler {
     const Shape *ask, *answer;
--- a/scripts/rollout.py
+++ b/scripts/rollout.py
@@ -25,13 +25,13 @@
 # What the next release adds: fields at the end, of a heartbeat, of an answer with
 # orders, of a carried request, of a record of the log; and a message kind.
 NEXT_FIELDS = [
-    ("packages/beat/include/beat/messages.h", "HEARTBEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
-    ("packages/beat/include/beat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
-    ("packages/feed/include/feed/messages.h", "FORWARD_ASK_FIELDS", "X(U64, added_later, 0)"),
-    ("packages/view/include/view/messages.h", "TERM_RECORD_FIELDS", "X(U64, added_later, 0)"),
-    ("packages/table/include/table/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/heartbeat/include/heartbeat/messages.h", "HEARTBEAT_ASK_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/heartbeat/include/heartbeat/messages.h", "FETCH_ANSWER_FIELDS", "X(TXT, noteLater, 0)"),
+    ("packages/routing/include/routing/messages.h", "FORWARD_ASK_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/replication/include/replication/messages.h", "TERM_RECORD_FIELDS", "X(U64, added_later, 0)"),
+    ("packages/state/include/state/change.h", "PLACEMENT_FIELDS", "X(U64, added_later, 0)"),
 ]
-NEXT_KIND = ("packages/agent/src/beat.c", r"\n    const Status status = rpc_ask_peer\(",
+NEXT_KIND = ("packages/agent/src/heartbeat.c", r"\n    const Status status = rpc_ask_peer\(",
              "\n    /* a message that the release before does not know */\n"
              "    rpc_ask(agent->rpc, heartbeat, heartbeat->address, (MessageKind)250, &HeartbeatAsk_shape, &ask, 50, &HeartbeatAnswer_shape, &answer);\n"
              "    const Status status = rpc_ask_peer(")
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -6,8 +6,8 @@
 #include <talloc.h>
 
 #include "agent/agent.h"
-#include "core/core.h"
-#include "gate/gate.h"
+#include "controller/controller.h"
+#include "entry_point/entry_point.h"
 #include "loop/real.h"
 #include "options.h"
 
--- a/src/node.c
+++ b/src/node.c
@@ -5,7 +5,7 @@
 #include <sys/stat.h>
 #include <talloc.h>
 
-#include "face/face.h"
+#include "adapter/adapter.h"
 #include "loop/real.h"
 #include "options.h"
 
--- a/src/options.h
+++ b/src/options.h
@@ -1,5 +1,5 @@
-#ifndef SPANCART_OPTIONS_H
-#define SPANCART_OPTIONS_H
+#ifndef SRC_OPTIONS_H
+#define SRC_OPTIONS_H
 
 #include "base/failure.h"
 
