--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -5,7 +5,7 @@
  * on CLOCK_BOOTTIME (or the simulator's clock), never on wall time. */
 
 /* --- heartbeats and holds: the sum of the steps after a leader's death is
- * LOCK_HOLD + one proposal + one view change + AGENT_HOLD < 12 s ----------- */
+ * LOCK_LEASE + one proposal + one view change + AGENT_LEASE < 12 s ----------- */
 #define HEARTBEAT_MS 500    /* ms; six heartbeats fit in an agent's lease, so five may be lost */
 #define AGENT_LEASE_MS 3000 /* ms; a lost worker's claim lapses after this: "a few seconds at most" */
 #define LOCK_GRANT_MS 1500  /* ms; a voter grants the lock for so long */
@@ -32,8 +32,7 @@
 #define WORKER_BUSY_MS 50    /* ms; what has ended there waits no longer for an answer that is held back ... */
 #define WORKER_AGAIN_MS \
     50 /* ms; ... and then an order waits so long for the next question: as long as the other costs least */
-#define WORKER_LOST_MS                                                                                               \
-    3000                    /* ms; ... and has lost its attempts after this at the latest, once its lease has lapsed \
+#define WORKER_LOST_MS 3000 /* ms; ... and has lost its attempts after this at the latest, once its lease has lapsed \
                              */
 #define TELLING_MOST 500    /* count; news in one telling: a worker's longest list of ends */
 #define NEWS_MOST 1000      /* count; news of attempts in one change */
@@ -188,10 +187,9 @@
 #define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
 #define ESTIMATE_FRESH_KEPT 9  /* count; as ESTIMATE_KEPT; fewer, since a worker turns slow within seconds ... */
 #define ESTIMATE_FRESH_LEAST 3 /* count; ... and fewer than these say nothing */
-#define ESTIMATE_FRESH_MS                                                                                      \
-    4000                 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
-                          */
-#define ESTIMATE_POOL 64 /* count; ratios of all workers: enough that one of them does not decide */
+#define ESTIMATE_FRESH_MS 4000 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
+                                */
+#define ESTIMATE_POOL 64       /* count; ratios of all workers: enough that one of them does not decide */
 #define ESTIMATE_RATIO_MOST 20000 /* thousandths; a worker that much slower stands still */
 #define ESTIMATE_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
 #define ESTIMATE_SPEED_MOST 1700  /* ... with estimates off by up to half, beyond this it is a slow spell */
@@ -211,9 +209,8 @@
 #define TARGET_LATE_TIMES 3  /* count; until so many times its target a job is still worth something */
 #define TARGET_DOUBT_PERCENT \
     25 /* percent of the work left; a target missed by less may still be met: estimates are off by up to half */
-#define TARGET_LOOK_MS                                                                            \
-    2000 /* ms; a target that is so much farther off weighs 2.7 times less: about one task's time \
-          */
+#define TARGET_LOOK_MS 2000 /* ms; a target that is so much farther off weighs 2.7 times less: about one task's time \
+                             */
 #define TARGET_PRIORITY_RANK 1.4 /* 1; a queue's step of priority weighs 4 times more */
 #define TARGET_BEGUN_RANK \
     1.0 /* 1; a job that is nearly done weighs so much more than one not begun: its room is well spent */
@@ -286,16 +283,15 @@
 #define TRACE_EVENTS 2048       /* count; steps of changes that a node remembers: minutes at today's loads */
 #define RECORDER_LINES 256      /* count; the log ring */
 #define RECORDER_LINE_BYTES 200 /* bytes */
-#define RECORDER_NOTES_AT_ONCE                                                                                       \
-    20                           /* count; notes that are written together, so that a change of leader is told whole \
-                                  */
-#define RECORDER_NOTE_GAP_MS 500 /* ms; after those, one note is written for each: a line costs processor time */
-#define RETRY_AFTER_S 1          /* s; told with a 503: another entry point, or the same in a moment, will do */
-#define RETRY_ELECTION_S 2       /* s; ... when no leader serves: one is found again in 2 to 3 s */
-#define RETRY_CROWD_S 5          /* s; ... when too much waits: some of it has run by then */
-#define DRAIN_MS 3000            /* ms; SIGTERM: not ready at once, gone after this at the latest */
-#define DRAIN_MARGIN_MS 100      /* ms; ... less this, to end in */
-#define DRAIN_LOOK_MS 10         /* ms; whether the last request has been answered */
+#define RECORDER_NOTES_AT_ONCE 20 /* count; notes that are written together, so that a change of leader is told whole \
+                                   */
+#define RECORDER_NOTE_GAP_MS 500  /* ms; after those, one note is written for each: a line costs processor time */
+#define RETRY_AFTER_S 1           /* s; told with a 503: another entry point, or the same in a moment, will do */
+#define RETRY_ELECTION_S 2        /* s; ... when no leader serves: one is found again in 2 to 3 s */
+#define RETRY_CROWD_S 5           /* s; ... when too much waits: some of it has run by then */
+#define DRAIN_MS 3000             /* ms; SIGTERM: not ready at once, gone after this at the latest */
+#define DRAIN_MARGIN_MS 100       /* ms; ... less this, to end in */
+#define DRAIN_LOOK_MS 10          /* ms; whether the last request has been answered */
 
 /* --- formats ------------------------------------------------------------------ */
 #define WIRE_VERSION 1    /* the version of frames; peers ignore trailing fields they do not know */
--- a/packages/replication/src/inside.h
+++ b/packages/replication/src/inside.h
@@ -55,12 +55,12 @@
 /* Invariants:
  *  - delivered_index <= commit_index <= last index; all up to delivered_index have
  *    been given to the state, in order, once since it was last loaded;
- *  - voters and last are those of the newest SEATS and VIEW entries in the log,
+ *  - voters and last are those of the newest VOTERS and REPLICATION entries in the log,
  *    committed or not;
  *  - a place in voters that nobody has is 0, and so are in_configuration, peers and
  *    hold.sent_ms of it;
  *  - phase is LEADING only after the first entry of term was committed;
- *  - of the SEATS entries in the log all but the newest are committed;
+ *  - of the VOTERS entries in the log all but the newest are committed;
  *  - tasks of a lead end when lead_turn is no longer theirs. */
 struct Replication {
     ReplicationSettings settings;
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -6,7 +6,7 @@
 
 /* A stand-in for a real worker, for proof only: it speaks to its agent as any
  * worker does and "runs" tasks by letting time pass. Payload: {"run_ms": n,
- * "failRounds": n, "save_ms": n} - the first n attempts fail; what is done is saved this
+ * "failAttempts": n, "save_ms": n} - the first n attempts fail; what is done is saved this
  * often, and the next round goes on from there. */
 typedef struct StandWorker StandWorker;
 
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -23,7 +23,7 @@
 } TraceStep;
 
 /* Each node's memory of the last changes that went through it, and the asking
- * of all others. Keys: job:ID, config:REVISION, zone:ZONE, view:TERM.
+ * of all others. Keys: job:ID, config:VERSION, zone:ZONE, view:TERM.
  * Invariant: the last TRACE_EVENTS are held, in order. */
 typedef struct Trace Trace;
 
