--- /dev/null
+++ b/packages/replication/src/clock.c
@@ -0,0 +1,56 @@
+/* Two clocks. The log's clock never goes back and passes only while the clock of a leader or a
+ * follower passes; the wall clock is the median of the voters' wall clocks. */
+#include "clock.h"
+#include "state.h"
+
+int64_t replication_clock_ms(const Replication *replication)
+{
+    return replication->clock_runs
+               ? replication->clock_base_ms + (loop_now_ms(replication->loop) - replication->clock_at_ms)
+               : replication->clock_base_ms;
+}
+
+void replication_clock_tell(Replication *replication, int64_t clock_ms)
+{
+    if (clock_ms > replication->clock_log_ms)
+        replication->clock_log_ms = clock_ms;
+    if (clock_ms > replication_clock_ms(replication) || !replication->clock_runs)
+        replication_clock_set(replication, clock_ms);
+}
+
+void replication_clock_set(Replication *replication, int64_t clock_ms)
+{
+    replication->clock_base_ms = clock_ms > replication->clock_log_ms ? clock_ms : replication->clock_log_ms;
+    replication->clock_at_ms = loop_now_ms(replication->loop);
+    replication->clock_runs = true;
+}
+
+int64_t replication_wall_ms(const Replication *replication)
+{
+    return replication->wall_known ? loop_now_ms(replication->loop) + replication->wall_offset_ms
+                                   : loop_wall_ms(replication->loop);
+}
+
+/* The median of the voters' wall clocks as an offset to the own clock; of two
+ * the lower, so that nothing due comes early. */
+void wall_take(Replication *replication)
+{
+    int64_t offsets[VOTER_MOST];
+    int count = 0;
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    offsets[count++] = loop_wall_ms(replication->loop) - now_ms;
+    for (int i = 0; i < VOTER_MOST; i++)
+        if (replication->voters[i] != 0 && replication->voters[i] != replication->disk &&
+            replication->peers[i].wall_at_ms != 0 && now_ms - replication->peers[i].wall_at_ms < LOCK_GRANT_MS)
+            offsets[count++] = replication->peers[i].wall_ms - replication->peers[i].wall_at_ms;
+    for (int i = 1; i < count; i++)
+        for (int k = i; k > 0 && offsets[k] < offsets[k - 1]; k--) {
+            const int64_t swap = offsets[k];
+            offsets[k] = offsets[k - 1];
+            offsets[k - 1] = swap;
+        }
+    if ((size_t)count == replication->voter_count || !replication->wall_known) {
+        replication->wall_offset_ms = offsets[(count - 1) / 2];
+        replication->wall_known = true;
+    }
+}
--- /dev/null
+++ b/packages/replication/src/clock.h
@@ -0,0 +1,16 @@
+#ifndef REPLICATION_SRC_CLOCK_H
+#define REPLICATION_SRC_CLOCK_H
+
+#include "replication/replication.h"
+
+/* The log's clock and the wall clock of the voters. Nothing here waits. */
+
+/* An entry or snapshot of the log was made at clock_ms of the log's clock. */
+void replication_clock_tell(Replication *replication, int64_t clock_ms);
+/* The leader's clock shows clock_ms now. The own one must not run ahead of it, or what is due
+ * would be due early under this node. */
+void replication_clock_set(Replication *replication, int64_t clock_ms);
+/* The leader weighs the wall clocks that the voters have told. */
+void wall_take(Replication *replication);
+
+#endif
--- /dev/null
+++ b/packages/replication/src/commit.h
@@ -0,0 +1,18 @@
+#ifndef REPLICATION_SRC_COMMIT_H
+#define REPLICATION_SRC_COMMIT_H
+
+#include "replication/replication.h"
+
+/* Commit index and delivery. Nothing here waits. */
+
+/* The leader commits what each voter in the view, and a majority of all voters, has synced. An
+ * entry of an earlier term is committed only together with the first of this term (Raft,
+ * figure 8). */
+void lead_commit(Replication *replication);
+/* Delivers what is committed and not delivered yet to the state machine, ends the submissions
+ * that wait for it, and makes a snapshot where one is due. */
+void replication_deliver(Replication *replication);
+/* Ends all waiting submissions with this status. */
+void replication_waiters_end(Replication *replication, Status status);
+
+#endif
--- a/packages/replication/src/contact.c
+++ b/packages/replication/src/contact.c
@@ -1,6 +1,11 @@
 /* A round of contact: that this node is still the only one that leads, shown by answers to
  * questions that were sent after the round began. No clock is asked. */
-#include "inside.h"
+#include "contact.h"
+#include "lead.h"
+#include "learners.h"
+#include "state.h"
+#include "voterlist.h"
+#include "voters.h"
 
 /* How many voters are known to grant the lock to this node since the round was asked for. */
 static size_t contact_count(const Replication *replication, uint64_t wanted)
--- /dev/null
+++ b/packages/replication/src/disk.h
@@ -0,0 +1,19 @@
+#ifndef REPLICATION_SRC_DISK_H
+#define REPLICATION_SRC_DISK_H
+
+#include "replication/replication.h"
+
+/* The own disk while the process runs. */
+
+/* Whether nothing may be promised or taken: writes fail, the journal is being written again
+ * after a failure, or the list of voters went back. */
+bool replication_disk_failed(const Replication *replication);
+/* Spawns the task that tries a failed disk again. */
+void disk_start(Replication *replication);
+/* Spawns the task that rewrites the journal after a snapshot was made. */
+void disk_compact(Replication *replication);
+/* The records that stand for all that this node knows, its cluster first; on mem, payloads
+ * owned by the log. */
+Record *replication_records(Replication *replication, void *mem, size_t *count);
+
+#endif
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -3,7 +3,9 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "disk.h"
+#include "state.h"
+#include "voterlist.h"
 
 #define FOUND_ASK_FIELDS(X) \
     X(U64, cluster, 0)      \
@@ -15,6 +17,23 @@
 SHAPE(FoundAnswer, FOUND_ANSWER_FIELDS)
 SHAPE_TABLE(FoundAnswer, FOUND_ANSWER_FIELDS)
 
+Status replication_found(Replication *replication, uint64_t cluster, const VoterList *voters)
+{
+    if (replication->cluster != 0)
+        return replication->cluster == cluster ? STATUS_OK : STATUS_STRANGER;
+    replication->cluster = cluster;
+    voters_founded(replication, voters);
+    replication_reread(replication);
+    rpc_set_cluster(replication->settings.rpc, cluster);
+    members_set_empty(replication->settings.members, false);
+    void *mem = talloc_new(replication);
+    size_t count;
+    const Record *records = replication_records(replication, mem, &count);
+    const Status status = journal_write(replication->journal, records, 1);
+    talloc_free(mem);
+    return status;
+}
+
 static Status found_now(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(replication);
--- /dev/null
+++ b/packages/replication/src/install.c
@@ -0,0 +1,145 @@
+/* Installing a snapshot at a voter or learner, whole or in pieces, in the place of its log. */
+#include <inttypes.h>
+#include <talloc.h>
+
+#include "clock.h"
+#include "disk.h"
+#include "snapshot.h"
+#include "state.h"
+#include "voter.h"
+#include "voterlist.h"
+
+static bool same_filling(const Filling *filling, const FillAsk *ask)
+{
+    return filling != NULL && filling->term == ask->snapshot.term && filling->index == ask->snapshot.index &&
+           filling->total == ask->total && filling->checksum == ask->checksum;
+}
+
+void fill_drop(Replication *replication)
+{
+    talloc_free(replication->filling);
+    replication->filling = NULL;
+}
+
+Status fill_take(Replication *replication, const FillAsk *ask, Record *whole)
+{
+    *whole = ask->snapshot;
+    if (ask->total == 0) {
+        fill_drop(replication);
+        return STATUS_OK;
+    }
+    if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
+        return STATUS_BAD_FRAME;
+    if (!same_filling(replication->filling, ask)) {
+        fill_drop(replication);
+        replication->filling = talloc_zero(replication, Filling);
+        *replication->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
+    }
+    Filling *filling = replication->filling;
+    if (ask->from != filling->bytes.count)
+        return STATUS_LOG_GAP; /* voter_describe tells how far it has come */
+    bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
+    if (filling->bytes.count < filling->total)
+        return STATUS_BUSY;
+    if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
+        fill_drop(replication);
+        return STATUS_BAD_FRAME;
+    }
+    whole->payload = filling->bytes;
+    return STATUS_OK;
+}
+
+uint64_t fill_count(const Replication *replication)
+{
+    return replication->filling != NULL ? replication->filling->bytes.count : 0;
+}
+
+/* Whether the log holds what the snapshot stands for. One that a majority counts on
+ * must not go back behind it. Also when it was found to be of another history: that
+ * may have been mended since, and the question come late or once more. */
+static bool snapshot_held(const Replication *replication, const Record *snapshot, bool over)
+{
+    uint64_t term;
+    if (replication->cluster == 0 || snapshot->index > log_last_index(replication->log) ||
+        snapshot->index > replication->queued_index)
+        return false;
+    if (snapshot->index < replication->log->base_index)
+        return !over || snapshot->term <= replication->log->base_term;
+    return (log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term);
+}
+
+Status voter_fill(Replication *replication, const FillAsk *ask)
+{
+    Record promise;
+    size_t count = 0;
+    if (replication->cluster == 0 && rpc_cluster(replication->settings.rpc) == 0)
+        return STATUS_STRANGER;
+    if (replication_disk_failed(replication))
+        return STATUS_DISK_FAILED;
+    Status status = holder_take(replication, ask->term, ask->holder, &promise, &count);
+    if (status != STATUS_OK)
+        return status;
+    if (ask->snapshot.kind != RECORD_SNAPSHOT)
+        return STATUS_BAD_FRAME;
+    if (snapshot_held(replication, &ask->snapshot, ask->over))
+        return journal_write(replication->journal, &promise, count); /* also what was queued before is synced then */
+    Record whole;
+    status = fill_take(replication, ask, &whole);
+    if (status != STATUS_OK) { /* nothing changes yet but the promise */
+        const Status written = journal_write(replication->journal, &promise, count);
+        return written == STATUS_OK ? status : written;
+    }
+    Filling *filling = replication->filling; /* another may begin while the disk is waited for */
+    replication->filling = NULL;
+    status = voter_replace(replication, &whole, NULL, 0);
+    talloc_free(filling);
+    return status == STATUS_OK && ask->term != replication->lock.promised ? STATUS_OLD_TERM : status;
+}
+
+/* Whether the log would lose what it has synced of the same history: that must never be. */
+static bool goes_back(const Replication *replication, const Record *snapshot, size_t entry_count)
+{
+    uint64_t term;
+    return replication->cluster != 0 && snapshot->index + entry_count < replication->queued_index &&
+           log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
+}
+
+Status voter_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
+{
+    const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
+    if (last_index < replication->commit_index && replication->settings.disks_keep)
+        return history_refuse(replication, last_index + 1);
+    if (goes_back(replication, snapshot, entry_count)) {
+        recorder_write(replication->settings.recorder, RECORDER_FATAL, loop_now_ms(replication->loop),
+                       "own log may not go back from %" PRIu64 " to %" PRIu64, replication->queued_index,
+                       snapshot->index + entry_count);
+        return STATUS_INTERNAL;
+    }
+    Status status = replication_load(replication, snapshot);
+    if (status != STATUS_OK)
+        return status;
+    log_trim(replication->log, 0);
+    replication->log->base_index = snapshot->index; /* nothing of ours is kept */
+    log_rebase(replication->log, snapshot);
+    replication->commit_index = replication->delivered_index = replication->verified_index = snapshot->index;
+    replication_clock_tell(replication, snapshot->at_ms);
+    for (size_t i = 0; i < entry_count; i++)
+        if (entries[i].kind == RECORD_ENTRY && entries[i].index == log_last_index(replication->log) + 1) {
+            log_add(replication->log, &entries[i]);
+            replication_clock_tell(replication, entries[i].at_ms);
+        }
+    replication->queued_index = log_last_index(replication->log);
+    replication_reread(replication);
+    if (replication->cluster == 0) {
+        replication->cluster = rpc_cluster(replication->settings.rpc);
+        voters_founded(replication, replication->list);
+        members_set_empty(replication->settings.members, false);
+    }
+    void *mem = talloc_new(replication);
+    size_t record_count;
+    const Record *records = replication_records(replication, mem, &record_count);
+    status = journal_rewrite(replication->journal, records, record_count);
+    talloc_free(mem);
+    signal_raise(replication->loop, &replication->news);
+    return status;
+}
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -1,8 +1,10 @@
 /* Learners: controllers without a vote that follow the log all the time, so that a vote can
  * be given to one of them by one committed change, without a transfer. */
-#include <string.h>
-
-#include "inside.h"
+#include "learners.h"
+#include "lease.h"
+#include "replicate.h"
+#include "state.h"
+#include "voterlist.h"
 
 int64_t replication_back_ms(const Replication *replication)
 {
--- /dev/null
+++ b/packages/replication/src/lease.c
@@ -0,0 +1,141 @@
+/* The leader's lease: what it allows the leader to say and to decide, and the task for each peer that
+ * renews it. */
+#include <talloc.h>
+
+#include "clock.h"
+#include "contact.h"
+#include "lead.h"
+#include "lease.h"
+#include "poll.h"
+#include "state.h"
+#include "voterlist.h"
+#include "voters.h"
+
+bool replication_orders(const Replication *replication)
+{
+    return replication->phase == REPLICATION_LEADING &&
+           loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);
+}
+
+bool wide_enough(const Replication *replication)
+{
+    size_t copies = 0;
+    for (int i = 0; i < VOTER_MOST; i++)
+        copies += replication->in_configuration[i];
+    return copies >= lock_majority(voters_wanted(replication));
+}
+
+bool replication_leading(const Replication *replication)
+{
+    return replication_orders(replication) && wide_enough(replication);
+}
+
+bool replication_holds(const Replication *replication)
+{
+    return (replication->phase == REPLICATION_LEADING ||
+            (replication->phase == REPLICATION_OPENING && replication->reopening)) &&
+           loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);
+}
+
+bool replication_knows_holder(const Replication *replication)
+{
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    /* a woken voter may have forgotten: it must not say that it knows none */
+    return lock_held(&replication->lock, now_ms) || now_ms < replication->lock.not_before_ms || replication->holding;
+}
+
+void lease_granted(Replication *replication, int slot, int64_t sent_ms, uint64_t contact)
+{
+    replication->peers[slot].renewed_ms = sent_ms;
+    if (slot < VOTER_MOST)
+        lock_lease_answered(&replication->lease, slot, sent_ms);
+    contact_granted(replication, slot, contact);
+}
+
+/* Asks the voter for nothing but an answer. */
+static bool heard(Replication *replication, const Lead *lead, const char *address)
+{
+    void *mem = talloc_new(replication);
+    const ProposeAsk ask = {0, replication->disk, lead->disk, log_last_term(replication->log),
+                            log_last_index(replication->log)};
+    VoterAnswer answer = {0};
+    const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_PROPOSE, &ProposeAsk_shape, &ask,
+                                  ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+    const bool reached = poll_reached(status);
+    if (reached && !lead_peer_over(lead))
+        lead_answered(replication, lead->slot, &answer);
+    talloc_free(mem);
+    return reached;
+}
+
+static Status renew_one(Replication *replication, const Lead *lead, const char *address, int64_t sent_ms)
+{
+    void *mem = talloc_new(replication);
+    const RenewAsk ask = {replication->term,
+                          replication->disk,
+                          replication->commit_index,
+                          replication_clock_ms(replication),
+                          members_self(replication->settings.members)->id,
+                          lead->disk,
+                          0};
+    const uint64_t contact = replication->contact_asked;
+    VoterAnswer answer = {0};
+    const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_RENEW, &RenewAsk_shape, &ask,
+                                  ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+    if (!lead_peer_over(lead)) {
+        if (poll_reached(status))
+            lead_answered(replication, lead->slot, &answer);
+        if (status == STATUS_OK)
+            lease_granted(replication, lead->slot, sent_ms, contact);
+    }
+    talloc_free(mem);
+    return status;
+}
+
+/* A voter that hears us while we do not hear it must not go on granting: one that
+ * left a renewal unanswered is first asked for an answer alone. */
+static void renew_main(void *arg)
+{
+    const Lead lead = *(Lead *)arg;
+    Replication *replication = lead.replication;
+    talloc_free(arg);
+    int64_t asked_ms = INT64_MIN;
+    bool doubt = false;
+    while (!lead_peer_over(&lead)) {
+        const int64_t sent_ms = loop_now_ms(replication->loop);
+        char address[ADDRESS_MAX];
+        /* appends renew as well; only the rest is told by renewals alone */
+        const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
+        if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
+            sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_TELL_MS &&
+            !contact_owed(replication, lead.slot)) {
+            contact_rest(replication, lead.slot, LOCK_RENEW_MS - (sent_ms - last_ms));
+            continue;
+        }
+        if (lead.disk == replication->disk) {
+            if (lock_renew(&replication->lock, replication->term, replication->disk, sent_ms) == STATUS_OK)
+                lock_lease_answered(&replication->lease, lead.slot, sent_ms);
+            wall_take(replication);
+        } else if (voter_address(replication, lead.slot, address)) {
+            Status status = STATUS_EXPIRED;
+            if (doubt) {
+                doubt = !heard(replication, &lead, address);
+            } else {
+                asked_ms = sent_ms;
+                status = renew_one(replication, &lead, address, sent_ms);
+                doubt = !poll_reached(status);
+            }
+            if (asked_ms != sent_ms && !doubt)
+                continue; /* it answers again: now the renewal */
+            if (status == STATUS_OK && !lead_peer_over(&lead) && contact_owed(replication, lead.slot))
+                continue; /* another round of contact was asked for meanwhile */
+        }
+        const int64_t took_ms = loop_now_ms(replication->loop) - sent_ms;
+        contact_rest(replication, lead.slot, took_ms < LOCK_RENEW_MS ? LOCK_RENEW_MS - took_ms : 1);
+    }
+}
+
+void lead_renew(Replication *replication, int slot)
+{
+    lead_spawn(replication, "renew", renew_main, slot);
+}
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -1,8 +1,11 @@
 /* Asking all voters at once. */
-#include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "poll.h"
+#include "serve.h"
+#include "state.h"
+#include "voter.h"
+#include "voterlist.h"
 
 typedef struct PollPart {
     Poll *poll;
--- /dev/null
+++ b/packages/replication/src/replicate.c
@@ -0,0 +1,154 @@
+/* Replication under a leader: one task syncs the leader's own journal, one for each peer sends it the
+ * entries that it lacks. */
+#include <talloc.h>
+
+#include "commit.h"
+#include "lead.h"
+#include "lease.h"
+#include "poll.h"
+#include "replicate.h"
+#include "sendsnapshot.h"
+#include "state.h"
+#include "voterlist.h"
+
+/* Syncs the own journal: a voter as the others, but asked directly. */
+static void local_main(void *arg)
+{
+    const Lead lead = *(Lead *)arg;
+    Replication *replication = lead.replication;
+    talloc_free(arg);
+    while (!lead_over(replication, lead.turn)) {
+        uint64_t last_index = log_last_index(replication->log);
+        if (replication->synced_index >= last_index) {
+            signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
+            continue;
+        }
+        void *mem = talloc_new(replication);
+        const uint64_t from = replication->synced_index > replication->log->base_index ? replication->synced_index
+                                                                                       : replication->log->base_index;
+        Record *records = talloc_array(mem, Record, (unsigned)(last_index - from));
+        size_t count = 0, bytes = 0;
+        for (uint64_t i = from + 1; i <= last_index && bytes < LOG_WRITE_BYTES; i++) {
+            records[count] = *log_at(replication->log, i);
+            bytes += records[count++].payload.count;
+        }
+        last_index = from + count;
+        replication->queued_index = last_index;
+        const int64_t start_ms = loop_now_ms(replication->loop);
+        const Status status = journal_write(replication->journal, records, count);
+        talloc_free(mem);
+        if (lead_over(replication, lead.turn))
+            return;
+        if (status != STATUS_OK) {
+            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
+                           "own disk failed: gives up the lock");
+            lead_down(replication, INT32_MAX);
+            return;
+        }
+        replication->slow_times =
+            loop_now_ms(replication->loop) - start_ms > VOTER_SLOW_MS ? replication->slow_times + 1 : 0;
+        replication->synced_index = last_index;
+        lead_commit(replication);
+    }
+}
+
+void lead_local(Replication *replication)
+{
+    lead_spawn(replication, "local", local_main, replication_own_voter(replication));
+}
+
+static void append_one(Replication *replication, const Lead *lead, const char *address)
+{
+    Peer *peer = &replication->peers[lead->slot];
+    void *mem = talloc_new(replication);
+    AppendAsk ask = {
+        .term = replication->term, .holder = replication->disk, .prev_index = peer->next_index - 1, .to = lead->disk};
+    log_term_at(replication->log, ask.prev_index, &ask.prev_term);
+    ask.commit_index = replication->commit_index;
+    ask.entries = talloc_array(mem, Record, LOG_BATCH_ENTRIES);
+    size_t bytes = 0;
+    for (uint64_t i = peer->next_index;
+         i <= log_last_index(replication->log) && ask.entries_count < LOG_BATCH_ENTRIES && bytes < LOG_BATCH_BYTES;
+         i++) {
+        bytes += log_at(replication->log, i)->payload.count;
+        shape_copy(&Record_shape, log_at(replication->log, i), mem, &ask.entries[ask.entries_count++]);
+    }
+    const uint64_t match = ask.prev_index + ask.entries_count, contact = replication->contact_asked;
+    VoterAnswer answer = {0};
+    const int64_t sent_ms = loop_now_ms(replication->loop);
+    if (peer->append_since_ms == INT64_MAX)
+        peer->append_since_ms = sent_ms;
+    const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_APPEND, &AppendAsk_shape, &ask,
+                                  APPEND_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+    if (!lead_peer_over(lead)) {
+        if (poll_reached(status))
+            lead_answered(replication, lead->slot, &answer);
+        if (status == STATUS_OK || status == STATUS_LOG_GAP) {
+            peer->append_since_ms = INT64_MAX;
+            peer->append_took_ms = loop_now_ms(replication->loop) - sent_ms;
+            peer->slow_times = peer->append_took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
+        }
+        if (status == STATUS_OK) {
+            peer->match_index = match;
+            peer->next_index = match + 1;
+            /* a voter that takes an append lets the lease go on as well */
+            lease_granted(replication, lead->slot, sent_ms, contact);
+            lead_commit(replication);
+        } else if (status == STATUS_LOG_GAP) {
+            peer->match_index = 0; /* a disk may have lost what it had synced */
+            /* back to what it has, or a good step; before the beginning only a snapshot helps */
+            uint64_t next = peer->next_index;
+            if (next <= replication->log->base_index + 1)
+                peer->refill = true;
+            else if (answer.log_index + 1 < next)
+                next = answer.log_index + 1;
+            else
+                next = next > replication->log->base_index + 1 + LOG_BACK_STEP ? next - LOG_BACK_STEP
+                                                                               : replication->log->base_index + 1;
+            peer->next_index = next;
+        } else {
+            loop_sleep(replication->loop, 100);
+        }
+    }
+    talloc_free(mem);
+}
+
+/* A learner whose last append took long is measured again, also when there is nothing new. */
+static bool slow_learner(const Lead *lead)
+{
+    return lead->slot >= VOTER_MOST && lead->replication->peers[lead->slot].append_took_ms >= VOTER_SLOW_MS;
+}
+
+/* One task for each other voter, in the view or not, and for each learner. */
+static void peer_main(void *arg)
+{
+    const Lead lead = *(Lead *)arg;
+    Replication *replication = lead.replication;
+    talloc_free(arg);
+    Peer *peer = &replication->peers[lead.slot];
+    bool told = false; /* it has taken an append under this term */
+    while (!lead_peer_over(&lead)) {
+        char address[ADDRESS_MAX];
+        if (!voter_address(replication, lead.slot, address)) {
+            loop_sleep(replication->loop, 100);
+            continue;
+        }
+        if (peer->refill || peer->next_index <= replication->log->base_index) {
+            fill_one(replication, &lead, address);
+        } else if (peer->next_index <= log_last_index(replication->log) || !told || slow_learner(&lead)) {
+            append_one(replication, &lead, address);
+            told |= peer->match_index + 1 == peer->next_index;
+            /* nobody waits for a learner: it takes several changes in one append */
+            if (lead.slot >= VOTER_MOST && peer->next_index > log_last_index(replication->log))
+                loop_sleep(replication->loop, LEARNER_APPEND_MS);
+        } else {
+            signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
+        }
+    }
+}
+
+void lead_peer(Replication *replication, int slot)
+{
+    if (slot_disk(replication, slot) != replication->disk)
+        lead_spawn(replication, "peer", peer_main, slot);
+}
--- /dev/null
+++ b/packages/replication/src/replicate.h
@@ -0,0 +1,14 @@
+#ifndef REPLICATION_SRC_REPLICATE_H
+#define REPLICATION_SRC_REPLICATE_H
+
+#include "replication/replication.h"
+
+/* Replication under a leader (Raft: AppendEntries). */
+
+/* Spawns the task that syncs the leader's own journal. */
+void lead_local(Replication *replication);
+/* Spawns the task that keeps the log of the peer at the slot up to date; none for the own
+ * voter. */
+void lead_peer(Replication *replication, int slot);
+
+#endif
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/sendsnapshot.c
@@ -1,60 +1,12 @@
-/* A whole snapshot for one whose log can't be mended by entries: sent at once while it is
- * small, else in pieces, each with a deadline of its own, so that a large state gets
- * through a narrow link, and renewals go between them. */
-#include <inttypes.h>
-#include <string.h>
+/* Sending a snapshot to a peer whose log can't be mended by entries: whole while it is small, else in
+ * pieces, each with a deadline of its own, so that a large state gets through a narrow link and renewals go between. */
 #include <talloc.h>
 
-#include "inside.h"
-
-/* --- the one that takes it --------------------------------------------------------- */
-
-static bool same_filling(const Filling *filling, const FillAsk *ask)
-{
-    return filling != NULL && filling->term == ask->snapshot.term && filling->index == ask->snapshot.index &&
-           filling->total == ask->total && filling->checksum == ask->checksum;
-}
-
-void fill_drop(Replication *replication)
-{
-    talloc_free(replication->filling);
-    replication->filling = NULL;
-}
-
-Status fill_take(Replication *replication, const FillAsk *ask, Record *whole)
-{
-    *whole = ask->snapshot;
-    if (ask->total == 0) {
-        fill_drop(replication);
-        return STATUS_OK;
-    }
-    if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
-        return STATUS_BAD_FRAME;
-    if (!same_filling(replication->filling, ask)) {
-        fill_drop(replication);
-        replication->filling = talloc_zero(replication, Filling);
-        *replication->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
-    }
-    Filling *filling = replication->filling;
-    if (ask->from != filling->bytes.count)
-        return STATUS_LOG_GAP; /* voter_describe tells how far it has come */
-    bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
-    if (filling->bytes.count < filling->total)
-        return STATUS_BUSY;
-    if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
-        fill_drop(replication);
-        return STATUS_BAD_FRAME;
-    }
-    whole->payload = filling->bytes;
-    return STATUS_OK;
-}
-
-uint64_t fill_count(const Replication *replication)
-{
-    return replication->filling != NULL ? replication->filling->bytes.count : 0;
-}
-
-/* --- the holder ---------------------------------------------------------------------- */
+#include "lead.h"
+#include "poll.h"
+#include "sendsnapshot.h"
+#include "snapshot.h"
+#include "state.h"
 
 /* One piece of the snapshot, or all of it. */
 static Status piece_send(Replication *replication, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
--- /dev/null
+++ b/packages/replication/src/sendsnapshot.h
@@ -0,0 +1,10 @@
+#ifndef REPLICATION_SRC_SENDSNAPSHOT_H
+#define REPLICATION_SRC_SENDSNAPSHOT_H
+
+#include "lead.h"
+
+/* Waits. Sends the peer the snapshot, once; a peer that does not take it is tried again by its
+ * task. A snapshot is made first where the peer needs a newer one. */
+void fill_one(Replication *replication, const Lead *lead, const char *address);
+
+#endif
--- /dev/null
+++ b/packages/replication/src/serve.c
@@ -0,0 +1,148 @@
+/* The messages that a voter or learner answers. Each names the disk that it is meant for. */
+#include <string.h>
+#include <talloc.h>
+
+#include "clock.h"
+#include "commit.h"
+#include "serve.h"
+#include "state.h"
+#include "voter.h"
+
+void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer)
+{
+    *answer = (VoterAnswer){
+        .promised = replication->lock.promised,
+        .holder = replication->lock.holder,
+        .held = replication_knows_holder(replication),
+        .log_term = log_last_term(replication->log),
+        .log_index = log_last_index(replication->log),
+        .woke = replication->woke,
+        .configuration_term = replication->last.term,
+        .configuration_members_count = replication->last.members_count,
+        .wall_ms = loop_wall_ms(replication->loop),
+        .sync_ms = journal_counts(replication->journal)->last_sync_ms,
+        .sight = members_sight(replication->settings.members),
+        .filled = fill_count(replication),
+    };
+    answer->configuration_members = talloc_array(mem, DiskId, (unsigned)replication->last.members_count);
+    if (replication->last.members_count > 0)
+        memcpy(answer->configuration_members, replication->last.members,
+               replication->last.members_count * sizeof(DiskId));
+}
+
+static void voter_log(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer)
+{
+    const Log *log = replication->log;
+    uint64_t term;
+    uint64_t from = ask->after_index;
+    if (!log_term_at(log, from, &term) || term != ask->after_term) {
+        answer->whole = log->snapshot.kind == RECORD_SNAPSHOT;
+        if (answer->whole)
+            shape_copy(&Record_shape, &log->snapshot, mem, &answer->snapshot);
+        from = log->base_index;
+    }
+    answer->entries = talloc_array(mem, Record, (unsigned)(log_last_index(log) - from));
+    for (uint64_t i = from + 1; i <= log_last_index(log); i++)
+        shape_copy(&Record_shape, log_at(log, i), mem, &answer->entries[answer->entries_count++]);
+}
+
+/* Whether a question for the disk is for ours. */
+static bool is_for(const Replication *replication, uint64_t to)
+{
+    return to == 0 || to == replication->disk;
+}
+
+static Status on_propose(void *arg, void *mem, const void *question, void *answer)
+{
+    Replication *replication = arg;
+    const ProposeAsk *ask = question;
+    if (!is_for(replication, ask->to))
+        return STATUS_OTHER_DISK;
+    const Status status = voter_propose(replication, ask);
+    voter_describe(replication, mem, answer);
+    return status;
+}
+
+static Status on_renew(void *arg, void *mem, const void *question, void *answer)
+{
+    Replication *replication = arg;
+    const RenewAsk *ask = question;
+    if (!is_for(replication, ask->to))
+        return STATUS_OTHER_DISK;
+    const Status status = lock_renew(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop));
+    if (status == STATUS_OK) {
+        replication_clock_set(replication, ask->clock_ms);
+        members_set_leader(replication->settings.members, ask->term, ask->holder_id);
+        const uint64_t commit =
+            ask->commit_index < replication->verified_index ? ask->commit_index : replication->verified_index;
+        if (commit > replication->commit_index)
+            replication->commit_index = commit;
+        replication_deliver(replication);
+    }
+    voter_describe(replication, mem, answer);
+    return status;
+}
+
+static Status on_release(void *arg, void *mem, const void *question, void *answer)
+{
+    Replication *replication = arg;
+    const RenewAsk *ask = question;
+    if (!is_for(replication, ask->to))
+        return STATUS_OTHER_DISK;
+    if (ask->term == replication->lock.promised && ask->holder == replication->lock.holder) {
+        lock_release(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop));
+        replication->named = ask->next == replication->disk;
+        /* the others give the one that was named a head start */
+        if (ask->next != 0 && !replication->named &&
+            replication->rest_until_ms < loop_now_ms(replication->loop) + HANDED_MS)
+            replication->rest_until_ms = loop_now_ms(replication->loop) + HANDED_MS;
+        signal_raise(replication->loop, &replication->released);
+    }
+    voter_describe(replication, mem, answer);
+    return STATUS_OK;
+}
+
+static Status on_append(void *arg, void *mem, const void *question, void *answer)
+{
+    Replication *replication = arg;
+    const AppendAsk *ask = question;
+    if (!is_for(replication, ask->to))
+        return STATUS_OTHER_DISK;
+    const Status status = voter_append(replication, ask);
+    voter_describe(replication, mem, answer);
+    return status;
+}
+
+static Status on_fill(void *arg, void *mem, const void *question, void *answer)
+{
+    Replication *replication = arg;
+    const FillAsk *ask = question;
+    if (!is_for(replication, ask->to))
+        return STATUS_OTHER_DISK;
+    const Status status = voter_fill(replication, ask);
+    voter_describe(replication, mem, answer);
+    return status;
+}
+
+static Status on_log(void *arg, void *mem, const void *ask, void *answer)
+{
+    Replication *replication = arg;
+    const LogAsk *question = ask;
+    if (!is_for(replication, question->to))
+        return STATUS_OTHER_DISK;
+    if (question->term != replication->lock.promised || question->holder != replication->lock.holder)
+        return STATUS_OLD_TERM;
+    voter_log(replication, mem, question, answer);
+    return STATUS_OK;
+}
+
+void voter_serve(Replication *replication)
+{
+    Rpc *rpc = replication->settings.rpc;
+    rpc_handle(rpc, MESSAGE_PROPOSE, &ProposeAsk_shape, &VoterAnswer_shape, on_propose, replication);
+    rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &VoterAnswer_shape, on_renew, replication);
+    rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &VoterAnswer_shape, on_release, replication);
+    rpc_handle(rpc, MESSAGE_APPEND, &AppendAsk_shape, &VoterAnswer_shape, on_append, replication);
+    rpc_handle(rpc, MESSAGE_FILL, &FillAsk_shape, &VoterAnswer_shape, on_fill, replication);
+    rpc_handle(rpc, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, replication);
+}
--- /dev/null
+++ b/packages/replication/src/stepdown.c
@@ -0,0 +1,83 @@
+/* Giving up the lead: the lease is released at the voters, and one of them is named to be the next
+ * leader. */
+#include <inttypes.h>
+#include <talloc.h>
+
+#include "base/term.h"
+#include "commit.h"
+#include "lead.h"
+#include "state.h"
+#include "voterlist.h"
+
+typedef struct Giving {
+    Replication *replication;
+    RenewAsk ask;
+    char address[ADDRESS_MAX];
+} Giving;
+
+static void release_main(void *arg)
+{
+    Giving *giving = arg;
+    VoterAnswer answer = {0};
+    rpc_ask(giving->replication->settings.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
+            ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+    talloc_free(giving);
+}
+
+void lead_release(Replication *replication, uint64_t next)
+{
+    for (int i = 0; i < VOTER_MOST; i++) {
+        Giving *giving = talloc_zero(replication, Giving);
+        if (replication->voters[i] == 0 || replication->voters[i] == replication->disk ||
+            !voter_address(replication, i, giving->address)) {
+            talloc_free(giving);
+            continue;
+        }
+        giving->replication = replication;
+        giving->ask = (RenewAsk){replication->term, replication->disk, 0, 0, "", replication->voters[i], next};
+        loop_spawn(replication->loop, "release", release_main, giving);
+    }
+}
+
+uint64_t lead_next(const Replication *replication, bool quick)
+{
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    const Peer *best = NULL;
+    uint64_t disk = 0;
+    for (int i = 0; i < VOTER_MOST; i++) {
+        const Peer *peer = &replication->peers[i];
+        if (replication->voters[i] == replication->disk || !replication->in_configuration[i] ||
+            now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
+            continue;
+        if (quick && (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
+                      (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
+            continue;
+        if (best == NULL || peer->match_index > best->match_index) {
+            best = peer;
+            disk = replication->voters[i];
+        }
+    }
+    return disk;
+}
+
+void lead_down(Replication *replication, int64_t rest_ms)
+{
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    if (rest_ms > 0)
+        replication->rest_until_ms = now_ms + rest_ms;
+    replication->lead_turn++;
+    if (replication->phase != REPLICATION_FOLLOWING || replication->holding) {
+        if (replication->holding) {
+            /* nothing is decided under this hold any more: the voters may forget it */
+            lock_release(&replication->lock, replication->term, replication->disk, now_ms);
+            lead_release(replication, lead_next(replication, false));
+            recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
+                           term_counter(replication->term));
+        }
+        replication->phase = REPLICATION_FOLLOWING;
+        replication->holding = false;
+        lock_lease_clear(&replication->lease);
+    }
+    replication_waiters_end(replication, STATUS_OUTCOME_UNKNOWN);
+    signal_raise(replication->loop, &replication->news);
+}
--- /dev/null
+++ b/packages/replication/src/submit.c
@@ -0,0 +1,90 @@
+/* Submitting changes to the leader, and waiting for their delivery. */
+#include <talloc.h>
+
+#include "lease.h"
+#include "state.h"
+#include "voterlist.h"
+
+/* Waits while a view is opened anew by the same holder. The view's own changes
+ * make it wide enough for those of others. */
+static Status may_order(Replication *replication, uint64_t change, int64_t until_ms)
+{
+    while (replication->phase == REPLICATION_OPENING && replication->holding)
+        if (!signal_wait(replication->loop, &replication->news, until_ms))
+            return STATUS_BUSY;
+    return replication_leading(replication) || (change < REPLICATION_CHANGE_FIRST && replication_orders(replication))
+               ? STATUS_OK
+               : STATUS_NOT_LEADER;
+}
+
+static Record order_add(Replication *replication, uint64_t change, Bytes payload)
+{
+    const Record entry = {.kind = RECORD_ENTRY,
+                          .term = replication->term,
+                          .index = log_last_index(replication->log) + 1,
+                          .at_ms = replication_clock_ms(replication),
+                          .change = change,
+                          .name = "",
+                          .payload = payload};
+    log_add(replication->log, &entry);
+    if (change < REPLICATION_CHANGE_FIRST)
+        replication_reread(replication);
+    signal_raise(replication->loop, &replication->grew);
+    return entry;
+}
+
+Status replication_offer(Replication *replication, uint64_t change, Bytes payload)
+{
+    const Status status = may_order(replication, change, loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS);
+    if (status == STATUS_OK)
+        order_add(replication, change, payload);
+    return status;
+}
+
+Status replication_settle(Replication *replication)
+{
+    const uint64_t last_index = log_last_index(replication->log);
+    const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
+    while (replication->delivered_index < last_index)
+        if (!replication->holding || !signal_wait(replication->loop, &replication->news, until_ms))
+            return STATUS_NOT_LEADER;
+    return STATUS_OK;
+}
+
+Status replication_submit(Replication *replication, uint64_t change, Bytes payload, ChangeResult *result)
+{
+    const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
+    Status status = may_order(replication, change, until_ms);
+    if (status != STATUS_OK)
+        return status;
+    const Record entry = order_add(replication, change, payload);
+    Waiter *waiter = talloc_zero(replication, Waiter);
+    waiter->term = entry.term;
+    waiter->index = entry.index;
+    waiter->next = replication->waiters;
+    replication->waiters = waiter;
+    while (!waiter->done)
+        if (!signal_wait(replication->loop, &waiter->ended, until_ms))
+            break;
+    status = waiter->status;
+    if (!waiter->done) {
+        for (Waiter **at = &replication->waiters; *at != NULL; at = &(*at)->next)
+            if (*at == waiter) {
+                *at = waiter->next;
+                break;
+            }
+        status = STATUS_OUTCOME_UNKNOWN;
+    }
+    /* the view may have got narrower while the change waited */
+    if (status == STATUS_OK && change >= REPLICATION_CHANGE_FIRST && !wide_enough(replication))
+        status = STATUS_OUTCOME_UNKNOWN;
+    *result = waiter->result;
+    talloc_free(waiter);
+    return status;
+}
+
+Status replication_repaired(Replication *replication)
+{
+    ChangeResult result;
+    return replication_submit(replication, REPLICATION_CHANGE_REPAIRED, (Bytes){0}, &result);
+}
--- a/packages/replication/src/seats.c
+++ b/packages/replication/src/voterlist.c
@@ -1,9 +1,12 @@
-/* The list of voters, as the newest entry of the log has it. */
+/* The list of voters, as the newest entry of the log that holds one has it, committed or not; and
+ * where each voter is reached. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "snapshot.h"
+#include "state.h"
+#include "voterlist.h"
 
 size_t replication_majority(const Replication *replication)
 {
@@ -73,6 +76,69 @@
     replication->lease.voters = replication->voter_count;
 }
 
+static void last_set(Replication *replication, const TermRecord *record)
+{
+    talloc_free(replication->last_mem);
+    replication->last_mem = talloc_new(replication);
+    shape_copy(&TermRecord_shape, record, replication->last_mem, &replication->last);
+}
+
+/* The list that a majority has committed may only be followed by later ones. */
+static void list_check(Replication *replication, uint64_t index)
+{
+    if (replication->list_index <= replication->commit_index && replication->list_index > replication->list_committed)
+        replication->list_committed = replication->list_index;
+    if (!replication->settings.disks_keep || index >= replication->list_committed || replication->list_old)
+        return;
+    replication->list_old = true;
+    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
+                   "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more",
+                   replication->list_committed, index);
+}
+
+void replication_reread(Replication *replication)
+{
+    void *mem = talloc_new(replication);
+    const VoterList *voters = NULL;
+    const TermRecord *last = NULL;
+    uint64_t voters_index = 0;
+    VoterList voter_list;
+    TermRecord replication_record;
+    bool repaired = false;
+    for (size_t i = replication->log->count; i > 0 && (voters == NULL || last == NULL); i--) {
+        const Record *entry = &replication->log->entries[i - 1];
+        if (entry->change == REPLICATION_CHANGE_VOTERS && voters == NULL &&
+            shape_unpack(&VoterList_shape, entry->payload, mem, &voter_list, NULL) == STATUS_OK) {
+            voters = &voter_list;
+            voters_index = entry->index;
+        }
+        if (entry->change == REPLICATION_CHANGE_REPAIRED && last == NULL)
+            repaired = true;
+        if (entry->change == REPLICATION_CHANGE_TERM && last == NULL &&
+            shape_unpack(&TermRecord_shape, entry->payload, mem, &replication_record, NULL) == STATUS_OK)
+            last = &replication_record;
+    }
+    Snapshot snapshot;
+    if ((voters == NULL || last == NULL) && replication->log->snapshot.kind == RECORD_SNAPSHOT &&
+        shape_unpack(&Snapshot_shape, replication->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
+        if (voters == NULL) {
+            voter_list =
+                (VoterList){snapshot.voters, snapshot.voters_count, snapshot.controllers, snapshot.controllers_count};
+            voters = &voter_list;
+            voters_index = replication->log->base_index;
+        }
+        if (last == NULL)
+            last = &snapshot.last;
+    }
+    list_check(replication, voters_index);
+    voters_take(replication, voters != NULL ? voters : replication->founded, voters_index);
+    if (last != NULL) {
+        last_set(replication, last);
+        replication->last.repair &= !repaired;
+    }
+    talloc_free(mem);
+}
+
 static const VoterController *controller_of(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < replication->list->controllers_count; i++)
--- a/packages/replication/src/window.c
+++ b/packages/replication/src/window.c
@@ -3,7 +3,7 @@
 
 #include <talloc.h>
 
-#include "inside.h"
+#include "state.h"
 
 void replication_window(const Replication *replication, ReplicationWindow *window)
 {
