--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -1,4 +1,6 @@
-/* Append at a voter or learner: the leader's entries into the own log, in memory and synced. */
+/* Append at a voter or learner (Raft: AppendEntries at a follower): the leader's entries go into the
+ * own log, in memory and on the disk. */
+#include <assert.h>
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -24,81 +26,78 @@
     return STATUS_OTHER_HISTORY;
 }
 
-/* Drops entries after index; a state that has seen some of them is loaded anew. */
+/* Drops entries after index; a state machine that has taken some of them is loaded anew. */
 static void trim(Replication *replication, uint64_t index)
 {
+    assert(index >= replication->log->base_index);
     log_trim(replication->log, index);
     if (replication->commit_index > index)
         replication->commit_index = index;
-    if (replication->delivered_index > index) {
-        recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                       "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
-                       index + 1, replication->delivered_index);
-        replication->delivered_index = replication->log->base_index;
-        if (replication->log->snapshot.kind == RECORD_SNAPSHOT)
-            replication_load(replication, &replication->log->snapshot);
-        else
-            replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
-        replication_deliver(replication);
-    }
+    if (replication->delivered_index <= index)
+        return;
+    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
+                   "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
+                   index + 1, replication->delivered_index);
+    replication->delivered_index = replication->log->base_index;
+    if (replication->log->snapshot.kind == RECORD_SNAPSHOT) /* was saved or loaded by this process: it loads again */
+        (void)replication_load(replication, &replication->log->snapshot);
+    else
+        replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
+    replication_deliver(replication);
 }
 
-/* Puts the holder's entries into the log in memory; trimmed_to is lowered when
- * entries of ours had to go. */
-static Status entries_take(Replication *replication, const AppendAsk *ask, uint64_t *trimmed_to)
+/* An append in the making. */
+typedef struct Taking {
+    uint64_t trimmed_to; /* own entries after it had to go; UINT64_MAX: none */
+    bool reread;         /* the list of voters or the view may be another one */
+} Taking;
+
+/* Puts one entry of the leader into the log in memory, unless it is there. */
+static Status entry_take(Replication *replication, const Record *entry, Taking *taking)
 {
     Log *log = replication->log;
     uint64_t term;
-    /* what lies under our snapshot is committed and so the same */
+    if (entry->index <= log->base_index) /* a snapshot of another history has a lower term */
+        return entry->term > log->base_term ? STATUS_LOG_GAP : STATUS_OK;
+    if (log_term_at(log, entry->index, &term) && term == entry->term)
+        return STATUS_OK;
+    if (entry->index <= replication->commit_index && replication->settings.disks_keep)
+        return history_refuse(replication, entry->index);
+    if (entry->index <= log_last_index(log)) {
+        trim(replication, entry->index - 1);
+        if (entry->index - 1 < taking->trimmed_to)
+            taking->trimmed_to = entry->index - 1;
+        taking->reread = true;
+    }
+    log_add(log, entry);
+    replication_clock_tell(replication, entry->at_ms);
+    taking->reread |= entry->change < REPLICATION_CHANGE_FIRST;
+    return STATUS_OK;
+}
+
+/* Puts the leader's entries into the log in memory. */
+static Status entries_take(Replication *replication, const AppendAsk *ask, Taking *taking)
+{
+    const Log *log = replication->log;
+    uint64_t term;
+    /* what the own snapshot covers is committed, and so the same at the leader */
     if (ask->prev_index > log->base_index && (!log_term_at(log, ask->prev_index, &term) || term != ask->prev_term))
         return STATUS_LOG_GAP;
-    bool reread = false;
     Status status = STATUS_OK;
     for (size_t i = 0; i < ask->entries_count && status == STATUS_OK; i++) {
         const Record *entry = &ask->entries[i];
-        if (entry->index != ask->prev_index + 1 + i || entry->kind != RECORD_ENTRY) {
-            status = STATUS_BAD_FRAME;
-        } else if (entry->index <= log->base_index) {
-            if (entry->term > log->base_term) /* our snapshot is of another history */
-                status = STATUS_LOG_GAP;
-        } else if (!log_term_at(log, entry->index, &term) || term != entry->term) {
-            if (entry->index <= replication->commit_index && replication->settings.disks_keep)
-                return history_refuse(replication, entry->index);
-            if (entry->index <= log_last_index(log)) {
-                trim(replication, entry->index - 1);
-                if (entry->index - 1 < *trimmed_to)
-                    *trimmed_to = entry->index - 1;
-                reread = true;
-            }
-            log_add(log, entry);
-            replication_clock_tell(replication, entry->at_ms);
-            reread |= entry->change < REPLICATION_CHANGE_FIRST;
-        }
+        const bool follows = entry->index == ask->prev_index + 1 + i && entry->kind == RECORD_ENTRY;
+        status = follows ? entry_take(replication, entry, taking) : STATUS_BAD_FRAME;
     }
-    if (reread)
+    if (taking->reread)
         replication_reread(replication);
     return status;
 }
 
-Status voter_append(Replication *replication, const AppendAsk *ask)
+/* Waits for the disk. Writes these records, and the entries that the journal has not been given yet.
+ * Also with nothing to write it waits until what it was given before is synced. */
+static Status entries_write(Replication *replication, const Record *first, size_t count)
 {
-    Record first[2] = {{0}};
-    size_t count = 0;
-    if (replication->cluster == 0)
-        return STATUS_LOG_GAP; /* an empty disk begins with the whole */
-    if (replication_disk_failed(replication))
-        return STATUS_DISK_FAILED;
-    Status status = holder_take(replication, ask->term, ask->holder, first, &count);
-    if (status != STATUS_OK)
-        return status;
-    uint64_t trimmed_to = UINT64_MAX;
-    status = entries_take(replication, ask, &trimmed_to);
-    if (trimmed_to < replication->queued_index) {
-        first[count++] = (Record){.kind = RECORD_TRIM, .index = trimmed_to, .name = ""};
-        replication->queued_index = trimmed_to;
-    }
-    /* write whatever the journal has not been given yet; also with nothing to
-     * write, what was queued before must be synced before the answer */
     void *mem = talloc_new(replication);
     const uint64_t last_index = log_last_index(replication->log);
     if (replication->queued_index < replication->log->base_index)
@@ -107,21 +106,38 @@
     memcpy(records, first, count * sizeof(*first));
     while (replication->queued_index < last_index)
         records[count++] = *log_at(replication->log, ++replication->queued_index);
-    const Status written = journal_write(replication->journal, records, count);
+    const Status status = journal_write(replication->journal, records, count);
     talloc_free(mem);
+    return status;
+}
+
+Status voter_append(Replication *replication, const AppendAsk *ask)
+{
+    Record first[2] = {{0}}; /* a promise, a trim */
+    size_t count = 0;
+    if (replication->cluster == 0)
+        return STATUS_LOG_GAP; /* an empty disk begins with a snapshot */
+    if (replication_disk_failed(replication))
+        return STATUS_DISK_FAILED;
+    Status status = holder_take(replication, ask->term, ask->holder, first, &count);
+    if (status != STATUS_OK)
+        return status;
+    Taking taking = {.trimmed_to = UINT64_MAX};
+    status = entries_take(replication, ask, &taking);
+    if (taking.trimmed_to < replication->queued_index) {
+        first[count++] = (Record){.kind = RECORD_TRIM, .index = taking.trimmed_to, .name = ""};
+        replication->queued_index = taking.trimmed_to;
+    }
+    const Status written = entries_write(replication, first, count);
     if (written != STATUS_OK)
         return written;
     if (status != STATUS_OK)
         return status;
     if (lock_renew(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop)) != STATUS_OK)
-        return STATUS_OLD_TERM;
+        return STATUS_OLD_TERM; /* another term was promised while the disk was waited for */
     const uint64_t verified = ask->prev_index + ask->entries_count;
     if (verified > replication->verified_index)
         replication->verified_index = verified;
-    const uint64_t commit =
-        ask->commit_index < replication->verified_index ? ask->commit_index : replication->verified_index;
-    if (commit > replication->commit_index)
-        replication->commit_index = commit;
-    replication_deliver(replication);
+    commit_follow(replication, ask->commit_index);
     return STATUS_OK;
 }
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -1,10 +1,12 @@
-/* Commit and delivery: up to which index the log is committed, and the state machine that takes what
- * is. */
+/* Commit and delivery: up to which index the log is committed, and the state machine that takes
+ * what is. */
+#include <assert.h>
+
 #include "commit.h"
 #include "snapshot.h"
 #include "state.h"
 
-/* What a majority of the voters has synced. */
+/* Up to which index a majority of the voters has synced the log. */
 static uint64_t majority_index(const Replication *replication)
 {
     uint64_t matches[VOTER_MOST];
@@ -29,17 +31,27 @@
         if (replication->in_configuration[i] && replication->voters[i] != replication->disk &&
             replication->peers[i].match_index < least)
             least = replication->peers[i].match_index;
-    /* the view is a majority of the voters; only while a voter was just added it may not be */
+    /* the view is a majority of the voters, but for a moment when one was just added */
     const uint64_t majority = majority_index(replication);
     if (majority < least)
         least = majority;
     if (least < replication->replication_index || least <= replication->commit_index)
         return;
+    assert(least <= log_last_index(replication->log));
     replication->commit_index = least;
     replication_deliver(replication);
     signal_raise(replication->loop, &replication->news);
 }
 
+void commit_follow(Replication *replication, uint64_t leader_commit)
+{
+    const uint64_t commit = leader_commit < replication->verified_index ? leader_commit : replication->verified_index;
+    if (commit > replication->commit_index)
+        replication->commit_index = commit;
+    replication_deliver(replication);
+}
+
+/* Whether the disk is in the last view. */
 static bool last_has(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < replication->last.members_count; i++)
@@ -48,8 +60,28 @@
     return false;
 }
 
+/* Ends the submissions that wait for this entry, or for the one whose place it took. */
+static void waiters_tell(Replication *replication, const Record *entry, const ChangeResult *result)
+{
+    for (Waiter **at = &replication->waiters; *at != NULL;) {
+        Waiter *waiter = *at;
+        if (waiter->index != entry->index) {
+            at = &waiter->next;
+            continue;
+        }
+        *at = waiter->next;
+        waiter->done = true;
+        /* another entry took the place: the submitted one is gone for good */
+        waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
+        waiter->result = *result;
+        signal_raise(replication->loop, &waiter->ended);
+    }
+}
+
 void replication_deliver(Replication *replication)
 {
+    assert(replication->delivered_index <= replication->commit_index);
+    assert(replication->commit_index <= log_last_index(replication->log));
     bool any = false;
     while (replication->delivered_index < replication->commit_index) {
         const Record *entry = log_at(replication->log, replication->delivered_index + 1);
@@ -60,22 +92,10 @@
             replication->settings.state.deliver(replication->settings.state.arg, entry, &result);
         else if (entry->change == REPLICATION_CHANGE_TERM && entry->term == replication->lock.promised &&
                  last_has(replication, replication->disk))
-            replication->woke = false; /* a view has brought this voter up to date */
+            replication->woke = false; /* a view has brought this node up to date */
         replication->delivered_index = entry->index;
         any = true;
-        for (Waiter **at = &replication->waiters; *at != NULL;) {
-            Waiter *waiter = *at;
-            if (waiter->index != entry->index) {
-                at = &waiter->next;
-                continue;
-            }
-            *at = waiter->next;
-            waiter->done = true;
-            /* another entry took the place: the submitted one is gone for good */
-            waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
-            waiter->result = result;
-            signal_raise(replication->loop, &waiter->ended);
-        }
+        waiters_tell(replication, entry, &result);
     }
     if (any) {
         signal_raise(replication->loop, &replication->news);
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -1,4 +1,5 @@
-/* The journal while the process runs: it is written anew after a snapshot and after a disk failure. */
+/* The own journal as a whole, while the process runs: it is rewritten after a snapshot, and after a
+ * failure of the disk. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -23,8 +24,8 @@
     return records;
 }
 
-/* Waits. The whole journal anew. All entries are in it, also those that it had not been
- * given before: from here on they count as queued, so that dropping them is written too. */
+/* Waits for the disk. Rewrites the whole journal. All entries are in it, also those that it had not
+ * been given before: they count as queued from here on, so that dropping them is written too. */
 static Status journal_anew(Replication *replication)
 {
     void *mem = talloc_new(replication);
@@ -39,7 +40,7 @@
 static void compact_main(void *arg)
 {
     Replication *replication = arg;
-    journal_anew(replication);
+    (void)journal_anew(replication); /* a failure shows in journal_failed, and mend_main tries again */
     replication->compacting = false;
 }
 
@@ -49,8 +50,8 @@
     loop_spawn(replication->loop, "compact", compact_main, replication);
 }
 
-/* A disk that refused a write is tried again, with all that it should hold. Until
- * that is there, the voter takes nothing, so that memory and disk do not part. */
+/* A disk that refused a write is tried again, with all that it should hold. Until that is there this
+ * node takes nothing, so that memory and disk do not differ. */
 static void mend_main(void *arg)
 {
     Replication *replication = arg;
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -7,6 +7,15 @@
 #include "state.h"
 #include "voterlist.h"
 
+/* --- a look: may this node stand? --------------------------------------------------- */
+
+/* Whether the log of a is more up to date than that of b (Raft 5.4.1). */
+static bool log_ahead(const VoterAnswer *a, const VoterAnswer *b)
+{
+    return a->log_term > b->log_term || (a->log_term == b->log_term && a->log_index > b->log_index);
+}
+
+/* Whether the disk is in the last view that the voter has recorded. */
 static bool among(const VoterAnswer *answer, uint64_t disk)
 {
     for (size_t i = 0; i < answer->configuration_members_count; i++)
@@ -15,24 +24,32 @@
     return false;
 }
 
-/* Whether the view may rest on the voters that answered. With none of them
- * woken, any majority will do. Woken ones may have lost what they acknowledged:
- * then every member of the last recorded view is heard first, or waited for. */
-static bool may_rest(Replication *replication, const Poll *poll, bool *repair)
+/* The answer that has the last view; null: nobody has answered. any_woke: one of them restarted. */
+static const VoterAnswer *last_view_of(const Poll *poll, bool *any_woke)
 {
     const VoterAnswer *newest = NULL;
-    bool any_woke = false;
-    for (int i = 0; i < VOTER_MOST; i++)
-        if (poll_reached(poll->status[i])) {
-            const VoterAnswer *answer = &poll->answers[i];
-            any_woke |= answer->woke;
-            /* of one term, the longer log has the later change of view */
-            if (newest == NULL || answer->configuration_term > newest->configuration_term ||
-                (answer->configuration_term == newest->configuration_term &&
-                 (answer->log_term > newest->log_term ||
-                  (answer->log_term == newest->log_term && answer->log_index > newest->log_index))))
-                newest = answer;
-        }
+    *any_woke = false;
+    for (int i = 0; i < VOTER_MOST; i++) {
+        const VoterAnswer *answer = &poll->answers[i];
+        if (!poll_reached(poll->status[i]))
+            continue;
+        *any_woke |= answer->woke;
+        /* of one term, the longer log has the later change of view */
+        if (newest == NULL || answer->configuration_term > newest->configuration_term ||
+            (answer->configuration_term == newest->configuration_term && log_ahead(answer, newest)))
+            newest = answer;
+    }
+    return newest;
+}
+
+/* Whether a view may rest on the voters that answered. With none of them restarted, any majority
+ * will do. Where disks may lose what they synced, restarted ones may have lost what they
+ * acknowledged: then each member of the last recorded view is heard first, or waited for.
+ * repair: committed changes may have been lost. */
+static bool may_rest(Replication *replication, const Poll *poll, bool *repair)
+{
+    bool any_woke;
+    const VoterAnswer *newest = last_view_of(poll, &any_woke);
     *repair = any_woke && !replication->settings.disks_keep && newest != NULL && newest->configuration_term != 0;
     if (!*repair)
         return true;
@@ -50,19 +67,21 @@
     return now_ms - replication->woken_since_ms >= WOKEN_WAIT_MS;
 }
 
-/* What the voters said of themselves, before anything is asked of them. */
+/* What the voters said of themselves, before any promise is asked of them. */
 typedef struct Heard {
-    size_t count, free; /* who answered; who of them grants nothing to another */
-    bool removed;       /* our place is another's */
-    bool ahead;         /* another stands under a higher term */
+    size_t count; /* who answered */
+    size_t free;  /* who of them has no lease granted to another */
+    bool removed; /* this node is no voter any more */
+    bool ahead;   /* another has been promised a higher term and a lease */
 } Heard;
 
+/* Counts the answers, and finds the highest term that anybody has heard of. */
 static Heard heard_of(Opening *opening, const Poll *poll)
 {
     const Replication *replication = opening->replication;
     Heard heard = {0};
-    /* disks that lie may have forgotten promises and terms; those who followed a
-     * leader have not */
+    /* disks that lose what they synced may have forgotten promises; members that followed a leader
+     * have not forgotten its term */
     opening->highest = replication->lock.promised;
     if (members_leader_term(replication->settings.members) > opening->highest)
         opening->highest = members_leader_term(replication->settings.members);
@@ -79,7 +98,6 @@
     return heard;
 }
 
-/* Waits. Whether it may stand at all: asks for nothing but answers. */
 Status election_hear(Opening *opening)
 {
     Replication *replication = opening->replication;
@@ -89,12 +107,12 @@
     poll_leave(poll);
     if (lead_over(replication, opening->turn))
         return STATUS_NOT_LEADER;
-    if (heard.removed) { /* our voter has been given to another disk; whoever leads tells us more */
+    if (heard.removed) { /* the vote was given to another disk; whoever leads tells this node more */
         lead_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
-    /* what a majority does not hold for another, nobody holds; but one that stands just
-     * now under a higher term goes first */
+    /* where a majority has no lease granted to another, nobody has it; but one that is being
+     * elected just now in a higher term goes first */
     const bool held = opening->new_holder && heard.count >= replication_majority(replication) &&
                       (heard.free < replication_majority(replication) || heard.ahead);
     if (heard.count >= replication_majority(replication) && rest && !held)
@@ -103,7 +121,8 @@
     return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_WOKEN;
 }
 
-/* How many of the voters, as the newest list has them, have promised. */
+/* --- promises ----------------------------------------------------------------------- */
+
 size_t promised_count(const Replication *replication, const bool in_configuration[VOTER_MOST])
 {
     size_t count = 0;
@@ -112,8 +131,8 @@
     return count;
 }
 
-/* Voters far behind the best log come into the view once they are near; the view
- * stays a majority, with ourselves in it. */
+/* Voters far behind the best log come into the view only once they are near; the view stays a
+ * majority, with this node in it. */
 static void lag_leave(const Replication *replication, const Poll *poll, int best, bool in_configuration[VOTER_MOST])
 {
     const VoterAnswer *most = &poll->answers[best];
@@ -128,7 +147,7 @@
     }
 }
 
-/* Who has promised, and which of them has the best log. */
+/* Who has promised, and which of them has the best log: the own one, if it is as good as any. */
 static void promises_count(Opening *opening, const Poll *poll)
 {
     Replication *replication = opening->replication;
@@ -138,16 +157,13 @@
         opening->in_configuration[i] = true;
         const VoterAnswer *a = &poll->answers[i];
         const VoterAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
-        if (b == NULL || a->log_term > b->log_term ||
-            (a->log_term == b->log_term &&
-             (a->log_index > b->log_index ||
-              (a->log_index == b->log_index && replication->voters[i] == replication->disk))))
+        if (b == NULL || log_ahead(a, b) || (!log_ahead(b, a) && replication->voters[i] == replication->disk))
             opening->best = i;
         lock_lease_answered(&replication->lease, i, poll->sent_ms[i]);
     }
 }
 
-/* What is known of the peers under the new term. */
+/* What is known of the peers at the beginning of the term. */
 static void peers_begin(Replication *replication, const Poll *poll)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
@@ -162,7 +178,7 @@
     }
 }
 
-/* Others may have granted what can't be used here: they need not wait it out. */
+/* The promises are too few. The others need not wait out the lease that they granted with them. */
 static void promises_lost(Opening *opening, bool own_failed)
 {
     Replication *replication = opening->replication;
@@ -173,13 +189,12 @@
     lead_down(replication, own_failed ? SLOW_DISK_REST_MS : 0);
 }
 
-/* Waits. The renewals of the old term have ended with lead_turn: asks for promises. */
 Status election_promises(Opening *opening)
 {
     Replication *replication = opening->replication;
     opening->term = term_next(opening->highest, replication->disk);
     Poll *poll = poll_voters(replication, opening->term, opening->skip);
-    /* a lease that lapsed before this question was sent was not carried on */
+    /* a lease that lapsed before this question was sent was not kept without a gap */
     const int64_t held_until_ms = lock_lease_until(&replication->lease);
     for (int i = 0; i < VOTER_MOST; i++)
         opening->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
--- a/packages/replication/src/install.c
+++ b/packages/replication/src/install.c
@@ -1,4 +1,5 @@
-/* Installing a snapshot at a voter or learner, whole or in pieces, in the place of its log. */
+/* Installing a snapshot at a voter or learner (Raft: InstallSnapshot at a follower), whole or in
+ * pieces, in the place of its log. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -9,6 +10,7 @@
 #include "voter.h"
 #include "voterlist.h"
 
+/* Whether the piece is of the snapshot that is arriving. */
 static bool same_filling(const Filling *filling, const FillAsk *ask)
 {
     return filling != NULL && filling->term == ask->snapshot.term && filling->index == ask->snapshot.index &&
@@ -37,7 +39,7 @@
     }
     Filling *filling = replication->filling;
     if (ask->from != filling->bytes.count)
-        return STATUS_LOG_GAP; /* voter_describe tells how far it has come */
+        return STATUS_LOG_GAP; /* the answer says how much has arrived */
     bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
     if (filling->bytes.count < filling->total)
         return STATUS_BUSY;
@@ -54,9 +56,9 @@
     return replication->filling != NULL ? replication->filling->bytes.count : 0;
 }
 
-/* Whether the log holds what the snapshot stands for. One that a majority counts on
- * must not go back behind it. Also when it was found to be of another history: that
- * may have been mended since, and the question come late or once more. */
+/* Whether the log has all that the snapshot covers. Such a log is kept: it may go further, and a
+ * majority may count on it. Also when the log was found to be of another history (over): that may
+ * have been mended since, and the message be a late one or a repeated one. */
 static bool snapshot_held(const Replication *replication, const Record *snapshot, bool over)
 {
     uint64_t term;
@@ -65,7 +67,7 @@
         return false;
     if (snapshot->index < replication->log->base_index)
         return !over || snapshot->term <= replication->log->base_term;
-    return (log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term);
+    return log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
 Status voter_fill(Replication *replication, const FillAsk *ask)
@@ -82,21 +84,21 @@
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
         return STATUS_BAD_FRAME;
     if (snapshot_held(replication, &ask->snapshot, ask->over))
-        return journal_write(replication->journal, &promise, count); /* also what was queued before is synced then */
+        return journal_write(replication->journal, &promise, count); /* syncs also what the journal was given before */
     Record whole;
     status = fill_take(replication, ask, &whole);
-    if (status != STATUS_OK) { /* nothing changes yet but the promise */
+    if (status != STATUS_OK) { /* nothing has changed yet but the promise */
         const Status written = journal_write(replication->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
-    Filling *filling = replication->filling; /* another may begin while the disk is waited for */
+    Filling *filling = replication->filling; /* another may begin to arrive while the disk is waited for */
     replication->filling = NULL;
     status = voter_replace(replication, &whole, NULL, 0);
     talloc_free(filling);
     return status == STATUS_OK && ask->term != replication->lock.promised ? STATUS_OLD_TERM : status;
 }
 
-/* Whether the log would lose what it has synced of the same history: that must never be. */
+/* Whether the log would get shorter within one history: that must never be. */
 static bool goes_back(const Replication *replication, const Record *snapshot, size_t entry_count)
 {
     uint64_t term;
@@ -104,6 +106,32 @@
            log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
+/* The log in memory, in the place of the whole former one. The snapshot has been loaded. */
+static void log_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
+{
+    Log *log = replication->log;
+    log_trim(log, 0);
+    log->base_index = snapshot->index; /* nothing of the former log is kept */
+    log_rebase(log, snapshot);
+    replication->commit_index = replication->delivered_index = replication->verified_index = snapshot->index;
+    replication_clock_tell(replication, snapshot->at_ms);
+    for (size_t i = 0; i < entry_count; i++)
+        if (entries[i].kind == RECORD_ENTRY && entries[i].index == log_last_index(log) + 1) {
+            log_add(log, &entries[i]);
+            replication_clock_tell(replication, entries[i].at_ms);
+        }
+    replication->queued_index = log_last_index(log);
+    replication_reread(replication);
+}
+
+/* An empty disk has become one of the cluster that its messages come from. */
+static void cluster_join(Replication *replication)
+{
+    replication->cluster = rpc_cluster(replication->settings.rpc);
+    voters_founded(replication, replication->list);
+    members_set_empty(replication->settings.members, false);
+}
+
 Status voter_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     const uint64_t last_index = entry_count > 0 ? entries[entry_count - 1].index : snapshot->index;
@@ -118,23 +146,9 @@
     Status status = replication_load(replication, snapshot);
     if (status != STATUS_OK)
         return status;
-    log_trim(replication->log, 0);
-    replication->log->base_index = snapshot->index; /* nothing of ours is kept */
-    log_rebase(replication->log, snapshot);
-    replication->commit_index = replication->delivered_index = replication->verified_index = snapshot->index;
-    replication_clock_tell(replication, snapshot->at_ms);
-    for (size_t i = 0; i < entry_count; i++)
-        if (entries[i].kind == RECORD_ENTRY && entries[i].index == log_last_index(replication->log) + 1) {
-            log_add(replication->log, &entries[i]);
-            replication_clock_tell(replication, entries[i].at_ms);
-        }
-    replication->queued_index = log_last_index(replication->log);
-    replication_reread(replication);
-    if (replication->cluster == 0) {
-        replication->cluster = rpc_cluster(replication->settings.rpc);
-        voters_founded(replication, replication->list);
-        members_set_empty(replication->settings.members, false);
-    }
+    log_replace(replication, snapshot, entries, entry_count);
+    if (replication->cluster == 0)
+        cluster_join(replication);
     void *mem = talloc_new(replication);
     size_t record_count;
     const Record *records = replication_records(replication, mem, &record_count);
--- a/packages/replication/src/lead.c
+++ b/packages/replication/src/lead.c
@@ -10,6 +10,7 @@
     return replication->lead_turn != turn || loop_stopping(replication->loop);
 }
 
+/* The turn of a learner's slot; 0 for a voter's. */
 static uint64_t learner_turn(const Replication *replication, int slot)
 {
     return slot >= VOTER_MOST ? replication->learners[slot - VOTER_MOST].turn : 0;
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -40,7 +40,8 @@
 bool replication_knows_holder(const Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    /* a woken voter may have forgotten: it must not say that it knows none */
+    /* a restarted voter may have forgotten what it granted: until that has lapsed it must not
+     * say that it knows no leader */
     return lock_held(&replication->lock, now_ms) || now_ms < replication->lock.not_before_ms || replication->holding;
 }
 
@@ -52,7 +53,7 @@
     contact_granted(replication, slot, contact);
 }
 
-/* Asks the voter for nothing but an answer. */
+/* Waits. Asks the peer for nothing but an answer (a look, of term 0). Whether it answered. */
 static bool heard(Replication *replication, const Lead *lead, const char *address)
 {
     void *mem = talloc_new(replication);
@@ -68,6 +69,7 @@
     return reached;
 }
 
+/* Waits. One renewal: a grant counts from when the question was sent. */
 static Status renew_one(Replication *replication, const Lead *lead, const char *address, int64_t sent_ms)
 {
     void *mem = talloc_new(replication);
@@ -92,8 +94,8 @@
     return status;
 }
 
-/* A voter that hears us while we do not hear it must not go on granting: one that
- * left a renewal unanswered is first asked for an answer alone. */
+/* A voter that hears the leader while the leader does not hear it must not go on granting the
+ * lease: one that left a renewal unanswered is first asked for an answer alone. */
 static void renew_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
@@ -104,7 +106,7 @@
     while (!lead_peer_over(&lead)) {
         const int64_t sent_ms = loop_now_ms(replication->loop);
         char address[ADDRESS_MAX];
-        /* appends renew as well; only the rest is told by renewals alone */
+        /* appends renew the lease as well; clock and leader's name are told by renewals alone */
         const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
         if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
             sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_TELL_MS &&
@@ -126,7 +128,7 @@
                 doubt = !poll_reached(status);
             }
             if (asked_ms != sent_ms && !doubt)
-                continue; /* it answers again: now the renewal */
+                continue; /* it answers again: renew now */
             if (status == STATUS_OK && !lead_peer_over(&lead) && contact_owed(replication, lead.slot))
                 continue; /* another round of contact was asked for meanwhile */
         }
--- a/packages/replication/src/newterm.c
+++ b/packages/replication/src/newterm.c
@@ -1,5 +1,6 @@
-/* Opening a term once its promises are there: the leader takes the best log of the voters over, orders
- * the first entry of its term and leads when that is committed. */
+/* Opening a term once its promises are there: the new leader takes the best log of its voters over,
+ * orders the first entry of its term, and leads when that is committed. */
+#include <assert.h>
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -14,7 +15,9 @@
 #include "voter.h"
 #include "voterlist.h"
 
-/* Makes the own log equal to that of the voter with the best one. */
+#define GAIN_LOOK_MS 100 /* ms; a new leader looks so often whether its voters gain */
+
+/* Waits. Makes the own log equal to that of the voter at the place. */
 static Status log_adopt(Replication *replication, int voter)
 {
     char address[ADDRESS_MAX];
@@ -29,7 +32,7 @@
     if (status == STATUS_OK && replication->term != replication->lock.promised)
         status = STATUS_OLD_TERM;
     if (status == STATUS_OK && answer.whole) {
-        /* at once, so that this disk never holds less than before */
+        /* in one write, so that this disk never has less than before */
         status = voter_replace(replication, &answer.snapshot, answer.entries, answer.entries_count);
         if (status == STATUS_OK && replication->term != replication->lock.promised)
             status = STATUS_OLD_TERM;
@@ -45,12 +48,12 @@
     return status;
 }
 
-/* The lock is won: it is kept from here on. */
+/* The lease is won: it is renewed from here on. */
 static void lease_begin(const Opening *opening)
 {
     Replication *replication = opening->replication;
     replication->term = opening->term;
-    if (!replication->clock_runs) /* nobody's log has a time yet */
+    if (!replication->clock_runs) /* no log has a time yet */
         replication_clock_set(replication, replication->clock_base_ms);
     if (opening->new_holder)
         replication->won_ms = loop_now_ms(replication->loop);
@@ -61,14 +64,14 @@
             lead_renew(replication, i);
 }
 
-/* Waits. Takes the best log over, when that is another's. */
+/* Waits. Takes the best log over, when that is another's. Any status but OK: the lead is over. */
 static Status best_adopt(Opening *opening)
 {
     Replication *replication = opening->replication;
     if (replication->voters[opening->best] == replication->disk)
         return STATUS_OK;
     const Status status = log_adopt(replication, opening->best);
-    /* the log may have another list of voters: the promises must be a majority of those too */
+    /* that log may have another list of voters: the promises must be a majority of those too */
     for (int i = 0; i < VOTER_MOST; i++) {
         opening->in_configuration[i] &= replication->voters[i] == opening->promised[i];
         if (replication->voters[i] != 0 && replication->voters[i] != opening->promised[i] &&
@@ -86,12 +89,12 @@
     return why;
 }
 
-/* Orders the view's first entry and sends it, with all before it, to everybody. */
+/* Orders the first entry of the term, and has it sent to all voters with all before it. */
 static void entry_order(const Opening *opening)
 {
     Replication *replication = opening->replication;
-    /* what is in the own journal's queue is synced before what follows; what an
-     * earlier lead had not queued yet is written now */
+    /* what the journal was given before is synced before what follows; what an earlier lead had not
+     * given it yet is written now */
     replication->synced_index = replication->queued_index;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->peers[i].next_index > log_last_index(replication->log) + 1)
@@ -103,7 +106,7 @@
             lead_peer(replication, i);
 }
 
-/* How far all have come together. */
+/* Grows while any voter comes nearer to the end of the log. */
 static uint64_t gained_sum(const Replication *replication)
 {
     uint64_t sum = replication->synced_index;
@@ -119,7 +122,7 @@
     int64_t until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
     uint64_t gained = 0;
     while (replication->commit_index < replication->replication_index) {
-        if (!signal_wait(replication->loop, &replication->news, loop_now_ms(replication->loop) + 100) &&
+        if (!signal_wait(replication->loop, &replication->news, loop_now_ms(replication->loop) + GAIN_LOOK_MS) &&
             !lead_over(replication, opening->turn)) {
             const uint64_t sum = gained_sum(replication);
             if (sum != gained) {
@@ -140,9 +143,11 @@
     return STATUS_OK;
 }
 
+/* The first entry is committed: this node leads. */
 static void lead_begin(const Opening *opening)
 {
     Replication *replication = opening->replication;
+    assert(replication->commit_index >= replication->replication_index);
     if (replication->settings.opened != NULL)
         replication->settings.opened(replication->settings.opened_arg, opening->term, opening->new_holder,
                                      replication->last.repair);
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -1,5 +1,6 @@
-/* The start of a process: what the journal gives back. A journal that is not whole counts for nothing:
- * its node comes back with a new, empty disk, which has promised nothing and never founds a cluster. */
+/* Recovery: what a process finds in its journal at its start. A journal that is not whole counts for
+ * nothing: the node comes back with a new, empty disk, which has promised nothing and never founds a
+ * cluster. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -9,11 +10,13 @@
 #include "state.h"
 #include "voterlist.h"
 
+/* A journal that is being read. */
 typedef struct Reading {
     Replication *replication;
     Failure failure; /* what is wrong with the journal's records, each of which is good by itself */
 } Reading;
 
+/* The cluster, and the list of voters that it was founded with. */
 static void cluster_found(Replication *replication, const Record *record)
 {
     VoterList *voters = talloc_zero(replication, VoterList);
@@ -60,14 +63,14 @@
         replication_clock_tell(replication, record->at_ms);
         break;
     case RECORD_COMMIT:
-        break; /* of an earlier release; it is told anew */
+        break; /* of an earlier release; the leader tells the commit index again */
     default:
         failure_set(&reading->failure, STATUS_JOURNAL_FORMAT,
                     "a record of kind %" PRIu64 ", which this release does not know", record->kind);
     }
 }
 
-/* Opens the journal and takes what it holds. */
+/* Waits. Opens the journal and takes what it holds. */
 static Status disk_read(Replication *replication, const char *path, Failure *failure)
 {
     Reading reading = {.replication = replication};
@@ -107,7 +110,7 @@
     replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
 }
 
-/* The journal is not whole: what it has promised and acknowledged is not known. */
+/* Waits. The journal is not whole: what it has promised and acknowledged is not known. */
 static Status disk_begin_anew(Replication *replication, const char *path, Failure *failure)
 {
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
@@ -128,11 +131,12 @@
         return failure_set(failure, status, "%s", read.text);
     replication->disk = journal_disk(replication->journal);
     if (journal_counts(replication->journal)->begun_anew)
-        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster that it was of may live */
+        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster of the former disk may live */
     replication->queued_index = log_last_index(replication->log);
     replication_reread(replication);
     replication->woke = replication->cluster != 0;
-    /* a disk that was never part of a cluster has granted nothing */
+    /* a lease may have been granted just before the restart: nothing is promised until it has lapsed. A
+     * disk that was never part of a cluster has granted nothing. */
     if (replication->cluster != 0)
         replication->lock.not_before_ms = loop_now_ms(replication->loop) + LOCK_GRANT_MS;
     replication->lock.sure = replication->settings.disks_keep;
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -1,5 +1,5 @@
-/* Replication under a leader: one task syncs the leader's own journal, one for each peer sends it the
- * entries that it lacks. */
+/* Replication under a leader (Raft: AppendEntries at the leader): one task syncs the leader's own
+ * journal, one for each peer sends it the entries that it lacks. */
 #include <talloc.h>
 
 #include "commit.h"
@@ -11,32 +11,45 @@
 #include "state.h"
 #include "voterlist.h"
 
-/* Syncs the own journal: a voter as the others, but asked directly. */
+#define PEER_AGAIN_MS 100 /* ms; a peer that could not be asked is tried again after this */
+
+/* --- the own journal ---------------------------------------------------------------- */
+
+/* Waits for the disk. Writes the next entries that are not synced yet, at most LOG_WRITE_BYTES of
+ * them; up_to: the index of the last one. */
+static Status local_write(Replication *replication, uint64_t *up_to)
+{
+    void *mem = talloc_new(replication);
+    const uint64_t last_index = log_last_index(replication->log);
+    const uint64_t from = replication->synced_index > replication->log->base_index ? replication->synced_index
+                                                                                   : replication->log->base_index;
+    Record *records = talloc_array(mem, Record, (unsigned)(last_index - from));
+    size_t count = 0, bytes = 0;
+    for (uint64_t i = from + 1; i <= last_index && bytes < LOG_WRITE_BYTES; i++) {
+        records[count] = *log_at(replication->log, i);
+        bytes += records[count++].payload.count;
+    }
+    *up_to = from + count;
+    replication->queued_index = *up_to;
+    const Status status = journal_write(replication->journal, records, count);
+    talloc_free(mem);
+    return status;
+}
+
+/* The leader's own voter: like the others, but without a message. */
 static void local_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
     Replication *replication = lead.replication;
     talloc_free(arg);
     while (!lead_over(replication, lead.turn)) {
-        uint64_t last_index = log_last_index(replication->log);
-        if (replication->synced_index >= last_index) {
+        if (replication->synced_index >= log_last_index(replication->log)) {
             signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
             continue;
         }
-        void *mem = talloc_new(replication);
-        const uint64_t from = replication->synced_index > replication->log->base_index ? replication->synced_index
-                                                                                       : replication->log->base_index;
-        Record *records = talloc_array(mem, Record, (unsigned)(last_index - from));
-        size_t count = 0, bytes = 0;
-        for (uint64_t i = from + 1; i <= last_index && bytes < LOG_WRITE_BYTES; i++) {
-            records[count] = *log_at(replication->log, i);
-            bytes += records[count++].payload.count;
-        }
-        last_index = from + count;
-        replication->queued_index = last_index;
+        uint64_t up_to;
         const int64_t start_ms = loop_now_ms(replication->loop);
-        const Status status = journal_write(replication->journal, records, count);
-        talloc_free(mem);
+        const Status status = local_write(replication, &up_to);
         if (lead_over(replication, lead.turn))
             return;
         if (status != STATUS_OK) {
@@ -47,7 +60,7 @@
         }
         replication->slow_times =
             loop_now_ms(replication->loop) - start_ms > VOTER_SLOW_MS ? replication->slow_times + 1 : 0;
-        replication->synced_index = last_index;
+        replication->synced_index = up_to;
         lead_commit(replication);
     }
 }
@@ -57,15 +70,20 @@
     lead_spawn(replication, "local", local_main, replication_own_voter(replication));
 }
 
-static void append_one(Replication *replication, const Lead *lead, const char *address)
+/* --- the peers ---------------------------------------------------------------------- */
+
+/* The next entries for the peer, at most LOG_BATCH_ENTRIES and about LOG_BATCH_BYTES; copies on
+ * mem, since the log may change before they are sent. */
+static AppendAsk append_next(const Replication *replication, const Lead *lead, void *mem)
 {
-    Peer *peer = &replication->peers[lead->slot];
-    void *mem = talloc_new(replication);
-    AppendAsk ask = {
-        .term = replication->term, .holder = replication->disk, .prev_index = peer->next_index - 1, .to = lead->disk};
+    const Peer *peer = &replication->peers[lead->slot];
+    AppendAsk ask = {.term = replication->term,
+                     .holder = replication->disk,
+                     .prev_index = peer->next_index - 1,
+                     .commit_index = replication->commit_index,
+                     .entries = talloc_array(mem, Record, LOG_BATCH_ENTRIES),
+                     .to = lead->disk};
     log_term_at(replication->log, ask.prev_index, &ask.prev_term);
-    ask.commit_index = replication->commit_index;
-    ask.entries = talloc_array(mem, Record, LOG_BATCH_ENTRIES);
     size_t bytes = 0;
     for (uint64_t i = peer->next_index;
          i <= log_last_index(replication->log) && ask.entries_count < LOG_BATCH_ENTRIES && bytes < LOG_BATCH_BYTES;
@@ -73,6 +91,37 @@
         bytes += log_at(replication->log, i)->payload.count;
         shape_copy(&Record_shape, log_at(replication->log, i), mem, &ask.entries[ask.entries_count++]);
     }
+    return ask;
+}
+
+/* The log does not match at the entry before those that were sent: goes back to the end of the
+ * peer's log, or else by a step. Before the first entry only a snapshot helps. */
+static void peer_go_back(const Replication *replication, Peer *peer, uint64_t peer_last_index)
+{
+    const uint64_t first = replication->log->base_index + 1, next = peer->next_index;
+    peer->match_index = 0; /* its disk may have lost what it had synced */
+    if (next <= first)
+        peer->refill = true;
+    else if (peer_last_index + 1 < next)
+        peer->next_index = peer_last_index + 1;
+    else
+        peer->next_index = next > first + LOG_BACK_STEP ? next - LOG_BACK_STEP : first;
+}
+
+/* How long the append took, whether the log matched or not. */
+static void peer_took(Peer *peer, int64_t took_ms)
+{
+    peer->append_since_ms = INT64_MAX;
+    peer->append_took_ms = took_ms;
+    peer->slow_times = took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
+}
+
+/* Waits. Sends one append, which may be empty, and takes the answer. */
+static void append_one(Replication *replication, const Lead *lead, const char *address)
+{
+    Peer *peer = &replication->peers[lead->slot];
+    void *mem = talloc_new(replication);
+    const AppendAsk ask = append_next(replication, lead, mem);
     const uint64_t match = ask.prev_index + ask.entries_count, contact = replication->contact_asked;
     VoterAnswer answer = {0};
     const int64_t sent_ms = loop_now_ms(replication->loop);
@@ -83,31 +132,17 @@
     if (!lead_peer_over(lead)) {
         if (poll_reached(status))
             lead_answered(replication, lead->slot, &answer);
-        if (status == STATUS_OK || status == STATUS_LOG_GAP) {
-            peer->append_since_ms = INT64_MAX;
-            peer->append_took_ms = loop_now_ms(replication->loop) - sent_ms;
-            peer->slow_times = peer->append_took_ms > VOTER_SLOW_MS ? peer->slow_times + 1 : 0;
-        }
+        if (status == STATUS_OK || status == STATUS_LOG_GAP)
+            peer_took(peer, loop_now_ms(replication->loop) - sent_ms);
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            /* a voter that takes an append lets the lease go on as well */
-            lease_granted(replication, lead->slot, sent_ms, contact);
+            lease_granted(replication, lead->slot, sent_ms, contact); /* who takes an append grants the lease as well */
             lead_commit(replication);
         } else if (status == STATUS_LOG_GAP) {
-            peer->match_index = 0; /* a disk may have lost what it had synced */
-            /* back to what it has, or a good step; before the beginning only a snapshot helps */
-            uint64_t next = peer->next_index;
-            if (next <= replication->log->base_index + 1)
-                peer->refill = true;
-            else if (answer.log_index + 1 < next)
-                next = answer.log_index + 1;
-            else
-                next = next > replication->log->base_index + 1 + LOG_BACK_STEP ? next - LOG_BACK_STEP
-                                                                               : replication->log->base_index + 1;
-            peer->next_index = next;
+            peer_go_back(replication, peer, answer.log_index);
         } else {
-            loop_sleep(replication->loop, 100);
+            loop_sleep(replication->loop, PEER_AGAIN_MS);
         }
     }
     talloc_free(mem);
@@ -126,11 +161,11 @@
     Replication *replication = lead.replication;
     talloc_free(arg);
     Peer *peer = &replication->peers[lead.slot];
-    bool told = false; /* it has taken an append under this term */
+    bool told = false; /* it has taken an append in this term */
     while (!lead_peer_over(&lead)) {
         char address[ADDRESS_MAX];
         if (!voter_address(replication, lead.slot, address)) {
-            loop_sleep(replication->loop, 100);
+            loop_sleep(replication->loop, PEER_AGAIN_MS);
             continue;
         }
         if (peer->refill || peer->next_index <= replication->log->base_index) {
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -64,8 +64,8 @@
 {
     replication->settings.members = members;
     voter_serve(replication);
-    /* a holder that starts anew holds nothing: the others need not wait it out, and it
-     * is the first that they may promise anything to */
+    /* a leader that has restarted leads no more: its lease is released, so that the others need
+     * not wait it out. Where its promise is known to be the last, it may stand again first. */
     if (replication->lock.promised != 0 && replication->lock.holder == replication->disk &&
         replication_seated(replication)) {
         replication->term = replication->lock.promised;
--- a/packages/replication/src/sendsnapshot.c
+++ b/packages/replication/src/sendsnapshot.c
@@ -1,5 +1,6 @@
-/* Sending a snapshot to a peer whose log can't be mended by entries: whole while it is small, else in
- * pieces, each with a deadline of its own, so that a large state gets through a narrow link and renewals go between. */
+/* Sending a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log no entries can make
+ * match: whole while it is small, else in pieces, each with a deadline of its own, so that a large
+ * state gets through a narrow link and renewals of the lease go between. */
 #include <talloc.h>
 
 #include "lead.h"
@@ -8,7 +9,9 @@
 #include "snapshot.h"
 #include "state.h"
 
-/* One piece of the snapshot, or all of it. */
+#define FILL_DEADLINE_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* ms; a piece through a narrow link */
+
+/* Waits. Sends one piece of the snapshot, or all of it. */
 static Status piece_send(Replication *replication, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
                          VoterAnswer *answer)
 {
@@ -20,14 +23,14 @@
     if (ask->total == 0)
         ask->snapshot.payload = whole;
     const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
-                                  ELECTION_STEP_TIMEOUT_MS * 4, &VoterAnswer_shape, answer);
+                                  FILL_DEADLINE_MS, &VoterAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
         lead_answered(replication, lead->slot, answer);
     talloc_free(mem);
     return status;
 }
 
-/* Whether there is another piece, after this answer. */
+/* Whether there is another piece to send after this answer; ask->from is where it begins. */
 static bool goes_on(FillAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
@@ -45,7 +48,8 @@
 void fill_one(Replication *replication, const Lead *lead, const char *address)
 {
     Peer *peer = &replication->peers[lead->slot];
-    /* a large one that is partly there is gone on with */
+    /* a peer with another history wants the newest snapshot; but a large one may be partly there, and is
+     * gone on with */
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT ||
         (peer->refill && replication->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
         replication_compact_maybe(replication, true);
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -1,4 +1,5 @@
-/* The messages that a voter or learner answers. Each names the disk that it is meant for. */
+/* The messages that a voter or learner answers. Each names the disk that it is meant for: an address
+ * names nobody, since a node with a new disk may stand where another voter stood. */
 #include <string.h>
 #include <talloc.h>
 
@@ -30,6 +31,8 @@
                replication->last.members_count * sizeof(DiskId));
 }
 
+/* The log after an index, for a new leader; the whole of it where that index is not known here or is
+ * of another history. */
 static void voter_log(Replication *replication, void *mem, const LogAsk *ask, LogAnswer *answer)
 {
     const Log *log = replication->log;
@@ -46,7 +49,7 @@
         shape_copy(&Record_shape, log_at(log, i), mem, &answer->entries[answer->entries_count++]);
 }
 
-/* Whether a question for the disk is for ours. */
+/* Whether a question for the disk is for the own one; 0: an older release asks, which did not say. */
 static bool is_for(const Replication *replication, uint64_t to)
 {
     return to == 0 || to == replication->disk;
@@ -63,6 +66,7 @@
     return status;
 }
 
+/* The leader renews its lease, and tells its clock, its name and its commit index. */
 static Status on_renew(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
@@ -73,16 +77,13 @@
     if (status == STATUS_OK) {
         replication_clock_set(replication, ask->clock_ms);
         members_set_leader(replication->settings.members, ask->term, ask->holder_id);
-        const uint64_t commit =
-            ask->commit_index < replication->verified_index ? ask->commit_index : replication->verified_index;
-        if (commit > replication->commit_index)
-            replication->commit_index = commit;
-        replication_deliver(replication);
+        commit_follow(replication, ask->commit_index);
     }
     voter_describe(replication, mem, answer);
     return status;
 }
 
+/* The leader has given its lease up. */
 static Status on_release(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
--- a/packages/replication/src/snapshot.c
+++ b/packages/replication/src/snapshot.c
@@ -1,4 +1,5 @@
-/* Snapshots: the state in the place of the entries that led to it. */
+/* Snapshots: the state of the state machine in the place of the entries that led to it, which bounds the
+ * log (Raft: log compaction). */
 #include <talloc.h>
 
 #include "disk.h"
@@ -20,8 +21,9 @@
     return status;
 }
 
-/* Entries and bytes are bounded alike: what is read at a start, sent to one that was away
- * and kept in memory. A large state is not written again for a smaller log. */
+/* Whether the log is long enough for a snapshot. Entries and bytes are bounded alike: what is read at
+ * a start, sent to one that was away and kept in memory. A large state is not written again for a
+ * smaller log. */
 static bool long_enough(const Replication *replication)
 {
     const Log *log = replication->log;
@@ -32,46 +34,54 @@
     return log->count >= most || log->bytes >= bytes;
 }
 
-void replication_compact_maybe(Replication *replication, bool force)
+/* Whether a change of the voters or the view follows what is delivered. Then list and last are not
+ * those as of delivered_index, and a snapshot has to wait. */
+static bool change_under_way(const Replication *replication)
 {
-    Log *log = replication->log;
-    if (replication->compacting || (replication->too_large && !force) ||
-        replication->delivered_index <= log->base_index || (!force && !long_enough(replication)))
-        return;
-    void *mem = talloc_new(replication);
-    /* voters and last as of delivered_index: later ones are still in the log */
-    uint64_t term = 0;
-    log_term_at(log, replication->delivered_index, &term);
-    Snapshot snapshot = {0};
-    const uint64_t last_index = log_last_index(log);
-    bool later = false;
+    const uint64_t last_index = log_last_index(replication->log);
+    bool any = false;
     for (uint64_t i = replication->delivered_index + 1; i <= last_index; i++)
-        later |= log_at(log, i)->change < REPLICATION_CHANGE_FIRST;
-    if (later) { /* a change of view is under way: compact after it */
-        talloc_free(mem);
-        return;
-    }
-    snapshot.voters = replication->list->voters;
-    snapshot.voters_count = replication->list->voters_count;
-    snapshot.controllers = replication->list->controllers;
-    snapshot.controllers_count = replication->list->controllers_count;
-    snapshot.last = replication->last;
-    snapshot.state = replication->settings.state.save(replication->settings.state.arg, mem);
+        any |= log_at(replication->log, i)->change < REPLICATION_CHANGE_FIRST;
+    return any;
+}
+
+/* The snapshot of what is delivered; its payload on mem. */
+static Record snapshot_make(Replication *replication, void *mem)
+{
+    const Snapshot snapshot = {
+        .voters = replication->list->voters,
+        .voters_count = replication->list->voters_count,
+        .last = replication->last,
+        .state = replication->settings.state.save(replication->settings.state.arg, mem),
+        .controllers = replication->list->controllers,
+        .controllers_count = replication->list->controllers_count,
+    };
     Record record = {.kind = RECORD_SNAPSHOT,
-                     .term = term,
                      .index = replication->delivered_index,
                      .at_ms = replication_clock_ms(replication),
                      .name = ""};
+    log_term_at(replication->log, replication->delivered_index, &record.term);
     shape_pack(&Snapshot_shape, &snapshot, mem, &record.payload);
+    return record;
+}
+
+void replication_compact_maybe(Replication *replication, bool force)
+{
+    Log *log = replication->log;
+    if (replication->compacting || (replication->too_large && !force) ||
+        replication->delivered_index <= log->base_index || (!force && !long_enough(replication)) ||
+        change_under_way(replication))
+        return;
+    void *mem = talloc_new(replication);
+    const Record record = snapshot_make(replication, mem);
     replication->too_large = record.payload.count > SNAPSHOT_MAX_BYTES;
     if (replication->too_large) {
         recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                        "%s: a state of %zu bytes can't be a snapshot", status_word(STATUS_TOO_LARGE),
                        record.payload.count);
-        talloc_free(mem);
-        return;
+    } else {
+        log_rebase(log, &record);
+        disk_compact(replication);
     }
-    log_rebase(log, &record);
     talloc_free(mem);
-    disk_compact(replication);
 }
--- a/packages/replication/src/status.c
+++ b/packages/replication/src/status.c
@@ -1,4 +1,4 @@
-/* What status and log lines show of the replicated log. Nothing decides by it. */
+/* What status pages and log lines show of the replicated log. Nothing decides by it. */
 #include <string.h>
 
 #include "learners.h"
@@ -11,6 +11,7 @@
     *commit_index = replication->commit_index;
 }
 
+/* The learners, and how many losses are borne and asked for. */
 static void voters_sight(const Replication *replication, ReplicationStatus *sight)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
@@ -30,22 +31,10 @@
     }
 }
 
-void replication_status(const Replication *replication, ReplicationStatus *sight)
+/* The voters, the own one included. */
+static void places_sight(const Replication *replication, ReplicationStatus *sight)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    const int64_t until_ms = lock_lease_until(&replication->lease);
-    memset(sight, 0, sizeof(*sight));
-    sight->phase = replication->phase;
-    replication_place(replication, &sight->term, &sight->commit_index);
-    sight->holder = replication->lock.holder;
-    sight->woke = replication->woke;
-    sight->last_index = log_last_index(replication->log);
-    sight->delivered_index = replication->delivered_index;
-    sight->base_index = replication->log->base_index;
-    sight->lease_left_ms = replication->holding && until_ms > now_ms ? until_ms - now_ms : 0;
-    sight->configuration_changes = replication->configuration_changes;
-    sight->other_histories = replication->other_histories;
-    sight->journal = *journal_counts(replication->journal);
     for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &replication->peers[i];
         const bool self = replication->voters[i] == replication->disk;
@@ -61,5 +50,24 @@
             .sight = self ? members_sight(replication->settings.members) : peer->sight,
         };
     }
+}
+
+void replication_status(const Replication *replication, ReplicationStatus *sight)
+{
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    const int64_t until_ms = lock_lease_until(&replication->lease);
+    memset(sight, 0, sizeof(*sight));
+    sight->phase = replication->phase;
+    replication_place(replication, &sight->term, &sight->commit_index);
+    sight->holder = replication->lock.holder;
+    sight->woke = replication->woke;
+    sight->last_index = log_last_index(replication->log);
+    sight->delivered_index = replication->delivered_index;
+    sight->base_index = replication->log->base_index;
+    sight->lease_left_ms = replication->holding && until_ms > now_ms ? until_ms - now_ms : 0;
+    sight->configuration_changes = replication->configuration_changes;
+    sight->other_histories = replication->other_histories;
+    sight->journal = *journal_counts(replication->journal);
+    places_sight(replication, sight);
     voters_sight(replication, sight);
 }
--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -1,12 +1,13 @@
-/* Submitting changes to the leader, and waiting for their delivery. */
+/* Submitting changes to the log at its leader, and waiting for their delivery. */
+#include <assert.h>
 #include <talloc.h>
 
 #include "lease.h"
 #include "state.h"
 #include "voterlist.h"
 
-/* Waits while a view is opened anew by the same holder. The view's own changes
- * make it wide enough for those of others. */
+/* Waits while this leader opens a further term. The replicated log's own changes need no view that
+ * is wide enough: they are what makes it so. */
 static Status may_order(Replication *replication, uint64_t change, int64_t until_ms)
 {
     while (replication->phase == REPLICATION_OPENING && replication->holding)
@@ -17,6 +18,7 @@
                : STATUS_NOT_LEADER;
 }
 
+/* Adds the entry to the log; its payload still belongs to the caller. */
 static Record order_add(Replication *replication, uint64_t change, Bytes payload)
 {
     const Record entry = {.kind = RECORD_ENTRY,
@@ -26,6 +28,7 @@
                           .change = change,
                           .name = "",
                           .payload = payload};
+    assert(entry.term >= log_last_term(replication->log));
     log_add(replication->log, &entry);
     if (change < REPLICATION_CHANGE_FIRST)
         replication_reread(replication);
@@ -51,6 +54,16 @@
     return STATUS_OK;
 }
 
+/* The waiter of a submission that has timed out. */
+static void waiter_drop(Replication *replication, const Waiter *waiter)
+{
+    for (Waiter **at = &replication->waiters; *at != NULL; at = &(*at)->next)
+        if (*at == waiter) {
+            *at = waiter->next;
+            return;
+        }
+}
+
 Status replication_submit(Replication *replication, uint64_t change, Bytes payload, ChangeResult *result)
 {
     const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
@@ -66,16 +79,10 @@
     while (!waiter->done)
         if (!signal_wait(replication->loop, &waiter->ended, until_ms))
             break;
-    status = waiter->status;
-    if (!waiter->done) {
-        for (Waiter **at = &replication->waiters; *at != NULL; at = &(*at)->next)
-            if (*at == waiter) {
-                *at = waiter->next;
-                break;
-            }
-        status = STATUS_OUTCOME_UNKNOWN;
-    }
-    /* the view may have got narrower while the change waited */
+    status = waiter->done ? waiter->status : STATUS_OUTCOME_UNKNOWN;
+    if (!waiter->done)
+        waiter_drop(replication, waiter);
+    /* voters may have left the view while the change waited: too few disks may hold it */
     if (status == STATUS_OK && change >= REPLICATION_CHANGE_FIRST && !wide_enough(replication))
         status = STATUS_OUTCOME_UNKNOWN;
     *result = waiter->result;
--- a/packages/replication/src/viewchange.c
+++ b/packages/replication/src/viewchange.c
@@ -1,5 +1,6 @@
-/* The view: the voters that every commit waits for. Its leader changes it within its term, by an
- * entry. */
+/* The view: the voters that each commit waits for. The leader changes it within its term, by an
+ * entry of the log. */
+#include <assert.h>
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -27,6 +28,7 @@
                     .change = REPLICATION_CHANGE_TERM,
                     .name = ""};
     shape_pack(&TermRecord_shape, &record, mem, &entry.payload);
+    assert(entry.term >= log_last_term(replication->log));
     log_add(replication->log, &entry);
     replication->replication_index = entry.index;
     replication_reread(replication);
@@ -41,7 +43,8 @@
     signal_raise(replication->loop, &replication->grew);
 }
 
-/* Why a voter in the view is to leave it; null: it is not. */
+/* Why the voter at the place is to leave the view; null: it is not. spare: a majority stays without
+ * it, so that it may go for being slow alone. */
 static const char *leaves(const Replication *replication, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
@@ -63,6 +66,7 @@
     return !near && now_ms - replication->changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
 }
 
+/* Whether the voter at the place is near, answers in time and has rested long enough. */
 static bool returns(const Replication *replication, int place, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
@@ -74,54 +78,69 @@
            !voter_dead(replication, replication->voters[place], false);
 }
 
-/* Changes the view under the same term: takes in who is up to date, lets go who
- * keeps the others waiting, as long as a majority stays. True when a promise given
- * to another asks for a new term; skip is filled in then. */
-bool replication_tend(Replication *replication, bool skip[VOTER_MOST])
+/* A view in the making. */
+typedef struct Change {
+    bool in_configuration[VOTER_MOST]; /* by place */
+    size_t count;                      /* voters in it */
+    bool changed;
+} Change;
+
+/* Takes in who is up to date. */
+static void replication_take_in(const Replication *replication, Change *next, int64_t now_ms)
 {
-    const int64_t now_ms = loop_now_ms(replication->loop);
-    bool in_configuration[VOTER_MOST], anew = false, changed = false;
-    size_t count = 0;
-    memcpy(in_configuration, replication->in_configuration, sizeof(in_configuration));
-    for (int i = 0; i < VOTER_MOST; i++) {
-        count += in_configuration[i];
-        skip[i] = false;
-    }
     for (int i = 0; i < VOTER_MOST; i++)
-        if (replication->voters[i] != 0 && replication->voters[i] != replication->disk && !in_configuration[i] &&
+        if (replication->voters[i] != 0 && replication->voters[i] != replication->disk && !next->in_configuration[i] &&
             returns(replication, i, now_ms)) {
-            in_configuration[i] = changed = true;
-            count++;
+            next->in_configuration[i] = next->changed = true;
+            next->count++;
             recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms,
                            "seat %016" PRIx64 " comes into the view", replication->voters[i]);
         }
+}
+
+/* Lets the voter at the place go if it keeps the others waiting. */
+static void replication_let_go(Replication *replication, Change *next, int place, int64_t now_ms)
+{
+    Peer *peer = &replication->peers[place];
+    const bool spare = next->count > replication_majority(replication);
+    const char *why = replication->in_configuration[place] ? leaves(replication, place, spare, now_ms) : NULL;
+    if (why != NULL && spare) {
+        next->in_configuration[place] = false;
+        next->changed = true;
+        next->count--;
+        peer->return_ms = now_ms + VOTER_REST_MS;
+        peer->slow_times = 0;
+        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
+                       "seat %016" PRIx64 " leaves the view: %s", replication->voters[place], why);
+        return;
+    }
+    /* it restarted within the view; of one just taken in that is known after a renewal */
+    next->changed |= peer->woke && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
+}
+
+bool replication_tend(Replication *replication, bool skip[VOTER_MOST])
+{
+    const int64_t now_ms = loop_now_ms(replication->loop);
+    Change next = {0};
+    bool anew = false;
+    memcpy(next.in_configuration, replication->in_configuration, sizeof(next.in_configuration));
+    for (int i = 0; i < VOTER_MOST; i++) {
+        next.count += next.in_configuration[i];
+        skip[i] = false;
+    }
+    replication_take_in(replication, &next, now_ms);
     for (int i = 0; i < VOTER_MOST; i++) {
-        Peer *peer = &replication->peers[i];
+        const Peer *peer = &replication->peers[i];
         if (replication->voters[i] == 0 || replication->voters[i] == replication->disk)
             continue;
-        /* a voter that has promised more takes nothing of ours, in the view or not */
+        /* a voter that has promised a higher term takes nothing of this one, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
         skip[i] = silent || voter_dead(replication, replication->voters[i], false);
         anew |= !skip[i] && peer->promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
-        if (!in_configuration[i])
-            continue;
-        const char *why = replication->in_configuration[i]
-                              ? leaves(replication, i, count > replication_majority(replication), now_ms)
-                              : NULL;
-        if (why != NULL && count > replication_majority(replication)) {
-            in_configuration[i] = false;
-            changed = true;
-            count--;
-            peer->return_ms = now_ms + VOTER_REST_MS;
-            peer->slow_times = 0;
-            recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                           "seat %016" PRIx64 " leaves the view: %s", replication->voters[i], why);
-            continue;
-        }
-        /* it restarted within the view; one just taken in takes a renewal to be heard of */
-        changed |= peer->woke && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
+        if (next.in_configuration[i])
+            replication_let_go(replication, &next, i, now_ms);
     }
-    if (!anew && changed)
-        lead_turn(replication, in_configuration);
+    if (!anew && next.changed)
+        lead_turn(replication, next.in_configuration);
     return anew;
 }
--- a/packages/replication/src/voterlist.c
+++ b/packages/replication/src/voterlist.c
@@ -76,6 +76,7 @@
     replication->lease.voters = replication->voter_count;
 }
 
+/* Takes a copy as the last view. */
 static void last_set(Replication *replication, const TermRecord *record)
 {
     talloc_free(replication->last_mem);
@@ -83,7 +84,8 @@
     shape_copy(&TermRecord_shape, record, replication->last_mem, &replication->last);
 }
 
-/* The list that a majority has committed may only be followed by later ones. */
+/* A list known to be committed may only be followed by later ones. Should the log hold an older one,
+ * the disk has lost something: this node votes no more. */
 static void list_check(Replication *replication, uint64_t index)
 {
     if (replication->list_index <= replication->commit_index && replication->list_index > replication->list_committed)
@@ -96,49 +98,64 @@
                    replication->list_committed, index);
 }
 
-void replication_reread(Replication *replication)
+/* What the log says of voters and view, newest first. */
+typedef struct Reread {
+    void *mem;
+    VoterList list;
+    uint64_t list_index; /* of the entry, or of the snapshot */
+    TermRecord last;
+    bool list_found, last_found;
+    bool repaired; /* a REPAIRED entry follows the last view */
+} Reread;
+
+static void reread_entry(Reread *reread, const Record *entry)
 {
-    void *mem = talloc_new(replication);
-    const VoterList *voters = NULL;
-    const TermRecord *last = NULL;
-    uint64_t voters_index = 0;
-    VoterList voter_list;
-    TermRecord replication_record;
-    bool repaired = false;
-    for (size_t i = replication->log->count; i > 0 && (voters == NULL || last == NULL); i--) {
-        const Record *entry = &replication->log->entries[i - 1];
-        if (entry->change == REPLICATION_CHANGE_VOTERS && voters == NULL &&
-            shape_unpack(&VoterList_shape, entry->payload, mem, &voter_list, NULL) == STATUS_OK) {
-            voters = &voter_list;
-            voters_index = entry->index;
-        }
-        if (entry->change == REPLICATION_CHANGE_REPAIRED && last == NULL)
-            repaired = true;
-        if (entry->change == REPLICATION_CHANGE_TERM && last == NULL &&
-            shape_unpack(&TermRecord_shape, entry->payload, mem, &replication_record, NULL) == STATUS_OK)
-            last = &replication_record;
+    if (entry->change == REPLICATION_CHANGE_VOTERS && !reread->list_found &&
+        shape_unpack(&VoterList_shape, entry->payload, reread->mem, &reread->list, NULL) == STATUS_OK) {
+        reread->list_found = true;
+        reread->list_index = entry->index;
     }
+    if (entry->change == REPLICATION_CHANGE_REPAIRED && !reread->last_found)
+        reread->repaired = true;
+    if (entry->change == REPLICATION_CHANGE_TERM && !reread->last_found)
+        reread->last_found =
+            shape_unpack(&TermRecord_shape, entry->payload, reread->mem, &reread->last, NULL) == STATUS_OK;
+}
+
+/* What the entries do not say stands in the snapshot. */
+static void reread_snapshot(Reread *reread, const Log *log)
+{
     Snapshot snapshot;
-    if ((voters == NULL || last == NULL) && replication->log->snapshot.kind == RECORD_SNAPSHOT &&
-        shape_unpack(&Snapshot_shape, replication->log->snapshot.payload, mem, &snapshot, NULL) == STATUS_OK) {
-        if (voters == NULL) {
-            voter_list =
-                (VoterList){snapshot.voters, snapshot.voters_count, snapshot.controllers, snapshot.controllers_count};
-            voters = &voter_list;
-            voters_index = replication->log->base_index;
-        }
-        if (last == NULL)
-            last = &snapshot.last;
+    if ((reread->list_found && reread->last_found) || log->snapshot.kind != RECORD_SNAPSHOT ||
+        shape_unpack(&Snapshot_shape, log->snapshot.payload, reread->mem, &snapshot, NULL) != STATUS_OK)
+        return;
+    if (!reread->list_found) {
+        reread->list =
+            (VoterList){snapshot.voters, snapshot.voters_count, snapshot.controllers, snapshot.controllers_count};
+        reread->list_index = log->base_index;
     }
-    list_check(replication, voters_index);
-    voters_take(replication, voters != NULL ? voters : replication->founded, voters_index);
-    if (last != NULL) {
-        last_set(replication, last);
-        replication->last.repair &= !repaired;
+    if (!reread->last_found)
+        reread->last = snapshot.last;
+    reread->list_found = reread->last_found = true;
+}
+
+void replication_reread(Replication *replication)
+{
+    const Log *log = replication->log;
+    Reread reread = {.mem = talloc_new(replication)};
+    for (size_t i = log->count; i > 0 && !(reread.list_found && reread.last_found); i--)
+        reread_entry(&reread, &log->entries[i - 1]);
+    reread_snapshot(&reread, log);
+    list_check(replication, reread.list_index);
+    voters_take(replication, reread.list_found ? &reread.list : replication->founded, reread.list_index);
+    if (reread.last_found) {
+        last_set(replication, &reread.last);
+        replication->last.repair &= !reread.repaired;
     }
-    talloc_free(mem);
+    talloc_free(reread.mem);
 }
 
+/* Where the disk's controller stood when it was given the vote; null: it is not in the list. */
 static const VoterController *controller_of(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < replication->list->controllers_count; i++)
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -1,4 +1,5 @@
-/* What each node looks at all the time: the leader its lease, disk and voters; the others whether to stand. */
+/* The watch of each node: a leader looks at its lease, its disk and its voters; a voter that knows no
+ * leader stands for election. */
 #include "disk.h"
 #include "election.h"
 #include "lead.h"
@@ -7,9 +8,9 @@
 #include "voterlist.h"
 #include "watch.h"
 
-/* The best partition is the largest. All that hold a majority of the voters can
- * reach each other's voters, but a leader may be cut off from other members: when
- * a voter in the view sees many more of them, the lock is better there. */
+/* The paper's best partition is the largest one. Any leader reaches a majority of the voters, but it
+ * may be cut off from other members: when a voter of the view has reached many more of them for
+ * SIGHT_HAND_MS, it is the better leader. */
 static bool replication_blind(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
@@ -26,23 +27,23 @@
     return replication->blind_since_ms != 0 && now_ms - replication->blind_since_ms > SIGHT_HAND_MS;
 }
 
-/* Whether this voter knows no holder, and may be one itself. */
+/* Whether this voter knows no leader, and may be one itself. */
 static bool may_stand(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     if (!replication_founded(replication) || !replication_seated(replication) || replication_disk_failed(replication) ||
         now_ms < replication->rest_until_ms)
         return false;
-    /* a holder whose disk is gone holds nothing any more */
+    /* a leader whose disk is gone leads no more */
     if (replication->lock.holder != replication->disk && voter_dead(replication, replication->lock.holder, true))
         lock_release(&replication->lock, replication->lock.promised, replication->lock.holder, now_ms);
     return !lock_held(&replication->lock, now_ms) &&
            lock_may_promise(&replication->lock, UINT64_MAX, replication->disk, now_ms) == STATUS_OK;
 }
 
-/* Voters stand one after another, from the place after the last holder's on, so that
- * two do not ask for each other's promise; a small draw parts those that know
- * different lists. */
+/* How long to wait before standing. Voters stand one after another, from the place after the last
+ * leader's on, so that two do not ask for each other's promise (in place of Raft's random election
+ * time-outs); a small draw parts those that know different lists. */
 static int64_t turn_ms(Replication *replication)
 {
     const int last = replication_voter_of(replication, replication->lock.holder),
@@ -52,63 +53,86 @@
     return rank * PROPOSE_TURN_MS + (int64_t)(loop_random(replication->loop) % (PROPOSE_TURN_MS / 3));
 }
 
+/* Whether the own disk keeps the log waiting: without end, or longer than that of another voter
+ * which could lead. */
+static bool own_disk_slow(const Replication *replication, int64_t now_ms)
+{
+    const int64_t since_ms = journal_sync_since(replication->journal);
+    if (since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS)
+        return true;
+    const bool late = since_ms != INT64_MAX && now_ms - since_ms > VOTER_LATE_MS;
+    return (late || replication->slow_times >= VOTER_SLOW_TIMES) && lead_next(replication, true) != 0;
+}
+
+/* Waits where a new election is needed. The leader looks at its lease, its disk and its voters. */
+static void leader_look(Replication *replication, int64_t now_ms)
+{
+    bool skip[VOTER_MOST];
+    if (now_ms >= lock_lease_until(&replication->lease)) {
+        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
+        lead_down(replication, 0);
+    } else if (own_disk_slow(replication, now_ms)) {
+        replication->slow_times = 0;
+        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms, "own disk is slow: hands the lock over");
+        lead_down(replication, SLOW_DISK_REST_MS);
+    } else if (replication_blind(replication)) {
+        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
+                       "another seat sees many more members: hands the lock over");
+        replication->blind_since_ms = 0;
+        lead_down(replication, SLOW_DISK_REST_MS);
+    } else if (replication_tend(replication, skip)) {
+        (void)replication_open(replication, skip); /* the next turn of the watch looks again */
+    }
+}
+
+/* How long to wait after an election that was not won. Leases lapse one after another, so at first
+ * it is tried again soon. */
+static int64_t again_next(int64_t again_ms)
+{
+    if (again_ms == 0)
+        return PROPOSE_AGAIN_MS;
+    return 2 * again_ms < PROPOSE_MS ? 2 * again_ms : PROPOSE_MS;
+}
+
+/* Waits. Stands for election where no leader is known. again_ms: what was waited after the last
+ * election that was not won; 0: the last one was won, or there was none. Returns the next such. */
+static int64_t voter_look(Replication *replication, int64_t again_ms)
+{
+    if (!may_stand(replication))
+        return 0;
+    if (!replication->named && again_ms == 0) /* one that the last leader named goes first */
+        loop_sleep(replication->loop, turn_ms(replication));
+    replication->named = false;
+    if (replication->phase != REPLICATION_FOLLOWING || !may_stand(replication))
+        return again_ms;
+    const bool skip[VOTER_MOST] = {false};
+    if (replication_open(replication, skip) == STATUS_OK)
+        return 0;
+    again_ms = again_next(again_ms);
+    loop_sleep(replication->loop, again_ms + (int64_t)(loop_random(replication->loop) % (uint64_t)(again_ms)));
+    return again_ms;
+}
+
 static void watch_main(void *arg)
 {
     Replication *replication = arg;
-    int64_t due_ms = 0;   /* it should look then */
-    int64_t again_ms = 0; /* waited for before it stood again; 0: it did not have to */
+    int64_t due_ms = 0; /* it should look then */
+    int64_t again_ms = 0;
     while (!loop_stopping(replication->loop)) {
         const int64_t now_ms = loop_now_ms(replication->loop);
-        /* after a pause of its own, it first reads what has come in meanwhile */
+        /* after a pause of the process, it first reads what has arrived meanwhile */
         const bool paused = due_ms != 0 && now_ms - due_ms > WATCH_MS;
         if (replication->phase == REPLICATION_LEADING && paused && now_ms < lock_lease_until(&replication->lease)) {
             due_ms = now_ms + WATCH_MS / 4;
             loop_sleep(replication->loop, WATCH_MS / 4);
             continue;
         }
-        if (replication->phase == REPLICATION_LEADING) {
-            bool skip[VOTER_MOST];
-            const int64_t since_ms = journal_sync_since(replication->journal);
-            if (now_ms >= lock_lease_until(&replication->lease)) {
-                recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                               "the hold of the lock has lapsed");
-                lead_down(replication, 0);
-            } else if ((since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS) ||
-                       (((since_ms != INT64_MAX && now_ms - since_ms > VOTER_LATE_MS) ||
-                         replication->slow_times >= VOTER_SLOW_TIMES) &&
-                        lead_next(replication, true) != 0)) {
-                replication->slow_times = 0;
-                recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                               "own disk is slow: hands the lock over");
-                lead_down(replication, SLOW_DISK_REST_MS);
-            } else if (replication_blind(replication)) {
-                recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                               "another seat sees many more members: hands the lock over");
-                replication->blind_since_ms = 0;
-                lead_down(replication, SLOW_DISK_REST_MS);
-            } else if (replication_tend(replication, skip)) {
-                (void)replication_open(replication, skip); /* the next turn looks again */
-            }
-        } else if (replication->phase == REPLICATION_FOLLOWING && !may_stand(replication)) {
-            again_ms = 0;
-        } else if (replication->phase == REPLICATION_FOLLOWING) {
-            if (!replication->named && again_ms == 0) /* one that the last holder named goes first */
-                loop_sleep(replication->loop, turn_ms(replication));
-            replication->named = false;
-            if (replication->phase == REPLICATION_FOLLOWING && may_stand(replication)) {
-                const bool skip[VOTER_MOST] = {false};
-                /* grants lapse one after another: at first it looks again soon */
-                again_ms = replication_open(replication, skip) == STATUS_OK ? 0
-                           : again_ms == 0                                  ? PROPOSE_AGAIN_MS
-                           : 2 * again_ms < PROPOSE_MS                      ? 2 * again_ms
-                                                                            : PROPOSE_MS;
-                if (again_ms > 0)
-                    loop_sleep(replication->loop,
-                               again_ms + (int64_t)(loop_random(replication->loop) % (uint64_t)(again_ms)));
-            }
-        }
+        if (replication->phase == REPLICATION_LEADING)
+            leader_look(replication, now_ms);
+        else if (replication->phase == REPLICATION_FOLLOWING)
+            again_ms = voter_look(replication, again_ms);
         due_ms = loop_now_ms(replication->loop) + WATCH_MS;
-        /* the moment that the holder's lease lapses is known */
+        /* the moment is known at which the lease that this voter granted lapses */
         const int64_t lapse_ms = replication->lock.lease_until_ms;
         const bool soon = replication->phase == REPLICATION_FOLLOWING && lapse_ms > loop_now_ms(replication->loop) &&
                           lapse_ms < due_ms;
