--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -4,50 +4,58 @@
 #include "journal/record.h"
 #include "loop/loop.h"
 
-/* An append-only file of checksummed blocks; a block holds the records of one
- * sync and is the unit of tearing. Records of many tasks share a sync.
+/* The storage on disk of the replicated log: an append-only file of checksummed blocks. A block has the records
+ * of one sync, of as many tasks as had queued some by then, and is the unit of tearing. Used by packages/view,
+ * one journal for each node.
  *
  * Block: magic, length, checksum of those two, checksum of the body, body.
- * A bad block with no whole block after it is a torn tail and is cut off. A
- * bad block before a whole one is corruption, an error of its own. */
+ * A bad block with no whole block after it is a torn tail and is cut off. A bad block before a whole one is
+ * corruption, an error of its own.
+ *
+ * Invariants: what was told as written outlasts a loss of power, where the disk keeps what it syncs; a rewrite
+ * leaves the old file or the new one, whole; after a failed write nothing is written but a rewrite. */
 typedef struct Journal Journal;
 
-/* A reader of all that was found, in order. */
+/* Is given each record that was found, in order; it is valid during the call alone. Does not wait. */
 typedef void (*JournalFn)(void *arg, const Record *record);
 
 typedef struct JournalCounts {
     uint64_t syncs;
-    uint64_t records;
+    uint64_t records; /* written */
     uint64_t rewrites;
     uint64_t bytes;        /* of the file now */
     uint64_t torn_bytes;   /* cut off at open */
     bool begun_anew;       /* in the place of one that was not whole, at this start or an earlier one */
-    int64_t last_sync_ms;  /* how long the last one took */
-    int64_t worst_sync_ms; /* since open */
+    int64_t last_sync_ms;  /* how long the last sync took, in ms */
+    int64_t worst_sync_ms; /* the longest since open */
 } JournalCounts;
 
-/* Reads bytes as a journal. The count of good bytes is told; found may be null. */
+/* Reads bytes as a journal. found may be null; good_count: how many bytes are whole blocks. JOURNAL_CORRUPT:
+ * a bad block before a whole one, or a record that does not parse; failure says where. Does not wait. */
 Status journal_read(Bytes content, JournalFn found, void *arg, size_t *good_count, Failure *failure);
 
-/* Waits. Opens or makes the file; node_name must be the one it was made for. */
+/* Waits. Opens the file, or makes it with a new disk id, and hands its records to found; the journal is on mem.
+ * JOURNAL_CORRUPT: it is not whole; JOURNAL_FOREIGN: it was made for a node of another name; JOURNAL_FORMAT: by a
+ * later release; DISK_FAILED: the disk refused for JOURNAL_OPEN_MS. */
 Status journal_open(Loop *loop, void *mem, const char *path, const char *node_name, JournalFn found, void *arg,
                     Journal **journal, Failure *failure);
-/* Waits. Puts a journal with a new disk id in the place of one that is not whole, in one
- * step; the old one is kept beside it for whoever looks into the fault, when it is small. */
+/* Waits. Puts a journal with a new disk id in the place of one that is not whole, in one step. The old one is kept
+ * beside it as PATH.bad for whoever looks into the fault, when it has at most JOURNAL_BAD_BYTES. */
 Status journal_begin(Loop *loop, void *mem, const char *path, const char *node_name, Journal **journal,
                      Failure *failure);
 /* The random number that names this disk, made with the file. */
 uint64_t journal_disk(const Journal *journal);
-/* Queues the records and waits until they are synced, with all queued before them.
- * TOO_LARGE: they are more than a block holds, and nothing is written. */
+/* Waits. Queues the records until they are synced, with all that was queued before them; without records it waits
+ * for those alone. TOO_LARGE: they are more than a block holds, and nothing is written; DISK_FAILED. */
 Status journal_write(Journal *journal, const Record *records, size_t count);
-/* Queues a new content of the whole file, which stands for all queued before
- * it; waits until it is in place. The identity is kept. Also tried after a failure. */
+/* Waits. Queues a new content of the whole file, which stands for all that was queued before it, until it is in
+ * place. The identity is kept. Also tried after a failure. DISK_FAILED. */
 Status journal_rewrite(Journal *journal, const Record *records, size_t count);
 /* A write has failed: until a rewrite goes well, all others fail at once. */
 bool journal_failed(const Journal *journal);
+/* Owned by the journal, and up to date at each call. */
 const JournalCounts *journal_counts(const Journal *journal);
-/* When the sync under way began, or INT64_MAX when there is none. */
+/* When the write under way began (ms of the loop); INT64_MAX: none is. */
 int64_t journal_sync_since(const Journal *journal);
 
 #endif
--- a/packages/journal/include/journal/record.h
+++ b/packages/journal/include/journal/record.h
@@ -3,15 +3,16 @@
 
 #include "wire/shape.h"
 
-/* What a journal holds. Numbers are part of the format. */
+/* The records of a journal. Numbers, field names and their order are part of the format on disk. Names: "term" is
+ * a term, an index one of the replicated log. */
 #define RECORD_LIST(X)                                                                                 \
     X(IDENTITY, 1, "identity") /* first record: format version, the disk's id; change 1: begun anew */ \
     X(CLUSTER, 2, "cluster")   /* term: cluster id; payload: packed VoterList */                       \
-    X(PROMISE, 3, "promise")   /* term and holder promised */                                          \
-    X(ENTRY, 4, "entry")       /* an entry of the ordered log */                                       \
-    X(TRIM, 5, "trim")         /* all entries after index are gone */                                  \
-    X(SNAPSHOT, 6, "snapshot") /* the state after index; earlier entries are gone */                   \
-    X(COMMIT, 7, "commit")     /* entries up to index are committed */
+    X(PROMISE, 3, "promise")   /* term: the term promised; index: to which disk */                     \
+    X(ENTRY, 4, "entry")       /* an entry of the replicated log */                                    \
+    X(TRIM, 5, "trim")         /* all entries after index are dropped */                               \
+    X(SNAPSHOT, 6, "snapshot") /* the state after index; earlier entries are dropped */                \
+    X(COMMIT, 7, "commit")     /* entries up to index are committed; of earlier releases */
 
 typedef enum RecordKind {
 #define X(name, number, word) RECORD_##name = number,
@@ -19,7 +20,8 @@
 #undef X
 } RecordKind;
 
-/* One shape for all kinds; each uses the fields it needs. */
+/* One shape for all kinds; each uses the fields that it needs. at_ms: of the log's clock, when the entry or snapshot
+ * was made; change: the number of the change of an entry; name: of the node, in the identity. */
 #define RECORD_FIELDS(X) \
     X(U64, kind, 0)      \
     X(U64, term, 0)      \
--- a/packages/journal/src/block.c
+++ b/packages/journal/src/block.c
@@ -1,4 +1,4 @@
-/* The format of a journal: blocks of records, each with checksums. */
+/* The format of a journal: blocks of records, each with checksums. All numbers are big-endian. */
 #include "block.h"
 
 #include <talloc.h>
@@ -30,7 +30,7 @@
     bytes_add(mem, to, body.data, body.count);
 }
 
-/* Whether a whole, good block starts here; its body is told. */
+/* Whether a whole, good block starts at this byte; body: its records, within content. */
 static bool block_at(Bytes content, size_t at, Bytes *body)
 {
     if (content.count - at < BLOCK_HEAD)
@@ -56,6 +56,7 @@
     talloc_free(scratch);
 }
 
+/* Hands over the records of a block that starts at byte at. */
 static Status block_read(Bytes body, size_t at, JournalFn found, void *arg, Failure *failure)
 {
     for (size_t k = 0; k < body.count;) {
@@ -90,7 +91,7 @@
                 if (content.data[later] == (uint8_t)(MAGIC >> 24) && block_at(content, later, &body))
                     return failure_set(failure, STATUS_JOURNAL_CORRUPT,
                                        "bad block at byte %zu, but a whole one follows at byte %zu", at, later);
-            return STATUS_OK; /* a torn tail */
+            return STATUS_OK; /* no whole block follows: a torn tail */
         }
         const Status status = block_read(body, at, found, arg, failure);
         if (status != STATUS_OK)
--- a/packages/journal/src/block.h
+++ b/packages/journal/src/block.h
@@ -3,10 +3,12 @@
 
 #include "journal/record.h"
 
-/* Adds a whole block with this body. */
+/* Building the blocks of a journal; reading them is journal_read. Nothing here waits. */
+
+/* Adds a whole block with this body; to grows on mem. */
 void block_add(void *mem, Bytes *to, Bytes body);
-/* Adds a record to a body: records stand in a block one after the other, each with its
- * length. */
+/* Adds a record to a body, which grows on mem: the records of a block stand one after the other, each with
+ * its length before it. */
 void record_add(void *mem, Bytes *body, const Record *record);
 
 #endif
--- /dev/null
+++ b/packages/journal/src/inside.h
@@ -0,0 +1,39 @@
+#ifndef JOURNAL_SRC_INSIDE_H
+#define JOURNAL_SRC_INSIDE_H
+
+#include "journal/journal.h"
+
+/* What the parts of a journal share: open.c makes it, journal.c writes it. */
+
+/* Records that wait for their sync; owned by the task that waits. */
+typedef struct Waiting {
+    struct Waiting *next;
+    bool rewrite; /* body is a whole file of blocks; else the records of a block to be */
+    Bytes body;
+    size_t records;
+    bool done; /* status is set */
+    Status status;
+    Signal ended;
+} Waiting;
+
+/* Invariants: first..last are queued in the order of the calls; once it is open only the writing task touches
+ * the file. After a failed write nothing more is written but a whole new file: what the old one holds is not
+ * known any more. */
+struct Journal {
+    Loop *loop;
+    File *file;
+    uint64_t disk; /* id */
+    const char *node_name;
+    Waiting *first, *last;
+    Signal asked; /* something was queued */
+    bool failed;
+    int64_t sync_since_ms; /* INT64_MAX: no write is under way */
+    JournalCounts counts;
+};
+
+/* The first record of the file. */
+Record journal_identity(const Journal *journal);
+/* Spawns the writing task: the journal is open. */
+void journal_run(Journal *journal);
+
+#endif
--- /dev/null
+++ b/packages/journal/src/open.c
@@ -0,0 +1,157 @@
+/* Opening a journal: the file is made or read, a torn tail is cut off, and what can't be read is refused. */
+#include <inttypes.h>
+#include <string.h>
+#include <talloc.h>
+
+#include "block.h"
+#include "inside.h"
+
+/* A journal that is being read. */
+typedef struct Opening {
+    Journal *journal;
+    JournalFn found;
+    void *arg;
+    size_t records;
+    Failure failure; /* what is wrong with the identity */
+} Opening;
+
+/* The identity comes first; all other records go to the reader. */
+static void open_record(void *arg, const Record *record)
+{
+    Opening *opening = arg;
+    Journal *journal = opening->journal;
+    if (opening->records++ == 0) {
+        if (record->kind != RECORD_IDENTITY)
+            failure_set(&opening->failure, STATUS_JOURNAL_CORRUPT, "the first record is not the identity");
+        else if (record->term > JOURNAL_VERSION)
+            failure_set(&opening->failure, STATUS_JOURNAL_FORMAT, "format %" PRIu64 ", this release reads up to %d",
+                        record->term, JOURNAL_VERSION);
+        else if (strcmp(record->name, journal->node_name) != 0)
+            failure_set(&opening->failure, STATUS_JOURNAL_FOREIGN, "this is the journal of node %s, not of %s",
+                        record->name, journal->node_name);
+        journal->disk = record->index;
+        journal->counts.begun_anew = record->change != 0;
+        return;
+    }
+    if (opening->failure.status == STATUS_OK && record->kind != RECORD_IDENTITY)
+        opening->found(opening->arg, record);
+}
+
+/* Waits. A journal on mem with nothing but its file. */
+static Status file_take(Loop *loop, void *mem, const char *path, const char *node_name, Journal **out, Failure *failure)
+{
+    Journal *journal = talloc_zero(mem, Journal);
+    journal->loop = loop;
+    journal->node_name = talloc_strdup(journal, node_name);
+    journal->sync_since_ms = INT64_MAX;
+    *out = journal;
+    return file_open(loop, journal, path, &journal->file, failure);
+}
+
+/* Waits. Replaces the file; a disk that refuses writes is tried again for JOURNAL_OPEN_MS. */
+static Status replace_try(Journal *journal, Bytes content)
+{
+    const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
+    Status status;
+    while ((status = file_replace(journal->file, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
+        loop_sleep(journal->loop, DISK_MEND_MS);
+    return status;
+}
+
+/* Waits. Reads the file, likewise. */
+static Status read_try(Journal *journal, void *mem, Bytes *content)
+{
+    const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
+    Status status;
+    while ((status = file_read(journal->file, mem, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
+        loop_sleep(journal->loop, DISK_MEND_MS);
+    return status;
+}
+
+/* Waits. Reads the file and hands its records over; its torn tail is cut off. */
+static Status content_take(Journal *journal, const char *path, Opening *opening, Failure *failure)
+{
+    void *mem = talloc_new(journal);
+    Bytes content = {0};
+    size_t good_count = 0;
+    Status status = read_try(journal, mem, &content);
+    if (status != STATUS_OK)
+        failure_set(failure, status, "cannot read %s", path);
+    else
+        status = journal_read(content, open_record, opening, &good_count, failure);
+    if (status == STATUS_OK && opening->failure.status != STATUS_OK)
+        status = failure_set(failure, opening->failure.status, "%s", opening->failure.text);
+    if (status == STATUS_OK && good_count == 0 &&
+        content.count > 0) /* the first block is written in one step: it can't be torn */
+        status = failure_set(failure, STATUS_JOURNAL_CORRUPT, "%s holds no journal", path);
+    if (status == STATUS_OK && good_count < content.count) {
+        status = replace_try(journal, (Bytes){content.data, good_count, 0});
+        if (status != STATUS_OK)
+            failure_set(failure, status, "cannot cut the torn tail of %s", path);
+    }
+    journal->counts.bytes = good_count;
+    journal->counts.torn_bytes = content.count - good_count;
+    talloc_free(mem);
+    return status;
+}
+
+/* Waits. A new disk id, in a file that holds nothing else. */
+static Status identity_write(Journal *journal, const char *path, Failure *failure)
+{
+    void *mem = talloc_new(journal);
+    Bytes body = {0}, block = {0};
+    journal->disk = loop_random(journal->loop) >> 1;
+    const Record first = journal_identity(journal);
+    record_add(mem, &body, &first);
+    block_add(mem, &block, body);
+    const Status status = replace_try(journal, block);
+    journal->counts.bytes = block.count;
+    talloc_free(mem);
+    return status == STATUS_OK ? status : failure_set(failure, status, "cannot write %s", path);
+}
+
+Status journal_open(Loop *loop, void *mem, const char *path, const char *node_name, JournalFn found, void *arg,
+                    Journal **out, Failure *failure)
+{
+    Journal *journal;
+    Status status = file_take(loop, mem, path, node_name, &journal, failure);
+    if (status != STATUS_OK)
+        return status;
+    Opening opening = {journal, found, arg, 0, {0}};
+    status = content_take(journal, path, &opening, failure);
+    if (status == STATUS_OK && opening.records == 0)
+        status = identity_write(journal, path, failure);
+    if (status != STATUS_OK)
+        return status;
+    journal_run(journal);
+    *out = journal;
+    return STATUS_OK;
+}
+
+/* Waits. A copy beside the file for whoever looks into the fault: it may fail, nothing rests on it. */
+static void keep_bad(Journal *journal, const char *path)
+{
+    void *mem = talloc_new(journal);
+    Bytes content = {0};
+    File *beside;
+    if (read_try(journal, mem, &content) == STATUS_OK && content.count <= JOURNAL_BAD_BYTES &&
+        file_open(journal->loop, journal, talloc_asprintf(mem, "%s.bad", path), &beside, NULL) == STATUS_OK)
+        (void)file_replace(beside, content);
+    talloc_free(mem);
+}
+
+Status journal_begin(Loop *loop, void *mem, const char *path, const char *node_name, Journal **out, Failure *failure)
+{
+    Journal *journal;
+    Status status = file_take(loop, mem, path, node_name, &journal, failure);
+    if (status != STATUS_OK)
+        return status;
+    keep_bad(journal, path);
+    journal->counts.begun_anew = true;
+    status = identity_write(journal, path, failure);
+    if (status != STATUS_OK)
+        return status;
+    journal_run(journal);
+    *out = journal;
+    return STATUS_OK;
+}
--- a/packages/replication/include/replication/membership.h
+++ b/packages/replication/include/replication/membership.h
@@ -6,22 +6,23 @@
 
 #include "lock/lock.h"
 
-/* Which change of membership comes next, decided from what the leader knows alone.
+/* Which change of membership comes next, decided from what the leader knows alone: no time, no wire, no
+ * disk. Used by the leader (reconfigure.c) and by status. Nothing here waits or allocates.
  *
- * Each change adds or removes one voter, so that any majority of one list shares a
- * voter with any majority of the next; the next one is weighed only once the last is
- * committed. How many more losses the voters bear is how many of those that live may
- * go before a majority is missing. No change here makes that less than it was:
+ * Each change adds or removes one voter, so that any majority of one list shares a voter with any majority
+ * of the next (Raft: single-server changes); the next one is weighed only once the last is committed. How
+ * many more losses the voters bear is how many of those alive may be lost before a majority is missing.
+ * Invariant: no change makes that less than it was:
  *  - a learner that is ready may be added to any number of voters;
  *  - a voter that is gone may be removed from any number;
- *  - one that lives is removed from an even number alone: that of n and that of
- *    n - 1 voters bear as many losses. So a successor is added before it goes. */
+ *  - one that is alive is removed from an even number alone: n and n - 1 voters bear as many losses then.
+ *    So its successor is added before it is removed. */
 
-/* What is known of one voter or learner. */
+/* What is known of one voter or learner. The zone is owned by the caller. */
 typedef struct MemberState {
     uint64_t disk;
     const char *zone;
-    bool self;    /* the leader's own: never removed by itself */
+    bool self;    /* the leader: never removed by itself */
     bool live;    /* a voter: in the view, and it answers */
     bool gone;    /* a voter: silent for too long, or its disk is lost */
     bool leaving; /* its process has been told to end */
@@ -31,22 +32,24 @@
 
 typedef enum MembershipStep { MEMBERSHIP_KEEP, MEMBERSHIP_ADD, MEMBERSHIP_REMOVE } MembershipStep;
 
-/* index: of the learner to add, or of the voter to remove. */
+/* index: of the learner to add, or of the voter to remove, in the arrays of Membership. */
 typedef struct MembershipChange {
     MembershipStep step;
     size_t index;
 } MembershipChange;
 
+/* All that the choice depends on. */
 typedef struct Membership {
     const MemberState *voters;
     size_t voter_count;
     const MemberState *learners;
     size_t learner_count;
-    size_t wanted; /* voters */
+    size_t wanted; /* voters, as the settings ask */
 } Membership;
 
+/* The next change; MEMBERSHIP_KEEP: none is due, or none can be committed. */
 MembershipChange membership_next(const Membership *now);
-/* How many more voters may be lost; negative: so many are missing for a majority. */
+/* How many more of these voters may be lost; negative: so many are missing for a majority. */
 int membership_bears(const MemberState *voters, size_t count);
 
 #endif
--- a/packages/replication/src/contact.c
+++ b/packages/replication/src/contact.c
@@ -1,5 +1,5 @@
-/* A round of contact: that this node is still the only one that leads, shown by answers to
- * questions that were sent after the round began. No clock is asked. */
+/* Rounds of contact (Raft: ReadIndex): that this node is still the only leader, shown by answers to
+ * questions that were sent after the round began. No clock is relied on. */
 #include "contact.h"
 #include "lead.h"
 #include "learners.h"
@@ -7,7 +7,7 @@
 #include "voterlist.h"
 #include "voters.h"
 
-/* How many voters are known to grant the lock to this node since the round was asked for. */
+/* How many voters are known to have granted the lease to this node since the round was asked for. */
 static size_t contact_count(const Replication *replication, uint64_t wanted)
 {
     size_t count = 0;
@@ -45,7 +45,7 @@
             return;
 }
 
-/* Whether all that are taken for alive have answered the round. */
+/* Whether all voters and learners that are taken for alive have answered the round. */
 static bool contact_whole(const Replication *replication, uint64_t wanted)
 {
     bool whole = true;
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -1,4 +1,5 @@
-/* Founding: how an empty disk comes to be part of a cluster of its own. */
+/* Founding: how empty disks become a new cluster, by the votes of the seeds or by three disks that see
+ * each other. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -7,12 +8,17 @@
 #include "state.h"
 #include "voterlist.h"
 
+#define FOUND_LOOK_MS 200 /* ms; an empty controller looks so often whether three see each other */
+#define VOTE_LOOK_PART 6  /* an empty controller counts the seeds' votes so often in VOTE_WAIT_MS */
+
+/* Asks an empty controller to become part of the cluster with these voters. */
 #define FOUND_ASK_FIELDS(X) \
     X(U64, cluster, 0)      \
     X(LST, voters, DiskId)
 SHAPE(FoundAsk, FOUND_ASK_FIELDS)
 SHAPE_TABLE(FoundAsk, FOUND_ASK_FIELDS)
 
+/* The cluster that it is part of; 0: none. */
 #define FOUND_ANSWER_FIELDS(X) X(U64, cluster, 0)
 SHAPE(FoundAnswer, FOUND_ANSWER_FIELDS)
 SHAPE_TABLE(FoundAnswer, FOUND_ANSWER_FIELDS)
@@ -29,11 +35,12 @@
     void *mem = talloc_new(replication);
     size_t count;
     const Record *records = replication_records(replication, mem, &count);
-    const Status status = journal_write(replication->journal, records, 1);
+    const Status status = journal_write(replication->journal, records, 1); /* the cluster's record */
     talloc_free(mem);
     return status;
 }
 
+/* Waits for the disk. Founds or joins the cluster with these voters. */
 static Status found_now(Replication *replication, uint64_t cluster, const uint64_t disks[], size_t count)
 {
     void *mem = talloc_new(replication);
@@ -44,8 +51,8 @@
 
 /* --- by the seeds' votes --------------------------------------------------------- */
 
-/* The empty controller with the lowest disk that it has heard of stands; with the votes
- * of a majority of the seeds it founds, alone, and then gives voters to the others. */
+/* The empty controller with the lowest disk id that it has heard of stands as the founder. With the votes of a
+ * majority of the seeds it founds the cluster as its only voter, and as its leader adds the others. */
 static void votes_main(void *arg)
 {
     Replication *replication = arg;
@@ -55,7 +62,7 @@
     bool stands = false;
     while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
            rpc_cluster(replication->settings.rpc) == 0) {
-        loop_sleep(replication->loop, VOTE_WAIT_MS / 6);
+        loop_sleep(replication->loop, VOTE_WAIT_MS / VOTE_LOOK_PART);
         size_t seeds;
         if (members_lowest_empty(members) != replication->disk) {
             if (stands && members_votes(members, replication->disk, round, true, &seeds) == seeds) {
@@ -68,7 +75,7 @@
             if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(replication->loop) | 1;
-            replication->named = true; /* nobody else can stand */
+            replication->named = true; /* it need not wait its turn: there is no other voter */
             if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
                 recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
                                "founds cluster %016" PRIx64, cluster);
@@ -78,8 +85,8 @@
 
 /* --- by three disks --------------------------------------------------------------- */
 
-/* The three empty disks in the order of their ids; false when there are not
- * exactly three or when anybody knows a cluster. */
+/* The three empty disks in the order of their ids; false when there are not exactly three, or when any
+ * member knows a cluster. */
 static bool three_empty(const Replication *replication, uint64_t disks[VOTER_FIRST])
 {
     const MemberTable *table = members_table(replication->settings.members);
@@ -104,6 +111,7 @@
     return count == VOTER_FIRST;
 }
 
+/* Answers the offer to be one of three voters. */
 static Status on_found(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
@@ -123,6 +131,7 @@
     return status;
 }
 
+/* Waits. Offers the cluster to the other two. */
 static void offer(Replication *replication, const uint64_t disks[VOTER_FIRST], uint64_t cluster)
 {
     for (int i = 0; i < VOTER_FIRST; i++) {
@@ -140,18 +149,18 @@
     }
 }
 
-/* The one with the lowest id offers, the others accept. */
+/* The one with the lowest id founds and offers, the other two accept. */
 static void three_main(void *arg)
 {
     Replication *replication = arg;
     uint64_t before[VOTER_FIRST] = {0};
     int64_t since_ms = 0;
     while (!loop_stopping(replication->loop)) {
-        loop_sleep(replication->loop, 200);
+        loop_sleep(replication->loop, FOUND_LOOK_MS);
         uint64_t disks[VOTER_MOST];
         const int64_t now_ms = loop_now_ms(replication->loop);
         if (replication_founded(replication)) {
-            /* until a first view stands, the others may not have heard the offer */
+            /* until there is a first leader, the others may not have heard the offer */
             if (replication_voters(replication, disks) != VOTER_FIRST ||
                 members_leader_id(replication->settings.members)[0] != '\0')
                 return;
--- a/packages/replication/src/lead.h
+++ b/packages/replication/src/lead.h
@@ -33,8 +33,11 @@
 /* Tells all other voters that what they granted in view->term is not used. Does not wait for
  * their answers. next: the disk that is to take over at once; 0: whoever comes first. */
 void lead_release(Replication *replication, uint64_t next);
-/* The voter of the view that is to lead next: the least behind. quick: only one whose disk
- * is. 0: none. */
-uint64_t lead_next(const Replication *replication, bool quick);
+/* The disk of the voter of the view that is to lead next, the least behind; 0: none. */
+typedef enum NextVoter {
+    NEXT_ANY,
+    NEXT_QUICK, /* its disk has synced quickly of late */
+} NextVoter;
+uint64_t lead_next(const Replication *replication, NextVoter which);
 
 #endif
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -1,5 +1,5 @@
-/* Learners: controllers without a vote that follow the log all the time, so that a vote can
- * be given to one of them by one committed change, without a transfer. */
+/* Learners: controllers without a vote that follow the log all the time, so that a vote can be given to one of
+ * them by one committed change, without a transfer. */
 #include "learners.h"
 #include "lease.h"
 #include "replicate.h"
@@ -11,8 +11,7 @@
     return replication->settings.voter_back_ms > 0 ? replication->settings.voter_back_ms : VOTER_GONE_MS;
 }
 
-/* A controller that runs, is of this cluster and has no vote. One that leaves follows on: it
- * so learns that its vote has been given away. */
+/* One that is leaving may follow as well: so it learns that its vote has been given to another. */
 bool learner_may_follow(const Replication *replication, const Member *row)
 {
     return row->record.role == ROLE_CONTROLLER && row->record.disk != 0 &&
@@ -20,6 +19,7 @@
            replication_voter_of(replication, row->record.disk) < 0 && row->record.cluster == replication->cluster;
 }
 
+/* Whether the disk has a learner's slot. */
 static bool follows(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++)
@@ -43,6 +43,7 @@
     replication->learners_turn = replication->lead_turn;
 }
 
+/* Gives the slot to the disk, and spawns the tasks that replicate to it and renew its grants. */
 static void learner_begin(Replication *replication, size_t learner, uint64_t disk)
 {
     Learner *slot = &replication->learners[learner];
@@ -69,6 +70,7 @@
     return since_ms != INT64_MAX && loop_now_ms(replication->loop) - since_ms > replication_back_ms(replication);
 }
 
+/* Notes since when each learner has been ready. */
 static void ready_mark(Replication *replication)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++) {
--- a/packages/replication/src/leave.c
+++ b/packages/replication/src/leave.c
@@ -1,12 +1,12 @@
-/* A voter whose process is to end: its vote is given to a learner before, where there is one. */
+/* A process that is to end: its vote is given to a learner before, where there is one. */
 #include "lead.h"
 #include "learners.h"
 #include "lease.h"
 #include "state.h"
 #include "voters.h"
 
-/* Whether a controller without a vote runs that could take one over; whether it has the log
- * is known to the leader alone. */
+/* Whether a controller without a vote runs that could be given one. Whether it has the log is known to the
+ * leader alone. */
 static bool successor_runs(const Replication *replication)
 {
     const MemberTable *table = members_table(replication->settings.members);
@@ -16,7 +16,7 @@
     return runs;
 }
 
-/* Waits until one more than the voters wanted stand, by a committed list. */
+/* Waits until a committed list has one voter more than are wanted: the successor of this leader. */
 static void successor_wait(Replication *replication, int64_t until_ms)
 {
     while (replication_orders(replication) && replication_seated(replication) && successor_runs(replication) &&
--- a/packages/replication/src/log.c
+++ b/packages/replication/src/log.c
@@ -1,8 +1,12 @@
+/* The log in memory. */
 #include "replication/log.h"
 
+#include <assert.h>
 #include <string.h>
 #include <talloc.h>
 
+#define LOG_ROOM_FIRST 256 /* count; entries that a log has room for at first */
+
 Log *log_new(void *mem)
 {
     return talloc_zero(mem, Log);
@@ -34,8 +38,9 @@
 
 void log_add(Log *log, const Record *entry)
 {
+    assert(entry->index == log_last_index(log) + 1);
     if (log->count == log->room) {
-        log->room = log->room ? log->room * 2 : 256;
+        log->room = log->room ? log->room * 2 : LOG_ROOM_FIRST;
         log->entries = talloc_realloc(log, log->entries, Record, (unsigned)log->room);
         log->owners = talloc_realloc(log, log->owners, void *, (unsigned)log->room);
     }
@@ -49,7 +54,7 @@
 {
     uint64_t term;
     if (entry->index <= log->base_index)
-        return STATUS_OK; /* the snapshot stands for it */
+        return STATUS_OK; /* the snapshot covers it */
     if (entry->index > log_last_index(log) + 1)
         return STATUS_JOURNAL_CORRUPT;
     if (log_term_at(log, entry->index, &term) && term == entry->term)
@@ -92,4 +97,5 @@
     log->snapshot.payload = bytes_copy(log, snapshot->payload);
     log->base_term = snapshot->term;
     log->base_index = snapshot->index;
+    assert(log->count == 0 || log->entries[0].index == log->base_index + 1);
 }
--- a/packages/replication/src/membership.c
+++ b/packages/replication/src/membership.c
@@ -1,4 +1,5 @@
-/* Which change of membership comes next. */
+/* The choice of the next change of membership: docs/control-membership.md has the rules and why none of
+ * them makes the voters bear fewer losses. */
 #include "replication/membership.h"
 
 #include <string.h>
@@ -20,7 +21,7 @@
     return (int)live_count(voters, count) - (int)lock_majority(count);
 }
 
-/* Voters in a zone, but for those that leave. */
+/* How many voters the zone has, but for those that are leaving. */
 static size_t beside(const Membership *now, const char *zone)
 {
     size_t count = 0;
@@ -29,12 +30,14 @@
     return count;
 }
 
+/* Whether the learner can be given a vote at once. */
 static bool may_be_added(const MemberState *learner)
 {
     return learner->ready && !learner->leaving;
 }
 
-/* The learner to add: where the fewest voters stand; NONE: none is ready. */
+/* The learner to add: of the zone with the fewest voters, then of the lowest disk; NONE: none is ready.
+ * steady: it must have been ready for long. */
 static size_t best_learner(const Membership *now, bool steady)
 {
     size_t best = NONE, fewest = SIZE_MAX;
@@ -51,8 +54,8 @@
     return best;
 }
 
-/* A voter that is gone is of no use; removed first, it leaves a list that bears as
- * many losses and asks fewer voters. */
+/* A voter that is gone is removed before another is added: the shorter list bears as many losses and
+ * needs fewer voters for a majority. */
 static MembershipChange gone_removed(const Membership *now, size_t ready_count)
 {
     for (size_t i = 0; i < now->voter_count; i++) {
@@ -65,7 +68,7 @@
     return KEEP;
 }
 
-/* Whether a is rather to be removed than b. */
+/* Whether voter a is rather to be removed than voter b. */
 static bool goes_before(const Membership *now, const MemberState *a, const MemberState *b)
 {
     if (a->leaving != b->leaving)
@@ -75,7 +78,7 @@
     return beside(now, a->zone) > beside(now, b->zone);
 }
 
-/* A leader that leaves is removed by the next one. */
+/* Whether the leader itself is leaving: it is removed by the next leader. */
 static bool self_leaves(const Membership *now)
 {
     bool leaves = false;
@@ -84,7 +87,7 @@
     return leaves;
 }
 
-/* One more than are wanted stand only while one is replaced. */
+/* There is one voter more than wanted only while one is replaced: the one that is to go is removed. */
 static MembershipChange surplus_removed(const Membership *now)
 {
     size_t worst = NONE;
@@ -97,6 +100,7 @@
     return live >= lock_majority(now->voter_count - 1) ? (MembershipChange){MEMBERSHIP_REMOVE, worst} : KEEP;
 }
 
+/* The learner added, where a majority of the list after it is alive. */
 static MembershipChange added(const Membership *now, size_t learner)
 {
     const bool fits = learner != NONE && now->voter_count < VOTER_MOST &&
@@ -104,16 +108,16 @@
     return fits ? (MembershipChange){MEMBERSHIP_ADD, learner} : KEEP;
 }
 
-/* Up to the number wanted. An even number bears no more losses than one less, so two
- * learners stand ready before an odd number grows. */
+/* A learner is added where there are fewer voters than wanted. An even number bears no more losses than
+ * one voter less, so two learners must be ready before an odd number grows. */
 static MembershipChange missing_added(const Membership *now, size_t ready_count)
 {
     const size_t needed = now->voter_count < VOTER_FIRST || now->voter_count % 2 == 0 ? 1 : 2;
     return ready_count >= needed ? added(now, best_learner(now, false)) : KEEP;
 }
 
-/* A learner is added for a voter that leaves, or for one of a zone that has too many:
- * after the loss of a zone its votes stand in the others. */
+/* A learner is added for a voter that is leaving, or for one of a zone that has too many: after the loss
+ * of a zone its votes are those of the others, and go back when it returns. */
 static MembershipChange successor_added(const Membership *now)
 {
     bool any_leaves = false, all_live = true;
@@ -136,7 +140,7 @@
     size_t ready_count = 0;
     for (size_t i = 0; i < now->learner_count; i++)
         ready_count += may_be_added(&now->learners[i]);
-    /* one gone is replaced before the next is removed: with fewer voters than are wanted,
+    /* one that is missing is added before the next one gone is removed: with fewer voters than wanted,
      * fewer disks would hold what is acknowledged */
     const MembershipChange missing = now->voter_count < now->wanted ? missing_added(now, ready_count) : KEEP;
     if (missing.step != MEMBERSHIP_KEEP)
--- a/packages/replication/src/messages.c
+++ b/packages/replication/src/messages.c
@@ -1,3 +1,4 @@
+/* The tables of the messages and payloads in messages.h. */
 #include "replication/messages.h"
 
 SHAPE_TABLE(DiskId, DISK_ID_FIELDS)
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -1,4 +1,4 @@
-/* Asking all voters at once. */
+/* Asking all voters at once: one task for each, so that a silent one costs no more than its time-out. */
 #include <talloc.h>
 
 #include "poll.h"
@@ -7,9 +7,10 @@
 #include "voter.h"
 #include "voterlist.h"
 
+/* The task for one voter. */
 typedef struct PollPart {
     Poll *poll;
-    int voter;
+    int voter; /* its place */
 } PollPart;
 
 void poll_leave(Poll *poll)
@@ -51,13 +52,10 @@
            status != STATUS_STRANGER && status != STATUS_INTERNAL && status != STATUS_OTHER_DISK;
 }
 
-Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST])
+/* Spawns a task for each voter that is asked. */
+static void poll_spawn(Poll *poll, const bool skip[VOTER_MOST])
 {
-    Poll *poll = talloc_zero(replication, Poll);
-    poll->replication = replication;
-    poll->ask =
-        (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
-    poll->users = 1;
+    Replication *replication = poll->replication;
     for (int i = 0; i < VOTER_MOST; i++) {
         poll->status[i] = STATUS_UNREACHABLE;
         if (skip[i] || replication->voters[i] == 0)
@@ -69,7 +67,17 @@
         *part = (PollPart){poll, i};
         loop_spawn(replication->loop, "poll", poll_main, part);
     }
-    /* also the own disk is not waited for without end */
+}
+
+Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST])
+{
+    Poll *poll = talloc_zero(replication, Poll);
+    poll->replication = replication;
+    poll->ask =
+        (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
+    poll->users = 1;
+    poll_spawn(poll, skip);
+    /* the own disk is not waited for without end either */
     int64_t until_ms = loop_now_ms(replication->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
     const size_t needed = replication_majority(replication);
     bool majority = false;
--- a/packages/replication/src/poll.h
+++ b/packages/replication/src/poll.h
@@ -18,8 +18,8 @@
     int64_t sent_ms[VOTER_MOST];
 } Poll;
 
-/* Waits until all have answered or can't be reached; once a majority of voters none of which
- * has restarted has answered, POLL_GRACE_MS more is enough. term: the term to be promised; 0:
+/* Waits until all have answered or can't be reached. Once a majority has answered, and none of them
+ * has lost anything by a restart, it waits POLL_GRACE_MS more at most. term: the term to be promised; 0:
  * only a look. skip: places that are not asked. Ends with poll_leave. */
 Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST]);
 /* The asking task is done with it. */
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -1,5 +1,5 @@
-/* Changing the list of voters: one committed change after another, as membership.h chooses them, until
- * the voters wanted stand. */
+/* Changes of membership: the leader adds or removes one voter after another, each by a committed entry,
+ * as membership.h chooses, until there are as many voters as the settings want. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -7,33 +7,33 @@
 #include "lead.h"
 #include "learners.h"
 #include "lease.h"
-#include "replicate.h"
 #include "reconfigure.h"
+#include "replicate.h"
 #include "state.h"
 #include "voterlist.h"
 #include "voters.h"
 
-/* Waits until the list with the disk at the place, or the place vacated, is committed. */
-static bool list_committed(Replication *replication, int place, uint64_t disk)
+/* The payload of the list with the disk at the place, or the place vacated (0); on mem. */
+static Bytes list_pack(const Replication *replication, void *mem, int place, uint64_t disk)
 {
-    void *mem = talloc_new(replication);
     Bytes payload = {0};
     shape_pack(&VoterList_shape, voters_with(replication, mem, place, disk), mem, &payload);
-    ChangeResult result;
-    const Status status = replication_submit(replication, REPLICATION_CHANGE_VOTERS, payload, &result);
-    talloc_free(mem);
-    return status == STATUS_OK;
+    return payload;
 }
 
+/* Waits until the list without the voter at the place is committed. */
 static void voter_remove(Replication *replication, int place)
 {
-    const uint64_t disk = replication->voters[place];
+    void *mem = talloc_new(replication);
+    ChangeResult result;
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                   "voter %016" PRIx64 " is removed", disk);
-    list_committed(replication, place, 0);
+                   "voter %016" PRIx64 " is removed", replication->voters[place]);
+    /* where it fails, the next look at the members chooses again */
+    (void)replication_submit(replication, REPLICATION_CHANGE_VOTERS, list_pack(replication, mem, place, 0), &result);
+    talloc_free(mem);
 }
 
-/* A place that nobody has. */
+/* A place that nobody has; -1: none. */
 static int place_free(const Replication *replication)
 {
     for (int i = 0; i < VOTER_MOST; i++)
@@ -42,16 +42,16 @@
     return -1;
 }
 
-/* What the leader knows of the learner holds for the voter: it goes on from there. */
+/* Waits until the list with the learner as a voter is committed. What the leader knows of the learner
+ * holds for the voter: replication and lease go on from there. */
 static void voter_add(Replication *replication, size_t learner)
 {
     const int place = place_free(replication);
     const uint64_t disk = replication->learners[learner].disk;
     const Peer peer = replication->peers[VOTER_MOST + learner];
     void *mem = talloc_new(replication);
-    Bytes payload = {0};
-    shape_pack(&VoterList_shape, voters_with(replication, mem, place, disk), mem, &payload);
-    const Status status = replication_offer(replication, REPLICATION_CHANGE_VOTERS, payload);
+    const Status status =
+        replication_offer(replication, REPLICATION_CHANGE_VOTERS, list_pack(replication, mem, place, disk));
     talloc_free(mem);
     if (status != STATUS_OK || replication->voters[place] != disk)
         return;
@@ -62,12 +62,12 @@
     lead_peer(replication, place);
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                    "seat %d of %zu is given to disk %016" PRIx64, place + 1, replication->voter_count, disk);
-    replication_settle(replication);
+    (void)replication_settle(replication); /* where it fails, the next look at the members waits for the commit */
 }
 
-/* What is known of the others may be as old as a renewal. Before a change they are asked
- * once more, for one that counts on a member which has just gone might never be committed.
- * Answers age too: a round is short, and longer only where too few have answered in it. */
+/* Waits. What is known of the others may be as old as a renewal of the lease. Before a change they are
+ * asked once more, for one that counts on a member which has just gone might never be committed.
+ * Answers age too: a round of contact is short, and longer only where too few have answered in it. */
 static void look_fresh(Replication *replication, Look *look)
 {
     const int64_t most_ms = replication->ask_ms > 0 ? replication->ask_ms : POLL_GRACE_MS;
@@ -79,7 +79,8 @@
         replication->ask_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
 }
 
-/* Whether a change was tried. A list must be committed before the next. */
+/* Waits. Weighs the next change and makes it. Whether one was tried. A list must be committed before the
+ * next one is weighed. */
 static bool membership_tend(Replication *replication)
 {
     if (!replication_orders(replication)) {
@@ -106,6 +107,7 @@
     return change.step != MEMBERSHIP_KEEP;
 }
 
+/* Whether a learner is still catching up. */
 static bool learners_pending(const Replication *replication)
 {
     bool pending = false;
@@ -118,7 +120,7 @@
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
-        /* one change follows another at once: between them fewer voters may stand than are wanted */
+        /* one change follows another at once: between them there may be fewer voters than are wanted */
         const int64_t rest_ms = membership_tend(replication)    ? 1
                                 : learners_pending(replication) ? MEMBERSHIP_SOON_MS
                                                                 : MEMBERSHIP_LOOK_MS;
--- a/packages/replication/src/stepdown.c
+++ b/packages/replication/src/stepdown.c
@@ -1,5 +1,5 @@
-/* Giving up the lead: the lease is released at the voters, and one of them is named to be the next
- * leader. */
+/* Giving up the lead: the lease is released at the voters, so that none of them has to wait until it
+ * lapses, and one of them is named to be the next leader. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -9,6 +9,7 @@
 #include "state.h"
 #include "voterlist.h"
 
+/* One release on its way; frees itself. */
 typedef struct Giving {
     Replication *replication;
     RenewAsk ask;
@@ -39,7 +40,7 @@
     }
 }
 
-uint64_t lead_next(const Replication *replication, bool quick)
+uint64_t lead_next(const Replication *replication, NextVoter which)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     const Peer *best = NULL;
@@ -49,8 +50,9 @@
         if (replication->voters[i] == replication->disk || !replication->in_configuration[i] ||
             now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
-        if (quick && (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
-                      (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
+        if (which == NEXT_QUICK &&
+            (peer->sync_ms > VOTER_SLOW_MS / 2 || peer->append_took_ms > VOTER_SLOW_MS / 2 ||
+             (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS / 2)))
             continue;
         if (best == NULL || peer->match_index > best->match_index) {
             best = peer;
@@ -68,9 +70,9 @@
     replication->lead_turn++;
     if (replication->phase != REPLICATION_FOLLOWING || replication->holding) {
         if (replication->holding) {
-            /* nothing is decided under this hold any more: the voters may forget it */
+            /* nothing is decided with this lease any more: the voters may forget that they granted it */
             lock_release(&replication->lock, replication->term, replication->disk, now_ms);
-            lead_release(replication, lead_next(replication, false));
+            lead_release(replication, lead_next(replication, NEXT_ANY));
             recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
                            term_counter(replication->term));
         }
--- a/packages/replication/src/viewchange.c
+++ b/packages/replication/src/viewchange.c
@@ -50,7 +50,7 @@
     const Peer *peer = &replication->peers[place];
     const bool near =
         peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log);
-    if (voter_dead(replication, replication->voters[place], false))
+    if (voter_dead(replication, replication->voters[place], DEAD_ANYWHERE))
         return "its disk is gone";
     if (now_ms - peer->answered_ms > LOCK_GRANT_MS)
         return "silent";
@@ -75,7 +75,7 @@
            peer->append_since_ms == INT64_MAX && peer->match_index > 0 &&
            peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log) &&
            peer->append_took_ms < VOTER_SLOW_MS / 2 && peer->sync_ms < VOTER_SLOW_MS / 2 && now_ms >= peer->return_ms &&
-           !voter_dead(replication, replication->voters[place], false);
+           !voter_dead(replication, replication->voters[place], DEAD_ANYWHERE);
 }
 
 /* A view in the making. */
@@ -135,7 +135,7 @@
             continue;
         /* a voter that has promised a higher term takes nothing of this one, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
-        skip[i] = silent || voter_dead(replication, replication->voters[i], false);
+        skip[i] = silent || voter_dead(replication, replication->voters[i], DEAD_ANYWHERE);
         anew |= !skip[i] && peer->promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
         if (next.in_configuration[i])
             replication_let_go(replication, &next, i, now_ms);
--- a/packages/replication/src/voterlist.c
+++ b/packages/replication/src/voterlist.c
@@ -209,13 +209,13 @@
     return disk != 0 && address[0] != '\0';
 }
 
-bool voter_dead(const Replication *replication, uint64_t disk, bool same_address)
+bool voter_dead(const Replication *replication, uint64_t disk, DeadWhere where)
 {
     const VoterController *controller = controller_of(replication, disk);
     if (controller == NULL || controller->name[0] == '\0')
         return false;
     const Member *other = members_other_disk(replication->settings.members, controller->name, disk);
-    return other != NULL && (!same_address || strcmp(other->record.address, controller->address) == 0);
+    return other != NULL && (where == DEAD_ANYWHERE || strcmp(other->record.address, controller->address) == 0);
 }
 
 const char *voter_zone(const Replication *replication, uint64_t disk)
--- a/packages/replication/src/voterlist.h
+++ b/packages/replication/src/voterlist.h
@@ -17,9 +17,12 @@
 uint64_t slot_disk(const Replication *replication, int slot);
 /* Where the disk at a slot is asked; false when nobody knows. */
 bool voter_address(const Replication *replication, int slot, char address[ADDRESS_MAX]);
-/* Whether the disk is gone for certain: its controller has come back with another one; same_address:
- * and at the same address. */
-bool voter_dead(const Replication *replication, uint64_t disk, bool same_address);
+/* Whether the disk is gone for certain: a controller of the same name has come back with another one. */
+typedef enum DeadWhere {
+    DEAD_ANYWHERE,
+    DEAD_SAME_ADDRESS, /* at the address where the disk was given its vote */
+} DeadWhere;
+bool voter_dead(const Replication *replication, uint64_t disk, DeadWhere where);
 /* The zone of the disk's controller; empty when nobody knows. */
 const char *voter_zone(const Replication *replication, uint64_t disk);
 
--- a/packages/replication/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -1,4 +1,4 @@
-/* What the leader knows of the voters and learners, as membership.h wants it. */
+/* What the leader knows of voters and learners, as membership.h wants it to choose the next change. */
 #include <string.h>
 
 #include "learners.h"
@@ -6,7 +6,7 @@
 #include "voterlist.h"
 #include "voters.h"
 
-/* A voter silent for longer is replaced by any learner that is ready: a stated part of
+/* For how long a voter may be silent before it is replaced by a learner that is ready: a stated part of
  * the span in which a loss must be made good, but no less than its lease may run. */
 static int64_t silent_most_ms(const Replication *replication, const Member *member)
 {
@@ -28,7 +28,7 @@
     const uint64_t disk = replication->voters[place];
     if (disk == 0 || disk == replication->disk || replication->in_configuration[place])
         return false;
-    if (voter_dead(replication, disk, false))
+    if (voter_dead(replication, disk, DEAD_ANYWHERE))
         return true;
     const Member *member = members_find_disk(replication->settings.members, disk);
     int64_t heard_ms = member != NULL ? member->seen_ms : replication->won_ms;
@@ -37,6 +37,7 @@
     return loop_now_ms(replication->loop) - heard_ms > silent_most_ms(replication, member);
 }
 
+/* What is known of voters and learners alike. */
 static MemberState state_of(const Replication *replication, uint64_t disk)
 {
     const Member *member = members_find_disk(replication->settings.members, disk);
@@ -54,7 +55,6 @@
     return 2 * losses + 1 < VOTER_MOST ? 2 * losses + 1 : VOTER_MOST;
 }
 
-/* Who has not answered that round of contact counts as not alive; 0: as far as is known. */
 void look_take(const Replication *replication, uint64_t contact, Look *look)
 {
     memset(look, 0, sizeof(*look));
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -35,7 +35,8 @@
         now_ms < replication->rest_until_ms)
         return false;
     /* a leader whose disk is gone leads no more */
-    if (replication->lock.holder != replication->disk && voter_dead(replication, replication->lock.holder, true))
+    if (replication->lock.holder != replication->disk &&
+        voter_dead(replication, replication->lock.holder, DEAD_SAME_ADDRESS))
         lock_release(&replication->lock, replication->lock.promised, replication->lock.holder, now_ms);
     return !lock_held(&replication->lock, now_ms) &&
            lock_may_promise(&replication->lock, UINT64_MAX, replication->disk, now_ms) == STATUS_OK;
@@ -61,7 +62,7 @@
     if (since_ms != INT64_MAX && now_ms - since_ms > APPEND_TIMEOUT_MS)
         return true;
     const bool late = since_ms != INT64_MAX && now_ms - since_ms > VOTER_LATE_MS;
-    return (late || replication->slow_times >= VOTER_SLOW_TIMES) && lead_next(replication, true) != 0;
+    return (late || replication->slow_times >= VOTER_SLOW_TIMES) && lead_next(replication, NEXT_QUICK) != 0;
 }
 
 /* Waits where a new election is needed. The leader looks at its lease, its disk and its voters. */
--- a/packages/replication/src/window.c
+++ b/packages/replication/src/window.c
@@ -1,4 +1,4 @@
-/* What a checker sees of a view. */
+/* What a checker of safety properties sees of the replicated log. */
 #include "replication/window.h"
 
 #include <talloc.h>
