--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -1,5 +1,5 @@
-/* The journal: what it gives back, torn tails, corruption, foreign and later
- * files, and bytes spoiled in every place. */
+/* The journal on a simulated disk: what is read back after kills, losses of power and failures of the disk, and
+ * which files are refused, cut off or replaced. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,14 +14,38 @@
 
 #define PATH "data/journal"
 
+/* --- the fixture: one machine with an empty disk --------------------------------------- */
+
+typedef struct Fixture {
+    SimWorld *world;
+    int machine;
+} Fixture;
+
+static int set_up(void **state)
+{
+    Fixture *fixture = talloc_zero(NULL, Fixture);
+    fixture->world = sim_world_new(fixture, 1);
+    fixture->machine = sim_machine(fixture->world);
+    *state = fixture;
+    return 0;
+}
+
+static int tear_down(void **state)
+{
+    talloc_free(*state);
+    return 0;
+}
+
+/* One life of a process: it opens the journal, and writes to it. */
 typedef struct Seen {
     Loop *loop;
-    const char *node;
+    const char *node; /* the name that it opens the journal with */
+    size_t writes;    /* entries of 50 bytes, one write each */
+    bool rewrite;     /* half-way, the whole file is rewritten to the last entry */
     Journal *journal;
-    Status status;
+    Status status; /* of the open, or of the last write */
     Failure failure;
-    size_t entries, last_index, writes;
-    bool write, rewrite;
+    size_t entries, last_index; /* read; the last index read or written */
 } Seen;
 
 static void on_record(void *arg, const Record *record)
@@ -61,6 +85,7 @@
     loop_spawn(loop, "open", open_main, seen);
 }
 
+/* Lives for five virtual seconds, then is killed. */
 static Seen run(SimWorld *world, int machine, const char *node, size_t writes, bool rewrite)
 {
     Seen *seen = talloc_zero(world, Seen);
@@ -75,65 +100,85 @@
     return *seen;
 }
 
-static void there_and_back(void **state)
+/* Writes 20 entries as core1; the file. */
+static Bytes *written(const Fixture *fixture)
 {
-    (void)state;
-    SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
-    assert_int_equal(run(world, machine, "core1", 20, false).status, STATUS_OK);
-    Seen seen = run(world, machine, "core1", 0, false);
+    assert_int_equal(run(fixture->world, fixture->machine, "core1", 20, false).status, STATUS_OK);
+    return sim_disk_content(fixture->world, fixture->machine, PATH);
+}
+
+static Seen reopened(const Fixture *fixture, const char *node)
+{
+    return run(fixture->world, fixture->machine, node, 0, false);
+}
+
+/* --- what is read back -------------------------------------------------------------------- */
+
+static void records_are_read_back(void **state)
+{
+    const Fixture *fixture = *state;
+    written(fixture);
+    Seen seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
     assert_int_equal(seen.last_index, 20);
     /* rewritten in the middle: the first half is one record, the rest follows it */
-    assert_int_equal(run(world, machine, "core1", 10, true).status, STATUS_OK);
-    seen = run(world, machine, "core1", 0, false);
+    assert_int_equal(run(fixture->world, fixture->machine, "core1", 10, true).status, STATUS_OK);
+    seen = reopened(fixture, "core1");
     assert_int_equal(seen.entries, 6);
     assert_int_equal(seen.last_index, 30);
-    talloc_free(world);
 }
 
-static void refusals(void **state)
+static void torn_tail_is_cut_off(void **state)
 {
-    (void)state;
-    SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
-    run(world, machine, "core1", 20, false);
-    Bytes *file = sim_disk_content(world, machine, PATH);
-    const Bytes whole = bytes_copy(world, *file);
-    Seen seen = run(world, machine, "core2", 0, false);
-    assert_int_equal(seen.status, STATUS_JOURNAL_FOREIGN);
-    assert_non_null(strstr(seen.failure.text, "core1"));
-    /* a torn tail: cut off, the rest stands */
-    file->count -= 5;
-    seen = run(world, machine, "core1", 0, false);
+    const Fixture *fixture = *state;
+    written(fixture)->count -= 5;
+    const Seen seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 19);
-    /* zeroes after the end, as a file system leaves them */
-    file = sim_disk_content(world, machine, PATH); /* the cut put another file in its place */
-    file->count = 0;
-    uint8_t zeroes[100] = {0};
-    bytes_add(world, file, whole.data, whole.count);
-    bytes_add(world, file, zeroes, sizeof(zeroes));
-    seen = run(world, machine, "core1", 0, false);
+}
+
+/* Zeroes after the end, as a file system may leave them. */
+static void zeroed_tail_is_cut_off(void **state)
+{
+    const Fixture *fixture = *state;
+    const uint8_t zeroes[100] = {0};
+    bytes_add(fixture->world, written(fixture), zeroes, sizeof(zeroes));
+    const Seen seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_OK);
     assert_int_equal(seen.entries, 20);
-    /* a bit in the middle: refused, with its place */
-    file = sim_disk_content(world, machine, PATH);
+}
+
+/* --- what is refused, and what is begun in its place ---------------------------------------- */
+
+static void foreign_node_is_refused(void **state)
+{
+    const Fixture *fixture = *state;
+    written(fixture);
+    const Seen seen = reopened(fixture, "core2");
+    assert_int_equal(seen.status, STATUS_JOURNAL_FOREIGN);
+    assert_non_null(strstr(seen.failure.text, "core1"));
+    assert_int_equal(reopened(fixture, "core1").entries, 20); /* the file stays */
+}
+
+/* A bit in the middle: the failure says where. */
+static void flipped_bit_is_refused(void **state)
+{
+    const Fixture *fixture = *state;
+    Bytes *file = written(fixture);
     file->data[file->count / 2] ^= 4;
-    seen = run(world, machine, "core1", 0, false);
+    const Seen seen = reopened(fixture, "core1");
     assert_int_equal(seen.status, STATUS_JOURNAL_CORRUPT);
     assert_non_null(strstr(seen.failure.text, "at byte"));
-    talloc_free(world);
 }
 
-/* Every byte of a small journal flipped, one at a time: never a crash, never a
- * silently shorter log unless it is the last block that was hit. */
-static void every_byte(void **state)
+/* Every byte of a small journal flipped, one at a time: never a crash, never a silently shorter log unless it is the
+ * last block that was hit. */
+static void each_flipped_byte_is_noticed(void **state)
 {
-    (void)state;
-    SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
+    const Fixture *fixture = *state;
+    SimWorld *world = fixture->world;
+    const int machine = fixture->machine;
     run(world, machine, "core1", 6, false);
     const Bytes whole = bytes_copy(world, *sim_disk_content(world, machine, PATH));
     size_t corrupt = 0, torn = 0;
@@ -156,17 +201,14 @@
         talloc_free(copy.data);
     }
     assert_true(torn > 50 && corrupt > 200);
-    talloc_free(world);
 }
 
-static void later_format(void **state)
+/* The identity record of a later release. */
+static void later_format_is_refused(void **state)
 {
-    (void)state;
-    void *mem = talloc_new(NULL);
-    SimWorld *world = sim_world_new(mem, 1);
-    const int machine = sim_machine(world);
-    run(world, machine, "core1", 1, false);
-    /* the identity record of a later release */
+    const Fixture *fixture = *state;
+    void *mem = fixture->world;
+    run(fixture->world, fixture->machine, "core1", 1, false);
     const Record later = {.kind = RECORD_IDENTITY, .term = JOURNAL_VERSION + 1, .index = 9, .name = "core1"};
     Bytes packed = {0}, body = {0}, block = {0};
     shape_pack(&Record_shape, &later, mem, &packed);
@@ -181,12 +223,10 @@
     }
     bytes_add(mem, &block, head, 16);
     bytes_add(mem, &block, body.data, body.count);
-    Bytes *file = sim_disk_content(world, machine, PATH);
+    Bytes *file = sim_disk_content(fixture->world, fixture->machine, PATH);
     file->count = 0;
-    bytes_add(world, file, block.data, block.count);
-    const Seen seen = run(world, machine, "core1", 0, false);
-    assert_int_equal(seen.status, STATUS_JOURNAL_FORMAT);
-    talloc_free(mem);
+    bytes_add(mem, file, block.data, block.count);
+    assert_int_equal(reopened(fixture, "core1").status, STATUS_JOURNAL_FORMAT);
 }
 
 static void begin_main(void *arg)
@@ -201,13 +241,13 @@
     loop_spawn(loop, "begin", begin_main, arg);
 }
 
-/* Some other file, and one that lost its beginning: refused, never taken for an empty disk.
- * What is begun in its place has another id, says so ever after, and keeps a copy. */
-static void begun_anew(void **state)
+/* Some other file, and one that lost its beginning: refused, never taken for an empty disk. What is begun in its place
+ * has another id, says so ever after, and keeps a copy. */
+static void broken_file_gives_way_to_new_disk(void **state)
 {
-    (void)state;
-    SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
+    const Fixture *fixture = *state;
+    SimWorld *world = fixture->world;
+    const int machine = fixture->machine;
     Seen seen = run(world, machine, "core1", 4, false);
     const Bytes whole = bytes_copy(world, *sim_disk_content(world, machine, PATH));
     Bytes *file = sim_disk_content(world, machine, PATH);
@@ -237,14 +277,15 @@
         assert_int_equal(journal_disk(again.journal), disk);
         sim_power_off(world, machine);
     }
-    talloc_free(world);
 }
 
-static void failed_sync(void **state)
+/* --- failures of the disk -------------------------------------------------------------------- */
+
+static void failed_write_loses_nothing_synced(void **state)
 {
-    (void)state;
-    SimWorld *world = sim_world_new(NULL, 1);
-    const int machine = sim_machine(world);
+    const Fixture *fixture = *state;
+    SimWorld *world = fixture->world;
+    const int machine = fixture->machine;
     run(world, machine, "core1", 3, false);
     sim_disk_fail(world, machine, true);
     assert_int_equal(run(world, machine, "core1", 3, false).status, STATUS_DISK_FAILED);
@@ -252,11 +293,10 @@
     const Seen seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.status, STATUS_OK);
     assert_true(seen.entries >= 3);
-    talloc_free(world);
 }
 
-/* What a restarted process reads may be in the system's memory alone: the last one died
- * before its sync. Whatever is told once must outlast a loss of power. */
+/* What a restarted process reads may be in the system's memory alone: the last process died before its sync. Whatever
+ * was read once must outlast a loss of power. */
 static void read_is_synced(void **state)
 {
     (void)state;
@@ -286,9 +326,9 @@
     assert_true(unsynced > 0);
 }
 
-/* A loss of power, and a kill, at each step of a rewrite: the old file or the new one,
- * whole, and never the old one once the rewrite has been told. */
-static void rewrite_walked(void **state)
+/* A loss of power, or a kill, at each step of a rewrite: the old file or the new one, whole, and never the old one once
+ * the rewrite has returned. */
+static void rewrite_leaves_old_or_new_whole(void **state)
 {
     (void)state;
     int olds = 0, news = 0;
@@ -314,7 +354,7 @@
             assert_false(old && rewrites > 0 && seen.last_index >= 8);
             olds += old;
             news += !old;
-            /* what was left over stands in nobody's way */
+            /* a left-over file of the rewrite is in nobody's way */
             assert_int_equal(run(world, machine, "core1", 4, true).status, STATUS_OK);
             talloc_free(world);
         }
@@ -322,8 +362,8 @@
     assert_true(olds > 20 && news > 20);
 }
 
-/* Full in the middle of an append: the rest stands, and a rewrite that fits heals it. */
-static void full_disk(void **state)
+/* Full in the middle of an append: what was synced before stands, and writes go on once there is room. */
+static void full_disk_keeps_what_was_synced(void **state)
 {
     (void)state;
     SimWorld *world = sim_world_new(NULL, 7);
@@ -342,9 +382,18 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(there_and_back), cmocka_unit_test(refusals),    cmocka_unit_test(every_byte),
-        cmocka_unit_test(later_format),   cmocka_unit_test(failed_sync), cmocka_unit_test(read_is_synced),
-        cmocka_unit_test(rewrite_walked), cmocka_unit_test(full_disk),   cmocka_unit_test(begun_anew),
+        cmocka_unit_test_setup_teardown(records_are_read_back, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(torn_tail_is_cut_off, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(zeroed_tail_is_cut_off, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(foreign_node_is_refused, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(flipped_bit_is_refused, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(each_flipped_byte_is_noticed, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(later_format_is_refused, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(broken_file_gives_way_to_new_disk, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(failed_write_loses_nothing_synced, set_up, tear_down),
+        cmocka_unit_test(read_is_synced),
+        cmocka_unit_test(rewrite_leaves_old_or_new_whole),
+        cmocka_unit_test(full_disk_keeps_what_was_synced),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/replication/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -1,6 +1,5 @@
-/* A model of changes of membership: from every state of up to nine voters, one change
- * after another as it is chosen, with losses drawn between them. No change makes the
- * voters bear fewer losses than before it. */
+/* The choice of the next change of membership, on a model: from every state of one to six voters, one change after
+ * another is applied as it is chosen, until none is due. No change makes the voters bear fewer losses than before. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,11 +11,11 @@
 #include "replication/membership.h"
 
 #define LEARNERS 2
-#define STEPS_MOST 24 /* count; more changes than this in a row never come to rest */
+#define STEPS_MOST 24 /* count; more changes than this in a row never end */
 
 static const char *const ZONES[] = {"a", "b", "c"};
 
-/* A state under change. */
+/* The fixture: voters and learners, and how many voters are wanted. */
 typedef struct Model {
     MemberState voters[VOTER_MOST + 1], learners[LEARNERS];
     size_t voter_count, learner_count, wanted;
@@ -27,8 +26,8 @@
     return (Membership){model->voters, model->voter_count, model->learners, model->learner_count, model->wanted};
 }
 
-/* Takes the change as committed: the voter that goes is a learner no more in this
- * model, and a learner that was added is in the view. */
+/* Takes the change as committed: a learner that was added is in the view, a voter that was removed is gone from the
+ * model. */
 static void apply(Model *model, MembershipChange change)
 {
     if (change.step == MEMBERSHIP_ADD) {
@@ -42,7 +41,7 @@
     }
 }
 
-/* On how many disks what is acknowledged is synced, by the rule that a leader keeps. */
+/* On how many disks an acknowledged change is synced at least, by the rule that a leader keeps. */
 static size_t copies_of(const Model *model)
 {
     const size_t majority = lock_majority(model->voter_count > VOTER_FIRST ? model->voter_count : VOTER_FIRST);
@@ -50,8 +49,8 @@
     return asked < majority ? asked : majority;
 }
 
-/* Changes until nothing is left to change; each bears as much as the state before it, and
- * leaves what is acknowledged on as many disks. */
+/* Applies changes until none is due. After each the voters bear as many losses as before it, and what is acknowledged
+ * is on as many disks. */
 static void settle(Model *model)
 {
     for (int step = 0; step < STEPS_MOST; step++) {
@@ -74,12 +73,13 @@
     fail_msg("%d changes in a row and no end", STEPS_MOST);
 }
 
-/* Every kind of voter by a digit: lives, lives and leaves, silent, gone. */
+/* A state by number: each base-4 digit of kinds is a voter that is alive, alive and leaving, silent, or gone; the first
+ * one is the leader, which is alive. */
 static Model model_of(size_t voter_count, unsigned kinds, size_t learner_count, size_t wanted)
 {
     Model model = {.voter_count = voter_count, .learner_count = learner_count, .wanted = wanted};
     for (size_t i = 0; i < voter_count; i++, kinds /= 4) {
-        const unsigned kind = i == 0 ? kinds % 2 : kinds % 4; /* the leader lives */
+        const unsigned kind = i == 0 ? kinds % 2 : kinds % 4;
         model.voters[i] = (MemberState){.disk = 1 + i,
                                         .zone = ZONES[(i + kinds / 7) % 3],
                                         .self = i == 0,
@@ -113,9 +113,9 @@
                 }
 }
 
-/* While a learner stands ready, the loss of any one voter that lives is made good: as
- * many are borne afterwards as before it. */
-static void learner_makes_good(void **state)
+/* With one learner ready, the loss of any one voter, or its leaving, is made good: as many losses are borne afterwards
+ * as before it, and that voter votes no more. */
+static void ready_learner_makes_loss_good(void **state)
 {
     (void)state;
     for (size_t wanted = 3; wanted <= 7; wanted += 2)
@@ -135,9 +135,9 @@
             }
 }
 
-/* What was weighed: a voter that lives, removed before its successor is added, leaves
- * a list that bears one loss less. */
-static void vacated_first_bears_less(void **state)
+/* Why a successor is added first: a voter that is alive, removed before that, leaves a list that bears one loss less.
+ */
+static void removal_before_addition_bears_less(void **state)
 {
     (void)state;
     for (size_t count = 3; count <= VOTER_MOST; count += 2) {
@@ -148,8 +148,8 @@
     }
 }
 
-/* A leader that leaves has its successor added and removes nobody: the next one does. */
-static void leader_leaves(void **state)
+/* A leader that is leaving has its successor added and removes nobody: the next leader removes it. */
+static void leaving_leader_is_removed_by_the_next(void **state)
 {
     (void)state;
     Model model = model_of(3, 1, 1, 3);
@@ -165,8 +165,8 @@
         assert_false(model.voters[i].leaving);
 }
 
-/* Two votes in one zone and none in that of a learner: it takes one over, once only. */
-static void zones_spread(void **state)
+/* Two votes in one zone and none in that of a learner which has been ready for long: it takes one over, once only. */
+static void vote_moves_to_zone_without_votes(void **state)
 {
     (void)state;
     Model model = model_of(3, 0, 1, 3);
@@ -188,10 +188,10 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(no_step_bears_less),
-        cmocka_unit_test(learner_makes_good),
-        cmocka_unit_test(vacated_first_bears_less),
-        cmocka_unit_test(leader_leaves),
-        cmocka_unit_test(zones_spread),
+        cmocka_unit_test(ready_learner_makes_loss_good),
+        cmocka_unit_test(removal_before_addition_bears_less),
+        cmocka_unit_test(leaving_leader_is_removed_by_the_next),
+        cmocka_unit_test(vote_moves_to_zone_without_votes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
