--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -1,17 +1,26 @@
 #ifndef MEMBER_SRC_INSIDE_H
 #define MEMBER_SRC_INSIDE_H
 
+/* The state of the package: what all its files work on. It declares no functions; each file's
+ * own header does. */
+
+#include "base/recorder.h"
+#include "loop/loop.h"
 #include "member/members.h"
+#include "member/record.h"
+#include "wire/rpc.h"
 
-/* The vote of a seed. Invariant: given to one disk until that gives it back; a
- * round that was given back gets it no more, however late its question comes. */
+/* The vote that this process, as a seed, has to give to a founder.
+ * Invariant: it is given to one disk until that disk gives it back; for a proposal that was
+ * given back it is never granted again, however late a copy of its request arrives. */
 typedef struct Vote {
-    bool mine;            /* this process has one to give */
-    uint64_t disk, round; /* 0: not given */
+    bool mine;            /* this process has a vote to give */
+    uint64_t disk, round; /* to whom, for which proposal; disk 0: not given */
     uint64_t back_disk, back_round;
 } Vote;
 
-/* Invariant: table is never null; self is also a row of it. */
+/* Invariants: table is never null and always has a row for this process; the incarnation of
+ * self never falls; leader_term never falls. */
 struct Members {
     Loop *loop;
     Rpc *rpc;
@@ -19,15 +28,13 @@
     MemberRecord self;
     const char *seeds[SEEDS];
     MemberTable *table;
-    size_t room;
+    size_t room; /* allocated rows of table */
     uint64_t leader_term;
-    char *leader_id;
+    char *leader_id; /* "": none is known */
     Signal leader_changed;
-    int64_t rest_until_ms; /* hellos are spaced out until then */
-    Signal hurry;          /* ... no longer */
+    int64_t rest_until_ms; /* hellos are sent at the longer interval until then */
+    Signal hurry;          /* raised when that ends early */
     Vote vote;
 };
 
-Status vote_asked(void *arg, void *mem, const void *question, void *answer);
-
 #endif
--- /dev/null
+++ b/packages/member/src/leader.c
@@ -0,0 +1,45 @@
+/* Which leader this process knows: the one of the highest term (term) it has heard of. Terms
+ * are compared, never times, so a late message of an earlier leader changes nothing. */
+#include <string.h>
+#include <talloc.h>
+
+#include "inside.h"
+#include "loop/loop.h"
+#include "member/members.h"
+
+void members_set_leader(Members *members, uint64_t term, const char *id)
+{
+    if (term < members->leader_term || (term == members->leader_term && strcmp(id, members->leader_id) == 0))
+        return;
+    members->leader_term = term;
+    talloc_free(members->leader_id);
+    members->leader_id = talloc_strdup(members, id);
+    signal_raise(members->loop, &members->leader_changed);
+}
+
+const char *members_leader_id(const Members *members)
+{
+    return members->leader_id;
+}
+
+uint64_t members_leader_term(const Members *members)
+{
+    return members->leader_term;
+}
+
+PeerLife members_leader_peer(const Members *members)
+{
+    const Member *row = members_find(members, members->leader_id);
+    return row != NULL ? member_peer(&row->record) : (PeerLife){0};
+}
+
+const char *members_leader_address(const Members *members)
+{
+    const Member *member = members->leader_id[0] ? members_find(members, members->leader_id) : NULL;
+    return member != NULL ? member->record.address : NULL;
+}
+
+Signal *members_leader_signal(Members *members)
+{
+    return &members->leader_changed;
+}
--- /dev/null
+++ b/packages/member/src/reach.c
@@ -0,0 +1,23 @@
+/* Who has been heard of lately, and how many members this process reaches. The count is what
+ * the quorum partition (the paper's best partition) is chosen by: a leader that reaches far fewer
+ * members than another voter hands the lock over (packages/view/src/watch.c). */
+#include "base/constants.h"
+#include "inside.h"
+#include "loop/loop.h"
+#include "member/members.h"
+
+bool member_quiet(const Member *member, int64_t now_ms)
+{
+    return now_ms - member->seen_ms > MEMBER_QUIET_MS;
+}
+
+size_t members_sight(const Members *members)
+{
+    const int64_t now_ms = loop_now_ms(members->loop);
+    size_t count = 0;
+    for (size_t i = 0; i < members->table->count; i++)
+        if (members->table->rows[i].answered_ms != INT64_MIN &&
+            now_ms - members->table->rows[i].answered_ms < MEMBER_QUIET_MS)
+            count++;
+    return count;
+}
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -1,11 +1,18 @@
-/* The seeds' votes for a founder. Each seed has one in its life; a majority of the
- * seeds founds. All processes of a first start know the same seeds, so at most one
- * majority comes about, whoever hears whom. */
+/* The seeds' votes for the founder of a new cluster. Each seed has one vote in its life, and a
+ * majority of the seeds decides. All processes of a first start are given the same seeds, so two
+ * majorities share a seed and at most one controller founds, whatever messages are lost. */
+#include "vote.h"
+
 #include <string.h>
 #include <talloc.h>
 
 #include "base/constants.h"
 #include "inside.h"
+#include "loop/loop.h"
+#include "table.h"
+#include "wire/rpc.h"
+
+/* --- a seed: granting its vote ---------------------------------------------------- */
 
 void members_set_voter(Members *members, bool voter)
 {
@@ -18,7 +25,7 @@
     uint64_t lowest = 0;
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
-        const bool self = strcmp(row->record.id, members->self.id) == 0;
+        const bool self = table_is_self(members, &row->record);
         if (row->record.role == ROLE_CONTROLLER && (self ? members->self.empty : row->record.empty) &&
             (self || !member_quiet(row, now_ms)) && (lowest == 0 || row->record.disk < lowest))
             lowest = row->record.disk;
@@ -26,14 +33,22 @@
     return lowest;
 }
 
+/* The founder gives the vote back; earlier proposals of it are not granted any more. */
+static void vote_return(Vote *vote, const VoteAsk *ask)
+{
+    if (vote->disk == ask->disk && vote->round <= ask->round)
+        vote->disk = 0;
+    vote->back_disk = ask->disk;
+    vote->back_round = ask->round;
+}
+
+/* Whether the seed grants what is asked. It grants nobody's proposal who has given that one
+ * back, nobody's while it knows a cluster or an empty disk with a lower id. */
 static bool vote_take(Members *members, const VoteAsk *ask)
 {
     Vote *vote = &members->vote;
     if (ask->back) {
-        if (vote->disk == ask->disk && vote->round <= ask->round)
-            vote->disk = 0;
-        vote->back_disk = ask->disk;
-        vote->back_round = ask->round;
+        vote_return(vote, ask);
         return true;
     }
     if (!vote->mine || rpc_cluster(members->rpc) != 0 || ask->disk == 0 ||
@@ -47,14 +62,22 @@
     return vote->disk == ask->disk;
 }
 
-Status vote_asked(void *arg, void *mem, const void *question, void *answer)
+static Status on_vote(void *arg, void *mem, const void *question, void *answer)
 {
     (void)mem;
     ((VoteAnswer *)answer)->granted = vote_take(arg, question);
     return STATUS_OK;
 }
 
-/* Freed by whichever ends last. */
+void vote_serve(Members *members)
+{
+    rpc_handle(members->rpc, MESSAGE_VOTE, &VoteAsk_shape, &VoteAnswer_shape, on_vote, members);
+}
+
+/* --- a founder: asking the seeds -------------------------------------------------- */
+
+/* One proposal to all seeds. users: its own task and one for each seed; the last of them to end
+ * frees it. */
 typedef struct Voting {
     Members *members;
     VoteAsk ask;
@@ -91,16 +114,22 @@
     talloc_free(part);
 }
 
+/* Whether the seed at i has no address, or that of an earlier one. */
+static bool seed_skipped(const Members *members, int i)
+{
+    bool again = members->seeds[i] == NULL;
+    for (int k = 0; k < i && !again; k++)
+        again = members->seeds[k] != NULL && strcmp(members->seeds[k], members->seeds[i]) == 0;
+    return again;
+}
+
 size_t members_votes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seed_count)
 {
     Voting *voting = talloc_zero(members, Voting);
     *voting = (Voting){.members = members, .ask = {disk, round, back}, .users = 1};
     *seed_count = 0;
     for (int i = 0; i < SEEDS; i++) {
-        bool again = members->seeds[i] == NULL;
-        for (int k = 0; k < i && !again; k++)
-            again = members->seeds[k] != NULL && strcmp(members->seeds[k], members->seeds[i]) == 0;
-        if (again)
+        if (seed_skipped(members, i))
             continue;
         ++*seed_count;
         VotePart *part = talloc_zero(members, VotePart);
