--- a/packages/wire/src/flat.c
+++ b/packages/wire/src/flat.c
@@ -1,18 +1,21 @@
-/* Deep copies in one block: a shape of a dozen short texts costs one allocation
- * instead of a dozen, each of which has a header of some 100 bytes. */
+/* Deep copies in one block: a shape of a dozen short texts costs one allocation instead of a
+ * dozen, each of which has a header of some 100 bytes. The shape is walked twice: the first walk
+ * has no block and only counts the bytes, the second copies. */
 #include <string.h>
 #include <talloc.h>
 
+#include "base/bytes.h"
+#include "field.h"
 #include "wire/shape.h"
 
 #define ALIGN_BYTES 8 /* bytes; the strictest that a field needs */
 
-/* Without a block nothing is laid, only counted. */
 typedef struct Flat {
-    uint8_t *block;
-    size_t at;
+    uint8_t *block; /* null: only count */
+    size_t at;      /* bytes used */
 } Flat;
 
+/* The next bytes of the block; null while only counting. */
 static void *flat_take(Flat *flat, size_t bytes, size_t align)
 {
     flat->at = (flat->at + align - 1) / align * align;
@@ -32,18 +35,49 @@
     *to = length > 0 ? here : "";
 }
 
+/* The copy is borrowed: nothing may be added to it. */
+static void flat_bytes(Flat *flat, const Bytes *from, Bytes *to)
+{
+    uint8_t *here = flat_take(flat, from->count, 1);
+    if (flat->block == NULL)
+        return;
+    if (from->count > 0)
+        memcpy(here, from->data, from->count);
+    *to = (Bytes){from->count > 0 ? here : NULL, from->count, 0};
+}
+
+static void flat_texts(Flat *flat, const char *const *from, size_t count, const char ***to)
+{
+    const char **here = flat_take(flat, count * sizeof(*here), ALIGN_BYTES);
+    for (size_t i = 0; i < count; i++)
+        flat_text(flat, from[i], here != NULL ? &here[i] : NULL);
+    if (flat->block != NULL)
+        *to = count > 0 ? here : NULL;
+}
+
+static void flat_shape(Flat *flat, const Shape *shape, const void *from, void *to);
+
+static void flat_list(Flat *flat, const Shape *of, const uint8_t *from, size_t count, uint8_t **to)
+{
+    uint8_t *here = flat_take(flat, count * of->size, ALIGN_BYTES);
+    for (size_t i = 0; i < count; i++)
+        flat_shape(flat, of, from + i * of->size, here != NULL ? here + i * of->size : NULL);
+    if (flat->block != NULL)
+        *to = count > 0 ? here : NULL;
+}
+
+/* to is null while only counting. */
 static void flat_shape(Flat *flat, const Shape *shape, const void *from, void *to)
 {
-    size_t field_count;
-    const ShapeField *fields = shape->fields(&field_count);
-    const bool lays = flat->block != NULL;
-    if (lays)
-        memcpy(to, from, shape->size);
-    for (size_t i = 0; i < field_count; i++) {
+    size_t total;
+    const ShapeField *fields = shape->fields(&total);
+    if (flat->block != NULL)
+        memcpy(to, from, shape->size); /* numbers, flags, counts */
+    for (size_t i = 0; i < total; i++) {
         const ShapeField *field = &fields[i];
-        const void *source = (const uint8_t *)from + field->offset;
-        void *at = lays ? (uint8_t *)to + field->offset : NULL;
-        const size_t count = field->count_offset ? *(const size_t *)((const uint8_t *)from + field->count_offset) : 0;
+        const void *source = field_read(field, from);
+        void *at = flat->block != NULL ? field_write(field, to) : NULL;
+        const size_t count = field_count(field, from);
         switch (field->kind) {
         case SHAPE_U64:
         case SHAPE_I64:
@@ -52,36 +86,19 @@
         case SHAPE_TXT:
             flat_text(flat, *(const char *const *)source, at);
             break;
-        case SHAPE_BIN: {
-            const Bytes *bytes = source;
-            uint8_t *here = flat_take(flat, bytes->count, 1);
-            if (lays && bytes->count > 0)
-                memcpy(here, bytes->data, bytes->count);
-            if (lays) /* borrowed: nothing may be added to it */
-                *(Bytes *)at = (Bytes){bytes->count > 0 ? here : NULL, bytes->count, 0};
+        case SHAPE_BIN:
+            flat_bytes(flat, source, at);
             break;
-        }
-        case SHAPE_TXS: {
-            const char **here = flat_take(flat, count * sizeof(*here), ALIGN_BYTES);
-            for (size_t k = 0; k < count; k++)
-                flat_text(flat, (*(const char **const *)source)[k], lays ? &here[k] : NULL);
-            if (lays)
-                *(const char ***)at = count > 0 ? here : NULL;
+        case SHAPE_TXS:
+            flat_texts(flat, *(const char *const *const *)source, count, at);
             break;
-        }
         case SHAPE_ONE:
             flat_shape(flat, field->of, source, at);
             break;
-        case SHAPE_LST: {
-            const size_t each = field->of->size;
-            uint8_t *here = flat_take(flat, count * each, ALIGN_BYTES);
-            for (size_t k = 0; k < count; k++)
-                flat_shape(flat, field->of, *(const uint8_t *const *)source + k * each, lays ? here + k * each : NULL);
-            if (lays)
-                *(uint8_t **)at = count > 0 ? here : NULL;
+        case SHAPE_LST:
+            flat_list(flat, field->of, *(const uint8_t *const *)source, count, at);
             break;
         }
-        }
     }
 }
 
@@ -89,7 +106,7 @@
 {
     Flat flat = {0};
     flat_shape(&flat, shape, from, NULL);
-    uint8_t none[ALIGN_BYTES];
+    uint8_t none[ALIGN_BYTES]; /* nothing to lay out, but the second walk needs a block to copy at all */
     flat = (Flat){flat.at > 0 ? talloc_size(mem, flat.at) : none, 0};
     flat_shape(&flat, shape, from, to);
 }
--- /dev/null
+++ b/packages/wire/src/lengths.c
@@ -0,0 +1,141 @@
+/* Checks the lengths of MessagePack bytes before msgpack-c reads them. */
+#include "lengths.h"
+
+#include <stddef.h>
+#include <stdint.h>
+
+/* The first bytes of MessagePack values, by the names of its specification. Of a range the
+ * first one; the low bits of the fix* kinds hold a length. */
+enum {
+    FIX_MAP = 0x80,
+    FIX_ARRAY = 0x90,
+    FIX_STR = 0xa0,
+    NIL = 0xc0, /* and false, true */
+    BIN_8 = 0xc4,
+    EXT_8 = 0xc7,
+    FLOAT_32 = 0xca,
+    FLOAT_64 = 0xcb,
+    UINT_8 = 0xcc,
+    UINT_16 = 0xcd,
+    UINT_32 = 0xce,
+    UINT_64 = 0xcf,
+    INT_8 = 0xd0,
+    INT_16 = 0xd1,
+    INT_32 = 0xd2,
+    INT_64 = 0xd3,
+    FIX_EXT_1 = 0xd4,
+    STR_8 = 0xd9,
+    ARRAY_16 = 0xdc,
+    ARRAY_32 = 0xdd,
+    MAP_16 = 0xde,
+    MAP_32 = 0xdf,
+    NEGATIVE_FIX_INT = 0xe0
+};
+
+#define FIX_COUNT_MASK 0x0fu /* of a fix map or array */
+#define FIX_STR_MASK 0x1fu
+
+/* What the length field of a value counts. */
+typedef enum LengthOf { LENGTH_OF_BYTES, LENGTH_OF_VALUES, LENGTH_OF_PAIRS } LengthOf;
+
+/* What follows the first byte of a value. */
+typedef struct ValueHead {
+    size_t length_bytes; /* size of the length field; 0: there is none */
+    LengthOf length_of;
+    size_t body_bytes; /* known without a length field */
+    uint64_t values;   /* nested ones, known without a length field */
+} ValueHead;
+
+static size_t number_bytes(uint8_t first)
+{
+    switch (first) {
+    case UINT_8:
+    case INT_8:
+        return sizeof(uint8_t);
+    case UINT_16:
+    case INT_16:
+        return sizeof(uint16_t);
+    case FLOAT_32:
+    case UINT_32:
+    case INT_32:
+        return sizeof(uint32_t);
+    default: /* FLOAT_64, UINT_64, INT_64 */
+        return sizeof(uint64_t);
+    }
+}
+
+static bool is_ext(uint8_t first)
+{
+    return (first >= EXT_8 && first < FLOAT_32) || (first >= FIX_EXT_1 && first < STR_8);
+}
+
+/* False for ext values, which no shape packs. */
+static bool head_read(uint8_t first, ValueHead *head)
+{
+    *head = (ValueHead){0};
+    if (is_ext(first))
+        return false;
+    if (first < FIX_MAP || first >= NEGATIVE_FIX_INT || (first >= NIL && first < BIN_8))
+        return true; /* the value is the first byte itself */
+    if (first < FIX_ARRAY) {
+        head->values = 2u * (first & FIX_COUNT_MASK);
+    } else if (first < FIX_STR) {
+        head->values = first & FIX_COUNT_MASK;
+    } else if (first < NIL) {
+        head->body_bytes = first & FIX_STR_MASK;
+    } else if (first < EXT_8) {
+        head->length_bytes = (size_t)1 << (first - BIN_8);
+    } else if (first < FIX_EXT_1) {
+        head->body_bytes = number_bytes(first);
+    } else if (first < ARRAY_16) {
+        head->length_bytes = (size_t)1 << (first - STR_8);
+    } else {
+        head->length_bytes = first == ARRAY_16 || first == MAP_16 ? sizeof(uint16_t) : sizeof(uint32_t);
+        head->length_of = first < MAP_16 ? LENGTH_OF_VALUES : LENGTH_OF_PAIRS;
+    }
+    return true;
+}
+
+/* Adds to the head what its length field, in big-endian order at the bytes, states. */
+static void length_read(const uint8_t *bytes, ValueHead *head)
+{
+    uint64_t length = 0;
+    for (size_t i = 0; i < head->length_bytes; i++)
+        length = length << 8 | bytes[i];
+    switch (head->length_of) {
+    case LENGTH_OF_BYTES:
+        head->body_bytes += (size_t)length;
+        break;
+    case LENGTH_OF_VALUES:
+        head->values = length;
+        break;
+    case LENGTH_OF_PAIRS:
+        head->values = length * 2;
+        break;
+    }
+}
+
+/* How values are nested does not matter: each needs at least one byte, so owed, the number of
+ * values still to come, may never be more than the bytes that are left. */
+bool lengths_lease(Bytes from)
+{
+    uint64_t owed = 1;
+    size_t at = 0;
+    while (owed > 0) {
+        if (at >= from.count || owed > from.count - at)
+            return false;
+        ValueHead head;
+        if (!head_read(from.data[at++], &head))
+            return false;
+        if (head.length_bytes > from.count - at)
+            return false;
+        length_read(from.data + at, &head);
+        at += head.length_bytes;
+        if (head.body_bytes > from.count - at)
+            return false;
+        at += head.body_bytes;
+        owed += head.values;
+        owed--;
+    }
+    return at == from.count;
+}
