--- /dev/null
+++ b/packages/wire/src/asking.h
@@ -0,0 +1,46 @@
+#ifndef WIRE_SRC_ASKING_H
+#define WIRE_SRC_ASKING_H
+
+/* The requests that await an answer, and the line (the connection to one peer address) that they
+ * were sent on. */
+
+#include "base/bytes.h"
+#include "loop/loop.h"
+#include "wire/rpc.h"
+#include "wire/kinds.h"
+
+/* A request sent and not yet answered. Owned by the task that waits for it.
+ * Invariant: it is on its line's list until done, or until its task gives it up. */
+typedef struct Asking {
+    struct Asking *next;
+    uint64_t call; /* request id */
+    MessageKind kind;
+    PeerLife meant;      /* the process it is for; id 0: whoever listens there */
+    uint64_t sent_up_to; /* bytes put into the channel with it (channel_unsent) */
+    int64_t sent_ms;
+    bool done;
+    Status status; /* once done: the peer's own, or why there is no answer */
+    void *mem;     /* talloc parent of payload */
+    Bytes payload; /* of the answer; empty when it was not taken */
+    Signal answered;
+} Asking;
+
+/* Lives as long as its RPC endpoint; the connection comes and goes.
+ * Invariants: while channel is non-null one reading task serves it; misses is the number of
+ * requests in a row that timed out. */
+typedef struct Line {
+    Rpc *rpc;
+    const char *address;
+    Channel *channel; /* null: not connected */
+    bool opening;     /* a task is connecting; opened is raised when it has ended */
+    Signal opened;
+    Asking *asking; /* the newest first */
+    unsigned misses;
+} Line;
+
+/* Takes the request with this id off the list; null when it is not there. */
+Asking *asking_take(Line *line, uint64_t call);
+/* Ends a request and wakes its task. */
+void asking_end(Line *line, Asking *asking, Status status);
+
+#endif
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -1,36 +1,43 @@
 #ifndef WIRE_SRC_INSIDE_H
 #define WIRE_SRC_INSIDE_H
 
-/* Shared by the two halves of the RPC endpoint: the one that serves and the one that asks. */
+/* The state of an RPC endpoint, shared by its two halves: serve.c answers requests, ask.c sends them. */
+
 #include "base/map.h"
+#include "base/recorder.h"
 #include "envelope.h"
+#include "loop/loop.h"
 #include "wire/rpc.h"
+#include "wire/kinds.h"
+#include "wire/shape.h"
 
+/* Who answers requests of one kind; fn null: nobody here. */
 typedef struct Handler {
     const Shape *ask, *answer;
     RpcFn fn;
     void *arg;
 } Handler;
 
+/* Invariants: last_call never falls; born_life is the first incarnation that self had. */
 struct Rpc {
     Loop *loop;
     Recorder *recorder;
-    uint64_t cluster;
-    PeerLife self;      /* what this process says that it is */
-    uint64_t born_life; /* ... and said first */
-    uint64_t refused;   /* frames that were another's */
-    uint64_t last_call; /* never used again in this process's life, on whatever line */
-    Map *lines;
+    uint64_t cluster;   /* 0: none is known yet */
+    PeerLife self;      /* what this process says that it is; id 0: nothing yet */
+    uint64_t born_life; /* its incarnation may rise while it lives: requests to the first one are taken too */
+    uint64_t refused;   /* frames not taken, of all kinds that the log tells */
+    uint64_t last_call; /* request id; used once in this process's life, over all its connections */
+    Map *lines;         /* address to Line */
     Handler handlers[MESSAGE_MAX];
     RpcCounts counts;
 };
 
-/* Whether a question of this kind may be asked and answered before a cluster is known. */
+/* Whether requests of this kind are taken from and sent to processes of no cluster. */
 bool rpc_open_kind(uint64_t kind);
-/* Whether two clusters, as far as they are known, are one. */
+/* Whether two clusters are the same as far as they are known; 0 is any. */
 bool rpc_same_cluster(uint64_t a, uint64_t b);
-
-/* Tells the log of a frame that is not taken. */
+/* Tells the log of a frame that is not taken, more and more seldom. what: the frame's part in
+ * the sentence, as "an answer". */
 void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope);
 
 #endif
--- /dev/null
+++ b/packages/wire/src/line.h
@@ -0,0 +1,11 @@
+#ifndef WIRE_SRC_LINE_H
+#define WIRE_SRC_LINE_H
+
+#include "asking.h"
+#include "wire/rpc.h"
+
+/* Waits, until until_ms at the latest. The connected line to the address, or null when the peer
+ * can't be reached. A connection attempt takes at most CONNECT_TIMEOUT_MS. */
+Line *line_ready(Rpc *rpc, const char *address, int64_t until_ms);
+
+#endif
