--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -1,62 +1,81 @@
 #ifndef LOCK_LOCK_H
 #define LOCK_LOCK_H
 
+/* The leader's lock: the paper's master lock, which stands on a shared disk there and here on a
+ * majority of the voters. This is its arithmetic alone, without messages or disk: what a voter has
+ * promised and granted, and how long a holder may count on what it was granted. packages/view
+ * uses it; nothing here waits or allocates.
+ *
+ * Why there is at most one holder (the paper's safety rule 1):
+ * - A lease is counted by its holder from when it SENT the request, by the voter from when it
+ *   ANSWERED, which is later. The holder also counts on less than a voter grants, by so much that
+ *   clocks may run CLOCK_SLOW_PERCENT apart. Clocks of two processes are never compared.
+ * - A voter promises nothing to another while a lease that it granted runs.
+ * - Both holders need a majority of the voters, and two majorities share a voter. They do so too
+ *   while voters are added or removed one at a time: two majorities of lists that differ in one
+ *   voter share one.
+ *
+ * Terms: a holder is named by its disk's id; term is the term it holds the lock under. All times
+ * are ms on the own process's steady clock. */
+
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
 #include "base/status.h"
-#include "loop/loop.h"
 
-/* The lock, in the two halves that never meet in one process's memory: what a
- * voter has granted, and what the holder may count on. All spans are on the
- * process's own clock; the two halves are never compared. The holder counts on a
- * little less than a voter grants, so that clocks may run apart.
- *
- * Why at most one holder: a holder counts its lease from when it SENT the
- * question, a voter from when it ANSWERED, which is later. A holder needs the
- * holds of a majority of the voters; another needs promises of a majority, and a
- * voter promises nothing while a lease it granted runs. The two sets share a voter;
- * so they do while voters are added or removed one at a time, for any two
- * majorities of lists that differ in one voter share one. */
-
-#define VOTER_MOST 9  /* count; four disks may be lost at once */
+#define VOTER_MOST 9  /* count; voters, so that four disks may be lost at once */
 #define VOTER_FIRST 3 /* count; voters where one disk may be lost */
 
-/* So many of the voters decide. */
+/* How many of so many voters are a majority (a quorum). */
 static inline size_t lock_majority(size_t voters)
 {
     return voters / 2 + 1;
 }
 
-/* A voter's half.
- * Invariants: promised never falls while the process lives, and is synced
- * before it is answered; lease_until_ms is the lease of holder under promised. */
+/* A voter's part: its promise, and the lease it granted. Zeroed: it has promised nothing.
+ * Invariants: promised never falls while the process lives, and its owner syncs it to disk before
+ * it answers under it; lease_until_ms is the lease of holder under promised. */
 typedef struct LockVoter {
-    uint64_t promised;
-    uint64_t holder; /* disk id */
-    int64_t lease_until_ms;
-    uint64_t released;     /* term: given back by its holder, so that nothing late renews it */
-    int64_t not_before_ms; /* woken: what was granted may be forgotten, so nothing is promised before this ... */
-    bool sure;             /* ... but promised and holder are known to be the last: only holder may hold anything */
+    uint64_t promised;      /* the highest term promised; 0: none */
+    uint64_t holder;        /* to whom; 0: to nobody */
+    int64_t lease_until_ms; /* the lease granted ends then */
+    uint64_t released;      /* term whose holder gave its lease back: no late message renews it */
+    int64_t not_before_ms;  /* restarted: a lease that it forgot may run, so nothing is promised before ... */
+    bool sure;              /* ... but promised and holder are certainly the last: holder alone may be promised */
 } LockVoter;
 
-/* Whether term may be promised to holder now. */
+/* Whether the term may be promised to the holder now; changes nothing. OK, OLD_TERM (not above
+ * what was promised), WOKEN (the voter restarted less than a lease ago), OTHER_HOLDER (a lease
+ * granted to another runs). */
 Status lock_may_promise(const LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms);
+/* Records a promise: one that lock_may_promise allowed, that the leader of a higher term shows to
+ * exist, or that was read from the disk. term is never below promised. */
 void lock_promise(LockVoter *voter, uint64_t term, uint64_t holder);
-/* Lets the lease run on from now; OLD_TERM or OTHER_HOLDER when it is not the promised one. */
+/* Grants a lease of LOCK_GRANT_MS from now, or lets the one that runs go on. OLD_TERM (not the
+ * promised term, or one that was released) and OTHER_HOLDER change nothing. */
 Status lock_renew(LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms);
+/* The holder gives its lease back: another need not wait for its end. A request of another
+ * holder or term changes nothing. */
 void lock_release(LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms);
+/* Whether a lease that this voter granted runs. */
 bool lock_held(const LockVoter *voter, int64_t now_ms);
 
-/* The holder's half.
- * Invariants: sent_ms[i] is when the last question that the voter at place i answered
- * well was sent, INT64_MIN when there is none under this term or nobody has the
- * place; voters is the number of places that somebody has. */
+/* The holder's part: when it sent the requests by which the voters granted it the lease.
+ * Invariants: sent_ms[i] is when the newest request that the voter at slot i granted was sent;
+ * INT64_MIN while it has granted none under this term, or nobody has the slot. Between two
+ * lock_lease_clear it never falls. voters, the number of slots in use, is at most VOTER_MOST; the
+ * owner sets it. */
 typedef struct LockLease {
     size_t voters;
     int64_t sent_ms[VOTER_MOST];
 } LockLease;
 
+/* Forgets all grants: a new term, or a lock that was lost. */
 void lock_lease_clear(LockLease *lease);
+/* The voter at the slot granted the request that was sent at sent_ms; grants may come in any order. */
 void lock_lease_answered(LockLease *lease, int voter, int64_t sent_ms);
-/* Until when a majority's holds run; INT64_MIN: not held. */
+/* Until when the lease of a majority runs (LOCK_LEASE_MS from sending); INT64_MIN: it is not held. */
 int64_t lock_lease_until(const LockLease *lease);
 
 #endif
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -1,7 +1,19 @@
+/* Promise, grant, renewal and release at a voter; the end of a majority's lease at the holder. */
 #include "lock/lock.h"
 
+#include <assert.h>
+
 #include "base/constants.h"
 
+#define WHOLE_PERCENT 100
+
+/* A lease that a slow holder counts from sending ends before the one that a quick voter granted. */
+_Static_assert(LOCK_LEASE_MS *(WHOLE_PERCENT + CLOCK_SLOW_PERCENT) <=
+                   LOCK_GRANT_MS * (WHOLE_PERCENT - CLOCK_SLOW_PERCENT),
+               "the holder counts on more of the lease than clocks apart leave of it");
+
+/* --- the voter ------------------------------------------------------------------- */
+
 Status lock_may_promise(const LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms)
 {
     if (term <= voter->promised)
@@ -15,6 +27,7 @@
 
 void lock_promise(LockVoter *voter, uint64_t term, uint64_t holder)
 {
+    assert(term >= voter->promised);
     voter->promised = term;
     voter->holder = holder;
 }
@@ -35,6 +48,7 @@
         return;
     voter->lease_until_ms = now_ms;
     voter->released = term;
+    /* what a restart may have forgotten was the lease of this holder, which it has given back */
     if (voter->sure && voter->not_before_ms > now_ms)
         voter->not_before_ms = now_ms;
 }
@@ -44,6 +58,8 @@
     return voter->holder != 0 && now_ms < voter->lease_until_ms;
 }
 
+/* --- the holder ------------------------------------------------------------------ */
+
 void lock_lease_clear(LockLease *lease)
 {
     for (int i = 0; i < VOTER_MOST; i++)
@@ -52,16 +68,18 @@
 
 void lock_lease_answered(LockLease *lease, int voter, int64_t sent_ms)
 {
+    assert(voter >= 0 && voter < VOTER_MOST);
     if (sent_ms > lease->sent_ms[voter])
         lease->sent_ms[voter] = sent_ms;
 }
 
+/* The m-th newest grant, where m is a majority: a majority's grants are at least as new as that. */
 int64_t lock_lease_until(const LockLease *lease)
 {
-    /* the oldest of the best majority */
+    assert(lease->voters <= VOTER_MOST);
     int64_t newest[VOTER_MOST];
     size_t count = 0;
-    for (int i = 0; i < VOTER_MOST; i++) {
+    for (int i = 0; i < VOTER_MOST; i++) { /* inserted in order, the newest first */
         size_t at = count++;
         for (; at > 0 && newest[at - 1] < lease->sent_ms[i]; at--)
             newest[at] = newest[at - 1];
