--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -1,11 +1,16 @@
 #ifndef HEARTBEAT_MESSAGES_H
 #define HEARTBEAT_MESSAGES_H
 
+/* The messages between an agent and the leader: heartbeats, reports of attempts, orders, and
+ * survival rule 2's question. Fields are only ever added, at the end.
+ * Times are spans in ms: no two clocks are compared. */
+
 #include "state/change.h"
 #include "replication/messages.h"
+#include "wire/shape.h"
 
-/* An attempt that runs and how far it has come, told when that has changed: the first
- * is also the word that it runs. ran_ms: for how long the agent has known it to. */
+/* How far an attempt that runs has come, sent when that has changed; the first also says that it
+ * runs. text: its checkpoint; ran_ms: for how long the agent has known it to run. */
 #define ATTEMPT_SAVED_FIELDS(X)                 \
     X(TXT, job, 0)                              \
     X(U64, task, 0)                             \
@@ -13,31 +18,32 @@
     X(TXT, text, 0)                             \
     X(I64, ran_ms, 0)                           \
     X(U64, percent, 0)    /* of its work ... */ \
-    X(I64, percent_ms, 0) /* ... when it had run so long; 0: not told */
+    X(I64, percent_ms, 0) /* ... when it had run so long; 0: not known */
 SHAPE(AttemptSaved, ATTEMPT_SAVED_FIELDS)
 
-/* An agent's heartbeat, which is also its question for orders. attempts: all it knows of that may run or whose end is
- * not yet known to the leader. settled: that list is complete (it has heard its worker, or the worker's lease has
- * lapsed, since it started). others: room that is in use there by what is not ours. */
-#define HEARTBEAT_ASK_FIELDS(X)                                               \
-    X(TXT, agent, 0)                                                          \
-    X(U64, incarnation, 0)                                                    \
-    X(U64, number, 0)                                                         \
-    X(ONE, worker, Worker)                                                    \
-    X(FLAG, worker_live, 0)                                                   \
-    X(FLAG, leaving, 0)                                                       \
-    X(FLAG, settled, 0)                                                       \
-    X(LST, attempts, AttemptId)                                               \
-    X(ONE, others, Room)                                                      \
-    X(LST, saved, AttemptSaved)                                               \
-    X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not told */ \
-    X(U64, have, 0)     /* version and term of the orders it has */           \
-    X(U64, have_term, 0)                                                      \
-    X(I64, wait_ms, 0) /* the answer may be held back for so long, for newer ones */
+/* An agent's heartbeat, which also renews its lease and asks for orders. attempts: all attempts that it
+ * knows of and that may run, or whose end the leader has not confirmed. settled: that list is
+ * complete (since the agent started it has heard its worker, or the worker's lease has lapsed).
+ * others: capacity in use there by what is not ours. number grows with each heartbeat and report. */
+#define HEARTBEAT_ASK_FIELDS(X)                                                \
+    X(TXT, agent, 0)                                                           \
+    X(U64, incarnation, 0)                                                     \
+    X(U64, number, 0)                                                          \
+    X(ONE, worker, Worker)                                                     \
+    X(FLAG, worker_live, 0)                                                    \
+    X(FLAG, leaving, 0)                                                        \
+    X(FLAG, settled, 0)                                                        \
+    X(LST, attempts, AttemptId)                                                \
+    X(ONE, others, Room)                                                       \
+    X(LST, saved, AttemptSaved)                                                \
+    X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not known */ \
+    X(U64, have, 0)     /* version and term of the orders it has */            \
+    X(U64, have_term, 0)                                                       \
+    X(I64, wait_ms, 0) /* the answer may be delayed for so long, for newer ones */
 SHAPE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
 
-/* An order to start an attempt. It stands for timeout_ms from when the question that
- * brought it was sent. */
+/* An order to start an attempt; saved: the checkpoint that it goes on from. It is valid for timeout_ms
+ * of its answer, counted from when the request was sent. */
 #define ORDER_FIELDS(X) \
     X(TXT, job, 0)      \
     X(U64, task, 0)     \
@@ -47,9 +53,9 @@
     X(TXT, saved, 0)
 SHAPE(Order, ORDER_FIELDS)
 
-/* lease_ms counts from when the question was sent. orders: newer ones than the agent
- * has; starts are those of wanted that have not begun and that its question did not
- * name, wanted every round that is to be there. */
+/* lease_ms: the lease, counted from when the heartbeat was sent. orders: it brings newer orders than
+ * the agent has, by (term, version). wanted: every attempt that is to be on the worker; starts: those of
+ * them that have not begun and that the heartbeat did not name. What is not wanted is to be stopped. */
 #define HEARTBEAT_ANSWER_FIELDS(X) \
     X(U64, term, 0)                \
     X(I64, lease_ms, 0)            \
@@ -60,16 +66,20 @@
     X(LST, wanted, AttemptId)
 SHAPE(HeartbeatAnswer, HEARTBEAT_ANSWER_FIELDS)
 
-/* Rule 2's question: do you know a lock holder? Controllers tell the voters too. */
+/* Survival rule 2's question (the paper's "all have lost the statefile"): do you know a holder of
+ * the lock? */
 #define KNOW_ASK_FIELDS(X) X(U64, nothing, 0)
 SHAPE(KnowAsk, KNOW_ASK_FIELDS)
 
+/* term: the highest term known; voters: the voters' disks, from controllers only. */
 #define KNOW_ANSWER_FIELDS(X) \
     X(FLAG, knows, 0)         \
     X(U64, term, 0)           \
     X(LST, voters, DiskId)
 SHAPE(KnowAnswer, KNOW_ANSWER_FIELDS)
 
+/* An agent's report of attempts that began or ended, repeated until it is answered: the leader
+ * answers once they are committed. */
 #define TELL_ASK_FIELDS(X) \
     X(TXT, agent, 0)       \
     X(U64, incarnation, 0) \
@@ -80,8 +90,8 @@
 #define TELL_ANSWER_FIELDS(X) X(U64, term, 0)
 SHAPE(TellAnswer, TELL_ANSWER_FIELDS)
 
-/* Orders alone, as agents of the first release ask for them. wanted: every round
- * that is to be on the worker. Whatever else the agent has is to be stopped. */
+/* Orders without a heartbeat, as agents of the first release ask for them. The answer's fields are
+ * those of the heartbeat's. */
 #define FETCH_ASK_FIELDS(X) \
     X(TXT, agent, 0)        \
     X(U64, incarnation, 0)  \
--- a/packages/heartbeat/include/heartbeat/orphans.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -1,27 +1,34 @@
 #ifndef HEARTBEAT_ORPHANS_H
 #define HEARTBEAT_ORPHANS_H
 
+/* Orphaned attempts: those that may still run on a worker though the state table does not place
+ * them there any more, because another attempt of the task finished, or because its owner allows
+ * copies. The capacity they use is not free until the worker's agent has reported that they are
+ * over. The list is in the leader's memory alone; a new leader learns of them from the first
+ * heartbeats, before which it places nothing.
+ *
+ * Used by the controller while it leads. Times are ms on its steady clock; nothing here waits. */
+
 #include "heartbeat/messages.h"
 #include "state/table.h"
 
-/* Attempts that may still be on a worker though the table has them there no longer:
- * another round of the task finished, or its owner allows copies. Their room is not
- * free until the worker's agent has told that they are over. In the leader's memory:
- * a new one learns of them from the first heartbeats, before which it gives nothing. */
 typedef struct Orphans Orphans;
 
+/* Empty, on mem. */
 Orphans *orphans_new(void *mem);
-/* A new leader knows of none. */
+/* Forgets all: a new leader knows of none. */
 void orphans_reset(Orphans *orphans);
-/* An attempt of the task that may yet be on the worker, or come there until until_ms. */
+/* An attempt of the task may still run on the worker, or the order for it may arrive there until
+ * until_ms. job and task are only read. */
 void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t attempt,
                  int64_t until_ms);
-/* A heartbeat's list is all that may run there: whatever of it the table has elsewhere
- * or nowhere counts, what is not in it and on no way any more counts no longer. */
+/* Takes a heartbeat, whose list is all that may run there: what of it the table has elsewhere or
+ * not at all is orphaned, and what is neither in it nor possibly on its way is over. */
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
-/* The agent told of the attempt's end. */
+/* The agent has reported an attempt's end: it and older ones of the task are over there. */
 void orphans_end(Orphans *orphans, const AttemptNews *news);
-/* Room in use there; false: something of unknown size is there. */
+/* Sums up the capacity that orphaned attempts use on the worker (out). False: one of unknown size is
+ * among them, and the sum means nothing. */
 bool orphans_room(const Orphans *orphans, const char *worker, Room *room);
 
 #endif
--- a/packages/heartbeat/src/lease.c
+++ b/packages/heartbeat/src/lease.c
@@ -1,13 +1,19 @@
+/* A worker's lease at its agent, and how long leases are counted by who grants and who passes on. */
 #include "heartbeat/lease.h"
 
+#include <assert.h>
+
 #include "base/constants.h"
 
+#define WHOLE_PERCENT 100
+#define SLOW_CLOCK_PERCENT (WHOLE_PERCENT - CLOCK_SLOW_PERCENT) /* what a slow clock shows of a span */
+
 bool lease_answered(Lease *lease, uint64_t term, int64_t sent_ms, int64_t lease_ms)
 {
     if (term < lease->term)
         return false;
     lease->term = term;
-    if (sent_ms + lease_ms > lease->until_ms)
+    if (sent_ms + lease_ms > lease->until_ms) /* answers may come in another order than they were asked for */
         lease->until_ms = sent_ms + lease_ms;
     return true;
 }
@@ -24,10 +30,14 @@
 
 int64_t lease_claim_ms(int64_t lease_ms)
 {
-    return lease_ms + lease_ms * CLOCK_SLOW_PERCENT / (100 - CLOCK_SLOW_PERCENT) + 1 + LEASE_SLACK_MS;
+    const int64_t claim_ms = lease_ms + lease_ms * CLOCK_SLOW_PERCENT / SLOW_CLOCK_PERCENT + 1 + LEASE_SLACK_MS;
+    assert(lease_ms < 0 || claim_ms > lease_ms);
+    return claim_ms;
 }
 
 int64_t lease_passed_ms(int64_t lease_ms)
 {
-    return lease_ms * (100 - CLOCK_SLOW_PERCENT) / 100;
+    const int64_t passed_ms = lease_ms * SLOW_CLOCK_PERCENT / WHOLE_PERCENT;
+    assert(lease_ms < 0 || passed_ms <= lease_ms);
+    return passed_ms;
 }
--- a/packages/heartbeat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -1,3 +1,4 @@
+/* The leader's live set: a row for each worker, kept up by heartbeats. */
 #include "heartbeat/liveset.h"
 
 #include <talloc.h>
@@ -6,9 +7,12 @@
 #include "base/map.h"
 #include "heartbeat/lease.h"
 
+#define READY_HEARTBEATS 3 /* count; a worker silent for so many heartbeats gets no new work */
+
+/* Invariant: rows are owned by the map, so a reset frees them together. */
 struct Liveset {
-    Map *rows;
-    int64_t first_until_ms; /* of a worker not heard of before: the leader's first hold */
+    Map *rows;              /* worker's name to LiveRow */
+    int64_t first_until_ms; /* of workers not heard of: a lease of an earlier leader may run until then */
 };
 
 Liveset *liveset_new(void *mem)
@@ -18,6 +22,7 @@
     return liveset;
 }
 
+/* The row of a worker, created when it has none. */
 static LiveRow *row_of(Liveset *liveset, const char *name)
 {
     LiveRow *row = map_get(liveset->rows, name);
@@ -45,12 +50,12 @@
 {
     LiveRow *row = row_of(liveset, heartbeat->worker.name);
     *list_counts = false;
-    /* an older one may be a second process, or the same after its clock jumped
-     * back: it is taken once the newer one's hold has lapsed */
+    /* an older incarnation is a second process, or the same after its clock jumped back: it is
+     * taken once the newer one's lease has lapsed */
     if (heartbeat->incarnation < row->incarnation && now_ms < row->until_ms)
         return STATUS_DUPLICATE_WORKER;
     if (heartbeat->incarnation != row->incarnation) {
-        /* a new agent: the old one's lease runs on until it has lapsed */
+        /* a new agent: until_ms stays, for the earlier one's lease runs until it lapses */
         row->incarnation = heartbeat->incarnation;
         row->number = 0;
         row->joined_ms = now_ms;
@@ -90,8 +95,9 @@
 
 bool live_row_ready(const LiveRow *row, int64_t now_ms)
 {
-    return row->heard_ms != INT64_MIN && now_ms < row->until_ms && now_ms - row->heard_ms < 3 * HEARTBEAT_MS &&
-           row->worker_live && !row->leaving && row->settled && !row->losing;
+    return row->heard_ms != INT64_MIN && now_ms < row->until_ms &&
+           now_ms - row->heard_ms < READY_HEARTBEATS * HEARTBEAT_MS && row->worker_live && !row->leaving &&
+           row->settled && !row->losing;
 }
 
 size_t liveset_rows(const Liveset *liveset, void *mem, const LiveRow ***rows)
--- a/packages/heartbeat/src/messages.c
+++ b/packages/heartbeat/src/messages.c
@@ -1,5 +1,8 @@
+/* The field tables of the messages between agents and the leader. */
 #include "heartbeat/messages.h"
 
+#include "wire/shape.h"
+
 SHAPE_TABLE(AttemptSaved, ATTEMPT_SAVED_FIELDS)
 SHAPE_TABLE(HeartbeatAsk, HEARTBEAT_ASK_FIELDS)
 SHAPE_TABLE(Order, ORDER_FIELDS)
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -1,3 +1,5 @@
+/* Orphaned attempts by worker: noted when the table lets go of them, confirmed or dropped by what the
+ * agents list and report. */
 #include "heartbeat/orphans.h"
 
 #include <string.h>
@@ -5,15 +7,15 @@
 
 #include "base/map.h"
 
-/* Invariant: one row for each task of a job on a worker, of its newest round there. */
+/* Invariant: one row for each task of a job on a worker, of its newest attempt there. */
 typedef struct Orphan {
     const char *job;
     uint64_t task; /* its number */
     uint64_t attempt;
-    Room room;
-    bool known;       /* room is what it takes */
+    Room room;        /* capacity it uses */
+    bool known;       /* ... which is not known of a job that the table does not have */
     bool listed;      /* by the newest heartbeat */
-    int64_t until_ms; /* it may yet start there */
+    int64_t until_ms; /* an order for it may arrive until then */
 } Orphan;
 
 typedef struct OrphanList {
@@ -22,7 +24,7 @@
 } OrphanList;
 
 struct Orphans {
-    Map *workers; /* names to OrphanList */
+    Map *workers; /* name to OrphanList */
 };
 
 Orphans *orphans_new(void *mem)
@@ -38,6 +40,7 @@
     orphans->workers = map_new(orphans);
 }
 
+/* Null when there is no such row, or no list. */
 static Orphan *orphan_find(const OrphanList *list, const char *job, uint64_t task)
 {
     for (size_t i = 0; list != NULL && i < list->count; i++)
@@ -46,6 +49,7 @@
     return NULL;
 }
 
+/* The row of a task on a worker, created when there is none. */
 static Orphan *orphan_of(Orphans *orphans, const char *worker, const char *job, uint64_t task)
 {
     OrphanList *list = map_get(orphans->workers, worker);
@@ -64,6 +68,7 @@
     return orphan;
 }
 
+/* The order of the rows does not matter. */
 static void orphan_drop(OrphanList *list, size_t at)
 {
     talloc_free(list->rows[at]);
@@ -80,7 +85,8 @@
     orphan->until_ms = until_ms;
 }
 
-/* Whether the table has the attempt there: then it counts as that. */
+/* Whether the table places the attempt on this worker: then it is counted there and is not orphaned.
+ * room, known (out): the capacity it uses, where the table has the task at all. */
 static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt, Room *room, bool *known)
 {
     const Job *job = table_job(table, attempt->job);
@@ -93,27 +99,31 @@
     return task_on_worker(task->phase) && strcmp(task->worker, heartbeat->worker.name) == 0;
 }
 
+/* An attempt that the heartbeat lists. */
+static void listed_take(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt)
+{
+    Room room = {0};
+    bool known;
+    if (tabled(table, heartbeat, attempt, &room, &known))
+        return;
+    Orphan *orphan = orphan_of(orphans, heartbeat->worker.name, attempt->job, attempt->task);
+    orphan->listed = true;
+    if (attempt->attempt > orphan->attempt)
+        orphan->attempt = attempt->attempt;
+    if (known) {
+        orphan->room = room;
+        orphan->known = true;
+    }
+}
+
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms)
 {
     OrphanList *list = map_get(orphans->workers, heartbeat->worker.name);
     for (size_t i = 0; list != NULL && i < list->count; i++)
         list->rows[i]->listed = false;
-    for (size_t i = 0; i < heartbeat->attempts_count; i++) {
-        Room room = {0};
-        bool known;
-        if (tabled(table, heartbeat, &heartbeat->attempts[i], &room, &known))
-            continue;
-        Orphan *orphan =
-            orphan_of(orphans, heartbeat->worker.name, heartbeat->attempts[i].job, heartbeat->attempts[i].task);
-        orphan->listed = true;
-        if (heartbeat->attempts[i].attempt > orphan->attempt)
-            orphan->attempt = heartbeat->attempts[i].attempt;
-        if (known) {
-            orphan->room = room;
-            orphan->known = true;
-        }
-    }
-    list = map_get(orphans->workers, heartbeat->worker.name);
+    for (size_t i = 0; i < heartbeat->attempts_count; i++)
+        listed_take(orphans, table, heartbeat, &heartbeat->attempts[i]);
+    list = map_get(orphans->workers, heartbeat->worker.name); /* may have been created */
     for (size_t i = 0; list != NULL && i < list->count;)
         if (!list->rows[i]->listed && now_ms > list->rows[i]->until_ms)
             orphan_drop(list, i);
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -240,7 +240,7 @@
           "!table_drained(controller->table, worker->zone) && ", "",
           "emptied zone", "timeline", "trentvale", 2, ZONE_DRAINED),
     Guard("leaving", "a leaving worker gets no new work", "packages/heartbeat/src/liveset.c",
-          "           !row->leaving && ", "           ",
+          "!row->leaving && ", "",
           "leaving worker", "timeline", "trentvale", 3, LEAVES,
           also=[("packages/agent/src/worker.c", "    if (leaving)\n        attempts_withdraw(agent, \"the worker leaves\");\n", ""),
                 ("packages/agent/src/orders.c",
