--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -1,80 +1,122 @@
 #ifndef MEMBER_MEMBERS_H
 #define MEMBER_MEMBERS_H
 
+/* Membership by gossip: a process is given three seed addresses, finds everybody from them, and keeps
+ * finding everybody. Processes exchange hellos with their whole table; the newer (incarnation, tick) of
+ * a record wins. It says who exists and was heard of; who may lead is the lock's matter (packages/lock,
+ * packages/view), and which worker is live the leader's (packages/heartbeat).
+ *
+ * Every node has one. Also kept here: the newest leader known, the seeds' votes that found a cluster,
+ * and how many members this process reaches. That number decides the quorum partition, which is the
+ * paper's best partition (the largest; it must hold a majority of the voters here, so there is at
+ * most one): a leader that reaches far fewer than another voter hands the lock over.
+ *
+ * Times are ms on the own process's steady clock. */
+
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
 #include "base/recorder.h"
 #include "loop/loop.h"
 #include "member/record.h"
 #include "wire/rpc.h"
 
-#define SEEDS 3 /* count; three seed addresses are all a process is told */
+#define SEEDS 3 /* count; three seed addresses are all that a process is given */
 
-/* One row of the table: the record and when it was last seen to grow. */
+/* One row of the table. */
 typedef struct Member {
     MemberRecord record;
-    int64_t seen_ms;     /* its tick rose, told by anybody */
+    int64_t seen_ms;     /* its (incarnation, tick) rose last, by whomever we heard it */
     int64_t direct_ms;   /* it spoke to us itself; INT64_MIN: never */
-    int64_t answered_ms; /* it answered us: the way is open there and back; INT64_MIN: never */
-    int64_t since_ms;    /* this row came to be */
-    void *mem;           /* of the record */
+    int64_t answered_ms; /* it answered us, so both directions work; INT64_MIN: never */
+    int64_t since_ms;    /* the row was created */
+    void *mem;           /* talloc parent of what the record points to */
 } Member;
 
-/* Invariants: rows are ordered by id and ids are unique; of the controllers with one name
- * there is the newest alone: what stood there with another disk is gone for good. */
+/* Invariants: rows are ordered by id, and ids are unique; a row's incarnation never falls; of the
+ * controllers with one name only the newest has a row: a disk that stood there before never comes back. */
 typedef struct MemberTable {
     size_t count;
     const Member *rows;
 } MemberTable;
 
-/* Finds everybody from the seeds and keeps finding them. */
 typedef struct Members Members;
 
+/* --- construction ------------------------------------------------------------------ */
+
+/* On mem; self and seeds are copied. Where there are fewer than three seeds, an address stands twice.
+ * Tells the RPC endpoint who this process is. */
 Members *members_new(void *mem, Loop *loop, Rpc *rpc, Recorder *recorder, const MemberRecord *self,
                      const char *const seeds[SEEDS]);
-/* Other seeds from now on. */
-void members_seeds(Members *members, const char *const seeds[SEEDS]);
-/* Spawns one task for each seed and one that roams the table. */
+/* Answers hellos and votes from now on, and spawns the tasks that send hellos: one for each seed, and
+ * one that asks all members (a controller) or random ones (others). */
 void members_start(Members *members);
-/* Whether this process, as a seed, has a vote to give to a founder; it has one in its life. */
-void members_set_voter(Members *members, bool voter);
-/* Waits. Asks all seeds for their votes, or gives them back: how many of how many
- * seeds said yes. round grows each time that the disk stands anew. */
-size_t members_votes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seed_count);
-/* The empty disk with the lowest id among the controllers heard of; 0: none. */
-uint64_t members_lowest_empty(const Members *members);
+/* Other seeds from the next hello on. */
+void members_seeds(Members *members, const char *const seeds[SEEDS]);
+
+/* --- what this process says of itself ----------------------------------------------- */
+
+/* Valid as long as members; its incarnation and tick rise. */
+const MemberRecord *members_self(const Members *members);
+/* Whether the own disk has never been part of a cluster. */
+void members_set_empty(Members *members, bool empty);
+/* Graceful shutdown (the paper's excluded): others do not count on this process any more. */
+void members_set_leaving(Members *members);
+
+/* --- the table ------------------------------------------------------------------------ */
+
 /* Valid until the next wait. */
 const MemberTable *members_table(const Members *members);
-/* Null when there is none. Valid until the next wait. */
+/* The member with this id; null: there is none. Valid until the next wait. */
 const Member *members_find(const Members *members, const char *id);
+/* The controller with this disk; null: there is none. Valid until the next wait. */
 const Member *members_find_disk(const Members *members, uint64_t disk);
-/* The controller that has come back under this name with another disk, and has said so
- * itself; null: none has. */
+/* The controller that has this name with another disk, and has said so itself; null: there is none. Valid until
+ * the next wait. */
 const Member *members_other_disk(const Members *members, const char *name, uint64_t disk);
-const MemberRecord *members_self(const Members *members);
+/* Whether nothing was heard of it for MEMBER_QUIET_MS: suspicion, not proof, that it is gone. */
 bool member_quiet(const Member *member, int64_t now_ms);
+/* How many members, with this process, have answered it within MEMBER_QUIET_MS. Controllers only: others
+ * do not ask everybody. */
+size_t members_sight(const Members *members);
+/* The process to be asked, so that no other at its address carries the request out. */
+PeerLife member_peer(const MemberRecord *record);
 
-void members_set_empty(Members *members, bool empty);
-void members_set_leaving(Members *members);
-/* The newest leader known; empty id when none is. */
-void members_set_leader(Members *members, uint64_t term, const char *id);
-/* Says hello to everybody: a new leader is heard of at once. */
+/* --- hellos ---------------------------------------------------------------------------- */
+
+/* Another process than the one known has answered at the address: a task asks it who it is. */
+void members_meet(Members *members, const char *address);
+/* Sends hellos to all members that are not quiet, at once: a new leader is known early. */
 void members_announce(Members *members);
+/* The leader is heard from by heartbeats until until_ms: hellos are sent every HELLO_REST_MS until
+ * then, so that a thousand agents do not overload the seeds. 0: it is not heard from any more. */
+void members_rest(Members *members, int64_t until_ms);
+
+/* --- the leader -------------------------------------------------------------------------- */
+
+/* A leader of this term is known, by its member's id. Lower terms change nothing. */
+void members_set_leader(Members *members, uint64_t term, const char *id);
+/* The id of the newest leader known; "": none. Valid until the next wait. */
 const char *members_leader_id(const Members *members);
+/* Its term; 0: none is known. */
 uint64_t members_leader_term(const Members *members);
-/* Of one that is to be asked, and no other. */
-PeerLife member_peer(const MemberRecord *record);
-/* Another process than the one known has answered there: it is asked who it is. */
-void members_meet(Members *members, const char *address);
-/* Who is meant when the leader is asked; id 0: none is known. */
+/* The process to be asked as the leader; id 0: none is known. */
 PeerLife members_leader_peer(const Members *members);
-/* The address where the leader is asked, or null. */
+/* Where the leader is asked; null: not known. Valid until the next wait. */
 const char *members_leader_address(const Members *members);
-/* The leader is heard from otherwise: until then hellos are spaced out, so that a
- * thousand agents do not drown the seeds. 0: it is not, any more. */
-void members_rest(Members *members, int64_t until_ms);
 /* Raised when the leader known here changes. */
 Signal *members_leader_signal(Members *members);
-/* The number of members, with ourselves, that have answered us of late. Controllers only:
- * others do not ask everybody. */
-size_t members_sight(const Members *members);
+
+/* --- founding a cluster: the seeds' votes --------------------------------------------------- */
+
+/* Whether this process, as a seed, has a vote to give; it has one in its life. */
+void members_set_voter(Members *members, bool voter);
+/* Waits, at most ASK_TIMEOUT_MS. Asks all seeds for their votes to found with the disk, or (back) gives
+ * them back. round grows with each proposal of the disk. Returns how many said yes; seed_count (out) is
+ * how many different seeds there are. */
+size_t members_votes(Members *members, uint64_t disk, uint64_t round, bool back, size_t *seed_count);
+/* The lowest empty disk among the controllers heard of lately; 0: there is none. */
+uint64_t members_lowest_empty(const Members *members);
 
 #endif
--- a/packages/member/src/record.c
+++ b/packages/member/src/record.c
@@ -1,5 +1,8 @@
+/* The field tables of membership's messages, and the names of roles. */
 #include "member/record.h"
 
+#include "wire/shape.h"
+
 SHAPE_TABLE(MemberRecord, MEMBER_FIELDS)
 SHAPE_TABLE(Hello, HELLO_FIELDS)
 SHAPE_TABLE(VoteAsk, VOTE_ASK_FIELDS)
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -42,8 +42,8 @@
     vote->back_round = ask->round;
 }
 
-/* Whether the seed grants what is asked. It grants nobody's proposal who has given that one
- * back, nobody's while it knows a cluster or an empty disk with a lower id. */
+/* Whether the seed grants what is asked. Never once it knows a cluster, nor to a proposal that was
+ * given back; for the first time only to the lowest empty disk that it has heard of. */
 static bool vote_take(Members *members, const VoteAsk *ask)
 {
     Vote *vote = &members->vote;
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -1,88 +1,108 @@
 #ifndef WIRE_RPC_H
 #define WIRE_RPC_H
 
+/* The RPC endpoint carries requests and answers between our processes: whole frames over one connection
+ * for each peer address, opened when it is needed, kept, and opened anew when it has gone silent. Any
+ * number of requests may be on a connection at a time; each request that comes in is answered by a
+ * task of its own. Every node has one RPC endpoint.
+ *
+ * Invariants: a request is carried out only by the process it is meant for, in its present
+ * incarnation; an answer is taken only where kind, wire version, cluster, process and incarnation
+ * agree with the request; request ids are used once in a process's life; no frame, whatever is in
+ * it, ends the process. docs/control-answers.md has the reasons. */
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#include "base/failure.h"
 #include "base/recorder.h"
+#include "base/status.h"
 #include "loop/loop.h"
 #include "wire/kinds.h"
 #include "wire/shape.h"
 
-/* Asks peers and answers them: one line (connection and reading task) for
- * each peer asked, one task for each connection and each question served. */
 typedef struct Rpc Rpc;
 
-/* Frames that were not taken; none of them ever crashes the RPC endpoint. */
-#define RPC_REFUSED_LIST(X)                                                                          \
-    X(bad_frames, "badFrames")         /* they do not parse, or nobody here knows what they ask */   \
-    X(strangers, "strangers")          /* of another cluster */                                      \
-    X(other_versions, "otherVersions") /* of another version of the wire */                          \
-    X(other_peers, "otherPeers")       /* questions meant for another process, answers of another */ \
-    X(other_lives, "otherLives")       /* questions meant for an earlier life of this process */     \
-    X(other_kinds, "otherKinds")       /* answers that are none to the question with their number */ \
-    X(late_answers, "lateAnswers")     /* to questions that had been given up */
-
-#define RPC_COUNT_LIST(X)          \
-    X(asked, "asked")              \
-    X(answered, "answered")        \
-    X(served, "served")            \
-    X(expired, "expired")          \
-    X(lines_opened, "linesOpened") \
+/* Frames that were not taken. The names stand in metrics and status. */
+#define RPC_REFUSED_LIST(X)                                                                               \
+    X(bad_frames, "badFrames")         /* they do not parse, or are a request that nobody here answers */ \
+    X(strangers, "strangers")          /* of another cluster */                                           \
+    X(other_versions, "otherVersions") /* of another version of the wire */                               \
+    X(other_peers, "otherPeers")       /* requests meant for another process, answers of another */       \
+    X(other_lives, "otherLives")       /* requests meant for another incarnation of this process */       \
+    X(other_kinds, "otherKinds")       /* answers of another kind than the request with their id */       \
+    X(late_answers, "lateAnswers")     /* to requests that had been given up */
+
+#define RPC_COUNT_LIST(X)                                               \
+    X(asked, "asked")              /* requests sent, or tried to */     \
+    X(answered, "answered")        /* answers to them */                \
+    X(served, "served")            /* requests that were carried out */ \
+    X(expired, "expired")          /* requests that timed out */        \
+    X(lines_opened, "linesOpened") /* connections opened */             \
     RPC_REFUSED_LIST(X)
 
+/* Counts since the process started. */
 typedef struct RpcCounts {
 #define X(name, outside) uint64_t name;
     RPC_COUNT_LIST(X)
 #undef X
 } RpcCounts;
 
-/* A process as peers know it: its member's id, as a sum, and since which of its
- * incarnations it lives. id 0: whoever stands at the address. */
+/* A process as peers name it. */
 typedef struct PeerLife {
-    uint64_t id;
-    uint64_t life;
+    uint64_t id;   /* checksum of its member's id; 0: whoever listens at the address */
+    uint64_t life; /* incarnation */
 } PeerLife;
 
+/* The name of the member with this id, in this incarnation. */
 PeerLife peer_life(const char *id, uint64_t life);
 
-/* Fills in the answer; the status goes with it. Runs in a task of its own;
- * ask, answer and all they hold live on mem. */
+/* Answers one request: fills in the zeroed answer; its status is sent with it, also when it is not OK.
+ * Runs in a task of its own and may wait. ask, answer and all they point to live on mem, which is
+ * freed once the answer has been sent. */
 typedef Status (*RpcFn)(void *arg, void *mem, const void *ask, void *answer);
 
+/* On mem. ring: the log for frames that are refused. */
 Rpc *rpc_new(void *mem, Loop *loop, Recorder *recorder);
 /* The cluster whose frames are taken; 0 while none is known. */
 void rpc_set_cluster(Rpc *rpc, uint64_t cluster);
 uint64_t rpc_cluster(const Rpc *rpc);
-/* Who this process says that it is: questions meant for another, or for an earlier life
- * of it, are refused. */
+/* Who this process says that it is. Its incarnation may rise while it lives. */
 void rpc_set_self(Rpc *rpc, PeerLife self);
+/* From now on requests of this kind are answered by fn with arg. */
 void rpc_handle(Rpc *rpc, MessageKind kind, const Shape *ask, const Shape *answer, RpcFn fn, void *arg);
+/* Takes requests at the address; bound (out) is where it really listens, as port 0 takes any. */
 Status rpc_listen(Rpc *rpc, const char *address, char bound[ADDRESS_MAX], Failure *failure);
 
-/* Waits for the answer. Certainly not carried out: UNREACHABLE, TOO_LARGE, STRANGER,
- * OTHER_PEER, OTHER_LIFE, OTHER_VERSION, UNKNOWN_QUESTION. EXPIRED, CLOSED and BAD_FRAME:
- * it may have been. Any other status is the peer's own. */
+/* Waits, at most wait_ms. Sends a request to whoever listens at the address, and fills in the answer,
+ * with all it points to on mem.
+ * Certainly not carried out: UNREACHABLE, TOO_LARGE, STRANGER, OTHER_PEER, OTHER_LIFE, OTHER_VERSION,
+ * UNKNOWN_QUESTION. May have been carried out: EXPIRED (no answer in time), CLOSED, BAD_FRAME. Any other
+ * status is the peer's own. */
 Status rpc_ask(Rpc *rpc, void *mem, const char *address, MessageKind kind, const Shape *ask_shape, const void *ask,
                int64_t wait_ms, const Shape *answer_shape, void *answer);
-/* What an asker sees of a question while it waits, and says of it: whether it may have left
- * this process, and that it is not to be sent any more. */
+
+/* What others see of a request while its task waits, and say of it. */
 typedef struct RpcSending {
-    bool sent;
-    bool cancelled;
+    bool sent;      /* it may have left this process */
+    bool cancelled; /* set by others: if it has not been sent, it is not to be any more */
 } RpcSending;
 
-/* Who is asked. sending: null where nobody looks. */
+/* Whom a request is for. */
 typedef struct RpcTarget {
     const char *address;
-    PeerLife meant;
-    RpcSending *sending;
+    PeerLife meant;      /* id 0: whoever listens there */
+    RpcSending *sending; /* null: nobody looks */
 } RpcTarget;
 
-/* The same of one process: another that stands at the address does not carry it out, and
- * an answer that is not that process's own is not taken. */
+/* Waits. As rpc_ask, for one process: another that listens at the address does not carry the request
+ * out, and only that process's own answer is taken. UNREACHABLE also where it was cancelled. */
 Status rpc_ask_peer(Rpc *rpc, void *mem, const RpcTarget *target, MessageKind kind, const Shape *ask_shape,
                     const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer);
-/* A new process is known to stand at the address: a line on which questions have
- * waited for long leads to the last one, and is opened anew. */
+/* A new process is known to listen at the address: a connection on which a request has waited for
+ * LINE_SILENT_MS leads to the process before it, and is ended. */
 void rpc_renew(Rpc *rpc, const char *address);
+/* Valid as long as the RPC endpoint. */
 const RpcCounts *rpc_counts(const Rpc *rpc);
 
 #endif
--- a/packages/wire/include/wire/shape.h
+++ b/packages/wire/include/wire/shape.h
@@ -1,27 +1,31 @@
 #ifndef WIRE_SHAPE_H
 #define WIRE_SHAPE_H
 
-#include <stddef.h>
-
-#include "base/bytes.h"
-#include "base/failure.h"
-
-/* A shape is a struct told once, as a list of fields, from which come the
- * struct itself and the table that packs, unpacks and prints it:
+/* A shape is a struct described once, as a list of fields; from the list come the struct itself and
+ * the table by which it is packed (MessagePack), unpacked, copied and compared. All messages, journal
+ * records and snapshots are packed shapes.
  *
  *     #define ROOM_FIELDS(X) X(U64, cpu_milli, 0) X(U64, mem_mb, 0)
  *     SHAPE(Room, ROOM_FIELDS)          in a header
  *     SHAPE_TABLE(Room, ROOM_FIELDS)    in one source file
  *
- * Kinds: U64, I64, FLAG (bool), TXT (text, never null once unpacked), BIN
- * (Bytes), TXS (texts), ONE (a nested shape), LST (a list of a shape). RAM (any
- * type) is a member beside them: it is in no row, so it is neither packed nor
- * compared, and a copy of the shape has the same bits in it.
- * Messages, journal records and snapshots are all packed shapes.
+ * Kinds: U64, I64, FLAG (bool), TXT (text, never null once unpacked), BIN (Bytes), TXS (texts), ONE (a
+ * nested shape), LST (a list of a shape; third column: the shape). RAM (third column: any type) is a
+ * member that is not in the table: it is neither packed nor compared, and copied bit by bit.
+ *
+ * Across releases: a reader passes over trailing fields that it does not know, and leaves at zero (a
+ * text at "") those that an older writer did not send. So fields are only ever added, at the end.
  *
- * Across versions: a reader ignores trailing fields that it does not know and
- * leaves at zero those that an older writer did not send. So fields are only
- * ever added, at the end. */
+ * Nothing here waits. */
+
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
+#include "base/bytes.h"
+#include "base/failure.h"
+#include "base/status.h"
+
 typedef enum ShapeKind {
     SHAPE_U64,
     SHAPE_I64,
@@ -35,20 +39,23 @@
 
 typedef struct Shape Shape;
 
+/* One row of a shape's table. */
 typedef struct ShapeField {
     const char *name;
     ShapeKind kind;
     size_t offset;
-    size_t count_offset; /* lists: where their count stands */
-    const Shape *of;     /* ONE and LST */
+    size_t count_offset; /* of TXS and LST, to their count; 0: no list */
+    const Shape *of;     /* of ONE and LST; else null */
 } ShapeField;
 
 struct Shape {
-    const char *name;
-    size_t size;
+    const char *name; /* for texts of failures */
+    size_t size;      /* of the struct, bytes */
     const ShapeField *(*fields)(size_t *count);
 };
 
+/* --- what the lists of fields are expanded by ------------------------------------ */
+
 #define SHAPE_MEMBER_U64(name, of) uint64_t name;
 #define SHAPE_MEMBER_I64(name, of) int64_t name;
 #define SHAPE_MEMBER_FLAG(name, of) bool name;
@@ -94,13 +101,19 @@
     }                                                         \
     const Shape Type##_shape = {#Type, sizeof(Type), Type##_fields};
 
+/* --- functions -------------------------------------------------------------------- */
+
+/* Appends the packed struct to the bytes, which grow on mem. Null texts are packed as "". */
 void shape_pack(const Shape *shape, const void *from, void *mem, Bytes *to);
-/* Checks all; the result hangs on mem. BAD_FRAME with the field's name. */
+/* Fills the struct, with all it points to on mem; from is not needed any more. Bytes from a peer may
+ * be anything. BAD_FRAME, with the field's name: they are not exactly one value of this shape; then
+ * the struct may be filled in part. failure may be null. */
 Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure);
-/* A deep copy on mem. */
+/* A deep copy, each part on memory of its own on mem. */
 void shape_copy(const Shape *shape, const void *from, void *mem, void *to);
-/* The same in one block on mem: parts of it can't be freed, its Bytes are borrowed. */
+/* A deep copy in one block on mem: no part of it can be freed, and nothing may be added to its Bytes. */
 void shape_copy_flat(const Shape *shape, const void *from, void *mem, void *to);
+/* Whether both are packed alike. */
 bool shape_equal(const Shape *shape, const void *a, const void *b);
 
 #endif
--- a/packages/wire/src/envelope.h
+++ b/packages/wire/src/envelope.h
@@ -1,11 +1,13 @@
 #ifndef WIRE_SRC_ENVELOPE_H
 #define WIRE_SRC_ENVELOPE_H
 
+/* The envelope: what goes round every request and answer. A frame is one packed envelope. */
+
 #include "wire/shape.h"
 
-/* What goes round every message. answer is false for a question. peer and peer_life: of a
- * question, the process that it is meant for; of an answer, the one that gives it; 0: not
- * said, as releases before did not. */
+/* call is the request id, which the answer repeats; answer is false for a request. status, of an
+ * answer: the Status as a number. peer and peer_life: of a request, the process that it is meant for; of an
+ * answer, the one that gives it; 0: not named, as earlier releases did not. */
 #define ENVELOPE_FIELDS(X) \
     X(U64, version, 0)     \
     X(U64, cluster, 0)     \
