--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -1,9 +1,10 @@
-/* Room of attempts that the table has nowhere, or elsewhere, and that may still run. */
+/* Orphaned attempts: capacity used by what the table places elsewhere or nowhere, and may still run. */
 #include "../../state/test/board.h"
 #include "heartbeat/orphans.h"
 
 #define UNTIL_MS 5000
 
+/* A job of two tasks, and the leader's list of orphaned attempts, which watches the table. */
 typedef struct Case {
     Board board;
     Orphans *orphans;
@@ -15,15 +16,25 @@
     orphans_add(arg, task->worker, job, task, task->attempt, UNTIL_MS);
 }
 
-static Case begin(void)
+static int case_begin(void **state)
 {
     static StepSpec step = {.name = "a", .count = 2, .room = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
-    Case it = {board_new(), NULL, NULL};
-    it.orphans = orphans_new(it.board.table);
-    table_left_watch(it.board.table, on_left, it.orphans);
+    Case *it = talloc_zero(NULL, Case);
+    it->board = board_new();
+    it->orphans = orphans_new(it->board.table);
+    table_left_watch(it->board.table, on_left, it->orphans);
     const JobSpec spec = spec_of("j", &step, 1);
-    it.job = job_add(&it.board, &spec, (JobTerms){.kind = ""});
-    return it;
+    it->job = job_add(&it->board, &spec, (JobTerms){.kind = ""});
+    *state = it;
+    return 0;
+}
+
+static int case_end(void **state)
+{
+    Case *it = *state;
+    talloc_free(it->board.table);
+    talloc_free(it);
+    return 0;
 }
 
 static uint64_t cpu_on(const Case *it, const char *worker)
@@ -40,98 +51,90 @@
     orphans_heartbeat(it->orphans, it->board.table, &ask, now_ms);
 }
 
-/* An older attempt finishes well while a newer one runs elsewhere: that one is to be
- * stopped, and takes room until its agent has told so. */
-static void newer_still_runs(void **state)
+/* An older attempt finishes well while a newer one runs elsewhere: that one is to be stopped, and uses
+ * capacity until its agent has reported its end. */
+static void newer_counts_until_its_end(void **state)
 {
-    (void)state;
-    Case it = begin();
+    Case *it = *state;
     const uint64_t first[] = {0};
-    place(&it.board, "j", first, 1, 1, "w1", "");
-    lose(&it.board, "w1");
-    place(&it.board, "j", first, 1, 2, "w2", "");
-    say(&it.board, "j", 0, 2, "w2", ATTEMPT_RUNNING, "");
-    assert_int_equal(cpu_on(&it, "w2"), 0);
-    say(&it.board, "j", 0, 1, "w1", ATTEMPT_DONE, "");
-    assert_int_equal(it.job->tasks[0].phase, TASK_DONE);
-    assert_int_equal(cpu_on(&it, "w2"), 3000);
+    place(&it->board, "j", first, 1, 1, "w1", "");
+    lose(&it->board, "w1");
+    place(&it->board, "j", first, 1, 2, "w2", "");
+    say(&it->board, "j", 0, 2, "w2", ATTEMPT_RUNNING, "");
+    assert_int_equal(cpu_on(it, "w2"), 0);
+    say(&it->board, "j", 0, 1, "w1", ATTEMPT_DONE, "");
+    assert_int_equal(it->job->tasks[0].phase, TASK_DONE);
+    assert_int_equal(cpu_on(it, "w2"), 3000);
     AttemptId listed = {"j", 0, 2};
-    heartbeat(&it, "w2", &listed, 1, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(&it, "w2"), 3000); /* still there, though no order is on its way */
+    heartbeat(it, "w2", &listed, 1, UNTIL_MS + 1);
+    assert_int_equal(cpu_on(it, "w2"), 3000); /* still there, though no order is on its way */
     const AttemptNews older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
-    orphans_end(it.orphans, &older);
-    assert_int_equal(cpu_on(&it, "w2"), 3000);
+    orphans_end(it->orphans, &older);
+    assert_int_equal(cpu_on(it, "w2"), 3000);
     const AttemptNews end = {.job = "j", .task = 0, .attempt = 2, .worker = "w2", .word = ATTEMPT_STOPPED};
-    orphans_end(it.orphans, &end);
-    assert_int_equal(cpu_on(&it, "w2"), 0);
-    talloc_free(it.board.table);
+    orphans_end(it->orphans, &end);
+    assert_int_equal(cpu_on(it, "w2"), 0);
 }
 
 /* An order that may still be on its way counts, whatever the agent lists. */
-static void on_its_way(void **state)
+static void order_on_its_way_counts(void **state)
 {
-    (void)state;
-    Case it = begin();
-    orphans_add(it.orphans, "w1", it.job, &it.job->tasks[1], 1, UNTIL_MS);
-    heartbeat(&it, "w1", NULL, 0, UNTIL_MS - 1);
-    assert_int_equal(cpu_on(&it, "w1"), 3000);
-    heartbeat(&it, "w1", NULL, 0, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(&it, "w1"), 0);
-    talloc_free(it.board.table);
+    Case *it = *state;
+    orphans_add(it->orphans, "w1", it->job, &it->job->tasks[1], 1, UNTIL_MS);
+    heartbeat(it, "w1", NULL, 0, UNTIL_MS - 1);
+    assert_int_equal(cpu_on(it, "w1"), 3000);
+    heartbeat(it, "w1", NULL, 0, UNTIL_MS + 1);
+    assert_int_equal(cpu_on(it, "w1"), 0);
 }
 
-/* What an agent lists and the table has elsewhere counts there too; of what the table
- * does not know at all nobody can tell the room. */
-static void only_listed(void **state)
+/* What an agent lists and the table places elsewhere counts there too; what the table does not know at
+ * all is of unknown size. */
+static void listed_but_placed_elsewhere_counts(void **state)
 {
-    (void)state;
-    Case it = begin();
+    Case *it = *state;
     const uint64_t both[] = {0, 1};
-    place(&it.board, "j", both, 2, 1, "w1", "");
+    place(&it->board, "j", both, 2, 1, "w1", "");
     AttemptId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
-    heartbeat(&it, "w1", listed, 2, 10);
-    assert_int_equal(cpu_on(&it, "w1"), 0);
-    heartbeat(&it, "w2", listed, 1, 10);
-    assert_int_equal(cpu_on(&it, "w2"), 3000);
+    heartbeat(it, "w1", listed, 2, 10);
+    assert_int_equal(cpu_on(it, "w1"), 0);
+    heartbeat(it, "w2", listed, 1, 10);
+    assert_int_equal(cpu_on(it, "w2"), 3000);
     AttemptId unknown = {"k", 0, 1};
-    heartbeat(&it, "w2", &unknown, 1, 20);
+    heartbeat(it, "w2", &unknown, 1, 20);
     Room room;
-    assert_false(orphans_room(it.orphans, "w2", &room));
-    heartbeat(&it, "w2", NULL, 0, 30);
-    assert_int_equal(cpu_on(&it, "w2"), 0);
-    talloc_free(it.board.table);
+    assert_false(orphans_room(it->orphans, "w2", &room));
+    heartbeat(it, "w2", NULL, 0, 30);
+    assert_int_equal(cpu_on(it, "w2"), 0);
 }
 
-/* What its agent told of is over at once. */
-static void told_is_over(void **state)
+/* An attempt whose end its agent has reported is not orphaned. */
+static void reported_end_counts_no_longer(void **state)
 {
-    (void)state;
-    Case it = begin();
+    Case *it = *state;
     const uint64_t first[] = {0};
-    place(&it.board, "j", first, 1, 1, "w1", "");
-    say(&it.board, "j", 0, 1, "w1", ATTEMPT_FAILED, "");
-    assert_int_equal(cpu_on(&it, "w1"), 0);
-    talloc_free(it.board.table);
+    place(&it->board, "j", first, 1, 1, "w1", "");
+    say(&it->board, "j", 0, 1, "w1", ATTEMPT_FAILED, "");
+    assert_int_equal(cpu_on(it, "w1"), 0);
 }
 
-/* A state loaded whole is watched as the one before it. */
-static void watched_after_load(void **state)
+/* A state loaded from a snapshot is watched as the one before it. */
+static void loaded_state_is_watched(void **state)
 {
-    (void)state;
-    Case it = begin();
-    again(&it.board);
+    Case *it = *state;
+    again(&it->board);
     const uint64_t first[] = {0};
-    place(&it.board, "j", first, 1, 1, "w1", "");
-    lose(&it.board, "w1");
-    assert_int_equal(cpu_on(&it, "w1"), 3000);
-    talloc_free(it.board.table);
+    place(&it->board, "j", first, 1, 1, "w1", "");
+    lose(&it->board, "w1");
+    assert_int_equal(cpu_on(it, "w1"), 3000);
 }
 
+#define TEST(name) cmocka_unit_test_setup_teardown(name, case_begin, case_end)
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(newer_still_runs), cmocka_unit_test(on_its_way),         cmocka_unit_test(only_listed),
-        cmocka_unit_test(told_is_over),     cmocka_unit_test(watched_after_load),
+        TEST(newer_counts_until_its_end),    TEST(order_on_its_way_counts), TEST(listed_but_placed_elsewhere_counts),
+        TEST(reported_end_counts_no_longer), TEST(loaded_state_is_watched),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -1,4 +1,5 @@
-/* The lock's two halves, on clocks that run apart. */
+/* The lock's two parts: what a voter promises and grants, and how long a holder may count on it, also
+ * on clocks that run apart. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,6 +14,7 @@
 #define RIVAL 8
 #define TERM 3
 #define VOTERS 3
+#define NOW_MS 1000
 
 /* A steady clock that runs at so many percent, in milliseconds. */
 static int64_t clock_at(int64_t true_ms, int64_t percent)
@@ -20,6 +22,17 @@
     return true_ms * percent / 100;
 }
 
+/* A voter that has promised TERM to HOLDER and granted it a lease at NOW_MS. */
+static LockVoter granting_voter(void)
+{
+    LockVoter voter = {0};
+    lock_promise(&voter, TERM, HOLDER);
+    assert_int_equal(lock_renew(&voter, TERM, HOLDER, NOW_MS), STATUS_OK);
+    return voter;
+}
+
+/* --- the lease of a majority ------------------------------------------------------- */
+
 /* While the holder counts on its lease, no majority may promise anything to another. */
 static void lease_ends_first(int64_t holder_percent, int64_t voter_percent)
 {
@@ -41,7 +54,7 @@
     }
 }
 
-static void same_clocks(void **state)
+static void lease_ends_first_on_equal_clocks(void **state)
 {
     (void)state;
     lease_ends_first(100, 100);
@@ -56,11 +69,87 @@
     lease_ends_first(100 - CLOCK_SLOW_PERCENT, 100 - CLOCK_SLOW_PERCENT);
 }
 
+/* The lease is that of the oldest grant in the best majority; a late answer never shortens it. */
+static void lease_takes_a_majority(void **state)
+{
+    (void)state;
+    LockLease lease = {.voters = VOTERS};
+    lock_lease_clear(&lease);
+    lock_lease_answered(&lease, 0, NOW_MS);
+    assert_int_equal(lock_lease_until(&lease), INT64_MIN);
+    lock_lease_answered(&lease, 2, NOW_MS + 10);
+    assert_int_equal(lock_lease_until(&lease), NOW_MS + LOCK_LEASE_MS);
+    lock_lease_answered(&lease, 1, NOW_MS + 20);
+    assert_int_equal(lock_lease_until(&lease), NOW_MS + 10 + LOCK_LEASE_MS);
+    lock_lease_answered(&lease, 1, NOW_MS - 10);
+    assert_int_equal(lock_lease_until(&lease), NOW_MS + 10 + LOCK_LEASE_MS);
+    lock_lease_clear(&lease);
+    assert_int_equal(lock_lease_until(&lease), INT64_MIN);
+}
+
+/* --- a voter's promise and grant ----------------------------------------------------- */
+
+static void no_term_is_promised_twice(void **state)
+{
+    (void)state;
+    const LockVoter voter = granting_voter();
+    assert_int_equal(lock_may_promise(&voter, TERM, HOLDER, NOW_MS), STATUS_OLD_TERM);
+    assert_int_equal(lock_may_promise(&voter, TERM - 1, HOLDER, NOW_MS), STATUS_OLD_TERM);
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OK);
+}
+
+static void granted_lease_keeps_others_out(void **state)
+{
+    (void)state;
+    const LockVoter voter = granting_voter();
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS - 1), STATUS_OTHER_HOLDER);
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS), STATUS_OK);
+}
+
+static void only_the_promised_holder_renews(void **state)
+{
+    (void)state;
+    LockVoter voter = granting_voter();
+    assert_int_equal(lock_renew(&voter, TERM - 1, HOLDER, NOW_MS), STATUS_OLD_TERM);
+    assert_int_equal(lock_renew(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OLD_TERM);
+    assert_int_equal(lock_renew(&voter, TERM, RIVAL, NOW_MS), STATUS_OTHER_HOLDER);
+    assert_int_equal(voter.lease_until_ms, NOW_MS + LOCK_GRANT_MS);
+}
+
+static void released_lease_is_not_renewed(void **state)
+{
+    (void)state;
+    LockVoter voter = granting_voter();
+    lock_release(&voter, TERM, RIVAL, NOW_MS); /* not its holder: changes nothing */
+    lock_release(&voter, TERM - 1, HOLDER, NOW_MS);
+    assert_true(lock_held(&voter, NOW_MS));
+    lock_release(&voter, TERM, HOLDER, NOW_MS);
+    assert_false(lock_held(&voter, NOW_MS));
+    assert_int_equal(lock_renew(&voter, TERM, HOLDER, NOW_MS), STATUS_OLD_TERM);
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_OK);
+}
+
+/* It may have forgotten a lease that it granted; one that knows its last holder may promise to that. */
+static void restarted_voter_promises_nothing(void **state)
+{
+    (void)state;
+    LockVoter voter = {.promised = TERM, .holder = HOLDER, .not_before_ms = NOW_MS + LOCK_GRANT_MS};
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_WOKEN);
+    voter.sure = true;
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OK);
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_WOKEN);
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS), STATUS_OK);
+    lock_release(&voter, TERM, HOLDER, NOW_MS); /* its last holder gives back what it may have forgotten */
+    assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_OK);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(same_clocks),
-        cmocka_unit_test(clocks_apart),
+        cmocka_unit_test(lease_ends_first_on_equal_clocks), cmocka_unit_test(clocks_apart),
+        cmocka_unit_test(lease_takes_a_majority),           cmocka_unit_test(no_term_is_promised_twice),
+        cmocka_unit_test(granted_lease_keeps_others_out),   cmocka_unit_test(only_the_promised_holder_renews),
+        cmocka_unit_test(released_lease_is_not_renewed),    cmocka_unit_test(restarted_voter_promises_nothing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/wire/test/wire.c
+++ b/packages/wire/test/wire.c
@@ -1,4 +1,4 @@
-/* Shapes: pack, unpack, versions, and bytes spoiled in every way. */
+/* Shapes: packing, unpacking, copies, two releases side by side, and bytes spoiled in every way. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -34,56 +34,83 @@
 SHAPE(NextLeaf, NEXT_LEAF_FIELDS)
 SHAPE_TABLE(NextLeaf, NEXT_LEAF_FIELDS)
 
-static Tree tree(void *mem)
+/* What each test works on: a tree with every kind of field, and its packed bytes. */
+typedef struct Fixture {
+    Tree tree;
+    Bytes packed;
+} Fixture;
+
+static Tree tree_new(void *mem)
 {
-    Tree t = {.balance = -7, .on = true, .first = {9, "root"}};
-    bytes_add(mem, &t.blob, "\0\1\2", 3);
-    t.words = talloc_array(mem, const char *, 2);
-    t.words[0] = "a";
-    t.words[1] = "";
-    t.words_count = 2;
-    t.leaves = talloc_array(mem, Leaf, 2);
-    t.leaves[0] = (Leaf){UINT64_MAX, "x"};
-    t.leaves[1] = (Leaf){0, "y"};
-    t.leaves_count = 2;
-    return t;
+    Tree tree = {.balance = -7, .on = true, .first = {9, "root"}};
+    bytes_add(mem, &tree.blob, "\0\1\2", 3);
+    tree.words = talloc_array(mem, const char *, 2);
+    tree.words[0] = "a";
+    tree.words[1] = "";
+    tree.words_count = 2;
+    tree.leaves = talloc_array(mem, Leaf, 2);
+    tree.leaves[0] = (Leaf){UINT64_MAX, "x"};
+    tree.leaves[1] = (Leaf){0, "y"};
+    tree.leaves_count = 2;
+    return tree;
 }
 
-static void there_and_back(void **state)
+static int fixture_begin(void **state)
 {
-    (void)state;
-    void *mem = talloc_new(NULL);
-    const Tree in = tree(mem);
-    Tree out, copy;
-    Bytes packed = {0};
-    shape_pack(&Tree_shape, &in, mem, &packed);
-    assert_int_equal(shape_unpack(&Tree_shape, packed, mem, &out, NULL), STATUS_OK);
-    assert_true(shape_equal(&Tree_shape, &in, &out));
+    Fixture *fixture = talloc_zero(NULL, Fixture);
+    fixture->tree = tree_new(fixture);
+    shape_pack(&Tree_shape, &fixture->tree, fixture, &fixture->packed);
+    *state = fixture;
+    return 0;
+}
+
+static int fixture_end(void **state)
+{
+    talloc_free(*state);
+    return 0;
+}
+
+/* --- packing and copying -------------------------------------------------------------- */
+
+static void unpacked_equals_packed(void **state)
+{
+    Fixture *fixture = *state;
+    Tree out;
+    assert_int_equal(shape_unpack(&Tree_shape, fixture->packed, fixture, &out, NULL), STATUS_OK);
+    assert_true(shape_equal(&Tree_shape, &fixture->tree, &out));
     assert_int_equal(out.leaves[0].number, UINT64_MAX);
     assert_int_equal(out.balance, -7);
-    shape_copy(&Tree_shape, &in, mem, &copy);
-    assert_true(shape_equal(&Tree_shape, &in, &copy));
+}
+
+static void copy_is_deep(void **state)
+{
+    Fixture *fixture = *state;
+    Tree copy;
+    shape_copy(&Tree_shape, &fixture->tree, fixture, &copy);
+    assert_true(shape_equal(&Tree_shape, &fixture->tree, &copy));
     copy.leaves[1].number = 1;
-    assert_false(shape_equal(&Tree_shape, &in, &copy));
+    assert_false(shape_equal(&Tree_shape, &fixture->tree, &copy));
+}
+
+static void flat_copy_is_one_block(void **state)
+{
+    Fixture *fixture = *state;
     Tree flat;
-    void *block = talloc_new(NULL);
-    shape_copy_flat(&Tree_shape, &in, block, &flat);
-    assert_true(shape_equal(&Tree_shape, &in, &flat));
+    void *block = talloc_new(fixture);
+    shape_copy_flat(&Tree_shape, &fixture->tree, block, &flat);
+    assert_true(shape_equal(&Tree_shape, &fixture->tree, &flat));
     assert_int_equal(talloc_total_blocks(block), 2);
-    assert_ptr_not_equal(flat.words[0], in.words[0]);
+    assert_ptr_not_equal(flat.words[0], fixture->tree.words[0]);
     const Tree empty = {0};
     shape_copy_flat(&Tree_shape, &empty, block, &flat);
     assert_true(shape_equal(&Tree_shape, &empty, &flat));
     assert_string_equal(flat.first.name, "");
     assert_int_equal(talloc_total_blocks(block), 2);
-    talloc_free(block);
-    talloc_free(mem);
 }
 
-static void one_release_beside_the_next(void **state)
+static void releases_read_each_other(void **state)
 {
-    (void)state;
-    void *mem = talloc_new(NULL);
+    void *mem = *state;
     Bytes old = {0}, next = {0};
     shape_pack(&Leaf_shape, &(Leaf){3, "three"}, mem, &old);
     shape_pack(&NextLeaf_shape, &(NextLeaf){4, "four", 5, "six"}, mem, &next);
@@ -94,27 +121,63 @@
     assert_string_equal(from_old.note, "");
     assert_int_equal(shape_unpack(&Leaf_shape, next, mem, &from_next, NULL), STATUS_OK);
     assert_int_equal(from_next.number, 4);
-    talloc_free(mem);
 }
 
-/* Every truncation and 20,000 spoiled copies: a typed refusal or a value that
- * packs again, never a crash. */
-static void spoiled(void **state)
+/* --- bytes that are not what they should be ---------------------------------------------- */
+
+static void truncated_is_refused(void **state)
 {
-    (void)state;
-    void *mem = talloc_new(NULL);
-    const Tree in = tree(mem);
-    Bytes packed = {0};
-    shape_pack(&Tree_shape, &in, mem, &packed);
-    for (size_t count = 0; count < packed.count; count++) {
+    Fixture *fixture = *state;
+    for (size_t count = 0; count < fixture->packed.count; count++) {
         Tree out;
-        assert_int_equal(shape_unpack(&Tree_shape, (Bytes){packed.data, count, 0}, mem, &out, NULL), STATUS_BAD_FRAME);
+        assert_int_equal(shape_unpack(&Tree_shape, (Bytes){fixture->packed.data, count, 0}, fixture, &out, NULL),
+                         STATUS_BAD_FRAME);
+    }
+}
+
+/* Each states a length or count that the bytes after it do not meet, or is of a kind that no shape has. */
+static void untrue_length_is_refused(void **state)
+{
+    static const struct {
+        size_t count;
+        uint8_t bytes[6];
+    } FRAMES[] = {
+        {5, {0xdd, 0xff, 0xff, 0xff, 0xff}},       /* array of 4 G values */
+        {5, {0xdf, 0xff, 0xff, 0xff, 0xff}},       /* map of as many pairs */
+        {3, {0xdc, 0x00, 0x02}},                   /* array of two, neither there */
+        {6, {0x91, 0xc6, 0xff, 0xff, 0xff, 0xff}}, /* 4 GB of bytes */
+        {3, {0x91, 0xd9, 0x02}},                   /* text of two bytes, neither there */
+        {2, {0x91, 0xcd}},                         /* number without its bytes */
+        {4, {0x91, 0xd4, 0x00, 0x00}},             /* ext */
+        {2, {0x90, 0x00}},                         /* a byte too many */
+    };
+    for (size_t i = 0; i < sizeof(FRAMES) / sizeof(FRAMES[0]); i++) {
+        const Bytes frame = {(uint8_t *)(uintptr_t)FRAMES[i].bytes, FRAMES[i].count, 0};
+        Leaf out;
+        assert_int_equal(shape_unpack(&Leaf_shape, frame, *state, &out, NULL), STATUS_BAD_FRAME);
     }
+}
+
+static void other_type_is_refused_by_its_name(void **state)
+{
+    void *mem = *state;
+    Bytes packed = {0};
+    shape_pack(&NextLeaf_shape, &(NextLeaf){4, "four", 5, "six"}, mem, &packed);
+    Tree out;
+    Failure failure = {0};
+    assert_int_equal(shape_unpack(&Tree_shape, packed, mem, &out, &failure), STATUS_BAD_FRAME);
+    assert_string_equal(failure.text, "Tree.on has the wrong type");
+}
+
+/* 20,000 spoiled copies: each is refused or a value that packs again, and never ends the process. */
+static void spoiled_is_refused_or_packs_again(void **state)
+{
+    Fixture *fixture = *state;
     uint32_t seed = 1;
     size_t refused = 0;
     for (int i = 0; i < 20000; i++) {
-        void *one = talloc_new(mem);
-        Bytes copy = bytes_copy(one, packed);
+        void *one = talloc_new(fixture);
+        Bytes copy = bytes_copy(one, fixture->packed);
         for (int k = 0; k < 1 + i % 3; k++) {
             seed = seed * 1664525u + 1013904223u;
             copy.data[(seed >> 8) % copy.count] = (uint8_t)(seed >> 24);
@@ -132,15 +195,21 @@
         talloc_free(one);
     }
     assert_true(refused > 1000);
-    talloc_free(mem);
 }
 
+#define TEST(name) cmocka_unit_test_setup_teardown(name, fixture_begin, fixture_end)
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(there_and_back),
-        cmocka_unit_test(one_release_beside_the_next),
-        cmocka_unit_test(spoiled),
+        TEST(unpacked_equals_packed),
+        TEST(copy_is_deep),
+        TEST(flat_copy_is_one_block),
+        TEST(releases_read_each_other),
+        TEST(truncated_is_refused),
+        TEST(untrue_length_is_refused),
+        TEST(other_type_is_refused_by_its_name),
+        TEST(spoiled_is_refused_or_packs_again),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
