--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -110,7 +110,7 @@
 
 /* --- founding a cluster: the seeds' votes --------------------------------------------------- */
 
-/* Whether this process, as a seed, has a vote to give; it has one in its life. */
+/* Whether this process, as a seed, has a vote to give; it has one in its lifetime. */
 void members_set_voter(Members *members, bool voter);
 /* Waits, at most ASK_TIMEOUT_MS. Asks all seeds for their votes to found with the disk, or (back) gives
  * them back. round grows with each proposal of the disk. Returns how many said yes; seed_count (out) is
--- a/packages/member/src/hello.c
+++ b/packages/member/src/hello.c
@@ -1,4 +1,4 @@
-/* The exchange of hellos: both sides tell each other their own record, the table, the cluster
+/* The exchange of hellos: both sides send each other their own record, the table, the cluster
  * and the leader that they know, and merge what they hear. Nothing is taken from a process of
  * another cluster. When hellos are sent is decided in gossip.c. */
 #include "hello.h"
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -1,4 +1,4 @@
-/* The seeds' votes for the founder of a new cluster. Each seed has one vote in its life, and a
+/* The seeds' votes for the founder of a new cluster. Each seed has one vote in its lifetime, and a
  * majority of the seeds decides. All processes of a first start are given the same seeds, so two
  * majorities share a seed and at most one controller founds, whatever messages are lost. */
 #include "vote.h"
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -2,13 +2,13 @@
 #define WIRE_RPC_H
 
 /* The RPC endpoint carries requests and answers between our processes: whole frames over one connection
- * for each peer address, opened when it is needed, kept, and opened anew when it has gone silent. Any
+ * for each peer address, opened when it is needed, kept, and opened anew when it stays silent. Any
  * number of requests may be on a connection at a time; each request that comes in is answered by a
  * task of its own. Every node has one RPC endpoint.
  *
  * Invariants: a request is carried out only by the process it is meant for, in its present
  * incarnation; an answer is taken only where kind, wire version, cluster, process and incarnation
- * agree with the request; request ids are used once in a process's life; no frame, whatever is in
+ * agree with the request; request ids are used once in a process's lifetime; no frame, whatever is in
  * it, ends the process. docs/control-answers.md has the reasons. */
 
 #include <stdbool.h>
@@ -92,7 +92,7 @@
 typedef struct RpcTarget {
     const char *address;
     PeerLife meant;      /* id 0: whoever listens there */
-    RpcSending *sending; /* null: nobody looks */
+    RpcSending *sending; /* null: not wanted */
 } RpcTarget;
 
 /* Waits. As rpc_ask, for one process: another that listens at the address does not carry the request
--- a/packages/wire/src/ask.c
+++ b/packages/wire/src/ask.c
@@ -1,5 +1,5 @@
-/* How a process asks others: puts a request on the line to the peer's address and waits for its
- * answer. */
+/* How a process asks others: sends a request over the connection to the peer's address and waits for
+ * its answer. */
 #include <talloc.h>
 
 #include "asking.h"
@@ -11,7 +11,7 @@
 #include "wire/rpc.h"
 #include "wire/shape.h"
 
-/* Sends the request and puts it on the line's list. TOO_LARGE, UNREACHABLE: it has not been sent. */
+/* Sends the request and puts it on its connection's list. TOO_LARGE, UNREACHABLE: it has not been sent. */
 static Status asking_send(Line *line, Asking *asking, const Shape *ask_shape, const void *ask)
 {
     Rpc *rpc = line->rpc;
@@ -61,7 +61,7 @@
         return STATUS_OK;
     asking_take(line, asking->call);
     rpc->counts.expired++;
-    /* a connection that has gone silent may be dead: end it, so that the next request opens another */
+    /* a connection that stays silent may be dead: end it, so that the next request opens another */
     if (++line->misses >= LINE_MISSES && line->channel != NULL)
         channel_shut(line->channel);
     return STATUS_EXPIRED;
--- a/packages/wire/src/asking.c
+++ b/packages/wire/src/asking.c
@@ -1,4 +1,4 @@
-/* The list of the requests that await an answer on a line. */
+/* The list of the requests that await an answer on a connection. */
 #include "asking.h"
 
 #include "inside.h"
--- a/packages/wire/src/asking.h
+++ b/packages/wire/src/asking.h
@@ -1,8 +1,8 @@
 #ifndef WIRE_SRC_ASKING_H
 #define WIRE_SRC_ASKING_H
 
-/* The requests that await an answer, and the line (the connection to one peer address) that they
- * were sent on. */
+/* The requests that await an answer, and the connection to one peer address that they were sent
+ * over. */
 
 #include "base/bytes.h"
 #include "loop/loop.h"
@@ -10,7 +10,7 @@
 #include "wire/kinds.h"
 
 /* A request sent and not yet answered. Owned by the task that waits for it.
- * Invariant: it is on its line's list until done, or until its task gives it up. */
+ * Invariant: it is on its connection's list until done, or until its task gives it up. */
 typedef struct Asking {
     struct Asking *next;
     uint64_t call; /* request id */
@@ -25,7 +25,7 @@
     Signal answered;
 } Asking;
 
-/* Lives as long as its RPC endpoint; the connection comes and goes.
+/* The connection to one peer address. It is kept as long as the RPC endpoint, connected or not.
  * Invariants: while channel is non-null one reading task serves it; misses is the number of
  * requests in a row that timed out. */
 typedef struct Line {
--- a/packages/wire/src/envelope.h
+++ b/packages/wire/src/envelope.h
@@ -1,7 +1,7 @@
 #ifndef WIRE_SRC_ENVELOPE_H
 #define WIRE_SRC_ENVELOPE_H
 
-/* The envelope: what goes round every request and answer. A frame is one packed envelope. */
+/* The envelope: what encloses every request and answer. A frame is one packed envelope. */
 
 #include "wire/shape.h"
 
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -1,5 +1,5 @@
 /* The connection to one peer address: opened when a request needs it, read by a task of its own,
- * opened anew when it has gone silent or its peer has restarted. */
+ * opened anew when it stays silent or its peer has restarted. */
 #include "line.h"
 
 #include <talloc.h>
--- a/packages/wire/src/line.h
+++ b/packages/wire/src/line.h
@@ -4,7 +4,7 @@
 #include "asking.h"
 #include "wire/rpc.h"
 
-/* Waits, until until_ms at the latest. The connected line to the address, or null when the peer
+/* Waits, until until_ms at the latest. The connection to the address, ready to send, or null when the peer
  * can't be reached. A connection attempt takes at most CONNECT_TIMEOUT_MS. */
 Line *line_ready(Rpc *rpc, const char *address, int64_t until_ms);
 
--- a/packages/wire/src/rpc.c
+++ b/packages/wire/src/rpc.c
@@ -13,18 +13,16 @@
 #include "loop/loop.h"
 #include "wire/kinds.h"
 
-static const struct {
-    bool known;
-    bool open;
-} KINDS[MESSAGE_MAX] = {
-#define X(name, number, word, opened) [number] = {true, opened},
+/* Kinds that need no cluster on either side. */
+static const bool OPEN_KINDS[MESSAGE_MAX] = {
+#define X(name, number, word, open) [number] = open,
     MESSAGE_LIST(X)
 #undef X
 };
 
 bool rpc_open_kind(uint64_t kind)
 {
-    return kind < MESSAGE_MAX && KINDS[kind].open;
+    return kind < MESSAGE_MAX && OPEN_KINDS[kind];
 }
 
 bool rpc_same_cluster(uint64_t a, uint64_t b)
@@ -35,7 +33,7 @@
 void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope)
 {
     const uint64_t count = ++rpc->refused;
-    if ((count & (count - 1)) == 0) /* the first, second, fourth, ...: a flood does not fill the log */
+    if ((count & (count - 1)) == 0) /* the first, second, fourth, ...: a flood of them does not fill the log */
         recorder_write(rpc->recorder, RECORDER_NOTE, loop_now_ms(rpc->loop),
                        "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
                        " so far",
--- a/packages/wire/src/serve.c
+++ b/packages/wire/src/serve.c
@@ -77,7 +77,7 @@
     return STATUS_OK;
 }
 
-/* Counts and tells a frame after which the connection is ended. */
+/* Counts and logs a frame after which the connection is ended. */
 static void note_bad(Rpc *rpc, const char *text)
 {
     rpc->counts.bad_frames++;
--- a/packages/wire/src/unpack.c
+++ b/packages/wire/src/unpack.c
@@ -111,7 +111,7 @@
     return STATUS_OK;
 }
 
-/* A field whose value is one or more shapes, at the field's place in its struct. */
+/* A field whose value is one or more shapes, at the field's address in its struct. */
 static Status unpack_nested(const Shape *shape, const ShapeField *field, const msgpack_object *from, void *mem,
                             void *at, Failure *failure)
 {
