--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -68,12 +68,6 @@
     const char *name; /* of the first loss that can't be survived */
 } PlanBreak;
 
-bool room_fits(Room need, Room free);
-Room room_less(Room a, Room b);
-Room room_more(Room a, Room b);
-/* The larger of the parts of whole that room takes, in thousandths. */
-uint64_t room_share(Room room, Room whole);
-
 bool plan_able(const PlanWorker *worker, const PlanNeed *need); /* kind and labels */
 bool plan_fits(const PlanWorker *worker, const PlanNeed *need); /* ... and room */
 /* The worker with the most room left among those that fit; -1: none fits. lost
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -87,12 +87,7 @@
                 mine.all[i] &= groups[g].all[i];
                 mine.lost[i] += groups[g].lost[i];
             }
-            if (groups[g].biggest.cpu_milli > mine.biggest.cpu_milli)
-                mine.biggest.cpu_milli = groups[g].biggest.cpu_milli;
-            if (groups[g].biggest.mem_mb > mine.biggest.mem_mb)
-                mine.biggest.mem_mb = groups[g].biggest.mem_mb;
-            if (groups[g].biggest.gpu > mine.biggest.gpu)
-                mine.biggest.gpu = groups[g].biggest.gpu;
+            mine.biggest = room_largest(mine.biggest, groups[g].biggest);
             groups[g] = groups[--count];
         }
         groups[count++] = mine;
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -36,14 +36,8 @@
 Room plan_largest(const PlanWorker *workers, size_t count)
 {
     Room largest = {0};
-    for (size_t i = 0; i < count; i++) {
-        if (workers[i].room.cpu_milli > largest.cpu_milli)
-            largest.cpu_milli = workers[i].room.cpu_milli;
-        if (workers[i].room.mem_mb > largest.mem_mb)
-            largest.mem_mb = workers[i].room.mem_mb;
-        if (workers[i].room.gpu > largest.gpu)
-            largest.gpu = workers[i].room.gpu;
-    }
+    for (size_t i = 0; i < count; i++)
+        largest = room_largest(largest, workers[i].room);
     return largest;
 }
 
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -53,6 +53,11 @@
     return at;
 }
 
+static const StepSpec *step_of(const Candidate *candidate)
+{
+    return &candidate->job->spec.steps[candidate->job->tasks[candidate->first].step];
+}
+
 static void next_at(Line *line, int64_t log_ms)
 {
     if (log_ms > line->sight->clock.log_ms && log_ms < line->next_ms)
@@ -64,7 +69,7 @@
 /* Part of the turn's tasks that are done or under way, 0 to 1. */
 static double begun_of(const Job *job, uint64_t turn)
 {
-    const size_t turns = job->spec.turns > 0 ? (size_t)job->spec.turns : 1, each = job->tasks_count / turns;
+    const size_t turns = (size_t)job_turn_count(&job->spec), each = job->tasks_count / turns;
     size_t waiting = turns == 1 ? job->sums.waiting : 0;
     for (size_t i = turn * each; i < (turn + 1) * each && turns > 1; i++)
         waiting += job->tasks[i].phase == TASK_WAITING;
@@ -169,15 +174,10 @@
     }
 }
 
-static bool room_same(Room a, Room b)
-{
-    return a.cpu_milli == b.cpu_milli && a.mem_mb == b.mem_mb && a.gpu == b.gpu;
-}
-
 static void turn_walk(Line *line, Note *note, uint64_t turn)
 {
     const Job *job = note->job;
-    const size_t turns = job->spec.turns > 0 ? (size_t)job->spec.turns : 1;
+    const size_t turns = (size_t)job_turn_count(&job->spec);
     size_t first = job->tasks_count / turns * turn;
     bool known = false;
     for (size_t s = 0; s < job->spec.steps_count; s++) {
@@ -215,9 +215,7 @@
         return x->candidate.restart ? -1 : 1;
     if (x->candidate.restart) {
         const Room unit = {1000, 2000, 1}; /* a controller weighs as much as 2 GB, and as a GPU */
-        const Room *p = &x->candidate.job->spec.steps[x->candidate.job->tasks[x->candidate.first].step].room;
-        const Room *q = &y->candidate.job->spec.steps[y->candidate.job->tasks[y->candidate.first].step].room;
-        const uint64_t s = part_of(*p, unit), t = part_of(*q, unit);
+        const uint64_t s = part_of(step_of(&x->candidate)->room, unit), t = part_of(step_of(&y->candidate)->room, unit);
         return s != t ? (s > t ? -1 : 1) : accepted_order(&x->candidate, &y->candidate);
     }
     if (x->note->cell_account != y->note->cell_account)
@@ -261,7 +259,7 @@
         if (job->ending != JOB_ACTIVE || job->sums.waiting == 0)
             continue;
         Note *note = note_of(queue, sight, job);
-        const uint64_t turns = job->spec.turns > 0 ? job->spec.turns : 1;
+        const uint64_t turns = job_turn_count(&job->spec);
         uint64_t turn = 0;
         for (; turn < turns && queue_due(job, turn, sight->clock); turn++)
             turn_walk(line, note, turn);
@@ -288,16 +286,13 @@
 
 static Room room_of(const Candidate *candidate)
 {
-    const Room one = candidate->job->spec.steps[candidate->job->tasks[candidate->first].step].room;
-    return (Room){one.cpu_milli * candidate->count, one.mem_mb * candidate->count, one.gpu * candidate->count};
+    return room_times(step_of(candidate)->room, candidate->count);
 }
 
 /* What the account would use with the candidate, in millionths of the fleet. */
 static uint64_t turn_of(const Line *line, Account *account, const Candidate *candidate)
 {
-    Room room = *account_use(line->queue, line->sight, account);
-    const Room more = room_of(candidate);
-    room = (Room){room.cpu_milli + more.cpu_milli, room.mem_mb + more.mem_mb, room.gpu + more.gpu};
+    const Room room = room_more(*account_use(line->queue, line->sight, account), room_of(candidate));
     return part_of(room, line->sight->fleet);
 }
 
@@ -373,7 +368,7 @@
 static void account_more(Line *line, Account *account, Room more)
 {
     Room *used = account_use(line->queue, line->sight, account);
-    *used = (Room){used->cpu_milli + more.cpu_milli, used->mem_mb + more.mem_mb, used->gpu + more.gpu};
+    *used = room_more(*used, more);
 }
 
 void line_placed(Line *line)
@@ -383,7 +378,7 @@
     const Room more = room_of(candidate);
     account_more(line, place->note->cell_account, more);
     account_more(line, place->note->tenant_account, more);
-    const bool gang = candidate->job->spec.steps[candidate->job->tasks[candidate->first].step].gang;
+    const bool gang = step_of(candidate)->gang;
     const LatencyTarget target = {.span_ms = candidate->span_ms};
     if (!gang)
         candidate->first =
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -39,11 +39,7 @@
 
 uint64_t part_of(Room room, Room fleet)
 {
-    const uint64_t cpu = fleet.cpu_milli > 0 ? room.cpu_milli * 1000000 / fleet.cpu_milli : 0;
-    const uint64_t mem = fleet.mem_mb > 0 ? room.mem_mb * 1000000 / fleet.mem_mb : 0;
-    const uint64_t gpu = fleet.gpu > 0 ? room.gpu * 1000000 / fleet.gpu : 0;
-    const uint64_t most = cpu > mem ? cpu : mem;
-    return most > gpu ? most : gpu;
+    return room_part(room, fleet, 1000000);
 }
 
 static gboolean unseen(gpointer key, gpointer value, gpointer queue)
--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -1,24 +1,32 @@
 #ifndef STATE_CHANGE_H
 #define STATE_CHANGE_H
 
+/* The changes of the replicated state: the log's entries that packages/table delivers,
+ * with the shape of each payload. The leader proposes them (packages/controller); repair
+ * proposes again those that the disks may have lost. So delivering a change twice must do
+ * no harm: what a change names has an identity of its own (a job's id, an attempt's
+ * number, a version, an order's name or stamp).
+ *
+ * Numbers and fields are part of the journal's format: numbers are never reused, fields
+ * are only added at the end. */
+
 #include "state/worker.h"
 
-/* Every change of the state. Numbers are part of the journal's format. Each may
- * be told twice without harm: what it names has an identity of its own. */
-#define CHANGE_LIST(X)                                                          \
-    X(JOB_ADD, 16, JobAdd)                                                      \
-    X(JOB_CANCEL, 17, JobCancel)                                                \
-    X(PLACE, 18, PlaceList)                                                     \
-    X(ATTEMPTS, 19, AttemptList) /* what agents tell */                         \
-    X(STOP, 20, StopList)        /* attempts to be stopped and planned again */ \
-    X(WORKER_SET, 21, Worker)                                                   \
-    X(WORKER_LOST, 22, WorkerLost)                                              \
-    X(WORKER_LEFT, 23, WorkerLeft)                                              \
-    X(CONFIG_SET, 24, ConfigSet)                                                \
-    X(ZONE_DRAIN, 25, ZoneDrain)                                                \
-    X(FORGET, 26, Forget)   /* ended jobs older than the stated span */         \
-    X(ASSURE, 27, StopList) /* attempts that a plan now includes */             \
-    X(JOB_END, 28, JobEnd)  /* told again: a caller was shown that it ended */
+/* Name, number in the journal, shape of the payload. Below 16 are the log's own. */
+#define CHANGE_LIST(X)                                                    \
+    X(JOB_ADD, 16, JobAdd)                                                \
+    X(JOB_CANCEL, 17, JobCancel)                                          \
+    X(PLACE, 18, PlaceList)                                               \
+    X(ATTEMPTS, 19, AttemptList) /* agents' updates */                    \
+    X(STOP, 20, StopList)        /* attempts to stop and to plan again */ \
+    X(WORKER_SET, 21, Worker)                                             \
+    X(WORKER_LOST, 22, WorkerLost)                                        \
+    X(WORKER_LEFT, 23, WorkerLeft)                                        \
+    X(CONFIG_SET, 24, ConfigSet)                                          \
+    X(ZONE_DRAIN, 25, ZoneDrain)                                          \
+    X(FORGET, 26, Forget)   /* drops what ended before a time */          \
+    X(ASSURE, 27, StopList) /* attempts that a plan now includes */       \
+    X(JOB_END, 28, JobEnd)  /* from repair: a caller was shown that it ended */
 
 typedef enum ChangeKind {
 #define X(name, number, shape) CHANGE_##name = number,
@@ -26,19 +34,25 @@
 #undef X
 } ChangeKind;
 
+/* Accepts a job. An id that is known: OK with the job's number when the body is the same,
+ * else OTHER_BODY. */
 #define JOB_ADD_FIELDS(X) \
     X(ONE, spec, JobSpec) \
     X(ONE, terms, JobTerms)
 SHAPE(JobAdd, JOB_ADD_FIELDS)
 
+/* UNKNOWN_JOB, or ALREADY_ENDED for one that ended otherwise. */
 #define JOB_CANCEL_FIELDS(X) X(TXT, id, 0)
 SHAPE(JobCancel, JOB_CANCEL_FIELDS)
 
+/* The job ended in this phase before the disks lost how; ignored for an unknown or ended one. */
 #define JOB_END_FIELDS(X) \
     X(TXT, id, 0)         \
-    X(U64, phase, 0)
+    X(U64, phase, 0) /* a JobPhase */
 SHAPE(JobEnd, JOB_END_FIELDS)
 
+/* A task's next attempt goes to a worker. Ignored when the task no longer waits or has had
+ * that attempt. The members of a gang stand one after another under one attempt number. */
 #define PLACEMENT_FIELDS(X) \
     X(TXT, job, 0)          \
     X(U64, task, 0)         \
@@ -46,62 +60,70 @@
     X(TXT, worker, 0)       \
     X(U64, incarnation, 0)  \
     X(FLAG, assured, 0)     \
-    X(TXT, saved, 0) /* from where the attempt goes on */
+    X(TXT, saved, 0) /* progress to resume from */
 SHAPE(Placement, PLACEMENT_FIELDS)
 
+/* The result's number: placements taken. */
 #define PLACE_LIST_FIELDS(X) X(LST, placements, Placement)
 SHAPE(PlaceList, PLACE_LIST_FIELDS)
 
+/* The result's number: updates read. */
 #define ATTEMPT_LIST_FIELDS(X) X(LST, news, AttemptNews)
 SHAPE(AttemptList, ATTEMPT_LIST_FIELDS)
 
+/* One attempt of one task. */
 #define ATTEMPT_ID_FIELDS(X) \
     X(TXT, job, 0)           \
     X(U64, task, 0)          \
     X(U64, attempt, 0)
 SHAPE(AttemptId, ATTEMPT_ID_FIELDS)
 
+/* Of STOP and of ASSURE; the result's number: attempts that it applied to. */
 #define STOP_LIST_FIELDS(X)     \
     X(LST, attempts, AttemptId) \
-    X(TXT, why, 0)
+    X(TXT, why, 0) /* the tasks' message from then on */
 SHAPE(StopList, STOP_LIST_FIELDS)
 
-/* Every round on the worker given to that incarnation or an older one is over. */
+/* The worker's lease has run out: every attempt there that was ordered from that
+ * incarnation of its agent, or an older one, is over. */
 #define WORKER_LOST_FIELDS(X) \
     X(TXT, worker, 0)         \
     X(U64, incarnation, 0)
 SHAPE(WorkerLost, WORKER_LOST_FIELDS)
 
+/* The worker left cleanly, or is back. UNKNOWN_WORKER. */
 #define WORKER_LEFT_FIELDS(X) \
     X(TXT, worker, 0)         \
     X(FLAG, left, 0)
 SHAPE(WorkerLeft, WORKER_LEFT_FIELDS)
 
-/* Bounds of callers' requests; 0: the process's own. */
-#define CONFIG_LIMITS_FIELDS(X)                                    \
-    X(U64, head_bytes, 0)                                          \
-    X(U64, body_bytes, 0)                                          \
-    X(I64, head_ms, 0) /* for a request's head to come in whole */ \
-    X(I64, idle_ms, 0) /* a connection without a request is closed after this */
+/* Bounds of callers' requests; 0: those of the process's settings. */
+#define CONFIG_LIMITS_FIELDS(X)                                               \
+    X(U64, head_bytes, 0)                                                     \
+    X(U64, body_bytes, 0)                                                     \
+    X(I64, head_ms, 0) /* ms; deadline for a request's head to be complete */ \
+    X(I64, idle_ms, 0) /* ms; a connection without a request is closed after this */
 SHAPE(ConfigLimits, CONFIG_LIMITS_FIELDS)
 
-/* base: the version it builds on. restored: told again in a repair, where only
- * a higher version counts. A call that names its version has a digest, by which
- * the same call sent again is known. */
-#define CONFIG_SET_FIELDS(X)                                                    \
-    X(U64, base, 0)                                                             \
-    X(U64, version, 0) /* 0: the one after base */                              \
-    X(TXT, text, 0)                                                             \
-    X(FLAG, restored, 0)                                                        \
-    X(FLAG, patch, 0) /* the text is a merge patch upon base, else the whole */ \
-    X(TXT, digest, 0)                                                           \
-    X(ONE, limits, ConfigLimits) /* of the whole */
+/* A new version of the configuration. base: the version it builds on. restored: proposed
+ * again in a repair, where only a higher version counts. A call that names its version has
+ * a digest, by which the same call sent again is recognised. See deliverconfig.h. */
+#define CONFIG_SET_FIELDS(X)                                                           \
+    X(U64, base, 0)                                                                    \
+    X(U64, version, 0) /* 0: the one after base */                                     \
+    X(TXT, text, 0)                                                                    \
+    X(FLAG, restored, 0)                                                               \
+    X(FLAG, patch, 0) /* the text is a merge patch on base, else the whole document */ \
+    X(TXT, digest, 0)                                                                  \
+    X(ONE, limits, ConfigLimits) /* of the resulting document */
 SHAPE(ConfigSet, CONFIG_SET_FIELDS)
 
-/* move: what runs there is to be started elsewhere while the plan holds.
- * stamp grows with each order for a zone: an older one told again counts for nothing.
- * order names the order wherever it is sent again; "": it has no name. When based is
- * set, the order counts only while no stamp above base has been delivered. */
+/* An order to drain a zone, or to take it back into use. move: what runs there is
+ * restarted elsewhere while the plan for worker losses holds. stamp grows with each order
+ * for a zone: an older one delivered again is ignored. order names the order wherever it
+ * is sent again; "": it has no name. When based is set, the order counts only while no
+ * stamp above base has been delivered, else STALE_ORDER, or EXPIRED when it may be one
+ * that is not remembered. */
 #define ZONE_DRAIN_FIELDS(X) \
     X(TXT, zone, 0)          \
     X(FLAG, drained, 0)      \
@@ -112,6 +134,7 @@
     X(I64, base, 0)
 SHAPE(ZoneDrain, ZONE_DRAIN_FIELDS)
 
+/* Drops jobs that ended, and orphans that came, before this log time. */
 #define FORGET_FIELDS(X) X(I64, before_ms, 0)
 SHAPE(Forget, FORGET_FIELDS)
 
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -1,10 +1,18 @@
 #ifndef STATE_WORKER_H
 #define STATE_WORKER_H
 
+/* Workers as the replicated state holds them, and what agents report of attempts.
+ * Whether a worker's lease runs is not here but in the leader's memory (packages/heartbeat). */
+
 #include "state/job.h"
 
-/* What is known of a worker for good: what it is, not how it does. Invariant:
- * excluded is set by a clean departure and cleared by the worker's return. */
+/* What is known of a worker durably: what it is, not how it is doing.
+ *
+ *     state     flag         becomes the other on
+ *     in use    excluded=0   WORKER_LEFT with left: it left cleanly
+ *     excluded  excluded=1   WORKER_LEFT without left; WORKER_SET, when it returns
+ *
+ * A worker that is known stays known. */
 #define WORKER_FIELDS(X) \
     X(TXT, name, 0)      \
     X(TXT, zone, 0)      \
@@ -15,16 +23,17 @@
     X(FLAG, excluded, 0)
 SHAPE(Worker, WORKER_FIELDS)
 
-/* What an attempt came to, told by an agent. */
-#define ATTEMPT_WORD_LIST(X)                                                  \
-    X(RUNNING, "running")                                                     \
-    X(DONE, "done")                                                           \
-    X(FAILED, "failed")                                                       \
-    X(STOPPED, "stopped") /* it runs no more because it was told to stop */   \
-    X(REFUSED, "refused") /* never started: expired, no room, unknown kind */ \
-    X(LOST, "lost")       /* it runs no more: the worker lost it */           \
-    X(LAPSED, "lapsed")   /* ... its lease was over */                        \
-    X(BROKEN, "broken")   /* ... another member of its gang ended */          \
+/* What an attempt came to, as its agent reports it, and the word of it in the API. All but
+ * RUNNING are its end. What each costs the task stands in src/round.c. */
+#define ATTEMPT_WORD_LIST(X)                                                            \
+    X(RUNNING, "running")                                                               \
+    X(DONE, "done")                                                                     \
+    X(FAILED, "failed")                                                                 \
+    X(STOPPED, "stopped") /* it ended because it was told to stop */                    \
+    X(REFUSED, "refused") /* never started: deadline over, no capacity, unknown kind */ \
+    X(LOST, "lost")       /* it runs no more: the worker lost it */                     \
+    X(LAPSED, "lapsed")   /* ... its lease was over */                                  \
+    X(BROKEN, "broken")   /* ... another member of its gang ended */                    \
     X(ALONE, "alone")     /* ... it waited too long for the others of its gang */
 typedef enum AttemptWord {
 #define X(name, word) ATTEMPT_##name,
@@ -33,19 +42,22 @@
         ATTEMPT_WORD_COUNT
 } AttemptWord;
 
+/* "unlisted" for a number that a later release may have sent. */
 const char *attempt_word(uint64_t word);
+/* ATTEMPT_WORD_COUNT when there is no such word. */
 AttemptWord attempt_of_word(const char *word);
 
-#define ATTEMPT_NEWS_FIELDS(X)                                                         \
-    X(TXT, job, 0)                                                                     \
-    X(U64, task, 0)                                                                    \
-    X(U64, attempt, 0)                                                                 \
-    X(TXT, worker, 0)                                                                  \
-    X(U64, word, 0)                                                                    \
-    X(TXT, text, 0)                                                                    \
-    X(TXT, saved, 0)          /* how far it had come; empty: nothing is kept */        \
-    X(I64, ran_ms, 0)         /* for how long its agent knew it to run; 0: not told */ \
-    X(RAM, percent, uint64_t) /* of its work, as the worker reports it; 0: not told */
+/* An agent's update on one attempt. Invariant of the senders: worker is never empty. */
+#define ATTEMPT_NEWS_FIELDS(X)                                                                 \
+    X(TXT, job, 0)                                                                             \
+    X(U64, task, 0)    /* its number, see TASK_NUMBER */                                       \
+    X(U64, attempt, 0) /* number of the attempt */                                             \
+    X(TXT, worker, 0)                                                                          \
+    X(U64, word, 0)           /* a AttemptWord */                                              \
+    X(TXT, text, 0)           /* the worker's message */                                       \
+    X(TXT, saved, 0)          /* its progress; empty: nothing is kept */                       \
+    X(I64, ran_ms, 0)         /* ms; for how long its agent knew it to run; 0: not reported */ \
+    X(RAM, percent, uint64_t) /* of its work done, as the worker reports it; 0: not reported */
 SHAPE(AttemptNews, ATTEMPT_NEWS_FIELDS)
 
 #endif
--- a/packages/state/src/attempt.c
+++ b/packages/state/src/attempt.c
@@ -1,15 +1,18 @@
-/* What becomes of a task when its attempt is over. */
+/* What an attempt's end means to its task: misses, losses, rests, another attempt or failure.
+ * What is restarted after a loss follows the paper (XenServer HA design): protected work
+ * always, best-effort work once, other work never. */
+#include "attempt.h"
+
 #include <string.h>
 
 #include "base/constants.h"
-#include "inside.h"
 
 static uint64_t limit_of(const Job *job)
 {
     return job->terms.attempt_limit > 0 ? job->terms.attempt_limit : job->spec.attempt_limit;
 }
 
-/* Doubled with each in a row. */
+/* The rest after so many failures, in ms: doubled with each. */
 static int64_t rest_of(uint64_t misses, int64_t most_ms)
 {
     int64_t rest_ms = FAILED_REST_MS;
@@ -18,8 +21,8 @@
     return rest_ms < most_ms ? rest_ms : most_ms;
 }
 
-/* A lasting task goes on whatever the word was; one that never stays up for long
- * rests longer each time. */
+/* A lasting task gets another attempt however the last one ended; one that never stays up for
+ * long rests longer each time. */
 static void lasting_rest(JobTask *task, const AttemptEnd *end)
 {
     if (end->word != ATTEMPT_FAILED && end->word != ATTEMPT_DONE && end->word != ATTEMPT_REFUSED &&
@@ -30,6 +33,7 @@
     task->rest_until_ms = end->at_ms + rest_of(task->misses, LASTING_REST_MAX_MS);
 }
 
+/* Of a task that is not lasting. */
 static void rest_set(JobTask *task, const AttemptEnd *end)
 {
     if (end->word == ATTEMPT_FAILED)
@@ -60,17 +64,15 @@
 
 bool attempts_spent(const Job *job, const JobTask *task)
 {
-    /* protected work restarts whenever it is down; best-effort work gets one restart
-     * after a loss, unprotected work none */
-    const bool given = (job->spec.protection == PROTECTION_NONE && task->losses > 0) ||
-                       (job->spec.protection == PROTECTION_BEST_EFFORT && task->losses > 1);
-    return !job->spec.lasting && (given || task->misses >= limit_of(job));
+    const bool lost_too_often = (job->spec.protection == PROTECTION_NONE && task->losses > 0) ||
+                                (job->spec.protection == PROTECTION_BEST_EFFORT && task->losses > 1);
+    return !job->spec.lasting && (lost_too_often || task->misses >= limit_of(job));
 }
 
 void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms)
 {
     if (!task_on_worker(task->phase))
-        task_turn(table, job, task, TASK_FAILED, "", at_ms, false);
+        task_turn(table, job, task, TASK_FAILED, "", at_ms, TURN_BY_LEADER);
     job->ending = JOB_FAILED;
     job_stop_tasks(table, job, at_ms);
 }
@@ -78,7 +80,7 @@
 void attempt_over(Table *table, Job *job, JobTask *task, const AttemptEnd *end)
 {
     if (job->ending != JOB_ACTIVE) {
-        task_turn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->told);
+        task_turn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->source);
         return;
     }
     const bool stopping = task->phase == TASK_STOPPING;
@@ -87,7 +89,7 @@
         task->shunned = task->worker;
     if (end->word == ATTEMPT_FAILED)
         attempt_miss(job, task, task->attempt);
-    /* one that was being stopped has stopped: that is no loss */
+    /* what was being stopped has stopped: that is no loss */
     if ((end->word == ATTEMPT_LOST || end->word == ATTEMPT_LAPSED) && !stopping)
         loss_count(job, task);
     if (job->spec.lasting)
@@ -95,11 +97,11 @@
     else
         rest_set(task, end);
     if (attempts_spent(job, task)) {
-        task_turn(table, job, task, TASK_FAILED, "", end->at_ms, end->told);
+        task_turn(table, job, task, TASK_FAILED, "", end->at_ms, end->source);
         job_fail(table, job, task, end->at_ms);
         return;
     }
-    task_turn(table, job, task, TASK_WAITING, "", end->at_ms, end->told);
+    task_turn(table, job, task, TASK_WAITING, "", end->at_ms, end->source);
     gang_break(table, job, task, end->at_ms);
 }
 
@@ -111,9 +113,9 @@
         JobTask *each = &gang.tasks[i];
         if (task_ended(each->phase))
             continue;
-        const bool told = each->attempt == attempt && strcmp(each->worker, teller) == 0;
+        const bool reported = each->attempt == attempt && strcmp(each->worker, teller) == 0;
         if (attempt > each->attempt)
             each->attempt = attempt;
-        task_turn(table, job, each, phase, "", at_ms, told);
+        task_turn(table, job, each, phase, "", at_ms, reported ? TURN_BY_AGENT : TURN_BY_LEADER);
     }
 }
--- a/packages/state/src/change.c
+++ b/packages/state/src/change.c
@@ -1,3 +1,4 @@
+/* The shapes of the changes' payloads. */
 #include "state/change.h"
 
 SHAPE_TABLE(JobAdd, JOB_ADD_FIELDS)
--- /dev/null
+++ b/packages/state/src/deliver.h
@@ -0,0 +1,28 @@
+#ifndef STATE_SRC_DELIVER_H
+#define STATE_SRC_DELIVER_H
+
+/* One function for each kind of change (CHANGE_LIST); table.c calls them. Each must depend
+ * on the state and the change alone, must not wait, and must do no harm when the same
+ * change is delivered again. change gives the log time; result is zero (OK) on entry. */
+
+#include "inside.h"
+
+void deliver_job_add(Table *table, const Record *change, const JobAdd *add, ChangeResult *result);
+void deliver_job_cancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result);
+void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result);
+void deliver_forget(Table *table, const Record *change, const Forget *forget, ChangeResult *result);
+void deliver_place(Table *table, const Record *change, const PlaceList *list, ChangeResult *result);
+void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result);
+void deliver_assure(Table *table, const Record *change, const StopList *list, ChangeResult *result);
+void deliver_attempts(Table *table, const Record *change, const AttemptList *list, ChangeResult *result);
+/* Also used to load a snapshot; change and result may be null then. */
+void deliver_worker_set(Table *table, const Record *change, const Worker *set, ChangeResult *result);
+void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result);
+void deliver_worker_left(Table *table, const Record *change, const WorkerLeft *left, ChangeResult *result);
+/* Also used to load a snapshot; change and result may be null then. */
+void deliver_zone_drain(Table *table, const Record *change, const ZoneDrain *drain, ChangeResult *result);
+/* The orders that a snapshot remembers, a zone's one after another, after the newest of
+ * each zone was delivered. */
+void zone_orders_load(Table *table, const ZoneOrder *rows, size_t count);
+
+#endif
--- a/packages/state/src/deliver_attempt.c
+++ b/packages/state/src/deliver_attempt.c
@@ -1,11 +1,14 @@
-/* What agents tell of attempts. */
+/* Delivering ATTEMPTS: agents' updates on attempts. */
+#include "deliver.h"
+
 #include <string.h>
 
 #include "base/constants.h"
-#include "inside.h"
+#include "attempt.h"
+#include "orphan.h"
 
-/* Of an attempt that is not the one that the task is in: older, or of a placement that
- * the disks forgot. */
+/* Of an attempt that the task is not in: an older one, or one whose placement the disks
+ * lost. */
 static void other_attempt(Table *table, Job *job, JobTask *task, const AttemptNews *news, int64_t at_ms)
 {
     if (news->attempt > task->attempt) {
@@ -13,10 +16,10 @@
             return;
         task->attempt = news->attempt; /* the next is numbered above it */
         if (news->word == ATTEMPT_RUNNING) {
-            /* its placement was lost with the disks; the agent that runs it tells it again */
-            task_turn(table, job, task, TASK_RUNNING, news->worker, at_ms, false);
+            /* its placement was lost with the disks; the agent that runs it reports it again */
+            task_turn(table, job, task, TASK_RUNNING, news->worker, at_ms, TURN_BY_LEADER);
             if (job->ending != JOB_ACTIVE)
-                task_turn(table, job, task, TASK_STOPPING, news->worker, at_ms, false);
+                task_turn(table, job, task, TASK_STOPPING, news->worker, at_ms, TURN_BY_LEADER);
             return;
         }
     }
@@ -30,7 +33,7 @@
         saved_set(job, task, news->saved);
 }
 
-/* When its first round started, by the log, as far as its agent can tell. */
+/* The log time when its first attempt started, as far as its agent knows. */
 static void started_set(JobTask *task, const AttemptNews *news, int64_t at_ms)
 {
     if (task->started_ms == 0 && (news->word == ATTEMPT_RUNNING || news->ran_ms > 0))
@@ -42,7 +45,7 @@
     saved_set(job, task, news->saved);
     if (task->phase != TASK_PLACED)
         return;
-    task_turn(table, job, task, TASK_RUNNING, task->worker, at_ms, false);
+    task_turn(table, job, task, TASK_RUNNING, task->worker, at_ms, TURN_BY_LEADER);
     started_set(task, news, at_ms);
 }
 
@@ -58,8 +61,8 @@
     if (task_ended(task->phase))
         return;
     if (news->word == ATTEMPT_DONE && !job->spec.lasting) {
-        /* finished well is finished, in whichever round: a newer one is stopped
-         * by its agent, which finds it no longer wanted */
+        /* done is done, in whichever attempt: a newer one is stopped by its agent, which
+         * finds it no longer wanted */
         task_text(job, &task->text, news->text);
         if (news->attempt == task->attempt)
             started_set(task, news, change->at_ms);
@@ -76,8 +79,9 @@
         return;
     }
     task_text(job, &task->text, news->text);
-    /* that one is lost may also be the leader's word, not yet known to the agent */
-    const AttemptEnd end = {(AttemptWord)news->word, news->saved, news->word != ATTEMPT_LOST, change->at_ms};
+    /* LOST may also be the leader's decision, which the agent does not know yet */
+    const TurnSource source = news->word != ATTEMPT_LOST ? TURN_BY_AGENT : TURN_BY_LEADER;
+    const AttemptEnd end = {(AttemptWord)news->word, news->saved, source, change->at_ms};
     attempt_over(table, job, task, &end);
     job_settle(table, job, change->at_ms);
 }
--- a/packages/state/src/deliver_job.c
+++ b/packages/state/src/deliver_job.c
@@ -1,12 +1,15 @@
-/* Jobs come, are cancelled, end and are forgotten. */
+/* Delivering JOB_ADD, JOB_CANCEL, JOB_END and FORGET. */
+#include "deliver.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "orphan.h"
+#include "turn.h"
 
 void deliver_job_add(Table *table, const Record *change, const JobAdd *add, ChangeResult *result)
 {
-    const Job *known = table_job(table, add->spec.id);
+    const Job *known = map_get(table->by_id, add->spec.id);
     if (known != NULL) {
         result->status = shape_equal(&JobSpec_shape, &known->spec, &add->spec) ? STATUS_OK : STATUS_OTHER_BODY;
         result->number = known->number;
@@ -41,7 +44,7 @@
     job_settle(table, job, change->at_ms);
 }
 
-/* A job once shown as ended stays so, though the disks forgot how it came to. */
+/* A job once shown as ended stays so, although the disks lost how it came to that. */
 void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
 {
     Job *job = map_get(table->by_id, end->id);
@@ -51,7 +54,7 @@
     if (end->phase == JOB_DONE) {
         for (size_t i = 0; i < job->tasks_count; i++)
             if (!task_ended(job->tasks[i].phase))
-                task_turn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, false);
+                task_turn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, TURN_BY_LEADER);
     } else {
         job->ending = end->phase;
         job_stop_tasks(table, job, change->at_ms);
@@ -59,25 +62,38 @@
     job_settle(table, job, change->at_ms);
 }
 
+/* Takes the jobs whose number is 0 out of the order of acceptance. */
+static void order_drop(JobList *order)
+{
+    size_t kept = 0;
+    for (size_t i = 0; i < order->count; i++)
+        if (order->jobs[i]->number != 0)
+            order->jobs[kept++] = order->jobs[i];
+    order->count = kept;
+}
+
+/* Frees the first ended jobs. */
+static void ended_drop(Table *table, size_t count)
+{
+    JobList *ended = &table->ended;
+    for (size_t i = 0; i < count; i++) {
+        map_drop(table->by_id, ended->jobs[i]->spec.id);
+        talloc_free(ended->jobs[i]);
+    }
+    memmove(ended->jobs, ended->jobs + count, (ended->count - count) * sizeof(*ended->jobs));
+    ended->count -= count;
+}
+
 void deliver_forget(Table *table, const Record *change, const Forget *forget, ChangeResult *result)
 {
     (void)change;
-    JobList *ended = &table->ended, *order = &table->order;
+    const JobList *ended = &table->ended;
     size_t gone = 0;
     while (gone < ended->count && ended->jobs[gone]->ended_ms < forget->before_ms)
-        ended->jobs[gone++]->number = 0; /* no job's number: marks it for the walk below */
+        ended->jobs[gone++]->number = 0; /* no job's number: a mark for order_drop */
     if (gone > 0) {
-        size_t kept = 0;
-        for (size_t i = 0; i < order->count; i++)
-            if (order->jobs[i]->number != 0)
-                order->jobs[kept++] = order->jobs[i];
-        order->count = kept;
-        for (size_t i = 0; i < gone; i++) {
-            map_drop(table->by_id, ended->jobs[i]->spec.id);
-            talloc_free(ended->jobs[i]);
-        }
-        memmove(ended->jobs, ended->jobs + gone, (ended->count - gone) * sizeof(*ended->jobs));
-        ended->count -= gone;
+        order_drop(&table->order);
+        ended_drop(table, gone);
     }
     result->number = gone;
     orphans_forget(table, forget->before_ms);
--- a/packages/state/src/deliver_place.c
+++ b/packages/state/src/deliver_place.c
@@ -1,22 +1,31 @@
-/* The planner's decisions: where attempts start, which stop, which a plan includes. */
+/* Delivering PLACE, STOP and ASSURE: the planner's decisions on attempts. */
+#include "deliver.h"
+
 #include <string.h>
 
-#include "inside.h"
+#include "gang.h"
+
+/* Null: there is no such job, or it has no such task. *job is set also then. */
+static JobTask *task_find(Table *table, const char *id, uint64_t number, Job **job)
+{
+    *job = map_get(table->by_id, id);
+    const size_t at = *job != NULL ? task_index(*job, number) : 0;
+    return *job != NULL && at < (*job)->tasks_count ? &(*job)->tasks[at] : NULL;
+}
 
 /* The task that may be placed so; null: the state has moved on since it was planned. */
 static JobTask *placeable(Table *table, const Placement *place, Job **job)
 {
-    *job = map_get(table->by_id, place->job);
-    const size_t at = *job != NULL ? task_index(*job, place->task) : 0;
-    if (*job == NULL || at == (*job)->tasks_count || (*job)->ending != JOB_ACTIVE)
+    JobTask *task = task_find(table, place->job, place->task, job);
+    if (task == NULL || (*job)->ending != JOB_ACTIVE)
         return NULL;
-    JobTask *task = &(*job)->tasks[at];
     /* members of a gang are given one number, above that of each */
     return task->phase == TASK_WAITING && place->attempt > task->attempt ? task : NULL;
 }
 
-/* How many placements from here on are of the same gang, as one: 1 for a task that is
- * of none, 0 when not all of its members wait and are placed under one number. */
+/* How many placements from the first on count together: all of a gang's, 1 for a task that
+ * is in no gang; 0 when the first can't be placed, or when not all members of its gang wait
+ * and are placed under one number. */
 static size_t place_together(Table *table, const Placement *places, size_t count)
 {
     Job *job;
@@ -53,21 +62,18 @@
             task->attempt = place->attempt;
             task->incarnation = place->incarnation;
             saved_set(job, task, place->saved);
-            task_turn(table, job, task, TASK_PLACED, place->worker, change->at_ms, false);
+            task_turn(table, job, task, TASK_PLACED, place->worker, change->at_ms, TURN_BY_LEADER);
             task->assured = place->assured;
             result->number++;
         }
     }
 }
 
+/* The task, if that attempt is its newest; else null. */
 static JobTask *attempt_find(Table *table, const AttemptId *id, Job **job)
 {
-    *job = map_get(table->by_id, id->job);
-    const size_t at = *job != NULL ? task_index(*job, id->task) : 0;
-    if (*job == NULL || at == (*job)->tasks_count)
-        return NULL;
-    JobTask *task = &(*job)->tasks[at];
-    return task->attempt == id->attempt ? task : NULL;
+    JobTask *task = task_find(table, id->job, id->task, job);
+    return task != NULL && task->attempt == id->attempt ? task : NULL;
 }
 
 void deliver_stop(Table *table, const Record *change, const StopList *list, ChangeResult *result)
@@ -79,7 +85,7 @@
             continue;
         task_text(job, &task->text, list->why);
         task->shunned = task->worker; /* it goes elsewhere, if it can */
-        task_turn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, false);
+        task_turn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, TURN_BY_LEADER);
         gang_break(table, job, task, change->at_ms);
         result->number++;
     }
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -1,9 +1,13 @@
-/* Workers become known, are lost with all that is on them, leave. */
+/* Delivering WORKER_SET, WORKER_LOST and WORKER_LEFT; workers by name. */
+#include "deliver.h"
+
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "attempt.h"
+
+#define SORTED_FIRST 64 /* count; slots for workers at first */
 
 const Worker *table_worker(const Table *table, const char *name)
 {
@@ -43,7 +47,7 @@
     const size_t at = sorted_place(table, worker->name);
     if (before == NULL) {
         if (table->sorted_count == table->sorted_room) {
-            table->sorted_room = table->sorted_room ? table->sorted_room * 2 : 64;
+            table->sorted_room = table->sorted_room ? table->sorted_room * 2 : SORTED_FIRST;
             table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_room);
         }
         memmove(&table->sorted[at + 1], &table->sorted[at], (table->sorted_count - at) * sizeof(*table->sorted));
@@ -53,7 +57,7 @@
     talloc_free(before);
 }
 
-/* In the order of jobs and tasks: what becomes of one may turn on another of its job,
+/* In the order of jobs and tasks: what becomes of one may depend on another of its job,
  * and every voter must come to the same. */
 static int on_order(const void *a, const void *b)
 {
@@ -77,8 +81,8 @@
         JobTask *task = &job->tasks[on[i].task];
         if (task->incarnation > lost->incarnation || !task_on_worker(task->phase))
             continue;
-        const AttemptEnd end = {task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST, "", false,
-                                change->at_ms};
+        const AttemptWord word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST;
+        const AttemptEnd end = {word, "", TURN_BY_LEADER, change->at_ms};
         attempt_over(table, job, task, &end);
         job_settle(table, job, change->at_ms);
         result->number++;
--- a/packages/state/src/deliver_zone.c
+++ b/packages/state/src/deliver_zone.c
@@ -1,9 +1,10 @@
-/* Zones are emptied and taken back. */
+/* Delivering ZONE_DRAIN: zones are drained and taken back into use; what is remembered of the
+ * orders for them. */
+#include "deliver.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
-
 SHAPE_TABLE(ZoneOrder, ZONE_ORDER_FIELDS)
 
 const ZoneDrain *table_drain_newest(const Table *table, const char *zone)
@@ -12,16 +13,22 @@
     return orders != NULL ? &orders->newest : NULL;
 }
 
-bool table_drained(const Table *table, const char *zone)
+ZoneState table_zone(const Table *table, const char *zone)
 {
     const ZoneDrain *drain = table_drain_newest(table, zone);
-    return drain != NULL && drain->drained;
+    if (drain == NULL || !drain->drained)
+        return ZONE_OPEN;
+    return drain->move ? ZONE_MOVING : ZONE_DRAINING;
+}
+
+bool table_drained(const Table *table, const char *zone)
+{
+    return table_zone(table, zone) != ZONE_OPEN;
 }
 
 bool table_drain_moves(const Table *table, const char *zone)
 {
-    const ZoneDrain *drain = table_drain_newest(table, zone);
-    return drain != NULL && drain->drained && drain->move;
+    return table_zone(table, zone) == ZONE_MOVING;
 }
 
 int64_t table_drain_stamp(const Table *table, const char *zone)
@@ -58,7 +65,7 @@
     return overtaken ? DRAIN_OVERTAKEN : DRAIN_NEW;
 }
 
-/* The oldest two become one without a name when there is no room. */
+/* Appends an order; when all rows are taken the oldest two become one without a name. */
 static void row_add(ZoneOrders *orders, const char *order, int64_t stamp)
 {
     if (orders->count == ZONE_ORDERS_MAX) {
@@ -69,7 +76,8 @@
     orders->rows[orders->count++] = (ZoneOrder){.zone = orders->newest.zone, .order = order, .stamp = stamp};
 }
 
-/* The zone's orders in one new block of memory, so that what is dropped is freed. */
+/* A copy of the zone's orders with a new newest one, in memory of its own: what row_add drops
+ * is freed with the old copy. */
 static ZoneOrders *orders_with(Table *table, const ZoneDrain *drain)
 {
     const ZoneOrders *before = map_get(table->drains, drain->zone);
@@ -116,7 +124,7 @@
         if (orders == NULL)
             continue;
         if (i == 0 || strcmp(rows[i].zone, rows[i - 1].zone) != 0)
-            orders->count = 0; /* what stood for the newest alone */
+            orders->count = 0; /* the row that deliver_zone_drain made of the newest */
         row_add(orders, talloc_strdup(orders, rows[i].order), rows[i].stamp);
     }
 }
--- a/packages/state/src/gang.c
+++ b/packages/state/src/gang.c
@@ -1,5 +1,5 @@
-/* Members of a gang run together, under one attempt number, and end as one. */
-#include "inside.h"
+/* Gangs: their members, their common end and their common progress. */
+#include "gang.h"
 
 Gang gang_of(Job *job, const JobTask *task)
 {
@@ -15,7 +15,7 @@
     for (size_t i = 0; i < gang.count; i++) {
         JobTask *other = &gang.tasks[i];
         if (other != task && (other->phase == TASK_PLACED || other->phase == TASK_RUNNING))
-            task_turn(table, job, other, TASK_STOPPING, other->worker, at_ms, false);
+            task_turn(table, job, other, TASK_STOPPING, other->worker, at_ms, TURN_BY_LEADER);
     }
 }
 
--- a/packages/state/src/job.c
+++ b/packages/state/src/job.c
@@ -1,8 +1,8 @@
+/* Jobs and tasks as values: their shapes, the words of their phases, and task numbers. */
 #include "state/job.h"
 
 #include <string.h>
 
-SHAPE_TABLE(Room, ROOM_FIELDS)
 SHAPE_TABLE(StepSpec, STEP_SPEC_FIELDS)
 SHAPE_TABLE(JobSpec, JOB_SPEC_FIELDS)
 SHAPE_TABLE(JobTask, JOB_TASK_FIELDS)
@@ -28,6 +28,11 @@
     return phase == TASK_DONE || phase == TASK_FAILED || phase == TASK_CANCELLED;
 }
 
+uint64_t job_turn_count(const JobSpec *spec)
+{
+    return spec->turns > 0 ? spec->turns : 1;
+}
+
 uint64_t task_number(const JobTask *task)
 {
     return TASK_NUMBER(task->turn, task->step, task->at);
@@ -35,13 +40,13 @@
 
 size_t task_index(const Job *job, uint64_t number)
 {
-    /* within the first step a number is the index; what else lies below PLACES was
-     * written by a release that knew indices alone */
+    /* within the first step a number is the index; any other number below PLACES was
+     * written by a release that named tasks by their index */
     if (number < TASK_NUMBER_PLACES)
         return number < job->tasks_count ? (size_t)number : job->tasks_count;
     const uint64_t at = number % TASK_NUMBER_PLACES, steps = number / TASK_NUMBER_PLACES;
     const uint64_t step = steps % JOB_STEPS_MAX, turn = steps / JOB_STEPS_MAX;
-    const uint64_t turns = job->spec.turns > 0 ? job->spec.turns : 1;
+    const uint64_t turns = job_turn_count(&job->spec);
     if (turn >= turns || step >= job->spec.steps_count || at >= job->spec.steps[step].count)
         return job->tasks_count;
     uint64_t before = 0;
--- a/packages/state/src/job_list.c
+++ b/packages/state/src/job_list.c
@@ -1,11 +1,14 @@
+/* A growing list of pointers to jobs. */
+#include "job_list.h"
+
 #include <talloc.h>
 
-#include "inside.h"
+#define LIST_FIRST 256 /* count; slots of a new list */
 
 void job_list_add(void *mem, JobList *list, Job *job)
 {
     if (list->count == list->room) {
-        list->room = list->room ? list->room * 2 : 256;
+        list->room = list->room ? list->room * 2 : LIST_FIRST;
         list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->room);
     }
     list->jobs[list->count++] = job;
--- a/packages/state/src/job_new.c
+++ b/packages/state/src/job_new.c
@@ -1,30 +1,27 @@
-/* A job in two blocks: itself with its tasks, and what it was handed in with. */
+/* Making a job, in two blocks of memory: itself with its tasks, and copies of its spec and
+ * terms. No task costs an allocation of its own. */
 #include <talloc.h>
 
-#include "inside.h"
-
-static uint64_t turns_of(const JobSpec *spec)
-{
-    return spec->turns > 0 ? spec->turns : 1;
-}
+#include "turn.h"
 
 Job *job_new(void *mem, const JobSpec *spec, const JobTerms *terms)
 {
+    const uint64_t turns = job_turn_count(spec);
     size_t count = 0;
     for (size_t i = 0; i < spec->steps_count; i++)
-        count += (size_t)(spec->steps[i].count * turns_of(spec));
+        count += (size_t)(spec->steps[i].count * turns);
     Job *job = talloc_zero_size(mem, sizeof(Job) + count * sizeof(JobTask));
     talloc_set_name_const(job, "Job");
     job->tasks = (JobTask *)(job + 1);
     job->tasks_count = count;
-    /* both at once: a Job that has nothing else is copied as one */
+    /* spec and terms in one copy, as a Job that has nothing else */
     const Job given = {.spec = *spec, .terms = *terms};
     Job copied;
     shape_copy_flat(&Job_shape, &given, job, &copied);
     job->spec = copied.spec;
     job->terms = copied.terms;
     JobTask *task = job->tasks;
-    for (uint64_t turn = 0; turn < turns_of(spec); turn++)
+    for (uint64_t turn = 0; turn < turns; turn++)
         for (size_t i = 0; i < spec->steps_count; i++)
             for (uint64_t at = 0; at < spec->steps[i].count; at++)
                 *task++ =
--- a/packages/state/src/on.c
+++ b/packages/state/src/on.c
@@ -1,8 +1,12 @@
-/* What is on each worker. */
+/* What is on each worker, the capacity that it uses, and the version of its orders. */
+#include "on.h"
+
+#include <assert.h>
 #include <stdio.h>
 #include <talloc.h>
 
-#include "inside.h"
+#define BUSY_FIRST 64 /* count; slots for busy workers at first */
+#define ON_FIRST 8    /* count; slots for a worker's tasks at first */
 
 WorkerOn *worker_on(Table *table, const char *worker)
 {
@@ -27,7 +31,7 @@
 static void busy_add(Table *table, WorkerOn *its)
 {
     if (table->busy_count == table->busy_room) {
-        table->busy_room = table->busy_room ? table->busy_room * 2 : 64;
+        table->busy_room = table->busy_room ? table->busy_room * 2 : BUSY_FIRST;
         table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_room);
     }
     its->busy_at = table->busy_count;
@@ -36,17 +40,12 @@
 
 static void busy_drop(Table *table, const WorkerOn *its)
 {
+    assert(table->busy_count > its->busy_at);
     WorkerOn *last = table->busy[--table->busy_count];
     table->busy[its->busy_at] = last;
     last->busy_at = its->busy_at;
 }
 
-static Room sum(Room a, Room b, bool more)
-{
-    return more ? (Room){a.cpu_milli + b.cpu_milli, a.mem_mb + b.mem_mb, a.gpu + b.gpu}
-                : (Room){a.cpu_milli - b.cpu_milli, a.mem_mb - b.mem_mb, a.gpu - b.gpu};
-}
-
 static Room *used_of(Table *table, const char *key)
 {
     Room *used = map_get(table->used, key);
@@ -68,13 +67,30 @@
     return key;
 }
 
-/* A task of the job came to a worker, or left it. */
-static void used_take(Table *table, const JobSpec *spec, Room room, bool more)
+/* The three sums that a task on a worker counts in. */
+typedef struct UsedSums {
+    Room *worker, *cell, *tenant;
+} UsedSums;
+
+static UsedSums used_sums(Table *table, WorkerOn *its, const JobSpec *spec)
 {
     const TenantKey key = tenant_key(spec->cell, spec->tenant);
-    Room *cell = used_of(table, spec->cell), *tenant = used_of(table, key.text);
-    *cell = sum(*cell, room, more);
-    *tenant = sum(*tenant, room, more);
+    return (UsedSums){&its->used, used_of(table, spec->cell), used_of(table, key.text)};
+}
+
+static void used_add(UsedSums sums, Room room)
+{
+    *sums.worker = room_more(*sums.worker, room);
+    *sums.cell = room_more(*sums.cell, room);
+    *sums.tenant = room_more(*sums.tenant, room);
+}
+
+static void used_drop(UsedSums sums, Room room)
+{
+    assert(room_fits(room, *sums.worker) && room_fits(room, *sums.cell) && room_fits(room, *sums.tenant));
+    *sums.worker = room_less(*sums.worker, room);
+    *sums.cell = room_less(*sums.cell, room);
+    *sums.tenant = room_less(*sums.tenant, room);
 }
 
 Room table_used_on(const Table *table, const char *worker)
@@ -103,14 +119,12 @@
     if (its->count == 0)
         busy_add(table, its);
     if (its->count == its->room) {
-        its->room = its->room ? its->room * 2 : 8;
+        its->room = its->room ? its->room * 2 : ON_FIRST;
         its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->room);
     }
     task->on_at = its->count;
     its->on[its->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
-    const Room room = job->spec.steps[task->step].room;
-    its->used = sum(its->used, room, true);
-    used_take(table, &job->spec, room, true);
+    used_add(used_sums(table, its, &job->spec), job->spec.steps[task->step].room);
 }
 
 void on_drop(Table *table, const JobTask *task)
@@ -118,10 +132,10 @@
     if (task->worker[0] == '\0')
         return;
     WorkerOn *its = worker_on(table, task->worker);
+    assert(task->on_at < its->count);
     const JobSpec *spec = &its->on[task->on_at].job->spec;
-    const Room room = spec->steps[task->step].room;
-    its->used = sum(its->used, room, false);
-    used_take(table, spec, room, false);
+    used_drop(used_sums(table, its, spec), spec->steps[task->step].room);
+    /* the last one takes its place */
     const TaskOn last = its->on[--its->count];
     its->on[task->on_at] = last;
     last.job->tasks[last.task].on_at = task->on_at;
--- a/packages/state/src/orphan.c
+++ b/packages/state/src/orphan.c
@@ -1,7 +1,10 @@
+/* Orphaned attempts, from their report until their job is submitted again. */
+#include "orphan.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "attempt.h"
 
 SHAPE_TABLE(Orphan, ORPHAN_FIELDS)
 
--- a/packages/state/src/saved.c
+++ b/packages/state/src/saved.c
@@ -1,7 +1,16 @@
-/* The whole state as bytes, and back. */
+/* The state as a snapshot, and back. What can be found again from the rest (lists, sums, what
+ * is on each worker) is not saved. */
+#include "saved.h"
+
 #include <talloc.h>
 
-#include "inside.h"
+#include "base/constants.h"
+#include "deliver.h"
+#include "on.h"
+#include "orphan.h"
+#include "turn.h"
+
+/* The fields of a snapshot, in their order on disk: new ones are added at the end. */
 
 #define SAVED_FIELDS(X)       \
     X(U64, last_number, 0)    \
@@ -14,7 +23,31 @@
 SHAPE(Saved, SAVED_FIELDS)
 SHAPE_TABLE(Saved, SAVED_FIELDS)
 
-/* A zone's orders stand together. */
+void table_clear(Table *table)
+{
+    talloc_free(table->mem);
+    const Table kept = *table;
+    *table = (Table){.loads = kept.loads + 1,
+                     .fn = kept.fn,
+                     .arg = kept.arg,
+                     .orders_fn = kept.orders_fn,
+                     .orders_arg = kept.orders_arg,
+                     .left_fn = kept.left_fn,
+                     .left_arg = kept.left_arg};
+    table->mem = talloc_new(table);
+    table->by_id = map_new(table->mem);
+    table->workers = map_new(table->mem);
+    table->on = map_new(table->mem);
+    table->cells = map_new(table->mem);
+    table->used = map_new(table->mem);
+    table->queues = map_new(table->mem);
+    table->drains = map_new(table->mem);
+    table->versions = versions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
+}
+
+/* --- saving --------------------------------------------------------------------- */
+
+/* A zone's orders stand together, as zone_orders_load wants them. */
 static void zones_save(const Table *table, void *scratch, Saved *saved)
 {
     const char **zones;
@@ -53,8 +86,10 @@
     return packed;
 }
 
-/* Where a task stands is told by its index: releases before did not save it. Texts
- * hang on the job, names of workers are the table's own. */
+/* --- loading -------------------------------------------------------------------- */
+
+/* A task's step, turn and place come from its index: earlier releases did not save them.
+ * The job owns its texts, the table the names of workers. */
 static void task_load(Table *table, Job *job, JobTask *task, const JobTask *from)
 {
     const JobTask begun = *task;
@@ -82,6 +117,24 @@
     job_enter(table, job);
 }
 
+static void saved_take(Table *table, const Saved *saved)
+{
+    table_clear(table);
+    for (size_t i = 0; i < saved->jobs_count; i++)
+        job_load(table, &saved->jobs[i]);
+    table->last_number = saved->last_number;
+    for (size_t i = 0; i < saved->workers_count; i++)
+        deliver_worker_set(table, NULL, &saved->workers[i], NULL);
+    versions_load(table->versions, saved->configs, saved->configs_count);
+    for (size_t i = 0; i < saved->drains_count; i++)
+        deliver_zone_drain(table, NULL, &saved->drains[i], NULL);
+    zone_orders_load(table, saved->zone_orders, saved->zone_orders_count);
+    for (size_t i = 0; i < saved->orphans_count; i++) {
+        const Orphan *orphan = &saved->orphans[i];
+        orphan_add(table, orphan->job, orphan->task, orphan->attempt, orphan->at_ms);
+    }
+}
+
 Status table_load(void *arg, Bytes bytes)
 {
     Table *table = arg;
@@ -92,21 +145,8 @@
     void *mem = talloc_new(NULL);
     Saved saved;
     const Status status = shape_unpack(&Saved_shape, bytes, mem, &saved, NULL);
-    if (status == STATUS_OK) {
-        table_clear(table);
-        for (size_t i = 0; i < saved.jobs_count; i++)
-            job_load(table, &saved.jobs[i]);
-        table->last_number = saved.last_number;
-        for (size_t i = 0; i < saved.workers_count; i++)
-            deliver_worker_set(table, NULL, &saved.workers[i], NULL);
-        versions_load(table->versions, saved.configs, saved.configs_count);
-        for (size_t i = 0; i < saved.drains_count; i++)
-            deliver_zone_drain(table, NULL, &saved.drains[i], NULL);
-        zone_orders_load(table, saved.zone_orders, saved.zone_orders_count);
-        for (size_t i = 0; i < saved.orphans_count; i++)
-            orphan_add(table, saved.orphans[i].job, saved.orphans[i].task, saved.orphans[i].attempt,
-                       saved.orphans[i].at_ms);
-    }
+    if (status == STATUS_OK)
+        saved_take(table, &saved);
     talloc_free(mem);
     return status;
 }
--- a/packages/state/src/sums.c
+++ b/packages/state/src/sums.c
@@ -1,4 +1,5 @@
-/* What a job's tasks add up to, kept with each change of a phase. */
+/* What a job's tasks add up to, updated with each change of a phase. */
+#include <assert.h>
 #include <string.h>
 #include <talloc.h>
 
@@ -9,12 +10,7 @@
     return &job->sums.left[task->turn * job->spec.steps_count + task->step];
 }
 
-static uint64_t job_turns(const Job *job)
-{
-    return job->spec.turns > 0 ? job->spec.turns : 1;
-}
-
-/* The steps that must be done before this one, a bit for each. */
+/* A bit for each step that must be done before this one; JOB_STEPS_MAX fit. */
 static uint64_t before(const JobSpec *spec, const StepSpec *step)
 {
     uint64_t bits = 0;
@@ -27,7 +23,8 @@
 
 void job_sum(Job *job)
 {
-    const size_t steps = job->spec.steps_count, turns = (size_t)job_turns(job);
+    const size_t steps = job->spec.steps_count, turns = (size_t)job_turn_count(&job->spec);
+    /* one block: 64-bit words for before and done, 32-bit ones for left */
     uint64_t *words = talloc_zero_array(job, uint64_t, (unsigned)(steps + turns + (steps * turns + 1) / 2));
     job->sums.before = words;
     job->sums.done = words + steps;
@@ -50,13 +47,14 @@
 
 void job_sum_turn(Job *job, const JobTask *task, uint64_t phase)
 {
+    assert(job->sums.waiting > 0 || task->phase != TASK_WAITING);
     job->sums.waiting += phase == TASK_WAITING;
     job->sums.waiting -= task->phase == TASK_WAITING;
-    /* an ended task never leaves its phase */
     if (task_ended(phase) && !task_ended(task->phase))
         job->sums.open--;
     if (phase != TASK_DONE || task->phase == TASK_DONE)
         return;
+    assert(job->sums.undone > 0 && *left_of(job, task) > 0);
     job->sums.undone--;
     if (--*left_of(job, task) == 0)
         job->sums.done[task->turn] |= UINT64_C(1) << task->step;
--- a/packages/state/src/table.c
+++ b/packages/state/src/table.c
@@ -1,31 +1,12 @@
-/* The state: its parts, and the way in for each change. */
+/* The state machine as the log sees it: an empty state, its readers, and the dispatch of each
+ * log entry to the function that delivers it. */
 #include <talloc.h>
 
-#include "base/constants.h"
-#include "inside.h"
+#include "deliver.h"
+#include "saved.h"
 #include "state/deliver_config.h"
 
-void table_clear(Table *table)
-{
-    talloc_free(table->mem);
-    const Table kept = *table;
-    *table = (Table){.loads = kept.loads + 1,
-                     .fn = kept.fn,
-                     .arg = kept.arg,
-                     .orders_fn = kept.orders_fn,
-                     .orders_arg = kept.orders_arg,
-                     .left_fn = kept.left_fn,
-                     .left_arg = kept.left_arg};
-    table->mem = talloc_new(table);
-    table->by_id = map_new(table->mem);
-    table->workers = map_new(table->mem);
-    table->on = map_new(table->mem);
-    table->cells = map_new(table->mem);
-    table->used = map_new(table->mem);
-    table->queues = map_new(table->mem);
-    table->drains = map_new(table->mem);
-    table->versions = versions_new(table->mem, CONFIG_HISTORY, CONFIG_KNOWN);
-}
+/* --- reading -------------------------------------------------------------------- */
 
 Table *table_new(void *mem)
 {
@@ -81,6 +62,9 @@
     return table->loads;
 }
 
+/* --- delivering ----------------------------------------------------------------- */
+
+/* Null: a change of a later release. */
 static const Shape *shape_of(uint64_t kind)
 {
     switch (kind) {
@@ -94,57 +78,63 @@
     }
 }
 
+/* Hands the body, unpacked by shape_of's shape, to its function. */
+static void dispatch(Table *table, const Record *change, const void *body, ChangeResult *result)
+{
+    switch ((ChangeKind)change->change) {
+    case CHANGE_JOB_ADD:
+        deliver_job_add(table, change, body, result);
+        break;
+    case CHANGE_JOB_CANCEL:
+        deliver_job_cancel(table, change, body, result);
+        break;
+    case CHANGE_PLACE:
+        deliver_place(table, change, body, result);
+        break;
+    case CHANGE_ATTEMPTS:
+        deliver_attempts(table, change, body, result);
+        break;
+    case CHANGE_STOP:
+        deliver_stop(table, change, body, result);
+        break;
+    case CHANGE_WORKER_SET:
+        deliver_worker_set(table, change, body, result);
+        break;
+    case CHANGE_WORKER_LOST:
+        deliver_worker_lost(table, change, body, result);
+        break;
+    case CHANGE_WORKER_LEFT:
+        deliver_worker_left(table, change, body, result);
+        break;
+    case CHANGE_CONFIG_SET:
+        deliver_config(table->versions, body, result);
+        break;
+    case CHANGE_ZONE_DRAIN:
+        deliver_zone_drain(table, change, body, result);
+        break;
+    case CHANGE_FORGET:
+        deliver_forget(table, change, body, result);
+        break;
+    case CHANGE_ASSURE:
+        deliver_assure(table, change, body, result);
+        break;
+    case CHANGE_JOB_END:
+        deliver_job_end(table, change, body, result);
+        break;
+    }
+}
+
 static void table_deliver(void *arg, const Record *change, ChangeResult *result)
 {
     Table *table = arg;
     const Shape *shape = shape_of(change->change);
     if (shape == NULL)
-        return; /* of a later release */
+        return;
     void *mem = talloc_new(NULL);
     void *body = talloc_zero_size(mem, shape->size);
     result->status = shape_unpack(shape, change->payload, mem, body, NULL);
     if (result->status == STATUS_OK)
-        switch ((ChangeKind)change->change) {
-        case CHANGE_JOB_ADD:
-            deliver_job_add(table, change, body, result);
-            break;
-        case CHANGE_JOB_CANCEL:
-            deliver_job_cancel(table, change, body, result);
-            break;
-        case CHANGE_PLACE:
-            deliver_place(table, change, body, result);
-            break;
-        case CHANGE_ATTEMPTS:
-            deliver_attempts(table, change, body, result);
-            break;
-        case CHANGE_STOP:
-            deliver_stop(table, change, body, result);
-            break;
-        case CHANGE_WORKER_SET:
-            deliver_worker_set(table, change, body, result);
-            break;
-        case CHANGE_WORKER_LOST:
-            deliver_worker_lost(table, change, body, result);
-            break;
-        case CHANGE_WORKER_LEFT:
-            deliver_worker_left(table, change, body, result);
-            break;
-        case CHANGE_CONFIG_SET:
-            deliver_config(table->versions, body, result);
-            break;
-        case CHANGE_ZONE_DRAIN:
-            deliver_zone_drain(table, change, body, result);
-            break;
-        case CHANGE_FORGET:
-            deliver_forget(table, change, body, result);
-            break;
-        case CHANGE_ASSURE:
-            deliver_assure(table, change, body, result);
-            break;
-        case CHANGE_JOB_END:
-            deliver_job_end(table, change, body, result);
-            break;
-        }
+        dispatch(table, change, body, result);
     if (table->fn != NULL)
         table->fn(table->arg, change, result->status != STATUS_BAD_FRAME ? body : NULL, result);
     talloc_free(mem);
--- a/packages/state/src/turn.c
+++ b/packages/state/src/turn.c
@@ -1,9 +1,13 @@
-/* Every change of a task's or a job's phase. */
+/* Every change of a task's or a job's phase, and the sums by cell and queue that follow it. */
+#include "turn.h"
+
+#include <assert.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "on.h"
 
+/* A row for each cell ever named; a first one is made. */
 static CellSum *cell_of(Table *table, const char *cell)
 {
     CellSum *sum = map_get(table->cells, cell);
@@ -41,7 +45,8 @@
     return sum != NULL ? sum->jobs : 0;
 }
 
-/* Where they end is ordered by time; changes come in the log's order, so the place is the last. */
+/* Ended jobs are sorted by time. Changes come in the log's order, so the place is nearly
+ * always the last. */
 static void ended_add(Table *table, Job *job)
 {
     job_list_add(table->mem, &table->ended, job);
@@ -71,7 +76,8 @@
     }
 }
 
-void job_leave_active(Table *table, Job *job)
+/* The job ended: from the active to the ended ones. */
+static void job_leave_active(Table *table, Job *job)
 {
     JobList *active = &table->active;
     const size_t at = job_list_find(active, job);
@@ -79,7 +85,9 @@
         return;
     memmove(&active->jobs[at], &active->jobs[at + 1], (active->count - at - 1) * sizeof(*active->jobs));
     active->count--;
-    queue_of(table, &job->spec)->jobs--;
+    QueueSum *queue = queue_of(table, &job->spec);
+    assert(queue->jobs > 0);
+    queue->jobs--;
     ended_add(table, job);
 }
 
@@ -92,25 +100,40 @@
     *at = text[0] != '\0' ? talloc_strdup(job, text) : "";
 }
 
-void task_turn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms, bool told)
+/* Counts the change of phase in its cell and its job. */
+static void turn_count(Table *table, Job *job, const JobTask *task, TaskPhase phase)
 {
     if ((task->phase == TASK_WAITING) != (phase == TASK_WAITING)) {
         CellSum *cell = cell_of(table, job->spec.cell);
+        assert(cell->waiting > 0 || phase == TASK_WAITING);
         cell->waiting += phase == TASK_WAITING ? 1 : (size_t)-1;
     }
     job_sum_turn(job, task, phase);
+}
+
+static void worker_change(Table *table, Job *job, JobTask *task, const char *worker)
+{
+    on_drop(table, task);
+    task->worker = worker[0] != '\0' ? worker_on(table, worker)->name : "";
+    on_add(table, job, task);
+    orders_touch(table, worker);
+}
+
+void task_turn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms,
+               TurnSource source)
+{
+    assert(!task_ended(task->phase) || task->phase == phase);
+    turn_count(table, job, task, phase);
     const bool leaves = strcmp(task->worker, worker) != 0;
+    const bool confirmed = task->phase == TASK_PLACED && phase == TASK_RUNNING;
+    const bool agent_knows = leaves && source == TURN_BY_AGENT;
     /* that it runs changes nothing of what its worker is to do */
-    if ((task->phase != TASK_PLACED || phase != TASK_RUNNING) && !(told && leaves))
+    if (!confirmed && !agent_knows)
         orders_touch(table, task->worker);
-    if (leaves && !told && task->worker[0] != '\0' && table->left_fn != NULL)
+    if (leaves && !agent_knows && task->worker[0] != '\0' && table->left_fn != NULL)
         table->left_fn(table->left_arg, job, task);
-    if (leaves) {
-        on_drop(table, task);
-        task->worker = worker[0] != '\0' ? worker_on(table, worker)->name : "";
-        on_add(table, job, task);
-        orders_touch(table, worker);
-    }
+    if (leaves)
+        worker_change(table, job, task, worker);
     task->phase = phase;
     task->changed_ms = at_ms;
     if (!task_on_worker(phase))
@@ -122,9 +145,9 @@
     for (size_t i = 0; i < job->tasks_count; i++) {
         JobTask *task = &job->tasks[i];
         if (task->phase == TASK_WAITING)
-            task_turn(table, job, task, TASK_CANCELLED, "", at_ms, false);
+            task_turn(table, job, task, TASK_CANCELLED, "", at_ms, TURN_BY_LEADER);
         else if (task->phase == TASK_PLACED || task->phase == TASK_RUNNING)
-            task_turn(table, job, task, TASK_STOPPING, task->worker, at_ms, false);
+            task_turn(table, job, task, TASK_STOPPING, task->worker, at_ms, TURN_BY_LEADER);
     }
 }
 
--- a/packages/state/src/versions.c
+++ b/packages/state/src/versions.c
@@ -1,3 +1,5 @@
+/* The history of the configuration: one whole text, merge patches on it, and the digests of
+ * older calls. */
 #include "state/versions.h"
 
 #include <string.h>
@@ -48,8 +50,8 @@
 
 /* --- reading ------------------------------------------------------------------- */
 
-/* The tree at a row, from the last whole text before it or, where that is later,
- * from the row that have is of. */
+/* The tree of a row, made from the last whole text before it or, where that is later,
+ * from have, the tree of version have_version. The caller puts it. */
 static json_object *tree_at(const Versions *versions, size_t at, json_object *have, uint64_t have_version)
 {
     size_t from = at;
@@ -90,7 +92,7 @@
     return versions->count > 0 ? tree_at(versions, versions->count - 1, have, have_version) : NULL;
 }
 
-/* --- keeping ---------------------------------------------------------------------- */
+/* --- adding and dropping ---------------------------------------------------------------------- */
 
 static void text_set(Versions *versions, Version *row, const char *text)
 {
@@ -105,7 +107,8 @@
     versions->whole_bytes = versions->whole < versions->count ? strlen(versions->rows[versions->whole].text) : 0;
 }
 
-/* The row becomes the first whole one; the texts before it are dropped. */
+/* The row becomes the whole one, made from its patch if need be; the texts before it are
+ * dropped. */
 static void whole_set(Versions *versions, size_t at)
 {
     Version *row = &versions->rows[at];
@@ -119,6 +122,7 @@
     whole_measure(versions);
 }
 
+/* Drops the first rows; whole must be beyond them. */
 static void rows_drop(Versions *versions, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
@@ -130,7 +134,8 @@
     memmove(versions->rows, versions->rows + count, versions->count * sizeof(*versions->rows));
 }
 
-/* Texts and rows go by CONFIG_HISTORY_STEP at once: making a patch whole costs a reading. */
+/* Keeps the bounds: of readable versions, of known calls, of bytes. Texts and rows are dropped
+ * CONFIG_HISTORY_STEP at a time, since making a patch whole costs a parse. */
 static void trim(Versions *versions)
 {
     if (versions->count - versions->whole > versions->keep + CONFIG_HISTORY_STEP)
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,3 +1,4 @@
+/* The shapes of workers and of agents' updates, and the words of those. */
 #include "state/worker.h"
 
 #include <string.h>
