--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -1,6 +1,8 @@
 #ifndef BASE_BYTES_H
 #define BASE_BYTES_H
 
+/* Runs of bytes, which messages, journal records and snapshots are packed into. */
+
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
@@ -14,7 +16,9 @@
     size_t room;
 } Bytes;
 
+/* Appends a copy. The buffer is made on mem by the first call and grows there. */
 void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count);
+/* A copy of its own on mem. */
 Bytes bytes_copy(void *mem, Bytes from);
 bool bytes_equal(Bytes a, Bytes b);
 /* CRC-32 (IEEE), the checksum of journal records. */
--- a/packages/base/include/base/failure.h
+++ b/packages/base/include/base/failure.h
@@ -1,10 +1,11 @@
 #ifndef BASE_FAILURE_H
 #define BASE_FAILURE_H
 
+/* Failures that a person reads: a typed status with a message. */
+
 #include "base/status.h"
 
-/* A failure and its last message.
- * Invariant: status is OK exactly when text is empty. */
+/* Invariant: status is OK exactly when text is empty. A longer text is cut. */
 typedef struct Failure {
     Status status;
     char text[240];
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -1,9 +1,12 @@
 #ifndef BASE_STATUS_H
 #define BASE_STATUS_H
 
-/* Every failure has a type. The words are what users see in results, so they
- * are part of the interface and never change their meaning. Their order is part
- * of the wire format: new ones are added at the end of the list. */
+/* The types of failures. Every function that can fail returns one; it travels between
+ * processes and to callers, with its HTTP status. */
+
+/* Name, word, HTTP status. The words are what users see in results: they are part of the
+ * API and never change their meaning. Their order is part of the wire format: new ones are
+ * added at the end of the list. */
 #define STATUS_LIST(X)                           \
     X(OK, "ok", 200)                             \
     X(BAD_FLAG, "bad-flag", 400)                 \
@@ -69,11 +72,13 @@
         STATUS_COUNT
 } Status;
 
+/* "unlisted" for a number that a later release may have sent. */
 const char *status_word(Status status);
+/* 500 for an unlisted one. */
 int status_http(Status status);
-/* When to come back after a 503, in seconds; 0: nothing is told. */
+/* Retry-After of a response, in seconds; 0: none is sent. */
 int status_retry_s(Status status);
-/* STATUS_COUNT when the word is none of ours. */
+/* STATUS_COUNT when there is no such word. */
 Status status_of_word(const char *word);
 
 #endif
--- a/packages/base/include/base/term.h
+++ b/packages/base/include/base/term.h
@@ -1,18 +1,22 @@
 #ifndef BASE_TERM_H
 #define BASE_TERM_H
 
+/* Numbers of the log's terms (Raft's term). They grow with each leader; an entry, an order
+ * and a grant carry the number of the leader that they come from. */
+
 #include <stdint.h>
 
-/* A term is a counter and, below it, a part of its holder's disk id, so that
- * two holders never have the same term even when a disk forgot a promise. */
-#define TERM_HOLDER_BITS 20
+/* A term's number is a counter and, in its lowest bits, a part of its leader's disk id, so
+ * that two leaders never have the same number even when a disk lost a promise. */
+#define TERM_HOLDER_BITS 20 /* bits; of the disk id */
 
+/* The number of the term after this one with that disk as leader. */
 static inline uint64_t term_next(uint64_t after, uint64_t holder)
 {
     return ((after >> TERM_HOLDER_BITS) + 1) << TERM_HOLDER_BITS | (holder & ((1u << TERM_HOLDER_BITS) - 1));
 }
 
-/* The counter alone, for people. */
+/* The counter alone, to be shown. */
 static inline uint64_t term_counter(uint64_t term)
 {
     return term >> TERM_HOLDER_BITS;
--- a/packages/base/src/bytes.c
+++ b/packages/base/src/bytes.c
@@ -1,14 +1,17 @@
+/* Growing buffers, and the checksum of journal records. */
 #include "base/bytes.h"
 
 #include <string.h>
 #include <talloc.h>
 
+#define BYTES_FIRST 64 /* bytes; room of a new buffer */
+
 void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count)
 {
     if (count == 0)
         return;
     if (bytes->count + count > bytes->room) {
-        size_t room = bytes->room < 64 ? 64 : bytes->room * 2;
+        size_t room = bytes->room < BYTES_FIRST ? BYTES_FIRST : bytes->room * 2;
         while (room < bytes->count + count)
             room *= 2;
         bytes->data = talloc_realloc(mem, bytes->data, uint8_t, (unsigned)room);
--- a/packages/base/src/failure.c
+++ b/packages/base/src/failure.c
@@ -1,3 +1,4 @@
+/* Failures with their messages. */
 #include "base/failure.h"
 
 #include <stdarg.h>
--- a/packages/base/src/map.c
+++ b/packages/base/src/map.c
@@ -1,3 +1,4 @@
+/* A hash table from text to any value, on GLib's. */
 #include "base/map.h"
 
 #include <glib.h>
--- a/packages/base/src/recorder.c
+++ b/packages/base/src/recorder.c
@@ -1,3 +1,4 @@
+/* The flight recorder: lines kept in memory, and what of them is written out, when. */
 #define G_LOG_DOMAIN "spancart"
 #include "base/recorder.h"
 
@@ -21,10 +22,10 @@
     RecorderLevel least;
     RecorderPlaceFn place_of;
     void *place_arg;
-    uint64_t said;    /* lines ever said */
+    uint64_t said;    /* lines ever logged; line n is at n % RECORDER_LINES */
     uint64_t written; /* lines ever written out, or given up: written <= said */
-    int64_t notes;    /* that may be written now */
-    int64_t notes_ms; /* when one was last added to them */
+    int64_t notes;    /* notes that may be written now, at most RECORDER_NOTES_AT_ONCE */
+    int64_t notes_ms; /* ms; when one was last added to them */
     RecorderLine lines[RECORDER_LINES];
 };
 
@@ -68,6 +69,7 @@
     return false;
 }
 
+/* The first line from that one on that is still kept. */
 static uint64_t recorder_first(const Recorder *recorder, uint64_t from)
 {
     return recorder->said > RECORDER_LINES && from < recorder->said - RECORDER_LINES ? recorder->said - RECORDER_LINES
@@ -76,7 +78,7 @@
 
 #define NUMBER_BYTES 24 /* bytes; any 64 bits in decimal */
 
-/* One line, to whoever writes GLib's log. */
+/* Hands one line to GLib's log writer. */
 static void line_write(const char *node, const RecorderLine *line)
 {
     char at_ms[NUMBER_BYTES], term[NUMBER_BYTES], index[NUMBER_BYTES];
--- a/packages/base/src/status.c
+++ b/packages/base/src/status.c
@@ -1,9 +1,10 @@
+/* Words and HTTP statuses of the types of failures. */
 #include "base/status.h"
 
-#include "base/constants.h"
-
 #include <string.h>
 
+#include "base/constants.h"
+
 static const struct {
     const char *word;
     int http;
