--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -1,16 +1,20 @@
 #ifndef QUEUE_QUEUE_H
 #define QUEUE_QUEUE_H
 
+/* The queues of waiting work: why a task waits, when it is due, and what is remembered from
+ * one planner's pass to the next. The leader's planner (packages/controller) uses it; the API shows
+ * the reasons. Nothing here waits or changes the state. */
+
 #include "config/config.h"
 #include "policy/policy.h"
 #include "queue/latency_target.h"
 
-/* Why a task waits, for those who ask. */
-#define WAIT_LIST(X)                                              \
-    X(READY, "room")   /* it could start: only room is missing */ \
-    X(STEPS, "steps")  /* earlier steps are not done */           \
-    X(DUE, "due-time") /* its due time has not come */            \
-    X(REST, "rest")    /* it failed and rests */                  \
+/* Why a task waits, and the API's word for it. */
+#define WAIT_LIST(X)                                                  \
+    X(READY, "room")   /* it could start: only capacity is missing */ \
+    X(STEPS, "steps")  /* earlier steps are not done */               \
+    X(DUE, "due-time") /* its due time has not come */                \
+    X(REST, "rest")    /* it failed and rests */                      \
     X(GANG, "gang")    /* other members are still being stopped */
 typedef enum WaitReason {
 #define X(name, word) WAIT_##name,
@@ -21,41 +25,41 @@
 const char *wait_word(WaitReason reason);
 
 typedef struct QueueClock {
-    int64_t log_ms;  /* the log's time */
-    int64_t wall_ms; /* the median of the voters' wall clocks */
+    int64_t log_ms;  /* ms; the log's time */
+    int64_t wall_ms; /* ms; the median of the voters' wall clocks */
 } QueueClock;
 
 /* Why a waiting task does not start now. */
 WaitReason queue_wait(const Job *job, size_t task, QueueClock clock);
-/* Whether the turn's time has come. */
+/* Whether the turn's due time and the job's delay have passed. */
 bool queue_due(const Job *job, uint64_t turn, QueueClock clock);
-/* The log time of that; of what is due at once, of the job's acceptance. */
+/* The log time, in ms, when that is so; what is due at once is due at the job's acceptance. */
 int64_t queue_due_ms(const Job *job, uint64_t turn, QueueClock clock);
-/* The kind of worker that the step needs; empty: any. */
+/* The kind of worker that the step needs, its own or else its queue's; empty: any. */
 const char *queue_kind(const Job *job, uint64_t step);
 
-/* Finds the policy of a cell. */
+/* The policy of a cell, never null; cell is null where the configuration has none. */
 typedef const Policy *(*QueuePolicy)(void *arg, const ConfigCell *cell);
 
-/* One moment of all that decides on an order. */
+/* All that decides on the order of work, at one moment. */
 typedef struct QueueSight {
     const Table *table;
     const Config *config;
-    uint64_t config_stamp; /* another with each other config */
-    Room fleet;            /* of all workers that may be given work */
+    uint64_t config_stamp; /* differs with each other config */
+    Room fleet;            /* capacity of all workers that may be given work */
     QueueClock clock;
     QueuePolicy policy;
-    void *arg;
+    void *arg; /* policy's */
 } QueueSight;
 
-/* What is remembered of jobs between two looks, so that a look costs little for each:
+/* What is remembered of jobs between two passes, so that a pass costs little for each:
  * where the configuration has them, and their chains of work.
- * Invariant: nothing in it is the only copy; dropped whole, it is found again. */
+ * Invariant: nothing in it is the only copy; dropped as a whole, it is computed again. */
 typedef struct Queue Queue;
 
-/* estimates may be null. */
+/* Owned by mem. estimates (may be null: the submitters' estimates count) must outlive it. */
 Queue *queue_new(void *mem, const Estimates *estimates);
-/* What a policy sees of a task. */
+/* What a policy gets to see of a waiting task. */
 PolicySight queue_see(Queue *queue, const QueueSight *sight, const Job *job, size_t task);
 
 #endif
--- a/packages/queue/src/estimate.c
+++ b/packages/queue/src/estimate.c
@@ -1,5 +1,7 @@
+/* Estimates of run times: medians of what attempts have shown, by step and by worker. */
 #include "queue/estimate.h"
 
+#include <assert.h>
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,6 +10,12 @@
 
 #include "base/map.h"
 
+#define AS_ESTIMATED 1000 /* thousandths; time as estimated */
+#define MOVED_PART 20     /* a median that has moved by less than one part in so many has not */
+#define SORTED_MOST 64    /* count; values that a median is ever taken of */
+_Static_assert(ESTIMATE_KEPT <= SORTED_MOST && ESTIMATE_POOL <= SORTED_MOST && ESTIMATE_FRESH_KEPT <= SORTED_MOST,
+               "a median's values fit");
+
 /* The newest ratios, in thousandths, and their median. */
 typedef struct Ratios {
     uint64_t kept[ESTIMATE_KEPT];
@@ -16,7 +24,7 @@
     uint64_t told; /* the median when it last counted as moved */
 } Ratios;
 
-/* Of a worker: time taken there to time guessed by us. */
+/* Of a worker: time taken there to time estimated here. */
 typedef struct Speed {
     Ratios ends;                           /* of work done whole */
     uint64_t fresh[ESTIMATE_FRESH_KEPT];   /* the newest, also of work under way ... */
@@ -25,9 +33,9 @@
 } Speed;
 
 struct Estimates {
-    Map *steps;                   /* "cell/queue/step" to Ratios: time taken to time guessed by the caller */
-    Map *plain;                   /* the same key to Ratios: milliseconds, for steps whose caller guessed nothing */
-    uint64_t stamp;               /* grows when a median has moved by a twentieth or more */
+    Map *steps;                   /* "cell/queue/step" to Ratios: time taken to the submitter's estimate */
+    Map *plain;                   /* the same key to Ratios: milliseconds, for steps without an estimate */
+    uint64_t stamp;               /* grows when a median has moved */
     Map *workers;                 /* names to Speed */
     uint64_t pool[ESTIMATE_POOL]; /* the newest of all workers together */
     uint64_t pool_count, pool_median;
@@ -53,17 +61,34 @@
     return estimates != NULL ? estimates->stamp : 0;
 }
 
+/* The upper median of at least one value. */
+static uint64_t middle_of(const uint64_t *values, size_t count)
+{
+    assert(count > 0 && count <= SORTED_MOST);
+    uint64_t sorted[SORTED_MOST];
+    memcpy(sorted, values, count * sizeof(*sorted));
+    qsort(sorted, count, sizeof(*sorted), order);
+    return sorted[count / 2];
+}
+
+/* Values in a ring of so many slots, of which count were ever put in. */
+static size_t filled(uint64_t count, size_t slots)
+{
+    return count < slots ? (size_t)count : slots;
+}
+
+static uint64_t ratio_bounded(uint64_t ratio)
+{
+    return ratio < ESTIMATE_RATIO_MOST ? ratio : ESTIMATE_RATIO_MOST;
+}
+
 /* True when the median has moved enough to count. */
 static bool ratio_take(Ratios *ratios, uint64_t ratio)
 {
     ratios->kept[ratios->count++ % ESTIMATE_KEPT] = ratio;
-    uint64_t sorted[ESTIMATE_KEPT];
-    const size_t count = ratios->count < ESTIMATE_KEPT ? (size_t)ratios->count : ESTIMATE_KEPT;
-    memcpy(sorted, ratios->kept, count * sizeof(*sorted));
-    qsort(sorted, count, sizeof(*sorted), order);
-    ratios->median = sorted[count / 2];
+    ratios->median = middle_of(ratios->kept, filled(ratios->count, ESTIMATE_KEPT));
     const uint64_t told = ratios->told, median = ratios->median;
-    if ((told > median ? told - median : median - told) * 20 < told)
+    if ((told > median ? told - median : median - told) * MOVED_PART < told)
         return false;
     ratios->told = median;
     return true;
@@ -100,6 +125,7 @@
     return key;
 }
 
+/* Of the key's ratios, if there are enough of them. */
 static uint64_t median_of(const Map *map, const char *key, uint64_t least, uint64_t otherwise)
 {
     const Ratios *ratios = map_get(map, key);
@@ -114,33 +140,38 @@
     const Key key = step_key(job, step);
     if (said_ms == 0)
         return (int64_t)median_of(estimates->plain, key.text, ESTIMATE_LEAST, 0);
-    return said_ms * (int64_t)median_of(estimates->steps, key.text, ESTIMATE_LEAST, 1000) / 1000;
+    return said_ms * (int64_t)median_of(estimates->steps, key.text, ESTIMATE_LEAST, AS_ESTIMATED) / AS_ESTIMATED;
 }
 
 uint64_t estimate_pace(const Estimates *estimates)
 {
-    return estimates != NULL && estimates->pool_median > 1000 ? estimates->pool_median : 1000;
+    return estimates != NULL && estimates->pool_median > AS_ESTIMATED ? estimates->pool_median : AS_ESTIMATED;
+}
+
+/* By all that the worker has done, within bounds. */
+static uint64_t lasting_speed(const Speed *speed)
+{
+    const uint64_t ends = speed->ends.count >= ESTIMATE_LEAST ? speed->ends.median : AS_ESTIMATED;
+    if (ends < ESTIMATE_SPEED_LEAST)
+        return ESTIMATE_SPEED_LEAST;
+    return ends > ESTIMATE_SPEED_MOST ? ESTIMATE_SPEED_MOST : ends;
 }
 
 uint64_t estimate_speed(const Estimates *estimates, const char *worker, int64_t now_ms)
 {
     const Speed *speed = estimates != NULL ? map_get(estimates->workers, worker) : NULL;
     if (speed == NULL)
-        return 1000;
+        return AS_ESTIMATED;
     uint64_t fresh[ESTIMATE_FRESH_KEPT];
     size_t count = 0;
     for (size_t i = 0; i < ESTIMATE_FRESH_KEPT && i < speed->fresh_count; i++)
         if (now_ms - speed->fresh_ms[i] <= ESTIMATE_FRESH_MS)
             fresh[count++] = speed->fresh[i];
-    const uint64_t ends = speed->ends.count >= ESTIMATE_LEAST ? speed->ends.median : 1000;
-    const uint64_t lasting = ends < ESTIMATE_SPEED_LEAST  ? ESTIMATE_SPEED_LEAST
-                             : ends > ESTIMATE_SPEED_MOST ? ESTIMATE_SPEED_MOST
-                                                          : ends;
+    const uint64_t lasting = lasting_speed(speed);
     if (count < ESTIMATE_FRESH_LEAST)
         return lasting;
-    qsort(fresh, count, sizeof(*fresh), order);
     /* a few of late are few: they count when they say something else altogether */
-    const uint64_t own = fresh[count / 2] * 1000 / estimate_pace(estimates);
+    const uint64_t own = middle_of(fresh, count) * AS_ESTIMATED / estimate_pace(estimates);
     return own > ESTIMATE_SPEED_MOST ? own : lasting;
 }
 
@@ -148,14 +179,10 @@
 {
     Speed *speed = speed_of(estimates, worker);
     const size_t at = (size_t)(speed->fresh_count++ % ESTIMATE_FRESH_KEPT);
-    speed->fresh[at] = ratio < ESTIMATE_RATIO_MOST ? ratio : ESTIMATE_RATIO_MOST;
+    speed->fresh[at] = ratio_bounded(ratio);
     speed->fresh_ms[at] = now_ms;
     estimates->pool[estimates->pool_count++ % ESTIMATE_POOL] = speed->fresh[at];
-    uint64_t sorted[ESTIMATE_POOL];
-    const size_t count = estimates->pool_count < ESTIMATE_POOL ? (size_t)estimates->pool_count : ESTIMATE_POOL;
-    memcpy(sorted, estimates->pool, count * sizeof(*sorted));
-    qsort(sorted, count, sizeof(*sorted), order);
-    estimates->pool_median = sorted[count / 2];
+    estimates->pool_median = middle_of(estimates->pool, filled(estimates->pool_count, ESTIMATE_POOL));
 }
 
 void estimates_end(Estimates *estimates, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
@@ -168,11 +195,12 @@
     const int64_t expected_ms = estimate_ms(estimates, job, step);
     const Key key = step_key(job, step);
     if (expected_ms > 0) {
-        const uint64_t ratio = sound_ms * 1000 / (uint64_t)expected_ms;
-        ratio_take(&speed_of(estimates, worker)->ends, ratio < ESTIMATE_RATIO_MOST ? ratio : ESTIMATE_RATIO_MOST);
+        const uint64_t ratio = sound_ms * AS_ESTIMATED / (uint64_t)expected_ms;
+        ratio_take(&speed_of(estimates, worker)->ends, ratio_bounded(ratio));
         estimates_pace(estimates, worker, ratio, now_ms);
     }
-    const bool moved = said_ms > 0 ? ratio_take(ratios_of(estimates->steps, key.text), sound_ms * 1000 / said_ms)
-                                   : ratio_take(ratios_of(estimates->plain, key.text), sound_ms);
+    const bool moved = said_ms > 0
+                           ? ratio_take(ratios_of(estimates->steps, key.text), sound_ms * AS_ESTIMATED / said_ms)
+                           : ratio_take(ratios_of(estimates->plain, key.text), sound_ms);
     estimates->stamp += moved;
 }
--- a/packages/queue/src/latency_target.c
+++ b/packages/queue/src/latency_target.c
@@ -1,3 +1,4 @@
+/* Latency targets: a job's chains of work, its slack, and the rank that follows. */
 #include "queue/latency_target.h"
 
 #include <math.h>
@@ -11,7 +12,7 @@
     return false;
 }
 
-/* How often a step fills its part of the fleet. */
+/* The waves that a step needs to run in a part of the fleet: at least 1, at most its tasks. */
 static uint64_t waves_of(const StepSpec *step, Room quarter)
 {
     uint64_t waves = 1;
@@ -51,12 +52,14 @@
     return target->from_ms + target->span_ms - now_ms - target->after_ms[step];
 }
 
-/* Estimates are off by a part: one that misses by less may still make it. */
+/* Whether the target may still be met: estimates are off by a part, so a miss by less does
+ * not count. */
 static bool can_make(int64_t slack_ms, int64_t work_ms)
 {
     return slack_ms >= -work_ms * TARGET_DOUBT_PERCENT / 100;
 }
 
+/* The rank of what has that much slack: 0 when it must be under way now, falling with more. */
 static double nearness(int64_t slack_ms)
 {
     return slack_ms > 0 ? -(double)slack_ms / TARGET_LOOK_MS : 0.0;
@@ -70,7 +73,7 @@
     const int64_t late_ms = slack_ms + (TARGET_LATE_TIMES - 1) * target->span_ms;
     if (can_make(late_ms, work_ms))
         return TARGET_LATE_RANK + nearness(late_ms);
-    /* worth nothing any more; the oldest first */
+    /* worth nothing any more; the oldest first, all within 1 of the rank */
     const int64_t age_ms = now_ms - target->from_ms;
     return TARGET_LOST_RANK + (double)age_ms / (double)(age_ms + JOB_KEEP_MS);
 }
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -1,3 +1,6 @@
+/* What is remembered between two lines: the accounts of cells and tenants, and a note of each job. */
+#include "inside.h"
+
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -5,15 +8,15 @@
 
 #include "base/constants.h"
 #include "base/map.h"
-#include "inside.h"
 
-#define NOTES_SPARE 256 /* count; notes of jobs that are gone are dropped beyond so many */
+#define NOTES_SPARE 256    /* count; notes of jobs that are gone are dropped beyond so many */
+#define MILLIONTHS 1000000 /* of the fleet; fine enough for one small task */
 
 struct Queue {
     const Estimates *estimates;
     GHashTable *notes; /* by job's number */
     Map *accounts;     /* "cell", "cell/tenant" */
-    uint64_t line;
+    uint64_t line;     /* number of the newest line */
 };
 
 static int queue_free(Queue *queue)
@@ -39,9 +42,10 @@
 
 uint64_t part_of(Room room, Room fleet)
 {
-    return room_part(room, fleet, 1000000);
+    return room_part(room, fleet, MILLIONTHS);
 }
 
+/* Drops notes that neither the newest line nor the one before has used. */
 static gboolean unseen(gpointer key, gpointer value, gpointer queue)
 {
     (void)key;
@@ -60,6 +64,7 @@
     return queue->line;
 }
 
+/* tenant null: the cell's. A first one is made. */
 static Account *account_of(Queue *queue, const char *cell, const char *tenant)
 {
     char key[2 * ID_MAX + 2];
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -1,4 +1,4 @@
-/* What a waiting task waits for. */
+/* What a waiting task waits for, and when a turn is due. */
 #include "queue/queue.h"
 
 const char *wait_word(WaitReason reason)
@@ -17,7 +17,8 @@
     return kind[0] != '\0' || job->terms.kind == NULL ? kind : job->terms.kind;
 }
 
-/* The wall time before which the turn must not start; 0: none. */
+/* The wall time, in ms, before which the turn must not start; 0: none. Not by task_due_wall_ms,
+ * on purpose: the simulator's checker uses that to judge what is decided here. */
 static int64_t turn_wall_ms(const Job *job, uint64_t turn)
 {
     const JobSpec *spec = &job->spec;
