--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -1,12 +1,12 @@
-/* The cheap bound, sound for unlike machines.
+/* The cheap bound for large fleets (the paper's, made sound for unlike machines).
  *
- * Tasks are gathered into classes by what they ask (kind, labels); classes that
- * share a worker are one group, so that groups never compete. Of each group:
+ * Tasks that some worker suits both of, directly or by others between them, are one
+ * group, so that groups never compete. Of each group:
  *  - every task is taken to be as big as the biggest in every part;
  *  - the r workers with the most tasks of the group are lost;
  *  - the r workers with the most free slots are lost (not the same ones: worse
  *    than any real loss);
- *  - only workers that suit every class of the group count.
+ *  - only workers that suit every task of the group count.
  * If the slots left hold the tasks lost, then whatever plan is followed, each
  * time a task is to be placed some worker still has a slot that it fits in: a
  * task placed takes at most one slot, and no more than all of them are placed.
@@ -18,9 +18,9 @@
 #include "plan/plan.h"
 
 typedef struct Group {
-    bool *any; /* workers that suit some class */
-    bool *all; /* workers that suit every class */
-    Room biggest;
+    bool *any;      /* by worker: suits some task of the group */
+    bool *all;      /* by worker: suits every task of the group */
+    Room biggest;   /* demand, component by component, of its tasks */
     uint64_t *lost; /* tasks of the group on each worker */
 } Group;
 
@@ -30,6 +30,7 @@
     return x > y ? -1 : x < y;
 }
 
+/* How many tasks of that size fit; UINT32_MAX when they ask for nothing. */
 static uint64_t slots_of(Room free, Room each)
 {
     const uint64_t cpu = each.cpu_milli > 0 ? free.cpu_milli / each.cpu_milli : UINT32_MAX;
@@ -39,6 +40,7 @@
     return least < gpu ? least : gpu;
 }
 
+/* Whether the slots left hold the tasks lost. */
 static bool group_holds(const Group *group, const PlanInput *input, void *mem)
 {
     const size_t n = input->worker_count;
@@ -58,6 +60,37 @@
     return left >= needed;
 }
 
+/* The group of one task alone. */
+static Group group_of(void *mem, const PlanInput *input, const PlanTask *task)
+{
+    const size_t n = input->worker_count;
+    Group group = {talloc_zero_array(mem, bool, (unsigned)n), talloc_zero_array(mem, bool, (unsigned)n),
+                   task->need.room, talloc_zero_array(mem, uint64_t, (unsigned)n)};
+    for (size_t i = 0; i < n; i++)
+        group.any[i] = group.all[i] = plan_able(&input->workers[i], &task->need);
+    group.lost[task->worker] = 1;
+    return group;
+}
+
+static bool groups_share(const Group *a, const Group *b, size_t workers)
+{
+    for (size_t i = 0; i < workers; i++)
+        if (a->any[i] && b->any[i])
+            return true;
+    return false;
+}
+
+/* Makes one group of two. */
+static void group_take(Group *group, const Group *other, size_t workers)
+{
+    for (size_t i = 0; i < workers; i++) {
+        group->any[i] |= other->any[i];
+        group->all[i] &= other->all[i];
+        group->lost[i] += other->lost[i];
+    }
+    group->biggest = room_largest(group->biggest, other->biggest);
+}
+
 bool plan_cheap(const PlanInput *input)
 {
     const size_t n = input->worker_count;
@@ -67,27 +100,14 @@
     Group *groups = talloc_zero_array(mem, Group, (unsigned)input->task_count);
     size_t count = 0;
     for (size_t t = 0; t < input->task_count; t++) {
-        const PlanTask *task = &input->tasks[t];
-        Group mine = {talloc_zero_array(mem, bool, (unsigned)n), talloc_zero_array(mem, bool, (unsigned)n),
-                      task->need.room, talloc_zero_array(mem, uint64_t, (unsigned)n)};
-        for (size_t i = 0; i < n; i++)
-            mine.any[i] = mine.all[i] = plan_able(&input->workers[i], &task->need);
-        mine.lost[task->worker] = 1;
+        Group mine = group_of(mem, input, &input->tasks[t]);
         /* joins every group that it shares a worker with */
         for (size_t g = 0; g < count;) {
-            bool shares = false;
-            for (size_t i = 0; i < n && !shares; i++)
-                shares = mine.any[i] && groups[g].any[i];
-            if (!shares) {
+            if (!groups_share(&mine, &groups[g], n)) {
                 g++;
                 continue;
             }
-            for (size_t i = 0; i < n; i++) {
-                mine.any[i] |= groups[g].any[i];
-                mine.all[i] &= groups[g].all[i];
-                mine.lost[i] += groups[g].lost[i];
-            }
-            mine.biggest = room_largest(mine.biggest, groups[g].biggest);
+            group_take(&mine, &groups[g], n);
             groups[g] = groups[--count];
         }
         groups[count++] = mine;
