--- a/packages/base/test/recorder.c
+++ b/packages/base/test/recorder.c
@@ -65,7 +65,7 @@
     return written;
 }
 
-static void told_with_its_fields(void **state)
+static void line_has_its_fields(void **state)
 {
     Written *written = written_new(state);
     Recorder *recorder = recorder_new(NULL, "one");
@@ -82,7 +82,7 @@
     talloc_free(recorder);
 }
 
-static void without_a_place(void **state)
+static void line_without_place_has_term_zero(void **state)
 {
     Written *written = written_new(state);
     Recorder *recorder = recorder_new(NULL, "gate");
@@ -93,7 +93,7 @@
     talloc_free(recorder);
 }
 
-static void notes_are_bounded(void **state)
+static void notes_are_bounded_alerts_are_not(void **state)
 {
     Written *written = written_new(state);
     Recorder *recorder = recorder_new(NULL, "one");
@@ -111,7 +111,7 @@
     talloc_free(recorder);
 }
 
-static void what_is_missed_is_counted(void **state)
+static void overwritten_lines_are_counted(void **state)
 {
     Written *written = written_new(state);
     Recorder *recorder = recorder_new(NULL, "one");
@@ -123,7 +123,7 @@
     talloc_free(recorder);
 }
 
-static void level_and_quiet(void **state)
+static void lower_levels_wait_and_quiet_is_silent(void **state)
 {
     Written *written = written_new(state);
     RecorderLevel level = RECORDER_NOTE;
@@ -148,11 +148,11 @@
 {
     static Written written;
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_prestate(told_with_its_fields, &written),
-        cmocka_unit_test_prestate(without_a_place, &written),
-        cmocka_unit_test_prestate(notes_are_bounded, &written),
-        cmocka_unit_test_prestate(what_is_missed_is_counted, &written),
-        cmocka_unit_test_prestate(level_and_quiet, &written),
+        cmocka_unit_test_prestate(line_has_its_fields, &written),
+        cmocka_unit_test_prestate(line_without_place_has_term_zero, &written),
+        cmocka_unit_test_prestate(notes_are_bounded_alerts_are_not, &written),
+        cmocka_unit_test_prestate(overwritten_lines_are_counted, &written),
+        cmocka_unit_test_prestate(lower_levels_wait_and_quiet_is_silent, &written),
     };
     g_log_set_writer_func(on_line, &written, NULL);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -21,6 +21,9 @@
     Fault list[FAULTS_MAX];
 } Faults;
 
+/* An empty list on mem, which owns it and its texts. */
+Faults *faults_make(void *mem);
+/* Counts a fault and, if there is room, notes it. The path is copied. */
 void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -12,6 +12,13 @@
 
 #define DEPTH_MAX 16 /* count; levels of nesting that our documents need, with room to spare */
 
+Faults *faults_make(void *mem)
+{
+    Faults *faults = talloc_zero(mem, Faults);
+    faults->mem = mem;
+    return faults;
+}
+
 void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
 {
     faults->seen++;
--- a/packages/config/test/parse.c
+++ b/packages/config/test/parse.c
@@ -1,5 +1,5 @@
-/* Texts that are to be read whole or refused with the byte: every one of them is
- * fed in as operators' and callers' bodies are. */
+/* Texts of JSON that are read as a whole, or refused with the byte: by the parser that bodies of
+ * operators and callers go through. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,14 +11,7 @@
 
 #include "config/check.h"
 
-static Faults *faults_new(void *mem)
-{
-    Faults *faults = talloc_zero(mem, Faults);
-    faults->mem = mem;
-    return faults;
-}
-
-static void good(void **state)
+static void whole_texts_are_read(void **state)
 {
     (void)state;
     static const char *const TEXTS[] = {
@@ -35,7 +28,7 @@
     };
     for (size_t i = 0; i < sizeof(TEXTS) / sizeof(TEXTS[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_new(mem);
+        Faults *faults = faults_make(mem);
         json_object *object = check_parse(faults, TEXTS[i], strlen(TEXTS[i]));
         if (object == NULL || faults->seen > 0)
             fail_msg("%s: %s", TEXTS[i], faults->list[0].text);
@@ -44,90 +37,98 @@
     }
 }
 
-static void bad(void **state)
+/* Each text with the type, the path and some words of its one fault. */
+static const struct {
+    const char *text;
+    Status status;
+    const char *path, *words;
+} REFUSED[] = {
+    {"", STATUS_BAD_JSON, "", "empty"},
+    {" ", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
+    {"null", STATUS_BAD_JSON, "", "null"},
+    {"{", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
+    {"{\"a\"", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
+    {"{\"a\":", STATUS_BAD_JSON, "", "at byte 5: the text ends too early"},
+    {"{\"a\":1", STATUS_BAD_JSON, "", "at byte 6: the text ends too early"},
+    {"{\"a\":1,", STATUS_BAD_JSON, "", "at byte 7: the text ends too early"},
+    {"[1,2", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
+    {"\"abc", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
+    {"tru", STATUS_BAD_JSON, "", "at byte 0: is no value"},
+    {"{}x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
+    {"{}{}", STATUS_BAD_JSON, "", "at byte 2: something follows"},
+    {"{\"a\":1}]", STATUS_BAD_JSON, "", "at byte 7: something follows"},
+    {"{\"a\":1,}", STATUS_BAD_JSON, "", "at byte 7: a key is missing"},
+    {"[1,]", STATUS_BAD_JSON, "", "at byte 3: is no value"},
+    {"{a:1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
+    {"{'a':1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
+    {"{\"a\" 1}", STATUS_BAD_JSON, "", "at byte 5: a colon is missing"},
+    {"{\"a\":1 \"b\":2}", STATUS_BAD_JSON, "", "at byte 7: a comma"},
+    {"/* x */{}", STATUS_BAD_JSON, "", "at byte 0: is no value"},
+    {"{}// x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
+    {"NaN", STATUS_BAD_JSON, "", "is no value"},
+    {"[Infinity]", STATUS_BAD_JSON, "", "is no value"},
+    {"[-Infinity]", STATUS_BAD_JSON, "", "a digit is missing"},
+    {"[01]", STATUS_BAD_JSON, "", "begins with 0"},
+    {"[-01]", STATUS_BAD_JSON, "", "begins with 0"},
+    {"[1.]", STATUS_BAD_JSON, "", "a digit is missing"},
+    {"[.5]", STATUS_BAD_JSON, "", "is no value"},
+    {"[1e]", STATUS_BAD_JSON, "", "a digit is missing"},
+    {"[+1]", STATUS_BAD_JSON, "", "is no value"},
+    {"[0x10]", STATUS_BAD_JSON, "", "a comma"},
+    {"True", STATUS_BAD_JSON, "", "is no value"},
+    {"\"a\nb\"", STATUS_BAD_JSON, "", "at byte 2: a control character"},
+    {"\"\\x41\"", STATUS_BAD_JSON, "", "is no escape"},
+    {"\"\\u12\"", STATUS_BAD_JSON, "", "four digits"},
+    {"\"\\ud800\"", STATUS_BAD_JSON, "", "half a pair"},
+    {"\"\\udc00\"", STATUS_BAD_JSON, "", "half a pair"},
+    {"\"\\ud800\\u0041\"", STATUS_BAD_JSON, "", "half a pair"},
+    {"{\"a\\u0000b\":1}", STATUS_BAD_JSON, "", "a zero in a key"},
+    {"\"\xff\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
+    {"\"\xc0\xaf\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
+    {"\"\xed\xa0\x80\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
+    {"\"\xc3", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
+    {"[[[[[[[[[[[[[[[[[]]]]]]]]]]]]]]]]]", STATUS_BAD_JSON, "", "nested too deeply"},
+    {"{\"a\":1,\"a\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
+    {"{\"b\":{\"c\":[1,{\"d\":\"}\\\"\",\"d\":2}]}}", STATUS_BAD_FIELD, "b.c[1].d", "stands twice"},
+    {"{\"a\":1,\"\\u0061\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
+};
+
+static void refused_at_the_byte(void **state)
 {
     (void)state;
-    static const struct {
-        const char *text;
-        Status status;
-        const char *path, *words;
-    } TEXTS[] = {
-        {"", STATUS_BAD_JSON, "", "empty"},
-        {" ", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
-        {"null", STATUS_BAD_JSON, "", "null"},
-        {"{", STATUS_BAD_JSON, "", "at byte 1: the text ends too early"},
-        {"{\"a\"", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-        {"{\"a\":", STATUS_BAD_JSON, "", "at byte 5: the text ends too early"},
-        {"{\"a\":1", STATUS_BAD_JSON, "", "at byte 6: the text ends too early"},
-        {"{\"a\":1,", STATUS_BAD_JSON, "", "at byte 7: the text ends too early"},
-        {"[1,2", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-        {"\"abc", STATUS_BAD_JSON, "", "at byte 4: the text ends too early"},
-        {"tru", STATUS_BAD_JSON, "", "at byte 0: is no value"},
-        {"{}x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-        {"{}{}", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-        {"{\"a\":1}]", STATUS_BAD_JSON, "", "at byte 7: something follows"},
-        {"{\"a\":1,}", STATUS_BAD_JSON, "", "at byte 7: a key is missing"},
-        {"[1,]", STATUS_BAD_JSON, "", "at byte 3: is no value"},
-        {"{a:1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
-        {"{'a':1}", STATUS_BAD_JSON, "", "at byte 1: a key is missing"},
-        {"{\"a\" 1}", STATUS_BAD_JSON, "", "at byte 5: a colon is missing"},
-        {"{\"a\":1 \"b\":2}", STATUS_BAD_JSON, "", "at byte 7: a comma"},
-        {"/* x */{}", STATUS_BAD_JSON, "", "at byte 0: is no value"},
-        {"{}// x", STATUS_BAD_JSON, "", "at byte 2: something follows"},
-        {"NaN", STATUS_BAD_JSON, "", "is no value"},
-        {"[Infinity]", STATUS_BAD_JSON, "", "is no value"},
-        {"[-Infinity]", STATUS_BAD_JSON, "", "a digit is missing"},
-        {"[01]", STATUS_BAD_JSON, "", "begins with 0"},
-        {"[-01]", STATUS_BAD_JSON, "", "begins with 0"},
-        {"[1.]", STATUS_BAD_JSON, "", "a digit is missing"},
-        {"[.5]", STATUS_BAD_JSON, "", "is no value"},
-        {"[1e]", STATUS_BAD_JSON, "", "a digit is missing"},
-        {"[+1]", STATUS_BAD_JSON, "", "is no value"},
-        {"[0x10]", STATUS_BAD_JSON, "", "a comma"},
-        {"True", STATUS_BAD_JSON, "", "is no value"},
-        {"\"a\nb\"", STATUS_BAD_JSON, "", "at byte 2: a control character"},
-        {"\"\\x41\"", STATUS_BAD_JSON, "", "is no escape"},
-        {"\"\\u12\"", STATUS_BAD_JSON, "", "four digits"},
-        {"\"\\ud800\"", STATUS_BAD_JSON, "", "half a pair"},
-        {"\"\\udc00\"", STATUS_BAD_JSON, "", "half a pair"},
-        {"\"\\ud800\\u0041\"", STATUS_BAD_JSON, "", "half a pair"},
-        {"{\"a\\u0000b\":1}", STATUS_BAD_JSON, "", "a zero in a key"},
-        {"\"\xff\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-        {"\"\xc0\xaf\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-        {"\"\xed\xa0\x80\"", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-        {"\"\xc3", STATUS_BAD_JSON, "", "at byte 1: is no UTF-8"},
-        {"[[[[[[[[[[[[[[[[[]]]]]]]]]]]]]]]]]", STATUS_BAD_JSON, "", "nested too deeply"},
-        {"{\"a\":1,\"a\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
-        {"{\"b\":{\"c\":[1,{\"d\":\"}\\\"\",\"d\":2}]}}", STATUS_BAD_FIELD, "b.c[1].d", "stands twice"},
-        {"{\"a\":1,\"\\u0061\":1}", STATUS_BAD_FIELD, "a", "stands twice"},
-    };
-    for (size_t i = 0; i < sizeof(TEXTS) / sizeof(TEXTS[0]); i++) {
+    for (size_t i = 0; i < sizeof(REFUSED) / sizeof(REFUSED[0]); i++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_new(mem);
-        json_object *object = check_parse(faults, TEXTS[i].text, strlen(TEXTS[i].text));
-        if (object != NULL || faults->count != 1 || faults->list[0].status != TEXTS[i].status ||
-            strcmp(faults->list[0].path, TEXTS[i].path) != 0 || strstr(faults->list[0].text, TEXTS[i].words) == NULL)
-            fail_msg("%s: %s %s: %s", TEXTS[i].text, object != NULL ? "taken" : "refused",
+        Faults *faults = faults_make(mem);
+        json_object *object = check_parse(faults, REFUSED[i].text, strlen(REFUSED[i].text));
+        if (object != NULL || faults->count != 1 || faults->list[0].status != REFUSED[i].status ||
+            strcmp(faults->list[0].path, REFUSED[i].path) != 0 ||
+            strstr(faults->list[0].text, REFUSED[i].words) == NULL)
+            fail_msg("%s: %s %s: %s", REFUSED[i].text, object != NULL ? "taken" : "refused",
                      faults->count > 0 ? faults->list[0].path : "",
                      faults->count > 0 ? faults->list[0].text : "no fault");
         talloc_free(mem);
     }
+}
+
+static void zero_byte_is_refused(void **state)
+{
+    (void)state;
     void *mem = talloc_new(NULL);
-    Faults *faults = faults_new(mem);
+    Faults *faults = faults_make(mem);
     assert_null(check_parse(faults, "{\"a\":\0001}", 7));
     assert_non_null(strstr(faults->list[0].text, "at byte 5: a zero byte"));
     talloc_free(mem);
 }
 
 /* Every beginning of a whole text is refused, at its end. */
-static void cut(void **state)
+static void every_beginning_is_refused(void **state)
 {
     (void)state;
     static const char TEXT[] =
         "{\"cells\":{\"a\":{\"queues\":{\"q\":{\"stretch\":2.2,\"note\":\"{\\\"x\\\":[1]}\"}}}},\"r\":1}";
     for (size_t count = 1; count < strlen(TEXT); count++) {
         void *mem = talloc_new(NULL);
-        Faults *faults = faults_new(mem);
+        Faults *faults = faults_make(mem);
         assert_null(check_parse(faults, TEXT, count));
         assert_int_equal(faults->count, 1);
         assert_int_equal(faults->list[0].status, STATUS_BAD_JSON);
@@ -136,13 +137,13 @@
 }
 
 /* A body of brackets neither fills the stack nor takes long. */
-static void deep(void **state)
+static void deep_nesting_is_refused_soon(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
     char *text = talloc_array(mem, char, 1000000);
     memset(text, '[', 1000000);
-    Faults *faults = faults_new(mem);
+    Faults *faults = faults_make(mem);
     assert_null(check_parse(faults, text, 1000000));
     assert_non_null(strstr(faults->list[0].text, "nested too deeply"));
     talloc_free(mem);
@@ -151,10 +152,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(good),
-        cmocka_unit_test(bad),
-        cmocka_unit_test(cut),
-        cmocka_unit_test(deep),
+        cmocka_unit_test(whole_texts_are_read),         cmocka_unit_test(refused_at_the_byte),
+        cmocka_unit_test(zero_byte_is_refused),         cmocka_unit_test(every_beginning_is_refused),
+        cmocka_unit_test(deep_nesting_is_refused_soon),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- /dev/null
+++ b/packages/config/test/sharing.c
@@ -0,0 +1,170 @@
+/* Versions of a document that are read onward from an earlier one: what they share with it,
+ * and that they are what their text alone is read as. */
+#include "../../base/test/draw.h"
+#include "document/document.h"
+#include "fixture.h"
+
+static const char *wide(void *mem, int queues)
+{
+    char *text = talloc_strdup(mem, "{\"kinds\":{\"k\":{}},\"policies\":{\"p\":\"function rank(t) return 1 end\"},"
+                                    "\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{");
+    for (int i = 0; i < queues; i++)
+        text = talloc_asprintf_append_buffer(
+            text,
+            "%s\"q%d\":{\"kind\":\"k\",\"expiryMs\":%d,\"entry\":{\"host\":\"h%d.example\","
+            "\"prefix\":\"/p%d/\"}}",
+            i > 0 ? "," : "", i, 1000 + i, i % 5, i);
+    return talloc_strdup_append_buffer(text, "}}}}");
+}
+
+static void unchanged_parts_are_shared(void **state)
+{
+    (void)state;
+    void *mem = talloc_new(NULL);
+    const Config *first = read_good(mem, wide(mem, 50));
+    json_object *patch =
+        document_parse("{\"cells\":{\"c\":{\"queues\":{\"q7\":{\"expiryMs\":5},\"q8\":null,\"new\":{}}}}}");
+    json_object *tree = document_merged(first->tree, patch);
+    Faults *faults = faults_make(mem);
+    const Config *second = config_build(mem, tree, 2, first, faults);
+    assert_non_null(second);
+    json_object_put(tree);
+    json_object_put(patch);
+    const ConfigCell *one = config_cell(first, "c"), *two = config_cell(second, "c");
+    for (int i = 0; i < 50; i++) {
+        const char *name = talloc_asprintf(mem, "q%d", i);
+        if (i == 8)
+            assert_null(config_queue(two, name));
+        else
+            assert_true((config_queue(one, name) == config_queue(two, name)) == (i != 7));
+    }
+    assert_ptr_equal(config_policy(first, "p"), config_policy(second, "p"));
+    /* what is shared outlives the first */
+    talloc_free((void *)(uintptr_t)first);
+    assert_int_equal(config_queue(two, "q7")->timeout_ms, 5);
+    assert_int_equal(config_queue(two, "q49")->timeout_ms, 1049);
+    assert_string_equal(config_entry(second, "h4.example", "/p49/x")->queue->name, "q49");
+    assert_null(config_entry(second, "h3.example", "/p8/x"));
+    assert_ptr_equal(config_entry(second, "h2.example", "/p7/x")->queue, config_queue(two, "q7"));
+    talloc_free(mem);
+}
+
+static const char *draw_patch(void *mem, uint64_t *seed)
+{
+    switch (draw(seed, 9)) {
+    case 0:
+        return talloc_asprintf(mem, "{\"cells\":{\"c\":{\"queues\":{\"q%d\":null}}}}", (int)draw(seed, 40));
+    case 1:
+        return talloc_asprintf(mem, "{\"cells\":{\"c\":{\"queues\":{\"q%d\":{\"expiryMs\":%d,\"note\":\"n%d\"}}}}}",
+                               (int)draw(seed, 40), (int)draw(seed, 50), (int)draw(seed, 9));
+    case 2:
+        return talloc_asprintf(
+            mem,
+            "{\"cells\":{\"c\":{\"queues\":{\"q%d\":{\"entry\":{\"host\":\"h%d.example\",\"prefix\":\"/p%d/\"}}}}}}",
+            (int)draw(seed, 40), (int)draw(seed, 3), (int)draw(seed, 30));
+    case 3:
+        return talloc_asprintf(mem, "{\"kinds\":{\"k%d\":%s}}", (int)draw(seed, 4), draw(seed, 2) ? "{}" : "null");
+    case 4:
+        return talloc_asprintf(mem, "{\"cells\":{\"c\":{\"queues\":{\"q%d\":{\"kind\":\"k%d\"}}}}}",
+                               (int)draw(seed, 40), (int)draw(seed, 4));
+    case 5:
+        return talloc_asprintf(mem, "{\"policies\":{\"p%d\":%s},\"cells\":{\"c\":{\"policy\":\"p%d\"}}}",
+                               (int)draw(seed, 3), draw(seed, 2) ? "\"function rank(t) return 2 end\"" : "null",
+                               (int)draw(seed, 3));
+    case 6:
+        return talloc_asprintf(mem, "{\"cells\":{\"c\":{\"tenants\":{\"t%d\":%s}}}}", (int)draw(seed, 3),
+                               draw(seed, 2) ? "{}" : "null");
+    case 7:
+        return talloc_asprintf(mem, "{\"cells\":{\"d%d\":%s}}", (int)draw(seed, 2),
+                               draw(seed, 2) ? "{\"queues\":{\"q\":{}}}" : "null");
+    default:
+        return talloc_asprintf(mem, "{\"limits\":{\"headMs\":%d}}", (int)draw(seed, 3));
+    }
+}
+
+/* How many queues were compared, and how many of them are the earlier configuration's own. */
+typedef struct Shared {
+    size_t queues, reused;
+} Shared;
+
+static void expect_same_cell(const Config *onward, const Config *alone, size_t at, const Config *earlier,
+                             Shared *shared)
+{
+    void *mem = talloc_new(NULL);
+    const ConfigCell *a = &onward->cells[at], *b = &alone->cells[at], *old = config_cell(earlier, a->name);
+    assert_string_equal(a->name, b->name);
+    assert_string_equal(a->policy, b->policy);
+    assert_int_equal(a->tenant_count, b->tenant_count);
+    assert_int_equal(a->queue_count, b->queue_count);
+    for (size_t q = 0; q < a->queue_count; q++) {
+        const ConfigQueue *x = a->queues[q], *y = b->queues[q];
+        assert_string_equal(x->name, y->name);
+        assert_string_equal(x->kind, y->kind);
+        assert_string_equal(x->note, y->note);
+        assert_int_equal(x->timeout_ms, y->timeout_ms);
+        assert_ptr_equal(config_queue(a, x->name), x);
+        shared->queues++;
+        shared->reused += old != NULL && config_queue(old, x->name) == x;
+        if (x->host[0] == '\0')
+            continue;
+        const char *path = talloc_asprintf(mem, "%sx", x->prefix);
+        assert_ptr_equal(config_entry(onward, x->host, path)->queue, x);
+        assert_ptr_equal(config_entry(alone, x->host, path)->queue, y);
+    }
+    talloc_free(mem);
+}
+
+static void expect_same(const Config *onward, const Config *alone, const Config *earlier, Shared *shared)
+{
+    assert_int_equal(onward->cell_count, alone->cell_count);
+    assert_int_equal(onward->limits.head_ms, alone->limits.head_ms);
+    for (size_t c = 0; c < onward->cell_count; c++)
+        expect_same_cell(onward, alone, c, earlier, shared);
+}
+
+/* Read onward from an earlier version, it is what its text alone is read as: the same faults,
+ * the same queues, the same entries. */
+static void reading_onward_equals_reading_anew(void **state)
+{
+    (void)state;
+    uint64_t seed = 21;
+    size_t good = 0, bad = 0;
+    Shared shared = {0};
+    void *all = talloc_new(NULL);
+    const Config *config = read_good(all, wide(all, 40));
+    for (int i = 0; i < 4000; i++) {
+        void *mem = talloc_new(NULL);
+        json_object *patch = document_parse(draw_patch(mem, &seed));
+        json_object *tree = document_merged(config->tree, patch);
+        const char *text = document_text(mem, tree);
+        Faults *onward = faults_make(mem), *alone = faults_make(mem);
+        const Config *next = config_build(all, tree, (uint64_t)i + 2, config, onward);
+        const Config *fresh = config_read(mem, text, strlen(text), (uint64_t)i + 2, alone);
+        json_object_put(tree);
+        json_object_put(patch);
+        assert_true((next == NULL) == (fresh == NULL));
+        assert_int_equal(onward->count, alone->count);
+        for (size_t k = 0; k < alone->count; k++)
+            assert_string_equal(onward->list[k].path, alone->list[k].path);
+        if (next != NULL) {
+            expect_same(next, fresh, config, &shared);
+            talloc_free((void *)(uintptr_t)config);
+            config = next;
+        }
+        good += next != NULL;
+        bad += next == NULL;
+        talloc_free(mem);
+    }
+    print_message("%zu taken, %zu refused, %zu of %zu queues shared\n", good, bad, shared.reused, shared.queues);
+    assert_true(good > 1500 && bad > 300 && shared.reused * 10 > shared.queues * 9);
+    talloc_free(all);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(unchanged_parts_are_shared),
+        cmocka_unit_test(reading_onward_equals_reading_anew),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/packages/document/test/document.c
+++ b/packages/document/test/document.c
@@ -1,4 +1,4 @@
-/* Trees: merged, told apart, given back as they were written. */
+/* Trees of JSON: merged, compared, and given back as they were written. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,18 +8,11 @@
 #include <cmocka.h>
 #include <talloc.h>
 
+#include "../../base/test/draw.h"
 #include "document/document.h"
 
-static uint64_t seed_now;
-
-static uint64_t draw(uint64_t below)
-{
-    seed_now = seed_now * 6364136223846793005u + 1442695040888963407u;
-    return (seed_now >> 33) % below;
-}
-
 /* What is read is written as it was: numbers, order, letters. */
-static void written(void **state)
+static void written_as_it_was_read(void **state)
 {
     (void)state;
     static const char TEXT[] =
@@ -41,7 +34,7 @@
     talloc_free(mem);
 }
 
-static void merged(void **state)
+static void merged_as_rfc7396_says(void **state)
 {
     (void)state;
     /* the cases of RFC 7396, appendix A, with objects on both sides */
@@ -72,10 +65,10 @@
     }
 }
 
-static void different(void **state)
+static void difference_is_a_patch_or_none(void **state)
 {
     (void)state;
-    /* null: no merge patch tells it */
+    /* null: no merge patch does it */
     static const struct {
         const char *from, *to, *patch;
     } CASES[] = {
@@ -111,28 +104,28 @@
     }
 }
 
-static json_object *draw_value(int depth)
+static json_object *draw_value(uint64_t *seed, int depth)
 {
-    switch (draw(depth > 0 ? 6 : 4)) {
+    switch (draw(seed, depth > 0 ? 6 : 4)) {
     case 0:
-        return json_object_new_int64((int64_t)draw(3));
+        return json_object_new_int64((int64_t)draw(seed, 3));
     case 1:
-        return document_parse(draw(2) ? "2.20" : "2.2");
+        return document_parse(draw(seed, 2) ? "2.20" : "2.2");
     case 2:
-        return json_object_new_string(draw(2) ? "t" : "u");
+        return json_object_new_string(draw(seed, 2) ? "t" : "u");
     case 3:
-        return json_object_new_boolean(draw(2) == 0);
+        return json_object_new_boolean(draw(seed, 2) == 0);
     case 4: {
         json_object *array = json_object_new_array();
-        for (uint64_t i = draw(3); i > 0; i--)
-            json_object_array_add(array, draw_value(depth - 1));
+        for (uint64_t i = draw(seed, 3); i > 0; i--)
+            json_object_array_add(array, draw_value(seed, depth - 1));
         return array;
     }
     default: {
         json_object *object = json_object_new_object();
         for (int key = 'a'; key < 'f'; key++)
-            if (draw(2))
-                json_object_object_add(object, (char[]){(char)key, 0}, draw_value(depth - 1));
+            if (draw(seed, 2))
+                json_object_object_add(object, (char[]){(char)key, 0}, draw_value(seed, depth - 1));
         return object;
     }
     }
@@ -140,23 +133,23 @@
 
 /* A difference makes of the one exactly the other, in its order; and none is
  * claimed to be empty that is not. */
-static void drawn(void **state)
+static void difference_makes_the_other(void **state)
 {
     (void)state;
-    seed_now = 11;
+    uint64_t seed = 11;
     size_t told = 0, untold = 0;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         json_object *from, *to;
         do
-            from = draw_value(4);
+            from = draw_value(&seed, 4);
         while (!json_object_is_type(from, json_type_object) && (json_object_put(from), true));
-        if (draw(2)) {
-            json_object *patch = draw_value(4);
+        if (draw(&seed, 2)) {
+            json_object *patch = draw_value(&seed, 4);
             to = json_object_is_type(patch, json_type_object) ? document_merged(from, patch) : json_object_get(from);
             json_object_put(patch);
         } else {
-            to = draw_value(4);
+            to = draw_value(&seed, 4);
         }
         json_object *patch = document_difference(from, to);
         if (patch != NULL) {
@@ -184,18 +177,18 @@
 
 /* Many patches at once come to what they come to one by one, and the first tree
  * stays as it was. */
-static void in_a_row(void **state)
+static void many_patches_equal_one_by_one(void **state)
 {
     (void)state;
-    seed_now = 12;
+    uint64_t seed = 12;
     for (int i = 0; i < 3000; i++) {
         void *mem = talloc_new(NULL);
-        json_object *first = draw_value(4), *now = json_object_get(first);
+        json_object *first = draw_value(&seed, 4), *now = json_object_get(first);
         const char *before = document_text(mem, first), *patches[6];
-        const size_t count = (size_t)draw(7);
+        const size_t count = (size_t)draw(&seed, 7);
         for (size_t k = 0; k < count; k++) {
-            json_object *patch = draw_value(4);
-            if (json_object_is_type(patch, json_type_object) && draw(2))
+            json_object *patch = draw_value(&seed, 4);
+            if (json_object_is_type(patch, json_type_object) && draw(&seed, 2))
                 json_object_object_add(patch, "c", NULL);
             patches[k] = document_text(mem, patch);
             json_object *next = document_merged(now, patch);
@@ -216,8 +209,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(written), cmocka_unit_test(merged),   cmocka_unit_test(different),
-        cmocka_unit_test(drawn),   cmocka_unit_test(in_a_row),
+        cmocka_unit_test(written_as_it_was_read),        cmocka_unit_test(merged_as_rfc7396_says),
+        cmocka_unit_test(difference_is_a_patch_or_none), cmocka_unit_test(difference_makes_the_other),
+        cmocka_unit_test(many_patches_equal_one_by_one),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -9,6 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
+#include "../../base/test/draw.h"
 #include "plan/plan.h"
 
 static PlanWorker worker(const char *name, const char *zone, uint64_t cpu, uint64_t mem)
@@ -29,7 +30,7 @@
     }
 }
 
-static void biggest_first(void **state)
+static void biggest_task_is_placed_first(void **state)
 {
     (void)state;
     /* first-come order would put 3 and 3 on the larger and leave 6 homeless */
@@ -43,7 +44,7 @@
     assert_int_equal(where[0], where[1]);
 }
 
-static void kinds_and_labels(void **state)
+static void kinds_and_labels_are_respected(void **state)
 {
     (void)state;
     const char *const ssd[] = {"ssd"};
@@ -63,7 +64,7 @@
 }
 
 /* The second loss takes what the first one's plan had put there. */
-static void sequences(void **state)
+static void second_loss_takes_what_the_first_moved(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
@@ -81,7 +82,7 @@
     assert_false(plan_always_possible(&input, NULL));
 }
 
-static void whole_zone(void **state)
+static void loss_of_a_zone_is_found(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z1", 4, 9), worker("c", "z2", 4, 9)};
@@ -96,7 +97,7 @@
     assert_string_equal(broken.name, "z1");
 }
 
-static void whole_rack(void **state)
+static void loss_of_a_rack_is_found(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
@@ -112,9 +113,9 @@
     assert_string_equal(broken.name, "r1");
 }
 
-/* Room that a cell may push aside counts for that cell, once, and not where the
+/* Capacity that a cell may preempt counts for that cell, once, and not where the
  * worker is lost with it. */
-static void pushable_counts(void **state)
+static void preemptible_capacity_counts_once(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9)};
@@ -138,15 +139,9 @@
     assert_false(plan_cheap(&input));
 }
 
-static uint64_t draw(uint64_t *seed, uint64_t below)
-{
-    *seed = *seed * 6364136223846793005u + 1442695040888963407u;
-    return (*seed >> 33) % below;
-}
-
 /* 4,000 small fleets of unlike workers: the cheap bound never says yes where
  * the walk through all sequences says no. Both answers must occur often. */
-static void cheap_is_sound(void **state)
+static void cheap_bound_never_claims_too_much(void **state)
 {
     (void)state;
     static const char *const KINDS[] = {"std", "gpu", "arm"};
@@ -192,9 +187,13 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(biggest_first),  cmocka_unit_test(kinds_and_labels), cmocka_unit_test(sequences),
-        cmocka_unit_test(whole_zone),     cmocka_unit_test(whole_rack),       cmocka_unit_test(pushable_counts),
-        cmocka_unit_test(cheap_is_sound),
+        cmocka_unit_test(biggest_task_is_placed_first),
+        cmocka_unit_test(kinds_and_labels_are_respected),
+        cmocka_unit_test(second_loss_takes_what_the_first_moved),
+        cmocka_unit_test(loss_of_a_zone_is_found),
+        cmocka_unit_test(loss_of_a_rack_is_found),
+        cmocka_unit_test(preemptible_capacity_counts_once),
+        cmocka_unit_test(cheap_bound_never_claims_too_much),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -1,4 +1,4 @@
-/* In which order work is placed: targets, turns, what estimates have taught. */
+/* The order in which work is placed: latency targets, turns, estimates. */
 #include "../../state/test/board.h"
 #include "queue/line.h"
 
@@ -58,8 +58,8 @@
     return order_in(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", log_ms, 100);
 }
 
-/* The later comer with the nearer target goes first; of two alike, the first comer. */
-static void soonest_first(void **state)
+/* The job with the nearer target goes first, though it came later; of two alike, the first comer. */
+static void nearer_target_first(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -67,13 +67,13 @@
     add(&board, "b", 1000, aims(1500, 500, 0));
     add(&board, "c", 1000, aims(1500, 500, 0));
     assert_string_equal(order_of(&board, 1000), "bca");
-    /* a's target is 15.2 s from 1000: at 9.9 s it must go now; b and c are lost since 4.5 s */
+    /* a's target is 15.2 s from 1000: at 9.9 s it must go now; b and c are worthless since 4.5 s */
     assert_string_equal(order_of(&board, 9900), "abc");
     talloc_free(board.table);
 }
 
-/* What can't make its target goes behind what can, and before what is worth nothing. */
-static void late_behind(void **state)
+/* What can't meet its target goes behind what can, and before what is worth nothing. */
+static void late_goes_behind(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -86,8 +86,8 @@
     talloc_free(board.table);
 }
 
-/* An urgent queue goes first, though the other's target is as near. */
-static void urgent_first(void **state)
+/* The queue with the higher priority goes first, though the other's target is as near. */
+static void higher_priority_first(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -98,7 +98,7 @@
 }
 
 /* Targets count from each turn's own due time, and no turn starts before it. */
-static void turns_due(void **state)
+static void turn_starts_when_due(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -117,7 +117,7 @@
 
 /* The chain of work to come counts: the first step of a long job is more urgent than
  * the only one of a short one with the same target. */
-static void chains(void **state)
+static void chain_to_come_counts(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -137,8 +137,8 @@
     talloc_free(board.table);
 }
 
-/* A step wider than its part of the fleet runs in waves, and its target knows. */
-static void waves(void **state)
+/* A step wider than its part of the fleet runs in waves, and its target allows for that. */
+static void wide_step_counts_in_waves(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -153,7 +153,7 @@
 }
 
 /* Medians of what ends have shown: of a queue's step, and of a worker. */
-static void learnt(void **state)
+static void estimates_follow_the_median(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -175,9 +175,9 @@
     talloc_free(board.table);
 }
 
-/* What has waited for its target in vain is served in the end: the oldest of what is worth
- * nothing any more goes first among its like. */
-static void oldest_of_the_lost(void **state)
+/* What has missed its target is served in the end: the oldest of what is worth nothing any
+ * more goes first among its like. */
+static void oldest_of_the_worthless_first(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -198,7 +198,7 @@
 }
 
 /* Without targets: cells by their shares, tenants in turns, then who came first. */
-static void shares_and_turns(void **state)
+static void cells_by_shares_tenants_in_turns(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -215,8 +215,8 @@
     talloc_free(board.table);
 }
 
-/* A step that finds no room is tried no more; the others are. */
-static void stuck_is_passed_by(void **state)
+/* A step that finds no capacity is tried no more; the others are. */
+static void stuck_step_is_passed_by(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -242,7 +242,7 @@
 }
 
 /* A gang is one: none of it while a member rests, what has finished is left out. */
-static void gangs_are_one(void **state)
+static void gang_starts_as_one(void **state)
 {
     (void)state;
     Board board = board_new();
@@ -267,12 +267,17 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(soonest_first),    cmocka_unit_test(late_behind),
-        cmocka_unit_test(urgent_first),     cmocka_unit_test(turns_due),
-        cmocka_unit_test(chains),           cmocka_unit_test(waves),
-        cmocka_unit_test(learnt),           cmocka_unit_test(oldest_of_the_lost),
-        cmocka_unit_test(shares_and_turns), cmocka_unit_test(stuck_is_passed_by),
-        cmocka_unit_test(gangs_are_one),
+        cmocka_unit_test(nearer_target_first),
+        cmocka_unit_test(late_goes_behind),
+        cmocka_unit_test(higher_priority_first),
+        cmocka_unit_test(turn_starts_when_due),
+        cmocka_unit_test(chain_to_come_counts),
+        cmocka_unit_test(wide_step_counts_in_waves),
+        cmocka_unit_test(estimates_follow_the_median),
+        cmocka_unit_test(oldest_of_the_worthless_first),
+        cmocka_unit_test(cells_by_shares_tenants_in_turns),
+        cmocka_unit_test(stuck_step_is_passed_by),
+        cmocka_unit_test(gang_starts_as_one),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -1,5 +1,5 @@
-/* What becomes of a task by the word that its attempt ends with: misses, losses, rests,
- * limits, lasting work, progress. */
+/* What becomes of a task by how its attempt ends: misses, losses, rests, limits, lasting work,
+ * progress. */
 #include "board.h"
 
 static const uint64_t FIRST[] = {0};
@@ -17,7 +17,7 @@
     say(b, "j", 0, attempt, "w", word, "");
 }
 
-static void words_count(void **state)
+static void each_end_counts_as_its_kind(void **state)
 {
     (void)state;
     static const struct {
@@ -42,8 +42,8 @@
     }
 }
 
-/* The terms' limit, where they have one, is what counts; the spec's otherwise. */
-static void limits(void **state)
+/* The terms' limit counts where they have one, else the spec's. */
+static void terms_limit_before_spec_limit(void **state)
 {
     (void)state;
     for (uint64_t limit = 0; limit < 6; limit += 5) {
@@ -67,9 +67,9 @@
     }
 }
 
-/* A failure told of an older attempt counts, told twice it does not, and one of an attempt
- * that the disks forgot raises the number of the next. */
-static void late_failures(void **state)
+/* A failure reported of an older attempt counts, reported again it does not, and one of an
+ * attempt that the disks lost raises the number of the next. */
+static void late_failure_counts_once(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -93,8 +93,8 @@
     talloc_free(b.table);
 }
 
-/* An attempt's number far beyond what can have been forgotten would leave none for the next. */
-static void strange_attempts(void **state)
+/* An attempt's number far beyond what can have been lost would leave none for the next. */
+static void far_attempt_number_changes_nothing(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -109,8 +109,8 @@
     talloc_free(b.table);
 }
 
-/* Finished well is finished, in whichever round; the newer one's worker hears of it. */
-static void older_done(void **state)
+/* Done is done, in whichever attempt; the newer one's worker gets new orders. */
+static void older_attempt_done_ends_the_task(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -131,8 +131,8 @@
     talloc_free(b.table);
 }
 
-/* A worker's own word of an end needs no telling back; the leader's word does. */
-static void orders_grow(void **state)
+/* An end that the worker's agent reported needs no new orders; one that the leader decided does. */
+static void orders_grow_unless_agent_reported(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -157,7 +157,7 @@
     talloc_free(b.table);
 }
 
-/* What was being stopped has stopped: no loss, by whichever way it is told. */
+/* What was being stopped has stopped: no loss, however it becomes known. */
 static void stopped_is_no_loss(void **state)
 {
     (void)state;
@@ -182,7 +182,7 @@
     }
 }
 
-static void cancelled(void **state)
+static void cancelled_stays_cancelled_however_it_ends(void **state)
 {
     (void)state;
     static const AttemptWord WORDS[] = {ATTEMPT_DONE, ATTEMPT_FAILED, ATTEMPT_STOPPED, ATTEMPT_LAPSED};
@@ -202,8 +202,8 @@
     }
 }
 
-/* However a lasting task's round ends it waits again; only a cancel ends the job. */
-static void lasting(void **state)
+/* However a lasting task's attempt ends it waits again; only a cancel ends the job. */
+static void lasting_task_always_goes_on(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -220,7 +220,7 @@
         assert_int_equal(job->tasks[0].phase, TASK_WAITING);
         assert_true(job->tasks[0].rest_until_ms - b.at_ms <= LASTING_REST_MAX_MS);
     }
-    /* quick failures rest longer each time, up to a bound; a long round forgives them */
+    /* quick failures rest longer each time, up to a bound; a long attempt forgives them */
     for (int i = 0; i < 20; i++)
         attempt_(&b, ++attempt, ATTEMPT_FAILED);
     assert_int_equal(job->tasks[0].rest_until_ms - b.at_ms, LASTING_REST_MAX_MS);
@@ -234,7 +234,7 @@
     talloc_free(b.table);
 }
 
-static void progress(void **state)
+static void progress_is_kept_for_the_next_attempt(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -252,7 +252,7 @@
     assert_string_equal(job->tasks[1].saved, "");
     say(&b, "j", 0, 1, "w", ATTEMPT_STOPPED, "p2");
     assert_string_equal(job->tasks[0].saved, "p2");
-    say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, ""); /* told late, and empty: nothing to keep */
+    say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, ""); /* reported late, and empty: nothing to keep */
     assert_string_equal(job->tasks[0].saved, "p2");
     place(&b, "j", FIRST, 1, 2, "w", "p3"); /* the leader has heard more from heartbeats */
     assert_string_equal(job->tasks[0].saved, "p3");
@@ -264,7 +264,7 @@
 }
 
 /* A number that the job does not have finds nothing and harms nothing. */
-static void strange_numbers(void **state)
+static void unknown_task_number_changes_nothing(void **state)
 {
     (void)state;
     static const uint64_t NUMBERS[] = {1,
@@ -298,10 +298,17 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(words_count),     cmocka_unit_test(limits),           cmocka_unit_test(late_failures),
-        cmocka_unit_test(older_done),      cmocka_unit_test(orders_grow),      cmocka_unit_test(stopped_is_no_loss),
-        cmocka_unit_test(cancelled),       cmocka_unit_test(lasting),          cmocka_unit_test(progress),
-        cmocka_unit_test(strange_numbers), cmocka_unit_test(strange_attempts),
+        cmocka_unit_test(each_end_counts_as_its_kind),
+        cmocka_unit_test(terms_limit_before_spec_limit),
+        cmocka_unit_test(late_failure_counts_once),
+        cmocka_unit_test(older_attempt_done_ends_the_task),
+        cmocka_unit_test(orders_grow_unless_agent_reported),
+        cmocka_unit_test(stopped_is_no_loss),
+        cmocka_unit_test(cancelled_stays_cancelled_however_it_ends),
+        cmocka_unit_test(lasting_task_always_goes_on),
+        cmocka_unit_test(progress_is_kept_for_the_next_attempt),
+        cmocka_unit_test(unknown_task_number_changes_nothing),
+        cmocka_unit_test(far_attempt_number_changes_nothing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/state/test/board.h
+++ b/packages/state/test/board.h
@@ -1,7 +1,7 @@
 #ifndef STATE_TEST_BOARD_H
 #define STATE_TEST_BOARD_H
 
-/* A table driven by hand: each call delivers one change and looks at the result. */
+/* The fixture of the table's tests: a table driven by hand. Each call delivers one change. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,12 +14,14 @@
 #include "base/constants.h"
 #include "state/table.h"
 
+/* The next change comes at log time at_ms. */
 typedef struct Board {
     Table *table;
     int64_t at_ms;
     uint64_t index;
 } Board;
 
+/* Packs the body and delivers it as one change. */
 static inline ChangeResult tell(Board *board, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
@@ -37,6 +39,7 @@
     return (Board){table_new(NULL), 1000, 0};
 }
 
+/* A job of cell c, tenant t, queue q. */
 static inline JobSpec spec_of(const char *id, StepSpec *steps, size_t count)
 {
     return (JobSpec){
@@ -50,7 +53,7 @@
     return table_job(board->table, spec->id);
 }
 
-/* How many of them were taken. */
+/* Places tasks, by their numbers, all under one attempt number; how many were taken. */
 static inline uint64_t place(Board *board, const char *job, const uint64_t *tasks, size_t count, uint64_t attempt,
                              const char *worker, const char *saved)
 {
@@ -64,6 +67,7 @@
     return result.number;
 }
 
+/* The worker's agent reports on an attempt. */
 static inline void say(Board *board, const char *job, uint64_t task, uint64_t attempt, const char *worker,
                        AttemptWord word, const char *saved)
 {
@@ -73,6 +77,7 @@
     tell(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
 }
 
+/* The worker is lost with all that is on it. */
 static inline void lose(Board *board, const char *worker)
 {
     const WorkerLost lost = {worker, UINT64_MAX};
@@ -85,7 +90,7 @@
     return tell(board, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
 }
 
-/* Saves and loads the state; jobs found before are no more. */
+/* Saves and loads the state; pointers to jobs are invalid then. */
 static inline void again(Board *board)
 {
     void *mem = talloc_new(NULL);
--- a/packages/state/test/gangs.c
+++ b/packages/state/test/gangs.c
@@ -1,4 +1,4 @@
-/* Gangs: placed whole, under one number; they end as one, and fail once for each attempt. */
+/* Gangs: placed as a whole, under one number; they end as one, and fail once for each attempt. */
 #include "board.h"
 
 static const uint64_t ALL[] = {TASK_NUMBER(0, 1, 0), TASK_NUMBER(0, 1, 1), TASK_NUMBER(0, 1, 2)};
@@ -19,7 +19,7 @@
         assert_int_equal(job->tasks[i].phase, phase);
 }
 
-static void placed_whole(void **state)
+static void placed_as_a_whole_or_not_at_all(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -52,13 +52,13 @@
     say(&b, "j", ALL[2], 1, "w", ATTEMPT_STOPPED, "");
     all_are(job, TASK_WAITING);
     assert_int_equal(job->tasks[1].misses + job->tasks[2].misses + job->tasks[3].misses, 0);
-    say(&b, "j", ALL[2], 4, "w", ATTEMPT_FAILED, ""); /* of an attempt that the disks forgot */
+    say(&b, "j", ALL[2], 4, "w", ATTEMPT_FAILED, ""); /* of an attempt that the disks lost */
     assert_int_equal(place(&b, "j", ALL, 3, 4, "w", ""), 0);
     assert_int_equal(place(&b, "j", ALL, 3, 5, "w", ""), 3);
     talloc_free(b.table);
 }
 
-static void one_done_all_done(void **state)
+static void one_done_makes_all_done(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -69,7 +69,7 @@
     say(&b, "j", ALL[1], 1, "w", ATTEMPT_DONE, "");
     all_are(job, TASK_DONE);
     assert_int_equal(job->phase, JOB_ACTIVE);
-    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* the others' ends are words of the past */
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* the others' ends no longer count */
     say(&b, "j", ALL[2], 1, "w", ATTEMPT_DONE, "");
     all_are(job, TASK_DONE);
     const uint64_t first = 0;
@@ -80,7 +80,7 @@
 }
 
 /* Also in an older attempt than the one that runs now. */
-static void older_done_of_all(void **state)
+static void older_attempt_done_makes_all_done(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -96,7 +96,7 @@
     talloc_free(b.table);
 }
 
-static void misses_once_for_a_attempt(void **state)
+static void fails_once_for_an_attempt(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -107,7 +107,7 @@
     all_are(job, TASK_WAITING);
     for (size_t i = 1; i < 4; i++)
         assert_int_equal(job->tasks[i].misses, 1);
-    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* told again */
+    say(&b, "j", ALL[0], 1, "w", ATTEMPT_FAILED, ""); /* reported again */
     assert_int_equal(job->tasks[1].misses, 1);
     assert_int_equal(place(&b, "j", ALL, 3, 2, "w", ""), 3);
     say(&b, "j", ALL[2], 2, "w", ATTEMPT_BROKEN, "");
@@ -118,7 +118,7 @@
 }
 
 /* A loss of some of its members is one loss of the gang. */
-static void losses_once(void **state)
+static void lost_once_for_an_attempt(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -134,7 +134,7 @@
     talloc_free(b.table);
 }
 
-static void progress_of_all(void **state)
+static void progress_is_shared_by_all(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -147,7 +147,7 @@
     talloc_free(b.table);
 }
 
-static void lasting_gang(void **state)
+static void lasting_gang_goes_on_together(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -164,8 +164,8 @@
     talloc_free(b.table);
 }
 
-/* Told as finished before the job was known again: it stays finished, and its gang. */
-static void orphans(void **state)
+/* Reported done before the job was known again: it stays done, and its gang. */
+static void done_before_the_job_is_known_stays_done(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -185,15 +185,15 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(placed_whole),
+        cmocka_unit_test(placed_as_a_whole_or_not_at_all),
         cmocka_unit_test(placed_under_one_number),
-        cmocka_unit_test(one_done_all_done),
-        cmocka_unit_test(older_done_of_all),
-        cmocka_unit_test(misses_once_for_a_attempt),
-        cmocka_unit_test(losses_once),
-        cmocka_unit_test(progress_of_all),
-        cmocka_unit_test(lasting_gang),
-        cmocka_unit_test(orphans),
+        cmocka_unit_test(one_done_makes_all_done),
+        cmocka_unit_test(older_attempt_done_makes_all_done),
+        cmocka_unit_test(fails_once_for_an_attempt),
+        cmocka_unit_test(lost_once_for_an_attempt),
+        cmocka_unit_test(progress_is_shared_by_all),
+        cmocka_unit_test(lasting_gang_goes_on_together),
+        cmocka_unit_test(done_before_the_job_is_known_stays_done),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -1,5 +1,6 @@
-/* The state as a whole: turns and steps, sums kept beside it, forgetting, saving and
- * loading, also of what a release before wrote. */
+/* The state as a whole: turns and steps, sums beside it, forgetting, snapshots, also those of an
+ * earlier release. */
+#include "../../base/test/draw.h"
 #include "board.h"
 
 static StepSpec STEPS[3];
@@ -23,7 +24,7 @@
     say(b, id, number, attempt, "w", ATTEMPT_DONE, "");
 }
 
-static void turns(void **state)
+static void turns_wait_for_their_own_steps_alone(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -63,7 +64,7 @@
 }
 
 /* Terms stay as they were accepted; the body alone says whether it is the same job. */
-static void terms(void **state)
+static void terms_stay_as_accepted(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -83,7 +84,7 @@
     talloc_free(b.table);
 }
 
-/* Sums against a walk over everything, after each of many changes drawn by lot. */
+/* Sums against a walk over everything. */
 static void sums_lease(const Board *b)
 {
     Job *const *jobs;
@@ -137,13 +138,7 @@
     }
 }
 
-static uint64_t draw(uint64_t *seed, uint64_t below)
-{
-    *seed = *seed * 6364136223846793005u + 1442695040888963407u;
-    return (*seed >> 33) % below;
-}
-
-static void by_lot(void **state)
+static void sums_equal_a_walk_after_drawn_changes(void **state)
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 20; seed++) {
@@ -201,7 +196,7 @@
     }
 }
 
-static void forgotten(void **state)
+static void ended_jobs_are_forgotten_by_age(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -294,7 +289,7 @@
 SHAPE(OldSaved, OLD_SAVED_FIELDS)
 SHAPE_TABLE(OldSaved, OLD_SAVED_FIELDS)
 
-static void older_state(void **state)
+static void snapshot_of_an_earlier_release_loads(void **state)
 {
     (void)state;
     const char *after[] = {"a"};
@@ -336,7 +331,7 @@
 
 /* --- workers ------------------------------------------------------------------------ */
 
-static void workers(void **state)
+static void workers_are_sorted_and_busy_ones_listed(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -369,8 +364,12 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(turns),     cmocka_unit_test(terms),       cmocka_unit_test(by_lot),
-        cmocka_unit_test(forgotten), cmocka_unit_test(older_state), cmocka_unit_test(workers),
+        cmocka_unit_test(turns_wait_for_their_own_steps_alone),
+        cmocka_unit_test(terms_stay_as_accepted),
+        cmocka_unit_test(sums_equal_a_walk_after_drawn_changes),
+        cmocka_unit_test(ended_jobs_are_forgotten_by_age),
+        cmocka_unit_test(snapshot_of_an_earlier_release_loads),
+        cmocka_unit_test(workers_are_sorted_and_busy_ones_listed),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/state/test/versions.c
+++ b/packages/state/test/versions.c
@@ -1,4 +1,4 @@
-/* The history of the document: what can be read back, what is kept, calls sent again. */
+/* The versions of the configuration: what can be read back, what is kept, calls sent again. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -39,7 +39,7 @@
     talloc_free(mem);
 }
 
-static void chains(void **state)
+static void text_is_made_of_patches(void **state)
 {
     (void)state;
     Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
@@ -71,9 +71,9 @@
     talloc_free(versions);
 }
 
-/* Of two calls on one version the first delivered wins; the same call again,
- * at any later time, has the result that it had. */
-static void calls(void **state)
+/* Of two calls on one version the first delivered wins; the same call again, at any later
+ * time, has the result that it had. */
+static void same_call_has_its_result_again(void **state)
 {
     (void)state;
     Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
@@ -102,8 +102,8 @@
     talloc_free(versions);
 }
 
-/* Told again in a repair: what is newer counts, a patch only upon its base. */
-static void restored(void **state)
+/* Proposed again in a repair: what is newer counts, a patch only on its base. */
+static void restored_counts_when_newer(void **state)
 {
     (void)state;
     Versions *versions = versions_new(NULL, CONFIG_HISTORY, CONFIG_KNOWN);
@@ -158,7 +158,7 @@
 
 /* Hundreds of changes of a small document: the last 200 can be read back, and the calls of
  * the last thousand are known. */
-static void many(void **state)
+static void last_texts_and_calls_are_kept(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -186,7 +186,7 @@
 
 /* As an entry point keeps them: few texts, and no more rows than texts. Large ones move the first
  * whole text on before the rows go. */
-static void few(void **state)
+static void short_history_stays_bounded(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -205,7 +205,7 @@
 
 /* Whole texts of 300 KB, and large patches: the bytes stay bounded, the newest
  * and all calls are known. */
-static void large(void **state)
+static void large_texts_stay_bounded_in_bytes(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -240,8 +240,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(chains), cmocka_unit_test(calls), cmocka_unit_test(restored),
-        cmocka_unit_test(many),   cmocka_unit_test(few),   cmocka_unit_test(large),
+        cmocka_unit_test(text_is_made_of_patches),     cmocka_unit_test(same_call_has_its_result_again),
+        cmocka_unit_test(restored_counts_when_newer),  cmocka_unit_test(last_texts_and_calls_are_kept),
+        cmocka_unit_test(short_history_stays_bounded), cmocka_unit_test(large_texts_stay_bounded_in_bytes),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/state/test/zones.c
+++ b/packages/state/test/zones.c
@@ -1,4 +1,4 @@
-/* Orders for a zone: which are known again, which are overtaken, and what is forgotten. */
+/* Orders for a zone: which are recognised, which are overtaken, and what is forgotten. */
 #include <stdio.h>
 
 #include "board.h"
@@ -25,7 +25,7 @@
 }
 
 /* A start, delivered twice with an end between: the end stays, also over a snapshot. */
-static void late_copy(void **state)
+static void late_copy_of_an_order_changes_nothing(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -49,7 +49,7 @@
 
 /* What is remembered is bounded: an order that may be a forgotten one is told so, and
  * changes nothing; one on the newest stamp is taken. */
-static void bounded(void **state)
+static void forgotten_order_is_refused(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -73,7 +73,7 @@
 }
 
 /* An order of an earlier release has neither name nor base: it counts by its stamp. */
-static void unnamed(void **state)
+static void unnamed_order_counts_by_its_stamp(void **state)
 {
     (void)state;
     Board b = board_new();
@@ -91,9 +91,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(late_copy),
-        cmocka_unit_test(bounded),
-        cmocka_unit_test(unnamed),
+        cmocka_unit_test(late_copy_of_an_order_changes_nothing),
+        cmocka_unit_test(forgotten_order_is_refused),
+        cmocka_unit_test(unnamed_order_counts_by_its_stamp),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
