--- /dev/null
+++ b/packages/config/src/cells.c
@@ -0,0 +1,87 @@
+/* Reading cells: their tenants and queues. */
+#include <string.h>
+#include <talloc.h>
+
+#include "base/constants.h"
+#include "parts.h"
+#include "reading.h"
+
+#define SHARE_MAX 1000    /* a larger share of a cell is a mistake */
+#define LIMIT_MAX 1000000 /* count; a larger limit of waiting tasks is a mistake */
+
+static void read_tenants(Config *config, json_object *object, const char *path, ConfigCell *cell, Faults *faults)
+{
+    static const char *const KEYS[] = {"quota", NULL};
+    json_object *all = read_members(faults, object, path, "tenants", &cell->tenant_count);
+    ConfigTenant *tenants = talloc_zero_array(config, ConfigTenant, (unsigned)cell->tenant_count);
+    cell->tenants = tenants;
+    if (all == NULL)
+        return;
+    size_t at = 0;
+    json_object_object_foreach(all, name, value)
+    {
+        const char *here = check_path(faults, check_path(faults, path, "tenants"), name);
+        check_named(faults, name, path, "tenants");
+        tenants[at].name = talloc_strdup(config, name);
+        if (check_keys(faults, value, here, KEYS))
+            tenants[at].quota = check_room(faults, value, here, "quota", false);
+        at++;
+    }
+}
+
+static void read_queues(const Reading *reading, json_object *object, const char *path, ConfigCell *cell)
+{
+    json_object *all = read_members(reading->faults, object, path, "queues", &cell->queue_count);
+    const ConfigQueue **queues = talloc_zero_array(reading->config, const ConfigQueue *, (unsigned)cell->queue_count);
+    cell->queues = queues;
+    if (all == NULL)
+        return;
+    const ConfigCell *earlier = reading->earlier != NULL ? config_cell(reading->earlier, cell->name) : NULL;
+    const char *here = check_path(reading->faults, path, "queues");
+    size_t at = 0;
+    json_object_object_foreach(all, name, value)
+    {
+        const ConfigQueue *known = earlier != NULL ? config_queue(earlier, name) : NULL;
+        if (known == NULL)
+            check_named(reading->faults, name, path, "queues");
+        const ConfigQueue *queue = queues[at++] = queue_part(value, name, here, known, reading->faults);
+        g_hash_table_insert(cell->queue_names, (gpointer)(uintptr_t)queue->name, (gpointer)(uintptr_t)queue);
+    }
+}
+
+static void read_cell(const Reading *reading, json_object *value, const char *path, ConfigCell *cell)
+{
+    static const char *const KEYS[] = {"share", "limit", "policy", "strict", "tenants", "queues", NULL};
+    Faults *faults = reading->faults;
+    if (!check_keys(faults, value, path, KEYS))
+        return;
+    cell->share = (uint64_t)check_int(faults, value, path, "share", 1, SHARE_MAX, 1);
+    cell->limit = (uint64_t)check_int(faults, value, path, "limit", 1, LIMIT_MAX, QUEUE_LIMIT_DEFAULT);
+    cell->policy = talloc_strdup(reading->config, check_name(faults, value, path, "policy", ""));
+    cell->strict = check_flag(faults, value, path, "strict", true);
+    read_tenants(reading->config, value, path, cell, faults);
+    read_queues(reading, value, path, cell);
+}
+
+void read_cells(const Reading *reading, json_object *object)
+{
+    Config *config = reading->config;
+    json_object *all = read_members(reading->faults, object, "", "cells", &config->cell_count);
+    ConfigCell *cells = talloc_zero_array(config, ConfigCell, (unsigned)config->cell_count);
+    config->cells = cells;
+    for (size_t i = 0; i < config->cell_count; i++) {
+        cells[i].name = cells[i].policy = "";
+        cells[i].queue_names = g_hash_table_new(g_str_hash, g_str_equal);
+    }
+    if (all == NULL)
+        return;
+    size_t at = 0;
+    json_object_object_foreach(all, name, value)
+    {
+        ConfigCell *cell = &cells[at++];
+        cell->name = talloc_strdup(config, name);
+        check_named(reading->faults, name, "", "cells");
+        g_hash_table_insert(config->cell_names, (gpointer)(uintptr_t)cell->name, cell);
+        read_cell(reading, value, check_path(reading->faults, "cells", name), cell);
+    }
+}
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -1,3 +1,4 @@
+/* Checked reading of single values, and the list of faults. */
 #include "config/check.h"
 
 #include <inttypes.h>
@@ -10,7 +11,7 @@
 #include "scan.h"
 #include "twice.h"
 
-#define DEPTH_MAX 16 /* count; levels of nesting that our documents need, with room to spare */
+#define DEPTH_MAX 16 /* count; levels of nesting: more than any document of ours needs */
 
 Faults *faults_make(void *mem)
 {
@@ -49,7 +50,7 @@
     }
     json_tokener *tokener = json_tokener_new_ex(DEPTH_MAX + 1);
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
-    /* with a zero behind it: a number at the very end is then known to be whole */
+    /* with a zero after it: the parser then knows that a number at the very end is complete */
     const char *whole = talloc_strndup(faults->mem, text, count);
     json_object *object = json_tokener_parse_ex(tokener, whole, (int)count + 1);
     const enum json_tokener_error error = json_tokener_get_error(tokener);
@@ -158,6 +159,7 @@
            strspn(text, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._:-") == count;
 }
 
+/* The value as a name; a fault and "" when it is none. */
 static const char *name_of(Faults *faults, json_object *value, const char *path)
 {
     const char *text = json_object_is_type(value, json_type_string) ? json_object_get_string(value) : NULL;
@@ -198,6 +200,7 @@
     return names;
 }
 
+/* A number that must be there, times scale, rounded; at most ROOM_MAX. */
 static uint64_t amount_of(Faults *faults, json_object *object, const char *path, const char *key, double scale)
 {
     json_object *value;
--- a/packages/config/src/config.c
+++ b/packages/config/src/config.c
@@ -1,3 +1,4 @@
+/* One version of the configuration: reading it as a whole, patching it, and finding in it. */
 #include "config/config.h"
 
 #include <string.h>
@@ -7,28 +8,21 @@
 #include "document/document.h"
 #include "entries.h"
 #include "parts.h"
+#include "reading.h"
 
 const char *config_first_text(void)
 {
     return "{\"r\":1,\"zoneLoss\":false,\"cells\":{},\"policies\":{}}";
 }
 
-/* One reading. */
-typedef struct Reading {
-    Config *config;
-    const Config *earlier; /* may be null */
-    Faults *faults;
-} Reading;
-
-static void check_named(Faults *faults, const char *name, const char *path, const char *key)
+void check_named(Faults *faults, const char *name, const char *path, const char *key)
 {
     if (!check_name_text(name))
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, check_path(faults, path, key), name),
                   "is not a name of 1 to %d letters, digits or ._:-", ID_MAX);
 }
 
-/* The objects under a key, by name. */
-static json_object *named(Faults *faults, json_object *object, const char *path, const char *key, size_t *count)
+json_object *read_members(Faults *faults, json_object *object, const char *path, const char *key, size_t *count)
 {
     json_object *value;
     *count = 0;
@@ -42,91 +36,12 @@
     return value;
 }
 
-/* --- cells ------------------------------------------------------------------------ */
-
-static void read_tenants(Config *config, json_object *object, const char *path, ConfigCell *cell, Faults *faults)
-{
-    static const char *const KEYS[] = {"quota", NULL};
-    json_object *all = named(faults, object, path, "tenants", &cell->tenant_count);
-    ConfigTenant *tenants = talloc_zero_array(config, ConfigTenant, (unsigned)cell->tenant_count);
-    cell->tenants = tenants;
-    if (all == NULL)
-        return;
-    size_t at = 0;
-    json_object_object_foreach(all, name, value)
-    {
-        const char *here = check_path(faults, check_path(faults, path, "tenants"), name);
-        check_named(faults, name, path, "tenants");
-        tenants[at].name = talloc_strdup(config, name);
-        if (check_keys(faults, value, here, KEYS))
-            tenants[at].quota = check_room(faults, value, here, "quota", false);
-        at++;
-    }
-}
-
-static void read_queues(const Reading *reading, json_object *object, const char *path, ConfigCell *cell)
-{
-    json_object *all = named(reading->faults, object, path, "queues", &cell->queue_count);
-    const ConfigQueue **queues = talloc_zero_array(reading->config, const ConfigQueue *, (unsigned)cell->queue_count);
-    cell->queues = queues;
-    if (all == NULL)
-        return;
-    const ConfigCell *earlier = reading->earlier != NULL ? config_cell(reading->earlier, cell->name) : NULL;
-    const char *here = check_path(reading->faults, path, "queues");
-    size_t at = 0;
-    json_object_object_foreach(all, name, value)
-    {
-        const ConfigQueue *known = earlier != NULL ? config_queue(earlier, name) : NULL;
-        if (known == NULL)
-            check_named(reading->faults, name, path, "queues");
-        const ConfigQueue *queue = queues[at++] = queue_part(value, name, here, known, reading->faults);
-        g_hash_table_insert(cell->queue_names, (gpointer)(uintptr_t)queue->name, (gpointer)(uintptr_t)queue);
-    }
-}
-
-static void read_cell(const Reading *reading, json_object *value, const char *path, ConfigCell *cell)
-{
-    static const char *const KEYS[] = {"share", "limit", "policy", "strict", "tenants", "queues", NULL};
-    Faults *faults = reading->faults;
-    if (!check_keys(faults, value, path, KEYS))
-        return;
-    cell->share = (uint64_t)check_int(faults, value, path, "share", 1, 1000, 1);
-    cell->limit = (uint64_t)check_int(faults, value, path, "limit", 1, 1000000, QUEUE_LIMIT_DEFAULT);
-    cell->policy = talloc_strdup(reading->config, check_name(faults, value, path, "policy", ""));
-    cell->strict = check_flag(faults, value, path, "strict", true);
-    read_tenants(reading->config, value, path, cell, faults);
-    read_queues(reading, value, path, cell);
-}
-
-static void read_cells(const Reading *reading, json_object *object)
-{
-    Config *config = reading->config;
-    json_object *all = named(reading->faults, object, "", "cells", &config->cell_count);
-    ConfigCell *cells = talloc_zero_array(config, ConfigCell, (unsigned)config->cell_count);
-    config->cells = cells;
-    for (size_t i = 0; i < config->cell_count; i++) {
-        cells[i].name = cells[i].policy = "";
-        cells[i].queue_names = g_hash_table_new(g_str_hash, g_str_equal);
-    }
-    if (all == NULL)
-        return;
-    size_t at = 0;
-    json_object_object_foreach(all, name, value)
-    {
-        ConfigCell *cell = &cells[at++];
-        cell->name = talloc_strdup(config, name);
-        check_named(reading->faults, name, "", "cells");
-        g_hash_table_insert(config->cell_names, (gpointer)(uintptr_t)cell->name, cell);
-        read_cell(reading, value, check_path(reading->faults, "cells", name), cell);
-    }
-}
-
-/* --- what stands beside the cells ------------------------------------------------------ */
+/* --- policies, kinds and limits ------------------------------------------------------ */
 
 static void read_policies(const Reading *reading, json_object *object)
 {
     Config *config = reading->config;
-    json_object *all = named(reading->faults, object, "", "policies", &config->policy_count);
+    json_object *all = read_members(reading->faults, object, "", "policies", &config->policy_count);
     const ConfigPolicy **policies = talloc_zero_array(config, const ConfigPolicy *, (unsigned)config->policy_count);
     config->policies = policies;
     if (all == NULL)
@@ -143,7 +58,7 @@
 static void read_kinds(Config *config, json_object *object, Faults *faults)
 {
     static const char *const KEYS[] = {"guards", "healthPath", "note", NULL};
-    json_object *all = named(faults, object, "", "kinds", &config->kind_count);
+    json_object *all = read_members(faults, object, "", "kinds", &config->kind_count);
     ConfigKind *kinds = talloc_zero_array(config, ConfigKind, (unsigned)config->kind_count);
     config->kinds = kinds;
     if (all == NULL)
@@ -176,56 +91,6 @@
     limits->idle_ms = check_int(faults, value, "limits", "idleMs", 1, CONFIG_SPAN_MAX_MS, 0);
 }
 
-/* --- what names something elsewhere in the document ------------------------------------ */
-
-static void check_queue(const Config *config, const ConfigCell *cell, const ConfigQueue *queue, bool kinds_given,
-                        Faults *faults)
-{
-    if (queue->kind[0] != '\0' && kinds_given && config_kind(config, queue->kind) == NULL)
-        fault_add(faults, STATUS_BAD_FIELD,
-                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.kind", cell->name, queue->name),
-                  "there is no kind %s", queue->kind);
-    if (queue->tenant[0] != '\0' && config_tenant(cell, queue->tenant) == NULL)
-        fault_add(faults, STATUS_BAD_FIELD,
-                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.tenant", cell->name, queue->name),
-                  "the cell has no tenant %s", queue->tenant);
-}
-
-/* The same host and prefix twice is a fault of the later one. */
-static void enter_queue(ConfigEntries *entries, const ConfigCell *cell, const ConfigQueue *queue, Faults *faults)
-{
-    const QueuePart *part = (const QueuePart *)queue;
-    const char *first = cell->tenant_count > 0 ? cell->tenants[0].name : "";
-    const ConfigPlace place = {cell, queue, queue->tenant[0] != '\0' ? queue->tenant : first, part->prefix_length};
-    const ConfigPlace *other;
-    if (queue->host[0] != '\0' && !entries_add(entries, &place, part->entry_hash, &other))
-        fault_add(faults, STATUS_BAD_FIELD,
-                  talloc_asprintf(faults->mem, "cells.%s.queues.%s.entry", cell->name, queue->name),
-                  "queue %s of cell %s has this host and prefix", other->queue->name, other->cell->name);
-}
-
-static void check_cells(const Reading *reading, json_object *tree)
-{
-    Config *config = reading->config;
-    const bool kinds_given = json_object_object_get_ex(tree, "kinds", NULL);
-    size_t count = 0;
-    for (size_t i = 0; i < config->cell_count; i++)
-        count += config->cells[i].queue_count;
-    ConfigEntries *entries = entries_new(config, count);
-    config->entries = entries;
-    for (size_t i = 0; i < config->cell_count; i++) {
-        const ConfigCell *cell = &config->cells[i];
-        if (cell->policy[0] != '\0' && config_policy(config, cell->policy) == NULL)
-            fault_add(reading->faults, STATUS_BAD_FIELD,
-                      talloc_asprintf(reading->faults->mem, "cells.%s.policy", cell->name), "there is no policy %s",
-                      cell->policy);
-        for (size_t k = 0; k < cell->queue_count && cell->queues[k] != NULL; k++) {
-            check_queue(config, cell, cell->queues[k], kinds_given, reading->faults);
-            enter_queue(entries, cell, cell->queues[k], reading->faults);
-        }
-    }
-}
-
 /* --- the whole ------------------------------------------------------------------------ */
 
 static int config_free(Config *config)
--- a/packages/config/src/entries.c
+++ b/packages/config/src/entries.c
@@ -1,3 +1,4 @@
+/* The index of entries by host and prefix. */
 #include "entries.h"
 
 #include <ctype.h>
@@ -6,7 +7,7 @@
 
 #include "base/constants.h"
 
-/* A prefix need not end with a zero here: a path is looked up by its beginnings. */
+/* The prefix need not end with a zero: a path is looked up by its beginnings. */
 typedef struct EntryKey {
     const char *host, *prefix;
     size_t prefix_length;
@@ -20,7 +21,7 @@
 
 typedef struct HostLengths {
     size_t count;
-    size_t *lengths; /* falling, each once */
+    size_t *lengths; /* of prefixes, the longest first, each once */
 } HostLengths;
 
 struct ConfigEntries {
@@ -67,6 +68,7 @@
     return entries;
 }
 
+/* Notes that the host has a prefix of that length. */
 static void length_add(ConfigEntries *entries, const char *host, size_t length)
 {
     HostLengths *of = g_hash_table_lookup(entries->by_host, host);
--- a/packages/config/src/parts.c
+++ b/packages/config/src/parts.c
@@ -1,3 +1,4 @@
+/* Reading queues and policies, and sharing them between versions. */
 #include "parts.h"
 
 #include <ctype.h>
--- a/packages/config/src/scan.c
+++ b/packages/config/src/scan.c
@@ -1,8 +1,11 @@
+/* The grammar of JSON (RFC 8259), by recursive descent. Each function takes one thing off the
+ * text; false: it is not there, and wrong says so. */
 #include "scan.h"
 
 #include <glib.h>
 #include <string.h>
 
+/* Notes the first error; false, for the caller to return. */
 static bool stop(Scan *scan, const char *wrong)
 {
     if (scan->wrong == NULL)
@@ -10,7 +13,7 @@
     return false;
 }
 
-/* 0 at the end: there is no zero byte inside. */
+/* The next byte; 0 at the end, since there is no zero byte inside. */
 static char peek(const Scan *scan)
 {
     return scan->at < scan->count ? scan->text[scan->at] : '\0';
@@ -64,7 +67,7 @@
     return true;
 }
 
-/* The four digits after \u. */
+/* The four hexadecimal digits after \u. */
 static bool take_unit(Scan *scan, unsigned *unit)
 {
     *unit = 0;
@@ -77,6 +80,7 @@
     return true;
 }
 
+/* What follows a backslash. A key must not have a zero in it: json-c would cut it there. */
 static bool take_escape(Scan *scan, bool key)
 {
     const char letter = peek(scan);
@@ -124,7 +128,7 @@
 
 static bool take_value(Scan *scan);
 
-/* The members or elements up to the closing mark. */
+/* The members of an object, or the elements of an array, up to the closing bracket. */
 static bool take_many(Scan *scan, char close, bool members)
 {
     if (++scan->depth > scan->depth_most)
--- a/packages/config/src/twice.c
+++ b/packages/config/src/twice.c
@@ -1,3 +1,4 @@
+/* Finding keys that stand twice, by a walk over the text. */
 #include "twice.h"
 
 #include <glib.h>
@@ -42,6 +43,7 @@
 
 static void walk_value(Walk *walk, const char *path);
 
+/* The key that begins here, on mem. */
 static char *key_next(Walk *walk, void *mem)
 {
     const char *from = walk->at;
@@ -91,7 +93,7 @@
     walk->at++;
 }
 
-/* Ends behind the value and the blanks that follow. */
+/* Ends after the value and the blanks that follow. */
 static void walk_value(Walk *walk, const char *path)
 {
     skip_blanks(walk);
--- a/packages/document/src/document.c
+++ b/packages/document/src/document.c
@@ -1,10 +1,11 @@
+/* Trees of JSON: merging, comparing, and finding merge patches. */
 #include "document/document.h"
 
 #include <glib.h>
 #include <string.h>
 #include <talloc.h>
 
-/* As configurations are written out everywhere: without blanks, "/" as it is. */
+/* How configurations are written out everywhere: without blanks, "/" unescaped. */
 #define TEXT_FLAGS (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 json_object *document_parse(const char *text)
@@ -14,7 +15,7 @@
 
 /* --- merging ------------------------------------------------------------------- */
 
-/* One of its own with the members of the other, with room for some more. */
+/* A new object with the members of the other, and space for some more; empty when that is none. */
 static json_object *object_copy(json_object *from)
 {
     json_object *copy = json_object_new_object();
@@ -28,10 +29,9 @@
     return copy;
 }
 
-/* own: the objects made here, of which nobody else has a use; they are changed as
- * they are. One that has gone may leave its address to another value; if that is
- * an object met on the way through objects, it is made here too, for the first
- * tree's stay. */
+/* own: the objects made here, of which nobody else has a use; these are changed in place.
+ * A freed one may leave its address to another value. If that is an object met on the way
+ * through objects it was made here too, since those of the first tree are not freed. */
 static json_object *merged(json_object *tree, json_object *patch, GHashTable *own)
 {
     if (!json_object_is_type(patch, json_type_object))
@@ -55,8 +55,8 @@
     return result;
 }
 
-/* What is written out keeps its text as long as it lives: not the tree, then, but
- * one that stands in for it. */
+/* json-c keeps the text of an object that was written out as long as the object lives. So not
+ * the tree is written, but a short-lived copy of its top. */
 const char *document_text(void *mem, json_object *tree)
 {
     json_object *stand_in = json_object_is_type(tree, json_type_object) ? object_copy(tree) : json_object_get(tree);
@@ -142,7 +142,8 @@
     }
 }
 
-/* A merge patch takes every null for a removal, also deep inside what is new. */
+/* Whether a merge patch can't set this value: it takes every null for a removal, also deep
+ * inside what is new. */
 static bool holds_null(json_object *tree)
 {
     if (tree == NULL)
@@ -158,7 +159,7 @@
     return false;
 }
 
-/* False: no merge patch makes the one out of the other. */
+/* Fills patch in; false: no merge patch makes to out of from. */
 static bool differences(json_object *from, json_object *to, json_object *patch)
 {
     struct json_object_iterator next = json_object_iter_begin(to);
@@ -176,12 +177,12 @@
         json_object_iter_next(&next);
         if (json_object_is_type(old, json_type_object) && json_object_is_type(now, json_type_object)) {
             json_object *inner = json_object_new_object();
-            const bool told = differences(old, now, inner);
-            if (told && json_object_object_length(inner) > 0)
+            const bool possible = differences(old, now, inner);
+            if (possible && json_object_object_length(inner) > 0)
                 json_object_object_add(patch, key, inner);
             else
                 json_object_put(inner);
-            if (!told)
+            if (!possible)
                 return false;
         } else if (!document_same(old, now)) {
             if (holds_null(now))
