--- a/packages/plan/src/sequences.c
+++ b/packages/plan/src/sequences.c
@@ -75,7 +75,7 @@
     return possible;
 }
 
-/* The zone or rack of a worker; null or empty: not told. */
+/* The zone or rack of a worker; null or empty: not known. */
 static const char *place_of(const PlanWorker *worker, Loss loss)
 {
     return loss == LOSS_ZONE ? worker->zone : worker->rack;
