--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -5,37 +5,48 @@
 #include "routing/ways.h"
 #include "trace/trace.h"
 
-/* Carries a caller's request to the leader and its result back.
+/* The forwarder: carries a caller's request to the leader and its result back. Used by
+ * entry points and by controllers that do not lead.
  *
- * 503: certainly not taken, with when to come back. 504: it may have been. What has
- * been given up is answered at once.
+ * 503: certainly not taken, with when to come back. 504: it may have been taken. A request
+ * that has been given up is answered at once.
  *
- * A way along which nothing has come back for a while is asked whether it lives, by
- * whoever waits on it first; a leader that is slow but lives is waited for, one that
- * says nothing is given up by all at once, and so is one that a newer term is heard
- * after. What carries an identity may then be asked of the next leader. */
+ * What is idempotent (feed/routes.h) may be sent again after a lost answer, to the next
+ * leader. A next hop from which nothing has come back for a while is asked whether it is
+ * alive, by whoever waits for it first. A slow leader that is alive is waited for; one that
+ * does not answer is given up by all requests at once, and so is one that a newer term is
+ * heard after. */
 typedef struct Forwarder Forwarder;
 
+/* Answers a request in this process, which leads; the answer lives on mem. Waits. */
+typedef void (*ForwardServe)(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+
+/* The pointers outlive the forwarder. */
 typedef struct ForwarderSettings {
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    RepairBuffer *repair_buffer;
-    Trace *trace;
-    /* Controllers: whether this one leads, and how it serves then. The answer lives on mem. */
+    RepairBuffer *repair_buffer; /* repair buffer for what was committed */
+    Trace *trace;                /* null: nothing is traced */
+    /* Controllers: whether this one leads, and how it answers then. Null elsewhere. */
     WaysLeads leads;
-    void (*serve)(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-    void *arg;
-    int64_t leader_wait_ms;  /* what nobody can have taken waits so long, from the leader's loss, for another */
-    int64_t outcome_wait_ms; /* what a lost leader may have taken is asked again of the next for so long */
+    ForwardServe serve;
+    void *arg;              /* of leads and serve */
+    int64_t leader_wait_ms; /* from the leader's loss, a request that nobody can have taken waits so long for another */
+    int64_t outcome_wait_ms; /* from its arrival, one that a lost leader may have taken is sent again for so long */
 } ForwarderSettings;
 
+/* Lives on mem; settings is copied. */
 Forwarder *forwarder_new(void *mem, const ForwarderSettings *settings);
+/* Starts to follow the route to the leader. Before, every request waits for one. */
 void forwarder_start(Forwarder *forwarder);
-/* Waits. Fills in the result and keeps what was committed. */
+/* Waits, until the task's deadline or FORWARD_DEADLINE_MS at most. Fills in the task's
+ * result, always, and adds what was committed to the repair buffer. */
 void forward_request(Forwarder *forwarder, HttpTask *task);
-/* Waits. Carries on what an entry point could not bring to the leader itself. */
+/* Waits. Relays to the leader what another process could not bring there itself. The answer
+ * lives on mem. NOT_LEADER: this process has no direct route either. */
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+/* The route that the forwarder uses; it lives as long. */
 Ways *forwarder_ways(Forwarder *forwarder);
 
 #endif
--- a/packages/routing/include/routing/pieces.h
+++ b/packages/routing/include/routing/pieces.h
@@ -4,37 +4,41 @@
 #include "routing/messages.h"
 #include "state/versions.h"
 
-/* A large document, handed over in pieces with rests between them, so that a narrow
- * link carries other frames meanwhile. A piece is of one version; what has changed
- * since comes as differences once that one is whole. */
+/* A large document, handed over in pieces with pauses between them, so that a narrow link
+ * carries other messages meanwhile. All pieces are of one version; what has changed since
+ * comes as differences once that one is complete. Used by the configuration watch; nothing
+ * here waits. */
 
 /* --- the leader's side ---------------------------------------------------------------------- */
 
-/* The document that is being handed over, as one text for all who ask.
+/* The document that is being handed over, as one text for all who ask; mem is set by its
+ * owner and holds the text.
  * Invariant: text is null or that of the version, as committed under the term. */
 typedef struct PieceSource {
     void *mem;
     uint64_t term, version;
     const char *text;
-    size_t length;
-    int64_t used_ms;
+    size_t length;   /* bytes */
+    int64_t used_ms; /* the loop's clock; when a piece of it was last asked for */
 } PieceSource;
 
-/* The piece that was asked for, if it is of the version that is being handed over; else the
- * first of that one. A text costs a reading of the whole document: while one is asked for, all
- * who ask are given that, and what has changed since as differences. */
+/* Adds to the answer the piece that was asked for, if it is of the version that is being
+ * handed over; else the first piece of that version. To make a text costs a reading of the
+ * whole document: while one is asked for, all who ask are given that one. The piece points
+ * into source. */
 void piece_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                   ConfigWatchAnswer *answer);
-/* Gives back the text that nobody has asked for of late. */
+/* Releases the text when nobody has asked for it of late. */
 void piece_rest(PieceSource *source, int64_t now_ms);
 
 /* --- the asking side ------------------------------------------------------------------------- */
 
-/* Invariant: text holds the first bytes of the version's document; version 0: nothing has begun. */
+/* A document that is being fetched; mem is set by its owner and holds the text.
+ * Invariant: text is the first bytes of the version's document; version 0: nothing has begun. */
 typedef struct Pieces {
     void *mem;
     uint64_t version;
-    size_t length; /* of the whole */
+    size_t length; /* bytes, of the whole */
     Bytes text;
 } Pieces;
 
@@ -42,9 +46,11 @@
 bool pieces_begun(const Pieces *pieces);
 /* Says in the question which piece is wanted. */
 void pieces_ask(const Pieces *pieces, ConfigWatchAsk *ask);
-/* Adds a piece. True when the document is whole: set is filled in, its text on mem. */
+/* Adds the answer's piece, if it has one. One that does not follow what is there is not
+ * added, and what was there is dropped. True when the document is complete: set is filled
+ * in, its text on mem, and nothing is begun any more. */
 bool pieces_take(void *mem, Pieces *pieces, const ConfigWatchAnswer *answer, ConfigSet *set);
-/* Another leader is asked: what was begun is dropped. */
+/* Drops what has begun: another leader is asked from now on. */
 void pieces_drop(Pieces *pieces);
 
 #endif
--- a/packages/routing/include/routing/ways.h
+++ b/packages/routing/include/routing/ways.h
@@ -4,48 +4,55 @@
 #include "routing/messages.h"
 #include "member/members.h"
 
-/* How the leader is reached from here: directly, or through another controller that still
- * reaches it. One way is in use; it is left when it fails, and while it is not known
- * whether another leads anywhere, one task looks and nobody else tries.
+/* The route to the leader from this process: the next hop is the leader itself, or another
+ * controller that still reaches it. Used by the forwarder and by the configuration watch;
+ * both report what they see, so that one coroutine searches for another next hop and nobody
+ * else tries meanwhile.
  *
- * Also when the leader was last heard to serve, so that readiness costs no question. */
+ * It also knows when the leader was last heard to serve, so that readiness costs no question.
+ * Times are those of the loop's clock, in ms. */
 typedef struct Ways Ways;
 
 /* Whether this process leads now. Null: it never does. */
 typedef bool (*WaysLeads)(const void *arg);
 
+/* Lives on mem; loop, RPC endpoint and members outlive it. No next hop is known at first. */
 Ways *ways_new(void *mem, Loop *loop, Rpc *rpc, Members *members, WaysLeads leads, const void *arg);
+/* Starts to follow the members' news of the leader. */
 void ways_start(Ways *ways);
 
-/* One way, as it was taken. Invariant: turn names the state of the ways in which it
- * was the one in use; they have moved on when theirs is another. */
+/* The next hop, as it was taken. Invariant: turn is that of the route then; the route has
+ * been replaced since when its turn is another one. */
 typedef struct WaysTaken {
     uint64_t turn;
     bool own;   /* this process leads: nobody is asked */
-    bool relay; /* the one asked carries it on */
+    bool relay; /* the process asked is no leader and relays the request to it */
     char address[ADDRESS_MAX];
-    PeerLife peer; /* who is meant there */
+    PeerLife peer; /* the incarnation that is meant there */
 } WaysTaken;
 
-/* False: no way is known now. */
+/* Takes the next hop. False: none is known now; the search for one has been started. */
 bool ways_take(Ways *ways, WaysTaken *taken);
+/* Whether the route is still the one that was taken. */
 bool ways_current(const Ways *ways, const WaysTaken *taken);
-/* Raised when the ways move on. */
+/* Raised when the route is replaced or lost. It lives as long as ways. */
 Signal *ways_moved(Ways *ways);
-/* Since when no way has been known; INT64_MAX while one is. */
+/* Since when no next hop has been known; INT64_MAX while one is, or this process leads. */
 int64_t ways_lost_ms(const Ways *ways);
 
-/* Waits. Whether whoever stands at the way's end still answers. */
+/* Waits, some hundred ms at most. Whether the next hop that was taken still answers. */
 bool ways_alive(Ways *ways, const WaysTaken *taken);
-/* The way has failed: another is looked for. */
+/* The next hop that was taken has failed: another is searched for. Nothing is done when the
+ * route has been replaced since. */
 void ways_failed(Ways *ways, const WaysTaken *taken);
-/* Something came back along it. serves: from a leader that serves. */
+/* Something came back along the route that was taken. serves: from a leader that serves. */
 void ways_heard(Ways *ways, const WaysTaken *taken, bool serves);
-/* When something last came back along the way in use. */
+/* When something last came back along the route in use; INT64_MIN: never. */
 int64_t ways_heard_ms(const Ways *ways);
-/* Who leads, as one who is no leader told with his refusal. */
+/* Takes in who leads, as a process that does not lead told with its refusal. */
 void ways_told(Ways *ways, const ForwardAnswer *answer);
-/* A leader that serves was heard of, and nothing to the contrary for so long. */
+/* Whether a leader serves: one was heard to, and has not been missed for longer than a
+ * change of leader takes. */
 bool ways_serve(const Ways *ways);
 
 #endif
--- /dev/null
+++ b/packages/routing/src/answertrace.c
@@ -0,0 +1,52 @@
+/* Which objects a forwarded request changed, for those who trace them. */
+#include "answertrace.h"
+
+#include <inttypes.h>
+#include <stdio.h>
+#include <talloc.h>
+
+#include "state/change.h"
+
+#define TRACE_DETAIL_BYTES 48 /* bytes; a method, a code and a time */
+
+/* The trace's key for one committed change, on mem; null: it has none, or can't be read. */
+static const char *change_key(void *mem, const RepairItem *item)
+{
+    JobAdd add;
+    JobCancel cancel;
+    ConfigSet set;
+    ZoneDrain drain;
+    switch (item->change) {
+    case CHANGE_JOB_ADD:
+        if (shape_unpack(&JobAdd_shape, item->payload, mem, &add, NULL) == STATUS_OK)
+            return talloc_asprintf(mem, "job:%s", add.spec.id);
+        return NULL;
+    case CHANGE_JOB_CANCEL:
+        if (shape_unpack(&JobCancel_shape, item->payload, mem, &cancel, NULL) == STATUS_OK)
+            return talloc_asprintf(mem, "job:%s", cancel.id);
+        return NULL;
+    case CHANGE_CONFIG_SET:
+        if (shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK)
+            return talloc_asprintf(mem, "config:%" PRIu64, set.version);
+        return NULL;
+    case CHANGE_ZONE_DRAIN:
+        if (shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) == STATUS_OK)
+            return talloc_asprintf(mem, "zone:%s", drain.zone);
+        return NULL;
+    default:
+        return NULL;
+    }
+}
+
+void answer_trace(Trace *trace, const char *method, const ForwardAnswer *answer, int64_t took_ms)
+{
+    char detail[TRACE_DETAIL_BYTES];
+    snprintf(detail, sizeof(detail), "%s %d, %lld ms", method, (int)answer->code, (long long)took_ms);
+    for (size_t i = 0; i < answer->repair_items_count; i++) {
+        void *mem = talloc_new(NULL);
+        const char *key = change_key(mem, &answer->repair_items[i]);
+        if (key != NULL)
+            trace_say(trace, TRACE_CARRIED, detail, "%s", key);
+        talloc_free(mem);
+    }
+}
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -1,57 +1,41 @@
 #include "attempt.h"
 
-#include <inttypes.h>
-#include <stdio.h>
-#include <string.h>
 #include <talloc.h>
 
-#include "state/change.h"
+#include "answertrace.h"
+#include "hop.h"
+#include "outcome.h"
 
-#define TRACE_DETAIL_BYTES 48 /* bytes; a method, a code and a time */
-#define ATTEMPT_QUIET_MS 400  /* ms; nothing has come back for so long: does the way live? A commit takes far less */
+#define ATTEMPT_QUIET_MS 400 /* ms; nothing came back for so long: is the next hop alive? A commit takes far less */
+#define ATTEMPT_USERS 2      /* count; the asking coroutine and the waiting one */
 
-/* Freed by whichever of the asking task and the waiting one ends last.
- * Invariant: on the forwarder's list exactly while its asker waits. */
+struct Attempts {
+    AttemptSettings settings;
+    bool pinging;            /* one of those who wait asks whether the next hop is alive */
+    struct Attempt *waiting; /* those whose askers wait */
+};
+
+/* Freed by whichever of the asking coroutine and the waiting one ends last.
+ * Invariant: on the list of those waiting exactly while its asker waits. */
 typedef struct Attempt {
     struct Attempt *prev, *next;
-    Forwarder *forwarder;
+    Attempts *attempts;
     size_t users;
     WaysTaken taken;
     ForwardAsk ask;
     RpcSending sending;
     int64_t deadline_ms;
     bool done;
-    Signal news; /* it is done, or the ways have moved on */
+    Signal news; /* it is done, or the route has been replaced */
     Status status;
     ForwardAnswer answer;
 } Attempt;
 
-/* What the result speaks of, for those who trace it. */
-static void trace_answered(const Forwarder *forwarder, const Attempt *attempt, int64_t took_ms)
+Attempts *attempts_new(void *mem, const AttemptSettings *settings)
 {
-    char detail[TRACE_DETAIL_BYTES];
-    const ForwardAnswer *answer = &attempt->answer;
-    snprintf(detail, sizeof(detail), "%s %d, %lld ms", attempt->ask.method, (int)answer->code, (long long)took_ms);
-    for (size_t i = 0; i < answer->repair_items_count; i++) {
-        const RepairItem *item = &answer->repair_items[i];
-        void *mem = talloc_new(NULL);
-        JobAdd add;
-        JobCancel cancel;
-        ConfigSet set;
-        ZoneDrain drain;
-        if (item->change == CHANGE_JOB_ADD && shape_unpack(&JobAdd_shape, item->payload, mem, &add, NULL) == STATUS_OK)
-            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", add.spec.id);
-        else if (item->change == CHANGE_JOB_CANCEL &&
-                 shape_unpack(&JobCancel_shape, item->payload, mem, &cancel, NULL) == STATUS_OK)
-            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "job:%s", cancel.id);
-        else if (item->change == CHANGE_CONFIG_SET &&
-                 shape_unpack(&ConfigSet_shape, item->payload, mem, &set, NULL) == STATUS_OK)
-            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "config:%" PRIu64, set.version);
-        else if (item->change == CHANGE_ZONE_DRAIN &&
-                 shape_unpack(&ZoneDrain_shape, item->payload, mem, &drain, NULL) == STATUS_OK)
-            trace_say(forwarder->settings.trace, TRACE_CARRIED, detail, "zone:%s", drain.zone);
-        talloc_free(mem);
-    }
+    Attempts *attempts = talloc_zero(mem, Attempts);
+    attempts->settings = *settings;
+    return attempts;
 }
 
 static void attempt_leave(Attempt *attempt)
@@ -60,74 +44,83 @@
         talloc_free(attempt);
 }
 
-/* A leader that serves, as its answer shows. */
-static bool served(const ForwardAnswer *answer)
+/* --- the asking coroutine ---------------------------------------------------------------- */
+
+/* Waits. Asks this process itself while it leads, else the next hop. */
+static Status attempt_ask(Attempt *attempt, int64_t start_ms)
+{
+    const AttemptSettings *settings = &attempt->attempts->settings;
+    if (attempt->taken.own) {
+        attempt->sending.sent = true;
+        settings->serve(settings->arg, attempt, &attempt->ask, &attempt->answer);
+        return STATUS_OK;
+    }
+    return hop_ask(settings->rpc, attempt, &attempt->taken, &attempt->sending, &attempt->ask,
+                   attempt->deadline_ms - start_ms, &attempt->answer);
+}
+
+/* Whatever becomes of the asker, what was committed is kept: this process may be the only
+ * one to hear of it. */
+static void attempt_answered(Attempt *attempt, int64_t took_ms)
 {
-    return answer->code != NOT_TAKEN_HTTP || (answer->status != STATUS_NOT_LEADER &&
-                                              answer->status != STATUS_REPAIRING && answer->status != STATUS_LEAVING);
+    const AttemptSettings *settings = &attempt->attempts->settings;
+    if (!attempt->taken.own)
+        ways_heard(settings->ways, &attempt->taken, outcome_leader_serves(&attempt->answer));
+    answer_trace(settings->trace, attempt->ask.method, &attempt->answer, took_ms);
+    repair_buffer_keep(settings->repair_buffer, attempt->answer.repair_items, attempt->answer.repair_items_count);
+    attempt->answer.repair_items_count = 0;
 }
 
 static void ask_main(void *arg)
 {
     Attempt *attempt = arg;
-    Forwarder *forwarder = attempt->forwarder;
-    Loop *loop = forwarder->settings.loop;
-    const int64_t start_ms = loop_now_ms(loop);
+    const AttemptSettings *settings = &attempt->attempts->settings;
+    const int64_t start_ms = loop_now_ms(settings->loop);
     attempt->ask.wait_ms = (uint64_t)(attempt->deadline_ms - start_ms);
-    if (attempt->taken.own) {
-        attempt->sending.sent = true;
-        forwarder->settings.serve(forwarder->settings.arg, attempt, &attempt->ask, &attempt->answer);
-        attempt->status = STATUS_OK;
-    } else {
-        const RpcTarget target = {attempt->taken.address, attempt->taken.peer, &attempt->sending};
-        attempt->status =
-            rpc_ask_peer(forwarder->settings.rpc, attempt, &target, MESSAGE_FORWARD, &ForwardAsk_shape, &attempt->ask,
-                         attempt->deadline_ms - start_ms, &ForwardAnswer_shape, &attempt->answer);
-    }
-    if (attempt->status == STATUS_OK) {
-        if (!attempt->taken.own)
-            ways_heard(forwarder->ways, &attempt->taken, served(&attempt->answer));
-        trace_answered(forwarder, attempt, loop_now_ms(loop) - start_ms);
-        repair_buffer_keep(forwarder->settings.repair_buffer, attempt->answer.repair_items,
-                           attempt->answer.repair_items_count);
-        attempt->answer.repair_items_count = 0;
-    } else {
-        ways_told(forwarder->ways, &attempt->answer);
-    }
+    attempt->status = attempt_ask(attempt, start_ms);
+    if (attempt->status == STATUS_OK)
+        attempt_answered(attempt, loop_now_ms(settings->loop) - start_ms);
+    else
+        ways_told(settings->ways, &attempt->answer);
     attempt->done = true;
-    signal_raise(loop, &attempt->news);
+    signal_raise(settings->loop, &attempt->news);
     attempt_leave(attempt);
 }
 
-void attempts_wake(Forwarder *forwarder)
+/* --- the waiting one ----------------------------------------------------------------------- */
+
+void attempts_wake(Attempts *attempts)
 {
-    for (Attempt *one = forwarder->waiting; one != NULL; one = one->next)
-        signal_raise(forwarder->settings.loop, &one->news);
+    for (Attempt *one = attempts->waiting; one != NULL; one = one->next)
+        signal_raise(attempts->settings.loop, &one->news);
 }
 
-/* Nothing has come back along the way since this was asked, and not lately: the first
- * to see that asks whether it lives, for all. */
-static void whether_alive(Forwarder *forwarder, const Attempt *attempt)
+/* Waits. Nothing has come back along the route since this was asked, and not lately: the
+ * first to see that asks whether the next hop is alive, for all. */
+static void whether_alive(Attempts *attempts, const Attempt *attempt)
 {
-    forwarder->pinging = true;
-    if (!ways_alive(forwarder->ways, &attempt->taken))
-        ways_failed(forwarder->ways, &attempt->taken);
-    forwarder->pinging = false;
-    attempts_wake(forwarder);
+    Ways *ways = attempts->settings.ways;
+    attempts->pinging = true;
+    if (!ways_alive(ways, &attempt->taken))
+        ways_failed(ways, &attempt->taken);
+    attempts->pinging = false;
+    attempts_wake(attempts);
 }
 
-static void wait_for(Forwarder *forwarder, Attempt *attempt, int64_t asked_ms)
+/* Waits, until the attempt is done, its route has been replaced or its deadline has passed. */
+static void wait_for(Attempts *attempts, Attempt *attempt, int64_t asked_ms)
 {
-    Loop *loop = forwarder->settings.loop;
-    while (!attempt->done && ways_current(forwarder->ways, &attempt->taken) &&
-           loop_now_ms(loop) < attempt->deadline_ms) {
-        int64_t heard_ms = ways_heard_ms(forwarder->ways), wake_ms = attempt->deadline_ms;
+    Loop *loop = attempts->settings.loop;
+    const Ways *ways = attempts->settings.ways;
+    while (!attempt->done && ways_current(ways, &attempt->taken) && loop_now_ms(loop) < attempt->deadline_ms) {
+        int64_t heard_ms = ways_heard_ms(ways);
+        int64_t wake_ms = attempt->deadline_ms;
         if (heard_ms < asked_ms)
             heard_ms = asked_ms;
         const int64_t quiet_ms = heard_ms + ATTEMPT_QUIET_MS;
-        if (!attempt->taken.own && !forwarder->pinging) {
+        if (!attempt->taken.own && !attempts->pinging) {
             if (loop_now_ms(loop) >= quiet_ms) {
-                whether_alive(forwarder, attempt);
+                whether_alive(attempts, attempt);
                 continue;
             }
             if (quiet_ms < wake_ms)
@@ -137,28 +130,39 @@
     }
 }
 
-Status attempt_forward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
-                       ForwardAnswer *answer)
+static void waiting_add(Attempts *attempts, Attempt *attempt)
 {
-    Attempt *attempt = talloc_zero(forwarder, Attempt);
-    attempt->forwarder = forwarder;
-    attempt->users = 2;
-    attempt->deadline_ms = until_ms;
-    attempt->taken = *taken;
-    shape_copy(&ForwardAsk_shape, ask, attempt, &attempt->ask);
-    attempt->ask.relay = taken->relay;
-    attempt->next = forwarder->waiting;
+    attempt->next = attempts->waiting;
     if (attempt->next != NULL)
         attempt->next->prev = attempt;
-    forwarder->waiting = attempt;
-    loop_spawn(forwarder->settings.loop, "attempt", ask_main, attempt);
-    wait_for(forwarder, attempt, loop_now_ms(forwarder->settings.loop));
+    attempts->waiting = attempt;
+}
+
+static void waiting_remove(Attempts *attempts, Attempt *attempt)
+{
     if (attempt->prev != NULL)
         attempt->prev->next = attempt->next;
     else
-        forwarder->waiting = attempt->next;
+        attempts->waiting = attempt->next;
     if (attempt->next != NULL)
         attempt->next->prev = attempt->prev;
+}
+
+Status attempt_forward(Attempts *attempts, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
+                       ForwardAnswer *answer)
+{
+    Loop *loop = attempts->settings.loop;
+    Attempt *attempt = talloc_zero(attempts, Attempt);
+    attempt->attempts = attempts;
+    attempt->users = ATTEMPT_USERS;
+    attempt->deadline_ms = until_ms;
+    attempt->taken = *taken;
+    shape_copy(&ForwardAsk_shape, ask, attempt, &attempt->ask);
+    attempt->ask.relay = taken->relay;
+    waiting_add(attempts, attempt);
+    loop_spawn(loop, "attempt", ask_main, attempt);
+    wait_for(attempts, attempt, loop_now_ms(loop));
+    waiting_remove(attempts, attempt);
     /* one that still waits for a connection will not be sent any more */
     attempt->sending.cancelled = true;
     Status status = attempt->sending.sent ? STATUS_EXPIRED : STATUS_UNREACHABLE;
--- a/packages/routing/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -3,26 +3,36 @@
 
 #include "routing/forward.h"
 
-/* What a leader's answer says of the request, as its caller would be told. */
-#define GOOD_HTTP 200
-#define NOT_TAKEN_HTTP 503
-#define UNKNOWN_HTTP 504
+/* One attempt to have a request answered along one route. The retry rules stand above, in
+ * forwarding.c; here nothing is sent twice.
+ *
+ * An attempt runs in a coroutine of its own, because its answer is wanted even when the
+ * asker has given up: what was committed goes into the repair buffer then, too. */
 
-struct Forwarder {
-    ForwarderSettings settings;
+/* What all attempts of a process use; the pointers outlive it. */
+typedef struct AttemptSettings {
+    Loop *loop;
+    Rpc *rpc;
     Ways *ways;
-    bool pinging;            /* one of those who wait asks whether the way lives */
-    struct Attempt *waiting; /* those whose askers wait */
-};
+    RepairBuffer *repair_buffer;
+    Trace *trace;
+    ForwardServe serve; /* answers here while this process leads; null: it never leads */
+    void *arg;          /* of serve */
+} AttemptSettings;
 
-/* Waits. Asks once, along the way taken. EXPIRED also when the way fails, or the ways
- * move on, before the answer; UNREACHABLE when it had not been sent by then, and never
- * will be. On OK the answer lives on mem, and what was committed has
- * been kept; it is kept also when it comes too late for the asker: this node may be the
- * only one to hear of it. */
-Status attempt_forward(Forwarder *forwarder, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
+/* All attempts that are being waited for. */
+typedef struct Attempts Attempts;
+
+/* settings is copied. */
+Attempts *attempts_new(void *mem, const AttemptSettings *settings);
+/* Waits, until until_ms at most (the loop's clock). Asks once, along the route taken. On OK
+ * the answer lives on mem. Other results: EXPIRED, no answer before the deadline, or before
+ * the route failed or was replaced; UNREACHABLE, the same, but the request had not been sent
+ * and never will be; else the refusal of whoever was asked. */
+Status attempt_forward(Attempts *attempts, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
                        ForwardAnswer *answer);
-/* Raises all who wait, once the ways have moved on. */
-void attempts_wake(Forwarder *forwarder);
+/* Wakes all who wait, once the route has been replaced: their attempts end as EXPIRED or
+ * UNREACHABLE. */
+void attempts_wake(Attempts *attempts);
 
 #endif
--- /dev/null
+++ b/packages/routing/src/forwarding.c
@@ -0,0 +1,110 @@
+#include "forwarding.h"
+
+#include "api/show.h"
+#include "outcome.h"
+
+#define SECOND_MS 1000         /* ms */
+#define REPAIR_REST_MS 100     /* ms; back-off before a leader that is in repair is asked again */
+#define FORWARD_ATTEMPTS_MAX 8 /* count; so many leaders or routes, one after the other, for one request */
+
+/* --- the next attempt ------------------------------------------------------------------- */
+
+/* Waits. Whether a route is known before until_ms. */
+static bool way_wait(Forwarder *forwarder, WaysTaken *taken, int64_t until_ms)
+{
+    while (!ways_take(forwarder->ways, taken))
+        if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
+            !signal_wait(forwarder->settings.loop, ways_moved(forwarder->ways), until_ms))
+            return ways_take(forwarder->ways, taken);
+    return true;
+}
+
+/* Until when a request waits for a route: what nobody can have taken, from the leader's
+ * loss; what may have been taken, from the request's arrival. */
+static int64_t ways_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
+{
+    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    const int64_t from_ms = lost_ms != INT64_MAX ? lost_ms : loop_now_ms(forwarder->settings.loop);
+    const int64_t wait_ms =
+        maybe_taken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
+    return wait_ms < until_ms ? wait_ms : until_ms;
+}
+
+/* Waits. Whether another attempt is to be made, and along which route. */
+static bool attempt_next(const Forwarding *one, int attempt, WaysTaken *taken)
+{
+    if (attempt > 0 && (one->task->gone || (one->maybe_taken && one->repeat == REPEAT_NEVER)))
+        return false;
+    const int64_t until_ms = ways_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
+    return way_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
+}
+
+/* Waits. The next leader can't say yet whether an earlier one took the request: it is in
+ * repair, being told what the disks lost. True: it is to be asked again, now that the
+ * back-off has passed. */
+static bool repair_awaited(const Forwarding *one, const ForwardAnswer *answer)
+{
+    Loop *loop = one->forwarder->settings.loop;
+    if (answer->status != STATUS_REPAIRING || !one->maybe_taken || one->repeat == REPEAT_NEVER ||
+        loop_now_ms(loop) + REPAIR_REST_MS >= ways_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
+        return false;
+    loop_sleep(loop, REPAIR_REST_MS);
+    return true;
+}
+
+bool forward_attempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer)
+{
+    Forwarder *forwarder = one->forwarder;
+    Loop *loop = forwarder->settings.loop;
+    const bool changes = one->repeat != REPEAT_READ;
+    WaysTaken taken;
+    for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(one, attempt, &taken);) {
+        bool unknown = false;
+        ask->again = one->maybe_taken;
+        const Status status = attempt_forward(forwarder->attempts, one->task, &taken, ask, one->until_ms, answer);
+        if (status == STATUS_OK && !outcome_leader_lost(answer, &unknown)) {
+            if (repair_awaited(one, answer))
+                continue;
+            /* one that did not take it says nothing of an earlier one, which may have */
+            return answer->code != NOT_TAKEN_HTTP || !one->maybe_taken;
+        }
+        attempt++;
+        unknown |= status != STATUS_OK && !outcome_untaken(status);
+        one->maybe_taken |= changes && unknown;
+        /* a request that ran into its own deadline says nothing against the route */
+        if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
+            ways_failed(forwarder->ways, &taken);
+    }
+    return false;
+}
+
+/* --- the result --------------------------------------------------------------------------- */
+
+void forward_take(HttpTask *task, const ForwardAnswer *answer)
+{
+    task->code = (int)answer->code;
+    task->status = (Status)answer->status;
+    task->kind = answer->kind;
+    task->result = answer->body;
+    task->retry_after_s = (int)answer->retry_after_s;
+}
+
+/* For Retry-After, in seconds: another leader is found some 3 s after the last one was lost. */
+static int retry_s(const Forwarder *forwarder)
+{
+    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    if (lost_ms == INT64_MAX)
+        return RETRY_AFTER_S;
+    const int64_t left_ms = lost_ms + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
+    return left_ms <= SECOND_MS ? RETRY_AFTER_S : (int)((left_ms + SECOND_MS - 1) / SECOND_MS);
+}
+
+void forward_give_up(const Forwarding *one)
+{
+    if (one->maybe_taken)
+        show_refusal(one->task, STATUS_OUTCOME_UNKNOWN, "the leader was lost on the way: ask, or send the same again",
+                     NULL);
+    else
+        show_refusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
+    one->task->retry_after_s = retry_s(one->forwarder);
+}
--- /dev/null
+++ b/packages/routing/src/hop.h
@@ -0,0 +1,17 @@
+#ifndef ROUTING_SRC_HOP_H
+#define ROUTING_SRC_HOP_H
+
+#include "routing/messages.h"
+#include "routing/ways.h"
+
+/* The one question that goes to a next hop: a forwarded request. Used by the attempts,
+ * by the relay and by the search for a route, so that all of them ask alike. */
+
+/* Waits. Sends a request to the process that was chosen and waits at most wait_ms for its
+ * answer, which lives on mem. sending may be null; else it tells whether the request has
+ * left, and lets the asker cancel it. Returns the transport's status, or the refusal of
+ * the process that was asked; on a refusal the answer holds what it told of the leader. */
+Status hop_ask(Rpc *rpc, void *mem, const WaysTaken *taken, RpcSending *sending, const ForwardAsk *ask, int64_t wait_ms,
+               ForwardAnswer *answer);
+
+#endif
--- a/packages/routing/src/limits.c
+++ b/packages/routing/src/limits.c
@@ -1,3 +1,4 @@
+/* The limits of the configuration, put in force at the HTTP server. */
 #include "routing/limits.h"
 
 void limits_serve(Loop *loop, const ConfigLimits *limits)
--- a/packages/routing/src/messages.c
+++ b/packages/routing/src/messages.c
@@ -1,3 +1,4 @@
+/* The tables that the message shapes are packed and unpacked by. */
 #include "routing/messages.h"
 
 SHAPE_TABLE(RepairItem, REPAIR_ITEM_FIELDS)
--- a/packages/routing/src/order.c
+++ b/packages/routing/src/order.c
@@ -5,8 +5,9 @@
 #include <talloc.h>
 
 #include "api/show.h"
+#include "outcome.h"
 
-/* The stamp that a zone is shown with; -1: an earlier release leads, which shows none. */
+/* The stamp in the JSON that shows a zone; -1: there is none, an earlier release leads. */
 static int64_t stamp_of(const ForwardAnswer *answer)
 {
     json_tokener *tokener = json_tokener_new();
@@ -19,7 +20,8 @@
     return value;
 }
 
-/* Waits. False: the result was given. */
+/* Waits. Reads the zone's stamp from the leader, as a request of its own inside the order's
+ * deadline. False: the task has its result already. */
 static bool stamp_read(const Forwarding *one, int64_t *stamp)
 {
     HttpTask *task = one->task;
@@ -50,13 +52,13 @@
             return false;
         one->based = stamp >= 0;
         if (!one->based)
-            one->repeat = REPEAT_NEVER; /* it would not be known again */
+            one->repeat = REPEAT_NEVER; /* the leader would not recognise a copy */
         else
             query = talloc_asprintf_append(query, "%safter=%" PRId64, query[0] != '\0' ? "&" : "", stamp);
     }
     if (query_value(task, task->query, "order") == NULL)
         query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loop_random(loop));
-    loop_yield(loop); /* an end of its connection that came with it is seen */
+    loop_yield(loop); /* a close of its connection that came with the request is seen first */
     if (task->gone) {
         show_refusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
         return false;
--- a/packages/routing/src/order.h
+++ b/packages/routing/src/order.h
@@ -3,14 +3,17 @@
 
 #include "forwarding.h"
 
-/* What makes an order for a zone safe to forward again: a name that is made here, and
- * the stamp of the zone's newest order after this one came in. An order is taken only
- * while that stamp is the newest, so a late copy of it changes nothing, whichever leader
- * it comes to. */
+/* The identity that makes an order for a zone idempotent: a request id that is made here,
+ * and the stamp of the zone's newest order after this one came in. The leader takes an
+ * order only while that stamp is the newest, so a late copy of it changes nothing,
+ * whichever leader it comes to. */
 
-/* Waits. Adds both to the query, unless its caller has. False: the result was given. */
+/* Waits. Adds the request id and the stamp to the query of ask, unless the caller gave
+ * them; the query lives on the task. False: the task has its result already. Under a leader
+ * of an earlier release, which shows no stamp, the order becomes one that is sent once. */
 bool order_named(Forwarding *one, ForwardAsk *ask);
-/* The result of one that was overtaken: certainly not taken. */
+/* Makes the refusal of an order that another overtook the task's result: 503, certainly not
+ * taken. */
 void order_overtaken(HttpTask *task);
 
 #endif
--- a/packages/routing/src/repair_buffer.c
+++ b/packages/routing/src/repair_buffer.c
@@ -1,12 +1,14 @@
+/* The repair buffer: a queue in the order of arrival, with a set that finds duplicates. */
 #include "routing/repair_buffer.h"
 
 #include <glib.h>
 #include <talloc.h>
 
-#define KEPT_BESIDE_BYTES 160 /* bytes; what an item costs beside its payload: itself, its place, two allocations */
+#define KEPT_BESIDE_BYTES \
+    160 /* bytes; an item's cost beside its payload: itself, its entry in the set, two allocations */
 
 typedef struct Kept {
-    RepairItem item; /* first; its payload is the kept's own */
+    RepairItem item; /* first, so that the set finds it; its payload is a copy of its own */
     struct Kept *next;
     int64_t at_ms;
 } Kept;
@@ -15,7 +17,7 @@
     Loop *loop;
     int64_t span_ms;
     Kept *first, *last;
-    GHashTable *known; /* to itself; the same is kept once */
+    GHashTable *known; /* of RepairItem; the same change is kept once */
     size_t bytes;
 };
 
@@ -52,6 +54,7 @@
     return kept->item.payload.count + KEPT_BESIDE_BYTES;
 }
 
+/* Drops what is older than the span, then the oldest until the bytes fit. */
 static void forget(RepairBuffer *repair_buffer)
 {
     const int64_t now_ms = loop_now_ms(repair_buffer->loop);
@@ -87,6 +90,7 @@
     forget(repair_buffer);
 }
 
+/* Whether the item is a configuration that the asker has already. */
 static bool config_had(const RepairItem *item, uint64_t have)
 {
     if (item->change != CHANGE_CONFIG_SET)
--- a/packages/routing/src/routes.c
+++ b/packages/routing/src/routes.c
@@ -1,3 +1,4 @@
+/* The retry table: which requests are idempotent. Rows are tried in order; the first that fits holds. */
 #include "routing/routes.h"
 
 #include <string.h>
@@ -23,6 +24,7 @@
     return ROUTES;
 }
 
+/* "*" takes one part of the path, "**" at the end takes any rest. */
 static bool path_fits(const char *pattern, const char *path)
 {
     while (*pattern != '\0') {
@@ -41,7 +43,7 @@
     return *path == '\0';
 }
 
-/* Whether a query has a key with a value. */
+/* Whether the query has the key; a null query has none. */
 static bool query_has(const char *query, const char *key)
 {
     const size_t length = strlen(key);
--- /dev/null
+++ b/packages/routing/src/waysearch.h
@@ -0,0 +1,13 @@
+#ifndef ROUTING_SRC_WAYSEARCH_H
+#define ROUTING_SRC_WAYSEARCH_H
+
+#include "waystate.h"
+
+/* The search for a next hop: one coroutine asks, while nobody else does. It also goes back
+ * from a relay to the leader itself once that can be reached again. */
+
+/* Starts the search unless it runs. It ends by itself, in WAYS_DIRECT or when the loop
+ * stops. */
+void ways_search(Ways *ways);
+
+#endif
