--- a/packages/adapter/include/adapter/adapter.h
+++ b/packages/adapter/include/adapter/adapter.h
@@ -6,20 +6,21 @@
 #include "entry_point/entry_point.h"
 #include "settings/settings.h"
 
-/* An adapter is how the product meets a platform: it reads the platform's settings
- * into settings, serves the platform's addresses and translates. It decides
- * nothing, remembers nothing that a restart would miss, and recovers nothing.
- * Translated requests go to the same function that the product's own address
- * gives its own to. */
+/* The interface of protocol adapters. An adapter is how the product meets a platform: it
+ * reads the platform's settings, serves the platform's addresses and translates its
+ * requests. It decides nothing, stores nothing that a restart would miss, and recovers
+ * nothing. Translated requests go to the same functions that serve the product's own
+ * address. Used by the daemon, which starts an adapter by its name. */
 
-/* What an adapter has read. */
+/* What an adapter has read from the platform's settings. */
 typedef struct AdapterPlace {
     SettingsRole role;
     Settings settings;
-    const void *own; /* the adapter's own settings: where it listens */
+    const void *own; /* the adapter's own settings: the addresses that it serves */
 } AdapterPlace;
 
-/* A process that runs. Invariant: exactly one of controller, entry point and agent is set. */
+/* A process that runs; the adapter borrows it for the life of the process.
+ * Invariant: exactly one of controller, entry point and agent is set. */
 typedef struct AdapterNode {
     Loop *loop;
     Recorder *recorder;
@@ -31,22 +32,23 @@
 
 typedef struct Adapter {
     const char *name;
-    /* The settings file, as the platform names it; null and a failure when it does not. */
+    /* The settings file, as the platform names it; null, with failure set, when it does not. */
     const char *(*path)(Failure *failure);
-    /* Reads the file. BAD_SETTINGS with the field's name. All on mem. */
+    /* Reads the file; all of place lives on mem. BAD_SETTINGS with the field's name in failure. */
     Status (*read)(void *mem, const char *path, AdapterPlace *place, Failure *failure);
-    /* Serves the platform's addresses; the node lives as long as the process. */
+    /* Starts to serve the platform's addresses; what it needs lives on mem. */
     Status (*start)(void *mem, const AdapterNode *node, Failure *failure);
 } Adapter;
 
-/* Ends with a null; defined by what is linked in beside the packages. */
+/* All adapters, ends with a null; defined by what is linked in beside the packages. */
 extern const Adapter *const FACES[];
 
-/* Null when there is none of this name. */
+/* The adapter of a name; null when there is none. */
 const Adapter *adapter_find(const char *name);
-/* An entry point's way for a request, whichever of the two it is. Waits. */
+/* Waits. Gives a request to the process's entry point, controller or diskless, which fills in
+ * its result. Not for agents. */
 void adapter_take(const AdapterNode *node, HttpTask *task);
-/* As entry_point_elsewhere; a controller carries everything itself. */
-bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, bool back, const char **leader);
+/* Waits. As entry_point_elsewhere. False in a controller, which carries every configuration itself. */
+bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader);
 
 #endif
--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -1,5 +1,7 @@
+/* Finding a protocol adapter, and the way from it into the process that it serves. */
 #include "adapter/adapter.h"
 
+#include <assert.h>
 #include <string.h>
 
 const Adapter *adapter_find(const char *name)
@@ -10,13 +12,14 @@
     return NULL;
 }
 
-bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, bool back, const char **leader)
+bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader)
 {
-    return node->entry_point != NULL && entry_point_elsewhere(node->entry_point, task, back, leader);
+    return node->entry_point != NULL && entry_point_elsewhere(node->entry_point, task, carried, leader);
 }
 
 void adapter_take(const AdapterNode *node, HttpTask *task)
 {
+    assert(node->controller != NULL || node->entry_point != NULL);
     if (node->controller != NULL)
         controller_take(node->controller, task);
     else
--- a/packages/entry_point/include/entry_point/entry_point.h
+++ b/packages/entry_point/include/entry_point/entry_point.h
@@ -3,27 +3,40 @@
 
 #include "settings/settings.h"
 
-/* A diskless entry point. It decides nothing: it carries requests to the
- * leader, keeps for a while what was accepted through it, and holds the newest
- * configuration. */
+/* A diskless entry point. It decides nothing and stores nothing: it forwards requests to the
+ * leader, keeps in its repair buffer for a while what was committed through it, and watches
+ * the newest configuration. Used by the daemon and by protocol adapters.
+ * Invariant: a request that was read completely always gets a result. */
 typedef struct EntryPoint EntryPoint;
 
+/* Starts to listen and to look for the cluster; everything lives on mem. On failure the
+ * status of the address that can't be listened at, with a text in failure. */
 Status entry_point_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, EntryPoint **entry_point,
                          Failure *failure);
-/* Waits. As controller_take. */
+/* Waits, until the task's deadline at most. Fills in the task's result: what concerns this
+ * process is answered here, all else by the leader. As controller_take. */
 void entry_point_take(EntryPoint *entry_point, HttpTask *task);
-/* Waits. A configuration that is large, in the task's body or (back) in its result, is
- * no load for an entry point's narrow link: its caller is sent to the leader itself. True when
- * the task has its result: 307, and leader is the address, on the task, at which the
- * leader that serves now is asked by callers; or a refusal, when none serves. False:
- * the entry point carries it. */
-bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, bool back, const char **leader);
-/* As controller_ready. */
+
+/* Where a request may carry a configuration. */
+typedef enum EntryPointConfig {
+    ENTRY_POINT_CONFIG_IN_BODY,  /* it sets one */
+    ENTRY_POINT_CONFIG_IN_RESULT /* it reads the one in force */
+} EntryPointConfig;
+
+/* Waits. A large configuration is no load for an entry point's narrow link: its caller is
+ * redirected to the leader. True: the task has its result, which is 307 with *leader the
+ * address at which the leader that serves now takes callers' requests (on the task), or a
+ * refusal with *leader as it was, when none serves. False: entry_point_take is to carry it. */
+bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader);
+/* Whether callers should come here: a leader serves, and this process is not leaving. As
+ * controller_ready. */
 bool entry_point_ready(const EntryPoint *entry_point);
-/* Waits: not ready at once; requests in work get their result. */
+/* Waits, for the settings' grace_ms at most. Graceful shutdown: not ready at once; requests
+ * in work get their result. */
 void entry_point_drain(EntryPoint *entry_point);
-/* Other seeds from now on. */
+/* Replaces the seeds; the addresses are copied. */
 void entry_point_seeds(EntryPoint *entry_point, const char *const seeds[SEEDS]);
+/* Where callers' requests are taken, with the port that was bound. Lives as long as the entry point. */
 const char *entry_point_http_address(const EntryPoint *entry_point);
 
 #endif
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -1,3 +1,4 @@
+/* A diskless entry point: what it answers itself, what it forwards, and its life. */
 #include "entry_point/entry_point.h"
 
 #include <string.h>
@@ -8,7 +9,7 @@
 #include "routing/config_watch.h"
 #include "routing/forward.h"
 
-#define ELSEWHERE_HTTP 307 /* the same request, with its body, at another address */
+#define ELSEWHERE_HTTP 307 /* a redirect: the same request, with its body, at another address */
 
 struct EntryPoint {
     Loop *loop;
@@ -18,13 +19,15 @@
     Forwarder *forwarder;
     Trace *trace;
     Recorder *recorder;
-    char address[ADDRESS_MAX], http[ADDRESS_MAX];
+    char address[ADDRESS_MAX], http[ADDRESS_MAX]; /* as bound: for peers, for callers */
     ConfigWatch *config_watch;
     int64_t grace_ms, unready_ms;
-    bool leaving;
-    size_t in_work;
+    bool leaving;   /* it drains */
+    size_t in_work; /* requests that are being forwarded */
 };
 
+/* --- callers' requests ------------------------------------------------------------------ */
+
 static void metrics(EntryPoint *entry_point, HttpTask *task)
 {
     const RpcCounts *counts = rpc_counts(entry_point->rpc);
@@ -40,12 +43,17 @@
 #undef X
 }
 
+static void live(HttpTask *task)
+{
+    json_object *body = json_object_new_object();
+    json_object_object_add(body, "live", json_object_new_boolean(true));
+    show_result(task, 200, body);
+}
+
 void entry_point_take(EntryPoint *entry_point, HttpTask *task)
 {
     if (strcmp(task->path, "/livez") == 0) {
-        json_object *body = json_object_new_object();
-        json_object_object_add(body, "live", json_object_new_boolean(true));
-        show_result(task, 200, body);
+        live(task);
     } else if (strcmp(task->path, "/readyz") == 0) {
         show_ready(task, entry_point_ready(entry_point), entry_point->leaving);
     } else if (strcmp(task->path, "/metrics") == 0) {
@@ -61,11 +69,9 @@
     }
 }
 
-bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, bool back, const char **leader)
+/* Waits. Asks the leader whether it serves, with the deadline of the caller's request. */
+static HttpTask *leader_ready(EntryPoint *entry_point, HttpTask *task)
 {
-    if (task->body.count <= CONFIG_LARGE_BYTES &&
-        !(back && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))
-        return false;
     HttpTask *ask = talloc(task, HttpTask);
     *ask = (HttpTask){.loop = entry_point->loop,
                       .method = "GET",
@@ -74,6 +80,16 @@
                       .host = "",
                       .timeout_ms = task->timeout_ms};
     forward_request(entry_point->forwarder, ask);
+    return ask;
+}
+
+bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader)
+{
+    const bool in_result = carried == ENTRY_POINT_CONFIG_IN_RESULT;
+    if (task->body.count <= CONFIG_LARGE_BYTES &&
+        !(in_result && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))
+        return false;
+    const HttpTask *ask = leader_ready(entry_point, task);
     const Member *member = members_find(entry_point->members, members_leader_id(entry_point->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
     if (ask->code == 200 && !known)
@@ -101,6 +117,9 @@
     return !entry_point->leaving && ways_serve(forwarder_ways(entry_point->forwarder));
 }
 
+/* --- peers' questions ------------------------------------------------------------------- */
+
+/* A leader in repair asks for what it may have lost. */
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -111,6 +130,7 @@
     return STATUS_OK;
 }
 
+/* A leader gives this process a change to keep, before it acknowledges it. */
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -121,7 +141,8 @@
     return STATUS_OK;
 }
 
-/* An entry point holds no lock and runs nothing: that it answers is what counts. */
+/* The leader asks whether this process has learnt of it. An entry point holds no lease and
+ * runs nothing: that it answers is what counts. */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -131,6 +152,31 @@
     return STATUS_OK;
 }
 
+/* --- its life ----------------------------------------------------------------------------- */
+
+static MemberRecord self_record(const EntryPoint *entry_point, const Settings *settings)
+{
+    return (MemberRecord){.id = settings->name,
+                          .name = settings->name,
+                          .role = ROLE_ENTRY_POINT,
+                          .zone = settings->zone,
+                          .address = entry_point->address,
+                          .http = entry_point->http,
+                          .incarnation = (uint64_t)loop_wall_ms(entry_point->loop)};
+}
+
+static Forwarder *entry_point_forwarder(EntryPoint *entry_point, const Bounds *bounds)
+{
+    const ForwarderSettings settings = {.loop = entry_point->loop,
+                                        .rpc = entry_point->rpc,
+                                        .members = entry_point->members,
+                                        .repair_buffer = entry_point->repair_buffer,
+                                        .trace = entry_point->trace,
+                                        .leader_wait_ms = bounds->leader_wait_ms,
+                                        .outcome_wait_ms = bounds->outcome_wait_ms};
+    return forwarder_new(entry_point, &settings);
+}
+
 Status entry_point_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, EntryPoint **out,
                          Failure *failure)
 {
@@ -146,23 +192,10 @@
         status = loop_serve(loop, settings->http, on_http, entry_point, entry_point->http, failure);
     if (status != STATUS_OK)
         return status;
-    const MemberRecord self = {.id = settings->name,
-                               .name = settings->name,
-                               .role = ROLE_ENTRY_POINT,
-                               .zone = settings->zone,
-                               .address = entry_point->address,
-                               .http = entry_point->http,
-                               .incarnation = (uint64_t)loop_wall_ms(loop)};
+    const MemberRecord self = self_record(entry_point, settings);
     entry_point->members = members_new(entry_point, loop, entry_point->rpc, recorder, &self, settings->seeds);
     entry_point->trace = trace_new(entry_point, loop, entry_point->rpc, entry_point->members, settings->name);
-    entry_point->forwarder =
-        forwarder_new(entry_point, &(ForwarderSettings){.loop = loop,
-                                                        .rpc = entry_point->rpc,
-                                                        .members = entry_point->members,
-                                                        .repair_buffer = entry_point->repair_buffer,
-                                                        .trace = entry_point->trace,
-                                                        .leader_wait_ms = settings->bounds.leader_wait_ms,
-                                                        .outcome_wait_ms = settings->bounds.outcome_wait_ms});
+    entry_point->forwarder = entry_point_forwarder(entry_point, &settings->bounds);
     entry_point->config_watch = config_watch_new(entry_point, loop, entry_point->rpc,
                                                  forwarder_ways(entry_point->forwarder), entry_point->trace);
     rpc_handle(entry_point->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, entry_point);
@@ -182,7 +215,7 @@
     entry_point->leaving = true;
     loop_serve_leave(entry_point->loop);
     members_set_leaving(entry_point->members);
-    /* requests are taken on until the last moment: none that was read is cut */
+    /* requests are taken until the last moment: none that was read is cut off */
     loop_sleep(entry_point->loop, entry_point->unready_ms);
     while (loop_serve_busy(entry_point->loop) > 0 &&
            loop_now_ms(entry_point->loop) < now_ms + entry_point->grace_ms - DRAIN_MARGIN_MS)
--- a/packages/settings/src/bounds.c
+++ b/packages/settings/src/bounds.c
@@ -1,3 +1,4 @@
+/* The settings of a whole deployment, made from their list. */
 #include "settings/bounds.h"
 
 #include <string.h>
--- a/packages/settings/src/settings.c
+++ b/packages/settings/src/settings.c
@@ -1,3 +1,4 @@
+/* A process's settings: reading an ini file, single keys, and the check of the whole. */
 #include "settings/settings.h"
 
 #include <glib.h>
@@ -9,41 +10,52 @@
 
 #define GROUP "spancart"
 
+/* The field that holds a key's text as it was given; null: the key has another form. */
+static const char **text_field(Settings *settings, const char *key)
+{
+    const struct {
+        const char *key;
+        const char **field;
+    } fields[] = {{"name", &settings->name}, {"zone", &settings->zone}, {"listen", &settings->listen},
+                  {"http", &settings->http}, {"data", &settings->data}, {"worker", &settings->worker}};
+    for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]); i++)
+        if (strcmp(fields[i].key, key) == 0)
+            return fields[i].field;
+    return NULL;
+}
+
+/* Exactly SEEDS addresses, with commas or semicolons between them. */
+static Status seeds_set(void *mem, Settings *settings, const char *value, Failure *failure)
+{
+    char **parts = g_strsplit_set(value, ",;", -1);
+    size_t count = 0;
+    for (char **part = parts; *part != NULL; part++) {
+        const char *text = g_strstrip(*part);
+        if (text[0] == '\0')
+            continue;
+        if (count < SEEDS)
+            settings->seeds[count] = talloc_strdup(mem, text);
+        count++;
+    }
+    g_strfreev(parts);
+    if (count != SEEDS)
+        return failure_set(failure, STATUS_BAD_SETTINGS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
+    return STATUS_OK;
+}
+
 Status settings_set(void *mem, Settings *settings, const char *key, const char *value, Failure *failure)
 {
-    const char *copy = talloc_strdup(mem, value);
-    if (strcmp(key, "name") == 0)
-        settings->name = copy;
-    else if (strcmp(key, "zone") == 0)
-        settings->zone = copy;
-    else if (strcmp(key, "listen") == 0)
-        settings->listen = copy;
-    else if (strcmp(key, "http") == 0)
-        settings->http = copy;
-    else if (strcmp(key, "data") == 0)
-        settings->data = copy;
-    else if (strcmp(key, "worker") == 0)
-        settings->worker = copy;
-    else if (strcmp(key, "log") == 0) {
-        if (!recorder_level_of_word(value, &settings->log))
-            return failure_set(failure, STATUS_BAD_SETTINGS, "log: %s is no level: note, alert or fatal", value);
-    } else if (strcmp(key, "seeds") == 0) {
-        char **parts = g_strsplit_set(value, ",;", -1);
-        size_t count = 0;
-        for (char **part = parts; *part != NULL; part++) {
-            const char *text = g_strstrip(*part);
-            if (text[0] == '\0')
-                continue;
-            if (count < SEEDS)
-                settings->seeds[count] = talloc_strdup(mem, text);
-            count++;
-        }
-        g_strfreev(parts);
-        if (count != SEEDS)
-            return failure_set(failure, STATUS_BAD_SETTINGS, "seeds: %zu addresses given, %d are needed", count, SEEDS);
-    } else {
-        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: there is no such key", key);
+    const char **field = text_field(settings, key);
+    if (field != NULL) {
+        *field = talloc_strdup(mem, value);
+        return STATUS_OK;
     }
+    if (strcmp(key, "seeds") == 0)
+        return seeds_set(mem, settings, value, failure);
+    if (strcmp(key, "log") != 0)
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: there is no such key", key);
+    if (!recorder_level_of_word(value, &settings->log))
+        return failure_set(failure, STATUS_BAD_SETTINGS, "log: %s is no level: note, alert or fatal", value);
     return STATUS_OK;
 }
 
@@ -73,37 +85,59 @@
     return status;
 }
 
-static Status need(const char *key, const char *value, bool address, Failure *failure)
+static Status need(const char *key, const char *value, Failure *failure)
 {
     if (value == NULL || value[0] == '\0')
         return failure_set(failure, STATUS_BAD_SETTINGS, "%s: is missing", key);
-    if (address && !real_address_valid(value))
+    return STATUS_OK;
+}
+
+static Status need_address(const char *key, const char *value, Failure *failure)
+{
+    const Status status = need(key, value, failure);
+    if (status == STATUS_OK && !real_address_valid(value))
         return failure_set(failure, STATUS_BAD_SETTINGS, "%s: %s is not an IP address with a port", key, value);
+    return status;
+}
+
+static Status name_good(const char *key, const char *value, Failure *failure)
+{
+    if (!check_name_text(value))
+        return failure_set(failure, STATUS_BAD_SETTINGS, "%s: must be letters, digits or ._:-", key);
     return STATUS_OK;
 }
 
+static Status need_name(const char *key, const char *value, Failure *failure)
+{
+    const Status status = need(key, value, failure);
+    return status == STATUS_OK ? name_good(key, value, failure) : status;
+}
+
+/* The keys that only some roles have. */
+static Status role_check(const Settings *settings, SettingsRole role, Failure *failure)
+{
+    if (role == SETTINGS_CONTROLLER) {
+        const Status status = need("data", settings->data, failure);
+        if (status != STATUS_OK)
+            return status;
+    }
+    if (role != SETTINGS_CONTROLLER && settings->data != NULL)
+        return failure_set(failure, STATUS_BAD_SETTINGS, "data: only a core has a disk");
+    if (role != SETTINGS_AGENT && settings->worker != NULL)
+        return failure_set(failure, STATUS_BAD_SETTINGS, "worker: only an agent stands beside one");
+    return settings->worker != NULL ? name_good("worker", settings->worker, failure) : STATUS_OK;
+}
+
 Status settings_check(const Settings *settings, SettingsRole role, Failure *failure)
 {
-    Status status = need("name", settings->name, false, failure);
-    if (status == STATUS_OK && !check_name_text(settings->name))
-        status = failure_set(failure, STATUS_BAD_SETTINGS, "name: must be letters, digits or ._:-");
+    Status status = need_name("name", settings->name, failure);
     if (status == STATUS_OK)
-        status = need("zone", settings->zone, false, failure);
-    if (status == STATUS_OK && !check_name_text(settings->zone))
-        status = failure_set(failure, STATUS_BAD_SETTINGS, "zone: must be letters, digits or ._:-");
+        status = need_name("zone", settings->zone, failure);
     if (status == STATUS_OK)
-        status = need("listen", settings->listen, true, failure);
+        status = need_address("listen", settings->listen, failure);
     if (status == STATUS_OK)
-        status = need("http", settings->http, true, failure);
+        status = need_address("http", settings->http, failure);
     for (int i = 0; i < SEEDS && status == STATUS_OK; i++)
-        status = need("seeds", settings->seeds[i], true, failure);
-    if (status == STATUS_OK && role == SETTINGS_CONTROLLER)
-        status = need("data", settings->data, false, failure);
-    if (status == STATUS_OK && role != SETTINGS_CONTROLLER && settings->data != NULL)
-        status = failure_set(failure, STATUS_BAD_SETTINGS, "data: only a core has a disk");
-    if (status == STATUS_OK && role != SETTINGS_AGENT && settings->worker != NULL)
-        status = failure_set(failure, STATUS_BAD_SETTINGS, "worker: only an agent stands beside one");
-    if (status == STATUS_OK && settings->worker != NULL && !check_name_text(settings->worker))
-        status = failure_set(failure, STATUS_BAD_SETTINGS, "worker: must be letters, digits or ._:-");
-    return status;
+        status = need_address("seeds", settings->seeds[i], failure);
+    return status == STATUS_OK ? role_check(settings, role, failure) : status;
 }
