--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -4,52 +4,56 @@
 #include "loop/loop.h"
 #include "state/worker.h"
 
-/* A stand-in for a real worker, for proof only: it speaks to its agent as any
- * worker does and "runs" tasks by letting time pass. Payload: {"run_ms": n,
- * "failAttempts": n, "save_ms": n} - the first n attempts fail; what is done is saved this
- * often, and the next round goes on from there. */
+/* A stand-in for a real worker, for tests only: it speaks to its agent as any worker does and
+ * "runs" tasks by letting time pass. Used by the simulator and its checkers.
+ *
+ * A task's payload: {"run_ms": ms, "failAttempts": count, "save_ms": ms}. The first failAttempts
+ * attempts fail; a checkpoint is made each save_ms, and the next attempt goes on from it. */
 typedef struct StandWorker StandWorker;
 
-/* Told of what really runs; for the checkers. */
+/* What really runs, as the checkers are told; each may be null. */
 typedef struct StandWorkerWatch {
     void *arg;
     void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
     void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
     /* It has heard that the end of the attempt is known to the leader. */
     void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
-    /* It asks for the first time since its start: a new boot. */
+    /* It is about to report for the first time: a new boot. */
     void (*booted)(void *arg, const char *worker);
-    /* It may run what it runs for so much longer: an answer to a question of its own. */
+    /* Its lease lasts for so much longer, as the answer to a report says. */
     void (*held)(void *arg, const char *worker, int64_t left_ms);
-    /* The attempt that starts next goes on from what was saved. */
+    /* The attempt that starts next goes on from a checkpoint. */
     void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, const char *saved);
     /* It has heard that the attempt is to stop. */
     void (*told)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 } StandWorkerWatch;
 
 typedef struct StandWorkerSettings {
-    Worker worker;
+    Worker worker;     /* what it reports of itself */
     const char *agent; /* HTTP address */
     StandWorkerWatch watch;
-    Room others;        /* room taken by somebody else, told as not free */
-    bool fails_all;     /* claims health, fails every task */
-    bool repeats;       /* now and then an old report is told again, out of order */
-    bool hangs;         /* what it starts stands still */
+    Room others;        /* capacity taken by somebody else, reported as not free */
+    bool fails_all;     /* reports as a healthy one, and fails every task */
+    bool repeats;       /* now and then an old report is sent again, out of order */
+    bool hangs;         /* what it starts makes no progress */
     int64_t slow_times; /* takes so many times as long; 0 or 1: as asked */
 } StandWorkerSettings;
 
+/* Lives on mem; reports to its agent from now on. settings is copied. */
 StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings);
-/* Says that it leaves; takes nothing new from then on. */
+/* Graceful shutdown: reports that it is leaving; nothing new should come from then on. */
 void stand_worker_leave(StandWorker *worker);
+/* Whether what starts from now on fails. */
 void stand_worker_fail(StandWorker *worker, bool fails);
-/* ... and stays for so long. */
+/* Reports that it is leaving and stays for for_ms. */
 void stand_worker_leave_in(StandWorker *worker, int64_t for_ms);
-/* What starts from now on stands still until it is stopped. */
+/* Whether what starts from now on makes no progress, until it is stopped. */
 void stand_worker_hang(StandWorker *worker, bool hangs);
 /* What starts from now on takes so many times as long. */
 void stand_worker_slow(StandWorker *worker, int64_t times);
-/* Tells each report twice, the second time as it was before: a repeated, late one. */
+/* Whether old reports are sent again now and then, as late duplicates. */
 void stand_worker_repeat(StandWorker *worker, bool repeats);
+/* Attempts that have not ended. */
 size_t stand_worker_running(const StandWorker *worker);
 
 #endif
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -1,3 +1,4 @@
+/* The stand-in for callers: hands in a mix of jobs and follows each until it has ended. */
 #include "standin/caller.h"
 
 #include <inttypes.h>
@@ -7,20 +8,22 @@
 
 #include "api/show.h"
 
-#define LASTING_FOR_MS 5000 /* ms; lasting work is cancelled by its caller after this */
+#define LASTING_FOR_MS 5000   /* ms; lasting work is cancelled by its caller after this */
+#define CONFIGURE_ATTEMPTS 60 /* count; each half a second after the last */
 
 struct Caller {
     Loop *loop;
     CallerSettings settings;
     CallerJob **jobs;
-    size_t count, room;
-    size_t open; /* jobs that have neither ended nor been refused */
-    bool stop;   /* is to hand in no more */
-    bool over;   /* hands in no more */
-    uint64_t draw;
-    bool gave_up; /* whatever has not ended is cancelled */
+    size_t count, room; /* of jobs: in use, allocated */
+    size_t open;        /* jobs that have neither ended nor been refused */
+    bool stop;          /* is to hand in no more */
+    bool over;          /* hands in no more */
+    uint64_t draw;      /* the random source's state */
+    bool gave_up;       /* whatever has not ended is cancelled */
 };
 
+/* A coroutine that follows a job; entry, modulo their count, is the next that it calls. */
 typedef struct Following {
     Caller *caller;
     CallerJob *job;
@@ -33,7 +36,8 @@
     return (caller->draw >> 33) % below;
 }
 
-/* One call at the entry; on silence or refusal to serve, the next entry is next. */
+/* Waits. One call at an entry point; on no answer, or a refusal to serve, the next call goes
+ * to the next one. */
 static Status call_once(Following *following, void *mem, const char *method, const char *path, const char *body,
                         HttpCall *call)
 {
@@ -51,71 +55,97 @@
     return status;
 }
 
+/* What a job's submission came to. */
+typedef enum Submitted {
+    SUBMITTED_TAKEN,
+    SUBMITTED_REFUSED,
+    SUBMITTED_UNCLEAR /* to be sent again */
+} Submitted;
+
+/* Waits. Sends the job once; *code is the HTTP code of a refusal. */
+static Submitted submit_once(Following *following, int *code)
+{
+    const Caller *caller = following->caller;
+    const CallerJob *job = following->job;
+    void *mem = talloc_new(following->caller);
+    const char *body = mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms);
+    HttpCall call;
+    const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
+    Submitted submitted = SUBMITTED_UNCLEAR;
+    if (status == STATUS_OK && (call.code == 200 || call.code == 201))
+        submitted = SUBMITTED_TAKEN;
+    else if (status == STATUS_OK && call.code >= 400 && call.code < 500)
+        submitted = SUBMITTED_REFUSED;
+    *code = call.code;
+    talloc_free(mem);
+    return submitted;
+}
+
+static void submit_told(const Following *following, Submitted submitted, int code)
+{
+    const CallerWatch *watch = &following->caller->settings.watch;
+    if (submitted == SUBMITTED_TAKEN && watch->accepted != NULL)
+        watch->accepted(watch->arg, following->job->id);
+    if (submitted == SUBMITTED_REFUSED && watch->refused != NULL)
+        watch->refused(watch->arg, following->job->id, code);
+}
+
+/* Waits. Sends the job until it is taken, which is true, or refused. */
 static bool submit(Following *following)
 {
     Caller *caller = following->caller;
     CallerJob *job = following->job;
     while (!loop_stopping(caller->loop)) {
-        void *mem = talloc_new(caller);
-        const char *body = mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms);
-        HttpCall call;
+        int code;
         job->sends++;
-        const Status status = call_once(following, mem, "POST", "/v1/jobs", body, &call);
-        const bool taken = status == STATUS_OK && (call.code == 200 || call.code == 201);
-        const bool refused = status == STATUS_OK && call.code >= 400 && call.code < 500;
-        talloc_free(mem);
-        if (taken) {
+        const Submitted submitted = submit_once(following, &code);
+        if (submitted == SUBMITTED_TAKEN)
             job->accepted_ms = loop_now_ms(caller->loop);
-            if (caller->settings.watch.accepted != NULL)
-                caller->settings.watch.accepted(caller->settings.watch.arg, job->id);
-            return true;
-        }
-        if (refused) {
+        if (submitted == SUBMITTED_REFUSED)
             job->refused = true;
-            if (caller->settings.watch.refused != NULL)
-                caller->settings.watch.refused(caller->settings.watch.arg, job->id, call.code);
-            return false;
-        }
+        submit_told(following, submitted, code);
+        if (submitted != SUBMITTED_UNCLEAR)
+            return submitted == SUBMITTED_TAKEN;
         loop_sleep(caller->loop, 200 + (int64_t)draw(caller, 200));
     }
     return false;
 }
 
-/* The same job at another entry, at the same time: it counts once. */
+/* The same job at another entry point, at the same time: it counts once. */
 static void twin_main(void *arg)
 {
     Following *following = arg;
-    Caller *caller = following->caller;
-    const CallerJob *job = following->job;
-    void *mem = talloc_new(caller);
-    HttpCall call;
-    const Status status = call_once(following, mem, "POST", "/v1/jobs",
-                                    mix_job(mem, caller->settings.mix, job->kind, job->id, job->wall_ms), &call);
-    if (status == STATUS_OK && (call.code == 200 || call.code == 201) && caller->settings.watch.accepted != NULL)
-        caller->settings.watch.accepted(caller->settings.watch.arg, job->id);
-    if (status == STATUS_OK && call.code >= 400 && call.code < 500 && caller->settings.watch.refused != NULL)
-        caller->settings.watch.refused(caller->settings.watch.arg, job->id, call.code);
-    talloc_free(mem);
+    int code;
+    const Submitted submitted = submit_once(following, &code);
+    submit_told(following, submitted, code);
     talloc_free(following);
 }
 
-static void look(Caller *caller, CallerJob *job, const char *text)
+/* When its first task started: by the caller's clock, from what the job is shown with. */
+static void look_started(CallerJob *job, json_object *body, json_object *tasks)
+{
+    json_object *accepted;
+    if (!json_object_object_get_ex(body, "acceptedMs", &accepted))
+        return;
+    for (size_t i = 0; i < json_object_array_length(tasks); i++) {
+        json_object *started;
+        if (!json_object_object_get_ex(json_object_array_get_idx(tasks, i), "startedMs", &started))
+            continue;
+        const int64_t span_ms = json_object_get_int64(started) - json_object_get_int64(accepted);
+        if (job->started_ms == 0 || job->accepted_ms + span_ms < job->started_ms)
+            job->started_ms = job->accepted_ms + span_ms;
+    }
+}
+
+/* Takes in how the job is shown. */
+static void look(CallerJob *job, const char *text)
 {
     json_object *body = json_tokener_parse(text);
     json_object *value;
     if (body != NULL && json_object_object_get_ex(body, "phase", &value))
         snprintf(job->phase, sizeof(job->phase), "%s", json_object_get_string(value));
     if (body != NULL && job->started_ms == 0 && json_object_object_get_ex(body, "tasks", &value))
-        for (size_t i = 0; i < json_object_array_length(value); i++) {
-            json_object *started, *accepted;
-            if (json_object_object_get_ex(json_object_array_get_idx(value, i), "startedMs", &started) &&
-                json_object_object_get_ex(body, "acceptedMs", &accepted)) {
-                const int64_t span_ms = json_object_get_int64(started) - json_object_get_int64(accepted);
-                if (job->started_ms == 0 || job->accepted_ms + span_ms < job->started_ms)
-                    job->started_ms = job->accepted_ms + span_ms;
-            }
-        }
-    (void)caller;
+        look_started(job, body, value);
     json_object_put(body);
 }
 
@@ -133,48 +163,66 @@
         call_once(following, mem, "DELETE", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
     talloc_free(mem);
     if (status != STATUS_OK || call.code != 200)
-        return; /* again when it is next asked for */
+        return; /* it is tried again when the job is next read */
     job->cancelled = true;
     if (caller->settings.watch.cancelled != NULL)
         caller->settings.watch.cancelled(caller->settings.watch.arg, job->id);
 }
 
+static void ended(Caller *caller, CallerJob *job)
+{
+    job->ended_ms = loop_now_ms(caller->loop);
+    if (caller->settings.watch.ended != NULL)
+        caller->settings.watch.ended(caller->settings.watch.arg, job->id, job->phase);
+}
+
+static void unknown(Caller *caller, CallerJob *job)
+{
+    if (caller->settings.watch.unknown != NULL)
+        caller->settings.watch.unknown(caller->settings.watch.arg, job->id);
+    snprintf(job->phase, sizeof(job->phase), "unknown");
+    job->ended_ms = loop_now_ms(caller->loop);
+}
+
+/* Waits. Reads the job, each time at another entry point: all know it alike. */
+static void follow_once(Following *following)
+{
+    Caller *caller = following->caller;
+    CallerJob *job = following->job;
+    void *mem = talloc_new(caller);
+    HttpCall call;
+    following->entry++;
+    const Status status = call_once(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
+    if (status == STATUS_OK && call.code == 200) {
+        look(job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
+        if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0)
+            ended(caller, job);
+    } else if (status == STATUS_OK && call.code == 404) {
+        unknown(caller, job);
+    }
+    talloc_free(mem);
+}
+
 static void follow_main(void *arg)
 {
     Following *following = arg;
     Caller *caller = following->caller;
-    CallerJob *job = following->job;
+    const CallerJob *job = following->job;
     if (submit(following)) {
         int64_t wait_ms = 400;
         while (!loop_stopping(caller->loop) && job->ended_ms == 0) {
             loop_sleep(caller->loop, wait_ms);
             wait_ms = wait_ms < 1500 ? wait_ms + 200 : wait_ms;
             cancel_maybe(following);
-            void *mem = talloc_new(caller);
-            HttpCall call;
-            following->entry++; /* each time at another entry: all know it alike */
-            const Status status =
-                call_once(following, mem, "GET", talloc_asprintf(mem, "/v1/jobs/%s", job->id), NULL, &call);
-            if (status == STATUS_OK && call.code == 200) {
-                look(caller, job, talloc_strndup(mem, (const char *)call.result.data, call.result.count));
-                if (strcmp(job->phase, "active") != 0 && strcmp(job->phase, "ending") != 0) {
-                    job->ended_ms = loop_now_ms(caller->loop);
-                    if (caller->settings.watch.ended != NULL)
-                        caller->settings.watch.ended(caller->settings.watch.arg, job->id, job->phase);
-                }
-            } else if (status == STATUS_OK && call.code == 404) {
-                if (caller->settings.watch.unknown != NULL)
-                    caller->settings.watch.unknown(caller->settings.watch.arg, job->id);
-                snprintf(job->phase, sizeof(job->phase), "unknown");
-                job->ended_ms = loop_now_ms(caller->loop);
-            }
-            talloc_free(mem);
+            follow_once(following);
         }
     }
     caller->open--;
     talloc_free(following);
 }
 
+/* --- handing in ------------------------------------------------------------------------------ */
+
 /* Trentvale: of ten jobs about seven masks, two sweeps, one rebuild in two
  * seconds; Atlas: of nine about six refreshes, two sweeps, one reindex. */
 static MixClass draw_class(Caller *caller)
@@ -194,6 +242,31 @@
     return at < heavy ? CLASS_HEAVY : at < heavy + sweep ? CLASS_SWEEP : CLASS_URGENT;
 }
 
+static CallerJob *job_new(Caller *caller, size_t n)
+{
+    CallerJob *job = talloc_zero(caller, CallerJob);
+    job->kind = draw_class(caller);
+    job->id = talloc_asprintf(job, "%s-%s-%zu", caller->settings.name, class_word(job->kind), n);
+    job->sent_ms = loop_now_ms(caller->loop);
+    job->wall_ms = loop_wall_ms(caller->loop);
+    if (caller->settings.watch.sent != NULL)
+        caller->settings.watch.sent(caller->settings.watch.arg, job->id);
+    if (caller->count == caller->room) {
+        caller->room = caller->room ? caller->room * 2 : 64;
+        caller->jobs = talloc_realloc(caller, caller->jobs, CallerJob *, (unsigned)caller->room);
+    }
+    caller->jobs[caller->count++] = job;
+    caller->open++;
+    return job;
+}
+
+static void follow_start(Caller *caller, CallerJob *job, size_t entry, const char *name, void (*main)(void *arg))
+{
+    Following *following = talloc_zero(caller, Following);
+    *following = (Following){caller, job, entry};
+    loop_spawn(caller->loop, name, main, following);
+}
+
 static void hand_in_main(void *arg)
 {
     Caller *caller = arg;
@@ -204,27 +277,11 @@
             break;
         if (due_ms > loop_now_ms(caller->loop))
             loop_sleep(caller->loop, due_ms - loop_now_ms(caller->loop));
-        CallerJob *job = talloc_zero(caller, CallerJob);
-        job->kind = draw_class(caller);
-        job->id = talloc_asprintf(job, "%s-%s-%zu", caller->settings.name, class_word(job->kind), n);
-        job->sent_ms = loop_now_ms(caller->loop);
-        job->wall_ms = loop_wall_ms(caller->loop);
-        if (caller->settings.watch.sent != NULL)
-            caller->settings.watch.sent(caller->settings.watch.arg, job->id);
-        if (caller->count == caller->room) {
-            caller->room = caller->room ? caller->room * 2 : 64;
-            caller->jobs = talloc_realloc(caller, caller->jobs, CallerJob *, (unsigned)caller->room);
-        }
-        caller->jobs[caller->count++] = job;
-        caller->open++;
-        Following *following = talloc_zero(caller, Following);
-        *following = (Following){caller, job, draw(caller, caller->settings.entry_count)};
-        loop_spawn(caller->loop, "job", follow_main, following);
-        if (caller->settings.twins && draw(caller, 8) == 0) {
-            Following *twin = talloc_zero(caller, Following);
-            *twin = (Following){caller, job, following->entry + 1};
-            loop_spawn(caller->loop, "twin", twin_main, twin);
-        }
+        CallerJob *job = job_new(caller, n);
+        const size_t entry = draw(caller, caller->settings.entry_count);
+        follow_start(caller, job, entry, "job", follow_main);
+        if (caller->settings.twins && draw(caller, 8) == 0)
+            follow_start(caller, job, entry + 1, "twin", twin_main);
     }
     caller->over = true;
 }
@@ -263,30 +320,44 @@
     return caller->over && caller->open == 0;
 }
 
+/* --- the configuration ------------------------------------------------------------------------- */
+
+/* The version in the result of a read. */
+static int64_t version_of(void *mem, const HttpCall *call)
+{
+    json_object *body = json_tokener_parse(talloc_strndup(mem, (const char *)call->result.data, call->result.count));
+    json_object *version = NULL;
+    json_object_object_get_ex(body, "revision", &version);
+    const int64_t base = json_object_get_int64(version);
+    json_object_put(body);
+    return base;
+}
+
+/* Waits. Sets the mix's configuration upon the one in force. NO_LEADER: to be tried again. */
+static Status configure_once(void *mem, Loop *loop, const char *entry, Mix mix)
+{
+    HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
+    if (loop_call(loop, &call) != STATUS_OK || call.code != 200)
+        return STATUS_NO_LEADER;
+    HttpCall put = {.mem = mem,
+                    .address = entry,
+                    .method = "PUT",
+                    .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, version_of(mem, &call)),
+                    .wait_ms = 3000};
+    bytes_add(mem, &put.body, mix_config(mix), strlen(mix_config(mix)));
+    if (loop_call(loop, &put) != STATUS_OK)
+        return STATUS_NO_LEADER;
+    if (put.code == 200)
+        return STATUS_OK;
+    return put.code >= 400 && put.code < 500 && put.code != 409 ? STATUS_BAD_FIELD : STATUS_NO_LEADER;
+}
+
 Status caller_configure(void *mem, Loop *loop, const char *entry, Mix mix)
 {
-    for (int attempt = 0; attempt < 60; attempt++) {
-        HttpCall call = {.mem = mem, .address = entry, .method = "GET", .path = "/v1/config", .wait_ms = 3000};
-        Status status = loop_call(loop, &call);
-        if (status == STATUS_OK && call.code == 200) {
-            json_object *body =
-                json_tokener_parse(talloc_strndup(mem, (const char *)call.result.data, call.result.count));
-            json_object *version = NULL;
-            json_object_object_get_ex(body, "revision", &version);
-            const int64_t base = json_object_get_int64(version);
-            json_object_put(body);
-            HttpCall put = {.mem = mem,
-                            .address = entry,
-                            .method = "PUT",
-                            .path = talloc_asprintf(mem, "/v1/config?base=%" PRId64, base),
-                            .wait_ms = 3000};
-            bytes_add(mem, &put.body, mix_config(mix), strlen(mix_config(mix)));
-            status = loop_call(loop, &put);
-            if (status == STATUS_OK && put.code == 200)
-                return STATUS_OK;
-            if (status == STATUS_OK && put.code >= 400 && put.code < 500 && put.code != 409)
-                return STATUS_BAD_FIELD;
-        }
+    for (int attempt = 0; attempt < CONFIGURE_ATTEMPTS; attempt++) {
+        const Status status = configure_once(mem, loop, entry, mix);
+        if (status != STATUS_NO_LEADER)
+            return status;
         loop_sleep(loop, 500);
     }
     return STATUS_NO_LEADER;
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -1,261 +1,135 @@
+/* The stand-in for a worker as its agent meets it: reports, and what the answers ask for. */
 #include "standin/worker.h"
 
 #include <inttypes.h>
 #include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "api/show.h"
-#include "base/map.h"
+#include "run.h"
 
-typedef struct Run {
-    struct Run *next;
-    StandWorker *worker;
-    const char *job;
-    uint64_t task, attempt;
-    Room room;
-    int64_t began_ms, end_ms;
-    int64_t from_ms, save_ms, times; /* progress: from where it began, how often it is saved, how slow */
-    char saved[ID_MAX + 48];         /* "TASK@MS of JOB"; empty: nothing */
-    bool fails;
-    bool ended;
-    AttemptWord word;
-    Signal stopped;
-} Run;
+/* --- the agent's answers ---------------------------------------------------------------------- */
 
-/* Invariants: nothing runs past until_ms, which counts from when the question
- * was sent that brought the lease; an ended run is told until it is known; fence is
- * the highest seen, and an answer with a lower one does nothing; highest holds of
- * each task the highest round that was stopped or ended here. */
-struct StandWorker {
-    Loop *loop;
-    StandWorkerSettings settings;
-    char boot[24];
-    int64_t until_ms;
-    uint64_t fence, seq;
-    Map *highest;
-    bool leaving;
-    int64_t leave_at_ms; /* leaving: it stays until then; 0: not told */
-    Run *runs;
-    HttpCall *asking; /* the one question that is out; its answer may carry a lease */
-};
-
-static char *task_key(void *mem, const char *job, uint64_t task)
+/* The attempt that an entry of the answer names; null: it is not here. */
+static Run *run_of(StandWorker *worker, json_object *one)
 {
-    return talloc_asprintf(mem, "%" PRIu64 " %s", task, job);
+    return run_find(worker, json_text_of(one, "job"), (uint64_t)json_int_of(one, "task", 0),
+                    (uint64_t)json_int_of(one, "round", 0));
 }
 
-static void highest_set(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt)
+/* The end of an attempt is known to the leader: it is reported no more. */
+static void known_take(StandWorker *worker, json_object *one)
 {
-    char *key = task_key(worker, job, task);
-    if ((uint64_t)(uintptr_t)map_get(worker->highest, key) < attempt)
-        map_set(worker->highest, key, (void *)(uintptr_t)attempt);
-    talloc_free(key);
+    Run *run = run_of(worker, one);
+    if (run == NULL || !run->ended)
+        return;
+    if (worker->settings.watch.known != NULL)
+        worker->settings.watch.known(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                     run->attempt, run->word);
+    run_forget(run);
 }
 
-/* What is done by now, in steps of save_ms; at a stop, all of it. */
-static void run_save(Run *run, bool all)
+static void stop_take(StandWorker *worker, json_object *one)
 {
-    const int64_t ran_ms = (loop_now_ms(run->worker->loop) - run->began_ms) / run->times;
-    int64_t done_ms = run->from_ms + ran_ms;
-    if (!all)
-        done_ms -= done_ms % run->save_ms;
-    if (run->save_ms > 0 && done_ms > run->from_ms)
-        snprintf(run->saved, sizeof(run->saved), "%" PRIu64 "@%" PRId64 " of %s", run->task, done_ms, run->job);
+    Run *run = run_of(worker, one);
+    if (run == NULL) /* one that has not come yet is barred */
+        run_bar(worker, json_text_of(one, "job"), (uint64_t)json_int_of(one, "task", 0),
+                (uint64_t)json_int_of(one, "round", 0));
+    if (run == NULL || run->ended)
+        return;
+    if (worker->settings.watch.told != NULL)
+        worker->settings.watch.told(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                    run->attempt);
+    run_end(run, ATTEMPT_STOPPED);
 }
 
-static void run_end(Run *run, AttemptWord word)
+static size_t list_of(json_object *body, const char *key, json_object **list)
 {
-    if (run->ended)
-        return;
-    StandWorker *worker = run->worker;
-    if (run->save_ms > 0)
-        run_save(run, word == ATTEMPT_STOPPED);
-    highest_set(worker, run->job, run->task, run->attempt);
-    run->ended = true;
-    run->word = word;
-    if (worker->settings.watch.ended != NULL)
-        worker->settings.watch.ended(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                     run->attempt, word);
-    signal_raise(worker->loop, &run->stopped);
-    /* never two questions at once: the one that waits is given up for a new one */
-    if (worker->asking != NULL)
-        loop_call_cut(worker->loop, worker->asking);
+    return json_object_object_get_ex(body, key, list) ? json_object_array_length(*list) : 0;
 }
 
-/* On waking, the clock is looked at before anything else. */
-static bool lease_over(StandWorker *worker)
+/* The lease of an answer counts from when its report was sent. False: the answer is of an
+ * earlier fence, or the lease is over. */
+static bool lease_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    if (loop_now_ms(worker->loop) < worker->until_ms)
+    const int64_t lease_ms = json_int_of(body, "holdMs", 0);
+    const uint64_t fence = (uint64_t)json_int_of(body, "fence", 0);
+    if (fence < worker->fence)
         return false;
-    for (Run *run = worker->runs; run != NULL; run = run->next)
-        run_end(run, ATTEMPT_LAPSED);
+    worker->fence = fence;
+    if (sent_ms + lease_ms > worker->until_ms)
+        worker->until_ms = sent_ms + lease_ms;
+    if (runs_lapse(worker))
+        return false;
+    if (worker->settings.watch.held != NULL)
+        worker->settings.watch.held(worker->settings.watch.arg, worker->settings.worker.name,
+                                    worker->until_ms - loop_now_ms(worker->loop));
     return true;
 }
 
-static void run_main(void *arg)
-{
-    Run *run = arg;
-    StandWorker *worker = run->worker;
-    while (!run->ended) {
-        const int64_t wake_ms = run->end_ms < worker->until_ms ? run->end_ms : worker->until_ms;
-        signal_wait(worker->loop, &run->stopped, wake_ms);
-        if (run->ended || lease_over(worker))
-            break;
-        if (loop_now_ms(worker->loop) >= run->end_ms)
-            run_end(run, run->fails ? ATTEMPT_FAILED : ATTEMPT_DONE);
-    }
-}
-
-/* How far it has come. */
-static int64_t percent_of(const Run *run)
-{
-    const int64_t whole_ms = run->end_ms - run->began_ms, ran_ms = loop_now_ms(run->worker->loop) - run->began_ms;
-    return whole_ms <= 0 || ran_ms >= whole_ms ? 100 : (int64_t)((double)ran_ms * 100 / (double)whole_ms);
-}
-
-static Run *run_find(StandWorker *worker, const char *job, uint64_t task, uint64_t attempt)
+static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
 {
-    for (Run *run = worker->runs; run != NULL; run = run->next)
-        if (run->attempt == attempt && run->task == task && strcmp(run->job, job) == 0)
-            return run;
-    return NULL;
+    if (!lease_take(worker, body, sent_ms))
+        return;
+    json_object *list;
+    const size_t known_count = list_of(body, "known", &list);
+    for (size_t i = 0; i < known_count; i++)
+        known_take(worker, json_object_array_get_idx(list, i));
+    const size_t stop_count = list_of(body, "stops", &list);
+    for (size_t i = 0; i < stop_count; i++)
+        stop_take(worker, json_object_array_get_idx(list, i));
+    /* also while it leaves: that nothing comes then is what is to be shown */
+    const size_t start_count = list_of(body, "starts", &list);
+    for (size_t i = 0; i < start_count; i++)
+        run_start(worker, json_object_array_get_idx(list, i), sent_ms);
 }
 
-static int64_t int_of(json_object *object, const char *key, int64_t otherwise)
-{
-    json_object *value;
-    return json_object_is_type(object, json_type_object) && json_object_object_get_ex(object, key, &value)
-               ? json_object_get_int64(value)
-               : otherwise;
-}
+/* --- reports ------------------------------------------------------------------------------------- */
 
-static const char *text_of(json_object *object, const char *key)
+static uint64_t less_or_none(uint64_t whole, uint64_t used)
 {
-    json_object *value;
-    return json_object_object_get_ex(object, key, &value) ? json_object_get_string(value) : "";
+    return whole > used ? whole - used : 0;
 }
 
-static void start_take(StandWorker *worker, json_object *start, int64_t sent_ms)
+/* What is not taken by its attempts or, where it says its capacity, by somebody else. */
+static Room free_of(const StandWorker *worker)
 {
-    const int64_t now_ms = loop_now_ms(worker->loop);
-    const char *job = text_of(start, "job");
-    const uint64_t task = (uint64_t)int_of(start, "task", 0), attempt = (uint64_t)int_of(start, "round", 0);
-    if (now_ms >= sent_ms + int_of(start, "expiryMs", 0) || now_ms >= worker->until_ms ||
-        run_find(worker, job, task, attempt) != NULL)
-        return;
-    void *mem = talloc_new(worker);
-    const uint64_t highest = (uint64_t)(uintptr_t)map_get(worker->highest, task_key(mem, job, task));
-    talloc_free(mem);
-    json_object *payload = NULL, *room = NULL;
-    json_object_object_get_ex(start, "payload", &payload);
-    json_object_object_get_ex(start, "room", &room);
-    Run *run = talloc_zero(worker, Run);
-    run->worker = worker;
-    run->job = talloc_strdup(run, job);
-    run->task = task;
-    run->attempt = attempt;
-    json_object *cpu = NULL;
-    json_object_object_get_ex(room, "cpu", &cpu);
-    run->room = (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)int_of(room, "memMb", 0),
-                       (uint64_t)int_of(room, "gpu", 0)};
-    run->times = worker->settings.slow_times > 1 ? worker->settings.slow_times : 1;
-    run->save_ms = int_of(payload, "saveMs", 0);
-    run->began_ms = now_ms;
-    snprintf(run->saved, sizeof(run->saved), "%s", text_of(start, "saved"));
-    const char *at = strchr(run->saved, '@');
-    run->from_ms = at != NULL ? strtoll(at + 1, NULL, 10) : 0;
-    run->end_ms = now_ms + (int_of(payload, "runMs", 1000) - run->from_ms) * run->times;
-    if (worker->settings.hangs)
-        run->end_ms = INT64_MAX / 2;
-    run->fails = worker->settings.fails_all || (int64_t)attempt <= int_of(payload, "failRounds", 0);
-    run->next = worker->runs;
-    worker->runs = run;
-    if (attempt <= highest) { /* it is not above one that was here: turned away */
-        run->ended = true;
-        run->word = ATTEMPT_REFUSED;
-        return;
-    }
-    if (run->saved[0] != '\0' && worker->settings.watch.resumed != NULL)
-        worker->settings.watch.resumed(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                       run->attempt, run->saved);
-    if (worker->settings.watch.started != NULL)
-        worker->settings.watch.started(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                       run->attempt, run->room);
-    loop_spawn(worker->loop, "run", run_main, run);
+    const Room whole = worker->settings.worker.room;
+    Room used = whole.cpu_milli ? worker->settings.others : (Room){0};
+    for (const Run *run = worker->runs; run != NULL; run = run->next)
+        if (!run->ended) {
+            used.cpu_milli += run->room.cpu_milli;
+            used.mem_mb += run->room.mem_mb;
+            used.gpu += run->room.gpu;
+        }
+    return (Room){less_or_none(whole.cpu_milli, used.cpu_milli), less_or_none(whole.mem_mb, used.mem_mb),
+                  less_or_none(whole.gpu, used.gpu)};
 }
 
-static void answer_take(StandWorker *worker, json_object *body, int64_t sent_ms)
+static json_object *run_shown(Run *run)
 {
-    const int64_t lease_ms = int_of(body, "holdMs", 0);
-    const uint64_t fence = (uint64_t)int_of(body, "fence", 0);
-    if (fence < worker->fence)
-        return;
-    worker->fence = fence;
-    if (sent_ms + lease_ms > worker->until_ms)
-        worker->until_ms = sent_ms + lease_ms;
-    if (lease_over(worker))
-        return;
-    if (worker->settings.watch.held != NULL)
-        worker->settings.watch.held(worker->settings.watch.arg, worker->settings.worker.name,
-                                    worker->until_ms - loop_now_ms(worker->loop));
-    json_object *list;
-    if (json_object_object_get_ex(body, "known", &list))
-        for (size_t i = 0; i < json_object_array_length(list); i++) {
-            json_object *one = json_object_array_get_idx(list, i);
-            Run *run = run_find(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
-                                (uint64_t)int_of(one, "round", 0));
-            if (run == NULL || !run->ended)
-                continue;
-            if (worker->settings.watch.known != NULL)
-                worker->settings.watch.known(worker->settings.watch.arg, worker->settings.worker.name, run->job,
-                                             run->task, run->attempt, run->word);
-            for (Run **at = &worker->runs; *at != NULL; at = &(*at)->next)
-                if (*at == run) {
-                    *at = run->next;
-                    break;
-                }
-            /* its task may still have to see that it ended: the memory goes with the worker */
-        }
-    if (json_object_object_get_ex(body, "stops", &list))
-        for (size_t i = 0; i < json_object_array_length(list); i++) {
-            json_object *one = json_object_array_get_idx(list, i);
-            Run *run = run_find(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
-                                (uint64_t)int_of(one, "round", 0));
-            if (run == NULL) /* one that has not come yet will be turned away */
-                highest_set(worker, text_of(one, "job"), (uint64_t)int_of(one, "task", 0),
-                            (uint64_t)int_of(one, "round", 0));
-            if (run == NULL || run->ended)
-                continue;
-            if (worker->settings.watch.told != NULL)
-                worker->settings.watch.told(worker->settings.watch.arg, worker->settings.worker.name, run->job,
-                                            run->task, run->attempt);
-            run_end(run, ATTEMPT_STOPPED);
-        }
-    /* also while it leaves: that nothing comes then is what is to be shown */
-    if (json_object_object_get_ex(body, "starts", &list))
-        for (size_t i = 0; i < json_object_array_length(list); i++)
-            start_take(worker, json_object_array_get_idx(list, i), sent_ms);
+    json_object *one = json_object_new_object();
+    if (!run->ended)
+        run_save(run);
+    json_object_object_add(one, "job", json_object_new_string(run->job));
+    json_object_object_add(one, "task", json_object_new_int64((int64_t)run->task));
+    json_object_object_add(one, "round", json_object_new_int64((int64_t)run->attempt));
+    if (run->saved[0] != '\0')
+        json_object_object_add(one, "saved", json_object_new_string(run->saved));
+    if (!run->ended)
+        json_object_object_add(one, "percent", json_object_new_int64(run_percent(run)));
+    if (run->ended)
+        json_object_object_add(one, "word", json_object_new_string(attempt_word(run->word)));
+    return one;
 }
 
 static json_object *report_of(StandWorker *worker)
 {
-    const Worker *self = &worker->settings.worker;
-    json_object *body = show_worker(self);
+    json_object *body = show_worker(&worker->settings.worker);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
-    Room used = self->room.cpu_milli ? worker->settings.others : (Room){0};
-    for (const Run *run = worker->runs; run != NULL; run = run->next)
-        if (!run->ended) {
-            used.cpu_milli += run->room.cpu_milli;
-            used.mem_mb += run->room.mem_mb;
-            used.gpu += run->room.gpu;
-        }
-    const Room free = {self->room.cpu_milli > used.cpu_milli ? self->room.cpu_milli - used.cpu_milli : 0,
-                       self->room.mem_mb > used.mem_mb ? self->room.mem_mb - used.mem_mb : 0,
-                       self->room.gpu > used.gpu ? self->room.gpu - used.gpu : 0};
-    json_object_object_add(body, "free", show_room(free));
+    json_object_object_add(body, "free", show_room(free_of(worker)));
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
@@ -263,29 +137,17 @@
     if (worker->leaving && stays_ms > 0)
         json_object_object_add(body, "leaveMs", json_object_new_int64(stays_ms));
     json_object_object_add(body, "waitMs", json_object_new_int64(WORKER_POLL_MS));
-    json_object *running = json_object_new_array(), *ended = json_object_new_array();
-    for (Run *run = worker->runs; run != NULL; run = run->next) {
-        json_object *one = json_object_new_object();
-        if (run->save_ms > 0 && !run->ended)
-            run_save(run, false);
-        json_object_object_add(one, "job", json_object_new_string(run->job));
-        json_object_object_add(one, "task", json_object_new_int64((int64_t)run->task));
-        json_object_object_add(one, "round", json_object_new_int64((int64_t)run->attempt));
-        if (run->saved[0] != '\0')
-            json_object_object_add(one, "saved", json_object_new_string(run->saved));
-        if (!run->ended)
-            json_object_object_add(one, "percent", json_object_new_int64(percent_of(run)));
-        if (run->ended)
-            json_object_object_add(one, "word", json_object_new_string(attempt_word(run->word)));
-        json_object_array_add(run->ended ? ended : running, one);
-    }
+    json_object *running = json_object_new_array();
+    json_object *ended = json_object_new_array();
+    for (Run *run = worker->runs; run != NULL; run = run->next)
+        json_object_array_add(run->ended ? ended : running, run_shown(run));
     json_object_object_add(body, "running", running);
     json_object_object_add(body, "ended", ended);
     return body;
 }
 
-/* Tells again what was told before, its answer unheard: a report repeated and out
- * of order, as a retry lower down makes them. */
+/* Waits. Sends the last report once more and drops its answer: a duplicate out of order, as a
+ * retry lower down makes them. */
 static void repeat_last(StandWorker *worker, void *mem, const char *path, const char *last)
 {
     HttpCall call = {.mem = mem, .address = worker->settings.agent, .method = "POST", .path = path, .wait_ms = 20};
@@ -293,6 +155,36 @@
     loop_call(worker->loop, &call);
 }
 
+/* Waits. Sends one report and takes its answer; *last becomes the report when reports are to
+ * be repeated. */
+static void report_once(StandWorker *worker, void *mem, const char *path, char **last)
+{
+    json_object *body = report_of(worker);
+    const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
+    HttpCall call = {.mem = mem,
+                     .address = worker->settings.agent,
+                     .method = "POST",
+                     .path = path,
+                     .wait_ms = WORKER_POLL_MS + ASK_TIMEOUT_MS};
+    bytes_add(mem, &call.body, text, strlen(text));
+    talloc_free(*last);
+    *last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
+    json_object_put(body);
+    const int64_t sent_ms = loop_now_ms(worker->loop);
+    worker->asking = &call;
+    const Status status = loop_call(worker->loop, &call);
+    worker->asking = NULL;
+    if (status == STATUS_OK && call.code == 200) {
+        char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
+        json_object *answer = json_tokener_parse(copy);
+        if (answer != NULL)
+            answer_take(worker, answer, sent_ms);
+        json_object_put(answer);
+    } else if (!call.cut) {
+        loop_sleep(worker->loop, 100);
+    }
+}
+
 static void report_main(void *arg)
 {
     StandWorker *worker = arg;
@@ -301,37 +193,17 @@
         worker->settings.watch.booted(worker->settings.watch.arg, worker->settings.worker.name);
     while (!loop_stopping(worker->loop)) {
         void *mem = talloc_new(worker);
+        const char *path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name);
         if (worker->settings.repeats && last != NULL && loop_random(worker->loop) % 4 == 0)
-            repeat_last(worker, mem, talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name), last);
-        lease_over(worker);
-        json_object *body = report_of(worker);
-        const char *text = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN);
-        HttpCall call = {.mem = mem,
-                         .address = worker->settings.agent,
-                         .method = "POST",
-                         .path = talloc_asprintf(mem, "/v1/workers/%s/report", worker->settings.worker.name),
-                         .wait_ms = WORKER_POLL_MS + ASK_TIMEOUT_MS};
-        bytes_add(mem, &call.body, text, strlen(text));
-        talloc_free(last);
-        last = worker->settings.repeats ? talloc_strdup(worker, text) : NULL;
-        json_object_put(body);
-        const int64_t sent_ms = loop_now_ms(worker->loop);
-        worker->asking = &call;
-        const Status status = loop_call(worker->loop, &call);
-        worker->asking = NULL;
-        if (status == STATUS_OK && call.code == 200) {
-            char *copy = talloc_strndup(mem, (const char *)call.result.data, call.result.count);
-            json_object *answer = json_tokener_parse(copy);
-            if (answer != NULL)
-                answer_take(worker, answer, sent_ms);
-            json_object_put(answer);
-        } else if (!call.cut) {
-            loop_sleep(worker->loop, 100);
-        }
+            repeat_last(worker, mem, path, last);
+        runs_lapse(worker);
+        report_once(worker, mem, path, &last);
         talloc_free(mem);
     }
 }
 
+/* --- its life ------------------------------------------------------------------------------------- */
+
 StandWorker *stand_worker_start(void *mem, Loop *loop, const StandWorkerSettings *settings)
 {
     StandWorker *worker = talloc_zero(mem, StandWorker);
