--- a/packages/api/test/job_json.c
+++ b/packages/api/test/job_json.c
@@ -22,7 +22,7 @@
     return faults;
 }
 
-static void taken(void **state)
+static void every_field_is_read(void **state)
 {
     (void)state;
     static const char TEXT[] =
@@ -58,7 +58,7 @@
     talloc_free(faults);
 }
 
-static void faulty(void **state)
+static void every_fault_has_its_path(void **state)
 {
     (void)state;
     static const struct {
@@ -93,7 +93,7 @@
 }
 
 /* Its address says where it belongs, and the text must not. */
-static void at_its_address(void **state)
+static void address_says_where_the_job_belongs(void **state)
 {
     (void)state;
     Faults *faults = faults_new();
@@ -115,7 +115,7 @@
     talloc_free(faults);
 }
 
-static void shown(void **state)
+static void job_is_shown_with_its_terms(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -158,7 +158,8 @@
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(taken), cmocka_unit_test(faulty),
-                                       cmocka_unit_test(at_its_address), cmocka_unit_test(shown)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(every_field_is_read), cmocka_unit_test(every_fault_has_its_path),
+        cmocka_unit_test(address_says_where_the_job_belongs), cmocka_unit_test(job_is_shown_with_its_terms)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -10,7 +10,7 @@
 
 #include "policy/lua.h"
 
-static void refused(void **state)
+static void bad_policy_is_refused(void **state)
 {
     (void)state;
     static const struct {
@@ -57,7 +57,7 @@
     return (PolicySight){.job = job, .step = step, .queue_priority = 2, .waited_ms = waited_ms, .cell_share = 500};
 }
 
-static void decides(void **state)
+static void policy_ranks_and_preempts(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -83,7 +83,7 @@
 }
 
 /* One that passes the check and fails later falls back, counted, again and again. */
-static void falls_back(void **state)
+static void failing_call_gives_the_plain_answer(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -116,9 +116,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(refused),
-        cmocka_unit_test(decides),
-        cmocka_unit_test(falls_back),
+        cmocka_unit_test(bad_policy_is_refused),
+        cmocka_unit_test(policy_ranks_and_preempts),
+        cmocka_unit_test(failing_call_gives_the_plain_answer),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/routing/test/pieces.c
+++ b/packages/routing/test/pieces.c
@@ -72,7 +72,7 @@
     return set;
 }
 
-static void put_together(void **state)
+static void pieces_make_the_document(void **state)
 {
     Hand *hand = hand_new();
     (void)state;
@@ -86,7 +86,7 @@
 }
 
 /* What has begun is of one version; later ones do not mix with it. */
-static void changed_meanwhile(void **state)
+static void change_meanwhile_keeps_the_version(void **state)
 {
     Hand *hand = hand_new();
     ConfigSet set;
@@ -105,7 +105,7 @@
 }
 
 /* A version that the history has dropped since is begun anew, as the newest. */
-static void dropped_meanwhile(void **state)
+static void dropped_version_begins_anew(void **state)
 {
     Hand *hand = hand_new();
     ConfigSet set;
@@ -121,7 +121,7 @@
 }
 
 /* Another leader's document of the same number is another one. */
-static void other_term(void **state)
+static void other_leader_begins_anew(void **state)
 {
     static const char OTHER[] = "{\"note\":\"another text, that is longer than one piece or two of them\",\"r\":1}";
     Hand *hand = hand_new();
@@ -137,7 +137,7 @@
 }
 
 /* Two askers, one of whom began before a change: one text serves both. */
-static void one_text_for_all(void **state)
+static void all_askers_share_one_text(void **state)
 {
     Hand *hand = hand_new();
     Pieces later = {.mem = hand};
@@ -158,7 +158,7 @@
 }
 
 /* A piece that does not follow what is there is not added to it. */
-static void strange_piece(void **state)
+static void strange_piece_is_dropped(void **state)
 {
     Hand *hand = hand_new();
     ConfigSet set;
@@ -186,8 +186,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(put_together), cmocka_unit_test(changed_meanwhile), cmocka_unit_test(dropped_meanwhile),
-        cmocka_unit_test(other_term),   cmocka_unit_test(one_text_for_all),  cmocka_unit_test(strange_piece),
+        cmocka_unit_test(pieces_make_the_document),    cmocka_unit_test(change_meanwhile_keeps_the_version),
+        cmocka_unit_test(dropped_version_begins_anew), cmocka_unit_test(other_leader_begins_anew),
+        cmocka_unit_test(all_askers_share_one_text),   cmocka_unit_test(strange_piece_is_dropped),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/template/test/template.c
+++ b/packages/template/test/template.c
@@ -32,7 +32,7 @@
     return faults;
 }
 
-static void fills(void **state)
+static void template_is_filled_in(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -45,7 +45,7 @@
     talloc_free(mem);
 }
 
-static void refuses_parameters(void **state)
+static void wrong_parameters_are_refused(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -77,7 +77,7 @@
     return text;
 }
 
-static void overlays(void **state)
+static void overlay_changes_adds_and_removes(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
@@ -96,7 +96,8 @@
 
 int main(void)
 {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(fills), cmocka_unit_test(refuses_parameters),
-                                       cmocka_unit_test(overlays)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(template_is_filled_in),
+                                       cmocka_unit_test(wrong_parameters_are_refused),
+                                       cmocka_unit_test(overlay_changes_adds_and_removes)};
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
