--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -1,4 +1,4 @@
-/* Finding a protocol adapter, and the way from it into the process that it serves. */
+/* Finding a protocol adapter, and the calls from it into the process that it serves. */
 #include "adapter/adapter.h"
 
 #include <assert.h>
--- a/packages/api/test/job_json.c
+++ b/packages/api/test/job_json.c
@@ -1,4 +1,4 @@
-/* Jobs as callers write them: what is taken from each field, and each fault by its path. */
+/* Jobs as callers write them: what is read from each field, and each fault by its path. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -92,7 +92,7 @@
     }
 }
 
-/* Its address says where it belongs, and the text must not. */
+/* The address says where the job belongs, and the text must not. */
 static void address_says_where_the_job_belongs(void **state)
 {
     (void)state;
--- a/packages/routing/include/routing/config_watch.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -12,7 +12,7 @@
  * its limits, which are put in force here. Used by entry points, agents and controllers
  * without a copy; the leader answers with config_watch_answer.
  *
- * The document itself is kept for repair only: what the disks lose is told again. Small
+ * The document itself is kept for repair only: what the disks lose is sent again. Small
  * differences come at once, a whole document once nothing has changed for a while, so that
  * a storm of changes does not fill a narrow link.
  * Invariant: versions never has a version above the one known to be in force. */
@@ -32,7 +32,7 @@
 uint64_t config_watch_size(const ConfigWatch *config_watch);
 /* The version whose whole document is kept for repair; 0: none. */
 uint64_t config_watch_held(const ConfigWatch *config_watch);
-/* Appends what is kept of the document, on mem, to what is told to a leader in repair that
+/* Appends what is kept of the document, on mem, to what is sent to a leader in repair that
  * has the version have. */
 void config_watch_notify(const ConfigWatch *config_watch, void *mem, uint64_t have, RepairList *list);
 
--- a/packages/routing/include/routing/messages.h
+++ b/packages/routing/include/routing/messages.h
@@ -4,7 +4,7 @@
 #include "state/change.h"
 
 /* The messages of request routing: a forwarded request, the configuration watch, and the
- * changes that are told again to a leader in repair. Field names and their order are the
+ * changes that are sent again to a leader in repair. Field names and their order are the
  * wire format: new fields are added at the end only, and an older process skips them. */
 
 /* A committed change, as it is kept by processes that heard of it first. */
--- a/packages/routing/include/routing/repair_buffer.h
+++ b/packages/routing/include/routing/repair_buffer.h
@@ -5,7 +5,7 @@
 #include "loop/loop.h"
 
 /* The repair buffer: committed changes that this process heard of first are kept for a
- * while, so that they can be told again to a leader whose disks have lost them. Used by
+ * while, so that they can be sent again to a leader whose disks have lost them. Used by
  * entry points, agents and controllers.
  *
  * A change is at risk as long as the disks that acknowledged it may lose it, which nobody
--- a/packages/routing/include/routing/ways.h
+++ b/packages/routing/include/routing/ways.h
@@ -18,7 +18,7 @@
 
 /* Lives on mem; loop, RPC endpoint and members outlive it. No next hop is known at first. */
 Ways *ways_new(void *mem, Loop *loop, Rpc *rpc, Members *members, WaysLeads leads, const void *arg);
-/* Starts to follow the members' news of the leader. */
+/* Starts to follow who leads, as the membership is notified of it. */
 void ways_start(Ways *ways);
 
 /* The next hop, as it was taken. Invariant: turn is that of the route then; the route has
@@ -49,7 +49,7 @@
 void ways_heard(Ways *ways, const WaysTaken *taken, bool serves);
 /* When something last came back along the route in use; INT64_MIN: never. */
 int64_t ways_heard_ms(const Ways *ways);
-/* Takes in who leads, as a process that does not lead told with its refusal. */
+/* Takes in who leads, as a process that does not lead said with its refusal. */
 void ways_told(Ways *ways, const ForwardAnswer *answer);
 /* Whether a leader serves: one was heard to, and has not been missed for longer than a
  * change of leader takes. */
--- a/packages/routing/src/config_watch.c
+++ b/packages/routing/src/config_watch.c
@@ -182,7 +182,7 @@
     loop_spawn(config_watch->loop, "feeds", config_watch_main, config_watch);
 }
 
-/* The first row to tell to a leader that has a version: where what it has is not the base of a
+/* The first row to send to a leader that has a version: where what it has is not the base of a
  * difference, the oldest whole document. */
 static size_t tell_from(const Versions *versions, uint64_t have)
 {
--- a/packages/routing/src/configset.h
+++ b/packages/routing/src/configset.h
@@ -5,7 +5,7 @@
 #include "state/versions.h"
 
 /* How a version of the configuration travels outside of the replicated log: as the change
- * that brought it, told again. Used by the leader's answer, by the pieces of a large document
+ * that brought it, sent again. Used by the leader's answer, by the pieces of a large document
  * and by the repair of a leader whose disks have forgotten. */
 
 #define CONFIG_WATCH_EAGER_BYTES 16384 /* bytes; so much of a document comes at once: 65 ms of a 2 Mbit/s link */
--- a/packages/routing/src/forwarding.c
+++ b/packages/routing/src/forwarding.c
@@ -40,7 +40,7 @@
 }
 
 /* Waits. The next leader can't say yet whether an earlier one took the request: it is in
- * repair, being told what the disks lost. True: it is to be asked again, now that the
+ * repair, being sent again what the disks lost. True: it is to be asked again, now that the
  * back-off has passed. */
 static bool repair_awaited(const Forwarding *one, const ForwardAnswer *answer)
 {
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -10,7 +10,7 @@
 /* Waits. Sends a request to the process that was chosen and waits at most wait_ms for its
  * answer, which lives on mem. sending may be null; else it tells whether the request has
  * left, and lets the asker cancel it. Returns the transport's status, or the refusal of
- * the process that was asked; on a refusal the answer holds what it told of the leader. */
+ * the process that was asked; on a refusal the answer names the leader that it knows of. */
 Status hop_ask(Rpc *rpc, void *mem, const WaysTaken *taken, RpcSending *sending, const ForwardAsk *ask, int64_t wait_ms,
                ForwardAnswer *answer);
 
--- a/packages/routing/src/ways.c
+++ b/packages/routing/src/ways.c
@@ -39,7 +39,7 @@
         ways_move_on(ways);
     else
         ways_enter_lost(ways);
-    ways_search(ways); /* its address may yet be told */
+    ways_search(ways); /* its address may become known later */
 }
 
 static void leader_main(void *arg)
--- a/packages/routing/src/waystate.h
+++ b/packages/routing/src/waystate.h
@@ -48,7 +48,7 @@
     Signal moved;
 };
 
-/* The state, as lost_ms and at hold it. */
+/* The state; it is derived from lost_ms and at, and stored nowhere else. */
 WaysState ways_state(const Ways *ways);
 /* A new turn: whoever waits on the route is woken. */
 void ways_move_on(Ways *ways);
--- a/packages/routing/test/pieces.c
+++ b/packages/routing/test/pieces.c
@@ -1,5 +1,5 @@
-/* A document that comes in pieces: what is put together is what was committed, whatever
- * the leader's history has become meanwhile. */
+/* A document that comes in pieces: what is put together is what was committed, whatever the
+ * leader's history has become meanwhile. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -85,7 +85,7 @@
     talloc_free(hand);
 }
 
-/* What has begun is of one version; later ones do not mix with it. */
+/* A fetch that has begun is of one version; later ones do not mix with it. */
 static void change_meanwhile_keeps_the_version(void **state)
 {
     Hand *hand = hand_new();
@@ -131,7 +131,7 @@
     hand->versions = versions_new(hand, KEPT, KEPT);
     change(hand, 1, OTHER, false);
     hand->term++;
-    pieces_drop(&hand->pieces); /* as the feed does with each other leader */
+    pieces_drop(&hand->pieces); /* as the configuration watch does with each other leader */
     assert_string_equal(whole(hand, &hand->pieces).text, OTHER);
     talloc_free(hand);
 }
--- a/packages/standin/include/standin/caller.h
+++ b/packages/standin/include/standin/caller.h
@@ -71,7 +71,7 @@
     char phase[16]; /* as it was last shown */
 } CallerJob;
 
-/* What the checkers are told; each may be null. */
+/* What is reported to the checkers; each may be null. */
 typedef struct CallerWatch {
     void *arg;
     void (*sent)(void *arg, const char *id); /* it is about to be sent for the first time */
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -11,7 +11,7 @@
  * attempts fail; a checkpoint is made each save_ms, and the next attempt goes on from it. */
 typedef struct StandWorker StandWorker;
 
-/* What really runs, as the checkers are told; each may be null. */
+/* What really runs, as it is reported to the checkers; each may be null. */
 typedef struct StandWorkerWatch {
     void *arg;
     void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
--- a/packages/standin/src/mixjob.c
+++ b/packages/standin/src/mixjob.c
@@ -53,7 +53,7 @@
 {
     switch (kind) {
     case CLASS_GANG: /* one gang in four has members that fail their first attempt; one in eight
-                      * runs for so long that a member left alone is noticed */
+                      * runs for so long that an isolated member is noticed */
         return talloc_asprintf(mem,
                                "\"count\":4,\"gang\":true,\"room\":{\"cpu\":2,\"memMb\":1024},"
                                "\"payload\":{\"runMs\":%d,\"failRounds\":%d}",
