--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -124,8 +124,8 @@
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const AttemptSaved *saved = &heartbeat->saved[i];
-        saved_take(controller, saved);
-        pace_take(controller, heartbeat->worker.name, saved);
+        saved_take(controller->scheduler, saved);
+        pace_take(controller->scheduler, heartbeat->worker.name, saved);
         if (!runs_untold(controller, heartbeat->worker.name, saved))
             continue;
         const AttemptNews news = {.job = saved->job,
@@ -138,7 +138,7 @@
                                   .ran_ms = saved->ran_ms};
         news_later(controller, &news);
     }
-    if (controller->place_from_ms > loop_now_ms(controller->loop))
+    if (scheduler_place_from_ms(controller->scheduler) > loop_now_ms(controller->loop))
         news_hurry(controller);
 }
 
@@ -169,11 +169,12 @@
 static void place_maybe(Controller *controller)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
-    if (now_ms >= controller->place_from_ms || controller->repairing || !replication_leading(controller->replication) ||
-        !all_heard(controller))
+    if (now_ms >= scheduler_place_from_ms(controller->scheduler) || controller->repairing ||
+        !replication_leading(controller->replication) || !all_heard(controller))
         return;
-    controller->place_from_ms = now_ms; /* there is nothing that the log has forgotten and that still runs */
-    controller_news(controller);
+    scheduler_set_place_from(controller->scheduler,
+                             now_ms); /* there is nothing that the log has forgotten and that still runs */
+    scheduler_notify(controller->scheduler);
 }
 
 static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
@@ -197,7 +198,7 @@
     if (liveset_find(controller->liveset, heartbeat->worker.name)->number == heartbeat->number)
         orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
     if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
-        controller_news(controller);
+        scheduler_notify(controller->scheduler);
     runs_take(controller, heartbeat);
     if (!controller->repairing && replication_leading(controller->replication))
         learn(controller, heartbeat, list_counts);
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -87,7 +87,7 @@
             now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
             see(controller, ALERT_WORKER_LOST, workers[i]->name);
-        if (score_rests(controller, workers[i]->name))
+        if (score_rests(controller->scheduler, workers[i]->name))
             see(controller, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
@@ -107,9 +107,10 @@
         see(controller, ALERT_UNASSURED, "tasks");
     if (waits)
         see(controller, ALERT_PROTECTED_WAITS, "tasks");
-    if (!controller->plan_holds) {
+    const SchedulerPlan *plan = scheduler_plan(controller->scheduler);
+    if (!plan->possible) {
         char subject[ID_MAX + 16];
-        snprintf(subject, sizeof(subject), "%s %s", loss_word(controller->broken_by_loss), controller->broken_by);
+        snprintf(subject, sizeof(subject), "%s %s", loss_word(plan->broken_by_loss), plan->broken_by);
         see(controller, ALERT_PLAN_BROKEN, subject);
     }
 }
--- a/packages/controller/src/callers.c
+++ b/packages/controller/src/callers.c
@@ -26,7 +26,7 @@
     show_metric(task, "lastSyncMs", sight.journal.last_sync_ms);
     show_metric(task, "worstSyncMs", sight.journal.worst_sync_ms);
     show_metric(task, "sight", (int64_t)members_sight(controller->members));
-    show_metric(task, "planHolds", controller->plan_holds);
+    show_metric(task, "planHolds", scheduler_plan(controller->scheduler)->possible);
     for (int i = 0; i < ALERT_COUNT; i++) {
         char name[48];
         snprintf(name, sizeof(name), "alert_%s", alert_word((Alert)i));
@@ -38,8 +38,10 @@
     Job *const *jobs;
     show_metric(task, "jobsActive", (int64_t)table_active(controller->table, &jobs));
     show_metric(task, "jobsKnown", (int64_t)table_jobs(controller->table, &jobs));
-#define X(name, outside) show_metric(task, outside, (int64_t)controller->counts.name);
-    CONTROLLER_COUNT_LIST(X)
+    const SchedulerCounts *scheduler = scheduler_counts(controller->scheduler);
+    const ControllerCounts *controller = &controller->counts;
+#define X(owner, name) show_metric(task, #name, (int64_t)owner->name);
+    CONTROLLER_SHOWN_COUNT_LIST(X)
 #undef X
     const RpcCounts *counts = rpc_counts(controller->rpc);
 #define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -17,12 +17,6 @@
     return true;
 }
 
-void controller_news(Controller *controller)
-{
-    controller->news++;
-    signal_raise(controller->loop, &controller->wake);
-}
-
 QueueClock controller_clock(const Controller *controller)
 {
     return (QueueClock){replication_clock_ms(controller->replication), replication_wall_ms(controller->replication)};
@@ -61,7 +55,7 @@
             names[i] = workers[i]->name;
         /* any lease that the last leader answered runs out within this */
         orphans_reset(controller->orphans);
-        paces_reset(controller->paces);
+        scheduler_reset(controller->scheduler);
         liveset_reset(controller->liveset,
                       replication_won_ms(controller->replication) + controller_claim_ms(controller), names, count);
         talloc_free(mem);
@@ -69,13 +63,14 @@
     if (repair && (new_holder || !controller->repairing)) {
         controller->repairing = true; /* a repair under way goes on over views opened anew */
         /* attempts that the log has forgotten are told again or have lapsed by then */
-        controller->place_from_ms = loop_now_ms(controller->loop) + controller_claim_ms(controller);
+        scheduler_set_place_from(controller->scheduler,
+                                 loop_now_ms(controller->loop) + controller_claim_ms(controller));
         repair_start(controller);
     }
     if (!repair)
         controller->repairing = false;
     orders_wake(controller);
-    controller_news(controller);
+    scheduler_notify(controller->scheduler);
 }
 
 /* An order that was told before may be on its way until it expires, by an agent's
@@ -90,7 +85,7 @@
 
 static void attempts_take(Controller *controller, const AttemptList *attempts)
 {
-    score_take(controller, attempts);
+    score_take(controller->scheduler, attempts);
     for (size_t i = 0; i < attempts->news_count; i++) {
         const AttemptNews *news = &attempts->news[i];
         const AttemptSaved saved = {
@@ -98,7 +93,7 @@
         if (news->word == ATTEMPT_RUNNING)
             continue; /* a heartbeat has told how far it has come since */
         if (replication_holds(controller->replication))
-            saved_take(controller, &saved);
+            saved_take(controller->scheduler, &saved);
         orphans_end(controller->orphans, news);
     }
 }
@@ -107,7 +102,7 @@
 {
     Controller *controller = arg;
     trace_delivered(controller, change, body, result);
-    controller_news(controller);
+    scheduler_notify(controller->scheduler);
     limits_follow(controller);
     if (body != NULL && change->change == CHANGE_ATTEMPTS)
         attempts_take(controller, body);
@@ -168,7 +163,6 @@
     controller->loop = loop;
     controller->recorder = recorder;
     controller->settings = settings;
-    controller->plan_holds = true;
     controller->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         controller->watch = *watch;
@@ -178,14 +172,9 @@
     controller->piece_source.mem = controller;
     controller->repair_buffer = repair_buffer_new(controller, loop, settings->bounds.retell_ms);
     controller->liveset = liveset_new(controller);
-    controller->saved = map_new(controller);
-    controller->scores = map_new(controller);
-    controller->estimates = estimates_new(controller);
-    controller->queue = queue_new(controller, controller->estimates);
     controller->orphans = orphans_new(controller);
-    controller->paces = paces_new(controller);
+    controller->scheduler = scheduling_new(controller);
     table_left_watch(controller->table, on_left, controller);
-    controller->kept = map_new(controller);
     controller->alerts = map_new(controller);
     const ReplicationSettings replication_settings = {.loop = loop,
                                                       .rpc = controller->rpc,
@@ -240,7 +229,7 @@
     callers_serve(controller);
     members_start(controller->members);
     replication_founding(controller->replication);
-    planner_start(controller);
+    scheduler_start(controller->scheduler);
     alerts_start(controller);
     forwarder_start(controller->forwarder);
     config_watch_start(controller->config_watch, seatless, controller);
--- a/packages/controller/src/inside.h
+++ b/packages/controller/src/inside.h
@@ -2,35 +2,26 @@
 #define CONTROLLER_SRC_INSIDE_H
 
 #include "api/job_json.h"
-#include "base/map.h"
 #include "api/show.h"
+#include "base/map.h"
 #include "heartbeat/lease.h"
 #include "heartbeat/liveset.h"
 #include "heartbeat/orphans.h"
 #include "controller/controller.h"
-#include "pace.h"
 #include "routing/config_watch.h"
 #include "routing/forward.h"
-#include "plan/plan.h"
 #include "policy/lua.h"
 #include "queue/line.h"
-
-/* Figures of the leader's work, for status and measurement. */
-#define CONTROLLER_COUNT_LIST(X)     \
-    X(passes, "passes")              \
-    X(placed, "placed")              \
-    X(unassured, "unassured")        \
-    X(plan_checks, "planChecks")     \
-    X(plan_refusals, "planRefusals") \
-    X(lost, "lost")                  \
-    X(pushed, "pushed")              \
-    X(repairs, "repairs")            \
-    X(retold, "retold")              \
-    X(refused, "refused")            \
-    X(crowded, "crowded")            \
-    X(kept, "kept")                  \
-    X(moved, "moved")                \
-    X(slowed, "slowed")              \
+#include "scheduler/attempt_pace.h"
+#include "scheduler/checkpoint.h"
+#include "scheduler/worker_score.h"
+
+/* What leaders have done since the process began, but for the scheduler's part; X(name). */
+#define CONTROLLER_COUNT_LIST(X) \
+    X(repairs, "repairs")        \
+    X(retold, "retold")          \
+    X(refused, "refused")        \
+    X(crowded, "crowded")        \
     X(unproven, "unproven")
 
 typedef struct ControllerCounts {
@@ -39,23 +30,30 @@
 #undef X
 } ControllerCounts;
 
-/* Workers kept for one candidate that small work would overtake for ever. */
-typedef struct Reservation {
-    const char *job;
-    size_t task; /* its first */
-    double rank;
-    int64_t since_ms;
-    size_t worker_count;
-    const char *workers[RESERVATION_MEMBERS_MAX];
-    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
-} Reservation;
+/* All counts as status and metrics show them, in this order; X(owner, name). */
+#define CONTROLLER_SHOWN_COUNT_LIST(X) \
+    X(scheduler, passes)               \
+    X(scheduler, placed)               \
+    X(scheduler, unassured)            \
+    X(scheduler, plan_checks)          \
+    X(scheduler, plan_refusals)        \
+    X(scheduler, lost)                 \
+    X(scheduler, pushed)               \
+    X(controller, repairs)             \
+    X(controller, retold)              \
+    X(controller, refused)             \
+    X(controller, crowded)             \
+    X(scheduler, kept)                 \
+    X(scheduler, moved)                \
+    X(scheduler, slowed)               \
+    X(controller, unproven)
 
 /* Invariants:
  *  - only a node for which replication_leading is true plans, answers callers or gives
  *    orders, and it looks at the clock before each;
  *  - while repairing is true nothing is decided and nobody is told of a job;
- *  - nothing is placed before place_from_ms, which is when all that the log may have
- *    forgotten has lapsed, or every agent has told what it has. */
+ *  - nothing is placed before the scheduler's place_from_ms, which is when all that the log
+ *    may have forgotten has lapsed, or every agent has told what it has. */
 struct Controller {
     Loop *loop;
     Recorder *recorder;
@@ -73,18 +71,9 @@
     Liveset *liveset;
     Map *lines;        /* worker names to AgentLine */
     struct News *told; /* gathers what attempts came to */
-    Map *saved;        /* tasks to how far their attempts have come */
-    size_t saved_kept; /* of them when they were last looked through */
-    Map *scores;       /* worker names to Score */
     Orphans *orphans;
-    Queue *queue;
-    Paces *paces;
-    int64_t pass_gap_ms;     /* between two passes */
-    int64_t preempt_from_ms; /* nobody is pushed aside for a target before this */
-    int64_t stop_look_ms;    /* attempts that go on better elsewhere are looked for again from then on */
-    Estimates *estimates;    /* how long work takes, as seen by this leader */
-    Map *kept;               /* names of cells to Kept */
-    Map *alerts;             /* those that stand */
+    Scheduler *scheduler;
+    Map *alerts; /* those that stand */
     uint64_t alert_looks;
     const Config *config;  /* of the table's newest version that could be read */
     uint64_t config_loads; /* table_loads when it was read */
@@ -93,21 +82,11 @@
     uint64_t config_unread; /* a version that can't be read */
     struct Trial *trials;
     uint64_t limits_version, limits_loads; /* whose limits this process keeps */
-    uint64_t policy_failures_told;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
     int64_t started_ms;
     bool repairing;
     uint64_t repair_turn;
-    int64_t place_from_ms;
-    int64_t mend_ms; /* split gangs are looked for again from then on */
-    uint64_t news;   /* grows with whatever the planner should look at */
-    Signal wake;     /* raised with it */
-    /* of the last pass: whether the plan held, and else what breaks it */
-    bool plan_holds;
-    int64_t plan_look_ms; /* where no loss is to be survived, the plan is looked at from then on */
-    Loss broken_by_loss;
-    char broken_by[ID_MAX + 1];
     ControllerCounts counts;
 };
 
@@ -115,8 +94,6 @@
 const Config *controller_config(Controller *controller);
 /* Leads, by the clock, and has all that was told. */
 bool controller_decides(Controller *controller);
-/* There is something for the planner to look at. */
-void controller_news(Controller *controller);
 QueueClock controller_clock(const Controller *controller);
 const Policy *controller_policy(void *arg, const ConfigCell *cell);
 /* Calls of policies that failed, and the last one's words; "" when none did. */
@@ -157,44 +134,10 @@
 /* Nothing waits and nothing is on its way. */
 bool news_idle(const Controller *controller);
 
-/* Takes how far an attempt has come. */
-void saved_take(Controller *controller, const AttemptSaved *told);
-/* How far that attempt of the task has come, as far as its agent has told; "": nothing. */
-const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t attempt);
-
-/* A rate of bad attempts, the newest counting most. */
-typedef struct Tally {
-    uint64_t rate_percent; /* as of rated_ms */
-    int64_t rated_ms;
-    uint64_t jobs;     /* different ones that went badly there since one went well */
-    uint64_t last_job; /* number of the last that did */
-} Tally;
-
-/* How a worker that claims health has done of late, as this leader saw it. */
-typedef struct Score {
-    Tally failed;          /* attempts that failed */
-    Tally slow;            /* attempts that took several times as long as the others of their step */
-    int64_t slow_end_ms;   /* log time of the end of the last one counted as slow */
-    int64_t rest_until_ms; /* own clock; given nothing before this */
-    int64_t rest_ms;       /* the last rest's length */
-} Score;
-
-/* Takes what a delivered change tells of attempts. */
-void score_take(Controller *controller, const AttemptList *list);
-/* An attempt stood still on it. */
-void score_still(Controller *controller, const char *worker, const Job *job);
-/* What the attempt's place made of its time, near its data or not. */
-uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step);
-/* Null: nothing bad is known. */
-const Score *score_find(const Controller *controller, const char *worker);
-/* Its rate of failed, or of slow, attempts now, whichever is worse, in percent. */
-uint64_t score_rate(const Controller *controller, const char *worker);
-bool score_rests(const Controller *controller, const char *worker);
 /* body: as the table tells it. */
 void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result);
-void planner_start(Controller *controller);
-/* The plan as it stands; on mem. */
-PlanInput planner_input(Controller *controller, void *mem);
+/* The scheduler of this node, on controller. */
+Scheduler *scheduling_new(Controller *controller);
 void repair_start(Controller *controller);
 void agents_serve(Controller *controller);
 void callers_serve(Controller *controller);
--- a/packages/controller/src/ranks.c
+++ b/packages/controller/src/ranks.c
@@ -2,7 +2,6 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
 #include "way.h"
 
 /* One policy for one cell; the others keep theirs. */
@@ -32,11 +31,8 @@
         way_refuse(way);
         return;
     }
-    Pass *pass = pass_new(controller, way->mem);
     Trying trying = {controller, cell, policy};
-    pass->sight.policy = policy_tried;
-    pass->sight.arg = &trying;
-    Line *line = line_new(pass, controller->queue, &pass->sight);
+    Line *line = scheduler_line(controller->scheduler, way->mem, policy_tried, &trying);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready = 0;
     const Candidate *candidate;
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -217,7 +217,7 @@
     recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
                    "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
     orders_wake(controller);
-    controller_news(controller);
+    scheduler_notify(controller->scheduler);
     return true;
 }
 
--- /dev/null
+++ b/packages/controller/src/scheduling.c
@@ -0,0 +1,63 @@
+/* What the scheduler sees of its controller. */
+#include <talloc.h>
+
+#include "inside.h"
+
+static bool leads(void *arg)
+{
+    const Controller *controller = arg;
+    return replication_leading(controller->replication);
+}
+
+static bool decides(void *arg)
+{
+    return controller_decides(arg);
+}
+
+static int64_t won_ms(void *arg)
+{
+    const Controller *controller = arg;
+    return replication_won_ms(controller->replication);
+}
+
+static QueueClock clock_now(void *arg)
+{
+    return controller_clock(arg);
+}
+
+static const Config *config(void *arg, uint64_t *stamp)
+{
+    Controller *controller = arg;
+    const Config *in_force = controller_config(controller);
+    *stamp = controller->config_stamp;
+    return in_force;
+}
+
+static uint64_t policy_failures(void *arg, const char **last)
+{
+    return controller_policy_failures(arg, last);
+}
+
+static Status order(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result)
+{
+    return controller_submit(arg, mem, kind, shape, body, result, NULL);
+}
+
+Scheduler *scheduling_new(Controller *controller)
+{
+    return scheduler_new(controller, &(SchedulerSettings){.loop = controller->loop,
+                                                          .recorder = controller->recorder,
+                                                          .table = controller->table,
+                                                          .liveset = controller->liveset,
+                                                          .orphans = controller->orphans,
+                                                          .bounds = &controller->settings->bounds,
+                                                          .leader = {.arg = controller,
+                                                                     .leads = leads,
+                                                                     .decides = decides,
+                                                                     .won_ms = won_ms,
+                                                                     .clock = clock_now,
+                                                                     .config = config,
+                                                                     .policy = controller_policy,
+                                                                     .policy_failures = policy_failures,
+                                                                     .order = order}});
+}
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -85,7 +85,7 @@
     const LiveRow **rows;
     const size_t count = liveset_rows(controller->liveset, mem, &rows);
     const int64_t now_ms = loop_now_ms(controller->loop);
-    const PlanInput input = planner_input(controller, mem);
+    const PlanInput input = planner_input(controller->scheduler, mem);
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
@@ -95,9 +95,10 @@
         json_object_object_add(one, "ready", json_object_new_boolean(live_row_ready(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
-        const Score *score = score_find(controller, rows[i]->name);
+        const Score *score = score_find(controller->scheduler, rows[i]->name);
         if (score != NULL) {
-            json_object_object_add(one, "failurePercent", number_of((int64_t)score_rate(controller, rows[i]->name)));
+            json_object_object_add(one, "failurePercent",
+                                   number_of((int64_t)score_rate(controller->scheduler, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
                                    number_of(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
         }
@@ -133,6 +134,7 @@
 
 static json_object *show_plan(Controller *controller)
 {
+    const SchedulerPlan *last = scheduler_plan(controller->scheduler);
     json_object *plan = json_object_new_object();
     const Config *config = controller_config(controller);
     Job *const *jobs;
@@ -150,11 +152,11 @@
     json_object_object_add(plan, "r", number_of((int64_t)config->r));
     json_object_object_add(plan, "zoneLoss", json_object_new_boolean(config->zone_loss));
     json_object_object_add(plan, "rackLoss", json_object_new_boolean(config->rack_loss));
-    json_object_object_add(plan, "holds", json_object_new_boolean(controller->plan_holds));
-    if (!controller->plan_holds) {
+    json_object_object_add(plan, "holds", json_object_new_boolean(last->possible));
+    if (!last->possible) {
         json_object *broken = json_object_new_object();
-        json_object_object_add(broken, "loss", text_of(loss_word(controller->broken_by_loss)));
-        json_object_object_add(broken, "name", text_of(controller->broken_by));
+        json_object_object_add(broken, "loss", text_of(loss_word(last->broken_by_loss)));
+        json_object_object_add(broken, "name", text_of(last->broken_by));
         json_object_object_add(plan, "brokenBy", broken);
     }
     json_object_object_add(plan, "assured", number_of(assured));
@@ -221,8 +223,10 @@
     json_object_object_add(body, "refusedFrames", show_refused_frames(controller));
     json_object_object_add(body, "alerts", alerts_show(controller));
     json_object *counts = json_object_new_object();
-#define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)controller->counts.name));
-    CONTROLLER_COUNT_LIST(X)
+    const SchedulerCounts *scheduler = scheduler_counts(controller->scheduler);
+    const ControllerCounts *controller = &controller->counts;
+#define X(owner, name) json_object_object_add(counts, #name, number_of((int64_t)owner->name));
+    CONTROLLER_SHOWN_COUNT_LIST(X)
 #undef X
     const RpcCounts *rpc = rpc_counts(controller->rpc);
 #define X(name, outside) json_object_object_add(counts, outside, number_of((int64_t)rpc->name));
--- a/packages/controller/src/zones.c
+++ b/packages/controller/src/zones.c
@@ -38,7 +38,7 @@
                            json_object_new_boolean(table_drain_moves(way->controller->table, way->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
-    const PlanInput input = planner_input(way->controller, way->mem);
+    const PlanInput input = planner_input(way->controller->scheduler, way->mem);
     for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, way->name) == 0)
             input.workers[i].free = (Room){0};
--- /dev/null
+++ b/packages/scheduler/src/assurance.c
@@ -0,0 +1,87 @@
+/* The r-loss plan: what it must hold for, whether it holds, and running work that it can include by now. */
+#include "assurance.h"
+
+#include <string.h>
+#include <talloc.h>
+
+#include "pushable_capacity.h"
+
+void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
+{
+    PlanInput *input = &pass->input;
+    if (input->task_count == pass->task_room) {
+        pass->task_room = pass->task_room ? pass->task_room * 2 : 64;
+        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_room);
+    }
+    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
+}
+
+bool pass_holds(Pass *pass)
+{
+    pass->checks++;
+    pass->scheduler->counts.plan_checks++;
+    const bool holds = plan_always_possible(&pass->input, NULL);
+    if (!holds)
+        pass->scheduler->counts.plan_refusals++;
+    return holds;
+}
+
+void pass_tasks(Pass *pass)
+{
+    Scheduler *scheduler = pass->scheduler;
+    pushable_count(pass);
+    for (size_t i = 0; i < pass->input.worker_count; i++) {
+        const TaskOn *on;
+        const size_t count = table_on(scheduler->table, pass->input.workers[i].name, &on);
+        for (size_t t = 0; t < count; t++) {
+            const Job *job = on[t].job;
+            const JobTask *task = &job->tasks[on[t].task];
+            /* where no loss is to be survived by each start, the look takes in all */
+            const bool counts = pass->asks ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
+            if (!counts || task->phase == TASK_STOPPING)
+                continue;
+            const PlanNeed need = pass_need(job, task->step);
+            pass_count(pass, &job->spec, &need, i);
+        }
+    }
+}
+
+PlanInput planner_input(Scheduler *scheduler, void *mem)
+{
+    Pass *pass = pass_new(scheduler, mem);
+    pass_tasks(pass);
+    return pass->input;
+}
+
+/* Running unassured work that a plan can now include. */
+void assure_more(Pass *pass)
+{
+    Scheduler *scheduler = pass->scheduler;
+    StopList list = {0};
+    Job *const *jobs;
+    const size_t count = table_active(scheduler->table, &jobs);
+    for (size_t j = 0; j < count && pass->checks < pass->checks_max; j++) {
+        const Job *job = jobs[j];
+        if (job->spec.protection != PROTECTION_PROTECTED)
+            continue;
+        for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checks_max; t++) {
+            const JobTask *task = &job->tasks[t];
+            const size_t at = task_on_worker(task->phase) ? pass_place(pass, task->worker) : SIZE_MAX;
+            if (task->assured || at == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
+                continue;
+            const PlanNeed need = pass_need(job, task->step);
+            pass_count(pass, &job->spec, &need, at);
+            if (!pass_holds(pass)) {
+                pass->input.task_count--;
+                continue;
+            }
+            list.attempts = talloc_realloc(pass->mem, list.attempts, AttemptId, (unsigned)(list.attempts_count + 1));
+            list.attempts[list.attempts_count++] =
+                (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
+        }
+    }
+    list.why = "";
+    ChangeResult result;
+    if (list.attempts_count > 0)
+        scheduler_order(scheduler, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result);
+}
--- a/packages/controller/src/pace.c
+++ b/packages/scheduler/src/attempt_pace.c
@@ -1,11 +1,13 @@
-#include "pace.h"
+/* The pace of running attempts, from the progress that their agents report. */
+#include "scheduler/attempt_pace.h"
 
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "scheduler/worker_score.h"
+#include "state.h"
 
 #define PACE_KEY (ID_MAX + 24) /* bytes; a name and a number */
 #define PACES_LEAST 256        /* count; fewer are not worth looking through */
@@ -49,7 +51,7 @@
 }
 
 /* Those of tasks that run no more are dropped whenever there are twice as many as then. */
-static void paces_sweep(const Controller *controller, Paces *paces)
+static void paces_sweep(const Scheduler *scheduler, Paces *paces)
 {
     if (map_count(paces->attempts) < PACES_LEAST || map_count(paces->attempts) < 2 * paces->kept)
         return;
@@ -58,7 +60,7 @@
     const size_t count = map_keys(paces->attempts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
         Pace *pace = map_get(paces->attempts, keys[i]);
-        const Job *job = table_job(controller->table, pace->job);
+        const Job *job = table_job(scheduler->table, pace->job);
         const size_t at = job != NULL ? task_index(job, pace->task) : 0;
         if (job != NULL && at < job->tasks_count && task_on_worker(job->tasks[at].phase) &&
             job->tasks[at].attempt == pace->attempt)
@@ -71,28 +73,27 @@
 }
 
 /* What the way from one word to the next says of the worker. */
-static void worker_take(Controller *controller, const char *worker, const AttemptSaved *told, double percent,
+static void worker_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told, double percent,
                         int64_t span_ms)
 {
-    const Job *job = table_job(controller->table, told->job);
+    const Job *job = table_job(scheduler->table, told->job);
     const size_t at = job != NULL ? task_index(job, told->task) : 0;
-    const Worker *its = table_worker(controller->table, worker);
+    const Worker *its = table_worker(scheduler->table, worker);
     if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
-    const int64_t estimate = estimate_ms(controller->estimates, job, job->tasks[at].step);
+    const int64_t estimate = estimate_ms(scheduler->estimates, job, job->tasks[at].step);
     if (estimate <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
-    const double due =
-        (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(controller, its, step));
+    const double due = (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(scheduler, its, step));
     if (due >= 4) /* less is lost in whole percents */
-        estimates_pace(controller->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
-                       loop_now_ms(controller->loop));
+        estimates_pace(scheduler->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
+                       loop_now_ms(scheduler->loop));
 }
 
-void pace_take(Controller *controller, const char *worker, const AttemptSaved *told)
+void pace_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told)
 {
-    Paces *paces = controller->paces;
+    Paces *paces = scheduler->paces;
     char key[PACE_KEY];
     if (told->percent_ms <= 0)
         return;
@@ -101,7 +102,7 @@
         (pace->attempt > told->attempt || (pace->attempt == told->attempt && pace->ran_ms >= told->percent_ms)))
         return;
     if (pace == NULL) {
-        paces_sweep(controller, paces);
+        paces_sweep(scheduler, paces);
         pace = talloc_zero(paces->attempts, Pace);
         pace->job = talloc_strdup(pace, told->job);
         pace->task = told->task;
@@ -115,7 +116,7 @@
     paces->moves += more > 0;
     /* an attempt that goes on from what an earlier one saved begins with that */
     if (goes_on && paces_credible(paces))
-        worker_take(controller, worker, told, more, span_ms);
+        worker_take(scheduler, worker, told, more, span_ms);
     pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
     /* the first word that this leader hears says nothing of when the last step was made,
      * unless none has been */
@@ -123,5 +124,5 @@
         pace->still_ms = goes_on || told->percent > 0 ? told->percent_ms : 0;
     pace->percent = told->percent;
     pace->ran_ms = told->percent_ms;
-    pace->told_ms = loop_now_ms(controller->loop);
+    pace->told_ms = loop_now_ms(scheduler->loop);
 }
--- a/packages/controller/src/soonest.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -1,27 +1,30 @@
 /* When a worker will have room, by what runs there and how long that should take. */
+#include "capacity_forecast.h"
+
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "scheduler/attempt_pace.h"
+#include "scheduler/worker_score.h"
 
 int64_t pass_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker)
 {
-    const Controller *controller = pass->controller;
+    const Scheduler *scheduler = pass->scheduler;
     if (task->phase == TASK_STOPPING)
         return STOP_TAKES_MS;
-    const int64_t estimate = estimate_ms(controller->estimates, job, task->step);
+    const int64_t estimate = estimate_ms(scheduler->estimates, job, task->step);
     if (estimate <= 0 || job->spec.lasting)
         return INT64_MAX;
-    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->attempt);
+    const Pace *pace = pace_find(scheduler->paces, job->spec.id, task_number(task), task->attempt);
     if (pace != NULL && pace->per_ms > 0) {
         const double left_ms =
-            (100 - (double)pace->percent) / pace->per_ms - (double)(loop_now_ms(controller->loop) - pace->told_ms);
+            (100 - (double)pace->percent) / pace->per_ms - (double)(loop_now_ms(scheduler->loop) - pace->told_ms);
         return left_ms > ENDS_LEAST_MS ? (int64_t)left_ms : ENDS_LEAST_MS;
     }
-    const Worker *its = table_worker(controller->table, task->worker);
+    const Worker *its = table_worker(scheduler->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
-    const uint64_t far = its != NULL ? score_far_percent(controller, its, step) : 100;
+    const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
     const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
     /* one that is over its time ends when it ends: a part of that time is as good as any */
@@ -45,7 +48,7 @@
     if (room_fits(need, free))
         return 0;
     const TaskOn *on;
-    const size_t count = table_on(pass->controller->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
--- a/packages/controller/src/saved.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -1,12 +1,14 @@
 /* How far running attempts have come, as their agents' heartbeats tell: in memory alone.
  * A new leader has it from the next heartbeats; the log has it with the end of an attempt
  * and with the placement of the next. */
+#include "scheduler/checkpoint.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "state.h"
 
 #define SAVED_KEY (ID_MAX + 24) /* bytes; a name and a number */
 #define SAVED_LEAST 256         /* count; fewer are not worth looking through */
@@ -25,49 +27,49 @@
 }
 
 /* What nobody will go on from is dropped whenever there is twice as much as then. */
-static void saved_sweep(Controller *controller)
+static void saved_sweep(Scheduler *scheduler)
 {
-    if (map_count(controller->saved) < SAVED_LEAST || map_count(controller->saved) < 2 * controller->saved_kept)
+    if (map_count(scheduler->saved) < SAVED_LEAST || map_count(scheduler->saved) < 2 * scheduler->saved_kept)
         return;
-    void *mem = talloc_new(controller);
+    void *mem = talloc_new(scheduler);
     const char **keys;
-    const size_t count = map_keys(controller->saved, mem, &keys);
+    const size_t count = map_keys(scheduler->saved, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Saved *saved = map_get(controller->saved, keys[i]);
-        const Job *job = table_job(controller->table, saved->job);
+        Saved *saved = map_get(scheduler->saved, keys[i]);
+        const Job *job = table_job(scheduler->table, saved->job);
         const size_t at = job != NULL ? task_index(job, saved->task) : 0;
         if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasks_count && !task_ended(job->tasks[at].phase))
             continue;
-        map_drop(controller->saved, keys[i]);
+        map_drop(scheduler->saved, keys[i]);
         talloc_free(saved);
     }
-    controller->saved_kept = map_count(controller->saved);
+    scheduler->saved_kept = map_count(scheduler->saved);
     talloc_free(mem);
 }
 
-void saved_take(Controller *controller, const AttemptSaved *told)
+void saved_take(Scheduler *scheduler, const AttemptSaved *told)
 {
     char key[SAVED_KEY];
     if (told->text[0] == '\0')
         return;
-    Saved *saved = map_get(controller->saved, saved_key(key, told->job, told->task));
+    Saved *saved = map_get(scheduler->saved, saved_key(key, told->job, told->task));
     if (saved != NULL && saved->attempt > told->attempt)
         return;
     if (saved == NULL) {
-        saved_sweep(controller);
-        saved = talloc_zero(controller->saved, Saved);
+        saved_sweep(scheduler);
+        saved = talloc_zero(scheduler->saved, Saved);
         saved->job = talloc_strdup(saved, told->job);
         saved->task = told->task;
-        map_set(controller->saved, key, saved);
+        map_set(scheduler->saved, key, saved);
     }
     talloc_free((void *)(uintptr_t)saved->text);
     saved->text = talloc_strdup(saved, told->text);
     saved->attempt = told->attempt;
 }
 
-const char *controller_saved(const Controller *controller, const char *job, uint64_t task, uint64_t attempt)
+const char *saved_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt)
 {
     char key[SAVED_KEY];
-    const Saved *saved = map_get(controller->saved, saved_key(key, job, task));
+    const Saved *saved = map_get(scheduler->saved, saved_key(key, job, task));
     return saved != NULL && saved->attempt == attempt ? saved->text : "";
 }
--- a/packages/controller/src/mend.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -1,9 +1,9 @@
 /* Gangs of which only some members run. Placing, ending and stopping concern all
  * members at once, so it comes about in one way alone: the disks forgot a placement,
  * agents told their attempts again, and of some member nobody is left to tell. */
-#include <talloc.h>
+#include "gang_repair.h"
 
-#include "pass.h"
+#include <talloc.h>
 
 static bool split(const TaskOn *on)
 {
@@ -19,17 +19,17 @@
     return false;
 }
 
-void gangs_mend(Controller *controller, void *mem)
+void gangs_mend(Scheduler *scheduler, void *mem)
 {
-    const int64_t now_ms = loop_now_ms(controller->loop);
-    if (now_ms < controller->mend_ms)
+    const int64_t now_ms = loop_now_ms(scheduler->loop);
+    if (now_ms < scheduler->mend_ms)
         return;
-    controller->mend_ms = now_ms + MEND_MS;
+    scheduler->mend_ms = now_ms + MEND_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++) {
+    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
         const TaskOn *on;
-        const size_t count = table_on(controller->table, worker, &on);
+        const size_t count = table_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             if (!split(&on[t]))
                 continue;
@@ -41,5 +41,5 @@
     }
     ChangeResult result;
     if (list.attempts_count > 0)
-        controller_submit(controller, mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL);
+        scheduler_order(scheduler, mem, CHANGE_STOP, &StopList_shape, &list, &result);
 }
--- a/packages/controller/src/leave.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -1,10 +1,14 @@
 /* Workers that are leaving and say how long they stay: what can't end there by then goes
  * elsewhere in time. What keeps its progress goes as soon as there is room, or when its
  * last moment to save has come; what does not, only when it is sure not to end. */
+#include "leaving_worker.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "capacity_forecast.h"
+#include "stop_list.h"
+#include "worker_choice.h"
 
 static int elsewhere(Pass *pass, const TaskOn *on, size_t worker)
 {
@@ -39,13 +43,13 @@
 
 void leave_find(Pass *pass, StopList *list)
 {
-    const int64_t now_ms = loop_now_ms(pass->controller->loop);
+    const int64_t now_ms = loop_now_ms(pass->scheduler->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const LiveRow *row = liveset_find(pass->controller->liveset, pass->input.workers[i].name);
+        const LiveRow *row = liveset_find(pass->scheduler->liveset, pass->input.workers[i].name);
         if (row == NULL || !row->leaving || row->leave_until_ms == 0)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(pass->controller->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = elsewhere(pass, &on[t], i);
             if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
--- a/packages/controller/src/silent.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -1,59 +1,56 @@
 /* Workers whose holds have lapsed, or that are silent. */
+#include "lost_worker.h"
+
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "base/map.h"
-#include "pass.h"
-
 /* Whether the worker may hold nothing any more, and its loss is not yet decided. */
-static bool lapsed(const Controller *controller, const char *worker)
+static bool lapsed(const Scheduler *scheduler, const char *worker)
 {
-    const LiveRow *row = liveset_find(controller->liveset, worker);
+    const LiveRow *row = liveset_find(scheduler->liveset, worker);
     /* a worker never heard of by this leader: its first hold counts */
-    const int64_t until_ms =
-        row != NULL ? row->until_ms : replication_won_ms(controller->replication) + controller_claim_ms(controller);
-    return loop_now_ms(controller->loop) > until_ms && (row == NULL || !row->losing);
+    const int64_t until_ms = row != NULL ? row->until_ms : scheduler_lease_end_ms(scheduler);
+    return loop_now_ms(scheduler->loop) > until_ms && (row == NULL || !row->losing);
 }
 
-void lost_find(Controller *controller, void *mem)
+void lost_find(Scheduler *scheduler, void *mem)
 {
     Map *lost = map_new(mem);
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++)
-        if (lapsed(controller, worker))
-            map_set(lost, worker, controller);
+    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++)
+        if (lapsed(scheduler, worker))
+            map_set(lost, worker, scheduler);
     const char **names;
     const size_t lost_count = map_keys(lost, mem, &names);
-    for (size_t i = 0; i < lost_count && controller_decides(controller); i++) {
-        if (!lapsed(controller, names[i]))
+    for (size_t i = 0; i < lost_count && scheduler_decides(scheduler); i++) {
+        if (!lapsed(scheduler, names[i]))
             continue; /* back while the loss of another was committed: what it was told since stands */
         const WorkerLost change = {names[i], UINT64_MAX};
         /* it may come back before this is committed: then no order of the state
          * before may reach it any more */
-        liveset_losing(controller->liveset, names[i], true);
+        liveset_losing(scheduler->liveset, names[i], true);
         ChangeResult result;
-        if (controller_submit(controller, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result, NULL) ==
-            STATUS_OK) {
-            controller->counts.lost += result.number;
-            recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
+        if (scheduler_order(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
+            scheduler->counts.lost += result.number;
+            recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
                            "worker %s is lost with %" PRIu64 " rounds", names[i], result.number);
         }
     }
 }
 
-void copies_find(Controller *controller, void *mem)
+void copies_find(Scheduler *scheduler, void *mem)
 {
-    const int64_t now_ms = loop_now_ms(controller->loop);
+    const int64_t now_ms = loop_now_ms(scheduler->loop);
     AttemptList list = {0};
     const char *worker;
-    for (size_t i = 0; (worker = table_busy(controller->table, i)) != NULL; i++) {
-        const LiveRow *row = liveset_find(controller->liveset, worker);
-        const int64_t won_ms = replication_won_ms(controller->replication);
+    for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
+        const LiveRow *row = liveset_find(scheduler->liveset, worker);
+        const int64_t won_ms = scheduler_won_ms(scheduler);
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(controller->table, worker, &on);
+        const size_t count = table_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             const JobTask *task = &on[t].job->tasks[on[t].task];
             const JobSpec *spec = &on[t].job->spec;
@@ -71,13 +68,13 @@
     }
     ChangeResult result;
     if (list.news_count > 0)
-        controller_submit(controller, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result, NULL);
+        scheduler_order(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
     /* that they are over is our word alone: they count there until the agent says so */
     for (size_t i = 0; i < list.news_count; i++) {
         const AttemptNews *news = &list.news[i];
-        const Job *job = table_job(controller->table, news->job);
+        const Job *job = table_job(scheduler->table, news->job);
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            orphans_add(controller->orphans, news->worker, job, &job->tasks[at], news->attempt, now_ms + ORDER_GONE_MS);
+            orphans_add(scheduler->orphans, news->worker, job, &job->tasks[at], news->attempt, now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/controller/src/reserve.c
+++ b/packages/scheduler/src/pass_reservation.c
@@ -5,9 +5,9 @@
  * Nothing is remembered: the next pass finds the same again, since the worker that is
  * nearest to having room becomes nearer. What is far from its target, and what has missed
  * it, is given nothing this way. */
-#include <talloc.h>
+#include "pass_reservation.h"
 
-#include "pass.h"
+#include <talloc.h>
 
 /* The parts of the room that are free, in thousandths of what is needed: the least of them. */
 static uint64_t near_to(Room need, Room free)
--- a/packages/controller/src/place.c
+++ b/packages/scheduler/src/placement.c
@@ -1,34 +1,15 @@
 /* Places one candidate: a task, or all members of a gang or none. */
+#include "placement.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
-
-PlanNeed pass_need(const Job *job, uint64_t step)
-{
-    const StepSpec *spec = &job->spec.steps[step];
-    return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labels_count};
-}
-
-void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
-{
-    PlanInput *input = &pass->input;
-    if (input->task_count == pass->task_room) {
-        pass->task_room = pass->task_room ? pass->task_room * 2 : 64;
-        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_room);
-    }
-    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
-}
-
-bool pass_holds(Pass *pass)
-{
-    pass->checks++;
-    pass->controller->counts.plan_checks++;
-    const bool holds = plan_always_possible(&pass->input, NULL);
-    if (!holds)
-        pass->controller->counts.plan_refusals++;
-    return holds;
-}
+#include "assurance.h"
+#include "pass_reservation.h"
+#include "preemption.h"
+#include "reservation.h"
+#include "scheduler/checkpoint.h"
+#include "worker_choice.h"
 
 static bool under_quota(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
@@ -54,7 +35,7 @@
             talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_room);
         pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_room);
     }
-    const LiveRow *row = liveset_find(pass->controller->liveset, pass->input.workers[worker].name);
+    const LiveRow *row = liveset_find(pass->scheduler->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
     pass->placed[pass->placed_count++] = (Placed){candidate->job, task, worker};
     pass->places.placements[pass->places.placements_count++] = (Placement){
@@ -125,7 +106,7 @@
 static bool assures(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
     if (!pass->asks) /* no loss is to be survived: what the last look said is shown */
-        return pass->controller->plan_holds;
+        return pass->scheduler->plan.possible;
     if (pass->checks >= pass->checks_max)
         return false;
     const size_t before = pass->input.task_count;
@@ -146,9 +127,9 @@
         if (task->attempt >= attempt)
             attempt = task->attempt + 1;
         /* of an attempt that was lost with its worker the heartbeats alone have told */
-        const char *told = task->attempt > 0 ? controller_saved(pass->controller, candidate->job->spec.id,
-                                                                task_number(task), task->attempt)
-                                             : "";
+        const char *told = task->attempt > 0
+                               ? saved_find(pass->scheduler, candidate->job->spec.id, task_number(task), task->attempt)
+                               : "";
         if (saved[0] == '\0')
             saved = told[0] != '\0' ? told : task->saved;
     }
@@ -156,7 +137,7 @@
         place_add(pass, candidate, i, (size_t)where[i], attempt, saved, assured);
     }
     if (candidate->job->spec.protection == PROTECTION_PROTECTED && !assured)
-        pass->controller->counts.unassured += candidate->count;
+        pass->scheduler->counts.unassured += candidate->count;
 }
 
 /* Whether as much room, or less, was not to be found before in this pass. Free room only
--- a/packages/controller/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -1,10 +1,18 @@
 /* The leader's planner: finds the lost, decides who goes where. One task; each
  * decision is committed before the next is made. */
+#include "planner.h"
+
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "assurance.h"
+#include "gang_repair.h"
+#include "lost_worker.h"
+#include "placement.h"
+#include "reservation.h"
+#include "restart_elsewhere.h"
+#include "zone_move.h"
 
 #define PLAN_CHECKS_MAX 200 /* count; looks at the r-loss plan in one pass */
 #define PLAN_CHECKS_LEAST 4 /* count; as many are always made */
@@ -19,11 +27,11 @@
  * each start this is to be shown, and once in a while is enough. */
 static void plan_look(Pass *pass)
 {
-    Controller *controller = pass->controller;
-    const int64_t now_ms = loop_now_ms(controller->loop);
-    if (!pass->asks && now_ms < controller->plan_look_ms)
+    Scheduler *scheduler = pass->scheduler;
+    const int64_t now_ms = loop_now_ms(scheduler->loop);
+    if (!pass->asks && now_ms < scheduler->plan_look_ms)
         return;
-    controller->plan_look_ms = now_ms + PLAN_LOOK_MS;
+    scheduler->plan_look_ms = now_ms + PLAN_LOOK_MS;
     pass_tasks(pass);
     /* one look costs about losses times (tasks and workers) */
     const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
@@ -33,25 +41,25 @@
     if (pass->checks_max < PLAN_CHECKS_LEAST)
         pass->checks_max = PLAN_CHECKS_LEAST;
     PlanBreak broken = {LOSS_WORKER, ""};
-    controller->plan_holds = plan_always_possible(&pass->input, &broken);
-    controller->broken_by_loss = broken.loss;
-    snprintf(controller->broken_by, sizeof(controller->broken_by), "%s", broken.name);
+    scheduler->plan.possible = plan_always_possible(&pass->input, &broken);
+    scheduler->plan.broken_by_loss = broken.loss;
+    snprintf(scheduler->plan.broken_by, sizeof(scheduler->plan.broken_by), "%s", broken.name);
 }
 
-static void policies_look(Controller *controller)
+static void policies_look(Scheduler *scheduler)
 {
     const char *words;
-    const uint64_t failures = controller_policy_failures(controller, &words);
-    if (failures > 0 && controller->policy_failures_told == 0)
-        recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
+    const uint64_t failures = scheduler->leader.policy_failures(scheduler->leader.arg, &words);
+    if (failures > 0 && scheduler->policy_failures_told == 0)
+        recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
                        "a policy failed, first come goes first: %s", words);
-    controller->policy_failures_told = failures;
+    scheduler->policy_failures_told = failures;
 }
 
 void pass_places(Pass *pass)
 {
-    pass->line = line_new(pass->mem, pass->controller->queue, &pass->sight);
-    policies_look(pass->controller);
+    pass->line = line_new(pass->mem, pass->scheduler->queue, &pass->sight);
+    policies_look(pass->scheduler);
     reservation_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = line_next(pass->line)) != NULL)
@@ -73,75 +81,73 @@
 
 /* One look at everything; true when there may be more to decide at once. next_ms: when
  * there will be by itself, by the own clock. */
-static bool pass_run(Controller *controller, int64_t *next_ms)
+static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
-    uint64_t seen = controller->news;
-    Pass *pass = pass_new(controller, controller);
-    controller->counts.passes++;
-    *next_ms = loop_now_ms(controller->loop) + PLACE_TICK_MS;
+    uint64_t seen = scheduler->news;
+    Pass *pass = pass_new(scheduler, scheduler);
+    scheduler->counts.passes++;
+    *next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
     if (stop_look(pass)) { /* the table has changed: what the pass knows is over */
         talloc_free(pass);
         return true;
     }
     plan_look(pass);
     pass_places(pass);
-    controller->pass_gap_ms = gap_ms(pass);
+    scheduler->pass_gap_ms = gap_ms(pass);
     if (pass->next_ms < pass->clock.log_ms + PLACE_TICK_MS)
-        *next_ms = loop_now_ms(controller->loop) + pass->next_ms - pass->clock.log_ms;
+        *next_ms = loop_now_ms(scheduler->loop) + pass->next_ms - pass->clock.log_ms;
     const bool more = pass->places.placements_count >= PLACE_BATCH;
     ChangeResult result;
     if (pass->places.placements_count > 0) {
-        if (controller_submit(controller, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result, NULL) ==
-            STATUS_OK)
-            controller->counts.placed += result.number;
+        if (scheduler_order(scheduler, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result) == STATUS_OK)
+            scheduler->counts.placed += result.number;
         seen++; /* our own change is no news */
     }
-    if (pass->pushes.attempts_count > 0 && controller_decides(controller)) {
-        if (controller_submit(controller, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result, NULL) ==
-            STATUS_OK)
-            controller->counts.pushed += result.number;
+    if (pass->pushes.attempts_count > 0 && scheduler_decides(scheduler)) {
+        if (scheduler_order(scheduler, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result) == STATUS_OK)
+            scheduler->counts.pushed += result.number;
     } else if (pass->places.placements_count == 0) {
-        if (!move_one(pass) && pass->asks && pass->checks == 0 && controller_decides(controller))
+        if (!move_one(pass) && pass->asks && pass->checks == 0 && scheduler_decides(scheduler))
             assure_more(pass);
     }
     talloc_free(pass);
-    return more || controller->news > seen;
+    return more || scheduler->news > seen;
 }
 
 /* What must not wait for a quiet moment. */
-static void silent_look(Controller *controller)
+static void silent_look(Scheduler *scheduler)
 {
-    void *mem = talloc_new(controller);
-    lost_find(controller, mem);
-    if (controller_decides(controller))
-        copies_find(controller, mem);
-    if (loop_now_ms(controller->loop) >= controller->place_from_ms && controller_decides(controller))
-        gangs_mend(controller, mem);
+    void *mem = talloc_new(scheduler);
+    lost_find(scheduler, mem);
+    if (scheduler_decides(scheduler))
+        copies_find(scheduler, mem);
+    if (loop_now_ms(scheduler->loop) >= scheduler->place_from_ms && scheduler_decides(scheduler))
+        gangs_mend(scheduler, mem);
     talloc_free(mem);
 }
 
 static void planner_main(void *arg)
 {
-    Controller *controller = arg;
+    Scheduler *scheduler = arg;
     bool more = false;
     int64_t next_ms = 0;
-    while (!loop_stopping(controller->loop)) {
+    while (!loop_stopping(scheduler->loop)) {
         if (!more)
-            signal_wait(controller->loop, &controller->wake, next_ms);
-        loop_sleep(controller->loop, controller->pass_gap_ms > 0 ? controller->pass_gap_ms : PASS_GAP_MS);
+            signal_wait(scheduler->loop, &scheduler->wake, next_ms);
+        loop_sleep(scheduler->loop, scheduler->pass_gap_ms > 0 ? scheduler->pass_gap_ms : PASS_GAP_MS);
         more = false;
-        next_ms = loop_now_ms(controller->loop) + PLACE_TICK_MS;
-        if (!controller_decides(controller))
+        next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
+        if (!scheduler_decides(scheduler))
             continue;
-        silent_look(controller);
-        if (loop_now_ms(controller->loop) >= controller->place_from_ms && controller_decides(controller))
-            more = pass_run(controller, &next_ms);
-        else if (controller->place_from_ms < next_ms)
-            next_ms = controller->place_from_ms;
+        silent_look(scheduler);
+        if (loop_now_ms(scheduler->loop) >= scheduler->place_from_ms && scheduler_decides(scheduler))
+            more = pass_run(scheduler, &next_ms);
+        else if (scheduler->place_from_ms < next_ms)
+            next_ms = scheduler->place_from_ms;
     }
 }
 
-void planner_start(Controller *controller)
+void scheduler_start(Scheduler *scheduler)
 {
-    loop_spawn(controller->loop, "planner", planner_main, controller);
+    loop_spawn(scheduler->loop, "planner", planner_main, scheduler);
 }
--- /dev/null
+++ b/packages/scheduler/src/planner.h
@@ -0,0 +1,9 @@
+#ifndef SCHEDULER_SRC_PLANNER_H
+#define SCHEDULER_SRC_PLANNER_H
+
+#include "pass.h"
+
+/* Goes through the queue and decides what starts where, at most PLACE_BATCH starts, into pass->places. */
+void pass_places(Pass *pass);
+
+#endif
--- a/packages/controller/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -2,14 +2,16 @@
  * miss its target otherwise may have room given up by work of a lower queue. What is thrown
  * away is little: the work keeps its progress, or is young. Members of gangs stay, for
  * all of them would go. One push at a time. */
+#include "preemption_target.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "capacity_forecast.h"
 
 static int64_t priority_of(Pass *pass, const Job *job, size_t task)
 {
-    return queue_see(pass->controller->queue, &pass->sight, job, task).queue_priority;
+    return queue_see(pass->scheduler->queue, &pass->sight, job, task).queue_priority;
 }
 
 static bool most_urgent(const Pass *pass, const Job *job, int64_t priority)
@@ -48,7 +50,7 @@
 {
     Room free = pass->input.workers[worker].free;
     const TaskOn *on;
-    const size_t count = table_on(pass->controller->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *preemption = (Preemption){.count = 0};
     while (!room_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
@@ -76,10 +78,9 @@
 
 void preempt_target(Pass *pass, const Candidate *candidate)
 {
-    Controller *controller = pass->controller;
+    Scheduler *scheduler = pass->scheduler;
     if (candidate->span_ms <= 0 || candidate->count != 1 || candidate->slack_ms >= PREEMPT_SLACK_MS ||
-        candidate->slack_ms < -candidate->estimate_ms / 2 ||
-        loop_now_ms(controller->loop) < controller->preempt_from_ms)
+        candidate->slack_ms < -candidate->estimate_ms / 2 || loop_now_ms(scheduler->loop) < scheduler->preempt_from_ms)
         return;
     const JobTask *task = &candidate->job->tasks[candidate->first];
     const int64_t priority = priority_of(pass, candidate->job, candidate->first);
@@ -88,7 +89,7 @@
     const PlanNeed need = pass_need(candidate->job, task->step);
     const int64_t most = PREEMPT_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
     Preemption best = {.count = 0};
-    controller->preempt_from_ms = loop_now_ms(controller->loop) + PREEMPT_GAP_MS;
+    scheduler->preempt_from_ms = loop_now_ms(scheduler->loop) + PREEMPT_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
--- /dev/null
+++ b/packages/scheduler/src/preemption_target.h
@@ -0,0 +1,9 @@
+#ifndef SCHEDULER_SRC_PREEMPTION_TARGET_H
+#define SCHEDULER_SRC_PREEMPTION_TARGET_H
+
+#include "pass.h"
+
+/* The same by the built-in policy, for a candidate that would miss its latency target otherwise. */
+void preempt_target(Pass *pass, const Candidate *candidate);
+
+#endif
--- /dev/null
+++ b/packages/scheduler/src/pushable_capacity.c
@@ -0,0 +1,100 @@
+/* Capacity that the plan may count on because it can be preempted. */
+#include "pushable_capacity.h"
+
+#include <string.h>
+#include <talloc.h>
+
+#define PREEMPT_SPEAKERS_MAX 8 /* count; queues of a cell that are asked what they may push */
+
+size_t pushable_cell(const Pass *pass, const JobSpec *spec)
+{
+    const size_t at = pass->cells != NULL ? (size_t)(uintptr_t)map_get(pass->cells, spec->cell) : 0;
+    return at > 0 ? at - 1 : PLAN_NO_CELL;
+}
+
+/* One protected task of each queue of the cell speaks for its queue. */
+typedef struct Speakers {
+    const Job *jobs[PREEMPT_SPEAKERS_MAX];
+    size_t tasks[PREEMPT_SPEAKERS_MAX];
+    size_t count;
+    bool whole; /* every queue has its speaker here */
+} Speakers;
+
+static void speakers_find(const Scheduler *scheduler, const char *cell, Speakers *speakers)
+{
+    Job *const *jobs;
+    const size_t count = table_active(scheduler->table, &jobs);
+    *speakers = (Speakers){.whole = true};
+    for (size_t j = 0; j < count; j++) {
+        const Job *job = jobs[j];
+        if (job->spec.protection != PROTECTION_PROTECTED || strcmp(job->spec.cell, cell) != 0)
+            continue;
+        bool seen = false;
+        for (size_t i = 0; i < speakers->count && !seen; i++)
+            seen = strcmp(speakers->jobs[i]->spec.queue, job->spec.queue) == 0;
+        for (size_t t = 0; t < job->tasks_count && !seen; t++) {
+            if (!task_on_worker(job->tasks[t].phase))
+                continue;
+            seen = true;
+            if (speakers->count == PREEMPT_SPEAKERS_MAX) {
+                speakers->whole = false;
+                continue;
+            }
+            speakers->jobs[speakers->count] = job;
+            speakers->tasks[speakers->count++] = t;
+        }
+    }
+}
+
+/* A running task that is itself not protected counts when every speaker of its
+ * cell may push it: so no two of them count on room that only one may have. */
+void pushable_count(Pass *pass)
+{
+    Scheduler *scheduler = pass->scheduler;
+    const Config *config = pass->config;
+    PlanInput *input = &pass->input;
+    size_t cells = 0;
+    pass->cells = map_new(pass->mem);
+    for (size_t c = 0; c < config->cell_count; c++)
+        if (scheduler_policy(scheduler, &config->cells[c]) != policy_plain())
+            map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
+    if (cells == 0)
+        return;
+    input->cell_count = cells;
+    input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->worker_count));
+    Job *const *jobs;
+    const size_t count = table_active(scheduler->table, &jobs);
+    size_t looks = 0;
+    for (size_t c = 0; c < config->cell_count; c++) {
+        const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
+        const Policy *policy = scheduler_policy(scheduler, &config->cells[c]);
+        Speakers speakers;
+        if (place == 0)
+            continue;
+        speakers_find(scheduler, config->cells[c].name, &speakers);
+        if (speakers.count == 0 || !speakers.whole)
+            continue;
+        for (size_t j = 0; j < count; j++) {
+            if (jobs[j]->spec.protection == PROTECTION_PROTECTED ||
+                strcmp(jobs[j]->spec.cell, config->cells[c].name) != 0)
+                continue;
+            for (size_t t = 0; t < jobs[j]->tasks_count && looks < PREEMPT_LOOKS_MAX; t++) {
+                const JobTask *task = &jobs[j]->tasks[t];
+                const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
+                /* a worker that is given nothing has no room to be had either */
+                if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
+                    continue;
+                const PolicySight other = queue_see(scheduler->queue, &pass->sight, jobs[j], t);
+                bool all = true;
+                for (size_t i = 0; i < speakers.count && all; i++, looks++) {
+                    const PolicySight mine =
+                        queue_see(scheduler->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
+                    all = policy->may_preempt(policy->arg, &mine, &other);
+                }
+                Room *room = &input->pushable[(place - 1) * input->worker_count + at];
+                if (all)
+                    *room = room_more(*room, jobs[j]->spec.steps[task->step].room);
+            }
+        }
+    }
+}
--- a/packages/controller/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -5,34 +5,46 @@
  * such candidate for a cell at a time, never more than a share of the fleet.
  *
  * The leader's memory alone holds this: a new leader finds the same again. */
+#include "reservation.h"
+
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "base/map.h"
-#include "pass.h"
+#include "capacity_forecast.h"
+
+/* Workers kept for one candidate that small work would overtake for ever. */
+typedef struct Reservation {
+    const char *job;
+    size_t task; /* its first */
+    double rank;
+    int64_t since_ms;
+    size_t worker_count;
+    const char *workers[RESERVATION_MEMBERS_MAX];
+    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
+} Reservation;
 
 static bool is_for(const Reservation *kept, const Candidate *candidate)
 {
     return strcmp(kept->job, candidate->job->spec.id) == 0 && kept->task == candidate->first;
 }
 
-static size_t reservation_workers(const Controller *controller, void *mem)
+static size_t reservation_workers(const Scheduler *scheduler, void *mem)
 {
     const char **cells;
-    const size_t count = map_keys(controller->kept, mem, &cells);
+    const size_t count = map_keys(scheduler->kept, mem, &cells);
     size_t workers = 0;
     for (size_t i = 0; i < count; i++)
-        workers += ((const Reservation *)map_get(controller->kept, cells[i]))->worker_count;
+        workers += ((const Reservation *)map_get(scheduler->kept, cells[i]))->worker_count;
     return workers;
 }
 
-static void reservation_drop(Controller *controller, const char *cell, const char *why)
+static void reservation_drop(Scheduler *scheduler, const char *cell, const char *why)
 {
-    Reservation *kept = map_get(controller->kept, cell);
-    recorder_write(controller->recorder, RECORDER_NOTE, loop_now_ms(controller->loop),
+    Reservation *kept = map_get(scheduler->kept, cell);
+    recorder_write(scheduler->recorder, RECORDER_NOTE, loop_now_ms(scheduler->loop),
                    "%zu workers are kept for %s no longer: %s", kept->worker_count, kept->job, why);
-    map_drop(controller->kept, cell);
+    map_drop(scheduler->kept, cell);
     talloc_free(kept);
 }
 
@@ -40,21 +52,21 @@
  * given nothing now, is let go. */
 void reservation_begin(Pass *pass)
 {
-    Controller *controller = pass->controller;
+    Scheduler *scheduler = pass->scheduler;
     const char **cells;
-    const size_t cell_count = map_keys(controller->kept, pass->mem, &cells);
+    const size_t cell_count = map_keys(scheduler->kept, pass->mem, &cells);
     for (size_t c = 0; c < cell_count; c++) {
-        Reservation *kept = map_get(controller->kept, cells[c]);
-        const Job *job = table_job(controller->table, kept->job);
+        Reservation *kept = map_get(scheduler->kept, cells[c]);
+        const Job *job = table_job(scheduler->table, kept->job);
         const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
         if (!waits || !line_rank(pass->line, job, kept->task, &kept->rank)) {
-            reservation_drop(controller, cells[c], "it waits no more");
+            reservation_drop(scheduler, cells[c], "it waits no more");
             continue;
         }
         for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = pass_place(pass, kept->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
-                reservation_drop(controller, cells[c], "one of them may be given nothing");
+                reservation_drop(scheduler, cells[c], "one of them may be given nothing");
                 break;
             }
             kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
@@ -67,9 +79,9 @@
     bool any = false;
     void *mem = talloc_new(NULL);
     const char **cells;
-    const size_t count = map_keys(pass->controller->kept, mem, &cells);
+    const size_t count = map_keys(pass->scheduler->kept, mem, &cells);
     for (size_t c = 0; c < count; c++) {
-        const Reservation *kept = map_get(pass->controller->kept, cells[c]);
+        const Reservation *kept = map_get(pass->scheduler->kept, cells[c]);
         const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
         if (is_for(kept, candidate) || above || candidate->restart)
             continue;
@@ -105,18 +117,18 @@
 
 void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
-    Controller *controller = pass->controller;
+    Scheduler *scheduler = pass->scheduler;
     const int64_t log_ms = pass->clock.log_ms;
     const PlanInput *input = &pass->input;
     const char *cell = candidate->job->spec.cell;
     if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
-        map_get(controller->kept, cell) != NULL)
+        map_get(scheduler->kept, cell) != NULL)
         return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const size_t taken = reservation_workers(controller, pass->mem);
+    const size_t taken = reservation_workers(scheduler, pass->mem);
     const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
-    Reservation *kept = talloc_zero(controller, Reservation);
+    Reservation *kept = talloc_zero(scheduler, Reservation);
     size_t left = candidate->count;
     reservation_from(pass, candidate, used);
     while (left > 0 && taken + kept->worker_count < most) {
@@ -154,10 +166,10 @@
     kept->job = talloc_strdup(kept, candidate->job->spec.id);
     kept->task = candidate->first;
     kept->rank = candidate->rank;
-    kept->since_ms = loop_now_ms(controller->loop);
-    map_set(controller->kept, cell, kept);
-    controller->counts.kept++;
-    recorder_write(controller->recorder, RECORDER_NOTE, kept->since_ms,
+    kept->since_ms = loop_now_ms(scheduler->loop);
+    map_set(scheduler->kept, cell, kept);
+    scheduler->counts.kept++;
+    recorder_write(scheduler->recorder, RECORDER_NOTE, kept->since_ms,
                    "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
                    kept->workers[0], kept->job, log_ms - candidate->since_ms);
 }
--- /dev/null
+++ b/packages/scheduler/src/restart_elsewhere.c
@@ -0,0 +1,29 @@
+/* Attempts that are stopped so that they begin anew elsewhere: looked for now and then,
+ * committed together, a few at a time. */
+#include "restart_elsewhere.h"
+
+#include <talloc.h>
+
+#include "leaving_worker.h"
+#include "slow_attempt.h"
+
+bool stop_look(Pass *pass)
+{
+    Scheduler *scheduler = pass->scheduler;
+    const int64_t now_ms = loop_now_ms(scheduler->loop);
+    if (now_ms < scheduler->stop_look_ms)
+        return false;
+    scheduler->stop_look_ms = now_ms + STOP_LOOK_MS;
+    StopList list = {.why = "goes on better elsewhere"};
+    leave_find(pass, &list);
+    slow_find(pass, &list);
+    if (list.attempts_count == 0)
+        return false;
+    ChangeResult result;
+    if (scheduler_order(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK) {
+        scheduler->counts.slowed += result.number;
+        recorder_write(scheduler->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere",
+                       list.attempts_count);
+    }
+    return true;
+}
--- /dev/null
+++ b/packages/scheduler/src/scheduler.c
@@ -0,0 +1,98 @@
+/* The scheduler as its controller sees it, and its way to the controller. */
+#include "scheduler/scheduler.h"
+
+#include <talloc.h>
+
+#include "heartbeat/lease.h"
+#include "pass.h"
+#include "scheduler/attempt_pace.h"
+
+Scheduler *scheduler_new(void *mem, const SchedulerSettings *settings)
+{
+    Scheduler *scheduler = talloc_zero(mem, Scheduler);
+    scheduler->loop = settings->loop;
+    scheduler->recorder = settings->recorder;
+    scheduler->table = settings->table;
+    scheduler->liveset = settings->liveset;
+    scheduler->orphans = settings->orphans;
+    scheduler->bounds = settings->bounds;
+    scheduler->leader = settings->leader;
+    scheduler->plan.possible = true;
+    scheduler->saved = map_new(scheduler);
+    scheduler->scores = map_new(scheduler);
+    scheduler->estimates = estimates_new(scheduler);
+    scheduler->queue = queue_new(scheduler, scheduler->estimates);
+    scheduler->paces = paces_new(scheduler);
+    scheduler->kept = map_new(scheduler);
+    return scheduler;
+}
+
+void scheduler_reset(Scheduler *scheduler)
+{
+    paces_reset(scheduler->paces);
+}
+
+void scheduler_notify(Scheduler *scheduler)
+{
+    scheduler->news++;
+    signal_raise(scheduler->loop, &scheduler->wake);
+}
+
+void scheduler_set_place_from(Scheduler *scheduler, int64_t from_ms)
+{
+    scheduler->place_from_ms = from_ms;
+}
+
+int64_t scheduler_place_from_ms(const Scheduler *scheduler)
+{
+    return scheduler->place_from_ms;
+}
+
+const SchedulerCounts *scheduler_counts(const Scheduler *scheduler)
+{
+    return &scheduler->counts;
+}
+
+const SchedulerPlan *scheduler_plan(const Scheduler *scheduler)
+{
+    return &scheduler->plan;
+}
+
+Line *scheduler_line(Scheduler *scheduler, void *mem, QueuePolicy policy, void *arg)
+{
+    Pass *pass = pass_new(scheduler, mem);
+    pass->sight.policy = policy;
+    pass->sight.arg = arg;
+    return line_new(pass, scheduler->queue, &pass->sight);
+}
+
+bool scheduler_leads(const Scheduler *scheduler)
+{
+    return scheduler->leader.leads(scheduler->leader.arg);
+}
+
+bool scheduler_decides(const Scheduler *scheduler)
+{
+    return scheduler->leader.decides(scheduler->leader.arg);
+}
+
+int64_t scheduler_won_ms(const Scheduler *scheduler)
+{
+    return scheduler->leader.won_ms(scheduler->leader.arg);
+}
+
+Status scheduler_order(const Scheduler *scheduler, void *mem, ChangeKind kind, const Shape *shape, const void *body,
+                       ChangeResult *result)
+{
+    return scheduler->leader.order(scheduler->leader.arg, mem, kind, shape, body, result);
+}
+
+const Policy *scheduler_policy(const Scheduler *scheduler, const ConfigCell *cell)
+{
+    return scheduler->leader.policy(scheduler->leader.arg, cell);
+}
+
+int64_t scheduler_lease_end_ms(const Scheduler *scheduler)
+{
+    return scheduler_won_ms(scheduler) + lease_claim_ms(scheduler->bounds->lease_ms);
+}
--- a/packages/controller/src/slow.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -1,10 +1,15 @@
 /* Attempts that stand still, or come along so slowly on their worker that another would
  * be done with them sooner, are stopped there and begun anew elsewhere: where room is
  * there now, a few at a time, and never what meets its target as it is. */
+#include "slow_attempt.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "scheduler/attempt_pace.h"
+#include "scheduler/worker_score.h"
+#include "stop_list.h"
+#include "worker_choice.h"
 
 #define STANDS_MS 1e9 /* ms; what stands still is never done */
 
@@ -21,11 +26,11 @@
 
 static bool stands_still(const Pass *pass, const Pace *pace, const Going *going, const StepSpec *step)
 {
-    if (pace == NULL || !paces_credible(pass->controller->paces))
+    if (pace == NULL || !paces_credible(pass->scheduler->paces))
         return false;
     const int64_t still_ms = pace->ran_ms - pace->still_ms;
     /* members of a gang wait for each other first */
-    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->controller->settings->bounds.gang_ms + STILL_LEAST_MS)
+    if (step->gang && pace->percent == 0 && pace->ran_ms < pass->scheduler->bounds->gang_ms + STILL_LEAST_MS)
         return false;
     return still_ms >= STILL_LEAST_MS && (double)still_ms * 100 >= going->whole_ms * STILL_PERCENT;
 }
@@ -40,19 +45,19 @@
 /* How it comes along; false: nothing is wrong that can be seen. */
 static bool going_find(const Pass *pass, const TaskOn *on, size_t worker, Going *going)
 {
-    const Controller *controller = pass->controller;
+    const Scheduler *scheduler = pass->scheduler;
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const StepSpec *step = &job->spec.steps[task->step];
-    const int64_t estimate = estimate_ms(controller->estimates, job, task->step);
+    const int64_t estimate = estimate_ms(scheduler->estimates, job, task->step);
     if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || estimate <= 0 ||
         task->attempt >= SLOW_ATTEMPTS_MOST)
         return false;
-    const Worker *its = table_worker(controller->table, task->worker);
-    const uint64_t far = its != NULL ? score_far_percent(controller, its, step) : 100;
+    const Worker *its = table_worker(scheduler->table, task->worker);
+    const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
     *going = (Going){.job = job, .task = on->task, .worker = worker};
-    going->whole_ms = (double)estimate * (double)far / 100 * (double)estimate_pace(controller->estimates) / 1000;
-    const Pace *pace = pace_find(controller->paces, job->spec.id, task_number(task), task->attempt);
+    going->whole_ms = (double)estimate * (double)far / 100 * (double)estimate_pace(scheduler->estimates) / 1000;
+    const Pace *pace = pace_find(scheduler->paces, job->spec.id, task_number(task), task->attempt);
     if (pace == NULL)
         return false;
     going->still = stands_still(pass, pace, going, step);
@@ -64,7 +69,7 @@
         const double here_ms = 100 / pace->per_ms;
         going->whole_ms = here_ms * 1000 / (double)pass->speeds[worker];
         going->left_ms =
-            (double)(100 - pace->percent) / pace->per_ms - (double)(loop_now_ms(controller->loop) - pace->told_ms);
+            (double)(100 - pace->percent) / pace->per_ms - (double)(loop_now_ms(scheduler->loop) - pace->told_ms);
     }
     return going->left_ms > going->whole_ms;
 }
@@ -75,7 +80,7 @@
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
     LatencyTarget target;
-    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->controller->estimates, (Room){0}, &target);
+    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->scheduler->estimates, (Room){0}, &target);
     const int64_t slack_ms = target_slack_ms(&target, task->step, pass->clock.log_ms);
     return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= going->left_ms;
 }
@@ -99,7 +104,7 @@
 {
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
-        const size_t count = table_on(pass->controller->table, pass->input.workers[i].name, &on);
+        const size_t count = table_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             Going going;
             if (!going_find(pass, &on[t], i, &going) ||
@@ -107,7 +112,7 @@
                 continue;
             const int at = elsewhere(pass, &going);
             if (at >= 0 && stop_add(pass, list, going.job, going.task, at, STOPS_MOST) && going.still)
-                score_still(pass->controller, pass->input.workers[i].name, going.job);
+                score_still(pass->scheduler, pass->input.workers[i].name, going.job);
         }
     }
 }
--- a/packages/controller/src/choose.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -3,11 +3,11 @@
  * What must hold: room, kind, labels, apart. What is better: room left over, near
  * the data, all of a step on one rack, a fast worker, one that does not fail its
  * work, and, with all else equal, away from others of its job. */
+#include "worker_choice.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
-
 #define SHARE_ONE 1000 /* thousandths */
 
 /* One more, or one less, of the step is on the worker. */
@@ -28,7 +28,7 @@
 
 /* Where the others of the step are, and of the job: kept for one step at a time,
  * since tasks of a step come one after another. What is being stopped counts. */
-void sight_find(Pass *pass, const Job *job, size_t task)
+static void sight_find(Pass *pass, const Job *job, size_t task)
 {
     StepSight *sight = &pass->step;
     const size_t first = task_first(job, &job->tasks[task]);
@@ -76,7 +76,7 @@
 
 uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at)
 {
-    const uint64_t far = (uint64_t)pass->controller->settings->bounds.far_percent;
+    const uint64_t far = (uint64_t)pass->scheduler->bounds->far_percent;
     uint64_t percent = 100;
     if (step->near[0] != '\0' && strcmp(step->near, pass->input.workers[at].rack) != 0)
         percent = percent * far / 100;
--- /dev/null
+++ b/packages/scheduler/src/worker_choice.h
@@ -0,0 +1,16 @@
+#ifndef SCHEDULER_SRC_WORKER_CHOICE_H
+#define SCHEDULER_SRC_WORKER_CHOICE_H
+
+#include "pass.h"
+
+/* By more tasks of the step under way (pass->step) are on the worker at that place. */
+void sight_add(Pass *pass, size_t at, int by);
+/* The place of the best worker for the task, none of those in excluded, on the rack when it is not null; -1:
+ * none fits. Not the one where its last attempt failed, unless there is no other. */
+int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
+/* The step's time there in percent of that near its data and the others of its step. */
+uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at);
+/* Delay scheduling: whether to wait a moment for a worker near the data rather than take one that is farther. */
+bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent);
+
+#endif
--- a/packages/controller/src/score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -1,63 +1,65 @@
 /* Workers that fail or slow their work while they claim health: fewer starts, then none
  * for a growing span, never for too many of them at once. */
+#include "scheduler/worker_score.h"
+
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "state.h"
 
-const Score *score_find(const Controller *controller, const char *worker)
+const Score *score_find(const Scheduler *scheduler, const char *worker)
 {
-    return map_get(controller->scores, worker);
+    return map_get(scheduler->scores, worker);
 }
 
 /* A rate that nothing renews fades. */
-static uint64_t tally_rate(const Controller *controller, const Score *score, const Tally *tally)
+static uint64_t tally_rate(const Scheduler *scheduler, const Score *score, const Tally *tally)
 {
     const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
-    const int64_t halvings = (loop_now_ms(controller->loop) - from) / SCORE_FADE_MS;
+    const int64_t halvings = (loop_now_ms(scheduler->loop) - from) / SCORE_FADE_MS;
     if (halvings > 7)
         return 0;
     return halvings > 0 ? tally->rate_percent >> halvings : tally->rate_percent;
 }
 
-uint64_t score_rate(const Controller *controller, const char *worker)
+uint64_t score_rate(const Scheduler *scheduler, const char *worker)
 {
-    const Score *score = score_find(controller, worker);
+    const Score *score = score_find(scheduler, worker);
     if (score == NULL)
         return 0;
-    const uint64_t failed = tally_rate(controller, score, &score->failed);
+    const uint64_t failed = tally_rate(scheduler, score, &score->failed);
     /* one sign alone may have been one pause */
-    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(controller, score, &score->slow) : 0;
+    const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(scheduler, score, &score->slow) : 0;
     return failed > slow ? failed : slow;
 }
 
-bool score_rests(const Controller *controller, const char *worker)
+bool score_rests(const Scheduler *scheduler, const char *worker)
 {
-    const Score *score = score_find(controller, worker);
-    return score != NULL && loop_now_ms(controller->loop) < score->rest_until_ms;
+    const Score *score = score_find(scheduler, worker);
+    return score != NULL && loop_now_ms(scheduler->loop) < score->rest_until_ms;
 }
 
-static size_t resting(const Controller *controller, void *mem)
+static size_t resting(const Scheduler *scheduler, void *mem)
 {
     const char **names;
-    const size_t count = map_keys(controller->scores, mem, &names);
+    const size_t count = map_keys(scheduler->scores, mem, &names);
     size_t rest = 0;
     for (size_t i = 0; i < count; i++)
-        rest += score_rests(controller, names[i]);
+        rest += score_rests(scheduler, names[i]);
     return rest;
 }
 
-static void rest_maybe(Controller *controller, const char *worker, Score *score, Tally *tally, const char *how)
+static void rest_maybe(Scheduler *scheduler, const char *worker, Score *score, Tally *tally, const char *how)
 {
-    const int64_t now_ms = loop_now_ms(controller->loop);
+    const int64_t now_ms = loop_now_ms(scheduler->loop);
     if (tally->rate_percent <= SCORE_REST || tally->jobs < SCORE_JOBS || now_ms < score->rest_until_ms)
         return;
-    void *mem = talloc_new(controller);
+    void *mem = talloc_new(scheduler);
     const Worker **workers;
-    const size_t fleet = table_workers(controller->table, mem, &workers);
-    const size_t rest = resting(controller, mem);
+    const size_t fleet = table_workers(scheduler->table, mem, &workers);
+    const size_t rest = resting(scheduler, mem);
     talloc_free(mem);
     if ((rest + 1) * SCORE_SHARE > fleet)
         return; /* so many at once: the work is bad, or the fleet is; resting helps neither */
@@ -68,16 +70,16 @@
     /* after the rest it is tried again: a single bad round sends it back */
     tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
-    if (replication_leading(controller->replication))
-        recorder_write(controller->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms",
+    if (scheduler_leads(scheduler))
+        recorder_write(scheduler->recorder, RECORDER_ALERT, now_ms, "worker %s %s: given nothing for %" PRId64 " ms",
                        worker, how, score->rest_ms);
 }
 
-static void tally_take(Controller *controller, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
+static void tally_take(Scheduler *scheduler, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
                        uint64_t weight, const char *how)
 {
-    tally->rate_percent = tally_rate(controller, score, tally);
-    tally->rated_ms = loop_now_ms(controller->loop);
+    tally->rate_percent = tally_rate(scheduler, score, tally);
+    tally->rated_ms = loop_now_ms(scheduler->loop);
     tally->rate_percent = (tally->rate_percent * (100 - weight) + (bad ? 100 : 0) * weight) / 100;
     if (!bad) {
         tally->jobs = 0;
@@ -87,7 +89,7 @@
         tally->jobs++;
         tally->last_job = job->number;
     }
-    rest_maybe(controller, worker, score, tally, how);
+    rest_maybe(scheduler, worker, score, tally, how);
 }
 
 /* A first round's time on its worker, by the log; -1: not to be compared. */
@@ -126,63 +128,63 @@
 }
 
 /* What the attempt's place made of its time, near its data or not. */
-uint64_t score_far_percent(const Controller *controller, const Worker *worker, const StepSpec *step)
+uint64_t score_far_percent(const Scheduler *scheduler, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
-    return far ? (uint64_t)controller->settings->bounds.far_percent : 100;
+    return far ? (uint64_t)scheduler->bounds->far_percent : 100;
 }
 
-static void estimate_take(Controller *controller, const AttemptNews *news, const Job *job, const JobTask *task)
+static void estimate_take(Scheduler *scheduler, const AttemptNews *news, const Job *job, const JobTask *task)
 {
-    const Worker *worker = table_worker(controller->table, news->worker);
+    const Worker *worker = table_worker(scheduler->table, news->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->attempt == 1 || !step->saves;
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
     /* a gang, and what is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        estimates_end(controller->estimates, job, task->step, news->worker, ran_ms,
-                      score_far_percent(controller, worker, step), loop_now_ms(controller->loop));
+        estimates_end(scheduler->estimates, job, task->step, news->worker, ran_ms,
+                      score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
 }
 
-void score_still(Controller *controller, const char *worker, const Job *job)
+void score_still(Scheduler *scheduler, const char *worker, const Job *job)
 {
-    Score *score = map_get(controller->scores, worker);
+    Score *score = map_get(scheduler->scores, worker);
     if (score == NULL) {
-        score = talloc_zero(controller->scores, Score);
-        map_set(controller->scores, worker, score);
+        score = talloc_zero(scheduler->scores, Score);
+        map_set(scheduler->scores, worker, score);
     }
-    tally_take(controller, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
+    tally_take(scheduler, worker, score, &score->failed, job, true, SCORE_WEIGHT, "lets its work stand still");
 }
 
-void score_take(Controller *controller, const AttemptList *list)
+void score_take(Scheduler *scheduler, const AttemptList *list)
 {
     for (size_t i = 0; i < list->news_count; i++) {
         const AttemptNews *news = &list->news[i];
         if (news->word != ATTEMPT_FAILED && news->word != ATTEMPT_DONE)
             continue;
-        Score *score = map_get(controller->scores, news->worker);
-        const Job *job = table_job(controller->table, news->job);
+        Score *score = map_get(scheduler->scores, news->worker);
+        const Job *job = table_job(scheduler->table, news->job);
         bool slow = false;
         const size_t at = job != NULL ? task_index(job, news->task) : 0;
         const bool ended = news->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
                            job->tasks[at].attempt == news->attempt;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            estimate_take(controller, news, job, &job->tasks[at]);
+            estimate_take(scheduler, news, job, &job->tasks[at]);
         if (score == NULL &&
-            ((news->word == ATTEMPT_DONE && !slow) || table_worker(controller->table, news->worker) == NULL))
+            ((news->word == ATTEMPT_DONE && !slow) || table_worker(scheduler->table, news->worker) == NULL))
             continue;
         if (score == NULL) {
-            score = talloc_zero(controller->scores, Score);
-            map_set(controller->scores, news->worker, score);
+            score = talloc_zero(scheduler->scores, Score);
+            map_set(scheduler->scores, news->worker, score);
         }
-        tally_take(controller, news->worker, score, &score->failed, job, news->word == ATTEMPT_FAILED, SCORE_WEIGHT,
+        tally_take(scheduler, news->worker, score, &score->failed, job, news->word == ATTEMPT_FAILED, SCORE_WEIGHT,
                    "fails its work");
         /* attempts that ran beside one already counted may all have met the same
          * pause: one pause is one sign */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
-            tally_take(controller, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
+            tally_take(scheduler, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
             score->slow_end_ms = job->tasks[at].changed_ms;
     }
--- a/packages/controller/src/move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -1,14 +1,16 @@
+#include "zone_move.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "pass.h"
+#include "assurance.h"
 
 static bool zones_move(const Pass *pass)
 {
     const char **zones;
-    const size_t count = table_drains(pass->controller->table, pass->mem, &zones);
+    const size_t count = table_drains(pass->scheduler->table, pass->mem, &zones);
     for (size_t i = 0; i < count; i++)
-        if (table_drain_moves(pass->controller->table, zones[i]))
+        if (table_drain_moves(pass->scheduler->table, zones[i]))
             return true;
     return false;
 }
@@ -32,7 +34,7 @@
 static bool move_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
     const TaskOn *on;
-    const size_t count = table_on(pass->controller->table, worker, &on);
+    const size_t count = table_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++) {
         const Job *job = on[t].job;
         const JobTask *task = &job->tasks[on[t].task];
@@ -51,7 +53,7 @@
 static bool any_stops(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
-    const size_t count = table_on(pass->controller->table, worker, &on);
+    const size_t count = table_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++)
         if (on[t].job->tasks[on[t].task].phase == TASK_STOPPING)
             return true;
@@ -64,23 +66,23 @@
  * run stay until they end. */
 bool move_one(Pass *pass)
 {
-    Controller *controller = pass->controller;
+    Scheduler *scheduler = pass->scheduler;
     AttemptId attempt;
     bool found = false;
     if (!zones_move(pass))
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
-        if (table_drain_moves(controller->table, pass->input.workers[i].zone) &&
+        if (table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
             any_stops(pass, pass->input.workers[i].name))
             return false; /* the last one is on its way */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
-        found = table_drain_moves(controller->table, pass->input.workers[i].zone) &&
+        found = table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
                 move_find(pass, pass->input.workers[i].name, &attempt);
     if (!found)
         return false;
     const StopList list = {&attempt, 1, "moved off an emptied zone"};
     ChangeResult result;
-    if (controller_submit(controller, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result, NULL) == STATUS_OK)
-        controller->counts.moved += result.number;
+    if (scheduler_order(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK)
+        scheduler->counts.moved += result.number;
     return true;
 }
--- /dev/null
+++ b/packages/scheduler/src/zone_move.h
@@ -0,0 +1,9 @@
+#ifndef SCHEDULER_SRC_ZONE_MOVE_H
+#define SCHEDULER_SRC_ZONE_MOVE_H
+
+#include "pass.h"
+
+/* Waits. Stops one task in a zone that is emptied with a move. True: one was, and the pass is over. */
+bool move_one(Pass *pass);
+
+#endif
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -9,14 +9,18 @@
 #include <talloc.h>
 #include <time.h>
 
-#include "pass.h"
+#include "planner.h"
 #include "sim/world.h"
 
 #define WORKERS 74 /* count; of the larger sites */
 #define EACH 27    /* count; tasks on each */
 
 typedef struct Stand {
-    Controller *controller;
+    Loop *loop;
+    Table *table;
+    Liveset *liveset;
+    Scheduler *scheduler;
+    const Config *config;
     uint64_t index, jobs;
 } Stand;
 
@@ -30,11 +34,10 @@
 static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
-    Record change = {
-        .change = kind, .index = ++stand->index, .at_ms = replication_clock_ms(stand->controller->replication)};
+    Record change = {.change = kind, .index = ++stand->index, .at_ms = loop_now_ms(stand->loop)};
     shape_pack(shape, body, mem, &change.payload);
     ChangeResult result = {0};
-    const ReplicationState state = table_state(stand->controller->table);
+    const ReplicationState state = table_state(stand->table);
     state.deliver(state.arg, &change, &result);
     talloc_free(mem);
 }
@@ -61,7 +64,7 @@
                                         .worker_live = true,
                                         .settled = true};
         bool counts;
-        liveset_heartbeat(stand->controller->liveset, &heartbeat, loop_now_ms(stand->controller->loop), 60000, &counts);
+        liveset_heartbeat(stand->liveset, &heartbeat, loop_now_ms(stand->loop), 60000, &counts);
     }
     talloc_free(mem);
 }
@@ -90,7 +93,7 @@
 
 static Pass *pass(Stand *stand)
 {
-    Pass *one = pass_new(stand->controller, stand->controller);
+    Pass *one = pass_new(stand->scheduler, stand->scheduler);
     pass_places(one);
     return one;
 }
@@ -115,58 +118,118 @@
     *(Loop **)arg = loop;
 }
 
-static Stand stand_new(void *mem, size_t times)
+/* The scheduler's view of a controller that always leads. No pass here orders a change. */
+static bool always(void *arg)
 {
+    (void)arg;
+    return true;
+}
+
+static int64_t won_ms(void *arg)
+{
+    (void)arg;
+    return 0;
+}
+
+static QueueClock clock_now(void *arg)
+{
+    const Stand *stand = arg;
+    return (QueueClock){loop_now_ms(stand->loop), loop_wall_ms(stand->loop)};
+}
+
+static const Config *config(void *arg, uint64_t *stamp)
+{
+    const Stand *stand = arg;
+    *stamp = 1;
+    return stand->config;
+}
+
+static const Policy *policy(void *arg, const ConfigCell *cell)
+{
+    (void)arg;
+    (void)cell;
+    return policy_plain();
+}
+
+static uint64_t policy_failures(void *arg, const char **last)
+{
+    (void)arg;
+    *last = "";
+    return 0;
+}
+
+static Status order(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result)
+{
+    (void)arg;
+    (void)mem;
+    (void)kind;
+    (void)shape;
+    (void)body;
+    (void)result;
+    return STATUS_NOT_LEADER;
+}
+
+static Scheduler *scheduler_of(Stand *stand, const Bounds *bounds)
+{
+    return scheduler_new(stand, &(SchedulerSettings){.loop = stand->loop,
+                                                     .recorder = recorder_new(stand, "bench"),
+                                                     .table = stand->table,
+                                                     .liveset = stand->liveset,
+                                                     .orphans = orphans_new(stand),
+                                                     .bounds = bounds,
+                                                     .leader = {.arg = stand,
+                                                                .leads = always,
+                                                                .decides = always,
+                                                                .won_ms = won_ms,
+                                                                .clock = clock_now,
+                                                                .config = config,
+                                                                .policy = policy,
+                                                                .policy_failures = policy_failures,
+                                                                .order = order}});
+}
+
+static Stand *stand_new(void *mem, size_t times)
+{
+    static const char CONFIG[] =
+        "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}";
     SimWorld *world = sim_world_new(mem, 1);
-    Controller *controller = talloc_zero(mem, Controller);
-    Settings *settings = talloc_zero(controller, Settings);
-    settings->bounds = bounds_first();
-    controller->settings = settings;
-    sim_start(world, sim_machine(world), started, &controller->loop);
-    controller->recorder = recorder_new(controller, "bench");
-    controller->table = table_new(controller);
-    const ReplicationSettings replication_settings = {
-        .loop = controller->loop, .recorder = controller->recorder, .state = table_state(controller->table)};
-    controller->replication = replication_new(controller, &replication_settings);
-    controller->liveset = liveset_new(controller);
-    controller->saved = map_new(controller);
-    controller->scores = map_new(controller);
-    controller->kept = map_new(controller);
-    controller->estimates = estimates_new(controller);
-    controller->orphans = orphans_new(controller);
-    controller->paces = paces_new(controller);
-    controller->queue = queue_new(controller, controller->estimates);
-    Stand stand = {controller, 0, 0};
-    const ConfigSet set = {
-        .version = 1,
-        .text =
-            "{\"r\":0,\"cells\":{\"all\":{\"tenants\":{\"all\":{}},\"queues\":{\"a\":{\"priority\":1},\"b\":{}}}}}"};
-    tell(&stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
-    workers_add(&stand, WORKERS * times, 64000);
+    Stand *stand = talloc_zero(mem, Stand);
+    Bounds *bounds = talloc(stand, Bounds);
+    Faults *faults = talloc_zero(stand, Faults);
+    *bounds = bounds_first();
+    faults->mem = stand;
+    sim_start(world, sim_machine(world), started, &stand->loop);
+    stand->table = table_new(stand);
+    stand->liveset = liveset_new(stand);
+    stand->config = config_read(stand, CONFIG, strlen(CONFIG), 1, faults);
+    stand->scheduler = scheduler_of(stand, bounds);
+    const ConfigSet set = {.version = 1, .text = CONFIG};
+    tell(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
+    workers_add(stand, WORKERS * times, 64000);
     return stand;
 }
 
 static void look(size_t times, size_t waiting, int attempts)
 {
     void *mem = talloc_new(NULL);
-    Stand stand = stand_new(mem, times);
+    Stand *stand = stand_new(mem, times);
     const bool crowded = waiting > 0;
     for (size_t i = 0; i < WORKERS * times * EACH / 9; i++)
-        job_add(&stand, 9, crowded ? 64000 / EACH : 1000);
-    const size_t running = settle(&stand);
+        job_add(stand, 9, crowded ? 64000 / EACH : 1000);
+    const size_t running = settle(stand);
     for (size_t i = 0; i < waiting; i++)
-        job_add(&stand, 4, 6000 + i % 7 * 1000);
+        job_add(stand, 4, 6000 + i % 7 * 1000);
     double passes = 0;
     size_t starts = 0;
     for (int i = 0; i < attempts; i++) {
         for (int k = 0; k < 2 && !crowded; k++)
-            job_add(&stand, 4, 100);
+            job_add(stand, 4, 100);
         const double start = seconds();
-        Pass *one = pass(&stand);
+        Pass *one = pass(stand);
         passes += seconds() - start;
         starts += one->places.placements_count;
         if (one->places.placements_count > 0)
-            tell(&stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
+            tell(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
         talloc_free(one);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", WORKERS * times, running, waiting,
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -217,7 +217,7 @@
 0      jump:3600000   call:10
 12000  .              end
 """),
-    Guard("quota", "a tenant's work is held to its quota", "packages/controller/src/place.c",
+    Guard("quota", "a tenant's work is held to its quota", "packages/scheduler/src/placement.c",
           "    if (!under_quota(pass, candidate, step))\n        return false;\n", "    (void)under_quota;\n",
           "more of a tenant", "timeline", "varied", 2, WORKERS_KILLED),
     Guard("kind", "a worker is of the kind asked for", "packages/plan/src/plan.c",
@@ -236,8 +236,8 @@
     Guard("stop-confirmed", "room is used once the old round is known to be over", "packages/state/include/state/job.h",
           "X(STOPPING, \"stopping\", true)", "X(STOPPING, \"stopping\", false)",
           "packed beyond its room|running twice|" + CLAIM, "sweep", "varied", 1, 24),
-    Guard("drained", "an emptied zone gets no new work", "packages/controller/src/pass.c",
-          "!table_drained(controller->table, worker->zone) && ", "",
+    Guard("drained", "an emptied zone gets no new work", "packages/scheduler/src/pass.c",
+          "!table_drained(scheduler->table, worker->zone) && ", "",
           "emptied zone", "timeline", "trentvale", 2, ZONE_DRAINED),
     Guard("leaving", "a leaving worker gets no new work", "packages/heartbeat/src/liveset.c",
           "!row->leaving && ", "",
@@ -256,7 +256,7 @@
     Guard("stop-told", "what is not wanted is stopped", "packages/agent/src/orders.c",
           "            attempt->phase = PHASE_STOPPING;\n        signal_raise", "            (void)attempt;\n        signal_raise",
           "running on after", "timeline", "trentvale", 3, CANCELLED),
-    Guard("gang-whole", "a gang is placed whole or not at all", "packages/controller/src/place.c",
+    Guard("gang-whole", "a gang is placed whole or not at all", "packages/scheduler/src/placement.c",
           "            take_back(pass, step, where, i);\n            return false;",
           "            ((Candidate *)(uintptr_t)candidate)->count = i;\n            return i > 0;",
           "left waiting alone", "timeline", "varied", 4, """
@@ -265,11 +265,11 @@
 40000  start    start    start    start    start    start    start    start    .
 60000  .        .        .        .        .        .        .        .        end
 """, also=[("packages/state/src/deliver_place.c", "return together == left ? together : 0;", "return together;"),
-           ("packages/controller/src/planner.c", "        gangs_mend(controller, mem);", "        (void)mem;")]),
+           ("packages/scheduler/src/planner.c", "        gangs_mend(scheduler, mem);", "        (void)mem;")]),
     Guard("gang-stopped", "when a member is lost the others stop", "packages/state/src/gang.c",
           "        if (other != task && (other->phase", "        if (false && (other->phase",
           "left waiting alone", "sweep", "varied", 1, 40,
-          also=[("packages/controller/src/planner.c", "        gangs_mend(controller, mem);", "        (void)mem;")]),
+          also=[("packages/scheduler/src/planner.c", "        gangs_mend(scheduler, mem);", "        (void)mem;")]),
     Guard("base-check", "a configuration builds on the one in force", "packages/state/src/deliver_config.c",
           "set->base == current && version > current && (!set->patch", "(!set->patch",
           "configuration", "sweep", "varied", 1, 60),
