--- /dev/null
+++ b/packages/callers/include/callers/callers.h
@@ -0,0 +1,63 @@
+#ifndef CALLERS_CALLERS_H
+#define CALLERS_CALLERS_H
+
+#include "routing/forward.h"
+#include "inforce/in_force.h"
+#include "scheduler/scheduler.h"
+#include "replication/replication.h"
+
+/* Answers callers' requests as leader: jobs, the configuration, zones, the queue, status. A request passes
+ * guards, goes to its route, and its answer goes out only with the proof that its route asks for: the lease,
+ * or an attempt of contact with a majority since the request came (a read index, as in Raft).
+ *
+ * Used by the controller for requests that any node forwards to it, its own included. Invariants: nothing is
+ * told while the state is being repaired; an answer to a request that committed nothing was true at some time
+ * after the request came. */
+typedef struct CallerService CallerService;
+
+/* What the rest of the controller answers. None waits. */
+typedef struct CallerServiceLeader {
+    void *arg; /* handed to each of them */
+    /* What the disks lost is being told again. */
+    bool (*repairing)(void *arg);
+    /* The bodies of /v1/status and /v1/alerts; owned by the caller. */
+    json_object *(*status)(void *arg);
+    json_object *(*alerts)(void *arg);
+} CallerServiceLeader;
+
+/* Every pointer outlives the callers. */
+typedef struct CallerServiceSettings {
+    Loop *loop;
+    Replication *replication;
+    const Table *table;
+    Members *members;
+    Rpc *rpc;
+    InForce *in_force;
+    Scheduler *scheduler;
+    const Bounds *bounds;
+    CallerServiceLeader leader;
+} CallerServiceSettings;
+
+/* Since the process began; X(name). */
+#define CALLER_SERVICE_COUNT_LIST(X) \
+    X(refused)                       \
+    X(crowded)                       \
+    X(unproven)
+
+typedef struct CallerServiceCounts {
+#define X(name) uint64_t name;
+    CALLER_SERVICE_COUNT_LIST(X)
+#undef X
+} CallerServiceCounts;
+
+/* On mem. Copies the settings. */
+CallerService *caller_service_new(void *mem, const CallerServiceSettings *settings);
+/* Waits. Answers a forwarded request; what it committed is in the answer, for whoever carries it to keep. All on
+ * mem. The node must lead when it is called. */
+void caller_service_answer(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+/* Waits. The same for a request that came to this node's own address: before it returns, another node keeps what
+ * was committed as well, if one answers. */
+void caller_service_lead(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+const CallerServiceCounts *caller_service_counts(const CallerService *callers);
+
+#endif
--- /dev/null
+++ b/packages/callers/src/callers.c
@@ -0,0 +1,57 @@
+/* Forwarded requests: as what the routes take, and their results as answers. */
+#include "callers/callers.h"
+
+#include <talloc.h>
+
+#include "repair_copy.h"
+#include "routes.h"
+
+CallerService *caller_service_new(void *mem, const CallerServiceSettings *settings)
+{
+    CallerService *callers = talloc_zero(mem, CallerService);
+    callers->loop = settings->loop;
+    callers->replication = settings->replication;
+    callers->table = settings->table;
+    callers->members = settings->members;
+    callers->rpc = settings->rpc;
+    callers->in_force = settings->in_force;
+    callers->scheduler = settings->scheduler;
+    callers->bounds = settings->bounds;
+    callers->leader = settings->leader;
+    return callers;
+}
+
+const CallerServiceCounts *caller_service_counts(const CallerService *callers)
+{
+    return &callers->counts;
+}
+
+void caller_service_answer(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
+{
+    HttpTask *task = talloc_zero(mem, HttpTask);
+    *task = (HttpTask){.loop = callers->loop,
+                       .method = ask->method,
+                       .path = ask->path,
+                       .query = ask->query,
+                       .host = ask->host,
+                       .body = ask->body,
+                       .again = ask->again,
+                       .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(callers->loop) + (int64_t)ask->wait_ms : 0,
+                       .kind = "application/json"};
+    RepairList repair_items = {0};
+    leader_serve(callers, task, mem, &repair_items);
+    answer->code = (uint64_t)task->code;
+    answer->status = task->status;
+    answer->kind = task->kind;
+    answer->body = task->result;
+    answer->retry_after_s = (uint64_t)task->retry_after_s;
+    answer->repair_items = repair_items.items;
+    answer->repair_items_count = repair_items.items_count;
+}
+
+void caller_service_lead(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
+{
+    caller_service_answer(callers, mem, ask, answer);
+    if (answer->repair_items_count > 0 && callers->bounds->retell_ms > 0)
+        elsewhere_keep(callers, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
+}
--- a/packages/controller/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -1,12 +1,12 @@
 /* The configuration, as operators ask for it and change it. */
+#include "configs.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "document/document.h"
-#include "in_force.h"
-#include "way.h"
 
 /* --- reading ----------------------------------------------------------------------- */
 
@@ -25,9 +25,9 @@
 
 static void show_newest(Way *way)
 {
-    const Versions *versions = table_versions(way->controller->table);
+    const Versions *versions = table_versions(way->callers->table);
     const uint64_t newest = versions_newest(versions);
-    const Config *config = controller_config(way->controller);
+    const Config *config = in_force_config(way->callers->in_force);
     const char *text;
     if (newest == 0)
         text = config_first_text();
@@ -40,7 +40,7 @@
 
 void config_get(Way *way)
 {
-    const Versions *versions = table_versions(way->controller->table);
+    const Versions *versions = table_versions(way->callers->table);
     int64_t version = 0, have = -1, wait_ms = 0;
     query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &version);
     query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
@@ -57,11 +57,11 @@
             show_config(way, (uint64_t)version, text);
         return;
     }
-    const int64_t until_ms = loop_now_ms(way->controller->loop) + wait_ms;
-    while (have >= 0 && versions_newest(table_versions(way->controller->table)) <= (uint64_t)have)
-        if (!signal_wait(way->controller->loop, replication_news(way->controller->replication), until_ms))
+    const int64_t until_ms = loop_now_ms(way->callers->loop) + wait_ms;
+    while (have >= 0 && versions_newest(table_versions(way->callers->table)) <= (uint64_t)have)
+        if (!signal_wait(way->callers->loop, replication_news(way->callers->replication), until_ms))
             break;
-    if (!replication_leading(way->controller->replication))
+    if (!replication_leading(way->callers->replication))
         show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
         show_newest(way);
@@ -69,7 +69,7 @@
 
 void config_history(Way *way)
 {
-    const Versions *versions = table_versions(way->controller->table);
+    const Versions *versions = table_versions(way->callers->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     for (size_t i = versions->whole; i < versions->count; i++)
         json_object_array_add(list, json_object_new_uint64(versions->rows[i].version));
@@ -146,7 +146,7 @@
  * measured only where their sizes do not settle it. */
 static void check_size(Way *way, json_object *tree)
 {
-    if (versions_size(table_versions(way->controller->table)) + way->task->body.count <= CONFIG_BODY_MAX)
+    if (versions_size(table_versions(way->callers->table)) + way->task->body.count <= CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
         fault_add(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
@@ -187,13 +187,13 @@
 
 static void config_set(Way *way, bool patch)
 {
-    Controller *controller = way->controller;
+    CallerService *callers = way->callers;
     ConfigSet set = {.text = "", .digest = "", .patch = false};
     if (!query_versions(way, &set.base, &set.version)) {
         way_refuse(way);
         return;
     }
-    const Versions *versions = table_versions(controller->table);
+    const Versions *versions = table_versions(callers->table);
     if (set.version != 0)
         set.digest = digest_of(way, patch, set.base, set.version);
     const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
@@ -209,20 +209,19 @@
         set.version = current + 1;
     else if (set.version <= current)
         fault_add(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
-    const Config *config = config_of(way, controller_config(controller), patch, &set);
+    const Config *config = config_of(way, in_force_config(callers->in_force), patch, &set);
     if (config == NULL || way->faults->count > 0) {
         way_refuse(way);
         return;
     }
     set.limits = config->limits;
     Trial trial = {.set = set, .config = config};
-    trial_enter(controller, &trial);
+    trial_enter(callers->in_force, &trial);
     ChangeResult result;
-    const Status status =
-        controller_submit(controller, way->mem, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result, way->repair_items);
+    const Status status = way_submit(way, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
     if (status == STATUS_OK && result.status == STATUS_OK)
-        controller_config(controller); /* takes what was checked, before another change is delivered */
-    trial_leave(controller, &trial);
+        in_force_config(callers->in_force); /* takes what was checked, before another change is delivered */
+    trial_leave(callers->in_force, &trial);
     if (!way_delivered(way, status))
         return;
     if (result.status == STATUS_OK)
--- a/packages/controller/src/entry.c
+++ b/packages/callers/src/entry.c
@@ -1,10 +1,12 @@
 /* Jobs at the address of their queue: host and path name the queue, what follows
  * its prefix is the job's id. Everything about the queue is looked up in the newest
  * committed document at each request, so none is handled by an older one. */
+#include "entry.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "way.h"
+#include "jobs.h"
 
 /* 410 for a job: this leader has all that was told, so there is none. */
 #define GONE_HTTP 410
@@ -38,7 +40,7 @@
         way_refuse(way);
         return;
     }
-    const Job *job = table_job(way->controller->table, spec.id);
+    const Job *job = table_job(way->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
         /* an id is one job at every entry: it stays in the queue that took it */
@@ -58,7 +60,7 @@
 
 static void entry_get(Way *way)
 {
-    const Job *job = table_job(way->controller->table, way->name);
+    const Job *job = table_job(way->callers->table, way->name);
     if (job == NULL) {
         entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
@@ -70,14 +72,14 @@
 static void entry_cancel(Way *way)
 {
     ChangeResult result;
-    if (table_job(way->controller->table, way->name) == NULL) {
+    if (table_job(way->callers->table, way->name) == NULL) {
         entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
     if (!job_cancelled(way, &result))
         return;
     /* one that had ended before stays as it is, which is what was asked for */
-    const Job *job = table_job(way->controller->table, way->name);
+    const Job *job = table_job(way->callers->table, way->name);
     if (job == NULL)
         entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
     else
@@ -87,30 +89,31 @@
 static void entry_count(Way *way, const ConfigPlace *place)
 {
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "waiting", json_object_new_int64(waiting_in(way->controller->table, place)));
+    json_object_object_add(body, "waiting", json_object_new_int64(waiting_in(way->callers->table, place)));
     show_result(way->task, 200, body);
 }
 
 void entry_serve(Way *way)
 {
-    Controller *controller = way->controller;
+    CallerService *callers = way->callers;
     const char *method = way->task->method, *path = way->task->path + strlen(ENTRY_PATH);
     const bool post = strcmp(method, "POST") == 0, get = strcmp(method, "GET") == 0;
     if (!post && !get && strcmp(method, "DELETE") != 0) {
         show_refusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
         return;
     }
-    if (versions_newest(table_versions(controller->table)) == 0) {
+    if (versions_newest(table_versions(callers->table)) == 0) {
         show_refusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
         return;
     }
     const char *host = query_value(way->mem, way->task->query, "host");
-    const ConfigPlace *place = config_entry(controller_config(controller), host != NULL ? host : way->task->host, path);
+    const ConfigPlace *place =
+        config_entry(in_force_config(callers->in_force), host != NULL ? host : way->task->host, path);
     if (place == NULL) {
         entry_refuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
         return;
     }
-    const uint64_t body_most = controller_config(controller)->limits.body_bytes;
+    const uint64_t body_most = in_force_config(callers->in_force)->limits.body_bytes;
     if (body_most > 0 && way->task->body.count > body_most) {
         show_refusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
--- a/packages/controller/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -1,32 +1,31 @@
 /* Jobs as callers hand them in by id, and ask for them. */
+#include "jobs.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "way.h"
-
 const Job *job_take(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh)
 {
-    Controller *controller = way->controller;
-    const Config *config = controller_config(controller);
+    CallerService *callers = way->callers;
+    const Config *config = in_force_config(callers->in_force);
     *fresh = false;
-    if (!job_admissible(way->faults, spec, config, controller->table)) {
+    if (!job_admissible(way->faults, spec, config, callers->table)) {
         way_refuse(way);
         return NULL;
     }
     size_t tasks = 0;
     for (size_t i = 0; i < spec->steps_count; i++)
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
-    if (table_waiting(controller->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
-        controller->counts.crowded++;
+    if (table_waiting(callers->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
+        callers->counts.crowded++;
         show_refusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
         return NULL;
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
-    if (!way_delivered(way, controller_submit(controller, way->mem, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result,
-                                              way->repair_items)))
+    if (!way_delivered(way, way_submit(way, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result)))
         return NULL;
-    const Job *job = table_job(controller->table, spec->id);
+    const Job *job = table_job(callers->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
         show_refusal(way->task, result.status, "another job has this id", NULL);
         return NULL;
@@ -65,13 +64,13 @@
         return;
     }
     /* the same job again is told the first answer, whatever has changed since */
-    const Job *job = table_job(way->controller->table, spec.id);
+    const Job *job = table_job(way->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
         if (!job_again(way, job, &spec))
             return;
     } else {
-        const ConfigCell *cell = config_cell(controller_config(way->controller), spec.cell);
+        const ConfigCell *cell = config_cell(in_force_config(way->callers->in_force), spec.cell);
         const JobTerms terms = job_terms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
         job = job_take(way, &spec, &terms, &fresh);
         if (job == NULL)
@@ -82,32 +81,31 @@
 
 void job_get(Way *way)
 {
-    const Job *job = table_job(way->controller->table, way->name);
+    const Job *job = table_job(way->callers->table, way->name);
     if (job == NULL)
         show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
     else {
         way_keep_end(way, job);
-        show_result(way->task, 200, show_job(job, controller_clock(way->controller)));
+        show_result(way->task, 200, show_job(job, way_clock(way)));
     }
 }
 
 bool job_cancelled(Way *way, ChangeResult *result)
 {
     const JobCancel cancel = {way->name};
-    return way_delivered(way, controller_submit(way->controller, way->mem, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel,
-                                                result, way->repair_items));
+    return way_delivered(way, way_submit(way, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result));
 }
 
 void job_cancel(Way *way)
 {
     ChangeResult result;
-    if (table_job(way->controller->table, way->name) == NULL) {
+    if (table_job(way->callers->table, way->name) == NULL) {
         show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
     if (!job_cancelled(way, &result))
         return;
-    const Job *job = table_job(way->controller->table, way->name);
+    const Job *job = table_job(way->callers->table, way->name);
     if (result.status != STATUS_OK || job == NULL)
         show_refusal(way->task, result.status, "the job had ended before", NULL);
     else
@@ -126,7 +124,7 @@
         return;
     }
     Job *const *jobs;
-    const size_t count = table_jobs(way->controller->table, &jobs);
+    const size_t count = table_jobs(way->callers->table, &jobs);
     size_t low = 0, high = count;
     while (low < high) {
         const size_t middle = (low + high) / 2;
--- a/packages/controller/src/ranks.c
+++ b/packages/callers/src/queue_order.c
@@ -1,12 +1,14 @@
 /* The queue, as it is or as a policy would have it. */
+#include "queue_order.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "way.h"
+#include "policy/lua.h"
 
 /* One policy for one cell; the others keep theirs. */
 typedef struct Trying {
-    Controller *controller;
+    CallerService *callers;
     const char *cell;
     const Policy *policy;
 } Trying;
@@ -15,24 +17,24 @@
 {
     const Trying *trying = arg;
     const bool mine = cell != NULL && trying->policy != NULL && strcmp(cell->name, trying->cell) == 0;
-    return mine ? trying->policy : controller_policy(trying->controller, cell);
+    return mine ? trying->policy : in_force_policy(trying->callers->in_force, cell);
 }
 
 static void queue_show(Way *way, const Policy *policy)
 {
-    Controller *controller = way->controller;
+    CallerService *callers = way->callers;
     int64_t limit = LIST_PAGE;
     query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
     const char *cell = query_value(way->mem, way->task->query, "cell");
-    const Config *config = controller_config(controller);
+    const Config *config = in_force_config(callers->in_force);
     if (cell == NULL || config_cell(config, cell) == NULL)
         fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
     if (way->faults->count > 0) {
         way_refuse(way);
         return;
     }
-    Trying trying = {controller, cell, policy};
-    Line *line = scheduler_line(controller->scheduler, way->mem, policy_tried, &trying);
+    Trying trying = {callers, cell, policy};
+    Line *line = scheduler_line(callers->scheduler, way->mem, policy_tried, &trying);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready = 0;
     const Candidate *candidate;
--- a/packages/controller/src/way.c
+++ b/packages/callers/src/routes.c
@@ -1,9 +1,20 @@
 /* A request on its way through the leader: what it passes, and where it goes. */
+#include "routes.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "alerts.h"
-#include "way.h"
+#include "configs.h"
+#include "entry.h"
+#include "jobs.h"
+#include "queue_order.h"
+#include "zones.h"
+
+/* What must show that an answer is not out of date, before it goes out. */
+typedef enum Proof {
+    PROOF_LEASE,   /* this node holds the lock by its own clock: a majority has renewed it */
+    PROOF_CONTACT, /* a majority has renewed it in answer to what was asked since, whatever the clock says */
+} Proof;
 
 /* --- guards: policies that a request passes, in order, behind one interface --- */
 
@@ -15,7 +26,7 @@
 
 static bool pass_lead(Way *way)
 {
-    if (replication_leading(way->controller->replication))
+    if (replication_leading(way->callers->replication))
         return true;
     show_refusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
@@ -23,7 +34,7 @@
 
 static bool pass_repair(Way *way)
 {
-    if (!way->controller->repairing || strcmp(way->task->path, "/v1/status") == 0)
+    if (!way->callers->leader.repairing(way->callers->leader.arg) || strcmp(way->task->path, "/v1/status") == 0)
         return true;
     show_refusal(way->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
     return false;
@@ -31,61 +42,18 @@
 
 static const Guard GUARDS[] = {{"lead", pass_lead}, {"repair", pass_repair}};
 
-/* --- results ---------------------------------------------------------------------- */
-
-bool way_delivered(Way *way, Status status)
-{
-    switch (status) {
-    case STATUS_OK:
-        way->committed = true;
-        return true;
-    case STATUS_NOT_LEADER:
-    case STATUS_BUSY:
-        show_refusal(way->task, status, "nothing was taken: come back", NULL);
-        return false;
-    default:
-        show_refusal(way->task, STATUS_OUTCOME_UNKNOWN, "it may have been taken: ask, or send the same again", NULL);
-        return false;
-    }
-}
-
-void way_refuse(Way *way)
-{
-    const Faults *faults = way->faults;
-    way->controller->counts.refused++;
-    show_refusal(way->task, faults->list[0].status, faults->list[0].text, faults);
-}
-
-void way_keep(Way *way, const RepairItem *item)
-{
-    RepairList *repair_items = way->repair_items;
-    repair_items->items =
-        talloc_realloc(way->mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
-    repair_items->items[repair_items->items_count++] = *item;
-}
-
-void way_keep_end(Way *way, const Job *job)
-{
-    if (job->phase == JOB_ACTIVE || replication_clock_ms(way->controller->replication) - job->ended_ms > REPAIR_KEEP_MS)
-        return;
-    RepairItem item = {CHANGE_JOB_END, 0, {0}};
-    const JobEnd end = {job->spec.id, job->phase};
-    shape_pack(&JobEnd_shape, &end, way->mem, &item.payload);
-    way_keep(way, &item);
-}
+/* --- routes ---------------------------------------------------------------------------------- */
 
 static void status_get(Way *way)
 {
-    show_result(way->task, 200, controller_status(way->controller));
+    show_result(way->task, 200, way->callers->leader.status(way->callers->leader.arg));
 }
 
 static void alerts_get(Way *way)
 {
-    show_result(way->task, 200, alerts_show(way->controller));
+    show_result(way->task, 200, way->callers->leader.alerts(way->callers->leader.arg));
 }
 
-/* --- routes ---------------------------------------------------------------------------------- */
-
 /* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that
  * either needs where nothing was committed for it; one that was is proof in itself.
  *
@@ -199,13 +167,13 @@
 /* Whether the answer may go out, which was made under the term. Waits. */
 static bool proven(Way *way, Proof proof, uint64_t term)
 {
-    const Replication *replication = way->controller->replication;
+    const Replication *replication = way->callers->replication;
     if (proof == PROOF_LEASE)
         return replication_leading(replication) && configuration_term(replication) == term;
-    int64_t until_ms = loop_now_ms(way->controller->loop) + LOCK_LEASE_MS;
+    int64_t until_ms = loop_now_ms(way->callers->loop) + LOCK_LEASE_MS;
     if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
         until_ms = way->task->timeout_ms;
-    return replication_contact(way->controller->replication, until_ms) == STATUS_OK &&
+    return replication_contact(way->callers->replication, until_ms) == STATUS_OK &&
            configuration_term(replication) == term;
 }
 
@@ -217,24 +185,21 @@
         return;
     if (proven(way, task->code < 400 ? route->answer : route->refusal, term))
         return;
-    way->controller->counts.unproven++;
+    way->callers->counts.unproven++;
     task->result = (Bytes){0};
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
-void leader_serve(Controller *controller, HttpTask *task, void *mem, RepairList *repair_items)
+void leader_serve(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items)
 {
-    Way way = {.controller = controller,
-               .task = task,
-               .mem = mem,
-               .faults = talloc_zero(mem, Faults),
-               .repair_items = repair_items};
+    Way way = {
+        .callers = callers, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
     way.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
         if (!GUARDS[i].pass(&way))
             return;
     bool path_known = false;
-    const uint64_t term = configuration_term(controller->replication);
+    const uint64_t term = configuration_term(callers->replication);
     const Route *route = route_of(&way, &path_known);
     if (route != NULL) {
         route->serve(&way);
--- a/packages/controller/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -1,17 +1,17 @@
 /* Zones emptied of work and given back to it. */
+#include "zones.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "way.h"
-
 static bool zone_known(Way *way)
 {
     const Worker **workers;
-    const size_t count = table_workers(way->controller->table, way->mem, &workers);
+    const size_t count = table_workers(way->callers->table, way->mem, &workers);
     for (size_t i = 0; i < count; i++)
         if (strcmp(workers[i]->zone, way->name) == 0)
             return true;
-    const MemberTable *members = members_table(way->controller->members);
+    const MemberTable *members = members_table(way->callers->members);
     for (size_t i = 0; i < members->count; i++)
         if (strcmp(members->rows[i].record.zone, way->name) == 0)
             return true;
@@ -22,23 +22,21 @@
 {
     json_object *body = json_object_new_object();
     Job *const *jobs;
-    const size_t count = table_active(way->controller->table, &jobs);
+    const size_t count = table_active(way->callers->table, &jobs);
     int64_t left = 0;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
             const JobTask *task = &jobs[j]->tasks[t];
-            const Worker *worker =
-                task_on_worker(task->phase) ? table_worker(way->controller->table, task->worker) : NULL;
+            const Worker *worker = task_on_worker(task->phase) ? table_worker(way->callers->table, task->worker) : NULL;
             left += worker != NULL && strcmp(worker->zone, way->name) == 0;
         }
     json_object_object_add(body, "zone", json_object_new_string(way->name));
-    json_object_object_add(body, "stamp", json_object_new_int64(table_drain_stamp(way->controller->table, way->name)));
-    json_object_object_add(body, "drained", json_object_new_boolean(table_drained(way->controller->table, way->name)));
-    json_object_object_add(body, "moves",
-                           json_object_new_boolean(table_drain_moves(way->controller->table, way->name)));
+    json_object_object_add(body, "stamp", json_object_new_int64(table_drain_stamp(way->callers->table, way->name)));
+    json_object_object_add(body, "drained", json_object_new_boolean(table_drained(way->callers->table, way->name)));
+    json_object_object_add(body, "moves", json_object_new_boolean(table_drain_moves(way->callers->table, way->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
-    const PlanInput input = planner_input(way->controller->scheduler, way->mem);
+    const PlanInput input = planner_input(way->callers->scheduler, way->mem);
     for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, way->name) == 0)
             input.workers[i].free = (Room){0};
@@ -76,7 +74,7 @@
 static void keep_newest(Way *way)
 {
     RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
-    shape_pack(&ZoneDrain_shape, table_drain_newest(way->controller->table, way->name), way->mem, &item.payload);
+    shape_pack(&ZoneDrain_shape, table_drain_newest(way->callers->table, way->name), way->mem, &item.payload);
     way_keep(way, &item);
 }
 
@@ -112,15 +110,14 @@
         show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
         return;
     }
-    const Table *table = way->controller->table;
+    const Table *table = way->callers->table;
     if (!order_takes(way, table_drain_known(table, &drain)))
         return;
-    const int64_t clock_ms = replication_clock_ms(way->controller->replication),
+    const int64_t clock_ms = replication_clock_ms(way->callers->replication),
                   last_stamp = table_drain_stamp(table, way->name);
     drain.stamp = clock_ms > last_stamp ? clock_ms : last_stamp + 1;
     ChangeResult result;
-    if (!way_delivered(way, controller_submit(way->controller, way->mem, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain,
-                                              &result, way->repair_items)))
+    if (!way_delivered(way, way_submit(way, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result)))
         return;
     if (result.status == STATUS_OK)
         zone_show(way);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -69,10 +69,10 @@
     ChangeResult result;
     news_tell(controller, learning->missing.news, learning->missing.news_count);
     if (learning->learn)
-        controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result, NULL);
+        controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result);
     if (learning->left) {
         const WorkerLeft left = {learning->worker.name, true};
-        controller_submit(controller, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result, NULL);
+        controller_submit(controller, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result);
     }
     learning->line->learning = false;
     talloc_free(learning);
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -127,7 +127,7 @@
         voters_look(controller);
         workers_look(controller, mem);
         work_look(controller);
-        if (controller_policy_failures(controller, &words) > 0)
+        if (in_force_policy_failures(controller->in_force, &words) > 0)
             see(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
         const size_t zone_count = table_drains(controller->table, mem, &zones);
--- a/packages/controller/src/callers.c
+++ b/packages/controller/src/callers.c
@@ -5,7 +5,6 @@
 #include <talloc.h>
 
 #include "alerts.h"
-#include "way.h"
 
 static void metrics(Controller *controller, HttpTask *task)
 {
@@ -39,6 +38,7 @@
     show_metric(task, "jobsActive", (int64_t)table_active(controller->table, &jobs));
     show_metric(task, "jobsKnown", (int64_t)table_jobs(controller->table, &jobs));
     const SchedulerCounts *scheduler = scheduler_counts(controller->scheduler);
+    const CallerServiceCounts *callers = caller_service_counts(controller->callers);
     const ControllerCounts *controller = &controller->counts;
 #define X(owner, name) show_metric(task, #name, (int64_t)owner->name);
     CONTROLLER_SHOWN_COUNT_LIST(X)
@@ -76,44 +76,13 @@
     forward_request(controller->forwarder, task);
 }
 
-static void lead_serve(Controller *controller, void *mem, const ForwardAsk *ask, ForwardAnswer *out)
-{
-    HttpTask *task = talloc_zero(mem, HttpTask);
-    *task = (HttpTask){.loop = controller->loop,
-                       .method = ask->method,
-                       .path = ask->path,
-                       .query = ask->query,
-                       .host = ask->host,
-                       .body = ask->body,
-                       .again = ask->again,
-                       .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(controller->loop) + (int64_t)ask->wait_ms : 0,
-                       .kind = "application/json"};
-    RepairList repair_items = {0};
-    leader_serve(controller, task, mem, &repair_items);
-    out->code = (uint64_t)task->code;
-    out->status = task->status;
-    out->kind = task->kind;
-    out->body = task->result;
-    out->retry_after_s = (uint64_t)task->retry_after_s;
-    out->repair_items = repair_items.items;
-    out->repair_items_count = repair_items.items_count;
-}
-
-void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
-{
-    Controller *controller = arg;
-    lead_serve(controller, mem, ask, answer);
-    if (answer->repair_items_count > 0 && controller->settings->bounds.retell_ms > 0)
-        elsewhere_keep(controller, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
-}
-
 static Status on_forward(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
     const ForwardAsk *ask = question;
     ForwardAnswer *out = answer;
     if (replication_leading(controller->replication)) {
-        lead_serve(controller, mem, ask, out);
+        caller_service_answer(controller->callers, mem, ask, out);
         return STATUS_OK;
     }
     const Status status = ask->relay ? forward_relay(controller->forwarder, mem, ask, out) : STATUS_NOT_LEADER;
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -5,7 +5,6 @@
 
 #include "base/term.h"
 #include "alerts.h"
-#include "in_force.h"
 
 bool controller_decides(Controller *controller)
 {
@@ -23,17 +22,11 @@
 }
 
 Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                         ChangeResult *result, RepairList *repair_items)
+                         ChangeResult *result)
 {
     Bytes payload = {0};
     shape_pack(shape, body, mem, &payload);
-    const Status status = replication_submit(controller->replication, kind, payload, result);
-    if (status == STATUS_OK && result->status == STATUS_OK && repair_items != NULL) {
-        repair_items->items =
-            talloc_realloc(mem, repair_items->items, RepairItem, (unsigned)(repair_items->items_count + 1));
-        repair_items->items[repair_items->items_count++] = (RepairItem){kind, result->index, payload};
-    }
-    return status;
+    return replication_submit(controller->replication, kind, payload, result);
 }
 
 int64_t controller_claim_ms(const Controller *controller)
@@ -103,7 +96,7 @@
     Controller *controller = arg;
     trace_delivered(controller, change, body, result);
     scheduler_notify(controller->scheduler);
-    limits_follow(controller);
+    limits_follow(controller->in_force);
     if (body != NULL && change->change == CHANGE_ATTEMPTS)
         attempts_take(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
@@ -124,7 +117,7 @@
             continue;
         void *mem = talloc_new(controller);
         ChangeResult result;
-        controller_submit(controller, mem, CHANGE_FORGET, &Forget_shape, &forget, &result, NULL);
+        controller_submit(controller, mem, CHANGE_FORGET, &Forget_shape, &forget, &result);
         talloc_free(mem);
     }
 }
@@ -142,6 +135,29 @@
     return replication_leading(controller->replication);
 }
 
+/* For the forwarder: a request of the own address, as leader. */
+static void serve(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
+{
+    const Controller *controller = arg;
+    caller_service_lead(controller->callers, mem, ask, answer);
+}
+
+static bool repairing(void *arg)
+{
+    const Controller *controller = arg;
+    return controller->repairing;
+}
+
+static json_object *status_show(void *arg)
+{
+    return controller_status(arg);
+}
+
+static json_object *alerts_shown(void *arg)
+{
+    return alerts_show(arg);
+}
+
 static void on_http(void *arg, HttpTask *task)
 {
     controller_take(arg, task);
@@ -173,6 +189,7 @@
     controller->repair_buffer = repair_buffer_new(controller, loop, settings->bounds.retell_ms);
     controller->liveset = liveset_new(controller);
     controller->orphans = orphans_new(controller);
+    controller->in_force = in_force_new(controller, loop, recorder, controller->table);
     controller->scheduler = scheduling_new(controller);
     table_left_watch(controller->table, on_left, controller);
     controller->alerts = map_new(controller);
@@ -210,6 +227,18 @@
         .empty = !replication_founded(controller->replication),
     };
     controller->members = members_new(controller, loop, controller->rpc, recorder, &self, settings->seeds);
+    controller->callers = caller_service_new(
+        controller,
+        &(CallerServiceSettings){
+            .loop = loop,
+            .replication = controller->replication,
+            .table = controller->table,
+            .members = controller->members,
+            .rpc = controller->rpc,
+            .in_force = controller->in_force,
+            .scheduler = controller->scheduler,
+            .bounds = &settings->bounds,
+            .leader = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_shown}});
     controller->trace = trace_new(controller, loop, controller->rpc, controller->members, settings->name);
     controller->forwarder =
         forwarder_new(controller, &(ForwarderSettings){.loop = loop,
@@ -218,7 +247,7 @@
                                                        .repair_buffer = controller->repair_buffer,
                                                        .trace = controller->trace,
                                                        .leads = leads,
-                                                       .serve = callers_lead,
+                                                       .serve = serve,
                                                        .arg = controller,
                                                        .leader_wait_ms = settings->bounds.leader_wait_ms,
                                                        .outcome_wait_ms = settings->bounds.outcome_wait_ms});
--- a/packages/controller/src/inside.h
+++ b/packages/controller/src/inside.h
@@ -4,25 +4,22 @@
 #include "api/job_json.h"
 #include "api/show.h"
 #include "base/map.h"
+#include "callers/callers.h"
 #include "heartbeat/lease.h"
 #include "heartbeat/liveset.h"
 #include "heartbeat/orphans.h"
 #include "controller/controller.h"
 #include "routing/config_watch.h"
 #include "routing/forward.h"
-#include "policy/lua.h"
 #include "queue/line.h"
 #include "scheduler/attempt_pace.h"
 #include "scheduler/checkpoint.h"
 #include "scheduler/worker_score.h"
 
-/* What leaders have done since the process began, but for the scheduler's part; X(name). */
+/* What leaders have done since the process began, but for the scheduler's and the callers' parts; X(name). */
 #define CONTROLLER_COUNT_LIST(X) \
     X(repairs, "repairs")        \
-    X(retold, "retold")          \
-    X(refused, "refused")        \
-    X(crowded, "crowded")        \
-    X(unproven, "unproven")
+    X(retold, "retold")
 
 typedef struct ControllerCounts {
 #define X(name, outside) uint64_t name;
@@ -41,12 +38,12 @@
     X(scheduler, pushed)               \
     X(controller, repairs)             \
     X(controller, retold)              \
-    X(controller, refused)             \
-    X(controller, crowded)             \
+    X(callers, refused)                \
+    X(callers, crowded)                \
     X(scheduler, kept)                 \
     X(scheduler, moved)                \
     X(scheduler, slowed)               \
-    X(controller, unproven)
+    X(callers, unproven)
 
 /* Invariants:
  *  - only a node for which replication_leading is true plans, answers callers or gives
@@ -64,7 +61,6 @@
     Replication *replication;
     Table *table;
     RepairBuffer *repair_buffer;
-    char kept_at[ADDRESS_MAX]; /* the entry point that last kept for this controller what came in at its own address */
     Forwarder *forwarder;
     ConfigWatch *config_watch; /* asks for the document while this controller has no voter */
     Trace *trace;
@@ -72,16 +68,12 @@
     Map *lines;        /* worker names to AgentLine */
     struct News *told; /* gathers what attempts came to */
     Orphans *orphans;
+    InForce *in_force;
     Scheduler *scheduler;
+    CallerService *callers;
     Map *alerts; /* those that stand */
     uint64_t alert_looks;
-    const Config *config;  /* of the table's newest version that could be read */
-    uint64_t config_loads; /* table_loads when it was read */
     PieceSource piece_source;
-    uint64_t config_stamp;  /* another with each other config */
-    uint64_t config_unread; /* a version that can't be read */
-    struct Trial *trials;
-    uint64_t limits_version, limits_loads; /* whose limits this process keeps */
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
     int64_t started_ms;
@@ -90,19 +82,12 @@
     ControllerCounts counts;
 };
 
-/* The configuration in force; never null. Valid until the next wait. */
-const Config *controller_config(Controller *controller);
 /* Leads, by the clock, and has all that was told. */
 bool controller_decides(Controller *controller);
 QueueClock controller_clock(const Controller *controller);
-const Policy *controller_policy(void *arg, const ConfigCell *cell);
-/* Calls of policies that failed, and the last one's words; "" when none did. */
-uint64_t controller_policy_failures(const Controller *controller, const char **last);
-
-/* Waits. Submits a shape as a change; keeps (may be null) takes it when it was
- * committed and accepted. What is packed lives on mem. */
+/* Waits. Submits a shape as a change. What is packed lives on mem. */
 Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                         ChangeResult *result, RepairList *repair_items);
+                         ChangeResult *result);
 
 /* How long any lease runs that this or the last leader may have answered, by the own clock. */
 int64_t controller_claim_ms(const Controller *controller);
@@ -141,11 +126,6 @@
 void repair_start(Controller *controller);
 void agents_serve(Controller *controller);
 void callers_serve(Controller *controller);
-/* For the forwarder: a request as this leader answers it; what it committed is in the
- * answer, and kept by another node as well. */
-void callers_lead(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-/* A caller's request, as leader. keeps: what was committed by it. */
-void leader_serve(Controller *controller, HttpTask *task, void *mem, RepairList *repair_items);
 json_object *controller_status(Controller *controller);
 
 #endif
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -28,19 +28,26 @@
 static const Config *config(void *arg, uint64_t *stamp)
 {
     Controller *controller = arg;
-    const Config *in_force = controller_config(controller);
-    *stamp = controller->config_stamp;
+    const Config *in_force = in_force_config(controller->in_force);
+    *stamp = in_force_stamp(controller->in_force);
     return in_force;
 }
 
+static const Policy *policy(void *arg, const ConfigCell *cell)
+{
+    const Controller *controller = arg;
+    return in_force_policy(controller->in_force, cell);
+}
+
 static uint64_t policy_failures(void *arg, const char **last)
 {
-    return controller_policy_failures(arg, last);
+    const Controller *controller = arg;
+    return in_force_policy_failures(controller->in_force, last);
 }
 
 static Status order(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result)
 {
-    return controller_submit(arg, mem, kind, shape, body, result, NULL);
+    return controller_submit(arg, mem, kind, shape, body, result);
 }
 
 Scheduler *scheduling_new(Controller *controller)
@@ -57,7 +64,7 @@
                                                                      .won_ms = won_ms,
                                                                      .clock = clock_now,
                                                                      .config = config,
-                                                                     .policy = controller_policy,
+                                                                     .policy = policy,
                                                                      .policy_failures = policy_failures,
                                                                      .order = order}});
 }
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -136,7 +136,7 @@
 {
     const SchedulerPlan *last = scheduler_plan(controller->scheduler);
     json_object *plan = json_object_new_object();
-    const Config *config = controller_config(controller);
+    const Config *config = in_force_config(controller->in_force);
     Job *const *jobs;
     const size_t count = table_active(controller->table, &jobs);
     int64_t assured = 0, unassured = 0, waiting = 0;
@@ -216,7 +216,7 @@
     json_object_object_add(body, "configRevision",
                            number_of((int64_t)versions_newest(table_versions(controller->table))));
     const char *words;
-    const uint64_t policy_failures = controller_policy_failures(controller, &words);
+    const uint64_t policy_failures = in_force_policy_failures(controller->in_force, &words);
     json_object_object_add(body, "policyFailures", number_of((int64_t)policy_failures));
     if (policy_failures > 0)
         json_object_object_add(body, "policyLastFailure", text_of(words));
@@ -224,6 +224,7 @@
     json_object_object_add(body, "alerts", alerts_show(controller));
     json_object *counts = json_object_new_object();
     const SchedulerCounts *scheduler = scheduler_counts(controller->scheduler);
+    const CallerServiceCounts *callers = caller_service_counts(controller->callers);
     const ControllerCounts *controller = &controller->counts;
 #define X(owner, name) json_object_object_add(counts, #name, number_of((int64_t)owner->name));
     CONTROLLER_SHOWN_COUNT_LIST(X)
--- a/packages/controller/src/updates.c
+++ b/packages/controller/src/updates.c
@@ -127,7 +127,7 @@
         ChangeResult result;
         news->busy = true;
         batch->status =
-            controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result, NULL);
+            controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result);
         news->busy = false;
         if (batch->status != STATUS_OK)
             news_keep(controller, batch);
--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -21,7 +21,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 KNOWN = os.path.join(ROOT, ".ci/known/lint.txt")
-CONTROL = ("replication", "lock", "member", "routing", "wire", "entry_point", "controller", "scheduler")
+CONTROL = ("replication", "lock", "member", "routing", "wire", "entry_point", "controller", "scheduler", "inforce", "callers")
 FINDING = re.compile(r"^(/.*?):(\d+):(\d+): (?:warning|error): (.*) \[([\w.,-]+)\]$")
 AT_ONCE = 3  # sources for each process, so that the slow ones spread
 
