--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -8,6 +8,8 @@
 
 #include "document/document.h"
 
+#define DIGEST_HEAD 80 /* bytes; what a call does and two numbers */
+
 /* --- reading ----------------------------------------------------------------------- */
 
 /* The text goes out as it is kept: a document is given back as it was sent. */
@@ -98,7 +100,7 @@
  * calls are told apart, not protected from forgers. */
 static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t version)
 {
-    char head[80];
+    char head[DIGEST_HEAD];
     const int length =
         snprintf(head, sizeof(head), "%s %" PRIu64 " %" PRIu64 "\n", patch ? "patch" : "put", base, version);
     GChecksum *sum = g_checksum_new(G_CHECKSUM_MD5);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -1,8 +1,14 @@
 /* The leader towards agents: heartbeats, tellings, orders. */
+#include "agents.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "attempt_updates.h"
+#include "leader.h"
+#include "orders.h"
+#include "scheduler/attempt_pace.h"
+#include "scheduler/checkpoint.h"
 
 static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t attempt)
 {
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -7,7 +7,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/map.h"
+#include "leader.h"
+#include "scheduler/worker_score.h"
 
 #define ALERTS_LOOK_MS 1000 /* ms; between two looks */
 #define LOST_AFTER_MS 1000  /* ms; beyond the lease: a restart of an agent takes less */
@@ -60,7 +61,7 @@
     replication_status(controller->replication, &sight);
     for (size_t i = 0; i < sight.voter_count; i++) {
         const Member *member = members_find_disk(controller->members, sight.voters[i].disk);
-        char disk[20];
+        char disk[DISK_TEXT];
         snprintf(disk, sizeof(disk), "%016" PRIx64, sight.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
         if (!sight.voters[i].in_configuration)
--- a/packages/controller/src/alerts.h
+++ b/packages/controller/src/alerts.h
@@ -1,7 +1,7 @@
 #ifndef CONTROLLER_SRC_ALERTS_H
 #define CONTROLLER_SRC_ALERTS_H
 
-#include "inside.h"
+#include "state.h"
 
 /* What an operator should look at, and what to do. A word never changes its
  * meaning; the page of alerts in docs/operating.md tells the same. */
--- a/packages/controller/src/updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -1,9 +1,11 @@
 /* What attempts came to, committed for many agents at once: while one change is on its
  * way, the next gathers. That an attempt runs waits for other news to go with. */
+#include "attempt_updates.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "leader.h"
 
 /* News of one change. Freed by whoever ends last: the news task and all that wait. */
 typedef struct Batch {
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -1,126 +1,19 @@
+/* The controller's process: made of its parts, started, and drained. */
+#include "controller/controller.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "base/term.h"
+#include "agents.h"
 #include "alerts.h"
-
-bool controller_decides(Controller *controller)
-{
-    if (!replication_leading(controller->replication) || controller->repairing)
-        return false;
-    if (controller->watch.plans != NULL)
-        controller->watch.plans(controller->watch.arg, controller->settings->name,
-                                configuration_term(controller->replication));
-    return true;
-}
-
-QueueClock controller_clock(const Controller *controller)
-{
-    return (QueueClock){replication_clock_ms(controller->replication), replication_wall_ms(controller->replication)};
-}
-
-Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                         ChangeResult *result)
-{
-    Bytes payload = {0};
-    shape_pack(shape, body, mem, &payload);
-    return replication_submit(controller->replication, kind, payload, result);
-}
-
-int64_t controller_claim_ms(const Controller *controller)
-{
-    return lease_claim_ms(controller->settings->bounds.lease_ms);
-}
-
-static void on_opened(void *arg, uint64_t term, bool new_holder, bool repair)
-{
-    Controller *controller = arg;
-    trace_say(controller->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
-              term_counter(term));
-    if (new_holder) {
-        void *mem = talloc_new(controller);
-        const Worker **workers;
-        const size_t count = table_workers(controller->table, mem, &workers);
-        const char **names = talloc_array(mem, const char *, (unsigned)count);
-        for (size_t i = 0; i < count; i++)
-            names[i] = workers[i]->name;
-        /* any lease that the last leader answered runs out within this */
-        orphans_reset(controller->orphans);
-        scheduler_reset(controller->scheduler);
-        liveset_reset(controller->liveset,
-                      replication_won_ms(controller->replication) + controller_claim_ms(controller), names, count);
-        talloc_free(mem);
-    }
-    if (repair && (new_holder || !controller->repairing)) {
-        controller->repairing = true; /* a repair under way goes on over views opened anew */
-        /* attempts that the log has forgotten are told again or have lapsed by then */
-        scheduler_set_place_from(controller->scheduler,
-                                 loop_now_ms(controller->loop) + controller_claim_ms(controller));
-        repair_start(controller);
-    }
-    if (!repair)
-        controller->repairing = false;
-    orders_wake(controller);
-    scheduler_notify(controller->scheduler);
-}
-
-/* An order that was told before may be on its way until it expires, by an agent's
- * clock that is slow. */
-static void on_left(void *arg, const Job *job, const JobTask *task)
-{
-    const Controller *controller = arg;
-    if (replication_holds(controller->replication))
-        orphans_add(controller->orphans, task->worker, job, task, task->attempt,
-                    loop_now_ms(controller->loop) + ORDER_GONE_MS);
-}
-
-static void attempts_take(Controller *controller, const AttemptList *attempts)
-{
-    score_take(controller->scheduler, attempts);
-    for (size_t i = 0; i < attempts->news_count; i++) {
-        const AttemptNews *news = &attempts->news[i];
-        const AttemptSaved saved = {
-            .job = news->job, .task = news->task, .attempt = news->attempt, .text = news->saved};
-        if (news->word == ATTEMPT_RUNNING)
-            continue; /* a heartbeat has told how far it has come since */
-        if (replication_holds(controller->replication))
-            saved_take(controller->scheduler, &saved);
-        orphans_end(controller->orphans, news);
-    }
-}
-
-static void on_delivered(void *arg, const Record *change, const void *body, const ChangeResult *result)
-{
-    Controller *controller = arg;
-    trace_delivered(controller, change, body, result);
-    scheduler_notify(controller->scheduler);
-    limits_follow(controller->in_force);
-    if (body != NULL && change->change == CHANGE_ATTEMPTS)
-        attempts_take(controller, body);
-    if (body != NULL && change->change == CHANGE_WORKER_LOST)
-        liveset_losing(controller->liveset, ((const WorkerLost *)body)->worker, false);
-}
-
-/* Ended jobs are kept for a stated span. */
-static void forget_main(void *arg)
-{
-    Controller *controller = arg;
-    while (!loop_stopping(controller->loop)) {
-        const int64_t keep_ms = controller->settings->bounds.job_keep_ms;
-        loop_sleep(controller->loop, keep_ms / 60 > FORGET_MS ? keep_ms / 60 : FORGET_MS);
-        if (!controller_decides(controller))
-            continue;
-        const Forget forget = {replication_clock_ms(controller->replication) - keep_ms};
-        if (table_oldest_ms(controller->table) >= forget.before_ms)
-            continue;
-        void *mem = talloc_new(controller);
-        ChangeResult result;
-        controller_submit(controller, mem, CHANGE_FORGET, &Forget_shape, &forget, &result);
-        talloc_free(mem);
-    }
-}
+#include "base/term.h"
+#include "forget.h"
+#include "log_events.h"
+#include "peers.h"
+#include "scheduling.h"
+#include "status.h"
 
 /* A controller in waiting hears of the configuration as an entry point does. */
 static bool seatless(void *arg)
@@ -172,49 +65,52 @@
     return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
-Status controller_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings,
-                        const ControllerWatch *watch, Controller **out, Failure *failure)
+/* All that the log is delivered to, and the log. */
+static void state_new(Controller *controller)
 {
-    Controller *controller = talloc_zero(mem, Controller);
-    controller->loop = loop;
-    controller->recorder = recorder;
-    controller->settings = settings;
-    controller->started_ms = loop_now_ms(loop);
-    if (watch != NULL)
-        controller->watch = *watch;
-    controller->rpc = rpc_new(controller, loop, recorder);
+    const Settings *settings = controller->settings;
+    controller->rpc = rpc_new(controller, controller->loop, controller->recorder);
     controller->table = table_new(controller);
-    table_watch(controller->table, on_delivered, controller);
     controller->piece_source.mem = controller;
-    controller->repair_buffer = repair_buffer_new(controller, loop, settings->bounds.retell_ms);
+    controller->repair_buffer = repair_buffer_new(controller, controller->loop, settings->bounds.retell_ms);
     controller->liveset = liveset_new(controller);
     controller->orphans = orphans_new(controller);
-    controller->in_force = in_force_new(controller, loop, recorder, controller->table);
+    controller->in_force = in_force_new(controller, controller->loop, controller->recorder, controller->table);
     controller->scheduler = scheduling_new(controller);
-    table_left_watch(controller->table, on_left, controller);
     controller->alerts = map_new(controller);
-    const ReplicationSettings replication_settings = {.loop = loop,
+    log_events_watch(controller);
+    const ReplicationSettings replication_settings = {.loop = controller->loop,
                                                       .rpc = controller->rpc,
-                                                      .recorder = recorder,
+                                                      .recorder = controller->recorder,
                                                       .state = table_state(controller->table),
-                                                      .opened = on_opened,
+                                                      .opened = log_opened,
                                                       .opened_arg = controller,
                                                       .losses = (int)settings->bounds.losses,
                                                       .founds = (ReplicationFounds)settings->bounds.founds,
                                                       .disks_keep = settings->bounds.disks_keep != 0,
                                                       .voter_back_ms = settings->bounds.voter_back_ms};
     controller->replication = replication_new(controller, &replication_settings);
+}
+
+/* Waits. */
+static Status disk_and_addresses_open(Controller *controller, Failure *failure)
+{
+    const Settings *settings = controller->settings;
     /* the disk first: its id is part of our name */
     Status status = replication_open_disk(
         controller->replication, talloc_asprintf(controller, "%s/journal", settings->data), settings->name, failure);
-    if (status == STATUS_OK)
-        recorder_set_place(recorder, place_now, controller);
-    if (status == STATUS_OK)
-        status = rpc_listen(controller->rpc, settings->listen, controller->address, failure);
-    if (status == STATUS_OK)
-        status = loop_serve(loop, settings->http, on_http, controller, controller->http, failure);
     if (status != STATUS_OK)
         return status;
+    recorder_set_place(controller->recorder, place_now, controller);
+    status = rpc_listen(controller->rpc, settings->listen, controller->address, failure);
+    if (status != STATUS_OK)
+        return status;
+    return loop_serve(controller->loop, settings->http, on_http, controller, controller->http, failure);
+}
+
+static void membership_new(Controller *controller)
+{
+    const Settings *settings = controller->settings;
     const MemberRecord self = {
         .id = talloc_asprintf(controller, "%s@%016" PRIx64, settings->name, replication_disk(controller->replication)),
         .name = settings->name,
@@ -222,15 +118,23 @@
         .zone = settings->zone,
         .address = controller->address,
         .http = controller->http,
-        .incarnation = (uint64_t)loop_wall_ms(loop),
+        .incarnation = (uint64_t)loop_wall_ms(controller->loop),
         .disk = replication_disk(controller->replication),
         .empty = !replication_founded(controller->replication),
     };
-    controller->members = members_new(controller, loop, controller->rpc, recorder, &self, settings->seeds);
+    controller->members =
+        members_new(controller, controller->loop, controller->rpc, controller->recorder, &self, settings->seeds);
+    controller->trace = trace_new(controller, controller->loop, controller->rpc, controller->members, settings->name);
+}
+
+/* What requests pass, from this node's own address or another's, to the leader. */
+static void requests_new(Controller *controller)
+{
+    const Settings *settings = controller->settings;
     controller->callers = caller_service_new(
         controller,
         &(CallerServiceSettings){
-            .loop = loop,
+            .loop = controller->loop,
             .replication = controller->replication,
             .table = controller->table,
             .members = controller->members,
@@ -239,9 +143,8 @@
             .scheduler = controller->scheduler,
             .bounds = &settings->bounds,
             .leader = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_shown}});
-    controller->trace = trace_new(controller, loop, controller->rpc, controller->members, settings->name);
     controller->forwarder =
-        forwarder_new(controller, &(ForwarderSettings){.loop = loop,
+        forwarder_new(controller, &(ForwarderSettings){.loop = controller->loop,
                                                        .rpc = controller->rpc,
                                                        .members = controller->members,
                                                        .repair_buffer = controller->repair_buffer,
@@ -251,27 +154,44 @@
                                                        .arg = controller,
                                                        .leader_wait_ms = settings->bounds.leader_wait_ms,
                                                        .outcome_wait_ms = settings->bounds.outcome_wait_ms});
-    controller->config_watch =
-        config_watch_new(controller, loop, controller->rpc, forwarder_ways(controller->forwarder), controller->trace);
+    controller->config_watch = config_watch_new(controller, controller->loop, controller->rpc,
+                                                forwarder_ways(controller->forwarder), controller->trace);
+}
+
+/* Answers and acts from now on. */
+static void parts_start(Controller *controller)
+{
     replication_start(controller->replication, controller->members);
     agents_serve(controller);
-    callers_serve(controller);
+    peers_serve(controller);
     members_start(controller->members);
     replication_founding(controller->replication);
     scheduler_start(controller->scheduler);
     alerts_start(controller);
     forwarder_start(controller->forwarder);
     config_watch_start(controller->config_watch, seatless, controller);
-    loop_spawn(loop, "forget", forget_main, controller);
-    *out = controller;
-    return STATUS_OK;
+    forget_start(controller);
 }
 
-bool controller_ready(const Controller *controller)
+Status controller_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings,
+                        const ControllerWatch *watch, Controller **out, Failure *failure)
 {
-    return !controller->leaving &&
-           (replication_leading(controller->replication) ? !controller->repairing
-                                                         : ways_serve(forwarder_ways(controller->forwarder)));
+    Controller *controller = talloc_zero(mem, Controller);
+    controller->loop = loop;
+    controller->recorder = recorder;
+    controller->settings = settings;
+    controller->started_ms = loop_now_ms(loop);
+    if (watch != NULL)
+        controller->watch = *watch;
+    state_new(controller);
+    const Status status = disk_and_addresses_open(controller, failure);
+    if (status != STATUS_OK)
+        return status;
+    membership_new(controller);
+    requests_new(controller);
+    parts_start(controller);
+    *out = controller;
+    return STATUS_OK;
 }
 
 void controller_drain(Controller *controller)
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -1,8 +1,10 @@
 /* What a worker is to run, told to its agent as soon as that has changed. */
+#include "orders.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "leader.h"
 
 AgentLine *agent_line(Controller *controller, const char *worker)
 {
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -1,11 +1,18 @@
 /* Repair: a view that rests on woken voters may have lost what was acknowledged.
  * Those who were told first tell it again, each change with its identity. */
+#include "repair.h"
+
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "orders.h"
+
+#define RETELL_PAUSE_MS 100 /* ms; before one that did not answer is asked again */
+#define REPAIR_HEAR_LOOK_MS \
+    (HEARTBEAT_MS / 5)                     /* ms; between two looks whether all have had time to find this process */
+#define REPAIR_LOOK_MS (HEARTBEAT_MS / 10) /* ms; ... and whether a repair that failed can be tried again */
 
 /* Freed by whoever ends last. */
 typedef struct Retelling {
@@ -23,6 +30,16 @@
     char address[ADDRESS_MAX];
 } RetellPart;
 
+static void retelling_add(Retelling *retelling, const RepairList *list)
+{
+    if (list->items_count == 0)
+        return;
+    retelling->items =
+        talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + list->items_count));
+    memcpy(retelling->items + retelling->count, list->items, list->items_count * sizeof(RepairItem));
+    retelling->count += list->items_count;
+}
+
 static void retelling_leave(Retelling *retelling)
 {
     if (--retelling->users == 0)
@@ -42,14 +59,10 @@
         status = rpc_ask(controller->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
                          until_ms - loop_now_ms(controller->loop), &RepairList_shape, &answer);
         if (status != STATUS_OK)
-            loop_sleep(controller->loop, 100);
+            loop_sleep(controller->loop, RETELL_PAUSE_MS);
     } while (status != STATUS_OK && loop_now_ms(controller->loop) < until_ms);
-    if (status == STATUS_OK && answer.items_count > 0) {
-        retelling->items =
-            talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + answer.items_count));
-        memcpy(retelling->items + retelling->count, answer.items, answer.items_count * sizeof(RepairItem));
-        retelling->count += answer.items_count;
-    }
+    if (status == STATUS_OK)
+        retelling_add(retelling, &answer);
     retelling->pending--;
     signal_raise(controller->loop, &retelling->ended);
     retelling_leave(retelling);
@@ -147,17 +160,18 @@
     }
 }
 
-/* Asks everybody once and submits what is missing; true when all of it was. */
-static bool repair_once(Controller *controller, uint64_t turn)
+/* Waits. Those who were told first must have found this process again: a connection to its last life may be
+ * silent. */
+static void hear_wait(const Controller *controller)
 {
-    /* those who were told first must have found this process again: a connection to
-     * its last life may be silent */
     while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_HEAR_MS)
-        loop_sleep(controller->loop, HEARTBEAT_MS / 5);
-    Retelling *retelling = talloc_zero(controller, Retelling);
-    retelling->controller = controller;
-    retelling->users = 1;
-    retelling->config_have = versions_newest(table_versions(controller->table));
+        loop_sleep(controller->loop, REPAIR_HEAR_LOOK_MS);
+}
+
+/* Waits until all members have answered with what they keep, or could not; takes what this node itself keeps. */
+static void everybody_ask(Retelling *retelling)
+{
+    Controller *controller = retelling->controller;
     const MemberTable *table = members_table(controller->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
@@ -176,16 +190,14 @@
     RepairList own = {0};
     repair_buffer_tell(controller->repair_buffer, retelling, retelling->config_have, &own);
     config_watch_notify(controller->config_watch, retelling, retelling->config_have, &own);
-    if (own.items_count > 0) {
-        retelling->items =
-            talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + own.items_count));
-        memcpy(retelling->items + retelling->count, own.items, own.items_count * sizeof(RepairItem));
-        retelling->count += own.items_count;
-    }
-    configs_order(retelling);
-    if (retelling->count > 0)
-        qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
-    size_t told = 0;
+    retelling_add(retelling, &own);
+}
+
+/* Waits. Orders what is missing, in the order of the items; told counts it. False: this node can't go on with the
+ * repair. */
+static bool missing_tell(Retelling *retelling, uint64_t turn, size_t *told)
+{
+    Controller *controller = retelling->controller;
     for (size_t i = 0; i < retelling->count; i++) {
         const RepairItem *item = &retelling->items[i];
         void *mem = talloc_new(controller);
@@ -201,16 +213,15 @@
         if (status == STATUS_OK)
             status = replication_offer(controller->replication, item->change, restored(mem, item));
         talloc_free(mem);
-        if (status != STATUS_OK || turn != controller->repair_turn) {
-            retelling_leave(retelling);
+        if (status != STATUS_OK || turn != controller->repair_turn)
             return false;
-        }
-        told++;
+        (*told)++;
     }
-    const size_t item_count = retelling->count;
-    retelling_leave(retelling);
-    if (replication_repaired(controller->replication) != STATUS_OK || turn != controller->repair_turn)
-        return false;
+    return true;
+}
+
+static void repaired_take(Controller *controller, size_t told, size_t item_count)
+{
     controller->repairing = false;
     controller->counts.repairs++;
     controller->counts.retold += told;
@@ -218,6 +229,27 @@
                    "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
     orders_wake(controller);
     scheduler_notify(controller->scheduler);
+}
+
+/* Waits. Asks everybody once and has committed what is missing; true when all of it was. */
+static bool repair_once(Controller *controller, uint64_t turn)
+{
+    hear_wait(controller);
+    Retelling *retelling = talloc_zero(controller, Retelling);
+    retelling->controller = controller;
+    retelling->users = 1;
+    retelling->config_have = versions_newest(table_versions(controller->table));
+    everybody_ask(retelling);
+    configs_order(retelling);
+    if (retelling->count > 0)
+        qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
+    size_t told = 0;
+    const size_t item_count = retelling->count;
+    const bool ordered = missing_tell(retelling, turn, &told);
+    retelling_leave(retelling);
+    if (!ordered || replication_repaired(controller->replication) != STATUS_OK || turn != controller->repair_turn)
+        return false;
+    repaired_take(controller, told, item_count);
     return true;
 }
 
@@ -231,7 +263,7 @@
         if (replication_leading(controller->replication) && repair_once(controller, turn))
             return;
         signal_wait(controller->loop, replication_news(controller->replication),
-                    loop_now_ms(controller->loop) + HEARTBEAT_MS / 10);
+                    loop_now_ms(controller->loop) + REPAIR_LOOK_MS);
     }
 }
 
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -1,7 +1,9 @@
 /* What the scheduler sees of its controller. */
+#include "scheduling.h"
+
 #include <talloc.h>
 
-#include "inside.h"
+#include "leader.h"
 
 static bool leads(void *arg)
 {
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -1,11 +1,15 @@
 /* What operators see. */
+#include "status.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "base/term.h"
 #include "alerts.h"
+#include "api/show.h"
+#include "base/term.h"
+#include "scheduler/worker_score.h"
 
 static json_object *text_of(const char *text)
 {
@@ -19,7 +23,7 @@
 
 static json_object *disk_of(uint64_t disk)
 {
-    char text[20];
+    char text[DISK_TEXT];
     snprintf(text, sizeof(text), "%016" PRIx64, disk);
     return text_of(text);
 }
--- a/packages/controller/src/traced.c
+++ b/packages/controller/src/trace_delivered.c
@@ -1,12 +1,15 @@
 /* What the trace keeps of a delivered change. */
+#include "trace_delivered.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 
-#include "inside.h"
+#define ATTEMPT_DETAIL 64 /* bytes; numbers of a task and an attempt, and a worker's name, which is cut */
+#define CHANGE_DETAIL 48  /* bytes; an index and the word of a status */
 
 static void trace_places(Controller *controller, const PlaceList *places)
 {
-    char detail[64];
+    char detail[ATTEMPT_DETAIL];
     for (size_t i = 0; i < places->placements_count; i++) {
         const Placement *place = &places->placements[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->attempt,
@@ -17,7 +20,7 @@
 
 static void trace_attempts(Controller *controller, const AttemptList *attempts)
 {
-    char detail[64];
+    char detail[ATTEMPT_DETAIL];
     for (size_t i = 0; i < attempts->news_count; i++) {
         const AttemptNews *news = &attempts->news[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->attempt,
@@ -30,7 +33,7 @@
 {
     if (body == NULL || controller->trace == NULL)
         return;
-    char detail[48];
+    char detail[CHANGE_DETAIL];
     const bool good = result->status == STATUS_OK;
     snprintf(detail, sizeof(detail), "index %" PRIu64 "%s%s", change->index, good ? "" : " ",
              good ? "" : status_word(result->status));
--- /dev/null
+++ b/packages/controller/src/trace_delivered.h
@@ -0,0 +1,9 @@
+#ifndef CONTROLLER_SRC_TRACE_DELIVERED_H
+#define CONTROLLER_SRC_TRACE_DELIVERED_H
+
+#include "state.h"
+
+/* Notes a delivered change in the trace. body: as the table tells it; may be null. */
+void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result);
+
+#endif
--- a/packages/scheduler/src/attempt_pace.c
+++ b/packages/scheduler/src/attempt_pace.c
@@ -11,6 +11,7 @@
 
 #define PACE_KEY (ID_MAX + 24) /* bytes; a name and a number */
 #define PACES_LEAST 256        /* count; fewer are not worth looking through */
+#define PERCENT_LEAST 0.5      /* percent; reported are whole percents, so no progress may be half a one */
 
 struct Paces {
     Map *attempts;  /* by task to Pace */
@@ -87,7 +88,8 @@
         return;
     const double due = (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(scheduler, its, step));
     if (due >= 4) /* less is lost in whole percents */
-        estimates_pace(scheduler->estimates, worker, (uint64_t)(due * 1000 / (percent > 0.5 ? percent : 0.5)),
+        estimates_pace(scheduler->estimates, worker,
+                       (uint64_t)(due * 1000 / (percent > PERCENT_LEAST ? percent : PERCENT_LEAST)),
                        loop_now_ms(scheduler->loop));
 }
 
--- a/packages/scheduler/src/scheduler.c
+++ b/packages/scheduler/src/scheduler.c
@@ -1,9 +1,8 @@
-/* The scheduler as its controller sees it, and its way to the controller. */
+/* The scheduler as its controller sees it. */
 #include "scheduler/scheduler.h"
 
 #include <talloc.h>
 
-#include "heartbeat/lease.h"
 #include "pass.h"
 #include "scheduler/attempt_pace.h"
 
@@ -65,34 +64,3 @@
     pass->sight.arg = arg;
     return line_new(pass, scheduler->queue, &pass->sight);
 }
-
-bool scheduler_leads(const Scheduler *scheduler)
-{
-    return scheduler->leader.leads(scheduler->leader.arg);
-}
-
-bool scheduler_decides(const Scheduler *scheduler)
-{
-    return scheduler->leader.decides(scheduler->leader.arg);
-}
-
-int64_t scheduler_won_ms(const Scheduler *scheduler)
-{
-    return scheduler->leader.won_ms(scheduler->leader.arg);
-}
-
-Status scheduler_order(const Scheduler *scheduler, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                       ChangeResult *result)
-{
-    return scheduler->leader.order(scheduler->leader.arg, mem, kind, shape, body, result);
-}
-
-const Policy *scheduler_policy(const Scheduler *scheduler, const ConfigCell *cell)
-{
-    return scheduler->leader.policy(scheduler->leader.arg, cell);
-}
-
-int64_t scheduler_lease_end_ms(const Scheduler *scheduler)
-{
-    return scheduler_won_ms(scheduler) + lease_claim_ms(scheduler->bounds->lease_ms);
-}
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -9,6 +9,8 @@
 
 #include "state.h"
 
+#define HALVINGS_MOST 7 /* count; a rate of at most 100 percent that was halved more often is none */
+
 const Score *score_find(const Scheduler *scheduler, const char *worker)
 {
     return map_get(scheduler->scores, worker);
@@ -19,7 +21,7 @@
 {
     const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
     const int64_t halvings = (loop_now_ms(scheduler->loop) - from) / SCORE_FADE_MS;
-    if (halvings > 7)
+    if (halvings > HALVINGS_MOST)
         return 0;
     return halvings > 0 ? tally->rate_percent >> halvings : tally->rate_percent;
 }
