--- a/packages/callers/src/callers.c
+++ b/packages/callers/src/callers.c
@@ -1,4 +1,4 @@
-/* Forwarded requests: as what the routes take, and their results as answers. */
+/* Forwarded requests become requests of routes, and their results become answers. */
 #include "callers/callers.h"
 
 #include <talloc.h>
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -12,7 +12,7 @@
 
 /* --- reading ----------------------------------------------------------------------- */
 
-/* The text goes out as it is kept: a document is given back as it was sent. */
+/* The text is sent as it is stored: a document is given back as it came. */
 static void show_config(Way *way, uint64_t version, const char *text)
 {
     HttpTask *task = way->task;
@@ -33,7 +33,7 @@
     const char *text;
     if (newest == 0)
         text = config_first_text();
-    else if (versions->rows[versions->count - 1].patch && config->version == newest) /* it is read already */
+    else if (versions->rows[versions->count - 1].patch && config->version == newest) /* it has been read already */
         text = document_text(way->mem, config->tree);
     else
         text = versions_text(versions, way->mem, newest);
@@ -96,8 +96,8 @@
     show_result(way->task, 200, body);
 }
 
-/* What makes a call that names its version the same one when it is sent again:
- * calls are told apart, not protected from forgers. */
+/* Digest of a call that names its version, by which the same call is known when it is sent again: it tells calls
+ * apart, it does not protect from forgers. */
 static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t version)
 {
     char head[DIGEST_HEAD];
@@ -111,8 +111,8 @@
     return digest;
 }
 
-/* The whole document that a patch makes; null and faults. The text to be
- * committed is the patch. */
+/* The whole document that a patch makes; null and faults where it is none. The text to be committed is the
+ * patch. */
 static json_object *patched(Way *way, const Config *now, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
@@ -125,8 +125,8 @@
     return tree;
 }
 
-/* A document that differs little from the one in force is committed as its
- * difference, and shares with it what is the same. */
+/* A document that differs little from the one in force is committed as its difference, and shares equal subtrees
+ * with it. */
 static json_object *replaced(Way *way, const Config *now, json_object *whole, ConfigSet *set)
 {
     json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
@@ -144,8 +144,8 @@
     return tree;
 }
 
-/* Many patches together may make a document that none of them could send. It is
- * measured only where their sizes do not settle it. */
+/* Many patches together may make a document that no one call could send. It is measured only where the sizes of
+ * its parts do not settle it. */
 static void check_size(Way *way, json_object *tree)
 {
     if (versions_size(table_versions(way->callers->table)) + way->task->body.count <= CONFIG_BODY_MAX)
@@ -155,7 +155,7 @@
                   CONFIG_BODY_MAX);
 }
 
-/* Null and faults. On mem. */
+/* The configuration that the call asks for, on mem; null and faults where it has any. */
 static const Config *config_of(Way *way, const Config *now, bool patch, ConfigSet *set)
 {
     const Bytes *body = &way->task->body;
@@ -199,7 +199,7 @@
     if (set.version != 0)
         set.digest = digest_of(way, patch, set.base, set.version);
     const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
-    if (known != 0) { /* sent again: it was taken, whatever has come since */
+    if (known != 0) { /* sent again: it was accepted, whatever has come since */
         show_taken(way, known);
         return;
     }
@@ -222,7 +222,8 @@
     ChangeResult result;
     const Status status = way_submit(way, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
     if (status == STATUS_OK && result.status == STATUS_OK)
-        in_force_config(callers->in_force); /* takes what was checked, before another change is delivered */
+        in_force_config(
+            callers->in_force); /* takes over the checked configuration, before another change is delivered */
     trial_leave(callers->in_force, &trial);
     if (!way_delivered(way, status))
         return;
--- a/packages/callers/src/entry.c
+++ b/packages/callers/src/entry.c
@@ -1,6 +1,5 @@
-/* Jobs at the address of their queue: host and path name the queue, what follows
- * its prefix is the job's id. Everything about the queue is looked up in the newest
- * committed document at each request, so none is handled by an older one. */
+/* Jobs at the address of their queue: host and path name the queue, what follows its prefix is the job's id. The
+ * queue is looked up in the newest committed configuration at each request, so none is answered by an older one. */
 #include "entry.h"
 
 #include <string.h>
@@ -8,11 +7,11 @@
 
 #include "jobs.h"
 
-/* 410 for a job: this leader has all that was told, so there is none. */
+/* 410 for a job: this leader knows of all that was committed, so there is none. */
 #define GONE_HTTP 410
 #define NO_ENTRY_HTTP 404
 
-/* A refusal under a code of its own. */
+/* A refusal with an HTTP code of its own. */
 static void entry_refuse(Way *way, int http, Status status, const char *text)
 {
     show_refusal(way->task, status, text, NULL);
@@ -43,7 +42,7 @@
     const Job *job = table_job(way->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
-        /* an id is one job at every entry: it stays in the queue that took it */
+        /* an id is one job at every entry: it stays in the queue that accepted it */
         spec.cell = job->spec.cell;
         spec.tenant = job->spec.tenant;
         spec.queue = job->spec.queue;
@@ -78,7 +77,7 @@
     }
     if (!job_cancelled(way, &result))
         return;
-    /* one that had ended before stays as it is, which is what was asked for */
+    /* a job that had ended before stays as it is, which is what was asked for */
     const Job *job = table_job(way->callers->table, way->name);
     if (job == NULL)
         entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
--- a/packages/callers/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -1,4 +1,4 @@
-/* Jobs as callers hand them in by id, and ask for them. */
+/* Jobs as callers submit them by id, ask for them and cancel them. */
 #include "jobs.h"
 
 #include <string.h>
@@ -40,7 +40,7 @@
         show_refusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
-    /* whoever carries this result may be the only one to have heard it */
+    /* whoever carries this answer may be the only one that has heard it */
     RepairItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
     shape_pack(&JobAdd_shape, &add, way->mem, &item.payload);
@@ -63,7 +63,7 @@
         way_refuse(way);
         return;
     }
-    /* the same job again is told the first answer, whatever has changed since */
+    /* the same job again gets the first answer, whatever has changed since */
     const Job *job = table_job(way->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
--- a/packages/callers/src/queue_order.c
+++ b/packages/callers/src/queue_order.c
@@ -1,4 +1,4 @@
-/* The queue, as it is or as a policy would have it. */
+/* The queue of a cell in order, as it is or as a policy would have it. */
 #include "queue_order.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "policy/lua.h"
 
-/* One policy for one cell; the others keep theirs. */
+/* One policy for one cell; the other cells keep theirs. */
 typedef struct Trying {
     CallerService *callers;
     const char *cell;
--- a/packages/callers/src/repair_copy.c
+++ b/packages/callers/src/repair_copy.c
@@ -1,5 +1,5 @@
-/* What came in at a controller's own address is known there only and on the disks: before it
- * is answered, one diskless node keeps it too. */
+/* A copy for repair: what came in at a controller's own address is known there and on the disks only, so before
+ * it is answered one entry point, which has no disk, keeps it too. */
 #include "repair_copy.h"
 
 #include <stdio.h>
@@ -25,7 +25,7 @@
 
 void elsewhere_keep(CallerService *callers, void *mem, const RepairList *repair_items)
 {
-    /* a large configuration would fill an entry point's link for seconds: it is on the disks that the bounds
+    /* a large configuration would fill an entry point's link for seconds: it is on as many disks as the settings
      * ask for, and the feed brings it to the entry points */
     if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)
         return;
@@ -40,7 +40,7 @@
         const bool last = strcmp(row->record.address, callers->kept_at) == 0;
         if (count == ELSEWHERE_MOST && !last)
             continue;
-        /* the one that kept the last thing first: one that does not answer costs its wait once */
+        /* the one that kept the last copy first: one that does not answer costs its wait once */
         if (last && count > 0)
             memcpy(addresses[count < ELSEWHERE_MOST ? count : ELSEWHERE_MOST - 1], addresses[0], ADDRESS_MAX);
         snprintf(addresses[last ? 0 : count], ADDRESS_MAX, "%s", row->record.address);
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -1,4 +1,4 @@
-/* A request on its way through the leader: what it passes, and where it goes. */
+/* The table of routes: the guards that a request passes, the route it goes to, the proof that its answer needs. */
 #include "routes.h"
 
 #include <string.h>
@@ -12,8 +12,8 @@
 
 /* What must show that an answer is not out of date, before it goes out. */
 typedef enum Proof {
-    PROOF_LEASE,   /* this node holds the lock by its own clock: a majority has renewed it */
-    PROOF_CONTACT, /* a majority has renewed it in answer to what was asked since, whatever the clock says */
+    PROOF_LEASE,   /* this node has the lease by its own clock: a majority has renewed it */
+    PROOF_CONTACT, /* a majority has renewed the lease in answer to questions sent since, whatever the clocks do */
 } Proof;
 
 /* --- guards: policies that a request passes, in order, behind one interface --- */
@@ -54,12 +54,11 @@
     show_result(way->task, 200, way->callers->leader.alerts(way->callers->leader.arg));
 }
 
-/* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that
- * either needs where nothing was committed for it; one that was is proof in itself.
+/* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that either needs where
+ * nothing was committed for it; a commit is proof in itself.
  *
- * A refusal ends its caller's call for good, so it takes an attempt of contact wherever it
- * claims to know what is in force or which jobs there are; it is rare, and the attempt costs
- * it one way there and back. */
+ * A refusal ends its caller's call for good, so it takes a contact with a majority wherever it claims to know
+ * what is in force or which jobs there are; it is rare, and the contact costs one way there and back. */
 typedef struct Route {
     const char *method;
     const char *parts[3];
@@ -68,7 +67,7 @@
 } Route;
 
 static const Route ROUTES[] = {
-    /* a job that is known was committed, and stays */
+    /* a known job was committed, and stays */
     {"POST", {"jobs"}, job_post, PROOF_LEASE, PROOF_CONTACT},
     /* asked for often; a state that is late by a lease is asked for again */
     {"GET", {"jobs"}, job_list, PROOF_LEASE, PROOF_LEASE},
@@ -77,7 +76,7 @@
     {"POST", {"jobs", "*", "cancel"}, job_cancel, PROOF_LEASE, PROOF_CONTACT},
     /* operators act on what they read */
     {"GET", {"config"}, config_get, PROOF_CONTACT, PROOF_CONTACT},
-    /* one that was taken before is known by its digest: committed, and stays */
+    /* one that was accepted before is known by its digest: committed, and stays */
     {"PUT", {"config"}, config_put, PROOF_LEASE, PROOF_CONTACT},
     {"PATCH", {"config"}, config_patched, PROOF_LEASE, PROOF_CONTACT},
     {"GET", {"config", "history"}, config_history, PROOF_CONTACT, PROOF_CONTACT},
@@ -85,7 +84,7 @@
     {"POST", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
     {"PUT", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
     {"DELETE", {"zones", "*", "drain"}, zone_back, PROOF_CONTACT, PROOF_CONTACT},
-    /* figures of the moment, and a trial of a job: nothing is acknowledged by them */
+    /* figures of the moment, and a trial: nothing is acknowledged by them */
     {"GET", {"queue"}, queue_get, PROOF_LEASE, PROOF_LEASE},
     {"POST", {"queue", "try"}, queue_try, PROOF_LEASE, PROOF_LEASE},
     /* shows the lease itself */
@@ -158,7 +157,7 @@
 
 /* --- proofs ------------------------------------------------------------------------------------ */
 
-/* "Come back": it says nothing of what there is. */
+/* "Come back": the answer says nothing of the state. */
 static bool claims_nothing(const HttpTask *task)
 {
     return task->code >= 500;
@@ -177,7 +176,7 @@
            configuration_term(replication) == term;
 }
 
-/* The last look before the answer goes out, after all that the route has waited for. */
+/* The last check before the answer goes out, after all that the route has waited for. */
 static void prove(Way *way, const Route *route, uint64_t term)
 {
     HttpTask *task = way->task;
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -1,4 +1,4 @@
-/* Zones emptied of work and given back to it. */
+/* Zones: drained of work, and given back to it. */
 #include "zones.h"
 
 #include <string.h>
@@ -70,7 +70,7 @@
     return true;
 }
 
-/* Whoever carries the first answer may have been lost with it. */
+/* Whoever carried the first answer may have been lost with it. */
 static void keep_newest(Way *way)
 {
     RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -1,4 +1,4 @@
-/* The leader towards agents: heartbeats, tellings, orders. */
+/* The leader towards agents: heartbeats, updates of attempts, questions for orders. */
 #include "agents.h"
 
 #include <string.h>
@@ -19,9 +19,9 @@
     return false;
 }
 
-/* Not in its agent's list though it is to be stopped: it has stopped, or it never
- * came there. An order for it may still be on its way, until it expires or the agent
- * has newer ones. */
+/* Whether an attempt that is to be stopped is over, since its agent does not list it: it has stopped, or it
+ * never came there. An order for it may still be under way until its deadline, or until the agent has newer
+ * ones. */
 static bool stop_over(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
@@ -30,8 +30,8 @@
              heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
-/* Attempts that should run there and that a complete list does not have are lost;
- * those that were to stop have stopped. */
+/* Attempts that should run there and that a complete list does not have are lost; those that were to stop have
+ * stopped. */
 static AttemptList missing(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
     AttemptList list = {0};
@@ -58,8 +58,7 @@
     return list;
 }
 
-/* What a heartbeat makes known, committed beside it: the lease is not kept back for
- * the disks. */
+/* What a heartbeat makes known, committed beside it: the lease does not wait for the disks. */
 typedef struct Learning {
     Controller *controller;
     AgentLine *line;
@@ -84,7 +83,7 @@
     talloc_free(learning);
 }
 
-/* One at a time for each worker: what is on its way need not be submitted again. */
+/* One at a time for each worker: what is being committed need not be submitted again. */
 static void learn(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
 {
     AgentLine *line = agent_line(controller, heartbeat->worker.name);
@@ -95,7 +94,7 @@
     const bool here = heartbeat->worker_live && !heartbeat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
     const bool learns = heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
-    /* left cleanly: it said so, it is gone, and nothing of ours is left on it */
+    /* drained: it said so, it is gone, and no attempt of ours is left on it */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
                       heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
@@ -112,7 +111,7 @@
     }
 }
 
-/* Whether the table is to hear that the attempt runs. */
+/* Whether the table has yet to be told that the attempt runs. */
 static bool runs_untold(const Controller *controller, const char *worker, const AttemptSaved *saved)
 {
     const Job *job = table_job(controller->table, saved->job);
@@ -148,8 +147,8 @@
         news_hurry(controller);
 }
 
-/* After a loss of what the disks had acknowledged: every agent that anybody knows of
- * has told all that may run beside it, and it is in the table. */
+/* After a loss of acknowledged changes: every known agent has told of all attempts that may run beside it, and
+ * the table has them. */
 static bool all_heard(Controller *controller)
 {
     void *mem = talloc_new(controller);
@@ -178,8 +177,7 @@
     if (now_ms >= scheduler_place_from_ms(controller->scheduler) || controller->repairing ||
         !replication_leading(controller->replication) || !all_heard(controller))
         return;
-    scheduler_set_place_from(controller->scheduler,
-                             now_ms); /* there is nothing that the log has forgotten and that still runs */
+    scheduler_set_place_from(controller->scheduler, now_ms); /* no attempt that the log has lost still runs */
     scheduler_notify(controller->scheduler);
 }
 
@@ -212,8 +210,8 @@
     if (heartbeat->wait_ms > 0)
         orders_answer(controller, mem, heartbeat,
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
-    /* the lease counts from when the question was sent, so a holder that has lost the
-     * lock since has granted it before: but it is not to be counted on any more */
+    /* the lease counts from when the question was sent, so a leader that has lost the lock since has granted it
+     * before: but nobody is to count on it any more */
     if (!replication_holds(controller->replication))
         return STATUS_NOT_LEADER;
     out->term = configuration_term(controller->replication);
@@ -232,11 +230,11 @@
     if (controller->repairing)
         return STATUS_REPAIRING;
     liveset_told(controller->liveset, ask->agent, ask->incarnation, ask->number);
-    /* answered only after the commit: until then the agent tells it again */
+    /* answered only after the commit: until then the agent sends it again */
     return news_tell(controller, ask->news, ask->news_count);
 }
 
-/* As agents of the first release ask. */
+/* The protocol of agents of the first release. */
 static Status on_fetch(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -252,7 +250,7 @@
         return STATUS_REPAIRING;
     const LiveRow *row = liveset_find(controller->liveset, ask->agent);
     if (row == NULL)
-        return STATUS_UNKNOWN_WORKER; /* it has to heartbeat first */
+        return STATUS_UNKNOWN_WORKER; /* it has to send a heartbeat first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
     orders_answer(controller, mem, &heartbeat, FETCH_WAIT_MS, &orders);
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -1,5 +1,4 @@
-/* Alerts as a list of their own: levels, not events. Each stands from when it was
- * first seen by this leader until it is seen no more. */
+/* Alerts are levels, not events. Each stands from when this leader first saw its cause until it is seen no more. */
 #include "alerts.h"
 
 #include <inttypes.h>
@@ -19,7 +18,7 @@
     Alert alert;
     const char *subject;
     int64_t since_ms;
-    uint64_t look; /* the look that saw it last */
+    uint64_t look; /* the look that saw its cause last */
 } Standing;
 
 const char *alert_word(Alert alert)
--- a/packages/controller/src/alerts.h
+++ b/packages/controller/src/alerts.h
@@ -3,8 +3,8 @@
 
 #include "state.h"
 
-/* What an operator should look at, and what to do. A word never changes its
- * meaning; the page of alerts in docs/operating.md tells the same. */
+/* What an operator should look at, and what to do: X(name, word, what to do). A word never changes its meaning;
+ * the list of alerts in docs/operating.md says the same. */
 #define ALERT_LIST(X)                                                                                           \
     X(VOTER_OUT, "seat-out",                                                                                    \
       "no further loss of a core is survived: look at its machine, disk and network, or start an empty core")   \
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -1,5 +1,5 @@
-/* What attempts came to, committed for many agents at once: while one change is on its
- * way, the next gathers. That an attempt runs waits for other news to go with. */
+/* Updates of attempts, committed for many agents at once: while one change is being committed, the next gathers.
+ * That an attempt runs waits for other updates to go with. */
 #include "attempt_updates.h"
 
 #include <string.h>
@@ -7,14 +7,14 @@
 
 #include "leader.h"
 
-/* News of one change. Freed by whoever ends last: the news task and all that wait. */
+/* The updates of one change. Freed by whoever ends last: the task that commits, and all that wait. */
 typedef struct Batch {
     struct Batch *next;
     size_t users;
     AttemptList list;
     size_t room;
     int64_t *at_ms;   /* when each of them came */
-    int64_t since_ms; /* its first news came then */
+    int64_t since_ms; /* its first update came then */
     bool waited;      /* somebody waits for it */
     bool over;
     Status status;
@@ -26,7 +26,7 @@
 struct News {
     Controller *controller;
     Batch *first, *last;
-    bool busy; /* one is on its way */
+    bool busy; /* one is being committed */
     Signal added;
 };
 
@@ -98,7 +98,7 @@
     return controller->told->first == NULL && !controller->told->busy;
 }
 
-/* Those that nobody waits for are not told again by their agent. */
+/* Updates that nobody waits for are not sent again by their agent. */
 static void news_keep(Controller *controller, const Batch *batch)
 {
     for (size_t i = 0; i < batch->list.news_count && replication_holds(controller->replication); i++)
@@ -124,7 +124,7 @@
         if (news->last == batch)
             news->last = NULL;
         for (size_t i = 0; i < batch->list.news_count; i++)
-            if (batch->list.news[i].ran_ms > 0) /* it was told then, it is counted from the commit */
+            if (batch->list.news[i].ran_ms > 0) /* ran_ms counts until the commit */
                 batch->list.news[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
         news->busy = true;
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -1,4 +1,4 @@
-/* The controller's process: made of its parts, started, and drained. */
+/* The controller's process: its parts are made, started, and drained. */
 #include "controller/controller.h"
 
 #include <inttypes.h>
@@ -15,7 +15,7 @@
 #include "scheduling.h"
 #include "status.h"
 
-/* A controller in waiting hears of the configuration as an entry point does. */
+/* A controller without a vote hears of the configuration as an entry point does. */
 static bool seatless(void *arg)
 {
     const Controller *controller = arg;
@@ -56,7 +56,7 @@
     controller_take(arg, task);
 }
 
-/* Where in the log the node is, for its lines. */
+/* The node's place in the log, for the lines of its flight recorder. */
 static RecorderPlace place_now(void *arg)
 {
     const Controller *controller = arg;
@@ -201,12 +201,12 @@
     controller->leaving = true;
     loop_serve_leave(controller->loop);
     members_set_leaving(controller->members);
-    members_announce(controller->members); /* so that the view goes on without waiting for us */
-    /* what was ordered gets its result; then the vote and the lock are handed over */
+    members_announce(controller->members); /* so that the other voters go on without waiting for us */
+    /* what was ordered gets its result; then the vote and the lease are handed over */
     if (replication_leading(controller->replication))
         replication_settle(controller->replication);
     replication_leave(controller->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
-    /* requests are taken on, and carried to the next leader, until the last moment */
+    /* requests are still taken, and forwarded to the next leader, until the last moment */
     const int64_t unready_until_ms = now_ms + controller->settings->bounds.unready_ms;
     if (loop_now_ms(controller->loop) < unready_until_ms)
         loop_sleep(controller->loop, unready_until_ms - loop_now_ms(controller->loop));
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -22,7 +22,7 @@
     const char **names = talloc_array(mem, const char *, (unsigned)count);
     for (size_t i = 0; i < count; i++)
         names[i] = workers[i]->name;
-    /* any lease that the last leader answered runs out within this */
+    /* any lease that the last leader granted ends within this */
     orphans_reset(controller->orphans);
     scheduler_reset(controller->scheduler);
     liveset_reset(controller->liveset, replication_won_ms(controller->replication) + controller_claim_ms(controller),
@@ -38,8 +38,8 @@
     if (new_holder)
         lead_begin(controller);
     if (repair && (new_holder || !controller->repairing)) {
-        controller->repairing = true; /* a repair under way goes on over views opened anew */
-        /* attempts that the log has forgotten are told again or have lapsed by then */
+        controller->repairing = true; /* a repair under way goes on when the lead is opened anew */
+        /* until then attempts that the log has lost are told again, or their leases have ended */
         scheduler_set_place_from(controller->scheduler,
                                  loop_now_ms(controller->loop) + controller_claim_ms(controller));
         repair_start(controller);
@@ -50,8 +50,7 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* An order that was told before may be on its way until it expires, by an agent's
- * clock that is slow. */
+/* An order that was given before may be under way until its deadline, by an agent's clock that is slow. */
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
     const Controller *controller = arg;
@@ -68,7 +67,7 @@
         const AttemptSaved saved = {
             .job = news->job, .task = news->task, .attempt = news->attempt, .text = news->saved};
         if (news->word == ATTEMPT_RUNNING)
-            continue; /* a heartbeat has told how far it has come since */
+            continue; /* a heartbeat has told its checkpoint since */
         if (replication_holds(controller->replication))
             saved_take(controller->scheduler, &saved);
         orphans_end(controller->orphans, news);
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -1,4 +1,4 @@
-/* What a worker is to run, told to its agent as soon as that has changed. */
+/* What a worker is to run, sent to its agent as soon as that has changed. */
 #include "orders.h"
 
 #include <string.h>
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -1,4 +1,4 @@
-/* Every controller towards other nodes: forwarded requests, the configuration, repair. */
+/* A controller towards other nodes: forwarded requests, the configuration, repair. */
 #include "peers.h"
 
 #include <talloc.h>
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -1,5 +1,5 @@
-/* Repair: a view that rests on woken voters may have lost what was acknowledged.
- * Those who were told first tell it again, each change with its identity. */
+/* Repair: voters that have restarted may have lost what they acknowledged, when their disks do not keep what was
+ * synced. Those who were told of it first tell it again, each change with its identity. */
 #include "repair.h"
 
 #include <inttypes.h>
@@ -52,7 +52,7 @@
     Retelling *retelling = part->retelling;
     Controller *controller = retelling->controller;
     const RetellAsk ask = {.config_have = retelling->config_have};
-    RepairList answer = {0}; /* of whoever stands there now: each item carries its own identity */
+    RepairList answer = {0}; /* of whichever process has that address now: each item carries its own identity */
     const int64_t until_ms = loop_now_ms(controller->loop) + REPAIR_MS;
     Status status;
     do {
@@ -69,9 +69,9 @@
     talloc_free(part);
 }
 
-/* Kinds that may be told again, in the order in which they are: what needs
- * another comes after it. The number in the old log orders within a kind only:
- * it may be of a history that the disks have lost since. */
+/* Kinds of changes that may be told again, in the order in which they are: what needs another comes after it.
+ * The index in the old log orders within a kind only, since it may be of a history that the disks have lost
+ * since. */
 static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD,  CHANGE_JOB_CANCEL,
                                  CHANGE_ZONE_DRAIN, CHANGE_ATTEMPTS, CHANGE_JOB_END};
 
@@ -97,7 +97,7 @@
     return set->version != 0 ? set->version : set->base + 1;
 }
 
-/* Whether the state has it already, so that telling it would change nothing. */
+/* Whether the state has the change already, so that it would have no effect. */
 static bool known(Controller *controller, void *mem, const RepairItem *item)
 {
     const Table *table = controller->table;
@@ -133,7 +133,7 @@
     }
 }
 
-/* A configuration told again counts by its version, not by its base. */
+/* A configuration told again counts by its version, not by the version that it was built on. */
 static Bytes restored(void *mem, const RepairItem *item)
 {
     ConfigSet set;
@@ -147,8 +147,8 @@
     return payload;
 }
 
-/* A configuration that is told as a change counts only upon the one before: they
- * are put in the order of their versions, from wherever they are told. */
+/* A configuration that was committed as a patch counts only upon the one before: all are put in the order of
+ * their versions, from wherever they are told. */
 static void configs_order(Retelling *retelling)
 {
     for (size_t i = 0; i < retelling->count; i++) {
@@ -160,8 +160,7 @@
     }
 }
 
-/* Waits. Those who were told first must have found this process again: a connection to its last life may be
- * silent. */
+/* Waits. The members must have found this process again: a connection to its last incarnation may be silent. */
 static void hear_wait(const Controller *controller)
 {
     while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_HEAR_MS)
@@ -201,8 +200,8 @@
     for (size_t i = 0; i < retelling->count; i++) {
         const RepairItem *item = &retelling->items[i];
         void *mem = talloc_new(controller);
-        /* what needs another kind before it is looked at once that is delivered;
-         * within a kind none waits for the last: a long repair is not a slow one */
+        /* what needs another kind before it is looked at once that is delivered; within a kind no item waits for
+         * the last one, so that a long repair is not a slow one */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
             status = replication_settle(controller->replication);
@@ -253,8 +252,8 @@
     return true;
 }
 
-/* Goes on until the repair is committed, also over views opened anew; ends when
- * another lead of this node begins a repair of its own. */
+/* Goes on until the repair is committed, also when the lead is opened anew; ends when this node wins the lead
+ * again and begins a repair of its own. */
 static void repair_main(void *arg)
 {
     Controller *controller = arg;
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -1,4 +1,4 @@
-/* What operators see. */
+/* /v1/status: what operators see. */
 #include "status.h"
 
 #include <inttypes.h>
@@ -169,7 +169,7 @@
     return plan;
 }
 
-/* What came over the wire and was another's, or nobody's. */
+/* Frames that were refused: of another cluster, or no frames of ours. */
 static json_object *show_refused_frames(const Controller *controller)
 {
     const RpcCounts *counts = rpc_counts(controller->rpc);
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -35,7 +35,7 @@
     return in_force->stamp;
 }
 
-/* What the table has, made from what was read before where it can be. */
+/* The document of the table, made from the one that was read before where it can be. */
 static json_object *tree_now(const InForce *in_force, bool same_load)
 {
     const Versions *versions = table_versions(in_force->table);
@@ -53,7 +53,7 @@
     json_object *tree = tree_now(in_force, same_load);
     const Config *config = config_build(in_force, tree, version, in_force->config, faults);
     json_object_put(tree);
-    if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
+    if (config == NULL) { /* it was checked before it was committed, perhaps by a later release */
         recorder_write(in_force->recorder, RECORDER_ALERT, loop_now_ms(in_force->loop),
                        "revision %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
                        faults->list[0].text);
@@ -67,7 +67,7 @@
     return config;
 }
 
-/* What was checked before it was committed needs no second reading. */
+/* A configuration that was checked before it was committed is not read again. */
 static const Config *trial_take(InForce *in_force, const Version *newest)
 {
     for (Trial *at = in_force->trials; at != NULL; at = at->next)
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -36,7 +36,7 @@
         for (size_t t = 0; t < count; t++) {
             const Job *job = on[t].job;
             const JobTask *task = &job->tasks[on[t].task];
-            /* where no loss is to be survived by each start, the look takes in all */
+            /* where the configuration names no loss, the check covers all protected tasks, for status alone */
             const bool counts = pass->asks ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
             if (!counts || task->phase == TASK_STOPPING)
                 continue;
@@ -53,7 +53,7 @@
     return pass->input;
 }
 
-/* Running unassured work that a plan can now include. */
+/* Running attempts that were placed without the plan and that it can include by now are marked as assured. */
 void assure_more(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
--- a/packages/scheduler/src/attempt_pace.c
+++ b/packages/scheduler/src/attempt_pace.c
@@ -16,7 +16,7 @@
 struct Paces {
     Map *attempts;  /* by task to Pace */
     size_t kept;    /* of them when they were last looked through */
-    uint64_t moves; /* words of progress */
+    uint64_t moves; /* reports of progress */
 };
 
 Paces *paces_new(void *mem)
@@ -51,7 +51,7 @@
     return pace != NULL && pace->attempt == attempt ? pace : NULL;
 }
 
-/* Those of tasks that run no more are dropped whenever there are twice as many as then. */
+/* Entries of tasks that no longer run are dropped whenever the map has doubled since the last time. */
 static void paces_sweep(const Scheduler *scheduler, Paces *paces)
 {
     if (map_count(paces->attempts) < PACES_LEAST || map_count(paces->attempts) < 2 * paces->kept)
@@ -73,7 +73,7 @@
     talloc_free(mem);
 }
 
-/* What the way from one word to the next says of the worker. */
+/* What the progress between two reports says of the worker's speed. */
 static void worker_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told, double percent,
                         int64_t span_ms)
 {
@@ -87,7 +87,7 @@
     if (estimate <= 0 || step->gang || step->same_rack || span_ms < STILL_LEAST_MS / 2)
         return;
     const double due = (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(scheduler, its, step));
-    if (due >= 4) /* less is lost in whole percents */
+    if (due >= 4) /* less is lost in the rounding to whole percents */
         estimates_pace(scheduler->estimates, worker,
                        (uint64_t)(due * 1000 / (percent > PERCENT_LEAST ? percent : PERCENT_LEAST)),
                        loop_now_ms(scheduler->loop));
@@ -116,12 +116,11 @@
     const double more = told->percent > before ? (double)(told->percent - before) : 0;
     pace->attempt = told->attempt;
     paces->moves += more > 0;
-    /* an attempt that goes on from what an earlier one saved begins with that */
+    /* an attempt that goes on from a checkpoint begins with its percent */
     if (goes_on && paces_credible(paces))
         worker_take(scheduler, worker, told, more, span_ms);
     pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
-    /* the first word that this leader hears says nothing of when the last step was made,
-     * unless none has been */
+    /* the first report that this leader hears does not say when progress was last made, unless none has been */
     if (!goes_on || more > 0)
         pace->still_ms = goes_on || told->percent > 0 ? told->percent_ms : 0;
     pace->percent = told->percent;
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -1,4 +1,4 @@
-/* When a worker will have room, by what runs there and how long that should take. */
+/* When a worker should have free capacity, by what runs there and how long that should take. */
 #include "capacity_forecast.h"
 
 #include <stdlib.h>
@@ -27,7 +27,8 @@
     const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
     const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
-    /* one that is over its time ends when it ends: a part of that time is as good as any */
+    /* an attempt that is over its expected time may end at any time: a part of that time is as good an estimate as
+     * any */
     return whole_ms - ran_ms > whole_ms / 8 ? whole_ms - ran_ms : whole_ms / 8 + ENDS_LEAST_MS;
 }
 
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -1,6 +1,4 @@
-/* How far running attempts have come, as their agents' heartbeats tell: in memory alone.
- * A new leader has it from the next heartbeats; the log has it with the end of an attempt
- * and with the placement of the next. */
+/* Checkpoints of running attempts, from their agents' heartbeats; in memory alone. */
 #include "scheduler/checkpoint.h"
 
 #include <inttypes.h>
@@ -13,7 +11,7 @@
 #define SAVED_KEY (ID_MAX + 24) /* bytes; a name and a number */
 #define SAVED_LEAST 256         /* count; fewer are not worth looking through */
 
-/* Invariant: text is what the highest round that told any last told. */
+/* Invariant: text is the newest checkpoint of the latest attempt that told any. */
 typedef struct Saved {
     const char *job;
     uint64_t task, attempt;
@@ -26,7 +24,7 @@
     return key;
 }
 
-/* What nobody will go on from is dropped whenever there is twice as much as then. */
+/* Checkpoints of tasks that have ended are dropped whenever the map has doubled since the last time. */
 static void saved_sweep(Scheduler *scheduler)
 {
     if (map_count(scheduler->saved) < SAVED_LEAST || map_count(scheduler->saved) < 2 * scheduler->saved_kept)
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -1,6 +1,6 @@
-/* Gangs of which only some members run. Placing, ending and stopping concern all
- * members at once, so it comes about in one way alone: the disks forgot a placement,
- * agents told their attempts again, and of some member nobody is left to tell. */
+/* Gangs of which only some members run. Placing, ending and stopping concern all members at once, so there is
+ * one cause alone: the disks lost a placement, agents told their attempts again, and of some member no agent is
+ * left to tell. All members are stopped, and the gang is placed again as a whole. */
 #include "gang_repair.h"
 
 #include <talloc.h>
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -1,6 +1,6 @@
-/* Workers that are leaving and say how long they stay: what can't end there by then goes
- * elsewhere in time. What keeps its progress goes as soon as there is room, or when its
- * last moment to save has come; what does not, only when it is sure not to end. */
+/* Workers that drain and have told how long they stay. An attempt that can not end there by then is started
+ * elsewhere in time: one that checkpoints, as soon as another worker has capacity or at its last moment to save;
+ * one that does not, only when it is sure not to end. */
 #include "leaving_worker.h"
 
 #include <string.h>
@@ -26,7 +26,7 @@
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
     const bool saves = job->spec.steps[task->step].saves;
-    if (task->phase == TASK_PLACED) /* not begun: nothing is lost */
+    if (task->phase == TASK_PLACED) /* not begun: no work is lost */
         return pass->clock.log_ms - task->changed_ms > LEAVE_START_MS;
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
@@ -37,7 +37,7 @@
         return false;
     if (saves)
         return room || stays_ms < LEAVE_LAST_MS;
-    /* estimates are off: what might just end is left to try */
+    /* estimates are inexact: an attempt that might just end is left to try */
     return room && left_ms * 2 / 3 > stays_ms;
 }
 
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -1,15 +1,15 @@
-/* Workers whose holds have lapsed, or that are silent. */
+/* Failure detection of workers: leases that have ended, and workers that are silent. */
 #include "lost_worker.h"
 
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
-/* Whether the worker may hold nothing any more, and its loss is not yet decided. */
+/* Whether the worker's lease has ended and its loss is not being committed yet. */
 static bool lapsed(const Scheduler *scheduler, const char *worker)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker);
-    /* a worker never heard of by this leader: its first hold counts */
+    /* a worker that this leader has not heard of: as if its lease was granted just before the lead was won */
     const int64_t until_ms = row != NULL ? row->until_ms : scheduler_lease_end_ms(scheduler);
     return loop_now_ms(scheduler->loop) > until_ms && (row == NULL || !row->losing);
 }
@@ -25,10 +25,9 @@
     const size_t lost_count = map_keys(lost, mem, &names);
     for (size_t i = 0; i < lost_count && scheduler_decides(scheduler); i++) {
         if (!lapsed(scheduler, names[i]))
-            continue; /* back while the loss of another was committed: what it was told since stands */
+            continue; /* it came back while the loss of another was being committed, and has orders again */
         const WorkerLost change = {names[i], UINT64_MAX};
-        /* it may come back before this is committed: then no order of the state
-         * before may reach it any more */
+        /* it may come back before this is committed: no order from the state before may reach it then */
         liveset_losing(scheduler->liveset, names[i], true);
         ChangeResult result;
         if (scheduler_order(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
@@ -69,7 +68,7 @@
     ChangeResult result;
     if (list.news_count > 0)
         scheduler_order(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
-    /* that they are over is our word alone: they count there until the agent says so */
+    /* that these attempts are over is not confirmed: their capacity counts as in use until the agent says so */
     for (size_t i = 0; i < list.news_count; i++) {
         const AttemptNews *news = &list.news[i];
         const Job *job = table_job(scheduler->table, news->job);
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -1,4 +1,4 @@
-/* What a pass begins with: the workers with their free room. */
+/* The begin of a pass: the workers and their free capacity. */
 #include "pass.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "scheduler/worker_score.h"
 
-/* What the worker may be given; none when it may be given nothing now. */
+/* Capacity of the worker that may be used now; none when it may be given nothing. */
 static Room room_now(const Scheduler *scheduler, const Worker *worker, Room *orphans)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker->name);
@@ -17,8 +17,8 @@
     return ready ? room_less(worker->room, row->others) : none;
 }
 
-/* Workers that may be given work have their free room; the others have none,
- * but what runs on them still counts as to be restarted. */
+/* Workers that may be given work have their free capacity, the others none; what runs on those still counts as
+ * to be restarted. */
 static void workers_find(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -50,7 +50,7 @@
 size_t pass_place(const Pass *pass, const char *worker)
 {
     size_t low = 0, high = pass->input.worker_count;
-    while (low < high) { /* they are in the order of their names */
+    while (low < high) { /* sorted by name */
         const size_t middle = (low + high) / 2;
         const int order = strcmp(pass->input.workers[middle].name, worker);
         if (order == 0)
--- a/packages/scheduler/src/pass_reservation.c
+++ b/packages/scheduler/src/pass_reservation.c
@@ -1,15 +1,14 @@
-/* Room that falls free is kept, within one pass, for what ranks above all that could
- * take it. Without this a task that needs more than any one end gives back is overtaken
- * for as long as smaller ones wait: each takes the gap as soon as it opens.
+/* Reservation within one pass: capacity that becomes free is left to the candidate that ranks above all that
+ * could take it. Without this a task that needs more than any one end gives back is overtaken for as long as
+ * smaller ones wait, since each takes the gap as soon as it opens.
  *
- * Nothing is remembered: the next pass finds the same again, since the worker that is
- * nearest to having room becomes nearer. What is far from its target, and what has missed
- * it, is given nothing this way. */
+ * Nothing is remembered: the next pass reserves the same again, since the worker that is nearest to having
+ * enough gets nearer. A candidate that is far from its latency target, or has missed it, gets no reservation. */
 #include "pass_reservation.h"
 
 #include <talloc.h>
 
-/* The parts of the room that are free, in thousandths of what is needed: the least of them. */
+/* How near the free capacity is to what is needed, in thousandths, by the scarcest resource. */
 static uint64_t near_to(Room need, Room free)
 {
     const uint64_t most = room_share(need, free);
@@ -49,7 +48,7 @@
         const int at = nearest(pass, need, excluded, taken);
         if (at < 0)
             break;
-        taken[at] = true; /* another member looks elsewhere: two seldom find room in one place */
+        taken[at] = true; /* another member takes another worker: two seldom find capacity on one */
         pass->input.workers[at].free = room_less(pass->input.workers[at].free, need->room);
     }
     talloc_free(taken);
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -1,4 +1,4 @@
-/* Places one candidate: a task, or all members of a gang or none. */
+/* Places one candidate of the queue: a task, or all members of a gang or none. */
 #include "placement.h"
 
 #include <string.h>
@@ -25,7 +25,7 @@
            (tenant->quota.gpu == 0 || want.gpu <= tenant->quota.gpu);
 }
 
-/* The members of a gang go on from the same place, under the same number. */
+/* The members of a gang go on from the same checkpoint, under the same attempt number. */
 static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t attempt,
                       const char *saved, bool assured)
 {
@@ -58,8 +58,8 @@
     }
 }
 
-/* Chooses for every member, on one rack when it is named. What is chosen is taken
- * out of free; nothing is unless all found room. */
+/* Chooses a worker for every member, on one rack when it is named. What is chosen is taken out of the free
+ * capacity; nothing is unless all members find a worker. */
 static bool choose_all(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, const char *rack,
                        int *where, uint64_t *percent)
 {
@@ -81,8 +81,7 @@
     return true;
 }
 
-/* A gang that is faster on one rack tries each, the one of its data first; then all
- * together. */
+/* A gang that is faster on one rack tries each rack, that of its data first, then all workers together. */
 static bool choose_racks(Pass *pass, const Candidate *candidate, const PlanNeed *need, bool *excluded, int *where,
                          uint64_t *percent)
 {
@@ -102,10 +101,10 @@
     return choose_all(pass, candidate, need, excluded, NULL, where, percent);
 }
 
-/* Whether the plan would still hold with the candidate there. */
+/* Whether the r-loss plan still holds with the candidate on these workers. */
 static bool assures(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
-    if (!pass->asks) /* no loss is to be survived: what the last look said is shown */
+    if (!pass->asks) /* the configuration names no loss: the last check, made for status, is shown */
         return pass->scheduler->plan.possible;
     if (pass->checks >= pass->checks_max)
         return false;
@@ -126,7 +125,7 @@
         const JobTask *task = &candidate->job->tasks[candidate_task(candidate, i)];
         if (task->attempt >= attempt)
             attempt = task->attempt + 1;
-        /* of an attempt that was lost with its worker the heartbeats alone have told */
+        /* of an attempt that was lost with its worker only heartbeats have told */
         const char *told = task->attempt > 0
                                ? saved_find(pass->scheduler, candidate->job->spec.id, task_number(task), task->attempt)
                                : "";
@@ -140,8 +139,8 @@
         pass->scheduler->counts.unassured += candidate->count;
 }
 
-/* Whether as much room, or less, was not to be found before in this pass. Free room only
- * shrinks in a pass, so what found none finds none later. */
+/* Whether as much capacity, or less, was not to be found before in this pass. Free capacity only shrinks in a
+ * pass, so what found no worker finds none later. */
 static bool known_full(const Pass *pass, const PlanNeed *need)
 {
     for (size_t i = 0; i < pass->full_count; i++)
@@ -152,7 +151,7 @@
 
 static void full_add(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool kept)
 {
-    /* what asks for more than room may fail where another finds some */
+    /* a need with more constraints than capacity may fail where another finds a worker */
     if (kept || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->full_count == FULL_MOST)
         return;
     pass->full[pass->full_count++] = *need;
@@ -183,7 +182,7 @@
         fits = false;
     } else if (spec->protection == PROTECTION_PROTECTED) {
         assured = assures(pass, candidate, &need, where);
-        /* accepted work is not kept waiting for a plan without end */
+        /* accepted work does not wait without end for a plan that includes it */
         if (!assured && pass->asks)
             fits = candidate->restart || pass->clock.log_ms - candidate->since_ms >= ASSURE_WAIT_MS;
     }
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -1,5 +1,5 @@
-/* The leader's planner: finds the lost, decides who goes where. One task; each
- * decision is committed before the next is made. */
+/* The planner's task: finds lost workers, then makes one pass after another over the queue. Each decision is
+ * committed before the next is made. */
 #include "planner.h"
 
 #include <stdio.h>
@@ -15,16 +15,15 @@
 #include "zone_move.h"
 
 #define PLAN_CHECKS_MAX 200 /* count; looks at the r-loss plan in one pass */
-#define PLAN_CHECKS_LEAST 4 /* count; as many are always made */
+#define PLAN_CHECKS_LEAST 4 /* count; ... of which so many are always allowed */
 #define PLAN_WORK_MAX \
     4000000           /* count; tasks and workers looked at for plans in one pass: some 50 ms, a tenth of a heartbeat */
-#define PASS_GAP_MS 5 /* ms; news that come together are decided on together; ... */
-#define PASS_GAP_MOST_MS \
-    40                    /* ms; ... on large sites, and when many wait, a pass takes longer, and more come together */
-#define PASS_GAP_LOOKS 64 /* count; workers and steps looked at for each further ms: some hundredths of it */
+#define PASS_GAP_MS 5 /* ms; between two passes, so that changes that come together are decided on together; ... */
+#define PASS_GAP_MOST_MS 40 /* ms; ... up to this on large sites and with a long queue, where a pass takes longer */
+#define PASS_GAP_LOOKS 64   /* count; workers and steps of the queue that lengthen the gap by a ms */
 
-/* Looks whether the plan holds as things stand. Where no loss is to be survived by
- * each start this is to be shown, and once in a while is enough. */
+/* Checks whether the r-loss plan holds as of now. Where the configuration names no loss the result is for status
+ * alone, and an occasional check is enough. */
 static void plan_look(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -33,7 +32,7 @@
         return;
     scheduler->plan_look_ms = now_ms + PLAN_LOOK_MS;
     pass_tasks(pass);
-    /* one look costs about losses times (tasks and workers) */
+    /* one check costs about losses times (tasks and workers) */
     const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
     pass->checks_max = PLAN_WORK_MAX / each;
     if (pass->checks_max > PLAN_CHECKS_MAX)
@@ -71,7 +70,7 @@
         pass->next_ms = line_next_ms(pass->line);
 }
 
-/* So long until the next pass: one takes time by what it looks at. */
+/* The time until the next pass grows with what a pass looks at. */
 static int64_t gap_ms(const Pass *pass)
 {
     const int64_t looks = (int64_t)(pass->input.worker_count + line_count(pass->line));
@@ -79,15 +78,15 @@
     return wait_ms < PASS_GAP_MOST_MS ? wait_ms : PASS_GAP_MOST_MS;
 }
 
-/* One look at everything; true when there may be more to decide at once. next_ms: when
- * there will be by itself, by the own clock. */
+/* One pass; true when there may be more to decide at once. next_ms: own clock, when there will be without a new
+ * event. */
 static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
     uint64_t seen = scheduler->news;
     Pass *pass = pass_new(scheduler, scheduler);
     scheduler->counts.passes++;
     *next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
-    if (stop_look(pass)) { /* the table has changed: what the pass knows is over */
+    if (stop_look(pass)) { /* the table has changed: what the pass knows is out of date */
         talloc_free(pass);
         return true;
     }
@@ -101,7 +100,7 @@
     if (pass->places.placements_count > 0) {
         if (scheduler_order(scheduler, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result) == STATUS_OK)
             scheduler->counts.placed += result.number;
-        seen++; /* our own change is no news */
+        seen++; /* the change that this pass made is no reason for another */
     }
     if (pass->pushes.attempts_count > 0 && scheduler_decides(scheduler)) {
         if (scheduler_order(scheduler, pass, CHANGE_STOP, &StopList_shape, &pass->pushes, &result) == STATUS_OK)
@@ -114,7 +113,7 @@
     return more || scheduler->news > seen;
 }
 
-/* What must not wait for a quiet moment. */
+/* What must not wait until attempts may be placed. */
 static void silent_look(Scheduler *scheduler)
 {
     void *mem = talloc_new(scheduler);
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -1,5 +1,4 @@
-/* Pushing aside: whom a cell's policy lets make room, and how much room that is
- * for the plan. */
+/* Preemption by a cell's policy: which running attempts make room for a candidate. */
 #include "preemption.h"
 
 #include <string.h>
@@ -8,10 +7,8 @@
 #include "preemption_target.h"
 #include "pushable_capacity.h"
 
-/* Who wants room looks for running work that its cell's policy lets it push
- * aside, all on one worker. The room is used only once the old attempts are known
- * to be over. Room that is being given up already counts: nothing more is pushed
- * while that would do. */
+/* The freed capacity is used only once the preempted attempts are known to be over. Capacity that is being given
+ * up already counts: nothing more is preempted while that is enough. */
 void preempt_for(Pass *pass, const Candidate *candidate)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -44,7 +41,7 @@
                 free = room_more(free, on[i].job->spec.steps[task->step].room);
         }
         if (room_fits(need.room, free))
-            return; /* it is on its way */
+            return; /* enough is being given up already */
         for (size_t j = count; j > 0 && !room_fits(need.room, free) && looked < PREEMPT_TASKS_MAX; j--) {
             const Job *job = jobs[j - 1];
             if (strcmp(job->spec.cell, candidate->job->spec.cell) != 0 || job == candidate->job)
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -1,7 +1,6 @@
-/* Pushing aside by the built-in policy: work of the cell's most urgent queue that would
- * miss its target otherwise may have room given up by work of a lower queue. What is thrown
- * away is little: the work keeps its progress, or is young. Members of gangs stay, for
- * all of them would go. One push at a time. */
+/* Preemption by the built-in policy: a task of the cell's most urgent queue that would miss its latency target
+ * otherwise may preempt work of lower queues. Little work may be lost by it: the attempt checkpoints, or is
+ * young. Members of gangs stay, since all of them would have to go. One preemption at a time. */
 #include "preemption_target.h"
 
 #include <string.h>
@@ -23,7 +22,7 @@
     return cell != NULL;
 }
 
-/* Controller-milliseconds that are done again when the attempt is stopped now; -1: it is not to be. */
+/* Controller-milliseconds of work that are done again when the attempt is stopped now; -1: it may not be stopped. */
 static int64_t cost_of(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
 {
     const Job *job = on->job;
@@ -33,7 +32,7 @@
         task->attempt >= SLOW_ATTEMPTS_MOST || strcmp(job->spec.cell, candidate->job->spec.cell) != 0 ||
         priority_of(pass, job, on->task) >= priority)
         return -1;
-    /* what keeps its progress saves once more when it is stopped */
+    /* an attempt that checkpoints does so once more when it is stopped */
     const int64_t lost_ms = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
     return (lost_ms + PREEMPT_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
 }
@@ -44,7 +43,7 @@
     int64_t cost;
 } Preemption;
 
-/* The cheapest first, until there is room; false: there is none to be had. */
+/* Takes the cheapest attempts first, until there is enough capacity; false: there is none to be had. */
 static bool preempt_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need,
                          Preemption *preemption)
 {
@@ -95,7 +94,7 @@
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
         if (soonest_ms(pass, w, need.room) <= PREEMPT_TAKES_MS)
-            return; /* it has room before anybody could be out of the way */
+            return; /* it has capacity before any preempted attempt could be over */
         Preemption preemption;
         if (preempt_find(pass, candidate, priority, w, need.room, &preemption) && preemption.cost <= most &&
             (best.count == 0 || preemption.cost < best.cost))
--- a/packages/scheduler/src/pushable_capacity.c
+++ b/packages/scheduler/src/pushable_capacity.c
@@ -12,12 +12,12 @@
     return at > 0 ? at - 1 : PLAN_NO_CELL;
 }
 
-/* One protected task of each queue of the cell speaks for its queue. */
+/* One protected task of each queue of the cell represents its queue. */
 typedef struct Speakers {
     const Job *jobs[PREEMPT_SPEAKERS_MAX];
     size_t tasks[PREEMPT_SPEAKERS_MAX];
     size_t count;
-    bool whole; /* every queue has its speaker here */
+    bool whole; /* every queue has its task here */
 } Speakers;
 
 static void speakers_find(const Scheduler *scheduler, const char *cell, Speakers *speakers)
@@ -46,8 +46,8 @@
     }
 }
 
-/* A running task that is itself not protected counts when every speaker of its
- * cell may push it: so no two of them count on room that only one may have. */
+/* A running task that is not protected counts when every representative of its cell may preempt it: so no two of
+ * them count on capacity that only one may have. */
 void pushable_count(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -81,7 +81,7 @@
             for (size_t t = 0; t < jobs[j]->tasks_count && looks < PREEMPT_LOOKS_MAX; t++) {
                 const JobTask *task = &jobs[j]->tasks[t];
                 const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
-                /* a worker that is given nothing has no room to be had either */
+                /* a worker that may be given nothing has no capacity to be had either */
                 if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
                     continue;
                 const PolicySight other = queue_see(scheduler->queue, &pass->sight, jobs[j], t);
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -1,10 +1,9 @@
-/* Workers kept for big work. A task (or gang) that fits a worker's whole room but
- * no present gap is overtaken for ever by small ones. After a stated wait the
- * workers that suit it and are soonest empty are kept for it: nothing new goes
- * there but what ranks above it in its cell, and restarts of protected work. One
- * such candidate for a cell at a time, never more than a share of the fleet.
+/* Reservations of workers. A task (or gang) that fits a worker's whole capacity but no present gap is overtaken
+ * for ever by small ones. After a stated wait the workers that suit it and should have enough capacity soonest
+ * are reserved for it: nothing new goes there but what ranks above it in its cell, and restarts of protected
+ * work. One such candidate for a cell at a time, never more than a share of the fleet.
  *
- * The leader's memory alone holds this: a new leader finds the same again. */
+ * Reservations are in the leader's memory alone: a new leader makes the same again. */
 #include "reservation.h"
 
 #include <inttypes.h>
@@ -13,15 +12,15 @@
 
 #include "capacity_forecast.h"
 
-/* Workers kept for one candidate that small work would overtake for ever. */
+/* The workers reserved for one candidate of a cell. */
 typedef struct Reservation {
     const char *job;
-    size_t task; /* its first */
+    size_t task; /* index of its first */
     double rank;
     int64_t since_ms;
     size_t worker_count;
     const char *workers[RESERVATION_MEMBERS_MAX];
-    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* each should have room in so long, as of this pass */
+    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* when each should have enough capacity, from this pass on */
 } Reservation;
 
 static bool is_for(const Reservation *kept, const Candidate *candidate)
@@ -48,8 +47,7 @@
     talloc_free(kept);
 }
 
-/* What is kept for a candidate that is none any more, or on workers that may be
- * given nothing now, is let go. */
+/* Reservations of a candidate that waits no more, or on workers that may be given nothing now, are dropped. */
 void reservation_begin(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -87,7 +85,7 @@
             continue;
         for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = pass_place(pass, kept->workers[i]);
-            /* what is over before there is room for the other takes nothing from it */
+            /* a task that ends before the reserved capacity is free takes nothing from it */
             const bool passes = candidate->estimate_ms > 0 && kept->until_ms[i] < INT64_MAX &&
                                 candidate->estimate_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
             if (at != SIZE_MAX && !passes)
@@ -98,7 +96,7 @@
     return any;
 }
 
-/* Members of the candidate that the worker holds when it is empty. */
+/* How many members of the candidate the worker takes when it is empty. */
 static size_t holds_empty(const PlanWorker *worker, Room each)
 {
     size_t count = 0;
@@ -108,7 +106,7 @@
     return count;
 }
 
-/* With a target, an eighth of its span. */
+/* How long a candidate waits before workers are reserved for it; with a latency target, an eighth of that. */
 static int64_t wait_ms(const Candidate *candidate)
 {
     const int64_t part = candidate->span_ms > 0 ? candidate->span_ms / 8 : KEEP_WAIT_MS;
@@ -139,8 +137,8 @@
             const PlanWorker *worker = &input->workers[i];
             if (used[i] || !plan_able(worker, &need) || !room_fits(need.room, worker->room))
                 continue;
-            /* soonest to have room; where nobody knows, the least in use, as parts of its
-             * room; ties by name */
+            /* soonest to have enough; where that is unknown, the least in use, as a share of its capacity; ties
+             * by name */
             const int64_t soon_ms = soonest_ms(pass, i, need.room);
             const Room busy = room_less(worker->room, worker->free);
             const bool less =
@@ -159,7 +157,7 @@
         kept->until_ms[kept->worker_count] = best_ms;
         kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
     }
-    if (left > 0) { /* all that it needs, or none */
+    if (left > 0) { /* it gets all that it needs, or none */
         talloc_free(kept);
         return;
     }
--- a/packages/scheduler/src/restart_elsewhere.c
+++ b/packages/scheduler/src/restart_elsewhere.c
@@ -1,5 +1,5 @@
-/* Attempts that are stopped so that they begin anew elsewhere: looked for now and then,
- * committed together, a few at a time. */
+/* Attempts that are stopped so that they start again elsewhere: looked for now and then, committed together, a
+ * few at a time. */
 #include "restart_elsewhere.h"
 
 #include <talloc.h>
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -1,6 +1,6 @@
-/* Attempts that stand still, or come along so slowly on their worker that another would
- * be done with them sooner, are stopped there and begun anew elsewhere: where room is
- * there now, a few at a time, and never what meets its target as it is. */
+/* Attempts that make no progress, or so little on their worker that another would be done sooner, are stopped
+ * and started again elsewhere: where another worker has capacity now, a few at a time, and never one that meets
+ * its latency target as it is. */
 #include "slow_attempt.h"
 
 #include <string.h>
@@ -11,17 +11,17 @@
 #include "stop_list.h"
 #include "worker_choice.h"
 
-#define STANDS_MS 1e9 /* ms; what stands still is never done */
+#define STANDS_MS 1e9 /* ms; an attempt without progress never ends */
 
-/* A running attempt as this look sees it; times in ms from now. */
+/* A running attempt; times in ms from now. */
 typedef struct Going {
     const Job *job;
     size_t task;
     size_t worker;
     double whole_ms; /* what all of its work should take in such a place on a sound worker */
     bool still;
-    double left_ms;    /* until it is done, as it comes along */
-    double done_share; /* of its work that another round need not do again */
+    double left_ms;    /* until it is done, at its present pace */
+    double done_share; /* share of its work that another attempt need not do again */
 } Going;
 
 static bool stands_still(const Pass *pass, const Pace *pace, const Going *going, const StepSpec *step)
@@ -35,14 +35,14 @@
     return still_ms >= STILL_LEAST_MS && (double)still_ms * 100 >= going->whole_ms * STILL_PERCENT;
 }
 
-/* One member that goes elsewhere breaks its gang: all that the others have done is lost as
- * well, and they all come along as slowly as the slowest, wherever that is. */
+/* A member that is started elsewhere breaks its gang: the work of all the others is lost as well, and they all
+ * are as slow as the slowest, wherever that is. */
 static bool of_gang(const Going *going)
 {
     return going->job->spec.steps[going->job->tasks[going->task].step].gang;
 }
 
-/* How it comes along; false: nothing is wrong that can be seen. */
+/* Its progress; false: there is no sign of trouble. */
 static bool going_find(const Pass *pass, const TaskOn *on, size_t worker, Going *going)
 {
     const Scheduler *scheduler = pass->scheduler;
@@ -65,7 +65,7 @@
     if (going->still) {
         going->left_ms = STANDS_MS;
     } else if (pace->per_ms > 0) {
-        /* how long it takes here says how much work it is, estimates or not */
+        /* its pace says how much work it is, whatever was estimated */
         const double here_ms = 100 / pace->per_ms;
         going->whole_ms = here_ms * 1000 / (double)pass->speeds[worker];
         going->left_ms =
@@ -74,7 +74,7 @@
     return going->left_ms > going->whole_ms;
 }
 
-/* Whether the job's target is met though the attempt goes on as it does. */
+/* Whether the job meets its latency target though the attempt goes on as it does. */
 static bool meets_target(const Pass *pass, const Going *going)
 {
     const Job *job = going->job;
@@ -85,7 +85,7 @@
     return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= going->left_ms;
 }
 
-/* Another worker with room for it now; -1: none, or none that would be done sooner. */
+/* Another worker with capacity for it now; -1: none, or none that would be done sooner. */
 static int elsewhere(Pass *pass, const Going *going)
 {
     const JobTask *task = &going->job->tasks[going->task];
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -1,8 +1,8 @@
-/* Which worker suits a task: what must hold, and what is better.
+/* Which worker suits a task: the constraints, and the preferences among those that meet them.
  *
- * What must hold: room, kind, labels, apart. What is better: room left over, near
- * the data, all of a step on one rack, a fast worker, one that does not fail its
- * work, and, with all else equal, away from others of its job. */
+ * Constraints: capacity, kind, labels, spread (apart). Preferences: capacity left over, near the data, all of a
+ * step on one rack, a fast worker, one that does not fail its work, and, with all else equal, away from others
+ * of its job. */
 #include "worker_choice.h"
 
 #include <string.h>
@@ -26,8 +26,8 @@
     }
 }
 
-/* Where the others of the step are, and of the job: kept for one step at a time,
- * since tasks of a step come one after another. What is being stopped counts. */
+/* Where the other tasks of the step are: kept for one step at a time, since tasks of a step come one after
+ * another. What is being stopped counts. */
 static void sight_find(Pass *pass, const Job *job, size_t task)
 {
     StepSight *sight = &pass->step;
@@ -51,7 +51,7 @@
         if (at != SIZE_MAX)
             sight_add(pass, at, 1);
     }
-    /* and what this pass has decided: most of a step is placed in one */
+    /* and what this pass has decided: most of a step is placed in one pass */
     for (size_t i = 0; i < pass->placed_count; i++)
         if (pass->placed[i].job == job && pass->placed[i].task >= first && pass->placed[i].task < end)
             sight_add(pass, pass->placed[i].worker, 1);
@@ -63,7 +63,7 @@
            plan_fits(&pass->input.workers[at], need);
 }
 
-/* Whether the step has others at work, none of them on the worker's rack. */
+/* Whether other tasks of the step run, none of them on the worker's rack. */
 static bool leaves_rack(const Pass *pass, const StepSpec *step, size_t at)
 {
     if (!step->same_rack || pass->step.on_rack[at] > 0)
@@ -85,7 +85,7 @@
     return percent;
 }
 
-/* In thousandths of a worker's room: more is better. */
+/* The preference for the worker, in thousandths of a worker's capacity: more is better. */
 static int64_t value_of(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
 {
     const PlanWorker *worker = &pass->input.workers[at];
@@ -133,7 +133,7 @@
 {
     if (percent <= 100 || candidate->restart)
         return false;
-    /* half of what the way would cost, never more than a part of what time there is */
+    /* half of what the distance would cost, never more than a part of the time left */
     int64_t wait_ms = candidate->estimate_ms * (int64_t)(percent - 100) / 200;
     if (candidate->slack_ms < INT64_MAX && candidate->slack_ms / 2 < wait_ms)
         wait_ms = candidate->slack_ms / 2;
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -1,5 +1,5 @@
-/* Workers that fail or slow their work while they claim health: fewer starts, then none
- * for a growing span, never for too many of them at once. */
+/* Outlier ejection of workers: those that fail or slow their attempts while they claim health get fewer starts,
+ * then none for a growing rest; never too many of them at once. */
 #include "scheduler/worker_score.h"
 
 #include <inttypes.h>
@@ -16,7 +16,7 @@
     return map_get(scheduler->scores, worker);
 }
 
-/* A rate that nothing renews fades. */
+/* The rate now: one that no bad attempt renews halves again and again. */
 static uint64_t tally_rate(const Scheduler *scheduler, const Score *score, const Tally *tally)
 {
     const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
@@ -32,7 +32,7 @@
     if (score == NULL)
         return 0;
     const uint64_t failed = tally_rate(scheduler, score, &score->failed);
-    /* one sign alone may have been one pause */
+    /* one slow attempt alone may have met one pause */
     const uint64_t slow = score->slow.jobs >= SLOW_SIGNS ? tally_rate(scheduler, score, &score->slow) : 0;
     return failed > slow ? failed : slow;
 }
@@ -64,12 +64,12 @@
     const size_t rest = resting(scheduler, mem);
     talloc_free(mem);
     if ((rest + 1) * SCORE_SHARE > fleet)
-        return; /* so many at once: the work is bad, or the fleet is; resting helps neither */
+        return; /* so many at once: the work is bad, or the whole fleet is; a rest helps neither */
     score->rest_ms = score->rest_ms == 0                      ? SCORE_REST_MS
                      : score->rest_ms * 2 < SCORE_REST_MAX_MS ? score->rest_ms * 2
                                                               : SCORE_REST_MAX_MS;
     score->rest_until_ms = now_ms + score->rest_ms;
-    /* after the rest it is tried again: a single bad round sends it back */
+    /* after the rest it is tried again: one more bad attempt sends it back */
     tally->rate_percent = SCORE_REST;
     tally->jobs = SCORE_JOBS - 1;
     if (scheduler_leads(scheduler))
@@ -86,7 +86,7 @@
     if (!bad) {
         tally->jobs = 0;
         if (score->failed.rate_percent < SCORE_WEIGHT && score->slow.rate_percent < SCORE_WEIGHT)
-            score->rest_ms = 0; /* it does well again: forgiven */
+            score->rest_ms = 0; /* it does well again: the next rest begins short */
     } else if (job != NULL && job->number != tally->last_job) {
         tally->jobs++;
         tally->last_job = job->number;
@@ -94,7 +94,7 @@
     rest_maybe(scheduler, worker, score, tally, how);
 }
 
-/* A first round's time on its worker, by the log; -1: not to be compared. */
+/* A first attempt's time on its worker, by the log; -1: not to be compared. */
 static int64_t took_ms(const JobTask *task)
 {
     return task->phase == TASK_DONE && task->attempt == 1 && task->started_ms != 0 ? task->changed_ms - task->started_ms
@@ -107,8 +107,8 @@
     return x < y ? -1 : x > y;
 }
 
-/* Compares the task's time with the median of the others of its own step, never
- * with an absolute span: what a step's tasks do is alike. False: too few others. */
+/* Compares the task's time with the median of the other tasks of its own step, never with an absolute time:
+ * tasks of a step do alike work. False: too few others. */
 static bool compared(const Job *job, size_t at, bool *slow)
 {
     const JobTask *mine = &job->tasks[at];
@@ -142,7 +142,7 @@
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->attempt == 1 || !step->saves;
     const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
-    /* a gang, and what is spread over racks, waits for others as well */
+    /* a gang, and a step that is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
         estimates_end(scheduler->estimates, job, task->step, news->worker, ran_ms,
                       score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
@@ -182,8 +182,7 @@
         }
         tally_take(scheduler, news->worker, score, &score->failed, job, news->word == ATTEMPT_FAILED, SCORE_WEIGHT,
                    "fails its work");
-        /* attempts that ran beside one already counted may all have met the same
-         * pause: one pause is one sign */
+        /* attempts that ran beside one already counted may all have met the same pause, which counts once */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
             tally_take(scheduler, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -15,7 +15,7 @@
     return false;
 }
 
-/* Whether the plan would hold with the task on the worker at that place. */
+/* Whether the r-loss plan would hold with the task on the worker at that place. */
 static bool holds_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
 {
     if (job->spec.protection != PROTECTION_PROTECTED || !pass->asks)
@@ -30,7 +30,7 @@
     return holds;
 }
 
-/* What of the worker may go now; false: nothing. */
+/* An attempt of the worker that may be moved now; false: none. */
 static bool move_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
     const TaskOn *on;
@@ -60,10 +60,9 @@
     return false;
 }
 
-/* Work in a zone that is being emptied with a move: one task at a time is stopped
- * where another worker has room for it now and the plan would hold with it there.
- * Its stop is confirmed before it starts again; gangs and what nobody else can
- * run stay until they end. */
+/* Drains a zone that is emptied with a move: one task at a time is stopped where another worker has capacity for
+ * it now and the plan would hold with it there. Its stop is confirmed before it starts again; gangs, and what no
+ * other worker can run, stay until they end. */
 bool move_one(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -74,7 +73,7 @@
     for (size_t i = 0; i < pass->input.worker_count; i++)
         if (table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
             any_stops(pass, pass->input.workers[i].name))
-            return false; /* the last one is on its way */
+            return false; /* the last move is not over yet */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
         found = table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
                 move_find(pass, pass->input.workers[i].name, &attempt);
