--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -1,48 +1,52 @@
 #ifndef AGENT_REPORT_H
 #define AGENT_REPORT_H
 
+/* A worker's report to its agent and the orders that answer it, independent of the protocol that the worker
+ * speaks. Protocol adapters (reportjson.c here, and those of other platforms) translate to and from these
+ * types. An attempt is named by job, task number (TASK_NUMBER) and attempt number (round). */
+
 #include "agent/agent.h"
 #include "heartbeat/messages.h"
 
-/* What a worker says of itself, whatever it speaks. Attempts are named by job, task
- * number (TASK_NUMBER) and round. */
+/* What a worker says of itself. All texts belong to the caller and must last until agent_report returns. */
 typedef struct WorkerReport {
-    const char *boot; /* the worker's present life: nothing of one outlives it */
-    Worker worker;    /* its name is not looked at: the agent stands beside one worker */
-    bool boot_ends;   /* a new boot means for certain that the old one is over */
-    uint64_t seq;     /* grows with each report of one boot, so that a late one is known; 0: not told */
-    bool leaving;
-    int64_t leave_ms; /* leaving: it stays at least so long; 0: not told */
-    bool left;        /* it has left in order: nothing runs there any more */
-    bool free_told;
-    Room free;
-    int64_t wait_ms; /* the answer may be held back for so long */
-    bool ends_wait;  /* it says nothing more before it is answered, not even that something has ended */
-    const AttemptNews *running, *ended;
+    const char *boot; /* identifies the worker's process; attempts and leases never outlive it */
+    Worker worker;    /* its name is ignored: an agent serves one worker */
+    bool boot_ends;   /* a report of a new boot proves that the previous process has ended */
+    uint64_t seq;     /* grows with each report of a boot, so that a late one is recognised; 0: not given */
+    bool leaving;     /* draining: it takes no new attempts */
+    int64_t leave_ms; /* leaving: it stays for at least this long; 0: not given */
+    bool left;        /* it has shut down in order: no attempt runs there any more */
+    bool free_told;   /* free is given */
+    Room free;        /* capacity that nothing uses, by the worker's own count */
+    int64_t wait_ms;  /* the answer may be delayed for this long */
+    bool ends_wait;   /* it sends no other report before it is answered, not even when an attempt ends */
+    const AttemptNews *running, *ended; /* attempts that run; attempts whose end is not known as committed */
     size_t running_count, ended_count;
 } WorkerReport;
 
-/* What it is told. A lease counts from when the worker sent its question; 0: none,
- * and no start. Invariants: fence never falls within one boot; a lease that is
- * passed on ends, on a clock CLOCK_SLOW_PERCENT slow, before the agent's own. */
+/* The answer. The lease counts from when the worker sent its report.
+ * Invariants: fence never falls within one boot; a lease that is passed on ends before the agent's own, also
+ * on a clock that is CLOCK_SLOW_PERCENT slow. */
 typedef struct WorkerOrders {
-    uint64_t term;  /* the newest that the agent knows */
-    uint64_t fence; /* its counter */
-    int64_t lease_ms;
+    uint64_t term;    /* the newest term that the agent knows */
+    uint64_t fence;   /* fencing token: the term's counter */
+    int64_t lease_ms; /* the worker's lease; 0: none, and then nothing is started */
     const Order *starts;
     size_t starts_count;
-    int64_t start_ms; /* none of the starts stands longer than this from now */
-    const AttemptId *stops;
+    int64_t start_ms;       /* none of the starts may begin later than this from now */
+    const AttemptId *stops; /* attempts to stop */
     size_t stops_count;
-    const AttemptId *known; /* of the attempts that it has told as ended: those whose end is committed */
+    const AttemptId *known; /* reported ends that are committed: the worker may forget them */
     size_t known_count;
-    int64_t again_ms; /* unless something ends there, it need not ask again before */
+    int64_t again_ms; /* unless an attempt ends, the next report need not come before this */
 } WorkerOrders;
 
-/* Waits, at most report->wait_ms, for something to answer with. gone is looked at
- * while it waits. orders hang on mem, and are over once they have been taken: what
- * they start counts as given. CLOSED: another question has come since, or the asker
- * has gone; DUPLICATE_WORKER: another boot may still be running, or this one is over. */
+/* Takes a report and answers it. Waits, at most report->wait_ms, until there is something to answer with.
+ * in: *gone is read again after each wait; true: the asker has disconnected. mem is the talloc parent of the orders.
+ * out: *orders; attempts in starts count as given to the worker from now on.
+ * return: OK; CLOSED: a newer report has come, the report is a late one, or the asker is gone; DUPLICATE_WORKER: the
+ * process of another boot may still run, or this boot is over. */
 Status agent_report(Agent *agent, void *mem, const bool *gone, const WorkerReport *report, WorkerOrders *orders);
 
 #endif
--- /dev/null
+++ b/packages/agent/src/answer.c
@@ -0,0 +1,106 @@
+/* Answers to the worker: its lease, the attempts to start and to stop, and the ends that are committed. */
+#include "answer.h"
+
+#include <talloc.h>
+
+#include "base/term.h"
+#include "attempts.h"
+
+/* The worker reports an attempt as running that is over for the leader: it must stop it. */
+static bool lingers(Agent *agent, const AttemptNews *news)
+{
+    const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+    return attempt != NULL && attempt->phase >= PHASE_ENDED;
+}
+
+static bool known_any(Agent *agent, const WorkerReport *report)
+{
+    for (size_t i = 0; i < report->ended_count; i++) {
+        const AttemptNews *news = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
+            return true;
+    }
+    return false;
+}
+
+bool answer_ready(Agent *agent, const WorkerReport *report)
+{
+    const int64_t now_ms = loop_now_ms(agent->loop);
+    const bool runs = lease_runs(&agent->lease, now_ms);
+    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        if ((attempt->phase == PHASE_OFFERED && runs) || attempt->phase == PHASE_STOPPING)
+            return true;
+    for (size_t i = 0; i < report->running_count; i++)
+        if (lingers(agent, &report->running[i]))
+            return true;
+    /* an order for the capacity that has become free goes in the same answer */
+    return !report->ends_wait && known_any(agent, report);
+}
+
+/* While attempts run, a delayed answer delays the report of an end, and an early one delays an order until the
+ * next report: half of each costs least. While none runs, only an order can come. */
+int64_t answer_until_ms(const Agent *agent, const WorkerReport *report)
+{
+    int64_t wait_ms = agent->settings->bounds.worker_poll_ms;
+    if (report->wait_ms < wait_ms)
+        wait_ms = report->wait_ms;
+    if (report->ends_wait && report->running_count + report->ended_count > 0 && wait_ms > WORKER_BUSY_MS)
+        wait_ms = WORKER_BUSY_MS;
+    return loop_now_ms(agent->loop) + wait_ms;
+}
+
+/* The part of what is left of the agent's own lease that is passed on. */
+static int64_t lease_pass(Agent *agent, int64_t now_ms)
+{
+    int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
+    if (left_ms > agent->settings->bounds.worker_lease_ms)
+        left_ms = agent->settings->bounds.worker_lease_ms;
+    const int64_t passed_ms = lease_passed_ms(left_ms);
+    if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_until_ms)
+        agent->worker_until_ms = now_ms + lease_claim_ms(passed_ms);
+    return passed_ms;
+}
+
+void orders_fill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
+{
+    const int64_t now_ms = loop_now_ms(agent->loop);
+    const unsigned lives = (unsigned)agent->attempts.lives.count;
+    Order *starts = talloc_zero_array(mem, Order, lives);
+    AttemptId *stops = talloc_zero_array(mem, AttemptId, lives + (unsigned)report->running_count);
+    AttemptId *known = talloc_zero_array(mem, AttemptId, (unsigned)report->ended_count);
+    *orders = (WorkerOrders){.term = agent->lease.term,
+                             .fence = term_counter(agent->lease.term),
+                             .lease_ms = lease_pass(agent, now_ms),
+                             .starts = starts,
+                             .start_ms = INT64_MAX,
+                             .stops = stops,
+                             .known = known,
+                             .again_ms = WORKER_AGAIN_MS};
+    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+        next = attempt->next;
+        if (attempt->phase == PHASE_OFFERED && now_ms >= attempt->timeout_ms) {
+            attempt_expire(agent, attempt);
+        } else if (attempt->phase == PHASE_OFFERED && orders->lease_ms > 0) {
+            shape_copy(&Order_shape, &attempt->order, mem, &starts[orders->starts_count++]);
+            if (attempt->timeout_ms - now_ms < orders->start_ms)
+                orders->start_ms = attempt->timeout_ms - now_ms;
+            attempt->phase = PHASE_SENT;
+            attempt->given_ms = now_ms;
+            attempt_trace(agent, attempt, TRACE_GIVEN);
+        } else if (attempt->phase == PHASE_STOPPING) {
+            stops[orders->stops_count++] = attempt_id(mem, attempt);
+        }
+    }
+    for (size_t i = 0; i < report->running_count; i++) {
+        const AttemptNews *news = &report->running[i];
+        if (lingers(agent, news))
+            stops[orders->stops_count++] = (AttemptId){talloc_strdup(mem, news->job), news->task, news->attempt};
+    }
+    for (size_t i = 0; i < report->ended_count; i++) {
+        const AttemptNews *news = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
+            known[orders->known_count++] = attempt_id(mem, attempt);
+    }
+}
--- a/packages/agent/src/attempt.h
+++ b/packages/agent/src/attempt.h
@@ -1,17 +1,21 @@
 #ifndef AGENT_SRC_ATTEMPT_H
 #define AGENT_SRC_ATTEMPT_H
 
+/* One attempt as the agent knows it, and the table of all of them. */
+
+#include "base/map.h"
 #include "heartbeat/messages.h"
 #include "loop/loop.h"
 
-/* The way of one attempt on this worker. */
-#define ATTEMPT_PHASE_LIST(X)                                             \
-    X(OFFERED)  /* ordered by the leader, not given to the worker yet */  \
-    X(SENT)     /* given in an answer; the worker has not spoken of it */ \
-    X(RUNNING)  /* the worker runs it */                                  \
-    X(STOPPING) /* the worker is told to stop it with each answer */      \
-    X(ENDED)    /* over; the leader does not know it yet */               \
-    X(KNOWN)    /* over, and committed: kept for repair and against old orders */
+/* The phases of an attempt on this worker, in order. */
+#define ATTEMPT_PHASE_LIST(X)                                            \
+    X(OFFERED)  /* ordered by the leader, not given to the worker yet */ \
+    X(SENT)     /* given in an answer; the worker has not reported it */ \
+    X(RUNNING)  /* the worker runs it */                                 \
+    X(STOPPING) /* each answer tells the worker to stop it */            \
+    X(ENDED)    /* over; the leader has not committed that yet */        \
+    X(KNOWN)    /* over, and committed: kept for repair and to recognise \
+                   old orders */
 typedef enum AttemptPhase {
 #define X(name) PHASE_##name,
     ATTEMPT_PHASE_LIST(X)
@@ -20,28 +24,27 @@
 
 struct AttemptChain;
 
-/* Invariants: of one (job, task) at most one attempt is in a phase before ENDED;
- * phases only go forward, but for SENT back to OFFERED when the worker has
- * asked again without speaking of it, and KNOWN back to ENDED when the leader has
- * forgotten the end or the worker has a weightier word on it. */
+/* Invariants: at most one attempt of a task is in a phase before ENDED; phases only advance, except from SENT
+ * back to OFFERED when the worker reports again without naming it, and from KNOWN back to ENDED when the leader
+ * has forgotten the end or the worker reports one that takes precedence. */
 typedef struct Attempt {
     struct Attempt *prev, *next;
     struct AttemptChain *chain; /* of its phase: lives, ended or known */
-    Order order;                /* payload is empty for an adopted round, and once it is over */
-    uint64_t term;
+    Order order;                /* payload is empty for an adopted attempt, and once it is over */
+    uint64_t term;              /* the term it was ordered under */
     AttemptPhase phase;
-    int64_t timeout_ms; /* not started after this */
+    int64_t timeout_ms; /* it must not be started after this */
     int64_t changed_ms;
-    int64_t given_ms;    /* given to the worker then; 0: not by this agent */
-    int64_t runs_ms;     /* it runs, since then; 0: that is not known */
-    const char *saved;   /* how far it has come, by the worker's last word */
-    uint64_t saved_turn; /* grows with each such word */
-    uint64_t percent;    /* of its work, as the worker last reported it ... */
-    int64_t percent_ms;  /* ... when it had run so long */
-    int64_t pace_ms;     /* that is told anew once it has run so long */
-    uint64_t told_turn;  /* the last one that the leader of the present term has */
-    uint64_t word;       /* ENDED, KNOWN: what it came to */
-    bool guessed;        /* ... by the agent's own judgement, not by the worker's word */
+    int64_t given_ms;    /* when it was given to the worker; 0: not by this agent process */
+    int64_t runs_ms;     /* since when it runs; 0: not known */
+    const char *saved;   /* its checkpoint, as last reported */
+    uint64_t saved_turn; /* grows with each change that the leader is to hear of */
+    uint64_t percent;    /* of its work done, as last reported ... */
+    int64_t percent_ms;  /* ... after it had run for this long */
+    int64_t pace_ms;     /* progress is reported again once it has run for this long */
+    uint64_t told_turn;  /* the saved_turn that the leader of the present term has */
+    uint64_t word;       /* ENDED, KNOWN: its result (AttemptWord) ... */
+    bool guessed;        /* ... inferred by the agent, not reported by the worker ... */
     int64_t ran_ms;      /* ... and how long it ran */
     const char *text;
 } Attempt;
@@ -51,8 +54,8 @@
     size_t count;
 } AttemptChain;
 
-/* All attempts of an agent. Invariants: by_id holds every one; newest, by job and task,
- * the highest of each; known is in the order in which they became so. */
+/* All attempts of an agent. Invariants: by_id holds every one; newest holds, for each task, the attempt with the
+ * highest number; known is in the order in which the ends became known. */
 typedef struct Attempts {
     AttemptChain lives, ended, known;
     Map *by_id, *newest;
--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -1,11 +1,12 @@
+/* The attempt table: finds attempts by name, moves them through their phases, and forgets old ones. */
+#include "attempts.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
-
-#define KEY_MAX (ID_MAX + 48) /* bytes; a name and two numbers */
+#define KEY_MAX (ID_MAX + 48) /* bytes; a job's name and two numbers */
 
 static const char *task_key(char key[KEY_MAX], const char *job, uint64_t task)
 {
@@ -37,6 +38,16 @@
     return map_get(agent->attempts.newest, task_key(key, job, task));
 }
 
+bool attempt_is(const Order *order, const char *job, uint64_t task, uint64_t number)
+{
+    return order->attempt == number && order->task == task && strcmp(order->job, job) == 0;
+}
+
+AttemptId attempt_id(void *mem, const Attempt *attempt)
+{
+    return (AttemptId){talloc_strdup(mem, attempt->order.job), attempt->order.task, attempt->order.attempt};
+}
+
 static void chain_leave(Attempt *attempt)
 {
     AttemptChain *chain = attempt->chain;
@@ -64,6 +75,7 @@
     chain->count++;
 }
 
+/* Replaces a text of the attempt; "" is never allocated. */
 static void text_set(Attempt *attempt, const char **at, const char *text)
 {
     if (*at == text)
@@ -98,9 +110,8 @@
     trace_say(agent->trace, step, detail, "job:%s", attempt->order.job);
 }
 
-/* How far an attempt has come is told when it has run for PACE_FIRST_MS, and then each
- * time that it has run half as long again: often enough to see one that stands still,
- * seldom enough to cost nothing. */
+/* Progress is reported once the attempt has run for PACE_FIRST_MS, and then each time that it has run half as long
+ * again: often enough to notice an attempt that makes no progress, seldom enough to cost nothing. */
 static void pace_take(Agent *agent, Attempt *attempt, uint64_t percent)
 {
     attempt->percent = percent;
@@ -123,7 +134,7 @@
         attempt->runs_ms = attempt->given_ms != 0 ? attempt->given_ms : loop_now_ms(agent->loop);
     if (attempt->saved_turn == 0 || strcmp(attempt->saved, news->saved) != 0) {
         text_set(attempt, &attempt->saved, news->saved);
-        attempt->saved_turn++; /* the next heartbeat tells it */
+        attempt->saved_turn++; /* the next heartbeat carries it */
     }
     pace_take(agent, attempt, news->percent);
 }
@@ -147,7 +158,7 @@
     const int64_t since_ms = attempt->runs_ms != 0 || guessed ? attempt->runs_ms : attempt->given_ms;
     attempt->ran_ms = since_ms != 0 ? now_ms - since_ms : 0;
     attempt->changed_ms = now_ms;
-    /* thousands of ended ones are kept */
+    /* thousands of ended attempts are kept: without their payload */
     talloc_free((void *)(uintptr_t)attempt->order.payload);
     talloc_free((void *)(uintptr_t)attempt->order.saved);
     attempt->order.payload = attempt->order.saved = "";
@@ -155,6 +166,11 @@
     attempt_trace(agent, attempt, TRACE_OVER);
 }
 
+void attempt_expire(Agent *agent, Attempt *attempt)
+{
+    attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
+}
+
 void attempt_known(Agent *agent, Attempt *attempt)
 {
     attempt->phase = PHASE_KNOWN;
@@ -170,7 +186,7 @@
     if (agent->settled)
         attempt_end(agent, attempt, ATTEMPT_STOPPED, why, true);
     else
-        attempt->phase = PHASE_STOPPING; /* an earlier agent may have given it */
+        attempt->phase = PHASE_STOPPING; /* an earlier agent process may have given it */
 }
 
 void attempts_withdraw(Agent *agent, const char *why)
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -1,22 +1,26 @@
-/* The agent's heartbeats: what the leader knows of it, how long its lease runs, and the
- * question for orders, in one. The leader holds a heartbeat back until there are newer
- * orders; what does not wait goes in another meanwhile. */
+/* Heartbeats: each tells the leader the agent's state, renews the agent's lease, and asks for orders. The leader
+ * delays its answer until there are newer orders; what must be known at once goes in another heartbeat meanwhile.
+ * The lease counts from when the heartbeat was sent, so that it lapses here before it does by the leader's count
+ * (XenServer HA design: a holder counts from sending, a granter from answering). */
+#include "heartbeat.h"
+
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "base/term.h"
-#include "inside.h"
+#include "attempts.h"
+#include "orders.h"
 
-/* One on its way; freed when it has come to its end. */
+/* A heartbeat in flight; its task frees it when it has been answered or given up. */
 typedef struct Heartbeat {
     Agent *agent;
     uint64_t number;
     int64_t sent_ms;
     char address[ADDRESS_MAX];
     PeerLife peer;
-    uint64_t *turns; /* of each of the told attempts' saved */
+    uint64_t *turns; /* the saved_turn of each attempt whose checkpoint it carries */
 } Heartbeat;
 
 bool leader_address(Agent *agent, char address[ADDRESS_MAX])
@@ -34,11 +38,7 @@
     signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
-static AttemptId id_of(void *mem, const Attempt *attempt)
-{
-    return (AttemptId){talloc_strdup(mem, attempt->order.job), attempt->order.task, attempt->order.attempt};
-}
-
+/* Names all attempts that are not known as over, and the checkpoints that the leader has not heard of. */
 static void attempts_tell(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
     const Attempts *attempts = &agent->attempts;
@@ -47,7 +47,7 @@
     ask->saved = talloc_array(heartbeat, AttemptSaved, (unsigned)attempts->lives.count);
     heartbeat->turns = talloc_array(heartbeat, uint64_t, (unsigned)attempts->lives.count);
     for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next) {
-        ask->attempts[ask->attempts_count++] = id_of(heartbeat, attempt);
+        ask->attempts[ask->attempts_count++] = attempt_id(heartbeat, attempt);
         if (attempt->saved_turn == attempt->told_turn)
             continue;
         heartbeat->turns[ask->saved_count] = attempt->saved_turn;
@@ -60,7 +60,7 @@
                                                         attempt->percent_ms};
     }
     for (const Attempt *attempt = attempts->ended.first; attempt != NULL; attempt = attempt->next)
-        ask->attempts[ask->attempts_count++] = id_of(heartbeat, attempt);
+        ask->attempts[ask->attempts_count++] = attempt_id(heartbeat, attempt);
 }
 
 static void ask_fill(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
@@ -81,7 +81,7 @@
     attempts_tell(agent, heartbeat, ask);
 }
 
-/* The leader of this term has what the heartbeat told. */
+/* The leader of this term has the checkpoints that the heartbeat carried. */
 static void saved_known(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t term)
 {
     if (term != agent->saved_term) {
@@ -112,7 +112,7 @@
         agent->term_told = answer->term;
         trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
-    /* of two answers the later sent may come first */
+    /* answers may arrive in another order than they were sent */
     if (answer->orders &&
         (answer->term > agent->have_term || (answer->term == agent->have_term && answer->version > agent->have))) {
         agent->have = answer->version;
@@ -147,7 +147,7 @@
         else if (answer.orders || now_ms - heartbeat->sent_ms >= HEARTBEAT_WAIT_MS)
             agent->heartbeat_due_ms = now_ms;
         else
-            agent->heartbeat_due_ms = heartbeat->sent_ms + HEARTBEAT_MS; /* it was not held back */
+            agent->heartbeat_due_ms = heartbeat->sent_ms + HEARTBEAT_MS; /* the answer was not delayed */
         signal_raise(agent->loop, members_leader_signal(agent->members));
     }
     talloc_free(heartbeat);
@@ -167,7 +167,7 @@
     loop_spawn(agent->loop, "beat", ask_main, heartbeat);
 }
 
-/* Whether one is to be sent now; else when. */
+/* Whether a heartbeat is to be sent now; otherwise *due_ms is when to look again. */
 static bool heartbeat_due(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
 {
     *due_ms = now_ms + HEARTBEAT_MS;
@@ -175,7 +175,7 @@
         return false;
     if (agent->heartbeat_now || (agent->heartbeat != NULL && strcmp(agent->heartbeat->address, address) != 0))
         return true;
-    /* one that goes unanswered is not waited for to its end */
+    /* one that goes unanswered is not waited for until its time-out */
     *due_ms = agent->heartbeat == NULL ? agent->heartbeat_due_ms
                                        : agent->heartbeat->sent_ms + HEARTBEAT_WAIT_MS + ASK_TIMEOUT_MS / 2;
     return now_ms >= *due_ms;
@@ -192,7 +192,8 @@
         const bool known = leader_address(agent, address);
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
-            signal_raise(agent->loop, &agent->to_tell); /* what the last one has not answered is told to this one */
+            signal_raise(agent->loop,
+                         &agent->to_tell); /* ends that the last leader has not answered are reported to this one */
         }
         if (known && heartbeat_due(agent, address, now_ms, &due_ms))
             heartbeat_send(agent, address);
--- /dev/null
+++ b/packages/agent/src/heartbeat.h
@@ -0,0 +1,14 @@
+#ifndef AGENT_SRC_HEARTBEAT_H
+#define AGENT_SRC_HEARTBEAT_H
+
+/* Heartbeats to the leader (heartbeat.c). */
+
+#include "state.h"
+
+void heartbeat_start(Agent *agent);
+/* Has a heartbeat sent in this turn of the loop, as far as HEARTBEATS_MOST allows. */
+void heartbeat_now(Agent *agent);
+/* Copies the leader's address, null-terminated; false: no leader is known. */
+bool leader_address(Agent *agent, char address[ADDRESS_MAX]);
+
+#endif
--- /dev/null
+++ b/packages/agent/src/http.c
@@ -0,0 +1,73 @@
+/* The agent's HTTP entry points: health checks, metrics, the flight recorder, and the worker's report. */
+#include <string.h>
+#include <talloc.h>
+
+#include "api/show.h"
+#include "report_json.h"
+#include "tasks.h"
+
+static void metrics(Agent *agent, HttpTask *task)
+{
+    const RpcCounts *counts = rpc_counts(agent->rpc);
+    int64_t attempts[PHASE_KNOWN + 1] = {0};
+    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        attempts[attempt->phase]++;
+    show_metrics_begin(task);
+    show_metric(task, "holdLeftMs", lease_left_ms(&agent->lease, loop_now_ms(agent->loop)));
+    show_metric(task, "workerLive", agent->worker_live);
+    show_metric(task, "roundsRunning", attempts[PHASE_RUNNING]);
+    show_metric(task, "roundsStopping", attempts[PHASE_STOPPING]);
+    show_metric(task, "roundsUntold", (int64_t)agent->attempts.ended.count);
+    show_metric(task, "roundsKept", (int64_t)agent->attempts.known.count);
+#define X(name, outside) show_metric(task, outside, (int64_t)counts->name);
+    RPC_COUNT_LIST(X)
+#undef X
+}
+
+/* /livez: the process answers. /readyz: its lease runs and it is not shutting down. */
+static void health(Agent *agent, HttpTask *task)
+{
+    const bool live = task->path[1] == 'l';
+    if (!live && (agent->leaving || !lease_runs(&agent->lease, loop_now_ms(agent->loop)))) {
+        show_refusal(task, agent->leaving ? STATUS_LEAVING : STATUS_NO_LEADER, "not ready", NULL);
+        return;
+    }
+    json_object *body = json_object_new_object();
+    json_object_object_add(body, live ? "live" : "ready", json_object_new_boolean(true));
+    show_result(task, 200, body);
+}
+
+/* The NAME of /v1/workers/NAME/report, on task; null: the path is another. */
+static const char *report_name(const HttpTask *task)
+{
+    static const char BEFORE[] = "/v1/workers/", AFTER[] = "/report";
+    const size_t before = sizeof(BEFORE) - 1, after = sizeof(AFTER) - 1, length = strlen(task->path);
+    if (strncmp(task->path, BEFORE, before) != 0 || length <= before + after ||
+        strcmp(task->path + length - after, AFTER) != 0)
+        return NULL;
+    return talloc_strndup(task, task->path + before, length - before - after);
+}
+
+void agent_http(void *arg, HttpTask *task)
+{
+    Agent *agent = arg;
+    if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
+        health(agent, task);
+        return;
+    }
+    if (strcmp(task->path, "/metrics") == 0) {
+        metrics(agent, task);
+        return;
+    }
+    if (strcmp(task->path, "/v1/ring") == 0) {
+        show_recorder(task, agent->recorder);
+        return;
+    }
+    const char *name = report_name(task);
+    if (name == NULL)
+        show_refusal(task, STATUS_BAD_PATH, "there is no such path on an agent", NULL);
+    else if (strcmp(task->method, "POST") != 0)
+        show_refusal(task, STATUS_BAD_METHOD, "a report is posted", NULL);
+    else
+        worker_take(agent, task, name);
+}
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -1,25 +1,24 @@
-/* The paper's second survival rule: nobody holds the lock, and all members see
- * each other. The agent asks every member, all voters included, whether it
- * knows a holder. When all have said no, its lease runs on from the sending of the
- * oldest of those questions.
+/* The isolated agent: the second survival rule of the XenServer HA design. When no leader answers, nobody holds the
+ * lock and all members see each other, members may go on. The agent asks every member, all voters included, whether it
+ * knows a lock holder. When all have said no, its lease runs on from the sending of the oldest of those questions.
  *
- * Why that is safe: a lock is won with the grants of a majority of the voters. Each voter had granted
- * nothing when it answered, so any lock is won later than the oldest question,
- * and its winner treats nobody as lost for a whole lease after that. */
+ * Why that is safe: a lock is won with the votes of a majority of the voters. Each voter had granted nothing when it
+ * answered, so any lock is won later than the oldest question, and its winner treats no member as lost for a whole
+ * lease after that. */
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "tasks.h"
 
-/* Freed by whichever ends last. */
+/* One poll of all members. Freed by the last of its users: the poll itself and one task for each question. */
 typedef struct Asking {
     Agent *agent;
     size_t users, pending;
     Signal ended;
-    bool all;                          /* everyone asked so far has answered no */
-    uint64_t answered[VOTER_MOST * 4]; /* disks of controllers that did */
+    bool all;                          /* every member asked so far has answered no */
+    uint64_t answered[VOTER_MOST * 4]; /* the disks of the controllers that did */
     size_t answered_count;
-    uint64_t voters[VOTER_MOST]; /* as a controller told them */
+    uint64_t voters[VOTER_MOST]; /* the disks of the voters, as a controller told them */
     size_t voter_count;          /* 0: none has told them */
 } Asking;
 
@@ -36,6 +35,22 @@
         talloc_free(asking);
 }
 
+/* Controllers that know other voters than each other do not all see the same. */
+static void voters_note(Asking *asking, const KnowAnswer *answer)
+{
+    if (answer->voters_count == 0 || answer->voters_count > VOTER_MOST)
+        return;
+    const bool told = asking->voter_count > 0;
+    if (told && asking->voter_count != answer->voters_count)
+        asking->all = false;
+    asking->voter_count = answer->voters_count;
+    for (size_t i = 0; i < answer->voters_count; i++) {
+        if (told && asking->voters[i] != answer->voters[i].disk)
+            asking->all = false;
+        asking->voters[i] = answer->voters[i].disk;
+    }
+}
+
 static void part_main(void *arg)
 {
     AskPart *part = arg;
@@ -50,18 +65,7 @@
     } else if (part->disk != 0) {
         if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
             asking->answered[asking->answered_count++] = part->disk;
-        if (answer.voters_count > 0 && answer.voters_count <= VOTER_MOST) {
-            /* controllers that know other voters than each other do not all see the same */
-            const bool told = asking->voter_count > 0;
-            if (told && asking->voter_count != answer.voters_count)
-                asking->all = false;
-            asking->voter_count = answer.voters_count;
-            for (size_t i = 0; i < answer.voters_count; i++) {
-                if (told && asking->voters[i] != answer.voters[i].disk)
-                    asking->all = false;
-                asking->voters[i] = answer.voters[i].disk;
-            }
-        }
+        voters_note(asking, &answer);
     }
     asking->pending--;
     signal_raise(agent->loop, &asking->ended);
@@ -69,6 +73,7 @@
     talloc_free(part);
 }
 
+/* Whether every voter is among those that answered no. */
 static bool voters_answered(const Asking *asking)
 {
     for (size_t s = 0; s < asking->voter_count; s++) {
@@ -81,13 +86,14 @@
     return asking->voter_count > 0;
 }
 
+/* Asks all controllers, or all other members. Waits for every answer. */
 static void ask_those(Asking *asking, bool controllers)
 {
     Agent *agent = asking->agent;
     const MemberTable *table = members_table(agent->members);
     for (size_t i = 0; i < table->count; i++) {
         const MemberRecord *record = &table->rows[i].record;
-        /* one that left cleanly is excluded: it neither runs nor holds anything */
+        /* one that shut down cleanly is excluded: it runs nothing and has no lease */
         if (record->leaving || (record->role == ROLE_CONTROLLER) != controllers ||
             strcmp(record->id, members_self(agent->members)->id) == 0)
             continue;
@@ -111,13 +117,13 @@
     asking->users = 1;
     asking->all = true;
     const int64_t sent_ms = loop_now_ms(agent->loop);
-    /* the controllers first: a holder that is gone leaves one that does not answer, and
-     * then nobody else need be asked by every agent of the fleet */
+    /* the controllers first: where the holder is gone one of them does not answer, and then no agent of the cell need
+     * ask all others */
     ask_those(asking, true);
     if (asking->all && voters_answered(asking))
         ask_those(asking, false);
     const int64_t lease_ms = agent->settings->bounds.lease_ms;
-    /* a lease that has lapsed meanwhile is not brought back: its attempts are stopping */
+    /* a lease that has lapsed meanwhile is not revived: its attempts are stopping */
     if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->alone)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
@@ -148,7 +154,7 @@
     KnowAnswer *out = answer;
     (void)mem;
     (void)question;
-    /* its heartbeats are answered: a holder lives */
+    /* this agent's heartbeats are answered: a holder lives */
     out->knows = agent->heartbeat_ms != 0 && loop_now_ms(agent->loop) - agent->heartbeat_ms < 2 * HEARTBEAT_MS;
     out->term = agent->lease.term;
     return STATUS_OK;
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -1,14 +1,15 @@
-/* Orders of the leader: what is to start, and all that is to be there. */
+/* The leader's orders: the attempts to start, and all those that are wanted on the worker. They state what should be
+ * there rather than what has changed, so that a lost answer does no harm. */
+#include "orders.h"
+
 #include <string.h>
-#include <talloc.h>
 
-#include "inside.h"
+#include "attempts.h"
 
 static bool wanted(const HeartbeatAnswer *answer, const Order *order)
 {
     for (size_t i = 0; i < answer->wanted_count; i++)
-        if (answer->wanted[i].attempt == order->attempt && answer->wanted[i].task == order->task &&
-            strcmp(answer->wanted[i].job, order->job) == 0)
+        if (attempt_is(order, answer->wanted[i].job, answer->wanted[i].task, answer->wanted[i].attempt))
             return true;
     return false;
 }
@@ -28,12 +29,11 @@
     const int64_t now_ms = loop_now_ms(agent->loop);
     Attempt *attempt = attempt_find(agent, order->job, order->task, order->attempt);
     if (attempt != NULL) {
-        if (attempt->phase == PHASE_OFFERED) { /* offered again: it stands longer */
+        if (attempt->phase == PHASE_OFFERED) { /* ordered again: its deadline moves */
             attempt->timeout_ms = timeout_ms;
             attempt->term = term;
         } else if (attempt->phase == PHASE_KNOWN) {
-            attempt_retell(agent, attempt, (AttemptWord)attempt->word,
-                           attempt->text); /* the leader has forgotten its end */
+            attempt_retell(agent, attempt, (AttemptWord)attempt->word, attempt->text); /* the leader has lost its end */
         }
         return;
     }
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -1,10 +1,11 @@
-/* A worker's report and its orders as JSON over HTTP: the product's own adapter. */
+/* Protocol adapter: a worker's report and its orders as JSON over HTTP, the product's own protocol. */
+#include "report_json.h"
+
 #include <string.h>
 #include <talloc.h>
 
-#include "agent/report.h"
+#include "api/show.h"
 #include "config/check.h"
-#include "inside.h"
 
 static size_t read_attempts(Faults *faults, json_object *object, const char *key, bool with_word,
                             const AttemptNews **out)
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -1,9 +1,12 @@
-/* What attempts came to, told until it is committed; and told again in a repair. */
+/* Reports to the leader how attempts ended, again and again until it has committed that; and answers a leader that
+ * rebuilds its state table (repair) with all that the agent still knows. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "attempts.h"
+#include "heartbeat.h"
+#include "tasks.h"
 
 static AttemptNews news_of(const Agent *agent, void *mem, const Attempt *attempt)
 {
@@ -38,12 +41,12 @@
         if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == news->word)
             attempt_known(agent, attempt);
     }
-    /* a worker that has left is let go once nothing of it is open */
+    /* a worker that has shut down is released once none of its attempts is open: the leader must hear that at once */
     if (agent->worker_leaving && !agent->worker_live && agent->attempts.lives.count + agent->attempts.ended.count == 0)
         heartbeat_now(agent);
 }
 
-/* One on its way. Freed by whoever ends last. */
+/* A report in flight. Freed by the last of its users: the task that asks and the one that waits for it. */
 typedef struct Telling {
     Agent *agent;
     size_t users;
@@ -75,8 +78,8 @@
     telling_leave(telling);
 }
 
-/* Waits until it is answered, or somebody else leads: a leader that has gone dark is not
- * waited for to the end. */
+/* Waits until it is answered or another leader is known: one that has stopped answering is not waited for until the
+ * time-out. */
 static Status tell_once(Agent *agent, Telling *telling)
 {
     telling->ask.number = ++agent->number;
@@ -86,7 +89,7 @@
         char address[ADDRESS_MAX];
         if (leader_address(agent, address) && strcmp(address, telling->address) != 0)
             return STATUS_NOT_LEADER;
-        /* a heartbeat that finds another leader raises this too */
+        /* raised by heartbeat.c too, when it finds another leader */
         signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS);
     }
     return telling->status;
@@ -114,7 +117,7 @@
         telling_leave(telling);
         if (status == STATUS_OK)
             continue;
-        /* told again until it is committed; to another leader at once */
+        /* tried again until it is committed; with another leader at once */
         char address[ADDRESS_MAX];
         if (!leader_address(agent, address) || strcmp(address, old) == 0)
             loop_sleep(agent->loop, HEARTBEAT_MS / 5);
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -1,18 +1,20 @@
-/* What time alone brings about: holds that lapse, workers that fall silent, orders
- * that expire. */
-#include "inside.h"
+/* Deadlines: a lease that lapses, a worker that falls silent, an order that expires. */
+#include "attempts.h"
+#include "heartbeat.h"
+#include "tasks.h"
 
 static int64_t least(int64_t a, int64_t b)
 {
     return a < b ? a : b;
 }
 
-/* A worker asks again within its poll and the way there and back. */
+/* A live worker reports again within its poll interval and the time of transport. */
 static int64_t quiet_ms(const Agent *agent)
 {
     return agent->settings->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
 
+/* *ran: whether the lease ran when this was last called. */
 static void lapse_watch(Agent *agent, int64_t now_ms, bool *ran)
 {
     const bool runs = lease_runs(&agent->lease, now_ms);
@@ -30,13 +32,13 @@
         agent->worker_live = false;
         heartbeat_now(agent);
     }
-    /* silent, and whatever hold it was given has lapsed: nothing runs there */
+    /* silent, and the lease that it was given has lapsed: no attempt runs there */
     if (agent->settled && !agent->worker_live && silent_ms > least(WORKER_LOST_MS, quiet_ms(agent)) &&
         now_ms >= agent->worker_until_ms && agent->attempts.lives.count > 0) {
         attempts_withdraw(agent, "the worker fell silent");
         attempts_gone(agent, "the worker fell silent");
     }
-    /* nobody has asked since our start: what an earlier agent let run has lapsed */
+    /* no report since the agent's start: any lease that an earlier agent process passed on has lapsed */
     const int64_t earlier_ms =
         lease_claim_ms(least(agent->settings->bounds.lease_ms, agent->settings->bounds.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
@@ -48,15 +50,15 @@
 static void timeout_watch(Agent *agent, int64_t now_ms)
 {
     if (!agent->settled)
-        return; /* an earlier agent may have given them */
+        return; /* an earlier agent process may have given them */
     for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
         if (attempt->phase == PHASE_OFFERED && now_ms >= attempt->timeout_ms)
-            attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
+            attempt_expire(agent, attempt);
     }
 }
 
-/* When to look again: nothing that time brings about is earlier than this. */
+/* When to look again: no deadline comes earlier than this. */
 static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
     int64_t until_ms = now_ms + HEARTBEAT_MS / 2;
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -158,7 +158,7 @@
           "lease_answered(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)",
           "lease_answered(&agent->lease, answer->term, loop_now_ms(agent->loop), answer->lease_ms)",
           "running twice|" + CLAIM, "timeline", "trentvale", 16, AGENTS_FROZEN_THEN_CUT),
-    Guard("hold-handed-on", "the agent hands the worker no more than is left of its own hold", "packages/agent/src/worker.c",
+    Guard("hold-handed-on", "the agent hands the worker no more than is left of its own hold", "packages/agent/src/answer.c",
           "int64_t left_ms = lease_left_ms(&agent->lease, now_ms);",
           "int64_t left_ms = lease_runs(&agent->lease, now_ms) ? AGENT_LEASE_MS : 0;",
           "running twice|" + CLAIM, "timeline", "trentvale", 4, AGENT_CUT),
