--- a/packages/loop/include/loop/inside.h
+++ b/packages/loop/include/loop/inside.h
@@ -1,11 +1,13 @@
 #ifndef LOOP_INSIDE_H
 #define LOOP_INSIDE_H
 
-/* For the two forms of the loop only; node code does not include this. */
+/* What the two implementations of the loop share: the scheduler of coroutines and timers (task.c, timers.c), the
+ * queue of received frames (channel.c). Only they include this; node code uses loop/loop.h. */
 
 #include "loop/loop.h"
 
-/* One sleeping task. A timer whose turn is not its task's turn is stale. */
+/* A task that is to be woken at a time. A timer whose turn is not its task's turn is stale: the task was woken by
+ * something else. */
 typedef struct Timer {
     int64_t when_ms;
     uint64_t order;
@@ -13,18 +15,19 @@
     uint64_t turn;
 } Timer;
 
-/* Invariant: ready holds each task at most once; timers is a heap by
- * (when_ms, order); all tasks ever spawned and not yet ended are on tasks. */
+/* Common part of both implementations, the first member of theirs.
+ * Invariants: the ready list holds each task at most once; timers is a heap by (when_ms, order); tasks holds all tasks
+ * that were spawned and have not ended. */
 struct Loop {
     const LoopOps *ops;
     bool stopping;
-    Task *current; /* the task that runs now, or NULL */
+    Task *current; /* the task that runs now; null: the loop itself */
     Task *tasks;
     Task *ready_first, *ready_last;
     Timer *timers;
     size_t timer_count, timer_room;
     uint64_t timer_order;
-    void *stacks[TASK_STACKS_KEPT]; /* of ended tasks, to be used again */
+    void *stacks[TASK_STACKS_KEPT]; /* of ended tasks, for reuse */
     size_t stack_count;
 };
 
@@ -33,8 +36,8 @@
     Bytes bytes;
 } Frame;
 
-/* Invariants: frames are in order of arrival; after closed none is added; queued counts
- * the bytes that were to be sent, and handed those of them that may have left. */
+/* Invariants: frames are in order of arrival; none is added once closed; queued counts the bytes that were to be
+ * sent, handed those of them that may have left. */
 struct Channel {
     Loop *loop;
     bool closed;
@@ -48,15 +51,23 @@
     Loop *loop;
 };
 
+/* loop is zeroed memory of the implementation. */
 void loop_init(Loop *loop, const LoopOps *ops);
-/* Ends every task without running it; what they held is on talloc memory. */
+/* Drops every task without running it; what a task owned is on talloc memory. */
 void loop_end(Loop *loop);
-/* Runs all that is due. */
+/* Runs all tasks that are ready or whose timer is due, until none is left. */
 void loop_run(Loop *loop);
-/* When loop_run has next to be called; INT64_MAX for never. */
+/* When loop_run has to be called next; INT64_MAX: not before something else happens. */
 int64_t loop_next_ms(Loop *loop);
 
+/* Adds a timer that wakes task, if it still is in this turn at when_ms. */
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t turn);
+/* Removes the earliest timer. There must be one. */
+void timer_drop(Loop *loop);
+
+/* A frame has arrived; it is copied. No effect once the channel has ended. */
 void channel_arrive(Channel *channel, Bytes frame);
+/* The connection is over: the reader gets what had arrived, then CLOSED. */
 void channel_end(Channel *channel);
 
 #endif
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -8,15 +8,18 @@
 #include "base/constants.h"
 #include "base/failure.h"
 
-/* The one interface between node code and the world: clock, tasks, connections,
- * disk, HTTP. Two forms stand behind it: the real one (h2o's loop) and the
- * simulated one (virtual time). Node code knows only this.
+/* The interface between node code and the world: clock, coroutines, timers, connections, disk, HTTP.
+ *
+ * All node code (the packages behind the daemons) uses only this; two implementations stand behind it: the real one
+ * (loop/real.h: h2o's event loop) and the simulated one (sim/world.h: virtual time).
  *
  * Rules for node code:
- *  - it runs in tasks; a task gives way only inside calls that say "waits";
- *  - across a wait a task holds nothing but talloc memory, so that the
- *    simulator can end a node anywhere;
- *  - now_ms never goes back and knows nothing of wall time. */
+ *  - it runs in tasks, which are coroutines: one runs at a time, and another runs only while it is suspended;
+ *  - a task is suspended only inside calls that say "Waits.";
+ *  - across such a call a task owns nothing but talloc memory, so that the simulator can end a node anywhere;
+ *  - now_ms never goes back and has no relation to wall time.
+ *
+ * All spans and times are in milliseconds unless the name says otherwise. */
 typedef struct Loop Loop;
 typedef struct Task Task;
 typedef struct Channel Channel;
@@ -26,16 +29,17 @@
 typedef struct HttpLimits HttpLimits;
 
 typedef void (*TaskFn)(void *arg);
-/* The task owns the channel and closes it. */
+/* Runs in a task of its own, which owns the channel and closes it. */
 typedef void (*ChannelFn)(void *arg, Channel *channel);
-/* Runs in a task of its own; the result goes out when it returns. */
+/* Runs in a task of its own; the response is sent when it returns. */
 typedef void (*HttpFn)(void *arg, HttpTask *task);
 
+/* What an implementation provides; the functions below document each. */
 typedef struct LoopOps {
     int64_t (*now_ms)(const Loop *loop);
     int64_t (*wall_ms)(const Loop *loop);
     uint64_t (*random)(Loop *loop);
-    /* The loop has something to do at when_ms at the latest. */
+    /* The loop has to run at when_ms at the latest. */
     void (*arm)(Loop *loop, int64_t when_ms);
     Status (*listen)(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
     Status (*open)(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
@@ -55,53 +59,74 @@
 #define ADDRESS_MAX 64 /* bytes; "255.255.255.255:65535" with room to spare */
 
 /* --- clock and tasks ----------------------------------------------------- */
+
+/* Monotonic clock of this process, which counts suspended time of the machine too. */
 int64_t loop_now_ms(const Loop *loop);
+/* Wall time since 1970; may jump. */
 int64_t loop_wall_ms(const Loop *loop);
+/* 64 random bits; each process has a seed of its own. */
 uint64_t loop_random(Loop *loop);
+
+/* Starts a coroutine that runs fn(arg) from the next turn of the loop on, and is freed when fn returns. name must
+ * outlive it. */
 void loop_spawn(Loop *loop, const char *name, TaskFn fn, void *arg);
-/* Waits. */
+/* Waits for wait_ms. */
 void loop_sleep(Loop *loop, int64_t wait_ms);
 /* Waits for one turn of the loop. */
 void loop_yield(Loop *loop);
-/* No new work is begun after this; tasks see it and end. */
+/* Asks everything to end: tasks read loop_stopping and return; the real loop ends after this turn. */
 void loop_stop(Loop *loop);
 bool loop_stopping(const Loop *loop);
 
 /* --- signals ---------------------------------------------------------------- */
-/* Something to wait for. Invariant: a task is on at most one signal's list. */
+
+/* A condition that tasks wait for; zeroed memory is a valid one. Invariant: a task is on at most one signal's list. */
 typedef struct Signal {
     Task *first;
     Task *last;
 } Signal;
 
-/* Waits until the signal is raised (true) or until_ms has come (false). */
+/* Waits until the signal is raised (true) or until_ms has come (false); INT64_MAX: no time-out. */
 bool signal_wait(Loop *loop, Signal *signal, int64_t until_ms);
+/* Wakes all tasks that wait for the signal, in the order in which they began to; they run after the caller. Nothing
+ * is remembered for tasks that wait later. */
 void signal_raise(Loop *loop, Signal *signal);
 
-/* --- connections: whole frames, in order, until one side or the net breaks --- */
+/* --- connections: whole frames, in order, until one side or the network breaks --- */
+
+/* Listens for connections; each is handed to fn in a task of its own. bound receives the address in use (a port of 0
+ * is replaced). return: OK; BAD_SETTINGS with the text in failure. */
 Status loop_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
-/* Waits. The channel lives on mem until channel_close. */
+/* Connects. Waits, at most wait_ms. The channel is a child of mem until channel_close. return: OK, UNREACHABLE,
+ * BAD_SETTINGS (not an address). */
 Status loop_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
-/* Takes a copy; never waits. */
+/* Queues a copy of the frame; never waits. return: OK; CLOSED; TOO_LARGE; BUSY: the peer does not read, and the
+ * connection has been closed for that. */
 Status channel_send(Channel *channel, Bytes frame);
-/* How far a channel has been told to send, and whether what was told up to then has
- * certainly not left whole: nobody can have taken the last frame of it. */
+/* The number of bytes queued so far: an offset for channel_unsent. */
 uint64_t channel_queued(const Channel *channel);
+/* Whether the bytes up to this offset have certainly not left completely, so that nobody can have received the
+ * last frame among them. */
 bool channel_unsent(const Channel *channel, uint64_t up_to);
-/* Waits for a frame. EXPIRED when until_ms has come, CLOSED after the end. */
+/* Waits for a frame, which is moved onto mem. return: OK; EXPIRED when until_ms has come; CLOSED after the end. */
 Status channel_receive(Channel *channel, void *mem, int64_t until_ms, Bytes *frame);
-/* Ends the connection, wakes its reader; the reader frees it by channel_close. */
+/* Ends the connection and wakes its reader; the reader then frees it by channel_close. */
 void channel_shut(Channel *channel);
+/* Ends the connection and frees the channel. */
 void channel_close(Channel *channel);
 
 /* --- disk ------------------------------------------------------------------------ */
+
+/* Opens a file for append, and makes it and its folder where they are missing. Blocks the process while
+ * it syncs the folder: called at start only. The file is a child of mem. return: OK; DISK_FAILED with the text in
+ * failure. */
 Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
-/* Waits. What it gives is synced: it outlasts a loss of power, also where the process that
- * wrote it ended before its own sync. */
+/* Reads the whole file onto mem. Waits. What is read has been synced: it outlasts a loss of power, also where the
+ * process that wrote it ended before its own sync. return: OK, DISK_FAILED; so for the next two. */
 Status file_read(File *file, void *mem, Bytes *content);
-/* Waits until the bytes are synced. One call at a time for each file. */
+/* Appends the bytes. Waits until they are synced. One call at a time for each file. */
 Status file_append(File *file, Bytes bytes);
-/* Waits: new file, sync, rename, sync of the folder. */
+/* Replaces the content atomically: new file, sync, rename, sync of the folder. Waits for all of it. */
 Status file_replace(File *file, Bytes bytes);
 
 /* --- HTTP --------------------------------------------------------------------------- */
@@ -110,74 +135,77 @@
     const char *value;
 } HttpPair;
 
-/* A request on its way through a process. All on talloc memory of the task. */
+/* A request that is served, and its response. All texts are children of the HttpTask, which lasts until the handler
+ * returns. */
 struct HttpTask {
     Loop *loop;
     const char *method;
     const char *path;      /* without the query */
     const char *query;     /* "" when there is none */
-    const char *host;      /* whom it was meant for: lower case, without a port; "" when it says nothing */
+    const char *host;      /* of its Host header: lower case, without a port; "" when it has none */
     const HttpPair *heads; /* all headers of the request, their names in lower case */
     size_t head_count;
     Bytes body;
-    int64_t timeout_ms; /* own clock; nobody waits for the result after this; 0: none is known */
-    bool again;         /* it was carried to another leader before, whose answer was lost */
-    bool gone;          /* the caller has left; a result would go nowhere */
-    /* the result */
-    int code;
-    Status status;    /* why it was refused; OK otherwise */
+    int64_t timeout_ms; /* deadline by loop_now_ms: nobody waits for the response after this; 0: not known */
+    bool again;         /* a retry: it was forwarded to another leader before, whose answer was lost */
+    bool gone;          /* the caller has disconnected: a response would go nowhere */
+    /* the response, for the handler to set */
+    int code;         /* HTTP status */
+    Status status;    /* why it was rejected; OK otherwise */
     const char *kind; /* content type */
     Bytes result;
-    int retry_after_s;     /* told when above 0 */
-    const HttpPair *tells; /* further headers of the result */
+    int retry_after_s;     /* Retry-After in seconds, sent when above 0 */
+    const HttpPair *tells; /* further headers of the response */
     size_t tell_count;
 };
 
 /* The value of a header, by its name in lower case; null when it is not there. */
 const char *http_head(const HttpTask *task, const char *name);
-/* Whom a Host header names: lower case, without a port; "" for null. On mem. */
+/* The host that a Host header names: lower case, without a port, on mem; "" for null. */
 const char *http_host(void *mem, const char *text);
 
-/* Bounds on callers; 0: the default. */
+/* Limits on callers; 0: the default. */
 struct HttpLimits {
-    size_t head_bytes, body_bytes; /* of one request; more is refused */
-    int64_t head_ms;               /* a request's head is whole within this, or its connection is closed */
+    size_t head_bytes, body_bytes; /* of one request; a larger one is rejected */
+    int64_t head_ms;               /* a request's head must be complete within this, or its connection is closed */
     int64_t idle_ms;               /* a connection without a request is closed after this */
 };
 
-/* A request of ours. */
+/* A request to another process, and its response. The texts of the request must last until loop_call returns. */
 struct HttpCall {
-    void *mem;
+    void *mem; /* talloc parent of the response */
     const char *address;
     const char *method;
     const char *path; /* with the query */
     Bytes body;
-    int64_t wait_ms;
-    const HttpPair *heads; /* further headers of the request; "host" in place of the address */
+    int64_t wait_ms;       /* time-out of the whole call */
+    const HttpPair *heads; /* further headers of the request; a "host" replaces the address as Host */
     size_t head_count;
-    /* the result */
+    /* the response */
     int code;
     Bytes result;
     int retry_after_s;
-    const HttpPair *tells; /* all headers of the result, their names in lower case; on mem */
+    const HttpPair *tells; /* all headers of the response, their names in lower case */
     size_t tell_count;
-    bool sent; /* false: certainly not taken by anybody */
-    /* set while the call waits */
+    bool sent; /* false: certainly nobody has received it */
+    /* internal: set while the call waits */
     Signal *waiting;
     bool cut;
 };
 
-/* For any number of addresses, each with a function of its own. */
+/* Serves HTTP at an address; any number of addresses may be served, each with a handler of its own. bound and
+ * return: as of loop_listen. */
 Status loop_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char bound[ADDRESS_MAX], Failure *failure);
-/* For all addresses, from the next request on; may be told at any time. */
+/* Sets the limits of all served addresses, from the next request on; may be called at any time. */
 void loop_serve_limits(Loop *loop, const HttpLimits *limits);
-/* From now on each caller's connection is closed after its next result. */
+/* Graceful shutdown: from now on each caller's connection is closed after its next response. */
 void loop_serve_leave(Loop *loop);
-/* Requests that have begun to come in and whose result has not gone out. */
+/* The number of requests that have begun to arrive and whose response has not been sent. */
 size_t loop_serve_busy(const Loop *loop);
-/* Waits. OK when any result came. */
+/* Sends the request. Waits for the response, at most call->wait_ms. return: OK when a response came, whatever its
+ * code; UNREACHABLE; EXPIRED; CLOSED: the connection broke, or the call was given up; BAD_SETTINGS: not an address. */
 Status loop_call(Loop *loop, HttpCall *call);
-/* Gives a call up from another task: it ends CLOSED and its result is dropped. */
+/* Gives a call up from another task: it ends CLOSED and its response is dropped. */
 void loop_call_cut(Loop *loop, HttpCall *call);
 
 #endif
--- a/packages/loop/src/channel.c
+++ b/packages/loop/src/channel.c
@@ -1,4 +1,4 @@
-#include <string.h>
+/* Connections: the queue of received frames, and what both implementations do alike. */
 #include <talloc.h>
 
 #include "loop/inside.h"
@@ -83,23 +83,3 @@
 {
     return loop->ops->open(loop, mem, address, wait_ms, channel);
 }
-
-Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
-{
-    return loop->ops->file_open(loop, mem, path, file, failure);
-}
-
-Status file_read(File *file, void *mem, Bytes *content)
-{
-    return file->loop->ops->file_read(file, mem, content);
-}
-
-Status file_append(File *file, Bytes bytes)
-{
-    return file->loop->ops->file_append(file, bytes);
-}
-
-Status file_replace(File *file, Bytes bytes)
-{
-    return file->loop->ops->file_replace(file, bytes);
-}
--- a/packages/loop/src/fiber.h
+++ b/packages/loop/src/fiber.h
@@ -3,12 +3,12 @@
 
 #include <stddef.h>
 
-/* The C functions of Boost.Context, whose own header is C++. They switch stacks
- * without a system call; swapcontext makes two for each switch. */
+/* The C functions of Boost.Context, whose own header is C++. They switch stacks without a system call; swapcontext
+ * makes two for each switch. */
 typedef void *FiberPlace;
 
 typedef struct FiberTurn {
-    FiberPlace from; /* where whoever switched here stands */
+    FiberPlace from; /* where the code that switched here continues */
     void *data;
 } FiberTurn;
 
--- /dev/null
+++ b/packages/loop/src/file.c
@@ -0,0 +1,22 @@
+/* Files: node code's calls, passed on to the implementation. */
+#include "loop/inside.h"
+
+Status file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
+{
+    return loop->ops->file_open(loop, mem, path, file, failure);
+}
+
+Status file_read(File *file, void *mem, Bytes *content)
+{
+    return file->loop->ops->file_read(file, mem, content);
+}
+
+Status file_append(File *file, Bytes bytes)
+{
+    return file->loop->ops->file_append(file, bytes);
+}
+
+Status file_replace(File *file, Bytes bytes)
+{
+    return file->loop->ops->file_replace(file, bytes);
+}
--- a/packages/loop/src/http.c
+++ b/packages/loop/src/http.c
@@ -1,3 +1,4 @@
+/* HTTP: node code's calls, passed on to the implementation, and the reading of headers. */
 #include <string.h>
 #include <talloc.h>
 
--- a/packages/loop/src/real.h
+++ b/packages/loop/src/real.h
@@ -9,10 +9,13 @@
 #include "loop/inside.h"
 #include "loop/real.h"
 
+/* State and functions that the files of the real loop share: realsocket.c; above it realchannel.c (connections),
+ * realserve.c (HTTP server), realcall.c (HTTP client) and realdisk.c (files); above those real.c. */
+
 typedef struct RealLoop {
     Loop loop; /* first: a Loop is a RealLoop */
     h2o_loop_t *evloop;
-    GRand *draw;
+    GRand *draw; /* random numbers */
     h2o_multithread_queue_t *queue;
     h2o_multithread_receiver_t disk_done;
     h2o_multithread_receiver_t host_done;
@@ -22,11 +25,11 @@
     h2o_accept_ctx_t accept;
     bool serving;
     bool leaving;
-    size_t http_tasks;               /* in work now, at most HTTP_TASKS_MAX */
-    HttpLimits limits;               /* none of them 0 once it serves */
-    struct RealChannel *flush_first; /* those with frames to go out at the end of this turn */
+    size_t http_tasks;               /* requests in work, at most HTTP_TASKS_MAX */
+    HttpLimits limits;               /* none is 0 once it serves */
+    struct RealChannel *flush_first; /* channels with frames to write at the end of this turn */
     struct Visit *visits;            /* the callers' connections */
-    int64_t swept_ms;
+    int64_t swept_ms;                /* when unfinished heads were last looked for */
     h2o_timeout_t call_timeout;
     h2o_http1client_ctx_t client;
     TaskFn on_term;
@@ -37,30 +40,41 @@
     void *on_hup_arg;
 } RealLoop;
 
+/* Splits "a.b.c.d:port"; false: it is not one. */
 bool real_address(const char *address, struct sockaddr_in *sin);
-/* A listening socket by IP; its bound address is written to bound. */
+/* A listening socket; the address in use is written to bound. Null: why is in failure. */
 h2o_socket_t *real_bind(RealLoop *real, const char *address, h2o_socket_cb on_accept, void *data, char *bound,
                         Failure *failure);
 
-/* A connection whose peer's machine says nothing any more ends soon. What is
- * accepted by a listening socket inherits this from it. */
+/* Sets the time-outs after which a connection ends whose peer's machine does not answer any more. Connections that a
+ * listening socket accepts inherit them. */
 void real_patience(int fd);
 
+/* realchannel.c */
 Status real_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
 Status real_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 Status real_send(Channel *channel, Bytes frame);
 void real_shut(Channel *channel);
-Status real_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
+/* Writes what was queued in this turn of the loop. */
 void real_flush(RealLoop *real);
-void real_serve_sweep(RealLoop *real);
+
+/* realserve.c */
+Status real_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
 void real_limit(Loop *loop, const HttpLimits *limits);
 void real_leave(Loop *loop);
 size_t real_busy(const Loop *loop);
+/* Closes connections whose request head has been incomplete for too long. */
+void real_serve_sweep(RealLoop *real);
+
+/* realcall.c */
 Status real_call(Loop *loop, HttpCall *call);
+
+/* realdisk.c */
 Status real_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
 Status real_file_read(File *file, void *mem, Bytes *content);
 Status real_file_append(File *file, Bytes bytes);
 Status real_file_replace(File *file, Bytes bytes);
+/* Wakes the tasks whose disk jobs the threads have done. */
 void real_disk_done(h2o_multithread_receiver_t *receiver, h2o_linklist_t *messages);
 
 #endif
--- a/packages/loop/src/real_call.c
+++ b/packages/loop/src/real_call.c
@@ -1,4 +1,4 @@
-/* Calls by h2o's HTTP/1 client, without a pool. */
+/* HTTP requests by h2o's HTTP/1 client: a connection for each. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,10 +6,10 @@
 
 #include "real.h"
 
-/* A call under way. Freed by whichever of task and client ends last. */
+/* A call in flight. The task frees it, after the client has ended or was cancelled. */
 typedef struct Calling {
     RealLoop *real;
-    HttpCall *call; /* null once the task has gone on */
+    HttpCall *call;
     h2o_http1client_t *client;
     h2o_iovec_t request;
     Bytes body;
@@ -83,15 +83,9 @@
     return on_head;
 }
 
-Status real_call(Loop *loop, HttpCall *call)
+/* The bytes of the request. */
+static void request_write(Calling *calling, const HttpCall *call)
 {
-    RealLoop *real = (RealLoop *)loop;
-    struct sockaddr_in sin;
-    if (!real_address(call->address, &sin))
-        return STATUS_BAD_SETTINGS;
-    Calling *calling = talloc_zero(call->mem, Calling);
-    calling->real = real;
-    calling->call = call;
     char *head = talloc_asprintf(calling,
                                  "%s %s HTTP/1.1\r\nconnection: close\r\ncontent-type: application/json\r\n"
                                  "content-length: %zu\r\n",
@@ -106,6 +100,18 @@
     bytes_add(calling, &request, head, strlen(head));
     bytes_add(calling, &request, call->body.data, call->body.count);
     calling->request = h2o_iovec_init((char *)request.data, request.count);
+}
+
+Status real_call(Loop *loop, HttpCall *call)
+{
+    RealLoop *real = (RealLoop *)loop;
+    struct sockaddr_in sin;
+    if (!real_address(call->address, &sin))
+        return STATUS_BAD_SETTINGS;
+    Calling *calling = talloc_zero(call->mem, Calling);
+    calling->real = real;
+    calling->call = call;
+    request_write(calling, call);
     char host[ADDRESS_MAX];
     snprintf(host, sizeof(host), "%.*s", (int)(strrchr(call->address, ':') - call->address), call->address);
     const int64_t until_ms = loop_now_ms(loop) + call->wait_ms;
--- a/packages/loop/src/real_channel.c
+++ b/packages/loop/src/real_channel.c
@@ -1,8 +1,7 @@
-/* Frames over TCP: four bytes of length, then the frame.
+/* Connections: frames over TCP, four bytes of length before each.
  *
- * What is sent to one peer within a turn of the loop goes out together at its
- * end, by one write of our own; h2o writes only what the kernel did not take, for its
- * writes cost one more turn each. */
+ * What is sent to one peer within a turn of the loop is written together at its end, by one system call made here.
+ * h2o writes only what the kernel did not take, since each of its writes costs a further turn. */
 #include <errno.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -10,9 +9,8 @@
 
 #include "real.h"
 
-/* Invariants: sock is null once the connection has ended; writing says that out
- * belongs to h2o until the write callback; it is on the loop's list exactly while
- * to_flush. */
+/* Invariants: sock is null once the connection has ended; while writing, out belongs to h2o until its callback; it is
+ * on the loop's flush list exactly while to_flush. */
 typedef struct RealChannel {
     Channel channel; /* first */
     RealLoop *real;
@@ -23,8 +21,8 @@
     bool broken; /* a write has failed */
     struct RealChannel *flush_next, *flush_prev;
     Signal connected;
-    Bytes out;  /* in the hands of h2o */
-    Bytes next; /* gathered meanwhile */
+    Bytes out;  /* being written by h2o */
+    Bytes next; /* queued meanwhile */
 } RealChannel;
 
 typedef struct Listener {
@@ -33,6 +31,7 @@
     void *arg;
 } Listener;
 
+/* Passes a new connection to its task. */
 typedef struct Accepted {
     const Listener *listener;
     Channel *channel;
@@ -92,12 +91,12 @@
 
 static void on_written(h2o_socket_t *sock, const char *err);
 
-/* What the kernel takes at once. */
+/* Writes what the kernel takes without waiting. */
 static void write_now(RealChannel *rc)
 {
     const ssize_t took = send(h2o_socket_get_fd(rc->sock), rc->next.data, rc->next.count, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (took < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        rc->broken = true; /* nothing more leaves; what has come is read first, then its end */
+        rc->broken = true; /* nothing more is written; what has arrived is read first, then the end */
     if (took <= 0)
         return;
     rc->channel.handed += (uint64_t)took;
@@ -120,7 +119,7 @@
     rc->out = rc->next;
     rc->next = (Bytes){spare.data, 0, spare.room};
     rc->writing = true;
-    rc->channel.handed += rc->out.count; /* some of it may leave before it is told */
+    rc->channel.handed += rc->out.count; /* some of it may leave before the callback */
     h2o_iovec_t vec = h2o_iovec_init((char *)rc->out.data, rc->out.count);
     h2o_socket_write(rc->sock, &vec, 1, on_written);
 }
@@ -257,6 +256,6 @@
 {
     RealChannel *rc = (RealChannel *)channel;
     flush_leave(rc);
-    write_next(rc); /* what was sent before */
+    write_next(rc); /* what was queued before */
     drop(rc);
 }
--- a/packages/loop/src/real_disk.c
+++ b/packages/loop/src/real_disk.c
@@ -1,6 +1,5 @@
-/* Files: each has a thread that writes and syncs, so that a slow disk never
- * stops the loop. The thread touches no talloc memory but the bytes it is
- * given, which the waiting task holds. */
+/* Files: each has a thread that reads, writes and syncs, so that a slow disk never blocks the loop. The thread touches
+ * no talloc memory but the bytes it is given, which the waiting task owns. */
 #include <errno.h>
 #include <fcntl.h>
 #include <libgen.h>
@@ -18,6 +17,7 @@
 
 typedef struct RealFile RealFile;
 
+/* One call, on the stack of the task that waits for it. */
 typedef struct DiskJob {
     h2o_multithread_message_t super; /* first */
     RealFile *file;
@@ -30,7 +30,7 @@
     Signal ended;
 } DiskJob;
 
-/* Invariant: job is non-null from the asking until the thread has taken it. */
+/* Invariant: job is non-null from when a task asks until the thread has taken it. */
 struct RealFile {
     File file; /* first */
     RealLoop *real;
@@ -104,7 +104,7 @@
     return true;
 }
 
-/* What was read is freed by the one who asked; that others know the job too is hidden from the analyzer. */
+/* What was read is freed by the task that asked; the analyzer does not see that. */
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wanalyzer-malloc-leak"
 static void *disk_main(void *arg)
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -1,4 +1,4 @@
-/* HTTP by h2o's server: one server for all addresses of the process. */
+/* HTTP server: one h2o server for all addresses of the process; each request is handled in a task of its own. */
 #include <stdio.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -18,8 +18,8 @@
 
 typedef struct Served Served;
 
-/* A caller's connection, h2o's own. Invariants: it is on the loop's list from
- * its acceptance to its closing; served is the request in work, if any. */
+/* A caller's connection. Invariants: it is on the loop's list from its acceptance until it is closed; served is the
+ * request in work, if any. */
 typedef struct Visit {
     struct Visit *prev, *next;
     Door *door;
@@ -28,8 +28,7 @@
     int64_t begun_ms; /* when a head was first seen unfinished; 0: none is */
 } Visit;
 
-/* Ties an h2o request to our task. The watch lives on the request's pool and
- * tells the task when the request is gone. */
+/* Ties an h2o request to its task: it is on the request's pool, whose end marks the task's caller as gone. */
 typedef struct Watch {
     Served *served;
 } Watch;
@@ -95,7 +94,7 @@
     h2o_send_inline(req, (const char *)task->result.data, task->result.count);
 }
 
-/* A refusal that no task is needed for. */
+/* Rejects a request without a task. */
 static void refuse(RealLoop *real, h2o_req_t *req, Status status, const char *text)
 {
     char body[160];
@@ -122,8 +121,8 @@
     talloc_free(served);
 }
 
-/* While a request is in work its caller is listened to all the same: h2o reads
- * on by itself after the result. */
+/* While a request is in work its connection is read all the same, to notice that the caller disconnects. h2o reads on
+ * by itself after the response. */
 static void on_ahead(h2o_socket_t *sock, const char *err)
 {
     const Visit *visit = sock->on_close.data;
@@ -231,15 +230,15 @@
     }
 }
 
-/* Something of a head has come, but not all of it. */
+/* A part of a request head has arrived, but not all of it. */
 static bool head_begun(const Visit *visit)
 {
     const h2o_buffer_t *input = visit->sock->input;
     return visit->served == NULL && input->size > 0 && memmem(input->bytes, input->size, "\r\n\r\n", 4) == NULL;
 }
 
-/* h2o counts one span from the end of a request to the whole head of the next.
- * A head that has begun has a shorter one. */
+/* h2o has one time-out from the end of a request to the complete head of the next, the idle one. A head that has begun
+ * has a shorter one, which is checked here. */
 void real_serve_sweep(RealLoop *real)
 {
     const int64_t now_ms = loop_now_ms(&real->loop);
--- a/packages/loop/src/task.c
+++ b/packages/loop/src/task.c
@@ -1,4 +1,4 @@
-/* Tasks: fibers with a ready list and a heap of timers. */
+/* Tasks: coroutines on stacks of their own, a list of those that are ready, and signals that they wait for. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
@@ -15,24 +15,23 @@
 #define FIBER_FINISH(saved, bottom, size) ((void)(saved), (void)(bottom), (void)(size))
 #endif
 
-/* Invariant: turn grows each time the task is woken, so that a timer or signal
- * of an earlier wait cannot wake a later one. */
+/* Invariant: turn grows each time the task is woken, so that a timer of an earlier wait cannot end a later one. */
 struct Task {
     Loop *loop;
     Task *prev, *next; /* on loop->tasks */
     Task *ready_next;
     Task *signal_next;
-    Signal *signal; /* the signal waited on, or NULL */
+    Signal *signal; /* the signal that it waits for; null: none */
     bool ready;
-    bool raised; /* woken by its signal rather than by its timer */
+    bool raised; /* its last wait ended by the signal, not by the timer */
     bool ended;
     uint64_t turn;
-    size_t timers; /* in the heap that name this task; it is freed after the last */
+    size_t timers; /* in the heap that refer to it; it is freed after the last of them */
     const char *name;
     TaskFn fn;
     void *arg;
-    FiberPlace place; /* where it goes on */
-    FiberPlace main;  /* where the loop goes on when it gives way */
+    FiberPlace place; /* where it continues */
+    FiberPlace main;  /* where the loop continues when it is suspended */
     void *stack;
     /* bounds of the main stack, for the sanitizer */
     const void *main_bottom;
@@ -95,11 +94,10 @@
     task->fn(task->arg);
     task->ended = true;
     FIBER_START(NULL, task->main_bottom, task->main_size);
-    jump_fcontext(task->main, NULL); /* never comes back: loop_run frees the task */
+    jump_fcontext(task->main, NULL); /* does not return: loop_run frees the task */
 }
 
-/* Stacks that have ended are used again: what they touched stays mapped, and the
- * most that ever ran at once is the most that is kept, up to a bound. */
+/* Stacks of ended tasks are reused, up to TASK_STACKS_KEPT: their pages stay mapped. */
 static void *stack_take(Loop *loop)
 {
     if (loop->stack_count > 0)
@@ -156,48 +154,7 @@
     loop->timer_count = 0;
 }
 
-static bool timer_before(const Timer *a, const Timer *b)
-{
-    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
-}
-
-static void timer_add(Loop *loop, int64_t when_ms, Task *task)
-{
-    if (loop->timer_count == loop->timer_room) {
-        loop->timer_room = loop->timer_room ? loop->timer_room * 2 : 64;
-        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_room);
-    }
-    const Timer timer = {when_ms, loop->timer_order++, task, task->turn};
-    size_t at = loop->timer_count++;
-    while (at > 0 && timer_before(&timer, &loop->timers[(at - 1) / 2])) {
-        loop->timers[at] = loop->timers[(at - 1) / 2];
-        at = (at - 1) / 2;
-    }
-    loop->timers[at] = timer;
-    task->timers++;
-}
-
-static Timer timer_take(Loop *loop)
-{
-    const Timer top = loop->timers[0];
-    const Timer last = loop->timers[--loop->timer_count];
-    size_t at = 0;
-    for (;;) {
-        size_t child = at * 2 + 1;
-        if (child >= loop->timer_count)
-            break;
-        if (child + 1 < loop->timer_count && timer_before(&loop->timers[child + 1], &loop->timers[child]))
-            child++;
-        if (!timer_before(&loop->timers[child], &last))
-            break;
-        loop->timers[at] = loop->timers[child];
-        at = child;
-    }
-    if (loop->timer_count > 0)
-        loop->timers[at] = last;
-    return top;
-}
-
+/* Takes a task whose timer is due off the list of its signal. */
 static void signal_leave(Task *task)
 {
     Signal *signal = task->signal;
@@ -215,7 +172,7 @@
     task->signal = NULL;
 }
 
-/* Gives way until woken. */
+/* Suspends the task that runs until loop_run resumes it. */
 static void task_park(Task *task)
 {
     FIBER_START(&task->fake_stack, task->main_bottom, task->main_size);
@@ -245,8 +202,10 @@
     else
         signal->first = task;
     signal->last = task;
-    if (until_ms != INT64_MAX)
-        timer_add(loop, until_ms, task);
+    if (until_ms != INT64_MAX) {
+        timer_add(loop, until_ms, task, task->turn);
+        task->timers++;
+    }
     task_park(task);
     return task->raised;
 }
@@ -265,9 +224,8 @@
     }
 }
 
-/* The first timer that somebody still waits for. The stale before it (their tasks were
- * woken, perhaps ended) are dropped: most questions are answered long before they
- * expire, and nobody is to be woken for those. */
+/* The earliest timer that a task still waits for; null: none. The stale ones before it, whose tasks were woken or
+ * have ended, are dropped: most questions are answered long before their time-out, and nothing must wake for those. */
 static const Timer *timer_first(Loop *loop)
 {
     while (loop->timer_count > 0) {
@@ -275,7 +233,7 @@
         Task *task = first->task;
         if (!task->ended && task->turn == first->turn && !task->ready)
             return first;
-        timer_take(loop);
+        timer_drop(loop);
         task->timers--;
         if (task->ended && task->timers == 0)
             talloc_free(task);
@@ -289,7 +247,7 @@
         const Timer *first;
         while ((first = timer_first(loop)) != NULL && first->when_ms <= loop_now_ms(loop)) {
             signal_leave(first->task);
-            task_ready(first->task); /* its turn grows: the timer is stale now */
+            task_ready(first->task); /* its turn grows: the timer is stale from here on */
         }
         Task *task = loop->ready_first;
         if (task == NULL)
--- /dev/null
+++ b/packages/loop/src/timers.c
@@ -0,0 +1,43 @@
+/* Timers: a binary heap, the earliest first; of two at the same time the one that was added first. */
+#include <talloc.h>
+
+#include "loop/inside.h"
+
+static bool timer_before(const Timer *a, const Timer *b)
+{
+    return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
+}
+
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t turn)
+{
+    if (loop->timer_count == loop->timer_room) {
+        loop->timer_room = loop->timer_room ? loop->timer_room * 2 : 64;
+        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_room);
+    }
+    const Timer timer = {when_ms, loop->timer_order++, task, turn};
+    size_t at = loop->timer_count++;
+    while (at > 0 && timer_before(&timer, &loop->timers[(at - 1) / 2])) {
+        loop->timers[at] = loop->timers[(at - 1) / 2];
+        at = (at - 1) / 2;
+    }
+    loop->timers[at] = timer;
+}
+
+void timer_drop(Loop *loop)
+{
+    const Timer last = loop->timers[--loop->timer_count];
+    size_t at = 0;
+    for (;;) {
+        size_t child = at * 2 + 1;
+        if (child >= loop->timer_count)
+            break;
+        if (child + 1 < loop->timer_count && timer_before(&loop->timers[child + 1], &loop->timers[child]))
+            child++;
+        if (!timer_before(&loop->timers[child], &last))
+            break;
+        loop->timers[at] = loop->timers[child];
+        at = child;
+    }
+    if (loop->timer_count > 0)
+        loop->timers[at] = last;
+}
