--- /dev/null
+++ b/packages/agent/test/agentcase.h
@@ -0,0 +1,348 @@
+#ifndef AGENT_TEST_AGENTCASE_H
+#define AGENT_TEST_AGENTCASE_H
+
+/* The fixture of the agent's tests: one agent between a leader and a worker that both say and do exactly what a case
+ * wants, in virtual time. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+#include <stdio.h>
+#include <string.h>
+
+#include <cmocka.h>
+#include <talloc.h>
+
+#include "agent/report.h"
+#include "base/term.h"
+#include "heartbeat/lease.h"
+#include "sim/world.h"
+
+#define BOSS "10.0.0.1:7000"
+#define OTHER "10.0.0.3:7000"
+#define TERM(counter) ((uint64_t)(counter) << TERM_HOLDER_BITS | 1)
+#define LISTED 600 /* count; more than a worker lists at once */
+
+/* A leader that answers as the case says, and all that the agent reported to it. */
+typedef struct Boss {
+    const char *id, *address;
+    Loop *loop;
+    Rpc *rpc;
+    Members *members;
+    uint64_t term;
+    int64_t lease_ms;
+    bool deaf;    /* answers no heartbeat */
+    bool commits; /* otherwise a report of ends waits */
+    uint64_t version;
+    HeartbeatAnswer orders;
+    Signal changed;
+    HeartbeatAsk heartbeat; /* the newest heartbeat */
+    size_t heartbeats, tellings;
+    AttemptNews news[LISTED * 2];
+    size_t news_count;
+    AttemptSaved saved[LISTED];
+    size_t saved_count;
+} Boss;
+
+typedef struct Case {
+    SimWorld *world;
+    Boss boss, other; /* other leads once the case says so */
+    int boss_machine, agent_machine, other_machine;
+    Settings settings;
+    Agent *agent;
+    Worker worker;
+} Case;
+
+static inline Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
+{
+    Boss *boss = arg;
+    const HeartbeatAsk *heartbeat = question;
+    HeartbeatAnswer *out = answer;
+    (void)mem;
+    if (boss->deaf)
+        return STATUS_NOT_LEADER;
+    boss->heartbeats++;
+    talloc_free((void *)(uintptr_t)boss->heartbeat.agent);
+    void *kept = talloc_named_const(boss->rpc, 1, "beat");
+    shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &boss->heartbeat);
+    boss->heartbeat.agent = kept;
+    for (size_t i = 0; i < heartbeat->saved_count && boss->saved_count < LISTED; i++)
+        shape_copy(&AttemptSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
+    const int64_t until_ms = loop_now_ms(boss->loop) + heartbeat->wait_ms;
+    while (heartbeat->have == boss->version && heartbeat->have_term == boss->term)
+        if (!signal_wait(boss->loop, &boss->changed, until_ms))
+            break;
+    if (boss->deaf)
+        return STATUS_NOT_LEADER;
+    *out = boss->orders;
+    out->term = boss->term;
+    out->lease_ms = boss->lease_ms;
+    out->version = boss->version;
+    out->timeout_ms = ORDER_LIFETIME_MS;
+    out->orders = heartbeat->have != boss->version || heartbeat->have_term != boss->term;
+    return STATUS_OK;
+}
+
+static inline Status on_tell(void *arg, void *mem, const void *question, void *answer)
+{
+    Boss *boss = arg;
+    const TellAsk *ask = question;
+    (void)mem;
+    (void)answer;
+    boss->tellings++;
+    for (size_t i = 0; i < ask->news_count && boss->news_count < LISTED * 2; i++)
+        shape_copy(&AttemptNews_shape, &ask->news[i], boss->rpc, &boss->news[boss->news_count++]);
+    while (!boss->commits)
+        signal_wait(boss->loop, &boss->changed, INT64_MAX);
+    return STATUS_OK;
+}
+
+static inline void boss_start(void *arg, Loop *loop)
+{
+    Boss *boss = arg;
+    Recorder *recorder = recorder_new(loop, boss->id);
+    recorder_quiet(recorder);
+    boss->loop = loop;
+    boss->rpc = rpc_new(loop, loop, recorder);
+    rpc_set_cluster(boss->rpc, 7);
+    rpc_handle(boss->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, boss);
+    rpc_handle(boss->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
+    char address[ADDRESS_MAX];
+    assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
+    const MemberRecord self = {.id = boss->id,
+                               .name = boss->id,
+                               .role = ROLE_CONTROLLER,
+                               .zone = "z",
+                               .address = boss->address,
+                               .http = "",
+                               .incarnation = 1};
+    const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
+    boss->members = members_new(loop, loop, boss->rpc, recorder, &self, seeds);
+    members_start(boss->members);
+    if (boss->term != 0)
+        members_set_leader(boss->members, boss->term, boss->id);
+}
+
+static inline void agent_boot(void *arg)
+{
+    Case *c = arg;
+    Loop *loop = sim_loop(c->world, c->agent_machine);
+    Recorder *recorder = recorder_new(loop, "agent");
+    recorder_quiet(recorder);
+    Failure failure = {0};
+    assert_int_equal(agent_start(loop, loop, recorder, &c->settings, &c->agent, &failure), STATUS_OK);
+}
+
+static inline void agent_begin(void *arg, Loop *loop)
+{
+    loop_spawn(loop, "boot", agent_boot, arg);
+}
+
+static inline void run(Case *c, int64_t for_ms)
+{
+    sim_run_until(c->world, sim_now_ms(c->world) + for_ms);
+}
+
+static inline Case *case_new(int64_t lease_ms, int64_t worker_lease_ms)
+{
+    Case *c = talloc_zero(NULL, Case);
+    c->world = sim_world_new(c, 1);
+    c->boss_machine = sim_machine(c->world);
+    c->agent_machine = sim_machine(c->world);
+    c->other_machine = sim_machine(c->world);
+    c->boss = (Boss){.id = "boss", .address = BOSS, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
+    c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
+    c->settings = (Settings){.name = "a1",
+                             .worker = "w1",
+                             .zone = "z",
+                             .listen = "10.0.0.2:7000",
+                             .http = "10.0.0.2:8000",
+                             .seeds = {BOSS, OTHER, BOSS},
+                             .bounds = bounds_first()};
+    c->settings.bounds.lease_ms = lease_ms;
+    c->settings.bounds.worker_lease_ms = worker_lease_ms;
+    c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
+    sim_start(c->world, c->boss_machine, boss_start, &c->boss);
+    sim_start(c->world, c->other_machine, boss_start, &c->other);
+    sim_start(c->world, c->agent_machine, agent_begin, c);
+    run(c, 2000);
+    assert_non_null(c->agent);
+    return c;
+}
+
+/* --- the worker's side ------------------------------------------------------------ */
+
+/* A report in flight; its answer is a child of the case. */
+typedef struct Say {
+    Case *c;
+    WorkerReport report;
+    WorkerOrders orders;
+    Status status;
+    bool over, gone;
+    int64_t took_ms;
+} Say;
+
+static inline void say_main(void *arg)
+{
+    Say *say = arg;
+    const int64_t since_ms = sim_now_ms(say->c->world);
+    say->status = agent_report(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
+    say->took_ms = sim_now_ms(say->c->world) - since_ms;
+    say->over = true;
+}
+
+static inline Say *say(Case *c, const char *boot)
+{
+    Say *it = talloc_zero(c, Say);
+    it->c = c;
+    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .boot_ends = true, .wait_ms = 400};
+    return it;
+}
+
+static inline void say_begin(Say *it)
+{
+    loop_spawn(sim_loop(it->c->world, it->c->agent_machine), "say", say_main, it);
+    run(it->c, 1);
+}
+
+/* Sends the report and waits for its answer. */
+static inline Say *say_all(Say *it)
+{
+    say_begin(it);
+    for (int i = 0; i < 100 && !it->over; i++)
+        run(it->c, 10);
+    assert_true(it->over);
+    return it;
+}
+
+/* A report with no attempts in it. */
+static inline Say *say_nothing(Case *c)
+{
+    return say_all(say(c, "b1"));
+}
+
+static inline AttemptNews news(const char *job, uint64_t task, uint64_t attempt, AttemptWord word, const char *saved)
+{
+    return (AttemptNews){
+        .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
+}
+
+static inline Say *saying(Case *c, const char *boot, const AttemptNews *running, size_t running_count,
+                          const AttemptNews *ended, size_t ended_count)
+{
+    Say *it = say(c, boot);
+    it->report.running = running;
+    it->report.running_count = running_count;
+    it->report.ended = ended;
+    it->report.ended_count = ended_count;
+    say_all(it);
+    return it;
+}
+
+/* Adds the attempt 1 of task 0 of "j" to a report, as one that runs or as one that has ended. */
+static inline Say *with_running(Say *it, const char *saved)
+{
+    AttemptNews *running = talloc(it, AttemptNews);
+    *running = news("j", 0, 1, ATTEMPT_RUNNING, saved);
+    it->report.running = running;
+    it->report.running_count = 1;
+    return it;
+}
+
+static inline Say *with_ended(Say *it, AttemptWord word, const char *saved)
+{
+    AttemptNews *ended = talloc(it, AttemptNews);
+    *ended = news("j", 0, 1, word, saved);
+    it->report.ended = ended;
+    it->report.ended_count = 1;
+    return it;
+}
+
+/* The worker reports that attempt alone. */
+static inline Say *say_runs(Case *c, const char *saved)
+{
+    return say_all(with_running(say(c, "b1"), saved));
+}
+
+static inline Say *say_ended(Case *c, AttemptWord word, const char *saved)
+{
+    return say_all(with_ended(say(c, "b1"), word, saved));
+}
+
+/* --- the leader's side -------------------------------------------------------------- */
+
+/* From now on these attempts are wanted, and those of them start that have not. */
+static inline void order(Case *c, const Order *orders, size_t count)
+{
+    Boss *boss = &c->boss;
+    Order *starts = talloc_array(c, Order, (unsigned)count);
+    AttemptId *wanted = talloc_array(c, AttemptId, (unsigned)count);
+    for (size_t i = 0; i < count; i++) {
+        starts[i] = orders[i];
+        wanted[i] = (AttemptId){orders[i].job, orders[i].task, orders[i].attempt};
+    }
+    boss->orders.starts = starts;
+    boss->orders.starts_count = count;
+    boss->orders.wanted = wanted;
+    boss->orders.wanted_count = count;
+    boss->version++;
+    signal_raise(boss->loop, &boss->changed);
+    run(c, 60);
+}
+
+static inline Order one(const char *job, uint64_t task, uint64_t attempt, const char *saved)
+{
+    return (Order){job, task, attempt, {1000, 1000, 0}, "\"spec\"", saved};
+}
+
+static inline size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+{
+    size_t count = 0;
+    for (size_t i = 0; i < boss->news_count; i++)
+        count += boss->news[i].word == word && boss->news[i].attempt == attempt && boss->news[i].task == task &&
+                 strcmp(boss->news[i].job, job) == 0;
+    return count;
+}
+
+static inline const AttemptSaved *saved_last(const Boss *boss, const char *job, uint64_t task)
+{
+    const AttemptSaved *last = NULL;
+    for (size_t i = 0; i < boss->saved_count; i++)
+        if (boss->saved[i].task == task && strcmp(boss->saved[i].job, job) == 0)
+            last = &boss->saved[i];
+    return last;
+}
+
+/* Attempt 1 of this task of "j" is ordered, and nothing else. */
+static inline void order_task(Case *c, uint64_t task)
+{
+    const Order only = one("j", task, 1, "");
+    order(c, &only, 1);
+}
+
+/* --- how cases begin ------------------------------------------------------------------ */
+
+/* The worker has reported once. */
+static inline Case *case_heard(int64_t lease_ms, int64_t worker_lease_ms)
+{
+    Case *c = case_new(lease_ms, worker_lease_ms);
+    say_nothing(c);
+    return c;
+}
+
+/* ... and attempt 1 of task 0 of "j" is ordered ... */
+static inline Case *case_ordered(int64_t lease_ms, int64_t worker_lease_ms)
+{
+    Case *c = case_heard(lease_ms, worker_lease_ms);
+    order_task(c, 0);
+    return c;
+}
+
+/* ... and given to the worker. */
+static inline Case *case_given(int64_t lease_ms, int64_t worker_lease_ms)
+{
+    Case *c = case_ordered(lease_ms, worker_lease_ms);
+    assert_int_equal(say_nothing(c)->orders.starts_count, 1);
+    return c;
+}
+
+#endif
