--- a/src/daemon.c
+++ b/src/daemon.c
@@ -1,27 +1,21 @@
-/* controller, entry point, agent and check: thin over the library. */
+/* controller, entry point, agent: run one role by its settings file and flags; check: checks these without running. */
 #include <inttypes.h>
 #include <popt.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "agent/agent.h"
-#include "controller/controller.h"
-#include "entry_point/entry_point.h"
 #include "loop/real.h"
 #include "options.h"
+#include "role.h"
 
-/* A process of one role. Invariant: one of controller, entry point, agent is set once it runs. */
+/* The process. Invariant: one of node's controller, entry point and agent is set once it runs. */
 typedef struct Daemon {
     void *mem;
     SettingsRole role;
     Settings settings;
-    Loop *loop;
-    Recorder *recorder;
-    Controller *controller;
-    EntryPoint *entry_point;
-    Agent *agent;
-    FILE *record; /* for proof: who plans under which term */
+    AdapterNode node;
+    FILE *record; /* for the fleet's checks: who plans under which term */
     int64_t recorded_ms;
     uint64_t recorded_term;
     int code;
@@ -32,7 +26,7 @@
 static void on_plans(void *arg, const char *name, uint64_t term)
 {
     Daemon *daemon = arg;
-    const int64_t now_ms = loop_now_ms(daemon->loop);
+    const int64_t now_ms = loop_now_ms(daemon->node.loop);
     if (term == daemon->recorded_term && now_ms - daemon->recorded_ms < RECORD_GAP_MS)
         return;
     daemon->recorded_ms = now_ms;
@@ -41,35 +35,26 @@
     fflush(daemon->record);
 }
 
-static const char *const ROLES[] = {"core", "gate", "agent"};
-
 static void start_main(void *arg)
 {
     Daemon *daemon = arg;
     Failure failure = {0};
-    Status status;
     const char *http = "";
     const ControllerWatch watch = {daemon, on_plans};
-    if (daemon->role == SETTINGS_CONTROLLER)
-        status = controller_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings,
-                                  daemon->record != NULL ? &watch : NULL, &daemon->controller, &failure);
-    else if (daemon->role == SETTINGS_ENTRY_POINT)
-        status = entry_point_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->entry_point,
-                                   &failure);
-    else
-        status = agent_start(daemon->mem, daemon->loop, daemon->recorder, &daemon->settings, &daemon->agent, &failure);
+    const Status status = role_start(daemon->mem, &daemon->node, daemon->role, &daemon->settings,
+                                     daemon->record != NULL ? &watch : NULL, &failure);
     if (status != STATUS_OK) {
         fprintf(stderr, "spancart %s: %s: %s\n", ROLES[daemon->role], status_word(status), failure.text);
         daemon->code = status == STATUS_BAD_SETTINGS ? EXIT_WRONG : EXIT_FAILED;
-        loop_stop(daemon->loop);
+        loop_stop(daemon->node.loop);
         return;
     }
-    if (daemon->controller != NULL)
-        http = controller_http_address(daemon->controller);
-    else if (daemon->entry_point != NULL)
-        http = entry_point_http_address(daemon->entry_point);
+    if (daemon->node.controller != NULL)
+        http = controller_http_address(daemon->node.controller);
+    else if (daemon->node.entry_point != NULL)
+        http = entry_point_http_address(daemon->node.entry_point);
     else
-        http = agent_http_address(daemon->agent);
+        http = agent_http_address(daemon->node.agent);
     printf("spancart %s %s serves on %s\n", ROLES[daemon->role], daemon->settings.name, http);
     fflush(stdout);
 }
@@ -77,20 +62,13 @@
 static void user_main(void *arg)
 {
     const Daemon *daemon = arg;
-    recorder_dump(daemon->recorder, stderr);
-    fflush(stderr);
+    role_dump(&daemon->node);
 }
 
 static void term_main(void *arg)
 {
-    Daemon *daemon = arg;
-    if (daemon->controller != NULL)
-        controller_drain(daemon->controller);
-    if (daemon->entry_point != NULL)
-        entry_point_drain(daemon->entry_point);
-    if (daemon->agent != NULL)
-        agent_drain(daemon->agent);
-    loop_stop(daemon->loop);
+    const Daemon *daemon = arg;
+    role_end(&daemon->node);
 }
 
 /* Reads --settings FILE and flags over it; EXIT_GOOD, or what to return. */
@@ -143,14 +121,14 @@
     if (code == EXIT_GOOD && record != NULL && (daemon->record = fopen(record, "a")) == NULL)
         code = wrong(ROLES[role], "--record: %s can't be opened", record);
     if (code == EXIT_GOOD) {
-        daemon->loop = real_loop_new(mem);
-        daemon->recorder = recorder_new(mem, daemon->settings.name);
-        recorder_set_level(daemon->recorder, daemon->settings.log);
-        loop_spawn(daemon->loop, "start", start_main, daemon);
-        real_loop_on_user(daemon->loop, user_main, daemon);
-        real_loop_run(daemon->loop, term_main, daemon);
+        daemon->node.loop = real_loop_new(mem);
+        daemon->node.recorder = recorder_new(mem, daemon->settings.name);
+        recorder_set_level(daemon->node.recorder, daemon->settings.log);
+        loop_spawn(daemon->node.loop, "start", start_main, daemon);
+        real_loop_on_user(daemon->node.loop, user_main, daemon);
+        real_loop_run(daemon->node.loop, term_main, daemon);
         code = daemon->code;
-        /* the process ends here: its memory is the kernel's to take back */
+        /* the process ends here: the kernel frees its memory */
         return code;
     }
     talloc_free(mem);
--- a/src/main.c
+++ b/src/main.c
@@ -1,4 +1,4 @@
-#include <stdarg.h>
+/* The command line: finds the command and runs it. */
 #include <stdio.h>
 #include <string.h>
 
@@ -20,17 +20,6 @@
     {"caller", "a stand-in for callers, for proof", run_caller},
 };
 
-int wrong(const char *command, const char *format, ...)
-{
-    va_list args;
-    va_start(args, format);
-    fprintf(stderr, "spancart %s: ", command);
-    vfprintf(stderr, format, args);
-    fputc('\n', stderr);
-    va_end(args);
-    return EXIT_WRONG;
-}
-
 static void usage(FILE *to)
 {
     fprintf(to, "usage: spancart COMMAND [flags]\n\n");
--- a/src/node.c
+++ b/src/node.c
@@ -1,30 +1,28 @@
-/* node: a process of whichever role the platform's settings give it, behind an adapter. */
+/* node: runs the role that the platform's settings give, behind that platform's protocol adapter. */
 #include <popt.h>
 #include <stdio.h>
 #include <string.h>
 #include <sys/stat.h>
 #include <talloc.h>
 
-#include "adapter/adapter.h"
 #include "loop/real.h"
 #include "options.h"
+#include "role.h"
 
 #define SETTINGS_LOOK_MS 1000 /* ms; the file may change without a signal */
 
-/* Invariant: what place.settings points to is never freed, for others hold pointers into it. */
+/* The process. Invariant: what place.settings points to is never freed, since other parts keep pointers into it. */
 typedef struct NodeRun {
     void *mem;
     const Adapter *adapter;
     const char *path;
-    struct stat seen; /* of the file as it was read last */
+    struct stat seen; /* of the file when it was last read */
     AdapterPlace place;
     AdapterNode node;
     int code;
 } NodeRun;
 
-static const char *const ROLES[] = {"core", "gate", "agent"};
-
-/* Seeds and bounds take effect; what else has changed does at the next start. */
+/* Reads the settings again. Seeds and bounds take effect at once; other changes do at the next start. */
 static void settings_again(NodeRun *run)
 {
     Failure failure = {0};
@@ -49,7 +47,7 @@
     talloc_free(mem);
 }
 
-/* Whether the file is another than the one read last. */
+/* Whether the file has changed since this was last called. */
 static bool settings_changed(NodeRun *run)
 {
     struct stat now;
@@ -85,13 +83,7 @@
     AdapterNode *node = &run->node;
     const Settings *settings = &run->place.settings;
     Failure failure = {0};
-    Status status;
-    if (run->place.role == SETTINGS_CONTROLLER)
-        status = controller_start(run->mem, node->loop, node->recorder, settings, NULL, &node->controller, &failure);
-    else if (run->place.role == SETTINGS_ENTRY_POINT)
-        status = entry_point_start(run->mem, node->loop, node->recorder, settings, &node->entry_point, &failure);
-    else
-        status = agent_start(run->mem, node->loop, node->recorder, settings, &node->agent, &failure);
+    Status status = role_start(run->mem, node, run->place.role, settings, NULL, &failure);
     if (status == STATUS_OK)
         status = run->adapter->start(run->mem, node, &failure);
     if (status != STATUS_OK) {
@@ -109,20 +101,13 @@
 static void user_main(void *arg)
 {
     const NodeRun *run = arg;
-    recorder_dump(run->node.recorder, stderr);
-    fflush(stderr);
+    role_dump(&run->node);
 }
 
 static void term_main(void *arg)
 {
-    NodeRun *run = arg;
-    if (run->node.controller != NULL)
-        controller_drain(run->node.controller);
-    if (run->node.entry_point != NULL)
-        entry_point_drain(run->node.entry_point);
-    if (run->node.agent != NULL)
-        agent_drain(run->node.agent);
-    loop_stop(run->node.loop);
+    const NodeRun *run = arg;
+    role_end(&run->node);
 }
 
 static int adapter_wrong(const char *name)
@@ -177,7 +162,7 @@
         real_loop_on_user(run->node.loop, user_main, run);
         real_loop_on_hup(run->node.loop, hup_main, run);
         real_loop_run(run->node.loop, term_main, run);
-        /* the process ends here: its memory is the kernel's to take back */
+        /* the process ends here: the kernel frees its memory */
         return run->code;
     }
     poptFreeContext(context);
