--- /dev/null
+++ b/packages/model/src/callercheck.c
@@ -0,0 +1,88 @@
+/* What must hold of all callers' jobs: none stands still while there is capacity for it, and in the end each is
+ * answered for. */
+#include "caller.h"
+
+#include <string.h>
+
+#define IDLE_MS 3000 /* ms; a job stands still for so long */
+
+/* How many of the task's step could stand in twice their room, over all workers that take any. */
+static uint64_t places_for(const WorkerModels *worker_models, const DraftStep *step)
+{
+    uint64_t places = 0;
+    for (size_t i = 0; i < worker_models->count; i++) {
+        const WorkerModel *worker_model = &worker_models->list[i];
+        const ZoneOrder *zone = ledger_zone(worker_models->ledger, worker_model->zone);
+        if (!worker_model->up || worker_model->leaving || zone->drained_ms != 0 ||
+            (step->needs != NULL && strcmp(step->needs, worker_model->label) != 0))
+            continue;
+        const Room used = worker_model_used(worker_model);
+        if (used.cpu_milli > worker_model->room.cpu_milli || used.mem_mb > worker_model->room.mem_mb)
+            continue;
+        const uint64_t cpu = (worker_model->room.cpu_milli - used.cpu_milli) / (step->room.cpu_milli * 2);
+        const uint64_t mem = (worker_model->room.mem_mb - used.mem_mb) / (step->room.mem_mb * 2);
+        const uint64_t here = cpu < mem ? cpu : mem;
+        places += step->apart != 0 && here > step->apart ? step->apart : here;
+    }
+    return places;
+}
+
+static bool may_run(const WorkerModels *worker_models, const BookJob *job)
+{
+    const int64_t wall_ms = sim_wall_ms(worker_models->topology->world);
+    for (size_t i = 0; i < job->task_count; i++)
+        if (job->tasks[i].live != NULL || book_spent(job, job->tasks[i].fate))
+            return false;
+    for (size_t i = 0; i < job->task_count; i++) {
+        const BookTask *task = &job->tasks[i];
+        const DraftStep *step = book_step(task);
+        if (!task->fate->done && wall_ms >= book_due_wall_ms(job, task->name.turn) &&
+            book_ready(job, task->name.turn, task->name.step))
+            return places_for(worker_models, step) >= (step->gang ? step->count : 1);
+    }
+    return false;
+}
+
+void callers_idle(Callers *callers, const WorkerModels *worker_models)
+{
+    Topology *topology = callers->topology;
+    Room used = {0}, all = {0};
+    for (size_t i = 0; i < worker_models->count; i++) {
+        const WorkerModel *worker_model = &worker_models->list[i];
+        if (!worker_model->up)
+            continue;
+        const Room one = worker_model_used(worker_model);
+        used = (Room){used.cpu_milli + one.cpu_milli, used.mem_mb + one.mem_mb, 0};
+        all = (Room){all.cpu_milli + worker_model->room.cpu_milli, all.mem_mb + worker_model->room.mem_mb, 0};
+    }
+    const bool room = used.cpu_milli * 2 < all.cpu_milli && used.mem_mb * 2 < all.mem_mb;
+    for (size_t i = 0; i < callers->book->count; i++) {
+        BookJob *job = callers->book->jobs[i];
+        const bool idle = room && job->accepted_ms != 0 && job->cancel_sent_ms == 0 && job->shown_ms == 0 &&
+                          may_run(worker_models, job);
+        if (!idle)
+            job->idle_ms = 0;
+        else if (job->idle_ms == 0)
+            job->idle_ms = topology_now_ms(topology);
+        else if (job->idle_ms > 0 && topology_now_ms(topology) - job->idle_ms >= IDLE_MS) {
+            rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology), "%s stands still though there is room",
+                        job->draft.id);
+            job->idle_ms = -1; /* once */
+        }
+    }
+}
+
+void callers_end(Callers *callers)
+{
+    Topology *topology = callers->topology;
+    for (size_t i = 0; i < callers->book->count; i++) {
+        const BookJob *job = callers->book->jobs[i];
+        if (job->accepted_ms != 0 && job->accepted_ms <= callers->finish_ms && job->asked_ms == 0 && job->shown_ms == 0)
+            rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology), "nobody tells of %s, accepted by %s",
+                        job->draft.id, job->accepted_by->name);
+    }
+    if (callers->sent_after > 10 && callers->served_before * 4 >= callers->sent_before &&
+        callers->served_after * 4 < callers->sent_after)
+        rules_broke(topology->rules, RULE_RECOVER, topology_day_ms(topology),
+                    "%zu of %zu are served after the closing fault", callers->served_after, callers->sent_after);
+}
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -1,4 +1,4 @@
-/* How long work takes. */
+/* How long work takes, and how much of a worker it uses. */
 #include "worker_model.h"
 
 #include <string.h>
@@ -6,6 +6,16 @@
 
 #define ENDLESS_US (INT64_C(1) << 60)
 
+Room worker_model_used(const WorkerModel *worker_model)
+{
+    Room used = {0};
+    for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
+        const Room room = book_step(run->task)->room;
+        used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
+    }
+    return used;
+}
+
 void crew_advance(Crew *crew)
 {
     const int64_t now_ms = topology_now_ms(crew->worker_models->topology);
--- a/packages/model/src/fault.c
+++ b/packages/model/src/fault.c
@@ -1,137 +1,9 @@
+/* Faults: what each kind does when it begins and when it ends. */
 #include "fault.h"
 
-#include <inttypes.h>
-#include <stdio.h>
 #include <string.h>
-#include <talloc.h>
 
-const char *fault_name(FaultKind kind)
-{
-    static const char *const NAMES[] = {
-#define X(name, outside, controller, planned, meaning) outside,
-        FAULT_LIST(X)
-#undef X
-    };
-    return NAMES[kind];
-}
-
-const char *fault_meaning(FaultKind kind)
-{
-    static const char *const MEANINGS[] = {
-#define X(name, outside, controller, planned, meaning) meaning,
-        FAULT_LIST(X)
-#undef X
-    };
-    return MEANINGS[kind];
-}
-
-FaultKind fault_of(const char *name)
-{
-    int kind = 0;
-    while (kind < FAULT_COUNT && strcmp(fault_name((FaultKind)kind), name) != 0)
-        kind++;
-    return (FaultKind)kind;
-}
-
-bool fault_controller(FaultKind kind)
-{
-    static const bool CONTROLLER[] = {
-#define X(name, outside, controller, planned, meaning) controller,
-        FAULT_LIST(X)
-#undef X
-    };
-    return CONTROLLER[kind];
-}
-
-/* --- whom it strikes -------------------------------------------------------------------------- */
-
-/* The machine that the script names; null: none. */
-static TopologyNode *node_named(const Fault *fault)
-{
-    Topology *topology = fault->day->topology;
-    if (strcmp(fault->whom, "leader") == 0)
-        return topology_leader(topology);
-    for (size_t i = 0; i < topology->edge_count; i++)
-        if (strcmp(topology->edges[i].name, fault->whom) == 0)
-            return &topology->edges[i];
-    return NULL;
-}
-
-/* Half of the time the one that leads. */
-static TopologyNode *controller_draw(Fault *fault)
-{
-    Topology *topology = fault->day->topology;
-    TopologyNode *leader = topology_leader(topology);
-    if (fault->whom[0] != '\0')
-        return node_named(fault);
-    if (leader != NULL && random_source_percent(&fault->random_source, 50))
-        return leader;
-    TopologyNode *controllers[EDGES_MAX];
-    int64_t count = 0;
-    for (size_t i = 0; i < topology->edge_count; i++)
-        if (topology->edges[i].disk && topology->edges[i].up && !topology->edges[i].gone)
-            controllers[count++] = &topology->edges[i];
-    return count > 0 ? controllers[random_source_span(&fault->random_source, 0, count - 1)] : NULL;
-}
-
-static TopologyNode *entry_point_draw(Fault *fault)
-{
-    Topology *topology = fault->day->topology;
-    TopologyNode *entry_points[EDGES_MAX];
-    int64_t count = 0;
-    if (fault->whom[0] != '\0')
-        return node_named(fault);
-    for (size_t i = 0; i < topology->edge_count; i++)
-        if (!topology->edges[i].disk && topology->edges[i].up)
-            entry_points[count++] = &topology->edges[i];
-    return count > 0 ? entry_points[random_source_span(&fault->random_source, 0, count - 1)] : NULL;
-}
-
-static void node_take(Fault *fault, TopologyNode *node)
-{
-    if (node != NULL && fault->count < SIDES_MAX)
-        fault->nodes[fault->count++] = node;
-}
-
-static const char *zone_draw(Fault *fault)
-{
-    const int64_t zones = fault->day->topology->site->zones;
-    for (int64_t i = 0; i < zones; i++)
-        if (strcmp(site_zone(i), fault->whom) == 0)
-            return site_zone(i);
-    return site_zone(random_source_span(&fault->random_source, 0, zones - 1));
-}
-
-/* Up to a fifth of the workers, with their machines. */
-static void worker_models_draw(Fault *fault)
-{
-    WorkerModels *worker_models = fault->day->worker_models;
-    for (size_t i = 0; i < worker_models->count && fault->whom[0] != '\0'; i++)
-        if (strcmp(worker_models->list[i].side->name, fault->whom) == 0) {
-            fault->struck[fault->count] = &worker_models->list[i];
-            fault->nodes[fault->count++] = worker_models->list[i].side;
-        }
-    if (fault->whom[0] != '\0')
-        return;
-    const int64_t most = (int64_t)worker_models->count / 5 > 1 ? (int64_t)worker_models->count / 5 : 1;
-    const int64_t wanted = random_source_span(&fault->random_source, 1, most);
-    size_t up = 0;
-    for (size_t i = 0; i < worker_models->count; i++)
-        up += worker_models->list[i].up && !worker_models->list[i].leaving;
-    for (int tries = 0; fault->count < (size_t)wanted && tries < 40 && up * 10 > worker_models->count * 6; tries++) {
-        WorkerModel *worker_model =
-            &worker_models->list[random_source_span(&fault->random_source, 0, (int64_t)worker_models->count - 1)];
-        bool known = !worker_model->up || worker_model->leaving;
-        for (size_t i = 0; i < fault->count; i++)
-            known |= fault->struck[i] == worker_model;
-        if (known)
-            continue;
-        fault->struck[fault->count] = worker_model;
-        fault->nodes[fault->count++] = worker_model->side;
-    }
-}
-
-/* --- what it does ------------------------------------------------------------------------------- */
+#include "troubledraw.h"
 
 static void again(void *arg)
 {
@@ -179,7 +51,7 @@
     TopologyNode *node = taker->disk ? taker : topology_leader(topology);
     if (node == NULL || !node->up)
         return;
-    node_take(fault, node);
+    fault_take(fault, node);
     topology_say(topology, "%s has acknowledged through %s and loses %s", taker->name, node->name,
                  fault->kind == FAULT_ACK_WIPE ? "its disk" : "power");
     node_kill(node, true);
@@ -190,11 +62,11 @@
 static void zone_off(Fault *fault)
 {
     Day *day = fault->day;
-    fault->zone = zone_draw(fault);
+    fault->zone = fault_draw_zone(fault);
     for (size_t i = 0; i < day->topology->edge_count; i++) {
         TopologyNode *node = &day->topology->edges[i];
         if (node->up && strcmp(node->zone, fault->zone) == 0) {
-            node_take(fault, node);
+            fault_take(fault, node);
             node_kill(node, true);
         }
     }
@@ -203,7 +75,7 @@
         if (strcmp(worker_model->zone, fault->zone) != 0 || !worker_model->up || fault->count == SIDES_MAX)
             continue;
         fault->struck[fault->count] = worker_model;
-        node_take(fault, worker_model->side);
+        fault_take(fault, worker_model->side);
         worker_model_crash(worker_model, true);
         node_kill(worker_model->side, true);
     }
@@ -232,7 +104,7 @@
 static void strike_worker_models(Fault *fault)
 {
     Topology *topology = fault->day->topology;
-    worker_models_draw(fault);
+    fault_draw_workers(fault);
     for (size_t i = 0; i < fault->count; i++) {
         WorkerModel *worker_model = fault->struck[i];
         topology->any_faults++;
@@ -283,7 +155,7 @@
 static void strike_node(Fault *fault, TopologyNode *node)
 {
     Topology *topology = fault->day->topology;
-    node_take(fault, node);
+    fault_take(fault, node);
     if (node == NULL)
         return;
     topology_say(topology, "%s %s%s", fault_name(fault->kind), node->name,
@@ -356,7 +228,7 @@
         operator_big(day->operator);
         break;
     case FAULT_ZONE_DRAIN:
-        fault->zone = zone_draw(fault);
+        fault->zone = fault_draw_zone(fault);
         operator_zone(day->operator, fault->zone, true);
         break;
     default:
@@ -375,12 +247,12 @@
     case FAULT_DISK_SLOW:
     case FAULT_CONTROLLER_WIPE:
     case FAULT_CONTROLLER_REPLACE:
-        strike_node(fault, controller_draw(fault));
+        strike_node(fault, fault_draw_controller(fault));
         break;
     case FAULT_ENTRY_POINT_KILL:
     case FAULT_ENTRY_POINT_FREEZE:
     case FAULT_ENTRY_POINT_CUT:
-        strike_node(fault, entry_point_draw(fault));
+        strike_node(fault, fault_draw_entry_point(fault));
         break;
     case FAULT_ACK_POWER:
     case FAULT_ACK_WIPE:
--- /dev/null
+++ b/packages/model/src/groundhealth.c
@@ -0,0 +1,94 @@
+/* Links between machines, and the health of machines as the rules reckon it. */
+#include "topology.h"
+
+void node_fault(TopologyNode *node, int change)
+{
+    Topology *topology = node->topology;
+    const int64_t now_ms = topology_now_ms(topology);
+    node->faults += change;
+    node->fault_ms = node->faults > 0 ? INT64_MAX : now_ms;
+    topology->any_faults += change;
+    topology->any_ms = topology->any_faults > 0 ? INT64_MAX : now_ms;
+    if (!node->disk)
+        return;
+    topology->controller_faults += change;
+    topology->controller_ms = topology->controller_faults > 0 ? INT64_MAX : now_ms;
+}
+
+void topology_cut(TopologyNode *a, TopologyNode *b, bool cut)
+{
+    SimWorld *world = a->topology->world;
+    if (a == b || sim_is_cut(world, a->machine, b->machine) == cut)
+        return;
+    sim_cut(world, a->machine, b->machine, cut);
+    sim_cut(world, b->machine, a->machine, cut);
+    node_fault(a, cut ? 1 : -1);
+    node_fault(b, cut ? 1 : -1);
+}
+
+void node_cut(TopologyNode *node, bool cut)
+{
+    Topology *topology = node->topology;
+    /* a machine beside a worker speaks to the edge alone: the others are in no trouble by it */
+    for (size_t i = 0; i < topology->edge_count + topology->side_count; i++) {
+        TopologyNode *other =
+            i < topology->edge_count ? &topology->edges[i] : &topology->sides[i - topology->edge_count];
+        if (other == node)
+            continue;
+        sim_cut(topology->world, node->machine, other->machine, cut);
+        sim_cut(topology->world, other->machine, node->machine, cut);
+    }
+    node_fault(node, cut ? 1 : -1);
+}
+
+static void thawed(void *arg)
+{
+    node_fault(arg, -1);
+}
+
+void node_freeze(TopologyNode *node, int64_t for_ms)
+{
+    Topology *topology = node->topology;
+    sim_freeze(topology->world, node->machine, topology_now_ms(topology) + for_ms);
+    node_fault(node, 1);
+    sim_at(topology->world, topology_now_ms(topology) + for_ms, thawed, node);
+}
+
+static bool since(int64_t fault_ms, int64_t now_ms, int64_t span_ms)
+{
+    return fault_ms != INT64_MAX && now_ms - fault_ms >= span_ms;
+}
+
+bool topology_settled(const Topology *topology)
+{
+    int64_t running = 0, all = 0;
+    for (size_t i = 0; i < topology->edge_count; i++) {
+        const TopologyNode *node = &topology->edges[i];
+        all += node->disk && node->used && !node->gone;
+        running += node->disk && node->up && !node->gone;
+    }
+    return running * 2 > all && since(topology->controller_ms, topology_now_ms(topology), topology->site->contact_ms);
+}
+
+bool node_in_touch(const TopologyNode *node)
+{
+    const Topology *topology = node->topology;
+    return node->up && !node->leaving && since(node->fault_ms, topology_now_ms(topology), topology->site->contact_ms) &&
+           topology_settled(topology);
+}
+
+bool topology_calm(const Topology *topology)
+{
+    return since(topology->any_ms, topology_now_ms(topology), topology->site->contact_ms);
+}
+
+TopologyNode *topology_leader(Topology *topology)
+{
+    for (size_t i = 0; i < topology->edge_count; i++) {
+        TopologyNode *node = &topology->edges[i];
+        if (node->up && node->node.controller != NULL && !sim_frozen(topology->world, node->machine) &&
+            replication_leading(controller_view(node->node.controller)))
+            return node;
+    }
+    return NULL;
+}
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -1,6 +1,8 @@
 #ifndef MODEL_SRC_TOPOLOGY_H
 #define MODEL_SRC_TOPOLOGY_H
 
+/* The machines that the product runs on in a modelled deployment. */
+
 #include "adapter/adapter.h"
 #include "model/random_source.h"
 #include "model/rules.h"
@@ -54,36 +56,48 @@
     const char *job; /* what happens to it is told */
 } Topology;
 
+/* --- ground.c --- */
+/* All machines and their checker, on mem; nothing runs yet. */
 Topology *topology_new(void *mem, const Site *site, const Codec *codec, uint64_t seed, Rules *rules);
-/* Starts all machines but the spares. */
+/* Starts all machines but the spares; traffic begins after the site's lead_ms. */
 void topology_start(Topology *topology);
+/* Prints the flight recorders of all machines, when the day is loud. */
+void topology_dump(const Topology *topology);
+
+/* --- groundsay.c --- */
 int64_t topology_now_ms(const Topology *topology);
-/* Since traffic began. */
+/* Since traffic began; negative before. */
 int64_t topology_day_ms(const Topology *topology);
+/* Prints a line with its time, when the day is loud. */
 void topology_say(const Topology *topology, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/* What happens to a task, when its job is the one that is looked at. */
+/* Prints what happens to a task, when its job is the one to follow. */
 void topology_tell(const Topology *topology, const TaskName *name, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* The log rings of all machines, when it is loud. */
-void topology_dump(const Topology *topology);
-
+/* --- groundnode.c: a machine's process --- */
+/* No effect while one runs. */
 void node_start(TopologyNode *node);
+/* power: the machine loses power, so that what its disk has not synced is lost. */
 void node_kill(TopologyNode *node, bool power);
-/* A polite stop, by force after grace; then it is started again. */
+/* A graceful shutdown, by force after the site's grace_ms; then it is started again. */
 void node_roll(TopologyNode *node);
+
+/* --- groundhealth.c --- */
+/* Cuts a machine off from all others, or joins it to them again. */
 void node_cut(TopologyNode *node, bool cut);
+/* Cuts or joins the link between two machines. */
+void topology_cut(TopologyNode *a, TopologyNode *b, bool cut);
+/* Its process stands still for this long. */
 void node_freeze(TopologyNode *node, int64_t for_ms);
-/* A trouble that lasts begins or ends; or one happens. */
+/* A fault of the machine that lasts begins (1) or ends (-1), or one happens (0). */
 void node_fault(TopologyNode *node, int change);
-/* The ways between two machines of the system. */
-void topology_cut(TopologyNode *a, TopologyNode *b, bool cut);
-
-/* Health, as the rules reckon it. */
+/* Most controllers run, and no controller has had a fault for contact_ms. */
 bool topology_settled(const Topology *topology);
+/* The same of this machine, and topology_settled. */
 bool node_in_touch(const TopologyNode *node);
 /* Nothing but planned work has happened anywhere for contact_ms. */
 bool topology_calm(const Topology *topology);
+/* The controller that leads; null: none that runs. */
 TopologyNode *topology_leader(Topology *topology);
 
 #endif
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -12,16 +12,6 @@
 #define LEAVE_ANYWAY_MS 4000   /* ms; it leaves so long after it had to, though nobody took note */
 #define ENDS_AT_ONCE 500       /* count; in one heartbeat */
 
-Room worker_model_used(const WorkerModel *worker_model)
-{
-    Room used = {0};
-    for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        const Room room = book_step(run->task)->room;
-        used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
-    }
-    return used;
-}
-
 void worker_model_pace(WorkerModel *worker_model)
 {
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -85,7 +85,6 @@
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms);
 void worker_model_slow(WorkerModel *worker_model, int64_t times);
 void worker_model_hang(WorkerModel *worker_model, bool hangs);
-Room worker_model_used(const WorkerModel *worker_model);
 /* Crews of its runs look anew at how fast they are. */
 void worker_model_pace(WorkerModel *worker_model);
 
@@ -101,7 +100,9 @@
 /* An answer to a heartbeat that was sent then, by the worker's clock. */
 void worker_model_orders_take(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms);
 
-/* --- crews -------------------------------------------------------------------------------- */
+/* --- crews and what they use -------------------------------------------------------------------------------- */
+/* The part of a worker's capacity that its runs use. */
+Room worker_model_used(const WorkerModel *worker_model);
 /* The run takes its place in the crew of its attempt. */
 void crew_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
 void crew_leave(WorkerModelRun *run);
