--- a/packages/sim/src/check_claim.c
+++ b/packages/sim/src/check_claim.c
@@ -1,5 +1,5 @@
-/* Claims of lost workers, reckoned from outside: from when the worker last sent a
- * question that was answered, and what it was answered with. */
+/* Claims of lost workers: until when a worker may run its attempts, computed from when it last sent a report that was
+ * answered, and the lease that it was answered with. */
 #include "checker.h"
 
 #include <inttypes.h>
@@ -31,7 +31,7 @@
             claim->until_ms = worker->claim_until_ms > 0 ? worker->claim_until_ms : 1;
 }
 
-/* A new boot of the worker has been heard: it runs nothing of the old one. */
+/* A new boot of the worker has reported: nothing of the old one runs. */
 static void claims_drop(SeenTask *task, const SeenWorker *worker)
 {
     for (SeenClaim **at = &task->claims; *at != NULL;) {
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -1,6 +1,10 @@
 #ifndef SIM_SRC_CHECKER_H
 #define SIM_SRC_CHECKER_H
 
+/* What a checker keeps, and the functions that its files share: checker.c and checkseen.c below, checkclaim.c and
+ * checkconfig.c on them, above all checkstart.c (starts), checkrun.c (other events at workers), checkjob.c (callers),
+ * checkserve.c (service after faults) and checklook.c (what takes time to go wrong). */
+
 #include "base/map.h"
 #include "plan/plan.h"
 #include "sim/checker.h"
@@ -105,29 +109,37 @@
     char *first;
 };
 
+/* --- checker.c --- */
 int64_t checker_now(const Checker *checker);
+/* Counts a break of the property; the text of the first one is kept. */
 void checker_broke(Checker *checker, Invariant invariant, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
+/* For how long something has been owed: since it was asked for, or since SERVE_LATE_MS after the last fault, whichever
+ * is later. */
+int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms);
+
+/* --- checkseen.c: records are made when they are first asked for --- */
 SeenJob *seen_job(Checker *checker, const char *id);
 SeenTask *seen_task(SeenJob *job, uint64_t task);
+SeenWorker *seen_worker(Checker *checker, const char *name);
 /* Whether the task of that index finished well; of a gang one member's end stands for all. */
 bool seen_done(const Job *known, SeenJob *job, size_t at);
 /* ... and its worker was told that this is known. */
 bool seen_done_known(const Job *known, SeenJob *job, size_t at);
-SeenWorker *seen_worker(Checker *checker, const char *name);
-SeenTenant *seen_tenant(Checker *checker, const char *name);
-/* The worker's round of the task runs no more. */
+/* The worker's attempt of the task runs no more; false: it did not. */
 bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t attempt);
-/* A start beside claims of other workers; the new claim. */
+
+/* --- checkclaim.c --- */
+/* A start beside claims of other workers; makes the new claim. */
 void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
                  uint64_t attempt, bool copies);
 /* The worker's process is gone: a later one of its name has claims of its own. */
 void claim_gone(Checker *checker, SeenWorker *worker);
 void claim_end(SeenTask *task, const char *worker, uint64_t attempt);
+
+/* --- checkconfig.c --- */
+SeenTenant *seen_tenant(Checker *checker, const char *name);
 /* A start of so much by the job's tenant. */
 void quota_start(Checker *checker, const Job *job, Room room);
-/* A span from the later of when something was asked and when the last failure
- * had its 12 s: how long the system has been in debt of it. */
-int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms);
 
 #endif
--- /dev/null
+++ b/packages/sim/src/checkrun.c
@@ -0,0 +1,114 @@
+/* What workers do besides starting: attempts that end, processes that end or wake, workers and zones that drain. */
+#include "checker.h"
+
+#include <inttypes.h>
+#include <talloc.h>
+
+void checker_worker(Checker *checker, const Worker *worker)
+{
+    SeenWorker *seen = seen_worker(checker, worker->name);
+    const char *name = seen->worker.name;
+    shape_copy(&Worker_shape, worker, seen, &seen->worker);
+    seen->worker.name = name; /* runs and claims point at it */
+}
+
+size_t checker_starts_on(Checker *checker, const char *worker)
+{
+    return seen_worker(checker, worker)->starts;
+}
+
+int64_t checker_started_since(Checker *checker, const char *worker)
+{
+    return checker_now(checker) - seen_worker(checker, worker)->started_ms;
+}
+
+void checker_ended(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
+                   AttemptWord word)
+{
+    SeenTask *seen = seen_task(seen_job(checker, id), task);
+    seen_run_take(seen_worker(checker, worker), seen, attempt);
+    claim_end(seen, seen_worker(checker, worker)->worker.name, attempt);
+    if (word == ATTEMPT_DONE)
+        seen->done = true;
+}
+
+void checker_known(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
+                   AttemptWord word)
+{
+    (void)worker;
+    (void)attempt;
+    if (word == ATTEMPT_DONE)
+        seen_task(seen_job(checker, id), task)->done_known = true;
+}
+
+typedef void (*RunFn)(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run);
+
+static void each_run(Checker *checker, const char *worker, RunFn fn)
+{
+    void *mem = talloc_new(NULL);
+    const char **ids;
+    const size_t count = map_keys(checker->unsettled, mem, &ids);
+    const SeenWorker *on = seen_worker(checker, worker);
+    for (size_t i = 0; i < count; i++) {
+        SeenJob *job = map_get(checker->jobs, ids[i]);
+        const char **tasks;
+        const size_t task_count = map_keys(job->tasks, mem, &tasks);
+        for (size_t t = 0; t < task_count; t++) {
+            SeenTask *task = map_get(job->tasks, tasks[t]);
+            for (SeenRun *run = task->runs, *next; run != NULL; run = next) {
+                next = run->next;
+                if (run->worker == on->worker.name)
+                    fn(checker, job, task, run);
+            }
+        }
+    }
+    talloc_free(mem);
+}
+
+static void run_gone(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+{
+    (void)job;
+    seen_run_take(seen_worker(checker, run->worker), task, run->attempt);
+}
+
+void checker_worker_gone(Checker *checker, const char *worker)
+{
+    each_run(checker, worker, run_gone);
+    claim_gone(checker, seen_worker(checker, worker));
+}
+
+static void run_woke(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+{
+    (void)task;
+    if (run->beside_frozen)
+        checker_broke(checker, INVARIANT_TWICE, "%s runs on in round %" PRIu64 " on %s, which had stood still", job->id,
+                      run->attempt, run->worker);
+}
+
+void checker_worker_woke(Checker *checker, const char *worker)
+{
+    each_run(checker, worker, run_woke);
+}
+
+void checker_leaving(Checker *checker, const char *worker, bool leaving)
+{
+    seen_worker(checker, worker)->leaving_ms = leaving ? checker_now(checker) : 0;
+}
+
+void checker_zone(Checker *checker, const char *name, bool drained)
+{
+    SeenZone *zone = map_get(checker->zones, name);
+    if (zone == NULL) {
+        zone = talloc_zero(checker, SeenZone);
+        map_set(checker->zones, name, zone);
+    }
+    zone->drained_ms = drained ? checker_now(checker) : 0;
+}
+
+void checker_told(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt)
+{
+    const SeenWorker *on = seen_worker(checker, worker);
+    for (SeenRun *run = seen_task(seen_job(checker, id), task)->runs; run != NULL; run = run->next)
+        if (run->worker == on->worker.name && run->attempt == attempt && run->told_ms == 0)
+            run->told_ms = checker_now(checker);
+}
--- a/packages/sim/src/link.c
+++ b/packages/sim/src/link.c
@@ -1,5 +1,4 @@
-/* What a narrow link makes of a large frame: it takes its time, and what comes after
- * it waits. */
+/* Links of limited rate: a large frame takes its time, and frames after it wait. */
 #include "world.h"
 
 #define US_IN_MS 1000
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -1,7 +1,7 @@
+/* Sweeps: a run of failures that are drawn from a seed, and what must hold in it. */
 #include "sim/sweep.h"
 
 #include <inttypes.h>
-#include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
@@ -39,64 +39,6 @@
     return (SweepSite)site;
 }
 
-uint64_t sweep_draw(Sweep *sweep, uint64_t below)
-{
-    uint64_t z = (sweep->state += 0x9e3779b97f4a7c15u);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return (z ^ (z >> 31)) % below;
-}
-
-void sweep_say(Sweep *sweep, const char *format, ...)
-{
-    sweep->faults++;
-    checker_fault(sweep->fleet->checker);
-    if (!sweep->loud)
-        return;
-    va_list args;
-    va_start(args, format);
-    printf("  %6" PRId64 " ", sim_now_ms(sweep->fleet->world) - sweep->start_ms);
-    vprintf(format, args);
-    putchar('\n');
-    va_end(args);
-}
-
-FleetNode *sweep_node(Sweep *sweep, FleetRole role)
-{
-    return fleet_node(sweep->fleet, role, (int)sweep_draw(sweep, (uint64_t)sweep->fleet->node_count[role]));
-}
-
-FleetNode *sweep_any(Sweep *sweep)
-{
-    static const FleetRole ROLES[] = {FLEET_CONTROLLER,  FLEET_CONTROLLER, FLEET_CONTROLLER,
-                                      FLEET_ENTRY_POINT, FLEET_AGENT,      FLEET_WORKER};
-    FleetNode *node = sweep_node(sweep, ROLES[sweep_draw(sweep, 6)]);
-    if (sweep->liars && (node->role == FLEET_ENTRY_POINT || node->role == FLEET_AGENT))
-        node = sweep_node(sweep, FLEET_CONTROLLER);
-    return node;
-}
-
-void sweep_start_all(Sweep *sweep)
-{
-    Fleet *fleet = sweep->fleet;
-    for (int role = 0; role < FLEET_ROLES; role++)
-        for (int i = 0; i < fleet->node_count[role]; i++) {
-            if (role == FLEET_WORKER && !sim_alive(fleet->world, fleet->nodes[role][i].machine))
-                checker_leaving(fleet->checker, fleet->nodes[role][i].settings.name, false);
-            /* a spare comes only in another's place */
-            if (role != FLEET_CONTROLLER || i < fleet->shape.controllers || fleet->nodes[role][i].recorder != NULL)
-                fleet_start_node(fleet, (FleetRole)role, i);
-        }
-}
-
-void sweep_join_all(Sweep *sweep)
-{
-    for (int a = 0; a < SIM_NODES_MAX; a++)
-        for (int b = 0; b < SIM_NODES_MAX; b++)
-            if (a != b)
-                sim_cut(sweep->fleet->world, a, b, false);
-}
-
 static void heal(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
@@ -196,7 +138,7 @@
     }
 }
 
-/* What every entry point and controller that is up says of itself at the end of a broken run. */
+/* Prints what every entry point and controller that is up reports of itself at the end of a broken run. */
 static void tell_self(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
@@ -233,64 +175,96 @@
     }
 }
 
-void sweep_run(const SweepSettings *settings, SweepResult *result)
+/* The fleet of a run, by SweepSite. */
+static const int CONTROLLERS[] = {3, 3, 6, 8};
+static const FleetSite SITES[] = {
+    {.zones = 3, .losses = 1},
+    {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000, .stagger_ms = 500},
+    {.zones = 3,
+     .losses = 2,
+     .votes = true,
+     .disks_keep = true,
+     .voter_back_ms = 6000,
+     .stagger_ms = 500,
+     .entry_point_seeds = 1},
+    {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
+};
+
+static Sweep *sweep_new(void *mem, const SweepSettings *settings)
 {
-    void *mem = talloc_new(NULL);
-    Sweep *sweep = talloc_zero(mem, Sweep);
-    static const int CONTROLLERS[] = {3, 3, 6, 8};
-    static const FleetSite SITES[] = {
-        {.zones = 3, .losses = 1},
-        {.zones = 3, .losses = 1, .votes = true, .disks_keep = true, .voter_back_ms = 4000, .stagger_ms = 500},
-        {.zones = 3,
-         .losses = 2,
-         .votes = true,
-         .disks_keep = true,
-         .voter_back_ms = 6000,
-         .stagger_ms = 500,
-         .entry_point_seeds = 1},
-        {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
-    };
     const FleetSite *site = &SITES[settings->site];
-    Fleet *fleet = fleet_new_at(mem, settings->seed,
-                                (FleetShape){CONTROLLERS[settings->site], settings->mix == MIX_ATLAS ? 4 : 3, 11,
-                                             settings->mix, 2 * site->losses},
-                                site);
-    sweep->fleet = fleet;
+    const FleetShape shape = {CONTROLLERS[settings->site], settings->mix == MIX_ATLAS ? 4 : 3, 11, settings->mix,
+                              2 * site->losses};
+    Sweep *sweep = talloc_zero(mem, Sweep);
+    sweep->fleet = fleet_new_at(mem, settings->seed, shape, site);
     sweep->loud = settings->loud;
     sweep->jumped = -1;
     sweep->liars = settings->seed % DISKS_LIE_ONE_IN == 0 && !site->disks_keep;
+    return sweep;
+}
+
+/* Whether failures come in bursts with quiet between, rather than one after another. */
+static bool is_sparse(const SweepSettings *settings)
+{
+    return settings->seed % 2 == 0;
+}
+
+/* The fleet has its configuration: jobs and probes begin, and disks that lie do so from now on. */
+static void work_begin(Sweep *sweep, const SweepSettings *settings)
+{
+    Fleet *fleet = sweep->fleet;
+    const bool sparse = is_sparse(settings);
+    checker_config_set(fleet->checker, 1);
+    if (settings->mix == MIX_VARIED)
+        checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
+    sweep->start_ms = sim_now_ms(fleet->world);
+    for (int i = 0; i < fleet->shape.controllers && sweep->liars; i++)
+        sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, true);
+    fleet_call(fleet, "s", sparse ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
+    probes_start(fleet, sparse ? 400 : 900);
+    fleet_run(fleet, 1000);
+}
+
+/* All is healed: every entry point must serve within the quiet. */
+static void serve_again(Sweep *sweep, SweepResult *result)
+{
+    heal(sweep);
+    fleet_thaw(sweep->fleet);
+    fleet_run(sweep->fleet, QUIET_MS);
+    must_serve(sweep, result);
+}
+
+/* No more jobs come: every accepted one must end. */
+static void finish(Sweep *sweep, SweepResult *result)
+{
+    Fleet *fleet = sweep->fleet;
+    probes_stop(fleet);
+    for (int i = 0; i < fleet->caller_count; i++)
+        caller_stop(fleet->callers[i]);
+    const bool finished = broken(sweep) || fleet_finish(fleet, 180000);
+    if (finished && !broken(sweep))
+        return;
+    result->good = false;
+    snprintf(result->why, sizeof(result->why), "%s",
+             broken(sweep) ? checker_first(fleet->checker) : "jobs have not ended");
+}
+
+void sweep_run(const SweepSettings *settings, SweepResult *result)
+{
+    void *mem = talloc_new(NULL);
+    Sweep *sweep = sweep_new(mem, settings);
+    Fleet *fleet = sweep->fleet;
     *result = (SweepResult){.good = true};
     fleet_start(fleet);
     if (!fleet_settle(fleet, 30000) || !fleet_configure(fleet)) {
         snprintf(result->why, sizeof(result->why), "the fleet did not settle");
         result->good = false;
     } else {
-        checker_config_set(fleet->checker, 1);
-        if (settings->mix == MIX_VARIED)
-            checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
-        sweep->start_ms = sim_now_ms(fleet->world);
-        for (int i = 0; i < fleet->shape.controllers && sweep->liars; i++)
-            sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, true);
-        const bool sparse = settings->seed % 2 == 0;
-        fleet_call(fleet, "s", sparse ? 4000 : settings->mix == MIX_ATLAS ? 9000 : 10000, sparse ? 90000 : 50000);
-        probes_start(fleet, sparse ? 400 : 900);
-        fleet_run(fleet, 1000);
-        (sparse ? bursts : dense)(sweep, settings, result);
-        if (!broken(sweep)) {
-            heal(sweep);
-            fleet_thaw(fleet);
-            fleet_run(fleet, QUIET_MS);
-            must_serve(sweep, result);
-        }
-        probes_stop(fleet);
-        for (int i = 0; i < fleet->caller_count; i++)
-            caller_stop(fleet->callers[i]);
-        const bool finished = broken(sweep) || fleet_finish(fleet, 180000);
-        if (broken(sweep) || !finished) {
-            result->good = false;
-            snprintf(result->why, sizeof(result->why), "%s",
-                     broken(sweep) ? checker_first(fleet->checker) : "jobs have not ended");
-        }
+        work_begin(sweep, settings);
+        (is_sparse(settings) ? bursts : dense)(sweep, settings, result);
+        if (!broken(sweep))
+            serve_again(sweep, result);
+        finish(sweep, result);
     }
     result->starts = checker_starts(fleet->checker);
     result->faults = sweep->faults;
--- a/packages/sim/src/sweep_act.h
+++ b/packages/sim/src/sweep_act.h
@@ -1,6 +1,9 @@
 #ifndef SIM_SRC_SWEEP_ACT_H
 #define SIM_SRC_SWEEP_ACT_H
 
+/* A sweep that runs, and its kinds of failures: of nodes, disks, clocks and links in sweepnodes.c, of configurations,
+ * jobs and workers in sweepwork.c; what they share is in sweepact.c. */
+
 #include "sim/probe.h"
 #include "sim/sweep.h"
 
@@ -49,12 +52,17 @@
 
 typedef void (*SweepAct)(Sweep *sweep);
 
+/* A number below that, from the seed of the present step. */
 uint64_t sweep_draw(Sweep *sweep, uint64_t below);
+/* Tells the checker that a failure begins or ends now, and prints it when the sweep is loud. */
 void sweep_say(Sweep *sweep, const char *format, ...) __attribute__((format(printf, 2, 3)));
+/* Any node of the role. */
 FleetNode *sweep_node(Sweep *sweep, FleetRole role);
 /* A node that may be lost: any, or a controller where disks lie. */
 FleetNode *sweep_any(Sweep *sweep);
+/* Starts all that does not run, but for spares that no controller has made room for. */
 void sweep_start_all(Sweep *sweep);
+/* Ends all cuts. */
 void sweep_join_all(Sweep *sweep);
 
 #define X(name, outside, weight) void act_##name(Sweep *sweep);
--- a/packages/sim/src/world.h
+++ b/packages/sim/src/world.h
@@ -1,6 +1,9 @@
 #ifndef SIM_SRC_WORLD_H
 #define SIM_SRC_WORLD_H
 
+/* State and functions that the files of the simulated loop share. Layers: events.c (clock and queue of events);
+ * machine.c and link.c (machines and their network); net.c, http.c and disk.c (what a process does there); world.c. */
+
 #include "loop/inside.h"
 #include "sim/world.h"
 
@@ -91,13 +94,15 @@
     int64_t frame_late_ms;
 };
 
+/* The delay of one frame or connection, drawn. */
 int64_t sim_link_ms(SimWorld *world);
-/* When bytes that leave now have come from one machine to another. */
+/* When bytes that leave one machine now arrive at another; both links carry them from now on. */
 int64_t sim_arrival_ms(SimWorld *world, int from, int to, size_t bytes);
 /* The machine and port behind "10.0.0.N:port"; false when there is none. */
 bool sim_find(SimWorld *world, const char *address, int *machine, const char **port);
 /* Runs the machine's loop when that is next due. */
 void sim_arm(Loop *loop, int64_t when_ms);
+/* Gives a port of the process to a listener: the address's, or a free one for port 0; bound receives the address. */
 int sim_take_port(SimLoop *loop, const char *address, SimPort port, char *bound);
 
 Status sim_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
