--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -1,5 +1,5 @@
-/* The checkers checked: each never is broken on purpose and seen to be caught,
- * first by hand, then by fleets that break what the safety rests on. */
+/* The checkers tested: each safety property is broken on purpose and must be caught, first by events told by hand, then
+ * by fleets whose clocks break what the safety rests on. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -89,7 +89,10 @@
     assert_int_equal(checker_broken_all(checker), 0);
 }
 
-static void by_hand(void **state)
+/* --- events told by hand: each safety property broken, and what is near to it and does not break --- */
+
+/* Two leaders; forgetful disks, on which a lower term may follow. */
+static void leaders(void **state)
 {
     (void)state;
     Checker *c = begin();
@@ -105,7 +108,12 @@
     good(c), checker_plans(c, "a", 5), only(c, INVARIANT_TWO_LEADERS);
     c = begin(), checker_plans(c, "b", 7), checker_leader_gone(c, "a"), checker_plans(c, "c", 6),
     only(c, INVARIANT_TWO_LEADERS);
+}
 
+static void running_twice(void **state)
+{
+    (void)state;
+    Checker *c;
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), good(c);
     checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_TWICE);
 
@@ -116,7 +124,12 @@
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_known(c, "w1", "j", 0, 1, ATTEMPT_DONE), good(c);
     checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_AFTER_FINISH);
+}
 
+static void ends_of_jobs(void **state)
+{
+    (void)state;
+    Checker *c;
     c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, INVARIANT_FORGOTTEN);
     c = begin(), checker_accepted(c, "j"), checker_unknown(c, "j"), only(c, INVARIANT_FORGOTTEN);
     c = begin(), checker_accepted(c, "j"), checker_job_ended(c, "j", "done"), only(c, INVARIANT_FORGOTTEN);
@@ -132,21 +145,27 @@
     c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "cancelled"), good(c);
     c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "failed"),
     only(c, INVARIANT_FORGOTTEN);
-    /* turns by their own due times */
-    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE),
-    only(c, INVARIANT_TOO_EARLY);
-    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
     c = begin(), checker_refused(c, "x"), checker_started(c, "w1", "x", 0, 1, ONE), only(c, INVARIANT_REFUSED_RAN);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_refused(c, "x"), only(c, INVARIANT_REFUSED_RAN);
+}
 
+static void fits_its_worker(void **state)
+{
+    (void)state;
+    Checker *c;
     c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, INVARIANT_TOO_EARLY);
 
     c = begin(), checker_started(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, INVARIANT_OVERPACKED);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Room){500, 95, 0});
     only(c, INVARIANT_OVERPACKED);
     c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, INVARIANT_OVERPACKED);
+}
 
+static void stops(void **state)
+{
+    (void)state;
+    Checker *c;
     c = begin(), checker_cancelled(c, "x"), now_ms += 2900, checker_started(c, "w1", "x", 0, 1, ONE), good(c);
     now_ms += 200, checker_started(c, "w1", "x", 1, 1, ONE), only(c, INVARIANT_CANCELLED_RAN);
 
@@ -159,7 +178,12 @@
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_told(c, "w1", "x", 0, 1), now_ms += 400,
     checker_look(c);
     good(c), now_ms += 200, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
+}
 
+static void claims(void **state)
+{
+    (void)state;
+    Checker *c;
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
     checker_worker_gone(c, "w1");
@@ -178,7 +202,12 @@
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE);
     checker_ended(c, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
     c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, INVARIANT_EARLY_RESTART);
+}
 
+static void due_times(void **state)
+{
+    (void)state;
+    Checker *c;
     /* due times and delays */
     c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checker_started(c, "w1", "j", 0, 1, ONE);
     only(c, INVARIANT_TOO_EARLY);
@@ -187,6 +216,16 @@
     c = begin(), job.spec.due_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, INVARIANT_TOO_EARLY);
     c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
 
+    /* turns by their own due times */
+    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE),
+    only(c, INVARIANT_TOO_EARLY);
+    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
+}
+
+static void configurations(void **state)
+{
+    (void)state;
+    Checker *c;
     /* configurations by their effect */
     c = begin(), checker_tenant(c, "g", TENANT_IN), now_ms += 2000, checker_probe(c, "g", now_ms, true), good(c);
     checker_probe(c, "g", now_ms, false), only(c, INVARIANT_CONFIG_LOST);
@@ -211,6 +250,15 @@
     checker_ended(c, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
     only(c, INVARIANT_OVER_QUOTA);
 
+    c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
+    only(c, INVARIANT_CONFIG_LOST);
+    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, INVARIANT_CONFIG_LOST);
+}
+
+static void service(void **state)
+{
+    (void)state;
+    Checker *c;
     /* service, at each entry by itself */
     c = begin(), checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_fault(c),
     now_ms += 12000;
@@ -222,7 +270,12 @@
     checker_must_serve(c, "g1"), only(c, INVARIANT_NOT_SERVING);
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_fault(c), now_ms += 12001, checker_must_start(c);
     only(c, INVARIANT_NOT_SERVING);
+}
 
+static void drains_and_gangs(void **state)
+{
+    (void)state;
+    Checker *c;
     c = begin(), checker_leaving(c, "w1", true), now_ms += 2100, checker_started(c, "w1", "x", 0, 1, ONE);
     only(c, INVARIANT_LEAVING_GIVEN);
     c = begin(), checker_zone(c, "z", true), now_ms += 5100, checker_started(c, "w1", "x", 0, 1, ONE);
@@ -231,10 +284,6 @@
     c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
     now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, INVARIANT_GANG_SPLIT);
-
-    c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
-    only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, INVARIANT_CONFIG_LOST);
 }
 
 static const FleetShape SHAPE
@@ -278,7 +327,16 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(by_hand),
+        cmocka_unit_test(leaders),
+        cmocka_unit_test(running_twice),
+        cmocka_unit_test(ends_of_jobs),
+        cmocka_unit_test(fits_its_worker),
+        cmocka_unit_test(stops),
+        cmocka_unit_test(claims),
+        cmocka_unit_test(due_times),
+        cmocka_unit_test(configurations),
+        cmocka_unit_test(service),
+        cmocka_unit_test(drains_and_gangs),
         cmocka_unit_test(slow_clock_runs_twice),
         cmocka_unit_test(fast_voters_make_two_leaders),
     };
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static int order(const void *a, const void *b)
 {
@@ -39,11 +39,7 @@
 
 static Fleet *begin(Mix mix)
 {
-    Fleet *fleet = fleet_new(NULL, 21, (FleetShape){3, 3, 11, mix, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    assert_true(fleet_configure(fleet));
-    return fleet;
+    return case_begin(21, (FleetShape){3, 3, 11, mix, 0});
 }
 
 typedef struct Pouring {
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -9,6 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
+#include "fleetcase.h"
 #include "hand_worker.h"
 #include "state/table.h"
 
@@ -18,22 +19,13 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_run(fleet, 1000);
     sim_delay(fleet->world, LINK_MS, LINK_MS);
     fleet_run(fleet, 1000);
     return fleet;
 }
 
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
-}
-
 static bool drained(const Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
@@ -89,7 +81,7 @@
             if (drained(fleet))
                 fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", ways, at_ms, late->task->code);
             print_message("cut %d after %d ms: %d\n", ways, at_ms, late->task->code);
-            end(fleet);
+            case_end(fleet);
         }
     assert_true(held >= 9); /* that many cuts fell into the order's way */
 }
@@ -110,7 +102,7 @@
         cut_entry_point(fleet, 0, CUT_FROM_CONTROLLERS, false);
         fleet_run(fleet, 12000);
         assert_true(late->done && drained(fleet));
-        end(fleet);
+        case_end(fleet);
     }
 }
 
@@ -129,7 +121,7 @@
     assert_true(late->done);
     assert_int_equal(late->task->code, 200);
     assert_true(drained(fleet));
-    end(fleet);
+    case_end(fleet);
 }
 
 /* One that has been overtaken while its caller still waits is refused as certainly not
@@ -150,7 +142,7 @@
     assert_true(late->task->retry_after_s > 0 && !drained(fleet));
     assert_int_equal(ask(fleet, 0, "POST"), 200);
     assert_true(drained(fleet));
-    end(fleet);
+    case_end(fleet);
 }
 
 /* One whose caller has gone before anything was sent is not taken. */
@@ -163,7 +155,7 @@
     late->task->gone = true;
     fleet_run(fleet, 3000);
     assert_true(late->done && !drained(fleet));
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A caller's own name for an order holds at every entry point, whatever came between. */
@@ -178,7 +170,7 @@
     assert_false(drained(fleet));
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?after=0", NULL).code, 409);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 2, "POST", DRAIN "?order=a%20b", NULL).code, 422);
-    end(fleet);
+    case_end(fleet);
 }
 
 int main(void)
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define HOST "jobs.example"
 
@@ -24,21 +24,11 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    assert_true(fleet_configure(fleet));
+    Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 6, MIX_TRENTVALE, 0});
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     return fleet;
 }
 
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
-}
-
 static int ask(Fleet *fleet, int entry_point, const char *method, const char *path, const char *body, const char **text)
 {
     const HttpPair host = {"host", HOST ":8080"};
@@ -89,7 +79,7 @@
     /* what has ended stays as it is */
     assert_int_equal(ask(fleet, 0, "DELETE", "/v1/entry/sweeps/one", NULL, &text), 200);
     assert_told(text, "\"phase\":\"done\"");
-    end(fleet);
+    case_end(fleet);
 }
 
 static void cancelled(void **state)
@@ -106,7 +96,7 @@
     assert_int_equal(ask(fleet, 2, "GET", "/v1/entry/sweeps/two", NULL, &text), 200);
     assert_told(text, "\"phase\":\"cancelled\"");
     assert_int_equal(ask(fleet, 1, "DELETE", "/v1/entry/sweeps/two", NULL, NULL), 200);
-    end(fleet);
+    case_end(fleet);
 }
 
 static void refused(void **state)
@@ -161,7 +151,7 @@
                      200);
     for (int entry_point = 0; entry_point < 3; entry_point++)
         assert_int_equal(ask(fleet, entry_point, "POST", "/v1/entry/sweeps/x", BODY(1), NULL), 404);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* All disks lose what they acknowledged: until it has been told again, nobody says
@@ -191,7 +181,7 @@
     assert_int_equal(code, 200);
     assert_true(refused > 0);
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/never", NULL, NULL), 410);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Nobody has sent a document: callers are to come back, not to give up. */
@@ -205,7 +195,7 @@
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/x", BODY(1), &text), 503);
     assert_told(text, "no-config");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 503);
-    end(fleet);
+    case_end(fleet);
 }
 
 int main(void)
--- /dev/null
+++ b/packages/sim/test/fleetcase.h
@@ -0,0 +1,66 @@
+#ifndef SIM_TEST_FLEETCASE_H
+#define SIM_TEST_FLEETCASE_H
+
+/* What tests of whole fleets share: how a case begins and ends. */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+
+#include <cmocka.h>
+#include <talloc.h>
+
+#include "sim/fleet.h"
+
+/* A fleet that has a leader and its configuration; it belongs to nobody. */
+static inline Fleet *case_begin(uint64_t seed, FleetShape shape)
+{
+    Fleet *fleet = fleet_new(NULL, seed, shape);
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
+    return fleet;
+}
+
+/* The same with a configuration of the case's own; a second later. */
+static inline Fleet *case_configured(uint64_t seed, FleetShape shape, const char *config)
+{
+    Fleet *fleet = fleet_new(NULL, seed, shape);
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
+    if (call.code != 200)
+        fail_msg("%d %s", call.code, (const char *)call.result.data);
+    fleet_run(fleet, 1000);
+    return fleet;
+}
+
+/* The whole cell loses power, and all controllers are started again. */
+static inline void case_power_cycle(Fleet *fleet)
+{
+    checker_fault(fleet->checker);
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
+        fleet_power_off(fleet, FLEET_CONTROLLER, i);
+    for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
+        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+        fleet_start_node(fleet, FLEET_CONTROLLER, i);
+    }
+}
+
+/* No safety property broke; frees the fleet. */
+static inline void case_end(Fleet *fleet)
+{
+    if (checker_broken_all(fleet->checker) > 0)
+        fail_msg("%s", checker_first(fleet->checker));
+    talloc_free(fleet);
+}
+
+/* How many tasks run on all workers together. */
+static inline size_t case_running(Fleet *fleet)
+{
+    size_t count = 0;
+    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
+        count += stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker);
+    return count;
+}
+
+#endif
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -14,7 +14,7 @@
 #include "heartbeat/messages.h"
 #include "routing/messages.h"
 #include "policy/lua.h"
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static uint64_t seed_now;
 
@@ -198,9 +198,7 @@
                                         "/v1/status",        "/v1/jobs?after=-1&limit=0",
                                         "/metrics",          "/readyz"};
     static const char *const METHODS[] = {"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"};
-    Fleet *fleet = fleet_new(NULL, 4, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(4, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_kill(fleet, FLEET_WORKER, 3); /* its agent hears reports of ours */
     fleet_run(fleet, 4000);
     size_t codes[600] = {0};
--- /dev/null
+++ b/packages/sim/test/jobruns.c
@@ -0,0 +1,249 @@
+/* What becomes of jobs: due times, gangs, cancels, failures, late reports, copies, and disks that fail. */
+#include <stdio.h>
+
+#include "jobcase.h"
+
+static void due_and_delay(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    const int64_t wall_ms = 1700000000000 + sim_now_ms(fleet->world);
+    char body[512];
+    snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
+    /* one voter's wall clock jumps by an hour: the median does not */
+    sim_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
+    fleet_run(fleet, 4200);
+    assert_int_equal(checker_starts(fleet->checker), 0);
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/due", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"waitsFor\":\"due-time\""));
+    fleet_run(fleet, 3000);
+    assert_int_equal(checker_starts(fleet->checker), 2);
+    case_end(fleet);
+}
+
+static void gang_all_or_none(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    /* eleven workers of 64 controllers: the first gang leaves room for five of the second */
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("g1", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
+                                     "\"payload\":{\"runMs\":6000}}"),
+                         &text),
+                     201);
+    fleet_run(fleet, 3000);
+    assert_int_equal(checker_starts(fleet->checker), 6);
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("g2", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
+                                     "\"payload\":{\"runMs\":9000}}"),
+                         &text),
+                     201);
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 6); /* none of it */
+    fleet_run(fleet, 6000);
+    assert_int_equal(checker_starts(fleet->checker), 12); /* all of it */
+    /* a member is lost with its worker: the others stop, all start again */
+    int victim = -1;
+    for (int i = 0; i < 11 && victim < 0; i++)
+        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
+            victim = i;
+    assert_true(victim >= 0);
+    fleet_kill(fleet, FLEET_WORKER, victim);
+    fleet_run(fleet, 25000);
+    assert_true(checker_starts(fleet->checker) >= 18);
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/g2", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"done\""));
+    case_end(fleet);
+}
+
+static void cancelled(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("c", "{\"name\":\"a\",\"count\":20," ROOM ",\"payload\":{\"runMs\":60000}},"
+                                    "{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"),
+                         &text),
+                     201);
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 20);
+    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200);
+    checker_cancelled(fleet->checker, "c");
+    fleet_run(fleet, 2000);
+    for (int i = 0; i < 11; i++)
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
+    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* again: the same answer */
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/c", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"cancelled\""));
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("d", ""), &text), 201);
+    fleet_run(fleet, 3000);
+    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/d", NULL, &text), 409);
+    case_end(fleet);
+}
+
+static void fails_then_works(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("f", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":2}}"), &text),
+                     201);
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("g", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":3}}"), &text),
+                     201);
+    fleet_run(fleet, 10000);
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/f", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"done\""));
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/g", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"failed\""));
+    assert_int_equal(checker_starts(fleet->checker), 6);
+    case_end(fleet);
+}
+
+/* An agent is cut off just before its task ends; the finish is told late. */
+static void finish_told_late(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    assert_int_equal(
+        ask(fleet, "POST", "/v1/jobs", STEPS("l", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":2500}}"), &text),
+        201);
+    fleet_run(fleet, 1500);
+    int on = -1;
+    for (int i = 0; i < 11 && on < 0; i++)
+        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
+            on = i;
+    assert_true(on >= 0);
+    /* it ends a second later, within the lease; the restart elsewhere begins after
+     * three seconds and is still running when the finish arrives */
+    fleet_isolate(fleet, FLEET_AGENT, on, true);
+    fleet_run(fleet, 4500);
+    assert_int_equal(checker_starts(fleet->checker), 2);
+    fleet_isolate(fleet, FLEET_AGENT, on, false);
+    fleet_run(fleet, 1500);
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"done\""));
+    fleet_run(fleet, 1000);
+    for (int i = 0; i < 11; i++)
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
+    case_end(fleet);
+}
+
+/* Work whose owner allows copies restarts before the silent worker's lease has
+ * lapsed; other work does not. */
+static void copies(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    const char *text;
+    static const char STEP[] = ",\"steps\":[{\"name\":\"a\",\"count\":11," ROOM ",\"payload\":{\"runMs\":9000}}]}";
+    char body[512];
+    for (int with = 0; with < 2; with++) {
+        snprintf(body, sizeof(body),
+                 "{\"id\":\"%s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"copies\":%s%s",
+                 with ? "may" : "not", with ? "true" : "false", STEP);
+        assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
+    }
+    fleet_run(fleet, 2000);
+    assert_int_equal(checker_starts(fleet->checker), 22);
+    fleet_isolate(fleet, FLEET_AGENT, 0, true);
+    fleet_run(fleet, 2400);
+    size_t may = 0, not = 0;
+    for (size_t t = 0; t < 11; t++) {
+        may += fleet_job(fleet, "may")->tasks[t].attempt == 2;
+        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
+    }
+    assert_true(may > 0);
+    assert_int_equal(not, 0);
+    fleet_run(fleet, 3000);
+    for (size_t t = 0; t < 11; t++)
+        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
+    assert_true(not > 0);
+    fleet_isolate(fleet, FLEET_AGENT, 0, false);
+    fleet_run(fleet, 15000);
+    assert_int_equal(ask(fleet, "GET", "/v1/jobs/may", NULL, &text), 200);
+    assert_non_null(strstr(text, "\"phase\":\"done\""));
+    case_end(fleet);
+}
+
+/* Room that somebody else uses on a worker is not given away. */
+static void others_use(void **state)
+{
+    (void)state;
+    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
+    for (int i = 0; i < 10; i++)
+        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Room){60000, 0, 0};
+    fleet_start(fleet);
+    assert_true(fleet_settle(fleet, 30000));
+    assert_true(fleet_configure(fleet));
+    fleet_run(fleet, 2000);
+    const char *text;
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("o", "{\"name\":\"a\",\"count\":20,\"room\":{\"cpu\":5,\"memMb\":10},\"payload\":{"
+                                    "\"runMs\":30000}}"),
+                         &text),
+                     201);
+    fleet_run(fleet, 6000);
+    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 controllers; four are left on each other */
+    for (int i = 0; i < 10; i++)
+        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
+    case_end(fleet);
+}
+
+/* The second survival rule: all disks fail, nobody can hold the lock, and all
+ * members see each other: work goes on. One more failure, and it stops. When the
+ * disks work again after a restart, it is planned anew. */
+static void store_gone(void **state)
+{
+    (void)state;
+    for (int with = 0; with < 2; with++) {
+        Fleet *fleet = begin();
+        const char *text;
+        assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                             STEPS("l", "{\"name\":\"a\",\"count\":22," ROOM ",\"payload\":{\"runMs\":40000}}"), &text),
+                         201);
+        fleet_run(fleet, 2000);
+        assert_int_equal(case_running(fleet), 22);
+        for (int i = 0; i < 3; i++)
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
+        /* a change that can't be written shows the failure */
+        ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
+        fleet_run(fleet, 10000);
+        assert_int_equal(fleet_leader(fleet), -1);
+        assert_int_equal(case_running(fleet), 22);
+        if (with) { /* an entry point is lost: not every member answers any more */
+            fleet_power_off(fleet, FLEET_ENTRY_POINT, 1);
+            fleet_run(fleet, 6000);
+            assert_int_equal(case_running(fleet), 0);
+        }
+        for (int i = 0; i < 3; i++) {
+            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
+            fleet_kill(fleet, FLEET_CONTROLLER, i);
+            fleet_start_node(fleet, FLEET_CONTROLLER, i);
+        }
+        fleet_run(fleet, 15000);
+        assert_true(fleet_leader(fleet) >= 0);
+        fleet_run(fleet, 60000);
+        assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
+        assert_non_null(strstr(text, "\"phase\":\"done\""));
+        assert_true(with ? checker_starts(fleet->checker) >= 44 : checker_starts(fleet->checker) >= 22);
+        case_end(fleet);
+    }
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(due_and_delay),    cmocka_unit_test(gang_all_or_none), cmocka_unit_test(cancelled),
+        cmocka_unit_test(fails_then_works), cmocka_unit_test(finish_told_late), cmocka_unit_test(copies),
+        cmocka_unit_test(others_use),       cmocka_unit_test(store_gone),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
@@ -26,10 +26,7 @@
 #else
     const int64_t minutes = 75;
 #endif
-    Fleet *fleet = fleet_new(NULL, 3, (FleetShape){3, 3, 4, MIX_ATLAS, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    assert_true(fleet_configure(fleet));
+    Fleet *fleet = case_begin(3, (FleetShape){3, 3, 4, MIX_ATLAS, 0});
     fleet_call(fleet, "h", 9000, minutes * 60000);
     fleet_run(fleet, 60000);
     /* one controller is away while the others rewrite their journals */
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define LONG_WORK                                                                                                           \
     "{\"id\":\"l\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"count\":11," \
@@ -17,22 +17,12 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "POST", "/v1/jobs", LONG_WORK).code, 201);
     fleet_run(fleet, 2000);
     return fleet;
 }
 
-static size_t running(Fleet *fleet)
-{
-    size_t count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
-        count += stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker);
-    return count;
-}
-
 static void taken(Fleet *fleet, int entry_point, const char *name)
 {
     fleet_kill(fleet, FLEET_ENTRY_POINT, entry_point);
@@ -48,18 +38,18 @@
     (void)state;
     for (int with = 0; with < 2; with++) {
         Fleet *fleet = begin(81);
-        assert_int_equal(running(fleet), 11);
+        assert_int_equal(case_running(fleet), 11);
         for (int i = 0; i < 3; i++)
             sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
         fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=1",
                   "{\"r\":0}"); /* shows the failure */
         fleet_run(fleet, 8000);
         assert_int_equal(fleet_leader(fleet), -1);
-        assert_int_equal(running(fleet), 11);
+        assert_int_equal(case_running(fleet), 11);
         if (with)
             taken(fleet, 1, "another");
         fleet_run(fleet, 6000);
-        assert_int_equal(running(fleet), with ? 0 : 11);
+        assert_int_equal(case_running(fleet), with ? 0 : 11);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
         talloc_free(fleet);
     }
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define CONFIG                                                       \
     "{\"r\":0,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
@@ -17,21 +17,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", CONFIG);
-    if (call.code != 200)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
-    fleet_run(fleet, 1000);
-    return fleet;
-}
-
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
+    return case_configured(seed, (FleetShape){3, 1, 6, MIX_TRENTVALE, 0}, CONFIG);
 }
 
 static void hand(Fleet *fleet, const char *id, const char *queue, const char *steps)
@@ -82,7 +68,7 @@
     fleet_run(fleet, 2500);
     assert_int_equal(in_phase(fleet, "b", TASK_DONE), 10);
     assert_int_equal(checker_starts_on(fleet->checker, "worker1"), before);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A worker eight times as slow as the others keeps nothing that another would be done
@@ -98,7 +84,7 @@
     assert_true(on_worker(fleet, "a", "worker2") > 0);
     fleet_run(fleet, 9000); /* 32 s where they began */
     assert_int_equal(in_phase(fleet, "a", TASK_DONE), 24);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Work whose estimate is far too low is not taken for standing still. */
@@ -113,7 +99,7 @@
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].attempt, 1);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* The first word of an attempt that a new leader hears says that it has come so far, not
@@ -135,7 +121,7 @@
     const Job *job = fleet_job(fleet, "a");
     for (size_t i = 0; i < job->tasks_count; i++)
         assert_int_equal(job->tasks[i].attempt, 1);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* No more of a step on one worker than it allows, gone or not; the others wait. */
@@ -158,7 +144,7 @@
     }
     fleet_run(fleet, 2000);
     assert_int_equal(in_phase(fleet, "a", TASK_DONE), 14);
-    end(fleet);
+    case_end(fleet);
 }
 
 static const char *rack_of(const Fleet *fleet, const char *worker)
@@ -207,7 +193,7 @@
     assert_int_equal(on_rack(fleet, "more", "rack0"), 0);
     fleet_run(fleet, 2500);
     assert_true(on_rack(fleet, "more", "rack0") > 0);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A full fleet: urgent work that would miss its target pushes out what is young or keeps its
@@ -234,7 +220,7 @@
         fleet_run(fleet, 50000);
         assert_int_equal(in_phase(fleet, "now", TASK_DONE), 2);
         assert_int_equal(in_phase(fleet, "bulk", TASK_DONE), 12);
-        end(fleet);
+        case_end(fleet);
     }
 }
 
@@ -261,7 +247,7 @@
         assert_int_equal(job->tasks[i].attempt, 1);
         assert_int_equal(job->tasks[i].phase, TASK_DONE);
     }
-    end(fleet);
+    case_end(fleet);
 }
 
 int main(void)
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -8,25 +8,11 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static Fleet *begin(const char *config)
 {
-    Fleet *fleet = fleet_new(NULL, 5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "PUT", "/v1/config?base=0", config);
-    if (call.code != 200)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
-    fleet_run(fleet, 1000);
-    return fleet;
-}
-
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
+    return case_configured(5, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0}, config);
 }
 
 static void hand(Fleet *fleet, const char *id, const char *cell, const char *tenant, const char *queue, int count,
@@ -81,7 +67,7 @@
         fleet_run(fleet, 40000);
         assert_int_equal(in_phase(fleet, "urgent", TASK_DONE), 3);
         assert_int_equal(in_phase(fleet, "bulk", TASK_DONE), 22);
-        end(fleet);
+        case_end(fleet);
     }
 }
 
@@ -100,7 +86,7 @@
     assert_in_range(small + one + two, 70, 88);
     assert_in_range((one + two) * 100 / (small + 1), 220, 400);
     assert_in_range(one * 100 / (two + 1), 70, 140);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Urgent light work overtakes bulk that was there first. */
@@ -132,7 +118,7 @@
         assert_int_equal(call.code, 200);
         assert_non_null(strstr((const char *)call.result.data, "\nspancart_bad_frames 0\n"));
     }
-    end(fleet);
+    case_end(fleet);
 }
 
 /* One that fails on some tasks only: counted, told, and the work goes on. */
@@ -155,7 +141,7 @@
     assert_int_equal(bad.code, 422);
     assert_non_null(strstr((const char *)bad.result.data, "policies.q"));
     assert_non_null(strstr((const char *)bad.result.data, ":2: more than"));
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Small work without end, some of each ending all the time: a task of a whole
@@ -190,7 +176,7 @@
     print_message("big started after %lld ms, the gang after %lld ms\n", (long long)started_ms, (long long)both_ms);
     assert_true(started_ms > 0 && started_ms < 40000);
     assert_true(both_ms > 0);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A worker five times as slow as the others of the same steps, that claims
@@ -208,7 +194,7 @@
     const size_t slow = checker_starts_on(fleet->checker, "worker1"), all = checker_starts(fleet->checker);
     print_message("starts on the slow one %zu, on each other %zu\n", slow, (all - slow) / 10);
     assert_true(slow * 10 < (all - slow) / 10);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Emptying a zone with a move: what runs there is stopped and started elsewhere,
@@ -232,7 +218,7 @@
         const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/zones/west/drain", NULL);
         assert_non_null(strstr((const char *)call.result.data, move ? "\"tasksLeft\":0" : "\"tasksLeft\":3"));
         assert_int_equal(in_phase(fleet, "long", TASK_RUNNING), 11);
-        end(fleet);
+        case_end(fleet);
     }
 }
 
@@ -267,7 +253,7 @@
     fleet_run(fleet, 8000);
     call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, "GET", "/v1/alerts", NULL);
     assert_string_equal((const char *)call.result.data, "[]\n");
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Copies of a job's work stand in other racks and zones while room is equal. */
@@ -287,7 +273,7 @@
             assert_string_not_equal(at[i]->zone, at[k]->zone);
             assert_string_not_equal(at[i]->rack, at[k]->rack);
         }
-    end(fleet);
+    case_end(fleet);
 }
 
 int main(void)
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -9,6 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
+#include "fleetcase.h"
 #include "routing/routes.h"
 #include "hand_worker.h"
 #include "state/table.h"
@@ -48,9 +49,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_run(fleet, 1000);
     assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "PATCH", "/v1/config?base=1", ENTRIES).code, 200);
     const char *body = JOB("known");
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -1,124 +1,86 @@
 /* What callers, workers and operators ask: good, bad, twice and at once. */
-#include <setjmp.h>
-#include <stdarg.h>
-#include <stddef.h>
 #include <stdio.h>
-#include <stdlib.h>
-#include <string.h>
 
-#include <cmocka.h>
-#include <talloc.h>
+#include "jobcase.h"
 
-#include "sim/fleet.h"
-
-static Fleet *begin(void)
-{
-    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    assert_true(fleet_configure(fleet));
-    return fleet;
-}
-
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
-}
-
-static int ask(Fleet *fleet, const char *method, const char *path, const char *body, const char **text)
-{
-    const HttpCall call = fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 0, method, path, body);
-    if (text != NULL)
-        *text = (const char *)call.result.data;
-    return call.code;
-}
-
-#define JOB(id, more)                                                                               \
-    "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[" \
-    "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":500}}]" more "}"
-#define STEPS(id, steps) \
-    "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[" steps "]}"
-#define ROOM "\"room\":{\"cpu\":1,\"memMb\":10}"
+/* What is rejected with which status, and what its text names. */
+static const struct {
+    const char *body;
+    int code;
+    const char *status, *path;
+} BAD_JOBS[] = {
+    {"", 400, "bad-json", ""},
+    {"{", 400, "bad-json", ""},
+    {"[]", 422, "bad-field", ""},
+    {"{} x", 400, "bad-json", ""},
+    {"{\"id\":\"\xff\"}", 400, "bad-json", ""},
+    {"[[[[[[[[[[[[[[[[[[[[[[[[]]]]]]]]]]]]]]]]]]]]]]]]", 400, "bad-json", ""},
+    {"{}", 422, "bad-field", "\"id\""},
+    {JOB("x", ",\"speed\":1"), 422, "bad-field", "\"speed\""},
+    {JOB("", ""), 422, "bad-field", "\"id\""},
+    {JOB("a b", ""), 422, "bad-field", "\"id\""},
+    {JOB("../x", ""), 422, "bad-field", "\"id\""},
+    {JOB("x", ",\"priority\":\"high\""), 422, "bad-field", "\"priority\""},
+    {JOB("x", ",\"priority\":1e99"), 422, "bad-field", "\"priority\""},
+    {JOB("x", ",\"priority\":99999999999999999999999"), 422, "bad-field", "\"priority\""},
+    {JOB("x", ",\"rounds\":-1"), 422, "bad-field", "\"rounds\""},
+    {JOB("x", ",\"rounds\":0"), 422, "bad-field", "\"rounds\""},
+    {JOB("x", ",\"protection\":\"much\""), 422, "bad-field", "\"protection\""},
+    {JOB("x", ",\"copies\":1"), 422, "bad-field", "\"copies\""},
+    {JOB("x", ",\"delayMs\":-5"), 422, "bad-field", "\"delayMs\""},
+    {JOB("x", ",\"turns\":-1"), 422, "bad-field", "\"turns\""},
+    {JOB("x", ",\"turns\":10001"), 422, "bad-field", "\"turns\""},
+    {JOB("x", ",\"lasting\":1"), 422, "bad-field", "\"lasting\""},
+    {JOB("x", ",\"periodMs\":-1"), 422, "bad-field", "\"periodMs\""},
+    {JOB("x", ",\"firstWallMs\":0.5"), 422, "bad-field", "\"firstWallMs\""},
+    {STEPS("x", ""), 422, "bad-field", "\"steps\""},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"estMs\":-1}"), 422, "bad-field", "steps[0].estMs"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"apart\":-1}"), 422, "bad-field", "steps[0].apart"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"near\":\"a b\"}"), 422, "bad-field", "steps[0].near"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"saves\":\"\"}"), 422, "bad-field", "steps[0].saves"},
+    {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":1,\"gpu\":-1}}"), 422, "bad-field", "steps[0].room.gpu"},
+    {STEPS("x", "1"), 422, "bad-field", "steps[0]"},
+    {STEPS("x", "{\"name\":\"a\"}"), 422, "bad-field", "steps[0].room"},
+    {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":-1,\"memMb\":1}}"), 422, "bad-field", "steps[0].room.cpu"},
+    {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":1e300,\"memMb\":1}}"), 422, "bad-field", "steps[0].room.cpu"},
+    {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":0,\"memMb\":0}}"), 422, "bad-field", "steps[0].room"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"count\":0}"), 422, "bad-field", "steps[0].count"},
+    {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"turns\":5000,\"steps\":["
+     "{\"name\":\"a\"," ROOM ",\"count\":3}]}",
+     413, "too-large", "steps"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM ",\"count\":10001}"), 422, "bad-field", "steps[0].count"},
+    {STEPS("x", "{\"name\":\"a\"," ROOM "},{\"name\":\"a\"," ROOM "}"), 422, "bad-field", "steps[1].name"},
+    {STEPS("x", "{\"name\":\"a\",\"after\":[\"b\"]," ROOM "}"), 422, "bad-field", "steps[0].after[0]"},
+    {STEPS("x", "{\"name\":\"a\",\"after\":[\"a\"]," ROOM "}"), 422, "cyclic-steps", "steps"},
+    {STEPS("x", "{\"name\":\"a\",\"after\":[\"b\"]," ROOM "},{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"), 422,
+     "cyclic-steps", "steps"},
+    {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":65,\"memMb\":1}}"), 422, "impossible-room", "steps[0].room"},
+    {STEPS("x", "{\"name\":\"a\",\"kind\":\"gpu\"," ROOM "}"), 422, "impossible-kind", "steps[0].kind"},
+    {STEPS("x", "{\"name\":\"a\",\"labels\":[\"ssd\"]," ROOM "}"), 422, "impossible-kind", "steps[0].kind"},
+    {STEPS("x", "{\"name\":\"a\",\"gang\":true,\"count\":12,\"room\":{\"cpu\":64,\"memMb\":1}}"), 422,
+     "impossible-room", "steps[0].count"},
+    {"{\"id\":\"x\",\"cell\":\"nowhere\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," ROOM
+     "}]}",
+     422, "unknown-cell", "cell"},
+    {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"nobody\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," ROOM
+     "}]}",
+     422, "unknown-tenant", "tenant"},
+    {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"none\",\"steps\":[{\"name\":\"a\"," ROOM
+     "}]}",
+     422, "unknown-queue", "queue"},
+};
 
 static void bad_jobs(void **state)
 {
     (void)state;
-    static const struct {
-        const char *body;
-        int code;
-        const char *status, *path;
-    } ROWS[] = {
-        {"", 400, "bad-json", ""},
-        {"{", 400, "bad-json", ""},
-        {"[]", 422, "bad-field", ""},
-        {"{} x", 400, "bad-json", ""},
-        {"{\"id\":\"\xff\"}", 400, "bad-json", ""},
-        {"[[[[[[[[[[[[[[[[[[[[[[[[]]]]]]]]]]]]]]]]]]]]]]]]", 400, "bad-json", ""},
-        {"{}", 422, "bad-field", "\"id\""},
-        {JOB("x", ",\"speed\":1"), 422, "bad-field", "\"speed\""},
-        {JOB("", ""), 422, "bad-field", "\"id\""},
-        {JOB("a b", ""), 422, "bad-field", "\"id\""},
-        {JOB("../x", ""), 422, "bad-field", "\"id\""},
-        {JOB("x", ",\"priority\":\"high\""), 422, "bad-field", "\"priority\""},
-        {JOB("x", ",\"priority\":1e99"), 422, "bad-field", "\"priority\""},
-        {JOB("x", ",\"priority\":99999999999999999999999"), 422, "bad-field", "\"priority\""},
-        {JOB("x", ",\"rounds\":-1"), 422, "bad-field", "\"rounds\""},
-        {JOB("x", ",\"rounds\":0"), 422, "bad-field", "\"rounds\""},
-        {JOB("x", ",\"protection\":\"much\""), 422, "bad-field", "\"protection\""},
-        {JOB("x", ",\"copies\":1"), 422, "bad-field", "\"copies\""},
-        {JOB("x", ",\"delayMs\":-5"), 422, "bad-field", "\"delayMs\""},
-        {JOB("x", ",\"turns\":-1"), 422, "bad-field", "\"turns\""},
-        {JOB("x", ",\"turns\":10001"), 422, "bad-field", "\"turns\""},
-        {JOB("x", ",\"lasting\":1"), 422, "bad-field", "\"lasting\""},
-        {JOB("x", ",\"periodMs\":-1"), 422, "bad-field", "\"periodMs\""},
-        {JOB("x", ",\"firstWallMs\":0.5"), 422, "bad-field", "\"firstWallMs\""},
-        {STEPS("x", ""), 422, "bad-field", "\"steps\""},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"estMs\":-1}"), 422, "bad-field", "steps[0].estMs"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"apart\":-1}"), 422, "bad-field", "steps[0].apart"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"near\":\"a b\"}"), 422, "bad-field", "steps[0].near"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"saves\":\"\"}"), 422, "bad-field", "steps[0].saves"},
-        {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":1,\"gpu\":-1}}"), 422, "bad-field",
-         "steps[0].room.gpu"},
-        {STEPS("x", "1"), 422, "bad-field", "steps[0]"},
-        {STEPS("x", "{\"name\":\"a\"}"), 422, "bad-field", "steps[0].room"},
-        {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":-1,\"memMb\":1}}"), 422, "bad-field", "steps[0].room.cpu"},
-        {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":1e300,\"memMb\":1}}"), 422, "bad-field", "steps[0].room.cpu"},
-        {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":0,\"memMb\":0}}"), 422, "bad-field", "steps[0].room"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"count\":0}"), 422, "bad-field", "steps[0].count"},
-        {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"turns\":5000,\"steps\":["
-         "{\"name\":\"a\"," ROOM ",\"count\":3}]}",
-         413, "too-large", "steps"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM ",\"count\":10001}"), 422, "bad-field", "steps[0].count"},
-        {STEPS("x", "{\"name\":\"a\"," ROOM "},{\"name\":\"a\"," ROOM "}"), 422, "bad-field", "steps[1].name"},
-        {STEPS("x", "{\"name\":\"a\",\"after\":[\"b\"]," ROOM "}"), 422, "bad-field", "steps[0].after[0]"},
-        {STEPS("x", "{\"name\":\"a\",\"after\":[\"a\"]," ROOM "}"), 422, "cyclic-steps", "steps"},
-        {STEPS("x", "{\"name\":\"a\",\"after\":[\"b\"]," ROOM "},{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"), 422,
-         "cyclic-steps", "steps"},
-        {STEPS("x", "{\"name\":\"a\",\"room\":{\"cpu\":65,\"memMb\":1}}"), 422, "impossible-room", "steps[0].room"},
-        {STEPS("x", "{\"name\":\"a\",\"kind\":\"gpu\"," ROOM "}"), 422, "impossible-kind", "steps[0].kind"},
-        {STEPS("x", "{\"name\":\"a\",\"labels\":[\"ssd\"]," ROOM "}"), 422, "impossible-kind", "steps[0].kind"},
-        {STEPS("x", "{\"name\":\"a\",\"gang\":true,\"count\":12,\"room\":{\"cpu\":64,\"memMb\":1}}"), 422,
-         "impossible-room", "steps[0].count"},
-        {"{\"id\":\"x\",\"cell\":\"nowhere\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," ROOM
-         "}]}",
-         422, "unknown-cell", "cell"},
-        {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"nobody\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," ROOM
-         "}]}",
-         422, "unknown-tenant", "tenant"},
-        {"{\"id\":\"x\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"none\",\"steps\":[{\"name\":\"a\"," ROOM
-         "}]}",
-         422, "unknown-queue", "queue"},
-    };
     Fleet *fleet = begin();
-    for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
+    for (size_t i = 0; i < sizeof(BAD_JOBS) / sizeof(BAD_JOBS[0]); i++) {
         const char *text;
-        const int code = ask(fleet, "POST", "/v1/jobs", ROWS[i].body, &text);
+        const int code = ask(fleet, "POST", "/v1/jobs", BAD_JOBS[i].body, &text);
         char status[64];
-        snprintf(status, sizeof(status), "\"status\":\"%s\"", ROWS[i].status);
-        if (code != ROWS[i].code || strstr(text, status) == NULL || strstr(text, ROWS[i].path) == NULL)
-            fail_msg("row %zu (%s): %d %s", i, ROWS[i].body, code, text);
+        snprintf(status, sizeof(status), "\"status\":\"%s\"", BAD_JOBS[i].status);
+        if (code != BAD_JOBS[i].code || strstr(text, status) == NULL || strstr(text, BAD_JOBS[i].path) == NULL)
+            fail_msg("row %zu (%s): %d %s", i, BAD_JOBS[i].body, code, text);
     }
     char *large = talloc_zero_array(fleet, char, JOB_BODY_MAX + 100);
     memset(large, ' ', JOB_BODY_MAX + 50);
@@ -128,7 +90,7 @@
     const char *text;
     assert_int_equal(ask(fleet, "GET", "/v1/jobs", NULL, &text), 200);
     assert_string_equal(text, "{\"jobs\":[]}\n");
-    end(fleet);
+    case_end(fleet);
 }
 
 static void bad_paths(void **state)
@@ -160,7 +122,38 @@
         if (code != ROWS[i].code || strstr(text, "\"status\":") == NULL)
             fail_msg("%s %s: %d %s", ROWS[i].method, ROWS[i].path, code, text);
     }
-    end(fleet);
+    case_end(fleet);
+}
+
+static void bad_reports(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin();
+    static const char *const BAD[] = {
+        "",
+        "[]",
+        "{}",
+        "{\"boot\":\"b\"}",
+        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"running\":7}",
+        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"running\":[{\"job\":\"j\",\"task\":-1,\"round\":1}]}",
+        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"ended\":[{\"job\":\"j\",\"task\":1,\"round\":1,\"word\":\"running\"}]}",
+    };
+    for (size_t i = 0; i < sizeof(BAD) / sizeof(BAD[0]); i++) {
+        const HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
+        if (call.code < 400 || call.code >= 500)
+            fail_msg("%s: %d", BAD[i], call.code);
+    }
+    static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
+    /* a second process of the same name while the first one's lease runs */
+    fleet_run(fleet, 2000);
+    HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
+    if (call.code != 409)
+        fail_msg("%d %s", call.code, (const char *)call.result.data);
+    call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
+    assert_int_equal(call.code, 404);
+    fleet_run(fleet, 2000);
+    assert_int_equal(fleet_ask(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
+    case_end(fleet);
 }
 
 /* The same job at two entry points at once counts once; another body is refused. */
@@ -195,140 +188,7 @@
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("one", ""), &text), 200);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("one", ",\"priority\":1"), &text), 409);
     assert_non_null(strstr(text, "other-body"));
-    end(fleet);
-}
-
-static void due_and_delay(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    const int64_t wall_ms = 1700000000000 + sim_now_ms(fleet->world);
-    char body[512];
-    snprintf(body, sizeof(body), JOB("due", ",\"dueWallMs\":%lld"), (long long)wall_ms + 5000);
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("late", ",\"delayMs\":5000"), &text), 201);
-    /* one voter's wall clock jumps by an hour: the median does not */
-    sim_jump(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine, 3600000);
-    fleet_run(fleet, 4200);
-    assert_int_equal(checker_starts(fleet->checker), 0);
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/due", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"waitsFor\":\"due-time\""));
-    fleet_run(fleet, 3000);
-    assert_int_equal(checker_starts(fleet->checker), 2);
-    end(fleet);
-}
-
-static void gang_all_or_none(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    /* eleven workers of 64 controllers: the first gang leaves room for five of the second */
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("g1", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
-                                     "\"payload\":{\"runMs\":6000}}"),
-                         &text),
-                     201);
-    fleet_run(fleet, 3000);
-    assert_int_equal(checker_starts(fleet->checker), 6);
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("g2", "{\"name\":\"a\",\"gang\":true,\"count\":6,\"room\":{\"cpu\":40,\"memMb\":10},"
-                                     "\"payload\":{\"runMs\":9000}}"),
-                         &text),
-                     201);
-    fleet_run(fleet, 2000);
-    assert_int_equal(checker_starts(fleet->checker), 6); /* none of it */
-    fleet_run(fleet, 6000);
-    assert_int_equal(checker_starts(fleet->checker), 12); /* all of it */
-    /* a member is lost with its worker: the others stop, all start again */
-    int victim = -1;
-    for (int i = 0; i < 11 && victim < 0; i++)
-        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
-            victim = i;
-    assert_true(victim >= 0);
-    fleet_kill(fleet, FLEET_WORKER, victim);
-    fleet_run(fleet, 25000);
-    assert_true(checker_starts(fleet->checker) >= 18);
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/g2", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"done\""));
-    end(fleet);
-}
-
-static void cancelled(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("c", "{\"name\":\"a\",\"count\":20," ROOM ",\"payload\":{\"runMs\":60000}},"
-                                    "{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"),
-                         &text),
-                     201);
-    fleet_run(fleet, 2000);
-    assert_int_equal(checker_starts(fleet->checker), 20);
-    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200);
-    checker_cancelled(fleet->checker, "c");
-    fleet_run(fleet, 2000);
-    for (int i = 0; i < 11; i++)
-        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
-    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/c", NULL, &text), 200); /* again: the same answer */
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/c", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"cancelled\""));
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs", JOB("d", ""), &text), 201);
-    fleet_run(fleet, 3000);
-    assert_int_equal(ask(fleet, "DELETE", "/v1/jobs/d", NULL, &text), 409);
-    end(fleet);
-}
-
-static void fails_then_works(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("f", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":2}}"), &text),
-                     201);
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("g", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":3}}"), &text),
-                     201);
-    fleet_run(fleet, 10000);
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/f", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"done\""));
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/g", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"failed\""));
-    assert_int_equal(checker_starts(fleet->checker), 6);
-    end(fleet);
-}
-
-/* An agent is cut off just before its task ends; the finish is told late. */
-static void finish_told_late(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    assert_int_equal(
-        ask(fleet, "POST", "/v1/jobs", STEPS("l", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":2500}}"), &text),
-        201);
-    fleet_run(fleet, 1500);
-    int on = -1;
-    for (int i = 0; i < 11 && on < 0; i++)
-        if (stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker) > 0)
-            on = i;
-    assert_true(on >= 0);
-    /* it ends a second later, within the lease; the restart elsewhere begins after
-     * three seconds and is still running when the finish arrives */
-    fleet_isolate(fleet, FLEET_AGENT, on, true);
-    fleet_run(fleet, 4500);
-    assert_int_equal(checker_starts(fleet->checker), 2);
-    fleet_isolate(fleet, FLEET_AGENT, on, false);
-    fleet_run(fleet, 1500);
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"done\""));
-    fleet_run(fleet, 1000);
-    for (int i = 0; i < 11; i++)
-        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
-    end(fleet);
+    case_end(fleet);
 }
 
 static void config_races(void **state)
@@ -372,148 +232,7 @@
     fleet_run(fleet, 6000);
     assert_int_equal(ask(fleet, "GET", "/v1/config", NULL, &text), 200);
     assert_non_null(strstr(text, "\"revision\":3"));
-    end(fleet);
-}
-
-static void bad_reports(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    static const char *const BAD[] = {
-        "",
-        "[]",
-        "{}",
-        "{\"boot\":\"b\"}",
-        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"running\":7}",
-        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"running\":[{\"job\":\"j\",\"task\":-1,\"round\":1}]}",
-        "{\"boot\":\"b\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1},\"ended\":[{\"job\":\"j\",\"task\":1,\"round\":1,\"word\":\"running\"}]}",
-    };
-    for (size_t i = 0; i < sizeof(BAD) / sizeof(BAD[0]); i++) {
-        const HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", BAD[i]);
-        if (call.code < 400 || call.code >= 500)
-            fail_msg("%s: %d", BAD[i], call.code);
-    }
-    static const char GOOD[] = "{\"boot\":\"other\",\"zone\":\"z\",\"room\":{\"cpu\":1,\"memMb\":1}}";
-    /* a second process of the same name while the first one's lease runs */
-    fleet_run(fleet, 2000);
-    HttpCall call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker1/report", GOOD);
-    if (call.code != 409)
-        fail_msg("%d %s", call.code, (const char *)call.result.data);
-    call = fleet_ask(fleet, fleet, FLEET_AGENT, 0, "POST", "/v1/workers/worker2/report", GOOD);
-    assert_int_equal(call.code, 404);
-    fleet_run(fleet, 2000);
-    assert_int_equal(fleet_ask(fleet, fleet, FLEET_AGENT, 0, "GET", "/readyz", NULL).code, 200);
-    end(fleet);
-}
-
-/* Work whose owner allows copies restarts before the silent worker's lease has
- * lapsed; other work does not. */
-static void copies(void **state)
-{
-    (void)state;
-    Fleet *fleet = begin();
-    const char *text;
-    static const char STEP[] = ",\"steps\":[{\"name\":\"a\",\"count\":11," ROOM ",\"payload\":{\"runMs\":9000}}]}";
-    char body[512];
-    for (int with = 0; with < 2; with++) {
-        snprintf(body, sizeof(body),
-                 "{\"id\":\"%s\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"copies\":%s%s",
-                 with ? "may" : "not", with ? "true" : "false", STEP);
-        assert_int_equal(ask(fleet, "POST", "/v1/jobs", body, &text), 201);
-    }
-    fleet_run(fleet, 2000);
-    assert_int_equal(checker_starts(fleet->checker), 22);
-    fleet_isolate(fleet, FLEET_AGENT, 0, true);
-    fleet_run(fleet, 2400);
-    size_t may = 0, not = 0;
-    for (size_t t = 0; t < 11; t++) {
-        may += fleet_job(fleet, "may")->tasks[t].attempt == 2;
-        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
-    }
-    assert_true(may > 0);
-    assert_int_equal(not, 0);
-    fleet_run(fleet, 3000);
-    for (size_t t = 0; t < 11; t++)
-        not += fleet_job(fleet, "not")->tasks[t].attempt == 2;
-    assert_true(not > 0);
-    fleet_isolate(fleet, FLEET_AGENT, 0, false);
-    fleet_run(fleet, 15000);
-    assert_int_equal(ask(fleet, "GET", "/v1/jobs/may", NULL, &text), 200);
-    assert_non_null(strstr(text, "\"phase\":\"done\""));
-    end(fleet);
-}
-
-/* Room that somebody else uses on a worker is not given away. */
-static void others_use(void **state)
-{
-    (void)state;
-    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
-    for (int i = 0; i < 10; i++)
-        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Room){60000, 0, 0};
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000));
-    assert_true(fleet_configure(fleet));
-    fleet_run(fleet, 2000);
-    const char *text;
-    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("o", "{\"name\":\"a\",\"count\":20,\"room\":{\"cpu\":5,\"memMb\":10},\"payload\":{"
-                                    "\"runMs\":30000}}"),
-                         &text),
-                     201);
-    fleet_run(fleet, 6000);
-    assert_int_equal(checker_starts(fleet->checker), 12); /* of 64 controllers; four are left on each other */
-    for (int i = 0; i < 10; i++)
-        assert_int_equal(stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker), 0);
-    end(fleet);
-}
-
-static size_t running(Fleet *fleet)
-{
-    size_t count = 0;
-    for (int i = 0; i < fleet->node_count[FLEET_WORKER]; i++)
-        count += stand_worker_running(fleet_node(fleet, FLEET_WORKER, i)->worker);
-    return count;
-}
-
-/* The second survival rule: all disks fail, nobody can hold the lock, and all
- * members see each other: work goes on. One more failure, and it stops. When the
- * disks work again after a restart, it is planned anew. */
-static void store_gone(void **state)
-{
-    (void)state;
-    for (int with = 0; with < 2; with++) {
-        Fleet *fleet = begin();
-        const char *text;
-        assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                             STEPS("l", "{\"name\":\"a\",\"count\":22," ROOM ",\"payload\":{\"runMs\":40000}}"), &text),
-                         201);
-        fleet_run(fleet, 2000);
-        assert_int_equal(running(fleet), 22);
-        for (int i = 0; i < 3; i++)
-            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
-        /* a change that can't be written shows the failure */
-        ask(fleet, "POST", "/v1/jobs", JOB("x", ""), &text);
-        fleet_run(fleet, 10000);
-        assert_int_equal(fleet_leader(fleet), -1);
-        assert_int_equal(running(fleet), 22);
-        if (with) { /* an entry point is lost: not every member answers any more */
-            fleet_power_off(fleet, FLEET_ENTRY_POINT, 1);
-            fleet_run(fleet, 6000);
-            assert_int_equal(running(fleet), 0);
-        }
-        for (int i = 0; i < 3; i++) {
-            sim_disk_fail(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
-            fleet_kill(fleet, FLEET_CONTROLLER, i);
-            fleet_start_node(fleet, FLEET_CONTROLLER, i);
-        }
-        fleet_run(fleet, 15000);
-        assert_true(fleet_leader(fleet) >= 0);
-        fleet_run(fleet, 60000);
-        assert_int_equal(ask(fleet, "GET", "/v1/jobs/l", NULL, &text), 200);
-        assert_non_null(strstr(text, "\"phase\":\"done\""));
-        assert_true(with ? checker_starts(fleet->checker) >= 44 : checker_starts(fleet->checker) >= 22);
-        end(fleet);
-    }
+    case_end(fleet);
 }
 
 /* One change through all nodes, while one of them is down. */
@@ -546,7 +265,7 @@
     assert_int_equal(ask(fleet, "GET", "/v1/trace", NULL, &text), 422);
     assert_int_equal(ask(fleet, "POST", "/v1/trace?key=job:x", NULL, &text), 405);
     assert_int_equal(ask(fleet, "GET", "/v1/trace?key=job:none", NULL, &text), 200);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A leader that freezes with requests on the way: nobody waits out a long time-out.
@@ -565,9 +284,7 @@
                  {"PATCH", "/v1/config?base=1", "{\"r\":0}", 504},
                  {"GET", "/v1/config", NULL, 200}};
     for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++) {
-        Fleet *fleet = fleet_new(NULL, 3 + i, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-        fleet_start(fleet);
-        assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+        Fleet *fleet = case_begin(3 + i, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
         fleet_run(fleet, 1000);
         fleet_freeze(fleet, FLEET_CONTROLLER, fleet_leader(fleet), 9000);
         const int64_t from_ms = sim_now_ms(fleet->world);
@@ -590,9 +307,7 @@
 static void ready_in_a_cut(void **state)
 {
     (void)state;
-    Fleet *fleet = fleet_new(NULL, 8, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(8, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     for (int i = 0; i < 3; i++)
         assert_int_equal(fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, i, "GET", "/readyz", NULL).code, 200);
     fleet_zone_cut(fleet, "north", true);
@@ -612,12 +327,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(bad_jobs),         cmocka_unit_test(bad_paths),        cmocka_unit_test(twice_at_once),
-        cmocka_unit_test(due_and_delay),    cmocka_unit_test(gang_all_or_none), cmocka_unit_test(cancelled),
-        cmocka_unit_test(fails_then_works), cmocka_unit_test(finish_told_late), cmocka_unit_test(config_races),
-        cmocka_unit_test(bad_reports),      cmocka_unit_test(traced),           cmocka_unit_test(store_gone),
-        cmocka_unit_test(copies),           cmocka_unit_test(others_use),       cmocka_unit_test(leader_freezes),
-        cmocka_unit_test(ready_in_a_cut),
+        cmocka_unit_test(bad_jobs),       cmocka_unit_test(bad_paths),      cmocka_unit_test(bad_reports),
+        cmocka_unit_test(twice_at_once),  cmocka_unit_test(config_races),   cmocka_unit_test(traced),
+        cmocka_unit_test(leader_freezes), cmocka_unit_test(ready_in_a_cut),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define CONTROLLERS 3
 #define ENTRY_POINTS 3
@@ -33,10 +33,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 3, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
-    return fleet;
+    return case_begin(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 3, MIX_TRENTVALE, 0});
 }
 
 static const FleetNode *node_at(Fleet *fleet, int number)
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define CONTROLLERS 3
 #define ENTRY_POINTS 3
@@ -201,10 +201,7 @@
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
-    return fleet;
+    return case_begin(seed, (FleetShape){CONTROLLERS, ENTRY_POINTS, 4, MIX_TRENTVALE, 0});
 }
 
 /* The leader, or the one after it, is cut off for so long; within that it may be started
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static int stride(int some)
 {
@@ -66,9 +66,7 @@
 /* One run, struck at the given turn; false: the way was shorter. */
 static bool strike(const Walk *walk, int step)
 {
-    Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(11, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     for (int i = 0; i < 3 && walk->trigger == ON_POWER_LOST; i++)
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     checker_config_set(fleet->checker, 1);
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/ways.c
@@ -10,24 +10,15 @@
 #include <talloc.h>
 
 #include "routing/repair_buffer.h"
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 static Fleet *begin(uint64_t seed)
 {
-    Fleet *fleet = fleet_new(NULL, seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
-    fleet_start(fleet);
-    assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
+    Fleet *fleet = case_begin(seed, (FleetShape){3, 3, 4, MIX_TRENTVALE, 0});
     fleet_run(fleet, 1000);
     return fleet;
 }
 
-static void end(Fleet *fleet)
-{
-    if (checker_broken_all(fleet->checker) > 0)
-        fail_msg("%s", checker_first(fleet->checker));
-    talloc_free(fleet);
-}
-
 static const char *job_of(void *mem, const char *id)
 {
     return talloc_asprintf(mem,
@@ -93,7 +84,7 @@
     assert_true(task->code == 200 || task->code == 201);
     print_message("served after %lld ms\n", (long long)took_ms);
     fleet_run(fleet, 30000);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* Nobody can have taken it: it is refused at once, with when to come back. */
@@ -115,7 +106,7 @@
             fail_msg("refused after %lld ms", (long long)took_ms);
         fleet_run(fleet, 100);
     }
-    end(fleet);
+    case_end(fleet);
 }
 
 /* A leader that is slow but lives is waited for: asking it twice would make it slower. */
@@ -134,7 +125,7 @@
         assert_int_equal(task->code, 201);
         assert_true(took_ms > 240);
     }
-    end(fleet);
+    case_end(fleet);
 }
 
 /* The way between one entry point and the leader is cut: others carry on. */
@@ -162,7 +153,7 @@
     assert_int_equal(fleet_leader(fleet), leader);
     sim_cut(fleet->world, a, b, false);
     sim_cut(fleet->world, b, a, false);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* An entry point that stands still costs the leader's own callers its wait once, not each time. */
@@ -182,7 +173,7 @@
         slow += took_ms >= KEEP_ASK_MS;
     }
     assert_true(slow <= 1);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* --- readiness ------------------------------------------------------------------------- */
@@ -227,7 +218,7 @@
             fleet_kill(fleet, FLEET_CONTROLLER, i);
     fleet_run(fleet, 2500);
     assert_int_equal(ready_count(fleet), 0);
-    end(fleet);
+    case_end(fleet);
 }
 
 /* --- leaving ------------------------------------------------------------------------------ */
@@ -301,7 +292,7 @@
         assert_int_equal(sending.cut, 0);
         assert_int_equal(sending.calls, 0);
         assert_true(sending.good > 100 && sending.again < 10);
-        end(fleet);
+        case_end(fleet);
     }
 }
 
