--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -112,7 +112,7 @@
 
 /* Progress is reported once the attempt has run for PACE_FIRST_MS, and then each time that it has run half as long
  * again: often enough to notice an attempt that makes no progress, seldom enough to cost nothing. */
-static void pace_take(Agent *agent, Attempt *attempt, uint64_t percent)
+static void progress_take(Agent *agent, Attempt *attempt, uint64_t percent)
 {
     attempt->percent = percent;
     attempt->percent_ms = loop_now_ms(agent->loop) - attempt->runs_ms;
@@ -136,7 +136,7 @@
         text_set(attempt, &attempt->saved, news->saved);
         attempt->saved_turn++; /* the next heartbeat carries it */
     }
-    pace_take(agent, attempt, news->percent);
+    progress_take(agent, attempt, news->percent);
 }
 
 void attempt_retell(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
--- a/packages/explore/include/explore/explore.h
+++ b/packages/explore/include/explore/explore.h
@@ -5,18 +5,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* A randomized explorer of the replicated log alone: views, members and couriers on
- * simulated machines, with a small state instead of jobs, clients that hand in
- * changes, and an adversary. Every rule is checked after each step of the world. */
+/* A randomized explorer of the replicated log alone: the log (view), members and couriers run on simulated machines
+ * with a small state instead of jobs, clients that submit changes, and an adversary. Every rule is checked after each
+ * step. Used by its command (tool/explore.c) and its tests. The same plan gives the same run. */
 
-/* What the adversary does. Each lasts so long, then it is undone. */
+/* What the adversary does. Each act lasts for its for_ms, then it is undone. */
 #define ACT_LIST(X)                                                             \
     X(KILL, "kill")           /* the process; started again */                  \
     X(POWER, "power")         /* the machine: what was being written is torn */ \
     X(BLACKOUT, "blackout")   /* power of all machines */                       \
     X(WIPE, "wipe")           /* started again with an empty disk */            \
-    X(LEAVE, "leave")         /* it says so, and goes for good */               \
-    X(VANISH, "vanish")       /* it goes for good without a word */             \
+    X(LEAVE, "leave")         /* a graceful shutdown, for good */               \
+    X(VANISH, "vanish")       /* it is gone for good at once */                 \
     X(JOIN, "join")           /* a new machine with an empty disk */            \
     X(FREEZE, "freeze")       /* the process stands still */                    \
     X(CUT_BOTH, "cut")        /* from all others */                             \
@@ -30,8 +30,8 @@
     X(CLOCK, "clock")         /* amount: its rate, in percent */                \
     X(DISK_SLOW, "disk-slow") /* amount: ms for each sync */                    \
     X(DISK_FAIL, "disk-fail") /* writes fail */                                 \
-    X(STEP_DOWN, "step-down") /* the leader gives its lead up */                \
-    X(CHANGES, "changes")     /* amount: changes handed in at once */
+    X(STEP_DOWN, "step-down") /* the leader gives up its term */                \
+    X(CHANGES, "changes")     /* amount: changes submitted at once */
 
 typedef enum ActKind {
 #define X(name, word) ACT_##name,
@@ -40,7 +40,7 @@
         ACT_KINDS
 } ActKind;
 
-/* Whom it does it to, found when it is done. */
+/* To which node it does it, chosen when it does. */
 #define WHO_LIST(X)       \
     X(LEADER, "leader")   \
     X(VOTER, "voter")     \
@@ -55,7 +55,7 @@
 } Who;
 
 typedef struct Act {
-    int64_t at_ms; /* since the voters were whole */
+    int64_t at_ms; /* since the cluster was founded */
     ActKind kind;
     Who who;
     unsigned pick; /* which of them: modulo their number */
@@ -67,21 +67,21 @@
 
 /* Invariant: acts are in order of time. */
 typedef struct ExplorePlan {
-    uint64_t seed, world;  /* the plan's, and the world's: of delays, disks, clients */
+    uint64_t seed, world;  /* of the plan; of the world: delays, disks, clients */
     int losses;            /* disks that may be lost at once: twice that and one voters are wanted */
     int spares;            /* machines beyond the voters, from the start on */
     bool by_votes;         /* founded by the seeds' votes; else by three empty disks */
-    bool pace;             /* disks are lost one after another, as soon as what was lost is to be made good */
-    bool beyond;           /* more disks may be lost than are borne: then only safety is asked for */
-    size_t snapshot;       /* the log is shortened after so many entries */
-    int64_t voter_back_ms; /* as the settings say: a voter is whole again within this */
+    bool pace;             /* disks are lost one after another, each once the last loss must have been repaired */
+    bool beyond;           /* more disks may be lost than the log tolerates: then only safety is required */
+    size_t snapshot;       /* entries after which a snapshot replaces the log */
+    int64_t voter_back_ms; /* as the setting of that meaning: a lost voter is replaced within this */
     int64_t length_ms;     /* of the adversary */
     Act acts[EXPLORE_ACTS_MAX];
     bool skipped[EXPLORE_ACTS_MAX];
     size_t act_count;
 } ExplorePlan;
 
-/* What may never be. */
+/* The rules: what must never happen. */
 #define RULE_LIST(X)                                                                    \
     X(NONE, "none")                                                                     \
     X(TWO_LEADERS, "two nodes lead in one epoch")                                       \
@@ -118,21 +118,23 @@
     int64_t at_ms;
     char why[240];
     uint64_t steps, committed, acknowledged, leads, voter_changes;
-    uint64_t done[ACT_KINDS]; /* acts that found somebody to do it to */
-    bool lived;               /* liveness was asked for */
+    uint64_t done[ACT_KINDS]; /* acts that found a node */
+    bool lived;               /* liveness was required */
     int64_t live_ms;          /* from the end of the adversary to the first acknowledgement */
-    int64_t whole_ms;         /* ... until as many voters as are wanted live */
+    int64_t whole_ms;         /* ... until as many voters as are wanted are there */
 } ExploreResult;
 
-/* The plan of a seed: the same for all time, as long as the drawing is not changed. */
+/* The plan of a seed; it stays the same as long as the drawing is not changed. */
 void explore_plan_of(uint64_t seed, ExplorePlan *plan);
-/* Losses one after another and nothing else, each as soon as the last is to be made good. */
+/* A plan of losses one after another and nothing else, each once the last must have been repaired. */
 void explore_pace_of(uint64_t seed, ExplorePlan *plan);
+/* Runs the plan; loud: prints what happens, and the flight recorders when a rule breaks. Blocks. */
 void explore_run(const ExplorePlan *plan, bool loud, ExploreResult *result);
-/* Leaves out every act that the break does not need; false when the plan breaks nothing. */
+/* Leaves out every act that the break does not need. return: false when the plan breaks no rule. */
 bool explore_shrink(ExplorePlan *plan, ExploreResult *result);
-/* The plan as rows, those that are skipped left out. */
+/* Prints the plan as rows of C, without the acts that are skipped. */
 void explore_print(const ExplorePlan *plan);
+/* What the rule says is broken. */
 const char *rule_text(Rule rule);
 
 #endif
--- a/packages/explore/src/act.c
+++ b/packages/explore/src/act.c
@@ -1,15 +1,18 @@
-/* The adversary: what it does to whom, and how that ends. */
+/* The adversary: what each act does, to whom, and how it is undone. */
 #include <inttypes.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "act.h"
+#include "client.h"
+#include "nodes.h"
+#include "report.h"
 
 #define LINK_LOW_MS 1  /* ms; of a frame, when nothing is wrong */
 #define LINK_HIGH_MS 3 /* ms */
 #define SYNC_MS 3      /* ms; of a sync, when nothing is wrong */
 #define LATE_MS 2000   /* ms; a repeated frame comes so late at most */
 
-/* What ends when an act does. */
+/* An act to be undone. */
 typedef struct ActEnd {
     Explore *explore;
     ActKind kind;
@@ -128,14 +131,14 @@
         node_start(node);
 }
 
-/* Changes handed in at once. */
+/* Changes submitted at once. */
 static void changes(Explore *explore, Node *node, unsigned count)
 {
     for (unsigned i = 0; i < count && node->up; i++)
         client_submit(explore, node);
 }
 
-/* Acts of no node. */
+/* Acts on no single node; false: it is not one. */
 static bool world_act(Explore *explore, const Act *act)
 {
     switch (act->kind) {
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -1,38 +1,17 @@
-/* The rules, looked at after each step of the world. */
+/* The rules, checked after each step of the world: no two leaders of a term, nothing committed that changes or is
+ * lost, no promise that falls, each acknowledged change on losses + 1 disks. */
 #include <inttypes.h>
-#include <stdarg.h>
-#include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "base/term.h"
+#include "check.h"
+#include "disks.h"
 #include "history.h"
+#include "nodes.h"
+#include "report.h"
 
-const char *rule_text(Rule rule)
-{
-    static const char *const TEXTS[] = {
-#define X(name, text) text,
-        RULE_LIST(X)
-#undef X
-    };
-    return TEXTS[rule];
-}
-
-void explore_break(Explore *explore, Rule rule, const char *format, ...)
-{
-    ExploreResult *result = explore->result;
-    if (result->rule != RULE_NONE)
-        return;
-    result->rule = rule;
-    result->at_ms = sim_now_ms(explore->world) - explore->start_ms;
-    va_list args;
-    va_start(args, format);
-    vsnprintf(result->why, sizeof(result->why), format, args);
-    va_end(args);
-    explore_say(explore, "BROKE %s: %s", rule_text(rule), result->why);
-}
-
-/* What is committed is never another, and never taken back. */
+/* What is committed never changes, and every state is that of the one history. */
 static void check_committed(Explore *explore, Node *node, const ReplicationWindow *window)
 {
     if (window->commit_index < node->commit_seen)
@@ -57,7 +36,7 @@
     node->promised_seen = window->promised;
     if (!window->holding || window->term == node->held_term)
         return;
-    /* just won: the promises of a majority are on disks */
+    /* it has just won: the promises of a majority must be on disks */
     node->held_term = window->term;
     size_t synced = 0;
     for (size_t i = 0; i < window->voter_count; i++) {
@@ -69,6 +48,7 @@
                       term_counter(window->term), synced, window->voter_count);
 }
 
+/* One disk alone leads in a term. */
 static void check_term_owner(Explore *explore, const Node *node, uint64_t term)
 {
     const uint64_t disk = replication_disk(node->replication);
@@ -97,6 +77,7 @@
     return same == history->voter_count && same == window->voter_count;
 }
 
+/* Configurations of voters in the log that are not committed. */
 static size_t lists_pending(const ReplicationWindow *window)
 {
     size_t count = 0;
@@ -109,7 +90,7 @@
     return count;
 }
 
-/* A leader has all that was committed, and the newest list of voters. */
+/* A leader has all that was committed, and the newest configuration of voters. */
 static void check_leader(Explore *explore, Node *node, const ReplicationWindow *window)
 {
     const History *history = &explore->history;
@@ -129,6 +110,8 @@
     node->list_seen = window->list_index;
 }
 
+/* Each change that was acknowledged in this step is committed, and on as many disks as the losses that the log
+ * tolerates, and one. */
 static void check_acks(Explore *explore)
 {
     for (size_t i = 0; i < explore->ack_count; i++) {
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -1,9 +1,11 @@
-/* Clients: hand in changes and remember what they were told. */
+/* Clients: submit changes and remember what they were told of each. */
 #include <string.h>
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "inside.h"
+#include "client.h"
+#include "nodes.h"
+#include "report.h"
 
 #define CLIENT_EACH_MS 60 /* ms; between two changes */
 #define CLIENT_BYTES 160  /* bytes; of a change at most */
@@ -60,7 +62,7 @@
     loop_spawn(loop, "client", hand_main, handing);
 }
 
-/* Mostly the leader, at times anybody. */
+/* Mostly the leader, sometimes any node that runs; null: that one does not. */
 static Node *target(Explore *explore)
 {
     Node *leader = sim_random(explore->world) % 4 != 0 ? node_leader(explore) : NULL;
--- a/packages/explore/src/disks.c
+++ b/packages/explore/src/disks.c
@@ -1,10 +1,13 @@
-/* What the disks hold, followed block by block, and what they may never do. */
+/* What the disks hold, by the blocks that were synced, and what must never happen to a disk: a promise that falls, a
+ * log that gets shorter, another cluster. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "base/term.h"
-#include "inside.h"
+#include "disks.h"
+#include "items.h"
+#include "report.h"
 
 DiskModel *disk_of(const Explore *explore, uint64_t disk)
 {
@@ -26,7 +29,7 @@
     return model->base_index + model->entries.count;
 }
 
-/* The term at the index; false when it is not known there. */
+/* The term at the index; false: it is not known there. */
 static bool term_at(const DiskModel *model, uint64_t index, uint64_t *term)
 {
     const Item *item = disk_item(model, index);
@@ -60,7 +63,7 @@
     model->base_term = snapshot->term;
 }
 
-/* As the view itself reads its journal. */
+/* Applies a record, as the replicated log does when it reads its journal. */
 static void take(void *arg, const Record *record)
 {
     DiskModel *model = arg;
@@ -91,7 +94,7 @@
     }
 }
 
-/* Whether all that the newer holds, the older held as well, and more. */
+/* Whether the newer holds less than the older, and nothing else. */
 static bool shortened(const DiskModel *older, const DiskModel *newer)
 {
     uint64_t before, after;
@@ -144,11 +147,11 @@
         model->entries = (Items){0};
         model->base_index = model->base_term = model->promised = 0;
     } else {
-        /* entries are only overwritten after a trim: the older ones are needed to compare */
+        /* entries are only overwritten after a trim: the older ones are kept for the comparison */
         before.entries.list = talloc_memdup(explore, model->entries.list, sizeof(Item) * model->entries.count);
     }
     size_t good;
-    (void)journal_read(bytes, take, model, &good, NULL); /* what is whole of it counts */
+    (void)journal_read(bytes, take, model, &good, NULL); /* complete records count */
     compare(explore, &before, model);
     if (before.entries.list != model->entries.list)
         talloc_free(before.entries.list);
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -1,9 +1,9 @@
-/* The plan of a seed. */
+/* Plans: drawn from a seed, and printed. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 
-#include "inside.h"
+#include "state.h"
 
 #define PACE_LOSSES 10      /* count; losses one after another */
 #define PACE_BEFORE_MS 2500 /* ms; a learner that is to replace another is started so long before, at most */
@@ -70,7 +70,7 @@
     return leads ? WHO_LEADER : who;
 }
 
-/* Mostly one shortly after another, so that they meet; at times a while of quiet. */
+/* Mostly one shortly after another, so that they overlap; sometimes a while of quiet. */
 static int64_t gap_of(Draw *draw, bool dense)
 {
     if (dense)
@@ -106,8 +106,7 @@
     }
 }
 
-/* One voter after another is lost. A learner comes shortly before each loss, or all of them stand
- * ready from the start on. */
+/* The loss of one voter. A learner is started shortly before, unless all of them run from the beginning. */
 static void pace_loss(Draw *draw, ExplorePlan *plan, int64_t at_ms, bool standing)
 {
     static const ActKind LOSSES[] = {ACT_LEAVE, ACT_LEAVE, ACT_VANISH, ACT_WIPE};
--- a/packages/explore/src/history.c
+++ b/packages/explore/src/history.c
@@ -1,9 +1,12 @@
-/* What is committed: one history, and each new item of it looked at once. */
+/* What is committed: one history, each new item of which is checked once. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
+#include "disks.h"
 #include "history.h"
+#include "items.h"
+#include "report.h"
 
 const Item *history_item(const History *history, uint64_t index)
 {
@@ -18,8 +21,8 @@
     return false;
 }
 
-/* Any two majorities of lists that follow each other share a disk, and one step leads from the
- * one to the other: a disk more, a disk less, or one in another's place. */
+/* Configurations of voters that follow each other differ by one step (a disk more, a disk less, or one in another's
+ * place), and any two majorities of them share a disk (Raft: changes of one server at a time). */
 static void voters_next(Explore *explore, uint64_t index, const Item *item)
 {
     History *history = &explore->history;
@@ -52,9 +55,9 @@
     order->index = index;
 }
 
-/* How many voters a commit is counted among: those of the newest list in the leader's log, as
- * it was at the commit. A list that this very step has ordered came after what the step
- * commits, unless it is committed itself: then the one from before the step counts. */
+/* How many voters a commit is counted among: those of the newest configuration in the leader's log, as it was at the
+ * commit. One that this very step has appended came after what the step commits, unless it is committed itself: then
+ * the one from before the step counts. */
 static size_t voters_counted(const Node *node, const ReplicationWindow *window)
 {
     const bool ordered = window->list_index > node->list_before && window->list_index > window->commit_index;
--- a/packages/explore/src/history.h
+++ b/packages/explore/src/history.h
@@ -1,11 +1,13 @@
 #ifndef EXPLORE_SRC_HISTORY_H
 #define EXPLORE_SRC_HISTORY_H
 
-#include "inside.h"
+/* What is committed (history.c). */
 
-/* The item at the index, or null. */
+#include "state.h"
+
+/* Null: nothing is committed there yet. */
 const Item *history_item(const History *history, uint64_t index);
-/* Takes in what the node has committed beyond the history. */
+/* Adds what the node has committed beyond the history, and checks each new item. */
 void history_follow(Explore *explore, const Node *node, const ReplicationWindow *window);
 
 #endif
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -1,8 +1,8 @@
-/* Entries as the checker keeps them. */
+/* Entries of the log as the explorer keeps them: hashes, and the voters that they hold. */
 #include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "items.h"
 
 #define ITEMS_FIRST 256 /* count */
 
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -1,14 +1,17 @@
-/* Nodes: an RPC endpoint, members and a view on a simulated machine each. */
+/* Nodes: on each simulated machine a process with the replicated log (view), its members and its RPC endpoint. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "inside.h"
+#include "disks.h"
+#include "items.h"
+#include "nodes.h"
+#include "report.h"
 
 #define NODE_DATA "journal"
 #define START_AGAIN_MS 500  /* ms; a process that could not open its disk is started again after this */
-#define LEAVE_GRACE_MS 3000 /* ms; one that leaves has gone by then */
+#define LEAVE_GRACE_MS 3000 /* ms; one that shuts down is gone after this */
 
 /* --- the state ------------------------------------------------------------------- */
 
@@ -41,7 +44,7 @@
     return STATUS_OK;
 }
 
-/* --- their lives ----------------------------------------------------------------- */
+/* --- processes ----------------------------------------------------------------- */
 
 Node *node_add(Explore *explore)
 {
@@ -57,7 +60,7 @@
     return node;
 }
 
-/* Seeds change hands when a machine goes for good: the oldest that are left. */
+/* The seeds are the oldest machines that are left. */
 static void seeds_of(const Explore *explore, const char *seeds[SEEDS])
 {
     int count = 0;
@@ -125,7 +128,7 @@
     Failure failure = {0};
     const Status status = boot(node, sim_loop(node->explore->world, node->machine), &failure);
     node->up = status == STATUS_OK;
-    if (status == STATUS_DISK_FAILED) /* the process ends, and is started again */
+    if (status == STATUS_DISK_FAILED) /* the process ends and is started again */
         sim_at(node->explore->world, sim_now_ms(node->explore->world), start_again, node);
     else if (!node->up)
         explore_break(node->explore, RULE_NOT_OPENED, "%s: %s %s", node->name, status_word(status), failure.text);
@@ -187,7 +190,7 @@
         node_vanish(node);
 }
 
-/* As a controller's process does it when it is told to end. */
+/* The steps of a controller's graceful shutdown. */
 static void leave_main(void *arg)
 {
     Node *node = arg;
@@ -210,7 +213,7 @@
     sim_at(node->explore->world, sim_now_ms(node->explore->world) + LEAVE_GRACE_MS, left_now, node);
 }
 
-/* --- what they are --------------------------------------------------------------- */
+/* --- roles and losses --------------------------------------------------------------- */
 
 bool node_leads(const Node *node)
 {
@@ -245,13 +248,14 @@
         const DiskModel *model = disk_of(explore, disks[i]);
         lost += model == NULL || model->lost;
     }
-    /* one that is about to leave is lost as well */
+    /* one that is shutting down counts as lost */
     for (int i = 0; i < explore->node_count; i++)
         lost += explore->nodes[i].leaving && !explore->nodes[i].gone && explore->nodes[i].model != NULL &&
                 has(disks, count, explore->nodes[i].model->disk);
     return lost;
 }
 
+/* Whether the voters keep a majority without the node. */
 static bool bears(const Explore *explore, const Node *node, const uint64_t *disks, size_t count)
 {
     if (!has(disks, count, node->model->disk))
--- /dev/null
+++ b/packages/explore/src/report.c
@@ -0,0 +1,42 @@
+/* What a run reports: the first rule that broke, and what happens when it is loud. */
+#include "report.h"
+
+#include <inttypes.h>
+#include <stdarg.h>
+#include <stdio.h>
+
+void explore_say(const Explore *explore, const char *format, ...)
+{
+    if (!explore->loud)
+        return;
+    va_list args;
+    va_start(args, format);
+    printf("%7" PRId64 " ", sim_now_ms(explore->world) - explore->start_ms);
+    vprintf(format, args);
+    putchar('\n');
+    va_end(args);
+}
+
+const char *rule_text(Rule rule)
+{
+    static const char *const TEXTS[] = {
+#define X(name, text) text,
+        RULE_LIST(X)
+#undef X
+    };
+    return TEXTS[rule];
+}
+
+void explore_break(Explore *explore, Rule rule, const char *format, ...)
+{
+    ExploreResult *result = explore->result;
+    if (result->rule != RULE_NONE)
+        return;
+    result->rule = rule;
+    result->at_ms = sim_now_ms(explore->world) - explore->start_ms;
+    va_list args;
+    va_start(args, format);
+    vsnprintf(result->why, sizeof(result->why), format, args);
+    va_end(args);
+    explore_say(explore, "BROKE %s: %s", rule_text(rule), result->why);
+}
--- a/packages/explore/src/run.c
+++ b/packages/explore/src/run.c
@@ -1,27 +1,19 @@
-/* One run of a plan. */
+/* One run of a plan: the cluster is founded, the adversary acts, and in the end a change must be committed and the
+ * voters be complete in time. */
 #include <inttypes.h>
-#include <stdarg.h>
 #include <stdio.h>
-#include <string.h>
 #include <talloc.h>
 
-#include "inside.h"
+#include "act.h"
+#include "check.h"
+#include "client.h"
+#include "disks.h"
+#include "nodes.h"
+#include "report.h"
 
-#define FOUND_MS 30000 /* ms; from the first start until the voters are whole */
+#define FOUND_MS 30000 /* ms; from the first start until there are as many voters as are wanted */
 #define LOOK_MS 50     /* ms; between two looks at whether something broke */
 
-void explore_say(const Explore *explore, const char *format, ...)
-{
-    if (!explore->loud)
-        return;
-    va_list args;
-    va_start(args, format);
-    printf("%7" PRId64 " ", sim_now_ms(explore->world) - explore->start_ms);
-    vprintf(format, args);
-    putchar('\n');
-    va_end(args);
-}
-
 static bool broken(const Explore *explore)
 {
     return explore->result->rule != RULE_NONE;
@@ -43,7 +35,7 @@
         node_add(explore);
         explore->nodes[i].founds = plan->by_votes || i < SEEDS;
     }
-    /* three empty disks found: the others come once these have */
+    /* three empty disks found the cluster: the others start once it is */
     const int first = plan->by_votes ? explore->node_count : SEEDS;
     for (int i = 0; i < explore->node_count; i++)
         node_start_later(&explore->nodes[i], i < first ? (int64_t)(sim_random(explore->world) % 300) : 6000);
@@ -75,7 +67,7 @@
     return false;
 }
 
-/* ... and as many voters live as are wanted, where there are disks for them. */
+/* In time as many voters are there as are wanted, where there are disks for them. */
 static void whole(Explore *explore, int64_t from_ms)
 {
     const size_t wanted = 2 * (size_t)explore->plan->losses + 1;
@@ -89,7 +81,7 @@
     explore->result->whole_ms = sim_now_ms(explore->world) - from_ms;
 }
 
-/* After all failures have ended, a change is committed within a stated span. */
+/* After all failures have ended, a change is committed in time. */
 static void live(Explore *explore)
 {
     while (!broken(explore) && frozen(explore))
@@ -139,6 +131,6 @@
     if (loud && broken(explore))
         dump(explore);
     sim_watch_disks(explore->world, NULL, NULL);
-    talloc_free(explore->world); /* first: what runs there reaches back to the rest */
+    talloc_free(explore->world); /* first: what runs there refers to the rest */
     talloc_free(explore);
 }
--- a/packages/explore/src/shrink.c
+++ b/packages/explore/src/shrink.c
@@ -1,9 +1,9 @@
-/* Finds the fewest acts that still break a rule. */
+/* Shrinks a plan to the acts that its break needs. */
 #include <string.h>
 
 #include "explore/explore.h"
 
-#define WORLDS 6 /* count; without an act all else falls otherwise: other worlds are tried as well */
+#define WORLDS 6 /* count; without an act everything after it differs, so other worlds are tried as well */
 
 /* Whether the plan breaks the rule in some world; the plan is of that world then. */
 static bool breaks(ExplorePlan *plan, Rule rule, ExploreResult *result)
