--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -18,6 +18,7 @@
 #include <unistd.h>
 
 #include "loop/real.h"
+#include "socketcase.h"
 
 #define LARGE_BYTES (16 * 1024 * 1024) /* more than the kernel takes at once */
 
@@ -74,25 +75,6 @@
 
 /* --- the caller ---------------------------------------------------------------------- */
 
-static int dial(const char *address)
-{
-    struct sockaddr_in sin = {.sin_family = AF_INET};
-    const char *colon = strrchr(address, ':');
-    sin.sin_port = htons((uint16_t)atoi(colon + 1));
-    inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
-    const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0)
-        abort();
-    return fd;
-}
-
-static void put(int fd, const char *text)
-{
-    const size_t count = strlen(text);
-    if (send(fd, text, count, MSG_NOSIGNAL) != (ssize_t)count)
-        fprintf(stderr, "not all was sent\n");
-}
-
 /* One whole answer: head, and as much body as it says. Empty at the end. */
 static size_t answer(int fd, char *text, size_t room)
 {
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -19,6 +19,7 @@
 #include <unistd.h>
 
 #include "loop/real.h"
+#include "socketcase.h"
 
 #define GIVEN_UP_MS 20  /* ms; a call that is to be given up */
 #define PATIENT_MS 5000 /* ms; one that is not */
@@ -50,22 +51,6 @@
         loop_sleep(stage->loop, 1);
 }
 
-static int dial(const char *address)
-{
-    struct sockaddr_in sin = {.sin_family = AF_INET, .sin_port = htons((uint16_t)atoi(strrchr(address, ':') + 1))};
-    inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
-    const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0)
-        abort();
-    return fd;
-}
-
-static void put(int fd, const char *text)
-{
-    if (send(fd, text, strlen(text), MSG_NOSIGNAL) != (ssize_t)strlen(text))
-        fprintf(stderr, "not all was sent\n");
-}
-
 /* Reads until the text has these words; false: it ended before. */
 static bool read_until(int fd, char *text, size_t room, const char *words)
 {
--- /dev/null
+++ b/packages/loop/test/socketcase.h
@@ -0,0 +1,30 @@
+#ifndef LOOP_TEST_SOCKETCASE_H
+#define LOOP_TEST_SOCKETCASE_H
+
+/* The other side of the real loop in its tests: a thread with plain sockets. */
+#include <arpa/inet.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+/* A connection to a port of this machine, by the address that the loop has given. */
+static inline int dial(const char *address)
+{
+    struct sockaddr_in sin = {.sin_family = AF_INET, .sin_port = htons((uint16_t)atoi(strrchr(address, ':') + 1))};
+    inet_pton(AF_INET, "127.0.0.1", &sin.sin_addr);
+    const int fd = socket(AF_INET, SOCK_STREAM, 0);
+    if (connect(fd, (struct sockaddr *)&sin, sizeof(sin)) != 0)
+        abort();
+    return fd;
+}
+
+/* Sends the whole text. */
+static inline void put(int fd, const char *text)
+{
+    if (send(fd, text, strlen(text), MSG_NOSIGNAL) != (ssize_t)strlen(text))
+        fprintf(stderr, "not all was sent\n");
+}
+
+#endif
--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -5,16 +5,17 @@
 #include "model/site.h"
 #include "state/worker.h"
 
-/* How a platform words what the model's workers, callers and operator say and are
- * told. The model knows what is meant; only a tongue knows the words. */
+/* A tongue is a platform's codec for the model: it writes and reads the messages between the product and the model's
+ * workers, callers and operator. The model decides what is said; only the tongue knows how. All that a tongue makes is
+ * on the mem that it is given; texts that it is given are only read. */
 
 /* --- machines ------------------------------------------------------------------------ */
 
 typedef struct CodecNode {
     const char *name, *zone, *ip;
-    bool side; /* beside a worker; else at the edge */
+    bool side; /* beside a worker; otherwise an entry point or controller */
     bool disk;
-    bool founds;          /* the first start of all */
+    bool founds;          /* the first start: it may found the cluster */
     const char *seeds[3]; /* IPs */
 } CodecNode;
 
@@ -22,6 +23,7 @@
 
 #define MODEL_ID_BYTES 17 /* bytes; 16 hex digits and the end */
 
+/* A task of a job: the turn (of a job that runs several times), the step, and the place in the step. */
 typedef struct TaskName {
     char job[MODEL_ID_BYTES];
     uint64_t turn, step, at;
@@ -42,7 +44,7 @@
     const char *saved;
 } WorkerModelEnded;
 
-/* What a worker tells of itself. */
+/* A worker's report. */
 typedef struct WorkerModelReport {
     const char *kind, *zone, *label, *rack, *address;
     Room room;
@@ -61,7 +63,7 @@
     const char *payload, *saved;
 } WorkerModelStart;
 
-/* What it is answered. lease_ms and again_ms below 0: not said. */
+/* The answer. lease_ms (the lease) and again_ms below 0: not given. */
 typedef struct WorkerModelOrders {
     WorkerModelStart *starts;
     size_t start_count;
@@ -86,7 +88,7 @@
 
 #define DRAFT_STEPS_MAX 6
 
-/* A job as its caller means it. */
+/* A job as its caller means it, before it is encoded. */
 typedef struct Draft {
     char id[MODEL_ID_BYTES];
     const char *payload;
@@ -106,14 +108,14 @@
     JOB_WORD_NONE
 } JobWord;
 
-/* What an answer comes to. UNCLEAR: what was asked for may or may not have been done. */
+/* What an answer means. UNCLEAR: what was asked for may or may not have been done. */
 typedef enum Outcome {
     OUTCOME_GOOD,
-    OUTCOME_AWAY,   /* turned away: not taken, and never will be */
+    OUTCOME_AWAY,   /* rejected: not taken, and never will be */
     OUTCOME_NOBODY, /* there is no such queue */
     OUTCOME_GONE,   /* there is no such job */
     OUTCOME_STALE,  /* another document is in force */
-    OUTCOME_WRONG,  /* refused for good */
+    OUTCOME_WRONG,  /* rejected as invalid */
     OUTCOME_UNCLEAR
 } Outcome;
 
@@ -136,7 +138,7 @@
     bool guards;
 } Document;
 
-/* Ways to spoil a document. */
+/* Ways to make a document invalid. */
 typedef enum Spoil {
     SPOIL_NONE,
     SPOIL_CUT,
@@ -147,26 +149,26 @@
     SPOIL_COUNT
 } Spoil;
 
-/* An order of the operator, worded. */
+/* An encoded request of the operator. */
 typedef struct Worded {
     const char *path, *head_name, *head_value;
     Bytes body;
 } Worded;
 
 typedef struct Codec {
-    const char *adapter; /* whose tongue it is */
+    const char *adapter; /* the protocol adapter that it belongs to */
     int front_port, ready_port, operator_port;
     const char *ready_path, *config_path, *wait_head;
-    /* Of an HTTP code; 0: no answer came. */
+    /* Of an HTTP status; 0: no answer came. */
     Outcome (*outcome)(int code);
-    /* All on mem. */
+    /* The node's settings file. */
     char *(*settings)(void *mem, const Site *site, const CodecNode *node);
     char *(*heartbeat_path)(void *mem, const char *boot, bool leaves);
     Bytes (*report)(void *mem, const WorkerModelReport *report);
     bool (*orders)(void *mem, Bytes result, WorkerModelOrders *orders);
     Bytes (*job)(void *mem, const Draft *draft);
     JobWord (*state)(Bytes result);
-    /* The count of a queue; -1: there is none in it. */
+    /* The number of jobs in a queue; -1: the result has none. */
     int64_t (*pending)(Bytes result);
     Worded (*document)(void *mem, const Document *document, uint64_t base, Spoil spoil);
     /* The change from one to the other, as named items. */
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -5,8 +5,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The rules of a deployment, beside the nevers of sim/checker.h: what callers, workers
- * and the operator have seen on their connections. */
+/* The rules of a deployment, besides the safety properties of sim/checker.h: what callers, workers and the operator may
+ * never see on their connections. */
 #define RULE_LIST(X)                                                               \
     X(LIMIT, "a start beyond a worker's room")                                     \
     X(TWICE, "a task running twice, or again after it was done")                   \
@@ -36,7 +36,7 @@
 const char *rule_name(Rule rule);
 const char *rule_words(Rule rule);
 
-#define BREAKS_TOLD 40 /* count; of one run so many are kept with their words */
+#define BREAKS_TOLD 40 /* count; breaks of a run that are kept with their text */
 
 typedef struct Break {
     Rule rule;
@@ -44,13 +44,14 @@
     char words[200];
 } Break;
 
-/* What broke in a run. Invariant: told are the first BREAKS_TOLD, in order of time. */
+/* What broke in a run. Invariant: told holds the first BREAKS_TOLD breaks, in order of time. */
 typedef struct Rules {
     size_t broken[RULE_COUNT], all;
     Break told[BREAKS_TOLD];
     size_t told_count;
 } Rules;
 
+/* Counts a break, and keeps its text if it is among the first. */
 void rules_broke(Rules *rules, Rule rule, int64_t at_ms, const char *format, ...) __attribute__((format(printf, 4, 5)));
 
 #endif
--- a/packages/model/include/model/site.h
+++ b/packages/model/include/model/site.h
@@ -7,9 +7,10 @@
 
 #include "base/failure.h"
 
-/* A deployment as its owners describe it: machines, workers, what is handed in,
- * and the bounds that the rules speak of. Spans and counts, units in the names.
- * X(name, default, meaning) */
+/* A site: a deployment as its owners describe it, with machines, workers, the jobs that are submitted, and the bounds
+ * that the rules use. Built-in ones are in site.c, others are read from ini files.
+ *
+ * X(name, default, meaning): spans and counts, with the unit at the end of the name. */
 #define SITE_LIST(X)                                                                                       \
     X(zones, "zones", 3, "zones")                                                                          \
     X(controllers, "cores", 3, "machines at the edge with a disk, over the zones in turn")                 \
@@ -50,8 +51,7 @@
     X(heartbeat_ms, "beatMs", 1500, "a worker beats at least this often")                                  \
     X(deaf, "deaf", 0, "1: workers can't say that they leave")
 
-/* One kind of work that callers hand in: a queue's.
- * X(name, default, meaning) */
+/* One kind of work that callers submit; each has a queue of its own. X(name, default, meaning) */
 #define SITE_KIND_LIST(X)                                                                      \
     X(per_minute, "perMinute", 60, "jobs in a minute, from all zones")                         \
     X(steps, "steps", 1, "steps of a job, at most")                                            \
@@ -93,10 +93,12 @@
     size_t kind_count;
 } Site;
 
-/* The site of the name that is built in; false when there is none. */
+/* The built-in site of the name; false: there is none. */
 bool site_named(const char *name, Site *site);
-/* Reads an ini file: [site] and a group for each kind, over the defaults. */
+/* Reads an ini file, [site] and a group for each kind, over the defaults. return: OK, or why not, with the text in
+ * failure. */
 Status site_read(const char *path, Site *site, Failure *failure);
+/* The name of a zone by its number. */
 const char *site_zone(int64_t zone);
 
 #endif
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -74,12 +74,6 @@
     }
 }
 
-static void nothing(void *arg, Loop *loop)
-{
-    (void)arg;
-    (void)loop;
-}
-
 Callers *callers_new(void *mem, Door *door, Book *book, Ledger *ledger)
 {
     Callers *callers = talloc_zero(mem, Callers);
@@ -93,7 +87,7 @@
 {
     const Site *site = callers->topology->site;
     for (int64_t zone = 0; zone < site->zones; zone++) {
-        sim_start(callers->topology->world, callers->machines[zone], nothing, NULL);
+        topology_host(callers->topology, callers->machines[zone]);
         for (size_t kind = 0; kind < site->kind_count; kind++) {
             callers->times_milli[kind] = 1000;
             if (site->kinds[kind].per_minute <= 0)
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -35,12 +35,6 @@
     }
 }
 
-static void nothing(void *arg, Loop *loop)
-{
-    (void)arg;
-    (void)loop;
-}
-
 Door *door_new(void *mem, Topology *topology)
 {
     Door *door = talloc_zero(mem, Door);
@@ -51,7 +45,7 @@
 
 void door_start(Door *door)
 {
-    sim_start(door->topology->world, door->machine, nothing, NULL);
+    topology_host(door->topology, door->machine);
     Loop *loop = sim_loop(door->topology->world, door->machine);
     for (size_t i = 0; i < door->topology->edge_count; i++) {
         Looking *looking = talloc_zero(loop, Looking);
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -282,12 +282,6 @@
 
 /* --- beginning and end --------------------------------------------------------------------------------- */
 
-static void nothing(void *arg, Loop *loop)
-{
-    (void)arg;
-    (void)loop;
-}
-
 Operator *operator_new(void *mem, Topology *topology, Ledger *ledger)
 {
     Operator *self = talloc_zero(mem, Operator);
@@ -301,7 +295,7 @@
 void operator_start(Operator *self)
 {
     const Site *site = self->topology->site;
-    sim_start(self->topology->world, self->machine, nothing, NULL);
+    topology_host(self->topology, self->machine);
     Document first = {.kinds = {"std"}, .kind_count = 1, .guards = site->guards != 0};
     for (size_t i = 0; i < site->kind_count; i++)
         callers_queue(site, i, &first.queues[first.queue_count++]);
--- a/packages/model/src/topology.c
+++ b/packages/model/src/topology.c
@@ -75,6 +75,17 @@
     return topology;
 }
 
+static void nothing(void *arg, Loop *loop)
+{
+    (void)arg;
+    (void)loop;
+}
+
+void topology_host(const Topology *topology, int machine)
+{
+    sim_start(topology->world, machine, nothing, NULL);
+}
+
 void topology_start(Topology *topology)
 {
     topology->began_ms = topology_now_ms(topology) + topology->site->lead_ms;
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -64,6 +64,9 @@
 /* Prints the flight recorders of all machines, when the day is loud. */
 void topology_dump(const Topology *topology);
 
+/* Starts an empty process on a machine of the model's own, for callers and the like: its tasks are spawned later. */
+void topology_host(const Topology *topology, int machine);
+
 /* --- groundsay.c --- */
 int64_t topology_now_ms(const Topology *topology);
 /* Since traffic began; negative before. */
--- a/packages/sim/include/sim/probe.h
+++ b/packages/sim/include/sim/probe.h
@@ -3,15 +3,16 @@
 
 #include "sim/fleet.h"
 
-/* Tenants that operators let in and out during a run; and those that only a
- * configuration that was refused ever had. */
+/* Probes: what shows whether configurations are in force, and whether entry points serve. */
+
+/* Tenants that operators add and remove during a run, and one that only rejected configurations ever had. */
 #define PROBE_TENANTS 3
 extern const char *const PROBE_IN_OUT[PROBE_TENANTS];
 extern const char *const PROBE_NEVER;
 
-/* A prober at each entry point: hands in light work of tenants that are in, out and
- * never were, reads what it handed in back at other entry points, and tells the
- * checker. It goes on until probes_stop and until all it handed in has ended. */
+/* Starts a prober at each entry point: every every_ms it submits light work of tenants that are in, out and never were,
+ * reads that back at other entry points, and tells the checker. It ends once probes_stop was called and all its work
+ * has ended. */
 void probes_start(Fleet *fleet, int64_t every_ms);
 void probes_stop(Fleet *fleet);
 
--- a/packages/sim/include/sim/timeline.h
+++ b/packages/sim/include/sim/timeline.h
@@ -3,7 +3,7 @@
 
 #include "sim/fleet.h"
 
-/* A timeline drawn as text, one column a node, one row a moment:
+/* Timelines: scenarios drawn as text, one column a node, one row a moment. Used by tests and the timeline tool.
  *
  *     ms     leader        worker2     callers
  *     0      .             .           call:10
@@ -27,8 +27,8 @@
  * acceptances) and allDone (every job of the last call is done). */
 typedef struct Timeline Timeline;
 
-/* Builds the fleet, draws the timeline, checks every never at each step. True
- * when all claims held and no never broke; else why says which. */
+/* Builds the fleet, plays the timeline, and checks every safety property at each step. return: true when all claims
+ * held and no property broke; otherwise why says what did not hold. */
 bool timeline_run(uint64_t seed, FleetShape shape, const char *text, char *why, size_t why_size);
 
 #endif
