--- a/packages/sim/test/configbodies.c
+++ b/packages/sim/test/configbodies.c
@@ -111,6 +111,7 @@
         fleet_start_node(fleet, FLEET_CONTROLLER, leader);
         fleet_run(fleet, 5000);
     }
+    checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
     assert_int_equal(fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "PATCH", "/v1/config?base=2",
@@ -146,6 +147,7 @@
             strstr(talloc_strndup(mem, (const char *)call.result.data, call.result.count), "config_revision 5\n"));
     }
     fleet_run(fleet, REPAIR_KEEP_MS + 10000);
+    checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
     const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -283,6 +283,7 @@
     }
     fleet_run(fleet, REPAIR_KEEP_MS + 10000); /* the calls themselves are remembered no more */
     const HttpCall before = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
+    checker_fault(fleet->checker);
     case_power_cycle(fleet);
     fleet_run(fleet, 12000);
     const HttpCall after = fleet_ask(fleet, mem, FLEET_ENTRY_POINT, 0, "GET", "/v1/config", NULL);
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -163,12 +163,7 @@
     for (int i = 0; i < 3; i++)
         sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, true);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/kept", BODY(30000), NULL), 201);
-    for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CONTROLLER, i);
-    for (int i = 0; i < 3; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
-        fleet_start_node(fleet, FLEET_CONTROLLER, i);
-    }
+    case_power_cycle(fleet);
     int code = 0, refused = 0;
     const int64_t until_ms = sim_now_ms(fleet->world) + 12000;
     while (code != 200 && sim_now_ms(fleet->world) < until_ms) {
--- a/packages/sim/test/fleetcase.h
+++ b/packages/sim/test/fleetcase.h
@@ -37,7 +37,6 @@
 /* The whole cell loses power, and all controllers are started again. */
 static inline void case_power_cycle(Fleet *fleet)
 {
-    checker_fault(fleet->checker);
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         fleet_power_off(fleet, FLEET_CONTROLLER, i);
     for (int i = 0; i < fleet->node_count[FLEET_CONTROLLER]; i++) {
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -63,18 +63,32 @@
     assert_int_equal(rpc_listen(server->rpc, ADDRESS, bound, NULL), STATUS_OK);
 }
 
+/* The two machines of a case. */
+typedef struct Pair {
+    SimWorld *world;
+    int client, machine; /* the asker's; the server's */
+} Pair;
+
+/* Both run in a world on mem. */
+static Pair pair_start(void *mem, Asker *asker, Server *server)
+{
+    SimWorld *world = sim_world_new(mem, 1);
+    const int client = sim_machine(world), machine = sim_machine(world);
+    sim_start(world, machine, server_start, server);
+    sim_start(world, client, asker_start, asker);
+    return (Pair){world, client, machine};
+}
+
 /* An address is used again by another machine, or by the same one after a restart: what
  * was meant for the one before is refused, and not carried out. */
 static void address_reused(void **state)
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {.self = peer_life("gate1", 1000)};
-    const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, server_start, &server);
-    sim_start(world, client, asker_start, &asker);
+    const Pair pair = pair_start(mem, &asker, &server);
+    SimWorld *world = pair.world;
     Ask *ask = begin(&asker, server.self, 41, 500);
     run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
@@ -86,9 +100,9 @@
         {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
     for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
         const PeerLife before = peer_life("gate1", 1000);
-        sim_kill(world, machine);
+        sim_kill(world, pair.machine);
         server = (Server){.self = peer_life(NEXT[i].id, NEXT[i].life)};
-        sim_start(world, machine, server_start, &server);
+        sim_start(world, pair.machine, server_start, &server);
         run_for(world, 100);
         ask = begin(&asker, before, 41, 500);
         run_for(world, 1000);
@@ -114,12 +128,10 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {0};
-    const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, server_start, &server);
-    sim_start(world, client, asker_start, &asker);
+    const Pair pair = pair_start(mem, &asker, &server);
+    SimWorld *world = pair.world;
     const Ask *first = begin(&asker, (PeerLife){0}, 1000, 500);
     run_for(world, 700);
     assert_int_equal(first->status, STATUS_EXPIRED);
@@ -139,19 +151,17 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    SimWorld *world = sim_world_new(mem, 1);
     Asker asker = {0};
     Server server = {0};
-    const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, server_start, &server);
-    sim_start(world, client, asker_start, &asker);
+    const Pair pair = pair_start(mem, &asker, &server);
+    SimWorld *world = pair.world;
     const Ask *lost[3];
     for (int i = 0; i < 3; i++)
         lost[i] = begin(&asker, (PeerLife){0}, 1000 + (uint64_t)i, 5000);
     run_for(world, 300);
     assert_int_equal(server.served, 3);
-    sim_kill(world, machine);
-    sim_start(world, machine, server_start, &server);
+    sim_kill(world, pair.machine);
+    sim_start(world, pair.machine, server_start, &server);
     run_for(world, 100);
     const Ask *next = begin(&asker, (PeerLife){0}, 1003, 5000);
     run_for(world, 3000);
@@ -170,20 +180,18 @@
     (void)state;
     for (int cancel = 0; cancel < 2; cancel++) {
         void *mem = talloc_new(NULL);
-        SimWorld *world = sim_world_new(mem, 1);
         Asker asker = {0};
         Server server = {0};
         RpcSending sending = {0};
-        const int client = sim_machine(world), machine = sim_machine(world);
-        sim_start(world, machine, server_start, &server);
-        sim_start(world, client, asker_start, &asker);
-        sim_cut(world, client, machine, true);
+        const Pair pair = pair_start(mem, &asker, &server);
+        SimWorld *world = pair.world;
+        sim_cut(world, pair.client, pair.machine, true);
         Ask *ask = begin(&asker, (PeerLife){0}, 7, 3000);
         ask->sending = &sending;
         run_for(world, 300);
         assert_false(sending.sent);
         sending.cancelled = cancel == 1;
-        sim_cut(world, client, machine, false);
+        sim_cut(world, pair.client, pair.machine, false);
         run_for(world, 3000);
         assert_int_equal(ask->status, cancel ? STATUS_UNREACHABLE : STATUS_OK);
         assert_int_equal(server.served, !cancel);
@@ -206,12 +214,10 @@
         {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KEEP, .call = 4}, STATUS_UNKNOWN_QUESTION},
     };
     void *mem = talloc_new(NULL);
-    SimWorld *world = sim_world_new(mem, 1);
     Server server = {.self = peer_life("gate1", 1000)};
     Asker asker = {0};
-    const int client = sim_machine(world), machine = sim_machine(world);
-    sim_start(world, machine, server_start, &server);
-    sim_start(world, client, asker_start, &asker);
+    const Pair pair = pair_start(mem, &asker, &server);
+    SimWorld *world = pair.world;
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         Hand one = {.loop = asker.loop, .question = ROWS[i].question};
         loop_spawn(asker.loop, "hand", hand_main, &one);
--- a/packages/sim/test/resends.c
+++ b/packages/sim/test/resends.c
@@ -299,6 +299,14 @@
 
 /* --- sent again -------------------------------------------------------------------------------- */
 
+/* The controller loses power and its disk. */
+static void disk_lose(Fleet *fleet, int controller)
+{
+    checker_fault(fleet->checker);
+    fleet_power_off(fleet, FLEET_CONTROLLER, controller);
+    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, controller)->machine);
+}
+
 /* A disk is lost and brought up to date by a snapshot; then its controller leads. */
 static void after_wipe(void **state)
 {
@@ -306,9 +314,7 @@
     Fleet *fleet = begin(66);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
     const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
-    checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CONTROLLER, lost);
-    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine);
+    disk_lose(fleet, lost);
     for (int i = 0; i < ENTRY_POINTS; i++) /* while it is away */
         assert_int_equal(again(&patch, i), 200);
     fleet_start_node(fleet, FLEET_CONTROLLER, lost);
@@ -326,10 +332,7 @@
     Fleet *fleet = begin(67);
     const Call whole = taken(fleet, "PUT", "w"), patch = taken(fleet, "PATCH", "p");
     checker_fault(fleet->checker);
-    for (int i = 0; i < CONTROLLERS; i++)
-        fleet_power_off(fleet, FLEET_CONTROLLER, i);
-    for (int i = 0; i < CONTROLLERS; i++)
-        fleet_start_node(fleet, FLEET_CONTROLLER, i);
+    case_power_cycle(fleet);
     fleet_run(fleet, 12000);
     again_everywhere(&patch, 200);
     again_everywhere(&whole, 200);
@@ -349,9 +352,7 @@
     again_everywhere(&whole, 200);
     again_everywhere(&patch, 200);
     const int lost = (fleet_leader(fleet) + 1) % CONTROLLERS;
-    checker_fault(fleet->checker);
-    fleet_power_off(fleet, FLEET_CONTROLLER, lost);
-    sim_disk_wipe(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, lost)->machine);
+    disk_lose(fleet, lost);
     fleet_start_node(fleet, FLEET_CONTROLLER, lost);
     fleet_run(fleet, 20000);
     make_lead(fleet, lost);
--- a/packages/sim/test/saved.c
+++ b/packages/sim/test/saved.c
@@ -53,23 +53,29 @@
     return INT64_MAX;
 }
 
-/* The machine goes dark seven seconds into nine; nobody tells what it came to. */
-static void machine_lost(void **state)
+/* The machine of the worker and its agent loses power; the rest of the work is done elsewhere. Ends the case. */
+static void resumed_after_loss(Fleet *fleet)
 {
-    (void)state;
-    Fleet *fleet = begun(3);
-    fleet_run(fleet, 7000);
     const int at = worker_of(fleet);
     fleet_power_off(fleet, FLEET_AGENT, at);
     fleet_power_off(fleet, FLEET_WORKER, at);
     const int64_t off_ms = sim_now_ms(fleet->world);
-    /* the lease, and what is left: not the whole again */
+    /* the lease, and what was left of the work: not all of it again */
     assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
     assert_int_equal(checker_resumes(fleet->checker), 1);
     assert_int_equal(checker_broken_all(fleet->checker), 0);
     talloc_free(fleet);
 }
 
+/* The machine goes dark seven seconds into nine; nobody tells what it came to. */
+static void machine_lost(void **state)
+{
+    (void)state;
+    Fleet *fleet = begun(3);
+    fleet_run(fleet, 7000);
+    resumed_after_loss(fleet);
+}
+
 /* The leader dies first; the next one hears it all from the heartbeats. */
 static void leader_lost_before(void **state)
 {
@@ -79,14 +85,7 @@
     fleet_kill(fleet, FLEET_CONTROLLER, fleet_leader(fleet));
     fleet_run(fleet, 5000); /* another leads; heartbeats have come */
     assert_true(fleet_leader(fleet) >= 0);
-    const int at = worker_of(fleet);
-    fleet_power_off(fleet, FLEET_AGENT, at);
-    fleet_power_off(fleet, FLEET_WORKER, at);
-    const int64_t off_ms = sim_now_ms(fleet->world);
-    assert_in_range(ended_ms(fleet) - off_ms, 1, LEASE_MS + 4500);
-    assert_int_equal(checker_resumes(fleet->checker), 1);
-    assert_int_equal(checker_broken_all(fleet->checker), 0);
-    talloc_free(fleet);
+    resumed_after_loss(fleet);
 }
 
 int main(void)
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "sim/fleet.h"
+#include "fleetcase.h"
 
 #define LEASE_MS 8000 /* ms; no controller leads for some 4 s */
 
@@ -60,12 +60,7 @@
     checker_fault(fleet->checker);
     fleet_power_off(fleet, FLEET_WORKER, gone);
     fleet_power_off(fleet, FLEET_AGENT, gone);
-    for (int i = 0; i < 3; i++)
-        fleet_power_off(fleet, FLEET_CONTROLLER, i);
-    for (int i = 0; i < 3; i++) {
-        sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
-        fleet_start_node(fleet, FLEET_CONTROLLER, i);
-    }
+    case_power_cycle(fleet);
     fleet_run(fleet, 15000);
     job = fleet_job(fleet, "g");
     assert_non_null(job);
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -51,12 +51,7 @@
         fleet_kill(fleet, FLEET_CONTROLLER, leader);
         break;
     case ON_POWER_LOST:
-        for (int i = 0; i < 3; i++)
-            fleet_power_off(fleet, FLEET_CONTROLLER, i);
-        for (int i = 0; i < 3; i++) {
-            sim_disk_lie(fleet->world, fleet_node(fleet, FLEET_CONTROLLER, i)->machine, false);
-            fleet_start_node(fleet, FLEET_CONTROLLER, i);
-        }
+        case_power_cycle(fleet);
         break;
     default:
         break;
