--- a/examples/counter.c
+++ b/examples/counter.c
@@ -113,7 +113,7 @@
     Counter *counter = arg;
     (void)term;
     (void)repair;
-    if (new_holder) /* nobody is lost before every lease of the last holder has lapsed */
+    if (new_holder) /* no process counts as lost before every lease of the last holder has lapsed */
         liveset_reset(counter->liveset, replication_won_ms(counter->replication) + AGENT_LEASE_MS + LEASE_SLACK_MS,
                       NULL, 0);
 }
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -1,3 +1,4 @@
+/* The book of a day: all jobs that callers submit, with their tasks and what became of each. */
 #include "book.h"
 
 #include <inttypes.h>
@@ -119,7 +120,7 @@
     return !job->draft.lasting && fate->fails >= (uint64_t)job->kind->attempts;
 }
 
-/* Of a gang all members have the same. */
+/* All members of a gang share one fate. */
 static uint32_t owner(const BookTask *task)
 {
     char text[80];
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -3,21 +3,22 @@
 
 #include "topology.h"
 
-/* All that was handed in, what workers really ran of it, and what callers were told. */
+/* All jobs that were submitted, what workers really ran of them, and what callers were told. */
 
 #define FAILS_MAX 32 /* count; of one task */
 
-/* What has become of a task, or of a gang as one. */
+/* What became of a task, or of a gang as one. */
 typedef struct Fate {
-    bool done; /* a worker has ended it well */
+    bool done; /* a worker has completed it */
     int64_t done_ms;
     int64_t noted_ms;           /* ... and was told that this is known; 0: not yet */
-    uint64_t failed[FAILS_MAX]; /* attempts: a gang's failure counts once */
+    uint64_t failed[FAILS_MAX]; /* attempts that failed; a gang's failure counts once */
     bool fail_noted[FAILS_MAX];
     size_t fails;
-    int64_t fails_noted_ms;  /* the last that was taken note of */
-    int64_t saved_ms;        /* the most progress that was ever told */
-    uint64_t again_attempt;  /* started after it was done; 0: none. If an end before it is noted, it was one too many */
+    int64_t fails_noted_ms;  /* when the last failure was acknowledged to the worker */
+    int64_t saved_ms;        /* the most progress that was ever reported */
+    uint64_t again_attempt;  /* an attempt that started after the task was done; 0: none. If an end before it is
+                             acknowledged, it was one too many */
     uint64_t beyond_attempt; /* likewise after all its attempts had failed */
 } Fate;
 
@@ -38,13 +39,13 @@
     size_t step_first[DRAFT_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not */
     const TopologyNode *accepted_by;
-    int tries_open;                    /* that may yet be answered */
-    bool maybe;                        /* some try has had no clear answer */
-    int64_t refused_ms;                /* every try was turned away, since; 0: not so */
+    int tries_open;                    /* attempts to submit it that may still be answered */
+    bool maybe;                        /* some attempt to submit it had no clear answer */
+    int64_t refused_ms;                /* since when every attempt to submit it was rejected; 0: not so */
     int64_t cancel_sent_ms, cancel_ms; /* acknowledged */
     JobWord shown;
     int64_t shown_ms; /* its end; 0: not yet */
-    int64_t idle_ms;  /* nothing of it runs though there is room, since; 0: not so */
+    int64_t idle_ms;  /* since when nothing of it runs though there is capacity; 0: not so */
     int64_t asked_ms; /* answered clearly after traffic ended */
 } BookJob;
 
@@ -68,12 +69,12 @@
 /* When the turn may begin, on the true wall clock; 0: at once. */
 int64_t book_due_wall_ms(const BookJob *job, uint64_t turn);
 bool book_done(const BookJob *job);
-/* Ends of failed attempts below that one that were taken note of. */
+/* How many failed attempts before that one were acknowledged. */
 size_t book_fails_noted(const Fate *fate, uint64_t attempt);
 void book_fail(Fate *fate, uint64_t attempt);
-/* An attempt that it can't be given any more. */
+/* Whether its attempts are used up. */
 bool book_spent(const BookJob *job, const Fate *fate);
-/* Progress as a text that says whose it is, and what of such a text; -1: not this task's. */
+/* A checkpoint as a text that names its task, and the progress in such a text; -1: it is not of this task. */
 const char *book_saved(void *mem, const BookTask *task, int64_t progress_ms);
 int64_t book_progress(const BookTask *task, const char *saved);
 
--- a/packages/model/src/callercheck.c
+++ b/packages/model/src/callercheck.c
@@ -6,7 +6,7 @@
 
 #define IDLE_MS 3000 /* ms; a job stands still for so long */
 
-/* How many of the task's step could stand in twice their room, over all workers that take any. */
+/* How many tasks of the step would fit if each took twice its capacity, over all workers that accept any. */
 static uint64_t places_for(const WorkerModels *worker_models, const DraftStep *step)
 {
     uint64_t places = 0;
--- a/packages/model/src/callerjob.c
+++ b/packages/model/src/callerjob.c
@@ -59,7 +59,7 @@
     }
 }
 
-/* One try; true when it need not be tried again. */
+/* One attempt; true when no other is needed. */
 static bool post_once(CallerTask *task)
 {
     Callers *callers = task->callers;
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -24,7 +24,7 @@
     crew->last_ms = now_ms;
 }
 
-/* Away from its data or over several racks it is slower; the slowest member decides. */
+/* Work is slower away from its data or over several racks; the slowest member sets the pace. */
 void crew_pace(Crew *crew)
 {
     const Site *site = crew->worker_models->topology->site;
@@ -42,7 +42,7 @@
     crew->rate = far ? rate * 100 / site->far_percent : rate;
 }
 
-/* Whether and where an attempt fails by itself: the same for the same attempt each time. */
+/* Whether and where an attempt fails by itself: always the same for the same attempt. */
 static void fail_draw(Crew *crew, WorkerModelRun *run)
 {
     const BookJob *job = run->task->job;
@@ -83,7 +83,7 @@
         crew->needed = step->gang ? step->count : 1;
         crew->work_us = job->draft.lasting ? ENDLESS_US : step->work_ms * 1000;
         crew->from_ms = from_ms;
-        /* bringing it back takes its time: work that was not done */
+        /* restoring a checkpoint takes time: it counts as work still to be done */
         crew->done_us = from_ms * 1000 - (from_ms > 0 ? worker_models->topology->site->restore_ms * 1000 : 0);
         crew->fail_us = INT64_MAX;
         crew->last_ms = topology_now_ms(worker_models->topology);
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -1,3 +1,4 @@
+/* One day: draws the faults, runs the model with them, closes with a fault of all controllers, and sums up. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -6,8 +7,8 @@
 #include "fault.h"
 
 #define LOOK_MS 200            /* ms; between looks for jobs that stand still */
-#define CALM_END_MS 3500       /* ms; troubles are over so long before the closing fault or the end of traffic */
-#define CONTROLLER_GAP_MS 3000 /* ms; after a controller's return has stopped to count as a loss */
+#define CALM_END_MS 3500       /* ms; faults are over this long before the closing fault or the end of traffic */
+#define CONTROLLER_GAP_MS 3000 /* ms; kept free after a controller's return no longer counts as a loss */
 
 static void begin(void *arg)
 {
@@ -34,7 +35,7 @@
     worker_models_start(((Day *)arg)->worker_models);
 }
 
-/* For the checkers' own proof: the one assumption that no process can look after. */
+/* To test the checkers: the assumption on clocks, which no process can enforce. */
 static void clocks_spoil(void *arg)
 {
     Topology *topology = ((Day *)arg)->topology;
@@ -49,11 +50,11 @@
         node_cut(leader, true);
 }
 
-/* Troubles of the controller keep apart: no more is lost at once than is to be borne. */
+/* Faults of controllers are kept apart: no more are lost at once than must be tolerated. */
 static bool fits(const Fault *list, size_t count, const Fault *one, const Site *site)
 {
     const int64_t gap_ms = site->sync_ms + CONTROLLER_GAP_MS;
-    /* one zone is emptied at a time, too */
+    /* one zone is drained at a time, too */
     for (size_t i = 0; i < count && one->kind == FAULT_ZONE_DRAIN; i++)
         if (list[i].kind == one->kind && one->at_ms < list[i].at_ms + list[i].for_ms + site->ack_ms &&
             list[i].at_ms < one->at_ms + one->for_ms + site->ack_ms)
@@ -81,7 +82,7 @@
         for (int tries = 0; tries < 12 && !good; tries++) {
             one->at_ms = random_source_span(&random_source, 1500, last_ms - 2000);
             one->for_ms = random_source_span(&random_source, 800, 7000);
-            /* a loss counts for a while after the return: the closing fault may be the next */
+            /* a loss counts for a while after the return, as the closing fault may be the next one */
             const int64_t end_ms = last_ms - (fault_controller(one->kind) ? site->sync_ms : 0);
             if (one->at_ms + one->for_ms > end_ms)
                 one->for_ms = end_ms - one->at_ms;
@@ -158,7 +159,7 @@
            day);
 }
 
-/* How much of what could be done was shown as done in time. */
+/* How many of the jobs that could be done were shown as done in time. */
 static void sum(const Day *day, DayResult *result)
 {
     const Book *book = day->book;
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -1,10 +1,11 @@
+/* The platform's load balancer for entry points: a health check each second, and the choice for a new connection. */
 #include "door.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
 
-#define LOOK_MS 1000 /* ms; from one look to the next, and until one is given up */
+#define LOOK_MS 1000 /* ms; between two health checks, and the time-out of one */
 #define MISSES_OUT 2
 
 typedef struct Looking {
--- a/packages/model/src/door.h
+++ b/packages/model/src/door.h
@@ -3,8 +3,8 @@
 
 #include "topology.h"
 
-/* The platform's way of leading callers to entry points: it looks each second which
- * call themselves ready; two misses take one out until it is ready again. */
+/* The platform's load balancer for entry points: a health check (readiness) of each every second; two misses in a
+ * row eject one until it is ready again. */
 typedef struct Door {
     Topology *topology;
     int machine;
@@ -13,7 +13,7 @@
 
 Door *door_new(void *mem, Topology *topology);
 void door_start(Door *door);
-/* Where a new connection of the zone is led to. */
+/* The entry point that a new connection from the zone gets. */
 TopologyNode *door_entry(const Door *door, RandomSource *random_source, const char *zone);
 
 #endif
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -1,4 +1,4 @@
-/* Jobs, drawn. */
+/* Draws jobs of a kind. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
@@ -14,7 +14,7 @@
     return value < most ? value : most > 0 ? most : 1;
 }
 
-/* What nobody has room for would wait without end. */
+/* Bounded by what workers have: a task that fits nowhere would wait without end. */
 static void room_draw(const Site *site, const SiteKind *kind, RandomSource *random_source, DraftStep *step)
 {
     const uint64_t worker_models = (uint64_t)site->worker_models, cpu = (uint64_t)site->worker_model_cpu_milli,
--- a/packages/model/src/groundhealth.c
+++ b/packages/model/src/groundhealth.c
@@ -29,7 +29,7 @@
 void node_cut(TopologyNode *node, bool cut)
 {
     Topology *topology = node->topology;
-    /* a machine beside a worker speaks to the edge alone: the others are in no trouble by it */
+    /* an agent's machine speaks to controllers and entry points only: other agents are not affected */
     for (size_t i = 0; i < topology->edge_count + topology->side_count; i++) {
         TopologyNode *other =
             i < topology->edge_count ? &topology->edges[i] : &topology->sides[i - topology->edge_count];
--- a/packages/model/src/groundnode.c
+++ b/packages/model/src/groundnode.c
@@ -13,7 +13,7 @@
     checker_plans(((TopologyNode *)arg)->topology->checker, name, term);
 }
 
-/* The same three for all at the first start; later whichever the operator's list has. */
+/* The same three for all at the first start; later a list drawn anew for each start. */
 static void seeds_draw(const TopologyNode *node, const char *seeds[3])
 {
     const Topology *topology = node->topology;
@@ -77,7 +77,7 @@
     const ControllerWatch watch = {node, on_plans};
     const Settings *settings = &node->place.settings;
     node->node = (AdapterNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
-    recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
+    recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
     Status status = node_settings_read(node, &failure) ? STATUS_OK : STATUS_BAD_SETTINGS;
     if (status == STATUS_OK && node->place.role == SETTINGS_CONTROLLER)
         status = controller_start(node->mem, loop, node->recorder, settings, &watch, &node->node.controller, &failure);
@@ -142,7 +142,7 @@
     TopologyNode *node;
     uint64_t life;
     int64_t until_ms;
-    bool ended; /* its process has come to its end by itself */
+    bool ended; /* its process has ended by itself */
 } Rolling;
 
 static void term_main(void *arg)
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/ledger.c
@@ -1,3 +1,4 @@
+/* What the operator has sent, what each request came to, and which documents may be in force. */
 #include "ledger.h"
 
 #include <inttypes.h>
@@ -56,7 +57,7 @@
     return false;
 }
 
-/* A document that may be in force: it is not refused, not spoilt, and not below least. */
+/* Whether the document may be in force: it is not rejected, not invalid, and not below least. */
 static bool may_be(const Sent *sent, uint64_t least)
 {
     return sent->word != SENT_REFUSED && sent->spoil == SPOIL_NONE && sent->document.version >= least;
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/ledger.h
@@ -3,7 +3,7 @@
 
 #include "topology.h"
 
-/* What the operator has sent, and how each ended. */
+/* What the operator has sent, and what each request came to. */
 typedef enum SentWord { SENT_OPEN, SENT_TAKEN, SENT_REFUSED } SentWord;
 
 typedef struct Sent {
@@ -16,7 +16,7 @@
 
 typedef struct ZoneOrder {
     const char *zone;
-    int64_t drained_ms; /* acknowledged; 0: not, or taken back */
+    int64_t drained_ms; /* when it was acknowledged; 0: not, or undone since */
     int64_t back_sent_ms;
     bool open; /* an order is under way */
 } ZoneOrder;
@@ -28,7 +28,7 @@
     size_t count;
     ZoneOrder zones[4];
     size_t zone_count;
-    bool running; /* the first document has been taken */
+    bool running; /* the first document has been acknowledged */
 } Ledger;
 
 Ledger *ledger_new(void *mem, Topology *topology);
@@ -36,10 +36,10 @@
 void ledger_taken(Ledger *ledger, Sent *sent);
 /* The newest that was acknowledged; null: none. */
 const Sent *ledger_newest(const Ledger *ledger);
-/* A queue's place in all documents that may be in force for a request of that time:
- * 1 in all, -1 in none, 0 in some. */
+/* Whether a queue is in the documents that may be in force for a request of that time: 1 in all, -1 in none, 0 in
+ * some. */
 int ledger_has(const Ledger *ledger, const char *host, const char *prefix, int64_t sent_ms);
-/* An entry point has shown a queue to be there or not, for a request sent at that time. */
+/* An entry point has answered as if it had the queue, or not, to a request sent at that time: checks that. */
 void ledger_shown(Ledger *ledger, TopologyNode *node, const char *host, const char *prefix, int64_t sent_ms,
                   bool there);
 ZoneOrder *ledger_zone(Ledger *ledger, const char *zone);
--- a/packages/model/src/operator.c
+++ b/packages/model/src/operator.c
@@ -1,3 +1,4 @@
+/* The operator: changes of documents, races, storms, invalid ones, drained zones, and reads of what is in force. */
 #include "operator_order.h"
 
 #include <inttypes.h>
--- a/packages/model/src/operator.h
+++ b/packages/model/src/operator.h
@@ -3,27 +3,27 @@
 
 #include "caller.h"
 
-/* The operator: documents, changes of them, races, storms, spoilt ones, zones emptied and
- * taken back; and looks at each entry point whether queues are there. */
+/* The operator: documents and changes of them, races, storms, invalid ones, zones that are drained and taken back;
+ * and reads at each entry point of which queues there are. */
 typedef struct Operator {
     Topology *topology;
     Ledger *ledger;
     int machine;
     RandomSource random_source;
     uint64_t version; /* the highest that was ever used */
-    uint64_t idle;    /* numbers queues that nobody hands in to */
+    uint64_t idle;    /* numbers queues that get no jobs */
     size_t opened, orders, unclear;
-    TopologyNode *last_taker; /* who has acknowledged something last */
+    TopologyNode *last_taker; /* the node that acknowledged something last */
     int64_t last_taken_ms;
 } Operator;
 
 Operator *operator_new(void *mem, Topology *topology, Ledger *ledger);
-/* Sends the first document until it is taken; looks at entry points from then on. */
+/* Sends the first document until it is acknowledged; reads at entry points from then on. */
 void operator_start(Operator *self);
 void operator_change(Operator *self);
-/* Two on top of the same. */
+/* Two changes on the same base at once. */
 void operator_race(Operator *self);
-/* One after the other. */
+/* Changes in quick succession. */
 void operator_storm(Operator *self, int count, int64_t gap_ms);
 void operator_spoilt(Operator *self);
 /* Many queues at once. */
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -1,4 +1,4 @@
-/* Orders of an operator: sent again until they are answered clearly, and in time. */
+/* Requests of an operator: sent again until they are answered clearly, which must be in time. */
 #include "operator_order.h"
 
 #include <inttypes.h>
@@ -50,7 +50,7 @@
     return topology->codec->outcome(status == STATUS_OK ? call.code : 0);
 }
 
-/* Within one stretch of a settled controller and whole links it is acknowledged in time. */
+/* While the controllers are settled and no link is cut, it must be acknowledged in time. */
 static void ack_check(Ordering *ordering)
 {
     const Topology *topology = ordering->owner->topology;
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -5,7 +5,7 @@
 
 #define CALL_MOST_MS 1000 /* ms; a silence after which another node is asked */
 
-/* An order that is repeated until it is answered clearly. */
+/* A request that is repeated until it is answered clearly. */
 typedef struct Ordering {
     Operator *owner;
     Sent *sent; /* null: a zone's */
@@ -17,7 +17,7 @@
 } Ordering;
 
 Loop *operator_loop(const Operator *self);
-/* A node that serves operators, of a list that lags. */
+/* Any node that has not gone for good: the operator's list may be out of date. */
 TopologyNode *operator_node(Operator *self);
 const char *outcome_word(Outcome outcome);
 /* Asks a node once; result may be NULL. */
--- a/packages/model/src/random_source.c
+++ b/packages/model/src/random_source.c
@@ -1,3 +1,4 @@
+/* The random source of the model. */
 #include "model/random_source.h"
 
 /* splitmix64 */
--- a/packages/model/src/rules.c
+++ b/packages/model/src/rules.c
@@ -1,3 +1,4 @@
+/* The rules of a deployment: their names, and the breaks of a run. */
 #include "model/rules.h"
 
 #include <stdarg.h>
--- a/packages/model/src/site.c
+++ b/packages/model/src/site.c
@@ -1,3 +1,4 @@
+/* Sites: the built-in ones, and those read from ini files. */
 #include "model/site.h"
 
 #include <stdio.h>
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -1,10 +1,10 @@
-/* What must hold at a worker when a task starts, and when its ends are noted. */
+/* What must hold at a worker when a task starts, and when its ends are acknowledged. */
 #include <inttypes.h>
 #include <string.h>
 
 #include "worker_model.h"
 
-#define NOTED_LATE_MS 1000 /* ms; a machine in touch knows of an end that was noted so long ago */
+#define NOTED_LATE_MS 1000 /* ms; a healthy machine knows of an end that was acknowledged this long ago */
 
 typedef struct Start {
     WorkerModel *worker_model;
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -13,25 +13,25 @@
 #define EDGES_MAX 32
 #define SIDES_MAX 40
 
-/* A machine of the system with its one process.
- * Invariant: fault_ms is when its last trouble ended or happened, INT64_MAX while one lasts. */
+/* A machine of the product with its one process. Invariant: fault_ms is when its last fault ended or happened,
+ * INT64_MAX while one lasts. */
 typedef struct TopologyNode {
     struct Topology *topology;
     char name[24];
     const char *zone;
     int machine;
     bool side, disk, counted;
-    bool used; /* a spare is not before it is started */
-    bool gone; /* taken away for good */
+    bool used; /* false: a spare that has not been started */
+    bool gone; /* gone for good */
     bool up, leaving;
     uint64_t life;
     int64_t fault_ms;
-    int faults; /* that last now */
+    int faults; /* faults that last now */
     AdapterPlace place;
     AdapterNode node;
     Recorder *recorder;
     void *mem;            /* of the process that runs */
-    uint64_t saw_version; /* the newest document whose effect it has shown in this life */
+    uint64_t saw_version; /* the newest document whose effect this process has shown */
     int64_t saw_ms;
 } TopologyNode;
 
@@ -42,18 +42,18 @@
     const Codec *codec;
     const Adapter *adapter;
     Rules *rules;
-    Checker *checker; /* of leaders alone */
+    Checker *checker; /* checks leaders only */
     uint64_t seed;
     char folder[32];  /* settings files */
     int64_t began_ms; /* traffic begins */
     TopologyNode edges[EDGES_MAX], sides[SIDES_MAX];
     size_t edge_count, side_count;
-    int64_t controller_ms; /* last trouble of the controller, as fault_ms */
+    int64_t controller_ms; /* last fault of any controller, as fault_ms */
     int controller_faults;
     int any_faults;
     int64_t any_ms; /* of any machine or worker, beyond what is planned */
     bool loud;
-    const char *job; /* what happens to it is told */
+    const char *job; /* the job to follow; null: none */
 } Topology;
 
 /* --- ground.c --- */
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -1,4 +1,4 @@
-/* A stand-in for a worker: its process, its heartbeats, its pace, how it leaves. */
+/* A worker model: its process, its heartbeats, its pace, and its shutdown. */
 #include "worker_model.h"
 
 #include <inttypes.h>
@@ -7,9 +7,9 @@
 #include <talloc.h>
 
 #define ANSWER_MOST_MS 1000    /* ms; an answer that takes longer is dropped */
-#define NEWS_GAP_MS 50         /* ms; from an end to the heartbeat that tells it */
-#define HEARTBEAT_AGAIN_MS 300 /* ms; after a heartbeat that nobody took */
-#define LEAVE_ANYWAY_MS 4000   /* ms; it leaves so long after it had to, though nobody took note */
+#define NEWS_GAP_MS 50         /* ms; from an end to the heartbeat that reports it */
+#define HEARTBEAT_AGAIN_MS 300 /* ms; after a heartbeat that failed */
+#define LEAVE_ANYWAY_MS 4000   /* ms; it shuts down this long after it had to, although nobody has acknowledged that */
 #define ENDS_AT_ONCE 500       /* count; in one heartbeat */
 
 void worker_model_pace(WorkerModel *worker_model)
@@ -76,7 +76,7 @@
     worker_model->leave_ack_touch = node_in_touch(worker_model->side);
 }
 
-/* One heartbeat; how long until the next is due. */
+/* Sends a heartbeat; returns how long until the next is due. */
 static int64_t heartbeat_once(WorkerModel *worker_model, void *mem)
 {
     const Topology *topology = worker_model->worker_models->topology;
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -4,9 +4,8 @@
 #include "book.h"
 #include "ledger.h"
 
-/* Members of a gang under one attempt number, or one task by itself. They work from the
- * moment when all are there, at the pace of the slowest, and end as one.
- * Invariant: freed with its last member. */
+/* A worker group: the members of a gang under one attempt number, or one task by itself. They work once all are
+ * there, at the pace of the slowest, and end as one. Invariant: freed with its last member. */
 typedef struct Crew {
     struct WorkerModels *worker_models;
     uint64_t attempt, needed;
@@ -14,13 +13,13 @@
     size_t count;
     bool begun;
     int64_t work_us, done_us; /* work to be done; done until last_ms */
-    int64_t from_ms;          /* what of it was saved before */
-    int64_t last_ms, rate;    /* work us in each ms */
+    int64_t from_ms;          /* progress restored from a checkpoint */
+    int64_t last_ms, rate;    /* work done in each ms, in us */
     int64_t fail_us;          /* a member fails by itself there */
     struct WorkerModelRun *failing;
 } Crew;
 
-/* A run on a worker. Times are true ones but those of the lease, which are the worker's. */
+/* An attempt that runs on a worker. Times are by the world's clock, those of the lease by the worker's. */
 typedef struct WorkerModelRun {
     struct WorkerModelRun *next, *next_live;
     struct WorkerModel *worker_model;
@@ -33,12 +32,11 @@
 typedef struct WorkerModelEnd {
     WorkerModelEnded told;
     BookTask *task;
-    bool lapsed_since; /* the lease was over since: nobody need take note of it */
+    bool lapsed_since; /* the lease has lapsed since: no acknowledgement is owed */
 } WorkerModelEnd;
 
-/* A stand-in for a worker: it does what it is told, keeps what it runs only as long as
- * it is held, and tells each end until it is seen. Invariant: runs, ends and highest
- * live as long as its process. */
+/* A worker model: it carries out its orders, runs attempts only while it has a lease, and reports each end until
+ * it is acknowledged. Invariant: runs, ends and highest last as long as its process. */
 typedef struct WorkerModel {
     struct WorkerModels *worker_models;
     TopologyNode *side;
@@ -48,8 +46,8 @@
     const char *kind, *zone, *label;
     Room room;
     int64_t speed, slow_times; /* percent; times */
-    int64_t grey_percent;      /* so many of its attempts fail */
-    bool hangs;                /* nothing on it comes forward */
+    int64_t grey_percent;      /* percentage of its attempts that fail */
+    bool hangs;                /* nothing on it makes progress */
     bool up;
     bool leaving;
     int64_t leave_at_ms, leave_ack_ms;
@@ -62,7 +60,7 @@
     WorkerModelRun *runs;
     WorkerModelEnd *ends;
     size_t end_count;
-    Map *highest; /* task to the highest round stopped or ended here */
+    Map *highest; /* by task, the highest attempt that was stopped or ended here */
     Signal work, news;
     bool news_open;
 } WorkerModel;
@@ -79,34 +77,34 @@
 WorkerModels *worker_models_new(void *mem, Book *book, Ledger *ledger);
 void worker_models_start(WorkerModels *worker_models);
 void worker_model_start(WorkerModel *worker_model);
-/* The process ends at once; power: nobody is told. */
+/* The process ends at once; power: its peers are not told. */
 void worker_model_crash(WorkerModel *worker_model, bool power);
-/* It says that it leaves, and does so after that span. */
+/* It reports that it drains, and shuts down after that span. */
 void worker_model_leave(WorkerModel *worker_model, int64_t after_ms);
 void worker_model_slow(WorkerModel *worker_model, int64_t times);
 void worker_model_hang(WorkerModel *worker_model, bool hangs);
-/* Crews of its runs look anew at how fast they are. */
+/* Its groups compute their pace anew. */
 void worker_model_pace(WorkerModel *worker_model);
 
 /* --- what it runs ------------------------------------------------------------------------- */
-/* Progress that is kept: after each so much of work, and all of it at a stop. */
+/* Progress that is saved: a checkpoint after each save_ms of work; all of it at a stop. */
 int64_t worker_model_saved_ms(const WorkerModelRun *run, bool all);
-/* The run is no more, without an end: out of all lists. */
+/* Drops the run from all lists without an end. */
 void worker_model_run_drop(WorkerModelRun *run);
-/* The run has come to this end, which is listed until it is seen. */
+/* The run has ended so; the end is listed until it is acknowledged. */
 void worker_model_run_end(WorkerModelRun *run, AttemptWord word);
-/* A task of its process: what comes due. */
+/* A task of its process: acts on what is due. */
 void worker_model_work_main(void *arg);
-/* An answer to a heartbeat that was sent then, by the worker's clock. */
+/* Takes the answer to a heartbeat that was sent at sent_ms by the worker's clock. */
 void worker_model_orders_take(WorkerModel *worker_model, const WorkerModelOrders *orders, int64_t sent_ms);
 
 /* --- crews and what they use -------------------------------------------------------------------------------- */
 /* The part of a worker's capacity that its runs use. */
 Room worker_model_used(const WorkerModel *worker_model);
-/* The run takes its place in the crew of its attempt. */
+/* The run joins the group of its attempt. */
 void crew_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
 void crew_leave(WorkerModelRun *run);
-/* What it has done until now. */
+/* Counts the work done until now. */
 void crew_advance(Crew *crew);
 void crew_pace(Crew *crew);
 /* When something is due next; INT64_MAX: nothing. */
@@ -114,11 +112,11 @@
 int64_t crew_progress_ms(const Crew *crew);
 
 /* --- rules at a worker ---------------------------------------------------------------------- */
-/* Everything that must hold when a task is about to start. False: it is of no job at all. */
+/* Checks all that must hold when a task starts. False: it is of no job at all. */
 bool start_check(WorkerModel *worker_model, const WorkerModelStart *start);
-/* An end has been listed, and has been taken note of. */
+/* Checks an end that the product has acknowledged. */
 void end_noted(WorkerModel *worker_model, const WorkerModelEnd *end);
-/* A member of a gang has ended because the others did not come. */
+/* Checks the end of a gang's member whose others did not come. */
 void alone_check(const WorkerModelRun *run);
 
 #endif
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -1,4 +1,4 @@
-/* What a stand-in for a worker runs: orders, what comes due, ends. */
+/* What a worker model runs: orders, attempts that are due to end, ends. */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -263,7 +263,7 @@
     if (orders->lease_ms <= 0)
         return;
     const int64_t lease_ms = orders->lease_ms < site->lease_max_ms ? orders->lease_ms : site->lease_max_ms;
-    /* what was held until now may be over: that is seen before anything new is held */
+    /* the lease may have lapsed: that is acted on before a new one counts */
     while (due_one(worker_model, topology_now_ms(worker_model->worker_models->topology)))
         ;
     if (sent_ms + lease_ms > worker_model->lease_until_ms)
--- a/packages/sim/src/check_start.c
+++ b/packages/sim/src/check_start.c
@@ -12,7 +12,7 @@
     const Job *job = checker->settings.job(checker->settings.arg, seen->id);
     const size_t at = job != NULL ? task_index(job, task) : 0;
     if (job == NULL || at == job->tasks_count)
-        return; /* nobody is left that knows it; other nevers speak of that */
+        return; /* no node knows it any more; other properties cover that */
     const StepSpec *step = &job->spec.steps[job->tasks[at].step];
     for (size_t a = 0; a < step->after_count; a++)
         for (size_t t = 0; t < job->tasks_count; t++)
@@ -34,7 +34,7 @@
         checker_broke(checker, INVARIANT_TOO_EARLY, "%s task %" PRIu64 " %" PRId64 " ms before its due time", seen->id,
                       task, job->spec.due_wall_ms - wall_ms);
     const Worker *on = &seen_worker(checker, worker)->worker;
-    /* looked at here by itself: the planner's own look is what is being checked */
+    /* computed here independently: the planner's own check is what is tested */
     bool able = step->kind[0] == '\0' || strcmp(step->kind, on->kind) == 0;
     for (size_t i = 0; i < step->labels_count; i++) {
         bool has = false;
@@ -73,7 +73,7 @@
     checker->starts++;
     for (SeenRun *run = seen->runs; run != NULL; run = run->next) {
         if (checker->settings.frozen(checker->settings.arg, run->worker))
-            run->beside_frozen = true; /* it must be over once its machine runs again */
+            run->beside_frozen = true; /* it must have ended once its machine runs again */
         else if (!copies)
             checker_broke(checker, INVARIANT_TWICE,
                           "%s task %" PRIu64 " round %" PRIu64 " on %s while round %" PRIu64 " on %s", id, task,
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -1,4 +1,4 @@
-/* A fleet in a world: its nodes and how they start, and the run of its time. */
+/* A fleet: its nodes, how they start, and the run of its time. */
 #include "fleet.h"
 
 #include <stdio.h>
@@ -127,7 +127,7 @@
         for (int i = 0; i < fleet->node_count[role]; i++)
             for (int s = 0; s < SEEDS; s++)
                 fleet->nodes[role][i].settings.seeds[s] = seed_of(fleet, s);
-    /* the seeds have changed hands by the time that a spare comes */
+    /* by the time a spare is started the seeds may be other nodes */
     for (int i = shape.controllers; i < fleet->node_count[FLEET_CONTROLLER]; i++)
         for (int s = 0; s < SEEDS; s++)
             fleet->nodes[FLEET_CONTROLLER][i].settings.seeds[s] =
@@ -147,7 +147,7 @@
     Failure failure = {0};
     Status status = STATUS_OK;
     const ControllerWatch watch = fleet_controller_watch(node);
-    recorder_set_place(node->recorder, NULL, NULL); /* it outlives the process that was there before */
+    recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
     switch (node->role) {
     case FLEET_CONTROLLER:
         status = controller_start(loop, loop, node->recorder, &node->settings, &watch, &node->controller, &failure);
--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -3,7 +3,7 @@
 
 #include "sim/fleet.h"
 
-/* Who listens to a node or to callers on behalf of the fleet's checker. */
+/* The callbacks by which a node or caller tells the fleet's checker what happens. */
 ControllerWatch fleet_controller_watch(FleetNode *node);
 StandWorkerWatch fleet_worker_watch(FleetNode *node);
 CallerWatch fleet_caller_watch(Fleet *fleet);
--- a/packages/sim/src/fleet_ask.c
+++ b/packages/sim/src/fleet_ask.c
@@ -1,4 +1,4 @@
-/* Callers and operators of a fleet. */
+/* Callers and operators of a fleet: jobs of a mix, and single requests. */
 #include <string.h>
 #include <talloc.h>
 
--- a/packages/sim/src/fleet_fault.c
+++ b/packages/sim/src/fleet_fault.c
@@ -1,4 +1,4 @@
-/* Troubles of a fleet: nodes that leave, end, freeze or are cut off. */
+/* Faults of a fleet: nodes that shut down, end, freeze or are cut off. */
 #include <string.h>
 
 #include "fleet.h"
@@ -60,7 +60,7 @@
     node->controller = NULL;
     node->worker = NULL;
     node->up = false;
-    /* the first start of all is over for it */
+    /* it has been started before: it founds nothing */
     if (node->fleet->site.votes)
         node->settings.bounds.founds = 0;
     if (node->role == FLEET_WORKER)
@@ -121,7 +121,7 @@
     const int machine = fleet_node(fleet, role, number)->machine;
     for (int r = 0; r < FLEET_ROLES; r++)
         for (int i = 0; i < fleet->node_count[r]; i++)
-            /* a worker and its agent stand on one machine in truth */
+            /* in reality a worker and its agent are on one machine */
             if (!((r == FLEET_WORKER && role == FLEET_AGENT && i == number) ||
                   (r == FLEET_AGENT && role == FLEET_WORKER && i == number)))
                 cut_both(fleet, machine, fleet->nodes[r][i].machine, cut);
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -1,4 +1,4 @@
-/* What the nodes and callers of a fleet tell its checker. */
+/* Passes what nodes and callers of a fleet report on to its checker. */
 #include "fleet.h"
 
 static void on_plans(void *arg, const char *name, uint64_t term)
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -1,12 +1,12 @@
-/* Simulated HTTP: a connection for each call, whose request and result are
- * delayed, and held back while the way is cut. */
+/* Simulated HTTP: a connection for each call, whose request and response are delayed, and held back while the link
+ * is cut. */
 #include <string.h>
 #include <talloc.h>
 
 #include "world.h"
 
-/* A call on its way. Invariant: call is null once the caller has gone on;
- * freed when the caller has gone on and the server's part is over. */
+/* A call in flight. Invariant: call is null once the caller does not wait any more; it is freed when that is so
+ * and the server's part is over. */
 typedef struct SimHttp {
     SimWorld *world;
     int from, to;
@@ -22,7 +22,7 @@
     Bytes body;
     HttpPair *heads;
     size_t head_count;
-    /* the result on its way back */
+    /* the response in flight */
     int code, retry_after_s;
     Bytes result;
     HttpPair *tells;
@@ -77,7 +77,7 @@
     http_maybe_free(http);
 }
 
-/* The server's process ended before its result. */
+/* The server's process has ended before its response. */
 static int served_free(SimServed *served)
 {
     SimHttp *http = served->http;
@@ -185,7 +185,7 @@
     return ((const SimLoop *)loop)->http_tasks;
 }
 
-/* Marks the caller gone when its node ends in the middle of a call. */
+/* Marks the caller as gone when its process ends during a call. */
 typedef struct SimCallMark {
     SimHttp *http;
 } SimCallMark;
--- a/packages/sim/src/machine.c
+++ b/packages/sim/src/machine.c
@@ -68,7 +68,7 @@
 
 void sim_freeze(SimWorld *world, int machine, int64_t until_ms)
 {
-    /* one within another ends with the longer: what was put off is put off until then */
+    /* of freezes that overlap the longest counts */
     if (until_ms > world->machines[machine].frozen_until_ms)
         world->machines[machine].frozen_until_ms = until_ms;
 }
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -1,5 +1,5 @@
-/* Simulated connections: in order, delayed, held back while the way is cut, told
- * of an end only when the way is open. */
+/* Simulated connections: frames in order, delayed, held back while the link is cut; the end of a connection is
+ * seen only while the link is open. */
 #include <string.h>
 #include <talloc.h>
 
@@ -43,7 +43,7 @@
     int side;
 } SimPump;
 
-/* What is on its way is lost, and both ends hear of it. */
+/* A reset: frames in flight are lost, and both ends see that. */
 static void pair_reset(SimPair *pair)
 {
     for (int side = 0; side < 2; side++) {
--- a/packages/sim/src/probe.c
+++ b/packages/sim/src/probe.c
@@ -1,3 +1,4 @@
+/* Probes: light work at each entry point that shows which configurations are in force, and what is served. */
 #include "sim/probe.h"
 
 #include <inttypes.h>
@@ -76,7 +77,7 @@
 {
     Fleet *fleet = probe->fleet;
     void *mem = talloc_new(fleet);
-    /* any result on a job that is known or not counts as a status read here */
+    /* any clear answer on a job counts as a status read here */
     const ProbeJob job =
         probe->open_count > 0 ? probe->open[0] : (ProbeJob){talloc_strdup(mem, "no-such-job"), INT64_MIN};
     const char *path = talloc_asprintf(mem, "/v1/jobs/%s", job.id);
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -1,4 +1,4 @@
-/* What the fleet owes at the moment, judged from outside. */
+/* What a fleet must be able to serve now, judged from outside. */
 #include "sim/fleet.h"
 
 #define DISK_GOOD_MS 100 /* ms; a sync that takes longer is a failing disk's */
@@ -13,7 +13,7 @@
     return sim_alive(fleet->world, node->machine) && !sim_frozen(fleet->world, node->machine) && node->up;
 }
 
-/* The list of voters as the running controller that is furthest has it. */
+/* The voters, as the running controller with the highest commit index has them. */
 static size_t voters_now(const Fleet *fleet, uint64_t voters[VOTER_MOST])
 {
     uint64_t furthest = 0;
@@ -32,7 +32,7 @@
     return count;
 }
 
-/* Controllers that run, hold a voter, and have a working disk; needed: so many decide. */
+/* Controllers that run, are voters, and have a working disk; needed: how many of them are a majority. */
 static int voters_good(const Fleet *fleet, const FleetNode **good, int *needed)
 {
     uint64_t voters[VOTER_MOST] = {0};
--- a/packages/sim/src/sweep_nodes.c
+++ b/packages/sim/src/sweep_nodes.c
@@ -16,7 +16,7 @@
     return count;
 }
 
-/* Voters that the site wants and no running controller with a good disk has. */
+/* How many of the wanted voters are not running with a good disk. */
 static int voters_missing(Sweep *sweep)
 {
     return 2 * sweep->fleet->site.losses + 1 - fleet_voters(sweep->fleet);
@@ -118,7 +118,8 @@
 void act_disk_spoilt(Sweep *sweep)
 {
     FleetNode *controller = sweep_node(sweep, FLEET_CONTROLLER);
-    if (voters_missing(sweep) >= sweep->fleet->site.losses) /* so many disks may be lost, not one more */
+    if (voters_missing(sweep) >=
+        sweep->fleet->site.losses) /* as many disks may be lost as the site tolerates, and no more */
         return;
     fleet_power_off(sweep->fleet, FLEET_CONTROLLER, controller->number);
     Bytes *journal = sim_disk_content(sweep->fleet->world, controller->machine, "data/journal");
@@ -176,7 +177,8 @@
     fleet_zone_cut(sweep->fleet, zone, true);
 }
 
-/* No voter for anybody, for a while: the paper's second rule, and its end. */
+/* All disks fail for a while, so that no lock can be held: the second survival rule (XenServer HA design), and its
+ * end. */
 void act_store_gone(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
@@ -205,7 +207,7 @@
     sweep_start_all(sweep);
 }
 
-/* A controller goes for good; an empty one at a new address comes, its seeds others. */
+/* A controller is gone for good; an empty one at a new address with other seeds is started. */
 void act_controller_replaced(Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -14,7 +14,7 @@
     bool in, quota;
     Room room;
     uint64_t base;
-    uint64_t version; /* named by it; 0: none. Such a call is sent again after silence */
+    uint64_t version; /* the version that it names; 0: none. Such a call is sent again after a time-out */
     const char *body;
     bool done;
     int code;
@@ -30,9 +30,9 @@
         checker_tenant(checker, operator->tenant, word);
 }
 
-#define OPERATOR_TRIES 4 /* count; of a call that names its version */
+#define OPERATOR_TRIES 4 /* count; attempts of a call that names its version */
 
-/* One try at one entry point; the code, 0 after silence, and the version that was told. */
+/* One attempt at one entry point; returns the HTTP status, 0 after a time-out, and the version that was told. */
 static int operator_try(Operator *operator, int entry_point, int64_t wait_ms, uint64_t *version)
 {
     Fleet *fleet = operator->sweep->fleet;
@@ -72,7 +72,7 @@
     operator->done = true;
 }
 
-/* The version in force, as an entry point tells it; false when it does not. */
+/* The version in force, as an entry point tells it; false: it does not. */
 static bool base_ask(Sweep *sweep, uint64_t *base)
 {
     void *mem = talloc_new(NULL);
@@ -120,7 +120,7 @@
     sweep_say(sweep, "%s %s, on %" PRIu64 ": %d", tenant, operator->in ? "in" : "out", base, operator->code);
 }
 
-/* Two operators at once, on the same base: at the most one may win. */
+/* Two operators at once on the same base: at most one may win. */
 void act_config_race(Sweep *sweep)
 {
     uint64_t base;
@@ -137,7 +137,7 @@
         checker_config_both(sweep->fleet->checker, base);
 }
 
-/* Refused ones: a stale base, or a fault in them. What they held must never show. */
+/* Rejected changes: a stale base, or an error in them. They must never take effect. */
 void act_config_refused(Sweep *sweep)
 {
     uint64_t base;
@@ -192,7 +192,7 @@
     talloc_free(mem);
 }
 
-/* Empties a zone, or takes the one back that was emptied: other failures come between. */
+/* Drains a zone, or takes back the one that is drained; other failures come between. */
 void act_drain(Sweep *sweep)
 {
     static const char *const ZONES[] = {"north", "south", "west"};
@@ -208,7 +208,7 @@
     sweep_say(sweep, "%s %s: %d", back ? "back" : "drain", zone, code);
     if (!back && code == 200)
         checker_zone(fleet->checker, zone, true);
-    /* an outcome that is not known is settled by asking for it back later */
+    /* an unclear outcome is settled by taking the zone back later */
     if (!back && (code == 200 || code == 504 || code == 0))
         sweep->drained = zone;
     if (back && code == 200)
@@ -248,7 +248,7 @@
     stand_worker_repeat(worker->worker, how == 2);
 }
 
-/* It comes back at once and knows nothing of what it ran. */
+/* It is started again at once and has lost all that it ran. */
 void act_worker_restarts(Sweep *sweep)
 {
     FleetNode *worker = sweep_node(sweep, FLEET_WORKER);
--- a/src/build.c
+++ b/src/build.c
@@ -41,7 +41,7 @@
     return count;
 }
 
-/* The whole document, or null and faults; what says where they are. */
+/* The whole document; null: faults says why, and *what which file has them. */
 static json_object *build(Faults *faults, const char *template_path, const char *const *sets,
                           const char *const *overlays, const char **what)
 {
--- a/src/standins.c
+++ b/src/standins.c
@@ -1,4 +1,4 @@
-/* worker and caller: stand-ins, for proof only. */
+/* worker and caller: stand-ins for the fleet test of real processes. */
 #include <inttypes.h>
 #include <popt.h>
 #include <stdio.h>
@@ -11,8 +11,8 @@
 #include "standin/caller.h"
 #include "standin/worker.h"
 
-/* The fleet run's record: one line for each thing that really happened, on one
- * clock, to be checked by the checkers afterwards. */
+/* The record of a fleet run: a line for each event that really happened, on one clock; spancart-replay gives it to
+ * the checkers afterwards. */
 typedef struct Record {
     Loop *loop;
     FILE *to;
@@ -186,7 +186,7 @@
     return x < y ? -1 : x > y;
 }
 
-/* Accepted to started by class, the longest gap between acceptances. */
+/* Prints the times from acceptance to start by class, and the longest gap between acceptances. */
 static void summary(StandIn *stand_in)
 {
     CallerJob *const *jobs;
