--- a/packages/journal/src/block.h
+++ b/packages/journal/src/block.h
@@ -7,7 +7,7 @@
 
 /* Adds a whole block with this body; to grows on mem. */
 void block_add(void *mem, Bytes *to, Bytes body);
-/* Adds a record to a body, which grows on mem: the records of a block stand one after the other, each with
+/* Adds a record to a body, which grows on mem: the records of a block follow one another, each with
  * its length before it. */
 void record_add(void *mem, Bytes *body, const Record *record);
 
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -59,7 +59,7 @@
 /* Waits. Writes the batch, and notes how long that took. */
 static Status batch_write(Journal *journal, void *mem, const Batch *batch)
 {
-    if (journal->failed && !batch->rewrite) /* only a whole new file stands for all that the old one should hold */
+    if (journal->failed && !batch->rewrite) /* only a whole new file has all that the old one should have */
         return STATUS_DISK_FAILED;
     const int64_t start_ms = loop_now_ms(journal->loop);
     journal->sync_since_ms = start_ms;
@@ -73,7 +73,7 @@
     return status;
 }
 
-/* Tells the tasks that wait. */
+/* Ends the waits of the tasks. */
 static void batch_end(Journal *journal, const Batch *batch, Status status)
 {
     for (Waiting *waiting = batch->first; waiting != NULL;) {
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -362,7 +362,7 @@
     assert_true(olds > 20 && news > 20);
 }
 
-/* Full in the middle of an append: what was synced before stands, and writes go on once there is room. */
+/* Full in the middle of an append: what was synced before is kept, and writes go on once there is room. */
 static void full_disk_keeps_what_was_synced(void **state)
 {
     (void)state;
--- a/packages/replication/include/replication/messages.h
+++ b/packages/replication/include/replication/messages.h
@@ -69,7 +69,7 @@
     X(U64, filled, 0)  /* bytes that it has of a snapshot that arrives in pieces */
 SHAPE(VoterAnswer, VOTER_ANSWER_FIELDS)
 
-/* MESSAGE_RENEW: renews the lease, and tells the commit index, the log's clock and the leader's name.
+/* MESSAGE_RENEW: renews the lease, and sends the commit index, the log's clock and the leader's name.
  * MESSAGE_RELEASE: gives the lease up. */
 #define RENEW_ASK_FIELDS(X) \
     X(U64, term, 0)         \
--- a/packages/replication/src/clock.h
+++ b/packages/replication/src/clock.h
@@ -10,7 +10,7 @@
 /* The leader's clock shows clock_ms now. The own one must not run ahead of it, or what is due
  * would be due early under this node. */
 void replication_clock_set(Replication *replication, int64_t clock_ms);
-/* The leader weighs the wall clocks that the voters have told. */
+/* The leader weighs the wall clocks that the voters have sent. */
 void wall_take(Replication *replication);
 
 #endif
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -71,7 +71,7 @@
         }
         *at = waiter->next;
         waiter->done = true;
-        /* another entry took the place: the submitted one is gone for good */
+        /* another entry took the place: the submitted one is lost for good */
         waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
         waiter->result = *result;
         signal_raise(replication->loop, &waiter->ended);
--- a/packages/replication/src/commit.h
+++ b/packages/replication/src/commit.h
@@ -9,7 +9,7 @@
  * entry of an earlier term is committed only together with the first of this term (Raft,
  * figure 8). */
 void lead_commit(Replication *replication);
-/* The leader of the promised term has told its commit index: a follower commits as far as its own
+/* The leader of the promised term has sent its commit index: a follower commits as far as its own
  * log is known to equal the leader's, and delivers. */
 void commit_follow(Replication *replication, uint64_t leader_commit);
 /* Delivers what is committed and not delivered yet to the state machine, ends the submissions
--- a/packages/replication/src/disk.h
+++ b/packages/replication/src/disk.h
@@ -12,7 +12,7 @@
 void disk_start(Replication *replication);
 /* Spawns the task that rewrites the journal after a snapshot was made. */
 void disk_compact(Replication *replication);
-/* The records that stand for all that this node knows, its cluster first; on mem, payloads
+/* The records that have all that this node knows, its cluster first; on mem, payloads
  * owned by the log. */
 Record *replication_records(Replication *replication, void *mem, size_t *count);
 
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -107,7 +107,7 @@
     poll_leave(poll);
     if (lead_over(replication, opening->turn))
         return STATUS_NOT_LEADER;
-    if (heard.removed) { /* the vote was given to another disk; whoever leads tells this node more */
+    if (heard.removed) { /* the vote was given to another disk; this node learns more from whoever leads */
         lead_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
--- a/packages/replication/src/lead.h
+++ b/packages/replication/src/lead.h
@@ -20,7 +20,7 @@
 void lead_spawn(Replication *replication, const char *name, TaskFn fn, int slot);
 /* Whether the lead of this turn is over, or the process ends. */
 bool lead_over(const Replication *replication, uint64_t turn);
-/* Whether the task is over: its lead is, or its peer has gone. */
+/* Whether the task is over: its lead is, or its peer has left the slot. */
 bool lead_peer_over(const Lead *lead);
 /* The peer at the slot has answered: takes what it says of itself. */
 void lead_answered(Replication *replication, int slot, const VoterAnswer *answer);
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -106,7 +106,7 @@
     while (!lead_peer_over(&lead)) {
         const int64_t sent_ms = loop_now_ms(replication->loop);
         char address[ADDRESS_MAX];
-        /* appends renew the lease as well; clock and leader's name are told by renewals alone */
+        /* appends renew the lease as well; clock and leader's name are sent with renewals alone */
         const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
         if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
             sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_TELL_MS &&
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -66,7 +66,7 @@
 }
 
 /* Waits. What is known of the others may be as old as a renewal of the lease. Before a change they are
- * asked once more, for one that counts on a member which has just gone might never be committed.
+ * asked once more, for one that counts on a member that was just lost might never be committed.
  * Answers age too: a round of contact is short, and longer only where too few have answered in it. */
 static void look_fresh(Replication *replication, Look *look)
 {
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -63,7 +63,7 @@
         replication_clock_tell(replication, record->at_ms);
         break;
     case RECORD_COMMIT:
-        break; /* of an earlier release; the leader tells the commit index again */
+        break; /* of an earlier release; the leader sends the commit index again */
     default:
         failure_set(&reading->failure, STATUS_JOURNAL_FORMAT,
                     "a record of kind %" PRIu64 ", which this release does not know", record->kind);
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -66,7 +66,7 @@
     return status;
 }
 
-/* The leader renews its lease, and tells its clock, its name and its commit index. */
+/* The leader renews its lease, and sends its clock, its name and its commit index. */
 static Status on_renew(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -5,7 +5,7 @@
 #include "replication/replication.h"
 
 /* What one node keeps of the replicated log: struct View and its parts, grouped by concern.
- * It holds data alone; the functions of each protocol step stand in a header of their own.
+ * It holds data alone; the functions of each protocol step are declared in a header of their own.
  *
  * A voter has a place in the list of voters, a learner has a slot after the places; both are
  * peers of the leader. The view is the set of voters that each commit waits for. */
@@ -24,17 +24,16 @@
     int slow_times;          /* appends in a row that took longer than VOTER_SLOW_MS */
     bool refill;             /* no entries can make its log match: it wants the snapshot */
     /* lease and contact */
-    int64_t
-        renewed_ms;   /* the last question that was answered with a grant of the lease was sent then; INT64_MIN: none */
-    uint64_t contact; /* the newest round of contact that it has answered */
+    int64_t renewed_ms; /* the question that it last answered with a grant was sent then; INT64_MIN: none */
+    uint64_t contact;   /* the newest round of contact that it has answered */
     /* its answers */
     int64_t answered_ms; /* any answer */
-    uint64_t promised;   /* the highest term that it has promised */
+    uint64_t promised;   /* the term that it had promised then */
     bool woke;           /* it restarted, and no view has brought it up to date since */
     int64_t sync_ms;     /* how long its last sync took */
     uint64_t sight;      /* how many members it reaches */
     int64_t wall_ms;     /* its wall clock ... */
-    int64_t wall_at_ms;  /* ... at this time of the own loop; 0: never told */
+    int64_t wall_at_ms;  /* ... at this time of the own loop; 0: not known yet */
     /* membership of the view */
     int64_t return_ms; /* it left the view for being late, and comes back no earlier */
 } Peer;
@@ -115,7 +114,7 @@
     uint64_t verified_index;  /* entries up to it are known to equal those of the leader of the promised term */
     Filling *filling;         /* a snapshot that arrives in pieces; null: none */
     uint64_t other_histories; /* refused orders to drop what is committed */
-    int64_t other_told_ms;    /* such an order was last told in the log */
+    int64_t other_told_ms;    /* such an order was last logged */
     Signal released;          /* the leader has released its lease ... */
     bool named;               /* ... and named this node to be the next leader */
 
@@ -142,7 +141,7 @@
     int64_t blind_since_ms; /* a voter has reached many more members than the leader since then; 0: none does */
 
     /* --- the leader: replication ---
-     * Invariant: synced_index <= queued_index. */
+     * Invariant: synced_index <= queued_index while this node leads. */
     uint64_t replication_index;        /* of the newest REPLICATION entry that this leader ordered */
     bool in_configuration[VOTER_MOST]; /* by place: each commit waits for it */
     int64_t changed_ms;                /* the last change of the view */
--- a/packages/replication/src/voter.h
+++ b/packages/replication/src/voter.h
@@ -22,7 +22,7 @@
 /* Waits for the disk. Raft's AppendEntries. LOG_GAP: the log does not match at the entry before
  * these; OTHER_HISTORY: they would replace what is committed. */
 Status voter_append(Replication *replication, const AppendAsk *ask);
-/* An order to drop what is committed, from index on: told, counted and refused with
+/* An order to drop what is committed, from index on: logged, counted and refused with
  * OTHER_HISTORY. Only where disks keep what they have synced. */
 Status history_refuse(Replication *replication, uint64_t index);
 /* Waits for the disk. Raft's InstallSnapshot, whole or by a piece. Statuses of fill_take. */
--- a/packages/replication/src/voterlist.c
+++ b/packages/replication/src/voterlist.c
@@ -122,7 +122,7 @@
             shape_unpack(&TermRecord_shape, entry->payload, reread->mem, &reread->last, NULL) == STATUS_OK;
 }
 
-/* What the entries do not say stands in the snapshot. */
+/* What the entries do not say is in the snapshot. */
 static void reread_snapshot(Reread *reread, const Log *log)
 {
     Snapshot snapshot;
--- a/packages/replication/src/voters.h
+++ b/packages/replication/src/voters.h
@@ -6,7 +6,7 @@
 
 /* What the leader knows of voters and learners. Nothing here waits. */
 
-/* The members at one moment, as membership.h wants them, and where each of them stands. Zones
+/* The members at one moment, as membership.h wants them, and the place or slot of each. Zones
  * are owned by the tables that they come from: valid until the next wait. */
 typedef struct Look {
     MemberState voters[VOTER_MOST], learners[LEARNER_MOST];
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -34,7 +34,7 @@
     if (!replication_founded(replication) || !replication_seated(replication) || replication_disk_failed(replication) ||
         now_ms < replication->rest_until_ms)
         return false;
-    /* a leader whose disk is gone leads no more */
+    /* a leader whose disk is lost leads no more */
     if (replication->lock.holder != replication->disk &&
         voter_dead(replication, replication->lock.holder, DEAD_SAME_ADDRESS))
         lock_release(&replication->lock, replication->lock.promised, replication->lock.holder, now_ms);
