--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -10,17 +10,6 @@
 #include "stop_list.h"
 #include "worker_choice.h"
 
-static int elsewhere(Pass *pass, const TaskOn *on, size_t worker)
-{
-    const JobTask *task = &on->job->tasks[on->task];
-    const PlanNeed need = pass_need(on->job, task->step);
-    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
-    excluded[worker] = true;
-    const int at = choose_for(pass, on->job, on->task, &need, excluded, NULL);
-    talloc_free(excluded);
-    return at;
-}
-
 static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool room)
 {
     const Job *job = on->job;
@@ -51,7 +40,7 @@
         const TaskOn *on;
         const size_t count = table_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
-            const int at = elsewhere(pass, &on[t], i);
+            const int at = choose_elsewhere(pass, on[t].job, on[t].task, i);
             if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
                 !stop_add(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
                 return;
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -7,64 +7,91 @@
 #include "preemption_target.h"
 #include "pushable_capacity.h"
 
-/* The freed capacity is used only once the preempted attempts are known to be over. Capacity that is being given
- * up already counts: nothing more is preempted while that is enough. */
-void preempt_for(Pass *pass, const Candidate *candidate)
+/* Running attempts of one worker that are to be preempted. */
+typedef struct Victims {
+    AttemptId attempts[PREEMPT_TASKS_MAX];
+    size_t count;
+    size_t looked; /* tasks that the policy was asked for */
+} Victims;
+
+/* The worker's free capacity once all that is being stopped there has stopped. */
+static Room free_soon(const Pass *pass, const PlanWorker *worker)
 {
-    Scheduler *scheduler = pass->scheduler;
-    const ConfigCell *cell = config_cell(pass->config, candidate->job->spec.cell);
-    const Policy *policy = scheduler_policy(scheduler, cell);
-    if (pass->pushes.attempts_count > 0)
-        return;
-    if (policy == policy_plain()) {
-        preempt_target(pass, candidate);
-        return;
+    Room free = worker->free;
+    const TaskOn *on;
+    const size_t count = table_on(pass->scheduler->table, worker->name, &on);
+    for (size_t i = 0; i < count; i++) {
+        const JobTask *task = &on[i].job->tasks[on[i].task];
+        if (task->phase == TASK_STOPPING)
+            free = room_more(free, on[i].job->spec.steps[task->step].room);
     }
-    if (candidate->count != 1 || pass->preempt_looks >= PREEMPT_LOOKS_MAX)
-        return;
-    const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicySight mine = queue_see(scheduler->queue, &pass->sight, candidate->job, candidate->first);
+    return free;
+}
+
+/* Adds what of the job the candidate may preempt on the worker, until that is enough. */
+static void victims_add(Pass *pass, const Policy *policy, const PolicySight *mine, const Job *job, const char *worker,
+                        Room need, Room *free, Victims *victims)
+{
+    for (size_t t = 0; t < job->tasks_count && !room_fits(need, *free) && victims->looked < PREEMPT_TASKS_MAX; t++) {
+        const JobTask *task = &job->tasks[t];
+        if (task->phase != TASK_RUNNING || strcmp(task->worker, worker) != 0)
+            continue;
+        const PolicySight other = queue_see(pass->scheduler->queue, &pass->sight, job, t);
+        victims->looked++;
+        pass->preempt_looks++;
+        if (!policy->may_preempt(policy->arg, mine, &other))
+            continue;
+        victims->attempts[victims->count++] =
+            (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
+        *free = room_more(*free, job->spec.steps[task->step].room);
+    }
+}
+
+/* Looks on one worker, at the newest jobs first; false: there is not enough to be had. */
+static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicySight *mine,
+                         const char *worker, Room need, Room free, Victims *victims)
+{
     Job *const *jobs;
-    const size_t count = table_active(scheduler->table, &jobs);
+    *victims = (Victims){.count = 0};
+    for (size_t j = table_active(pass->scheduler->table, &jobs);
+         j > 0 && !room_fits(need, free) && victims->looked < PREEMPT_TASKS_MAX; j--) {
+        const Job *job = jobs[j - 1];
+        if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
+            victims_add(pass, policy, mine, job, worker, need, &free, victims);
+    }
+    return room_fits(need, free);
+}
+
+/* The freed capacity is used only once the preempted attempts are known to be over. Capacity that is being given up
+ * already counts: nothing more is preempted while that is enough. */
+static void preempt_by_policy(Pass *pass, const Candidate *candidate, const Policy *policy)
+{
+    const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
+    const PolicySight mine = queue_see(pass->scheduler->queue, &pass->sight, candidate->job, candidate->first);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
             continue;
-        Room free = worker->free;
-        AttemptId victims[PREEMPT_TASKS_MAX];
-        size_t victim_count = 0, looked = 0;
-        const TaskOn *on;
-        const size_t on_count = table_on(scheduler->table, worker->name, &on);
-        for (size_t i = 0; i < on_count; i++) {
-            const JobTask *task = &on[i].job->tasks[on[i].task];
-            if (task->phase == TASK_STOPPING)
-                free = room_more(free, on[i].job->spec.steps[task->step].room);
-        }
+        const Room free = free_soon(pass, worker);
         if (room_fits(need.room, free))
             return; /* enough is being given up already */
-        for (size_t j = count; j > 0 && !room_fits(need.room, free) && looked < PREEMPT_TASKS_MAX; j--) {
-            const Job *job = jobs[j - 1];
-            if (strcmp(job->spec.cell, candidate->job->spec.cell) != 0 || job == candidate->job)
-                continue;
-            for (size_t t = 0; t < job->tasks_count && !room_fits(need.room, free) && looked < PREEMPT_TASKS_MAX; t++) {
-                const JobTask *task = &job->tasks[t];
-                if (task->phase != TASK_RUNNING || strcmp(task->worker, worker->name) != 0)
-                    continue;
-                const PolicySight other = queue_see(scheduler->queue, &pass->sight, job, t);
-                looked++;
-                pass->preempt_looks++;
-                if (!policy->may_preempt(policy->arg, &mine, &other))
-                    continue;
-                victims[victim_count++] =
-                    (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
-                free = room_more(free, job->spec.steps[task->step].room);
-            }
-        }
-        if (!room_fits(need.room, free))
+        Victims victims;
+        if (!victims_find(pass, candidate, policy, &mine, worker->name, need.room, free, &victims))
             continue;
-        pass->pushes.attempts = talloc_memdup(pass->mem, victims, victim_count * sizeof(*victims));
-        pass->pushes.attempts_count = victim_count;
+        pass->pushes.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
+        pass->pushes.attempts_count = victims.count;
         pass->pushes.why = "pushed aside";
         return;
     }
 }
+
+void preempt_for(Pass *pass, const Candidate *candidate)
+{
+    const Policy *policy = scheduler_policy(pass->scheduler, config_cell(pass->config, candidate->job->spec.cell));
+    if (pass->pushes.attempts_count > 0)
+        return;
+    if (policy == policy_plain())
+        preempt_target(pass, candidate);
+    else if (candidate->count == 1 && pass->preempt_looks < PREEMPT_LOOKS_MAX)
+        preempt_by_policy(pass, candidate, policy);
+}
--- a/packages/scheduler/src/pushable_capacity.c
+++ b/packages/scheduler/src/pushable_capacity.c
@@ -46,18 +46,54 @@
     }
 }
 
-/* A running task that is not protected counts when every representative of its cell may preempt it: so no two of
- * them count on capacity that only one may have. */
-void pushable_count(Pass *pass)
+/* Gives each cell with a policy of its own a place in input.pushable; how many there are. */
+static size_t cells_place(Pass *pass)
 {
-    Scheduler *scheduler = pass->scheduler;
     const Config *config = pass->config;
-    PlanInput *input = &pass->input;
     size_t cells = 0;
     pass->cells = map_new(pass->mem);
     for (size_t c = 0; c < config->cell_count; c++)
-        if (scheduler_policy(scheduler, &config->cells[c]) != policy_plain())
+        if (scheduler_policy(pass->scheduler, &config->cells[c]) != policy_plain())
             map_set(pass->cells, config->cells[c].name, (void *)(uintptr_t)++cells);
+    return cells;
+}
+
+/* Whether all representatives of the cell may preempt the task; looks counts the calls of may_preempt. */
+static bool all_may_preempt(Pass *pass, const Policy *policy, const Speakers *speakers, const Job *job, size_t task,
+                            size_t *looks)
+{
+    Queue *queue = pass->scheduler->queue;
+    const PolicySight other = queue_see(queue, &pass->sight, job, task);
+    bool all = true;
+    for (size_t i = 0; i < speakers->count && all; i++, (*looks)++) {
+        const PolicySight mine = queue_see(queue, &pass->sight, speakers->jobs[i], speakers->tasks[i]);
+        all = policy->may_preempt(policy->arg, &mine, &other);
+    }
+    return all;
+}
+
+/* The job's part of what its cell may preempt, into pushable: one capacity for each worker. */
+static void job_count(Pass *pass, const Policy *policy, const Speakers *speakers, const Job *job, Room *pushable,
+                      size_t *looks)
+{
+    for (size_t t = 0; t < job->tasks_count && *looks < PREEMPT_LOOKS_MAX; t++) {
+        const JobTask *task = &job->tasks[t];
+        const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
+        /* a worker that may be given nothing has no capacity to be had either */
+        if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0)
+            continue;
+        if (all_may_preempt(pass, policy, speakers, job, t, looks))
+            pushable[at] = room_more(pushable[at], job->spec.steps[task->step].room);
+    }
+}
+
+/* A running task that is not protected counts when every representative of its cell may preempt it: so no two of
+ * them count on capacity that only one may have. */
+void pushable_count(Pass *pass)
+{
+    Scheduler *scheduler = pass->scheduler;
+    PlanInput *input = &pass->input;
+    const size_t cells = cells_place(pass);
     if (cells == 0)
         return;
     input->cell_count = cells;
@@ -65,36 +101,19 @@
     Job *const *jobs;
     const size_t count = table_active(scheduler->table, &jobs);
     size_t looks = 0;
-    for (size_t c = 0; c < config->cell_count; c++) {
-        const size_t place = (size_t)(uintptr_t)map_get(pass->cells, config->cells[c].name);
-        const Policy *policy = scheduler_policy(scheduler, &config->cells[c]);
+    for (size_t c = 0; c < pass->config->cell_count; c++) {
+        const ConfigCell *cell = &pass->config->cells[c];
+        const size_t place = (size_t)(uintptr_t)map_get(pass->cells, cell->name);
         Speakers speakers;
         if (place == 0)
             continue;
-        speakers_find(scheduler, config->cells[c].name, &speakers);
+        speakers_find(scheduler, cell->name, &speakers);
         if (speakers.count == 0 || !speakers.whole)
             continue;
-        for (size_t j = 0; j < count; j++) {
-            if (jobs[j]->spec.protection == PROTECTION_PROTECTED ||
-                strcmp(jobs[j]->spec.cell, config->cells[c].name) != 0)
-                continue;
-            for (size_t t = 0; t < jobs[j]->tasks_count && looks < PREEMPT_LOOKS_MAX; t++) {
-                const JobTask *task = &jobs[j]->tasks[t];
-                const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
-                /* a worker that may be given nothing has no capacity to be had either */
-                if (at == SIZE_MAX || input->workers[at].room.cpu_milli == 0)
-                    continue;
-                const PolicySight other = queue_see(scheduler->queue, &pass->sight, jobs[j], t);
-                bool all = true;
-                for (size_t i = 0; i < speakers.count && all; i++, looks++) {
-                    const PolicySight mine =
-                        queue_see(scheduler->queue, &pass->sight, speakers.jobs[i], speakers.tasks[i]);
-                    all = policy->may_preempt(policy->arg, &mine, &other);
-                }
-                Room *room = &input->pushable[(place - 1) * input->worker_count + at];
-                if (all)
-                    *room = room_more(*room, jobs[j]->spec.steps[task->step].room);
-            }
-        }
+        const Policy *policy = scheduler_policy(scheduler, cell);
+        Room *pushable = &input->pushable[(place - 1) * input->worker_count];
+        for (size_t j = 0; j < count; j++)
+            if (jobs[j]->spec.protection != PROTECTION_PROTECTED && strcmp(jobs[j]->spec.cell, cell->name) == 0)
+                job_count(pass, policy, &speakers, jobs[j], pushable, &looks);
     }
 }
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -113,51 +113,65 @@
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
 }
 
-void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
+/* The place of the worker to reserve next: the soonest to have enough; where that is unknown, the least in use, as a
+ * share of its capacity; ties by name. -1: none is left. until_ms: when it should have enough. */
+static int soonest_find(const Pass *pass, const PlanNeed *need, const bool *used, int64_t *until_ms)
+{
+    const PlanInput *input = &pass->input;
+    int best = -1;
+    Room best_busy = {0};
+    for (size_t i = 0; i < input->worker_count; i++) {
+        const PlanWorker *worker = &input->workers[i];
+        if (used[i] || !plan_able(worker, need) || !room_fits(need->room, worker->room))
+            continue;
+        const int64_t soon_ms = soonest_ms(pass, i, need->room);
+        const Room busy = room_less(worker->room, worker->free);
+        const bool less =
+            best >= 0 && room_share(busy, worker->room) < room_share(best_busy, input->workers[best].room);
+        if (best < 0 || soon_ms < *until_ms || (soon_ms == *until_ms && less)) {
+            best = (int)i;
+            *until_ms = soon_ms;
+            best_busy = busy;
+        }
+    }
+    return best;
+}
+
+/* Takes workers into the reservation until they hold the candidate, or the fleet's share is reached; false: they do
+ * not hold all of it. */
+static bool workers_take(Pass *pass, const Candidate *candidate, const StepSpec *step, Reservation *kept)
 {
-    Scheduler *scheduler = pass->scheduler;
-    const int64_t log_ms = pass->clock.log_ms;
     const PlanInput *input = &pass->input;
-    const char *cell = candidate->job->spec.cell;
-    if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
-        map_get(scheduler->kept, cell) != NULL)
-        return;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const size_t taken = reservation_workers(scheduler, pass->mem);
+    const size_t taken = reservation_workers(pass->scheduler, pass->mem);
     const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
-    Reservation *kept = talloc_zero(scheduler, Reservation);
     size_t left = candidate->count;
     reservation_from(pass, candidate, used);
     while (left > 0 && taken + kept->worker_count < most) {
-        int best = -1;
-        int64_t best_ms = 0;
-        Room best_busy = {0};
-        for (size_t i = 0; i < input->worker_count; i++) {
-            const PlanWorker *worker = &input->workers[i];
-            if (used[i] || !plan_able(worker, &need) || !room_fits(need.room, worker->room))
-                continue;
-            /* soonest to have enough; where that is unknown, the least in use, as a share of its capacity; ties
-             * by name */
-            const int64_t soon_ms = soonest_ms(pass, i, need.room);
-            const Room busy = room_less(worker->room, worker->free);
-            const bool less =
-                best >= 0 && room_share(busy, worker->room) < room_share(best_busy, input->workers[best].room);
-            if (best < 0 || soon_ms < best_ms || (soon_ms == best_ms && less)) {
-                best = (int)i;
-                best_ms = soon_ms;
-                best_busy = busy;
-            }
-        }
+        int64_t until_ms = 0;
+        const int best = soonest_find(pass, &need, used, &until_ms);
         if (best < 0)
             break;
         used[best] = true;
         const size_t holds = holds_empty(&input->workers[best], step->room);
         left = left > holds ? left - holds : 0;
-        kept->until_ms[kept->worker_count] = best_ms;
+        kept->until_ms[kept->worker_count] = until_ms;
         kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
     }
-    if (left > 0) { /* it gets all that it needs, or none */
+    return left == 0;
+}
+
+void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
+{
+    Scheduler *scheduler = pass->scheduler;
+    const int64_t log_ms = pass->clock.log_ms;
+    const char *cell = candidate->job->spec.cell;
+    if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
+        map_get(scheduler->kept, cell) != NULL)
+        return;
+    Reservation *kept = talloc_zero(scheduler, Reservation);
+    if (!workers_take(pass, candidate, step, kept)) { /* it gets all that it needs, or none */
         talloc_free(kept);
         return;
     }
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -88,12 +88,7 @@
 /* Another worker with capacity for it now; -1: none, or none that would be done sooner. */
 static int elsewhere(Pass *pass, const Going *going)
 {
-    const JobTask *task = &going->job->tasks[going->task];
-    const PlanNeed need = pass_need(going->job, task->step);
-    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
-    excluded[going->worker] = true;
-    const int at = choose_for(pass, going->job, going->task, &need, excluded, NULL);
-    talloc_free(excluded);
+    const int at = choose_elsewhere(pass, going->job, going->task, going->worker);
     if (at < 0)
         return -1;
     const double there_ms = going->whole_ms * (1 - going->done_share) * (double)pass->speeds[at] / 1000;
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -129,6 +129,16 @@
     return at >= 0 ? at : choose_among(pass, step, need, excluded, rack);
 }
 
+int choose_elsewhere(Pass *pass, const Job *job, size_t task, size_t worker)
+{
+    const PlanNeed need = pass_need(job, job->tasks[task].step);
+    bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
+    excluded[worker] = true;
+    const int at = choose_for(pass, job, task, &need, excluded, NULL);
+    talloc_free(excluded);
+    return at;
+}
+
 bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent)
 {
     if (percent <= 100 || candidate->restart)
--- a/packages/scheduler/src/worker_choice.h
+++ b/packages/scheduler/src/worker_choice.h
@@ -8,6 +8,8 @@
 /* The place of the best worker for the task, none of those in excluded, on the rack when it is not null; -1:
  * none fits. Not the one where its last attempt failed, unless there is no other. */
 int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
+/* As choose_for, of the workers other than the one at that place. */
+int choose_elsewhere(Pass *pass, const Job *job, size_t task, size_t worker);
 /* The step's time there in percent of that near its data and the others of its step. */
 uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at);
 /* Delay scheduling: whether to wait a moment for a worker near the data rather than take one that is farther. */
