--- a/scripts/same_objects.py
+++ b/scripts/same_objects.py
@@ -12,12 +12,13 @@
 - line numbers, __FILE__, __func__ and the text of an assert() or of cmocka's assertions: both sides are compiled without them, with the
   conditions kept;
 - in test programs, a string that is the name of a function there, when the function is renamed likewise;
-- strings that --strings FILE lists (old TAB new, a line each);
+- strings that --strings FILE lists (old TAB new, a line each, with C's escapes);
 - the order of functions in an object, when each has its counterpart.
 Files are paired by path; by `git diff -M` or --files FILE (old TAB new, files or folders) where they were renamed.
 
 --moved tells what is gone, new and changed; a function is the same when its bytes are and when it points at the
-same names, with the same strings and constants. It passes when nothing is gone, new or changed.
+same names, with the same strings and constants. It passes when nothing is gone, new or changed. Whether a name is
+static is not compared; of a name that several files have, the set of what it stands for is.
 """
 import argparse
 import collections
@@ -60,8 +61,8 @@
 """}
 COMMON = ["-g0", "-ffunction-sections", "-fdata-sections", "-fno-asynchronous-unwind-tables",
           "-w"]
-# -fno-pie: what a file defines itself is then reached as what another one defines
-LEVELS = {"O2": ["-O2"], "O0": ["-O0", "-fno-inline", "-fno-pie", "-fno-jump-tables"]}
+# a function is then compiled the same whether what it calls stands in its own file or in another one
+LEVELS = {"O2": ["-O2"], "O0": ["-O0", "-fno-inline", "-fno-pie", "-fno-jump-tables", "-fno-ipa-stack-alignment"]}
 KINDS = re.compile(r"\.(text\.(?:unlikely|startup|exit|hot)|text|rodata|data\.rel\.ro\.local|data\.rel\.ro|"
                    r"data\.rel\.local|data\.rel|data|bss|tdata|tbss)(?=\.|$)")
 SHOWN = 8  # bytes shown from the first that differ
@@ -172,6 +173,11 @@
     return pairs
 
 
+def unescaped(text):
+    """A string as C writes it, a character for each byte."""
+    return text.encode().decode("unicode_escape")
+
+
 def new_source(source, renames, packages):
     if source in renames:
         return renames[source]
@@ -572,7 +578,7 @@
         renames = renamed_files(*trees)
         folders = [compile_tree(tree, level, args.jobs) for tree in trees]
     renames.update(read_pairs(args.files))
-    permitted = read_pairs(args.strings)
+    permitted = {unescaped(old): unescaped(new) for old, new in read_pairs(args.strings).items()}
     if args.moved:
         good = compare_moved(*folders, permitted)
     else:
--- /dev/null
+++ b/tests/same_objects.py
@@ -0,0 +1,216 @@
+#!/usr/bin/env python3
+"""scripts/same_objects.py passes what only renames or only moves, and finds each kind of change.
+
+Two small trees of C files are compiled as it says (--print-flags) and compared as folders of objects.
+"""
+import functools
+import os
+import shlex
+import shutil
+import subprocess
+import sys
+import tempfile
+
+ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+SCRIPT = os.path.join(ROOT, "scripts/same_objects.py")
+COUNT = """
+#include <assert.h>
+typedef struct { int lowCount; int highCount; } Counter;
+int counterLow(const Counter *counter);
+int counterHigh(const Counter *counter);
+static const int WEIGHTS[] = {3, 5, 7};
+static __attribute__((noinline)) int weigh(const Counter *counter, int at)
+{
+    return counter->lowCount * WEIGHTS[at];
+}
+int counterLow(const Counter *counter)
+{
+    assert(counter != 0);
+    return weigh(counter, counter->highCount) + counter->lowCount;
+}
+int counterHigh(const Counter *counter)
+{
+    switch (counter->highCount) {
+    case 0: return weigh(counter, 1);
+    case 1: return 17 + counter->lowCount;
+    case 2: return counter->lowCount * 3;
+    case 3: return 99;
+    case 4: return counter->highCount / 5;
+    }
+    return 1234;
+}
+"""
+SHOW = """
+#include <assert.h>
+#include <stdio.h>
+typedef struct { int lowCount; int highCount; } Counter;
+int counterLow(const Counter *counter);
+int counterHigh(const Counter *counter);
+int showAll(Counter *counter);
+typedef struct { const char *name; int (*of)(const Counter *counter); } Row;
+static const Row ROWS[] = {{"low", counterLow}, {"high", counterHigh}};
+double scale = 2.5;
+int showAll(Counter *counter)
+{
+    counter->lowCount += 2;
+    counter->highCount = counter->lowCount * 7;
+    assert(counter->lowCount > 0);
+    for (int i = 0; i < 2; i++)
+        printf("%s %d in %s:%d of %s\\n", ROWS[i].name, ROWS[i].of(counter), __FILE__, __LINE__, __func__);
+    printf("ratio %g\\n", counterLow(counter) * scale * 1.25);
+    return counterHigh(counter);
+}
+"""
+TEST = """
+typedef struct { const char *name; void (*run)(void **state); } Case;
+extern const Case CASES[];
+static volatile int seen;
+static void firstCase(void **state) { (void)state; seen = 1; }
+static void otherCase(void **state) { (void)state; seen = 2; }
+const Case CASES[] = {{"firstCase", firstCase}, {"otherCase", otherCase}};
+"""
+LOW = "int counterLow(const Counter *counter)\n{"
+HIGH = "int counterHigh(const Counter *counter)\n{"
+BEGIN = {"count.c": COUNT, "show.c": SHOW, "test/cases.c": TEST}
+# NAME, what is replaced in which file (all: in each), what the finding says
+RENAMES = [
+    ("function", "", "counterLow", "counter_low"),
+    ("both functions", "", "counter", "gauge"),
+    ("static function", "", "weigh", "counter_weigh"),
+    ("static datum", "", "WEIGHTS", "COUNTER_WEIGHTS"),
+    ("fields", "", "lowCount", "low_count"),
+    ("type", "", "Counter", "Gauge"),
+    ("text and line of an assertion", "", "assert(", "\n\nassert(0 || "),
+    ("test with its name", "test/cases.c", "firstCase", "first_case"),
+]
+CHANGES = [
+    ("constant", "count.c", "return 99", "return 98", "counterHigh"),
+    ("constant in a table", "count.c", "{3, 5, 7}", "{3, 5, 8}", "WEIGHTS"),
+    ("fraction", "show.c", "1.25", "1.5", "showAll"),
+    ("datum", "show.c", "scale = 2.5", "scale = 2.25", "scale"),
+    ("string", "show.c", "ratio %g", "Ratio %g", "Ratio"),
+    ("string in a table", "show.c", '"low"', '"lower"', "lower"),
+    ("swapped fields", "show.c", "int lowCount; int highCount;", "int highCount; int lowCount;", "showAll"),
+    ("call target", "show.c", "return counterHigh(", "return counterLow(", "counterLow"),
+    ("call targets swapped", "show.c", "{\"low\", counterLow}, {\"high\", counterHigh}",
+     "{\"low\", counterHigh}, {\"high\", counterLow}", "counterLow"),
+    ("static call target", "count.c", "return weigh(counter, 1)", "return counterLow(counter) + 1", "counterHigh"),
+    ("condition of an assertion", "show.c", "lowCount > 0", "lowCount > 1", "showAll"),
+    ("function of a library", "show.c", "printf(\"ratio", "scanf(\"ratio", "scanf"),
+    ("linkage", "count.c", "static const int WEIGHTS", "extern const int WEIGHTS[]; const int WEIGHTS", "WEIGHTS"),
+    ("case of a switch", "count.c", "case 4:", "case 5:", "counterHigh"),
+    ("name of a test alone", "test/cases.c", '"firstCase"', '"first_case"', "first_case"),
+    ("names of tests swapped", "test/cases.c", '"firstCase", firstCase', '"firstCase", otherCase', "firstCase"),
+]
+SCRATCH = tempfile.TemporaryDirectory()
+failed = 0
+
+
+@functools.cache
+def flags(moved):
+    """The compiler's flags, and the folder of headers that they name."""
+    shim = os.path.join(SCRATCH.name, "shim")
+    level = ["--moved"] if moved else []
+    printed = subprocess.run([SCRIPT, *level, "--print-flags", shim], check=True, capture_output=True, text=True)
+    return shlex.split(printed.stdout)
+
+
+@functools.cache
+def compiled(text, moved):
+    path = os.path.join(SCRATCH.name, f"{len(os.listdir(SCRATCH.name))}.c")
+    with open(path, "w") as file:
+        file.write(text)
+    subprocess.run(["cc", "-std=c11", *flags(moved), "-c", path, "-o", path + ".o"], check=True)
+    return path + ".o"
+
+
+def build(name, files, moved=False):
+    """A folder with the objects of files."""
+    folder = os.path.join(SCRATCH.name, name.replace(" ", "-") + ("-moved" if moved else ""))
+    for path, text in files.items():
+        path = os.path.join(folder, path + ".o")
+        os.makedirs(os.path.dirname(path), exist_ok=True)
+        shutil.copy(compiled(text, moved), path)
+    return folder
+
+
+def check(name, old, new, good, says=None, more=()):
+    run = subprocess.run([SCRIPT, "--folders", *more, old, new], capture_output=True, text=True)
+    if (run.returncode == 0) != good or (says and says not in run.stdout) or run.stderr:
+        global failed
+        failed += 1
+        print(f"{name}: exit {run.returncode}, expected {'0' if good else 'another'} and {says}\n{run.stdout}{run.stderr}")
+
+
+def changed(name, which, old, new):
+    files = {path: text.replace(old, new) if which in ("", path) else text for path, text in BEGIN.items()}
+    if files == BEGIN:
+        sys.exit(f"{name}: {old} stands nowhere")
+    return files
+
+
+def renamed(begin):
+    check("nothing", begin, begin, True, "3 objects, 3 the same")
+    for name, which, old, new in RENAMES:
+        check(name, begin, build(name, changed(name, which, old, new)), True)
+    for name, which, old, new, says in CHANGES:
+        check(name, begin, build(name, changed(name, which, old, new)), False, says)
+    check("table of symbols", begin, build("function", changed(*RENAMES[0])), True, "counterLow\tcounter_low",
+          ["--symbols"])
+    less = {name: text for name, text in BEGIN.items() if name != "count.c"}
+    check("object gone", begin, build("less", less), False, "count.c.o: gone")
+    joined = {name: text.replace("counterHigh", "counterLow") for name, text in BEGIN.items()}
+    joined["count.c"] = COUNT
+    check("two names become one", begin, build("joined", joined), False, "counterLow")
+
+
+def reordered(begin):
+    at, end = COUNT.index(LOW), COUNT.index(HIGH)
+    files = {**BEGIN, "count.c": COUNT[:at] + COUNT[end:] + COUNT[at:end]}
+    check("order", begin, build("order", files), True)
+    files["count.c"] = files["count.c"].replace("return 99", "return 98")
+    check("order and a constant", begin, build("order and constant", files), False, "counterHigh")
+
+
+def permitted(begin):
+    """A string that is permitted to change passes, and no other."""
+    listed = os.path.join(SCRATCH.name, "permitted.txt")
+    other = build("permitted", {**BEGIN, "show.c": SHOW.replace("ratio %g", "Ratio %g")})
+    for old, new, good in ((r"ratio %g\n", r"Ratio %g\n", True), (r"ratio %g\n", r"RATIO %g\n", False)):
+        with open(listed, "w") as file:
+            file.write(f"{old}\t{new}\n")
+        check("permitted string", begin, other, good, "Ratio", ["--strings", listed])
+
+
+def moved():
+    begin = build("begin", BEGIN, True)
+    check("nothing moved", begin, begin, True, "the same (0 of them in other files)", ["--moved"])
+    head = COUNT[:COUNT.index("static const int WEIGHTS")] + "int weigh(const Counter *counter, int at);\n"
+    part = COUNT[COUNT.index("static const int WEIGHTS"):COUNT.index(LOW)].replace("static __attribute__((noinline)) ", "")
+    files = {**BEGIN, "count.c": head + COUNT[COUNT.index(LOW):], "weigh.c": head + part}
+    check("moved", begin, build("parts", files, True), True, "the same (2 of them in other files)", ["--moved"])
+    for name, old, new, says in (("moved and changed", "lowCount * WEIGHTS", "lowCount + WEIGHTS", "changed: function weigh"),
+                                 ("moved with another table", "{3, 5, 7}", "{3, 5, 8}", "changed: rodata WEIGHTS"),
+                                 ("moved and renamed", "weigh", "weight", "gone: function weigh")):
+        other = {path: text.replace(old, new) if path in ("count.c", "weigh.c") else text for path, text in files.items()}
+        check(name, begin, build(name, other, True), False, says, ["--moved"])
+    for name, which, old, new, _ in CHANGES:
+        if name != "linkage":  # a static one that becomes global is what a move may do
+            where = build(name, changed(name, which, old, new), True)
+            check("--moved: " + name, begin, where, False, "changed: ", ["--moved"])
+
+
+def main():
+    begin = build("begin", BEGIN)
+    renamed(begin)
+    reordered(begin)
+    permitted(begin)
+    moved()
+    if not failed:
+        print(f"{len(RENAMES)} renames pass, {len(CHANGES)} changes are found")
+    SCRATCH.cleanup()
+    sys.exit(1 if failed else 0)
+
+
+if __name__ == "__main__":
+    main()
