--- /dev/null
+++ b/packages/replication/test/olddisk.h
@@ -0,0 +1,59 @@
+#ifndef REPLICATION_TEST_OLDDISK_H
+#define REPLICATION_TEST_OLDDISK_H
+
+/* Fleets whose disks are those of packages/view/test/fixtures, as a release before has written them. */
+#include <stdio.h>
+
+#include "controller_set.h"
+
+#define PATH "data/journal"
+#define FIXTURES "packages/view/test/fixtures"
+#define CONTROLLERS 4
+#define FILE_MOST 4096 /* bytes */
+
+static inline Bytes fixture(void *mem, const char *name)
+{
+    Bytes bytes = {talloc_size(mem, FILE_MOST), 0, FILE_MOST};
+    FILE *file = fopen(talloc_asprintf(mem, FIXTURES "/%s", name), "rb");
+    if (file == NULL)
+        fail_msg("%s/%s: not found; the test runs in the folder of the sources", FIXTURES, name);
+    bytes.count = fread(bytes.data, 1, FILE_MOST, file);
+    fclose(file);
+    assert_in_range(bytes.count, 1, FILE_MOST - 1);
+    return bytes;
+}
+
+/* Four controllers, the last one without a vote, as the fixtures have them. */
+static inline Fleet *fleet_of(void)
+{
+    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = true, .disks_keep = true};
+    return fleet_new_at(NULL, 2, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
+}
+
+/* Puts the fixture in the place of the controller's journal. */
+static inline void put(Fleet *fleet, int controller, const char *name)
+{
+    const int machine = fleet_node(fleet, FLEET_CONTROLLER, controller)->machine;
+    fleet_start_node(fleet, FLEET_CONTROLLER, controller);
+    fleet_run(fleet, 20);
+    fleet_kill(fleet, FLEET_CONTROLLER, controller);
+    Bytes *file = sim_disk_content(fleet->world, machine, PATH);
+    const Bytes bytes = fixture(fleet, name);
+    file->count = 0;
+    bytes_add(fleet->world, file, bytes.data, bytes.count);
+}
+
+/* The controller runs with the fixture on its disk, and nobody reaches it. */
+static inline Replication *opened(Fleet *fleet, int controller, const char *name)
+{
+    put(fleet, controller, name);
+    fleet_isolate(fleet, FLEET_CONTROLLER, controller, true);
+    fleet_start_node(fleet, FLEET_CONTROLLER, controller);
+    fleet_run(fleet, 100);
+    if (!runs(fleet, controller))
+        fleet_dump(fleet);
+    assert_true(runs(fleet, controller));
+    return replication_of(fleet, controller);
+}
+
+#endif
