--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -5,7 +5,7 @@
 #include "loop/loop.h"
 
 /* The storage on disk of the replicated log: an append-only file of checksummed blocks. A block has the records
- * of one sync, of as many tasks as had queued some by then, and is the unit of tearing. Used by packages/view,
+ * of one sync, of as many tasks as had queued some by then, and is the unit of tearing. Used by packages/replication,
  * one journal for each node.
  *
  * Block: magic, length, checksum of those two, checksum of the body, body.
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -3,7 +3,7 @@
 
 /* The leader's lock: the paper's master lock, which stands on a shared disk there and here on a
  * majority of the voters. This is its arithmetic alone, without messages or disk: what a voter has
- * promised and granted, and how long a holder may count on what it was granted. packages/view
+ * promised and granted, and how long a holder may count on what it was granted. packages/replication
  * uses it; nothing here waits or allocates.
  *
  * Why there is at most one holder (the paper's safety rule 1):
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -4,7 +4,7 @@
 /* Membership by gossip: a process is given three seed addresses, finds everybody from them, and keeps
  * finding everybody. Processes exchange hellos with their whole table; the newer (incarnation, tick) of
  * a record wins. It says who exists and was heard of; who may lead is the lock's matter (packages/lock,
- * packages/view), and which worker is live the leader's (packages/heartbeat).
+ * packages/replication), and which worker is live the leader's (packages/heartbeat).
  *
  * Every node has one. Also kept here: the newest leader known, the seeds' votes that found a cluster,
  * and how many members this process reaches. That number decides the quorum partition, which is the
--- a/packages/replication/test/olddisk.c
+++ b/packages/replication/test/olddisk.c
@@ -1,5 +1,5 @@
 /* What a release before wrote on its disks is read by this one as it was meant: the journals of
- * packages/view/test/fixtures. No value here may ever follow a change of the sources: it is the format that has
+ * packages/replication/test/fixtures. No value here may ever follow a change of the sources: it is the format that has
  * changed then, and the disks of releases before are not read any more. */
 #include <inttypes.h>
 #include <setjmp.h>
--- a/packages/replication/test/olddisk.h
+++ b/packages/replication/test/olddisk.h
@@ -1,13 +1,13 @@
 #ifndef REPLICATION_TEST_OLDDISK_H
 #define REPLICATION_TEST_OLDDISK_H
 
-/* Fleets whose disks are those of packages/view/test/fixtures, as a release before has written them. */
+/* Fleets whose disks are those of packages/replication/test/fixtures, as a release before has written them. */
 #include <stdio.h>
 
 #include "controller_set.h"
 
 #define PATH "data/journal"
-#define FIXTURES "packages/view/test/fixtures"
+#define FIXTURES "packages/replication/test/fixtures"
 #define CONTROLLERS 4
 #define FILE_MOST 4096 /* bytes */
 
--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -1,7 +1,7 @@
 #ifndef STATE_CHANGE_H
 #define STATE_CHANGE_H
 
-/* The changes of the replicated state: the log's entries that packages/table delivers,
+/* The changes of the replicated state: the log's entries that packages/state delivers,
  * with the shape of each payload. The leader proposes them (packages/controller); repair
  * proposes again those that the disks may have lost. So delivering a change twice must do
  * no harm: what a change names has an identity of its own (a job's id, an attempt's
--- a/packages/state/include/state/job.h
+++ b/packages/state/include/state/job.h
@@ -4,7 +4,7 @@
 /* Jobs as the replicated state holds them: what was submitted, its tasks, their
  * phases and what both add up to. Every field's number in its list is its place on
  * disk and on the wire: fields are only added at the end. Readers get jobs from
- * table.h; only packages/table changes them. Nothing here waits. */
+ * table.h; only packages/state changes them. Nothing here waits. */
 
 #include "base/constants.h"
 #include "state/capacity.h"
--- a/packages/state/tool/writedisk.c
+++ b/packages/state/tool/writedisk.c
@@ -3,7 +3,7 @@
  *     spancart-writedisk FOLDER
  *
  * Four simulated controllers, three of them voters; every change has other values in each of its fields. FOLDER
- * gets a journal of each moment; packages/view/test/fixtures/README.md says what each holds. */
+ * gets a journal of each moment; packages/replication/test/fixtures/README.md says what each holds. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <talloc.h>
