--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -56,21 +56,21 @@
 
 static void voters_look(Controller *controller)
 {
-    ReplicationStatus sight;
-    replication_status(controller->replication, &sight);
-    for (size_t i = 0; i < sight.voter_count; i++) {
-        const Member *member = members_find_disk(controller->members, sight.voters[i].disk);
+    ReplicationStatus replication;
+    replication_status(controller->replication, &replication);
+    for (size_t i = 0; i < replication.voter_count; i++) {
+        const Member *member = members_find_disk(controller->members, replication.voters[i].disk);
         char disk[DISK_TEXT];
-        snprintf(disk, sizeof(disk), "%016" PRIx64, sight.voters[i].disk);
+        snprintf(disk, sizeof(disk), "%016" PRIx64, replication.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
-        if (!sight.voters[i].in_configuration)
+        if (!replication.voters[i].in_configuration)
             see(controller, ALERT_VOTER_OUT, name);
-        if (sight.voters[i].sync_ms > VOTER_SLOW_MS)
+        if (replication.voters[i].sync_ms > VOTER_SLOW_MS)
             see(controller, ALERT_VOTER_SLOW, name);
     }
     char borne[LOSSES_TEXT];
-    snprintf(borne, sizeof(borne), "%d of %d", sight.losses_borne, sight.losses_asked);
-    if (sight.losses_borne < sight.losses_asked)
+    snprintf(borne, sizeof(borne), "%d of %d", replication.losses_borne, replication.losses_asked);
+    if (replication.losses_borne < replication.losses_asked)
         see(controller, ALERT_LOSSES_FEW, borne);
 }
 
--- a/packages/controller/src/own_address.c
+++ b/packages/controller/src/own_address.c
@@ -22,22 +22,22 @@
 
 static void metrics(Controller *controller, HttpTask *task)
 {
-    ReplicationStatus sight;
-    replication_status(controller->replication, &sight);
+    ReplicationStatus replication;
+    replication_status(controller->replication, &replication);
     show_metrics_begin(task);
     show_metric(task, "leads", replication_leading(controller->replication));
     show_metric(task, "repairing", controller->repairing);
-    show_metric(task, "viewChanges", (int64_t)sight.configuration_changes);
-    show_metric(task, "lastIndex", (int64_t)sight.last_index);
-    show_metric(task, "deliveredIndex", (int64_t)sight.delivered_index);
-    show_metric(task, "journalBytes", (int64_t)sight.journal.bytes);
-    show_metric(task, "journalSyncs", (int64_t)sight.journal.syncs);
-    show_metric(task, "journalRewrites", (int64_t)sight.journal.rewrites);
-    show_metric(task, "journalTornBytes", (int64_t)sight.journal.torn_bytes);
-    show_metric(task, "otherHistories", (int64_t)sight.other_histories);
-    show_metric(task, "journalBegunAnew", sight.journal.begun_anew);
-    show_metric(task, "lastSyncMs", sight.journal.last_sync_ms);
-    show_metric(task, "worstSyncMs", sight.journal.worst_sync_ms);
+    show_metric(task, "viewChanges", (int64_t)replication.configuration_changes);
+    show_metric(task, "lastIndex", (int64_t)replication.last_index);
+    show_metric(task, "deliveredIndex", (int64_t)replication.delivered_index);
+    show_metric(task, "journalBytes", (int64_t)replication.journal.bytes);
+    show_metric(task, "journalSyncs", (int64_t)replication.journal.syncs);
+    show_metric(task, "journalRewrites", (int64_t)replication.journal.rewrites);
+    show_metric(task, "journalTornBytes", (int64_t)replication.journal.torn_bytes);
+    show_metric(task, "otherHistories", (int64_t)replication.other_histories);
+    show_metric(task, "journalBegunAnew", replication.journal.begun_anew);
+    show_metric(task, "lastSyncMs", replication.journal.last_sync_ms);
+    show_metric(task, "worstSyncMs", replication.journal.worst_sync_ms);
     show_metric(task, "sight", (int64_t)members_sight(controller->members));
     show_metric(task, "planHolds", scheduler_plan(controller->scheduler)->possible);
     alert_metrics(controller, task);
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -35,50 +35,50 @@
 }
 
 /* Entries that the disk has not synced yet, as far as the leader knows. */
-static json_object *behind_of(const ReplicationStatus *sight, uint64_t match_index)
+static json_object *behind_of(const ReplicationStatus *replication, uint64_t match_index)
 {
-    return number_of(match_index < sight->last_index ? (int64_t)(sight->last_index - match_index) : 0);
+    return number_of(match_index < replication->last_index ? (int64_t)(replication->last_index - match_index) : 0);
 }
 
-static json_object *show_learners(const Controller *controller, const ReplicationStatus *sight)
+static json_object *show_learners(const Controller *controller, const ReplicationStatus *replication)
 {
     json_object *list = json_object_new_array();
-    for (size_t i = 0; i < sight->learner_count; i++) {
-        const ReplicationLearnerStatus *learner = &sight->learners[i];
+    for (size_t i = 0; i < replication->learner_count; i++) {
+        const ReplicationLearnerStatus *learner = &replication->learners[i];
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(learner->disk));
         json_object_object_add(one, "core", controller_of(controller, learner->disk));
         json_object_object_add(one, "answers", json_object_new_boolean(learner->answers));
         json_object_object_add(one, "ready", json_object_new_boolean(learner->ready));
         json_object_object_add(one, "index", number_of((int64_t)learner->match_index));
-        json_object_object_add(one, "behind", behind_of(sight, learner->match_index));
+        json_object_object_add(one, "behind", behind_of(replication, learner->match_index));
         json_object_array_add(list, one);
     }
     return list;
 }
 
-static json_object *show_losses(const ReplicationStatus *sight)
+static json_object *show_losses(const ReplicationStatus *replication)
 {
     json_object *losses = json_object_new_object();
-    json_object_object_add(losses, "borne", number_of(sight->losses_borne));
-    json_object_object_add(losses, "asked", number_of(sight->losses_asked));
+    json_object_object_add(losses, "borne", number_of(replication->losses_borne));
+    json_object_object_add(losses, "asked", number_of(replication->losses_asked));
     return losses;
 }
 
-static json_object *show_voters(const Controller *controller, const ReplicationStatus *sight)
+static json_object *show_voters(const Controller *controller, const ReplicationStatus *replication)
 {
     json_object *list = json_object_new_array();
-    for (size_t i = 0; i < sight->voter_count; i++) {
+    for (size_t i = 0; i < replication->voter_count; i++) {
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "disk", disk_of(sight->voters[i].disk));
-        json_object_object_add(one, "core", controller_of(controller, sight->voters[i].disk));
-        json_object_object_add(one, "inView", json_object_new_boolean(sight->voters[i].in_configuration));
-        json_object_object_add(one, "answers", json_object_new_boolean(sight->voters[i].answers));
-        json_object_object_add(one, "woke", json_object_new_boolean(sight->voters[i].woke));
-        json_object_object_add(one, "syncMs", number_of(sight->voters[i].sync_ms));
-        json_object_object_add(one, "index", number_of((int64_t)sight->voters[i].match_index));
-        json_object_object_add(one, "sight", number_of((int64_t)sight->voters[i].sight));
-        json_object_object_add(one, "behind", behind_of(sight, sight->voters[i].match_index));
+        json_object_object_add(one, "disk", disk_of(replication->voters[i].disk));
+        json_object_object_add(one, "core", controller_of(controller, replication->voters[i].disk));
+        json_object_object_add(one, "inView", json_object_new_boolean(replication->voters[i].in_configuration));
+        json_object_object_add(one, "answers", json_object_new_boolean(replication->voters[i].answers));
+        json_object_object_add(one, "woke", json_object_new_boolean(replication->voters[i].woke));
+        json_object_object_add(one, "syncMs", number_of(replication->voters[i].sync_ms));
+        json_object_object_add(one, "index", number_of((int64_t)replication->voters[i].match_index));
+        json_object_object_add(one, "sight", number_of((int64_t)replication->voters[i].sight));
+        json_object_object_add(one, "behind", behind_of(replication, replication->voters[i].match_index));
         json_object_array_add(list, one);
     }
     return list;
@@ -183,31 +183,31 @@
 json_object *controller_status(Controller *controller)
 {
     void *mem = talloc_new(controller);
-    ReplicationStatus sight;
-    replication_status(controller->replication, &sight);
+    ReplicationStatus replication;
+    replication_status(controller->replication, &replication);
     json_object *body = json_object_new_object();
     json_object_object_add(body, "cluster", disk_of(rpc_cluster(controller->rpc)));
     json_object_object_add(body, "leader", text_of(controller->settings->name));
-    json_object_object_add(body, "epoch", number_of((int64_t)term_counter(sight.term)));
-    json_object_object_add(body, "holdLeftMs", number_of(sight.lease_left_ms));
+    json_object_object_add(body, "epoch", number_of((int64_t)term_counter(replication.term)));
+    json_object_object_add(body, "holdLeftMs", number_of(replication.lease_left_ms));
     json_object_object_add(body, "repairing", json_object_new_boolean(controller->repairing));
     json_object_object_add(body, "clockMs", number_of(replication_clock_ms(controller->replication)));
     json_object *log = json_object_new_object();
-    json_object_object_add(log, "lastIndex", number_of((int64_t)sight.last_index));
-    json_object_object_add(log, "committed", number_of((int64_t)sight.commit_index));
-    json_object_object_add(log, "base", number_of((int64_t)sight.base_index));
-    json_object_object_add(log, "viewChanges", number_of((int64_t)sight.configuration_changes));
-    json_object_object_add(log, "syncs", number_of((int64_t)sight.journal.syncs));
-    json_object_object_add(log, "records", number_of((int64_t)sight.journal.records));
-    json_object_object_add(log, "rewrites", number_of((int64_t)sight.journal.rewrites));
-    json_object_object_add(log, "otherHistories", number_of((int64_t)sight.other_histories));
-    json_object_object_add(log, "tornBytes", number_of((int64_t)sight.journal.torn_bytes));
-    json_object_object_add(log, "begunAnew", json_object_new_boolean(sight.journal.begun_anew));
-    json_object_object_add(log, "worstSyncMs", number_of(sight.journal.worst_sync_ms));
+    json_object_object_add(log, "lastIndex", number_of((int64_t)replication.last_index));
+    json_object_object_add(log, "committed", number_of((int64_t)replication.commit_index));
+    json_object_object_add(log, "base", number_of((int64_t)replication.base_index));
+    json_object_object_add(log, "viewChanges", number_of((int64_t)replication.configuration_changes));
+    json_object_object_add(log, "syncs", number_of((int64_t)replication.journal.syncs));
+    json_object_object_add(log, "records", number_of((int64_t)replication.journal.records));
+    json_object_object_add(log, "rewrites", number_of((int64_t)replication.journal.rewrites));
+    json_object_object_add(log, "otherHistories", number_of((int64_t)replication.other_histories));
+    json_object_object_add(log, "tornBytes", number_of((int64_t)replication.journal.torn_bytes));
+    json_object_object_add(log, "begunAnew", json_object_new_boolean(replication.journal.begun_anew));
+    json_object_object_add(log, "worstSyncMs", number_of(replication.journal.worst_sync_ms));
     json_object_object_add(body, "log", log);
-    json_object_object_add(body, "seats", show_voters(controller, &sight));
-    json_object_object_add(body, "learners", show_learners(controller, &sight));
-    json_object_object_add(body, "losses", show_losses(&sight));
+    json_object_object_add(body, "seats", show_voters(controller, &replication));
+    json_object_object_add(body, "learners", show_learners(controller, &replication));
+    json_object_object_add(body, "losses", show_losses(&replication));
     json_object_object_add(body, "plan", show_plan(controller));
     json_object_object_add(body, "liveset", show_liveset(controller, mem));
     json_object_object_add(body, "members", show_members(controller));
