--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -86,14 +86,14 @@
 #define VOTER_SILENT_PART 2 /* count; ... after 1 in so many of it a silent voter is replaced: that takes the rest */
 
 /* --- log and disk ---------------------------------------------------------------------------- */
-#define LOG_SNAPSHOT_ENTRIES 4000             /* count; the journal is rewritten as a snapshot after so many entries */
-#define LOG_SNAPSHOT_BYTES (8 * 1024 * 1024)  /* bytes; ... or so many: some 25 large configurations; sent in 0.5 s */
-#define SNAPSHOT_MAX_BYTES (48 * 1024 * 1024) /* bytes; no snapshot of a larger state: memory would not hold both */
-#define FILL_WHOLE_BYTES (2 * 1024 * 1024)    /* bytes; a snapshot up to this is sent at once ... */
-#define FILL_PIECE_BYTES (1024 * 1024)        /* bytes; ... a larger one in pieces: 40 ms each at 200 Mbit/s */
-#define LOG_BATCH_BYTES (512 * 1024)          /* bytes; most in one append */
-#define LOG_BATCH_ENTRIES 256                 /* count; most in one append */
-#define LOG_WRITE_BYTES (16 * 1024 * 1024)    /* bytes; most in one write of the leader to its own journal */
+#define LOG_SNAPSHOT_ENTRIES 4000              /* count; the journal is rewritten as a snapshot after so many entries */
+#define LOG_SNAPSHOT_BYTES (8 * 1024 * 1024)   /* bytes; ... or so many: some 25 large configurations; sent in 0.5 s */
+#define SNAPSHOT_MAX_BYTES (48 * 1024 * 1024)  /* bytes; no snapshot of a larger state: memory would not hold both */
+#define SNAPSHOT_WHOLE_BYTES (2 * 1024 * 1024) /* bytes; a snapshot up to this is sent at once ... */
+#define SNAPSHOT_PIECE_BYTES (1024 * 1024)     /* bytes; ... a larger one in pieces: 40 ms each at 200 Mbit/s */
+#define LOG_BATCH_BYTES (512 * 1024)           /* bytes; most in one append */
+#define LOG_BATCH_ENTRIES 256                  /* count; most in one append */
+#define LOG_WRITE_BYTES (16 * 1024 * 1024)     /* bytes; most in one write of the leader to its own journal */
 #define LOG_BACK_STEP 64 /* count; a voter whose log differs is asked again from so many entries earlier */
 #define RECORD_MAX_BYTES (64 * 1024 * 1024) /* bytes; a journal record larger than this is corruption */
 #define JOURNAL_OPEN_MS 3000 /* ms; a disk that refuses writes at the start is tried again for this long */
@@ -153,13 +153,15 @@
 #define ESTIMATE_LEAST 5       /* count; ends before a step's estimate is corrected */
 #define ESTIMATE_FRESH_KEPT 9  /* count; as ESTIMATE_KEPT; fewer, since a worker turns slow within seconds ... */
 #define ESTIMATE_FRESH_LEAST 3 /* count; ... and fewer than these say nothing */
-#define ESTIMATE_FRESH_MS 4000 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
-                                */
-#define ESTIMATE_POOL 64       /* count; ratios of all workers: enough that one of them does not decide */
+#define ESTIMATE_FRESH_MS                                                                                      \
+    4000                 /* ms; what a worker did before this says nothing of a slow spell: those are as short \
+                          */
+#define ESTIMATE_POOL 64 /* count; ratios of all workers: enough that one of them does not decide */
 #define ESTIMATE_RATIO_MOST 20000 /* thousandths; a worker that is slower by more stands still */
 #define ESTIMATE_SPEED_LEAST 600  /* thousandths; workers differ by a quarter either way; ... */
-#define ESTIMATE_SPEED_MOST 1700  /* thousandths; ... with estimates off by up to half, beyond this it is a slow spell \
-                                   */
+#define ESTIMATE_SPEED_MOST                                                                                       \
+    1700                     /* thousandths; ... with estimates off by up to half, beyond this it is a slow spell \
+                              */
 #define STILL_PERCENT 15     /* percent; an attempt without progress while so much of its work was due stands still */
 #define STILL_LEAST_MS 1000  /* ms; ... and so long: resuming from saved progress begins with a pause */
 #define PACE_CREDIT 16       /* count; reports of progress before their absence counts: some workers send none */
@@ -172,7 +174,8 @@
 #define STOPS_MOST 4         /* count; attempts restarted elsewhere by one look */
 #define SLOW_ATTEMPTS_MOST 5 /* count; a task that has had so many attempts is left where it is */
 #define TARGET_LATE_TIMES 3  /* count; until so many times its latency target a job is still worth something */
-#define TARGET_DOUBT_PERCENT 25  /* percent of the work left; a target missed by less may be met: estimates are rough \
+#define TARGET_DOUBT_PERCENT                                                                                          \
+    25                           /* percent of the work left; a target missed by less may be met: estimates are rough \
                                   */
 #define TARGET_LOOK_MS 2000      /* ms; a target so much farther off weighs 2.7 times less: about one task's time */
 #define TARGET_PRIORITY_RANK 1.4 /* 1; a queue's step of priority weighs 4 times more */
@@ -231,7 +234,7 @@
 /* --- process --------------------------------------------------------------------------------- */
 #define TASK_STACK_BYTES (192 * 1024) /* bytes; a coroutine's: JSON and printf fit, also under ASan */
 #define TASK_STACKS_KEPT 24 /* count; stacks of ended coroutines kept for the next: a burst pays for its own */
-#define FRAME_MAX_BYTES (32 * 1024 * 1024)     /* bytes; one message: a whole snapshot (FILL_WHOLE_BYTES) fits */
+#define FRAME_MAX_BYTES (32 * 1024 * 1024)     /* bytes; one message: a whole snapshot (SNAPSHOT_WHOLE_BYTES) fits */
 #define CHANNEL_QUEUE_BYTES (96 * 1024 * 1024) /* bytes; more unsent than this ends the connection */
 #define CHANNEL_KEEP_BYTES (32 * 1024)         /* bytes; a buffer that grew larger for one frame is given back */
 #define CHANNEL_QUEUE_FRAMES 4096              /* count; more unread than this ends the connection */
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -57,8 +57,8 @@
     Handing *handing = talloc_zero(loop, Handing);
     *handing = (Handing){explore, node, explore->order_count, {0}};
     bytes_add(handing, &handing->payload, &handing->number, sizeof(handing->number));
-    static const uint8_t FILL[CLIENT_BYTES] = {0};
-    bytes_add(handing, &handing->payload, FILL, sim_random(explore->world) % CLIENT_BYTES);
+    static const uint8_t INSTALL_SNAPSHOT[CLIENT_BYTES] = {0};
+    bytes_add(handing, &handing->payload, INSTALL_SNAPSHOT, sim_random(explore->world) % CLIENT_BYTES);
     loop_spawn(loop, "client", hand_main, handing);
 }
 
--- a/packages/replication/include/replication/messages.h
+++ b/packages/replication/include/replication/messages.h
@@ -64,9 +64,9 @@
     X(U64, configuration_term, 0) /* of the last view recorded */                              \
     X(LST, configuration_members, DiskId)                                                      \
     X(I64, wall_ms, 0)                                                                         \
-    X(I64, sync_ms, 0) /* how long its last sync took */                                       \
-    X(U64, sight, 0)   /* how many members have answered it of late */                         \
-    X(U64, filled, 0)  /* bytes that it has of a snapshot that arrives in pieces */
+    X(I64, sync_ms, 0)             /* how long its last sync took */                           \
+    X(U64, sight, 0)               /* how many members have answered it of late */             \
+    X(U64, snapshot_bytes_here, 0) /* bytes that it has of a snapshot that arrives in pieces */
 SHAPE(VoterAnswer, VOTER_ANSWER_FIELDS)
 
 /* MESSAGE_RENEW: renews the lease, and sends the commit index, the log's clock and the leader's name.
@@ -93,22 +93,22 @@
     X(U64, to, 0)
 SHAPE(AppendAsk, APPEND_ASK_FIELDS)
 
-/* MESSAGE_FILL (Raft: InstallSnapshot). total 0: the snapshot's payload is whole; else it is the piece that
+/* MESSAGE_INSTALL_SNAPSHOT (Raft: InstallSnapshot). total 0: the snapshot's payload is whole; else it is the piece that
  * begins at byte from, of total bytes, whose CRC together is checksum.
  * A voter that has all that the snapshot covers keeps its log, which may go further. over: its log was found
  * to be of another history: what its own snapshot covers does not count for that, unless that snapshot is as
  * new. */
-#define FILL_ASK_FIELDS(X)   \
-    X(U64, term, 0)          \
-    X(U64, holder, 0)        \
-    X(ONE, snapshot, Record) \
-    X(U64, commit_index, 0)  \
-    X(U64, to, 0)            \
-    X(FLAG, over, 0)         \
-    X(U64, from, 0)          \
-    X(U64, total, 0)         \
+#define INSTALL_SNAPSHOT_ASK_FIELDS(X) \
+    X(U64, term, 0)                    \
+    X(U64, holder, 0)                  \
+    X(ONE, snapshot, Record)           \
+    X(U64, commit_index, 0)            \
+    X(U64, to, 0)                      \
+    X(FLAG, over, 0)                   \
+    X(U64, from, 0)                    \
+    X(U64, total, 0)                   \
     X(U64, checksum, 0)
-SHAPE(FillAsk, FILL_ASK_FIELDS)
+SHAPE(InstallSnapshotAsk, INSTALL_SNAPSHOT_ASK_FIELDS)
 
 /* MESSAGE_LOG: a new leader asks a voter that has promised to it for its log after an entry. */
 #define LOG_ASK_FIELDS(X)  \
--- a/packages/replication/src/install.c
+++ b/packages/replication/src/install.c
@@ -11,49 +11,51 @@
 #include "voterlist.h"
 
 /* Whether the piece is of the snapshot that is arriving. */
-static bool same_filling(const Filling *filling, const FillAsk *ask)
+static bool same_filling(const Filling *incoming_snapshot, const InstallSnapshotAsk *ask)
 {
-    return filling != NULL && filling->term == ask->snapshot.term && filling->index == ask->snapshot.index &&
-           filling->total == ask->total && filling->checksum == ask->checksum;
+    return incoming_snapshot != NULL && incoming_snapshot->term == ask->snapshot.term &&
+           incoming_snapshot->index == ask->snapshot.index && incoming_snapshot->total == ask->total &&
+           incoming_snapshot->checksum == ask->checksum;
 }
 
-void fill_drop(Replication *replication)
+void snapshot_piece_drop(Replication *replication)
 {
-    talloc_free(replication->filling);
-    replication->filling = NULL;
+    talloc_free(replication->incoming_snapshot);
+    replication->incoming_snapshot = NULL;
 }
 
-Status fill_take(Replication *replication, const FillAsk *ask, Record *whole)
+Status snapshot_piece_take(Replication *replication, const InstallSnapshotAsk *ask, Record *whole)
 {
     *whole = ask->snapshot;
     if (ask->total == 0) {
-        fill_drop(replication);
+        snapshot_piece_drop(replication);
         return STATUS_OK;
     }
     if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
         return STATUS_BAD_FRAME;
-    if (!same_filling(replication->filling, ask)) {
-        fill_drop(replication);
-        replication->filling = talloc_zero(replication, Filling);
-        *replication->filling = (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
+    if (!same_filling(replication->incoming_snapshot, ask)) {
+        snapshot_piece_drop(replication);
+        replication->incoming_snapshot = talloc_zero(replication, Filling);
+        *replication->incoming_snapshot =
+            (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
     }
-    Filling *filling = replication->filling;
-    if (ask->from != filling->bytes.count)
+    Filling *incoming_snapshot = replication->incoming_snapshot;
+    if (ask->from != incoming_snapshot->bytes.count)
         return STATUS_LOG_GAP; /* the answer says how much has arrived */
-    bytes_add(filling, &filling->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
-    if (filling->bytes.count < filling->total)
+    bytes_add(incoming_snapshot, &incoming_snapshot->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
+    if (incoming_snapshot->bytes.count < incoming_snapshot->total)
         return STATUS_BUSY;
-    if (bytes_crc(filling->bytes.data, filling->bytes.count) != filling->checksum) {
-        fill_drop(replication);
+    if (bytes_crc(incoming_snapshot->bytes.data, incoming_snapshot->bytes.count) != incoming_snapshot->checksum) {
+        snapshot_piece_drop(replication);
         return STATUS_BAD_FRAME;
     }
-    whole->payload = filling->bytes;
+    whole->payload = incoming_snapshot->bytes;
     return STATUS_OK;
 }
 
-uint64_t fill_count(const Replication *replication)
+uint64_t snapshot_piece_count(const Replication *replication)
 {
-    return replication->filling != NULL ? replication->filling->bytes.count : 0;
+    return replication->incoming_snapshot != NULL ? replication->incoming_snapshot->bytes.count : 0;
 }
 
 /* Whether the log has all that the snapshot covers. Such a log is kept: it may go further, and a
@@ -70,7 +72,7 @@
     return log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
-Status voter_fill(Replication *replication, const FillAsk *ask)
+Status voter_install_snapshot(Replication *replication, const InstallSnapshotAsk *ask)
 {
     Record promise;
     size_t count = 0;
@@ -86,15 +88,16 @@
     if (snapshot_held(replication, &ask->snapshot, ask->over))
         return journal_write(replication->journal, &promise, count); /* syncs also what the journal was given before */
     Record whole;
-    status = fill_take(replication, ask, &whole);
+    status = snapshot_piece_take(replication, ask, &whole);
     if (status != STATUS_OK) { /* nothing has changed yet but the promise */
         const Status written = journal_write(replication->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
-    Filling *filling = replication->filling; /* another may begin to arrive while the disk is waited for */
-    replication->filling = NULL;
+    Filling *incoming_snapshot =
+        replication->incoming_snapshot; /* another may begin to arrive while the disk is waited for */
+    replication->incoming_snapshot = NULL;
     status = voter_replace(replication, &whole, NULL, 0);
-    talloc_free(filling);
+    talloc_free(incoming_snapshot);
     return status == STATUS_OK && ask->term != replication->lock.promised ? STATUS_OLD_TERM : status;
 }
 
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -101,7 +101,7 @@
     const uint64_t first = replication->log->base_index + 1, next = peer->next_index;
     peer->match_index = 0; /* its disk may have lost what it had synced */
     if (next <= first)
-        peer->refill = true;
+        peer->reinstall = true;
     else if (peer_last_index + 1 < next)
         peer->next_index = peer_last_index + 1;
     else
@@ -168,8 +168,8 @@
             loop_sleep(replication->loop, PEER_AGAIN_MS);
             continue;
         }
-        if (peer->refill || peer->next_index <= replication->log->base_index) {
-            fill_one(replication, &lead, address);
+        if (peer->reinstall || peer->next_index <= replication->log->base_index) {
+            install_snapshot_one(replication, &lead, address);
         } else if (peer->next_index <= log_last_index(replication->log) || !told || slow_learner(&lead)) {
             append_one(replication, &lead, address);
             told |= peer->match_index + 1 == peer->next_index;
--- a/packages/replication/src/sendsnapshot.c
+++ b/packages/replication/src/sendsnapshot.c
@@ -9,21 +9,23 @@
 #include "snapshot.h"
 #include "state.h"
 
-#define FILL_DEADLINE_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* ms; a piece through a narrow link */
+#define INSTALL_SNAPSHOT_TIMEOUT_MS (4 * ELECTION_STEP_TIMEOUT_MS) /* ms; a piece through a narrow link */
 
 /* Waits. Sends one piece of the snapshot, or all of it. */
-static Status piece_send(Replication *replication, const Lead *lead, const char *address, FillAsk *ask, Bytes whole,
-                         VoterAnswer *answer)
+static Status piece_send(Replication *replication, const Lead *lead, const char *address, InstallSnapshotAsk *ask,
+                         Bytes whole, VoterAnswer *answer)
 {
     void *mem = talloc_new(replication);
     const size_t left = whole.count - (size_t)ask->from;
     ask->term = replication->term;
     ask->commit_index = replication->commit_index;
-    ask->snapshot.payload = (Bytes){whole.data + ask->from, left < FILL_PIECE_BYTES ? left : FILL_PIECE_BYTES, 0};
+    ask->snapshot.payload =
+        (Bytes){whole.data + ask->from, left < SNAPSHOT_PIECE_BYTES ? left : SNAPSHOT_PIECE_BYTES, 0};
     if (ask->total == 0)
         ask->snapshot.payload = whole;
-    const Status status = rpc_ask(replication->settings.rpc, mem, address, MESSAGE_FILL, &FillAsk_shape, ask,
-                                  FILL_DEADLINE_MS, &VoterAnswer_shape, answer);
+    const Status status =
+        rpc_ask(replication->settings.rpc, mem, address, MESSAGE_INSTALL_SNAPSHOT, &InstallSnapshotAsk_shape, ask,
+                INSTALL_SNAPSHOT_TIMEOUT_MS, &VoterAnswer_shape, answer);
     if (!lead_peer_over(lead) && poll_reached(status))
         lead_answered(replication, lead->slot, answer);
     talloc_free(mem);
@@ -31,7 +33,7 @@
 }
 
 /* Whether there is another piece to send after this answer; ask->from is where it begins. */
-static bool goes_on(FillAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
+static bool goes_on(InstallSnapshotAsk *ask, Status status, const VoterAnswer *answer, size_t sent)
 {
     if (ask->total == 0)
         return false;
@@ -39,30 +41,31 @@
         ask->from += sent;
         return ask->from < ask->total;
     }
-    if (status != STATUS_LOG_GAP || answer->filled >= ask->total || answer->filled == ask->from)
+    if (status != STATUS_LOG_GAP || answer->snapshot_bytes_here >= ask->total ||
+        answer->snapshot_bytes_here == ask->from)
         return false;
-    ask->from = answer->filled;
+    ask->from = answer->snapshot_bytes_here;
     return true;
 }
 
-void fill_one(Replication *replication, const Lead *lead, const char *address)
+void install_snapshot_one(Replication *replication, const Lead *lead, const char *address)
 {
     Peer *peer = &replication->peers[lead->slot];
     /* a peer with another history wants the newest snapshot; but a large one may be partly there, and is
      * gone on with */
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT ||
-        (peer->refill && replication->log->snapshot.payload.count <= FILL_WHOLE_BYTES))
+        (peer->reinstall && replication->log->snapshot.payload.count <= SNAPSHOT_WHOLE_BYTES))
         replication_compact_maybe(replication, true);
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT) {
         loop_sleep(replication->loop, LOCK_RENEW_MS);
         return;
     }
     void *mem = talloc_new(replication);
-    FillAsk ask = {.holder = replication->disk, .to = lead->disk, .over = peer->refill};
+    InstallSnapshotAsk ask = {.holder = replication->disk, .to = lead->disk, .over = peer->reinstall};
     shape_copy(&Record_shape, &replication->log->snapshot, mem, &ask.snapshot);
     const Bytes whole = ask.snapshot.payload;
     const uint64_t index = ask.snapshot.index;
-    if (whole.count > FILL_WHOLE_BYTES) {
+    if (whole.count > SNAPSHOT_WHOLE_BYTES) {
         ask.total = whole.count;
         ask.checksum = bytes_crc(whole.data, whole.count);
     }
@@ -76,7 +79,7 @@
         if (status == STATUS_OK) {
             peer->match_index = index;
             peer->next_index = index + 1;
-            peer->refill = false;
+            peer->reinstall = false;
         } else {
             loop_sleep(replication->loop, LOCK_RENEW_MS);
         }
--- a/packages/replication/src/sendsnapshot.h
+++ b/packages/replication/src/sendsnapshot.h
@@ -5,6 +5,6 @@
 
 /* Waits. Sends the peer the snapshot, once; a peer that does not take it is tried again by its
  * task. A snapshot is made first where the peer needs a newer one. */
-void fill_one(Replication *replication, const Lead *lead, const char *address);
+void install_snapshot_one(Replication *replication, const Lead *lead, const char *address);
 
 #endif
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -23,7 +23,7 @@
         .wall_ms = loop_wall_ms(replication->loop),
         .sync_ms = journal_counts(replication->journal)->last_sync_ms,
         .sight = members_sight(replication->settings.members),
-        .filled = fill_count(replication),
+        .snapshot_bytes_here = snapshot_piece_count(replication),
     };
     answer->configuration_members = talloc_array(mem, DiskId, (unsigned)replication->last.members_count);
     if (replication->last.members_count > 0)
@@ -114,13 +114,13 @@
     return status;
 }
 
-static Status on_fill(void *arg, void *mem, const void *question, void *answer)
+static Status on_install_snapshot(void *arg, void *mem, const void *question, void *answer)
 {
     Replication *replication = arg;
-    const FillAsk *ask = question;
+    const InstallSnapshotAsk *ask = question;
     if (!is_for(replication, ask->to))
         return STATUS_OTHER_DISK;
-    const Status status = voter_fill(replication, ask);
+    const Status status = voter_install_snapshot(replication, ask);
     voter_describe(replication, mem, answer);
     return status;
 }
@@ -144,6 +144,7 @@
     rpc_handle(rpc, MESSAGE_RENEW, &RenewAsk_shape, &VoterAnswer_shape, on_renew, replication);
     rpc_handle(rpc, MESSAGE_RELEASE, &RenewAsk_shape, &VoterAnswer_shape, on_release, replication);
     rpc_handle(rpc, MESSAGE_APPEND, &AppendAsk_shape, &VoterAnswer_shape, on_append, replication);
-    rpc_handle(rpc, MESSAGE_FILL, &FillAsk_shape, &VoterAnswer_shape, on_fill, replication);
+    rpc_handle(rpc, MESSAGE_INSTALL_SNAPSHOT, &InstallSnapshotAsk_shape, &VoterAnswer_shape, on_install_snapshot,
+               replication);
     rpc_handle(rpc, MESSAGE_LOG, &LogAsk_shape, &LogAnswer_shape, on_log, replication);
 }
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -22,7 +22,7 @@
     int64_t append_since_ms; /* sent then, not answered yet; INT64_MAX: none is out */
     int64_t append_took_ms;  /* the last append that was answered, in ms */
     int slow_times;          /* appends in a row that took longer than VOTER_SLOW_MS */
-    bool refill;             /* no entries can make its log match: it wants the snapshot */
+    bool reinstall;          /* no entries can make its log match: it wants the snapshot */
     /* lease and contact */
     int64_t renewed_ms; /* the question that it last answered with a grant was sent then; INT64_MIN: none */
     uint64_t contact;   /* the newest round of contact that it has answered */
@@ -110,13 +110,13 @@
     /* --- the voter ---
      * Invariant: the promise in lock is on the disk before anything is answered under it. */
     LockVoter lock;
-    bool woke;                /* restarted, and no view has brought this node up to date since */
-    uint64_t verified_index;  /* entries up to it are known to equal those of the leader of the promised term */
-    Filling *filling;         /* a snapshot that arrives in pieces; null: none */
-    uint64_t other_histories; /* refused orders to drop what is committed */
-    int64_t other_told_ms;    /* such an order was last logged */
-    Signal released;          /* the leader has released its lease ... */
-    bool named;               /* ... and named this node to be the next leader */
+    bool woke;                  /* restarted, and no view has brought this node up to date since */
+    uint64_t verified_index;    /* entries up to it are known to equal those of the leader of the promised term */
+    Filling *incoming_snapshot; /* a snapshot that arrives in pieces; null: none */
+    uint64_t other_histories;   /* refused orders to drop what is committed */
+    int64_t other_told_ms;      /* such an order was last logged */
+    Signal released;            /* the leader has released its lease ... */
+    bool named;                 /* ... and named this node to be the next leader */
 
     /* --- the log's clock and the wall clock ---
      * Invariant: clock_base_ms >= clock_log_ms once clock_runs. */
--- a/packages/replication/src/voter.h
+++ b/packages/replication/src/voter.h
@@ -25,18 +25,18 @@
 /* An order to drop what is committed, from index on: logged, counted and refused with
  * OTHER_HISTORY. Only where disks keep what they have synced. */
 Status history_refuse(Replication *replication, uint64_t index);
-/* Waits for the disk. Raft's InstallSnapshot, whole or by a piece. Statuses of fill_take. */
-Status voter_fill(Replication *replication, const FillAsk *ask);
+/* Waits for the disk. Raft's InstallSnapshot, whole or by a piece. Statuses of snapshot_piece_take. */
+Status voter_install_snapshot(Replication *replication, const InstallSnapshotAsk *ask);
 /* Waits for the disk. Puts the snapshot and what follows it in the place of the whole log, in
  * one write. */
 Status voter_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count);
 /* Takes a snapshot or a piece of one. OK: whole is all of it, its payload owned by the ask or by
  * view->filling; BUSY: more must come; LOG_GAP: another piece is wanted; BAD_FRAME: it is
  * spoilt. */
-Status fill_take(Replication *replication, const FillAsk *ask, Record *whole);
+Status snapshot_piece_take(Replication *replication, const InstallSnapshotAsk *ask, Record *whole);
 /* Forgets the pieces that have arrived. */
-void fill_drop(Replication *replication);
+void snapshot_piece_drop(Replication *replication);
 /* How many bytes of a snapshot have arrived. */
-uint64_t fill_count(const Replication *replication);
+uint64_t snapshot_piece_count(const Replication *replication);
 
 #endif
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -11,16 +11,16 @@
 
 #include "controller_set.h"
 
-static FillAsk piece_of(Bytes whole, size_t from, size_t count)
+static InstallSnapshotAsk piece_of(Bytes whole, size_t from, size_t count)
 {
-    return (FillAsk){.snapshot = {.kind = RECORD_SNAPSHOT,
-                                  .term = 9,
-                                  .index = 70,
-                                  .name = "",
-                                  .payload = {whole.data + from, count, 0}},
-                     .from = from,
-                     .total = whole.count,
-                     .checksum = bytes_crc(whole.data, whole.count)};
+    return (InstallSnapshotAsk){.snapshot = {.kind = RECORD_SNAPSHOT,
+                                             .term = 9,
+                                             .index = 70,
+                                             .name = "",
+                                             .payload = {whole.data + from, count, 0}},
+                                .from = from,
+                                .total = whole.count,
+                                .checksum = bytes_crc(whole.data, whole.count)};
 }
 
 /* Pieces out of their order, given twice, of another snapshot, spoilt, or beyond the whole:
@@ -33,37 +33,37 @@
     Bytes whole = {talloc_zero_size(fleet, 1000), 1000, 0};
     whole.data[500] = 7;
     Record record;
-    FillAsk ask = piece_of(whole, 400, 300);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fill_count(replication), 0);
+    InstallSnapshotAsk ask = piece_of(whole, 400, 300);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_count(replication), 0);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
-    assert_int_equal(fill_count(replication), 400);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_count(replication), 400);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.payload.count = 700;
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
     whole.data[500] = 8; /* on its way */
     ask = piece_of(whole, 400, 600);
     whole.data[500] = 7;
     ask.checksum = bytes_crc(whole.data, whole.count);
     whole.data[500] = 8;
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
-    assert_int_equal(fill_count(replication), 0);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_count(replication), 0);
     whole.data[500] = 7;
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
     ask.snapshot.index++; /* of another snapshot: what was there counts for nothing */
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_LOG_GAP);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_LOG_GAP);
     ask = piece_of(whole, 0, 400);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BUSY);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BUSY);
     ask = piece_of(whole, 400, 600);
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_OK);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_OK);
     assert_memory_equal(record.payload.data, whole.data, whole.count);
     ask = piece_of(whole, 0, 1000);
     ask.total = RECORD_MAX_BYTES + 1;
-    assert_int_equal(fill_take(replication, &ask, &record), STATUS_BAD_FRAME);
+    assert_int_equal(snapshot_piece_take(replication, &ask, &record), STATUS_BAD_FRAME);
     talloc_free(fleet);
 }
 
@@ -208,9 +208,9 @@
             fleet_isolate(fleet, FLEET_CONTROLLER, away, true);
         if (i == 90)
             fleet_isolate(fleet, FLEET_CONTROLLER, away, false);
-        const uint64_t filled = runs(fleet, away) ? fill_count(replication_of(fleet, away)) : 0;
-        most = filled > most ? filled : most;
-        assert_true(filled == most || filled == 0);
+        const uint64_t snapshot_bytes_here = runs(fleet, away) ? snapshot_piece_count(replication_of(fleet, away)) : 0;
+        most = snapshot_bytes_here > most ? snapshot_bytes_here : most;
+        assert_true(snapshot_bytes_here == most || snapshot_bytes_here == 0);
     }
     assert_true(caught_up(fleet, away) && seated(fleet, away));
     assert_int_equal(fleet_leader(fleet), leader);
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -232,35 +232,35 @@
     talloc_free(fleet);
 }
 
-#define MESSAGES(X)      \
-    X(Hello)             \
-    X(ProposeAsk)        \
-    X(VoterAnswer)       \
-    X(RenewAsk)          \
-    X(AppendAsk)         \
-    X(FillAsk)           \
-    X(LogAsk)            \
-    X(LogAnswer)         \
-    X(HeartbeatAsk)      \
-    X(HeartbeatAnswer)   \
-    X(KnowAnswer)        \
-    X(TellAsk)           \
-    X(FetchAsk)          \
-    X(FetchAnswer)       \
-    X(ForwardAsk)        \
-    X(ForwardAnswer)     \
-    X(RetellAsk)         \
-    X(ConfigWatchAsk)    \
-    X(ConfigWatchAnswer) \
-    X(RepairList)        \
-    X(JobAdd)            \
-    X(PlaceList)         \
-    X(AttemptList)       \
-    X(StopList)          \
-    X(WorkerLost)        \
-    X(ConfigSet)         \
-    X(ZoneDrain)         \
-    X(Record)            \
+#define MESSAGES(X)       \
+    X(Hello)              \
+    X(ProposeAsk)         \
+    X(VoterAnswer)        \
+    X(RenewAsk)           \
+    X(AppendAsk)          \
+    X(InstallSnapshotAsk) \
+    X(LogAsk)             \
+    X(LogAnswer)          \
+    X(HeartbeatAsk)       \
+    X(HeartbeatAnswer)    \
+    X(KnowAnswer)         \
+    X(TellAsk)            \
+    X(FetchAsk)           \
+    X(FetchAnswer)        \
+    X(ForwardAsk)         \
+    X(ForwardAnswer)      \
+    X(RetellAsk)          \
+    X(ConfigWatchAsk)     \
+    X(ConfigWatchAnswer)  \
+    X(RepairList)         \
+    X(JobAdd)             \
+    X(PlaceList)          \
+    X(AttemptList)        \
+    X(StopList)           \
+    X(WorkerLost)         \
+    X(ConfigSet)          \
+    X(ZoneDrain)          \
+    X(Record)             \
     X(Worker)
 
 /* Random bytes, and packed ones spoilt, for every shape: refused, or a whole
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -293,7 +293,7 @@
           "return log->count >= most || log->bytes >= bytes;", "return log->count >= most || bytes == 0;",
           "away_for_big", "test", "catchup", "away_for_big"),
     Guard("fill-pieces", "a large snapshot goes in pieces", "packages/replication/src/sendsnapshot.c",
-          "    if (whole.count > FILL_WHOLE_BYTES) {", "    if (whole.count > FILL_WHOLE_BYTES && false) {",
+          "    if (whole.count > SNAPSHOT_WHOLE_BYTES) {", "    if (whole.count > SNAPSHOT_WHOLE_BYTES && false) {",
           "large_state", "test", "catchup", "large_state"),
     Guard("spoilt-founds-not", "a disk that was not whole founds nothing", "packages/replication/src/recover.c",
           "        replication->settings.founds = REPLICATION_FOUNDS_NEVER;", "        (void)replication;",
