--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -21,7 +21,7 @@
     Room free;        /* capacity that nothing uses, by the worker's own count */
     int64_t wait_ms;  /* the answer may be delayed for this long */
     bool ends_wait;   /* it sends no other report before it is answered, not even when an attempt ends */
-    const AttemptNews *running, *ended; /* attempts that run; attempts whose end is not known as committed */
+    const AttemptUpdate *running, *ended; /* attempts that run; attempts whose end is not known as committed */
     size_t running_count, ended_count;
 } WorkerReport;
 
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -7,17 +7,17 @@
 #include "attempts.h"
 
 /* The worker reports an attempt as running that is over for the leader: it must stop it. */
-static bool lingers(Agent *agent, const AttemptNews *news)
+static bool lingers(Agent *agent, const AttemptUpdate *updates)
 {
-    const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+    const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
     return attempt != NULL && attempt->phase >= PHASE_ENDED;
 }
 
 static bool known_any(Agent *agent, const WorkerReport *report)
 {
     for (size_t i = 0; i < report->ended_count; i++) {
-        const AttemptNews *news = &report->ended[i];
-        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        const AttemptUpdate *updates = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
         if (attempt != NULL && attempt->phase == PHASE_KNOWN)
             return true;
     }
@@ -93,13 +93,14 @@
         }
     }
     for (size_t i = 0; i < report->running_count; i++) {
-        const AttemptNews *news = &report->running[i];
-        if (lingers(agent, news))
-            stops[orders->stops_count++] = (AttemptId){talloc_strdup(mem, news->job), news->task, news->attempt};
+        const AttemptUpdate *updates = &report->running[i];
+        if (lingers(agent, updates))
+            stops[orders->stops_count++] =
+                (AttemptId){talloc_strdup(mem, updates->job), updates->task, updates->attempt};
     }
     for (size_t i = 0; i < report->ended_count; i++) {
-        const AttemptNews *news = &report->ended[i];
-        const Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+        const AttemptUpdate *updates = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
         if (attempt != NULL && attempt->phase == PHASE_KNOWN)
             known[orders->known_count++] = attempt_id(mem, attempt);
     }
--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -124,7 +124,7 @@
     attempt->saved_turn++;
 }
 
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptNews *news)
+void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *updates)
 {
     if (attempt->phase == PHASE_OFFERED || attempt->phase == PHASE_SENT) {
         attempt->phase = PHASE_RUNNING;
@@ -132,11 +132,11 @@
     }
     if (attempt->runs_ms == 0)
         attempt->runs_ms = attempt->given_ms != 0 ? attempt->given_ms : loop_now_ms(agent->loop);
-    if (attempt->saved_turn == 0 || strcmp(attempt->saved, news->saved) != 0) {
-        text_set(attempt, &attempt->saved, news->saved);
+    if (attempt->saved_turn == 0 || strcmp(attempt->saved, updates->saved) != 0) {
+        text_set(attempt, &attempt->saved, updates->saved);
         attempt->saved_turn++; /* the next heartbeat carries it */
     }
-    progress_take(agent, attempt, news->percent);
+    progress_take(agent, attempt, updates->percent);
 }
 
 void attempt_retell(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -23,7 +23,7 @@
 void attempt_trace(Agent *agent, const Attempt *attempt, TraceStep step);
 
 /* The worker reports that it runs, with its checkpoint and progress. */
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptNews *news);
+void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *updates);
 /* It is over; no effect if it already was. guessed: the agent infers this, the worker has not reported it. */
 void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed);
 /* The order's deadline has come before the worker was known to start it. */
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -8,7 +8,7 @@
 #include "config/check.h"
 
 static size_t read_attempts(Faults *faults, json_object *object, const char *key, bool with_word,
-                            const AttemptNews **out)
+                            const AttemptUpdate **out)
 {
     static const char *const KEYS[] = {"job", "task", "round", "word", "text", "saved", "percent", NULL};
     json_object *list;
@@ -19,31 +19,31 @@
         return 0;
     }
     const size_t count = json_object_array_length(list);
-    AttemptNews *read = talloc_zero_array(faults->mem, AttemptNews, (unsigned)count);
+    AttemptUpdate *read = talloc_zero_array(faults->mem, AttemptUpdate, (unsigned)count);
     *out = read;
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_array_get_idx(list, i);
         const char *path = talloc_asprintf(faults->mem, "%s[%zu]", key, i);
-        AttemptNews *news = &read[i];
-        *news = (AttemptNews){.job = "", .worker = "", .text = "", .saved = ""};
+        AttemptUpdate *updates = &read[i];
+        *updates = (AttemptUpdate){.job = "", .worker = "", .text = "", .saved = ""};
         if (!check_keys(faults, one, path, KEYS))
             continue;
-        news->job = check_name(faults, one, path, "job", NULL);
-        news->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
-        news->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
-        news->word = ATTEMPT_RUNNING;
+        updates->job = check_name(faults, one, path, "job", NULL);
+        updates->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
+        updates->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
+        updates->word = ATTEMPT_RUNNING;
         if (with_word) {
-            news->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
-            if (news->word == ATTEMPT_WORD_COUNT || news->word == ATTEMPT_RUNNING)
+            updates->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
+            if (updates->word == ATTEMPT_WORD_COUNT || updates->word == ATTEMPT_RUNNING)
                 fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
                           "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
         }
-        news->percent = (uint64_t)check_int(faults, one, path, "percent", 0, 100, 0);
+        updates->percent = (uint64_t)check_int(faults, one, path, "percent", 0, 100, 0);
         json_object *text;
         if (json_object_object_get_ex(one, "text", &text) && json_object_is_type(text, json_type_string))
-            news->text = talloc_strndup(faults->mem, json_object_get_string(text), 200);
+            updates->text = talloc_strndup(faults->mem, json_object_get_string(text), 200);
         if (json_object_object_get_ex(one, "saved", &text) && json_object_is_type(text, json_type_string))
-            news->saved = talloc_strdup(faults->mem, json_object_get_string(text));
+            updates->saved = talloc_strdup(faults->mem, json_object_get_string(text));
     }
     return count;
 }
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -8,37 +8,37 @@
 #include "heartbeat.h"
 #include "tasks.h"
 
-static AttemptNews news_of(const Agent *agent, void *mem, const Attempt *attempt)
+static AttemptUpdate update_of(const Agent *agent, void *mem, const Attempt *attempt)
 {
     const bool over = attempt->phase >= PHASE_ENDED;
-    return (AttemptNews){.job = talloc_strdup(mem, attempt->order.job),
-                         .task = attempt->order.task,
-                         .attempt = attempt->order.attempt,
-                         .worker = agent->worker_name,
-                         .word = over ? attempt->word : ATTEMPT_RUNNING,
-                         .text = talloc_strdup(mem, attempt->text),
-                         .saved = talloc_strdup(mem, attempt->saved),
-                         .ran_ms = over                    ? attempt->ran_ms
-                                   : attempt->runs_ms != 0 ? loop_now_ms(agent->loop) - attempt->runs_ms
-                                                           : 0};
+    return (AttemptUpdate){.job = talloc_strdup(mem, attempt->order.job),
+                           .task = attempt->order.task,
+                           .attempt = attempt->order.attempt,
+                           .worker = agent->worker_name,
+                           .word = over ? attempt->word : ATTEMPT_RUNNING,
+                           .text = talloc_strdup(mem, attempt->text),
+                           .saved = talloc_strdup(mem, attempt->saved),
+                           .ran_ms = over                    ? attempt->ran_ms
+                                     : attempt->runs_ms != 0 ? loop_now_ms(agent->loop) - attempt->runs_ms
+                                                             : 0};
 }
 
-static size_t news_gather(Agent *agent, void *mem, TellAsk *ask)
+static size_t update_gather(Agent *agent, void *mem, TellAsk *ask)
 {
     const size_t count = agent->attempts.ended.count < TELLING_MOST ? agent->attempts.ended.count : TELLING_MOST;
-    ask->news = talloc_zero_array(mem, AttemptNews, (unsigned)count);
-    for (const Attempt *attempt = agent->attempts.ended.first; attempt != NULL && ask->news_count < count;
+    ask->updates = talloc_zero_array(mem, AttemptUpdate, (unsigned)count);
+    for (const Attempt *attempt = agent->attempts.ended.first; attempt != NULL && ask->updates_count < count;
          attempt = attempt->next)
-        ask->news[ask->news_count++] = news_of(agent, mem, attempt);
-    return ask->news_count;
+        ask->updates[ask->updates_count++] = update_of(agent, mem, attempt);
+    return ask->updates_count;
 }
 
 static void told(Agent *agent, const TellAsk *ask)
 {
-    for (size_t i = 0; i < ask->news_count; i++) {
-        const AttemptNews *news = &ask->news[i];
-        Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
-        if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == news->word)
+    for (size_t i = 0; i < ask->updates_count; i++) {
+        const AttemptUpdate *updates = &ask->updates[i];
+        Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == updates->word)
             attempt_known(agent, attempt);
     }
     /* a worker that has shut down is released once none of its attempts is open: the leader must hear that at once */
@@ -103,7 +103,7 @@
         telling->agent = agent;
         telling->users = 1;
         telling->ask = (TellAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
-        if (news_gather(agent, telling, &telling->ask) == 0) {
+        if (update_gather(agent, telling, &telling->ask) == 0) {
             telling_leave(telling);
             signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
             continue;
@@ -131,16 +131,16 @@
     (void)question;
     const Attempts *attempts = &agent->attempts;
     const size_t most = attempts->lives.count + attempts->ended.count + attempts->known.count;
-    AttemptList told = {talloc_zero_array(mem, AttemptNews, (unsigned)most), 0};
+    AttemptList told = {talloc_zero_array(mem, AttemptUpdate, (unsigned)most), 0};
     for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next)
         if (attempt->phase != PHASE_OFFERED)
-            told.news[told.news_count++] = news_of(agent, mem, attempt);
+            told.updates[told.updates_count++] = update_of(agent, mem, attempt);
     const Attempt *firsts[] = {attempts->ended.first, attempts->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Attempt *attempt = firsts[i]; attempt != NULL; attempt = attempt->next)
             if (attempt->word == ATTEMPT_DONE)
-                told.news[told.news_count++] = news_of(agent, mem, attempt);
-    if (told.news_count == 0)
+                told.updates[told.updates_count++] = update_of(agent, mem, attempt);
+    if (told.updates_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, RepairItem);
     list->items[0].change = CHANGE_ATTEMPTS;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -7,7 +7,7 @@
 #include "heartbeat.h"
 #include "boot.h"
 
-static bool listed(const AttemptNews *list, size_t count, const Order *order)
+static bool listed(const AttemptUpdate *list, size_t count, const Order *order)
 {
     for (size_t i = 0; i < count; i++)
         if (attempt_is(order, list[i].job, list[i].task, list[i].attempt))
@@ -15,33 +15,33 @@
     return false;
 }
 
-static Attempt *attempt_of(Agent *agent, const AttemptNews *news)
+static Attempt *attempt_of(Agent *agent, const AttemptUpdate *updates)
 {
-    Attempt *attempt = attempt_find(agent, news->job, news->task, news->attempt);
+    Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
     if (attempt == NULL) {
         /* given by an earlier agent process: the leader decides whether it is wanted */
         const Order order = {
-            .job = news->job, .task = news->task, .attempt = news->attempt, .payload = "", .saved = ""};
+            .job = updates->job, .task = updates->task, .attempt = updates->attempt, .payload = "", .saved = ""};
         attempt = attempt_add(agent, &order, PHASE_RUNNING);
     }
     return attempt;
 }
 
-static void end_take(Agent *agent, const AttemptNews *news)
+static void end_take(Agent *agent, const AttemptUpdate *updates)
 {
-    Attempt *attempt = attempt_of(agent, news);
+    Attempt *attempt = attempt_of(agent, updates);
     if (attempt->phase < PHASE_ENDED) {
-        if (news->saved[0] != '\0')
-            attempt_runs(agent, attempt, news);
-        attempt_end(agent, attempt, (AttemptWord)news->word, news->text, false);
+        if (updates->saved[0] != '\0')
+            attempt_runs(agent, attempt, updates);
+        attempt_end(agent, attempt, (AttemptWord)updates->word, updates->text, false);
         return;
     }
     /* a reported completion replaces any other end, a reported failure one that was inferred */
-    const bool weighs = (news->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
-                        (news->word == ATTEMPT_FAILED && attempt->guessed);
+    const bool weighs = (updates->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
+                        (updates->word == ATTEMPT_FAILED && attempt->guessed);
     attempt->guessed = false;
     if (weighs)
-        attempt_retell(agent, attempt, (AttemptWord)news->word, news->text);
+        attempt_retell(agent, attempt, (AttemptWord)updates->word, updates->text);
 }
 
 /* What the worker reports replaces what the agent inferred. */
@@ -98,7 +98,7 @@
     worker.name = agent->worker_name;
     const bool same = report->left || shape_equal(&Worker_shape, &worker, &agent->worker);
     const bool live = !report->left, leaving = report->leaving || report->left;
-    const bool news = !same || agent->worker_live != live || agent->worker_leaving != leaving || !agent->settled;
+    const bool updates = !same || agent->worker_live != live || agent->worker_leaving != leaving || !agent->settled;
     agent->settled = true;
     if (!same) {
         void *mem = talloc_new(agent);
@@ -113,7 +113,7 @@
     agent->leave_until_ms = report->leave_ms > 0 ? loop_now_ms(agent->loop) + report->leave_ms : 0;
     if (leaving)
         attempts_withdraw(agent, "the worker leaves");
-    if (news)
+    if (updates)
         heartbeat_now(agent);
 }
 
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -48,7 +48,7 @@
     say_ended(c, ATTEMPT_STOPPED, "some");
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
-    assert_string_equal(c->boss.news[0].saved, "some");
+    assert_string_equal(c->boss.updates[0].saved, "some");
     /* the worker reports as running what is over for the leader: it must stop it */
     it = say_runs(c, "");
     assert_int_equal(it->orders.stops_count, 1);
@@ -63,12 +63,12 @@
     sim_kill(c->world, c->agent_machine);
     sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2500); /* the order has expired, the worker has not reported yet */
-    assert_int_equal(c->boss.news_count, 0);
+    assert_int_equal(c->boss.updates_count, 0);
     Say *it = say_runs(c, "");
     assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stops_count, 0);
     run(c, 50);
-    assert_int_equal(c->boss.news_count, 0);
+    assert_int_equal(c->boss.updates_count, 0);
     talloc_free(c);
 }
 
@@ -94,7 +94,7 @@
     say_all(it);
     assert_int_equal(it->status, STATUS_CLOSED);
     run(c, 50);
-    assert_int_equal(c->boss.news_count, 0);
+    assert_int_equal(c->boss.updates_count, 0);
     talloc_free(c);
 }
 
--- a/packages/agent/test/agentcase.h
+++ b/packages/agent/test/agentcase.h
@@ -37,8 +37,8 @@
     Signal changed;
     HeartbeatAsk heartbeat; /* the newest heartbeat */
     size_t heartbeats, tellings;
-    AttemptNews news[LISTED * 2];
-    size_t news_count;
+    AttemptUpdate updates[LISTED * 2];
+    size_t updates_count;
     AttemptSaved saved[LISTED];
     size_t saved_count;
 } Boss;
@@ -89,8 +89,8 @@
     (void)mem;
     (void)answer;
     boss->tellings++;
-    for (size_t i = 0; i < ask->news_count && boss->news_count < LISTED * 2; i++)
-        shape_copy(&AttemptNews_shape, &ask->news[i], boss->rpc, &boss->news[boss->news_count++]);
+    for (size_t i = 0; i < ask->updates_count && boss->updates_count < LISTED * 2; i++)
+        shape_copy(&AttemptUpdate_shape, &ask->updates[i], boss->rpc, &boss->updates[boss->updates_count++]);
     while (!boss->commits)
         signal_wait(boss->loop, &boss->changed, INT64_MAX);
     return STATUS_OK;
@@ -220,14 +220,15 @@
     return say_all(say(c, "b1"));
 }
 
-static inline AttemptNews news(const char *job, uint64_t task, uint64_t attempt, AttemptWord word, const char *saved)
+static inline AttemptUpdate updates(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
+                                    const char *saved)
 {
-    return (AttemptNews){
+    return (AttemptUpdate){
         .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
 }
 
-static inline Say *saying(Case *c, const char *boot, const AttemptNews *running, size_t running_count,
-                          const AttemptNews *ended, size_t ended_count)
+static inline Say *saying(Case *c, const char *boot, const AttemptUpdate *running, size_t running_count,
+                          const AttemptUpdate *ended, size_t ended_count)
 {
     Say *it = say(c, boot);
     it->report.running = running;
@@ -241,8 +242,8 @@
 /* Adds the attempt 1 of task 0 of "j" to a report, as one that runs or as one that has ended. */
 static inline Say *with_running(Say *it, const char *saved)
 {
-    AttemptNews *running = talloc(it, AttemptNews);
-    *running = news("j", 0, 1, ATTEMPT_RUNNING, saved);
+    AttemptUpdate *running = talloc(it, AttemptUpdate);
+    *running = updates("j", 0, 1, ATTEMPT_RUNNING, saved);
     it->report.running = running;
     it->report.running_count = 1;
     return it;
@@ -250,8 +251,8 @@
 
 static inline Say *with_ended(Say *it, AttemptWord word, const char *saved)
 {
-    AttemptNews *ended = talloc(it, AttemptNews);
-    *ended = news("j", 0, 1, word, saved);
+    AttemptUpdate *ended = talloc(it, AttemptUpdate);
+    *ended = updates("j", 0, 1, word, saved);
     it->report.ended = ended;
     it->report.ended_count = 1;
     return it;
@@ -297,9 +298,9 @@
 static inline size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
     size_t count = 0;
-    for (size_t i = 0; i < boss->news_count; i++)
-        count += boss->news[i].word == word && boss->news[i].attempt == attempt && boss->news[i].task == task &&
-                 strcmp(boss->news[i].job, job) == 0;
+    for (size_t i = 0; i < boss->updates_count; i++)
+        count += boss->updates[i].word == word && boss->updates[i].attempt == attempt &&
+                 boss->updates[i].task == task && strcmp(boss->updates[i].job, job) == 0;
     return count;
 }
 
--- a/packages/agent/test/agentends.c
+++ b/packages/agent/test/agentends.c
@@ -29,7 +29,7 @@
     say_ended(c, ATTEMPT_LAPSED, "");
     run(c, 20);
     assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
-    assert_string_equal(boss->news[0].saved, "half");
+    assert_string_equal(boss->updates[0].saved, "half");
     talloc_free(c);
 }
 
@@ -78,15 +78,15 @@
 {
     (void)state;
     Case *c = case_new(3000, 3000);
-    AttemptNews *ended = talloc_array(c, AttemptNews, 500);
+    AttemptUpdate *ended = talloc_array(c, AttemptUpdate, 500);
     for (uint64_t i = 0; i < 500; i++)
-        ended[i] = news("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
+        ended[i] = updates("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
     Say *it = saying(c, "b1", NULL, 0, ended, 500);
     run(c, 50);
     it = saying(c, "b1", NULL, 0, ended, 500);
     assert_int_equal(it->orders.known_count, 500);
     assert_in_range(c->boss.tellings, 1, 2);
-    assert_int_equal(c->boss.news_count, 500);
+    assert_int_equal(c->boss.updates_count, 500);
     talloc_free(c);
 }
 
--- a/packages/agent/test/agentlease.c
+++ b/packages/agent/test/agentlease.c
@@ -42,7 +42,7 @@
     const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
     order(c, orders, 2);
     assert_int_equal(say_nothing(c)->orders.starts_count, 2);
-    const AttemptNews runs[] = {news("j", 0, 1, ATTEMPT_RUNNING, "half"), news("j", 1, 1, ATTEMPT_RUNNING, "")};
+    const AttemptUpdate runs[] = {updates("j", 0, 1, ATTEMPT_RUNNING, "half"), updates("j", 1, 1, ATTEMPT_RUNNING, "")};
     saying(c, "b1", runs, 2, NULL, 0);
     /* the next process: the old one's lease would run on for seconds */
     Say *it = say(c, "b2");
@@ -51,7 +51,7 @@
     run(c, 20);
     assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_int_equal(told(&c->boss, "j", 1, 1, ATTEMPT_LOST), 1);
-    assert_string_equal(c->boss.news[0].saved, "half");
+    assert_string_equal(c->boss.updates[0].saved, "half");
     /* a late report of the old process counts for nothing */
     it = saying(c, "b1", runs, 2, NULL, 0);
     assert_int_equal(it->status, STATUS_DUPLICATE_WORKER);
@@ -125,7 +125,7 @@
     Say *it = say_runs(c, "");
     const int64_t until_ms = sim_now_ms(c->world) + it->orders.lease_ms * 102 / 100;
     sim_run_until(c->world, until_ms);
-    assert_int_equal(c->boss.news_count, 0);
+    assert_int_equal(c->boss.updates_count, 0);
     run(c, 200);
     assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_false(c->boss.heartbeat.worker_live);
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -31,8 +31,8 @@
 #define WORKER_AGAIN_MS 50  /* ms; ... and an order waits so long for the next poll, which costs about as much */
 #define WORKER_LOST_MS 3000 /* ms; a silent worker's attempts are lost by then, once its lease has run out */
 #define TELLING_MOST 500    /* count; updates in one report of an agent: a worker's longest list of ends */
-#define NEWS_MOST 1000      /* count; updates on attempts in one change */
-#define NEWS_LAZY_MS 200    /* ms; the update that an attempt runs waits this long to be committed with others */
+#define UPDATE_MOST 1000    /* count; updates on attempts in one change */
+#define UPDATE_LAZY_MS 200  /* ms; the update that an attempt runs waits this long to be committed with others */
 #define KNOWN_MOST 4096     /* count; ended attempts that an agent keeps for repair: two minutes at 34 a second */
 #define BOOTS_KEPT 16       /* count; earlier starts of its worker that an agent recognises */
 #define COPY_SILENT_MS 1500 /* ms; work whose owner allows copies restarts when its worker is silent so long */
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -61,7 +61,7 @@
     }
     const int64_t until_ms = loop_now_ms(way->callers->loop) + wait_ms;
     while (have >= 0 && versions_newest(table_versions(way->callers->table)) <= (uint64_t)have)
-        if (!signal_wait(way->callers->loop, replication_news(way->callers->replication), until_ms))
+        if (!signal_wait(way->callers->loop, replication_update(way->callers->replication), until_ms))
             break;
     if (!replication_leading(way->callers->replication))
         show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -44,16 +44,16 @@
         if ((task->phase != TASK_RUNNING && !stop_over(controller, heartbeat, task)) ||
             listed(heartbeat, job->spec.id, number, task->attempt))
             continue;
-        if (list.news == NULL)
-            list.news = talloc_array(mem, AttemptNews, (unsigned)count);
-        list.news[list.news_count++] =
-            (AttemptNews){.job = talloc_strdup(mem, job->spec.id),
-                          .task = number,
-                          .attempt = task->attempt,
-                          .worker = talloc_strdup(mem, heartbeat->worker.name),
-                          .word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST,
-                          .text = "not on its worker any more",
-                          .saved = ""};
+        if (list.updates == NULL)
+            list.updates = talloc_array(mem, AttemptUpdate, (unsigned)count);
+        list.updates[list.updates_count++] =
+            (AttemptUpdate){.job = talloc_strdup(mem, job->spec.id),
+                            .task = number,
+                            .attempt = task->attempt,
+                            .worker = talloc_strdup(mem, heartbeat->worker.name),
+                            .word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST,
+                            .text = "not on its worker any more",
+                            .saved = ""};
     }
     return list;
 }
@@ -72,7 +72,7 @@
     Learning *learning = arg;
     Controller *controller = learning->controller;
     ChangeResult result;
-    news_tell(controller, learning->missing.news, learning->missing.news_count);
+    update_tell(controller, learning->missing.updates, learning->missing.updates_count);
     if (learning->learn)
         controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result);
     if (learning->left) {
@@ -99,7 +99,7 @@
                       heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
     const AttemptList gone = list_counts ? missing(controller, mem, heartbeat) : (AttemptList){0};
-    if (learns || left || gone.news_count > 0) {
+    if (learns || left || gone.updates_count > 0) {
         Learning *learning = talloc_zero(controller, Learning);
         *learning = (Learning){.controller = controller, .line = line, .learn = learns, .left = left, .missing = gone};
         shape_copy(&Worker_shape, &worker, learning, &learning->worker);
@@ -133,18 +133,18 @@
         pace_take(controller->scheduler, heartbeat->worker.name, saved);
         if (!runs_untold(controller, heartbeat->worker.name, saved))
             continue;
-        const AttemptNews news = {.job = saved->job,
-                                  .task = saved->task,
-                                  .attempt = saved->attempt,
-                                  .worker = heartbeat->worker.name,
-                                  .word = ATTEMPT_RUNNING,
-                                  .text = "",
-                                  .saved = saved->text,
-                                  .ran_ms = saved->ran_ms};
-        news_later(controller, &news);
+        const AttemptUpdate updates = {.job = saved->job,
+                                       .task = saved->task,
+                                       .attempt = saved->attempt,
+                                       .worker = heartbeat->worker.name,
+                                       .word = ATTEMPT_RUNNING,
+                                       .text = "",
+                                       .saved = saved->text,
+                                       .ran_ms = saved->ran_ms};
+        update_later(controller, &updates);
     }
     if (scheduler_place_from_ms(controller->scheduler) > loop_now_ms(controller->loop))
-        news_hurry(controller);
+        update_hurry(controller);
 }
 
 /* After a loss of acknowledged changes: every known agent has told of all attempts that may run beside it, and
@@ -154,7 +154,7 @@
     void *mem = talloc_new(controller);
     const Worker **workers;
     const size_t count = table_workers(controller->table, mem, &workers);
-    bool all = news_idle(controller);
+    bool all = update_idle(controller);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
         all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
@@ -231,7 +231,7 @@
         return STATUS_REPAIRING;
     liveset_told(controller->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent sends it again */
-    return news_tell(controller, ask->news, ask->news_count);
+    return update_tell(controller, ask->updates, ask->updates_count);
 }
 
 /* The protocol of agents of the first release. */
@@ -284,7 +284,7 @@
 void agents_serve(Controller *controller)
 {
     orders_start(controller);
-    news_start(controller);
+    update_start(controller);
     rpc_handle(controller->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat,
                controller);
     rpc_handle(controller->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, controller);
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -23,7 +23,7 @@
 
 /* Invariant: batches from first to last are in the order in which they are submitted;
  * only the last gathers. */
-struct News {
+struct AttemptUpdates {
     Controller *controller;
     Batch *first, *last;
     bool busy; /* one is being committed */
@@ -36,43 +36,43 @@
         talloc_free(batch);
 }
 
-static Batch *batch_last(News *news)
+static Batch *batch_last(AttemptUpdates *updates)
 {
-    if (news->last == NULL || news->last->list.news_count >= NEWS_MOST) {
-        Batch *batch = talloc_zero(news, Batch);
+    if (updates->last == NULL || updates->last->list.updates_count >= UPDATE_MOST) {
+        Batch *batch = talloc_zero(updates, Batch);
         batch->users = 1;
-        batch->since_ms = loop_now_ms(news->controller->loop);
-        if (news->last != NULL)
-            news->last->next = batch;
+        batch->since_ms = loop_now_ms(updates->controller->loop);
+        if (updates->last != NULL)
+            updates->last->next = batch;
         else
-            news->first = batch;
-        news->last = batch;
+            updates->first = batch;
+        updates->last = batch;
     }
-    return news->last;
+    return updates->last;
 }
 
-static void batch_add(Controller *controller, Batch *batch, const AttemptNews *one)
+static void batch_add(Controller *controller, Batch *batch, const AttemptUpdate *one)
 {
-    if (batch->list.news_count == batch->room) {
+    if (batch->list.updates_count == batch->room) {
         batch->room = batch->room ? batch->room * 2 : 16;
-        batch->list.news = talloc_realloc(batch, batch->list.news, AttemptNews, (unsigned)batch->room);
+        batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->room);
         batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
     }
-    batch->at_ms[batch->list.news_count] = loop_now_ms(controller->loop);
-    shape_copy(&AttemptNews_shape, one, batch, &batch->list.news[batch->list.news_count++]);
+    batch->at_ms[batch->list.updates_count] = loop_now_ms(controller->loop);
+    shape_copy(&AttemptUpdate_shape, one, batch, &batch->list.updates[batch->list.updates_count++]);
 }
 
-Status news_tell(Controller *controller, const AttemptNews *list, size_t count)
+Status update_tell(Controller *controller, const AttemptUpdate *list, size_t count)
 {
-    News *news = controller->told;
+    AttemptUpdates *updates = controller->told;
     if (count == 0)
         return STATUS_OK;
-    Batch *batch = batch_last(news);
+    Batch *batch = batch_last(updates);
     for (size_t i = 0; i < count; i++)
         batch_add(controller, batch, &list[i]);
     batch->waited = true;
     batch->users++;
-    signal_raise(controller->loop, &news->added);
+    signal_raise(controller->loop, &updates->added);
     while (!batch->over)
         signal_wait(controller->loop, &batch->ended, INT64_MAX);
     const Status status = batch->status;
@@ -80,68 +80,68 @@
     return status;
 }
 
-void news_later(Controller *controller, const AttemptNews *one)
+void update_later(Controller *controller, const AttemptUpdate *one)
 {
     batch_add(controller, batch_last(controller->told), one);
     signal_raise(controller->loop, &controller->told->added);
 }
 
-void news_hurry(Controller *controller)
+void update_hurry(Controller *controller)
 {
     if (controller->told->first != NULL)
         controller->told->first->waited = true;
     signal_raise(controller->loop, &controller->told->added);
 }
 
-bool news_idle(const Controller *controller)
+bool update_idle(const Controller *controller)
 {
     return controller->told->first == NULL && !controller->told->busy;
 }
 
 /* Updates that nobody waits for are not sent again by their agent. */
-static void news_keep(Controller *controller, const Batch *batch)
+static void update_keep(Controller *controller, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.news_count && replication_holds(controller->replication); i++)
-        if (batch->list.news[i].word == ATTEMPT_RUNNING)
-            news_later(controller, &batch->list.news[i]);
+    for (size_t i = 0; i < batch->list.updates_count && replication_holds(controller->replication); i++)
+        if (batch->list.updates[i].word == ATTEMPT_RUNNING)
+            update_later(controller, &batch->list.updates[i]);
 }
 
-static void news_main(void *arg)
+static void update_main(void *arg)
 {
-    News *news = arg;
-    Controller *controller = news->controller;
+    AttemptUpdates *updates = arg;
+    Controller *controller = updates->controller;
     while (!loop_stopping(controller->loop)) {
-        Batch *batch = news->first;
+        Batch *batch = updates->first;
         const int64_t now_ms = loop_now_ms(controller->loop);
-        const int64_t due_ms = batch == NULL   ? now_ms + NEWS_LAZY_MS * 10
+        const int64_t due_ms = batch == NULL   ? now_ms + UPDATE_LAZY_MS * 10
                                : batch->waited ? now_ms
-                                               : batch->since_ms + NEWS_LAZY_MS;
+                                               : batch->since_ms + UPDATE_LAZY_MS;
         if (now_ms < due_ms) {
-            signal_wait(controller->loop, &news->added, due_ms);
+            signal_wait(controller->loop, &updates->added, due_ms);
             continue;
         }
-        news->first = batch->next;
-        if (news->last == batch)
-            news->last = NULL;
-        for (size_t i = 0; i < batch->list.news_count; i++)
-            if (batch->list.news[i].ran_ms > 0) /* ran_ms counts until the commit */
-                batch->list.news[i].ran_ms += now_ms - batch->at_ms[i];
+        updates->first = batch->next;
+        if (updates->last == batch)
+            updates->last = NULL;
+        for (size_t i = 0; i < batch->list.updates_count; i++)
+            if (batch->list.updates[i].ran_ms > 0) /* ran_ms counts until the commit */
+                batch->list.updates[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
-        news->busy = true;
+        updates->busy = true;
         batch->status =
             controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result);
-        news->busy = false;
+        updates->busy = false;
         if (batch->status != STATUS_OK)
-            news_keep(controller, batch);
+            update_keep(controller, batch);
         batch->over = true;
         signal_raise(controller->loop, &batch->ended);
         batch_leave(batch);
     }
 }
 
-void news_start(Controller *controller)
+void update_start(Controller *controller)
 {
-    controller->told = talloc_zero(controller, News);
+    controller->told = talloc_zero(controller, AttemptUpdates);
     controller->told->controller = controller;
-    loop_spawn(controller->loop, "news", news_main, controller->told);
+    loop_spawn(controller->loop, "news", update_main, controller->told);
 }
--- a/packages/controller/src/attempt_updates.h
+++ b/packages/controller/src/attempt_updates.h
@@ -3,17 +3,17 @@
 
 #include "state.h"
 
-typedef struct News News;
+typedef struct AttemptUpdates AttemptUpdates;
 
 /* Spawns the task that commits updates of attempts. */
-void news_start(Controller *controller);
+void update_start(Controller *controller);
 /* Waits until the updates are committed, together with what others tell. */
-Status news_tell(Controller *controller, const AttemptNews *list, size_t count);
+Status update_tell(Controller *controller, const AttemptUpdate *list, size_t count);
 /* Has it committed that an attempt runs, when other updates go or after a while. */
-void news_later(Controller *controller, const AttemptNews *one);
+void update_later(Controller *controller, const AttemptUpdate *one);
 /* What waits for others is committed now. */
-void news_hurry(Controller *controller);
+void update_hurry(Controller *controller);
 /* Nothing waits and nothing is on its way. */
-bool news_idle(const Controller *controller);
+bool update_idle(const Controller *controller);
 
 #endif
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -62,15 +62,15 @@
 static void attempts_take(Controller *controller, const AttemptList *attempts)
 {
     score_take(controller->scheduler, attempts);
-    for (size_t i = 0; i < attempts->news_count; i++) {
-        const AttemptNews *news = &attempts->news[i];
+    for (size_t i = 0; i < attempts->updates_count; i++) {
+        const AttemptUpdate *updates = &attempts->updates[i];
         const AttemptSaved saved = {
-            .job = news->job, .task = news->task, .attempt = news->attempt, .text = news->saved};
-        if (news->word == ATTEMPT_RUNNING)
+            .job = updates->job, .task = updates->task, .attempt = updates->attempt, .text = updates->saved};
+        if (updates->word == ATTEMPT_RUNNING)
             continue; /* a heartbeat has told its checkpoint since */
         if (replication_holds(controller->replication))
             saved_take(controller->scheduler, &saved);
-        orphans_end(controller->orphans, news);
+        orphans_end(controller->orphans, updates);
     }
 }
 
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -21,7 +21,7 @@
     Controller *controller = arg;
     AgentLine *line = map_get(controller->lines, worker);
     if (line != NULL)
-        signal_raise(controller->loop, &line->news);
+        signal_raise(controller->loop, &line->updates);
 }
 
 void orders_wake(Controller *controller)
@@ -30,7 +30,7 @@
     const char **names;
     const size_t count = map_keys(controller->lines, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signal_raise(controller->loop, &((AgentLine *)map_get(controller->lines, names[i]))->news);
+        signal_raise(controller->loop, &((AgentLine *)map_get(controller->lines, names[i]))->updates);
     talloc_free(mem);
 }
 
@@ -86,9 +86,9 @@
     const int64_t until_ms = loop_now_ms(controller->loop) + wait_ms;
     AgentLine *line = agent_line(controller, heartbeat->worker.name);
     const uint64_t turn = ++line->turn;
-    signal_raise(controller->loop, &line->news); /* an earlier question waits no longer */
+    signal_raise(controller->loop, &line->updates); /* an earlier question waits no longer */
     while (!orders_new(controller, heartbeat))
-        if (!signal_wait(controller->loop, &line->news, until_ms) || turn != line->turn)
+        if (!signal_wait(controller->loop, &line->updates, until_ms) || turn != line->turn)
             return;
     if (!controller_decides(controller))
         return;
--- a/packages/controller/src/orders.h
+++ b/packages/controller/src/orders.h
@@ -5,9 +5,9 @@
 
 /* The connection of orders to one agent. Never freed while the process runs. */
 typedef struct AgentLine {
-    Signal news;   /* its orders have changed, or whether they may be given */
-    uint64_t turn; /* of its newest question; an earlier one waits no longer */
-    bool learning; /* what a heartbeat made known is being committed */
+    Signal updates; /* its orders have changed, or whether they may be given */
+    uint64_t turn;  /* of its newest question; an earlier one waits no longer */
+    bool learning;  /* what a heartbeat made known is being committed */
 } AgentLine;
 
 /* Made when it is first asked for. */
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -37,7 +37,7 @@
             return STATUS_OK;
         out->version = ask->have;
         if (ask->first || waits != controller->repairing ||
-            !signal_wait(controller->loop, replication_news(controller->replication), until_ms))
+            !signal_wait(controller->loop, replication_update(controller->replication), until_ms))
             return STATUS_OK;
     }
 }
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -261,7 +261,7 @@
     while (turn == controller->repair_turn && controller->repairing && !loop_stopping(controller->loop)) {
         if (replication_leading(controller->replication) && repair_once(controller, turn))
             return;
-        signal_wait(controller->loop, replication_news(controller->replication),
+        signal_wait(controller->loop, replication_update(controller->replication),
                     loop_now_ms(controller->loop) + REPAIR_LOOK_MS);
     }
 }
--- a/packages/controller/src/trace_delivered.c
+++ b/packages/controller/src/trace_delivered.c
@@ -21,11 +21,11 @@
 static void trace_attempts(Controller *controller, const AttemptList *attempts)
 {
     char detail[ATTEMPT_DETAIL];
-    for (size_t i = 0; i < attempts->news_count; i++) {
-        const AttemptNews *news = &attempts->news[i];
-        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", news->task, news->attempt,
-                 attempt_word(news->word));
-        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", news->job);
+    for (size_t i = 0; i < attempts->updates_count; i++) {
+        const AttemptUpdate *updates = &attempts->updates[i];
+        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", updates->task, updates->attempt,
+                 attempt_word(updates->word));
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", updates->job);
     }
 }
 
--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -84,7 +84,7 @@
     X(TXT, agent, 0)       \
     X(U64, incarnation, 0) \
     X(U64, number, 0)      \
-    X(LST, news, AttemptNews)
+    X(LST, updates, AttemptUpdate)
 SHAPE(TellAsk, TELL_ASK_FIELDS)
 
 #define TELL_ANSWER_FIELDS(X) X(U64, term, 0)
--- a/packages/heartbeat/include/heartbeat/orphans.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -26,7 +26,7 @@
  * not at all is orphaned, and what is neither in it nor possibly on its way is over. */
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
 /* The agent has reported an attempt's end: it and older ones of the task are over there. */
-void orphans_end(Orphans *orphans, const AttemptNews *news);
+void orphans_end(Orphans *orphans, const AttemptUpdate *updates);
 /* Sums up the capacity that orphaned attempts use on the worker (out). False: one of unknown size is
  * among them, and the sum means nothing. */
 bool orphans_room(const Orphans *orphans, const char *worker, Room *room);
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -131,12 +131,12 @@
             i++;
 }
 
-void orphans_end(Orphans *orphans, const AttemptNews *news)
+void orphans_end(Orphans *orphans, const AttemptUpdate *updates)
 {
-    OrphanList *list = map_get(orphans->workers, news->worker);
+    OrphanList *list = map_get(orphans->workers, updates->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
-        if (list->rows[i]->task == news->task && list->rows[i]->attempt <= news->attempt &&
-            strcmp(list->rows[i]->job, news->job) == 0) {
+        if (list->rows[i]->task == updates->task && list->rows[i]->attempt <= updates->attempt &&
+            strcmp(list->rows[i]->job, updates->job) == 0) {
             orphan_drop(list, i);
             return;
         }
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -68,10 +68,10 @@
     AttemptId listed = {"j", 0, 2};
     heartbeat(it, "w2", &listed, 1, UNTIL_MS + 1);
     assert_int_equal(cpu_on(it, "w2"), 3000); /* still there, though no order is on its way */
-    const AttemptNews older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
+    const AttemptUpdate older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(it->orphans, &older);
     assert_int_equal(cpu_on(it, "w2"), 3000);
-    const AttemptNews end = {.job = "j", .task = 0, .attempt = 2, .worker = "w2", .word = ATTEMPT_STOPPED};
+    const AttemptUpdate end = {.job = "j", .task = 0, .attempt = 2, .worker = "w2", .word = ATTEMPT_STOPPED};
     orphans_end(it->orphans, &end);
     assert_int_equal(cpu_on(it, "w2"), 0);
 }
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -331,7 +331,7 @@
 static void rewrite_leaves_old_or_new_whole(void **state)
 {
     (void)state;
-    int olds = 0, news = 0;
+    int olds = 0, updates = 0;
     for (uint64_t seed = 1; seed <= 40; seed++)
         for (int64_t at_ms = 0; at_ms <= 220; at_ms += 20) {
             SimWorld *world = sim_world_new(NULL, seed);
@@ -353,13 +353,13 @@
             assert_true(old ? again.last_index == again.entries : again.entries <= 2 && again.last_index >= 7);
             assert_false(old && rewrites > 0 && seen.last_index >= 8);
             olds += old;
-            news += !old;
+            updates += !old;
             /* a left-over file of the rewrite is in nobody's way */
             assert_int_equal(run(world, machine, "core1", 4, true).status, STATUS_OK);
             talloc_free(world);
         }
-    print_message("%d came back with the old file, %d with the new one\n", olds, news);
-    assert_true(olds > 20 && news > 20);
+    print_message("%d came back with the old file, %d with the new one\n", olds, updates);
+    assert_true(olds > 20 && updates > 20);
 }
 
 /* Full in the middle of an append: what was synced before is kept, and writes go on once there is room. */
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -7,7 +7,7 @@
 #include <talloc.h>
 
 #define ANSWER_MOST_MS 1000    /* ms; an answer that takes longer is dropped */
-#define NEWS_GAP_MS 50         /* ms; from an end to the heartbeat that reports it */
+#define UPDATE_GAP_MS 50       /* ms; from an end to the heartbeat that reports it */
 #define HEARTBEAT_AGAIN_MS 300 /* ms; after a heartbeat that failed */
 #define LEAVE_ANYWAY_MS 4000   /* ms; it shuts down this long after it had to, although nobody has acknowledged that */
 #define ENDS_AT_ONCE 500       /* count; in one heartbeat */
@@ -83,7 +83,7 @@
     const Codec *codec = topology->codec;
     WorkerModelReport report;
     report_fill(worker_model, mem, &report);
-    worker_model->news_open = false;
+    worker_model->update_open = false;
     const bool leaving = report.leaving;
     HttpCall call = {.mem = mem,
                      .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, worker_model->side->machine),
@@ -97,7 +97,7 @@
     WorkerModelOrders *orders = talloc_zero(mem, WorkerModelOrders);
     if (status != STATUS_OK || call.code < 200 || call.code > 299 ||
         loop_now_ms(worker_model->loop) - sent_ms > ANSWER_MOST_MS || !codec->orders(mem, call.result, orders)) {
-        worker_model->news_open = true;
+        worker_model->update_open = true;
         return HEARTBEAT_AGAIN_MS;
     }
     if (leaving)
@@ -115,10 +115,10 @@
         const int64_t wait_ms = heartbeat_once(worker_model, mem);
         talloc_free(mem);
         const int64_t until_ms = loop_now_ms(worker_model->loop) + wait_ms;
-        if (wait_ms == HEARTBEAT_AGAIN_MS && worker_model->news_open)
+        if (wait_ms == HEARTBEAT_AGAIN_MS && worker_model->update_open)
             loop_sleep(worker_model->loop, wait_ms);
-        else if (worker_model->news_open || signal_wait(worker_model->loop, &worker_model->news, until_ms))
-            loop_sleep(worker_model->loop, NEWS_GAP_MS);
+        else if (worker_model->update_open || signal_wait(worker_model->loop, &worker_model->updates, until_ms))
+            loop_sleep(worker_model->loop, UPDATE_GAP_MS);
     }
 }
 
@@ -162,8 +162,8 @@
         return;
     worker_model->leaving = true;
     worker_model->leave_at_ms = topology_now_ms(worker_model->worker_models->topology) + after_ms;
-    worker_model->news_open = true;
-    signal_raise(worker_model->loop, &worker_model->news);
+    worker_model->update_open = true;
+    signal_raise(worker_model->loop, &worker_model->updates);
     loop_spawn(worker_model->loop, "leave", leave_main, worker_model);
 }
 
@@ -180,8 +180,8 @@
     worker_model->ends = NULL;
     worker_model->end_count = 0;
     worker_model->highest = map_new(worker_model->mem);
-    worker_model->work = worker_model->news = (Signal){0};
-    worker_model->leaving = worker_model->news_open = false;
+    worker_model->work = worker_model->updates = (Signal){0};
+    worker_model->leaving = worker_model->update_open = false;
     worker_model->leave_at_ms = worker_model->leave_ack_ms = 0;
     loop_spawn(loop, "work", worker_model_work_main, worker_model);
     loop_spawn(loop, "beat", heartbeat_main, worker_model);
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -61,8 +61,8 @@
     WorkerModelEnd *ends;
     size_t end_count;
     Map *highest; /* by task, the highest attempt that was stopped or ended here */
-    Signal work, news;
-    bool news_open;
+    Signal work, updates;
+    bool update_open;
 } WorkerModel;
 
 typedef struct WorkerModels {
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -64,8 +64,8 @@
     worker_model->worker_models->book->kinds[word]++;
     topology_tell(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
                   attempt_word(word), worker_model->boot, saved);
-    worker_model->news_open = true;
-    signal_raise(worker_model->loop, &worker_model->news);
+    worker_model->update_open = true;
+    signal_raise(worker_model->loop, &worker_model->updates);
 }
 
 void worker_model_run_end(WorkerModelRun *run, AttemptWord word)
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -199,6 +199,6 @@
  * index it knows the log to be committed. */
 void replication_place(const Replication *replication, uint64_t *term, uint64_t *commit_index);
 /* Raised after each delivery and each change of phase; owned by the view. */
-Signal *replication_news(Replication *replication);
+Signal *replication_update(Replication *replication);
 
 #endif
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -40,7 +40,7 @@
     assert(least <= log_last_index(replication->log));
     replication->commit_index = least;
     replication_deliver(replication);
-    signal_raise(replication->loop, &replication->news);
+    signal_raise(replication->loop, &replication->updates);
 }
 
 void commit_follow(Replication *replication, uint64_t leader_commit)
@@ -98,7 +98,7 @@
         waiters_tell(replication, entry, &result);
     }
     if (any) {
-        signal_raise(replication->loop, &replication->news);
+        signal_raise(replication->loop, &replication->updates);
         replication_compact_maybe(replication, false);
     }
 }
--- a/packages/replication/src/contact.c
+++ b/packages/replication/src/contact.c
@@ -40,7 +40,7 @@
 void contact_rest(Replication *replication, int slot, int64_t rest_ms)
 {
     const int64_t until_ms = loop_now_ms(replication->loop) + rest_ms;
-    while (signal_wait(replication->loop, &replication->contact_news, until_ms))
+    while (signal_wait(replication->loop, &replication->contact_update, until_ms))
         if (contact_owed(replication, slot))
             return;
 }
@@ -64,7 +64,7 @@
     const uint64_t turn = replication->lead_turn, wanted = ++replication->contact_asked;
     const int64_t until_ms = loop_now_ms(replication->loop) + most_ms;
     replication->contact_learners = wanted;
-    signal_raise(replication->loop, &replication->contact_news);
+    signal_raise(replication->loop, &replication->contact_update);
     while (!lead_over(replication, turn) && !contact_whole(replication, wanted))
         if (!signal_wait(replication->loop, &replication->contact_made, until_ms))
             break;
@@ -76,7 +76,7 @@
     if (!replication_leading(replication))
         return STATUS_NOT_LEADER;
     const uint64_t term = replication->term, wanted = ++replication->contact_asked;
-    signal_raise(replication->loop, &replication->contact_news);
+    signal_raise(replication->loop, &replication->contact_update);
     while (contact_count(replication, wanted) < replication_majority(replication)) {
         if (!signal_wait(replication->loop, &replication->contact_made, until_ms))
             return STATUS_EXPIRED;
--- a/packages/replication/src/install.c
+++ b/packages/replication/src/install.c
@@ -157,6 +157,6 @@
     const Record *records = replication_records(replication, mem, &record_count);
     status = journal_rewrite(replication->journal, records, record_count);
     talloc_free(mem);
-    signal_raise(replication->loop, &replication->news);
+    signal_raise(replication->loop, &replication->updates);
     return status;
 }
--- a/packages/replication/src/newterm.c
+++ b/packages/replication/src/newterm.c
@@ -122,7 +122,7 @@
     int64_t until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
     uint64_t gained = 0;
     while (replication->commit_index < replication->replication_index) {
-        if (!signal_wait(replication->loop, &replication->news, loop_now_ms(replication->loop) + GAIN_LOOK_MS) &&
+        if (!signal_wait(replication->loop, &replication->updates, loop_now_ms(replication->loop) + GAIN_LOOK_MS) &&
             !lead_over(replication, opening->turn)) {
             const uint64_t sum = gained_sum(replication);
             if (sum != gained) {
@@ -161,7 +161,7 @@
                    "leads view %" PRIu64 " with %zu seats%s", term_counter(opening->term),
                    promised_count(replication, replication->in_configuration),
                    replication->last.repair ? ", repairs" : "");
-    signal_raise(replication->loop, &replication->news);
+    signal_raise(replication->loop, &replication->updates);
 }
 
 Status replication_open(Replication *replication, const bool skip[VOTER_MOST])
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -50,9 +50,9 @@
     return replication->won_ms;
 }
 
-Signal *replication_news(Replication *replication)
+Signal *replication_update(Replication *replication)
 {
-    return &replication->news;
+    return &replication->updates;
 }
 
 void replication_step_down(Replication *replication, int64_t rest_ms)
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -89,7 +89,7 @@
     Log *log;
     uint64_t commit_index, delivered_index;
     Waiter *waiters;
-    Signal news; /* a delivery, or a change of phase */
+    Signal updates; /* a delivery, or a change of phase */
 
     /* --- the list of voters ---
      * Invariants: it is that of the newest VOTERS entry in the log, committed or not, else of
@@ -161,7 +161,7 @@
     /* --- the leader: rounds of contact --- */
     uint64_t contact_asked;    /* how many were asked for */
     uint64_t contact_learners; /* the newest one that learners are asked in as well */
-    Signal contact_news;       /* one more was asked for */
+    Signal contact_update;     /* one more was asked for */
     Signal contact_made;       /* a peer has answered one */
 };
 
--- a/packages/replication/src/stepdown.c
+++ b/packages/replication/src/stepdown.c
@@ -81,5 +81,5 @@
         lock_lease_clear(&replication->lease);
     }
     replication_waiters_end(replication, STATUS_OUTCOME_UNKNOWN);
-    signal_raise(replication->loop, &replication->news);
+    signal_raise(replication->loop, &replication->updates);
 }
--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -11,7 +11,7 @@
 static Status may_order(Replication *replication, uint64_t change, int64_t until_ms)
 {
     while (replication->phase == REPLICATION_OPENING && replication->holding)
-        if (!signal_wait(replication->loop, &replication->news, until_ms))
+        if (!signal_wait(replication->loop, &replication->updates, until_ms))
             return STATUS_BUSY;
     return replication_leading(replication) || (change < REPLICATION_CHANGE_FIRST && replication_orders(replication))
                ? STATUS_OK
@@ -49,7 +49,7 @@
     const uint64_t last_index = log_last_index(replication->log);
     const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
     while (replication->delivered_index < last_index)
-        if (!replication->holding || !signal_wait(replication->loop, &replication->news, until_ms))
+        if (!replication->holding || !signal_wait(replication->loop, &replication->updates, until_ms))
             return STATUS_NOT_LEADER;
     return STATUS_OK;
 }
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -26,7 +26,7 @@
     RpcSending sending;
     int64_t deadline_ms;
     bool done;
-    Signal news; /* it is done, or the route has been replaced */
+    Signal updates; /* it is done, or the route has been replaced */
     Status status;
     ForwardAnswer answer;
 } Attempt;
@@ -83,7 +83,7 @@
     else
         ways_told(settings->ways, &attempt->answer);
     attempt->done = true;
-    signal_raise(settings->loop, &attempt->news);
+    signal_raise(settings->loop, &attempt->updates);
     attempt_leave(attempt);
 }
 
@@ -92,7 +92,7 @@
 void attempts_wake(Attempts *attempts)
 {
     for (Attempt *one = attempts->waiting; one != NULL; one = one->next)
-        signal_raise(attempts->settings.loop, &one->news);
+        signal_raise(attempts->settings.loop, &one->updates);
 }
 
 /* Waits. Nothing has come back along the route since this was asked, and not lately: the
@@ -126,7 +126,7 @@
             if (quiet_ms < wake_ms)
                 wake_ms = quiet_ms;
         }
-        signal_wait(loop, &attempt->news, wake_ms);
+        signal_wait(loop, &attempt->updates, wake_ms);
     }
 }
 
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -55,25 +55,26 @@
             const JobSpec *spec = &on[t].job->spec;
             if (task->phase == TASK_STOPPING || (!spec->copies && !spec->steps[task->step].copies))
                 continue;
-            list.news = talloc_realloc(mem, list.news, AttemptNews, (unsigned)(list.news_count + 1));
-            list.news[list.news_count++] = (AttemptNews){.job = talloc_strdup(mem, spec->id),
-                                                         .task = task_number(task),
-                                                         .attempt = task->attempt,
-                                                         .worker = talloc_strdup(mem, worker),
-                                                         .word = ATTEMPT_LOST,
-                                                         .text = "its worker is silent",
-                                                         .saved = ""};
+            list.updates = talloc_realloc(mem, list.updates, AttemptUpdate, (unsigned)(list.updates_count + 1));
+            list.updates[list.updates_count++] = (AttemptUpdate){.job = talloc_strdup(mem, spec->id),
+                                                                 .task = task_number(task),
+                                                                 .attempt = task->attempt,
+                                                                 .worker = talloc_strdup(mem, worker),
+                                                                 .word = ATTEMPT_LOST,
+                                                                 .text = "its worker is silent",
+                                                                 .saved = ""};
         }
     }
     ChangeResult result;
-    if (list.news_count > 0)
+    if (list.updates_count > 0)
         scheduler_order(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
     /* that these attempts are over is not confirmed: their capacity counts as in use until the agent says so */
-    for (size_t i = 0; i < list.news_count; i++) {
-        const AttemptNews *news = &list.news[i];
-        const Job *job = table_job(scheduler->table, news->job);
-        const size_t at = job != NULL ? task_index(job, news->task) : 0;
+    for (size_t i = 0; i < list.updates_count; i++) {
+        const AttemptUpdate *updates = &list.updates[i];
+        const Job *job = table_job(scheduler->table, updates->job);
+        const size_t at = job != NULL ? task_index(job, updates->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            orphans_add(scheduler->orphans, news->worker, job, &job->tasks[at], news->attempt, now_ms + ORDER_GONE_MS);
+            orphans_add(scheduler->orphans, updates->worker, job, &job->tasks[at], updates->attempt,
+                        now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -82,7 +82,7 @@
  * event. */
 static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
-    uint64_t seen = scheduler->news;
+    uint64_t seen = scheduler->updates;
     Pass *pass = pass_new(scheduler, scheduler);
     scheduler->counts.passes++;
     *next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
@@ -110,7 +110,7 @@
             assure_more(pass);
     }
     talloc_free(pass);
-    return more || scheduler->news > seen;
+    return more || scheduler->updates > seen;
 }
 
 /* What must not wait until attempts may be placed. */
--- a/packages/scheduler/src/scheduler.c
+++ b/packages/scheduler/src/scheduler.c
@@ -33,7 +33,7 @@
 
 void scheduler_notify(Scheduler *scheduler)
 {
-    scheduler->news++;
+    scheduler->updates++;
     signal_raise(scheduler->loop, &scheduler->wake);
 }
 
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -26,7 +26,7 @@
     int64_t stop_look_ms;    /* attempts that go on better elsewhere are looked for again from then on */
     int64_t mend_ms;         /* gangs that are not whole are looked for again from then on */
     int64_t plan_look_ms;    /* where no loss is to be survived, the plan is looked at again from then on */
-    uint64_t news;           /* grows with whatever the planner should look at */
+    uint64_t updates;        /* grows with whatever the planner should look at */
     Signal wake;             /* raised with it */
     uint64_t policy_failures_told;
     SchedulerPlan plan; /* of the last look */
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -136,15 +136,15 @@
     return far ? (uint64_t)scheduler->bounds->far_percent : 100;
 }
 
-static void estimate_take(Scheduler *scheduler, const AttemptNews *news, const Job *job, const JobTask *task)
+static void estimate_take(Scheduler *scheduler, const AttemptUpdate *updates, const Job *job, const JobTask *task)
 {
-    const Worker *worker = table_worker(scheduler->table, news->worker);
+    const Worker *worker = table_worker(scheduler->table, updates->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->attempt == 1 || !step->saves;
-    const int64_t ran_ms = news->ran_ms > 0 && whole ? news->ran_ms : took_ms(task);
+    const int64_t ran_ms = updates->ran_ms > 0 && whole ? updates->ran_ms : took_ms(task);
     /* a gang, and a step that is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        estimates_end(scheduler->estimates, job, task->step, news->worker, ran_ms,
+        estimates_end(scheduler->estimates, job, task->step, updates->worker, ran_ms,
                       score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
 }
 
@@ -160,32 +160,32 @@
 
 void score_take(Scheduler *scheduler, const AttemptList *list)
 {
-    for (size_t i = 0; i < list->news_count; i++) {
-        const AttemptNews *news = &list->news[i];
-        if (news->word != ATTEMPT_FAILED && news->word != ATTEMPT_DONE)
+    for (size_t i = 0; i < list->updates_count; i++) {
+        const AttemptUpdate *updates = &list->updates[i];
+        if (updates->word != ATTEMPT_FAILED && updates->word != ATTEMPT_DONE)
             continue;
-        Score *score = map_get(scheduler->scores, news->worker);
-        const Job *job = table_job(scheduler->table, news->job);
+        Score *score = map_get(scheduler->scores, updates->worker);
+        const Job *job = table_job(scheduler->table, updates->job);
         bool slow = false;
-        const size_t at = job != NULL ? task_index(job, news->task) : 0;
-        const bool ended = news->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
-                           job->tasks[at].attempt == news->attempt;
+        const size_t at = job != NULL ? task_index(job, updates->task) : 0;
+        const bool ended = updates->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
+                           job->tasks[at].attempt == updates->attempt;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            estimate_take(scheduler, news, job, &job->tasks[at]);
+            estimate_take(scheduler, updates, job, &job->tasks[at]);
         if (score == NULL &&
-            ((news->word == ATTEMPT_DONE && !slow) || table_worker(scheduler->table, news->worker) == NULL))
+            ((updates->word == ATTEMPT_DONE && !slow) || table_worker(scheduler->table, updates->worker) == NULL))
             continue;
         if (score == NULL) {
             score = talloc_zero(scheduler->scores, Score);
-            map_set(scheduler->scores, news->worker, score);
+            map_set(scheduler->scores, updates->worker, score);
         }
-        tally_take(scheduler, news->worker, score, &score->failed, job, news->word == ATTEMPT_FAILED, SCORE_WEIGHT,
-                   "fails its work");
+        tally_take(scheduler, updates->worker, score, &score->failed, job, updates->word == ATTEMPT_FAILED,
+                   SCORE_WEIGHT, "fails its work");
         /* attempts that ran beside one already counted may all have met the same pause, which counts once */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
-            tally_take(scheduler, news->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
+            tally_take(scheduler, updates->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
             score->slow_end_ms = job->tasks[at].changed_ms;
     }
--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -68,7 +68,7 @@
 SHAPE(PlaceList, PLACE_LIST_FIELDS)
 
 /* The result's number: updates read. */
-#define ATTEMPT_LIST_FIELDS(X) X(LST, news, AttemptNews)
+#define ATTEMPT_LIST_FIELDS(X) X(LST, updates, AttemptUpdate)
 SHAPE(AttemptList, ATTEMPT_LIST_FIELDS)
 
 /* One attempt of one task. */
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -48,7 +48,7 @@
 AttemptWord attempt_of_word(const char *word);
 
 /* An agent's update on one attempt. Invariant of the senders: worker is never empty. */
-#define ATTEMPT_NEWS_FIELDS(X)                                                                 \
+#define ATTEMPT_UPDATE_FIELDS(X)                                                               \
     X(TXT, job, 0)                                                                             \
     X(U64, task, 0)    /* its number, see TASK_NUMBER */                                       \
     X(U64, attempt, 0) /* number of the attempt */                                             \
@@ -58,6 +58,6 @@
     X(TXT, saved, 0)          /* its progress; empty: nothing is kept */                       \
     X(I64, ran_ms, 0)         /* ms; for how long its agent knew it to run; 0: not reported */ \
     X(RAM, percent, uint64_t) /* of its work done, as the worker reports it; 0: not reported */
-SHAPE(AttemptNews, ATTEMPT_NEWS_FIELDS)
+SHAPE(AttemptUpdate, ATTEMPT_UPDATE_FIELDS)
 
 #endif
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 SHAPE_TABLE(Worker, WORKER_FIELDS)
-SHAPE_TABLE(AttemptNews, ATTEMPT_NEWS_FIELDS)
+SHAPE_TABLE(AttemptUpdate, ATTEMPT_UPDATE_FIELDS)
 
 static const char *const WORDS[] = {
 #define X(name, word) word,
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -161,7 +161,7 @@
 static void stopped_is_no_loss(void **state)
 {
     (void)state;
-    for (int by_news = 0; by_news < 2; by_news++) {
+    for (int by_update = 0; by_update < 2; by_update++) {
         Board b = board_new();
         StepSpec step = one();
         JobSpec spec = spec_of("j", &step, 1);
@@ -172,7 +172,7 @@
         const StopList list = {&id, 1, "pushed"};
         tell(&b, CHANGE_STOP, &StopList_shape, &list);
         assert_int_equal(job->tasks[0].phase, TASK_STOPPING);
-        if (by_news)
+        if (by_update)
             say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, "");
         else
             lose(&b, "w");
--- a/packages/state/test/board.h
+++ b/packages/state/test/board.h
@@ -71,9 +71,9 @@
 static inline void say(Board *board, const char *job, uint64_t task, uint64_t attempt, const char *worker,
                        AttemptWord word, const char *saved)
 {
-    AttemptNews news = {
+    AttemptUpdate updates = {
         .job = job, .task = task, .attempt = attempt, .worker = worker, .word = word, .text = "", .saved = saved};
-    const AttemptList list = {&news, 1};
+    const AttemptList list = {&updates, 1};
     tell(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
 }
 
--- a/packages/state/tool/writedisk.c
+++ b/packages/state/tool/writedisk.c
@@ -121,13 +121,13 @@
                           {"tasks", 4, 6, "w1", 201, false, "saved4"}, {"tasks", 5, 8, "w1", 201, false, ""}};
     const PlaceList placed = {places, 6};
     offer(CHANGE_PLACE, &PlaceList_shape, &placed);
-    AttemptNews rows[] = {
+    AttemptUpdate rows[] = {
         {.job = "ghost", .task = 1, .attempt = 7, .worker = "w1", .word = ATTEMPT_DONE, .text = "text5"},
         {"tasks", 0, 2, "w1", ATTEMPT_RUNNING, "text0", "saved0", 3, 0},
         {"tasks", 1, 3, "w1", ATTEMPT_FAILED, "text1", "saved1", 4, 0},
         {"tasks", 2, 4, "w1", ATTEMPT_DONE, "text2", "saved2", 5, 0}};
-    const AttemptList news = {rows, 4};
-    offer(CHANGE_ATTEMPTS, &AttemptList_shape, &news);
+    const AttemptList updates = {rows, 4};
+    offer(CHANGE_ATTEMPTS, &AttemptList_shape, &updates);
     const WorkerLost lost = {"w2", 202};
     offer(CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
     const WorkerLeft left = {"w2", true};
