--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -146,7 +146,7 @@
     text_set(attempt, &attempt->text, text);
     chain_leave(attempt);
     chain_join(&agent->attempts.ended, attempt);
-    signal_raise(agent->loop, &agent->to_tell);
+    signal_raise(agent->loop, &agent->to_notify);
 }
 
 void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed)
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -39,7 +39,7 @@
 }
 
 /* Names all attempts that are not known as over, and the checkpoints that the leader has not heard of. */
-static void attempts_tell(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
+static void attempts_notify(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
     const Attempts *attempts = &agent->attempts;
     const int64_t now_ms = loop_now_ms(agent->loop);
@@ -78,7 +78,7 @@
                           .have_term = agent->have_term,
                           .wait_ms = HEARTBEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, heartbeat, &ask->worker);
-    attempts_tell(agent, heartbeat, ask);
+    attempts_notify(agent, heartbeat, ask);
 }
 
 /* The leader of this term has the checkpoints that the heartbeat carried. */
@@ -108,8 +108,8 @@
     agent->alone = false;
     agent->heartbeat_ms = loop_now_ms(agent->loop);
     saved_known(agent, heartbeat, ask, answer->term);
-    if (answer->term > agent->term_told) {
-        agent->term_told = answer->term;
+    if (answer->term > agent->term_notified) {
+        agent->term_notified = answer->term;
         trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
     /* answers may arrive in another order than they were sent */
@@ -193,7 +193,7 @@
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
             signal_raise(agent->loop,
-                         &agent->to_tell); /* ends that the last leader has not answered are reported to this one */
+                         &agent->to_notify); /* ends that the last leader has not answered are reported to this one */
         }
         if (known && heartbeat_due(agent, address, now_ms, &due_ms))
             heartbeat_send(agent, address);
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -40,12 +40,12 @@
 {
     if (answer->voters_count == 0 || answer->voters_count > VOTER_MOST)
         return;
-    const bool told = asking->voter_count > 0;
-    if (told && asking->voter_count != answer->voters_count)
+    const bool reported = asking->voter_count > 0;
+    if (reported && asking->voter_count != answer->voters_count)
         asking->all = false;
     asking->voter_count = answer->voters_count;
     for (size_t i = 0; i < answer->voters_count; i++) {
-        if (told && asking->voters[i] != answer->voters[i].disk)
+        if (reported && asking->voters[i] != answer->voters[i].disk)
             asking->all = false;
         asking->voters[i] = answer->voters[i].disk;
     }
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -55,10 +55,10 @@
     int64_t started_ms, asked_ms, worker_until_ms;
     Attempts attempts;
     Signal for_worker; /* raised when there is something to answer the worker with */
-    Signal to_tell;    /* raised when there is an end to report, or another leader */
+    Signal to_notify;  /* raised when there is an end to report, or another leader */
     bool leaving;      /* the agent itself shuts down */
     Trace *trace;
-    uint64_t term_told; /* the newest term that was traced */
+    uint64_t term_notified; /* the newest term that was traced */
 };
 
 #endif
--- a/packages/agent/src/tasks.h
+++ b/packages/agent/src/tasks.h
@@ -6,7 +6,7 @@
 #include "state.h"
 
 /* Reports ends of attempts to the leader (tell.c). */
-void tell_start(Agent *agent);
+void notify_start(Agent *agent);
 /* Keeps the lease of an isolated agent by the second survival rule (alone.c). */
 void alone_start(Agent *agent);
 /* Acts on deadlines (watch.c). */
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -23,7 +23,7 @@
                                                              : 0};
 }
 
-static size_t update_gather(Agent *agent, void *mem, TellAsk *ask)
+static size_t update_gather(Agent *agent, void *mem, NotifyAsk *ask)
 {
     const size_t count = agent->attempts.ended.count < TELLING_MOST ? agent->attempts.ended.count : TELLING_MOST;
     ask->updates = talloc_zero_array(mem, AttemptUpdate, (unsigned)count);
@@ -33,7 +33,7 @@
     return ask->updates_count;
 }
 
-static void told(Agent *agent, const TellAsk *ask)
+static void reported(Agent *agent, const NotifyAsk *ask)
 {
     for (size_t i = 0; i < ask->updates_count; i++) {
         const AttemptUpdate *updates = &ask->updates[i];
@@ -50,7 +50,7 @@
 typedef struct Telling {
     Agent *agent;
     size_t users;
-    TellAsk ask;
+    NotifyAsk ask;
     char address[ADDRESS_MAX];
     PeerLife peer;
     bool over;
@@ -67,20 +67,20 @@
 {
     Telling *telling = arg;
     Agent *agent = telling->agent;
-    TellAnswer answer = {0};
+    NotifyAnswer answer = {0};
     telling->status =
-        rpc_ask_peer(agent->rpc, telling, &(RpcTarget){telling->address, telling->peer, NULL}, MESSAGE_TELL,
-                     &TellAsk_shape, &telling->ask, SUBMIT_TIMEOUT_MS, &TellAnswer_shape, &answer);
+        rpc_ask_peer(agent->rpc, telling, &(RpcTarget){telling->address, telling->peer, NULL}, MESSAGE_NOTIFY,
+                     &NotifyAsk_shape, &telling->ask, SUBMIT_TIMEOUT_MS, &NotifyAnswer_shape, &answer);
     if (telling->status == STATUS_OK)
-        told(agent, &telling->ask);
+        reported(agent, &telling->ask);
     telling->over = true;
-    signal_raise(agent->loop, &agent->to_tell);
+    signal_raise(agent->loop, &agent->to_notify);
     telling_leave(telling);
 }
 
 /* Waits until it is answered or another leader is known: one that has stopped answering is not waited for until the
  * time-out. */
-static Status tell_once(Agent *agent, Telling *telling)
+static Status notify_once(Agent *agent, Telling *telling)
 {
     telling->ask.number = ++agent->number;
     telling->users++;
@@ -90,29 +90,29 @@
         if (leader_address(agent, address) && strcmp(address, telling->address) != 0)
             return STATUS_NOT_LEADER;
         /* raised by heartbeat.c too, when it finds another leader */
-        signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS);
+        signal_wait(agent->loop, &agent->to_notify, loop_now_ms(agent->loop) + HEARTBEAT_MS);
     }
     return telling->status;
 }
 
-static void tell_main(void *arg)
+static void notify_main(void *arg)
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
         Telling *telling = talloc_zero(agent, Telling);
         telling->agent = agent;
         telling->users = 1;
-        telling->ask = (TellAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
+        telling->ask = (NotifyAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
         if (update_gather(agent, telling, &telling->ask) == 0) {
             telling_leave(telling);
-            signal_wait(agent->loop, &agent->to_tell, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
+            signal_wait(agent->loop, &agent->to_notify, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
             continue;
         }
         char old[ADDRESS_MAX];
         Status status = STATUS_NO_LEADER;
         telling->peer = members_leader_peer(agent->members);
         if (leader_address(agent, telling->address))
-            status = tell_once(agent, telling);
+            status = notify_once(agent, telling);
         snprintf(old, sizeof(old), "%s", telling->address);
         telling_leave(telling);
         if (status == STATUS_OK)
@@ -131,26 +131,26 @@
     (void)question;
     const Attempts *attempts = &agent->attempts;
     const size_t most = attempts->lives.count + attempts->ended.count + attempts->known.count;
-    AttemptList told = {talloc_zero_array(mem, AttemptUpdate, (unsigned)most), 0};
+    AttemptList reported = {talloc_zero_array(mem, AttemptUpdate, (unsigned)most), 0};
     for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next)
         if (attempt->phase != PHASE_OFFERED)
-            told.updates[told.updates_count++] = update_of(agent, mem, attempt);
+            reported.updates[reported.updates_count++] = update_of(agent, mem, attempt);
     const Attempt *firsts[] = {attempts->ended.first, attempts->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Attempt *attempt = firsts[i]; attempt != NULL; attempt = attempt->next)
             if (attempt->word == ATTEMPT_DONE)
-                told.updates[told.updates_count++] = update_of(agent, mem, attempt);
-    if (told.updates_count == 0)
+                reported.updates[reported.updates_count++] = update_of(agent, mem, attempt);
+    if (reported.updates_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, RepairItem);
     list->items[0].change = CHANGE_ATTEMPTS;
     list->items_count = 1;
-    shape_pack(&AttemptList_shape, &told, mem, &list->items[0].payload);
+    shape_pack(&AttemptList_shape, &reported, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
-void tell_start(Agent *agent)
+void notify_start(Agent *agent)
 {
     rpc_handle(agent->rpc, MESSAGE_RETELL, &Nothing_shape, &RepairList_shape, on_retell, agent);
-    loop_spawn(agent->loop, "tell", tell_main, agent);
+    loop_spawn(agent->loop, "tell", notify_main, agent);
 }
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -33,7 +33,7 @@
     Say *it = say_nothing(c);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
     talloc_free(c);
 }
 
@@ -47,7 +47,7 @@
     assert_int_equal(it->orders.stops_count, 1);
     say_ended(c, ATTEMPT_STOPPED, "some");
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
     assert_string_equal(c->boss.updates[0].saved, "some");
     /* the worker reports as running what is over for the leader: it must stop it */
     it = say_runs(c, "");
--- a/packages/agent/test/agentcase.h
+++ b/packages/agent/test/agentcase.h
@@ -82,10 +82,10 @@
     return STATUS_OK;
 }
 
-static inline Status on_tell(void *arg, void *mem, const void *question, void *answer)
+static inline Status on_notify(void *arg, void *mem, const void *question, void *answer)
 {
     Boss *boss = arg;
-    const TellAsk *ask = question;
+    const NotifyAsk *ask = question;
     (void)mem;
     (void)answer;
     boss->tellings++;
@@ -105,7 +105,7 @@
     boss->rpc = rpc_new(loop, loop, recorder);
     rpc_set_cluster(boss->rpc, 7);
     rpc_handle(boss->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, boss);
-    rpc_handle(boss->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, boss);
+    rpc_handle(boss->rpc, MESSAGE_NOTIFY, &NotifyAsk_shape, &NotifyAnswer_shape, on_notify, boss);
     char address[ADDRESS_MAX];
     assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
     const MemberRecord self = {.id = boss->id,
@@ -295,7 +295,7 @@
     return (Order){job, task, attempt, {1000, 1000, 0}, "\"spec\"", saved};
 }
 
-static inline size_t told(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static inline size_t reported(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
 {
     size_t count = 0;
     for (size_t i = 0; i < boss->updates_count; i++)
--- a/packages/agent/test/agentends.c
+++ b/packages/agent/test/agentends.c
@@ -28,7 +28,7 @@
     /* and with its end, unless the worker gives a newer one */
     say_ended(c, ATTEMPT_LAPSED, "");
     run(c, 20);
-    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
+    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
     assert_string_equal(boss->updates[0].saved, "half");
     talloc_free(c);
 }
@@ -40,13 +40,13 @@
     Case *c = case_heard(8000, 8000);
     c->boss.commits = false;
     say_ended(c, ATTEMPT_DONE, "");
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_DONE), 1);
     sim_power_off(c->world, c->boss_machine);
     run(c, 500);
     c->other.term = TERM(6);
     members_set_leader(c->other.members, c->other.term, "other");
     run(c, 1000); /* one exchange of hellos; the time-out of the report in flight is five seconds */
-    assert_int_equal(told(&c->other, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(reported(&c->other, "j", 0, 1, ATTEMPT_DONE), 1);
     assert_int_equal(say_ended(c, ATTEMPT_DONE, "")->orders.known_count, 1);
     talloc_free(c);
 }
@@ -62,7 +62,7 @@
     it = say_ended(c, ATTEMPT_DONE,
                    ""); /* reported again by the worker: the agent does not report it to the leader again */
     assert_int_equal(it->orders.known_count, 0);
-    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
     boss->commits = true;
     signal_raise(boss->loop, &boss->changed);
     run(c, 20);
@@ -70,7 +70,7 @@
     assert_int_equal(it->orders.known_count, 1);
     it = say_ended(c, ATTEMPT_DONE, ""); /* as if the answer had been lost: acknowledged again */
     assert_int_equal(it->orders.known_count, 1);
-    assert_int_equal(told(boss, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
     talloc_free(c);
 }
 
--- a/packages/agent/test/agentlease.c
+++ b/packages/agent/test/agentlease.c
@@ -49,8 +49,8 @@
     say_all(it);
     assert_int_equal(it->status, STATUS_OK);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
-    assert_int_equal(told(&c->boss, "j", 1, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported(&c->boss, "j", 1, 1, ATTEMPT_LOST), 1);
     assert_string_equal(c->boss.updates[0].saved, "half");
     /* a late report of the old process counts for nothing */
     it = saying(c, "b1", runs, 2, NULL, 0);
@@ -86,7 +86,7 @@
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
     assert_true(c->boss.heartbeat.leaving);
     assert_in_range(c->boss.heartbeat.leave_ms, 6900, 7000);
     /* nor is it given what is ordered later */
@@ -95,7 +95,7 @@
     it->report.leaving = true;
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(told(&c->boss, "j", 1, 1, ATTEMPT_STOPPED), 1);
+    assert_int_equal(reported(&c->boss, "j", 1, 1, ATTEMPT_STOPPED), 1);
     talloc_free(c);
 }
 
@@ -109,7 +109,7 @@
     say_all(it);
     assert_int_equal(it->orders.lease_ms, 0);
     run(c, 100);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_true(c->boss.heartbeat.leaving);
     assert_false(c->boss.heartbeat.worker_live);
     assert_true(c->boss.heartbeat.settled);
@@ -127,12 +127,12 @@
     sim_run_until(c->world, until_ms);
     assert_int_equal(c->boss.updates_count, 0);
     run(c, 200);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_false(c->boss.heartbeat.worker_live);
     /* its own report, when it comes after all, takes precedence */
     say_ended(c, ATTEMPT_FAILED, "");
     run(c, 20);
-    assert_int_equal(told(&c->boss, "j", 0, 1, ATTEMPT_FAILED), 1);
+    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_FAILED), 1);
     talloc_free(c);
 }
 
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -13,7 +13,7 @@
 #define LOCK_GRANT_MS 1500  /* ms; a voter grants the leader's lease for this long */
 #define LOCK_LEASE_MS 1440  /* ms; the leader relies on so much of it: its clock may be 2% slow, a voter's 2% fast */
 #define LOCK_RENEW_MS 350   /* ms; between renewals; four fit in a lease; a voter that takes appends renews with them */
-#define LOCK_TELL_MS 1000   /* ms; between renewals that carry what appends do not: clock and leader's name */
+#define LOCK_NOTIFY_MS 1000 /* ms; between renewals that carry what appends do not: clock and leader's name */
 /* ms; after a lost election a controller proposes itself again, next after twice this ... */
 #define PROPOSE_AGAIN_MS 60
 #define PROPOSE_MS 500      /* ms; ... up to this, plus a random part as long */
@@ -98,7 +98,7 @@
 #define RECORD_MAX_BYTES (64 * 1024 * 1024) /* bytes; a journal record larger than this is corruption */
 #define JOURNAL_OPEN_MS 3000 /* ms; a disk that refuses writes at the start is tried again for this long */
 #define JOURNAL_BAD_BYTES (16 * 1024 * 1024) /* bytes; a smaller broken journal is kept beside the new one */
-#define HISTORY_TOLD_MS 1000                 /* ms; orders to drop committed entries are logged at most this often */
+#define HISTORY_NOTIFIED_MS 1000             /* ms; orders to drop committed entries are logged at most this often */
 #define WOKEN_WAIT_MS 3000 /* ms; restarted voters wait so long for others: every step together must end in 12 s */
 #define REPAIR_MS 1500     /* ms; processes that hold what the disks lost have this long to send it again */
 /* ms; a leader that has just started repairs no sooner: until then connections of others to
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -72,7 +72,7 @@
     Learning *learning = arg;
     Controller *controller = learning->controller;
     ChangeResult result;
-    update_tell(controller, learning->missing.updates, learning->missing.updates_count);
+    update_notify(controller, learning->missing.updates, learning->missing.updates_count);
     if (learning->learn)
         controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result);
     if (learning->left) {
@@ -219,19 +219,19 @@
     return STATUS_OK;
 }
 
-static Status on_tell(void *arg, void *mem, const void *question, void *answer)
+static Status on_notify(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
-    const TellAsk *ask = question;
+    const NotifyAsk *ask = question;
     (void)mem;
-    ((TellAnswer *)answer)->term = configuration_term(controller->replication);
+    ((NotifyAnswer *)answer)->term = configuration_term(controller->replication);
     if (!replication_leading(controller->replication))
         return STATUS_NOT_LEADER;
     if (controller->repairing)
         return STATUS_REPAIRING;
-    liveset_told(controller->liveset, ask->agent, ask->incarnation, ask->number);
+    liveset_notified(controller->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent sends it again */
-    return update_tell(controller, ask->updates, ask->updates_count);
+    return update_notify(controller, ask->updates, ask->updates_count);
 }
 
 /* The protocol of agents of the first release. */
@@ -288,6 +288,6 @@
     rpc_handle(controller->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat,
                controller);
     rpc_handle(controller->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, controller);
-    rpc_handle(controller->rpc, MESSAGE_TELL, &TellAsk_shape, &TellAnswer_shape, on_tell, controller);
+    rpc_handle(controller->rpc, MESSAGE_NOTIFY, &NotifyAsk_shape, &NotifyAnswer_shape, on_notify, controller);
     rpc_handle(controller->rpc, MESSAGE_FETCH, &FetchAsk_shape, &FetchAnswer_shape, on_fetch, controller);
 }
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -62,9 +62,9 @@
     shape_copy(&AttemptUpdate_shape, one, batch, &batch->list.updates[batch->list.updates_count++]);
 }
 
-Status update_tell(Controller *controller, const AttemptUpdate *list, size_t count)
+Status update_notify(Controller *controller, const AttemptUpdate *list, size_t count)
 {
-    AttemptUpdates *updates = controller->told;
+    AttemptUpdates *updates = controller->reported;
     if (count == 0)
         return STATUS_OK;
     Batch *batch = batch_last(updates);
@@ -82,20 +82,20 @@
 
 void update_later(Controller *controller, const AttemptUpdate *one)
 {
-    batch_add(controller, batch_last(controller->told), one);
-    signal_raise(controller->loop, &controller->told->added);
+    batch_add(controller, batch_last(controller->reported), one);
+    signal_raise(controller->loop, &controller->reported->added);
 }
 
 void update_hurry(Controller *controller)
 {
-    if (controller->told->first != NULL)
-        controller->told->first->waited = true;
-    signal_raise(controller->loop, &controller->told->added);
+    if (controller->reported->first != NULL)
+        controller->reported->first->waited = true;
+    signal_raise(controller->loop, &controller->reported->added);
 }
 
 bool update_idle(const Controller *controller)
 {
-    return controller->told->first == NULL && !controller->told->busy;
+    return controller->reported->first == NULL && !controller->reported->busy;
 }
 
 /* Updates that nobody waits for are not sent again by their agent. */
@@ -141,7 +141,7 @@
 
 void update_start(Controller *controller)
 {
-    controller->told = talloc_zero(controller, AttemptUpdates);
-    controller->told->controller = controller;
-    loop_spawn(controller->loop, "news", update_main, controller->told);
+    controller->reported = talloc_zero(controller, AttemptUpdates);
+    controller->reported->controller = controller;
+    loop_spawn(controller->loop, "news", update_main, controller->reported);
 }
--- a/packages/controller/src/attempt_updates.h
+++ b/packages/controller/src/attempt_updates.h
@@ -8,7 +8,7 @@
 /* Spawns the task that commits updates of attempts. */
 void update_start(Controller *controller);
 /* Waits until the updates are committed, together with what others tell. */
-Status update_tell(Controller *controller, const AttemptUpdate *list, size_t count);
+Status update_notify(Controller *controller, const AttemptUpdate *list, size_t count);
 /* Has it committed that an attempt runs, when other updates go or after a while. */
 void update_later(Controller *controller, const AttemptUpdate *one);
 /* What waits for others is committed now. */
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -46,7 +46,7 @@
 {
     Controller *controller = arg;
     const RetellAsk *ask = question;
-    repair_buffer_tell(controller->repair_buffer, mem, ask->config_have, answer);
+    repair_buffer_notify(controller->repair_buffer, mem, ask->config_have, answer);
     config_watch_notify(controller->config_watch, mem, ask->config_have, answer);
     return STATUS_OK;
 }
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -187,14 +187,14 @@
     while (retelling->pending > 0)
         signal_wait(controller->loop, &retelling->ended, INT64_MAX);
     RepairList own = {0};
-    repair_buffer_tell(controller->repair_buffer, retelling, retelling->config_have, &own);
+    repair_buffer_notify(controller->repair_buffer, retelling, retelling->config_have, &own);
     config_watch_notify(controller->config_watch, retelling, retelling->config_have, &own);
     retelling_add(retelling, &own);
 }
 
 /* Waits. Orders what is missing, in the order of the items; told counts it. False: this node can't go on with the
  * repair. */
-static bool missing_tell(Retelling *retelling, uint64_t turn, size_t *told)
+static bool missing_notify(Retelling *retelling, uint64_t turn, size_t *reported)
 {
     Controller *controller = retelling->controller;
     for (size_t i = 0; i < retelling->count; i++) {
@@ -214,18 +214,18 @@
         talloc_free(mem);
         if (status != STATUS_OK || turn != controller->repair_turn)
             return false;
-        (*told)++;
+        (*reported)++;
     }
     return true;
 }
 
-static void repaired_take(Controller *controller, size_t told, size_t item_count)
+static void repaired_take(Controller *controller, size_t reported, size_t item_count)
 {
     controller->repairing = false;
     controller->counts.repairs++;
-    controller->counts.retold += told;
+    controller->counts.retold += reported;
     recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
-                   "the view rested on woken seats: %zu of %zu changes told again were missing", told, item_count);
+                   "the view rested on woken seats: %zu of %zu changes told again were missing", reported, item_count);
     orders_wake(controller);
     scheduler_notify(controller->scheduler);
 }
@@ -242,13 +242,13 @@
     configs_order(retelling);
     if (retelling->count > 0)
         qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
-    size_t told = 0;
+    size_t reported = 0;
     const size_t item_count = retelling->count;
-    const bool ordered = missing_tell(retelling, turn, &told);
+    const bool ordered = missing_notify(retelling, turn, &reported);
     retelling_leave(retelling);
     if (!ordered || replication_repaired(controller->replication) != STATUS_OK || turn != controller->repair_turn)
         return false;
-    repaired_take(controller, told, item_count);
+    repaired_take(controller, reported, item_count);
     return true;
 }
 
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -67,9 +67,9 @@
     InForce *in_force;
     Scheduler *scheduler;
     CallerService *callers;
-    Map *lines;                  /* names of workers to AgentLine */
-    struct AttemptUpdates *told; /* gathers what attempts came to */
-    Map *alerts;                 /* those that stand */
+    Map *lines;                      /* names of workers to AgentLine */
+    struct AttemptUpdates *reported; /* gathers what attempts came to */
+    Map *alerts;                     /* those that stand */
     uint64_t alert_looks;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     bool leaving;
--- a/packages/document/test/document.c
+++ b/packages/document/test/document.c
@@ -137,7 +137,7 @@
 {
     (void)state;
     uint64_t seed = 11;
-    size_t told = 0, untold = 0;
+    size_t reported = 0, untold = 0;
     for (int i = 0; i < 20000; i++) {
         void *mem = talloc_new(NULL);
         json_object *from, *to;
@@ -161,7 +161,7 @@
             assert_true(document_same(from, to) == (json_object_object_length(patch) == 0));
             json_object_put(result);
             json_object_put(read);
-            told++;
+            reported++;
         } else {
             assert_false(document_same(from, to));
             untold++;
@@ -171,8 +171,8 @@
         json_object_put(from);
         talloc_free(mem);
     }
-    print_message("%zu told as a patch, %zu not\n", told, untold);
-    assert_true(told > 8000 && untold > 1000);
+    print_message("%zu told as a patch, %zu not\n", reported, untold);
+    assert_true(reported > 8000 && untold > 1000);
 }
 
 /* Many patches at once come to what they come to one by one, and the first tree
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -125,7 +125,7 @@
     EntryPoint *entry_point = arg;
     const RetellAsk *ask = question;
     RepairList *list = answer;
-    repair_buffer_tell(entry_point->repair_buffer, mem, ask->config_have, list);
+    repair_buffer_notify(entry_point->repair_buffer, mem, ask->config_have, list);
     config_watch_notify(entry_point->config_watch, mem, ask->config_have, list);
     return STATUS_OK;
 }
--- a/packages/explore/tool/explore.c
+++ b/packages/explore/tool/explore.c
@@ -92,7 +92,7 @@
     return true;
 }
 
-static void tell(const ExplorePlan *plan, const ExploreResult *result)
+static void notify(const ExplorePlan *plan, const ExploreResult *result)
 {
     printf("seed %" PRIu64 " BROKE %s: at %" PRId64 " ms, %s\n", plan->seed, rule_text(result->rule), result->at_ms,
            result->why);
@@ -136,7 +136,7 @@
         explore_run(&plan, wish->loud, &result);
         sum_add(&sum, &result);
         if (result.rule != RULE_NONE) {
-            tell(&plan, &result);
+            notify(&plan, &result);
             if (wish->shrink && explore_shrink(&plan, &result)) {
                 printf("shrunk: at %" PRId64 " ms, %s\n", result.at_ms, result.why);
                 tell_shrunk(&plan);
--- a/packages/heartbeat/include/heartbeat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -42,7 +42,7 @@
 Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
                          bool *list_counts);
 /* The agent has sent a report under this number: heartbeats with lower ones are out of date. */
-void liveset_told(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
+void liveset_notified(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
 /* The worker's loss is decided (true), or has been delivered (false). */
 void liveset_losing(Liveset *liveset, const char *worker, bool losing);
 /* The worker's row, valid until liveset_reset; null: not heard of. */
--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -80,15 +80,15 @@
 
 /* An agent's report of attempts that began or ended, repeated until it is answered: the leader
  * answers once they are committed. */
-#define TELL_ASK_FIELDS(X) \
-    X(TXT, agent, 0)       \
-    X(U64, incarnation, 0) \
-    X(U64, number, 0)      \
+#define NOTIFY_ASK_FIELDS(X) \
+    X(TXT, agent, 0)         \
+    X(U64, incarnation, 0)   \
+    X(U64, number, 0)        \
     X(LST, updates, AttemptUpdate)
-SHAPE(TellAsk, TELL_ASK_FIELDS)
+SHAPE(NotifyAsk, NOTIFY_ASK_FIELDS)
 
-#define TELL_ANSWER_FIELDS(X) X(U64, term, 0)
-SHAPE(TellAnswer, TELL_ANSWER_FIELDS)
+#define NOTIFY_ANSWER_FIELDS(X) X(U64, term, 0)
+SHAPE(NotifyAnswer, NOTIFY_ANSWER_FIELDS)
 
 /* Orders without a heartbeat, as agents of the first release ask for them. The answer's fields are
  * those of the heartbeat's. */
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -313,13 +313,13 @@
         sim_start(world, machine, start, &seen);
         sim_run_until(world, sim_now_ms(world) + 1000);
         assert_int_equal(seen.status, STATUS_OK);
-        const size_t told = seen.last_index;
-        assert_true(told >= 3);
-        unsynced += told == 4;
+        const size_t reported = seen.last_index;
+        assert_true(reported >= 3);
+        unsynced += reported == 4;
         sim_power_off(world, machine);
         const Seen again = run(world, machine, "core1", 0, false);
         assert_int_equal(again.status, STATUS_OK);
-        assert_true(again.last_index >= told);
+        assert_true(again.last_index >= reported);
         talloc_free(world);
     }
     print_message("%d of 60 found a record whole that was never synced\n", unsynced);
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -156,7 +156,7 @@
     Bytes result;
     int retry_after_s;     /* Retry-After in seconds, sent when above 0 */
     const HttpPair *tells; /* further headers of the response */
-    size_t tell_count;
+    size_t notify_count;
 };
 
 /* The value of a header, by its name in lower case; null when it is not there. */
@@ -186,7 +186,7 @@
     Bytes result;
     int retry_after_s;
     const HttpPair *tells; /* all headers of the response, their names in lower case */
-    size_t tell_count;
+    size_t notify_count;
     bool sent; /* false: certainly nobody has received it */
     /* internal: set while the call waits */
     Signal *waiting;
--- a/packages/loop/src/http.c
+++ b/packages/loop/src/http.c
@@ -28,7 +28,7 @@
 {
     call->code = call->retry_after_s = 0;
     call->tells = NULL;
-    call->tell_count = 0;
+    call->notify_count = 0;
     call->sent = call->cut = false;
     const Status status = loop->ops->call(loop, call);
     call->waiting = NULL;
--- a/packages/loop/src/real_call.c
+++ b/packages/loop/src/real_call.c
@@ -60,7 +60,7 @@
             calling->call->retry_after_s = atoi(tells[i].value);
     }
     calling->call->tells = tells;
-    calling->call->tell_count = count;
+    calling->call->notify_count = count;
     if (err == h2o_http1client_error_is_eos) {
         call_end(calling, STATUS_OK);
         return NULL;
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -67,7 +67,7 @@
     }
 }
 
-static void tell(h2o_req_t *req, const char *name, const char *value)
+static void notify(h2o_req_t *req, const char *name, const char *value)
 {
     const h2o_iovec_t name_copy = h2o_strdup(&req->pool, name, SIZE_MAX);
     const h2o_iovec_t value_copy = h2o_strdup(&req->pool, value, SIZE_MAX);
@@ -85,10 +85,10 @@
     if (task->retry_after_s > 0) {
         char text[16];
         snprintf(text, sizeof(text), "%d", task->retry_after_s);
-        tell(req, "retry-after", text);
+        notify(req, "retry-after", text);
     }
-    for (size_t i = 0; i < task->tell_count; i++)
-        tell(req, task->tells[i].name, task->tells[i].value);
+    for (size_t i = 0; i < task->notify_count; i++)
+        notify(req, task->tells[i].name, task->tells[i].value);
     if (real->leaving)
         req->http1_is_persistent = 0;
     h2o_send_inline(req, (const char *)task->result.data, task->result.count);
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -59,7 +59,7 @@
     } else {
         const char *kind = http_head(task, "x-kind");
         task->tells = talloc_memdup(task, (&(HttpPair){"x-told", "yes"}), sizeof(HttpPair));
-        task->tell_count = 1;
+        task->notify_count = 1;
         say(task, talloc_asprintf(task, "first %s %s?%s host=%s kind=%s body=%zu", task->method, task->path,
                                   task->query, task->host, kind != NULL ? kind : "none", task->body.count));
     }
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -106,7 +106,7 @@
     put(fd, request);
 }
 
-static void told(int fd, const char *code, const char *path)
+static void reported(int fd, const char *code, const char *path)
 {
     char text[1024], words[256];
     snprintf(words, sizeof(words), "answer to %s.", path);
@@ -127,9 +127,9 @@
     ask(fd, "/second");
     ask(fd, "/third");
     stage->step = 1;
-    told(fd, "504", "/up");
-    told(fd, "200", "/second");
-    told(fd, "200", "/third");
+    reported(fd, "504", "/up");
+    reported(fd, "200", "/second");
+    reported(fd, "200", "/third");
     /* one leaves with its request in work, the next takes its place */
     for (int i = 0; i < CALLERS; i++) {
         char path[64];
@@ -139,16 +139,16 @@
         const int next = dial(stage->address);
         snprintf(path, sizeof(path), "/next%d", i);
         ask(next, path);
-        told(next, "200", path);
+        reported(next, "200", path);
         snprintf(path, sizeof(path), "/again%d", i);
         ask(next, path);
-        told(next, "200", path);
+        reported(next, "200", path);
         close(next);
     }
     while (stage->gone < CALLERS)
         sched_yield();
     ask(fd, "/end");
-    told(fd, "200", "/end");
+    reported(fd, "200", "/end");
     close(fd);
 }
 
--- a/packages/model/include/model/rules.h
+++ b/packages/model/include/model/rules.h
@@ -47,7 +47,7 @@
 /* What broke in a run. Invariant: told holds the first BREAKS_TOLD breaks, in order of time. */
 typedef struct Rules {
     size_t broken[RULE_COUNT], all;
-    Break told[BREAKS_TOLD];
+    Break reported[BREAKS_TOLD];
     size_t told_count;
 } Rules;
 
--- a/packages/model/src/groundnode.c
+++ b/packages/model/src/groundnode.c
@@ -35,14 +35,14 @@
 static bool node_settings_read(TopologyNode *node, Failure *failure)
 {
     const Topology *topology = node->topology;
-    CodecNode told = {.name = node->name,
-                      .zone = node->zone,
-                      .ip = sim_address(topology->world, node->machine),
-                      .side = node->side,
-                      .disk = node->disk,
-                      .founds = node->life == 1 && topology_day_ms(topology) < 0};
-    seeds_draw(node, told.seeds);
-    const char *text = topology->codec->settings(node->mem, topology->site, &told);
+    CodecNode reported = {.name = node->name,
+                          .zone = node->zone,
+                          .ip = sim_address(topology->world, node->machine),
+                          .side = node->side,
+                          .disk = node->disk,
+                          .founds = node->life == 1 && topology_day_ms(topology) < 0};
+    seeds_draw(node, reported.seeds);
+    const char *text = topology->codec->settings(node->mem, topology->site, &reported);
     const char *path = talloc_asprintf(node->mem, "%s/%s", topology->folder, node->name);
     FILE *file = fopen(path, "w");
     if (file != NULL) {
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -55,7 +55,7 @@
 {
     const Topology *topology = ordering->owner->topology;
     const int64_t now_ms = topology_now_ms(topology);
-    if (ordering->late_told || ordering->raced || ordering->over || !topology_settled(topology) ||
+    if (ordering->late_notified || ordering->raced || ordering->over || !topology_settled(topology) ||
         !topology_calm(topology))
         return;
     if (ordering->sent != NULL && ordering->sent->spoil != SPOIL_NONE)
@@ -66,7 +66,7 @@
     const int64_t queues = ordering->sent != NULL ? (int64_t)ordering->sent->document.queue_count : 0;
     if (now_ms - from_ms < topology->site->ack_ms + queues * ROUTE_MS)
         return;
-    ordering->late_told = true;
+    ordering->late_notified = true;
     rules_broke(topology->rules, RULE_ACK, topology_day_ms(topology),
                 "%s %" PRIu64 " is not acknowledged after %" PRId64 " ms",
                 ordering->sent != NULL ? "document" : ordering->zone,
--- a/packages/model/src/operator_order.h
+++ b/packages/model/src/operator_order.h
@@ -13,7 +13,7 @@
     bool drain, patch, raced;
     Document from; /* what a patch begins with */
     int64_t sent_ms;
-    bool late_told, over;
+    bool late_notified, over;
 } Ordering;
 
 Loop *operator_loop(const Operator *self);
--- a/packages/model/src/rules.c
+++ b/packages/model/src/rules.c
@@ -30,7 +30,7 @@
     rules->all++;
     if (rules->told_count == BREAKS_TOLD)
         return;
-    Break *one = &rules->told[rules->told_count++];
+    Break *one = &rules->reported[rules->told_count++];
     one->rule = rule;
     one->at_ms = at_ms;
     va_list args;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -161,27 +161,27 @@
 void end_noted(WorkerModel *worker_model, const WorkerModelEnd *end)
 {
     Topology *topology = worker_model->worker_models->topology;
-    topology_tell(topology, &end->told.name, "round %" PRIu64 " %s on %s is noted%s", end->told.attempt,
-                  attempt_word(end->told.word), worker_model->boot, end->lapsed_since ? ", its hold was over" : "");
+    topology_tell(topology, &end->reported.name, "round %" PRIu64 " %s on %s is noted%s", end->reported.attempt,
+                  attempt_word(end->reported.word), worker_model->boot, end->lapsed_since ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsed_since)
         return;
     BookJob *job = end->task->job;
     Fate *fate = end->task->fate;
-    const WorkerModelStart order = {.name = end->told.name, .attempt = end->told.attempt};
+    const WorkerModelStart order = {.name = end->reported.name, .attempt = end->reported.attempt};
     const Start start = {.worker_model = worker_model, .order = &order, .topology = topology};
     const int64_t now_ms = topology_now_ms(topology);
-    if (end->told.word == ATTEMPT_DONE) {
-        if (end->told.attempt < fate->again_attempt && !job->draft.lasting)
+    if (end->reported.word == ATTEMPT_DONE) {
+        if (end->reported.attempt < fate->again_attempt && !job->draft.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
                   fate->again_attempt);
         if (fate->noted_ms == 0)
             fate->noted_ms = now_ms;
     }
-    for (size_t i = 0; i < fate->fails && end->told.word == ATTEMPT_FAILED; i++)
-        if (fate->failed[i] == end->told.attempt && !fate->fail_noted[i]) {
+    for (size_t i = 0; i < fate->fails && end->reported.word == ATTEMPT_FAILED; i++)
+        if (fate->failed[i] == end->reported.attempt && !fate->fail_noted[i]) {
             fate->fail_noted[i] = true;
             fate->fails_noted_ms = now_ms;
-            if (end->told.attempt < fate->beyond_attempt && !job->draft.lasting &&
+            if (end->reported.attempt < fate->beyond_attempt && !job->draft.lasting &&
                 book_fails_noted(fate, fate->beyond_attempt) == (size_t)job->kind->attempts)
                 BROKE(&start, RULE_BUDGET, "this end is noted now, round %" PRIu64 " was started after it",
                       fate->beyond_attempt);
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -65,7 +65,7 @@
             work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
     }
     for (size_t i = 0; i < worker_model->end_count && i < ENDS_AT_ONCE; i++)
-        report->ended[report->ended_count++] = worker_model->ends[i].told;
+        report->ended[report->ended_count++] = worker_model->ends[i].reported;
 }
 
 static void leave_acked(WorkerModel *worker_model)
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -30,7 +30,7 @@
 } WorkerModelRun;
 
 typedef struct WorkerModelEnd {
-    WorkerModelEnded told;
+    WorkerModelEnded reported;
     BookTask *task;
     bool lapsed_since; /* the lease has lapsed since: no acknowledgement is owed */
 } WorkerModelEnd;
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -59,7 +59,7 @@
     worker_model->ends =
         talloc_realloc(worker_model->mem, worker_model->ends, WorkerModelEnd, (unsigned)(worker_model->end_count + 1));
     worker_model->ends[worker_model->end_count++] = (WorkerModelEnd){
-        .told = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
+        .reported = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
     highest_set(worker_model, name, attempt);
     worker_model->worker_models->book->kinds[word]++;
     topology_tell(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
@@ -201,8 +201,8 @@
     if (run_find(worker_model, &start->name, start->attempt) != NULL)
         return;
     for (size_t i = 0; i < worker_model->end_count; i++)
-        if (name_equal(&worker_model->ends[i].told.name, &start->name) &&
-            worker_model->ends[i].told.attempt == start->attempt)
+        if (name_equal(&worker_model->ends[i].reported.name, &start->name) &&
+            worker_model->ends[i].reported.attempt == start->attempt)
             return;
     BookTask *task = book_task(worker_models->book, &start->name);
     const uint64_t highest =
@@ -240,7 +240,7 @@
 {
     size_t kept = 0;
     for (size_t i = 0; i < worker_model->end_count; i++) {
-        if (worker_model->ends[i].told.number <= seen)
+        if (worker_model->ends[i].reported.number <= seen)
             end_noted(worker_model, &worker_model->ends[i]);
         else
             worker_model->ends[kept++] = worker_model->ends[i];
--- a/packages/queue/src/estimate.c
+++ b/packages/queue/src/estimate.c
@@ -21,7 +21,7 @@
     uint64_t kept[ESTIMATE_KEPT];
     uint64_t count; /* ever; the newest is at (count - 1) % ESTIMATE_KEPT */
     uint64_t median;
-    uint64_t told; /* the median when it last counted as moved */
+    uint64_t reported; /* the median when it last counted as moved */
 } Ratios;
 
 /* Of a worker: time taken there to time estimated here. */
@@ -87,10 +87,10 @@
 {
     ratios->kept[ratios->count++ % ESTIMATE_KEPT] = ratio;
     ratios->median = middle_of(ratios->kept, filled(ratios->count, ESTIMATE_KEPT));
-    const uint64_t told = ratios->told, median = ratios->median;
-    if ((told > median ? told - median : median - told) * MOVED_PART < told)
+    const uint64_t reported = ratios->reported, median = ratios->median;
+    if ((reported > median ? reported - median : median - reported) * MOVED_PART < reported)
         return false;
-    ratios->told = median;
+    ratios->reported = median;
     return true;
 }
 
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -17,8 +17,8 @@
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     replication->other_histories++;
-    if (replication->other_told_ms == 0 || now_ms - replication->other_told_ms >= HISTORY_TOLD_MS) {
-        replication->other_told_ms = now_ms;
+    if (replication->other_notified_ms == 0 || now_ms - replication->other_notified_ms >= HISTORY_NOTIFIED_MS) {
+        replication->other_notified_ms = now_ms;
         recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
                        "%s: refuses to drop entry %" PRIu64 " and what follows: committed up to %" PRIu64,
                        status_word(STATUS_OTHER_HISTORY), index, replication->commit_index);
@@ -70,7 +70,7 @@
         taking->reread = true;
     }
     log_add(log, entry);
-    replication_clock_tell(replication, entry->at_ms);
+    replication_clock_notify(replication, entry->at_ms);
     taking->reread |= entry->change < REPLICATION_CHANGE_FIRST;
     return STATUS_OK;
 }
--- a/packages/replication/src/clock.c
+++ b/packages/replication/src/clock.c
@@ -10,7 +10,7 @@
                : replication->clock_base_ms;
 }
 
-void replication_clock_tell(Replication *replication, int64_t clock_ms)
+void replication_clock_notify(Replication *replication, int64_t clock_ms)
 {
     if (clock_ms > replication->clock_log_ms)
         replication->clock_log_ms = clock_ms;
--- a/packages/replication/src/clock.h
+++ b/packages/replication/src/clock.h
@@ -6,7 +6,7 @@
 /* The log's clock and the wall clock of the voters. Nothing here waits. */
 
 /* An entry or snapshot of the log was made at clock_ms of the log's clock. */
-void replication_clock_tell(Replication *replication, int64_t clock_ms);
+void replication_clock_notify(Replication *replication, int64_t clock_ms);
 /* The leader's clock shows clock_ms now. The own one must not run ahead of it, or what is due
  * would be due early under this node. */
 void replication_clock_set(Replication *replication, int64_t clock_ms);
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -61,7 +61,7 @@
 }
 
 /* Ends the submissions that wait for this entry, or for the one whose place it took. */
-static void waiters_tell(Replication *replication, const Record *entry, const ChangeResult *result)
+static void waiters_notify(Replication *replication, const Record *entry, const ChangeResult *result)
 {
     for (Waiter **at = &replication->waiters; *at != NULL;) {
         Waiter *waiter = *at;
@@ -95,7 +95,7 @@
             replication->woke = false; /* a view has brought this node up to date */
         replication->delivered_index = entry->index;
         any = true;
-        waiters_tell(replication, entry, &result);
+        waiters_notify(replication, entry, &result);
     }
     if (any) {
         signal_raise(replication->loop, &replication->updates);
--- a/packages/replication/src/install.c
+++ b/packages/replication/src/install.c
@@ -117,11 +117,11 @@
     log->base_index = snapshot->index; /* nothing of the former log is kept */
     log_rebase(log, snapshot);
     replication->commit_index = replication->delivered_index = replication->verified_index = snapshot->index;
-    replication_clock_tell(replication, snapshot->at_ms);
+    replication_clock_notify(replication, snapshot->at_ms);
     for (size_t i = 0; i < entry_count; i++)
         if (entries[i].kind == RECORD_ENTRY && entries[i].index == log_last_index(log) + 1) {
             log_add(log, &entries[i]);
-            replication_clock_tell(replication, entries[i].at_ms);
+            replication_clock_notify(replication, entries[i].at_ms);
         }
     replication->queued_index = log_last_index(log);
     replication_reread(replication);
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -109,7 +109,7 @@
         /* appends renew the lease as well; clock and leader's name are sent with renewals alone */
         const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
         if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
-            sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_TELL_MS &&
+            sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_NOTIFY_MS &&
             !contact_owed(replication, lead.slot)) {
             contact_rest(replication, lead.slot, LOCK_RENEW_MS - (sent_ms - last_ms));
             continue;
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -35,7 +35,7 @@
     if (status != STATUS_OK)
         failure_set(&reading->failure, status, "entry %" PRIu64 " does not follow the log up to %" PRIu64,
                     record->index, last_index);
-    replication_clock_tell(replication, record->at_ms);
+    replication_clock_notify(replication, record->at_ms);
 }
 
 static void record_found(void *arg, const Record *record)
@@ -60,7 +60,7 @@
     case RECORD_SNAPSHOT:
         log_trim(replication->log, 0);
         log_rebase(replication->log, record);
-        replication_clock_tell(replication, record->at_ms);
+        replication_clock_notify(replication, record->at_ms);
         break;
     case RECORD_COMMIT:
         break; /* of an earlier release; the leader sends the commit index again */
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -161,7 +161,7 @@
     Replication *replication = lead.replication;
     talloc_free(arg);
     Peer *peer = &replication->peers[lead.slot];
-    bool told = false; /* it has taken an append in this term */
+    bool reported = false; /* it has taken an append in this term */
     while (!lead_peer_over(&lead)) {
         char address[ADDRESS_MAX];
         if (!voter_address(replication, lead.slot, address)) {
@@ -170,9 +170,9 @@
         }
         if (peer->reinstall || peer->next_index <= replication->log->base_index) {
             install_snapshot_one(replication, &lead, address);
-        } else if (peer->next_index <= log_last_index(replication->log) || !told || slow_learner(&lead)) {
+        } else if (peer->next_index <= log_last_index(replication->log) || !reported || slow_learner(&lead)) {
             append_one(replication, &lead, address);
-            told |= peer->match_index + 1 == peer->next_index;
+            reported |= peer->match_index + 1 == peer->next_index;
             /* nobody waits for a learner: it takes several changes in one append */
             if (lead.slot >= VOTER_MOST && peer->next_index > log_last_index(replication->log))
                 loop_sleep(replication->loop, LEARNER_APPEND_MS);
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -114,7 +114,7 @@
     uint64_t verified_index;    /* entries up to it are known to equal those of the leader of the promised term */
     Filling *incoming_snapshot; /* a snapshot that arrives in pieces; null: none */
     uint64_t other_histories;   /* refused orders to drop what is committed */
-    int64_t other_told_ms;      /* such an order was last logged */
+    int64_t other_notified_ms;  /* such an order was last logged */
     Signal released;            /* the leader has released its lease ... */
     bool named;                 /* ... and named this node to be the next leader */
 
--- a/packages/routing/include/routing/repair_buffer.h
+++ b/packages/routing/include/routing/repair_buffer.h
@@ -21,7 +21,7 @@
 /* Copies the items in; one that is there already is left where it is. */
 void repair_buffer_keep(RepairBuffer *repair_buffer, const RepairItem *items, size_t count);
 /* Makes list all that is kept, on mem, but for configurations up to config_have. */
-void repair_buffer_tell(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list);
+void repair_buffer_notify(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list);
 size_t repair_buffer_count(const RepairBuffer *repair_buffer);
 /* Bytes that the items cost, payloads and what is beside them. */
 size_t repair_buffer_bytes(const RepairBuffer *repair_buffer);
--- a/packages/routing/include/routing/ways.h
+++ b/packages/routing/include/routing/ways.h
@@ -50,7 +50,7 @@
 /* When something last came back along the route in use; INT64_MIN: never. */
 int64_t ways_heard_ms(const Ways *ways);
 /* Takes in who leads, as a process that does not lead said with its refusal. */
-void ways_told(Ways *ways, const ForwardAnswer *answer);
+void ways_notified(Ways *ways, const ForwardAnswer *answer);
 /* Whether a leader serves: one was heard to, and has not been missed for longer than a
  * change of leader takes. */
 bool ways_serve(const Ways *ways);
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -81,7 +81,7 @@
     if (attempt->status == STATUS_OK)
         attempt_answered(attempt, loop_now_ms(settings->loop) - start_ms);
     else
-        ways_told(settings->ways, &attempt->answer);
+        ways_notified(settings->ways, &attempt->answer);
     attempt->done = true;
     signal_raise(settings->loop, &attempt->updates);
     attempt_leave(attempt);
--- a/packages/routing/src/limits.c
+++ b/packages/routing/src/limits.c
@@ -3,7 +3,7 @@
 
 void limits_serve(Loop *loop, const ConfigLimits *limits)
 {
-    const HttpLimits told = {
+    const HttpLimits reported = {
         .head_bytes = (size_t)limits->head_bytes, .head_ms = limits->head_ms, .idle_ms = limits->idle_ms};
-    loop_serve_limits(loop, &told);
+    loop_serve_limits(loop, &reported);
 }
--- a/packages/routing/src/order.c
+++ b/packages/routing/src/order.c
@@ -14,8 +14,9 @@
     json_object *shown = json_tokener_parse_ex(tokener, (const char *)answer->body.data, (int)answer->body.count);
     json_tokener_free(tokener);
     json_object *stamp = NULL;
-    const bool told = json_object_is_type(shown, json_type_object) && json_object_object_get_ex(shown, "stamp", &stamp);
-    const int64_t value = told ? json_object_get_int64(stamp) : -1;
+    const bool reported =
+        json_object_is_type(shown, json_type_object) && json_object_object_get_ex(shown, "stamp", &stamp);
+    const int64_t value = reported ? json_object_get_int64(stamp) : -1;
     json_object_put(shown);
     return value;
 }
--- a/packages/routing/src/repair_buffer.c
+++ b/packages/routing/src/repair_buffer.c
@@ -103,7 +103,7 @@
     return had;
 }
 
-void repair_buffer_tell(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list)
+void repair_buffer_notify(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list)
 {
     forget(repair_buffer);
     list->items = talloc_array(mem, RepairItem, (unsigned)repair_buffer_count(repair_buffer));
--- a/packages/routing/src/waystate.c
+++ b/packages/routing/src/waystate.c
@@ -115,7 +115,7 @@
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
         members_meet(ways->members, taken->address);
     else if (status != STATUS_OK)
-        ways_told(ways, &answer);
+        ways_notified(ways, &answer);
     *serves = status == STATUS_OK && answer.code == GOOD_HTTP;
     talloc_free(mem);
     return status;
@@ -130,7 +130,7 @@
     return status == STATUS_OK;
 }
 
-void ways_told(Ways *ways, const ForwardAnswer *answer)
+void ways_notified(Ways *ways, const ForwardAnswer *answer)
 {
     if (answer->leader_term > members_leader_term(ways->members) && answer->leader_id != NULL &&
         answer->leader_id[0] != '\0')
--- a/packages/scheduler/include/scheduler/attempt_pace.h
+++ b/packages/scheduler/include/scheduler/attempt_pace.h
@@ -23,7 +23,7 @@
 /* Forgets all. */
 void paces_reset(Paces *paces);
 /* Takes a report of an attempt's progress, and what it says of the worker's speed. */
-void pace_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told);
+void pace_take(Scheduler *scheduler, const char *worker, const AttemptSaved *reported);
 /* Null: that attempt has reported none. */
 const Pace *pace_find(const Paces *paces, const char *job, uint64_t task, uint64_t attempt);
 /* Whether reports of no progress are believed: some kinds of workers never report any. */
--- a/packages/scheduler/include/scheduler/checkpoint.h
+++ b/packages/scheduler/include/scheduler/checkpoint.h
@@ -9,7 +9,7 @@
  * controller, which takes them from heartbeats and delivered changes, and by the placement. */
 
 /* Takes an attempt's checkpoint; one without a text, or of an older attempt than is known, is dropped. */
-void saved_take(Scheduler *scheduler, const AttemptSaved *told);
+void saved_take(Scheduler *scheduler, const AttemptSaved *reported);
 /* The text of the checkpoint of that attempt of the task; "": none. Valid until the next wait. */
 const char *saved_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt);
 
--- a/packages/scheduler/src/attempt_pace.c
+++ b/packages/scheduler/src/attempt_pace.c
@@ -74,11 +74,11 @@
 }
 
 /* What the progress between two reports says of the worker's speed. */
-static void worker_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told, double percent,
+static void worker_take(Scheduler *scheduler, const char *worker, const AttemptSaved *reported, double percent,
                         int64_t span_ms)
 {
-    const Job *job = table_job(scheduler->table, told->job);
-    const size_t at = job != NULL ? task_index(job, told->task) : 0;
+    const Job *job = table_job(scheduler->table, reported->job);
+    const size_t at = job != NULL ? task_index(job, reported->task) : 0;
     const Worker *its = table_worker(scheduler->table, worker);
     if (job == NULL || at >= job->tasks_count || its == NULL || job->spec.lasting)
         return;
@@ -93,37 +93,37 @@
                        loop_now_ms(scheduler->loop));
 }
 
-void pace_take(Scheduler *scheduler, const char *worker, const AttemptSaved *told)
+void pace_take(Scheduler *scheduler, const char *worker, const AttemptSaved *reported)
 {
     Paces *paces = scheduler->paces;
     char key[PACE_KEY];
-    if (told->percent_ms <= 0)
+    if (reported->percent_ms <= 0)
         return;
-    Pace *pace = map_get(paces->attempts, pace_key(key, told->job, told->task));
-    if (pace != NULL &&
-        (pace->attempt > told->attempt || (pace->attempt == told->attempt && pace->ran_ms >= told->percent_ms)))
+    Pace *pace = map_get(paces->attempts, pace_key(key, reported->job, reported->task));
+    if (pace != NULL && (pace->attempt > reported->attempt ||
+                         (pace->attempt == reported->attempt && pace->ran_ms >= reported->percent_ms)))
         return;
     if (pace == NULL) {
         paces_sweep(scheduler, paces);
         pace = talloc_zero(paces->attempts, Pace);
-        pace->job = talloc_strdup(pace, told->job);
-        pace->task = told->task;
+        pace->job = talloc_strdup(pace, reported->job);
+        pace->task = reported->task;
         map_set(paces->attempts, key, pace);
     }
-    const bool goes_on = pace->attempt == told->attempt;
+    const bool goes_on = pace->attempt == reported->attempt;
     const uint64_t before = goes_on ? pace->percent : 0;
-    const int64_t span_ms = told->percent_ms - (goes_on ? pace->ran_ms : 0);
-    const double more = told->percent > before ? (double)(told->percent - before) : 0;
-    pace->attempt = told->attempt;
+    const int64_t span_ms = reported->percent_ms - (goes_on ? pace->ran_ms : 0);
+    const double more = reported->percent > before ? (double)(reported->percent - before) : 0;
+    pace->attempt = reported->attempt;
     paces->moves += more > 0;
     /* an attempt that goes on from a checkpoint begins with its percent */
     if (goes_on && paces_credible(paces))
-        worker_take(scheduler, worker, told, more, span_ms);
+        worker_take(scheduler, worker, reported, more, span_ms);
     pace->per_ms = goes_on && span_ms > 0 ? more / (double)span_ms : 0;
     /* the first report that this leader hears does not say when progress was last made, unless none has been */
     if (!goes_on || more > 0)
-        pace->still_ms = goes_on || told->percent > 0 ? told->percent_ms : 0;
-    pace->percent = told->percent;
-    pace->ran_ms = told->percent_ms;
+        pace->still_ms = goes_on || reported->percent > 0 ? reported->percent_ms : 0;
+    pace->percent = reported->percent;
+    pace->ran_ms = reported->percent_ms;
     pace->told_ms = loop_now_ms(scheduler->loop);
 }
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -45,24 +45,24 @@
     talloc_free(mem);
 }
 
-void saved_take(Scheduler *scheduler, const AttemptSaved *told)
+void saved_take(Scheduler *scheduler, const AttemptSaved *reported)
 {
     char key[SAVED_KEY];
-    if (told->text[0] == '\0')
+    if (reported->text[0] == '\0')
         return;
-    Saved *saved = map_get(scheduler->saved, saved_key(key, told->job, told->task));
-    if (saved != NULL && saved->attempt > told->attempt)
+    Saved *saved = map_get(scheduler->saved, saved_key(key, reported->job, reported->task));
+    if (saved != NULL && saved->attempt > reported->attempt)
         return;
     if (saved == NULL) {
         saved_sweep(scheduler);
         saved = talloc_zero(scheduler->saved, Saved);
-        saved->job = talloc_strdup(saved, told->job);
-        saved->task = told->task;
+        saved->job = talloc_strdup(saved, reported->job);
+        saved->task = reported->task;
         map_set(scheduler->saved, key, saved);
     }
     talloc_free((void *)(uintptr_t)saved->text);
-    saved->text = talloc_strdup(saved, told->text);
-    saved->attempt = told->attempt;
+    saved->text = talloc_strdup(saved, reported->text);
+    saved->attempt = reported->attempt;
 }
 
 const char *saved_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt)
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -126,11 +126,11 @@
         if (task->attempt >= attempt)
             attempt = task->attempt + 1;
         /* of an attempt that was lost with its worker only heartbeats have told */
-        const char *told = task->attempt > 0
-                               ? saved_find(pass->scheduler, candidate->job->spec.id, task_number(task), task->attempt)
-                               : "";
+        const char *reported =
+            task->attempt > 0 ? saved_find(pass->scheduler, candidate->job->spec.id, task_number(task), task->attempt)
+                              : "";
         if (saved[0] == '\0')
-            saved = told[0] != '\0' ? told : task->saved;
+            saved = reported[0] != '\0' ? reported : task->saved;
     }
     for (size_t i = 0; i < candidate->count; i++) {
         place_add(pass, candidate, i, (size_t)where[i], attempt, saved, assured);
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -49,10 +49,10 @@
 {
     const char *words;
     const uint64_t failures = scheduler->leader.policy_failures(scheduler->leader.arg, &words);
-    if (failures > 0 && scheduler->policy_failures_told == 0)
+    if (failures > 0 && scheduler->policy_failures_notified == 0)
         recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
                        "a policy failed, first come goes first: %s", words);
-    scheduler->policy_failures_told = failures;
+    scheduler->policy_failures_notified = failures;
 }
 
 void pass_places(Pass *pass)
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -28,7 +28,7 @@
     int64_t plan_look_ms;    /* where no loss is to be survived, the plan is looked at again from then on */
     uint64_t updates;        /* grows with whatever the planner should look at */
     Signal wake;             /* raised with it */
-    uint64_t policy_failures_told;
+    uint64_t policy_failures_notified;
     SchedulerPlan plan; /* of the last look */
     SchedulerCounts counts;
 };
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -102,7 +102,7 @@
 /* The worker may run its attempts until then: its lease. */
 void checker_held(Checker *checker, const char *worker, int64_t until_ms);
 /* The worker has been told to stop the attempt. */
-void checker_told(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
+void checker_notified(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 /* A failure begins or ends now. */
 void checker_fault(Checker *checker);
 /* An entry point has served something; it must have served each kind by now, 12 s after the last failure; the fleet
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -17,7 +17,7 @@
 #define UNKNOWN_LATE_MS 3000 /* ms; "unknown when asked about 3 seconds after acceptance" */
 #define SERVE_LATE_MS 12000  /* ms; "serving again within about 12 seconds" */
 #define CLAIM_MOST_MS 4000   /* ms; a claim is "a few seconds at most": an agent's lease and the way there */
-#define TOLD_LATE_MS 500     /* ms; a worker that was told to stop has stopped: it is told again with each answer */
+#define NOTIFIED_LATE_MS 500 /* ms; a worker that was told to stop has stopped: it is told again with each answer */
 #define STOP_LATE_MS 4000    /* ms; a cancel reaches every worker at once, or its lease of 3 s lapses */
 #define GANG_LATE_MS                                                                                                   \
     6000                  /* ms; a member's order expires (2 s) or its lease lapses (3 s); then the others are stopped \
--- a/packages/sim/src/checkrun.c
+++ b/packages/sim/src/checkrun.c
@@ -105,7 +105,7 @@
     zone->drained_ms = drained ? checker_now(checker) : 0;
 }
 
-void checker_told(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt)
+void checker_notified(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt)
 {
     const SeenWorker *on = seen_worker(checker, worker);
     for (SeenRun *run = seen_task(seen_job(checker, id), task)->runs; run != NULL; run = run->next)
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -41,7 +41,7 @@
 }
 
 /* What of a file has been synced: bytes at its end, or all of it. */
-static void tell(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
+static void notify(const SimMachine *machine, const char *path, Bytes bytes, bool whole)
 {
     const SimWorld *world = machine->world;
     if (world->disk_watch != NULL && bytes.count + whole > 0)
@@ -121,7 +121,7 @@
     if (sf->machine->disk_fails)
         return STATUS_DISK_FAILED;
     synced(sf->machine, from);
-    tell(sf->machine, sf->path, from->bytes, true);
+    notify(sf->machine, sf->path, from->bytes, true);
     *content = bytes_copy(mem, from->bytes);
     return STATUS_OK;
 }
@@ -140,7 +140,7 @@
     }
     written(content, bytes);
     synced(machine, content);
-    tell(machine, sf->path, bytes, false);
+    notify(machine, sf->path, bytes, false);
     return STATUS_OK;
 }
 
@@ -172,7 +172,7 @@
         return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
     name->lasting = name->content;
     fresh->lasting = fresh->content;
-    tell(machine, sf->path, content->bytes, true);
+    notify(machine, sf->path, content->bytes, true);
     return STATUS_OK;
 }
 
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -38,9 +38,9 @@
     checker_resumed(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, saved);
 }
 
-static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
+static void on_notified(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
 {
-    checker_told(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt);
+    checker_notified(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt);
 }
 
 static void on_sent(void *arg, const char *id)
@@ -81,7 +81,7 @@
 
 StandWorkerWatch fleet_worker_watch(FleetNode *node)
 {
-    return (StandWorkerWatch){node, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_told};
+    return (StandWorkerWatch){node, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified};
 }
 
 CallerWatch fleet_caller_watch(Fleet *fleet)
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -13,7 +13,7 @@
 #define BURST_MOST 4       /* count; failures in one */
 #define QUIET_MS 13000     /* ms; "within about 12 seconds", and a second to look */
 #define DISKS_LIE_ONE_IN 4 /* seeds */
-#define TELL_MOST 5        /* count; open jobs of a caller told of a broken run */
+#define NOTIFY_MOST 5      /* count; open jobs of a caller told of a broken run */
 #define WORKABLE_LEAST 4   /* count; workers with which the fleet must start something */
 
 static const struct {
@@ -139,7 +139,7 @@
 }
 
 /* Prints what every entry point and controller that is up reports of itself at the end of a broken run. */
-static void tell_self(Fleet *fleet, FleetRole role)
+static void notify_self(Fleet *fleet, FleetRole role)
 {
     static const char *const PATHS[] = {"/readyz", "/metrics"};
     for (int i = 0; i < fleet->node_count[role]; i++)
@@ -152,21 +152,21 @@
         }
 }
 
-static void tell(const Sweep *sweep)
+static void notify(const Sweep *sweep)
 {
     Fleet *fleet = sweep->fleet;
     fleet_dump(fleet);
-    tell_self(fleet, FLEET_CONTROLLER);
-    tell_self(fleet, FLEET_ENTRY_POINT);
+    notify_self(fleet, FLEET_CONTROLLER);
+    notify_self(fleet, FLEET_ENTRY_POINT);
     for (int c = 0; c < fleet->caller_count; c++) {
         CallerJob *const *jobs;
         const size_t count = caller_jobs(fleet->callers[c], &jobs);
-        size_t told = 0;
-        for (size_t i = 0; i < count && told < TELL_MOST; i++) {
+        size_t reported = 0;
+        for (size_t i = 0; i < count && reported < NOTIFY_MOST; i++) {
             const Job *job = jobs[i]->ended_ms == 0 && !jobs[i]->refused ? fleet_job(fleet, jobs[i]->id) : NULL;
             if (jobs[i]->ended_ms != 0 || jobs[i]->refused)
                 continue;
-            told++;
+            reported++;
             printf("open: %s accepted %" PRId64 " %s\n", jobs[i]->id, jobs[i]->accepted_ms, job ? "" : "not known");
             for (size_t t = 0; job != NULL && t < job->tasks_count; t++)
                 printf("  task %zu %s round %" PRIu64 " on %s: %s\n", t, task_phase_word(job->tasks[t].phase),
@@ -271,6 +271,6 @@
     for (int i = 0; i < SERVE_COUNT; i++)
         result->worst_ms[i] = checker_worst_ms(fleet->checker, (Serve)i);
     if (!result->good && settings->loud)
-        tell(sweep);
+        notify(sweep);
     talloc_free(mem);
 }
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -21,7 +21,7 @@
     struct Operator *beside; /* another that sends at the same time */
 } Operator;
 
-static void told(Operator *operator, TenantWord word)
+static void reported(Operator *operator, TenantWord word)
 {
     Checker *checker = operator->sweep->fleet->checker;
     if (operator->quota)
@@ -57,7 +57,7 @@
     Operator *operator= arg;
     Fleet *fleet = operator->sweep->fleet;
     uint64_t version = 0;
-    told(operator, TENANT_ASKED);
+    reported(operator, TENANT_ASKED);
     operator->code = operator_try(operator, operator->entry_point, operator->version> 0 ? 1000 : 9000, &version);
     for (int i = 1; i < OPERATOR_TRIES && operator->version> 0 &&(operator->code == 0 || operator->code >= 500); i++) {
         loop_sleep(sim_loop(fleet->world, fleet->caller), 250 * i);
@@ -65,9 +65,9 @@
     }
     if (operator->code == 200 && version> 0) {
         checker_config_set(fleet->checker, version);
-        told(operator, operator->quota || operator->in ? TENANT_IN : TENANT_OUT);
+        reported(operator, operator->quota || operator->in ? TENANT_IN : TENANT_OUT);
     } else if (operator->code >= 400 && operator->code<500) {
-        told(operator, TENANT_REFUSED);
+        reported(operator, TENANT_REFUSED);
     }
     operator->done = true;
 }
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -175,7 +175,7 @@
     /* a failure meanwhile: from when service must be back */
     c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), checker_fault(c), now_ms += 15000;
     checker_look(c), good(c), now_ms += 1100, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_told(c, "w1", "x", 0, 1), now_ms += 400,
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_notified(c, "w1", "x", 0, 1), now_ms += 400,
     checker_look(c);
     good(c), now_ms += 200, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
 }
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -45,13 +45,13 @@
             .wait_ms = 1000}; /* a second of silence is given up on */
         bytes_add(mem, &call.body, change->body, strlen(change->body));
         const Status status = loop_call(loop, &call);
-        const uint64_t told =
+        const uint64_t reported =
             number_in(&call, mem, status == STATUS_OK && call.code == 200 ? "\"revision\":" : "\"current\":");
         change->code = status == STATUS_OK && call.code < 500 ? call.code : 0;
         if (change->code == 200)
-            assert_int_equal(told, change->version);
-        if (change->code != 0 && told > operator->believed)
-            operator->believed = told;
+            assert_int_equal(reported, change->version);
+        if (change->code != 0 && reported > operator->believed)
+            operator->believed = reported;
         talloc_free(mem);
         if (change->code != 0)
             return;
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -140,9 +140,9 @@
         fleet_run(fleet, 1000);
         fleet_isolate(fleet, FLEET_CONTROLLER, leader, false);
         fleet_run(fleet, 5000);
-        const uint64_t told = log_last_index(replication_of(fleet, leader)->log);
+        const uint64_t reported = log_last_index(replication_of(fleet, leader)->log);
         restart(fleet, leader, seed % 2 == 0);
-        assert_true(log_last_index(replication_of(fleet, leader)->log) >= told);
+        assert_true(log_last_index(replication_of(fleet, leader)->log) >= reported);
         talloc_free(fleet);
     }
 }
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -244,7 +244,7 @@
     X(HeartbeatAsk)       \
     X(HeartbeatAnswer)    \
     X(KnowAnswer)         \
-    X(TellAsk)            \
+    X(NotifyAsk)          \
     X(FetchAsk)           \
     X(FetchAnswer)        \
     X(ForwardAsk)         \
--- a/packages/sim/test/jobruns.c
+++ b/packages/sim/test/jobruns.c
@@ -107,7 +107,7 @@
 }
 
 /* An agent is cut off just before its task ends; the finish is told late. */
-static void finish_told_late(void **state)
+static void finish_notified_late(void **state)
 {
     (void)state;
     Fleet *fleet = begin();
@@ -241,8 +241,8 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(due_and_delay),    cmocka_unit_test(gang_all_or_none), cmocka_unit_test(cancelled),
-        cmocka_unit_test(fails_then_works), cmocka_unit_test(finish_told_late), cmocka_unit_test(copies),
+        cmocka_unit_test(due_and_delay),    cmocka_unit_test(gang_all_or_none),     cmocka_unit_test(cancelled),
+        cmocka_unit_test(fails_then_works), cmocka_unit_test(finish_notified_late), cmocka_unit_test(copies),
         cmocka_unit_test(others_use),       cmocka_unit_test(store_gone),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -55,12 +55,12 @@
     return at != NULL ? strtoull(at + strlen(key), NULL, 10) : 0;
 }
 
-static void wrong(Watched *watched, const Reader *reader, const char *what, uint64_t told, uint64_t known)
+static void wrong(Watched *watched, const Reader *reader, const char *what, uint64_t reported, uint64_t known)
 {
     if (watched->wrong[0] == '\0')
         snprintf(watched->wrong, sizeof(watched->wrong),
                  "%s at %" PRId64 " ms: %s says %" PRIu64 ", %" PRIu64 " was acknowledged", reader->name,
-                 sim_now_ms(watched->fleet->world), what, told, known);
+                 sim_now_ms(watched->fleet->world), what, reported, known);
 }
 
 static void read_config(const Reader *reader, Loop *loop, void *mem)
@@ -68,10 +68,10 @@
     Watched *watched = reader->watched;
     const uint64_t known = watched->acknowledged;
     const HttpCall call = ask(loop, mem, reader->address, "GET", "/v1/config", NULL);
-    const uint64_t told = number_in(&call, "\"revision\":");
+    const uint64_t reported = number_in(&call, "\"revision\":");
     watched->answers += call.code == 200;
-    if (call.code == 200 && told < known)
-        wrong(watched, reader, "the configuration", told, known);
+    if (call.code == 200 && reported < known)
+        wrong(watched, reader, "the configuration", reported, known);
 }
 
 /* A refusal tells what is in force. */
@@ -81,10 +81,10 @@
     const uint64_t known = watched->acknowledged;
     const HttpCall call =
         ask(loop, mem, reader->address, "PATCH", "/v1/config?base=0&revision=1", "{\"note\":\"never\"}");
-    const uint64_t told = number_in(&call, "\"current\":");
+    const uint64_t reported = number_in(&call, "\"current\":");
     watched->answers += call.code == 409;
-    if (call.code == 200 || (call.code == 409 && told < known))
-        wrong(watched, reader, "a refusal", told, known);
+    if (call.code == 200 || (call.code == 409 && reported < known))
+        wrong(watched, reader, "a refusal", reported, known);
 }
 
 static void read_job(const Reader *reader, Loop *loop, void *mem)
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -31,7 +31,7 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static void tell(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
+static void notify(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
     Record change = {.change = kind, .index = ++stand->index, .at_ms = loop_now_ms(stand->loop)};
@@ -56,7 +56,7 @@
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
                                .room = {cpu_milli, 262144, 0}};
-        tell(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        notify(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
         const HeartbeatAsk heartbeat = {.agent = worker.name,
                                         .incarnation = 1,
                                         .number = 1,
@@ -88,7 +88,7 @@
                          .steps = &step,
                          .steps_count = 1},
                         {.stretch_milli = 2000, .target_ms = 2000, .kind = "std"}};
-    tell(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+    notify(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
 }
 
 static Pass *pass(Stand *stand)
@@ -107,7 +107,7 @@
         more = one->places.placements_count;
         placed += more;
         if (more > 0)
-            tell(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
+            notify(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
         talloc_free(one);
     }
     return placed;
@@ -204,7 +204,7 @@
     stand->config = config_read(stand, CONFIG, strlen(CONFIG), 1, faults);
     stand->scheduler = scheduler_of(stand, bounds);
     const ConfigSet set = {.version = 1, .text = CONFIG};
-    tell(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
+    notify(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
     workers_add(stand, WORKERS * times, 64000);
     return stand;
 }
@@ -229,7 +229,7 @@
         passes += seconds() - start;
         starts += one->places.placements_count;
         if (one->places.placements_count > 0)
-            tell(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
+            notify(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
         talloc_free(one);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", WORKERS * times, running, waiting,
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -102,7 +102,7 @@
     } else if (strcmp(line->what, "resumed") == 0) {
         checker_resumed(checker, line->who, line->job, line->task, line->attempt, line->more);
     } else if (strcmp(line->what, "told") == 0) {
-        checker_told(checker, line->who, line->job, line->task, line->attempt);
+        checker_notified(checker, line->who, line->job, line->task, line->attempt);
     } else if (strcmp(line->what, "sent") == 0) {
         checker_sent(checker, line->job);
     } else if (strcmp(line->what, "gone") == 0) {
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -25,7 +25,7 @@
     /* The attempt that starts next goes on from a checkpoint. */
     void (*resumed)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, const char *saved);
     /* It has heard that the attempt is to stop. */
-    void (*told)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt);
+    void (*reported)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt);
 } StandWorkerWatch;
 
 typedef struct StandWorkerSettings {
--- a/packages/standin/src/caller.c
+++ b/packages/standin/src/caller.c
@@ -81,7 +81,7 @@
     return submitted;
 }
 
-static void submit_told(const Following *following, Submitted submitted, int code)
+static void submit_notified(const Following *following, Submitted submitted, int code)
 {
     const CallerWatch *watch = &following->caller->settings.watch;
     if (submitted == SUBMITTED_TAKEN && watch->accepted != NULL)
@@ -103,7 +103,7 @@
             job->accepted_ms = loop_now_ms(caller->loop);
         if (submitted == SUBMITTED_REFUSED)
             job->refused = true;
-        submit_told(following, submitted, code);
+        submit_notified(following, submitted, code);
         if (submitted != SUBMITTED_UNCLEAR)
             return submitted == SUBMITTED_TAKEN;
         loop_sleep(caller->loop, 200 + (int64_t)draw(caller, 200));
@@ -117,7 +117,7 @@
     Following *following = arg;
     int code;
     const Submitted submitted = submit_once(following, &code);
-    submit_told(following, submitted, code);
+    submit_notified(following, submitted, code);
     talloc_free(following);
 }
 
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -38,9 +38,9 @@
                 (uint64_t)json_int_of(one, "round", 0));
     if (run == NULL || run->ended)
         return;
-    if (worker->settings.watch.told != NULL)
-        worker->settings.watch.told(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                    run->attempt);
+    if (worker->settings.watch.reported != NULL)
+        worker->settings.watch.reported(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
+                                        run->attempt);
     run_end(run, ATTEMPT_STOPPED);
 }
 
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -170,7 +170,7 @@
         place(&b, "j", FIRST, 1, 1, "w", "");
         AttemptId id = {"j", 0, 1};
         const StopList list = {&id, 1, "pushed"};
-        tell(&b, CHANGE_STOP, &StopList_shape, &list);
+        notify(&b, CHANGE_STOP, &StopList_shape, &list);
         assert_int_equal(job->tasks[0].phase, TASK_STOPPING);
         if (by_update)
             say(&b, "j", 0, 1, "w", ATTEMPT_LAPSED, "");
@@ -287,8 +287,8 @@
             say(&b, "j", NUMBERS[i], 1, "w", (AttemptWord)word, "x");
         AttemptId id = {"j", NUMBERS[i], 0};
         const StopList list = {&id, 1, ""};
-        tell(&b, CHANGE_STOP, &StopList_shape, &list);
-        tell(&b, CHANGE_ASSURE, &StopList_shape, &list);
+        notify(&b, CHANGE_STOP, &StopList_shape, &list);
+        notify(&b, CHANGE_ASSURE, &StopList_shape, &list);
     }
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
     assert_int_equal(job->tasks[0].attempt, 0);
--- a/packages/state/test/board.h
+++ b/packages/state/test/board.h
@@ -22,7 +22,7 @@
 } Board;
 
 /* Packs the body and delivers it as one change. */
-static inline ChangeResult tell(Board *board, ChangeKind kind, const Shape *shape, const void *body)
+static inline ChangeResult notify(Board *board, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
     Record change = {.change = kind, .index = ++board->index, .at_ms = board->at_ms};
@@ -49,7 +49,7 @@
 static inline const Job *job_add(Board *board, const JobSpec *spec, JobTerms terms)
 {
     const JobAdd add = {*spec, terms};
-    assert_int_equal(tell(board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OK);
+    assert_int_equal(notify(board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OK);
     return table_job(board->table, spec->id);
 }
 
@@ -62,7 +62,7 @@
         places[i] = (Placement){
             .job = job, .task = tasks[i], .attempt = attempt, .worker = worker, .incarnation = 1, .saved = saved};
     const PlaceList list = {places, count};
-    const ChangeResult result = tell(board, CHANGE_PLACE, &PlaceList_shape, &list);
+    const ChangeResult result = notify(board, CHANGE_PLACE, &PlaceList_shape, &list);
     talloc_free(places);
     return result.number;
 }
@@ -74,20 +74,20 @@
     AttemptUpdate updates = {
         .job = job, .task = task, .attempt = attempt, .worker = worker, .word = word, .text = "", .saved = saved};
     const AttemptList list = {&updates, 1};
-    tell(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
+    notify(board, CHANGE_ATTEMPTS, &AttemptList_shape, &list);
 }
 
 /* The worker is lost with all that is on it. */
 static inline void lose(Board *board, const char *worker)
 {
     const WorkerLost lost = {worker, UINT64_MAX};
-    tell(board, CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
+    notify(board, CHANGE_WORKER_LOST, &WorkerLost_shape, &lost);
 }
 
 static inline ChangeResult cancel(Board *board, const char *job)
 {
     const JobCancel body = {job};
-    return tell(board, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
+    return notify(board, CHANGE_JOB_CANCEL, &JobCancel_shape, &body);
 }
 
 /* Saves and loads the state; pointers to jobs are invalid then. */
--- a/packages/state/test/gangs.c
+++ b/packages/state/test/gangs.c
@@ -177,7 +177,7 @@
     assert_int_equal(job->tasks[0].phase, TASK_WAITING);
     assert_int_equal(table_oldest_ms(b.table), b.at_ms);
     const Forget forget = {b.at_ms + 1};
-    tell(&b, CHANGE_FORGET, &Forget_shape, &forget);
+    notify(&b, CHANGE_FORGET, &Forget_shape, &forget);
     assert_int_equal(table_oldest_ms(b.table), INT64_MAX);
     talloc_free(b.table);
 }
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -75,7 +75,7 @@
     assert_int_equal(job->terms.attempt_limit, 4);
     spec.period_ms++;
     const JobAdd add = {spec, first};
-    assert_int_equal(tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
+    assert_int_equal(notify(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
     again(&b);
     job = table_job(b.table, "j");
     assert_string_equal(job->terms.kind, "std");
@@ -158,7 +158,7 @@
                 STEPS[0].gang = (id[1] & 1) != 0;
                 spec.lasting = id[1] == '7';
                 const JobAdd add = {spec, {.attempt_limit = 2}};
-                tell(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+                notify(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add);
                 break;
             }
             case 2:
@@ -171,7 +171,7 @@
                 break;
             case 4: {
                 const Forget forget = {b.at_ms - 2000};
-                tell(&b, CHANGE_FORGET, &Forget_shape, &forget);
+                notify(&b, CHANGE_FORGET, &Forget_shape, &forget);
                 assert_true(table_oldest_ms(b.table) >= forget.before_ms);
                 break;
             }
@@ -209,7 +209,7 @@
     b.at_ms = 3000, cancel(&b, "j0");
     assert_int_equal(table_oldest_ms(b.table), 2000);
     const Forget forget = {3000};
-    assert_int_equal(tell(&b, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
+    assert_int_equal(notify(&b, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
     assert_null(table_job(b.table, "j2"));
     assert_non_null(table_job(b.table, "j0"));
     Job *const *jobs;
@@ -338,7 +338,7 @@
     static const char *const NAMES[] = {"m", "z", "a", "q", "m", "b"};
     for (size_t i = 0; i < 6; i++) {
         const Worker worker = {.name = NAMES[i], .zone = i == 4 ? "new" : "old"};
-        tell(&b, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        notify(&b, CHANGE_WORKER_SET, &Worker_shape, &worker);
     }
     again(&b);
     const Worker **list;
--- a/packages/state/test/zones.c
+++ b/packages/state/test/zones.c
@@ -15,7 +15,7 @@
 
 static Status take(Board *b, ZoneDrain drain)
 {
-    return tell(b, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain).status;
+    return notify(b, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain).status;
 }
 
 static DrainKnown known(const Board *b, const char *name, int64_t base)
--- a/packages/wire/include/wire/kinds.h
+++ b/packages/wire/include/wire/kinds.h
@@ -15,7 +15,7 @@
     X(INSTALL_SNAPSHOT, 8, "fill", false) /* view: snapshot installation */                                    \
     X(LOG, 9, "log", false)               /* view: give me your log from here */                               \
     X(HEARTBEAT, 10, "beat", false)       /* heartbeat: heartbeat of an agent, answered with a lease */        \
-    X(TELL, 11, "tell", false)            /* heartbeat: agent to leader: attempts started, finished */         \
+    X(NOTIFY, 11, "tell", false)          /* heartbeat: agent to leader: attempts started, finished */         \
     X(FETCH, 12, "fetch", false)          /* heartbeat: agent to leader: orders, by long poll */               \
     X(CONFIG_WATCH, 13, "feed", false)    /* feed: entry point to leader: configuration, by long poll */       \
     X(FORWARD, 14, "forward", false)      /* feed: entry point to leader: a request of a caller */             \
--- a/src/operate.c
+++ b/src/operate.c
@@ -157,7 +157,7 @@
     return order_end(order, code == EXIT_GOOD ? print_json(order->text) : code);
 }
 
-int order_tell(const Order *order, int code, void (*print)(json_object *body))
+int order_notify(const Order *order, int code, void (*print)(json_object *body))
 {
     json_object *body = code == EXIT_GOOD && !order->flags.json ? json_tokener_parse(order->text) : NULL;
     if (code == EXIT_GOOD && json_object_is_type(body, json_type_object))
--- a/src/operate.h
+++ b/src/operate.h
@@ -2,8 +2,8 @@
 #define SRC_OPERATE_H
 
 /* What the commands that ask an entry point share (job, config, zone, status, trace, policy): each takes its words and
- * flags by order_take, sends a request by order_ask and ends with order_print or order_tell. Functions that return int
- * return an exit code (options.h) and have printed why where it is not EXIT_GOOD. */
+ * flags by order_take, sends a request by order_ask and ends with order_print or order_notify. Functions that return
+ * int return an exit code (options.h) and have printed why where it is not EXIT_GOOD. */
 
 #include <json-c/json.h>
 #include <stdbool.h>
@@ -36,7 +36,7 @@
     const Verb *verb;
     const char *words[ORDER_WORDS_MAX];
     Flags flags;
-    void *mem;        /* talloc parent of all that the command allocates; order_print and order_tell free it */
+    void *mem;        /* talloc parent of all that the command allocates; order_print and order_notify free it */
     const char *text; /* the entry point's result, once order_ask gave EXIT_GOOD */
 } Order;
 
@@ -52,7 +52,7 @@
 /* Prints the result as JSON if code is EXIT_GOOD, and ends the order; returns code. */
 int order_print(const Order *order, int code);
 /* The same, but without --json it prints by print; a result that is not a JSON object is printed as it is. */
-int order_tell(const Order *order, int code, void (*print)(json_object *body));
+int order_notify(const Order *order, int code, void (*print)(json_object *body));
 
 /* A member of an object; null: there is none. It belongs to the object. */
 json_object *reply_member(json_object *object, const char *key);
--- a/src/policy.c
+++ b/src/policy.c
@@ -37,5 +37,5 @@
     static const Verb VERBS[] = {{"show", 1}, {"try", 1}, {NULL, 0}};
     Order order;
     const int code = order_take(&order, "policy", "show --cell C | try --cell C --file F", VERBS, argc, argv);
-    return order_tell(&order, code == EXIT_GOOD ? policy_ask(&order) : code, print_policy);
+    return order_notify(&order, code == EXIT_GOOD ? policy_ask(&order) : code, print_policy);
 }
--- a/src/standins.c
+++ b/src/standins.c
@@ -64,7 +64,7 @@
     record_run(arg, "resumed", worker, job, task, attempt, saved);
 }
 
-static void on_told(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
+static void on_notified(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt)
 {
     record_run(arg, "told", worker, job, task, attempt, "");
 }
@@ -139,7 +139,7 @@
                        .labels_count = label != NULL,
                        .room = {(uint64_t)controllers * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
-            .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_told},
+            .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified},
             .fails_all = fails_all != 0,
             .slow_times = slow,
         };
--- a/src/status.c
+++ b/src/status.c
@@ -70,5 +70,5 @@
     int code = order_take(&order, "status", "no words, only flags", VERBS, argc, argv);
     if (code == EXIT_GOOD)
         code = order_ask(&order, "GET", "/v1/status", (Bytes){0});
-    return order_tell(&order, code, print_status);
+    return order_notify(&order, code, print_status);
 }
--- a/src/trace.c
+++ b/src/trace.c
@@ -27,5 +27,5 @@
     if (code == EXIT_GOOD)
         code = order_ask(&order, "GET",
                          talloc_asprintf(order.mem, "/v1/trace?key=%s:%s", order.words[0], order.words[1]), (Bytes){0});
-    return order_tell(&order, code, print_trace);
+    return order_notify(&order, code, print_trace);
 }
