--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -68,9 +68,9 @@
 #define HELLO_REST_MS 2000      /* ms; ... for a member that the leader answers anyway; half of MEMBER_QUIET_MS */
 #define MEMBER_QUIET_MS 4000    /* ms; a member not heard of for this long counts as silent */
 #define MEMBER_FORGET_MS 600000 /* ms; a silent member is dropped from the table: ten minutes of absence */
-#define SIGHT_MS 2000           /* ms; a controller asks every member once in this; those that answer it can reach */
-#define SIGHT_MARGIN 3          /* count; a voter that reaches so many more members is the better leader ... */
-#define SIGHT_HAND_MS 2000      /* ms; ... when it has been so for this long */
+#define REACH_MS 2000           /* ms; a controller asks every member once in this; those that answer it can reach */
+#define REACH_MARGIN 3          /* count; a voter that reaches so many more members is the better leader ... */
+#define REACH_HANDOVER_MS 2000  /* ms; ... when it has been so for this long */
 #define MEMBERS_MAX 512         /* count; bound on a table sent by a peer: ten times today's sizes */
 #define FOUND_WAIT_MS 1500      /* ms; three empty disks must see each other so long before they found a cluster */
 #define VOTE_WAIT_MS 600        /* ms; a founder proposes itself so long after its start: others have started by then */
--- a/packages/controller/src/own_address.c
+++ b/packages/controller/src/own_address.c
@@ -38,7 +38,7 @@
     show_metric(task, "journalBegunAnew", replication.journal.begun_anew);
     show_metric(task, "lastSyncMs", replication.journal.last_sync_ms);
     show_metric(task, "worstSyncMs", replication.journal.worst_sync_ms);
-    show_metric(task, "sight", (int64_t)members_sight(controller->members));
+    show_metric(task, "sight", (int64_t)members_reach(controller->members));
     show_metric(task, "planHolds", scheduler_plan(controller->scheduler)->possible);
     alert_metrics(controller, task);
     Job *const *jobs;
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -77,7 +77,7 @@
         json_object_object_add(one, "woke", json_object_new_boolean(replication->voters[i].woke));
         json_object_object_add(one, "syncMs", number_of(replication->voters[i].sync_ms));
         json_object_object_add(one, "index", number_of((int64_t)replication->voters[i].match_index));
-        json_object_object_add(one, "sight", number_of((int64_t)replication->voters[i].sight));
+        json_object_object_add(one, "sight", number_of((int64_t)replication->voters[i].reach));
         json_object_object_add(one, "behind", behind_of(replication, replication->voters[i].match_index));
         json_object_array_add(list, one);
     }
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -79,7 +79,7 @@
 bool member_quiet(const Member *member, int64_t now_ms);
 /* How many members, with this process, have answered it within MEMBER_QUIET_MS. Controllers only: others
  * do not ask everybody. */
-size_t members_sight(const Members *members);
+size_t members_reach(const Members *members);
 /* The process to be asked, so that no other at its address carries the request out. */
 PeerLife member_peer(const MemberRecord *record);
 
--- a/packages/member/src/gossip.c
+++ b/packages/member/src/gossip.c
@@ -53,7 +53,7 @@
     }
 }
 
-/* A controller asks every member within SIGHT_MS, each in a task of its own, so that one that does not
+/* A controller asks every member within REACH_MS, each in a task of its own, so that one that does not
  * answer delays nobody. */
 static void look_main(void *arg)
 {
@@ -63,7 +63,7 @@
         const Member *row = &table->rows[at % table->count];
         if (!table_is_self(members, &row->record) && !member_quiet(row, loop_now_ms(members->loop)))
             hello_spawn(members, row->record.address);
-        loop_sleep(members->loop, SIGHT_MS / (int64_t)(table->count > SIGHT_MS ? SIGHT_MS : table->count));
+        loop_sleep(members->loop, REACH_MS / (int64_t)(table->count > REACH_MS ? REACH_MS : table->count));
     }
 }
 
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -11,7 +11,7 @@
     return now_ms - member->seen_ms > MEMBER_QUIET_MS;
 }
 
-size_t members_sight(const Members *members)
+size_t members_reach(const Members *members)
 {
     const int64_t now_ms = loop_now_ms(members->loop);
     size_t count = 0;
--- a/packages/replication/include/replication/messages.h
+++ b/packages/replication/include/replication/messages.h
@@ -65,7 +65,7 @@
     X(LST, configuration_members, DiskId)                                                      \
     X(I64, wall_ms, 0)                                                                         \
     X(I64, sync_ms, 0)             /* how long its last sync took */                           \
-    X(U64, sight, 0)               /* how many members have answered it of late */             \
+    X(U64, reach, 0)               /* how many members have answered it of late */             \
     X(U64, snapshot_bytes_here, 0) /* bytes that it has of a snapshot that arrives in pieces */
 SHAPE(VoterAnswer, VOTER_ANSWER_FIELDS)
 
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -165,7 +165,7 @@
     bool woke;
     int64_t sync_ms; /* how long its last sync took */
     uint64_t match_index;
-    uint64_t sight; /* how many members it reaches */
+    uint64_t reach; /* how many members it reaches */
 } ReplicationVoterStatus;
 
 /* A learner; known to the leader alone. */
@@ -194,7 +194,7 @@
     uint64_t other_histories; /* orders to drop what is committed, all refused */
 } ReplicationStatus;
 
-void replication_status(const Replication *replication, ReplicationStatus *sight);
+void replication_status(const Replication *replication, ReplicationStatus *reach);
 /* For log lines, at any time, also before the disk is open: the term that this node is in, and up to which
  * index it knows the log to be committed. */
 void replication_place(const Replication *replication, uint64_t *term, uint64_t *commit_index);
--- a/packages/replication/src/lead.c
+++ b/packages/replication/src/lead.c
@@ -39,5 +39,5 @@
     peer->wall_ms = answer->wall_ms;
     peer->wall_at_ms = peer->answered_ms;
     peer->sync_ms = answer->sync_ms;
-    peer->sight = answer->sight;
+    peer->reach = answer->reach;
 }
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -22,7 +22,7 @@
         .configuration_members_count = replication->last.members_count,
         .wall_ms = loop_wall_ms(replication->loop),
         .sync_ms = journal_counts(replication->journal)->last_sync_ms,
-        .sight = members_sight(replication->settings.members),
+        .reach = members_reach(replication->settings.members),
         .snapshot_bytes_here = snapshot_piece_count(replication),
     };
     answer->configuration_members = talloc_array(mem, DiskId, (unsigned)replication->last.members_count);
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -31,7 +31,7 @@
     uint64_t promised;   /* the term that it had promised then */
     bool woke;           /* it restarted, and no view has brought it up to date since */
     int64_t sync_ms;     /* how long its last sync took */
-    uint64_t sight;      /* how many members it reaches */
+    uint64_t reach;      /* how many members it reaches */
     int64_t wall_ms;     /* its wall clock ... */
     int64_t wall_at_ms;  /* ... at this time of the own loop; 0: not known yet */
     /* membership of the view */
--- a/packages/replication/src/status.c
+++ b/packages/replication/src/status.c
@@ -12,18 +12,18 @@
 }
 
 /* The learners, and how many losses are borne and asked for. */
-static void voters_sight(const Replication *replication, ReplicationStatus *sight)
+static void voters_reach(const Replication *replication, ReplicationStatus *reach)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     Look look;
     look_take(replication, 0, &look);
-    sight->losses_borne = membership_bears(look.voters, look.now.voter_count);
-    sight->losses_asked = (int)(voters_wanted(replication) / 2);
+    reach->losses_borne = membership_bears(look.voters, look.now.voter_count);
+    reach->losses_asked = (int)(voters_wanted(replication) / 2);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         const Peer *peer = &replication->peers[VOTER_MOST + i];
         if (replication->learners[i].disk == 0)
             continue;
-        sight->learners[sight->learner_count++] =
+        reach->learners[reach->learner_count++] =
             (ReplicationLearnerStatus){.disk = replication->learners[i].disk,
                                        .answers = now_ms - peer->answered_ms < LOCK_GRANT_MS,
                                        .ready = learner_ready(replication, i),
@@ -32,7 +32,7 @@
 }
 
 /* The voters, the own one included. */
-static void places_sight(const Replication *replication, ReplicationStatus *sight)
+static void places_reach(const Replication *replication, ReplicationStatus *reach)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     for (int i = 0; i < VOTER_MOST; i++) {
@@ -40,34 +40,34 @@
         const bool self = replication->voters[i] == replication->disk;
         if (replication->voters[i] == 0)
             continue;
-        sight->voters[sight->voter_count++] = (ReplicationVoterStatus){
+        reach->voters[reach->voter_count++] = (ReplicationVoterStatus){
             .disk = replication->voters[i],
             .in_configuration = replication->in_configuration[i],
             .answers = self || now_ms - peer->answered_ms < LOCK_GRANT_MS,
             .woke = self ? replication->woke : peer->woke,
-            .sync_ms = self ? sight->journal.last_sync_ms : peer->sync_ms,
+            .sync_ms = self ? reach->journal.last_sync_ms : peer->sync_ms,
             .match_index = self ? replication->synced_index : peer->match_index,
-            .sight = self ? members_sight(replication->settings.members) : peer->sight,
+            .reach = self ? members_reach(replication->settings.members) : peer->reach,
         };
     }
 }
 
-void replication_status(const Replication *replication, ReplicationStatus *sight)
+void replication_status(const Replication *replication, ReplicationStatus *reach)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     const int64_t until_ms = lock_lease_until(&replication->lease);
-    memset(sight, 0, sizeof(*sight));
-    sight->phase = replication->phase;
-    replication_place(replication, &sight->term, &sight->commit_index);
-    sight->holder = replication->lock.holder;
-    sight->woke = replication->woke;
-    sight->last_index = log_last_index(replication->log);
-    sight->delivered_index = replication->delivered_index;
-    sight->base_index = replication->log->base_index;
-    sight->lease_left_ms = replication->holding && until_ms > now_ms ? until_ms - now_ms : 0;
-    sight->configuration_changes = replication->configuration_changes;
-    sight->other_histories = replication->other_histories;
-    sight->journal = *journal_counts(replication->journal);
-    places_sight(replication, sight);
-    voters_sight(replication, sight);
+    memset(reach, 0, sizeof(*reach));
+    reach->phase = replication->phase;
+    replication_place(replication, &reach->term, &reach->commit_index);
+    reach->holder = replication->lock.holder;
+    reach->woke = replication->woke;
+    reach->last_index = log_last_index(replication->log);
+    reach->delivered_index = replication->delivered_index;
+    reach->base_index = replication->log->base_index;
+    reach->lease_left_ms = replication->holding && until_ms > now_ms ? until_ms - now_ms : 0;
+    reach->configuration_changes = replication->configuration_changes;
+    reach->other_histories = replication->other_histories;
+    reach->journal = *journal_counts(replication->journal);
+    places_reach(replication, reach);
+    voters_reach(replication, reach);
 }
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -10,21 +10,21 @@
 
 /* The paper's best partition is the largest one. Any leader reaches a majority of the voters, but it
  * may be cut off from other members: when a voter of the view has reached many more of them for
- * SIGHT_HAND_MS, it is the better leader. */
+ * REACH_HANDOVER_MS, it is the better leader. */
 static bool replication_blind(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    const uint64_t own = members_sight(replication->settings.members);
+    const uint64_t own = members_reach(replication->settings.members);
     bool blind = false;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->in_configuration[i] && replication->voters[i] != replication->disk &&
             now_ms - replication->peers[i].answered_ms < LOCK_GRANT_MS)
-            blind |= replication->peers[i].sight > own + SIGHT_MARGIN && replication->peers[i].sight > own + own / 2;
+            blind |= replication->peers[i].reach > own + REACH_MARGIN && replication->peers[i].reach > own + own / 2;
     if (!blind || now_ms - replication->won_ms < MEMBER_QUIET_MS)
         replication->blind_since_ms = 0;
     else if (replication->blind_since_ms == 0)
         replication->blind_since_ms = now_ms;
-    return replication->blind_since_ms != 0 && now_ms - replication->blind_since_ms > SIGHT_HAND_MS;
+    return replication->blind_since_ms != 0 && now_ms - replication->blind_since_ms > REACH_HANDOVER_MS;
 }
 
 /* Whether this voter knows no leader, and may be one itself. */
--- a/packages/sim/src/servable.c
+++ b/packages/sim/src/servable.c
@@ -22,11 +22,11 @@
         const FleetNode *node = &fleet->nodes[FLEET_CONTROLLER][i];
         if (!runs(fleet, node) || node->controller == NULL)
             continue;
-        ReplicationStatus sight;
-        replication_status(controller_view(node->controller), &sight);
-        if (count > 0 && sight.commit_index <= furthest)
+        ReplicationStatus reach;
+        replication_status(controller_view(node->controller), &reach);
+        if (count > 0 && reach.commit_index <= furthest)
             continue;
-        furthest = sight.commit_index;
+        furthest = reach.commit_index;
         count = replication_voters(controller_view(node->controller), voters);
     }
     return count;
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -195,9 +195,9 @@
     assert_int_equal(orders.appended, STATUS_OTHER_HISTORY);
     assert_int_equal(replication->commit_index, index);
     assert_int_equal(log_at(replication->log, index)->term, term);
-    ReplicationStatus sight;
-    replication_status(replication, &sight);
-    assert_int_equal(sight.other_histories, 2);
+    ReplicationStatus reach;
+    replication_status(replication, &reach);
+    assert_int_equal(reach.other_histories, 2);
     assert_non_null(
         strstr(recorder_text(fleet_node(fleet, FLEET_CONTROLLER, controller)->recorder, fleet), "other-history"));
     talloc_free(fleet);
@@ -255,9 +255,9 @@
         fleet_run(fleet, 3000);
         assert_true(runs(fleet, controller));
         const Replication *replication = replication_of(fleet, controller);
-        ReplicationStatus sight;
-        replication_status(replication, &sight);
-        assert_true(sight.journal.begun_anew && replication_disk(replication) != before);
+        ReplicationStatus reach;
+        replication_status(replication, &reach);
+        assert_true(reach.journal.begun_anew && replication_disk(replication) != before);
         assert_false(replication_founded(replication));
         assert_int_equal(log_last_index(replication->log), 0);
         assert_int_equal(replication->lock.promised, 0);
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -60,11 +60,11 @@
 /* Voters in the leader's view. */
 static size_t in_configuration(Fleet *fleet)
 {
-    ReplicationStatus sight;
+    ReplicationStatus reach;
     size_t count = 0;
-    replication_status(replication_of(fleet, fleet_leader(fleet)), &sight);
-    for (size_t i = 0; i < sight.voter_count; i++)
-        count += sight.voters[i].in_configuration;
+    replication_status(replication_of(fleet, fleet_leader(fleet)), &reach);
+    for (size_t i = 0; i < reach.voter_count; i++)
+        count += reach.voters[i].in_configuration;
     return count;
 }
 
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -35,15 +35,15 @@
     fleet_run(fleet, 120000);
     const int leader = fleet_leader(fleet);
     assert_true(leader >= 0);
-    ReplicationStatus sight;
-    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &sight);
-    assert_true(sight.journal.rewrites > 0 && sight.base_index > 0);
+    ReplicationStatus reach;
+    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &reach);
+    assert_true(reach.journal.rewrites > 0 && reach.base_index > 0);
     fleet_start_node(fleet, FLEET_CONTROLLER, away);
     fleet_run(fleet, 20000);
     ReplicationStatus back;
     replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, away)->controller), &back);
-    assert_true(back.base_index >= sight.base_index); /* filled from a snapshot */
-    assert_true(back.delivered_index > sight.delivered_index);
+    assert_true(back.base_index >= reach.base_index); /* filled from a snapshot */
+    assert_true(back.delivered_index > reach.delivered_index);
     assert_false(back.woke);
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
@@ -59,8 +59,8 @@
         }
     }
     print_message("after %d minutes: leader %zu, gate %zu, agent %zu KB; journal %zu KB in %zu rewrites; %zu starts\n",
-                  (int)minutes, worst[0] / 1024, worst[1] / 1024, worst[2] / 1024, (size_t)sight.journal.bytes / 1024,
-                  (size_t)sight.journal.rewrites, checker_starts(fleet->checker));
+                  (int)minutes, worst[0] / 1024, worst[1] / 1024, worst[2] / 1024, (size_t)reach.journal.bytes / 1024,
+                  (size_t)reach.journal.rewrites, checker_starts(fleet->checker));
     for (int i = 0; i < 3 && minutes > 70; i++)
         assert_true(worst[i] < settled[i] + settled[i] / 4);
     assert_true(fleet_finish(fleet, 60000));
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -60,11 +60,11 @@
     const int leader = fleet_leader(fleet);
     if (leader < 0)
         return 0;
-    ReplicationStatus sight;
+    ReplicationStatus reach;
     size_t count = 0;
-    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &sight);
-    for (size_t i = 0; i < sight.voter_count; i++)
-        count += sight.voters[i].in_configuration;
+    replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &reach);
+    for (size_t i = 0; i < reach.voter_count; i++)
+        count += reach.voters[i].in_configuration;
     return count;
 }
 
@@ -215,22 +215,22 @@
 
 static void voters_show(Fleet *fleet)
 {
-    ReplicationStatus sight;
+    ReplicationStatus reach;
     for (int c = 0; c < fleet->node_count[FLEET_CONTROLLER]; c++) {
         const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, c);
         if (!node->up || node->controller == NULL)
             continue;
-        replication_status(controller_view(node->controller), &sight);
+        replication_status(controller_view(node->controller), &reach);
         fprintf(stderr, "%s disk %llx phase %d epoch %llx last %llu commit %llu delivered %llu base %llu\n",
                 node->settings.name, (unsigned long long)replication_disk(controller_view(node->controller)),
-                (int)sight.phase, (unsigned long long)sight.term, (unsigned long long)sight.last_index,
-                (unsigned long long)sight.commit_index, (unsigned long long)sight.delivered_index,
-                (unsigned long long)sight.base_index);
-        for (size_t i = 0; i < sight.voter_count && sight.phase == REPLICATION_LEADING; i++)
+                (int)reach.phase, (unsigned long long)reach.term, (unsigned long long)reach.last_index,
+                (unsigned long long)reach.commit_index, (unsigned long long)reach.delivered_index,
+                (unsigned long long)reach.base_index);
+        for (size_t i = 0; i < reach.voter_count && reach.phase == REPLICATION_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
-                    (unsigned long long)sight.voters[i].disk, sight.voters[i].in_configuration, sight.voters[i].answers,
-                    sight.voters[i].woke, (long)sight.voters[i].sync_ms,
-                    (unsigned long long)sight.voters[i].match_index);
+                    (unsigned long long)reach.voters[i].disk, reach.voters[i].in_configuration, reach.voters[i].answers,
+                    reach.voters[i].woke, (long)reach.voters[i].sync_ms,
+                    (unsigned long long)reach.voters[i].match_index);
     }
 }
 
