--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -17,9 +17,9 @@
 
 bool controller_ready(const Controller *controller)
 {
-    return !controller->leaving &&
-           (replication_leading(controller->replication) ? !controller->repairing
-                                                         : ways_serve(forwarder_ways(controller->forwarder)));
+    return !controller->leaving && (replication_leading(controller->replication)
+                                        ? !controller->repairing
+                                        : leader_paths_serve(forwarder_leader_paths(controller->forwarder)));
 }
 
 QueueClock controller_clock(const Controller *controller)
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -114,7 +114,7 @@
 
 bool entry_point_ready(const EntryPoint *entry_point)
 {
-    return !entry_point->leaving && ways_serve(forwarder_ways(entry_point->forwarder));
+    return !entry_point->leaving && leader_paths_serve(forwarder_leader_paths(entry_point->forwarder));
 }
 
 /* --- peers' questions ------------------------------------------------------------------- */
@@ -197,7 +197,7 @@
     entry_point->trace = trace_new(entry_point, loop, entry_point->rpc, entry_point->members, settings->name);
     entry_point->forwarder = entry_point_forwarder(entry_point, &settings->bounds);
     entry_point->config_watch = config_watch_new(entry_point, loop, entry_point->rpc,
-                                                 forwarder_ways(entry_point->forwarder), entry_point->trace);
+                                                 forwarder_leader_paths(entry_point->forwarder), entry_point->trace);
     rpc_handle(entry_point->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, entry_point);
--- a/packages/routing/include/routing/config_watch.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -23,7 +23,7 @@
 typedef bool (*ConfigWatchFn)(void *arg);
 
 /* Lives on mem; loop, RPC endpoint, ways and trace outlive it. */
-ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace);
+ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, LeaderPaths *leader_paths, Trace *trace);
 /* Begins to ask. arg is handed to wanted. */
 void config_watch_start(ConfigWatch *config_watch, ConfigWatchFn wanted, void *arg);
 /* The newest version that is known; 0: none. */
--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -29,7 +29,7 @@
     RepairBuffer *repair_buffer; /* repair buffer for what was committed */
     Trace *trace;                /* null: nothing is traced */
     /* Controllers: whether this one leads, and how it answers then. Null elsewhere. */
-    WaysLeads leads;
+    LeaderPathsLeads leads;
     ForwardServe serve;
     void *arg;              /* of leads and serve */
     int64_t leader_wait_ms; /* from the leader's loss, a request that nobody can have taken waits so long for another */
@@ -47,6 +47,6 @@
  * lives on mem. NOT_LEADER: this process has no direct route either. */
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 /* The route that the forwarder uses; it lives as long. */
-Ways *forwarder_ways(Forwarder *forwarder);
+LeaderPaths *forwarder_leader_paths(Forwarder *forwarder);
 
 #endif
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -21,7 +21,7 @@
     struct Attempt *prev, *next;
     Attempts *attempts;
     size_t users;
-    WaysTaken taken;
+    LeaderPathTaken taken;
     ForwardAsk ask;
     RpcSending sending;
     int64_t deadline_ms;
@@ -65,7 +65,7 @@
 {
     const AttemptSettings *settings = &attempt->attempts->settings;
     if (!attempt->taken.own)
-        ways_heard(settings->ways, &attempt->taken, outcome_leader_serves(&attempt->answer));
+        leader_paths_heard(settings->leader_paths, &attempt->taken, outcome_leader_serves(&attempt->answer));
     answer_trace(settings->trace, attempt->ask.method, &attempt->answer, took_ms);
     repair_buffer_keep(settings->repair_buffer, attempt->answer.repair_items, attempt->answer.repair_items_count);
     attempt->answer.repair_items_count = 0;
@@ -81,7 +81,7 @@
     if (attempt->status == STATUS_OK)
         attempt_answered(attempt, loop_now_ms(settings->loop) - start_ms);
     else
-        ways_notified(settings->ways, &attempt->answer);
+        leader_paths_notified(settings->leader_paths, &attempt->answer);
     attempt->done = true;
     signal_raise(settings->loop, &attempt->updates);
     attempt_leave(attempt);
@@ -99,10 +99,10 @@
  * first to see that asks whether the next hop is alive, for all. */
 static void whether_alive(Attempts *attempts, const Attempt *attempt)
 {
-    Ways *ways = attempts->settings.ways;
+    LeaderPaths *leader_paths = attempts->settings.leader_paths;
     attempts->pinging = true;
-    if (!ways_alive(ways, &attempt->taken))
-        ways_failed(ways, &attempt->taken);
+    if (!leader_paths_alive(leader_paths, &attempt->taken))
+        leader_paths_failed(leader_paths, &attempt->taken);
     attempts->pinging = false;
     attempts_wake(attempts);
 }
@@ -111,9 +111,10 @@
 static void wait_for(Attempts *attempts, Attempt *attempt, int64_t asked_ms)
 {
     Loop *loop = attempts->settings.loop;
-    const Ways *ways = attempts->settings.ways;
-    while (!attempt->done && ways_current(ways, &attempt->taken) && loop_now_ms(loop) < attempt->deadline_ms) {
-        int64_t heard_ms = ways_heard_ms(ways);
+    const LeaderPaths *leader_paths = attempts->settings.leader_paths;
+    while (!attempt->done && leader_paths_current(leader_paths, &attempt->taken) &&
+           loop_now_ms(loop) < attempt->deadline_ms) {
+        int64_t heard_ms = leader_paths_heard_ms(leader_paths);
         int64_t wake_ms = attempt->deadline_ms;
         if (heard_ms < asked_ms)
             heard_ms = asked_ms;
@@ -148,8 +149,8 @@
         attempt->next->prev = attempt->prev;
 }
 
-Status attempt_forward(Attempts *attempts, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
-                       ForwardAnswer *answer)
+Status attempt_forward(Attempts *attempts, void *mem, const LeaderPathTaken *taken, const ForwardAsk *ask,
+                       int64_t until_ms, ForwardAnswer *answer)
 {
     Loop *loop = attempts->settings.loop;
     Attempt *attempt = talloc_zero(attempts, Attempt);
--- a/packages/routing/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -13,7 +13,7 @@
 typedef struct AttemptSettings {
     Loop *loop;
     Rpc *rpc;
-    Ways *ways;
+    LeaderPaths *leader_paths;
     RepairBuffer *repair_buffer;
     Trace *trace;
     ForwardServe serve; /* answers here while this process leads; null: it never leads */
@@ -29,8 +29,8 @@
  * the answer lives on mem. Other results: EXPIRED, no answer before the deadline, or before
  * the route failed or was replaced; UNREACHABLE, the same, but the request had not been sent
  * and never will be; else the refusal of whoever was asked. */
-Status attempt_forward(Attempts *attempts, void *mem, const WaysTaken *taken, const ForwardAsk *ask, int64_t until_ms,
-                       ForwardAnswer *answer);
+Status attempt_forward(Attempts *attempts, void *mem, const LeaderPathTaken *taken, const ForwardAsk *ask,
+                       int64_t until_ms, ForwardAnswer *answer);
 /* Wakes all who wait, once the route has been replaced: their attempts end as EXPIRED or
  * UNREACHABLE. */
 void attempts_wake(Attempts *attempts);
--- a/packages/routing/src/config_watch.c
+++ b/packages/routing/src/config_watch.c
@@ -18,7 +18,7 @@
 struct ConfigWatch {
     Loop *loop;
     Rpc *rpc;
-    Ways *ways;
+    LeaderPaths *leader_paths;
     Trace *trace;
     ConfigWatchFn wanted;
     void *arg;
@@ -34,14 +34,14 @@
  * not waited for. */
 typedef struct ConfigWatchAsking {
     ConfigWatch *config_watch;
-    WaysTaken taken;
+    LeaderPathTaken taken;
     bool again; /* it has been answered along this route */
 } ConfigWatchAsking;
 
-ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, Ways *ways, Trace *trace)
+ConfigWatch *config_watch_new(void *mem, Loop *loop, Rpc *rpc, LeaderPaths *leader_paths, Trace *trace)
 {
     ConfigWatch *config_watch = talloc_zero(mem, ConfigWatch);
-    *config_watch = (ConfigWatch){.loop = loop, .rpc = rpc, .ways = ways, .trace = trace};
+    *config_watch = (ConfigWatch){.loop = loop, .rpc = rpc, .leader_paths = leader_paths, .trace = trace};
     config_watch->versions = versions_new(config_watch, CONFIG_WATCH_KEEP, CONFIG_WATCH_KEEP);
     config_watch->pieces.mem = config_watch;
     return config_watch;
@@ -114,7 +114,7 @@
 static Status ask_once(ConfigWatchAsking *asking)
 {
     ConfigWatch *config_watch = asking->config_watch;
-    const WaysTaken *taken = &asking->taken;
+    const LeaderPathTaken *taken = &asking->taken;
     void *mem = talloc_new(config_watch);
     const bool wanted = config_watch->wanted == NULL || config_watch->wanted(config_watch->arg);
     if (!asking->again)
@@ -127,7 +127,7 @@
                                        MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ask,
                                        CONFIG_WATCH_WAIT_MS + ASK_TIMEOUT_MS, &ConfigWatchAnswer_shape, &answer);
     if (status == STATUS_OK) {
-        ways_heard(config_watch->ways, taken, !answer.waits);
+        leader_paths_heard(config_watch->leader_paths, taken, !answer.waits);
         if (wanted)
             learn(config_watch, mem, &answer);
         asking->again = true;
@@ -149,10 +149,10 @@
 {
     ConfigWatchAsking *asking = arg;
     ConfigWatch *config_watch = asking->config_watch;
-    while (!loop_stopping(config_watch->loop) && ways_current(config_watch->ways, &asking->taken)) {
+    while (!loop_stopping(config_watch->loop) && leader_paths_current(config_watch->leader_paths, &asking->taken)) {
         const int64_t asked_ms = loop_now_ms(config_watch->loop);
         if (ask_once(asking) != STATUS_OK)
-            ways_failed(config_watch->ways, &asking->taken);
+            leader_paths_failed(config_watch->leader_paths, &asking->taken);
         if (pieces_begun(&config_watch->pieces))
             piece_rest_wait(config_watch, loop_now_ms(config_watch->loop) - asked_ms);
     }
@@ -164,14 +164,15 @@
 {
     ConfigWatch *config_watch = arg;
     while (!loop_stopping(config_watch->loop)) {
-        WaysTaken taken;
-        if (ways_take(config_watch->ways, &taken) && !taken.own && !taken.relay && taken.turn != config_watch->turn) {
+        LeaderPathTaken taken;
+        if (leader_paths_take(config_watch->leader_paths, &taken) && !taken.own && !taken.relay &&
+            taken.turn != config_watch->turn) {
             config_watch->turn = taken.turn;
             ConfigWatchAsking *asking = talloc_zero(config_watch, ConfigWatchAsking);
             *asking = (ConfigWatchAsking){.config_watch = config_watch, .taken = taken};
             loop_spawn(config_watch->loop, "feed", ask_main, asking);
         }
-        signal_wait(config_watch->loop, ways_moved(config_watch->ways), INT64_MAX);
+        signal_wait(config_watch->loop, leader_paths_moved(config_watch->leader_paths), INT64_MAX);
     }
 }
 
--- a/packages/routing/src/forward.c
+++ b/packages/routing/src/forward.c
@@ -42,8 +42,8 @@
 
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
-    WaysTaken taken;
-    if (!ways_take(forwarder->ways, &taken) || taken.own || taken.relay)
+    LeaderPathTaken taken;
+    if (!leader_paths_take(forwarder->leader_paths, &taken) || taken.own || taken.relay)
         return STATUS_NOT_LEADER;
     ForwardAsk onward = *ask;
     onward.relay = false;
@@ -52,13 +52,13 @@
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status = hop_ask(forwarder->settings.rpc, mem, &taken, NULL, &onward, wait_ms, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
-        ways_failed(forwarder->ways, &taken);
+        leader_paths_failed(forwarder->leader_paths, &taken);
     return status;
 }
 
-Ways *forwarder_ways(Forwarder *forwarder)
+LeaderPaths *forwarder_leader_paths(Forwarder *forwarder)
 {
-    return forwarder->ways;
+    return forwarder->leader_paths;
 }
 
 /* Those who wait for an answer hear at once that their route has been replaced. */
@@ -66,7 +66,7 @@
 {
     Forwarder *forwarder = arg;
     while (!loop_stopping(forwarder->settings.loop)) {
-        signal_wait(forwarder->settings.loop, ways_moved(forwarder->ways), INT64_MAX);
+        signal_wait(forwarder->settings.loop, leader_paths_moved(forwarder->leader_paths), INT64_MAX);
         attempts_wake(forwarder->attempts);
     }
 }
@@ -75,11 +75,11 @@
 {
     Forwarder *forwarder = talloc_zero(mem, Forwarder);
     forwarder->settings = *settings;
-    forwarder->ways =
-        ways_new(forwarder, settings->loop, settings->rpc, settings->members, settings->leads, settings->arg);
+    forwarder->leader_paths =
+        leader_paths_new(forwarder, settings->loop, settings->rpc, settings->members, settings->leads, settings->arg);
     forwarder->attempts = attempts_new(forwarder, &(AttemptSettings){.loop = settings->loop,
                                                                      .rpc = settings->rpc,
-                                                                     .ways = forwarder->ways,
+                                                                     .leader_paths = forwarder->leader_paths,
                                                                      .repair_buffer = settings->repair_buffer,
                                                                      .trace = settings->trace,
                                                                      .serve = settings->serve,
@@ -89,6 +89,6 @@
 
 void forwarder_start(Forwarder *forwarder)
 {
-    ways_start(forwarder->ways);
+    leader_paths_start(forwarder->leader_paths);
     loop_spawn(forwarder->settings.loop, "moved", moved_main, forwarder);
 }
--- a/packages/routing/src/forwarding.c
+++ b/packages/routing/src/forwarding.c
@@ -10,20 +10,20 @@
 /* --- the next attempt ------------------------------------------------------------------- */
 
 /* Waits. Whether a route is known before until_ms. */
-static bool way_wait(Forwarder *forwarder, WaysTaken *taken, int64_t until_ms)
+static bool way_wait(Forwarder *forwarder, LeaderPathTaken *taken, int64_t until_ms)
 {
-    while (!ways_take(forwarder->ways, taken))
+    while (!leader_paths_take(forwarder->leader_paths, taken))
         if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
-            !signal_wait(forwarder->settings.loop, ways_moved(forwarder->ways), until_ms))
-            return ways_take(forwarder->ways, taken);
+            !signal_wait(forwarder->settings.loop, leader_paths_moved(forwarder->leader_paths), until_ms))
+            return leader_paths_take(forwarder->leader_paths, taken);
     return true;
 }
 
 /* Until when a request waits for a route: what nobody can have taken, from the leader's
  * loss; what may have been taken, from the request's arrival. */
-static int64_t ways_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
+static int64_t leader_paths_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
 {
-    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    const int64_t lost_ms = leader_paths_lost_ms(forwarder->leader_paths);
     const int64_t from_ms = lost_ms != INT64_MAX ? lost_ms : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
         maybe_taken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
@@ -31,11 +31,11 @@
 }
 
 /* Waits. Whether another attempt is to be made, and along which route. */
-static bool attempt_next(const Forwarding *one, int attempt, WaysTaken *taken)
+static bool attempt_next(const Forwarding *one, int attempt, LeaderPathTaken *taken)
 {
     if (attempt > 0 && (one->task->gone || (one->maybe_taken && one->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t until_ms = ways_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
+    const int64_t until_ms = leader_paths_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
     return way_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
 }
 
@@ -46,7 +46,7 @@
 {
     Loop *loop = one->forwarder->settings.loop;
     if (answer->status != STATUS_REPAIRING || !one->maybe_taken || one->repeat == REPEAT_NEVER ||
-        loop_now_ms(loop) + REPAIR_REST_MS >= ways_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
+        loop_now_ms(loop) + REPAIR_REST_MS >= leader_paths_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
         return false;
     loop_sleep(loop, REPAIR_REST_MS);
     return true;
@@ -57,7 +57,7 @@
     Forwarder *forwarder = one->forwarder;
     Loop *loop = forwarder->settings.loop;
     const bool changes = one->repeat != REPEAT_READ;
-    WaysTaken taken;
+    LeaderPathTaken taken;
     for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(one, attempt, &taken);) {
         bool unknown = false;
         ask->again = one->maybe_taken;
@@ -73,7 +73,7 @@
         one->maybe_taken |= changes && unknown;
         /* a request that ran into its own deadline says nothing against the route */
         if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
-            ways_failed(forwarder->ways, &taken);
+            leader_paths_failed(forwarder->leader_paths, &taken);
     }
     return false;
 }
@@ -92,7 +92,7 @@
 /* For Retry-After, in seconds: another leader is found some 3 s after the last one was lost. */
 static int retry_s(const Forwarder *forwarder)
 {
-    const int64_t lost_ms = ways_lost_ms(forwarder->ways);
+    const int64_t lost_ms = leader_paths_lost_ms(forwarder->leader_paths);
     if (lost_ms == INT64_MAX)
         return RETRY_AFTER_S;
     const int64_t left_ms = lost_ms + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
--- a/packages/routing/src/forwarding.h
+++ b/packages/routing/src/forwarding.h
@@ -11,7 +11,7 @@
 
 struct Forwarder {
     ForwarderSettings settings;
-    Ways *ways;
+    LeaderPaths *leader_paths;
     Attempts *attempts;
 };
 
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -11,7 +11,7 @@
  * answer, which lives on mem. sending may be null; else it tells whether the request has
  * left, and lets the asker cancel it. Returns the transport's status, or the refusal of
  * the process that was asked; on a refusal the answer names the leader that it knows of. */
-Status hop_ask(Rpc *rpc, void *mem, const WaysTaken *taken, RpcSending *sending, const ForwardAsk *ask, int64_t wait_ms,
-               ForwardAnswer *answer);
+Status hop_ask(Rpc *rpc, void *mem, const LeaderPathTaken *taken, RpcSending *sending, const ForwardAsk *ask,
+               int64_t wait_ms, ForwardAnswer *answer);
 
 #endif
--- a/packages/routing/src/ways.c
+++ b/packages/routing/src/ways.c
@@ -5,91 +5,94 @@
 
 #include "waysearch.h"
 
-#define WAYS_GRACE_MS 2000 /* ms; a leader lost so long ago is still expected to be followed by another at once */
+#define LEADER_PATHS_GRACE_MS \
+    2000 /* ms; a leader lost so long ago is still expected to be followed by another at once */
 
-Ways *ways_new(void *mem, Loop *loop, Rpc *rpc, Members *members, WaysLeads leads, const void *arg)
+LeaderPaths *leader_paths_new(void *mem, Loop *loop, Rpc *rpc, Members *members, LeaderPathsLeads leads,
+                              const void *arg)
 {
-    Ways *ways = talloc_zero(mem, Ways);
-    *ways = (Ways){.loop = loop,
-                   .rpc = rpc,
-                   .members = members,
-                   .leads = leads,
-                   .arg = arg,
-                   .lost_ms = loop_now_ms(loop),
-                   .heard_ms = INT64_MIN,
-                   .served_ms = INT64_MIN,
-                   .missed_ms = loop_now_ms(loop)};
-    return ways;
+    LeaderPaths *leader_paths = talloc_zero(mem, LeaderPaths);
+    *leader_paths = (LeaderPaths){.loop = loop,
+                                  .rpc = rpc,
+                                  .members = members,
+                                  .leads = leads,
+                                  .arg = arg,
+                                  .lost_ms = loop_now_ms(loop),
+                                  .heard_ms = INT64_MIN,
+                                  .served_ms = INT64_MIN,
+                                  .missed_ms = loop_now_ms(loop)};
+    return leader_paths;
 }
 
 /* --- following the leader --------------------------------------------------------------- */
 
 /* Another leader, or the first: it is reached directly until that fails. */
-static void leader_new(Ways *ways)
+static void leader_new(LeaderPaths *leader_paths)
 {
-    if (members_leader_term(ways->members) == ways->term)
+    if (members_leader_term(leader_paths->members) == leader_paths->term)
         return; /* also before any is known: whoever is met tells of the leader */
-    ways->term = members_leader_term(ways->members);
-    if (members_leader_address(ways->members) != NULL) {
-        ways_enter_hop(ways, 0);
+    leader_paths->term = members_leader_term(leader_paths->members);
+    if (members_leader_address(leader_paths->members) != NULL) {
+        leader_paths_enter_hop(leader_paths, 0);
         return;
     }
-    ways_miss(ways);
-    if (ways_state(ways) == WAYS_LOST)
-        ways_move_on(ways);
+    leader_paths_miss(leader_paths);
+    if (leader_paths_state(leader_paths) == LEADER_PATHS_LOST)
+        leader_paths_move_on(leader_paths);
     else
-        ways_enter_lost(ways);
-    ways_search(ways); /* its address may become known later */
+        leader_paths_enter_lost(leader_paths);
+    leader_paths_search(leader_paths); /* its address may become known later */
 }
 
 static void leader_main(void *arg)
 {
-    Ways *ways = arg;
-    while (!loop_stopping(ways->loop)) {
-        leader_new(ways);
-        signal_wait(ways->loop, members_leader_signal(ways->members), INT64_MAX);
+    LeaderPaths *leader_paths = arg;
+    while (!loop_stopping(leader_paths->loop)) {
+        leader_new(leader_paths);
+        signal_wait(leader_paths->loop, members_leader_signal(leader_paths->members), INT64_MAX);
     }
 }
 
-void ways_start(Ways *ways)
+void leader_paths_start(LeaderPaths *leader_paths)
 {
-    loop_spawn(ways->loop, "ways", leader_main, ways);
+    loop_spawn(leader_paths->loop, "ways", leader_main, leader_paths);
 }
 
 /* --- in use ------------------------------------------------------------------------------ */
 
-bool ways_take(Ways *ways, WaysTaken *taken)
+bool leader_paths_take(LeaderPaths *leader_paths, LeaderPathTaken *taken)
 {
-    if (ways_take_hop(ways, taken))
+    if (leader_paths_take_hop(leader_paths, taken))
         return true;
-    if (ways->term != 0)
-        ways_search(ways);
+    if (leader_paths->term != 0)
+        leader_paths_search(leader_paths);
     return false;
 }
 
-void ways_failed(Ways *ways, const WaysTaken *taken)
+void leader_paths_failed(LeaderPaths *leader_paths, const LeaderPathTaken *taken)
 {
-    if (ways_drop_hop(ways, taken))
-        ways_search(ways);
+    if (leader_paths_drop_hop(leader_paths, taken))
+        leader_paths_search(leader_paths);
 }
 
-Signal *ways_moved(Ways *ways)
+Signal *leader_paths_moved(LeaderPaths *leader_paths)
 {
-    return &ways->moved;
+    return &leader_paths->moved;
 }
 
-int64_t ways_lost_ms(const Ways *ways)
+int64_t leader_paths_lost_ms(const LeaderPaths *leader_paths)
 {
-    return ways_own_lead(ways) ? INT64_MAX : ways->lost_ms;
+    return leader_paths_own_lead(leader_paths) ? INT64_MAX : leader_paths->lost_ms;
 }
 
-int64_t ways_heard_ms(const Ways *ways)
+int64_t leader_paths_heard_ms(const LeaderPaths *leader_paths)
 {
-    return ways->heard_ms;
+    return leader_paths->heard_ms;
 }
 
-bool ways_serve(const Ways *ways)
+bool leader_paths_serve(const LeaderPaths *leader_paths)
 {
-    return ways->served_ms != INT64_MIN &&
-           (ways->missed_ms == INT64_MAX || loop_now_ms(ways->loop) - ways->missed_ms <= WAYS_GRACE_MS);
+    return leader_paths->served_ms != INT64_MIN &&
+           (leader_paths->missed_ms == INT64_MAX ||
+            loop_now_ms(leader_paths->loop) - leader_paths->missed_ms <= LEADER_PATHS_GRACE_MS);
 }
--- a/packages/routing/src/waysearch.c
+++ b/packages/routing/src/waysearch.c
@@ -1,69 +1,74 @@
 #include "waysearch.h"
 
-#define WAYS_LOOK_MS 120       /* ms; while a route is searched for, the next hop is tried after this ... */
-#define WAYS_LOOK_LATER_MS 300 /* ms; ... and once none was found at once, after this */
-#define WAYS_SOON_MS 1000      /* ms; a leadership that is handed over is found again within this: ... */
-#define WAYS_SOON_REST_MS 25   /* ms; ... so long all hops are tried again after this back-off, */
-#define WAYS_REST_MS 150       /* ms; and later after this */
-#define WAYS_BACK_MS 5000      /* ms; a leader reached through a relay is tried directly this often */
+#define LEADER_PATHS_LOOK_MS 120       /* ms; while a route is searched for, the next hop is tried after this ... */
+#define LEADER_PATHS_LOOK_LATER_MS 300 /* ms; ... and once none was found at once, after this */
+#define LEADER_PATHS_SOON_MS 1000      /* ms; a leadership that is handed over is found again within this: ... */
+#define LEADER_PATHS_SOON_REST_MS 25   /* ms; ... so long all hops are tried again after this back-off, */
+#define LEADER_PATHS_REST_MS 150       /* ms; and later after this */
+#define LEADER_PATHS_BACK_MS 5000      /* ms; a leader reached through a relay is tried directly this often */
 
 /* Waits. Tries every hop once; true when one leads to the leader. */
-static bool look_once(Ways *ways)
+static bool look_once(LeaderPaths *leader_paths)
 {
-    WaysTaken taken;
-    const bool later = loop_now_ms(ways->loop) - ways->lost_ms >= WAYS_SOON_MS;
+    LeaderPathTaken taken;
+    const bool later = loop_now_ms(leader_paths->loop) - leader_paths->lost_ms >= LEADER_PATHS_SOON_MS;
     for (size_t nth = 0;; nth++) {
-        if (!way_at(ways, nth, &taken)) {
+        if (!leader_path_at(leader_paths, nth, &taken)) {
             if (nth == 0)
                 continue; /* the leader is not known, or it was this process */
             return false;
         }
-        const uint64_t turn = ways->turn;
+        const uint64_t turn = leader_paths->turn;
         bool serves;
-        const Status status = ways_ping(ways, &taken, later ? WAYS_LOOK_LATER_MS : WAYS_LOOK_MS, &serves);
-        if (ways->turn != turn)
+        const Status status =
+            leader_paths_ping(leader_paths, &taken, later ? LEADER_PATHS_LOOK_LATER_MS : LEADER_PATHS_LOOK_MS, &serves);
+        if (leader_paths->turn != turn)
             return false; /* another leader was heard of meanwhile */
         if (status == STATUS_OK) {
-            ways_enter_hop(ways, nth);
-            ways_heard(ways, &(WaysTaken){.turn = ways->turn}, serves);
+            leader_paths_enter_hop(leader_paths, nth);
+            leader_paths_heard(leader_paths, &(LeaderPathTaken){.turn = leader_paths->turn}, serves);
             return true;
         }
     }
 }
 
 /* Waits. Has the leader itself come within reach again? If not, is the relay still good? */
-static void look_back(Ways *ways)
+static void look_back(LeaderPaths *leader_paths)
 {
-    WaysTaken taken;
+    LeaderPathTaken taken;
     bool serves;
-    const uint64_t turn = ways->turn;
-    if (way_at(ways, 0, &taken) && ways_ping(ways, &taken, WAYS_PING_MS, &serves) == STATUS_OK && ways->turn == turn)
-        ways_enter_hop(ways, 0);
-    else if (ways_take_hop(ways, &taken) && !ways_alive(ways, &taken))
-        ways_drop_hop(ways, &taken);
+    const uint64_t turn = leader_paths->turn;
+    if (leader_path_at(leader_paths, 0, &taken) &&
+        leader_paths_ping(leader_paths, &taken, LEADER_PATHS_PING_MS, &serves) == STATUS_OK &&
+        leader_paths->turn == turn)
+        leader_paths_enter_hop(leader_paths, 0);
+    else if (leader_paths_take_hop(leader_paths, &taken) && !leader_paths_alive(leader_paths, &taken))
+        leader_paths_drop_hop(leader_paths, &taken);
 }
 
 static void look_main(void *arg)
 {
-    Ways *ways = arg;
-    while (!loop_stopping(ways->loop) && ways_state(ways) != WAYS_DIRECT) {
-        if (ways_state(ways) == WAYS_RELAYED) {
-            signal_wait(ways->loop, &ways->moved, loop_now_ms(ways->loop) + WAYS_BACK_MS);
-            if (ways_state(ways) == WAYS_RELAYED)
-                look_back(ways);
-        } else if (!look_once(ways) && ways_state(ways) == WAYS_LOST) {
-            const int64_t now_ms = loop_now_ms(ways->loop);
-            const bool soon = now_ms - ways->lost_ms < WAYS_SOON_MS;
-            signal_wait(ways->loop, &ways->moved, now_ms + (soon ? WAYS_SOON_REST_MS : WAYS_REST_MS));
+    LeaderPaths *leader_paths = arg;
+    while (!loop_stopping(leader_paths->loop) && leader_paths_state(leader_paths) != LEADER_PATHS_DIRECT) {
+        if (leader_paths_state(leader_paths) == LEADER_PATHS_RELAYED) {
+            signal_wait(leader_paths->loop, &leader_paths->moved,
+                        loop_now_ms(leader_paths->loop) + LEADER_PATHS_BACK_MS);
+            if (leader_paths_state(leader_paths) == LEADER_PATHS_RELAYED)
+                look_back(leader_paths);
+        } else if (!look_once(leader_paths) && leader_paths_state(leader_paths) == LEADER_PATHS_LOST) {
+            const int64_t now_ms = loop_now_ms(leader_paths->loop);
+            const bool soon = now_ms - leader_paths->lost_ms < LEADER_PATHS_SOON_MS;
+            signal_wait(leader_paths->loop, &leader_paths->moved,
+                        now_ms + (soon ? LEADER_PATHS_SOON_REST_MS : LEADER_PATHS_REST_MS));
         }
     }
-    ways->looking = false;
+    leader_paths->looking = false;
 }
 
-void ways_search(Ways *ways)
+void leader_paths_search(LeaderPaths *leader_paths)
 {
-    if (ways->looking)
+    if (leader_paths->looking)
         return;
-    ways->looking = true;
-    loop_spawn(ways->loop, "look", look_main, ways);
+    leader_paths->looking = true;
+    loop_spawn(leader_paths->loop, "look", look_main, leader_paths);
 }
--- a/packages/routing/src/waysearch.h
+++ b/packages/routing/src/waysearch.h
@@ -6,8 +6,8 @@
 /* The search for a next hop: one coroutine asks, while nobody else does. It also goes back
  * from a relay to the leader itself once that can be reached again. */
 
-/* Starts the search unless it runs. It ends by itself, in WAYS_DIRECT or when the loop
+/* Starts the search unless it runs. It ends by itself, in LEADER_PATHS_DIRECT or when the loop
  * stops. */
-void ways_search(Ways *ways);
+void leader_paths_search(LeaderPaths *leader_paths);
 
 #endif
--- a/packages/routing/src/waystate.h
+++ b/packages/routing/src/waystate.h
@@ -7,35 +7,36 @@
  * along it. Its use (ways.c) and the search for another (waysearch.c) stand above it.
  *
  *   state        event                                          next state
- *   WAYS_LOST    a hop answers the search: the leader itself    WAYS_DIRECT
- *   WAYS_LOST    a hop answers the search: another controller   WAYS_RELAYED
- *   WAYS_LOST    a new leader is heard of, with its address     WAYS_DIRECT
- *   WAYS_DIRECT  the route fails; the leader has no address;    WAYS_LOST
+ *   LEADER_PATHS_LOST    a hop answers the search: the leader itself    LEADER_PATHS_DIRECT
+ *   LEADER_PATHS_LOST    a hop answers the search: another controller   LEADER_PATHS_RELAYED
+ *   LEADER_PATHS_LOST    a new leader is heard of, with its address     LEADER_PATHS_DIRECT
+ *   LEADER_PATHS_DIRECT  the route fails; the leader has no address;    LEADER_PATHS_LOST
  *                this process has lost the leadership
- *   WAYS_DIRECT  a new leader is heard of, with its address     WAYS_DIRECT
- *   WAYS_RELAYED the leader itself answers again                WAYS_DIRECT
- *   WAYS_RELAYED a new leader is heard of, with its address     WAYS_DIRECT
- *   WAYS_RELAYED the route fails; the relay has left            WAYS_LOST
+ *   LEADER_PATHS_DIRECT  a new leader is heard of, with its address     LEADER_PATHS_DIRECT
+ *   LEADER_PATHS_RELAYED the leader itself answers again                LEADER_PATHS_DIRECT
+ *   LEADER_PATHS_RELAYED a new leader is heard of, with its address     LEADER_PATHS_DIRECT
+ *   LEADER_PATHS_RELAYED the route fails; the relay has left            LEADER_PATHS_LOST
  */
-typedef enum WaysState {
-    WAYS_LOST,   /* no next hop is known */
-    WAYS_DIRECT, /* the next hop is the leader */
-    WAYS_RELAYED /* the next hop is another controller, which reaches the leader */
-} WaysState;
+typedef enum LeaderPathsState {
+    LEADER_PATHS_LOST,   /* no next hop is known */
+    LEADER_PATHS_DIRECT, /* the next hop is the leader */
+    LEADER_PATHS_RELAYED /* the next hop is another controller, which reaches the leader */
+} LeaderPathsState;
 
-#define WAYS_PING_MS 600 /* ms; a living process answers a question that needs no commit in this, also in a crowd */
+#define LEADER_PATHS_PING_MS \
+    600 /* ms; a living process answers a question that needs no commit in this, also in a crowd */
 
 /* Invariants:
  *  - turn grows whenever the next hop, or the leader, becomes another one;
  *  - at is the next hop in use: 0 the leader itself, N the Nth other controller; it means
  *    nothing while lost_ms is not INT64_MAX;
- *  - looking says that the searching coroutine runs, which it does in WAYS_LOST, once a
- *    leader has been heard of, and in WAYS_RELAYED. */
-struct Ways {
+ *  - looking says that the searching coroutine runs, which it does in LEADER_PATHS_LOST, once a
+ *    leader has been heard of, and in LEADER_PATHS_RELAYED. */
+struct LeaderPaths {
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    WaysLeads leads;
+    LeaderPathsLeads leads;
     const void *arg;
     uint64_t turn;
     uint64_t term; /* of the leader that the route leads to */
@@ -49,27 +50,27 @@
 };
 
 /* The state; it is derived from lost_ms and at, and stored nowhere else. */
-WaysState ways_state(const Ways *ways);
+LeaderPathsState leader_paths_state(const LeaderPaths *leader_paths);
 /* A new turn: whoever waits on the route is woken. */
-void ways_move_on(Ways *ways);
+void leader_paths_move_on(LeaderPaths *leader_paths);
 /* The at-th hop is the next hop from now on; a new turn. */
-void ways_enter_hop(Ways *ways, size_t at);
+void leader_paths_enter_hop(LeaderPaths *leader_paths, size_t at);
 /* No next hop is known from now on; a new turn. */
-void ways_enter_lost(Ways *ways);
-/* As ways_take and ways_failed, which also start the search. Both are false when there is
+void leader_paths_enter_lost(LeaderPaths *leader_paths);
+/* As leader_paths_take and leader_paths_failed, which also start the search. Both are false when there is
  * nothing to take, or to drop. */
-bool ways_take_hop(Ways *ways, WaysTaken *taken);
-bool ways_drop_hop(Ways *ways, const WaysTaken *taken);
+bool leader_paths_take_hop(LeaderPaths *leader_paths, LeaderPathTaken *taken);
+bool leader_paths_drop_hop(LeaderPaths *leader_paths, const LeaderPathTaken *taken);
 /* Whether this process leads. */
-bool ways_own_lead(const Ways *ways);
+bool leader_paths_own_lead(const LeaderPaths *leader_paths);
 /* No leader is heard to serve, from now on unless it is so already. */
-void ways_miss(Ways *ways);
+void leader_paths_miss(LeaderPaths *leader_paths);
 /* The nth hop as it would be taken now: 0 the leader itself, N the Nth of the other
  * controllers that are heard of and don't leave. False: there is no such hop, or it is this
  * process. */
-bool way_at(const Ways *ways, size_t nth, WaysTaken *taken);
+bool leader_path_at(const LeaderPaths *leader_paths, size_t nth, LeaderPathTaken *taken);
 /* Waits, wait_ms at most. Whether the hop answers a read that needs no commit. OK: *serves
  * says whether the leader serves. What the answer tells of the leader is taken in. */
-Status ways_ping(Ways *ways, const WaysTaken *taken, int64_t wait_ms, bool *serves);
+Status leader_paths_ping(LeaderPaths *leader_paths, const LeaderPathTaken *taken, int64_t wait_ms, bool *serves);
 
 #endif
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -311,7 +311,7 @@
           "not serving", "sweep", "atlas", 512, 512,
           also=[("packages/replication/src/election.c", "    lead_release(replication, 0);\n", "")]),
     Guard("other-ways", "a gate that can't reach the leader asks through other cores", "packages/routing/src/waysearch.c",
-          "        if (!way_at(ways, nth, &taken)) {", "        if (nth > 0 || !way_at(ways, nth, &taken)) {",
+          "        if (!leader_path_at(leader_paths, nth, &taken)) {", "        if (nth > 0 || !leader_path_at(leader_paths, nth, &taken)) {",
           "not serving", "sweep", "varied", 86, 86),
     Guard("repair-together", "a repair does not take a commit for each change", "packages/controller/src/repair.c",
           "status = replication_offer(controller->replication, item->change, restored(mem, item));",
