--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -13,9 +13,9 @@
 /* --- reading ----------------------------------------------------------------------- */
 
 /* The text is sent as it is stored: a document is given back as it came. */
-static void show_config(Way *way, uint64_t version, const char *text)
+static void show_config(CallerRequest *request, uint64_t version, const char *text)
 {
-    HttpTask *task = way->task;
+    HttpTask *task = request->task;
     char head[64];
     const int length = snprintf(head, sizeof(head), "{\"revision\":%" PRIu64 ",\"config\":", version);
     task->code = 200;
@@ -25,119 +25,119 @@
     bytes_add(task, &task->result, "}", 1);
 }
 
-static void show_newest(Way *way)
+static void show_newest(CallerRequest *request)
 {
-    const Versions *versions = table_versions(way->callers->table);
+    const Versions *versions = table_versions(request->callers->table);
     const uint64_t newest = versions_newest(versions);
-    const Config *config = in_force_config(way->callers->in_force);
+    const Config *config = in_force_config(request->callers->in_force);
     const char *text;
     if (newest == 0)
         text = config_first_text();
     else if (versions->rows[versions->count - 1].patch && config->version == newest) /* it has been read already */
-        text = document_text(way->mem, config->tree);
+        text = document_text(request->mem, config->tree);
     else
-        text = versions_text(versions, way->mem, newest);
-    show_config(way, newest, text);
+        text = versions_text(versions, request->mem, newest);
+    show_config(request, newest, text);
 }
 
-void config_get(Way *way)
+void config_get(CallerRequest *request)
 {
-    const Versions *versions = table_versions(way->callers->table);
+    const Versions *versions = table_versions(request->callers->table);
     int64_t version = 0, have = -1, wait_ms = 0;
-    query_int(way->faults, way->task->query, "revision", 0, INT64_MAX, &version);
-    query_int(way->faults, way->task->query, "have", 0, INT64_MAX, &have);
-    query_int(way->faults, way->task->query, "waitMs", 0, CONFIG_WATCH_WAIT_MS * 2, &wait_ms);
-    if (way->faults->count > 0) {
-        way_refuse(way);
+    query_int(request->faults, request->task->query, "revision", 0, INT64_MAX, &version);
+    query_int(request->faults, request->task->query, "have", 0, INT64_MAX, &have);
+    query_int(request->faults, request->task->query, "waitMs", 0, CONFIG_WATCH_WAIT_MS * 2, &wait_ms);
+    if (request->faults->count > 0) {
+        request_refuse(request);
         return;
     }
     if (version > 0) {
-        const char *text = versions_text(versions, way->mem, (uint64_t)version);
+        const char *text = versions_text(versions, request->mem, (uint64_t)version);
         if (text == NULL)
-            show_refusal(way->task, STATUS_UNKNOWN_VERSION, "this revision can't be read back", NULL);
+            show_refusal(request->task, STATUS_UNKNOWN_VERSION, "this revision can't be read back", NULL);
         else
-            show_config(way, (uint64_t)version, text);
+            show_config(request, (uint64_t)version, text);
         return;
     }
-    const int64_t until_ms = loop_now_ms(way->callers->loop) + wait_ms;
-    while (have >= 0 && versions_newest(table_versions(way->callers->table)) <= (uint64_t)have)
-        if (!signal_wait(way->callers->loop, replication_update(way->callers->replication), until_ms))
+    const int64_t until_ms = loop_now_ms(request->callers->loop) + wait_ms;
+    while (have >= 0 && versions_newest(table_versions(request->callers->table)) <= (uint64_t)have)
+        if (!signal_wait(request->callers->loop, replication_update(request->callers->replication), until_ms))
             break;
-    if (!replication_leading(way->callers->replication))
-        show_refusal(way->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
+    if (!replication_leading(request->callers->replication))
+        show_refusal(request->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
     else
-        show_newest(way);
+        show_newest(request);
 }
 
-void config_history(Way *way)
+void config_history(CallerRequest *request)
 {
-    const Versions *versions = table_versions(way->callers->table);
+    const Versions *versions = table_versions(request->callers->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     for (size_t i = versions->whole; i < versions->count; i++)
         json_object_array_add(list, json_object_new_uint64(versions->rows[i].version));
     json_object_object_add(body, "revisions", list);
-    show_result(way->task, 200, body);
+    show_result(request->task, 200, body);
 }
 
 /* --- changing ------------------------------------------------------------------------ */
 
-static void refuse_stale(Way *way, uint64_t current)
+static void refuse_stale(CallerRequest *request, uint64_t current)
 {
     json_object *body = show_failure(STATUS_STALE_VERSION, "another revision is in force: build on that", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
-    way->task->status = STATUS_STALE_VERSION;
-    show_result(way->task, status_http(STATUS_STALE_VERSION), body);
+    request->task->status = STATUS_STALE_VERSION;
+    show_result(request->task, status_http(STATUS_STALE_VERSION), body);
 }
 
-static void show_taken(Way *way, uint64_t version)
+static void show_taken(CallerRequest *request, uint64_t version)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "revision", json_object_new_uint64(version));
-    show_result(way->task, 200, body);
+    show_result(request->task, 200, body);
 }
 
 /* Digest of a call that names its version, by which the same call is known when it is sent again: it tells calls
  * apart, it does not protect from forgers. */
-static const char *digest_of(Way *way, bool patch, uint64_t base, uint64_t version)
+static const char *digest_of(CallerRequest *request, bool patch, uint64_t base, uint64_t version)
 {
     char head[DIGEST_HEAD];
     const int length =
         snprintf(head, sizeof(head), "%s %" PRIu64 " %" PRIu64 "\n", patch ? "patch" : "put", base, version);
     GChecksum *sum = g_checksum_new(G_CHECKSUM_MD5);
     g_checksum_update(sum, (const guchar *)head, length);
-    g_checksum_update(sum, way->task->body.data, (gssize)way->task->body.count);
-    const char *digest = talloc_strdup(way->mem, g_checksum_get_string(sum));
+    g_checksum_update(sum, request->task->body.data, (gssize)request->task->body.count);
+    const char *digest = talloc_strdup(request->mem, g_checksum_get_string(sum));
     g_checksum_free(sum);
     return digest;
 }
 
 /* The whole document that a patch makes; null and faults where it is none. The text to be committed is the
  * patch. */
-static json_object *patched(Way *way, const Config *now, json_object *patch, ConfigSet *set)
+static json_object *patched(CallerRequest *request, const Config *now, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
-        fault_add(way->faults, STATUS_BAD_JSON, "", "a patch must be an object");
+        fault_add(request->faults, STATUS_BAD_JSON, "", "a patch must be an object");
         return NULL;
     }
     json_object *tree = document_merged(now->tree, patch);
     set->patch = now->version > 0;
-    set->text = document_text(way->mem, set->patch ? patch : tree);
+    set->text = document_text(request->mem, set->patch ? patch : tree);
     return tree;
 }
 
 /* A document that differs little from the one in force is committed as its difference, and shares equal subtrees
  * with it. */
-static json_object *replaced(Way *way, const Config *now, json_object *whole, ConfigSet *set)
+static json_object *replaced(CallerRequest *request, const Config *now, json_object *whole, ConfigSet *set)
 {
     json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
-    const char *text = patch != NULL ? document_text(way->mem, patch) : NULL;
+    const char *text = patch != NULL ? document_text(request->mem, patch) : NULL;
     json_object *tree;
-    if (text != NULL && strlen(text) < way->task->body.count / 2) {
+    if (text != NULL && strlen(text) < request->task->body.count / 2) {
         set->patch = true;
         set->text = text;
         tree = document_merged(now->tree, patch);
     } else {
-        set->text = talloc_strndup(way->mem, (const char *)way->task->body.data, way->task->body.count);
+        set->text = talloc_strndup(request->mem, (const char *)request->task->body.data, request->task->body.count);
         tree = json_object_get(whole);
     }
     json_object_put(patch);
@@ -146,99 +146,100 @@
 
 /* Many patches together may make a document that no one call could send. It is measured only where the sizes of
  * its parts do not settle it. */
-static void check_size(Way *way, json_object *tree)
+static void check_size(CallerRequest *request, json_object *tree)
 {
-    if (versions_size(table_versions(way->callers->table)) + way->task->body.count <= CONFIG_BODY_MAX)
+    if (versions_size(table_versions(request->callers->table)) + request->task->body.count <= CONFIG_BODY_MAX)
         return;
-    if (strlen(document_text(way->mem, tree)) > CONFIG_BODY_MAX)
-        fault_add(way->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
+    if (strlen(document_text(request->mem, tree)) > CONFIG_BODY_MAX)
+        fault_add(request->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
                   CONFIG_BODY_MAX);
 }
 
 /* The configuration that the call asks for, on mem; null and faults where it has any. */
-static const Config *config_of(Way *way, const Config *now, bool patch, ConfigSet *set)
+static const Config *config_of(CallerRequest *request, const Config *now, bool patch, ConfigSet *set)
 {
-    const Bytes *body = &way->task->body;
+    const Bytes *body = &request->task->body;
     if (body->count > CONFIG_BODY_MAX) {
-        fault_add(way->faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
+        fault_add(request->faults, STATUS_TOO_LARGE, "", "a configuration has at most %d bytes", CONFIG_BODY_MAX);
         return NULL;
     }
-    json_object *sent = check_parse(way->faults, (const char *)body->data, body->count);
+    json_object *sent = check_parse(request->faults, (const char *)body->data, body->count);
     if (sent == NULL)
         return NULL;
-    json_object *tree = patch ? patched(way, now, sent, set) : replaced(way, now, sent, set);
+    json_object *tree = patch ? patched(request, now, sent, set) : replaced(request, now, sent, set);
     json_object_put(sent);
     if (patch && tree != NULL)
-        check_size(way, tree);
-    const Config *config = tree != NULL ? config_build(way->mem, tree, set->version, now, way->faults) : NULL;
+        check_size(request, tree);
+    const Config *config = tree != NULL ? config_build(request->mem, tree, set->version, now, request->faults) : NULL;
     json_object_put(tree);
     return config;
 }
 
-static bool query_versions(Way *way, uint64_t *base, uint64_t *version)
+static bool query_versions(CallerRequest *request, uint64_t *base, uint64_t *version)
 {
     int64_t builds = -1, named = 0;
-    if (query_value(way->mem, way->task->query, "base") == NULL)
-        fault_add(way->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
-    query_int(way->faults, way->task->query, "base", 0, INT64_MAX, &builds);
-    query_int(way->faults, way->task->query, "revision", 1, INT64_MAX, &named);
+    if (query_value(request->mem, request->task->query, "base") == NULL)
+        fault_add(request->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
+    query_int(request->faults, request->task->query, "base", 0, INT64_MAX, &builds);
+    query_int(request->faults, request->task->query, "revision", 1, INT64_MAX, &named);
     *base = (uint64_t)builds;
     *version = (uint64_t)named;
-    return way->faults->count == 0;
+    return request->faults->count == 0;
 }
 
-static void config_set(Way *way, bool patch)
+static void config_set(CallerRequest *request, bool patch)
 {
-    CallerService *callers = way->callers;
+    CallerService *callers = request->callers;
     ConfigSet set = {.text = "", .digest = "", .patch = false};
-    if (!query_versions(way, &set.base, &set.version)) {
-        way_refuse(way);
+    if (!query_versions(request, &set.base, &set.version)) {
+        request_refuse(request);
         return;
     }
     const Versions *versions = table_versions(callers->table);
     if (set.version != 0)
-        set.digest = digest_of(way, patch, set.base, set.version);
+        set.digest = digest_of(request, patch, set.base, set.version);
     const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
     if (known != 0) { /* sent again: it was accepted, whatever has come since */
-        show_taken(way, known);
+        show_taken(request, known);
         return;
     }
     if (set.base != current) {
-        refuse_stale(way, current);
+        refuse_stale(request, current);
         return;
     }
     if (set.version == 0)
         set.version = current + 1;
     else if (set.version <= current)
-        fault_add(way->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force", current);
-    const Config *config = config_of(way, in_force_config(callers->in_force), patch, &set);
-    if (config == NULL || way->faults->count > 0) {
-        way_refuse(way);
+        fault_add(request->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force",
+                  current);
+    const Config *config = config_of(request, in_force_config(callers->in_force), patch, &set);
+    if (config == NULL || request->faults->count > 0) {
+        request_refuse(request);
         return;
     }
     set.limits = config->limits;
     Trial trial = {.set = set, .config = config};
     trial_enter(callers->in_force, &trial);
     ChangeResult result;
-    const Status status = way_submit(way, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
+    const Status status = request_submit(request, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
     if (status == STATUS_OK && result.status == STATUS_OK)
         in_force_config(
             callers->in_force); /* takes over the checked configuration, before another change is delivered */
     trial_leave(callers->in_force, &trial);
-    if (!way_delivered(way, status))
+    if (!request_delivered(request, status))
         return;
     if (result.status == STATUS_OK)
-        show_taken(way, result.number);
+        show_taken(request, result.number);
     else
-        refuse_stale(way, result.number);
+        refuse_stale(request, result.number);
 }
 
-void config_put(Way *way)
+void config_put(CallerRequest *request)
 {
-    config_set(way, false);
+    config_set(request, false);
 }
 
-void config_patched(Way *way)
+void config_patched(CallerRequest *request)
 {
-    config_set(way, true);
+    config_set(request, true);
 }
--- a/packages/callers/src/configs.h
+++ b/packages/callers/src/configs.h
@@ -4,9 +4,9 @@
 #include "request.h"
 
 /* Routes of /v1/config. All but the history wait. */
-void config_get(Way *way);
-void config_history(Way *way);
-void config_put(Way *way);
-void config_patched(Way *way);
+void config_get(CallerRequest *request);
+void config_history(CallerRequest *request);
+void config_put(CallerRequest *request);
+void config_patched(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/entry.c
+++ b/packages/callers/src/entry.c
@@ -12,18 +12,18 @@
 #define NO_ENTRY_HTTP 404
 
 /* A refusal with an HTTP code of its own. */
-static void entry_refuse(Way *way, int http, Status status, const char *text)
+static void entry_refuse(CallerRequest *request, int http, Status status, const char *text)
 {
-    show_refusal(way->task, status, text, NULL);
-    way->task->code = http;
+    show_refusal(request->task, status, text, NULL);
+    request->task->code = http;
 }
 
-static void entry_show(Way *way, int http, const Job *job)
+static void entry_show(CallerRequest *request, int http, const Job *job)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "id", json_object_new_string(job->spec.id));
     json_object_object_add(body, "phase", json_object_new_string(show_phase(job)));
-    show_result(way->task, http, body);
+    show_result(request->task, http, body);
 }
 
 static int64_t waiting_in(const Table *table, const ConfigPlace *place)
@@ -31,105 +31,105 @@
     return (int64_t)table_waiting_in(table, place->cell->name, place->queue->name);
 }
 
-static void entry_post(Way *way, const ConfigPlace *place)
+static void entry_post(CallerRequest *request, const ConfigPlace *place)
 {
     JobSpec spec;
-    if (!job_read_at(way->faults, (const char *)way->task->body.data, way->task->body.count, way->name,
+    if (!job_read_at(request->faults, (const char *)request->task->body.data, request->task->body.count, request->name,
                      place->cell->name, place->tenant, place->queue->name, &spec)) {
-        way_refuse(way);
+        request_refuse(request);
         return;
     }
-    const Job *job = table_job(way->callers->table, spec.id);
+    const Job *job = table_job(request->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
         /* an id is one job at every entry: it stays in the queue that accepted it */
         spec.cell = job->spec.cell;
         spec.tenant = job->spec.tenant;
         spec.queue = job->spec.queue;
-        if (!job_again(way, job, &spec))
+        if (!job_again(request, job, &spec))
             return;
     } else {
         const JobTerms terms = job_terms(place->queue);
-        job = job_take(way, &spec, &terms, &fresh);
+        job = job_take(request, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
-    entry_show(way, fresh || way->task->again ? 201 : 200, job);
+    entry_show(request, fresh || request->task->again ? 201 : 200, job);
 }
 
-static void entry_get(Way *way)
+static void entry_get(CallerRequest *request)
 {
-    const Job *job = table_job(way->callers->table, way->name);
+    const Job *job = table_job(request->callers->table, request->name);
     if (job == NULL) {
-        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+        entry_refuse(request, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
-    way_keep_end(way, job);
-    entry_show(way, 200, job);
+    request_keep_end(request, job);
+    entry_show(request, 200, job);
 }
 
-static void entry_cancel(Way *way)
+static void entry_cancel(CallerRequest *request)
 {
     ChangeResult result;
-    if (table_job(way->callers->table, way->name) == NULL) {
-        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+    if (table_job(request->callers->table, request->name) == NULL) {
+        entry_refuse(request, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
-    if (!job_cancelled(way, &result))
+    if (!job_cancelled(request, &result))
         return;
     /* a job that had ended before stays as it is, which is what was asked for */
-    const Job *job = table_job(way->callers->table, way->name);
+    const Job *job = table_job(request->callers->table, request->name);
     if (job == NULL)
-        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
+        entry_refuse(request, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
     else
-        entry_show(way, 200, job);
+        entry_show(request, 200, job);
 }
 
-static void entry_count(Way *way, const ConfigPlace *place)
+static void entry_count(CallerRequest *request, const ConfigPlace *place)
 {
     json_object *body = json_object_new_object();
-    json_object_object_add(body, "waiting", json_object_new_int64(waiting_in(way->callers->table, place)));
-    show_result(way->task, 200, body);
+    json_object_object_add(body, "waiting", json_object_new_int64(waiting_in(request->callers->table, place)));
+    show_result(request->task, 200, body);
 }
 
-void entry_serve(Way *way)
+void entry_serve(CallerRequest *request)
 {
-    CallerService *callers = way->callers;
-    const char *method = way->task->method, *path = way->task->path + strlen(ENTRY_PATH);
+    CallerService *callers = request->callers;
+    const char *method = request->task->method, *path = request->task->path + strlen(ENTRY_PATH);
     const bool post = strcmp(method, "POST") == 0, get = strcmp(method, "GET") == 0;
     if (!post && !get && strcmp(method, "DELETE") != 0) {
-        show_refusal(way->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
+        show_refusal(request->task, STATUS_BAD_METHOD, "jobs are posted, got and deleted", NULL);
         return;
     }
     if (versions_newest(table_versions(callers->table)) == 0) {
-        show_refusal(way->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
+        show_refusal(request->task, STATUS_NO_CONFIG, "there is no document yet; nothing was taken: come back", NULL);
         return;
     }
-    const char *host = query_value(way->mem, way->task->query, "host");
+    const char *host = query_value(request->mem, request->task->query, "host");
     const ConfigPlace *place =
-        config_entry(in_force_config(callers->in_force), host != NULL ? host : way->task->host, path);
+        config_entry(in_force_config(callers->in_force), host != NULL ? host : request->task->host, path);
     if (place == NULL) {
-        entry_refuse(way, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
+        entry_refuse(request, NO_ENTRY_HTTP, STATUS_UNKNOWN_QUEUE, "no queue has its entry here");
         return;
     }
     const uint64_t body_most = in_force_config(callers->in_force)->limits.body_bytes;
-    if (body_most > 0 && way->task->body.count > body_most) {
-        show_refusal(way->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
+    if (body_most > 0 && request->task->body.count > body_most) {
+        show_refusal(request->task, STATUS_TOO_LARGE, "the body is above the limit of the configuration", NULL);
         return;
     }
-    way->name = path + place->prefix_length;
-    if (way->name[0] == '\0' && get)
-        entry_count(way, place);
-    else if (way->name[0] == '\0')
-        show_refusal(way->task, STATUS_BAD_METHOD, "an id must follow", NULL);
-    else if (!check_name_text(way->name) && post)
-        show_refusal(way->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
-    else if (!check_name_text(way->name))
-        entry_refuse(way, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
+    request->name = path + place->prefix_length;
+    if (request->name[0] == '\0' && get)
+        entry_count(request, place);
+    else if (request->name[0] == '\0')
+        show_refusal(request->task, STATUS_BAD_METHOD, "an id must follow", NULL);
+    else if (!check_name_text(request->name) && post)
+        show_refusal(request->task, STATUS_BAD_FIELD, "an id is of letters, digits and ._:-", NULL);
+    else if (!check_name_text(request->name))
+        entry_refuse(request, GONE_HTTP, STATUS_UNKNOWN_JOB, "no job can have this id");
     else if (post)
-        entry_post(way, place);
+        entry_post(request, place);
     else if (get)
-        entry_get(way);
+        entry_get(request);
     else
-        entry_cancel(way);
+        entry_cancel(request);
 }
--- a/packages/callers/src/entry.h
+++ b/packages/callers/src/entry.h
@@ -6,6 +6,6 @@
 /* What is asked at a queue's own address: paths that begin with this. */
 #define ENTRY_PATH "/v1/entry"
 /* Waits. */
-void entry_serve(Way *way);
+void entry_serve(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -4,13 +4,13 @@
 #include <string.h>
 #include <talloc.h>
 
-const Job *job_take(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh)
+const Job *job_take(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh)
 {
-    CallerService *callers = way->callers;
+    CallerService *callers = request->callers;
     const Config *config = in_force_config(callers->in_force);
     *fresh = false;
-    if (!job_admissible(way->faults, spec, config, callers->table)) {
-        way_refuse(way);
+    if (!job_admissible(request->faults, spec, config, callers->table)) {
+        request_refuse(request);
         return NULL;
     }
     size_t tasks = 0;
@@ -18,33 +18,34 @@
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
     if (table_waiting(callers->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
         callers->counts.crowded++;
-        show_refusal(way->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back", NULL);
+        show_refusal(request->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back",
+                     NULL);
         return NULL;
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
-    if (!way_delivered(way, way_submit(way, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result)))
+    if (!request_delivered(request, request_submit(request, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result)))
         return NULL;
     const Job *job = table_job(callers->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
-        show_refusal(way->task, result.status, "another job has this id", NULL);
+        show_refusal(request->task, result.status, "another job has this id", NULL);
         return NULL;
     }
     *fresh = true;
     return job;
 }
 
-bool job_again(Way *way, const Job *known, const JobSpec *spec)
+bool job_again(CallerRequest *request, const Job *known, const JobSpec *spec)
 {
     if (!shape_equal(&JobSpec_shape, &known->spec, spec)) {
-        show_refusal(way->task, STATUS_OTHER_BODY, "another job has this id", NULL);
+        show_refusal(request->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
     /* whoever carries this answer may be the only one that has heard it */
     RepairItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
-    shape_pack(&JobAdd_shape, &add, way->mem, &item.payload);
-    way_keep(way, &item);
+    shape_pack(&JobAdd_shape, &add, request->mem, &item.payload);
+    request_keep(request, &item);
     return true;
 }
 
@@ -56,75 +57,75 @@
                       queue->kind != NULL ? queue->kind : ""};
 }
 
-void job_post(Way *way)
+void job_post(CallerRequest *request)
 {
     JobSpec spec;
-    if (!job_read(way->faults, (const char *)way->task->body.data, way->task->body.count, &spec)) {
-        way_refuse(way);
+    if (!job_read(request->faults, (const char *)request->task->body.data, request->task->body.count, &spec)) {
+        request_refuse(request);
         return;
     }
     /* the same job again gets the first answer, whatever has changed since */
-    const Job *job = table_job(way->callers->table, spec.id);
+    const Job *job = table_job(request->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
-        if (!job_again(way, job, &spec))
+        if (!job_again(request, job, &spec))
             return;
     } else {
-        const ConfigCell *cell = config_cell(in_force_config(way->callers->in_force), spec.cell);
+        const ConfigCell *cell = config_cell(in_force_config(request->callers->in_force), spec.cell);
         const JobTerms terms = job_terms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
-        job = job_take(way, &spec, &terms, &fresh);
+        job = job_take(request, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
-    show_result(way->task, fresh || way->task->again ? 201 : 200, show_job_short(job));
+    show_result(request->task, fresh || request->task->again ? 201 : 200, show_job_short(job));
 }
 
-void job_get(Way *way)
+void job_get(CallerRequest *request)
 {
-    const Job *job = table_job(way->callers->table, way->name);
+    const Job *job = table_job(request->callers->table, request->name);
     if (job == NULL)
-        show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+        show_refusal(request->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
     else {
-        way_keep_end(way, job);
-        show_result(way->task, 200, show_job(job, way_clock(way)));
+        request_keep_end(request, job);
+        show_result(request->task, 200, show_job(job, request_clock(request)));
     }
 }
 
-bool job_cancelled(Way *way, ChangeResult *result)
+bool job_cancelled(CallerRequest *request, ChangeResult *result)
 {
-    const JobCancel cancel = {way->name};
-    return way_delivered(way, way_submit(way, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result));
+    const JobCancel cancel = {request->name};
+    return request_delivered(request, request_submit(request, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result));
 }
 
-void job_cancel(Way *way)
+void job_cancel(CallerRequest *request)
 {
     ChangeResult result;
-    if (table_job(way->callers->table, way->name) == NULL) {
-        show_refusal(way->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+    if (table_job(request->callers->table, request->name) == NULL) {
+        show_refusal(request->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
-    if (!job_cancelled(way, &result))
+    if (!job_cancelled(request, &result))
         return;
-    const Job *job = table_job(way->callers->table, way->name);
+    const Job *job = table_job(request->callers->table, request->name);
     if (result.status != STATUS_OK || job == NULL)
-        show_refusal(way->task, result.status, "the job had ended before", NULL);
+        show_refusal(request->task, result.status, "the job had ended before", NULL);
     else
-        show_result(way->task, 200, show_job_short(job));
+        show_result(request->task, 200, show_job_short(job));
 }
 
-void job_list(Way *way)
+void job_list(CallerRequest *request)
 {
     int64_t after = 0, limit = LIST_PAGE;
-    query_int(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
-    query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
-    const char *cell = query_value(way->mem, way->task->query, "cell");
-    const char *phase = query_value(way->mem, way->task->query, "phase");
-    if (way->faults->count > 0) {
-        way_refuse(way);
+    query_int(request->faults, request->task->query, "after", 0, INT64_MAX, &after);
+    query_int(request->faults, request->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
+    const char *cell = query_value(request->mem, request->task->query, "cell");
+    const char *phase = query_value(request->mem, request->task->query, "phase");
+    if (request->faults->count > 0) {
+        request_refuse(request);
         return;
     }
     Job *const *jobs;
-    const size_t count = table_jobs(way->callers->table, &jobs);
+    const size_t count = table_jobs(request->callers->table, &jobs);
     size_t low = 0, high = count;
     while (low < high) {
         const size_t middle = (low + high) / 2;
@@ -141,12 +142,12 @@
         if ((cell != NULL && strcmp(job->spec.cell, cell) != 0) ||
             (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
             continue;
-        way_keep_end(way, job);
+        request_keep_end(request, job);
         json_object_array_add(list, show_job_short(job));
         shown++;
     }
     json_object_object_add(body, "jobs", list);
     if (at < count)
         json_object_object_add(body, "next", json_object_new_int64((int64_t)jobs[at - 1]->number));
-    show_result(way->task, 200, body);
+    show_result(request->task, 200, body);
 }
--- a/packages/callers/src/jobs.h
+++ b/packages/callers/src/jobs.h
@@ -4,18 +4,18 @@
 #include "request.h"
 
 /* Waits. Takes a job that is not known yet; null: the result has been given. The spec's texts live on way->mem. */
-const Job *job_take(Way *way, const JobSpec *spec, const JobTerms *terms, bool *fresh);
+const Job *job_take(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh);
 /* Whether the same job was sent again; else the result has been given. */
-bool job_again(Way *way, const Job *known, const JobSpec *spec);
+bool job_again(CallerRequest *request, const Job *known, const JobSpec *spec);
 /* Waits. Cancels the job named by the way; false: the result has been given. */
-bool job_cancelled(Way *way, ChangeResult *result);
+bool job_cancelled(CallerRequest *request, ChangeResult *result);
 /* What a queue's jobs are accepted under; queue null: nothing in particular. */
 JobTerms job_terms(const ConfigQueue *queue);
 
 /* Routes of /v1/jobs. Those that change something wait. */
-void job_post(Way *way);
-void job_get(Way *way);
-void job_cancel(Way *way);
-void job_list(Way *way);
+void job_post(CallerRequest *request);
+void job_get(CallerRequest *request);
+void job_cancel(CallerRequest *request);
+void job_list(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/queue_order.c
+++ b/packages/callers/src/queue_order.c
@@ -20,21 +20,21 @@
     return mine ? trying->policy : in_force_policy(trying->callers->in_force, cell);
 }
 
-static void queue_show(Way *way, const Policy *policy)
+static void queue_show(CallerRequest *request, const Policy *policy)
 {
-    CallerService *callers = way->callers;
+    CallerService *callers = request->callers;
     int64_t limit = LIST_PAGE;
-    query_int(way->faults, way->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
-    const char *cell = query_value(way->mem, way->task->query, "cell");
+    query_int(request->faults, request->task->query, "limit", 1, LIST_PAGE_MAX, &limit);
+    const char *cell = query_value(request->mem, request->task->query, "cell");
     const Config *config = in_force_config(callers->in_force);
     if (cell == NULL || config_cell(config, cell) == NULL)
-        fault_add(way->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
-    if (way->faults->count > 0) {
-        way_refuse(way);
+        fault_add(request->faults, STATUS_UNKNOWN_CELL, "?cell", "must name a cell of the configuration");
+    if (request->faults->count > 0) {
+        request_refuse(request);
         return;
     }
     Trying trying = {callers, cell, policy};
-    Line *line = scheduler_line(callers->scheduler, way->mem, policy_tried, &trying);
+    Line *line = scheduler_line(callers->scheduler, request->mem, policy_tried, &trying);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready = 0;
     const Candidate *candidate;
@@ -54,26 +54,26 @@
     json_object_object_add(body, "cell", json_object_new_string(cell));
     json_object_object_add(body, "ready", json_object_new_int64(ready));
     json_object_object_add(body, "order", list);
-    show_result(way->task, 200, body);
+    show_result(request->task, 200, body);
 }
 
-void queue_get(Way *way)
+void queue_get(CallerRequest *request)
 {
-    queue_show(way, NULL);
+    queue_show(request, NULL);
 }
 
 /* What a policy would decide on the present queue; nothing is changed. */
-void queue_try(Way *way)
+void queue_try(CallerRequest *request)
 {
-    const char *text = talloc_strndup(way->mem, (const char *)way->task->body.data, way->task->body.count);
+    const char *text = talloc_strndup(request->mem, (const char *)request->task->body.data, request->task->body.count);
     LuaPolicy *policy;
     Failure failure = {0};
     if (text == NULL || text[0] == '\0')
-        fault_add(way->faults, STATUS_BAD_POLICY, "", "the body must be the text of a policy");
-    else if (lua_policy_new(way->mem, "policy", text, &policy, &failure) != STATUS_OK)
-        fault_add(way->faults, STATUS_BAD_POLICY, "", "%s", failure.text);
-    if (way->faults->count > 0)
-        way_refuse(way);
+        fault_add(request->faults, STATUS_BAD_POLICY, "", "the body must be the text of a policy");
+    else if (lua_policy_new(request->mem, "policy", text, &policy, &failure) != STATUS_OK)
+        fault_add(request->faults, STATUS_BAD_POLICY, "", "%s", failure.text);
+    if (request->faults->count > 0)
+        request_refuse(request);
     else
-        queue_show(way, lua_policy(policy));
+        queue_show(request, lua_policy(policy));
 }
--- a/packages/callers/src/queue_order.h
+++ b/packages/callers/src/queue_order.h
@@ -4,8 +4,8 @@
 #include "request.h"
 
 /* The queue of a cell in the order in which it is to be placed. */
-void queue_get(Way *way);
+void queue_get(CallerRequest *request);
 /* The same by the policy in the request's body. */
-void queue_try(Way *way);
+void queue_try(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -21,22 +21,23 @@
 /* False: the result has been given. */
 typedef struct Guard {
     const char *name;
-    bool (*pass)(Way *way);
+    bool (*pass)(CallerRequest *request);
 } Guard;
 
-static bool pass_lead(Way *way)
+static bool pass_lead(CallerRequest *request)
 {
-    if (replication_leading(way->callers->replication))
+    if (replication_leading(request->callers->replication))
         return true;
-    show_refusal(way->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
+    show_refusal(request->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
     return false;
 }
 
-static bool pass_repair(Way *way)
+static bool pass_repair(CallerRequest *request)
 {
-    if (!way->callers->leader.repairing(way->callers->leader.arg) || strcmp(way->task->path, "/v1/status") == 0)
+    if (!request->callers->leader.repairing(request->callers->leader.arg) ||
+        strcmp(request->task->path, "/v1/status") == 0)
         return true;
-    show_refusal(way->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
+    show_refusal(request->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
     return false;
 }
 
@@ -44,14 +45,14 @@
 
 /* --- routes ---------------------------------------------------------------------------------- */
 
-static void status_get(Way *way)
+static void status_get(CallerRequest *request)
 {
-    show_result(way->task, 200, way->callers->leader.status(way->callers->leader.arg));
+    show_result(request->task, 200, request->callers->leader.status(request->callers->leader.arg));
 }
 
-static void alerts_get(Way *way)
+static void alerts_get(CallerRequest *request)
 {
-    show_result(way->task, 200, way->callers->leader.alerts(way->callers->leader.arg));
+    show_result(request->task, 200, request->callers->leader.alerts(request->callers->leader.arg));
 }
 
 /* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that either needs where
@@ -62,7 +63,7 @@
 typedef struct Route {
     const char *method;
     const char *parts[3];
-    void (*serve)(Way *way);
+    void (*serve)(CallerRequest *request);
     Proof answer, refusal;
 } Route;
 
@@ -96,18 +97,18 @@
 static const Route ENTRY = {"", {0}, entry_serve, PROOF_LEASE, PROOF_CONTACT};
 
 /* Asked for by any entry point: it has come to a leader that serves. */
-static void ready_get(Way *way)
+static void ready_get(CallerRequest *request)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "ready", json_object_new_boolean(true));
-    show_result(way->task, 200, body);
+    show_result(request->task, 200, body);
 }
 
 static const Route READY = {"GET", {0}, ready_get, PROOF_LEASE, PROOF_LEASE};
 
-static const Route *route_find(Way *way, bool *path_known)
+static const Route *route_find(CallerRequest *request, bool *path_known)
 {
-    const char *path = way->task->path;
+    const char *path = request->task->path;
     *path_known = false;
     if (strcmp(path, "/readyz") == 0)
         return &READY;
@@ -115,7 +116,7 @@
         return NULL;
     char *parts[4] = {0};
     size_t count = 0;
-    char *copy = talloc_strdup(way->mem, path + 4);
+    char *copy = talloc_strdup(request->mem, path + 4);
     for (char *at = copy; at != NULL && count < 4; count++) {
         parts[count] = at;
         char *slash = strchr(at, '/');
@@ -140,19 +141,19 @@
         if (!fits)
             continue;
         *path_known = true;
-        if (strcmp(route->method, way->task->method) == 0) {
+        if (strcmp(route->method, request->task->method) == 0) {
             found = route;
-            way->name = name;
+            request->name = name;
         }
     }
     return found;
 }
 
-static const Route *route_of(Way *way, bool *path_known)
+static const Route *route_of(CallerRequest *request, bool *path_known)
 {
-    if (strncmp(way->task->path, ENTRY_PATH "/", sizeof(ENTRY_PATH)) == 0)
+    if (strncmp(request->task->path, ENTRY_PATH "/", sizeof(ENTRY_PATH)) == 0)
         return &ENTRY;
-    return route_find(way, path_known);
+    return route_find(request, path_known);
 }
 
 /* --- proofs ------------------------------------------------------------------------------------ */
@@ -164,45 +165,45 @@
 }
 
 /* Whether the answer may go out, which was made under the term. Waits. */
-static bool proven(Way *way, Proof proof, uint64_t term)
+static bool proven(CallerRequest *request, Proof proof, uint64_t term)
 {
-    const Replication *replication = way->callers->replication;
+    const Replication *replication = request->callers->replication;
     if (proof == PROOF_LEASE)
         return replication_leading(replication) && configuration_term(replication) == term;
-    int64_t until_ms = loop_now_ms(way->callers->loop) + LOCK_LEASE_MS;
-    if (way->task->timeout_ms != 0 && way->task->timeout_ms < until_ms)
-        until_ms = way->task->timeout_ms;
-    return replication_contact(way->callers->replication, until_ms) == STATUS_OK &&
+    int64_t until_ms = loop_now_ms(request->callers->loop) + LOCK_LEASE_MS;
+    if (request->task->timeout_ms != 0 && request->task->timeout_ms < until_ms)
+        until_ms = request->task->timeout_ms;
+    return replication_contact(request->callers->replication, until_ms) == STATUS_OK &&
            configuration_term(replication) == term;
 }
 
 /* The last check before the answer goes out, after all that the route has waited for. */
-static void prove(Way *way, const Route *route, uint64_t term)
+static void prove(CallerRequest *request, const Route *route, uint64_t term)
 {
-    HttpTask *task = way->task;
-    if (way->committed || claims_nothing(task))
+    HttpTask *task = request->task;
+    if (request->committed || claims_nothing(task))
         return;
-    if (proven(way, task->code < 400 ? route->answer : route->refusal, term))
+    if (proven(request, task->code < 400 ? route->answer : route->refusal, term))
         return;
-    way->callers->counts.unproven++;
+    request->callers->counts.unproven++;
     task->result = (Bytes){0};
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
 void leader_serve(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items)
 {
-    Way way = {
+    CallerRequest request = {
         .callers = callers, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
-    way.faults->mem = mem;
+    request.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
-        if (!GUARDS[i].pass(&way))
+        if (!GUARDS[i].pass(&request))
             return;
     bool path_known = false;
     const uint64_t term = configuration_term(callers->replication);
-    const Route *route = route_of(&way, &path_known);
+    const Route *route = route_of(&request, &path_known);
     if (route != NULL) {
-        route->serve(&way);
-        prove(&way, route, term);
+        route->serve(&request);
+        prove(&request, route, term);
     } else if (path_known) {
         show_refusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
     } else {
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -4,41 +4,45 @@
 #include <string.h>
 #include <talloc.h>
 
-static bool zone_known(Way *way)
+static bool zone_known(CallerRequest *request)
 {
     const Worker **workers;
-    const size_t count = table_workers(way->callers->table, way->mem, &workers);
+    const size_t count = table_workers(request->callers->table, request->mem, &workers);
     for (size_t i = 0; i < count; i++)
-        if (strcmp(workers[i]->zone, way->name) == 0)
+        if (strcmp(workers[i]->zone, request->name) == 0)
             return true;
-    const MemberTable *members = members_table(way->callers->members);
+    const MemberTable *members = members_table(request->callers->members);
     for (size_t i = 0; i < members->count; i++)
-        if (strcmp(members->rows[i].record.zone, way->name) == 0)
+        if (strcmp(members->rows[i].record.zone, request->name) == 0)
             return true;
     return false;
 }
 
-static void zone_show(Way *way)
+static void zone_show(CallerRequest *request)
 {
     json_object *body = json_object_new_object();
     Job *const *jobs;
-    const size_t count = table_active(way->callers->table, &jobs);
+    const size_t count = table_active(request->callers->table, &jobs);
     int64_t left = 0;
     for (size_t j = 0; j < count; j++)
         for (size_t t = 0; t < jobs[j]->tasks_count; t++) {
             const JobTask *task = &jobs[j]->tasks[t];
-            const Worker *worker = task_on_worker(task->phase) ? table_worker(way->callers->table, task->worker) : NULL;
-            left += worker != NULL && strcmp(worker->zone, way->name) == 0;
+            const Worker *worker =
+                task_on_worker(task->phase) ? table_worker(request->callers->table, task->worker) : NULL;
+            left += worker != NULL && strcmp(worker->zone, request->name) == 0;
         }
-    json_object_object_add(body, "zone", json_object_new_string(way->name));
-    json_object_object_add(body, "stamp", json_object_new_int64(table_drain_stamp(way->callers->table, way->name)));
-    json_object_object_add(body, "drained", json_object_new_boolean(table_drained(way->callers->table, way->name)));
-    json_object_object_add(body, "moves", json_object_new_boolean(table_drain_moves(way->callers->table, way->name)));
+    json_object_object_add(body, "zone", json_object_new_string(request->name));
+    json_object_object_add(body, "stamp",
+                           json_object_new_int64(table_drain_stamp(request->callers->table, request->name)));
+    json_object_object_add(body, "drained",
+                           json_object_new_boolean(table_drained(request->callers->table, request->name)));
+    json_object_object_add(body, "moves",
+                           json_object_new_boolean(table_drain_moves(request->callers->table, request->name)));
     json_object_object_add(body, "tasksLeft", json_object_new_int64(left));
     /* whether protected work could still be restarted with this zone empty */
-    const PlanInput input = planner_input(way->callers->scheduler, way->mem);
+    const PlanInput input = planner_input(request->callers->scheduler, request->mem);
     for (size_t i = 0; i < input.worker_count; i++)
-        if (strcmp(input.workers[i].zone, way->name) == 0)
+        if (strcmp(input.workers[i].zone, request->name) == 0)
             input.workers[i].free = (Room){0};
     PlanBreak broken = {LOSS_WORKER, ""};
     const bool holds = plan_always_possible(&input, &broken);
@@ -46,22 +50,22 @@
     if (!holds)
         json_object_object_add(
             body, "warning",
-            json_object_new_string(
-                talloc_asprintf(way->mem, "with this zone empty, the loss of %s %s leaves protected work without room",
-                                loss_word(broken.loss), broken.name)));
-    show_result(way->task, 200, body);
+            json_object_new_string(talloc_asprintf(
+                request->mem, "with this zone empty, the loss of %s %s leaves protected work without room",
+                loss_word(broken.loss), broken.name)));
+    show_result(request->task, 200, body);
 }
 
 /* What the query says of the order: its name, what it builds on. */
-static bool order_read(Way *way, ZoneDrain *drain)
+static bool order_read(CallerRequest *request, ZoneDrain *drain)
 {
     int64_t move = 0, after = -1;
-    const char *order = query_value(way->mem, way->task->query, "order");
-    query_int(way->faults, way->task->query, "move", 0, 1, &move);
-    query_int(way->faults, way->task->query, "after", 0, INT64_MAX, &after);
+    const char *order = query_value(request->mem, request->task->query, "order");
+    query_int(request->faults, request->task->query, "move", 0, 1, &move);
+    query_int(request->faults, request->task->query, "after", 0, INT64_MAX, &after);
     if (order != NULL && !check_name_text(order))
-        fault_add(way->faults, STATUS_BAD_FIELD, "?order", "is of letters, digits and ._:-");
-    if (way->faults->count > 0)
+        fault_add(request->faults, STATUS_BAD_FIELD, "?order", "is of letters, digits and ._:-");
+    if (request->faults->count > 0)
         return false;
     drain->move = drain->drained && move == 1;
     drain->order = order != NULL ? order : "";
@@ -71,74 +75,76 @@
 }
 
 /* Whoever carried the first answer may have been lost with it. */
-static void keep_newest(Way *way)
+static void keep_newest(CallerRequest *request)
 {
     RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
-    shape_pack(&ZoneDrain_shape, table_drain_newest(way->callers->table, way->name), way->mem, &item.payload);
-    way_keep(way, &item);
+    shape_pack(&ZoneDrain_shape, table_drain_newest(request->callers->table, request->name), request->mem,
+               &item.payload);
+    request_keep(request, &item);
 }
 
 /* False: the order changes nothing, and the result has been given. */
-static bool order_takes(Way *way, DrainKnown known)
+static bool order_takes(CallerRequest *request, DrainKnown known)
 {
     switch (known) {
     case DRAIN_NEW:
         return true;
     case DRAIN_TAKEN:
-        keep_newest(way);
-        zone_show(way);
+        keep_newest(request);
+        zone_show(request);
         return false;
     case DRAIN_OVERTAKEN:
-        show_refusal(way->task, STATUS_STALE_ORDER, "nothing was taken: there has been another order for this zone",
+        show_refusal(request->task, STATUS_STALE_ORDER, "nothing was taken: there has been another order for this zone",
                      NULL);
         return false;
     case DRAIN_FORGOTTEN:
         break;
     }
-    show_refusal(way->task, STATUS_EXPIRED, "it may have been taken: ask, and send it anew if it still stands", NULL);
+    show_refusal(request->task, STATUS_EXPIRED, "it may have been taken: ask, and send it anew if it still stands",
+                 NULL);
     return false;
 }
 
-static void zone_set(Way *way, bool drained)
+static void zone_set(CallerRequest *request, bool drained)
 {
-    ZoneDrain drain = {.zone = way->name, .drained = drained};
-    if (!order_read(way, &drain)) {
-        way_refuse(way);
+    ZoneDrain drain = {.zone = request->name, .drained = drained};
+    if (!order_read(request, &drain)) {
+        request_refuse(request);
         return;
     }
-    if (!zone_known(way)) {
-        show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
+    if (!zone_known(request)) {
+        show_refusal(request->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
         return;
     }
-    const Table *table = way->callers->table;
-    if (!order_takes(way, table_drain_known(table, &drain)))
+    const Table *table = request->callers->table;
+    if (!order_takes(request, table_drain_known(table, &drain)))
         return;
-    const int64_t clock_ms = replication_clock_ms(way->callers->replication),
-                  last_stamp = table_drain_stamp(table, way->name);
+    const int64_t clock_ms = replication_clock_ms(request->callers->replication),
+                  last_stamp = table_drain_stamp(table, request->name);
     drain.stamp = clock_ms > last_stamp ? clock_ms : last_stamp + 1;
     ChangeResult result;
-    if (!way_delivered(way, way_submit(way, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result)))
+    if (!request_delivered(request, request_submit(request, CHANGE_ZONE_DRAIN, &ZoneDrain_shape, &drain, &result)))
         return;
     if (result.status == STATUS_OK)
-        zone_show(way);
+        zone_show(request);
     else
-        order_takes(way, table_drain_known(table, &drain));
+        order_takes(request, table_drain_known(table, &drain));
 }
 
-void zone_drain(Way *way)
+void zone_drain(CallerRequest *request)
 {
-    zone_set(way, true);
+    zone_set(request, true);
 }
 
-void zone_back(Way *way)
+void zone_back(CallerRequest *request)
 {
-    zone_set(way, false);
+    zone_set(request, false);
 }
 
-void zone_get(Way *way)
+void zone_get(CallerRequest *request)
 {
-    if (zone_known(way))
-        zone_show(way);
+    if (zone_known(request))
+        zone_show(request);
     else
-        show_refusal(way->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
+        show_refusal(request->task, STATUS_UNKNOWN_ZONE, "no worker or member is in a zone of this name", NULL);
 }
--- a/packages/callers/src/zones.h
+++ b/packages/callers/src/zones.h
@@ -4,8 +4,8 @@
 #include "request.h"
 
 /* Routes of /v1/zones: shows a zone, empties it, gives it back to work. The last two wait. */
-void zone_get(Way *way);
-void zone_drain(Way *way);
-void zone_back(Way *way);
+void zone_get(CallerRequest *request);
+void zone_drain(CallerRequest *request);
+void zone_back(CallerRequest *request);
 
 #endif
