--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -53,15 +53,18 @@
 #define CONFIG_WATCH_WAIT_MS 2000     /* ms; an entry point's question for a new configuration is held open this long */
 #define LEADER_WAIT_MS 150 /* ms; from a leader's loss, a request that nobody took waits so long for another way */
 #define ELECTION_MS 3000   /* ms; a new leader is normally found within this: callers are told to come back then */
-#define FORWARD_DEADLINE_MS 8000 /* ms; an entry point gives a request up after this */
-#define SUBMIT_TIMEOUT_MS 5000   /* ms; a change that is not committed in this time has an unknown outcome */
-#define CONNECT_TIMEOUT_MS 600   /* ms; a connection that takes longer to open has failed */
-#define LINE_UNHEARD_MS 4000     /* ms; a connection without acknowledgements so long ends: its machine is cut off */
-#define LINE_QUIET_S 3     /* s; a connection idle for so long is probed: a machine that is cut off says nothing ... */
-#define LINE_PROBE_S 1     /* s; ... this often ... */
-#define LINE_PROBES 3      /* count; ... and ends after so many probes without an answer */
-#define LINE_MISSES 2      /* count; unanswered questions in a row before a connection is opened anew */
-#define LINE_SILENT_MS 200 /* ms; a question unanswered so long by a peer that just started went to its last life */
+#define FORWARD_DEADLINE_MS 8000   /* ms; an entry point gives a request up after this */
+#define SUBMIT_TIMEOUT_MS 5000     /* ms; a change that is not committed in this time has an unknown outcome */
+#define CONNECT_TIMEOUT_MS 600     /* ms; a connection that takes longer to open has failed */
+#define CONNECTION_UNHEARD_MS 4000 /* ms; a connection without acknowledgements so long ends: its machine is cut off \
+                                    */
+#define CONNECTION_QUIET_S \
+    3 /* s; a connection idle for so long is probed: a machine that is cut off says nothing ... */
+#define CONNECTION_PROBE_S 1 /* s; ... this often ... */
+#define CONNECTION_PROBES 3  /* count; ... and ends after so many probes without an answer */
+#define CONNECTION_MISSES 2  /* count; unanswered questions in a row before a connection is opened anew */
+#define CONNECTION_SILENT_MS \
+    200 /* ms; a question unanswered so long by a peer that just started went to its last life */
 
 /* --- membership ------------------------------------------------------------------------------ */
 #define HELLO_MS 500            /* ms; between two exchanges of the member table */
@@ -103,7 +106,7 @@
 #define REPAIR_MS 1500     /* ms; processes that hold what the disks lost have this long to send it again */
 /* ms; a leader that has just started repairs no sooner: until then connections of others to
  * its previous life may be silent */
-#define REPAIR_HEAR_MS (LINE_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
+#define REPAIR_HEAR_MS (CONNECTION_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
 #define KEEP_ASK_MS 100 /* ms; an entry point keeps a change for repair at once; a caller waits meanwhile */
 #define REPAIR_BUFFER_BYTES_MAX \
     (4 * 1024 * 1024)           /* bytes; one node keeps for repair: some 5,000 jobs; memory is priced */
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -33,12 +33,12 @@
     X(other_kinds, "otherKinds")       /* answers of another kind than the request with their id */       \
     X(late_answers, "lateAnswers")     /* to requests that had been given up */
 
-#define RPC_COUNT_LIST(X)                                               \
-    X(asked, "asked")              /* requests sent, or tried to */     \
-    X(answered, "answered")        /* answers to them */                \
-    X(served, "served")            /* requests that were carried out */ \
-    X(expired, "expired")          /* requests that timed out */        \
-    X(lines_opened, "linesOpened") /* connections opened */             \
+#define RPC_COUNT_LIST(X)                                                     \
+    X(asked, "asked")                    /* requests sent, or tried to */     \
+    X(answered, "answered")              /* answers to them */                \
+    X(served, "served")                  /* requests that were carried out */ \
+    X(expired, "expired")                /* requests that timed out */        \
+    X(connections_opened, "linesOpened") /* connections opened */             \
     RPC_REFUSED_LIST(X)
 
 /* Counts since the process started. */
@@ -100,7 +100,7 @@
 Status rpc_ask_peer(Rpc *rpc, void *mem, const RpcTarget *target, MessageKind kind, const Shape *ask_shape,
                     const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer);
 /* A new process is known to listen at the address: a connection on which a request has waited for
- * LINE_SILENT_MS leads to the process before it, and is ended. */
+ * CONNECTION_SILENT_MS leads to the process before it, and is ended. */
 void rpc_renew(Rpc *rpc, const char *address);
 /* Valid as long as the RPC endpoint. */
 const RpcCounts *rpc_counts(const Rpc *rpc);
--- a/packages/wire/src/answer.c
+++ b/packages/wire/src/answer.c
@@ -38,15 +38,15 @@
     return status;
 }
 
-bool answer_take(Line *line, Bytes frame, void *mem)
+bool answer_take(Connection *connection, Bytes frame, void *mem)
 {
-    Rpc *rpc = line->rpc;
+    Rpc *rpc = connection->rpc;
     Envelope envelope = {0};
     if (shape_unpack(&Envelope_shape, frame, mem, &envelope, NULL) != STATUS_OK || !envelope.answer) {
         rpc->counts.bad_frames++;
         return false;
     }
-    Asking *asking = asking_take(line, envelope.call);
+    Asking *asking = asking_take(connection, envelope.call);
     if (asking == NULL) {
         rpc->counts.late_answers++;
         return true;
@@ -54,7 +54,7 @@
     if (envelope.kind != asking->kind) {
         rpc->counts.other_kinds++;
         rpc_note_refused(rpc, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
-        asking_end(line, asking, STATUS_CLOSED);
+        asking_end(connection, asking, STATUS_CLOSED);
         return false;
     }
     const Status status = answer_check(rpc, asking, &envelope);
@@ -64,6 +64,6 @@
     } else {
         rpc_note_refused(rpc, status, "an answer", &envelope);
     }
-    asking_end(line, asking, status);
+    asking_end(connection, asking, status);
     return true;
 }
--- a/packages/wire/src/ask.c
+++ b/packages/wire/src/ask.c
@@ -12,9 +12,9 @@
 #include "wire/shape.h"
 
 /* Sends the request and puts it on its connection's list. TOO_LARGE, UNREACHABLE: it has not been sent. */
-static Status asking_send(Line *line, Asking *asking, const Shape *ask_shape, const void *ask)
+static Status asking_send(Connection *connection, Asking *asking, const Shape *ask_shape, const void *ask)
 {
-    Rpc *rpc = line->rpc;
+    Rpc *rpc = connection->rpc;
     Envelope envelope = {.version = WIRE_VERSION,
                          .cluster = rpc->cluster,
                          .kind = asking->kind,
@@ -24,21 +24,22 @@
     shape_pack(ask_shape, ask, asking->mem, &envelope.payload);
     Bytes frame = {0};
     shape_pack(&Envelope_shape, &envelope, asking->mem, &frame);
-    asking->next = line->asking;
-    line->asking = asking;
-    const Status status = channel_send(line->channel, frame);
+    asking->next = connection->asking;
+    connection->asking = asking;
+    const Status status = channel_send(connection->channel, frame);
     if (status != STATUS_OK)
-        asking_take(line, asking->call);
-    asking->sent_up_to = channel_queued(line->channel);
+        asking_take(connection, asking->call);
+    asking->sent_up_to = channel_queued(connection->channel);
     return status == STATUS_OK || status == STATUS_TOO_LARGE ? status : STATUS_UNREACHABLE;
 }
 
 /* Unpacks the answer, on mem. The status is the peer's own, or why there is no answer. */
-static Status answer_read(Line *line, const Asking *asking, void *mem, const Shape *answer_shape, void *answer)
+static Status answer_read(Connection *connection, const Asking *asking, void *mem, const Shape *answer_shape,
+                          void *answer)
 {
-    Rpc *rpc = line->rpc;
+    Rpc *rpc = connection->rpc;
     if (asking->payload.count > 0 || (asking->status != STATUS_CLOSED && asking->status != STATUS_UNREACHABLE)) {
-        line->misses = 0;
+        connection->misses = 0;
         rpc->counts.answered++;
     }
     if (asking->payload.count == 0)
@@ -51,19 +52,19 @@
 }
 
 /* Waits until the request is done. EXPIRED: it was given up at until_ms, and may have been carried out. */
-static Status asking_wait(Line *line, Asking *asking, int64_t until_ms)
+static Status asking_wait(Connection *connection, Asking *asking, int64_t until_ms)
 {
-    Rpc *rpc = line->rpc;
+    Rpc *rpc = connection->rpc;
     while (!asking->done)
         if (!signal_wait(rpc->loop, &asking->answered, until_ms))
             break;
     if (asking->done)
         return STATUS_OK;
-    asking_take(line, asking->call);
+    asking_take(connection, asking->call);
     rpc->counts.expired++;
     /* a connection that stays silent may be dead: end it, so that the next request opens another */
-    if (++line->misses >= LINE_MISSES && line->channel != NULL)
-        channel_shut(line->channel);
+    if (++connection->misses >= CONNECTION_MISSES && connection->channel != NULL)
+        channel_shut(connection->channel);
     return STATUS_EXPIRED;
 }
 
@@ -72,8 +73,8 @@
 {
     const int64_t until_ms = loop_now_ms(rpc->loop) + wait_ms;
     rpc->counts.asked++;
-    Line *line = line_ready(rpc, target->address, until_ms);
-    if (line == NULL || (target->sending != NULL && target->sending->cancelled))
+    Connection *connection = connection_ready(rpc, target->address, until_ms);
+    if (connection == NULL || (target->sending != NULL && target->sending->cancelled))
         return STATUS_UNREACHABLE;
     void *scratch = talloc_new(mem);
     Asking *asking = talloc_zero(scratch, Asking);
@@ -82,13 +83,13 @@
                        .meant = target->meant,
                        .sent_ms = loop_now_ms(rpc->loop),
                        .mem = scratch};
-    Status status = asking_send(line, asking, ask_shape, ask);
+    Status status = asking_send(connection, asking, ask_shape, ask);
     if (status == STATUS_OK && target->sending != NULL)
         target->sending->sent = true;
     if (status == STATUS_OK)
-        status = asking_wait(line, asking, until_ms);
+        status = asking_wait(connection, asking, until_ms);
     if (status == STATUS_OK)
-        status = answer_read(line, asking, mem, answer_shape, answer);
+        status = answer_read(connection, asking, mem, answer_shape, answer);
     talloc_free(scratch);
     return status;
 }
--- a/packages/wire/src/asking.c
+++ b/packages/wire/src/asking.c
@@ -4,9 +4,9 @@
 #include "inside.h"
 #include "loop/loop.h"
 
-Asking *asking_take(Line *line, uint64_t call)
+Asking *asking_take(Connection *connection, uint64_t call)
 {
-    for (Asking **at = &line->asking; *at != NULL; at = &(*at)->next)
+    for (Asking **at = &connection->asking; *at != NULL; at = &(*at)->next)
         if ((*at)->call == call) {
             Asking *asking = *at;
             *at = asking->next;
@@ -15,10 +15,10 @@
     return NULL;
 }
 
-void asking_end(Line *line, Asking *asking, Status status)
+void asking_end(Connection *connection, Asking *asking, Status status)
 {
-    asking_take(line, asking->call);
+    asking_take(connection, asking->call);
     asking->done = true;
     asking->status = status;
-    signal_raise(line->rpc->loop, &asking->answered);
+    signal_raise(connection->rpc->loop, &asking->answered);
 }
--- a/packages/wire/src/asking.h
+++ b/packages/wire/src/asking.h
@@ -28,7 +28,7 @@
 /* The connection to one peer address. It is kept as long as the RPC endpoint, connected or not.
  * Invariants: while channel is non-null one reading task serves it; misses is the number of
  * requests in a row that timed out. */
-typedef struct Line {
+typedef struct Connection {
     Rpc *rpc;
     const char *address;
     Channel *channel; /* null: not connected */
@@ -36,11 +36,11 @@
     Signal opened;
     Asking *asking; /* the newest first */
     unsigned misses;
-} Line;
+} Connection;
 
 /* Takes the request with this id off the list; null when it is not there. */
-Asking *asking_take(Line *line, uint64_t call);
+Asking *asking_take(Connection *connection, uint64_t call);
 /* Ends a request and wakes its task. */
-void asking_end(Line *line, Asking *asking, Status status);
+void asking_end(Connection *connection, Asking *asking, Status status);
 
 #endif
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -27,7 +27,7 @@
     uint64_t born_life; /* its incarnation may rise while it lives: requests to the first one are taken too */
     uint64_t refused;   /* frames not taken that rpc_note_refused was called for */
     uint64_t last_call; /* request id; used once in this process's lifetime, over all its connections */
-    Map *lines;         /* address to Line */
+    Map *connections;   /* address to Line */
     Handler handlers[MESSAGE_MAX];
     RpcCounts counts;
 };
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/line.c
@@ -12,67 +12,67 @@
 #include "loop/loop.h"
 
 /* Reads answers until the connection ends; then every request still on it fails. */
-static void line_main(void *arg)
+static void connection_main(void *arg)
 {
-    Line *line = arg;
-    Rpc *rpc = line->rpc;
-    Channel *channel = line->channel;
+    Connection *connection = arg;
+    Rpc *rpc = connection->rpc;
+    Channel *channel = connection->channel;
     for (bool good = true; good;) {
         void *mem = talloc_new(rpc);
         Bytes frame;
-        good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answer_take(line, frame, mem);
+        good = channel_receive(channel, mem, INT64_MAX, &frame) == STATUS_OK && answer_take(connection, frame, mem);
         talloc_free(mem);
     }
-    line->channel = NULL;
-    line->misses = 0;
+    connection->channel = NULL;
+    connection->misses = 0;
     channel_shut(channel);
-    while (line->asking != NULL) /* what never left this process was certainly not taken */
-        asking_end(line, line->asking,
-                   channel_unsent(channel, line->asking->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
+    while (connection->asking != NULL) /* what never left this process was certainly not taken */
+        asking_end(connection, connection->asking,
+                   channel_unsent(channel, connection->asking->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
     channel_close(channel);
 }
 
 void rpc_renew(Rpc *rpc, const char *address)
 {
-    const Line *line = map_get(rpc->lines, address);
-    if (line == NULL || line->channel == NULL)
+    const Connection *connection = map_get(rpc->connections, address);
+    if (connection == NULL || connection->channel == NULL)
         return;
     /* the present incarnation answers soon: a request that waits for long went to an earlier one */
-    for (const Asking *asking = line->asking; asking != NULL; asking = asking->next)
-        if (loop_now_ms(rpc->loop) - asking->sent_ms >= LINE_SILENT_MS) {
-            channel_shut(line->channel);
+    for (const Asking *asking = connection->asking; asking != NULL; asking = asking->next)
+        if (loop_now_ms(rpc->loop) - asking->sent_ms >= CONNECTION_SILENT_MS) {
+            channel_shut(connection->channel);
             return;
         }
 }
 
-Line *line_ready(Rpc *rpc, const char *address, int64_t until_ms)
+Connection *connection_ready(Rpc *rpc, const char *address, int64_t until_ms)
 {
-    Line *line = map_get(rpc->lines, address);
-    if (line == NULL) {
-        line = talloc_zero(rpc, Line);
-        line->rpc = rpc;
-        line->address = talloc_strdup(line, address);
-        map_set(rpc->lines, address, line);
+    Connection *connection = map_get(rpc->connections, address);
+    if (connection == NULL) {
+        connection = talloc_zero(rpc, Connection);
+        connection->rpc = rpc;
+        connection->address = talloc_strdup(connection, address);
+        map_set(rpc->connections, address, connection);
     }
-    while (line->channel == NULL && line->opening)
-        if (!signal_wait(rpc->loop, &line->opened, until_ms))
+    while (connection->channel == NULL && connection->opening)
+        if (!signal_wait(rpc->loop, &connection->opened, until_ms))
             return NULL;
-    if (line->channel != NULL)
-        return line;
+    if (connection->channel != NULL)
+        return connection;
     int64_t wait_ms = until_ms - loop_now_ms(rpc->loop);
     if (wait_ms <= 0)
         return NULL;
     if (wait_ms > CONNECT_TIMEOUT_MS)
         wait_ms = CONNECT_TIMEOUT_MS;
-    line->opening = true;
+    connection->opening = true;
     Channel *channel;
-    const Status status = loop_open(rpc->loop, line, address, wait_ms, &channel);
-    line->opening = false;
+    const Status status = loop_open(rpc->loop, connection, address, wait_ms, &channel);
+    connection->opening = false;
     if (status == STATUS_OK) {
-        line->channel = channel;
-        rpc->counts.lines_opened++;
-        loop_spawn(rpc->loop, "line", line_main, line);
+        connection->channel = channel;
+        rpc->counts.connections_opened++;
+        loop_spawn(rpc->loop, "line", connection_main, connection);
     }
-    signal_raise(rpc->loop, &line->opened);
-    return line->channel != NULL ? line : NULL;
+    signal_raise(rpc->loop, &connection->opened);
+    return connection->channel != NULL ? connection : NULL;
 }
--- a/packages/wire/src/line.h
+++ b/packages/wire/src/line.h
@@ -1,11 +1,11 @@
-#ifndef WIRE_SRC_LINE_H
-#define WIRE_SRC_LINE_H
+#ifndef WIRE_SRC_CONNECTION_H
+#define WIRE_SRC_CONNECTION_H
 
 #include "asking.h"
 #include "wire/rpc.h"
 
 /* Waits, until until_ms at the latest. The connection to the address, ready to send, or null when the peer
  * can't be reached. A connection attempt takes at most CONNECT_TIMEOUT_MS. */
-Line *line_ready(Rpc *rpc, const char *address, int64_t until_ms);
+Connection *connection_ready(Rpc *rpc, const char *address, int64_t until_ms);
 
 #endif
--- a/packages/wire/src/rpc.c
+++ b/packages/wire/src/rpc.c
@@ -50,7 +50,7 @@
     Rpc *rpc = talloc_zero(mem, Rpc);
     rpc->loop = loop;
     rpc->recorder = recorder;
-    rpc->lines = map_new(rpc);
+    rpc->connections = map_new(rpc);
     return rpc;
 }
 
