--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -61,7 +61,7 @@
 /* What a heartbeat makes known, committed beside it: the lease does not wait for the disks. */
 typedef struct Learning {
     Controller *controller;
-    AgentLine *line;
+    AgentSession *line;
     Worker worker;
     bool learn, left;
     AttemptList missing;
@@ -86,7 +86,7 @@
 /* One at a time for each worker: what is being committed need not be submitted again. */
 static void learn(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
 {
-    AgentLine *line = agent_line(controller, heartbeat->worker.name);
+    AgentSession *line = agent_session(controller, heartbeat->worker.name);
     if (line->learning)
         return;
     const Worker *known = table_worker(controller->table, heartbeat->worker.name);
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -6,11 +6,11 @@
 
 #include "leader.h"
 
-AgentLine *agent_line(Controller *controller, const char *worker)
+AgentSession *agent_session(Controller *controller, const char *worker)
 {
-    AgentLine *line = map_get(controller->lines, worker);
+    AgentSession *line = map_get(controller->lines, worker);
     if (line == NULL) {
-        line = talloc_zero(controller->lines, AgentLine);
+        line = talloc_zero(controller->lines, AgentSession);
         map_set(controller->lines, worker, line);
     }
     return line;
@@ -19,7 +19,7 @@
 static void on_orders(void *arg, const char *worker)
 {
     Controller *controller = arg;
-    AgentLine *line = map_get(controller->lines, worker);
+    AgentSession *line = map_get(controller->lines, worker);
     if (line != NULL)
         signal_raise(controller->loop, &line->updates);
 }
@@ -30,7 +30,7 @@
     const char **names;
     const size_t count = map_keys(controller->lines, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signal_raise(controller->loop, &((AgentLine *)map_get(controller->lines, names[i]))->updates);
+        signal_raise(controller->loop, &((AgentSession *)map_get(controller->lines, names[i]))->updates);
     talloc_free(mem);
 }
 
@@ -84,7 +84,7 @@
                    HeartbeatAnswer *out)
 {
     const int64_t until_ms = loop_now_ms(controller->loop) + wait_ms;
-    AgentLine *line = agent_line(controller, heartbeat->worker.name);
+    AgentSession *line = agent_session(controller, heartbeat->worker.name);
     const uint64_t turn = ++line->turn;
     signal_raise(controller->loop, &line->updates); /* an earlier question waits no longer */
     while (!orders_new(controller, heartbeat))
--- a/packages/controller/src/orders.h
+++ b/packages/controller/src/orders.h
@@ -4,14 +4,14 @@
 #include "state.h"
 
 /* The connection of orders to one agent. Never freed while the process runs. */
-typedef struct AgentLine {
+typedef struct AgentSession {
     Signal updates; /* its orders have changed, or whether they may be given */
     uint64_t turn;  /* of its newest question; an earlier one waits no longer */
     bool learning;  /* what a heartbeat made known is being committed */
-} AgentLine;
+} AgentSession;
 
 /* Made when it is first asked for. */
-AgentLine *agent_line(Controller *controller, const char *worker);
+AgentSession *agent_session(Controller *controller, const char *worker);
 void orders_start(Controller *controller);
 /* All agents' questions are looked at again. */
 void orders_wake(Controller *controller);
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -67,7 +67,7 @@
     InForce *in_force;
     Scheduler *scheduler;
     CallerService *callers;
-    Map *lines;                      /* names of workers to AgentLine */
+    Map *lines;                      /* names of workers to AgentSession */
     struct AttemptUpdates *reported; /* gathers what attempts came to */
     Map *alerts;                     /* those that stand */
     uint64_t alert_looks;
--- a/packages/loop/src/realsocket.c
+++ b/packages/loop/src/realsocket.c
@@ -65,8 +65,8 @@
 
 void real_patience(int fd)
 {
-    const int on = 1, idle_s = LINE_QUIET_S, between_s = LINE_PROBE_S, probes = LINE_PROBES;
-    const unsigned unheard_ms = LINE_UNHEARD_MS;
+    const int on = 1, idle_s = CONNECTION_QUIET_S, between_s = CONNECTION_PROBE_S, probes = CONNECTION_PROBES;
+    const unsigned unheard_ms = CONNECTION_UNHEARD_MS;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unheard_ms, sizeof(unheard_ms));
     setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
