--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -53,11 +53,12 @@
 #define CONFIG_WATCH_WAIT_MS 2000     /* ms; an entry point's question for a new configuration is held open this long */
 #define LEADER_WAIT_MS 150 /* ms; from a leader's loss, a request that nobody took waits so long for another way */
 #define ELECTION_MS 3000   /* ms; a new leader is normally found within this: callers are told to come back then */
-#define FORWARD_DEADLINE_MS 8000   /* ms; an entry point gives a request up after this */
-#define SUBMIT_TIMEOUT_MS 5000     /* ms; a change that is not committed in this time has an unknown outcome */
-#define CONNECT_TIMEOUT_MS 600     /* ms; a connection that takes longer to open has failed */
-#define CONNECTION_UNHEARD_MS 4000 /* ms; a connection without acknowledgements so long ends: its machine is cut off \
-                                    */
+#define FORWARD_DEADLINE_MS 8000 /* ms; an entry point gives a request up after this */
+#define SUBMIT_TIMEOUT_MS 5000   /* ms; a change that is not committed in this time has an unknown outcome */
+#define CONNECT_TIMEOUT_MS 600   /* ms; a connection that takes longer to open has failed */
+#define CONNECTION_UNHEARD_MS                                                              \
+    4000 /* ms; a connection without acknowledgements so long ends: its machine is cut off \
+          */
 #define CONNECTION_QUIET_S \
     3 /* s; a connection idle for so long is probed: a machine that is cut off says nothing ... */
 #define CONNECTION_PROBE_S 1 /* s; ... this often ... */
@@ -102,8 +103,9 @@
 #define JOURNAL_OPEN_MS 3000 /* ms; a disk that refuses writes at the start is tried again for this long */
 #define JOURNAL_BAD_BYTES (16 * 1024 * 1024) /* bytes; a smaller broken journal is kept beside the new one */
 #define HISTORY_NOTIFIED_MS 1000             /* ms; orders to drop committed entries are logged at most this often */
-#define WOKEN_WAIT_MS 3000 /* ms; restarted voters wait so long for others: every step together must end in 12 s */
-#define REPAIR_MS 1500     /* ms; processes that hold what the disks lost have this long to send it again */
+#define RESTARTED_WAIT_MS 3000 /* ms; restarted voters wait so long for others: every step together must end in 12 s \
+                                */
+#define REPAIR_MS 1500         /* ms; processes that hold what the disks lost have this long to send it again */
 /* ms; a leader that has just started repairs no sooner: until then connections of others to
  * its previous life may be silent */
 #define REPAIR_HEAR_MS (CONNECTION_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
--- a/packages/base/include/base/status.h
+++ b/packages/base/include/base/status.h
@@ -41,7 +41,7 @@
     X(OLD_TERM, "old-epoch", 409)                \
     X(OTHER_HOLDER, "other-holder", 409)         \
     X(LOG_GAP, "log-gap", 409)                   \
-    X(WOKEN, "woken", 409)                       \
+    X(RESTARTED, "woken", 409)                   \
     X(NO_VOTER, "no-seat", 409)                  \
     X(DUPLICATE_WORKER, "duplicate-worker", 409) \
     X(EXPIRED, "expired", 504)                   \
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -74,7 +74,7 @@
         json_object_object_add(one, "core", controller_of(controller, replication->voters[i].disk));
         json_object_object_add(one, "inView", json_object_new_boolean(replication->voters[i].in_configuration));
         json_object_object_add(one, "answers", json_object_new_boolean(replication->voters[i].answers));
-        json_object_object_add(one, "woke", json_object_new_boolean(replication->voters[i].woke));
+        json_object_object_add(one, "woke", json_object_new_boolean(replication->voters[i].restarted));
         json_object_object_add(one, "syncMs", number_of(replication->voters[i].sync_ms));
         json_object_object_add(one, "index", number_of((int64_t)replication->voters[i].match_index));
         json_object_object_add(one, "sight", number_of((int64_t)replication->voters[i].reach));
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -46,7 +46,7 @@
 } LockVoter;
 
 /* Whether the term may be promised to the holder now; changes nothing. OK, OLD_TERM (not above
- * what was promised), WOKEN (the voter restarted less than a lease ago), OTHER_HOLDER (a lease
+ * what was promised), RESTARTED (the voter restarted less than a lease ago), OTHER_HOLDER (a lease
  * granted to another runs). */
 Status lock_may_promise(const LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms);
 /* Records a promise: one that lock_may_promise allowed, that the leader of a higher term shows to
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -19,7 +19,7 @@
     if (term <= voter->promised)
         return STATUS_OLD_TERM;
     if (now_ms < voter->not_before_ms && !(voter->sure && voter->holder == holder))
-        return STATUS_WOKEN;
+        return STATUS_RESTARTED;
     if (voter->holder != holder && lock_held(voter, now_ms))
         return STATUS_OTHER_HOLDER;
     return STATUS_OK;
--- a/packages/replication/include/replication/messages.h
+++ b/packages/replication/include/replication/messages.h
@@ -60,7 +60,7 @@
     X(FLAG, held, 0)    /* a lease that it granted runs */                                     \
     X(U64, log_term, 0) /* of its last entry */                                                \
     X(U64, log_index, 0)                                                                       \
-    X(FLAG, woke, 0)              /* restarted, and no view has brought it up to date since */ \
+    X(FLAG, restarted, 0)         /* restarted, and no view has brought it up to date since */ \
     X(U64, configuration_term, 0) /* of the last view recorded */                              \
     X(LST, configuration_members, DiskId)                                                      \
     X(I64, wall_ms, 0)                                                                         \
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -162,7 +162,7 @@
     uint64_t disk;
     bool in_configuration;
     bool answers; /* within the last LOCK_GRANT_MS */
-    bool woke;
+    bool restarted;
     int64_t sync_ms; /* how long its last sync took */
     uint64_t match_index;
     uint64_t reach; /* how many members it reaches */
@@ -180,7 +180,7 @@
     ReplicationPhase phase;
     uint64_t term;   /* as of replication_place */
     uint64_t holder; /* the disk that the own voter has promised to */
-    bool woke;
+    bool restarted;
     uint64_t last_index, commit_index, delivered_index, base_index; /* base_index: of the snapshot */
     int64_t lease_left_ms;                                          /* of the own lease */
     uint64_t configuration_changes;
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -92,7 +92,7 @@
             replication->settings.state.deliver(replication->settings.state.arg, entry, &result);
         else if (entry->change == REPLICATION_CHANGE_TERM && entry->term == replication->lock.promised &&
                  last_has(replication, replication->disk))
-            replication->woke = false; /* a view has brought this node up to date */
+            replication->restarted = false; /* a view has brought this node up to date */
         replication->delivered_index = entry->index;
         any = true;
         waiters_notify(replication, entry, &result);
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -24,16 +24,16 @@
     return false;
 }
 
-/* The answer that has the last view; null: nobody has answered. any_woke: one of them restarted. */
-static const VoterAnswer *last_view_of(const Poll *poll, bool *any_woke)
+/* The answer that has the last view; null: nobody has answered. any_restarted: one of them restarted. */
+static const VoterAnswer *last_view_of(const Poll *poll, bool *any_restarted)
 {
     const VoterAnswer *newest = NULL;
-    *any_woke = false;
+    *any_restarted = false;
     for (int i = 0; i < VOTER_MOST; i++) {
         const VoterAnswer *answer = &poll->answers[i];
         if (!poll_reached(poll->status[i]))
             continue;
-        *any_woke |= answer->woke;
+        *any_restarted |= answer->restarted;
         /* of one term, the longer log has the later change of view */
         if (newest == NULL || answer->configuration_term > newest->configuration_term ||
             (answer->configuration_term == newest->configuration_term && log_ahead(answer, newest)))
@@ -48,9 +48,9 @@
  * repair: committed changes may have been lost. */
 static bool may_rest(Replication *replication, const Poll *poll, bool *repair)
 {
-    bool any_woke;
-    const VoterAnswer *newest = last_view_of(poll, &any_woke);
-    *repair = any_woke && !replication->settings.disks_keep && newest != NULL && newest->configuration_term != 0;
+    bool any_restarted;
+    const VoterAnswer *newest = last_view_of(poll, &any_restarted);
+    *repair = any_restarted && !replication->settings.disks_keep && newest != NULL && newest->configuration_term != 0;
     if (!*repair)
         return true;
     bool heard_all = true;
@@ -58,13 +58,13 @@
         if (among(newest, replication->voters[i]) && !poll_reached(poll->status[i]))
             heard_all = false;
     if (heard_all) {
-        replication->woken_since_ms = 0;
+        replication->restarted_since_ms = 0;
         return true;
     }
     const int64_t now_ms = loop_now_ms(replication->loop);
-    if (replication->woken_since_ms == 0)
-        replication->woken_since_ms = now_ms;
-    return now_ms - replication->woken_since_ms >= WOKEN_WAIT_MS;
+    if (replication->restarted_since_ms == 0)
+        replication->restarted_since_ms = now_ms;
+    return now_ms - replication->restarted_since_ms >= RESTARTED_WAIT_MS;
 }
 
 /* What the voters said of themselves, before any promise is asked of them. */
@@ -118,7 +118,7 @@
     if (heard.count >= replication_majority(replication) && rest && !held)
         return STATUS_OK;
     lead_down(replication, 0);
-    return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_WOKEN;
+    return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_RESTARTED;
 }
 
 /* --- promises ----------------------------------------------------------------------- */
--- a/packages/replication/src/election.h
+++ b/packages/replication/src/election.h
@@ -23,7 +23,7 @@
 } Opening;
 
 /* Waits. Whether this node may stand at all: asks the voters for nothing but answers. OK: it
- * may. NO_VOTER, OTHER_HOLDER, UNREACHABLE, WOKEN, NOT_LEADER: why not; the lead is given up. */
+ * may. NO_VOTER, OTHER_HOLDER, UNREACHABLE, RESTARTED, NOT_LEADER: why not; the lead is given up. */
 Status election_hear(Opening *opening);
 /* Waits. Asks for promises of the next term; renewals of the former term have ended with
  * lead_turn. OTHER_HOLDER: not won; the lead is given up. */
--- a/packages/replication/src/lead.c
+++ b/packages/replication/src/lead.c
@@ -34,7 +34,7 @@
 {
     Peer *peer = &replication->peers[slot];
     peer->answered_ms = loop_now_ms(replication->loop);
-    peer->woke = answer->woke;
+    peer->restarted = answer->restarted;
     peer->promised = answer->promised;
     peer->wall_ms = answer->wall_ms;
     peer->wall_at_ms = peer->answered_ms;
--- a/packages/replication/src/newterm.c
+++ b/packages/replication/src/newterm.c
@@ -58,7 +58,7 @@
     if (opening->new_holder)
         replication->won_ms = loop_now_ms(replication->loop);
     replication->holding = true;
-    replication->woken_since_ms = 0;
+    replication->restarted_since_ms = 0;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
             lead_renew(replication, i);
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -83,13 +83,13 @@
     bool majority = false;
     while (poll->pending > 0 && signal_wait(replication->loop, &poll->ended, until_ms)) {
         size_t heard = 0;
-        bool woke = false;
+        bool restarted = false;
         for (int i = 0; i < VOTER_MOST; i++) {
             heard += poll_reached(poll->status[i]);
-            woke |= poll_reached(poll->status[i]) && poll->answers[i].woke;
+            restarted |= poll_reached(poll->status[i]) && poll->answers[i].restarted;
         }
         const int64_t grace_ms = loop_now_ms(replication->loop) + POLL_GRACE_MS;
-        if (!majority && heard >= needed && (!woke || replication->settings.disks_keep) && grace_ms < until_ms)
+        if (!majority && heard >= needed && (!restarted || replication->settings.disks_keep) && grace_ms < until_ms)
             until_ms = grace_ms;
         majority |= heard >= needed;
     }
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -134,7 +134,7 @@
         replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster of the former disk may live */
     replication->queued_index = log_last_index(replication->log);
     replication_reread(replication);
-    replication->woke = replication->cluster != 0;
+    replication->restarted = replication->cluster != 0;
     /* a lease may have been granted just before the restart: nothing is promised until it has lapsed. A
      * disk that was never part of a cluster has granted nothing. */
     if (replication->cluster != 0)
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -17,7 +17,7 @@
         .held = replication_knows_holder(replication),
         .log_term = log_last_term(replication->log),
         .log_index = log_last_index(replication->log),
-        .woke = replication->woke,
+        .restarted = replication->restarted,
         .configuration_term = replication->last.term,
         .configuration_members_count = replication->last.members_count,
         .wall_ms = loop_wall_ms(replication->loop),
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -29,7 +29,7 @@
     /* its answers */
     int64_t answered_ms; /* any answer */
     uint64_t promised;   /* the term that it had promised then */
-    bool woke;           /* it restarted, and no view has brought it up to date since */
+    bool restarted;      /* it restarted, and no view has brought it up to date since */
     int64_t sync_ms;     /* how long its last sync took */
     uint64_t reach;      /* how many members it reaches */
     int64_t wall_ms;     /* its wall clock ... */
@@ -110,7 +110,7 @@
     /* --- the voter ---
      * Invariant: the promise in lock is on the disk before anything is answered under it. */
     LockVoter lock;
-    bool woke;                  /* restarted, and no view has brought this node up to date since */
+    bool restarted;             /* restarted, and no view has brought this node up to date since */
     uint64_t verified_index;    /* entries up to it are known to equal those of the leader of the promised term */
     Filling *incoming_snapshot; /* a snapshot that arrives in pieces; null: none */
     uint64_t other_histories;   /* refused orders to drop what is committed */
@@ -130,15 +130,15 @@
      * Invariants: phase is LEADING only once the first entry of term is committed; the tasks
      * of a lead end when lead_turn is no longer theirs. */
     ReplicationPhase phase;
-    uint64_t lead_turn;     /* grows with each election and each loss of the lead */
-    uint64_t term;          /* the term that this node leads, or led last */
-    LockLease lease;        /* when each voter last granted the lease */
-    bool holding;           /* the lease was won and not given up, also while a further term is opened */
-    bool reopening;         /* the election under way is by a leader whose lease never lapsed */
-    int64_t won_ms;         /* the lease was won from another, or from nobody */
-    int64_t rest_until_ms;  /* it does not stand before */
-    int64_t woken_since_ms; /* an election has waited since then for the last view's members; 0: none does */
-    int64_t blind_since_ms; /* a voter has reached many more members than the leader since then; 0: none does */
+    uint64_t lead_turn;         /* grows with each election and each loss of the lead */
+    uint64_t term;              /* the term that this node leads, or led last */
+    LockLease lease;            /* when each voter last granted the lease */
+    bool holding;               /* the lease was won and not given up, also while a further term is opened */
+    bool reopening;             /* the election under way is by a leader whose lease never lapsed */
+    int64_t won_ms;             /* the lease was won from another, or from nobody */
+    int64_t rest_until_ms;      /* it does not stand before */
+    int64_t restarted_since_ms; /* an election has waited since then for the last view's members; 0: none does */
+    int64_t blind_since_ms;     /* a voter has reached many more members than the leader since then; 0: none does */
 
     /* --- the leader: replication ---
      * Invariant: synced_index <= queued_index while this node leads. */
--- a/packages/replication/src/status.c
+++ b/packages/replication/src/status.c
@@ -44,7 +44,7 @@
             .disk = replication->voters[i],
             .in_configuration = replication->in_configuration[i],
             .answers = self || now_ms - peer->answered_ms < LOCK_GRANT_MS,
-            .woke = self ? replication->woke : peer->woke,
+            .restarted = self ? replication->restarted : peer->restarted,
             .sync_ms = self ? reach->journal.last_sync_ms : peer->sync_ms,
             .match_index = self ? replication->synced_index : peer->match_index,
             .reach = self ? members_reach(replication->settings.members) : peer->reach,
@@ -60,7 +60,7 @@
     reach->phase = replication->phase;
     replication_place(replication, &reach->term, &reach->commit_index);
     reach->holder = replication->lock.holder;
-    reach->woke = replication->woke;
+    reach->restarted = replication->restarted;
     reach->last_index = log_last_index(replication->log);
     reach->delivered_index = replication->delivered_index;
     reach->base_index = replication->log->base_index;
--- a/packages/replication/src/viewchange.c
+++ b/packages/replication/src/viewchange.c
@@ -115,7 +115,7 @@
         return;
     }
     /* it restarted within the view; of one just taken in that is known after a renewal */
-    next->changed |= peer->woke && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
+    next->changed |= peer->restarted && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
 }
 
 bool replication_tend(Replication *replication, bool skip[VOTER_MOST])
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -94,7 +94,7 @@
 /* The worker's process is gone: nothing runs there any more. */
 void checker_worker_gone(Checker *checker, const char *worker);
 /* Its machine runs again after standing still. */
-void checker_worker_woke(Checker *checker, const char *worker);
+void checker_worker_restarted(Checker *checker, const char *worker);
 void checker_leaving(Checker *checker, const char *worker, bool leaving);
 void checker_zone(Checker *checker, const char *zone, bool drained);
 /* A new process of the worker has reported to its agent: nothing of the old one runs. */
--- a/packages/sim/src/checkrun.c
+++ b/packages/sim/src/checkrun.c
@@ -77,7 +77,7 @@
     claim_gone(checker, seen_worker(checker, worker));
 }
 
-static void run_woke(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
+static void run_restarted(Checker *checker, SeenJob *job, SeenTask *task, SeenRun *run)
 {
     (void)task;
     if (run->beside_frozen)
@@ -85,9 +85,9 @@
                       run->attempt, run->worker);
 }
 
-void checker_worker_woke(Checker *checker, const char *worker)
+void checker_worker_restarted(Checker *checker, const char *worker)
 {
-    each_run(checker, worker, run_woke);
+    each_run(checker, worker, run_restarted);
 }
 
 void checker_leaving(Checker *checker, const char *worker, bool leaving)
--- a/packages/sim/src/fleet_fault.c
+++ b/packages/sim/src/fleet_fault.c
@@ -83,12 +83,12 @@
     sim_power_off(fleet->world, node->machine);
 }
 
-static void woke(void *arg)
+static void restarted(void *arg)
 {
     FleetNode *node = arg;
     /* a later freeze may have begun before this one ended */
     if (sim_alive(node->fleet->world, node->machine) && !sim_frozen(node->fleet->world, node->machine))
-        checker_worker_woke(node->fleet->checker, node->settings.name);
+        checker_worker_restarted(node->fleet->checker, node->settings.name);
 }
 
 void fleet_freeze(Fleet *fleet, FleetRole role, int number, int64_t for_ms)
@@ -99,7 +99,7 @@
         return;
     sim_freeze(fleet->world, node->machine, until_ms);
     if (role == FLEET_WORKER)
-        sim_at(fleet->world, until_ms + 1, woke, node);
+        sim_at(fleet->world, until_ms + 1, restarted, node);
 }
 
 void fleet_thaw(Fleet *fleet)
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -119,7 +119,7 @@
 
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), stands_still = true;
     checker_started(c, "w2", "j", 0, 2, ONE), good(c);
-    stands_still = false, checker_worker_woke(c, "w1"), only(c, INVARIANT_TWICE);
+    stands_still = false, checker_worker_restarted(c, "w1"), only(c, INVARIANT_TWICE);
 
     c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
     checker_known(c, "w1", "j", 0, 1, ATTEMPT_DONE), good(c);
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -44,7 +44,7 @@
     replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, away)->controller), &back);
     assert_true(back.base_index >= reach.base_index); /* filled from a snapshot */
     assert_true(back.delivered_index > reach.delivered_index);
-    assert_false(back.woke);
+    assert_false(back.restarted);
     size_t worst[3] = {0}, settled[3] = {0};
     for (int64_t minute = 4; minute < minutes; minute++) {
         fleet_run(fleet, 60000);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -229,7 +229,7 @@
         for (size_t i = 0; i < reach.voter_count && reach.phase == REPLICATION_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
                     (unsigned long long)reach.voters[i].disk, reach.voters[i].in_configuration, reach.voters[i].answers,
-                    reach.voters[i].woke, (long)reach.voters[i].sync_ms,
+                    reach.voters[i].restarted, (long)reach.voters[i].sync_ms,
                     (unsigned long long)reach.voters[i].match_index);
     }
 }
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -115,7 +115,7 @@
     } else if (strcmp(line->what, "woke") == 0) {
         map_drop(replay->frozen, line->who);
         checker_fault(checker);
-        checker_worker_woke(checker, line->who);
+        checker_worker_restarted(checker, line->who);
     } else if (strcmp(line->what, "accepted") == 0) {
         checker_accepted(checker, line->job);
     } else if (strcmp(line->what, "refused") == 0) {
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -166,7 +166,7 @@
     Guard("woken-seat-waits", "a restarted seat grants nothing for a whole lock hold", "packages/replication/src/recover.c",
           "replication->lock.not_before_ms = loop_now_ms(replication->loop) + LOCK_GRANT_MS;", "replication->lock.not_before_ms = 0;",
           "two leaders", "timeline", "trentvale", 12, SEATS_WAKE,
-          also=[("packages/replication/src/election.c", "    return now_ms - replication->woken_since_ms >= WOKEN_WAIT_MS;", "    return true;")]),
+          also=[("packages/replication/src/election.c", "    return now_ms - replication->restarted_since_ms >= RESTARTED_WAIT_MS;", "    return true;")]),
     Guard("granted-hold", "a seat promises nobody else while the hold it granted runs", "packages/lock/src/lock.c",
           "if (voter->holder != holder && lock_held(voter, now_ms))", "if (false && lock_held(voter, now_ms))",
           "two leaders", "timeline", "trentvale", 12, LEADER_CUT),
