--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -75,7 +75,7 @@
 
 /* --- jobs ------------------------------------------------------------------------------ */
 
-typedef struct DraftStep {
+typedef struct GeneratedJobStep {
     uint64_t count;
     Room room;
     int64_t estimate_ms, work_ms;
@@ -84,20 +84,20 @@
     bool gang, same_rack;
     const char *near, *needs; /* null: none */
     uint64_t apart;           /* 0: any number */
-} DraftStep;
+} GeneratedJobStep;
 
-#define DRAFT_STEPS_MAX 6
+#define GENERATED_JOB_STEPS_MAX 6
 
 /* A job as its caller means it, before it is encoded. */
-typedef struct Draft {
+typedef struct GeneratedJob {
     char id[MODEL_ID_BYTES];
     const char *payload;
-    DraftStep steps[DRAFT_STEPS_MAX];
+    GeneratedJobStep steps[GENERATED_JOB_STEPS_MAX];
     size_t step_count;
     bool saves, copies, lasting;
     uint64_t turns; /* 0: once, at once */
     int64_t first_wall_ms, period_ms;
-} Draft;
+} GeneratedJob;
 
 typedef enum JobWord {
     JOB_WORD_QUEUED,
@@ -166,7 +166,7 @@
     char *(*heartbeat_path)(void *mem, const char *boot, bool leaves);
     Bytes (*report)(void *mem, const WorkerModelReport *report);
     bool (*orders)(void *mem, Bytes result, WorkerModelOrders *orders);
-    Bytes (*job)(void *mem, const Draft *draft);
+    Bytes (*job)(void *mem, const GeneratedJob *generated_job);
     JobWord (*state)(Bytes result);
     /* The number of jobs in a queue; -1: the result has none. */
     int64_t (*pending)(Bytes result);
--- a/packages/model/src/book.c
+++ b/packages/model/src/book.c
@@ -7,32 +7,32 @@
 #include <string.h>
 #include <talloc.h>
 
-Book *book_new(void *mem, Topology *topology)
+JobRecords *job_records_new(void *mem, Topology *topology)
 {
-    Book *book = talloc_zero(mem, Book);
-    book->topology = topology;
-    book->by_id = map_new(book);
-    return book;
+    JobRecords *records = talloc_zero(mem, JobRecords);
+    records->topology = topology;
+    records->by_id = map_new(records);
+    return records;
 }
 
-static void tasks_make(BookJob *job)
+static void tasks_make(JobRecord *job)
 {
-    const Draft *draft = &job->draft;
-    const uint64_t turns = draft->turns > 0 ? draft->turns : 1;
-    for (size_t s = 0; s < draft->step_count; s++) {
+    const GeneratedJob *generated_job = &job->generated_job;
+    const uint64_t turns = generated_job->turns > 0 ? generated_job->turns : 1;
+    for (size_t s = 0; s < generated_job->step_count; s++) {
         job->step_first[s] = job->each_turn;
-        job->each_turn += (size_t)draft->steps[s].count;
+        job->each_turn += (size_t)generated_job->steps[s].count;
     }
     job->task_count = job->each_turn * (size_t)turns;
-    job->tasks = talloc_zero_array(job, BookTask, (unsigned)job->task_count);
+    job->tasks = talloc_zero_array(job, TaskRecord, (unsigned)job->task_count);
     size_t at = 0;
     for (uint64_t turn = 0; turn < turns; turn++)
-        for (size_t s = 0; s < draft->step_count; s++) {
-            Fate *shared = draft->steps[s].gang ? talloc_zero(job, Fate) : NULL;
-            for (uint64_t i = 0; i < draft->steps[s].count; i++) {
-                BookTask *task = &job->tasks[at++];
+        for (size_t s = 0; s < generated_job->step_count; s++) {
+            Fate *shared = generated_job->steps[s].gang ? talloc_zero(job, Fate) : NULL;
+            for (uint64_t i = 0; i < generated_job->steps[s].count; i++) {
+                TaskRecord *task = &job->tasks[at++];
                 task->job = job;
-                memcpy(task->name.job, draft->id, sizeof(task->name.job));
+                memcpy(task->name.job, generated_job->id, sizeof(task->name.job));
                 task->name.turn = turn;
                 task->name.step = s;
                 task->name.at = i;
@@ -41,64 +41,67 @@
         }
 }
 
-BookJob *book_add(Book *book, const Draft *draft, const SiteKind *kind)
+JobRecord *job_records_add(JobRecords *records, const GeneratedJob *generated_job, const SiteKind *kind)
 {
-    BookJob *job = talloc_zero(book, BookJob);
-    job->draft = *draft;
+    JobRecord *job = talloc_zero(records, JobRecord);
+    job->generated_job = *generated_job;
     job->kind = kind;
     job->shown = JOB_WORD_NONE;
     tasks_make(job);
-    book->jobs = talloc_realloc(book, book->jobs, BookJob *, (unsigned)(book->count + 1));
-    book->jobs[book->count++] = job;
-    map_set(book->by_id, job->draft.id, job);
+    records->jobs = talloc_realloc(records, records->jobs, JobRecord *, (unsigned)(records->count + 1));
+    records->jobs[records->count++] = job;
+    map_set(records->by_id, job->generated_job.id, job);
     return job;
 }
 
-BookJob *book_job(const Book *book, const char *id)
+JobRecord *job_records_job(const JobRecords *records, const char *id)
 {
-    return map_get(book->by_id, id);
+    return map_get(records->by_id, id);
 }
 
-BookTask *book_task(const Book *book, const TaskName *name)
+TaskRecord *job_records_task(const JobRecords *records, const TaskName *name)
 {
-    BookJob *job = book_job(book, name->job);
-    if (job == NULL || name->step >= job->draft.step_count || name->at >= job->draft.steps[name->step].count ||
-        name->turn >= (job->draft.turns > 0 ? job->draft.turns : 1))
+    JobRecord *job = job_records_job(records, name->job);
+    if (job == NULL || name->step >= job->generated_job.step_count ||
+        name->at >= job->generated_job.steps[name->step].count ||
+        name->turn >= (job->generated_job.turns > 0 ? job->generated_job.turns : 1))
         return NULL;
     return &job->tasks[(size_t)name->turn * job->each_turn + job->step_first[name->step] + (size_t)name->at];
 }
 
-const DraftStep *book_step(const BookTask *task)
+const GeneratedJobStep *job_records_step(const TaskRecord *task)
 {
-    return &task->job->draft.steps[task->name.step];
+    return &task->job->generated_job.steps[task->name.step];
 }
 
-bool book_ready(const BookJob *job, uint64_t turn, uint64_t step)
+bool job_records_ready(const JobRecord *job, uint64_t turn, uint64_t step)
 {
-    const DraftStep *one = &job->draft.steps[step];
+    const GeneratedJobStep *one = &job->generated_job.steps[step];
     for (size_t a = 0; a < one->after_count; a++) {
         const size_t first = (size_t)turn * job->each_turn + job->step_first[one->after[a]];
-        for (size_t i = first; i < first + job->draft.steps[one->after[a]].count; i++)
+        for (size_t i = first; i < first + job->generated_job.steps[one->after[a]].count; i++)
             if (!job->tasks[i].fate->done)
                 return false;
     }
     return true;
 }
 
-int64_t book_due_wall_ms(const BookJob *job, uint64_t turn)
+int64_t job_records_due_wall_ms(const JobRecord *job, uint64_t turn)
 {
-    return job->draft.turns > 0 ? job->draft.first_wall_ms + (int64_t)turn * job->draft.period_ms : 0;
+    return job->generated_job.turns > 0
+               ? job->generated_job.first_wall_ms + (int64_t)turn * job->generated_job.period_ms
+               : 0;
 }
 
-bool book_done(const BookJob *job)
+bool job_records_done(const JobRecord *job)
 {
     for (size_t i = 0; i < job->task_count; i++)
         if (!job->tasks[i].fate->done)
             return false;
-    return !job->draft.lasting;
+    return !job->generated_job.lasting;
 }
 
-void book_fail(Fate *fate, uint64_t attempt)
+void job_records_fail(Fate *fate, uint64_t attempt)
 {
     for (size_t i = 0; i < fate->fails; i++)
         if (fate->failed[i] == attempt)
@@ -107,7 +110,7 @@
         fate->failed[fate->fails++] = attempt;
 }
 
-size_t book_fails_noted(const Fate *fate, uint64_t attempt)
+size_t job_records_fails_noted(const Fate *fate, uint64_t attempt)
 {
     size_t count = 0;
     for (size_t i = 0; i < fate->fails; i++)
@@ -115,29 +118,29 @@
     return count;
 }
 
-bool book_spent(const BookJob *job, const Fate *fate)
+bool job_records_spent(const JobRecord *job, const Fate *fate)
 {
-    return !job->draft.lasting && fate->fails >= (uint64_t)job->kind->attempts;
+    return !job->generated_job.lasting && fate->fails >= (uint64_t)job->kind->attempts;
 }
 
 /* All members of a gang share one fate. */
-static uint32_t owner(const BookTask *task)
+static uint32_t owner(const TaskRecord *task)
 {
     char text[80];
-    const bool gang = book_step(task)->gang;
+    const bool gang = job_records_step(task)->gang;
     snprintf(text, sizeof(text), "%s.%" PRIu64 ".%" PRIu64 ".%" PRIu64, task->name.job, task->name.turn,
              task->name.step, gang ? 0 : task->name.at);
     return bytes_crc(text, strlen(text));
 }
 
-const char *book_saved(void *mem, const BookTask *task, int64_t progress_ms)
+const char *job_records_saved(void *mem, const TaskRecord *task, int64_t progress_ms)
 {
-    if (!task->job->draft.saves || progress_ms <= 0)
+    if (!task->job->generated_job.saves || progress_ms <= 0)
         return "";
     return talloc_asprintf(mem, "%08" PRIx32 "%08" PRIx32, (uint32_t)progress_ms, owner(task));
 }
 
-int64_t book_progress(const BookTask *task, const char *saved)
+int64_t job_records_progress(const TaskRecord *task, const char *saved)
 {
     if (saved[0] == '\0')
         return 0;
--- a/packages/model/src/book.h
+++ b/packages/model/src/book.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_SRC_BOOK_H
-#define MODEL_SRC_BOOK_H
+#ifndef MODEL_SRC_JOB_RECORDS_H
+#define MODEL_SRC_JOB_RECORDS_H
 
 #include "topology.h"
 
@@ -22,21 +22,21 @@
     uint64_t beyond_attempt; /* likewise after all its attempts had failed */
 } Fate;
 
-typedef struct BookTask {
-    struct BookJob *job;
+typedef struct TaskRecord {
+    struct JobRecord *job;
     TaskName name;
     Fate *fate;
     struct WorkerModelRun *live; /* runs on workers that are up, by next_live */
-} BookTask;
+} TaskRecord;
 
-typedef struct BookJob {
-    Draft draft;
+typedef struct JobRecord {
+    GeneratedJob generated_job;
     const SiteKind *kind;
     size_t queue; /* of the document's first queues */
     bool poison, timed;
-    BookTask *tasks;
+    TaskRecord *tasks;
     size_t task_count, each_turn;
-    size_t step_first[DRAFT_STEPS_MAX];
+    size_t step_first[GENERATED_JOB_STEPS_MAX];
     int64_t sent_ms, accepted_ms; /* 0: not */
     const TopologyNode *accepted_by;
     int tries_open;                    /* attempts to submit it that may still be answered */
@@ -47,35 +47,35 @@
     int64_t shown_ms; /* its end; 0: not yet */
     int64_t idle_ms;  /* since when nothing of it runs though there is capacity; 0: not so */
     int64_t asked_ms; /* answered clearly after traffic ended */
-} BookJob;
+} JobRecord;
 
-typedef struct Book {
+typedef struct JobRecords {
     Topology *topology;
     Map *by_id;
-    BookJob **jobs;
+    JobRecord **jobs;
     size_t count;
     size_t starts, kinds[ATTEMPT_WORD_COUNT];
-} Book;
+} JobRecords;
 
-Book *book_new(void *mem, Topology *topology);
+JobRecords *job_records_new(void *mem, Topology *topology);
 /* The draft is copied; its texts must last. */
-BookJob *book_add(Book *book, const Draft *draft, const SiteKind *kind);
-BookJob *book_job(const Book *book, const char *id);
+JobRecord *job_records_add(JobRecords *records, const GeneratedJob *generated_job, const SiteKind *kind);
+JobRecord *job_records_job(const JobRecords *records, const char *id);
 /* Null when there is no such task. */
-BookTask *book_task(const Book *book, const TaskName *name);
-const DraftStep *book_step(const BookTask *task);
+TaskRecord *job_records_task(const JobRecords *records, const TaskName *name);
+const GeneratedJobStep *job_records_step(const TaskRecord *task);
 /* Whether all tasks that the step waits for are done. */
-bool book_ready(const BookJob *job, uint64_t turn, uint64_t step);
+bool job_records_ready(const JobRecord *job, uint64_t turn, uint64_t step);
 /* When the turn may begin, on the true wall clock; 0: at once. */
-int64_t book_due_wall_ms(const BookJob *job, uint64_t turn);
-bool book_done(const BookJob *job);
+int64_t job_records_due_wall_ms(const JobRecord *job, uint64_t turn);
+bool job_records_done(const JobRecord *job);
 /* How many failed attempts before that one were acknowledged. */
-size_t book_fails_noted(const Fate *fate, uint64_t attempt);
-void book_fail(Fate *fate, uint64_t attempt);
+size_t job_records_fails_noted(const Fate *fate, uint64_t attempt);
+void job_records_fail(Fate *fate, uint64_t attempt);
 /* Whether its attempts are used up. */
-bool book_spent(const BookJob *job, const Fate *fate);
+bool job_records_spent(const JobRecord *job, const Fate *fate);
 /* A checkpoint as a text that names its task, and the progress in such a text; -1: it is not of this task. */
-const char *book_saved(void *mem, const BookTask *task, int64_t progress_ms);
-int64_t book_progress(const BookTask *task, const char *saved);
+const char *job_records_saved(void *mem, const TaskRecord *task, int64_t progress_ms);
+int64_t job_records_progress(const TaskRecord *task, const char *saved);
 
 #endif
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -27,7 +27,7 @@
     snprintf(queue->prefix, sizeof(queue->prefix), "/%s/", one->name);
 }
 
-static CallerTask *task_new(Callers *callers, const Pouring *pouring, BookJob *job, uint64_t number)
+static CallerTask *task_new(Callers *callers, const Pouring *pouring, JobRecord *job, uint64_t number)
 {
     CallerTask *task = talloc_zero(callers, CallerTask);
     *task = (CallerTask){.callers = callers,
@@ -44,9 +44,9 @@
     Callers *callers = pouring->callers;
     const Site *site = callers->topology->site;
     const SiteKind *kind = &site->kinds[pouring->kind];
-    Draft draft;
-    draft_draw(callers, kind, &pouring->random_source, &draft);
-    BookJob *job = book_add(callers->book, &draft, kind);
+    GeneratedJob generated_job;
+    generated_job_draw(callers, kind, &pouring->random_source, &generated_job);
+    JobRecord *job = job_records_add(callers->records, &generated_job, kind);
     job->queue = pouring->kind;
     job->poison = random_source_percent(&pouring->random_source, callers->poison_percent);
     const uint64_t number = callers->drawn++;
@@ -74,10 +74,10 @@
     }
 }
 
-Callers *callers_new(void *mem, Door *door, Book *book, Ledger *ledger)
+Callers *callers_new(void *mem, Listener *listener, JobRecords *records, Ledger *ledger)
 {
     Callers *callers = talloc_zero(mem, Callers);
-    *callers = (Callers){.topology = door->topology, .door = door, .book = book, .ledger = ledger};
+    *callers = (Callers){.topology = listener->topology, .listener = listener, .records = records, .ledger = ledger};
     for (int64_t zone = 0; zone < callers->topology->site->zones; zone++)
         callers->machines[zone] = sim_machine(callers->topology->world);
     return callers;
@@ -104,8 +104,8 @@
 {
     callers->over = true;
     callers->finish_ms = topology_now_ms(callers->topology);
-    for (size_t i = 0; i < callers->book->count; i++) {
-        BookJob *job = callers->book->jobs[i];
+    for (size_t i = 0; i < callers->records->count; i++) {
+        JobRecord *job = callers->records->jobs[i];
         const Pouring pouring = {callers, (int64_t)i % callers->topology->site->zones, job->queue, {0}};
         if (job->accepted_ms == 0)
             continue;
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -8,8 +8,8 @@
  * what they are told. */
 typedef struct Callers {
     Topology *topology;
-    Door *door;
-    Book *book;
+    Listener *listener;
+    JobRecords *records;
     Ledger *ledger;
     int machines[4];
     int64_t times_milli[SITE_KINDS_MAX]; /* present rate of a kind, in thousandths of its usual one */
@@ -25,7 +25,7 @@
     size_t sent_before, served_before, sent_after, served_after;
 } Callers;
 
-Callers *callers_new(void *mem, Door *door, Book *book, Ledger *ledger);
+Callers *callers_new(void *mem, Listener *listener, JobRecords *records, Ledger *ledger);
 /* Submits jobs from now on until over. */
 void callers_start(Callers *callers);
 /* Asks each accepted job once more: within finish_ms each must be answered. */
@@ -38,6 +38,7 @@
 void callers_end(Callers *callers);
 
 /* Draws a job of the kind. */
-void draft_draw(const Callers *callers, const SiteKind *kind, RandomSource *random_source, Draft *draft);
+void generated_job_draw(const Callers *callers, const SiteKind *kind, RandomSource *random_source,
+                        GeneratedJob *generated_job);
 
 #endif
--- a/packages/model/src/callercheck.c
+++ b/packages/model/src/callercheck.c
@@ -7,7 +7,7 @@
 #define IDLE_MS 3000 /* ms; a job stands still for so long */
 
 /* How many tasks of the step would fit if each took twice its capacity, over all workers that accept any. */
-static uint64_t places_for(const WorkerModels *worker_models, const DraftStep *step)
+static uint64_t places_for(const WorkerModels *worker_models, const GeneratedJobStep *step)
 {
     uint64_t places = 0;
     for (size_t i = 0; i < worker_models->count; i++) {
@@ -27,17 +27,17 @@
     return places;
 }
 
-static bool may_run(const WorkerModels *worker_models, const BookJob *job)
+static bool may_run(const WorkerModels *worker_models, const JobRecord *job)
 {
     const int64_t wall_ms = sim_wall_ms(worker_models->topology->world);
     for (size_t i = 0; i < job->task_count; i++)
-        if (job->tasks[i].live != NULL || book_spent(job, job->tasks[i].fate))
+        if (job->tasks[i].live != NULL || job_records_spent(job, job->tasks[i].fate))
             return false;
     for (size_t i = 0; i < job->task_count; i++) {
-        const BookTask *task = &job->tasks[i];
-        const DraftStep *step = book_step(task);
-        if (!task->fate->done && wall_ms >= book_due_wall_ms(job, task->name.turn) &&
-            book_ready(job, task->name.turn, task->name.step))
+        const TaskRecord *task = &job->tasks[i];
+        const GeneratedJobStep *step = job_records_step(task);
+        if (!task->fate->done && wall_ms >= job_records_due_wall_ms(job, task->name.turn) &&
+            job_records_ready(job, task->name.turn, task->name.step))
             return places_for(worker_models, step) >= (step->gang ? step->count : 1);
     }
     return false;
@@ -56,8 +56,8 @@
         all = (Room){all.cpu_milli + worker_model->room.cpu_milli, all.mem_mb + worker_model->room.mem_mb, 0};
     }
     const bool room = used.cpu_milli * 2 < all.cpu_milli && used.mem_mb * 2 < all.mem_mb;
-    for (size_t i = 0; i < callers->book->count; i++) {
-        BookJob *job = callers->book->jobs[i];
+    for (size_t i = 0; i < callers->records->count; i++) {
+        JobRecord *job = callers->records->jobs[i];
         const bool idle = room && job->accepted_ms != 0 && job->cancel_sent_ms == 0 && job->shown_ms == 0 &&
                           may_run(worker_models, job);
         if (!idle)
@@ -66,7 +66,7 @@
             job->idle_ms = topology_now_ms(topology);
         else if (job->idle_ms > 0 && topology_now_ms(topology) - job->idle_ms >= IDLE_MS) {
             rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology), "%s stands still though there is room",
-                        job->draft.id);
+                        job->generated_job.id);
             job->idle_ms = -1; /* once */
         }
     }
@@ -75,11 +75,11 @@
 void callers_end(Callers *callers)
 {
     Topology *topology = callers->topology;
-    for (size_t i = 0; i < callers->book->count; i++) {
-        const BookJob *job = callers->book->jobs[i];
+    for (size_t i = 0; i < callers->records->count; i++) {
+        const JobRecord *job = callers->records->jobs[i];
         if (job->accepted_ms != 0 && job->accepted_ms <= callers->finish_ms && job->asked_ms == 0 && job->shown_ms == 0)
             rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology), "nobody tells of %s, accepted by %s",
-                        job->draft.id, job->accepted_by->name);
+                        job->generated_job.id, job->accepted_by->name);
     }
     if (callers->sent_after > 10 && callers->served_before * 4 >= callers->sent_before &&
         callers->served_after * 4 < callers->sent_after)
--- a/packages/model/src/callerjob.c
+++ b/packages/model/src/callerjob.c
@@ -15,7 +15,7 @@
 {
     const Topology *topology = task->callers->topology;
     const Codec *codec = topology->codec;
-    *node = door_entry(task->callers->door, &task->random_source, task->zone);
+    *node = listener_entry(task->callers->listener, &task->random_source, task->zone);
     *sent_ms = topology_now_ms(topology);
     const HttpPair heads[] = {{"host", task->queue.host},
                               {codec->wait_head, talloc_asprintf(mem, "%" PRId64, topology->site->caller_wait_ms)}};
@@ -23,7 +23,7 @@
         .mem = mem,
         .address = talloc_asprintf(mem, "%s:%d", sim_address(topology->world, (*node)->machine), codec->front_port),
         .method = method,
-        .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->draft.id),
+        .path = talloc_asprintf(mem, "%s%s", task->queue.prefix, task->job->generated_job.id),
         .body = body,
         .wait_ms = topology->site->caller_wait_ms,
         .heads = heads,
@@ -63,15 +63,15 @@
 static bool post_once(CallerTask *task)
 {
     Callers *callers = task->callers;
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     void *mem = talloc_new(task);
     TopologyNode *node;
     int64_t sent_ms;
     Bytes result;
     int again_s = 0;
     job->tries_open++;
-    const Outcome outcome =
-        ask(task, mem, "POST", callers->topology->codec->job(mem, &job->draft), &node, &sent_ms, &result, &again_s);
+    const Outcome outcome = ask(task, mem, "POST", callers->topology->codec->job(mem, &job->generated_job), &node,
+                                &sent_ms, &result, &again_s);
     job->tries_open--;
     const bool taken = outcome == OUTCOME_GOOD;
     first_count(task, taken, sent_ms);
@@ -91,10 +91,10 @@
 
 static bool post_all(CallerTask *task)
 {
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     job->sent_ms = topology_now_ms(task->callers->topology);
-    for (size_t i = 0; i < job->draft.step_count; i++) {
-        const DraftStep *step = &job->draft.steps[i];
+    for (size_t i = 0; i < job->generated_job.step_count; i++) {
+        const GeneratedJobStep *step = &job->generated_job.steps[i];
         topology_tell(task->callers->topology, &job->tasks[job->step_first[i]].name,
                       "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
                       " ms%s%s, near %s, needs %s, apart %" PRIu64,
@@ -114,21 +114,21 @@
 
 static void shown_check(CallerTask *task, JobWord word, const TopologyNode *node)
 {
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     Topology *topology = task->callers->topology;
     bool cause = word == JOB_WORD_CANCELLED && job->cancel_sent_ms != 0;
     for (size_t i = 0; i < job->task_count; i++) {
-        cause |= word == JOB_WORD_FAILED && book_spent(job, job->tasks[i].fate);
+        cause |= word == JOB_WORD_FAILED && job_records_spent(job, job->tasks[i].fate);
         if (word == JOB_WORD_DONE && !job->tasks[i].fate->done) {
             rules_broke(topology->rules, RULE_MIXED, topology_day_ms(topology),
-                        "%s shows %s as done, %" PRIu64 ".%" PRIu64 ".%" PRIu64 " is not", node->name, job->draft.id,
-                        job->tasks[i].name.turn, job->tasks[i].name.step, job->tasks[i].name.at);
+                        "%s shows %s as done, %" PRIu64 ".%" PRIu64 ".%" PRIu64 " is not", node->name,
+                        job->generated_job.id, job->tasks[i].name.turn, job->tasks[i].name.step, job->tasks[i].name.at);
             break;
         }
     }
     if (word != JOB_WORD_DONE && !cause)
         rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology), "%s shows %s as %s without a cause",
-                    node->name, job->draft.id, word == JOB_WORD_FAILED ? "failed" : "cancelled");
+                    node->name, job->generated_job.id, word == JOB_WORD_FAILED ? "failed" : "cancelled");
     job->shown = word;
     job->shown_ms = topology_now_ms(topology);
 }
@@ -136,7 +136,7 @@
 /* Asks once; true when it was answered clearly. */
 static bool ask_once(CallerTask *task)
 {
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     Topology *topology = task->callers->topology;
     void *mem = talloc_new(task);
     TopologyNode *node;
@@ -148,7 +148,7 @@
     if (outcome == OUTCOME_GONE && job->accepted_ms != 0 && sent_ms - job->accepted_ms > topology->site->visible_ms &&
         node_in_touch(node))
         rules_broke(topology->rules, RULE_LOST, topology_day_ms(topology),
-                    "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->draft.id,
+                    "%s does not know %s, accepted by %s %" PRId64 " ms ago", node->name, job->generated_job.id,
                     job->accepted_by->name, sent_ms - job->accepted_ms);
     if (word >= JOB_WORD_DONE && word <= JOB_WORD_CANCELLED && job->shown_ms == 0)
         shown_check(task, word, node);
@@ -158,7 +158,7 @@
 
 static void cancel(CallerTask *task)
 {
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     Topology *topology = task->callers->topology;
     job->cancel_sent_ms = topology_now_ms(topology);
     for (int64_t i = 0; i <= topology->site->caller_tries && job->cancel_ms == 0; i++) {
@@ -178,21 +178,22 @@
 void caller_follow(void *arg)
 {
     CallerTask *task = arg;
-    BookJob *job = task->job;
+    JobRecord *job = task->job;
     const Topology *topology = task->callers->topology;
     if (!post_all(task))
         return;
-    const bool cancels = job->draft.lasting || random_source_percent(&task->random_source, job->kind->cancel_percent);
-    const int64_t cancel_ms = cancels
-                                  ? topology_now_ms(topology) +
-                                        random_source_span(&task->random_source, 200, job->draft.lasting ? 20000 : 4000)
-                                  : INT64_MAX;
+    const bool cancels =
+        job->generated_job.lasting || random_source_percent(&task->random_source, job->kind->cancel_percent);
+    const int64_t cancel_ms =
+        cancels ? topology_now_ms(topology) +
+                      random_source_span(&task->random_source, 200, job->generated_job.lasting ? 20000 : 4000)
+                : INT64_MAX;
     int64_t ask_ms = topology_now_ms(topology) + random_source_span(&task->random_source, 500, 6000);
     while (job->shown_ms == 0) {
         const int64_t now_ms = topology_now_ms(topology);
-        if (job->cancel_sent_ms == 0 && (now_ms >= cancel_ms || (job->draft.lasting && task->callers->over)))
+        if (job->cancel_sent_ms == 0 && (now_ms >= cancel_ms || (job->generated_job.lasting && task->callers->over)))
             cancel(task);
-        if (now_ms >= ask_ms || book_done(job) || job->cancel_ms != 0) {
+        if (now_ms >= ask_ms || job_records_done(job) || job->cancel_ms != 0) {
             ask_once(task);
             ask_ms = now_ms + random_source_span(&task->random_source, 2000, 8000);
         }
--- a/packages/model/src/callerjob.h
+++ b/packages/model/src/callerjob.h
@@ -10,7 +10,7 @@
     Callers *callers;
     Loop *loop;
     const char *zone;
-    BookJob *job;
+    JobRecord *job;
     RandomSource random_source;
     DocumentQueue queue;
     bool first; /* its first attempt has been counted */
--- a/packages/model/src/day.c
+++ b/packages/model/src/day.c
@@ -162,24 +162,24 @@
 /* How many of the jobs that could be done were shown as done in time. */
 static void sum(const Day *day, DayResult *result)
 {
-    const Book *book = day->book;
-    result->jobs = book->count;
-    result->starts = book->starts;
+    const JobRecords *records = day->records;
+    result->jobs = records->count;
+    result->starts = records->starts;
     result->orders = day->operator->orders;
-    memcpy(result->ends, book->kinds, sizeof(result->ends));
-    for (size_t i = 0; i < book->count; i++) {
-        const BookJob *job = book->jobs[i];
-        const Draft *draft = &job->draft;
+    memcpy(result->ends, records->kinds, sizeof(result->ends));
+    for (size_t i = 0; i < records->count; i++) {
+        const JobRecord *job = records->jobs[i];
+        const GeneratedJob *generated_job = &job->generated_job;
         result->accepted += job->accepted_ms != 0;
         result->refused += job->refused_ms != 0;
-        if (draft->lasting || draft->turns > 0 || job->poison || job->cancel_sent_ms != 0)
+        if (generated_job->lasting || generated_job->turns > 0 || job->poison || job->cancel_sent_ms != 0)
             continue;
-        int64_t chain_ms[DRAFT_STEPS_MAX] = {0}, longest_ms = 0;
-        for (size_t s = 0; s < draft->step_count; s++) {
-            for (size_t a = 0; a < draft->steps[s].after_count; a++)
-                if (chain_ms[draft->steps[s].after[a]] > chain_ms[s])
-                    chain_ms[s] = chain_ms[draft->steps[s].after[a]];
-            chain_ms[s] += draft->steps[s].work_ms;
+        int64_t chain_ms[GENERATED_JOB_STEPS_MAX] = {0}, longest_ms = 0;
+        for (size_t s = 0; s < generated_job->step_count; s++) {
+            for (size_t a = 0; a < generated_job->steps[s].after_count; a++)
+                if (chain_ms[generated_job->steps[s].after[a]] > chain_ms[s])
+                    chain_ms[s] = chain_ms[generated_job->steps[s].after[a]];
+            chain_ms[s] += generated_job->steps[s].work_ms;
             longest_ms = chain_ms[s] > longest_ms ? chain_ms[s] : longest_ms;
         }
         const int64_t target_ms = longest_ms * job->kind->stretch_percent / 100 + job->kind->target_ms;
@@ -204,16 +204,16 @@
     Topology *topology = day->topology;
     topology->loud = settings->loud;
     topology->job = settings->job;
-    day->book = book_new(mem, topology);
+    day->records = job_records_new(mem, topology);
     day->ledger = ledger_new(mem, topology);
-    day->worker_models = worker_models_new(mem, day->book, day->ledger);
-    day->door = door_new(mem, topology);
-    day->callers = callers_new(mem, day->door, day->book, day->ledger);
+    day->worker_models = worker_models_new(mem, day->records, day->ledger);
+    day->listener = listener_new(mem, topology);
+    day->callers = callers_new(mem, day->listener, day->records, day->ledger);
     day->operator= operator_new(mem, topology, day->ledger);
     topology_start(topology);
     if (settings->wrong_clocks)
         sim_at(topology->world, topology->began_ms + 2000, clocks_spoil, day);
-    door_start(day->door);
+    listener_start(day->listener);
     sim_at(topology->world, topology_now_ms(topology) + random_source_span(&random_source, 0, 1500),
            worker_models_begin, day);
     sim_at(topology->world, topology_now_ms(topology) + 1000, operator_begin, day);
--- a/packages/model/src/door.c
+++ b/packages/model/src/door.c
@@ -9,16 +9,16 @@
 #define MISSES_OUT 2
 
 typedef struct Looking {
-    Door *door;
+    Listener *listener;
     size_t edge;
 } Looking;
 
 static void look_main(void *arg)
 {
     Looking *looking = arg;
-    Door *door = looking->door;
-    const Topology *topology = door->topology;
-    Loop *loop = sim_loop(topology->world, door->machine);
+    Listener *listener = looking->listener;
+    const Topology *topology = listener->topology;
+    Loop *loop = sim_loop(topology->world, listener->machine);
     const TopologyNode *node = &topology->edges[looking->edge];
     for (;;) {
         void *mem = talloc_new(looking);
@@ -30,39 +30,39 @@
                          .wait_ms = LOOK_MS};
         const int64_t began_ms = loop_now_ms(loop);
         const bool ready = node->used && loop_call(loop, &call) == STATUS_OK && call.code == 200;
-        door->misses[looking->edge] = ready ? 0 : door->misses[looking->edge] + 1;
+        listener->misses[looking->edge] = ready ? 0 : listener->misses[looking->edge] + 1;
         talloc_free(mem);
         loop_sleep(loop, began_ms + LOOK_MS - loop_now_ms(loop));
     }
 }
 
-Door *door_new(void *mem, Topology *topology)
+Listener *listener_new(void *mem, Topology *topology)
 {
-    Door *door = talloc_zero(mem, Door);
-    door->topology = topology;
-    door->machine = sim_machine(topology->world);
-    return door;
+    Listener *listener = talloc_zero(mem, Listener);
+    listener->topology = topology;
+    listener->machine = sim_machine(topology->world);
+    return listener;
 }
 
-void door_start(Door *door)
+void listener_start(Listener *listener)
 {
-    topology_host(door->topology, door->machine);
-    Loop *loop = sim_loop(door->topology->world, door->machine);
-    for (size_t i = 0; i < door->topology->edge_count; i++) {
+    topology_host(listener->topology, listener->machine);
+    Loop *loop = sim_loop(listener->topology->world, listener->machine);
+    for (size_t i = 0; i < listener->topology->edge_count; i++) {
         Looking *looking = talloc_zero(loop, Looking);
-        *looking = (Looking){door, i};
+        *looking = (Looking){listener, i};
         loop_spawn(loop, "look", look_main, looking);
     }
 }
 
-TopologyNode *door_entry(const Door *door, RandomSource *random_source, const char *zone)
+TopologyNode *listener_entry(const Listener *listener, RandomSource *random_source, const char *zone)
 {
-    Topology *topology = door->topology;
+    Topology *topology = listener->topology;
     TopologyNode *in[EDGES_MAX], *all[EDGES_MAX], *any[EDGES_MAX];
     int64_t in_count = 0, all_count = 0, any_count = 0;
     for (size_t i = 0; i < topology->edge_count; i++) {
         TopologyNode *node = &topology->edges[i];
-        const bool here = strcmp(node->zone, zone) == 0, ready = door->misses[i] < MISSES_OUT;
+        const bool here = strcmp(node->zone, zone) == 0, ready = listener->misses[i] < MISSES_OUT;
         if (!node->used || node->gone)
             continue;
         if (here)
--- a/packages/model/src/door.h
+++ b/packages/model/src/door.h
@@ -1,19 +1,19 @@
-#ifndef MODEL_SRC_DOOR_H
-#define MODEL_SRC_DOOR_H
+#ifndef MODEL_SRC_LISTENER_H
+#define MODEL_SRC_LISTENER_H
 
 #include "topology.h"
 
 /* The platform's load balancer for entry points: a health check (readiness) of each every second; two misses in a
  * row eject one until it is ready again. */
-typedef struct Door {
+typedef struct Listener {
     Topology *topology;
     int machine;
     int misses[EDGES_MAX];
-} Door;
+} Listener;
 
-Door *door_new(void *mem, Topology *topology);
-void door_start(Door *door);
+Listener *listener_new(void *mem, Topology *topology);
+void listener_start(Listener *listener);
 /* The entry point that a new connection from the zone gets. */
-TopologyNode *door_entry(const Door *door, RandomSource *random_source, const char *zone);
+TopologyNode *listener_entry(const Listener *listener, RandomSource *random_source, const char *zone);
 
 #endif
--- a/packages/model/src/fault.h
+++ b/packages/model/src/fault.h
@@ -56,10 +56,10 @@
 /* A day under way: all that troubles touch. */
 typedef struct Day {
     Topology *topology;
-    Book *book;
+    JobRecords *records;
     Ledger *ledger;
     WorkerModels *worker_models;
-    Door *door;
+    Listener *listener;
     Callers *callers;
     Operator *operator;
 } Day;
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -9,9 +9,9 @@
 typedef struct Start {
     WorkerModel *worker_model;
     const WorkerModelStart *order;
-    BookTask *task;
-    BookJob *job;
-    const DraftStep *step;
+    TaskRecord *task;
+    JobRecord *job;
+    const GeneratedJobStep *step;
     Topology *topology;
     int64_t now_ms;
     bool touch; /* its sender is in touch */
@@ -35,11 +35,11 @@
 static void twice_check(const Start *start)
 {
     Fate *fate = start->task->fate;
-    const bool copies = start->job->draft.copies;
+    const bool copies = start->job->generated_job.copies;
     const WorkerModelRun *live = start->task->live;
     if (live != NULL && !copies)
         BROKE(start, RULE_TWICE, "round %" PRIu64 " runs on %s", live->attempt, live->worker_model->boot);
-    if (start->job->draft.lasting || !fate->done)
+    if (start->job->generated_job.lasting || !fate->done)
         return;
     if (!copies && fate->noted_ms != 0)
         BROKE(start, RULE_TWICE, "it was done %" PRId64 " ms ago and noted", start->now_ms - fate->done_ms);
@@ -54,16 +54,17 @@
 static void order_check(const Start *start)
 {
     const TaskName *name = &start->order->name;
-    if (!book_ready(start->job, name->turn, name->step))
+    if (!job_records_ready(start->job, name->turn, name->step))
         BROKE(start, RULE_ORDER, "%s", "before the steps that it waits for");
-    const int64_t due_ms = book_due_wall_ms(start->job, name->turn), wall_ms = sim_wall_ms(start->topology->world);
+    const int64_t due_ms = job_records_due_wall_ms(start->job, name->turn),
+                  wall_ms = sim_wall_ms(start->topology->world);
     if (due_ms != 0 && wall_ms < due_ms - start->topology->site->early_ms)
         BROKE(start, RULE_ORDER, "%" PRId64 " ms before its time", due_ms - wall_ms);
 }
 
 static void route_check(const Start *start)
 {
-    const DraftStep *step = start->step;
+    const GeneratedJobStep *step = start->step;
     if (step->needs != NULL && strcmp(step->needs, start->worker_model->label) != 0)
         BROKE(start, RULE_ROUTE, "it needs %s", step->needs);
     uint64_t beside = 0;
@@ -87,31 +88,32 @@
 static void budget_check(const Start *start)
 {
     Fate *fate = start->task->fate;
-    const size_t attempts = (size_t)start->job->kind->attempts, noted = book_fails_noted(fate, start->order->attempt);
-    if (start->job->draft.lasting || fate->fails < attempts)
+    const size_t attempts = (size_t)start->job->kind->attempts,
+                 noted = job_records_fails_noted(fate, start->order->attempt);
+    if (start->job->generated_job.lasting || fate->fails < attempts)
         return;
     const bool late = start->touch && start->now_ms - fate->fails_noted_ms > NOTED_LATE_MS;
-    if (noted >= attempts && (late || !start->job->draft.copies))
+    if (noted >= attempts && (late || !start->job->generated_job.copies))
         BROKE(start, RULE_BUDGET, "%zu rounds have failed", noted);
-    else if (!start->job->draft.copies)
+    else if (!start->job->generated_job.copies)
         fate->beyond_attempt = start->order->attempt;
 }
 
 static void asked_check(const Start *start)
 {
-    const BookJob *job = start->job;
+    const JobRecord *job = start->job;
     const Site *site = start->topology->site;
-    if (strcmp(start->order->payload, job->draft.payload) != 0)
-        BROKE(start, RULE_UNASKED, "'%.20s' instead of '%.20s'", start->order->payload, job->draft.payload);
-    const int64_t progress_ms = book_progress(start->task, start->order->saved);
+    if (strcmp(start->order->payload, job->generated_job.payload) != 0)
+        BROKE(start, RULE_UNASKED, "'%.20s' instead of '%.20s'", start->order->payload, job->generated_job.payload);
+    const int64_t progress_ms = job_records_progress(start->task, start->order->saved);
     if (progress_ms < 0 || progress_ms > start->task->fate->saved_ms)
         BROKE(start, RULE_UNASKED, "'%.20s' is not what it saved", start->order->saved);
     for (size_t i = 0; start->step->gang && i < start->job->task_count; i++)
         for (const WorkerModelRun *run = start->job->tasks[i].live; run != NULL; run = run->next_live)
             if (start->job->tasks[i].fate == start->task->fate && run->attempt == start->order->attempt &&
-                run->crew != NULL && run->crew->from_ms != (progress_ms > 0 ? progress_ms : 0))
+                run->worker_group != NULL && run->worker_group->from_ms != (progress_ms > 0 ? progress_ms : 0))
                 BROKE(start, RULE_UNASKED, "goes on from %" PRId64 " ms, its gang from %" PRId64, progress_ms,
-                      run->crew->from_ms);
+                      run->worker_group->from_ms);
     if (job->cancel_ms != 0 && start->touch && start->now_ms - job->cancel_ms > site->cancel_ms)
         BROKE(start, RULE_UNASKED, "cancelled %" PRId64 " ms ago", start->now_ms - job->cancel_ms);
     if (job->refused_ms != 0)
@@ -138,7 +140,7 @@
     Topology *topology = worker_model->worker_models->topology;
     Start start = {.worker_model = worker_model,
                    .order = order,
-                   .task = book_task(worker_model->worker_models->book, &order->name),
+                   .task = job_records_task(worker_model->worker_models->records, &order->name),
                    .topology = topology,
                    .now_ms = topology_now_ms(topology),
                    .touch = node_in_touch(worker_model->side)};
@@ -147,7 +149,7 @@
         return false;
     }
     start.job = start.task->job;
-    start.step = book_step(start.task);
+    start.step = job_records_step(start.task);
     room_check(&start);
     twice_check(&start);
     order_check(&start);
@@ -165,13 +167,13 @@
                   attempt_word(end->reported.word), worker_model->boot, end->lapsed_since ? ", its hold was over" : "");
     if (end->task == NULL || end->lapsed_since)
         return;
-    BookJob *job = end->task->job;
+    JobRecord *job = end->task->job;
     Fate *fate = end->task->fate;
     const WorkerModelStart order = {.name = end->reported.name, .attempt = end->reported.attempt};
     const Start start = {.worker_model = worker_model, .order = &order, .topology = topology};
     const int64_t now_ms = topology_now_ms(topology);
     if (end->reported.word == ATTEMPT_DONE) {
-        if (end->reported.attempt < fate->again_attempt && !job->draft.lasting)
+        if (end->reported.attempt < fate->again_attempt && !job->generated_job.lasting)
             BROKE(&start, RULE_TWICE, "this end is noted now, round %" PRIu64 " was started after it",
                   fate->again_attempt);
         if (fate->noted_ms == 0)
@@ -181,8 +183,8 @@
         if (fate->failed[i] == end->reported.attempt && !fate->fail_noted[i]) {
             fate->fail_noted[i] = true;
             fate->fails_noted_ms = now_ms;
-            if (end->reported.attempt < fate->beyond_attempt && !job->draft.lasting &&
-                book_fails_noted(fate, fate->beyond_attempt) == (size_t)job->kind->attempts)
+            if (end->reported.attempt < fate->beyond_attempt && !job->generated_job.lasting &&
+                job_records_fails_noted(fate, fate->beyond_attempt) == (size_t)job->kind->attempts)
                 BROKE(&start, RULE_BUDGET, "this end is noted now, round %" PRIu64 " was started after it",
                       fate->beyond_attempt);
         }
@@ -194,5 +196,5 @@
     const WorkerModelStart order = {.name = run->task->name, .attempt = run->attempt};
     const Start start = {.worker_model = run->worker_model, .order = &order, .topology = topology};
     if (run->task->job->cancel_sent_ms == 0 && topology_calm(topology) && node_in_touch(run->worker_model->side))
-        BROKE(&start, RULE_GANG, "the others of %" PRIu64 " did not come", run->crew->needed);
+        BROKE(&start, RULE_GANG, "the others of %" PRIu64 " did not come", run->worker_group->needed);
 }
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -15,9 +15,10 @@
 void worker_model_pace(WorkerModel *worker_model)
 {
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        crew_pace(run->crew);
-        for (size_t i = 0; i < run->crew->count; i++)
-            signal_raise(run->crew->members[i]->worker_model->loop, &run->crew->members[i]->worker_model->work);
+        worker_group_pace(run->worker_group);
+        for (size_t i = 0; i < run->worker_group->count; i++)
+            signal_raise(run->worker_group->members[i]->worker_model->loop,
+                         &run->worker_group->members[i]->worker_model->work);
     }
 }
 
@@ -58,11 +59,11 @@
         .running = talloc_zero_array(mem, WorkerModelRunning, (unsigned)count),
         .ended = talloc_zero_array(mem, WorkerModelEnded, ENDS_AT_ONCE)};
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        crew_advance(run->crew);
-        const int64_t work_ms = run->crew->work_us / 1000;
+        worker_group_advance(run->worker_group);
+        const int64_t work_ms = run->worker_group->work_us / 1000;
         report->running[report->running_count++] = (WorkerModelRunning){
-            run->task->name, run->attempt, book_saved(mem, run->task, worker_model_saved_ms(run, false)),
-            work_ms > 0 ? (int)(crew_progress_ms(run->crew) * 100 / work_ms) : 0};
+            run->task->name, run->attempt, job_records_saved(mem, run->task, worker_model_saved_ms(run, false)),
+            work_ms > 0 ? (int)(worker_group_progress_ms(run->worker_group) * 100 / work_ms) : 0};
     }
     for (size_t i = 0; i < worker_model->end_count && i < ENDS_AT_ONCE; i++)
         report->ended[report->ended_count++] = worker_model->ends[i].reported;
@@ -209,12 +210,12 @@
         WorkerModelRun *run = worker_model->runs;
         topology_tell(worker_model->worker_models->topology, &run->task->name, "round %" PRIu64 " is gone with %s",
                       run->attempt, worker_model->boot);
-        Crew *crew = run->crew;
-        WorkerModelRun *others[sizeof(crew->members) / sizeof(crew->members[0])];
+        WorkerGroup *worker_group = run->worker_group;
+        WorkerModelRun *others[sizeof(worker_group->members) / sizeof(worker_group->members[0])];
         size_t count = 0;
-        for (size_t i = 0; i < crew->count && crew->begun; i++)
-            if (crew->members[i]->worker_model != worker_model)
-                others[count++] = crew->members[i];
+        for (size_t i = 0; i < worker_group->count && worker_group->begun; i++)
+            if (worker_group->members[i]->worker_model != worker_model)
+                others[count++] = worker_group->members[i];
         worker_model_run_drop(run);
         for (size_t i = 0; i < count; i++)
             worker_model_run_end(others[i], ATTEMPT_BROKEN);
@@ -225,14 +226,14 @@
         sim_kill(worker_model->worker_models->topology->world, worker_model->machine);
 }
 
-WorkerModels *worker_models_new(void *mem, Book *book, Ledger *ledger)
+WorkerModels *worker_models_new(void *mem, JobRecords *records, Ledger *ledger)
 {
     static const int64_t SPEEDS[] = {100, 80, 125};
     WorkerModels *worker_models = talloc_zero(mem, WorkerModels);
-    Topology *topology = book->topology;
+    Topology *topology = records->topology;
     const Site *site = topology->site;
     worker_models->topology = topology;
-    worker_models->book = book;
+    worker_models->records = records;
     worker_models->ledger = ledger;
     worker_models->count = topology->side_count;
     for (size_t i = 0; i < worker_models->count; i++) {
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -6,7 +6,7 @@
 
 /* A worker group: the members of a gang under one attempt number, or one task by itself. They work once all are
  * there, at the pace of the slowest, and end as one. Invariant: freed with its last member. */
-typedef struct Crew {
+typedef struct WorkerGroup {
     struct WorkerModels *worker_models;
     uint64_t attempt, needed;
     struct WorkerModelRun *members[128];
@@ -17,21 +17,21 @@
     int64_t last_ms, rate;    /* work done in each ms, in us */
     int64_t fail_us;          /* a member fails by itself there */
     struct WorkerModelRun *failing;
-} Crew;
+} WorkerGroup;
 
 /* An attempt that runs on a worker. Times are by the world's clock, those of the lease by the worker's. */
 typedef struct WorkerModelRun {
     struct WorkerModelRun *next, *next_live;
     struct WorkerModel *worker_model;
-    BookTask *task;
+    TaskRecord *task;
     uint64_t attempt;
-    Crew *crew;
+    WorkerGroup *worker_group;
     int64_t began_ms, stop_at_ms; /* 0: it is not being stopped */
 } WorkerModelRun;
 
 typedef struct WorkerModelEnd {
     WorkerModelEnded reported;
-    BookTask *task;
+    TaskRecord *task;
     bool lapsed_since; /* the lease has lapsed since: no acknowledgement is owed */
 } WorkerModelEnd;
 
@@ -67,14 +67,14 @@
 
 typedef struct WorkerModels {
     Topology *topology;
-    Book *book;
+    JobRecords *records;
     Ledger *ledger;
     WorkerModel list[SIDES_MAX];
     size_t count;
     uint64_t boots;
 } WorkerModels;
 
-WorkerModels *worker_models_new(void *mem, Book *book, Ledger *ledger);
+WorkerModels *worker_models_new(void *mem, JobRecords *records, Ledger *ledger);
 void worker_models_start(WorkerModels *worker_models);
 void worker_model_start(WorkerModel *worker_model);
 /* The process ends at once; power: its peers are not told. */
@@ -102,14 +102,14 @@
 /* The part of a worker's capacity that its runs use. */
 Room worker_model_used(const WorkerModel *worker_model);
 /* The run joins the group of its attempt. */
-void crew_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
-void crew_leave(WorkerModelRun *run);
+void worker_group_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
+void worker_group_leave(WorkerModelRun *run);
 /* Counts the work done until now. */
-void crew_advance(Crew *crew);
-void crew_pace(Crew *crew);
+void worker_group_advance(WorkerGroup *worker_group);
+void worker_group_pace(WorkerGroup *worker_group);
 /* When something is due next; INT64_MAX: nothing. */
-int64_t crew_next_ms(const Crew *crew);
-int64_t crew_progress_ms(const Crew *crew);
+int64_t worker_group_next_ms(const WorkerGroup *worker_group);
+int64_t worker_group_progress_ms(const WorkerGroup *worker_group);
 
 /* --- rules at a worker ---------------------------------------------------------------------- */
 /* Checks all that must hold when a task starts. False: it is of no job at all. */
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -23,9 +23,10 @@
 int64_t worker_model_saved_ms(const WorkerModelRun *run, bool all)
 {
     const int64_t save_ms = run->worker_model->worker_models->topology->site->save_ms,
-                  done_ms = crew_progress_ms(run->crew);
-    const int64_t kept_ms = all ? done_ms : run->crew->from_ms + (done_ms - run->crew->from_ms) / save_ms * save_ms;
-    if (run->task->job->draft.saves && kept_ms > run->task->fate->saved_ms)
+                  done_ms = worker_group_progress_ms(run->worker_group);
+    const int64_t kept_ms =
+        all ? done_ms : run->worker_group->from_ms + (done_ms - run->worker_group->from_ms) / save_ms * save_ms;
+    if (run->task->job->generated_job.saves && kept_ms > run->task->fate->saved_ms)
         run->task->fate->saved_ms = kept_ms;
     return kept_ms;
 }
@@ -41,8 +42,8 @@
     while (*at != run)
         at = &(*at)->next_live;
     *at = run->next_live;
-    if (run->crew != NULL)
-        crew_leave(run);
+    if (run->worker_group != NULL)
+        worker_group_leave(run);
     talloc_free(run);
 }
 
@@ -53,15 +54,15 @@
         map_set(worker_model->highest, text, (void *)(uintptr_t)attempt);
 }
 
-static void end_add(WorkerModel *worker_model, BookTask *task, const TaskName *name, uint64_t attempt, AttemptWord word,
-                    const char *saved)
+static void end_add(WorkerModel *worker_model, TaskRecord *task, const TaskName *name, uint64_t attempt,
+                    AttemptWord word, const char *saved)
 {
     worker_model->ends =
         talloc_realloc(worker_model->mem, worker_model->ends, WorkerModelEnd, (unsigned)(worker_model->end_count + 1));
     worker_model->ends[worker_model->end_count++] = (WorkerModelEnd){
         .reported = {++worker_model->end_number, *name, attempt, word, saved}, .task = task, .lapsed_since = false};
     highest_set(worker_model, name, attempt);
-    worker_model->worker_models->book->kinds[word]++;
+    worker_model->worker_models->records->kinds[word]++;
     topology_tell(worker_model->worker_models->topology, name, "round %" PRIu64 " %s on %s, saved '%s'", attempt,
                   attempt_word(word), worker_model->boot, saved);
     worker_model->update_open = true;
@@ -71,19 +72,19 @@
 void worker_model_run_end(WorkerModelRun *run, AttemptWord word)
 {
     WorkerModel *worker_model = run->worker_model;
-    BookTask *task = run->task;
+    TaskRecord *task = run->task;
     Fate *fate = task->fate;
     const int64_t now_ms = topology_now_ms(worker_model->worker_models->topology);
-    crew_advance(run->crew);
+    worker_group_advance(run->worker_group);
     const bool stopped = word == ATTEMPT_STOPPED || word == ATTEMPT_BROKEN;
     const char *saved =
-        word == ATTEMPT_DONE ? "" : book_saved(worker_model->mem, task, worker_model_saved_ms(run, stopped));
+        word == ATTEMPT_DONE ? "" : job_records_saved(worker_model->mem, task, worker_model_saved_ms(run, stopped));
     if (word == ATTEMPT_DONE && !fate->done) {
         fate->done = true;
         fate->done_ms = now_ms;
     }
     if (word == ATTEMPT_FAILED)
-        book_fail(fate, run->attempt);
+        job_records_fail(fate, run->attempt);
     if (word == ATTEMPT_ALONE)
         alone_check(run);
     end_add(worker_model, task, &task->name, run->attempt, word, saved);
@@ -91,14 +92,14 @@
 }
 
 /* One member has ended so: the others end as told. */
-static void crew_end(WorkerModelRun *first, AttemptWord word, AttemptWord others)
+static void worker_group_end(WorkerModelRun *first, AttemptWord word, AttemptWord others)
 {
-    WorkerModelRun *members[sizeof(first->crew->members) / sizeof(first->crew->members[0])];
-    Crew *crew = first->crew;
-    const size_t count = crew->count;
-    const bool begun = crew->begun;
+    WorkerModelRun *members[sizeof(first->worker_group->members) / sizeof(first->worker_group->members[0])];
+    WorkerGroup *worker_group = first->worker_group;
+    const size_t count = worker_group->count;
+    const bool begun = worker_group->begun;
     for (size_t i = 0; i < count; i++)
-        members[i] = crew->members[i];
+        members[i] = worker_group->members[i];
     worker_model_run_end(first, word);
     for (size_t i = 0; i < count && begun; i++)
         if (members[i] != first)
@@ -113,28 +114,28 @@
     const Site *site = worker_model->worker_models->topology->site;
     const bool held = loop_now_ms(worker_model->loop) < worker_model->lease_until_ms;
     for (WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        crew_advance(run->crew);
-        const Crew *crew = run->crew;
+        worker_group_advance(run->worker_group);
+        const WorkerGroup *worker_group = run->worker_group;
         if (!held) {
             for (size_t i = 0; i < worker_model->end_count; i++)
                 worker_model->ends[i].lapsed_since = true;
-            crew_end(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
+            worker_group_end(run, ATTEMPT_LAPSED, ATTEMPT_BROKEN);
             return true;
         }
         if (run->stop_at_ms != 0 && now_ms >= run->stop_at_ms) {
-            crew_end(run, ATTEMPT_STOPPED, ATTEMPT_BROKEN);
+            worker_group_end(run, ATTEMPT_STOPPED, ATTEMPT_BROKEN);
             return true;
         }
-        if (!crew->begun && now_ms - run->began_ms >= site->gang_ms) {
+        if (!worker_group->begun && now_ms - run->began_ms >= site->gang_ms) {
             worker_model_run_end(run, ATTEMPT_ALONE);
             return true;
         }
-        if (crew->begun && crew->done_us >= crew->fail_us) {
-            crew_end(crew->failing, ATTEMPT_FAILED, ATTEMPT_BROKEN);
+        if (worker_group->begun && worker_group->done_us >= worker_group->fail_us) {
+            worker_group_end(worker_group->failing, ATTEMPT_FAILED, ATTEMPT_BROKEN);
             return true;
         }
-        if (crew->begun && crew->done_us >= crew->work_us) {
-            crew_end(run, ATTEMPT_DONE, ATTEMPT_DONE);
+        if (worker_group->begun && worker_group->done_us >= worker_group->work_us) {
+            worker_group_end(run, ATTEMPT_DONE, ATTEMPT_DONE);
             return true;
         }
     }
@@ -147,10 +148,10 @@
     const int64_t own_ms = loop_now_ms(worker_model->loop);
     int64_t wait_ms = worker_model->runs != NULL ? worker_model->lease_until_ms - own_ms : 3600000;
     for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        int64_t due_ms = crew_next_ms(run->crew);
+        int64_t due_ms = worker_group_next_ms(run->worker_group);
         if (run->stop_at_ms != 0 && run->stop_at_ms < due_ms)
             due_ms = run->stop_at_ms;
-        if (!run->crew->begun && run->began_ms + worker_model->worker_models->topology->site->gang_ms < due_ms)
+        if (!run->worker_group->begun && run->began_ms + worker_model->worker_models->topology->site->gang_ms < due_ms)
             due_ms = run->began_ms + worker_model->worker_models->topology->site->gang_ms;
         if (due_ms - now_ms < wait_ms)
             wait_ms = due_ms - now_ms;
@@ -204,13 +205,13 @@
         if (name_equal(&worker_model->ends[i].reported.name, &start->name) &&
             worker_model->ends[i].reported.attempt == start->attempt)
             return;
-    BookTask *task = book_task(worker_models->book, &start->name);
+    TaskRecord *task = job_records_task(worker_models->records, &start->name);
     const uint64_t highest =
         (uint64_t)(uintptr_t)map_get(worker_model->highest, name_text(worker_model->mem, &start->name));
     const Room used = worker_model_used(worker_model);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
-        const Room room = book_step(task)->room;
+        const Room room = job_records_step(task)->room;
         fits = used.cpu_milli + room.cpu_milli <= worker_model->room.cpu_milli &&
                used.mem_mb + room.mem_mb <= worker_model->room.mem_mb && used.gpu + room.gpu <= worker_model->room.gpu;
     }
@@ -220,7 +221,7 @@
     }
     if (!start_check(worker_model, start))
         return;
-    worker_models->book->starts++;
+    worker_models->records->starts++;
     topology_tell(worker_models->topology, &start->name, "round %" PRIu64 " starts on %s (%s), saved '%s'",
                   start->attempt, worker_model->boot, worker_model->side->name, start->saved);
     WorkerModelRun *run = talloc_zero(worker_model->mem, WorkerModelRun);
@@ -232,8 +233,8 @@
     run->began_ms = topology_now_ms(worker_models->topology);
     worker_model->runs = run;
     task->live = run;
-    const int64_t from_ms = book_progress(task, start->saved);
-    crew_join(worker_models, run, from_ms > 0 ? from_ms : 0);
+    const int64_t from_ms = job_records_progress(task, start->saved);
+    worker_group_join(worker_models, run, from_ms > 0 ? from_ms : 0);
 }
 
 static void seen_take(WorkerModel *worker_model, uint64_t seen)
