--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -13,7 +13,7 @@
 typedef struct Bytes {
     uint8_t *data;
     size_t count;
-    size_t room;
+    size_t capacity;
 } Bytes;
 
 /* Appends a copy. The buffer is made on mem by the first call and grows there. */
--- a/packages/base/src/bytes.c
+++ b/packages/base/src/bytes.c
@@ -10,12 +10,12 @@
 {
     if (count == 0)
         return;
-    if (bytes->count + count > bytes->room) {
-        size_t room = bytes->room < BYTES_FIRST ? BYTES_FIRST : bytes->room * 2;
-        while (room < bytes->count + count)
-            room *= 2;
-        bytes->data = talloc_realloc(mem, bytes->data, uint8_t, (unsigned)room);
-        bytes->room = room;
+    if (bytes->count + count > bytes->capacity) {
+        size_t capacity = bytes->capacity < BYTES_FIRST ? BYTES_FIRST : bytes->capacity * 2;
+        while (capacity < bytes->count + count)
+            capacity *= 2;
+        bytes->data = talloc_realloc(mem, bytes->data, uint8_t, (unsigned)capacity);
+        bytes->capacity = capacity;
     }
     memcpy(bytes->data + bytes->count, data, count);
     bytes->count += count;
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -59,9 +59,9 @@
                               term_counter(term));
             return;
         }
-    if (explore->lead_count == explore->lead_room) {
-        explore->lead_room = explore->lead_room > 0 ? explore->lead_room * 2 : 64;
-        explore->leads = talloc_realloc(explore, explore->leads, Lead, (unsigned)explore->lead_room);
+    if (explore->lead_count == explore->lead_capacity) {
+        explore->lead_capacity = explore->lead_capacity > 0 ? explore->lead_capacity * 2 : 64;
+        explore->leads = talloc_realloc(explore, explore->leads, Lead, (unsigned)explore->lead_capacity);
     }
     explore->leads[explore->lead_count++] = (Lead){term, disk};
     explore->result->leads++;
--- a/packages/explore/src/client.c
+++ b/packages/explore/src/client.c
@@ -19,9 +19,9 @@
 
 static void acknowledged(Explore *explore, uint64_t number)
 {
-    if (explore->ack_count == explore->ack_room) {
-        explore->ack_room = explore->ack_room > 0 ? explore->ack_room * 2 : 64;
-        explore->acks = talloc_realloc(explore, explore->acks, uint64_t, (unsigned)explore->ack_room);
+    if (explore->ack_count == explore->ack_capacity) {
+        explore->ack_capacity = explore->ack_capacity > 0 ? explore->ack_capacity * 2 : 64;
+        explore->acks = talloc_realloc(explore, explore->acks, uint64_t, (unsigned)explore->ack_capacity);
     }
     explore->acks[explore->ack_count++] = number;
     explore->orders[number - 1].acknowledged = true;
@@ -48,9 +48,9 @@
 
 void client_submit(Explore *explore, Node *node)
 {
-    if (explore->order_count == explore->order_room) {
-        explore->order_room = explore->order_room > 0 ? explore->order_room * 2 : 512;
-        explore->orders = talloc_realloc(explore, explore->orders, Order, (unsigned)explore->order_room);
+    if (explore->order_count == explore->order_capacity) {
+        explore->order_capacity = explore->order_capacity > 0 ? explore->order_capacity * 2 : 512;
+        explore->orders = talloc_realloc(explore, explore->orders, Order, (unsigned)explore->order_capacity);
     }
     explore->orders[explore->order_count++] = (Order){0};
     Loop *loop = sim_loop(explore->world, node->machine);
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -8,9 +8,9 @@
 
 Item *items_add(void *mem, Items *items, const Item *item)
 {
-    if (items->count == items->room) {
-        items->room = items->room > 0 ? items->room * 2 : ITEMS_FIRST;
-        items->list = talloc_realloc(mem, items->list, Item, (unsigned)items->room);
+    if (items->count == items->capacity) {
+        items->capacity = items->capacity > 0 ? items->capacity * 2 : ITEMS_FIRST;
+        items->list = talloc_realloc(mem, items->list, Item, (unsigned)items->capacity);
     }
     items->list[items->count] = *item;
     return &items->list[items->count++];
--- a/packages/explore/src/state.h
+++ b/packages/explore/src/state.h
@@ -26,7 +26,7 @@
 
 typedef struct Items {
     Item *list;
-    size_t count, room;
+    size_t count, capacity;
 } Items;
 
 /* What a disk holds, read from the blocks that were synced.
@@ -99,11 +99,11 @@
     History history;
     uint64_t cluster;
     Order *orders; /* by number - 1 */
-    size_t order_count, order_room;
+    size_t order_count, order_capacity;
     uint64_t *acks; /* numbers acknowledged in this step */
-    size_t ack_count, ack_room;
+    size_t ack_count, ack_capacity;
     Lead *leads;
-    size_t lead_count, lead_room;
+    size_t lead_count, lead_capacity;
     bool lost_seen; /* pace: a disk has been lost */
     uint64_t acked_at_loss;
 } Explore;
--- a/packages/journal/test/journal.c
+++ b/packages/journal/test/journal.c
@@ -369,11 +369,11 @@
     SimWorld *world = sim_world_new(NULL, 7);
     const int machine = sim_machine(world);
     run(world, machine, "core1", 10, false);
-    sim_disk_room(world, machine, sim_disk_used(world, machine) + 50);
+    sim_disk_capacity(world, machine, sim_disk_used(world, machine) + 50);
     assert_int_equal(run(world, machine, "core1", 1, false).status, STATUS_DISK_FAILED);
     const Seen seen = run(world, machine, "core1", 0, false);
     assert_int_equal(seen.entries, 10);
-    sim_disk_room(world, machine, 0);
+    sim_disk_capacity(world, machine, 0);
     assert_int_equal(run(world, machine, "core1", 1, false).status, STATUS_OK);
     assert_int_equal(run(world, machine, "core1", 0, false).entries, 11);
     talloc_free(world);
--- a/packages/loop/include/loop/inside.h
+++ b/packages/loop/include/loop/inside.h
@@ -25,7 +25,7 @@
     Task *tasks;
     Task *ready_first, *ready_last;
     Timer *timers;
-    size_t timer_count, timer_room;
+    size_t timer_count, timer_capacity;
     uint64_t timer_order;
     void *stacks[TASK_STACKS_KEPT]; /* of ended tasks, for reuse */
     size_t stack_count;
--- a/packages/loop/src/real_channel.c
+++ b/packages/loop/src/real_channel.c
@@ -102,7 +102,7 @@
     rc->channel.handed += (uint64_t)took;
     rc->next.count -= (size_t)took;
     memmove(rc->next.data, rc->next.data + took, rc->next.count);
-    if (rc->next.count == 0 && rc->next.room > CHANNEL_KEEP_BYTES) {
+    if (rc->next.count == 0 && rc->next.capacity > CHANNEL_KEEP_BYTES) {
         talloc_free(rc->next.data);
         rc->next = (Bytes){0};
     }
@@ -117,7 +117,7 @@
         return;
     const Bytes spare = rc->out;
     rc->out = rc->next;
-    rc->next = (Bytes){spare.data, 0, spare.room};
+    rc->next = (Bytes){spare.data, 0, spare.capacity};
     rc->writing = true;
     rc->channel.handed += rc->out.count; /* some of it may leave before the callback */
     h2o_iovec_t vec = h2o_iovec_init((char *)rc->out.data, rc->out.count);
@@ -128,7 +128,7 @@
 {
     RealChannel *rc = sock->data;
     rc->writing = false;
-    if (rc->out.room > CHANNEL_KEEP_BYTES) {
+    if (rc->out.capacity > CHANNEL_KEEP_BYTES) {
         talloc_free(rc->out.data);
         rc->out = (Bytes){0};
     }
--- a/packages/loop/src/timers.c
+++ b/packages/loop/src/timers.c
@@ -10,9 +10,9 @@
 
 void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t turn)
 {
-    if (loop->timer_count == loop->timer_room) {
-        loop->timer_room = loop->timer_room ? loop->timer_room * 2 : 64;
-        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_room);
+    if (loop->timer_count == loop->timer_capacity) {
+        loop->timer_capacity = loop->timer_capacity ? loop->timer_capacity * 2 : 64;
+        loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_capacity);
     }
     const Timer timer = {when_ms, loop->timer_order++, task, turn};
     size_t at = loop->timer_count++;
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -76,7 +76,7 @@
 /* --- the caller ---------------------------------------------------------------------- */
 
 /* One whole answer: head, and as much body as it says. Empty at the end. */
-static size_t answer(int fd, char *text, size_t room)
+static size_t answer(int fd, char *text, size_t capacity)
 {
     size_t count = 0;
     for (;;) {
@@ -85,7 +85,7 @@
         if (end != NULL && (length == NULL || count >= (size_t)(end + 4 - text) + (size_t)atol(length + 16)))
             return count;
         /* to the byte, so that the next answer stays in the socket */
-        const ssize_t got = recv(fd, text + count, end == NULL ? 1 : room - 1 - count < 1 ? 0 : 1, 0);
+        const ssize_t got = recv(fd, text + count, end == NULL ? 1 : capacity - 1 - count < 1 ? 0 : 1, 0);
         if (got <= 0)
             return 0;
         count += (size_t)got;
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -52,11 +52,11 @@
 }
 
 /* Reads until the text has these words; false: it ended before. */
-static bool read_until(int fd, char *text, size_t room, const char *words)
+static bool read_until(int fd, char *text, size_t capacity, const char *words)
 {
     size_t count = 0;
     text[0] = '\0';
-    while (strstr(text, words) == NULL && count + 1 < room) {
+    while (strstr(text, words) == NULL && count + 1 < capacity) {
         const ssize_t got = recv(fd, text + count, 1, 0);
         if (got <= 0)
             return false;
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -28,7 +28,7 @@
     MemberRecord self;
     const char *seeds[SEEDS];
     MemberTable *table;
-    size_t room; /* allocated rows of table */
+    size_t capacity; /* allocated rows of table */
     uint64_t leader_term;
     char *leader_id; /* "": none is known */
     Signal leader_changed;
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -60,9 +60,9 @@
 {
     MemberTable *table = members->table;
     assert(at <= table->count);
-    if (table->count == members->room) {
-        members->room = members->room > 0 ? members->room * 2 : ROWS_FIRST;
-        table->rows = talloc_realloc(members, rows_of(members), Member, (unsigned)members->room);
+    if (table->count == members->capacity) {
+        members->capacity = members->capacity > 0 ? members->capacity * 2 : ROWS_FIRST;
+        table->rows = talloc_realloc(members, rows_of(members), Member, (unsigned)members->capacity);
     }
     Member *rows = rows_of(members);
     memmove(&rows[at + 1], &rows[at], (table->count - at) * sizeof(*rows));
--- a/packages/replication/include/replication/log.h
+++ b/packages/replication/include/replication/log.h
@@ -9,10 +9,10 @@
 typedef struct Log {
     Record snapshot; /* kind 0 while there is none; else its index is base_index */
     uint64_t base_term, base_index;
-    Record *entries;    /* in order */
-    void **owners;      /* the talloc parent of each entry's payload */
-    size_t count, room; /* entries; how many there is memory for */
-    size_t bytes;       /* payloads of the entries */
+    Record *entries;        /* in order */
+    void **owners;          /* the talloc parent of each entry's payload */
+    size_t count, capacity; /* entries; how many there is memory for */
+    size_t bytes;           /* payloads of the entries */
 } Log;
 
 /* An empty log on mem. */
--- a/packages/replication/src/log.c
+++ b/packages/replication/src/log.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define LOG_ROOM_FIRST 256 /* count; entries that a log has room for at first */
+#define LOG_CAPACITY_FIRST 256 /* count; entries that a log has room for at first */
 
 Log *log_new(void *mem)
 {
@@ -39,10 +39,10 @@
 void log_add(Log *log, const Record *entry)
 {
     assert(entry->index == log_last_index(log) + 1);
-    if (log->count == log->room) {
-        log->room = log->room ? log->room * 2 : LOG_ROOM_FIRST;
-        log->entries = talloc_realloc(log, log->entries, Record, (unsigned)log->room);
-        log->owners = talloc_realloc(log, log->owners, void *, (unsigned)log->room);
+    if (log->count == log->capacity) {
+        log->capacity = log->capacity ? log->capacity * 2 : LOG_CAPACITY_FIRST;
+        log->entries = talloc_realloc(log, log->entries, Record, (unsigned)log->capacity);
+        log->owners = talloc_realloc(log, log->owners, void *, (unsigned)log->capacity);
     }
     log->owners[log->count] = talloc_new(log);
     shape_copy(&Record_shape, entry, log->owners[log->count], &log->entries[log->count]);
