--- a/packages/sim/include/sim/world.h
+++ b/packages/sim/include/sim/world.h
@@ -77,7 +77,7 @@
 /* Syncs fail from now on. */
 void sim_disk_fail(SimWorld *world, int machine, bool fails);
 /* All files together hold at most this many bytes from now on; 0: no bound. */
-void sim_disk_room(SimWorld *world, int machine, size_t bytes);
+void sim_disk_capacity(SimWorld *world, int machine, size_t bytes);
 /* Bytes of all its files. */
 size_t sim_disk_used(const SimWorld *world, int machine);
 /* Syncs are acknowledged but lost at the next power-off (or kill). */
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -237,7 +237,7 @@
     world->machines[machine].disk_fails = fails;
 }
 
-void sim_disk_room(SimWorld *world, int machine, size_t bytes)
+void sim_disk_capacity(SimWorld *world, int machine, size_t bytes)
 {
     world->machines[machine].disk_room = bytes;
 }
--- a/packages/sim/test/catchup.c
+++ b/packages/sim/test/catchup.c
@@ -111,7 +111,7 @@
     for (int i = 0; i < 3; i++) {
         const int machine = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
         sim_link_rate(fleet->world, machine, LINK_BYTES_MS);
-        sim_disk_room(fleet->world, machine, DISK_BYTES);
+        sim_disk_capacity(fleet->world, machine, DISK_BYTES);
     }
     const int away = (fleet_leader(fleet) + 1) % 3;
     checker_fault(fleet->checker);
