--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -18,7 +18,7 @@
     int64_t leave_ms; /* leaving: it stays for at least this long; 0: not given */
     bool left;        /* it has shut down in order: no attempt runs there any more */
     bool free_told;   /* free is given */
-    Room free;        /* capacity that nothing uses, by the worker's own count */
+    Resources free;   /* capacity that nothing uses, by the worker's own count */
     int64_t wait_ms;  /* the answer may be delayed for this long */
     bool ends_wait;   /* it sends no other report before it is answered, not even when an attempt ends */
     const AttemptUpdate *running, *ended; /* attempts that run; attempts whose end is not known as committed */
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -61,10 +61,10 @@
                                   .zone = check_name(faults, object, "", "zone", NULL),
                                   .rack = check_name(faults, object, "", "rack", ""),
                                   .kind = check_name(faults, object, "", "kind", ""),
-                                  .room = check_room(faults, object, "", "room", true)};
+                                  .resources = check_resources(faults, object, "", "room", true)};
         report->worker.labels = check_names(faults, object, "", "labels", &report->worker.labels_count);
         report->free_told = json_object_object_get_ex(object, "free", NULL);
-        report->free = check_room(faults, object, "", "free", false);
+        report->free = check_resources(faults, object, "", "free", false);
         report->leaving = check_flag(faults, object, "", "leaving", false);
         report->left = check_flag(faults, object, "", "left", false);
         report->leave_ms = check_int(faults, object, "", "leaveMs", 0, INT64_MAX / 4, 0);
@@ -102,7 +102,7 @@
         json_object *one = id_of(order->job, order->task, order->attempt);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->term));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
-        json_object_object_add(one, "room", show_room(order->room));
+        json_object_object_add(one, "room", show_resources(order->resources));
         json_object_object_add(one, "payload", order->payload[0] ? json_tokener_parse(order->payload) : NULL);
         json_object_object_add(one, "saved", json_object_new_string(order->saved));
         json_object_array_add(starts, one);
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -44,7 +44,7 @@
     /* the worker */
     Worker worker;
     void *worker_mem; /* talloc parent of what worker points to */
-    Room others;      /* of the worker's capacity, what others than this cell use */
+    Resources others; /* of the worker's capacity, what others than this cell use */
     char *boot;       /* null: none has reported, or the last one is over */
     char *boots[BOOTS_KEPT];
     size_t boot_count;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -74,20 +74,20 @@
  * attempts. An attempt of unknown size, given by an earlier agent process, counts as theirs. */
 static void others_take(Agent *agent, const WorkerReport *report)
 {
-    agent->others = (Room){0};
+    agent->others = (Resources){0};
     if (!report->free_told)
         return;
-    Room known = report->free;
+    Resources known = report->free;
     for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
         if (listed(report->running, report->running_count, &attempt->order)) {
-            known.cpu_milli += attempt->order.room.cpu_milli;
-            known.mem_mb += attempt->order.room.mem_mb;
-            known.gpu += attempt->order.room.gpu;
+            known.cpu_milli += attempt->order.resources.cpu_milli;
+            known.mem_mb += attempt->order.resources.mem_mb;
+            known.gpu += attempt->order.resources.gpu;
         }
-    const Room whole = report->worker.room;
-    agent->others = (Room){whole.cpu_milli > known.cpu_milli ? whole.cpu_milli - known.cpu_milli : 0,
-                           whole.mem_mb > known.mem_mb ? whole.mem_mb - known.mem_mb : 0,
-                           whole.gpu > known.gpu ? whole.gpu - known.gpu : 0};
+    const Resources whole = report->worker.resources;
+    agent->others = (Resources){whole.cpu_milli > known.cpu_milli ? whole.cpu_milli - known.cpu_milli : 0,
+                                whole.mem_mb > known.mem_mb ? whole.mem_mb - known.mem_mb : 0,
+                                whole.gpu > known.gpu ? whole.gpu - known.gpu : 0};
 }
 
 /* The worker's description and state. Called after attempts_take, which has adopted the attempts of an earlier agent
--- a/packages/agent/test/agentcase.h
+++ b/packages/agent/test/agentcase.h
@@ -160,7 +160,7 @@
                              .bounds = bounds_first()};
     c->settings.bounds.lease_ms = lease_ms;
     c->settings.bounds.worker_lease_ms = worker_lease_ms;
-    c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .room = {8000, 8000, 0}};
+    c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
     sim_start(c->world, c->boss_machine, boss_start, &c->boss);
     sim_start(c->world, c->other_machine, boss_start, &c->other);
     sim_start(c->world, c->agent_machine, agent_begin, c);
--- a/packages/api/include/api/show.h
+++ b/packages/api/include/api/show.h
@@ -20,7 +20,7 @@
  * soon as that is settled. Static. */
 const char *show_phase(const Job *job);
 /* Capacity. */
-json_object *show_room(Room room);
+json_object *show_resources(Resources resources);
 json_object *show_worker(const Worker *worker);
 /* {"status": word, "text": ..., "faults": [...]}; no faults, or null: without the list. */
 json_object *show_failure(Status status, const char *text, const Faults *faults);
--- a/packages/api/src/job_json.c
+++ b/packages/api/src/job_json.c
@@ -35,7 +35,7 @@
     step->after = check_names(faults, object, path, "after", &step->after_count);
     step->count = (uint64_t)check_int(faults, object, path, "count", 1, JOB_TASKS_MAX, 1);
     step->gang = check_flag(faults, object, path, "gang", false);
-    step->room = check_room(faults, object, path, "room", true);
+    step->resources = check_resources(faults, object, path, "room", true);
     step->kind = check_name(faults, object, path, "kind", "");
     step->labels = check_names(faults, object, path, "labels", &step->labels_count);
     step->est_ms = (uint64_t)check_int(faults, object, path, "estMs", 0, JOB_SPAN_MAX_MS, 0);
@@ -45,7 +45,7 @@
     step->saves = check_flag(faults, object, path, "saves", false);
     step->copies = check_flag(faults, object, path, "copies", false);
     step->payload = read_payload(faults, object, payload);
-    if (step->room.cpu_milli == 0 && step->room.mem_mb == 0 && step->room.gpu == 0)
+    if (step->resources.cpu_milli == 0 && step->resources.mem_mb == 0 && step->resources.gpu == 0)
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task takes some room");
 }
 
--- a/packages/api/src/jobadmit.c
+++ b/packages/api/src/jobadmit.c
@@ -14,29 +14,29 @@
 } StepChance;
 
 /* Tasks of a need that a capacity holds. */
-static uint64_t slots_of(const Room *room, const Room *need)
+static uint64_t slots_of(const Resources *resources, const Resources *need)
 {
-    const uint64_t cpu = need->cpu_milli ? room->cpu_milli / need->cpu_milli : UINT32_MAX;
-    const uint64_t mem = need->mem_mb ? room->mem_mb / need->mem_mb : UINT32_MAX;
-    const uint64_t gpu = need->gpu ? room->gpu / need->gpu : UINT32_MAX;
+    const uint64_t cpu = need->cpu_milli ? resources->cpu_milli / need->cpu_milli : UINT32_MAX;
+    const uint64_t mem = need->mem_mb ? resources->mem_mb / need->mem_mb : UINT32_MAX;
+    const uint64_t gpu = need->gpu ? resources->gpu / need->gpu : UINT32_MAX;
     const uint64_t least = cpu < mem ? cpu : mem;
     return least < gpu ? least : gpu;
 }
 
 static StepChance chance_of(const StepSpec *step, const Worker **workers, size_t count)
 {
-    const PlanNeed need = {step->room, step->kind, step->labels, step->labels_count};
+    const PlanNeed need = {step->resources, step->kind, step->labels, step->labels_count};
     StepChance chance = {0};
     for (size_t w = 0; w < count; w++) {
         const PlanWorker worker = {.kind = workers[w]->kind,
                                    .labels = workers[w]->labels,
                                    .label_count = workers[w]->labels_count,
-                                   .free = workers[w]->room};
+                                   .free = workers[w]->resources};
         chance.able |= plan_able(&worker, &need);
         if (!plan_fits(&worker, &need))
             continue;
         chance.fits = true;
-        chance.slots += slots_of(&worker.free, &need.room);
+        chance.slots += slots_of(&worker.free, &need.resources);
     }
     return chance;
 }
@@ -68,9 +68,9 @@
     for (size_t i = 0; i < spec->steps_count; i++) {
         const StepSpec *step = &spec->steps[i];
         const uint64_t together = step->gang ? step->count : 1;
-        if ((tenant->quota.cpu_milli > 0 && step->room.cpu_milli * together > tenant->quota.cpu_milli) ||
-            (tenant->quota.mem_mb > 0 && step->room.mem_mb * together > tenant->quota.mem_mb) ||
-            (tenant->quota.gpu > 0 && step->room.gpu * together > tenant->quota.gpu))
+        if ((tenant->quota.cpu_milli > 0 && step->resources.cpu_milli * together > tenant->quota.cpu_milli) ||
+            (tenant->quota.mem_mb > 0 && step->resources.mem_mb * together > tenant->quota.mem_mb) ||
+            (tenant->quota.gpu > 0 && step->resources.gpu * together > tenant->quota.gpu))
             fault_add(faults, STATUS_OVER_QUOTA, talloc_asprintf(faults->mem, "steps[%zu].room", i),
                       "is more than the quota of tenant %s", spec->tenant);
     }
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -8,13 +8,13 @@
     return json_object_new_string(text != NULL ? text : "");
 }
 
-json_object *show_room(Room room)
+json_object *show_resources(Resources resources)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "cpu", json_object_new_double((double)room.cpu_milli / 1000));
-    json_object_object_add(object, "memMb", json_object_new_int64((int64_t)room.mem_mb));
-    if (room.gpu > 0)
-        json_object_object_add(object, "gpu", json_object_new_int64((int64_t)room.gpu));
+    json_object_object_add(object, "cpu", json_object_new_double((double)resources.cpu_milli / 1000));
+    json_object_object_add(object, "memMb", json_object_new_int64((int64_t)resources.mem_mb));
+    if (resources.gpu > 0)
+        json_object_object_add(object, "gpu", json_object_new_int64((int64_t)resources.gpu));
     return object;
 }
 
@@ -34,7 +34,7 @@
     json_object_object_add(object, "rack", text_of(worker->rack));
     json_object_object_add(object, "kind", text_of(worker->kind));
     json_object_object_add(object, "labels", show_texts(worker->labels, worker->labels_count));
-    json_object_object_add(object, "room", show_room(worker->room));
+    json_object_object_add(object, "room", show_resources(worker->resources));
     json_object_object_add(object, "excluded", json_object_new_boolean(worker->excluded));
     return object;
 }
--- a/packages/api/test/job_json.c
+++ b/packages/api/test/job_json.c
@@ -12,8 +12,8 @@
 #include "api/show.h"
 
 #define PLACE "\"id\":\"j\",\"cell\":\"c\",\"tenant\":\"t\",\"queue\":\"q\""
-#define ROOM "\"room\":{\"cpu\":1,\"memMb\":10}"
-#define STEP(more) "{\"name\":\"a\"," ROOM more "}"
+#define RESOURCES "\"room\":{\"cpu\":1,\"memMb\":10}"
+#define STEP(more) "{\"name\":\"a\"," RESOURCES more "}"
 
 static Faults *faults_new(void)
 {
@@ -29,7 +29,7 @@
         "{" PLACE ",\"lasting\":true,\"turns\":3,\"firstWallMs\":5000,\"periodMs\":70,\"steps\":["
         "{\"name\":\"a\",\"room\":{\"cpu\":0.5,\"memMb\":10,\"gpu\":2},\"count\":4,\"estMs\":900,\"apart\":2,\"sameRack\":true,"
         "\"near\":\"r1-3\",\"saves\":true,\"copies\":true,\"payload\":\"te\\\"xt\"},"
-        "{\"name\":\"b\"," ROOM ",\"payload\":[1,{\"x\":null}]}," STEP(",\"name\":\"c\"") "]}";
+        "{\"name\":\"b\"," RESOURCES ",\"payload\":[1,{\"x\":null}]}," STEP(",\"name\":\"c\"") "]}";
     Faults *faults = faults_new();
     JobSpec spec;
     /* a key that stands twice is a fault, and the third step has one */
@@ -44,8 +44,8 @@
     assert_int_equal(spec.first_wall_ms, 5000);
     assert_int_equal(spec.period_ms, 70);
     const StepSpec *a = &spec.steps[0], *b = &spec.steps[1];
-    assert_int_equal(a->room.cpu_milli, 500);
-    assert_int_equal(a->room.gpu, 2);
+    assert_int_equal(a->resources.cpu_milli, 500);
+    assert_int_equal(a->resources.gpu, 2);
     assert_int_equal(a->est_ms, 900);
     assert_int_equal(a->apart, 2);
     assert_true(a->same_rack && a->saves && a->copies);
@@ -54,7 +54,7 @@
     assert_string_equal(b->payload, "[1,{\"x\":null}]");
     assert_false(b->same_rack || b->saves || b->copies);
     assert_string_equal(b->near, "");
-    assert_int_equal(b->room.gpu, 0);
+    assert_int_equal(b->resources.gpu, 0);
     talloc_free(faults);
 }
 
@@ -119,7 +119,7 @@
 {
     (void)state;
     void *mem = talloc_new(NULL);
-    StepSpec step = {.name = "a", .count = 1, .room = {1000, 10, 2}};
+    StepSpec step = {.name = "a", .count = 1, .resources = {1000, 10, 2}};
     JobTask tasks[] = {
         {.phase = TASK_DONE, .worker = "", .text = "", .shunned = "", .saved = ""},
         {.turn = 1, .phase = TASK_RUNNING, .worker = "w", .attempt = 4, .text = "", .shunned = "", .saved = "p"}};
@@ -145,7 +145,7 @@
         if (strstr(text, PARTS[i]) == NULL)
             fail_msg("no %s in %s", PARTS[i], text);
     json_object_put(body);
-    body = show_room(step.room);
+    body = show_resources(step.resources);
     assert_non_null(strstr(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN), "\"gpu\":2"));
     json_object_put(body);
     assert_string_equal(show_phase(&job), "queued");
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -103,9 +103,10 @@
 #define JOURNAL_OPEN_MS 3000 /* ms; a disk that refuses writes at the start is tried again for this long */
 #define JOURNAL_BAD_BYTES (16 * 1024 * 1024) /* bytes; a smaller broken journal is kept beside the new one */
 #define HISTORY_NOTIFIED_MS 1000             /* ms; orders to drop committed entries are logged at most this often */
-#define RESTARTED_WAIT_MS 3000 /* ms; restarted voters wait so long for others: every step together must end in 12 s \
-                                */
-#define REPAIR_MS 1500         /* ms; processes that hold what the disks lost have this long to send it again */
+#define RESTARTED_WAIT_MS                                                                                    \
+    3000               /* ms; restarted voters wait so long for others: every step together must end in 12 s \
+                        */
+#define REPAIR_MS 1500 /* ms; processes that hold what the disks lost have this long to send it again */
 /* ms; a leader that has just started repairs no sooner: until then connections of others to
  * its previous life may be silent */
 #define REPAIR_HEAR_MS (CONNECTION_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
@@ -144,13 +145,13 @@
 #define PLACE_BATCH 128              /* count; starts decided in one change */
 #define ATTEMPTS_FORGOTTEN_MAX 10000 /* count; attempts that disks may have lost; a higher number is a mistake */
 #define FAILED_REST_MS 50 /* ms; rest of a failed task, doubled with each: targets are 1 or 2 s, it goes elsewhere */
-#define FAILED_REST_MAX_MS 8000  /* ms; ... up to this; chosen, not measured */
-#define REFUSED_REST_MS 200      /* ms; rest of a refused task: a heartbeat or a start tells more of its worker */
-#define LASTING_STEADY_MS 5000   /* ms; a lasting task that ran this long had not failed at once */
-#define LASTING_REST_MAX_MS 2000 /* ms; one that fails at once, again and again, rests at most this long */
-#define LIST_PAGE 100            /* count; jobs on one page of a list; chosen, not measured */
-#define LIST_PAGE_MAX 1000       /* count; ... at most */
-#define ROOM_MAX 100000000ULL    /* milli-CPU, MB or count; larger numbers are mistakes */
+#define FAILED_REST_MAX_MS 8000    /* ms; ... up to this; chosen, not measured */
+#define REFUSED_REST_MS 200        /* ms; rest of a refused task: a heartbeat or a start tells more of its worker */
+#define LASTING_STEADY_MS 5000     /* ms; a lasting task that ran this long had not failed at once */
+#define LASTING_REST_MAX_MS 2000   /* ms; one that fails at once, again and again, rests at most this long */
+#define LIST_PAGE 100              /* count; jobs on one page of a list; chosen, not measured */
+#define LIST_PAGE_MAX 1000         /* count; ... at most */
+#define RESOURCES_MAX 100000000ULL /* milli-CPU, MB or count; larger numbers are mistakes */
 
 /* --- latency targets and estimates ----------------------------------------------------------- */
 #define PACE_FIRST_MS 700      /* ms; a running attempt's progress is first reported after this, a short task's never */
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -43,7 +43,7 @@
     const PlanInput input = planner_input(request->callers->scheduler, request->mem);
     for (size_t i = 0; i < input.worker_count; i++)
         if (strcmp(input.workers[i].zone, request->name) == 0)
-            input.workers[i].free = (Room){0};
+            input.workers[i].free = (Resources){0};
     PlanBreak broken = {LOSS_WORKER, ""};
     const bool holds = plan_always_possible(&input, &broken);
     json_object_object_add(body, "planHoldsWithoutIt", json_object_new_boolean(holds));
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -62,7 +62,7 @@
 const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
 /* {"cpu": controllers, "mem_mb": MB, "gpu": count}; controllers may have a fraction down to a thousandth,
  * gpu may be absent. needed: the key must be there. */
-Room check_room(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
+Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
 /* "path.key", or key alone below an empty path; on the faults' mem. */
 const char *check_path(Faults *faults, const char *path, const char *key);
 
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -14,7 +14,7 @@
 
 typedef struct ConfigTenant {
     const char *name;
-    Room quota; /* of all its tasks on workers; a component of 0 is without bound */
+    Resources quota; /* of all its tasks on workers; a component of 0 is without bound */
 } ConfigTenant;
 
 /* What is not given is 0 or empty. */
--- a/packages/config/src/cells.c
+++ b/packages/config/src/cells.c
@@ -24,7 +24,7 @@
         check_named(faults, name, path, "tenants");
         tenants[at].name = talloc_strdup(config, name);
         if (check_keys(faults, value, here, KEYS))
-            tenants[at].quota = check_room(faults, value, here, "quota", false);
+            tenants[at].quota = check_resources(faults, value, here, "quota", false);
         at++;
     }
 }
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -200,7 +200,7 @@
     return names;
 }
 
-/* A number that must be there, times scale, rounded; at most ROOM_MAX. */
+/* A number that must be there, times scale, rounded; at most RESOURCES_MAX. */
 static uint64_t amount_of(Faults *faults, json_object *object, const char *path, const char *key, double scale)
 {
     json_object *value;
@@ -210,30 +210,30 @@
     }
     const bool number = json_object_is_type(value, json_type_int) || json_object_is_type(value, json_type_double);
     const double amount = number ? json_object_get_double(value) * scale : -1;
-    if (!(amount >= 0 && amount <= (double)ROOM_MAX)) {
+    if (!(amount >= 0 && amount <= (double)RESOURCES_MAX)) {
         fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, key), "must be a number from 0 to %.0f",
-                  (double)ROOM_MAX / scale);
+                  (double)RESOURCES_MAX / scale);
         return 0;
     }
     return (uint64_t)llround(amount);
 }
 
-Room check_room(Faults *faults, json_object *object, const char *path, const char *key, bool needed)
+Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool needed)
 {
     static const char *const KEYS[] = {"cpu", "memMb", "gpu", NULL};
     json_object *value;
-    Room room = {0};
+    Resources resources = {0};
     const char *at = check_path(faults, path, key);
     if (!json_object_object_get_ex(object, key, &value)) {
         if (needed)
             fault_add(faults, STATUS_BAD_FIELD, at, "is missing");
-        return room;
+        return resources;
     }
     if (!check_keys(faults, value, at, KEYS))
-        return room;
-    room.cpu_milli = amount_of(faults, value, at, "cpu", 1000);
-    room.mem_mb = amount_of(faults, value, at, "memMb", 1);
+        return resources;
+    resources.cpu_milli = amount_of(faults, value, at, "cpu", 1000);
+    resources.mem_mb = amount_of(faults, value, at, "memMb", 1);
     if (json_object_object_get_ex(value, "gpu", NULL))
-        room.gpu = amount_of(faults, value, at, "gpu", 1);
-    return room;
+        resources.gpu = amount_of(faults, value, at, "gpu", 1);
+    return resources;
 }
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -12,7 +12,7 @@
     struct Batch *next;
     size_t users;
     AttemptList list;
-    size_t room;
+    size_t resources;
     int64_t *at_ms;   /* when each of them came */
     int64_t since_ms; /* its first update came then */
     bool waited;      /* somebody waits for it */
@@ -53,10 +53,10 @@
 
 static void batch_add(Controller *controller, Batch *batch, const AttemptUpdate *one)
 {
-    if (batch->list.updates_count == batch->room) {
-        batch->room = batch->room ? batch->room * 2 : 16;
-        batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->room);
-        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->room);
+    if (batch->list.updates_count == batch->resources) {
+        batch->resources = batch->resources ? batch->resources * 2 : 16;
+        batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->resources);
+        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->resources);
     }
     batch->at_ms[batch->list.updates_count] = loop_now_ms(controller->loop);
     shape_copy(&AttemptUpdate_shape, one, batch, &batch->list.updates[batch->list.updates_count++]);
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -66,8 +66,12 @@
             listed(heartbeat->attempts, heartbeat->attempts_count, id, number, task->attempt))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
-        out->starts[out->starts_count++] = (Order){
-            id, number, task->attempt, step->room, talloc_strdup(mem, step->payload), talloc_strdup(mem, task->saved)};
+        out->starts[out->starts_count++] = (Order){id,
+                                                   number,
+                                                   task->attempt,
+                                                   step->resources,
+                                                   talloc_strdup(mem, step->payload),
+                                                   talloc_strdup(mem, task->saved)};
     }
 }
 
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -110,8 +110,8 @@
                                number_of(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
         for (size_t k = 0; k < input.worker_count; k++)
             if (strcmp(input.workers[k].name, rows[i]->name) == 0) {
-                json_object_object_add(one, "room", show_room(input.workers[k].room));
-                json_object_object_add(one, "free", show_room(input.workers[k].free));
+                json_object_object_add(one, "room", show_resources(input.workers[k].resources));
+                json_object_object_add(one, "free", show_resources(input.workers[k].free));
             }
         json_object_array_add(list, one);
     }
--- a/packages/heartbeat/include/heartbeat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -23,7 +23,7 @@
     bool leaving;           /* graceful shutdown: it is given nothing new */
     bool settled;           /* the agent's list of what runs is complete */
     int64_t joined_ms;      /* its agent's first heartbeat in this incarnation */
-    Room others;            /* capacity in use by what is not ours */
+    Resources others;       /* capacity in use by what is not ours */
     bool losing;            /* its loss is decided but not delivered: it gets no order until then */
     int64_t leave_until_ms; /* leaving: what runs there may run until then at least; 0: not known */
 } LiveRow;
--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -34,7 +34,7 @@
     X(FLAG, leaving, 0)                                                        \
     X(FLAG, settled, 0)                                                        \
     X(LST, attempts, AttemptId)                                                \
-    X(ONE, others, Room)                                                       \
+    X(ONE, others, Resources)                                                  \
     X(LST, saved, AttemptSaved)                                                \
     X(I64, leave_ms, 0) /* leaving: it stays at least so long; 0: not known */ \
     X(U64, have, 0)     /* version and term of the orders it has */            \
@@ -44,12 +44,12 @@
 
 /* An order to start an attempt; saved: the checkpoint that it goes on from. It is valid for timeout_ms
  * of its answer, counted from when the request was sent. */
-#define ORDER_FIELDS(X) \
-    X(TXT, job, 0)      \
-    X(U64, task, 0)     \
-    X(U64, attempt, 0)  \
-    X(ONE, room, Room)  \
-    X(TXT, payload, 0)  \
+#define ORDER_FIELDS(X)          \
+    X(TXT, job, 0)               \
+    X(U64, task, 0)              \
+    X(U64, attempt, 0)           \
+    X(ONE, resources, Resources) \
+    X(TXT, payload, 0)           \
     X(TXT, saved, 0)
 SHAPE(Order, ORDER_FIELDS)
 
--- a/packages/heartbeat/include/heartbeat/orphans.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -29,6 +29,6 @@
 void orphans_end(Orphans *orphans, const AttemptUpdate *updates);
 /* Sums up the capacity that orphaned attempts use on the worker (out). False: one of unknown size is
  * among them, and the sum means nothing. */
-bool orphans_room(const Orphans *orphans, const char *worker, Room *room);
+bool orphans_resources(const Orphans *orphans, const char *worker, Resources *resources);
 
 #endif
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -12,10 +12,10 @@
     const char *job;
     uint64_t task; /* its number */
     uint64_t attempt;
-    Room room;        /* capacity it uses */
-    bool known;       /* ... which is not known of a job that the table does not have */
-    bool listed;      /* by the newest heartbeat */
-    int64_t until_ms; /* an order for it may arrive until then */
+    Resources resources; /* capacity it uses */
+    bool known;          /* ... which is not known of a job that the table does not have */
+    bool listed;         /* by the newest heartbeat */
+    int64_t until_ms;    /* an order for it may arrive until then */
 } Orphan;
 
 typedef struct OrphanList {
@@ -79,7 +79,7 @@
                  int64_t until_ms)
 {
     Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
-    orphan->room = job->spec.steps[task->step].room;
+    orphan->resources = job->spec.steps[task->step].resources;
     orphan->known = true;
     orphan->attempt = attempt;
     orphan->until_ms = until_ms;
@@ -87,7 +87,8 @@
 
 /* Whether the table places the attempt on this worker: then it is counted there and is not orphaned.
  * room, known (out): the capacity it uses, where the table has the task at all. */
-static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt, Room *room, bool *known)
+static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt, Resources *resources,
+                   bool *known)
 {
     const Job *job = table_job(table, attempt->job);
     const size_t at = job != NULL ? task_index(job, attempt->task) : 0;
@@ -95,23 +96,23 @@
     if (!*known)
         return false;
     const JobTask *task = &job->tasks[at];
-    *room = job->spec.steps[task->step].room;
+    *resources = job->spec.steps[task->step].resources;
     return task_on_worker(task->phase) && strcmp(task->worker, heartbeat->worker.name) == 0;
 }
 
 /* An attempt that the heartbeat lists. */
 static void listed_take(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt)
 {
-    Room room = {0};
+    Resources resources = {0};
     bool known;
-    if (tabled(table, heartbeat, attempt, &room, &known))
+    if (tabled(table, heartbeat, attempt, &resources, &known))
         return;
     Orphan *orphan = orphan_of(orphans, heartbeat->worker.name, attempt->job, attempt->task);
     orphan->listed = true;
     if (attempt->attempt > orphan->attempt)
         orphan->attempt = attempt->attempt;
     if (known) {
-        orphan->room = room;
+        orphan->resources = resources;
         orphan->known = true;
     }
 }
@@ -142,16 +143,16 @@
         }
 }
 
-bool orphans_room(const Orphans *orphans, const char *worker, Room *room)
+bool orphans_resources(const Orphans *orphans, const char *worker, Resources *resources)
 {
     const OrphanList *list = map_get(orphans->workers, worker);
-    *room = (Room){0};
+    *resources = (Resources){0};
     for (size_t i = 0; list != NULL && i < list->count; i++) {
         if (!list->rows[i]->known)
             return false;
-        room->cpu_milli += list->rows[i]->room.cpu_milli;
-        room->mem_mb += list->rows[i]->room.mem_mb;
-        room->gpu += list->rows[i]->room.gpu;
+        resources->cpu_milli += list->rows[i]->resources.cpu_milli;
+        resources->mem_mb += list->rows[i]->resources.mem_mb;
+        resources->gpu += list->rows[i]->resources.gpu;
     }
     return true;
 }
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -18,7 +18,7 @@
 
 static int case_begin(void **state)
 {
-    static StepSpec step = {.name = "a", .count = 2, .room = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
+    static StepSpec step = {.name = "a", .count = 2, .resources = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
     Case *it = talloc_zero(NULL, Case);
     it->board = board_new();
     it->orphans = orphans_new(it->board.table);
@@ -39,9 +39,9 @@
 
 static uint64_t cpu_on(const Case *it, const char *worker)
 {
-    Room room;
-    assert_true(orphans_room(it->orphans, worker, &room));
-    return room.cpu_milli;
+    Resources resources;
+    assert_true(orphans_resources(it->orphans, worker, &resources));
+    return resources.cpu_milli;
 }
 
 static void heartbeat(Case *it, const char *worker, AttemptId *attempts, size_t count, int64_t now_ms)
@@ -101,8 +101,8 @@
     assert_int_equal(cpu_on(it, "w2"), 3000);
     AttemptId unknown = {"k", 0, 1};
     heartbeat(it, "w2", &unknown, 1, 20);
-    Room room;
-    assert_false(orphans_room(it->orphans, "w2", &room));
+    Resources resources;
+    assert_false(orphans_resources(it->orphans, "w2", &resources));
     heartbeat(it, "w2", NULL, 0, 30);
     assert_int_equal(cpu_on(it, "w2"), 0);
 }
--- a/packages/model/include/model/codec.h
+++ b/packages/model/include/model/codec.h
@@ -47,7 +47,7 @@
 /* A worker's report. */
 typedef struct WorkerModelReport {
     const char *kind, *zone, *label, *rack, *address;
-    Room room;
+    Resources resources;
     bool leaving;
     int64_t leave_ms, clock_ms;
     uint64_t sequence;
@@ -77,7 +77,7 @@
 
 typedef struct GeneratedJobStep {
     uint64_t count;
-    Room room;
+    Resources resources;
     int64_t estimate_ms, work_ms;
     uint64_t after[8];
     size_t after_count;
--- a/packages/model/src/callercheck.c
+++ b/packages/model/src/callercheck.c
@@ -16,11 +16,11 @@
         if (!worker_model->up || worker_model->leaving || zone->drained_ms != 0 ||
             (step->needs != NULL && strcmp(step->needs, worker_model->label) != 0))
             continue;
-        const Room used = worker_model_used(worker_model);
-        if (used.cpu_milli > worker_model->room.cpu_milli || used.mem_mb > worker_model->room.mem_mb)
+        const Resources used = worker_model_used(worker_model);
+        if (used.cpu_milli > worker_model->resources.cpu_milli || used.mem_mb > worker_model->resources.mem_mb)
             continue;
-        const uint64_t cpu = (worker_model->room.cpu_milli - used.cpu_milli) / (step->room.cpu_milli * 2);
-        const uint64_t mem = (worker_model->room.mem_mb - used.mem_mb) / (step->room.mem_mb * 2);
+        const uint64_t cpu = (worker_model->resources.cpu_milli - used.cpu_milli) / (step->resources.cpu_milli * 2);
+        const uint64_t mem = (worker_model->resources.mem_mb - used.mem_mb) / (step->resources.mem_mb * 2);
         const uint64_t here = cpu < mem ? cpu : mem;
         places += step->apart != 0 && here > step->apart ? step->apart : here;
     }
@@ -46,19 +46,20 @@
 void callers_idle(Callers *callers, const WorkerModels *worker_models)
 {
     Topology *topology = callers->topology;
-    Room used = {0}, all = {0};
+    Resources used = {0}, all = {0};
     for (size_t i = 0; i < worker_models->count; i++) {
         const WorkerModel *worker_model = &worker_models->list[i];
         if (!worker_model->up)
             continue;
-        const Room one = worker_model_used(worker_model);
-        used = (Room){used.cpu_milli + one.cpu_milli, used.mem_mb + one.mem_mb, 0};
-        all = (Room){all.cpu_milli + worker_model->room.cpu_milli, all.mem_mb + worker_model->room.mem_mb, 0};
+        const Resources one = worker_model_used(worker_model);
+        used = (Resources){used.cpu_milli + one.cpu_milli, used.mem_mb + one.mem_mb, 0};
+        all = (Resources){all.cpu_milli + worker_model->resources.cpu_milli,
+                          all.mem_mb + worker_model->resources.mem_mb, 0};
     }
-    const bool room = used.cpu_milli * 2 < all.cpu_milli && used.mem_mb * 2 < all.mem_mb;
+    const bool resources = used.cpu_milli * 2 < all.cpu_milli && used.mem_mb * 2 < all.mem_mb;
     for (size_t i = 0; i < callers->records->count; i++) {
         JobRecord *job = callers->records->jobs[i];
-        const bool idle = room && job->accepted_ms != 0 && job->cancel_sent_ms == 0 && job->shown_ms == 0 &&
+        const bool idle = resources && job->accepted_ms != 0 && job->cancel_sent_ms == 0 && job->shown_ms == 0 &&
                           may_run(worker_models, job);
         if (!idle)
             job->idle_ms = 0;
--- a/packages/model/src/callerjob.c
+++ b/packages/model/src/callerjob.c
@@ -98,7 +98,7 @@
         topology_tell(task->callers->topology, &job->tasks[job->step_first[i]].name,
                       "%s: %" PRIu64 " of %" PRIu64 " milli-CPU, %" PRIu64 " MB, %" PRId64
                       " ms%s%s, near %s, needs %s, apart %" PRIu64,
-                      job->kind->name, step->count, step->room.cpu_milli, step->room.mem_mb, step->work_ms,
+                      job->kind->name, step->count, step->resources.cpu_milli, step->resources.mem_mb, step->work_ms,
                       step->gang ? ", gang" : "", step->same_rack ? " on a rack" : "",
                       step->near != NULL ? step->near : "-", step->needs != NULL ? step->needs : "-", step->apart);
     }
--- a/packages/model/src/crew.c
+++ b/packages/model/src/crew.c
@@ -6,12 +6,13 @@
 
 #define ENDLESS_US (INT64_C(1) << 60)
 
-Room worker_model_used(const WorkerModel *worker_model)
+Resources worker_model_used(const WorkerModel *worker_model)
 {
-    Room used = {0};
+    Resources used = {0};
     for (const WorkerModelRun *run = worker_model->runs; run != NULL; run = run->next) {
-        const Room room = job_records_step(run->task)->room;
-        used = (Room){used.cpu_milli + room.cpu_milli, used.mem_mb + room.mem_mb, used.gpu + room.gpu};
+        const Resources resources = job_records_step(run->task)->resources;
+        used =
+            (Resources){used.cpu_milli + resources.cpu_milli, used.mem_mb + resources.mem_mb, used.gpu + resources.gpu};
     }
     return used;
 }
--- a/packages/model/src/draft.c
+++ b/packages/model/src/draft.c
@@ -15,14 +15,15 @@
 }
 
 /* Bounded by what workers have: a task that fits nowhere would wait without end. */
-static void room_draw(const Site *site, const SiteKind *kind, RandomSource *random_source, GeneratedJobStep *step)
+static void resources_draw(const Site *site, const SiteKind *kind, RandomSource *random_source, GeneratedJobStep *step)
 {
     const uint64_t worker_models = (uint64_t)site->worker_models, cpu = (uint64_t)site->worker_model_cpu_milli,
                    mem = (uint64_t)site->worker_model_mem_mb;
-    step->room.cpu_milli = at_most((uint64_t)random_source_about(random_source, kind->cpu_milli), cpu / 2);
-    step->room.mem_mb = at_most((uint64_t)random_source_about(random_source, kind->mem_mb), mem / 2);
-    const uint64_t each =
-        cpu / step->room.cpu_milli < mem / step->room.mem_mb ? cpu / step->room.cpu_milli : mem / step->room.mem_mb;
+    step->resources.cpu_milli = at_most((uint64_t)random_source_about(random_source, kind->cpu_milli), cpu / 2);
+    step->resources.mem_mb = at_most((uint64_t)random_source_about(random_source, kind->mem_mb), mem / 2);
+    const uint64_t each = cpu / step->resources.cpu_milli < mem / step->resources.mem_mb
+                              ? cpu / step->resources.cpu_milli
+                              : mem / step->resources.mem_mb;
     uint64_t where = worker_models;
     if (random_source_percent(random_source, kind->needs_percent)) {
         step->needs = random_source_percent(random_source, 50) ? "a" : "b";
@@ -45,7 +46,7 @@
     *step = (GeneratedJobStep){.count = at_most((uint64_t)random_source_about(random_source, kind->tasks), TASKS_MAX)};
     step->gang = random_source_percent(random_source, kind->gang_percent) && !generated_job->lasting;
     step->same_rack = step->gang && random_source_percent(random_source, 50);
-    room_draw(site, kind, random_source, step);
+    resources_draw(site, kind, random_source, step);
     step->work_ms = random_source_about(random_source, kind->task_ms);
     step->estimate_ms = step->work_ms * random_source_span(random_source, 50, 150) / 100;
     if (random_source_percent(random_source, kind->near_percent)) {
--- a/packages/model/src/start.c
+++ b/packages/model/src/start.c
@@ -23,13 +23,15 @@
                 (start)->order->name.turn, (start)->order->name.step, (start)->order->name.at,                       \
                 (start)->order->attempt, (start)->worker_model->boot, __VA_ARGS__)
 
-static void room_check(const Start *start)
+static void resources_check(const Start *start)
 {
-    const Room used = worker_model_used(start->worker_model), room = start->step->room, all = start->worker_model->room;
-    if (start->topology->site->guards == 0 && (used.cpu_milli + room.cpu_milli > all.cpu_milli ||
-                                               used.mem_mb + room.mem_mb > all.mem_mb || used.gpu + room.gpu > all.gpu))
+    const Resources used = worker_model_used(start->worker_model), resources = start->step->resources,
+                    all = start->worker_model->resources;
+    if (start->topology->site->guards == 0 &&
+        (used.cpu_milli + resources.cpu_milli > all.cpu_milli || used.mem_mb + resources.mem_mb > all.mem_mb ||
+         used.gpu + resources.gpu > all.gpu))
         BROKE(start, RULE_LIMIT, "%" PRIu64 " milli-CPU and %" PRIu64 " MB beside %" PRIu64 " and %" PRIu64,
-              room.cpu_milli, room.mem_mb, used.cpu_milli, used.mem_mb);
+              resources.cpu_milli, resources.mem_mb, used.cpu_milli, used.mem_mb);
 }
 
 static void twice_check(const Start *start)
@@ -150,7 +152,7 @@
     }
     start.job = start.task->job;
     start.step = job_records_step(start.task);
-    room_check(&start);
+    resources_check(&start);
     twice_check(&start);
     order_check(&start);
     route_check(&start);
--- a/packages/model/src/worker_model.c
+++ b/packages/model/src/worker_model.c
@@ -51,7 +51,7 @@
         .rack = worker_model->rack,
         .address = talloc_asprintf(mem, "%s:8080",
                                    sim_address(worker_model->worker_models->topology->world, worker_model->machine)),
-        .room = worker_model->room,
+        .resources = worker_model->resources,
         .leaving = worker_model->leaving,
         .leave_ms = worker_model->leave_at_ms > now_ms ? worker_model->leave_at_ms - now_ms : 0,
         .clock_ms = loop_now_ms(worker_model->loop),
@@ -246,7 +246,7 @@
                           .kind = "std",
                           .zone = topology->sides[i].zone,
                           .label = i % 2 == 0 ? "a" : "b",
-                          .room = {(uint64_t)site->worker_model_cpu_milli, (uint64_t)site->worker_model_mem_mb, 0},
+                          .resources = {(uint64_t)site->worker_model_cpu_milli, (uint64_t)site->worker_model_mem_mb, 0},
                           .speed = SPEEDS[i % 3],
                           .slow_times = 1};
         snprintf(worker_model->rack, sizeof(worker_model->rack), "r%" PRId64 "-%" PRId64, (int64_t)i % site->zones,
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -44,7 +44,7 @@
     uint64_t life;
     char boot[24], rack[24];
     const char *kind, *zone, *label;
-    Room room;
+    Resources resources;
     int64_t speed, slow_times; /* percent; times */
     int64_t grey_percent;      /* percentage of its attempts that fail */
     bool hangs;                /* nothing on it makes progress */
@@ -100,7 +100,7 @@
 
 /* --- crews and what they use -------------------------------------------------------------------------------- */
 /* The part of a worker's capacity that its runs use. */
-Room worker_model_used(const WorkerModel *worker_model);
+Resources worker_model_used(const WorkerModel *worker_model);
 /* The run joins the group of its attempt. */
 void worker_group_join(WorkerModels *worker_models, WorkerModelRun *run, int64_t from_ms);
 void worker_group_leave(WorkerModelRun *run);
--- a/packages/model/src/worker_model_work.c
+++ b/packages/model/src/worker_model_work.c
@@ -208,12 +208,13 @@
     TaskRecord *task = job_records_task(worker_models->records, &start->name);
     const uint64_t highest =
         (uint64_t)(uintptr_t)map_get(worker_model->highest, name_text(worker_model->mem, &start->name));
-    const Room used = worker_model_used(worker_model);
+    const Resources used = worker_model_used(worker_model);
     bool fits = true;
     if (task != NULL && site->guards != 0) {
-        const Room room = job_records_step(task)->room;
-        fits = used.cpu_milli + room.cpu_milli <= worker_model->room.cpu_milli &&
-               used.mem_mb + room.mem_mb <= worker_model->room.mem_mb && used.gpu + room.gpu <= worker_model->room.gpu;
+        const Resources resources = job_records_step(task)->resources;
+        fits = used.cpu_milli + resources.cpu_milli <= worker_model->resources.cpu_milli &&
+               used.mem_mb + resources.mem_mb <= worker_model->resources.mem_mb &&
+               used.gpu + resources.gpu <= worker_model->resources.gpu;
     }
     if (start->attempt <= highest || !fits) {
         end_add(worker_model, task, &start->name, start->attempt, ATTEMPT_REFUSED, "");
--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -10,7 +10,7 @@
 
 /* What a task asks of a worker. */
 typedef struct PlanNeed {
-    Room room;
+    Resources resources;
     const char *kind; /* empty: any */
     const char *const *labels;
     size_t label_count;
@@ -25,8 +25,8 @@
     const char *kind;
     const char *const *labels;
     size_t label_count;
-    Room room; /* its whole capacity */
-    Room free;
+    Resources resources; /* its whole capacity */
+    Resources free;
     uint64_t penalty; /* thousandths of capacity that it counts as having less when chosen */
 } PlanWorker;
 
@@ -51,7 +51,7 @@
     bool zone_loss; /* also the loss of any one zone */
     bool rack_loss; /* also the loss of any one rack */
     size_t cell_count;
-    Room *pushable; /* may be null: nothing */
+    Resources *pushable; /* may be null: nothing */
 } PlanInput;
 
 /* The kinds of losses, with the API's words. */
@@ -82,9 +82,9 @@
  * that fit, the first of equals; -1: none fits. lost (may be null): those not to choose. */
 int plan_choose(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost);
 /* The largest whole capacity, component by component. */
-Room plan_largest(const PlanWorker *workers, size_t count);
+Resources plan_largest(const PlanWorker *workers, size_t count);
 /* The scarcer of the worker's free CPU and memory, in thousandths of largest. */
-uint64_t plan_left(const PlanWorker *worker, Room largest);
+uint64_t plan_left(const PlanWorker *worker, Resources largest);
 
 /* One plan, by biggest-fit-decreasing as in the paper: places the tasks of the lost workers on
  * the others. lost: by worker. where[i] is set to the worker of each of these tasks, up to the
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -18,10 +18,10 @@
 #include "plan/plan.h"
 
 typedef struct Group {
-    bool *any;      /* by worker: suits some task of the group */
-    bool *all;      /* by worker: suits every task of the group */
-    Room biggest;   /* demand, component by component, of its tasks */
-    uint64_t *lost; /* tasks of the group on each worker */
+    bool *any;         /* by worker: suits some task of the group */
+    bool *all;         /* by worker: suits every task of the group */
+    Resources biggest; /* demand, component by component, of its tasks */
+    uint64_t *lost;    /* tasks of the group on each worker */
 } Group;
 
 static int descending(const void *a, const void *b)
@@ -31,7 +31,7 @@
 }
 
 /* How many tasks of that size fit; UINT32_MAX when they ask for nothing. */
-static uint64_t slots_of(Room free, Room each)
+static uint64_t slots_of(Resources free, Resources each)
 {
     const uint64_t cpu = each.cpu_milli > 0 ? free.cpu_milli / each.cpu_milli : UINT32_MAX;
     const uint64_t mem = each.mem_mb > 0 ? free.mem_mb / each.mem_mb : UINT32_MAX;
@@ -65,7 +65,7 @@
 {
     const size_t n = input->worker_count;
     Group group = {talloc_zero_array(mem, bool, (unsigned)n), talloc_zero_array(mem, bool, (unsigned)n),
-                   task->need.room, talloc_zero_array(mem, uint64_t, (unsigned)n)};
+                   task->need.resources, talloc_zero_array(mem, uint64_t, (unsigned)n)};
     for (size_t i = 0; i < n; i++)
         group.any[i] = group.all[i] = plan_able(&input->workers[i], &task->need);
     group.lost[task->worker] = 1;
@@ -88,7 +88,7 @@
         group->all[i] &= other->all[i];
         group->lost[i] += other->lost[i];
     }
-    group->biggest = room_largest(group->biggest, other->biggest);
+    group->biggest = resources_largest(group->biggest, other->biggest);
 }
 
 bool plan_cheap(const PlanInput *input)
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -22,27 +22,27 @@
 
 bool plan_fits(const PlanWorker *worker, const PlanNeed *need)
 {
-    return room_fits(need->room, worker->free) && plan_able(worker, need);
+    return resources_fits(need->resources, worker->free) && plan_able(worker, need);
 }
 
-uint64_t plan_left(const PlanWorker *worker, Room largest)
+uint64_t plan_left(const PlanWorker *worker, Resources largest)
 {
-    const Room free = worker->free;
+    const Resources free = worker->free;
     const uint64_t cpu = largest.cpu_milli > 0 ? free.cpu_milli * 1000 / largest.cpu_milli : 0;
     const uint64_t mem = largest.mem_mb > 0 ? free.mem_mb * 1000 / largest.mem_mb : 0;
     return cpu < mem ? cpu : mem;
 }
 
-Room plan_largest(const PlanWorker *workers, size_t count)
+Resources plan_largest(const PlanWorker *workers, size_t count)
 {
-    Room largest = {0};
+    Resources largest = {0};
     for (size_t i = 0; i < count; i++)
-        largest = room_largest(largest, workers[i].room);
+        largest = resources_largest(largest, workers[i].resources);
     return largest;
 }
 
 /* As plan_choose; largest is plan_largest of all workers. */
-static int choose_by(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost, Room largest)
+static int choose_by(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost, Resources largest)
 {
     int best = -1;
     uint64_t best_left = 0;
@@ -70,13 +70,13 @@
 {
     if (task->cell == PLAN_NO_CELL || input->pushable == NULL)
         return -1;
-    Room *pushable = &input->pushable[task->cell * input->worker_count];
+    Resources *pushable = &input->pushable[task->cell * input->worker_count];
     for (size_t i = 0; i < input->worker_count; i++) {
         PlanWorker *worker = &input->workers[i];
-        const Room room = room_more(worker->free, pushable[i]);
-        if (lost[i] || !room_fits(task->need.room, room) || !plan_able(worker, &task->need))
+        const Resources resources = resources_more(worker->free, pushable[i]);
+        if (lost[i] || !resources_fits(task->need.resources, resources) || !plan_able(worker, &task->need))
             continue;
-        pushable[i] = room_less(pushable[i], room_less(task->need.room, worker->free));
+        pushable[i] = resources_less(pushable[i], resources_less(task->need.resources, worker->free));
         return (int)i;
     }
     return -1;
@@ -99,13 +99,13 @@
 
 bool plan_specific(PlanInput *input, const bool *lost, int *where)
 {
-    const Room largest = plan_largest(input->workers, input->worker_count);
+    const Resources largest = plan_largest(input->workers, input->worker_count);
     Sized *sized = talloc_array(NULL, Sized, (unsigned)input->task_count);
     size_t count = 0;
     for (size_t i = 0; i < input->task_count; i++) {
         assert(input->tasks[i].worker < input->worker_count);
         if (lost[input->tasks[i].worker])
-            sized[count++] = (Sized){i, room_share(input->tasks[i].need.room, largest)};
+            sized[count++] = (Sized){i, resources_share(input->tasks[i].need.resources, largest)};
     }
     qsort(sized, count, sizeof(*sized), sized_order);
     bool all = true;
@@ -117,7 +117,7 @@
         where[sized[i].task] = at;
         all = at >= 0;
         if (all)
-            input->workers[at].free = room_less(input->workers[at].free, task->need.room);
+            input->workers[at].free = resources_less(input->workers[at].free, task->need.resources);
     }
     talloc_free(sized);
     return all;
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -26,7 +26,7 @@
 {
     for (size_t i = 0; i < input->task_count; i++) {
         PlanWorker *w = &input->workers[input->tasks[i].worker];
-        w->free = room_less(w->free, input->tasks[i].need.room);
+        w->free = resources_less(w->free, input->tasks[i].need.resources);
     }
 }
 
@@ -72,7 +72,7 @@
     PlanInput input = {workers, 3, tasks, 2, 2, false, false, 0, NULL};
     take_out(&input);
     assert_true(plan_always_possible(&input, NULL));
-    tasks[0].need.room.cpu_milli = 3;
+    tasks[0].need.resources.cpu_milli = 3;
     PlanWorker again[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     input.workers = again;
     take_out(&input);
@@ -121,7 +121,7 @@
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9)};
     workers[1].free.cpu_milli = 1;
     PlanTask tasks[] = {task(0, 3, 1), task(0, 1, 1)};
-    Room pushable[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
+    Resources pushable[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
     PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, pushable};
     take_out(&input);
     assert_false(plan_always_possible(&input, NULL));
@@ -133,7 +133,7 @@
     input.task_count = 2;
     tasks[1].cell = 0;
     assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 to push hold 3 and 1 */
-    tasks[1].need.room.cpu_milli = 2;
+    tasks[1].need.resources.cpu_milli = 2;
     assert_false(plan_always_possible(&input, NULL));
     /* and the cheap bound knows nothing of it: it may only say no wrongly */
     assert_false(plan_cheap(&input));
@@ -169,7 +169,7 @@
             }
             if (!plan_fits(&workers[one.worker], &one.need))
                 continue;
-            workers[one.worker].free = room_less(workers[one.worker].free, one.need.room);
+            workers[one.worker].free = resources_less(workers[one.worker].free, one.need.resources);
             tasks[input.task_count++] = one;
             if (draw(&seed, 4) == 0)
                 break;
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -29,12 +29,12 @@
                        NULL};
     for (size_t i = 0; i < workers; i++)
         input.workers[i] = (PlanWorker){
-            .name = "w", .zone = "z", .kind = "std", .room = {64000, 131072, 0}, .free = {64000, 131072, 0}};
+            .name = "w", .zone = "z", .kind = "std", .resources = {64000, 131072, 0}, .free = {64000, 131072, 0}};
     for (size_t i = 0; i < tasks; i++) {
         input.tasks[i] =
             (PlanTask){{{500 + 500 * (i % 4), 512 + 512 * (i % 3), 0}, "", NULL, 0}, i % workers, PLAN_NO_CELL};
         PlanWorker *worker = &input.workers[i % workers];
-        worker->free = room_less(worker->free, input.tasks[i].need.room);
+        worker->free = resources_less(worker->free, input.tasks[i].need.resources);
     }
     const double start = seconds();
     bool possible = true;
--- a/packages/policy/src/lua.c
+++ b/packages/policy/src/lua.c
@@ -46,8 +46,8 @@
     field(lua, "priority", (double)spec->priority);
     field(lua, "queue_priority", (double)context->queue_priority);
     field(lua, "number", (double)context->job->number);
-    field(lua, "cpu", (double)context->step->room.cpu_milli / 1000);
-    field(lua, "mem_mb", (double)context->step->room.mem_mb);
+    field(lua, "cpu", (double)context->step->resources.cpu_milli / 1000);
+    field(lua, "mem_mb", (double)context->step->resources.mem_mb);
     field(lua, "tasks", (double)context->job->tasks_count);
     field(lua, "waited_ms", (double)context->waited_ms);
     field(lua, "cell_used", (double)context->cell_used / 1000);
@@ -129,7 +129,7 @@
 /* Tries the functions on a made-up task, so that what fails always fails now. */
 static bool try_out(LuaPolicy *policy)
 {
-    const StepSpec step = {.name = "step", .kind = "std", .room = {1000, 1024, 0}};
+    const StepSpec step = {.name = "step", .kind = "std", .resources = {1000, 1024, 0}};
     Job job = {
         .spec = {.id = "id", .cell = "cell", .tenant = "tenant", .queue = "queue"}, .number = 1, .tasks_count = 1};
     const PolicyContext context = {.job = &job, .step = &step, .waited_ms = 1000, .cell_share = 1000};
--- a/packages/policy/test/policy.c
+++ b/packages/policy/test/policy.c
@@ -63,7 +63,7 @@
     void *mem = talloc_new(NULL);
     LuaPolicy *lua;
     Failure failure = {0};
-    const StepSpec step = {.name = "s", .kind = "", .room = {500, 64, 0}};
+    const StepSpec step = {.name = "s", .kind = "", .resources = {500, 64, 0}};
     Job job;
     assert_int_equal(
         lua_policy_new(mem, "p",
@@ -74,7 +74,7 @@
     const Policy *policy = lua_policy(lua);
     const PolicyContext one = context(&job, &step, 4000);
     assert_true(policy->rank(policy->arg, &one) == 8.5);
-    const StepSpec large = {.name = "s", .kind = "", .room = {8000, 64, 0}};
+    const StepSpec large = {.name = "s", .kind = "", .resources = {8000, 64, 0}};
     const PolicyContext other = {.job = &job, .step = &large};
     assert_true(policy->may_preempt(policy->arg, &one, &other));
     assert_false(policy->may_preempt(policy->arg, &other, &one));
@@ -88,7 +88,7 @@
     (void)state;
     void *mem = talloc_new(NULL);
     LuaPolicy *lua;
-    const StepSpec step = {.name = "s", .kind = "", .room = {500, 64, 0}};
+    const StepSpec step = {.name = "s", .kind = "", .resources = {500, 64, 0}};
     Job job;
     assert_int_equal(lua_policy_new(mem, "p",
                                     "local kept = {}\n"
--- a/packages/queue/include/queue/latency_target.h
+++ b/packages/queue/include/queue/latency_target.h
@@ -18,7 +18,7 @@
 
 /* Fills target in, up to the job's steps. estimates may be null; quarter: a step that asks for
  * more than this runs in waves. */
-void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, LatencyTarget *target);
+void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Resources quarter, LatencyTarget *target);
 /* Time, in ms, that may pass before the step must be under way for the target to be met;
  * negative: it is missed, if the estimates are right. */
 int64_t target_slack_ms(const LatencyTarget *target, uint64_t step, int64_t now_ms);
--- a/packages/queue/include/queue/line.h
+++ b/packages/queue/include/queue/line.h
@@ -47,7 +47,7 @@
 /* The rank of the step that the task is in, to *rank; false: it is not in the line. */
 bool line_rank(const Line *line, const Job *job, size_t task, double *rank);
 /* What the job's tenant uses, with all that was placed by this line. */
-Room line_tenant_uses(Line *line, const Job *job);
+Resources line_tenant_uses(Line *line, const Job *job);
 /* The log time, in ms, when more can start by the passing of time alone: a rest is over or a
  * turn is due; INT64_MAX: never. */
 int64_t line_next_ms(const Line *line);
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -46,7 +46,7 @@
     const Table *table;
     const Config *config;
     uint64_t config_stamp; /* differs with each other config */
-    Room fleet;            /* capacity of all workers that may be given work */
+    Resources fleet;       /* capacity of all workers that may be given work */
     QueueClock clock;
     QueuePolicy policy;
     void *arg; /* policy's */
--- a/packages/queue/src/latency_target.c
+++ b/packages/queue/src/latency_target.c
@@ -13,19 +13,19 @@
 }
 
 /* The waves that a step needs to run in a part of the fleet: at least 1, at most its tasks. */
-static uint64_t waves_of(const StepSpec *step, Room quarter)
+static uint64_t waves_of(const StepSpec *step, Resources quarter)
 {
     uint64_t waves = 1;
     const uint64_t part[] = {quarter.cpu_milli, quarter.mem_mb, quarter.gpu};
-    const uint64_t all[] = {step->room.cpu_milli * step->count, step->room.mem_mb * step->count,
-                            step->room.gpu * step->count};
+    const uint64_t all[] = {step->resources.cpu_milli * step->count, step->resources.mem_mb * step->count,
+                            step->resources.gpu * step->count};
     for (size_t i = 0; i < 3; i++)
         if (part[i] > 0 && (all[i] + part[i] - 1) / part[i] > waves)
             waves = (all[i] + part[i] - 1) / part[i];
     return waves < step->count ? waves : step->count;
 }
 
-void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Room quarter, LatencyTarget *target)
+void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Resources quarter, LatencyTarget *target)
 {
     int64_t longest_ms = 0;
     /* steps wait for earlier ones alone */
--- a/packages/queue/src/line.c
+++ b/packages/queue/src/line.c
@@ -53,9 +53,9 @@
 
 static void place_add(Line *line, const Note *note, size_t end, Candidate candidate)
 {
-    if (line->count == line->room) {
-        line->room = line->room ? line->room * 2 : PLACES_FIRST;
-        line->places = talloc_realloc(line, line->places, Place, (unsigned)line->room);
+    if (line->count == line->resources) {
+        line->resources = line->resources ? line->resources * 2 : PLACES_FIRST;
+        line->places = talloc_realloc(line, line->places, Place, (unsigned)line->resources);
     }
     line->places[line->count++] = (Place){.candidate = candidate, .note = note, .end = end};
 }
@@ -123,7 +123,7 @@
 static const LatencyTarget *target_of(Line *line, Note *note, uint64_t turn)
 {
     const uint64_t learnt = estimates_stamp(queue_estimates(line->queue));
-    if (note->learnt != learnt || !room_same(note->quarter, line->quarter))
+    if (note->learnt != learnt || !resources_same(note->quarter, line->quarter))
         target_find(note->job, 0, queue_estimates(line->queue), line->quarter, &note->target);
     note->learnt = learnt;
     note->quarter = line->quarter;
@@ -164,9 +164,10 @@
         next_at(line, queue_due_ms(job, turn, clock));
 }
 
-static Room quarter_of(Room fleet)
+static Resources quarter_of(Resources fleet)
 {
-    return (Room){fleet.cpu_milli / TARGET_WAVE_PART, fleet.mem_mb / TARGET_WAVE_PART, fleet.gpu / TARGET_WAVE_PART};
+    return (Resources){fleet.cpu_milli / TARGET_WAVE_PART, fleet.mem_mb / TARGET_WAVE_PART,
+                       fleet.gpu / TARGET_WAVE_PART};
 }
 
 /* --- the line -------------------------------------------------------------------- */
--- a/packages/queue/src/next.c
+++ b/packages/queue/src/next.c
@@ -5,16 +5,17 @@
 #include "places.h"
 
 /* What all tasks of the candidate ask for. */
-static Room room_of(const Candidate *candidate)
+static Resources resources_of(const Candidate *candidate)
 {
-    return room_times(candidate_step(candidate)->room, candidate->count);
+    return resources_times(candidate_step(candidate)->resources, candidate->count);
 }
 
 /* What the cell or tenant would use with the candidate, in millionths of the fleet. */
 static uint64_t turn_of(const Line *line, Account *account, const Candidate *candidate)
 {
-    const Room room = room_more(*account_use(line->queue, line->context, account), room_of(candidate));
-    return part_of(room, line->context->fleet);
+    const Resources resources =
+        resources_more(*account_use(line->queue, line->context, account), resources_of(candidate));
+    return part_of(resources, line->context->fleet);
 }
 
 /* Makes a turn for each tenant with the run's next lower rank. */
@@ -107,10 +108,10 @@
     return line->tried != NULL ? &line->tried->candidate : NULL;
 }
 
-static void account_more(Line *line, Account *account, Room more)
+static void account_more(Line *line, Account *account, Resources more)
 {
-    Room *used = account_use(line->queue, line->context, account);
-    *used = room_more(*used, more);
+    Resources *used = account_use(line->queue, line->context, account);
+    *used = resources_more(*used, more);
 }
 
 void line_placed(Line *line)
@@ -118,7 +119,7 @@
     assert(line->tried != NULL && !line->tried->out);
     Place *place = line->tried;
     Candidate *candidate = &place->candidate;
-    const Room more = room_of(candidate);
+    const Resources more = resources_of(candidate);
     account_more(line, place->note->cell_account, more);
     account_more(line, place->note->tenant_account, more);
     const bool gang = candidate_step(candidate)->gang;
@@ -135,7 +136,7 @@
     line->tried->out = true;
 }
 
-Room line_tenant_uses(Line *line, const Job *job)
+Resources line_tenant_uses(Line *line, const Job *job)
 {
     return *account_use(line->queue, line->context, note_of(line->queue, line->context, job)->tenant_account);
 }
--- a/packages/queue/src/order.c
+++ b/packages/queue/src/order.c
@@ -15,8 +15,8 @@
 /* The largest part of a task's demand, where a controller weighs as much as 2 GB, and as a GPU. */
 static uint64_t size_of(const Candidate *candidate)
 {
-    const Room unit = {1000, 2000, 1};
-    return part_of(candidate_step(candidate)->room, unit);
+    const Resources unit = {1000, 2000, 1};
+    return part_of(candidate_step(candidate)->resources, unit);
 }
 
 /* Biggest first, as the plan that promised the restarts placed them. */
--- a/packages/queue/src/places.h
+++ b/packages/queue/src/places.h
@@ -33,11 +33,11 @@
 struct Line {
     Queue *queue;
     const QueueContext *context;
-    Room quarter; /* the part of the fleet beyond which a step runs in waves */
+    Resources quarter; /* the part of the fleet beyond which a step runs in waves */
     Place *places;
-    size_t count, room;  /* room: slots allocated */
-    size_t restarts;     /* so many of them are restarts */
-    size_t next_restart; /* the first one not tried yet */
+    size_t count, resources; /* room: slots allocated */
+    size_t restarts;         /* so many of them are restarts */
+    size_t next_restart;     /* the first one not tried yet */
     Run *runs;
     size_t run_count;
     Place *tried; /* the last that was given out */
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -40,9 +40,9 @@
     return queue->estimates;
 }
 
-uint64_t part_of(Room room, Room fleet)
+uint64_t part_of(Resources resources, Resources fleet)
 {
-    return room_part(room, fleet, MILLIONTHS);
+    return resources_part(resources, fleet, MILLIONTHS);
 }
 
 /* Drops notes that neither the newest line nor the one before has used. */
@@ -80,7 +80,7 @@
     return account;
 }
 
-Room *account_use(Queue *queue, const QueueContext *context, Account *account)
+Resources *account_use(Queue *queue, const QueueContext *context, Account *account)
 {
     if (account->line != queue->line || queue->line == 0) {
         account->line = queue->line;
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -13,8 +13,13 @@
 
 static StepSpec step(const char *name, uint64_t count, uint64_t est_ms)
 {
-    return (StepSpec){
-        .name = name, .count = count, .room = {CPU, 64, 0}, .kind = "", .payload = "", .near = "", .est_ms = est_ms};
+    return (StepSpec){.name = name,
+                      .count = count,
+                      .resources = {CPU, 64, 0},
+                      .kind = "",
+                      .payload = "",
+                      .near = "",
+                      .est_ms = est_ms};
 }
 
 static JobTerms aims(uint64_t stretch_milli, int64_t target_ms, int64_t priority)
@@ -130,7 +135,7 @@
     const Job *job = job_add(&board, &spec, aims(0, 10000, 0));
     assert_string_equal(order_of(&board, 1000), "ls");
     LatencyTarget target;
-    target_find(job, 1000, NULL, (Room){0}, &target);
+    target_find(job, 1000, NULL, (Resources){0}, &target);
     assert_int_equal(target.after_ms[0], 8000);
     assert_int_equal(target.after_ms[1], 4000);
     assert_int_equal(target_slack_ms(&target, 0, 1000), 2000);
@@ -146,7 +151,7 @@
     const JobSpec spec = spec_of("w", &wide, 1);
     const Job *job = job_add(&board, &spec, aims(2000, 0, 0));
     LatencyTarget target;
-    target_find(job, 0, NULL, (Room){10 * CPU, 100000, 0}, &target);
+    target_find(job, 0, NULL, (Resources){10 * CPU, 100000, 0}, &target);
     assert_int_equal(target.after_ms[0], 3000);
     assert_int_equal(target.span_ms, 6000);
     talloc_free(board.table);
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -9,9 +9,9 @@
 void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
 {
     PlanInput *input = &pass->input;
-    if (input->task_count == pass->task_room) {
-        pass->task_room = pass->task_room ? pass->task_room * 2 : 64;
-        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_room);
+    if (input->task_count == pass->task_resources) {
+        pass->task_resources = pass->task_resources ? pass->task_resources * 2 : 64;
+        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_resources);
     }
     input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
 }
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -34,7 +34,7 @@
 
 typedef struct End {
     int64_t left_ms;
-    Room room;
+    Resources resources;
 } End;
 
 static int end_order(const void *a, const void *b)
@@ -43,23 +43,23 @@
     return x->left_ms < y->left_ms ? -1 : x->left_ms > y->left_ms;
 }
 
-int64_t soonest_ms(const Pass *pass, size_t worker, Room need)
+int64_t soonest_ms(const Pass *pass, size_t worker, Resources need)
 {
-    Room free = pass->input.workers[worker].free;
-    if (room_fits(need, free))
+    Resources free = pass->input.workers[worker].free;
+    if (resources_fits(need, free))
         return 0;
     const TaskOn *on;
     const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
-        ends[i] = (End){pass_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].room};
+        ends[i] = (End){pass_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].resources};
     }
     qsort(ends, count, sizeof(*ends), end_order);
     int64_t left_ms = INT64_MAX;
     for (size_t i = 0; i < count && left_ms == INT64_MAX && ends[i].left_ms < INT64_MAX; i++) {
-        free = room_more(free, ends[i].room);
-        if (room_fits(need, free))
+        free = resources_more(free, ends[i].resources);
+        if (resources_fits(need, free))
             left_ms = ends[i].left_ms;
     }
     talloc_free(ends);
--- a/packages/scheduler/src/capacity_forecast.h
+++ b/packages/scheduler/src/capacity_forecast.h
@@ -6,6 +6,6 @@
 /* ms; how long the task, on the worker at that place, should still take; INT64_MAX: unknown. */
 int64_t pass_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker);
 /* ms; when the worker at that place should have so much free; 0: now, INT64_MAX: unknown. */
-int64_t soonest_ms(const Pass *pass, size_t worker, Room need);
+int64_t soonest_ms(const Pass *pass, size_t worker, Resources need);
 
 #endif
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -10,7 +10,7 @@
 #include "stop_list.h"
 #include "worker_choice.h"
 
-static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool room)
+static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool resources)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -20,14 +20,14 @@
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
     if (job->spec.lasting)
-        return room || stays_ms < LEAVE_LAST_MS;
+        return resources || stays_ms < LEAVE_LAST_MS;
     const int64_t left_ms = pass_left_ms(pass, job, task, worker);
     if (left_ms < stays_ms - LEAVE_LAST_MS / 2)
         return false;
     if (saves)
-        return room || stays_ms < LEAVE_LAST_MS;
+        return resources || stays_ms < LEAVE_LAST_MS;
     /* estimates are inexact: an attempt that might just end is left to try */
-    return room && left_ms * 2 / 3 > stays_ms;
+    return resources && left_ms * 2 / 3 > stays_ms;
 }
 
 void leave_find(Pass *pass, StopList *list)
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -7,14 +7,14 @@
 #include "scheduler/worker_score.h"
 
 /* Capacity of the worker that may be used now; none when it may be given nothing. */
-static Room room_now(const Scheduler *scheduler, const Worker *worker, Room *orphans)
+static Resources resources_now(const Scheduler *scheduler, const Worker *worker, Resources *orphans)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker->name);
-    const bool known = orphans_room(scheduler->orphans, worker->name, orphans);
+    const bool known = orphans_resources(scheduler->orphans, worker->name, orphans);
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(scheduler->loop)) && !worker->excluded &&
                        !table_drained(scheduler->table, worker->zone) && !score_rests(scheduler, worker->name);
-    const Room none = {0};
-    return ready ? room_less(worker->room, row->others) : none;
+    const Resources none = {0};
+    return ready ? resources_less(worker->resources, row->others) : none;
 }
 
 /* Workers that may be given work have their free capacity, the others none; what runs on those still counts as
@@ -29,20 +29,20 @@
     pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
-        Room orphans;
-        const Room room = room_now(scheduler, worker, &orphans);
-        const Room used = room_more(orphans, table_used_on(scheduler->table, worker->name));
+        Resources orphans;
+        const Resources resources = resources_now(scheduler, worker, &orphans);
+        const Resources used = resources_more(orphans, table_used_on(scheduler->table, worker->name));
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
                                               .zone = worker->zone,
                                               .rack = worker->rack,
                                               .kind = worker->kind,
                                               .labels = worker->labels,
                                               .label_count = worker->labels_count,
-                                              .room = room,
-                                              .free = room_less(room, used),
+                                              .resources = resources,
+                                              .free = resources_less(resources, used),
                                               .penalty = score_rate(scheduler, worker->name) * 10};
         pass->speeds[i] = estimate_speed(scheduler->estimates, worker->name, loop_now_ms(scheduler->loop));
-        pass->fleet = room_more(pass->fleet, room);
+        pass->fleet = resources_more(pass->fleet, resources);
     }
     pass->largest = plan_largest(pass->input.workers, count);
 }
@@ -89,5 +89,5 @@
 PlanNeed pass_need(const Job *job, uint64_t step)
 {
     const StepSpec *spec = &job->spec.steps[step];
-    return (PlanNeed){spec->room, queue_kind(job, step), spec->labels, spec->labels_count};
+    return (PlanNeed){spec->resources, queue_kind(job, step), spec->labels, spec->labels_count};
 }
--- a/packages/scheduler/src/pass.h
+++ b/packages/scheduler/src/pass.h
@@ -31,15 +31,15 @@
     const Config *config;
     QueueClock clock;
     PlanInput input; /* its tasks only after pass_tasks */
-    size_t task_room;
-    uint64_t *speeds; /* of each worker: time there in thousandths of that on a sound one */
-    Room fleet;       /* capacity of all workers that may be given work */
-    Room largest;     /* the largest worker, part by part */
+    size_t task_resources;
+    uint64_t *speeds;  /* of each worker: time there in thousandths of that on a sound one */
+    Resources fleet;   /* capacity of all workers that may be given work */
+    Resources largest; /* the largest worker, part by part */
     QueueContext context;
     Line *line; /* the queue */
     PlaceList places;
     Placed *placed; /* as many as places */
-    size_t place_room, placed_count;
+    size_t place_resources, placed_count;
     StepContext step;
     PlanNeed full[FULL_MOST]; /* needs that found no worker */
     size_t full_count;
@@ -48,7 +48,7 @@
     StopList pushes;           /* attempts to be preempted */
     Map *cells;                /* names of cells with a policy to their place + 1 in input.pushable */
     size_t preempt_looks;      /* calls of may_preempt */
-    Room reserved;             /* reserved in this pass for what found no worker */
+    Resources reserved;        /* reserved in this pass for what found no worker */
     int64_t next_ms;           /* log time when more can be decided without a new event */
 } Pass;
 
--- a/packages/scheduler/src/pass_reservation.c
+++ b/packages/scheduler/src/pass_reservation.c
@@ -9,9 +9,9 @@
 #include <talloc.h>
 
 /* How near the free capacity is to what is needed, in thousandths, by the scarcest resource. */
-static uint64_t near_to(Room need, Room free)
+static uint64_t near_to(Resources need, Resources free)
 {
-    const uint64_t most = room_share(need, free);
+    const uint64_t most = resources_share(need, free);
     return free.cpu_milli == 0 && free.mem_mb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
 }
 
@@ -21,9 +21,9 @@
     uint64_t best_near = 0;
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
-        if (excluded[i] || taken[i] || !plan_able(worker, need) || !room_fits(need->room, worker->room))
+        if (excluded[i] || taken[i] || !plan_able(worker, need) || !resources_fits(need->resources, worker->resources))
             continue;
-        const uint64_t near = near_to(need->room, worker->free);
+        const uint64_t near = near_to(need->resources, worker->free);
         if (best < 0 || near > best_near) {
             best = (int)i;
             best_near = near;
@@ -37,10 +37,10 @@
     if (candidate->slack_ms >= RESERVE_SLACK_MS || candidate->slack_ms < -candidate->estimate_ms ||
         candidate->count > pass->input.worker_count)
         return;
-    Room all = pass->reserved;
+    Resources all = pass->reserved;
     for (size_t i = 0; i < candidate->count; i++)
-        all = room_more(all, need->room);
-    if (room_share(all, pass->fleet) > 1000 / RESERVE_SHARE)
+        all = resources_more(all, need->resources);
+    if (resources_share(all, pass->fleet) > 1000 / RESERVE_SHARE)
         return;
     pass->reserved = all;
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
@@ -49,7 +49,7 @@
         if (at < 0)
             break;
         taken[at] = true; /* another member takes another worker: two seldom find capacity on one */
-        pass->input.workers[at].free = room_less(pass->input.workers[at].free, need->room);
+        pass->input.workers[at].free = resources_less(pass->input.workers[at].free, need->resources);
     }
     talloc_free(taken);
 }
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -17,9 +17,9 @@
     const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, candidate->job->spec.tenant) : NULL;
     if (tenant == NULL)
         return true; /* accepted before the tenant was taken out of the configuration: it runs */
-    Room want = line_tenant_uses(pass->line, candidate->job);
+    Resources want = line_tenant_uses(pass->line, candidate->job);
     for (size_t i = 0; i < candidate->count; i++)
-        want = room_more(want, step->room);
+        want = resources_more(want, step->resources);
     return (tenant->quota.cpu_milli == 0 || want.cpu_milli <= tenant->quota.cpu_milli) &&
            (tenant->quota.mem_mb == 0 || want.mem_mb <= tenant->quota.mem_mb) &&
            (tenant->quota.gpu == 0 || want.gpu <= tenant->quota.gpu);
@@ -29,11 +29,11 @@
 static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t attempt,
                       const char *saved, bool assured)
 {
-    if (pass->places.placements_count == pass->place_room) {
-        pass->place_room = pass->place_room ? pass->place_room * 2 : 32;
+    if (pass->places.placements_count == pass->place_resources) {
+        pass->place_resources = pass->place_resources ? pass->place_resources * 2 : 32;
         pass->places.placements =
-            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_room);
-        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_room);
+            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_resources);
+        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_resources);
     }
     const LiveRow *row = liveset_find(pass->scheduler->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
@@ -53,7 +53,7 @@
 {
     for (size_t i = 0; i < count; i++) {
         PlanWorker *worker = &pass->input.workers[where[i]];
-        worker->free = room_more(worker->free, step->room);
+        worker->free = resources_more(worker->free, step->resources);
         context_add(pass, (size_t)where[i], -1);
     }
 }
@@ -74,7 +74,7 @@
         const uint64_t its = choose_far_percent(pass, step, (size_t)at);
         if (its > *percent)
             *percent = its;
-        pass->input.workers[at].free = room_less(pass->input.workers[at].free, step->room);
+        pass->input.workers[at].free = resources_less(pass->input.workers[at].free, step->resources);
         context_add(pass, (size_t)at, 1);
         where[i] = at;
     }
@@ -144,7 +144,7 @@
 static bool known_full(const Pass *pass, const PlanNeed *need)
 {
     for (size_t i = 0; i < pass->full_count; i++)
-        if (room_fits(pass->full[i].room, need->room) && strcmp(pass->full[i].kind, need->kind) == 0)
+        if (resources_fits(pass->full[i].resources, need->resources) && strcmp(pass->full[i].kind, need->kind) == 0)
             return true;
     return false;
 }
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -15,24 +15,25 @@
 } Victims;
 
 /* The worker's free capacity once all that is being stopped there has stopped. */
-static Room free_soon(const Pass *pass, const PlanWorker *worker)
+static Resources free_soon(const Pass *pass, const PlanWorker *worker)
 {
-    Room free = worker->free;
+    Resources free = worker->free;
     const TaskOn *on;
     const size_t count = table_on(pass->scheduler->table, worker->name, &on);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
         if (task->phase == TASK_STOPPING)
-            free = room_more(free, on[i].job->spec.steps[task->step].room);
+            free = resources_more(free, on[i].job->spec.steps[task->step].resources);
     }
     return free;
 }
 
 /* Adds what of the job the candidate may preempt on the worker, until that is enough. */
 static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *mine, const Job *job, const char *worker,
-                        Room need, Room *free, Victims *victims)
+                        Resources need, Resources *free, Victims *victims)
 {
-    for (size_t t = 0; t < job->tasks_count && !room_fits(need, *free) && victims->looked < PREEMPT_TASKS_MAX; t++) {
+    for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->looked < PREEMPT_TASKS_MAX;
+         t++) {
         const JobTask *task = &job->tasks[t];
         if (task->phase != TASK_RUNNING || strcmp(task->worker, worker) != 0)
             continue;
@@ -43,23 +44,23 @@
             continue;
         victims->attempts[victims->count++] =
             (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
-        *free = room_more(*free, job->spec.steps[task->step].room);
+        *free = resources_more(*free, job->spec.steps[task->step].resources);
     }
 }
 
 /* Looks on one worker, at the newest jobs first; false: there is not enough to be had. */
 static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicyContext *mine,
-                         const char *worker, Room need, Room free, Victims *victims)
+                         const char *worker, Resources need, Resources free, Victims *victims)
 {
     Job *const *jobs;
     *victims = (Victims){.count = 0};
     for (size_t j = table_active(pass->scheduler->table, &jobs);
-         j > 0 && !room_fits(need, free) && victims->looked < PREEMPT_TASKS_MAX; j--) {
+         j > 0 && !resources_fits(need, free) && victims->looked < PREEMPT_TASKS_MAX; j--) {
         const Job *job = jobs[j - 1];
         if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
             victims_add(pass, policy, mine, job, worker, need, &free, victims);
     }
-    return room_fits(need, free);
+    return resources_fits(need, free);
 }
 
 /* The freed capacity is used only once the preempted attempts are known to be over. Capacity that is being given up
@@ -70,13 +71,13 @@
     const PolicyContext mine = queue_see(pass->scheduler->queue, &pass->context, candidate->job, candidate->first);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
-        if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
+        if (!plan_able(worker, &need) || !resources_fits(need.resources, worker->resources))
             continue;
-        const Room free = free_soon(pass, worker);
-        if (room_fits(need.room, free))
+        const Resources free = free_soon(pass, worker);
+        if (resources_fits(need.resources, free))
             return; /* enough is being given up already */
         Victims victims;
-        if (!victims_find(pass, candidate, policy, &mine, worker->name, need.room, free, &victims))
+        if (!victims_find(pass, candidate, policy, &mine, worker->name, need.resources, free, &victims))
             continue;
         pass->pushes.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
         pass->pushes.attempts_count = victims.count;
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -34,7 +34,7 @@
         return -1;
     /* an attempt that checkpoints does so once more when it is stopped */
     const int64_t lost_ms = step->saves ? 0 : pass->clock.log_ms - task->changed_ms;
-    return (lost_ms + PREEMPT_TAKES_MS) * (int64_t)step->room.cpu_milli / 1000;
+    return (lost_ms + PREEMPT_TAKES_MS) * (int64_t)step->resources.cpu_milli / 1000;
 }
 
 typedef struct Preemption {
@@ -44,15 +44,15 @@
 } Preemption;
 
 /* Takes the cheapest attempts first, until there is enough capacity; false: there is none to be had. */
-static bool preempt_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Room need,
+static bool preempt_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Resources need,
                          Preemption *preemption)
 {
-    Room free = pass->input.workers[worker].free;
+    Resources free = pass->input.workers[worker].free;
     const TaskOn *on;
     const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *preemption = (Preemption){.count = 0};
-    while (!room_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
+    while (!resources_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
         size_t best = count;
         int64_t best_cost = 0;
         for (size_t i = 0; i < count; i++) {
@@ -66,13 +66,13 @@
             break;
         const JobTask *task = &on[best].job->tasks[on[best].task];
         taken[best] = true;
-        free = room_more(free, on[best].job->spec.steps[task->step].room);
+        free = resources_more(free, on[best].job->spec.steps[task->step].resources);
         preemption->cost += best_cost;
         preemption->attempts[preemption->count++] =
             (AttemptId){on[best].job->spec.id, task_number(task), task->attempt};
     }
     talloc_free(taken);
-    return room_fits(need, free);
+    return resources_fits(need, free);
 }
 
 void preempt_target(Pass *pass, const Candidate *candidate)
@@ -86,17 +86,17 @@
     if (!most_urgent(pass, candidate->job, priority))
         return;
     const PlanNeed need = pass_need(candidate->job, task->step);
-    const int64_t most = PREEMPT_COST * candidate->estimate_ms * (int64_t)need.room.cpu_milli / 1000;
+    const int64_t most = PREEMPT_COST * candidate->estimate_ms * (int64_t)need.resources.cpu_milli / 1000;
     Preemption best = {.count = 0};
     scheduler->preempt_from_ms = loop_now_ms(scheduler->loop) + PREEMPT_GAP_MS;
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
-        if (!plan_able(worker, &need) || !room_fits(need.room, worker->room))
+        if (!plan_able(worker, &need) || !resources_fits(need.resources, worker->resources))
             continue;
-        if (soonest_ms(pass, w, need.room) <= PREEMPT_TAKES_MS)
+        if (soonest_ms(pass, w, need.resources) <= PREEMPT_TAKES_MS)
             return; /* it has capacity before any preempted attempt could be over */
         Preemption preemption;
-        if (preempt_find(pass, candidate, priority, w, need.room, &preemption) && preemption.cost <= most &&
+        if (preempt_find(pass, candidate, priority, w, need.resources, &preemption) && preemption.cost <= most &&
             (best.count == 0 || preemption.cost < best.cost))
             best = preemption;
     }
--- a/packages/scheduler/src/pushable_capacity.c
+++ b/packages/scheduler/src/pushable_capacity.c
@@ -73,17 +73,17 @@
 }
 
 /* The job's part of what its cell may preempt, into pushable: one capacity for each worker. */
-static void job_count(Pass *pass, const Policy *policy, const Speakers *speakers, const Job *job, Room *pushable,
+static void job_count(Pass *pass, const Policy *policy, const Speakers *speakers, const Job *job, Resources *pushable,
                       size_t *looks)
 {
     for (size_t t = 0; t < job->tasks_count && *looks < PREEMPT_LOOKS_MAX; t++) {
         const JobTask *task = &job->tasks[t];
         const size_t at = task->phase == TASK_RUNNING ? pass_place(pass, task->worker) : SIZE_MAX;
         /* a worker that may be given nothing has no capacity to be had either */
-        if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0)
+        if (at == SIZE_MAX || pass->input.workers[at].resources.cpu_milli == 0)
             continue;
         if (all_may_preempt(pass, policy, speakers, job, t, looks))
-            pushable[at] = room_more(pushable[at], job->spec.steps[task->step].room);
+            pushable[at] = resources_more(pushable[at], job->spec.steps[task->step].resources);
     }
 }
 
@@ -97,7 +97,7 @@
     if (cells == 0)
         return;
     input->cell_count = cells;
-    input->pushable = talloc_zero_array(pass->mem, Room, (unsigned)(cells * input->worker_count));
+    input->pushable = talloc_zero_array(pass->mem, Resources, (unsigned)(cells * input->worker_count));
     Job *const *jobs;
     const size_t count = table_active(scheduler->table, &jobs);
     size_t looks = 0;
@@ -111,7 +111,7 @@
         if (speakers.count == 0 || !speakers.whole)
             continue;
         const Policy *policy = scheduler_policy(scheduler, cell);
-        Room *pushable = &input->pushable[(place - 1) * input->worker_count];
+        Resources *pushable = &input->pushable[(place - 1) * input->worker_count];
         for (size_t j = 0; j < count; j++)
             if (jobs[j]->spec.protection != PROTECTION_PROTECTED && strcmp(jobs[j]->spec.cell, cell->name) == 0)
                 job_count(pass, policy, &speakers, jobs[j], pushable, &looks);
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -63,11 +63,11 @@
         }
         for (size_t i = 0; i < kept->worker_count; i++) {
             const size_t at = pass_place(pass, kept->workers[i]);
-            if (at == SIZE_MAX || pass->input.workers[at].room.cpu_milli == 0) {
+            if (at == SIZE_MAX || pass->input.workers[at].resources.cpu_milli == 0) {
                 reservation_drop(scheduler, cells[c], "one of them may be given nothing");
                 break;
             }
-            kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].room);
+            kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].resources);
         }
     }
 }
@@ -97,12 +97,12 @@
 }
 
 /* How many members of the candidate the worker takes when it is empty. */
-static size_t holds_empty(const PlanWorker *worker, Room each)
+static size_t holds_empty(const PlanWorker *worker, Resources each)
 {
     size_t count = 0;
-    Room room = worker->room;
-    for (; room_fits(each, room) && count < RESERVATION_MEMBERS_MAX; count++)
-        room = room_less(room, each);
+    Resources resources = worker->resources;
+    for (; resources_fits(each, resources) && count < RESERVATION_MEMBERS_MAX; count++)
+        resources = resources_less(resources, each);
     return count;
 }
 
@@ -119,15 +119,15 @@
 {
     const PlanInput *input = &pass->input;
     int best = -1;
-    Room best_busy = {0};
+    Resources best_busy = {0};
     for (size_t i = 0; i < input->worker_count; i++) {
         const PlanWorker *worker = &input->workers[i];
-        if (used[i] || !plan_able(worker, need) || !room_fits(need->room, worker->room))
+        if (used[i] || !plan_able(worker, need) || !resources_fits(need->resources, worker->resources))
             continue;
-        const int64_t soon_ms = soonest_ms(pass, i, need->room);
-        const Room busy = room_less(worker->room, worker->free);
-        const bool less =
-            best >= 0 && room_share(busy, worker->room) < room_share(best_busy, input->workers[best].room);
+        const int64_t soon_ms = soonest_ms(pass, i, need->resources);
+        const Resources busy = resources_less(worker->resources, worker->free);
+        const bool less = best >= 0 && resources_share(busy, worker->resources) <
+                                           resources_share(best_busy, input->workers[best].resources);
         if (best < 0 || soon_ms < *until_ms || (soon_ms == *until_ms && less)) {
             best = (int)i;
             *until_ms = soon_ms;
@@ -154,7 +154,7 @@
         if (best < 0)
             break;
         used[best] = true;
-        const size_t holds = holds_empty(&input->workers[best], step->room);
+        const size_t holds = holds_empty(&input->workers[best], step->resources);
         left = left > holds ? left - holds : 0;
         kept->until_ms[kept->worker_count] = until_ms;
         kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -80,7 +80,7 @@
     const Job *job = going->job;
     const JobTask *task = &job->tasks[going->task];
     LatencyTarget target;
-    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->scheduler->estimates, (Room){0}, &target);
+    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->scheduler->estimates, (Resources){0}, &target);
     const int64_t slack_ms = target_slack_ms(&target, task->step, pass->clock.log_ms);
     return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= going->left_ms;
 }
--- a/packages/scheduler/src/stop_list.c
+++ b/packages/scheduler/src/stop_list.c
@@ -9,7 +9,7 @@
         return false;
     if (at >= 0) {
         PlanWorker *to = &pass->input.workers[at];
-        to->free = room_less(to->free, job->spec.steps[job->tasks[task].step].room);
+        to->free = resources_less(to->free, job->spec.steps[job->tasks[task].step].resources);
     }
     if (list->attempts == NULL)
         list->attempts =
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -92,7 +92,7 @@
     const int64_t left = (int64_t)plan_left(worker, pass->largest);
     const int64_t time_share = (int64_t)(pass->speeds[at] * choose_far_percent(pass, step, at) / 100) - SHARE_ONE;
     int64_t value = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
-    if (need->room.gpu == 0 && worker->room.gpu > 0)
+    if (need->resources.gpu == 0 && worker->resources.gpu > 0)
         value -= CHOOSE_GPU;
     return value;
 }
@@ -155,7 +155,8 @@
     bool near = step->near[0] == '\0';
     for (size_t i = 0; i < pass->input.worker_count && !near; i++) {
         const PlanWorker *worker = &pass->input.workers[i];
-        near = strcmp(worker->rack, step->near) == 0 && plan_able(worker, need) && room_fits(need->room, worker->room);
+        near = strcmp(worker->rack, step->near) == 0 && plan_able(worker, need) &&
+               resources_fits(need->resources, worker->resources);
     }
     if (near && until_ms < pass->next_ms)
         pass->next_ms = until_ms;
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -21,8 +21,8 @@
     if (job->spec.protection != PROTECTION_PROTECTED || !pass->asks)
         return true;
     PlanWorker *to = &pass->input.workers[at];
-    const Room before = to->free;
-    to->free = room_less(to->free, job->spec.steps[task->step].room);
+    const Resources before = to->free;
+    to->free = resources_less(to->free, job->spec.steps[task->step].resources);
     pass_count(pass, &job->spec, need, (size_t)at);
     const bool holds = pass_holds(pass);
     pass->input.task_count--;
--- a/packages/sim/include/sim/checker.h
+++ b/packages/sim/include/sim/checker.h
@@ -82,7 +82,8 @@
 /* The worker describes itself. */
 void checker_worker(Checker *checker, const Worker *worker);
 /* An attempt starts on a worker. */
-void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
+void checker_started(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                     Resources resources);
 /* The attempt that is about to start continues from a checkpoint, which stand-ins write as "TASK@MS of JOB". */
 void checker_resumed(Checker *checker, const char *worker, const char *job, uint64_t task, uint64_t attempt,
                      const char *saved);
@@ -128,7 +129,7 @@
  * tenant's quota in every cell. */
 void checker_tenant(Checker *checker, const char *tenant, TenantWord word);
 void checker_probe(Checker *checker, const char *tenant, int64_t sent_ms, bool taken);
-void checker_quota(Checker *checker, const char *tenant, Room quota, TenantWord word);
+void checker_quota(Checker *checker, const char *tenant, Resources quota, TenantWord word);
 /* Accepted jobs not shown as ended. */
 size_t checker_open(const Checker *checker);
 size_t checker_starts(const Checker *checker);
--- a/packages/sim/src/check_config.c
+++ b/packages/sim/src/check_config.c
@@ -76,7 +76,7 @@
     return a == 0 || b == 0 ? 0 : a > b ? a : b; /* 0: unbounded */
 }
 
-void checker_quota(Checker *checker, const char *name, Room quota, TenantWord word)
+void checker_quota(Checker *checker, const char *name, Resources quota, TenantWord word)
 {
     SeenTenant *tenant = seen_tenant(checker, name);
     if (word == TENANT_REFUSED) {
@@ -85,8 +85,8 @@
     }
     if (word == TENANT_ASKED || tenant->quota_ms != 0)
         tenant->looser =
-            (Room){looser_of(tenant->looser.cpu_milli, quota.cpu_milli), looser_of(tenant->looser.mem_mb, quota.mem_mb),
-                   looser_of(tenant->looser.gpu, quota.gpu)};
+            (Resources){looser_of(tenant->looser.cpu_milli, quota.cpu_milli),
+                        looser_of(tenant->looser.mem_mb, quota.mem_mb), looser_of(tenant->looser.gpu, quota.gpu)};
     else
         tenant->looser = quota;
     tenant->quota_unsure = word == TENANT_ASKED;
@@ -98,9 +98,9 @@
 
 /* What of the tenant runs. A task counts once; one whose machine stands still does
  * not run; one whose owner allows copies counts by the newest alone. */
-static Room used_by(Checker *checker, const char *cell, const char *name)
+static Resources used_by(Checker *checker, const char *cell, const char *name)
 {
-    Room used = {0};
+    Resources used = {0};
     void *mem = talloc_new(NULL);
     const char **ids;
     const size_t count = map_keys(checker->unsettled, mem, &ids);
@@ -116,7 +116,7 @@
             for (const SeenRun *run = ((const SeenTask *)map_get(job->tasks, tasks[t]))->runs; run != NULL;
                  run = run->next)
                 if (!checker->settings.frozen(checker->settings.arg, run->worker)) {
-                    used = room_more(used, run->room);
+                    used = resources_more(used, run->resources);
                     break;
                 }
     }
@@ -124,17 +124,17 @@
     return used;
 }
 
-void quota_start(Checker *checker, const Job *job, Room room)
+void quota_start(Checker *checker, const Job *job, Resources resources)
 {
     SeenTenant *tenant = map_get(checker->tenants, job->spec.tenant);
     if (tenant == NULL || tenant->quota_ms == 0)
         return;
     if (!tenant->quota_unsure && checker_now(checker) > tenant->quota_ms + CONFIG_LATE_MS)
         tenant->looser = tenant->quota;
-    const Room bound = tenant->looser;
+    const Resources bound = tenant->looser;
     if (bound.cpu_milli == 0 && bound.mem_mb == 0)
         return;
-    const Room used = room_more(used_by(checker, job->spec.cell, job->spec.tenant), room);
+    const Resources used = resources_more(used_by(checker, job->spec.cell, job->spec.tenant), resources);
     if ((bound.cpu_milli != 0 && used.cpu_milli > bound.cpu_milli) || (bound.mem_mb != 0 && used.mem_mb > bound.mem_mb))
         checker_broke(checker, INVARIANT_OVER_QUOTA, "%s runs %" PRIu64 " milli-CPU and %" PRIu64 " MB with %s",
                       job->spec.tenant, used.cpu_milli, used.mem_mb, job->spec.id);
--- a/packages/sim/src/check_start.c
+++ b/packages/sim/src/check_start.c
@@ -57,7 +57,8 @@
                       job, task, attempt, worker, saved);
 }
 
-void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt, Room room)
+void checker_started(Checker *checker, const char *worker, const char *id, uint64_t task, uint64_t attempt,
+                     Resources resources)
 {
     const int64_t now_ms = checker_now(checker);
     SeenJob *job = seen_job(checker, id);
@@ -98,20 +99,20 @@
         checker_broke(checker, INVARIANT_LEAVING_GIVEN, "%s task %" PRIu64 " in zone %s", id, task, on->worker.zone);
     on->started_ms = now_ms;
     on->starts++;
-    on->used = room_more(on->used, room);
-    if (on->used.cpu_milli > on->worker.room.cpu_milli || on->used.mem_mb > on->worker.room.mem_mb)
+    on->used = resources_more(on->used, resources);
+    if (on->used.cpu_milli > on->worker.resources.cpu_milli || on->used.mem_mb > on->worker.resources.mem_mb)
         checker_broke(checker, INVARIANT_OVERPACKED, "%s holds %" PRIu64 " milli-CPU and %" PRIu64 " MB", worker,
                       on->used.cpu_milli, on->used.mem_mb);
     spec_start(checker, job, worker, task);
     claim_start(checker, job, seen, task, on->worker.name, attempt, copies);
     if (known != NULL)
-        quota_start(checker, known, room);
+        quota_start(checker, known, resources);
     if (checker->started_ms == 0)
         checker->started_ms = now_ms;
     SeenRun *run = talloc_zero(seen, SeenRun);
     run->worker = on->worker.name;
     run->attempt = attempt;
-    run->room = room;
+    run->resources = resources;
     run->next = seen->runs;
     seen->runs = run;
     seen->started_ms = now_ms;
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -30,7 +30,7 @@
     struct SeenRun *next;
     const char *worker;
     uint64_t attempt;
-    Room room;
+    Resources resources;
     int64_t told_ms;    /* the worker was told to stop it; 0: not */
     bool beside_frozen; /* another began while this one's machine stood still */
 } SeenRun;
@@ -64,7 +64,7 @@
 
 typedef struct SeenWorker {
     Worker worker;
-    Room used;
+    Resources used;
     int64_t leaving_ms; /* 0: not */
     int64_t started_ms; /* 0: never */
     size_t starts;
@@ -81,7 +81,7 @@
     bool in, unsure;
     bool ever_in; /* some configuration that was not refused had it */
     int64_t since_ms;
-    Room quota, looser; /* in force; the loosest that may still be */
+    Resources quota, looser; /* in force; the loosest that may still be */
     int64_t quota_ms;
     bool quota_unsure;
 } SeenTenant;
@@ -140,6 +140,6 @@
 /* --- checkconfig.c --- */
 SeenTenant *seen_tenant(Checker *checker, const char *name);
 /* A start of so much by the job's tenant. */
-void quota_start(Checker *checker, const Job *job, Room room);
+void quota_start(Checker *checker, const Job *job, Resources resources);
 
 #endif
--- a/packages/sim/src/checkseen.c
+++ b/packages/sim/src/checkseen.c
@@ -48,7 +48,7 @@
         if (run->attempt != attempt || run->worker != on->worker.name)
             continue;
         *at = run->next;
-        on->used = room_less(on->used, run->room);
+        on->used = resources_less(on->used, run->resources);
         talloc_free(run);
         return true;
     }
--- a/packages/sim/src/events.c
+++ b/packages/sim/src/events.c
@@ -41,9 +41,9 @@
 
 void sim_at(SimWorld *world, int64_t when_ms, SimFn fn, void *arg)
 {
-    if (world->count == world->room) {
-        world->room = world->room ? world->room * 2 : 1024;
-        world->events = talloc_realloc(world, world->events, SimEvent, (unsigned)world->room);
+    if (world->count == world->resources) {
+        world->resources = world->resources ? world->resources * 2 : 1024;
+        world->events = talloc_realloc(world, world->events, SimEvent, (unsigned)world->resources);
     }
     const SimEvent event = {when_ms < world->now_ms ? world->now_ms : when_ms, world->order++, fn, arg};
     size_t at = world->count++;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -116,7 +116,7 @@
                        .kind = shape.mix == MIX_VARIED && i % 4 == 1 ? "gpu" : "std",
                        .labels = (const char **)(uintptr_t)SSD,
                        .labels_count = shape.mix == MIX_VARIED && i % 2 == 0,
-                       .room = large ? (Room){64000, 131072, 0} : (Room){16000, 65536, 0}},
+                       .resources = large ? (Resources){64000, 131072, 0} : (Resources){16000, 65536, 0}},
             .agent = agent->settings.http,
             .watch = fleet_worker_watch(worker),
         };
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -6,9 +6,10 @@
     checker_plans(((FleetNode *)arg)->fleet->checker, name, term);
 }
 
-static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                       Resources resources)
 {
-    checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, room);
+    checker_started(((FleetNode *)arg)->fleet->checker, worker, job, task, attempt, resources);
 }
 
 static void on_ended(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -216,7 +216,7 @@
     const bool sparse = is_sparse(settings);
     checker_config_set(fleet->checker, 1);
     if (settings->mix == MIX_VARIED)
-        checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
+        checker_quota(fleet->checker, "bounded", (Resources){3000, 0, 0}, TENANT_IN);
     sweep->start_ms = sim_now_ms(fleet->world);
     for (int i = 0; i < fleet->shape.controllers && sweep->liars; i++)
         sim_disk_lie(fleet->world, fleet->nodes[FLEET_CONTROLLER][i].machine, true);
--- a/packages/sim/src/sweep_work.c
+++ b/packages/sim/src/sweep_work.c
@@ -12,7 +12,7 @@
     int entry_point;
     const char *tenant;
     bool in, quota;
-    Room room;
+    Resources resources;
     uint64_t base;
     uint64_t version; /* the version that it names; 0: none. Such a call is sent again after a time-out */
     const char *body;
@@ -25,7 +25,7 @@
 {
     Checker *checker = operator->sweep->fleet->checker;
     if (operator->quota)
-        checker_quota(checker, operator->tenant, operator->room, word);
+        checker_quota(checker, operator->tenant, operator->resources, word);
     else
         checker_tenant(checker, operator->tenant, word);
 }
@@ -162,14 +162,14 @@
         return;
     Operator *operator= operator_new(sweep, base, "bounded", true);
     operator->quota = true;
-    operator->room =(Room){1000 * (1 + sweep_draw(sweep, 4)), 0, 0};
+    operator->resources =(Resources){1000 * (1 + sweep_draw(sweep, 4)), 0, 0};
     operator->body =
         talloc_asprintf(operator, "{\"cells\":{\"imagery\":{\"tenants\":{\"bounded\":{\"quota\":{\"cpu\":%" PRIu64
                                   ",\"memMb\":0}}}}}}",
-                                  operator->room.cpu_milli / 1000);
+                                  operator->resources.cpu_milli / 1000);
     operator_send(operator);
     operator_wait(operator);
-    sweep_say(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->room.cpu_milli,
+    sweep_say(sweep, "quota of %" PRIu64 " milli-CPU, on %" PRIu64 ": %d", operator->resources.cpu_milli,
               base, operator->code);
 }
 
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -72,7 +72,7 @@
         timeline_fault(timeline, "-", "the fleet did not settle");
     timeline->start_ms = sim_now_ms(fleet->world);
     if (shape.mix == MIX_VARIED)
-        checker_quota(fleet->checker, "bounded", (Room){3000, 0, 0}, TENANT_IN);
+        checker_quota(fleet->checker, "bounded", (Resources){3000, 0, 0}, TENANT_IN);
     good = good && draw(timeline, talloc_strdup(mem, text));
     if (!good)
         fleet_dump(fleet);
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -50,9 +50,14 @@
     static StepSpec steps[2];
     static JobTask tasks[3];
     static const char *after[] = {"one"};
-    steps[0] = (StepSpec){.name = "one", .count = 1, .room = {1000, 10, 0}, .kind = "std"};
-    steps[1] = (StepSpec){
-        .name = "two", .count = 2, .gang = true, .room = {1000, 10, 0}, .kind = "", .after = after, .after_count = 1};
+    steps[0] = (StepSpec){.name = "one", .count = 1, .resources = {1000, 10, 0}, .kind = "std"};
+    steps[1] = (StepSpec){.name = "two",
+                          .count = 2,
+                          .gang = true,
+                          .resources = {1000, 10, 0},
+                          .kind = "",
+                          .after = after,
+                          .after_count = 1};
     tasks[0] = (JobTask){.step = 0, .worker = "", .text = "", .shunned = ""};
     tasks[1] = tasks[2] = (JobTask){.step = 1, .worker = "", .text = "", .shunned = ""};
     tasks[2].at = 1;
@@ -68,13 +73,13 @@
                                .zone = "z",
                                .rack = "",
                                .kind = i == 3 ? "gpu" : "std",
-                               .room = {2000, 100, 0}};
+                               .resources = {2000, 100, 0}};
         checker_worker(checker, &worker);
     }
     return checker;
 }
 
-static const Room ONE = {1000, 10, 0};
+static const Resources ONE = {1000, 10, 0};
 
 static void only(Checker *checker, Invariant invariant)
 {
@@ -156,8 +161,8 @@
     Checker *c;
     c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, INVARIANT_TOO_EARLY);
 
-    c = begin(), checker_started(c, "w1", "x", 0, 1, (Room){2001, 1, 0}), only(c, INVARIANT_OVERPACKED);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Room){500, 95, 0});
+    c = begin(), checker_started(c, "w1", "x", 0, 1, (Resources){2001, 1, 0}), only(c, INVARIANT_OVERPACKED);
+    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Resources){500, 95, 0});
     only(c, INVARIANT_OVERPACKED);
     c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, INVARIANT_OVERPACKED);
 }
@@ -193,7 +198,7 @@
     checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c); /* a new boot */
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
     checker_worker_gone(c, "w1");
-    const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .room = {2000, 100, 0}};
+    const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .resources = {2000, 100, 0}};
     checker_worker(c, &again); /* ... that says what it is */
     checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
     c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
@@ -240,13 +245,13 @@
     checker_probe(c, "n", now_ms, true);
     only(c, INVARIANT_REFUSED_CONFIG);
     c = begin(), checker_config_both(c, 3), only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
+    c = begin(), checker_quota(c, "t", (Resources){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
     checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, INVARIANT_OVER_QUOTA);
-    c = begin(), checker_quota(c, "t", (Room){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
+    c = begin(), checker_quota(c, "t", (Resources){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
     checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
-    checker_quota(c, "t", (Room){1000, 0, 0}, TENANT_IN), now_ms += 1900, checker_started(c, "w1", "j", SECOND, 1, ONE),
-        good(c);
+    checker_quota(c, "t", (Resources){1000, 0, 0}, TENANT_IN), now_ms += 1900,
+        checker_started(c, "w1", "j", SECOND, 1, ONE), good(c);
     checker_ended(c, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
     only(c, INVARIANT_OVER_QUOTA);
 
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -290,10 +290,10 @@
                 packed.data[draw(packed.count)] = (uint8_t)draw(256);
         packed.count = draw(4) == 0 ? draw(packed.count) : packed.count;
         const Shape *shape = SHAPES[i % (sizeof(SHAPES) / sizeof(SHAPES[0]))];
-        uint64_t room[64] = {0}; /* bigger than any of them */
-        if (shape_unpack(shape, packed, mem, room, NULL) == STATUS_OK) {
+        uint64_t resources[64] = {0}; /* bigger than any of them */
+        if (shape_unpack(shape, packed, mem, resources, NULL) == STATUS_OK) {
             Bytes again = {0};
-            shape_pack(shape, room, mem, &again);
+            shape_pack(shape, resources, mem, &again);
             assert_true(again.count > 0);
             good++;
         } else {
--- a/packages/sim/test/jobcase.h
+++ b/packages/sim/test/jobcase.h
@@ -25,6 +25,6 @@
     "{\"name\":\"a\",\"room\":{\"cpu\":1,\"memMb\":10},\"payload\":{\"runMs\":500}}]" more "}"
 #define STEPS(id, steps) \
     "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[" steps "]}"
-#define ROOM "\"room\":{\"cpu\":1,\"memMb\":10}"
+#define RESOURCES "\"room\":{\"cpu\":1,\"memMb\":10}"
 
 #endif
--- a/packages/sim/test/jobruns.c
+++ b/packages/sim/test/jobruns.c
@@ -66,8 +66,8 @@
     Fleet *fleet = begin();
     const char *text;
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("c", "{\"name\":\"a\",\"count\":20," ROOM ",\"payload\":{\"runMs\":60000}},"
-                                    "{\"name\":\"b\",\"after\":[\"a\"]," ROOM "}"),
+                         STEPS("c", "{\"name\":\"a\",\"count\":20," RESOURCES ",\"payload\":{\"runMs\":60000}},"
+                                    "{\"name\":\"b\",\"after\":[\"a\"]," RESOURCES "}"),
                          &text),
                      201);
     fleet_run(fleet, 2000);
@@ -92,10 +92,12 @@
     Fleet *fleet = begin();
     const char *text;
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("f", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":2}}"), &text),
+                         STEPS("f", "{\"name\":\"a\"," RESOURCES ",\"payload\":{\"runMs\":100,\"failRounds\":2}}"),
+                         &text),
                      201);
     assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                         STEPS("g", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":100,\"failRounds\":3}}"), &text),
+                         STEPS("g", "{\"name\":\"a\"," RESOURCES ",\"payload\":{\"runMs\":100,\"failRounds\":3}}"),
+                         &text),
                      201);
     fleet_run(fleet, 10000);
     assert_int_equal(ask(fleet, "GET", "/v1/jobs/f", NULL, &text), 200);
@@ -112,9 +114,9 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    assert_int_equal(
-        ask(fleet, "POST", "/v1/jobs", STEPS("l", "{\"name\":\"a\"," ROOM ",\"payload\":{\"runMs\":2500}}"), &text),
-        201);
+    assert_int_equal(ask(fleet, "POST", "/v1/jobs",
+                         STEPS("l", "{\"name\":\"a\"," RESOURCES ",\"payload\":{\"runMs\":2500}}"), &text),
+                     201);
     fleet_run(fleet, 1500);
     int on = -1;
     for (int i = 0; i < 11 && on < 0; i++)
@@ -143,7 +145,7 @@
     (void)state;
     Fleet *fleet = begin();
     const char *text;
-    static const char STEP[] = ",\"steps\":[{\"name\":\"a\",\"count\":11," ROOM ",\"payload\":{\"runMs\":9000}}]}";
+    static const char STEP[] = ",\"steps\":[{\"name\":\"a\",\"count\":11," RESOURCES ",\"payload\":{\"runMs\":9000}}]}";
     char body[512];
     for (int with = 0; with < 2; with++) {
         snprintf(body, sizeof(body),
@@ -179,7 +181,7 @@
     (void)state;
     Fleet *fleet = fleet_new(NULL, 11, (FleetShape){3, 3, 11, MIX_TRENTVALE, 0});
     for (int i = 0; i < 10; i++)
-        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Room){60000, 0, 0};
+        fleet_node(fleet, FLEET_WORKER, i)->worker_settings.others = (Resources){60000, 0, 0};
     fleet_start(fleet);
     assert_true(fleet_settle(fleet, 30000));
     assert_true(fleet_configure(fleet));
@@ -207,7 +209,8 @@
         Fleet *fleet = begin();
         const char *text;
         assert_int_equal(ask(fleet, "POST", "/v1/jobs",
-                             STEPS("l", "{\"name\":\"a\",\"count\":22," ROOM ",\"payload\":{\"runMs\":40000}}"), &text),
+                             STEPS("l", "{\"name\":\"a\",\"count\":22," RESOURCES ",\"payload\":{\"runMs\":40000}}"),
+                             &text),
                          201);
         fleet_run(fleet, 2000);
         assert_int_equal(case_running(fleet), 22);
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -55,7 +55,7 @@
                                .zone = talloc_asprintf(mem, "zone%zu", i % 3),
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
-                               .room = {cpu_milli, 262144, 0}};
+                               .resources = {cpu_milli, 262144, 0}};
         notify(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
         const HeartbeatAsk heartbeat = {.agent = worker.name,
                                         .incarnation = 1,
@@ -75,7 +75,7 @@
     snprintf(id, sizeof(id), "%016llx", (unsigned long long)++stand->jobs);
     StepSpec step = {.name = "0",
                      .count = tasks,
-                     .room = {cpu_milli, 512, 0},
+                     .resources = {cpu_milli, 512, 0},
                      .kind = "",
                      .payload = "",
                      .near = "",
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -82,15 +82,15 @@
         checker_plans(checker, line->who, strtoull(line->more, NULL, 10));
     } else if (strcmp(line->what, "worker") == 0) {
         Worker worker = {.name = line->who, .zone = line->job, .rack = "", .kind = "std"};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.room.cpu_milli, &worker.room.mem_mb);
+        sscanf(line->more, "%" SCNu64 " %" SCNu64, &worker.resources.cpu_milli, &worker.resources.mem_mb);
         checker_worker(checker, &worker);
         checker_leaving(checker, line->who, false);
     } else if (strcmp(line->what, "leaving") == 0) {
         checker_leaving(checker, line->who, true);
     } else if (strcmp(line->what, "started") == 0) {
-        Room room = {0};
-        sscanf(line->more, "%" SCNu64 " %" SCNu64, &room.cpu_milli, &room.mem_mb);
-        checker_started(checker, line->who, line->job, line->task, line->attempt, room);
+        Resources resources = {0};
+        sscanf(line->more, "%" SCNu64 " %" SCNu64, &resources.cpu_milli, &resources.mem_mb);
+        checker_started(checker, line->who, line->job, line->task, line->attempt, resources);
     } else if (strcmp(line->what, "ended") == 0) {
         checker_ended(checker, line->who, line->job, line->task, line->attempt, attempt_of_word(line->more));
     } else if (strcmp(line->what, "known") == 0) {
@@ -145,12 +145,12 @@
     const CheckerSettings settings = {replay, replay_now, replay_frozen, replay_job, NULL};
     replay->checker = checker_new(replay, &settings);
     Line *lines = NULL;
-    size_t count = 0, room = 0;
+    size_t count = 0, resources = 0;
     char text[512];
     while (fgets(text, sizeof(text), file) != NULL) {
-        if (count == room) {
-            room = room ? room * 2 : 1024;
-            lines = talloc_realloc(replay, lines, Line, (unsigned)room);
+        if (count == resources) {
+            resources = resources ? resources * 2 : 1024;
+            lines = talloc_realloc(replay, lines, Line, (unsigned)resources);
         }
         Line *line = &lines[count];
         *line = (Line){.order = count};
--- a/packages/standin/include/standin/worker.h
+++ b/packages/standin/include/standin/worker.h
@@ -14,7 +14,8 @@
 /* What really runs, as it is reported to the checkers; each may be null. */
 typedef struct StandWorkerWatch {
     void *arg;
-    void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room);
+    void (*started)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                    Resources resources);
     void (*ended)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
     /* It has heard that the end of the attempt is known to the leader. */
     void (*known)(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, AttemptWord word);
@@ -32,7 +33,7 @@
     Worker worker;     /* what it reports of itself */
     const char *agent; /* HTTP address */
     StandWorkerWatch watch;
-    Room others;        /* capacity taken by somebody else, reported as not free */
+    Resources others;   /* capacity taken by somebody else, reported as not free */
     bool fails_all;     /* reports as a healthy one, and fails every task */
     bool repeats;       /* now and then an old report is sent again, out of order */
     bool hangs;         /* what it starts makes no progress */
--- a/packages/standin/src/run.c
+++ b/packages/standin/src/run.c
@@ -144,27 +144,27 @@
 
 /* --- start -------------------------------------------------------------------------------------- */
 
-static Room room_of(json_object *room)
+static Resources resources_of(json_object *resources)
 {
     json_object *cpu = NULL;
-    json_object_object_get_ex(room, "cpu", &cpu);
-    return (Room){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5), (uint64_t)json_int_of(room, "memMb", 0),
-                  (uint64_t)json_int_of(room, "gpu", 0)};
+    json_object_object_get_ex(resources, "cpu", &cpu);
+    return (Resources){(uint64_t)(json_object_get_double(cpu) * 1000 + 0.5),
+                       (uint64_t)json_int_of(resources, "memMb", 0), (uint64_t)json_int_of(resources, "gpu", 0)};
 }
 
 /* The attempt as its order and its payload say, from its checkpoint on. */
 static Run *run_new(StandWorker *worker, json_object *start, int64_t now_ms)
 {
     json_object *payload = NULL;
-    json_object *room = NULL;
+    json_object *resources = NULL;
     json_object_object_get_ex(start, "payload", &payload);
-    json_object_object_get_ex(start, "room", &room);
+    json_object_object_get_ex(start, "room", &resources);
     Run *run = talloc_zero(worker, Run);
     run->worker = worker;
     run->job = talloc_strdup(run, json_text_of(start, "job"));
     run->task = (uint64_t)json_int_of(start, "task", 0);
     run->attempt = (uint64_t)json_int_of(start, "round", 0);
-    run->room = room_of(room);
+    run->resources = resources_of(resources);
     run->times = worker->settings.slow_times > 1 ? worker->settings.slow_times : 1;
     run->save_ms = json_int_of(payload, "saveMs", 0);
     run->began_ms = now_ms;
@@ -201,6 +201,6 @@
                                        run->attempt, run->saved);
     if (worker->settings.watch.started != NULL)
         worker->settings.watch.started(worker->settings.watch.arg, worker->settings.worker.name, run->job, run->task,
-                                       run->attempt, run->room);
+                                       run->attempt, run->resources);
     loop_spawn(worker->loop, "run", run_main, run);
 }
--- a/packages/standin/src/run.h
+++ b/packages/standin/src/run.h
@@ -16,7 +16,7 @@
     StandWorker *worker;
     const char *job;
     uint64_t task, attempt;
-    Room room;
+    Resources resources;
     int64_t began_ms, end_ms;
     int64_t from_ms;         /* progress: from which checkpoint it began, */
     int64_t save_ms;         /* how often one is made; 0: never, */
--- a/packages/standin/src/worker.c
+++ b/packages/standin/src/worker.c
@@ -93,18 +93,18 @@
 }
 
 /* What is not taken by its attempts or, where it says its capacity, by somebody else. */
-static Room free_of(const StandWorker *worker)
+static Resources free_of(const StandWorker *worker)
 {
-    const Room whole = worker->settings.worker.room;
-    Room used = whole.cpu_milli ? worker->settings.others : (Room){0};
+    const Resources whole = worker->settings.worker.resources;
+    Resources used = whole.cpu_milli ? worker->settings.others : (Resources){0};
     for (const Run *run = worker->runs; run != NULL; run = run->next)
         if (!run->ended) {
-            used.cpu_milli += run->room.cpu_milli;
-            used.mem_mb += run->room.mem_mb;
-            used.gpu += run->room.gpu;
+            used.cpu_milli += run->resources.cpu_milli;
+            used.mem_mb += run->resources.mem_mb;
+            used.gpu += run->resources.gpu;
         }
-    return (Room){less_or_none(whole.cpu_milli, used.cpu_milli), less_or_none(whole.mem_mb, used.mem_mb),
-                  less_or_none(whole.gpu, used.gpu)};
+    return (Resources){less_or_none(whole.cpu_milli, used.cpu_milli), less_or_none(whole.mem_mb, used.mem_mb),
+                       less_or_none(whole.gpu, used.gpu)};
 }
 
 static json_object *run_shown(Run *run)
@@ -129,7 +129,7 @@
     json_object *body = show_worker(&worker->settings.worker);
     json_object_object_del(body, "name");
     json_object_object_del(body, "excluded");
-    json_object_object_add(body, "free", show_room(free_of(worker)));
+    json_object_object_add(body, "free", show_resources(free_of(worker)));
     json_object_object_add(body, "boot", json_object_new_string(worker->boot));
     json_object_object_add(body, "seq", json_object_new_int64((int64_t)++worker->seq));
     json_object_object_add(body, "leaving", json_object_new_boolean(worker->leaving));
--- a/packages/state/include/state/job.h
+++ b/packages/state/include/state/job.h
@@ -11,21 +11,21 @@
 
 /* A group of equal tasks inside a job. Invariant, checked when the job is submitted:
  * after names earlier steps of the same job only. */
-#define STEP_SPEC_FIELDS(X)                                                                  \
-    X(TXT, name, 0)                                                                          \
-    X(TXS, after, 0)      /* names of the steps that must be done before */                  \
-    X(U64, count, 0)      /* tasks in this step */                                           \
-    X(FLAG, gang, 0)      /* all of them are placed together or none */                      \
-    X(ONE, room, Room)    /* demand of each task */                                          \
-    X(TXT, kind, 0)       /* of worker; empty: any */                                        \
-    X(TXS, labels, 0)     /* the worker must have all */                                     \
-    X(TXT, payload, 0)    /* JSON for the worker; not interpreted here */                    \
-    X(U64, est_ms, 0)     /* ms; the submitter's estimate of one task's run time; 0: none */ \
-    X(U64, apart, 0)      /* at most so many of its tasks on one worker; 0: any number */    \
-    X(FLAG, same_rack, 0) /* faster when all its tasks are in one rack */                    \
-    X(TXT, near, 0)       /* the rack that holds its data; empty: none */                    \
-    X(FLAG, saves, 0)     /* an attempt's progress is kept for the next attempt */           \
-    X(FLAG, copies, 0)    /* two attempts of a task may run at once */
+#define STEP_SPEC_FIELDS(X)                                                                         \
+    X(TXT, name, 0)                                                                                 \
+    X(TXS, after, 0)             /* names of the steps that must be done before */                  \
+    X(U64, count, 0)             /* tasks in this step */                                           \
+    X(FLAG, gang, 0)             /* all of them are placed together or none */                      \
+    X(ONE, resources, Resources) /* demand of each task */                                          \
+    X(TXT, kind, 0)              /* of worker; empty: any */                                        \
+    X(TXS, labels, 0)            /* the worker must have all */                                     \
+    X(TXT, payload, 0)           /* JSON for the worker; not interpreted here */                    \
+    X(U64, est_ms, 0)            /* ms; the submitter's estimate of one task's run time; 0: none */ \
+    X(U64, apart, 0)             /* at most so many of its tasks on one worker; 0: any number */    \
+    X(FLAG, same_rack, 0)        /* faster when all its tasks are in one rack */                    \
+    X(TXT, near, 0)              /* the rack that holds its data; empty: none */                    \
+    X(FLAG, saves, 0)            /* an attempt's progress is kept for the next attempt */           \
+    X(FLAG, copies, 0)           /* two attempts of a task may run at once */
 SHAPE(StepSpec, STEP_SPEC_FIELDS)
 
 /* What a task is promised after its worker is lost. PROTECTED: a restart, which the
--- a/packages/state/include/state/table.h
+++ b/packages/state/include/state/table.h
@@ -80,9 +80,9 @@
 
 /* Capacity in use by the tasks on a worker, and by all of a cell or of one of its
  * tenants, wherever they are. */
-Room table_used_on(const Table *table, const char *worker);
-Room table_used_by(const Table *table, const char *cell);
-Room table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
+Resources table_used_on(const Table *table, const char *worker);
+Resources table_used_by(const Table *table, const char *cell);
+Resources table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
 
 /* --- configuration */
 
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -13,13 +13,13 @@
  *     excluded  excluded=1   WORKER_LEFT without left; WORKER_SET, when it returns
  *
  * A worker that is known stays known. */
-#define WORKER_FIELDS(X) \
-    X(TXT, name, 0)      \
-    X(TXT, zone, 0)      \
-    X(TXT, rack, 0)      \
-    X(TXT, kind, 0)      \
-    X(TXS, labels, 0)    \
-    X(ONE, room, Room)   \
+#define WORKER_FIELDS(X)         \
+    X(TXT, name, 0)              \
+    X(TXT, zone, 0)              \
+    X(TXT, rack, 0)              \
+    X(TXT, kind, 0)              \
+    X(TXS, labels, 0)            \
+    X(ONE, resources, Resources) \
     X(FLAG, excluded, 0)
 SHAPE(Worker, WORKER_FIELDS)
 
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -46,9 +46,9 @@
     map_set(table->workers, worker->name, worker);
     const size_t at = sorted_place(table, worker->name);
     if (before == NULL) {
-        if (table->sorted_count == table->sorted_room) {
-            table->sorted_room = table->sorted_room ? table->sorted_room * 2 : SORTED_FIRST;
-            table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_room);
+        if (table->sorted_count == table->sorted_resources) {
+            table->sorted_resources = table->sorted_resources ? table->sorted_resources * 2 : SORTED_FIRST;
+            table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_resources);
         }
         memmove(&table->sorted[at + 1], &table->sorted[at], (table->sorted_count - at) * sizeof(*table->sorted));
         table->sorted_count++;
--- a/packages/state/src/inside.h
+++ b/packages/state/src/inside.h
@@ -23,9 +23,9 @@
     const char *name;
     uint64_t version; /* counts changes of the orders, see table_orders */
     TaskOn *on;
-    size_t count, room; /* room: slots allocated */
-    Room used;          /* capacity in use by them */
-    size_t busy_at;     /* its place in Table.busy; of no meaning when count is 0 */
+    size_t count, resources; /* room: slots allocated */
+    Resources used;          /* capacity in use by them */
+    size_t busy_at;          /* its place in Table.busy; of no meaning when count is 0 */
 } WorkerOn;
 
 /* Waiting tasks of a cell. */
@@ -73,10 +73,10 @@
     uint64_t last_number;
     Map *workers; /* a worker's name to Worker */
     Worker **sorted;
-    size_t sorted_count, sorted_room;
+    size_t sorted_count, sorted_resources;
     Map *on;         /* a worker's name to WorkerOn */
     WorkerOn **busy; /* exactly those with a task on them, in no order */
-    size_t busy_count, busy_room;
+    size_t busy_count, busy_resources;
     Map *cells;      /* a cell's name to CellSum */
     Map *used;       /* "cell", and "cell/tenant", to the Room that its tasks on workers use */
     Map *queues;     /* "cell/queue" to QueueSum */
--- a/packages/state/src/job_list.c
+++ b/packages/state/src/job_list.c
@@ -7,9 +7,9 @@
 
 void job_list_add(void *mem, JobList *list, Job *job)
 {
-    if (list->count == list->room) {
-        list->room = list->room ? list->room * 2 : LIST_FIRST;
-        list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->room);
+    if (list->count == list->resources) {
+        list->resources = list->resources ? list->resources * 2 : LIST_FIRST;
+        list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->resources);
     }
     list->jobs[list->count++] = job;
 }
--- a/packages/state/src/on.c
+++ b/packages/state/src/on.c
@@ -30,9 +30,9 @@
 
 static void busy_add(Table *table, WorkerOn *its)
 {
-    if (table->busy_count == table->busy_room) {
-        table->busy_room = table->busy_room ? table->busy_room * 2 : BUSY_FIRST;
-        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_room);
+    if (table->busy_count == table->busy_resources) {
+        table->busy_resources = table->busy_resources ? table->busy_resources * 2 : BUSY_FIRST;
+        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_resources);
     }
     its->busy_at = table->busy_count;
     table->busy[table->busy_count++] = its;
@@ -46,11 +46,11 @@
     last->busy_at = its->busy_at;
 }
 
-static Room *used_of(Table *table, const char *key)
+static Resources *used_of(Table *table, const char *key)
 {
-    Room *used = map_get(table->used, key);
+    Resources *used = map_get(table->used, key);
     if (used == NULL) {
-        used = talloc_zero(table->mem, Room);
+        used = talloc_zero(table->mem, Resources);
         map_set(table->used, key, used);
     }
     return used;
@@ -69,7 +69,7 @@
 
 /* The three sums that a task on a worker counts in. */
 typedef struct UsedSums {
-    Room *worker, *cell, *tenant;
+    Resources *worker, *cell, *tenant;
 } UsedSums;
 
 static UsedSums used_sums(Table *table, WorkerOn *its, const JobSpec *spec)
@@ -78,34 +78,35 @@
     return (UsedSums){&its->used, used_of(table, spec->cell), used_of(table, key.text)};
 }
 
-static void used_add(UsedSums sums, Room room)
+static void used_add(UsedSums sums, Resources resources)
 {
-    *sums.worker = room_more(*sums.worker, room);
-    *sums.cell = room_more(*sums.cell, room);
-    *sums.tenant = room_more(*sums.tenant, room);
+    *sums.worker = resources_more(*sums.worker, resources);
+    *sums.cell = resources_more(*sums.cell, resources);
+    *sums.tenant = resources_more(*sums.tenant, resources);
 }
 
-static void used_drop(UsedSums sums, Room room)
+static void used_drop(UsedSums sums, Resources resources)
 {
-    assert(room_fits(room, *sums.worker) && room_fits(room, *sums.cell) && room_fits(room, *sums.tenant));
-    *sums.worker = room_less(*sums.worker, room);
-    *sums.cell = room_less(*sums.cell, room);
-    *sums.tenant = room_less(*sums.tenant, room);
+    assert(resources_fits(resources, *sums.worker) && resources_fits(resources, *sums.cell) &&
+           resources_fits(resources, *sums.tenant));
+    *sums.worker = resources_less(*sums.worker, resources);
+    *sums.cell = resources_less(*sums.cell, resources);
+    *sums.tenant = resources_less(*sums.tenant, resources);
 }
 
-Room table_used_on(const Table *table, const char *worker)
+Resources table_used_on(const Table *table, const char *worker)
 {
     const WorkerOn *its = map_get(table->on, worker);
-    return its != NULL ? its->used : (Room){0};
+    return its != NULL ? its->used : (Resources){0};
 }
 
-Room table_used_by(const Table *table, const char *cell)
+Resources table_used_by(const Table *table, const char *cell)
 {
-    const Room *used = map_get(table->used, cell);
-    return used != NULL ? *used : (Room){0};
+    const Resources *used = map_get(table->used, cell);
+    return used != NULL ? *used : (Resources){0};
 }
 
-Room table_used_by_tenant(const Table *table, const char *cell, const char *tenant)
+Resources table_used_by_tenant(const Table *table, const char *cell, const char *tenant)
 {
     const TenantKey key = tenant_key(cell, tenant);
     return table_used_by(table, key.text);
@@ -118,13 +119,13 @@
     WorkerOn *its = worker_on(table, task->worker);
     if (its->count == 0)
         busy_add(table, its);
-    if (its->count == its->room) {
-        its->room = its->room ? its->room * 2 : ON_FIRST;
-        its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->room);
+    if (its->count == its->resources) {
+        its->resources = its->resources ? its->resources * 2 : ON_FIRST;
+        its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->resources);
     }
     task->on_at = its->count;
     its->on[its->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
-    used_add(used_sums(table, its, &job->spec), job->spec.steps[task->step].room);
+    used_add(used_sums(table, its, &job->spec), job->spec.steps[task->step].resources);
 }
 
 void on_drop(Table *table, const JobTask *task)
@@ -134,7 +135,7 @@
     WorkerOn *its = worker_on(table, task->worker);
     assert(task->on_at < its->count);
     const JobSpec *spec = &its->on[task->on_at].job->spec;
-    used_drop(used_sums(table, its, spec), spec->steps[task->step].room);
+    used_drop(used_sums(table, its, spec), spec->steps[task->step].resources);
     /* the last one takes its place */
     const TaskOn last = its->on[--its->count];
     its->on[task->on_at] = last;
--- a/packages/state/test/oldstate.c
+++ b/packages/state/test/oldstate.c
@@ -47,11 +47,11 @@
     {0, 8, 0, 0, "", 201, false, 0, 10606, 0, "why5", "w1", "", 0},
 };
 
-static void assert_room(const Room *room, uint64_t cpu_milli, uint64_t mem_mb, uint64_t gpu)
+static void assert_resources(const Resources *resources, uint64_t cpu_milli, uint64_t mem_mb, uint64_t gpu)
 {
-    assert_int_equal(room->cpu_milli, cpu_milli);
-    assert_int_equal(room->mem_mb, mem_mb);
-    assert_int_equal(room->gpu, gpu);
+    assert_int_equal(resources->cpu_milli, cpu_milli);
+    assert_int_equal(resources->mem_mb, mem_mb);
+    assert_int_equal(resources->gpu, gpu);
 }
 
 static void assert_workers(const Table *table)
@@ -65,10 +65,10 @@
     assert_int_equal(first->labels_count, 2);
     assert_string_equal(first->labels[0], "label1");
     assert_string_equal(first->labels[1], "label2");
-    assert_room(&first->room, 64001, 32002, 3);
+    assert_resources(&first->resources, 64001, 32002, 3);
     assert_false(first->excluded);
     assert_string_equal(second->zone, "zone2");
-    assert_room(&second->room, 4, 5, 6);
+    assert_resources(&second->resources, 4, 5, 6);
     assert_true(second->excluded);
 }
 
@@ -97,7 +97,7 @@
     assert_int_equal(first->after_count, 0);
     assert_int_equal(first->count, 2);
     assert_true(first->gang && first->same_rack && !first->saves && !first->copies);
-    assert_room(&first->room, 101, 102, 103);
+    assert_resources(&first->resources, 101, 102, 103);
     assert_string_equal(first->kind, "kind1");
     assert_int_equal(first->labels_count, 2);
     assert_string_equal(first->labels[1], "label2");
@@ -110,7 +110,7 @@
     assert_string_equal(second->after[0], "first");
     assert_int_equal(second->count, 1);
     assert_true(second->gang && !second->same_rack && second->saves && !second->copies);
-    assert_room(&second->room, 111, 112, 113);
+    assert_resources(&second->resources, 111, 112, 113);
 }
 
 static void assert_full(const Table *table)
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -239,20 +239,20 @@
 SHAPE(OldTask, OLD_TASK_FIELDS)
 SHAPE_TABLE(OldTask, OLD_TASK_FIELDS)
 
-#define OLD_ROOM_FIELDS(X) \
-    X(U64, cpu_milli, 0)   \
+#define OLD_RESOURCES_FIELDS(X) \
+    X(U64, cpu_milli, 0)        \
     X(U64, mem_mb, 0)
-SHAPE(OldRoom, OLD_ROOM_FIELDS)
-SHAPE_TABLE(OldRoom, OLD_ROOM_FIELDS)
+SHAPE(OldResources, OLD_RESOURCES_FIELDS)
+SHAPE_TABLE(OldResources, OLD_RESOURCES_FIELDS)
 
-#define OLD_STEP_FIELDS(X) \
-    X(TXT, name, 0)        \
-    X(TXS, after, 0)       \
-    X(U64, count, 0)       \
-    X(FLAG, gang, 0)       \
-    X(ONE, room, OldRoom)  \
-    X(TXT, kind, 0)        \
-    X(TXS, labels, 0)      \
+#define OLD_STEP_FIELDS(X)          \
+    X(TXT, name, 0)                 \
+    X(TXS, after, 0)                \
+    X(U64, count, 0)                \
+    X(FLAG, gang, 0)                \
+    X(ONE, resources, OldResources) \
+    X(TXT, kind, 0)                 \
+    X(TXS, labels, 0)               \
     X(TXT, payload, 0)
 SHAPE(OldStep, OLD_STEP_FIELDS)
 SHAPE_TABLE(OldStep, OLD_STEP_FIELDS)
--- a/packages/state/tool/writedisk.c
+++ b/packages/state/tool/writedisk.c
@@ -45,8 +45,8 @@
                           .kind = "kind1",
                           .labels = labels,
                           .labels_count = 2,
-                          .room = {64001, 32002, 3}};
-    const Worker second = {.name = "w2", .zone = "zone2", .rack = "rack2", .kind = "kind2", .room = {4, 5, 6}};
+                          .resources = {64001, 32002, 3}};
+    const Worker second = {.name = "w2", .zone = "zone2", .rack = "rack2", .kind = "kind2", .resources = {4, 5, 6}};
     offer(CHANGE_WORKER_SET, &Worker_shape, &first);
     offer(CHANGE_WORKER_SET, &Worker_shape, &second);
 }
@@ -58,7 +58,7 @@
     StepSpec steps[] = {{.name = "first",
                          .count = 2,
                          .gang = true,
-                         .room = {101, 102, 103},
+                         .resources = {101, 102, 103},
                          .kind = "kind1",
                          .labels = labels,
                          .labels_count = 2,
@@ -72,7 +72,7 @@
                          .after_count = 1,
                          .count = 1,
                          .gang = true,
-                         .room = {111, 112, 113},
+                         .resources = {111, 112, 113},
                          .kind = "kind2",
                          .payload = "{\"y\":2}",
                          .est_ms = 114,
@@ -100,7 +100,7 @@
 
 static void offer_plain(const char *id, uint64_t count)
 {
-    StepSpec step = {.name = "only", .count = count, .room = {1, 2, 0}, .saves = true};
+    StepSpec step = {.name = "only", .count = count, .resources = {1, 2, 0}, .saves = true};
     const JobAdd add = {.spec = {.id = id,
                                  .cell = "cell1",
                                  .tenant = "tenant1",
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -228,7 +228,7 @@
           "        if (!has)\n            return false;", "        (void)has;",
           "packed beyond its room or given what it lacks", "timeline", "varied", 2, MACHINE_OFF),
     Guard("room", "a task goes only where its room is free", "packages/plan/src/plan.c",
-          "return room_fits(need->room, worker->free) && plan_able(worker, need);", "return plan_able(worker, need);",
+          "return resources_fits(need->resources, worker->free) && plan_able(worker, need);", "return plan_able(worker, need);",
           "packed beyond its room", "timeline", "varied", 2, """
 ms     callers
 0      call:60
@@ -236,7 +236,7 @@
 """),
     Guard("stop-confirmed", "room is used once the old round is known to be over", "packages/state/include/state/job.h",
           "X(STOPPING, \"stopping\", true)", "X(STOPPING, \"stopping\", false)",
-          "packed beyond its room|running twice|" + CLAIM, "sweep", "varied", 1, 24),
+          "packed beyond its resources|running twice|" + CLAIM, "sweep", "varied", 1, 24),
     Guard("drained", "an emptied zone gets no new work", "packages/scheduler/src/pass.c",
           "!table_drained(scheduler->table, worker->zone) && ", "",
           "emptied zone", "timeline", "trentvale", 2, ZONE_DRAINED),
--- a/src/standins.c
+++ b/src/standins.c
@@ -29,10 +29,11 @@
     }
 }
 
-static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt, Room room)
+static void on_started(void *arg, const char *worker, const char *job, uint64_t task, uint64_t attempt,
+                       Resources resources)
 {
     char rest[64];
-    snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, room.cpu_milli, room.mem_mb);
+    snprintf(rest, sizeof(rest), "%" PRIu64 " %" PRIu64, resources.cpu_milli, resources.mem_mb);
     record_run(arg, "started", worker, job, task, attempt, rest);
 }
 
@@ -137,7 +138,7 @@
                        .kind = kind != NULL ? kind : "std",
                        .labels = labels,
                        .labels_count = label != NULL,
-                       .room = {(uint64_t)controllers * 1000, (uint64_t)mem_mb, 0}},
+                       .resources = {(uint64_t)controllers * 1000, (uint64_t)mem_mb, 0}},
             .agent = agent,
             .watch = {&stand_in->record, on_started, on_ended, on_known, on_booted, on_held, on_resumed, on_notified},
             .fails_all = fails_all != 0,
--- a/src/status.c
+++ b/src/status.c
@@ -42,14 +42,14 @@
     print_voters(body);
     for (size_t i = 0; i < reply_count(live); i++) {
         json_object *row = json_object_array_get_idx(live, i);
-        json_object *room = reply_member(row, "room"), *free = reply_member(row, "free");
+        json_object *resources = reply_member(row, "room"), *free = reply_member(row, "free");
         printf("worker %-12s %-8s %s%s%s  hold %s ms", reply_text(row, "worker"), reply_text(row, "zone"),
                reply_flag(row, "ready") ? "ready" : "NOT READY", reply_flag(row, "leaving") ? " leaving" : "",
                reply_flag(row, "excluded") ? " excluded" : "", reply_text(row, "holdLeftMs"));
-        if (room != NULL)
+        if (resources != NULL)
             printf("  free %.1f of %.1f cores, %s of %s MB", json_object_get_double(reply_member(free, "cpu")),
-                   json_object_get_double(reply_member(room, "cpu")), reply_text(free, "memMb"),
-                   reply_text(room, "memMb"));
+                   json_object_get_double(reply_member(resources, "cpu")), reply_text(free, "memMb"),
+                   reply_text(resources, "memMb"));
         putchar('\n');
     }
     json_object *alerts = reply_member(body, "alerts");
