--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -37,7 +37,7 @@
     attempts_init(agent);
     heartbeat_start(agent);
     notify_start(agent);
-    alone_start(agent);
+    isolated_start(agent);
     members_set_voter(agent->members, settings->bounds.founds == 1);
     watch_start(agent);
     members_start(agent->members);
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -105,7 +105,7 @@
                        "a beat was answered under old epoch %" PRIu64, term_counter(answer->term));
         return;
     }
-    agent->alone = false;
+    agent->isolated = false;
     agent->heartbeat_ms = loop_now_ms(agent->loop);
     saved_known(agent, heartbeat, ask, answer->term);
     if (answer->term > agent->term_notified) {
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -125,17 +125,17 @@
     const int64_t lease_ms = agent->settings->bounds.lease_ms;
     /* a lease that has lapsed meanwhile is not revived: its attempts are stopping */
     if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
-        if (!agent->alone)
+        if (!agent->isolated)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
                            "no lock holder, and every member knows none: goes on while all see each other");
-        agent->alone = true;
+        agent->isolated = true;
         if (sent_ms + lease_ms > agent->lease.until_ms)
             agent->lease.until_ms = sent_ms + lease_ms;
     }
     asking_leave(asking);
 }
 
-static void alone_main(void *arg)
+static void isolated_main(void *arg)
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
@@ -160,8 +160,8 @@
     return STATUS_OK;
 }
 
-void alone_start(Agent *agent)
+void isolated_start(Agent *agent)
 {
     rpc_handle(agent->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, agent);
-    loop_spawn(agent->loop, "alone", alone_main, agent);
+    loop_spawn(agent->loop, "alone", isolated_main, agent);
 }
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -40,7 +40,7 @@
     uint64_t have, have_term;    /* version and term of the last orders taken: older ones are ignored */
     uint64_t saved_term;         /* the term whose leader the attempts' told_turn refers to */
     int64_t heartbeat_ms;        /* when a heartbeat was last answered; 0: none was */
-    bool alone;                  /* isolated: the lease runs by the second survival rule */
+    bool isolated;               /* isolated: the lease runs by the second survival rule */
     /* the worker */
     Worker worker;
     void *worker_mem; /* talloc parent of what worker points to */
--- a/packages/agent/src/tasks.h
+++ b/packages/agent/src/tasks.h
@@ -8,7 +8,7 @@
 /* Reports ends of attempts to the leader (tell.c). */
 void notify_start(Agent *agent);
 /* Keeps the lease of an isolated agent by the second survival rule (alone.c). */
-void alone_start(Agent *agent);
+void isolated_start(Agent *agent);
 /* Acts on deadlines (watch.c). */
 void watch_start(Agent *agent);
 /* Serves the agent's HTTP entry points; arg is the Agent (http.c). */
