--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -44,7 +44,7 @@
 #define APPEND_TIMEOUT_MS 1500 /* ms; a voter that does not sync an append in this time leaves the voters */
 #define WATCH_MS 100           /* ms; how often the leader looks at its voters, and a voter for a leader */
 #define VOTER_LATE_MS 400  /* ms; a voter that has not synced by then leaves if the others suffice: it is soon back */
-#define DISK_MEND_MS 300   /* ms; between attempts to write to a disk that refused a write */
+#define DISK_RETRY_MS 300  /* ms; between attempts to write to a disk that refused a write */
 #define VOTER_SLOW_MS 500  /* ms; a voter that takes longer to sync delays every caller ... */
 #define VOTER_SLOW_TIMES 3 /* count; ... and leaves a configuration of three when it does so this often in a row */
 #define POLL_GRACE_MS 60   /* ms; once a majority has answered the others have this long: later ones join afterwards */
@@ -141,7 +141,7 @@
 #define QUEUE_LIMIT_DEFAULT 20000          /* count; waiting tasks in one cell's queues before 503 */
 #define ASSURE_WAIT_MS 2000          /* ms; a protected start that breaks the plan waits so long, then runs unassured */
 #define PLACE_TICK_MS 250            /* ms; the planner makes a pass this often even when nothing has changed */
-#define MEND_MS 1000                 /* ms; how often gangs that a loss of disks has split are looked for */
+#define GANGS_REPAIR_MS 1000         /* ms; how often gangs that a loss of disks has split are looked for */
 #define PLACE_BATCH 128              /* count; starts decided in one change */
 #define ATTEMPTS_FORGOTTEN_MAX 10000 /* count; attempts that disks may have lost; a higher number is a mistake */
 #define FAILED_REST_MS 50 /* ms; rest of a failed task, doubled with each: targets are 1 or 2 s, it goes elsewhere */
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -54,7 +54,7 @@
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
     while ((status = file_replace(journal->file, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
-        loop_sleep(journal->loop, DISK_MEND_MS);
+        loop_sleep(journal->loop, DISK_RETRY_MS);
     return status;
 }
 
@@ -64,7 +64,7 @@
     const int64_t until_ms = loop_now_ms(journal->loop) + JOURNAL_OPEN_MS;
     Status status;
     while ((status = file_read(journal->file, mem, content)) != STATUS_OK && loop_now_ms(journal->loop) < until_ms)
-        loop_sleep(journal->loop, DISK_MEND_MS);
+        loop_sleep(journal->loop, DISK_RETRY_MS);
     return status;
 }
 
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -40,7 +40,7 @@
 static void compact_main(void *arg)
 {
     Replication *replication = arg;
-    (void)journal_anew(replication); /* a failure shows in journal_failed, and mend_main tries again */
+    (void)journal_anew(replication); /* a failure shows in journal_failed, and gangs_repair_main tries again */
     replication->compacting = false;
 }
 
@@ -52,11 +52,11 @@
 
 /* A disk that refused a write is tried again, with all that it should hold. Until that is there this
  * node takes nothing, so that memory and disk do not differ. */
-static void mend_main(void *arg)
+static void gangs_repair_main(void *arg)
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
-        loop_sleep(replication->loop, DISK_MEND_MS);
+        loop_sleep(replication->loop, DISK_RETRY_MS);
         if (replication->list_old || !journal_failed(replication->journal) || replication->compacting ||
             replication->holding)
             continue;
@@ -73,7 +73,7 @@
 
 void disk_start(Replication *replication)
 {
-    loop_spawn(replication->loop, "mend", mend_main, replication);
+    loop_spawn(replication->loop, "mend", gangs_repair_main, replication);
 }
 
 bool replication_disk_failed(const Replication *replication)
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -19,12 +19,12 @@
     return false;
 }
 
-void gangs_mend(Scheduler *scheduler, void *mem)
+void gangs_repair(Scheduler *scheduler, void *mem)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
-    if (now_ms < scheduler->mend_ms)
+    if (now_ms < scheduler->gangs_repair_ms)
         return;
-    scheduler->mend_ms = now_ms + MEND_MS;
+    scheduler->gangs_repair_ms = now_ms + GANGS_REPAIR_MS;
     StopList list = {.why = "its gang is not whole"};
     const char *worker;
     for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
--- a/packages/scheduler/src/gang_repair.h
+++ b/packages/scheduler/src/gang_repair.h
@@ -4,6 +4,6 @@
 #include "state.h"
 
 /* Waits. Stops what runs of gangs that are not whole, so that they start again as one. mem: for the change. */
-void gangs_mend(Scheduler *scheduler, void *mem);
+void gangs_repair(Scheduler *scheduler, void *mem);
 
 #endif
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -121,7 +121,7 @@
     if (scheduler_decides(scheduler))
         copies_find(scheduler, mem);
     if (loop_now_ms(scheduler->loop) >= scheduler->place_from_ms && scheduler_decides(scheduler))
-        gangs_mend(scheduler, mem);
+        gangs_repair(scheduler, mem);
     talloc_free(mem);
 }
 
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -24,7 +24,7 @@
     int64_t pass_gap_ms;     /* between two passes */
     int64_t preempt_from_ms; /* no preemption for a latency target before this */
     int64_t stop_look_ms;    /* attempts that go on better elsewhere are looked for again from then on */
-    int64_t mend_ms;         /* gangs that are not whole are looked for again from then on */
+    int64_t gangs_repair_ms; /* gangs that are not whole are looked for again from then on */
     int64_t plan_look_ms;    /* where no loss is to be survived, the plan is looked at again from then on */
     uint64_t updates;        /* grows with whatever the planner should look at */
     Signal wake;             /* raised with it */
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -266,11 +266,11 @@
 40000  start    start    start    start    start    start    start    start    .
 60000  .        .        .        .        .        .        .        .        end
 """, also=[("packages/state/src/deliver_place.c", "return together == left ? together : 0;", "return together;"),
-           ("packages/scheduler/src/planner.c", "        gangs_mend(scheduler, mem);", "        (void)mem;")]),
+           ("packages/scheduler/src/planner.c", "        gangs_repair(scheduler, mem);", "        (void)mem;")]),
     Guard("gang-stopped", "when a member is lost the others stop", "packages/state/src/gang.c",
           "        if (other != task && (other->phase", "        if (false && (other->phase",
           "left waiting alone", "sweep", "varied", 1, 40,
-          also=[("packages/scheduler/src/planner.c", "        gangs_mend(scheduler, mem);", "        (void)mem;")]),
+          also=[("packages/scheduler/src/planner.c", "        gangs_repair(scheduler, mem);", "        (void)mem;")]),
     Guard("base-check", "a configuration builds on the one in force", "packages/state/src/deliver_config.c",
           "set->base == current && version > current && (!set->patch", "(!set->patch",
           "configuration", "sweep", "varied", 1, 60),
