--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -1,5 +1,5 @@
 /* Orders: how they reach the worker, are given again, withdrawn, and how long answers are delayed. */
-#include "agentcase.h"
+#include "agent_fixture.h"
 
 static void order_reaches_a_question_that_waits(void **state)
 {
--- a/packages/agent/test/agentends.c
+++ b/packages/agent/test/agent_ends.c
@@ -1,5 +1,5 @@
 /* Checkpoints and ends of attempts: what the agent reports to the leader, and again to the next one. */
-#include "agentcase.h"
+#include "agent_fixture.h"
 
 static void saved_travels_once_and_again_to_a_new_leader(void **state)
 {
--- a/packages/agent/test/agentcase.h
+++ b/packages/agent/test/agent_fixture.h
@@ -1,5 +1,5 @@
-#ifndef AGENT_TEST_AGENTCASE_H
-#define AGENT_TEST_AGENTCASE_H
+#ifndef AGENT_TEST_AGENT_FIXTURE_H
+#define AGENT_TEST_AGENT_FIXTURE_H
 
 /* The fixture of the agent's tests: one agent between a leader and a worker that both say and do exactly what a case
  * wants, in virtual time. */
--- a/packages/agent/test/agentlease.c
+++ b/packages/agent/test/agent_lease.c
@@ -1,5 +1,5 @@
 /* The worker's lease: what is passed on, and what ends when a lease, a boot or the worker does. */
-#include "agentcase.h"
+#include "agent_fixture.h"
 
 static void lease_is_passed_on_less_two_percent(void **state)
 {
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -18,7 +18,7 @@
 #include <unistd.h>
 
 #include "loop/real.h"
-#include "socketcase.h"
+#include "socket_fixture.h"
 
 #define LARGE_BYTES (16 * 1024 * 1024) /* more than the kernel takes at once */
 
--- a/packages/loop/test/loopback.c
+++ b/packages/loop/test/loopback.c
@@ -19,7 +19,7 @@
 #include <unistd.h>
 
 #include "loop/real.h"
-#include "socketcase.h"
+#include "socket_fixture.h"
 
 #define GIVEN_UP_MS 20  /* ms; a call that is to be given up */
 #define PATIENT_MS 5000 /* ms; one that is not */
--- a/packages/loop/test/socketcase.h
+++ b/packages/loop/test/socket_fixture.h
@@ -1,5 +1,5 @@
-#ifndef LOOP_TEST_SOCKETCASE_H
-#define LOOP_TEST_SOCKETCASE_H
+#ifndef LOOP_TEST_SOCKET_FIXTURE_H
+#define LOOP_TEST_SOCKET_FIXTURE_H
 
 /* The other side of the real loop in its tests: a thread with plain sockets. */
 #include <arpa/inet.h>
--- a/packages/model/src/caller.c
+++ b/packages/model/src/caller.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <talloc.h>
 
-#include "callerjob.h"
+#include "caller_job.h"
 
 typedef struct Pouring {
     Callers *callers;
--- a/packages/model/src/caller.h
+++ b/packages/model/src/caller.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_CALLER_H
 #define MODEL_SRC_CALLER_H
 
-#include "door.h"
+#include "listener.h"
 #include "worker_model.h"
 
 /* Callers: a machine for each zone. They submit jobs, retry with the same id, ask for states, cancel, and check
--- a/packages/model/src/callerjob.c
+++ b/packages/model/src/caller_job.c
@@ -1,6 +1,6 @@
 /* The caller of one job: submits it again and again with the same id, asks for its state, cancels it, and checks what
  * it is told. */
-#include "callerjob.h"
+#include "caller_job.h"
 
 #include <inttypes.h>
 #include <talloc.h>
--- a/packages/model/src/callerjob.h
+++ b/packages/model/src/caller_job.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_SRC_CALLERJOB_H
-#define MODEL_SRC_CALLERJOB_H
+#ifndef MODEL_SRC_CALLER_JOB_H
+#define MODEL_SRC_CALLER_JOB_H
 
 /* The caller of one job (callerjob.c). Its three functions are tasks: their argument is a CallerTask. */
 
--- a/packages/model/src/fault.c
+++ b/packages/model/src/fault.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#include "troubledraw.h"
+#include "fault_draw.h"
 
 static void again(void *arg)
 {
--- a/packages/model/src/troubledraw.c
+++ b/packages/model/src/fault_draw.c
@@ -1,5 +1,5 @@
 /* Which machines, workers or zone a fault strikes: the ones that the script names, otherwise drawn. */
-#include "troubledraw.h"
+#include "fault_draw.h"
 
 #include <string.h>
 
--- a/packages/model/src/troubledraw.h
+++ b/packages/model/src/fault_draw.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_SRC_TROUBLEDRAW_H
-#define MODEL_SRC_TROUBLEDRAW_H
+#ifndef MODEL_SRC_FAULT_DRAW_H
+#define MODEL_SRC_FAULT_DRAW_H
 
 /* Which machines, workers or zone a fault strikes (troubledraw.c). */
 
--- a/packages/model/src/book.c
+++ b/packages/model/src/job_records.c
@@ -1,5 +1,5 @@
 /* The book of a day: all jobs that callers submit, with their tasks and what became of each. */
-#include "book.h"
+#include "job_records.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/model/src/door.c
+++ b/packages/model/src/listener.c
@@ -1,5 +1,5 @@
 /* The platform's load balancer for entry points: a health check each second, and the choice for a new connection. */
-#include "door.h"
+#include "listener.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_WORKER_MODEL_H
 #define MODEL_SRC_WORKER_MODEL_H
 
-#include "book.h"
+#include "job_records.h"
 #include "ledger.h"
 
 /* A worker group: the members of a gang under one attempt number, or one task by itself. They work once all are
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -11,7 +11,7 @@
 #include "snapshot.h"
 #include "state.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 Status history_refuse(Replication *replication, uint64_t index)
 {
--- a/packages/replication/src/viewchange.c
+++ b/packages/replication/src/configuration_change.c
@@ -6,8 +6,8 @@
 #include <talloc.h>
 
 #include "state.h"
-#include "viewchange.h"
-#include "voterlist.h"
+#include "configuration_change.h"
+#include "voter_list.h"
 
 void lead_view_entry(Replication *replication, const bool in_configuration[VOTER_MOST], bool repair)
 {
--- a/packages/replication/src/contact.c
+++ b/packages/replication/src/contact.c
@@ -1,10 +1,10 @@
 /* Rounds of contact (Raft: ReadIndex): that this node is still the only leader, shown by answers to
  * questions that were sent after the round began. No clock is relied on. */
 #include "contact.h"
-#include "lead.h"
+#include "leading.h"
 #include "learners.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 #include "voters.h"
 
 /* How many voters are known to have granted the lease to this node since the round was asked for. */
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -2,10 +2,10 @@
  * for a higher term. */
 #include "base/term.h"
 #include "election.h"
-#include "lead.h"
+#include "leading.h"
 #include "poll.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* --- a look: may this node stand? --------------------------------------------------- */
 
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -6,7 +6,7 @@
 
 #include "disk.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 #define FOUND_LOOK_MS 200 /* ms; an empty controller looks so often whether three see each other */
 #define VOTE_LOOK_PART 6  /* an empty controller counts the seeds' votes so often in VOTE_WAIT_MS */
--- a/packages/replication/src/inside.h
+++ b/packages/replication/src/inside.h
@@ -7,6 +7,6 @@
 #include "snapshot.h"
 #include "state.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 #endif
--- a/packages/replication/src/install.c
+++ b/packages/replication/src/install_snapshot.c
@@ -8,7 +8,7 @@
 #include "snapshot.h"
 #include "state.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* Whether the piece is of the snapshot that is arriving. */
 static bool same_filling(const Filling *incoming_snapshot, const InstallSnapshotAsk *ask)
--- a/packages/replication/src/lead.c
+++ b/packages/replication/src/leading.c
@@ -1,9 +1,9 @@
 /* The tasks of one lead: each belongs to one term of this leader and to one peer, and ends with either. */
 #include <talloc.h>
 
-#include "lead.h"
+#include "leading.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 bool lead_over(const Replication *replication, uint64_t turn)
 {
--- a/packages/replication/src/lead.h
+++ b/packages/replication/src/leading.h
@@ -1,5 +1,5 @@
-#ifndef REPLICATION_SRC_LEAD_H
-#define REPLICATION_SRC_LEAD_H
+#ifndef REPLICATION_SRC_LEADING_H
+#define REPLICATION_SRC_LEADING_H
 
 #include "replication/replication.h"
 
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -4,7 +4,7 @@
 #include "lease.h"
 #include "replicate.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 int64_t replication_back_ms(const Replication *replication)
 {
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -4,11 +4,11 @@
 
 #include "clock.h"
 #include "contact.h"
-#include "lead.h"
+#include "leading.h"
 #include "lease.h"
 #include "poll.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 #include "voters.h"
 
 bool replication_orders(const Replication *replication)
--- a/packages/replication/src/leave.c
+++ b/packages/replication/src/leave.c
@@ -1,5 +1,5 @@
 /* A process that is to end: its vote is given to a learner before, where there is one. */
-#include "lead.h"
+#include "leading.h"
 #include "learners.h"
 #include "lease.h"
 #include "state.h"
--- a/packages/replication/src/newterm.c
+++ b/packages/replication/src/new_term.c
@@ -7,13 +7,13 @@
 #include "base/term.h"
 #include "clock.h"
 #include "election.h"
-#include "lead.h"
+#include "leading.h"
 #include "lease.h"
 #include "replicate.h"
 #include "state.h"
-#include "viewchange.h"
+#include "configuration_change.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 #define GAIN_LOOK_MS 100 /* ms; a new leader looks so often whether its voters gain */
 
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -5,7 +5,7 @@
 #include "serve.h"
 #include "state.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* The task for one voter. */
 typedef struct PollPart {
--- a/packages/replication/src/promise.c
+++ b/packages/replication/src/promise.c
@@ -3,10 +3,10 @@
 #include <assert.h>
 
 #include "disk.h"
-#include "lead.h"
+#include "leading.h"
 #include "state.h"
 #include "voter.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* Takes a higher term as promised, and gives the own lead up. The record must be synced before
  * anything is answered in that term. */
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -4,13 +4,13 @@
 #include <talloc.h>
 
 #include "contact.h"
-#include "lead.h"
+#include "leading.h"
 #include "learners.h"
 #include "lease.h"
 #include "reconfigure.h"
 #include "replicate.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 #include "voters.h"
 
 /* The payload of the list with the disk at the place, or the place vacated (0); on mem. */
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -8,7 +8,7 @@
 #include "replication/log.h"
 #include "snapshot.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* A journal that is being read. */
 typedef struct Reading {
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -3,13 +3,13 @@
 #include <talloc.h>
 
 #include "commit.h"
-#include "lead.h"
+#include "leading.h"
 #include "lease.h"
 #include "poll.h"
 #include "replicate.h"
-#include "sendsnapshot.h"
+#include "send_snapshot.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 #define PEER_AGAIN_MS 100 /* ms; a peer that could not be asked is tried again after this */
 
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -2,12 +2,12 @@
 #include <talloc.h>
 
 #include "disk.h"
-#include "lead.h"
+#include "leading.h"
 #include "replication/log.h"
 #include "state.h"
 #include "reconfigure.h"
 #include "serve.h"
-#include "voterlist.h"
+#include "voter_list.h"
 #include "watch.h"
 
 Replication *replication_new(void *mem, const ReplicationSettings *settings)
--- a/packages/replication/src/sendsnapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -3,9 +3,9 @@
  * state gets through a narrow link and renewals of the lease go between. */
 #include <talloc.h>
 
-#include "lead.h"
+#include "leading.h"
 #include "poll.h"
-#include "sendsnapshot.h"
+#include "send_snapshot.h"
 #include "snapshot.h"
 #include "state.h"
 
--- a/packages/replication/src/sendsnapshot.h
+++ b/packages/replication/src/send_snapshot.h
@@ -1,7 +1,7 @@
-#ifndef REPLICATION_SRC_SENDSNAPSHOT_H
-#define REPLICATION_SRC_SENDSNAPSHOT_H
+#ifndef REPLICATION_SRC_SEND_SNAPSHOT_H
+#define REPLICATION_SRC_SEND_SNAPSHOT_H
 
-#include "lead.h"
+#include "leading.h"
 
 /* Waits. Sends the peer the snapshot, once; a peer that does not take it is tried again by its
  * task. A snapshot is made first where the peer needs a newer one. */
--- a/packages/replication/src/stepdown.c
+++ b/packages/replication/src/step_down.c
@@ -5,9 +5,9 @@
 
 #include "base/term.h"
 #include "commit.h"
-#include "lead.h"
+#include "leading.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* One release on its way; frees itself. */
 typedef struct Giving {
--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -4,7 +4,7 @@
 
 #include "lease.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 /* Waits while this leader opens a further term. The replicated log's own changes need no view that
  * is wide enough: they are what makes it so. */
--- a/packages/replication/src/voterlist.c
+++ b/packages/replication/src/voter_list.c
@@ -6,7 +6,7 @@
 
 #include "snapshot.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 
 size_t replication_majority(const Replication *replication)
 {
--- a/packages/replication/src/voterlist.h
+++ b/packages/replication/src/voter_list.h
@@ -1,5 +1,5 @@
-#ifndef REPLICATION_SRC_VOTERLIST_H
-#define REPLICATION_SRC_VOTERLIST_H
+#ifndef REPLICATION_SRC_VOTER_LIST_H
+#define REPLICATION_SRC_VOTER_LIST_H
 
 #include "replication/replication.h"
 
--- a/packages/replication/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -3,7 +3,7 @@
 
 #include "learners.h"
 #include "state.h"
-#include "voterlist.h"
+#include "voter_list.h"
 #include "voters.h"
 
 /* For how long a voter may be silent before it is replaced by a learner that is ready: a stated part of
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -2,10 +2,10 @@
  * leader stands for election. */
 #include "disk.h"
 #include "election.h"
-#include "lead.h"
+#include "leading.h"
 #include "state.h"
-#include "viewchange.h"
-#include "voterlist.h"
+#include "configuration_change.h"
+#include "voter_list.h"
 #include "watch.h"
 
 /* The paper's best partition is the largest one. Any leader reaches a majority of the voters, but it
--- a/packages/replication/test/olddisk.c
+++ b/packages/replication/test/old_disk.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "olddisk.h"
+#include "old_disk.h"
 
 #define CLUSTER UINT64_C(14002006997909196797)
 #define DISK1 UINT64_C(958358351862422778)
--- a/packages/replication/test/olddisk.h
+++ b/packages/replication/test/old_disk.h
@@ -1,5 +1,5 @@
-#ifndef REPLICATION_TEST_OLDDISK_H
-#define REPLICATION_TEST_OLDDISK_H
+#ifndef REPLICATION_TEST_OLD_DISK_H
+#define REPLICATION_TEST_OLD_DISK_H
 
 /* Fleets whose disks are those of packages/replication/test/fixtures, as a release before has written them. */
 #include <stdio.h>
--- a/packages/routing/include/routing/config_watch.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -3,7 +3,7 @@
 
 #include "routing/messages.h"
 #include "routing/pieces.h"
-#include "routing/ways.h"
+#include "routing/leader_paths.h"
 #include "state/versions.h"
 #include "trace/trace.h"
 
--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -2,7 +2,7 @@
 #define ROUTING_FORWARD_H
 
 #include "routing/repair_buffer.h"
-#include "routing/ways.h"
+#include "routing/leader_paths.h"
 #include "trace/trace.h"
 
 /* The forwarder: carries a caller's request to the leader and its result back. Used by
--- a/packages/routing/src/answertrace.c
+++ b/packages/routing/src/answer_trace.c
@@ -1,5 +1,5 @@
 /* Which objects a forwarded request changed, for those who trace them. */
-#include "answertrace.h"
+#include "answer_trace.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/routing/src/answertrace.h
+++ b/packages/routing/src/answer_trace.h
@@ -1,5 +1,5 @@
-#ifndef ROUTING_SRC_ANSWERTRACE_H
-#define ROUTING_SRC_ANSWERTRACE_H
+#ifndef ROUTING_SRC_ANSWER_TRACE_H
+#define ROUTING_SRC_ANSWER_TRACE_H
 
 #include "routing/messages.h"
 #include "trace/trace.h"
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -2,7 +2,7 @@
 
 #include <talloc.h>
 
-#include "answertrace.h"
+#include "answer_trace.h"
 #include "hop.h"
 #include "outcome.h"
 
--- a/packages/routing/src/configset.c
+++ b/packages/routing/src/config_set.c
@@ -1,4 +1,4 @@
-#include "configset.h"
+#include "config_set.h"
 
 ConfigSet config_set_of(const Version *row)
 {
--- a/packages/routing/src/configset.h
+++ b/packages/routing/src/config_set.h
@@ -1,5 +1,5 @@
-#ifndef ROUTING_SRC_CONFIGSET_H
-#define ROUTING_SRC_CONFIGSET_H
+#ifndef ROUTING_SRC_CONFIG_SET_H
+#define ROUTING_SRC_CONFIG_SET_H
 
 #include "state/change.h"
 #include "state/versions.h"
--- a/packages/routing/src/config_watch.c
+++ b/packages/routing/src/config_watch.c
@@ -6,7 +6,7 @@
 #include <talloc.h>
 
 #include "base/term.h"
-#include "configset.h"
+#include "config_set.h"
 #include "routing/limits.h"
 #include "state/deliver_config.h"
 
--- a/packages/routing/src/feedanswer.c
+++ b/packages/routing/src/config_watch_answer.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "configset.h"
+#include "config_set.h"
 #include "routing/config_watch.h"
 
 /* The changes since a version, when the history holds the texts of all of them and they are
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -2,7 +2,7 @@
 #define ROUTING_SRC_HOP_H
 
 #include "routing/messages.h"
-#include "routing/ways.h"
+#include "routing/leader_paths.h"
 
 /* The one question that goes to a next hop: a forwarded request. Used by the attempts,
  * by the relay and by the search for a route, so that all of them ask alike. */
--- a/packages/routing/src/waysearch.c
+++ b/packages/routing/src/leader_path_search.c
@@ -1,4 +1,4 @@
-#include "waysearch.h"
+#include "leader_path_search.h"
 
 #define LEADER_PATHS_LOOK_MS 120       /* ms; while a route is searched for, the next hop is tried after this ... */
 #define LEADER_PATHS_LOOK_LATER_MS 300 /* ms; ... and once none was found at once, after this */
--- a/packages/routing/src/waysearch.h
+++ b/packages/routing/src/leader_path_search.h
@@ -1,7 +1,7 @@
-#ifndef ROUTING_SRC_WAYSEARCH_H
-#define ROUTING_SRC_WAYSEARCH_H
+#ifndef ROUTING_SRC_LEADER_PATH_SEARCH_H
+#define ROUTING_SRC_LEADER_PATH_SEARCH_H
 
-#include "waystate.h"
+#include "leader_path_state.h"
 
 /* The search for a next hop: one coroutine asks, while nobody else does. It also goes back
  * from a relay to the leader itself once that can be reached again. */
--- a/packages/routing/src/waystate.c
+++ b/packages/routing/src/leader_path_state.c
@@ -1,4 +1,4 @@
-#include "waystate.h"
+#include "leader_path_state.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/packages/routing/src/waystate.h
+++ b/packages/routing/src/leader_path_state.h
@@ -1,7 +1,7 @@
-#ifndef ROUTING_SRC_WAYSTATE_H
-#define ROUTING_SRC_WAYSTATE_H
+#ifndef ROUTING_SRC_LEADER_PATH_STATE_H
+#define ROUTING_SRC_LEADER_PATH_STATE_H
 
-#include "routing/ways.h"
+#include "routing/leader_paths.h"
 
 /* The state of the route to the leader: which next hop is in use, and what was last heard
  * along it. Its use (ways.c) and the search for another (waysearch.c) stand above it.
--- a/packages/routing/src/ways.c
+++ b/packages/routing/src/leader_paths.c
@@ -1,9 +1,9 @@
 /* The route as others use it: taking the next hop, giving it up, and following the leader. */
-#include "routing/ways.h"
+#include "routing/leader_paths.h"
 
 #include <talloc.h>
 
-#include "waysearch.h"
+#include "leader_path_search.h"
 
 #define LEADER_PATHS_GRACE_MS \
     2000 /* ms; a leader lost so long ago is still expected to be followed by another at once */
--- a/packages/routing/src/piecesource.c
+++ b/packages/routing/src/piece_source.c
@@ -2,7 +2,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "configset.h"
+#include "config_set.h"
 #include "routing/pieces.h"
 
 #define PIECE_TEXT_MS 10000 /* ms; a text that nobody has asked for in this long is released */
--- a/packages/sim/src/timeline.c
+++ b/packages/sim/src/timeline.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "timelineact.h"
+#include "timeline_act.h"
 
 static bool cell_act(Timeline *timeline, const Column *column, char *cell)
 {
--- a/packages/sim/src/timelineact.c
+++ b/packages/sim/src/timeline_act.c
@@ -1,5 +1,5 @@
 /* What the words of a timeline share: its columns, and why it has failed. */
-#include "timelineact.h"
+#include "timeline_act.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/sim/src/timelineact.h
+++ b/packages/sim/src/timeline_act.h
@@ -1,5 +1,5 @@
-#ifndef SIM_SRC_TIMELINEACT_H
-#define SIM_SRC_TIMELINEACT_H
+#ifndef SIM_SRC_TIMELINE_ACT_H
+#define SIM_SRC_TIMELINE_ACT_H
 
 /* A timeline that runs, and its words: those on nodes and zones in timelinenode.c, those on callers in timelinecall.c.
  * What they share is in timelineact.c. Functions that return false have said why by timeline_fault. */
--- a/packages/sim/src/timelinecall.c
+++ b/packages/sim/src/timeline_call.c
@@ -1,5 +1,5 @@
 /* The words of a timeline on callers. */
-#include "timelineact.h"
+#include "timeline_act.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/packages/sim/src/timelinenode.c
+++ b/packages/sim/src/timeline_node.c
@@ -1,5 +1,5 @@
 /* The words of a timeline on nodes and zones. */
-#include "timelineact.h"
+#include "timeline_act.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/packages/sim/test/configbodies.c
+++ b/packages/sim/test/config_bodies.c
@@ -1,7 +1,7 @@
 /* Documents as operators send them: rejected ones, the largest, and those that entry points tell again. */
 #include <inttypes.h>
 
-#include "configcase.h"
+#include "config_fixture.h"
 
 /* Requests in this order, each at another entry point, and what each is answered. */
 static const struct {
--- a/packages/sim/test/configcase.h
+++ b/packages/sim/test/config_fixture.h
@@ -1,11 +1,11 @@
-#ifndef SIM_TEST_CONFIGCASE_H
-#define SIM_TEST_CONFIGCASE_H
+#ifndef SIM_TEST_CONFIG_FIXTURE_H
+#define SIM_TEST_CONFIG_FIXTURE_H
 
 /* What tests of configurations share. */
 #include <stdlib.h>
 #include <string.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static inline Fleet *begin(uint64_t seed)
 {
--- a/packages/sim/test/configs.c
+++ b/packages/sim/test/configs.c
@@ -3,7 +3,7 @@
 #include <inttypes.h>
 #include <stdio.h>
 
-#include "configcase.h"
+#include "config_fixture.h"
 #include "document/document.h"
 
 #define CHANGES 60 /* count; of each operator */
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static int order(const void *a, const void *b)
 {
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 #define HOST "jobs.example"
 
--- a/packages/sim/test/fleetcase.h
+++ b/packages/sim/test/fleet_fixture.h
@@ -1,5 +1,5 @@
-#ifndef SIM_TEST_FLEETCASE_H
-#define SIM_TEST_FLEETCASE_H
+#ifndef SIM_TEST_FLEET_FIXTURE_H
+#define SIM_TEST_FLEET_FIXTURE_H
 
 /* What tests of whole fleets share: how a case begins and ends. */
 #include <setjmp.h>
--- a/packages/sim/test/fuzz.c
+++ b/packages/sim/test/fuzz.c
@@ -14,7 +14,7 @@
 #include "heartbeat/messages.h"
 #include "routing/messages.h"
 #include "policy/lua.h"
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static uint64_t seed_now;
 
--- a/packages/sim/test/jobcase.h
+++ b/packages/sim/test/job_fixture.h
@@ -1,10 +1,10 @@
-#ifndef SIM_TEST_JOBCASE_H
-#define SIM_TEST_JOBCASE_H
+#ifndef SIM_TEST_JOB_FIXTURE_H
+#define SIM_TEST_JOB_FIXTURE_H
 
 /* What tests of requests share: a fleet, its first entry point, and the text of jobs. */
 #include <string.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static inline Fleet *begin(void)
 {
--- a/packages/sim/test/jobruns.c
+++ b/packages/sim/test/job_runs.c
@@ -1,7 +1,7 @@
 /* What becomes of jobs: due times, gangs, cancels, failures, late reports, copies, and disks that fail. */
 #include <stdio.h>
 
-#include "jobcase.h"
+#include "job_fixture.h"
 
 static void due_and_delay(void **state)
 {
--- a/packages/sim/test/ways.c
+++ b/packages/sim/test/leader_paths.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 #include "routing/repair_buffer.h"
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static Fleet *begin(uint64_t seed)
 {
--- a/packages/sim/test/long.c
+++ b/packages/sim/test/long.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static size_t bytes_of(const Fleet *fleet, FleetRole role, int number)
 {
--- a/packages/sim/test/places.c
+++ b/packages/sim/test/places.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 #define LONG_WORK                                                                                                           \
     "{\"id\":\"l\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\",\"count\":11," \
--- a/packages/sim/test/planner.c
+++ b/packages/sim/test/planner.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 #define CONFIG                                                       \
     "{\"r\":0,\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{" \
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -8,7 +8,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static Fleet *begin(const char *config)
 {
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 #include "routing/routes.h"
 #include "hand_worker.h"
 #include "state/table.h"
--- a/packages/sim/test/requests.c
+++ b/packages/sim/test/requests.c
@@ -1,7 +1,7 @@
 /* What callers, workers and operators ask: good, bad, twice and at once. */
 #include <stdio.h>
 
-#include "jobcase.h"
+#include "job_fixture.h"
 
 /* What is rejected with which status, and what its text names. */
 static const struct {
--- a/packages/sim/test/split.c
+++ b/packages/sim/test/split.c
@@ -9,7 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 #define LEASE_MS 8000 /* ms; no controller leads for some 4 s */
 
--- a/packages/sim/test/steps.c
+++ b/packages/sim/test/steps.c
@@ -12,7 +12,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "fleetcase.h"
+#include "fleet_fixture.h"
 
 static int stride(int some)
 {
--- a/packages/state/src/on.c
+++ b/packages/state/src/on_worker.c
@@ -1,5 +1,5 @@
 /* What is on each worker, the capacity that it uses, and the version of its orders. */
-#include "on.h"
+#include "on_worker.h"
 
 #include <assert.h>
 #include <stdio.h>
--- a/packages/state/src/on.h
+++ b/packages/state/src/on_worker.h
@@ -1,5 +1,5 @@
-#ifndef STATE_SRC_ON_H
-#define STATE_SRC_ON_H
+#ifndef STATE_SRC_ON_WORKER_H
+#define STATE_SRC_ON_WORKER_H
 
 /* What is on each worker, and the capacity that it uses. */
 
--- a/packages/state/src/saved.c
+++ b/packages/state/src/saved.c
@@ -6,7 +6,7 @@
 
 #include "base/constants.h"
 #include "deliver.h"
-#include "on.h"
+#include "on_worker.h"
 #include "orphan.h"
 #include "turn.h"
 
--- a/packages/state/src/turn.c
+++ b/packages/state/src/turn.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "on.h"
+#include "on_worker.h"
 
 /* A row for each cell ever named; a first one is made. */
 static CellSum *cell_of(Table *table, const char *cell)
--- a/packages/state/test/oldstate.c
+++ b/packages/state/test/old_state.c
@@ -11,7 +11,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
-#include "olddisk.h"
+#include "old_disk.h"
 
 /* Of a task of the job "tasks", whose other numbers are its place. */
 typedef struct KnownTask {
--- a/packages/wire/src/line.h
+++ b/packages/wire/src/line.h
@@ -1,5 +1,5 @@
-#ifndef WIRE_SRC_CONNECTION_H
-#define WIRE_SRC_CONNECTION_H
+#ifndef WIRE_SRC_LINE_H
+#define WIRE_SRC_LINE_H
 
 #include "asking.h"
 #include "wire/rpc.h"
