--- a/examples/counter.c
+++ b/examples/counter.c
@@ -70,7 +70,7 @@
     bool list_counts;
     (void)mem;
     out->term = configuration_term(counter->replication);
-    if (!replication_holds(counter->replication))
+    if (!replication_leased(counter->replication))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
     return liveset_heartbeat(counter->liveset, ask, loop_now_ms(counter->loop), AGENT_LEASE_MS, &list_counts);
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -45,9 +45,9 @@
         if (strcmp(input.workers[i].zone, request->name) == 0)
             input.workers[i].free = (Resources){0};
     PlanBreak broken = {LOSS_WORKER, ""};
-    const bool holds = plan_always_possible(&input, &broken);
-    json_object_object_add(body, "planHoldsWithoutIt", json_object_new_boolean(holds));
-    if (!holds)
+    const bool survives = plan_always_possible(&input, &broken);
+    json_object_object_add(body, "planHoldsWithoutIt", json_object_new_boolean(survives));
+    if (!survives)
         json_object_object_add(
             body, "warning",
             json_object_new_string(talloc_asprintf(
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -187,7 +187,7 @@
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
     out->term = configuration_term(controller->replication);
-    if (!replication_holds(controller->replication))
+    if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
         return STATUS_BAD_FIELD;
@@ -212,7 +212,7 @@
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
     /* the lease counts from when the question was sent, so a leader that has lost the lock since has granted it
      * before: but nobody is to count on it any more */
-    if (!replication_holds(controller->replication))
+    if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
     out->term = configuration_term(controller->replication);
     out->lease_ms = lease_ms;
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -101,7 +101,7 @@
 /* Updates that nobody waits for are not sent again by their agent. */
 static void update_keep(Controller *controller, const Batch *batch)
 {
-    for (size_t i = 0; i < batch->list.updates_count && replication_holds(controller->replication); i++)
+    for (size_t i = 0; i < batch->list.updates_count && replication_leased(controller->replication); i++)
         if (batch->list.updates[i].word == ATTEMPT_RUNNING)
             update_later(controller, &batch->list.updates[i]);
 }
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -54,7 +54,7 @@
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
     const Controller *controller = arg;
-    if (replication_holds(controller->replication))
+    if (replication_leased(controller->replication))
         orphans_add(controller->orphans, task->worker, job, task, task->attempt,
                     loop_now_ms(controller->loop) + ORDER_GONE_MS);
 }
@@ -68,7 +68,7 @@
             .job = updates->job, .task = updates->task, .attempt = updates->attempt, .text = updates->saved};
         if (updates->word == ATTEMPT_RUNNING)
             continue; /* a heartbeat has told its checkpoint since */
-        if (replication_holds(controller->replication))
+        if (replication_leased(controller->replication))
             saved_take(controller->scheduler, &saved);
         orphans_end(controller->orphans, updates);
     }
--- a/packages/document/src/document.c
+++ b/packages/document/src/document.c
@@ -144,7 +144,7 @@
 
 /* Whether a merge patch can't set this value: it takes every null for a removal, also deep
  * inside what is new. */
-static bool holds_null(json_object *tree)
+static bool contains_null(json_object *tree)
 {
     if (tree == NULL)
         return true;
@@ -153,7 +153,7 @@
     json_object_object_foreach(tree, key, value)
     {
         (void)key;
-        if (holds_null(value))
+        if (contains_null(value))
             return true;
     }
     return false;
@@ -185,14 +185,14 @@
             if (!possible)
                 return false;
         } else if (!document_same(old, now)) {
-            if (holds_null(now))
+            if (contains_null(now))
                 return false;
             json_object_object_add(patch, key, json_object_get(now));
         }
     }
     for (; !json_object_iter_equal(&next, &end); json_object_iter_next(&next)) {
         json_object *now = json_object_iter_peek_value(&next);
-        if (holds_null(now))
+        if (contains_null(now))
             return false;
         json_object_object_add(patch, json_object_iter_peek_name(&next), json_object_get(now));
     }
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -41,7 +41,7 @@
 }
 
 /* Whether the slots left hold the tasks lost. */
-static bool group_holds(const Group *group, const PlanInput *input, void *mem)
+static bool group_survives(const Group *group, const PlanInput *input, void *mem)
 {
     const size_t n = input->worker_count;
     uint64_t *lost = talloc_memdup(mem, group->lost, n * sizeof(*lost));
@@ -112,9 +112,9 @@
         }
         groups[count++] = mine;
     }
-    bool holds = true;
-    for (size_t g = 0; g < count && holds; g++)
-        holds = group_holds(&groups[g], input, mem);
+    bool survives = true;
+    for (size_t g = 0; g < count && survives; g++)
+        survives = group_survives(&groups[g], input, mem);
     talloc_free(mem);
-    return holds;
+    return survives;
 }
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -115,7 +115,7 @@
 bool replication_leading(const Replication *replication);
 /* Whether its lease runs, also while it opens a further term: workers' leases may be renewed, nothing
  * may be decided. */
-bool replication_holds(const Replication *replication);
+bool replication_leased(const Replication *replication);
 /* Whether a leader is known here, or one may have been forgotten (the paper's survival rule 2). */
 bool replication_knows_holder(const Replication *replication);
 /* Waits, until until_ms at most. OK: a majority of the voters has granted the lease to this node in answer
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -30,7 +30,7 @@
     return replication_orders(replication) && wide_enough(replication);
 }
 
-bool replication_holds(const Replication *replication)
+bool replication_leased(const Replication *replication)
 {
     return (replication->phase == REPLICATION_LEADING ||
             (replication->phase == REPLICATION_OPENING && replication->reopening)) &&
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -16,14 +16,14 @@
     input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
 }
 
-bool pass_holds(Pass *pass)
+bool pass_survives_losses(Pass *pass)
 {
     pass->checks++;
     pass->scheduler->counts.plan_checks++;
-    const bool holds = plan_always_possible(&pass->input, NULL);
-    if (!holds)
+    const bool survives = plan_always_possible(&pass->input, NULL);
+    if (!survives)
         pass->scheduler->counts.plan_refusals++;
-    return holds;
+    return survives;
 }
 
 void pass_tasks(Pass *pass)
@@ -71,7 +71,7 @@
                 continue;
             const PlanNeed need = pass_need(job, task->step);
             pass_count(pass, &job->spec, &need, at);
-            if (!pass_holds(pass)) {
+            if (!pass_survives_losses(pass)) {
                 pass->input.task_count--;
                 continue;
             }
--- a/packages/scheduler/src/assurance.h
+++ b/packages/scheduler/src/assurance.h
@@ -10,7 +10,7 @@
 /* One more protected task that the plan must include, on the worker at that place. */
 void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
 /* Checks whether the plan holds with all that is counted; counts against checks_max. */
-bool pass_holds(Pass *pass);
+bool pass_survives_losses(Pass *pass);
 /* Waits. Marks running attempts that the plan does not include yet and now can. */
 void assure_more(Pass *pass);
 
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -111,10 +111,10 @@
     const size_t before = pass->input.task_count;
     for (size_t i = 0; i < candidate->count; i++)
         pass_count(pass, &candidate->job->spec, need, (size_t)where[i]);
-    const bool holds = pass_holds(pass);
-    if (!holds)
+    const bool survives = pass_survives_losses(pass);
+    if (!survives)
         pass->input.task_count = before;
-    return holds;
+    return survives;
 }
 
 static void place_all(Pass *pass, const Candidate *candidate, const int *where, bool assured)
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -97,7 +97,7 @@
 }
 
 /* How many members of the candidate the worker takes when it is empty. */
-static size_t holds_empty(const PlanWorker *worker, Resources each)
+static size_t count_when_empty(const PlanWorker *worker, Resources each)
 {
     size_t count = 0;
     Resources resources = worker->resources;
@@ -154,8 +154,8 @@
         if (best < 0)
             break;
         used[best] = true;
-        const size_t holds = holds_empty(&input->workers[best], step->resources);
-        left = left > holds ? left - holds : 0;
+        const size_t fitting = count_when_empty(&input->workers[best], step->resources);
+        left = left > fitting ? left - fitting : 0;
         kept->until_ms[kept->worker_count] = until_ms;
         kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
     }
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -16,7 +16,7 @@
 }
 
 /* Whether the r-loss plan would hold with the task on the worker at that place. */
-static bool holds_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
+static bool survives_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
 {
     if (job->spec.protection != PROTECTION_PROTECTED || !pass->asks)
         return true;
@@ -24,10 +24,10 @@
     const Resources before = to->free;
     to->free = resources_less(to->free, job->spec.steps[task->step].resources);
     pass_count(pass, &job->spec, need, (size_t)at);
-    const bool holds = pass_holds(pass);
+    const bool survives = pass_survives_losses(pass);
     pass->input.task_count--;
     to->free = before;
-    return holds;
+    return survives;
 }
 
 /* An attempt of the worker that may be moved now; false: none. */
@@ -42,7 +42,7 @@
             continue;
         const PlanNeed need = pass_need(job, task->step);
         const int at = plan_choose(pass->input.workers, pass->input.worker_count, &need, NULL);
-        if (at < 0 || !holds_there(pass, job, task, &need, at))
+        if (at < 0 || !survives_there(pass, job, task, &need, at))
             continue;
         *attempt = (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
         return true;
