--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -343,7 +343,7 @@
           "read_at_any_node|others_are_served", "test", "large_config"),
     Guard("large-kept", "a large change is not pushed to gates before it is answered", "packages/callers/src/repair_copy.c",
           "    if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)", "    if (bytes_of(repair_items) == 0)",
-          "changed_at_a_entry_point", "test", "large_config"),
+          "changed_at_an_entry_point", "test", "large_config"),
     Guard("large-pieces", "a gate comes to hold a large document in pieces", "packages/routing/src/config_watch.c",
           ".piece_most = CONFIG_WATCH_EAGER_BYTES};", ".piece_most = 0};",
           "held_without_a_stall", "test", "large_config"),
