--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -17,14 +17,14 @@
 /* ms; after a lost election a controller proposes itself again, next after twice this ... */
 #define PROPOSE_AGAIN_MS 60
 #define PROPOSE_MS 500      /* ms; ... up to this, plus a random part as long */
-#define PROPOSE_TURN_MS 120 /* ms; each voter proposes itself so much after the one before it: over an attempt trip */
+#define PROPOSE_TURN_MS 120 /* ms; each voter proposes itself so much after the one before it: over a round trip */
 #define HANDED_MS 600       /* ms; the others leave this long to the successor that the last leader named */
 #define ORDER_LIFETIME_MS 2000 /* ms; deadline of an order: an agent refuses an older one */
 /* ms; ... by any clock, also one that is 2% slow */
 #define ORDER_GONE_MS (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS)
 #define WORKER_POLL_MS 400 /* ms; an agent holds its worker's poll open at most this long */
 #define HEARTBEAT_WAIT_MS \
-    450 /* ms; a heartbeat is held open so long for orders: with the attempt trip, one per HEARTBEAT_MS */
+    450 /* ms; a heartbeat is held open so long for orders: with the round trip, one per HEARTBEAT_MS */
 #define HEARTBEATS_MOST 4 /* count; an agent's heartbeats in flight: one waits for orders, the others carry updates */
 #define WORKER_QUIET_MS 1200 /* ms; a worker that has not asked for this long, and its poll, gets no new work */
 #define WORKER_BUSY_MS 50   /* ms; a poll that reports ends is held so long: the next report waits for its answer ... */
@@ -205,7 +205,7 @@
 #define SLOW_TIMES 3        /* count; an attempt that takes so many times its step's median is a slow one */
 #define SLOW_OTHERS 4       /* count; other attempts of the step that a median needs */
 #define SLOW_OTHERS_MOST 64 /* count; ... and more than this are not looked at: a step may have thousands */
-#define SLOW_LEAST_MS 200   /* ms; a median below this says nothing: the attempt trip takes as long */
+#define SLOW_LEAST_MS 200   /* ms; a median below this says nothing: the round trip takes as long */
 
 /* --- planner --------------------------------------------------------------------------------- */
 #define PLAN_EXHAUSTIVE_MAX 400 /* count; loss sequences walked one by one; above it the cheap bound */
--- a/packages/callers/include/callers/callers.h
+++ b/packages/callers/include/callers/callers.h
@@ -8,7 +8,7 @@
 
 /* Answers callers' requests as leader: jobs, the configuration, zones, the queue, status. A request passes
  * guards, goes to its route, and its answer goes out only with the proof that its route asks for: the lease,
- * or an attempt of contact with a majority since the request came (a read index, as in Raft).
+ * or a round of contact with a majority since the request came (a read index, as in Raft).
  *
  * Used by the controller for requests that any node forwards to it, its own included. Invariants: nothing is
  * told while the state is being repaired; an answer to a request that committed nothing was true at some time
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -16,7 +16,7 @@
 
 #define LINK_MS 10         /* ms; each frame's way */
 #define CUT_AT_MS 25       /* ms; the request has come to the leader, and its answer is not on the way yet */
-#define ORDER_CUT_AT_MS 45 /* ms; an order whose base has been asked for, by an attempt of contact, is on its way */
+#define ORDER_CUT_AT_MS 45 /* ms; an order whose base has been asked for, by a round of contact, is on its way */
 #define COMMITTED_MS 300   /* ms; what has come is committed, and the way is not yet given up */
 #define JOB(id)                                                                                                     \
     "{\"id\":\"" id "\",\"cell\":\"imagery\",\"tenant\":\"flood\",\"queue\":\"sweeps\",\"steps\":[{\"name\":\"a\"," \
--- a/packages/sim/test/serving.c
+++ b/packages/sim/test/serving.c
@@ -312,7 +312,7 @@
 
 /* A clock that all but stands still inside its lease: the lease seems to go on for ever.
  * The configuration, and every refusal that claims to know what is in force or which jobs
- * there are, rests on an attempt of contact, not on a clock. */
+ * there are, rests on a round of contact, not on a clock. */
 static void clock_stands(void **state)
 {
     (void)state;
