--- a/scripts/same_objects.py
+++ b/scripts/same_objects.py
@@ -13,9 +13,22 @@
   conditions kept;
 - in test programs, a string that is the name of a function there, when the function is renamed likewise;
 - strings that --strings FILE lists (old TAB new, a line each, with C's escapes);
+- with --identifiers, strings that the compiler made of a renamed type or field, see below;
 - the order of functions in an object, when each has its counterpart.
 Files are paired by path; by `git diff -M` or --files FILE (old TAB new, files or folders) where they were renamed.
 
+--identifiers permits the change of a string only where it stands as the name of a type that a call of talloc is
+given or as a Shape's name, both types being declared in their sources and not spelled as a string there; or as the
+name of a row of a shape's table (ROWS). Names that changed must belong to each other one to one over the tree, types
+and fields each for themselves; one that was given up and taken by another (two fields swapped) differs. How many
+changed is printed, and what kept such a name; with --symbols each pair and in how many places. Limits: that a string
+is given to talloc is told by the call that comes next in the code and by the register. One that the compiler keeps in
+another register for several calls differs; --level O0-merged, where it keeps none, then shows what it is for. Between the
+load and the next call the code may jump: a call elsewhere with the same argument in the same register would not be
+told from talloc's, if the string too were just the name of a declared type that no literal spells. Types and fields
+that no string names are not counted, and whether a new name is a good one is not judged. With --folders, the sources
+are those beside the objects.
+
 --moved tells what is gone, new and changed; a function is the same when its bytes are and when it points at the
 same names, with the same strings and constants. It passes when nothing is gone, new or changed. Whether a name is
 static is not compared; of a name that several files have, the set of what it stands for is.
@@ -35,6 +48,7 @@
 import tempfile
 
 import elfobject
+import same_identifiers
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 CACHE = os.path.join(ROOT, "build-same")
@@ -62,7 +76,9 @@
 COMMON = ["-g0", "-ffunction-sections", "-fdata-sections", "-fno-asynchronous-unwind-tables",
           "-w"]
 # a function is then compiled the same whether what it calls stands in its own file or in another one
-LEVELS = {"O2": ["-O2"], "O0": ["-O0", "-fno-inline", "-fno-pie", "-fno-jump-tables", "-fno-ipa-stack-alignment"]}
+LEVELS = {"O2": ["-O2"], "O0": ["-O0", "-fno-inline", "-fno-pie", "-fno-jump-tables", "-fno-ipa-stack-alignment"],
+          # each string is loaded where it is handed on
+          "O0-merged": ["-O0", "-fno-pie", "-fmerge-constants"]}
 KINDS = re.compile(r"\.(text\.(?:unlikely|startup|exit|hot)|text|rodata|data\.rel\.ro\.local|data\.rel\.ro|"
                    r"data\.rel\.local|data\.rel|data|bss|tdata|tbss)(?=\.|$)")
 SHOWN = 8  # bytes shown from the first that differ
@@ -259,9 +275,10 @@
 class Comparison:
     """One pair of objects."""
 
-    def __init__(self, old, new, where, names, permitted, tests):
+    def __init__(self, old, new, where, names, permitted, identifiers, tests):
         self.old, self.new, self.where = old, new, where
-        self.names, self.permitted, self.tests = names, permitted, tests
+        self.names, self.permitted, self.identifiers, self.tests = names, permitted, identifiers, tests
+        self.places = {each: same_identifiers.Places(each) for each in (old, new)} if identifiers else {}
         self.used = set()  # the permitted changes of strings that were seen
         self.differences = []
         self.pairs = self._pair()
@@ -313,13 +330,15 @@
         functions = functions_of(object_) if self.tests else {}
         defined = self.names.old_defined if old else self.names.new_defined
 
-        def key(relocation):
+        def key(section, relocation):
             constant = object_.constant(relocation)
             symbol = relocation.symbol
             if constant:
                 text = constant[0].decode("latin-1")
                 if text in functions:
                     return "function's name", constant[1]
+                if self.identifiers and self.places[object_].kind(section, relocation):
+                    return "identifier", constant[1]
                 return self.permitted.get(text, text) if old else text, constant[1]
             if symbol.undefined():
                 return "" if symbol.name in defined else symbol.name, relocation.addend
@@ -327,7 +346,7 @@
 
         colours = {section.index: None for section in sections}
         colours = {section.index: hash((shape_of(section), tuple(
-            (each.offset, each.type, key(each)) for each in section.relocations))) for section in sections}
+            (each.offset, each.type, key(section, each)) for each in section.relocations))) for section in sections}
         for _ in range(4):
             colours = {section.index: hash((colours[section.index], tuple(
                 colours.get(each.symbol.section) for each in section.relocations))) for section in sections}
@@ -383,16 +402,16 @@
         if len(a.relocations) != len(b.relocations):
             self.differ(f"{a.name}: {len(a.relocations)} -> {len(b.relocations)} relocations")
         for x, y in zip(a.relocations, b.relocations):
-            wrong = self._compare_relocation(x, y)
+            wrong = self._compare_relocation(a, x, b, y)
             if wrong:
                 self.differ(f"{a.name}+0x{x.offset:x}: {wrong}")
 
-    def _compare_relocation(self, x, y):
+    def _compare_relocation(self, a, x, b, y):
         if (x.offset, x.type) != (y.offset, y.type):
             return f"relocation of type {x.type} -> +0x{y.offset:x} of type {y.type}"
         was, now = self.old.constant(x), self.new.constant(y)
         if was or now:
-            return None if was == now else self._compare_constants(was, now)
+            return self._compare_constants(was, now, self._identifier_kind(a, x, b, y))
         if x.addend != y.addend:
             return f"{self._shown(self.old, x)} -> {self._shown(self.new, y)}"
         if x.symbol.undefined() or y.symbol.undefined():
@@ -405,13 +424,28 @@
             return None
         return f"{self._shown(self.old, x)} -> {self._shown(self.new, y)}"
 
-    def _compare_constants(self, was, now):
+    def _identifier_kind(self, a, x, b, y):
+        if not self.identifiers:
+            return None
+        kinds = {self.places[self.old].kind(a, x), self.places[self.new].kind(b, y)}
+        return kinds.pop() if len(kinds) == 1 else None
+
+    def _compare_constants(self, was, now, kind):
+        if was == now:
+            if kind:
+                self.identifiers.keep(kind, was[0].decode("latin-1"))
+            return None
+        why = ""
         if was and now and was[1] == now[1]:
             old, new = was[0].decode("latin-1"), now[0].decode("latin-1")
             if self._permitted(old, new) or (self.tests and self._function_renamed(old, new)):
                 return None
+            wrong = self.identifiers.renamed(kind, old, new) if kind else None
+            if kind and not wrong:
+                return None
+            why = f" ({wrong})" if wrong else ""
         return " -> ".join(repr(each[0]) if each and each[1] in (0, -4) else str(each or "no constant")
-                           for each in (was, now))
+                           for each in (was, now)) + why
 
     def _function_renamed(self, old, new):
         a, b = functions_of(self.old).get(old), functions_of(self.new).get(new)
@@ -439,12 +473,29 @@
     return {path: elfobject.Object(os.path.join(folder, path)) for path in paths}
 
 
-def compare_renamed(old_folder, new_folder, renames, permitted, symbols, everything):
+def sources_in(folder):
+    """The texts of the sources beside the objects."""
+    for where, _, names in os.walk(folder):
+        for name in names:
+            if name.endswith((".c", ".h")):
+                with open(os.path.join(where, name)) as file:
+                    yield file.read()
+
+
+def sources_of(tree):
+    with tarfile.open(fileobj=io.BytesIO(git("archive", "--format=tar", tree))) as archive:
+        for each in archive:
+            if each.isfile() and each.name.endswith((".c", ".h")) and not each.name.startswith("journal/"):
+                yield archive.extractfile(each).read().decode()
+
+
+def compare_renamed(old_folder, new_folder, renames, permitted, identifiers, symbols, everything):
     old_places, new_places = objects_in(old_folder), objects_in(new_folder)
     old, new = load(old_folder, old_places), load(new_folder, new_places)
     pairs, gone, added = pair_places(old_places, new_places, renames)
     names = Names(defined_in(old.values()), defined_in(new.values()))
-    comparisons = [Comparison(old[a], new[b], a, names, permitted, old_places[a].tests() and new_places[b].tests())
+    comparisons = [Comparison(old[a], new[b], a, names, permitted, identifiers,
+                              old_places[a].tests() and new_places[b].tests())
                    for a, b in pairs]
     for each in comparisons:
         each.tie_definitions()
@@ -463,12 +514,17 @@
             print(f"{was}\t{now}")
     for was, now in sorted(set().union(*(each.used for each in comparisons))):
         print(f"permitted string: {was!r} -> {now!r}")
+    handed_on = identifiers.handed_on() if identifiers else []
+    for text in handed_on:
+        print(text)
+    if identifiers:
+        identifiers.show(symbols)
     differ = len(gone) + len(added) + sum(bool(each.differences) for each in comparisons)
     count = len(pairs) + len(gone) + len(added)
     local = sum(each.local_renamed() for each in comparisons)
     print(f"{count} objects, {count - differ} the same, {differ} differ; "
           f"{len(changed)} global and {local} local symbols renamed")
-    return differ == 0 and count > 0
+    return differ == 0 and not handed_on and count > 0
 
 
 # ---- comparing by name
@@ -558,23 +614,31 @@
     parser.add_argument("--folders", action="store_true")
     parser.add_argument("--strings", metavar="FILE")
     parser.add_argument("--files", metavar="FILE")
-    parser.add_argument("--symbols", action="store_true", help="print the global symbols that were renamed")
+    parser.add_argument("--identifiers", action="store_true",
+                        help="permit the strings that the compiler makes of renamed types and fields")
+    parser.add_argument("--symbols", action="store_true",
+                        help="print the global symbols that were renamed, and the types and fields")
     parser.add_argument("--all", action="store_true", help="print all differences of an object, not just its first")
+    parser.add_argument("--level", choices=["O2", "O0-merged"], default="O2", help="how to compile; --moved has its own")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--print-flags", metavar="FOLDER", help="write the headers there and print the flags")
     parser.add_argument("old", nargs="?")
     parser.add_argument("new", nargs="?")
     args = parser.parse_args()
-    level = "O0" if args.moved else "O2"
+    level = "O0" if args.moved else args.level
     if args.print_flags:
         print(*flags(level, os.path.abspath(args.print_flags)))
         return
+    if args.identifiers and args.moved:
+        parser.error("--identifiers is of renames, --moved compares by name")
     if not args.new:
         parser.error("two commits or folders are needed")
     renames = {}
     folders = args.old, args.new
+    texts = [sources_in(folder) for folder in folders] if args.folders else []
     if not args.folders:
         trees = [tree_of(name) for name in folders]
+        texts = [sources_of(tree) for tree in trees]
         renames = renamed_files(*trees)
         folders = [compile_tree(tree, level, args.jobs) for tree in trees]
     renames.update(read_pairs(args.files))
@@ -582,7 +646,8 @@
     if args.moved:
         good = compare_moved(*folders, permitted)
     else:
-        good = compare_renamed(*folders, renames, permitted, args.symbols, args.all)
+        identifiers = same_identifiers.Identifiers(*map(same_identifiers.Sources, texts)) if args.identifiers else None
+        good = compare_renamed(*folders, renames, permitted, identifiers, args.symbols, args.all)
     sys.exit(0 if good else 1)
 
 
--- a/tests/same_objects.py
+++ b/tests/same_objects.py
@@ -5,6 +5,7 @@
 """
 import functools
 import os
+import re
 import shlex
 import shutil
 import subprocess
@@ -69,6 +70,48 @@
 static void otherCase(void **state) { (void)state; seen = 2; }
 const Case CASES[] = {{"firstCase", firstCase}, {"otherCase", otherCase}};
 """
+# a type that talloc and a shape's table name, with a key, a message and a note that also have words of it
+KEEP = """
+#include <stddef.h>
+#include <stdio.h>
+typedef struct ShapeField { const char *name; int kind; size_t offset, count_offset; const void *of; } ShapeField;
+typedef struct Shape { const char *name; size_t size; const ShapeField *(*fields)(size_t *count); } Shape;
+#define NAME(name) #name
+void *_talloc_zero(const void *mem, size_t size, const char *name);
+void put(void *out, const char *key, int value);
+void note(const char *text);
+typedef struct Keeper { int room; int used; } Keeper;
+static const ShapeField *Keeper_fields(size_t *count)
+{
+    static const ShapeField ROWS[] = {{NAME(room), 1, offsetof(Keeper, room), 0, NULL},
+                                      {NAME(used), 1, offsetof(Keeper, used), 0, NULL}};
+    *count = 2;
+    return ROWS;
+}
+const Shape Keeper_shape = {NAME(Keeper), sizeof(Keeper), Keeper_fields};
+Keeper *keep(void *mem, void *out)
+{
+    Keeper *kept = _talloc_zero(mem, sizeof(Keeper), NAME(Keeper));
+    kept->room = 3;
+    put(out, "room", kept->room);
+    put(out, "used", kept->used);
+    printf("room %d\\n", kept->room);
+    note("kept");
+    return kept;
+}
+"""
+OTHER = """
+#include <stddef.h>
+#define NAME(name) #name
+typedef struct Keeper { int size; } Keeper;
+void *_talloc_zero(const void *mem, size_t size, const char *name);
+Keeper *other(void *mem);
+Keeper *other(void *mem)
+{
+    return _talloc_zero(mem, sizeof(Keeper), NAME(Keeper));
+}
+"""
+KEEPING = {"keep.c": KEEP, "other.c": OTHER}
 LOW = "int counterLow(const Counter *counter)\n{"
 HIGH = "int counterHigh(const Counter *counter)\n{"
 BEGIN = {"count.c": COUNT, "show.c": SHOW, "test/cases.c": TEST}
@@ -102,35 +145,56 @@
     ("name of a test alone", "test/cases.c", '"firstCase"', '"first_case"', "first_case"),
     ("names of tests swapped", "test/cases.c", '"firstCase", firstCase', '"firstCase", otherCase', "firstCase"),
 ]
+# NAME, what is replaced (patterns) in which file (all: in each); these pass with --identifiers, and only with it
+IDENTIFIERS = [
+    ("named type", "", [("Keeper", "Store")]),
+    ("named field", "keep.c", [(r'(?<!")\broom\b(?! %)', "capacity")]),
+    ("named type and field", "", [("Keeper", "Store"), (r'(?<!")\broom\b(?! %)', "capacity")]),
+]
+# these fail also with it: what the finding says
+NO_IDENTIFIERS = [
+    ("key", "keep.c", [('"room"', '"capacity"')], "b'room' -> b'capacity'"),
+    ("key and field", "keep.c", [(r"\broom\b(?! %)", "capacity")], "b'room' -> b'capacity'"),
+    ("key that is a type's name", "keep.c", [('"room"', '"Keeper"')], "keep.c.o"),
+    ("message", "keep.c", [('"room %d', '"capacity %d')], "capacity %d"),
+    ("one-word text to another function", "keep.c", [('"kept"', '"stored"')], "b'kept' -> b'stored'"),
+    ("row of a field that is not an identifier", "keep.c", [(r"NAME\(room\)", '"room size"')], "no names of fields"),
+    ("block of a type that is not declared", "other.c", [(r"NAME\(Keeper\)", "NAME(Store)")], "no type Store"),
+    ("swapped fields in the table", "keep.c", [(r"NAME\(room\)", "NAME(x)"), (r"NAME\(used\)", "NAME(room)"),
+                                               (r"NAME\(x\)", "NAME(used)")], "which was another one's name"),
+    ("swapped types of rows", "keep.c", [(r"NAME\(room\), 1", "NAME(capacity), 2")], "ROWS"),
+]
 SCRATCH = tempfile.TemporaryDirectory()
 failed = 0
 
 
 @functools.cache
-def flags(moved):
+def flags(way):
     """The compiler's flags, and the folder of headers that they name."""
     shim = os.path.join(SCRATCH.name, "shim")
-    level = ["--moved"] if moved else []
+    level = {"renamed": [], "moved": ["--moved"], "merged": ["--level", "O0-merged"]}[way]
     printed = subprocess.run([SCRIPT, *level, "--print-flags", shim], check=True, capture_output=True, text=True)
     return shlex.split(printed.stdout)
 
 
 @functools.cache
-def compiled(text, moved):
+def compiled(text, way):
     path = os.path.join(SCRATCH.name, f"{len(os.listdir(SCRATCH.name))}.c")
     with open(path, "w") as file:
         file.write(text)
-    subprocess.run(["cc", "-std=c11", *flags(moved), "-c", path, "-o", path + ".o"], check=True)
+    subprocess.run(["cc", "-std=c11", *flags(way), "-c", path, "-o", path + ".o"], check=True)
     return path + ".o"
 
 
-def build(name, files, moved=False):
-    """A folder with the objects of files."""
-    folder = os.path.join(SCRATCH.name, name.replace(" ", "-") + ("-moved" if moved else ""))
+def build(name, files, way="renamed"):
+    """A folder with the objects of files, and these beside them; one that is there, when none are given."""
+    folder = os.path.join(SCRATCH.name, f"{name.replace(' ', '-')}-{way}")
     for path, text in files.items():
         path = os.path.join(folder, path + ".o")
         os.makedirs(os.path.dirname(path), exist_ok=True)
-        shutil.copy(compiled(text, moved), path)
+        shutil.copy(compiled(text, way), path)
+        with open(path[:-2], "w") as file:
+            file.write(text)
     return folder
 
 
@@ -182,21 +246,75 @@
         check("permitted string", begin, other, good, "Ratio", ["--strings", listed])
 
 
+def substituted(which, patterns, begin):
+    files = dict(begin)
+    for pattern, new in patterns:
+        before = dict(files)
+        files = {path: re.sub(pattern, new, text) if which in ("", path) else text for path, text in files.items()}
+        if files == before:
+            sys.exit(f"{pattern} stands nowhere")
+    return files
+
+
+def identifiers():
+    """Names of types and fields pass with --identifiers where talloc or a shape's table has them, nothing else."""
+    begin = build("keeping", KEEPING)
+    check("no identifiers", begin, begin, True, "strings of renamed types: 0 names in 0 places", ["--identifiers"])
+    for name, which, patterns in IDENTIFIERS:
+        other = build(name, substituted(which, patterns, KEEPING))
+        check(name, begin, other, True, "2 objects, 2 the same", ["--identifiers"])
+        check(name + " without the option", begin, other, False)
+    check("table of identifiers", begin, build("named type", {}), True, "type\tKeeper\tStore\t3",
+          ["--identifiers", "--symbols"])
+    check("table of fields", begin, build("named field", {}), True, "field\troom\tcapacity\t1",
+          ["--identifiers", "--symbols"])
+    for name, which, patterns, says in NO_IDENTIFIERS:
+        other = build("no " + name.replace("'", ""), substituted(which, patterns, KEEPING))
+        check(name, begin, other, False, says, ["--identifiers"])
+    # a type's name that is noted as well, and one that a literal spells, were there before
+    for name, pattern, says in (("noted type", "note(NAME(Keeper))", "b'Keeper' -> b'Store'"),
+                                ("spelled type", 'note("Keeper")', "also a string literal")):
+        files = {**KEEPING, "keep.c": KEEP.replace('note("kept")', pattern)}
+        other = substituted("", [('(?<!")Keeper', "Store")], files)
+        check(name, build(name, files), build(name + " after", other), False, says, ["--identifiers"])
+    two = {"keep.c": KEEP.replace("Keeper", "Store"), "other.c": OTHER.replace("Keeper", "Shop")}
+    check("one type gets two names", begin, build("two names", two), False, "elsewhere", ["--identifiers"])
+    check("two types get one name", build("two names", {}), begin, False, "elsewhere", ["--identifiers"])
+    one = {**KEEPING, "other.c": two["other.c"]}
+    check("one of two types of a name", begin, build("one name", one), True, "another one keeps the name Keeper: 2 places",
+          ["--identifiers"])
+    check("name that another one has", build("one name", {}), begin, True, "as another one is called before and after",
+          ["--identifiers"])
+    # in a loop the string is kept in a register over the calls, which only -O0 tells from one that is used otherwise
+    again = "    for (int i = 0; i < 9; i++)\n        note(_talloc_zero(mem, 1, NAME(Keeper)));\n"
+    files = {**KEEPING, "keep.c": KEEP.replace('    note("kept");\n', again)}
+    other = substituted("", [("Keeper", "Store")], files)
+    for way, good, says in (("renamed", False, "b'Keeper' -> b'Store'"), ("merged", True, "2 objects, 2 the same")):
+        check("kept for several calls", build("loop", files, way), build("loop after", other, way), good, says,
+              ["--identifiers"])
+    files = {**KEEPING, "keep.c": KEEP.replace('note("kept")', "note(NAME(Keeper))")}
+    other = substituted("", [("Keeper", "Store")], files)
+    check("noted type, strings merged", build("noted type", files, "merged"), build("noted type after", other, "merged"), False,
+          "b'Keeper' -> b'Store'", ["--identifiers"])
+    for name, which, old, new, says in CHANGES:
+        check(name + " with --identifiers", build("begin", {}), build(name, {}), False, says, ["--identifiers"])
+
+
 def moved():
-    begin = build("begin", BEGIN, True)
+    begin = build("begin", BEGIN, "moved")
     check("nothing moved", begin, begin, True, "the same (0 of them in other files)", ["--moved"])
     head = COUNT[:COUNT.index("static const int WEIGHTS")] + "int weigh(const Counter *counter, int at);\n"
     part = COUNT[COUNT.index("static const int WEIGHTS"):COUNT.index(LOW)].replace("static __attribute__((noinline)) ", "")
     files = {**BEGIN, "count.c": head + COUNT[COUNT.index(LOW):], "weigh.c": head + part}
-    check("moved", begin, build("parts", files, True), True, "the same (2 of them in other files)", ["--moved"])
+    check("moved", begin, build("parts", files, "moved"), True, "the same (2 of them in other files)", ["--moved"])
     for name, old, new, says in (("moved and changed", "lowCount * WEIGHTS", "lowCount + WEIGHTS", "changed: function weigh"),
                                  ("moved with another table", "{3, 5, 7}", "{3, 5, 8}", "changed: rodata WEIGHTS"),
                                  ("moved and renamed", "weigh", "weight", "gone: function weigh")):
         other = {path: text.replace(old, new) if path in ("count.c", "weigh.c") else text for path, text in files.items()}
-        check(name, begin, build(name, other, True), False, says, ["--moved"])
+        check(name, begin, build(name, other, "moved"), False, says, ["--moved"])
     for name, which, old, new, _ in CHANGES:
         if name != "linkage":  # a static one that becomes global is what a move may do
-            where = build(name, changed(name, which, old, new), True)
+            where = build(name, changed(name, which, old, new), "moved")
             check("--moved: " + name, begin, where, False, "changed: ", ["--moved"])
 
 
@@ -205,9 +323,10 @@
     renamed(begin)
     reordered(begin)
     permitted(begin)
+    identifiers()
     moved()
     if not failed:
-        print(f"{len(RENAMES)} renames pass, {len(CHANGES)} changes are found")
+        print(f"{len(RENAMES) + len(IDENTIFIERS)} renames pass, {len(CHANGES) + len(NO_IDENTIFIERS) + 2} changes are found")
     SCRATCH.cleanup()
     sys.exit(1 if failed else 0)
 
