--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -86,7 +86,7 @@
 #define LEARNER_LATE_MS 2500 /* ms; a learner not ready by then makes way for another: megabytes take a second */
 #define VOTER_REST_MS 1000   /* ms; a voter that left for being late stays out at least this long */
 #define VOTER_LOST_REST_MS 5000 /* ms; a controller told that its vote is another's does not propose itself so long */
-#define VOTER_GONE_MS 15000     /* ms; a lost voter is made good within this where the settings do not say */
+#define VOTER_REPLACE_MS 15000  /* ms; a lost voter is made good within this where the settings do not say */
 #define VOTER_SILENT_PART 2 /* count; ... after 1 in so many of it a silent voter is replaced: that takes the rest */
 
 /* --- log and disk ---------------------------------------------------------------------------- */
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -61,7 +61,7 @@
     }
     const int64_t until_ms = loop_now_ms(request->callers->loop) + wait_ms;
     while (have >= 0 && versions_newest(table_versions(request->callers->table)) <= (uint64_t)have)
-        if (!signal_wait(request->callers->loop, replication_update(request->callers->replication), until_ms))
+        if (!signal_wait(request->callers->loop, replication_changed_signal(request->callers->replication), until_ms))
             break;
     if (!replication_leading(request->callers->replication))
         show_refusal(request->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -169,12 +169,12 @@
 {
     const Replication *replication = request->callers->replication;
     if (proof == PROOF_LEASE)
-        return replication_leading(replication) && configuration_term(replication) == term;
+        return replication_leading(replication) && replication_led_term(replication) == term;
     int64_t until_ms = loop_now_ms(request->callers->loop) + LOCK_LEASE_MS;
     if (request->task->timeout_ms != 0 && request->task->timeout_ms < until_ms)
         until_ms = request->task->timeout_ms;
-    return replication_contact(request->callers->replication, until_ms) == STATUS_OK &&
-           configuration_term(replication) == term;
+    return replication_confirm_leader(request->callers->replication, until_ms) == STATUS_OK &&
+           replication_led_term(replication) == term;
 }
 
 /* The last check before the answer goes out, after all that the route has waited for. */
@@ -199,7 +199,7 @@
         if (!GUARDS[i].pass(&request))
             return;
     bool path_known = false;
-    const uint64_t term = configuration_term(callers->replication);
+    const uint64_t term = replication_led_term(callers->replication);
     const Route *route = route_of(&request, &path_known);
     if (route != NULL) {
         route->serve(&request);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -26,7 +26,7 @@
 {
     return task->phase == TASK_STOPPING &&
            (replication_clock_ms(controller->replication) - task->changed_ms > ORDER_GONE_MS ||
-            (heartbeat->have_term == configuration_term(controller->replication) &&
+            (heartbeat->have_term == replication_led_term(controller->replication) &&
              heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
@@ -186,7 +186,7 @@
     Controller *controller = arg;
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
-    out->term = configuration_term(controller->replication);
+    out->term = replication_led_term(controller->replication);
     if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
     if (!check_name_text(heartbeat->worker.name) || !check_name_text(heartbeat->worker.zone))
@@ -214,7 +214,7 @@
      * before: but nobody is to count on it any more */
     if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
-    out->term = configuration_term(controller->replication);
+    out->term = replication_led_term(controller->replication);
     out->lease_ms = lease_ms;
     return STATUS_OK;
 }
@@ -224,7 +224,7 @@
     Controller *controller = arg;
     const NotifyAsk *ask = question;
     (void)mem;
-    ((NotifyAnswer *)answer)->term = configuration_term(controller->replication);
+    ((NotifyAnswer *)answer)->term = replication_led_term(controller->replication);
     if (!replication_leading(controller->replication))
         return STATUS_NOT_LEADER;
     if (controller->repairing)
@@ -243,7 +243,7 @@
     const HeartbeatAsk heartbeat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_term = ask->have_term};
     HeartbeatAnswer orders = {0};
-    out->term = configuration_term(controller->replication);
+    out->term = replication_led_term(controller->replication);
     if (!replication_leading(controller->replication))
         return STATUS_NOT_LEADER;
     if (controller->repairing)
@@ -256,7 +256,7 @@
     orders_answer(controller, mem, &heartbeat, FETCH_WAIT_MS, &orders);
     if (!orders.orders)
         return STATUS_BUSY;
-    *out = (FetchAnswer){configuration_term(controller->replication),
+    *out = (FetchAnswer){replication_led_term(controller->replication),
                          orders.version,
                          orders.timeout_ms,
                          orders.starts,
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -63,7 +63,7 @@
         char disk[DISK_TEXT];
         snprintf(disk, sizeof(disk), "%016" PRIx64, replication.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
-        if (!replication.voters[i].in_configuration)
+        if (!replication.voters[i].in_view)
             see(controller, ALERT_VOTER_OUT, name);
         if (replication.voters[i].sync_ms > VOTER_SLOW_MS)
             see(controller, ALERT_VOTER_SLOW, name);
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -19,7 +19,7 @@
 static bool seatless(void *arg)
 {
     const Controller *controller = arg;
-    return !replication_seated(controller->replication);
+    return !replication_is_voter(controller->replication);
 }
 
 static bool leads(const void *arg)
@@ -165,7 +165,7 @@
     agents_serve(controller);
     peers_serve(controller);
     members_start(controller->members);
-    replication_founding(controller->replication);
+    replication_found_start(controller->replication);
     scheduler_start(controller->scheduler);
     alerts_start(controller);
     forwarder_start(controller->forwarder);
@@ -204,7 +204,7 @@
     members_announce(controller->members); /* so that the other voters go on without waiting for us */
     /* what was ordered gets its result; then the vote and the lease are handed over */
     if (replication_leading(controller->replication))
-        replication_settle(controller->replication);
+        replication_barrier(controller->replication);
     replication_leave(controller->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
     /* requests are still taken, and forwarded to the next leader, until the last moment */
     const int64_t unready_until_ms = now_ms + controller->settings->bounds.unready_ms;
--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -11,7 +11,7 @@
         return false;
     if (controller->watch.plans != NULL)
         controller->watch.plans(controller->watch.arg, controller->settings->name,
-                                configuration_term(controller->replication));
+                                replication_led_term(controller->replication));
     return true;
 }
 
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -81,7 +81,7 @@
     return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
            row->incarnation == heartbeat->incarnation && !row->losing &&
            (table_orders(controller->table, heartbeat->worker.name) != heartbeat->have ||
-            configuration_term(controller->replication) != heartbeat->have_term);
+            replication_led_term(controller->replication) != heartbeat->have_term);
 }
 
 void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
--- a/packages/controller/src/own_address.c
+++ b/packages/controller/src/own_address.c
@@ -27,7 +27,7 @@
     show_metrics_begin(task);
     show_metric(task, "leads", replication_leading(controller->replication));
     show_metric(task, "repairing", controller->repairing);
-    show_metric(task, "viewChanges", (int64_t)replication.configuration_changes);
+    show_metric(task, "viewChanges", (int64_t)replication.view_changes);
     show_metric(task, "lastIndex", (int64_t)replication.last_index);
     show_metric(task, "deliveredIndex", (int64_t)replication.delivered_index);
     show_metric(task, "journalBytes", (int64_t)replication.journal.bytes);
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -30,14 +30,14 @@
     for (;;) {
         if (!replication_leading(controller->replication))
             return STATUS_NOT_LEADER;
-        out->term = configuration_term(controller->replication);
+        out->term = replication_led_term(controller->replication);
         out->waits = controller->repairing;
         if (!controller->repairing && config_watch_answer(&controller->piece_source, table_versions(controller->table),
                                                           ask, loop_now_ms(controller->loop), mem, out))
             return STATUS_OK;
         out->version = ask->have;
         if (ask->first || waits != controller->repairing ||
-            !signal_wait(controller->loop, replication_update(controller->replication), until_ms))
+            !signal_wait(controller->loop, replication_changed_signal(controller->replication), until_ms))
             return STATUS_OK;
     }
 }
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -204,7 +204,7 @@
          * the last one, so that a long repair is not a slow one */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
-            status = replication_settle(controller->replication);
+            status = replication_barrier(controller->replication);
         if (status == STATUS_OK && known(controller, mem, item)) {
             talloc_free(mem);
             continue;
@@ -261,7 +261,7 @@
     while (turn == controller->repair_turn && controller->repairing && !loop_stopping(controller->loop)) {
         if (replication_leading(controller->replication) && repair_once(controller, turn))
             return;
-        signal_wait(controller->loop, replication_update(controller->replication),
+        signal_wait(controller->loop, replication_changed_signal(controller->replication),
                     loop_now_ms(controller->loop) + REPAIR_LOOK_MS);
     }
 }
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -72,7 +72,7 @@
         json_object *one = json_object_new_object();
         json_object_object_add(one, "disk", disk_of(replication->voters[i].disk));
         json_object_object_add(one, "core", controller_of(controller, replication->voters[i].disk));
-        json_object_object_add(one, "inView", json_object_new_boolean(replication->voters[i].in_configuration));
+        json_object_object_add(one, "inView", json_object_new_boolean(replication->voters[i].in_view));
         json_object_object_add(one, "answers", json_object_new_boolean(replication->voters[i].answers));
         json_object_object_add(one, "woke", json_object_new_boolean(replication->voters[i].restarted));
         json_object_object_add(one, "syncMs", number_of(replication->voters[i].sync_ms));
@@ -196,7 +196,7 @@
     json_object_object_add(log, "lastIndex", number_of((int64_t)replication.last_index));
     json_object_object_add(log, "committed", number_of((int64_t)replication.commit_index));
     json_object_object_add(log, "base", number_of((int64_t)replication.base_index));
-    json_object_object_add(log, "viewChanges", number_of((int64_t)replication.configuration_changes));
+    json_object_object_add(log, "viewChanges", number_of((int64_t)replication.view_changes));
     json_object_object_add(log, "syncs", number_of((int64_t)replication.journal.syncs));
     json_object_object_add(log, "records", number_of((int64_t)replication.journal.records));
     json_object_object_add(log, "rewrites", number_of((int64_t)replication.journal.rewrites));
--- a/packages/explore/src/check.c
+++ b/packages/explore/src/check.c
@@ -34,7 +34,7 @@
     if (window->promised < node->promised_seen)
         explore_break(explore, RULE_PROMISE_FELL, "of %s", node->name);
     node->promised_seen = window->promised;
-    if (!window->holding || window->term == node->held_term)
+    if (!window->has_lease || window->term == node->held_term)
         return;
     /* it has just won: the promises of a majority must be on disks */
     node->held_term = window->term;
--- a/packages/explore/src/nodes.c
+++ b/packages/explore/src/nodes.c
@@ -109,7 +109,7 @@
     node->members = members_new(loop, loop, node->rpc, node->recorder, &self, seeds);
     replication_start(node->replication, node->members);
     members_start(node->members);
-    replication_founding(node->replication);
+    replication_found_start(node->replication);
     return STATUS_OK;
 }
 
@@ -197,7 +197,7 @@
     members_set_leaving(node->members);
     members_announce(node->members);
     if (replication_leading(node->replication))
-        replication_settle(node->replication);
+        replication_barrier(node->replication);
     replication_leave(node->replication,
                       loop_now_ms(sim_loop(node->explore->world, node->machine)) + LEAVE_GRACE_MS / VOTE_LEAVE_PART);
 }
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -42,7 +42,7 @@
     int64_t lease_until_ms; /* the lease granted ends then */
     uint64_t released;      /* term whose holder gave its lease back: no late message renews it */
     int64_t not_before_ms;  /* restarted: a lease that it forgot may run, so nothing is promised before ... */
-    bool sure;              /* ... but promised and holder are certainly the last: holder alone may be promised */
+    bool promise_certain;   /* ... but promised and holder are certainly the last: holder alone may be promised */
 } LockVoter;
 
 /* Whether the term may be promised to the holder now; changes nothing. OK, OLD_TERM (not above
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -18,7 +18,7 @@
 {
     if (term <= voter->promised)
         return STATUS_OLD_TERM;
-    if (now_ms < voter->not_before_ms && !(voter->sure && voter->holder == holder))
+    if (now_ms < voter->not_before_ms && !(voter->promise_certain && voter->holder == holder))
         return STATUS_RESTARTED;
     if (voter->holder != holder && lock_held(voter, now_ms))
         return STATUS_OTHER_HOLDER;
@@ -49,7 +49,7 @@
     voter->lease_until_ms = now_ms;
     voter->released = term;
     /* what a restart may have forgotten was the lease of this holder, which it has given back */
-    if (voter->sure && voter->not_before_ms > now_ms)
+    if (voter->promise_certain && voter->not_before_ms > now_ms)
         voter->not_before_ms = now_ms;
 }
 
--- a/packages/lock/test/lock.c
+++ b/packages/lock/test/lock.c
@@ -135,7 +135,7 @@
     (void)state;
     LockVoter voter = {.promised = TERM, .holder = HOLDER, .not_before_ms = NOW_MS + LOCK_GRANT_MS};
     assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_RESTARTED);
-    voter.sure = true;
+    voter.promise_certain = true;
     assert_int_equal(lock_may_promise(&voter, TERM + 1, HOLDER, NOW_MS), STATUS_OK);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS), STATUS_RESTARTED);
     assert_int_equal(lock_may_promise(&voter, TERM + 1, RIVAL, NOW_MS + LOCK_GRANT_MS), STATUS_OK);
--- a/packages/replication/include/replication/log.h
+++ b/packages/replication/include/replication/log.h
@@ -3,9 +3,9 @@
 
 #include "journal/record.h"
 
-/* The log in memory: a snapshot, and the entries after it. Used by the replicated log, and read by its
- * checkers. Nothing here waits.
- * Invariants: entry i (from 0) has index base_index + 1 + i; terms never fall along the log. */
+/* The log in memory: a snapshot, and the entries after it. Used by the voters and learners of the replicated log, and
+ * read by the checkers of its safety properties (window.h). Nothing here waits. Invariants: entry i (from 0) has index
+ * base_index + 1 + i; terms never fall along the log. */
 typedef struct Log {
     Record snapshot; /* kind 0 while there is none; else its index is base_index */
     uint64_t base_term, base_index;
@@ -19,7 +19,7 @@
 Log *log_new(void *mem);
 /* The index of the last entry, or of the snapshot. */
 uint64_t log_last_index(const Log *log);
-/* Its term. */
+/* The term of the last entry, or of the snapshot. */
 uint64_t log_last_term(const Log *log);
 /* The entry at the index, owned by the log; null when it is not among the entries. */
 const Record *log_at(const Log *log, uint64_t index);
--- a/packages/replication/include/replication/membership.h
+++ b/packages/replication/include/replication/membership.h
@@ -6,26 +6,26 @@
 
 #include "lock/lock.h"
 
-/* Which change of membership comes next, decided from what the leader knows alone: no time, no wire, no
- * disk. Used by the leader (reconfigure.c) and by status. Nothing here waits or allocates.
+/* Which change of the list of voters comes next: a pure function of what the leader knows. Used by the leader
+ * (reconfigure.c) and by status. Nothing here waits or allocates.
  *
  * Each change adds or removes one voter, so that any majority of one list shares a voter with any majority
- * of the next (Raft: single-server changes); the next one is weighed only once the last is committed. How
- * many more losses the voters bear is how many of those alive may be lost before a majority is missing.
- * Invariant: no change makes that less than it was:
+ * of the next (Raft: single-server changes); the next one is chosen only once the last is committed.
+ * The losses that the voters bear are how many of those alive may still be lost before a majority is
+ * missing. Invariant: no change makes the voters bear fewer losses:
  *  - a learner that is ready may be added to any number of voters;
- *  - a voter that is gone may be removed from any number;
- *  - one that is alive is removed from an even number alone: n and n - 1 voters bear as many losses then.
- *    So its successor is added before it is removed. */
+ *  - a voter that is lost may be removed from any number;
+ *  - a voter that is alive is removed from an even number only: for an even n, n and n - 1 voters bear equally
+ *    many losses. So its successor is added before it is removed. */
 
 /* What is known of one voter or learner. The zone is owned by the caller. */
 typedef struct MemberState {
     uint64_t disk;
     const char *zone;
     bool self;    /* the leader: never removed by itself */
-    bool live;    /* a voter: in the view, and it answers */
-    bool gone;    /* a voter: silent for too long, or its disk is lost */
-    bool leaving; /* its process has been told to end */
+    bool live;    /* a voter: in the view (replication.h), and it answers */
+    bool lost;    /* a voter: silent for too long, or its disk is lost */
+    bool leaving; /* its process is shutting down */
     bool ready;   /* a learner: it has the log and answers */
     bool steady;  /* a learner: it has been ready for long */
 } MemberState;
@@ -50,6 +50,6 @@
 /* The next change; MEMBERSHIP_KEEP: none is due, or none can be committed. */
 MembershipChange membership_next(const Membership *now);
 /* How many more of these voters may be lost; negative: so many are missing for a majority. */
-int membership_bears(const MemberState *voters, size_t count);
+int membership_losses_borne(const MemberState *voters, size_t count);
 
 #endif
--- a/packages/replication/include/replication/replication.h
+++ b/packages/replication/include/replication/replication.h
@@ -10,33 +10,34 @@
 /* The replicated log: voters agree on one order of changes and deliver them to a state machine.
  *
  * Used by the controller nodes (packages/controller), each of which has one; learners follow without a
- * vote. As in Raft a log is numbered by (term, index), its entries are committed in order, and a
- * leader per term orders them. Other than in Raft:
+ * vote. As in Raft, entries are numbered by (term, index) and committed in order, and each term has one
+ * leader, which orders them. Unlike in Raft:
  *  - a leader has a lease (the paper's lock, see lock/lock.h), and acts only while it runs;
- *  - a change is committed once every voter of the *view*, a majority at least, has synced it. A
- *    voter that does not sync in time is taken out of the view, and comes back later;
- *  - a new leader takes the best log of its majority over before it orders anything.
+ *  - a change is committed once every voter in the *view* has synced it. The view is a majority of the voters or
+ *    more, like the in-sync replicas of primary-backup replication. A voter that does not sync in time is taken out
+ *    of the view by the leader, keeps its vote, and comes back later;
+ *  - a candidate with a shorter log may win: it copies the best log of its majority before it orders anything.
  *
  * Invariants: at most one node leads at a time; what is committed is in the log of every later
  * leader; all nodes deliver the same changes in the same order.
  *
- * Names: "term" is the term, "voter" the place of a voter, "holder" the leader (who has the lease),
- * "woke" a node that has restarted and has not been brought up to date since. Times are ms of the
- * loop's clock unless said otherwise. "Waits" means that the calling task is suspended; what does not
- * say so returns at once. */
+ * Names: "holder" is the leader, as the holder of the lease; "restarted" a node that has restarted and has been in no
+ * view since; "voters" alone are disks: a voter is identified by the id of its disk. Status and log lines call terms
+ * epochs or views, and voters seats. Times are ms of the loop's clock unless said otherwise. "Waits" means that the
+ * calling task is suspended; what does not say so returns at once. */
 typedef struct Replication Replication;
 
-/* Numbers of changes that the replicated log itself owns; the embedder's are REPLICATION_CHANGE_FIRST and
- * above. Part of the format on disk. */
+/* Numbers of the log's own changes; those of the embedder (the controller) begin at
+ * REPLICATION_CHANGE_FIRST. Part of the format on disk. */
 #define REPLICATION_CHANGE_TERM 1     /* payload: TermRecord */
 #define REPLICATION_CHANGE_VOTERS 2   /* payload: VoterList */
 #define REPLICATION_CHANGE_REPAIRED 3 /* no payload */
 #define REPLICATION_CHANGE_FIRST 16
 
-/* What delivering a change brought about, as the state machine says. */
+/* The result of delivering a change, from the state machine. */
 typedef struct ChangeResult {
     Status status;
-    uint64_t number; /* the embedder's own */
+    uint64_t number; /* its meaning is the state machine's */
     uint64_t index;  /* of the change in the log; set by the replicated log */
 } ChangeResult;
 
@@ -52,13 +53,13 @@
     Status (*load)(void *arg, Bytes saved);
 } ReplicationState;
 
-/* following: led by another, or by nobody; opening: an election of this node's is under way. */
-typedef enum ReplicationPhase { REPLICATION_FOLLOWING, REPLICATION_OPENING, REPLICATION_LEADING } ReplicationPhase;
+/* FOLLOWING: led by another, or by nobody. ELECTING (Raft: candidate): an election of this node is under way, until the
+ * first entry of its term is committed. */
+typedef enum ReplicationPhase { REPLICATION_FOLLOWING, REPLICATION_ELECTING, REPLICATION_LEADING } ReplicationPhase;
 
-/* Called within the commit of the first entry of a term that this node leads, before it counts as
- * leading; does not wait. new_holder: it did not lead just before. repair: the view rests on voters that
- * restarted with disks that may lose what they synced, so committed changes may have been lost and
- * must be told again. */
+/* Called within the commit of the first entry of a term that this node leads, before its phase is LEADING; must not
+ * wait. new_holder: its lease did not run on from an earlier term. repair: the view contains restarted voters whose
+ * disks may lose what they synced, so committed changes may have been lost and have to be sent again. */
 typedef void (*ReplicationOpened)(void *arg, uint64_t term, bool new_holder, bool repair);
 
 /* How this process may come to found a cluster. */
@@ -68,7 +69,7 @@
     REPLICATION_FOUNDS_BY_THREE, /* when exactly three empty disks see each other and nobody knows a cluster */
 } ReplicationFounds;
 
-/* What the embedder gives; all of it outlives the View. */
+/* What the embedder gives; everything it points to outlives the Replication. */
 typedef struct ReplicationSettings {
     Loop *loop;
     Rpc *rpc;
@@ -77,10 +78,10 @@
     ReplicationState state;
     ReplicationOpened opened; /* may be null */
     void *opened_arg;
-    int losses; /* disks that may be lost at once: twice that and one are the voters wanted; 0: 1 */
+    int losses; /* disks that may be lost at once; 2 * losses + 1 voters are wanted; 0: 1 */
     ReplicationFounds founds;
     bool disks_keep;         /* what a disk has synced outlasts a loss of power */
-    int64_t voter_back_ms;   /* ms; a loss of a voter is made good within this; 0: VOTER_GONE_MS */
+    int64_t voter_back_ms;   /* ms; a lost voter is replaced within this; 0: VOTER_REPLACE_MS */
     size_t snapshot_entries; /* a snapshot is made after so many entries; 0: LOG_SNAPSHOT_ENTRIES */
 } ReplicationSettings;
 
@@ -103,9 +104,9 @@
 /* Orders a change and does not wait for its delivery. It is delivered in its place, or this node leads
  * no more. Waits only while this leader opens a further term. NOT_LEADER, BUSY: not taken. */
 Status replication_offer(Replication *replication, uint64_t change, Bytes payload);
-/* Waits until all that was ordered so far is delivered here. NOT_LEADER: not known in time. */
-Status replication_settle(Replication *replication);
-/* Waits. Records that what may have been lost has been told again (see ReplicationOpened). Statuses of
+/* Waits until all that was ordered so far is delivered here (a barrier). NOT_LEADER: not known in time. */
+Status replication_barrier(Replication *replication);
+/* Waits. Records that what may have been lost has been sent again (see ReplicationOpened). Statuses of
  * replication_submit. */
 Status replication_repaired(Replication *replication);
 
@@ -116,56 +117,55 @@
 /* Whether its lease runs, also while it opens a further term: workers' leases may be renewed, nothing
  * may be decided. */
 bool replication_leased(const Replication *replication);
-/* Whether a leader is known here, or one may have been forgotten (the paper's survival rule 2). */
+/* Whether a leader is known here, or may have been known before a restart (the paper's survival rule 2). */
 bool replication_knows_holder(const Replication *replication);
 /* Waits, until until_ms at most. OK: a majority of the voters has granted the lease to this node in answer
- * to questions that were sent after the call, so that nobody else led by the time of the call, whatever
- * the clocks do (Raft: ReadIndex). NOT_LEADER: another may lead; EXPIRED: not known in time. */
-Status replication_contact(Replication *replication, int64_t until_ms);
+ * to requests that were sent after the call, so that no other node led at the time of the call, however wrong the
+ * clocks are (Raft: ReadIndex). NOT_LEADER: another may lead; EXPIRED: not known in time. */
+Status replication_confirm_leader(Replication *replication, int64_t until_ms);
 /* The term that this node leads, or led last; 0: none. */
-uint64_t configuration_term(const Replication *replication);
+uint64_t replication_led_term(const Replication *replication);
 /* When this node won the lease from another, or from nobody. */
 int64_t replication_won_ms(const Replication *replication);
 /* Gives up the lead, if it has it; does not stand for election for rest_ms (0: at once again). */
 void replication_step_down(Replication *replication, int64_t rest_ms);
-/* Waits, until until_ms at most. The process is to end, and has told the members so: a leader has a learner
- * added as a voter and gives up the lead; whoever leads then removes this voter. Where there is no learner
- * it stays a voter, and says so in the log. */
+/* Waits, until until_ms at most. Graceful shutdown, after members_set_leaving: a leader waits until a learner has been
+ * added as a voter, and gives up the lead; the next leader then removes this voter. Where there is no learner this
+ * node stays a voter, and logs that. */
 void replication_leave(Replication *replication, int64_t until_ms);
 
 /* --- clocks ------------------------------------------------------------------------- */
 
-/* The log's clock, in ms from its founding: never goes back, and passes only while the clock of a leader
- * or follower passes. */
+/* The log's clock, in ms since the cluster was founded: never goes back, and stands still while no node runs. */
 int64_t replication_clock_ms(const Replication *replication);
-/* The median of the voters' wall clocks, carried on by the own clock; ms since 1970. */
+/* The median of the voters' wall clocks, advanced by this node's own clock; ms since 1970. */
 int64_t replication_wall_ms(const Replication *replication);
 
 /* --- cluster and voters ---------------------------------------------------------------- */
 
 bool replication_founded(const Replication *replication);     /* the disk belongs to a cluster */
 uint64_t replication_cluster(const Replication *replication); /* its id; 0: none */
-bool replication_seated(const Replication *replication);      /* this node is a voter, by its own log */
+bool replication_is_voter(const Replication *replication);    /* this node is a voter, by its own log */
 uint64_t replication_disk(const Replication *replication);    /* the id of the own disk */
-/* The disks of the voters, in the order of their places; returns their count. */
+/* The disks of the voters, in the order of their places (state.h); returns their count. */
 size_t replication_voters(const Replication *replication, uint64_t voters[VOTER_MOST]);
 /* Waits for the disk. Makes this disk part of a cluster that is being founded. STRANGER: it belongs to
  * another. */
 Status replication_found(Replication *replication, uint64_t cluster, const VoterList *voters);
-/* Spawns the task that founds a cluster, as the settings say; none where it may not. */
-void replication_founding(Replication *replication);
+/* Spawns the task that founds a cluster, in the way the settings say; none where this node may not found one. */
+void replication_found_start(Replication *replication);
 
 /* --- status --------------------------------------------------------------------------- */
 
-/* One voter. What is not of this node is known to the leader alone. */
+/* One voter. For other voters than this node only the leader knows more than the disk. */
 typedef struct ReplicationVoterStatus {
     uint64_t disk;
-    bool in_configuration;
+    bool in_view;
     bool answers; /* within the last LOCK_GRANT_MS */
     bool restarted;
     int64_t sync_ms; /* how long its last sync took */
     uint64_t match_index;
-    uint64_t reach; /* how many members it reaches */
+    uint64_t reach; /* how many members it reaches (members_reach) */
 } ReplicationVoterStatus;
 
 /* A learner; known to the leader alone. */
@@ -179,26 +179,26 @@
 typedef struct ReplicationStatus {
     ReplicationPhase phase;
     uint64_t term;   /* as of replication_place */
-    uint64_t holder; /* the disk that the own voter has promised to */
+    uint64_t holder; /* the disk that this voter has promised the term to */
     bool restarted;
     uint64_t last_index, commit_index, delivered_index, base_index; /* base_index: of the snapshot */
-    int64_t lease_left_ms;                                          /* of the own lease */
-    uint64_t configuration_changes;
+    int64_t lease_left_ms;                                          /* of this node's lease as leader */
+    uint64_t view_changes;
     size_t voter_count; /* rows of voters: one for each voter */
     ReplicationVoterStatus voters[VOTER_MOST];
     size_t learner_count;
     ReplicationLearnerStatus learners[LEARNER_MOST];
-    int losses_borne; /* so many more voters may be lost; negative: so many are missing for a majority */
-    int losses_asked; /* as the settings ask */
+    int losses_borne; /* how many more voters may be lost; negative: how many are missing for a majority */
+    int losses_asked; /* ReplicationSettings.losses */
     JournalCounts journal;
-    uint64_t other_histories; /* orders to drop what is committed, all refused */
+    uint64_t other_histories; /* refused requests to drop committed entries */
 } ReplicationStatus;
 
-void replication_status(const Replication *replication, ReplicationStatus *reach);
-/* For log lines, at any time, also before the disk is open: the term that this node is in, and up to which
- * index it knows the log to be committed. */
+void replication_status(const Replication *replication, ReplicationStatus *status);
+/* The place that log lines carry (base/recorder.h): the term that this node is in, and up to which index it knows the
+ * log to be committed. May be called at any time, also before the disk is open. */
 void replication_place(const Replication *replication, uint64_t *term, uint64_t *commit_index);
-/* Raised after each delivery and each change of phase; owned by the view. */
-Signal *replication_update(Replication *replication);
+/* Raised after each delivery and each change of phase; owned by the Replication. */
+Signal *replication_changed_signal(Replication *replication);
 
 #endif
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -39,21 +39,22 @@
                    "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
                    index + 1, replication->delivered_index);
     replication->delivered_index = replication->log->base_index;
-    if (replication->log->snapshot.kind == RECORD_SNAPSHOT) /* was saved or loaded by this process: it loads again */
+    if (replication->log->snapshot.kind ==
+        RECORD_SNAPSHOT) /* this process saved or loaded it, so it can be loaded again */
         (void)replication_load(replication, &replication->log->snapshot);
     else
         replication->settings.state.load(replication->settings.state.arg, (Bytes){0});
     replication_deliver(replication);
 }
 
-/* An append in the making. */
-typedef struct Taking {
-    uint64_t trimmed_to; /* own entries after it had to go; UINT64_MAX: none */
-    bool reread;         /* the list of voters or the view may be another one */
-} Taking;
+/* What an append has done to the log so far. */
+typedef struct AppendEffect {
+    uint64_t trimmed_to; /* entries after this index were dropped; UINT64_MAX: none were */
+    bool reread;         /* the list of voters or the view may have changed */
+} AppendEffect;
 
-/* Puts one entry of the leader into the log in memory, unless it is there. */
-static Status entry_take(Replication *replication, const Record *entry, Taking *taking)
+/* Adds one entry of the leader to the log in memory, unless it is there. */
+static Status entry_take(Replication *replication, const Record *entry, AppendEffect *effect)
 {
     Log *log = replication->log;
     uint64_t term;
@@ -65,18 +66,18 @@
         return history_refuse(replication, entry->index);
     if (entry->index <= log_last_index(log)) {
         trim(replication, entry->index - 1);
-        if (entry->index - 1 < taking->trimmed_to)
-            taking->trimmed_to = entry->index - 1;
-        taking->reread = true;
+        if (entry->index - 1 < effect->trimmed_to)
+            effect->trimmed_to = entry->index - 1;
+        effect->reread = true;
     }
     log_add(log, entry);
     replication_clock_notify(replication, entry->at_ms);
-    taking->reread |= entry->change < REPLICATION_CHANGE_FIRST;
+    effect->reread |= entry->change < REPLICATION_CHANGE_FIRST;
     return STATUS_OK;
 }
 
-/* Puts the leader's entries into the log in memory. */
-static Status entries_take(Replication *replication, const AppendAsk *ask, Taking *taking)
+/* Adds the leader's entries to the log in memory. */
+static Status entries_take(Replication *replication, const AppendAsk *ask, AppendEffect *effect)
 {
     const Log *log = replication->log;
     uint64_t term;
@@ -87,15 +88,15 @@
     for (size_t i = 0; i < ask->entries_count && status == STATUS_OK; i++) {
         const Record *entry = &ask->entries[i];
         const bool follows = entry->index == ask->prev_index + 1 + i && entry->kind == RECORD_ENTRY;
-        status = follows ? entry_take(replication, entry, taking) : STATUS_BAD_FRAME;
+        status = follows ? entry_take(replication, entry, effect) : STATUS_BAD_FRAME;
     }
-    if (taking->reread)
+    if (effect->reread)
         replication_reread(replication);
     return status;
 }
 
-/* Waits for the disk. Writes these records, and the entries that the journal has not been given yet.
- * Also with nothing to write it waits until what it was given before is synced. */
+/* Waits for the disk. Writes these records, and the entries that the journal has not been given yet. With nothing to
+ * write it still waits until what the journal was given before is synced. */
 static Status entries_write(Replication *replication, const Record *first, size_t count)
 {
     void *mem = talloc_new(replication);
@@ -119,14 +120,14 @@
         return STATUS_LOG_GAP; /* an empty disk begins with a snapshot */
     if (replication_disk_failed(replication))
         return STATUS_DISK_FAILED;
-    Status status = holder_take(replication, ask->term, ask->holder, first, &count);
+    Status status = leader_accept(replication, ask->term, ask->holder, first, &count);
     if (status != STATUS_OK)
         return status;
-    Taking taking = {.trimmed_to = UINT64_MAX};
-    status = entries_take(replication, ask, &taking);
-    if (taking.trimmed_to < replication->queued_index) {
-        first[count++] = (Record){.kind = RECORD_TRIM, .index = taking.trimmed_to, .name = ""};
-        replication->queued_index = taking.trimmed_to;
+    AppendEffect effect = {.trimmed_to = UINT64_MAX};
+    status = entries_take(replication, ask, &effect);
+    if (effect.trimmed_to < replication->queued_index) {
+        first[count++] = (Record){.kind = RECORD_TRIM, .index = effect.trimmed_to, .name = ""};
+        replication->queued_index = effect.trimmed_to;
     }
     const Status written = entries_write(replication, first, count);
     if (written != STATUS_OK)
--- a/packages/replication/src/clock.c
+++ b/packages/replication/src/clock.c
@@ -31,8 +31,8 @@
                                    : loop_wall_ms(replication->loop);
 }
 
-/* The median of the voters' wall clocks as an offset to the own clock; of two the lower, so that
- * nothing due comes early. It is kept while some voters are silent. */
+/* Sets the median of the voters' wall clocks as an offset to the own clock; of an even number the lower middle one, so
+ * that nothing comes before it is due. While some voters are silent the last median is kept. */
 void wall_take(Replication *replication)
 {
     int64_t offsets[VOTER_MOST];
--- a/packages/replication/src/commit.c
+++ b/packages/replication/src/commit.c
@@ -1,5 +1,4 @@
-/* Commit and delivery: up to which index the log is committed, and the state machine that takes
- * what is. */
+/* Commit and delivery: up to which index the log is committed, and handing committed entries to the state machine. */
 #include <assert.h>
 
 #include "commit.h"
@@ -28,19 +27,19 @@
 {
     uint64_t least = replication->synced_index;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (replication->in_configuration[i] && replication->voters[i] != replication->disk &&
+        if (replication->in_view[i] && replication->voters[i] != replication->disk &&
             replication->peers[i].match_index < least)
             least = replication->peers[i].match_index;
-    /* the view is a majority of the voters, but for a moment when one was just added */
+    /* the view may be less than a majority for a moment, when a voter was just added */
     const uint64_t majority = majority_index(replication);
     if (majority < least)
         least = majority;
-    if (least < replication->replication_index || least <= replication->commit_index)
+    if (least < replication->term_entry_index || least <= replication->commit_index)
         return;
     assert(least <= log_last_index(replication->log));
     replication->commit_index = least;
     replication_deliver(replication);
-    signal_raise(replication->loop, &replication->updates);
+    signal_raise(replication->loop, &replication->changed);
 }
 
 void commit_follow(Replication *replication, uint64_t leader_commit)
@@ -60,7 +59,7 @@
     return false;
 }
 
-/* Ends the submissions that wait for this entry, or for the one whose place it took. */
+/* Ends the submissions that wait for this entry, or for another one at its index. */
 static void waiters_notify(Replication *replication, const Record *entry, const ChangeResult *result)
 {
     for (Waiter **at = &replication->waiters; *at != NULL;) {
@@ -71,7 +70,7 @@
         }
         *at = waiter->next;
         waiter->done = true;
-        /* another entry took the place: the submitted one is lost for good */
+        /* another entry was committed at this index: the submitted one is lost for good */
         waiter->status = waiter->term == entry->term ? STATUS_OK : STATUS_OUTCOME_UNKNOWN;
         waiter->result = *result;
         signal_raise(replication->loop, &waiter->ended);
@@ -92,13 +91,13 @@
             replication->settings.state.deliver(replication->settings.state.arg, entry, &result);
         else if (entry->change == REPLICATION_CHANGE_TERM && entry->term == replication->lock.promised &&
                  last_has(replication, replication->disk))
-            replication->restarted = false; /* a view has brought this node up to date */
+            replication->restarted = false; /* this node has been in a view since it restarted */
         replication->delivered_index = entry->index;
         any = true;
         waiters_notify(replication, entry, &result);
     }
     if (any) {
-        signal_raise(replication->loop, &replication->updates);
+        signal_raise(replication->loop, &replication->changed);
         replication_compact_maybe(replication, false);
     }
 }
--- a/packages/replication/src/contact.c
+++ b/packages/replication/src/contact.c
@@ -1,5 +1,5 @@
-/* Rounds of contact (Raft: ReadIndex): that this node is still the only leader, shown by answers to
- * questions that were sent after the round began. No clock is relied on. */
+/* Contact rounds (Raft: ReadIndex): this node is still the only leader when a majority answers requests that were sent
+ * after the round began. No clock is relied on. */
 #include "contact.h"
 #include "leading.h"
 #include "learners.h"
@@ -7,7 +7,7 @@
 #include "voter_list.h"
 #include "voters.h"
 
-/* How many voters are known to have granted the lease to this node since the round was asked for. */
+/* How many voters are known to have granted the lease to this node since the round was requested. */
 static size_t contact_count(const Replication *replication, uint64_t wanted)
 {
     size_t count = 0;
@@ -61,17 +61,17 @@
 
 uint64_t contact_members(Replication *replication, int64_t most_ms)
 {
-    const uint64_t turn = replication->lead_turn, wanted = ++replication->contact_asked;
+    const uint64_t generation = replication->lead_generation, wanted = ++replication->contact_asked;
     const int64_t until_ms = loop_now_ms(replication->loop) + most_ms;
     replication->contact_learners = wanted;
     signal_raise(replication->loop, &replication->contact_update);
-    while (!lead_over(replication, turn) && !contact_whole(replication, wanted))
+    while (!lead_over(replication, generation) && !contact_whole(replication, wanted))
         if (!signal_wait(replication->loop, &replication->contact_made, until_ms))
             break;
     return wanted;
 }
 
-Status replication_contact(Replication *replication, int64_t until_ms)
+Status replication_confirm_leader(Replication *replication, int64_t until_ms)
 {
     if (!replication_leading(replication))
         return STATUS_NOT_LEADER;
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -1,5 +1,4 @@
-/* The own journal as a whole, while the process runs: it is rewritten after a snapshot, and after a
- * failure of the disk. */
+/* Rewriting the whole journal while the process runs: after a snapshot was made, and after a failure of the disk. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -24,8 +23,8 @@
     return records;
 }
 
-/* Waits for the disk. Rewrites the whole journal. All entries are in it, also those that it had not
- * been given before: they count as queued from here on, so that dropping them is written too. */
+/* Waits for the disk. Rewrites the whole journal, with all entries, also those that it had not been given before: they
+ * count as queued from here on, so that dropping them is written, too. */
 static Status journal_anew(Replication *replication)
 {
     void *mem = talloc_new(replication);
@@ -40,7 +39,7 @@
 static void compact_main(void *arg)
 {
     Replication *replication = arg;
-    (void)journal_anew(replication); /* a failure shows in journal_failed, and gangs_repair_main tries again */
+    (void)journal_anew(replication); /* a failure shows in journal_failed, and disk_retry_main tries again */
     replication->compacting = false;
 }
 
@@ -50,33 +49,33 @@
     loop_spawn(replication->loop, "compact", compact_main, replication);
 }
 
-/* A disk that refused a write is tried again, with all that it should hold. Until that is there this
- * node takes nothing, so that memory and disk do not differ. */
-static void gangs_repair_main(void *arg)
+/* After a failed write the whole journal is rewritten, again and again until that succeeds. Until then this node
+ * accepts nothing, so that memory and disk do not differ. */
+static void disk_retry_main(void *arg)
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
         loop_sleep(replication->loop, DISK_RETRY_MS);
-        if (replication->list_old || !journal_failed(replication->journal) || replication->compacting ||
-            replication->holding)
+        if (replication->list_went_back || !journal_failed(replication->journal) || replication->compacting ||
+            replication->has_lease)
             continue;
-        replication->mending = true;
+        replication->recovering = true;
         if (journal_anew(replication) == STATUS_OK) {
             if (replication->rest_until_ms > loop_now_ms(replication->loop) + PROPOSE_MS)
                 replication->rest_until_ms = loop_now_ms(replication->loop) + PROPOSE_MS;
             recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                            "own disk takes writes again");
         }
-        replication->mending = false;
+        replication->recovering = false;
     }
 }
 
 void disk_start(Replication *replication)
 {
-    loop_spawn(replication->loop, "mend", gangs_repair_main, replication);
+    loop_spawn(replication->loop, "mend", disk_retry_main, replication);
 }
 
 bool replication_disk_failed(const Replication *replication)
 {
-    return replication->mending || replication->list_old || journal_failed(replication->journal);
+    return replication->recovering || replication->list_went_back || journal_failed(replication->journal);
 }
--- a/packages/replication/src/disk.h
+++ b/packages/replication/src/disk.h
@@ -3,17 +3,16 @@
 
 #include "replication/replication.h"
 
-/* The own disk while the process runs. */
+/* The disk of this node while the process runs. */
 
-/* Whether nothing may be promised or taken: writes fail, the journal is being written again
- * after a failure, or the list of voters went back. */
+/* Whether nothing may be promised or appended: writes fail, the journal is being rewritten after a failure, or the disk
+ * has lost a committed list of voters. */
 bool replication_disk_failed(const Replication *replication);
 /* Spawns the task that tries a failed disk again. */
 void disk_start(Replication *replication);
 /* Spawns the task that rewrites the journal after a snapshot was made. */
 void disk_compact(Replication *replication);
-/* The records that have all that this node knows, its cluster first; on mem, payloads
- * owned by the log. */
+/* The records of a complete journal, the one of the cluster first; on mem, payloads owned by the log. */
 Record *replication_records(Replication *replication, void *mem, size_t *count);
 
 #endif
--- a/packages/replication/src/election.c
+++ b/packages/replication/src/election.c
@@ -1,5 +1,5 @@
-/* Election: whether this node may stand, and the promises (Raft: votes; Paxos: prepare) of a majority
- * for a higher term. */
+/* Election: the pre-vote, whether this node may stand, and the promises (Raft: votes; Paxos: prepare) of a majority for
+ * a higher term. */
 #include "base/term.h"
 #include "election.h"
 #include "leading.h"
@@ -7,7 +7,7 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* --- a look: may this node stand? --------------------------------------------------- */
+/* --- the pre-vote: may this node stand? --------------------------------------------- */
 
 /* Whether the log of a is more up to date than that of b (Raft 5.4.1). */
 static bool log_ahead(const VoterAnswer *a, const VoterAnswer *b)
@@ -24,7 +24,7 @@
     return false;
 }
 
-/* The answer that has the last view; null: nobody has answered. any_restarted: one of them restarted. */
+/* The answer with the last view; null: nobody has answered. any_restarted: one of those that answered has restarted. */
 static const VoterAnswer *last_view_of(const Poll *poll, bool *any_restarted)
 {
     const VoterAnswer *newest = NULL;
@@ -42,11 +42,11 @@
     return newest;
 }
 
-/* Whether a view may rest on the voters that answered. With none of them restarted, any majority
- * will do. Where disks may lose what they synced, restarted ones may have lost what they
- * acknowledged: then each member of the last recorded view is heard first, or waited for.
- * repair: committed changes may have been lost. */
-static bool may_rest(Replication *replication, const Poll *poll, bool *repair)
+/* Whether the voters that answered may form a view. If none of them has restarted, any majority will do. Where disks
+ * may lose what they synced, restarted voters may have lost what they acknowledged: then every member of the last
+ * recorded view has to answer, or has been waited for for RESTARTED_WAIT_MS. repair: committed changes may have been
+ * lost. */
+static bool view_may_rest_on(Replication *replication, const Poll *poll, bool *repair)
 {
     bool any_restarted;
     const VoterAnswer *newest = last_view_of(poll, &any_restarted);
@@ -67,55 +67,55 @@
     return now_ms - replication->restarted_since_ms >= RESTARTED_WAIT_MS;
 }
 
-/* What the voters said of themselves, before any promise is asked of them. */
-typedef struct Heard {
-    size_t count; /* who answered */
-    size_t free;  /* who of them has no lease granted to another */
+/* What the voters said of themselves in the pre-vote. */
+typedef struct Prevote {
+    size_t count; /* those that answered */
+    size_t free;  /* those of them that have granted no other node a lease that runs */
     bool removed; /* this node is no voter any more */
     bool ahead;   /* another has been promised a higher term and a lease */
-} Heard;
+} Prevote;
 
 /* Counts the answers, and finds the highest term that anybody has heard of. */
-static Heard heard_of(Opening *opening, const Poll *poll)
+static Prevote prevote_count(Election *election, const Poll *poll)
 {
-    const Replication *replication = opening->replication;
-    Heard heard = {0};
-    /* disks that lose what they synced may have forgotten promises; members that followed a leader
-     * have not forgotten its term */
-    opening->highest = replication->lock.promised;
-    if (members_leader_term(replication->settings.members) > opening->highest)
-        opening->highest = members_leader_term(replication->settings.members);
+    const Replication *replication = election->replication;
+    Prevote prevote = {0};
+    /* voters whose disks lost what they synced have lost promises; the members that followed a leader still know its
+     * term */
+    election->highest = replication->lock.promised;
+    if (members_leader_term(replication->settings.members) > election->highest)
+        election->highest = members_leader_term(replication->settings.members);
     for (int i = 0; i < VOTER_MOST; i++)
         if (poll_reached(poll->status[i])) {
-            heard.count++;
-            heard.removed |= poll->status[i] == STATUS_NO_VOTER;
-            if (poll->answers[i].promised > opening->highest)
-                opening->highest = poll->answers[i].promised;
+            prevote.count++;
+            prevote.removed |= poll->status[i] == STATUS_NO_VOTER;
+            if (poll->answers[i].promised > election->highest)
+                election->highest = poll->answers[i].promised;
             const bool other = poll->answers[i].held && poll->answers[i].holder != replication->disk;
-            heard.free += !other;
-            heard.ahead |= other && poll->answers[i].promised > replication->lock.promised;
+            prevote.free += !other;
+            prevote.ahead |= other && poll->answers[i].promised > replication->lock.promised;
         }
-    return heard;
+    return prevote;
 }
 
-Status election_hear(Opening *opening)
+Status election_prevote(Election *election)
 {
-    Replication *replication = opening->replication;
-    Poll *poll = poll_voters(replication, 0, opening->skip);
-    const Heard heard = heard_of(opening, poll);
-    const bool rest = may_rest(replication, poll, &opening->repair);
+    Replication *replication = election->replication;
+    Poll *poll = poll_voters(replication, 0, election->skip);
+    const Prevote prevote = prevote_count(election, poll);
+    const bool rest = view_may_rest_on(replication, poll, &election->repair);
     poll_leave(poll);
-    if (lead_over(replication, opening->turn))
+    if (lead_over(replication, election->generation))
         return STATUS_NOT_LEADER;
-    if (heard.removed) { /* the vote was given to another disk; this node learns more from whoever leads */
+    if (prevote.removed) { /* another disk has become a voter in its place; the leader will send the list */
         lead_down(replication, VOTER_LOST_REST_MS);
         return STATUS_NO_VOTER;
     }
-    /* where a majority has no lease granted to another, nobody has it; but one that is being
-     * elected just now in a higher term goes first */
-    const bool held = opening->new_holder && heard.count >= replication_majority(replication) &&
-                      (heard.free < replication_majority(replication) || heard.ahead);
-    if (heard.count >= replication_majority(replication) && rest && !held)
+    /* no other node has the lease where a majority has granted it to none; but a candidate that already has a promise
+     * of a higher term goes first */
+    const bool held = election->new_holder && prevote.count >= replication_majority(replication) &&
+                      (prevote.free < replication_majority(replication) || prevote.ahead);
+    if (prevote.count >= replication_majority(replication) && rest && !held)
         return STATUS_OK;
     lead_down(replication, 0);
     return held ? STATUS_OTHER_HOLDER : rest ? STATUS_UNREACHABLE : STATUS_RESTARTED;
@@ -123,47 +123,47 @@
 
 /* --- promises ----------------------------------------------------------------------- */
 
-size_t promised_count(const Replication *replication, const bool in_configuration[VOTER_MOST])
+size_t promised_count(const Replication *replication, const bool in_view[VOTER_MOST])
 {
     size_t count = 0;
     for (int i = 0; i < VOTER_MOST; i++)
-        count += replication->voters[i] != 0 && in_configuration[i];
+        count += replication->voters[i] != 0 && in_view[i];
     return count;
 }
 
-/* Voters far behind the best log come into the view only once they are near; the view stays a
- * majority, with this node in it. */
-static void lag_leave(const Replication *replication, const Poll *poll, int best, bool in_configuration[VOTER_MOST])
+/* Leaves voters far behind the best log out of the first view; they join once they have caught up. The view stays a
+ * majority with this node in it. */
+static void laggards_drop(const Replication *replication, const Poll *poll, int best, bool in_view[VOTER_MOST])
 {
     const VoterAnswer *most = &poll->answers[best];
-    size_t count = promised_count(replication, in_configuration);
+    size_t count = promised_count(replication, in_view);
     for (int i = 0; i < VOTER_MOST && count > replication_majority(replication); i++) {
         const VoterAnswer *one = &poll->answers[i];
-        if (in_configuration[i] && replication->voters[i] != replication->disk &&
+        if (in_view[i] && replication->voters[i] != replication->disk &&
             (one->log_term < most->log_term || one->log_index + LOG_BATCH_ENTRIES < most->log_index)) {
-            in_configuration[i] = false;
+            in_view[i] = false;
             count--;
         }
     }
 }
 
-/* Who has promised, and which of them has the best log: the own one, if it is as good as any. */
-static void promises_count(Opening *opening, const Poll *poll)
+/* Records who has promised, and which of them has the best log: this node, if its log is as good as any. */
+static void promises_count(Election *election, const Poll *poll)
 {
-    Replication *replication = opening->replication;
+    Replication *replication = election->replication;
     for (int i = 0; i < VOTER_MOST; i++) {
         if (poll->status[i] != STATUS_OK || poll->disks[i] != replication->voters[i])
             continue;
-        opening->in_configuration[i] = true;
+        election->in_view[i] = true;
         const VoterAnswer *a = &poll->answers[i];
-        const VoterAnswer *b = opening->best >= 0 ? &poll->answers[opening->best] : NULL;
+        const VoterAnswer *b = election->best >= 0 ? &poll->answers[election->best] : NULL;
         if (b == NULL || log_ahead(a, b) || (!log_ahead(b, a) && replication->voters[i] == replication->disk))
-            opening->best = i;
+            election->best = i;
         lock_lease_answered(&replication->lease, i, poll->sent_ms[i]);
     }
 }
 
-/* What is known of the peers at the beginning of the term. */
+/* Sets what is known of the peers at the beginning of the term. */
 static void peers_begin(Replication *replication, const Poll *poll)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
@@ -178,44 +178,44 @@
     }
 }
 
-/* The promises are too few. The others need not wait out the lease that they granted with them. */
-static void promises_lost(Opening *opening, bool own_failed)
+/* There are too few promises. The lease that was granted with them is released, so that nobody waits for its end. */
+static void promises_lost(Election *election, bool own_failed)
 {
-    Replication *replication = opening->replication;
-    if (lead_over(replication, opening->turn))
+    Replication *replication = election->replication;
+    if (lead_over(replication, election->generation))
         return;
-    replication->term = opening->term;
+    replication->term = election->term;
     lead_release(replication, 0);
     lead_down(replication, own_failed ? SLOW_DISK_REST_MS : 0);
 }
 
-Status election_promises(Opening *opening)
+Status election_promises(Election *election)
 {
-    Replication *replication = opening->replication;
-    opening->term = term_next(opening->highest, replication->disk);
-    Poll *poll = poll_voters(replication, opening->term, opening->skip);
-    /* a lease that lapsed before this question was sent was not kept without a gap */
+    Replication *replication = election->replication;
+    election->term = term_next(election->highest, replication->disk);
+    Poll *poll = poll_voters(replication, election->term, election->skip);
+    /* a lease that ended before this request was sent did not run on without a gap */
     const int64_t held_until_ms = lock_lease_until(&replication->lease);
     for (int i = 0; i < VOTER_MOST; i++)
-        opening->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
-    replication->reopening = !opening->new_holder;
-    if (opening->new_holder)
+        election->new_holder |= poll->status[i] == STATUS_OK && poll->sent_ms[i] >= held_until_ms;
+    replication->reelecting = !election->new_holder;
+    if (election->new_holder)
         lock_lease_clear(&replication->lease);
-    promises_count(opening, poll);
+    promises_count(election, poll);
     const int own = replication_own_voter(replication);
     const bool own_failed =
         own >= 0 && (poll->status[own] == STATUS_DISK_FAILED || poll->status[own] == STATUS_UNREACHABLE);
-    const bool lost = lead_over(replication, opening->turn) ||
-                      promised_count(replication, opening->in_configuration) < replication_majority(replication) ||
-                      own < 0 || !opening->in_configuration[own];
+    const bool lost = lead_over(replication, election->generation) ||
+                      promised_count(replication, election->in_view) < replication_majority(replication) || own < 0 ||
+                      !election->in_view[own];
     if (!lost) {
-        lag_leave(replication, poll, opening->best, opening->in_configuration);
+        laggards_drop(replication, poll, election->best, election->in_view);
         peers_begin(replication, poll);
     }
     for (int i = 0; i < VOTER_MOST; i++)
-        opening->promised[i] = poll->status[i] == STATUS_OK ? poll->disks[i] : 0;
+        election->promised[i] = poll->status[i] == STATUS_OK ? poll->disks[i] : 0;
     poll_leave(poll);
     if (lost)
-        promises_lost(opening, own_failed);
+        promises_lost(election, own_failed);
     return lost ? STATUS_OTHER_HOLDER : STATUS_OK;
 }
--- a/packages/replication/src/election.h
+++ b/packages/replication/src/election.h
@@ -3,37 +3,37 @@
 
 #include "replication/replication.h"
 
-/* An election, and the opening of the term that was won. Raft's election with a lease, and
- * with a look before it (Raft: pre-vote) so that one who cannot win disturbs nobody. Unlike in
- * Raft a node with a shorter log may win: it takes the best log of its majority over before it
- * orders anything (as in Paxos, or Viewstamped Replication's view change). */
+/* An election, from the pre-vote to the first committed entry of the new term. Raft's election with a lease, and with
+ * a pre-vote, so that a node that cannot win does not disturb the others. Unlike in Raft a node with a shorter log may
+ * win: it copies the best log of its majority before it orders anything (as in Paxos, or in the view change of
+ * Viewstamped Replication). Steps: election.c (pre-vote, promises), then new_term.c. */
 
-/* One opening, from the first question to the first entry. */
-typedef struct Opening {
+/* One election. */
+typedef struct Election {
     Replication *replication;
-    uint64_t turn;
-    const bool *skip; /* voters that are to stay out, by place */
-    bool new_holder;  /* this node has no lease that it goes on with */
-    bool repair;
-    uint64_t highest;                  /* term that anybody has heard of */
-    uint64_t term;                     /* the term to be promised */
-    int best;                          /* place of the best log; -1: nobody promised */
-    bool in_configuration[VOTER_MOST]; /* who promised, and is near enough */
-    uint64_t promised[VOTER_MOST];     /* the disks, by their places before a log is taken over */
-} Opening;
+    uint64_t generation;
+    const bool *skip;              /* voters that are not asked, by place */
+    bool new_holder;               /* this node has no lease that runs on into the new term */
+    bool repair;                   /* committed changes may have been lost, see TermRecord */
+    uint64_t highest;              /* the highest term that any voter or member has heard of */
+    uint64_t term;                 /* the term to be promised */
+    int best;                      /* place of the best log; -1: nobody promised */
+    bool in_view[VOTER_MOST];      /* by place: those who promised and are not far behind */
+    uint64_t promised[VOTER_MOST]; /* the disks that promised, by their places in the list as of the promises */
+} Election;
 
-/* Waits. Whether this node may stand at all: asks the voters for nothing but answers. OK: it
- * may. NO_VOTER, OTHER_HOLDER, UNREACHABLE, RESTARTED, NOT_LEADER: why not; the lead is given up. */
-Status election_hear(Opening *opening);
-/* Waits. Asks for promises of the next term; renewals of the former term have ended with
- * lead_turn. OTHER_HOLDER: not won; the lead is given up. */
-Status election_promises(Opening *opening);
-/* How many voters, as the newest list has them, are among these. */
-size_t promised_count(const Replication *replication, const bool in_configuration[VOTER_MOST]);
+/* Waits. The pre-vote: whether this node may stand for election at all. OK: it may. NO_VOTER, OTHER_HOLDER,
+ * UNREACHABLE, RESTARTED, NOT_LEADER: why not; the lead is given up. */
+Status election_prevote(Election *election);
+/* Waits. Asks for promises of the next term; the renewals of the former term ended when lead_generation grew.
+ * OTHER_HOLDER: not won; the lead is given up. */
+Status election_promises(Election *election);
+/* How many of these places are not vacant in the newest list. */
+size_t promised_count(const Replication *replication, const bool in_view[VOTER_MOST]);
 
-/* Waits. Holds an election: stops taking changes, asks for the promises and logs of a majority,
- * takes the best log, brings the others to it, and leads the next term. skip: places that are
- * to stay out. Any status but OK: this node does not lead. */
-Status replication_open(Replication *replication, const bool skip[VOTER_MOST]);
+/* Waits. Runs an election: stops taking changes, asks for the promises of a majority, copies the best log among them,
+ * brings the others to it, and leads the next term. skip: places that are not asked. Any status but OK: this node does
+ * not lead. */
+Status election_run(Replication *replication, const bool skip[VOTER_MOST]);
 
 #endif
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -18,7 +18,7 @@
 SHAPE(FoundAsk, FOUND_ASK_FIELDS)
 SHAPE_TABLE(FoundAsk, FOUND_ASK_FIELDS)
 
-/* The cluster that it is part of; 0: none. */
+/* The cluster that the answering node is part of; 0: none. */
 #define FOUND_ANSWER_FIELDS(X) X(U64, cluster, 0)
 SHAPE(FoundAnswer, FOUND_ANSWER_FIELDS)
 SHAPE_TABLE(FoundAnswer, FOUND_ANSWER_FIELDS)
@@ -51,31 +51,31 @@
 
 /* --- by the seeds' votes --------------------------------------------------------- */
 
-/* The empty controller with the lowest disk id that it has heard of stands as the founder. With the votes of a
- * majority of the seeds it founds the cluster as its only voter, and as its leader adds the others. */
+/* The empty controller that has heard of no lower disk id than its own stands as the founder. With the votes of a
+ * majority of the seeds it founds the cluster as its only voter, and then adds the others as its leader. */
 static void votes_main(void *arg)
 {
     Replication *replication = arg;
     Members *members = replication->settings.members;
     const int64_t from_ms = loop_now_ms(replication->loop) + VOTE_WAIT_MS;
-    uint64_t round = 1;
+    uint64_t proposal = 1; /* its number, see members_votes */
     bool stands = false;
     while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
            rpc_cluster(replication->settings.rpc) == 0) {
         loop_sleep(replication->loop, VOTE_WAIT_MS / VOTE_LOOK_PART);
         size_t seeds;
         if (members_lowest_empty(members) != replication->disk) {
-            if (stands && members_votes(members, replication->disk, round, true, &seeds) == seeds) {
+            if (stands && members_votes(members, replication->disk, proposal, true, &seeds) == seeds) {
                 stands = false;
-                round++;
+                proposal++;
             }
         } else if (loop_now_ms(replication->loop) >= from_ms) {
             stands = true;
-            const size_t granted = members_votes(members, replication->disk, round, false, &seeds);
+            const size_t granted = members_votes(members, replication->disk, proposal, false, &seeds);
             if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(replication->loop) | 1;
-            replication->named = true; /* it need not wait its turn: there is no other voter */
+            replication->named_successor = true; /* it need not wait its turn: there is no other voter */
             if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
                 recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
                                "founds cluster %016" PRIx64, cluster);
@@ -149,7 +149,7 @@
     }
 }
 
-/* The one with the lowest id founds and offers, the other two accept. */
+/* Of the three, the disk with the lowest id founds the cluster and offers it to the other two. */
 static void three_main(void *arg)
 {
     Replication *replication = arg;
@@ -188,7 +188,7 @@
     }
 }
 
-void replication_founding(Replication *replication)
+void replication_found_start(Replication *replication)
 {
     members_set_voter(replication->settings.members, replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES);
     if (replication->settings.founds == REPLICATION_FOUNDS_BY_VOTES && !replication_founded(replication))
--- a/packages/replication/src/inside.h
+++ b/packages/replication/src/inside.h
@@ -1,8 +1,8 @@
 #ifndef REPLICATION_SRC_INSIDE_H
 #define REPLICATION_SRC_INSIDE_H
 
-/* For tests that compare a log in memory with the one on disk: what they see of a node from
- * inside. No source of the product includes this. */
+/* The private headers that tests need to compare a log in memory with the one on disk. No source of the product
+ * includes this. */
 #include "disk.h"
 #include "snapshot.h"
 #include "state.h"
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/install_snapshot.c
@@ -10,8 +10,8 @@
 #include "voter.h"
 #include "voter_list.h"
 
-/* Whether the piece is of the snapshot that is arriving. */
-static bool same_filling(const Filling *incoming_snapshot, const InstallSnapshotAsk *ask)
+/* Whether the piece belongs to the snapshot that is arriving. */
+static bool same_snapshot(const IncomingSnapshot *incoming_snapshot, const InstallSnapshotAsk *ask)
 {
     return incoming_snapshot != NULL && incoming_snapshot->term == ask->snapshot.term &&
            incoming_snapshot->index == ask->snapshot.index && incoming_snapshot->total == ask->total &&
@@ -33,13 +33,13 @@
     }
     if (ask->total > RECORD_MAX_BYTES || ask->from + ask->snapshot.payload.count > ask->total)
         return STATUS_BAD_FRAME;
-    if (!same_filling(replication->incoming_snapshot, ask)) {
+    if (!same_snapshot(replication->incoming_snapshot, ask)) {
         snapshot_piece_drop(replication);
-        replication->incoming_snapshot = talloc_zero(replication, Filling);
+        replication->incoming_snapshot = talloc_zero(replication, IncomingSnapshot);
         *replication->incoming_snapshot =
-            (Filling){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
+            (IncomingSnapshot){ask->snapshot.term, ask->snapshot.index, ask->total, ask->checksum, {0}};
     }
-    Filling *incoming_snapshot = replication->incoming_snapshot;
+    IncomingSnapshot *incoming_snapshot = replication->incoming_snapshot;
     if (ask->from != incoming_snapshot->bytes.count)
         return STATUS_LOG_GAP; /* the answer says how much has arrived */
     bytes_add(incoming_snapshot, &incoming_snapshot->bytes, ask->snapshot.payload.data, ask->snapshot.payload.count);
@@ -60,7 +60,7 @@
 
 /* Whether the log has all that the snapshot covers. Such a log is kept: it may go further, and a
  * majority may count on it. Also when the log was found to be of another history (over): that may
- * have been mended since, and the message be a late one or a repeated one. */
+ * have been repaired since, and the message may be late or a duplicate. */
 static bool snapshot_held(const Replication *replication, const Record *snapshot, bool over)
 {
     uint64_t term;
@@ -80,7 +80,7 @@
         return STATUS_STRANGER;
     if (replication_disk_failed(replication))
         return STATUS_DISK_FAILED;
-    Status status = holder_take(replication, ask->term, ask->holder, &promise, &count);
+    Status status = leader_accept(replication, ask->term, ask->holder, &promise, &count);
     if (status != STATUS_OK)
         return status;
     if (ask->snapshot.kind != RECORD_SNAPSHOT)
@@ -89,11 +89,11 @@
         return journal_write(replication->journal, &promise, count); /* syncs also what the journal was given before */
     Record whole;
     status = snapshot_piece_take(replication, ask, &whole);
-    if (status != STATUS_OK) { /* nothing has changed yet but the promise */
+    if (status != STATUS_OK) { /* only the promise has changed */
         const Status written = journal_write(replication->journal, &promise, count);
         return written == STATUS_OK ? status : written;
     }
-    Filling *incoming_snapshot =
+    IncomingSnapshot *incoming_snapshot =
         replication->incoming_snapshot; /* another may begin to arrive while the disk is waited for */
     replication->incoming_snapshot = NULL;
     status = voter_replace(replication, &whole, NULL, 0);
@@ -101,7 +101,7 @@
     return status == STATUS_OK && ask->term != replication->lock.promised ? STATUS_OLD_TERM : status;
 }
 
-/* Whether the log would get shorter within one history: that must never be. */
+/* Whether the log would get shorter within one history, which must never happen. */
 static bool goes_back(const Replication *replication, const Record *snapshot, size_t entry_count)
 {
     uint64_t term;
@@ -109,7 +109,7 @@
            log_term_at(replication->log, snapshot->index, &term) && term == snapshot->term;
 }
 
-/* The log in memory, in the place of the whole former one. The snapshot has been loaded. */
+/* Replaces the whole log in memory. The snapshot has been loaded into the state machine. */
 static void log_replace(Replication *replication, const Record *snapshot, const Record *entries, size_t entry_count)
 {
     Log *log = replication->log;
@@ -127,7 +127,7 @@
     replication_reread(replication);
 }
 
-/* An empty disk has become one of the cluster that its messages come from. */
+/* An empty disk becomes part of the cluster that its messages come from. */
 static void cluster_join(Replication *replication)
 {
     replication->cluster = rpc_cluster(replication->settings.rpc);
@@ -157,6 +157,6 @@
     const Record *records = replication_records(replication, mem, &record_count);
     status = journal_rewrite(replication->journal, records, record_count);
     talloc_free(mem);
-    signal_raise(replication->loop, &replication->updates);
+    signal_raise(replication->loop, &replication->changed);
     return status;
 }
--- a/packages/replication/src/learners.c
+++ b/packages/replication/src/learners.c
@@ -8,10 +8,10 @@
 
 int64_t replication_back_ms(const Replication *replication)
 {
-    return replication->settings.voter_back_ms > 0 ? replication->settings.voter_back_ms : VOTER_GONE_MS;
+    return replication->settings.voter_back_ms > 0 ? replication->settings.voter_back_ms : VOTER_REPLACE_MS;
 }
 
-/* One that is leaving may follow as well: so it learns that its vote has been given to another. */
+/* A controller that is leaving may follow as well: so a former voter learns that it has been removed. */
 bool learner_may_follow(const Replication *replication, const Member *row)
 {
     return row->record.role == ROLE_CONTROLLER && row->record.disk != 0 &&
@@ -32,7 +32,7 @@
 {
     Learner *slot = &replication->learners[learner];
     slot->disk = 0;
-    slot->turn++;
+    slot->generation++;
     slot->ready_since_ms = INT64_MAX;
 }
 
@@ -40,7 +40,7 @@
 {
     for (size_t i = 0; i < LEARNER_MOST; i++)
         learner_done(replication, i);
-    replication->learners_turn = replication->lead_turn;
+    replication->learners_generation = replication->lead_generation;
 }
 
 /* Gives the slot to the disk, and spawns the tasks that replicate to it and renew its grants. */
@@ -48,7 +48,7 @@
 {
     Learner *slot = &replication->learners[learner];
     const int place = VOTER_MOST + (int)learner;
-    *slot = (Learner){disk, slot->turn + 1, loop_now_ms(replication->loop), INT64_MAX};
+    *slot = (Learner){disk, slot->generation + 1, loop_now_ms(replication->loop), INT64_MAX};
     replication->peers[place] = (Peer){
         .next_index = log_last_index(replication->log) + 1, .renewed_ms = INT64_MIN, .append_since_ms = INT64_MAX};
     lead_renew(replication, place);
@@ -70,7 +70,7 @@
     return since_ms != INT64_MAX && loop_now_ms(replication->loop) - since_ms > replication_back_ms(replication);
 }
 
-/* Notes since when each learner has been ready. */
+/* Records since when each learner has been ready. */
 static void ready_mark(Replication *replication)
 {
     for (size_t i = 0; i < LEARNER_MOST; i++) {
@@ -82,7 +82,7 @@
     }
 }
 
-/* A free slot for the disk; -1: none. One that has not become ready in time makes way. */
+/* A slot for the disk; -1: none. When none is free, that of a learner that has not become ready in time. */
 static int slot_for(Replication *replication, uint64_t disk)
 {
     for (int i = 0; i < LEARNER_MOST; i++)
@@ -102,7 +102,7 @@
 
 void learners_follow(Replication *replication)
 {
-    if (replication->learners_turn != replication->lead_turn)
+    if (replication->learners_generation != replication->lead_generation)
         learners_clear(replication);
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         const Member *row = members_find_disk(replication->settings.members, replication->learners[i].disk);
--- a/packages/replication/src/lease.c
+++ b/packages/replication/src/lease.c
@@ -1,5 +1,4 @@
-/* The leader's lease: what it allows the leader to say and to decide, and the task for each peer that
- * renews it. */
+/* The leader's lease: what it allows the leader to do, and the task for each peer that renews it. */
 #include <talloc.h>
 
 #include "clock.h"
@@ -11,29 +10,29 @@
 #include "voter_list.h"
 #include "voters.h"
 
-bool replication_orders(const Replication *replication)
+bool replication_may_order(const Replication *replication)
 {
     return replication->phase == REPLICATION_LEADING &&
            loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);
 }
 
-bool wide_enough(const Replication *replication)
+bool view_wide_enough(const Replication *replication)
 {
     size_t copies = 0;
     for (int i = 0; i < VOTER_MOST; i++)
-        copies += replication->in_configuration[i];
+        copies += replication->in_view[i];
     return copies >= lock_majority(voters_wanted(replication));
 }
 
 bool replication_leading(const Replication *replication)
 {
-    return replication_orders(replication) && wide_enough(replication);
+    return replication_may_order(replication) && view_wide_enough(replication);
 }
 
 bool replication_leased(const Replication *replication)
 {
     return (replication->phase == REPLICATION_LEADING ||
-            (replication->phase == REPLICATION_OPENING && replication->reopening)) &&
+            (replication->phase == REPLICATION_ELECTING && replication->reelecting)) &&
            loop_now_ms(replication->loop) < lock_lease_until(&replication->lease);
 }
 
@@ -42,7 +41,7 @@
     const int64_t now_ms = loop_now_ms(replication->loop);
     /* a restarted voter may have forgotten what it granted: until that has lapsed it must not
      * say that it knows no leader */
-    return lock_held(&replication->lock, now_ms) || now_ms < replication->lock.not_before_ms || replication->holding;
+    return lock_held(&replication->lock, now_ms) || now_ms < replication->lock.not_before_ms || replication->has_lease;
 }
 
 void lease_granted(Replication *replication, int slot, int64_t sent_ms, uint64_t contact)
@@ -53,8 +52,8 @@
     contact_granted(replication, slot, contact);
 }
 
-/* Waits. Asks the peer for nothing but an answer (a look, of term 0). Whether it answered. */
-static bool heard(Replication *replication, const Lead *lead, const char *address)
+/* Waits. Asks the peer only for an answer (MESSAGE_PROPOSE with term 0). Whether it answered. */
+static bool peer_answers(Replication *replication, const Lead *lead, const char *address)
 {
     void *mem = talloc_new(replication);
     const ProposeAsk ask = {0, replication->disk, lead->disk, log_last_term(replication->log),
@@ -69,7 +68,7 @@
     return reached;
 }
 
-/* Waits. One renewal: a grant counts from when the question was sent. */
+/* Waits. One renewal: a grant counts from when the request was sent. */
 static Status renew_one(Replication *replication, const Lead *lead, const char *address, int64_t sent_ms)
 {
     void *mem = talloc_new(replication);
@@ -94,8 +93,8 @@
     return status;
 }
 
-/* A voter that hears the leader while the leader does not hear it must not go on granting the
- * lease: one that left a renewal unanswered is first asked for an answer alone. */
+/* A peer that hears the leader while the leader does not hear it must not go on granting the lease: after an
+ * unanswered renewal it is first asked only for an answer (doubt). */
 static void renew_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
@@ -106,7 +105,7 @@
     while (!lead_peer_over(&lead)) {
         const int64_t sent_ms = loop_now_ms(replication->loop);
         char address[ADDRESS_MAX];
-        /* appends renew the lease as well; clock and leader's name are sent with renewals alone */
+        /* appends renew the lease as well; the clock and the leader's id are sent with renewals only */
         const int64_t last_ms = replication->peers[lead.slot].renewed_ms;
         if (lead.disk != replication->disk && last_ms != INT64_MIN && asked_ms != INT64_MIN &&
             sent_ms - last_ms < LOCK_RENEW_MS && sent_ms - asked_ms < LOCK_NOTIFY_MS &&
@@ -121,16 +120,16 @@
         } else if (voter_address(replication, lead.slot, address)) {
             Status status = STATUS_EXPIRED;
             if (doubt) {
-                doubt = !heard(replication, &lead, address);
+                doubt = !peer_answers(replication, &lead, address);
             } else {
                 asked_ms = sent_ms;
                 status = renew_one(replication, &lead, address, sent_ms);
                 doubt = !poll_reached(status);
             }
             if (asked_ms != sent_ms && !doubt)
-                continue; /* it answers again: renew now */
+                continue; /* it answers again: renew at once */
             if (status == STATUS_OK && !lead_peer_over(&lead) && contact_owed(replication, lead.slot))
-                continue; /* another round of contact was asked for meanwhile */
+                continue; /* another contact round was requested meanwhile */
         }
         const int64_t took_ms = loop_now_ms(replication->loop) - sent_ms;
         contact_rest(replication, lead.slot, took_ms < LOCK_RENEW_MS ? LOCK_RENEW_MS - took_ms : 1);
--- a/packages/replication/src/lease.h
+++ b/packages/replication/src/lease.h
@@ -5,16 +5,16 @@
 
 /* The leader's lease (the paper's lock), see lock/lock.h for why at most one node has it. */
 
-/* Whether this node leads by its own clock and may order entries. The outside may still be
- * told that it does not, see wide_enough. */
-bool replication_orders(const Replication *replication);
+/* Whether this node leads by its own clock and may order entries. Unlike replication_leading it does not require
+ * view_wide_enough. */
+bool replication_may_order(const Replication *replication);
 /* Whether the view has enough voters for an acknowledgement: one more than the losses to be
- * borne, however many voters there are just now. */
-bool wide_enough(const Replication *replication);
-/* The peer at the slot grants the lease, in answer to a question that was sent at sent_ms,
- * when the rounds of contact up to this one had been asked for. */
+ * borne, however many voters there are at the moment. */
+bool view_wide_enough(const Replication *replication);
+/* The peer at the slot grants the lease, in answer to a request that was sent at sent_ms, when contact was the
+ * newest contact round. */
 void lease_granted(Replication *replication, int slot, int64_t sent_ms, uint64_t contact);
-/* Spawns the task that renews the lease at the peer at the slot, the own voter included. */
+/* Spawns the task that renews the lease at the peer at the slot; also for this node's own place. */
 void lead_renew(Replication *replication, int slot);
 
 #endif
--- a/packages/replication/src/log.c
+++ b/packages/replication/src/log.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define LOG_CAPACITY_FIRST 256 /* count; entries that a log has room for at first */
+#define LOG_CAPACITY_FIRST 256 /* count; entries that memory is allocated for at first */
 
 Log *log_new(void *mem)
 {
@@ -76,20 +76,20 @@
 
 void log_rebase(Log *log, const Record *snapshot)
 {
-    size_t gone = 0;
+    size_t dropped = 0;
     if (snapshot->index >= log->base_index)
-        gone = (size_t)(snapshot->index - log->base_index);
-    if (gone > log->count)
-        gone = log->count;
-    for (size_t i = 0; i < gone; i++) {
+        dropped = (size_t)(snapshot->index - log->base_index);
+    if (dropped > log->count)
+        dropped = log->count;
+    for (size_t i = 0; i < dropped; i++) {
         log->bytes -= log->entries[i].payload.count;
         talloc_free(log->owners[i]);
     }
-    if (gone < log->count) {
-        memmove(log->entries, log->entries + gone, (log->count - gone) * sizeof(*log->entries));
-        memmove(log->owners, log->owners + gone, (log->count - gone) * sizeof(*log->owners));
+    if (dropped < log->count) {
+        memmove(log->entries, log->entries + dropped, (log->count - dropped) * sizeof(*log->entries));
+        memmove(log->owners, log->owners + dropped, (log->count - dropped) * sizeof(*log->owners));
     }
-    log->count -= gone;
+    log->count -= dropped;
     if (log->snapshot.payload.data != NULL)
         talloc_free(log->snapshot.payload.data);
     log->snapshot = *snapshot;
--- a/packages/replication/src/membership.c
+++ b/packages/replication/src/membership.c
@@ -16,12 +16,12 @@
     return live;
 }
 
-int membership_bears(const MemberState *voters, size_t count)
+int membership_losses_borne(const MemberState *voters, size_t count)
 {
     return (int)live_count(voters, count) - (int)lock_majority(count);
 }
 
-/* How many voters the zone has, but for those that are leaving. */
+/* How many voters the zone has, without those that are leaving. */
 static size_t beside(const Membership *now, const char *zone)
 {
     size_t count = 0;
@@ -54,21 +54,21 @@
     return best;
 }
 
-/* A voter that is gone is removed before another is added: the shorter list bears as many losses and
+/* A lost voter is removed before another is added: the shorter list bears as many losses and
  * needs fewer voters for a majority. */
-static MembershipChange gone_removed(const Membership *now, size_t ready_count)
+static MembershipChange lost_removed(const Membership *now, size_t ready_count)
 {
     for (size_t i = 0; i < now->voter_count; i++) {
         const MemberState *voter = &now->voters[i];
         const bool replaced = ready_count > 0 || now->voter_count > now->wanted;
-        if (voter->gone && !voter->self && replaced &&
+        if (voter->lost && !voter->self && replaced &&
             live_count(now->voters, now->voter_count) >= lock_majority(now->voter_count - 1))
             return (MembershipChange){MEMBERSHIP_REMOVE, i};
     }
     return KEEP;
 }
 
-/* Whether voter a is rather to be removed than voter b. */
+/* Whether voter a should be removed rather than voter b. */
 static bool goes_before(const Membership *now, const MemberState *a, const MemberState *b)
 {
     if (a->leaving != b->leaving)
@@ -87,7 +87,7 @@
     return leaves;
 }
 
-/* There is one voter more than wanted only while one is replaced: the one that is to go is removed. */
+/* There is one voter more than wanted only while one is being replaced: the replaced one is removed. */
 static MembershipChange surplus_removed(const Membership *now)
 {
     size_t worst = NONE;
@@ -116,8 +116,8 @@
     return ready_count >= needed ? added(now, best_learner(now, false)) : KEEP;
 }
 
-/* A learner is added for a voter that is leaving, or for one of a zone that has too many: after the loss
- * of a zone its votes are those of the others, and go back when it returns. */
+/* A learner is added as successor of a voter that is leaving, or of one in a zone that has too many voters: after the
+ * loss of a zone the voters are in the other zones, and they are spread again when it returns. */
 static MembershipChange successor_added(const Membership *now)
 {
     bool any_leaves = false, all_live = true;
@@ -140,14 +140,14 @@
     size_t ready_count = 0;
     for (size_t i = 0; i < now->learner_count; i++)
         ready_count += may_be_added(&now->learners[i]);
-    /* one that is missing is added before the next one gone is removed: with fewer voters than wanted,
-     * fewer disks would hold what is acknowledged */
+    /* a missing voter is added before the next lost one is removed: with fewer voters than wanted, what is acknowledged
+     * would be on fewer disks */
     const MembershipChange missing = now->voter_count < now->wanted ? missing_added(now, ready_count) : KEEP;
     if (missing.step != MEMBERSHIP_KEEP)
         return missing;
-    const MembershipChange gone = gone_removed(now, ready_count);
-    if (gone.step != MEMBERSHIP_KEEP || now->voter_count < now->wanted)
-        return gone;
+    const MembershipChange lost = lost_removed(now, ready_count);
+    if (lost.step != MEMBERSHIP_KEEP || now->voter_count < now->wanted)
+        return lost;
     if (now->voter_count > now->wanted)
         return surplus_removed(now);
     return successor_added(now);
--- a/packages/replication/src/new_term.c
+++ b/packages/replication/src/new_term.c
@@ -1,4 +1,4 @@
-/* Opening a term once its promises are there: the new leader takes the best log of its voters over,
+/* The second half of an election, once a majority has promised: the new leader copies the best log of its voters,
  * orders the first entry of its term, and leads when that is committed. */
 #include <assert.h>
 #include <inttypes.h>
@@ -11,13 +11,13 @@
 #include "lease.h"
 #include "replicate.h"
 #include "state.h"
-#include "configuration_change.h"
+#include "view_change.h"
 #include "voter.h"
 #include "voter_list.h"
 
-#define GAIN_LOOK_MS 100 /* ms; a new leader looks so often whether its voters gain */
+#define GAIN_LOOK_MS 100 /* ms; how often a new leader checks whether its voters catch up */
 
-/* Waits. Makes the own log equal to that of the voter at the place. */
+/* Waits. Makes this node's log equal to that of the voter at the place. */
 static Status log_adopt(Replication *replication, int voter)
 {
     char address[ADDRESS_MAX];
@@ -48,66 +48,66 @@
     return status;
 }
 
-/* The lease is won: it is renewed from here on. */
-static void lease_begin(const Opening *opening)
+/* The lease is won: tasks renew it from here on. */
+static void lease_begin(const Election *election)
 {
-    Replication *replication = opening->replication;
-    replication->term = opening->term;
+    Replication *replication = election->replication;
+    replication->term = election->term;
     if (!replication->clock_runs) /* no log has a time yet */
         replication_clock_set(replication, replication->clock_base_ms);
-    if (opening->new_holder)
+    if (election->new_holder)
         replication->won_ms = loop_now_ms(replication->loop);
-    replication->holding = true;
+    replication->has_lease = true;
     replication->restarted_since_ms = 0;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
             lead_renew(replication, i);
 }
 
-/* Waits. Takes the best log over, when that is another's. Any status but OK: the lead is over. */
-static Status best_adopt(Opening *opening)
+/* Waits. Copies the best log, when another voter has it. Any status but OK: the lead is over. */
+static Status best_adopt(Election *election)
 {
-    Replication *replication = opening->replication;
-    if (replication->voters[opening->best] == replication->disk)
+    Replication *replication = election->replication;
+    if (replication->voters[election->best] == replication->disk)
         return STATUS_OK;
-    const Status status = log_adopt(replication, opening->best);
+    const Status status = log_adopt(replication, election->best);
     /* that log may have another list of voters: the promises must be a majority of those too */
     for (int i = 0; i < VOTER_MOST; i++) {
-        opening->in_configuration[i] &= replication->voters[i] == opening->promised[i];
-        if (replication->voters[i] != 0 && replication->voters[i] != opening->promised[i] &&
-            !lead_over(replication, opening->turn))
+        election->in_view[i] &= replication->voters[i] == election->promised[i];
+        if (replication->voters[i] != 0 && replication->voters[i] != election->promised[i] &&
+            !lead_over(replication, election->generation))
             lead_renew(replication, i);
     }
     const int own = replication_own_voter(replication);
-    const bool lost = promised_count(replication, opening->in_configuration) < replication_majority(replication) ||
-                      own < 0 || !opening->in_configuration[own];
-    if (!lead_over(replication, opening->turn) && status == STATUS_OK && !lost)
+    const bool lost = promised_count(replication, election->in_view) < replication_majority(replication) || own < 0 ||
+                      !election->in_view[own];
+    if (!lead_over(replication, election->generation) && status == STATUS_OK && !lost)
         return STATUS_OK;
     const Status why = lost ? STATUS_OTHER_HOLDER : status != STATUS_OK ? status : STATUS_NOT_LEADER;
-    if (!lead_over(replication, opening->turn))
+    if (!lead_over(replication, election->generation))
         lead_down(replication, 0);
     return why;
 }
 
-/* Orders the first entry of the term, and has it sent to all voters with all before it. */
-static void entry_order(const Opening *opening)
+/* Orders the first entry of the term, and starts the tasks that replicate the log to all voters. */
+static void entry_order(const Election *election)
 {
-    Replication *replication = opening->replication;
+    Replication *replication = election->replication;
     /* what the journal was given before is synced before what follows; what an earlier lead had not
      * given it yet is written now */
     replication->synced_index = replication->queued_index;
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->peers[i].next_index > log_last_index(replication->log) + 1)
             replication->peers[i].next_index = log_last_index(replication->log) + 1;
-    lead_view_entry(replication, opening->in_configuration, opening->repair);
+    view_entry_add(replication, election->in_view, election->repair);
     lead_local(replication);
     for (int i = 0; i < VOTER_MOST; i++)
         if (replication->voters[i] != 0)
             lead_peer(replication, i);
 }
 
-/* Grows while any voter comes nearer to the end of the log. */
-static uint64_t gained_sum(const Replication *replication)
+/* A number that grows while any voter catches up. */
+static uint64_t progress_sum(const Replication *replication)
 {
     uint64_t sum = replication->synced_index;
     for (int i = 0; i < VOTER_MOST; i++)
@@ -115,27 +115,27 @@
     return sum;
 }
 
-/* Waits until the first entry is committed. A voter that lags is waited for while it gains. */
-static Status entry_committed(const Opening *opening)
+/* Waits until the first entry is committed. A voter that lags is waited for as long as it catches up. */
+static Status entry_committed(const Election *election)
 {
-    Replication *replication = opening->replication;
+    Replication *replication = election->replication;
     int64_t until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
-    uint64_t gained = 0;
-    while (replication->commit_index < replication->replication_index) {
-        if (!signal_wait(replication->loop, &replication->updates, loop_now_ms(replication->loop) + GAIN_LOOK_MS) &&
-            !lead_over(replication, opening->turn)) {
-            const uint64_t sum = gained_sum(replication);
-            if (sum != gained) {
-                gained = sum;
+    uint64_t last_sum = 0;
+    while (replication->commit_index < replication->term_entry_index) {
+        if (!signal_wait(replication->loop, &replication->changed, loop_now_ms(replication->loop) + GAIN_LOOK_MS) &&
+            !lead_over(replication, election->generation)) {
+            const uint64_t sum = progress_sum(replication);
+            if (sum != last_sum) {
+                last_sum = sum;
                 until_ms = loop_now_ms(replication->loop) + ELECTION_STEP_TIMEOUT_MS;
             }
         }
-        if (lead_over(replication, opening->turn))
+        if (lead_over(replication, election->generation))
             return STATUS_NOT_LEADER;
         if (loop_now_ms(replication->loop) > until_ms ||
             loop_now_ms(replication->loop) > lock_lease_until(&replication->lease)) {
             recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                           "view %" PRIu64 " did not come about", term_counter(opening->term));
+                           "view %" PRIu64 " did not come about", term_counter(election->term));
             lead_down(replication, 0);
             return STATUS_EXPIRED;
         }
@@ -144,47 +144,46 @@
 }
 
 /* The first entry is committed: this node leads. */
-static void lead_begin(const Opening *opening)
+static void lead_begin(const Election *election)
 {
-    Replication *replication = opening->replication;
-    assert(replication->commit_index >= replication->replication_index);
+    Replication *replication = election->replication;
+    assert(replication->commit_index >= replication->term_entry_index);
     if (replication->settings.opened != NULL)
-        replication->settings.opened(replication->settings.opened_arg, opening->term, opening->new_holder,
+        replication->settings.opened(replication->settings.opened_arg, election->term, election->new_holder,
                                      replication->last.repair);
     replication->phase = REPLICATION_LEADING;
     replication->changed_ms = loop_now_ms(replication->loop);
-    replication->configuration_changes++;
-    members_set_leader(replication->settings.members, opening->term, members_self(replication->settings.members)->id);
-    if (opening->new_holder)
+    replication->view_changes++;
+    members_set_leader(replication->settings.members, election->term, members_self(replication->settings.members)->id);
+    if (election->new_holder)
         members_announce(replication->settings.members);
     recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
-                   "leads view %" PRIu64 " with %zu seats%s", term_counter(opening->term),
-                   promised_count(replication, replication->in_configuration),
-                   replication->last.repair ? ", repairs" : "");
-    signal_raise(replication->loop, &replication->updates);
+                   "leads view %" PRIu64 " with %zu seats%s", term_counter(election->term),
+                   promised_count(replication, replication->in_view), replication->last.repair ? ", repairs" : "");
+    signal_raise(replication->loop, &replication->changed);
 }
 
-Status replication_open(Replication *replication, const bool skip[VOTER_MOST])
+Status election_run(Replication *replication, const bool skip[VOTER_MOST])
 {
-    Opening opening = {.replication = replication,
-                       .turn = ++replication->lead_turn,
-                       .skip = skip,
-                       .new_holder = !replication->holding,
-                       .best = -1};
-    replication->phase = REPLICATION_OPENING;
-    replication->reopening = !opening.new_holder;
-    Status status = election_hear(&opening);
+    Election election = {.replication = replication,
+                         .generation = ++replication->lead_generation,
+                         .skip = skip,
+                         .new_holder = !replication->has_lease,
+                         .best = -1};
+    replication->phase = REPLICATION_ELECTING;
+    replication->reelecting = !election.new_holder;
+    Status status = election_prevote(&election);
     if (status == STATUS_OK)
-        status = election_promises(&opening);
+        status = election_promises(&election);
     if (status != STATUS_OK)
         return status;
-    lease_begin(&opening);
-    status = best_adopt(&opening);
+    lease_begin(&election);
+    status = best_adopt(&election);
     if (status != STATUS_OK)
         return status;
-    entry_order(&opening);
-    status = entry_committed(&opening);
+    entry_order(&election);
+    status = entry_committed(&election);
     if (status == STATUS_OK)
-        lead_begin(&opening);
+        lead_begin(&election);
     return status;
 }
--- a/packages/replication/src/poll.c
+++ b/packages/replication/src/poll.c
@@ -1,4 +1,4 @@
-/* Asking all voters at once: one task for each, so that a silent one costs no more than its time-out. */
+/* Asking all voters at once, with one task for each, so that a silent one delays the poll by its time-out only. */
 #include <talloc.h>
 
 #include "poll.h"
@@ -77,7 +77,7 @@
         (ProposeAsk){term, replication->disk, 0, log_last_term(replication->log), log_last_index(replication->log)};
     poll->users = 1;
     poll_spawn(poll, skip);
-    /* the own disk is not waited for without end either */
+    /* the wait for the own disk is bounded, too */
     int64_t until_ms = loop_now_ms(replication->loop) + ASK_TIMEOUT_MS + ASK_TIMEOUT_MS / 4;
     const size_t needed = replication_majority(replication);
     bool majority = false;
--- a/packages/replication/src/poll.h
+++ b/packages/replication/src/poll.h
@@ -3,28 +3,28 @@
 
 #include "replication/replication.h"
 
-/* Asking all voters at once. */
+/* Asking all voters at once: the pre-vote and the promises of an election. */
 
-/* The answers, by place. Freed by whichever of the asking task and the asked ones ends last. */
+/* The answers, by place. Freed by whichever ends last: the asking task, or the tasks for the single voters. */
 typedef struct Poll {
     Replication *replication;
     ProposeAsk ask;
     size_t users;               /* tasks that use it */
     int pending;                /* voters whose answer is missing */
-    Signal ended;               /* one more answer, or none for good */
-    uint64_t disks[VOTER_MOST]; /* asked; 0: none at that place */
+    Signal ended;               /* raised when one more voter has answered or failed to */
+    uint64_t disks[VOTER_MOST]; /* who is asked; 0: nobody at that place */
     Status status[VOTER_MOST];
     VoterAnswer answers[VOTER_MOST];
     int64_t sent_ms[VOTER_MOST];
 } Poll;
 
-/* Waits until all have answered or can't be reached. Once a majority has answered, and none of them
- * has lost anything by a restart, it waits POLL_GRACE_MS more at most. term: the term to be promised; 0:
- * only a look. skip: places that are not asked. Ends with poll_leave. */
+/* Waits until all have answered or failed to. Once a majority has answered, and none of them has lost anything by a
+ * restart, it waits POLL_GRACE_MS more at most. term: the term to be promised; 0: a pre-vote. skip: places that are not
+ * asked. The caller ends its use by poll_leave. */
 Poll *poll_voters(Replication *replication, uint64_t term, const bool skip[VOTER_MOST]);
-/* The asking task is done with it. */
+/* Ends the use of the poll by the asking task. */
 void poll_leave(Poll *poll);
-/* Whether the status is the voter's own answer, a refusal included; not one of the transport. */
+/* Whether the status is the voter's own answer, a refusal included, and not an error of the transport. */
 bool poll_reached(Status status);
 
 #endif
--- a/packages/replication/src/promise.c
+++ b/packages/replication/src/promise.c
@@ -8,14 +8,14 @@
 #include "voter.h"
 #include "voter_list.h"
 
-/* Takes a higher term as promised, and gives the own lead up. The record must be synced before
- * anything is answered in that term. */
+/* Promises a term, and gives up the lead if this node has it. The returned record must be synced before anything is
+ * answered in that term. */
 static Record promise_take(Replication *replication, uint64_t term, uint64_t holder)
 {
     assert(term >= replication->lock.promised);
     lock_promise(&replication->lock, term, holder);
     replication->verified_index = 0;
-    if ((replication->holding || replication->phase != REPLICATION_FOLLOWING) && holder != replication->disk)
+    if ((replication->has_lease || replication->phase != REPLICATION_FOLLOWING) && holder != replication->disk)
         lead_down(replication, 0);
     return (Record){.kind = RECORD_PROMISE, .term = term, .index = holder, .name = ""};
 }
@@ -29,11 +29,11 @@
 
 Status voter_propose(Replication *replication, const ProposeAsk *ask)
 {
-    /* an asker that is not in the own list of voters was added later than the own log goes, or was
+    /* an asker that is not in the own list of voters was added by an entry after the end of the own log, or was
      * removed */
     const bool later = asker_ahead(replication, ask);
     const bool stranger = replication_voter_of(replication, ask->holder) < 0 && !later;
-    if (ask->term == 0) /* only a look */
+    if (ask->term == 0) /* a pre-vote */
         return stranger && replication->cluster != 0 && replication->list_index <= replication->commit_index
                    ? STATUS_NO_VOTER
                    : STATUS_OK;
@@ -55,15 +55,15 @@
     return lock_renew(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop));
 }
 
-Status holder_take(Replication *replication, uint64_t term, uint64_t holder, Record *records, size_t *count)
+Status leader_accept(Replication *replication, uint64_t term, uint64_t holder, Record *records, size_t *count)
 {
     if (term < replication->lock.promised)
         return STATUS_OLD_TERM;
     if (term == replication->lock.promised && holder != replication->lock.holder)
         return STATUS_OTHER_HOLDER;
     if (term == replication->lock.promised) {
-        /* an election of this node's own, under way, was begun with a log that is changing now */
-        if (replication->phase == REPLICATION_OPENING && !replication->holding && holder != replication->disk)
+        /* an election of this node that is under way began with a log that changes now */
+        if (replication->phase == REPLICATION_ELECTING && !replication->has_lease && holder != replication->disk)
             lead_down(replication, 0);
         return STATUS_OK;
     }
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -1,5 +1,5 @@
-/* Changes of membership: the leader adds or removes one voter after another, each by a committed entry,
- * as membership.h chooses, until there are as many voters as the settings want. */
+/* Changes of the list of voters: the leader adds or removes one voter after another, each by a committed entry, as
+ * membership_next chooses, until there are as many voters as the settings want. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -28,12 +28,12 @@
     ChangeResult result;
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                    "voter %016" PRIx64 " is removed", replication->voters[place]);
-    /* where it fails, the next look at the members chooses again */
+    /* where it fails, the next check chooses again */
     (void)replication_submit(replication, REPLICATION_CHANGE_VOTERS, list_pack(replication, mem, place, 0), &result);
     talloc_free(mem);
 }
 
-/* A place that nobody has; -1: none. */
+/* A vacant place; -1: none. */
 static int place_free(const Replication *replication)
 {
     for (int i = 0; i < VOTER_MOST; i++)
@@ -42,8 +42,8 @@
     return -1;
 }
 
-/* Waits until the list with the learner as a voter is committed. What the leader knows of the learner
- * holds for the voter: replication and lease go on from there. */
+/* Waits until the list with the learner as a voter is committed. Replication and lease go on with what the leader knew
+ * of the learner. */
 static void voter_add(Replication *replication, size_t learner)
 {
     const int place = place_free(replication);
@@ -62,48 +62,48 @@
     lead_peer(replication, place);
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                    "seat %d of %zu is given to disk %016" PRIx64, place + 1, replication->voter_count, disk);
-    (void)replication_settle(replication); /* where it fails, the next look at the members waits for the commit */
+    (void)replication_barrier(replication); /* where it fails, the next check waits for the commit */
 }
 
-/* Waits. What is known of the others may be as old as a renewal of the lease. Before a change they are
- * asked once more, for one that counts on a member that was just lost might never be committed.
- * Answers age too: a round of contact is short, and longer only where too few have answered in it. */
-static void look_fresh(Replication *replication, Look *look)
+/* Waits. What is known of the others may be as old as a renewal of the lease. Before a change they are asked once more,
+ * for a change that counts on a member that was just lost might never be committed. A contact round is short, so that
+ * its answers are recent, and longer only where too few have answered the last one. */
+static void membership_gather_fresh(Replication *replication, MembershipInput *input)
 {
-    const int64_t most_ms = replication->ask_ms > 0 ? replication->ask_ms : POLL_GRACE_MS;
+    const int64_t most_ms = replication->contact_most_ms > 0 ? replication->contact_most_ms : POLL_GRACE_MS;
     const uint64_t contact = contact_members(replication, most_ms);
-    look_take(replication, contact, look);
-    if (membership_next(&look->now).step != MEMBERSHIP_KEEP)
-        replication->ask_ms = 0;
+    membership_gather(replication, contact, input);
+    if (membership_next(&input->now).step != MEMBERSHIP_KEEP)
+        replication->contact_most_ms = 0;
     else
-        replication->ask_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
+        replication->contact_most_ms = 2 * most_ms < 2 * LOCK_RENEW_MS ? 2 * most_ms : 2 * LOCK_RENEW_MS;
 }
 
-/* Waits. Weighs the next change and makes it. Whether one was tried. A list must be committed before the
- * next one is weighed. */
+/* Waits. Chooses the next change and makes it; a list must be committed before the next change is chosen. Returns
+ * whether a change was tried. */
 static bool membership_tend(Replication *replication)
 {
-    if (!replication_orders(replication)) {
+    if (!replication_may_order(replication)) {
         learners_clear(replication);
         return false;
     }
     learners_follow(replication);
     if (replication->list_index > replication->commit_index)
         return false;
-    Look look;
-    look_take(replication, 0, &look);
-    if (membership_next(&look.now).step == MEMBERSHIP_KEEP)
+    MembershipInput input;
+    membership_gather(replication, 0, &input);
+    if (membership_next(&input.now).step == MEMBERSHIP_KEEP)
         return false;
-    const uint64_t turn = replication->lead_turn;
-    look_fresh(replication, &look);
-    if (lead_over(replication, turn) || !replication_orders(replication) ||
+    const uint64_t generation = replication->lead_generation;
+    membership_gather_fresh(replication, &input);
+    if (lead_over(replication, generation) || !replication_may_order(replication) ||
         replication->list_index > replication->commit_index)
         return false;
-    const MembershipChange change = membership_next(&look.now);
+    const MembershipChange change = membership_next(&input.now);
     if (change.step == MEMBERSHIP_REMOVE)
-        voter_remove(replication, look.places[change.index]);
+        voter_remove(replication, input.places[change.index]);
     else if (change.step == MEMBERSHIP_ADD)
-        voter_add(replication, look.slots[change.index]);
+        voter_add(replication, input.slots[change.index]);
     return change.step != MEMBERSHIP_KEEP;
 }
 
@@ -120,7 +120,7 @@
 {
     Replication *replication = arg;
     while (!loop_stopping(replication->loop)) {
-        /* one change follows another at once: between them there may be fewer voters than are wanted */
+        /* the next change follows at once: there may be fewer voters than wanted in between */
         const int64_t rest_ms = membership_tend(replication)    ? 1
                                 : learners_pending(replication) ? MEMBERSHIP_SOON_MS
                                                                 : MEMBERSHIP_LOOK_MS;
--- a/packages/replication/src/reconfigure.h
+++ b/packages/replication/src/reconfigure.h
@@ -3,7 +3,7 @@
 
 #include "replication/replication.h"
 
-/* Spawns the task by which the leader keeps the number of voters wanted, one committed change
+/* Spawns the task by which the leader adds and removes voters until there are as many as wanted, one committed change
  * of the list at a time (Raft: single-server membership changes). */
 void voters_start(Replication *replication);
 
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -1,6 +1,5 @@
-/* Recovery: what a process finds in its journal at its start. A journal that is not whole counts for
- * nothing: the node comes back with a new, empty disk, which has promised nothing and never founds a
- * cluster. */
+/* Recovery: reading the journal at the start of a process. A journal that is not whole is not used: the node continues
+ * with a new, empty disk, which has promised nothing and never founds a cluster. */
 #include <inttypes.h>
 #include <talloc.h>
 
@@ -13,7 +12,7 @@
 /* A journal that is being read. */
 typedef struct Reading {
     Replication *replication;
-    Failure failure; /* what is wrong with the journal's records, each of which is good by itself */
+    Failure failure; /* what is wrong with the records together; each is valid by itself */
 } Reading;
 
 /* The cluster, and the list of voters that it was founded with. */
@@ -94,7 +93,7 @@
     return STATUS_OK;
 }
 
-/* As if nothing had been read. */
+/* Undoes disk_read. */
 static void disk_forget(Replication *replication)
 {
     talloc_free(replication->log);
@@ -131,7 +130,7 @@
         return failure_set(failure, status, "%s", read.text);
     replication->disk = journal_disk(replication->journal);
     if (journal_counts(replication->journal)->begun_anew)
-        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster of the former disk may live */
+        replication->settings.founds = REPLICATION_FOUNDS_NEVER; /* the cluster of the former disk may still run */
     replication->queued_index = log_last_index(replication->log);
     replication_reread(replication);
     replication->restarted = replication->cluster != 0;
@@ -139,7 +138,7 @@
      * disk that was never part of a cluster has granted nothing. */
     if (replication->cluster != 0)
         replication->lock.not_before_ms = loop_now_ms(replication->loop) + LOCK_GRANT_MS;
-    replication->lock.sure = replication->settings.disks_keep;
+    replication->lock.promise_certain = replication->settings.disks_keep;
     if (replication->cluster != 0)
         rpc_set_cluster(replication->settings.rpc, replication->cluster);
     return STATUS_OK;
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -36,13 +36,13 @@
     return status;
 }
 
-/* The leader's own voter: like the others, but without a message. */
+/* The leader as one of its own voters: it syncs entries like the others, without messages. */
 static void local_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
     Replication *replication = lead.replication;
     talloc_free(arg);
-    while (!lead_over(replication, lead.turn)) {
+    while (!lead_over(replication, lead.generation)) {
         if (replication->synced_index >= log_last_index(replication->log)) {
             signal_wait(replication->loop, &replication->grew, loop_now_ms(replication->loop) + LOCK_RENEW_MS);
             continue;
@@ -50,7 +50,7 @@
         uint64_t up_to;
         const int64_t start_ms = loop_now_ms(replication->loop);
         const Status status = local_write(replication, &up_to);
-        if (lead_over(replication, lead.turn))
+        if (lead_over(replication, lead.generation))
             return;
         if (status != STATUS_OK) {
             recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
@@ -94,8 +94,8 @@
     return ask;
 }
 
-/* The log does not match at the entry before those that were sent: goes back to the end of the
- * peer's log, or else by a step. Before the first entry only a snapshot helps. */
+/* The peer's log does not match at the entry before those that were sent: goes back to the end of the
+ * peer's log, or else by LOG_BACK_STEP. Before the first entry only a snapshot helps. */
 static void peer_go_back(const Replication *replication, Peer *peer, uint64_t peer_last_index)
 {
     const uint64_t first = replication->log->base_index + 1, next = peer->next_index;
@@ -108,7 +108,7 @@
         peer->next_index = next > first + LOG_BACK_STEP ? next - LOG_BACK_STEP : first;
 }
 
-/* How long the append took, whether the log matched or not. */
+/* Records how long the append took, whether the log matched or not. */
 static void peer_took(Peer *peer, int64_t took_ms)
 {
     peer->append_since_ms = INT64_MAX;
@@ -137,7 +137,8 @@
         if (status == STATUS_OK) {
             peer->match_index = match;
             peer->next_index = match + 1;
-            lease_granted(replication, lead->slot, sent_ms, contact); /* who takes an append grants the lease as well */
+            lease_granted(replication, lead->slot, sent_ms,
+                          contact); /* a peer that takes an append grants the lease as well */
             lead_commit(replication);
         } else if (status == STATUS_LOG_GAP) {
             peer_go_back(replication, peer, answer.log_index);
@@ -154,14 +155,14 @@
     return lead->slot >= VOTER_MOST && lead->replication->peers[lead->slot].append_took_ms >= VOTER_SLOW_MS;
 }
 
-/* One task for each other voter, in the view or not, and for each learner. */
+/* The task for one other voter, in the view or not, or for one learner. */
 static void peer_main(void *arg)
 {
     const Lead lead = *(Lead *)arg;
     Replication *replication = lead.replication;
     talloc_free(arg);
     Peer *peer = &replication->peers[lead.slot];
-    bool reported = false; /* it has taken an append in this term */
+    bool matched = false; /* it has taken an append in this term */
     while (!lead_peer_over(&lead)) {
         char address[ADDRESS_MAX];
         if (!voter_address(replication, lead.slot, address)) {
@@ -170,9 +171,9 @@
         }
         if (peer->reinstall || peer->next_index <= replication->log->base_index) {
             install_snapshot_one(replication, &lead, address);
-        } else if (peer->next_index <= log_last_index(replication->log) || !reported || slow_learner(&lead)) {
+        } else if (peer->next_index <= log_last_index(replication->log) || !matched || slow_learner(&lead)) {
             append_one(replication, &lead, address);
-            reported |= peer->match_index + 1 == peer->next_index;
+            matched |= peer->match_index + 1 == peer->next_index;
             /* nobody waits for a learner: it takes several changes in one append */
             if (lead.slot >= VOTER_MOST && peer->next_index > log_last_index(replication->log))
                 loop_sleep(replication->loop, LEARNER_APPEND_MS);
--- a/packages/replication/src/replicate.h
+++ b/packages/replication/src/replicate.h
@@ -7,8 +7,7 @@
 
 /* Spawns the task that syncs the leader's own journal. */
 void lead_local(Replication *replication);
-/* Spawns the task that keeps the log of the peer at the slot up to date; none for the own
- * voter. */
+/* Spawns the task that keeps the log of the peer at the slot up to date; none for this node's own place. */
 void lead_peer(Replication *replication, int slot);
 
 #endif
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -1,4 +1,4 @@
-/* The replicated log of one node: how it is made and started, and its plain readings. */
+/* The replicated log of one node: its construction, its start, and its getters. */
 #include <talloc.h>
 
 #include "disk.h"
@@ -30,7 +30,7 @@
     return replication->cluster;
 }
 
-bool replication_seated(const Replication *replication)
+bool replication_is_voter(const Replication *replication)
 {
     return replication_own_voter(replication) >= 0;
 }
@@ -40,7 +40,7 @@
     return replication->disk;
 }
 
-uint64_t configuration_term(const Replication *replication)
+uint64_t replication_led_term(const Replication *replication)
 {
     return replication->term;
 }
@@ -50,9 +50,9 @@
     return replication->won_ms;
 }
 
-Signal *replication_update(Replication *replication)
+Signal *replication_changed_signal(Replication *replication)
 {
-    return &replication->updates;
+    return &replication->changed;
 }
 
 void replication_step_down(Replication *replication, int64_t rest_ms)
@@ -64,13 +64,13 @@
 {
     replication->settings.members = members;
     voter_serve(replication);
-    /* a leader that has restarted leads no more: its lease is released, so that the others need
-     * not wait it out. Where its promise is known to be the last, it may stand again first. */
+    /* a leader that has restarted leads no more: it releases its lease, so that the others need not wait for the
+     * end of it. Where its promise is certainly the last one, it names itself to stand first. */
     if (replication->lock.promised != 0 && replication->lock.holder == replication->disk &&
-        replication_seated(replication)) {
+        replication_is_voter(replication)) {
         replication->term = replication->lock.promised;
-        replication->named = replication->lock.sure;
-        lead_release(replication, replication->lock.sure ? replication->disk : 0);
+        replication->named_successor = replication->lock.promise_certain;
+        lead_release(replication, replication->lock.promise_certain ? replication->disk : 0);
     }
     replication_watch(replication);
     disk_start(replication);
--- a/packages/replication/src/send_snapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -1,6 +1,6 @@
-/* Sending a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log no entries can make
- * match: whole while it is small, else in pieces, each with a deadline of its own, so that a large
- * state gets through a narrow link and renewals of the lease go between. */
+/* Sending a snapshot (Raft: InstallSnapshot at the leader) to a peer whose log no entries can make match: a small one
+ * whole, else in pieces, each with a deadline of its own, so that a large state gets through a narrow link and renewals
+ * of the lease are sent between the pieces. */
 #include <talloc.h>
 
 #include "leading.h"
@@ -51,8 +51,8 @@
 void install_snapshot_one(Replication *replication, const Lead *lead, const char *address)
 {
     Peer *peer = &replication->peers[lead->slot];
-    /* a peer with another history wants the newest snapshot; but a large one may be partly there, and is
-     * gone on with */
+    /* a peer with another history needs the newest snapshot; but of a large one some pieces may be there already,
+     * and a new one would begin from the start */
     if (replication->log->snapshot.kind != RECORD_SNAPSHOT ||
         (peer->reinstall && replication->log->snapshot.payload.count <= SNAPSHOT_WHOLE_BYTES))
         replication_compact_maybe(replication, true);
--- a/packages/replication/src/serve.c
+++ b/packages/replication/src/serve.c
@@ -1,5 +1,5 @@
-/* The messages that a voter or learner answers. Each names the disk that it is meant for: an address
- * names nobody, since a node with a new disk may stand where another voter stood. */
+/* The requests that a voter or learner answers. Each names the disk that it is meant for, since an address does not
+ * identify a voter: a node with a new disk may listen at the address of an earlier one. */
 #include <string.h>
 #include <talloc.h>
 
@@ -49,7 +49,7 @@
         shape_copy(&Record_shape, log_at(log, i), mem, &answer->entries[answer->entries_count++]);
 }
 
-/* Whether a question for the disk is for the own one; 0: an older release asks, which did not say. */
+/* Whether a request for the disk is meant for this node; 0: from an older release, which did not say. */
 static bool is_for(const Replication *replication, uint64_t to)
 {
     return to == 0 || to == replication->disk;
@@ -92,9 +92,9 @@
         return STATUS_OTHER_DISK;
     if (ask->term == replication->lock.promised && ask->holder == replication->lock.holder) {
         lock_release(&replication->lock, ask->term, ask->holder, loop_now_ms(replication->loop));
-        replication->named = ask->next == replication->disk;
-        /* the others give the one that was named a head start */
-        if (ask->next != 0 && !replication->named &&
+        replication->named_successor = ask->next == replication->disk;
+        /* the others wait, so that the named successor stands first */
+        if (ask->next != 0 && !replication->named_successor &&
             replication->rest_until_ms < loop_now_ms(replication->loop) + HANDED_MS)
             replication->rest_until_ms = loop_now_ms(replication->loop) + HANDED_MS;
         signal_raise(replication->loop, &replication->released);
--- a/packages/replication/src/serve.h
+++ b/packages/replication/src/serve.h
@@ -3,7 +3,7 @@
 
 #include "replication/replication.h"
 
-/* What this node is as a voter, sent with each answer; lists on mem. */
+/* What a voter or learner says of itself with each answer; lists on mem. */
 void voter_describe(const Replication *replication, void *mem, VoterAnswer *answer);
 /* Registers the handlers of all messages of the replicated log. */
 void voter_serve(Replication *replication);
--- a/packages/replication/src/snapshot.c
+++ b/packages/replication/src/snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshots: the state of the state machine in the place of the entries that led to it, which bounds the
+/* Snapshots: the state of the state machine replaces the entries that led to it, which bounds the
  * log (Raft: log compaction). */
 #include <talloc.h>
 
@@ -21,9 +21,9 @@
     return status;
 }
 
-/* Whether the log is long enough for a snapshot. Entries and bytes are bounded alike: what is read at
- * a start, sent to one that was away and kept in memory. A large state is not written again for a
- * smaller log. */
+/* Whether the log is long enough for a snapshot. Both entries and bytes are bounded, since the log is read at a start,
+ * sent to a peer that was away, and kept in memory. A large state is not written again for a log that is smaller
+ * than it. */
 static bool long_enough(const Replication *replication)
 {
     const Log *log = replication->log;
@@ -34,8 +34,8 @@
     return log->count >= most || log->bytes >= bytes;
 }
 
-/* Whether a change of the voters or the view follows what is delivered. Then list and last are not
- * those as of delivered_index, and a snapshot has to wait. */
+/* Whether an entry that is not delivered yet changes the voters or the view. Then list and last are not those as of
+ * delivered_index, and a snapshot has to wait. */
 static bool change_under_way(const Replication *replication)
 {
     const uint64_t last_index = log_last_index(replication->log);
--- a/packages/replication/src/snapshot.h
+++ b/packages/replication/src/snapshot.h
@@ -12,11 +12,11 @@
     X(LST, controllers, VoterController)
 SHAPE(Snapshot, SNAPSHOT_FIELDS)
 
-/* Puts the state of a snapshot in the place of the present one, and delivered_index at its
- * index. Any status but OK: it is no snapshot, or the state machine refused it. */
+/* Replaces the state by that of a snapshot, and sets delivered_index to its index. Any status but OK: it is no
+ * snapshot, or the state machine refused it. */
 Status replication_load(Replication *replication, const Record *snapshot);
-/* Puts a snapshot of the delivered state in the place of the entries that led to it, when the
- * log is long enough or force says so. Does not wait: the journal is rewritten by a task. */
+/* Replaces the entries that are delivered by a snapshot of the state, when the log is long enough or force says so.
+ * Does not wait: the journal is rewritten by a task. */
 void replication_compact_maybe(Replication *replication, bool force);
 
 #endif
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -4,56 +4,56 @@
 #include "replication/log.h"
 #include "replication/replication.h"
 
-/* What one node keeps of the replicated log: struct View and its parts, grouped by concern.
- * It holds data alone; the functions of each protocol step are declared in a header of their own.
+/* What one node keeps of the replicated log: struct Replication and its parts, grouped by concern.
+ * It holds data only; the functions of each protocol step are declared in a header of their own.
  *
- * A voter has a place in the list of voters, a learner has a slot after the places; both are
- * peers of the leader. The view is the set of voters that each commit waits for. */
+ * A place is an index into the list of voters. A slot is an index into peers: 0 to VOTER_MOST - 1 are the
+ * places, the learners follow. The view is the set of voters that each commit waits for (view_change.h). */
 
 /* Peers: one for each place of a voter, then one for each learner. */
 #define SLOT_MOST (VOTER_MOST + LEARNER_MOST)
 
-/* What the leader knows of one voter or learner, in its term. Times are those of the own
- * loop (ms).
+/* What the leader knows of one voter or learner, in its term. Times are ms of this process's
+ * loop.
  * Invariant: match_index is synced at the peer; next_index > match_index. */
 typedef struct Peer {
     /* replication */
     uint64_t match_index, next_index;
-    int64_t append_since_ms; /* sent then, not answered yet; INT64_MAX: none is out */
-    int64_t append_took_ms;  /* the last append that was answered, in ms */
+    int64_t append_since_ms; /* an append sent then is not answered yet; INT64_MAX: there is none */
+    int64_t append_took_ms;  /* how long the last answered append took */
     int slow_times;          /* appends in a row that took longer than VOTER_SLOW_MS */
-    bool reinstall;          /* no entries can make its log match: it wants the snapshot */
-    /* lease and contact */
-    int64_t renewed_ms; /* the question that it last answered with a grant was sent then; INT64_MIN: none */
-    uint64_t contact;   /* the newest round of contact that it has answered */
-    /* its answers */
-    int64_t answered_ms; /* any answer */
-    uint64_t promised;   /* the term that it had promised then */
-    bool restarted;      /* it restarted, and no view has brought it up to date since */
+    bool reinstall;          /* no entries can make its log match: it needs the snapshot */
+    /* lease and contact rounds (contact.h) */
+    int64_t renewed_ms; /* when the request was sent that it last answered with a grant; INT64_MIN: none */
+    uint64_t contact;   /* the newest contact round that it has answered */
+    /* what its last answer said */
+    int64_t answered_ms; /* when it last answered anything */
+    uint64_t promised;   /* the term that it had promised */
+    bool restarted;      /* it has restarted, and has been in no view since */
     int64_t sync_ms;     /* how long its last sync took */
     uint64_t reach;      /* how many members it reaches */
-    int64_t wall_ms;     /* its wall clock ... */
-    int64_t wall_at_ms;  /* ... at this time of the own loop; 0: not known yet */
+    int64_t wall_ms;     /* its wall clock, ... */
+    int64_t wall_at_ms;  /* ... at this time of this loop; 0: not known yet */
     /* membership of the view */
-    int64_t return_ms; /* it left the view for being late, and comes back no earlier */
+    int64_t return_ms; /* it was late and left the view; it comes back no earlier than this */
 } Peer;
 
 /* A controller node without a vote that follows the log, so that it can be given a vote at once.
- * Invariant: turn grows each time that the slot is given; tasks of an earlier turn end. */
+ * Invariant: generation grows each time the slot is taken or freed; tasks of an earlier generation end. */
 typedef struct Learner {
     uint64_t disk; /* 0: the slot is free */
-    uint64_t turn;
+    uint64_t generation;
     int64_t since_ms;
     int64_t ready_since_ms; /* INT64_MAX: it is not ready */
 } Learner;
 
 /* A snapshot that arrives in pieces. Invariant: bytes.count < total. */
-typedef struct Filling {
+typedef struct IncomingSnapshot {
     uint64_t term, index; /* of the last entry that the snapshot covers */
     uint64_t total;       /* bytes */
     uint64_t checksum;    /* CRC of all bytes */
     Bytes bytes;          /* those that have arrived, from the beginning on */
-} Filling;
+} IncomingSnapshot;
 
 /* A submitted change that waits for its delivery. Owned by the task that submitted it. */
 typedef struct Waiter {
@@ -65,7 +65,7 @@
     Signal ended;
 } Waiter;
 
-/* The replicated log of one node. Times are those of the own loop (ms). */
+/* The replicated log of one node. Times are ms of this process's loop. */
 struct Replication {
     /* --- from the caller --- */
     ReplicationSettings settings;
@@ -73,13 +73,13 @@
 
     /* --- the disk ---
      * Invariants: entries up to queued_index have been given to the journal, in order; while
-     * compacting or mending the whole journal is being rewritten. */
+     * compacting or recovering the whole journal is being rewritten. */
     Journal *journal;
     const char *node_name;
-    uint64_t disk;         /* the id of the own disk: the node's identity as a voter */
-    uint64_t queued_index; /* what follows it is written later */
-    bool compacting;       /* after a snapshot */
-    bool mending;          /* after a failed write */
+    uint64_t disk;         /* the id of this node's disk: its identity as a voter */
+    uint64_t queued_index; /* later entries have not been given to the journal yet */
+    bool compacting;       /* rewritten after a snapshot was made */
+    bool recovering;       /* rewritten after a failed write */
     bool too_large;        /* the state is larger than a snapshot may be */
 
     /* --- the log ---
@@ -89,80 +89,81 @@
     Log *log;
     uint64_t commit_index, delivered_index;
     Waiter *waiters;
-    Signal updates; /* a delivery, or a change of phase */
+    Signal changed; /* raised after a delivery or a change of phase */
 
     /* --- the list of voters ---
-     * Invariants: it is that of the newest VOTERS entry in the log, committed or not, else of
-     * the snapshot, else the founded one; last is the newest REPLICATION entry, likewise; of the
-     * VOTERS entries in the log all but the newest are committed. A place that nobody has is 0
-     * in voters, and so are its in_configuration and hold.sent_ms (INT64_MIN). */
-    uint64_t cluster;            /* 0: the disk belongs to none */
-    VoterList *founded;          /* never null */
+     * Invariants: list is that of the newest VOTERS entry in the log (REPLICATION_CHANGE_VOTERS), committed
+     * or not, else of the snapshot, else the list of the founding; last is that of the newest TERM entry,
+     * likewise; of the VOTERS entries in the log all but the newest are committed. At a vacant place voters
+     * is 0, in_view false and lease.sent_ms INT64_MIN. */
+    uint64_t cluster;            /* id of the cluster that the disk belongs to; 0: none */
+    VoterList *founded;          /* the list of the founding; never null */
     VoterList *list;             /* the newest; never null */
-    uint64_t list_index;         /* of its entry; 0: it is the founded one */
+    uint64_t list_index;         /* of its entry; 0: it is the list of the founding */
     uint64_t list_committed;     /* the highest index of a list known to be committed */
-    bool list_old;               /* the list went back behind that one: this node votes no more */
+    bool list_went_back;         /* the log has lost that list: this node votes no more */
     uint64_t voters[VOTER_MOST]; /* the disks of list, by place */
-    size_t places, voter_count;  /* the length of list; how many places somebody has */
-    TermRecord last;             /* the last view */
+    size_t places, voter_count;  /* the length of list; how many places are not vacant */
+    TermRecord last;             /* the last view in the log */
     void *last_mem;              /* owns what last points to */
 
     /* --- the voter ---
      * Invariant: the promise in lock is on the disk before anything is answered under it. */
     LockVoter lock;
-    bool restarted;             /* restarted, and no view has brought this node up to date since */
-    uint64_t verified_index;    /* entries up to it are known to equal those of the leader of the promised term */
-    Filling *incoming_snapshot; /* a snapshot that arrives in pieces; null: none */
-    uint64_t other_histories;   /* refused orders to drop what is committed */
-    int64_t other_notified_ms;  /* such an order was last logged */
-    Signal released;            /* the leader has released its lease ... */
-    bool named;                 /* ... and named this node to be the next leader */
+    bool restarted;                      /* this node has restarted, and has been in no view since */
+    uint64_t verified_index;             /* entries up to it are known to equal those of the promised term's leader */
+    IncomingSnapshot *incoming_snapshot; /* a snapshot that arrives in pieces; null: none */
+    uint64_t other_histories;            /* refused requests to drop committed entries */
+    int64_t other_notified_ms;           /* when such a request was last logged */
+    Signal released;                     /* the leader has released its lease ... */
+    bool named_successor;                /* ... and named this node to be the next leader */
 
     /* --- the log's clock and the wall clock ---
      * Invariant: clock_base_ms >= clock_log_ms once clock_runs. */
-    int64_t clock_base_ms, clock_at_ms; /* the log's clock, and the own time when it was set */
-    int64_t clock_log_ms;               /* the latest time in the log: the clock never goes back behind it */
-    bool clock_runs;                    /* it was set: before that the own time says nothing of it */
-    int64_t wall_offset_ms;             /* the voters' median wall clock minus the own time */
+    int64_t clock_base_ms, clock_at_ms; /* the log's clock when it was set, and this loop's time then */
+    int64_t clock_log_ms;               /* the latest time in the log: the clock is never set below it */
+    bool clock_runs;                    /* it was set, and advances with this loop's clock */
+    int64_t wall_offset_ms;             /* the voters' median wall clock minus this loop's time */
     bool wall_known;
 
     /* --- election and lease ---
-     * Invariants: phase is LEADING only once the first entry of term is committed; the tasks
-     * of a lead end when lead_turn is no longer theirs. */
+     * A lead is the time from the start of an election of this node to the next one, or to its loss of the lead.
+     * Invariants: phase is LEADING only once the first entry of term is committed; the tasks of a lead end
+     * when lead_generation is no longer theirs. */
     ReplicationPhase phase;
-    uint64_t lead_turn;         /* grows with each election and each loss of the lead */
-    uint64_t term;              /* the term that this node leads, or led last */
-    LockLease lease;            /* when each voter last granted the lease */
-    bool holding;               /* the lease was won and not given up, also while a further term is opened */
-    bool reopening;             /* the election under way is by a leader whose lease never lapsed */
-    int64_t won_ms;             /* the lease was won from another, or from nobody */
-    int64_t rest_until_ms;      /* it does not stand before */
-    int64_t restarted_since_ms; /* an election has waited since then for the last view's members; 0: none does */
-    int64_t blind_since_ms;     /* a voter has reached many more members than the leader since then; 0: none does */
+    uint64_t lead_generation;    /* grows with each election and each loss of the lead */
+    uint64_t term;               /* the term that this node leads, or led last */
+    LockLease lease;             /* when each voter last granted the lease */
+    bool has_lease;              /* the lease was won and not given up; also during a reelection */
+    bool reelecting;             /* the election under way is by the leader, whose lease runs on */
+    int64_t won_ms;              /* when the lease was won from another node, or from none */
+    int64_t rest_until_ms;       /* it does not stand for election before */
+    int64_t restarted_since_ms;  /* since when elections have waited for the last view's members; 0: they do not */
+    int64_t outreached_since_ms; /* since when a voter has reached many more members than this leader; 0: none does */
 
     /* --- the leader: replication ---
      * Invariant: synced_index <= queued_index while this node leads. */
-    uint64_t replication_index;        /* of the newest REPLICATION entry that this leader ordered */
-    bool in_configuration[VOTER_MOST]; /* by place: each commit waits for it */
-    int64_t changed_ms;                /* the last change of the view */
-    uint64_t configuration_changes;    /* so many */
-    Peer peers[SLOT_MOST];             /* by place, then by learner's slot */
-    uint64_t synced_index;             /* the own journal has synced so far, as far as this lead knows */
-    int slow_times;                    /* own syncs in a row that took longer than VOTER_SLOW_MS */
-    Signal grew;                       /* an entry was added to the log */
+    uint64_t term_entry_index; /* of the newest TERM entry that this leader ordered */
+    bool in_view[VOTER_MOST];  /* by place: the voters that each commit waits for */
+    int64_t changed_ms;        /* when the view last changed */
+    uint64_t view_changes;     /* since the start; for status */
+    Peer peers[SLOT_MOST];     /* by slot */
+    uint64_t synced_index;     /* the leader's own journal has synced entries up to this */
+    int slow_times;            /* own syncs in a row longer than VOTER_SLOW_MS */
+    Signal grew;               /* raised when an entry was added to the log */
 
     /* --- the leader: learners and changes of membership --- */
     Learner learners[LEARNER_MOST];
-    uint64_t learners_turn;   /* the lead that they follow */
-    uint64_t learners_passed; /* a disk that was not ready in time; others go first */
-    Signal membership;        /* a change of membership is to be weighed at once */
-    int64_t ask_ms;           /* the next round of contact before a change takes at most so long; 0: the least */
-
-    /* --- the leader: rounds of contact --- */
-    uint64_t contact_asked;    /* how many were asked for */
-    uint64_t contact_learners; /* the newest one that learners are asked in as well */
-    Signal contact_update;     /* one more was asked for */
-    Signal contact_made;       /* a peer has answered one */
+    uint64_t learners_generation; /* the lead_generation that the learners belong to */
+    uint64_t learners_passed;     /* a disk that was not ready in time: others get a slot first */
+    Signal membership;            /* raised when a change of the voters is to be considered at once */
+    int64_t contact_most_ms;      /* how long the next contact round before a change may take; 0: POLL_GRACE_MS */
+
+    /* --- the leader: contact rounds (contact.h) --- */
+    uint64_t contact_asked;    /* how many rounds were requested: the number of the newest */
+    uint64_t contact_learners; /* the newest round that learners have to answer as well */
+    Signal contact_update;     /* raised when a round is requested */
+    Signal contact_made;       /* raised when a peer has answered one */
 };
 
 #endif
--- a/packages/replication/src/step_down.c
+++ b/packages/replication/src/step_down.c
@@ -1,4 +1,4 @@
-/* Giving up the lead: the lease is released at the voters, so that none of them has to wait until it
+/* Release up the lead: the lease is released at the voters, so that none of them has to wait until it
  * lapses, and one of them is named to be the next leader. */
 #include <inttypes.h>
 #include <talloc.h>
@@ -9,34 +9,34 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* One release on its way; frees itself. */
-typedef struct Giving {
+/* One MESSAGE_RELEASE in flight; its task frees it. */
+typedef struct Release {
     Replication *replication;
     RenewAsk ask;
     char address[ADDRESS_MAX];
-} Giving;
+} Release;
 
 static void release_main(void *arg)
 {
-    Giving *giving = arg;
+    Release *release = arg;
     VoterAnswer answer = {0};
-    rpc_ask(giving->replication->settings.rpc, giving, giving->address, MESSAGE_RELEASE, &RenewAsk_shape, &giving->ask,
-            ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
-    talloc_free(giving);
+    rpc_ask(release->replication->settings.rpc, release, release->address, MESSAGE_RELEASE, &RenewAsk_shape,
+            &release->ask, ASK_TIMEOUT_MS, &VoterAnswer_shape, &answer);
+    talloc_free(release);
 }
 
 void lead_release(Replication *replication, uint64_t next)
 {
     for (int i = 0; i < VOTER_MOST; i++) {
-        Giving *giving = talloc_zero(replication, Giving);
+        Release *release = talloc_zero(replication, Release);
         if (replication->voters[i] == 0 || replication->voters[i] == replication->disk ||
-            !voter_address(replication, i, giving->address)) {
-            talloc_free(giving);
+            !voter_address(replication, i, release->address)) {
+            talloc_free(release);
             continue;
         }
-        giving->replication = replication;
-        giving->ask = (RenewAsk){replication->term, replication->disk, 0, 0, "", replication->voters[i], next};
-        loop_spawn(replication->loop, "release", release_main, giving);
+        release->replication = replication;
+        release->ask = (RenewAsk){replication->term, replication->disk, 0, 0, "", replication->voters[i], next};
+        loop_spawn(replication->loop, "release", release_main, release);
     }
 }
 
@@ -47,7 +47,7 @@
     uint64_t disk = 0;
     for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &replication->peers[i];
-        if (replication->voters[i] == replication->disk || !replication->in_configuration[i] ||
+        if (replication->voters[i] == replication->disk || !replication->in_view[i] ||
             now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS)
             continue;
         if (which == NEXT_QUICK &&
@@ -67,19 +67,19 @@
     const int64_t now_ms = loop_now_ms(replication->loop);
     if (rest_ms > 0)
         replication->rest_until_ms = now_ms + rest_ms;
-    replication->lead_turn++;
-    if (replication->phase != REPLICATION_FOLLOWING || replication->holding) {
-        if (replication->holding) {
-            /* nothing is decided with this lease any more: the voters may forget that they granted it */
+    replication->lead_generation++;
+    if (replication->phase != REPLICATION_FOLLOWING || replication->has_lease) {
+        if (replication->has_lease) {
+            /* nothing is decided under this lease any more: the voters may grant another */
             lock_release(&replication->lock, replication->term, replication->disk, now_ms);
             lead_release(replication, lead_next(replication, NEXT_ANY));
             recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
                            term_counter(replication->term));
         }
         replication->phase = REPLICATION_FOLLOWING;
-        replication->holding = false;
+        replication->has_lease = false;
         lock_lease_clear(&replication->lease);
     }
     replication_waiters_end(replication, STATUS_OUTCOME_UNKNOWN);
-    signal_raise(replication->loop, &replication->updates);
+    signal_raise(replication->loop, &replication->changed);
 }
--- a/packages/replication/src/submit.c
+++ b/packages/replication/src/submit.c
@@ -6,14 +6,14 @@
 #include "state.h"
 #include "voter_list.h"
 
-/* Waits while this leader opens a further term. The replicated log's own changes need no view that
- * is wide enough: they are what makes it so. */
+/* Waits during a reelection of this leader. The log's own changes do not need a view that is wide enough: they are what
+ * makes it so. */
 static Status may_order(Replication *replication, uint64_t change, int64_t until_ms)
 {
-    while (replication->phase == REPLICATION_OPENING && replication->holding)
-        if (!signal_wait(replication->loop, &replication->updates, until_ms))
+    while (replication->phase == REPLICATION_ELECTING && replication->has_lease)
+        if (!signal_wait(replication->loop, &replication->changed, until_ms))
             return STATUS_BUSY;
-    return replication_leading(replication) || (change < REPLICATION_CHANGE_FIRST && replication_orders(replication))
+    return replication_leading(replication) || (change < REPLICATION_CHANGE_FIRST && replication_may_order(replication))
                ? STATUS_OK
                : STATUS_NOT_LEADER;
 }
@@ -44,17 +44,17 @@
     return status;
 }
 
-Status replication_settle(Replication *replication)
+Status replication_barrier(Replication *replication)
 {
     const uint64_t last_index = log_last_index(replication->log);
     const int64_t until_ms = loop_now_ms(replication->loop) + SUBMIT_TIMEOUT_MS;
     while (replication->delivered_index < last_index)
-        if (!replication->holding || !signal_wait(replication->loop, &replication->updates, until_ms))
+        if (!replication->has_lease || !signal_wait(replication->loop, &replication->changed, until_ms))
             return STATUS_NOT_LEADER;
     return STATUS_OK;
 }
 
-/* The waiter of a submission that has timed out. */
+/* Removes the waiter of a submission that has timed out. */
 static void waiter_drop(Replication *replication, const Waiter *waiter)
 {
     for (Waiter **at = &replication->waiters; *at != NULL; at = &(*at)->next)
@@ -82,8 +82,8 @@
     status = waiter->done ? waiter->status : STATUS_OUTCOME_UNKNOWN;
     if (!waiter->done)
         waiter_drop(replication, waiter);
-    /* voters may have left the view while the change waited: too few disks may hold it */
-    if (status == STATUS_OK && change >= REPLICATION_CHANGE_FIRST && !wide_enough(replication))
+    /* voters may have left the view while the change waited: it may be on too few disks */
+    if (status == STATUS_OK && change >= REPLICATION_CHANGE_FIRST && !view_wide_enough(replication))
         status = STATUS_OUTCOME_UNKNOWN;
     *result = waiter->result;
     talloc_free(waiter);
--- a/packages/replication/src/configuration_change.c
+++ b/packages/replication/src/view_change.c
@@ -1,17 +1,16 @@
-/* The view: the voters that each commit waits for. The leader changes it within its term, by an
- * entry of the log. */
+/* The view: the voters that each commit waits for. The leader changes it within its term, by a TERM entry. */
 #include <assert.h>
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "state.h"
-#include "configuration_change.h"
+#include "view_change.h"
 #include "voter_list.h"
 
-void lead_view_entry(Replication *replication, const bool in_configuration[VOTER_MOST], bool repair)
+void view_entry_add(Replication *replication, const bool in_view[VOTER_MOST], bool repair)
 {
-    memmove(replication->in_configuration, in_configuration, sizeof(replication->in_configuration));
+    memmove(replication->in_view, in_view, sizeof(replication->in_view));
     void *mem = talloc_new(replication);
     TermRecord record = {.term = replication->term,
                          .holder = replication->disk,
@@ -19,7 +18,7 @@
                          .holder_id = members_self(replication->settings.members)->id,
                          .repair = repair || replication->last.repair};
     for (int i = 0; i < VOTER_MOST; i++)
-        if (in_configuration[i])
+        if (in_view[i])
             record.members[record.members_count++].disk = replication->voters[i];
     Record entry = {.kind = RECORD_ENTRY,
                     .term = replication->term,
@@ -30,22 +29,22 @@
     shape_pack(&TermRecord_shape, &record, mem, &entry.payload);
     assert(entry.term >= log_last_term(replication->log));
     log_add(replication->log, &entry);
-    replication->replication_index = entry.index;
+    replication->term_entry_index = entry.index;
     replication_reread(replication);
     talloc_free(mem);
 }
 
-void lead_turn(Replication *replication, const bool in_configuration[VOTER_MOST])
+void view_change(Replication *replication, const bool in_view[VOTER_MOST])
 {
-    lead_view_entry(replication, in_configuration, false);
+    view_entry_add(replication, in_view, false);
     replication->changed_ms = loop_now_ms(replication->loop);
-    replication->configuration_changes++;
+    replication->view_changes++;
     signal_raise(replication->loop, &replication->grew);
 }
 
-/* Why the voter at the place is to leave the view; null: it is not. spare: a majority stays without
- * it, so that it may go for being slow alone. */
-static const char *leaves(const Replication *replication, int place, bool spare, int64_t now_ms)
+/* Why the voter at the place is to leave the view; null: it is to stay. spare: a majority stays without it, so that it
+ * may be taken out only for being slow. */
+static const char *leave_reason(const Replication *replication, int place, bool spare, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
     const bool near =
@@ -66,8 +65,8 @@
     return !near && now_ms - replication->changed_ms > VOTER_LATE_MS ? "far behind" : NULL;
 }
 
-/* Whether the voter at the place is near, answers in time and has rested long enough. */
-static bool returns(const Replication *replication, int place, int64_t now_ms)
+/* Whether the voter at the place has nearly all of the log, answers in time and was out of the view long enough. */
+static bool may_return(const Replication *replication, int place, int64_t now_ms)
 {
     const Peer *peer = &replication->peers[place];
     const Member *member = members_find_disk(replication->settings.members, replication->voters[place]);
@@ -78,34 +77,34 @@
            !voter_dead(replication, replication->voters[place], DEAD_ANYWHERE);
 }
 
-/* A view in the making. */
-typedef struct Change {
-    bool in_configuration[VOTER_MOST]; /* by place */
-    size_t count;                      /* voters in it */
+/* The next view, while it is being decided. */
+typedef struct NextView {
+    bool in_view[VOTER_MOST]; /* by place */
+    size_t count;             /* voters in it */
     bool changed;
-} Change;
+} NextView;
 
-/* Takes in who is up to date. */
-static void replication_take_in(const Replication *replication, Change *next, int64_t now_ms)
+/* Takes voters that are up to date into the view. */
+static void view_take_in(const Replication *replication, NextView *next, int64_t now_ms)
 {
     for (int i = 0; i < VOTER_MOST; i++)
-        if (replication->voters[i] != 0 && replication->voters[i] != replication->disk && !next->in_configuration[i] &&
-            returns(replication, i, now_ms)) {
-            next->in_configuration[i] = next->changed = true;
+        if (replication->voters[i] != 0 && replication->voters[i] != replication->disk && !next->in_view[i] &&
+            may_return(replication, i, now_ms)) {
+            next->in_view[i] = next->changed = true;
             next->count++;
             recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms,
                            "seat %016" PRIx64 " comes into the view", replication->voters[i]);
         }
 }
 
-/* Lets the voter at the place go if it keeps the others waiting. */
-static void replication_let_go(Replication *replication, Change *next, int place, int64_t now_ms)
+/* Takes the voter at the place out of the view if it delays the others. */
+static void view_let_go(Replication *replication, NextView *next, int place, int64_t now_ms)
 {
     Peer *peer = &replication->peers[place];
     const bool spare = next->count > replication_majority(replication);
-    const char *why = replication->in_configuration[place] ? leaves(replication, place, spare, now_ms) : NULL;
+    const char *why = replication->in_view[place] ? leave_reason(replication, place, spare, now_ms) : NULL;
     if (why != NULL && spare) {
-        next->in_configuration[place] = false;
+        next->in_view[place] = false;
         next->changed = true;
         next->count--;
         peer->return_ms = now_ms + VOTER_REST_MS;
@@ -114,21 +113,22 @@
                        "seat %016" PRIx64 " leaves the view: %s", replication->voters[place], why);
         return;
     }
-    /* it restarted within the view; of one just taken in that is known after a renewal */
+    /* it restarted while in the view: another TERM entry clears that, once it is delivered there. Of a voter that was
+     * just taken in, restarted is known only after a renewal */
     next->changed |= peer->restarted && now_ms - replication->changed_ms > 2 * LOCK_RENEW_MS;
 }
 
-bool replication_tend(Replication *replication, bool skip[VOTER_MOST])
+bool view_update(Replication *replication, bool skip[VOTER_MOST])
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    Change next = {0};
-    bool anew = false;
-    memcpy(next.in_configuration, replication->in_configuration, sizeof(next.in_configuration));
+    NextView next = {0};
+    bool election_needed = false;
+    memcpy(next.in_view, replication->in_view, sizeof(next.in_view));
     for (int i = 0; i < VOTER_MOST; i++) {
-        next.count += next.in_configuration[i];
+        next.count += next.in_view[i];
         skip[i] = false;
     }
-    replication_take_in(replication, &next, now_ms);
+    view_take_in(replication, &next, now_ms);
     for (int i = 0; i < VOTER_MOST; i++) {
         const Peer *peer = &replication->peers[i];
         if (replication->voters[i] == 0 || replication->voters[i] == replication->disk)
@@ -136,11 +136,12 @@
         /* a voter that has promised a higher term takes nothing of this one, in the view or not */
         const bool silent = now_ms - peer->answered_ms > 2 * LOCK_RENEW_MS;
         skip[i] = silent || voter_dead(replication, replication->voters[i], DEAD_ANYWHERE);
-        anew |= !skip[i] && peer->promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
-        if (next.in_configuration[i])
-            replication_let_go(replication, &next, i, now_ms);
+        election_needed |=
+            !skip[i] && peer->promised > replication->term && now_ms - replication->changed_ms > LOCK_RENEW_MS;
+        if (next.in_view[i])
+            view_let_go(replication, &next, i, now_ms);
     }
-    if (!anew && next.changed)
-        lead_turn(replication, next.in_configuration);
-    return anew;
+    if (!election_needed && next.changed)
+        view_change(replication, next.in_view);
+    return election_needed;
 }
--- a/packages/replication/src/voter_list.c
+++ b/packages/replication/src/voter_list.c
@@ -1,5 +1,5 @@
-/* The list of voters, as the newest entry of the log that holds one has it, committed or not; and
- * where each voter is reached. */
+/* The list of voters, from the newest entry of the log that has one, committed or not; and the address of each voter.
+ */
 #include <inttypes.h>
 #include <string.h>
 #include <talloc.h>
@@ -69,7 +69,7 @@
         if (replication->voters[i] == disk)
             continue;
         replication->voters[i] = disk;
-        replication->in_configuration[i] = false;
+        replication->in_view[i] = false;
         replication->peers[i] = (Peer){.next_index = UINT64_MAX, .renewed_ms = INT64_MIN, .append_since_ms = INT64_MAX};
         replication->lease.sent_ms[i] = INT64_MIN;
     }
@@ -90,15 +90,15 @@
 {
     if (replication->list_index <= replication->commit_index && replication->list_index > replication->list_committed)
         replication->list_committed = replication->list_index;
-    if (!replication->settings.disks_keep || index >= replication->list_committed || replication->list_old)
+    if (!replication->settings.disks_keep || index >= replication->list_committed || replication->list_went_back)
         return;
-    replication->list_old = true;
+    replication->list_went_back = true;
     recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
                    "the list of voters went back from entry %" PRIu64 " to %" PRIu64 ": votes no more",
                    replication->list_committed, index);
 }
 
-/* What the log says of voters and view, newest first. */
+/* The list of voters and the last view, searched from the end of the log. */
 typedef struct Reread {
     void *mem;
     VoterList list;
@@ -122,7 +122,7 @@
             shape_unpack(&TermRecord_shape, entry->payload, reread->mem, &reread->last, NULL) == STATUS_OK;
 }
 
-/* What the entries do not say is in the snapshot. */
+/* Takes from the snapshot what no entry had. */
 static void reread_snapshot(Reread *reread, const Log *log)
 {
     Snapshot snapshot;
@@ -155,7 +155,7 @@
     talloc_free(reread.mem);
 }
 
-/* Where the disk's controller stood when it was given the vote; null: it is not in the list. */
+/* The disk's controller when the disk became a voter; null: it is not in the list. */
 static const VoterController *controller_of(const Replication *replication, uint64_t disk)
 {
     for (size_t i = 0; i < replication->list->controllers_count; i++)
--- a/packages/replication/src/voters.c
+++ b/packages/replication/src/voters.c
@@ -1,4 +1,4 @@
-/* What the leader knows of voters and learners, as membership.h wants it to choose the next change. */
+/* What the leader knows of voters and learners, as input for the choice of the next change (membership.h). */
 #include <string.h>
 
 #include "learners.h"
@@ -6,8 +6,8 @@
 #include "voter_list.h"
 #include "voters.h"
 
-/* For how long a voter may be silent before it is replaced by a learner that is ready: a stated part of
- * the span in which a loss must be made good, but no less than its lease may run. */
+/* For how long a voter may be silent before it is replaced by a learner that is ready: a part of the time in
+ * which a lost voter has to be replaced, but no less than its lease may run. */
 static int64_t silent_most_ms(const Replication *replication, const Member *member)
 {
     if (member != NULL && member->record.leaving)
@@ -19,14 +19,14 @@
 bool voter_live(const Replication *replication, int place)
 {
     return replication->voters[place] == replication->disk ||
-           (replication->in_configuration[place] &&
+           (replication->in_view[place] &&
             loop_now_ms(replication->loop) - replication->peers[place].answered_ms < 2 * LOCK_RENEW_MS);
 }
 
-bool voter_gone(const Replication *replication, int place)
+bool voter_lost(const Replication *replication, int place)
 {
     const uint64_t disk = replication->voters[place];
-    if (disk == 0 || disk == replication->disk || replication->in_configuration[place])
+    if (disk == 0 || disk == replication->disk || replication->in_view[place])
         return false;
     if (voter_dead(replication, disk, DEAD_ANYWHERE))
         return true;
@@ -55,26 +55,26 @@
     return 2 * losses + 1 < VOTER_MOST ? 2 * losses + 1 : VOTER_MOST;
 }
 
-void look_take(const Replication *replication, uint64_t contact, Look *look)
+void membership_gather(const Replication *replication, uint64_t contact, MembershipInput *input)
 {
-    memset(look, 0, sizeof(*look));
-    look->now = (Membership){look->voters, 0, look->learners, 0, voters_wanted(replication)};
+    memset(input, 0, sizeof(*input));
+    input->now = (Membership){input->voters, 0, input->learners, 0, voters_wanted(replication)};
     for (int i = 0; i < VOTER_MOST; i++) {
         if (replication->voters[i] == 0)
             continue;
-        MemberState *voter = &look->voters[look->now.voter_count];
+        MemberState *voter = &input->voters[input->now.voter_count];
         *voter = state_of(replication, replication->voters[i]);
         voter->live = voter_live(replication, i) && (voter->self || replication->peers[i].contact >= contact);
-        voter->gone = voter_gone(replication, i);
-        look->places[look->now.voter_count++] = i;
+        voter->lost = voter_lost(replication, i);
+        input->places[input->now.voter_count++] = i;
     }
     for (size_t i = 0; i < LEARNER_MOST; i++) {
         if (replication->learners[i].disk == 0)
             continue;
-        MemberState *learner = &look->learners[look->now.learner_count];
+        MemberState *learner = &input->learners[input->now.learner_count];
         *learner = state_of(replication, replication->learners[i].disk);
         learner->ready = learner_ready(replication, i) && replication->peers[VOTER_MOST + i].contact >= contact;
         learner->steady = learner_steady(replication, i);
-        look->slots[look->now.learner_count++] = i;
+        input->slots[input->now.learner_count++] = i;
     }
 }
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -1,38 +1,39 @@
-/* The watch of each node: a leader looks at its lease, its disk and its voters; a voter that knows no
+/* The watch task of each node: a leader checks its lease, its disk and its voters; a voter that knows no
  * leader stands for election. */
 #include "disk.h"
 #include "election.h"
 #include "leading.h"
 #include "state.h"
-#include "configuration_change.h"
+#include "view_change.h"
 #include "voter_list.h"
 #include "watch.h"
 
-/* The paper's best partition is the largest one. Any leader reaches a majority of the voters, but it
- * may be cut off from other members: when a voter of the view has reached many more of them for
- * REACH_HANDOVER_MS, it is the better leader. */
-static bool replication_blind(Replication *replication)
+/* Whether a voter in the view has reached many more members than this leader for REACH_HANDOVER_MS, and so is the
+ * better leader: the paper's best partition is the largest one. A leader reaches a majority of the voters, but it may
+ * be cut off from other members. */
+static bool outreached(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
     const uint64_t own = members_reach(replication->settings.members);
-    bool blind = false;
+    bool outreached_now = false;
     for (int i = 0; i < VOTER_MOST; i++)
-        if (replication->in_configuration[i] && replication->voters[i] != replication->disk &&
+        if (replication->in_view[i] && replication->voters[i] != replication->disk &&
             now_ms - replication->peers[i].answered_ms < LOCK_GRANT_MS)
-            blind |= replication->peers[i].reach > own + REACH_MARGIN && replication->peers[i].reach > own + own / 2;
-    if (!blind || now_ms - replication->won_ms < MEMBER_QUIET_MS)
-        replication->blind_since_ms = 0;
-    else if (replication->blind_since_ms == 0)
-        replication->blind_since_ms = now_ms;
-    return replication->blind_since_ms != 0 && now_ms - replication->blind_since_ms > REACH_HANDOVER_MS;
+            outreached_now |=
+                replication->peers[i].reach > own + REACH_MARGIN && replication->peers[i].reach > own + own / 2;
+    if (!outreached_now || now_ms - replication->won_ms < MEMBER_QUIET_MS)
+        replication->outreached_since_ms = 0;
+    else if (replication->outreached_since_ms == 0)
+        replication->outreached_since_ms = now_ms;
+    return replication->outreached_since_ms != 0 && now_ms - replication->outreached_since_ms > REACH_HANDOVER_MS;
 }
 
-/* Whether this voter knows no leader, and may be one itself. */
+/* Whether this voter knows no leader, and may stand for election. */
 static bool may_stand(Replication *replication)
 {
     const int64_t now_ms = loop_now_ms(replication->loop);
-    if (!replication_founded(replication) || !replication_seated(replication) || replication_disk_failed(replication) ||
-        now_ms < replication->rest_until_ms)
+    if (!replication_founded(replication) || !replication_is_voter(replication) ||
+        replication_disk_failed(replication) || now_ms < replication->rest_until_ms)
         return false;
     /* a leader whose disk is lost leads no more */
     if (replication->lock.holder != replication->disk &&
@@ -44,8 +45,8 @@
 
 /* How long to wait before standing. Voters stand one after another, from the place after the last
  * leader's on, so that two do not ask for each other's promise (in place of Raft's random election
- * time-outs); a small draw parts those that know different lists. */
-static int64_t turn_ms(Replication *replication)
+ * time-outs); a small random part separates those that know different lists. */
+static int64_t stand_delay_ms(Replication *replication)
 {
     const int last = replication_voter_of(replication, replication->lock.holder),
               own = replication_own_voter(replication);
@@ -54,8 +55,8 @@
     return rank * PROPOSE_TURN_MS + (int64_t)(loop_random(replication->loop) % (PROPOSE_TURN_MS / 3));
 }
 
-/* Whether the own disk keeps the log waiting: without end, or longer than that of another voter
- * which could lead. */
+/* Whether the own disk delays the log: for APPEND_TIMEOUT_MS, or for less while another voter with a quick disk could
+ * lead. */
 static bool own_disk_slow(const Replication *replication, int64_t now_ms)
 {
     const int64_t since_ms = journal_sync_since(replication->journal);
@@ -65,8 +66,8 @@
     return (late || replication->slow_times >= VOTER_SLOW_TIMES) && lead_next(replication, NEXT_QUICK) != 0;
 }
 
-/* Waits where a new election is needed. The leader looks at its lease, its disk and its voters. */
-static void leader_look(Replication *replication, int64_t now_ms)
+/* Waits where a new election is needed. The leader checks its lease, its disk and its voters. */
+static void leader_check(Replication *replication, int64_t now_ms)
 {
     bool skip[VOTER_MOST];
     if (now_ms >= lock_lease_until(&replication->lease)) {
@@ -76,40 +77,39 @@
         replication->slow_times = 0;
         recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms, "own disk is slow: hands the lock over");
         lead_down(replication, SLOW_DISK_REST_MS);
-    } else if (replication_blind(replication)) {
+    } else if (outreached(replication)) {
         recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
                        "another seat sees many more members: hands the lock over");
-        replication->blind_since_ms = 0;
+        replication->outreached_since_ms = 0;
         lead_down(replication, SLOW_DISK_REST_MS);
-    } else if (replication_tend(replication, skip)) {
-        (void)replication_open(replication, skip); /* the next turn of the watch looks again */
+    } else if (view_update(replication, skip)) {
+        (void)election_run(replication, skip); /* a failure shows at the next check */
     }
 }
 
-/* How long to wait after an election that was not won. Leases lapse one after another, so at first
- * it is tried again soon. */
-static int64_t again_next(int64_t again_ms)
+/* The next wait after an election that was not won. Granted leases end one after another, so at first it is short. */
+static int64_t retry_wait_next(int64_t again_ms)
 {
     if (again_ms == 0)
         return PROPOSE_AGAIN_MS;
     return 2 * again_ms < PROPOSE_MS ? 2 * again_ms : PROPOSE_MS;
 }
 
-/* Waits. Stands for election where no leader is known. again_ms: what was waited after the last
- * election that was not won; 0: the last one was won, or there was none. Returns the next such. */
-static int64_t voter_look(Replication *replication, int64_t again_ms)
+/* Waits. Stands for election where no leader is known. again_ms: the wait after the last election that was not won; 0:
+ * the last one was won, or there was none. Returns the value for the next call. */
+static int64_t voter_check(Replication *replication, int64_t again_ms)
 {
     if (!may_stand(replication))
         return 0;
-    if (!replication->named && again_ms == 0) /* one that the last leader named goes first */
-        loop_sleep(replication->loop, turn_ms(replication));
-    replication->named = false;
+    if (!replication->named_successor && again_ms == 0) /* a successor that the last leader named does not wait */
+        loop_sleep(replication->loop, stand_delay_ms(replication));
+    replication->named_successor = false;
     if (replication->phase != REPLICATION_FOLLOWING || !may_stand(replication))
         return again_ms;
     const bool skip[VOTER_MOST] = {false};
-    if (replication_open(replication, skip) == STATUS_OK)
+    if (election_run(replication, skip) == STATUS_OK)
         return 0;
-    again_ms = again_next(again_ms);
+    again_ms = retry_wait_next(again_ms);
     loop_sleep(replication->loop, again_ms + (int64_t)(loop_random(replication->loop) % (uint64_t)(again_ms)));
     return again_ms;
 }
@@ -117,11 +117,11 @@
 static void watch_main(void *arg)
 {
     Replication *replication = arg;
-    int64_t due_ms = 0; /* it should look then */
+    int64_t due_ms = 0; /* when the next check is due */
     int64_t again_ms = 0;
     while (!loop_stopping(replication->loop)) {
         const int64_t now_ms = loop_now_ms(replication->loop);
-        /* after a pause of the process, it first reads what has arrived meanwhile */
+        /* after a pause of the process, what has arrived meanwhile is read first */
         const bool paused = due_ms != 0 && now_ms - due_ms > WATCH_MS;
         if (replication->phase == REPLICATION_LEADING && paused && now_ms < lock_lease_until(&replication->lease)) {
             due_ms = now_ms + WATCH_MS / 4;
@@ -129,11 +129,11 @@
             continue;
         }
         if (replication->phase == REPLICATION_LEADING)
-            leader_look(replication, now_ms);
+            leader_check(replication, now_ms);
         else if (replication->phase == REPLICATION_FOLLOWING)
-            again_ms = voter_look(replication, again_ms);
+            again_ms = voter_check(replication, again_ms);
         due_ms = loop_now_ms(replication->loop) + WATCH_MS;
-        /* the moment is known at which the lease that this voter granted lapses */
+        /* wake up when the lease that this voter granted ends */
         const int64_t lapse_ms = replication->lock.lease_until_ms;
         const bool soon = replication->phase == REPLICATION_FOLLOWING && lapse_ms > loop_now_ms(replication->loop) &&
                           lapse_ms < due_ms;
--- a/packages/replication/src/watch.h
+++ b/packages/replication/src/watch.h
@@ -3,8 +3,8 @@
 
 #include "replication/replication.h"
 
-/* Spawns the task that watches the lease and the view as a leader, and stands for election as
- * a voter that knows no leader. */
+/* Spawns the task that, while this node leads, checks its lease, its disk and the view, and that stands for election
+ * while this node is a voter and knows no leader. */
 void replication_watch(Replication *replication);
 
 #endif
--- a/packages/replication/src/window.c
+++ b/packages/replication/src/window.c
@@ -9,7 +9,7 @@
 {
     *window = (ReplicationWindow){
         .phase = replication->phase,
-        .holding = replication->holding,
+        .has_lease = replication->has_lease,
         .term = replication->term,
         .promised = replication->lock.promised,
         .commit_index = replication->commit_index,
--- a/packages/replication/test/membership.c
+++ b/packages/replication/test/membership.c
@@ -58,7 +58,7 @@
         const MembershipChange change = membership_next(&now);
         if (change.step == MEMBERSHIP_KEEP)
             return;
-        const int before = membership_bears(model->voters, model->voter_count);
+        const int before = membership_losses_borne(model->voters, model->voter_count);
         const size_t copies = copies_of(model);
         if (change.step == MEMBERSHIP_REMOVE)
             assert_false(model->voters[change.index].self);
@@ -67,7 +67,7 @@
         assert_true(before >= 0); /* without a majority nothing can be committed */
         apply(model, change);
         assert_in_range(model->voter_count, 1, VOTER_MOST);
-        assert_true(membership_bears(model->voters, model->voter_count) >= before);
+        assert_true(membership_losses_borne(model->voters, model->voter_count) >= before);
         assert_true(copies_of(model) >= copies);
     }
     fail_msg("%d changes in a row and no end", STEPS_MOST);
@@ -85,7 +85,7 @@
                                         .self = i == 0,
                                         .live = kind < 2,
                                         .leaving = kind == 1,
-                                        .gone = kind == 3};
+                                        .lost = kind == 3};
     }
     for (size_t i = 0; i < learner_count && i < LEARNERS; i++)
         model.learners[i] = (MemberState){.disk = 100 + i, .zone = ZONES[i], .ready = true, .steady = true};
@@ -108,7 +108,7 @@
             for (size_t learners = 0; learners <= LEARNERS; learners++)
                 for (unsigned kinds = 0; kinds < power(4, voters); kinds++) {
                     Model model = model_of(voters, kinds, learners, wanted);
-                    if (membership_bears(model.voters, model.voter_count) >= 0)
+                    if (membership_losses_borne(model.voters, model.voter_count) >= 0)
                         settle(&model);
                 }
 }
@@ -123,13 +123,13 @@
             for (int kind = 0; kind < 2; kind++) {
                 Model model = model_of(wanted, 0, 1, wanted);
                 model.learners[0].steady = false;
-                model.voters[lost].gone = kind == 0;
+                model.voters[lost].lost = kind == 0;
                 model.voters[lost].live = kind != 0;
                 model.voters[lost].leaving = kind != 0;
                 const uint64_t disk = model.voters[lost].disk;
                 settle(&model);
                 assert_int_equal(model.voter_count, wanted);
-                assert_int_equal(membership_bears(model.voters, model.voter_count), (int)wanted / 2);
+                assert_int_equal(membership_losses_borne(model.voters, model.voter_count), (int)wanted / 2);
                 for (size_t i = 0; i < model.voter_count; i++)
                     assert_true(model.voters[i].disk != disk);
             }
@@ -142,9 +142,9 @@
     (void)state;
     for (size_t count = 3; count <= VOTER_MOST; count += 2) {
         Model model = model_of(count, 0, 1, count);
-        const int before = membership_bears(model.voters, model.voter_count);
+        const int before = membership_losses_borne(model.voters, model.voter_count);
         apply(&model, (MembershipChange){MEMBERSHIP_REMOVE, 1});
-        assert_int_equal(membership_bears(model.voters, model.voter_count), before - 1);
+        assert_int_equal(membership_losses_borne(model.voters, model.voter_count), before - 1);
     }
 }
 
--- a/packages/replication/test/old_disk.c
+++ b/packages/replication/test/old_disk.c
@@ -121,9 +121,9 @@
     int controller;
     uint64_t disk, base_term, base_index, last_term, last_index;
     uint64_t promised, holder, list_index;
-    const Voter *first;         /* the first of the voters; the second and third are always the same */
-    const char *leader_id;      /* of the last view recorded */
-    uint64_t replication_index; /* an entry that says who is in the view */
+    const Voter *first;        /* the first of the voters; the second and third are always the same */
+    const char *leader_id;     /* of the last view recorded */
+    uint64_t term_entry_index; /* an entry that says who is in the view */
     size_t torn_bytes;
 } Known;
 
@@ -199,8 +199,8 @@
     assert_founded(replication->founded);
     assert_voters(replication->list, known->first);
     assert_view(replication, known);
-    if (known->replication_index != 0)
-        assert_int_equal(log_at(replication->log, known->replication_index)->change, REPLICATION_CHANGE_TERM);
+    if (known->term_entry_index != 0)
+        assert_int_equal(log_at(replication->log, known->term_entry_index)->change, REPLICATION_CHANGE_TERM);
     assert_true(log_term_at(replication->log, known->last_index, &term) && term == known->last_term);
     assert_int_equal(journal_counts(replication->journal)->torn_bytes, known->torn_bytes);
     assert_false(journal_counts(replication->journal)->begun_anew);
--- a/packages/settings/include/settings/bounds.h
+++ b/packages/settings/include/settings/bounds.h
@@ -21,7 +21,7 @@
     X(far_percent, "farPercent", 150, 100, 10000,                                                               \
       "work away from its data, or spread over racks, takes so much of its time")                               \
     X(job_keep_ms, "jobKeepMs", JOB_KEEP_MS, 1000, 86400000, "an ended job is kept so long")                    \
-    X(voter_back_ms, "seatBackMs", VOTER_GONE_MS, 1000, 600000,                                                 \
+    X(voter_back_ms, "seatBackMs", VOTER_REPLACE_MS, 1000, 600000,                                              \
       "a voter that returns, or is replaced, has all data within this")                                         \
     X(losses, "losses", 1, 1, 4, "disk machines that may be lost at once: voters are twice that and one")       \
     X(founds, "founds", 2, 0, 2,                                                                                \
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -58,13 +58,13 @@
 }
 
 /* Voters in the leader's view. */
-static size_t in_configuration(Fleet *fleet)
+static size_t in_view(Fleet *fleet)
 {
     ReplicationStatus reach;
     size_t count = 0;
     replication_status(replication_of(fleet, fleet_leader(fleet)), &reach);
     for (size_t i = 0; i < reach.voter_count; i++)
-        count += reach.voters[i].in_configuration;
+        count += reach.voters[i].in_view;
     return count;
 }
 
@@ -80,11 +80,11 @@
         assert_true(fleet_leader(fleet) >= 0);
         fleet_run(fleet, SEATED_MS - SERVES_MS);
         size_t most;
-        if (voters(fleet, &most) != wanted || in_configuration(fleet) != wanted)
+        if (voters(fleet, &most) != wanted || in_view(fleet) != wanted)
             fleet_dump(fleet);
         assert_int_equal(voters(fleet, &most), wanted);
         assert_true(wanted < 3 || most < wanted / 2 + 1);
-        assert_int_equal(in_configuration(fleet), wanted);
+        assert_int_equal(in_view(fleet), wanted);
         assert_true(fleet_configure(fleet));
         assert_int_equal(clusters(fleet), 1);
         assert_int_equal(checker_broken_all(fleet->checker), 0);
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -55,7 +55,7 @@
     return sim_random(trial->fleet->world) % below;
 }
 
-static size_t in_configuration(Fleet *fleet)
+static size_t in_view(Fleet *fleet)
 {
     const int leader = fleet_leader(fleet);
     if (leader < 0)
@@ -64,7 +64,7 @@
     size_t count = 0;
     replication_status(controller_view(fleet_node(fleet, FLEET_CONTROLLER, leader)->controller), &reach);
     for (size_t i = 0; i < reach.voter_count; i++)
-        count += reach.voters[i].in_configuration;
+        count += reach.voters[i].in_view;
     return count;
 }
 
@@ -73,7 +73,7 @@
 {
     Fleet *fleet = trial->fleet;
     const int leader = fleet_leader(fleet);
-    if (leader < 0 || in_configuration(fleet) != trial->wanted)
+    if (leader < 0 || in_view(fleet) != trial->wanted)
         return false;
     uint64_t disks[VOTER_MOST];
     const FleetNode *first = fleet_node(fleet, FLEET_CONTROLLER, leader);
@@ -228,7 +228,7 @@
                 (unsigned long long)reach.base_index);
         for (size_t i = 0; i < reach.voter_count && reach.phase == REPLICATION_LEADING; i++)
             fprintf(stderr, "   %llx inView %d answers %d woke %d sync %ld match %llu\n",
-                    (unsigned long long)reach.voters[i].disk, reach.voters[i].in_configuration, reach.voters[i].answers,
+                    (unsigned long long)reach.voters[i].disk, reach.voters[i].in_view, reach.voters[i].answers,
                     reach.voters[i].restarted, (long)reach.voters[i].sync_ms,
                     (unsigned long long)reach.voters[i].match_index);
     }
@@ -287,7 +287,7 @@
         voters_show(fleet);
         fail_msg("seed %u: %s after %s of %s: %zu of %zu seats in the view", (unsigned)trial->seed,
                  checker_broken_all(fleet->checker) > 0 ? checker_first(fleet->checker) : "not whole in time",
-                 WORDS[kind], with_leader ? "the leader" : "a follower", in_configuration(fleet), trial->wanted);
+                 WORDS[kind], with_leader ? "the leader" : "a follower", in_view(fleet), trial->wanted);
     }
 }
 
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -281,7 +281,7 @@
     write_trimmed();
     for (int i = 0; i < CONTROLLERS; i++)
         printf("core%d: disk %" PRIu64 ", %s\n", i + 1, replication_disk(replication_at(i)),
-               replication_seated(replication_at(i)) ? "voter" : "learner");
+               replication_is_voter(replication_at(i)) ? "voter" : "learner");
     talloc_free(fleet);
     return 0;
 }
