--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -36,7 +36,7 @@
 {
     AttemptList list = {0};
     const TaskOn *on;
-    const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
+    const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
     for (size_t i = 0; i < count; i++) {
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -51,7 +51,7 @@
 static void orders_fill(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
-    const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
+    const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
     out->wanted = talloc_array(mem, AttemptId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -32,7 +32,7 @@
     pushable_count(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
-        const size_t count = table_on(scheduler->table, pass->input.workers[i].name, &on);
+        const size_t count = table_tasks_on(scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const Job *job = on[t].job;
             const JobTask *task = &job->tasks[on[t].task];
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -49,7 +49,7 @@
     if (resources_fits(need, free))
         return 0;
     const TaskOn *on;
-    const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -29,7 +29,7 @@
     const char *worker;
     for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
         const TaskOn *on;
-        const size_t count = table_on(scheduler->table, worker, &on);
+        const size_t count = table_tasks_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             if (!split(&on[t]))
                 continue;
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -38,7 +38,7 @@
         if (row == NULL || !row->leaving || row->leave_until_ms == 0)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(pass->scheduler->table, pass->input.workers[i].name, &on);
+        const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             const int at = choose_elsewhere(pass, on[t].job, on[t].task, i);
             if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -49,7 +49,7 @@
         if (row == NULL || now_ms - (row->heard_ms > won_ms ? row->heard_ms : won_ms) <= COPY_SILENT_MS)
             continue;
         const TaskOn *on;
-        const size_t count = table_on(scheduler->table, worker, &on);
+        const size_t count = table_tasks_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
             const JobTask *task = &on[t].job->tasks[on[t].task];
             const JobSpec *spec = &on[t].job->spec;
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -19,7 +19,7 @@
 {
     Resources free = worker->free;
     const TaskOn *on;
-    const size_t count = table_on(pass->scheduler->table, worker->name, &on);
+    const size_t count = table_tasks_on(pass->scheduler->table, worker->name, &on);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
         if (task->phase == TASK_STOPPING)
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -49,7 +49,7 @@
 {
     Resources free = pass->input.workers[worker].free;
     const TaskOn *on;
-    const size_t count = table_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
+    const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
     bool *taken = talloc_zero_array(pass->mem, bool, (unsigned)count);
     *preemption = (Preemption){.count = 0};
     while (!resources_fits(need, free) && preemption->count < PREEMPT_VICTIMS_MOST) {
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -99,7 +99,7 @@
 {
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
-        const size_t count = table_on(pass->scheduler->table, pass->input.workers[i].name, &on);
+        const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             Going going;
             if (!going_find(pass, &on[t], i, &going) ||
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -34,7 +34,7 @@
 static bool move_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
     const TaskOn *on;
-    const size_t count = table_on(pass->scheduler->table, worker, &on);
+    const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++) {
         const Job *job = on[t].job;
         const JobTask *task = &job->tasks[on[t].task];
@@ -53,7 +53,7 @@
 static bool any_stops(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
-    const size_t count = table_on(pass->scheduler->table, worker, &on);
+    const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
     for (size_t t = 0; t < count; t++)
         if (on[t].job->tasks[on[t].task].phase == TASK_STOPPING)
             return true;
--- a/packages/state/include/state/capacity.h
+++ b/packages/state/include/state/capacity.h
@@ -1,16 +1,16 @@
 #ifndef STATE_CAPACITY_H
 #define STATE_CAPACITY_H
 
-/* Capacity of workers and demand of tasks, as a vector of resources, and its
+/* The capacity of workers and the demand of tasks, as vectors of resources, and their
  * arithmetic. Every package that places or counts work uses it. No function here
  * allocates, fails or waits. */
 
 #include "wire/shape.h"
 
 /* A task fits where each component of its demand fits. */
-#define RESOURCES_FIELDS(X)                                    \
-    X(U64, cpu_milli, 0) /* thousandths of a CPU controller */ \
-    X(U64, mem_mb, 0)    /* megabytes of main memory */        \
+#define RESOURCES_FIELDS(X)                              \
+    X(U64, cpu_milli, 0) /* thousandths of a CPU core */ \
+    X(U64, mem_mb, 0)    /* megabytes of main memory */  \
     X(U64, gpu, 0)       /* count; whole GPUs */
 SHAPE(Resources, RESOURCES_FIELDS)
 
@@ -24,7 +24,7 @@
 Resources resources_times(Resources each, uint64_t count);
 bool resources_same(Resources a, Resources b);
 /* The largest of the components' parts of whole, in 1/scale; a component that whole
- * lacks counts as 0. room.component * scale must stay below 2^64. */
+ * lacks counts as 0. Each component times scale must stay below 2^64. */
 uint64_t resources_part(Resources resources, Resources whole, uint64_t scale);
 /* As resources_part, in thousandths. */
 uint64_t resources_share(Resources resources, Resources whole);
--- a/packages/state/include/state/change.h
+++ b/packages/state/include/state/change.h
@@ -2,31 +2,31 @@
 #define STATE_CHANGE_H
 
 /* The changes of the replicated state: the log's entries that packages/state delivers,
- * with the shape of each payload. The leader proposes them (packages/controller); repair
- * proposes again those that the disks may have lost. So delivering a change twice must do
- * no harm: what a change names has an identity of its own (a job's id, an attempt's
- * number, a version, an order's name or stamp).
+ * with the shape of each payload. The leader proposes them (packages/controller); a repair
+ * proposes again those that the disks may have lost. So changes are idempotent: each names
+ * what it changes by a job's id, an attempt's number, a version, or an order's name or
+ * stamp.
  *
  * Numbers and fields are part of the journal's format: numbers are never reused, fields
  * are only added at the end. */
 
 #include "state/worker.h"
 
-/* Name, number in the journal, shape of the payload. Below 16 are the log's own. */
-#define CHANGE_LIST(X)                                                    \
-    X(JOB_ADD, 16, JobAdd)                                                \
-    X(JOB_CANCEL, 17, JobCancel)                                          \
-    X(PLACE, 18, PlaceList)                                               \
-    X(ATTEMPTS, 19, AttemptList) /* agents' updates */                    \
-    X(STOP, 20, StopList)        /* attempts to stop and to plan again */ \
-    X(WORKER_SET, 21, Worker)                                             \
-    X(WORKER_LOST, 22, WorkerLost)                                        \
-    X(WORKER_LEFT, 23, WorkerLeft)                                        \
-    X(CONFIG_SET, 24, ConfigSet)                                          \
-    X(ZONE_DRAIN, 25, ZoneDrain)                                          \
-    X(FORGET, 26, Forget)   /* drops what ended before a time */          \
-    X(ASSURE, 27, StopList) /* attempts that a plan now includes */       \
-    X(JOB_END, 28, JobEnd)  /* from repair: a caller was shown that it ended */
+/* Name, number in the journal, shape of the payload. Numbers below 16 are the log's own (REPLICATION_CHANGE_FIRST). */
+#define CHANGE_LIST(X)                                                                           \
+    X(JOB_ADD, 16, JobAdd)                                                                       \
+    X(JOB_CANCEL, 17, JobCancel)                                                                 \
+    X(PLACE, 18, PlaceList)                                                                      \
+    X(ATTEMPTS, 19, AttemptList) /* agents' updates */                                           \
+    X(STOP, 20, StopList)        /* attempts to stop and to plan again */                        \
+    X(WORKER_SET, 21, Worker)                                                                    \
+    X(WORKER_LOST, 22, WorkerLost)                                                               \
+    X(WORKER_LEFT, 23, WorkerLeft)                                                               \
+    X(CONFIG_SET, 24, ConfigSet)                                                                 \
+    X(ZONE_DRAIN, 25, ZoneDrain)                                                                 \
+    X(FORGET, 26, Forget)   /* drops jobs that ended before a time */                            \
+    X(ASSURE, 27, StopList) /* attempts whose restart the plan for worker losses now includes */ \
+    X(JOB_END, 28, JobEnd)  /* from a repair: a caller was shown that the job ended */
 
 typedef enum ChangeKind {
 #define X(name, number, shape) CHANGE_##name = number,
@@ -34,25 +34,25 @@
 #undef X
 } ChangeKind;
 
-/* Accepts a job. An id that is known: OK with the job's number when the body is the same,
- * else OTHER_BODY. */
+/* Accepts a job. For a known id: OK with the job's number when the body is the same, else OTHER_BODY. The job's number
+ * is the result's number. */
 #define JOB_ADD_FIELDS(X) \
     X(ONE, spec, JobSpec) \
     X(ONE, terms, JobTerms)
 SHAPE(JobAdd, JOB_ADD_FIELDS)
 
-/* UNKNOWN_JOB, or ALREADY_ENDED for one that ended otherwise. */
+/* Cancels a job. UNKNOWN_JOB; ALREADY_ENDED: it ended, but not by being cancelled. */
 #define JOB_CANCEL_FIELDS(X) X(TXT, id, 0)
 SHAPE(JobCancel, JOB_CANCEL_FIELDS)
 
-/* The job ended in this phase before the disks lost how; ignored for an unknown or ended one. */
+/* The job had ended in this phase before the disks lost that; ignored for an unknown job or one that has ended. */
 #define JOB_END_FIELDS(X) \
     X(TXT, id, 0)         \
     X(U64, phase, 0) /* a JobPhase */
 SHAPE(JobEnd, JOB_END_FIELDS)
 
-/* A task's next attempt goes to a worker. Ignored when the task no longer waits or has had
- * that attempt. The members of a gang stand one after another under one attempt number. */
+/* A task's next attempt goes to a worker. Ignored when the task no longer waits or has had that attempt. The members of
+ * a gang follow one another in the list and have one attempt number. */
 #define PLACEMENT_FIELDS(X) \
     X(TXT, job, 0)          \
     X(U64, task, 0)         \
@@ -63,11 +63,11 @@
     X(TXT, saved, 0) /* progress to resume from */
 SHAPE(Placement, PLACEMENT_FIELDS)
 
-/* The result's number: placements taken. */
+/* The result's number: how many placements were applied. */
 #define PLACE_LIST_FIELDS(X) X(LST, placements, Placement)
 SHAPE(PlaceList, PLACE_LIST_FIELDS)
 
-/* The result's number: updates read. */
+/* Agents' updates on attempts. The result's number: the length of the list. */
 #define ATTEMPT_LIST_FIELDS(X) X(LST, updates, AttemptUpdate)
 SHAPE(AttemptList, ATTEMPT_LIST_FIELDS)
 
@@ -78,10 +78,10 @@
     X(U64, attempt, 0)
 SHAPE(AttemptId, ATTEMPT_ID_FIELDS)
 
-/* Of STOP and of ASSURE; the result's number: attempts that it applied to. */
+/* The payload of STOP and of ASSURE. The result's number: how many attempts it applied to. */
 #define STOP_LIST_FIELDS(X)     \
     X(LST, attempts, AttemptId) \
-    X(TXT, why, 0) /* the tasks' message from then on */
+    X(TXT, why, 0) /* the message that the tasks show from then on */
 SHAPE(StopList, STOP_LIST_FIELDS)
 
 /* The worker's lease has run out: every attempt there that was ordered from that
@@ -97,7 +97,7 @@
     X(FLAG, left, 0)
 SHAPE(WorkerLeft, WORKER_LEFT_FIELDS)
 
-/* Bounds of callers' requests; 0: those of the process's settings. */
+/* Limits on callers' HTTP requests, from the operators' configuration; 0: the default. */
 #define CONFIG_LIMITS_FIELDS(X)                                               \
     X(U64, head_bytes, 0)                                                     \
     X(U64, body_bytes, 0)                                                     \
@@ -105,9 +105,9 @@
     X(I64, idle_ms, 0) /* ms; a connection without a request is closed after this */
 SHAPE(ConfigLimits, CONFIG_LIMITS_FIELDS)
 
-/* A new version of the configuration. base: the version it builds on. restored: proposed
- * again in a repair, where only a higher version counts. A call that names its version has
- * a digest, by which the same call sent again is recognised. See deliverconfig.h. */
+/* A new version of the operators' configuration. base: the version it builds on. restored: proposed again in a repair,
+ * where only a version above the present one counts. An operator's call that names its version has a digest, by which
+ * a retry of the call is recognised. See deliver_config.h. */
 #define CONFIG_SET_FIELDS(X)                                                           \
     X(U64, base, 0)                                                                    \
     X(U64, version, 0) /* 0: the one after base */                                     \
@@ -122,8 +122,8 @@
  * restarted elsewhere while the plan for worker losses holds. stamp grows with each order
  * for a zone: an older one delivered again is ignored. order names the order wherever it
  * is sent again; "": it has no name. When based is set, the order counts only while no
- * stamp above base has been delivered, else STALE_ORDER, or EXPIRED when it may be one
- * that is not remembered. */
+ * stamp above base has been delivered, else it is refused: STALE_ORDER, or EXPIRED when it may have been delivered
+ * before and is no longer remembered. */
 #define ZONE_DRAIN_FIELDS(X) \
     X(TXT, zone, 0)          \
     X(FLAG, drained, 0)      \
@@ -134,7 +134,7 @@
     X(I64, base, 0)
 SHAPE(ZoneDrain, ZONE_DRAIN_FIELDS)
 
-/* Drops jobs that ended, and orphans that came, before this log time. */
+/* Drops jobs that ended, and orphaned attempts that were reported, before this log time. */
 #define FORGET_FIELDS(X) X(I64, before_ms, 0)
 SHAPE(Forget, FORGET_FIELDS)
 
--- a/packages/state/include/state/job.h
+++ b/packages/state/include/state/job.h
@@ -2,30 +2,30 @@
 #define STATE_JOB_H
 
 /* Jobs as the replicated state holds them: what was submitted, its tasks, their
- * phases and what both add up to. Every field's number in its list is its place on
+ * phases and sums over them. The order of the fields in each list is their order on
  * disk and on the wire: fields are only added at the end. Readers get jobs from
  * table.h; only packages/state changes them. Nothing here waits. */
 
 #include "base/constants.h"
 #include "state/capacity.h"
 
-/* A group of equal tasks inside a job. Invariant, checked when the job is submitted:
- * after names earlier steps of the same job only. */
-#define STEP_SPEC_FIELDS(X)                                                                         \
-    X(TXT, name, 0)                                                                                 \
-    X(TXS, after, 0)             /* names of the steps that must be done before */                  \
-    X(U64, count, 0)             /* tasks in this step */                                           \
-    X(FLAG, gang, 0)             /* all of them are placed together or none */                      \
-    X(ONE, resources, Resources) /* demand of each task */                                          \
-    X(TXT, kind, 0)              /* of worker; empty: any */                                        \
-    X(TXS, labels, 0)            /* the worker must have all */                                     \
-    X(TXT, payload, 0)           /* JSON for the worker; not interpreted here */                    \
-    X(U64, est_ms, 0)            /* ms; the submitter's estimate of one task's run time; 0: none */ \
-    X(U64, apart, 0)             /* at most so many of its tasks on one worker; 0: any number */    \
-    X(FLAG, same_rack, 0)        /* faster when all its tasks are in one rack */                    \
-    X(TXT, near, 0)              /* the rack that holds its data; empty: none */                    \
-    X(FLAG, saves, 0)            /* an attempt's progress is kept for the next attempt */           \
-    X(FLAG, copies, 0)           /* two attempts of a task may run at once */
+/* A group of equal tasks inside a job. Invariant, checked when the job is submitted: after names steps of the same job,
+ * without cycles. */
+#define STEP_SPEC_FIELDS(X)                                                                               \
+    X(TXT, name, 0)                                                                                       \
+    X(TXS, after, 0)             /* names of the steps that must be done before */                        \
+    X(U64, count, 0)             /* tasks in this step */                                                 \
+    X(FLAG, gang, 0)             /* all of them are placed together or none */                            \
+    X(ONE, resources, Resources) /* demand of each task */                                                \
+    X(TXT, kind, 0)              /* of worker; empty: any */                                              \
+    X(TXS, labels, 0)            /* the worker must have all */                                           \
+    X(TXT, payload, 0)           /* JSON for the worker; not interpreted here */                          \
+    X(U64, est_ms, 0)            /* ms; the submitter's estimate of one task's run time; 0: none */       \
+    X(U64, apart, 0)             /* at most so many of its tasks on one worker; 0: any number */          \
+    X(FLAG, same_rack, 0)        /* it is faster when all its tasks are in one rack */                    \
+    X(TXT, near, 0)              /* the rack that holds its data; empty: none */                          \
+    X(FLAG, saves, 0)            /* its attempts make checkpoints, from which the next attempt resumes */ \
+    X(FLAG, copies, 0)           /* two attempts of a task may run at the same time */
 SHAPE(StepSpec, STEP_SPEC_FIELDS)
 
 /* What a task is promised after its worker is lost. PROTECTED: a restart, which the
@@ -51,7 +51,7 @@
     X(TXT, queue, 0)                                                                                            \
     X(I64, priority, 0)                                                                                         \
     X(U64, protection, 0)    /* a Protection */                                                                 \
-    X(FLAG, copies, 0)       /* the owner allows two attempts at once */                                        \
+    X(FLAG, copies, 0)       /* as in StepSpec, for all steps */                                                \
     X(I64, due_wall_ms, 0)   /* ms of wall time; not before; 0: none */                                         \
     X(I64, delay_ms, 0)      /* ms; not before so long after acceptance */                                      \
     X(U64, attempt_limit, 0) /* failed attempts of a task that fail it */                                       \
@@ -101,28 +101,28 @@
 /* Whether the phase is final. */
 bool task_ended(uint64_t phase);
 
-/* One unit of a job. Invariants: round, the number of the newest attempt, grows with each
+/* One unit of a job. Invariants: attempt, the number of the newest attempt, grows with each
  * placement and never falls; worker is non-empty exactly when the phase is one of those
  * on a worker; an ended task never leaves its phase. Times are log time unless said. */
-#define JOB_TASK_FIELDS(X)                                                                                  \
-    X(U64, step, 0)    /* index in the spec's steps */                                                      \
-    X(U64, phase, 0)   /* a TaskPhase */                                                                    \
-    X(U64, attempt, 0) /* number of the newest attempt; 0: none yet */                                      \
-    X(U64, misses, 0)  /* attempts that failed by themselves; of a lasting task: quick failures in a row */ \
-    X(U64, losses, 0)  /* attempts lost with their worker */                                                \
-    X(TXT, worker, 0)                                                                                       \
-    X(U64, incarnation, 0)   /* of the agent that the order was for */                                      \
-    X(FLAG, assured, 0)      /* the plan for worker losses includes its restart */                          \
-    X(I64, rest_until_ms, 0) /* ms; is not placed before */                                                 \
-    X(I64, changed_ms, 0)    /* ms; of its last change of phase */                                          \
-    X(I64, started_ms, 0)    /* ms; start of the first attempt; 0: none */                                  \
-    X(TXT, text, 0)          /* the worker's last message about it */                                       \
-    X(TXT, shunned, 0)       /* the worker that its last attempt failed on, or that refused it */           \
-    X(U64, turn, 0)          /* from 0; the tasks of one turn wait for that turn's steps alone */           \
-    X(U64, at, 0)            /* its place among its turn's and step's tasks, from 0 */                      \
-    X(TXT, saved, 0)         /* its attempts' progress, as the worker worded it; a gang shares one */       \
-    X(U64, miss_attempt, 0)  /* the attempt that misses last counted: a gang's failure counts once */       \
-    X(RAM, on_at, size_t)    /* its place among the tasks on its worker (src/on.c) */
+#define JOB_TASK_FIELDS(X)                                                                                            \
+    X(U64, step, 0)    /* index in the spec's steps */                                                                \
+    X(U64, phase, 0)   /* a TaskPhase */                                                                              \
+    X(U64, attempt, 0) /* number of the newest attempt; 0: none yet */                                                \
+    X(U64, misses, 0)  /* attempts that failed by themselves; of a lasting task: quick failures in a row */           \
+    X(U64, losses, 0)  /* attempts lost with their worker */                                                          \
+    X(TXT, worker, 0)                                                                                                 \
+    X(U64, incarnation, 0)   /* of the agent that the order was for */                                                \
+    X(FLAG, assured, 0)      /* the plan for worker losses includes its restart */                                    \
+    X(I64, rest_until_ms, 0) /* ms; is not placed before */                                                           \
+    X(I64, changed_ms, 0)    /* ms; of its last change of phase */                                                    \
+    X(I64, started_ms, 0)    /* ms; start of the first attempt; 0: none */                                            \
+    X(TXT, text, 0)          /* the worker's last message about it */                                                 \
+    X(TXT, shunned, 0) /* the worker that its last attempt failed on, or that refused it; avoided for the next one */ \
+    X(U64, turn, 0)    /* from 0; the tasks of one turn wait for that turn's steps alone */                           \
+    X(U64, at, 0)      /* its place among its turn's and step's tasks, from 0 */                                      \
+    X(TXT, saved, 0)   /* its last checkpoint, as the worker reported it; a gang shares one */                        \
+    X(U64, miss_attempt, 0) /* the attempt that misses last counted: a gang's failure counts once */                  \
+    X(RAM, on_at, size_t)   /* its index among the tasks on its worker (src/on_worker.c) */
 SHAPE(JobTask, JOB_TASK_FIELDS)
 
 /* The states of a job. ACTIVE becomes one of the others, once, in the delivery that
@@ -150,8 +150,8 @@
     X(TXT, kind, 0)          /* of worker that the queue is served by; empty: any */
 SHAPE(JobTerms, JOB_TERMS_FIELDS)
 
-/* What a job's tasks add up to, so that nobody walks them to know. Updated with each
- * change of a phase; job_sum builds it anew.
+/* Sums over a job's tasks, so that no reader has to walk the tasks. Updated with each
+ * change of a phase; job_sum computes them anew.
  * Invariant: equal to what a walk over the tasks would count. */
 typedef struct JobSums {
     size_t open;   /* tasks that have not ended */
@@ -176,11 +176,10 @@
     X(RAM, sums, JobSums)
 SHAPE(Job, JOB_FIELDS)
 
-/* Builds the sums of a job whose tasks are in place. The job must be a talloc parent:
- * it owns them. */
+/* Computes the sums of a job with all its tasks. The job is their talloc parent. */
 void job_sum(Job *job);
 /* Updates the sums; to be called just before the task's phase becomes phase. */
-void job_sum_turn(Job *job, const JobTask *task, uint64_t phase);
+void job_sum_phase(Job *job, const JobTask *task, uint64_t phase);
 
 /* A task's number names it outside of its job: by turn, step and place in the
  * step, so that whoever knows these three needs no look at the job. */
--- a/packages/state/include/state/table.h
+++ b/packages/state/include/state/table.h
@@ -5,16 +5,15 @@
 #include "replication/replication.h"
 
 /* The replicated state machine: jobs, tasks, workers, zones and versions of the
- * configuration, as the log's entries (table/change.h) build them up. Every voter holds
+ * configuration, as the log's entries (state/change.h) build them up. Every voter holds
  * one and delivers the same entries in the same order; delivery depends on the entry and
  * the state alone, so all come to the same state.
  *
  * Only delivery changes it, and delivery never waits, so whoever reads it without waiting
  * sees one moment of it. No function here waits.
  *
- * The users' habit is that tables are immutable snapshots swapped whole. The
- * configuration here is one. The jobs are not: ten thousands of tasks would be
- * copied for each of some forty changes a second. */
+ * The operators' configuration is an immutable snapshot that is swapped as a whole (config/config.h). The jobs are
+ * changed in place: tens of thousands of tasks would be copied for each of some forty changes a second. */
 typedef struct Table Table;
 
 /* Called after each change has been delivered, within the delivery; must not wait. body
@@ -24,7 +23,7 @@
 
 /* An empty state on mem, which owns it. */
 Table *table_new(void *mem);
-/* One watcher at a time; a later one replaces it. */
+/* Sets the one watcher; a later one replaces it. */
 void table_watch(Table *table, TableFn fn, void *arg);
 /* Deliver, save and load, for replication_new. load replaces the whole state: every pointer that
  * was got from it before is invalid then. */
@@ -38,10 +37,10 @@
 size_t table_jobs(const Table *table, Job *const **jobs);
 /* Those that have not ended, likewise. */
 size_t table_active(const Table *table, Job *const **jobs);
-/* The number of the job accepted last; 0: none was. */
+/* The number of the job accepted last; 0: none has been. */
 uint64_t table_last_number(const Table *table);
-/* Log time, in ms, of the oldest that a FORGET would drop: the first end of a job, or the
- * arrival of an orphan (a finished task of an unknown job); INT64_MAX: nothing. */
+/* Log time, in ms, of the oldest thing that a FORGET would drop: the end of a job, or the report of an orphaned attempt
+ * (one that finished a task of an unknown job); INT64_MAX: nothing. */
 int64_t table_oldest_ms(const Table *table);
 /* Waiting tasks (not on a worker, not ended) of a cell. */
 size_t table_waiting(const Table *table, const char *cell);
@@ -58,12 +57,12 @@
 /* A counter that grows with each change of the worker's orders (the attempts that should
  * be running there); 0: it never had any. */
 uint64_t table_orders(const Table *table, const char *worker);
-/* Called with the worker whenever that grows, within the delivery; must not wait. */
+/* Called with the worker whenever that counter grows, within the delivery; must not wait. */
 typedef void (*TableOrdersFn)(void *arg, const char *worker);
 void table_orders_watch(Table *table, TableOrdersFn fn, void *arg);
 
-/* Called with a task whose attempt is about to leave its worker without a report of the
- * worker's agent: it may still run there. Within the delivery; must not wait. */
+/* Called with a task whose attempt is about to be over by decision of the leader, without a report of the worker's
+ * agent: it may still run on the worker. Within the delivery; must not wait. */
 typedef void (*TableLeftFn)(void *arg, const Job *job, const JobTask *task);
 void table_left_watch(Table *table, TableLeftFn fn, void *arg);
 
@@ -74,7 +73,7 @@
 } TaskOn;
 
 /* All of one worker, in no order; the count is returned. Valid until the next delivery. */
-size_t table_on(const Table *table, const char *worker, const TaskOn **on);
+size_t table_tasks_on(const Table *table, const char *worker, const TaskOn **on);
 /* The workers that have a task on them, at 0, 1, ..., in no order; null past the last. */
 const char *table_busy(const Table *table, size_t at);
 
@@ -84,18 +83,17 @@
 Resources table_used_by(const Table *table, const char *cell);
 Resources table_used_by_tenant(const Table *table, const char *cell, const char *tenant);
 
-/* --- configuration */
+/* --- the operators' configuration */
 
 /* Its versions. The pointer is valid until the state is replaced (table_loads). */
 const Versions *table_versions(const Table *table);
-/* Grows whenever the whole state is replaced: what is remembered of a version of
- * an earlier one may be of another document. */
+/* Grows whenever the whole state is replaced: after that a version number may belong to another document. */
 uint64_t table_loads(const Table *table);
 
 /* --- zones */
 
-/* The state of a zone, as the newest order for it (ZONE_DRAIN) says. Each order that counts
- * may take it from any state to any other:
+/* The state of a zone, as the newest order for it (ZONE_DRAIN) says. An order can change it from any state to any
+ * other:
  *
  *     ZONE_OPEN      no order yet, or one with drained=0
  *     ZONE_DRAINING  drained=1, move=0: no new work; what runs there ends there
@@ -118,12 +116,12 @@
 /* The zones that are drained, in the order of their names, on mem; the count is returned. */
 size_t table_drains(const Table *table, void *mem, const char ***zones);
 
-/* What an order for a zone is to the state. */
+/* Whether an order for a zone has been delivered, or still can be. */
 typedef enum DrainKnown {
     DRAIN_NEW,       /* it may be delivered */
-    DRAIN_TAKEN,     /* it has been delivered: it is sent again */
-    DRAIN_OVERTAKEN, /* it has not been, and others have since its base: it never will be */
-    DRAIN_FORGOTTEN, /* others have since its base, and it may be one that is not remembered */
+    DRAIN_TAKEN,     /* it has been delivered: this is a retry */
+    DRAIN_OVERTAKEN, /* it has not been, and later orders than its base have: it never will be */
+    DRAIN_FORGOTTEN, /* later orders than its base have been, and it may be one that is no longer remembered */
 } DrainKnown;
 DrainKnown table_drain_known(const Table *table, const ZoneDrain *drain);
 
--- a/packages/state/include/state/versions.h
+++ b/packages/state/include/state/versions.h
@@ -2,7 +2,7 @@
 #define STATE_VERSIONS_H
 
 /* The versions of the operators' configuration: their texts, as far as they can be read
- * back, and the calls that brought them. The table holds one; an entry point holds a
+ * back, and the digests of the calls that set them. The table holds one; an entry point holds a
  * shorter one for repair. Nothing here waits. */
 
 #include <json-c/json.h>
@@ -15,7 +15,7 @@
     X(TXT, text, 0) /* the whole document, or a merge patch on the version before; empty: dropped */ \
     X(U64, base, 0)                                                                                  \
     X(FLAG, patch, 0)                                                                                \
-    X(TXT, digest, 0) /* of the call that brought it, when that named the version; else empty */     \
+    X(TXT, digest, 0) /* of the call that set it, when that named the version; else empty */         \
     X(ONE, limits, ConfigLimits)
 SHAPE(Version, VERSION_FIELDS)
 
@@ -23,8 +23,8 @@
  *
  * A document of a thousand queues has 300 KB and changes by some hundred bytes at
  * a time. So one whole text is kept, and patches from there on; a text is made of
- * them when it is asked for. Parsing, which costs a hundred times more than
- * keeping, is done where the document is used and nowhere else.
+ * them when it is asked for. Texts are parsed only where the document is used: that costs a
+ * hundred times more than keeping them.
  *
  * Rows whose texts are dropped are kept for the digests of their calls: an operator whose
  * answers are lost keeps sending while others make hundreds of changes, and must not be
@@ -48,9 +48,9 @@
 uint64_t versions_newest(const Versions *versions);
 /* An upper bound on the bytes of the newest version's text. */
 size_t versions_size(const Versions *versions);
-/* Of the newest; all 0 when there is none. Valid until the next change of the history. */
+/* The limits of the newest version; all 0 when there is none. Valid until the next change of the history. */
 const ConfigLimits *versions_limits(const Versions *versions);
-/* The version that the call with this digest brought; 0: none that is known. */
+/* The version that was set by the call with this digest; 0: no known one. */
 uint64_t versions_digest(const Versions *versions, const char *digest);
 
 /* Appends a copy of the row and drops what is beyond the bounds. The caller makes sure that
@@ -62,8 +62,8 @@
 /* The whole text of a version, on mem; null when it can't be read back. */
 const char *versions_text(const Versions *versions, void *mem, uint64_t version);
 /* The newest as a tree, null when there is none; the caller ends its use by
- * json_object_put. have (may be null) is the tree of version have_version, from which it
- * is made by the patches since; without it the last whole text is parsed. */
+ * json_object_put. have (may be null) is the tree of version have_version: where possible the
+ * later patches are applied to it, so that no whole text is parsed. */
 json_object *versions_tree(const Versions *versions, json_object *have, uint64_t have_version);
 
 #endif
--- a/packages/state/include/state/worker.h
+++ b/packages/state/include/state/worker.h
@@ -6,13 +6,13 @@
 
 #include "state/job.h"
 
-/* What is known of a worker durably: what it is, not how it is doing.
+/* What is known of a worker durably: its properties, not whether it is alive.
  *
  *     state     flag         becomes the other on
  *     in use    excluded=0   WORKER_LEFT with left: it left cleanly
  *     excluded  excluded=1   WORKER_LEFT without left; WORKER_SET, when it returns
  *
- * A worker that is known stays known. */
+ * A known worker is never dropped. */
 #define WORKER_FIELDS(X)         \
     X(TXT, name, 0)              \
     X(TXT, zone, 0)              \
@@ -23,18 +23,18 @@
     X(FLAG, excluded, 0)
 SHAPE(Worker, WORKER_FIELDS)
 
-/* What an attempt came to, as its agent reports it, and the word of it in the API. All but
- * RUNNING are its end. What each costs the task stands in src/round.c. */
+/* The state or the end of an attempt, as its agent reports it, and its word in the API. All but RUNNING are ends. What
+ * each means to the task is decided in src/attempt.c. */
 #define ATTEMPT_WORD_LIST(X)                                                            \
     X(RUNNING, "running")                                                               \
     X(DONE, "done")                                                                     \
     X(FAILED, "failed")                                                                 \
     X(STOPPED, "stopped") /* it ended because it was told to stop */                    \
     X(REFUSED, "refused") /* never started: deadline over, no capacity, unknown kind */ \
-    X(LOST, "lost")       /* it runs no more: the worker lost it */                     \
-    X(LAPSED, "lapsed")   /* ... its lease was over */                                  \
-    X(BROKEN, "broken")   /* ... another member of its gang ended */                    \
-    X(ALONE, "alone")     /* ... it waited too long for the others of its gang */
+    X(LOST, "lost")       /* it no longer runs: the worker lost it */                   \
+    X(LAPSED, "lapsed")   /* ... since its lease had run out */                         \
+    X(BROKEN, "broken")   /* ... since another member of its gang ended */              \
+    X(ALONE, "alone")     /* ... since it waited too long for the others of its gang */
 typedef enum AttemptWord {
 #define X(name, word) ATTEMPT_##name,
     ATTEMPT_WORD_LIST(X)
@@ -53,7 +53,7 @@
     X(U64, task, 0)    /* its number, see TASK_NUMBER */                                       \
     X(U64, attempt, 0) /* number of the attempt */                                             \
     X(TXT, worker, 0)                                                                          \
-    X(U64, word, 0)           /* a AttemptWord */                                              \
+    X(U64, word, 0)           /* an AttemptWord */                                             \
     X(TXT, text, 0)           /* the worker's message */                                       \
     X(TXT, saved, 0)          /* its progress; empty: nothing is kept */                       \
     X(I64, ran_ms, 0)         /* ms; for how long its agent knew it to run; 0: not reported */ \
--- a/packages/state/src/attempt.c
+++ b/packages/state/src/attempt.c
@@ -42,7 +42,7 @@
         task->rest_until_ms = end->at_ms + REFUSED_REST_MS;
 }
 
-/* A loss of one is a loss of its gang: they start again together. */
+/* A loss of one task counts for its whole gang, which starts again together. */
 static void loss_count(Job *job, JobTask *task)
 {
     const Gang gang = gang_of(job, task);
@@ -72,7 +72,7 @@
 void job_fail(Table *table, Job *job, JobTask *task, int64_t at_ms)
 {
     if (!task_on_worker(task->phase))
-        task_turn(table, job, task, TASK_FAILED, "", at_ms, TURN_BY_LEADER);
+        task_set_phase(table, job, task, TASK_FAILED, "", at_ms, PHASE_BY_LEADER);
     job->ending = JOB_FAILED;
     job_stop_tasks(table, job, at_ms);
 }
@@ -80,7 +80,7 @@
 void attempt_over(Table *table, Job *job, JobTask *task, const AttemptEnd *end)
 {
     if (job->ending != JOB_ACTIVE) {
-        task_turn(table, job, task, TASK_CANCELLED, "", end->at_ms, end->source);
+        task_set_phase(table, job, task, TASK_CANCELLED, "", end->at_ms, end->source);
         return;
     }
     const bool stopping = task->phase == TASK_STOPPING;
@@ -97,15 +97,15 @@
     else
         rest_set(task, end);
     if (attempts_spent(job, task)) {
-        task_turn(table, job, task, TASK_FAILED, "", end->at_ms, end->source);
+        task_set_phase(table, job, task, TASK_FAILED, "", end->at_ms, end->source);
         job_fail(table, job, task, end->at_ms);
         return;
     }
-    task_turn(table, job, task, TASK_WAITING, "", end->at_ms, end->source);
+    task_set_phase(table, job, task, TASK_WAITING, "", end->at_ms, end->source);
     gang_break(table, job, task, end->at_ms);
 }
 
-void attempt_done(Table *table, Job *job, JobTask *task, uint64_t attempt, const char *teller, int64_t at_ms)
+void attempt_done(Table *table, Job *job, JobTask *task, uint64_t attempt, const char *reporter, int64_t at_ms)
 {
     const Gang gang = gang_of(job, task);
     const TaskPhase phase = job->ending == JOB_CANCELLED ? TASK_CANCELLED : TASK_DONE;
@@ -113,9 +113,9 @@
         JobTask *each = &gang.tasks[i];
         if (task_ended(each->phase))
             continue;
-        const bool reported = each->attempt == attempt && strcmp(each->worker, teller) == 0;
+        const bool reported = each->attempt == attempt && strcmp(each->worker, reporter) == 0;
         if (attempt > each->attempt)
             each->attempt = attempt;
-        task_turn(table, job, each, phase, "", at_ms, reported ? TURN_BY_AGENT : TURN_BY_LEADER);
+        task_set_phase(table, job, each, phase, "", at_ms, reported ? PHASE_BY_AGENT : PHASE_BY_LEADER);
     }
 }
--- a/packages/state/src/deliver_job.c
+++ b/packages/state/src/deliver_job.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #include "orphan.h"
-#include "turn.h"
+#include "phase.h"
 
 void deliver_job_add(Table *table, const Record *change, const JobAdd *add, ChangeResult *result)
 {
@@ -23,7 +23,7 @@
     job_enter(table, job);
     result->number = job->number;
     orphans_take(table, job, change->at_ms);
-    job_settle(table, job, change->at_ms);
+    job_end_if_complete(table, job, change->at_ms);
 }
 
 void deliver_job_cancel(Table *table, const Record *change, const JobCancel *cancel, ChangeResult *result)
@@ -41,10 +41,10 @@
     if (job->ending == JOB_ACTIVE)
         job->ending = JOB_CANCELLED;
     job_stop_tasks(table, job, change->at_ms);
-    job_settle(table, job, change->at_ms);
+    job_end_if_complete(table, job, change->at_ms);
 }
 
-/* A job once shown as ended stays so, although the disks lost how it came to that. */
+/* A job that was once shown as ended stays ended, although the disks have lost how it ended. */
 void deliver_job_end(Table *table, const Record *change, const JobEnd *end, ChangeResult *result)
 {
     Job *job = map_get(table->by_id, end->id);
@@ -54,12 +54,12 @@
     if (end->phase == JOB_DONE) {
         for (size_t i = 0; i < job->tasks_count; i++)
             if (!task_ended(job->tasks[i].phase))
-                task_turn(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, TURN_BY_LEADER);
+                task_set_phase(table, job, &job->tasks[i], TASK_DONE, "", change->at_ms, PHASE_BY_LEADER);
     } else {
         job->ending = end->phase;
         job_stop_tasks(table, job, change->at_ms);
     }
-    job_settle(table, job, change->at_ms);
+    job_end_if_complete(table, job, change->at_ms);
 }
 
 /* Takes the jobs whose number is 0 out of the order of acceptance. */
@@ -88,13 +88,13 @@
 {
     (void)change;
     const JobList *ended = &table->ended;
-    size_t gone = 0;
-    while (gone < ended->count && ended->jobs[gone]->ended_ms < forget->before_ms)
-        ended->jobs[gone++]->number = 0; /* no job's number: a mark for order_drop */
-    if (gone > 0) {
+    size_t dropped = 0;
+    while (dropped < ended->count && ended->jobs[dropped]->ended_ms < forget->before_ms)
+        ended->jobs[dropped++]->number = 0; /* marks it for order_drop: no job has this number */
+    if (dropped > 0) {
         order_drop(&table->order);
-        ended_drop(table, gone);
+        ended_drop(table, dropped);
     }
-    result->number = gone;
+    result->number = dropped;
     orphans_forget(table, forget->before_ms);
 }
--- a/packages/state/src/deliver_place.c
+++ b/packages/state/src/deliver_place.c
@@ -13,7 +13,7 @@
     return *job != NULL && at < (*job)->tasks_count ? &(*job)->tasks[at] : NULL;
 }
 
-/* The task that may be placed so; null: the state has moved on since it was planned. */
+/* The task, when it may be placed so; null: the state has changed since that was planned. */
 static JobTask *placeable(Table *table, const Placement *place, Job **job)
 {
     JobTask *task = task_find(table, place->job, place->task, job);
@@ -62,7 +62,7 @@
             task->attempt = place->attempt;
             task->incarnation = place->incarnation;
             saved_set(job, task, place->saved);
-            task_turn(table, job, task, TASK_PLACED, place->worker, change->at_ms, TURN_BY_LEADER);
+            task_set_phase(table, job, task, TASK_PLACED, place->worker, change->at_ms, PHASE_BY_LEADER);
             task->assured = place->assured;
             result->number++;
         }
@@ -85,7 +85,7 @@
             continue;
         task_text(job, &task->text, list->why);
         task->shunned = task->worker; /* it goes elsewhere, if it can */
-        task_turn(table, job, task, TASK_STOPPING, task->worker, change->at_ms, TURN_BY_LEADER);
+        task_set_phase(table, job, task, TASK_STOPPING, task->worker, change->at_ms, PHASE_BY_LEADER);
         gang_break(table, job, task, change->at_ms);
         result->number++;
     }
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -7,14 +7,14 @@
 
 #include "attempt.h"
 
-#define SORTED_FIRST 64 /* count; slots for workers at first */
+#define SORTED_FIRST 64 /* count; slots allocated for workers at first */
 
 const Worker *table_worker(const Table *table, const char *name)
 {
     return map_get(table->workers, name);
 }
 
-/* The first place whose worker's name is not below. */
+/* The index of the first worker whose name is not below. */
 static size_t sorted_place(const Table *table, const char *name)
 {
     size_t low = 0, high = table->sorted_count;
@@ -46,9 +46,9 @@
     map_set(table->workers, worker->name, worker);
     const size_t at = sorted_place(table, worker->name);
     if (before == NULL) {
-        if (table->sorted_count == table->sorted_resources) {
-            table->sorted_resources = table->sorted_resources ? table->sorted_resources * 2 : SORTED_FIRST;
-            table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_resources);
+        if (table->sorted_count == table->sorted_capacity) {
+            table->sorted_capacity = table->sorted_capacity ? table->sorted_capacity * 2 : SORTED_FIRST;
+            table->sorted = talloc_realloc(table->mem, table->sorted, Worker *, (unsigned)table->sorted_capacity);
         }
         memmove(&table->sorted[at + 1], &table->sorted[at], (table->sorted_count - at) * sizeof(*table->sorted));
         table->sorted_count++;
@@ -57,8 +57,8 @@
     talloc_free(before);
 }
 
-/* In the order of jobs and tasks: what becomes of one may depend on another of its job,
- * and every voter must come to the same. */
+/* By jobs and tasks: what becomes of a task may depend on another of its job, and all nodes must come to the same
+ * state. */
 static int on_order(const void *a, const void *b)
 {
     const TaskOn *x = a, *y = b;
@@ -71,7 +71,7 @@
 {
     /* tasks leave the list while it is walked: walk a copy */
     const TaskOn *its;
-    const size_t count = table_on(table, lost->worker, &its);
+    const size_t count = table_tasks_on(table, lost->worker, &its);
     if (count == 0)
         return;
     TaskOn *on = talloc_memdup(NULL, its, count * sizeof(*on));
@@ -82,9 +82,9 @@
         if (task->incarnation > lost->incarnation || !task_on_worker(task->phase))
             continue;
         const AttemptWord word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST;
-        const AttemptEnd end = {word, "", TURN_BY_LEADER, change->at_ms};
+        const AttemptEnd end = {word, "", PHASE_BY_LEADER, change->at_ms};
         attempt_over(table, job, task, &end);
-        job_settle(table, job, change->at_ms);
+        job_end_if_complete(table, job, change->at_ms);
         result->number++;
     }
     talloc_free(on);
--- a/packages/state/src/gang.c
+++ b/packages/state/src/gang.c
@@ -15,7 +15,7 @@
     for (size_t i = 0; i < gang.count; i++) {
         JobTask *other = &gang.tasks[i];
         if (other != task && (other->phase == TASK_PLACED || other->phase == TASK_RUNNING))
-            task_turn(table, job, other, TASK_STOPPING, other->worker, at_ms, TURN_BY_LEADER);
+            task_set_phase(table, job, other, TASK_STOPPING, other->worker, at_ms, PHASE_BY_LEADER);
     }
 }
 
--- a/packages/state/src/gang.h
+++ b/packages/state/src/gang.h
@@ -4,7 +4,7 @@
 /* Gangs: tasks of one step and turn that run together, under one attempt number, and end
  * as one. Invariant: gang.tasks are neighbours in their job's tasks. */
 
-#include "turn.h"
+#include "phase.h"
 
 typedef struct Gang {
     JobTask *tasks;
--- a/packages/state/src/inside.h
+++ b/packages/state/src/inside.h
@@ -1,31 +1,31 @@
 #ifndef STATE_SRC_INSIDE_H
 #define STATE_SRC_INSIDE_H
 
-/* The state's data, as the sources of this package share it. They build on each other in
- * this order, each with a header of its own that names only earlier ones:
+/* The data of the state table, shared by the sources of this package. Each source has a header and uses only those
+ * before it in this order:
  *
- *     joblist, on     lists of jobs; the tasks on each worker
- *     turn            every change of a task's or a job's phase
+ *     job_list        lists of jobs
+ *     on_worker       the tasks on each worker
+ *     phase           every change of a task's or a job's phase
  *     gang, attempt   what the end of one attempt means to a gang, and to its task
  *     orphan          finished tasks of unknown jobs
  *     deliver*        one function for each kind of change (deliver.h)
  *     saved           the state as a snapshot and back
- *     table           the state made empty, read, and delivered to */
+ *     table           the empty state, its getters, and the dispatch of changes */
 
 #include "base/map.h"
 #include "job_list.h"
 #include "state/table.h"
 
-/* What the table knows of a worker's tasks and orders. Invariants: name is the table's own,
- * and tasks point at it; on holds exactly the tasks whose worker it is, and each of them
- * has its place there in on_at. A row is never dropped. */
+/* A worker's tasks and orders. Invariants: name is owned by the row, and tasks point to it; on has exactly the tasks
+ * whose worker it is, and each of them has its index there in on_at. A row is never dropped. */
 typedef struct WorkerOn {
     const char *name;
     uint64_t version; /* counts changes of the orders, see table_orders */
     TaskOn *on;
-    size_t count, resources; /* room: slots allocated */
-    Resources used;          /* capacity in use by them */
-    size_t busy_at;          /* its place in Table.busy; of no meaning when count is 0 */
+    size_t count, capacity; /* capacity: slots allocated */
+    Resources used;         /* capacity in use by them */
+    size_t busy_at;         /* its index in Table.busy; meaningless while count is 0 */
 } WorkerOn;
 
 /* Waiting tasks of a cell. */
@@ -47,8 +47,8 @@
     X(I64, at_ms, 0) /* ms; log time of the report */
 SHAPE(Orphan, ORPHAN_FIELDS)
 
-/* One order for a zone that was delivered. order "": it had no name, or it stands
- * for all up to its stamp that are not remembered any more. */
+/* One order for a zone that was delivered. order "": it had no name, or the row stands for all orders up to its stamp
+ * that are no longer remembered. */
 #define ZONE_ORDER_FIELDS(X) \
     X(TXT, zone, 0)          \
     X(TXT, order, 0)         \
@@ -73,19 +73,19 @@
     uint64_t last_number;
     Map *workers; /* a worker's name to Worker */
     Worker **sorted;
-    size_t sorted_count, sorted_resources;
+    size_t sorted_count, sorted_capacity;
     Map *on;         /* a worker's name to WorkerOn */
     WorkerOn **busy; /* exactly those with a task on them, in no order */
-    size_t busy_count, busy_resources;
+    size_t busy_count, busy_capacity;
     Map *cells;      /* a cell's name to CellSum */
-    Map *used;       /* "cell", and "cell/tenant", to the Room that its tasks on workers use */
+    Map *used;       /* "cell", and "cell/tenant", to the Resources that its tasks on workers use */
     Map *queues;     /* "cell/queue" to QueueSum */
     Orphan *orphans; /* each owned by the table; forgotten as ended jobs are */
     size_t orphan_count;
     Map *drains; /* a zone's name to ZoneOrders */
     Versions *versions;
     uint64_t loads; /* how often the state was replaced */
-    /* the watchers, which a loaded state leaves as they are */
+    /* the watchers, which stay when a state is loaded */
     TableFn fn;
     void *arg;
     TableOrdersFn orders_fn;
--- a/packages/state/src/job_list.c
+++ b/packages/state/src/job_list.c
@@ -7,9 +7,9 @@
 
 void job_list_add(void *mem, JobList *list, Job *job)
 {
-    if (list->count == list->resources) {
-        list->resources = list->resources ? list->resources * 2 : LIST_FIRST;
-        list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->resources);
+    if (list->count == list->capacity) {
+        list->capacity = list->capacity ? list->capacity * 2 : LIST_FIRST;
+        list->jobs = talloc_realloc(mem, list->jobs, Job *, (unsigned)list->capacity);
     }
     list->jobs[list->count++] = job;
 }
--- a/packages/state/src/job_list.h
+++ b/packages/state/src/job_list.h
@@ -7,7 +7,7 @@
 
 typedef struct JobList {
     Job **jobs;
-    size_t count, resources; /* room: slots allocated */
+    size_t count, capacity; /* capacity: slots allocated */
 } JobList;
 
 /* Appends; mem is the talloc parent of the list's array. */
--- a/packages/state/src/job_new.c
+++ b/packages/state/src/job_new.c
@@ -2,7 +2,7 @@
  * terms. No task costs an allocation of its own. */
 #include <talloc.h>
 
-#include "turn.h"
+#include "phase.h"
 
 Job *job_new(void *mem, const JobSpec *spec, const JobTerms *terms)
 {
--- a/packages/state/src/on_worker.c
+++ b/packages/state/src/on_worker.c
@@ -30,9 +30,9 @@
 
 static void busy_add(Table *table, WorkerOn *its)
 {
-    if (table->busy_count == table->busy_resources) {
-        table->busy_resources = table->busy_resources ? table->busy_resources * 2 : BUSY_FIRST;
-        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_resources);
+    if (table->busy_count == table->busy_capacity) {
+        table->busy_capacity = table->busy_capacity ? table->busy_capacity * 2 : BUSY_FIRST;
+        table->busy = talloc_realloc(table->mem, table->busy, WorkerOn *, (unsigned)table->busy_capacity);
     }
     its->busy_at = table->busy_count;
     table->busy[table->busy_count++] = its;
@@ -112,23 +112,23 @@
     return table_used_by(table, key.text);
 }
 
-void on_add(Table *table, Job *job, JobTask *task)
+void on_worker_add(Table *table, Job *job, JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
     WorkerOn *its = worker_on(table, task->worker);
     if (its->count == 0)
         busy_add(table, its);
-    if (its->count == its->resources) {
-        its->resources = its->resources ? its->resources * 2 : ON_FIRST;
-        its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->resources);
+    if (its->count == its->capacity) {
+        its->capacity = its->capacity ? its->capacity * 2 : ON_FIRST;
+        its->on = talloc_realloc(its, its->on, TaskOn, (unsigned)its->capacity);
     }
     task->on_at = its->count;
     its->on[its->count++] = (TaskOn){job, (size_t)(task - job->tasks)};
     used_add(used_sums(table, its, &job->spec), job->spec.steps[task->step].resources);
 }
 
-void on_drop(Table *table, const JobTask *task)
+void on_worker_remove(Table *table, const JobTask *task)
 {
     if (task->worker[0] == '\0')
         return;
@@ -162,7 +162,7 @@
     table->left_arg = arg;
 }
 
-size_t table_on(const Table *table, const char *worker, const TaskOn **on)
+size_t table_tasks_on(const Table *table, const char *worker, const TaskOn **on)
 {
     const WorkerOn *its = map_get(table->on, worker);
     *on = its != NULL ? its->on : NULL;
--- a/packages/state/src/on_worker.h
+++ b/packages/state/src/on_worker.h
@@ -10,8 +10,8 @@
 /* The worker's orders have changed: counts it and calls the watcher. "": nothing. */
 void orders_touch(Table *table, const char *worker);
 /* The task has come to task->worker; nothing when that is "". */
-void on_add(Table *table, Job *job, JobTask *task);
+void on_worker_add(Table *table, Job *job, JobTask *task);
 /* The task is about to leave task->worker; nothing when that is "". */
-void on_drop(Table *table, const JobTask *task);
+void on_worker_remove(Table *table, const JobTask *task);
 
 #endif
--- a/packages/state/src/turn.c
+++ b/packages/state/src/phase.c
@@ -1,5 +1,5 @@
 /* Every change of a task's or a job's phase, and the sums by cell and queue that follow it. */
-#include "turn.h"
+#include "phase.h"
 
 #include <assert.h>
 #include <string.h>
@@ -66,7 +66,7 @@
     CellSum *cell = cell_of(table, job->spec.cell);
     for (size_t i = 0; i < job->tasks_count; i++) {
         cell->waiting += job->tasks[i].phase == TASK_WAITING;
-        on_add(table, job, &job->tasks[i]);
+        on_worker_add(table, job, &job->tasks[i]);
     }
     if (job->phase == JOB_ACTIVE) {
         job_list_add(table->mem, &table->active, job);
@@ -101,33 +101,33 @@
 }
 
 /* Counts the change of phase in its cell and its job. */
-static void turn_count(Table *table, Job *job, const JobTask *task, TaskPhase phase)
+static void phase_count(Table *table, Job *job, const JobTask *task, TaskPhase phase)
 {
     if ((task->phase == TASK_WAITING) != (phase == TASK_WAITING)) {
         CellSum *cell = cell_of(table, job->spec.cell);
         assert(cell->waiting > 0 || phase == TASK_WAITING);
         cell->waiting += phase == TASK_WAITING ? 1 : (size_t)-1;
     }
-    job_sum_turn(job, task, phase);
+    job_sum_phase(job, task, phase);
 }
 
 static void worker_change(Table *table, Job *job, JobTask *task, const char *worker)
 {
-    on_drop(table, task);
+    on_worker_remove(table, task);
     task->worker = worker[0] != '\0' ? worker_on(table, worker)->name : "";
-    on_add(table, job, task);
+    on_worker_add(table, job, task);
     orders_touch(table, worker);
 }
 
-void task_turn(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms,
-               TurnSource source)
+void task_set_phase(Table *table, Job *job, JobTask *task, TaskPhase phase, const char *worker, int64_t at_ms,
+                    PhaseSource source)
 {
     assert(!task_ended(task->phase) || task->phase == phase);
-    turn_count(table, job, task, phase);
+    phase_count(table, job, task, phase);
     const bool leaves = strcmp(task->worker, worker) != 0;
     const bool confirmed = task->phase == TASK_PLACED && phase == TASK_RUNNING;
-    const bool agent_knows = leaves && source == TURN_BY_AGENT;
-    /* that it runs changes nothing of what its worker is to do */
+    const bool agent_knows = leaves && source == PHASE_BY_AGENT;
+    /* a confirmed start changes no order of its worker */
     if (!confirmed && !agent_knows)
         orders_touch(table, task->worker);
     if (leaves && !agent_knows && task->worker[0] != '\0' && table->left_fn != NULL)
@@ -145,13 +145,13 @@
     for (size_t i = 0; i < job->tasks_count; i++) {
         JobTask *task = &job->tasks[i];
         if (task->phase == TASK_WAITING)
-            task_turn(table, job, task, TASK_CANCELLED, "", at_ms, TURN_BY_LEADER);
+            task_set_phase(table, job, task, TASK_CANCELLED, "", at_ms, PHASE_BY_LEADER);
         else if (task->phase == TASK_PLACED || task->phase == TASK_RUNNING)
-            task_turn(table, job, task, TASK_STOPPING, task->worker, at_ms, TURN_BY_LEADER);
+            task_set_phase(table, job, task, TASK_STOPPING, task->worker, at_ms, PHASE_BY_LEADER);
     }
 }
 
-void job_settle(Table *table, Job *job, int64_t at_ms)
+void job_end_if_complete(Table *table, Job *job, int64_t at_ms)
 {
     if (job->phase != JOB_ACTIVE || job->sums.open > 0)
         return;
--- a/packages/state/src/saved.c
+++ b/packages/state/src/saved.c
@@ -1,5 +1,5 @@
-/* The state as a snapshot, and back. What can be found again from the rest (lists, sums, what
- * is on each worker) is not saved. */
+/* The state as a snapshot, and back. What can be computed from the rest (lists, sums, the tasks on each worker) is not
+ * saved. */
 #include "saved.h"
 
 #include <talloc.h>
@@ -8,10 +8,9 @@
 #include "deliver.h"
 #include "on_worker.h"
 #include "orphan.h"
-#include "turn.h"
+#include "phase.h"
 
 /* The fields of a snapshot, in their order on disk: new ones are added at the end. */
-
 #define SAVED_FIELDS(X)       \
     X(U64, last_number, 0)    \
     X(LST, jobs, Job)         \
--- a/packages/state/src/saved.h
+++ b/packages/state/src/saved.h
@@ -5,7 +5,7 @@
 
 #include "inside.h"
 
-/* The state as an empty one, in new memory; the watchers stay. */
+/* Makes the state empty, in new memory; the watchers stay. */
 void table_clear(Table *table);
 /* arg: the Table. The whole state, on mem. */
 Bytes table_save(void *arg, void *mem);
--- a/packages/state/src/sums.c
+++ b/packages/state/src/sums.c
@@ -45,7 +45,7 @@
                 job->sums.done[turn] |= UINT64_C(1) << i;
 }
 
-void job_sum_turn(Job *job, const JobTask *task, uint64_t phase)
+void job_sum_phase(Job *job, const JobTask *task, uint64_t phase)
 {
     assert(job->sums.waiting > 0 || task->phase != TASK_WAITING);
     job->sums.waiting += phase == TASK_WAITING;
--- a/packages/state/src/table.c
+++ b/packages/state/src/table.c
@@ -1,4 +1,4 @@
-/* The state machine as the log sees it: an empty state, its readers, and the dispatch of each
+/* The state machine as the log uses it: an empty state, its getters, and the dispatch of each
  * log entry to the function that delivers it. */
 #include <talloc.h>
 
--- a/packages/state/src/versions.c
+++ b/packages/state/src/versions.c
@@ -1,5 +1,4 @@
-/* The history of the configuration: one whole text, merge patches on it, and the digests of
- * older calls. */
+/* The versions of the operators' configuration: one whole text, merge patches on it, and the digests of older calls. */
 #include "state/versions.h"
 
 #include <string.h>
--- a/packages/state/src/worker.c
+++ b/packages/state/src/worker.c
@@ -1,4 +1,4 @@
-/* The shapes of workers and of agents' updates, and the words of those. */
+/* The shapes of workers and of agents' updates on attempts, and the words of the latter. */
 #include "state/worker.h"
 
 #include <string.h>
--- a/packages/state/test/attempts.c
+++ b/packages/state/test/attempts.c
@@ -125,7 +125,7 @@
     assert_int_equal(job->phase, JOB_DONE);
     assert_true(table_orders(b.table, "v") > orders);
     const TaskOn *on;
-    assert_int_equal(table_on(b.table, "v", &on), 0);
+    assert_int_equal(table_tasks_on(b.table, "v", &on), 0);
     say(&b, "j", 0, 2, "v", ATTEMPT_FAILED, "");
     assert_int_equal(job->phase, JOB_DONE);
     talloc_free(b.table);
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -104,7 +104,7 @@
             if (task->worker[0] == '\0')
                 continue;
             const TaskOn *on;
-            assert_true(task->on_at < table_on(b->table, task->worker, &on));
+            assert_true(task->on_at < table_tasks_on(b->table, task->worker, &on));
             assert_ptr_equal(on[task->on_at].job, job);
             assert_int_equal(on[task->on_at].task, t);
             on_w[task->worker[1] - '0']++;
@@ -134,7 +134,7 @@
     for (int w = 0; w < 3; w++) {
         const char name[] = {'w', (char)('0' + w), '\0'};
         const TaskOn *on;
-        assert_int_equal(table_on(b->table, name, &on), on_w[w]);
+        assert_int_equal(table_tasks_on(b->table, name, &on), on_w[w]);
     }
 }
 
