--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -51,7 +51,7 @@
 static void orders_fill(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
-    const size_t count = table_on(controller->table, heartbeat->worker.name, &on);
+    const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
     out->wanted = talloc_array(mem, AttemptId, (unsigned)count);
     out->starts = talloc_array(mem, Order, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
@@ -81,7 +81,7 @@
     return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
            row->incarnation == heartbeat->incarnation && !row->losing &&
            (table_orders(controller->table, heartbeat->worker.name) != heartbeat->have ||
-            configuration_term(controller->replication) != heartbeat->have_term);
+            replication_led_term(controller->replication) != heartbeat->have_term);
 }
 
 void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
