--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -1,4 +1,4 @@
-/* The leader towards agents: heartbeats, updates of attempts, questions for orders. */
+/* Messages of agents, answered as leader: heartbeats, which ask for orders too, and updates of attempts. */
 #include "agents.h"
 
 #include <string.h>
@@ -19,9 +19,8 @@
     return false;
 }
 
-/* Whether an attempt that is to be stopped is over, since its agent does not list it: it has stopped, or it
- * never came there. An order for it may still be under way until its deadline, or until the agent has newer
- * ones. */
+/* Whether an attempt that is to be stopped, and that its agent does not list, is over. An order to start it may
+ * still be on its way to the agent, until ORDER_GONE_MS has passed or the agent has newer orders. */
 static bool stop_over(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
@@ -30,9 +29,9 @@
              heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
-/* Attempts that should run there and that a complete list does not have are lost; those that were to stop have
- * stopped. */
-static AttemptList missing(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
+/* Updates for the attempts that the table has on the worker and the heartbeat's complete list does not: those that
+ * should run are lost, those that were to stop have stopped. On mem. */
+static AttemptList missing_attempts(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
     AttemptList list = {0};
     const TaskOn *on;
@@ -58,61 +57,68 @@
     return list;
 }
 
-/* What a heartbeat makes known, committed beside it: the lease does not wait for the disks. */
-typedef struct Learning {
+/* What a heartbeat makes known is committed in a task of its own: the lease, which its answer renews, does not wait
+ * for the disks. Owns what it points to, but for the controller and the session. */
+typedef struct HeartbeatCommit {
     Controller *controller;
-    AgentSession *line;
+    AgentSession *session;
     Worker worker;
-    bool learn, left;
-    AttemptList missing;
-} Learning;
+    bool worker_changed, left; /* the table has another record of the worker, or none; the worker has drained */
+    AttemptList missing_attempts;
+} HeartbeatCommit;
 
-static void learn_main(void *arg)
+static void heartbeat_commit_main(void *arg)
 {
-    Learning *learning = arg;
-    Controller *controller = learning->controller;
+    HeartbeatCommit *commit = arg;
+    Controller *controller = commit->controller;
     ChangeResult result;
-    update_notify(controller, learning->missing.updates, learning->missing.updates_count);
-    if (learning->learn)
-        controller_submit(controller, learning, CHANGE_WORKER_SET, &Worker_shape, &learning->worker, &result);
-    if (learning->left) {
-        const WorkerLeft left = {learning->worker.name, true};
-        controller_submit(controller, learning, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result);
+    attempt_updates_commit(controller, commit->missing_attempts.updates, commit->missing_attempts.updates_count);
+    if (commit->worker_changed)
+        controller_submit(controller, commit, CHANGE_WORKER_SET, &Worker_shape, &commit->worker, &result);
+    if (commit->left) {
+        const WorkerLeft left = {commit->worker.name, true};
+        controller_submit(controller, commit, CHANGE_WORKER_LEFT, &WorkerLeft_shape, &left, &result);
     }
-    learning->line->learning = false;
-    talloc_free(learning);
+    commit->session->committing = false;
+    talloc_free(commit);
 }
 
-/* One at a time for each worker: what is being committed need not be submitted again. */
-static void learn(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
+/* Spawns a commit of what the heartbeat makes known, if it does; one at a time for each worker, since its
+ * heartbeats repeat what has yet to be committed. */
+static void heartbeat_commit(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
 {
-    AgentSession *line = agent_session(controller, heartbeat->worker.name);
-    if (line->learning)
+    AgentSession *session = agent_session(controller, heartbeat->worker.name);
+    if (session->committing)
         return;
     const Worker *known = table_worker(controller->table, heartbeat->worker.name);
     Worker worker = heartbeat->worker;
     const bool here = heartbeat->worker_live && !heartbeat->leaving;
     worker.excluded = known != NULL && known->excluded && !here;
-    const bool learns = heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
-    /* drained: it said so, it is gone, and no attempt of ours is left on it */
+    const bool worker_changed =
+        heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
+    /* the worker has drained: it was leaving, it is gone, and the agent has no attempt left */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
                       heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
-    const AttemptList gone = list_counts ? missing(controller, mem, heartbeat) : (AttemptList){0};
-    if (learns || left || gone.updates_count > 0) {
-        Learning *learning = talloc_zero(controller, Learning);
-        *learning = (Learning){.controller = controller, .line = line, .learn = learns, .left = left, .missing = gone};
-        shape_copy(&Worker_shape, &worker, learning, &learning->worker);
-        talloc_steal(learning, mem);
-        line->learning = true;
-        loop_spawn(controller->loop, "learn", learn_main, learning);
+    const AttemptList missing = list_counts ? missing_attempts(controller, mem, heartbeat) : (AttemptList){0};
+    if (worker_changed || left || missing.updates_count > 0) {
+        HeartbeatCommit *commit = talloc_zero(controller, HeartbeatCommit);
+        *commit = (HeartbeatCommit){.controller = controller,
+                                    .session = session,
+                                    .worker_changed = worker_changed,
+                                    .left = left,
+                                    .missing_attempts = missing};
+        shape_copy(&Worker_shape, &worker, commit, &commit->worker);
+        talloc_steal(commit, mem);
+        session->committing = true;
+        loop_spawn(controller->loop, "learn", heartbeat_commit_main, commit);
     } else {
         talloc_free(mem);
     }
 }
 
-/* Whether the table has yet to be told that the attempt runs. */
-static bool runs_untold(const Controller *controller, const char *worker, const AttemptSaved *saved)
+/* Whether the state table does not have yet that the attempt runs. */
+static bool run_unknown(const Controller *controller, const char *worker, const AttemptSaved *saved)
 {
     const Job *job = table_job(controller->table, saved->job);
     const size_t at = job != NULL ? task_index(job, saved->task) : 0;
@@ -125,36 +131,37 @@
                : task->phase == TASK_PLACED && saved->attempt == task->attempt && strcmp(task->worker, worker) == 0;
 }
 
-static void runs_take(Controller *controller, const HeartbeatAsk *heartbeat)
+/* Takes the checkpoints and the progress of running attempts, and submits that they run where that is unknown. */
+static void running_attempts_take(Controller *controller, const HeartbeatAsk *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const AttemptSaved *saved = &heartbeat->saved[i];
         saved_take(controller->scheduler, saved);
         pace_take(controller->scheduler, heartbeat->worker.name, saved);
-        if (!runs_untold(controller, heartbeat->worker.name, saved))
+        if (!run_unknown(controller, heartbeat->worker.name, saved))
             continue;
-        const AttemptUpdate updates = {.job = saved->job,
-                                       .task = saved->task,
-                                       .attempt = saved->attempt,
-                                       .worker = heartbeat->worker.name,
-                                       .word = ATTEMPT_RUNNING,
-                                       .text = "",
-                                       .saved = saved->text,
-                                       .ran_ms = saved->ran_ms};
-        update_later(controller, &updates);
+        const AttemptUpdate update = {.job = saved->job,
+                                      .task = saved->task,
+                                      .attempt = saved->attempt,
+                                      .worker = heartbeat->worker.name,
+                                      .word = ATTEMPT_RUNNING,
+                                      .text = "",
+                                      .saved = saved->text,
+                                      .ran_ms = saved->ran_ms};
+        attempt_updates_commit_later(controller, &update);
     }
     if (scheduler_place_from_ms(controller->scheduler) > loop_now_ms(controller->loop))
-        update_hurry(controller);
+        attempt_updates_hurry(controller);
 }
 
-/* After a loss of acknowledged changes: every known agent has told of all attempts that may run beside it, and
- * the table has them. */
+/* After a loss of acknowledged changes: whether every known agent has listed all attempts that may run on its
+ * worker, and the state table has them. */
 static bool all_heard(Controller *controller)
 {
     void *mem = talloc_new(controller);
     const Worker **workers;
     const size_t count = table_workers(controller->table, mem, &workers);
-    bool all = update_idle(controller);
+    bool all = attempt_updates_idle(controller);
     for (size_t i = 0; i < count && all; i++) {
         const LiveRow *row = liveset_find(controller->liveset, workers[i]->name);
         all = workers[i]->excluded || (row != NULL && row->heard_ms != INT64_MIN && row->settled);
@@ -171,13 +178,14 @@
     return all && heard >= agents;
 }
 
-static void place_maybe(Controller *controller)
+/* Lets the scheduler place again as soon as all agents have been heard, before the leases have ended. */
+static void placement_begin_early(Controller *controller)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
     if (now_ms >= scheduler_place_from_ms(controller->scheduler) || controller->repairing ||
         !replication_leading(controller->replication) || !all_heard(controller))
         return;
-    scheduler_set_place_from(controller->scheduler, now_ms); /* no attempt that the log has lost still runs */
+    scheduler_set_place_from(controller->scheduler, now_ms); /* no running attempt is unknown to the table */
     scheduler_notify(controller->scheduler);
 }
 
@@ -203,15 +211,14 @@
         orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
     if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
         scheduler_notify(controller->scheduler);
-    runs_take(controller, heartbeat);
+    running_attempts_take(controller, heartbeat);
     if (!controller->repairing && replication_leading(controller->replication))
-        learn(controller, heartbeat, list_counts);
-    place_maybe(controller);
+        heartbeat_commit(controller, heartbeat, list_counts);
+    placement_begin_early(controller);
     if (heartbeat->wait_ms > 0)
         orders_answer(controller, mem, heartbeat,
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
-    /* the lease counts from when the question was sent, so a leader that has lost the lock since has granted it
-     * before: but nobody is to count on it any more */
+    /* this node may have lost the lead while it waited: then its lease must not be relied on */
     if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
     out->term = configuration_term(controller->replication);
@@ -231,10 +238,10 @@
         return STATUS_REPAIRING;
     liveset_notified(controller->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent sends it again */
-    return update_notify(controller, ask->updates, ask->updates_count);
+    return attempt_updates_commit(controller, ask->updates, ask->updates_count);
 }
 
-/* The protocol of agents of the first release. */
+/* Orders for agents of the first release, which ask for them apart from their heartbeats. */
 static Status on_fetch(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -266,6 +273,7 @@
     return STATUS_OK;
 }
 
+/* An isolated agent asks whether this node knows of a leader, and for the voters (see agent/src/isolated.c). */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -284,7 +292,7 @@
 void agents_serve(Controller *controller)
 {
     orders_start(controller);
-    update_start(controller);
+    attempt_updates_start(controller);
     rpc_handle(controller->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat,
                controller);
     rpc_handle(controller->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, controller);
--- a/packages/controller/src/agents.h
+++ b/packages/controller/src/agents.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* Answers agents' heartbeats, updates and questions for orders from now on. */
+/* Registers the handlers of agents' messages and starts the task that commits updates of attempts. */
 void agents_serve(Controller *controller);
 
 #endif
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -1,4 +1,5 @@
-/* Alerts are levels, not events. Each stands from when this leader first saw its cause until it is seen no more. */
+/* Alerts are levels, not events: each is active from when this leader first saw its cause until a check no longer
+ * finds it. */
 #include "alerts.h"
 
 #include <inttypes.h>
@@ -9,17 +10,17 @@
 #include "leader.h"
 #include "scheduler/worker_score.h"
 
-#define ALERTS_LOOK_MS 1000 /* ms; between two looks */
-#define LOST_AFTER_MS 1000  /* ms; beyond the lease: a restart of an agent takes less */
+#define ALERTS_CHECK_MS 1000 /* ms; between two checks */
+#define LOST_AFTER_MS 1000   /* ms; beyond the lease: a restart of an agent takes less */
 
 #define LOSSES_TEXT 40 /* bytes; two counts in words */
 
-typedef struct Standing {
+typedef struct ActiveAlert {
     Alert alert;
     const char *subject;
     int64_t since_ms;
-    uint64_t look; /* the look that saw its cause last */
-} Standing;
+    uint64_t last_check; /* number of the last check that saw its cause */
+} ActiveAlert;
 
 const char *alert_word(Alert alert)
 {
@@ -41,20 +42,21 @@
     return TODOS[alert];
 }
 
-static void see(Controller *controller, Alert alert, const char *subject)
+/* Notes the cause of an alert; subject: what it is about. */
+static void alert_seen(Controller *controller, Alert alert, const char *subject)
 {
     char key[ID_MAX * 2];
     snprintf(key, sizeof(key), "%d %s", (int)alert, subject);
-    Standing *standing = map_get(controller->alerts, key);
-    if (standing == NULL) {
-        standing = talloc_zero(controller->alerts, Standing);
-        *standing = (Standing){alert, talloc_strdup(standing, subject), loop_now_ms(controller->loop), 0};
-        map_set(controller->alerts, key, standing);
+    ActiveAlert *active = map_get(controller->alerts, key);
+    if (active == NULL) {
+        active = talloc_zero(controller->alerts, ActiveAlert);
+        *active = (ActiveAlert){alert, talloc_strdup(active, subject), loop_now_ms(controller->loop), 0};
+        map_set(controller->alerts, key, active);
     }
-    standing->look = controller->alert_looks;
+    active->last_check = controller->alert_checks;
 }
 
-static void voters_look(Controller *controller)
+static void voters_check(Controller *controller)
 {
     ReplicationStatus replication;
     replication_status(controller->replication, &replication);
@@ -64,17 +66,17 @@
         snprintf(disk, sizeof(disk), "%016" PRIx64, replication.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
         if (!replication.voters[i].in_configuration)
-            see(controller, ALERT_VOTER_OUT, name);
+            alert_seen(controller, ALERT_VOTER_OUT, name);
         if (replication.voters[i].sync_ms > VOTER_SLOW_MS)
-            see(controller, ALERT_VOTER_SLOW, name);
+            alert_seen(controller, ALERT_VOTER_SLOW, name);
     }
     char borne[LOSSES_TEXT];
     snprintf(borne, sizeof(borne), "%d of %d", replication.losses_borne, replication.losses_asked);
     if (replication.losses_borne < replication.losses_asked)
-        see(controller, ALERT_LOSSES_FEW, borne);
+        alert_seen(controller, ALERT_LOSSES_FEW, borne);
 }
 
-static void workers_look(Controller *controller, void *mem)
+static void workers_check(Controller *controller, void *mem)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
     const Worker **workers;
@@ -86,13 +88,13 @@
         const bool silent =
             now_ms > until_ms + LOST_AFTER_MS || (row != NULL && row->heard_ms != INT64_MIN && !row->worker_live);
         if (!workers[i]->excluded && silent && !(row != NULL && row->leaving))
-            see(controller, ALERT_WORKER_LOST, workers[i]->name);
+            alert_seen(controller, ALERT_WORKER_LOST, workers[i]->name);
         if (score_rests(controller->scheduler, workers[i]->name))
-            see(controller, ALERT_WORKER_RESTS, workers[i]->name);
+            alert_seen(controller, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
 
-static void work_look(Controller *controller)
+static void work_check(Controller *controller)
 {
     Job *const *jobs;
     const size_t count = table_active(controller->table, &jobs);
@@ -104,44 +106,44 @@
             waits |= task->phase == TASK_WAITING && task->losses > 0;
         }
     if (unassured)
-        see(controller, ALERT_UNASSURED, "tasks");
+        alert_seen(controller, ALERT_UNASSURED, "tasks");
     if (waits)
-        see(controller, ALERT_PROTECTED_WAITS, "tasks");
+        alert_seen(controller, ALERT_PROTECTED_WAITS, "tasks");
     const SchedulerPlan *plan = scheduler_plan(controller->scheduler);
     if (!plan->possible) {
         char subject[ID_MAX + 16];
         snprintf(subject, sizeof(subject), "%s %s", loss_word(plan->broken_by_loss), plan->broken_by);
-        see(controller, ALERT_PLAN_BROKEN, subject);
+        alert_seen(controller, ALERT_PLAN_BROKEN, subject);
     }
 }
 
-void alerts_look(Controller *controller)
+void alerts_check(Controller *controller)
 {
     void *mem = talloc_new(controller);
-    controller->alert_looks++;
+    controller->alert_checks++;
     const bool leads = replication_leading(controller->replication);
     const char *words;
     if (leads && controller->repairing)
-        see(controller, ALERT_REPAIRING, "cluster");
+        alert_seen(controller, ALERT_REPAIRING, "cluster");
     if (leads && !controller->repairing) {
-        voters_look(controller);
-        workers_look(controller, mem);
-        work_look(controller);
+        voters_check(controller);
+        workers_check(controller, mem);
+        work_check(controller);
         if (in_force_policy_failures(controller->in_force, &words) > 0)
-            see(controller, ALERT_POLICY_FAILS, words);
+            alert_seen(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
         const size_t zone_count = table_drains(controller->table, mem, &zones);
         for (size_t i = 0; i < zone_count; i++)
-            see(controller, ALERT_ZONE_EMPTIED, zones[i]);
+            alert_seen(controller, ALERT_ZONE_EMPTIED, zones[i]);
     }
     const char **keys;
     const size_t count = map_keys(controller->alerts, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Standing *standing = map_get(controller->alerts, keys[i]);
-        if (standing->look == controller->alert_looks)
+        ActiveAlert *active = map_get(controller->alerts, keys[i]);
+        if (active->last_check == controller->alert_checks)
             continue;
         map_drop(controller->alerts, keys[i]);
-        talloc_free(standing);
+        talloc_free(active);
     }
     talloc_free(mem);
 }
@@ -151,16 +153,16 @@
     void *mem = talloc_new(NULL);
     const char **keys;
     const size_t count = map_keys(controller->alerts, mem, &keys);
-    size_t standing = 0;
+    size_t active = 0;
     for (size_t i = 0; i < count; i++)
-        standing += ((const Standing *)map_get(controller->alerts, keys[i]))->alert == alert;
+        active += ((const ActiveAlert *)map_get(controller->alerts, keys[i]))->alert == alert;
     talloc_free(mem);
-    return standing;
+    return active;
 }
 
 static int since_order(const void *a, const void *b)
 {
-    const Standing *x = *(const Standing *const *)a, *y = *(const Standing *const *)b;
+    const ActiveAlert *x = *(const ActiveAlert *const *)a, *y = *(const ActiveAlert *const *)b;
     return x->since_ms != y->since_ms ? (x->since_ms < y->since_ms ? -1 : 1) : (int)x->alert - (int)y->alert;
 }
 
@@ -169,7 +171,7 @@
     void *mem = talloc_new(NULL);
     const char **keys;
     const size_t count = map_keys(controller->alerts, mem, &keys);
-    const Standing **list = talloc_array(mem, const Standing *, (unsigned)count + 1);
+    const ActiveAlert **list = talloc_array(mem, const ActiveAlert *, (unsigned)count + 1);
     const int64_t now_ms = loop_now_ms(controller->loop);
     for (size_t i = 0; i < count; i++)
         list[i] = map_get(controller->alerts, keys[i]);
@@ -191,8 +193,8 @@
 {
     Controller *controller = arg;
     while (!loop_stopping(controller->loop)) {
-        alerts_look(controller);
-        loop_sleep(controller->loop, ALERTS_LOOK_MS);
+        alerts_check(controller);
+        loop_sleep(controller->loop, ALERTS_CHECK_MS);
     }
 }
 
--- a/packages/controller/src/alerts.h
+++ b/packages/controller/src/alerts.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* What an operator should look at, and what to do: X(name, word, what to do). A word never changes its meaning;
+/* What an operator should look at: X(name, word, what to do). A word never changes its meaning;
  * the list of alerts in docs/operating.md says the same. */
 #define ALERT_LIST(X)                                                                                           \
     X(VOTER_OUT, "seat-out",                                                                                    \
@@ -29,11 +29,13 @@
 } Alert;
 
 const char *alert_word(Alert alert);
-/* Looks at everything and notes since when each alert stands. */
-void alerts_look(Controller *controller);
-/* [{"alert", "subject", "for_ms", "todo"}], the oldest first. */
+/* Checks all causes; alerts become active, and those whose cause is gone end. */
+void alerts_check(Controller *controller);
+/* [{"alert", "subject", "forMs", "todo"}], the oldest first; owned by the caller. */
 json_object *alerts_show(const Controller *controller);
+/* How many of them are active. */
 size_t alerts_count(const Controller *controller, Alert alert);
+/* Spawns the task that checks now and then. */
 void alerts_start(Controller *controller);
 
 #endif
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -1,5 +1,5 @@
-/* Updates of attempts, committed for many agents at once: while one change is being committed, the next gathers.
- * That an attempt runs waits for other updates to go with. */
+/* Updates of attempts, committed for many agents at once: while one change is being committed, the updates that come
+ * meanwhile gather for the next. That an attempt runs is not urgent: it waits for other updates, or UPDATE_LAZY_MS. */
 #include "attempt_updates.h"
 
 #include <string.h>
@@ -7,15 +7,16 @@
 
 #include "leader.h"
 
-/* The updates of one change. Freed by whoever ends last: the task that commits, and all that wait. */
+/* The updates of one change. Freed by whichever of its users leaves last: the task that commits it, or a caller
+ * that waits for it. */
 typedef struct Batch {
     struct Batch *next;
     size_t users;
     AttemptList list;
-    size_t resources;
+    size_t capacity;
     int64_t *at_ms;   /* when each of them came */
     int64_t since_ms; /* its first update came then */
-    bool waited;      /* somebody waits for it */
+    bool urgent;      /* is committed without delay: a caller waits for it */
     bool over;
     Status status;
     Signal ended;
@@ -36,6 +37,7 @@
         talloc_free(batch);
 }
 
+/* The batch that gathers now. */
 static Batch *batch_last(AttemptUpdates *updates)
 {
     if (updates->last == NULL || updates->last->list.updates_count >= UPDATE_MOST) {
@@ -53,24 +55,24 @@
 
 static void batch_add(Controller *controller, Batch *batch, const AttemptUpdate *one)
 {
-    if (batch->list.updates_count == batch->resources) {
-        batch->resources = batch->resources ? batch->resources * 2 : 16;
-        batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->resources);
-        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->resources);
+    if (batch->list.updates_count == batch->capacity) {
+        batch->capacity = batch->capacity ? batch->capacity * 2 : 16;
+        batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->capacity);
+        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->capacity);
     }
     batch->at_ms[batch->list.updates_count] = loop_now_ms(controller->loop);
     shape_copy(&AttemptUpdate_shape, one, batch, &batch->list.updates[batch->list.updates_count++]);
 }
 
-Status update_notify(Controller *controller, const AttemptUpdate *list, size_t count)
+Status attempt_updates_commit(Controller *controller, const AttemptUpdate *list, size_t count)
 {
-    AttemptUpdates *updates = controller->reported;
+    AttemptUpdates *updates = controller->attempt_updates;
     if (count == 0)
         return STATUS_OK;
     Batch *batch = batch_last(updates);
     for (size_t i = 0; i < count; i++)
         batch_add(controller, batch, &list[i]);
-    batch->waited = true;
+    batch->urgent = true;
     batch->users++;
     signal_raise(controller->loop, &updates->added);
     while (!batch->over)
@@ -80,33 +82,33 @@
     return status;
 }
 
-void update_later(Controller *controller, const AttemptUpdate *one)
+void attempt_updates_commit_later(Controller *controller, const AttemptUpdate *one)
 {
-    batch_add(controller, batch_last(controller->reported), one);
-    signal_raise(controller->loop, &controller->reported->added);
+    batch_add(controller, batch_last(controller->attempt_updates), one);
+    signal_raise(controller->loop, &controller->attempt_updates->added);
 }
 
-void update_hurry(Controller *controller)
+void attempt_updates_hurry(Controller *controller)
 {
-    if (controller->reported->first != NULL)
-        controller->reported->first->waited = true;
-    signal_raise(controller->loop, &controller->reported->added);
+    if (controller->attempt_updates->first != NULL)
+        controller->attempt_updates->first->urgent = true;
+    signal_raise(controller->loop, &controller->attempt_updates->added);
 }
 
-bool update_idle(const Controller *controller)
+bool attempt_updates_idle(const Controller *controller)
 {
-    return controller->reported->first == NULL && !controller->reported->busy;
+    return controller->attempt_updates->first == NULL && !controller->attempt_updates->busy;
 }
 
-/* Updates that nobody waits for are not sent again by their agent. */
-static void update_keep(Controller *controller, const Batch *batch)
+/* After a commit that failed: that an attempt runs is submitted again here, since no agent sends it again. */
+static void running_updates_retry(Controller *controller, const Batch *batch)
 {
     for (size_t i = 0; i < batch->list.updates_count && replication_leased(controller->replication); i++)
         if (batch->list.updates[i].word == ATTEMPT_RUNNING)
-            update_later(controller, &batch->list.updates[i]);
+            attempt_updates_commit_later(controller, &batch->list.updates[i]);
 }
 
-static void update_main(void *arg)
+static void attempt_updates_main(void *arg)
 {
     AttemptUpdates *updates = arg;
     Controller *controller = updates->controller;
@@ -114,7 +116,7 @@
         Batch *batch = updates->first;
         const int64_t now_ms = loop_now_ms(controller->loop);
         const int64_t due_ms = batch == NULL   ? now_ms + UPDATE_LAZY_MS * 10
-                               : batch->waited ? now_ms
+                               : batch->urgent ? now_ms
                                                : batch->since_ms + UPDATE_LAZY_MS;
         if (now_ms < due_ms) {
             signal_wait(controller->loop, &updates->added, due_ms);
@@ -132,16 +134,16 @@
             controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result);
         updates->busy = false;
         if (batch->status != STATUS_OK)
-            update_keep(controller, batch);
+            running_updates_retry(controller, batch);
         batch->over = true;
         signal_raise(controller->loop, &batch->ended);
         batch_leave(batch);
     }
 }
 
-void update_start(Controller *controller)
+void attempt_updates_start(Controller *controller)
 {
-    controller->reported = talloc_zero(controller, AttemptUpdates);
-    controller->reported->controller = controller;
-    loop_spawn(controller->loop, "news", update_main, controller->reported);
+    controller->attempt_updates = talloc_zero(controller, AttemptUpdates);
+    controller->attempt_updates->controller = controller;
+    loop_spawn(controller->loop, "news", attempt_updates_main, controller->attempt_updates);
 }
--- a/packages/controller/src/attempt_updates.h
+++ b/packages/controller/src/attempt_updates.h
@@ -3,17 +3,18 @@
 
 #include "state.h"
 
+/* Gathers updates of attempts and commits them together; see the source. */
 typedef struct AttemptUpdates AttemptUpdates;
 
 /* Spawns the task that commits updates of attempts. */
-void update_start(Controller *controller);
-/* Waits until the updates are committed, together with what others tell. */
-Status update_notify(Controller *controller, const AttemptUpdate *list, size_t count);
-/* Has it committed that an attempt runs, when other updates go or after a while. */
-void update_later(Controller *controller, const AttemptUpdate *one);
-/* What waits for others is committed now. */
-void update_hurry(Controller *controller);
-/* Nothing waits and nothing is on its way. */
-bool update_idle(const Controller *controller);
+void attempt_updates_start(Controller *controller);
+/* Waits until the updates are committed, perhaps together with others. Copies them; the status is the commit's. */
+Status attempt_updates_commit(Controller *controller, const AttemptUpdate *list, size_t count);
+/* Has one update committed together with the next others, or after UPDATE_LAZY_MS. Copies it. */
+void attempt_updates_commit_later(Controller *controller, const AttemptUpdate *one);
+/* Has the updates that wait committed without further delay. */
+void attempt_updates_hurry(Controller *controller);
+/* Whether no update waits or is being committed. */
+bool attempt_updates_idle(const Controller *controller);
 
 #endif
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -1,4 +1,4 @@
-/* The controller's process: its parts are made, started, and drained. */
+/* The controller's process: makes its parts, starts them, and drains. */
 #include "controller/controller.h"
 
 #include <inttypes.h>
@@ -15,8 +15,8 @@
 #include "scheduling.h"
 #include "status.h"
 
-/* A controller without a vote hears of the configuration as an entry point does. */
-static bool seatless(void *arg)
+/* For the configuration watch: a controller without a vote gets the configuration as an entry point does. */
+static bool has_no_vote(void *arg)
 {
     const Controller *controller = arg;
     return !replication_seated(controller->replication);
@@ -28,7 +28,7 @@
     return replication_leading(controller->replication);
 }
 
-/* For the forwarder: a request of the own address, as leader. */
+/* For the forwarder: answers a request to this node's own address, as leader. */
 static void serve(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     const Controller *controller = arg;
@@ -65,7 +65,7 @@
     return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
-/* All that the log is delivered to, and the log. */
+/* The replicated log, and the parts that it is delivered to. */
 static void state_new(Controller *controller)
 {
     const Settings *settings = controller->settings;
@@ -127,7 +127,7 @@
     controller->trace = trace_new(controller, controller->loop, controller->rpc, controller->members, settings->name);
 }
 
-/* What requests pass, from this node's own address or another's, to the leader. */
+/* The parts that requests pass on their way to the leader, here or on another node. */
 static void requests_new(Controller *controller)
 {
     const Settings *settings = controller->settings;
@@ -158,7 +158,7 @@
                                                 forwarder_leader_paths(controller->forwarder), controller->trace);
 }
 
-/* Answers and acts from now on. */
+/* From here on the node answers messages and acts. */
 static void parts_start(Controller *controller)
 {
     replication_start(controller->replication, controller->members);
@@ -169,7 +169,7 @@
     scheduler_start(controller->scheduler);
     alerts_start(controller);
     forwarder_start(controller->forwarder);
-    config_watch_start(controller->config_watch, seatless, controller);
+    config_watch_start(controller->config_watch, has_no_vote, controller);
     forget_start(controller);
 }
 
--- a/packages/controller/src/forget.c
+++ b/packages/controller/src/forget.c
@@ -1,11 +1,11 @@
-/* Ended jobs leave the state table once they have been kept for the stated span. */
+/* Ended jobs leave the state table once they have been kept for the span of the settings (job_keep_ms). */
 #include "forget.h"
 
 #include <talloc.h>
 
 #include "leader.h"
 
-#define FORGET_PARTS 60 /* 1; looks in the span that an ended job is kept: it stays that part of it longer at most */
+#define FORGET_PARTS 60 /* count; checks in that span: an ended job stays longer by a 60th of it at most */
 
 static void forget_main(void *arg)
 {
--- a/packages/controller/src/forget.h
+++ b/packages/controller/src/forget.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* Spawns the task that has ended jobs forgotten once they have been kept for the stated span. */
+/* Spawns the task that removes ended jobs from the state table once they have been kept long enough. */
 void forget_start(Controller *controller);
 
 #endif
--- a/packages/controller/src/leader.h
+++ b/packages/controller/src/leader.h
@@ -3,15 +3,15 @@
 
 #include "state.h"
 
-/* Whether this node leads, by its clock, and has all that was told: it may decide now. Tells the watcher of
- * proofs so. */
+/* Whether this node may decide now: it leads, by its clock, and no repair is under way. Reports each such moment to
+ * the simulator's watcher (ControllerWatch). */
 bool controller_decides(Controller *controller);
 /* The log's time and the wall clock. */
 QueueClock controller_clock(const Controller *controller);
 /* Waits. Has a change committed and delivered, as replication_submit. What is packed lives on mem. */
 Status controller_submit(Controller *controller, void *mem, ChangeKind kind, const Shape *shape, const void *body,
                          ChangeResult *result);
-/* ms; how long any lease runs that this or an earlier leader may have granted, by the own clock. */
+/* ms; the longest time, by the own clock, that a lease granted by this or an earlier leader may still run. */
 int64_t controller_claim_ms(const Controller *controller);
 
 #endif
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -1,5 +1,5 @@
-/* What the replicated log and the state table call: the lead is won or opened anew, a change is delivered, an
- * attempt leaves its worker. Nothing here waits. */
+/* Events of the replicated log and the state table: a configuration of voters is opened, with the lead won or kept; a
+ * change is delivered; an attempt leaves its worker. Nothing here waits. */
 #include "log_events.h"
 
 #include <inttypes.h>
@@ -13,7 +13,7 @@
 #include "scheduler/worker_score.h"
 #include "trace_delivered.h"
 
-/* This node leads for the first time since another did: nothing that it saw before counts. */
+/* This node has won the lead from another: what it knew of agents as an earlier leader is out of date. */
 static void lead_begin(Controller *controller)
 {
     void *mem = talloc_new(controller);
@@ -22,9 +22,9 @@
     const char **names = talloc_array(mem, const char *, (unsigned)count);
     for (size_t i = 0; i < count; i++)
         names[i] = workers[i]->name;
-    /* any lease that the last leader granted ends within this */
     orphans_reset(controller->orphans);
     scheduler_reset(controller->scheduler);
+    /* a worker is lost no earlier than any lease of the last leader has ended */
     liveset_reset(controller->liveset, replication_won_ms(controller->replication) + controller_claim_ms(controller),
                   names, count);
     talloc_free(mem);
@@ -39,7 +39,7 @@
         lead_begin(controller);
     if (repair && (new_holder || !controller->repairing)) {
         controller->repairing = true; /* a repair under way goes on when the lead is opened anew */
-        /* until then attempts that the log has lost are told again, or their leases have ended */
+        /* by then every running attempt that the log has lost has been reported again, or its lease has ended */
         scheduler_set_place_from(controller->scheduler,
                                  loop_now_ms(controller->loop) + controller_claim_ms(controller));
         repair_start(controller);
@@ -50,7 +50,8 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* An order that was given before may be under way until its deadline, by an agent's clock that is slow. */
+/* An attempt has left its worker: an order to start it may still be on its way there, until its deadline by the
+ * agent's clock, which may be slow. */
 static void on_left(void *arg, const Job *job, const JobTask *task)
 {
     const Controller *controller = arg;
@@ -63,14 +64,14 @@
 {
     score_take(controller->scheduler, attempts);
     for (size_t i = 0; i < attempts->updates_count; i++) {
-        const AttemptUpdate *updates = &attempts->updates[i];
+        const AttemptUpdate *update = &attempts->updates[i];
         const AttemptSaved saved = {
-            .job = updates->job, .task = updates->task, .attempt = updates->attempt, .text = updates->saved};
-        if (updates->word == ATTEMPT_RUNNING)
-            continue; /* a heartbeat has told its checkpoint since */
+            .job = update->job, .task = update->task, .attempt = update->attempt, .text = update->saved};
+        if (update->word == ATTEMPT_RUNNING)
+            continue; /* heartbeats have brought its checkpoint, and perhaps a newer one */
         if (replication_leased(controller->replication))
             saved_take(controller->scheduler, &saved);
-        orphans_end(controller->orphans, updates);
+        orphans_end(controller->orphans, update);
     }
 }
 
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -1,4 +1,4 @@
-/* What a worker is to run, sent to its agent as soon as that has changed. */
+/* Orders: what a worker is to run, sent in the answer to its agent's waiting question as soon as that changes. */
 #include "orders.h"
 
 #include <string.h>
@@ -8,35 +8,35 @@
 
 AgentSession *agent_session(Controller *controller, const char *worker)
 {
-    AgentSession *line = map_get(controller->lines, worker);
-    if (line == NULL) {
-        line = talloc_zero(controller->lines, AgentSession);
-        map_set(controller->lines, worker, line);
+    AgentSession *session = map_get(controller->agent_sessions, worker);
+    if (session == NULL) {
+        session = talloc_zero(controller->agent_sessions, AgentSession);
+        map_set(controller->agent_sessions, worker, session);
     }
-    return line;
+    return session;
 }
 
 static void on_orders(void *arg, const char *worker)
 {
     Controller *controller = arg;
-    AgentSession *line = map_get(controller->lines, worker);
-    if (line != NULL)
-        signal_raise(controller->loop, &line->updates);
+    AgentSession *session = map_get(controller->agent_sessions, worker);
+    if (session != NULL)
+        signal_raise(controller->loop, &session->changed);
 }
 
 void orders_wake(Controller *controller)
 {
     void *mem = talloc_new(controller);
     const char **names;
-    const size_t count = map_keys(controller->lines, mem, &names);
+    const size_t count = map_keys(controller->agent_sessions, mem, &names);
     for (size_t i = 0; i < count; i++)
-        signal_raise(controller->loop, &((AgentSession *)map_get(controller->lines, names[i]))->updates);
+        signal_raise(controller->loop, &((AgentSession *)map_get(controller->agent_sessions, names[i]))->changed);
     talloc_free(mem);
 }
 
 void orders_start(Controller *controller)
 {
-    controller->lines = map_new(controller);
+    controller->agent_sessions = map_new(controller);
     table_orders_watch(controller->table, on_orders, controller);
 }
 
@@ -48,6 +48,7 @@
     return false;
 }
 
+/* The attempts that are wanted on the worker, and of them those to start, which the agent does not list yet. */
 static void orders_fill(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
@@ -75,6 +76,7 @@
     }
 }
 
+/* Whether there are orders that the agent does not have, and they may be given to this incarnation of it. */
 static bool orders_new(const Controller *controller, const HeartbeatAsk *heartbeat)
 {
     const LiveRow *row = liveset_find(controller->liveset, heartbeat->worker.name);
@@ -88,11 +90,11 @@
                    HeartbeatAnswer *out)
 {
     const int64_t until_ms = loop_now_ms(controller->loop) + wait_ms;
-    AgentSession *line = agent_session(controller, heartbeat->worker.name);
-    const uint64_t turn = ++line->turn;
-    signal_raise(controller->loop, &line->updates); /* an earlier question waits no longer */
+    AgentSession *session = agent_session(controller, heartbeat->worker.name);
+    const uint64_t question = ++session->newest_question;
+    signal_raise(controller->loop, &session->changed); /* an earlier question waits no longer */
     while (!orders_new(controller, heartbeat))
-        if (!signal_wait(controller->loop, &line->updates, until_ms) || turn != line->turn)
+        if (!signal_wait(controller->loop, &session->changed, until_ms) || question != session->newest_question)
             return;
     if (!controller_decides(controller))
         return;
--- a/packages/controller/src/own_address.c
+++ b/packages/controller/src/own_address.c
@@ -1,4 +1,5 @@
-/* What is asked at this node's own HTTP address: of the node itself here, the rest goes to the leader. */
+/* Requests to this node's own HTTP address: those about the node itself are answered here, the rest go to the
+ * leader. */
 #include <stdio.h>
 #include <string.h>
 
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -1,4 +1,4 @@
-/* A controller towards other nodes: forwarded requests, the configuration, repair. */
+/* Messages of other nodes: forwarded requests, questions for the configuration, and repair. */
 #include "peers.h"
 
 #include <talloc.h>
@@ -20,6 +20,8 @@
     return status;
 }
 
+/* Waits until there is a newer version than the asker has, or for CONFIG_WATCH_WAIT_MS; a first question, and one
+ * that a begin or an end of a repair overtakes, is answered at once. */
 static Status on_config_watch(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -42,6 +44,7 @@
     }
 }
 
+/* The leader repairs: answers with what this node keeps for it. */
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -51,6 +54,7 @@
     return STATUS_OK;
 }
 
+/* Keeps what was committed, for a later repair. */
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -1,5 +1,7 @@
-/* Repair: voters that have restarted may have lost what they acknowledged, when their disks do not keep what was
- * synced. Those who were told of it first tell it again, each change with its identity. */
+/* Repair: voters that have restarted may have lost changes that they acknowledged, when their disks do not keep what
+ * was synced. The nodes that brought the results of those changes to their callers have kept them for a while; the
+ * leader asks all of them and submits again what its state table lacks. Each change carries an identity, by which it
+ * is known. */
 #include "repair.h"
 
 #include <inttypes.h>
@@ -10,11 +12,11 @@
 #include "orders.h"
 
 #define RETELL_PAUSE_MS 100 /* ms; before one that did not answer is asked again */
-#define REPAIR_HEAR_LOOK_MS \
-    (HEARTBEAT_MS / 5)                     /* ms; between two looks whether all have had time to find this process */
-#define REPAIR_LOOK_MS (HEARTBEAT_MS / 10) /* ms; ... and whether a repair that failed can be tried again */
+#define REPAIR_HEAR_CHECK_MS \
+    (HEARTBEAT_MS / 5) /* ms; between two looks whether all have had time to find this process */
+#define REPAIR_RETRY_CHECK_MS (HEARTBEAT_MS / 10) /* ms; ... and whether a repair that failed can be tried again */
 
-/* Freed by whoever ends last. */
+/* One gathering of what all members keep. Freed by whichever of its users leaves last: the repair, or a RetellPart. */
 typedef struct Retelling {
     Controller *controller;
     size_t users;
@@ -25,6 +27,7 @@
     size_t count;
 } Retelling;
 
+/* The question to one member. */
 typedef struct RetellPart {
     Retelling *retelling;
     char address[ADDRESS_MAX];
@@ -69,7 +72,8 @@
     talloc_free(part);
 }
 
-/* Kinds of changes that may be told again, in the order in which they are: what needs another comes after it.
+/* The kinds of changes that are kept for repair, in the order in which they are submitted: what builds on another
+ * kind comes after it.
  * The index in the old log orders within a kind only, since it may be of a history that the disks have lost
  * since. */
 static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD,  CHANGE_JOB_CANCEL,
@@ -97,7 +101,7 @@
     return set->version != 0 ? set->version : set->base + 1;
 }
 
-/* Whether the state has the change already, so that it would have no effect. */
+/* Whether the change would have no effect: the state has it already, or it can't be read. */
 static bool known(Controller *controller, void *mem, const RepairItem *item)
 {
     const Table *table = controller->table;
@@ -133,7 +137,7 @@
     }
 }
 
-/* A configuration told again counts by its version, not by the version that it was built on. */
+/* The payload to submit. A configuration that is told again counts by its version, not by the one it builds on. */
 static Bytes restored(void *mem, const RepairItem *item)
 {
     ConfigSet set;
@@ -147,8 +151,8 @@
     return payload;
 }
 
-/* A configuration that was committed as a patch counts only upon the one before: all are put in the order of
- * their versions, from wherever they are told. */
+/* A configuration that was committed as a patch can be applied only to the one before: all are ordered by their
+ * versions, whichever members they come from. */
 static void configs_order(Retelling *retelling)
 {
     for (size_t i = 0; i < retelling->count; i++) {
@@ -160,15 +164,16 @@
     }
 }
 
-/* Waits. The members must have found this process again: a connection to its last incarnation may be silent. */
-static void hear_wait(const Controller *controller)
+/* Waits until the members have had time to find this process: their connections to its last incarnation may still
+ * look open. */
+static void members_wait(const Controller *controller)
 {
     while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_HEAR_MS)
-        loop_sleep(controller->loop, REPAIR_HEAR_LOOK_MS);
+        loop_sleep(controller->loop, REPAIR_HEAR_CHECK_MS);
 }
 
-/* Waits until all members have answered with what they keep, or could not; takes what this node itself keeps. */
-static void everybody_ask(Retelling *retelling)
+/* Waits until each member has answered with what it keeps, or REPAIR_MS has passed; adds what this node keeps. */
+static void members_ask(Retelling *retelling)
 {
     Controller *controller = retelling->controller;
     const MemberTable *table = members_table(controller->members);
@@ -192,16 +197,16 @@
     retelling_add(retelling, &own);
 }
 
-/* Waits. Orders what is missing, in the order of the items; told counts it. False: this node can't go on with the
- * repair. */
-static bool missing_notify(Retelling *retelling, uint64_t turn, size_t *reported)
+/* Waits. Submits the items that the state lacks, in their order; submitted counts them. False: this node can't go on
+ * with the repair. */
+static bool missing_submit(Retelling *retelling, uint64_t number, size_t *submitted)
 {
     Controller *controller = retelling->controller;
     for (size_t i = 0; i < retelling->count; i++) {
         const RepairItem *item = &retelling->items[i];
         void *mem = talloc_new(controller);
-        /* what needs another kind before it is looked at once that is delivered; within a kind no item waits for
-         * the last one, so that a long repair is not a slow one */
+        /* whether an item is known can be told once the kinds before it are delivered; within a kind no item waits
+         * for another, so that a repair of many items doesn't take a commit for each */
         Status status = STATUS_OK;
         if (i > 0 && retelling->items[i - 1].change != item->change)
             status = replication_settle(controller->replication);
@@ -212,43 +217,44 @@
         if (status == STATUS_OK)
             status = replication_offer(controller->replication, item->change, restored(mem, item));
         talloc_free(mem);
-        if (status != STATUS_OK || turn != controller->repair_turn)
+        if (status != STATUS_OK || number != controller->repair_number)
             return false;
-        (*reported)++;
+        (*submitted)++;
     }
     return true;
 }
 
-static void repaired_take(Controller *controller, size_t reported, size_t item_count)
+/* The repair is committed. */
+static void repaired_take(Controller *controller, size_t submitted, size_t item_count)
 {
     controller->repairing = false;
     controller->counts.repairs++;
-    controller->counts.retold += reported;
+    controller->counts.retold += submitted;
     recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
-                   "the view rested on woken seats: %zu of %zu changes told again were missing", reported, item_count);
+                   "the view rested on woken seats: %zu of %zu changes told again were missing", submitted, item_count);
     orders_wake(controller);
     scheduler_notify(controller->scheduler);
 }
 
-/* Waits. Asks everybody once and has committed what is missing; true when all of it was. */
-static bool repair_once(Controller *controller, uint64_t turn)
+/* Waits. One attempt of a repair: asks all members and submits what is missing; true when all of it is committed. */
+static bool repair_once(Controller *controller, uint64_t number)
 {
-    hear_wait(controller);
+    members_wait(controller);
     Retelling *retelling = talloc_zero(controller, Retelling);
     retelling->controller = controller;
     retelling->users = 1;
     retelling->config_have = versions_newest(table_versions(controller->table));
-    everybody_ask(retelling);
+    members_ask(retelling);
     configs_order(retelling);
     if (retelling->count > 0)
         qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
-    size_t reported = 0;
+    size_t submitted = 0;
     const size_t item_count = retelling->count;
-    const bool ordered = missing_notify(retelling, turn, &reported);
+    const bool ordered = missing_submit(retelling, number, &submitted);
     retelling_leave(retelling);
-    if (!ordered || replication_repaired(controller->replication) != STATUS_OK || turn != controller->repair_turn)
+    if (!ordered || replication_repaired(controller->replication) != STATUS_OK || number != controller->repair_number)
         return false;
-    repaired_take(controller, reported, item_count);
+    repaired_take(controller, submitted, item_count);
     return true;
 }
 
@@ -257,12 +263,12 @@
 static void repair_main(void *arg)
 {
     Controller *controller = arg;
-    const uint64_t turn = ++controller->repair_turn;
-    while (turn == controller->repair_turn && controller->repairing && !loop_stopping(controller->loop)) {
-        if (replication_leading(controller->replication) && repair_once(controller, turn))
+    const uint64_t number = ++controller->repair_number;
+    while (number == controller->repair_number && controller->repairing && !loop_stopping(controller->loop)) {
+        if (replication_leading(controller->replication) && repair_once(controller, number))
             return;
         signal_wait(controller->loop, replication_update(controller->replication),
-                    loop_now_ms(controller->loop) + REPAIR_LOOK_MS);
+                    loop_now_ms(controller->loop) + REPAIR_RETRY_CHECK_MS);
     }
 }
 
--- a/packages/controller/src/repair.h
+++ b/packages/controller/src/repair.h
@@ -3,8 +3,8 @@
 
 #include "state.h"
 
-/* Begins to have told again what the disks may have lost; controller->repairing is true until all of it is committed.
- */
+/* Spawns the repair (see the source). The caller has set controller->repairing, which stays true until the repair is
+ * committed. */
 void repair_start(Controller *controller);
 
 #endif
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -1,4 +1,4 @@
-/* What the scheduler sees of its controller. */
+/* SchedulerLeader's functions: what the scheduler sees of its controller. */
 #include "scheduling.h"
 
 #include <talloc.h>
--- a/packages/controller/src/scheduling.h
+++ b/packages/controller/src/scheduling.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* The scheduler of this node, on controller, with controller as its leader. */
+/* Makes the scheduler of this node; it belongs to the controller and decides through it (SchedulerLeader). */
 Scheduler *scheduling_new(Controller *controller);
 
 #endif
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -13,7 +13,8 @@
 
 #define DISK_TEXT 20 /* bytes; a disk's id in hexadecimal digits */
 
-/* What leaders have done since the process began, but for the scheduler's and the callers' parts; X(name). */
+/* What this node has done as leader since the process began, besides the scheduler's and the callers' counts;
+ * X(name). retold: changes that repairs submitted again. */
 #define CONTROLLER_COUNT_LIST(X) \
     X(repairs)                   \
     X(retold)
@@ -24,7 +25,7 @@
 #undef X
 } ControllerCounts;
 
-/* All counts as status and metrics show them, in this order; X(owner, name, outside). */
+/* All counts as status and metrics show them, in this order; X(owner, name, name outside). */
 #define CONTROLLER_SHOWN_COUNT_LIST(X)          \
     X(scheduler, passes, "passes")              \
     X(scheduler, placed, "placed")              \
@@ -45,9 +46,9 @@
 /* One controller process. Invariants:
  *  - only a node for which replication_leading is true decides, answers callers or gives orders, and it looks at the
  *    clock before each;
- *  - while repairing is true nothing is decided and nobody is told of a job;
- *  - nothing is placed before the scheduler's place_from_ms, which is when the leases of all that the log may
- *    have forgotten have ended, or every agent has told what it has. */
+ *  - while repairing is true nothing is decided and no caller learns of a job;
+ *  - nothing is placed before the scheduler's place_from_ms: by then the leases of all attempts that the log may have
+ *    lost have ended, or every agent has listed its attempts. */
 struct Controller {
     Loop *loop;
     Recorder *recorder;
@@ -67,15 +68,15 @@
     InForce *in_force;
     Scheduler *scheduler;
     CallerService *callers;
-    Map *lines;                      /* names of workers to AgentSession */
-    struct AttemptUpdates *reported; /* gathers what attempts came to */
-    Map *alerts;                     /* those that stand */
-    uint64_t alert_looks;
+    Map *agent_sessions;                    /* names of workers to AgentSession */
+    struct AttemptUpdates *attempt_updates; /* those that wait to be committed */
+    Map *alerts;                            /* the active ones */
+    uint64_t alert_checks;                  /* made so far */
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
-    bool leaving;
-    int64_t started_ms;
-    bool repairing;       /* what the disks lost is being told again */
-    uint64_t repair_turn; /* of the newest repair; an earlier one gives up */
+    bool leaving;           /* draining */
+    int64_t started_ms;     /* own clock */
+    bool repairing;         /* changes that the disks may have lost are being gathered and committed again */
+    uint64_t repair_number; /* of the newest repair; an earlier one gives up */
     ControllerCounts counts;
 };
 
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -1,4 +1,5 @@
-/* /v1/status: what operators see. */
+/* The body of /v1/status, for operators. Names in it never change: some differ from the terms of the source (seat:
+ * voter, epoch: term, hold: lease, room: resources). */
 #include "status.h"
 
 #include <inttypes.h>
@@ -169,7 +170,7 @@
     return plan;
 }
 
-/* Frames that were refused: of another cluster, or no frames of ours. */
+/* Frames that were refused: of another cluster, or not of this protocol. */
 static json_object *show_refused_frames(const Controller *controller)
 {
     const RpcCounts *counts = rpc_counts(controller->rpc);
--- a/packages/controller/src/trace_delivered.c
+++ b/packages/controller/src/trace_delivered.c
@@ -1,4 +1,4 @@
-/* What the trace keeps of a delivered change. */
+/* Adds delivered changes to the trace of this node (trace/): what happened to a job, a zone or the configuration. */
 #include "trace_delivered.h"
 
 #include <inttypes.h>
@@ -22,10 +22,10 @@
 {
     char detail[ATTEMPT_DETAIL];
     for (size_t i = 0; i < attempts->updates_count; i++) {
-        const AttemptUpdate *updates = &attempts->updates[i];
-        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", updates->task, updates->attempt,
-                 attempt_word(updates->word));
-        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", updates->job);
+        const AttemptUpdate *update = &attempts->updates[i];
+        snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", update->task, update->attempt,
+                 attempt_word(update->word));
+        trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", update->job);
     }
 }
 
--- a/packages/controller/src/trace_delivered.h
+++ b/packages/controller/src/trace_delivered.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* Notes a delivered change in the trace. body: as the table tells it; may be null. */
+/* Notes a delivered change in the trace. body: the unpacked change; null: nothing is noted. */
 void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result);
 
 #endif
