--- a/packages/callers/src/queue_order.c
+++ b/packages/callers/src/queue_order.c
@@ -34,12 +34,12 @@
         return;
     }
     Trying trying = {callers, cell, policy};
-    Line *line = scheduler_line(callers->scheduler, request->mem, policy_tried, &trying);
+    ReadyQueue *ready = scheduler_ready_queue(callers->scheduler, request->mem, policy_tried, &trying);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
-    int64_t ready = 0;
+    int64_t ready_count = 0;
     const Candidate *candidate;
-    for (; (candidate = line_next(line)) != NULL; line_placed(line)) {
-        if (strcmp(candidate->job->spec.cell, cell) != 0 || ++ready > limit)
+    for (; (candidate = ready_queue_next(ready)) != NULL; ready_queue_placed(ready)) {
+        if (strcmp(candidate->job->spec.cell, cell) != 0 || ++ready_count > limit)
             continue;
         json_object *one = json_object_new_object();
         json_object_object_add(one, "job", json_object_new_string(candidate->job->spec.id));
@@ -52,7 +52,7 @@
         json_object_array_add(list, one);
     }
     json_object_object_add(body, "cell", json_object_new_string(cell));
-    json_object_object_add(body, "ready", json_object_new_int64(ready));
+    json_object_object_add(body, "ready", json_object_new_int64(ready_count));
     json_object_object_add(body, "order", list);
     show_result(request->task, 200, body);
 }
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -7,7 +7,7 @@
 #include "attempt_updates.h"
 #include "leader.h"
 #include "orders.h"
-#include "scheduler/attempt_pace.h"
+#include "scheduler/attempt_progress.h"
 #include "scheduler/checkpoint.h"
 
 static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t attempt)
@@ -136,8 +136,8 @@
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const AttemptSaved *saved = &heartbeat->saved[i];
-        saved_take(controller->scheduler, saved);
-        pace_take(controller->scheduler, heartbeat->worker.name, saved);
+        checkpoint_take(controller->scheduler, saved);
+        progress_take(controller->scheduler, heartbeat->worker.name, saved);
         if (!run_unknown(controller, heartbeat->worker.name, saved))
             continue;
         const AttemptUpdate update = {.job = saved->job,
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -70,7 +70,7 @@
         if (update->word == ATTEMPT_RUNNING)
             continue; /* heartbeats have brought its checkpoint, and perhaps a newer one */
         if (replication_leased(controller->replication))
-            saved_take(controller->scheduler, &saved);
+            checkpoint_take(controller->scheduler, &saved);
         orphans_end(controller->orphans, update);
     }
 }
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -47,7 +47,7 @@
     return in_force_policy_failures(controller->in_force, last);
 }
 
-static Status order(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result)
+static Status submit(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body, ChangeResult *result)
 {
     return controller_submit(arg, mem, kind, shape, body, result);
 }
@@ -68,5 +68,5 @@
                                                                      .config = config,
                                                                      .policy = policy,
                                                                      .policy_failures = policy_failures,
-                                                                     .order = order}});
+                                                                     .submit = submit}});
 }
--- a/packages/plan/include/plan/plan.h
+++ b/packages/plan/include/plan/plan.h
@@ -2,8 +2,8 @@
 #define PLAN_PLAN_H
 
 /* Plans for the loss of workers (the paper's plan_always_possible): whether the protected
- * work of lost workers can always be restarted on those left. The leader's planner
- * (packages/controller) asks before each start of a protected task, with that start in the input.
+ * work of lost workers can always be restarted on those left. The leader's scheduler
+ * (packages/scheduler) asks before each start of a protected task, with that start in the input.
  * Pure functions of their input; memory is freed before they return. Nothing here waits. */
 
 #include "state/job.h"
@@ -16,7 +16,7 @@
     size_t label_count;
 } PlanNeed;
 
-/* A worker that may be given work. Texts are borrowed. Invariant: free <= room in every
+/* A worker that may be given work. Texts are borrowed. Invariant: free <= resources in every
  * component; what any task on it takes is already out of free. */
 typedef struct PlanWorker {
     const char *name;
@@ -40,7 +40,7 @@
 #define PLAN_NO_CELL SIZE_MAX
 
 /* The fleet and its protected work. Invariants: each task's worker is below worker_count, its
- * cell below cell_count or PLAN_NO_CELL; pushable[cell * worker_count + worker] is capacity in
+ * cell below cell_count or PLAN_NO_CELL; preemptible[cell * worker_count + worker] is the capacity in
  * use there that all protected work of the cell may preempt, counted for that cell alone. */
 typedef struct PlanInput {
     PlanWorker *workers;
@@ -51,7 +51,7 @@
     bool zone_loss; /* also the loss of any one zone */
     bool rack_loss; /* also the loss of any one rack */
     size_t cell_count;
-    Resources *pushable; /* may be null: nothing */
+    Resources *preemptible; /* may be null: nothing */
 } PlanInput;
 
 /* The kinds of losses, with the API's words. */
@@ -88,7 +88,7 @@
 
 /* One plan, by biggest-fit-decreasing as in the paper: places the tasks of the lost workers on
  * the others. lost: by worker. where[i] is set to the worker of each of these tasks, up to the
- * first that finds no place (-1); then false. Uses up free and pushable. */
+ * first that finds no place (-1); then false. Uses up free and preemptible. */
 bool plan_specific(PlanInput *input, const bool *lost, int *where);
 /* Whether every sequence of r losses leaves a plan, and the loss of any one zone or rack where
  * the input asks for that. Walks all sequences up to PLAN_EXHAUSTIVE_MAX of them, else takes
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -66,17 +66,17 @@
 
 /* The first worker where the task fits into free capacity and what its cell may preempt
  * there; takes of that what the free capacity lacks. -1: none. */
-static int choose_pushing(PlanInput *input, const PlanTask *task, const bool *lost)
+static int choose_preempting(PlanInput *input, const PlanTask *task, const bool *lost)
 {
-    if (task->cell == PLAN_NO_CELL || input->pushable == NULL)
+    if (task->cell == PLAN_NO_CELL || input->preemptible == NULL)
         return -1;
-    Resources *pushable = &input->pushable[task->cell * input->worker_count];
+    Resources *preemptible = &input->preemptible[task->cell * input->worker_count];
     for (size_t i = 0; i < input->worker_count; i++) {
         PlanWorker *worker = &input->workers[i];
-        const Resources resources = resources_more(worker->free, pushable[i]);
+        const Resources resources = resources_more(worker->free, preemptible[i]);
         if (lost[i] || !resources_fits(task->need.resources, resources) || !plan_able(worker, &task->need))
             continue;
-        pushable[i] = resources_less(pushable[i], resources_less(task->need.resources, worker->free));
+        preemptible[i] = resources_less(preemptible[i], resources_less(task->need.resources, worker->free));
         return (int)i;
     }
     return -1;
@@ -113,7 +113,7 @@
         const PlanTask *task = &input->tasks[sized[i].task];
         int at = choose_by(input->workers, input->worker_count, &task->need, lost, largest);
         if (at < 0)
-            at = choose_pushing(input, task, lost);
+            at = choose_preempting(input, task, lost);
         where[sized[i].task] = at;
         all = at >= 0;
         if (all)
--- a/packages/plan/src/sequences.c
+++ b/packages/plan/src/sequences.c
@@ -39,9 +39,9 @@
     void *mem = talloc_new(NULL);
     PlanInput next = *input;
     next.workers = talloc_memdup(mem, input->workers, input->worker_count * sizeof(*input->workers));
-    if (input->pushable != NULL)
-        next.pushable =
-            talloc_memdup(mem, input->pushable, input->cell_count * input->worker_count * sizeof(Resources));
+    if (input->preemptible != NULL)
+        next.preemptible =
+            talloc_memdup(mem, input->preemptible, input->cell_count * input->worker_count * sizeof(Resources));
     if (left > 0) /* only a further loss needs to know where the tasks went */
         next.tasks = talloc_memdup(mem, input->tasks, input->task_count * sizeof(*input->tasks));
     bool *lost = talloc_memdup(mem, lost_before, input->worker_count * sizeof(bool));
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -33,7 +33,7 @@
 static void biggest_task_is_placed_first(void **state)
 {
     (void)state;
-    /* first-come order would put 3 and 3 on the larger and leave 6 homeless */
+    /* in the order given, 3 and 3 would go to different workers, and 6 would find none */
     PlanWorker workers[] = {worker("a", "z1", 12, 100), worker("b", "z2", 6, 100), worker("c", "z3", 6, 100)};
     PlanTask tasks[] = {task(0, 3, 1), task(0, 3, 1), task(0, 6, 1)};
     PlanInput input = {workers, 3, tasks, 3, 1, false, false, 0, NULL};
@@ -121,18 +121,18 @@
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9)};
     workers[1].free.cpu_milli = 1;
     PlanTask tasks[] = {task(0, 3, 1), task(0, 1, 1)};
-    Resources pushable[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
-    PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, pushable};
+    Resources preemptible[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
+    PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, preemptible};
     take_out(&input);
     assert_false(plan_always_possible(&input, NULL));
     tasks[0].cell = 1;
     assert_false(plan_always_possible(&input, NULL)); /* it is the other cell's */
     tasks[0].cell = 0;
     assert_true(plan_always_possible(&input, NULL));
-    assert_int_equal(pushable[1].cpu_milli, 3); /* a look uses nothing up */
+    assert_int_equal(preemptible[1].cpu_milli, 3); /* a check uses nothing up */
     input.task_count = 2;
     tasks[1].cell = 0;
-    assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 to push hold 3 and 1 */
+    assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 to preempt hold 3 and 1 */
     tasks[1].need.resources.cpu_milli = 2;
     assert_false(plan_always_possible(&input, NULL));
     /* and the cheap bound knows nothing of it: it may only say no wrongly */
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -1,4 +1,4 @@
-/* How long a look at the r-loss plan takes: paired, in ratio to a first size.
+/* How long a check of the r-loss plan takes, by fleet size, and in ratio to the smallest size.
  *
  *     spancart-plan-bench [ATTEMPTS] */
 #include <stdio.h>
@@ -15,7 +15,7 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static double look(size_t workers, size_t tasks, uint64_t r, int attempts)
+static double check_time(size_t workers, size_t tasks, uint64_t r, int attempts)
 {
     void *mem = talloc_new(NULL);
     PlanInput input = {talloc_zero_array(mem, PlanWorker, (unsigned)workers),
@@ -50,10 +50,10 @@
 int main(int argc, char **argv)
 {
     const int attempts = argc > 1 ? atoi(argv[1]) : 20;
-    const double base = look(11, 220, 1, attempts * 10);
-    look(11, 220, 2, attempts);
-    const double tenfold = look(110, 2200, 1, attempts);
-    look(110, 2200, 2, attempts);
+    const double base = check_time(11, 220, 1, attempts * 10);
+    check_time(11, 220, 2, attempts);
+    const double tenfold = check_time(110, 2200, 1, attempts);
+    check_time(110, 2200, 2, attempts);
     printf("ten times the workers and tasks, r=1: ratio %.0f\n", tenfold / base);
     return 0;
 }
--- a/packages/queue/include/queue/queue.h
+++ b/packages/queue/include/queue/queue.h
@@ -2,7 +2,7 @@
 #define QUEUE_QUEUE_H
 
 /* The queues of waiting work: why a task waits, when it is due, and what is remembered from
- * one planner's pass to the next. The leader's planner (packages/controller) uses it; the API shows
+ * one pass of the scheduler to the next. The leader's scheduler (packages/scheduler) uses it; the API shows
  * the reasons. Nothing here waits or changes the state. */
 
 #include "config/config.h"
@@ -31,17 +31,17 @@
 
 /* Why a waiting task does not start now. */
 WaitReason queue_wait(const Job *job, size_t task, QueueClock clock);
-/* Whether the turn's due time and the job's delay have passed. */
-bool queue_due(const Job *job, uint64_t turn, QueueClock clock);
+/* Whether the due time of that occurrence of the job (0 where it is not timed) and the job's delay have passed. */
+bool queue_due(const Job *job, uint64_t occurrence, QueueClock clock);
 /* The log time, in ms, when that is so; what is due at once is due at the job's acceptance. */
-int64_t queue_due_ms(const Job *job, uint64_t turn, QueueClock clock);
+int64_t queue_due_ms(const Job *job, uint64_t occurrence, QueueClock clock);
 /* The kind of worker that the step needs, its own or else its queue's; empty: any. */
 const char *queue_kind(const Job *job, uint64_t step);
 
 /* The policy of a cell, never null; cell is null where the configuration has none. */
 typedef const Policy *(*QueuePolicy)(void *arg, const ConfigCell *cell);
 
-/* All that decides on the order of work, at one moment. */
+/* All that the order of work depends on, at one moment. */
 typedef struct QueueContext {
     const Table *table;
     const Config *config;
@@ -59,7 +59,7 @@
 
 /* Owned by mem. estimates (may be null: the submitters' estimates count) must outlive it. */
 Queue *queue_new(void *mem, const Estimates *estimates);
-/* What a policy gets to see of a waiting task. */
-PolicyContext queue_see(Queue *queue, const QueueContext *context, const Job *job, size_t task);
+/* What a policy is given of a task, waiting or running. */
+PolicyContext queue_policy_context(Queue *queue, const QueueContext *context, const Job *job, size_t task);
 
 #endif
--- a/packages/queue/src/estimate.c
+++ b/packages/queue/src/estimate.c
@@ -21,16 +21,16 @@
     uint64_t kept[ESTIMATE_KEPT];
     uint64_t count; /* ever; the newest is at (count - 1) % ESTIMATE_KEPT */
     uint64_t median;
-    uint64_t reported; /* the median when it last counted as moved */
+    uint64_t moved_median; /* the median when it last counted as moved */
 } Ratios;
 
-/* Of a worker: time taken there to time estimated here. */
-typedef struct Speed {
+/* Of a worker: time that work took there, in thousandths of the estimates. */
+typedef struct Slowdown {
     Ratios ends;                           /* of work done whole */
     uint64_t fresh[ESTIMATE_FRESH_KEPT];   /* the newest, also of work under way ... */
     int64_t fresh_ms[ESTIMATE_FRESH_KEPT]; /* ... and when each was taken */
     uint64_t fresh_count;
-} Speed;
+} Slowdown;
 
 struct Estimates {
     Map *steps;                   /* "cell/queue/step" to Ratios: time taken to the submitter's estimate */
@@ -50,7 +50,7 @@
     return estimates;
 }
 
-static int order(const void *a, const void *b)
+static int uint64_order(const void *a, const void *b)
 {
     const uint64_t x = *(const uint64_t *)a, y = *(const uint64_t *)b;
     return x < y ? -1 : x > y;
@@ -67,11 +67,11 @@
     assert(count > 0 && count <= SORTED_MOST);
     uint64_t sorted[SORTED_MOST];
     memcpy(sorted, values, count * sizeof(*sorted));
-    qsort(sorted, count, sizeof(*sorted), order);
+    qsort(sorted, count, sizeof(*sorted), uint64_order);
     return sorted[count / 2];
 }
 
-/* Values in a ring of so many slots, of which count were ever put in. */
+/* How many of the slots of a ring are filled, into which count values were ever put. */
 static size_t filled(uint64_t count, size_t slots)
 {
     return count < slots ? (size_t)count : slots;
@@ -87,10 +87,10 @@
 {
     ratios->kept[ratios->count++ % ESTIMATE_KEPT] = ratio;
     ratios->median = middle_of(ratios->kept, filled(ratios->count, ESTIMATE_KEPT));
-    const uint64_t reported = ratios->reported, median = ratios->median;
-    if ((reported > median ? reported - median : median - reported) * MOVED_PART < reported)
+    const uint64_t moved_median = ratios->moved_median, median = ratios->median;
+    if ((moved_median > median ? moved_median - median : median - moved_median) * MOVED_PART < moved_median)
         return false;
-    ratios->reported = median;
+    ratios->moved_median = median;
     return true;
 }
 
@@ -104,14 +104,14 @@
     return ratios;
 }
 
-static Speed *speed_of(Estimates *estimates, const char *worker)
+static Slowdown *slowdown_of(Estimates *estimates, const char *worker)
 {
-    Speed *speed = map_get(estimates->workers, worker);
-    if (speed == NULL) {
-        speed = talloc_zero(estimates->workers, Speed);
-        map_set(estimates->workers, worker, speed);
+    Slowdown *slowdown = map_get(estimates->workers, worker);
+    if (slowdown == NULL) {
+        slowdown = talloc_zero(estimates->workers, Slowdown);
+        map_set(estimates->workers, worker, slowdown);
     }
-    return speed;
+    return slowdown;
 }
 
 typedef struct Key {
@@ -125,7 +125,7 @@
     return key;
 }
 
-/* Of the key's ratios, if there are enough of them. */
+/* The median of the key's ratios, if there are at least so many; otherwise: if not. */
 static uint64_t median_of(const Map *map, const char *key, uint64_t least, uint64_t otherwise)
 {
     const Ratios *ratios = map_get(map, key);
@@ -134,73 +134,73 @@
 
 int64_t estimate_ms(const Estimates *estimates, const Job *job, uint64_t step)
 {
-    const int64_t said_ms = (int64_t)job->spec.steps[step].est_ms;
+    const int64_t submitter_ms = (int64_t)job->spec.steps[step].est_ms;
     if (estimates == NULL)
-        return said_ms;
+        return submitter_ms;
     const Key key = step_key(job, step);
-    if (said_ms == 0)
+    if (submitter_ms == 0)
         return (int64_t)median_of(estimates->plain, key.text, ESTIMATE_LEAST, 0);
-    return said_ms * (int64_t)median_of(estimates->steps, key.text, ESTIMATE_LEAST, AS_ESTIMATED) / AS_ESTIMATED;
+    return submitter_ms * (int64_t)median_of(estimates->steps, key.text, ESTIMATE_LEAST, AS_ESTIMATED) / AS_ESTIMATED;
 }
 
-uint64_t estimate_pace(const Estimates *estimates)
+uint64_t estimate_fleet_slowdown(const Estimates *estimates)
 {
     return estimates != NULL && estimates->pool_median > AS_ESTIMATED ? estimates->pool_median : AS_ESTIMATED;
 }
 
 /* By all that the worker has done, within bounds. */
-static uint64_t lasting_speed(const Speed *speed)
+static uint64_t lasting_slowdown(const Slowdown *slowdown)
 {
-    const uint64_t ends = speed->ends.count >= ESTIMATE_LEAST ? speed->ends.median : AS_ESTIMATED;
+    const uint64_t ends = slowdown->ends.count >= ESTIMATE_LEAST ? slowdown->ends.median : AS_ESTIMATED;
     if (ends < ESTIMATE_SPEED_LEAST)
         return ESTIMATE_SPEED_LEAST;
     return ends > ESTIMATE_SPEED_MOST ? ESTIMATE_SPEED_MOST : ends;
 }
 
-uint64_t estimate_speed(const Estimates *estimates, const char *worker, int64_t now_ms)
+uint64_t estimate_worker_slowdown(const Estimates *estimates, const char *worker, int64_t now_ms)
 {
-    const Speed *speed = estimates != NULL ? map_get(estimates->workers, worker) : NULL;
-    if (speed == NULL)
+    const Slowdown *slowdown = estimates != NULL ? map_get(estimates->workers, worker) : NULL;
+    if (slowdown == NULL)
         return AS_ESTIMATED;
     uint64_t fresh[ESTIMATE_FRESH_KEPT];
     size_t count = 0;
-    for (size_t i = 0; i < ESTIMATE_FRESH_KEPT && i < speed->fresh_count; i++)
-        if (now_ms - speed->fresh_ms[i] <= ESTIMATE_FRESH_MS)
-            fresh[count++] = speed->fresh[i];
-    const uint64_t lasting = lasting_speed(speed);
+    for (size_t i = 0; i < ESTIMATE_FRESH_KEPT && i < slowdown->fresh_count; i++)
+        if (now_ms - slowdown->fresh_ms[i] <= ESTIMATE_FRESH_MS)
+            fresh[count++] = slowdown->fresh[i];
+    const uint64_t lasting = lasting_slowdown(slowdown);
     if (count < ESTIMATE_FRESH_LEAST)
         return lasting;
-    /* a few of late are few: they count when they say something else altogether */
-    const uint64_t own = middle_of(fresh, count) * AS_ESTIMATED / estimate_pace(estimates);
+    /* a few recent ratios say little: they count only when they are far off */
+    const uint64_t own = middle_of(fresh, count) * AS_ESTIMATED / estimate_fleet_slowdown(estimates);
     return own > ESTIMATE_SPEED_MOST ? own : lasting;
 }
 
-void estimates_pace(Estimates *estimates, const char *worker, uint64_t ratio, int64_t now_ms)
+void estimates_slowdown_take(Estimates *estimates, const char *worker, uint64_t ratio, int64_t now_ms)
 {
-    Speed *speed = speed_of(estimates, worker);
-    const size_t at = (size_t)(speed->fresh_count++ % ESTIMATE_FRESH_KEPT);
-    speed->fresh[at] = ratio_bounded(ratio);
-    speed->fresh_ms[at] = now_ms;
-    estimates->pool[estimates->pool_count++ % ESTIMATE_POOL] = speed->fresh[at];
+    Slowdown *slowdown = slowdown_of(estimates, worker);
+    const size_t at = (size_t)(slowdown->fresh_count++ % ESTIMATE_FRESH_KEPT);
+    slowdown->fresh[at] = ratio_bounded(ratio);
+    slowdown->fresh_ms[at] = now_ms;
+    estimates->pool[estimates->pool_count++ % ESTIMATE_POOL] = slowdown->fresh[at];
     estimates->pool_median = middle_of(estimates->pool, filled(estimates->pool_count, ESTIMATE_POOL));
 }
 
-void estimates_end(Estimates *estimates, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
-                   uint64_t far_percent, int64_t now_ms)
+void estimates_end_take(Estimates *estimates, const Job *job, uint64_t step, const char *worker, int64_t took_ms,
+                        uint64_t far_percent, int64_t now_ms)
 {
     if (took_ms <= 0 || far_percent == 0)
         return;
-    const uint64_t sound_ms = (uint64_t)took_ms * 100 / far_percent;
-    const uint64_t said_ms = job->spec.steps[step].est_ms;
+    const uint64_t near_ms = (uint64_t)took_ms * 100 / far_percent;
+    const uint64_t submitter_ms = job->spec.steps[step].est_ms;
     const int64_t expected_ms = estimate_ms(estimates, job, step);
     const Key key = step_key(job, step);
     if (expected_ms > 0) {
-        const uint64_t ratio = sound_ms * AS_ESTIMATED / (uint64_t)expected_ms;
-        ratio_take(&speed_of(estimates, worker)->ends, ratio_bounded(ratio));
-        estimates_pace(estimates, worker, ratio, now_ms);
+        const uint64_t ratio = near_ms * AS_ESTIMATED / (uint64_t)expected_ms;
+        ratio_take(&slowdown_of(estimates, worker)->ends, ratio_bounded(ratio));
+        estimates_slowdown_take(estimates, worker, ratio, now_ms);
     }
-    const bool moved = said_ms > 0
-                           ? ratio_take(ratios_of(estimates->steps, key.text), sound_ms * AS_ESTIMATED / said_ms)
-                           : ratio_take(ratios_of(estimates->plain, key.text), sound_ms);
+    const bool moved = submitter_ms > 0
+                           ? ratio_take(ratios_of(estimates->steps, key.text), near_ms * AS_ESTIMATED / submitter_ms)
+                           : ratio_take(ratios_of(estimates->plain, key.text), near_ms);
     estimates->stamp += moved;
 }
--- a/packages/queue/src/latency_target.c
+++ b/packages/queue/src/latency_target.c
@@ -13,10 +13,10 @@
 }
 
 /* The waves that a step needs to run in a part of the fleet: at least 1, at most its tasks. */
-static uint64_t waves_of(const StepSpec *step, Resources quarter)
+static uint64_t waves_of(const StepSpec *step, Resources wave_capacity)
 {
     uint64_t waves = 1;
-    const uint64_t part[] = {quarter.cpu_milli, quarter.mem_mb, quarter.gpu};
+    const uint64_t part[] = {wave_capacity.cpu_milli, wave_capacity.mem_mb, wave_capacity.gpu};
     const uint64_t all[] = {step->resources.cpu_milli * step->count, step->resources.mem_mb * step->count,
                             step->resources.gpu * step->count};
     for (size_t i = 0; i < 3; i++)
@@ -25,7 +25,8 @@
     return waves < step->count ? waves : step->count;
 }
 
-void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Resources quarter, LatencyTarget *target)
+void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Resources wave_capacity,
+                 LatencyTarget *target)
 {
     int64_t longest_ms = 0;
     /* steps wait for earlier ones alone */
@@ -35,7 +36,7 @@
         for (size_t k = s + 1; k < job->spec.steps_count; k++)
             if (target->after_ms[k] > next_ms && comes_after(&job->spec.steps[k], step->name))
                 next_ms = target->after_ms[k];
-        const int64_t waves = step->gang ? 1 : (int64_t)waves_of(step, quarter);
+        const int64_t waves = step->gang ? 1 : (int64_t)waves_of(step, wave_capacity);
         const int64_t task_ms = estimate_ms(estimates, job, s);
         target->task_ms[s] = (int32_t)(task_ms < INT32_MAX / 2 ? task_ms : INT32_MAX / 2);
         const int64_t after_ms = target->task_ms[s] * waves + next_ms;
@@ -54,7 +55,7 @@
 
 /* Whether the target may still be met: estimates are off by a part, so a miss by less does
  * not count. */
-static bool can_make(int64_t slack_ms, int64_t work_ms)
+static bool can_meet(int64_t slack_ms, int64_t work_ms)
 {
     return slack_ms >= -work_ms * TARGET_DOUBT_PERCENT / 100;
 }
@@ -68,10 +69,10 @@
 double target_rank(const LatencyTarget *target, uint64_t step, int64_t now_ms)
 {
     const int64_t work_ms = target->after_ms[step], slack_ms = target_slack_ms(target, step, now_ms);
-    if (can_make(slack_ms, work_ms))
+    if (can_meet(slack_ms, work_ms))
         return nearness(slack_ms);
     const int64_t late_ms = slack_ms + (TARGET_LATE_TIMES - 1) * target->span_ms;
-    if (can_make(late_ms, work_ms))
+    if (can_meet(late_ms, work_ms))
         return TARGET_LATE_RANK + nearness(late_ms);
     /* worth nothing any more; the oldest first, all within 1 of the rank */
     const int64_t age_ms = now_ms - target->from_ms;
--- a/packages/queue/src/next.c
+++ b/packages/queue/src/next.c
@@ -1,8 +1,8 @@
-/* Which place of a line is tried next, by what cells and tenants use. */
+/* Which step of a ready queue is tried next, by what cells and tenants use. */
 #include <assert.h>
 #include <talloc.h>
 
-#include "places.h"
+#include "ready_steps.h"
 
 /* What all tasks of the candidate ask for. */
 static Resources resources_of(const Candidate *candidate)
@@ -11,59 +11,59 @@
 }
 
 /* What the cell or tenant would use with the candidate, in millionths of the fleet. */
-static uint64_t turn_of(const Line *line, Account *account, const Candidate *candidate)
+static uint64_t use_with(const ReadyQueue *ready, Account *account, const Candidate *candidate)
 {
     const Resources resources =
-        resources_more(*account_use(line->queue, line->context, account), resources_of(candidate));
-    return part_of(resources, line->context->fleet);
+        resources_more(*account_use(ready->queue, ready->context, account), resources_of(candidate));
+    return part_of(resources, ready->context->fleet);
 }
 
-/* Makes a turn for each tenant with the run's next lower rank. */
-static void turns_find(Line *line, Run *run)
+/* Finds, tenant by tenant, the cell's steps with its next lower rank. */
+static void tenants_find(ReadyQueue *ready, CellSteps *cell)
 {
-    const double rank = line->places[run->next].candidate.rank;
-    while (run->next < run->end && line->places[run->next].candidate.rank == rank) {
-        const Account *tenant = line->places[run->next].note->tenant_account;
-        run->turns = talloc_realloc(line, run->turns, Turn, (unsigned)(run->turn_count + 1));
-        Turn *turn = &run->turns[run->turn_count++];
-        turn->at = run->next;
-        while (run->next < run->end && line->places[run->next].candidate.rank == rank &&
-               line->places[run->next].note->tenant_account == tenant)
-            run->next++;
-        turn->end = run->next;
+    const double rank = ready->steps[cell->next].candidate.rank;
+    while (cell->next < cell->end && ready->steps[cell->next].candidate.rank == rank) {
+        const Account *tenant = ready->steps[cell->next].note->tenant_account;
+        cell->tenants = talloc_realloc(ready, cell->tenants, TenantSteps, (unsigned)(cell->tenant_count + 1));
+        TenantSteps *tenant_steps = &cell->tenants[cell->tenant_count++];
+        tenant_steps->at = cell->next;
+        while (cell->next < cell->end && ready->steps[cell->next].candidate.rank == rank &&
+               ready->steps[cell->next].note->tenant_account == tenant)
+            cell->next++;
+        tenant_steps->end = cell->next;
     }
 }
 
-/* Moves on to the turn's first place that is not out; false when there is none. */
-static bool turn_place(const Line *line, Turn *turn)
+/* Moves on to the tenant's first step that is still to be tried; false when there is none. */
+static bool tenant_step(const ReadyQueue *ready, TenantSteps *tenant_steps)
 {
-    while (turn->at < turn->end && line->places[turn->at].out)
-        turn->at++;
-    return turn->at < turn->end;
+    while (tenant_steps->at < tenant_steps->end && ready->steps[tenant_steps->at].out)
+        tenant_steps->at++;
+    return tenant_steps->at < tenant_steps->end;
 }
 
-/* Of the places with the highest rank left in the run, the one whose tenant would use least;
+/* Of the steps with the highest rank left in the cell, the one whose tenant would use least;
  * of equals, the one accepted first. Null: none is left. */
-static Place *run_next(Line *line, Run *run)
+static ReadyStep *cell_step(ReadyQueue *ready, CellSteps *cell)
 {
-    Place *best = NULL;
-    while (best == NULL && (run->turn_count > 0 || run->next < run->end)) {
-        if (run->turn_count == 0)
-            turns_find(line, run);
-        uint64_t best_turn = 0;
-        for (size_t i = 0; i < run->turn_count;) {
-            Turn *turn = &run->turns[i];
-            if (!turn_place(line, turn)) {
-                *turn = run->turns[--run->turn_count];
+    ReadyStep *best = NULL;
+    while (best == NULL && (cell->tenant_count > 0 || cell->next < cell->end)) {
+        if (cell->tenant_count == 0)
+            tenants_find(ready, cell);
+        uint64_t best_use = 0;
+        for (size_t i = 0; i < cell->tenant_count;) {
+            TenantSteps *tenant_steps = &cell->tenants[i];
+            if (!tenant_step(ready, tenant_steps)) {
+                *tenant_steps = cell->tenants[--cell->tenant_count];
                 continue;
             }
-            Place *place = &line->places[turn->at];
+            ReadyStep *step = &ready->steps[tenant_steps->at];
             const uint64_t uses =
-                run->turn_count > 1 ? turn_of(line, place->note->tenant_account, &place->candidate) : 0;
-            if (best == NULL || uses < best_turn ||
-                (uses == best_turn && accepted_order(&place->candidate, &best->candidate) < 0)) {
-                best = place;
-                best_turn = uses;
+                cell->tenant_count > 1 ? use_with(ready, step->note->tenant_account, &step->candidate) : 0;
+            if (best == NULL || uses < best_use ||
+                (uses == best_use && accepted_order(&step->candidate, &best->candidate) < 0)) {
+                best = step;
+                best_use = uses;
             }
             i++;
         }
@@ -72,71 +72,71 @@
 }
 
 /* Null: no restart is left. */
-static Place *restart_next(Line *line)
+static ReadyStep *restart_next(ReadyQueue *ready)
 {
-    while (line->next_restart < line->restarts && line->places[line->next_restart].out)
-        line->next_restart++;
-    return line->next_restart < line->restarts ? &line->places[line->next_restart] : NULL;
+    while (ready->next_restart < ready->restarts && ready->steps[ready->next_restart].out)
+        ready->next_restart++;
+    return ready->next_restart < ready->restarts ? &ready->steps[ready->next_restart] : NULL;
 }
 
-/* Of all cells' next places, that of the cell which would use least of its share. Null: none
+/* Of all cells' next steps, that of the cell which would use least of its share. Null: none
  * is left. */
-static Place *cell_next(Line *line)
+static ReadyStep *step_of_cells(ReadyQueue *ready)
 {
-    Place *best = NULL;
+    ReadyStep *best = NULL;
     uint64_t best_use = 0;
-    for (size_t i = 0; i < line->run_count; i++) {
-        Place *place = run_next(line, &line->runs[i]);
-        if (place == NULL)
+    for (size_t i = 0; i < ready->cell_count; i++) {
+        ReadyStep *step = cell_step(ready, &ready->cells[i]);
+        if (step == NULL)
             continue;
-        const uint64_t use = line->run_count == 1
+        const uint64_t use = ready->cell_count == 1
                                  ? 0
-                                 : turn_of(line, place->note->cell_account, &place->candidate) / line->runs[i].share;
+                                 : use_with(ready, step->note->cell_account, &step->candidate) / ready->cells[i].share;
         if (best == NULL || use < best_use) {
-            best = place;
+            best = step;
             best_use = use;
         }
     }
     return best;
 }
 
-const Candidate *line_next(Line *line)
+const Candidate *ready_queue_next(ReadyQueue *ready)
 {
-    line->tried = restart_next(line);
-    if (line->tried == NULL)
-        line->tried = cell_next(line);
-    return line->tried != NULL ? &line->tried->candidate : NULL;
+    ready->tried = restart_next(ready);
+    if (ready->tried == NULL)
+        ready->tried = step_of_cells(ready);
+    return ready->tried != NULL ? &ready->tried->candidate : NULL;
 }
 
-static void account_more(Line *line, Account *account, Resources more)
+static void account_more(ReadyQueue *ready, Account *account, Resources more)
 {
-    Resources *used = account_use(line->queue, line->context, account);
+    Resources *used = account_use(ready->queue, ready->context, account);
     *used = resources_more(*used, more);
 }
 
-void line_placed(Line *line)
+void ready_queue_placed(ReadyQueue *ready)
 {
-    assert(line->tried != NULL && !line->tried->out);
-    Place *place = line->tried;
-    Candidate *candidate = &place->candidate;
+    assert(ready->tried != NULL && !ready->tried->out);
+    ReadyStep *step = ready->tried;
+    Candidate *candidate = &step->candidate;
     const Resources more = resources_of(candidate);
-    account_more(line, place->note->cell_account, more);
-    account_more(line, place->note->tenant_account, more);
+    account_more(ready, step->note->cell_account, more);
+    account_more(ready, step->note->tenant_account, more);
     const bool gang = candidate_step(candidate)->gang;
     const LatencyTarget target = {.span_ms = candidate->span_ms};
     if (!gang)
         candidate->first =
-            task_next(line, candidate->job, candidate->first + 1, place->end, &target, candidate->restart);
-    place->out = gang || candidate->first == place->end;
+            task_next(ready, candidate->job, candidate->first + 1, step->end, &target, candidate->restart);
+    step->out = gang || candidate->first == step->end;
 }
 
-void line_stuck(Line *line)
+void ready_queue_skip(ReadyQueue *ready)
 {
-    assert(line->tried != NULL);
-    line->tried->out = true;
+    assert(ready->tried != NULL);
+    ready->tried->out = true;
 }
 
-Resources line_tenant_uses(Line *line, const Job *job)
+Resources ready_queue_tenant_uses(ReadyQueue *ready, const Job *job)
 {
-    return *account_use(line->queue, line->context, note_of(line->queue, line->context, job)->tenant_account);
+    return *account_use(ready->queue, ready->context, job_note(ready->queue, ready->context, job)->tenant_account);
 }
--- a/packages/queue/src/order.c
+++ b/packages/queue/src/order.c
@@ -1,9 +1,9 @@
-/* The order of a line's places: restarts, then cells, ranks, tenants, acceptance. */
+/* The order of the steps of a ready queue: restarts, then by cell, rank, tenant, acceptance. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
-#include "places.h"
+#include "ready_steps.h"
 
 int accepted_order(const Candidate *x, const Candidate *y)
 {
@@ -12,7 +12,7 @@
     return x->first < y->first ? -1 : x->first > y->first;
 }
 
-/* The largest part of a task's demand, where a controller weighs as much as 2 GB, and as a GPU. */
+/* A task's size: the largest component of its demand, where a CPU core weighs as much as 2 GB, and as a GPU. */
 static uint64_t size_of(const Candidate *candidate)
 {
     const Resources unit = {1000, 2000, 1};
@@ -26,9 +26,9 @@
     return s != t ? (s > t ? -1 : 1) : accepted_order(x, y);
 }
 
-static int place_order(const void *a, const void *b)
+static int ready_step_order(const void *a, const void *b)
 {
-    const Place *x = a, *y = b;
+    const ReadyStep *x = a, *y = b;
     if (x->candidate.restart != y->candidate.restart)
         return x->candidate.restart ? -1 : 1;
     if (x->candidate.restart)
@@ -42,27 +42,27 @@
     return accepted_order(&x->candidate, &y->candidate);
 }
 
-/* One run for each cell; the places are sorted. */
-static void runs_find(Line *line)
+/* Finds the steps of each cell; they are sorted already. */
+static void cells_find(ReadyQueue *ready)
 {
-    size_t at = line->restarts;
-    while (at < line->count) {
+    size_t at = ready->restarts;
+    while (at < ready->count) {
         size_t end = at;
-        const Note *note = line->places[at].note;
-        while (end < line->count && line->places[end].note->cell_account == note->cell_account)
+        const JobNote *note = ready->steps[at].note;
+        while (end < ready->count && ready->steps[end].note->cell_account == note->cell_account)
             end++;
-        line->runs = talloc_realloc(line, line->runs, Run, (unsigned)(line->run_count + 1));
-        line->runs[line->run_count++] =
-            (Run){.next = at, .end = end, .share = note->cell != NULL && note->cell->share > 0 ? note->cell->share : 1};
+        ready->cells = talloc_realloc(ready, ready->cells, CellSteps, (unsigned)(ready->cell_count + 1));
+        ready->cells[ready->cell_count++] = (CellSteps){
+            .next = at, .end = end, .share = note->cell != NULL && note->cell->share > 0 ? note->cell->share : 1};
         at = end;
     }
 }
 
-void places_sort(Line *line)
+void ready_steps_sort(ReadyQueue *ready)
 {
-    if (line->count > 0)
-        qsort(line->places, line->count, sizeof(*line->places), place_order);
-    while (line->restarts < line->count && line->places[line->restarts].candidate.restart)
-        line->restarts++;
-    runs_find(line);
+    if (ready->count > 0)
+        qsort(ready->steps, ready->count, sizeof(*ready->steps), ready_step_order);
+    while (ready->restarts < ready->count && ready->steps[ready->restarts].candidate.restart)
+        ready->restarts++;
+    cells_find(ready);
 }
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -1,4 +1,4 @@
-/* What is remembered between two lines: the accounts of cells and tenants, and a note of each job. */
+/* What is remembered between two ready queues: the accounts of cells and tenants, and a note of each job. */
 #include "inside.h"
 
 #include <glib.h>
@@ -14,9 +14,9 @@
 
 struct Queue {
     const Estimates *estimates;
-    GHashTable *notes; /* by job's number */
-    Map *accounts;     /* "cell", "cell/tenant" */
-    uint64_t line;     /* number of the newest line */
+    GHashTable *notes;   /* by job's number */
+    Map *accounts;       /* "cell", "cell/tenant" */
+    uint64_t generation; /* ready queues built so far */
 };
 
 static int queue_free(Queue *queue)
@@ -45,26 +45,26 @@
     return resources_part(resources, fleet, MILLIONTHS);
 }
 
-/* Drops notes that neither the newest line nor the one before has used. */
+/* Drops notes that neither this generation nor the one before has used. */
 static gboolean unseen(gpointer key, gpointer value, gpointer queue)
 {
     (void)key;
-    Note *note = value;
-    if (note->line + 1 >= ((const Queue *)queue)->line)
+    JobNote *note = value;
+    if (note->generation + 1 >= ((const Queue *)queue)->generation)
         return FALSE;
     talloc_free(note);
     return TRUE;
 }
 
-uint64_t queue_line(Queue *queue, size_t jobs)
+uint64_t queue_generation_begin(Queue *queue, size_t jobs)
 {
-    queue->line++;
+    queue->generation++;
     if (g_hash_table_size(queue->notes) > jobs * 2 + NOTES_SPARE)
         g_hash_table_foreach_remove(queue->notes, unseen, queue);
-    return queue->line;
+    return queue->generation;
 }
 
-/* tenant null: the cell's. A first one is made. */
+/* The account of a tenant, or, where tenant is null, of the cell; made when there is none. */
 static Account *account_of(Queue *queue, const char *cell, const char *tenant)
 {
     char key[2 * ID_MAX + 2];
@@ -82,27 +82,27 @@
 
 Resources *account_use(Queue *queue, const QueueContext *context, Account *account)
 {
-    if (account->line != queue->line || queue->line == 0) {
-        account->line = queue->line;
+    if (account->generation != queue->generation || queue->generation == 0) {
+        account->generation = queue->generation;
         account->used = account->tenant == NULL ? table_used_by(context->table, account->cell)
                                                 : table_used_by_tenant(context->table, account->cell, account->tenant);
     }
     return &account->used;
 }
 
-Note *note_of(Queue *queue, const QueueContext *context, const Job *job)
+JobNote *job_note(Queue *queue, const QueueContext *context, const Job *job)
 {
-    Note *note = g_hash_table_lookup(queue->notes, &job->number);
+    JobNote *note = g_hash_table_lookup(queue->notes, &job->number);
     /* a state loaded whole may have given the number to another job */
     if (note == NULL || note->job != job) {
         if (note != NULL)
             g_hash_table_remove(queue->notes, &note->number);
         talloc_free(note);
-        note = talloc_zero(queue, Note);
+        note = talloc_zero(queue, JobNote);
         note->job = job;
         note->number = job->number;
         note->stamp = context->config_stamp + 1;
-        note->learnt = UINT64_MAX;
+        note->estimates_stamp = UINT64_MAX;
         note->cell_account = account_of(queue, job->spec.cell, NULL);
         note->tenant_account = account_of(queue, job->spec.cell, job->spec.tenant);
         g_hash_table_insert(queue->notes, &note->number, note);
@@ -112,13 +112,13 @@
         note->cell = config_cell(context->config, job->spec.cell);
         note->queue = note->cell != NULL ? config_queue(note->cell, job->spec.queue) : NULL;
     }
-    note->line = queue->line;
+    note->generation = queue->generation;
     return note;
 }
 
-PolicyContext queue_see(Queue *queue, const QueueContext *context, const Job *job, size_t task)
+PolicyContext queue_policy_context(Queue *queue, const QueueContext *context, const Job *job, size_t task)
 {
-    const Note *note = note_of(queue, context, job);
+    const JobNote *note = job_note(queue, context, job);
     uint64_t shares = 0;
     for (size_t i = 0; i < context->config->cell_count; i++)
         shares += context->config->cells[i].share;
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -1,4 +1,4 @@
-/* What a waiting task waits for, and when a turn is due. */
+/* What a waiting task waits for, and when an occurrence of a timed job is due. */
 #include "queue/queue.h"
 
 const char *wait_word(WaitReason reason)
@@ -17,23 +17,25 @@
     return kind[0] != '\0' || job->terms.kind == NULL ? kind : job->terms.kind;
 }
 
-/* The wall time, in ms, before which the turn must not start; 0: none. Not by task_due_wall_ms,
- * on purpose: the simulator's checker uses that to judge what is decided here. */
-static int64_t turn_wall_ms(const Job *job, uint64_t turn)
+/* The wall time, in ms, before which the occurrence must not start; 0: none. task_due_wall_ms is not used, on
+ * purpose: the simulator checks with it what is decided here. */
+static int64_t occurrence_wall_ms(const Job *job, uint64_t occurrence)
 {
     const JobSpec *spec = &job->spec;
-    const int64_t turn_ms = spec->first_wall_ms != 0 ? spec->first_wall_ms + (int64_t)turn * spec->period_ms : 0;
-    return turn_ms > spec->due_wall_ms ? turn_ms : spec->due_wall_ms;
+    const int64_t occurrence_ms =
+        spec->first_wall_ms != 0 ? spec->first_wall_ms + (int64_t)occurrence * spec->period_ms : 0;
+    return occurrence_ms > spec->due_wall_ms ? occurrence_ms : spec->due_wall_ms;
 }
 
-bool queue_due(const Job *job, uint64_t turn, QueueClock clock)
+bool queue_due(const Job *job, uint64_t occurrence, QueueClock clock)
 {
-    return clock.wall_ms >= turn_wall_ms(job, turn) && clock.log_ms >= job->accepted_ms + job->spec.delay_ms;
+    return clock.wall_ms >= occurrence_wall_ms(job, occurrence) &&
+           clock.log_ms >= job->accepted_ms + job->spec.delay_ms;
 }
 
-int64_t queue_due_ms(const Job *job, uint64_t turn, QueueClock clock)
+int64_t queue_due_ms(const Job *job, uint64_t occurrence, QueueClock clock)
 {
-    const int64_t wall_ms = turn_wall_ms(job, turn), accepted_ms = job->accepted_ms + job->spec.delay_ms;
+    const int64_t wall_ms = occurrence_wall_ms(job, occurrence), accepted_ms = job->accepted_ms + job->spec.delay_ms;
     const int64_t due_ms = clock.log_ms - (clock.wall_ms - wall_ms);
     return wall_ms != 0 && due_ms > accepted_ms ? due_ms : accepted_ms;
 }
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -1,6 +1,6 @@
-/* The order in which work is placed: latency targets, turns, estimates. */
+/* The order in which work is placed: latency targets, occurrences of timed jobs, estimates. */
 #include "../../state/test/board.h"
-#include "queue/line.h"
+#include "queue/ready_queue.h"
 
 #define CPU 1000
 
@@ -47,12 +47,12 @@
                                   .fleet = {1000 * CPU, 100000, 0},
                                   .clock = {log_ms, 1000000 + log_ms},
                                   .policy = plain};
-    Line *line = line_new(mem, queue, &context);
+    ReadyQueue *ready = ready_queue_new(mem, queue, &context);
     char *order = talloc_zero_array(board->table, char, (unsigned)most + 1);
     const Candidate *candidate;
-    for (size_t i = 0; i < most && (candidate = line_next(line)) != NULL; i++) {
+    for (size_t i = 0; i < most && (candidate = ready_queue_next(ready)) != NULL; i++) {
         order[i] = candidate->job->spec.id[0];
-        line_placed(line);
+        ready_queue_placed(ready);
     }
     talloc_free(mem);
     return order;
@@ -102,7 +102,7 @@
     talloc_free(board.table);
 }
 
-/* Targets count from each turn's own due time, and no turn starts before it. */
+/* Targets count from each occurrence's own due time, and none starts before it. */
 static void turn_starts_when_due(void **state)
 {
     (void)state;
@@ -166,16 +166,16 @@
     Estimates *estimates = estimates_new(board.table);
     assert_int_equal(estimate_ms(estimates, job, 0), 1000);
     for (int i = 0; i < 40; i++)
-        estimates_end(estimates, job, 0, "w1", 1500, 100, 0);
-    estimates_end(estimates, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
+        estimates_end_take(estimates, job, 0, "w1", 1500, 100, 0);
+    estimates_end_take(estimates, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
     assert_int_equal(estimate_ms(estimates, job, 0), 1500);
-    assert_int_equal(estimate_speed(estimates, "w1", 0), 1000);
-    assert_int_equal(estimate_speed(estimates, "w2", 0), 1000);
+    assert_int_equal(estimate_worker_slowdown(estimates, "w1", 0), 1000);
+    assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 1000);
     for (int i = 0; i < 5; i++)
-        estimates_end(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
-    assert_int_equal(estimate_speed(estimates, "w2", 0), 2000);
-    /* a slow spell is soon forgotten; what a worker has always been like is not, within bounds */
-    assert_int_equal(estimate_speed(estimates, "w2", ESTIMATE_FRESH_MS + 1), ESTIMATE_SPEED_MOST);
+        estimates_end_take(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
+    assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 2000);
+    /* a short slowdown is soon forgotten; one that the worker has always had is not, within bounds */
+    assert_int_equal(estimate_worker_slowdown(estimates, "w2", ESTIMATE_FRESH_MS + 1), ESTIMATE_SPEED_MOST);
     assert_int_equal(estimate_ms(estimates, job, 0), 1500);
     talloc_free(board.table);
 }
@@ -220,7 +220,7 @@
     talloc_free(board.table);
 }
 
-/* A step that finds no capacity is tried no more; the others are. */
+/* A step that finds no capacity is not tried again; the others are. */
 static void stuck_step_is_passed_by(void **state)
 {
     (void)state;
@@ -232,17 +232,17 @@
     const char *text = "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}";
     const Config *config = config_read(mem, text, strlen(text), 1, &faults);
     const QueueContext context = {.table = board.table, .config = config, .clock = {1000, 1000}, .policy = plain};
-    Line *line = line_new(mem, queue_new(mem, NULL), &context);
-    assert_int_equal(line_count(line), 2);
-    assert_string_equal(line_next(line)->job->spec.id, "a");
-    line_placed(line);
-    assert_int_equal(line_next(line)->first, 1);
-    line_stuck(line);
-    assert_string_equal(line_next(line)->job->spec.id, "b");
-    line_placed(line);
-    assert_string_equal(line_next(line)->job->spec.id, "b");
-    line_placed(line);
-    assert_null(line_next(line));
+    ReadyQueue *ready = ready_queue_new(mem, queue_new(mem, NULL), &context);
+    assert_int_equal(ready_queue_count(ready), 2);
+    assert_string_equal(ready_queue_next(ready)->job->spec.id, "a");
+    ready_queue_placed(ready);
+    assert_int_equal(ready_queue_next(ready)->first, 1);
+    ready_queue_skip(ready);
+    assert_string_equal(ready_queue_next(ready)->job->spec.id, "b");
+    ready_queue_placed(ready);
+    assert_string_equal(ready_queue_next(ready)->job->spec.id, "b");
+    ready_queue_placed(ready);
+    assert_null(ready_queue_next(ready));
     talloc_free(board.table);
 }
 
--- a/packages/scheduler/include/scheduler/worker_score.h
+++ b/packages/scheduler/include/scheduler/worker_score.h
@@ -5,7 +5,7 @@
 
 /* Outlier ejection of workers: one that claims health but fails or slows its attempts is given fewer new
  * ones, then none for a rest that doubles each time, and never too many of the fleet rest at once. Used by
- * the controller, which tells of ended attempts and shows the scores, and by the scheduler's passes.
+ * the controller, which hands in ended attempts and shows the scores, and by the scheduler's passes.
  *
  * Nothing here waits; what is returned belongs to the scheduler and is valid until the next wait. */
 
@@ -14,7 +14,7 @@
     uint64_t rate_percent; /* as of rated_ms */
     int64_t rated_ms;      /* own clock */
     uint64_t jobs;         /* different jobs that went badly there since one went well */
-    uint64_t last_job;     /* number of the last that did */
+    uint64_t last_job;     /* number of the last that went badly */
 } Tally;
 
 /* One worker, as this leader has seen it. */
@@ -29,7 +29,7 @@
 /* Takes a delivered change of attempts' ends into the scores, and into the estimates of how long work takes. */
 void score_take(Scheduler *scheduler, const AttemptList *list);
 /* An attempt of the job made no progress on the worker: counts as a failed one. */
-void score_still(Scheduler *scheduler, const char *worker, const Job *job);
+void score_stalled(Scheduler *scheduler, const char *worker, const Job *job);
 /* Time of a task of the step on the worker, in percent of that near its data. */
 uint64_t score_far_percent(const Scheduler *scheduler, const Worker *worker, const StepSpec *step);
 /* Null: nothing bad is known of the worker. */
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -1,19 +1,19 @@
-/* The r-loss plan: what it must hold for, whether it holds, and running work that it can include by now. */
+/* The r-loss plan: the tasks that it must include, whether it holds, and running tasks that it can include by now. */
 #include "assurance.h"
 
 #include <string.h>
 #include <talloc.h>
 
-#include "pushable_capacity.h"
+#include "preemptible_capacity.h"
 
-void pass_count(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
+void pass_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
 {
     PlanInput *input = &pass->input;
-    if (input->task_count == pass->task_resources) {
-        pass->task_resources = pass->task_resources ? pass->task_resources * 2 : 64;
-        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_resources);
+    if (input->task_count == pass->task_capacity) {
+        pass->task_capacity = pass->task_capacity ? pass->task_capacity * 2 : 64;
+        input->tasks = talloc_realloc(pass->mem, input->tasks, PlanTask, (unsigned)pass->task_capacity);
     }
-    input->tasks[input->task_count++] = (PlanTask){*need, worker, pushable_cell(pass, spec)};
+    input->tasks[input->task_count++] = (PlanTask){*need, worker, preemptible_cell(pass, spec)};
 }
 
 bool pass_survives_losses(Pass *pass)
@@ -26,10 +26,10 @@
     return survives;
 }
 
-void pass_tasks(Pass *pass)
+void pass_tasks_add(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
-    pushable_count(pass);
+    preemptible_count(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const TaskOn *on;
         const size_t count = table_on(scheduler->table, pass->input.workers[i].name, &on);
@@ -37,11 +37,11 @@
             const Job *job = on[t].job;
             const JobTask *task = &job->tasks[on[t].task];
             /* where the configuration names no loss, the check covers all protected tasks, for status alone */
-            const bool counts = pass->asks ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
+            const bool counts = pass->plan_required ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
             if (!counts || task->phase == TASK_STOPPING)
                 continue;
             const PlanNeed need = pass_need(job, task->step);
-            pass_count(pass, &job->spec, &need, i);
+            pass_task_add(pass, &job->spec, &need, i);
         }
     }
 }
@@ -49,11 +49,10 @@
 PlanInput planner_input(Scheduler *scheduler, void *mem)
 {
     Pass *pass = pass_new(scheduler, mem);
-    pass_tasks(pass);
+    pass_tasks_add(pass);
     return pass->input;
 }
 
-/* Running attempts that were placed without the plan and that it can include by now are marked as assured. */
 void assure_more(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -66,11 +65,11 @@
             continue;
         for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checks_max; t++) {
             const JobTask *task = &job->tasks[t];
-            const size_t at = task_on_worker(task->phase) ? pass_place(pass, task->worker) : SIZE_MAX;
+            const size_t at = task_on_worker(task->phase) ? pass_worker_index(pass, task->worker) : SIZE_MAX;
             if (task->assured || at == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
                 continue;
             const PlanNeed need = pass_need(job, task->step);
-            pass_count(pass, &job->spec, &need, at);
+            pass_task_add(pass, &job->spec, &need, at);
             if (!pass_survives_losses(pass)) {
                 pass->input.task_count--;
                 continue;
@@ -83,5 +82,5 @@
     list.why = "";
     ChangeResult result;
     if (list.attempts_count > 0)
-        scheduler_order(scheduler, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result);
+        scheduler_submit(scheduler, pass->mem, CHANGE_ASSURE, &StopList_shape, &list, &result);
 }
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -5,10 +5,10 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "scheduler/attempt_pace.h"
+#include "scheduler/attempt_progress.h"
 #include "scheduler/worker_score.h"
 
-int64_t pass_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker)
+int64_t forecast_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker)
 {
     const Scheduler *scheduler = pass->scheduler;
     if (task->phase == TASK_STOPPING)
@@ -16,22 +16,23 @@
     const int64_t estimate = estimate_ms(scheduler->estimates, job, task->step);
     if (estimate <= 0 || job->spec.lasting)
         return INT64_MAX;
-    const Pace *pace = pace_find(scheduler->paces, job->spec.id, task_number(task), task->attempt);
-    if (pace != NULL && pace->per_ms > 0) {
-        const double left_ms =
-            (100 - (double)pace->percent) / pace->per_ms - (double)(loop_now_ms(scheduler->loop) - pace->told_ms);
+    const AttemptProgress *progress =
+        progress_find(scheduler->progress_table, job->spec.id, task_number(task), task->attempt);
+    if (progress != NULL && progress->per_ms > 0) {
+        const double left_ms = (100 - (double)progress->percent) / progress->per_ms -
+                               (double)(loop_now_ms(scheduler->loop) - progress->reported_ms);
         return left_ms > ENDS_LEAST_MS ? (int64_t)left_ms : ENDS_LEAST_MS;
     }
     const Worker *its = table_worker(scheduler->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
-    const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->speeds[worker] / 1000;
+    const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->slowdowns[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
-    /* an attempt that is over its expected time may end at any time: a part of that time is as good an estimate as
-     * any */
+    /* an attempt that has run for longer than expected may end at any time: an eighth is a guess */
     return whole_ms - ran_ms > whole_ms / 8 ? whole_ms - ran_ms : whole_ms / 8 + ENDS_LEAST_MS;
 }
 
+/* When an attempt should end, and what it gives back then. */
 typedef struct End {
     int64_t left_ms;
     Resources resources;
@@ -43,7 +44,7 @@
     return x->left_ms < y->left_ms ? -1 : x->left_ms > y->left_ms;
 }
 
-int64_t soonest_ms(const Pass *pass, size_t worker, Resources need)
+int64_t forecast_free_ms(const Pass *pass, size_t worker, Resources need)
 {
     Resources free = pass->input.workers[worker].free;
     if (resources_fits(need, free))
@@ -53,7 +54,7 @@
     End *ends = talloc_array(pass->mem, End, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
-        ends[i] = (End){pass_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].resources};
+        ends[i] = (End){forecast_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].resources};
     }
     qsort(ends, count, sizeof(*ends), end_order);
     int64_t left_ms = INT64_MAX;
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -1,4 +1,4 @@
-/* Checkpoints of running attempts, from their agents' heartbeats; in memory alone. */
+/* Checkpoints of running attempts, as their agents' heartbeats bring them; in memory alone. */
 #include "scheduler/checkpoint.h"
 
 #include <inttypes.h>
@@ -8,66 +8,67 @@
 
 #include "state.h"
 
-#define SAVED_KEY (ID_MAX + 24) /* bytes; a name and a number */
-#define SAVED_LEAST 256         /* count; fewer are not worth looking through */
+#define CHECKPOINT_KEY (ID_MAX + 24) /* bytes; a name and a number */
+#define CHECKPOINTS_LEAST 256        /* count; fewer are not worth looking through */
 
-/* Invariant: text is the newest checkpoint of the latest attempt that told any. */
-typedef struct Saved {
+/* Invariant: text is the newest checkpoint of the latest attempt that reported any. */
+typedef struct Checkpoint {
     const char *job;
     uint64_t task, attempt;
     const char *text;
-} Saved;
+} Checkpoint;
 
-static const char *saved_key(char key[SAVED_KEY], const char *job, uint64_t task)
+static const char *checkpoint_key(char key[CHECKPOINT_KEY], const char *job, uint64_t task)
 {
-    snprintf(key, SAVED_KEY, "%" PRIu64 " %s", task, job);
+    snprintf(key, CHECKPOINT_KEY, "%" PRIu64 " %s", task, job);
     return key;
 }
 
 /* Checkpoints of tasks that have ended are dropped whenever the map has doubled since the last time. */
-static void saved_sweep(Scheduler *scheduler)
+static void checkpoint_sweep(Scheduler *scheduler)
 {
-    if (map_count(scheduler->saved) < SAVED_LEAST || map_count(scheduler->saved) < 2 * scheduler->saved_kept)
+    if (map_count(scheduler->checkpoints) < CHECKPOINTS_LEAST ||
+        map_count(scheduler->checkpoints) < 2 * scheduler->checkpoints_swept)
         return;
     void *mem = talloc_new(scheduler);
     const char **keys;
-    const size_t count = map_keys(scheduler->saved, mem, &keys);
+    const size_t count = map_keys(scheduler->checkpoints, mem, &keys);
     for (size_t i = 0; i < count; i++) {
-        Saved *saved = map_get(scheduler->saved, keys[i]);
-        const Job *job = table_job(scheduler->table, saved->job);
-        const size_t at = job != NULL ? task_index(job, saved->task) : 0;
+        Checkpoint *checkpoint = map_get(scheduler->checkpoints, keys[i]);
+        const Job *job = table_job(scheduler->table, checkpoint->job);
+        const size_t at = job != NULL ? task_index(job, checkpoint->task) : 0;
         if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasks_count && !task_ended(job->tasks[at].phase))
             continue;
-        map_drop(scheduler->saved, keys[i]);
-        talloc_free(saved);
+        map_drop(scheduler->checkpoints, keys[i]);
+        talloc_free(checkpoint);
     }
-    scheduler->saved_kept = map_count(scheduler->saved);
+    scheduler->checkpoints_swept = map_count(scheduler->checkpoints);
     talloc_free(mem);
 }
 
-void saved_take(Scheduler *scheduler, const AttemptSaved *reported)
+void checkpoint_take(Scheduler *scheduler, const AttemptSaved *report)
 {
-    char key[SAVED_KEY];
-    if (reported->text[0] == '\0')
+    char key[CHECKPOINT_KEY];
+    if (report->text[0] == '\0')
         return;
-    Saved *saved = map_get(scheduler->saved, saved_key(key, reported->job, reported->task));
-    if (saved != NULL && saved->attempt > reported->attempt)
+    Checkpoint *checkpoint = map_get(scheduler->checkpoints, checkpoint_key(key, report->job, report->task));
+    if (checkpoint != NULL && checkpoint->attempt > report->attempt)
         return;
-    if (saved == NULL) {
-        saved_sweep(scheduler);
-        saved = talloc_zero(scheduler->saved, Saved);
-        saved->job = talloc_strdup(saved, reported->job);
-        saved->task = reported->task;
-        map_set(scheduler->saved, key, saved);
+    if (checkpoint == NULL) {
+        checkpoint_sweep(scheduler);
+        checkpoint = talloc_zero(scheduler->checkpoints, Checkpoint);
+        checkpoint->job = talloc_strdup(checkpoint, report->job);
+        checkpoint->task = report->task;
+        map_set(scheduler->checkpoints, key, checkpoint);
     }
-    talloc_free((void *)(uintptr_t)saved->text);
-    saved->text = talloc_strdup(saved, reported->text);
-    saved->attempt = reported->attempt;
+    talloc_free((void *)(uintptr_t)checkpoint->text);
+    checkpoint->text = talloc_strdup(checkpoint, report->text);
+    checkpoint->attempt = report->attempt;
 }
 
-const char *saved_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt)
+const char *checkpoint_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt)
 {
-    char key[SAVED_KEY];
-    const Saved *saved = map_get(scheduler->saved, saved_key(key, job, task));
-    return saved != NULL && saved->attempt == attempt ? saved->text : "";
+    char key[CHECKPOINT_KEY];
+    const Checkpoint *checkpoint = map_get(scheduler->checkpoints, checkpoint_key(key, job, task));
+    return checkpoint != NULL && checkpoint->attempt == attempt ? checkpoint->text : "";
 }
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -1,11 +1,12 @@
-/* Gangs of which only some members run. Placing, ending and stopping concern all members at once, so there is
- * one cause alone: the disks lost a placement, agents told their attempts again, and of some member no agent is
- * left to tell. All members are stopped, and the gang is placed again as a whole. */
+/* Gangs of which only some members run. Members are placed, ended and stopped all at once, so there is one cause
+ * alone: the disks lost a placement, agents have reported their attempts again, and the agent of some member is
+ * lost. All members are stopped, and the gang is placed again as a whole. */
 #include "gang_repair.h"
 
 #include <talloc.h>
 
-static bool split(const TaskOn *on)
+/* Whether the task runs while another member of its gang waits. */
+static bool is_split(const TaskOn *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -31,7 +32,7 @@
         const TaskOn *on;
         const size_t count = table_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
-            if (!split(&on[t]))
+            if (!is_split(&on[t]))
                 continue;
             const JobTask *task = &on[t].job->tasks[on[t].task];
             list.attempts = talloc_realloc(mem, list.attempts, AttemptId, (unsigned)(list.attempts_count + 1));
@@ -41,5 +42,5 @@
     }
     ChangeResult result;
     if (list.attempts_count > 0)
-        scheduler_order(scheduler, mem, CHANGE_STOP, &StopList_shape, &list, &result);
+        scheduler_submit(scheduler, mem, CHANGE_STOP, &StopList_shape, &list, &result);
 }
--- a/packages/scheduler/src/controller.c
+++ b/packages/scheduler/src/leader.c
@@ -1,4 +1,4 @@
-/* The controller as the scheduler's parts see it. */
+/* Calls of the controller's functions (SchedulerLeader), for all parts of the scheduler. */
 #include "heartbeat/lease.h"
 #include "state.h"
 
@@ -17,10 +17,10 @@
     return scheduler->leader.won_ms(scheduler->leader.arg);
 }
 
-Status scheduler_order(const Scheduler *scheduler, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                       ChangeResult *result)
+Status scheduler_submit(const Scheduler *scheduler, void *mem, ChangeKind kind, const Shape *shape, const void *body,
+                        ChangeResult *result)
 {
-    return scheduler->leader.order(scheduler->leader.arg, mem, kind, shape, body, result);
+    return scheduler->leader.submit(scheduler->leader.arg, mem, kind, shape, body, result);
 }
 
 const Policy *scheduler_policy(const Scheduler *scheduler, const ConfigCell *cell)
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -1,6 +1,6 @@
-/* Workers that drain and have told how long they stay. An attempt that can not end there by then is started
- * elsewhere in time: one that checkpoints, as soon as another worker has capacity or at its last moment to save;
- * one that does not, only when it is sure not to end. */
+/* Workers that drain and have reported how long they stay. An attempt that can't end there by then is stopped in
+ * time to go on elsewhere: one that checkpoints, as soon as another worker has capacity, or else at its last moment
+ * to save; one that does not, only when it is sure not to end in time. */
 #include "leaving_worker.h"
 
 #include <string.h>
@@ -10,7 +10,8 @@
 #include "stop_list.h"
 #include "worker_choice.h"
 
-static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool resources)
+/* stays_ms: for how long the worker stays; elsewhere: another worker has capacity for the task. */
+static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t stays_ms, bool elsewhere)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -20,17 +21,17 @@
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
     if (job->spec.lasting)
-        return resources || stays_ms < LEAVE_LAST_MS;
-    const int64_t left_ms = pass_left_ms(pass, job, task, worker);
+        return elsewhere || stays_ms < LEAVE_LAST_MS;
+    const int64_t left_ms = forecast_left_ms(pass, job, task, worker);
     if (left_ms < stays_ms - LEAVE_LAST_MS / 2)
         return false;
     if (saves)
-        return resources || stays_ms < LEAVE_LAST_MS;
+        return elsewhere || stays_ms < LEAVE_LAST_MS;
     /* estimates are inexact: an attempt that might just end is left to try */
-    return resources && left_ms * 2 / 3 > stays_ms;
+    return elsewhere && left_ms * 2 / 3 > stays_ms;
 }
 
-void leave_find(Pass *pass, StopList *list)
+void leaving_find(Pass *pass, StopList *list)
 {
     const int64_t now_ms = loop_now_ms(pass->scheduler->loop);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
--- a/packages/scheduler/src/leaving_worker.h
+++ b/packages/scheduler/src/leaving_worker.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Adds attempts that could not end before their worker has left. */
-void leave_find(Pass *pass, StopList *list);
+/* Adds attempts that could not end before their worker leaves (see the source). */
+void leaving_find(Pass *pass, StopList *list);
 
 #endif
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -14,7 +14,7 @@
     return loop_now_ms(scheduler->loop) > until_ms && (row == NULL || !row->losing);
 }
 
-void lost_find(Scheduler *scheduler, void *mem)
+void lost_workers_declare(Scheduler *scheduler, void *mem)
 {
     Map *lost = map_new(mem);
     const char *worker;
@@ -25,12 +25,12 @@
     const size_t lost_count = map_keys(lost, mem, &names);
     for (size_t i = 0; i < lost_count && scheduler_decides(scheduler); i++) {
         if (!lapsed(scheduler, names[i]))
-            continue; /* it came back while the loss of another was being committed, and has orders again */
+            continue; /* it has come back while the loss of another was being committed */
         const WorkerLost change = {names[i], UINT64_MAX};
-        /* it may come back before this is committed: no order from the state before may reach it then */
+        /* it may come back before this is committed: it must get no order that is based on the state before */
         liveset_losing(scheduler->liveset, names[i], true);
         ChangeResult result;
-        if (scheduler_order(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
+        if (scheduler_submit(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
             scheduler->counts.lost += result.number;
             recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
                            "worker %s is lost with %" PRIu64 " rounds", names[i], result.number);
@@ -38,7 +38,7 @@
     }
 }
 
-void copies_find(Scheduler *scheduler, void *mem)
+void silent_attempts_give_up(Scheduler *scheduler, void *mem)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
     AttemptList list = {0};
@@ -67,14 +67,14 @@
     }
     ChangeResult result;
     if (list.updates_count > 0)
-        scheduler_order(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
+        scheduler_submit(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
     /* that these attempts are over is not confirmed: their capacity counts as in use until the agent says so */
     for (size_t i = 0; i < list.updates_count; i++) {
-        const AttemptUpdate *updates = &list.updates[i];
-        const Job *job = table_job(scheduler->table, updates->job);
-        const size_t at = job != NULL ? task_index(job, updates->task) : 0;
+        const AttemptUpdate *update = &list.updates[i];
+        const Job *job = table_job(scheduler->table, update->job);
+        const size_t at = job != NULL ? task_index(job, update->task) : 0;
         if (job != NULL && at < job->tasks_count)
-            orphans_add(scheduler->orphans, updates->worker, job, &job->tasks[at], updates->attempt,
+            orphans_add(scheduler->orphans, update->worker, job, &job->tasks[at], update->attempt,
                         now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/scheduler/src/lost_worker.h
+++ b/packages/scheduler/src/lost_worker.h
@@ -3,9 +3,9 @@
 
 #include "state.h"
 
-/* Waits. Declares workers lost whose leases have lapsed. mem: for the changes, here and below. */
-void lost_find(Scheduler *scheduler, void *mem);
+/* Waits. Declares workers lost whose leases have lapsed. The changes are packed on mem, here and below. */
+void lost_workers_declare(Scheduler *scheduler, void *mem);
 /* Waits. Gives up attempts on silent workers, of tasks whose owner allows copies. */
-void copies_find(Scheduler *scheduler, void *mem);
+void silent_attempts_give_up(Scheduler *scheduler, void *mem);
 
 #endif
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -1,4 +1,4 @@
-/* The begin of a pass: the workers and their free capacity. */
+/* Begins a pass: finds the workers and their free capacity. */
 #include "pass.h"
 
 #include <string.h>
@@ -6,7 +6,8 @@
 
 #include "scheduler/worker_score.h"
 
-/* Capacity of the worker that may be used now; none when it may be given nothing. */
+/* The capacity of the worker that may be used now; none when it may be given no work. orphans (out): what its
+ * orphaned attempts use. */
 static Resources resources_now(const Scheduler *scheduler, const Worker *worker, Resources *orphans)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker->name);
@@ -17,8 +18,8 @@
     return ready ? resources_less(worker->resources, row->others) : none;
 }
 
-/* Workers that may be given work have their free capacity, the others none; what runs on those still counts as
- * to be restarted. */
+/* All workers, with their free capacity; those that may be given no work have none, but their tasks still count for
+ * the plan. */
 static void workers_find(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -26,7 +27,7 @@
     const size_t count = table_workers(scheduler->table, pass->mem, &workers);
     pass->input.workers = talloc_array(pass->mem, PlanWorker, (unsigned)count);
     pass->input.worker_count = count;
-    pass->speeds = talloc_array(pass->mem, uint64_t, (unsigned)count);
+    pass->slowdowns = talloc_array(pass->mem, uint64_t, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
         Resources orphans;
@@ -41,13 +42,13 @@
                                               .resources = resources,
                                               .free = resources_less(resources, used),
                                               .penalty = score_rate(scheduler, worker->name) * 10};
-        pass->speeds[i] = estimate_speed(scheduler->estimates, worker->name, loop_now_ms(scheduler->loop));
+        pass->slowdowns[i] = estimate_worker_slowdown(scheduler->estimates, worker->name, loop_now_ms(scheduler->loop));
         pass->fleet = resources_more(pass->fleet, resources);
     }
     pass->largest = plan_largest(pass->input.workers, count);
 }
 
-size_t pass_place(const Pass *pass, const char *worker)
+size_t pass_worker_index(const Pass *pass, const char *worker)
 {
     size_t low = 0, high = pass->input.worker_count;
     while (low < high) { /* sorted by name */
@@ -70,7 +71,8 @@
     pass->mem = pass;
     uint64_t stamp;
     pass->config = scheduler->leader.config(scheduler->leader.arg, &stamp);
-    pass->asks = (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
+    pass->plan_required =
+        (pass->config->r_named && pass->config->r > 0) || pass->config->zone_loss || pass->config->rack_loss;
     pass->clock = scheduler->leader.clock(scheduler->leader.arg);
     pass->next_ms = INT64_MAX;
     pass->input =
--- a/packages/scheduler/src/pass_reservation.c
+++ b/packages/scheduler/src/pass_reservation.c
@@ -1,6 +1,6 @@
-/* Reservation within one pass: capacity that becomes free is left to the candidate that ranks above all that
- * could take it. Without this a task that needs more than any one end gives back is overtaken for as long as
- * smaller ones wait, since each takes the gap as soon as it opens.
+/* Reservation within one pass: free capacity that is too small for a candidate is left to it, rather than to those
+ * that rank below it. Without this a task that needs more than one ended attempt gives back would wait for as long
+ * as smaller tasks do, since these take each gap as soon as it opens.
  *
  * Nothing is remembered: the next pass reserves the same again, since the worker that is nearest to having
  * enough gets nearer. A candidate that is far from its latency target, or has missed it, gets no reservation. */
@@ -15,6 +15,7 @@
     return free.cpu_milli == 0 && free.mem_mb == 0 ? 0 : most == 0 ? UINT64_MAX : 1000000 / most;
 }
 
+/* The index of the worker that is nearest to having enough; -1: none could have. */
 static int nearest(const Pass *pass, const PlanNeed *need, const bool *excluded, const bool *taken)
 {
     int best = -1;
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -1,4 +1,4 @@
-/* Places one candidate of the queue: a task, or all members of a gang or none. */
+/* Places one candidate of the ready queue: a task, or all members of a gang or none. */
 #include "placement.h"
 
 #include <string.h>
@@ -17,7 +17,7 @@
     const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, candidate->job->spec.tenant) : NULL;
     if (tenant == NULL)
         return true; /* accepted before the tenant was taken out of the configuration: it runs */
-    Resources want = line_tenant_uses(pass->line, candidate->job);
+    Resources want = ready_queue_tenant_uses(pass->ready_queue, candidate->job);
     for (size_t i = 0; i < candidate->count; i++)
         want = resources_more(want, step->resources);
     return (tenant->quota.cpu_milli == 0 || want.cpu_milli <= tenant->quota.cpu_milli) &&
@@ -25,15 +25,15 @@
            (tenant->quota.gpu == 0 || want.gpu <= tenant->quota.gpu);
 }
 
-/* The members of a gang go on from the same checkpoint, under the same attempt number. */
+/* Decides one start. The members of a gang go on from the same checkpoint, under the same attempt number. */
 static void place_add(Pass *pass, const Candidate *candidate, size_t member, size_t worker, uint64_t attempt,
                       const char *saved, bool assured)
 {
-    if (pass->places.placements_count == pass->place_resources) {
-        pass->place_resources = pass->place_resources ? pass->place_resources * 2 : 32;
+    if (pass->places.placements_count == pass->place_capacity) {
+        pass->place_capacity = pass->place_capacity ? pass->place_capacity * 2 : 32;
         pass->places.placements =
-            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_resources);
-        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_resources);
+            talloc_realloc(pass->mem, pass->places.placements, Placement, (unsigned)pass->place_capacity);
+        pass->placed = talloc_realloc(pass->mem, pass->placed, Placed, (unsigned)pass->place_capacity);
     }
     const LiveRow *row = liveset_find(pass->scheduler->liveset, pass->input.workers[worker].name);
     const size_t task = candidate_task(candidate, member);
@@ -49,12 +49,13 @@
     };
 }
 
+/* Gives the capacity of the first count chosen workers back. */
 static void take_back(Pass *pass, const StepSpec *step, const int *where, size_t count)
 {
     for (size_t i = 0; i < count; i++) {
         PlanWorker *worker = &pass->input.workers[where[i]];
         worker->free = resources_more(worker->free, step->resources);
-        context_add(pass, (size_t)where[i], -1);
+        spread_add(pass, (size_t)where[i], -1);
     }
 }
 
@@ -75,7 +76,7 @@
         if (its > *percent)
             *percent = its;
         pass->input.workers[at].free = resources_less(pass->input.workers[at].free, step->resources);
-        context_add(pass, (size_t)at, 1);
+        spread_add(pass, (size_t)at, 1);
         where[i] = at;
     }
     return true;
@@ -104,13 +105,13 @@
 /* Whether the r-loss plan still holds with the candidate on these workers. */
 static bool assures(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
-    if (!pass->asks) /* the configuration names no loss: the last check, made for status, is shown */
+    if (!pass->plan_required) /* the configuration names no loss: the result of the last check, made for status */
         return pass->scheduler->plan.possible;
     if (pass->checks >= pass->checks_max)
         return false;
     const size_t before = pass->input.task_count;
     for (size_t i = 0; i < candidate->count; i++)
-        pass_count(pass, &candidate->job->spec, need, (size_t)where[i]);
+        pass_task_add(pass, &candidate->job->spec, need, (size_t)where[i]);
     const bool survives = pass_survives_losses(pass);
     if (!survives)
         pass->input.task_count = before;
@@ -125,12 +126,12 @@
         const JobTask *task = &candidate->job->tasks[candidate_task(candidate, i)];
         if (task->attempt >= attempt)
             attempt = task->attempt + 1;
-        /* of an attempt that was lost with its worker only heartbeats have told */
-        const char *reported =
-            task->attempt > 0 ? saved_find(pass->scheduler, candidate->job->spec.id, task_number(task), task->attempt)
-                              : "";
+        /* the checkpoint of an attempt that was lost with its worker is known from heartbeats alone */
+        const char *reported_checkpoint = task->attempt > 0 ? checkpoint_find(pass->scheduler, candidate->job->spec.id,
+                                                                              task_number(task), task->attempt)
+                                                            : "";
         if (saved[0] == '\0')
-            saved = reported[0] != '\0' ? reported : task->saved;
+            saved = reported_checkpoint[0] != '\0' ? reported_checkpoint : task->saved;
     }
     for (size_t i = 0; i < candidate->count; i++) {
         place_add(pass, candidate, i, (size_t)where[i], attempt, saved, assured);
@@ -139,8 +140,8 @@
         pass->scheduler->counts.unassured += candidate->count;
 }
 
-/* Whether as much capacity, or less, was not to be found before in this pass. Free capacity only shrinks in a
- * pass, so what found no worker finds none later. */
+/* Whether as much capacity, or less, has found no worker in this pass. Free capacity only shrinks in a pass, so it
+ * finds none now. */
 static bool known_full(const Pass *pass, const PlanNeed *need)
 {
     for (size_t i = 0; i < pass->full_count; i++)
@@ -149,10 +150,10 @@
     return false;
 }
 
-static void full_add(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool kept)
+static void full_add(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool reserved)
 {
     /* a need with more constraints than capacity may fail where another finds a worker */
-    if (kept || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->full_count == FULL_MOST)
+    if (reserved || step->apart > 0 || need->label_count > 0 || candidate->count > 1 || pass->full_count == FULL_MOST)
         return;
     pass->full[pass->full_count++] = *need;
 }
@@ -168,13 +169,13 @@
     void *mem = talloc_new(pass->mem);
     int *where = talloc_array(mem, int, (unsigned)candidate->count);
     bool *excluded = talloc_zero_array(mem, bool, (unsigned)pass->input.worker_count);
-    const bool kept = reservation_from(pass, candidate, excluded), full = known_full(pass, &need);
+    const bool reserved = reservation_exclude(pass, candidate, excluded), full = known_full(pass, &need);
     uint64_t percent = 100;
     const bool found = !full && choose_racks(pass, candidate, &need, excluded, where, &percent);
     bool fits = found, assured = false;
     if (!found) {
         if (!full)
-            full_add(pass, candidate, step, &need, kept);
+            full_add(pass, candidate, step, &need, reserved);
         reserve_for(pass, candidate, &need, excluded);
         preempt_for(pass, candidate);
         reservation_want(pass, candidate, step);
@@ -182,8 +183,8 @@
         fits = false;
     } else if (spec->protection == PROTECTION_PROTECTED) {
         assured = assures(pass, candidate, &need, where);
-        /* accepted work does not wait without end for a plan that includes it */
-        if (!assured && pass->asks)
+        /* work that no plan can include is started all the same after ASSURE_WAIT_MS, and restarts at once */
+        if (!assured && pass->plan_required)
             fits = candidate->restart || pass->clock.log_ms - candidate->since_ms >= ASSURE_WAIT_MS;
     }
     if (fits)
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -1,17 +1,17 @@
-/* Preemption by a cell's policy: which running attempts make room for a candidate. */
+/* Preemption by a cell's policy: which running attempts are stopped to free capacity for a candidate. */
 #include "preemption.h"
 
 #include <string.h>
 #include <talloc.h>
 
 #include "preemption_target.h"
-#include "pushable_capacity.h"
+#include "preemptible_capacity.h"
 
 /* Running attempts of one worker that are to be preempted. */
 typedef struct Victims {
     AttemptId attempts[PREEMPT_TASKS_MAX];
     size_t count;
-    size_t looked; /* tasks that the policy was asked for */
+    size_t asked; /* tasks that the policy was asked for */
 } Victims;
 
 /* The worker's free capacity once all that is being stopped there has stopped. */
@@ -28,18 +28,18 @@
     return free;
 }
 
-/* Adds what of the job the candidate may preempt on the worker, until that is enough. */
+/* Adds attempts of the job on the worker that the candidate may preempt, until free is enough. */
 static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *mine, const Job *job, const char *worker,
                         Resources need, Resources *free, Victims *victims)
 {
-    for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->looked < PREEMPT_TASKS_MAX;
+    for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->asked < PREEMPT_TASKS_MAX;
          t++) {
         const JobTask *task = &job->tasks[t];
         if (task->phase != TASK_RUNNING || strcmp(task->worker, worker) != 0)
             continue;
-        const PolicyContext other = queue_see(pass->scheduler->queue, &pass->context, job, t);
-        victims->looked++;
-        pass->preempt_looks++;
+        const PolicyContext other = queue_policy_context(pass->scheduler->queue, &pass->context, job, t);
+        victims->asked++;
+        pass->preempt_calls++;
         if (!policy->may_preempt(policy->arg, mine, &other))
             continue;
         victims->attempts[victims->count++] =
@@ -48,14 +48,14 @@
     }
 }
 
-/* Looks on one worker, at the newest jobs first; false: there is not enough to be had. */
+/* Searches one worker, the newest jobs first; false: not enough can be preempted there. */
 static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicyContext *mine,
                          const char *worker, Resources need, Resources free, Victims *victims)
 {
     Job *const *jobs;
     *victims = (Victims){.count = 0};
     for (size_t j = table_active(pass->scheduler->table, &jobs);
-         j > 0 && !resources_fits(need, free) && victims->looked < PREEMPT_TASKS_MAX; j--) {
+         j > 0 && !resources_fits(need, free) && victims->asked < PREEMPT_TASKS_MAX; j--) {
         const Job *job = jobs[j - 1];
         if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
             victims_add(pass, policy, mine, job, worker, need, &free, victims);
@@ -63,25 +63,26 @@
     return resources_fits(need, free);
 }
 
-/* The freed capacity is used only once the preempted attempts are known to be over. Capacity that is being given up
- * already counts: nothing more is preempted while that is enough. */
+/* Preempts on the first worker where enough can be. Nothing is preempted while stops under way will free enough on
+ * some worker. */
 static void preempt_by_policy(Pass *pass, const Candidate *candidate, const Policy *policy)
 {
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicyContext mine = queue_see(pass->scheduler->queue, &pass->context, candidate->job, candidate->first);
+    const PolicyContext mine =
+        queue_policy_context(pass->scheduler->queue, &pass->context, candidate->job, candidate->first);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !resources_fits(need.resources, worker->resources))
             continue;
         const Resources free = free_soon(pass, worker);
         if (resources_fits(need.resources, free))
-            return; /* enough is being given up already */
+            return;
         Victims victims;
         if (!victims_find(pass, candidate, policy, &mine, worker->name, need.resources, free, &victims))
             continue;
-        pass->pushes.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
-        pass->pushes.attempts_count = victims.count;
-        pass->pushes.why = "pushed aside";
+        pass->to_preempt.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
+        pass->to_preempt.attempts_count = victims.count;
+        pass->to_preempt.why = "pushed aside";
         return;
     }
 }
@@ -89,10 +90,10 @@
 void preempt_for(Pass *pass, const Candidate *candidate)
 {
     const Policy *policy = scheduler_policy(pass->scheduler, config_cell(pass->config, candidate->job->spec.cell));
-    if (pass->pushes.attempts_count > 0)
+    if (pass->to_preempt.attempts_count > 0)
         return;
     if (policy == policy_plain())
         preempt_target(pass, candidate);
-    else if (candidate->count == 1 && pass->preempt_looks < PREEMPT_LOOKS_MAX)
+    else if (candidate->count == 1 && pass->preempt_calls < PREEMPT_CALLS_MAX)
         preempt_by_policy(pass, candidate, policy);
 }
--- a/packages/scheduler/src/preemption_target.c
+++ b/packages/scheduler/src/preemption_target.c
@@ -10,7 +10,7 @@
 
 static int64_t priority_of(Pass *pass, const Job *job, size_t task)
 {
-    return queue_see(pass->scheduler->queue, &pass->context, job, task).queue_priority;
+    return queue_policy_context(pass->scheduler->queue, &pass->context, job, task).queue_priority;
 }
 
 static bool most_urgent(const Pass *pass, const Job *job, int64_t priority)
@@ -22,7 +22,7 @@
     return cell != NULL;
 }
 
-/* Controller-milliseconds of work that are done again when the attempt is stopped now; -1: it may not be stopped. */
+/* The work, in ms of one CPU core, that is done again when the attempt is stopped now; -1: it may not be stopped. */
 static int64_t cost_of(Pass *pass, const Candidate *candidate, int64_t priority, const TaskOn *on)
 {
     const Job *job = on->job;
@@ -43,7 +43,7 @@
     int64_t cost;
 } Preemption;
 
-/* Takes the cheapest attempts first, until there is enough capacity; false: there is none to be had. */
+/* Takes the cheapest attempts of the worker first, until there is enough capacity; false: not enough can be freed. */
 static bool preempt_find(Pass *pass, const Candidate *candidate, int64_t priority, size_t worker, Resources need,
                          Preemption *preemption)
 {
@@ -93,7 +93,7 @@
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !resources_fits(need.resources, worker->resources))
             continue;
-        if (soonest_ms(pass, w, need.resources) <= PREEMPT_TAKES_MS)
+        if (forecast_free_ms(pass, w, need.resources) <= PREEMPT_TAKES_MS)
             return; /* it has capacity before any preempted attempt could be over */
         Preemption preemption;
         if (preempt_find(pass, candidate, priority, w, need.resources, &preemption) && preemption.cost <= most &&
@@ -102,11 +102,11 @@
     }
     if (best.count == 0)
         return;
-    pass->pushes.attempts = talloc_array(pass->mem, AttemptId, (unsigned)best.count);
-    pass->pushes.attempts_count = best.count;
-    pass->pushes.why = "pushed aside";
+    pass->to_preempt.attempts = talloc_array(pass->mem, AttemptId, (unsigned)best.count);
+    pass->to_preempt.attempts_count = best.count;
+    pass->to_preempt.why = "pushed aside";
     for (size_t i = 0; i < best.count; i++) {
-        pass->pushes.attempts[i] = best.attempts[i];
-        pass->pushes.attempts[i].job = talloc_strdup(pass->mem, best.attempts[i].job);
+        pass->to_preempt.attempts[i] = best.attempts[i];
+        pass->to_preempt.attempts[i].job = talloc_strdup(pass->mem, best.attempts[i].job);
     }
 }
--- a/packages/scheduler/src/preemption_target.h
+++ b/packages/scheduler/src/preemption_target.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* The same by the built-in policy, for a candidate that would miss its latency target otherwise. */
+/* As preempt_for, by the built-in policy, for a candidate that would miss its latency target otherwise. */
 void preempt_target(Pass *pass, const Candidate *candidate);
 
 #endif
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -1,9 +1,10 @@
-/* Reservations of workers. A task (or gang) that fits a worker's whole capacity but no present gap is overtaken
- * for ever by small ones. After a stated wait the workers that suit it and should have enough capacity soonest
- * are reserved for it: nothing new goes there but what ranks above it in its cell, and restarts of protected
- * work. One such candidate for a cell at a time, never more than a share of the fleet.
+/* Reservations of workers. A task (or gang) that fits a worker's whole capacity but no present gap would be overtaken
+ * by small ones for ever. After a wait (wait_ms) the workers that suit it and should have enough capacity soonest
+ * are reserved for it: nothing new goes there but what ranks above it in its cell, restarts of protected work, and
+ * tasks that end before the capacity is free. One candidate of a cell at a time, and never more than a share of the
+ * fleet.
  *
- * Reservations are in the leader's memory alone: a new leader makes the same again. */
+ * Reservations are in the leader's memory alone; a new leader makes its own. */
 #include "reservation.h"
 
 #include <inttypes.h>
@@ -23,71 +24,72 @@
     int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* when each should have enough capacity, from this pass on */
 } Reservation;
 
-static bool is_for(const Reservation *kept, const Candidate *candidate)
+static bool is_for(const Reservation *reservation, const Candidate *candidate)
 {
-    return strcmp(kept->job, candidate->job->spec.id) == 0 && kept->task == candidate->first;
+    return strcmp(reservation->job, candidate->job->spec.id) == 0 && reservation->task == candidate->first;
 }
 
 static size_t reservation_workers(const Scheduler *scheduler, void *mem)
 {
     const char **cells;
-    const size_t count = map_keys(scheduler->kept, mem, &cells);
+    const size_t count = map_keys(scheduler->reservations, mem, &cells);
     size_t workers = 0;
     for (size_t i = 0; i < count; i++)
-        workers += ((const Reservation *)map_get(scheduler->kept, cells[i]))->worker_count;
+        workers += ((const Reservation *)map_get(scheduler->reservations, cells[i]))->worker_count;
     return workers;
 }
 
 static void reservation_drop(Scheduler *scheduler, const char *cell, const char *why)
 {
-    Reservation *kept = map_get(scheduler->kept, cell);
+    Reservation *reservation = map_get(scheduler->reservations, cell);
     recorder_write(scheduler->recorder, RECORDER_NOTE, loop_now_ms(scheduler->loop),
-                   "%zu workers are kept for %s no longer: %s", kept->worker_count, kept->job, why);
-    map_drop(scheduler->kept, cell);
-    talloc_free(kept);
+                   "%zu workers are kept for %s no longer: %s", reservation->worker_count, reservation->job, why);
+    map_drop(scheduler->reservations, cell);
+    talloc_free(reservation);
 }
 
-/* Reservations of a candidate that waits no more, or on workers that may be given nothing now, are dropped. */
 void reservation_begin(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
     const char **cells;
-    const size_t cell_count = map_keys(scheduler->kept, pass->mem, &cells);
+    const size_t cell_count = map_keys(scheduler->reservations, pass->mem, &cells);
     for (size_t c = 0; c < cell_count; c++) {
-        Reservation *kept = map_get(scheduler->kept, cells[c]);
-        const Job *job = table_job(scheduler->table, kept->job);
-        const bool waits = job != NULL && kept->task < job->tasks_count && job->tasks[kept->task].phase == TASK_WAITING;
-        if (!waits || !line_rank(pass->line, job, kept->task, &kept->rank)) {
+        Reservation *reservation = map_get(scheduler->reservations, cells[c]);
+        const Job *job = table_job(scheduler->table, reservation->job);
+        const bool waits =
+            job != NULL && reservation->task < job->tasks_count && job->tasks[reservation->task].phase == TASK_WAITING;
+        if (!waits || !ready_queue_rank(pass->ready_queue, job, reservation->task, &reservation->rank)) {
             reservation_drop(scheduler, cells[c], "it waits no more");
             continue;
         }
-        for (size_t i = 0; i < kept->worker_count; i++) {
-            const size_t at = pass_place(pass, kept->workers[i]);
+        for (size_t i = 0; i < reservation->worker_count; i++) {
+            const size_t at = pass_worker_index(pass, reservation->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].resources.cpu_milli == 0) {
                 reservation_drop(scheduler, cells[c], "one of them may be given nothing");
                 break;
             }
-            kept->until_ms[i] = soonest_ms(pass, at, job->spec.steps[job->tasks[kept->task].step].resources);
+            reservation->until_ms[i] =
+                forecast_free_ms(pass, at, job->spec.steps[job->tasks[reservation->task].step].resources);
         }
     }
 }
 
-bool reservation_from(const Pass *pass, const Candidate *candidate, bool *excluded)
+bool reservation_exclude(const Pass *pass, const Candidate *candidate, bool *excluded)
 {
     bool any = false;
     void *mem = talloc_new(NULL);
     const char **cells;
-    const size_t count = map_keys(pass->scheduler->kept, mem, &cells);
+    const size_t count = map_keys(pass->scheduler->reservations, mem, &cells);
     for (size_t c = 0; c < count; c++) {
-        const Reservation *kept = map_get(pass->scheduler->kept, cells[c]);
-        const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > kept->rank;
-        if (is_for(kept, candidate) || above || candidate->restart)
+        const Reservation *reservation = map_get(pass->scheduler->reservations, cells[c]);
+        const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > reservation->rank;
+        if (is_for(reservation, candidate) || above || candidate->restart)
             continue;
-        for (size_t i = 0; i < kept->worker_count; i++) {
-            const size_t at = pass_place(pass, kept->workers[i]);
+        for (size_t i = 0; i < reservation->worker_count; i++) {
+            const size_t at = pass_worker_index(pass, reservation->workers[i]);
             /* a task that ends before the reserved capacity is free takes nothing from it */
-            const bool passes = candidate->estimate_ms > 0 && kept->until_ms[i] < INT64_MAX &&
-                                candidate->estimate_ms * 5 / 4 + KEEP_LEAST_MS < kept->until_ms[i];
+            const bool passes = candidate->estimate_ms > 0 && reservation->until_ms[i] < INT64_MAX &&
+                                candidate->estimate_ms * 5 / 4 + KEEP_LEAST_MS < reservation->until_ms[i];
             if (at != SIZE_MAX && !passes)
                 excluded[at] = any = true;
         }
@@ -113,8 +115,8 @@
     return part < KEEP_LEAST_MS ? KEEP_LEAST_MS : part < KEEP_WAIT_MS ? part : KEEP_WAIT_MS;
 }
 
-/* The place of the worker to reserve next: the soonest to have enough; where that is unknown, the least in use, as a
- * share of its capacity; ties by name. -1: none is left. until_ms: when it should have enough. */
+/* The index of the worker to reserve next: the soonest to have enough; of equals, the one with the smallest share of
+ * its capacity in use; then the first by name. -1: none is left. until_ms (out): when it should have enough. */
 static int soonest_find(const Pass *pass, const PlanNeed *need, const bool *used, int64_t *until_ms)
 {
     const PlanInput *input = &pass->input;
@@ -124,7 +126,7 @@
         const PlanWorker *worker = &input->workers[i];
         if (used[i] || !plan_able(worker, need) || !resources_fits(need->resources, worker->resources))
             continue;
-        const int64_t soon_ms = soonest_ms(pass, i, need->resources);
+        const int64_t soon_ms = forecast_free_ms(pass, i, need->resources);
         const Resources busy = resources_less(worker->resources, worker->free);
         const bool less = best >= 0 && resources_share(busy, worker->resources) <
                                            resources_share(best_busy, input->workers[best].resources);
@@ -137,9 +139,9 @@
     return best;
 }
 
-/* Takes workers into the reservation until they hold the candidate, or the fleet's share is reached; false: they do
- * not hold all of it. */
-static bool workers_take(Pass *pass, const Candidate *candidate, const StepSpec *step, Reservation *kept)
+/* Takes workers into the reservation until all members of the candidate fit on them, or the fleet's share is reached;
+ * false: not all fit. */
+static bool workers_take(Pass *pass, const Candidate *candidate, const StepSpec *step, Reservation *reservation)
 {
     const PlanInput *input = &pass->input;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
@@ -147,8 +149,8 @@
     const size_t most = input->worker_count / KEEP_SHARE > 0 ? input->worker_count / KEEP_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
     size_t left = candidate->count;
-    reservation_from(pass, candidate, used);
-    while (left > 0 && taken + kept->worker_count < most) {
+    reservation_exclude(pass, candidate, used);
+    while (left > 0 && taken + reservation->worker_count < most) {
         int64_t until_ms = 0;
         const int best = soonest_find(pass, &need, used, &until_ms);
         if (best < 0)
@@ -156,8 +158,8 @@
         used[best] = true;
         const size_t fitting = count_when_empty(&input->workers[best], step->resources);
         left = left > fitting ? left - fitting : 0;
-        kept->until_ms[kept->worker_count] = until_ms;
-        kept->workers[kept->worker_count++] = talloc_strdup(kept, input->workers[best].name);
+        reservation->until_ms[reservation->worker_count] = until_ms;
+        reservation->workers[reservation->worker_count++] = talloc_strdup(reservation, input->workers[best].name);
     }
     return left == 0;
 }
@@ -168,20 +170,20 @@
     const int64_t log_ms = pass->clock.log_ms;
     const char *cell = candidate->job->spec.cell;
     if (log_ms - candidate->since_ms < wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
-        map_get(scheduler->kept, cell) != NULL)
+        map_get(scheduler->reservations, cell) != NULL)
         return;
-    Reservation *kept = talloc_zero(scheduler, Reservation);
-    if (!workers_take(pass, candidate, step, kept)) { /* it gets all that it needs, or none */
-        talloc_free(kept);
+    Reservation *reservation = talloc_zero(scheduler, Reservation);
+    if (!workers_take(pass, candidate, step, reservation)) { /* it gets all that it needs, or none */
+        talloc_free(reservation);
         return;
     }
-    kept->job = talloc_strdup(kept, candidate->job->spec.id);
-    kept->task = candidate->first;
-    kept->rank = candidate->rank;
-    kept->since_ms = loop_now_ms(scheduler->loop);
-    map_set(scheduler->kept, cell, kept);
+    reservation->job = talloc_strdup(reservation, candidate->job->spec.id);
+    reservation->task = candidate->first;
+    reservation->rank = candidate->rank;
+    reservation->since_ms = loop_now_ms(scheduler->loop);
+    map_set(scheduler->reservations, cell, reservation);
     scheduler->counts.kept++;
-    recorder_write(scheduler->recorder, RECORDER_NOTE, kept->since_ms,
-                   "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
-                   kept->workers[0], kept->job, log_ms - candidate->since_ms);
+    recorder_write(scheduler->recorder, RECORDER_NOTE, reservation->since_ms,
+                   "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", reservation->worker_count,
+                   reservation->workers[0], reservation->job, log_ms - candidate->since_ms);
 }
--- a/packages/scheduler/src/restart_elsewhere.h
+++ b/packages/scheduler/src/restart_elsewhere.h
@@ -3,7 +3,8 @@
 
 #include "pass.h"
 
-/* Waits. Now and then: stops what is better begun anew elsewhere. True: something was, and the pass is over. */
-bool stop_look(Pass *pass);
+/* Waits. Every STOP_LOOK_MS: stops attempts that are better started again elsewhere. True: some were, and the pass is
+ * over, since the table has changed. */
+bool restart_elsewhere(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/scheduler.c
+++ b/packages/scheduler/src/scheduler.c
@@ -1,10 +1,10 @@
-/* The scheduler as its controller sees it. */
+/* The scheduler's interface to the controller. */
 #include "scheduler/scheduler.h"
 
 #include <talloc.h>
 
 #include "pass.h"
-#include "scheduler/attempt_pace.h"
+#include "scheduler/attempt_progress.h"
 
 Scheduler *scheduler_new(void *mem, const SchedulerSettings *settings)
 {
@@ -17,23 +17,23 @@
     scheduler->bounds = settings->bounds;
     scheduler->leader = settings->leader;
     scheduler->plan.possible = true;
-    scheduler->saved = map_new(scheduler);
+    scheduler->checkpoints = map_new(scheduler);
     scheduler->scores = map_new(scheduler);
     scheduler->estimates = estimates_new(scheduler);
     scheduler->queue = queue_new(scheduler, scheduler->estimates);
-    scheduler->paces = paces_new(scheduler);
-    scheduler->kept = map_new(scheduler);
+    scheduler->progress_table = progress_table_new(scheduler);
+    scheduler->reservations = map_new(scheduler);
     return scheduler;
 }
 
 void scheduler_reset(Scheduler *scheduler)
 {
-    paces_reset(scheduler->paces);
+    progress_table_reset(scheduler->progress_table);
 }
 
 void scheduler_notify(Scheduler *scheduler)
 {
-    scheduler->updates++;
+    scheduler->changes++;
     signal_raise(scheduler->loop, &scheduler->wake);
 }
 
@@ -57,10 +57,10 @@
     return &scheduler->plan;
 }
 
-Line *scheduler_line(Scheduler *scheduler, void *mem, QueuePolicy policy, void *arg)
+ReadyQueue *scheduler_ready_queue(Scheduler *scheduler, void *mem, QueuePolicy policy, void *arg)
 {
     Pass *pass = pass_new(scheduler, mem);
     pass->context.policy = policy;
     pass->context.arg = arg;
-    return line_new(pass, scheduler->queue, &pass->context);
+    return ready_queue_new(pass, scheduler->queue, &pass->context);
 }
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -10,66 +10,66 @@
 
 #define SHARE_ONE 1000 /* thousandths */
 
-/* One more, or one less, of the step is on the worker. */
-void context_add(Pass *pass, size_t at, int by)
+void spread_add(Pass *pass, size_t at, int by)
 {
     const PlanInput *input = &pass->input;
     const PlanWorker *its = &input->workers[at];
-    pass->step.on_worker[at] += by;
+    pass->spread.on_worker[at] += by;
     for (size_t i = 0; i < input->worker_count; i++) {
         const PlanWorker *mine = &input->workers[i];
-        pass->step.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
+        pass->spread.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
         if (mine->rack[0] != '\0' && strcmp(mine->rack, its->rack) == 0) {
-            pass->step.near[i] += by;
-            pass->step.on_rack[i] += by;
+            pass->spread.near[i] += by;
+            pass->spread.on_rack[i] += by;
         }
     }
 }
 
-/* Where the other tasks of the step are: kept for one step at a time, since tasks of a step come one after
- * another. What is being stopped counts. */
-static void context_find(Pass *pass, const Job *job, size_t task)
+/* Computes where the other tasks of the step are, unless it is the same step as the last time: the ready queue
+ * returns the tasks of a step one after another. */
+static void spread_find(Pass *pass, const Job *job, size_t task)
 {
-    StepContext *context = &pass->step;
+    StepSpread *spread = &pass->spread;
     const size_t first = task_first(job, &job->tasks[task]);
     const size_t end = first + (size_t)job->spec.steps[job->tasks[task].step].count;
-    if (context->job == job && context->first == first)
+    if (spread->job == job && spread->first == first)
         return;
     const size_t count = pass->input.worker_count;
-    if (context->near == NULL) {
-        context->near = talloc_array(pass->mem, int, (unsigned)count);
-        context->on_worker = talloc_array(pass->mem, int, (unsigned)count);
-        context->on_rack = talloc_array(pass->mem, int, (unsigned)count);
+    if (spread->near == NULL) {
+        spread->near = talloc_array(pass->mem, int, (unsigned)count);
+        spread->on_worker = talloc_array(pass->mem, int, (unsigned)count);
+        spread->on_rack = talloc_array(pass->mem, int, (unsigned)count);
     }
-    memset(context->near, 0, count * sizeof(int));
-    memset(context->on_worker, 0, count * sizeof(int));
-    memset(context->on_rack, 0, count * sizeof(int));
-    context->job = job;
-    context->first = first;
+    memset(spread->near, 0, count * sizeof(int));
+    memset(spread->on_worker, 0, count * sizeof(int));
+    memset(spread->on_rack, 0, count * sizeof(int));
+    spread->job = job;
+    spread->first = first;
     for (size_t t = first; t < end; t++) {
-        const size_t at = task_on_worker(job->tasks[t].phase) ? pass_place(pass, job->tasks[t].worker) : SIZE_MAX;
+        const size_t at =
+            task_on_worker(job->tasks[t].phase) ? pass_worker_index(pass, job->tasks[t].worker) : SIZE_MAX;
         if (at != SIZE_MAX)
-            context_add(pass, at, 1);
+            spread_add(pass, at, 1);
     }
     /* and what this pass has decided: most of a step is placed in one pass */
     for (size_t i = 0; i < pass->placed_count; i++)
         if (pass->placed[i].job == job && pass->placed[i].task >= first && pass->placed[i].task < end)
-            context_add(pass, pass->placed[i].worker, 1);
+            spread_add(pass, pass->placed[i].worker, 1);
 }
 
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
 {
-    return !excluded[at] && (step->apart == 0 || (uint64_t)pass->step.on_worker[at] < step->apart) &&
+    return !excluded[at] && (step->apart == 0 || (uint64_t)pass->spread.on_worker[at] < step->apart) &&
            plan_fits(&pass->input.workers[at], need);
 }
 
 /* Whether other tasks of the step run, none of them on the worker's rack. */
 static bool leaves_rack(const Pass *pass, const StepSpec *step, size_t at)
 {
-    if (!step->same_rack || pass->step.on_rack[at] > 0)
+    if (!step->same_rack || pass->spread.on_rack[at] > 0)
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
-        if (pass->step.on_worker[i] > 0)
+        if (pass->spread.on_worker[i] > 0)
             return true;
     return false;
 }
@@ -90,7 +90,7 @@
 {
     const PlanWorker *worker = &pass->input.workers[at];
     const int64_t left = (int64_t)plan_left(worker, pass->largest);
-    const int64_t time_share = (int64_t)(pass->speeds[at] * choose_far_percent(pass, step, at) / 100) - SHARE_ONE;
+    const int64_t time_share = (int64_t)(pass->slowdowns[at] * choose_far_percent(pass, step, at) / 100) - SHARE_ONE;
     int64_t value = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
     if (need->resources.gpu == 0 && worker->resources.gpu > 0)
         value -= CHOOSE_GPU;
@@ -106,7 +106,7 @@
         if ((rack != NULL && strcmp(pass->input.workers[i].rack, rack) != 0) || !allowed(pass, step, need, excluded, i))
             continue;
         const int64_t value = value_of(pass, step, need, i);
-        const bool farther = best >= 0 && value == best_value && pass->step.near[i] < pass->step.near[best];
+        const bool farther = best >= 0 && value == best_value && pass->spread.near[i] < pass->spread.near[best];
         if (best < 0 || value > best_value || farther) {
             best = (int)i;
             best_value = value;
@@ -118,8 +118,9 @@
 int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack)
 {
     const StepSpec *step = &job->spec.steps[job->tasks[task].step];
-    const size_t shunned = job->tasks[task].shunned[0] != '\0' ? pass_place(pass, job->tasks[task].shunned) : SIZE_MAX;
-    context_find(pass, job, task);
+    const size_t shunned =
+        job->tasks[task].shunned[0] != '\0' ? pass_worker_index(pass, job->tasks[task].shunned) : SIZE_MAX;
+    spread_find(pass, job, task);
     int at = -1;
     if (shunned != SIZE_MAX && !excluded[shunned]) {
         excluded[shunned] = true;
@@ -143,7 +144,7 @@
 {
     if (percent <= 100 || candidate->restart)
         return false;
-    /* half of what the distance would cost, never more than a part of the time left */
+    /* half of what the distance would cost, and at most half of the slack */
     int64_t wait_ms = candidate->estimate_ms * (int64_t)(percent - 100) / 200;
     if (candidate->slack_ms < INT64_MAX && candidate->slack_ms / 2 < wait_ms)
         wait_ms = candidate->slack_ms / 2;
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -16,7 +16,7 @@
     return map_get(scheduler->scores, worker);
 }
 
-/* The rate now: one that no bad attempt renews halves again and again. */
+/* The rate now: it halves with each SCORE_FADE_MS without a bad attempt. */
 static uint64_t tally_rate(const Scheduler *scheduler, const Score *score, const Tally *tally)
 {
     const int64_t from = tally->rated_ms > score->rest_until_ms ? tally->rated_ms : score->rest_until_ms;
@@ -53,6 +53,7 @@
     return rest;
 }
 
+/* Gives the worker a rest when its rate is too high. how: what it does, for the record. */
 static void rest_maybe(Scheduler *scheduler, const char *worker, Score *score, Tally *tally, const char *how)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
@@ -77,6 +78,7 @@
                        worker, how, score->rest_ms);
 }
 
+/* Takes one attempt's end into the tally, with that weight in percent. */
 static void tally_take(Scheduler *scheduler, const char *worker, Score *score, Tally *tally, const Job *job, bool bad,
                        uint64_t weight, const char *how)
 {
@@ -129,26 +131,26 @@
     return enough;
 }
 
-/* What the attempt's place made of its time, near its data or not. */
 uint64_t score_far_percent(const Scheduler *scheduler, const Worker *worker, const StepSpec *step)
 {
     const bool far = step->near[0] != '\0' && strcmp(step->near, worker->rack) != 0;
     return far ? (uint64_t)scheduler->bounds->far_percent : 100;
 }
 
-static void estimate_take(Scheduler *scheduler, const AttemptUpdate *updates, const Job *job, const JobTask *task)
+/* Takes the attempt's time into the estimates, where it was spent on the task's work alone. */
+static void estimate_take(Scheduler *scheduler, const AttemptUpdate *update, const Job *job, const JobTask *task)
 {
-    const Worker *worker = table_worker(scheduler->table, updates->worker);
+    const Worker *worker = table_worker(scheduler->table, update->worker);
     const StepSpec *step = &job->spec.steps[task->step];
     const bool whole = task->attempt == 1 || !step->saves;
-    const int64_t ran_ms = updates->ran_ms > 0 && whole ? updates->ran_ms : took_ms(task);
+    const int64_t ran_ms = update->ran_ms > 0 && whole ? update->ran_ms : took_ms(task);
     /* a gang, and a step that is spread over racks, waits for others as well */
     if (worker != NULL && ran_ms > 0 && !step->gang && !step->same_rack && !job->spec.lasting)
-        estimates_end(scheduler->estimates, job, task->step, updates->worker, ran_ms,
-                      score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
+        estimates_end_take(scheduler->estimates, job, task->step, update->worker, ran_ms,
+                           score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
 }
 
-void score_still(Scheduler *scheduler, const char *worker, const Job *job)
+void score_stalled(Scheduler *scheduler, const char *worker, const Job *job)
 {
     Score *score = map_get(scheduler->scores, worker);
     if (score == NULL) {
@@ -161,31 +163,31 @@
 void score_take(Scheduler *scheduler, const AttemptList *list)
 {
     for (size_t i = 0; i < list->updates_count; i++) {
-        const AttemptUpdate *updates = &list->updates[i];
-        if (updates->word != ATTEMPT_FAILED && updates->word != ATTEMPT_DONE)
+        const AttemptUpdate *update = &list->updates[i];
+        if (update->word != ATTEMPT_FAILED && update->word != ATTEMPT_DONE)
             continue;
-        Score *score = map_get(scheduler->scores, updates->worker);
-        const Job *job = table_job(scheduler->table, updates->job);
+        Score *score = map_get(scheduler->scores, update->worker);
+        const Job *job = table_job(scheduler->table, update->job);
         bool slow = false;
-        const size_t at = job != NULL ? task_index(job, updates->task) : 0;
-        const bool ended = updates->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
-                           job->tasks[at].attempt == updates->attempt;
+        const size_t at = job != NULL ? task_index(job, update->task) : 0;
+        const bool ended = update->word == ATTEMPT_DONE && job != NULL && at < job->tasks_count &&
+                           job->tasks[at].attempt == update->attempt;
         const bool known = ended && compared(job, at, &slow);
         if (ended)
-            estimate_take(scheduler, updates, job, &job->tasks[at]);
+            estimate_take(scheduler, update, job, &job->tasks[at]);
         if (score == NULL &&
-            ((updates->word == ATTEMPT_DONE && !slow) || table_worker(scheduler->table, updates->worker) == NULL))
+            ((update->word == ATTEMPT_DONE && !slow) || table_worker(scheduler->table, update->worker) == NULL))
             continue;
         if (score == NULL) {
             score = talloc_zero(scheduler->scores, Score);
-            map_set(scheduler->scores, updates->worker, score);
+            map_set(scheduler->scores, update->worker, score);
         }
-        tally_take(scheduler, updates->worker, score, &score->failed, job, updates->word == ATTEMPT_FAILED,
-                   SCORE_WEIGHT, "fails its work");
+        tally_take(scheduler, update->worker, score, &score->failed, job, update->word == ATTEMPT_FAILED, SCORE_WEIGHT,
+                   "fails its work");
         /* attempts that ran beside one already counted may all have met the same pause, which counts once */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
-            tally_take(scheduler, updates->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
+            tally_take(scheduler, update->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
         if (known && slow && !beside)
             score->slow_end_ms = job->tasks[at].changed_ms;
     }
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -1,3 +1,6 @@
+/* Drains a zone with moves: one task at a time is stopped, where another worker has capacity for it now and the plan
+ * would hold with it there. Its stop is confirmed before it starts again; gangs, and what no other worker can run,
+ * stay until they end. */
 #include "zone_move.h"
 
 #include <string.h>
@@ -15,15 +18,15 @@
     return false;
 }
 
-/* Whether the r-loss plan would hold with the task on the worker at that place. */
+/* Whether the r-loss plan would hold with the task on the worker of that index. */
 static bool survives_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
 {
-    if (job->spec.protection != PROTECTION_PROTECTED || !pass->asks)
+    if (job->spec.protection != PROTECTION_PROTECTED || !pass->plan_required)
         return true;
     PlanWorker *to = &pass->input.workers[at];
     const Resources before = to->free;
     to->free = resources_less(to->free, job->spec.steps[task->step].resources);
-    pass_count(pass, &job->spec, need, (size_t)at);
+    pass_task_add(pass, &job->spec, need, (size_t)at);
     const bool survives = pass_survives_losses(pass);
     pass->input.task_count--;
     to->free = before;
@@ -60,9 +63,6 @@
     return false;
 }
 
-/* Drains a zone that is emptied with a move: one task at a time is stopped where another worker has capacity for
- * it now and the plan would hold with it there. Its stop is confirmed before it starts again; gangs, and what no
- * other worker can run, stay until they end. */
 bool move_one(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -81,7 +81,7 @@
         return false;
     const StopList list = {&attempt, 1, "moved off an emptied zone"};
     ChangeResult result;
-    if (scheduler_order(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK)
+    if (scheduler_submit(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK)
         scheduler->counts.moved += result.number;
     return true;
 }
--- a/packages/scheduler/src/zone_move.h
+++ b/packages/scheduler/src/zone_move.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Waits. Stops one task in a zone that is emptied with a move. True: one was, and the pass is over. */
+/* Waits. Stops one task in a zone that is drained with moves. True: one was, and the pass is over. */
 bool move_one(Pass *pass);
 
 #endif
--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -185,7 +185,7 @@
                                                                 .config = config,
                                                                 .policy = policy,
                                                                 .policy_failures = policy_failures,
-                                                                .order = order}});
+                                                                .submit = order}});
 }
 
 static Stand *stand_new(void *mem, size_t times)
