--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -3,8 +3,8 @@
 
 /* The agent: the process beside one worker.
  *
- * It sends heartbeats to the leader on the worker's behalf, receives orders in the answers, passes its own
- * lease on to the worker in part, and reports how each attempt ended until the leader has committed it. The
+ * It sends heartbeats to the leader on the worker's behalf, receives orders in the answers, passes part of its own
+ * lease on to the worker, and reports how each attempt ended until the leader has committed that. The
  * daemon (src/daemon.c, src/node.c) starts it; worker adapters call agent_report (agent/report.h).
  *
  * Invariants: it keeps nothing on disk; no attempt is started on the worker while the agent's lease does not
@@ -15,7 +15,7 @@
 typedef struct Agent Agent;
 
 /* Starts the agent's listeners and tasks; does not wait.
- * in: mem is the talloc parent of the agent; loop, ring (the flight recorder) and settings must outlive it.
+ * in: mem is the talloc parent of the agent; loop, recorder and settings must outlive it.
  * out: *agent, only on success.
  * return: OK; otherwise why it cannot listen, with the text in failure. What had been set up by then stays
  * on mem. */
--- a/packages/agent/include/agent/report.h
+++ b/packages/agent/include/agent/report.h
@@ -2,8 +2,8 @@
 #define AGENT_REPORT_H
 
 /* A worker's report to its agent and the orders that answer it, independent of the protocol that the worker
- * speaks. Protocol adapters (reportjson.c here, and those of other platforms) translate to and from these
- * types. An attempt is named by job, task number (TASK_NUMBER) and attempt number (round). */
+ * speaks. Protocol adapters (src/report_json.c here, and those of other platforms) translate to and from these
+ * types. An attempt is named by job, task number (TASK_NUMBER) and attempt number. */
 
 #include "agent/agent.h"
 #include "heartbeat/messages.h"
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -36,7 +36,7 @@
     agent->trace = trace_new(agent, loop, agent->rpc, agent->members, settings->name);
     attempts_init(agent);
     heartbeat_start(agent);
-    notify_start(agent);
+    end_reports_start(agent);
     isolated_start(agent);
     members_set_voter(agent->members, settings->bounds.founds == 1);
     watch_start(agent);
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -6,18 +6,18 @@
 #include "base/term.h"
 #include "attempts.h"
 
-/* The worker reports an attempt as running that is over for the leader: it must stop it. */
-static bool lingers(Agent *agent, const AttemptUpdate *updates)
+/* Whether the attempt, which the worker reports as running, is over for the agent: the worker must stop it. */
+static bool must_still_stop(Agent *agent, const AttemptUpdate *update)
 {
-    const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
+    const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
     return attempt != NULL && attempt->phase >= PHASE_ENDED;
 }
 
 static bool known_any(Agent *agent, const WorkerReport *report)
 {
     for (size_t i = 0; i < report->ended_count; i++) {
-        const AttemptUpdate *updates = &report->ended[i];
-        const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
+        const AttemptUpdate *update = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
         if (attempt != NULL && attempt->phase == PHASE_KNOWN)
             return true;
     }
@@ -32,7 +32,7 @@
         if ((attempt->phase == PHASE_OFFERED && runs) || attempt->phase == PHASE_STOPPING)
             return true;
     for (size_t i = 0; i < report->running_count; i++)
-        if (lingers(agent, &report->running[i]))
+        if (must_still_stop(agent, &report->running[i]))
             return true;
     /* an order for the capacity that has become free goes in the same answer */
     return !report->ends_wait && known_any(agent, report);
@@ -93,14 +93,13 @@
         }
     }
     for (size_t i = 0; i < report->running_count; i++) {
-        const AttemptUpdate *updates = &report->running[i];
-        if (lingers(agent, updates))
-            stops[orders->stops_count++] =
-                (AttemptId){talloc_strdup(mem, updates->job), updates->task, updates->attempt};
+        const AttemptUpdate *update = &report->running[i];
+        if (must_still_stop(agent, update))
+            stops[orders->stops_count++] = (AttemptId){talloc_strdup(mem, update->job), update->task, update->attempt};
     }
     for (size_t i = 0; i < report->ended_count; i++) {
-        const AttemptUpdate *updates = &report->ended[i];
-        const Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
+        const AttemptUpdate *update = &report->ended[i];
+        const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
         if (attempt != NULL && attempt->phase == PHASE_KNOWN)
             known[orders->known_count++] = attempt_id(mem, attempt);
     }
--- a/packages/agent/src/attempt.h
+++ b/packages/agent/src/attempt.h
@@ -8,13 +8,13 @@
 #include "loop/loop.h"
 
 /* The phases of an attempt on this worker, in order. */
-#define ATTEMPT_PHASE_LIST(X)                                            \
-    X(OFFERED)  /* ordered by the leader, not given to the worker yet */ \
-    X(SENT)     /* given in an answer; the worker has not reported it */ \
-    X(RUNNING)  /* the worker runs it */                                 \
-    X(STOPPING) /* each answer tells the worker to stop it */            \
-    X(ENDED)    /* over; the leader has not committed that yet */        \
-    X(KNOWN)    /* over, and committed: kept for repair and to recognise \
+#define ATTEMPT_PHASE_LIST(X)                                                                \
+    X(OFFERED)  /* ordered by the leader, not given to the worker yet */                     \
+    X(SENT)     /* given in an answer; the worker has not reported it */                     \
+    X(RUNNING)  /* the worker runs it */                                                     \
+    X(STOPPING) /* each answer tells the worker to stop it */                                \
+    X(ENDED)    /* over; the leader has not committed that yet */                            \
+    X(KNOWN)    /* over, and the leader has committed that: kept for repair and to recognise \
                    old orders */
 typedef enum AttemptPhase {
 #define X(name) PHASE_##name,
@@ -35,17 +35,17 @@
     AttemptPhase phase;
     int64_t timeout_ms; /* it must not be started after this */
     int64_t changed_ms;
-    int64_t given_ms;    /* when it was given to the worker; 0: not by this agent process */
-    int64_t runs_ms;     /* since when it runs; 0: not known */
-    const char *saved;   /* its checkpoint, as last reported */
-    uint64_t saved_turn; /* grows with each change that the leader is to hear of */
-    uint64_t percent;    /* of its work done, as last reported ... */
-    int64_t percent_ms;  /* ... after it had run for this long */
-    int64_t pace_ms;     /* progress is reported again once it has run for this long */
-    uint64_t told_turn;  /* the saved_turn that the leader of the present term has */
-    uint64_t word;       /* ENDED, KNOWN: its result (AttemptWord) ... */
-    bool guessed;        /* ... inferred by the agent, not reported by the worker ... */
-    int64_t ran_ms;      /* ... and how long it ran */
+    int64_t given_ms;          /* when it was given to the worker; 0: not by this agent process */
+    int64_t runs_ms;           /* since when it runs; 0: not known */
+    const char *saved;         /* its checkpoint, as last reported */
+    uint64_t progress_version; /* grows with each change of saved or percent that the leader is to learn of */
+    uint64_t percent;          /* of its work done, as last reported ... */
+    int64_t percent_ms;        /* ... after it had run for this long */
+    int64_t progress_due_ms;   /* progress is reported again once it has run for this long */
+    uint64_t leader_version;   /* the progress_version that the leader of agent->saved_term has */
+    uint64_t word;             /* ENDED, KNOWN: its result (AttemptWord) ... */
+    bool guessed;              /* ... inferred by the agent, not reported by the worker ... */
+    int64_t ran_ms;            /* ... and how long it ran */
     const char *text;
 } Attempt;
 
--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -116,15 +116,15 @@
 {
     attempt->percent = percent;
     attempt->percent_ms = loop_now_ms(agent->loop) - attempt->runs_ms;
-    if (attempt->pace_ms == 0)
-        attempt->pace_ms = PACE_FIRST_MS;
-    if (attempt->percent_ms < attempt->pace_ms)
+    if (attempt->progress_due_ms == 0)
+        attempt->progress_due_ms = PACE_FIRST_MS;
+    if (attempt->percent_ms < attempt->progress_due_ms)
         return;
-    attempt->pace_ms = attempt->percent_ms + attempt->percent_ms / 2;
-    attempt->saved_turn++;
+    attempt->progress_due_ms = attempt->percent_ms + attempt->percent_ms / 2;
+    attempt->progress_version++;
 }
 
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *updates)
+void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *update)
 {
     if (attempt->phase == PHASE_OFFERED || attempt->phase == PHASE_SENT) {
         attempt->phase = PHASE_RUNNING;
@@ -132,21 +132,21 @@
     }
     if (attempt->runs_ms == 0)
         attempt->runs_ms = attempt->given_ms != 0 ? attempt->given_ms : loop_now_ms(agent->loop);
-    if (attempt->saved_turn == 0 || strcmp(attempt->saved, updates->saved) != 0) {
-        text_set(attempt, &attempt->saved, updates->saved);
-        attempt->saved_turn++; /* the next heartbeat carries it */
+    if (attempt->progress_version == 0 || strcmp(attempt->saved, update->saved) != 0) {
+        text_set(attempt, &attempt->saved, update->saved);
+        attempt->progress_version++; /* the next heartbeat carries it */
     }
-    progress_take(agent, attempt, updates->percent);
+    progress_take(agent, attempt, update->percent);
 }
 
-void attempt_retell(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
+void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
 {
     attempt->phase = PHASE_ENDED;
     attempt->word = word;
     text_set(attempt, &attempt->text, text);
     chain_leave(attempt);
     chain_join(&agent->attempts.ended, attempt);
-    signal_raise(agent->loop, &agent->to_notify);
+    signal_raise(agent->loop, &agent->to_report);
 }
 
 void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed)
@@ -162,7 +162,7 @@
     talloc_free((void *)(uintptr_t)attempt->order.payload);
     talloc_free((void *)(uintptr_t)attempt->order.saved);
     attempt->order.payload = attempt->order.saved = "";
-    attempt_retell(agent, attempt, word, text);
+    attempt_report_end(agent, attempt, word, text);
     attempt_trace(agent, attempt, TRACE_OVER);
 }
 
@@ -206,7 +206,7 @@
     signal_raise(agent->loop, &agent->for_worker);
 }
 
-void attempts_gone(Agent *agent, const char *why)
+void attempts_end_given(Agent *agent, const char *why)
 {
     for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -19,24 +19,24 @@
 
 /* Adds an attempt; the order is copied. */
 Attempt *attempt_add(Agent *agent, const Order *order, AttemptPhase phase);
-/* Records a step of the attempt in the job's trace. */
+/* Adds a step of the attempt to the job's trace (trace/). */
 void attempt_trace(Agent *agent, const Attempt *attempt, TraceStep step);
 
 /* The worker reports that it runs, with its checkpoint and progress. */
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *updates);
+void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *update);
 /* It is over; no effect if it already was. guessed: the agent infers this, the worker has not reported it. */
 void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed);
 /* The order's deadline has come before the worker was known to start it. */
 void attempt_expire(Agent *agent, Attempt *attempt);
-/* Its end is to be reported (again) to the leader, with this result. */
-void attempt_retell(Agent *agent, Attempt *attempt, AttemptWord word, const char *text);
+/* Has its end reported (again) to the leader, with this result. */
+void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text);
 /* The leader has committed its end. */
 void attempt_known(Agent *agent, Attempt *attempt);
 
 /* Stops every attempt that may run, and withdraws those not given yet. */
 void attempts_stop(Agent *agent);
 /* Nothing runs on the worker any more: ends every attempt that was given to it. Those still OFFERED stay. */
-void attempts_gone(Agent *agent, const char *why);
+void attempts_end_given(Agent *agent, const char *why);
 /* An OFFERED attempt that is not to be given to this worker: it ends, so that the leader places it elsewhere.
  * Until the agent is settled an earlier agent process may have given it, so it is stopped instead. */
 void attempt_withdraw(Agent *agent, Attempt *attempt, const char *why);
--- a/packages/agent/src/boot.c
+++ b/packages/agent/src/boot.c
@@ -17,7 +17,7 @@
 
 void boot_end(Agent *agent, bool for_good, const char *why)
 {
-    attempts_gone(agent, why);
+    attempts_end_given(agent, why);
     char **at = &agent->boots[agent->boot_count % BOOTS_KEPT];
     talloc_free(for_good ? *at : agent->boot);
     if (for_good) {
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/end_reports.c
@@ -1,5 +1,5 @@
-/* Reports to the leader how attempts ended, again and again until it has committed that; and answers a leader that
- * rebuilds its state table (repair) with all that the agent still knows. */
+/* Reports to the leader how attempts ended, again until it has committed that; and answers a leader that repairs its
+ * state table (see controller/src/repair.c) with the attempts that run and those that finished well. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
@@ -23,7 +23,8 @@
                                                              : 0};
 }
 
-static size_t update_gather(Agent *agent, void *mem, NotifyAsk *ask)
+/* Fills in the ends that the leader has not committed yet, the oldest first; returns how many. */
+static size_t ends_gather(Agent *agent, void *mem, NotifyAsk *ask)
 {
     const size_t count = agent->attempts.ended.count < TELLING_MOST ? agent->attempts.ended.count : TELLING_MOST;
     ask->updates = talloc_zero_array(mem, AttemptUpdate, (unsigned)count);
@@ -33,21 +34,23 @@
     return ask->updates_count;
 }
 
-static void reported(Agent *agent, const NotifyAsk *ask)
+/* The leader has answered: the ends in the report are committed. */
+static void ends_committed(Agent *agent, const NotifyAsk *ask)
 {
     for (size_t i = 0; i < ask->updates_count; i++) {
-        const AttemptUpdate *updates = &ask->updates[i];
-        Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
-        if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == updates->word)
+        const AttemptUpdate *update = &ask->updates[i];
+        Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
+        if (attempt != NULL && attempt->phase == PHASE_ENDED && attempt->word == update->word)
             attempt_known(agent, attempt);
     }
-    /* a worker that has shut down is released once none of its attempts is open: the leader must hear that at once */
+    /* a worker that has shut down is taken off the fleet once no end of its attempts is open: the next heartbeat says
+     * so */
     if (agent->worker_leaving && !agent->worker_live && agent->attempts.lives.count + agent->attempts.ended.count == 0)
         heartbeat_now(agent);
 }
 
 /* A report in flight. Freed by the last of its users: the task that asks and the one that waits for it. */
-typedef struct Telling {
+typedef struct EndReport {
     Agent *agent;
     size_t users;
     NotifyAsk ask;
@@ -55,66 +58,65 @@
     PeerLife peer;
     bool over;
     Status status;
-} Telling;
+} EndReport;
 
-static void telling_leave(Telling *telling)
+static void end_report_leave(EndReport *report)
 {
-    if (--telling->users == 0)
-        talloc_free(telling);
+    if (--report->users == 0)
+        talloc_free(report);
 }
 
-static void ask_main(void *arg)
+static void end_report_main(void *arg)
 {
-    Telling *telling = arg;
-    Agent *agent = telling->agent;
+    EndReport *report = arg;
+    Agent *agent = report->agent;
     NotifyAnswer answer = {0};
-    telling->status =
-        rpc_ask_peer(agent->rpc, telling, &(RpcTarget){telling->address, telling->peer, NULL}, MESSAGE_NOTIFY,
-                     &NotifyAsk_shape, &telling->ask, SUBMIT_TIMEOUT_MS, &NotifyAnswer_shape, &answer);
-    if (telling->status == STATUS_OK)
-        reported(agent, &telling->ask);
-    telling->over = true;
-    signal_raise(agent->loop, &agent->to_notify);
-    telling_leave(telling);
+    report->status = rpc_ask_peer(agent->rpc, report, &(RpcTarget){report->address, report->peer, NULL}, MESSAGE_NOTIFY,
+                                  &NotifyAsk_shape, &report->ask, SUBMIT_TIMEOUT_MS, &NotifyAnswer_shape, &answer);
+    if (report->status == STATUS_OK)
+        ends_committed(agent, &report->ask);
+    report->over = true;
+    signal_raise(agent->loop, &agent->to_report);
+    end_report_leave(report);
 }
 
-/* Waits until it is answered or another leader is known: one that has stopped answering is not waited for until the
+/* Waits until the report is answered, or another leader is known, so that a lost leader does not cost the whole
  * time-out. */
-static Status notify_once(Agent *agent, Telling *telling)
+static Status end_report_send(Agent *agent, EndReport *report)
 {
-    telling->ask.number = ++agent->number;
-    telling->users++;
-    loop_spawn(agent->loop, "telling", ask_main, telling);
-    while (!telling->over) {
+    report->ask.number = ++agent->number;
+    report->users++;
+    loop_spawn(agent->loop, "telling", end_report_main, report);
+    while (!report->over) {
         char address[ADDRESS_MAX];
-        if (leader_address(agent, address) && strcmp(address, telling->address) != 0)
+        if (leader_address(agent, address) && strcmp(address, report->address) != 0)
             return STATUS_NOT_LEADER;
-        /* raised by heartbeat.c too, when it finds another leader */
-        signal_wait(agent->loop, &agent->to_notify, loop_now_ms(agent->loop) + HEARTBEAT_MS);
+        /* the signal is raised by heartbeat.c too, when it finds another leader */
+        signal_wait(agent->loop, &agent->to_report, loop_now_ms(agent->loop) + HEARTBEAT_MS);
     }
-    return telling->status;
+    return report->status;
 }
 
-static void notify_main(void *arg)
+static void end_reports_main(void *arg)
 {
     Agent *agent = arg;
     while (!loop_stopping(agent->loop)) {
-        Telling *telling = talloc_zero(agent, Telling);
-        telling->agent = agent;
-        telling->users = 1;
-        telling->ask = (NotifyAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
-        if (update_gather(agent, telling, &telling->ask) == 0) {
-            telling_leave(telling);
-            signal_wait(agent->loop, &agent->to_notify, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
+        EndReport *report = talloc_zero(agent, EndReport);
+        report->agent = agent;
+        report->users = 1;
+        report->ask = (NotifyAsk){.agent = agent->worker_name, .incarnation = agent->incarnation};
+        if (ends_gather(agent, report, &report->ask) == 0) {
+            end_report_leave(report);
+            signal_wait(agent->loop, &agent->to_report, loop_now_ms(agent->loop) + HEARTBEAT_MS * 4);
             continue;
         }
         char old[ADDRESS_MAX];
         Status status = STATUS_NO_LEADER;
-        telling->peer = members_leader_peer(agent->members);
-        if (leader_address(agent, telling->address))
-            status = notify_once(agent, telling);
-        snprintf(old, sizeof(old), "%s", telling->address);
-        telling_leave(telling);
+        report->peer = members_leader_peer(agent->members);
+        if (leader_address(agent, report->address))
+            status = end_report_send(agent, report);
+        snprintf(old, sizeof(old), "%s", report->address);
+        end_report_leave(report);
         if (status == STATUS_OK)
             continue;
         /* tried again until it is committed; with another leader at once */
@@ -131,26 +133,26 @@
     (void)question;
     const Attempts *attempts = &agent->attempts;
     const size_t most = attempts->lives.count + attempts->ended.count + attempts->known.count;
-    AttemptList reported = {talloc_zero_array(mem, AttemptUpdate, (unsigned)most), 0};
+    AttemptList kept = {talloc_zero_array(mem, AttemptUpdate, (unsigned)most), 0};
     for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next)
         if (attempt->phase != PHASE_OFFERED)
-            reported.updates[reported.updates_count++] = update_of(agent, mem, attempt);
+            kept.updates[kept.updates_count++] = update_of(agent, mem, attempt);
     const Attempt *firsts[] = {attempts->ended.first, attempts->known.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Attempt *attempt = firsts[i]; attempt != NULL; attempt = attempt->next)
             if (attempt->word == ATTEMPT_DONE)
-                reported.updates[reported.updates_count++] = update_of(agent, mem, attempt);
-    if (reported.updates_count == 0)
+                kept.updates[kept.updates_count++] = update_of(agent, mem, attempt);
+    if (kept.updates_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, RepairItem);
     list->items[0].change = CHANGE_ATTEMPTS;
     list->items_count = 1;
-    shape_pack(&AttemptList_shape, &reported, mem, &list->items[0].payload);
+    shape_pack(&AttemptList_shape, &kept, mem, &list->items[0].payload);
     return STATUS_OK;
 }
 
-void notify_start(Agent *agent)
+void end_reports_start(Agent *agent)
 {
     rpc_handle(agent->rpc, MESSAGE_RETELL, &Nothing_shape, &RepairList_shape, on_retell, agent);
-    loop_spawn(agent->loop, "tell", notify_main, agent);
+    loop_spawn(agent->loop, "tell", end_reports_main, agent);
 }
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -20,7 +20,7 @@
     int64_t sent_ms;
     char address[ADDRESS_MAX];
     PeerLife peer;
-    uint64_t *turns; /* the saved_turn of each attempt whose checkpoint it carries */
+    uint64_t *progress_versions; /* the progress_version of each attempt whose checkpoint it carries */
 } Heartbeat;
 
 bool leader_address(Agent *agent, char address[ADDRESS_MAX])
@@ -38,19 +38,19 @@
     signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
-/* Names all attempts that are not known as over, and the checkpoints that the leader has not heard of. */
-static void attempts_notify(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
+/* Fills in all attempts that may run or whose end is not committed, and the checkpoints that the leader has not. */
+static void ask_fill_attempts(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
     const Attempts *attempts = &agent->attempts;
     const int64_t now_ms = loop_now_ms(agent->loop);
     ask->attempts = talloc_array(heartbeat, AttemptId, (unsigned)(attempts->lives.count + attempts->ended.count));
     ask->saved = talloc_array(heartbeat, AttemptSaved, (unsigned)attempts->lives.count);
-    heartbeat->turns = talloc_array(heartbeat, uint64_t, (unsigned)attempts->lives.count);
+    heartbeat->progress_versions = talloc_array(heartbeat, uint64_t, (unsigned)attempts->lives.count);
     for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next) {
         ask->attempts[ask->attempts_count++] = attempt_id(heartbeat, attempt);
-        if (attempt->saved_turn == attempt->told_turn)
+        if (attempt->progress_version == attempt->leader_version)
             continue;
-        heartbeat->turns[ask->saved_count] = attempt->saved_turn;
+        heartbeat->progress_versions[ask->saved_count] = attempt->progress_version;
         ask->saved[ask->saved_count++] = (AttemptSaved){talloc_strdup(heartbeat, attempt->order.job),
                                                         attempt->order.task,
                                                         attempt->order.attempt,
@@ -78,22 +78,22 @@
                           .have_term = agent->have_term,
                           .wait_ms = HEARTBEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, heartbeat, &ask->worker);
-    attempts_notify(agent, heartbeat, ask);
+    ask_fill_attempts(agent, heartbeat, ask);
 }
 
-/* The leader of this term has the checkpoints that the heartbeat carried. */
+/* The leader of this term has got the checkpoints that the heartbeat carried; one of another term has only these. */
 static void saved_known(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t term)
 {
     if (term != agent->saved_term) {
         agent->saved_term = term;
         for (Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
-            attempt->told_turn = 0;
+            attempt->leader_version = 0;
     }
     for (size_t i = 0; i < ask->saved_count; i++) {
         const AttemptSaved *saved = &ask->saved[i];
         Attempt *attempt = attempt_find(agent, saved->job, saved->task, saved->attempt);
-        if (attempt != NULL && heartbeat->turns[i] > attempt->told_turn)
-            attempt->told_turn = heartbeat->turns[i];
+        if (attempt != NULL && heartbeat->progress_versions[i] > attempt->leader_version)
+            attempt->leader_version = heartbeat->progress_versions[i];
     }
 }
 
@@ -108,8 +108,8 @@
     agent->isolated = false;
     agent->heartbeat_ms = loop_now_ms(agent->loop);
     saved_known(agent, heartbeat, ask, answer->term);
-    if (answer->term > agent->term_notified) {
-        agent->term_notified = answer->term;
+    if (answer->term > agent->term_traced) {
+        agent->term_traced = answer->term;
         trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
     /* answers may arrive in another order than they were sent */
@@ -167,7 +167,7 @@
     loop_spawn(agent->loop, "beat", ask_main, heartbeat);
 }
 
-/* Whether a heartbeat is to be sent now; otherwise *due_ms is when to look again. */
+/* Whether a heartbeat is to be sent now; otherwise *due_ms is when to check again. */
 static bool heartbeat_due(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
 {
     *due_ms = now_ms + HEARTBEAT_MS;
@@ -175,7 +175,7 @@
         return false;
     if (agent->heartbeat_now || (agent->heartbeat != NULL && strcmp(agent->heartbeat->address, address) != 0))
         return true;
-    /* one that goes unanswered is not waited for until its time-out */
+    /* where one goes unanswered, the next is sent before its time-out */
     *due_ms = agent->heartbeat == NULL ? agent->heartbeat_due_ms
                                        : agent->heartbeat->sent_ms + HEARTBEAT_WAIT_MS + ASK_TIMEOUT_MS / 2;
     return now_ms >= *due_ms;
@@ -193,7 +193,7 @@
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
             signal_raise(agent->loop,
-                         &agent->to_notify); /* ends that the last leader has not answered are reported to this one */
+                         &agent->to_report); /* ends that the last leader has not answered are reported to this one */
         }
         if (known && heartbeat_due(agent, address, now_ms, &due_ms))
             heartbeat_send(agent, address);
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -11,85 +11,86 @@
 #include "tasks.h"
 
 /* One poll of all members. Freed by the last of its users: the poll itself and one task for each question. */
-typedef struct Asking {
+typedef struct Poll {
     Agent *agent;
     size_t users, pending;
     Signal ended;
-    bool all;                          /* every member asked so far has answered no */
-    uint64_t answered[VOTER_MOST * 4]; /* the disks of the controllers that did */
+    bool all;                          /* every member asked so far has answered that it knows no holder */
+    uint64_t answered[VOTER_MOST * 4]; /* the disks of the controllers that have */
     size_t answered_count;
-    uint64_t voters[VOTER_MOST]; /* the disks of the voters, as a controller told them */
-    size_t voter_count;          /* 0: none has told them */
-} Asking;
+    uint64_t voters[VOTER_MOST]; /* the disks of the voters, as a controller named them */
+    size_t voter_count;          /* 0: none has named them */
+} Poll;
 
-typedef struct AskPart {
-    Asking *asking;
+/* The question to one member. */
+typedef struct PollQuestion {
+    Poll *poll;
     uint64_t disk;
     char address[ADDRESS_MAX];
     PeerLife peer;
-} AskPart;
+} PollQuestion;
 
-static void asking_leave(Asking *asking)
+static void poll_leave(Poll *poll)
 {
-    if (--asking->users == 0)
-        talloc_free(asking);
+    if (--poll->users == 0)
+        talloc_free(poll);
 }
 
-/* Controllers that know other voters than each other do not all see the same. */
-static void voters_note(Asking *asking, const KnowAnswer *answer)
+/* Takes the voters that a controller names; the poll fails where two controllers name different ones. */
+static void voters_note(Poll *poll, const KnowAnswer *answer)
 {
     if (answer->voters_count == 0 || answer->voters_count > VOTER_MOST)
         return;
-    const bool reported = asking->voter_count > 0;
-    if (reported && asking->voter_count != answer->voters_count)
-        asking->all = false;
-    asking->voter_count = answer->voters_count;
+    const bool answered_before = poll->voter_count > 0;
+    if (answered_before && poll->voter_count != answer->voters_count)
+        poll->all = false;
+    poll->voter_count = answer->voters_count;
     for (size_t i = 0; i < answer->voters_count; i++) {
-        if (reported && asking->voters[i] != answer->voters[i].disk)
-            asking->all = false;
-        asking->voters[i] = answer->voters[i].disk;
+        if (answered_before && poll->voters[i] != answer->voters[i].disk)
+            poll->all = false;
+        poll->voters[i] = answer->voters[i].disk;
     }
 }
 
-static void part_main(void *arg)
+static void poll_question_main(void *arg)
 {
-    AskPart *part = arg;
-    Asking *asking = part->asking;
-    Agent *agent = asking->agent;
+    PollQuestion *question = arg;
+    Poll *poll = question->poll;
+    Agent *agent = poll->agent;
     const KnowAsk ask = {0};
     KnowAnswer answer = {0};
-    const Status status = rpc_ask_peer(agent->rpc, part, &(RpcTarget){part->address, part->peer, NULL}, MESSAGE_KNOW,
-                                       &KnowAsk_shape, &ask, ASK_TIMEOUT_MS, &KnowAnswer_shape, &answer);
+    const Status status = rpc_ask_peer(agent->rpc, question, &(RpcTarget){question->address, question->peer, NULL},
+                                       MESSAGE_KNOW, &KnowAsk_shape, &ask, ASK_TIMEOUT_MS, &KnowAnswer_shape, &answer);
     if (status != STATUS_OK || answer.knows || answer.term > agent->lease.term) {
-        asking->all = false;
-    } else if (part->disk != 0) {
-        if (asking->answered_count < sizeof(asking->answered) / sizeof(asking->answered[0]))
-            asking->answered[asking->answered_count++] = part->disk;
-        voters_note(asking, &answer);
+        poll->all = false;
+    } else if (question->disk != 0) {
+        if (poll->answered_count < sizeof(poll->answered) / sizeof(poll->answered[0]))
+            poll->answered[poll->answered_count++] = question->disk;
+        voters_note(poll, &answer);
     }
-    asking->pending--;
-    signal_raise(agent->loop, &asking->ended);
-    asking_leave(asking);
-    talloc_free(part);
+    poll->pending--;
+    signal_raise(agent->loop, &poll->ended);
+    poll_leave(poll);
+    talloc_free(question);
 }
 
 /* Whether every voter is among those that answered no. */
-static bool voters_answered(const Asking *asking)
+static bool voters_answered(const Poll *poll)
 {
-    for (size_t s = 0; s < asking->voter_count; s++) {
+    for (size_t s = 0; s < poll->voter_count; s++) {
         bool found = false;
-        for (size_t i = 0; i < asking->answered_count && !found; i++)
-            found = asking->answered[i] == asking->voters[s];
+        for (size_t i = 0; i < poll->answered_count && !found; i++)
+            found = poll->answered[i] == poll->voters[s];
         if (!found)
             return false;
     }
-    return asking->voter_count > 0;
+    return poll->voter_count > 0;
 }
 
-/* Asks all controllers, or all other members. Waits for every answer. */
-static void ask_those(Asking *asking, bool controllers)
+/* Waits. Asks all controllers, or all other members, and takes their answers. */
+static void poll_members(Poll *poll, bool controllers)
 {
-    Agent *agent = asking->agent;
+    Agent *agent = poll->agent;
     const MemberTable *table = members_table(agent->members);
     for (size_t i = 0; i < table->count; i++) {
         const MemberRecord *record = &table->rows[i].record;
@@ -97,34 +98,35 @@
         if (record->leaving || (record->role == ROLE_CONTROLLER) != controllers ||
             strcmp(record->id, members_self(agent->members)->id) == 0)
             continue;
-        AskPart *part = talloc_zero(agent, AskPart);
-        part->asking = asking;
-        part->disk = controllers ? record->disk : 0;
-        strncpy(part->address, record->address, sizeof(part->address) - 1);
-        part->peer = member_peer(record);
-        asking->users++;
-        asking->pending++;
-        loop_spawn(agent->loop, "know", part_main, part);
+        PollQuestion *question = talloc_zero(agent, PollQuestion);
+        question->poll = poll;
+        question->disk = controllers ? record->disk : 0;
+        strncpy(question->address, record->address, sizeof(question->address) - 1);
+        question->peer = member_peer(record);
+        poll->users++;
+        poll->pending++;
+        loop_spawn(agent->loop, "know", poll_question_main, question);
     }
-    while (asking->pending > 0)
-        signal_wait(agent->loop, &asking->ended, INT64_MAX);
+    while (poll->pending > 0)
+        signal_wait(agent->loop, &poll->ended, INT64_MAX);
 }
 
-static void ask_all(Agent *agent)
+/* Waits. Polls all members; where every one knows no holder, the lease runs on from the beginning of the poll. */
+static void poll_run(Agent *agent)
 {
-    Asking *asking = talloc_zero(agent, Asking);
-    asking->agent = agent;
-    asking->users = 1;
-    asking->all = true;
+    Poll *poll = talloc_zero(agent, Poll);
+    poll->agent = agent;
+    poll->users = 1;
+    poll->all = true;
     const int64_t sent_ms = loop_now_ms(agent->loop);
-    /* the controllers first: where the holder is gone one of them does not answer, and then no agent of the cell need
-     * ask all others */
-    ask_those(asking, true);
-    if (asking->all && voters_answered(asking))
-        ask_those(asking, false);
+    /* the controllers first: where the holder is lost one of them does not answer, which spares the questions to all
+     * others */
+    poll_members(poll, true);
+    if (poll->all && voters_answered(poll))
+        poll_members(poll, false);
     const int64_t lease_ms = agent->settings->bounds.lease_ms;
     /* a lease that has lapsed meanwhile is not revived: its attempts are stopping */
-    if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
+    if (poll->all && voters_answered(poll) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->isolated)
             recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
                            "no lock holder, and every member knows none: goes on while all see each other");
@@ -132,7 +134,7 @@
         if (sent_ms + lease_ms > agent->lease.until_ms)
             agent->lease.until_ms = sent_ms + lease_ms;
     }
-    asking_leave(asking);
+    poll_leave(poll);
 }
 
 static void isolated_main(void *arg)
@@ -143,7 +145,7 @@
         const int64_t late_ms = agent->settings->bounds.lease_ms / 2;
         /* the second half of the lease: several heartbeats have gone unanswered */
         if (left_ms > 0 && left_ms < late_ms)
-            ask_all(agent);
+            poll_run(agent);
         loop_sleep(agent->loop, left_ms > late_ms ? left_ms - late_ms : HEARTBEAT_MS / 5);
     }
 }
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -1,4 +1,4 @@
-/* The leader's orders: the attempts to start, and all those that are wanted on the worker. They state what should be
+/* The leader's orders: the attempts to start, and all those that are wanted on the worker. They state what should run
  * there rather than what has changed, so that a lost answer does no harm. */
 #include "orders.h"
 
@@ -33,7 +33,8 @@
             attempt->timeout_ms = timeout_ms;
             attempt->term = term;
         } else if (attempt->phase == PHASE_KNOWN) {
-            attempt_retell(agent, attempt, (AttemptWord)attempt->word, attempt->text); /* the leader has lost its end */
+            attempt_report_end(agent, attempt, (AttemptWord)attempt->word,
+                               attempt->text); /* the leader has lost its end */
         }
         return;
     }
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -24,26 +24,26 @@
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_array_get_idx(list, i);
         const char *path = talloc_asprintf(faults->mem, "%s[%zu]", key, i);
-        AttemptUpdate *updates = &read[i];
-        *updates = (AttemptUpdate){.job = "", .worker = "", .text = "", .saved = ""};
+        AttemptUpdate *update = &read[i];
+        *update = (AttemptUpdate){.job = "", .worker = "", .text = "", .saved = ""};
         if (!check_keys(faults, one, path, KEYS))
             continue;
-        updates->job = check_name(faults, one, path, "job", NULL);
-        updates->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
-        updates->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
-        updates->word = ATTEMPT_RUNNING;
+        update->job = check_name(faults, one, path, "job", NULL);
+        update->task = (uint64_t)check_int(faults, one, path, "task", 0, INT64_MAX, 0);
+        update->attempt = (uint64_t)check_int(faults, one, path, "round", 1, INT64_MAX, 0);
+        update->word = ATTEMPT_RUNNING;
         if (with_word) {
-            updates->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
-            if (updates->word == ATTEMPT_WORD_COUNT || updates->word == ATTEMPT_RUNNING)
+            update->word = attempt_of_word(check_name(faults, one, path, "word", NULL));
+            if (update->word == ATTEMPT_WORD_COUNT || update->word == ATTEMPT_RUNNING)
                 fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "word"),
                           "must be done, failed, stopped, refused, lost, lapsed, broken or alone");
         }
-        updates->percent = (uint64_t)check_int(faults, one, path, "percent", 0, 100, 0);
+        update->percent = (uint64_t)check_int(faults, one, path, "percent", 0, 100, 0);
         json_object *text;
         if (json_object_object_get_ex(one, "text", &text) && json_object_is_type(text, json_type_string))
-            updates->text = talloc_strndup(faults->mem, json_object_get_string(text), 200);
+            update->text = talloc_strndup(faults->mem, json_object_get_string(text), 200);
         if (json_object_object_get_ex(one, "saved", &text) && json_object_is_type(text, json_type_string))
-            updates->saved = talloc_strdup(faults->mem, json_object_get_string(text));
+            update->saved = talloc_strdup(faults->mem, json_object_get_string(text));
     }
     return count;
 }
--- a/packages/agent/src/report_json.h
+++ b/packages/agent/src/report_json.h
@@ -1,7 +1,7 @@
 #ifndef AGENT_SRC_REPORT_JSON_H
 #define AGENT_SRC_REPORT_JSON_H
 
-/* The worker's report over HTTP (reportjson.c). */
+/* The worker's report over HTTP (report_json.c). */
 
 #include "state.h"
 
--- a/packages/agent/src/tasks.h
+++ b/packages/agent/src/tasks.h
@@ -5,9 +5,9 @@
 
 #include "state.h"
 
-/* Reports ends of attempts to the leader (tell.c). */
-void notify_start(Agent *agent);
-/* Keeps the lease of an isolated agent by the second survival rule (alone.c). */
+/* Reports ends of attempts to the leader (end_reports.c). */
+void end_reports_start(Agent *agent);
+/* Keeps the lease of an isolated agent by the second survival rule (isolated.c). */
 void isolated_start(Agent *agent);
 /* Acts on deadlines (watch.c). */
 void watch_start(Agent *agent);
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -25,6 +25,8 @@
     *ran = runs;
 }
 
+/* The worker is silent: it is no longer live, and once its lease has lapsed its attempts are over. Also ends the
+ * wait for attempts of an earlier agent process (settled). */
 static void silence_watch(Agent *agent, int64_t now_ms)
 {
     const int64_t silent_ms = now_ms - agent->asked_ms;
@@ -36,7 +38,7 @@
     if (agent->settled && !agent->worker_live && silent_ms > least(WORKER_LOST_MS, quiet_ms(agent)) &&
         now_ms >= agent->worker_until_ms && agent->attempts.lives.count > 0) {
         attempts_withdraw(agent, "the worker fell silent");
-        attempts_gone(agent, "the worker fell silent");
+        attempts_end_given(agent, "the worker fell silent");
     }
     /* no report since the agent's start: any lease that an earlier agent process passed on has lapsed */
     const int64_t earlier_ms =
@@ -58,7 +60,7 @@
     }
 }
 
-/* When to look again: no deadline comes earlier than this. */
+/* When to check again: no deadline comes earlier than this. */
 static int64_t next_ms(const Agent *agent, int64_t now_ms)
 {
     int64_t until_ms = now_ms + HEARTBEAT_MS / 2;
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -15,36 +15,37 @@
     return false;
 }
 
-static Attempt *attempt_of(Agent *agent, const AttemptUpdate *updates)
+static Attempt *attempt_of(Agent *agent, const AttemptUpdate *update)
 {
-    Attempt *attempt = attempt_find(agent, updates->job, updates->task, updates->attempt);
+    Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
     if (attempt == NULL) {
         /* given by an earlier agent process: the leader decides whether it is wanted */
         const Order order = {
-            .job = updates->job, .task = updates->task, .attempt = updates->attempt, .payload = "", .saved = ""};
+            .job = update->job, .task = update->task, .attempt = update->attempt, .payload = "", .saved = ""};
         attempt = attempt_add(agent, &order, PHASE_RUNNING);
     }
     return attempt;
 }
 
-static void end_take(Agent *agent, const AttemptUpdate *updates)
+static void end_take(Agent *agent, const AttemptUpdate *update)
 {
-    Attempt *attempt = attempt_of(agent, updates);
+    Attempt *attempt = attempt_of(agent, update);
     if (attempt->phase < PHASE_ENDED) {
-        if (updates->saved[0] != '\0')
-            attempt_runs(agent, attempt, updates);
-        attempt_end(agent, attempt, (AttemptWord)updates->word, updates->text, false);
+        if (update->saved[0] != '\0')
+            attempt_runs(agent, attempt, update);
+        attempt_end(agent, attempt, (AttemptWord)update->word, update->text, false);
         return;
     }
     /* a reported completion replaces any other end, a reported failure one that was inferred */
-    const bool weighs = (updates->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
-                        (updates->word == ATTEMPT_FAILED && attempt->guessed);
+    const bool weighs = (update->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
+                        (update->word == ATTEMPT_FAILED && attempt->guessed);
     attempt->guessed = false;
     if (weighs)
-        attempt_retell(agent, attempt, (AttemptWord)updates->word, updates->text);
+        attempt_report_end(agent, attempt, (AttemptWord)update->word, update->text);
 }
 
-/* What the worker reports replaces what the agent inferred. */
+/* Brings the attempt table in line with the report: what the worker reports replaces what the agent inferred, and an
+ * attempt that it does not list is over, or its order has not arrived. */
 static void attempts_take(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
@@ -98,14 +99,14 @@
     worker.name = agent->worker_name;
     const bool same = report->left || shape_equal(&Worker_shape, &worker, &agent->worker);
     const bool live = !report->left, leaving = report->leaving || report->left;
-    const bool updates = !same || agent->worker_live != live || agent->worker_leaving != leaving || !agent->settled;
+    const bool changed = !same || agent->worker_live != live || agent->worker_leaving != leaving || !agent->settled;
     agent->settled = true;
     if (!same) {
         void *mem = talloc_new(agent);
         shape_copy(&Worker_shape, &worker, mem, &agent->worker);
         talloc_free(agent->worker_mem);
         agent->worker_mem = mem;
-        /* the orders were meant for a worker as it was described before */
+        /* those attempts were placed on the worker as it was described before */
         attempts_withdraw(agent, "the worker is another now");
     }
     agent->worker_live = live;
@@ -113,7 +114,7 @@
     agent->leave_until_ms = report->leave_ms > 0 ? loop_now_ms(agent->loop) + report->leave_ms : 0;
     if (leaving)
         attempts_withdraw(agent, "the worker leaves");
-    if (updates)
+    if (changed)
         heartbeat_now(agent);
 }
 
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -33,7 +33,7 @@
     Say *it = say_nothing(c);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_REFUSED), 1);
     talloc_free(c);
 }
 
@@ -47,8 +47,8 @@
     assert_int_equal(it->orders.stops_count, 1);
     say_ended(c, ATTEMPT_STOPPED, "some");
     run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
-    assert_string_equal(c->boss.updates[0].saved, "some");
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    assert_string_equal(c->leader.updates[0].saved, "some");
     /* the worker reports as running what is over for the leader: it must stop it */
     it = say_runs(c, "");
     assert_int_equal(it->orders.stops_count, 1);
@@ -63,12 +63,12 @@
     sim_kill(c->world, c->agent_machine);
     sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2500); /* the order has expired, the worker has not reported yet */
-    assert_int_equal(c->boss.updates_count, 0);
+    assert_int_equal(c->leader.updates_count, 0);
     Say *it = say_runs(c, "");
     assert_int_equal(it->orders.starts_count, 0);
     assert_int_equal(it->orders.stops_count, 0);
     run(c, 50);
-    assert_int_equal(c->boss.updates_count, 0);
+    assert_int_equal(c->leader.updates_count, 0);
     talloc_free(c);
 }
 
@@ -94,7 +94,7 @@
     say_all(it);
     assert_int_equal(it->status, STATUS_CLOSED);
     run(c, 50);
-    assert_int_equal(c->boss.updates_count, 0);
+    assert_int_equal(c->leader.updates_count, 0);
     talloc_free(c);
 }
 
@@ -127,13 +127,13 @@
     (void)state;
     Case *c = case_heard(3000, 3000);
     run(c, 1000);
-    const size_t heartbeats = c->boss.heartbeats, tellings = c->boss.tellings;
+    const size_t heartbeats = c->leader.heartbeats, end_reports = c->leader.end_reports;
     for (int i = 0; i < 25; i++) /* ten seconds of an idle worker's reports */
         say_nothing(c);
     run(c, 1);
-    const size_t more = c->boss.heartbeats - heartbeats;
+    const size_t more = c->leader.heartbeats - heartbeats;
     assert_in_range(more, 18, 24);
-    assert_int_equal(c->boss.tellings, tellings);
+    assert_int_equal(c->leader.end_reports, end_reports);
     talloc_free(c);
 }
 
--- a/packages/agent/test/agent_ends.c
+++ b/packages/agent/test/agent_ends.c
@@ -5,31 +5,31 @@
 {
     (void)state;
     Case *c = case_given(3000, 3000);
-    Boss *boss = &c->boss;
+    FakeLeader *leader = &c->leader;
     say_runs(c, "");
     run(c, 700);
-    assert_int_equal(boss->saved_count, 1); /* that it runs is reported, and once */
-    assert_string_equal(saved_last(boss, "j", 0)->text, "");
-    assert_true(saved_last(boss, "j", 0)->ran_ms > 0);
+    assert_int_equal(leader->saved_count, 1); /* that it runs is reported, and once */
+    assert_string_equal(saved_last(leader, "j", 0)->text, "");
+    assert_true(saved_last(leader, "j", 0)->ran_ms > 0);
     say_runs(c, "half");
     run(c, 1000);
     say_runs(c, "half");
     run(c, 1000);
     /* once, and once more for its progress by now: not with each heartbeat */
-    assert_in_range(boss->saved_count, 2, 3);
-    assert_true(boss->heartbeats > 8);
-    assert_string_equal(saved_last(boss, "j", 0)->text, "half");
-    const size_t before = boss->saved_count;
-    boss->term = TERM(6);
-    signal_raise(boss->loop, &boss->changed);
+    assert_in_range(leader->saved_count, 2, 3);
+    assert_true(leader->heartbeats > 8);
+    assert_string_equal(saved_last(leader, "j", 0)->text, "half");
+    const size_t before = leader->saved_count;
+    leader->term = TERM(6);
+    signal_raise(leader->loop, &leader->changed);
     run(c, 300); /* the worker has reported nothing new */
-    assert_int_equal(boss->saved_count, before + 1);
-    assert_string_equal(saved_last(boss, "j", 0)->text, "half");
+    assert_int_equal(leader->saved_count, before + 1);
+    assert_string_equal(saved_last(leader, "j", 0)->text, "half");
     /* and with its end, unless the worker gives a newer one */
     say_ended(c, ATTEMPT_LAPSED, "");
     run(c, 20);
-    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
-    assert_string_equal(boss->updates[0].saved, "half");
+    assert_int_equal(reported(leader, "j", 0, 1, ATTEMPT_LAPSED), 1);
+    assert_string_equal(leader->updates[0].saved, "half");
     talloc_free(c);
 }
 
@@ -38,10 +38,10 @@
 {
     (void)state;
     Case *c = case_heard(8000, 8000);
-    c->boss.commits = false;
+    c->leader.commits = false;
     say_ended(c, ATTEMPT_DONE, "");
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_DONE), 1);
-    sim_power_off(c->world, c->boss_machine);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_DONE), 1);
+    sim_power_off(c->world, c->leader_machine);
     run(c, 500);
     c->other.term = TERM(6);
     members_set_leader(c->other.members, c->other.term, "other");
@@ -55,22 +55,22 @@
 {
     (void)state;
     Case *c = case_given(3000, 3000);
-    Boss *boss = &c->boss;
-    boss->commits = false;
+    FakeLeader *leader = &c->leader;
+    leader->commits = false;
     Say *it = say_ended(c, ATTEMPT_DONE, "");
     assert_int_equal(it->orders.known_count, 0);
     it = say_ended(c, ATTEMPT_DONE,
                    ""); /* reported again by the worker: the agent does not report it to the leader again */
     assert_int_equal(it->orders.known_count, 0);
-    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
-    boss->commits = true;
-    signal_raise(boss->loop, &boss->changed);
+    assert_int_equal(reported(leader, "j", 0, 1, ATTEMPT_DONE), 1);
+    leader->commits = true;
+    signal_raise(leader->loop, &leader->changed);
     run(c, 20);
     it = say_ended(c, ATTEMPT_DONE, "");
     assert_int_equal(it->orders.known_count, 1);
     it = say_ended(c, ATTEMPT_DONE, ""); /* as if the answer had been lost: acknowledged again */
     assert_int_equal(it->orders.known_count, 1);
-    assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(reported(leader, "j", 0, 1, ATTEMPT_DONE), 1);
     talloc_free(c);
 }
 
@@ -80,13 +80,13 @@
     Case *c = case_new(3000, 3000);
     AttemptUpdate *ended = talloc_array(c, AttemptUpdate, 500);
     for (uint64_t i = 0; i < 500; i++)
-        ended[i] = updates("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
+        ended[i] = update_of("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
     Say *it = saying(c, "b1", NULL, 0, ended, 500);
     run(c, 50);
     it = saying(c, "b1", NULL, 0, ended, 500);
     assert_int_equal(it->orders.known_count, 500);
-    assert_in_range(c->boss.tellings, 1, 2);
-    assert_int_equal(c->boss.updates_count, 500);
+    assert_in_range(c->leader.end_reports, 1, 2);
+    assert_int_equal(c->leader.updates_count, 500);
     talloc_free(c);
 }
 
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -17,13 +17,13 @@
 #include "heartbeat/lease.h"
 #include "sim/world.h"
 
-#define BOSS "10.0.0.1:7000"
+#define LEADER "10.0.0.1:7000"
 #define OTHER "10.0.0.3:7000"
 #define TERM(counter) ((uint64_t)(counter) << TERM_HOLDER_BITS | 1)
 #define LISTED 600 /* count; more than a worker lists at once */
 
 /* A leader that answers as the case says, and all that the agent reported to it. */
-typedef struct Boss {
+typedef struct FakeLeader {
     const char *id, *address;
     Loop *loop;
     Rpc *rpc;
@@ -31,22 +31,22 @@
     uint64_t term;
     int64_t lease_ms;
     bool deaf;    /* answers no heartbeat */
-    bool commits; /* otherwise a report of ends waits */
+    bool commits; /* otherwise a report of ends is not answered */
     uint64_t version;
     HeartbeatAnswer orders;
     Signal changed;
     HeartbeatAsk heartbeat; /* the newest heartbeat */
-    size_t heartbeats, tellings;
+    size_t heartbeats, end_reports;
     AttemptUpdate updates[LISTED * 2];
     size_t updates_count;
     AttemptSaved saved[LISTED];
     size_t saved_count;
-} Boss;
+} FakeLeader;
 
 typedef struct Case {
     SimWorld *world;
-    Boss boss, other; /* other leads once the case says so */
-    int boss_machine, agent_machine, other_machine;
+    FakeLeader leader, other; /* other leads once the case makes it */
+    int leader_machine, agent_machine, other_machine;
     Settings settings;
     Agent *agent;
     Worker worker;
@@ -54,72 +54,72 @@
 
 static inline Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
 {
-    Boss *boss = arg;
+    FakeLeader *leader = arg;
     const HeartbeatAsk *heartbeat = question;
     HeartbeatAnswer *out = answer;
     (void)mem;
-    if (boss->deaf)
+    if (leader->deaf)
         return STATUS_NOT_LEADER;
-    boss->heartbeats++;
-    talloc_free((void *)(uintptr_t)boss->heartbeat.agent);
-    void *kept = talloc_named_const(boss->rpc, 1, "beat");
-    shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &boss->heartbeat);
-    boss->heartbeat.agent = kept;
-    for (size_t i = 0; i < heartbeat->saved_count && boss->saved_count < LISTED; i++)
-        shape_copy(&AttemptSaved_shape, &heartbeat->saved[i], boss->rpc, &boss->saved[boss->saved_count++]);
-    const int64_t until_ms = loop_now_ms(boss->loop) + heartbeat->wait_ms;
-    while (heartbeat->have == boss->version && heartbeat->have_term == boss->term)
-        if (!signal_wait(boss->loop, &boss->changed, until_ms))
+    leader->heartbeats++;
+    talloc_free((void *)(uintptr_t)leader->heartbeat.agent);
+    void *kept = talloc_named_const(leader->rpc, 1, "beat");
+    shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &leader->heartbeat);
+    leader->heartbeat.agent = kept;
+    for (size_t i = 0; i < heartbeat->saved_count && leader->saved_count < LISTED; i++)
+        shape_copy(&AttemptSaved_shape, &heartbeat->saved[i], leader->rpc, &leader->saved[leader->saved_count++]);
+    const int64_t until_ms = loop_now_ms(leader->loop) + heartbeat->wait_ms;
+    while (heartbeat->have == leader->version && heartbeat->have_term == leader->term)
+        if (!signal_wait(leader->loop, &leader->changed, until_ms))
             break;
-    if (boss->deaf)
+    if (leader->deaf)
         return STATUS_NOT_LEADER;
-    *out = boss->orders;
-    out->term = boss->term;
-    out->lease_ms = boss->lease_ms;
-    out->version = boss->version;
+    *out = leader->orders;
+    out->term = leader->term;
+    out->lease_ms = leader->lease_ms;
+    out->version = leader->version;
     out->timeout_ms = ORDER_LIFETIME_MS;
-    out->orders = heartbeat->have != boss->version || heartbeat->have_term != boss->term;
+    out->orders = heartbeat->have != leader->version || heartbeat->have_term != leader->term;
     return STATUS_OK;
 }
 
 static inline Status on_notify(void *arg, void *mem, const void *question, void *answer)
 {
-    Boss *boss = arg;
+    FakeLeader *leader = arg;
     const NotifyAsk *ask = question;
     (void)mem;
     (void)answer;
-    boss->tellings++;
-    for (size_t i = 0; i < ask->updates_count && boss->updates_count < LISTED * 2; i++)
-        shape_copy(&AttemptUpdate_shape, &ask->updates[i], boss->rpc, &boss->updates[boss->updates_count++]);
-    while (!boss->commits)
-        signal_wait(boss->loop, &boss->changed, INT64_MAX);
+    leader->end_reports++;
+    for (size_t i = 0; i < ask->updates_count && leader->updates_count < LISTED * 2; i++)
+        shape_copy(&AttemptUpdate_shape, &ask->updates[i], leader->rpc, &leader->updates[leader->updates_count++]);
+    while (!leader->commits)
+        signal_wait(leader->loop, &leader->changed, INT64_MAX);
     return STATUS_OK;
 }
 
-static inline void boss_start(void *arg, Loop *loop)
+static inline void leader_start(void *arg, Loop *loop)
 {
-    Boss *boss = arg;
-    Recorder *recorder = recorder_new(loop, boss->id);
+    FakeLeader *leader = arg;
+    Recorder *recorder = recorder_new(loop, leader->id);
     recorder_quiet(recorder);
-    boss->loop = loop;
-    boss->rpc = rpc_new(loop, loop, recorder);
-    rpc_set_cluster(boss->rpc, 7);
-    rpc_handle(boss->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, boss);
-    rpc_handle(boss->rpc, MESSAGE_NOTIFY, &NotifyAsk_shape, &NotifyAnswer_shape, on_notify, boss);
+    leader->loop = loop;
+    leader->rpc = rpc_new(loop, loop, recorder);
+    rpc_set_cluster(leader->rpc, 7);
+    rpc_handle(leader->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, leader);
+    rpc_handle(leader->rpc, MESSAGE_NOTIFY, &NotifyAsk_shape, &NotifyAnswer_shape, on_notify, leader);
     char address[ADDRESS_MAX];
-    assert_int_equal(rpc_listen(boss->rpc, boss->address, address, NULL), STATUS_OK);
-    const MemberRecord self = {.id = boss->id,
-                               .name = boss->id,
+    assert_int_equal(rpc_listen(leader->rpc, leader->address, address, NULL), STATUS_OK);
+    const MemberRecord self = {.id = leader->id,
+                               .name = leader->id,
                                .role = ROLE_CONTROLLER,
                                .zone = "z",
-                               .address = boss->address,
+                               .address = leader->address,
                                .http = "",
                                .incarnation = 1};
-    const char *const seeds[SEEDS] = {BOSS, OTHER, BOSS};
-    boss->members = members_new(loop, loop, boss->rpc, recorder, &self, seeds);
-    members_start(boss->members);
-    if (boss->term != 0)
-        members_set_leader(boss->members, boss->term, boss->id);
+    const char *const seeds[SEEDS] = {LEADER, OTHER, LEADER};
+    leader->members = members_new(loop, loop, leader->rpc, recorder, &self, seeds);
+    members_start(leader->members);
+    if (leader->term != 0)
+        members_set_leader(leader->members, leader->term, leader->id);
 }
 
 static inline void agent_boot(void *arg)
@@ -146,23 +146,23 @@
 {
     Case *c = talloc_zero(NULL, Case);
     c->world = sim_world_new(c, 1);
-    c->boss_machine = sim_machine(c->world);
+    c->leader_machine = sim_machine(c->world);
     c->agent_machine = sim_machine(c->world);
     c->other_machine = sim_machine(c->world);
-    c->boss = (Boss){.id = "boss", .address = BOSS, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
-    c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
+    c->leader = (FakeLeader){.id = "boss", .address = LEADER, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
+    c->other = (FakeLeader){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
     c->settings = (Settings){.name = "a1",
                              .worker = "w1",
                              .zone = "z",
                              .listen = "10.0.0.2:7000",
                              .http = "10.0.0.2:8000",
-                             .seeds = {BOSS, OTHER, BOSS},
+                             .seeds = {LEADER, OTHER, LEADER},
                              .bounds = bounds_first()};
     c->settings.bounds.lease_ms = lease_ms;
     c->settings.bounds.worker_lease_ms = worker_lease_ms;
     c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
-    sim_start(c->world, c->boss_machine, boss_start, &c->boss);
-    sim_start(c->world, c->other_machine, boss_start, &c->other);
+    sim_start(c->world, c->leader_machine, leader_start, &c->leader);
+    sim_start(c->world, c->other_machine, leader_start, &c->other);
     sim_start(c->world, c->agent_machine, agent_begin, c);
     run(c, 2000);
     assert_non_null(c->agent);
@@ -171,7 +171,7 @@
 
 /* --- the worker's side ------------------------------------------------------------ */
 
-/* A report in flight; its answer is a child of the case. */
+/* A worker's report in flight, and its answer, which is a child of the case. */
 typedef struct Say {
     Case *c;
     WorkerReport report;
@@ -220,8 +220,8 @@
     return say_all(say(c, "b1"));
 }
 
-static inline AttemptUpdate updates(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
-                                    const char *saved)
+static inline AttemptUpdate update_of(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
+                                      const char *saved)
 {
     return (AttemptUpdate){
         .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
@@ -243,7 +243,7 @@
 static inline Say *with_running(Say *it, const char *saved)
 {
     AttemptUpdate *running = talloc(it, AttemptUpdate);
-    *running = updates("j", 0, 1, ATTEMPT_RUNNING, saved);
+    *running = update_of("j", 0, 1, ATTEMPT_RUNNING, saved);
     it->report.running = running;
     it->report.running_count = 1;
     return it;
@@ -252,7 +252,7 @@
 static inline Say *with_ended(Say *it, AttemptWord word, const char *saved)
 {
     AttemptUpdate *ended = talloc(it, AttemptUpdate);
-    *ended = updates("j", 0, 1, word, saved);
+    *ended = update_of("j", 0, 1, word, saved);
     it->report.ended = ended;
     it->report.ended_count = 1;
     return it;
@@ -274,19 +274,19 @@
 /* From now on these attempts are wanted, and those of them start that have not. */
 static inline void order(Case *c, const Order *orders, size_t count)
 {
-    Boss *boss = &c->boss;
+    FakeLeader *leader = &c->leader;
     Order *starts = talloc_array(c, Order, (unsigned)count);
     AttemptId *wanted = talloc_array(c, AttemptId, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         starts[i] = orders[i];
         wanted[i] = (AttemptId){orders[i].job, orders[i].task, orders[i].attempt};
     }
-    boss->orders.starts = starts;
-    boss->orders.starts_count = count;
-    boss->orders.wanted = wanted;
-    boss->orders.wanted_count = count;
-    boss->version++;
-    signal_raise(boss->loop, &boss->changed);
+    leader->orders.starts = starts;
+    leader->orders.starts_count = count;
+    leader->orders.wanted = wanted;
+    leader->orders.wanted_count = count;
+    leader->version++;
+    signal_raise(leader->loop, &leader->changed);
     run(c, 60);
 }
 
@@ -295,21 +295,22 @@
     return (Order){job, task, attempt, {1000, 1000, 0}, "\"spec\"", saved};
 }
 
-static inline size_t reported(const Boss *boss, const char *job, uint64_t task, uint64_t attempt, AttemptWord word)
+static inline size_t reported(const FakeLeader *leader, const char *job, uint64_t task, uint64_t attempt,
+                              AttemptWord word)
 {
     size_t count = 0;
-    for (size_t i = 0; i < boss->updates_count; i++)
-        count += boss->updates[i].word == word && boss->updates[i].attempt == attempt &&
-                 boss->updates[i].task == task && strcmp(boss->updates[i].job, job) == 0;
+    for (size_t i = 0; i < leader->updates_count; i++)
+        count += leader->updates[i].word == word && leader->updates[i].attempt == attempt &&
+                 leader->updates[i].task == task && strcmp(leader->updates[i].job, job) == 0;
     return count;
 }
 
-static inline const AttemptSaved *saved_last(const Boss *boss, const char *job, uint64_t task)
+static inline const AttemptSaved *saved_last(const FakeLeader *leader, const char *job, uint64_t task)
 {
     const AttemptSaved *last = NULL;
-    for (size_t i = 0; i < boss->saved_count; i++)
-        if (boss->saved[i].task == task && strcmp(boss->saved[i].job, job) == 0)
-            last = &boss->saved[i];
+    for (size_t i = 0; i < leader->saved_count; i++)
+        if (leader->saved[i].task == task && strcmp(leader->saved[i].job, job) == 0)
+            last = &leader->saved[i];
     return last;
 }
 
--- a/packages/agent/test/agent_lease.c
+++ b/packages/agent/test/agent_lease.c
@@ -11,7 +11,7 @@
     assert_int_equal(it->orders.lease_ms, 1960);
     assert_true(lease_claim_ms(it->orders.lease_ms) >= it->orders.lease_ms * 102 / 100 + LEASE_SLACK_MS);
     /* no more than what is left is passed on: it ends before the agent's own lease */
-    sim_cut(c->world, c->agent_machine, c->boss_machine, true);
+    sim_cut(c->world, c->agent_machine, c->leader_machine, true);
     run(c, 5000);
     it = say(c, "b1");
     it->report.wait_ms = 0;
@@ -25,8 +25,8 @@
     (void)state;
     Case *c = case_given(3000, 3000);
     assert_true(say_runs(c, "")->orders.lease_ms > 0);
-    c->boss.deaf = true;
-    sim_cut(c->world, c->agent_machine, c->boss_machine, true);
+    c->leader.deaf = true;
+    sim_cut(c->world, c->agent_machine, c->leader_machine, true);
     run(c, 3100);
     Say *it = say_runs(c, "");
     assert_int_equal(it->orders.lease_ms, 0);
@@ -42,16 +42,17 @@
     const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
     order(c, orders, 2);
     assert_int_equal(say_nothing(c)->orders.starts_count, 2);
-    const AttemptUpdate runs[] = {updates("j", 0, 1, ATTEMPT_RUNNING, "half"), updates("j", 1, 1, ATTEMPT_RUNNING, "")};
+    const AttemptUpdate runs[] = {update_of("j", 0, 1, ATTEMPT_RUNNING, "half"),
+                                  update_of("j", 1, 1, ATTEMPT_RUNNING, "")};
     saying(c, "b1", runs, 2, NULL, 0);
     /* the next process: the old one's lease would run on for seconds */
     Say *it = say(c, "b2");
     say_all(it);
     assert_int_equal(it->status, STATUS_OK);
     run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
-    assert_int_equal(reported(&c->boss, "j", 1, 1, ATTEMPT_LOST), 1);
-    assert_string_equal(c->boss.updates[0].saved, "half");
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported(&c->leader, "j", 1, 1, ATTEMPT_LOST), 1);
+    assert_string_equal(c->leader.updates[0].saved, "half");
     /* a late report of the old process counts for nothing */
     it = saying(c, "b1", runs, 2, NULL, 0);
     assert_int_equal(it->status, STATUS_DUPLICATE_WORKER);
@@ -86,16 +87,16 @@
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
     run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
-    assert_true(c->boss.heartbeat.leaving);
-    assert_in_range(c->boss.heartbeat.leave_ms, 6900, 7000);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    assert_true(c->leader.heartbeat.leaving);
+    assert_in_range(c->leader.heartbeat.leave_ms, 6900, 7000);
     /* nor is it given what is ordered later */
     order_task(c, 1);
     it = say(c, "b1");
     it->report.leaving = true;
     say_all(it);
     assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(reported(&c->boss, "j", 1, 1, ATTEMPT_STOPPED), 1);
+    assert_int_equal(reported(&c->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
     talloc_free(c);
 }
 
@@ -109,11 +110,11 @@
     say_all(it);
     assert_int_equal(it->orders.lease_ms, 0);
     run(c, 100);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
-    assert_true(c->boss.heartbeat.leaving);
-    assert_false(c->boss.heartbeat.worker_live);
-    assert_true(c->boss.heartbeat.settled);
-    assert_int_equal(c->boss.heartbeat.attempts_count, 0);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_true(c->leader.heartbeat.leaving);
+    assert_false(c->leader.heartbeat.worker_live);
+    assert_true(c->leader.heartbeat.settled);
+    assert_int_equal(c->leader.heartbeat.attempts_count, 0);
     assert_int_equal(say_runs(c, "")->status, STATUS_DUPLICATE_WORKER);
     talloc_free(c);
 }
@@ -125,14 +126,14 @@
     Say *it = say_runs(c, "");
     const int64_t until_ms = sim_now_ms(c->world) + it->orders.lease_ms * 102 / 100;
     sim_run_until(c->world, until_ms);
-    assert_int_equal(c->boss.updates_count, 0);
+    assert_int_equal(c->leader.updates_count, 0);
     run(c, 200);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_LOST), 1);
-    assert_false(c->boss.heartbeat.worker_live);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_false(c->leader.heartbeat.worker_live);
     /* its own report, when it comes after all, takes precedence */
     say_ended(c, ATTEMPT_FAILED, "");
     run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_FAILED), 1);
+    assert_int_equal(reported(&c->leader, "j", 0, 1, ATTEMPT_FAILED), 1);
     talloc_free(c);
 }
 
@@ -142,11 +143,11 @@
     Case *c = case_new(4000, 4000);
     Say *it = say_nothing(c);
     assert_int_equal(it->orders.fence, 5);
-    c->boss.term = TERM(9);
+    c->leader.term = TERM(9);
     run(c, 1200);
     it = say_nothing(c);
     assert_int_equal(it->orders.fence, 9);
-    c->boss.term = TERM(7); /* an older leader that still answers */
+    c->leader.term = TERM(7); /* an older leader that still answers */
     run(c, 1200);
     order_task(c, 0);
     it = say_nothing(c);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -236,7 +236,7 @@
         return STATUS_NOT_LEADER;
     if (controller->repairing)
         return STATUS_REPAIRING;
-    liveset_notified(controller->liveset, ask->agent, ask->incarnation, ask->number);
+    liveset_report_sent(controller->liveset, ask->agent, ask->incarnation, ask->number);
     /* answered only after the commit: until then the agent sends it again */
     return attempt_updates_commit(controller, ask->updates, ask->updates_count);
 }
--- a/packages/heartbeat/include/heartbeat/lease.h
+++ b/packages/heartbeat/include/heartbeat/lease.h
@@ -17,7 +17,7 @@
 /* The lease that an agent has. Zeroed: none.
  * Invariants: term and until_ms never fall; until_ms is when some answered heartbeat was sent plus
  * the length that its answer granted. (Under survival rule 2 the agent itself lets it run on, see
- * packages/agent.) */
+ * packages/agent/src/isolated.c.) */
 typedef struct Lease {
     uint64_t term;    /* the highest term seen; orders of a lower one are refused */
     int64_t until_ms; /* the lease runs before this */
--- a/packages/heartbeat/include/heartbeat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -23,7 +23,7 @@
     bool leaving;           /* graceful shutdown: it is given nothing new */
     bool settled;           /* the agent's list of what runs is complete */
     int64_t joined_ms;      /* its agent's first heartbeat in this incarnation */
-    Resources others;       /* capacity in use by what is not ours */
+    Resources others;       /* capacity in use by others than our attempts */
     bool losing;            /* its loss is decided but not delivered: it gets no order until then */
     int64_t leave_until_ms; /* leaving: what runs there may run until then at least; 0: not known */
 } LiveRow;
@@ -42,13 +42,13 @@
 Status liveset_heartbeat(Liveset *liveset, const HeartbeatAsk *heartbeat, int64_t now_ms, int64_t lease_ms,
                          bool *list_counts);
 /* The agent has sent a report under this number: heartbeats with lower ones are out of date. */
-void liveset_notified(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
+void liveset_report_sent(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number);
 /* The worker's loss is decided (true), or has been delivered (false). */
 void liveset_losing(Liveset *liveset, const char *worker, bool losing);
 /* The worker's row, valid until liveset_reset; null: not heard of. */
 const LiveRow *liveset_find(const Liveset *liveset, const char *name);
 /* Whether the worker may be given work now: live, heard within three heartbeats, and neither
- * leaving nor being lost. */
+ * leaving nor being declared lost. */
 bool live_row_ready(const LiveRow *row, int64_t now_ms);
 /* All rows in the order of names (out; the array is on mem, the rows are the live set's); returns
  * their number. */
--- a/packages/heartbeat/include/heartbeat/messages.h
+++ b/packages/heartbeat/include/heartbeat/messages.h
@@ -24,7 +24,7 @@
 /* An agent's heartbeat, which also renews its lease and asks for orders. attempts: all attempts that it
  * knows of and that may run, or whose end the leader has not confirmed. settled: that list is
  * complete (since the agent started it has heard its worker, or the worker's lease has lapsed).
- * others: capacity in use there by what is not ours. number grows with each heartbeat and report. */
+ * others: capacity in use there by others than our attempts. number grows with each heartbeat and report. */
 #define HEARTBEAT_ASK_FIELDS(X)                                                \
     X(TXT, agent, 0)                                                           \
     X(U64, incarnation, 0)                                                     \
--- a/packages/heartbeat/include/heartbeat/orphans.h
+++ b/packages/heartbeat/include/heartbeat/orphans.h
@@ -22,11 +22,11 @@
  * until_ms. job and task are only read. */
 void orphans_add(Orphans *orphans, const char *worker, const Job *job, const JobTask *task, uint64_t attempt,
                  int64_t until_ms);
-/* Takes a heartbeat, whose list is all that may run there: what of it the table has elsewhere or
- * not at all is orphaned, and what is neither in it nor possibly on its way is over. */
+/* Takes a heartbeat, which lists all attempts that may run there: a listed one that the table has elsewhere or
+ * not at all is orphaned, and an orphaned one is over that is not listed and whose order can't arrive any more. */
 void orphans_heartbeat(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, int64_t now_ms);
 /* The agent has reported an attempt's end: it and older ones of the task are over there. */
-void orphans_end(Orphans *orphans, const AttemptUpdate *updates);
+void orphans_end(Orphans *orphans, const AttemptUpdate *update);
 /* Sums up the capacity that orphaned attempts use on the worker (out). False: one of unknown size is
  * among them, and the sum means nothing. */
 bool orphans_resources(const Orphans *orphans, const char *worker, Resources *resources);
--- a/packages/heartbeat/src/liveset.c
+++ b/packages/heartbeat/src/liveset.c
@@ -76,7 +76,7 @@
     return STATUS_OK;
 }
 
-void liveset_notified(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number)
+void liveset_report_sent(Liveset *liveset, const char *agent, uint64_t incarnation, uint64_t number)
 {
     LiveRow *row = map_get(liveset->rows, agent);
     if (row != NULL && row->incarnation == incarnation && number > row->number)
--- a/packages/heartbeat/src/orphans.c
+++ b/packages/heartbeat/src/orphans.c
@@ -1,4 +1,4 @@
-/* Orphaned attempts by worker: noted when the table lets go of them, confirmed or dropped by what the
+/* Orphaned attempts by worker: added when the table no longer has them there, confirmed or dropped by what the
  * agents list and report. */
 #include "heartbeat/orphans.h"
 
@@ -12,10 +12,10 @@
     const char *job;
     uint64_t task; /* its number */
     uint64_t attempt;
-    Resources resources; /* capacity it uses */
-    bool known;          /* ... which is not known of a job that the table does not have */
-    bool listed;         /* by the newest heartbeat */
-    int64_t until_ms;    /* an order for it may arrive until then */
+    Resources resources;  /* capacity it uses */
+    bool resources_known; /* false: the table does not have its job */
+    bool listed;          /* by the newest heartbeat */
+    int64_t until_ms;     /* an order for it may arrive until then */
 } Orphan;
 
 typedef struct OrphanList {
@@ -80,20 +80,20 @@
 {
     Orphan *orphan = orphan_of(orphans, worker, job->spec.id, task_number(task));
     orphan->resources = job->spec.steps[task->step].resources;
-    orphan->known = true;
+    orphan->resources_known = true;
     orphan->attempt = attempt;
     orphan->until_ms = until_ms;
 }
 
 /* Whether the table places the attempt on this worker: then it is counted there and is not orphaned.
- * room, known (out): the capacity it uses, where the table has the task at all. */
-static bool tabled(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt, Resources *resources,
-                   bool *known)
+ * resources, resources_known (out): the capacity it uses, where the table has the task at all. */
+static bool placed_here(const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt,
+                        Resources *resources, bool *resources_known)
 {
     const Job *job = table_job(table, attempt->job);
     const size_t at = job != NULL ? task_index(job, attempt->task) : 0;
-    *known = job != NULL && at < job->tasks_count;
-    if (!*known)
+    *resources_known = job != NULL && at < job->tasks_count;
+    if (!*resources_known)
         return false;
     const JobTask *task = &job->tasks[at];
     *resources = job->spec.steps[task->step].resources;
@@ -104,16 +104,16 @@
 static void listed_take(Orphans *orphans, const Table *table, const HeartbeatAsk *heartbeat, const AttemptId *attempt)
 {
     Resources resources = {0};
-    bool known;
-    if (tabled(table, heartbeat, attempt, &resources, &known))
+    bool resources_known;
+    if (placed_here(table, heartbeat, attempt, &resources, &resources_known))
         return;
     Orphan *orphan = orphan_of(orphans, heartbeat->worker.name, attempt->job, attempt->task);
     orphan->listed = true;
     if (attempt->attempt > orphan->attempt)
         orphan->attempt = attempt->attempt;
-    if (known) {
+    if (resources_known) {
         orphan->resources = resources;
-        orphan->known = true;
+        orphan->resources_known = true;
     }
 }
 
@@ -132,12 +132,12 @@
             i++;
 }
 
-void orphans_end(Orphans *orphans, const AttemptUpdate *updates)
+void orphans_end(Orphans *orphans, const AttemptUpdate *update)
 {
-    OrphanList *list = map_get(orphans->workers, updates->worker);
+    OrphanList *list = map_get(orphans->workers, update->worker);
     for (size_t i = 0; list != NULL && i < list->count; i++)
-        if (list->rows[i]->task == updates->task && list->rows[i]->attempt <= updates->attempt &&
-            strcmp(list->rows[i]->job, updates->job) == 0) {
+        if (list->rows[i]->task == update->task && list->rows[i]->attempt <= update->attempt &&
+            strcmp(list->rows[i]->job, update->job) == 0) {
             orphan_drop(list, i);
             return;
         }
@@ -148,7 +148,7 @@
     const OrphanList *list = map_get(orphans->workers, worker);
     *resources = (Resources){0};
     for (size_t i = 0; list != NULL && i < list->count; i++) {
-        if (!list->rows[i]->known)
+        if (!list->rows[i]->resources_known)
             return false;
         resources->cpu_milli += list->rows[i]->resources.cpu_milli;
         resources->mem_mb += list->rows[i]->resources.mem_mb;
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -369,7 +369,7 @@
           "    if (envelope->peer_life != self->life && envelope->peer_life != rpc->born_life) {", "    if (false) {",
           "address_reused", "test", "questions"),
     Guard("know-meant", "a member that is gone is not answered for by whoever has its address", "packages/agent/src/isolated.c",
-          "        part->peer = member_peer(record);\n", "",
+          "        question->peer = member_peer(record);\n", "",
           "answers_for_another", "test", "places"),
     Guard("question-cancelled", "what was given up before it left is not sent", "packages/wire/src/ask.c",
           " || (target->sending != NULL && target->sending->cancelled))", ")",
