--- a/packages/base/src/recorder.c
+++ b/packages/base/src/recorder.c
@@ -7,27 +7,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#include "base/constants.h"
-
-typedef struct RecorderLine {
-    int64_t at_ms;
-    RecorderLevel level;
-    RecorderPlace place;
-    char text[RECORDER_LINE_BYTES];
-} RecorderLine;
-
-struct Recorder {
-    const char *node;
-    bool quiet;
-    RecorderLevel least;
-    RecorderPlaceFn place_of;
-    void *place_arg;
-    uint64_t said;    /* lines ever logged; line n is at n % RECORDER_LINES */
-    uint64_t written; /* lines ever written out, or given up: written <= said */
-    int64_t notes;    /* notes that may be written now, at most RECORDER_NOTES_AT_ONCE */
-    int64_t notes_ms; /* ms; when one was last added to them */
-    RecorderLine lines[RECORDER_LINES];
-};
+#include "inside.h"
 
 static const char *const LEVELS[] = {
 #define X(name, word) word,
@@ -39,7 +19,9 @@
 {
     Recorder *recorder = talloc_zero(mem, Recorder);
     recorder->node = talloc_strdup(recorder, node);
-    recorder->notes = RECORDER_NOTES_AT_ONCE;
+    recorder->notes.lines = RECORDER_NOTES_AT_ONCE;
+    for (int i = 0; i < LOG_EVENT_COUNT; i++)
+        recorder->events[i].budget.lines = RECORDER_NOTES_AT_ONCE;
     return recorder;
 }
 
@@ -78,17 +60,43 @@
 
 #define NUMBER_BYTES 24 /* bytes; any 64 bits in decimal */
 
+#define PLACE_BYTES (3 * NUMBER_BYTES) /* bytes; " term=T index=I" */
+
+/* The place as it stands in a line; empty where there is none. An event may have a term and no index. */
+static void place_print(char to[PLACE_BYTES], const RecorderLine *line)
+{
+    const RecorderPlace *place = &line->place;
+    to[0] = '\0';
+    if (place->term != 0 && (place->index != 0 || line->event == NULL))
+        snprintf(to, PLACE_BYTES, " term=%" PRIu64 " index=%" PRIu64, place->term, place->index);
+    else if (place->term != 0)
+        snprintf(to, PLACE_BYTES, " term=%" PRIu64, place->term);
+}
+
+#define MESSAGE_BYTES (3 * RECORDER_LINE_BYTES) /* bytes; a line with all its fields */
+
+/* The line as it is written: an event's fields follow its message. */
+static void message_print(char message[MESSAGE_BYTES], const char *node, const RecorderLine *line)
+{
+    char place[PLACE_BYTES];
+    place_print(place, line);
+    if (line->event == NULL)
+        snprintf(message, MESSAGE_BYTES, "%s %" PRId64 " %s%s %s", node, line->at_ms, LEVELS[line->level], place,
+                 line->text);
+    else
+        snprintf(message, MESSAGE_BYTES, "%" PRId64 " %s %s %s%s node=%s%s%s", line->at_ms, LEVELS[line->level],
+                 line->event, line->text, place, node, line->peer[0] != '\0' ? " peer=" : "", line->peer);
+}
+
 /* Hands one line to GLib's log writer. */
 static void line_write(const char *node, const RecorderLine *line)
 {
     char at_ms[NUMBER_BYTES], term[NUMBER_BYTES], index[NUMBER_BYTES];
-    char message[RECORDER_LINE_BYTES * 2];
+    char message[MESSAGE_BYTES];
     snprintf(at_ms, sizeof(at_ms), "%" PRId64, line->at_ms);
     snprintf(term, sizeof(term), "%" PRIu64, line->place.term);
     snprintf(index, sizeof(index), "%" PRIu64, line->place.index);
-    const bool placed = line->place.term != 0;
-    snprintf(message, sizeof(message), "%s %s %s%s%s%s%s %s", node, at_ms, LEVELS[line->level], placed ? " term=" : "",
-             placed ? term : "", placed ? " index=" : "", placed ? index : "", line->text);
+    message_print(message, node, line);
     const GLogLevelFlags level = line->level == RECORDER_NOTE ? G_LOG_LEVEL_MESSAGE : G_LOG_LEVEL_WARNING;
     const GLogField fields[] = {
         {"MESSAGE", message, -1},
@@ -99,21 +107,23 @@
         {"AT_MS", at_ms, -1},
         {"TERM", term, -1},
         {"INDEX", index, -1},
+        {"EVENT", line->event, -1}, /* an event's only; ... */
+        {"PEER", line->peer, -1},   /* ... the last two */
     };
-    g_log_structured_array(level, fields, sizeof(fields) / sizeof(fields[0]));
+    const gsize count = sizeof(fields) / sizeof(fields[0]);
+    g_log_structured_array(level, fields, line->event != NULL ? count : count - 2);
 }
 
-/* Whether one more note may be written at this time. */
-static bool note_take(Recorder *recorder, int64_t at_ms)
+bool line_budget_take(LineBudget *budget, int64_t at_ms)
 {
-    const int64_t more = (at_ms - recorder->notes_ms) / RECORDER_NOTE_GAP_MS;
+    const int64_t more = (at_ms - budget->added_ms) / RECORDER_NOTE_GAP_MS;
     if (more > 0) {
-        recorder->notes_ms += more * RECORDER_NOTE_GAP_MS;
-        recorder->notes = MIN(recorder->notes + more, (int64_t)RECORDER_NOTES_AT_ONCE);
+        budget->added_ms += more * RECORDER_NOTE_GAP_MS;
+        budget->lines = MIN(budget->lines + more, (int64_t)RECORDER_NOTES_AT_ONCE);
     }
-    if (recorder->notes == 0)
+    if (budget->lines == 0)
         return false;
-    recorder->notes--;
+    budget->lines--;
     return true;
 }
 
@@ -129,34 +139,57 @@
     line_write(recorder->node, &line);
 }
 
-void recorder_write(Recorder *recorder, RecorderLevel level, int64_t at_ms, const char *format, ...)
+RecorderLine *recorder_line_add(Recorder *recorder, RecorderLevel level, int64_t at_ms)
 {
     RecorderLine *line = &recorder->lines[recorder->said++ % RECORDER_LINES];
-    va_list args;
-    va_start(args, format);
-    vsnprintf(line->text, sizeof(line->text), format, args);
-    va_end(args);
     line->at_ms = at_ms;
     line->level = level;
     line->place = recorder->place_of != NULL ? recorder->place_of(recorder->place_arg) : (RecorderPlace){0};
-    if (level < recorder->least || recorder->quiet)
+    line->event = NULL;
+    line->peer[0] = line->text[0] = '\0';
+    return line;
+}
+
+void recorder_lines_write(Recorder *recorder, const RecorderLine *newest)
+{
+    const int64_t at_ms = newest->at_ms;
+    if (newest->level < recorder->least || recorder->quiet)
         return;
     while (recorder->written < recorder->said) {
-        if (level == RECORDER_NOTE && !note_take(recorder, at_ms))
+        if (newest->level == RECORDER_NOTE && !line_budget_take(&recorder->notes, at_ms))
             return;
         missed_write(recorder, at_ms);
         line_write(recorder->node, &recorder->lines[recorder->written++ % RECORDER_LINES]);
     }
 }
 
+void recorder_write(Recorder *recorder, RecorderLevel level, int64_t at_ms, const char *format, ...)
+{
+    RecorderLine *line = recorder_line_add(recorder, level, at_ms);
+    va_list args;
+    va_start(args, format);
+    vsnprintf(line->text, sizeof(line->text), format, args);
+    va_end(args);
+    recorder_lines_write(recorder, line);
+}
+
+/* The line as recorder_text has it, at the end of the text. */
+static char *line_append(char *text, const char *node, const RecorderLine *line)
+{
+    text = talloc_asprintf_append(text, "%10" PRId64 " %-10s %-5s ", line->at_ms, node, LEVELS[line->level]);
+    if (line->event == NULL)
+        return talloc_asprintf_append(text, "%s\n", line->text);
+    char place[PLACE_BYTES];
+    place_print(place, line);
+    return talloc_asprintf_append(text, "%s %s%s%s%s\n", line->event, line->text, place,
+                                  line->peer[0] != '\0' ? " peer=" : "", line->peer);
+}
+
 char *recorder_text(const Recorder *recorder, void *mem)
 {
     char *text = talloc_strdup(mem, "");
-    for (uint64_t i = recorder_first(recorder, 0); i < recorder->said; i++) {
-        const RecorderLine *out = &recorder->lines[i % RECORDER_LINES];
-        text = talloc_asprintf_append(text, "%10" PRId64 " %-10s %-5s %s\n", out->at_ms, recorder->node,
-                                      LEVELS[out->level], out->text);
-    }
+    for (uint64_t i = recorder_first(recorder, 0); i < recorder->said; i++)
+        text = line_append(text, recorder->node, &recorder->lines[i % RECORDER_LINES]);
     return text;
 }
 
--- a/packages/packages.cmake
+++ b/packages/packages.cmake
@@ -33,6 +33,7 @@
 endif()
 
 spancart_test(recorder base)
+spancart_test(log_event base)
 spancart_test(wire wire)
 spancart_test(lock lock)
 spancart_test(http loop)
@@ -100,5 +101,6 @@
   target_include_directories(test-old_disk PRIVATE packages/replication/src packages/sim/test)
   target_include_directories(test-old_state PRIVATE packages/replication/src packages/sim/test packages/replication/test)
   set_tests_properties(old_disk old_state PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # where its fixtures are
+  set_tests_properties(log_event PROPERTIES WORKING_DIRECTORY ${CMAKE_SOURCE_DIR}) # it reads docs/oncall.md
 endif()
 spancart_cases(resends 10 sim)
