--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -102,7 +102,7 @@
 {
     if (!lease_answered(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)) {
         recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
-                       "a beat was answered under old epoch %" PRIu64, term_counter(answer->term));
+                       "a heartbeat was answered under old term %" PRIu64, term_counter(answer->term));
         return;
     }
     agent->isolated = false;
@@ -137,7 +137,7 @@
     if (status == STATUS_OK)
         answer_take(agent, heartbeat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
-        recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "another agent beats for worker %s",
+        recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "another agent sends heartbeats for worker %s",
                        agent->worker_name);
     agent->heartbeats--;
     if (agent->heartbeat == heartbeat) {
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -126,8 +126,7 @@
     /* a lease that has lapsed meanwhile is not revived: its attempts are stopping */
     if (asking->all && voters_answered(asking) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->isolated)
-            recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
-                           "no lock holder, and every member knows none: goes on while all see each other");
+            log_event(agent->recorder, LOG_AGENT_ISOLATED, loop_now_ms(agent->loop), &(LogFields){0});
         agent->isolated = true;
         if (sent_ms + lease_ms > agent->lease.until_ms)
             agent->lease.until_ms = sent_ms + lease_ms;
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -5,6 +5,8 @@
  * attempts (the attempt table); orders; heartbeat (heartbeats); tell (reports of ends), alone (isolated agent),
  * watch (deadlines), boot, worker and answer (the worker's side); reportjson and http (entry points); agent. */
 
+#include "base/log_event.h"
+#include "base/term.h"
 #include "agent/agent.h"
 #include "agent/report.h"
 #include "heartbeat/lease.h"
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -14,15 +14,23 @@
     return agent->settings->bounds.worker_poll_ms + WORKER_QUIET_MS;
 }
 
-/* *ran: whether the lease ran when this was last called. */
-static void lapse_watch(Agent *agent, int64_t now_ms, bool *ran)
+/* The lease as it was when it was last looked at. */
+typedef enum LeaseSeen { LEASE_NONE_YET, LEASE_RAN, LEASE_HAD_LAPSED } LeaseSeen;
+
+static LeaseSeen lapse_watch(Agent *agent, int64_t now_ms, LeaseSeen seen)
 {
-    const bool runs = lease_runs(&agent->lease, now_ms);
-    if (*ran && !runs) {
-        recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "the hold has lapsed: all rounds stop");
-        attempts_stop(agent);
+    if (lease_runs(&agent->lease, now_ms)) {
+        if (seen == LEASE_HAD_LAPSED)
+            log_event(agent->recorder, LOG_QUORUM_REGAINED, now_ms,
+                      &(LogFields){.term = term_counter(agent->lease.term), .peer = agent->worker_name});
+        return LEASE_RAN;
     }
-    *ran = runs;
+    if (seen != LEASE_RAN)
+        return seen;
+    log_event(agent->recorder, LOG_AGENT_LEASE_LAPSED, now_ms,
+              &(LogFields){.term = term_counter(agent->lease.term), .peer = agent->worker_name});
+    attempts_stop(agent);
+    return LEASE_HAD_LAPSED;
 }
 
 static void silence_watch(Agent *agent, int64_t now_ms)
@@ -72,10 +80,10 @@
 static void watch_main(void *arg)
 {
     Agent *agent = arg;
-    bool ran = false;
+    LeaseSeen seen = LEASE_NONE_YET;
     while (!loop_stopping(agent->loop)) {
         const int64_t now_ms = loop_now_ms(agent->loop);
-        lapse_watch(agent, now_ms, &ran);
+        seen = lapse_watch(agent, now_ms, seen);
         silence_watch(agent, now_ms);
         timeout_watch(agent, now_ms);
         attempts_forget(agent);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -181,6 +181,27 @@
     scheduler_notify(controller->scheduler);
 }
 
+/* Whether the worker's lease had lapsed, or it was leaving, when its agent was last heard by this leader. */
+typedef struct WorkerBefore {
+    bool lapsed, leaving;
+} WorkerBefore;
+
+static WorkerBefore worker_before(const LiveRow *row, int64_t now_ms)
+{
+    if (row == NULL || row->heard_ms == INT64_MIN)
+        return (WorkerBefore){0};
+    return (WorkerBefore){now_ms > row->until_ms, row->leaving};
+}
+
+static void worker_log(Controller *controller, const LiveRow *row, WorkerBefore before, int64_t now_ms)
+{
+    const LogFields fields = {.peer = row->name};
+    if (before.lapsed)
+        log_event(controller->recorder, LOG_WORKER_RETURNED, now_ms, &fields);
+    if (row->leaving && !before.leaving)
+        log_event(controller->recorder, LOG_WORKER_LEAVES, now_ms, &fields);
+}
+
 static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
 {
     Controller *controller = arg;
@@ -194,11 +215,13 @@
     const int64_t now_ms = loop_now_ms(controller->loop);
     const LiveRow *before = liveset_find(controller->liveset, heartbeat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms);
+    const WorkerBefore worker_was = worker_before(before, now_ms);
     bool list_counts;
     const int64_t lease_ms = controller->settings->bounds.lease_ms;
     const Status status = liveset_heartbeat(controller->liveset, heartbeat, now_ms, lease_ms, &list_counts);
     if (status != STATUS_OK)
         return status;
+    worker_log(controller, liveset_find(controller->liveset, heartbeat->worker.name), worker_was, now_ms);
     if (liveset_find(controller->liveset, heartbeat->worker.name)->number == heartbeat->number)
         orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
     if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -224,8 +224,9 @@
     controller->repairing = false;
     controller->counts.repairs++;
     controller->counts.retold += reported;
-    recorder_write(controller->recorder, RECORDER_ALERT, loop_now_ms(controller->loop),
-                   "the view rested on woken seats: %zu of %zu changes told again were missing", reported, item_count);
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text), "%zu of %zu changes told again were missing", reported, item_count);
+    log_event(controller->recorder, LOG_REPAIR_ENDED, loop_now_ms(controller->loop), &(LogFields){.text = text});
     orders_wake(controller);
     scheduler_notify(controller->scheduler);
 }
@@ -268,5 +269,6 @@
 
 void repair_start(Controller *controller)
 {
+    log_event(controller->recorder, LOG_REPAIR_BEGUN, loop_now_ms(controller->loop), &(LogFields){0});
     loop_spawn(controller->loop, "repair", repair_main, controller);
 }
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -1,6 +1,7 @@
 #ifndef CONTROLLER_SRC_STATE_H
 #define CONTROLLER_SRC_STATE_H
 
+#include "base/log_event.h"
 #include "base/map.h"
 #include "heartbeat/liveset.h"
 #include "heartbeat/orphans.h"
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -55,7 +55,7 @@
     json_object_put(tree);
     if (config == NULL) { /* it was checked before it was committed, perhaps by a later release */
         recorder_write(in_force->recorder, RECORDER_ALERT, loop_now_ms(in_force->loop),
-                       "revision %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
+                       "configuration version %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
                        faults->list[0].text);
         in_force->unread = version;
         if (in_force->config == NULL) {
--- a/packages/member/src/hello.c
+++ b/packages/member/src/hello.c
@@ -56,8 +56,9 @@
         return;
     if (rpc_cluster(members->rpc) == 0 && hello->cluster != 0) {
         rpc_set_cluster(members->rpc, hello->cluster);
-        recorder_write(members->recorder, RECORDER_NOTE, loop_now_ms(members->loop), "joins cluster %016" PRIx64,
-                       hello->cluster);
+        char name[LOG_TEXT_BYTES];
+        snprintf(name, sizeof(name), "%016" PRIx64, hello->cluster);
+        log_event(members->recorder, LOG_CLUSTER_JOINED, loop_now_ms(members->loop), &(LogFields){.text = name});
     }
     for (size_t i = 0; i < hello->members_count && hello->members_count <= MEMBERS_MAX; i++)
         relayed_take(members, &hello->members[i]);
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -4,7 +4,7 @@
 /* The state of the package: what all its files work on. It declares no functions; each file's
  * own header does. */
 
-#include "base/recorder.h"
+#include "base/log_event.h"
 #include "loop/loop.h"
 #include "member/members.h"
 #include "member/record.h"
--- a/packages/member/src/leader.c
+++ b/packages/member/src/leader.c
@@ -3,10 +3,17 @@
 #include <string.h>
 #include <talloc.h>
 
+#include "base/term.h"
 #include "inside.h"
 #include "loop/loop.h"
 #include "member/members.h"
 
+static const char *leader_name(const Members *members)
+{
+    const Member *row = members_find(members, members->leader_id);
+    return row != NULL ? row->record.name : members->leader_id;
+}
+
 void members_set_leader(Members *members, uint64_t term, const char *id)
 {
     if (term < members->leader_term || (term == members->leader_term && strcmp(id, members->leader_id) == 0))
@@ -14,6 +21,9 @@
     members->leader_term = term;
     talloc_free(members->leader_id);
     members->leader_id = talloc_strdup(members, id);
+    if (strcmp(id, members->self.id) != 0) /* an own election has been logged */
+        log_event(members->recorder, LOG_TERM_CHANGED, loop_now_ms(members->loop),
+                  &(LogFields){.term = term_counter(term), .peer = leader_name(members)});
     signal_raise(members->loop, &members->leader_changed);
 }
 
--- a/packages/replication/src/append.c
+++ b/packages/replication/src/append.c
@@ -35,9 +35,10 @@
         replication->commit_index = index;
     if (replication->delivered_index <= index)
         return;
-    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                   "delivered changes %" PRIu64 "..%" PRIu64 " were not kept by the others: state loaded anew",
-                   index + 1, replication->delivered_index);
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text), "entries %" PRIu64 "..%" PRIu64, index + 1, replication->delivered_index);
+    log_event(replication->settings.recorder, LOG_LOG_TRIMMED, loop_now_ms(replication->loop),
+              &(LogFields){.text = text});
     replication->delivered_index = replication->log->base_index;
     if (replication->log->snapshot.kind == RECORD_SNAPSHOT) /* was saved or loaded by this process: it loads again */
         (void)replication_load(replication, &replication->log->snapshot);
--- a/packages/replication/src/configuration_change.c
+++ b/packages/replication/src/configuration_change.c
@@ -51,14 +51,14 @@
     const bool near =
         peer->match_index > 0 && peer->match_index + LOG_BATCH_ENTRIES >= log_last_index(replication->log);
     if (voter_dead(replication, replication->voters[place], DEAD_ANYWHERE))
-        return "its disk is gone";
+        return "its disk is lost";
     if (now_ms - peer->answered_ms > LOCK_GRANT_MS)
         return "silent";
     if (!spare)
         return NULL;
     const Member *member = members_find_disk(replication->settings.members, replication->voters[place]);
     if (member != NULL && member->record.leaving)
-        return "its core leaves";
+        return "its controller leaves";
     if (peer->append_since_ms != INT64_MAX && now_ms - peer->append_since_ms > VOTER_LATE_MS)
         return "does not sync in time";
     if (peer->slow_times >= VOTER_SLOW_TIMES)
@@ -93,8 +93,8 @@
             returns(replication, i, now_ms)) {
             next->in_configuration[i] = next->changed = true;
             next->count++;
-            recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms,
-                           "seat %016" PRIx64 " comes into the view", replication->voters[i]);
+            log_event(replication->settings.recorder, LOG_VOTER_IN, now_ms,
+                      &(LogFields){.peer_disk = replication->voters[i]});
         }
 }
 
@@ -110,8 +110,8 @@
         next->count--;
         peer->return_ms = now_ms + VOTER_REST_MS;
         peer->slow_times = 0;
-        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                       "seat %016" PRIx64 " leaves the view: %s", replication->voters[place], why);
+        log_event(replication->settings.recorder, LOG_VOTER_OUT, now_ms,
+                  &(LogFields){.peer_disk = replication->voters[place], .text = why});
         return;
     }
     /* it restarted within the view; of one just taken in that is known after a renewal */
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -50,6 +50,14 @@
     loop_spawn(replication->loop, "compact", compact_main, replication);
 }
 
+void disk_failed_log(Replication *replication)
+{
+    if (replication->disk_failure_logged)
+        return;
+    replication->disk_failure_logged = true;
+    log_event(replication->settings.recorder, LOG_DISK_FAILED, loop_now_ms(replication->loop), &(LogFields){0});
+}
+
 /* A disk that refused a write is tried again, with all that it should hold. Until that is there this
  * node takes nothing, so that memory and disk do not differ. */
 static void gangs_repair_main(void *arg)
@@ -60,12 +68,14 @@
         if (replication->list_old || !journal_failed(replication->journal) || replication->compacting ||
             replication->holding)
             continue;
+        disk_failed_log(replication);
         replication->mending = true;
         if (journal_anew(replication) == STATUS_OK) {
             if (replication->rest_until_ms > loop_now_ms(replication->loop) + PROPOSE_MS)
                 replication->rest_until_ms = loop_now_ms(replication->loop) + PROPOSE_MS;
-            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                           "own disk takes writes again");
+            replication->disk_failure_logged = false;
+            log_event(replication->settings.recorder, LOG_DISK_RECOVERED, loop_now_ms(replication->loop),
+                      &(LogFields){0});
         }
         replication->mending = false;
     }
--- a/packages/replication/src/disk.h
+++ b/packages/replication/src/disk.h
@@ -8,6 +8,8 @@
 /* Whether nothing may be promised or taken: writes fail, the journal is being written again
  * after a failure, or the list of voters went back. */
 bool replication_disk_failed(const Replication *replication);
+/* Logs that the own disk refused a write, once until it takes writes again. */
+void disk_failed_log(Replication *replication);
 /* Spawns the task that tries a failed disk again. */
 void disk_start(Replication *replication);
 /* Spawns the task that rewrites the journal after a snapshot was made. */
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -49,6 +49,14 @@
     return status;
 }
 
+static void founded_log(const Replication *replication, uint64_t cluster)
+{
+    char name[LOG_TEXT_BYTES];
+    snprintf(name, sizeof(name), "%016" PRIx64, cluster);
+    log_event(replication->settings.recorder, LOG_CLUSTER_FOUNDED, loop_now_ms(replication->loop),
+              &(LogFields){.text = name});
+}
+
 /* --- by the seeds' votes --------------------------------------------------------- */
 
 /* The empty controller with the lowest disk id that it has heard of stands as the founder. With the votes of a
@@ -77,8 +85,7 @@
             const uint64_t cluster = loop_random(replication->loop) | 1;
             replication->named = true; /* it need not wait its turn: there is no other voter */
             if (found_now(replication, cluster, &replication->disk, 1) == STATUS_OK)
-                recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
-                               "founds cluster %016" PRIx64, cluster);
+                founded_log(replication, cluster);
         }
     }
 }
@@ -181,8 +188,7 @@
             continue;
         const uint64_t cluster = loop_random(replication->loop) | 1;
         if (found_now(replication, cluster, disks, VOTER_FIRST) == STATUS_OK) {
-            recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "founds cluster %016" PRIx64,
-                           cluster);
+            founded_log(replication, cluster);
             offer(replication, disks, cluster);
         }
     }
--- a/packages/replication/src/install_snapshot.c
+++ b/packages/replication/src/install_snapshot.c
@@ -157,6 +157,9 @@
     const Record *records = replication_records(replication, mem, &record_count);
     status = journal_rewrite(replication->journal, records, record_count);
     talloc_free(mem);
+    if (status == STATUS_OK)
+        log_event(replication->settings.recorder, LOG_SNAPSHOT_INSTALLED, loop_now_ms(replication->loop),
+                  &(LogFields){.index = snapshot->index});
     signal_raise(replication->loop, &replication->updates);
     return status;
 }
--- a/packages/replication/src/new_term.c
+++ b/packages/replication/src/new_term.c
@@ -134,8 +134,8 @@
             return STATUS_NOT_LEADER;
         if (loop_now_ms(replication->loop) > until_ms ||
             loop_now_ms(replication->loop) > lock_lease_until(&replication->lease)) {
-            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                           "view %" PRIu64 " did not come about", term_counter(opening->term));
+            log_event(replication->settings.recorder, LOG_TERM_NOT_OPENED, loop_now_ms(replication->loop),
+                      &(LogFields){.term = term_counter(opening->term)});
             lead_down(replication, 0);
             return STATUS_EXPIRED;
         }
@@ -157,10 +157,11 @@
     members_set_leader(replication->settings.members, opening->term, members_self(replication->settings.members)->id);
     if (opening->new_holder)
         members_announce(replication->settings.members);
-    recorder_write(replication->settings.recorder, RECORDER_NOTE, loop_now_ms(replication->loop),
-                   "leads view %" PRIu64 " with %zu seats%s", term_counter(opening->term),
-                   promised_count(replication, replication->in_configuration),
-                   replication->last.repair ? ", repairs" : "");
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text), "%zu voters%s", promised_count(replication, replication->in_configuration),
+             replication->last.repair ? ", repairs" : "");
+    log_event(replication->settings.recorder, LOG_ELECTION_WON, loop_now_ms(replication->loop),
+              &(LogFields){.term = term_counter(opening->term), .text = text});
     signal_raise(replication->loop, &replication->updates);
 }
 
--- a/packages/replication/src/reconfigure.c
+++ b/packages/replication/src/reconfigure.c
@@ -26,8 +26,8 @@
 {
     void *mem = talloc_new(replication);
     ChangeResult result;
-    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                   "voter %016" PRIx64 " is removed", replication->voters[place]);
+    log_event(replication->settings.recorder, LOG_VOTER_REMOVED, loop_now_ms(replication->loop),
+              &(LogFields){.peer_disk = replication->voters[place]});
     /* where it fails, the next look at the members chooses again */
     (void)replication_submit(replication, REPLICATION_CHANGE_VOTERS, list_pack(replication, mem, place, 0), &result);
     talloc_free(mem);
@@ -60,8 +60,10 @@
     lock_lease_answered(&replication->lease, place, peer.renewed_ms);
     lead_renew(replication, place);
     lead_peer(replication, place);
-    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                   "seat %d of %zu is given to disk %016" PRIx64, place + 1, replication->voter_count, disk);
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text), "place %d of %zu", place + 1, replication->voter_count);
+    log_event(replication->settings.recorder, LOG_VOTER_ADDED, loop_now_ms(replication->loop),
+              &(LogFields){.peer_disk = disk, .text = text});
     (void)replication_settle(replication); /* where it fails, the next look at the members waits for the commit */
 }
 
--- a/packages/replication/src/recover.c
+++ b/packages/replication/src/recover.c
@@ -113,8 +113,8 @@
 /* Waits. The journal is not whole: what it has promised and acknowledged is not known. */
 static Status disk_begin_anew(Replication *replication, const char *path, Failure *failure)
 {
-    recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                   "%s: %s; begins as a new, empty disk", status_word(failure->status), failure->text);
+    log_event(replication->settings.recorder, LOG_JOURNAL_DAMAGED, loop_now_ms(replication->loop),
+              &(LogFields){.text = failure->text});
     *failure = (Failure){0};
     disk_forget(replication);
     return journal_begin(replication->loop, replication, path, replication->node_name, &replication->journal, failure);
--- a/packages/replication/src/replicate.c
+++ b/packages/replication/src/replicate.c
@@ -3,6 +3,7 @@
 #include <talloc.h>
 
 #include "commit.h"
+#include "disk.h"
 #include "leading.h"
 #include "lease.h"
 #include "poll.h"
@@ -53,8 +54,7 @@
         if (lead_over(replication, lead.turn))
             return;
         if (status != STATUS_OK) {
-            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                           "own disk failed: gives up the lock");
+            disk_failed_log(replication);
             lead_down(replication, INT32_MAX);
             return;
         }
--- a/packages/replication/src/send_snapshot.c
+++ b/packages/replication/src/send_snapshot.c
@@ -80,6 +80,8 @@
             peer->match_index = index;
             peer->next_index = index + 1;
             peer->reinstall = false;
+            log_event(replication->settings.recorder, LOG_SNAPSHOT_SENT, loop_now_ms(replication->loop),
+                      &(LogFields){.index = index, .peer_disk = lead->disk});
         } else {
             loop_sleep(replication->loop, LOCK_RENEW_MS);
         }
--- a/packages/replication/src/snapshot.c
+++ b/packages/replication/src/snapshot.c
@@ -81,6 +81,8 @@
                        record.payload.count);
     } else {
         log_rebase(log, &record);
+        log_event(replication->settings.recorder, LOG_LOG_COMPACTED, loop_now_ms(replication->loop),
+                  &(LogFields){.index = record.index});
         disk_compact(replication);
     }
     talloc_free(mem);
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -1,6 +1,7 @@
 #ifndef REPLICATION_SRC_STATE_H
 #define REPLICATION_SRC_STATE_H
 
+#include "base/log_event.h"
 #include "replication/log.h"
 #include "replication/replication.h"
 
@@ -76,11 +77,12 @@
      * compacting or mending the whole journal is being rewritten. */
     Journal *journal;
     const char *node_name;
-    uint64_t disk;         /* the id of the own disk: the node's identity as a voter */
-    uint64_t queued_index; /* what follows it is written later */
-    bool compacting;       /* after a snapshot */
-    bool mending;          /* after a failed write */
-    bool too_large;        /* the state is larger than a snapshot may be */
+    uint64_t disk;            /* the id of the own disk: the node's identity as a voter */
+    uint64_t queued_index;    /* what follows it is written later */
+    bool compacting;          /* after a snapshot */
+    bool mending;             /* after a failed write */
+    bool disk_failure_logged; /* ... which has been logged; until the disk takes writes again */
+    bool too_large;           /* the state is larger than a snapshot may be */
 
     /* --- the log ---
      * Invariants: delivered_index <= commit_index <= last index of the log; all up to
--- a/packages/replication/src/step_down.c
+++ b/packages/replication/src/step_down.c
@@ -73,8 +73,8 @@
             /* nothing is decided with this lease any more: the voters may forget that they granted it */
             lock_release(&replication->lock, replication->term, replication->disk, now_ms);
             lead_release(replication, lead_next(replication, NEXT_ANY));
-            recorder_write(replication->settings.recorder, RECORDER_NOTE, now_ms, "gives up view %" PRIu64,
-                           term_counter(replication->term));
+            log_event(replication->settings.recorder, LOG_LEADER_STEPPED_DOWN, now_ms,
+                      &(LogFields){.term = term_counter(replication->term)});
         }
         replication->phase = REPLICATION_FOLLOWING;
         replication->holding = false;
--- a/packages/replication/src/voter_list.c
+++ b/packages/replication/src/voter_list.c
@@ -139,6 +139,14 @@
     reread->list_found = reread->last_found = true;
 }
 
+static void voters_log(const Replication *replication)
+{
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text), "%zu voters", replication->voter_count);
+    log_event(replication->settings.recorder, LOG_VOTERS_CHANGED, loop_now_ms(replication->loop),
+              &(LogFields){.index = replication->list_index, .text = text});
+}
+
 void replication_reread(Replication *replication)
 {
     const Log *log = replication->log;
@@ -147,7 +155,11 @@
         reread_entry(&reread, &log->entries[i - 1]);
     reread_snapshot(&reread, log);
     list_check(replication, reread.list_index);
+    uint64_t before[VOTER_MOST];
+    memcpy(before, replication->voters, sizeof(before));
     voters_take(replication, reread.list_found ? &reread.list : replication->founded, reread.list_index);
+    if (memcmp(before, replication->voters, sizeof(before)) != 0)
+        voters_log(replication);
     if (reread.last_found) {
         last_set(replication, &reread.last);
         replication->last.repair &= !reread.repaired;
--- a/packages/replication/src/watch.c
+++ b/packages/replication/src/watch.c
@@ -70,15 +70,14 @@
 {
     bool skip[VOTER_MOST];
     if (now_ms >= lock_lease_until(&replication->lease)) {
-        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms, "the hold of the lock has lapsed");
+        log_event(replication->settings.recorder, LOG_LEADER_LEASE_LAPSED, now_ms, &(LogFields){0});
         lead_down(replication, 0);
     } else if (own_disk_slow(replication, now_ms)) {
         replication->slow_times = 0;
-        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms, "own disk is slow: hands the lock over");
+        log_event(replication->settings.recorder, LOG_DISK_SLOW, now_ms, &(LogFields){0});
         lead_down(replication, SLOW_DISK_REST_MS);
     } else if (replication_blind(replication)) {
-        recorder_write(replication->settings.recorder, RECORDER_ALERT, now_ms,
-                       "another seat sees many more members: hands the lock over");
+        log_event(replication->settings.recorder, LOG_QUORUM_LOST, now_ms, &(LogFields){0});
         replication->blind_since_ms = 0;
         lead_down(replication, SLOW_DISK_REST_MS);
     } else if (replication_tend(replication, skip)) {
@@ -107,8 +106,12 @@
     if (replication->phase != REPLICATION_FOLLOWING || !may_stand(replication))
         return again_ms;
     const bool skip[VOTER_MOST] = {false};
-    if (replication_open(replication, skip) == STATUS_OK)
+    const Status status = replication_open(replication, skip);
+    if (status == STATUS_OK)
         return 0;
+    if (again_ms == 0 && status != STATUS_EXPIRED) /* the first of a row; one that expired has been logged */
+        log_event(replication->settings.recorder, LOG_ELECTION_LOST, loop_now_ms(replication->loop),
+                  &(LogFields){.text = status_word(status)});
     again_ms = again_next(again_ms);
     loop_sleep(replication->loop, again_ms + (int64_t)(loop_random(replication->loop) % (uint64_t)(again_ms)));
     return again_ms;
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -32,8 +32,10 @@
         ChangeResult result;
         if (scheduler_order(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
             scheduler->counts.lost += result.number;
-            recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
-                           "worker %s is lost with %" PRIu64 " rounds", names[i], result.number);
+            char text[LOG_TEXT_BYTES];
+            snprintf(text, sizeof(text), "%" PRIu64 " attempts were on it", result.number);
+            log_event(scheduler->recorder, LOG_WORKER_LOST, loop_now_ms(scheduler->loop),
+                      &(LogFields){.peer = names[i], .text = text});
         }
     }
 }
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -42,7 +42,7 @@
 {
     Reservation *kept = map_get(scheduler->kept, cell);
     recorder_write(scheduler->recorder, RECORDER_NOTE, loop_now_ms(scheduler->loop),
-                   "%zu workers are kept for %s no longer: %s", kept->worker_count, kept->job, why);
+                   "%zu workers are reserved for %s no longer: %s", kept->worker_count, kept->job, why);
     map_drop(scheduler->kept, cell);
     talloc_free(kept);
 }
@@ -182,6 +182,6 @@
     map_set(scheduler->kept, cell, kept);
     scheduler->counts.kept++;
     recorder_write(scheduler->recorder, RECORDER_NOTE, kept->since_ms,
-                   "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", kept->worker_count,
+                   "%zu workers from %s on are reserved for %s, which has waited %" PRId64 " ms", kept->worker_count,
                    kept->workers[0], kept->job, log_ms - candidate->since_ms);
 }
--- a/packages/scheduler/src/restart_elsewhere.c
+++ b/packages/scheduler/src/restart_elsewhere.c
@@ -22,7 +22,7 @@
     ChangeResult result;
     if (scheduler_order(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK) {
         scheduler->counts.slowed += result.number;
-        recorder_write(scheduler->recorder, RECORDER_NOTE, now_ms, "%zu rounds are begun anew elsewhere",
+        recorder_write(scheduler->recorder, RECORDER_NOTE, now_ms, "%zu attempts are restarted elsewhere",
                        list.attempts_count);
     }
     return true;
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -1,6 +1,7 @@
 #ifndef SCHEDULER_SRC_STATE_H
 #define SCHEDULER_SRC_STATE_H
 
+#include "base/log_event.h"
 #include "base/map.h"
 #include "scheduler/scheduler.h"
 
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -9,6 +9,7 @@
 #include <cmocka.h>
 #include <talloc.h>
 
+#include "base/term.h"
 #include "routing/repair_buffer.h"
 #include "fleet_fixture.h"
 
@@ -357,12 +358,33 @@
     talloc_free(world);
 }
 
+/* After a leader was killed, the next one's flight recorder has the election that it won, with its term. */
+static void election_is_logged(void **state)
+{
+    (void)state;
+    Fleet *fleet = begin(38);
+    const int killed = fleet_leader(fleet);
+    fleet_kill(fleet, FLEET_CONTROLLER, killed);
+    fleet_run(fleet, 5000);
+    const int leader = fleet_leader(fleet);
+    assert_true(leader >= 0 && leader != killed);
+    const FleetNode *node = fleet_node(fleet, FLEET_CONTROLLER, leader);
+    ReplicationStatus status;
+    replication_status(controller_view(node->controller), &status);
+    const char *won = talloc_asprintf(fleet, "note  election-won leads the term: 2 voters term=%" PRIu64 " ",
+                                      term_counter(status.term));
+    const char *kept = recorder_text(node->recorder, fleet);
+    if (strstr(kept, won) == NULL)
+        fail_msg("no \"%s\" in\n%s", won, kept);
+    case_end(fleet);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(timeout_kept),  cmocka_unit_test(refused_at_once), cmocka_unit_test(slow_is_waited_for),
         cmocka_unit_test(other_ways),    cmocka_unit_test(readiness),       cmocka_unit_test(leaving),
-        cmocka_unit_test(keeps_bounded), cmocka_unit_test(kept_elsewhere),
+        cmocka_unit_test(keeps_bounded), cmocka_unit_test(kept_elsewhere),  cmocka_unit_test(election_is_logged),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/sim/test/policies.c
+++ b/packages/sim/test/policies.c
@@ -246,7 +246,9 @@
         call = fleet_ask(fleet, fleet, (FleetRole)role, role == FLEET_CONTROLLER ? fleet_leader(fleet) : 0, "GET",
                          "/v1/ring", NULL);
         assert_int_equal(call.code, 200);
-        assert_true(role != FLEET_CONTROLLER || strstr((const char *)call.result.data, "leaves the view") != NULL);
+        assert_true(role != FLEET_CONTROLLER ||
+                    strstr((const char *)call.result.data, " alert voter-out commits wait no longer for the voter: ") !=
+                        NULL);
     }
     fleet_start_node(fleet, FLEET_WORKER, 1);
     fleet_start_node(fleet, FLEET_CONTROLLER, second);
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -4,7 +4,7 @@
 /* The state of an RPC endpoint, shared by its two halves: serve.c answers requests, ask.c sends them. */
 
 #include "base/map.h"
-#include "base/recorder.h"
+#include "base/log_event.h"
 #include "envelope.h"
 #include "loop/loop.h"
 #include "wire/rpc.h"
--- a/packages/wire/src/rpc.c
+++ b/packages/wire/src/rpc.c
@@ -8,7 +8,6 @@
 
 #include "base/bytes.h"
 #include "base/map.h"
-#include "base/recorder.h"
 #include "inside.h"
 #include "loop/loop.h"
 #include "wire/kinds.h"
@@ -33,11 +32,13 @@
 void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope)
 {
     const uint64_t count = ++rpc->refused;
-    if ((count & (count - 1)) == 0) /* the first, second, fourth, ...: a flood of them does not fill the log */
-        recorder_write(rpc->recorder, RECORDER_NOTE, loop_now_ms(rpc->loop),
-                       "%s is refused: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64
-                       " so far",
-                       what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
+    if ((count & (count - 1)) != 0) /* the first, second, fourth, ...: a flood of them does not fill the log */
+        return;
+    char text[LOG_TEXT_BYTES];
+    snprintf(text, sizeof(text),
+             "%s: %s (kind %" PRIu64 ", cluster %016" PRIx64 ", version %" PRIu64 "); %" PRIu64 " so far", what,
+             status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
+    log_event(rpc->recorder, LOG_FRAME_REFUSED, loop_now_ms(rpc->loop), &(LogFields){.text = text});
 }
 
 PeerLife peer_life(const char *id, uint64_t life)
--- a/packages/wire/src/serve.c
+++ b/packages/wire/src/serve.c
@@ -4,7 +4,6 @@
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "base/recorder.h"
 #include "envelope.h"
 #include "inside.h"
 #include "loop/loop.h"
@@ -81,7 +80,7 @@
 static void note_bad(Rpc *rpc, const char *text)
 {
     rpc->counts.bad_frames++;
-    recorder_write(rpc->recorder, RECORDER_NOTE, loop_now_ms(rpc->loop), "bad frame, connection ended: %s", text);
+    log_event(rpc->recorder, LOG_FRAME_BAD, loop_now_ms(rpc->loop), &(LogFields){.text = text});
 }
 
 /* Waits, as the handler does. Runs the handler and packs its answer. */
