--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -128,8 +128,7 @@
     /* a lease that has lapsed meanwhile is not revived: its attempts are stopping */
     if (poll->all && voters_answered(poll) && lease_runs(&agent->lease, loop_now_ms(agent->loop))) {
         if (!agent->isolated)
-            recorder_write(agent->recorder, RECORDER_ALERT, loop_now_ms(agent->loop),
-                           "no lock holder, and every member knows none: goes on while all see each other");
+            log_event(agent->recorder, LOG_AGENT_ISOLATED, loop_now_ms(agent->loop), &(LogFields){0});
         agent->isolated = true;
         if (sent_ms + lease_ms > agent->lease.until_ms)
             agent->lease.until_ms = sent_ms + lease_ms;
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -5,6 +5,8 @@
  * attempts (the attempt table); orders; heartbeat; end_reports, isolated, watch (deadlines), boot, worker and answer
  * (the worker's side); report_json and http (HTTP); agent. */
 
+#include "base/log_event.h"
+#include "base/term.h"
 #include "agent/agent.h"
 #include "agent/report.h"
 #include "heartbeat/lease.h"
--- a/packages/replication/src/disk.c
+++ b/packages/replication/src/disk.c
@@ -49,6 +49,14 @@
     loop_spawn(replication->loop, "compact", compact_main, replication);
 }
 
+void disk_failed_log(Replication *replication)
+{
+    if (replication->disk_failure_logged)
+        return;
+    replication->disk_failure_logged = true;
+    log_event(replication->settings.recorder, LOG_DISK_FAILED, loop_now_ms(replication->loop), &(LogFields){0});
+}
+
 /* After a failed write the whole journal is rewritten, again and again until that succeeds. Until then this node
  * accepts nothing, so that memory and disk do not differ. */
 static void disk_retry_main(void *arg)
@@ -59,12 +67,14 @@
         if (replication->list_went_back || !journal_failed(replication->journal) || replication->compacting ||
             replication->has_lease)
             continue;
+        disk_failed_log(replication);
         replication->recovering = true;
         if (journal_anew(replication) == STATUS_OK) {
             if (replication->rest_until_ms > loop_now_ms(replication->loop) + PROPOSE_MS)
                 replication->rest_until_ms = loop_now_ms(replication->loop) + PROPOSE_MS;
-            recorder_write(replication->settings.recorder, RECORDER_ALERT, loop_now_ms(replication->loop),
-                           "own disk takes writes again");
+            replication->disk_failure_logged = false;
+            log_event(replication->settings.recorder, LOG_DISK_RECOVERED, loop_now_ms(replication->loop),
+                      &(LogFields){0});
         }
         replication->recovering = false;
     }
--- a/packages/replication/src/state.h
+++ b/packages/replication/src/state.h
@@ -1,6 +1,7 @@
 #ifndef REPLICATION_SRC_STATE_H
 #define REPLICATION_SRC_STATE_H
 
+#include "base/log_event.h"
 #include "replication/log.h"
 #include "replication/replication.h"
 
@@ -76,11 +77,12 @@
      * compacting or recovering the whole journal is being rewritten. */
     Journal *journal;
     const char *node_name;
-    uint64_t disk;         /* the id of this node's disk: its identity as a voter */
-    uint64_t queued_index; /* later entries have not been given to the journal yet */
-    bool compacting;       /* rewritten after a snapshot was made */
-    bool recovering;       /* rewritten after a failed write */
-    bool too_large;        /* the state is larger than a snapshot may be */
+    uint64_t disk;            /* the id of this node's disk: its identity as a voter */
+    uint64_t queued_index;    /* later entries have not been given to the journal yet */
+    bool compacting;          /* rewritten after a snapshot was made */
+    bool recovering;          /* rewritten after a failed write */
+    bool disk_failure_logged; /* the failure has been logged; until the disk takes writes again */
+    bool too_large;           /* the state is larger than a snapshot may be */
 
     /* --- the log ---
      * Invariants: delivered_index <= commit_index <= last index of the log; all up to
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -43,7 +43,7 @@
 {
     Reservation *reservation = map_get(scheduler->reservations, cell);
     recorder_write(scheduler->recorder, RECORDER_NOTE, loop_now_ms(scheduler->loop),
-                   "%zu workers are kept for %s no longer: %s", reservation->worker_count, reservation->job, why);
+                   "%zu workers are reserved for %s no longer: %s", reservation->worker_count, reservation->job, why);
     map_drop(scheduler->reservations, cell);
     talloc_free(reservation);
 }
@@ -184,6 +184,6 @@
     map_set(scheduler->reservations, cell, reservation);
     scheduler->counts.kept++;
     recorder_write(scheduler->recorder, RECORDER_NOTE, reservation->since_ms,
-                   "%zu workers from %s on are kept for %s, which has waited %" PRId64 " ms", reservation->worker_count,
-                   reservation->workers[0], reservation->job, log_ms - candidate->since_ms);
+                   "%zu workers from %s on are reserved for %s, which has waited %" PRId64 " ms",
+                   reservation->worker_count, reservation->workers[0], reservation->job, log_ms - candidate->since_ms);
 }
