--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -16,9 +16,9 @@
 #define LOCK_NOTIFY_MS 1000 /* ms; between renewals that carry what appends do not: clock and leader's name */
 /* ms; after a lost election a controller proposes itself again, next after twice this ... */
 #define PROPOSE_AGAIN_MS 60
-#define PROPOSE_MS 500      /* ms; ... up to this, plus a random part as long */
-#define PROPOSE_TURN_MS 120 /* ms; each voter proposes itself so much after the one before it: over a round trip */
-#define HANDED_MS 600       /* ms; the others leave this long to the successor that the last leader named */
+#define PROPOSE_MS 500         /* ms; ... up to this, plus a random part as long */
+#define PROPOSE_TURN_MS 120    /* ms; each voter proposes itself so much after the one before it: over a round trip */
+#define HANDED_MS 600          /* ms; the others leave this long to the successor that the last leader named */
 #define ORDER_LIFETIME_MS 2000 /* ms; deadline of an order: an agent refuses an older one */
 /* ms; ... by any clock, also one that is 2% slow */
 #define ORDER_GONE_MS (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS)
