--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -4,137 +4,137 @@
 static void order_reaches_a_question_that_waits(void **state)
 {
     (void)state;
-    Case *c = case_heard(3000, 3000);
-    run(c, 700); /* the heartbeat that reports the worker as live has been answered */
-    Say *it = say(c, "b1");
-    say_begin(it);
-    run(c, 100);
-    assert_false(it->over);
+    Case *fixture = case_heard(3000, 3000);
+    run(fixture, 700); /* the heartbeat that reports the worker as live has been answered */
+    Say *sent = say(fixture, "b1");
+    say_begin(sent);
+    run(fixture, 100);
+    assert_false(sent->over);
     const Order orders[] = {one("j", 3, 1, "from here")};
-    order(c, orders, 1);
-    assert_true(it->over);
-    assert_int_equal(it->status, STATUS_OK);
-    assert_int_equal(it->orders.starts_count, 1);
-    assert_string_equal(it->orders.starts[0].job, "j");
-    assert_int_equal(it->orders.starts[0].task, 3);
-    assert_string_equal(it->orders.starts[0].payload, "\"spec\"");
-    assert_string_equal(it->orders.starts[0].saved, "from here");
-    assert_int_equal(it->orders.fence, 5);
-    assert_in_range(it->took_ms, 100, 130);
-    talloc_free(c);
+    order(fixture, orders, 1);
+    assert_true(sent->over);
+    assert_int_equal(sent->status, STATUS_OK);
+    assert_int_equal(sent->orders.starts_count, 1);
+    assert_string_equal(sent->orders.starts[0].job, "j");
+    assert_int_equal(sent->orders.starts[0].task, 3);
+    assert_string_equal(sent->orders.starts[0].payload, "\"spec\"");
+    assert_string_equal(sent->orders.starts[0].saved, "from here");
+    assert_int_equal(sent->orders.fence, 5);
+    assert_in_range(sent->took_ms, 100, 130);
+    talloc_free(fixture);
 }
 
 static void answer_that_was_lost_is_given_again(void **state)
 {
     (void)state;
-    Case *c = case_given(3000, 3000);
-    assert_int_equal(say_nothing(c)->orders.starts_count, 1);
-    run(c, ORDER_LIFETIME_MS);
-    Say *it = say_nothing(c);
-    assert_int_equal(it->orders.starts_count, 0);
-    run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
-    talloc_free(c);
+    Case *fixture = case_given(3000, 3000);
+    assert_int_equal(say_nothing(fixture)->orders.starts_count, 1);
+    run(fixture, ORDER_LIFETIME_MS);
+    Say *sent = say_nothing(fixture);
+    assert_int_equal(sent->orders.starts_count, 0);
+    run(fixture, 20);
+    assert_int_equal(reported(&fixture->boss, "j", 0, 1, ATTEMPT_REFUSED), 1);
+    talloc_free(fixture);
 }
 
 static void what_is_not_wanted_is_stopped(void **state)
 {
     (void)state;
-    Case *c = case_given(3000, 3000);
-    say_runs(c, "");
-    order(c, NULL, 0);
-    Say *it = say_runs(c, "");
-    assert_int_equal(it->orders.stops_count, 1);
-    say_ended(c, ATTEMPT_STOPPED, "some");
-    run(c, 20);
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
-    assert_string_equal(c->boss.updates[0].saved, "some");
+    Case *fixture = case_given(3000, 3000);
+    say_runs(fixture, "");
+    order(fixture, NULL, 0);
+    Say *sent = say_runs(fixture, "");
+    assert_int_equal(sent->orders.stops_count, 1);
+    say_ended(fixture, ATTEMPT_STOPPED, "some");
+    run(fixture, 20);
+    assert_int_equal(reported(&fixture->boss, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    assert_string_equal(fixture->boss.updates[0].saved, "some");
     /* the worker reports as running what is over for the leader: it must stop it */
-    it = say_runs(c, "");
-    assert_int_equal(it->orders.stops_count, 1);
-    talloc_free(c);
+    sent = say_runs(fixture, "");
+    assert_int_equal(sent->orders.stops_count, 1);
+    talloc_free(fixture);
 }
 
 /* A restarted agent is ordered again what the process before it had given. */
 static void earlier_agents_attempt_is_not_taken_back(void **state)
 {
     (void)state;
-    Case *c = case_given(5000, 5000);
-    sim_kill(c->world, c->agent_machine);
-    sim_start(c->world, c->agent_machine, agent_begin, c);
-    run(c, 2500); /* the order has expired, the worker has not reported yet */
-    assert_int_equal(c->boss.updates_count, 0);
-    Say *it = say_runs(c, "");
-    assert_int_equal(it->orders.starts_count, 0);
-    assert_int_equal(it->orders.stops_count, 0);
-    run(c, 50);
-    assert_int_equal(c->boss.updates_count, 0);
-    talloc_free(c);
+    Case *fixture = case_given(5000, 5000);
+    sim_kill(fixture->world, fixture->agent_machine);
+    sim_start(fixture->world, fixture->agent_machine, agent_begin, fixture);
+    run(fixture, 2500); /* the order has expired, the worker has not reported yet */
+    assert_int_equal(fixture->boss.updates_count, 0);
+    Say *sent = say_runs(fixture, "");
+    assert_int_equal(sent->orders.starts_count, 0);
+    assert_int_equal(sent->orders.stops_count, 0);
+    run(fixture, 50);
+    assert_int_equal(fixture->boss.updates_count, 0);
+    talloc_free(fixture);
 }
 
 static void late_and_repeated_reports(void **state)
 {
     (void)state;
-    Case *c = case_new(3000, 3000);
-    Say *it = say(c, "b1");
-    it->report.seq = 4;
-    say_all(it);
-    order_task(c, 0);
-    it = say(c, "b1");
-    it->report.seq = 5;
-    say_all(it);
-    assert_int_equal(it->orders.starts_count, 1);
-    it = say(c, "b1");
-    it->report.seq = 6;
-    with_running(it, "");
-    say_all(it);
+    Case *fixture = case_new(3000, 3000);
+    Say *sent = say(fixture, "b1");
+    sent->report.seq = 4;
+    say_all(sent);
+    order_task(fixture, 0);
+    sent = say(fixture, "b1");
+    sent->report.seq = 5;
+    say_all(sent);
+    assert_int_equal(sent->orders.starts_count, 1);
+    sent = say(fixture, "b1");
+    sent->report.seq = 6;
+    with_running(sent, "");
+    say_all(sent);
     /* a report from before it ran arrives only now: the attempt is not lost by that */
-    it = say(c, "b1");
-    it->report.seq = 4;
-    say_all(it);
-    assert_int_equal(it->status, STATUS_CLOSED);
-    run(c, 50);
-    assert_int_equal(c->boss.updates_count, 0);
-    talloc_free(c);
+    sent = say(fixture, "b1");
+    sent->report.seq = 4;
+    say_all(sent);
+    assert_int_equal(sent->status, STATUS_CLOSED);
+    run(fixture, 50);
+    assert_int_equal(fixture->boss.updates_count, 0);
+    talloc_free(fixture);
 }
 
 static void ends_that_wait_are_not_held_back_long(void **state)
 {
     (void)state;
-    Case *c = case_given(3000, 3000);
-    Say *it = say(c, "b1");
-    with_running(it, "");
-    it->report.ends_wait = true;
-    say_all(it);
-    assert_in_range(it->took_ms, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
-    assert_int_equal(it->orders.again_ms, WORKER_AGAIN_MS);
+    Case *fixture = case_given(3000, 3000);
+    Say *sent = say(fixture, "b1");
+    with_running(sent, "");
+    sent->report.ends_wait = true;
+    say_all(sent);
+    assert_in_range(sent->took_ms, WORKER_BUSY_MS - 1, WORKER_BUSY_MS + 11);
+    assert_int_equal(sent->orders.again_ms, WORKER_AGAIN_MS);
     /* the next order goes in the same answer as the acknowledgement of the end */
-    it = say(c, "b1");
-    with_ended(it, ATTEMPT_DONE, "");
-    it->report.ends_wait = true;
-    say_begin(it);
-    run(c, 20);
-    assert_false(it->over);
-    order_task(c, 1);
-    assert_true(it->over);
-    assert_int_equal(it->orders.known_count, 1);
-    assert_int_equal(it->orders.starts_count, 1);
-    talloc_free(c);
+    sent = say(fixture, "b1");
+    with_ended(sent, ATTEMPT_DONE, "");
+    sent->report.ends_wait = true;
+    say_begin(sent);
+    run(fixture, 20);
+    assert_false(sent->over);
+    order_task(fixture, 1);
+    assert_true(sent->over);
+    assert_int_equal(sent->orders.known_count, 1);
+    assert_int_equal(sent->orders.starts_count, 1);
+    talloc_free(fixture);
 }
 
 static void idle_agent_says_little(void **state)
 {
     (void)state;
-    Case *c = case_heard(3000, 3000);
-    run(c, 1000);
-    const size_t heartbeats = c->boss.heartbeats, tellings = c->boss.tellings;
+    Case *fixture = case_heard(3000, 3000);
+    run(fixture, 1000);
+    const size_t heartbeats = fixture->boss.heartbeats, tellings = fixture->boss.tellings;
     for (int i = 0; i < 25; i++) /* ten seconds of an idle worker's reports */
-        say_nothing(c);
-    run(c, 1);
-    const size_t more = c->boss.heartbeats - heartbeats;
+        say_nothing(fixture);
+    run(fixture, 1);
+    const size_t more = fixture->boss.heartbeats - heartbeats;
     assert_in_range(more, 18, 24);
-    assert_int_equal(c->boss.tellings, tellings);
-    talloc_free(c);
+    assert_int_equal(fixture->boss.tellings, tellings);
+    talloc_free(fixture);
 }
 
 int main(void)
--- a/packages/agent/test/agent_ends.c
+++ b/packages/agent/test/agent_ends.c
@@ -4,17 +4,17 @@
 static void saved_travels_once_and_again_to_a_new_leader(void **state)
 {
     (void)state;
-    Case *c = case_given(3000, 3000);
-    Boss *boss = &c->boss;
-    say_runs(c, "");
-    run(c, 700);
+    Case *fixture = case_given(3000, 3000);
+    Boss *boss = &fixture->boss;
+    say_runs(fixture, "");
+    run(fixture, 700);
     assert_int_equal(boss->saved_count, 1); /* that it runs is reported, and once */
     assert_string_equal(saved_last(boss, "j", 0)->text, "");
     assert_true(saved_last(boss, "j", 0)->ran_ms > 0);
-    say_runs(c, "half");
-    run(c, 1000);
-    say_runs(c, "half");
-    run(c, 1000);
+    say_runs(fixture, "half");
+    run(fixture, 1000);
+    say_runs(fixture, "half");
+    run(fixture, 1000);
     /* once, and once more for its progress by now: not with each heartbeat */
     assert_in_range(boss->saved_count, 2, 3);
     assert_true(boss->heartbeats > 8);
@@ -22,72 +22,72 @@
     const size_t before = boss->saved_count;
     boss->term = TERM(6);
     signal_raise(boss->loop, &boss->changed);
-    run(c, 300); /* the worker has reported nothing new */
+    run(fixture, 300); /* the worker has reported nothing new */
     assert_int_equal(boss->saved_count, before + 1);
     assert_string_equal(saved_last(boss, "j", 0)->text, "half");
     /* and with its end, unless the worker gives a newer one */
-    say_ended(c, ATTEMPT_LAPSED, "");
-    run(c, 20);
+    say_ended(fixture, ATTEMPT_LAPSED, "");
+    run(fixture, 20);
     assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_LAPSED), 1);
     assert_string_equal(boss->updates[0].saved, "half");
-    talloc_free(c);
+    talloc_free(fixture);
 }
 
 /* A leader loses power with the report of an end in flight to it. */
 static void end_is_told_to_the_next_leader_at_once(void **state)
 {
     (void)state;
-    Case *c = case_heard(8000, 8000);
-    c->boss.commits = false;
-    say_ended(c, ATTEMPT_DONE, "");
-    assert_int_equal(reported(&c->boss, "j", 0, 1, ATTEMPT_DONE), 1);
-    sim_power_off(c->world, c->boss_machine);
-    run(c, 500);
-    c->other.term = TERM(6);
-    members_set_leader(c->other.members, c->other.term, "other");
-    run(c, 1000); /* one exchange of hellos; the time-out of the report in flight is five seconds */
-    assert_int_equal(reported(&c->other, "j", 0, 1, ATTEMPT_DONE), 1);
-    assert_int_equal(say_ended(c, ATTEMPT_DONE, "")->orders.known_count, 1);
-    talloc_free(c);
+    Case *fixture = case_heard(8000, 8000);
+    fixture->boss.commits = false;
+    say_ended(fixture, ATTEMPT_DONE, "");
+    assert_int_equal(reported(&fixture->boss, "j", 0, 1, ATTEMPT_DONE), 1);
+    sim_power_off(fixture->world, fixture->boss_machine);
+    run(fixture, 500);
+    fixture->other.term = TERM(6);
+    members_set_leader(fixture->other.members, fixture->other.term, "other");
+    run(fixture, 1000); /* one exchange of hellos; the time-out of the report in flight is five seconds */
+    assert_int_equal(reported(&fixture->other, "j", 0, 1, ATTEMPT_DONE), 1);
+    assert_int_equal(say_ended(fixture, ATTEMPT_DONE, "")->orders.known_count, 1);
+    talloc_free(fixture);
 }
 
 static void end_is_known_only_when_committed(void **state)
 {
     (void)state;
-    Case *c = case_given(3000, 3000);
-    Boss *boss = &c->boss;
+    Case *fixture = case_given(3000, 3000);
+    Boss *boss = &fixture->boss;
     boss->commits = false;
-    Say *it = say_ended(c, ATTEMPT_DONE, "");
-    assert_int_equal(it->orders.known_count, 0);
-    it = say_ended(c, ATTEMPT_DONE,
-                   ""); /* reported again by the worker: the agent does not report it to the leader again */
-    assert_int_equal(it->orders.known_count, 0);
+    Say *sent = say_ended(fixture, ATTEMPT_DONE, "");
+    assert_int_equal(sent->orders.known_count, 0);
+    sent = say_ended(fixture, ATTEMPT_DONE,
+                     ""); /* reported again by the worker: the agent does not report it to the leader again */
+    assert_int_equal(sent->orders.known_count, 0);
     assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
     boss->commits = true;
     signal_raise(boss->loop, &boss->changed);
-    run(c, 20);
-    it = say_ended(c, ATTEMPT_DONE, "");
-    assert_int_equal(it->orders.known_count, 1);
-    it = say_ended(c, ATTEMPT_DONE, ""); /* as if the answer had been lost: acknowledged again */
-    assert_int_equal(it->orders.known_count, 1);
+    run(fixture, 20);
+    sent = say_ended(fixture, ATTEMPT_DONE, "");
+    assert_int_equal(sent->orders.known_count, 1);
+    sent = say_ended(fixture, ATTEMPT_DONE, ""); /* as if the answer had been lost: acknowledged again */
+    assert_int_equal(sent->orders.known_count, 1);
     assert_int_equal(reported(boss, "j", 0, 1, ATTEMPT_DONE), 1);
-    talloc_free(c);
+    talloc_free(fixture);
 }
 
 static void five_hundred_ends_at_once(void **state)
 {
     (void)state;
-    Case *c = case_new(3000, 3000);
-    AttemptUpdate *ended = talloc_array(c, AttemptUpdate, 500);
+    Case *fixture = case_new(3000, 3000);
+    AttemptUpdate *ended = talloc_array(fixture, AttemptUpdate, 500);
     for (uint64_t i = 0; i < 500; i++)
         ended[i] = updates("j", i, 1, i % 5 == 0 ? ATTEMPT_FAILED : ATTEMPT_DONE, "");
-    Say *it = saying(c, "b1", NULL, 0, ended, 500);
-    run(c, 50);
-    it = saying(c, "b1", NULL, 0, ended, 500);
-    assert_int_equal(it->orders.known_count, 500);
-    assert_in_range(c->boss.tellings, 1, 2);
-    assert_int_equal(c->boss.updates_count, 500);
-    talloc_free(c);
+    Say *sent = saying(fixture, "b1", NULL, 0, ended, 500);
+    run(fixture, 50);
+    sent = saying(fixture, "b1", NULL, 0, ended, 500);
+    assert_int_equal(sent->orders.known_count, 500);
+    assert_in_range(fixture->boss.tellings, 1, 2);
+    assert_int_equal(fixture->boss.updates_count, 500);
+    talloc_free(fixture);
 }
 
 int main(void)
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -124,12 +124,12 @@
 
 static inline void agent_boot(void *arg)
 {
-    Case *c = arg;
-    Loop *loop = sim_loop(c->world, c->agent_machine);
+    Case *fixture = arg;
+    Loop *loop = sim_loop(fixture->world, fixture->agent_machine);
     Recorder *recorder = recorder_new(loop, "agent");
     recorder_quiet(recorder);
     Failure failure = {0};
-    assert_int_equal(agent_start(loop, loop, recorder, &c->settings, &c->agent, &failure), STATUS_OK);
+    assert_int_equal(agent_start(loop, loop, recorder, &fixture->settings, &fixture->agent, &failure), STATUS_OK);
 }
 
 static inline void agent_begin(void *arg, Loop *loop)
@@ -137,43 +137,43 @@
     loop_spawn(loop, "boot", agent_boot, arg);
 }
 
-static inline void run(Case *c, int64_t for_ms)
+static inline void run(Case *fixture, int64_t for_ms)
 {
-    sim_run_until(c->world, sim_now_ms(c->world) + for_ms);
+    sim_run_until(fixture->world, sim_now_ms(fixture->world) + for_ms);
 }
 
 static inline Case *case_new(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *c = talloc_zero(NULL, Case);
-    c->world = sim_world_new(c, 1);
-    c->boss_machine = sim_machine(c->world);
-    c->agent_machine = sim_machine(c->world);
-    c->other_machine = sim_machine(c->world);
-    c->boss = (Boss){.id = "boss", .address = BOSS, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
-    c->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
-    c->settings = (Settings){.name = "a1",
-                             .worker = "w1",
-                             .zone = "z",
-                             .listen = "10.0.0.2:7000",
-                             .http = "10.0.0.2:8000",
-                             .seeds = {BOSS, OTHER, BOSS},
-                             .bounds = bounds_first()};
-    c->settings.bounds.lease_ms = lease_ms;
-    c->settings.bounds.worker_lease_ms = worker_lease_ms;
-    c->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
-    sim_start(c->world, c->boss_machine, boss_start, &c->boss);
-    sim_start(c->world, c->other_machine, boss_start, &c->other);
-    sim_start(c->world, c->agent_machine, agent_begin, c);
-    run(c, 2000);
-    assert_non_null(c->agent);
-    return c;
+    Case *fixture = talloc_zero(NULL, Case);
+    fixture->world = sim_world_new(fixture, 1);
+    fixture->boss_machine = sim_machine(fixture->world);
+    fixture->agent_machine = sim_machine(fixture->world);
+    fixture->other_machine = sim_machine(fixture->world);
+    fixture->boss = (Boss){.id = "boss", .address = BOSS, .term = TERM(5), .lease_ms = lease_ms, .commits = true};
+    fixture->other = (Boss){.id = "other", .address = OTHER, .lease_ms = lease_ms, .commits = true};
+    fixture->settings = (Settings){.name = "a1",
+                                   .worker = "w1",
+                                   .zone = "z",
+                                   .listen = "10.0.0.2:7000",
+                                   .http = "10.0.0.2:8000",
+                                   .seeds = {BOSS, OTHER, BOSS},
+                                   .bounds = bounds_first()};
+    fixture->settings.bounds.lease_ms = lease_ms;
+    fixture->settings.bounds.worker_lease_ms = worker_lease_ms;
+    fixture->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
+    sim_start(fixture->world, fixture->boss_machine, boss_start, &fixture->boss);
+    sim_start(fixture->world, fixture->other_machine, boss_start, &fixture->other);
+    sim_start(fixture->world, fixture->agent_machine, agent_begin, fixture);
+    run(fixture, 2000);
+    assert_non_null(fixture->agent);
+    return fixture;
 }
 
 /* --- the worker's side ------------------------------------------------------------ */
 
 /* A report in flight; its answer is a child of the case. */
 typedef struct Say {
-    Case *c;
+    Case *fixture;
     WorkerReport report;
     WorkerOrders orders;
     Status status;
@@ -184,40 +184,40 @@
 static inline void say_main(void *arg)
 {
     Say *say = arg;
-    const int64_t since_ms = sim_now_ms(say->c->world);
-    say->status = agent_report(say->c->agent, say->c, &say->gone, &say->report, &say->orders);
-    say->took_ms = sim_now_ms(say->c->world) - since_ms;
+    const int64_t since_ms = sim_now_ms(say->fixture->world);
+    say->status = agent_report(say->fixture->agent, say->fixture, &say->gone, &say->report, &say->orders);
+    say->took_ms = sim_now_ms(say->fixture->world) - since_ms;
     say->over = true;
 }
 
-static inline Say *say(Case *c, const char *boot)
+static inline Say *say(Case *fixture, const char *boot)
 {
-    Say *it = talloc_zero(c, Say);
-    it->c = c;
-    it->report = (WorkerReport){.boot = boot, .worker = c->worker, .boot_ends = true, .wait_ms = 400};
-    return it;
+    Say *sent = talloc_zero(fixture, Say);
+    sent->fixture = fixture;
+    sent->report = (WorkerReport){.boot = boot, .worker = fixture->worker, .boot_ends = true, .wait_ms = 400};
+    return sent;
 }
 
-static inline void say_begin(Say *it)
+static inline void say_begin(Say *sent)
 {
-    loop_spawn(sim_loop(it->c->world, it->c->agent_machine), "say", say_main, it);
-    run(it->c, 1);
+    loop_spawn(sim_loop(sent->fixture->world, sent->fixture->agent_machine), "say", say_main, sent);
+    run(sent->fixture, 1);
 }
 
 /* Sends the report and waits for its answer. */
-static inline Say *say_all(Say *it)
+static inline Say *say_all(Say *sent)
 {
-    say_begin(it);
-    for (int i = 0; i < 100 && !it->over; i++)
-        run(it->c, 10);
-    assert_true(it->over);
-    return it;
+    say_begin(sent);
+    for (int i = 0; i < 100 && !sent->over; i++)
+        run(sent->fixture, 10);
+    assert_true(sent->over);
+    return sent;
 }
 
 /* A report with no attempts in it. */
-static inline Say *say_nothing(Case *c)
+static inline Say *say_nothing(Case *fixture)
 {
-    return say_all(say(c, "b1"));
+    return say_all(say(fixture, "b1"));
 }
 
 static inline AttemptUpdate updates(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
@@ -227,56 +227,56 @@
         .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
 }
 
-static inline Say *saying(Case *c, const char *boot, const AttemptUpdate *running, size_t running_count,
+static inline Say *saying(Case *fixture, const char *boot, const AttemptUpdate *running, size_t running_count,
                           const AttemptUpdate *ended, size_t ended_count)
 {
-    Say *it = say(c, boot);
-    it->report.running = running;
-    it->report.running_count = running_count;
-    it->report.ended = ended;
-    it->report.ended_count = ended_count;
-    say_all(it);
-    return it;
+    Say *sent = say(fixture, boot);
+    sent->report.running = running;
+    sent->report.running_count = running_count;
+    sent->report.ended = ended;
+    sent->report.ended_count = ended_count;
+    say_all(sent);
+    return sent;
 }
 
 /* Adds the attempt 1 of task 0 of "j" to a report, as one that runs or as one that has ended. */
-static inline Say *with_running(Say *it, const char *saved)
+static inline Say *with_running(Say *sent, const char *saved)
 {
-    AttemptUpdate *running = talloc(it, AttemptUpdate);
+    AttemptUpdate *running = talloc(sent, AttemptUpdate);
     *running = updates("j", 0, 1, ATTEMPT_RUNNING, saved);
-    it->report.running = running;
-    it->report.running_count = 1;
-    return it;
+    sent->report.running = running;
+    sent->report.running_count = 1;
+    return sent;
 }
 
-static inline Say *with_ended(Say *it, AttemptWord word, const char *saved)
+static inline Say *with_ended(Say *sent, AttemptWord word, const char *saved)
 {
-    AttemptUpdate *ended = talloc(it, AttemptUpdate);
+    AttemptUpdate *ended = talloc(sent, AttemptUpdate);
     *ended = updates("j", 0, 1, word, saved);
-    it->report.ended = ended;
-    it->report.ended_count = 1;
-    return it;
+    sent->report.ended = ended;
+    sent->report.ended_count = 1;
+    return sent;
 }
 
 /* The worker reports that attempt alone. */
-static inline Say *say_runs(Case *c, const char *saved)
+static inline Say *say_runs(Case *fixture, const char *saved)
 {
-    return say_all(with_running(say(c, "b1"), saved));
+    return say_all(with_running(say(fixture, "b1"), saved));
 }
 
-static inline Say *say_ended(Case *c, AttemptWord word, const char *saved)
+static inline Say *say_ended(Case *fixture, AttemptWord word, const char *saved)
 {
-    return say_all(with_ended(say(c, "b1"), word, saved));
+    return say_all(with_ended(say(fixture, "b1"), word, saved));
 }
 
 /* --- the leader's side -------------------------------------------------------------- */
 
 /* From now on these attempts are wanted, and those of them start that have not. */
-static inline void order(Case *c, const Order *orders, size_t count)
+static inline void order(Case *fixture, const Order *orders, size_t count)
 {
-    Boss *boss = &c->boss;
-    Order *starts = talloc_array(c, Order, (unsigned)count);
-    AttemptId *wanted = talloc_array(c, AttemptId, (unsigned)count);
+    Boss *boss = &fixture->boss;
+    Order *starts = talloc_array(fixture, Order, (unsigned)count);
+    AttemptId *wanted = talloc_array(fixture, AttemptId, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         starts[i] = orders[i];
         wanted[i] = (AttemptId){orders[i].job, orders[i].task, orders[i].attempt};
@@ -287,7 +287,7 @@
     boss->orders.wanted_count = count;
     boss->version++;
     signal_raise(boss->loop, &boss->changed);
-    run(c, 60);
+    run(fixture, 60);
 }
 
 static inline Order one(const char *job, uint64_t task, uint64_t attempt, const char *saved)
@@ -314,10 +314,10 @@
 }
 
 /* Attempt 1 of this task of "j" is ordered, and nothing else. */
-static inline void order_task(Case *c, uint64_t task)
+static inline void order_task(Case *fixture, uint64_t task)
 {
     const Order only = one("j", task, 1, "");
-    order(c, &only, 1);
+    order(fixture, &only, 1);
 }
 
 /* --- how cases begin ------------------------------------------------------------------ */
@@ -325,25 +325,25 @@
 /* The worker has reported once. */
 static inline Case *case_heard(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *c = case_new(lease_ms, worker_lease_ms);
-    say_nothing(c);
-    return c;
+    Case *fixture = case_new(lease_ms, worker_lease_ms);
+    say_nothing(fixture);
+    return fixture;
 }
 
 /* ... and attempt 1 of task 0 of "j" is ordered ... */
 static inline Case *case_ordered(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *c = case_heard(lease_ms, worker_lease_ms);
-    order_task(c, 0);
-    return c;
+    Case *fixture = case_heard(lease_ms, worker_lease_ms);
+    order_task(fixture, 0);
+    return fixture;
 }
 
 /* ... and given to the worker. */
 static inline Case *case_given(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *c = case_ordered(lease_ms, worker_lease_ms);
-    assert_int_equal(say_nothing(c)->orders.starts_count, 1);
-    return c;
+    Case *fixture = case_ordered(lease_ms, worker_lease_ms);
+    assert_int_equal(say_nothing(fixture)->orders.starts_count, 1);
+    return fixture;
 }
 
 #endif
--- a/packages/config/src/entries.c
+++ b/packages/config/src/entries.c
@@ -46,9 +46,9 @@
 
 static gboolean key_equal(gconstpointer a, gconstpointer b)
 {
-    const EntryKey *x = a, *y = b;
-    return x->hash == y->hash && x->prefix_length == y->prefix_length &&
-           memcmp(x->prefix, y->prefix, x->prefix_length) == 0 && strcmp(x->host, y->host) == 0;
+    const EntryKey *one = a, *other = b;
+    return one->hash == other->hash && one->prefix_length == other->prefix_length &&
+           memcmp(one->prefix, other->prefix, one->prefix_length) == 0 && strcmp(one->host, other->host) == 0;
 }
 
 static int entries_free(ConfigEntries *entries)
--- a/packages/config/test/sharing.c
+++ b/packages/config/test/sharing.c
@@ -97,19 +97,19 @@
     assert_int_equal(a->tenant_count, b->tenant_count);
     assert_int_equal(a->queue_count, b->queue_count);
     for (size_t q = 0; q < a->queue_count; q++) {
-        const ConfigQueue *x = a->queues[q], *y = b->queues[q];
-        assert_string_equal(x->name, y->name);
-        assert_string_equal(x->kind, y->kind);
-        assert_string_equal(x->note, y->note);
-        assert_int_equal(x->timeout_ms, y->timeout_ms);
-        assert_ptr_equal(config_queue(a, x->name), x);
+        const ConfigQueue *one = a->queues[q], *other = b->queues[q];
+        assert_string_equal(one->name, other->name);
+        assert_string_equal(one->kind, other->kind);
+        assert_string_equal(one->note, other->note);
+        assert_int_equal(one->timeout_ms, other->timeout_ms);
+        assert_ptr_equal(config_queue(a, one->name), one);
         shared->queues++;
-        shared->reused += old != NULL && config_queue(old, x->name) == x;
-        if (x->host[0] == '\0')
+        shared->reused += old != NULL && config_queue(old, one->name) == one;
+        if (one->host[0] == '\0')
             continue;
-        const char *path = talloc_asprintf(mem, "%sx", x->prefix);
-        assert_ptr_equal(config_entry(onward, x->host, path)->queue, x);
-        assert_ptr_equal(config_entry(alone, x->host, path)->queue, y);
+        const char *path = talloc_asprintf(mem, "%sx", one->prefix);
+        assert_ptr_equal(config_entry(onward, one->host, path)->queue, one);
+        assert_ptr_equal(config_entry(alone, one->host, path)->queue, other);
     }
     talloc_free(mem);
 }
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -160,8 +160,9 @@
 
 static int since_order(const void *a, const void *b)
 {
-    const Standing *x = *(const Standing *const *)a, *y = *(const Standing *const *)b;
-    return x->since_ms != y->since_ms ? (x->since_ms < y->since_ms ? -1 : 1) : (int)x->alert - (int)y->alert;
+    const Standing *one = *(const Standing *const *)a, *other = *(const Standing *const *)b;
+    return one->since_ms != other->since_ms ? (one->since_ms < other->since_ms ? -1 : 1)
+                                            : (int)one->alert - (int)other->alert;
 }
 
 json_object *alerts_show(const Controller *controller)
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -85,11 +85,11 @@
 
 static int item_order(const void *a, const void *b)
 {
-    const RepairItem *x = a, *y = b;
-    const size_t p = kind_place(x->change), q = kind_place(y->change);
-    if (p != q)
-        return p < q ? -1 : 1;
-    return x->index < y->index ? -1 : x->index > y->index;
+    const RepairItem *one = a, *other = b;
+    const size_t one_place = kind_place(one->change), other_place = kind_place(other->change);
+    if (one_place != other_place)
+        return one_place < other_place ? -1 : 1;
+    return one->index < other->index ? -1 : one->index > other->index;
 }
 
 static uint64_t version_of(const ConfigSet *set)
--- a/packages/document/src/document.c
+++ b/packages/document/src/document.c
@@ -95,19 +95,19 @@
 /* Numbers with a fraction remember how they were written. */
 static bool same_number(json_object *a, json_object *b)
 {
-    const char *x = json_object_get_userdata(a), *y = json_object_get_userdata(b);
-    return x != NULL && y != NULL ? strcmp(x, y) == 0 : json_object_equal(a, b);
+    const char *one = json_object_get_userdata(a), *other = json_object_get_userdata(b);
+    return one != NULL && other != NULL ? strcmp(one, other) == 0 : json_object_equal(a, b);
 }
 
 static bool same_object(json_object *a, json_object *b)
 {
     if (json_object_object_length(a) != json_object_object_length(b))
         return false;
-    struct json_object_iterator x = json_object_iter_begin(a), y = json_object_iter_begin(b);
+    struct json_object_iterator one = json_object_iter_begin(a), other = json_object_iter_begin(b);
     const struct json_object_iterator end = json_object_iter_end(a);
-    for (; !json_object_iter_equal(&x, &end); json_object_iter_next(&x), json_object_iter_next(&y))
-        if (strcmp(json_object_iter_peek_name(&x), json_object_iter_peek_name(&y)) != 0 ||
-            !document_same(json_object_iter_peek_value(&x), json_object_iter_peek_value(&y)))
+    for (; !json_object_iter_equal(&one, &end); json_object_iter_next(&one), json_object_iter_next(&other))
+        if (strcmp(json_object_iter_peek_name(&one), json_object_iter_peek_name(&other)) != 0 ||
+            !document_same(json_object_iter_peek_value(&one), json_object_iter_peek_value(&other)))
             return false;
     return true;
 }
--- a/packages/explore/src/draw.c
+++ b/packages/explore/src/draw.c
@@ -15,10 +15,10 @@
 /* splitmix64 */
 static uint64_t below(Draw *draw, uint64_t bound)
 {
-    uint64_t z = (draw->state += 0x9e3779b97f4a7c15u);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return (z ^ (z >> 31)) % bound;
+    uint64_t mixed_bits = (draw->state += 0x9e3779b97f4a7c15u);
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
+    return (mixed_bits ^ (mixed_bits >> 31)) % bound;
 }
 
 /* How often an act is drawn, and within what its span and amount are. */
--- a/packages/explore/src/items.c
+++ b/packages/explore/src/items.c
@@ -16,11 +16,11 @@
     return &items->list[items->count++];
 }
 
-static uint64_t mix(uint64_t z)
+static uint64_t mix(uint64_t mixed_bits)
 {
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return z ^ (z >> 31);
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
+    return mixed_bits ^ (mixed_bits >> 31);
 }
 
 Item item_of(void *mem, const Record *entry)
--- a/packages/heartbeat/test/orphans.c
+++ b/packages/heartbeat/test/orphans.c
@@ -19,113 +19,113 @@
 static int case_begin(void **state)
 {
     static StepSpec step = {.name = "a", .count = 2, .resources = {3000, 64, 1}, .kind = "", .payload = "", .near = ""};
-    Case *it = talloc_zero(NULL, Case);
-    it->board = board_new();
-    it->orphans = orphans_new(it->board.table);
-    table_left_watch(it->board.table, on_left, it->orphans);
+    Case *fixture = talloc_zero(NULL, Case);
+    fixture->board = board_new();
+    fixture->orphans = orphans_new(fixture->board.table);
+    table_left_watch(fixture->board.table, on_left, fixture->orphans);
     const JobSpec spec = spec_of("j", &step, 1);
-    it->job = job_add(&it->board, &spec, (JobTerms){.kind = ""});
-    *state = it;
+    fixture->job = job_add(&fixture->board, &spec, (JobTerms){.kind = ""});
+    *state = fixture;
     return 0;
 }
 
 static int case_end(void **state)
 {
-    Case *it = *state;
-    talloc_free(it->board.table);
-    talloc_free(it);
+    Case *fixture = *state;
+    talloc_free(fixture->board.table);
+    talloc_free(fixture);
     return 0;
 }
 
-static uint64_t cpu_on(const Case *it, const char *worker)
+static uint64_t cpu_on(const Case *fixture, const char *worker)
 {
     Resources resources;
-    assert_true(orphans_resources(it->orphans, worker, &resources));
+    assert_true(orphans_resources(fixture->orphans, worker, &resources));
     return resources.cpu_milli;
 }
 
-static void heartbeat(Case *it, const char *worker, AttemptId *attempts, size_t count, int64_t now_ms)
+static void heartbeat(Case *fixture, const char *worker, AttemptId *attempts, size_t count, int64_t now_ms)
 {
     const HeartbeatAsk ask = {
         .agent = worker, .worker = {.name = worker}, .attempts = attempts, .attempts_count = count};
-    orphans_heartbeat(it->orphans, it->board.table, &ask, now_ms);
+    orphans_heartbeat(fixture->orphans, fixture->board.table, &ask, now_ms);
 }
 
 /* An older attempt finishes well while a newer one runs elsewhere: that one is to be stopped, and uses
  * capacity until its agent has reported its end. */
 static void newer_counts_until_its_end(void **state)
 {
-    Case *it = *state;
+    Case *fixture = *state;
     const uint64_t first[] = {0};
-    place(&it->board, "j", first, 1, 1, "w1", "");
-    lose(&it->board, "w1");
-    place(&it->board, "j", first, 1, 2, "w2", "");
-    say(&it->board, "j", 0, 2, "w2", ATTEMPT_RUNNING, "");
-    assert_int_equal(cpu_on(it, "w2"), 0);
-    say(&it->board, "j", 0, 1, "w1", ATTEMPT_DONE, "");
-    assert_int_equal(it->job->tasks[0].phase, TASK_DONE);
-    assert_int_equal(cpu_on(it, "w2"), 3000);
+    place(&fixture->board, "j", first, 1, 1, "w1", "");
+    lose(&fixture->board, "w1");
+    place(&fixture->board, "j", first, 1, 2, "w2", "");
+    say(&fixture->board, "j", 0, 2, "w2", ATTEMPT_RUNNING, "");
+    assert_int_equal(cpu_on(fixture, "w2"), 0);
+    say(&fixture->board, "j", 0, 1, "w1", ATTEMPT_DONE, "");
+    assert_int_equal(fixture->job->tasks[0].phase, TASK_DONE);
+    assert_int_equal(cpu_on(fixture, "w2"), 3000);
     AttemptId listed = {"j", 0, 2};
-    heartbeat(it, "w2", &listed, 1, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(it, "w2"), 3000); /* still there, though no order is on its way */
+    heartbeat(fixture, "w2", &listed, 1, UNTIL_MS + 1);
+    assert_int_equal(cpu_on(fixture, "w2"), 3000); /* still there, though no order is on its way */
     const AttemptUpdate older = {.job = "j", .task = 0, .attempt = 1, .worker = "w2", .word = ATTEMPT_STOPPED};
-    orphans_end(it->orphans, &older);
-    assert_int_equal(cpu_on(it, "w2"), 3000);
+    orphans_end(fixture->orphans, &older);
+    assert_int_equal(cpu_on(fixture, "w2"), 3000);
     const AttemptUpdate end = {.job = "j", .task = 0, .attempt = 2, .worker = "w2", .word = ATTEMPT_STOPPED};
-    orphans_end(it->orphans, &end);
-    assert_int_equal(cpu_on(it, "w2"), 0);
+    orphans_end(fixture->orphans, &end);
+    assert_int_equal(cpu_on(fixture, "w2"), 0);
 }
 
 /* An order that may still be on its way counts, whatever the agent lists. */
 static void order_on_its_way_counts(void **state)
 {
-    Case *it = *state;
-    orphans_add(it->orphans, "w1", it->job, &it->job->tasks[1], 1, UNTIL_MS);
-    heartbeat(it, "w1", NULL, 0, UNTIL_MS - 1);
-    assert_int_equal(cpu_on(it, "w1"), 3000);
-    heartbeat(it, "w1", NULL, 0, UNTIL_MS + 1);
-    assert_int_equal(cpu_on(it, "w1"), 0);
+    Case *fixture = *state;
+    orphans_add(fixture->orphans, "w1", fixture->job, &fixture->job->tasks[1], 1, UNTIL_MS);
+    heartbeat(fixture, "w1", NULL, 0, UNTIL_MS - 1);
+    assert_int_equal(cpu_on(fixture, "w1"), 3000);
+    heartbeat(fixture, "w1", NULL, 0, UNTIL_MS + 1);
+    assert_int_equal(cpu_on(fixture, "w1"), 0);
 }
 
 /* What an agent lists and the table places elsewhere counts there too; what the table does not know at
  * all is of unknown size. */
 static void listed_but_placed_elsewhere_counts(void **state)
 {
-    Case *it = *state;
+    Case *fixture = *state;
     const uint64_t both[] = {0, 1};
-    place(&it->board, "j", both, 2, 1, "w1", "");
+    place(&fixture->board, "j", both, 2, 1, "w1", "");
     AttemptId listed[] = {{"j", 0, 1}, {"j", 1, 1}};
-    heartbeat(it, "w1", listed, 2, 10);
-    assert_int_equal(cpu_on(it, "w1"), 0);
-    heartbeat(it, "w2", listed, 1, 10);
-    assert_int_equal(cpu_on(it, "w2"), 3000);
+    heartbeat(fixture, "w1", listed, 2, 10);
+    assert_int_equal(cpu_on(fixture, "w1"), 0);
+    heartbeat(fixture, "w2", listed, 1, 10);
+    assert_int_equal(cpu_on(fixture, "w2"), 3000);
     AttemptId unknown = {"k", 0, 1};
-    heartbeat(it, "w2", &unknown, 1, 20);
+    heartbeat(fixture, "w2", &unknown, 1, 20);
     Resources resources;
-    assert_false(orphans_resources(it->orphans, "w2", &resources));
-    heartbeat(it, "w2", NULL, 0, 30);
-    assert_int_equal(cpu_on(it, "w2"), 0);
+    assert_false(orphans_resources(fixture->orphans, "w2", &resources));
+    heartbeat(fixture, "w2", NULL, 0, 30);
+    assert_int_equal(cpu_on(fixture, "w2"), 0);
 }
 
 /* An attempt whose end its agent has reported is not orphaned. */
 static void reported_end_counts_no_longer(void **state)
 {
-    Case *it = *state;
+    Case *fixture = *state;
     const uint64_t first[] = {0};
-    place(&it->board, "j", first, 1, 1, "w1", "");
-    say(&it->board, "j", 0, 1, "w1", ATTEMPT_FAILED, "");
-    assert_int_equal(cpu_on(it, "w1"), 0);
+    place(&fixture->board, "j", first, 1, 1, "w1", "");
+    say(&fixture->board, "j", 0, 1, "w1", ATTEMPT_FAILED, "");
+    assert_int_equal(cpu_on(fixture, "w1"), 0);
 }
 
 /* A state loaded from a snapshot is watched as the one before it. */
 static void loaded_state_is_watched(void **state)
 {
-    Case *it = *state;
-    again(&it->board);
+    Case *fixture = *state;
+    again(&fixture->board);
     const uint64_t first[] = {0};
-    place(&it->board, "j", first, 1, 1, "w1", "");
-    lose(&it->board, "w1");
-    assert_int_equal(cpu_on(it, "w1"), 3000);
+    place(&fixture->board, "j", first, 1, 1, "w1", "");
+    lose(&fixture->board, "w1");
+    assert_int_equal(cpu_on(fixture, "w1"), 3000);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, case_begin, case_end)
--- a/packages/loop/src/real_channel.c
+++ b/packages/loop/src/real_channel.c
@@ -37,54 +37,54 @@
     Channel *channel;
 } Accepted;
 
-static void drop(RealChannel *rc)
+static void drop(RealChannel *real_channel)
 {
-    if (rc->sock != NULL) {
-        h2o_socket_t *sock = rc->sock;
-        rc->sock = NULL;
+    if (real_channel->sock != NULL) {
+        h2o_socket_t *sock = real_channel->sock;
+        real_channel->sock = NULL;
         h2o_socket_close(sock);
     }
 }
 
-static void flush_leave(RealChannel *rc)
+static void flush_leave(RealChannel *real_channel)
 {
-    if (!rc->to_flush)
+    if (!real_channel->to_flush)
         return;
-    rc->to_flush = false;
-    if (rc->flush_prev != NULL)
-        rc->flush_prev->flush_next = rc->flush_next;
+    real_channel->to_flush = false;
+    if (real_channel->flush_prev != NULL)
+        real_channel->flush_prev->flush_next = real_channel->flush_next;
     else
-        rc->real->flush_first = rc->flush_next;
-    if (rc->flush_next != NULL)
-        rc->flush_next->flush_prev = rc->flush_prev;
+        real_channel->real->flush_first = real_channel->flush_next;
+    if (real_channel->flush_next != NULL)
+        real_channel->flush_next->flush_prev = real_channel->flush_prev;
 }
 
-static int channel_free(RealChannel *rc)
+static int channel_free(RealChannel *real_channel)
 {
-    flush_leave(rc);
-    drop(rc);
+    flush_leave(real_channel);
+    drop(real_channel);
     return 0;
 }
 
 static void on_read(h2o_socket_t *sock, const char *err)
 {
-    RealChannel *rc = sock->data;
+    RealChannel *real_channel = sock->data;
     if (err != NULL) {
-        drop(rc);
-        channel_end(&rc->channel);
+        drop(real_channel);
+        channel_end(&real_channel->channel);
         return;
     }
     while (sock->input->size >= 4) {
         const uint8_t *at = (const uint8_t *)sock->input->bytes;
         const uint32_t count = (uint32_t)at[0] << 24 | (uint32_t)at[1] << 16 | (uint32_t)at[2] << 8 | at[3];
-        if (count > FRAME_MAX_BYTES || rc->channel.frame_count >= CHANNEL_QUEUE_FRAMES) {
-            drop(rc);
-            channel_end(&rc->channel);
+        if (count > FRAME_MAX_BYTES || real_channel->channel.frame_count >= CHANNEL_QUEUE_FRAMES) {
+            drop(real_channel);
+            channel_end(&real_channel->channel);
             return;
         }
         if (sock->input->size < 4 + (size_t)count)
             return;
-        channel_arrive(&rc->channel, (Bytes){(uint8_t *)sock->input->bytes + 4, count, 0});
+        channel_arrive(&real_channel->channel, (Bytes){(uint8_t *)sock->input->bytes + 4, count, 0});
         h2o_buffer_consume(&sock->input, 4 + (size_t)count);
     }
 }
@@ -92,64 +92,66 @@
 static void on_written(h2o_socket_t *sock, const char *err);
 
 /* Writes what the kernel takes without waiting. */
-static void write_now(RealChannel *rc)
+static void write_now(RealChannel *real_channel)
 {
-    const ssize_t took = send(h2o_socket_get_fd(rc->sock), rc->next.data, rc->next.count, MSG_NOSIGNAL | MSG_DONTWAIT);
+    const ssize_t took = send(h2o_socket_get_fd(real_channel->sock), real_channel->next.data, real_channel->next.count,
+                              MSG_NOSIGNAL | MSG_DONTWAIT);
     if (took < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
-        rc->broken = true; /* nothing more is written; what has arrived is read first, then the end */
+        real_channel->broken = true; /* nothing more is written; what has arrived is read first, then the end */
     if (took <= 0)
         return;
-    rc->channel.handed += (uint64_t)took;
-    rc->next.count -= (size_t)took;
-    memmove(rc->next.data, rc->next.data + took, rc->next.count);
-    if (rc->next.count == 0 && rc->next.capacity > CHANNEL_KEEP_BYTES) {
-        talloc_free(rc->next.data);
-        rc->next = (Bytes){0};
+    real_channel->channel.handed += (uint64_t)took;
+    real_channel->next.count -= (size_t)took;
+    memmove(real_channel->next.data, real_channel->next.data + took, real_channel->next.count);
+    if (real_channel->next.count == 0 && real_channel->next.capacity > CHANNEL_KEEP_BYTES) {
+        talloc_free(real_channel->next.data);
+        real_channel->next = (Bytes){0};
     }
 }
 
-static void write_next(RealChannel *rc)
+static void write_next(RealChannel *real_channel)
 {
-    if (rc->writing || rc->connecting || rc->broken || rc->sock == NULL || rc->next.count == 0)
+    if (real_channel->writing || real_channel->connecting || real_channel->broken || real_channel->sock == NULL ||
+        real_channel->next.count == 0)
         return;
-    write_now(rc);
-    if (rc->next.count == 0 || rc->broken)
+    write_now(real_channel);
+    if (real_channel->next.count == 0 || real_channel->broken)
         return;
-    const Bytes spare = rc->out;
-    rc->out = rc->next;
-    rc->next = (Bytes){spare.data, 0, spare.capacity};
-    rc->writing = true;
-    rc->channel.handed += rc->out.count; /* some of it may leave before the callback */
-    h2o_iovec_t vec = h2o_iovec_init((char *)rc->out.data, rc->out.count);
-    h2o_socket_write(rc->sock, &vec, 1, on_written);
+    const Bytes spare = real_channel->out;
+    real_channel->out = real_channel->next;
+    real_channel->next = (Bytes){spare.data, 0, spare.capacity};
+    real_channel->writing = true;
+    real_channel->channel.handed += real_channel->out.count; /* some of it may leave before the callback */
+    h2o_iovec_t vec = h2o_iovec_init((char *)real_channel->out.data, real_channel->out.count);
+    h2o_socket_write(real_channel->sock, &vec, 1, on_written);
 }
 
 static void on_written(h2o_socket_t *sock, const char *err)
 {
-    RealChannel *rc = sock->data;
-    rc->writing = false;
-    if (rc->out.capacity > CHANNEL_KEEP_BYTES) {
-        talloc_free(rc->out.data);
-        rc->out = (Bytes){0};
+    RealChannel *real_channel = sock->data;
+    real_channel->writing = false;
+    if (real_channel->out.capacity > CHANNEL_KEEP_BYTES) {
+        talloc_free(real_channel->out.data);
+        real_channel->out = (Bytes){0};
     }
     if (err != NULL) {
-        drop(rc);
-        channel_end(&rc->channel);
+        drop(real_channel);
+        channel_end(&real_channel->channel);
         return;
     }
-    write_next(rc);
+    write_next(real_channel);
 }
 
 static RealChannel *channel_new(RealLoop *real, void *mem, h2o_socket_t *sock)
 {
-    RealChannel *rc = talloc_zero(mem, RealChannel);
-    rc->channel.loop = &real->loop;
-    rc->real = real;
-    rc->sock = sock;
+    RealChannel *real_channel = talloc_zero(mem, RealChannel);
+    real_channel->channel.loop = &real->loop;
+    real_channel->real = real;
+    real_channel->sock = sock;
     if (sock != NULL)
-        sock->data = rc;
-    talloc_set_destructor(rc, channel_free);
-    return rc;
+        sock->data = real_channel;
+    talloc_set_destructor(real_channel, channel_free);
+    return real_channel;
 }
 
 static void accepted_main(void *arg)
@@ -167,10 +169,10 @@
     if (err != NULL)
         return;
     while ((got = h2o_evloop_socket_accept(sock)) != NULL) {
-        RealChannel *rc = channel_new(listener->real, listener->real, got);
+        RealChannel *real_channel = channel_new(listener->real, listener->real, got);
         h2o_socket_read_start(got, on_read);
         Accepted *accepted = talloc_zero(listener->real, Accepted);
-        *accepted = (Accepted){listener, &rc->channel};
+        *accepted = (Accepted){listener, &real_channel->channel};
         loop_spawn(&listener->real->loop, "connection", accepted_main, accepted);
     }
 }
@@ -185,15 +187,15 @@
 
 static void on_connect(h2o_socket_t *sock, const char *err)
 {
-    RealChannel *rc = sock->data;
-    rc->connecting = false;
+    RealChannel *real_channel = sock->data;
+    real_channel->connecting = false;
     if (err != NULL) {
-        drop(rc);
+        drop(real_channel);
     } else {
         h2o_socket_read_start(sock, on_read);
-        write_next(rc);
+        write_next(real_channel);
     }
-    signal_raise(&rc->real->loop, &rc->connected);
+    signal_raise(&real_channel->real->loop, &real_channel->connected);
 }
 
 Status real_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel)
@@ -206,39 +208,39 @@
     if (sock == NULL)
         return STATUS_UNREACHABLE;
     real_patience(h2o_socket_get_fd(sock));
-    RealChannel *rc = channel_new(real, mem, sock);
-    rc->connecting = true;
-    if (!signal_wait(loop, &rc->connected, loop_now_ms(loop) + wait_ms) || rc->sock == NULL) {
-        channel_close(&rc->channel);
+    RealChannel *real_channel = channel_new(real, mem, sock);
+    real_channel->connecting = true;
+    if (!signal_wait(loop, &real_channel->connected, loop_now_ms(loop) + wait_ms) || real_channel->sock == NULL) {
+        channel_close(&real_channel->channel);
         return STATUS_UNREACHABLE;
     }
-    *channel = &rc->channel;
+    *channel = &real_channel->channel;
     return STATUS_OK;
 }
 
 Status real_send(Channel *channel, Bytes frame)
 {
-    RealChannel *rc = (RealChannel *)channel;
+    RealChannel *real_channel = (RealChannel *)channel;
     if (frame.count > FRAME_MAX_BYTES)
         return STATUS_TOO_LARGE;
-    if (rc->next.count + frame.count > CHANNEL_QUEUE_BYTES) {
-        drop(rc);
+    if (real_channel->next.count + frame.count > CHANNEL_QUEUE_BYTES) {
+        drop(real_channel);
         channel_end(channel);
         return STATUS_BUSY;
     }
     const uint8_t head[4] = {(uint8_t)(frame.count >> 24), (uint8_t)(frame.count >> 16), (uint8_t)(frame.count >> 8),
                              (uint8_t)frame.count};
-    bytes_add(rc, &rc->next, head, sizeof(head));
-    bytes_add(rc, &rc->next, frame.data, frame.count);
+    bytes_add(real_channel, &real_channel->next, head, sizeof(head));
+    bytes_add(real_channel, &real_channel->next, frame.data, frame.count);
     channel->queued += sizeof(head) + frame.count;
-    if (!rc->to_flush) {
-        RealLoop *real = rc->real;
-        rc->to_flush = true;
-        rc->flush_prev = NULL;
-        rc->flush_next = real->flush_first;
-        if (rc->flush_next != NULL)
-            rc->flush_next->flush_prev = rc;
-        real->flush_first = rc;
+    if (!real_channel->to_flush) {
+        RealLoop *real = real_channel->real;
+        real_channel->to_flush = true;
+        real_channel->flush_prev = NULL;
+        real_channel->flush_next = real->flush_first;
+        if (real_channel->flush_next != NULL)
+            real_channel->flush_next->flush_prev = real_channel;
+        real->flush_first = real_channel;
     }
     return STATUS_OK;
 }
@@ -246,16 +248,16 @@
 void real_flush(RealLoop *real)
 {
     while (real->flush_first != NULL) {
-        RealChannel *rc = real->flush_first;
-        flush_leave(rc);
-        write_next(rc);
+        RealChannel *real_channel = real->flush_first;
+        flush_leave(real_channel);
+        write_next(real_channel);
     }
 }
 
 void real_shut(Channel *channel)
 {
-    RealChannel *rc = (RealChannel *)channel;
-    flush_leave(rc);
-    write_next(rc); /* what was queued before */
-    drop(rc);
+    RealChannel *real_channel = (RealChannel *)channel;
+    flush_leave(real_channel);
+    write_next(real_channel); /* what was queued before */
+    drop(real_channel);
 }
--- a/packages/loop/src/real_disk.c
+++ b/packages/loop/src/real_disk.c
@@ -55,26 +55,26 @@
     return true;
 }
 
-static bool folder_sync(const RealFile *rf)
+static bool folder_sync(const RealFile *real_file)
 {
-    const int fd = open(rf->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    const int fd = open(real_file->folder, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     const bool ok = fd >= 0 && fsync(fd) == 0;
     if (fd >= 0)
         close(fd);
     return ok;
 }
 
-static bool do_read(RealFile *rf, DiskJob *job)
+static bool do_read(RealFile *real_file, DiskJob *job)
 {
-    struct stat st;
+    struct stat file_status;
     /* the process before this one may have ended between a write and its sync */
-    if (fdatasync(rf->fd) != 0 || fstat(rf->fd, &st) != 0)
+    if (fdatasync(real_file->fd) != 0 || fstat(real_file->fd, &file_status) != 0)
         return false;
-    const size_t size = (size_t)st.st_size;
+    const size_t size = (size_t)file_status.st_size;
     uint8_t *bytes = malloc(size + 1);
     size_t count = 0;
     while (bytes != NULL && count < size) {
-        const ssize_t n = pread(rf->fd, bytes + count, size - count, (off_t)count);
+        const ssize_t n = pread(real_file->fd, bytes + count, size - count, (off_t)count);
         if (n <= 0)
             break;
         count += (size_t)n;
@@ -88,19 +88,19 @@
     return bytes != NULL;
 }
 
-static bool do_replace(RealFile *rf, Bytes bytes)
+static bool do_replace(RealFile *real_file, Bytes bytes)
 {
     char fresh[PATH_MAX + 8];
-    snprintf(fresh, sizeof(fresh), "%s.new", rf->path);
+    snprintf(fresh, sizeof(fresh), "%s.new", real_file->path);
     const int fd = open(fresh, O_RDWR | O_CREAT | O_TRUNC | O_APPEND | O_CLOEXEC, 0640);
     if (fd < 0)
         return false;
-    if (!write_all(fd, bytes) || fsync(fd) != 0 || rename(fresh, rf->path) != 0 || !folder_sync(rf)) {
+    if (!write_all(fd, bytes) || fsync(fd) != 0 || rename(fresh, real_file->path) != 0 || !folder_sync(real_file)) {
         close(fd);
         return false;
     }
-    close(rf->fd);
-    rf->fd = fd;
+    close(real_file->fd);
+    real_file->fd = fd;
     return true;
 }
 
@@ -109,26 +109,26 @@
 #pragma GCC diagnostic ignored "-Wanalyzer-malloc-leak"
 static void *disk_main(void *arg)
 {
-    RealFile *rf = arg;
+    RealFile *real_file = arg;
     for (;;) {
-        pthread_mutex_lock(&rf->lock);
-        while (rf->job == NULL)
-            pthread_cond_wait(&rf->asked, &rf->lock);
-        DiskJob *job = rf->job;
-        rf->job = NULL;
-        pthread_mutex_unlock(&rf->lock);
+        pthread_mutex_lock(&real_file->lock);
+        while (real_file->job == NULL)
+            pthread_cond_wait(&real_file->asked, &real_file->lock);
+        DiskJob *job = real_file->job;
+        real_file->job = NULL;
+        pthread_mutex_unlock(&real_file->lock);
         switch (job->work) {
         case DISK_READ:
-            job->ok = do_read(rf, job);
+            job->ok = do_read(real_file, job);
             break;
         case DISK_APPEND:
-            job->ok = write_all(rf->fd, job->bytes) && fdatasync(rf->fd) == 0;
+            job->ok = write_all(real_file->fd, job->bytes) && fdatasync(real_file->fd) == 0;
             break;
         case DISK_REPLACE:
-            job->ok = do_replace(rf, job->bytes);
+            job->ok = do_replace(real_file, job->bytes);
             break;
         }
-        h2o_multithread_send_message(&rf->real->disk_done, &job->super);
+        h2o_multithread_send_message(&real_file->real->disk_done, &job->super);
     }
     return NULL;
 }
@@ -147,12 +147,12 @@
 
 static Status ask(File *file, DiskWork work, Bytes bytes, DiskJob *job)
 {
-    RealFile *rf = (RealFile *)file;
-    *job = (DiskJob){.file = rf, .work = work, .bytes = bytes};
-    pthread_mutex_lock(&rf->lock);
-    rf->job = job;
-    pthread_cond_signal(&rf->asked);
-    pthread_mutex_unlock(&rf->lock);
+    RealFile *real_file = (RealFile *)file;
+    *job = (DiskJob){.file = real_file, .work = work, .bytes = bytes};
+    pthread_mutex_lock(&real_file->lock);
+    real_file->job = job;
+    pthread_cond_signal(&real_file->asked);
+    pthread_mutex_unlock(&real_file->lock);
     while (!job->done)
         signal_wait(file->loop, &job->ended, INT64_MAX);
     return job->ok ? STATUS_OK : STATUS_DISK_FAILED;
@@ -160,27 +160,29 @@
 
 Status real_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure)
 {
-    RealFile *rf = talloc_zero(mem, RealFile);
-    rf->file.loop = loop;
-    rf->real = (RealLoop *)loop;
-    snprintf(rf->path, sizeof(rf->path), "%s", path);
+    RealFile *real_file = talloc_zero(mem, RealFile);
+    real_file->file.loop = loop;
+    real_file->real = (RealLoop *)loop;
+    snprintf(real_file->path, sizeof(real_file->path), "%s", path);
     char scratch[PATH_MAX];
     snprintf(scratch, sizeof(scratch), "%s", path);
-    snprintf(rf->folder, sizeof(rf->folder), "%s", dirname(scratch));
-    if (mkdir(rf->folder, 0750) != 0 && errno != EEXIST)
-        return failure_set(failure, STATUS_DISK_FAILED, "cannot make folder %s: %s", rf->folder, strerror(errno));
-    rf->fd = open(path, O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
-    if (rf->fd < 0)
+    snprintf(real_file->folder, sizeof(real_file->folder), "%s", dirname(scratch));
+    if (mkdir(real_file->folder, 0750) != 0 && errno != EEXIST)
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot make folder %s: %s", real_file->folder,
+                           strerror(errno));
+    real_file->fd = open(path, O_RDWR | O_CREAT | O_APPEND | O_CLOEXEC, 0640);
+    if (real_file->fd < 0)
         return failure_set(failure, STATUS_DISK_FAILED, "cannot open %s: %s", path, strerror(errno));
-    if (!folder_sync(rf))
-        return failure_set(failure, STATUS_DISK_FAILED, "cannot sync folder %s: %s", rf->folder, strerror(errno));
-    pthread_mutex_init(&rf->lock, NULL);
-    pthread_cond_init(&rf->asked, NULL);
+    if (!folder_sync(real_file))
+        return failure_set(failure, STATUS_DISK_FAILED, "cannot sync folder %s: %s", real_file->folder,
+                           strerror(errno));
+    pthread_mutex_init(&real_file->lock, NULL);
+    pthread_cond_init(&real_file->asked, NULL);
     pthread_t thread;
-    if (pthread_create(&thread, NULL, disk_main, rf) != 0)
+    if (pthread_create(&thread, NULL, disk_main, real_file) != 0)
         return failure_set(failure, STATUS_DISK_FAILED, "cannot start the disk thread");
     pthread_detach(thread);
-    *file = &rf->file;
+    *file = &real_file->file;
     return STATUS_OK;
 }
 
--- a/packages/model/src/random_source.c
+++ b/packages/model/src/random_source.c
@@ -2,11 +2,11 @@
 #include "model/random_source.h"
 
 /* splitmix64 */
-static uint64_t mixed(uint64_t z)
+static uint64_t mixed(uint64_t mixed_bits)
 {
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return z ^ (z >> 31);
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
+    return mixed_bits ^ (mixed_bits >> 31);
 }
 
 RandomSource random_source_of(uint64_t seed, const char *purpose, uint64_t number)
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -26,8 +26,8 @@
 
 static int descending(const void *a, const void *b)
 {
-    const uint64_t x = *(const uint64_t *)a, y = *(const uint64_t *)b;
-    return x > y ? -1 : x < y;
+    const uint64_t one = *(const uint64_t *)a, other = *(const uint64_t *)b;
+    return one > other ? -1 : one < other;
 }
 
 /* How many tasks of that size fit; UINT32_MAX when they ask for nothing. */
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -91,10 +91,10 @@
 /* Biggest first; equals by index, so that all come to the same. */
 static int sized_order(const void *a, const void *b)
 {
-    const Sized *x = a, *y = b;
-    if (x->share != y->share)
-        return x->share > y->share ? -1 : 1;
-    return x->task < y->task ? -1 : x->task > y->task;
+    const Sized *one = a, *other = b;
+    if (one->share != other->share)
+        return one->share > other->share ? -1 : 1;
+    return one->task < other->task ? -1 : one->task > other->task;
 }
 
 bool plan_specific(PlanInput *input, const bool *lost, int *where)
--- a/packages/plan/src/sequences.c
+++ b/packages/plan/src/sequences.c
@@ -64,11 +64,11 @@
     void *mem = talloc_new(NULL);
     bool *none = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
     bool possible = true;
-    const uint64_t r = input->r < input->worker_count ? input->r : input->worker_count;
-    for (size_t i = 0; i < input->worker_count && possible && r > 0; i++) {
+    const uint64_t losses = input->r < input->worker_count ? input->r : input->worker_count;
+    for (size_t i = 0; i < input->worker_count && possible && losses > 0; i++) {
         bool *one = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
         one[i] = true;
-        possible = walk(input, none, one, r - 1);
+        possible = walk(input, none, one, losses - 1);
         if (!possible && broken != NULL)
             *broken = (PlanBreak){LOSS_WORKER, input->workers[i].name};
     }
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -25,8 +25,8 @@
 static void take_out(PlanInput *input)
 {
     for (size_t i = 0; i < input->task_count; i++) {
-        PlanWorker *w = &input->workers[input->tasks[i].worker];
-        w->free = resources_less(w->free, input->tasks[i].need.resources);
+        PlanWorker *worker = &input->workers[input->tasks[i].worker];
+        worker->free = resources_less(worker->free, input->tasks[i].need.resources);
     }
 }
 
@@ -147,7 +147,7 @@
     static const char *const KINDS[] = {"std", "gpu", "arm"};
     static const char *const LABELS[] = {"ssd"};
     uint64_t seed = 7;
-    size_t yes = 0, no = 0, wrongly_no = 0;
+    size_t yes = 0, really_no = 0, wrongly_no = 0;
     for (int run = 0; run < 4000; run++) {
         PlanWorker workers[6];
         PlanTask tasks[10];
@@ -177,11 +177,11 @@
         const bool cheap = plan_cheap(&input), real = plan_exhaustive(&input, NULL);
         assert_false(cheap && !real);
         yes += cheap;
-        no += !real;
+        really_no += !real;
         wrongly_no += real && !cheap;
     }
-    print_message("cheap yes %zu, really no %zu, wrongly no %zu\n", yes, no, wrongly_no);
-    assert_true(yes > 200 && no > 200);
+    print_message("cheap yes %zu, really no %zu, wrongly no %zu\n", yes, really_no, wrongly_no);
+    assert_true(yes > 200 && really_no > 200);
 }
 
 int main(void)
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -15,14 +15,14 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-static double look(size_t workers, size_t tasks, uint64_t r, int attempts)
+static double look(size_t workers, size_t tasks, uint64_t losses, int attempts)
 {
     void *mem = talloc_new(NULL);
     PlanInput input = {talloc_zero_array(mem, PlanWorker, (unsigned)workers),
                        workers,
                        talloc_zero_array(mem, PlanTask, (unsigned)tasks),
                        tasks,
-                       r,
+                       losses,
                        false,
                        false,
                        0,
@@ -41,7 +41,7 @@
     for (int i = 0; i < attempts; i++)
         possible &= plan_always_possible(&input, NULL);
     const double each = (seconds() - start) / attempts;
-    printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)r, each * 1000,
+    printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)losses, each * 1000,
            possible ? "holds" : "fails");
     talloc_free(mem);
     return each;
--- a/packages/queue/src/estimate.c
+++ b/packages/queue/src/estimate.c
@@ -52,8 +52,8 @@
 
 static int order(const void *a, const void *b)
 {
-    const uint64_t x = *(const uint64_t *)a, y = *(const uint64_t *)b;
-    return x < y ? -1 : x > y;
+    const uint64_t one = *(const uint64_t *)a, other = *(const uint64_t *)b;
+    return one < other ? -1 : one > other;
 }
 
 uint64_t estimates_stamp(const Estimates *estimates)
--- a/packages/queue/src/order.c
+++ b/packages/queue/src/order.c
@@ -5,11 +5,11 @@
 
 #include "places.h"
 
-int accepted_order(const Candidate *x, const Candidate *y)
+int accepted_order(const Candidate *one, const Candidate *other)
 {
-    if (x->job->number != y->job->number)
-        return x->job->number < y->job->number ? -1 : 1;
-    return x->first < y->first ? -1 : x->first > y->first;
+    if (one->job->number != other->job->number)
+        return one->job->number < other->job->number ? -1 : 1;
+    return one->first < other->first ? -1 : one->first > other->first;
 }
 
 /* The largest part of a task's demand, where a controller weighs as much as 2 GB, and as a GPU. */
@@ -20,26 +20,26 @@
 }
 
 /* Biggest first, as the plan that promised the restarts placed them. */
-static int restart_order(const Candidate *x, const Candidate *y)
+static int restart_order(const Candidate *one, const Candidate *other)
 {
-    const uint64_t s = size_of(x), t = size_of(y);
-    return s != t ? (s > t ? -1 : 1) : accepted_order(x, y);
+    const uint64_t one_size = size_of(one), other_size = size_of(other);
+    return one_size != other_size ? (one_size > other_size ? -1 : 1) : accepted_order(one, other);
 }
 
 static int place_order(const void *a, const void *b)
 {
-    const Place *x = a, *y = b;
-    if (x->candidate.restart != y->candidate.restart)
-        return x->candidate.restart ? -1 : 1;
-    if (x->candidate.restart)
-        return restart_order(&x->candidate, &y->candidate);
-    if (x->note->cell_account != y->note->cell_account)
-        return strcmp(x->candidate.job->spec.cell, y->candidate.job->spec.cell);
-    if (x->candidate.rank != y->candidate.rank)
-        return x->candidate.rank > y->candidate.rank ? -1 : 1;
-    if (x->note->tenant_account != y->note->tenant_account)
-        return x->note->tenant_account->number < y->note->tenant_account->number ? -1 : 1;
-    return accepted_order(&x->candidate, &y->candidate);
+    const Place *one = a, *other = b;
+    if (one->candidate.restart != other->candidate.restart)
+        return one->candidate.restart ? -1 : 1;
+    if (one->candidate.restart)
+        return restart_order(&one->candidate, &other->candidate);
+    if (one->note->cell_account != other->note->cell_account)
+        return strcmp(one->candidate.job->spec.cell, other->candidate.job->spec.cell);
+    if (one->candidate.rank != other->candidate.rank)
+        return one->candidate.rank > other->candidate.rank ? -1 : 1;
+    if (one->note->tenant_account != other->note->tenant_account)
+        return one->note->tenant_account->number < other->note->tenant_account->number ? -1 : 1;
+    return accepted_order(&one->candidate, &other->candidate);
 }
 
 /* One run for each cell; the places are sorted. */
--- a/packages/queue/src/places.h
+++ b/packages/queue/src/places.h
@@ -57,6 +57,6 @@
 /* Sorts the places and finds the restarts and the cells' runs. */
 void places_sort(Line *line);
 /* As qsort's: the order of acceptance, then of tasks. */
-int accepted_order(const Candidate *x, const Candidate *y);
+int accepted_order(const Candidate *one, const Candidate *other);
 
 #endif
--- a/packages/routing/src/repair_buffer.c
+++ b/packages/routing/src/repair_buffer.c
@@ -29,8 +29,8 @@
 
 static gboolean item_equal(gconstpointer a, gconstpointer b)
 {
-    const RepairItem *x = a, *y = b;
-    return x->change == y->change && bytes_equal(x->payload, y->payload);
+    const RepairItem *one = a, *other = b;
+    return one->change == other->change && bytes_equal(one->payload, other->payload);
 }
 
 static int repair_buffer_free(RepairBuffer *repair_buffer)
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -39,8 +39,8 @@
 
 static int end_order(const void *a, const void *b)
 {
-    const End *x = a, *y = b;
-    return x->left_ms < y->left_ms ? -1 : x->left_ms > y->left_ms;
+    const End *one = a, *other = b;
+    return one->left_ms < other->left_ms ? -1 : one->left_ms > other->left_ms;
 }
 
 int64_t soonest_ms(const Pass *pass, size_t worker, Resources need)
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -103,8 +103,8 @@
 
 static int span_order(const void *a, const void *b)
 {
-    const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
-    return x < y ? -1 : x > y;
+    const int64_t one = *(const int64_t *)a, other = *(const int64_t *)b;
+    return one < other ? -1 : one > other;
 }
 
 /* Compares the task's time with the median of the other tasks of its own step, never with an absolute time:
--- a/packages/sim/src/check_seen.c
+++ b/packages/sim/src/check_seen.c
@@ -56,14 +56,14 @@
 }
 
 /* Looks at the task of that index, or at each member of its gang. */
-static bool seen_any(const Job *known, SeenJob *job, size_t at, bool (*is)(const SeenTask *task))
+static bool seen_any(const Job *known, SeenJob *job, size_t at, bool (*matches)(const SeenTask *task))
 {
     const JobTask *task = &known->tasks[at];
     const StepSpec *step = &known->spec.steps[task->step];
     const size_t first = step->gang ? task_first(known, task) : at, count = step->gang ? (size_t)step->count : 1;
     bool any = false;
     for (size_t t = first; t < first + count && !any; t++)
-        any = is(seen_task(job, task_number(&known->tasks[t])));
+        any = matches(seen_task(job, task_number(&known->tasks[t])));
     return any;
 }
 
--- a/packages/sim/src/disk.c
+++ b/packages/sim/src/disk.c
@@ -95,45 +95,45 @@
 {
     SimLoop *sim = (SimLoop *)loop;
     (void)failure;
-    SimFile *sf = talloc_zero(mem, SimFile);
-    sf->file.loop = loop;
-    sf->machine = &sim->world->machines[sim->machine];
-    sf->path = talloc_strdup(sf, path);
-    content_of(sf->machine, path);
+    SimFile *sim_file = talloc_zero(mem, SimFile);
+    sim_file->file.loop = loop;
+    sim_file->machine = &sim->world->machines[sim->machine];
+    sim_file->path = talloc_strdup(sim_file, path);
+    content_of(sim_file->machine, path);
     /* the folder is synced at each opening */
-    SimName *name = name_of(sf->machine, path);
+    SimName *name = name_of(sim_file->machine, path);
     name->lasting = name->content;
-    *file = &sf->file;
+    *file = &sim_file->file;
     return STATUS_OK;
 }
 
-static int64_t sync_ms(const SimFile *sf)
+static int64_t sync_ms(const SimFile *sim_file)
 {
-    return sf->machine->sync_ms + (int64_t)(sim_random(sf->machine->world) % 3);
+    return sim_file->machine->sync_ms + (int64_t)(sim_random(sim_file->machine->world) % 3);
 }
 
 Status sim_file_read(File *file, void *mem, Bytes *content)
 {
-    SimFile *sf = (SimFile *)file;
-    SimContent *from = content_of(sf->machine, sf->path);
+    SimFile *sim_file = (SimFile *)file;
+    SimContent *from = content_of(sim_file->machine, sim_file->path);
     loop_sleep(file->loop, 1);
     if (from->write_count > 0)
-        loop_sleep(file->loop, sync_ms(sf));
-    if (sf->machine->disk_fails)
+        loop_sleep(file->loop, sync_ms(sim_file));
+    if (sim_file->machine->disk_fails)
         return STATUS_DISK_FAILED;
-    synced(sf->machine, from);
-    notify(sf->machine, sf->path, from->bytes, true);
+    synced(sim_file->machine, from);
+    notify(sim_file->machine, sim_file->path, from->bytes, true);
     *content = bytes_copy(mem, from->bytes);
     return STATUS_OK;
 }
 
 Status sim_file_append(File *file, Bytes bytes)
 {
-    SimFile *sf = (SimFile *)file;
-    SimMachine *machine = sf->machine;
-    SimContent *content = content_of(machine, sf->path);
+    SimFile *sim_file = (SimFile *)file;
+    SimMachine *machine = sim_file->machine;
+    SimContent *content = content_of(machine, sim_file->path);
     content->inflight = bytes;
-    loop_sleep(file->loop, sync_ms(sf));
+    loop_sleep(file->loop, sync_ms(sim_file));
     content->inflight = (Bytes){0};
     if (!takes(machine, bytes.count)) {
         written(content, begun(machine, bytes)); /* what a refused write has done nobody knows */
@@ -141,7 +141,7 @@
     }
     written(content, bytes);
     synced(machine, content);
-    notify(machine, sf->path, bytes, false);
+    notify(machine, sim_file->path, bytes, false);
     return STATUS_OK;
 }
 
@@ -149,10 +149,10 @@
  * any two of them. */
 Status sim_file_replace(File *file, Bytes bytes)
 {
-    SimFile *sf = (SimFile *)file;
-    SimMachine *machine = sf->machine;
-    const int64_t whole_ms = sync_ms(sf);
-    SimName *fresh = name_of(machine, talloc_asprintf(sf, "%s.new", sf->path));
+    SimFile *sim_file = (SimFile *)file;
+    SimMachine *machine = sim_file->machine;
+    const int64_t whole_ms = sync_ms(sim_file);
+    SimName *fresh = name_of(machine, talloc_asprintf(sim_file, "%s.new", sim_file->path));
     SimContent *content = talloc_zero(machine->disk, SimContent);
     fresh->content = fresh->lasting = content;
     content->inflight = bytes;
@@ -165,7 +165,7 @@
     written(content, bytes);
     content->synced_count = content->bytes.count; /* honest also on a disk that lies about appends */
     content->write_count = 0;
-    SimName *name = name_of(machine, sf->path);
+    SimName *name = name_of(machine, sim_file->path);
     name->content = content;
     fresh->content = NULL;
     loop_sleep(file->loop, whole_ms - whole_ms / 2);
@@ -173,7 +173,7 @@
         return STATUS_DISK_FAILED; /* the folder was not synced: the rename may be lost */
     name->lasting = name->content;
     fresh->lasting = fresh->content;
-    notify(machine, sf->path, content->bytes, true);
+    notify(machine, sim_file->path, content->bytes, true);
     return STATUS_OK;
 }
 
--- a/packages/sim/src/events.c
+++ b/packages/sim/src/events.c
@@ -22,10 +22,10 @@
 /* splitmix64 */
 uint64_t sim_random(SimWorld *world)
 {
-    uint64_t z = (world->state += 0x9e3779b97f4a7c15u);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return z ^ (z >> 31);
+    uint64_t mixed_bits = (world->state += 0x9e3779b97f4a7c15u);
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
+    return mixed_bits ^ (mixed_bits >> 31);
 }
 
 int64_t sim_link_ms(SimWorld *world)
--- a/packages/sim/src/net.c
+++ b/packages/sim/src/net.c
@@ -167,25 +167,25 @@
     }
 }
 
-static int sim_channel_free(SimChannel *sc)
+static int sim_channel_free(SimChannel *sim_channel)
 {
-    SimPair *pair = sc->pair;
-    pair->end[sc->side] = NULL;
-    if (!pair->world->machines[pair->machine[sc->side]].silent)
-        preemption(pair, sc->side, true, (Bytes){0});
+    SimPair *pair = sim_channel->pair;
+    pair->end[sim_channel->side] = NULL;
+    if (!pair->world->machines[pair->machine[sim_channel->side]].silent)
+        preemption(pair, sim_channel->side, true, (Bytes){0});
     pair_maybe_free(pair);
     return 0;
 }
 
 static SimChannel *sim_channel_new(SimPair *pair, int side, Loop *loop, void *mem)
 {
-    SimChannel *sc = talloc_zero(mem, SimChannel);
-    sc->channel.loop = loop;
-    sc->pair = pair;
-    sc->side = side;
-    pair->end[side] = sc;
-    talloc_set_destructor(sc, sim_channel_free);
-    return sc;
+    SimChannel *sim_channel = talloc_zero(mem, SimChannel);
+    sim_channel->channel.loop = loop;
+    sim_channel->pair = pair;
+    sim_channel->side = side;
+    pair->end[side] = sim_channel;
+    talloc_set_destructor(sim_channel, sim_channel_free);
+    return sim_channel;
 }
 
 typedef struct SimAccepted {
@@ -253,19 +253,19 @@
 
 Status sim_send(Channel *channel, Bytes frame)
 {
-    SimChannel *sc = (SimChannel *)channel;
+    SimChannel *sim_channel = (SimChannel *)channel;
     if (frame.count > FRAME_MAX_BYTES)
         return STATUS_TOO_LARGE;
     channel->queued += frame.count;
-    if (!sc->pair->fin[sc->side])
+    if (!sim_channel->pair->fin[sim_channel->side])
         channel->handed = channel->queued;
-    if (!frame_drawn(sc->pair, sc->side, frame))
-        preemption(sc->pair, sc->side, false, frame);
+    if (!frame_drawn(sim_channel->pair, sim_channel->side, frame))
+        preemption(sim_channel->pair, sim_channel->side, false, frame);
     return STATUS_OK;
 }
 
 void sim_shut(Channel *channel)
 {
-    SimChannel *sc = (SimChannel *)channel;
-    preemption(sc->pair, sc->side, true, (Bytes){0});
+    SimChannel *sim_channel = (SimChannel *)channel;
+    preemption(sim_channel->pair, sim_channel->side, true, (Bytes){0});
 }
--- a/packages/sim/src/sweep_act.c
+++ b/packages/sim/src/sweep_act.c
@@ -7,10 +7,10 @@
 
 uint64_t sweep_draw(Sweep *sweep, uint64_t below)
 {
-    uint64_t z = (sweep->state += 0x9e3779b97f4a7c15u);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
-    return (z ^ (z >> 31)) % below;
+    uint64_t mixed_bits = (sweep->state += 0x9e3779b97f4a7c15u);
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 30)) * 0xbf58476d1ce4e5b9u;
+    mixed_bits = (mixed_bits ^ (mixed_bits >> 27)) * 0x94d049bb133111ebu;
+    return (mixed_bits ^ (mixed_bits >> 31)) % below;
 }
 
 void sweep_say(Sweep *sweep, const char *format, ...)
--- a/packages/sim/test/checkers.c
+++ b/packages/sim/test/checkers.c
@@ -100,195 +100,226 @@
 static void leaders(void **state)
 {
     (void)state;
-    Checker *c = begin();
-    checker_plans(c, "a", 5), checker_plans(c, "b", 6), checker_plans(c, "b", 6), good(c);
-    checker_plans(c, "a", 5), only(c, INVARIANT_TWO_LEADERS);
+    Checker *checker = begin();
+    checker_plans(checker, "a", 5), checker_plans(checker, "b", 6), checker_plans(checker, "b", 6), good(checker);
+    checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
 
-    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 5), only(c, INVARIANT_TWO_LEADERS);
+    checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 5),
+    only(checker, INVARIANT_TWO_LEADERS);
 
     /* forgotten by the disks: a new lower term after the end of the higher one is
      * no second leader, an old one that wakes is */
-    c = begin(), checker_plans(c, "a", 5), checker_plans(c, "b", 7), checker_leader_gone(c, "b"),
-    checker_plans(c, "c", 6);
-    good(c), checker_plans(c, "a", 5), only(c, INVARIANT_TWO_LEADERS);
-    c = begin(), checker_plans(c, "b", 7), checker_leader_gone(c, "a"), checker_plans(c, "c", 6),
-    only(c, INVARIANT_TWO_LEADERS);
+    checker = begin(), checker_plans(checker, "a", 5), checker_plans(checker, "b", 7),
+    checker_leader_gone(checker, "b"), checker_plans(checker, "c", 6);
+    good(checker), checker_plans(checker, "a", 5), only(checker, INVARIANT_TWO_LEADERS);
+    checker = begin(), checker_plans(checker, "b", 7), checker_leader_gone(checker, "a"),
+    checker_plans(checker, "c", 6), only(checker, INVARIANT_TWO_LEADERS);
 }
 
 static void running_twice(void **state)
 {
     (void)state;
-    Checker *c;
-    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), good(c);
-    checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_TWICE);
-
-    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), stands_still = true;
-    checker_started(c, "w2", "j", 0, 2, ONE), good(c);
-    stands_still = false, checker_worker_restarted(c, "w1"), only(c, INVARIANT_TWICE);
-
-    c = begin(), checker_started(c, "w1", "j", 0, 1, ONE), checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
-    checker_known(c, "w1", "j", 0, 1, ATTEMPT_DONE), good(c);
-    checker_started(c, "w2", "j", 0, 2, ONE), only(c, INVARIANT_AFTER_FINISH);
+    Checker *checker;
+    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), good(checker);
+    checker_started(checker, "w2", "j", 0, 2, ONE), only(checker, INVARIANT_TWICE);
+
+    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE), stands_still = true;
+    checker_started(checker, "w2", "j", 0, 2, ONE), good(checker);
+    stands_still = false, checker_worker_restarted(checker, "w1"), only(checker, INVARIANT_TWICE);
+
+    checker = begin(), checker_started(checker, "w1", "j", 0, 1, ONE),
+    checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
+    checker_known(checker, "w1", "j", 0, 1, ATTEMPT_DONE), good(checker);
+    checker_started(checker, "w2", "j", 0, 2, ONE), only(checker, INVARIANT_AFTER_FINISH);
 }
 
 static void ends_of_jobs(void **state)
 {
     (void)state;
-    Checker *c;
-    c = begin(), checker_accepted(c, "j"), good(c), checker_end(c), only(c, INVARIANT_FORGOTTEN);
-    c = begin(), checker_accepted(c, "j"), checker_unknown(c, "j"), only(c, INVARIANT_FORGOTTEN);
-    c = begin(), checker_accepted(c, "j"), checker_job_ended(c, "j", "done"), only(c, INVARIANT_FORGOTTEN);
+    Checker *checker;
+    checker = begin(), checker_accepted(checker, "j"), good(checker), checker_end(checker),
+    only(checker, INVARIANT_FORGOTTEN);
+    checker = begin(), checker_accepted(checker, "j"), checker_unknown(checker, "j"),
+    only(checker, INVARIANT_FORGOTTEN);
+    checker = begin(), checker_accepted(checker, "j"), checker_job_ended(checker, "j", "done"),
+    only(checker, INVARIANT_FORGOTTEN);
 
     /* one end of a gang stands for all of it; of other tasks for itself alone */
-    c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE),
-    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE);
-    checker_started(c, "w1", "j", FIRST, 1, ONE), checker_started(c, "w2", "j", SECOND, 1, ONE);
-    checker_ended(c, "w1", "j", FIRST, 1, ATTEMPT_DONE), checker_ended(c, "w2", "j", SECOND, 1, ATTEMPT_STOPPED);
-    checker_job_ended(c, "j", "done"), good(c);
+    checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE),
+    checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE);
+    checker_started(checker, "w1", "j", FIRST, 1, ONE), checker_started(checker, "w2", "j", SECOND, 1, ONE);
+    checker_ended(checker, "w1", "j", FIRST, 1, ATTEMPT_DONE),
+        checker_ended(checker, "w2", "j", SECOND, 1, ATTEMPT_STOPPED);
+    checker_job_ended(checker, "j", "done"), good(checker);
 
     /* lasting work ends by a cancel alone */
-    c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "cancelled"), good(c);
-    c = begin(), job.spec.lasting = true, checker_accepted(c, "j"), checker_job_ended(c, "j", "failed"),
-    only(c, INVARIANT_FORGOTTEN);
-
-    c = begin(), checker_refused(c, "x"), checker_started(c, "w1", "x", 0, 1, ONE), only(c, INVARIANT_REFUSED_RAN);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_refused(c, "x"), only(c, INVARIANT_REFUSED_RAN);
+    checker = begin(), job.spec.lasting = true, checker_accepted(checker, "j"),
+    checker_job_ended(checker, "j", "cancelled"), good(checker);
+    checker = begin(), job.spec.lasting = true, checker_accepted(checker, "j"),
+    checker_job_ended(checker, "j", "failed"), only(checker, INVARIANT_FORGOTTEN);
+
+    checker = begin(), checker_refused(checker, "x"), checker_started(checker, "w1", "x", 0, 1, ONE),
+    only(checker, INVARIANT_REFUSED_RAN);
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_refused(checker, "x"),
+    only(checker, INVARIANT_REFUSED_RAN);
 }
 
 static void fits_its_worker(void **state)
 {
     (void)state;
-    Checker *c;
-    c = begin(), checker_started(c, "w1", "j", FIRST, 1, ONE), only(c, INVARIANT_TOO_EARLY);
-
-    c = begin(), checker_started(c, "w1", "x", 0, 1, (Resources){2001, 1, 0}), only(c, INVARIANT_OVERPACKED);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_started(c, "w1", "x", 1, 1, (Resources){500, 95, 0});
-    only(c, INVARIANT_OVERPACKED);
-    c = begin(), checker_started(c, "gpu", "j", 0, 1, ONE), only(c, INVARIANT_OVERPACKED);
+    Checker *checker;
+    checker = begin(), checker_started(checker, "w1", "j", FIRST, 1, ONE), only(checker, INVARIANT_TOO_EARLY);
+
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, (Resources){2001, 1, 0}),
+    only(checker, INVARIANT_OVERPACKED);
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE),
+    checker_started(checker, "w1", "x", 1, 1, (Resources){500, 95, 0});
+    only(checker, INVARIANT_OVERPACKED);
+    checker = begin(), checker_started(checker, "gpu", "j", 0, 1, ONE), only(checker, INVARIANT_OVERPACKED);
 }
 
 static void stops(void **state)
 {
     (void)state;
-    Checker *c;
-    c = begin(), checker_cancelled(c, "x"), now_ms += 2900, checker_started(c, "w1", "x", 0, 1, ONE), good(c);
-    now_ms += 200, checker_started(c, "w1", "x", 1, 1, ONE), only(c, INVARIANT_CANCELLED_RAN);
-
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), now_ms += 3000, checker_look(c),
-    good(c);
-    now_ms += 1100, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
+    Checker *checker;
+    checker = begin(), checker_cancelled(checker, "x"), now_ms += 2900, checker_started(checker, "w1", "x", 0, 1, ONE),
+    good(checker);
+    now_ms += 200, checker_started(checker, "w1", "x", 1, 1, ONE), only(checker, INVARIANT_CANCELLED_RAN);
+
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_cancelled(checker, "x"), now_ms += 3000,
+    checker_look(checker), good(checker);
+    now_ms += 1100, checker_look(checker), only(checker, INVARIANT_STOPPED_RAN);
     /* a failure meanwhile: from when service must be back */
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_cancelled(c, "x"), checker_fault(c), now_ms += 15000;
-    checker_look(c), good(c), now_ms += 1100, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_notified(c, "w1", "x", 0, 1), now_ms += 400,
-    checker_look(c);
-    good(c), now_ms += 200, checker_look(c), only(c, INVARIANT_STOPPED_RAN);
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_cancelled(checker, "x"),
+    checker_fault(checker), now_ms += 15000;
+    checker_look(checker), good(checker), now_ms += 1100, checker_look(checker), only(checker, INVARIANT_STOPPED_RAN);
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_notified(checker, "w1", "x", 0, 1),
+    now_ms += 400, checker_look(checker);
+    good(checker), now_ms += 200, checker_look(checker), only(checker, INVARIANT_STOPPED_RAN);
 }
 
 static void claims(void **state)
 {
     (void)state;
-    Checker *c;
+    Checker *checker;
     /* claims: they outlive their worker, and end by a word of it or by lapsing */
-    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(c, "w1");
-    now_ms += 3000, checker_started(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(c, "w1");
-    checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c); /* a new boot */
-    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(c, "w1");
+    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(checker, "w1");
+    now_ms += 3000, checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
+    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(checker, "w1");
+    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker); /* a new boot */
+    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(checker, "w1");
     const Worker again = {.name = "w1", .zone = "z", .rack = "", .kind = "std", .resources = {2000, 100, 0}};
-    checker_worker(c, &again); /* ... that says what it is */
-    checker_booted(c, "w1"), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE),
-    checker_worker_gone(c, "w1");
-    now_ms += 2900, checker_started(c, "w2", "x", 0, 2, ONE), only(c, INVARIANT_EARLY_RESTART);
-    c = begin(), checker_held(c, "w1", now_ms + 3000), checker_started(c, "w1", "x", 0, 1, ONE);
-    checker_ended(c, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(c, "w2", "x", 0, 2, ONE), good(c);
-    c = begin(), checker_held(c, "w1", now_ms + 4100), only(c, INVARIANT_EARLY_RESTART);
+    checker_worker(checker, &again); /* ... that says what it is */
+    checker_booted(checker, "w1"), checker_started(checker, "w2", "x", 0, 2, ONE), good(checker);
+    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE),
+    checker_worker_gone(checker, "w1");
+    now_ms += 2900, checker_started(checker, "w2", "x", 0, 2, ONE), only(checker, INVARIANT_EARLY_RESTART);
+    checker = begin(), checker_held(checker, "w1", now_ms + 3000), checker_started(checker, "w1", "x", 0, 1, ONE);
+    checker_ended(checker, "w1", "x", 0, 1, ATTEMPT_FAILED), checker_started(checker, "w2", "x", 0, 2, ONE),
+        good(checker);
+    checker = begin(), checker_held(checker, "w1", now_ms + 4100), only(checker, INVARIANT_EARLY_RESTART);
 }
 
 static void due_times(void **state)
 {
     (void)state;
-    Checker *c;
+    Checker *checker;
     /* due times and delays */
-    c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 400, checker_started(c, "w1", "j", 0, 1, ONE);
-    only(c, INVARIANT_TOO_EARLY);
-    c = begin(), checker_sent(c, "j"), job.spec.delay_ms = 500, now_ms += 500, checker_started(c, "w1", "j", 0, 1, ONE),
-    good(c);
-    c = begin(), job.spec.due_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE), only(c, INVARIANT_TOO_EARLY);
-    c = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
+    checker = begin(), checker_sent(checker, "j"), job.spec.delay_ms = 500, now_ms += 400,
+    checker_started(checker, "w1", "j", 0, 1, ONE);
+    only(checker, INVARIANT_TOO_EARLY);
+    checker = begin(), checker_sent(checker, "j"), job.spec.delay_ms = 500, now_ms += 500,
+    checker_started(checker, "w1", "j", 0, 1, ONE), good(checker);
+    checker = begin(), job.spec.due_wall_ms = 502000, checker_started(checker, "w1", "j", 0, 1, ONE),
+    only(checker, INVARIANT_TOO_EARLY);
+    checker = begin(), job.spec.due_wall_ms = 502000, now_ms += 1000, checker_started(checker, "w1", "j", 0, 1, ONE),
+    good(checker);
 
     /* turns by their own due times */
-    c = begin(), job.spec.first_wall_ms = 502000, checker_started(c, "w1", "j", 0, 1, ONE),
-    only(c, INVARIANT_TOO_EARLY);
-    c = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(c, "w1", "j", 0, 1, ONE), good(c);
+    checker = begin(), job.spec.first_wall_ms = 502000, checker_started(checker, "w1", "j", 0, 1, ONE),
+    only(checker, INVARIANT_TOO_EARLY);
+    checker = begin(), job.spec.first_wall_ms = 502000, now_ms += 1000, checker_started(checker, "w1", "j", 0, 1, ONE),
+    good(checker);
 }
 
 static void configurations(void **state)
 {
     (void)state;
-    Checker *c;
+    Checker *checker;
     /* configurations by their effect */
-    c = begin(), checker_tenant(c, "g", TENANT_IN), now_ms += 2000, checker_probe(c, "g", now_ms, true), good(c);
-    checker_probe(c, "g", now_ms, false), only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_OUT),
-    checker_probe(c, "g", now_ms, true);
-    good(c), now_ms += 2000, checker_probe(c, "g", now_ms, true), only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_tenant(c, "g", TENANT_IN), checker_tenant(c, "g", TENANT_ASKED), now_ms += 2000;
-    checker_probe(c, "g", now_ms, false), good(c), checker_tenant(c, "g", TENANT_REFUSED),
-        checker_probe(c, "g", now_ms, false);
-    only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_tenant(c, "n", TENANT_ASKED), checker_tenant(c, "n", TENANT_REFUSED),
-    checker_probe(c, "n", now_ms, true);
-    only(c, INVARIANT_REFUSED_CONFIG);
-    c = begin(), checker_config_both(c, 3), only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_quota(c, "t", (Resources){1000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE), good(c);
-    checker_started(c, "w1", "j", SECOND, 1, ONE), only(c, INVARIANT_OVER_QUOTA);
-    c = begin(), checker_quota(c, "t", (Resources){2000, 0, 0}, TENANT_IN), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
-    checker_quota(c, "t", (Resources){1000, 0, 0}, TENANT_IN), now_ms += 1900,
-        checker_started(c, "w1", "j", SECOND, 1, ONE), good(c);
-    checker_ended(c, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200, checker_started(c, "w1", "j", SECOND, 2, ONE);
-    only(c, INVARIANT_OVER_QUOTA);
-
-    c = begin(), checker_config_set(c, 3), checker_config_read(c, 3), good(c), checker_config_read(c, 2);
-    only(c, INVARIANT_CONFIG_LOST);
-    c = begin(), checker_config_set(c, 3), checker_config_set(c, 3), only(c, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant(checker, "g", TENANT_IN), now_ms += 2000,
+    checker_probe(checker, "g", now_ms, true), good(checker);
+    checker_probe(checker, "g", now_ms, false), only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_OUT),
+    checker_probe(checker, "g", now_ms, true);
+    good(checker), now_ms += 2000, checker_probe(checker, "g", now_ms, true), only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant(checker, "g", TENANT_IN), checker_tenant(checker, "g", TENANT_ASKED),
+    now_ms += 2000;
+    checker_probe(checker, "g", now_ms, false), good(checker), checker_tenant(checker, "g", TENANT_REFUSED),
+        checker_probe(checker, "g", now_ms, false);
+    only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_tenant(checker, "n", TENANT_ASKED), checker_tenant(checker, "n", TENANT_REFUSED),
+    checker_probe(checker, "n", now_ms, true);
+    only(checker, INVARIANT_REFUSED_CONFIG);
+    checker = begin(), checker_config_both(checker, 3), only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN),
+    checker_started(checker, "w1", "j", 0, 1, ONE);
+    checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE),
+        good(checker);
+    checker_started(checker, "w1", "j", SECOND, 1, ONE), only(checker, INVARIANT_OVER_QUOTA);
+    checker = begin(), checker_quota(checker, "t", (Resources){2000, 0, 0}, TENANT_IN),
+    checker_started(checker, "w1", "j", 0, 1, ONE);
+    checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE);
+    checker_quota(checker, "t", (Resources){1000, 0, 0}, TENANT_IN), now_ms += 1900,
+        checker_started(checker, "w1", "j", SECOND, 1, ONE), good(checker);
+    checker_ended(checker, "w1", "j", SECOND, 1, ATTEMPT_LOST), now_ms += 200,
+        checker_started(checker, "w1", "j", SECOND, 2, ONE);
+    only(checker, INVARIANT_OVER_QUOTA);
+
+    checker = begin(), checker_config_set(checker, 3), checker_config_read(checker, 3), good(checker),
+    checker_config_read(checker, 2);
+    only(checker, INVARIANT_CONFIG_LOST);
+    checker = begin(), checker_config_set(checker, 3), checker_config_set(checker, 3),
+    only(checker, INVARIANT_CONFIG_LOST);
 }
 
 static void service(void **state)
 {
     (void)state;
-    Checker *c;
+    Checker *checker;
     /* service, at each entry by itself */
-    c = begin(), checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_fault(c),
-    now_ms += 12000;
-    checker_served(c, "g1", SERVE_ACCEPT), checker_served(c, "g1", SERVE_STATUS), checker_must_serve(c, "g1"), good(c);
-    assert_int_equal(checker_worst_ms(c, SERVE_ACCEPT), 12000);
-    checker_served(c, "g2", SERVE_ACCEPT), checker_must_serve(c, "g2"), only(c, INVARIANT_NOT_SERVING);
-    c = begin(), checker_fault(c), now_ms += 12001, checker_served(c, "g1", SERVE_ACCEPT),
-    checker_served(c, "g1", SERVE_STATUS);
-    checker_must_serve(c, "g1"), only(c, INVARIANT_NOT_SERVING);
-    c = begin(), checker_started(c, "w1", "x", 0, 1, ONE), checker_fault(c), now_ms += 12001, checker_must_start(c);
-    only(c, INVARIANT_NOT_SERVING);
+    checker = begin(), checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
+    checker_fault(checker), now_ms += 12000;
+    checker_served(checker, "g1", SERVE_ACCEPT), checker_served(checker, "g1", SERVE_STATUS),
+        checker_must_serve(checker, "g1"), good(checker);
+    assert_int_equal(checker_worst_ms(checker, SERVE_ACCEPT), 12000);
+    checker_served(checker, "g2", SERVE_ACCEPT), checker_must_serve(checker, "g2"),
+        only(checker, INVARIANT_NOT_SERVING);
+    checker = begin(), checker_fault(checker), now_ms += 12001, checker_served(checker, "g1", SERVE_ACCEPT),
+    checker_served(checker, "g1", SERVE_STATUS);
+    checker_must_serve(checker, "g1"), only(checker, INVARIANT_NOT_SERVING);
+    checker = begin(), checker_started(checker, "w1", "x", 0, 1, ONE), checker_fault(checker), now_ms += 12001,
+    checker_must_start(checker);
+    only(checker, INVARIANT_NOT_SERVING);
 }
 
 static void drains_and_gangs(void **state)
 {
     (void)state;
-    Checker *c;
-    c = begin(), checker_leaving(c, "w1", true), now_ms += 2100, checker_started(c, "w1", "x", 0, 1, ONE);
-    only(c, INVARIANT_LEAVING_GIVEN);
-    c = begin(), checker_zone(c, "z", true), now_ms += 5100, checker_started(c, "w1", "x", 0, 1, ONE);
-    only(c, INVARIANT_LEAVING_GIVEN);
-
-    c = begin(), checker_accepted(c, "j"), checker_started(c, "w1", "j", 0, 1, ONE);
-    checker_ended(c, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(c, "w1", "j", FIRST, 1, ONE);
-    now_ms += 5000, checker_look(c), good(c), now_ms += 20000, checker_look(c), only(c, INVARIANT_GANG_SPLIT);
+    Checker *checker;
+    checker = begin(), checker_leaving(checker, "w1", true), now_ms += 2100,
+    checker_started(checker, "w1", "x", 0, 1, ONE);
+    only(checker, INVARIANT_LEAVING_GIVEN);
+    checker = begin(), checker_zone(checker, "z", true), now_ms += 5100, checker_started(checker, "w1", "x", 0, 1, ONE);
+    only(checker, INVARIANT_LEAVING_GIVEN);
+
+    checker = begin(), checker_accepted(checker, "j"), checker_started(checker, "w1", "j", 0, 1, ONE);
+    checker_ended(checker, "w1", "j", 0, 1, ATTEMPT_DONE), checker_started(checker, "w1", "j", FIRST, 1, ONE);
+    now_ms += 5000, checker_look(checker), good(checker), now_ms += 20000, checker_look(checker),
+        only(checker, INVARIANT_GANG_SPLIT);
 }
 
 static const FleetShape SHAPE
--- a/packages/sim/test/crowd.c
+++ b/packages/sim/test/crowd.c
@@ -15,8 +15,8 @@
 
 static int order(const void *a, const void *b)
 {
-    const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
-    return x < y ? -1 : x > y;
+    const int64_t one = *(const int64_t *)a, other = *(const int64_t *)b;
+    return one < other ? -1 : one > other;
 }
 
 /* p50 and p99 of accepted to started, of the urgent class, in log time. */
--- a/packages/sim/test/entry.c
+++ b/packages/sim/test/entry.c
@@ -38,7 +38,7 @@
     return call.code;
 }
 
-#define assert_told(text, word)                      \
+#define ASSERT_CONTAINS(text, word)                  \
     do {                                             \
         if (strstr(text, word) == NULL)              \
             fail_msg("%s is not in %s", word, text); \
@@ -50,7 +50,7 @@
     Fleet *fleet = begin(21);
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4000), &text), 201);
-    assert_told(text, "\"phase\":\"queued\"");
+    ASSERT_CONTAINS(text, "\"phase\":\"queued\"");
     /* the terms are the queue's */
     const Job *job = fleet_job(fleet, "one");
     assert_non_null(job);
@@ -65,20 +65,20 @@
         fleet_ask(fleet, fleet, FLEET_ENTRY_POINT, 1, "POST", "/v1/entry/sweeps/one?host=" HOST, BODY(4000)).code, 200);
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/one", BODY(4001), NULL), 409);
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
-    assert_told(text, "\"waiting\":1");
+    ASSERT_CONTAINS(text, "\"waiting\":1");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/now/", NULL, &text), 200);
-    assert_told(text, "\"waiting\":0");
+    ASSERT_CONTAINS(text, "\"waiting\":0");
     fleet_run(fleet, 2000);
     assert_int_equal(ask(fleet, 2, "GET", "/v1/entry/sweeps/one", NULL, &text), 200);
-    assert_told(text, "\"phase\":\"active\"");
+    ASSERT_CONTAINS(text, "\"phase\":\"active\"");
     fleet_run(fleet, 4000);
     assert_int_equal(ask(fleet, 1, "GET", "/v1/entry/sweeps/one", NULL, &text), 200);
-    assert_told(text, "\"phase\":\"done\"");
+    ASSERT_CONTAINS(text, "\"phase\":\"done\"");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 200);
-    assert_told(text, "\"waiting\":0");
+    ASSERT_CONTAINS(text, "\"waiting\":0");
     /* what has ended stays as it is */
     assert_int_equal(ask(fleet, 0, "DELETE", "/v1/entry/sweeps/one", NULL, &text), 200);
-    assert_told(text, "\"phase\":\"done\"");
+    ASSERT_CONTAINS(text, "\"phase\":\"done\"");
     case_end(fleet);
 }
 
@@ -94,7 +94,7 @@
     assert_int_equal(ask(fleet, 1, "DELETE", "/v1/entry/sweeps/two", NULL, NULL), 200);
     fleet_run(fleet, 2000);
     assert_int_equal(ask(fleet, 2, "GET", "/v1/entry/sweeps/two", NULL, &text), 200);
-    assert_told(text, "\"phase\":\"cancelled\"");
+    ASSERT_CONTAINS(text, "\"phase\":\"cancelled\"");
     assert_int_equal(ask(fleet, 1, "DELETE", "/v1/entry/sweeps/two", NULL, NULL), 200);
     case_end(fleet);
 }
@@ -188,7 +188,7 @@
     assert_true(fleet_settle(fleet, 30000));
     const char *text;
     assert_int_equal(ask(fleet, 0, "POST", "/v1/entry/sweeps/x", BODY(1), &text), 503);
-    assert_told(text, "no-config");
+    ASSERT_CONTAINS(text, "no-config");
     assert_int_equal(ask(fleet, 0, "GET", "/v1/entry/sweeps/", NULL, &text), 503);
     case_end(fleet);
 }
--- a/packages/sim/test/losses.c
+++ b/packages/sim/test/losses.c
@@ -236,7 +236,7 @@
 
 /* Strikes as many seated controllers as may be lost together, has them return together,
  * and waits for the voters. */
-static void attempt_(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
+static void loss_attempt(Trial *trial, LossKind kind, bool with_leader, int64_t bound_ms)
 {
     Fleet *fleet = trial->fleet;
     Lost lost[4];
@@ -303,7 +303,7 @@
     fleet_run(fleet, 1000);
     for (int i = 0; i < attempts; i++) {
         const LossKind kind = (LossKind)((seed * 5 + (uint64_t)i) % LOSS_COUNT);
-        attempt_(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->voter_back_ms - 300);
+        loss_attempt(&trial, kind, (seed + (uint64_t)i / LOSS_COUNT) % 2 == 0, site->voter_back_ms - 300);
     }
     printf("seed %u: seats whole at most %ld ms after a return (%s)\n", (unsigned)seed, (long)trial.worst_ms,
            trial.worst);
--- a/packages/sim/tool/replay.c
+++ b/packages/sim/tool/replay.c
@@ -68,10 +68,10 @@
 
 static int line_order(const void *a, const void *b)
 {
-    const Line *x = a, *y = b;
-    if (x->at_ms != y->at_ms)
-        return x->at_ms < y->at_ms ? -1 : 1;
-    return x->order < y->order ? -1 : x->order > y->order;
+    const Line *one = a, *other = b;
+    if (one->at_ms != other->at_ms)
+        return one->at_ms < other->at_ms ? -1 : 1;
+    return one->order < other->order ? -1 : one->order > other->order;
 }
 
 static void play(Replay *replay, const Line *line)
--- a/packages/state/src/deliver_worker.c
+++ b/packages/state/src/deliver_worker.c
@@ -61,10 +61,10 @@
  * and every voter must come to the same. */
 static int on_order(const void *a, const void *b)
 {
-    const TaskOn *x = a, *y = b;
-    if (x->job->number != y->job->number)
-        return x->job->number < y->job->number ? -1 : 1;
-    return x->task < y->task ? -1 : x->task > y->task;
+    const TaskOn *one = a, *other = b;
+    if (one->job->number != other->job->number)
+        return one->job->number < other->job->number ? -1 : 1;
+    return one->task < other->task ? -1 : one->task > other->task;
 }
 
 void deliver_worker_lost(Table *table, const Record *change, const WorkerLost *lost, ChangeResult *result)
--- a/packages/state/test/state.c
+++ b/packages/state/test/state.c
@@ -3,33 +3,33 @@
 #include "../../base/test/draw.h"
 #include "board.h"
 
-static StepSpec STEPS[3];
+static StepSpec turning_steps[3];
 
 static JobSpec turning(const char *id)
 {
     static const char *after[] = {"a", "b"};
-    STEPS[0] = (StepSpec){.name = "a", .count = 2};
-    STEPS[1] = (StepSpec){.name = "b", .count = 1};
-    STEPS[2] = (StepSpec){.name = "c", .count = 2, .after = after, .after_count = 2};
-    JobSpec spec = spec_of(id, STEPS, 3);
+    turning_steps[0] = (StepSpec){.name = "a", .count = 2};
+    turning_steps[1] = (StepSpec){.name = "b", .count = 1};
+    turning_steps[2] = (StepSpec){.name = "c", .count = 2, .after = after, .after_count = 2};
+    JobSpec spec = spec_of(id, turning_steps, 3);
     spec.turns = 3;
     spec.first_wall_ms = 50000;
     spec.period_ms = 1000;
     return spec;
 }
 
-static void finish(Board *b, const char *id, uint64_t number, uint64_t attempt)
+static void finish(Board *board, const char *id, uint64_t number, uint64_t attempt)
 {
-    assert_int_equal(place(b, id, &number, 1, attempt, "w", ""), 1);
-    say(b, id, number, attempt, "w", ATTEMPT_DONE, "");
+    assert_int_equal(place(board, id, &number, 1, attempt, "w", ""), 1);
+    say(board, id, number, attempt, "w", ATTEMPT_DONE, "");
 }
 
 static void turns_wait_for_their_own_steps_alone(void **state)
 {
     (void)state;
-    Board b = board_new();
+    Board board = board_new();
     const JobSpec spec = turning("j");
-    const Job *job = job_add(&b, &spec, (JobTerms){0});
+    const Job *job = job_add(&board, &spec, (JobTerms){0});
     assert_int_equal(job->tasks_count, 15);
     for (size_t i = 0; i < job->tasks_count; i++) {
         const JobTask *task = &job->tasks[i];
@@ -41,54 +41,54 @@
     }
     /* the second turn is done while the first stands still */
     const size_t last = 9;
-    finish(&b, "j", TASK_NUMBER(1, 0, 0), 1);
-    finish(&b, "j", TASK_NUMBER(1, 1, 0), 1);
+    finish(&board, "j", TASK_NUMBER(1, 0, 0), 1);
+    finish(&board, "j", TASK_NUMBER(1, 1, 0), 1);
     assert_false(task_steps_done(job, &job->tasks[last]));
-    finish(&b, "j", TASK_NUMBER(1, 0, 1), 1);
+    finish(&board, "j", TASK_NUMBER(1, 0, 1), 1);
     assert_true(task_steps_done(job, &job->tasks[last]));
     assert_false(task_steps_done(job, &job->tasks[4]));
     assert_false(task_steps_done(job, &job->tasks[14]));
-    finish(&b, "j", TASK_NUMBER(1, 2, 0), 1);
-    finish(&b, "j", TASK_NUMBER(1, 2, 1), 1);
-    again(&b);
-    job = table_job(b.table, "j");
+    finish(&board, "j", TASK_NUMBER(1, 2, 0), 1);
+    finish(&board, "j", TASK_NUMBER(1, 2, 1), 1);
+    again(&board);
+    job = table_job(board.table, "j");
     assert_true(task_steps_done(job, &job->tasks[last]));
     assert_false(task_steps_done(job, &job->tasks[4]));
     assert_int_equal(job->phase, JOB_ACTIVE);
     for (uint64_t turn = 0; turn < 3; turn += 2)
         for (uint64_t step = 0; step < 3; step++)
-            for (uint64_t at = 0; at < STEPS[step].count; at++)
-                finish(&b, "j", TASK_NUMBER(turn, step, at), 1);
+            for (uint64_t at = 0; at < turning_steps[step].count; at++)
+                finish(&board, "j", TASK_NUMBER(turn, step, at), 1);
     assert_int_equal(job->phase, JOB_DONE);
-    talloc_free(b.table);
+    talloc_free(board.table);
 }
 
 /* Terms stay as they were accepted; the body alone says whether it is the same job. */
 static void terms_stay_as_accepted(void **state)
 {
     (void)state;
-    Board b = board_new();
+    Board board = board_new();
     JobSpec spec = turning("j");
     const JobTerms first = {.attempt_limit = 4, .stretch_milli = 2200, .target_ms = 1000, .priority = 2, .kind = "std"};
-    job_add(&b, &spec, first);
-    const Job *job = job_add(&b, &spec, (JobTerms){.attempt_limit = 9});
+    job_add(&board, &spec, first);
+    const Job *job = job_add(&board, &spec, (JobTerms){.attempt_limit = 9});
     assert_int_equal(job->terms.attempt_limit, 4);
     spec.period_ms++;
     const JobAdd add = {spec, first};
-    assert_int_equal(notify(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
-    again(&b);
-    job = table_job(b.table, "j");
+    assert_int_equal(notify(&board, CHANGE_JOB_ADD, &JobAdd_shape, &add).status, STATUS_OTHER_BODY);
+    again(&board);
+    job = table_job(board.table, "j");
     assert_string_equal(job->terms.kind, "std");
     assert_int_equal(job->terms.stretch_milli, 2200);
     assert_int_equal(job->spec.turns, 3);
-    talloc_free(b.table);
+    talloc_free(board.table);
 }
 
 /* Sums against a walk over everything. */
-static void sums_lease(const Board *b)
+static void sums_lease(const Board *board)
 {
     Job *const *jobs;
-    const size_t count = table_jobs(b->table, &jobs);
+    const size_t count = table_jobs(board->table, &jobs);
     size_t active = 0, waiting = 0, on_w[3] = {0};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
@@ -104,7 +104,7 @@
             if (task->worker[0] == '\0')
                 continue;
             const TaskOn *on;
-            assert_true(task->on_at < table_on(b->table, task->worker, &on));
+            assert_true(task->on_at < table_on(board->table, task->worker, &on));
             assert_ptr_equal(on[task->on_at].job, job);
             assert_int_equal(on[task->on_at].task, t);
             on_w[task->worker[1] - '0']++;
@@ -123,18 +123,18 @@
         }
     }
     Job *const *those;
-    assert_int_equal(table_active(b->table, &those), active);
-    assert_int_equal(table_waiting(b->table, "c"), waiting);
-    assert_int_equal(table_waiting_in(b->table, "c", "q"), active);
-    assert_int_equal(table_waiting_in(b->table, "c", "other"), 0);
+    assert_int_equal(table_active(board->table, &those), active);
+    assert_int_equal(table_waiting(board->table, "c"), waiting);
+    assert_int_equal(table_waiting_in(board->table, "c", "q"), active);
+    assert_int_equal(table_waiting_in(board->table, "c", "other"), 0);
     size_t busy = 0;
-    while (table_busy(b->table, busy) != NULL)
+    while (table_busy(board->table, busy) != NULL)
         busy++;
     assert_int_equal(busy, (on_w[0] > 0) + (on_w[1] > 0) + (on_w[2] > 0));
     for (int w = 0; w < 3; w++) {
         const char name[] = {'w', (char)('0' + w), '\0'};
         const TaskOn *on;
-        assert_int_equal(table_on(b->table, name, &on), on_w[w]);
+        assert_int_equal(table_on(board->table, name, &on), on_w[w]);
     }
 }
 
@@ -143,81 +143,81 @@
     (void)state;
     for (uint64_t seed = 1; seed <= 20; seed++) {
         uint64_t lot = seed;
-        Board b = board_new();
+        Board board = board_new();
         for (int i = 0; i < 400; i++) {
-            b.at_ms += (int64_t)draw(&lot, 50);
+            board.at_ms += (int64_t)draw(&lot, 50);
             const char id[] = {'j', (char)('0' + draw(&lot, 8)), '\0'};
             const char worker[] = {'w', (char)('0' + draw(&lot, 3)), '\0'};
-            const Job *job = table_job(b.table, id);
+            const Job *job = table_job(board.table, id);
             const JobTask *task = job != NULL ? &job->tasks[draw(&lot, job->tasks_count)] : NULL;
             const uint64_t number = task != NULL ? task_number(task) : draw(&lot, 20);
             switch (draw(&lot, 12)) {
             case 0:
             case 1: {
                 JobSpec spec = turning(id);
-                STEPS[0].gang = (id[1] & 1) != 0;
+                turning_steps[0].gang = (id[1] & 1) != 0;
                 spec.lasting = id[1] == '7';
                 const JobAdd add = {spec, {.attempt_limit = 2}};
-                notify(&b, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+                notify(&board, CHANGE_JOB_ADD, &JobAdd_shape, &add);
                 break;
             }
             case 2:
                 if (draw(&lot, 4) == 0)
-                    cancel(&b, id);
+                    cancel(&board, id);
                 break;
             case 3:
                 if (draw(&lot, 4) == 0)
-                    lose(&b, worker);
+                    lose(&board, worker);
                 break;
             case 4: {
-                const Forget forget = {b.at_ms - 2000};
-                notify(&b, CHANGE_FORGET, &Forget_shape, &forget);
-                assert_true(table_oldest_ms(b.table) >= forget.before_ms);
+                const Forget forget = {board.at_ms - 2000};
+                notify(&board, CHANGE_FORGET, &Forget_shape, &forget);
+                assert_true(table_oldest_ms(board.table) >= forget.before_ms);
                 break;
             }
             case 5:
                 if (draw(&lot, 3) == 0)
-                    again(&b);
+                    again(&board);
                 break;
             case 6:
             case 7:
             case 8: {
                 const uint64_t both[] = {number, number + 1};
-                place(&b, id, both, 2, (task != NULL ? task->attempt : 0) + 1, worker, "");
+                place(&board, id, both, 2, (task != NULL ? task->attempt : 0) + 1, worker, "");
                 break;
             }
             default:
-                say(&b, id, number, task != NULL ? task->attempt : 1, task != NULL ? task->worker : worker,
+                say(&board, id, number, task != NULL ? task->attempt : 1, task != NULL ? task->worker : worker,
                     (AttemptWord)draw(&lot, ATTEMPT_WORD_COUNT), "s");
             }
-            sums_lease(&b);
+            sums_lease(&board);
         }
-        talloc_free(b.table);
+        talloc_free(board.table);
     }
 }
 
 static void ended_jobs_are_forgotten_by_age(void **state)
 {
     (void)state;
-    Board b = board_new();
+    Board board = board_new();
     const char *const ids[] = {"j0", "j1", "j2"};
     for (int i = 0; i < 3; i++) {
         const JobSpec spec = turning(ids[i]);
-        job_add(&b, &spec, (JobTerms){0});
+        job_add(&board, &spec, (JobTerms){0});
     }
-    b.at_ms = 2000, cancel(&b, "j2");
-    b.at_ms = 3000, cancel(&b, "j0");
-    assert_int_equal(table_oldest_ms(b.table), 2000);
+    board.at_ms = 2000, cancel(&board, "j2");
+    board.at_ms = 3000, cancel(&board, "j0");
+    assert_int_equal(table_oldest_ms(board.table), 2000);
     const Forget forget = {3000};
-    assert_int_equal(notify(&b, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
-    assert_null(table_job(b.table, "j2"));
-    assert_non_null(table_job(b.table, "j0"));
+    assert_int_equal(notify(&board, CHANGE_FORGET, &Forget_shape, &forget).number, 1);
+    assert_null(table_job(board.table, "j2"));
+    assert_non_null(table_job(board.table, "j0"));
     Job *const *jobs;
-    assert_int_equal(table_jobs(b.table, &jobs), 2);
-    assert_int_equal(cancel(&b, "j2").status, STATUS_UNKNOWN_JOB);
+    assert_int_equal(table_jobs(board.table, &jobs), 2);
+    assert_int_equal(cancel(&board, "j2").status, STATUS_UNKNOWN_JOB);
     const JobSpec spec = turning("j2");
-    assert_int_equal(job_add(&b, &spec, (JobTerms){0})->number, 4); /* no number is used twice */
-    talloc_free(b.table);
+    assert_int_equal(job_add(&board, &spec, (JobTerms){0})->number, 4); /* no number is used twice */
+    talloc_free(board.table);
 }
 
 /* --- a state as the release before the turns saved it ------------------------------- */
@@ -305,14 +305,14 @@
         .tasks = tasks,
         .tasks_count = 4};
     const OldSaved saved = {5, &job, 1};
-    Board b = board_new();
+    Board board = board_new();
     void *mem = talloc_new(NULL);
     Bytes bytes = {0};
     shape_pack(&OldSaved_shape, &saved, mem, &bytes);
-    const ReplicationState replication = table_state(b.table);
+    const ReplicationState replication = table_state(board.table);
     assert_int_equal(replication.load(replication.arg, bytes), STATUS_OK);
     talloc_free(mem);
-    const Job *known = table_job(b.table, "j");
+    const Job *known = table_job(board.table, "j");
     assert_int_equal(known->tasks[3].at, 1);
     assert_int_equal(task_number(&known->tasks[3]), TASK_NUMBER(0, 1, 1));
     assert_int_equal(task_index(known, TASK_NUMBER(0, 1, 1)), 3);
@@ -320,13 +320,13 @@
     assert_int_equal(task_index(known, 3), 3);
     assert_int_equal(task_index(known, 4), 4);
     assert_false(task_steps_done(known, &known->tasks[3]));
-    say(&b, "j", 1, 1, "w", ATTEMPT_DONE, "");
+    say(&board, "j", 1, 1, "w", ATTEMPT_DONE, "");
     assert_true(task_steps_done(known, &known->tasks[3]));
     const uint64_t third = 2;
-    assert_int_equal(place(&b, "j", &third, 1, 1, "w", ""), 1);
+    assert_int_equal(place(&board, "j", &third, 1, 1, "w", ""), 1);
     assert_int_equal(known->tasks[2].phase, TASK_PLACED);
-    assert_int_equal(table_last_number(b.table), 5);
-    talloc_free(b.table);
+    assert_int_equal(table_last_number(board.table), 5);
+    talloc_free(board.table);
 }
 
 /* --- workers ------------------------------------------------------------------------ */
@@ -334,31 +334,31 @@
 static void workers_are_sorted_and_busy_ones_listed(void **state)
 {
     (void)state;
-    Board b = board_new();
+    Board board = board_new();
     static const char *const NAMES[] = {"m", "z", "a", "q", "m", "b"};
     for (size_t i = 0; i < 6; i++) {
         const Worker worker = {.name = NAMES[i], .zone = i == 4 ? "new" : "old"};
-        notify(&b, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        notify(&board, CHANGE_WORKER_SET, &Worker_shape, &worker);
     }
-    again(&b);
+    again(&board);
     const Worker **list;
     void *mem = talloc_new(NULL);
-    assert_int_equal(table_workers(b.table, mem, &list), 5);
+    assert_int_equal(table_workers(board.table, mem, &list), 5);
     for (size_t i = 0; i < 5; i++)
         assert_true(i == 0 || strcmp(list[i - 1]->name, list[i]->name) < 0);
-    assert_string_equal(table_worker(b.table, "m")->zone, "new");
-    assert_ptr_equal(table_worker(b.table, "m"), list[2]);
-    assert_null(table_busy(b.table, 0));
+    assert_string_equal(table_worker(board.table, "m")->zone, "new");
+    assert_ptr_equal(table_worker(board.table, "m"), list[2]);
+    assert_null(table_busy(board.table, 0));
     const JobSpec spec = turning("j");
-    job_add(&b, &spec, (JobTerms){0});
+    job_add(&board, &spec, (JobTerms){0});
     const uint64_t first = 0;
-    place(&b, "j", &first, 1, 1, "unheard-of", "");
-    assert_string_equal(table_busy(b.table, 0), "unheard-of");
-    assert_null(table_busy(b.table, 1));
-    lose(&b, "unheard-of");
-    assert_null(table_busy(b.table, 0));
+    place(&board, "j", &first, 1, 1, "unheard-of", "");
+    assert_string_equal(table_busy(board.table, 0), "unheard-of");
+    assert_null(table_busy(board.table, 1));
+    lose(&board, "unheard-of");
+    assert_null(table_busy(board.table, 0));
     talloc_free(mem);
-    talloc_free(b.table);
+    talloc_free(board.table);
 }
 
 int main(void)
--- a/packages/trace/src/gather.c
+++ b/packages/trace/src/gather.c
@@ -85,10 +85,10 @@
 
 static int row_order(const void *a, const void *b)
 {
-    const Row *x = a, *y = b;
-    if (x->at_ms != y->at_ms)
-        return x->at_ms < y->at_ms ? -1 : 1;
-    return x->order < y->order ? -1 : x->order > y->order;
+    const Row *one = a, *other = b;
+    if (one->at_ms != other->at_ms)
+        return one->at_ms < other->at_ms ? -1 : 1;
+    return one->order < other->order ? -1 : one->order > other->order;
 }
 
 static const char *step_word(uint64_t step)
--- a/packages/wire/src/shape.c
+++ b/packages/wire/src/shape.c
@@ -63,10 +63,10 @@
 bool shape_equal(const Shape *shape, const void *a, const void *b)
 {
     void *mem = talloc_new(NULL);
-    Bytes x = {0}, y = {0};
-    shape_pack(shape, a, mem, &x);
-    shape_pack(shape, b, mem, &y);
-    const bool equal = bytes_equal(x, y);
+    Bytes one = {0}, other = {0};
+    shape_pack(shape, a, mem, &one);
+    shape_pack(shape, b, mem, &other);
+    const bool equal = bytes_equal(one, other);
     talloc_free(mem);
     return equal;
 }
--- a/src/standins.c
+++ b/src/standins.c
@@ -183,8 +183,8 @@
 
 static int span_order(const void *a, const void *b)
 {
-    const int64_t x = *(const int64_t *)a, y = *(const int64_t *)b;
-    return x < y ? -1 : x > y;
+    const int64_t one = *(const int64_t *)a, other = *(const int64_t *)b;
+    return one < other ? -1 : one > other;
 }
 
 /* Prints the times from acceptance to start by class, and the longest gap between acceptances. */
