--- a/packages/queue/src/ready_steps.h
+++ b/packages/queue/src/ready_steps.h
@@ -57,6 +57,6 @@
 /* Sorts the steps and finds the restarts and the steps of each cell. */
 void ready_steps_sort(ReadyQueue *ready);
 /* As qsort's: the order of acceptance, then of tasks. */
-int accepted_order(const Candidate *x, const Candidate *y);
+int accepted_order(const Candidate *one, const Candidate *other);
 
 #endif
