--- a/packages/callers/include/callers/callers.h
+++ b/packages/callers/include/callers/callers.h
@@ -8,17 +8,17 @@
 
 /* Answers callers' requests as leader: jobs, the configuration, zones, the queue, status. A request passes
  * guards, goes to its route, and its answer goes out only with the proof that its route asks for: the lease,
- * or an attempt of contact with a majority since the request came (a read index, as in Raft).
+ * or a contact with a majority since the request came (a read index, as in Raft).
  *
- * Used by the controller for requests that any node forwards to it, its own included. Invariants: nothing is
- * told while the state is being repaired; an answer to a request that committed nothing was true at some time
- * after the request came. */
+ * Used by the controller for requests that any node forwards to it, its own included. Invariants: while the state
+ * is being repaired nothing but the status is answered; an answer to a request that committed nothing, and that was
+ * proven by contact, was true at some time after the request came. */
 typedef struct CallerService CallerService;
 
-/* What the rest of the controller answers. None waits. */
+/* What the callers' service calls of the controller. None waits. */
 typedef struct CallerServiceLeader {
     void *arg; /* handed to each of them */
-    /* What the disks lost is being told again. */
+    /* Whether a repair is under way (controller/src/repair.c). */
     bool (*repairing)(void *arg);
     /* The bodies of /v1/status and /v1/alerts; owned by the caller. */
     json_object *(*status)(void *arg);
@@ -38,7 +38,8 @@
     CallerServiceLeader leader;
 } CallerServiceSettings;
 
-/* Since the process began; X(name). */
+/* Requests since the process began; X(name). refused: with faults; crowded: too much waited in the cell; unproven:
+ * the proof of the answer failed. */
 #define CALLER_SERVICE_COUNT_LIST(X) \
     X(refused)                       \
     X(crowded)                       \
@@ -52,10 +53,10 @@
 
 /* On mem. Copies the settings. */
 CallerService *caller_service_new(void *mem, const CallerServiceSettings *settings);
-/* Waits. Answers a forwarded request; what it committed is in the answer, for whoever carries it to keep. All on
- * mem. The node must lead when it is called. */
+/* Waits. Answers a forwarded request; what it committed is in the answer, for the node that brings it to the caller,
+ * which keeps it for repair. All on mem. The node must lead when it is called. */
 void caller_service_answer(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-/* Waits. The same for a request that came to this node's own address: before it returns, another node keeps what
+/* Waits. The same for a request that came to this node's own address: before it returns, an entry point keeps what
  * was committed as well, if one answers. */
 void caller_service_lead(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 const CallerServiceCounts *caller_service_counts(const CallerService *callers);
--- a/packages/callers/src/callers.c
+++ b/packages/callers/src/callers.c
@@ -1,4 +1,4 @@
-/* Forwarded requests become requests of routes, and their results become answers. */
+/* The callers' service: turns a forwarded request into one for the routes, and its result into the answer. */
 #include "callers/callers.h"
 
 #include <talloc.h>
@@ -39,7 +39,7 @@
                        .timeout_ms = ask->wait_ms > 0 ? loop_now_ms(callers->loop) + (int64_t)ask->wait_ms : 0,
                        .kind = "application/json"};
     RepairList repair_items = {0};
-    leader_serve(callers, task, mem, &repair_items);
+    route_request(callers, task, mem, &repair_items);
     answer->code = (uint64_t)task->code;
     answer->status = task->status;
     answer->kind = task->kind;
@@ -53,5 +53,5 @@
 {
     caller_service_answer(callers, mem, ask, answer);
     if (answer->repair_items_count > 0 && callers->bounds->retell_ms > 0)
-        elsewhere_keep(callers, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
+        repair_copy_send(callers, mem, &(RepairList){answer->repair_items, answer->repair_items_count});
 }
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -1,4 +1,4 @@
-/* The configuration, as operators ask for it and change it. */
+/* Routes of /v1/config: operators read the configuration and change it. */
 #include "configs.h"
 
 #include <inttypes.h>
@@ -8,11 +8,11 @@
 
 #include "document/document.h"
 
-#define DIGEST_HEAD 80 /* bytes; what a call does and two numbers */
+#define DIGEST_HEAD 80 /* bytes; "put" or "patch", and two numbers */
 
 /* --- reading ----------------------------------------------------------------------- */
 
-/* The text is sent as it is stored: a document is given back as it came. */
+/* The text is sent as it is stored, so that operators get their document back as they sent it. */
 static void show_config(CallerRequest *request, uint64_t version, const char *text)
 {
     HttpTask *task = request->task;
@@ -96,8 +96,8 @@
     show_result(request->task, 200, body);
 }
 
-/* Digest of a call that names its version, by which the same call is known when it is sent again: it tells calls
- * apart, it does not protect from forgers. */
+/* Digest of a call that names its version, by which the same call is known when it is sent again. It only tells
+ * calls apart: it need not resist forgery. */
 static const char *digest_of(CallerRequest *request, bool patch, uint64_t base, uint64_t version)
 {
     char head[DIGEST_HEAD];
@@ -113,7 +113,7 @@
 
 /* The whole document that a patch makes; null and faults where it is none. The text to be committed is the
  * patch. */
-static json_object *patched(CallerRequest *request, const Config *now, json_object *patch, ConfigSet *set)
+static json_object *patch_apply(CallerRequest *request, const Config *now, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
         fault_add(request->faults, STATUS_BAD_JSON, "", "a patch must be an object");
@@ -127,7 +127,7 @@
 
 /* A document that differs little from the one in force is committed as its difference, and shares equal subtrees
  * with it. */
-static json_object *replaced(CallerRequest *request, const Config *now, json_object *whole, ConfigSet *set)
+static json_object *document_replace(CallerRequest *request, const Config *now, json_object *whole, ConfigSet *set)
 {
     json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
     const char *text = patch != NULL ? document_text(request->mem, patch) : NULL;
@@ -144,8 +144,8 @@
     return tree;
 }
 
-/* Many patches together may make a document that no one call could send. It is measured only where the sizes of
- * its parts do not settle it. */
+/* Many patches together may make a document that is larger than one call may send. Its text is made only where the
+ * sum of the sizes does not show that it is small enough. */
 static void check_size(CallerRequest *request, json_object *tree)
 {
     if (versions_size(table_versions(request->callers->table)) + request->task->body.count <= CONFIG_BODY_MAX)
@@ -166,7 +166,7 @@
     json_object *sent = check_parse(request->faults, (const char *)body->data, body->count);
     if (sent == NULL)
         return NULL;
-    json_object *tree = patch ? patched(request, now, sent, set) : replaced(request, now, sent, set);
+    json_object *tree = patch ? patch_apply(request, now, sent, set) : document_replace(request, now, sent, set);
     json_object_put(sent);
     if (patch && tree != NULL)
         check_size(request, tree);
@@ -218,14 +218,13 @@
         return;
     }
     set.limits = config->limits;
-    Trial trial = {.set = set, .config = config};
-    trial_enter(callers->in_force, &trial);
+    CheckedConfig checked = {.set = set, .config = config};
+    checked_config_add(callers->in_force, &checked);
     ChangeResult result;
     const Status status = request_submit(request, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
     if (status == STATUS_OK && result.status == STATUS_OK)
-        in_force_config(
-            callers->in_force); /* takes over the checked configuration, before another change is delivered */
-    trial_leave(callers->in_force, &trial);
+        in_force_config(callers->in_force); /* takes the checked one, before another change is delivered */
+    checked_config_remove(callers->in_force, &checked);
     if (!request_delivered(request, status))
         return;
     if (result.status == STATUS_OK)
--- a/packages/callers/src/entry.c
+++ b/packages/callers/src/entry.c
@@ -1,5 +1,5 @@
-/* Jobs at the address of their queue: host and path name the queue, what follows its prefix is the job's id. The
- * queue is looked up in the newest committed configuration at each request, so none is answered by an older one. */
+/* Jobs at the address of their queue, its entry: host and path name the queue, what follows its prefix is the job's
+ * id. The queue is looked up in the newest committed configuration at each request. */
 #include "entry.h"
 
 #include <string.h>
@@ -7,7 +7,7 @@
 
 #include "jobs.h"
 
-/* 410 for a job: this leader knows of all that was committed, so there is none. */
+/* 410 for an unknown job: the leader knows all that was committed, so there is none. */
 #define GONE_HTTP 410
 #define NO_ENTRY_HTTP 404
 
@@ -46,11 +46,11 @@
         spec.cell = job->spec.cell;
         spec.tenant = job->spec.tenant;
         spec.queue = job->spec.queue;
-        if (!job_again(request, job, &spec))
+        if (!job_resubmitted(request, job, &spec))
             return;
     } else {
         const JobTerms terms = job_terms(place->queue);
-        job = job_take(request, &spec, &terms, &fresh);
+        job = job_accept(request, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
@@ -75,7 +75,7 @@
         entry_refuse(request, GONE_HTTP, STATUS_UNKNOWN_JOB, "there is no job of this id");
         return;
     }
-    if (!job_cancelled(request, &result))
+    if (!job_submit_cancel(request, &result))
         return;
     /* a job that had ended before stays as it is, which is what was asked for */
     const Job *job = table_job(request->callers->table, request->name);
--- a/packages/callers/src/entry.h
+++ b/packages/callers/src/entry.h
@@ -3,9 +3,9 @@
 
 #include "request.h"
 
-/* What is asked at a queue's own address: paths that begin with this. */
+/* Paths of requests to a queue's own address (its entry) begin with this. */
 #define ENTRY_PATH "/v1/entry"
-/* Waits. */
+/* Waits. The route of all of them. */
 void entry_serve(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-const Job *job_take(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh)
+const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh)
 {
     CallerService *callers = request->callers;
     const Config *config = in_force_config(callers->in_force);
@@ -35,13 +35,13 @@
     return job;
 }
 
-bool job_again(CallerRequest *request, const Job *known, const JobSpec *spec)
+bool job_resubmitted(CallerRequest *request, const Job *known, const JobSpec *spec)
 {
     if (!shape_equal(&JobSpec_shape, &known->spec, spec)) {
         show_refusal(request->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
-    /* whoever carries this answer may be the only one that has heard it */
+    /* the node that brings this answer may be the only one that did: it keeps the job for repair too */
     RepairItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
     shape_pack(&JobAdd_shape, &add, request->mem, &item.payload);
@@ -68,12 +68,12 @@
     const Job *job = table_job(request->callers->table, spec.id);
     bool fresh = false;
     if (job != NULL) {
-        if (!job_again(request, job, &spec))
+        if (!job_resubmitted(request, job, &spec))
             return;
     } else {
         const ConfigCell *cell = config_cell(in_force_config(request->callers->in_force), spec.cell);
         const JobTerms terms = job_terms(cell != NULL ? config_queue(cell, spec.queue) : NULL);
-        job = job_take(request, &spec, &terms, &fresh);
+        job = job_accept(request, &spec, &terms, &fresh);
         if (job == NULL)
             return;
     }
@@ -91,7 +91,7 @@
     }
 }
 
-bool job_cancelled(CallerRequest *request, ChangeResult *result)
+bool job_submit_cancel(CallerRequest *request, ChangeResult *result)
 {
     const JobCancel cancel = {request->name};
     return request_delivered(request, request_submit(request, CHANGE_JOB_CANCEL, &JobCancel_shape, &cancel, result));
@@ -104,7 +104,7 @@
         show_refusal(request->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
         return;
     }
-    if (!job_cancelled(request, &result))
+    if (!job_submit_cancel(request, &result))
         return;
     const Job *job = table_job(request->callers->table, request->name);
     if (result.status != STATUS_OK || job == NULL)
--- a/packages/callers/src/jobs.h
+++ b/packages/callers/src/jobs.h
@@ -3,12 +3,13 @@
 
 #include "request.h"
 
-/* Waits. Takes a job that is not known yet; null: the result has been given. The spec's texts live on way->mem. */
-const Job *job_take(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh);
-/* Whether the same job was sent again; else the result has been given. */
-bool job_again(CallerRequest *request, const Job *known, const JobSpec *spec);
-/* Waits. Cancels the job named by the way; false: the result has been given. */
-bool job_cancelled(CallerRequest *request, ChangeResult *result);
+/* Waits. Accepts a job that is not known yet; null: the request has been refused. fresh (out): it was committed. The
+ * spec's texts live on request->mem. */
+const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh);
+/* Whether spec is the known job, sent again; false: the request has been refused. */
+bool job_resubmitted(CallerRequest *request, const Job *known, const JobSpec *spec);
+/* Waits. Cancels the job that the request names; false: the request has been refused. */
+bool job_submit_cancel(CallerRequest *request, ChangeResult *result);
 /* What a queue's jobs are accepted under; queue null: nothing in particular. */
 JobTerms job_terms(const ConfigQueue *queue);
 
--- a/packages/callers/src/queue_order.c
+++ b/packages/callers/src/queue_order.c
@@ -1,4 +1,4 @@
-/* The queue of a cell in order, as it is or as a policy would have it. */
+/* Routes of /v1/queue: the ready queue of a cell, in the order of its policy or of one that is tried. */
 #include "queue_order.h"
 
 #include <string.h>
@@ -6,18 +6,18 @@
 
 #include "policy/lua.h"
 
-/* One policy for one cell; the other cells keep theirs. */
-typedef struct Trying {
+/* The policy tried for one cell (null: its own); the other cells keep theirs. */
+typedef struct PolicyTrial {
     CallerService *callers;
     const char *cell;
     const Policy *policy;
-} Trying;
+} PolicyTrial;
 
-static const Policy *policy_tried(void *arg, const ConfigCell *cell)
+static const Policy *policy_of(void *arg, const ConfigCell *cell)
 {
-    const Trying *trying = arg;
-    const bool mine = cell != NULL && trying->policy != NULL && strcmp(cell->name, trying->cell) == 0;
-    return mine ? trying->policy : in_force_policy(trying->callers->in_force, cell);
+    const PolicyTrial *trial = arg;
+    const bool mine = cell != NULL && trial->policy != NULL && strcmp(cell->name, trial->cell) == 0;
+    return mine ? trial->policy : in_force_policy(trial->callers->in_force, cell);
 }
 
 static void queue_show(CallerRequest *request, const Policy *policy)
@@ -33,8 +33,8 @@
         request_refuse(request);
         return;
     }
-    Trying trying = {callers, cell, policy};
-    ReadyQueue *ready = scheduler_ready_queue(callers->scheduler, request->mem, policy_tried, &trying);
+    PolicyTrial trial = {callers, cell, policy};
+    ReadyQueue *ready = scheduler_ready_queue(callers->scheduler, request->mem, policy_of, &trial);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     int64_t ready_count = 0;
     const Candidate *candidate;
@@ -62,7 +62,6 @@
     queue_show(request, NULL);
 }
 
-/* What a policy would decide on the present queue; nothing is changed. */
 void queue_try(CallerRequest *request)
 {
     const char *text = talloc_strndup(request->mem, (const char *)request->task->body.data, request->task->body.count);
--- a/packages/callers/src/repair_copy.h
+++ b/packages/callers/src/repair_copy.h
@@ -3,7 +3,7 @@
 
 #include "state.h"
 
-/* Waits. Has one node without a disk keep what was committed, if one answers: a copy for repair. */
-void elsewhere_keep(CallerService *callers, void *mem, const RepairList *repair_items);
+/* Waits. Has one entry point keep what was committed, if one answers: a copy for repair. */
+void repair_copy_send(CallerService *callers, void *mem, const RepairList *repair_items);
 
 #endif
--- a/packages/callers/src/request.c
+++ b/packages/callers/src/request.c
@@ -1,4 +1,4 @@
-/* What the routes share: a change ordered for a request, refusals, and what is kept for repair. */
+/* What the routes share: submission of a change for a request, refusals, and what is kept for repair. */
 #include "request.h"
 
 #include <talloc.h>
--- a/packages/callers/src/request.h
+++ b/packages/callers/src/request.h
@@ -5,29 +5,29 @@
 #include "api/show.h"
 #include "state.h"
 
-/* One request on its way through the leader. All is on mem, or belongs to the caller of leader_serve. */
+/* One request while the leader answers it. All is on mem, or belongs to the caller of route_request. */
 typedef struct CallerRequest {
     CallerService *callers;
     HttpTask *task;
     void *mem;
     Faults *faults;
-    RepairList *repair_items;
-    const char *name; /* what the path names: a job, a zone */
-    bool committed;   /* a change was, for this request: a majority has it */
+    RepairList *repair_items; /* goes with the answer, to be kept for repair by the node that brings it */
+    const char *name;         /* what the path names: a job, a zone */
+    bool committed;           /* a change was committed for this request */
 } CallerRequest;
 
 /* The log's time and the wall clock, now. */
 QueueClock request_clock(const CallerRequest *request);
-/* Waits. Orders a change for the request, as replication_submit; one that was accepted is kept for repair. */
+/* Waits. Submits a change for the request, as replication_submit; one that was accepted is added to repair_items. */
 Status request_submit(CallerRequest *request, ChangeKind kind, const Shape *shape, const void *body,
                       ChangeResult *result);
-/* The status of an order as a refusal; true when the change was delivered. */
+/* Whether the change was delivered, by the status of its submission; false: the request has been refused. */
 bool request_delivered(CallerRequest *request, Status status);
-/* The faults (at least one) as the result. */
+/* Refuses the request with its faults, of which there is at least one. */
 void request_refuse(CallerRequest *request);
-/* Whoever carries the result keeps this for a while, for repair. */
+/* Adds an item to repair_items. */
 void request_keep(CallerRequest *request, const RepairItem *item);
-/* Likewise the word that a job has ended: no task of it may start again, whatever the disks forget. */
+/* Likewise the end of a job, if it has ended of late: its tasks must not start again, whatever the disks lose. */
 void request_keep_end(CallerRequest *request, const Job *job);
 
 #endif
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -1,4 +1,4 @@
-/* The table of routes: the guards that a request passes, the route it goes to, the proof that its answer needs. */
+/* The table of routes: the guards that a request passes, the route that answers it, the proof that its answer needs. */
 #include "routes.h"
 
 #include <string.h>
@@ -10,21 +10,21 @@
 #include "queue_order.h"
 #include "zones.h"
 
-/* What must show that an answer is not out of date, before it goes out. */
+/* What must show, before an answer goes out, that it is not out of date. */
 typedef enum Proof {
     PROOF_LEASE,   /* this node has the lease by its own clock: a majority has renewed it */
     PROOF_CONTACT, /* a majority has renewed the lease in answer to questions sent since, whatever the clocks do */
 } Proof;
 
-/* --- guards: policies that a request passes, in order, behind one interface --- */
+/* --- guards: checks that a request passes, in order ------------------------------------------ */
 
-/* False: the result has been given. */
+/* pass returns false when it has refused the request. */
 typedef struct Guard {
     const char *name;
     bool (*pass)(CallerRequest *request);
 } Guard;
 
-static bool pass_lead(CallerRequest *request)
+static bool guard_lead(CallerRequest *request)
 {
     if (replication_leading(request->callers->replication))
         return true;
@@ -32,7 +32,7 @@
     return false;
 }
 
-static bool pass_repair(CallerRequest *request)
+static bool guard_repair(CallerRequest *request)
 {
     if (!request->callers->leader.repairing(request->callers->leader.arg) ||
         strcmp(request->task->path, "/v1/status") == 0)
@@ -41,7 +41,7 @@
     return false;
 }
 
-static const Guard GUARDS[] = {{"lead", pass_lead}, {"repair", pass_repair}};
+static const Guard GUARDS[] = {{"lead", guard_lead}, {"repair", guard_repair}};
 
 /* --- routes ---------------------------------------------------------------------------------- */
 
@@ -58,8 +58,8 @@
 /* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that either needs where
  * nothing was committed for it; a commit is proof in itself.
  *
- * A refusal ends its caller's call for good, so it takes a contact with a majority wherever it claims to know
- * what is in force or which jobs there are; it is rare, and the contact costs one way there and back. */
+ * A refusal makes its caller give up, so it takes a contact with a majority wherever it claims to know
+ * what is in force or which jobs there are; it is rare, and the contact costs one exchange of messages. */
 typedef struct Route {
     const char *method;
     const char *parts[3];
@@ -84,8 +84,8 @@
     {"GET", {"zones", "*", "drain"}, zone_get, PROOF_CONTACT, PROOF_CONTACT},
     {"POST", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
     {"PUT", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
-    {"DELETE", {"zones", "*", "drain"}, zone_back, PROOF_CONTACT, PROOF_CONTACT},
-    /* figures of the moment, and a trial: nothing is acknowledged by them */
+    {"DELETE", {"zones", "*", "drain"}, zone_undrain, PROOF_CONTACT, PROOF_CONTACT},
+    /* figures of the moment, and the trial of a policy: nothing is acknowledged by them */
     {"GET", {"queue"}, queue_get, PROOF_LEASE, PROOF_LEASE},
     {"POST", {"queue", "try"}, queue_try, PROOF_LEASE, PROOF_LEASE},
     /* shows the lease itself */
@@ -96,7 +96,7 @@
 /* Jobs at their queue's address: as at /v1/jobs. */
 static const Route ENTRY = {"", {0}, entry_serve, PROOF_LEASE, PROOF_CONTACT};
 
-/* Asked for by any entry point: it has come to a leader that serves. */
+/* Entry points ask for this, to know that a leader that serves can be reached. */
 static void ready_get(CallerRequest *request)
 {
     json_object *body = json_object_new_object();
@@ -164,7 +164,7 @@
     return task->code >= 500;
 }
 
-/* Whether the answer may go out, which was made under the term. Waits. */
+/* Waits. Whether the answer, which was made under the term, may go out. */
 static bool proven(CallerRequest *request, Proof proof, uint64_t term)
 {
     const Replication *replication = request->callers->replication;
@@ -177,7 +177,7 @@
            configuration_term(replication) == term;
 }
 
-/* The last check before the answer goes out, after all that the route has waited for. */
+/* Waits. The last check before the answer goes out: one that is not proven is replaced by a refusal. */
 static void prove(CallerRequest *request, const Route *route, uint64_t term)
 {
     HttpTask *task = request->task;
@@ -190,7 +190,7 @@
     show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
 }
 
-void leader_serve(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items)
+void route_request(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items)
 {
     CallerRequest request = {
         .callers = callers, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
--- a/packages/callers/src/routes.h
+++ b/packages/callers/src/routes.h
@@ -3,7 +3,7 @@
 
 #include "request.h"
 
-/* Waits. Answers one request as leader. keeps: what it committed, added on mem. */
-void leader_serve(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items);
+/* Waits. Answers one request as leader. What it committed is added to repair_items, on mem. */
+void route_request(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items);
 
 #endif
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -1,4 +1,4 @@
-/* Zones: drained of work, and given back to it. */
+/* Routes of /v1/zones: a zone is drained, and given work again. */
 #include "zones.h"
 
 #include <string.h>
@@ -56,7 +56,7 @@
     show_result(request->task, 200, body);
 }
 
-/* What the query says of the order: its name, what it builds on. */
+/* Reads the drain order's parts in the query: its name, whether tasks move, the stamp that it builds on. */
 static bool order_read(CallerRequest *request, ZoneDrain *drain)
 {
     int64_t move = 0, after = -1;
@@ -74,7 +74,7 @@
     return true;
 }
 
-/* Whoever carried the first answer may have been lost with it. */
+/* The node that brought the first answer may be lost: the one that brings this one keeps the order for repair too. */
 static void keep_newest(CallerRequest *request)
 {
     RepairItem item = {CHANGE_ZONE_DRAIN, 0, {0}};
@@ -83,7 +83,7 @@
     request_keep(request, &item);
 }
 
-/* False: the order changes nothing, and the result has been given. */
+/* False: the order changes nothing, and the request has been answered. */
 static bool order_takes(CallerRequest *request, DrainKnown known)
 {
     switch (known) {
@@ -136,7 +136,7 @@
     zone_set(request, true);
 }
 
-void zone_back(CallerRequest *request)
+void zone_undrain(CallerRequest *request)
 {
     zone_set(request, false);
 }
--- a/packages/callers/src/zones.h
+++ b/packages/callers/src/zones.h
@@ -3,9 +3,9 @@
 
 #include "request.h"
 
-/* Routes of /v1/zones: shows a zone, empties it, gives it back to work. The last two wait. */
+/* Routes of /v1/zones: shows a zone, drains it, gives it work again. The last two wait. */
 void zone_get(CallerRequest *request);
 void zone_drain(CallerRequest *request);
-void zone_back(CallerRequest *request);
+void zone_undrain(CallerRequest *request);
 
 #endif
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -80,7 +80,7 @@
     Controller *controller = arg;
     trace_delivered(controller, change, body, result);
     scheduler_notify(controller->scheduler);
-    limits_follow(controller->in_force);
+    in_force_limits_apply(controller->in_force);
     if (body != NULL && change->change == CHANGE_ATTEMPTS)
         attempts_take(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -1,4 +1,4 @@
-/* The configuration in force: reads a version of the table when it is first asked for. */
+/* The configuration in force: reads a version of the state table when it is first asked for. */
 #include "inforce/in_force.h"
 
 #include <inttypes.h>
@@ -13,11 +13,11 @@
     Loop *loop;
     Recorder *recorder;
     const Table *table;
-    const Config *config; /* of the table's newest version that could be read; null: not asked for yet */
+    const Config *config; /* the table's newest version that could be read; null: not asked for yet */
     uint64_t loads;       /* table_loads when it was read */
     uint64_t stamp;
     uint64_t unread; /* a version that can't be read */
-    Trial *trials;
+    CheckedConfig *checked;
     uint64_t limits_version, limits_loads; /* of the limits that this process keeps */
 };
 
@@ -35,8 +35,8 @@
     return in_force->stamp;
 }
 
-/* The document of the table, made from the one that was read before where it can be. */
-static json_object *tree_now(const InForce *in_force, bool same_load)
+/* The document of the table's newest version, made from the one that was read before where it can be. */
+static json_object *tree_read(const InForce *in_force, bool same_load)
 {
     const Versions *versions = table_versions(in_force->table);
     if (versions_newest(versions) == 0)
@@ -45,15 +45,15 @@
     return versions_tree(versions, have ? in_force->config->tree : NULL, have ? in_force->config->version : 0);
 }
 
-static const Config *read_now(InForce *in_force, uint64_t version, bool same_load)
+static const Config *config_now(InForce *in_force, uint64_t version, bool same_load)
 {
     void *mem = talloc_new(in_force);
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
-    json_object *tree = tree_now(in_force, same_load);
+    json_object *tree = tree_read(in_force, same_load);
     const Config *config = config_build(in_force, tree, version, in_force->config, faults);
     json_object_put(tree);
-    if (config == NULL) { /* it was checked before it was committed, perhaps by a later release */
+    if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
         recorder_write(in_force->recorder, RECORDER_ALERT, loop_now_ms(in_force->loop),
                        "revision %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
                        faults->list[0].text);
@@ -68,9 +68,9 @@
 }
 
 /* A configuration that was checked before it was committed is not read again. */
-static const Config *trial_take(InForce *in_force, const Version *newest)
+static const Config *checked_config_take(InForce *in_force, const Version *newest)
 {
-    for (Trial *at = in_force->trials; at != NULL; at = at->next)
+    for (CheckedConfig *at = in_force->checked; at != NULL; at = at->next)
         if (at->config != NULL && at->set.version == newest->version && at->set.base == newest->base &&
             at->set.patch == newest->patch && at->loads == table_loads(in_force->table) &&
             strcmp(at->set.text, newest->text) == 0) {
@@ -89,9 +89,9 @@
     if (in_force->config != NULL && same_load && (in_force->config->version == version || in_force->unread == version))
         return in_force->config;
     in_force->unread = UINT64_MAX;
-    const Config *config = version > 0 ? trial_take(in_force, &versions->rows[versions->count - 1]) : NULL;
+    const Config *config = version > 0 ? checked_config_take(in_force, &versions->rows[versions->count - 1]) : NULL;
     if (config == NULL)
-        config = read_now(in_force, version, same_load);
+        config = config_now(in_force, version, same_load);
     in_force->loads = loads;
     if (config == NULL)
         return in_force->config;
@@ -101,22 +101,22 @@
     return config;
 }
 
-void trial_enter(InForce *in_force, Trial *trial)
+void checked_config_add(InForce *in_force, CheckedConfig *checked)
 {
-    trial->loads = table_loads(in_force->table);
-    trial->next = in_force->trials;
-    in_force->trials = trial;
+    checked->loads = table_loads(in_force->table);
+    checked->next = in_force->checked;
+    in_force->checked = checked;
 }
 
-void trial_leave(InForce *in_force, Trial *trial)
+void checked_config_remove(InForce *in_force, CheckedConfig *checked)
 {
-    Trial **at = &in_force->trials;
-    while (*at != trial)
+    CheckedConfig **at = &in_force->checked;
+    while (*at != checked)
         at = &(*at)->next;
-    *at = trial->next;
+    *at = checked->next;
 }
 
-void limits_follow(InForce *in_force)
+void in_force_limits_apply(InForce *in_force)
 {
     const Versions *versions = table_versions(in_force->table);
     const uint64_t newest = versions_newest(versions), loads = table_loads(in_force->table);
