--- a/packages/agent/src/boot.c
+++ b/packages/agent/src/boot.c
@@ -1,4 +1,4 @@
-/* Boots of the worker: tells the reports of its present process from those of earlier or second ones. At most one
+/* Boots of the worker: tells reports of its present process apart from those of earlier or second ones. At most one
  * process of a name has a lease at a time. */
 #include "boot.h"
 
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -13,7 +13,7 @@
 
 #define RETELL_PAUSE_MS 100 /* ms; before one that did not answer is asked again */
 #define REPAIR_HEAR_CHECK_MS \
-    (HEARTBEAT_MS / 5) /* ms; between two looks whether all have had time to find this process */
+    (HEARTBEAT_MS / 5) /* ms; between two checks whether all have had time to find this process */
 #define REPAIR_RETRY_CHECK_MS (HEARTBEAT_MS / 10) /* ms; ... and whether a repair that failed can be tried again */
 
 /* One gathering of what all members keep. Freed by whichever of its users leaves last: the repair, or a RetellPart. */
@@ -258,7 +258,7 @@
     return true;
 }
 
-/* Goes on until the repair is committed, also when the lead is opened anew; ends when this node wins the lead
+/* Tries until the repair is committed, also when the lead is opened anew; ends when this node wins the lead
  * again and begins a repair of its own. */
 static void repair_main(void *arg)
 {
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -44,7 +44,7 @@
     X(callers, unproven, "unproven")
 
 /* One controller process. Invariants:
- *  - only a node for which replication_leading is true decides, answers callers or gives orders, and it looks at the
+ *  - only a node for which replication_leading is true decides, answers callers or gives orders, and it checks the
  *    clock before each;
  *  - while repairing is true nothing is decided and no caller learns of a job;
  *  - nothing is placed before the scheduler's place_from_ms: by then the leases of all attempts that the log may have
--- a/packages/heartbeat/include/heartbeat/lease.h
+++ b/packages/heartbeat/include/heartbeat/lease.h
@@ -30,7 +30,7 @@
 bool lease_runs(const Lease *lease, int64_t now_ms);
 /* How long it still runs, ms; 0: it has lapsed. */
 int64_t lease_left_ms(const Lease *lease, int64_t now_ms);
-/* How long, by its own clock, whoever grants a lease of lease_ms has to take it to run: the grantee's
+/* How long, by its own clock, the grantor of a lease of lease_ms has to assume that it runs: the grantee's
  * clock may be slow, and its timers are coarse (LEASE_SLACK_MS). Always more than lease_ms. */
 int64_t lease_claim_ms(int64_t lease_ms);
 /* How much of a lease that runs for lease_ms more may be passed on, so that it ends on a slow clock
--- a/packages/heartbeat/include/heartbeat/liveset.h
+++ b/packages/heartbeat/include/heartbeat/liveset.h
@@ -32,7 +32,7 @@
 
 /* Empty, on mem. Workers not heard of yet are taken to have lapsed. */
 Liveset *liveset_new(void *mem);
-/* Begins anew, for a new leader: the named workers, and any heard of later, count as holding a
+/* Starts over, for a new leader: the named workers, and any heard of later, count as having a
  * lease until until_ms, and as not heard from yet. Rows read before are invalid. */
 void liveset_reset(Liveset *liveset, int64_t until_ms, const char *const *workers, size_t count);
 /* Takes a heartbeat that will be answered with a lease of lease_ms; until_ms of its row then covers
--- a/packages/inforce/include/inforce/in_force.h
+++ b/packages/inforce/include/inforce/in_force.h
@@ -27,7 +27,7 @@
 uint64_t in_force_policy_failures(const InForce *in_force, const char **last);
 
 /* A configuration that has been checked and is being committed: it is not read again when it is in force.
- * Owned by whoever has it committed. Invariant: config is null once it is in force. */
+ * Owned by the caller that has it committed. Invariant: config is null once it is in force. */
 typedef struct CheckedConfig {
     struct CheckedConfig *next; /* set by checked_config_add, as is loads */
     ConfigSet set;
--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -1,11 +1,11 @@
-/* The cheap bound for large fleets (the paper's, made sound for unlike machines).
+/* The cheap bound for large fleets (the paper's, extended so that it is right for unlike machines too).
  *
- * Tasks that some worker suits both of, directly or by others between them, are one
- * group, so that groups never compete. Of each group:
+ * Two tasks are in one group when some worker suits both, or when a chain of such pairs
+ * links them; so groups never compete for a worker. Of each group:
  *  - every task is taken to be as big as the biggest in every part;
  *  - the r workers with the most tasks of the group are lost;
- *  - the r workers with the most free slots are lost (not the same ones: worse
- *    than any real loss);
+ *  - the r workers with the most free slots are lost as well (they need not be the
+ *    same: that is worse than any real loss);
  *  - only workers that suit every task of the group count.
  * If the slots left hold the tasks lost, then whatever plan is followed, each
  * time a task is to be placed some worker still has a slot that it fits in: a
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -172,7 +172,7 @@
     assert_int_equal(estimate_worker_slowdown(estimates, "w1", 0), 1000);
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 1000);
     for (int i = 0; i < 5; i++)
-        estimates_end_take(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data: half of that is its way */
+        estimates_end_take(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data, which doubles the time */
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 2000);
     /* a short slowdown is soon forgotten; one that the worker has always had is not, within bounds */
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", ESTIMATE_FRESH_MS + 1), ESTIMATE_SPEED_MOST);
--- a/packages/scheduler/src/attempt_progress.c
+++ b/packages/scheduler/src/attempt_progress.c
@@ -14,7 +14,7 @@
 #define PERCENT_LEAST 0.5          /* percent; whole percents are reported, so that none may mean half a one */
 
 struct ProgressTable {
-    Map *attempts;                /* by task to Pace */
+    Map *attempts;                /* by task to AttemptProgress */
     size_t swept;                 /* how many were left when they were last looked through */
     uint64_t reports_of_progress; /* reports with a higher percent than the one before */
 };
--- a/packages/scheduler/src/preemptible_capacity.c
+++ b/packages/scheduler/src/preemptible_capacity.c
@@ -58,7 +58,7 @@
     return cells;
 }
 
-/* Whether all representatives of the cell may preempt the task; looks counts the calls of may_preempt. */
+/* Whether all representatives of the cell may preempt the task; calls counts those of may_preempt. */
 static bool all_may_preempt(Pass *pass, const Policy *policy, const Representatives *representatives, const Job *job,
                             size_t task, size_t *calls)
 {
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -184,7 +184,7 @@
         }
         tally_take(scheduler, update->worker, score, &score->failed, job, update->word == ATTEMPT_FAILED, SCORE_WEIGHT,
                    "fails its work");
-        /* attempts that ran beside one already counted may all have met the same pause, which counts once */
+        /* attempts that ran at the same time as one already counted may have met the same pause, which counts once */
         const bool beside = slow && job->tasks[at].started_ms < score->slow_end_ms;
         if (known && !beside)
             tally_take(scheduler, update->worker, score, &score->slow, job, slow, SLOW_WEIGHT, "is slow");
