--- a/packages/adapter/include/adapter/adapter.h
+++ b/packages/adapter/include/adapter/adapter.h
@@ -8,9 +8,8 @@
 
 /* The interface of protocol adapters. An adapter is how the product meets a platform: it
  * reads the platform's settings, serves the platform's addresses and translates its
- * requests. It decides nothing, stores nothing that a restart would miss, and recovers
- * nothing. Translated requests go to the same functions that serve the product's own
- * address. Used by the daemon, which starts an adapter by its name. */
+ * requests. It decides nothing, and stores nothing that has to survive a restart. Translated requests go to the same
+ * functions that serve the product's own address. Used by the daemon, which starts an adapter by its name. */
 
 /* What an adapter has read from the platform's settings. */
 typedef struct AdapterPlace {
@@ -19,8 +18,8 @@
     const void *own; /* the adapter's own settings: the addresses that it serves */
 } AdapterPlace;
 
-/* A process that runs; the adapter borrows it for the life of the process.
- * Invariant: exactly one of controller, entry point and agent is set. */
+/* The process that the adapter serves; it lives as long as the process.
+ * Invariant: exactly one of controller, entry_point and agent is set. */
 typedef struct AdapterNode {
     Loop *loop;
     Recorder *recorder;
@@ -40,15 +39,14 @@
     Status (*start)(void *mem, const AdapterNode *node, Failure *failure);
 } Adapter;
 
-/* All adapters, ends with a null; defined by what is linked in beside the packages. */
-extern const Adapter *const FACES[];
+/* All adapters, with a null at the end; defined outside of the packages, by the platform that is linked in. */
+extern const Adapter *const ADAPTERS[];
 
 /* The adapter of a name; null when there is none. */
 const Adapter *adapter_find(const char *name);
-/* Waits. Gives a request to the process's entry point, controller or diskless, which fills in
- * its result. Not for agents. */
+/* Waits. Gives a request to the process's controller or entry point, which fills in its result. Not for agents. */
 void adapter_take(const AdapterNode *node, HttpTask *task);
-/* Waits. As entry_point_elsewhere. False in a controller, which carries every configuration itself. */
-bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader);
+/* Waits. As entry_point_redirect; always false in a controller, which takes every configuration itself. */
+bool adapter_redirect(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader);
 
 #endif
--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -6,15 +6,15 @@
 
 const Adapter *adapter_find(const char *name)
 {
-    for (const Adapter *const *adapter = FACES; *adapter != NULL; adapter++)
+    for (const Adapter *const *adapter = ADAPTERS; *adapter != NULL; adapter++)
         if (strcmp((*adapter)->name, name) == 0)
             return *adapter;
     return NULL;
 }
 
-bool adapter_elsewhere(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader)
+bool adapter_redirect(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader)
 {
-    return node->entry_point != NULL && entry_point_elsewhere(node->entry_point, task, carried, leader);
+    return node->entry_point != NULL && entry_point_redirect(node->entry_point, task, carried, leader);
 }
 
 void adapter_take(const AdapterNode *node, HttpTask *task)
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -155,7 +155,7 @@
                                                        .leader_wait_ms = settings->bounds.leader_wait_ms,
                                                        .outcome_wait_ms = settings->bounds.outcome_wait_ms});
     controller->config_watch = config_watch_new(controller, controller->loop, controller->rpc,
-                                                forwarder_leader_paths(controller->forwarder), controller->trace);
+                                                forwarder_leader_route(controller->forwarder), controller->trace);
 }
 
 /* Answers and acts from now on. */
--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -19,7 +19,7 @@
 {
     return !controller->leaving && (replication_leading(controller->replication)
                                         ? !controller->repairing
-                                        : leader_paths_serve(forwarder_leader_paths(controller->forwarder)));
+                                        : leader_route_serve(forwarder_leader_route(controller->forwarder)));
 }
 
 QueueClock controller_clock(const Controller *controller)
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -46,8 +46,8 @@
 {
     Controller *controller = arg;
     const RetellAsk *ask = question;
-    repair_buffer_notify(controller->repair_buffer, mem, ask->config_have, answer);
-    config_watch_notify(controller->config_watch, mem, ask->config_have, answer);
+    repair_buffer_list(controller->repair_buffer, mem, ask->config_have, answer);
+    config_watch_repair_items(controller->config_watch, mem, ask->config_have, answer);
     return STATUS_OK;
 }
 
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -187,8 +187,8 @@
     while (retelling->pending > 0)
         signal_wait(controller->loop, &retelling->ended, INT64_MAX);
     RepairList own = {0};
-    repair_buffer_notify(controller->repair_buffer, retelling, retelling->config_have, &own);
-    config_watch_notify(controller->config_watch, retelling, retelling->config_have, &own);
+    repair_buffer_list(controller->repair_buffer, retelling, retelling->config_have, &own);
+    config_watch_repair_items(controller->config_watch, retelling, retelling->config_have, &own);
     retelling_add(retelling, &own);
 }
 
--- a/packages/entry_point/include/entry_point/entry_point.h
+++ b/packages/entry_point/include/entry_point/entry_point.h
@@ -3,9 +3,9 @@
 
 #include "settings/settings.h"
 
-/* A diskless entry point. It decides nothing and stores nothing: it forwards requests to the
- * leader, keeps in its repair buffer for a while what was committed through it, and watches
- * the newest configuration. Used by the daemon and by protocol adapters.
+/* An entry point without a disk (controllers serve callers, too). It decides nothing and stores nothing: it forwards
+ * requests to the leader, keeps committed changes in its repair buffer for a while, and watches the operators'
+ * configuration. Used by the daemon and by protocol adapters.
  * Invariant: a request that was read completely always gets a result. */
 typedef struct EntryPoint EntryPoint;
 
@@ -14,7 +14,7 @@
 Status entry_point_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, EntryPoint **entry_point,
                          Failure *failure);
 /* Waits, until the task's deadline at most. Fills in the task's result: what concerns this
- * process is answered here, all else by the leader. As controller_take. */
+ * process is answered here, all else by the leader. The counterpart of controller_take. */
 void entry_point_take(EntryPoint *entry_point, HttpTask *task);
 
 /* Where a request may carry a configuration. */
@@ -23,16 +23,17 @@
     ENTRY_POINT_CONFIG_IN_RESULT /* it reads the one in force */
 } EntryPointConfig;
 
-/* Waits. A large configuration is no load for an entry point's narrow link: its caller is
+/* Waits. A large configuration is too much for an entry point's narrow link: its caller is
  * redirected to the leader. True: the task has its result, which is 307 with *leader the
  * address at which the leader that serves now takes callers' requests (on the task), or a
- * refusal with *leader as it was, when none serves. False: entry_point_take is to carry it. */
-bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader);
-/* Whether callers should come here: a leader serves, and this process is not leaving. As
- * controller_ready. */
+ * refusal with *leader as it was, when none serves. False: the request goes through
+ * entry_point_take. */
+bool entry_point_redirect(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader);
+/* Whether callers should come here: a leader serves, and this process is not leaving. The
+ * counterpart of controller_ready. */
 bool entry_point_ready(const EntryPoint *entry_point);
 /* Waits, for the settings' grace_ms at most. Graceful shutdown: not ready at once; requests
- * in work get their result. */
+ * in progress get their result. */
 void entry_point_drain(EntryPoint *entry_point);
 /* Replaces the seeds; the addresses are copied. */
 void entry_point_seeds(EntryPoint *entry_point, const char *const seeds[SEEDS]);
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -1,4 +1,4 @@
-/* A diskless entry point: what it answers itself, what it forwards, and its life. */
+/* An entry point without a disk: what it answers itself, what it forwards, its start and its shutdown. */
 #include "entry_point/entry_point.h"
 
 #include <string.h>
@@ -83,7 +83,7 @@
     return ask;
 }
 
-bool entry_point_elsewhere(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader)
+bool entry_point_redirect(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader)
 {
     const bool in_result = carried == ENTRY_POINT_CONFIG_IN_RESULT;
     if (task->body.count <= CONFIG_LARGE_BYTES &&
@@ -114,23 +114,23 @@
 
 bool entry_point_ready(const EntryPoint *entry_point)
 {
-    return !entry_point->leaving && leader_paths_serve(forwarder_leader_paths(entry_point->forwarder));
+    return !entry_point->leaving && leader_route_serve(forwarder_leader_route(entry_point->forwarder));
 }
 
-/* --- peers' questions ------------------------------------------------------------------- */
+/* --- peers' requests -------------------------------------------------------------------- */
 
-/* A leader in repair asks for what it may have lost. */
+/* MESSAGE_RETELL: a leader in repair asks for changes that its disks may have lost. */
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
     const RetellAsk *ask = question;
     RepairList *list = answer;
-    repair_buffer_notify(entry_point->repair_buffer, mem, ask->config_have, list);
-    config_watch_notify(entry_point->config_watch, mem, ask->config_have, list);
+    repair_buffer_list(entry_point->repair_buffer, mem, ask->config_have, list);
+    config_watch_repair_items(entry_point->config_watch, mem, ask->config_have, list);
     return STATUS_OK;
 }
 
-/* A leader gives this process a change to keep, before it acknowledges it. */
+/* MESSAGE_KEEP: a leader has this process keep changes for repair, before it acknowledges them. */
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -141,8 +141,8 @@
     return STATUS_OK;
 }
 
-/* The leader asks whether this process has learnt of it. An entry point holds no lease and
- * runs nothing: that it answers is what counts. */
+/* MESSAGE_KNOW: an isolated agent asks whether a holder of the lock is known (the paper's survival rule 2). An entry
+ * point takes no part in the lock and answers no, with the newest term known here; it counts that it was reached. */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -152,7 +152,7 @@
     return STATUS_OK;
 }
 
-/* --- its life ----------------------------------------------------------------------------- */
+/* --- start and shutdown ------------------------------------------------------------------- */
 
 static MemberRecord self_record(const EntryPoint *entry_point, const Settings *settings)
 {
@@ -197,7 +197,7 @@
     entry_point->trace = trace_new(entry_point, loop, entry_point->rpc, entry_point->members, settings->name);
     entry_point->forwarder = entry_point_forwarder(entry_point, &settings->bounds);
     entry_point->config_watch = config_watch_new(entry_point, loop, entry_point->rpc,
-                                                 forwarder_leader_paths(entry_point->forwarder), entry_point->trace);
+                                                 forwarder_leader_route(entry_point->forwarder), entry_point->trace);
     rpc_handle(entry_point->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KNOW, &KnowAsk_shape, &KnowAnswer_shape, on_know, entry_point);
     rpc_handle(entry_point->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, entry_point);
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -124,7 +124,7 @@
         return;
     in_force->limits_version = newest;
     in_force->limits_loads = loads;
-    limits_serve(in_force->loop, versions_limits(versions));
+    limits_apply(in_force->loop, versions_limits(versions));
 }
 
 const Policy *in_force_policy(const InForce *in_force, const ConfigCell *cell)
--- a/packages/routing/include/routing/messages.h
+++ b/packages/routing/include/routing/messages.h
@@ -7,7 +7,7 @@
  * changes that are sent again to a leader in repair. Field names and their order are the
  * wire format: new fields are added at the end only, and an older process skips them. */
 
-/* A committed change, as it is kept by processes that heard of it first. */
+/* A committed change, as the repair buffers keep it. */
 #define REPAIR_ITEM_FIELDS(X) \
     X(U64, change, 0)         \
     X(U64, index, 0)          \
@@ -17,27 +17,27 @@
 #define REPAIR_LIST_FIELDS(X) X(LST, items, RepairItem)
 SHAPE(RepairList, REPAIR_LIST_FIELDS)
 
-/* An answer that says no more than that it came. */
+/* An answer without content. */
 #define NOTHING_FIELDS(X) X(U64, nothing, 0)
 SHAPE(Nothing, NOTHING_FIELDS)
 
-/* A leader whose disks may have forgotten asks for what was acknowledged. Configurations up
- * to the version that it has are left out: a large one fills a narrow link. */
+/* MESSAGE_RETELL: a leader in repair, whose disks may have lost committed changes, asks for those that were
+ * acknowledged. Configurations up to the version config_have are left out, since a large one fills a narrow link. */
 #define RETELL_ASK_FIELDS(X) \
     X(U64, nothing, 0)       \
     X(U64, config_have, 0)
 SHAPE(RetellAsk, RETELL_ASK_FIELDS)
 
 /* A caller's request, carried to the leader; its result comes back as a ForwardAnswer. */
-#define FORWARD_ASK_FIELDS(X)                                                               \
-    X(TXT, method, 0)                                                                       \
-    X(TXT, path, 0)                                                                         \
-    X(TXT, query, 0)                                                                        \
-    X(BIN, body, 0)                                                                         \
-    X(FLAG, relay, 0)  /* a controller that does not lead relays it to the one that does */ \
-    X(TXT, host, 0)    /* whom the caller meant; entries are found by it */                 \
-    X(U64, wait_ms, 0) /* ms; nobody waits for the answer after this; 0: not said */        \
-    X(FLAG, again, 0)  /* a retry: an earlier attempt, at a leader that was lost, has had no answer */
+#define FORWARD_ASK_FIELDS(X)                                                                        \
+    X(TXT, method, 0)                                                                                \
+    X(TXT, path, 0)                                                                                  \
+    X(TXT, query, 0)                                                                                 \
+    X(BIN, body, 0)                                                                                  \
+    X(FLAG, relay, 0)  /* to a controller that does not lead: it relays the request to the leader */ \
+    X(TXT, host, 0)    /* the caller's Host header: entries of queues are found by it */             \
+    X(U64, wait_ms, 0) /* ms; nobody waits for the answer after this; 0: not known */                \
+    X(FLAG, again, 0)  /* a retry: an earlier attempt went to a leader that was lost, and got no answer */
 SHAPE(ForwardAsk, FORWARD_ASK_FIELDS)
 
 /* The leader's HTTP result with the changes that were committed for it, or the refusal of a
@@ -53,17 +53,17 @@
     X(TXT, leader_id, 0)
 SHAPE(ForwardAnswer, FORWARD_ANSWER_FIELDS)
 
-/* The configuration watch's question. It is answered when there is a version above have, or,
- * when the document is wanted too, above text_have, whose document the asker has. */
-#define CONFIG_WATCH_ASK_FIELDS(X)                                                                       \
-    X(U64, have, 0)                                                                                      \
-    X(U64, text_have, 0)                                                                                 \
-    X(FLAG, wants, 0)     /* the document whatever its size; else small changes only */                  \
-    X(FLAG, brief, 0)     /* as changes, not as a text */                                                \
-    X(FLAG, first, 0)     /* to this leader: answered at once, so that it is known to serve */           \
-    X(U64, piece_most, 0) /* bytes; a larger document comes in pieces of so many; 0: it comes at once */ \
-    X(U64, piece_of, 0)   /* the version whose document is being fetched; 0: none */                     \
-    X(U64, piece_from, 0) /* bytes; so many of it are there */
+/* The request of the configuration watch. It is answered when there is a version above have, or, when the document is
+ * wanted too (wants), a version above text_have, whose document the asker has. */
+#define CONFIG_WATCH_ASK_FIELDS(X)                                                                                     \
+    X(U64, have, 0)                                                                                                    \
+    X(U64, text_have, 0)                                                                                               \
+    X(FLAG, wants, 0) /* the document whatever its size; else small changes only */                                    \
+    X(FLAG, brief, 0) /* the answer has sets, not text; earlier releases send false */                                 \
+    X(FLAG, first, 0) /* the first request to this leader: it is answered at once, to say whether the leader serves */ \
+    X(U64, piece_most, 0) /* bytes; a larger document comes in pieces of so many; 0: it comes at once */               \
+    X(U64, piece_of, 0)   /* the version whose document is being fetched; 0: none */                                   \
+    X(U64, piece_from, 0) /* bytes; how much of it has been fetched */
 SHAPE(ConfigWatchAsk, CONFIG_WATCH_ASK_FIELDS)
 
 #define CONFIG_WATCH_ANSWER_FIELDS(X)                                                                             \
@@ -72,8 +72,8 @@
     X(TXT, text, 0)                                                                                               \
     X(ONE, limits, ConfigLimits)                                                                                  \
     X(LST, sets, ConfigSet)      /* the changes since text_have, or one whole document */                         \
-    X(FLAG, waits, 0)            /* this leader does not serve yet */                                             \
-    X(U64, size, 0)              /* bytes; the whole document has so many at most */                              \
+    X(FLAG, waits, 0)            /* this leader does not serve callers yet */                                     \
+    X(U64, size, 0)              /* bytes; an upper bound on the whole document */                                \
     X(ONE, piece_set, ConfigSet) /* the change the piece is of, without its text; version 0: there is no piece */ \
     X(U64, piece_from, 0)        /* bytes; of the text before the piece */                                        \
     X(U64, piece_length, 0)      /* bytes; of the whole text */                                                   \
--- a/packages/routing/include/routing/pieces.h
+++ b/packages/routing/include/routing/pieces.h
@@ -4,10 +4,9 @@
 #include "routing/messages.h"
 #include "state/versions.h"
 
-/* A large document, handed over in pieces with pauses between them, so that a narrow link
- * carries other messages meanwhile. All pieces are of one version; what has changed since
- * comes as differences once that one is complete. Used by the configuration watch; nothing
- * here waits. */
+/* Transfer of a large document of the operators' configuration in pieces, with pauses between them, so that a narrow
+ * link carries other messages meanwhile. All pieces are of one version; later changes come as differences once that one
+ * is complete. Used by the configuration watch; nothing here waits. */
 
 /* --- the leader's side ---------------------------------------------------------------------- */
 
@@ -23,12 +22,12 @@
 } PieceSource;
 
 /* Adds to the answer the piece that was asked for, if it is of the version that is being
- * handed over; else the first piece of that version. To make a text costs a reading of the
- * whole document: while one is asked for, all who ask are given that one. The piece points
+ * handed over; else the first piece of that version. Making a text costs a parse of the whole
+ * document, so all processes that ask are given the present one as long as it is asked for. The piece points
  * into source. */
 void piece_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                   ConfigWatchAnswer *answer);
-/* Releases the text when nobody has asked for it of late. */
+/* Frees the text when nobody has asked for it lately. */
 void piece_rest(PieceSource *source, int64_t now_ms);
 
 /* --- the asking side ------------------------------------------------------------------------- */
@@ -44,7 +43,7 @@
 
 /* Whether some of a document is there and the rest is not. */
 bool pieces_begun(const Pieces *pieces);
-/* Says in the question which piece is wanted. */
+/* Sets in the request which piece is wanted. */
 void pieces_ask(const Pieces *pieces, ConfigWatchAsk *ask);
 /* Adds the answer's piece, if it has one. One that does not follow what is there is not
  * added, and what was there is dropped. True when the document is complete: set is filled
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -1,3 +1,4 @@
+/* One attempt to have a request answered: the coroutine that asks, and the wait for it. */
 #include "attempt.h"
 
 #include <talloc.h>
@@ -6,27 +7,28 @@
 #include "hop.h"
 #include "outcome.h"
 
-#define ATTEMPT_QUIET_MS 400 /* ms; nothing came back for so long: is the next hop alive? A commit takes far less */
-#define ATTEMPT_USERS 2      /* count; the asking coroutine and the waiting one */
+#define ATTEMPT_QUIET_MS \
+    400 /* ms; after so long without an answer the next hop is asked whether it is alive; a commit takes far less */
+#define ATTEMPT_USERS 2 /* count; the asking coroutine and the waiting one */
 
 struct Attempts {
     AttemptSettings settings;
-    bool pinging;            /* one of those who wait asks whether the next hop is alive */
-    struct Attempt *waiting; /* those whose askers wait */
+    bool pinging;            /* one of the waiting coroutines asks whether the next hop is alive */
+    struct Attempt *waiting; /* attempts whose callers still wait */
 };
 
-/* Freed by whichever of the asking coroutine and the waiting one ends last.
- * Invariant: on the list of those waiting exactly while its asker waits. */
+/* Freed by whichever ends last, the asking coroutine or the waiting one (users).
+ * Invariant: on the waiting list exactly while attempt_forward waits for it. */
 typedef struct Attempt {
     struct Attempt *prev, *next;
     Attempts *attempts;
     size_t users;
-    LeaderPathTaken taken;
+    LeaderHop taken;
     ForwardAsk ask;
     RpcSending sending;
     int64_t deadline_ms;
     bool done;
-    Signal updates; /* it is done, or the route has been replaced */
+    Signal changed; /* it is done, or the route has been replaced */
     Status status;
     ForwardAnswer answer;
 } Attempt;
@@ -59,13 +61,13 @@
                    attempt->deadline_ms - start_ms, &attempt->answer);
 }
 
-/* Whatever becomes of the asker, what was committed is kept: this process may be the only
- * one to hear of it. */
+/* The committed changes are kept also when nobody waits for the answer any more: this process may be the only one that
+ * has received them. */
 static void attempt_answered(Attempt *attempt, int64_t took_ms)
 {
     const AttemptSettings *settings = &attempt->attempts->settings;
     if (!attempt->taken.own)
-        leader_paths_heard(settings->leader_paths, &attempt->taken, outcome_leader_serves(&attempt->answer));
+        leader_route_heard(settings->leader_route, &attempt->taken, outcome_leader_serves(&attempt->answer));
     answer_trace(settings->trace, attempt->ask.method, &attempt->answer, took_ms);
     repair_buffer_keep(settings->repair_buffer, attempt->answer.repair_items, attempt->answer.repair_items_count);
     attempt->answer.repair_items_count = 0;
@@ -81,28 +83,28 @@
     if (attempt->status == STATUS_OK)
         attempt_answered(attempt, loop_now_ms(settings->loop) - start_ms);
     else
-        leader_paths_notified(settings->leader_paths, &attempt->answer);
+        leader_route_learn(settings->leader_route, &attempt->answer);
     attempt->done = true;
-    signal_raise(settings->loop, &attempt->updates);
+    signal_raise(settings->loop, &attempt->changed);
     attempt_leave(attempt);
 }
 
-/* --- the waiting one ----------------------------------------------------------------------- */
+/* --- the waiting coroutine ----------------------------------------------------------------- */
 
 void attempts_wake(Attempts *attempts)
 {
     for (Attempt *one = attempts->waiting; one != NULL; one = one->next)
-        signal_raise(attempts->settings.loop, &one->updates);
+        signal_raise(attempts->settings.loop, &one->changed);
 }
 
-/* Waits. Nothing has come back along the route since this was asked, and not lately: the
- * first to see that asks whether the next hop is alive, for all. */
-static void whether_alive(Attempts *attempts, const Attempt *attempt)
+/* Waits. Asks, for all who wait, whether the next hop is alive: nothing has come back along the route for
+ * ATTEMPT_QUIET_MS. */
+static void hop_check_alive(Attempts *attempts, const Attempt *attempt)
 {
-    LeaderPaths *leader_paths = attempts->settings.leader_paths;
+    LeaderRoute *leader_route = attempts->settings.leader_route;
     attempts->pinging = true;
-    if (!leader_paths_alive(leader_paths, &attempt->taken))
-        leader_paths_failed(leader_paths, &attempt->taken);
+    if (!leader_route_alive(leader_route, &attempt->taken))
+        leader_route_failed(leader_route, &attempt->taken);
     attempts->pinging = false;
     attempts_wake(attempts);
 }
@@ -111,23 +113,23 @@
 static void wait_for(Attempts *attempts, Attempt *attempt, int64_t asked_ms)
 {
     Loop *loop = attempts->settings.loop;
-    const LeaderPaths *leader_paths = attempts->settings.leader_paths;
-    while (!attempt->done && leader_paths_current(leader_paths, &attempt->taken) &&
+    const LeaderRoute *leader_route = attempts->settings.leader_route;
+    while (!attempt->done && leader_route_current(leader_route, &attempt->taken) &&
            loop_now_ms(loop) < attempt->deadline_ms) {
-        int64_t heard_ms = leader_paths_heard_ms(leader_paths);
+        int64_t heard_ms = leader_route_heard_ms(leader_route);
         int64_t wake_ms = attempt->deadline_ms;
         if (heard_ms < asked_ms)
             heard_ms = asked_ms;
         const int64_t quiet_ms = heard_ms + ATTEMPT_QUIET_MS;
         if (!attempt->taken.own && !attempts->pinging) {
             if (loop_now_ms(loop) >= quiet_ms) {
-                whether_alive(attempts, attempt);
+                hop_check_alive(attempts, attempt);
                 continue;
             }
             if (quiet_ms < wake_ms)
                 wake_ms = quiet_ms;
         }
-        signal_wait(loop, &attempt->updates, wake_ms);
+        signal_wait(loop, &attempt->changed, wake_ms);
     }
 }
 
@@ -149,8 +151,8 @@
         attempt->next->prev = attempt->prev;
 }
 
-Status attempt_forward(Attempts *attempts, void *mem, const LeaderPathTaken *taken, const ForwardAsk *ask,
-                       int64_t until_ms, ForwardAnswer *answer)
+Status attempt_forward(Attempts *attempts, void *mem, const LeaderHop *taken, const ForwardAsk *ask, int64_t until_ms,
+                       ForwardAnswer *answer)
 {
     Loop *loop = attempts->settings.loop;
     Attempt *attempt = talloc_zero(attempts, Attempt);
@@ -164,7 +166,7 @@
     loop_spawn(loop, "attempt", ask_main, attempt);
     wait_for(attempts, attempt, loop_now_ms(loop));
     waiting_remove(attempts, attempt);
-    /* one that still waits for a connection will not be sent any more */
+    /* a request that still waits for a connection is not sent any more */
     attempt->sending.cancelled = true;
     Status status = attempt->sending.sent ? STATUS_EXPIRED : STATUS_UNREACHABLE;
     if (attempt->done)
--- a/packages/routing/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -3,17 +3,17 @@
 
 #include "routing/forward.h"
 
-/* One attempt to have a request answered along one route. The retry rules stand above, in
+/* One attempt to have a forwarded request answered along one route. Retries are decided in
  * forwarding.c; here nothing is sent twice.
  *
- * An attempt runs in a coroutine of its own, because its answer is wanted even when the
- * asker has given up: what was committed goes into the repair buffer then, too. */
+ * An attempt runs in a coroutine of its own, because its answer is needed even when
+ * nobody waits for it any more: the committed changes go into the repair buffer. */
 
 /* What all attempts of a process use; the pointers outlive it. */
 typedef struct AttemptSettings {
     Loop *loop;
     Rpc *rpc;
-    LeaderPaths *leader_paths;
+    LeaderRoute *leader_route;
     RepairBuffer *repair_buffer;
     Trace *trace;
     ForwardServe serve; /* answers here while this process leads; null: it never leads */
@@ -29,8 +29,8 @@
  * the answer lives on mem. Other results: EXPIRED, no answer before the deadline, or before
  * the route failed or was replaced; UNREACHABLE, the same, but the request had not been sent
  * and never will be; else the refusal of whoever was asked. */
-Status attempt_forward(Attempts *attempts, void *mem, const LeaderPathTaken *taken, const ForwardAsk *ask,
-                       int64_t until_ms, ForwardAnswer *answer);
+Status attempt_forward(Attempts *attempts, void *mem, const LeaderHop *taken, const ForwardAsk *ask, int64_t until_ms,
+                       ForwardAnswer *answer);
 /* Wakes all who wait, once the route has been replaced: their attempts end as EXPIRED or
  * UNREACHABLE. */
 void attempts_wake(Attempts *attempts);
--- a/packages/routing/src/config_set.c
+++ b/packages/routing/src/config_set.c
@@ -1,3 +1,4 @@
+/* Versions of the operators' configuration as changes to be sent again. */
 #include "config_set.h"
 
 ConfigSet config_set_of(const Version *row)
--- a/packages/routing/src/forward.c
+++ b/packages/routing/src/forward.c
@@ -8,7 +8,7 @@
 #include "hop.h"
 #include "order.h"
 
-#define FORWARD_BACK_MS 20 /* ms; the result's way back to the caller */
+#define FORWARD_BACK_MS 20 /* ms; for the transport of the result to the caller */
 
 /* The request's deadline: the caller's own, less the way back to it, at most FORWARD_DEADLINE_MS. */
 static int64_t request_until_ms(const HttpTask *task, int64_t start_ms)
@@ -24,7 +24,7 @@
     const int64_t start_ms = loop_now_ms(forwarder->settings.loop);
     Forwarding one = {.forwarder = forwarder,
                       .task = task,
-                      .repeat = forward_repeat(task->method, task->path, task->query),
+                      .repeat = retry_rule_of(task->method, task->path, task->query),
                       .start_ms = start_ms,
                       .until_ms = request_until_ms(task, start_ms)};
     ForwardAsk ask = {
@@ -42,31 +42,31 @@
 
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
-    LeaderPathTaken taken;
-    if (!leader_paths_take(forwarder->leader_paths, &taken) || taken.own || taken.relay)
+    LeaderHop taken;
+    if (!leader_route_take(forwarder->leader_route, &taken) || taken.own || taken.relay)
         return STATUS_NOT_LEADER;
     ForwardAsk onward = *ask;
     onward.relay = false;
-    /* before the asker's own patience ends, so that it hears that this process is alive */
+    /* less than the asker waits, so that it gets an answer and knows that this process is alive */
     const int64_t wait_ms =
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
     const Status status = hop_ask(forwarder->settings.rpc, mem, &taken, NULL, &onward, wait_ms, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
-        leader_paths_failed(forwarder->leader_paths, &taken);
+        leader_route_failed(forwarder->leader_route, &taken);
     return status;
 }
 
-LeaderPaths *forwarder_leader_paths(Forwarder *forwarder)
+LeaderRoute *forwarder_leader_route(Forwarder *forwarder)
 {
-    return forwarder->leader_paths;
+    return forwarder->leader_route;
 }
 
-/* Those who wait for an answer hear at once that their route has been replaced. */
+/* Wakes all who wait for an answer when the route has been replaced. */
 static void moved_main(void *arg)
 {
     Forwarder *forwarder = arg;
     while (!loop_stopping(forwarder->settings.loop)) {
-        signal_wait(forwarder->settings.loop, leader_paths_moved(forwarder->leader_paths), INT64_MAX);
+        signal_wait(forwarder->settings.loop, leader_route_moved(forwarder->leader_route), INT64_MAX);
         attempts_wake(forwarder->attempts);
     }
 }
@@ -75,11 +75,11 @@
 {
     Forwarder *forwarder = talloc_zero(mem, Forwarder);
     forwarder->settings = *settings;
-    forwarder->leader_paths =
-        leader_paths_new(forwarder, settings->loop, settings->rpc, settings->members, settings->leads, settings->arg);
+    forwarder->leader_route =
+        leader_route_new(forwarder, settings->loop, settings->rpc, settings->members, settings->leads, settings->arg);
     forwarder->attempts = attempts_new(forwarder, &(AttemptSettings){.loop = settings->loop,
                                                                      .rpc = settings->rpc,
-                                                                     .leader_paths = forwarder->leader_paths,
+                                                                     .leader_route = forwarder->leader_route,
                                                                      .repair_buffer = settings->repair_buffer,
                                                                      .trace = settings->trace,
                                                                      .serve = settings->serve,
@@ -89,6 +89,6 @@
 
 void forwarder_start(Forwarder *forwarder)
 {
-    leader_paths_start(forwarder->leader_paths);
+    leader_route_start(forwarder->leader_route);
     loop_spawn(forwarder->settings.loop, "moved", moved_main, forwarder);
 }
--- a/packages/routing/src/forwarding.c
+++ b/packages/routing/src/forwarding.c
@@ -1,29 +1,30 @@
+/* The attempts of one forwarded request: routes, retries, and the result when it is given up. */
 #include "forwarding.h"
 
 #include "api/show.h"
 #include "outcome.h"
 
 #define SECOND_MS 1000         /* ms */
-#define REPAIR_REST_MS 100     /* ms; back-off before a leader that is in repair is asked again */
-#define FORWARD_ATTEMPTS_MAX 8 /* count; so many leaders or routes, one after the other, for one request */
+#define REPAIR_REST_MS 100     /* ms; back-off before a leader in repair is asked again */
+#define FORWARD_ATTEMPTS_MAX 8 /* count; attempts for one request, one after the other */
 
 /* --- the next attempt ------------------------------------------------------------------- */
 
 /* Waits. Whether a route is known before until_ms. */
-static bool way_wait(Forwarder *forwarder, LeaderPathTaken *taken, int64_t until_ms)
+static bool route_wait(Forwarder *forwarder, LeaderHop *taken, int64_t until_ms)
 {
-    while (!leader_paths_take(forwarder->leader_paths, taken))
+    while (!leader_route_take(forwarder->leader_route, taken))
         if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
-            !signal_wait(forwarder->settings.loop, leader_paths_moved(forwarder->leader_paths), until_ms))
-            return leader_paths_take(forwarder->leader_paths, taken);
+            !signal_wait(forwarder->settings.loop, leader_route_moved(forwarder->leader_route), until_ms))
+            return leader_route_take(forwarder->leader_route, taken);
     return true;
 }
 
-/* Until when a request waits for a route: what nobody can have taken, from the leader's
- * loss; what may have been taken, from the request's arrival. */
-static int64_t leader_paths_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
+/* Until when a request waits for a route: leader_wait_ms from the leader's loss when nobody can have taken it,
+ * outcome_wait_ms from its arrival when a lost leader may have. */
+static int64_t route_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
 {
-    const int64_t lost_ms = leader_paths_lost_ms(forwarder->leader_paths);
+    const int64_t lost_ms = leader_route_lost_ms(forwarder->leader_route);
     const int64_t from_ms = lost_ms != INT64_MAX ? lost_ms : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
         maybe_taken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
@@ -31,12 +32,12 @@
 }
 
 /* Waits. Whether another attempt is to be made, and along which route. */
-static bool attempt_next(const Forwarding *one, int attempt, LeaderPathTaken *taken)
+static bool attempt_next(const Forwarding *one, int attempt, LeaderHop *taken)
 {
     if (attempt > 0 && (one->task->gone || (one->maybe_taken && one->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t until_ms = leader_paths_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
-    return way_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
+    const int64_t until_ms = route_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
+    return route_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
 }
 
 /* Waits. The next leader can't say yet whether an earlier one took the request: it is in
@@ -46,7 +47,7 @@
 {
     Loop *loop = one->forwarder->settings.loop;
     if (answer->status != STATUS_REPAIRING || !one->maybe_taken || one->repeat == REPEAT_NEVER ||
-        loop_now_ms(loop) + REPAIR_REST_MS >= leader_paths_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
+        loop_now_ms(loop) + REPAIR_REST_MS >= route_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
         return false;
     loop_sleep(loop, REPAIR_REST_MS);
     return true;
@@ -57,7 +58,7 @@
     Forwarder *forwarder = one->forwarder;
     Loop *loop = forwarder->settings.loop;
     const bool changes = one->repeat != REPEAT_READ;
-    LeaderPathTaken taken;
+    LeaderHop taken;
     for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(one, attempt, &taken);) {
         bool unknown = false;
         ask->again = one->maybe_taken;
@@ -65,15 +66,15 @@
         if (status == STATUS_OK && !outcome_leader_lost(answer, &unknown)) {
             if (repair_awaited(one, answer))
                 continue;
-            /* one that did not take it says nothing of an earlier one, which may have */
+            /* that this leader did not take it does not mean that an earlier one did not */
             return answer->code != NOT_TAKEN_HTTP || !one->maybe_taken;
         }
         attempt++;
         unknown |= status != STATUS_OK && !outcome_untaken(status);
         one->maybe_taken |= changes && unknown;
-        /* a request that ran into its own deadline says nothing against the route */
+        /* a request that reached its own deadline does not mean that the route has failed */
         if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
-            leader_paths_failed(forwarder->leader_paths, &taken);
+            leader_route_failed(forwarder->leader_route, &taken);
     }
     return false;
 }
@@ -92,7 +93,7 @@
 /* For Retry-After, in seconds: another leader is found some 3 s after the last one was lost. */
 static int retry_s(const Forwarder *forwarder)
 {
-    const int64_t lost_ms = leader_paths_lost_ms(forwarder->leader_paths);
+    const int64_t lost_ms = leader_route_lost_ms(forwarder->leader_route);
     if (lost_ms == INT64_MAX)
         return RETRY_AFTER_S;
     const int64_t left_ms = lost_ms + ELECTION_MS - loop_now_ms(forwarder->settings.loop);
--- a/packages/routing/src/forwarding.h
+++ b/packages/routing/src/forwarding.h
@@ -2,16 +2,16 @@
 #define ROUTING_SRC_FORWARDING_H
 
 #include "attempt.h"
-#include "routing/routes.h"
+#include "routing/retry_rules.h"
 
 /* One request over all of its attempts: which route the next attempt takes, how long it is
  * waited for, whether the request may be sent again, and what its caller is told when it is
  * given up. Layers: forward.c (the request's life) uses order.c (identity of an order for a
- * zone), which uses this; this uses attempt.c, that uses ways.c. Nothing calls upwards. */
+ * zone), which uses this; this uses attempt.c, which uses leader_route.c. Nothing calls upwards. */
 
 struct Forwarder {
     ForwarderSettings settings;
-    LeaderPaths *leader_paths;
+    LeaderRoute *leader_route;
     Attempts *attempts;
 };
 
@@ -23,7 +23,7 @@
     Repeat repeat;
     int64_t start_ms, until_ms; /* the loop's clock: its arrival, and its deadline */
     bool maybe_taken;
-    bool based; /* the base of an order was read here, not given by its caller */
+    bool based; /* the base of an order for a zone was read here, not given by its caller */
 } Forwarding;
 
 /* Waits. Makes one attempt after the other until there is an answer to be given; false: the
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -2,16 +2,15 @@
 #define ROUTING_SRC_HOP_H
 
 #include "routing/messages.h"
-#include "routing/leader_paths.h"
+#include "routing/leader_route.h"
 
-/* The one question that goes to a next hop: a forwarded request. Used by the attempts,
- * by the relay and by the search for a route, so that all of them ask alike. */
+/* Sending a forwarded request to the next hop. Used by the attempts, by the relay and by the search for a route. */
 
 /* Waits. Sends a request to the process that was chosen and waits at most wait_ms for its
  * answer, which lives on mem. sending may be null; else it tells whether the request has
  * left, and lets the asker cancel it. Returns the transport's status, or the refusal of
  * the process that was asked; on a refusal the answer names the leader that it knows of. */
-Status hop_ask(Rpc *rpc, void *mem, const LeaderPathTaken *taken, RpcSending *sending, const ForwardAsk *ask,
-               int64_t wait_ms, ForwardAnswer *answer);
+Status hop_ask(Rpc *rpc, void *mem, const LeaderHop *taken, RpcSending *sending, const ForwardAsk *ask, int64_t wait_ms,
+               ForwardAnswer *answer);
 
 #endif
--- a/packages/routing/src/messages.c
+++ b/packages/routing/src/messages.c
@@ -1,4 +1,4 @@
-/* The tables that the message shapes are packed and unpacked by. */
+/* The field tables of the messages in messages.h. */
 #include "routing/messages.h"
 
 SHAPE_TABLE(RepairItem, REPAIR_ITEM_FIELDS)
--- a/packages/routing/src/order.c
+++ b/packages/routing/src/order.c
@@ -1,3 +1,4 @@
+/* Orders for a zone are made idempotent by a request id and the zone's stamp. */
 #include "order.h"
 
 #include <inttypes.h>
@@ -14,9 +15,9 @@
     json_object *shown = json_tokener_parse_ex(tokener, (const char *)answer->body.data, (int)answer->body.count);
     json_tokener_free(tokener);
     json_object *stamp = NULL;
-    const bool reported =
+    const bool found =
         json_object_is_type(shown, json_type_object) && json_object_object_get_ex(shown, "stamp", &stamp);
-    const int64_t value = reported ? json_object_get_int64(stamp) : -1;
+    const int64_t value = found ? json_object_get_int64(stamp) : -1;
     json_object_put(shown);
     return value;
 }
@@ -59,7 +60,7 @@
     }
     if (query_value(task, task->query, "order") == NULL)
         query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loop_random(loop));
-    loop_yield(loop); /* a close of its connection that came with the request is seen first */
+    loop_yield(loop); /* so that a disconnect that came with the request is seen first */
     if (task->gone) {
         show_refusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
         return false;
--- a/packages/routing/src/order.h
+++ b/packages/routing/src/order.h
@@ -4,9 +4,8 @@
 #include "forwarding.h"
 
 /* The identity that makes an order for a zone idempotent: a request id that is made here,
- * and the stamp of the zone's newest order after this one came in. The leader takes an
- * order only while that stamp is the newest, so a late copy of it changes nothing,
- * whichever leader it comes to. */
+ * and the stamp of the zone's newest order after this one came in. A leader takes an order
+ * only while that stamp is the newest, so a late duplicate changes nothing, whichever leader it reaches. */
 
 /* Waits. Adds the request id and the stamp to the query of ask, unless the caller gave
  * them; the query lives on the task. False: the task has its result already. Under a leader
--- a/packages/routing/src/outcome.c
+++ b/packages/routing/src/outcome.c
@@ -1,3 +1,4 @@
+/* What the end of an attempt says of the request. */
 #include "outcome.h"
 
 bool outcome_untaken(Status status)
--- a/packages/routing/src/piece_source.c
+++ b/packages/routing/src/piece_source.c
@@ -1,4 +1,4 @@
-/* The leader's side of a document that is handed over in pieces: one text for all who ask. */
+/* The leader's side of a document that is sent in pieces: one text for all processes that ask. */
 #include <string.h>
 #include <talloc.h>
 
@@ -14,7 +14,7 @@
     source->version = 0;
 }
 
-/* Whether its text may go on being handed over to the asker. */
+/* Whether pieces of its text may be sent to the asker. */
 static bool source_good(const PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, uint64_t term,
                         int64_t now_ms)
 {
--- a/packages/routing/src/repair_buffer.c
+++ b/packages/routing/src/repair_buffer.c
@@ -5,7 +5,7 @@
 #include <talloc.h>
 
 #define KEPT_BESIDE_BYTES \
-    160 /* bytes; an item's cost beside its payload: itself, its entry in the set, two allocations */
+    160 /* bytes; an item's cost besides its payload: the struct, its entry in the set, two allocations */
 
 typedef struct Kept {
     RepairItem item; /* first, so that the set finds it; its payload is a copy of its own */
@@ -103,7 +103,7 @@
     return had;
 }
 
-void repair_buffer_notify(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list)
+void repair_buffer_list(RepairBuffer *repair_buffer, void *mem, uint64_t config_have, RepairList *list)
 {
     forget(repair_buffer);
     list->items = talloc_array(mem, RepairItem, (unsigned)repair_buffer_count(repair_buffer));
--- a/packages/routing/src/routes.c
+++ b/packages/routing/src/retry_rules.c
@@ -1,11 +1,11 @@
 /* The retry table: which requests are idempotent. Rows are tried in order; the first that fits holds. */
-#include "routing/routes.h"
+#include "routing/retry_rules.h"
 
 #include <string.h>
 
 #include "api/show.h"
 
-static const ForwardRoute ROUTES[] = {
+static const RetryRule ROUTES[] = {
     {"GET", "/**", NULL, REPEAT_READ, "a read changes nothing"},
     {"POST", "/v1/queue/try", NULL, REPEAT_READ, "a policy is tried on what waits; nothing is changed"},
     {"POST", "/v1/jobs", NULL, REPEAT_NAMED, "the body carries the job's id: the same job is answered as it was"},
@@ -20,7 +20,7 @@
     {"DELETE", "/v1/zones/*/drain", NULL, REPEAT_ORDERED, "a name for the order, and the zone's stamp when it came in"},
 };
 
-const ForwardRoute *forward_routes(size_t *count)
+const RetryRule *retry_rules(size_t *count)
 {
     *count = sizeof(ROUTES) / sizeof(ROUTES[0]);
     return ROUTES;
@@ -45,10 +45,10 @@
     return *path == '\0';
 }
 
-Repeat forward_repeat(const char *method, const char *path, const char *query)
+Repeat retry_rule_of(const char *method, const char *path, const char *query)
 {
     for (size_t i = 0; i < sizeof(ROUTES) / sizeof(ROUTES[0]); i++) {
-        const ForwardRoute *route = &ROUTES[i];
+        const RetryRule *route = &ROUTES[i];
         if (strcmp(route->method, method) == 0 && path_fits(route->path, path) &&
             (route->needed == NULL || query_has(query, route->needed)))
             return route->repeat;
--- a/packages/sim/test/drains.c
+++ b/packages/sim/test/drains.c
@@ -45,14 +45,14 @@
 
 enum { CUT_TO_CONTROLLERS = 1, CUT_FROM_CONTROLLERS = 2 };
 
-static void cut_entry_point(Fleet *fleet, int entry_point, int leader_paths, bool cut)
+static void cut_entry_point(Fleet *fleet, int entry_point, int leader_route, bool cut)
 {
     const int machine = fleet_node(fleet, FLEET_ENTRY_POINT, entry_point)->machine;
     for (int i = 0; i < 3; i++) {
         const int controller = fleet_node(fleet, FLEET_CONTROLLER, i)->machine;
-        if (leader_paths & CUT_TO_CONTROLLERS)
+        if (leader_route & CUT_TO_CONTROLLERS)
             sim_cut(fleet->world, machine, controller, cut);
-        if (leader_paths & CUT_FROM_CONTROLLERS)
+        if (leader_route & CUT_FROM_CONTROLLERS)
             sim_cut(fleet->world, controller, machine, cut);
     }
 }
@@ -65,24 +65,24 @@
     (void)state;
     int held = 0;
     for (int at_ms = 5; at_ms <= 95; at_ms += 10)
-        for (int leader_paths = CUT_TO_CONTROLLERS; leader_paths <= (CUT_TO_CONTROLLERS | CUT_FROM_CONTROLLERS);
-             leader_paths++) {
+        for (int leader_route = CUT_TO_CONTROLLERS; leader_route <= (CUT_TO_CONTROLLERS | CUT_FROM_CONTROLLERS);
+             leader_route++) {
             Fleet *fleet = begin(41);
             Handed *late = order(fleet, 0, "POST");
             fleet_run(fleet, at_ms);
             held += !late->done;
-            cut_entry_point(fleet, 0, leader_paths, true);
+            cut_entry_point(fleet, 0, leader_route, true);
             fleet_run(fleet, 1000);
             assert_int_equal(ask(fleet, 1, "POST"), 200);
             assert_true(drained(fleet));
             assert_int_equal(ask(fleet, 1, "DELETE"), 200);
-            cut_entry_point(fleet, 0, leader_paths, false);
+            cut_entry_point(fleet, 0, leader_route, false);
             fleet_run(fleet, 12000);
             assert_true(late->done);
             if (drained(fleet))
-                fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", leader_paths, at_ms,
+                fail_msg("cut %d after %d ms: a late start emptied the zone again (%d)", leader_route, at_ms,
                          late->task->code);
-            print_message("cut %d after %d ms: %d\n", leader_paths, at_ms, late->task->code);
+            print_message("cut %d after %d ms: %d\n", leader_route, at_ms, late->task->code);
             case_end(fleet);
         }
     assert_true(held >= 9); /* that many cuts fell into the order's way */
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -342,11 +342,11 @@
     assert_true(repair_buffer_bytes(keeping.repair_buffer) <= REPAIR_BUFFER_BYTES_MAX);
     assert_true(repair_buffer_bytes(keeping.repair_buffer) > REPAIR_BUFFER_BYTES_MAX - 2000);
     RepairList list = {0};
-    repair_buffer_notify(keeping.repair_buffer, world, 0, &list);
+    repair_buffer_list(keeping.repair_buffer, world, 0, &list);
     assert_int_equal(list.items[list.items_count - 1].index, 20000);
     assert_int_equal(list.items[0].index, 20000 - list.items_count + 1);
     sim_run_until(world, 40000);
-    repair_buffer_notify(keeping.repair_buffer, world, 0, &list);
+    repair_buffer_list(keeping.repair_buffer, world, 0, &list);
     assert_int_equal(list.items_count, 0);
     assert_int_equal(repair_buffer_bytes(keeping.repair_buffer), 0);
     /* a deployment that trusts its disks keeps nothing */
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -10,7 +10,7 @@
 #include <talloc.h>
 
 #include "fleet_fixture.h"
-#include "routing/routes.h"
+#include "routing/retry_rules.h"
 #include "hand_worker.h"
 #include "state/table.h"
 
@@ -90,7 +90,7 @@
         Fleet *fleet = begin(51 + i);
         const char *before = state_of(fleet, fleet);
         const Handed *handed = request(fleet, row);
-        const bool ordered = forward_repeat(row->method, row->path, row->query) == REPEAT_ORDERED;
+        const bool ordered = retry_rule_of(row->method, row->path, row->query) == REPEAT_ORDERED;
         fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int entry_point = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine;
         const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
@@ -157,13 +157,13 @@
 {
     (void)state;
     size_t count;
-    const ForwardRoute *routes = forward_routes(&count);
+    const RetryRule *routes = retry_rules(&count);
     for (size_t i = 0; i < count; i++) {
         assert_true(strlen(routes[i].reason) > 0);
         bool tried = routes[i].repeat == REPEAT_READ;
         for (size_t k = 0; k < sizeof(ROWS) / sizeof(ROWS[0]) && !tried; k++)
             tried = strcmp(routes[i].method, ROWS[k].method) == 0 && ROWS[k].code != 504 &&
-                    forward_repeat(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].repeat &&
+                    retry_rule_of(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].repeat &&
                     strncmp(routes[i].path, ROWS[k].path, strcspn(routes[i].path, "*")) == 0;
         if (!tried)
             fail_msg("%s %s is tried nowhere", routes[i].method, routes[i].path);
@@ -192,7 +192,7 @@
         {"DELETE", "/v1/entry/a/b", "", REPEAT_NAMED},
     };
     for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++)
-        if (forward_repeat(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
+        if (retry_rule_of(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
             fail_msg("%s %s?%s", ASKED[i].method, ASKED[i].path, ASKED[i].query);
 }
 
--- a/src/node.c
+++ b/src/node.c
@@ -113,7 +113,7 @@
 static int adapter_wrong(const char *name)
 {
     char names[200] = "";
-    for (const Adapter *const *adapter = FACES; *adapter != NULL; adapter++)
+    for (const Adapter *const *adapter = ADAPTERS; *adapter != NULL; adapter++)
         snprintf(names + strlen(names), sizeof(names) - strlen(names), " %s", (*adapter)->name);
     return wrong("node", "--face: %s%s; there is%s", name != NULL ? name : "is missing",
                  name != NULL ? ": there is no such face" : "", names);
