--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -19,7 +19,7 @@
     uint64_t number;
     int64_t sent_ms;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
     uint64_t *turns; /* the saved_turn of each attempt whose checkpoint it carries */
 } Heartbeat;
 
@@ -133,7 +133,7 @@
     const Status status = rpc_ask_peer(agent->rpc, heartbeat, &target, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &ask,
                                        HEARTBEAT_WAIT_MS + ASK_TIMEOUT_MS, &HeartbeatAnswer_shape, &answer);
     const int64_t now_ms = loop_now_ms(agent->loop);
-    members_rest(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
+    members_slow_hellos(agent->members, status == STATUS_OK ? now_ms + HELLO_REST_MS : 0);
     if (status == STATUS_OK)
         answer_take(agent, heartbeat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -26,7 +26,7 @@
     Asking *asking;
     uint64_t disk;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
 } AskPart;
 
 static void asking_leave(Asking *asking)
--- a/packages/agent/src/tell.c
+++ b/packages/agent/src/tell.c
@@ -52,7 +52,7 @@
     size_t users;
     NotifyAsk ask;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
     bool over;
     Status status;
 } Telling;
--- a/packages/base/include/base/bytes.h
+++ b/packages/base/include/base/bytes.h
@@ -8,8 +8,8 @@
 #include <stdint.h>
 
 /* A run of bytes on talloc memory.
- * Invariant: count <= room; data is NULL exactly when room is 0 (or when the
- * bytes are borrowed: then room is 0 and nothing may be added). */
+ * Invariant: count <= capacity, or the bytes are borrowed: then capacity is 0 and nothing may be
+ * added. data is null while nothing was ever added. */
 typedef struct Bytes {
     uint8_t *data;
     size_t count;
@@ -18,7 +18,7 @@
 
 /* Appends a copy. The buffer is made on mem by the first call and grows there. */
 void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count);
-/* A copy of its own on mem. */
+/* A copy on memory of its own, on mem. */
 Bytes bytes_copy(void *mem, Bytes from);
 bool bytes_equal(Bytes a, Bytes b);
 /* CRC-32 (IEEE), the checksum of journal records. */
--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -6,8 +6,8 @@
  * with "..." goes on from the one before. Some are defaults of settings (settings/bounds.h). */
 
 /* --- heartbeats and leases -------------------------------------------------------------------
- * The steps after a leader's death add up to LOCK_GRANT_MS, one proposal, one change of the
- * voters and AGENT_LEASE_MS; the sum is below 12 s (docs/ha.md). */
+ * The steps after a leader's death add up to LOCK_GRANT_MS, one election, one view change and
+ * AGENT_LEASE_MS; the sum is below 12 s (docs/ha.md). */
 #define HEARTBEAT_MS 500    /* ms; between an agent's heartbeats; six fit in its lease, so five may be lost */
 #define AGENT_LEASE_MS 3000 /* ms; an agent's lease: a lost worker's runs out after this, "a few seconds at most" */
 #define LOCK_GRANT_MS 1500  /* ms; a voter grants the leader's lease for this long */
@@ -16,15 +16,17 @@
 #define LOCK_NOTIFY_MS 1000 /* ms; between renewals that carry what appends do not: clock and leader's name */
 /* ms; after a lost election a controller proposes itself again, next after twice this ... */
 #define PROPOSE_AGAIN_MS 60
-#define PROPOSE_MS 500      /* ms; ... up to this, plus a random part as long */
-#define PROPOSE_TURN_MS 120 /* ms; each voter proposes itself so much after the one before it: over an attempt trip */
-#define HANDED_MS 600       /* ms; the others leave this long to the successor that the last leader named */
+#define PROPOSE_MS 500 /* ms; ... up to this, plus a random part as long */
+#define PROPOSE_TURN_MS                                                                                         \
+    120               /* ms; each voter proposes itself so much after the one before it: more than a round trip \
+                       */
+#define HANDED_MS 600 /* ms; the others leave this long to the successor that the last leader named */
 #define ORDER_LIFETIME_MS 2000 /* ms; deadline of an order: an agent refuses an older one */
 /* ms; ... by any clock, also one that is 2% slow */
 #define ORDER_GONE_MS (ORDER_LIFETIME_MS + ORDER_LIFETIME_MS / 50 + LEASE_SLACK_MS)
 #define WORKER_POLL_MS 400 /* ms; an agent holds its worker's poll open at most this long */
 #define HEARTBEAT_WAIT_MS \
-    450 /* ms; a heartbeat is held open so long for orders: with the attempt trip, one per HEARTBEAT_MS */
+    450 /* ms; a heartbeat is held open so long for orders: with the round trip, one per HEARTBEAT_MS */
 #define HEARTBEATS_MOST 4 /* count; an agent's heartbeats in flight: one waits for orders, the others carry updates */
 #define WORKER_QUIET_MS 1200 /* ms; a worker that has not asked for this long, and its poll, gets no new work */
 #define WORKER_BUSY_MS 50   /* ms; a poll that reports ends is held so long: the next report waits for its answer ... */
@@ -41,14 +43,14 @@
 
 /* --- questions between processes ------------------------------------------------------------- */
 #define ASK_TIMEOUT_MS 800     /* ms; deadline of a plain question; shorter than the leader's lease */
-#define APPEND_TIMEOUT_MS 1500 /* ms; a voter that does not sync an append in this time leaves the voters */
+#define APPEND_TIMEOUT_MS 1500 /* ms; a voter that does not sync an append in this time leaves the view */
 #define WATCH_MS 100           /* ms; how often the leader looks at its voters, and a voter for a leader */
-#define VOTER_LATE_MS 400  /* ms; a voter that has not synced by then leaves if the others suffice: it is soon back */
-#define DISK_RETRY_MS 300  /* ms; between attempts to write to a disk that refused a write */
-#define VOTER_SLOW_MS 500  /* ms; a voter that takes longer to sync delays every caller ... */
-#define VOTER_SLOW_TIMES 3 /* count; ... and leaves a configuration of three when it does so this often in a row */
-#define POLL_GRACE_MS 60   /* ms; once a majority has answered the others have this long: later ones join afterwards */
-#define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; deadline of one step of a change of the voters */
+#define VOTER_LATE_MS 400      /* ms; a voter that has not synced by then leaves the view if the others suffice */
+#define DISK_RETRY_MS 300      /* ms; between attempts to write to a disk that refused a write */
+#define VOTER_SLOW_MS 500      /* ms; a voter that takes longer to sync delays every caller ... */
+#define VOTER_SLOW_TIMES 3     /* count; ... and leaves a view of three when it does so this often in a row */
+#define POLL_GRACE_MS 60 /* ms; once a majority has answered the others have this long: later ones join afterwards */
+#define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; deadline of one step of an election */
 #define FETCH_WAIT_MS 900             /* ms; a question for orders alone is held so long; below ORDER_LIFETIME_MS / 2 */
 #define CONFIG_WATCH_WAIT_MS 2000     /* ms; an entry point's question for a new configuration is held open this long */
 #define LEADER_WAIT_MS 150 /* ms; from a leader's loss, a request that nobody took waits so long for another way */
@@ -65,7 +67,7 @@
 #define CONNECTION_PROBES 3  /* count; ... and ends after so many probes without an answer */
 #define CONNECTION_MISSES 2  /* count; unanswered questions in a row before a connection is opened anew */
 #define CONNECTION_SILENT_MS \
-    200 /* ms; a question unanswered so long by a peer that just started went to its last life */
+    200 /* ms; a request unanswered so long by a peer that just restarted went to its last incarnation */
 
 /* --- membership ------------------------------------------------------------------------------ */
 #define HELLO_MS 500            /* ms; between two exchanges of the member table */
@@ -84,9 +86,9 @@
 #define LEARNER_APPEND_MS 100   /* ms; a learner gets what has come within this in one append: nobody waits for it */
 #define VOTE_LEAVE_PART 2    /* count; of its grace period a leaving voter waits 1 in so many for its vote to pass on */
 #define LEARNER_LATE_MS 2500 /* ms; a learner not ready by then makes way for another: megabytes take a second */
-#define VOTER_REST_MS 1000   /* ms; a voter that left for being late stays out at least this long */
-#define VOTER_LOST_REST_MS 5000 /* ms; a controller told that its vote is another's does not propose itself so long */
-#define VOTER_REPLACE_MS 15000  /* ms; a lost voter is made good within this where the settings do not say */
+#define VOTER_REST_MS 1000   /* ms; a voter that left the view for being late stays out at least this long */
+#define VOTER_LOST_REST_MS 5000 /* ms; a controller that is no voter any more does not propose itself so long */
+#define VOTER_REPLACE_MS 15000  /* ms; a lost voter is replaced within this where the settings do not say */
 #define VOTER_SILENT_PART 2 /* count; ... after 1 in so many of it a silent voter is replaced: that takes the rest */
 
 /* --- log and disk ---------------------------------------------------------------------------- */
@@ -106,11 +108,11 @@
 #define RESTARTED_WAIT_MS                                                                                    \
     3000               /* ms; restarted voters wait so long for others: every step together must end in 12 s \
                         */
-#define REPAIR_MS 1500 /* ms; processes that hold what the disks lost have this long to send it again */
+#define REPAIR_MS 1500 /* ms; processes that have what the disks lost have this long to send it again */
 /* ms; a leader that has just started repairs no sooner: until then connections of others to
  * its previous life may be silent */
 #define REPAIR_HEAR_MS (CONNECTION_MISSES * ASK_TIMEOUT_MS + 2 * HELLO_MS)
-#define KEEP_ASK_MS 100 /* ms; an entry point keeps a change for repair at once; a caller waits meanwhile */
+#define KEEP_ASK_MS 100 /* ms; deadline for an entry point to keep a change for repair; a caller waits meanwhile */
 #define REPAIR_BUFFER_BYTES_MAX \
     (4 * 1024 * 1024)           /* bytes; one node keeps for repair: some 5,000 jobs; memory is priced */
 #define REPAIR_KEEP_MS 120000   /* ms; how long entry points and agents keep for repair what they were told */
@@ -205,7 +207,7 @@
 #define SLOW_TIMES 3        /* count; an attempt that takes so many times its step's median is a slow one */
 #define SLOW_OTHERS 4       /* count; other attempts of the step that a median needs */
 #define SLOW_OTHERS_MOST 64 /* count; ... and more than this are not looked at: a step may have thousands */
-#define SLOW_LEAST_MS 200   /* ms; a median below this says nothing: the attempt trip takes as long */
+#define SLOW_LEAST_MS 200   /* ms; a median below this says nothing: the round trip takes as long */
 
 /* --- planner --------------------------------------------------------------------------------- */
 #define PLAN_EXHAUSTIVE_MAX 400 /* count; loss sequences walked one by one; above it the cheap bound */
--- a/packages/base/include/base/recorder.h
+++ b/packages/base/include/base/recorder.h
@@ -22,7 +22,7 @@
 #undef X
 } RecorderLevel;
 
-/* The place in the replicated log at which a line was logged; 0 where there is none. */
+/* The term and the commit index at which a line was logged (replication_place); 0 where there is none. */
 typedef struct RecorderPlace {
     uint64_t term, index;
 } RecorderPlace;
@@ -40,13 +40,13 @@
 
 /* node: the name that its lines carry. Owned by mem. */
 Recorder *recorder_new(void *mem, const char *node);
-/* A quiet ring keeps its lines and never writes (the simulator's). */
+/* Makes it quiet: it keeps its lines and writes none (used by the simulator). */
 void recorder_quiet(Recorder *recorder);
 /* Lines below this level are written only together with one that isn't. NOTE at first. */
 void recorder_set_level(Recorder *recorder, RecorderLevel least);
-/* place is asked for the place of each line from now on. It must not wait. */
+/* From now on place(arg) gives the place of each line. It must not wait. */
 void recorder_set_place(Recorder *recorder, RecorderPlaceFn place, void *arg);
-/* False where there is no such level; then *level stays as it is. */
+/* Sets *level to the level of that word; false, and no effect, where there is none. */
 bool recorder_level_of_word(const char *word, RecorderLevel *level);
 /* Logs a line of at most RECORDER_LINE_BYTES; a longer one is cut. */
 void recorder_write(Recorder *recorder, RecorderLevel level, int64_t at_ms, const char *format, ...)
--- a/packages/base/include/base/term.h
+++ b/packages/base/include/base/term.h
@@ -1,13 +1,13 @@
 #ifndef BASE_TERM_H
 #define BASE_TERM_H
 
-/* Numbers of the log's terms (Raft's term). They grow with each leader; an entry, an order
- * and a grant carry the number of the leader that they come from. */
+/* Numbers of terms (Raft). Each leader has a term of its own, with a higher number than all before; entries, orders and
+ * grants of the lease carry the number of the term that they come from. */
 
 #include <stdint.h>
 
 /* A term's number is a counter and, in its lowest bits, a part of its leader's disk id, so
- * that two leaders never have the same number even when a disk lost a promise. */
+ * that two leaders never have terms of the same number, even when a disk has lost a promise. */
 #define TERM_HOLDER_BITS 20 /* bits; of the disk id */
 
 /* The number of the term after this one with that disk as leader. */
--- a/packages/base/src/bytes.c
+++ b/packages/base/src/bytes.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define BYTES_FIRST 64 /* bytes; room of a new buffer */
+#define BYTES_FIRST 64 /* bytes; capacity of a new buffer */
 
 void bytes_add(void *mem, Bytes *bytes, const void *data, size_t count)
 {
--- a/packages/config/include/config/check.h
+++ b/packages/config/include/config/check.h
@@ -28,7 +28,7 @@
 
 /* An empty list on mem, which owns it and its texts. */
 Faults *faults_make(void *mem);
-/* Counts a fault and, if there is room, notes it. The path is copied. */
+/* Counts a fault and, while the list is not full, adds it. The path is copied. */
 void fault_add(Faults *faults, Status status, const char *path, const char *format, ...)
     __attribute__((format(printf, 4, 5)));
 
@@ -60,8 +60,8 @@
 bool check_name_text(const char *text);
 /* An array of at most JOB_STEPS_MAX names, on the faults' mem; their number goes to *count. */
 const char **check_names(Faults *faults, json_object *object, const char *path, const char *key, size_t *count);
-/* {"cpu": controllers, "mem_mb": MB, "gpu": count}; controllers may have a fraction down to a thousandth,
- * gpu may be absent. needed: the key must be there. */
+/* {"cpu": cores, "memMb": MB, "gpu": count}; cores may have a fraction down to a thousandth, gpu may be absent. needed:
+ * the key must be there. */
 Resources check_resources(Faults *faults, json_object *object, const char *path, const char *key, bool needed);
 /* "path.key", or key alone below an empty path; on the faults' mem. */
 const char *check_path(Faults *faults, const char *path, const char *key);
--- a/packages/config/include/config/config.h
+++ b/packages/config/include/config/config.h
@@ -1,7 +1,7 @@
 #ifndef CONFIG_CONFIG_H
 #define CONFIG_CONFIG_H
 
-/* The operators' configuration as the product reads it: cells with their tenants and queues,
+/* The operators' configuration (not the voters' list, replication/messages.h): cells with their tenants and queues,
  * kinds of workers, policies, limits. The leader reads each version (packages/controller), checks
  * what operators send by it, and plans by it. docs/api.md describes the document. Nothing
  * here waits. */
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 #include "scan.h"
-#include "twice.h"
+#include "duplicate_keys.h"
 
 #define DEPTH_MAX 16 /* count; levels of nesting: more than any document of ours needs */
 
@@ -64,8 +64,8 @@
         fault_add(faults, STATUS_BAD_JSON, "", "must not be null");
         return NULL;
     }
-    if (scan.members != twice_members(object)) {
-        twice_find(faults, whole);
+    if (scan.members != json_member_count(object)) {
+        duplicate_keys_find(faults, whole);
         json_object_put(object);
         return NULL;
     }
--- a/packages/config/src/twice.c
+++ b/packages/config/src/duplicate_keys.c
@@ -1,23 +1,23 @@
-/* Finding keys that stand twice, by a walk over the text. */
-#include "twice.h"
+/* Finding duplicate keys of objects, by a walk over the text. */
+#include "duplicate_keys.h"
 
 #include <glib.h>
 #include <string.h>
 #include <talloc.h>
 
-size_t twice_members(json_object *tree)
+size_t json_member_count(json_object *tree)
 {
     size_t count = 0;
     if (json_object_is_type(tree, json_type_object)) {
         json_object_object_foreach(tree, key, value)
         {
             (void)key;
-            count += 1 + twice_members(value);
+            count += 1 + json_member_count(value);
         }
     } else if (json_object_is_type(tree, json_type_array)) {
         const size_t length = json_object_array_length(tree);
         for (size_t i = 0; i < length; i++)
-            count += twice_members(json_object_array_get_idx(tree, i));
+            count += json_member_count(json_object_array_get_idx(tree, i));
     }
     return count;
 }
@@ -108,7 +108,7 @@
     skip_blanks(walk);
 }
 
-void twice_find(Faults *faults, const char *text)
+void duplicate_keys_find(Faults *faults, const char *text)
 {
     Walk walk = {faults, text};
     walk_value(&walk, "");
--- a/packages/config/src/scan.h
+++ b/packages/config/src/scan.h
@@ -2,7 +2,7 @@
 #define CONFIG_SRC_SCAN_H
 
 /* A strict check of a text before json-c parses it: whether it is one JSON value as RFC 8259
- * has it, no more and no less. json-c is laxer, and keeps the last of two equal keys. */
+ * has it, no more and no less. json-c is laxer, and of two equal keys keeps only the last. */
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/packages/document/include/document/document.h
+++ b/packages/document/include/document/document.h
@@ -1,8 +1,8 @@
 #ifndef DOCUMENT_DOCUMENT_H
 #define DOCUMENT_DOCUMENT_H
 
-/* JSON documents as trees, and the merge patches (RFC 7396) between them. The configuration's
- * versions are kept and compared by them.
+/* JSON documents as trees, and the merge patches (RFC 7396) between them. The versions of the operators'
+ * configuration are kept and compared by them.
  *
  * A tree is never changed once it is made: merging makes a new one that shares with the old
  * whatever is the same, so equal pointers mean equal content. Trees are json-c's and counted:
--- a/packages/journal/include/journal/journal.h
+++ b/packages/journal/include/journal/journal.h
@@ -4,16 +4,16 @@
 #include "journal/record.h"
 #include "loop/loop.h"
 
-/* The storage on disk of the replicated log: an append-only file of checksummed blocks. A block has the records
- * of one sync, of as many tasks as had queued some by then, and is the unit of tearing. Used by packages/replication,
- * one journal for each node.
+/* The storage of the replicated log on disk: an append-only file of checksummed blocks. A block has all records that
+ * were queued when a sync began, of any number of tasks; a crash can lose or tear only the last block. Used by
+ * packages/replication, one journal for each node.
  *
  * Block: magic, length, checksum of those two, checksum of the body, body.
  * A bad block with no whole block after it is a torn tail and is cut off. A bad block before a whole one is
  * corruption, an error of its own.
  *
- * Invariants: what was told as written outlasts a loss of power, where the disk keeps what it syncs; a rewrite
- * leaves the old file or the new one, whole; after a failed write nothing is written but a rewrite. */
+ * Invariants: what was acknowledged as written outlasts a loss of power, where the disk keeps what it syncs; a rewrite
+ * leaves either the old file or the new one, whole; after a failed write nothing but a rewrite is written. */
 typedef struct Journal Journal;
 
 /* Is given each record that was found, in order; it is valid during the call alone. Does not wait. */
@@ -25,7 +25,7 @@
     uint64_t rewrites;
     uint64_t bytes;        /* of the file now */
     uint64_t torn_bytes;   /* cut off at open */
-    bool begun_anew;       /* in the place of one that was not whole, at this start or an earlier one */
+    bool begun_anew;       /* it replaced a journal that was not whole, at this start or an earlier one */
     int64_t last_sync_ms;  /* how long the last sync took, in ms */
     int64_t worst_sync_ms; /* the longest since open */
 } JournalCounts;
@@ -39,19 +39,19 @@
  * later release; DISK_FAILED: the disk refused for JOURNAL_OPEN_MS. */
 Status journal_open(Loop *loop, void *mem, const char *path, const char *node_name, JournalFn found, void *arg,
                     Journal **journal, Failure *failure);
-/* Waits. Puts a journal with a new disk id in the place of one that is not whole, in one step. The old one is kept
+/* Waits. Replaces a journal that is not whole by one with a new disk id, in one step. The old one is kept
  * beside it as PATH.bad for whoever looks into the fault, when it has at most JOURNAL_BAD_BYTES. */
 Status journal_begin(Loop *loop, void *mem, const char *path, const char *node_name, Journal **journal,
                      Failure *failure);
-/* The random number that names this disk, made with the file. */
+/* The id of this disk: a random number, drawn when the file was made. */
 uint64_t journal_disk(const Journal *journal);
-/* Waits. Queues the records until they are synced, with all that was queued before them; without records it waits
- * for those alone. TOO_LARGE: they are more than a block holds, and nothing is written; DISK_FAILED. */
+/* Waits until the records are synced, with all that was queued before them; without records it waits for the latter
+ * only. TOO_LARGE: they do not fit in a block, and nothing is written; DISK_FAILED. */
 Status journal_write(Journal *journal, const Record *records, size_t count);
-/* Waits. Queues a new content of the whole file, which stands for all that was queued before it, until it is in
- * place. The identity is kept. Also tried after a failure. DISK_FAILED. */
+/* Waits until the content of the whole file is replaced by these records, after the identity; they have to contain all
+ * that was queued before. Also tried after a failure. DISK_FAILED. */
 Status journal_rewrite(Journal *journal, const Record *records, size_t count);
-/* A write has failed: until a rewrite goes well, all others fail at once. */
+/* Whether a write has failed: until a rewrite succeeds, all other writes fail at once. */
 bool journal_failed(const Journal *journal);
 /* Owned by the journal, and up to date at each call. */
 const JournalCounts *journal_counts(const Journal *journal);
--- a/packages/journal/include/journal/record.h
+++ b/packages/journal/include/journal/record.h
@@ -3,8 +3,8 @@
 
 #include "wire/shape.h"
 
-/* The records of a journal. Numbers, field names and their order are part of the format on disk. Names: "term" is
- * a term, an index one of the replicated log. */
+/* The records of a journal. Numbers, field names and their order are part of the format on disk. Terms and indexes are
+ * those of the replicated log, but where a row says otherwise. */
 #define RECORD_LIST(X)                                                                                 \
     X(IDENTITY, 1, "identity") /* first record: format version, the disk's id; change 1: begun anew */ \
     X(CLUSTER, 2, "cluster")   /* term: cluster id; payload: packed VoterList */                       \
@@ -12,7 +12,7 @@
     X(ENTRY, 4, "entry")       /* an entry of the replicated log */                                    \
     X(TRIM, 5, "trim")         /* all entries after index are dropped */                               \
     X(SNAPSHOT, 6, "snapshot") /* the state after index; earlier entries are dropped */                \
-    X(COMMIT, 7, "commit")     /* entries up to index are committed; of earlier releases */
+    X(COMMIT, 7, "commit")     /* entries up to index are committed; written by earlier releases only */
 
 typedef enum RecordKind {
 #define X(name, number, word) RECORD_##name = number,
--- a/packages/journal/src/inside.h
+++ b/packages/journal/src/inside.h
@@ -3,12 +3,12 @@
 
 #include "journal/journal.h"
 
-/* What the parts of a journal share: open.c makes it, journal.c writes it. */
+/* The state of a journal, shared by its sources: open.c opens it, journal.c writes it. */
 
-/* Records that wait for their sync; owned by the task that waits. */
+/* A queued write; owned by the task that waits for its sync. */
 typedef struct Waiting {
     struct Waiting *next;
-    bool rewrite; /* body is a whole file of blocks; else the records of a block to be */
+    bool rewrite; /* body is the whole file, in blocks; else records to be put in a block */
     Bytes body;
     size_t records;
     bool done; /* status is set */
--- a/packages/journal/src/journal.c
+++ b/packages/journal/src/journal.c
@@ -1,4 +1,4 @@
-/* Writing a journal: one task writes what is queued; all that is queued by then shares a sync. */
+/* Writing a journal: one task writes the queue; all that is queued when a write begins shares a sync. */
 #include <talloc.h>
 
 #include "block.h"
@@ -16,7 +16,7 @@
     bool rewrite;
 } Batch;
 
-/* Takes from the queue what shares the next sync: as much as a block holds. A rewrite goes alone. */
+/* Takes from the queue what shares the next sync: as much as a block holds, or one rewrite. */
 static Batch batch_take(Journal *journal, void *mem)
 {
     Batch batch = {.first = journal->first, .rewrite = journal->first->rewrite};
@@ -46,7 +46,7 @@
         return status;
     }
     if (batch->body.count == 0)
-        return STATUS_OK; /* only waited for those before it */
+        return STATUS_OK; /* an empty write: only the wait for those before it */
     Bytes block = {0};
     block_add(mem, &block, batch->body);
     const Status status = file_append(journal->file, block);
@@ -59,7 +59,7 @@
 /* Waits. Writes the batch, and notes how long that took. */
 static Status batch_write(Journal *journal, void *mem, const Batch *batch)
 {
-    if (journal->failed && !batch->rewrite) /* only a whole new file has all that the old one should have */
+    if (journal->failed && !batch->rewrite) /* what the old file has is not known: only a rewrite helps */
         return STATUS_DISK_FAILED;
     const int64_t start_ms = loop_now_ms(journal->loop);
     journal->sync_since_ms = start_ms;
@@ -169,7 +169,7 @@
     return queue_up(journal, waiting);
 }
 
-/* --- readings ------------------------------------------------------------------------------ */
+/* --- getters ------------------------------------------------------------------------------- */
 
 uint64_t journal_disk(const Journal *journal)
 {
--- a/packages/journal/src/open.c
+++ b/packages/journal/src/open.c
@@ -15,7 +15,7 @@
     Failure failure; /* what is wrong with the identity */
 } Opening;
 
-/* The identity comes first; all other records go to the reader. */
+/* Checks the identity, which comes first; hands all other records to found. */
 static void open_record(void *arg, const Record *record)
 {
     Opening *opening = arg;
@@ -37,7 +37,7 @@
         opening->found(opening->arg, record);
 }
 
-/* Waits. A journal on mem with nothing but its file. */
+/* Waits. Makes a journal on mem and opens its file. */
 static Status file_take(Loop *loop, void *mem, const char *path, const char *node_name, Journal **out, Failure *failure)
 {
     Journal *journal = talloc_zero(mem, Journal);
--- a/packages/lock/include/lock/lock.h
+++ b/packages/lock/include/lock/lock.h
@@ -1,22 +1,23 @@
 #ifndef LOCK_LOCK_H
 #define LOCK_LOCK_H
 
-/* The leader's lock: the paper's master lock, which stands on a shared disk there and here on a
- * majority of the voters. This is its arithmetic alone, without messages or disk: what a voter has
- * promised and granted, and how long a holder may count on what it was granted. packages/replication
- * uses it; nothing here waits or allocates.
+/* The leader's lock: the master lock of the paper (XenServer HA design), which is on a shared disk there and
+ * here is a lease granted by a majority of the voters. This package is its arithmetic only, without messages or
+ * disk: what a voter has promised and granted, and how long the holder (the leader) may rely on it. Used by
+ * packages/replication; nothing here waits or allocates.
  *
  * Why there is at most one holder (the paper's safety rule 1):
- * - A lease is counted by its holder from when it SENT the request, by the voter from when it
- *   ANSWERED, which is later. The holder also counts on less than a voter grants, by so much that
- *   clocks may run CLOCK_SLOW_PERCENT apart. Clocks of two processes are never compared.
+ * - A lease counts for its holder from when the holder SENT the request, for the voter from when it
+ *   ANSWERED, which is later. The holder also relies on less than a voter grants (LOCK_LEASE_MS,
+ *   LOCK_GRANT_MS), so that clocks may be CLOCK_SLOW_PERCENT slow or fast. Clocks of two processes are
+ *   never compared.
  * - A voter promises nothing to another while a lease that it granted runs.
  * - Both holders need a majority of the voters, and two majorities share a voter. They do so too
  *   while voters are added or removed one at a time: two majorities of lists that differ in one
  *   voter share one.
  *
- * Terms: a holder is named by its disk's id; term is the term it holds the lock under. All times
- * are ms on the own process's steady clock. */
+ * A holder is identified by the id of its disk, a term by its number (base/term.h). All times are ms on the
+ * process's own steady clock. */
 
 #include <stdbool.h>
 #include <stddef.h>
@@ -39,10 +40,11 @@
 typedef struct LockVoter {
     uint64_t promised;      /* the highest term promised; 0: none */
     uint64_t holder;        /* to whom; 0: to nobody */
-    int64_t lease_until_ms; /* the lease granted ends then */
-    uint64_t released;      /* term whose holder gave its lease back: no late message renews it */
-    int64_t not_before_ms;  /* restarted: a lease that it forgot may run, so nothing is promised before ... */
-    bool promise_certain;   /* ... but promised and holder are certainly the last: holder alone may be promised */
+    int64_t lease_until_ms; /* when the granted lease ends */
+    uint64_t released;      /* the term whose holder gave its lease back: a late request does not renew it */
+    int64_t not_before_ms;  /* after a restart: a lease granted before it may still run, so nothing is promised before
+                               this ... */
+    bool promise_certain;   /* ... except to holder, when promised and holder are certainly the last ones */
 } LockVoter;
 
 /* Whether the term may be promised to the holder now; changes nothing. OK, OLD_TERM (not above
@@ -52,7 +54,7 @@
 /* Records a promise: one that lock_may_promise allowed, that the leader of a higher term shows to
  * exist, or that was read from the disk. term is never below promised. */
 void lock_promise(LockVoter *voter, uint64_t term, uint64_t holder);
-/* Grants a lease of LOCK_GRANT_MS from now, or lets the one that runs go on. OLD_TERM (not the
+/* Grants a lease of LOCK_GRANT_MS from now, or renews the one that runs. OLD_TERM (not the
  * promised term, or one that was released) and OTHER_HOLDER change nothing. */
 Status lock_renew(LockVoter *voter, uint64_t term, uint64_t holder, int64_t now_ms);
 /* The holder gives its lease back: another need not wait for its end. A request of another
@@ -75,7 +77,7 @@
 void lock_lease_clear(LockLease *lease);
 /* The voter at the slot granted the request that was sent at sent_ms; grants may come in any order. */
 void lock_lease_answered(LockLease *lease, int voter, int64_t sent_ms);
-/* Until when the lease of a majority runs (LOCK_LEASE_MS from sending); INT64_MIN: it is not held. */
+/* Until when a majority's grants last (LOCK_LEASE_MS from sending); INT64_MIN: no majority has granted. */
 int64_t lock_lease_until(const LockLease *lease);
 
 #endif
--- a/packages/lock/src/lock.c
+++ b/packages/lock/src/lock.c
@@ -7,7 +7,7 @@
 
 #define WHOLE_PERCENT 100
 
-/* A lease that a slow holder counts from sending ends before the one that a quick voter granted. */
+/* The lease ends earlier at a holder with a slow clock than at a voter with a fast one. */
 _Static_assert(LOCK_LEASE_MS *(WHOLE_PERCENT + CLOCK_SLOW_PERCENT) <=
                    LOCK_GRANT_MS * (WHOLE_PERCENT - CLOCK_SLOW_PERCENT),
                "the holder counts on more of the lease than clocks apart leave of it");
--- a/packages/loop/include/loop/inside.h
+++ b/packages/loop/include/loop/inside.h
@@ -6,13 +6,13 @@
 
 #include "loop/loop.h"
 
-/* A task that is to be woken at a time. A timer whose turn is not its task's turn is stale: the task was woken by
- * something else. */
+/* A task that is to be woken at a time. A timer whose wakes is not its task's is stale: the task has been woken by
+ * something else since. */
 typedef struct Timer {
     int64_t when_ms;
     uint64_t order;
     Task *task;
-    uint64_t turn;
+    uint64_t wakes; /* those of the task when it began to wait */
 } Timer;
 
 /* Common part of both implementations, the first member of theirs.
@@ -36,8 +36,8 @@
     Bytes bytes;
 } Frame;
 
-/* Invariants: frames are in order of arrival; none is added once closed; queued counts the bytes that were to be
- * sent, handed those of them that may have left. */
+/* Invariants: frames are in order of arrival; none is added once closed; queued counts the bytes given to
+ * channel_send, handed those of them that may have left the process. */
 struct Channel {
     Loop *loop;
     bool closed;
@@ -60,8 +60,8 @@
 /* When loop_run has to be called next; INT64_MAX: not before something else happens. */
 int64_t loop_next_ms(Loop *loop);
 
-/* Adds a timer that wakes task, if it still is in this turn at when_ms. */
-void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t turn);
+/* Adds a timer that wakes task at when_ms, unless it has been woken since wakes was read. */
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wakes);
 /* Removes the earliest timer. There must be one. */
 void timer_drop(Loop *loop);
 
--- a/packages/loop/include/loop/loop.h
+++ b/packages/loop/include/loop/loop.h
@@ -8,7 +8,7 @@
 #include "base/constants.h"
 #include "base/failure.h"
 
-/* The interface between node code and the world: clock, coroutines, timers, connections, disk, HTTP.
+/* The interface between node code and the outside: clock, coroutines, timers, connections, disk, HTTP.
  *
  * All node code (the packages behind the daemons) uses only this; two implementations stand behind it: the real one
  * (loop/real.h: h2o's event loop) and the simulated one (sim/world.h: virtual time).
@@ -147,16 +147,16 @@
     size_t head_count;
     Bytes body;
     int64_t timeout_ms; /* deadline by loop_now_ms: nobody waits for the response after this; 0: not known */
-    bool again;         /* a retry: it was forwarded to another leader before, whose answer was lost */
+    bool again;         /* a retry: it was forwarded to another leader before, and that answer was lost */
     bool gone;          /* the caller has disconnected: a response would go nowhere */
     /* the response, for the handler to set */
     int code;         /* HTTP status */
     Status status;    /* why it was rejected; OK otherwise */
     const char *kind; /* content type */
     Bytes result;
-    int retry_after_s;     /* Retry-After in seconds, sent when above 0 */
-    const HttpPair *tells; /* further headers of the response */
-    size_t notify_count;
+    int retry_after_s;              /* Retry-After in seconds, sent when above 0 */
+    const HttpPair *response_heads; /* further headers of the response */
+    size_t response_head_count;
 };
 
 /* The value of a header, by its name in lower case; null when it is not there. */
@@ -185,8 +185,8 @@
     int code;
     Bytes result;
     int retry_after_s;
-    const HttpPair *tells; /* all headers of the response, their names in lower case */
-    size_t notify_count;
+    const HttpPair *response_heads; /* all headers of the response, their names in lower case */
+    size_t response_head_count;
     bool sent; /* false: certainly nobody has received it */
     /* internal: set while the call waits */
     Signal *waiting;
--- a/packages/loop/src/http.c
+++ b/packages/loop/src/http.c
@@ -27,8 +27,8 @@
 Status loop_call(Loop *loop, HttpCall *call)
 {
     call->code = call->retry_after_s = 0;
-    call->tells = NULL;
-    call->notify_count = 0;
+    call->response_heads = NULL;
+    call->response_head_count = 0;
     call->sent = call->cut = false;
     const Status status = loop->ops->call(loop, call);
     call->waiting = NULL;
--- a/packages/loop/src/real.h
+++ b/packages/loop/src/real.h
@@ -9,8 +9,8 @@
 #include "loop/inside.h"
 #include "loop/real.h"
 
-/* State and functions that the files of the real loop share: realsocket.c; above it realchannel.c (connections),
- * realserve.c (HTTP server), realcall.c (HTTP client) and realdisk.c (files); above those real.c. */
+/* State and functions that the files of the real loop share: real_socket.c; on it real_channel.c
+ * (connections), real_serve.c (HTTP server), real_call.c (HTTP client) and real_disk.c (files); on those real.c. */
 
 typedef struct RealLoop {
     Loop loop; /* first: a Loop is a RealLoop */
@@ -25,11 +25,11 @@
     h2o_accept_ctx_t accept;
     bool serving;
     bool leaving;
-    size_t http_tasks;               /* requests in work, at most HTTP_TASKS_MAX */
-    HttpLimits limits;               /* none is 0 once it serves */
-    struct RealChannel *flush_first; /* channels with frames to write at the end of this turn */
-    struct Visit *visits;            /* the callers' connections */
-    int64_t swept_ms;                /* when unfinished heads were last looked for */
+    size_t http_tasks;                /* requests in progress, at most HTTP_TASKS_MAX */
+    HttpLimits limits;                /* none is 0 once it serves */
+    struct RealChannel *flush_first;  /* channels with frames to write at the end of this turn */
+    struct CallerConnection *callers; /* the callers' connections */
+    int64_t swept_ms;                 /* when unfinished heads were last looked for */
     h2o_timeout_t call_timeout;
     h2o_http1client_ctx_t client;
     TaskFn on_term;
@@ -50,7 +50,7 @@
  * listening socket accepts inherit them. */
 void real_patience(int fd);
 
-/* realchannel.c */
+/* real_channel.c */
 Status real_listen(Loop *loop, const char *address, ChannelFn fn, void *arg, char *bound, Failure *failure);
 Status real_open(Loop *loop, void *mem, const char *address, int64_t wait_ms, Channel **channel);
 Status real_send(Channel *channel, Bytes frame);
@@ -58,7 +58,7 @@
 /* Writes what was queued in this turn of the loop. */
 void real_flush(RealLoop *real);
 
-/* realserve.c */
+/* real_serve.c */
 Status real_serve(Loop *loop, const char *address, HttpFn fn, void *arg, char *bound, Failure *failure);
 void real_limit(Loop *loop, const HttpLimits *limits);
 void real_leave(Loop *loop);
@@ -66,10 +66,10 @@
 /* Closes connections whose request head has been incomplete for too long. */
 void real_serve_sweep(RealLoop *real);
 
-/* realcall.c */
+/* real_call.c */
 Status real_call(Loop *loop, HttpCall *call);
 
-/* realdisk.c */
+/* real_disk.c */
 Status real_file_open(Loop *loop, void *mem, const char *path, File **file, Failure *failure);
 Status real_file_read(File *file, void *mem, Bytes *content);
 Status real_file_append(File *file, Bytes bytes);
--- a/packages/loop/src/real_call.c
+++ b/packages/loop/src/real_call.c
@@ -52,15 +52,15 @@
         return NULL;
     }
     calling->call->code = status;
-    HttpPair *tells = talloc_array(calling->call->mem, HttpPair, (unsigned)count);
+    HttpPair *response_heads = talloc_array(calling->call->mem, HttpPair, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
-        tells[i].name = talloc_strndup(tells, headers[i].name->base, headers[i].name->len);
-        tells[i].value = talloc_strndup(tells, headers[i].value.base, headers[i].value.len);
-        if (strcmp(tells[i].name, "retry-after") == 0)
-            calling->call->retry_after_s = atoi(tells[i].value);
+        response_heads[i].name = talloc_strndup(response_heads, headers[i].name->base, headers[i].name->len);
+        response_heads[i].value = talloc_strndup(response_heads, headers[i].value.base, headers[i].value.len);
+        if (strcmp(response_heads[i].name, "retry-after") == 0)
+            calling->call->retry_after_s = atoi(response_heads[i].value);
     }
-    calling->call->tells = tells;
-    calling->call->notify_count = count;
+    calling->call->response_heads = response_heads;
+    calling->call->response_head_count = count;
     if (err == h2o_http1client_error_is_eos) {
         call_end(calling, STATUS_OK);
         return NULL;
--- a/packages/loop/src/real_serve.c
+++ b/packages/loop/src/real_serve.c
@@ -10,23 +10,23 @@
 #define AHEAD_BYTES (64 * 1024) /* bytes; so much is read of what a caller sends before its result */
 
 /* An address served. */
-typedef struct Door {
+typedef struct Endpoint {
     RealLoop *real;
     HttpFn fn;
     void *arg;
-} Door;
+} Endpoint;
 
 typedef struct Served Served;
 
 /* A caller's connection. Invariants: it is on the loop's list from its acceptance until it is closed; served is the
  * request in work, if any. */
-typedef struct Visit {
-    struct Visit *prev, *next;
-    Door *door;
+typedef struct CallerConnection {
+    struct CallerConnection *prev, *next;
+    Endpoint *endpoint;
     h2o_socket_t *sock;
     Served *served;
     int64_t begun_ms; /* when a head was first seen unfinished; 0: none is */
-} Visit;
+} CallerConnection;
 
 /* Ties an h2o request to its task: it is on the request's pool, whose end marks the task's caller as gone. */
 typedef struct Watch {
@@ -35,8 +35,8 @@
 
 struct Served {
     HttpTask task;
-    Visit *visit; /* null once gone */
-    Door *door;
+    CallerConnection *caller; /* null once gone */
+    Endpoint *endpoint;
     h2o_req_t *req; /* null once gone */
     Watch *watch;
 };
@@ -47,7 +47,7 @@
     if (watch->served != NULL) {
         watch->served->task.gone = true;
         watch->served->req = NULL;
-        watch->served->visit = NULL;
+        watch->served->caller = NULL;
     }
 }
 
@@ -87,8 +87,8 @@
         snprintf(text, sizeof(text), "%d", task->retry_after_s);
         notify(req, "retry-after", text);
     }
-    for (size_t i = 0; i < task->notify_count; i++)
-        notify(req, task->tells[i].name, task->tells[i].value);
+    for (size_t i = 0; i < task->response_head_count; i++)
+        notify(req, task->response_heads[i].name, task->response_heads[i].value);
     if (real->leaving)
         req->http1_is_persistent = 0;
     h2o_send_inline(req, (const char *)task->result.data, task->result.count);
@@ -109,11 +109,11 @@
 static void served_main(void *arg)
 {
     Served *served = arg;
-    RealLoop *real = served->door->real;
-    served->door->fn(served->door->arg, &served->task);
+    RealLoop *real = served->endpoint->real;
+    served->endpoint->fn(served->endpoint->arg, &served->task);
     real->http_tasks--;
-    if (served->visit != NULL)
-        served->visit->served = NULL;
+    if (served->caller != NULL)
+        served->caller->served = NULL;
     if (served->req != NULL) {
         served->watch->served = NULL;
         answer(real, served->req, &served->task);
@@ -125,9 +125,9 @@
  * by itself after the response. */
 static void on_ahead(h2o_socket_t *sock, const char *err)
 {
-    const Visit *visit = sock->on_close.data;
-    if (err != NULL && visit->served != NULL)
-        visit->served->task.gone = true;
+    const CallerConnection *caller = sock->on_close.data;
+    if (err != NULL && caller->served != NULL)
+        caller->served->task.gone = true;
     if (err != NULL || sock->input->size > AHEAD_BYTES)
         h2o_socket_read_stop(sock);
 }
@@ -160,9 +160,9 @@
 {
     (void)super;
     h2o_socket_t *sock = req->conn->callbacks->get_socket(req->conn);
-    Visit *visit = sock->on_close.data;
-    RealLoop *real = visit->door->real;
-    visit->begun_ms = 0;
+    CallerConnection *caller = sock->on_close.data;
+    RealLoop *real = caller->endpoint->real;
+    caller->begun_ms = 0;
     if (head_bytes(req) > real->limits.head_bytes) {
         refuse(real, req, STATUS_HEAD_LARGE, "the head of this request is too large");
         return 0;
@@ -174,12 +174,12 @@
     real->http_tasks++;
     Served *served = talloc_zero(real, Served);
     HttpTask *task = &served->task;
-    served->door = visit->door;
-    served->visit = visit;
+    served->endpoint = caller->endpoint;
+    served->caller = caller;
     served->req = req;
     served->watch = h2o_mem_alloc_shared(&req->pool, sizeof(*served->watch), on_gone);
     served->watch->served = served;
-    visit->served = served;
+    caller->served = served;
     task->loop = &real->loop;
     task->method = talloc_strndup(served, req->method.base, req->method.len);
     const size_t path_len = req->query_at == SIZE_MAX ? req->path.len : req->query_at;
@@ -198,43 +198,43 @@
 
 static void on_close(void *arg)
 {
-    Visit *visit = arg;
-    RealLoop *real = visit->door->real;
-    if (visit->served != NULL)
-        visit->served->visit = NULL;
-    if (visit->prev != NULL)
-        visit->prev->next = visit->next;
+    CallerConnection *caller = arg;
+    RealLoop *real = caller->endpoint->real;
+    if (caller->served != NULL)
+        caller->served->caller = NULL;
+    if (caller->prev != NULL)
+        caller->prev->next = caller->next;
     else
-        real->visits = visit->next;
-    if (visit->next != NULL)
-        visit->next->prev = visit->prev;
-    talloc_free(visit);
+        real->callers = caller->next;
+    if (caller->next != NULL)
+        caller->next->prev = caller->prev;
+    talloc_free(caller);
 }
 
 static void on_accept(h2o_socket_t *listener, const char *err)
 {
-    Door *door = listener->data;
-    RealLoop *real = door->real;
+    Endpoint *endpoint = listener->data;
+    RealLoop *real = endpoint->real;
     h2o_socket_t *sock;
     if (err != NULL)
         return;
     while ((sock = h2o_evloop_socket_accept(listener)) != NULL) {
-        Visit *visit = talloc_zero(real, Visit);
-        *visit = (Visit){.next = real->visits, .door = door, .sock = sock};
-        if (real->visits != NULL)
-            real->visits->prev = visit;
-        real->visits = visit;
+        CallerConnection *caller = talloc_zero(real, CallerConnection);
+        *caller = (CallerConnection){.next = real->callers, .endpoint = endpoint, .sock = sock};
+        if (real->callers != NULL)
+            real->callers->prev = caller;
+        real->callers = caller;
         sock->on_close.cb = on_close;
-        sock->on_close.data = visit;
+        sock->on_close.data = caller;
         h2o_accept(&real->accept, sock);
     }
 }
 
 /* A part of a request head has arrived, but not all of it. */
-static bool head_begun(const Visit *visit)
+static bool head_begun(const CallerConnection *caller)
 {
-    const h2o_buffer_t *input = visit->sock->input;
-    return visit->served == NULL && input->size > 0 && memmem(input->bytes, input->size, "\r\n\r\n", 4) == NULL;
+    const h2o_buffer_t *input = caller->sock->input;
+    return caller->served == NULL && input->size > 0 && memmem(input->bytes, input->size, "\r\n\r\n", 4) == NULL;
 }
 
 /* h2o has one time-out from the end of a request to the complete head of the next, the idle one. A head that has begun
@@ -242,16 +242,16 @@
 void real_serve_sweep(RealLoop *real)
 {
     const int64_t now_ms = loop_now_ms(&real->loop);
-    if (real->visits == NULL || now_ms - real->swept_ms < SWEEP_MS)
+    if (real->callers == NULL || now_ms - real->swept_ms < SWEEP_MS)
         return;
     real->swept_ms = now_ms;
-    for (Visit *visit = real->visits; visit != NULL; visit = visit->next) {
-        if (!head_begun(visit)) {
-            visit->begun_ms = 0;
-        } else if (visit->begun_ms == 0) {
-            visit->begun_ms = now_ms;
-        } else if (now_ms - visit->begun_ms > real->limits.head_ms) {
-            shutdown(h2o_socket_get_fd(visit->sock), SHUT_RDWR); /* h2o reads the end and closes it */
+    for (CallerConnection *caller = real->callers; caller != NULL; caller = caller->next) {
+        if (!head_begun(caller)) {
+            caller->begun_ms = 0;
+        } else if (caller->begun_ms == 0) {
+            caller->begun_ms = now_ms;
+        } else if (now_ms - caller->begun_ms > real->limits.head_ms) {
+            shutdown(h2o_socket_get_fd(caller->sock), SHUT_RDWR); /* h2o reads the end and closes it */
         }
     }
 }
@@ -279,9 +279,9 @@
     RealLoop *real = (RealLoop *)loop;
     if (!real->serving)
         serve_begin(real);
-    Door *door = talloc_zero(real, Door);
-    *door = (Door){real, fn, arg};
-    return real_bind(real, address, on_accept, door, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_SETTINGS;
+    Endpoint *endpoint = talloc_zero(real, Endpoint);
+    *endpoint = (Endpoint){real, fn, arg};
+    return real_bind(real, address, on_accept, endpoint, bound, failure) != NULL ? STATUS_OK : STATUS_BAD_SETTINGS;
 }
 
 void real_limit(Loop *loop, const HttpLimits *limits)
@@ -306,7 +306,7 @@
 {
     const RealLoop *real = (const RealLoop *)loop;
     size_t busy = 0;
-    for (const Visit *visit = real->visits; visit != NULL; visit = visit->next)
-        busy += visit->served != NULL || visit->sock->input->size > 0 || h2o_socket_is_writing(visit->sock);
+    for (const CallerConnection *caller = real->callers; caller != NULL; caller = caller->next)
+        busy += caller->served != NULL || caller->sock->input->size > 0 || h2o_socket_is_writing(caller->sock);
     return busy;
 }
--- a/packages/loop/src/task.c
+++ b/packages/loop/src/task.c
@@ -15,7 +15,7 @@
 #define FIBER_FINISH(saved, bottom, size) ((void)(saved), (void)(bottom), (void)(size))
 #endif
 
-/* Invariant: turn grows each time the task is woken, so that a timer of an earlier wait cannot end a later one. */
+/* Invariant: wakes grows each time the task is woken, so that a timer of an earlier wait cannot end a later one. */
 struct Task {
     Loop *loop;
     Task *prev, *next; /* on loop->tasks */
@@ -25,7 +25,7 @@
     bool ready;
     bool raised; /* its last wait ended by the signal, not by the timer */
     bool ended;
-    uint64_t turn;
+    uint64_t wakes;
     size_t timers; /* in the heap that refer to it; it is freed after the last of them */
     const char *name;
     TaskFn fn;
@@ -33,7 +33,7 @@
     FiberPlace place; /* where it continues */
     FiberPlace main;  /* where the loop continues when it is suspended */
     void *stack;
-    /* bounds of the main stack, for the sanitizer */
+    /* bounds of the main stack, for the address sanitizer */
     const void *main_bottom;
     size_t main_size;
     void *fake_stack;
@@ -75,7 +75,7 @@
         return;
     Loop *loop = task->loop;
     task->ready = true;
-    task->turn++;
+    task->wakes++;
     task->ready_next = NULL;
     if (loop->ready_last != NULL)
         loop->ready_last->ready_next = task;
@@ -203,7 +203,7 @@
         signal->first = task;
     signal->last = task;
     if (until_ms != INT64_MAX) {
-        timer_add(loop, until_ms, task, task->turn);
+        timer_add(loop, until_ms, task, task->wakes);
         task->timers++;
     }
     task_park(task);
@@ -225,13 +225,13 @@
 }
 
 /* The earliest timer that a task still waits for; null: none. The stale ones before it, whose tasks were woken or
- * have ended, are dropped: most questions are answered long before their time-out, and nothing must wake for those. */
+ * have ended, are dropped: most waits end long before their time-out, and the loop must not wake for their timers. */
 static const Timer *timer_first(Loop *loop)
 {
     while (loop->timer_count > 0) {
         const Timer *first = &loop->timers[0];
         Task *task = first->task;
-        if (!task->ended && task->turn == first->turn && !task->ready)
+        if (!task->ended && task->wakes == first->wakes && !task->ready)
             return first;
         timer_drop(loop);
         task->timers--;
@@ -247,7 +247,7 @@
         const Timer *first;
         while ((first = timer_first(loop)) != NULL && first->when_ms <= loop_now_ms(loop)) {
             signal_leave(first->task);
-            task_ready(first->task); /* its turn grows: the timer is stale from here on */
+            task_ready(first->task); /* its wakes grows: the timer is stale from here on */
         }
         Task *task = loop->ready_first;
         if (task == NULL)
--- a/packages/loop/src/timers.c
+++ b/packages/loop/src/timers.c
@@ -8,13 +8,13 @@
     return a->when_ms < b->when_ms || (a->when_ms == b->when_ms && a->order < b->order);
 }
 
-void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t turn)
+void timer_add(Loop *loop, int64_t when_ms, Task *task, uint64_t wakes)
 {
     if (loop->timer_count == loop->timer_capacity) {
         loop->timer_capacity = loop->timer_capacity ? loop->timer_capacity * 2 : 64;
         loop->timers = talloc_realloc(loop, loop->timers, Timer, (unsigned)loop->timer_capacity);
     }
-    const Timer timer = {when_ms, loop->timer_order++, task, turn};
+    const Timer timer = {when_ms, loop->timer_order++, task, wakes};
     size_t at = loop->timer_count++;
     while (at > 0 && timer_before(&timer, &loop->timers[(at - 1) / 2])) {
         loop->timers[at] = loop->timers[(at - 1) / 2];
--- a/packages/loop/test/http.c
+++ b/packages/loop/test/http.c
@@ -58,8 +58,8 @@
         say(task, talloc_asprintf(task, "busy %zu", loop_serve_busy(task->loop)));
     } else {
         const char *kind = http_head(task, "x-kind");
-        task->tells = talloc_memdup(task, (&(HttpPair){"x-told", "yes"}), sizeof(HttpPair));
-        task->notify_count = 1;
+        task->response_heads = talloc_memdup(task, (&(HttpPair){"x-told", "yes"}), sizeof(HttpPair));
+        task->response_head_count = 1;
         say(task, talloc_asprintf(task, "first %s %s?%s host=%s kind=%s body=%zu", task->method, task->path,
                                   task->query, task->host, kind != NULL ? kind : "none", task->body.count));
     }
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -3,8 +3,8 @@
 
 /* Membership by gossip: a process is given three seed addresses, finds everybody from them, and keeps
  * finding everybody. Processes exchange hellos with their whole table; the newer (incarnation, tick) of
- * a record wins. It says who exists and was heard of; who may lead is the lock's matter (packages/lock,
- * packages/replication), and which worker is live the leader's (packages/heartbeat).
+ * a record wins. It says who exists and was heard of lately. Who leads is decided by
+ * packages/replication, which workers are alive by the leader (packages/heartbeat).
  *
  * Every node has one. Also kept here: the newest leader known, the seeds' votes that found a cluster,
  * and how many members this process reaches. That number decides the quorum partition, which is the
@@ -27,10 +27,10 @@
 /* One row of the table. */
 typedef struct Member {
     MemberRecord record;
-    int64_t seen_ms;     /* its (incarnation, tick) rose last, by whomever we heard it */
-    int64_t direct_ms;   /* it spoke to us itself; INT64_MIN: never */
-    int64_t answered_ms; /* it answered us, so both directions work; INT64_MIN: never */
-    int64_t since_ms;    /* the row was created */
+    int64_t seen_ms;     /* when its (incarnation, tick) last rose, whoever sent the record */
+    int64_t direct_ms;   /* when it last sent us a hello or an answer itself; INT64_MIN: never */
+    int64_t answered_ms; /* when it last answered us, so that both directions work; INT64_MIN: never */
+    int64_t since_ms;    /* when the row was created */
     void *mem;           /* talloc parent of what the record points to */
 } Member;
 
@@ -45,14 +45,14 @@
 
 /* --- construction ------------------------------------------------------------------ */
 
-/* On mem; self and seeds are copied. Where there are fewer than three seeds, an address stands twice.
+/* On mem; self and seeds are copied. Where there are fewer than three seeds, an address is given twice.
  * Tells the RPC endpoint who this process is. */
 Members *members_new(void *mem, Loop *loop, Rpc *rpc, Recorder *recorder, const MemberRecord *self,
                      const char *const seeds[SEEDS]);
 /* Answers hellos and votes from now on, and spawns the tasks that send hellos: one for each seed, and
  * one that asks all members (a controller) or random ones (others). */
 void members_start(Members *members);
-/* Other seeds from the next hello on. */
+/* Replaces the seeds, from the next hello on. */
 void members_seeds(Members *members, const char *const seeds[SEEDS]);
 
 /* --- what this process says of itself ----------------------------------------------- */
@@ -61,7 +61,7 @@
 const MemberRecord *members_self(const Members *members);
 /* Whether the own disk has never been part of a cluster. */
 void members_set_empty(Members *members, bool empty);
-/* Graceful shutdown (the paper's excluded): others do not count on this process any more. */
+/* Graceful shutdown (the paper's "excluded"): the others learn that this process is leaving. */
 void members_set_leaving(Members *members);
 
 /* --- the table ------------------------------------------------------------------------ */
@@ -81,17 +81,17 @@
  * do not ask everybody. */
 size_t members_reach(const Members *members);
 /* The process to be asked, so that no other at its address carries the request out. */
-PeerLife member_peer(const MemberRecord *record);
+PeerIdentity member_peer(const MemberRecord *record);
 
 /* --- hellos ---------------------------------------------------------------------------- */
 
-/* Another process than the one known has answered at the address: a task asks it who it is. */
+/* Another process than the known one has answered at the address: a task exchanges hellos with it. */
 void members_meet(Members *members, const char *address);
 /* Sends hellos to all members that are not quiet, at once: a new leader is known early. */
 void members_announce(Members *members);
-/* The leader is heard from by heartbeats until until_ms: hellos are sent every HELLO_REST_MS until
- * then, so that a thousand agents do not overload the seeds. 0: it is not heard from any more. */
-void members_rest(Members *members, int64_t until_ms);
+/* Until until_ms hellos are sent only every HELLO_REST_MS: the leader answers this process's heartbeats, and a thousand
+ * agents would overload the seeds. 0: the usual interval again, at once. */
+void members_slow_hellos(Members *members, int64_t until_ms);
 
 /* --- the leader -------------------------------------------------------------------------- */
 
@@ -102,7 +102,7 @@
 /* Its term; 0: none is known. */
 uint64_t members_leader_term(const Members *members);
 /* The process to be asked as the leader; id 0: none is known. */
-PeerLife members_leader_peer(const Members *members);
+PeerIdentity members_leader_peer(const Members *members);
 /* Where the leader is asked; null: not known. Valid until the next wait. */
 const char *members_leader_address(const Members *members);
 /* Raised when the leader known here changes. */
@@ -110,7 +110,7 @@
 
 /* --- founding a cluster: the seeds' votes --------------------------------------------------- */
 
-/* Whether this process, as a seed, has a vote to give; it has one in its lifetime. */
+/* Sets whether this process, as a seed, has a vote to give; it has one in its lifetime. */
 void members_set_voter(Members *members, bool voter);
 /* Waits, at most ASK_TIMEOUT_MS. Asks all seeds for their votes to found with the disk, or (back) gives
  * them back. round grows with each proposal of the disk. Returns how many said yes; seed_count (out) is
--- a/packages/member/src/gossip.c
+++ b/packages/member/src/gossip.c
@@ -1,6 +1,6 @@
 /* When hellos are sent, and to whom: to each seed at an interval; by a controller to every member in
- * turn, so that it knows whom it reaches; by all others to a random member, so that everybody is
- * found also when none of the seeds is there any more. */
+ * turn, so that it knows whom it reaches; by all others to a random member, so that all members
+ * find each other also when none of the seeds runs any more. */
 #include "gossip.h"
 
 #include <string.h>
@@ -17,19 +17,20 @@
     size_t at; /* index of the seed */
 } SeedTask;
 
-void members_rest(Members *members, int64_t until_ms)
+void members_slow_hellos(Members *members, int64_t until_ms)
 {
-    const bool rested = loop_now_ms(members->loop) < members->rest_until_ms;
-    members->rest_until_ms = until_ms;
+    const bool rested = loop_now_ms(members->loop) < members->slow_until_ms;
+    members->slow_until_ms = until_ms;
     if (rested && until_ms == 0)
-        signal_raise(members->loop, &members->hurry);
+        signal_raise(members->loop, &members->slow_ended);
 }
 
 /* Waits for the interval between two hellos. */
 static void hello_pause(Members *members)
 {
     const int64_t now_ms = loop_now_ms(members->loop);
-    signal_wait(members->loop, &members->hurry, now_ms + (now_ms < members->rest_until_ms ? HELLO_REST_MS : HELLO_MS));
+    signal_wait(members->loop, &members->slow_ended,
+                now_ms + (now_ms < members->slow_until_ms ? HELLO_REST_MS : HELLO_MS));
 }
 
 /* Whether a seed is this process, or named before: with fewer than three seeds some stand twice. */
@@ -53,9 +54,9 @@
     }
 }
 
-/* A controller asks every member within REACH_MS, each in a task of its own, so that one that does not
- * answer delays nobody. */
-static void look_main(void *arg)
+/* A controller sends a hello to every member within REACH_MS, each in a task of its own, so that one that does not
+ * answer delays no other. */
+static void contact_all_main(void *arg)
 {
     Members *members = arg;
     for (size_t at = 0; !loop_stopping(members->loop); at++) {
@@ -67,7 +68,7 @@
     }
 }
 
-static void roam_main(void *arg)
+static void contact_random_main(void *arg)
 {
     Members *members = arg;
     while (!loop_stopping(members->loop)) {
@@ -90,7 +91,7 @@
         loop_spawn(members->loop, "seed", seed_main, seed);
     }
     if (members->self.role == ROLE_CONTROLLER)
-        loop_spawn(members->loop, "look", look_main, members);
+        loop_spawn(members->loop, "look", contact_all_main, members);
     else
-        loop_spawn(members->loop, "roam", roam_main, members);
+        loop_spawn(members->loop, "roam", contact_random_main, members);
 }
--- a/packages/member/src/hello.c
+++ b/packages/member/src/hello.c
@@ -23,12 +23,12 @@
     return hello->cluster != 0 && mine != 0 && hello->cluster != mine;
 }
 
-/* What this process has to say, on mem. Quiet members are left out, so that all forget them. */
+/* Fills in this process's hello, on mem. Quiet members are left out, so that all processes forget them. */
 static void hello_fill(Members *members, void *mem, Hello *hello)
 {
     members->self.tick++;
     members->self.cluster = rpc_cluster(members->rpc);
-    table_tend(members);
+    table_refresh(members);
     const MemberTable *table = members->table;
     shape_copy(&MemberRecord_shape, &members->self, mem, &hello->self);
     hello->members = talloc_array(mem, MemberRecord, (unsigned)table->count);
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -15,8 +15,8 @@
  * given back it is never granted again, however late a copy of its request arrives. */
 typedef struct Vote {
     bool mine;            /* this process has a vote to give */
-    uint64_t disk, round; /* to whom, for which proposal; disk 0: not given */
-    uint64_t back_disk, back_round;
+    uint64_t disk, round; /* the disk that it was given to, and the number of the proposal; disk 0: not given */
+    uint64_t back_disk, back_round; /* the last proposal that was given back */
 } Vote;
 
 /* Invariants: table is never null and always has a row for this process; the incarnation of
@@ -32,8 +32,8 @@
     uint64_t leader_term;
     char *leader_id; /* "": none is known */
     Signal leader_changed;
-    int64_t rest_until_ms; /* hellos are sent at the longer interval until then */
-    Signal hurry;          /* raised when that ends early */
+    int64_t slow_until_ms; /* hellos are sent at the longer interval until then (members_slow_hellos) */
+    Signal slow_ended;     /* raised when that ends early */
     Vote vote;
 };
 
--- a/packages/member/src/leader.c
+++ b/packages/member/src/leader.c
@@ -1,4 +1,4 @@
-/* Which leader this process knows: the one of the highest term (term) it has heard of. Terms
+/* Which leader this process knows: the one of the highest term that it has heard of. Terms
  * are compared, never times, so a late message of an earlier leader changes nothing. */
 #include <string.h>
 #include <talloc.h>
@@ -27,10 +27,10 @@
     return members->leader_term;
 }
 
-PeerLife members_leader_peer(const Members *members)
+PeerIdentity members_leader_peer(const Members *members)
 {
     const Member *row = members_find(members, members->leader_id);
-    return row != NULL ? member_peer(&row->record) : (PeerLife){0};
+    return row != NULL ? member_peer(&row->record) : (PeerIdentity){0};
 }
 
 const char *members_leader_address(const Members *members)
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -55,7 +55,7 @@
     members->self.leaving = true;
 }
 
-PeerLife member_peer(const MemberRecord *record)
+PeerIdentity member_peer(const MemberRecord *record)
 {
-    return peer_life(record->id, record->incarnation);
+    return peer_identity(record->id, record->incarnation);
 }
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -1,5 +1,5 @@
-/* Who has been heard of lately, and how many members this process reaches. The count is what
- * the quorum partition (the paper's best partition) is chosen by: a leader that reaches far fewer
+/* Who has been heard of lately, and how many members this process reaches. By this count the
+ * quorum partition (the paper's best partition) is chosen: a leader that reaches far fewer
  * members than another voter hands the lock over (packages/replication). */
 #include "base/constants.h"
 #include "inside.h"
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -111,7 +111,7 @@
 
 /* Others remember an earlier incarnation of this process, or another disk under its name:
  * the own incarnation has to be higher than that. */
-static void self_outbid(Members *members, const MemberRecord *record)
+static void self_incarnation_raise(Members *members, const MemberRecord *record)
 {
     MemberRecord *self = &members->self;
     if (record->incarnation > self->incarnation ||
@@ -149,7 +149,7 @@
     if (record->id[0] == '\0' || record->role >= ROLE_COUNT || strlen(record->id) > ID_MAX)
         return false;
     if (claims_self(members, record)) {
-        self_outbid(members, record);
+        self_incarnation_raise(members, record);
         return false;
     }
     bool found;
@@ -173,7 +173,7 @@
     return add;
 }
 
-void table_tend(Members *members)
+void table_refresh(Members *members)
 {
     const int64_t now_ms = loop_now_ms(members->loop);
     for (size_t i = members->table->count; i > 0; i--) {
--- a/packages/member/src/table.h
+++ b/packages/member/src/table.h
@@ -16,8 +16,8 @@
  * so are new ones once the table has MEMBERS_MAX rows. A record that claims to be this
  * process raises its own incarnation instead. Returns whether a row was added. */
 bool table_merge(Members *members, const MemberRecord *record, RecordSource source);
-/* Brings the row of this process up to date and drops those not seen for MEMBER_FORGET_MS. */
-void table_tend(Members *members);
+/* Updates the row of this process, and drops rows of members not heard of for MEMBER_FORGET_MS. */
+void table_refresh(Members *members);
 /* Whether the record is that of this process. */
 bool table_is_self(const Members *members, const MemberRecord *record);
 
--- a/packages/routing/include/routing/leader_route.h
+++ b/packages/routing/include/routing/leader_route.h
@@ -29,7 +29,7 @@
     bool own;   /* this process leads: no other is asked */
     bool relay; /* the process asked is no leader and relays the request to it */
     char address[ADDRESS_MAX];
-    PeerLife peer; /* the process that is meant at the address */
+    PeerIdentity peer; /* the process that is meant at the address */
 } LeaderHop;
 
 /* Takes the next hop. False: none is known now; the search for one has been started. */
--- a/packages/settings/include/settings/bounds.h
+++ b/packages/settings/include/settings/bounds.h
@@ -5,7 +5,7 @@
 
 #include "base/constants.h"
 
-/* The settings of a whole deployment: times and counts, with their defaults and ranges. All
+/* The settings of a whole deployment: times and counts, with their defaults and ranges (bounds). All
  * processes of a cluster must be given the same values.
  * X(name, default, least, most, meaning). Units are in the names; names are what a protocol
  * adapter sets them by. */
--- a/packages/settings/include/settings/settings.h
+++ b/packages/settings/include/settings/settings.h
@@ -5,9 +5,8 @@
 #include "member/members.h"
 #include "settings/bounds.h"
 
-/* A process's settings: its name, its addresses and the seeds. Nothing else tells it of other
- * processes; all others are learnt from the seeds. Read by the daemon from an ini file and
- * flags, or by a protocol adapter from the platform's settings. Nothing here waits. */
+/* A process's settings: its name, its addresses and the seeds, from which it learns of all other processes. Read by the
+ * daemon from an ini file and flags, or by a protocol adapter from the platform's settings. Nothing here waits. */
 typedef struct Settings {
     const char *name;
     const char *zone;
--- a/packages/sim/src/http.c
+++ b/packages/sim/src/http.c
@@ -25,8 +25,8 @@
     /* the response in flight */
     int code, retry_after_s;
     Bytes result;
-    HttpPair *tells;
-    size_t notify_count;
+    HttpPair *response_heads;
+    size_t response_head_count;
 } SimHttp;
 
 typedef struct SimServed {
@@ -68,8 +68,8 @@
         call->code = http->code;
         call->retry_after_s = http->retry_after_s;
         call->result = bytes_copy(call->mem, http->result);
-        call->tells = pairs_copy(call->mem, http->tells, http->notify_count, 0);
-        call->notify_count = http->notify_count;
+        call->response_heads = pairs_copy(call->mem, http->response_heads, http->response_head_count, 0);
+        call->response_head_count = http->response_head_count;
         http->answered = true;
         signal_raise(&http->caller->loop, &http->done);
     }
@@ -103,8 +103,8 @@
     http->code = served->task.code;
     http->retry_after_s = served->task.retry_after_s;
     http->result = bytes_copy(http, served->task.result);
-    http->tells = pairs_copy(http, served->task.tells, served->task.notify_count, 0);
-    http->notify_count = served->task.notify_count;
+    http->response_heads = pairs_copy(http, served->task.response_heads, served->task.response_head_count, 0);
+    http->response_head_count = served->task.response_head_count;
     sim_at(http->world, sim_arrival_ms(http->world, http->to, http->from, http->result.count), result_arrives, http);
     talloc_free(served);
 }
--- a/packages/sim/test/answers.c
+++ b/packages/sim/test/answers.c
@@ -79,7 +79,7 @@
         const int client = sim_machine(world), server = sim_machine(world);
         sim_start(world, server, forge_start, &forger);
         sim_start(world, client, asker_start, &asker);
-        const Ask *ask = begin(&asker, (PeerLife){0}, 41, 500);
+        const Ask *ask = begin(&asker, (PeerIdentity){0}, 41, 500);
         run_for(world, 1000);
         assert_true(ask->done);
         if ((ask->status == STATUS_OK) != ROWS[i].taken)
@@ -104,7 +104,7 @@
         {1, 1, STATUS_CLOSED},  /* another: it may have carried the question out */
         {0, -1, STATUS_CLOSED}, /* an earlier life */
     };
-    const PeerLife meant = peer_life("core1", 1000);
+    const PeerIdentity meant = peer_identity("core1", 1000);
     for (size_t i = 0; i < sizeof(ROWS) / sizeof(ROWS[0]); i++) {
         void *mem = talloc_new(NULL);
         SimWorld *world = sim_world_new(mem, 1);
--- a/packages/sim/test/asker.h
+++ b/packages/sim/test/asker.h
@@ -56,7 +56,7 @@
 
 typedef struct Ask {
     Asker *asker;
-    PeerLife meant;
+    PeerIdentity meant;
     RpcSending *sending;
     uint64_t number;
     int64_t wait_ms;
@@ -74,7 +74,7 @@
     ask->done = true;
 }
 
-static inline Ask *begin(Asker *asker, PeerLife meant, uint64_t number, int64_t wait_ms)
+static inline Ask *begin(Asker *asker, PeerIdentity meant, uint64_t number, int64_t wait_ms)
 {
     Ask *ask = talloc_zero(asker->loop, Ask);
     *ask = (Ask){.asker = asker, .meant = meant, .number = number, .wait_ms = wait_ms};
--- a/packages/sim/test/questions.c
+++ b/packages/sim/test/questions.c
@@ -30,7 +30,7 @@
 /* --- questions that are another's ------------------------------------------------------ */
 
 typedef struct Server {
-    PeerLife self;
+    PeerIdentity self;
     Rpc *rpc;
     Loop *loop;
     uint64_t served, sum;
@@ -86,7 +86,7 @@
     (void)state;
     void *mem = talloc_new(NULL);
     Asker asker = {0};
-    Server server = {.self = peer_life("gate1", 1000)};
+    Server server = {.self = peer_identity("gate1", 1000)};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
     Ask *ask = begin(&asker, server.self, 41, 500);
@@ -99,9 +99,9 @@
     } NEXT[] = {
         {"gate2", 2000, STATUS_OTHER_PEER}, {"gate1", 2000, STATUS_OTHER_LIFE}, {"gate1", 900, STATUS_OTHER_LIFE}};
     for (size_t i = 0; i < sizeof(NEXT) / sizeof(NEXT[0]); i++) {
-        const PeerLife before = peer_life("gate1", 1000);
+        const PeerIdentity before = peer_identity("gate1", 1000);
         sim_kill(world, pair.machine);
-        server = (Server){.self = peer_life(NEXT[i].id, NEXT[i].life)};
+        server = (Server){.self = peer_identity(NEXT[i].id, NEXT[i].life)};
         sim_start(world, pair.machine, server_start, &server);
         run_for(world, 100);
         ask = begin(&asker, before, 41, 500);
@@ -113,8 +113,8 @@
         assert_int_equal(ask->status, STATUS_OK);
     }
     /* one that has had to say that it is newer is the same process still */
-    const PeerLife born = server.self;
-    rpc_set_self(server.rpc, peer_life("gate1", 3000));
+    const PeerIdentity born = server.self;
+    rpc_set_self(server.rpc, peer_identity("gate1", 3000));
     ask = begin(&asker, born, 41, 500);
     run_for(world, 1000);
     assert_int_equal(ask->status, STATUS_OK);
@@ -132,10 +132,10 @@
     Server server = {0};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
-    const Ask *first = begin(&asker, (PeerLife){0}, 1000, 500);
+    const Ask *first = begin(&asker, (PeerIdentity){0}, 1000, 500);
     run_for(world, 700);
     assert_int_equal(first->status, STATUS_EXPIRED);
-    const Ask *second = begin(&asker, (PeerLife){0}, 1500, 3000), *third = begin(&asker, (PeerLife){0}, 7, 500);
+    const Ask *second = begin(&asker, (PeerIdentity){0}, 1500, 3000), *third = begin(&asker, (PeerIdentity){0}, 7, 500);
     run_for(world, 2000);
     assert_int_equal(second->status, STATUS_OK);
     assert_int_equal(second->answer.number, 1501);
@@ -157,13 +157,13 @@
     SimWorld *world = pair.world;
     const Ask *lost[3];
     for (int i = 0; i < 3; i++)
-        lost[i] = begin(&asker, (PeerLife){0}, 1000 + (uint64_t)i, 5000);
+        lost[i] = begin(&asker, (PeerIdentity){0}, 1000 + (uint64_t)i, 5000);
     run_for(world, 300);
     assert_int_equal(server.served, 3);
     sim_kill(world, pair.machine);
     sim_start(world, pair.machine, server_start, &server);
     run_for(world, 100);
-    const Ask *next = begin(&asker, (PeerLife){0}, 1003, 5000);
+    const Ask *next = begin(&asker, (PeerIdentity){0}, 1003, 5000);
     run_for(world, 3000);
     for (int i = 0; i < 3; i++) {
         assert_int_equal(lost[i]->status, STATUS_CLOSED);
@@ -186,7 +186,7 @@
         const Pair pair = pair_start(mem, &asker, &server);
         SimWorld *world = pair.world;
         sim_cut(world, pair.client, pair.machine, true);
-        Ask *ask = begin(&asker, (PeerLife){0}, 7, 3000);
+        Ask *ask = begin(&asker, (PeerIdentity){0}, 7, 3000);
         ask->sending = &sending;
         run_for(world, 300);
         assert_false(sending.sent);
@@ -214,7 +214,7 @@
         {{.version = WIRE_VERSION, .cluster = CLUSTER, .kind = MESSAGE_KEEP, .call = 4}, STATUS_UNKNOWN_QUESTION},
     };
     void *mem = talloc_new(NULL);
-    Server server = {.self = peer_life("gate1", 1000)};
+    Server server = {.self = peer_identity("gate1", 1000)};
     Asker asker = {0};
     const Pair pair = pair_start(mem, &asker, &server);
     SimWorld *world = pair.world;
--- a/packages/trace/include/trace/trace.h
+++ b/packages/trace/include/trace/trace.h
@@ -8,13 +8,13 @@
  * them gathers what all have noted of one change. Used by operators (spancart trace) through
  * GET /v1/trace, which every entry point and controller serves.
  *
- * Keys: job:ID, config:VERSION, zone:ZONE, view:TERM. */
+ * Keys: job:ID, config:VERSION, zone:ZONE, view:TERM (a leader's term). */
 
 /* What can be noted of a change on its way; the texts are shown to users. */
 #define TRACE_STEP_LIST(X)                                                                  \
     X(CARRIED, "carried")     /* an entry point forwarded the request and got its result */ \
     X(DELIVERED, "delivered") /* a controller applied the change to its state table */      \
-    X(OPENED, "opened")       /* a controller opened the configuration of voters */         \
+    X(OPENED, "opened")       /* a controller began to lead a term */                       \
     X(LEARNT, "learnt")       /* a process heard of it */                                   \
     X(FETCHED, "fetched")     /* an agent got the order */                                  \
     X(GIVEN, "given")         /* ... and gave it to its worker */                           \
--- a/packages/trace/src/gather.c
+++ b/packages/trace/src/gather.c
@@ -19,7 +19,7 @@
 /* One gathering; freed by whichever of its coroutines ends last. */
 typedef struct Gathering {
     Trace *trace;
-    size_t users;   /* coroutines that hold it */
+    size_t users;   /* coroutines that use it */
     size_t pending; /* members that have neither answered nor failed to */
     Signal ended;
     TraceAsk ask;
@@ -34,7 +34,7 @@
     Gathering *gathering;
     const char *name;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
 } GatherPart;
 
 static void gathering_leave(Gathering *gathering)
@@ -63,7 +63,7 @@
     gathering->silent[gathering->silent_count++] = talloc_strdup(gathering, name);
 }
 
-/* Half the time there and back is taken for the answer's way. */
+/* The answer is taken to need half of the round trip. */
 static void part_main(void *arg)
 {
     GatherPart *part = arg;
--- a/packages/trace/src/trace.c
+++ b/packages/trace/src/trace.c
@@ -1,4 +1,4 @@
-/* The events of one process: a ring of the last ones, and their hand-over to those who ask. */
+/* The events of one process: a ring buffer of the last ones, and the answer to members that ask for them. */
 #include "events.h"
 
 #include <stdarg.h>
--- a/packages/wire/include/wire/rpc.h
+++ b/packages/wire/include/wire/rpc.h
@@ -1,8 +1,8 @@
 #ifndef WIRE_RPC_H
 #define WIRE_RPC_H
 
-/* The RPC endpoint carries requests and answers between our processes: whole frames over one connection
- * for each peer address, opened when it is needed, kept, and opened anew when it stays silent. Any
+/* The RPC endpoint carries requests and answers between processes of a cluster, as frames over one connection
+ * for each peer address, which is opened when it is needed, kept, and opened anew when it stays silent. Any
  * number of requests may be on a connection at a time; each request that comes in is answered by a
  * task of its own. Every node has one RPC endpoint.
  *
@@ -23,15 +23,15 @@
 
 typedef struct Rpc Rpc;
 
-/* Frames that were not taken. The names stand in metrics and status. */
-#define RPC_REFUSED_LIST(X)                                                                               \
-    X(bad_frames, "badFrames")         /* they do not parse, or are a request that nobody here answers */ \
-    X(strangers, "strangers")          /* of another cluster */                                           \
-    X(other_versions, "otherVersions") /* of another version of the wire */                               \
-    X(other_peers, "otherPeers")       /* requests meant for another process, answers of another */       \
-    X(other_lives, "otherLives")       /* requests meant for another incarnation of this process */       \
-    X(other_kinds, "otherKinds")       /* answers of another kind than the request with their id */       \
-    X(late_answers, "lateAnswers")     /* to requests that had been given up */
+/* Frames that were not taken: fields, and their names in metrics and status. */
+#define RPC_REFUSED_LIST(X)                                                                                \
+    X(bad_frames, "badFrames")          /* they do not parse, or are a request that nobody here answers */ \
+    X(strangers, "strangers")           /* of another cluster */                                           \
+    X(other_versions, "otherVersions")  /* of another version of the wire */                               \
+    X(other_peers, "otherPeers")        /* requests meant for another process, answers of another */       \
+    X(other_incarnations, "otherLives") /* requests meant for another incarnation of this process */       \
+    X(other_kinds, "otherKinds")        /* answers of another kind than the request with their id */       \
+    X(late_answers, "lateAnswers")      /* to requests that had been given up */
 
 #define RPC_COUNT_LIST(X)                                                     \
     X(asked, "asked")                    /* requests sent, or tried to */     \
@@ -48,27 +48,27 @@
 #undef X
 } RpcCounts;
 
-/* A process as peers name it. */
-typedef struct PeerLife {
-    uint64_t id;   /* checksum of its member's id; 0: whoever listens at the address */
-    uint64_t life; /* incarnation */
-} PeerLife;
+/* Identifies a process: a member, and which start of it. */
+typedef struct PeerIdentity {
+    uint64_t id;          /* checksum of its member's id; 0: whoever listens at the address */
+    uint64_t incarnation; /* grows with each start of the process */
+} PeerIdentity;
 
-/* The name of the member with this id, in this incarnation. */
-PeerLife peer_life(const char *id, uint64_t life);
+/* The identity of the member with this id, in this incarnation. */
+PeerIdentity peer_identity(const char *id, uint64_t incarnation);
 
 /* Answers one request: fills in the zeroed answer; its status is sent with it, also when it is not OK.
  * Runs in a task of its own and may wait. ask, answer and all they point to live on mem, which is
  * freed once the answer has been sent. */
 typedef Status (*RpcFn)(void *arg, void *mem, const void *ask, void *answer);
 
-/* On mem. ring: the log for frames that are refused. */
+/* On mem. recorder: for log lines on refused frames. */
 Rpc *rpc_new(void *mem, Loop *loop, Recorder *recorder);
 /* The cluster whose frames are taken; 0 while none is known. */
 void rpc_set_cluster(Rpc *rpc, uint64_t cluster);
 uint64_t rpc_cluster(const Rpc *rpc);
-/* Who this process says that it is. Its incarnation may rise while it lives. */
-void rpc_set_self(Rpc *rpc, PeerLife self);
+/* The identity that this process sends with its answers. Its incarnation may rise while it runs. */
+void rpc_set_self(Rpc *rpc, PeerIdentity self);
 /* From now on requests of this kind are answered by fn with arg. */
 void rpc_handle(Rpc *rpc, MessageKind kind, const Shape *ask, const Shape *answer, RpcFn fn, void *arg);
 /* Takes requests at the address; bound (out) is where it really listens, as port 0 takes any. */
@@ -82,16 +82,16 @@
 Status rpc_ask(Rpc *rpc, void *mem, const char *address, MessageKind kind, const Shape *ask_shape, const void *ask,
                int64_t wait_ms, const Shape *answer_shape, void *answer);
 
-/* What others see of a request while its task waits, and say of it. */
+/* For other tasks to see whether a request was sent, and to cancel it. */
 typedef struct RpcSending {
     bool sent;      /* it may have left this process */
     bool cancelled; /* set by others: if it has not been sent, it is not to be any more */
 } RpcSending;
 
-/* Whom a request is for. */
+/* The receiver of a request. */
 typedef struct RpcTarget {
     const char *address;
-    PeerLife meant;      /* id 0: whoever listens there */
+    PeerIdentity meant;  /* id 0: whoever listens there */
     RpcSending *sending; /* null: not wanted */
 } RpcTarget;
 
@@ -99,8 +99,8 @@
  * out, and only that process's own answer is taken. UNREACHABLE also where it was cancelled. */
 Status rpc_ask_peer(Rpc *rpc, void *mem, const RpcTarget *target, MessageKind kind, const Shape *ask_shape,
                     const void *ask, int64_t wait_ms, const Shape *answer_shape, void *answer);
-/* A new process is known to listen at the address: a connection on which a request has waited for
- * CONNECTION_SILENT_MS leads to the process before it, and is ended. */
+/* A new process listens at the address: a connection on which a request has waited for CONNECTION_SILENT_MS leads to
+ * the process before it, and is ended. */
 void rpc_renew(Rpc *rpc, const char *address);
 /* Valid as long as the RPC endpoint. */
 const RpcCounts *rpc_counts(const Rpc *rpc);
--- a/packages/wire/include/wire/shape.h
+++ b/packages/wire/include/wire/shape.h
@@ -5,9 +5,9 @@
  * the table by which it is packed (MessagePack), unpacked, copied and compared. All messages, journal
  * records and snapshots are packed shapes.
  *
- *     #define CAPACITY_FIELDS(X) X(U64, cpu_milli, 0) X(U64, mem_mb, 0)
- *     SHAPE(Room, CAPACITY_FIELDS)          in a header
- *     SHAPE_TABLE(Room, CAPACITY_FIELDS)    in one source file
+ *     #define RESOURCES_FIELDS(X) X(U64, cpu_milli, 0) X(U64, mem_mb, 0)
+ *     SHAPE(Resources, RESOURCES_FIELDS)          in a header
+ *     SHAPE_TABLE(Resources, RESOURCES_FIELDS)    in one source file
  *
  * Kinds: U64, I64, FLAG (bool), TXT (text, never null once unpacked), BIN (Bytes), TXS (texts), ONE (a
  * nested shape), LST (a list of a shape; third column: the shape). RAM (third column: any type) is a
--- a/packages/wire/src/answer.c
+++ b/packages/wire/src/answer.c
@@ -4,7 +4,7 @@
 
 #include <talloc.h>
 
-#include "asking.h"
+#include "pending.h"
 #include "base/constants.h"
 #include "envelope.h"
 #include "inside.h"
@@ -12,15 +12,15 @@
 
 /* Whether the answer is that of the process that was asked, as far as both sides name it. A later
  * incarnation than the one that was known may answer. */
-static bool from_meant(const Asking *asking, const Envelope *envelope)
+static bool from_meant(const PendingRequest *request, const Envelope *envelope)
 {
-    return asking->meant.id == 0 || envelope->peer == 0 ||
-           (envelope->peer == asking->meant.id && envelope->peer_life >= asking->meant.life);
+    return request->meant.id == 0 || envelope->peer == 0 ||
+           (envelope->peer == request->meant.id && envelope->peer_life >= request->meant.incarnation);
 }
 
 /* What the answer comes to: the peer's own status, or why it is not taken. A refusal by another
  * process, cluster or incarnation is taken too: it says that nothing was carried out. */
-static Status answer_check(Rpc *rpc, const Asking *asking, const Envelope *envelope)
+static Status answer_check(Rpc *rpc, const PendingRequest *request, const Envelope *envelope)
 {
     const Status status = envelope->status < STATUS_COUNT ? (Status)envelope->status : STATUS_INTERNAL;
     if (envelope->version != WIRE_VERSION) {
@@ -31,7 +31,7 @@
         rpc->counts.strangers++;
         return STATUS_STRANGER;
     }
-    if (!from_meant(asking, envelope)) {
+    if (!from_meant(request, envelope)) {
         rpc->counts.other_peers++;
         return status != STATUS_OK ? status : STATUS_CLOSED; /* that process may have carried it out */
     }
@@ -46,24 +46,24 @@
         rpc->counts.bad_frames++;
         return false;
     }
-    Asking *asking = asking_take(connection, envelope.call);
-    if (asking == NULL) {
+    PendingRequest *request = pending_take(connection, envelope.call);
+    if (request == NULL) {
         rpc->counts.late_answers++;
         return true;
     }
-    if (envelope.kind != asking->kind) {
+    if (envelope.kind != request->kind) {
         rpc->counts.other_kinds++;
         rpc_note_refused(rpc, STATUS_BAD_FRAME, "an answer of another kind", &envelope);
-        asking_end(connection, asking, STATUS_CLOSED);
+        pending_end(connection, request, STATUS_CLOSED);
         return false;
     }
-    const Status status = answer_check(rpc, asking, &envelope);
+    const Status status = answer_check(rpc, request, &envelope);
     if (status == (Status)envelope.status) {
-        asking->payload = envelope.payload;
-        talloc_steal(asking->mem, envelope.payload.data);
+        request->payload = envelope.payload;
+        talloc_steal(request->mem, envelope.payload.data);
     } else {
         rpc_note_refused(rpc, status, "an answer", &envelope);
     }
-    asking_end(connection, asking, status);
+    pending_end(connection, request, status);
     return true;
 }
--- a/packages/wire/src/answer.h
+++ b/packages/wire/src/answer.h
@@ -1,7 +1,7 @@
 #ifndef WIRE_SRC_ANSWER_H
 #define WIRE_SRC_ANSWER_H
 
-#include "asking.h"
+#include "pending.h"
 #include "base/bytes.h"
 
 /* Takes a frame that came on the connection, unpacked on mem, as the answer to one of its requests,
--- a/packages/wire/src/line.c
+++ b/packages/wire/src/connection.c
@@ -1,11 +1,11 @@
 /* The connection to one peer address: opened when a request needs it, read by a task of its own,
  * opened anew when it stays silent or its peer has restarted. */
-#include "line.h"
+#include "connection.h"
 
 #include <talloc.h>
 
 #include "answer.h"
-#include "asking.h"
+#include "pending.h"
 #include "base/constants.h"
 #include "base/map.h"
 #include "inside.h"
@@ -26,9 +26,9 @@
     connection->channel = NULL;
     connection->misses = 0;
     channel_shut(channel);
-    while (connection->asking != NULL) /* what never left this process was certainly not taken */
-        asking_end(connection, connection->asking,
-                   channel_unsent(channel, connection->asking->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
+    while (connection->pending != NULL) /* what never left this process was certainly not taken */
+        pending_end(connection, connection->pending,
+                    channel_unsent(channel, connection->pending->sent_up_to) ? STATUS_UNREACHABLE : STATUS_CLOSED);
     channel_close(channel);
 }
 
@@ -38,8 +38,8 @@
     if (connection == NULL || connection->channel == NULL)
         return;
     /* the present incarnation answers soon: a request that waits for long went to an earlier one */
-    for (const Asking *asking = connection->asking; asking != NULL; asking = asking->next)
-        if (loop_now_ms(rpc->loop) - asking->sent_ms >= CONNECTION_SILENT_MS) {
+    for (const PendingRequest *request = connection->pending; request != NULL; request = request->next)
+        if (loop_now_ms(rpc->loop) - request->sent_ms >= CONNECTION_SILENT_MS) {
             channel_shut(connection->channel);
             return;
         }
--- a/packages/wire/src/line.h
+++ b/packages/wire/src/connection.h
@@ -1,7 +1,7 @@
-#ifndef WIRE_SRC_LINE_H
-#define WIRE_SRC_LINE_H
+#ifndef WIRE_SRC_CONNECTION_H
+#define WIRE_SRC_CONNECTION_H
 
-#include "asking.h"
+#include "pending.h"
 #include "wire/rpc.h"
 
 /* Waits, until until_ms at the latest. The connection to the address, ready to send, or null when the peer
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -11,23 +11,23 @@
 #include "wire/kinds.h"
 #include "wire/shape.h"
 
-/* Who answers requests of one kind; fn null: nobody here. */
+/* The handler of requests of one kind; fn null: there is none here. */
 typedef struct Handler {
     const Shape *ask, *answer;
     RpcFn fn;
     void *arg;
 } Handler;
 
-/* Invariants: last_call never falls; born_life is the first incarnation that self had. */
+/* Invariants: last_call never falls; first_incarnation is the first incarnation that self had. */
 struct Rpc {
     Loop *loop;
     Recorder *recorder;
-    uint64_t cluster;   /* 0: none is known yet */
-    PeerLife self;      /* what this process says that it is; id 0: nothing yet */
-    uint64_t born_life; /* its incarnation may rise while it lives: requests to the first one are taken too */
-    uint64_t refused;   /* frames not taken that rpc_note_refused was called for */
-    uint64_t last_call; /* request id; used once in this process's lifetime, over all its connections */
-    Map *connections;   /* address to Line */
+    uint64_t cluster;           /* 0: none is known yet */
+    PeerIdentity self;          /* what this process says that it is; id 0: nothing yet */
+    uint64_t first_incarnation; /* requests to the first incarnation are taken, too, after it has risen */
+    uint64_t refused;           /* frames not taken that rpc_note_refused was called for */
+    uint64_t last_call;         /* request id; used once in this process's lifetime, over all its connections */
+    Map *connections;           /* address to Connection */
     Handler handlers[MESSAGE_MAX];
     RpcCounts counts;
 };
@@ -36,8 +36,8 @@
 bool rpc_open_kind(uint64_t kind);
 /* Whether two clusters are the same as far as they are known; 0 is any. */
 bool rpc_same_cluster(uint64_t a, uint64_t b);
-/* Tells the log of a frame that is not taken, more and more seldom. what: the frame's part in
- * the sentence, as "an answer". */
+/* Logs that a frame is not taken; of many only the first, second, fourth and so on. what: the frame in the log line,
+ * like "an answer". */
 void rpc_note_refused(Rpc *rpc, Status status, const char *what, const Envelope *envelope);
 
 #endif
--- a/packages/wire/src/lengths.c
+++ b/packages/wire/src/lengths.c
@@ -117,7 +117,7 @@
 
 /* How values are nested does not matter: each needs at least one byte, so owed, the number of
  * values still to come, may never be more than the bytes that are left. */
-bool lengths_lease(Bytes from)
+bool lengths_fit(Bytes from)
 {
     uint64_t owed = 1;
     size_t at = 0;
--- a/packages/wire/src/rpc.c
+++ b/packages/wire/src/rpc.c
@@ -40,9 +40,9 @@
                        what, status_word(status), envelope->kind, envelope->cluster, envelope->version, count);
 }
 
-PeerLife peer_life(const char *id, uint64_t life)
+PeerIdentity peer_identity(const char *id, uint64_t incarnation)
 {
-    return (PeerLife){bytes_crc(id, strlen(id)), life};
+    return (PeerIdentity){bytes_crc(id, strlen(id)), incarnation};
 }
 
 Rpc *rpc_new(void *mem, Loop *loop, Recorder *recorder)
@@ -54,10 +54,10 @@
     return rpc;
 }
 
-void rpc_set_self(Rpc *rpc, PeerLife self)
+void rpc_set_self(Rpc *rpc, PeerIdentity self)
 {
     if (rpc->self.id == 0)
-        rpc->born_life = self.life;
+        rpc->first_incarnation = self.incarnation;
     rpc->self = self;
 }
 
--- a/packages/wire/src/serve.c
+++ b/packages/wire/src/serve.c
@@ -44,7 +44,7 @@
                                .status = (uint64_t)status,
                                .payload = payload,
                                .peer = rpc->self.id,
-                               .peer_life = rpc->self.life};
+                               .peer_life = rpc->self.incarnation};
     Bytes frame = {0};
     shape_pack(&Envelope_shape, &envelope, mem, &frame);
     channel_send(served->channel, frame);
@@ -54,7 +54,7 @@
  * present incarnation. OK, or why it is refused; then it is certainly not carried out. */
 static Status question_check(Rpc *rpc, const Envelope *envelope)
 {
-    const PeerLife *self = &rpc->self;
+    const PeerIdentity *self = &rpc->self;
     if (envelope->version != WIRE_VERSION) {
         rpc->counts.other_versions++;
         return STATUS_OTHER_VERSION;
@@ -70,8 +70,8 @@
         rpc->counts.other_peers++;
         return STATUS_OTHER_PEER;
     }
-    if (envelope->peer_life != self->life && envelope->peer_life != rpc->born_life) {
-        rpc->counts.other_lives++;
+    if (envelope->peer_life != self->incarnation && envelope->peer_life != rpc->first_incarnation) {
+        rpc->counts.other_incarnations++;
         return STATUS_OTHER_LIFE;
     }
     return STATUS_OK;
--- a/packages/wire/src/unpack.c
+++ b/packages/wire/src/unpack.c
@@ -182,7 +182,7 @@
 
 Status shape_unpack(const Shape *shape, Bytes from, void *mem, void *to, Failure *failure)
 {
-    if (!lengths_lease(from))
+    if (!lengths_fit(from))
         return failure_set(failure, STATUS_BAD_FRAME, "%s does not parse", shape->name);
     msgpack_unpacked unpacked;
     msgpack_unpacked_init(&unpacked);
