--- a/packages/agent/src/end_reports.c
+++ b/packages/agent/src/end_reports.c
@@ -55,7 +55,7 @@
     size_t users;
     NotifyAsk ask;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
     bool over;
     Status status;
 } EndReport;
--- a/packages/agent/src/isolated.c
+++ b/packages/agent/src/isolated.c
@@ -27,7 +27,7 @@
     Poll *poll;
     uint64_t disk;
     char address[ADDRESS_MAX];
-    PeerLife peer;
+    PeerIdentity peer;
 } PollQuestion;
 
 static void poll_leave(Poll *poll)
