--- a/scripts/doc_names.py
+++ b/scripts/doc_names.py
@@ -43,6 +43,8 @@
     ("docs/operating.md", "spancart_alert_seat_out spancart_journal_begun_anew journal.bad", "the same; a file"),
     ("docs/control-state.md", "journal.bad", "a file in the data folder"),
     ("docs/platform.md", "tolerate.machines", "a member of the platform's document"),
+    ("docs/renaming.md", "Beat RoundId RoundNews SeatList AttemptNews Round Stray Door packages/routing/src/ways*.c "
+     "packages/model/src/crew.c", "names as they were before"),
     ("docs/glossary.md", "XenServer", "a product's name"),
     ("docs/ha.md", "XenServer", "a product's name"),
     ("*", "tvmi-tiles arc-maroc tvmi-tiles-grown arc-maroc-grown scale-1 scale-2", "sites and days of the users"),
