--- a/packages/base/include/base/constants.h
+++ b/packages/base/include/base/constants.h
@@ -44,7 +44,7 @@
 /* --- questions between processes ------------------------------------------------------------- */
 #define ASK_TIMEOUT_MS 800     /* ms; deadline of a plain question; shorter than the leader's lease */
 #define APPEND_TIMEOUT_MS 1500 /* ms; a voter that does not sync an append in this time leaves the view */
-#define WATCH_MS 100           /* ms; how often the leader looks at its voters, and a voter for a leader */
+#define WATCH_MS 100           /* ms; how often the leader checks its voters, and a voter whether there is a leader */
 #define VOTER_LATE_MS 400      /* ms; a voter that has not synced by then leaves the view if the others suffice */
 #define DISK_RETRY_MS 300      /* ms; between attempts to write to a disk that refused a write */
 #define VOTER_SLOW_MS 500      /* ms; a voter that takes longer to sync delays every caller ... */
@@ -53,7 +53,7 @@
 #define ELECTION_STEP_TIMEOUT_MS 1200 /* ms; deadline of one step of an election */
 #define FETCH_WAIT_MS 900             /* ms; a question for orders alone is held so long; below ORDER_LIFETIME_MS / 2 */
 #define CONFIG_WATCH_WAIT_MS 2000     /* ms; an entry point's question for a new configuration is held open this long */
-#define LEADER_WAIT_MS 150 /* ms; from a leader's loss, a request that nobody took waits so long for another way */
+#define LEADER_WAIT_MS 150 /* ms; from a leader's loss, a request that nobody took waits so long for another route */
 #define ELECTION_MS 3000   /* ms; a new leader is normally found within this: callers are told to come back then */
 #define FORWARD_DEADLINE_MS 8000 /* ms; an entry point gives a request up after this */
 #define SUBMIT_TIMEOUT_MS 5000   /* ms; a change that is not committed in this time has an unknown outcome */
@@ -80,7 +80,7 @@
 #define MEMBERS_MAX 512         /* count; bound on a table sent by a peer: ten times today's sizes */
 #define FOUND_WAIT_MS 1500      /* ms; three empty disks must see each other so long before they found a cluster */
 #define VOTE_WAIT_MS 600        /* ms; a founder proposes itself so long after its start: others have started by then */
-#define MEMBERSHIP_LOOK_MS 200  /* ms; how often the leader looks whether a change of the voters is due */
+#define MEMBERSHIP_LOOK_MS 200  /* ms; how often the leader checks whether a change of the list of voters is due */
 #define MEMBERSHIP_SOON_MS 30   /* ms; ... and while a learner is not ready yet, or one change follows another */
 #define LEARNER_MOST 4          /* count; learners that follow the log at a time: each costs a copy of it */
 #define LEARNER_APPEND_MS 100   /* ms; a learner gets what has come within this in one append: nobody waits for it */
@@ -115,7 +115,7 @@
 #define KEEP_ASK_MS 100 /* ms; deadline for an entry point to keep a change for repair; a caller waits meanwhile */
 #define REPAIR_BUFFER_BYTES_MAX \
     (4 * 1024 * 1024)           /* bytes; one node keeps for repair: some 5,000 jobs; memory is priced */
-#define REPAIR_KEEP_MS 120000   /* ms; how long entry points and agents keep for repair what they were told */
+#define REPAIR_KEEP_MS 120000   /* ms; how long entry points and agents keep acknowledged changes for repair */
 #define SLOW_DISK_REST_MS 10000 /* ms; a leader that handed over for its slow disk does not propose itself so long */
 
 /* --- jobs ------------------------------------------------------------------------------------ */
--- a/packages/config/src/check.c
+++ b/packages/config/src/check.c
@@ -8,8 +8,8 @@
 #include <talloc.h>
 
 #include "base/constants.h"
-#include "scan.h"
 #include "duplicate_keys.h"
+#include "scan.h"
 
 #define DEPTH_MAX 16 /* count; levels of nesting: more than any document of ours needs */
 
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -75,7 +75,7 @@
 /* The controller that has this name with another disk, and has said so itself; null: there is none. Valid until
  * the next wait. */
 const Member *members_other_disk(const Members *members, const char *name, uint64_t disk);
-/* Whether nothing was heard of it for MEMBER_QUIET_MS: suspicion, not proof, that it is gone. */
+/* Whether nothing was heard of it for MEMBER_QUIET_MS: suspicion, not proof, that it has ended. */
 bool member_quiet(const Member *member, int64_t now_ms);
 /* How many members, with this process, have answered it within MEMBER_QUIET_MS. Controllers only: others
  * do not ask everybody. */
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -8,7 +8,7 @@
 #include "state.h"
 #include "voter_list.h"
 
-#define FOUND_LOOK_MS 200 /* ms; an empty controller looks so often whether three see each other */
+#define FOUND_LOOK_MS 200 /* ms; how often an empty controller checks whether three see each other */
 #define VOTE_LOOK_PART 6  /* an empty controller counts the seeds' votes so often in VOTE_WAIT_MS */
 
 /* Asks an empty controller to become part of the cluster with these voters. */
--- a/packages/replication/src/replication.c
+++ b/packages/replication/src/replication.c
@@ -3,10 +3,10 @@
 
 #include "disk.h"
 #include "leading.h"
-#include "replication/log.h"
-#include "state.h"
 #include "reconfigure.h"
+#include "replication/log.h"
 #include "serve.h"
+#include "state.h"
 #include "voter_list.h"
 #include "watch.h"
 
--- a/packages/routing/include/routing/config_watch.h
+++ b/packages/routing/include/routing/config_watch.h
@@ -1,9 +1,9 @@
 #ifndef ROUTING_CONFIG_WATCH_H
 #define ROUTING_CONFIG_WATCH_H
 
+#include "routing/leader_route.h"
 #include "routing/messages.h"
 #include "routing/pieces.h"
-#include "routing/leader_route.h"
 #include "state/versions.h"
 #include "trace/trace.h"
 
--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -1,8 +1,8 @@
 #ifndef ROUTING_FORWARD_H
 #define ROUTING_FORWARD_H
 
-#include "routing/repair_buffer.h"
 #include "routing/leader_route.h"
+#include "routing/repair_buffer.h"
 #include "trace/trace.h"
 
 /* The forwarder: carries a caller's request to the leader and its result back. Used by
--- a/packages/routing/include/routing/leader_route.h
+++ b/packages/routing/include/routing/leader_route.h
@@ -1,8 +1,8 @@
 #ifndef ROUTING_LEADER_ROUTE_H
 #define ROUTING_LEADER_ROUTE_H
 
-#include "routing/messages.h"
 #include "member/members.h"
+#include "routing/messages.h"
 
 /* The route to the leader from this process: the next hop is the leader itself, or another
  * controller that still reaches it. Used by the forwarder and by the configuration watch;
--- a/packages/routing/include/routing/pieces.h
+++ b/packages/routing/include/routing/pieces.h
@@ -10,7 +10,7 @@
 
 /* --- the leader's side ---------------------------------------------------------------------- */
 
-/* The document that is being handed over, as one text for all who ask; mem is set by its
+/* The document that is being sent, as one text for all processes that ask; mem is set by its
  * owner and holds the text.
  * Invariant: text is null or that of the version, as committed under the term. */
 typedef struct PieceSource {
--- a/packages/routing/include/routing/repair_buffer.h
+++ b/packages/routing/include/routing/repair_buffer.h
@@ -1,8 +1,8 @@
 #ifndef ROUTING_REPAIR_BUFFER_H
 #define ROUTING_REPAIR_BUFFER_H
 
-#include "routing/messages.h"
 #include "loop/loop.h"
+#include "routing/messages.h"
 
 /* The repair buffer: committed changes that went through this process are kept for a
  * while, so that they can be sent again to a leader whose disks have lost them. Used by
--- a/packages/routing/src/forward.c
+++ b/packages/routing/src/forward.c
@@ -1,4 +1,4 @@
-/* The life of a caller's request in this process, from its arrival to its result, and the
+/* A caller's request in this process, from its arrival to its result, and the
  * relay of requests for processes that can't reach the leader themselves. */
 #include "routing/forward.h"
 
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -1,8 +1,8 @@
 #ifndef ROUTING_SRC_HOP_H
 #define ROUTING_SRC_HOP_H
 
-#include "routing/messages.h"
 #include "routing/leader_route.h"
+#include "routing/messages.h"
 
 /* Sending a forwarded request to the next hop. Used by the attempts, by the relay and by the search for a route. */
 
--- a/packages/state/include/state/table.h
+++ b/packages/state/include/state/table.h
@@ -1,8 +1,8 @@
 #ifndef STATE_TABLE_H
 #define STATE_TABLE_H
 
-#include "state/versions.h"
 #include "replication/replication.h"
+#include "state/versions.h"
 
 /* The replicated state machine: jobs, tasks, workers, zones and versions of the
  * configuration, as the log's entries (state/change.h) build them up. Every voter holds
--- a/packages/state/src/deliver_attempt.c
+++ b/packages/state/src/deliver_attempt.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-#include "base/constants.h"
 #include "attempt.h"
+#include "base/constants.h"
 #include "orphan.h"
 
 /* An update on another attempt than the task's present one: an older one, or one whose placement the disks lost. */
--- a/packages/wire/src/answer.c
+++ b/packages/wire/src/answer.c
@@ -4,10 +4,10 @@
 
 #include <talloc.h>
 
-#include "pending.h"
 #include "base/constants.h"
 #include "envelope.h"
 #include "inside.h"
+#include "pending.h"
 #include "wire/shape.h"
 
 /* Whether the answer is that of the process that was asked, as far as both sides name it. A later
--- a/packages/wire/src/ask.c
+++ b/packages/wire/src/ask.c
@@ -2,12 +2,12 @@
  * its answer. */
 #include <talloc.h>
 
-#include "pending.h"
 #include "base/constants.h"
+#include "connection.h"
 #include "envelope.h"
 #include "inside.h"
-#include "connection.h"
 #include "loop/loop.h"
+#include "pending.h"
 #include "wire/rpc.h"
 #include "wire/shape.h"
 
--- a/packages/wire/src/connection.c
+++ b/packages/wire/src/connection.c
@@ -5,11 +5,11 @@
 #include <talloc.h>
 
 #include "answer.h"
-#include "pending.h"
 #include "base/constants.h"
 #include "base/map.h"
 #include "inside.h"
 #include "loop/loop.h"
+#include "pending.h"
 
 /* Reads answers until the connection ends; then every request still on it fails. */
 static void connection_main(void *arg)
--- a/packages/wire/src/inside.h
+++ b/packages/wire/src/inside.h
@@ -7,8 +7,8 @@
 #include "base/recorder.h"
 #include "envelope.h"
 #include "loop/loop.h"
-#include "wire/rpc.h"
 #include "wire/kinds.h"
+#include "wire/rpc.h"
 #include "wire/shape.h"
 
 /* The handler of requests of one kind; fn null: there is none here. */
--- a/packages/wire/src/pending.h
+++ b/packages/wire/src/pending.h
@@ -6,8 +6,8 @@
 
 #include "base/bytes.h"
 #include "loop/loop.h"
-#include "wire/rpc.h"
 #include "wire/kinds.h"
+#include "wire/rpc.h"
 
 /* A request sent and not yet answered. Owned by the task that waits for it.
  * Invariant: it is on its connection's list until done, or until its task gives it up. */
