--- a/packages/model/src/caller_job.h
+++ b/packages/model/src/caller_job.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_CALLER_JOB_H
 #define MODEL_SRC_CALLER_JOB_H
 
-/* The caller of one job (callerjob.c). Its three functions are tasks: their argument is a CallerTask. */
+/* The caller of one job (caller_job.c). Its three functions are tasks: their argument is a CallerTask. */
 
 #include "caller.h"
 
--- a/packages/model/src/fault_draw.h
+++ b/packages/model/src/fault_draw.h
@@ -1,7 +1,7 @@
 #ifndef MODEL_SRC_FAULT_DRAW_H
 #define MODEL_SRC_FAULT_DRAW_H
 
-/* Which machines, workers or zone a fault strikes (troubledraw.c). */
+/* Which machines, workers or zone a fault strikes (fault_draw.c). */
 
 #include "fault.h"
 
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -56,7 +56,7 @@
     const char *job; /* the job to follow; null: none */
 } Topology;
 
-/* --- ground.c --- */
+/* --- topology.c --- */
 /* All machines and their checker, on mem; nothing runs yet. */
 Topology *topology_new(void *mem, const Site *site, const Codec *codec, uint64_t seed, Rules *rules);
 /* Starts all machines but the spares; traffic begins after the site's lead_ms. */
@@ -67,7 +67,7 @@
 /* Starts an empty process on a machine of the model's own, for callers and the like: its tasks are spawned later. */
 void topology_host(const Topology *topology, int machine);
 
-/* --- groundsay.c --- */
+/* --- topology_log.c --- */
 int64_t topology_now_ms(const Topology *topology);
 /* Since traffic began; negative before. */
 int64_t topology_day_ms(const Topology *topology);
@@ -77,7 +77,7 @@
 void topology_tell(const Topology *topology, const TaskName *name, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
-/* --- groundnode.c: a machine's process --- */
+/* --- topology_node.c: a machine's process --- */
 /* No effect while one runs. */
 void node_start(TopologyNode *node);
 /* power: the machine loses power, so that what its disk has not synced is lost. */
@@ -85,7 +85,7 @@
 /* A graceful shutdown, by force after the site's grace_ms; then it is started again. */
 void node_roll(TopologyNode *node);
 
-/* --- groundhealth.c --- */
+/* --- topology_health.c --- */
 /* Cuts a machine off from all others, or joins it to them again. */
 void node_cut(TopologyNode *node, bool cut);
 /* Cuts or joins the link between two machines. */
--- a/packages/sim/include/sim/sweep.h
+++ b/packages/sim/include/sim/sweep.h
@@ -41,7 +41,7 @@
     int64_t worst_ms[SERVE_COUNT];   /* from a burst's last failure to the first service, over all entries */
 } SweepResult;
 
-/* Runs failures drawn from the seed, of all kinds of SWEEP_ACT_LIST (sweepact.h), several at a time. Odd seeds: one
+/* Runs failures drawn from the seed, of all kinds of SWEEP_ACT_LIST (sweep_act.h), several at a time. Odd seeds: one
  * after another for some 40 virtual seconds. Even ones: six bursts with 13 s of quiet after each, within which every
  * entry point that is up and reaches a majority of the voters must have served in 12 s, and the fleet must have started
  * work. Then all is healed; every entry point must serve within 12 s and every accepted job must end.
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -1,9 +1,9 @@
 #ifndef SIM_SRC_CHECKER_H
 #define SIM_SRC_CHECKER_H
 
-/* What a checker keeps, and the functions that its files share: checker.c and checkseen.c below, checkclaim.c and
- * checkconfig.c on them, above all checkstart.c (starts), checkrun.c (other events at workers), checkjob.c (callers),
- * checkserve.c (service after faults) and checklook.c (what takes time to go wrong). */
+/* What a checker keeps, and the functions that its files share: checker.c and check_seen.c below, check_claim.c and
+ * check_config.c on them, above all check_start.c (starts), check_run.c (other events at workers), check_job.c (callers),
+ * check_serve.c (service after faults) and check_look.c (what takes time to go wrong). */
 
 #include "base/map.h"
 #include "plan/plan.h"
@@ -118,7 +118,7 @@
  * is later. */
 int64_t checker_debt_ms(const Checker *checker, int64_t asked_ms);
 
-/* --- checkseen.c: records are made when they are first asked for --- */
+/* --- check_seen.c: records are made when they are first asked for --- */
 SeenJob *seen_job(Checker *checker, const char *id);
 SeenTask *seen_task(SeenJob *job, uint64_t task);
 SeenWorker *seen_worker(Checker *checker, const char *name);
@@ -129,7 +129,7 @@
 /* The worker's attempt of the task runs no more; false: it did not. */
 bool seen_run_take(SeenWorker *on, SeenTask *seen, uint64_t attempt);
 
-/* --- checkclaim.c --- */
+/* --- check_claim.c --- */
 /* A start beside claims of other workers; makes the new claim. */
 void claim_start(Checker *checker, const SeenJob *job, SeenTask *task, uint64_t number, const char *worker,
                  uint64_t attempt, bool copies);
@@ -137,7 +137,7 @@
 void claim_gone(Checker *checker, SeenWorker *worker);
 void claim_end(SeenTask *task, const char *worker, uint64_t attempt);
 
-/* --- checkconfig.c --- */
+/* --- check_config.c --- */
 SeenTenant *seen_tenant(Checker *checker, const char *name);
 /* A start of so much by the job's tenant. */
 void quota_start(Checker *checker, const Job *job, Resources resources);
--- a/packages/sim/src/sweep_act.h
+++ b/packages/sim/src/sweep_act.h
@@ -1,8 +1,8 @@
 #ifndef SIM_SRC_SWEEP_ACT_H
 #define SIM_SRC_SWEEP_ACT_H
 
-/* A sweep that runs, and its kinds of failures: of nodes, disks, clocks and links in sweepnodes.c, of configurations,
- * jobs and workers in sweepwork.c; what they share is in sweepact.c. */
+/* A sweep that runs, and its kinds of failures: of nodes, disks, clocks and links in sweep_nodes.c, of configurations,
+ * jobs and workers in sweep_work.c; what they share is in sweep_act.c. */
 
 #include "sim/probe.h"
 #include "sim/sweep.h"
--- a/packages/state/test/old_state.c
+++ b/packages/state/test/old_state.c
@@ -1,5 +1,5 @@
 /* What a release before wrote on its disks comes to the same state: the journals of packages/replication/test/fixtures,
- * whose values writedisk.c gave, each field another. No value here may ever follow a change of the sources: it is the
+ * whose values write_disk.c gave, each field another. No value here may ever follow a change of the sources: it is the
  * format that has changed then, and the disks of releases before are not read any more. */
 #include <inttypes.h>
 #include <setjmp.h>
