--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -2,8 +2,8 @@
 #define SIM_SRC_CHECKER_H
 
 /* What a checker keeps, and the functions that its files share: checker.c and check_seen.c below, check_claim.c and
- * check_config.c on them, above all check_start.c (starts), check_run.c (other events at workers), check_job.c (callers),
- * check_serve.c (service after faults) and check_look.c (what takes time to go wrong). */
+ * check_config.c on them, above all check_start.c (starts), check_run.c (other events at workers), check_job.c
+ * (callers), check_serve.c (service after faults) and check_look.c (what takes time to go wrong). */
 
 #include "base/map.h"
 #include "plan/plan.h"
--- a/packages/sim/src/timeline_act.h
+++ b/packages/sim/src/timeline_act.h
@@ -1,8 +1,9 @@
 #ifndef SIM_SRC_TIMELINE_ACT_H
 #define SIM_SRC_TIMELINE_ACT_H
 
-/* A timeline that runs, and its words: those on nodes and zones in timeline_node.c, those on callers in timeline_call.c.
- * What they share is in timeline_act.c. Functions that return false have said why by timeline_fault. */
+/* A timeline that runs, and its words: those on nodes and zones in timeline_node.c, those on callers in
+ * timeline_call.c. What they share is in timeline_act.c. Functions that return false have said why by timeline_fault.
+ */
 
 #include "sim/timeline.h"
 
