--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -306,12 +306,15 @@
     return count;
 }
 
+/* The newest checkpoint of a task that the leader was told; fails where there is none. */
 static inline const AttemptSaved *saved_last(const FakeLeader *leader, const char *job, uint64_t task)
 {
-    const AttemptSaved *last = NULL;
+    static const AttemptSaved NONE;
+    const AttemptSaved *last = &NONE;
     for (size_t i = 0; i < leader->saved_count; i++)
         if (leader->saved[i].task == task && strcmp(leader->saved[i].job, job) == 0)
             last = &leader->saved[i];
+    assert_ptr_not_equal(last, &NONE);
     return last;
 }
 
--- a/packages/state/test/old_state.c
+++ b/packages/state/test/old_state.c
@@ -6,6 +6,7 @@
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdio.h>
+#include <stdlib.h>
 #include <string.h>
 
 #include <cmocka.h>
@@ -251,7 +252,7 @@
     }
     fleet_dump(fleet);
     fail_msg("nobody leads");
-    return NULL;
+    abort(); /* not reached: fail_msg ends the test */
 }
 
 /* The end of a task whose job was not known is remembered: the job is handed in, and has it. */
