--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -195,7 +195,13 @@
 {
     char *path = talloc_asprintf(fleet, "%s/%s", folder, name);
     FILE *file = fopen(path, "wb");
-    if (file == NULL || fwrite(bytes.data, 1, bytes.count, file) != bytes.count || fclose(file) != 0)
+    if (file == NULL) {
+        perror(path);
+        return;
+    }
+    if (fwrite(bytes.data, 1, bytes.count, file) != bytes.count)
+        perror(path);
+    if (fclose(file) != 0)
         perror(path);
     printf("%-20s %5zu bytes\n", name, bytes.count);
 }
--- a/scripts/doc_names.py
+++ b/scripts/doc_names.py
@@ -43,7 +43,7 @@
     ("docs/operating.md", "spancart_alert_seat_out spancart_journal_begun_anew journal.bad", "the same; a file"),
     ("docs/control-state.md", "journal.bad", "a file in the data folder"),
     ("docs/platform.md", "tolerate.machines", "a member of the platform's document"),
-    ("docs/renaming.md", "Beat RoundId RoundNews SeatList AttemptNews Round Stray Door packages/routing/src/ways*.c "
+    ("docs/renaming.md", "a3bf9aa Beat RoundId RoundNews SeatList AttemptNews Round Stray Door packages/routing/src/ways*.c "
      "packages/model/src/crew.c", "names as they were before"),
     ("docs/glossary.md", "XenServer", "a product's name"),
     ("docs/ha.md", "XenServer", "a product's name"),
