--- a/examples/counter.c
+++ b/examples/counter.c
@@ -69,7 +69,7 @@
     HeartbeatAnswer *out = answer;
     bool list_counts;
     (void)mem;
-    out->term = configuration_term(counter->replication);
+    out->term = replication_led_term(counter->replication);
     if (!replication_leased(counter->replication))
         return STATUS_NOT_LEADER;
     out->lease_ms = AGENT_LEASE_MS;
@@ -170,7 +170,7 @@
     replication_start(counter->replication, counter->members);
     rpc_handle(counter->rpc, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &HeartbeatAnswer_shape, on_heartbeat, counter);
     members_start(counter->members);
-    replication_founding(counter->replication);
+    replication_found_start(counter->replication);
     loop_spawn(counter->loop, "beat", heartbeat_main, counter);
     loop_spawn(counter->loop, "plus", plus_main, counter);
 }
