--- a/packages/model/src/listener.h
+++ b/packages/model/src/listener.h
@@ -8,7 +8,7 @@
 typedef struct Listener {
     Topology *topology;
     int machine;
-    int misses[EDGES_MAX];
+    int misses[SERVERS_MAX];
 } Listener;
 
 Listener *listener_new(void *mem, Topology *topology);
--- a/packages/model/src/operator_order.c
+++ b/packages/model/src/operator_order.c
@@ -16,7 +16,7 @@
     Topology *topology = self->topology;
     for (;;) {
         TopologyNode *node =
-            &topology->edges[random_source_span(&self->random_source, 0, (int64_t)topology->edge_count - 1)];
+            &topology->servers[random_source_span(&self->random_source, 0, (int64_t)topology->server_count - 1)];
         if (node->used && !node->gone)
             return node;
     }
--- a/packages/model/src/ledger.c
+++ b/packages/model/src/sent_documents.c
@@ -1,5 +1,5 @@
 /* What the operator has sent, what each request came to, and which documents may be in force. */
-#include "ledger.h"
+#include "sent_documents.h"
 
 #include <inttypes.h>
 #include <string.h>
--- a/packages/model/src/ledger.h
+++ b/packages/model/src/sent_documents.h
@@ -1,5 +1,5 @@
-#ifndef MODEL_SRC_LEDGER_H
-#define MODEL_SRC_LEDGER_H
+#ifndef MODEL_SRC_SENT_DOCUMENTS_H
+#define MODEL_SRC_SENT_DOCUMENTS_H
 
 #include "topology.h"
 
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -10,7 +10,7 @@
 #include "sim/checker.h"
 #include "sim/world.h"
 
-#define EDGES_MAX 32
+#define SERVERS_MAX 32
 #define SIDES_MAX 40
 
 /* A machine of the product with its one process. Invariant: fault_ms is when its last fault ended or happened,
@@ -46,8 +46,8 @@
     uint64_t seed;
     char folder[32];  /* settings files */
     int64_t began_ms; /* traffic begins */
-    TopologyNode edges[EDGES_MAX], sides[SIDES_MAX];
-    size_t edge_count, side_count;
+    TopologyNode servers[SERVERS_MAX], sides[SIDES_MAX];
+    size_t server_count, side_count;
     int64_t controller_ms; /* last fault of any controller, as fault_ms */
     int controller_faults;
     int any_faults;
--- a/packages/model/src/worker_model.h
+++ b/packages/model/src/worker_model.h
@@ -2,7 +2,7 @@
 #define MODEL_SRC_WORKER_MODEL_H
 
 #include "job_records.h"
-#include "ledger.h"
+#include "sent_documents.h"
 
 /* A worker group: the members of a gang under one attempt number, or one task by itself. They work once all are
  * there, at the pace of the slowest, and end as one. Invariant: freed with its last member. */
--- a/packages/queue/include/queue/ready_queue.h
+++ b/packages/queue/include/queue/ready_queue.h
@@ -1,5 +1,5 @@
-#ifndef QUEUE_LINE_H
-#define QUEUE_LINE_H
+#ifndef QUEUE_READY_QUEUE_H
+#define QUEUE_READY_QUEUE_H
 
 /* The ready queue: all work that could start now, in the order in which one pass of the scheduler tries to place
  * it. Nothing here waits or changes the state. */
--- a/packages/sim/src/checker.h
+++ b/packages/sim/src/checker.h
@@ -31,8 +31,8 @@
     const char *worker;
     uint64_t attempt;
     Resources resources;
-    int64_t told_ms;    /* the worker was told to stop it; 0: not */
-    bool beside_frozen; /* another began while this one's machine stood still */
+    int64_t notified_ms; /* the worker was told to stop it; 0: not */
+    bool beside_frozen;  /* another began while this one's machine stood still */
 } SeenRun;
 
 /* What a worker may claim of a task: like a run, but it outlives the worker's
--- a/scripts/readable.py
+++ b/scripts/readable.py
@@ -50,7 +50,7 @@
     "line": ("packages/queue", "packages/scheduler", "packages/callers"),  # the queue; elsewhere a line of text
 }
 # ... or those in which it has another.
-NOT_IN = {"edge": ("platform",)}  # the platform's own word for what stands before its callers
+NOT_IN = {"edge": ("platform",), "core": ("platform",)}  # its own words: what stands before its callers; a processor's cores
 # Not here: view, which is a term of its own, the set of voters that each commit waits for (docs/glossary.md).
 # As they are, since no identifier here has their ordinary sense: book, hand (handed is no form of it), push (the
 # compiler's pragma is no identifier), face, core, room, box, ring, ground, round, hold.
--- a/src/node.c
+++ b/src/node.c
@@ -60,7 +60,7 @@
     return !same;
 }
 
-static void look_main(void *arg)
+static void settings_watch_main(void *arg)
 {
     NodeRun *run = arg;
     while (!loop_stopping(run->node.loop)) {
@@ -95,7 +95,7 @@
     printf("spancart %s %s in zone %s, face %s\n", ROLES[run->place.role], settings->name, settings->zone,
            run->adapter->name);
     fflush(stdout);
-    loop_spawn(node->loop, "settings", look_main, run);
+    loop_spawn(node->loop, "settings", settings_watch_main, run);
 }
 
 static void user_main(void *arg)
