--- a/packages/scheduler/include/scheduler/worker_score.h
+++ b/packages/scheduler/include/scheduler/worker_score.h
@@ -3,40 +3,40 @@
 
 #include "scheduler/scheduler.h"
 
-/* Outlier ejection of workers: one that claims health but fails or slows its attempts is given fewer new
- * ones, then none for a rest that doubles each time, and never too many of the fleet rest at once. Used by
- * the controller, which hands in ended attempts and shows the scores, and by the scheduler's passes.
+/* Outlier ejection of workers: a worker that claims to be healthy but fails or slows its attempts is given less new
+ * work, then is ejected: it gets none for a period that doubles with each ejection. Only a bounded share of the fleet
+ * is ejected at once. The controller records ended attempts and shows the scores; the scheduler's passes read them.
  *
- * Nothing here waits; what is returned belongs to the scheduler and is valid until the next wait. */
+ * Nothing here waits; returned pointers belong to the scheduler and are valid until the next wait. */
 
-/* A rate of bad attempts; the newest counts most. */
+/* The rate of bad attempts of one worker, a moving average in which the newest attempt has the largest weight. */
 typedef struct Tally {
     uint64_t rate_percent; /* as of rated_ms */
-    int64_t rated_ms;      /* own clock */
-    uint64_t jobs;         /* different jobs that went badly there since one went well */
-    uint64_t last_job;     /* number of the last that went badly */
+    int64_t rated_ms;      /* steady clock of this node */
+    uint64_t jobs;         /* number of different jobs with bad attempts on the worker since the last good attempt */
+    uint64_t last_job;     /* number (Job.number) of the last job with a bad attempt */
 } Tally;
 
-/* One worker, as this leader has seen it. */
+/* The score of one worker, from what this leader has seen. */
 typedef struct Score {
     Tally failed;          /* attempts that failed */
     Tally slow;            /* attempts that took several times as long as the others of their step */
-    int64_t slow_end_ms;   /* log time of the end of the last one counted as slow */
-    int64_t rest_until_ms; /* own clock; it is given nothing before this */
-    int64_t rest_ms;       /* length of the last rest */
+    int64_t slow_end_ms;   /* log time; end of the last attempt that was counted as slow */
+    int64_t rest_until_ms; /* steady clock of this node; the worker gets no work before this */
+    int64_t rest_ms;       /* duration of the last ejection */
 } Score;
 
-/* Takes a delivered change of attempts' ends into the scores, and into the estimates of how long work takes. */
+/* Updates the scores and the estimates of run times with a delivered change of attempts' ends. */
 void score_take(Scheduler *scheduler, const AttemptList *list);
-/* An attempt of the job made no progress on the worker: counts as a failed one. */
-void score_stalled(Scheduler *scheduler, const char *worker, const Job *job);
-/* Time of a task of the step on the worker, in percent of that near its data. */
+/* Records that an attempt of the job made no progress on the worker; it counts as a failed attempt. */
+void score_record_stall(Scheduler *scheduler, const char *worker, const Job *job);
+/* Run time of a task of the step on the worker, in percent of its run time near its data. */
 uint64_t score_far_percent(const Scheduler *scheduler, const Worker *worker, const StepSpec *step);
-/* Null: nothing bad is known of the worker. */
+/* The worker's score; null: the worker has had no bad attempt. */
 const Score *score_find(const Scheduler *scheduler, const char *worker);
-/* The worse of its rates of failed and of slow attempts now, in percent. */
+/* The higher of the worker's current rates of failed and of slow attempts, in percent. */
 uint64_t score_rate(const Scheduler *scheduler, const char *worker);
-/* Whether it is given nothing now. */
+/* Whether the worker is ejected now. */
 bool score_rests(const Scheduler *scheduler, const char *worker);
 
 #endif
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -1,4 +1,5 @@
-/* The r-loss plan: the tasks that it must include, whether it holds, and running tasks that it can include by now. */
+/* The r-loss plan: collects the tasks that it must include, checks whether it holds, and marks running tasks that it
+ * can include by now. */
 #include "assurance.h"
 
 #include <string.h>
@@ -6,7 +7,7 @@
 
 #include "preemptible_capacity.h"
 
-void pass_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
+void pass_assured_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker)
 {
     PlanInput *input = &pass->input;
     if (input->task_count == pass->task_capacity) {
@@ -26,22 +27,23 @@
     return survives;
 }
 
-void pass_tasks_add(Pass *pass)
+void pass_assured_tasks_add(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
-    preemptible_count(pass);
+    preemptible_add(pass);
     for (size_t i = 0; i < pass->input.worker_count; i++) {
-        const TaskOn *on;
-        const size_t count = table_tasks_on(scheduler->table, pass->input.workers[i].name, &on);
+        const TaskOn *tasks_on;
+        const size_t count = table_tasks_on(scheduler->table, pass->input.workers[i].name, &tasks_on);
         for (size_t t = 0; t < count; t++) {
-            const Job *job = on[t].job;
-            const JobTask *task = &job->tasks[on[t].task];
-            /* where the configuration names no loss, the check covers all protected tasks, for status alone */
+            const Job *job = tasks_on[t].job;
+            const JobTask *task = &job->tasks[tasks_on[t].task];
+            /* where the configuration names no loss to survive, the check covers all protected tasks, and is for the
+             * status page only */
             const bool counts = pass->plan_required ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
             if (!counts || task->phase == TASK_STOPPING)
                 continue;
             const PlanNeed need = pass_need(job, task->step);
-            pass_task_add(pass, &job->spec, &need, i);
+            pass_assured_task_add(pass, &job->spec, &need, i);
         }
     }
 }
@@ -49,11 +51,11 @@
 PlanInput planner_input(Scheduler *scheduler, void *mem)
 {
     Pass *pass = pass_new(scheduler, mem);
-    pass_tasks_add(pass);
+    pass_assured_tasks_add(pass);
     return pass->input;
 }
 
-void assure_more(Pass *pass)
+void assure_running_tasks(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
     StopList list = {0};
@@ -65,11 +67,11 @@
             continue;
         for (size_t t = 0; t < job->tasks_count && pass->checks < pass->checks_max; t++) {
             const JobTask *task = &job->tasks[t];
-            const size_t at = task_on_worker(task->phase) ? pass_worker_index(pass, task->worker) : SIZE_MAX;
-            if (task->assured || at == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
+            const size_t worker = task_on_worker(task->phase) ? pass_worker_index(pass, task->worker) : SIZE_MAX;
+            if (task->assured || worker == SIZE_MAX || (task->phase != TASK_PLACED && task->phase != TASK_RUNNING))
                 continue;
             const PlanNeed need = pass_need(job, task->step);
-            pass_task_add(pass, &job->spec, &need, at);
+            pass_assured_task_add(pass, &job->spec, &need, worker);
             if (!pass_survives_losses(pass)) {
                 pass->input.task_count--;
                 continue;
--- a/packages/scheduler/src/assurance.h
+++ b/packages/scheduler/src/assurance.h
@@ -3,16 +3,16 @@
 
 #include "pass.h"
 
-/* The r-loss plan (XenServer's HA design): after any r losses, all protected tasks that run assured find
- * capacity on what is left. */
+/* The r-loss plan (after XenServer's HA design): after any r losses, the remaining workers have capacity for all
+ * protected tasks that run assured. */
 
-/* Takes the protected tasks that the plan must hold for into pass->input. */
-void pass_tasks_add(Pass *pass);
-/* Adds one protected task that the plan must include, on the worker of that index. */
-void pass_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
-/* Checks whether the plan holds with all that is counted; counts against checks_max. */
+/* Adds the protected tasks that the plan must include to pass->input. */
+void pass_assured_tasks_add(Pass *pass);
+/* Adds one protected task that the plan must include, on the worker with that index. */
+void pass_assured_task_add(Pass *pass, const JobSpec *spec, const PlanNeed *need, size_t worker);
+/* Checks whether the plan holds with all added tasks; each check counts against checks_max. */
 bool pass_survives_losses(Pass *pass);
-/* Waits. Marks running attempts that the plan does not include yet and now can. */
-void assure_more(Pass *pass);
+/* Waits. Marks running attempts as assured that the plan did not include so far and now can include. */
+void assure_running_tasks(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -1,4 +1,4 @@
-/* When a worker should have free capacity, by what runs there and how long that should take. */
+/* Forecasts when a worker will have free capacity, from the tasks that run there and their expected run times. */
 #include "capacity_forecast.h"
 
 #include <stdlib.h>
@@ -24,16 +24,17 @@
                                (double)(loop_now_ms(scheduler->loop) - progress->reported_ms);
         return left_ms > ENDS_LEAST_MS ? (int64_t)left_ms : ENDS_LEAST_MS;
     }
-    const Worker *its = table_worker(scheduler->table, task->worker);
+    const Worker *worker_row = table_worker(scheduler->table, task->worker);
     const StepSpec *step = &job->spec.steps[task->step];
-    const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
-    const int64_t whole_ms = estimate * (int64_t)far / 100 * (int64_t)pass->slowdowns[worker] / 1000;
+    const uint64_t far_percent = worker_row != NULL ? score_far_percent(scheduler, worker_row, step) : 100;
+    const int64_t whole_ms = estimate * (int64_t)far_percent / 100 * (int64_t)pass->slowdowns[worker] / 1000;
     const int64_t ran_ms = pass->clock.log_ms - task->changed_ms;
-    /* an attempt that has run for longer than expected may end at any time: an eighth is a guess */
+    /* an attempt that has run for longer than expected may end at any time: assume at least an eighth of the run time,
+     * which is a guess */
     return whole_ms - ran_ms > whole_ms / 8 ? whole_ms - ran_ms : whole_ms / 8 + ENDS_LEAST_MS;
 }
 
-/* When an attempt should end, and what it gives back then. */
+/* The expected end of an attempt, and the capacity that it then frees. */
 typedef struct End {
     int64_t left_ms;
     Resources resources;
--- a/packages/scheduler/src/capacity_forecast.h
+++ b/packages/scheduler/src/capacity_forecast.h
@@ -3,9 +3,9 @@
 
 #include "pass.h"
 
-/* ms; how long the task, on the worker of that index, should still take; INT64_MAX: unknown. */
+/* Remaining run time, in ms, of the task on the worker with that index; INT64_MAX: unknown. */
 int64_t forecast_left_ms(const Pass *pass, const Job *job, const JobTask *task, size_t worker);
-/* ms from now, when the worker of that index should have so much free; 0: now, INT64_MAX: unknown. */
+/* Time, in ms from now, until the worker with that index has the needed capacity free; 0: now, INT64_MAX: unknown. */
 int64_t forecast_free_ms(const Pass *pass, size_t worker, Resources need);
 
 #endif
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -1,4 +1,4 @@
-/* Checkpoints of running attempts, as their agents' heartbeats bring them; in memory alone. */
+/* Checkpoints of running attempts, as their agents' heartbeats report them; held in memory only. */
 #include "scheduler/checkpoint.h"
 
 #include <inttypes.h>
@@ -8,27 +8,27 @@
 
 #include "state.h"
 
-#define CHECKPOINT_KEY (ID_MAX + 24) /* bytes; a name and a number */
-#define CHECKPOINTS_LEAST 256        /* count; fewer are not worth looking through */
+#define CHECKPOINT_KEY_BYTES (ID_MAX + 24) /* bytes; a task number and a job id */
+#define CHECKPOINTS_SWEEP_MIN 256          /* count; a smaller map is not swept */
 
-/* Invariant: text is the newest checkpoint of the latest attempt that reported any. */
+/* Invariant: text is the newest checkpoint of the latest attempt that reported one. */
 typedef struct Checkpoint {
     const char *job;
     uint64_t task, attempt;
     const char *text;
 } Checkpoint;
 
-static const char *checkpoint_key(char key[CHECKPOINT_KEY], const char *job, uint64_t task)
+static const char *checkpoint_key(char key[CHECKPOINT_KEY_BYTES], const char *job, uint64_t task)
 {
-    snprintf(key, CHECKPOINT_KEY, "%" PRIu64 " %s", task, job);
+    snprintf(key, CHECKPOINT_KEY_BYTES, "%" PRIu64 " %s", task, job);
     return key;
 }
 
-/* Checkpoints of tasks that have ended are dropped whenever the map has doubled since the last time. */
+/* Drops the checkpoints of tasks that have ended, whenever the map has doubled in size since the last sweep. */
 static void checkpoint_sweep(Scheduler *scheduler)
 {
-    if (map_count(scheduler->checkpoints) < CHECKPOINTS_LEAST ||
-        map_count(scheduler->checkpoints) < 2 * scheduler->checkpoints_swept)
+    if (map_count(scheduler->checkpoints) < CHECKPOINTS_SWEEP_MIN ||
+        map_count(scheduler->checkpoints) < 2 * scheduler->checkpoints_left_by_sweep)
         return;
     void *mem = talloc_new(scheduler);
     const char **keys;
@@ -36,19 +36,19 @@
     for (size_t i = 0; i < count; i++) {
         Checkpoint *checkpoint = map_get(scheduler->checkpoints, keys[i]);
         const Job *job = table_job(scheduler->table, checkpoint->job);
-        const size_t at = job != NULL ? task_index(job, checkpoint->task) : 0;
-        if (job != NULL && job->phase == JOB_ACTIVE && at < job->tasks_count && !task_ended(job->tasks[at].phase))
+        const size_t index = job != NULL ? task_index(job, checkpoint->task) : 0;
+        if (job != NULL && job->phase == JOB_ACTIVE && index < job->tasks_count && !task_ended(job->tasks[index].phase))
             continue;
         map_drop(scheduler->checkpoints, keys[i]);
         talloc_free(checkpoint);
     }
-    scheduler->checkpoints_swept = map_count(scheduler->checkpoints);
+    scheduler->checkpoints_left_by_sweep = map_count(scheduler->checkpoints);
     talloc_free(mem);
 }
 
 void checkpoint_take(Scheduler *scheduler, const AttemptSaved *report)
 {
-    char key[CHECKPOINT_KEY];
+    char key[CHECKPOINT_KEY_BYTES];
     if (report->text[0] == '\0')
         return;
     Checkpoint *checkpoint = map_get(scheduler->checkpoints, checkpoint_key(key, report->job, report->task));
@@ -68,7 +68,7 @@
 
 const char *checkpoint_find(const Scheduler *scheduler, const char *job, uint64_t task, uint64_t attempt)
 {
-    char key[CHECKPOINT_KEY];
+    char key[CHECKPOINT_KEY_BYTES];
     const Checkpoint *checkpoint = map_get(scheduler->checkpoints, checkpoint_key(key, job, task));
     return checkpoint != NULL && checkpoint->attempt == attempt ? checkpoint->text : "";
 }
--- a/packages/scheduler/src/gang_repair.c
+++ b/packages/scheduler/src/gang_repair.c
@@ -1,6 +1,6 @@
-/* Gangs of which only some members run. Members are placed, ended and stopped all at once, so there is one cause
- * alone: the disks lost a placement, agents have reported their attempts again, and the agent of some member is
- * lost. All members are stopped, and the gang is placed again as a whole. */
+/* Repairs gangs of which only some members run. Members are placed, ended and stopped together, so this has one cause
+ * only: the disks lost a placement, agents have reported their attempts again, and the agent of at least one member is
+ * lost. The running members are stopped, and the gang is placed again as a whole. */
 #include "gang_repair.h"
 
 #include <talloc.h>
@@ -8,7 +8,7 @@
 #include "settings/features.h"
 
 /* Whether the task runs while another member of its gang waits. */
-static bool is_split(const TaskOn *on)
+static bool in_incomplete_gang(const TaskOn *on)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
@@ -28,13 +28,13 @@
     if (now_ms < scheduler->gangs_repair_ms || !feature_on(scheduler->bounds, FEATURE_GANG_REPAIR))
         return;
     scheduler->gangs_repair_ms = now_ms + GANGS_REPAIR_MS;
-    StopList list = {.why = "its gang is not whole"};
+    StopList list = {.why = "its gang is incomplete"};
     const char *worker;
     for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++) {
         const TaskOn *on;
         const size_t count = table_tasks_on(scheduler->table, worker, &on);
         for (size_t t = 0; t < count; t++) {
-            if (!is_split(&on[t]))
+            if (!in_incomplete_gang(&on[t]))
                 continue;
             const JobTask *task = &on[t].job->tasks[on[t].task];
             list.attempts = talloc_realloc(mem, list.attempts, AttemptId, (unsigned)(list.attempts_count + 1));
--- a/packages/scheduler/src/gang_repair.h
+++ b/packages/scheduler/src/gang_repair.h
@@ -3,7 +3,8 @@
 
 #include "state.h"
 
-/* Waits. Stops what runs of gangs that are not whole, so that they start again as one. mem: for the change. */
+/* Waits. Stops the running members of gangs that are incomplete, so that each gang starts again as a whole. The change
+ * is packed on mem. */
 void gangs_repair(Scheduler *scheduler, void *mem);
 
 #endif
--- a/packages/scheduler/src/leader.c
+++ b/packages/scheduler/src/leader.c
@@ -1,4 +1,4 @@
-/* Calls of the controller's functions (SchedulerLeader), for all parts of the scheduler. */
+/* Wrappers around the controller's functions (SchedulerLeader) for all parts of the scheduler. */
 #include "heartbeat/lease.h"
 #include "state.h"
 
--- a/packages/scheduler/src/leaving_worker.c
+++ b/packages/scheduler/src/leaving_worker.c
@@ -1,6 +1,6 @@
-/* Workers that drain and have reported how long they stay. An attempt that can't end there by then is stopped in
- * time to go on elsewhere: one that checkpoints, as soon as another worker has capacity, or else at its last moment
- * to save; one that does not, only when it is sure not to end in time. */
+/* Workers that drain and have reported how long they stay. An attempt that can't end on its worker by then is stopped
+ * in time to resume elsewhere. An attempt that makes checkpoints is stopped as soon as another worker has capacity, or
+ * else at the last moment that leaves time to save; any other attempt only when it certainly can't end in time. */
 #include "leaving_worker.h"
 
 #include <string.h>
@@ -11,13 +11,14 @@
 #include "worker_choice.h"
 #include "settings/features.h"
 
-/* stays_ms: for how long the worker stays; elsewhere: another worker has capacity for the task. */
-static bool must_go(const Pass *pass, const TaskOn *on, size_t worker, int64_t until_leave_ms, bool elsewhere)
+/* Whether the attempt should be stopped now. until_leave_ms: how long the worker stays; elsewhere: another worker has
+ * capacity for the task. */
+static bool should_stop(const Pass *pass, const TaskOn *on, size_t worker, int64_t until_leave_ms, bool elsewhere)
 {
     const Job *job = on->job;
     const JobTask *task = &job->tasks[on->task];
-    const bool saves = job->spec.steps[task->step].saves;
-    if (task->phase == TASK_PLACED) /* not begun: no work is lost */
+    const bool makes_checkpoints = job->spec.steps[task->step].saves;
+    if (task->phase == TASK_PLACED) /* not started yet: no work is lost */
         return pass->clock.log_ms - task->changed_ms > LEAVE_START_MS;
     if (task->phase != TASK_RUNNING || job->ending != JOB_ACTIVE)
         return false;
@@ -26,13 +27,13 @@
     const int64_t left_ms = forecast_left_ms(pass, job, task, worker);
     if (left_ms < until_leave_ms - LEAVE_LAST_MS / 2)
         return false;
-    if (saves)
+    if (makes_checkpoints)
         return elsewhere || until_leave_ms < LEAVE_LAST_MS;
-    /* estimates are inexact: an attempt that might just end is left to try */
+    /* estimates are inexact: an attempt that may just end in time is left running */
     return elsewhere && left_ms * 2 / 3 > until_leave_ms;
 }
 
-void leaving_find(Pass *pass, StopList *list)
+void leaving_attempts_find(Pass *pass, StopList *list)
 {
     if (!feature_on(pass->scheduler->bounds, FEATURE_LEAVE_EARLY))
         return;
@@ -44,9 +45,9 @@
         const TaskOn *on;
         const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
-            const int at = choose_elsewhere(pass, on[t].job, on[t].task, i);
-            if (must_go(pass, &on[t], i, row->leave_until_ms - now_ms, at >= 0) &&
-                !stop_add(pass, list, on[t].job, on[t].task, at, LEAVE_STOPS_MOST))
+            const int target = choose_other_worker(pass, on[t].job, on[t].task, i);
+            if (should_stop(pass, &on[t], i, row->leave_until_ms - now_ms, target >= 0) &&
+                !stop_list_add(pass, list, on[t].job, on[t].task, target, LEAVE_STOPS_MOST))
                 return;
         }
     }
--- a/packages/scheduler/src/leaving_worker.h
+++ b/packages/scheduler/src/leaving_worker.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Adds attempts that could not end before their worker leaves (see the source). */
-void leaving_find(Pass *pass, StopList *list);
+/* Adds attempts to the list that can't end before their worker leaves (the rules are in leaving_worker.c). */
+void leaving_attempts_find(Pass *pass, StopList *list);
 
 #endif
--- a/packages/scheduler/src/lost_worker.c
+++ b/packages/scheduler/src/lost_worker.c
@@ -1,4 +1,4 @@
-/* Failure detection of workers: leases that have ended, and workers that are silent. */
+/* Failure detection of workers: expired leases, and silent workers. */
 #include "lost_worker.h"
 
 #include <inttypes.h>
@@ -8,13 +8,14 @@
 bool worker_lease_ended(const Scheduler *scheduler, const char *worker)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker);
-    /* a worker that this leader has not heard of: as if its lease was granted just before the lead was won */
+    /* a worker that has not contacted this leader: assume that its lease was granted just before this node became
+     * leader */
     const int64_t until_ms = row != NULL ? row->until_ms : scheduler_lease_end_ms(scheduler);
     return loop_now_ms(scheduler->loop) > until_ms;
 }
 
 /* Whether the worker's lease has ended and its loss is not being committed yet. */
-static bool lapsed(const Scheduler *scheduler, const char *worker)
+static bool loss_undeclared(const Scheduler *scheduler, const char *worker)
 {
     const LiveRow *row = liveset_find(scheduler->liveset, worker);
     return worker_lease_ended(scheduler, worker) && (row == NULL || !row->losing);
@@ -25,21 +26,22 @@
     Map *lost = map_new(mem);
     const char *worker;
     for (size_t i = 0; (worker = table_busy(scheduler->table, i)) != NULL; i++)
-        if (lapsed(scheduler, worker))
+        if (loss_undeclared(scheduler, worker))
             map_set(lost, worker, scheduler);
     const char **names;
     const size_t lost_count = map_keys(lost, mem, &names);
     for (size_t i = 0; i < lost_count && scheduler_decides(scheduler); i++) {
-        if (!lapsed(scheduler, names[i]))
-            continue; /* it has come back while the loss of another was being committed */
+        if (!loss_undeclared(scheduler, names[i]))
+            continue; /* it has come back while the loss of another worker was being committed */
         const WorkerLost change = {names[i], UINT64_MAX};
-        /* it may come back before this is committed: it must get no order that is based on the state before */
+        /* the worker may come back before this is committed: until then it must not get orders that are based on the
+         * old state */
         liveset_losing(scheduler->liveset, names[i], true);
         ChangeResult result;
         if (scheduler_submit(scheduler, mem, CHANGE_WORKER_LOST, &WorkerLost_shape, &change, &result) == STATUS_OK) {
             scheduler->counts.lost += result.number;
             char text[LOG_TEXT_BYTES];
-            snprintf(text, sizeof(text), "%" PRIu64 " attempts were on it", result.number);
+            snprintf(text, sizeof(text), "%" PRIu64 " attempts ran on it", result.number);
             log_event(scheduler->recorder, LOG_WORKER_LOST, loop_now_ms(scheduler->loop),
                       &(LogFields){.peer = names[i], .text = text});
         }
@@ -76,13 +78,13 @@
     ChangeResult result;
     if (list.updates_count > 0)
         scheduler_submit(scheduler, mem, CHANGE_ATTEMPTS, &AttemptList_shape, &list, &result);
-    /* that these attempts are over is not confirmed: their capacity counts as in use until the agent says so */
+    /* the ends of these attempts are not confirmed: their capacity counts as in use until the agent confirms them */
     for (size_t i = 0; i < list.updates_count; i++) {
         const AttemptUpdate *update = &list.updates[i];
         const Job *job = table_job(scheduler->table, update->job);
-        const size_t at = job != NULL ? task_index(job, update->task) : 0;
-        if (job != NULL && at < job->tasks_count)
-            orphans_add(scheduler->orphans, update->worker, job, &job->tasks[at], update->attempt,
+        const size_t index = job != NULL ? task_index(job, update->task) : 0;
+        if (job != NULL && index < job->tasks_count)
+            orphans_add(scheduler->orphans, update->worker, job, &job->tasks[index], update->attempt,
                         now_ms + ORDER_GONE_MS);
     }
 }
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -1,4 +1,4 @@
-/* Begins a pass: finds the workers and their free capacity. */
+/* Starts a pass: collects the workers and their free capacity. */
 #include "pass.h"
 
 #include <string.h>
@@ -8,9 +8,10 @@
 #include "settings/features.h"
 #include "unconfirmed.h"
 
-/* The capacity of the worker that may be used now; none when it may be given no work. row: of the live set, may be
- * null; orphans (out): what its orphaned attempts use. */
-static Resources resources_now(const Scheduler *scheduler, const Worker *worker, const LiveRow *row, Resources *orphans)
+/* The capacity of the worker that may be used now; none when the worker may not be given work. row: of the live set,
+ * may be null. orphans (out): the capacity that orphaned attempts use there. */
+static Resources usable_resources(const Scheduler *scheduler, const Worker *worker, const LiveRow *row,
+                                  Resources *orphans)
 {
     const bool known = orphans_resources(scheduler->orphans, worker->name, orphans);
     const bool ready = known && row != NULL && live_row_ready(row, loop_now_ms(scheduler->loop)) && !worker->excluded &&
@@ -19,9 +20,10 @@
     return ready ? resources_less(worker->resources, row->others) : none;
 }
 
-/* Finds the workers' rows in the live set; null: not heard of. Whether those that are overdue are to be believed: not
- * when most are at once, since then it is this process that has not read their heartbeats yet. */
-static bool rows_find(const Scheduler *scheduler, const Worker *const *workers, size_t count, const LiveRow **rows)
+/* Finds the workers' rows in the live set; null: the worker has not contacted this leader. Returns whether overdue
+ * heartbeats are credible: when more than one in OVERDUE_SHARE workers is overdue at once, it is more likely that this
+ * process has not read their heartbeats yet. */
+static bool live_rows_find(const Scheduler *scheduler, const Worker *const *workers, size_t count, const LiveRow **rows)
 {
     const int64_t now_ms = loop_now_ms(scheduler->loop);
     size_t overdue = 0;
@@ -32,9 +34,9 @@
     return overdue * OVERDUE_SHARE <= count && feature_on(scheduler->bounds, FEATURE_PASS_OVERDUE);
 }
 
-/* All workers, with their free capacity; those that may be given no work have none, but their tasks still count for
- * the plan. One that is overdue keeps its capacity in the plan, and none of it is free. */
-static void workers_find(Pass *pass)
+/* Collects all workers with their free capacity. Workers that may not be given work have none, but their tasks still
+ * count for the plan. A worker whose heartbeat is overdue keeps its capacity in the plan, but none of it is free. */
+static void pass_workers_collect(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
     const int64_t now_ms = loop_now_ms(scheduler->loop);
@@ -44,11 +46,11 @@
     pass->input.worker_count = count;
     pass->slowdowns = talloc_array(pass->mem, uint64_t, (unsigned)count);
     const LiveRow **rows = talloc_array(pass->mem, const LiveRow *, (unsigned)count);
-    const bool credible = rows_find(scheduler, workers, count, rows);
+    const bool credible = live_rows_find(scheduler, workers, count, rows);
     for (size_t i = 0; i < count; i++) {
         const Worker *worker = workers[i];
         Resources orphans;
-        const Resources resources = resources_now(scheduler, worker, rows[i], &orphans);
+        const Resources resources = usable_resources(scheduler, worker, rows[i], &orphans);
         const Resources used = resources_more(orphans, table_used_on(scheduler->table, worker->name));
         const bool suspect = credible && rows[i] != NULL && live_row_overdue(rows[i], now_ms);
         pass->input.workers[i] = (PlanWorker){.name = worker->name,
@@ -95,7 +97,7 @@
     pass->next_ms = INT64_MAX;
     pass->input =
         (PlanInput){.r = pass->config->r, .zone_loss = pass->config->zone_loss, .rack_loss = pass->config->rack_loss};
-    workers_find(pass);
+    pass_workers_collect(pass);
     const Map *unconfirmed = unconfirmed_find(pass);
     pass->context = (QueueContext){.table = scheduler->table,
                                    .no_targets = !feature_on(scheduler->bounds, FEATURE_TARGET_ORDER),
--- a/packages/scheduler/src/pass.h
+++ b/packages/scheduler/src/pass.h
@@ -3,60 +3,59 @@
 
 #include "state.h"
 
-#define FULL_MOST 8 /* count; needs that a pass remembers as having found no worker */
+#define UNMET_NEEDS_MAX 8 /* count; unmet needs that a pass remembers */
 
-/* Where the other tasks of one step are, for the preferences of worker_choice.c. Invariant: of one step at a time;
- * starts that this pass has decided count, and so do attempts that are being stopped. */
+/* Where the other tasks of one step run, for the preferences in worker_choice.c. Invariant: describes one step at a
+ * time, and counts the starts that this pass has decided and attempts that are being stopped. */
 typedef struct StepSpread {
     const Job *job;
-    size_t first;   /* index of the step's first task */
-    int *on_worker; /* tasks of the step, for each worker */
-    int *on_rack;   /* ... on the worker's rack */
-    int *near;      /* ... in its zone, those in its rack counted twice */
+    size_t first_task; /* index of the step's first task in its job */
+    int *on_worker;    /* by worker: tasks of the step on it */
+    int *on_rack;      /* by worker: tasks of the step on its rack */
+    int *proximity;    /* by worker: tasks of the step in its zone, those on its rack counted twice */
 } StepSpread;
 
 /* One start that this pass has decided. */
-typedef struct Placed {
+typedef struct PlannedStart {
     const Job *job;
     size_t task;
     size_t worker;
-} Placed;
+} PlannedStart;
 
-/* What one pass knows: the state at its begin, with what it has decided taken out of the free capacity.
- * It is over once the table changes. Workers are in the order of their names; a worker's index is that in
- * input.workers. */
+/* The data of one pass: the state at its start, with the free capacity reduced by what the pass has decided. A pass is
+ * invalid once the table changes. Workers are sorted by name; a worker's index is its index in input.workers. */
 typedef struct Pass {
     Scheduler *scheduler;
     void *mem; /* the pass itself */
     const Config *config;
     QueueClock clock;
-    PlanInput input; /* its tasks only after pass_tasks_add */
+    PlanInput input; /* its tasks are set by pass_assured_tasks_add */
     size_t task_capacity;
-    uint64_t *slowdowns; /* of each worker: time there in thousandths of that on a healthy one */
-    Resources fleet;     /* capacity of all workers that may be given work */
-    Resources largest;   /* the largest worker, part by part */
+    uint64_t *slowdowns; /* by worker: run time there, in thousandths of the run time on a healthy worker */
+    Resources fleet;     /* total capacity of the workers that may be given work */
+    Resources largest;   /* the largest capacity of any worker, component by component */
     QueueContext context;
     ReadyQueue *ready_queue;
     PlaceList places;
-    Placed *placed; /* the starts in places, once more */
-    size_t place_capacity, placed_count;
+    PlannedStart *starts; /* the starts in places, with indices */
+    size_t place_capacity, start_count;
     StepSpread spread;
-    PlanNeed full[FULL_MOST]; /* needs that found no worker */
-    size_t full_count;
-    bool plan_required;        /* the configuration names losses that each start must leave a plan for */
-    size_t checks, checks_max; /* of the r-loss plan: made, and allowed in this pass */
+    PlanNeed unmet[UNMET_NEEDS_MAX]; /* needs that fit no worker in this pass */
+    size_t unmet_count;
+    bool plan_required; /* each start of protected work must leave a plan for the losses that the configuration names */
+    size_t checks, checks_max; /* checks of the r-loss plan: made, and allowed in this pass */
     StopList to_preempt;       /* attempts to be preempted */
-    Map *cells;                /* names of cells with a policy of their own to their number + 1 in input.preemptible */
+    Map *cells;                /* name of each cell that has its own policy to its index in input.preemptible, plus 1 */
     size_t preempt_calls;      /* calls of may_preempt */
-    Resources reserved;        /* reserved in this pass for what found no worker */
-    int64_t next_ms;           /* log time when more can be decided without a new event */
+    Resources reserved; /* capacity left free in this pass for candidates that found no worker (pass_reservation.c) */
+    int64_t next_ms;    /* log time; when more can be decided without a new event */
 } Pass;
 
-/* Begins a pass, with the workers and their free capacity. On mem, with all that lives as long as it. */
+/* Starts a pass, with the workers and their free capacity. Owned by mem, and owns all data of the pass. */
 Pass *pass_new(Scheduler *scheduler, void *mem);
 /* The worker's index; SIZE_MAX: it is not among the workers. */
 size_t pass_worker_index(const Pass *pass, const char *worker);
-/* What a task of the step asks of a worker. The job owns its texts. */
+/* The requirements of a task of the step on a worker. Its strings belong to the job. */
 PlanNeed pass_need(const Job *job, uint64_t step);
 
 #endif
--- a/packages/scheduler/src/pass_reservation.h
+++ b/packages/scheduler/src/pass_reservation.h
@@ -3,8 +3,8 @@
 
 #include "pass.h"
 
-/* The candidate found no worker: the free capacity of the worker that is nearest to having enough is left to
- * it until the end of this pass. */
-void reserve_for(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded);
+/* To be called when the candidate found no worker: until the end of this pass, leaves the free capacity of the worker
+ * that is closest to having enough to this candidate. excluded, by worker index: workers not to use. */
+void pass_reserve(Pass *pass, const Candidate *candidate, const PlanNeed *need, const bool *excluded);
 
 #endif
--- a/packages/scheduler/src/placement.h
+++ b/packages/scheduler/src/placement.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Places all tasks of the candidate, or none; false: none. */
-bool place_one(Pass *pass, const Candidate *candidate);
+/* Places all tasks of the candidate, or none; returns whether they were placed. */
+bool place_candidate(Pass *pass, const Candidate *candidate);
 
 #endif
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -1,5 +1,5 @@
-/* The planner's task: finds lost workers, then makes one pass after another over the queue. Each decision is
- * committed before the next is made. */
+/* The planner's task: finds lost workers, then makes one pass after another over the ready queue. Each decision is
+ * committed before the next one is made. */
 #include "planner.h"
 
 #include <stdio.h>
@@ -14,16 +14,17 @@
 #include "restart_elsewhere.h"
 #include "zone_move.h"
 
-#define PLAN_CHECKS_MAX 200 /* count; checks of the r-loss plan in one pass */
-#define PLAN_CHECKS_LEAST 4 /* count; ... of which so many are always allowed */
-#define PLAN_WORK_MAX \
-    4000000           /* count; tasks and workers examined for plans in one pass: some 50 ms, a tenth of a heartbeat */
-#define PASS_GAP_MS 5 /* ms; between two passes, so that changes that come together are decided on together; ... */
-#define PASS_GAP_MOST_MS 40 /* ms; ... up to this on large sites and with a long queue, where a pass takes longer */
-#define PASS_GAP_ENTRIES 64 /* count; workers and steps of the queue that lengthen the gap by a ms */
+#define PLAN_CHECKS_MAX 200 /* count; most checks of the r-loss plan in one pass */
+#define PLAN_CHECKS_MIN 4   /* count; checks that are always allowed in a pass */
+#define PLAN_WORK_MAX                                                                                                \
+    4000000 /* count; tasks and workers examined for plans in one pass: about 50 ms, a tenth of a heartbeat interval \
+             */
+#define PASS_GAP_MS 5 /* ms; pause between two passes, so that changes that arrive together are handled by one pass */
+#define PASS_GAP_MAX_MS 40  /* ms; longest pause, for large sites and long queues, where a pass takes longer */
+#define PASS_GAP_ENTRIES 64 /* count; number of workers and queued steps that lengthens the pause by 1 ms */
 
-/* Checks whether the r-loss plan holds as of now. Where the configuration names no loss the result is for status
- * alone, and an occasional check is enough. */
+/* Checks whether the r-loss plan holds now. Where the configuration names no loss, the result is for the status page
+ * only, and an occasional check is enough. */
 static void plan_check(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -31,39 +32,39 @@
     if (!pass->plan_required && now_ms < scheduler->plan_check_ms)
         return;
     scheduler->plan_check_ms = now_ms + PLAN_CHECK_MS;
-    pass_tasks_add(pass);
-    /* one check costs about losses times (tasks and workers) */
-    const size_t each = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
-    pass->checks_max = PLAN_WORK_MAX / each;
+    pass_assured_tasks_add(pass);
+    /* the cost of one check is about the number of losses times (tasks plus workers) */
+    const size_t cost_per_check = pass->input.worker_count * (pass->input.task_count + pass->input.worker_count) + 1;
+    pass->checks_max = PLAN_WORK_MAX / cost_per_check;
     if (pass->checks_max > PLAN_CHECKS_MAX)
         pass->checks_max = PLAN_CHECKS_MAX;
-    if (pass->checks_max < PLAN_CHECKS_LEAST)
-        pass->checks_max = PLAN_CHECKS_LEAST;
+    if (pass->checks_max < PLAN_CHECKS_MIN)
+        pass->checks_max = PLAN_CHECKS_MIN;
     PlanBreak broken = {LOSS_WORKER, ""};
     scheduler->plan.possible = plan_always_possible(&pass->input, &broken);
     scheduler->plan.broken_by_loss = broken.loss;
     snprintf(scheduler->plan.broken_by, sizeof(scheduler->plan.broken_by), "%s", broken.name);
 }
 
-/* Records that policies have begun to fail. */
-static void policies_check(Scheduler *scheduler)
+/* Records the first failure of a policy. */
+static void policy_failure_record(Scheduler *scheduler)
 {
-    const char *words;
-    const uint64_t failures = scheduler->leader.policy_failures(scheduler->leader.arg, &words);
+    const char *failure_text;
+    const uint64_t failures = scheduler->leader.policy_failures(scheduler->leader.arg, &failure_text);
     if (failures > 0 && scheduler->policy_failures_seen == 0)
         recorder_write(scheduler->recorder, RECORDER_ALERT, loop_now_ms(scheduler->loop),
-                       "a policy failed, first come goes first: %s", words);
+                       "a policy failed, first come goes first: %s", failure_text);
     scheduler->policy_failures_seen = failures;
 }
 
-void pass_places(Pass *pass)
+void pass_place_candidates(Pass *pass)
 {
     pass->ready_queue = ready_queue_new(pass->mem, pass->scheduler->queue, &pass->context);
-    policies_check(pass->scheduler);
+    policy_failure_record(pass->scheduler);
     reservation_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = ready_queue_next(pass->ready_queue)) != NULL)
-        if (place_one(pass, candidate))
+        if (place_candidate(pass, candidate))
             ready_queue_placed(pass->ready_queue);
         else
             ready_queue_skip(pass->ready_queue);
@@ -71,29 +72,29 @@
         pass->next_ms = ready_queue_next_ms(pass->ready_queue);
 }
 
-/* The time until the next pass grows with the number of workers and of entries of the ready queue. */
-static int64_t gap_ms(const Pass *pass)
+/* The pause before the next pass; grows with the number of workers and of entries of the ready queue. */
+static int64_t next_gap_ms(const Pass *pass)
 {
     const int64_t entries = (int64_t)(pass->input.worker_count + ready_queue_count(pass->ready_queue));
     const int64_t wait_ms = PASS_GAP_MS + entries / PASS_GAP_ENTRIES;
-    return wait_ms < PASS_GAP_MOST_MS ? wait_ms : PASS_GAP_MOST_MS;
+    return wait_ms < PASS_GAP_MAX_MS ? wait_ms : PASS_GAP_MAX_MS;
 }
 
-/* Waits. One pass; true when there may be more to decide at once. next_ms (out): own clock, when there will be more
- * without a new event. */
+/* Waits. Runs one pass; returns whether there may be more to decide at once. next_ms (out): when there will be more to
+ * decide without a new event, in ms of this node's steady clock. */
 static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
     uint64_t seen = scheduler->changes;
     Pass *pass = pass_new(scheduler, scheduler);
     scheduler->counts.passes++;
     *next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
-    if (restart_elsewhere(pass)) { /* the table has changed: what the pass knows is out of date */
+    if (restart_elsewhere(pass)) { /* the table has changed: the data of this pass is out of date */
         talloc_free(pass);
         return true;
     }
     plan_check(pass);
-    pass_places(pass);
-    scheduler->pass_gap_ms = gap_ms(pass);
+    pass_place_candidates(pass);
+    scheduler->pass_gap_ms = next_gap_ms(pass);
     if (pass->next_ms < pass->clock.log_ms + PLACE_TICK_MS)
         *next_ms = loop_now_ms(scheduler->loop) + pass->next_ms - pass->clock.log_ms;
     const bool more = pass->places.placements_count >= PLACE_BATCH;
@@ -101,20 +102,20 @@
     if (pass->places.placements_count > 0) {
         if (scheduler_submit(scheduler, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result) == STATUS_OK)
             scheduler->counts.placed += result.number;
-        seen++; /* the change that this pass made is no reason for another */
+        seen++; /* the change that this pass submitted is no reason for another pass */
     }
     if (pass->to_preempt.attempts_count > 0 && scheduler_decides(scheduler)) {
         if (scheduler_submit(scheduler, pass, CHANGE_STOP, &StopList_shape, &pass->to_preempt, &result) == STATUS_OK)
             scheduler->counts.preempted += result.number;
     } else if (pass->places.placements_count == 0) {
-        if (!move_one(pass) && pass->plan_required && pass->checks == 0 && scheduler_decides(scheduler))
-            assure_more(pass);
+        if (!move_one_task(pass) && pass->plan_required && pass->checks == 0 && scheduler_decides(scheduler))
+            assure_running_tasks(pass);
     }
     talloc_free(pass);
     return more || scheduler->changes > seen;
 }
 
-/* Waits. Lost and silent workers, which are dealt with even before place_from_ms; gangs that are not whole, after. */
+/* Waits. Handles lost and silent workers, also before place_from_ms; after that time, also incomplete gangs. */
 static void workers_check(Scheduler *scheduler)
 {
     void *mem = talloc_new(scheduler);
--- a/packages/scheduler/src/planner.h
+++ b/packages/scheduler/src/planner.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Goes through the ready queue and decides what starts where, at most PLACE_BATCH starts, into pass->places. */
-void pass_places(Pass *pass);
+/* Walks through the ready queue and decides what starts where, at most PLACE_BATCH starts, into pass->places. */
+void pass_place_candidates(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/preemptible_capacity.c
+++ b/packages/scheduler/src/preemptible_capacity.c
@@ -1,30 +1,30 @@
-/* Capacity that the plan may count on because it can be preempted. */
+/* Capacity in use that the r-loss plan may count on because protected work may preempt it. */
 #include "preemptible_capacity.h"
 
 #include <string.h>
 #include <talloc.h>
 
-#define PREEMPT_REPRESENTATIVES_MAX 8 /* count; queues of a cell that are represented */
+#define PREEMPT_REPRESENTATIVES_MAX 8 /* count; queues of a cell that have a representative */
 
 size_t preemptible_cell(const Pass *pass, const JobSpec *spec)
 {
-    const size_t at = pass->cells != NULL ? (size_t)(uintptr_t)map_get(pass->cells, spec->cell) : 0;
-    return at > 0 ? at - 1 : PLAN_NO_CELL;
+    const size_t index = pass->cells != NULL ? (size_t)(uintptr_t)map_get(pass->cells, spec->cell) : 0;
+    return index > 0 ? index - 1 : PLAN_NO_CELL;
 }
 
-/* One protected task of each queue of the cell represents its queue. */
+/* The representatives of a cell: for each of its queues, one protected task that is on a worker. */
 typedef struct Representatives {
     const Job *jobs[PREEMPT_REPRESENTATIVES_MAX];
     size_t tasks[PREEMPT_REPRESENTATIVES_MAX];
     size_t count;
-    bool whole; /* no queue is missing here */
+    bool complete; /* every queue with protected tasks on workers has a representative */
 } Representatives;
 
 static void representatives_find(const Scheduler *scheduler, const char *cell, Representatives *representatives)
 {
     Job *const *jobs;
     const size_t count = table_active(scheduler->table, &jobs);
-    *representatives = (Representatives){.whole = true};
+    *representatives = (Representatives){.complete = true};
     for (size_t j = 0; j < count; j++) {
         const Job *job = jobs[j];
         if (job->spec.protection != PROTECTION_PROTECTED || strcmp(job->spec.cell, cell) != 0)
@@ -37,7 +37,7 @@
                 continue;
             seen = true;
             if (representatives->count == PREEMPT_REPRESENTATIVES_MAX) {
-                representatives->whole = false;
+                representatives->complete = false;
                 continue;
             }
             representatives->jobs[representatives->count] = job;
@@ -46,8 +46,8 @@
     }
 }
 
-/* Numbers the cells that have a policy of their own, for input.preemptible; returns how many there are. */
-static size_t cells_place(Pass *pass)
+/* Numbers the cells that have their own policy, as indices in input.preemptible; returns their number. */
+static size_t cells_number(Pass *pass)
 {
     const Config *config = pass->config;
     size_t cells = 0;
@@ -58,43 +58,43 @@
     return cells;
 }
 
-/* Whether all representatives of the cell may preempt the task; calls counts those of may_preempt. */
+/* Whether all representatives of the cell may preempt the task. calls (in, out): number of calls of may_preempt. */
 static bool all_may_preempt(Pass *pass, const Policy *policy, const Representatives *representatives, const Job *job,
                             size_t task, size_t *calls)
 {
     Queue *queue = pass->scheduler->queue;
-    const PolicyContext other = queue_policy_context(queue, &pass->context, job, task);
+    const PolicyContext victim_context = queue_policy_context(queue, &pass->context, job, task);
     bool all = true;
     for (size_t i = 0; i < representatives->count && all; i++, (*calls)++) {
-        const PolicyContext mine =
+        const PolicyContext own_context =
             queue_policy_context(queue, &pass->context, representatives->jobs[i], representatives->tasks[i]);
-        all = policy->may_preempt(policy->arg, &mine, &other);
+        all = policy->may_preempt(policy->arg, &own_context, &victim_context);
     }
     return all;
 }
 
-/* Adds what of the job its cell may preempt to preemptible, which has a capacity for each worker. */
-static void job_count(Pass *pass, const Policy *policy, const Representatives *representatives, const Job *job,
-                      Resources *preemptible, size_t *calls)
+/* Adds the capacity of the job's tasks that its cell may preempt to preemptible, an array by worker. */
+static void job_preemptible_add(Pass *pass, const Policy *policy, const Representatives *representatives,
+                                const Job *job, Resources *preemptible, size_t *calls)
 {
     for (size_t t = 0; t < job->tasks_count && *calls < PREEMPT_CALLS_MAX; t++) {
         const JobTask *task = &job->tasks[t];
-        const size_t at = task->phase == TASK_RUNNING ? pass_worker_index(pass, task->worker) : SIZE_MAX;
-        /* what is preempted on a worker that may be given no work helps nobody */
-        if (at == SIZE_MAX || pass->input.workers[at].resources.cpu_milli == 0)
+        const size_t index = task->phase == TASK_RUNNING ? pass_worker_index(pass, task->worker) : SIZE_MAX;
+        /* capacity on a worker that may not be given work is of no use */
+        if (index == SIZE_MAX || pass->input.workers[index].resources.cpu_milli == 0)
             continue;
         if (all_may_preempt(pass, policy, representatives, job, t, calls))
-            preemptible[at] = resources_more(preemptible[at], job->spec.steps[task->step].resources);
+            preemptible[index] = resources_more(preemptible[index], job->spec.steps[task->step].resources);
     }
 }
 
-/* A running task that is not protected counts when every representative of its cell may preempt it, so that each
+/* A running task that is not protected counts if every representative of its cell may preempt it, so that each
  * protected task of the cell may use the capacity. */
-void preemptible_count(Pass *pass)
+void preemptible_add(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
     PlanInput *input = &pass->input;
-    const size_t cells = cells_place(pass);
+    const size_t cells = cells_number(pass);
     if (cells == 0)
         return;
     input->cell_count = cells;
@@ -104,17 +104,17 @@
     size_t calls = 0;
     for (size_t c = 0; c < pass->config->cell_count; c++) {
         const ConfigCell *cell = &pass->config->cells[c];
-        const size_t place = (size_t)(uintptr_t)map_get(pass->cells, cell->name);
+        const size_t number = (size_t)(uintptr_t)map_get(pass->cells, cell->name);
         Representatives representatives;
-        if (place == 0)
+        if (number == 0)
             continue;
         representatives_find(scheduler, cell->name, &representatives);
-        if (representatives.count == 0 || !representatives.whole)
+        if (representatives.count == 0 || !representatives.complete)
             continue;
         const Policy *policy = scheduler_policy(scheduler, cell);
-        Resources *preemptible = &input->preemptible[(place - 1) * input->worker_count];
+        Resources *preemptible = &input->preemptible[(number - 1) * input->worker_count];
         for (size_t j = 0; j < count; j++)
             if (jobs[j]->spec.protection != PROTECTION_PROTECTED && strcmp(jobs[j]->spec.cell, cell->name) == 0)
-                job_count(pass, policy, &representatives, jobs[j], preemptible, &calls);
+                job_preemptible_add(pass, policy, &representatives, jobs[j], preemptible, &calls);
     }
 }
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -1,4 +1,4 @@
-/* Preemption by a cell's policy: which running attempts are stopped to free capacity for a candidate. */
+/* Preemption by a cell's policy: chooses the running attempts that are stopped to free capacity for a candidate. */
 #include "preemption.h"
 
 #include <string.h>
@@ -12,11 +12,11 @@
 typedef struct Victims {
     AttemptId attempts[PREEMPT_TASKS_MAX];
     size_t count;
-    size_t asked; /* tasks that the policy was asked for */
+    size_t asked; /* tasks that the policy was asked about */
 } Victims;
 
-/* The worker's free capacity once all that is being stopped there has stopped. */
-static Resources free_soon(const Pass *pass, const PlanWorker *worker)
+/* The worker's free capacity once everything that is being stopped there has stopped. */
+static Resources free_after_stops(const Pass *pass, const PlanWorker *worker)
 {
     Resources free = worker->free;
     const TaskOn *on;
@@ -29,19 +29,19 @@
     return free;
 }
 
-/* Adds attempts of the job on the worker that the candidate may preempt, until free is enough. */
-static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *mine, const Job *job, const char *worker,
-                        Resources need, Resources *free, Victims *victims)
+/* Adds attempts of the job on the worker that the candidate may preempt, until free (in, out) is enough. */
+static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *own_context, const Job *job,
+                        const char *worker, Resources need, Resources *free, Victims *victims)
 {
     for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->asked < PREEMPT_TASKS_MAX;
          t++) {
         const JobTask *task = &job->tasks[t];
         if (task->phase != TASK_RUNNING || strcmp(task->worker, worker) != 0)
             continue;
-        const PolicyContext other = queue_policy_context(pass->scheduler->queue, &pass->context, job, t);
+        const PolicyContext victim_context = queue_policy_context(pass->scheduler->queue, &pass->context, job, t);
         victims->asked++;
         pass->preempt_calls++;
-        if (!policy->may_preempt(policy->arg, mine, &other))
+        if (!policy->may_preempt(policy->arg, own_context, &victim_context))
             continue;
         victims->attempts[victims->count++] =
             (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
@@ -49,8 +49,8 @@
     }
 }
 
-/* Searches one worker, the newest jobs first; false: not enough can be preempted there. */
-static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicyContext *mine,
+/* Searches one worker, the newest jobs first; false: not enough capacity can be preempted there. */
+static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicyContext *own_context,
                          const char *worker, Resources need, Resources free, Victims *victims)
 {
     Job *const *jobs;
@@ -59,42 +59,42 @@
          j > 0 && !resources_fits(need, free) && victims->asked < PREEMPT_TASKS_MAX; j--) {
         const Job *job = jobs[j - 1];
         if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
-            victims_add(pass, policy, mine, job, worker, need, &free, victims);
+            victims_add(pass, policy, own_context, job, worker, need, &free, victims);
     }
     return resources_fits(need, free);
 }
 
-/* Preempts on the first worker where enough can be. Nothing is preempted while stops under way will free enough on
- * some worker. */
+/* Preempts on the first worker where enough capacity can be freed. Nothing is preempted while stops in progress will
+ * free enough on a worker that is looked at before one is found. */
 static void preempt_by_policy(Pass *pass, const Candidate *candidate, const Policy *policy)
 {
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicyContext mine =
+    const PolicyContext own_context =
         queue_policy_context(pass->scheduler->queue, &pass->context, candidate->job, candidate->first);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
         if (!plan_able(worker, &need) || !resources_fits(need.resources, worker->resources))
             continue;
-        const Resources free = free_soon(pass, worker);
+        const Resources free = free_after_stops(pass, worker);
         if (resources_fits(need.resources, free))
             return;
         Victims victims;
-        if (!victims_find(pass, candidate, policy, &mine, worker->name, need.resources, free, &victims))
+        if (!victims_find(pass, candidate, policy, &own_context, worker->name, need.resources, free, &victims))
             continue;
         pass->to_preempt.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
         pass->to_preempt.attempts_count = victims.count;
-        pass->to_preempt.why = "pushed aside";
+        pass->to_preempt.why = "preempted";
         return;
     }
 }
 
-void preempt_for(Pass *pass, const Candidate *candidate)
+void preempt_for_candidate(Pass *pass, const Candidate *candidate)
 {
     const Policy *policy = scheduler_policy(pass->scheduler, config_cell(pass->config, candidate->job->spec.cell));
     if (pass->to_preempt.attempts_count > 0 || !feature_on(pass->scheduler->bounds, FEATURE_PREEMPTION))
         return;
     if (policy == policy_plain())
-        preempt_target(pass, candidate);
+        preempt_for_target(pass, candidate);
     else if (candidate->count == 1 && pass->preempt_calls < PREEMPT_CALLS_MAX)
         preempt_by_policy(pass, candidate, policy);
 }
--- a/packages/scheduler/src/preemption.h
+++ b/packages/scheduler/src/preemption.h
@@ -3,8 +3,8 @@
 
 #include "pass.h"
 
-/* The candidate found no worker: looks for running attempts, all on one worker, that its cell's policy lets
- * it preempt, into pass->to_preempt. At most one candidate preempts in a pass. */
-void preempt_for(Pass *pass, const Candidate *candidate);
+/* To be called when the candidate found no worker: looks for running attempts, all on one worker, that the policy of
+ * its cell allows it to preempt, and adds them to pass->to_preempt. At most one candidate preempts in a pass. */
+void preempt_for_candidate(Pass *pass, const Candidate *candidate);
 
 #endif
--- a/packages/scheduler/src/preemption_target.h
+++ b/packages/scheduler/src/preemption_target.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* As preempt_for, by the built-in policy, for a candidate that would miss its latency target otherwise. */
-void preempt_target(Pass *pass, const Candidate *candidate);
+/* Like preempt_for_candidate, by the built-in policy, for a candidate that would otherwise miss its latency target. */
+void preempt_for_target(Pass *pass, const Candidate *candidate);
 
 #endif
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -1,10 +1,10 @@
-/* Reservations of workers. A task (or gang) that fits a worker's whole capacity but no present gap would be overtaken
- * by small ones for ever. After a wait (wait_ms) the workers that suit it and should have enough capacity soonest
- * are reserved for it: nothing new goes there but what ranks above it in its cell, restarts of protected work, and
- * tasks that end before the capacity is free. One candidate of a cell at a time, and never more than a share of the
- * fleet.
+/* Reservations of workers. Without them, a task (or gang) that fits a worker's whole capacity but no present gap would
+ * be overtaken by small tasks for ever. After a wait (reservation_wait_ms), the workers that suit it and are expected
+ * to have enough capacity soonest are reserved for it: nothing new starts there except candidates that rank above it in
+ * its cell, restarts of protected work, and tasks that end before the capacity is free. One candidate of a cell has a
+ * reservation at a time, and only a bounded share of the fleet is reserved.
  *
- * Reservations are in the leader's memory alone; a new leader makes its own. */
+ * Reservations are held in the leader's memory only; a new leader makes its own. */
 #include "reservation.h"
 
 #include <inttypes.h>
@@ -17,15 +17,16 @@
 /* The workers reserved for one candidate of a cell. */
 typedef struct Reservation {
     const char *job;
-    size_t task; /* index of its first */
+    size_t task; /* index of the candidate's first task */
     double rank;
     int64_t since_ms;
     size_t worker_count;
     const char *workers[RESERVATION_MEMBERS_MAX];
-    int64_t until_ms[RESERVATION_MEMBERS_MAX]; /* when each should have enough capacity, from this pass on */
+    /* by worker: when it is expected to have enough capacity, in ms from the start of this pass */
+    int64_t until_ms[RESERVATION_MEMBERS_MAX];
 } Reservation;
 
-static bool is_for(const Reservation *reservation, const Candidate *candidate)
+static bool is_reserved_for(const Reservation *reservation, const Candidate *candidate)
 {
     return strcmp(reservation->job, candidate->job->spec.id) == 0 && reservation->task == candidate->first;
 }
@@ -60,13 +61,13 @@
         const bool waits =
             job != NULL && reservation->task < job->tasks_count && job->tasks[reservation->task].phase == TASK_WAITING;
         if (!waits || !ready_queue_rank(pass->ready_queue, job, reservation->task, &reservation->rank)) {
-            reservation_drop(scheduler, cells[c], "it waits no more");
+            reservation_drop(scheduler, cells[c], "its task is not waiting any more");
             continue;
         }
         for (size_t i = 0; i < reservation->worker_count; i++) {
             const size_t at = pass_worker_index(pass, reservation->workers[i]);
             if (at == SIZE_MAX || pass->input.workers[at].resources.cpu_milli == 0) {
-                reservation_drop(scheduler, cells[c], "one of them may be given nothing");
+                reservation_drop(scheduler, cells[c], "a worker may not be given work");
                 break;
             }
             reservation->until_ms[i] =
@@ -83,15 +84,16 @@
     const size_t count = map_keys(pass->scheduler->reservations, mem, &cells);
     for (size_t c = 0; c < count; c++) {
         const Reservation *reservation = map_get(pass->scheduler->reservations, cells[c]);
-        const bool above = strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > reservation->rank;
-        if (is_for(reservation, candidate) || above || candidate->restart)
+        const bool ranks_above =
+            strcmp(candidate->job->spec.cell, cells[c]) == 0 && candidate->rank > reservation->rank;
+        if (is_reserved_for(reservation, candidate) || ranks_above || candidate->restart)
             continue;
         for (size_t i = 0; i < reservation->worker_count; i++) {
             const size_t at = pass_worker_index(pass, reservation->workers[i]);
-            /* a task that ends before the reserved capacity is free takes nothing from it */
-            const bool passes = candidate->estimate_ms > 0 && reservation->until_ms[i] < INT64_MAX &&
-                                candidate->estimate_ms * 5 / 4 + RESERVATION_LEAST_MS < reservation->until_ms[i];
-            if (at != SIZE_MAX && !passes)
+            /* a task that ends before the reserved capacity is free takes nothing from the reservation */
+            const bool ends_before = candidate->estimate_ms > 0 && reservation->until_ms[i] < INT64_MAX &&
+                                     candidate->estimate_ms * 5 / 4 + RESERVATION_LEAST_MS < reservation->until_ms[i];
+            if (at != SIZE_MAX && !ends_before)
                 excluded[at] = any = true;
         }
     }
@@ -99,7 +101,7 @@
     return any;
 }
 
-/* How many members of the candidate the worker takes when it is empty. */
+/* How many members of the candidate fit on the worker when it is empty. */
 static size_t count_when_empty(const PlanWorker *worker, Resources each)
 {
     size_t count = 0;
@@ -109,16 +111,20 @@
     return count;
 }
 
-/* How long a candidate waits before workers are reserved for it; with a latency target, an eighth of that. */
-static int64_t wait_ms(const Candidate *candidate)
+/* How long a candidate waits before workers are reserved for it; with a latency target, an eighth of its span, within
+ * bounds. */
+static int64_t reservation_wait_ms(const Candidate *candidate)
 {
-    const int64_t part = candidate->span_ms > 0 ? candidate->span_ms / 8 : RESERVATION_WAIT_MS;
-    return part < RESERVATION_LEAST_MS ? RESERVATION_LEAST_MS : part < RESERVATION_WAIT_MS ? part : RESERVATION_WAIT_MS;
+    const int64_t span_share = candidate->span_ms > 0 ? candidate->span_ms / 8 : RESERVATION_WAIT_MS;
+    return span_share < RESERVATION_LEAST_MS  ? RESERVATION_LEAST_MS
+           : span_share < RESERVATION_WAIT_MS ? span_share
+                                              : RESERVATION_WAIT_MS;
 }
 
-/* The index of the worker to reserve next: the soonest to have enough; of equals, the one with the smallest share of
- * its capacity in use; then the first by name. -1: none is left. until_ms (out): when it should have enough. */
-static int soonest_find(const Pass *pass, const PlanNeed *need, const bool *used, int64_t *until_ms)
+/* The index of the worker to reserve next: the one expected to have enough capacity soonest; of equals, the one with
+ * the smallest share of its capacity in use; then the first by name; -1: none is left. until_ms (out): when the worker
+ * is expected to have enough. */
+static int soonest_worker(const Pass *pass, const PlanNeed *need, const bool *used, int64_t *until_ms)
 {
     const PlanInput *input = &pass->input;
     int best = -1;
@@ -127,34 +133,35 @@
         const PlanWorker *worker = &input->workers[i];
         if (used[i] || !plan_able(worker, need) || !resources_fits(need->resources, worker->resources))
             continue;
-        const int64_t soon_ms = forecast_free_ms(pass, i, need->resources);
+        const int64_t free_ms = forecast_free_ms(pass, i, need->resources);
         const Resources busy = resources_less(worker->resources, worker->free);
         const bool less = best >= 0 && resources_share(busy, worker->resources) <
                                            resources_share(best_busy, input->workers[best].resources);
-        if (best < 0 || soon_ms < *until_ms || (soon_ms == *until_ms && less)) {
+        if (best < 0 || free_ms < *until_ms || (free_ms == *until_ms && less)) {
             best = (int)i;
-            *until_ms = soon_ms;
+            *until_ms = free_ms;
             best_busy = busy;
         }
     }
     return best;
 }
 
-/* Takes workers into the reservation until all members of the candidate fit on them, or the fleet's share or the end of
- * the list is reached; false: not all fit. */
-static bool workers_take(Pass *pass, const Candidate *candidate, const StepSpec *step, Reservation *reservation)
+/* Adds workers to the reservation until all members of the candidate fit on them, or until the fleet's share or the
+ * reservation's list is used up; false: not all members fit. */
+static bool workers_reserve(Pass *pass, const Candidate *candidate, const StepSpec *step, Reservation *reservation)
 {
     const PlanInput *input = &pass->input;
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const size_t taken = reservation_workers(pass->scheduler, pass->mem);
-    const size_t most = input->worker_count / RESERVATION_SHARE > 0 ? input->worker_count / RESERVATION_SHARE : 1;
+    const size_t reserved_before = reservation_workers(pass->scheduler, pass->mem);
+    const size_t worker_limit =
+        input->worker_count / RESERVATION_SHARE > 0 ? input->worker_count / RESERVATION_SHARE : 1;
     bool *used = talloc_zero_array(pass->mem, bool, (unsigned)input->worker_count);
     size_t left = candidate->count;
     reservation_exclude(pass, candidate, used);
-    while (left > 0 && taken + reservation->worker_count < most &&
+    while (left > 0 && reserved_before + reservation->worker_count < worker_limit &&
            reservation->worker_count < RESERVATION_MEMBERS_MAX) {
         int64_t until_ms = 0;
-        const int best = soonest_find(pass, &need, used, &until_ms);
+        const int best = soonest_worker(pass, &need, used, &until_ms);
         if (best < 0)
             break;
         used[best] = true;
@@ -166,16 +173,18 @@
     return left == 0;
 }
 
-void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step)
+void reservation_make(Pass *pass, const Candidate *candidate, const StepSpec *step)
 {
     Scheduler *scheduler = pass->scheduler;
     const int64_t log_ms = pass->clock.log_ms;
     const char *cell = candidate->job->spec.cell;
-    if (!feature_on(scheduler->bounds, FEATURE_RESERVATIONS) || log_ms - candidate->since_ms < wait_ms(candidate) ||
-        candidate->rank <= TARGET_LOST_RANK / 2 || map_get(scheduler->reservations, cell) != NULL)
+    if (!feature_on(scheduler->bounds, FEATURE_RESERVATIONS) ||
+        log_ms - candidate->since_ms < reservation_wait_ms(candidate) || candidate->rank <= TARGET_LOST_RANK / 2 ||
+        map_get(scheduler->reservations, cell) != NULL)
         return;
     Reservation *reservation = talloc_zero(scheduler, Reservation);
-    if (!workers_take(pass, candidate, step, reservation)) { /* it gets all that it needs, or none */
+    /* the candidate gets all the workers that it needs, or none */
+    if (!workers_reserve(pass, candidate, step, reservation)) {
         talloc_free(reservation);
         return;
     }
--- a/packages/scheduler/src/reservation.h
+++ b/packages/scheduler/src/reservation.h
@@ -3,13 +3,13 @@
 
 #include "pass.h"
 
-/* Drops reservations of tasks that wait no more, or of workers that may be given no work now; computes anew when the
- * others' workers should have enough capacity. */
+/* Drops the reservations of tasks that no longer wait and of workers that may not be given work now; for the other
+ * ones, forecasts again when their workers will have enough capacity. */
 void reservation_begin(Pass *pass);
-/* Marks in excluded (by index) the workers that are reserved for others than this candidate; true when there are
- * any. */
+/* Marks in excluded (by worker index) the workers that are reserved for other candidates than this one; returns whether
+ * there are any. */
 bool reservation_exclude(const Pass *pass, const Candidate *candidate, bool *excluded);
-/* The candidate found no worker: reserves some for it once it has waited long enough. */
-void reservation_want(Pass *pass, const Candidate *candidate, const StepSpec *step);
+/* To be called when the candidate found no worker: reserves workers for it once it has waited long enough. */
+void reservation_make(Pass *pass, const Candidate *candidate, const StepSpec *step);
 
 #endif
--- a/packages/scheduler/src/restart_elsewhere.c
+++ b/packages/scheduler/src/restart_elsewhere.c
@@ -1,5 +1,5 @@
-/* Attempts that are stopped so that their tasks start again on other workers: found now and then, stopped by one
- * change, a few at a time. */
+/* Stops attempts so that their tasks restart on other workers: looks for them at intervals, and stops a few of them by
+ * one change. */
 #include "restart_elsewhere.h"
 
 #include <talloc.h>
@@ -14,9 +14,9 @@
     if (now_ms < scheduler->restart_check_ms)
         return false;
     scheduler->restart_check_ms = now_ms + STOP_CHECK_MS;
-    StopList list = {.why = "goes on better elsewhere"};
-    leaving_find(pass, &list);
-    slow_find(pass, &list);
+    StopList list = {.why = "restarts on another worker"};
+    leaving_attempts_find(pass, &list);
+    slow_attempts_find(pass, &list);
     if (list.attempts_count == 0)
         return false;
     ChangeResult result;
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -1,6 +1,6 @@
-/* Attempts that make no progress, or so little on their worker that a new one elsewhere would be done sooner, are
- * stopped: where another worker has capacity now, a few at a time, and never a slow one that meets its latency
- * target as it is. */
+/* Finds attempts to stop that make no progress, or so little that a new attempt on another worker would end sooner:
+ * only where another worker has capacity now, a few at a time, and never a slow attempt whose job meets its latency
+ * target anyway. */
 #include "slow_attempt.h"
 
 #include <string.h>
@@ -12,17 +12,17 @@
 #include "worker_choice.h"
 #include "settings/features.h"
 
-#define STALLED_LEFT_MS 1e9 /* ms; an attempt without progress never ends */
+#define STALLED_LEFT_MS 1e9 /* ms; remaining time assumed for a stalled attempt */
 
-/* A running attempt, as it should go on. */
+/* A running attempt, and how long it is expected to take. */
 typedef struct RunningAttempt {
     const Job *job;
     size_t task;
     size_t worker;
-    double whole_ms; /* what all of its work should take on a healthy worker as near its data */
+    double whole_ms; /* expected run time of all of its work on a healthy worker at the same distance from its data */
     bool stalled;
-    double left_ms;    /* until it is done, at its present speed */
-    double done_share; /* share of its work that another attempt need not do again */
+    double left_ms;    /* expected remaining time, at its present speed */
+    double done_share; /* share of its work that another attempt need not repeat */
 } RunningAttempt;
 
 static bool is_stalled(const Pass *pass, const AttemptProgress *progress, const RunningAttempt *running,
@@ -37,15 +37,15 @@
     return unchanged_ms >= STILL_LEAST_MS && (double)unchanged_ms * 100 >= running->whole_ms * STILL_PERCENT;
 }
 
-/* Slow members of gangs are left: to stop one loses the work of all, and all are as slow as the slowest, wherever
- * that one is. */
-static bool of_gang(const RunningAttempt *running)
+/* Slow members of gangs are not stopped: stopping one loses the work of all members, and all are as slow as the slowest
+ * one, whichever that is. */
+static bool is_gang_member(const RunningAttempt *running)
 {
     return running->job->spec.steps[running->job->tasks[running->task].step].gang;
 }
 
-/* Fills running in; false: nothing is wrong with the attempt, or nothing is known of its progress. */
-static bool running_check(const Pass *pass, const TaskOn *on, size_t worker, RunningAttempt *running)
+/* Fills running in; false: nothing is wrong with the attempt, or its progress is unknown. */
+static bool running_attempt_assess(const Pass *pass, const TaskOn *on, size_t worker, RunningAttempt *running)
 {
     const Scheduler *scheduler = pass->scheduler;
     const Job *job = on->job;
@@ -55,11 +55,11 @@
     if (task->phase != TASK_RUNNING || job->spec.lasting || job->ending != JOB_ACTIVE || estimate <= 0 ||
         task->attempt >= SLOW_ATTEMPTS_MOST)
         return false;
-    const Worker *its = table_worker(scheduler->table, task->worker);
-    const uint64_t far = its != NULL ? score_far_percent(scheduler, its, step) : 100;
+    const Worker *worker_row = table_worker(scheduler->table, task->worker);
+    const uint64_t far_percent = worker_row != NULL ? score_far_percent(scheduler, worker_row, step) : 100;
     *running = (RunningAttempt){.job = job, .task = on->task, .worker = worker};
     running->whole_ms =
-        (double)estimate * (double)far / 100 * (double)estimate_fleet_slowdown(scheduler->estimates) / 1000;
+        (double)estimate * (double)far_percent / 100 * (double)estimate_fleet_slowdown(scheduler->estimates) / 1000;
     const AttemptProgress *progress =
         progress_find(scheduler->progress_table, job->spec.id, task_number(task), task->attempt);
     if (progress == NULL)
@@ -69,7 +69,7 @@
     if (running->stalled) {
         running->left_ms = STALLED_LEFT_MS;
     } else if (progress->per_ms > 0) {
-        /* its speed says how much work it is, whatever was estimated */
+        /* its speed tells how much work it has, whatever was estimated */
         const double here_ms = 100 / progress->per_ms;
         running->whole_ms = here_ms * 1000 / (double)pass->slowdowns[worker];
         running->left_ms = (double)(100 - progress->percent) / progress->per_ms -
@@ -78,7 +78,7 @@
     return running->left_ms > running->whole_ms;
 }
 
-/* Whether the job meets its latency target though the attempt goes on as it does. */
+/* Whether the job meets its latency target even if the attempt continues at its present speed. */
 static bool meets_target(const Pass *pass, const RunningAttempt *running)
 {
     const Job *job = running->job;
@@ -89,17 +89,18 @@
     return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= running->left_ms;
 }
 
-/* The index of another worker with capacity for it now, where it would be done sooner; -1: none. */
-static int elsewhere(Pass *pass, const RunningAttempt *running)
+/* The index of another worker that has capacity for the attempt now and would end it sooner; -1: none. */
+static int faster_worker(Pass *pass, const RunningAttempt *running)
 {
-    const int at = choose_elsewhere(pass, running->job, running->task, running->worker);
-    if (at < 0)
+    const int target_worker = choose_other_worker(pass, running->job, running->task, running->worker);
+    if (target_worker < 0)
         return -1;
-    const double there_ms = running->whole_ms * (1 - running->done_share) * (double)pass->slowdowns[at] / 1000;
-    return running->left_ms > there_ms * SLOW_GAIN + SLOW_COST_MS ? at : -1;
+    const double there_ms =
+        running->whole_ms * (1 - running->done_share) * (double)pass->slowdowns[target_worker] / 1000;
+    return running->left_ms > there_ms * SLOW_GAIN + SLOW_COST_MS ? target_worker : -1;
 }
 
-void slow_find(Pass *pass, StopList *list)
+void slow_attempts_find(Pass *pass, StopList *list)
 {
     if (!feature_on(pass->scheduler->bounds, FEATURE_RESTART_SLOW))
         return;
@@ -108,12 +109,13 @@
         const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[i].name, &on);
         for (size_t t = 0; t < count; t++) {
             RunningAttempt running;
-            if (!running_check(pass, &on[t], i, &running) ||
-                (!running.stalled && (of_gang(&running) || meets_target(pass, &running))))
+            if (!running_attempt_assess(pass, &on[t], i, &running) ||
+                (!running.stalled && (is_gang_member(&running) || meets_target(pass, &running))))
                 continue;
-            const int at = elsewhere(pass, &running);
-            if (at >= 0 && stop_add(pass, list, running.job, running.task, at, STOPS_MOST) && running.stalled)
-                score_stalled(pass->scheduler, pass->input.workers[i].name, running.job);
+            const int target_worker = faster_worker(pass, &running);
+            if (target_worker >= 0 && stop_list_add(pass, list, running.job, running.task, target_worker, STOPS_MOST) &&
+                running.stalled)
+                score_record_stall(pass->scheduler, pass->input.workers[i].name, running.job);
         }
     }
 }
--- a/packages/scheduler/src/slow_attempt.h
+++ b/packages/scheduler/src/slow_attempt.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Adds attempts that stand still, or are far too slow, on their workers and would end sooner elsewhere. */
-void slow_find(Pass *pass, StopList *list);
+/* Adds attempts to the list that are stalled, or far too slow, on their workers and would end sooner on another one. */
+void slow_attempts_find(Pass *pass, StopList *list);
 
 #endif
--- a/packages/scheduler/src/state.h
+++ b/packages/scheduler/src/state.h
@@ -5,7 +5,8 @@
 #include "base/map.h"
 #include "scheduler/scheduler.h"
 
-/* What the scheduler remembers between passes, and how it calls the controller. */
+/* The scheduler's data that lasts from one pass to the next, and the controller's functions. Times are in ms of this
+ * node's steady clock unless noted. */
 struct Scheduler {
     Loop *loop;
     Recorder *recorder;
@@ -14,29 +15,29 @@
     Orphans *orphans;
     const Bounds *bounds;
     SchedulerLeader leader;
-    Map *checkpoints;                     /* tasks to their checkpoints */
-    size_t checkpoints_swept;             /* how many were left when they were last looked through */
-    Map *scores;                          /* names of workers to Score */
+    Map *checkpoints;                     /* task (checkpoint_key) to Checkpoint */
+    size_t checkpoints_left_by_sweep;     /* number of checkpoints left by the last sweep */
+    Map *scores;                          /* worker name to Score */
     struct ProgressTable *progress_table; /* progress of running attempts */
-    Estimates *estimates;                 /* how long work takes, as seen by this leader */
+    Estimates *estimates;                 /* run times, corrected by what this leader has seen */
     Queue *queue;
-    Map *reservations;        /* names of cells to Reservation */
-    Map *inherited;           /* "cell/tenant" to Resources: what an earlier leader may have left running; or null */
-    int64_t inherited_won_ms; /* won_ms of the lead that inherited was found in */
-    int64_t place_from_ms;    /* nothing is placed before this; this and the following in ms, own clock */
-    int64_t pass_gap_ms;      /* between two passes */
+    Map *reservations;        /* cell name to Reservation */
+    Map *inherited;           /* "cell/tenant" to Resources: what may run by order of an earlier leader; may be null */
+    int64_t inherited_won_ms; /* won_ms of the leadership that inherited was computed in */
+    int64_t place_from_ms;    /* nothing is placed before this */
+    int64_t pass_gap_ms;      /* pause between two passes */
     int64_t preempt_from_ms;  /* no preemption for a latency target before this */
-    int64_t restart_check_ms; /* attempts that go on better elsewhere are looked for again from then on */
-    int64_t gangs_repair_ms;  /* gangs that are not whole are looked for again from then on */
-    int64_t plan_check_ms;    /* where no loss is to be survived, the plan is checked again from then on */
-    uint64_t changes;         /* grows with whatever the planner's task should react to */
-    Signal wake;              /* raised with it */
+    int64_t restart_check_ms; /* next check for attempts to restart on other workers */
+    int64_t gangs_repair_ms;  /* next check for incomplete gangs */
+    int64_t plan_check_ms;    /* next check of the plan, where the configuration names no loss */
+    uint64_t changes;         /* incremented by everything that the planner's task must react to */
+    Signal wake;              /* raised whenever changes grows */
     uint64_t policy_failures_seen;
     SchedulerPlan plan; /* as last checked */
     SchedulerCounts counts;
 };
 
-/* Calls of SchedulerLeader's functions, see there (leader.c). */
+/* Wrappers around the functions of SchedulerLeader, which documents them (leader.c). */
 bool scheduler_leads(const Scheduler *scheduler);
 bool scheduler_decides(const Scheduler *scheduler);
 int64_t scheduler_won_ms(const Scheduler *scheduler);
@@ -45,7 +46,7 @@
                         ChangeResult *result);
 const Policy *scheduler_policy(const Scheduler *scheduler, const ConfigCell *cell);
 
-/* ms, own clock: when any lease that an earlier leader may have granted has ended. */
+/* When every lease that an earlier leader may have granted has ended, in ms of this node's steady clock. */
 int64_t scheduler_lease_end_ms(const Scheduler *scheduler);
 
 #endif
--- a/packages/scheduler/src/stop_list.c
+++ b/packages/scheduler/src/stop_list.c
@@ -1,14 +1,14 @@
-/* A list of attempts to be stopped by one change. */
+/* A list of attempts that are stopped by one change. */
 #include "stop_list.h"
 
 #include <talloc.h>
 
-bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most)
+bool stop_list_add(Pass *pass, StopList *list, const Job *job, size_t task, int target, size_t limit)
 {
-    if (list->attempts_count >= most)
+    if (list->attempts_count >= limit)
         return false;
-    if (at >= 0) {
-        PlanWorker *to = &pass->input.workers[at];
+    if (target >= 0) {
+        PlanWorker *to = &pass->input.workers[target];
         to->free = resources_less(to->free, job->spec.steps[job->tasks[task].step].resources);
     }
     if (list->attempts == NULL)
--- a/packages/scheduler/src/stop_list.h
+++ b/packages/scheduler/src/stop_list.h
@@ -3,8 +3,9 @@
 
 #include "pass.h"
 
-/* Adds the task's attempt to the list, and takes its capacity on the worker of index at, where it should go on; at
- * below 0: none is known yet. False: the list is full (most). */
-bool stop_add(Pass *pass, StopList *list, const Job *job, size_t task, int at, size_t most);
+/* Adds the task's attempt to the list, and takes the capacity that it needs on the worker of index target out of the
+ * free capacity; target below 0: the worker for the next attempt is not known yet. Returns false when the list has
+ * reached limit entries. */
+bool stop_list_add(Pass *pass, StopList *list, const Job *job, size_t task, int target, size_t limit);
 
 #endif
--- a/packages/scheduler/src/unconfirmed.c
+++ b/packages/scheduler/src/unconfirmed.c
@@ -1,4 +1,5 @@
-/* What of tenants may still run though the state table does not have it: it counts against their quotas. */
+/* Capacity that attempts of tenants may still use though the state table no longer has them on a worker: it counts
+ * against the tenants' quotas. */
 #include "unconfirmed.h"
 
 #include <stdio.h>
@@ -7,12 +8,13 @@
 #include "base/constants.h"
 #include "lost_worker.h"
 
+/* The capacity of unconfirmed attempts, by tenant: "cell/tenant" to Resources. */
 typedef struct Unconfirmed {
     void *mem;
-    Map *tenants; /* on mem; null until there is one */
+    Map *tenants; /* owned by mem; null while it would be empty */
 } Unconfirmed;
 
-static void key_add(Unconfirmed *unconfirmed, const char *key, Resources resources)
+static void usage_add(Unconfirmed *unconfirmed, const char *key, Resources resources)
 {
     if (unconfirmed->tenants == NULL)
         unconfirmed->tenants = map_new(unconfirmed->mem);
@@ -24,27 +26,29 @@
     *sum = resources_more(*sum, resources);
 }
 
-static void add(void *arg, const char *cell, const char *tenant, Resources resources)
+static void orphan_usage_add(void *arg, const char *cell, const char *tenant, Resources resources)
 {
     char key[2 * ID_MAX + 2];
     snprintf(key, sizeof(key), "%s/%s", cell, tenant);
-    key_add(arg, key, resources);
+    usage_add(arg, key, resources);
 }
 
-/* Whether another attempt of the task than the table has, or one that it has no more, may run on a worker that this
- * leader has not heard of; since_ms: log time, when the oldest lease that may still run was granted. */
+/* Whether an attempt of the task other than the one in the table, or one that the table no longer has, may run on a
+ * worker that has not contacted this leader. since_ms: log time; when the oldest lease that may still run was granted.
+ */
 static bool may_be_orphaned(const Job *job, const JobTask *task, int64_t since_ms)
 {
     const StepSpec *step = &job->spec.steps[task->step];
     if (task->attempt == 0 || task->changed_ms < since_ms)
         return false;
-    if (task_ended(task->phase)) /* one member's end is its gang's; an older attempt may have finished first */
+    /* one member's end is counted for its whole gang; an older attempt may have finished first */
+    if (task_ended(task->phase))
         return step->gang || task->attempt > 1;
     return (job->spec.copies || step->copies) && (task->phase == TASK_WAITING || task->attempt > 1);
 }
 
-/* Whether every worker has listed what runs on it to this leader. */
-static bool all_listed(const Pass *pass)
+/* Whether every worker has reported the complete list of its attempts to this leader. */
+static bool all_workers_listed(const Pass *pass)
 {
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const Worker *worker = table_worker(pass->scheduler->table, pass->input.workers[i].name);
@@ -55,9 +59,9 @@
     return true;
 }
 
-/* Finds in the table what may be orphaned attempts of an earlier leader: once, since what is given up later is in this
- * leader's own list. */
-static void inherited_find(Scheduler *scheduler, int64_t since_ms)
+/* Computes scheduler->inherited from the table: what may be orphaned attempts of an earlier leader. Done once for each
+ * leadership, since attempts that are given up later are in this leader's own list of orphans. */
+static void inherited_compute(Scheduler *scheduler, int64_t since_ms)
 {
     talloc_free(scheduler->inherited);
     Unconfirmed unconfirmed = {scheduler, NULL};
@@ -69,27 +73,28 @@
             continue;
         for (size_t t = 0; t < job->tasks_count; t++)
             if (may_be_orphaned(job, &job->tasks[t], since_ms))
-                add(&unconfirmed, job->spec.cell, job->spec.tenant, job->spec.steps[job->tasks[t].step].resources);
+                orphan_usage_add(&unconfirmed, job->spec.cell, job->spec.tenant,
+                                 job->spec.steps[job->tasks[t].step].resources);
     }
     scheduler->inherited = unconfirmed.tenants;
     scheduler->inherited_won_ms = scheduler_won_ms(scheduler);
 }
 
-/* This leader learns of an earlier one's orphaned attempts from the first heartbeats. Until all of those have come, or
- * the leases have ended, whatever may be one counts. */
+/* Adds the attempts that an earlier leader may have orphaned. This leader learns of them from the first heartbeats;
+ * until all workers have reported, or the earlier leases have ended, every attempt that may be orphaned counts. */
 static void inherited_add(const Pass *pass, Unconfirmed *unconfirmed)
 {
     Scheduler *scheduler = pass->scheduler;
     const int64_t now_ms = loop_now_ms(scheduler->loop), won_ms = scheduler_won_ms(scheduler);
     const int64_t until_ms = scheduler_lease_end_ms(scheduler);
-    if (now_ms > until_ms || all_listed(pass))
+    if (now_ms > until_ms || all_workers_listed(pass))
         return;
     if (scheduler->inherited_won_ms != won_ms)
-        inherited_find(scheduler, pass->clock.log_ms - (now_ms - won_ms) - (until_ms - won_ms));
+        inherited_compute(scheduler, pass->clock.log_ms - (now_ms - won_ms) - (until_ms - won_ms));
     const char **keys;
     const size_t count = scheduler->inherited != NULL ? map_keys(scheduler->inherited, pass->mem, &keys) : 0;
     for (size_t i = 0; i < count; i++)
-        key_add(unconfirmed, keys[i], *(const Resources *)map_get(scheduler->inherited, keys[i]));
+        usage_add(unconfirmed, keys[i], *(const Resources *)map_get(scheduler->inherited, keys[i]));
 }
 
 const Map *unconfirmed_find(Pass *pass)
@@ -99,7 +104,7 @@
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         const char *worker = pass->input.workers[i].name;
         if (!worker_lease_ended(pass->scheduler, worker))
-            orphans_each(pass->scheduler->orphans, worker, add, &unconfirmed);
+            orphans_each(pass->scheduler->orphans, worker, orphan_usage_add, &unconfirmed);
     }
     return unconfirmed.tenants;
 }
--- a/packages/scheduler/src/unconfirmed.h
+++ b/packages/scheduler/src/unconfirmed.h
@@ -3,8 +3,9 @@
 
 #include "pass.h"
 
-/* What tenants may still have running though the state table has it on no worker: orphaned attempts whose ends are not
- * confirmed, on workers whose leases have not ended. "cell/tenant" to Resources, on the pass; null: nothing. */
+/* Capacity that attempts of tenants may still use though the state table has them on no worker: orphaned attempts whose
+ * ends are not confirmed, on workers whose leases have not ended. "cell/tenant" to Resources, owned by the pass; null:
+ * none. */
 const Map *unconfirmed_find(Pass *pass);
 
 #endif
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -1,12 +1,12 @@
-/* Which worker suits a task: the constraints, and the preferences among those that meet them.
+/* Chooses a worker for a task: the constraints, and the preferences among the workers that meet them.
  *
- * Constraints: capacity, kind, labels, spread (apart). Preferences: capacity left over, near the data, all of a
- * step on one rack, a fast worker, one that does not fail its work, the tasks of a step together where their job has
- * a latency target, and, with all else equal, away from others of its job.
+ * Constraints: capacity, kind, labels, spread (StepSpec.apart). Preferences: capacity left over, near the data, all
+ * tasks of a step on one rack, a fast worker, a worker that does not fail its work, the tasks of a step together where
+ * their job has a latency target, and, with all else equal, away from other tasks of the step.
  *
- * Together, since such a job is in time only when its last task is: of n workers of which f are cut off or slow, a
- * step on k of them is held up with a chance of about 1 - (1 - f/n)^k. Lasting tasks are each of value by themselves.
- */
+ * The tasks of a step with a latency target are placed together because such a job is in time only when its last task
+ * is: of n workers of which f are cut off or slow, a step on k of them is delayed with a probability of about 1 - (1 -
+ * f/n)^k. Each lasting task has its value independently of the others. */
 #include "worker_choice.h"
 
 #include <string.h>
@@ -14,53 +14,53 @@
 
 #include "settings/features.h"
 
-#define SHARE_ONE 1000 /* thousandths */
+#define WHOLE 1000 /* thousandths; the whole */
 
 void spread_add(Pass *pass, size_t at, int by)
 {
     const PlanInput *input = &pass->input;
-    const PlanWorker *its = &input->workers[at];
+    const PlanWorker *target = &input->workers[at];
     pass->spread.on_worker[at] += by;
     for (size_t i = 0; i < input->worker_count; i++) {
-        const PlanWorker *mine = &input->workers[i];
-        pass->spread.near[i] += by * (strcmp(mine->zone, its->zone) == 0);
-        if (mine->rack[0] != '\0' && strcmp(mine->rack, its->rack) == 0) {
-            pass->spread.near[i] += by;
+        const PlanWorker *other = &input->workers[i];
+        pass->spread.proximity[i] += by * (strcmp(other->zone, target->zone) == 0);
+        if (other->rack[0] != '\0' && strcmp(other->rack, target->rack) == 0) {
+            pass->spread.proximity[i] += by;
             pass->spread.on_rack[i] += by;
         }
     }
 }
 
-/* Computes where the other tasks of the step are, unless it is the same step as the last time: the ready queue
+/* Computes where the other tasks of the step run, unless pass->spread describes the same step already: the ready queue
  * returns the tasks of a step one after another. */
 static void spread_find(Pass *pass, const Job *job, size_t task)
 {
     StepSpread *spread = &pass->spread;
-    const size_t first = task_first(job, &job->tasks[task]);
-    const size_t end = first + (size_t)job->spec.steps[job->tasks[task].step].count;
-    if (spread->job == job && spread->first == first)
+    const size_t first_task = task_first(job, &job->tasks[task]);
+    const size_t end = first_task + (size_t)job->spec.steps[job->tasks[task].step].count;
+    if (spread->job == job && spread->first_task == first_task)
         return;
     const size_t count = pass->input.worker_count;
-    if (spread->near == NULL) {
-        spread->near = talloc_array(pass->mem, int, (unsigned)count);
+    if (spread->proximity == NULL) {
+        spread->proximity = talloc_array(pass->mem, int, (unsigned)count);
         spread->on_worker = talloc_array(pass->mem, int, (unsigned)count);
         spread->on_rack = talloc_array(pass->mem, int, (unsigned)count);
     }
-    memset(spread->near, 0, count * sizeof(int));
+    memset(spread->proximity, 0, count * sizeof(int));
     memset(spread->on_worker, 0, count * sizeof(int));
     memset(spread->on_rack, 0, count * sizeof(int));
     spread->job = job;
-    spread->first = first;
-    for (size_t t = first; t < end; t++) {
+    spread->first_task = first_task;
+    for (size_t t = first_task; t < end; t++) {
         const size_t at =
             task_on_worker(job->tasks[t].phase) ? pass_worker_index(pass, job->tasks[t].worker) : SIZE_MAX;
         if (at != SIZE_MAX)
             spread_add(pass, at, 1);
     }
-    /* and what this pass has decided: most of a step is placed in one pass */
-    for (size_t i = 0; i < pass->placed_count; i++)
-        if (pass->placed[i].job == job && pass->placed[i].task >= first && pass->placed[i].task < end)
-            spread_add(pass, pass->placed[i].worker, 1);
+    /* also count the starts of this pass: most of a step is placed in one pass */
+    for (size_t i = 0; i < pass->start_count; i++)
+        if (pass->starts[i].job == job && pass->starts[i].task >= first_task && pass->starts[i].task < end)
+            spread_add(pass, pass->starts[i].worker, 1);
 }
 
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
@@ -69,7 +69,7 @@
            plan_fits(&pass->input.workers[at], need);
 }
 
-/* Whether other tasks of the step run, none of them on the worker's rack. */
+/* Whether other tasks of the step are on workers, none of them on this worker's rack. */
 static bool leaves_rack(const Pass *pass, const StepSpec *step, size_t at)
 {
     if (!step->same_rack || pass->spread.on_rack[at] > 0)
@@ -80,7 +80,7 @@
     return false;
 }
 
-uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at)
+uint64_t choose_time_percent(const Pass *pass, const StepSpec *step, size_t at)
 {
     const uint64_t far = (uint64_t)pass->scheduler->bounds->far_percent;
     uint64_t percent = 100;
@@ -93,47 +93,49 @@
     return percent;
 }
 
-/* Whether the job is in time only when the last of its tasks is. Where the configuration names losses that each start
- * must leave a plan for, spreading counts for more: less has to be restarted at once. */
-static bool gains_together(const Pass *pass, const Job *job)
+/* Whether the tasks of the job's steps are placed together, since the job is in time only when its last task is. Where
+ * the configuration names losses that each start must leave a plan for, spreading is preferred: less has to be
+ * restarted at once. */
+static bool prefers_together(const Pass *pass, const Job *job)
 {
     return feature_on(pass->scheduler->bounds, FEATURE_TOGETHER) && !pass->plan_required && !job->spec.lasting &&
            (job->terms.stretch_milli > 0 || job->terms.target_ms > 0);
 }
 
-/* The preference for the worker, in thousandths of a worker's capacity: more is better. */
-static int64_t value_of(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
+/* The preference for the worker, in thousandths of a worker's capacity; the highest is chosen. */
+static int64_t worker_preference(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
 {
     const PlanWorker *worker = &pass->input.workers[at];
     const int64_t left = (int64_t)plan_left(worker, pass->largest);
-    const int64_t time_share = (int64_t)(pass->slowdowns[at] * choose_far_percent(pass, step, at) / 100) - SHARE_ONE;
-    int64_t value = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
+    const int64_t time_share = (int64_t)(pass->slowdowns[at] * choose_time_percent(pass, step, at) / 100) - WHOLE;
+    int64_t preference = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
     if (need->resources.gpu == 0 && worker->resources.gpu > 0)
-        value -= CHOOSE_GPU;
-    if (pass->spread.on_worker[at] > 0 && gains_together(pass, pass->spread.job))
-        value += CHOOSE_TOGETHER;
-    return value;
+        preference -= CHOOSE_GPU;
+    if (pass->spread.on_worker[at] > 0 && prefers_together(pass, pass->spread.job))
+        preference += CHOOSE_TOGETHER;
+    return preference;
 }
 
-static int choose_among(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded,
-                        const char *rack)
+static int best_worker(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded,
+                       const char *rack)
 {
     int best = -1;
-    int64_t best_value = 0;
+    int64_t best_preference = 0;
     for (size_t i = 0; i < pass->input.worker_count; i++) {
         if ((rack != NULL && strcmp(pass->input.workers[i].rack, rack) != 0) || !allowed(pass, step, need, excluded, i))
             continue;
-        const int64_t value = value_of(pass, step, need, i);
-        const bool farther = best >= 0 && value == best_value && pass->spread.near[i] < pass->spread.near[best];
-        if (best < 0 || value > best_value || farther) {
+        const int64_t preference = worker_preference(pass, step, need, i);
+        const bool farther =
+            best >= 0 && preference == best_preference && pass->spread.proximity[i] < pass->spread.proximity[best];
+        if (best < 0 || preference > best_preference || farther) {
             best = (int)i;
-            best_value = value;
+            best_preference = preference;
         }
     }
     return best;
 }
 
-int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack)
+int choose_worker(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack)
 {
     const StepSpec *step = &job->spec.steps[job->tasks[task].step];
     const size_t shunned =
@@ -142,27 +144,28 @@
     int at = -1;
     if (shunned != SIZE_MAX && !excluded[shunned]) {
         excluded[shunned] = true;
-        at = choose_among(pass, step, need, excluded, rack);
+        at = best_worker(pass, step, need, excluded, rack);
         excluded[shunned] = false;
     }
-    return at >= 0 ? at : choose_among(pass, step, need, excluded, rack);
+    return at >= 0 ? at : best_worker(pass, step, need, excluded, rack);
 }
 
-int choose_elsewhere(Pass *pass, const Job *job, size_t task, size_t worker)
+int choose_other_worker(Pass *pass, const Job *job, size_t task, size_t worker)
 {
     const PlanNeed need = pass_need(job, job->tasks[task].step);
     bool *excluded = talloc_zero_array(pass->mem, bool, (unsigned)pass->input.worker_count);
     excluded[worker] = true;
-    const int at = choose_for(pass, job, task, &need, excluded, NULL);
+    const int at = choose_worker(pass, job, task, &need, excluded, NULL);
     talloc_free(excluded);
     return at;
 }
 
-bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent)
+bool should_wait_for_locality(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need,
+                              uint64_t percent)
 {
     if (percent <= 100 || candidate->restart)
         return false;
-    /* half of what the distance would cost, and at most half of the slack */
+    /* wait for half of what the distance would cost, and at most half of the slack */
     int64_t wait_ms = candidate->estimate_ms * (int64_t)(percent - 100) / 200;
     if (candidate->slack_ms < INT64_MAX && candidate->slack_ms / 2 < wait_ms)
         wait_ms = candidate->slack_ms / 2;
--- a/packages/scheduler/src/worker_choice.h
+++ b/packages/scheduler/src/worker_choice.h
@@ -3,16 +3,20 @@
 
 #include "pass.h"
 
-/* Adds by (which may be negative) tasks of the present step (pass->spread) on the worker of that index. */
+/* Adds by (which may be negative) tasks of the current step (pass->spread) on the worker with that index. */
 void spread_add(Pass *pass, size_t at, int by);
-/* The index of the best worker for the task, none of those in excluded, on the rack when it is not null; -1:
- * none fits. Not the one where its last attempt failed, unless there is no other. */
-int choose_for(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
-/* As choose_for, among the workers other than the one of that index. */
-int choose_elsewhere(Pass *pass, const Job *job, size_t task, size_t worker);
-/* The step's time on the worker of index at, in percent of that near its data and its other tasks. */
-uint64_t choose_far_percent(const Pass *pass, const StepSpec *step, size_t at);
-/* Delay scheduling: whether to wait a moment for a worker near the data rather than take one that is farther. */
-bool choose_waits(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, uint64_t percent);
+/* The index of the best worker for the task, except those in excluded, and on the given rack unless that is null; -1:
+ * none fits. The worker where the task's last attempt failed is chosen only if there is no other. excluded is changed
+ * during the call only. */
+int choose_worker(Pass *pass, const Job *job, size_t task, const PlanNeed *need, bool *excluded, const char *rack);
+/* Like choose_worker, among the workers other than the one with that index. */
+int choose_other_worker(Pass *pass, const Job *job, size_t task, size_t worker);
+/* The run time of a task of the step on the worker with that index, in percent of its run time near its data and the
+ * step's other tasks. */
+uint64_t choose_time_percent(const Pass *pass, const StepSpec *step, size_t at);
+/* Delay scheduling: whether the candidate should wait for a worker near its data rather than take one that is farther
+ * away. percent: run time there, as choose_time_percent. */
+bool should_wait_for_locality(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need,
+                              uint64_t percent);
 
 #endif
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -1,6 +1,6 @@
-/* Drains a zone with moves: one task at a time is stopped, where another worker has capacity for it now and the plan
- * would hold with it there. Its stop is confirmed before it starts again; gangs, and what no other worker can run,
- * stay until they end. */
+/* Empties a zone that is drained with moves: stops one task at a time, where another worker has capacity for it now and
+ * the plan would hold with the task there. The task starts again only after its stop is confirmed. Gangs, and tasks
+ * that no other worker can run, stay until they end. */
 #include "zone_move.h"
 
 #include <string.h>
@@ -8,7 +8,7 @@
 
 #include "assurance.h"
 
-static bool zones_move(const Pass *pass)
+static bool any_zone_moves(const Pass *pass)
 {
     const char **zones;
     const size_t count = table_drains(pass->scheduler->table, pass->mem, &zones);
@@ -18,23 +18,23 @@
     return false;
 }
 
-/* Whether the r-loss plan would hold with the task on the worker of that index. */
-static bool survives_there(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
+/* Whether the r-loss plan would hold with the task on the worker with that index. */
+static bool plan_survives_move(Pass *pass, const Job *job, const JobTask *task, const PlanNeed *need, int at)
 {
     if (job->spec.protection != PROTECTION_PROTECTED || !pass->plan_required)
         return true;
     PlanWorker *to = &pass->input.workers[at];
     const Resources before = to->free;
     to->free = resources_less(to->free, job->spec.steps[task->step].resources);
-    pass_task_add(pass, &job->spec, need, (size_t)at);
+    pass_assured_task_add(pass, &job->spec, need, (size_t)at);
     const bool survives = pass_survives_losses(pass);
     pass->input.task_count--;
     to->free = before;
     return survives;
 }
 
-/* An attempt of the worker that may be moved now; false: none. */
-static bool move_find(Pass *pass, const char *worker, AttemptId *attempt)
+/* Finds an attempt on the worker that may be moved now; false: there is none. */
+static bool movable_attempt_find(Pass *pass, const char *worker, AttemptId *attempt)
 {
     const TaskOn *on;
     const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
@@ -45,7 +45,7 @@
             continue;
         const PlanNeed need = pass_need(job, task->step);
         const int at = plan_choose(pass->input.workers, pass->input.worker_count, &need, NULL);
-        if (at < 0 || !survives_there(pass, job, task, &need, at))
+        if (at < 0 || !plan_survives_move(pass, job, task, &need, at))
             continue;
         *attempt = (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
         return true;
@@ -53,7 +53,7 @@
     return false;
 }
 
-static bool any_stops(const Pass *pass, const char *worker)
+static bool any_stopping(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
     const size_t count = table_tasks_on(pass->scheduler->table, worker, &on);
@@ -63,23 +63,23 @@
     return false;
 }
 
-bool move_one(Pass *pass)
+bool move_one_task(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
     AttemptId attempt;
     bool found = false;
-    if (!zones_move(pass))
+    if (!any_zone_moves(pass))
         return false;
     for (size_t i = 0; i < pass->input.worker_count; i++)
         if (table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
-            any_stops(pass, pass->input.workers[i].name))
-            return false; /* the last move is not over yet */
+            any_stopping(pass, pass->input.workers[i].name))
+            return false; /* the previous move is not finished yet */
     for (size_t i = 0; i < pass->input.worker_count && !found; i++)
         found = table_drain_moves(scheduler->table, pass->input.workers[i].zone) &&
-                move_find(pass, pass->input.workers[i].name, &attempt);
+                movable_attempt_find(pass, pass->input.workers[i].name, &attempt);
     if (!found)
         return false;
-    const StopList list = {&attempt, 1, "moved off an emptied zone"};
+    const StopList list = {&attempt, 1, "moved out of a drained zone"};
     ChangeResult result;
     if (scheduler_submit(scheduler, pass->mem, CHANGE_STOP, &StopList_shape, &list, &result) == STATUS_OK)
         scheduler->counts.moved += result.number;
--- a/packages/scheduler/src/zone_move.h
+++ b/packages/scheduler/src/zone_move.h
@@ -3,7 +3,7 @@
 
 #include "pass.h"
 
-/* Waits. Stops one task in a zone that is drained with moves. True: one was, and the pass is over. */
-bool move_one(Pass *pass);
+/* Waits. Stops one task in a zone that is drained with moves. True: a task was stopped; the pass is then invalid. */
+bool move_one_task(Pass *pass);
 
 #endif
--- a/packages/sim/tool/scheduler_stand.h
+++ b/packages/sim/tool/scheduler_stand.h
@@ -103,7 +103,7 @@
 static inline Pass *pass(Stand *stand)
 {
     Pass *one = pass_new(stand->scheduler, stand->scheduler);
-    pass_places(one);
+    pass_place_candidates(one);
     return one;
 }
 
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -237,7 +237,7 @@
           "if (!worker_lease_ended(pass->scheduler, worker))", "if (false)",
           "copies_count_beside_what_they_replace|gang_members_count", "test", "quota"),
     Guard("quota-inherited", "a new leader counts what may run on workers it has not heard", "packages/scheduler/src/unconfirmed.c",
-          "if (now_ms > until_ms || all_listed(pass))", "if (all_listed(pass) || now_ms <= until_ms)",
+          "if (now_ms > until_ms || all_workers_listed(pass))", "if (all_workers_listed(pass) || now_ms <= until_ms)",
           "count_for_a_new_leader", "test", "quota"),
     Guard("quota-removed", "a tenant that was taken out keeps its quota", "packages/queue/src/queue.c",
           "tenant != NULL ? tenant->quota : job->terms.quota", "tenant != NULL ? tenant->quota : (Resources){0}",
@@ -279,7 +279,7 @@
           "            attempt->phase = PHASE_STOPPING;\n        signal_raise", "            (void)attempt;\n        signal_raise",
           "running on after", "timeline", "trentvale", 3, CANCELLED),
     Guard("gang-whole", "a gang is placed whole or not at all", "packages/scheduler/src/placement.c",
-          "            take_back(pass, step, where, i);\n            return false;",
+          "            capacity_return(pass, step, where, i);\n            return false;",
           "            ((Candidate *)(uintptr_t)candidate)->count = i;\n            return i > 0;",
           "left waiting alone", "timeline", "varied", 4, """
 ms     worker1  worker2  worker3  worker4  worker5  worker6  worker7  worker8  callers
