--- a/packages/plan/src/cheap.c
+++ b/packages/plan/src/cheap.c
@@ -1,27 +1,30 @@
-/* The cheap bound for large fleets (the paper's, extended so that it is right for unlike machines too).
+/* The cheap bound for large fleets: the bound of XenServer's HA design, extended so that it is also correct for workers
+ * of different sizes.
  *
- * Two tasks are in one group when some worker suits both, or when a chain of such pairs
- * links them; so groups never compete for a worker. Of each group:
- *  - every task is taken to be as big as the biggest in every part;
- *  - the r workers with the most tasks of the group are lost;
- *  - the r workers with the most free slots are lost as well (they need not be the
- *    same: that is worse than any real loss);
- *  - only workers that suit every task of the group count.
- * If the slots left hold the tasks lost, then whatever plan is followed, each
- * time a task is to be placed some worker still has a slot that it fits in: a
- * task placed takes at most one slot, and no more than all of them are placed.
- * Tasks placed on a worker that is lost later are lost ones already counted. */
+ * Two tasks are in one group when some worker suits both, or when a chain of such pairs links them; so groups never
+ * compete for a worker. For each group:
+ *
+ *     - every task is assumed to be as big as the biggest one in every component;
+ *     - the r workers with the most tasks of the group are lost;
+ *     - the r workers with the most free slots are lost as well (they need not be the same
+ *       workers: that is worse than any real loss);
+ *     - only workers that suit every task of the group count.
+ *
+ * If the remaining slots hold the lost tasks, then whatever plan is followed, each time a task is to be placed some
+ * worker still has a slot that it fits in: a placed task takes at most one slot, and no more tasks than the lost ones
+ * are placed. Tasks that were placed on a worker that is lost later are already counted as lost. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
 
 #include "plan/plan.h"
 
+/* Tasks that may compete for the same workers. */
 typedef struct Group {
-    bool *any;         /* by worker: suits some task of the group */
-    bool *all;         /* by worker: suits every task of the group */
-    Resources biggest; /* demand, component by component, of its tasks */
-    uint64_t *lost;    /* tasks of the group on each worker */
+    bool *any;         /* by worker: it suits at least one task of the group */
+    bool *all;         /* by worker: it suits every task of the group */
+    Resources biggest; /* the largest demand of its tasks, component by component */
+    uint64_t *lost;    /* by worker: number of the group's tasks on it */
 } Group;
 
 static int descending(const void *a, const void *b)
@@ -30,37 +33,37 @@
     return one > other ? -1 : one < other;
 }
 
-/* How many tasks of that size fit; UINT32_MAX when they ask for nothing. */
-static uint64_t slots_of(Resources free, Resources each)
+/* How many tasks of that size fit; UINT32_MAX when a task asks for nothing. */
+static uint64_t slot_count(Resources free, Resources demand)
 {
-    const uint64_t cpu = each.cpu_milli > 0 ? free.cpu_milli / each.cpu_milli : UINT32_MAX;
-    const uint64_t mem = each.mem_mb > 0 ? free.mem_mb / each.mem_mb : UINT32_MAX;
-    const uint64_t gpu = each.gpu > 0 ? free.gpu / each.gpu : UINT32_MAX;
+    const uint64_t cpu = demand.cpu_milli > 0 ? free.cpu_milli / demand.cpu_milli : UINT32_MAX;
+    const uint64_t mem = demand.mem_mb > 0 ? free.mem_mb / demand.mem_mb : UINT32_MAX;
+    const uint64_t gpu = demand.gpu > 0 ? free.gpu / demand.gpu : UINT32_MAX;
     const uint64_t least = cpu < mem ? cpu : mem;
     return least < gpu ? least : gpu;
 }
 
-/* Whether the slots left hold the tasks lost. */
+/* Whether the remaining slots hold the lost tasks. */
 static bool group_survives(const Group *group, const PlanInput *input, void *mem)
 {
     const size_t n = input->worker_count;
     uint64_t *lost = talloc_memdup(mem, group->lost, n * sizeof(*lost));
     uint64_t *slots = talloc_zero_array(mem, uint64_t, (unsigned)n);
     for (size_t i = 0; i < n; i++)
-        slots[i] = group->all[i] ? slots_of(input->workers[i].free, group->biggest) : 0;
+        slots[i] = group->all[i] ? slot_count(input->workers[i].free, group->biggest) : 0;
     qsort(lost, n, sizeof(*lost), descending);
     qsort(slots, n, sizeof(*slots), descending);
-    uint64_t needed = 0, left = 0;
+    uint64_t needed = 0, remaining = 0;
     for (size_t i = 0; i < n; i++) {
         if (i < input->r)
             needed += lost[i];
         else
-            left += slots[i];
+            remaining += slots[i];
     }
-    return left >= needed;
+    return remaining >= needed;
 }
 
-/* The group of one task alone. */
+/* A group of one task. */
 static Group group_of(void *mem, const PlanInput *input, const PlanTask *task)
 {
     const size_t n = input->worker_count;
@@ -80,8 +83,8 @@
     return false;
 }
 
-/* Makes one group of two. */
-static void group_take(Group *group, const Group *other, size_t workers)
+/* Merges other into group. */
+static void group_merge(Group *group, const Group *other, size_t workers)
 {
     for (size_t i = 0; i < workers; i++) {
         group->any[i] |= other->any[i];
@@ -91,7 +94,7 @@
     group->biggest = resources_largest(group->biggest, other->biggest);
 }
 
-bool plan_cheap(const PlanInput *input)
+bool plan_cheap_bound(const PlanInput *input)
 {
     const size_t n = input->worker_count;
     if (input->r == 0 || input->task_count == 0)
@@ -100,17 +103,17 @@
     Group *groups = talloc_zero_array(mem, Group, (unsigned)input->task_count);
     size_t count = 0;
     for (size_t t = 0; t < input->task_count; t++) {
-        Group mine = group_of(mem, input, &input->tasks[t]);
-        /* joins every group that it shares a worker with */
+        Group merged = group_of(mem, input, &input->tasks[t]);
+        /* the task's group merges with every group that shares a worker with it */
         for (size_t g = 0; g < count;) {
-            if (!groups_share(&mine, &groups[g], n)) {
+            if (!groups_share(&merged, &groups[g], n)) {
                 g++;
                 continue;
             }
-            group_take(&mine, &groups[g], n);
+            group_merge(&merged, &groups[g], n);
             groups[g] = groups[--count];
         }
-        groups[count++] = mine;
+        groups[count++] = merged;
     }
     bool survives = true;
     for (size_t g = 0; g < count && survives; g++)
--- a/packages/plan/src/plan.c
+++ b/packages/plan/src/plan.c
@@ -1,4 +1,4 @@
-/* One plan: which worker suits a task, and where the tasks of lost workers go. */
+/* A single plan: which worker suits a task, and where the tasks of lost workers go. */
 #include "plan/plan.h"
 
 #include <assert.h>
@@ -25,7 +25,7 @@
     return resources_fits(need->resources, worker->free) && plan_able(worker, need);
 }
 
-uint64_t plan_left(const PlanWorker *worker, Resources largest)
+uint64_t plan_free_share(const PlanWorker *worker, Resources largest)
 {
     const Resources free = worker->free;
     const uint64_t cpu = largest.cpu_milli > 0 ? free.cpu_milli * 1000 / largest.cpu_milli : 0;
@@ -41,15 +41,16 @@
     return largest;
 }
 
-/* As plan_choose; largest is plan_largest of all workers. */
-static int choose_by(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost, Resources largest)
+/* Like plan_choose; largest is plan_largest of all workers. */
+static int choose_worker(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost,
+                         Resources largest)
 {
     int best = -1;
     uint64_t best_left = 0;
     for (size_t i = 0; i < count; i++) {
         if ((lost != NULL && lost[i]) || !plan_fits(&workers[i], need))
             continue;
-        uint64_t left = plan_left(&workers[i], largest);
+        uint64_t left = plan_free_share(&workers[i], largest);
         left = left > workers[i].penalty ? left - workers[i].penalty : 0;
         if (best < 0 || left > best_left) {
             best = (int)i;
@@ -61,11 +62,11 @@
 
 int plan_choose(const PlanWorker *workers, size_t count, const PlanNeed *need, const bool *lost)
 {
-    return choose_by(workers, count, need, lost, plan_largest(workers, count));
+    return choose_worker(workers, count, need, lost, plan_largest(workers, count));
 }
 
-/* The first worker where the task fits into free capacity and what its cell may preempt
- * there; takes of that what the free capacity lacks. -1: none. */
+/* The first worker where the task fits into the free capacity plus what its cell may preempt there; -1: none. Subtracts
+ * from preemptible what the free capacity lacks. */
 static int choose_preempting(PlanInput *input, const PlanTask *task, const bool *lost)
 {
     if (task->cell == PLAN_NO_CELL || input->preemptible == NULL)
@@ -82,36 +83,36 @@
     return -1;
 }
 
-/* A task by the part of the largest worker that it needs. */
-typedef struct Sized {
-    size_t task;    /* index */
+/* A task, with the share of the largest worker that it needs. */
+typedef struct SizedTask {
+    size_t task;    /* index in the input's tasks */
     uint64_t share; /* thousandths */
-} Sized;
+} SizedTask;
 
-/* Biggest first; equals by index, so that all come to the same. */
+/* Biggest first; tasks of equal size by index, so that the result does not depend on the sorting algorithm. */
 static int sized_order(const void *a, const void *b)
 {
-    const Sized *one = a, *other = b;
+    const SizedTask *one = a, *other = b;
     if (one->share != other->share)
         return one->share > other->share ? -1 : 1;
     return one->task < other->task ? -1 : one->task > other->task;
 }
 
-bool plan_specific(PlanInput *input, const bool *lost, int *where)
+bool plan_for_loss(PlanInput *input, const bool *lost, int *where)
 {
     const Resources largest = plan_largest(input->workers, input->worker_count);
-    Sized *sized = talloc_array(NULL, Sized, (unsigned)input->task_count);
+    SizedTask *sized = talloc_array(NULL, SizedTask, (unsigned)input->task_count);
     size_t count = 0;
     for (size_t i = 0; i < input->task_count; i++) {
         assert(input->tasks[i].worker < input->worker_count);
         if (lost[input->tasks[i].worker])
-            sized[count++] = (Sized){i, resources_share(input->tasks[i].need.resources, largest)};
+            sized[count++] = (SizedTask){i, resources_share(input->tasks[i].need.resources, largest)};
     }
     qsort(sized, count, sizeof(*sized), sized_order);
     bool all = true;
     for (size_t i = 0; i < count && all; i++) {
         const PlanTask *task = &input->tasks[sized[i].task];
-        int at = choose_by(input->workers, input->worker_count, &task->need, lost, largest);
+        int at = choose_worker(input->workers, input->worker_count, &task->need, lost, largest);
         if (at < 0)
             at = choose_preempting(input, task, lost);
         where[sized[i].task] = at;
--- a/packages/plan/src/sequences.c
+++ b/packages/plan/src/sequences.c
@@ -1,4 +1,4 @@
-/* Plans for every sequence of losses: the paper's plan_always_possible. */
+/* Plans for every sequence of losses, after plan_always_possible in XenServer's HA design. */
 #include <string.h>
 #include <talloc.h>
 
@@ -15,26 +15,29 @@
     return WORDS[loss];
 }
 
-static bool walk(const PlanInput *input, const bool *lost_before, const bool *more, uint64_t left);
+static bool losses_possible(const PlanInput *input, const bool *lost_before, const bool *newly_lost,
+                            uint64_t losses_left);
 
-/* Whether a plan is left after any sequence of so many further losses, one at a time. */
-static bool further_possible(const PlanInput *input, const bool *lost, uint64_t losses)
+/* Whether there is a plan after any sequence of that many further losses, one at a time. */
+static bool further_losses_possible(const PlanInput *input, const bool *lost, uint64_t losses)
 {
     void *mem = talloc_new(NULL);
     bool possible = true;
     for (size_t i = 0; i < input->worker_count && possible; i++) {
         if (lost[i])
             continue;
-        bool *one = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
-        one[i] = true;
-        possible = walk(input, lost, one, losses - 1);
+        bool *only_this = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
+        only_this[i] = true;
+        possible = losses_possible(input, lost, only_this, losses - 1);
     }
     talloc_free(mem);
     return possible;
 }
 
-/* Loses the workers marked in more, plans, and goes on with the losses left. */
-static bool walk(const PlanInput *input, const bool *lost_before, const bool *more, uint64_t left)
+/* Whether there is a plan after the loss of the workers in newly_lost, besides those in lost_before, and then after any
+ * sequence of losses_left further losses. */
+static bool losses_possible(const PlanInput *input, const bool *lost_before, const bool *newly_lost,
+                            uint64_t losses_left)
 {
     void *mem = talloc_new(NULL);
     PlanInput next = *input;
@@ -42,18 +45,18 @@
     if (input->preemptible != NULL)
         next.preemptible =
             talloc_memdup(mem, input->preemptible, input->cell_count * input->worker_count * sizeof(Resources));
-    if (left > 0) /* only a further loss needs to know where the tasks went */
+    if (losses_left > 0) /* only a further loss needs to know where the tasks were placed */
         next.tasks = talloc_memdup(mem, input->tasks, input->task_count * sizeof(*input->tasks));
     bool *lost = talloc_memdup(mem, lost_before, input->worker_count * sizeof(bool));
     int *where = talloc_array(mem, int, (unsigned)input->task_count);
     for (size_t i = 0; i < input->worker_count; i++)
-        lost[i] |= more[i];
-    bool possible = plan_specific(&next, lost, where);
-    if (possible && left > 0) {
+        lost[i] |= newly_lost[i];
+    bool possible = plan_for_loss(&next, lost, where);
+    if (possible && losses_left > 0) {
         for (size_t i = 0; i < next.task_count; i++)
             if (lost[next.tasks[i].worker])
                 next.tasks[i].worker = (size_t)where[i];
-        possible = further_possible(&next, lost, left);
+        possible = further_losses_possible(&next, lost, losses_left);
     }
     talloc_free(mem);
     return possible;
@@ -62,13 +65,13 @@
 bool plan_exhaustive(const PlanInput *input, PlanBreak *broken)
 {
     void *mem = talloc_new(NULL);
-    bool *none = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
+    bool *none_lost = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
     bool possible = true;
     const uint64_t losses = input->r < input->worker_count ? input->r : input->worker_count;
     for (size_t i = 0; i < input->worker_count && possible && losses > 0; i++) {
-        bool *one = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
-        one[i] = true;
-        possible = walk(input, none, one, losses - 1);
+        bool *only_this = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
+        only_this[i] = true;
+        possible = losses_possible(input, none_lost, only_this, losses - 1);
         if (!possible && broken != NULL)
             *broken = (PlanBreak){LOSS_WORKER, input->workers[i].name};
     }
@@ -76,40 +79,41 @@
     return possible;
 }
 
-/* The zone or rack of a worker; null or empty: not known. */
-static const char *place_of(const PlanWorker *worker, Loss loss)
+/* The zone or rack of a worker; null or empty: unknown. */
+static const char *domain_of(const PlanWorker *worker, Loss loss)
 {
     return loss == LOSS_ZONE ? worker->zone : worker->rack;
 }
 
-/* Whether the worker is the first one in its zone or rack; false also where it has none. */
-static bool place_first(const PlanInput *input, size_t worker, Loss loss)
+/* Whether the worker is the first one of its zone or rack; false if it has none. */
+static bool is_first_of_domain(const PlanInput *input, size_t worker, Loss loss)
 {
-    const char *place = place_of(&input->workers[worker], loss);
-    if (place == NULL || place[0] == '\0')
+    const char *domain = domain_of(&input->workers[worker], loss);
+    if (domain == NULL || domain[0] == '\0')
         return false;
     for (size_t i = 0; i < worker; i++)
-        if (strcmp(place_of(&input->workers[i], loss), place) == 0)
+        if (strcmp(domain_of(&input->workers[i], loss), domain) == 0)
             return false;
     return true;
 }
 
-/* Whether the loss of all workers of any one zone, or rack, leaves a plan. */
-static bool places_possible(const PlanInput *input, Loss loss, PlanBreak *broken)
+/* Whether the loss of all workers of any one zone, or rack, leaves a plan. broken (out, may be null): the first that
+ * does not. */
+static bool domain_losses_possible(const PlanInput *input, Loss loss, PlanBreak *broken)
 {
     void *mem = talloc_new(NULL);
-    bool *none = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
+    bool *none_lost = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
     bool possible = true;
     for (size_t i = 0; i < input->worker_count && possible; i++) {
-        const char *place = place_of(&input->workers[i], loss);
-        if (!place_first(input, i, loss))
+        const char *domain = domain_of(&input->workers[i], loss);
+        if (!is_first_of_domain(input, i, loss))
             continue;
         bool *lost = talloc_zero_array(mem, bool, (unsigned)input->worker_count);
         for (size_t k = 0; k < input->worker_count; k++)
-            lost[k] = strcmp(place_of(&input->workers[k], loss), place) == 0;
-        possible = walk(input, none, lost, 0);
+            lost[k] = strcmp(domain_of(&input->workers[k], loss), domain) == 0;
+        possible = losses_possible(input, none_lost, lost, 0);
         if (!possible && broken != NULL)
-            *broken = (PlanBreak){loss, place};
+            *broken = (PlanBreak){loss, domain};
     }
     talloc_free(mem);
     return possible;
@@ -120,9 +124,9 @@
     uint64_t sequences = 1;
     for (uint64_t i = 0; i < input->r && i < input->worker_count; i++)
         sequences *= input->worker_count - i;
-    const bool workers = sequences <= PLAN_EXHAUSTIVE_MAX ? plan_exhaustive(input, broken) : plan_cheap(input);
+    const bool workers = sequences <= PLAN_EXHAUSTIVE_MAX ? plan_exhaustive(input, broken) : plan_cheap_bound(input);
     if (!workers && sequences > PLAN_EXHAUSTIVE_MAX && broken != NULL)
         *broken = (PlanBreak){LOSS_WORKER, ""};
-    return workers && (!input->zone_loss || places_possible(input, LOSS_ZONE, broken)) &&
-           (!input->rack_loss || places_possible(input, LOSS_RACK, broken));
+    return workers && (!input->zone_loss || domain_losses_possible(input, LOSS_ZONE, broken)) &&
+           (!input->rack_loss || domain_losses_possible(input, LOSS_RACK, broken));
 }
--- a/packages/plan/test/plan.c
+++ b/packages/plan/test/plan.c
@@ -1,5 +1,5 @@
-/* The planner on its own: biggest-fit-decreasing, sequences of losses, and the
- * cheap bound against the exhaustive walk. */
+/* Tests of the plan functions by themselves: biggest-fit-decreasing, sequences of losses, and the cheap bound against
+ * the exhaustive walk. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -22,7 +22,7 @@
     return (PlanTask){{{cpu, mem, 0}, "", NULL, 0}, at, PLAN_NO_CELL};
 }
 
-static void take_out(PlanInput *input)
+static void free_reduce(PlanInput *input)
 {
     for (size_t i = 0; i < input->task_count; i++) {
         PlanWorker *worker = &input->workers[input->tasks[i].worker];
@@ -33,13 +33,13 @@
 static void biggest_task_is_placed_first(void **state)
 {
     (void)state;
-    /* in the order given, 3 and 3 would go to different workers, and 6 would find none */
+    /* in the given order, the tasks of size 3 would go to different workers, and the task of size 6 would find none */
     PlanWorker workers[] = {worker("a", "z1", 12, 100), worker("b", "z2", 6, 100), worker("c", "z3", 6, 100)};
     PlanTask tasks[] = {task(0, 3, 1), task(0, 3, 1), task(0, 6, 1)};
     PlanInput input = {workers, 3, tasks, 3, 1, false, false, 0, NULL};
     const bool lost[] = {true, false, false};
     int where[3] = {-1, -1, -1};
-    assert_true(plan_specific(&input, lost, where));
+    assert_true(plan_for_loss(&input, lost, where));
     assert_int_not_equal(where[0], where[2]);
     assert_int_equal(where[0], where[1]);
 }
@@ -53,29 +53,29 @@
     workers[0].label_count = workers[1].label_count = 1;
     PlanTask tasks[] = {{{{4, 4, 0}, "std", ssd, 1}, 0, PLAN_NO_CELL}, {{{4, 4, 0}, "std", ssd, 1}, 1, PLAN_NO_CELL}};
     PlanInput input = {workers, 3, tasks, 2, 1, false, false, 0, NULL};
-    take_out(&input);
+    free_reduce(&input);
     PlanBreak broken = {0};
     assert_true(plan_always_possible(&input, &broken));
-    input.r = 2; /* both that have the label are lost */
+    input.r = 2; /* both workers with the label are lost */
     assert_false(plan_always_possible(&input, &broken));
     tasks[0].need.kind = "gpu";
     input.r = 1;
     assert_false(plan_always_possible(&input, &broken));
 }
 
-/* The second loss takes what the first one's plan had put there. */
+/* The second loss takes a worker to which the plan for the first loss has moved a task. */
 static void second_loss_takes_what_the_first_moved(void **state)
 {
     (void)state;
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
     PlanTask tasks[] = {task(0, 2, 1), task(1, 2, 1)};
     PlanInput input = {workers, 3, tasks, 2, 2, false, false, 0, NULL};
-    take_out(&input);
+    free_reduce(&input);
     assert_true(plan_always_possible(&input, NULL));
     tasks[0].need.resources.cpu_milli = 3;
-    PlanWorker again[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
-    input.workers = again;
-    take_out(&input);
+    PlanWorker fresh_workers[] = {worker("a", "z1", 4, 9), worker("b", "z2", 4, 9), worker("c", "z3", 4, 9)};
+    input.workers = fresh_workers;
+    free_reduce(&input);
     input.r = 1;
     assert_true(plan_always_possible(&input, NULL));
     input.r = 2;
@@ -88,7 +88,7 @@
     PlanWorker workers[] = {worker("a", "z1", 4, 9), worker("b", "z1", 4, 9), worker("c", "z2", 4, 9)};
     PlanTask tasks[] = {task(0, 3, 1), task(1, 3, 1)};
     PlanInput input = {workers, 3, tasks, 2, 1, false, false, 0, NULL};
-    take_out(&input);
+    free_reduce(&input);
     PlanBreak broken = {0};
     assert_true(plan_always_possible(&input, &broken));
     input.zone_loss = true;
@@ -104,7 +104,7 @@
     workers[0].rack = workers[1].rack = "r1";
     PlanTask tasks[] = {task(0, 3, 1), task(1, 3, 1)};
     PlanInput input = {workers, 3, tasks, 2, 1, true, false, 0, NULL};
-    take_out(&input);
+    free_reduce(&input);
     PlanBreak broken = {0};
     assert_true(plan_always_possible(&input, &broken));
     input.rack_loss = true;
@@ -113,8 +113,8 @@
     assert_string_equal(broken.name, "r1");
 }
 
-/* Capacity that a cell may preempt counts for that cell, once, and not where the
- * worker is lost with it. */
+/* Capacity that a cell may preempt counts for that cell only, counts once, and does not count where the worker itself
+ * is lost. */
 static void preemptible_capacity_counts_once(void **state)
 {
     (void)state;
@@ -123,24 +123,24 @@
     PlanTask tasks[] = {task(0, 3, 1), task(0, 1, 1)};
     Resources preemptible[] = {{0, 0, 0}, {3, 9, 0}, {0, 0, 0}, {0, 0, 0}};
     PlanInput input = {workers, 2, tasks, 1, 1, false, false, 2, preemptible};
-    take_out(&input);
+    free_reduce(&input);
     assert_false(plan_always_possible(&input, NULL));
     tasks[0].cell = 1;
-    assert_false(plan_always_possible(&input, NULL)); /* it is the other cell's */
+    assert_false(plan_always_possible(&input, NULL)); /* the capacity belongs to the other cell */
     tasks[0].cell = 0;
     assert_true(plan_always_possible(&input, NULL));
-    assert_int_equal(preemptible[1].cpu_milli, 3); /* a check uses nothing up */
+    assert_int_equal(preemptible[1].cpu_milli, 3); /* a check leaves its input unchanged */
     input.task_count = 2;
     tasks[1].cell = 0;
-    assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 to preempt hold 3 and 1 */
+    assert_true(plan_always_possible(&input, NULL)); /* 1 free and 3 preemptible hold tasks of 3 and 1 */
     tasks[1].need.resources.cpu_milli = 2;
     assert_false(plan_always_possible(&input, NULL));
-    /* and the cheap bound knows nothing of it: it may only say no wrongly */
-    assert_false(plan_cheap(&input));
+    /* the cheap bound ignores preemptible capacity: its only error is to say no where there is a plan */
+    assert_false(plan_cheap_bound(&input));
 }
 
-/* 4,000 small fleets of unlike workers: the cheap bound never says yes where
- * the walk through all sequences says no. Both answers must occur often. */
+/* In 4,000 small fleets of different workers, the cheap bound never says yes where the walk through all sequences says
+ * no. Both answers must occur often. */
 static void cheap_bound_never_claims_too_much(void **state)
 {
     (void)state;
@@ -174,7 +174,7 @@
             if (draw(&seed, 4) == 0)
                 break;
         }
-        const bool cheap = plan_cheap(&input), real = plan_exhaustive(&input, NULL);
+        const bool cheap = plan_cheap_bound(&input), real = plan_exhaustive(&input, NULL);
         assert_false(cheap && !real);
         yes += cheap;
         really_no += !real;
--- a/packages/plan/tool/bench.c
+++ b/packages/plan/tool/bench.c
@@ -1,4 +1,4 @@
-/* How long a check of the r-loss plan takes, by fleet size, and in ratio to the smallest size.
+/* Measures how long a check of the r-loss plan takes, by fleet size, and the ratio to the smallest size.
  *
  *     spancart-plan-bench [ATTEMPTS] */
 #include <stdio.h>
@@ -40,11 +40,11 @@
     bool possible = true;
     for (int i = 0; i < attempts; i++)
         possible &= plan_always_possible(&input, NULL);
-    const double each = (seconds() - start) / attempts;
-    printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)losses, each * 1000,
+    const double seconds_per_check = (seconds() - start) / attempts;
+    printf("%4zu workers %5zu tasks r=%d: %8.3f ms, plan %s\n", workers, tasks, (int)losses, seconds_per_check * 1000,
            possible ? "holds" : "fails");
     talloc_free(mem);
-    return each;
+    return seconds_per_check;
 }
 
 int main(int argc, char **argv)
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -106,7 +106,7 @@
 static int64_t worker_preference(const Pass *pass, const StepSpec *step, const PlanNeed *need, size_t at)
 {
     const PlanWorker *worker = &pass->input.workers[at];
-    const int64_t left = (int64_t)plan_left(worker, pass->largest);
+    const int64_t left = (int64_t)plan_free_share(worker, pass->largest);
     const int64_t time_share = (int64_t)(pass->slowdowns[at] * choose_time_percent(pass, step, at) / 100) - WHOLE;
     int64_t preference = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
     if (need->resources.gpu == 0 && worker->resources.gpu > 0)
