--- a/packages/queue/include/queue/latency_target.h
+++ b/packages/queue/include/queue/latency_target.h
@@ -1,31 +1,31 @@
 #ifndef QUEUE_LATENCY_TARGET_H
 #define QUEUE_LATENCY_TARGET_H
 
-/* Latency targets of jobs and the order that follows from them. Pure functions: nothing here
- * allocates, fails or waits. */
+/* Latency targets of jobs, and the ranks that follow from them. Pure functions: nothing here allocates, fails or
+ * waits. */
 
 #include "queue/estimate.h"
 
-/* The latency target of a job, or of one occurrence of a timed job: its value is full within span_ms from
- * from_ms (its acceptance or due time, in log time), less until TARGET_LATE_TIMES as long, and
- * nothing later. A job whose terms name no target has a span of 0. All in ms.
- * Invariants: task_ms[s] is what one task of step s should take; after_ms[s] is the
- * longest chain of work from step s to the end, with s itself. */
+/* The latency target of a job, or of one occurrence of a timed job: it has its full value if it ends within span_ms
+ * after from_ms (its acceptance or due time, in log time), less until TARGET_LATE_TIMES as long, and no value later. A
+ * job whose terms name no target has a span of 0. All times in ms. Invariants: task_ms[s] is the expected run time of
+ * one task of step s; after_ms[s] is the duration of the longest chain of steps from step s to the end, including s
+ * itself. */
 typedef struct LatencyTarget {
     int64_t from_ms, span_ms;
     int32_t after_ms[JOB_STEPS_MAX], task_ms[JOB_STEPS_MAX];
 } LatencyTarget;
 
-/* Fills target in, up to the job's steps. estimates may be null; wave_capacity: a step that asks for
- * more than this runs in waves; zeros: none does. */
-void target_find(const Job *job, int64_t from_ms, const Estimates *estimates, Resources wave_capacity,
-                 LatencyTarget *target);
-/* Time, in ms, that may pass before the step must be under way for the target to be met;
- * negative: it is missed, if the estimates are right. */
+/* Computes the target (out), for as many steps as the job has. estimates may be null. wave_capacity: a step that needs
+ * more than this runs in several waves; a component of 0 has no limit. */
+void target_compute(const Job *job, int64_t from_ms, const Estimates *estimates, Resources wave_capacity,
+                    LatencyTarget *target);
+/* The time, in ms, that may pass before the step must start for the target to be met; negative: the target will be
+ * missed if the estimates are right. */
 int64_t target_slack_ms(const LatencyTarget *target, uint64_t step, int64_t now_ms);
-/* Higher goes first. What can still meet its target goes by how soon it must be under way;
- * what can't, behind what has as little time, until TARGET_LATE_TIMES the target; after that
- * last, the oldest first. */
+/* The step's rank; the highest is placed first. Steps that can still meet their target rank by how soon they must
+ * start; steps that can't rank lower, until TARGET_LATE_TIMES the target; after that they rank last, the oldest
+ * first. */
 double target_rank(const LatencyTarget *target, uint64_t step, int64_t now_ms);
 
 #endif
--- a/packages/queue/src/order.c
+++ b/packages/queue/src/order.c
@@ -1,4 +1,4 @@
-/* The order of the steps of a ready queue: restarts, then by cell, rank, tenant, acceptance. */
+/* Sorts the steps of a ready queue: restarts first, then by cell, rank, tenant and acceptance. */
 #include <stdlib.h>
 #include <string.h>
 #include <talloc.h>
@@ -12,17 +12,17 @@
     return one->first < other->first ? -1 : one->first > other->first;
 }
 
-/* A task's size: the largest component of its demand, where a CPU core weighs as much as 2 GB, and as a GPU. */
-static uint64_t size_of(const Candidate *candidate)
+/* A task's size: the largest component of its demand, where one CPU core weighs as much as 2 GB and as one GPU. */
+static uint64_t task_size(const Candidate *candidate)
 {
     const Resources unit = {1000, 2000, 1};
-    return part_of(candidate_step(candidate)->resources, unit);
+    return share_millionths(candidate_step(candidate)->resources, unit);
 }
 
-/* Biggest first, as the plan that promised the restarts placed them. */
+/* Biggest first, like the plan that guarantees the restarts. */
 static int restart_order(const Candidate *one, const Candidate *other)
 {
-    const uint64_t one_size = size_of(one), other_size = size_of(other);
+    const uint64_t one_size = task_size(one), other_size = task_size(other);
     return one_size != other_size ? (one_size > other_size ? -1 : 1) : accepted_order(one, other);
 }
 
@@ -33,28 +33,30 @@
         return one->candidate.restart ? -1 : 1;
     if (one->candidate.restart)
         return restart_order(&one->candidate, &other->candidate);
-    if (one->note->cell_account != other->note->cell_account)
+    if (one->cached->cell_account != other->cached->cell_account)
         return strcmp(one->candidate.job->spec.cell, other->candidate.job->spec.cell);
     if (one->candidate.rank != other->candidate.rank)
         return one->candidate.rank > other->candidate.rank ? -1 : 1;
-    if (one->note->tenant_account != other->note->tenant_account)
-        return one->note->tenant_account->number < other->note->tenant_account->number ? -1 : 1;
+    if (one->cached->tenant_account != other->cached->tenant_account)
+        return one->cached->tenant_account->number < other->cached->tenant_account->number ? -1 : 1;
     return accepted_order(&one->candidate, &other->candidate);
 }
 
-/* Finds the steps of each cell; they are sorted already. */
+/* Finds the range of each cell's steps, which are sorted already. */
 static void cells_find(ReadyQueue *ready)
 {
-    size_t at = ready->restarts;
-    while (at < ready->count) {
-        size_t end = at;
-        const JobNote *note = ready->steps[at].note;
-        while (end < ready->count && ready->steps[end].note->cell_account == note->cell_account)
+    size_t first = ready->restarts;
+    while (first < ready->count) {
+        size_t end = first;
+        const CachedJob *cached = ready->steps[first].cached;
+        while (end < ready->count && ready->steps[end].cached->cell_account == cached->cell_account)
             end++;
         ready->cells = talloc_realloc(ready, ready->cells, CellSteps, (unsigned)(ready->cell_count + 1));
-        ready->cells[ready->cell_count++] = (CellSteps){
-            .next = at, .end = end, .share = note->cell != NULL && note->cell->share > 0 ? note->cell->share : 1};
-        at = end;
+        ready->cells[ready->cell_count++] =
+            (CellSteps){.next = first,
+                        .end = end,
+                        .share = cached->cell != NULL && cached->cell->share > 0 ? cached->cell->share : 1};
+        first = end;
     }
 }
 
--- a/packages/queue/src/queue.c
+++ b/packages/queue/src/queue.c
@@ -1,4 +1,4 @@
-/* What is remembered between two ready queues: the accounts of cells and tenants, and a note of each job. */
+/* The data that is cached between two ready queues: the accounts of cells and tenants, and an entry for each job. */
 #include "inside.h"
 
 #include <glib.h>
@@ -9,20 +9,20 @@
 #include "base/constants.h"
 #include "base/map.h"
 
-#define NOTES_SPARE 256        /* count; notes of jobs that are gone are dropped beyond so many */
-#define WEIGHT_GONE_MILLI 1000 /* thousandths; of a tenant that the configuration has no more: the default */
-#define MILLIONTHS 1000000     /* of the fleet; fine enough for one small task */
+#define CACHED_JOBS_SPARE 256     /* count; beyond this many and twice the active jobs, unused entries are dropped */
+#define WEIGHT_DEFAULT_MILLI 1000 /* thousandths; the default weight, also of a tenant that was removed */
+#define MILLIONTHS 1000000        /* of the fleet; precise enough for one small task */
 
 struct Queue {
     const Estimates *estimates;
-    GHashTable *notes;   /* by job's number */
-    Map *accounts;       /* "cell", "cell/tenant" */
-    uint64_t generation; /* ready queues built so far */
+    GHashTable *cached_jobs; /* job number to CachedJob */
+    Map *accounts;           /* "cell" or "cell/tenant" to Account */
+    uint64_t generation;     /* number of ready queues built so far */
 };
 
 static int queue_free(Queue *queue)
 {
-    g_hash_table_destroy(queue->notes);
+    g_hash_table_destroy(queue->cached_jobs);
     return 0;
 }
 
@@ -30,7 +30,7 @@
 {
     Queue *queue = talloc_zero(mem, Queue);
     queue->estimates = estimates;
-    queue->notes = g_hash_table_new(g_int64_hash, g_int64_equal);
+    queue->cached_jobs = g_hash_table_new(g_int64_hash, g_int64_equal);
     queue->accounts = map_new(queue);
     talloc_set_destructor(queue, queue_free);
     return queue;
@@ -41,31 +41,31 @@
     return queue->estimates;
 }
 
-uint64_t part_of(Resources resources, Resources fleet)
+uint64_t share_millionths(Resources resources, Resources fleet)
 {
     return resources_part(resources, fleet, MILLIONTHS);
 }
 
-/* Drops notes that neither this generation nor the one before has used. */
-static gboolean unseen(gpointer key, gpointer value, gpointer queue)
+/* Drops entries that neither this generation nor the previous one has used. */
+static gboolean cached_job_drop_unused(gpointer key, gpointer value, gpointer queue)
 {
     (void)key;
-    JobNote *note = value;
-    if (note->generation + 1 >= ((const Queue *)queue)->generation)
+    CachedJob *cached = value;
+    if (cached->generation + 1 >= ((const Queue *)queue)->generation)
         return FALSE;
-    talloc_free(note);
+    talloc_free(cached);
     return TRUE;
 }
 
 uint64_t queue_generation_begin(Queue *queue, size_t jobs)
 {
     queue->generation++;
-    if (g_hash_table_size(queue->notes) > jobs * 2 + NOTES_SPARE)
-        g_hash_table_foreach_remove(queue->notes, unseen, queue);
+    if (g_hash_table_size(queue->cached_jobs) > jobs * 2 + CACHED_JOBS_SPARE)
+        g_hash_table_foreach_remove(queue->cached_jobs, cached_job_drop_unused, queue);
     return queue->generation;
 }
 
-/* The account of a tenant, or, where tenant is null, of the cell; made when there is none. */
+/* The account of a tenant, or of the cell where tenant is null; created when there is none. */
 static Account *account_of(Queue *queue, const char *cell, const char *tenant)
 {
     char key[2 * ID_MAX + 2];
@@ -82,7 +82,7 @@
     return account;
 }
 
-Resources *account_use(Queue *queue, const QueueContext *context, Account *account)
+Resources *account_usage(Queue *queue, const QueueContext *context, Account *account)
 {
     if (account->generation != queue->generation || queue->generation == 0) {
         account->generation = queue->generation;
@@ -96,56 +96,56 @@
     return &account->used;
 }
 
-bool quota_allows(Queue *queue, const QueueContext *context, const JobNote *note, Resources more)
+bool quota_allows(Queue *queue, const QueueContext *context, const CachedJob *cached, Resources more)
 {
-    const Resources use = resources_more(*account_use(queue, context, note->tenant_account), more);
-    return (note->quota.cpu_milli == 0 || use.cpu_milli <= note->quota.cpu_milli) &&
-           (note->quota.mem_mb == 0 || use.mem_mb <= note->quota.mem_mb) &&
-           (note->quota.gpu == 0 || use.gpu <= note->quota.gpu);
+    const Resources use = resources_more(*account_usage(queue, context, cached->tenant_account), more);
+    return (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&
+           (cached->quota.mem_mb == 0 || use.mem_mb <= cached->quota.mem_mb) &&
+           (cached->quota.gpu == 0 || use.gpu <= cached->quota.gpu);
 }
 
-JobNote *job_note(Queue *queue, const QueueContext *context, const Job *job)
+CachedJob *cached_job(Queue *queue, const QueueContext *context, const Job *job)
 {
-    JobNote *note = g_hash_table_lookup(queue->notes, &job->number);
-    /* a state loaded whole may have given the number to another job */
-    if (note == NULL || note->job != job) {
-        if (note != NULL)
-            g_hash_table_remove(queue->notes, &note->number);
-        talloc_free(note);
-        note = talloc_zero(queue, JobNote);
-        note->job = job;
-        note->number = job->number;
-        note->stamp = context->config_stamp + 1;
-        note->estimates_stamp = UINT64_MAX;
-        note->cell_account = account_of(queue, job->spec.cell, NULL);
-        note->tenant_account = account_of(queue, job->spec.cell, job->spec.tenant);
-        g_hash_table_insert(queue->notes, &note->number, note);
+    CachedJob *cached = g_hash_table_lookup(queue->cached_jobs, &job->number);
+    /* after the whole state was replaced, the number may belong to another job */
+    if (cached == NULL || cached->job != job) {
+        if (cached != NULL)
+            g_hash_table_remove(queue->cached_jobs, &cached->number);
+        talloc_free(cached);
+        cached = talloc_zero(queue, CachedJob);
+        cached->job = job;
+        cached->number = job->number;
+        cached->stamp = context->config_stamp + 1;
+        cached->estimates_stamp = UINT64_MAX;
+        cached->cell_account = account_of(queue, job->spec.cell, NULL);
+        cached->tenant_account = account_of(queue, job->spec.cell, job->spec.tenant);
+        g_hash_table_insert(queue->cached_jobs, &cached->number, cached);
     }
-    if (note->stamp != context->config_stamp) {
-        note->stamp = context->config_stamp;
-        note->cell = config_cell(context->config, job->spec.cell);
-        note->queue = note->cell != NULL ? config_queue(note->cell, job->spec.queue) : NULL;
-        const ConfigTenant *tenant = note->cell != NULL ? config_tenant(note->cell, job->spec.tenant) : NULL;
-        note->quota = tenant != NULL ? tenant->quota : job->terms.quota;
-        note->weight_milli = tenant != NULL && tenant->weight_milli > 0 ? tenant->weight_milli : WEIGHT_GONE_MILLI;
+    if (cached->stamp != context->config_stamp) {
+        cached->stamp = context->config_stamp;
+        cached->cell = config_cell(context->config, job->spec.cell);
+        cached->queue = cached->cell != NULL ? config_queue(cached->cell, job->spec.queue) : NULL;
+        const ConfigTenant *tenant = cached->cell != NULL ? config_tenant(cached->cell, job->spec.tenant) : NULL;
+        cached->quota = tenant != NULL ? tenant->quota : job->terms.quota;
+        cached->weight_milli = tenant != NULL && tenant->weight_milli > 0 ? tenant->weight_milli : WEIGHT_DEFAULT_MILLI;
     }
-    note->generation = queue->generation;
-    return note;
+    cached->generation = queue->generation;
+    return cached;
 }
 
 PolicyContext queue_policy_context(Queue *queue, const QueueContext *context, const Job *job, size_t task)
 {
-    const JobNote *note = job_note(queue, context, job);
+    const CachedJob *cached = cached_job(queue, context, job);
     uint64_t shares = 0;
     for (size_t i = 0; i < context->config->cell_count; i++)
         shares += context->config->cells[i].share;
     return (PolicyContext){
         .job = job,
         .step = &job->spec.steps[job->tasks[task].step],
-        .queue_priority = note->queue != NULL ? note->queue->priority : job->terms.priority,
+        .queue_priority = cached->queue != NULL ? cached->queue->priority : job->terms.priority,
         .waited_ms = context->clock.log_ms - job->tasks[task].changed_ms,
-        .cell_used = part_of(*account_use(queue, context, note->cell_account), context->fleet) / 1000,
-        .cell_share = note->cell != NULL && shares > 0 ? note->cell->share * 1000 / shares : 0,
-        .tenant_used = part_of(*account_use(queue, context, note->tenant_account), context->fleet) / 1000,
+        .cell_used = share_millionths(*account_usage(queue, context, cached->cell_account), context->fleet) / 1000,
+        .cell_share = cached->cell != NULL && shares > 0 ? cached->cell->share * 1000 / shares : 0,
+        .tenant_used = share_millionths(*account_usage(queue, context, cached->tenant_account), context->fleet) / 1000,
     };
 }
--- a/packages/queue/src/wait.c
+++ b/packages/queue/src/wait.c
@@ -1,4 +1,4 @@
-/* What a waiting task waits for, and when an occurrence of a timed job is due. */
+/* Why a task waits, and when an occurrence of a timed job is due. */
 #include "queue/queue.h"
 
 const char *wait_word(WaitReason reason)
@@ -17,8 +17,8 @@
     return kind[0] != '\0' || job->terms.kind == NULL ? kind : job->terms.kind;
 }
 
-/* The wall time, in ms, before which the occurrence must not start; 0: none. task_due_wall_ms is not used, on
- * purpose: the simulator checks with it what is decided here. */
+/* The wall time, in ms, before which the occurrence must not start; 0: none. Deliberately does not use
+ * task_due_wall_ms: the simulator uses that function to check what is decided here. */
 static int64_t occurrence_wall_ms(const Job *job, uint64_t occurrence)
 {
     const JobSpec *spec = &job->spec;
@@ -40,7 +40,7 @@
     return wall_ms != 0 && due_ms > accepted_ms ? due_ms : accepted_ms;
 }
 
-static uint64_t left_of(uint64_t quota, uint64_t used)
+static uint64_t quota_remaining(uint64_t quota, uint64_t used)
 {
     if (quota == 0)
         return UINT64_MAX;
@@ -53,26 +53,26 @@
     const ConfigTenant *tenant = cell != NULL ? config_tenant(cell, job->spec.tenant) : NULL;
     const Resources quota = tenant != NULL ? tenant->quota : job->terms.quota;
     const Resources used = table_used_by_tenant(table, job->spec.cell, job->spec.tenant);
-    return (Resources){left_of(quota.cpu_milli, used.cpu_milli), left_of(quota.mem_mb, used.mem_mb),
-                       left_of(quota.gpu, used.gpu)};
+    return (Resources){quota_remaining(quota.cpu_milli, used.cpu_milli), quota_remaining(quota.mem_mb, used.mem_mb),
+                       quota_remaining(quota.gpu, used.gpu)};
 }
 
 WaitReason queue_wait(const Job *job, size_t task, QueueClock clock, Resources left)
 {
-    const JobTask *one = &job->tasks[task];
-    const StepSpec *step = &job->spec.steps[one->step];
-    if (!queue_due(job, one->turn, clock))
+    const JobTask *job_task = &job->tasks[task];
+    const StepSpec *step = &job->spec.steps[job_task->step];
+    if (!queue_due(job, job_task->turn, clock))
         return WAIT_DUE;
-    if (!task_steps_done(job, one))
+    if (!task_steps_done(job, job_task))
         return WAIT_STEPS;
-    if (clock.log_ms < one->rest_until_ms)
+    if (clock.log_ms < job_task->rest_until_ms)
         return WAIT_REST;
-    const size_t first = task_first(job, one);
-    uint64_t together = step->gang ? 0 : 1;
+    const size_t first = task_first(job, job_task);
+    uint64_t waiting_members = step->gang ? 0 : 1;
     for (size_t i = first; i < first + step->count && step->gang; i++) {
         if (job->tasks[i].phase != TASK_WAITING && !task_ended(job->tasks[i].phase))
             return WAIT_GANG;
-        together += job->tasks[i].phase == TASK_WAITING;
+        waiting_members += job->tasks[i].phase == TASK_WAITING;
     }
-    return resources_fits(resources_times(step->resources, together), left) ? WAIT_READY : WAIT_QUOTA;
+    return resources_fits(resources_times(step->resources, waiting_members), left) ? WAIT_READY : WAIT_QUOTA;
 }
--- a/packages/queue/test/latency_targets.c
+++ b/packages/queue/test/latency_targets.c
@@ -1,4 +1,5 @@
-/* The order in which work is placed: latency targets, occurrences of timed jobs, estimates. */
+/* Tests of the order in which work is placed: latency targets, occurrences of timed jobs, estimates, shares and
+ * quotas. */
 #include "../../state/test/board.h"
 #include "queue/ready_queue.h"
 
@@ -34,7 +35,7 @@
     return job_add(board, &spec, terms);
 }
 
-/* Their ids in order, one letter each. */
+/* The first letters of the job ids, in the order in which the tasks are placed; at most so many as most. */
 static const char *order_in(Board *board, const char *text, int64_t log_ms, size_t most)
 {
     void *mem = talloc_new(board->table);
@@ -63,7 +64,7 @@
     return order_in(board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}", log_ms, 100);
 }
 
-/* The job with the nearer target goes first, though it came later; of two alike, the first comer. */
+/* The job whose target is closer goes first, even if it was accepted later; of equal jobs, the one accepted first. */
 static void nearer_target_first(void **state)
 {
     (void)state;
@@ -72,26 +73,26 @@
     add(&board, "b", 1000, targets(1500, 500, 0));
     add(&board, "c", 1000, targets(1500, 500, 0));
     assert_string_equal(order_of(&board, 1000), "bca");
-    /* a's target is 15.2 s from 1000: at 9.9 s it must go now; b and c are worthless since 4.5 s */
+    /* a's target is 15.2 s from 1000: at 9.9 s it must start now; b and c have had no value since 4.5 s */
     assert_string_equal(order_of(&board, 9900), "abc");
     talloc_free(board.table);
 }
 
-/* What can't meet its target goes behind what can, and before what is worth nothing. */
+/* A job that can't meet its target goes after jobs that can, and before jobs that have no value any more. */
 static void late_goes_behind(void **state)
 {
     (void)state;
     Board board = board_new();
-    add(&board, "x", 1000, targets(1000, 1000, 0)); /* target 2 s: worth nothing after 6 s */
+    add(&board, "x", 1000, targets(1000, 1000, 0)); /* target 2 s: no value after 6 s */
     board.at_ms = 4000;
-    add(&board, "y", 1000, targets(1000, 1000, 0)); /* late at 7 s */
+    add(&board, "y", 1000, targets(1000, 1000, 0)); /* its target is missed at 7 s */
     board.at_ms = 7000;
     add(&board, "z", 1000, targets(1000, 1000, 0));
     assert_string_equal(order_of(&board, 7500), "zyx");
     talloc_free(board.table);
 }
 
-/* The queue with the higher priority goes first, though the other's target is as near. */
+/* The queue with the higher priority goes first when both targets are equally close. */
 static void higher_priority_first(void **state)
 {
     (void)state;
@@ -102,7 +103,7 @@
     talloc_free(board.table);
 }
 
-/* Targets count from each occurrence's own due time, and none starts before it. */
+/* The target counts from the due time of each occurrence, and no occurrence starts before its own due time. */
 static void turn_starts_when_due(void **state)
 {
     (void)state;
@@ -120,8 +121,8 @@
     talloc_free(board.table);
 }
 
-/* The chain of work to come counts: the first step of a long job is more urgent than
- * the only one of a short one with the same target. */
+/* The remaining chain of work counts: the first step of a long job is more urgent than the only step of a short job
+ * with the same target. */
 static void chain_to_come_counts(void **state)
 {
     (void)state;
@@ -135,14 +136,14 @@
     const Job *job = job_add(&board, &spec, targets(0, 10000, 0));
     assert_string_equal(order_of(&board, 1000), "ls");
     LatencyTarget target;
-    target_find(job, 1000, NULL, (Resources){0}, &target);
+    target_compute(job, 1000, NULL, (Resources){0}, &target);
     assert_int_equal(target.after_ms[0], 8000);
     assert_int_equal(target.after_ms[1], 4000);
     assert_int_equal(target_slack_ms(&target, 0, 1000), 2000);
     talloc_free(board.table);
 }
 
-/* A step wider than its part of the fleet runs in waves, and its target allows for that. */
+/* A step that needs more than its part of the fleet runs in waves, and its target allows for that. */
 static void wide_step_counts_in_waves(void **state)
 {
     (void)state;
@@ -151,13 +152,13 @@
     const JobSpec spec = spec_of("w", &wide, 1);
     const Job *job = job_add(&board, &spec, targets(2000, 0, 0));
     LatencyTarget target;
-    target_find(job, 0, NULL, (Resources){10 * CPU, 100000, 0}, &target);
+    target_compute(job, 0, NULL, (Resources){10 * CPU, 100000, 0}, &target);
     assert_int_equal(target.after_ms[0], 3000);
     assert_int_equal(target.span_ms, 6000);
     talloc_free(board.table);
 }
 
-/* Medians of what ends have shown: of a queue's step, and of a worker. */
+/* Estimates are corrected by the medians of observed run times: of a queue's step, and of a worker. */
 static void estimates_follow_the_median(void **state)
 {
     (void)state;
@@ -166,22 +167,21 @@
     Estimates *estimates = estimates_new(board.table);
     assert_int_equal(estimate_ms(estimates, job, 0), 1000);
     for (int i = 0; i < 40; i++)
-        estimates_end_take(estimates, job, 0, "w1", 1500, 100, 0);
-    estimates_end_take(estimates, job, 0, "w1", 60000, 100, 0); /* one pause moves nothing */
+        estimates_record_run(estimates, job, 0, "w1", 1500, 100, 0);
+    estimates_record_run(estimates, job, 0, "w1", 60000, 100, 0); /* a single pause has no effect */
     assert_int_equal(estimate_ms(estimates, job, 0), 1500);
     assert_int_equal(estimate_worker_slowdown(estimates, "w1", 0), 1000);
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 1000);
     for (int i = 0; i < 5; i++)
-        estimates_end_take(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data, which doubles the time */
+        estimates_record_run(estimates, job, 0, "w2", 6000, 200, 0); /* far from its data, which doubles the run time */
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", 0), 2000);
-    /* a short slowdown is soon forgotten; one that the worker has always had is not, within bounds */
+    /* a recent slowdown is forgotten after a short time; the long-term slowdown of a worker is not, within bounds */
     assert_int_equal(estimate_worker_slowdown(estimates, "w2", ESTIMATE_FRESH_MS + 1), ESTIMATE_SPEED_MOST);
     assert_int_equal(estimate_ms(estimates, job, 0), 1500);
     talloc_free(board.table);
 }
 
-/* What has missed its target is served in the end: the oldest of what is worth nothing any
- * more goes first among its like. */
+/* Jobs that have missed their targets are placed in the end: among those without any value, the oldest goes first. */
 static void oldest_of_the_worthless_first(void **state)
 {
     (void)state;
@@ -195,14 +195,14 @@
 
 static void add_for(Board *board, const char *id, const char *cell, const char *tenant, uint64_t count)
 {
-    StepSpec many = step("a", count, 0);
-    JobSpec spec = spec_of(id, &many, 1);
+    StepSpec single_step = step("a", count, 0);
+    JobSpec spec = spec_of(id, &single_step, 1);
     spec.cell = cell;
     spec.tenant = tenant;
     job_add(board, &spec, (JobTerms){.kind = ""});
 }
 
-/* Without targets: cells by their shares, tenants in turns, then who came first. */
+/* Without targets, work is ordered by the shares of cells, then by tenants in turn, then by acceptance. */
 static void cells_by_shares_tenants_in_turns(void **state)
 {
     (void)state;
@@ -213,14 +213,14 @@
     const char *text = "{\"cells\":{\"c\":{\"share\":2,\"tenants\":{\"t\":{},\"u\":{}},\"queues\":{}},"
                        "\"d\":{\"tenants\":{\"t\":{}},\"queues\":{}}}}";
     assert_string_equal(order_in(&board, text, 1000, 9), "abxabxabx");
-    /* what is in use already counts */
+    /* capacity that is already in use counts */
     const uint64_t four[] = {0, 1, 2, 3};
     place(&board, "a", four, 4, 1, "w1", "");
     assert_string_equal(order_in(&board, text, 1000, 6), "xxbbxb");
     talloc_free(board.table);
 }
 
-/* Guards against a tenant of small weight being given as much as one of large weight when capacity is short. */
+/* Guards against giving a tenant of small weight as much as one of large weight when capacity is short. */
 static void tenants_by_weight(void **state)
 {
     (void)state;
@@ -236,8 +236,8 @@
     talloc_free(board.table);
 }
 
-/* Guards against a tenant that has reached its quota being offered to the planner, task by task, or holding others up.
- */
+/* Guards against offering tasks to the planner one by one though their tenant has reached its quota, and against such a
+ * tenant delaying other ones. */
 static void over_quota_is_not_offered(void **state)
 {
     (void)state;
@@ -254,7 +254,7 @@
     talloc_free(board.table);
 }
 
-/* Guards against a step that is wider than its tenant's quota being taken for one that can be done at once. */
+/* Guards against treating a step that needs more than its tenant's quota as one that can run all at once. */
 static void quota_makes_waves(void **state)
 {
     (void)state;
@@ -263,7 +263,8 @@
     const JobSpec spec = spec_of("w", &wide, 1);
     job_add(&board, &spec, targets(2000, 1000, 0));
     add(&board, "n", 2000, targets(2000, 1000, 0));
-    /* at once: 3 s less 1 s of work is left to w, 5 s less 2 s to n; in four waves of its quota w has 9 s less 4 s */
+    /* all at once, w has 3 s less 1 s of work left, and n has 5 s less 2 s; in four waves within its quota, w has 9 s
+     * less 4 s */
     assert_string_equal(order_of(&board, 1000), "wwwwwwwwwwwwn");
     assert_string_equal(
         order_in(&board, "{\"cells\":{\"c\":{\"tenants\":{\"t\":{\"quota\":{\"cpu\":3,\"memMb\":0}}},\"queues\":{}}}}",
@@ -272,7 +273,7 @@
     talloc_free(board.table);
 }
 
-/* A step that finds no capacity is not tried again; the others are. */
+/* A step that finds no capacity is not tried again in the same ready queue; other steps are. */
 static void stuck_step_is_passed_by(void **state)
 {
     (void)state;
@@ -298,7 +299,8 @@
     talloc_free(board.table);
 }
 
-/* A gang is one: none of it while a member rests, what has finished is left out. */
+/* A gang is one candidate: it is not ready while a member is in its backoff, and members that have ended are left
+ * out. */
 static void gang_starts_as_one(void **state)
 {
     (void)state;
@@ -313,10 +315,10 @@
     for (uint64_t i = 0; i < 3; i++)
         say(&board, "g", i, 1, "w1", ATTEMPT_RUNNING, "");
     say(&board, "g", 1, 1, "w1", ATTEMPT_FAILED, "");
-    assert_string_equal(order_of(&board, 100000), ""); /* the others are still being stopped */
+    assert_string_equal(order_of(&board, 100000), ""); /* the other members are still being stopped */
     say(&board, "g", 0, 1, "w1", ATTEMPT_STOPPED, "");
     say(&board, "g", 2, 1, "w1", ATTEMPT_STOPPED, "");
-    assert_string_equal(order_of(&board, 1000), ""); /* the failed one rests */
+    assert_string_equal(order_of(&board, 1000), ""); /* the failed member is in its backoff */
     assert_string_equal(order_of(&board, 100000), "g");
     talloc_free(board.table);
 }
--- a/packages/scheduler/src/attempt_progress.c
+++ b/packages/scheduler/src/attempt_progress.c
@@ -91,7 +91,7 @@
     const double expected_percent =
         (double)span_ms * 10000.0 / ((double)estimate * (double)score_far_percent(scheduler, worker_row, step));
     if (expected_percent >= 4) /* a smaller expected progress is lost in the rounding to whole percents */
-        estimates_slowdown_take(
+        estimates_record_slowdown(
             scheduler->estimates, worker,
             (uint64_t)(expected_percent * 1000 / (percent > PERCENT_ROUNDING ? percent : PERCENT_ROUNDING)),
             loop_now_ms(scheduler->loop));
--- a/packages/scheduler/src/pass.c
+++ b/packages/scheduler/src/pass.c
@@ -100,8 +100,8 @@
     pass_workers_collect(pass);
     const Map *unconfirmed = unconfirmed_find(pass);
     pass->context = (QueueContext){.table = scheduler->table,
-                                   .no_targets = !feature_on(scheduler->bounds, FEATURE_TARGET_ORDER),
-                                   .no_priorities = !feature_on(scheduler->bounds, FEATURE_PRIORITY),
+                                   .without_targets = !feature_on(scheduler->bounds, FEATURE_TARGET_ORDER),
+                                   .without_priorities = !feature_on(scheduler->bounds, FEATURE_PRIORITY),
                                    .config = pass->config,
                                    .unconfirmed = unconfirmed,
                                    .config_stamp = stamp,
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -84,7 +84,8 @@
     const Job *job = running->job;
     const JobTask *task = &job->tasks[running->task];
     LatencyTarget target;
-    target_find(job, queue_due_ms(job, task->turn, pass->clock), pass->scheduler->estimates, (Resources){0}, &target);
+    target_compute(job, queue_due_ms(job, task->turn, pass->clock), pass->scheduler->estimates, (Resources){0},
+                   &target);
     const int64_t slack_ms = target_slack_ms(&target, task->step, pass->clock.log_ms);
     return target.span_ms > 0 && (double)slack_ms + (double)target.task_ms[task->step] >= running->left_ms;
 }
--- a/packages/scheduler/src/worker_score.c
+++ b/packages/scheduler/src/worker_score.c
@@ -148,8 +148,8 @@
     /* members of a gang, and tasks of a step that is slower across racks, also wait for other tasks */
     if (feature_on(scheduler->bounds, FEATURE_ESTIMATES) && worker != NULL && ran_ms > 0 && !step->gang &&
         !step->same_rack && !job->spec.lasting)
-        estimates_end_take(scheduler->estimates, job, task->step, update->worker, ran_ms,
-                           score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
+        estimates_record_run(scheduler->estimates, job, task->step, update->worker, ran_ms,
+                             score_far_percent(scheduler, worker, step), loop_now_ms(scheduler->loop));
 }
 
 void score_record_stall(Scheduler *scheduler, const char *worker, const Job *job)
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -231,7 +231,7 @@
 12000  .              end
 """),
     Guard("quota", "a tenant's work is held to its quota", "packages/queue/src/queue.c",
-          "return (note->quota.cpu_milli == 0 || use.cpu_milli <= note->quota.cpu_milli) &&", "return true || (note->quota.cpu_milli == 0 || use.cpu_milli <= note->quota.cpu_milli) &&",
+          "return (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&", "return true || (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&",
           "more of a tenant", "timeline", "varied", 2, WORKERS_KILLED),
     Guard("quota-unconfirmed", "what may still run counts though the table has it no more", "packages/scheduler/src/unconfirmed.c",
           "if (!worker_lease_ended(pass->scheduler, worker))", "if (false)",
