--- a/packages/sim/tool/pass.c
+++ b/packages/sim/tool/pass.c
@@ -1,8 +1,8 @@
-/* What one pass of the planner costs, by fleet size: processor time for each pass, and
- * for each start. Calm: some jobs have come, all find room. Crowded: the fleet is full
- * and many wait. Over quota: there is room, and one tenant, which has reached its quota, has many jobs
- * waiting. Then one fleet with 1, 4, 16 and 64 times the tasks, and the slope: the power of the number
- * of tasks that a pass costs, 0 where it does not depend on it.
+/* Measures the cost of one pass of the planner by fleet size: processor time for each pass, and for each start. Calm: a
+ * few jobs have arrived, and all of them find capacity. Crowded: the fleet is full, and many jobs wait. Over quota:
+ * there is capacity, and one tenant, which has reached its quota, has many jobs waiting. Then the same fleet with 1, 4,
+ * 16 and 64 times the tasks, and the slope: the exponent of the number of tasks in the cost of a pass, 0 where the cost
+ * does not depend on it.
  *
  *     spancart-pass-bench [ATTEMPTS] */
 #include <math.h>
@@ -11,13 +11,13 @@
 
 #include "scheduler_stand.h"
 
-#define WORKERS 74 /* count; of the larger sites */
-#define EACH 27    /* count; tasks on each */
+#define WORKERS 74    /* count; workers of the larger sites */
+#define TASKS_EACH 27 /* count; tasks on each worker */
 
-/* The fleet whose tasks grow: that of the largest site. */
+/* The fleet whose number of tasks grows: that of the largest site. */
 #define SLOPE_WORKERS 240
-#define SLOPE_EACH 7     /* count; tasks on each, at first; 64 times as many fit */
-#define SLOPE_WAITING 60 /* count; jobs that wait, at first */
+#define SLOPE_TASKS_EACH 7 /* count; tasks on each worker at first; 64 times as many fit */
+#define SLOPE_WAITING 60   /* count; waiting jobs at first */
 
 static double seconds(void)
 {
@@ -26,20 +26,20 @@
     return (double)at.tv_sec + (double)at.tv_nsec / 1e9;
 }
 
-/* A fleet, what runs on it, and what waits. */
+/* The load to measure: a fleet, what runs on it, and what waits. */
 typedef struct Load {
-    size_t workers, running, waiting; /* count; workers, tasks, jobs of 4 tasks each */
+    size_t workers, running, waiting; /* count: workers, tasks, and jobs of 4 tasks each */
 } Load;
 
-/* Returns the ms that a pass takes. */
+/* Prints and returns the time of a pass, in ms. */
 static double measure(Load load, int attempts)
 {
     void *mem = talloc_new(NULL);
     Stand *stand = stand_new(mem, load.workers);
-    const size_t waiting = load.waiting, each = load.running / load.workers;
+    const size_t waiting = load.waiting, tasks_each = load.running / load.workers;
     const bool crowded = waiting > 0;
     for (size_t i = 0; i < load.running / 9; i++)
-        job_add(stand, 9, (crowded ? STAND_CPU_MILLI : STAND_CPU_MILLI / 2) / each);
+        job_add(stand, 9, (crowded ? STAND_CPU_MILLI : STAND_CPU_MILLI / 2) / tasks_each);
     const size_t running = settle(stand);
     for (size_t i = 0; i < waiting; i++)
         job_add(stand, 4, 6000 + i % 7 * 1000);
@@ -49,12 +49,12 @@
         for (int k = 0; k < 2 && !crowded; k++)
             job_add(stand, 4, 100);
         const double start = seconds();
-        Pass *one = pass(stand);
+        Pass *run = pass(stand);
         passes += seconds() - start;
-        starts += one->places.placements_count;
-        if (one->places.placements_count > 0)
-            notify(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
-        talloc_free(one);
+        starts += run->places.placements_count;
+        if (run->places.placements_count > 0)
+            deliver_change(stand, CHANGE_PLACE, &PlaceList_shape, &run->places);
+        talloc_free(run);
     }
     printf("%5zu workers %6zu running %6zu wait: %8.3f ms a pass", load.workers, running, waiting,
            passes * 1000 / attempts);
@@ -65,7 +65,7 @@
     return passes * 1000 / attempts;
 }
 
-/* The power of the number of tasks that a pass costs, by least squares of the logarithms. */
+/* The exponent of the number of tasks in the cost of a pass, by least squares of the logarithms. */
 static double slope(const double *tasks, const double *cost, size_t count)
 {
     double sum_tasks = 0, sum_cost = 0, sum_squares = 0, sum_products = 0;
@@ -80,14 +80,14 @@
     return (sizes * sum_products - sum_tasks * sum_cost) / (sizes * sum_squares - sum_tasks * sum_tasks);
 }
 
-/* The same fleet with 1, 4, 16 and 64 times the tasks that run, and that wait. */
+/* Measures the same fleet with 1, 4, 16 and 64 times the running and waiting tasks. */
 static void measure_slopes(int attempts)
 {
     enum { STEPS = 4 };
     double tasks[STEPS], calm[STEPS], crowded[STEPS];
     for (size_t i = 0, times = 1; i < STEPS; i++, times *= 4) {
-        tasks[i] = (double)(SLOPE_WORKERS * SLOPE_EACH * times);
-        const Load load = {SLOPE_WORKERS, SLOPE_WORKERS * SLOPE_EACH * times, 0};
+        tasks[i] = (double)(SLOPE_WORKERS * SLOPE_TASKS_EACH * times);
+        const Load load = {SLOPE_WORKERS, SLOPE_WORKERS * SLOPE_TASKS_EACH * times, 0};
         calm[i] = measure(load, attempts);
         crowded[i] = measure((Load){load.workers, load.running, SLOPE_WAITING * times}, attempts);
     }
@@ -95,6 +95,7 @@
            slope(tasks, crowded, STEPS));
 }
 
+/* Prints the time of a pass while jobs of a tenant that has reached its quota wait. waiting: number of these jobs. */
 static void measure_over_quota(size_t waiting, int attempts)
 {
     void *mem = talloc_new(NULL);
@@ -114,7 +115,7 @@
 {
     const int attempts = argc > 1 ? atoi(argv[1]) : 200;
     for (size_t times = 1; times <= 16; times *= 4) {
-        const Load load = {WORKERS * times, WORKERS * times * EACH, 0};
+        const Load load = {WORKERS * times, WORKERS * times * TASKS_EACH, 0};
         measure(load, attempts);
         measure((Load){load.workers, load.running, 300 * times}, attempts);
     }
--- a/packages/sim/tool/scheduler_stand.h
+++ b/packages/sim/tool/scheduler_stand.h
@@ -1,8 +1,8 @@
 #ifndef SIM_TOOL_SCHEDULER_STAND_H
 #define SIM_TOOL_SCHEDULER_STAND_H
 
-/* A scheduler by itself, on a state table and a live set, for a controller that always leads: what one pass decides,
- * and what it costs, for fleets that are larger than the simulator plays. */
+/* A test fixture: a scheduler by itself, on a state table and a live set, with a controller that always leads. Shows
+ * what one pass decides and what it costs, for fleets that are larger than those the simulator runs. */
 #include <stdio.h>
 #include <string.h>
 #include <talloc.h>
@@ -10,9 +10,10 @@
 #include "planner.h"
 #include "sim/world.h"
 
-#define STAND_CPU_MILLI 64000 /* of a worker */
-#define STAND_EST_MS 3000     /* ms; what a task says that it takes */
+#define STAND_CPU_MILLI 64000 /* capacity of a worker */
+#define STAND_EST_MS 3000     /* ms; estimated run time of a task */
 
+/* A scheduler with all that it works on. index: of the last delivered change; jobs: number of jobs added. */
 typedef struct Stand {
     SimWorld *world;
     Loop *loop;
@@ -23,7 +24,8 @@
     uint64_t index, jobs;
 } Stand;
 
-static inline void notify(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
+/* Delivers a change to the state table. */
+static inline void deliver_change(Stand *stand, ChangeKind kind, const Shape *shape, const void *body)
 {
     void *mem = talloc_new(NULL);
     Record change = {.change = kind, .index = ++stand->index, .at_ms = loop_now_ms(stand->loop)};
@@ -34,19 +36,21 @@
     talloc_free(mem);
 }
 
-static inline const char *worker_name(void *mem, size_t at)
+static inline const char *worker_name(void *mem, size_t index)
 {
-    return talloc_asprintf(mem, "worker%05zu", at);
+    return talloc_asprintf(mem, "worker%05zu", index);
 }
 
-static inline void worker_heard(Stand *stand, const Worker *worker)
+/* Receives a heartbeat from the worker. */
+static inline void worker_heartbeat(Stand *stand, const Worker *worker)
 {
     const HeartbeatAsk heartbeat = {
         .agent = worker->name, .incarnation = 1, .number = 1, .worker = *worker, .worker_live = true, .settled = true};
-    bool counts;
-    liveset_heartbeat(stand->liveset, &heartbeat, loop_now_ms(stand->loop), 60000, &counts);
+    bool list_counts;
+    liveset_heartbeat(stand->liveset, &heartbeat, loop_now_ms(stand->loop), 60000, &list_counts);
 }
 
+/* Adds count workers with that much CPU each, in 3 zones and racks of 6. */
 static inline void workers_add(Stand *stand, size_t count, uint64_t cpu_milli)
 {
     void *mem = talloc_new(NULL);
@@ -56,22 +60,22 @@
                                .rack = talloc_asprintf(mem, "rack%zu", i / 6),
                                .kind = "std",
                                .resources = {cpu_milli, 262144, 0}};
-        notify(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
-        worker_heard(stand, &worker);
+        deliver_change(stand, CHANGE_WORKER_SET, &Worker_shape, &worker);
+        worker_heartbeat(stand, &worker);
     }
     talloc_free(mem);
 }
 
-/* All workers are heard of again. */
+/* Receives another heartbeat from each of the first count workers. */
 static inline void workers_heard(Stand *stand, size_t count)
 {
     void *mem = talloc_new(NULL);
     for (size_t i = 0; i < count; i++)
-        worker_heard(stand, table_worker(stand->table, worker_name(mem, i)));
+        worker_heartbeat(stand, table_worker(stand->table, worker_name(mem, i)));
     talloc_free(mem);
 }
 
-/* Adds a job of the tenant, of that one step. */
+/* Adds a job of the tenant with only that step. */
 static inline void job_of_tenant(Stand *stand, const char *tenant, StepSpec step)
 {
     char id[32];
@@ -87,48 +91,51 @@
                          .steps = &step,
                          .steps_count = 1},
                         {.stretch_milli = 2000, .target_ms = 2000, .kind = "std"}};
-    notify(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
+    deliver_change(stand, CHANGE_JOB_ADD, &JobAdd_shape, &add);
 }
 
+/* Adds a job of the default tenant with only that step. */
 static inline void job_of_step(Stand *stand, StepSpec step)
 {
     job_of_tenant(stand, "all", step);
 }
 
+/* Adds a job of one step with that many tasks. */
 static inline void job_add(Stand *stand, uint64_t tasks, uint64_t cpu_milli)
 {
     job_of_step(stand, (StepSpec){.count = tasks, .resources = {cpu_milli, 512, 0}});
 }
 
+/* Runs a pass up to its placements, which are not delivered. The caller frees it. */
 static inline Pass *pass(Stand *stand)
 {
-    Pass *one = pass_new(stand->scheduler, stand->scheduler);
-    pass_place_candidates(one);
-    return one;
+    Pass *run = pass_new(stand->scheduler, stand->scheduler);
+    pass_place_candidates(run);
+    return run;
 }
 
-/* Places all that can be. */
+/* Runs passes and delivers their placements until nothing more is placed; returns the number of placed tasks. */
 static inline size_t settle(Stand *stand)
 {
     size_t placed = 0, more = 1;
     while (more > 0) {
-        Pass *one = pass(stand);
-        more = one->places.placements_count;
+        Pass *run = pass(stand);
+        more = run->places.placements_count;
         placed += more;
         if (more > 0)
-            notify(stand, CHANGE_PLACE, &PlaceList_shape, &one->places);
-        talloc_free(one);
+            deliver_change(stand, CHANGE_PLACE, &PlaceList_shape, &run->places);
+        talloc_free(run);
     }
     return placed;
 }
 
-static inline void started(void *arg, Loop *loop)
+static inline void loop_started(void *arg, Loop *loop)
 {
     *(Loop **)arg = loop;
 }
 
-/* The scheduler's view of a controller that always leads. No pass here orders a change. */
-static inline bool always(void *arg)
+/* The functions of SchedulerLeader, of a controller that always leads. The passes here submit no change. */
+static inline bool always_true(void *arg)
 {
     (void)arg;
     return true;
@@ -167,8 +174,8 @@
     return 0;
 }
 
-static inline Status order(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body,
-                           ChangeResult *result)
+static inline Status submit_refuse(void *arg, void *mem, ChangeKind kind, const Shape *shape, const void *body,
+                                   ChangeResult *result)
 {
     (void)arg;
     (void)mem;
@@ -179,7 +186,7 @@
     return STATUS_NOT_LEADER;
 }
 
-static inline Scheduler *scheduler_of(Stand *stand, const Bounds *bounds)
+static inline Scheduler *scheduler_create(Stand *stand, const Bounds *bounds)
 {
     return scheduler_new(stand, &(SchedulerSettings){.loop = stand->loop,
                                                      .recorder = recorder_new(stand, "bench"),
@@ -188,17 +195,17 @@
                                                      .orphans = orphans_new(stand),
                                                      .bounds = bounds,
                                                      .leader = {.arg = stand,
-                                                                .leads = always,
-                                                                .decides = always,
+                                                                .leads = always_true,
+                                                                .decides = always_true,
                                                                 .won_ms = won_ms,
                                                                 .clock = clock_now,
                                                                 .config = config,
                                                                 .policy = policy,
                                                                 .policy_failures = policy_failures,
-                                                                .submit = order}});
+                                                                .submit = submit_refuse}});
 }
 
-/* At one leader's place: count workers of 64 cores, nothing running. On mem. */
+/* A fixture owned by mem: count workers of 64 cores with nothing running. */
 static inline Stand *stand_new(void *mem, size_t count)
 {
     static const char CONFIG[] =
@@ -209,13 +216,13 @@
     Faults *faults = talloc_zero(stand, Faults);
     *bounds = bounds_first();
     faults->mem = stand;
-    sim_start(stand->world, sim_machine(stand->world), started, &stand->loop);
+    sim_start(stand->world, sim_machine(stand->world), loop_started, &stand->loop);
     stand->table = table_new(stand);
     stand->liveset = liveset_new(stand);
     stand->config = config_read(stand, CONFIG, strlen(CONFIG), 1, faults);
-    stand->scheduler = scheduler_of(stand, bounds);
+    stand->scheduler = scheduler_create(stand, bounds);
     const ConfigSet set = {.version = 1, .text = CONFIG};
-    notify(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
+    deliver_change(stand, CHANGE_CONFIG_SET, &ConfigSet_shape, &set);
     workers_add(stand, count, STAND_CPU_MILLI);
     return stand;
 }
