--- a/packages/scheduler/include/scheduler/attempt_progress.h
+++ b/packages/scheduler/include/scheduler/attempt_progress.h
@@ -26,7 +26,8 @@
 /* Records a report of an attempt's progress, and the sample of the worker's slowdown that follows from it
  * (queue/estimate.h). */
 void progress_take(Scheduler *scheduler, const char *worker, const AttemptSaved *report);
-/* The progress of that attempt; null: it has reported none. */
+/* Whether the absence of progress in reports means that an attempt is stalled. False until PACE_CREDIT reports have
+ * shown progress, since some kinds of workers never report any. */
 const AttemptProgress *progress_find(const ProgressTable *progress_table, const char *job, uint64_t task,
                                      uint64_t attempt);
 /* Whether the absence of progress in reports means that an attempt is stalled: some kinds of workers never report any
--- a/packages/scheduler/include/scheduler/scheduler.h
+++ b/packages/scheduler/include/scheduler/scheduler.h
@@ -9,7 +9,7 @@
 #include "queue/ready_queue.h"
 
 /* The leader's scheduler: decides which task runs on which worker, which workers are lost, and which attempts are
- * preempted, moved or restarted on other workers, and ensures that the r-loss plan holds (after r losses of workers, or
+ * preempted, moved or restarted on other workers, and keeps the r-loss plan possible (after r losses of workers, or
  * the loss of one zone or rack, there is capacity to restart all protected work).
  *
  * Used by the controller, on every node: each node has a scheduler, and only the leader's scheduler decides anything.
--- a/packages/scheduler/src/assurance.c
+++ b/packages/scheduler/src/assurance.c
@@ -37,8 +37,7 @@
         for (size_t t = 0; t < count; t++) {
             const Job *job = tasks_on[t].job;
             const JobTask *task = &job->tasks[tasks_on[t].task];
-            /* where the configuration names no loss to survive, the check covers all protected tasks, and is for the
-             * status page only */
+            /* where the configuration names no loss, the check covers all protected tasks and is only shown */
             const bool counts = pass->plan_required ? task->assured : job->spec.protection == PROTECTION_PROTECTED;
             if (!counts || task->phase == TASK_STOPPING)
                 continue;
--- a/packages/scheduler/src/attempt_progress.c
+++ b/packages/scheduler/src/attempt_progress.c
@@ -38,6 +38,7 @@
     return progress_table->reports_of_progress >= PACE_CREDIT;
 }
 
+/* The key of a task in attempts, written to key. */
 static const char *progress_key(char key[PROGRESS_KEY_BYTES], const char *job, uint64_t task)
 {
     snprintf(key, PROGRESS_KEY_BYTES, "%" PRIu64 " %s", task, job);
--- a/packages/scheduler/src/capacity_forecast.c
+++ b/packages/scheduler/src/capacity_forecast.c
@@ -35,14 +35,14 @@
 }
 
 /* The expected end of an attempt, and the capacity that it then frees. */
-typedef struct End {
+typedef struct ExpectedEnd {
     int64_t left_ms;
     Resources resources;
-} End;
+} ExpectedEnd;
 
-static int end_order(const void *a, const void *b)
+static int expected_end_order(const void *a, const void *b)
 {
-    const End *one = a, *other = b;
+    const ExpectedEnd *one = a, *other = b;
     return one->left_ms < other->left_ms ? -1 : one->left_ms > other->left_ms;
 }
 
@@ -55,12 +55,13 @@
         return INT64_MAX;
     const TaskOn *on;
     const size_t count = table_tasks_on(pass->scheduler->table, pass->input.workers[worker].name, &on);
-    End *ends = talloc_array(pass->mem, End, (unsigned)count);
+    ExpectedEnd *ends = talloc_array(pass->mem, ExpectedEnd, (unsigned)count);
     for (size_t i = 0; i < count; i++) {
         const JobTask *task = &on[i].job->tasks[on[i].task];
-        ends[i] = (End){forecast_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].resources};
+        ends[i] =
+            (ExpectedEnd){forecast_left_ms(pass, on[i].job, task, worker), on[i].job->spec.steps[task->step].resources};
     }
-    qsort(ends, count, sizeof(*ends), end_order);
+    qsort(ends, count, sizeof(*ends), expected_end_order);
     int64_t left_ms = INT64_MAX;
     for (size_t i = 0; i < count && left_ms == INT64_MAX && ends[i].left_ms < INT64_MAX; i++) {
         free = resources_more(free, ends[i].resources);
--- a/packages/scheduler/src/checkpoint.c
+++ b/packages/scheduler/src/checkpoint.c
@@ -18,6 +18,7 @@
     const char *text;
 } Checkpoint;
 
+/* The key of a task in the map of checkpoints, written to key. */
 static const char *checkpoint_key(char key[CHECKPOINT_KEY_BYTES], const char *job, uint64_t task)
 {
     snprintf(key, CHECKPOINT_KEY_BYTES, "%" PRIu64 " %s", task, job);
--- a/packages/scheduler/src/placement.c
+++ b/packages/scheduler/src/placement.c
@@ -93,7 +93,7 @@
 /* Whether the r-loss plan still holds with the candidate on these workers. */
 static bool plan_includes(Pass *pass, const Candidate *candidate, const PlanNeed *need, const int *where)
 {
-    /* the configuration names no loss: use the result of the last check, which was made for the status page */
+    /* the configuration names no loss: use the result of the last check, which was made for the status */
     if (!pass->plan_required)
         return pass->scheduler->plan.possible;
     if (pass->checks >= pass->checks_max)
@@ -107,6 +107,7 @@
     return survives;
 }
 
+/* Adds the starts of all tasks of the candidate to the pass, on the workers with these indices. */
 static void starts_add(Pass *pass, const Candidate *candidate, const int *where, bool assured)
 {
     uint64_t attempt = 0;
@@ -139,6 +140,7 @@
     return false;
 }
 
+/* Remembers that the need found no worker, unless another reason than its capacity may be the cause. */
 static void unmet_add(Pass *pass, const Candidate *candidate, const StepSpec *step, const PlanNeed *need, bool reserved)
 {
     /* a need with constraints besides its capacity may fail where a larger need finds a worker */
--- a/packages/scheduler/src/planner.c
+++ b/packages/scheduler/src/planner.c
@@ -16,15 +16,14 @@
 
 #define PLAN_CHECKS_MAX 200 /* count; most checks of the r-loss plan in one pass */
 #define PLAN_CHECKS_MIN 4   /* count; checks that are always allowed in a pass */
-#define PLAN_WORK_MAX                                                                                                \
-    4000000 /* count; tasks and workers examined for plans in one pass: about 50 ms, a tenth of a heartbeat interval \
-             */
+/* count; tasks and workers examined for plans in one pass: about 50 ms, a tenth of a heartbeat interval */
+#define PLAN_WORK_MAX 4000000
 #define PASS_GAP_MS 5 /* ms; pause between two passes, so that changes that arrive together are handled by one pass */
 #define PASS_GAP_MAX_MS 40  /* ms; longest pause, for large sites and long queues, where a pass takes longer */
 #define PASS_GAP_ENTRIES 64 /* count; number of workers and queued steps that lengthens the pause by 1 ms */
 
-/* Checks whether the r-loss plan holds now. Where the configuration names no loss, the result is for the status page
- * only, and an occasional check is enough. */
+/* Checks whether the r-loss plan holds now. Where the configuration names no loss, the result is only shown in the
+ * status, and an occasional check is enough. */
 static void plan_check(Pass *pass)
 {
     Scheduler *scheduler = pass->scheduler;
@@ -46,8 +45,8 @@
     snprintf(scheduler->plan.broken_by, sizeof(scheduler->plan.broken_by), "%s", broken.name);
 }
 
-/* Records the first failure of a policy. */
-static void policy_failure_record(Scheduler *scheduler)
+/* Logs when policies begin to fail. */
+static void policy_failures_log(Scheduler *scheduler)
 {
     const char *failure_text;
     const uint64_t failures = scheduler->leader.policy_failures(scheduler->leader.arg, &failure_text);
@@ -60,7 +59,7 @@
 void pass_place_candidates(Pass *pass)
 {
     pass->ready_queue = ready_queue_new(pass->mem, pass->scheduler->queue, &pass->context);
-    policy_failure_record(pass->scheduler);
+    policy_failures_log(pass->scheduler);
     reservation_begin(pass);
     const Candidate *candidate;
     while (pass->places.placements_count < PLACE_BATCH && (candidate = ready_queue_next(pass->ready_queue)) != NULL)
@@ -84,7 +83,7 @@
  * decide without a new event, in ms of this node's steady clock. */
 static bool pass_run(Scheduler *scheduler, int64_t *next_ms)
 {
-    uint64_t seen = scheduler->changes;
+    uint64_t changes_seen = scheduler->changes;
     Pass *pass = pass_new(scheduler, scheduler);
     scheduler->counts.passes++;
     *next_ms = loop_now_ms(scheduler->loop) + PLACE_TICK_MS;
@@ -102,7 +101,7 @@
     if (pass->places.placements_count > 0) {
         if (scheduler_submit(scheduler, pass, CHANGE_PLACE, &PlaceList_shape, &pass->places, &result) == STATUS_OK)
             scheduler->counts.placed += result.number;
-        seen++; /* the change that this pass submitted is no reason for another pass */
+        changes_seen++; /* the change that this pass submitted is no reason for another pass */
     }
     if (pass->to_preempt.attempts_count > 0 && scheduler_decides(scheduler)) {
         if (scheduler_submit(scheduler, pass, CHANGE_STOP, &StopList_shape, &pass->to_preempt, &result) == STATUS_OK)
@@ -112,7 +111,7 @@
             assure_running_tasks(pass);
     }
     talloc_free(pass);
-    return more || scheduler->changes > seen;
+    return more || scheduler->changes > changes_seen;
 }
 
 /* Waits. Handles lost and silent workers, also before place_from_ms; after that time, also incomplete gangs. */
--- a/packages/scheduler/src/preemptible_capacity.c
+++ b/packages/scheduler/src/preemptible_capacity.c
@@ -20,6 +20,7 @@
     bool complete; /* every queue with protected tasks on workers has a representative */
 } Representatives;
 
+/* Finds the representatives (out) of a cell. */
 static void representatives_find(const Scheduler *scheduler, const char *cell, Representatives *representatives)
 {
     Job *const *jobs;
@@ -66,9 +67,9 @@
     const PolicyContext victim_context = queue_policy_context(queue, &pass->context, job, task);
     bool all = true;
     for (size_t i = 0; i < representatives->count && all; i++, (*calls)++) {
-        const PolicyContext own_context =
+        const PolicyContext representative_context =
             queue_policy_context(queue, &pass->context, representatives->jobs[i], representatives->tasks[i]);
-        all = policy->may_preempt(policy->arg, &own_context, &victim_context);
+        all = policy->may_preempt(policy->arg, &representative_context, &victim_context);
     }
     return all;
 }
--- a/packages/scheduler/src/preemption.c
+++ b/packages/scheduler/src/preemption.c
@@ -12,7 +12,7 @@
 typedef struct Victims {
     AttemptId attempts[PREEMPT_TASKS_MAX];
     size_t count;
-    size_t asked; /* tasks that the policy was asked about */
+    size_t checked; /* tasks that the policy was called for */
 } Victims;
 
 /* The worker's free capacity once everything that is being stopped there has stopped. */
@@ -30,18 +30,18 @@
 }
 
 /* Adds attempts of the job on the worker that the candidate may preempt, until free (in, out) is enough. */
-static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *own_context, const Job *job,
+static void victims_add(Pass *pass, const Policy *policy, const PolicyContext *candidate_context, const Job *job,
                         const char *worker, Resources need, Resources *free, Victims *victims)
 {
-    for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->asked < PREEMPT_TASKS_MAX;
+    for (size_t t = 0; t < job->tasks_count && !resources_fits(need, *free) && victims->checked < PREEMPT_TASKS_MAX;
          t++) {
         const JobTask *task = &job->tasks[t];
         if (task->phase != TASK_RUNNING || strcmp(task->worker, worker) != 0)
             continue;
         const PolicyContext victim_context = queue_policy_context(pass->scheduler->queue, &pass->context, job, t);
-        victims->asked++;
+        victims->checked++;
         pass->preempt_calls++;
-        if (!policy->may_preempt(policy->arg, own_context, &victim_context))
+        if (!policy->may_preempt(policy->arg, candidate_context, &victim_context))
             continue;
         victims->attempts[victims->count++] =
             (AttemptId){talloc_strdup(pass->mem, job->spec.id), task_number(task), task->attempt};
@@ -50,26 +50,27 @@
 }
 
 /* Searches one worker, the newest jobs first; false: not enough capacity can be preempted there. */
-static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy, const PolicyContext *own_context,
-                         const char *worker, Resources need, Resources free, Victims *victims)
+static bool victims_find(Pass *pass, const Candidate *candidate, const Policy *policy,
+                         const PolicyContext *candidate_context, const char *worker, Resources need, Resources free,
+                         Victims *victims)
 {
     Job *const *jobs;
     *victims = (Victims){.count = 0};
     for (size_t j = table_active(pass->scheduler->table, &jobs);
-         j > 0 && !resources_fits(need, free) && victims->asked < PREEMPT_TASKS_MAX; j--) {
+         j > 0 && !resources_fits(need, free) && victims->checked < PREEMPT_TASKS_MAX; j--) {
         const Job *job = jobs[j - 1];
         if (strcmp(job->spec.cell, candidate->job->spec.cell) == 0 && job != candidate->job)
-            victims_add(pass, policy, own_context, job, worker, need, &free, victims);
+            victims_add(pass, policy, candidate_context, job, worker, need, &free, victims);
     }
     return resources_fits(need, free);
 }
 
-/* Preempts on the first worker where enough capacity can be freed. Nothing is preempted while stops in progress will
- * free enough on a worker that is looked at before one is found. */
+/* Preempts on the first worker, by index, where enough capacity can be freed. Nothing is preempted if stops in progress
+ * will free enough on a worker before it. */
 static void preempt_by_policy(Pass *pass, const Candidate *candidate, const Policy *policy)
 {
     const PlanNeed need = pass_need(candidate->job, candidate->job->tasks[candidate->first].step);
-    const PolicyContext own_context =
+    const PolicyContext candidate_context =
         queue_policy_context(pass->scheduler->queue, &pass->context, candidate->job, candidate->first);
     for (size_t w = 0; w < pass->input.worker_count; w++) {
         const PlanWorker *worker = &pass->input.workers[w];
@@ -79,7 +80,7 @@
         if (resources_fits(need.resources, free))
             return;
         Victims victims;
-        if (!victims_find(pass, candidate, policy, &own_context, worker->name, need.resources, free, &victims))
+        if (!victims_find(pass, candidate, policy, &candidate_context, worker->name, need.resources, free, &victims))
             continue;
         pass->to_preempt.attempts = talloc_memdup(pass->mem, victims.attempts, victims.count * sizeof(AttemptId));
         pass->to_preempt.attempts_count = victims.count;
--- a/packages/scheduler/src/reservation.c
+++ b/packages/scheduler/src/reservation.c
@@ -31,6 +31,7 @@
     return strcmp(reservation->job, candidate->job->spec.id) == 0 && reservation->task == candidate->first;
 }
 
+/* The number of workers reserved in all cells. */
 static size_t reservation_workers(const Scheduler *scheduler, void *mem)
 {
     const char **cells;
@@ -41,6 +42,7 @@
     return workers;
 }
 
+/* Drops the reservation of the cell. why: for the log line. */
 static void reservation_drop(Scheduler *scheduler, const char *cell, const char *why)
 {
     Reservation *reservation = map_get(scheduler->reservations, cell);
--- a/packages/scheduler/src/slow_attempt.c
+++ b/packages/scheduler/src/slow_attempt.c
@@ -25,6 +25,7 @@
     double done_share; /* share of its work that another attempt need not repeat */
 } RunningAttempt;
 
+/* Whether the attempt has made no progress for too long, by its reports. */
 static bool is_stalled(const Pass *pass, const AttemptProgress *progress, const RunningAttempt *running,
                        const StepSpec *step)
 {
--- a/packages/scheduler/src/unconfirmed.c
+++ b/packages/scheduler/src/unconfirmed.c
@@ -34,8 +34,7 @@
 }
 
 /* Whether an attempt of the task other than the one in the table, or one that the table no longer has, may run on a
- * worker that has not contacted this leader. since_ms: log time; when the oldest lease that may still run was granted.
- */
+ * worker that has not contacted this leader. since_ms: log time; start of the oldest lease that may still run. */
 static bool may_be_orphaned(const Job *job, const JobTask *task, int64_t since_ms)
 {
     const StepSpec *step = &job->spec.steps[task->step];
--- a/packages/scheduler/src/worker_choice.c
+++ b/packages/scheduler/src/worker_choice.c
@@ -5,8 +5,8 @@
  * their job has a latency target, and, with all else equal, away from other tasks of the step.
  *
  * The tasks of a step with a latency target are placed together because such a job is in time only when its last task
- * is: of n workers of which f are cut off or slow, a step on k of them is delayed with a probability of about 1 - (1 -
- * f/n)^k. Each lasting task has its value independently of the others. */
+ * is: of n workers of which f are cut off or slow, a step on k of them is delayed with a probability of about
+ * 1 - (1 - f/n)^k. Each lasting task has its value independently of the others. */
 #include "worker_choice.h"
 
 #include <string.h>
@@ -14,7 +14,7 @@
 
 #include "settings/features.h"
 
-#define WHOLE 1000 /* thousandths; the whole */
+#define TIME_UNIT 1000 /* thousandths; the run time on a healthy worker near the data */
 
 void spread_add(Pass *pass, size_t at, int by)
 {
@@ -63,6 +63,7 @@
             spread_add(pass, pass->starts[i].worker, 1);
 }
 
+/* Whether the worker meets all constraints. */
 static bool allowed(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded, size_t at)
 {
     return !excluded[at] && (step->apart == 0 || (uint64_t)pass->spread.on_worker[at] < step->apart) &&
@@ -107,8 +108,8 @@
 {
     const PlanWorker *worker = &pass->input.workers[at];
     const int64_t left = (int64_t)plan_free_share(worker, pass->largest);
-    const int64_t time_share = (int64_t)(pass->slowdowns[at] * choose_time_percent(pass, step, at) / 100) - WHOLE;
-    int64_t preference = left - (int64_t)worker->penalty - time_share * CHOOSE_TIME;
+    const int64_t extra_time = (int64_t)(pass->slowdowns[at] * choose_time_percent(pass, step, at) / 100) - TIME_UNIT;
+    int64_t preference = left - (int64_t)worker->penalty - extra_time * CHOOSE_TIME;
     if (need->resources.gpu == 0 && worker->resources.gpu > 0)
         preference -= CHOOSE_GPU;
     if (pass->spread.on_worker[at] > 0 && prefers_together(pass, pass->spread.job))
@@ -116,6 +117,8 @@
     return preference;
 }
 
+/* The index of the allowed worker with the highest preference, on the given rack unless that is null; -1: none. Of
+ * equals, the one with fewer other tasks of the step nearby, then the first by name. */
 static int best_worker(const Pass *pass, const StepSpec *step, const PlanNeed *need, const bool *excluded,
                        const char *rack)
 {
--- a/packages/scheduler/src/zone_move.c
+++ b/packages/scheduler/src/zone_move.c
@@ -8,6 +8,7 @@
 
 #include "assurance.h"
 
+/* Whether any zone is drained with moves. */
 static bool any_zone_moves(const Pass *pass)
 {
     const char **zones;
@@ -53,6 +54,7 @@
     return false;
 }
 
+/* Whether an attempt on the worker is being stopped. */
 static bool any_stopping(const Pass *pass, const char *worker)
 {
     const TaskOn *on;
