--- a/packages/api/src/job_admission.c
+++ b/packages/api/src/job_admission.c
@@ -32,7 +32,7 @@
                                    .labels = workers[w]->labels,
                                    .label_count = workers[w]->labels_count,
                                    .free = workers[w]->resources};
-        chance.able |= plan_able(&worker, &need);
+        chance.able |= plan_meets_constraints(&worker, &need);
         if (!plan_fits(&worker, &need))
             continue;
         chance.fits = true;
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -136,8 +136,8 @@
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const AttemptSaved *saved = &heartbeat->saved[i];
-        checkpoint_take(controller->scheduler, saved);
-        progress_take(controller->scheduler, heartbeat->worker.name, saved);
+        checkpoint_record(controller->scheduler, saved);
+        progress_record(controller->scheduler, heartbeat->worker.name, saved);
         if (!run_unknown(controller, heartbeat->worker.name, saved))
             continue;
         const AttemptUpdate update = {.job = saved->job,
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -104,7 +104,7 @@
         if (!workers[i]->excluded && (lapsed || silent) && !(row != NULL && row->leaving))
             alert_seen_with(controller, ALERT_WORKER_LOST, workers[i]->name,
                             lapsed ? alert_todo(ALERT_WORKER_LOST) : WORKER_SILENT_TODO);
-        if (score_rests(controller->scheduler, workers[i]->name))
+        if (score_ejected(controller->scheduler, workers[i]->name))
             alert_seen(controller, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -62,7 +62,7 @@
 
 static void attempts_take(Controller *controller, const AttemptList *attempts)
 {
-    score_take(controller->scheduler, attempts);
+    score_record_ends(controller->scheduler, attempts);
     for (size_t i = 0; i < attempts->updates_count; i++) {
         const AttemptUpdate *update = &attempts->updates[i];
         const AttemptSaved saved = {
@@ -70,7 +70,7 @@
         if (update->word == ATTEMPT_RUNNING)
             continue; /* heartbeats have brought its checkpoint, and perhaps a newer one */
         if (replication_leased(controller->replication))
-            checkpoint_take(controller->scheduler, &saved);
+            checkpoint_record(controller->scheduler, &saved);
         orphans_end(controller->orphans, update);
     }
 }
--- a/packages/controller/src/status.c
+++ b/packages/controller/src/status.c
@@ -101,12 +101,12 @@
         json_object_object_add(one, "ready", json_object_new_boolean(live_row_ready(rows[i], now_ms)));
         json_object_object_add(one, "leaving", json_object_new_boolean(rows[i]->leaving));
         json_object_object_add(one, "excluded", json_object_new_boolean(worker != NULL && worker->excluded));
-        const Score *score = score_find(controller->scheduler, rows[i]->name);
+        const WorkerScore *score = score_find(controller->scheduler, rows[i]->name);
         if (score != NULL) {
             json_object_object_add(one, "failurePercent",
                                    number_of((int64_t)score_rate(controller->scheduler, rows[i]->name)));
             json_object_object_add(one, "restLeftMs",
-                                   number_of(score->rest_until_ms > now_ms ? score->rest_until_ms - now_ms : 0));
+                                   number_of(score->ejected_until_ms > now_ms ? score->ejected_until_ms - now_ms : 0));
         }
         json_object_object_add(one, "holdLeftMs",
                                number_of(rows[i]->until_ms > now_ms ? rows[i]->until_ms - now_ms : 0));
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -131,7 +131,7 @@
 {
     const ConfigPolicy *policy =
         cell != NULL && cell->policy[0] != '\0' ? config_policy(in_force->config, cell->policy) : NULL;
-    return policy != NULL && policy->lua != NULL ? lua_policy(policy->lua) : policy_plain();
+    return policy != NULL && policy->lua != NULL ? lua_policy(policy->lua) : policy_builtin();
 }
 
 uint64_t in_force_policy_failures(const InForce *in_force, const char **last)
--- a/packages/policy/src/plain.c
+++ b/packages/policy/src/builtin.c
@@ -1,4 +1,4 @@
-/* The built-in policy. */
+/* The built-in policy, by priorities only. */
 #include "policy/policy.h"
 
 static double plain_rank(void *arg, const PolicyContext *task)
@@ -15,7 +15,7 @@
     return false;
 }
 
-const Policy *policy_plain(void)
+const Policy *policy_builtin(void)
 {
     static const Policy PLAIN = {"plain", NULL, plain_rank, plain_may_preempt};
     return &PLAIN;
--- a/scripts/guards.py
+++ b/scripts/guards.py
@@ -231,13 +231,13 @@
 12000  .              end
 """),
     Guard("quota", "a tenant's work is held to its quota", "packages/queue/src/queue.c",
-          "return (note->quota.cpu_milli == 0 || use.cpu_milli <= note->quota.cpu_milli) &&", "return true || (note->quota.cpu_milli == 0 || use.cpu_milli <= note->quota.cpu_milli) &&",
+          "return (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&", "return true || (cached->quota.cpu_milli == 0 || use.cpu_milli <= cached->quota.cpu_milli) &&",
           "more of a tenant", "timeline", "varied", 2, WORKERS_KILLED),
     Guard("quota-unconfirmed", "what may still run counts though the table has it no more", "packages/scheduler/src/unconfirmed.c",
           "if (!worker_lease_ended(pass->scheduler, worker))", "if (false)",
           "copies_count_beside_what_they_replace|gang_members_count", "test", "quota"),
     Guard("quota-inherited", "a new leader counts what may run on workers it has not heard", "packages/scheduler/src/unconfirmed.c",
-          "if (now_ms > until_ms || all_listed(pass))", "if (all_listed(pass) || now_ms <= until_ms)",
+          "if (now_ms > until_ms || all_workers_listed(pass))", "if (all_workers_listed(pass) || now_ms <= until_ms)",
           "count_for_a_new_leader", "test", "quota"),
     Guard("quota-removed", "a tenant that was taken out keeps its quota", "packages/queue/src/queue.c",
           "tenant != NULL ? tenant->quota : job->terms.quota", "tenant != NULL ? tenant->quota : (Resources){0}",
@@ -249,7 +249,7 @@
           "        if (!has)\n            return false;", "        (void)has;",
           "packed beyond its room or given what it lacks", "timeline", "varied", 2, MACHINE_OFF),
     Guard("room", "a task goes only where its room is free", "packages/plan/src/plan.c",
-          "return resources_fits(need->resources, worker->free) && plan_able(worker, need);", "return plan_able(worker, need);",
+          "return resources_fits(need->resources, worker->free) && plan_meets_constraints(worker, need);", "return plan_meets_constraints(worker, need);",
           "packed beyond its room", "timeline", "varied", 2, """
 ms     callers
 0      call:60
@@ -279,7 +279,7 @@
           "            attempt->phase = PHASE_STOPPING;\n        signal_raise", "            (void)attempt;\n        signal_raise",
           "running on after", "timeline", "trentvale", 3, CANCELLED),
     Guard("gang-whole", "a gang is placed whole or not at all", "packages/scheduler/src/placement.c",
-          "            take_back(pass, step, where, i);\n            return false;",
+          "            capacity_return(pass, step, where, i);\n            return false;",
           "            ((Candidate *)(uintptr_t)candidate)->count = i;\n            return i > 0;",
           "left waiting alone", "timeline", "varied", 4, """
 ms     worker1  worker2  worker3  worker4  worker5  worker6  worker7  worker8  callers
