--- a/packages/callers/src/repair_copy.c
+++ b/packages/callers/src/repair_copy.c
@@ -13,8 +13,8 @@
 
 /* Who may keep the copies of one request, and in which zones there are some. */
 typedef struct CopyPlan {
-    RepairTaker *takers;
-    size_t taker_count;
+    RepairTarget *targets;
+    size_t target_count;
     bool *asked; /* by taker: it keeps a copy, or has not answered */
     const char *zones[REPAIR_COPIES];
     size_t copy_count;
@@ -39,15 +39,15 @@
 static CopyPlan plan_begin(const CallerService *callers, void *mem, const char *carrier)
 {
     CopyPlan plan = {0};
-    plan.taker_count = repair_takers(mem, callers->members, loop_now_ms(callers->loop), &plan.takers);
-    plan.asked = talloc_zero_array(mem, bool, (unsigned)plan.taker_count + 1);
+    plan.target_count = repair_targets(mem, callers->members, loop_now_ms(callers->loop), &plan.targets);
+    plan.asked = talloc_zero_array(mem, bool, (unsigned)plan.target_count + 1);
     if (carrier[0] == '\0')
         return plan;
     plan.zones[plan.copy_count++] = ""; /* it may not be known here yet */
-    for (size_t i = 0; i < plan.taker_count; i++)
-        if (strcmp(plan.takers[i].id, carrier) == 0) {
+    for (size_t i = 0; i < plan.target_count; i++)
+        if (strcmp(plan.targets[i].id, carrier) == 0) {
             plan.asked[i] = true;
-            plan.zones[0] = plan.takers[i].zone;
+            plan.zones[0] = plan.targets[i].zone;
         }
     return plan;
 }
@@ -62,13 +62,13 @@
 
 /* The taker to ask next, from the first on and round the list: one of a zone without a copy, else any; NONE: all have
  * been asked. */
-static size_t taker_next(const CopyPlan *plan, size_t first)
+static size_t target_next(const CopyPlan *plan, size_t first)
 {
     for (int anywhere = 0; anywhere < 2; anywhere++)
-        for (size_t i = 0; i < plan->taker_count; i++) {
-            const size_t taker = (first + i) % plan->taker_count;
-            if (!plan->asked[taker] && (anywhere == 1 || !zone_has_copy(plan, plan->takers[taker].zone)))
-                return taker;
+        for (size_t i = 0; i < plan->target_count; i++) {
+            const size_t target = (first + i) % plan->target_count;
+            if (!plan->asked[target] && (anywhere == 1 || !zone_has_copy(plan, plan->targets[target].zone)))
+                return target;
         }
     return NONE;
 }
@@ -81,13 +81,13 @@
         return;
     CopyPlan plan = plan_begin(callers, mem, carrier);
     for (int tries = 0; tries < COPY_TRIES_MOST && plan.copy_count < REPAIR_COPIES; tries++) {
-        const size_t taker = taker_next(&plan, callers->repair_copy_next);
-        if (taker == NONE)
+        const size_t target = target_next(&plan, callers->repair_copy_next);
+        if (target == NONE)
             return;
-        plan.asked[taker] = true;
-        if (copy_offer(callers, mem, plan.takers[taker].address, repair_items))
-            plan.zones[plan.copy_count++] = plan.takers[taker].zone;
+        plan.asked[target] = true;
+        if (copy_offer(callers, mem, plan.targets[target].address, repair_items))
+            plan.zones[plan.copy_count++] = plan.targets[target].zone;
         else
-            callers->repair_copy_next = taker + 1; /* asked last from now on: its wait is paid for once */
+            callers->repair_copy_next = target + 1; /* asked last from now on: its wait is paid for once */
     }
 }
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -39,7 +39,7 @@
     show_metric(task, "kept", (int64_t)repair_buffer_count(entry_point->repair_buffer));
     show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(entry_point->repair_buffer));
     show_metric(task, "configRevision", (int64_t)config_watch_version(entry_point->config_watch));
-    show_metric(task, "configHeld", (int64_t)config_watch_held(entry_point->config_watch));
+    show_metric(task, "configHeld", (int64_t)config_watch_stored_version(entry_point->config_watch));
     show_metric(task, "members", (int64_t)members_table(entry_point->members)->count);
     show_rpc_metrics(task, entry_point->rpc);
 }
--- a/packages/routing/include/routing/caller_key.h
+++ b/packages/routing/include/routing/caller_key.h
@@ -3,8 +3,9 @@
 
 #include "loop/loop.h"
 
-/* Takes the key of a caller of the product's own API, `Authorization: Bearer KEY`, as the task's key_digest. Used by
- * whatever serves that API. The key itself is not kept. */
+/* Stores the digest of the key in the request's `Authorization: Bearer KEY` header in task->key_digest. Does nothing if
+ * the header is missing or has another scheme. The key itself is not stored. Called by every process that serves the
+ * HTTP API. */
 void caller_key_take(HttpTask *task);
 
 #endif
--- a/packages/routing/include/routing/forward.h
+++ b/packages/routing/include/routing/forward.h
@@ -5,50 +5,49 @@
 #include "routing/repair_buffer.h"
 #include "trace/trace.h"
 
-/* The forwarder: carries a caller's request to the leader and its result back. Used by
- * entry points and by controllers that do not lead.
+/* The forwarder: sends a caller's request to the leader and returns the result. Used by entry points and by controllers
+ * that do not lead.
  *
- * Results of its own: 503, certainly not taken, with Retry-After; 504, it may have been taken. A request that is
- * given up gets one of them at once.
+ * The forwarder itself answers 503, with Retry-After, if the request was certainly not accepted, and 504 if it may have
+ * been. A request that is abandoned gets one of these at once.
  *
- * An idempotent request (retry_rules.h) may be sent again after a lost answer, to the next
- * leader. A next hop from which nothing has come back for a while is asked whether it is
- * alive, by the first request that waits for it. A slow leader that is alive is waited for; one that
- * does not answer is given up by all requests at once, and so is one that has been succeeded by the leader of a
- * newer term. */
+ * An idempotent request (retry_rules.h) may be sent to the next leader after its answer was lost. If a next hop has
+ * been silent for a while, the first request that waits for it checks whether it still answers. Requests wait for a
+ * leader that is slow but answers; they all abandon one that does not answer, or that the leader of a newer term has
+ * replaced. */
 typedef struct Forwarder Forwarder;
 
-/* Answers a request in this process, which leads; the answer lives on mem. Waits. */
+/* Serves a request in this process, which leads. The answer is allocated on mem. May suspend the coroutine. */
 typedef void (*ForwardServe)(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
 
-/* The pointers outlive the forwarder. */
+/* The objects pointed to must outlive the forwarder. */
 typedef struct ForwarderSettings {
     Loop *loop;
     Rpc *rpc;
     Members *members;
-    RepairBuffer *repair_buffer; /* gets the committed changes */
-    Trace *trace;                /* null: nothing is traced */
-    /* Controllers: whether this one leads, and how it answers then. Null elsewhere. */
+    RepairBuffer *repair_buffer; /* receives the committed changes of each answer */
+    Trace *trace;                /* null: no tracing */
+    /* For controllers: tells whether this process leads, and serves requests while it does. Null in other roles. */
     LeaderRouteLeads leads;
     ForwardServe serve;
-    void *arg;              /* of leads and serve */
-    int64_t leader_wait_ms; /* from the leader's loss, how long a request that nobody can have taken waits for the next
-                               leader */
-    int64_t
-        outcome_wait_ms; /* from its arrival, for how long a request that a lost leader may have taken is sent again */
+    void *arg; /* passed to leads and serve */
+    /* How long after the loss of the leader a request that was certainly not accepted waits for the next one, in ms */
+    int64_t leader_wait_ms;
+    /* How long after its arrival a request that a lost leader may have accepted is sent again, in ms */
+    int64_t outcome_wait_ms;
 } ForwarderSettings;
 
-/* Lives on mem; settings is copied. */
+/* Allocated on mem; settings is copied. */
 Forwarder *forwarder_new(void *mem, const ForwarderSettings *settings);
-/* Starts to follow the route to the leader. Before, every request waits for one. */
+/* Starts to track the route to the leader. Until then every request waits for a route. */
 void forwarder_start(Forwarder *forwarder);
-/* Waits, until the task's deadline or FORWARD_DEADLINE_MS at most. Fills in the task's
- * result, always, and adds what was committed to the repair buffer. */
+/* Suspends the coroutine, until the task's deadline or for FORWARD_DEADLINE_MS at most. Always fills in the task's
+ * result, and adds the changes that were committed to the repair buffer. */
 void forward_request(Forwarder *forwarder, HttpTask *task);
-/* Waits. Relays to the leader what another process could not bring there itself. The answer
- * lives on mem. NOT_LEADER: this process has no direct route either. */
+/* Suspends the coroutine. Relays the request of a process that cannot reach the leader itself. The answer is allocated
+ * on mem. Returns STATUS_NOT_LEADER if this process has no direct route to the leader either. */
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-/* The route that the forwarder uses; it lives as long. */
+/* The route that the forwarder uses; owned by the forwarder. */
 LeaderRoute *forwarder_leader_route(Forwarder *forwarder);
 
 #endif
--- a/packages/routing/include/routing/limits.h
+++ b/packages/routing/include/routing/limits.h
@@ -4,11 +4,11 @@
 #include "loop/loop.h"
 #include "state/change.h"
 
-/* The limits for callers' HTTP requests, from the operators' configuration: a head's bytes and time, and the time that
- * a connection may be idle. Bodies are limited where it is known what they are: an operator's document may be larger
- * than any caller's job. */
+/* The limits on callers' HTTP requests that the operators' configuration sets: size of a request head, time to receive
+ * it, and idle time of a connection. The size of a body is checked by the route that parses it, because an operator's
+ * document may be larger than any job. */
 
-/* Applies the limits in this process, from the next request on. */
+/* Applies the limits to this process's HTTP server, from the next request on. */
 void limits_apply(Loop *loop, const ConfigLimits *limits);
 
 #endif
--- a/packages/routing/include/routing/repair_transfer.h
+++ b/packages/routing/include/routing/repair_transfer.h
@@ -4,19 +4,20 @@
 #include "member/members.h"
 #include "routing/repair_buffer.h"
 
-/* An entry point that may keep changes for repair. */
-typedef struct RepairTaker {
-    const char *id, *zone, *address;
-} RepairTaker;
+/* Transfer of the repair buffer of a process that leaves: besides the disks it may be the only holder of a change. */
 
-/* The entry points that are there and stay, without this process, in the order of the members' table. All on mem. */
-size_t repair_takers(void *mem, const Members *members, int64_t now_ms, RepairTaker **takers);
+/* An entry point that can hold changes for repair. */
+typedef struct RepairTarget {
+    const char *id, *zone, *address;
+} RepairTarget;
 
-/* What a process keeps for repair goes to another when it leaves: it may be the only one beside the disks that has it.
- */
+/* Lists the entry points that are reachable and not leaving, except this process, in the order of the member table.
+ * *targets and its texts are allocated on mem. Returns their number. now_ms: by the loop's clock. */
+size_t repair_targets(void *mem, const Members *members, int64_t now_ms, RepairTarget **targets);
 
-/* Waits, until until_ms at the most. Sends all that is kept to one entry point that stays, of another zone if there is
- * one; where that does not answer, to the next. How many items were taken. */
+/* Suspends the coroutine until until_ms (the loop's clock) at the latest. Sends the buffer's items to one entry point,
+ * preferably in another zone; if that does not answer, the rest goes to the next one. Returns the number of items that
+ * were acknowledged. */
 size_t repair_transfer(RepairBuffer *repair_buffer, Loop *loop, Rpc *rpc, const Members *members, int64_t until_ms);
 
 #endif
--- a/packages/routing/include/routing/retry_rules.h
+++ b/packages/routing/include/routing/retry_rules.h
@@ -4,27 +4,30 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* The retry table: which requests an entry point may send again when the answer of an
- * earlier attempt was lost, and why each of them is idempotent. A request that fits no
- * row is sent once. Used by the forwarder. */
+/* The retry table: which requests an entry point may send again when the answer to an earlier attempt was lost, and
+ * why each of them is idempotent. A request that matches no row is sent once. Used by the forwarder. */
+
+/* Whether, and on what ground, a request may be sent again. */
 typedef enum Repeat {
-    REPEAT_NEVER,  /* not idempotent: a lost answer is a 504 at once */
-    REPEAT_READ,   /* it changes nothing */
-    REPEAT_NAMED,  /* the request itself names what it changes: the leader recognises a copy */
-    REPEAT_ORDERED /* the entry point adds a request id and a base: the leader recognises a copy, or that it is stale */
+    REPEAT_NEVER,  /* not idempotent: if the answer is lost, the caller gets 504 at once */
+    REPEAT_READ,   /* the request changes nothing */
+    REPEAT_NAMED,  /* the request identifies what it changes: the leader recognises a copy */
+    REPEAT_ORDERED /* the entry point adds a request id and a base stamp: the leader recognises a copy or a stale
+                      request */
 } Repeat;
 
+/* A row of the table; a request must match all of its fields. */
 typedef struct RetryRule {
     const char *method;
-    const char *path;   /* "*" stands for one part, "**" at the end for any rest */
-    const char *needed; /* a key that the query must have, else the row does not apply; null: none */
+    const char *path;         /* "*" matches one path segment, "**" at the end any rest */
+    const char *required_key; /* a key that the query string must contain; null: none */
     Repeat repeat;
-    const char *reason; /* why it is idempotent */
+    const char *reason; /* why such a request is idempotent */
 } RetryRule;
 
-/* The table, static; *count: of its rows. For tests. */
+/* The table, in static storage; *count is set to the number of rows. For tests. */
 const RetryRule *retry_rules(size_t *count);
-/* The rule for a request; query may be null. */
+/* Looks up a request in the table; REPEAT_NEVER if no row matches. query may be null. */
 Repeat retry_rule_of(const char *method, const char *path, const char *query);
 
 #endif
--- a/packages/routing/src/answer_trace.c
+++ b/packages/routing/src/answer_trace.c
@@ -1,4 +1,4 @@
-/* Which objects a forwarded request changed, for those who trace them. */
+/* Records in the trace which objects a forwarded request changed. */
 #include "answer_trace.h"
 
 #include <inttypes.h>
@@ -7,10 +7,10 @@
 
 #include "state/change.h"
 
-#define TRACE_DETAIL_BYTES 48 /* bytes; a method, a code and a time */
+#define TRACE_DETAIL_BYTES 48 /* size of the detail text, in bytes: a method, a status code and a duration */
 
-/* The trace's key for one committed change, on mem; null: it has none, or can't be read. */
-static const char *change_key(void *mem, const RepairItem *item)
+/* The trace key of a committed change, allocated on mem; null: the change has none, or cannot be decoded. */
+static const char *trace_key(void *mem, const RepairItem *item)
 {
     JobAdd add;
     JobCancel cancel;
@@ -44,7 +44,7 @@
     snprintf(detail, sizeof(detail), "%s %d, %lld ms", method, (int)answer->code, (long long)took_ms);
     for (size_t i = 0; i < answer->repair_items_count; i++) {
         void *mem = talloc_new(NULL);
-        const char *key = change_key(mem, &answer->repair_items[i]);
+        const char *key = trace_key(mem, &answer->repair_items[i]);
         if (key != NULL)
             trace_say(trace, TRACE_CARRIED, detail, "%s", key);
         talloc_free(mem);
--- a/packages/routing/src/answer_trace.h
+++ b/packages/routing/src/answer_trace.h
@@ -4,9 +4,9 @@
 #include "routing/messages.h"
 #include "trace/trace.h"
 
-/* Notes in the trace that this process carried a request and its result: one event under
- * the key of each job, configuration or zone that the committed changes speak of. took_ms:
- * from the attempt's start to its answer. A null trace notes nothing. */
+/* Records in the trace that this process forwarded a request and its result: one event under the key of each job,
+ * configuration or zone that the committed changes concern. took_ms: time from the start of the attempt to its answer.
+ * Does nothing if trace is null. */
 void answer_trace(Trace *trace, const char *method, const ForwardAnswer *answer, int64_t took_ms);
 
 #endif
--- a/packages/routing/src/attempt.h
+++ b/packages/routing/src/attempt.h
@@ -3,36 +3,36 @@
 
 #include "routing/forward.h"
 
-/* One attempt to have a forwarded request answered along one route. Retries are decided in
- * forwarding.c; here nothing is sent twice.
+/* One attempt to have a forwarded request answered along one route. Retries are decided in forwarding.c; nothing is
+ * sent twice here.
  *
- * An attempt runs in a coroutine of its own, because its answer is needed even when
- * nobody waits for it any more: the committed changes go into the repair buffer. */
+ * An attempt runs in its own coroutine, because its answer is needed even when no caller waits for it any more: the
+ * committed changes go into the repair buffer. */
 
-/* What all attempts of a process use; the pointers outlive it. */
+/* The context of all attempts of a process; the objects pointed to must outlive them. */
 typedef struct AttemptSettings {
     Loop *loop;
     Rpc *rpc;
     LeaderRoute *leader_route;
     RepairBuffer *repair_buffer;
     Trace *trace;
-    ForwardServe serve; /* answers here while this process leads; null: it never leads */
-    void *arg;          /* of serve */
+    ForwardServe serve; /* serves requests here while this process leads; null: it never leads */
+    void *arg;          /* passed to serve */
 } AttemptSettings;
 
-/* All attempts that are being waited for. */
+/* The set of attempts that a request waits for. */
 typedef struct Attempts Attempts;
 
-/* settings is copied. */
+/* Allocated on mem; settings is copied. */
 Attempts *attempts_new(void *mem, const AttemptSettings *settings);
-/* Waits, until until_ms at most (the loop's clock). Asks once, along the route taken. On OK
- * the answer lives on mem. Other results: EXPIRED, no answer before the deadline, or before
- * the route failed or was replaced; UNREACHABLE, the same, but the request had not been sent
- * and never will be; else the refusal of whoever was asked. */
-Status attempt_forward(Attempts *attempts, void *mem, const LeaderHop *taken, const ForwardAsk *ask, int64_t until_ms,
+/* Suspends the coroutine, until until_ms (the loop's clock) at the latest. Sends the request once, through hop. If it
+ * returns STATUS_OK, the answer is allocated on mem. Errors: STATUS_EXPIRED, no answer before the deadline, or before
+ * the route failed or was replaced; STATUS_UNREACHABLE, the same, but the request was not sent and never will be; else
+ * the refusal of the process that received the request. */
+Status attempt_forward(Attempts *attempts, void *mem, const LeaderHop *hop, const ForwardAsk *ask, int64_t until_ms,
                        ForwardAnswer *answer);
-/* Wakes all who wait, once the route has been replaced: their attempts end as EXPIRED or
- * UNREACHABLE. */
+/* Wakes all waiting coroutines once the route has been replaced: their attempts end with STATUS_EXPIRED or
+ * STATUS_UNREACHABLE. */
 void attempts_wake(Attempts *attempts);
 
 #endif
--- a/packages/routing/src/caller_key.c
+++ b/packages/routing/src/caller_key.c
@@ -1,4 +1,4 @@
-/* The key of a caller, from the header of its request. */
+/* Reads a caller's key from the Authorization header of its request. */
 #include "routing/caller_key.h"
 
 #include <strings.h>
--- a/packages/routing/src/config_set.c
+++ b/packages/routing/src/config_set.c
@@ -1,4 +1,4 @@
-/* Versions of the operators' configuration as changes to be sent again. */
+/* Configuration versions as changes that can be sent again. */
 #include "config_set.h"
 
 ConfigSet config_set_of(const Version *row)
@@ -12,7 +12,7 @@
                        .limits = row->limits};
 }
 
-const Version *config_row_of(const Versions *versions, uint64_t version)
+const Version *config_find_row(const Versions *versions, uint64_t version)
 {
     for (size_t i = versions->count; i > 0; i--)
         if (versions->rows[i - 1].version == version)
--- a/packages/routing/src/config_set.h
+++ b/packages/routing/src/config_set.h
@@ -4,14 +4,15 @@
 #include "state/change.h"
 #include "state/versions.h"
 
-/* How a version of the operators' configuration is sent outside of the replicated log: as the change that set it,
- * marked as restored. Used by the leader's answer to a watch, by the pieces of a large document, and in a repair. */
+/* The form in which a configuration version is sent outside the replicated log: the change that set it, marked as
+ * restored. Used in answers to a configuration watch, in the transfer of a large document, and in a repair. */
 
-#define CONFIG_WATCH_EAGER_BYTES 16384 /* bytes; how much of a document is sent at once: 65 ms of a 2 Mbit/s link */
+/* Largest part of a document that is sent at once, in bytes: it takes 65 ms on a 2 Mbit/s link */
+#define CONFIG_WATCH_EAGER_BYTES 16384
 
-/* The change that set the version; its texts are borrowed from the row. */
+/* Returns the change that set the version; its texts are borrowed from the row. */
 ConfigSet config_set_of(const Version *row);
-/* The row of a version; null: it is not among them. */
-const Version *config_row_of(const Versions *versions, uint64_t version);
+/* Finds the row of a version; null if versions does not contain it. */
+const Version *config_find_row(const Versions *versions, uint64_t version);
 
 #endif
--- a/packages/routing/src/config_watch_answer.c
+++ b/packages/routing/src/config_watch_answer.c
@@ -1,21 +1,22 @@
-/* What the leader answers to a process that watches the configuration: small differences at
- * once, a whole document only when it is asked for, a large one in pieces. */
+/* The leader's answers to configuration watches: small differences at once, a whole document only on request, a large
+ * one in pieces. */
 #include <string.h>
 #include <talloc.h>
 
 #include "config_set.h"
 #include "routing/config_watch.h"
 
-/* The changes since a version, when the history holds the texts of all of them and they are
- * not more than most bytes. False: nothing is added. */
-static bool changes_since(const Versions *versions, uint64_t have, size_t most, void *mem, ConfigWatchAnswer *answer)
+/* Adds the changes since version have to the answer. Returns false and adds nothing if the history does not hold the
+ * texts of all of them, or if they take more than max_bytes. */
+static bool changes_since(const Versions *versions, uint64_t have, size_t max_bytes, void *mem,
+                          ConfigWatchAnswer *answer)
 {
     size_t from = versions->count;
     size_t bytes = 0;
     while (from > 0 && versions->rows[from - 1].version > have)
         bytes += strlen(versions->rows[--from].text);
     const bool known = from > 0 && versions->rows[from - 1].version == have && from >= versions->whole;
-    if (!known || bytes > most)
+    if (!known || bytes > max_bytes)
         return false;
     answer->sets_count = versions->count - from;
     answer->sets = talloc_array(mem, ConfigSet, (unsigned)answer->sets_count);
@@ -24,10 +25,10 @@
     return true;
 }
 
-/* The whole newest document, when it is not more than most bytes. False: nothing is added. */
-static bool whole_now(const Versions *versions, size_t most, void *mem, ConfigWatchAnswer *answer)
+/* Adds the newest document to the answer. Returns false and adds nothing if it may take more than max_bytes. */
+static bool whole_document(const Versions *versions, size_t max_bytes, void *mem, ConfigWatchAnswer *answer)
 {
-    if (versions_size(versions) > most)
+    if (versions_size(versions) > max_bytes)
         return false;
     const Version *newest = &versions->rows[versions->count - 1];
     answer->sets = talloc(mem, ConfigSet);
@@ -38,8 +39,8 @@
     return true;
 }
 
-/* Bytes of a document that the asker takes at once. */
-static size_t at_once_most(const ConfigWatchAsk *ask)
+/* Largest part of a document that the requester accepts in one answer, in bytes. */
+static size_t max_bytes_at_once(const ConfigWatchAsk *ask)
 {
     if (!ask->wants)
         return CONFIG_WATCH_EAGER_BYTES;
@@ -49,18 +50,18 @@
 bool config_watch_answer(PieceSource *source, const Versions *versions, const ConfigWatchAsk *ask, int64_t now_ms,
                          void *mem, ConfigWatchAnswer *answer)
 {
-    piece_rest(source, now_ms);
+    piece_source_expire(source, now_ms);
     const uint64_t newest = versions_newest(versions);
     if (newest <= ask->have && !(ask->wants && newest > ask->text_have))
         return false;
     answer->version = newest;
     answer->limits = *versions_limits(versions);
     answer->size = versions_size(versions);
-    const size_t most = at_once_most(ask);
-    if (!ask->brief) /* a process of an earlier release */
+    const size_t max_bytes = max_bytes_at_once(ask);
+    if (!ask->brief) /* the requester has an earlier release */
         answer->text = versions_text(versions, mem, newest);
-    else if (newest > ask->text_have && !changes_since(versions, ask->text_have, most, mem, answer) &&
-             !whole_now(versions, most, mem, answer) && ask->wants)
-        piece_answer(source, versions, ask, now_ms, answer);
+    else if (newest > ask->text_have && !changes_since(versions, ask->text_have, max_bytes, mem, answer) &&
+             !whole_document(versions, max_bytes, mem, answer) && ask->wants)
+        piece_source_answer(source, versions, ask, now_ms, answer);
     return true;
 }
--- a/packages/routing/src/forward.c
+++ b/packages/routing/src/forward.c
@@ -1,5 +1,5 @@
-/* A caller's request in this process, from its arrival to its result, and the
- * relay of requests for processes that can't reach the leader themselves. */
+/* A caller's request in this process, from its arrival to its result, and the relay of requests for processes that
+ * cannot reach the leader themselves. */
 #include "routing/forward.h"
 
 #include <talloc.h>
@@ -8,32 +8,33 @@
 #include "hop.h"
 #include "order.h"
 
-#define FORWARD_BACK_MS 20 /* ms; for the transport of the result to the caller */
+#define RESULT_RETURN_MS 20 /* time reserved for sending the result to the caller, in ms */
 
-/* Who keeps what is committed for the request beside the disks: this process, where it has no disk itself. */
+/* Id of the process that holds the committed changes for repair in addition to the disks: an entry point, which has no
+ * disk itself; empty in a controller. */
 static const char *carrier_of(const Forwarder *forwarder)
 {
     const MemberRecord *self = members_self(forwarder->settings.members);
     return self->role == ROLE_ENTRY_POINT ? self->id : "";
 }
 
-/* The request's deadline: the caller's own, less the way back to it, at most FORWARD_DEADLINE_MS. */
+/* The request's deadline: the caller's own less RESULT_RETURN_MS, and at most FORWARD_DEADLINE_MS after its arrival. */
 static int64_t request_until_ms(const HttpTask *task, int64_t start_ms)
 {
     const int64_t until_ms = start_ms + FORWARD_DEADLINE_MS;
-    if (task->timeout_ms != 0 && task->timeout_ms - FORWARD_BACK_MS < until_ms)
-        return task->timeout_ms - FORWARD_BACK_MS;
+    if (task->timeout_ms != 0 && task->timeout_ms - RESULT_RETURN_MS < until_ms)
+        return task->timeout_ms - RESULT_RETURN_MS;
     return until_ms;
 }
 
 void forward_request(Forwarder *forwarder, HttpTask *task)
 {
     const int64_t start_ms = loop_now_ms(forwarder->settings.loop);
-    Forwarding one = {.forwarder = forwarder,
-                      .task = task,
-                      .repeat = retry_rule_of(task->method, task->path, task->query),
-                      .start_ms = start_ms,
-                      .until_ms = request_until_ms(task, start_ms)};
+    Forwarding forwarding = {.forwarder = forwarder,
+                             .task = task,
+                             .repeat = retry_rule_of(task->method, task->path, task->query),
+                             .start_ms = start_ms,
+                             .until_ms = request_until_ms(task, start_ms)};
     ForwardAsk ask = {.method = task->method,
                       .path = task->path,
                       .query = task->query,
@@ -42,29 +43,29 @@
                       .carrier = carrier_of(forwarder),
                       .key_digest = task->key_digest};
     ForwardAnswer answer = {0};
-    if (one.repeat == REPEAT_ORDERED && !order_named(&one, &ask))
+    if (forwarding.repeat == REPEAT_ORDERED && !order_add_identity(&forwarding, &ask))
         return;
-    if (!forward_attempts(&one, &ask, &answer))
-        forward_give_up(&one);
-    else if (answer.status == STATUS_STALE_ORDER && one.based)
-        order_overtaken(task);
+    if (!forward_attempts(&forwarding, &ask, &answer))
+        forward_set_refusal(&forwarding);
+    else if (answer.status == STATUS_STALE_ORDER && forwarding.base_added)
+        order_refuse_superseded(task);
     else
-        forward_take(task, &answer);
+        forward_set_result(task, &answer);
 }
 
 Status forward_relay(Forwarder *forwarder, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
-    LeaderHop taken;
-    if (!leader_route_take(forwarder->leader_route, &taken) || taken.own || taken.relay)
+    LeaderHop hop;
+    if (!leader_route_next_hop(forwarder->leader_route, &hop) || hop.self || hop.relay)
         return STATUS_NOT_LEADER;
-    ForwardAsk onward = *ask;
-    onward.relay = false;
-    /* less than the asker waits, so that it gets an answer and knows that this process is alive */
+    ForwardAsk relayed = *ask;
+    relayed.relay = false;
+    /* less than the sender's timeout, so that the sender gets an answer and knows that this process works */
     const int64_t wait_ms =
         ask->wait_ms > 0 && ask->wait_ms < FORWARD_DEADLINE_MS ? (int64_t)ask->wait_ms * 3 / 4 : FORWARD_DEADLINE_MS;
-    const Status status = hop_ask(forwarder->settings.rpc, mem, &taken, NULL, &onward, wait_ms, answer);
+    const Status status = hop_request(forwarder->settings.rpc, mem, &hop, NULL, &relayed, wait_ms, answer);
     if (status == STATUS_UNREACHABLE || status == STATUS_NOT_LEADER)
-        leader_route_failed(forwarder->leader_route, &taken);
+        leader_route_report_failure(forwarder->leader_route, &hop);
     return status;
 }
 
@@ -73,12 +74,12 @@
     return forwarder->leader_route;
 }
 
-/* Wakes all who wait for an answer when the route has been replaced. */
-static void moved_main(void *arg)
+/* Wakes all coroutines that wait for an answer whenever the route has been replaced. */
+static void route_changed_main(void *arg)
 {
     Forwarder *forwarder = arg;
     while (!loop_stopping(forwarder->settings.loop)) {
-        signal_wait(forwarder->settings.loop, leader_route_moved(forwarder->leader_route), INT64_MAX);
+        signal_wait(forwarder->settings.loop, leader_route_changed_signal(forwarder->leader_route), INT64_MAX);
         attempts_wake(forwarder->attempts);
     }
 }
@@ -103,5 +104,5 @@
 {
     leader_route_start(forwarder->leader_route);
     pause_watch(&forwarder->pause, forwarder->settings.loop);
-    loop_spawn(forwarder->settings.loop, "moved", moved_main, forwarder);
+    loop_spawn(forwarder->settings.loop, "moved", route_changed_main, forwarder);
 }
--- a/packages/routing/src/forwarding.c
+++ b/packages/routing/src/forwarding.c
@@ -1,87 +1,91 @@
-/* The attempts of one forwarded request: routes, retries, and the result when it is given up. */
+/* The attempts of one forwarded request: routes, retries, and the result of an abandoned request. */
 #include "forwarding.h"
 
 #include "api/show.h"
 #include "outcome.h"
 
-#define SECOND_MS 1000         /* ms */
-#define REPAIR_REST_MS 100     /* ms; back-off before a leader in repair is asked again */
-#define FORWARD_ATTEMPTS_MAX 8 /* count; attempts for one request, one after the other */
+#define SECOND_MS 1000
+#define REPAIR_BACKOFF_MS 100  /* delay before a request is sent again to a leader in repair, in ms */
+#define FORWARD_ATTEMPTS_MAX 8 /* maximum number of successive attempts for one request */
 
 /* --- the next attempt ------------------------------------------------------------------- */
 
-/* Waits. Whether a route is known before until_ms. */
-static bool route_wait(Forwarder *forwarder, LeaderHop *taken, int64_t until_ms)
+/* Suspends the coroutine until a next hop is known, or until until_ms. Returns whether one is known. */
+static bool route_wait(Forwarder *forwarder, LeaderHop *hop, int64_t until_ms)
 {
-    while (!leader_route_take(forwarder->leader_route, taken))
+    while (!leader_route_next_hop(forwarder->leader_route, hop))
         if (loop_now_ms(forwarder->settings.loop) >= until_ms ||
-            !signal_wait(forwarder->settings.loop, leader_route_moved(forwarder->leader_route), until_ms))
-            return leader_route_take(forwarder->leader_route, taken);
+            !signal_wait(forwarder->settings.loop, leader_route_changed_signal(forwarder->leader_route), until_ms))
+            return leader_route_next_hop(forwarder->leader_route, hop);
     return true;
 }
 
-/* Until when a request waits for a route: leader_wait_ms from the leader's loss when nobody can have taken it,
- * outcome_wait_ms from its arrival when a lost leader may have. */
-static int64_t route_until_ms(const Forwarder *forwarder, bool maybe_taken, int64_t start_ms, int64_t until_ms)
+/* Time until which a request waits for a route: leader_wait_ms after the loss of the leader if no leader can have
+ * accepted the request, outcome_wait_ms after its arrival if a lost leader may have. Never later than until_ms. */
+static int64_t route_until_ms(const Forwarder *forwarder, bool maybe_accepted, int64_t start_ms, int64_t until_ms)
 {
-    const int64_t lost_ms = leader_route_lost_ms(forwarder->leader_route);
-    const int64_t from_ms = lost_ms != INT64_MAX ? lost_ms : loop_now_ms(forwarder->settings.loop);
+    const int64_t lost_since_ms = leader_route_lost_since_ms(forwarder->leader_route);
+    const int64_t from_ms = lost_since_ms != INT64_MAX ? lost_since_ms : loop_now_ms(forwarder->settings.loop);
     const int64_t wait_ms =
-        maybe_taken ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
+        maybe_accepted ? start_ms + forwarder->settings.outcome_wait_ms : from_ms + forwarder->settings.leader_wait_ms;
     return wait_ms < until_ms ? wait_ms : until_ms;
 }
 
-/* Waits. Whether another attempt is to be made, and along which route. */
-static bool attempt_next(const Forwarding *one, int attempt, LeaderHop *taken)
+/* Suspends the coroutine until the next hop is known. Returns whether to make another attempt, through *hop. */
+static bool attempt_next(const Forwarding *forwarding, int attempt, LeaderHop *hop)
 {
-    if (attempt > 0 && (one->task->gone || (one->maybe_taken && one->repeat == REPEAT_NEVER)))
+    if (attempt > 0 && (forwarding->task->gone || (forwarding->maybe_accepted && forwarding->repeat == REPEAT_NEVER)))
         return false;
-    const int64_t until_ms = route_until_ms(one->forwarder, one->maybe_taken, one->start_ms, one->until_ms);
-    return route_wait(one->forwarder, taken, until_ms) && loop_now_ms(one->forwarder->settings.loop) < one->until_ms;
+    const int64_t until_ms =
+        route_until_ms(forwarding->forwarder, forwarding->maybe_accepted, forwarding->start_ms, forwarding->until_ms);
+    return route_wait(forwarding->forwarder, hop, until_ms) &&
+           loop_now_ms(forwarding->forwarder->settings.loop) < forwarding->until_ms;
 }
 
-/* Waits. The next leader can't say yet whether an earlier one took the request: it is in
- * repair, being sent again what the disks lost. True: it is to be asked again, now that the
- * back-off has passed. */
-static bool repair_awaited(const Forwarding *one, const ForwardAnswer *answer)
+/* Handles an answer from a leader in repair: it cannot tell yet whether an earlier leader accepted the request, because
+ * the changes that the disks lost are still being sent to it. Suspends the coroutine for REPAIR_BACKOFF_MS and returns
+ * true if the request is then to be sent to it again; returns false at once otherwise. */
+static bool repair_wait(const Forwarding *forwarding, const ForwardAnswer *answer)
 {
-    Loop *loop = one->forwarder->settings.loop;
-    if (answer->status != STATUS_REPAIRING || !one->maybe_taken || one->repeat == REPEAT_NEVER ||
-        loop_now_ms(loop) + REPAIR_REST_MS >= route_until_ms(one->forwarder, true, one->start_ms, one->until_ms))
+    Loop *loop = forwarding->forwarder->settings.loop;
+    if (answer->status != STATUS_REPAIRING || !forwarding->maybe_accepted || forwarding->repeat == REPEAT_NEVER ||
+        loop_now_ms(loop) + REPAIR_BACKOFF_MS >=
+            route_until_ms(forwarding->forwarder, true, forwarding->start_ms, forwarding->until_ms))
         return false;
-    loop_sleep(loop, REPAIR_REST_MS);
+    loop_sleep(loop, REPAIR_BACKOFF_MS);
     return true;
 }
 
-bool forward_attempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer)
+bool forward_attempts(Forwarding *forwarding, ForwardAsk *ask, ForwardAnswer *answer)
 {
-    Forwarder *forwarder = one->forwarder;
+    Forwarder *forwarder = forwarding->forwarder;
     Loop *loop = forwarder->settings.loop;
-    const bool changes = one->repeat != REPEAT_READ;
-    LeaderHop taken;
-    for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(one, attempt, &taken);) {
+    const bool changes = forwarding->repeat != REPEAT_READ;
+    LeaderHop hop;
+    for (int attempt = 0; attempt < FORWARD_ATTEMPTS_MAX && attempt_next(forwarding, attempt, &hop);) {
         bool unknown = false;
-        ask->again = one->maybe_taken;
-        const Status status = attempt_forward(forwarder->attempts, one->task, &taken, ask, one->until_ms, answer);
+        ask->again = forwarding->maybe_accepted;
+        const Status status =
+            attempt_forward(forwarder->attempts, forwarding->task, &hop, ask, forwarding->until_ms, answer);
         if (status == STATUS_OK && !outcome_leader_lost(answer, &unknown)) {
-            if (repair_awaited(one, answer))
+            if (repair_wait(forwarding, answer))
                 continue;
-            /* that this leader did not take it does not mean that an earlier one did not */
-            return answer->code != NOT_TAKEN_HTTP || !one->maybe_taken;
+            /* this leader did not accept the request, but an earlier one may have */
+            return answer->code != HTTP_NOT_ACCEPTED || !forwarding->maybe_accepted;
         }
         attempt++;
-        unknown |= status != STATUS_OK && !outcome_untaken(status);
-        one->maybe_taken |= changes && unknown;
-        /* a request that reached its own deadline does not mean that the route has failed */
-        if (loop_now_ms(loop) < one->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
-            leader_route_failed(forwarder->leader_route, &taken);
+        unknown |= status != STATUS_OK && !outcome_not_accepted(status);
+        forwarding->maybe_accepted |= changes && unknown;
+        /* a request that only reached its own deadline is no sign that the route has failed */
+        if (loop_now_ms(loop) < forwarding->until_ms || (status != STATUS_EXPIRED && status != STATUS_UNREACHABLE))
+            leader_route_report_failure(forwarder->leader_route, &hop);
     }
     return false;
 }
 
 /* --- the result --------------------------------------------------------------------------- */
 
-void forward_take(HttpTask *task, const ForwardAnswer *answer)
+void forward_set_result(HttpTask *task, const ForwardAnswer *answer)
 {
     task->code = (int)answer->code;
     task->status = (Status)answer->status;
@@ -90,20 +94,24 @@
     task->retry_after_s = (int)answer->retry_after_s;
 }
 
-/* For Retry-After, in seconds, to the nearest: when the route should be found again. */
-static int retry_s(const Forwarder *forwarder)
+/* The value of Retry-After, in s: the time until a next hop is expected to be known, rounded to the nearest second, and
+ * at least RETRY_AFTER_S. */
+static int retry_delay_s(const Forwarder *forwarder)
 {
-    const int64_t left_ms = leader_route_found_ms(forwarder->leader_route) - loop_now_ms(forwarder->settings.loop);
+    const int64_t left_ms = leader_route_expected_ms(forwarder->leader_route) - loop_now_ms(forwarder->settings.loop);
     const int64_t nearest_s = (left_ms + SECOND_MS / 2) / SECOND_MS;
     return nearest_s > RETRY_AFTER_S ? (int)nearest_s : RETRY_AFTER_S;
 }
 
-void forward_give_up(const Forwarding *one)
+void forward_set_refusal(const Forwarding *forwarding)
 {
-    if (one->maybe_taken)
-        show_refusal(one->task, STATUS_OUTCOME_UNKNOWN, "the leader was lost on the way: ask, or send the same again",
-                     NULL);
+    if (forwarding->maybe_accepted)
+        show_refusal(
+            forwarding->task, STATUS_OUTCOME_UNKNOWN,
+            "the leader was lost and may have accepted the request: query the result, or send the same request again",
+            NULL);
     else
-        show_refusal(one->task, STATUS_NO_LEADER, "no leader answers now; nothing was taken: come back", NULL);
-    one->task->retry_after_s = retry_s(one->forwarder);
+        show_refusal(forwarding->task, STATUS_NO_LEADER,
+                     "no leader is reachable; the request was not accepted: retry later", NULL);
+    forwarding->task->retry_after_s = retry_delay_s(forwarding->forwarder);
 }
--- a/packages/routing/src/forwarding.h
+++ b/packages/routing/src/forwarding.h
@@ -5,10 +5,10 @@
 #include "routing/retry_rules.h"
 #include "pause.h"
 
-/* One request over all of its attempts: which route the next attempt takes, how long it is
- * waited for, whether the request may be sent again, and what its caller is told when it is
- * given up. Layers: forward.c (the request's life) uses order.c (identity of an order for a
- * zone), which uses this; this uses attempt.c, which uses leader_route.c. Nothing calls upwards. */
+/* A forwarded request over all of its attempts: which route the next attempt takes, how long it lasts, whether the
+ * request may be sent again, and the result when the request is abandoned. Layers: forward.c (the request from arrival
+ * to result) uses order.c (identity of an order for a zone), which uses forwarding.c; that uses attempt.c, which uses
+ * leader_route.c. No layer calls one above it. */
 
 struct Forwarder {
     ForwarderSettings settings;
@@ -17,25 +17,25 @@
     Pause pause;
 };
 
-/* Invariant: maybe_taken says that an attempt which may have changed something has had no
- * clear answer. It is never cleared. */
+/* The state of one request. Invariant: maybe_accepted says that an attempt which may have changed something ended
+ * without a definite answer; it is never cleared. */
 typedef struct Forwarding {
     Forwarder *forwarder;
     HttpTask *task;
     Repeat repeat;
-    int64_t start_ms, until_ms; /* the loop's clock: its arrival, and its deadline */
-    bool maybe_taken;
-    bool based; /* the base of an order for a zone was read here, not given by its caller */
+    int64_t start_ms, until_ms; /* arrival and deadline, by the loop's clock */
+    bool maybe_accepted;
+    bool base_added; /* the base stamp of an order for a zone was read here, not supplied by the caller */
 } Forwarding;
 
-/* Waits. Makes one attempt after the other until there is an answer to be given; false: the
- * request is given up. The answer lives on the task. ask->again is set for an attempt that
- * follows one which may have been taken. */
-bool forward_attempts(Forwarding *one, ForwardAsk *ask, ForwardAnswer *answer);
-/* Makes the answer the task's result. */
-void forward_take(HttpTask *task, const ForwardAnswer *answer);
-/* Makes the refusal the task's result: 503 where certainly nothing was taken, else 504; both
- * with when to come back. */
-void forward_give_up(const Forwarding *one);
+/* Suspends the coroutine. Makes one attempt after another until there is an answer for the caller; false: the request
+ * is abandoned. The answer is allocated on the task. ask->again is set for each attempt that follows one which may have
+ * been accepted. */
+bool forward_attempts(Forwarding *forwarding, ForwardAsk *ask, ForwardAnswer *answer);
+/* Sets the task's result from the answer. */
+void forward_set_result(HttpTask *task, const ForwardAnswer *answer);
+/* Sets the task's result for an abandoned request: 503 if it was certainly not accepted, else 504; both with
+ * Retry-After. */
+void forward_set_refusal(const Forwarding *forwarding);
 
 #endif
--- a/packages/routing/src/hop.h
+++ b/packages/routing/src/hop.h
@@ -4,13 +4,12 @@
 #include "routing/leader_route.h"
 #include "routing/messages.h"
 
-/* Sending a forwarded request to the next hop. Used by the attempts, by the relay and by the search for a route. */
+/* Sends a forwarded request to a next hop. Used by attempts, by the relay and by the search for a route. */
 
-/* Waits. Sends a request to the process that was chosen and waits at most wait_ms for its
- * answer, which lives on mem. sending may be null; else it tells whether the request has
- * left, and lets the asker cancel it. Returns the transport's status, or the refusal of
- * the process that was asked; on a refusal the answer names the leader that it knows of. */
-Status hop_ask(Rpc *rpc, void *mem, const LeaderHop *taken, RpcSending *sending, const ForwardAsk *ask, int64_t wait_ms,
-               ForwardAnswer *answer);
+/* Suspends the coroutine, for wait_ms at most, until the answer of the hop's process arrives; it is allocated on mem.
+ * sending may be null; otherwise it tells whether the request was sent, and lets the sender cancel it. Returns the
+ * transport's status or the refusal of the process; on a refusal the answer names the leader known to that process. */
+Status hop_request(Rpc *rpc, void *mem, const LeaderHop *hop, RpcSending *sending, const ForwardAsk *ask,
+                   int64_t wait_ms, ForwardAnswer *answer);
 
 #endif
--- a/packages/routing/src/leader_route_state.c
+++ b/packages/routing/src/leader_route_state.c
@@ -10,159 +10,161 @@
 
 LeaderRouteState leader_route_state(const LeaderRoute *leader_route)
 {
-    if (leader_route->lost_ms != INT64_MAX)
+    if (leader_route->lost_since_ms != INT64_MAX)
         return LEADER_ROUTE_LOST;
-    return leader_route->at == 0 ? LEADER_ROUTE_DIRECT : LEADER_ROUTE_RELAYED;
+    return leader_route->hop_index == 0 ? LEADER_ROUTE_DIRECT : LEADER_ROUTE_RELAYED;
 }
 
-void leader_route_move_on(LeaderRoute *leader_route)
+void leader_route_begin_generation(LeaderRoute *leader_route)
 {
     leader_route->generation++;
-    signal_raise(leader_route->loop, &leader_route->moved);
+    signal_raise(leader_route->loop, &leader_route->changed);
 }
 
-/* A route is found again: how long that took is expected of the next loss, half by it and half by those before. */
-static void outage_take(LeaderRoute *leader_route)
+/* Called when a next hop is found. Updates the expected duration of a loss: the mean of the duration of this loss (at
+ * most ELECTION_MS) and the previous expectation. A loss before the first leader that served does not count. */
+static void outage_record(LeaderRoute *leader_route)
 {
-    if (leader_route->lost_ms == INT64_MAX || leader_route->served_ms == INT64_MIN)
+    if (leader_route->lost_since_ms == INT64_MAX || leader_route->last_served_ms == INT64_MIN)
         return;
-    const int64_t took_ms = loop_now_ms(leader_route->loop) - leader_route->lost_ms;
-    leader_route->outage_ms = (leader_route->outage_ms + (took_ms < ELECTION_MS ? took_ms : ELECTION_MS)) / 2;
+    const int64_t took_ms = loop_now_ms(leader_route->loop) - leader_route->lost_since_ms;
+    leader_route->expected_outage_ms =
+        (leader_route->expected_outage_ms + (took_ms < ELECTION_MS ? took_ms : ELECTION_MS)) / 2;
 }
 
-void leader_route_enter_hop(LeaderRoute *leader_route, size_t at)
+void leader_route_enter_hop(LeaderRoute *leader_route, size_t hop_index)
 {
-    outage_take(leader_route);
-    leader_route->at = at;
-    leader_route->lost_ms = INT64_MAX;
-    leader_route_move_on(leader_route);
+    outage_record(leader_route);
+    leader_route->hop_index = hop_index;
+    leader_route->lost_since_ms = INT64_MAX;
+    leader_route_begin_generation(leader_route);
 }
 
 void leader_route_enter_lost(LeaderRoute *leader_route)
 {
-    leader_route->lost_ms = loop_now_ms(leader_route->loop);
-    leader_route_move_on(leader_route);
+    leader_route->lost_since_ms = loop_now_ms(leader_route->loop);
+    leader_route_begin_generation(leader_route);
 }
 
-void leader_route_miss(LeaderRoute *leader_route)
+void leader_route_record_not_serving(LeaderRoute *leader_route)
 {
-    if (leader_route->missed_ms == INT64_MAX)
-        leader_route->missed_ms = loop_now_ms(leader_route->loop);
+    if (leader_route->not_serving_since_ms == INT64_MAX)
+        leader_route->not_serving_since_ms = loop_now_ms(leader_route->loop);
 }
 
-bool leader_route_own_lead(const LeaderRoute *leader_route)
+bool leader_route_self_leads(const LeaderRoute *leader_route)
 {
     return leader_route->leads != NULL && leader_route->leads(leader_route->arg);
 }
 
-/* Whether requests may be relayed by this member. */
-static bool relays(const LeaderRoute *leader_route, const Member *row)
+/* Whether the member can relay requests to the leader. */
+static bool can_relay(const LeaderRoute *leader_route, const Member *row)
 {
-    const char *leader = members_leader_address(leader_route->members);
+    const char *leader_address = members_leader_address(leader_route->members);
     const MemberRecord *self = members_self(leader_route->members);
     return row->record.role == ROLE_CONTROLLER && !row->record.leaving &&
-           (leader == NULL || strcmp(row->record.address, leader) != 0) && strcmp(row->record.id, self->id) != 0 &&
-           !member_quiet(row, loop_now_ms(leader_route->loop));
+           (leader_address == NULL || strcmp(row->record.address, leader_address) != 0) &&
+           strcmp(row->record.id, self->id) != 0 && !member_quiet(row, loop_now_ms(leader_route->loop));
 }
 
-static bool leader_hop(const LeaderRoute *leader_route, LeaderHop *taken)
+static bool leader_hop(const LeaderRoute *leader_route, LeaderHop *hop)
 {
-    const char *leader = members_leader_address(leader_route->members);
-    if (leader == NULL)
+    const char *leader_address = members_leader_address(leader_route->members);
+    if (leader_address == NULL)
         return false;
-    snprintf(taken->address, ADDRESS_MAX, "%s", leader);
-    taken->peer = members_leader_peer(leader_route->members);
-    return strcmp(leader, members_self(leader_route->members)->address) != 0;
+    snprintf(hop->address, ADDRESS_MAX, "%s", leader_address);
+    hop->peer = members_leader_peer(leader_route->members);
+    return strcmp(leader_address, members_self(leader_route->members)->address) != 0;
 }
 
-bool leader_route_hop(const LeaderRoute *leader_route, size_t nth, LeaderHop *taken)
+bool leader_route_hop(const LeaderRoute *leader_route, size_t nth, LeaderHop *hop)
 {
-    *taken = (LeaderHop){.generation = leader_route->generation, .relay = nth > 0};
+    *hop = (LeaderHop){.generation = leader_route->generation, .relay = nth > 0};
     if (nth == 0)
-        return leader_hop(leader_route, taken);
+        return leader_hop(leader_route, hop);
     const MemberTable *table = members_table(leader_route->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (!relays(leader_route, row) || --nth > 0)
+        if (!can_relay(leader_route, row) || --nth > 0)
             continue;
-        snprintf(taken->address, ADDRESS_MAX, "%s", row->record.address);
-        taken->peer = member_peer(&row->record);
+        snprintf(hop->address, ADDRESS_MAX, "%s", row->record.address);
+        hop->peer = member_peer(&row->record);
         return true;
     }
     return false;
 }
 
-bool leader_route_take_hop(LeaderRoute *leader_route, LeaderHop *taken)
+bool leader_route_hop_in_use(LeaderRoute *leader_route, LeaderHop *hop)
 {
-    if (leader_route_own_lead(leader_route)) {
-        *taken = (LeaderHop){.generation = leader_route->generation, .own = true};
+    if (leader_route_self_leads(leader_route)) {
+        *hop = (LeaderHop){.generation = leader_route->generation, .self = true};
         return true;
     }
     if (leader_route_state(leader_route) != LEADER_ROUTE_LOST &&
-        leader_route_hop(leader_route, leader_route->at, taken))
+        leader_route_hop(leader_route, leader_route->hop_index, hop))
         return true;
-    /* the relay has gone, or this process has just lost the leadership */
+    /* the relay has left, or this process has just lost the leadership */
     if (leader_route_state(leader_route) != LEADER_ROUTE_LOST)
         leader_route_enter_lost(leader_route);
-    leader_route_miss(leader_route);
+    leader_route_record_not_serving(leader_route);
     return false;
 }
 
-bool leader_route_drop_hop(LeaderRoute *leader_route, const LeaderHop *taken)
+bool leader_route_discard_hop(LeaderRoute *leader_route, const LeaderHop *hop)
 {
-    if (taken->own || !leader_route_current(leader_route, taken))
+    if (hop->self || !leader_route_is_current(leader_route, hop))
         return false;
-    leader_route_miss(leader_route);
+    leader_route_record_not_serving(leader_route);
     leader_route_enter_lost(leader_route);
     return true;
 }
 
-Status leader_route_ping(LeaderRoute *leader_route, const LeaderHop *taken, int64_t wait_ms, bool *serves)
+Status leader_route_ping(LeaderRoute *leader_route, const LeaderHop *hop, int64_t wait_ms, bool *serves)
 {
     void *mem = talloc_new(leader_route);
     const ForwardAsk ask = {
-        .method = "GET", .path = "/readyz", .relay = taken->relay, .host = "", .wait_ms = (uint64_t)wait_ms};
+        .method = "GET", .path = "/readyz", .relay = hop->relay, .host = "", .wait_ms = (uint64_t)wait_ms};
     ForwardAnswer answer = {0};
-    const Status status = hop_ask(leader_route->rpc, mem, taken, NULL, &ask, wait_ms, &answer);
+    const Status status = hop_request(leader_route->rpc, mem, hop, NULL, &ask, wait_ms, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
-        members_meet(leader_route->members, taken->address);
+        members_meet(leader_route->members, hop->address);
     else if (status != STATUS_OK)
-        leader_route_learn(leader_route, &answer);
-    *serves = status == STATUS_OK && answer.code == GOOD_HTTP;
+        leader_route_learn_leader(leader_route, &answer);
+    *serves = status == STATUS_OK && answer.code == HTTP_OK;
     talloc_free(mem);
     return status;
 }
 
-bool leader_route_alive(LeaderRoute *leader_route, const LeaderHop *taken)
+bool leader_route_check_hop(LeaderRoute *leader_route, const LeaderHop *hop)
 {
     bool serves;
-    const Status status = leader_route_ping(leader_route, taken, LEADER_ROUTE_PING_MS, &serves);
+    const Status status = leader_route_ping(leader_route, hop, LEADER_ROUTE_PING_MS, &serves);
     if (status == STATUS_OK)
-        leader_route_heard(leader_route, taken, serves);
+        leader_route_record_answer(leader_route, hop, serves);
     return status == STATUS_OK;
 }
 
-void leader_route_learn(LeaderRoute *leader_route, const ForwardAnswer *answer)
+void leader_route_learn_leader(LeaderRoute *leader_route, const ForwardAnswer *answer)
 {
     if (answer->leader_term > members_leader_term(leader_route->members) && answer->leader_id != NULL &&
         answer->leader_id[0] != '\0')
         members_set_leader(leader_route->members, answer->leader_term, answer->leader_id);
 }
 
-bool leader_route_current(const LeaderRoute *leader_route, const LeaderHop *taken)
+bool leader_route_is_current(const LeaderRoute *leader_route, const LeaderHop *hop)
 {
-    return taken->own || taken->generation == leader_route->generation;
+    return hop->self || hop->generation == leader_route->generation;
 }
 
-void leader_route_heard(LeaderRoute *leader_route, const LeaderHop *taken, bool serves)
+void leader_route_record_answer(LeaderRoute *leader_route, const LeaderHop *hop, bool serves)
 {
-    if (!leader_route_current(leader_route, taken))
+    if (!leader_route_is_current(leader_route, hop))
         return;
-    leader_route->heard_ms = loop_now_ms(leader_route->loop);
+    leader_route->last_answer_ms = loop_now_ms(leader_route->loop);
     if (serves) {
-        leader_route->served_ms = leader_route->heard_ms;
-        leader_route->missed_ms = INT64_MAX;
+        leader_route->last_served_ms = leader_route->last_answer_ms;
+        leader_route->not_serving_since_ms = INT64_MAX;
     } else {
-        leader_route_miss(leader_route);
+        leader_route_record_not_serving(leader_route);
     }
 }
--- a/packages/routing/src/limits.c
+++ b/packages/routing/src/limits.c
@@ -1,4 +1,4 @@
-/* The limits of the operators' configuration, applied to the HTTP server. */
+/* Applies the limits of the operators' configuration to the HTTP server. */
 #include "routing/limits.h"
 
 void limits_apply(Loop *loop, const ConfigLimits *limits)
--- a/packages/routing/src/order.c
+++ b/packages/routing/src/order.c
@@ -1,4 +1,4 @@
-/* Orders for a zone are made idempotent by a request id and the zone's stamp. */
+/* Makes drain orders for a zone idempotent by means of a request id and the zone's stamp. */
 #include "order.h"
 
 #include <inttypes.h>
@@ -8,8 +8,8 @@
 #include "api/show.h"
 #include "outcome.h"
 
-/* The stamp in the JSON that shows a zone; -1: there is none, an earlier release leads. */
-static int64_t stamp_of(const ForwardAnswer *answer)
+/* The stamp in the JSON description of a zone; -1: it has none, since the leader has an earlier release. */
+static int64_t stamp_parse(const ForwardAnswer *answer)
 {
     json_tokener *tokener = json_tokener_new();
     json_object *shown = json_tokener_parse_ex(tokener, (const char *)answer->body.data, (int)answer->body.count);
@@ -22,79 +22,81 @@
     return value;
 }
 
-/* Waits. Reads the zone's stamp from the leader, as a request of its own inside the order's
- * deadline. False: the task has its result already. */
-static bool stamp_read(const Forwarding *one, int64_t *stamp)
+/* Suspends the coroutine. Reads the zone's stamp from the leader, by a separate request within the order's deadline.
+ * Returns false if the task already has its result. */
+static bool stamp_read(const Forwarding *forwarding, int64_t *stamp)
 {
-    HttpTask *task = one->task;
-    Forwarding reading = *one;
+    HttpTask *task = forwarding->task;
+    Forwarding reading = *forwarding;
     reading.repeat = REPEAT_READ;
     ForwardAsk ask = {.method = "GET", .path = task->path, .query = "", .host = task->host};
     ForwardAnswer answer = {0};
     if (!forward_attempts(&reading, &ask, &answer)) {
-        forward_give_up(&reading);
+        forward_set_refusal(&reading);
         return false;
     }
-    if (answer.code != GOOD_HTTP) {
-        forward_take(task, &answer);
+    if (answer.code != HTTP_OK) {
+        forward_set_result(task, &answer);
         return false;
     }
-    *stamp = stamp_of(&answer);
+    *stamp = stamp_parse(&answer);
     return true;
 }
 
-/* The order has no name, and may have waited in the socket of a process that stood still: its caller may have given
- * others since at other nodes, which it must not undo. */
-static bool may_be_late(const Forwarding *one)
+/* Whether an order without an id may have waited in the socket while this process was paused. Its caller may have given
+ * newer orders at other nodes since, and the old order must not undo them. */
+static bool may_be_stale(const Forwarding *forwarding)
 {
-    return query_value(one->task, one->task->query, "order") == NULL && pause_recent(&one->forwarder->pause);
+    return query_value(forwarding->task, forwarding->task->query, "order") == NULL &&
+           pause_recent(&forwarding->forwarder->pause);
 }
 
-static void order_late(HttpTask *task)
+static void order_refuse_after_pause(HttpTask *task)
 {
     show_refusal(task, STATUS_STALE_ORDER,
-                 "this process has stood still: the order may be an old one; nothing was taken: send it again if it "
-                 "still stands",
+                 "this process was paused, so the order may be outdated; it was not accepted: send it again if it is "
+                 "still wanted",
                  NULL);
-    task->code = NOT_TAKEN_HTTP;
+    task->code = HTTP_NOT_ACCEPTED;
     task->retry_after_s = RETRY_AFTER_S;
 }
 
-bool order_named(Forwarding *one, ForwardAsk *ask)
+bool order_add_identity(Forwarding *forwarding, ForwardAsk *ask)
 {
-    HttpTask *task = one->task;
-    Loop *loop = one->forwarder->settings.loop;
-    if (may_be_late(one)) {
-        order_late(task);
+    HttpTask *task = forwarding->task;
+    Loop *loop = forwarding->forwarder->settings.loop;
+    if (may_be_stale(forwarding)) {
+        order_refuse_after_pause(task);
         return false;
     }
     char *query = talloc_strdup(task, task->query);
     int64_t stamp = 0;
     if (query_value(task, task->query, "after") == NULL) {
-        if (!stamp_read(one, &stamp))
+        if (!stamp_read(forwarding, &stamp))
             return false;
-        one->based = stamp >= 0;
-        if (!one->based)
-            one->repeat = REPEAT_NEVER; /* the leader would not recognise a copy */
+        forwarding->base_added = stamp >= 0;
+        if (!forwarding->base_added)
+            forwarding->repeat = REPEAT_NEVER; /* without a stamp the leader would not recognise a copy */
         else
             query = talloc_asprintf_append(query, "%safter=%" PRId64, query[0] != '\0' ? "&" : "", stamp);
     }
     if (query_value(task, task->query, "order") == NULL)
         query = talloc_asprintf_append(query, "%sorder=%016" PRIx64, query[0] != '\0' ? "&" : "", loop_random(loop));
-    loop_yield(loop); /* so that a disconnect that came with the request is seen first */
+    loop_yield(loop); /* so that a disconnect that arrived with the request is detected first */
     if (task->gone) {
-        show_refusal(task, STATUS_CLOSED, "its caller has gone: nothing was taken", NULL);
+        show_refusal(task, STATUS_CLOSED, "the caller has disconnected; the order was not accepted", NULL);
         return false;
     }
     ask->query = query;
     return true;
 }
 
-void order_overtaken(HttpTask *task)
+void order_refuse_superseded(HttpTask *task)
 {
-    show_refusal(task, STATUS_STALE_ORDER,
-                 "there has been another order for this zone; nothing was taken: send it again if it still stands",
-                 NULL);
-    task->code = NOT_TAKEN_HTTP;
+    show_refusal(
+        task, STATUS_STALE_ORDER,
+        "another order for this zone was accepted meanwhile; this one was not: send it again if it is still wanted",
+        NULL);
+    task->code = HTTP_NOT_ACCEPTED;
     task->retry_after_s = RETRY_AFTER_S;
 }
--- a/packages/routing/src/outcome.c
+++ b/packages/routing/src/outcome.c
@@ -1,7 +1,7 @@
-/* What the end of an attempt says of the request. */
+/* What the end of an attempt implies for the request. */
 #include "outcome.h"
 
-bool outcome_untaken(Status status)
+bool outcome_not_accepted(Status status)
 {
     switch (status) {
     case STATUS_UNREACHABLE:
@@ -21,17 +21,19 @@
     }
 }
 
-bool outcome_leader_lost(const ForwardAnswer *answer, bool *maybe_taken)
+bool outcome_leader_lost(const ForwardAnswer *answer, bool *maybe_accepted)
 {
-    if (answer->code == UNKNOWN_HTTP && answer->status == STATUS_OUTCOME_UNKNOWN) {
-        *maybe_taken = true;
+    if (answer->code == HTTP_OUTCOME_UNKNOWN && answer->status == STATUS_OUTCOME_UNKNOWN) {
+        *maybe_accepted = true;
         return true;
     }
-    return answer->code == NOT_TAKEN_HTTP && (answer->status == STATUS_NOT_LEADER || answer->status == STATUS_LEAVING);
+    return answer->code == HTTP_NOT_ACCEPTED &&
+           (answer->status == STATUS_NOT_LEADER || answer->status == STATUS_LEAVING);
 }
 
 bool outcome_leader_serves(const ForwardAnswer *answer)
 {
-    return answer->code != NOT_TAKEN_HTTP || (answer->status != STATUS_NOT_LEADER &&
-                                              answer->status != STATUS_REPAIRING && answer->status != STATUS_LEAVING);
+    return answer->code != HTTP_NOT_ACCEPTED ||
+           (answer->status != STATUS_NOT_LEADER && answer->status != STATUS_REPAIRING &&
+            answer->status != STATUS_LEAVING);
 }
--- a/packages/routing/src/outcome.h
+++ b/packages/routing/src/outcome.h
@@ -3,22 +3,21 @@
 
 #include "routing/messages.h"
 
-/* What the end of one attempt says of the request: certainly not taken, possibly taken, or
- * answered by a leader. Pure functions; the retry rules of forwarding.c rest on them. */
+/* What the end of one attempt implies for the request: certainly not accepted, possibly accepted, or answered by a
+ * leader. Pure functions, on which the retry logic of forwarding.c is based. */
 
-/* The answer's HTTP codes that carry a meaning of their own here. */
-#define GOOD_HTTP 200
-#define NOT_TAKEN_HTTP 503 /* certainly not taken */
-#define UNKNOWN_HTTP 504   /* it may have been taken */
+/* HTTP status codes that the forwarder interprets. */
+#define HTTP_OK 200
+#define HTTP_NOT_ACCEPTED 503    /* the request was certainly not accepted */
+#define HTTP_OUTCOME_UNKNOWN 504 /* the request may have been accepted */
 
-/* Whether a failed attempt certainly changed nothing: it was not sent, or whoever was asked
- * refused it because it does not lead. Any other failure leaves the outcome open, also an
- * answer that can't be read. */
-bool outcome_untaken(Status status);
-/* Whether the one who answered had lost the leadership by then, so that the next leader is
- * to be asked. *maybe_taken is set, never cleared, when it may have taken the request first. */
-bool outcome_leader_lost(const ForwardAnswer *answer, bool *maybe_taken);
-/* Whether the answer comes from a leader that serves: it is neither in repair nor leaving. */
+/* Whether a failed attempt certainly changed nothing: the request was not sent, or was refused unprocessed. After any
+ * other failure the outcome is unknown, also after an answer that cannot be decoded. */
+bool outcome_not_accepted(Status status);
+/* Whether the process that answered had lost the leadership, so that the request goes to the next leader.
+ * *maybe_accepted is set if that process may have accepted the request before; it is never cleared. */
+bool outcome_leader_lost(const ForwardAnswer *answer, bool *maybe_accepted);
+/* Whether the answer comes from a leader that serves: one that is neither in repair nor leaving. */
 bool outcome_leader_serves(const ForwardAnswer *answer);
 
 #endif
--- a/packages/routing/src/pause.c
+++ b/packages/routing/src/pause.c
@@ -1,23 +1,23 @@
-/* Pauses of this process, seen by a task that is late. */
+/* Detects pauses of this process by a periodic coroutine that runs late. */
 #include "pause.h"
 
 #include "base/constants.h"
 
-#define PAUSE_CHECK_MS 100 /* ms; between two turns of the task */
+#define PAUSE_CHECK_MS 100 /* interval between two runs of the watching coroutine, in ms */
 
-/* How late the task is, beyond its own rest. */
-static bool late(const Pause *pause)
+/* Whether the watching coroutine is overdue by more than PAUSE_LEAST_MS. */
+static bool is_late(const Pause *pause)
 {
-    return loop_now_ms(pause->loop) - pause->awake_ms > PAUSE_CHECK_MS + PAUSE_LEAST_MS;
+    return loop_now_ms(pause->loop) - pause->last_run_ms > PAUSE_CHECK_MS + PAUSE_LEAST_MS;
 }
 
 static void watch_main(void *arg)
 {
     Pause *pause = arg;
     while (!loop_stopping(pause->loop)) {
-        if (late(pause))
+        if (is_late(pause))
             pause->ended_ms = loop_now_ms(pause->loop);
-        pause->awake_ms = loop_now_ms(pause->loop);
+        pause->last_run_ms = loop_now_ms(pause->loop);
         loop_sleep(pause->loop, PAUSE_CHECK_MS);
     }
 }
@@ -30,5 +30,6 @@
 
 bool pause_recent(const Pause *pause)
 {
-    return late(pause) || (pause->ended_ms != INT64_MIN && loop_now_ms(pause->loop) - pause->ended_ms < PAUSE_AFTER_MS);
+    return is_late(pause) ||
+           (pause->ended_ms != INT64_MIN && loop_now_ms(pause->loop) - pause->ended_ms < PAUSE_AFTER_MS);
 }
--- a/packages/routing/src/pause.h
+++ b/packages/routing/src/pause.h
@@ -3,17 +3,18 @@
 
 #include "loop/loop.h"
 
-/* Whether this process has just stood still: then what it reads now may have come long ago, and its callers may have
- * gone on elsewhere. Used for orders that can't be told from new ones (order.c). */
+/* Detects that this process has been paused (suspended, or starved of processor time). Requests that it reads
+ * afterwards may have arrived long ago, and their callers may have turned to another node since. Used for orders
+ * without an id, where an old one cannot be distinguished from a new one (order.c). */
 typedef struct Pause {
     Loop *loop;
-    int64_t awake_ms; /* when its task ran last */
-    int64_t ended_ms; /* when the last pause was seen to end; INT64_MIN: there was none */
+    int64_t last_run_ms; /* when the watching coroutine last ran */
+    int64_t ended_ms;    /* when the last pause ended; INT64_MIN: no pause so far */
 } Pause;
 
-/* Spawns the task that watches; the loop and pause outlive it. */
+/* Initialises pause and starts the watching coroutine; the loop and pause must outlive it. */
 void pause_watch(Pause *pause, Loop *loop);
-/* Whether a pause ends now, or ended less than PAUSE_AFTER_MS ago. */
+/* Whether a pause is ending now, or ended less than PAUSE_AFTER_MS ago. */
 bool pause_recent(const Pause *pause);
 
 #endif
