--- a/packages/callers/include/callers/callers.h
+++ b/packages/callers/include/callers/callers.h
@@ -6,26 +6,26 @@
 #include "scheduler/scheduler.h"
 #include "replication/replication.h"
 
-/* Answers callers' requests as leader: jobs, the configuration, zones, the queue, status. A request passes
- * guards, goes to its route, and its answer goes out only with the proof that its route asks for: the lease,
- * or a round of contact with a majority since the request came (a read index, as in Raft).
+/* The callers' service: answers callers' requests in the leader (jobs, the configuration, zones, the queue, status). A
+ * request passes the guards, is served by its route, and its answer is sent only with the proof that the route
+ * requires: the lease, or an exchange of messages with a majority since the request arrived (a read index, as in Raft).
  *
- * Used by the controller for requests that any node forwards to it, its own included. Invariants: while the state
- * is being repaired nothing but the status is answered; an answer to a request that committed nothing, and that was
- * proven by contact, was true at some time after the request came. */
+ * Used by the controller for the requests that any node forwards to it, its own included. Invariants: while the state
+ * is being repaired, only the status is answered; an answer to a request that committed nothing, and that was proven by
+ * contact with a majority, was true at some time after the request arrived. */
 typedef struct CallerService CallerService;
 
-/* What the callers' service calls of the controller. None waits. */
-typedef struct CallerServiceLeader {
-    void *arg; /* handed to each of them */
-    /* Whether a repair is under way (controller/src/repair.c). */
+/* The functions of the controller that the callers' service calls. None of them suspends the coroutine. */
+typedef struct CallerServiceCallbacks {
+    void *arg; /* passed to each function */
+    /* Whether a repair is in progress (controller/src/repair.c). */
     bool (*repairing)(void *arg);
-    /* The bodies of /v1/status and /v1/alerts; owned by the caller. */
+    /* Return the bodies of /v1/status and /v1/alerts; the caller owns the result. */
     json_object *(*status)(void *arg);
     json_object *(*alerts)(void *arg);
-} CallerServiceLeader;
+} CallerServiceCallbacks;
 
-/* Every pointer outlives the callers. */
+/* The objects pointed to must outlive the service. */
 typedef struct CallerServiceSettings {
     Loop *loop;
     Replication *replication;
@@ -35,11 +35,12 @@
     InForce *in_force;
     Scheduler *scheduler;
     const Bounds *bounds;
-    CallerServiceLeader leader;
+    CallerServiceCallbacks leader;
 } CallerServiceSettings;
 
-/* Requests since the process began; X(name). refused: with faults; crowded: too much waited in the cell, or the state
- * was full; unproven: the proof of the answer failed; unknown_keys: calls of an entry without a known key. */
+/* Counters of requests since the start of the process; X(name). refused: refused because of faults in the request;
+ * crowded: refused because too many tasks waited in the cell or the state was full; unproven: the proof of the answer
+ * failed; unknown_keys: requests to a queue's entry without a known key. */
 #define CALLER_SERVICE_COUNT_LIST(X) \
     X(refused)                       \
     X(crowded)                       \
@@ -52,13 +53,14 @@
 #undef X
 } CallerServiceCounts;
 
-/* On mem. Copies the settings. */
+/* Allocated on mem; settings is copied. */
 CallerService *caller_service_new(void *mem, const CallerServiceSettings *settings);
-/* Waits. Answers a request that was forwarded, or came to this node's own address; what it committed is in the answer,
- * for the node that brings it to the caller. Where disks may lose what they acknowledged, REPAIR_COPIES entry points
- * keep it as well before this returns, as far as they answer; one that carries the request is one of them. All on mem.
- * The node must lead when it is called. */
-void caller_service_answer(CallerService *callers, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
-const CallerServiceCounts *caller_service_counts(const CallerService *callers);
+/* Suspends the coroutine. Answers a request that was forwarded, or that arrived at this node's own address. The answer
+ * contains the committed changes, for the node that returns it to the caller. If disks may lose what they acknowledged,
+ * REPAIR_COPIES entry points hold the changes too before the function returns, provided that they answer; an entry
+ * point that forwarded the request counts as one of them. Everything is allocated on mem. The node must lead when the
+ * function is called. */
+void caller_service_answer(CallerService *service, void *mem, const ForwardAsk *ask, ForwardAnswer *answer);
+const CallerServiceCounts *caller_service_counts(const CallerService *service);
 
 #endif
--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -1,4 +1,4 @@
-/* Routes of /v1/config: operators read the configuration and change it. */
+/* Routes of /v1/config: operators read and change the configuration. */
 #include "configs.h"
 
 #include <inttypes.h>
@@ -8,11 +8,11 @@
 
 #include "document/document.h"
 
-#define DIGEST_HEAD 80 /* bytes; "put" or "patch", and two numbers */
+#define DIGEST_HEAD_BYTES 80 /* size of the head of the digested text, in bytes: "put" or "patch", and two numbers */
 
 /* --- reading ----------------------------------------------------------------------- */
 
-/* The text is sent as it is stored, so that operators get their document back as they sent it. */
+/* Shows a version. The text is sent as it is stored, so that operators get their document back as they sent it. */
 static void show_config(CallerRequest *request, uint64_t version, const char *text)
 {
     HttpTask *task = request->task;
@@ -27,13 +27,13 @@
 
 static void show_newest(CallerRequest *request)
 {
-    const Versions *versions = table_versions(request->callers->table);
+    const Versions *versions = table_versions(request->service->table);
     const uint64_t newest = versions_newest(versions);
-    const Config *config = in_force_config(request->callers->in_force);
+    const Config *config = in_force_config(request->service->in_force);
     const char *text;
     if (newest == 0)
         text = config_first_text();
-    else if (versions->rows[versions->count - 1].patch && config->version == newest) /* it has been read already */
+    else if (versions->rows[versions->count - 1].patch && config->version == newest) /* already parsed */
         text = document_text(request->mem, config->tree);
     else
         text = versions_text(versions, request->mem, newest);
@@ -42,7 +42,7 @@
 
 void config_get(CallerRequest *request)
 {
-    const Versions *versions = table_versions(request->callers->table);
+    const Versions *versions = table_versions(request->service->table);
     int64_t version = 0, have = -1, wait_ms = 0;
     query_int(request->faults, request->task->query, "revision", 0, INT64_MAX, &version);
     query_int(request->faults, request->task->query, "have", 0, INT64_MAX, &have);
@@ -54,24 +54,24 @@
     if (version > 0) {
         const char *text = versions_text(versions, request->mem, (uint64_t)version);
         if (text == NULL)
-            show_refusal(request->task, STATUS_UNKNOWN_VERSION, "this revision can't be read back", NULL);
+            show_refusal(request->task, STATUS_UNKNOWN_VERSION, "this revision is not in the stored history", NULL);
         else
             show_config(request, (uint64_t)version, text);
         return;
     }
-    const int64_t until_ms = loop_now_ms(request->callers->loop) + wait_ms;
-    while (have >= 0 && versions_newest(table_versions(request->callers->table)) <= (uint64_t)have)
-        if (!signal_wait(request->callers->loop, replication_changed_signal(request->callers->replication), until_ms))
+    const int64_t until_ms = loop_now_ms(request->service->loop) + wait_ms;
+    while (have >= 0 && versions_newest(table_versions(request->service->table)) <= (uint64_t)have)
+        if (!signal_wait(request->service->loop, replication_changed_signal(request->service->replication), until_ms))
             break;
-    if (!replication_leading(request->callers->replication))
-        show_refusal(request->task, STATUS_NOT_LEADER, "the lead was lost meanwhile: come back", NULL);
+    if (!replication_leading(request->service->replication))
+        show_refusal(request->task, STATUS_NOT_LEADER, "leadership was lost meanwhile: retry later", NULL);
     else
         show_newest(request);
 }
 
 void config_history(CallerRequest *request)
 {
-    const Versions *versions = table_versions(request->callers->table);
+    const Versions *versions = table_versions(request->service->table);
     json_object *body = json_object_new_object(), *list = json_object_new_array();
     for (size_t i = versions->whole; i < versions->count; i++)
         json_object_array_add(list, json_object_new_uint64(versions->rows[i].version));
@@ -83,24 +83,24 @@
 
 static void refuse_stale(CallerRequest *request, uint64_t current)
 {
-    json_object *body = show_failure(STATUS_STALE_VERSION, "another revision is in force: build on that", NULL);
+    json_object *body = show_failure(STATUS_STALE_VERSION, "another revision is in force: use that as the base", NULL);
     json_object_object_add(body, "current", json_object_new_uint64(current));
     request->task->status = STATUS_STALE_VERSION;
     show_result(request->task, status_http(STATUS_STALE_VERSION), body);
 }
 
-static void show_taken(CallerRequest *request, uint64_t version)
+static void show_accepted(CallerRequest *request, uint64_t version)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "revision", json_object_new_uint64(version));
     show_result(request->task, 200, body);
 }
 
-/* Digest of a call that names its version, by which the same call is known when it is sent again. It only tells
- * calls apart: it need not resist forgery. */
-static const char *digest_of(CallerRequest *request, bool patch, uint64_t base, uint64_t version)
+/* Digest of a call that states its version, by which the call is recognised when it is sent again. The digest only
+ * distinguishes calls; it need not resist forgery. */
+static const char *call_digest(CallerRequest *request, bool patch, uint64_t base, uint64_t version)
 {
-    char head[DIGEST_HEAD];
+    char head[DIGEST_HEAD_BYTES];
     const int length =
         snprintf(head, sizeof(head), "%s %" PRIu64 " %" PRIu64 "\n", patch ? "patch" : "put", base, version);
     GChecksum *sum = g_checksum_new(G_CHECKSUM_MD5);
@@ -111,8 +111,8 @@
     return digest;
 }
 
-/* The whole document that a patch makes; null and faults where it is none. The text to be committed is the
- * patch. */
+/* Returns the whole document that results from a patch; null, with a fault, if the patch is not an object. The text to
+ * be committed is the patch, unless there is no version yet. */
 static json_object *patch_apply(CallerRequest *request, const Config *now, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
@@ -125,8 +125,8 @@
     return tree;
 }
 
-/* A document that differs little from the one in force is committed as its difference, and shares equal subtrees
- * with it. */
+/* Returns the new document. If it differs little from the one in force, the text to be committed is the difference, and
+ * the new document shares equal subtrees with the one in force. */
 static json_object *document_replace(CallerRequest *request, const Config *now, json_object *whole, ConfigSet *set)
 {
     json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
@@ -144,19 +144,19 @@
     return tree;
 }
 
-/* Many patches together may make a document that is larger than one call may send. Its text is made only where the
- * sum of the sizes does not show that it is small enough. */
+/* Adds a fault if the document exceeds the limit: many patches together can produce a document that is larger than one
+ * call may send. The text is produced only if the sum of the sizes does not show that it is small enough. */
 static void check_size(CallerRequest *request, json_object *tree)
 {
-    if (versions_size(table_versions(request->callers->table)) + request->task->body.count <= CONFIG_BODY_MAX)
+    if (versions_size(table_versions(request->service->table)) + request->task->body.count <= CONFIG_BODY_MAX)
         return;
     if (strlen(document_text(request->mem, tree)) > CONFIG_BODY_MAX)
-        fault_add(request->faults, STATUS_TOO_LARGE, "", "with this patch the configuration has more than %d bytes",
+        fault_add(request->faults, STATUS_TOO_LARGE, "", "with this patch the configuration exceeds %d bytes",
                   CONFIG_BODY_MAX);
 }
 
-/* The configuration that the call asks for, on mem; null and faults where it has any. */
-static const Config *config_of(CallerRequest *request, const Config *now, bool patch, ConfigSet *set)
+/* Returns the configuration that the call requests, allocated on request->mem; null, with faults, if it has any. */
+static const Config *config_parse(CallerRequest *request, const Config *now, bool patch, ConfigSet *set)
 {
     const Bytes *body = &request->task->body;
     if (body->count > CONFIG_BODY_MAX) {
@@ -175,32 +175,34 @@
     return config;
 }
 
+/* Reads the versions that the call is based on and that it sets, 0 if not stated. False: the request has faults. */
 static bool query_versions(CallerRequest *request, uint64_t *base, uint64_t *version)
 {
-    int64_t builds = -1, named = 0;
+    int64_t base_given = -1, version_given = 0;
     if (query_value(request->mem, request->task->query, "base") == NULL)
-        fault_add(request->faults, STATUS_BAD_FIELD, "?base", "is missing: name the revision that this builds on");
-    query_int(request->faults, request->task->query, "base", 0, INT64_MAX, &builds);
-    query_int(request->faults, request->task->query, "revision", 1, INT64_MAX, &named);
-    *base = (uint64_t)builds;
-    *version = (uint64_t)named;
+        fault_add(request->faults, STATUS_BAD_FIELD, "?base",
+                  "is missing: state the revision that this change is based on");
+    query_int(request->faults, request->task->query, "base", 0, INT64_MAX, &base_given);
+    query_int(request->faults, request->task->query, "revision", 1, INT64_MAX, &version_given);
+    *base = (uint64_t)base_given;
+    *version = (uint64_t)version_given;
     return request->faults->count == 0;
 }
 
 static void config_set(CallerRequest *request, bool patch)
 {
-    CallerService *callers = request->callers;
+    CallerService *service = request->service;
     ConfigSet set = {.text = "", .digest = "", .patch = false};
     if (!query_versions(request, &set.base, &set.version)) {
         request_refuse(request);
         return;
     }
-    const Versions *versions = table_versions(callers->table);
+    const Versions *versions = table_versions(service->table);
     if (set.version != 0)
-        set.digest = digest_of(request, patch, set.base, set.version);
+        set.digest = call_digest(request, patch, set.base, set.version);
     const uint64_t current = versions_newest(versions), known = versions_digest(versions, set.digest);
-    if (known != 0) { /* sent again: it was accepted, whatever has come since */
-        show_taken(request, known);
+    if (known != 0) { /* a retry: the call was accepted, whatever has changed since */
+        show_accepted(request, known);
         return;
     }
     if (set.base != current) {
@@ -210,25 +212,25 @@
     if (set.version == 0)
         set.version = current + 1;
     else if (set.version <= current)
-        fault_add(request->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", which is in force",
+        fault_add(request->faults, STATUS_BAD_FIELD, "?revision", "must be above %" PRIu64 ", the revision in force",
                   current);
-    const Config *config = config_of(request, in_force_config(callers->in_force), patch, &set);
+    const Config *config = config_parse(request, in_force_config(service->in_force), patch, &set);
     if (config == NULL || request->faults->count > 0) {
         request_refuse(request);
         return;
     }
     set.limits = config->limits;
     CheckedConfig checked = {.set = set, .config = config};
-    checked_config_add(callers->in_force, &checked);
+    checked_config_add(service->in_force, &checked);
     ChangeResult result;
     const Status status = request_submit(request, CHANGE_CONFIG_SET, &ConfigSet_shape, &set, &result);
     if (status == STATUS_OK && result.status == STATUS_OK)
-        in_force_config(callers->in_force); /* takes the checked one, before another change is delivered */
-    checked_config_remove(callers->in_force, &checked);
+        in_force_config(service->in_force); /* takes over checked before another change is delivered */
+    checked_config_remove(service->in_force, &checked);
     if (!request_delivered(request, status))
         return;
     if (result.status == STATUS_OK)
-        show_taken(request, result.number);
+        show_accepted(request, result.number);
     else
         refuse_stale(request, result.number);
 }
@@ -238,7 +240,7 @@
     config_set(request, false);
 }
 
-void config_patched(CallerRequest *request)
+void config_apply_patch(CallerRequest *request)
 {
     config_set(request, true);
 }
--- a/packages/callers/src/entry.h
+++ b/packages/callers/src/entry.h
@@ -3,9 +3,9 @@
 
 #include "request.h"
 
-/* Paths of requests to a queue's own address (its entry) begin with this. */
+/* Prefix of the paths of requests to a queue's own address (its entry). */
 #define ENTRY_PATH "/v1/entry"
-/* Waits. The route of all of them. */
+/* The route of all these requests. May suspend the coroutine. */
 void entry_serve(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/jobs.c
+++ b/packages/callers/src/jobs.c
@@ -1,42 +1,43 @@
-/* Jobs as callers submit them by id, ask for them and cancel them. */
+/* Routes of /v1/jobs: callers submit jobs, read and list them, and cancel them. */
 #include "jobs.h"
 
 #include <string.h>
 #include <talloc.h>
 
-const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh)
+const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *created)
 {
-    CallerService *callers = request->callers;
-    const Config *config = in_force_config(callers->in_force);
-    *fresh = false;
-    if (!job_admissible(request->faults, spec, config, callers->table)) {
+    CallerService *service = request->service;
+    const Config *config = in_force_config(service->in_force);
+    *created = false;
+    if (!job_admissible(request->faults, spec, config, service->table)) {
         request_refuse(request);
         return NULL;
     }
     size_t tasks = 0;
     for (size_t i = 0; i < spec->steps_count; i++)
         tasks += (size_t)(spec->steps[i].count * (spec->turns > 1 ? spec->turns : 1));
-    if (table_waiting(callers->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
-        callers->counts.crowded++;
-        show_refusal(request->task, STATUS_QUEUE_FULL, "too much waits in this cell; nothing was taken: come back",
-                     NULL);
+    if (table_waiting(service->table, spec->cell) + tasks > config_cell(config, spec->cell)->limit) {
+        service->counts.crowded++;
+        show_refusal(request->task, STATUS_QUEUE_FULL,
+                     "too many tasks wait in this cell; the job was not accepted: retry later", NULL);
         return NULL;
     }
-    if (replication_admit(callers->replication, request->task->body.count) != STATUS_OK) {
-        callers->counts.crowded++;
-        show_refusal(request->task, STATUS_STATE_FULL, "the state is full; nothing was taken: come back", NULL);
+    if (replication_admit(service->replication, request->task->body.count) != STATUS_OK) {
+        service->counts.crowded++;
+        show_refusal(request->task, STATUS_STATE_FULL, "the state is full; the job was not accepted: retry later",
+                     NULL);
         return NULL;
     }
     const JobAdd add = {*spec, *terms};
     ChangeResult result;
     if (!request_delivered(request, request_submit(request, CHANGE_JOB_ADD, &JobAdd_shape, &add, &result)))
         return NULL;
-    const Job *job = table_job(callers->table, spec->id);
+    const Job *job = table_job(service->table, spec->id);
     if (result.status != STATUS_OK || job == NULL) {
         show_refusal(request->task, result.status, "another job has this id", NULL);
         return NULL;
     }
-    *fresh = true;
+    *created = true;
     return job;
 }
 
@@ -46,11 +47,11 @@
         show_refusal(request->task, STATUS_OTHER_BODY, "another job has this id", NULL);
         return false;
     }
-    /* the node that brings this answer may be the only one that did: it keeps the job for repair too */
+    /* the node that returned the first answer may be lost, so the node that returns this one holds the job too */
     RepairItem item = {CHANGE_JOB_ADD, 0, {0}};
     const JobAdd add = {known->spec, known->terms};
     shape_pack(&JobAdd_shape, &add, request->mem, &item.payload);
-    request_keep(request, &item);
+    request_add_repair_item(request, &item);
     return true;
 }
 
@@ -74,31 +75,31 @@
         request_refuse(request);
         return;
     }
-    /* the same job again gets the first answer, whatever has changed since */
-    const Job *job = table_job(request->callers->table, spec.id);
-    bool fresh = false;
+    /* a resubmitted job gets the first answer, whatever has changed since */
+    const Job *job = table_job(request->service->table, spec.id);
+    bool created = false;
     if (job != NULL) {
         if (!job_resubmitted(request, job, &spec))
             return;
     } else {
-        const ConfigCell *cell = config_cell(in_force_config(request->callers->in_force), spec.cell);
+        const ConfigCell *cell = config_cell(in_force_config(request->service->in_force), spec.cell);
         const JobTerms terms = job_terms(cell != NULL ? config_queue(cell, spec.queue) : NULL,
                                          cell != NULL ? config_tenant(cell, spec.tenant) : NULL);
-        job = job_accept(request, &spec, &terms, &fresh);
+        job = job_accept(request, &spec, &terms, &created);
         if (job == NULL)
             return;
     }
-    show_result(request->task, fresh || request->task->again ? 201 : 200, show_job_short(job));
+    show_result(request->task, created || request->task->again ? 201 : 200, show_job_short(job));
 }
 
 void job_get(CallerRequest *request)
 {
-    const Job *job = table_job(request->callers->table, request->name);
+    const Job *job = table_job(request->service->table, request->name);
     if (job == NULL)
-        show_refusal(request->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+        show_refusal(request->task, STATUS_UNKNOWN_JOB, "no job has this id", NULL);
     else {
-        request_keep_end(request, job);
-        const Resources left = quota_left(request->callers->table, in_force_config(request->callers->in_force), job);
+        request_add_job_end(request, job);
+        const Resources left = quota_left(request->service->table, in_force_config(request->service->in_force), job);
         show_result(request->task, 200, show_job(job, request_clock(request), left));
     }
 }
@@ -112,15 +113,15 @@
 void job_cancel(CallerRequest *request)
 {
     ChangeResult result;
-    if (table_job(request->callers->table, request->name) == NULL) {
-        show_refusal(request->task, STATUS_UNKNOWN_JOB, "there is no job of this id", NULL);
+    if (table_job(request->service->table, request->name) == NULL) {
+        show_refusal(request->task, STATUS_UNKNOWN_JOB, "no job has this id", NULL);
         return;
     }
     if (!job_submit_cancel(request, &result))
         return;
-    const Job *job = table_job(request->callers->table, request->name);
+    const Job *job = table_job(request->service->table, request->name);
     if (result.status != STATUS_OK || job == NULL)
-        show_refusal(request->task, result.status, "the job had ended before", NULL);
+        show_refusal(request->task, result.status, "the job has already ended", NULL);
     else
         show_result(request->task, 200, show_job_short(job));
 }
@@ -137,7 +138,7 @@
         return;
     }
     Job *const *jobs;
-    const size_t count = table_jobs(request->callers->table, &jobs);
+    const size_t count = table_jobs(request->service->table, &jobs);
     size_t low = 0, high = count;
     while (low < high) {
         const size_t middle = (low + high) / 2;
@@ -154,7 +155,7 @@
         if ((cell != NULL && strcmp(job->spec.cell, cell) != 0) ||
             (phase != NULL && strcmp(job_phase_word(job->phase), phase) != 0))
             continue;
-        request_keep_end(request, job);
+        request_add_job_end(request, job);
         json_object_array_add(list, show_job_short(job));
         shown++;
     }
--- a/packages/callers/src/jobs.h
+++ b/packages/callers/src/jobs.h
@@ -3,17 +3,18 @@
 
 #include "request.h"
 
-/* Waits. Accepts a job that is not known yet; null: the request has been refused. fresh (out): it was committed. The
- * spec's texts live on request->mem. */
-const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *fresh);
-/* Whether spec is the known job, sent again; false: the request has been refused. */
+/* Suspends the coroutine. Submits a new job and returns it once it is committed; null: the request has been refused.
+ * *created is set to whether the job was committed. The texts of spec must be allocated on request->mem. */
+const Job *job_accept(CallerRequest *request, const JobSpec *spec, const JobTerms *terms, bool *created);
+/* Whether spec equals that of the known job, so that the request is a retry; false: the request has been refused. The
+ * job is added to the changes for repair. */
 bool job_resubmitted(CallerRequest *request, const Job *known, const JobSpec *spec);
-/* Waits. Cancels the job that the request names; false: the request has been refused. */
+/* Suspends the coroutine. Submits the cancellation of the job that the request names; false: it has been refused. */
 bool job_submit_cancel(CallerRequest *request, ChangeResult *result);
-/* What a queue's jobs are accepted under; queue null: nothing in particular. */
+/* The terms under which a job of the queue and tenant is accepted. queue null: default terms; tenant null: no quota. */
 JobTerms job_terms(const ConfigQueue *queue, const ConfigTenant *tenant);
 
-/* Routes of /v1/jobs. Those that change something wait. */
+/* Routes of /v1/jobs. Those that change something suspend the coroutine. */
 void job_post(CallerRequest *request);
 void job_get(CallerRequest *request);
 void job_cancel(CallerRequest *request);
--- a/packages/callers/src/queue_order.h
+++ b/packages/callers/src/queue_order.h
@@ -3,9 +3,9 @@
 
 #include "request.h"
 
-/* The queue of a cell in the order in which it is to be placed. */
+/* Shows the ready queue of a cell in the order in which its tasks are to be placed. */
 void queue_get(CallerRequest *request);
-/* The same by the policy in the request's body; nothing is changed. */
+/* As queue_get, in the order of the policy in the request's body. Changes nothing. */
 void queue_try(CallerRequest *request);
 
 #endif
--- a/packages/callers/src/repair_copy.c
+++ b/packages/callers/src/repair_copy.c
@@ -1,6 +1,7 @@
-/* Copies for repair: what was committed is known on the disks and to the process that carries the request. Disks may
- * lose what they acknowledged, all at once; so entry points in two zones keep it before the request is answered: the
- * one that carries it and another, or two where a controller carries it, which loses its memory with the disks. */
+/* Copies of committed changes for repair. A committed change is stored on the disks, and in the process that forwarded
+ * the request. All disks at once may lose what they acknowledged. Therefore entry points in two zones hold the change
+ * before the request is answered: the one that forwarded the request and another, or two others if a controller did,
+ * because a controller loses its memory together with the disks. */
 #include "repair_copy.h"
 
 #include <string.h>
@@ -8,26 +9,26 @@
 
 #include "routing/repair_transfer.h"
 
-#define COPY_TRIES_MOST 4 /* count; entry points asked for one request, one after the other */
-#define NONE SIZE_MAX
+#define COPY_ATTEMPTS_MAX 4 /* maximum number of entry points asked for one request, one after the other */
+#define NO_TARGET SIZE_MAX  /* every target has been asked */
 
-/* Who may keep the copies of one request, and in which zones there are some. */
+/* The entry points that can hold copies for one request, and the zones that have one. */
 typedef struct CopyPlan {
     RepairTarget *targets;
     size_t target_count;
-    bool *asked; /* by taker: it keeps a copy, or has not answered */
+    bool *asked; /* by target: it holds a copy, or has not answered */
     const char *zones[REPAIR_COPIES];
     size_t copy_count;
 } CopyPlan;
 
-static bool copy_offer(CallerService *callers, void *mem, const char *address, const RepairList *repair_items)
+static bool copy_send(CallerService *service, void *mem, const char *address, const RepairList *repair_items)
 {
     Nothing answer = {0};
-    return rpc_ask(callers->rpc, mem, address, MESSAGE_KEEP, &RepairList_shape, repair_items, KEEP_ASK_MS,
+    return rpc_ask(service->rpc, mem, address, MESSAGE_KEEP, &RepairList_shape, repair_items, KEEP_ASK_MS,
                    &Nothing_shape, &answer) == STATUS_OK;
 }
 
-static size_t bytes_of(const RepairList *repair_items)
+static size_t payload_bytes(const RepairList *repair_items)
 {
     size_t bytes = 0;
     for (size_t i = 0; i < repair_items->items_count; i++)
@@ -35,15 +36,15 @@
     return bytes;
 }
 
-/* The takers for one request; the carrier is one of those that have a copy. */
-static CopyPlan plan_begin(const CallerService *callers, void *mem, const char *carrier)
+/* Lists the targets for one request. An entry point that forwarded the request counts as holding a copy. */
+static CopyPlan plan_begin(const CallerService *service, void *mem, const char *carrier)
 {
     CopyPlan plan = {0};
-    plan.target_count = repair_targets(mem, callers->members, loop_now_ms(callers->loop), &plan.targets);
+    plan.target_count = repair_targets(mem, service->members, loop_now_ms(service->loop), &plan.targets);
     plan.asked = talloc_zero_array(mem, bool, (unsigned)plan.target_count + 1);
     if (carrier[0] == '\0')
         return plan;
-    plan.zones[plan.copy_count++] = ""; /* it may not be known here yet */
+    plan.zones[plan.copy_count++] = ""; /* the carrier may not be known here yet */
     for (size_t i = 0; i < plan.target_count; i++)
         if (strcmp(plan.targets[i].id, carrier) == 0) {
             plan.asked[i] = true;
@@ -60,8 +61,8 @@
     return found;
 }
 
-/* The taker to ask next, from the first on and round the list: one of a zone without a copy, else any; NONE: all have
- * been asked. */
+/* Index of the target to ask next, searching the list cyclically from index first: a target in a zone without a copy,
+ * else any. NO_TARGET: all have been asked. */
 static size_t target_next(const CopyPlan *plan, size_t first)
 {
     for (int anywhere = 0; anywhere < 2; anywhere++)
@@ -70,24 +71,24 @@
             if (!plan->asked[target] && (anywhere == 1 || !zone_has_copy(plan, plan->targets[target].zone)))
                 return target;
         }
-    return NONE;
+    return NO_TARGET;
 }
 
-void repair_copy_send(CallerService *callers, void *mem, const RepairList *repair_items, const char *carrier)
+void repair_copy_send(CallerService *service, void *mem, const RepairList *repair_items, const char *carrier)
 {
-    /* a large configuration would fill an entry point's link for seconds: it is on as many disks as the settings
-     * ask for, and entry points get it by their configuration watch */
-    if (bytes_of(repair_items) > CONFIG_LARGE_BYTES)
+    /* a large configuration would fill an entry point's link for seconds; it is on as many disks as the settings
+     * require, and entry points receive it through their configuration watch */
+    if (payload_bytes(repair_items) > CONFIG_LARGE_BYTES)
         return;
-    CopyPlan plan = plan_begin(callers, mem, carrier);
-    for (int tries = 0; tries < COPY_TRIES_MOST && plan.copy_count < REPAIR_COPIES; tries++) {
-        const size_t target = target_next(&plan, callers->repair_copy_next);
-        if (target == NONE)
+    CopyPlan plan = plan_begin(service, mem, carrier);
+    for (int tries = 0; tries < COPY_ATTEMPTS_MAX && plan.copy_count < REPAIR_COPIES; tries++) {
+        const size_t target = target_next(&plan, service->next_copy_target);
+        if (target == NO_TARGET)
             return;
         plan.asked[target] = true;
-        if (copy_offer(callers, mem, plan.targets[target].address, repair_items))
+        if (copy_send(service, mem, plan.targets[target].address, repair_items))
             plan.zones[plan.copy_count++] = plan.targets[target].zone;
         else
-            callers->repair_copy_next = target + 1; /* asked last from now on: its wait is paid for once */
+            service->next_copy_target = target + 1; /* its timeout must not delay the next requests too */
     }
 }
--- a/packages/callers/src/repair_copy.h
+++ b/packages/callers/src/repair_copy.h
@@ -3,8 +3,9 @@
 
 #include "state.h"
 
-/* Waits. Has entry points of different zones keep what was committed, until REPAIR_COPIES of them do, if so many
- * answer. carrier: the id of the entry point that carries the request and keeps it too; empty: a controller does. */
-void repair_copy_send(CallerService *callers, void *mem, const RepairList *repair_items, const char *carrier);
+/* Suspends the coroutine. Sends the committed changes to entry points of different zones until REPAIR_COPIES of them
+ * hold a copy, if that many answer. carrier: id of the entry point that forwarded the request and holds a copy too;
+ * empty: a controller forwarded it. */
+void repair_copy_send(CallerService *service, void *mem, const RepairList *repair_items, const char *carrier);
 
 #endif
--- a/packages/callers/src/routes.c
+++ b/packages/callers/src/routes.c
@@ -1,4 +1,5 @@
-/* The table of routes: the guards that a request passes, the route that answers it, the proof that its answer needs. */
+/* The table of routes: the guards that a request passes, the route that serves it, and the proof that its answer
+ * requires. */
 #include "routes.h"
 
 #include <string.h>
@@ -10,56 +11,57 @@
 #include "queue_order.h"
 #include "zones.h"
 
-/* What must show, before an answer goes out, that it is not out of date. */
+/* The proof, required before an answer is sent, that the answer is not outdated. */
 typedef enum Proof {
-    PROOF_LEASE,   /* this node has the lease by its own clock: a majority has renewed it */
-    PROOF_CONTACT, /* a majority has renewed the lease in answer to questions sent since, whatever the clocks do */
+    PROOF_LEASE,   /* this node holds the lease by its own clock: a majority has renewed it */
+    PROOF_CONTACT, /* a majority has renewed the lease in reply to requests sent since, so clocks do not matter */
 } Proof;
 
 /* --- guards: checks that a request passes, in order ------------------------------------------ */
 
-/* pass returns false when it has refused the request. */
+/* pass returns false if it has refused the request. */
 typedef struct Guard {
     const char *name;
     bool (*pass)(CallerRequest *request);
 } Guard;
 
-static bool guard_lead(CallerRequest *request)
+static bool guard_leading(CallerRequest *request)
 {
-    if (replication_leading(request->callers->replication))
+    if (replication_leading(request->service->replication))
         return true;
-    show_refusal(request->task, STATUS_NOT_LEADER, "the lead has just been lost; nothing was taken: come back", NULL);
+    show_refusal(request->task, STATUS_NOT_LEADER,
+                 "leadership has just been lost; the request was not accepted: retry later", NULL);
     return false;
 }
 
 static bool guard_repair(CallerRequest *request)
 {
-    if (!request->callers->leader.repairing(request->callers->leader.arg) ||
+    if (!request->service->callbacks.repairing(request->service->callbacks.arg) ||
         strcmp(request->task->path, "/v1/status") == 0)
         return true;
-    show_refusal(request->task, STATUS_REPAIRING, "what the disks lost is being told again: come back", NULL);
+    show_refusal(request->task, STATUS_REPAIRING, "changes that the disks lost are being restored: retry later", NULL);
     return false;
 }
 
-static const Guard GUARDS[] = {{"lead", guard_lead}, {"repair", guard_repair}};
+static const Guard GUARDS[] = {{"lead", guard_leading}, {"repair", guard_repair}};
 
 /* --- routes ---------------------------------------------------------------------------------- */
 
 static void status_get(CallerRequest *request)
 {
-    show_result(request->task, 200, request->callers->leader.status(request->callers->leader.arg));
+    show_result(request->task, 200, request->service->callbacks.status(request->service->callbacks.arg));
 }
 
 static void alerts_get(CallerRequest *request)
 {
-    show_result(request->task, 200, request->callers->leader.alerts(request->callers->leader.arg));
+    show_result(request->task, 200, request->service->callbacks.alerts(request->service->callbacks.arg));
 }
 
-/* A path of up to three parts after /v1; "*" takes a name. answer, refusal: the proof that either needs where
- * nothing was committed for it; a commit is proof in itself.
+/* A path of up to three segments after /v1; "*" matches a name. answer and refusal: the proof that an answer or a
+ * refusal requires if nothing was committed for the request; a commit is itself a proof.
  *
- * A refusal makes its caller give up, so it takes a contact with a majority wherever it claims to know
- * what is in force or which jobs there are; it is rare, and the contact costs one exchange of messages. */
+ * A refusal makes its caller abandon the request. A refusal that states what is in force or which jobs exist therefore
+ * requires contact with a majority; refusals are rare, and the contact costs one exchange of messages. */
 typedef struct Route {
     const char *method;
     const char *parts[3];
@@ -68,35 +70,35 @@
 } Route;
 
 static const Route ROUTES[] = {
-    /* a known job was committed, and stays */
+    /* a known job was committed and stays committed */
     {"POST", {"jobs"}, job_post, PROOF_LEASE, PROOF_CONTACT},
-    /* asked for often; a state that is late by a lease is asked for again */
+    /* frequent requests; a state that is outdated by at most a lease is read again */
     {"GET", {"jobs"}, job_list, PROOF_LEASE, PROOF_LEASE},
     {"GET", {"jobs", "*"}, job_get, PROOF_LEASE, PROOF_CONTACT},
     {"DELETE", {"jobs", "*"}, job_cancel, PROOF_LEASE, PROOF_CONTACT},
     {"POST", {"jobs", "*", "cancel"}, job_cancel, PROOF_LEASE, PROOF_CONTACT},
     /* operators act on what they read */
     {"GET", {"config"}, config_get, PROOF_CONTACT, PROOF_CONTACT},
-    /* one that was accepted before is known by its digest: committed, and stays */
+    /* a call that was accepted before is recognised by its digest: it was committed and stays committed */
     {"PUT", {"config"}, config_put, PROOF_LEASE, PROOF_CONTACT},
-    {"PATCH", {"config"}, config_patched, PROOF_LEASE, PROOF_CONTACT},
+    {"PATCH", {"config"}, config_apply_patch, PROOF_LEASE, PROOF_CONTACT},
     {"GET", {"config", "history"}, config_history, PROOF_CONTACT, PROOF_CONTACT},
     {"GET", {"zones", "*", "drain"}, zone_get, PROOF_CONTACT, PROOF_CONTACT},
     {"POST", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
     {"PUT", {"zones", "*", "drain"}, zone_drain, PROOF_CONTACT, PROOF_CONTACT},
     {"DELETE", {"zones", "*", "drain"}, zone_undrain, PROOF_CONTACT, PROOF_CONTACT},
-    /* figures of the moment, and the trial of a policy: nothing is acknowledged by them */
+    /* momentary figures and the trial of a policy: nothing is acknowledged */
     {"GET", {"queue"}, queue_get, PROOF_LEASE, PROOF_LEASE},
     {"POST", {"queue", "try"}, queue_try, PROOF_LEASE, PROOF_LEASE},
-    /* shows the lease itself */
+    /* the status shows the lease itself */
     {"GET", {"status"}, status_get, PROOF_LEASE, PROOF_LEASE},
     {"GET", {"alerts"}, alerts_get, PROOF_LEASE, PROOF_LEASE},
 };
 
-/* Jobs at their queue's address: as at /v1/jobs. */
+/* Requests at a queue's entry; the proofs are those of /v1/jobs. */
 static const Route ENTRY = {"", {0}, entry_serve, PROOF_LEASE, PROOF_CONTACT};
 
-/* Entry points ask for this, to know that a leader that serves can be reached. */
+/* Entry points request this to learn that a leader that serves is reachable. */
 static void ready_get(CallerRequest *request)
 {
     json_object *body = json_object_new_object();
@@ -106,6 +108,7 @@
 
 static const Route READY = {"GET", {0}, ready_get, PROOF_LEASE, PROOF_LEASE};
 
+/* Finds the route of a request and sets request->name. *path_known: the path exists, if only for another method. */
 static const Route *route_find(CallerRequest *request, bool *path_known)
 {
     const char *path = request->task->path;
@@ -128,17 +131,17 @@
     for (size_t i = 0; i < sizeof(ROUTES) / sizeof(ROUTES[0]) && found == NULL; i++) {
         const Route *route = &ROUTES[i];
         const char *name = NULL;
-        bool fits = count <= 3;
-        for (size_t k = 0; k < 3 && fits; k++) {
-            const char *want = route->parts[k], *have = k < count ? parts[k] : NULL;
-            if (want == NULL || have == NULL)
-                fits = want == NULL && have == NULL;
-            else if (strcmp(want, "*") == 0 && check_name_text(have))
-                name = have;
+        bool matches = count <= 3;
+        for (size_t k = 0; k < 3 && matches; k++) {
+            const char *expected = route->parts[k], *actual = k < count ? parts[k] : NULL;
+            if (expected == NULL || actual == NULL)
+                matches = expected == NULL && actual == NULL;
+            else if (strcmp(expected, "*") == 0 && check_name_text(actual))
+                name = actual;
             else
-                fits = strcmp(want, have) == 0;
+                matches = strcmp(expected, actual) == 0;
         }
-        if (!fits)
+        if (!matches)
             continue;
         *path_known = true;
         if (strcmp(route->method, request->task->method) == 0) {
@@ -158,54 +161,55 @@
 
 /* --- proofs ------------------------------------------------------------------------------------ */
 
-/* "Come back": the answer says nothing of the state. */
-static bool claims_nothing(const HttpTask *task)
+/* Whether the answer asks the caller to retry: it then states nothing about the state. */
+static bool is_server_error(const HttpTask *task)
 {
     return task->code >= 500;
 }
 
-/* Waits. Whether the answer, which was made under the term, may go out. */
+/* Suspends the coroutine. Whether the answer, which was produced under the term, may be sent. */
 static bool proven(CallerRequest *request, Proof proof, uint64_t term)
 {
-    const Replication *replication = request->callers->replication;
+    const Replication *replication = request->service->replication;
     if (proof == PROOF_LEASE)
         return replication_leading(replication) && replication_led_term(replication) == term;
-    int64_t until_ms = loop_now_ms(request->callers->loop) + LOCK_LEASE_MS;
+    int64_t until_ms = loop_now_ms(request->service->loop) + LOCK_LEASE_MS;
     if (request->task->timeout_ms != 0 && request->task->timeout_ms < until_ms)
         until_ms = request->task->timeout_ms;
-    return replication_confirm_leader(request->callers->replication, until_ms) == STATUS_OK &&
+    return replication_confirm_leader(request->service->replication, until_ms) == STATUS_OK &&
            replication_led_term(replication) == term;
 }
 
-/* Waits. The last check before the answer goes out: one that is not proven is replaced by a refusal. */
-static void prove(CallerRequest *request, const Route *route, uint64_t term)
+/* Suspends the coroutine. The last check before the answer is sent: an unproven answer is replaced by a refusal. */
+static void require_proof(CallerRequest *request, const Route *route, uint64_t term)
 {
     HttpTask *task = request->task;
-    if (request->committed || claims_nothing(task))
+    if (request->committed || is_server_error(task))
         return;
     if (proven(request, task->code < 400 ? route->answer : route->refusal, term))
         return;
-    request->callers->counts.unproven++;
+    request->service->counts.unproven++;
     task->result = (Bytes){0};
-    show_refusal(task, STATUS_NOT_LEADER, "the lead may have been lost; nothing was taken: come back", NULL);
+    show_refusal(task, STATUS_NOT_LEADER, "leadership may have been lost; the request was not accepted: retry later",
+                 NULL);
 }
 
-void route_request(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items)
+void route_request(CallerService *service, HttpTask *task, void *mem, RepairList *repair_items)
 {
     CallerRequest request = {
-        .callers = callers, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
+        .service = service, .task = task, .mem = mem, .faults = talloc_zero(mem, Faults), .repair_items = repair_items};
     request.faults->mem = mem;
     for (size_t i = 0; i < sizeof(GUARDS) / sizeof(GUARDS[0]); i++)
         if (!GUARDS[i].pass(&request))
             return;
     bool path_known = false;
-    const uint64_t term = replication_led_term(callers->replication);
+    const uint64_t term = replication_led_term(service->replication);
     const Route *route = route_of(&request, &path_known);
     if (route != NULL) {
         route->serve(&request);
-        prove(&request, route, term);
+        require_proof(&request, route, term);
     } else if (path_known) {
-        show_refusal(task, STATUS_BAD_METHOD, "this path does not take this method", NULL);
+        show_refusal(task, STATUS_BAD_METHOD, "this path does not support this method", NULL);
     } else {
         show_refusal(task, STATUS_BAD_PATH, "there is no such path", NULL);
     }
--- a/packages/callers/src/routes.h
+++ b/packages/callers/src/routes.h
@@ -3,7 +3,8 @@
 
 #include "request.h"
 
-/* Waits. Answers one request as leader. What it committed is added to repair_items, on mem. */
-void route_request(CallerService *callers, HttpTask *task, void *mem, RepairList *repair_items);
+/* Suspends the coroutine. Answers one request in the leader. The changes that it commits are added to repair_items,
+ * allocated on mem. */
+void route_request(CallerService *service, HttpTask *task, void *mem, RepairList *repair_items);
 
 #endif
--- a/packages/callers/src/state.h
+++ b/packages/callers/src/state.h
@@ -3,6 +3,7 @@
 
 #include "callers/callers.h"
 
+/* The state of the callers' service; the pointers are those of its settings. */
 struct CallerService {
     Loop *loop;
     Replication *replication;
@@ -12,8 +13,8 @@
     InForce *in_force;
     Scheduler *scheduler;
     const Bounds *bounds;
-    CallerServiceLeader leader;
-    size_t repair_copy_next; /* the entry point that is asked first to keep a copy for repair (repair_copy.c) */
+    CallerServiceCallbacks callbacks;
+    size_t next_copy_target; /* index of the entry point to ask first for a copy (repair_copy.c) */
     CallerServiceCounts counts;
 };
 
--- a/packages/callers/src/zones.h
+++ b/packages/callers/src/zones.h
@@ -3,7 +3,7 @@
 
 #include "request.h"
 
-/* Routes of /v1/zones: shows a zone, drains it, gives it work again. The last two wait. */
+/* Routes of /v1/zones: show a zone, drain it, and end the drain. The last two suspend the coroutine. */
 void zone_get(CallerRequest *request);
 void zone_drain(CallerRequest *request);
 void zone_undrain(CallerRequest *request);
