--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -1,4 +1,5 @@
-/* An entry point without a disk: what it answers itself, what it forwards, its start and its shutdown. */
+/* An entry point without a disk: the requests that it answers itself, those that it forwards, its start and its
+ * shutdown. */
 #include "entry_point/entry_point.h"
 
 #include <string.h>
@@ -12,7 +13,7 @@
 #include "routing/forward.h"
 #include "routing/repair_transfer.h"
 
-#define ELSEWHERE_HTTP 307 /* a redirect: the same request, with its body, at another address */
+#define HTTP_TEMPORARY_REDIRECT 307 /* the caller is to repeat the request, with its body, at another address */
 
 struct EntryPoint {
     Loop *loop;
@@ -22,20 +23,21 @@
     Forwarder *forwarder;
     Trace *trace;
     Recorder *recorder;
-    char address[ADDRESS_MAX], http[ADDRESS_MAX]; /* as bound: for peers, for callers */
+    char address[ADDRESS_MAX], http[ADDRESS_MAX]; /* addresses for peers and for callers, as bound */
     ConfigWatch *config_watch;
-    int64_t grace_ms, unready_ms;
-    bool disks_keep; /* no repair: what a disk has synced outlasts a loss of power */
-    bool leaving;    /* it drains */
-    size_t in_work;  /* requests that are being forwarded */
+    int64_t grace_ms;            /* maximum duration of a graceful shutdown */
+    int64_t unready_ms;          /* minimum time for which a shutdown reports not ready and still serves requests */
+    bool disks_keep;             /* no repair is needed: what a disk has synced survives a loss of power */
+    bool leaving;                /* a graceful shutdown is in progress */
+    size_t requests_in_progress; /* number of requests that are being forwarded */
 };
 
 /* --- callers' requests ------------------------------------------------------------------ */
 
-static void metrics(EntryPoint *entry_point, HttpTask *task)
+static void serve_metrics(EntryPoint *entry_point, HttpTask *task)
 {
     show_metrics_begin(task);
-    show_metric(task, "inWork", (int64_t)entry_point->in_work);
+    show_metric(task, "inWork", (int64_t)entry_point->requests_in_progress);
     show_metric(task, "kept", (int64_t)repair_buffer_count(entry_point->repair_buffer));
     show_metric(task, "keptBytes", (int64_t)repair_buffer_bytes(entry_point->repair_buffer));
     show_metric(task, "configRevision", (int64_t)config_watch_version(entry_point->config_watch));
@@ -44,7 +46,7 @@
     show_rpc_metrics(task, entry_point->rpc);
 }
 
-static void live(HttpTask *task)
+static void serve_live(HttpTask *task)
 {
     json_object *body = json_object_new_object();
     json_object_object_add(body, "live", json_object_new_boolean(true));
@@ -54,34 +56,35 @@
 void entry_point_take(EntryPoint *entry_point, HttpTask *task)
 {
     if (strcmp(task->path, "/livez") == 0) {
-        live(task);
+        serve_live(task);
     } else if (strcmp(task->path, "/readyz") == 0) {
         show_ready(task, entry_point_ready(entry_point), entry_point->leaving);
     } else if (strcmp(task->path, "/metrics") == 0) {
-        metrics(entry_point, task);
+        serve_metrics(entry_point, task);
     } else if (strcmp(task->path, "/v1/ring") == 0) {
         show_recorder(task, entry_point->recorder);
     } else if (strcmp(task->path, "/v1/trace") == 0) {
         trace_serve(entry_point->trace, task);
     } else {
-        entry_point->in_work++;
+        entry_point->requests_in_progress++;
         forward_request(entry_point->forwarder, task);
-        entry_point->in_work--;
+        entry_point->requests_in_progress--;
     }
 }
 
-/* Waits. Asks the leader whether it serves, with the deadline of the caller's request. */
-static HttpTask *leader_ready(EntryPoint *entry_point, HttpTask *task)
+/* Suspends the coroutine. Asks the leader whether it serves, with the deadline of the caller's request; returns the
+ * finished request, allocated on task. */
+static HttpTask *query_leader_ready(EntryPoint *entry_point, HttpTask *task)
 {
-    HttpTask *ask = talloc(task, HttpTask);
-    *ask = (HttpTask){.loop = entry_point->loop,
-                      .method = "GET",
-                      .path = "/readyz",
-                      .query = "",
-                      .host = "",
-                      .timeout_ms = task->timeout_ms};
-    forward_request(entry_point->forwarder, ask);
-    return ask;
+    HttpTask *query = talloc(task, HttpTask);
+    *query = (HttpTask){.loop = entry_point->loop,
+                        .method = "GET",
+                        .path = "/readyz",
+                        .query = "",
+                        .host = "",
+                        .timeout_ms = task->timeout_ms};
+    forward_request(entry_point->forwarder, query);
+    return query;
 }
 
 bool entry_point_redirect(EntryPoint *entry_point, HttpTask *task, EntryPointConfig carried, const char **leader)
@@ -90,21 +93,21 @@
     if (task->body.count <= CONFIG_LARGE_BYTES &&
         !(in_result && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))
         return false;
-    const HttpTask *ask = leader_ready(entry_point, task);
+    const HttpTask *query = query_leader_ready(entry_point, task);
     const Member *member = members_find(entry_point->members, members_leader_id(entry_point->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
-    if (ask->code == 200 && !known)
+    if (query->code == 200 && !known)
         return false;
-    if (ask->code == 200) {
-        show_result(task, ELSEWHERE_HTTP, json_object_new_object());
+    if (query->code == 200) {
+        show_result(task, HTTP_TEMPORARY_REDIRECT, json_object_new_object());
         *leader = talloc_strdup(task, member->record.http);
         return true;
     }
-    task->code = ask->code;
-    task->status = ask->status;
-    task->kind = ask->kind;
-    task->result = ask->result;
-    task->retry_after_s = ask->retry_after_s;
+    task->code = query->code;
+    task->status = query->status;
+    task->kind = query->kind;
+    task->result = query->result;
+    task->retry_after_s = query->retry_after_s;
     return true;
 }
 
@@ -121,7 +124,7 @@
 
 /* --- peers' requests -------------------------------------------------------------------- */
 
-/* MESSAGE_RETELL: a leader in repair asks for changes that its disks may have lost. */
+/* MESSAGE_RETELL: a leader in repair requests the changes that its disks may have lost. */
 static Status on_retell(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -132,7 +135,7 @@
     return STATUS_OK;
 }
 
-/* MESSAGE_KEEP: a leader has this process keep changes for repair, before it acknowledges them. */
+/* MESSAGE_KEEP: a leader has this process hold changes for repair before it acknowledges them. */
 static Status on_keep(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -144,7 +147,8 @@
 }
 
 /* MESSAGE_KNOW: an isolated agent asks whether a holder of the lock is known (the paper's survival rule 2). An entry
- * point takes no part in the lock and answers no, with the newest term known here; it counts that it was reached. */
+ * point has no part in the lock and answers no, with the newest term known here; for the agent it counts that the entry
+ * point was reachable. */
 static Status on_know(void *arg, void *mem, const void *question, void *answer)
 {
     EntryPoint *entry_point = arg;
@@ -218,7 +222,7 @@
     entry_point->leaving = true;
     loop_serve_leave(entry_point->loop);
     members_set_leaving(entry_point->members);
-    /* requests are taken until the last moment: none that was read is cut off */
+    /* requests are served until the end, so that none that was read is dropped */
     loop_sleep(entry_point->loop, entry_point->unready_ms);
     while (loop_serve_busy(entry_point->loop) > 0 &&
            loop_now_ms(entry_point->loop) < now_ms + entry_point->grace_ms - DRAIN_MARGIN_MS)
--- a/packages/inforce/src/in_force.c
+++ b/packages/inforce/src/in_force.c
@@ -1,4 +1,4 @@
-/* The configuration in force: reads a version of the state table when it is first asked for. */
+/* The configuration in force: parses a version of the state table when it is first requested. */
 #include "inforce/in_force.h"
 
 #include <inttypes.h>
@@ -13,12 +13,12 @@
     Loop *loop;
     Recorder *recorder;
     const Table *table;
-    const Config *config; /* the table's newest version that could be read; null: not asked for yet */
-    uint64_t loads;       /* table_loads when it was read */
-    uint64_t stamp;
-    uint64_t unread; /* a version that can't be read */
-    CheckedConfig *checked;
-    uint64_t limits_version, limits_loads; /* of the limits that this process keeps */
+    const Config *config;        /* the table's newest version that could be parsed; null: not requested yet */
+    uint64_t loads;              /* table_loads when config was parsed */
+    uint64_t stamp;              /* grows with each new config */
+    uint64_t unreadable_version; /* a version that cannot be parsed; UINT64_MAX: none */
+    CheckedConfig *checked;      /* list of the configurations that are being committed */
+    uint64_t limits_version, limits_loads; /* version of the limits applied in this process, and table_loads then */
 };
 
 InForce *in_force_new(void *mem, Loop *loop, Recorder *recorder, const Table *table)
@@ -35,8 +35,9 @@
     return in_force->stamp;
 }
 
-/* The document of the table's newest version, made from the one that was read before where it can be. */
-static json_object *tree_read(const InForce *in_force, bool same_load)
+/* Returns the document of the table's newest version, derived from the present document if the table has not been
+ * replaced since that was parsed. */
+static json_object *newest_tree(const InForce *in_force, bool same_load)
 {
     const Versions *versions = table_versions(in_force->table);
     if (versions_newest(versions) == 0)
@@ -45,19 +46,21 @@
     return versions_tree(versions, have ? in_force->config->tree : NULL, have ? in_force->config->version : 0);
 }
 
-static const Config *config_now(InForce *in_force, uint64_t version, bool same_load)
+/* Parses the newest version. If that fails, returns null, so that the present configuration stays in force; if there is
+ * none, returns the initial configuration. */
+static const Config *config_load(InForce *in_force, uint64_t version, bool same_load)
 {
     void *mem = talloc_new(in_force);
     Faults *faults = talloc_zero(mem, Faults);
     faults->mem = mem;
-    json_object *tree = tree_read(in_force, same_load);
+    json_object *tree = newest_tree(in_force, same_load);
     const Config *config = config_build(in_force, tree, version, in_force->config, faults);
     json_object_put(tree);
-    if (config == NULL) { /* it was checked before it was committed: by a later release, perhaps */
+    if (config == NULL) { /* the version was checked before its commit, perhaps by a later release */
         recorder_write(in_force->recorder, RECORDER_ALERT, loop_now_ms(in_force->loop),
                        "configuration version %" PRIu64 " can't be read: %s %s", version, faults->list[0].path,
                        faults->list[0].text);
-        in_force->unread = version;
+        in_force->unreadable_version = version;
         if (in_force->config == NULL) {
             const char *first = config_first_text();
             config = config_read(in_force, first, strlen(first), 0, faults);
@@ -67,15 +70,16 @@
     return config;
 }
 
-/* A configuration that was checked before it was committed is not read again. */
+/* Returns the newest version as it was checked before its commit, if it is among the checked configurations; else null.
+ * The caller owns the result. */
 static const Config *checked_config_take(InForce *in_force, const Version *newest)
 {
-    for (CheckedConfig *at = in_force->checked; at != NULL; at = at->next)
-        if (at->config != NULL && at->set.version == newest->version && at->set.base == newest->base &&
-            at->set.patch == newest->patch && at->loads == table_loads(in_force->table) &&
-            strcmp(at->set.text, newest->text) == 0) {
-            const Config *config = talloc_steal(in_force, at->config);
-            at->config = NULL;
+    for (CheckedConfig *candidate = in_force->checked; candidate != NULL; candidate = candidate->next)
+        if (candidate->config != NULL && candidate->set.version == newest->version &&
+            candidate->set.base == newest->base && candidate->set.patch == newest->patch &&
+            candidate->loads == table_loads(in_force->table) && strcmp(candidate->set.text, newest->text) == 0) {
+            const Config *config = talloc_steal(in_force, candidate->config);
+            candidate->config = NULL;
             return config;
         }
     return NULL;
@@ -86,12 +90,13 @@
     const Versions *versions = table_versions(in_force->table);
     const uint64_t version = versions_newest(versions), loads = table_loads(in_force->table);
     const bool same_load = in_force->loads == loads;
-    if (in_force->config != NULL && same_load && (in_force->config->version == version || in_force->unread == version))
+    if (in_force->config != NULL && same_load &&
+        (in_force->config->version == version || in_force->unreadable_version == version))
         return in_force->config;
-    in_force->unread = UINT64_MAX;
+    in_force->unreadable_version = UINT64_MAX;
     const Config *config = version > 0 ? checked_config_take(in_force, &versions->rows[versions->count - 1]) : NULL;
     if (config == NULL)
-        config = config_now(in_force, version, same_load);
+        config = config_load(in_force, version, same_load);
     in_force->loads = loads;
     if (config == NULL)
         return in_force->config;
@@ -110,10 +115,10 @@
 
 void checked_config_remove(InForce *in_force, CheckedConfig *checked)
 {
-    CheckedConfig **at = &in_force->checked;
-    while (*at != checked)
-        at = &(*at)->next;
-    *at = checked->next;
+    CheckedConfig **candidate = &in_force->checked;
+    while (*candidate != checked)
+        candidate = &(*candidate)->next;
+    *candidate = checked->next;
 }
 
 void in_force_limits_apply(InForce *in_force)
@@ -139,11 +144,11 @@
     uint64_t failures = 0;
     *last = "";
     for (size_t i = 0; in_force->config != NULL && i < in_force->config->policy_count; i++) {
-        const char *words;
-        const uint64_t some = lua_policy_failures(in_force->config->policies[i]->lua, &words);
-        if (some > 0)
-            *last = words;
-        failures += some;
+        const char *text;
+        const uint64_t count = lua_policy_failures(in_force->config->policies[i]->lua, &text);
+        if (count > 0)
+            *last = text;
+        failures += count;
     }
     return failures;
 }
