--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -17,8 +17,8 @@
     struct Attempt *waiting; /* list of the attempts that a request still waits for */
 };
 
-/* Freed by whichever ends last, the sending coroutine or the waiting one (references).
- * Invariant: on the waiting list exactly while attempt_forward waits for it. */
+/* One attempt. Freed by the last of its two coroutines, the sending one and the waiting one (references).
+ * Invariant: an attempt is on the waiting list exactly while attempt_forward waits for it. */
 typedef struct Attempt {
     struct Attempt *prev, *next;
     Attempts *attempts;
--- a/packages/routing/test/pieces.c
+++ b/packages/routing/test/pieces.c
@@ -140,7 +140,7 @@
 static void all_askers_share_one_text(void **state)
 {
     VersionHistory *history = history_new();
-    Pieces late_asker = {.mem = history};
+    Pieces late_requester = {.mem = history};
     ConfigSet set;
     (void)state;
     assert_false(fetch_piece(history, &history->pieces, 0, &set));
@@ -149,7 +149,7 @@
     bool first_complete = false, late_complete = false;
     for (int i = 0; i < PIECES_MAX && !(first_complete && late_complete); i++) {
         first_complete = first_complete || fetch_piece(history, &history->pieces, 0, &set);
-        late_complete = late_complete || fetch_piece(history, &late_asker, 0, &set);
+        late_complete = late_complete || fetch_piece(history, &late_requester, 0, &set);
         assert_ptr_equal(history->source.text, text);
         assert_int_equal(history->source.version, 1);
     }
