--- a/packages/callers/src/configs.c
+++ b/packages/callers/src/configs.c
@@ -25,6 +25,7 @@
     bytes_add(task, &task->result, "}", 1);
 }
 
+/* Shows the newest version: as parsed already if it is a patch, so that it need not be assembled again. */
 static void show_newest(CallerRequest *request)
 {
     const Versions *versions = table_versions(request->service->table);
@@ -81,6 +82,7 @@
 
 /* --- changing ------------------------------------------------------------------------ */
 
+/* Refuses a change that is not based on the version in force, and states that version. */
 static void refuse_stale(CallerRequest *request, uint64_t current)
 {
     json_object *body = show_failure(STATUS_STALE_VERSION, "another revision is in force: use that as the base", NULL);
@@ -113,29 +115,29 @@
 
 /* Returns the whole document that results from a patch; null, with a fault, if the patch is not an object. The text to
  * be committed is the patch, unless there is no version yet. */
-static json_object *patch_apply(CallerRequest *request, const Config *now, json_object *patch, ConfigSet *set)
+static json_object *patch_apply(CallerRequest *request, const Config *in_force, json_object *patch, ConfigSet *set)
 {
     if (!json_object_is_type(patch, json_type_object)) {
         fault_add(request->faults, STATUS_BAD_JSON, "", "a patch must be an object");
         return NULL;
     }
-    json_object *tree = document_merged(now->tree, patch);
-    set->patch = now->version > 0;
+    json_object *tree = document_merged(in_force->tree, patch);
+    set->patch = in_force->version > 0;
     set->text = document_text(request->mem, set->patch ? patch : tree);
     return tree;
 }
 
 /* Returns the new document. If it differs little from the one in force, the text to be committed is the difference, and
  * the new document shares equal subtrees with the one in force. */
-static json_object *document_replace(CallerRequest *request, const Config *now, json_object *whole, ConfigSet *set)
+static json_object *document_replace(CallerRequest *request, const Config *in_force, json_object *whole, ConfigSet *set)
 {
-    json_object *patch = now->version > 0 ? document_difference(now->tree, whole) : NULL;
+    json_object *patch = in_force->version > 0 ? document_difference(in_force->tree, whole) : NULL;
     const char *text = patch != NULL ? document_text(request->mem, patch) : NULL;
     json_object *tree;
     if (text != NULL && strlen(text) < request->task->body.count / 2) {
         set->patch = true;
         set->text = text;
-        tree = document_merged(now->tree, patch);
+        tree = document_merged(in_force->tree, patch);
     } else {
         set->text = talloc_strndup(request->mem, (const char *)request->task->body.data, request->task->body.count);
         tree = json_object_get(whole);
@@ -156,7 +158,7 @@
 }
 
 /* Returns the configuration that the call requests, allocated on request->mem; null, with faults, if it has any. */
-static const Config *config_parse(CallerRequest *request, const Config *now, bool patch, ConfigSet *set)
+static const Config *config_parse(CallerRequest *request, const Config *in_force, bool patch, ConfigSet *set)
 {
     const Bytes *body = &request->task->body;
     if (body->count > CONFIG_BODY_MAX) {
@@ -166,11 +168,13 @@
     json_object *sent = check_parse(request->faults, (const char *)body->data, body->count);
     if (sent == NULL)
         return NULL;
-    json_object *tree = patch ? patch_apply(request, now, sent, set) : document_replace(request, now, sent, set);
+    json_object *tree =
+        patch ? patch_apply(request, in_force, sent, set) : document_replace(request, in_force, sent, set);
     json_object_put(sent);
     if (patch && tree != NULL)
         check_size(request, tree);
-    const Config *config = tree != NULL ? config_build(request->mem, tree, set->version, now, request->faults) : NULL;
+    const Config *config =
+        tree != NULL ? config_build(request->mem, tree, set->version, in_force, request->faults) : NULL;
     json_object_put(tree);
     return config;
 }
@@ -189,6 +193,7 @@
     return request->faults->count == 0;
 }
 
+/* Suspends the coroutine. Serves a call that replaces the configuration or, with patch, changes it. */
 static void config_set(CallerRequest *request, bool patch)
 {
     CallerService *service = request->service;
--- a/packages/callers/src/queue_order.c
+++ b/packages/callers/src/queue_order.c
@@ -13,6 +13,7 @@
     const Policy *policy;
 } PolicyTrial;
 
+/* The policy to use for a cell: the one under trial, if there is one for this cell, else the one in force. */
 static const Policy *policy_of(void *arg, const ConfigCell *cell)
 {
     const PolicyTrial *trial = arg;
@@ -20,6 +21,7 @@
     return is_trial ? trial->policy : in_force_policy(trial->service->in_force, cell);
 }
 
+/* Shows the ready queue of the cell that the query names, ordered by policy; null: by the cell's own. */
 static void queue_show(CallerRequest *request, const Policy *policy)
 {
     CallerService *service = request->service;
--- a/packages/callers/src/zones.c
+++ b/packages/callers/src/zones.c
@@ -19,6 +19,7 @@
     return false;
 }
 
+/* Shows a zone: whether it is drained, how many tasks are left, and whether the plan for losses holds without it. */
 static void zone_show(CallerRequest *request)
 {
     json_object *body = json_object_new_object();
@@ -108,6 +109,7 @@
     return false;
 }
 
+/* Suspends the coroutine. Serves an order to drain a zone or to end its drain. */
 static void zone_set(CallerRequest *request, bool drained)
 {
     ZoneDrain drain = {.zone = request->name, .drained = drained};
--- a/packages/routing/src/attempt.c
+++ b/packages/routing/src/attempt.c
@@ -24,11 +24,11 @@
     Attempts *attempts;
     size_t references;
     LeaderHop hop;
-    ForwardAsk ask;
-    RpcSending sending;
-    int64_t deadline_ms;
-    bool done;
-    Signal changed; /* raised when the attempt is done or the route has been replaced */
+    ForwardAsk ask;      /* a copy of the request, allocated on the attempt */
+    RpcSending sending;  /* whether the request was sent, and whether it is cancelled */
+    int64_t deadline_ms; /* by the loop's clock */
+    bool done;           /* status and, if it is STATUS_OK, answer are set */
+    Signal changed;      /* raised when the attempt is done or the route has been replaced */
     Status status;
     ForwardAnswer answer;
 } Attempt;
--- a/packages/routing/src/leader_route_state.c
+++ b/packages/routing/src/leader_route_state.c
@@ -67,6 +67,7 @@
            strcmp(row->record.id, self->id) != 0 && !member_quiet(row, loop_now_ms(leader_route->loop));
 }
 
+/* The leader itself as the next hop. False: its address is unknown, or it is this process. */
 static bool leader_hop(const LeaderRoute *leader_route, LeaderHop *hop)
 {
     const char *leader_address = members_leader_address(leader_route->members);
