--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -23,5 +23,5 @@
     if (node->controller != NULL)
         controller_take(node->controller, task);
     else
-        entry_point_take(node->entry_point, task);
+        entry_point_handle_request(node->entry_point, task);
 }
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -56,7 +56,7 @@
 
 static void on_http(void *arg, HttpTask *task)
 {
-    caller_key_take(task);
+    caller_key_read(task);
     controller_take(arg, task);
 }
 
@@ -148,7 +148,7 @@
             .in_force = controller->in_force,
             .scheduler = controller->scheduler,
             .bounds = &settings->bounds,
-            .leader = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_shown}});
+            .callbacks = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_shown}});
     controller->forwarder =
         forwarder_new(controller, &(ForwarderSettings){.loop = controller->loop,
                                                        .rpc = controller->rpc,
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -61,7 +61,7 @@
     const RepairList *list = question;
     (void)mem;
     (void)answer;
-    repair_buffer_keep(controller->repair_buffer, list->items, list->items_count);
+    repair_buffer_add(controller->repair_buffer, list->items, list->items_count);
     return STATUS_OK;
 }
 
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -31,7 +31,7 @@
 {
     Controller *controller = arg;
     const Config *in_force = in_force_config(controller->in_force);
-    *stamp = in_force_stamp(controller->in_force);
+    *stamp = in_force_generation(controller->in_force);
     return in_force;
 }
 
--- a/packages/replication/test/old_disk.h
+++ b/packages/replication/test/old_disk.h
@@ -26,7 +26,7 @@
 /* Four controllers, the last one without a vote, as the fixtures have them. */
 static inline Fleet *fleet_of(void)
 {
-    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = true, .disks_keep = true};
+    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
     return fleet_new_at(NULL, 2, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
 }
 
--- a/packages/routing/src/caller_key.c
+++ b/packages/routing/src/caller_key.c
@@ -1,4 +1,4 @@
-/* The key of a caller, from the header of its request. */
+/* Reads a caller's key from the Authorization header of its request. */
 #include "routing/caller_key.h"
 
 #include <strings.h>
@@ -7,7 +7,7 @@
 
 #define SCHEME "Bearer "
 
-void caller_key_take(HttpTask *task)
+void caller_key_read(HttpTask *task)
 {
     const char *text = http_head(task, "authorization");
     if (text != NULL && strncasecmp(text, SCHEME, sizeof(SCHEME) - 1) == 0)
--- a/packages/sim/include/sim/fleet.h
+++ b/packages/sim/include/sim/fleet.h
@@ -24,13 +24,13 @@
 
 /* How a fleet is set up, where it differs from three zones and a founding by three empty disks. */
 typedef struct FleetSite {
-    int zones;             /* 2 to 4 */
-    int losses;            /* controllers that may be lost at once with their disks */
-    int entry_point_seeds; /* how many of the three seeds are entry points; the others are controllers */
-    bool votes;            /* founded by the seeds' votes; a restarted process founds nothing */
-    bool disks_keep;       /* setting: disks keep what they have synced */
-    int64_t voter_back_ms; /* setting: a lost voter is replaced within this */
-    int64_t stagger_ms;    /* processes start at moments drawn from this span */
+    int zones;                 /* 2 to 4 */
+    int losses;                /* controllers that may be lost at once with their disks */
+    int entry_point_set_seeds; /* how many of the three seeds are entry points; the others are controllers */
+    bool votes;                /* founded by the seeds' votes; a restarted process founds nothing */
+    bool disks_keep;           /* setting: disks keep what they have synced */
+    int64_t voter_back_ms;     /* setting: a lost voter is replaced within this */
+    int64_t stagger_ms;        /* processes start at moments drawn from this span */
 } FleetSite;
 
 typedef enum FleetRole { FLEET_CONTROLLER, FLEET_ENTRY_POINT, FLEET_AGENT, FLEET_WORKER, FLEET_ROLES } FleetRole;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -86,7 +86,7 @@
 
 static const char *seed_of(const Fleet *fleet, int number)
 {
-    const int entry_points = fleet->site.entry_point_seeds;
+    const int entry_points = fleet->site.entry_point_set_seeds;
     return number < entry_points
                ? fleet->nodes[FLEET_ENTRY_POINT][number % fleet->shape.entry_points].settings.listen
                : fleet->nodes[FLEET_CONTROLLER][(number - entry_points) % fleet->shape.controllers].settings.listen;
--- a/packages/sim/src/sweep.c
+++ b/packages/sim/src/sweep.c
@@ -186,7 +186,7 @@
      .disks_keep = true,
      .voter_back_ms = 6000,
      .stagger_ms = 500,
-     .entry_point_seeds = 1},
+     .entry_point_set_seeds = 1},
     {.zones = 4, .losses = 2, .votes = true, .disks_keep = true, .voter_back_ms = 6000, .stagger_ms = 500},
 };
 
--- a/packages/sim/test/bad_disks.c
+++ b/packages/sim/test/bad_disks.c
@@ -151,7 +151,7 @@
     (void)state;
     const FleetSite site = {.zones = 3,
                             .losses = 1,
-                            .entry_point_seeds = 1,
+                            .entry_point_set_seeds = 1,
                             .votes = true,
                             .disks_keep = true,
                             .voter_back_ms = SYNC_MS,
--- a/packages/sim/test/disk_state.c
+++ b/packages/sim/test/disk_state.c
@@ -335,7 +335,7 @@
     (void)state;
     for (int votes = 0; votes < 2; votes++) {
         const FleetSite site = {
-            .zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = votes == 1, .disks_keep = true};
+            .zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = votes == 1, .disks_keep = true};
         Fleet *fleet = fleet_new_at(NULL, 5, (FleetShape){3, 1, 1, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         assert_true(fleet_settle(fleet, 30000) && fleet_configure(fleet));
--- a/packages/sim/test/founding.c
+++ b/packages/sim/test/founding.c
@@ -128,14 +128,14 @@
 {
     (void)state;
     founds((FleetShape){3, 3, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_seeds = 1}, 3);
+           (FleetSite){.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 1}, 3);
 }
 
 static void diskless_seeds(void **state)
 {
     (void)state;
     founds((FleetShape){6, 4, 4, MIX_TRENTVALE, 0},
-           (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_seeds = 3}, 5);
+           (FleetSite){.zones = 3, .losses = 2, .votes = true, .entry_point_set_seeds = 3}, 5);
 }
 
 /* Controllers that do not hear of each other, and seeds of which each hears only some:
@@ -144,7 +144,7 @@
 {
     (void)state;
     for (uint64_t seed = 1; seed <= 30; seed++) {
-        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .entry_point_seeds = 3, .stagger_ms = 800};
+        const FleetSite site = {.zones = 3, .losses = 1, .votes = true, .entry_point_set_seeds = 3, .stagger_ms = 800};
         Fleet *fleet = fleet_new_at(NULL, seed, (FleetShape){4, 3, 2, MIX_TRENTVALE, 0}, &site);
         fleet_start(fleet);
         for (int a = 0; a < 4; a++) {
--- a/packages/sim/test/inside_request.h
+++ b/packages/sim/test/inside_request.h
@@ -17,7 +17,7 @@
 static inline void inside_request_main(void *arg)
 {
     InsideRequest *inside_request = arg;
-    entry_point_take(inside_request->entry_point, inside_request->task);
+    entry_point_handle_request(inside_request->entry_point, inside_request->task);
     inside_request->done = true;
 }
 
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -46,7 +46,7 @@
     if (inside_request->node->controller != NULL)
         controller_take(inside_request->node->controller, inside_request->task);
     else
-        entry_point_take(inside_request->node->entry_point, inside_request->task);
+        entry_point_handle_request(inside_request->node->entry_point, inside_request->task);
     inside_request->took_ms = loop_now_ms(loop) - from_ms;
     inside_request->done = true;
 }
@@ -321,8 +321,8 @@
     for (uint64_t i = 0; i < keeping->number; i++) {
         memcpy(data, &i, sizeof(i));
         const RepairItem item = {CHANGE_JOB_ADD, i + 1, {data, keeping->each, 0}};
-        repair_buffer_keep(keeping->repair_buffer, &item, 1);
-        repair_buffer_keep(keeping->repair_buffer, &item, 1); /* the same is kept once */
+        repair_buffer_add(keeping->repair_buffer, &item, 1);
+        repair_buffer_add(keeping->repair_buffer, &item, 1); /* the same is kept once */
     }
 }
 
--- a/packages/sim/test/repeats.c
+++ b/packages/sim/test/repeats.c
@@ -90,7 +90,7 @@
         Fleet *fleet = begin(51 + i);
         const char *before = state_of(fleet, fleet);
         const InsideRequest *inside_request = request(fleet, row);
-        const bool ordered = retry_rule_of(row->method, row->path, row->query) == REPEAT_ORDERED;
+        const bool ordered = retry_policy_of(row->method, row->path, row->query) == RETRY_BY_STAMP;
         fleet_run(fleet, ordered ? ORDER_CUT_AT_MS : CUT_AT_MS);
         const int entry_point = fleet_node(fleet, FLEET_ENTRY_POINT, 0)->machine;
         const int leader = fleet_node(fleet, FLEET_CONTROLLER, fleet_leader(fleet))->machine;
@@ -160,10 +160,10 @@
     const RetryRule *routes = retry_rules(&count);
     for (size_t i = 0; i < count; i++) {
         assert_true(strlen(routes[i].reason) > 0);
-        bool tried = routes[i].repeat == REPEAT_READ;
+        bool tried = routes[i].policy == RETRY_READ_ONLY;
         for (size_t k = 0; k < sizeof(ROWS) / sizeof(ROWS[0]) && !tried; k++)
             tried = strcmp(routes[i].method, ROWS[k].method) == 0 && ROWS[k].code != 504 &&
-                    retry_rule_of(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].repeat &&
+                    retry_policy_of(ROWS[k].method, ROWS[k].path, ROWS[k].query) == routes[i].policy &&
                     strncmp(routes[i].path, ROWS[k].path, strcspn(routes[i].path, "*")) == 0;
         if (!tried)
             fail_msg("%s %s is tried nowhere", routes[i].method, routes[i].path);
@@ -176,23 +176,23 @@
     (void)state;
     static const struct {
         const char *method, *path, *query;
-        Repeat repeat;
+        RetryPolicy repeat;
     } ASKED[] = {
-        {"PUT", "/v1/config", "base=1", REPEAT_NEVER},
-        {"PUT", "/v1/config", "base=1&xrevision=2", REPEAT_NEVER},
-        {"PUT", "/v1/config", "base=1&revision=2", REPEAT_NAMED},
-        {"PATCH", "/v1/config", "", REPEAT_NEVER},
-        {"POST", "/v1/jobsx", "", REPEAT_NEVER},
-        {"POST", "/v1/jobs/a/other", "", REPEAT_NEVER},
-        {"POST", "/v1/zones/a", "", REPEAT_NEVER},
-        {"POST", "/v1/zones//drain", "", REPEAT_NEVER},
-        {"POST", "/v1/zones/a/drain", "", REPEAT_ORDERED},
-        {"POST", "/v1/later", "", REPEAT_NEVER},
-        {"GET", "/v1/later", "", REPEAT_READ},
-        {"DELETE", "/v1/entry/a/b", "", REPEAT_NAMED},
+        {"PUT", "/v1/config", "base=1", RETRY_NEVER},
+        {"PUT", "/v1/config", "base=1&xrevision=2", RETRY_NEVER},
+        {"PUT", "/v1/config", "base=1&revision=2", RETRY_BY_REQUEST_ID},
+        {"PATCH", "/v1/config", "", RETRY_NEVER},
+        {"POST", "/v1/jobsx", "", RETRY_NEVER},
+        {"POST", "/v1/jobs/a/other", "", RETRY_NEVER},
+        {"POST", "/v1/zones/a", "", RETRY_NEVER},
+        {"POST", "/v1/zones//drain", "", RETRY_NEVER},
+        {"POST", "/v1/zones/a/drain", "", RETRY_BY_STAMP},
+        {"POST", "/v1/later", "", RETRY_NEVER},
+        {"GET", "/v1/later", "", RETRY_READ_ONLY},
+        {"DELETE", "/v1/entry/a/b", "", RETRY_BY_REQUEST_ID},
     };
     for (size_t i = 0; i < sizeof(ASKED) / sizeof(ASKED[0]); i++)
-        if (retry_rule_of(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
+        if (retry_policy_of(ASKED[i].method, ASKED[i].path, ASKED[i].query) != ASKED[i].repeat)
             fail_msg("%s %s?%s", ASKED[i].method, ASKED[i].path, ASKED[i].query);
 }
 
--- a/packages/state/tool/write_disk.c
+++ b/packages/state/tool/write_disk.c
@@ -266,7 +266,7 @@
         return 2;
     }
     folder = argv[1];
-    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_seeds = 1, .votes = true, .disks_keep = true};
+    const FleetSite site = {.zones = 3, .losses = 1, .entry_point_set_seeds = 1, .votes = true, .disks_keep = true};
     fleet = fleet_new_at(NULL, 1, (FleetShape){CONTROLLERS, 1, 0, MIX_VARIED, 0}, &site);
     fleet_start(fleet);
     if (!fleet_settle(fleet, 30000))
--- a/scripts/readable.py
+++ b/scripts/readable.py
@@ -41,7 +41,7 @@
 ONLY_AS = {
     "kept": r"Kept.*|KEPT.*|kept_.*",  # a reservation, a repair buffer's item; what is kept of an array is ordinary
     "look": r"(?i)(?!.*look_?up).*",  # an election poll, or a turn of a task that watches; to look up is ordinary
-    "never": r"nevers|.*_nevers|NEVER_.*|never_words",  # a safety property; REPEAT_NEVER and never_leaves say what they say
+    "never": r"nevers|.*_nevers|NEVER_.*|never_words",  # a safety property; RETRY_NEVER and never_leaves say what they say
     "stay": r"stays?(_.*)?",  # a residence; as the verb within the sentence that a test's name is, ordinary
 }
 # ... or the packages in which it had it ...
--- a/src/node.c
+++ b/src/node.c
@@ -43,7 +43,7 @@
     if (run->node.controller != NULL)
         controller_seeds(run->node.controller, seeds);
     else if (run->node.entry_point != NULL)
-        entry_point_seeds(run->node.entry_point, seeds);
+        entry_point_set_seeds(run->node.entry_point, seeds);
     else if (run->node.agent != NULL)
         agent_seeds(run->node.agent, seeds);
     talloc_free(mem);
