--- a/packages/controller/include/controller/controller.h
+++ b/packages/controller/include/controller/controller.h
@@ -4,31 +4,34 @@
 #include "settings/settings.h"
 #include "state/table.h"
 
-/* A controller process: a disk with a replica of the log, perhaps a vote, perhaps the lead. Used by the process
- * itself, by protocol adapters and by the simulator. */
+/* The controller process: holds a replica of the log on its disk, may be a voter and may be the leader. Used by the
+ * daemon, by protocol adapters and by the simulator. */
 typedef struct Controller Controller;
 
-/* Lets the simulator check that no two nodes decide at a time; null in production. */
+/* Observer with which the simulator checks that no two controllers make decisions at the same time. Unused in
+ * production, where callers pass a null pointer. */
 typedef struct ControllerWatch {
     void *arg;
-    /* Called when the node of that name is about to decide something as leader in this term. */
+    /* Called when the controller called name is about to make a decision as the leader of term. */
     void (*plans)(void *arg, const char *name, uint64_t term);
 } ControllerWatch;
 
-/* Waits. Opens the disk and the addresses and starts all tasks. On mem; the pointers handed in outlive it. What
- * failed is described in failure. */
+/* Waits. Opens the disk, listens on both addresses and starts all tasks. The controller is allocated on mem; loop,
+ * recorder and settings must outlive it. watch may be null. On an error, failure describes what failed. */
 Status controller_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings,
                         const ControllerWatch *watch, Controller **controller, Failure *failure);
-/* Waits. Answers a request as if it had come to the own HTTP address; protocol adapters call it with theirs. */
+/* Waits. Answers a request as if it had arrived at the controller's own HTTP address. Protocol adapters call it with
+ * the requests that they receive. */
 void controller_take(Controller *controller, HttpTask *task);
-/* Readiness: it leads and serves, or reaches a leader that does, or did so a moment ago; false once it drains. */
+/* Readiness. True if this controller leads and is not repairing, or if it reaches, or reached a moment ago, a leader
+ * that serves; false once it drains. */
 bool controller_ready(const Controller *controller);
-/* Waits. Graceful shutdown: no longer ready, hands over the lead and the vote, then waits for requests under way, for
- * the grace of the settings at most. */
+/* Waits. Graceful shutdown: reports not ready, hands over leadership and the vote, then waits until the requests in
+ * progress have ended, for at most the grace period of the settings. */
 void controller_drain(Controller *controller);
 /* Replaces the seed addresses. */
 void controller_seeds(Controller *controller, const char *const seeds[SEEDS]);
-/* For protocol adapters and the simulator; valid as long as the controller. */
+/* Accessors for protocol adapters and the simulator. What they return is valid as long as the controller. */
 Replication *controller_replication(Controller *controller);
 const Table *controller_table(const Controller *controller);
 const char *controller_http_address(const Controller *controller);
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -1,4 +1,4 @@
-/* Messages of agents, answered as leader: heartbeats, which ask for orders too, and updates of attempts. */
+/* Answers the messages of agents as leader: heartbeats, which also request orders, and updates of attempts. */
 #include "agents.h"
 
 #include <string.h>
@@ -19,8 +19,8 @@
     return false;
 }
 
-/* Whether an attempt that is to be stopped, and that its agent does not list, is over. An order to start it may
- * still be on its way to the agent, until ORDER_GONE_MS has passed or the agent has newer orders. */
+/* True if an attempt that is to be stopped, and that its agent does not list, has ended. An order to start it may still
+ * be on its way to the agent until ORDER_GONE_MS has passed or the agent has newer orders. */
 static bool stop_over(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
@@ -29,8 +29,8 @@
              heartbeat->have == table_orders(controller->table, heartbeat->worker.name)));
 }
 
-/* Updates for the attempts that the table has on the worker and the heartbeat's complete list does not: those that
- * should run are lost, those that were to stop have stopped. On mem. */
+/* Builds updates for the attempts that the state table has on the worker and that the heartbeat's complete list lacks:
+ * running attempts are lost, stopping attempts have stopped. Allocated on mem. */
 static AttemptList missing_attempts(const Controller *controller, void *mem, const HeartbeatAsk *heartbeat)
 {
     AttemptList list = {0};
@@ -51,19 +51,20 @@
                             .attempt = task->attempt,
                             .worker = talloc_strdup(mem, heartbeat->worker.name),
                             .word = task->phase == TASK_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST,
-                            .text = "not on its worker any more",
+                            .text = "no longer running on its worker",
                             .saved = ""};
     }
     return list;
 }
 
-/* What a heartbeat makes known is committed in a task of its own: the lease, which its answer renews, does not wait
- * for the disks. Owns what it points to, but for the controller and the session. */
+/* Changes reported by a heartbeat. They are committed in a task of their own, so that the answer, which renews the
+ * lease, does not wait for the disks. Owns all that it points to except the controller and the session. */
 typedef struct HeartbeatCommit {
     Controller *controller;
     AgentSession *session;
     Worker worker;
-    bool worker_changed, left; /* the table has another record of the worker, or none; the worker has drained */
+    bool worker_changed; /* The state table has no record of the worker or a different one */
+    bool left;           /* The worker has drained */
     AttemptList missing_attempts;
 } HeartbeatCommit;
 
@@ -83,24 +84,24 @@
     talloc_free(commit);
 }
 
-/* Spawns a commit of what the heartbeat makes known, if it does; one at a time for each worker, since its
- * heartbeats repeat what has yet to be committed. */
-static void heartbeat_commit(Controller *controller, const HeartbeatAsk *heartbeat, bool list_counts)
+/* Spawns a commit of the changes that the heartbeat reports, if there are any. Only one commit runs at a time for each
+ * worker, since its heartbeats repeat what has not been committed yet. */
+static void heartbeat_commit(Controller *controller, const HeartbeatAsk *heartbeat, bool list_usable)
 {
     AgentSession *session = agent_session(controller, heartbeat->worker.name);
     if (session->committing)
         return;
     const Worker *known = table_worker(controller->table, heartbeat->worker.name);
     Worker worker = heartbeat->worker;
-    const bool here = heartbeat->worker_live && !heartbeat->leaving;
-    worker.excluded = known != NULL && known->excluded && !here;
+    const bool present = heartbeat->worker_live && !heartbeat->leaving;
+    worker.excluded = known != NULL && known->excluded && !present;
     const bool worker_changed =
         heartbeat->worker_live && (known == NULL || !shape_equal(&Worker_shape, known, &worker));
-    /* the worker has drained: it was leaving, it is gone, and the agent has no attempt left */
+    /* The worker has drained: it was leaving, it is gone, and the agent has no attempts left. */
     const bool left = known != NULL && !known->excluded && heartbeat->leaving && !heartbeat->worker_live &&
                       heartbeat->settled && heartbeat->attempts_count == 0;
     void *mem = talloc_new(controller);
-    const AttemptList missing = list_counts ? missing_attempts(controller, mem, heartbeat) : (AttemptList){0};
+    const AttemptList missing = list_usable ? missing_attempts(controller, mem, heartbeat) : (AttemptList){0};
     if (worker_changed || left || missing.updates_count > 0) {
         HeartbeatCommit *commit = talloc_zero(controller, HeartbeatCommit);
         *commit = (HeartbeatCommit){.controller = controller,
@@ -117,28 +118,29 @@
     }
 }
 
-/* Whether the state table does not have yet that the attempt runs. */
-static bool run_unknown(const Controller *controller, const char *worker, const AttemptSaved *saved)
+/* True if the state table does not yet record that the attempt is running. */
+static bool running_unrecorded(const Controller *controller, const char *worker, const AttemptSaved *saved)
 {
     const Job *job = table_job(controller->table, saved->job);
     const size_t at = job != NULL ? task_index(job, saved->task) : 0;
     if (job == NULL || at == job->tasks_count)
         return false;
     const JobTask *task = &job->tasks[at];
-    /* its placement may have been lost with the disks */
+    /* The disks may have lost the placement. */
     return task->phase == TASK_WAITING
                ? saved->attempt > task->attempt
                : task->phase == TASK_PLACED && saved->attempt == task->attempt && strcmp(task->worker, worker) == 0;
 }
 
-/* Takes the checkpoints and the progress of running attempts, and submits that they run where that is unknown. */
-static void running_attempts_take(Controller *controller, const HeartbeatAsk *heartbeat)
+/* Records the checkpoints and the progress of running attempts. Submits that an attempt is running where the state
+ * table does not record it. */
+static void running_attempts_record(Controller *controller, const HeartbeatAsk *heartbeat)
 {
     for (size_t i = 0; i < heartbeat->saved_count; i++) {
         const AttemptSaved *saved = &heartbeat->saved[i];
         checkpoint_take(controller->scheduler, saved);
         progress_take(controller->scheduler, heartbeat->worker.name, saved);
-        if (!run_unknown(controller, heartbeat->worker.name, saved))
+        if (!running_unrecorded(controller, heartbeat->worker.name, saved))
             continue;
         const AttemptUpdate update = {.job = saved->job,
                                       .task = saved->task,
@@ -151,12 +153,12 @@
         attempt_updates_commit_later(controller, &update);
     }
     if (scheduler_place_from_ms(controller->scheduler) > loop_now_ms(controller->loop))
-        attempt_updates_hurry(controller);
+        attempt_updates_flush(controller);
 }
 
-/* After a loss of acknowledged changes: whether every known agent has listed all attempts that may run on its
- * worker, and the state table has them. */
-static bool all_heard(Controller *controller)
+/* Used after a loss of acknowledged changes. True if every known agent has listed all attempts that may run on its
+ * worker, and the state table has all of them. */
+static bool all_agents_reported(Controller *controller)
 {
     void *mem = talloc_new(controller);
     const Worker **workers;
@@ -168,40 +170,41 @@
     }
     const LiveRow **rows;
     const size_t row_count = liveset_rows(controller->liveset, mem, &rows);
-    size_t heard = 0, agents = 0;
+    size_t reported = 0, agents = 0;
     for (size_t i = 0; i < row_count; i++)
-        heard += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
+        reported += rows[i]->heard_ms != INT64_MIN && rows[i]->settled;
     const MemberTable *members = members_table(controller->members);
     for (size_t i = 0; i < members->count; i++)
         agents += members->rows[i].record.role == ROLE_AGENT && !members->rows[i].record.leaving;
     talloc_free(mem);
-    return all && heard >= agents;
+    return all && reported >= agents;
 }
 
-/* Lets the scheduler place again as soon as all agents have been heard, before the leases have ended. */
-static void placement_begin_early(Controller *controller)
+/* Lets the scheduler place tasks before the leases have expired, as soon as all agents have reported. */
+static void placement_resume_early(Controller *controller)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
     if (now_ms >= scheduler_place_from_ms(controller->scheduler) || controller->repairing ||
-        !replication_leading(controller->replication) || !all_heard(controller))
+        !replication_leading(controller->replication) || !all_agents_reported(controller))
         return;
-    scheduler_set_place_from(controller->scheduler, now_ms); /* no running attempt is unknown to the table */
+    scheduler_set_place_from(controller->scheduler, now_ms); /* The state table has all running attempts */
     scheduler_notify(controller->scheduler);
 }
 
-/* Whether the worker's lease had lapsed, or it was leaving, when its agent was last heard by this leader. */
-typedef struct WorkerBefore {
+/* The state of a worker when this leader last received a heartbeat from its agent: whether its lease had lapsed and
+ * whether it was leaving. */
+typedef struct PreviousWorkerState {
     bool lapsed, leaving;
-} WorkerBefore;
+} PreviousWorkerState;
 
-static WorkerBefore worker_before(const LiveRow *row, int64_t now_ms)
+static PreviousWorkerState previous_worker_state(const LiveRow *row, int64_t now_ms)
 {
     if (row == NULL || row->heard_ms == INT64_MIN)
-        return (WorkerBefore){0};
-    return (WorkerBefore){now_ms > row->until_ms, row->leaving};
+        return (PreviousWorkerState){0};
+    return (PreviousWorkerState){now_ms > row->until_ms, row->leaving};
 }
 
-static void worker_log(Controller *controller, const LiveRow *row, WorkerBefore before, int64_t now_ms)
+static void worker_changes_log(Controller *controller, const LiveRow *row, PreviousWorkerState before, int64_t now_ms)
 {
     const LogFields fields = {.peer = row->name};
     if (before.lapsed)
@@ -210,10 +213,10 @@
         log_event(controller->recorder, LOG_WORKER_LEAVES, now_ms, &fields);
 }
 
-static Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
+static Status on_heartbeat(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const HeartbeatAsk *heartbeat = question;
+    const HeartbeatAsk *heartbeat = request;
     HeartbeatAnswer *out = answer;
     out->term = replication_led_term(controller->replication);
     if (!replication_leased(controller->replication))
@@ -223,27 +226,27 @@
     const int64_t now_ms = loop_now_ms(controller->loop);
     const LiveRow *before = liveset_find(controller->liveset, heartbeat->worker.name);
     const bool was_ready = before != NULL && live_row_ready(before, now_ms) && !live_row_overdue(before, now_ms);
-    const WorkerBefore worker_was = worker_before(before, now_ms);
-    bool list_counts;
+    const PreviousWorkerState previous = previous_worker_state(before, now_ms);
+    bool list_usable;
     const int64_t lease_ms = controller->settings->bounds.lease_ms;
-    const Status status = liveset_heartbeat(controller->liveset, heartbeat, now_ms, lease_ms, &list_counts);
+    const Status status = liveset_heartbeat(controller->liveset, heartbeat, now_ms, lease_ms, &list_usable);
     if (status != STATUS_OK)
         return status;
-    worker_log(controller, liveset_find(controller->liveset, heartbeat->worker.name), worker_was, now_ms);
+    worker_changes_log(controller, liveset_find(controller->liveset, heartbeat->worker.name), previous, now_ms);
     if (liveset_find(controller->liveset, heartbeat->worker.name)->number == heartbeat->number)
         orphans_heartbeat(controller->orphans, controller->table, heartbeat, now_ms);
     liveset_asked(controller->liveset, heartbeat->worker.name, now_ms);
     if (was_ready != live_row_ready(liveset_find(controller->liveset, heartbeat->worker.name), now_ms))
         scheduler_notify(controller->scheduler);
-    running_attempts_take(controller, heartbeat);
+    running_attempts_record(controller, heartbeat);
     if (!controller->repairing && replication_leading(controller->replication))
-        heartbeat_commit(controller, heartbeat, list_counts);
-    placement_begin_early(controller);
+        heartbeat_commit(controller, heartbeat, list_usable);
+    placement_resume_early(controller);
     if (heartbeat->wait_ms > 0)
         orders_answer(controller, mem, heartbeat,
                       heartbeat->wait_ms < HEARTBEAT_WAIT_MS ? heartbeat->wait_ms : HEARTBEAT_WAIT_MS, out);
     liveset_answered(controller->liveset, heartbeat->worker.name, loop_now_ms(controller->loop));
-    /* this node may have lost the lead while it waited: then its lease must not be relied on */
+    /* This node may have lost leadership while it waited; the lease must not be relied on then. */
     if (!replication_leased(controller->replication))
         return STATUS_NOT_LEADER;
     out->term = replication_led_term(controller->replication);
@@ -251,10 +254,10 @@
     return STATUS_OK;
 }
 
-static Status on_notify(void *arg, void *mem, const void *question, void *answer)
+static Status on_notify(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const NotifyAsk *ask = question;
+    const NotifyAsk *ask = request;
     (void)mem;
     ((NotifyAnswer *)answer)->term = replication_led_term(controller->replication);
     if (!replication_leading(controller->replication))
@@ -262,15 +265,15 @@
     if (controller->repairing)
         return STATUS_REPAIRING;
     liveset_report_sent(controller->liveset, ask->agent, ask->incarnation, ask->number);
-    /* answered only after the commit: until then the agent sends it again */
+    /* The answer is sent only after the commit: until then the agent resends the updates. */
     return attempt_updates_commit(controller, ask->updates, ask->updates_count);
 }
 
-/* Orders for agents of the first release, which ask for them apart from their heartbeats. */
-static Status on_fetch(void *arg, void *mem, const void *question, void *answer)
+/* Answers agents of the first release, which request orders separately from their heartbeats. */
+static Status on_fetch(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const FetchAsk *ask = question;
+    const FetchAsk *ask = request;
     FetchAnswer *out = answer;
     const HeartbeatAsk heartbeat = {
         .worker.name = ask->agent, .incarnation = ask->incarnation, .have = ask->have, .have_term = ask->have_term};
@@ -282,7 +285,7 @@
         return STATUS_REPAIRING;
     const LiveRow *row = liveset_find(controller->liveset, ask->agent);
     if (row == NULL)
-        return STATUS_UNKNOWN_WORKER; /* it has to send a heartbeat first */
+        return STATUS_UNKNOWN_WORKER; /* A heartbeat has to come first */
     if (row->incarnation != ask->incarnation)
         return STATUS_DUPLICATE_WORKER;
     orders_answer(controller, mem, &heartbeat, FETCH_WAIT_MS, &orders);
@@ -298,12 +301,13 @@
     return STATUS_OK;
 }
 
-/* An isolated agent asks whether this node knows of a leader, and for the voters (see agent/src/isolated.c). */
-static Status on_know(void *arg, void *mem, const void *question, void *answer)
+/* Answers an isolated agent, which asks whether this node knows a leader, and for the list of voters (see
+ * agent/src/isolated.c). */
+static Status on_know(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
     KnowAnswer *out = answer;
-    (void)question;
+    (void)request;
     uint64_t voters[VOTER_MOST];
     out->knows = replication_knows_holder(controller->replication);
     out->term = members_leader_term(controller->members);
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -1,5 +1,5 @@
-/* Alerts are levels, not events: each is active from when this leader first saw its cause until a check no longer
- * finds it. */
+/* Alerts are states, not events: each is active from the first check in which this leader finds its cause until a check
+ * no longer finds it. */
 #include "alerts.h"
 
 #include <inttypes.h>
@@ -10,17 +10,18 @@
 #include "leader.h"
 #include "scheduler/worker_score.h"
 
-#define ALERTS_CHECK_MS 1000 /* ms; between two checks */
-#define LOST_AFTER_MS 1000   /* ms; beyond the lease: a restart of an agent takes less */
+#define ALERTS_CHECK_MS 1000 /* Interval between checks, in ms */
+/* Delay in ms between the end of a worker's lease and the alert: an agent restarts in less time. */
+#define LOST_AFTER_MS 1000
 
-#define LOSSES_TEXT 40 /* bytes; two counts in words */
+#define LOSSES_TEXT_BYTES 40 /* Buffer size in bytes for two counts, as "1 of 2" */
 
 typedef struct ActiveAlert {
     Alert alert;
     const char *subject;
-    const char *todo; /* static */
+    const char *todo; /* Points to static storage */
     int64_t since_ms;
-    uint64_t last_check; /* number of the last check that saw its cause */
+    uint64_t last_check; /* Number of the last check that found its cause */
 } ActiveAlert;
 
 const char *alert_word(Alert alert)
@@ -43,8 +44,8 @@
     return TODOS[alert];
 }
 
-/* Notes the cause of an alert; subject: what it is about; todo: static. */
-static void alert_seen_with(Controller *controller, Alert alert, const char *subject, const char *todo)
+/* Raises an alert, or keeps it active. subject: what the alert is about. todo: points to static storage. */
+static void alert_raise_with_todo(Controller *controller, Alert alert, const char *subject, const char *todo)
 {
     char key[ID_MAX * 2];
     snprintf(key, sizeof(key), "%d %s", (int)alert, subject);
@@ -58,9 +59,9 @@
     active->last_check = controller->alert_checks;
 }
 
-static void alert_seen(Controller *controller, Alert alert, const char *subject)
+static void alert_raise(Controller *controller, Alert alert, const char *subject)
 {
-    alert_seen_with(controller, alert, subject, alert_todo(alert));
+    alert_raise_with_todo(controller, alert, subject, alert_todo(alert));
 }
 
 static void voters_check(Controller *controller)
@@ -69,25 +70,25 @@
     replication_status(controller->replication, &replication);
     for (size_t i = 0; i < replication.voter_count; i++) {
         const Member *member = members_find_disk(controller->members, replication.voters[i].disk);
-        char disk[DISK_TEXT];
+        char disk[DISK_TEXT_BYTES];
         snprintf(disk, sizeof(disk), "%016" PRIx64, replication.voters[i].disk);
         const char *name = member != NULL ? member->record.name : disk;
         if (!replication.voters[i].in_view)
-            alert_seen(controller, ALERT_VOTER_OUT, name);
+            alert_raise(controller, ALERT_VOTER_OUT, name);
         if (replication.voters[i].sync_ms > VOTER_SLOW_MS)
-            alert_seen(controller, ALERT_VOTER_SLOW, name);
+            alert_raise(controller, ALERT_VOTER_SLOW, name);
         if (replication.voters[i].refuses)
-            alert_seen(controller, ALERT_DISK_REFUSES, name);
+            alert_raise(controller, ALERT_DISK_REFUSES, name);
     }
     for (size_t i = 0; i < replication.learner_count; i++) {
         const Member *member = members_find_disk(controller->members, replication.learners[i].disk);
         if (replication.learners[i].refuses && member != NULL)
-            alert_seen(controller, ALERT_DISK_REFUSES, member->record.name);
+            alert_raise(controller, ALERT_DISK_REFUSES, member->record.name);
     }
-    char borne[LOSSES_TEXT];
-    snprintf(borne, sizeof(borne), "%d of %d", replication.losses_borne, replication.losses_asked);
+    char losses_text[LOSSES_TEXT_BYTES];
+    snprintf(losses_text, sizeof(losses_text), "%d of %d", replication.losses_borne, replication.losses_asked);
     if (replication.losses_borne < replication.losses_asked)
-        alert_seen(controller, ALERT_LOSSES_FEW, borne);
+        alert_raise(controller, ALERT_LOSSES_FEW, losses_text);
 }
 
 static void workers_check(Controller *controller, void *mem)
@@ -102,10 +103,10 @@
         const bool lapsed = now_ms > until_ms + LOST_AFTER_MS;
         const bool silent = row != NULL && row->heard_ms != INT64_MIN && !row->worker_live;
         if (!workers[i]->excluded && (lapsed || silent) && !(row != NULL && row->leaving))
-            alert_seen_with(controller, ALERT_WORKER_LOST, workers[i]->name,
-                            lapsed ? alert_todo(ALERT_WORKER_LOST) : WORKER_SILENT_TODO);
+            alert_raise_with_todo(controller, ALERT_WORKER_LOST, workers[i]->name,
+                                  lapsed ? alert_todo(ALERT_WORKER_LOST) : WORKER_SILENT_TODO);
         if (score_rests(controller->scheduler, workers[i]->name))
-            alert_seen(controller, ALERT_WORKER_RESTS, workers[i]->name);
+            alert_raise(controller, ALERT_WORKER_RESTS, workers[i]->name);
     }
 }
 
@@ -121,14 +122,14 @@
             waits |= task->phase == TASK_WAITING && task->losses > 0;
         }
     if (unassured)
-        alert_seen(controller, ALERT_UNASSURED, "tasks");
+        alert_raise(controller, ALERT_UNASSURED, "tasks");
     if (waits)
-        alert_seen(controller, ALERT_PROTECTED_WAITS, "tasks");
+        alert_raise(controller, ALERT_PROTECTED_WAITS, "tasks");
     const SchedulerPlan *plan = scheduler_plan(controller->scheduler);
     if (!plan->possible) {
         char subject[ID_MAX + 16];
         snprintf(subject, sizeof(subject), "%s %s", loss_word(plan->broken_by_loss), plan->broken_by);
-        alert_seen(controller, ALERT_PLAN_BROKEN, subject);
+        alert_raise(controller, ALERT_PLAN_BROKEN, subject);
     }
 }
 
@@ -139,17 +140,17 @@
     const bool leads = replication_leading(controller->replication);
     const char *words;
     if (leads && controller->repairing)
-        alert_seen(controller, ALERT_REPAIRING, "cluster");
+        alert_raise(controller, ALERT_REPAIRING, "cluster");
     if (leads && !controller->repairing) {
         voters_check(controller);
         workers_check(controller, mem);
         work_check(controller);
         if (in_force_policy_failures(controller->in_force, &words) > 0)
-            alert_seen(controller, ALERT_POLICY_FAILS, words);
+            alert_raise(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
         const size_t zone_count = table_drains(controller->table, mem, &zones);
         for (size_t i = 0; i < zone_count; i++)
-            alert_seen(controller, ALERT_ZONE_EMPTIED, zones[i]);
+            alert_raise(controller, ALERT_ZONE_EMPTIED, zones[i]);
     }
     const char **keys;
     const size_t count = map_keys(controller->alerts, mem, &keys);
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -1,5 +1,6 @@
-/* Updates of attempts, committed for many agents at once: while one change is being committed, the updates that come
- * meanwhile gather for the next. That an attempt runs is not urgent: it waits for other updates, or UPDATE_LAZY_MS. */
+/* Commits updates of attempts in batches for many agents at once: while one batch is being committed, further updates
+ * are collected for the next. An update that an attempt is running is not urgent: it waits for other updates, but no
+ * longer than UPDATE_LAZY_MS. */
 #include "attempt_updates.h"
 
 #include <string.h>
@@ -7,42 +8,41 @@
 
 #include "leader.h"
 
-/* The updates of one change. Freed by whichever of its users leaves last: the task that commits it, or a caller
- * that waits for it. */
+/* The updates of one change. Reference counted: freed by the last of its users, which are the task that commits it
+ * and the callers that wait for it. */
 typedef struct Batch {
     struct Batch *next;
-    size_t users;
+    size_t references;
     AttemptList list;
     size_t capacity;
-    int64_t *at_ms;   /* when each of them came */
-    int64_t since_ms; /* its first update came then */
-    bool urgent;      /* is committed without delay: a caller waits for it */
-    bool over;
+    int64_t *at_ms;   /* Arrival time of each update */
+    int64_t since_ms; /* Arrival time of the first update */
+    bool urgent;      /* Committed without delay, since a caller waits for it */
+    bool done;
     Status status;
-    Signal ended;
+    Signal done_signal;
 } Batch;
 
-/* Invariant: batches from first to last are in the order in which they are submitted;
- * only the last gathers. */
+/* Invariant: batches are submitted in order from first to last; only the last accepts further updates. */
 struct AttemptUpdates {
     Controller *controller;
     Batch *first, *last;
-    bool busy; /* one is being committed */
+    bool busy; /* True while a batch is being committed */
     Signal added;
 };
 
-static void batch_leave(Batch *batch)
+static void batch_release(Batch *batch)
 {
-    if (--batch->users == 0)
+    if (--batch->references == 0)
         talloc_free(batch);
 }
 
-/* The batch that gathers now. */
-static Batch *batch_last(AttemptUpdates *updates)
+/* Returns the batch that accepts updates; starts a new one if the last is full. */
+static Batch *batch_accepting(AttemptUpdates *updates)
 {
     if (updates->last == NULL || updates->last->list.updates_count >= UPDATE_MOST) {
         Batch *batch = talloc_zero(updates, Batch);
-        batch->users = 1;
+        batch->references = 1;
         batch->since_ms = loop_now_ms(updates->controller->loop);
         if (updates->last != NULL)
             updates->last->next = batch;
@@ -69,26 +69,26 @@
     AttemptUpdates *updates = controller->attempt_updates;
     if (count == 0)
         return STATUS_OK;
-    Batch *batch = batch_last(updates);
+    Batch *batch = batch_accepting(updates);
     for (size_t i = 0; i < count; i++)
         batch_add(controller, batch, &list[i]);
     batch->urgent = true;
-    batch->users++;
+    batch->references++;
     signal_raise(controller->loop, &updates->added);
-    while (!batch->over)
-        signal_wait(controller->loop, &batch->ended, INT64_MAX);
+    while (!batch->done)
+        signal_wait(controller->loop, &batch->done_signal, INT64_MAX);
     const Status status = batch->status;
-    batch_leave(batch);
+    batch_release(batch);
     return status;
 }
 
 void attempt_updates_commit_later(Controller *controller, const AttemptUpdate *one)
 {
-    batch_add(controller, batch_last(controller->attempt_updates), one);
+    batch_add(controller, batch_accepting(controller->attempt_updates), one);
     signal_raise(controller->loop, &controller->attempt_updates->added);
 }
 
-void attempt_updates_hurry(Controller *controller)
+void attempt_updates_flush(Controller *controller)
 {
     if (controller->attempt_updates->first != NULL)
         controller->attempt_updates->first->urgent = true;
@@ -100,7 +100,8 @@
     return controller->attempt_updates->first == NULL && !controller->attempt_updates->busy;
 }
 
-/* After a commit that failed: that an attempt runs is submitted again here, since no agent sends it again. */
+/* Used after a commit that failed. Submits again that attempts are running, since agents do not resend these
+ * updates. */
 static void running_updates_retry(Controller *controller, const Batch *batch)
 {
     for (size_t i = 0; i < batch->list.updates_count && replication_leased(controller->replication); i++)
@@ -126,7 +127,7 @@
         if (updates->last == batch)
             updates->last = NULL;
         for (size_t i = 0; i < batch->list.updates_count; i++)
-            if (batch->list.updates[i].ran_ms > 0) /* ran_ms counts until the commit */
+            if (batch->list.updates[i].ran_ms > 0) /* ran_ms includes the time until the commit */
                 batch->list.updates[i].ran_ms += now_ms - batch->at_ms[i];
         ChangeResult result;
         updates->busy = true;
@@ -135,9 +136,9 @@
         updates->busy = false;
         if (batch->status != STATUS_OK)
             running_updates_retry(controller, batch);
-        batch->over = true;
-        signal_raise(controller->loop, &batch->ended);
-        batch_leave(batch);
+        batch->done = true;
+        signal_raise(controller->loop, &batch->done_signal);
+        batch_release(batch);
     }
 }
 
@@ -145,5 +146,5 @@
 {
     controller->attempt_updates = talloc_zero(controller, AttemptUpdates);
     controller->attempt_updates->controller = controller;
-    loop_spawn(controller->loop, "news", attempt_updates_main, controller->attempt_updates);
+    loop_spawn(controller->loop, "attempt_updates", attempt_updates_main, controller->attempt_updates);
 }
--- a/packages/controller/src/attempt_updates.h
+++ b/packages/controller/src/attempt_updates.h
@@ -3,18 +3,19 @@
 
 #include "state.h"
 
-/* Gathers updates of attempts and commits them together; see the source. */
+/* Collects updates of attempts and commits them in batches; see attempt_updates.c. */
 typedef struct AttemptUpdates AttemptUpdates;
 
 /* Spawns the task that commits updates of attempts. */
 void attempt_updates_start(Controller *controller);
-/* Waits until the updates are committed, perhaps together with others. Copies them; the status is the commit's. */
+/* Waits until the updates are committed, possibly in one batch with others. Copies the updates. Returns the status of
+ * the commit. */
 Status attempt_updates_commit(Controller *controller, const AttemptUpdate *list, size_t count);
-/* Has one update committed together with the next others, or after UPDATE_LAZY_MS. Copies it. */
+/* Queues an update to be committed with the next batch, after at most UPDATE_LAZY_MS. Copies the update. */
 void attempt_updates_commit_later(Controller *controller, const AttemptUpdate *one);
-/* Has the updates that wait committed without further delay. */
-void attempt_updates_hurry(Controller *controller);
-/* Whether no update waits or is being committed. */
+/* Commits the queued updates without further delay. */
+void attempt_updates_flush(Controller *controller);
+/* True if no update is queued or being committed. */
 bool attempt_updates_idle(const Controller *controller);
 
 #endif
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -1,4 +1,4 @@
-/* The controller's process: makes its parts, starts them, and drains. */
+/* The controller process: creates its components, starts them, and drains. */
 #include "controller/controller.h"
 
 #include <inttypes.h>
@@ -18,7 +18,8 @@
 #include "routing/repair_transfer.h"
 #include "settings/features.h"
 
-/* For the configuration watch: a controller without a vote gets the configuration as an entry point does. */
+/* Callback of the configuration watch: a controller without a vote gets the configuration from the leader, as an entry
+ * point does. */
 static bool has_no_vote(void *arg)
 {
     const Controller *controller = arg;
@@ -31,7 +32,7 @@
     return replication_leading(controller->replication);
 }
 
-/* For the forwarder: answers a request to this node's own address, as leader. */
+/* Callback of the forwarder: answers a request that arrived at this node's own address, as leader. */
 static void serve(void *arg, void *mem, const ForwardAsk *ask, ForwardAnswer *answer)
 {
     const Controller *controller = arg;
@@ -49,7 +50,7 @@
     return controller_status(arg);
 }
 
-static json_object *alerts_shown(void *arg)
+static json_object *alerts_json(void *arg)
 {
     return alerts_show(arg);
 }
@@ -60,8 +61,8 @@
     controller_take(arg, task);
 }
 
-/* The node's place in the log, for the lines of its flight recorder. */
-static RecorderPlace place_now(void *arg)
+/* Callback of the flight recorder: the node's position in the log, which each line shows. */
+static RecorderPlace recorder_place(void *arg)
 {
     const Controller *controller = arg;
     uint64_t term, commit_index;
@@ -69,7 +70,7 @@
     return (RecorderPlace){.term = term_counter(term), .index = commit_index};
 }
 
-/* The replicated log, and the parts that it is delivered to. */
+/* Creates the replicated log and the components that apply its changes. */
 static void state_new(Controller *controller)
 {
     const Settings *settings = controller->settings;
@@ -98,16 +99,16 @@
     controller->replication = replication_new(controller, &replication_settings);
 }
 
-/* Waits. */
+/* Waits. Opens the disk, then listens on both addresses. */
 static Status disk_and_addresses_open(Controller *controller, Failure *failure)
 {
     const Settings *settings = controller->settings;
-    /* the disk first: its id is part of our name */
+    /* The disk comes first: its id is part of the node's id. */
     Status status = replication_open_disk(
         controller->replication, talloc_asprintf(controller, "%s/journal", settings->data), settings->name, failure);
     if (status != STATUS_OK)
         return status;
-    recorder_set_place(controller->recorder, place_now, controller);
+    recorder_set_place(controller->recorder, recorder_place, controller);
     status = rpc_listen(controller->rpc, settings->listen, controller->address, failure);
     if (status != STATUS_OK)
         return status;
@@ -133,8 +134,8 @@
     controller->trace = trace_new(controller, controller->loop, controller->rpc, controller->members, settings->name);
 }
 
-/* The parts that requests pass on their way to the leader, here or on another node. */
-static void requests_new(Controller *controller)
+/* Creates the components that handle requests on their way to the leader, which is this node or another. */
+static void request_path_new(Controller *controller)
 {
     const Settings *settings = controller->settings;
     controller->callers = caller_service_new(
@@ -148,7 +149,7 @@
             .in_force = controller->in_force,
             .scheduler = controller->scheduler,
             .bounds = &settings->bounds,
-            .leader = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_shown}});
+            .leader = {.arg = controller, .repairing = repairing, .status = status_show, .alerts = alerts_json}});
     controller->forwarder =
         forwarder_new(controller, &(ForwarderSettings){.loop = controller->loop,
                                                        .rpc = controller->rpc,
@@ -164,8 +165,8 @@
                                                 forwarder_leader_route(controller->forwarder), controller->trace);
 }
 
-/* From here on the node answers messages and acts. */
-static void parts_start(Controller *controller)
+/* Starts all components. From here on the node answers messages and acts. */
+static void components_start(Controller *controller)
 {
     replication_start(controller->replication, controller->members);
     agents_serve(controller);
@@ -176,7 +177,7 @@
     alerts_start(controller);
     forwarder_start(controller->forwarder);
     config_watch_start(controller->config_watch, has_no_vote, controller);
-    forget_start(controller);
+    job_retention_start(controller);
 }
 
 Status controller_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings,
@@ -194,8 +195,8 @@
     if (status != STATUS_OK)
         return status;
     membership_new(controller);
-    requests_new(controller);
-    parts_start(controller);
+    request_path_new(controller);
+    components_start(controller);
     *out = controller;
     return STATUS_OK;
 }
@@ -207,12 +208,12 @@
     controller->leaving = true;
     loop_serve_leave(controller->loop);
     members_set_leaving(controller->members);
-    members_announce(controller->members); /* so that the other voters go on without waiting for us */
-    /* what was ordered gets its result; then the vote and the lease are handed over */
+    members_announce(controller->members); /* Lets the other voters continue without waiting for this node */
+    /* Submitted changes get their results first; then the vote and the lock's lease are handed over. */
     if (replication_leading(controller->replication))
         replication_barrier(controller->replication);
     replication_leave(controller->replication, now_ms + (until_ms - now_ms) / VOTE_LEAVE_PART);
-    /* requests are still taken, and forwarded to the next leader, until the last moment */
+    /* Requests are still accepted, and forwarded to the next leader, until the end. */
     const int64_t unready_until_ms = now_ms + controller->settings->bounds.unready_ms;
     if (loop_now_ms(controller->loop) < unready_until_ms)
         loop_sleep(controller->loop, unready_until_ms - loop_now_ms(controller->loop));
--- a/packages/controller/src/forget.c
+++ b/packages/controller/src/forget.c
@@ -1,19 +1,21 @@
-/* Ended jobs leave the state table once they have been kept for the span of the settings (job_keep_ms). */
+/* Removes ended jobs from the state table after the retention period of the settings (job_keep_ms). */
 #include "forget.h"
 
 #include <talloc.h>
 
 #include "leader.h"
 
-#define FORGET_PARTS 60 /* count; checks in that span: an ended job stays longer by a 60th of it at most */
+/* Number of checks in a retention period: an ended job is kept for at most 1/60 of the period longer. */
+#define CHECKS_PER_RETENTION 60
 
-static void forget_main(void *arg)
+static void job_retention_main(void *arg)
 {
     Controller *controller = arg;
     while (!loop_stopping(controller->loop)) {
         const int64_t keep_ms = controller->settings->bounds.job_keep_ms;
-        loop_sleep(controller->loop, keep_ms / FORGET_PARTS > FORGET_MS ? keep_ms / FORGET_PARTS : FORGET_MS);
-        if (!controller_decides(controller))
+        loop_sleep(controller->loop,
+                   keep_ms / CHECKS_PER_RETENTION > FORGET_MS ? keep_ms / CHECKS_PER_RETENTION : FORGET_MS);
+        if (!controller_may_decide(controller))
             continue;
         const Forget forget = {replication_clock_ms(controller->replication) - keep_ms};
         if (table_oldest_ms(controller->table) >= forget.before_ms)
@@ -25,7 +27,7 @@
     }
 }
 
-void forget_start(Controller *controller)
+void job_retention_start(Controller *controller)
 {
-    loop_spawn(controller->loop, "forget", forget_main, controller);
+    loop_spawn(controller->loop, "forget", job_retention_main, controller);
 }
--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -1,11 +1,11 @@
-/* Whether this node leads, and what it may do then. */
+/* Whether this node leads, and what it may do as leader. */
 #include "leader.h"
 
 #include <talloc.h>
 
 #include "heartbeat/lease.h"
 
-bool controller_decides(Controller *controller)
+bool controller_may_decide(Controller *controller)
 {
     if (!replication_leading(controller->replication) || controller->repairing)
         return false;
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -1,5 +1,5 @@
-/* Events of the replicated log and the state table: a configuration of voters is opened, with the lead won or kept; a
- * change is delivered; an attempt leaves its worker. Nothing here waits. */
+/* Reacts to events of the replicated log and the state table: a configuration of voters is opened, with leadership won
+ * or kept; a change is delivered; an attempt leaves its worker. No function here waits. */
 #include "log_events.h"
 
 #include <inttypes.h>
@@ -13,8 +13,9 @@
 #include "scheduler/worker_score.h"
 #include "trace_delivered.h"
 
-/* This node has won the lead from another: what it knew of agents as an earlier leader is out of date. */
-static void lead_begin(Controller *controller)
+/* Resets what this node knew about agents as an earlier leader: it has won leadership from another node, and that
+ * knowledge is out of date. */
+static void leadership_begin(Controller *controller)
 {
     void *mem = talloc_new(controller);
     const Worker **workers;
@@ -24,7 +25,7 @@
         names[i] = workers[i]->name;
     orphans_reset(controller->orphans);
     scheduler_reset(controller->scheduler);
-    /* a worker is lost no earlier than any lease of the last leader has ended */
+    /* No worker counts as lost before all leases that the previous leader granted have expired. */
     liveset_reset(controller->liveset, replication_won_ms(controller->replication) + controller_claim_ms(controller),
                   names, count);
     talloc_free(mem);
@@ -36,10 +37,11 @@
     trace_say(controller->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
               term_counter(term));
     if (new_holder)
-        lead_begin(controller);
+        leadership_begin(controller);
     if (repair && (new_holder || !controller->repairing)) {
-        controller->repairing = true; /* a repair under way goes on when the lead is opened anew */
-        /* by then every running attempt that the log has lost has been reported again, or its lease has ended */
+        /* A repair in progress continues when the same leader opens another configuration. */
+        controller->repairing = true;
+        /* By then every running attempt that the log has lost has been reported again, or its lease has expired. */
         scheduler_set_place_from(controller->scheduler,
                                  loop_now_ms(controller->loop) + controller_claim_ms(controller));
         repair_start(controller);
@@ -50,9 +52,9 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* An attempt has left its worker: an order to start it may still be on its way there, until its deadline by the
- * agent's clock, which may be slow. */
-static void on_left(void *arg, const Job *job, const JobTask *task)
+/* Called when an attempt has left its worker. An order to start it may still be on its way until the order's deadline
+ * by the agent's clock, which may run slow. */
+static void on_attempt_left(void *arg, const Job *job, const JobTask *task)
 {
     const Controller *controller = arg;
     if (replication_leased(controller->replication))
@@ -60,7 +62,7 @@
                     loop_now_ms(controller->loop) + ORDER_GONE_MS);
 }
 
-static void attempts_take(Controller *controller, const AttemptList *attempts)
+static void attempts_apply(Controller *controller, const AttemptList *attempts)
 {
     score_take(controller->scheduler, attempts);
     for (size_t i = 0; i < attempts->updates_count; i++) {
@@ -68,7 +70,7 @@
         const AttemptSaved saved = {
             .job = update->job, .task = update->task, .attempt = update->attempt, .text = update->saved};
         if (update->word == ATTEMPT_RUNNING)
-            continue; /* heartbeats have brought its checkpoint, and perhaps a newer one */
+            continue; /* Heartbeats have delivered its checkpoint, and perhaps a newer one */
         if (replication_leased(controller->replication))
             checkpoint_take(controller->scheduler, &saved);
         orphans_end(controller->orphans, update);
@@ -82,7 +84,7 @@
     scheduler_notify(controller->scheduler);
     in_force_limits_apply(controller->in_force);
     if (body != NULL && change->change == CHANGE_ATTEMPTS)
-        attempts_take(controller, body);
+        attempts_apply(controller, body);
     if (body != NULL && change->change == CHANGE_WORKER_LOST)
         liveset_losing(controller->liveset, ((const WorkerLost *)body)->worker, false);
 }
@@ -90,5 +92,5 @@
 void log_events_watch(Controller *controller)
 {
     table_watch(controller->table, on_delivered, controller);
-    table_left_watch(controller->table, on_left, controller);
+    table_left_watch(controller->table, on_attempt_left, controller);
 }
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -1,4 +1,5 @@
-/* Orders: what a worker is to run, sent in the answer to its agent's waiting question as soon as that changes. */
+/* Orders tell a worker what to run. They are sent in the answer to its agent's waiting request as soon as they
+ * change. */
 #include "orders.h"
 
 #include <string.h>
@@ -48,9 +49,9 @@
     return false;
 }
 
-/* The attempts that are wanted on the worker, and of them those to start, which the agent does not list yet. Texts are
- * the state table's: the answer has to be packed before anything else is delivered. */
-static void orders_fill(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
+/* Lists the attempts that the worker should run, and those of them to start, which the agent does not list yet. The
+ * texts belong to the state table: the answer must be packed before anything else is delivered. */
+static void orders_list(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, HeartbeatAnswer *out)
 {
     const TaskOn *on;
     const size_t count = table_tasks_on(controller->table, heartbeat->worker.name, &on);
@@ -73,8 +74,8 @@
     }
 }
 
-/* Whether there are orders that the agent does not have, and they may be given to this incarnation of it. */
-static bool orders_new(const Controller *controller, const HeartbeatAsk *heartbeat)
+/* True if there are orders that the agent does not have, and this incarnation of the agent may get them. */
+static bool orders_pending(const Controller *controller, const HeartbeatAsk *heartbeat)
 {
     const LiveRow *row = liveset_find(controller->liveset, heartbeat->worker.name);
     return replication_leading(controller->replication) && !controller->repairing && row != NULL &&
@@ -88,15 +89,15 @@
 {
     const int64_t until_ms = loop_now_ms(controller->loop) + wait_ms;
     AgentSession *session = agent_session(controller, heartbeat->worker.name);
-    const uint64_t question = ++session->newest_question;
-    signal_raise(controller->loop, &session->changed); /* an earlier question waits no longer */
-    while (!orders_new(controller, heartbeat))
-        if (!signal_wait(controller->loop, &session->changed, until_ms) || question != session->newest_question)
+    const uint64_t number = ++session->newest_request;
+    signal_raise(controller->loop, &session->changed); /* Makes an earlier request stop waiting */
+    while (!orders_pending(controller, heartbeat))
+        if (!signal_wait(controller->loop, &session->changed, until_ms) || number != session->newest_request)
             return;
-    if (!controller_decides(controller))
+    if (!controller_may_decide(controller))
         return;
     out->orders = true;
     out->version = table_orders(controller->table, heartbeat->worker.name);
     out->timeout_ms = ORDER_LIFETIME_MS;
-    orders_fill(controller, mem, heartbeat, out);
+    orders_list(controller, mem, heartbeat, out);
 }
--- a/packages/controller/src/orders.h
+++ b/packages/controller/src/orders.h
@@ -1,22 +1,26 @@
+/* Orders for workers: which attempts a worker is to run. */
 #ifndef CONTROLLER_SRC_ORDERS_H
 #define CONTROLLER_SRC_ORDERS_H
 
 #include "state.h"
 
-/* What the leader remembers of its exchange with one agent. Never freed while the process runs. */
+/* What the leader knows about its exchange with one agent. Allocated until the process ends. */
 typedef struct AgentSession {
-    Signal changed;           /* its orders have changed, or whether they may be given, or it has asked anew */
-    uint64_t newest_question; /* its number; an earlier question waits no longer */
-    bool committing;          /* what a heartbeat made known is being committed */
+    /* Raised when the worker's orders change, when the leader may or may no longer give them, and when the agent sends
+     * a new request */
+    Signal changed;
+    uint64_t newest_request; /* Number of the newest request; older requests stop waiting */
+    bool committing;         /* True while changes reported by a heartbeat are being committed */
 } AgentSession;
 
-/* Made when it is first asked for. */
+/* Returns the session of the worker's agent; creates it on first use. */
 AgentSession *agent_session(Controller *controller, const char *worker);
-/* Watches the state table for changes of orders. */
+/* Subscribes to changes of orders in the state table. */
 void orders_start(Controller *controller);
-/* Checks again for all waiting questions whether they can be answered. */
+/* Makes all waiting requests check again whether they can be answered. */
 void orders_wake(Controller *controller);
-/* Waits, at most wait_ms, for newer orders than the agent has; answers with them, or leaves the answer as it is. */
+/* Waits for at most wait_ms for newer orders than the agent has. Fills them into the answer; leaves it unchanged if
+ * there are none. */
 void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
                    HeartbeatAnswer *out);
 
--- a/packages/controller/src/own_address.c
+++ b/packages/controller/src/own_address.c
@@ -1,5 +1,5 @@
-/* Requests to this node's own HTTP address: those about the node itself are answered here, the rest go to the
- * leader. */
+/* Handles requests to this node's own HTTP address: those about the node itself are answered here, all others are
+ * forwarded to the leader. */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,12 +8,12 @@
 #include "api/show_rpc.h"
 #include "leader.h"
 
-#define METRIC_NAME 48 /* bytes; "alert_" and the word of an alert */
+#define METRIC_NAME_BYTES 48 /* Buffer size in bytes for "alert_" and the word of an alert */
 
-static void alert_metrics(Controller *controller, HttpTask *task)
+static void alert_metrics_show(Controller *controller, HttpTask *task)
 {
     for (int i = 0; i < ALERT_COUNT; i++) {
-        char name[METRIC_NAME];
+        char name[METRIC_NAME_BYTES];
         snprintf(name, sizeof(name), "alert_%s", alert_word((Alert)i));
         for (char *at = name; *at != '\0'; at++)
             if (*at == '-')
@@ -22,7 +22,7 @@
     }
 }
 
-static void metrics(Controller *controller, HttpTask *task)
+static void metrics_show(Controller *controller, HttpTask *task)
 {
     ReplicationStatus replication;
     replication_status(controller->replication, &replication);
@@ -42,7 +42,7 @@
     show_metric(task, "worstSyncMs", replication.journal.worst_sync_ms);
     show_metric(task, "sight", (int64_t)members_reach(controller->members));
     show_metric(task, "planHolds", scheduler_plan(controller->scheduler)->possible);
-    alert_metrics(controller, task);
+    alert_metrics_show(controller, task);
     Job *const *jobs;
     show_metric(task, "jobsActive", (int64_t)table_active(controller->table, &jobs));
     show_metric(task, "jobsKnown", (int64_t)table_jobs(controller->table, &jobs));
@@ -58,7 +58,7 @@
 void controller_take(Controller *controller, HttpTask *task)
 {
     if (strcmp(task->path, "/metrics") == 0) {
-        metrics(controller, task);
+        metrics_show(controller, task);
         return;
     }
     if (strcmp(task->path, "/livez") == 0) {
--- a/packages/controller/src/peers.c
+++ b/packages/controller/src/peers.c
@@ -1,12 +1,12 @@
-/* Messages of other nodes: forwarded requests, questions for the configuration, and repair. */
+/* Answers the messages of other nodes: forwarded requests, requests for the configuration, and repair messages. */
 #include "peers.h"
 
 #include <talloc.h>
 
-static Status on_forward(void *arg, void *mem, const void *question, void *answer)
+static Status on_forward(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const ForwardAsk *ask = question;
+    const ForwardAsk *ask = request;
     ForwardAnswer *out = answer;
     if (replication_leading(controller->replication)) {
         caller_service_answer(controller->callers, mem, ask, out);
@@ -20,15 +20,15 @@
     return status;
 }
 
-/* Waits until there is a newer version than the asker has, or for CONFIG_WATCH_WAIT_MS; a first question, and one
- * that a begin or an end of a repair overtakes, is answered at once. */
-static Status on_config_watch(void *arg, void *mem, const void *question, void *answer)
+/* Waits until there is a version newer than the requesting node's, or for CONFIG_WATCH_WAIT_MS. The first request of a
+ * node is answered at once, and so is a request during which a repair begins or ends. */
+static Status on_config_watch(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const ConfigWatchAsk *ask = question;
+    const ConfigWatchAsk *ask = request;
     ConfigWatchAnswer *out = answer;
     const int64_t until_ms = loop_now_ms(controller->loop) + CONFIG_WATCH_WAIT_MS;
-    const bool waits = controller->repairing;
+    const bool was_repairing = controller->repairing;
     for (;;) {
         if (!replication_leading(controller->replication))
             return STATUS_NOT_LEADER;
@@ -38,27 +38,27 @@
                                                           ask, loop_now_ms(controller->loop), mem, out))
             return STATUS_OK;
         out->version = ask->have;
-        if (ask->first || waits != controller->repairing ||
+        if (ask->first || was_repairing != controller->repairing ||
             !signal_wait(controller->loop, replication_changed_signal(controller->replication), until_ms))
             return STATUS_OK;
     }
 }
 
-/* The leader repairs: answers with what this node keeps for it. */
-static Status on_retell(void *arg, void *mem, const void *question, void *answer)
+/* Answers a leader that repairs with the changes in this node's repair buffer. */
+static Status on_repair_query(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const RetellAsk *ask = question;
+    const RetellAsk *ask = request;
     repair_buffer_list(controller->repair_buffer, mem, ask->config_have, answer);
     config_watch_repair_items(controller->config_watch, mem, ask->config_have, answer);
     return STATUS_OK;
 }
 
-/* Keeps what was committed, for a later repair. */
-static Status on_keep(void *arg, void *mem, const void *question, void *answer)
+/* Stores committed changes in the repair buffer for a later repair. */
+static Status on_repair_keep(void *arg, void *mem, const void *request, void *answer)
 {
     Controller *controller = arg;
-    const RepairList *list = question;
+    const RepairList *list = request;
     (void)mem;
     (void)answer;
     repair_buffer_keep(controller->repair_buffer, list->items, list->items_count);
@@ -70,6 +70,6 @@
     rpc_handle(controller->rpc, MESSAGE_FORWARD, &ForwardAsk_shape, &ForwardAnswer_shape, on_forward, controller);
     rpc_handle(controller->rpc, MESSAGE_CONFIG_WATCH, &ConfigWatchAsk_shape, &ConfigWatchAnswer_shape, on_config_watch,
                controller);
-    rpc_handle(controller->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_retell, controller);
-    rpc_handle(controller->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_keep, controller);
+    rpc_handle(controller->rpc, MESSAGE_RETELL, &RetellAsk_shape, &RepairList_shape, on_repair_query, controller);
+    rpc_handle(controller->rpc, MESSAGE_KEEP, &RepairList_shape, &Nothing_shape, on_repair_keep, controller);
 }
--- a/packages/controller/src/peers.h
+++ b/packages/controller/src/peers.h
@@ -1,9 +1,10 @@
+/* Handlers for the messages of other nodes. */
 #ifndef CONTROLLER_SRC_PEERS_H
 #define CONTROLLER_SRC_PEERS_H
 
 #include "state.h"
 
-/* Answers other nodes' forwarded requests, and questions for the configuration and for repair, from now on. */
+/* Registers the handlers of forwarded requests, of requests for the configuration and of repair messages. */
 void peers_serve(Controller *controller);
 
 #endif
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -1,7 +1,7 @@
-/* Repair: voters that have restarted may have lost changes that they acknowledged, when their disks do not keep what
- * was synced. The nodes that brought the results of those changes to their callers have kept them for a while; the
- * leader asks all of them and submits again what its state table lacks. Each change carries an identity, by which it
- * is known. */
+/* Repair of lost changes. When the disks do not keep what was synced, voters that restarted may have lost changes that
+ * they acknowledged. The nodes that passed the results of those changes to callers have kept the changes in their
+ * repair buffers for a while. The leader asks all of them and submits again what its state table lacks. Each change has
+ * an identity by which duplicates are recognized. */
 #include "repair.h"
 
 #include <inttypes.h>
@@ -11,78 +11,81 @@
 
 #include "orders.h"
 
-#define RETELL_PAUSE_MS 100 /* ms; before one that did not answer is asked again */
-#define REPAIR_HEAR_CHECK_MS \
-    (HEARTBEAT_MS / 5) /* ms; between two checks whether all have had time to find this process */
-#define REPAIR_RETRY_CHECK_MS (HEARTBEAT_MS / 10) /* ms; ... and whether a repair that failed can be tried again */
+/* Delay in ms before a member that did not answer is asked again. */
+#define QUERY_RETRY_MS 100
+/* Interval in ms between checks whether the members have had time to discover this process. */
+#define DISCOVERY_CHECK_MS (HEARTBEAT_MS / 5)
+/* Interval in ms between checks whether a failed repair can be tried again. */
+#define REPAIR_RETRY_CHECK_MS (HEARTBEAT_MS / 10)
 
-/* One gathering of what all members keep. Freed by whichever of its users leaves last: the repair, or a RetellPart. */
-typedef struct Retelling {
+/* The collection of the repair buffers of all members. Reference counted: freed by the last of its users, which
+ * are the repair and the queries. */
+typedef struct RepairCollection {
     Controller *controller;
-    size_t users;
+    size_t references;
     size_t pending;
-    uint64_t config_have; /* the newest version of the table when it began */
-    Signal ended;
+    uint64_t config_have; /* The newest configuration version in the state table when the collection began */
+    Signal answered;
     RepairItem *items;
     size_t count;
-} Retelling;
+} RepairCollection;
 
-/* The question to one member. */
-typedef struct RetellPart {
-    Retelling *retelling;
+/* The query to one member. */
+typedef struct RepairQuery {
+    RepairCollection *collection;
     char address[ADDRESS_MAX];
-} RetellPart;
+} RepairQuery;
 
-static void retelling_add(Retelling *retelling, const RepairList *list)
+static void collection_add(RepairCollection *collection, const RepairList *list)
 {
     if (list->items_count == 0)
         return;
-    retelling->items =
-        talloc_realloc(retelling, retelling->items, RepairItem, (unsigned)(retelling->count + list->items_count));
-    memcpy(retelling->items + retelling->count, list->items, list->items_count * sizeof(RepairItem));
-    retelling->count += list->items_count;
+    collection->items =
+        talloc_realloc(collection, collection->items, RepairItem, (unsigned)(collection->count + list->items_count));
+    memcpy(collection->items + collection->count, list->items, list->items_count * sizeof(RepairItem));
+    collection->count += list->items_count;
 }
 
-static void retelling_leave(Retelling *retelling)
+static void collection_release(RepairCollection *collection)
 {
-    if (--retelling->users == 0)
-        talloc_free(retelling);
+    if (--collection->references == 0)
+        talloc_free(collection);
 }
 
-static void part_main(void *arg)
+static void query_main(void *arg)
 {
-    RetellPart *part = arg;
-    Retelling *retelling = part->retelling;
-    Controller *controller = retelling->controller;
-    const RetellAsk ask = {.config_have = retelling->config_have};
-    RepairList answer = {0}; /* of whichever process has that address now: each item carries its own identity */
+    RepairQuery *query = arg;
+    RepairCollection *collection = query->collection;
+    Controller *controller = collection->controller;
+    const RetellAsk ask = {.config_have = collection->config_have};
+    /* The process that has this address now may be another one: each item carries its own identity. */
+    RepairList answer = {0};
     const int64_t until_ms = loop_now_ms(controller->loop) + REPAIR_MS;
     Status status;
     do {
-        status = rpc_ask(controller->rpc, retelling, part->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
+        status = rpc_ask(controller->rpc, collection, query->address, MESSAGE_RETELL, &RetellAsk_shape, &ask,
                          until_ms - loop_now_ms(controller->loop), &RepairList_shape, &answer);
         if (status != STATUS_OK)
-            loop_sleep(controller->loop, RETELL_PAUSE_MS);
+            loop_sleep(controller->loop, QUERY_RETRY_MS);
     } while (status != STATUS_OK && loop_now_ms(controller->loop) < until_ms);
     if (status == STATUS_OK)
-        retelling_add(retelling, &answer);
-    retelling->pending--;
-    signal_raise(controller->loop, &retelling->ended);
-    retelling_leave(retelling);
-    talloc_free(part);
+        collection_add(collection, &answer);
+    collection->pending--;
+    signal_raise(controller->loop, &collection->answered);
+    collection_release(collection);
+    talloc_free(query);
 }
 
-/* The kinds of changes that are kept for repair, in the order in which they are submitted: what builds on another
- * kind comes after it.
- * The index in the old log orders within a kind only, since it may be of a history that the disks have lost
- * since. */
-static const uint64_t KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD,  CHANGE_JOB_CANCEL,
-                                 CHANGE_ZONE_DRAIN, CHANGE_ATTEMPTS, CHANGE_JOB_END};
+/* The kinds of changes that are kept for repair, in the order in which they are submitted: a kind comes after those
+ * that it builds on. The index in the old log orders changes only within a kind, since it may belong to a history that
+ * the disks have lost since. */
+static const uint64_t REPAIRED_KINDS[] = {CHANGE_CONFIG_SET, CHANGE_JOB_ADD,  CHANGE_JOB_CANCEL,
+                                          CHANGE_ZONE_DRAIN, CHANGE_ATTEMPTS, CHANGE_JOB_END};
 
-static size_t kind_place(uint64_t change)
+static size_t kind_rank(uint64_t change)
 {
     size_t at = 0;
-    while (at < sizeof(KINDS) / sizeof(KINDS[0]) && KINDS[at] != change)
+    while (at < sizeof(REPAIRED_KINDS) / sizeof(REPAIRED_KINDS[0]) && REPAIRED_KINDS[at] != change)
         at++;
     return at;
 }
@@ -90,9 +93,9 @@
 static int item_order(const void *a, const void *b)
 {
     const RepairItem *one = a, *other = b;
-    const size_t one_place = kind_place(one->change), other_place = kind_place(other->change);
-    if (one_place != other_place)
-        return one_place < other_place ? -1 : 1;
+    const size_t one_rank = kind_rank(one->change), other_rank = kind_rank(other->change);
+    if (one_rank != other_rank)
+        return one_rank < other_rank ? -1 : 1;
     return one->index < other->index ? -1 : one->index > other->index;
 }
 
@@ -101,8 +104,8 @@
     return set->version != 0 ? set->version : set->base + 1;
 }
 
-/* Whether the change would have no effect: the state has it already, or it can't be read. */
-static bool known(Controller *controller, void *mem, const RepairItem *item)
+/* True if the change would have no effect: the state has it already, or it cannot be read. */
+static bool change_known(Controller *controller, void *mem, const RepairItem *item)
 {
     const Table *table = controller->table;
     JobAdd add;
@@ -137,8 +140,9 @@
     }
 }
 
-/* The payload to submit. A configuration that is told again counts by its version, not by the one it builds on. */
-static Bytes restored(void *mem, const RepairItem *item)
+/* Returns the payload to submit. A configuration that is submitted again is identified by its own version, not by the
+ * version that it was based on. */
+static Bytes payload_to_submit(void *mem, const RepairItem *item)
 {
     ConfigSet set;
     if (item->change != CHANGE_CONFIG_SET ||
@@ -151,71 +155,71 @@
     return payload;
 }
 
-/* A configuration that was committed as a patch can be applied only to the one before: all are ordered by their
- * versions, whichever members they come from. */
-static void configs_order(Retelling *retelling)
+/* Sets the index of each configuration to its version. A configuration that was committed as a patch can be applied
+ * only to its predecessor, so all are ordered by version, whichever members they come from. */
+static void configs_index(RepairCollection *collection)
 {
-    for (size_t i = 0; i < retelling->count; i++) {
-        RepairItem *item = &retelling->items[i];
+    for (size_t i = 0; i < collection->count; i++) {
+        RepairItem *item = &collection->items[i];
         ConfigSet set;
         if (item->change == CHANGE_CONFIG_SET &&
-            shape_unpack(&ConfigSet_shape, item->payload, retelling, &set, NULL) == STATUS_OK)
+            shape_unpack(&ConfigSet_shape, item->payload, collection, &set, NULL) == STATUS_OK)
             item->index = version_of(&set);
     }
 }
 
-/* Waits until the members have had time to find this process: their connections to its last incarnation may still
+/* Waits until the members have had time to discover this process: their connections to its last incarnation may still
  * look open. */
-static void members_wait(const Controller *controller)
+static void discovery_wait(const Controller *controller)
 {
     while (loop_now_ms(controller->loop) - controller->started_ms < REPAIR_HEAR_MS)
-        loop_sleep(controller->loop, REPAIR_HEAR_CHECK_MS);
+        loop_sleep(controller->loop, DISCOVERY_CHECK_MS);
 }
 
-/* Waits until each member has answered with what it keeps, or REPAIR_MS has passed; adds what this node keeps. */
-static void members_ask(Retelling *retelling)
+/* Waits until each member has answered with its repair buffer, or REPAIR_MS has passed; then adds this node's own. */
+static void members_query(RepairCollection *collection)
 {
-    Controller *controller = retelling->controller;
+    Controller *controller = collection->controller;
     const MemberTable *table = members_table(controller->members);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
         if (strcmp(row->record.id, members_self(controller->members)->id) == 0 ||
             member_quiet(row, loop_now_ms(controller->loop)))
             continue;
-        RetellPart *part = talloc_zero(controller, RetellPart);
-        part->retelling = retelling;
-        strncpy(part->address, row->record.address, sizeof(part->address) - 1);
-        retelling->users++;
-        retelling->pending++;
-        loop_spawn(controller->loop, "retell", part_main, part);
+        RepairQuery *query = talloc_zero(controller, RepairQuery);
+        query->collection = collection;
+        strncpy(query->address, row->record.address, sizeof(query->address) - 1);
+        collection->references++;
+        collection->pending++;
+        loop_spawn(controller->loop, "retell", query_main, query);
     }
-    while (retelling->pending > 0)
-        signal_wait(controller->loop, &retelling->ended, INT64_MAX);
+    while (collection->pending > 0)
+        signal_wait(controller->loop, &collection->answered, INT64_MAX);
     RepairList own = {0};
-    repair_buffer_list(controller->repair_buffer, retelling, retelling->config_have, &own);
-    config_watch_repair_items(controller->config_watch, retelling, retelling->config_have, &own);
-    retelling_add(retelling, &own);
+    repair_buffer_list(controller->repair_buffer, collection, collection->config_have, &own);
+    config_watch_repair_items(controller->config_watch, collection, collection->config_have, &own);
+    collection_add(collection, &own);
 }
 
-/* Waits. Submits the items that the state lacks, in their order; submitted counts them. False: this node can't go on
- * with the repair. */
-static bool missing_submit(Retelling *retelling, uint64_t number, size_t *submitted)
+/* Waits. Submits the items that the state lacks, in their order, and counts them in submitted. Returns false if this
+ * node cannot continue the repair. */
+static bool missing_items_submit(RepairCollection *collection, uint64_t number, size_t *submitted)
 {
-    Controller *controller = retelling->controller;
-    for (size_t i = 0; i < retelling->count; i++) {
-        const RepairItem *item = &retelling->items[i];
+    Controller *controller = collection->controller;
+    for (size_t i = 0; i < collection->count; i++) {
+        const RepairItem *item = &collection->items[i];
         void *mem = talloc_new(controller);
-        /* whether an item is known can be told once the kinds before it are delivered; within a kind no item waits
-         * for another, so that a repair of many items doesn't take a commit for each */
+        /* Whether an item is known is certain once the kinds before it are delivered. Within a kind, items do
+         * not wait for each other, so that a repair of many items does not take one commit for each. */
         Status status = STATUS_OK;
-        if (i > 0 && retelling->items[i - 1].change != item->change)
+        if (i > 0 && collection->items[i - 1].change != item->change)
             status = replication_barrier(controller->replication);
-        if (status == STATUS_OK && known(controller, mem, item)) {
+        if (status == STATUS_OK && change_known(controller, mem, item)) {
             talloc_free(mem);
             continue;
         }
         if (status == STATUS_OK)
-            status = replication_offer(controller->replication, item->change, restored(mem, item));
+            status = replication_offer(controller->replication, item->change, payload_to_submit(mem, item));
         talloc_free(mem);
         if (status != STATUS_OK || number != controller->repair_number)
             return false;
@@ -224,12 +228,12 @@
     return true;
 }
 
-/* The repair is committed. */
-static void repaired_take(Controller *controller, size_t submitted, size_t item_count)
+/* Ends a repair that is committed. */
+static void repair_finish(Controller *controller, size_t submitted, size_t item_count)
 {
     controller->repairing = false;
     controller->counts.repairs++;
-    controller->counts.retold += submitted;
+    controller->counts.resubmitted += submitted;
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text), "%zu of %zu changes told again were missing", submitted, item_count);
     log_event(controller->recorder, LOG_REPAIR_ENDED, loop_now_ms(controller->loop), &(LogFields){.text = text});
@@ -237,36 +241,37 @@
     scheduler_notify(controller->scheduler);
 }
 
-/* Waits. One attempt of a repair: asks all members and submits what is missing; true when all of it is committed. */
-static bool repair_once(Controller *controller, uint64_t number)
+/* Waits. Makes one attempt at a repair: asks all members and submits what is missing. Returns true once all of it is
+ * committed. */
+static bool repair_try(Controller *controller, uint64_t number)
 {
-    members_wait(controller);
-    Retelling *retelling = talloc_zero(controller, Retelling);
-    retelling->controller = controller;
-    retelling->users = 1;
-    retelling->config_have = versions_newest(table_versions(controller->table));
-    members_ask(retelling);
-    configs_order(retelling);
-    if (retelling->count > 0)
-        qsort(retelling->items, retelling->count, sizeof(RepairItem), item_order);
+    discovery_wait(controller);
+    RepairCollection *collection = talloc_zero(controller, RepairCollection);
+    collection->controller = controller;
+    collection->references = 1;
+    collection->config_have = versions_newest(table_versions(controller->table));
+    members_query(collection);
+    configs_index(collection);
+    if (collection->count > 0)
+        qsort(collection->items, collection->count, sizeof(RepairItem), item_order);
     size_t submitted = 0;
-    const size_t item_count = retelling->count;
-    const bool ordered = missing_submit(retelling, number, &submitted);
-    retelling_leave(retelling);
+    const size_t item_count = collection->count;
+    const bool ordered = missing_items_submit(collection, number, &submitted);
+    collection_release(collection);
     if (!ordered || replication_repaired(controller->replication) != STATUS_OK || number != controller->repair_number)
         return false;
-    repaired_take(controller, submitted, item_count);
+    repair_finish(controller, submitted, item_count);
     return true;
 }
 
-/* Tries until the repair is committed, also when the lead is opened anew; ends when this node wins the lead
- * again and begins a repair of its own. */
+/* Retries until the repair is committed, even if leadership is opened anew meanwhile. Ends early when this node wins
+ * leadership again and starts another repair. */
 static void repair_main(void *arg)
 {
     Controller *controller = arg;
     const uint64_t number = ++controller->repair_number;
     while (number == controller->repair_number && controller->repairing && !loop_stopping(controller->loop)) {
-        if (replication_leading(controller->replication) && repair_once(controller, number))
+        if (replication_leading(controller->replication) && repair_try(controller, number))
             return;
         signal_wait(controller->loop, replication_changed_signal(controller->replication),
                     loop_now_ms(controller->loop) + REPAIR_RETRY_CHECK_MS);
--- a/packages/controller/src/scheduling.c
+++ b/packages/controller/src/scheduling.c
@@ -1,4 +1,4 @@
-/* SchedulerLeader's functions: what the scheduler sees of its controller. */
+/* Implements the callbacks of SchedulerLeader, through which the scheduler sees its controller. */
 #include "scheduling.h"
 
 #include <talloc.h>
@@ -13,7 +13,7 @@
 
 static bool decides(void *arg)
 {
-    return controller_decides(arg);
+    return controller_may_decide(arg);
 }
 
 static int64_t won_ms(void *arg)
--- a/packages/controller/src/scheduling.h
+++ b/packages/controller/src/scheduling.h
@@ -1,9 +1,11 @@
+/* The controller's side of the scheduler. */
 #ifndef CONTROLLER_SRC_SCHEDULING_H
 #define CONTROLLER_SRC_SCHEDULING_H
 
 #include "state.h"
 
-/* Makes the scheduler of this node; it belongs to the controller and decides through it (SchedulerLeader). */
+/* Creates the scheduler of this node. It belongs to the controller and makes its decisions through it
+ * (SchedulerLeader). */
 Scheduler *scheduling_new(Controller *controller);
 
 #endif
--- a/packages/controller/src/state.h
+++ b/packages/controller/src/state.h
@@ -1,3 +1,4 @@
+/* The state of a controller process, shared by the sources of this package. */
 #ifndef CONTROLLER_SRC_STATE_H
 #define CONTROLLER_SRC_STATE_H
 
@@ -12,13 +13,13 @@
 #include "inforce/in_force.h"
 #include "scheduler/scheduler.h"
 
-#define DISK_TEXT 20 /* bytes; a disk's id in hexadecimal digits */
+#define DISK_TEXT_BYTES 20 /* Buffer size in bytes for a disk's id in hexadecimal digits */
 
-/* What this node has done as leader since the process began, besides the scheduler's and the callers' counts;
- * X(name). retold: changes that repairs submitted again. */
+/* Counters of this node's work as leader since the process started, besides those of the scheduler and of the caller
+ * service: X(name). resubmitted: changes that repairs submitted again. */
 #define CONTROLLER_COUNT_LIST(X) \
     X(repairs)                   \
-    X(retold)
+    X(resubmitted)
 
 typedef struct ControllerCounts {
 #define X(name) uint64_t name;
@@ -26,7 +27,7 @@
 #undef X
 } ControllerCounts;
 
-/* All counts as status and metrics show them, in this order; X(owner, name, name outside). */
+/* All counters that the status and the metrics show, in this order: X(owner, name, name in the output). */
 #define CONTROLLER_SHOWN_COUNT_LIST(X)          \
     X(scheduler, passes, "passes")              \
     X(scheduler, placed, "placed")              \
@@ -36,7 +37,7 @@
     X(scheduler, lost, "lost")                  \
     X(scheduler, preempted, "pushed")           \
     X(own, repairs, "repairs")                  \
-    X(own, retold, "retold")                    \
+    X(own, resubmitted, "retold")               \
     X(callers, refused, "refused")              \
     X(callers, crowded, "crowded")              \
     X(scheduler, reserved, "kept")              \
@@ -46,11 +47,11 @@
     X(callers, unknown_keys, "unknownKeys")
 
 /* One controller process. Invariants:
- *  - only a node for which replication_leading is true decides, answers callers or gives orders, and it checks the
- *    clock before each;
- *  - while repairing is true nothing is decided and no caller learns of a job;
- *  - nothing is placed before the scheduler's place_from_ms: by then the leases of all attempts that the log may have
- *    lost have ended, or every agent has listed its attempts. */
+ *  - Only a node for which replication_leading is true makes decisions, answers callers or gives orders, and it
+ *    checks the clock before each of these.
+ *  - While repairing is true, nothing is decided and callers learn nothing about jobs.
+ *  - No task is placed before the scheduler's place_from_ms. By then the leases of all attempts that the log may
+ *    have lost have expired, or every agent has listed its attempts. */
 struct Controller {
     Loop *loop;
     Recorder *recorder;
@@ -62,7 +63,7 @@
     Table *table;
     RepairBuffer *repair_buffer;
     Forwarder *forwarder;
-    ConfigWatch *config_watch; /* asks for the configuration while this node has no vote */
+    ConfigWatch *config_watch; /* Fetches the configuration from the leader while this node has no vote */
     PieceSource piece_source;
     Trace *trace;
     Liveset *liveset;
@@ -70,15 +71,15 @@
     InForce *in_force;
     Scheduler *scheduler;
     CallerService *callers;
-    Map *agent_sessions;                    /* names of workers to AgentSession */
-    struct AttemptUpdates *attempt_updates; /* those that wait to be committed */
-    Map *alerts;                            /* the active ones */
-    uint64_t alert_checks;                  /* made so far */
+    Map *agent_sessions;                    /* AgentSession by worker name */
+    struct AttemptUpdates *attempt_updates; /* Updates that wait to be committed */
+    Map *alerts;                            /* ActiveAlert by alert and subject */
+    uint64_t alert_checks;                  /* Number of checks made so far */
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
-    bool leaving;           /* draining */
-    int64_t started_ms;     /* own clock */
-    bool repairing;         /* changes that the disks may have lost are being gathered and committed again */
-    uint64_t repair_number; /* of the newest repair; an earlier one gives up */
+    bool leaving;           /* True once the node drains */
+    int64_t started_ms;     /* Start time by this node's clock, in ms */
+    bool repairing;         /* True while changes that the disks may have lost are collected and committed again */
+    uint64_t repair_number; /* Number of the newest repair; an older one stops */
     ControllerCounts counts;
 };
 
--- a/packages/controller/src/status.h
+++ b/packages/controller/src/status.h
@@ -1,9 +1,10 @@
+/* The status page of a controller. */
 #ifndef CONTROLLER_SRC_STATUS_H
 #define CONTROLLER_SRC_STATUS_H
 
 #include "state.h"
 
-/* The body of /v1/status; owned by the caller. */
+/* Builds the body of /v1/status; owned by the caller. */
 json_object *controller_status(Controller *controller);
 
 #endif
--- a/packages/controller/src/trace_delivered.c
+++ b/packages/controller/src/trace_delivered.c
@@ -1,15 +1,16 @@
-/* Adds delivered changes to the trace of this node (trace/): what happened to a job, a zone or the configuration. */
+/* Adds delivered changes to this node's trace (package trace): what happened to a job, a zone or the configuration. */
 #include "trace_delivered.h"
 
 #include <inttypes.h>
 #include <stdio.h>
 
-#define ATTEMPT_DETAIL 64 /* bytes; numbers of a task and an attempt, and a worker's name, which is cut */
-#define CHANGE_DETAIL 48  /* bytes; an index and the word of a status */
+/* Buffer size in bytes for the numbers of a task and an attempt, and a worker's name, which is truncated */
+#define ATTEMPT_DETAIL_BYTES 64
+#define CHANGE_DETAIL_BYTES 48 /* Buffer size in bytes for an index and the word of a status */
 
-static void trace_places(Controller *controller, const PlaceList *places)
+static void trace_placements(Controller *controller, const PlaceList *places)
 {
-    char detail[ATTEMPT_DETAIL];
+    char detail[ATTEMPT_DETAIL_BYTES];
     for (size_t i = 0; i < places->placements_count; i++) {
         const Placement *place = &places->placements[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " to %.20s", place->task, place->attempt,
@@ -20,7 +21,7 @@
 
 static void trace_attempts(Controller *controller, const AttemptList *attempts)
 {
-    char detail[ATTEMPT_DETAIL];
+    char detail[ATTEMPT_DETAIL_BYTES];
     for (size_t i = 0; i < attempts->updates_count; i++) {
         const AttemptUpdate *update = &attempts->updates[i];
         snprintf(detail, sizeof(detail), "task %" PRIu64 " round %" PRIu64 " %s", update->task, update->attempt,
@@ -33,7 +34,7 @@
 {
     if (body == NULL || controller->trace == NULL)
         return;
-    char detail[CHANGE_DETAIL];
+    char detail[CHANGE_DETAIL_BYTES];
     const bool good = result->status == STATUS_OK;
     snprintf(detail, sizeof(detail), "index %" PRIu64 "%s%s", change->index, good ? "" : " ",
              good ? "" : status_word(result->status));
@@ -45,7 +46,7 @@
         trace_say(controller->trace, TRACE_DELIVERED, detail, "job:%s", ((const JobCancel *)body)->id);
         break;
     case CHANGE_PLACE:
-        trace_places(controller, body);
+        trace_placements(controller, body);
         break;
     case CHANGE_ATTEMPTS:
         trace_attempts(controller, body);
--- a/packages/controller/src/trace_delivered.h
+++ b/packages/controller/src/trace_delivered.h
@@ -1,9 +1,10 @@
+/* Trace events for delivered changes. */
 #ifndef CONTROLLER_SRC_TRACE_DELIVERED_H
 #define CONTROLLER_SRC_TRACE_DELIVERED_H
 
 #include "state.h"
 
-/* Notes a delivered change in the trace. body: the unpacked change; null: nothing is noted. */
+/* Records a delivered change in the trace. body is the unpacked change; if it is null, nothing is recorded. */
 void trace_delivered(Controller *controller, const Record *change, const void *body, const ChangeResult *result);
 
 #endif
