--- a/packages/adapter/include/adapter/adapter.h
+++ b/packages/adapter/include/adapter/adapter.h
@@ -6,20 +6,20 @@
 #include "entry_point/entry_point.h"
 #include "settings/settings.h"
 
-/* The interface of protocol adapters. An adapter is how the product meets a platform: it
- * reads the platform's settings, serves the platform's addresses and translates its
- * requests. It decides nothing, and stores nothing that has to survive a restart. Translated requests go to the same
- * functions that serve the product's own address. Used by the daemon, which starts an adapter by its name. */
+/* The interface of protocol adapters. An adapter connects this software to a platform: it reads the platform's
+ * settings, serves the platform's addresses and translates its requests. It makes no decisions and stores nothing that
+ * has to survive a restart. Translated requests go to the same functions that serve the software's own address. The
+ * daemon starts an adapter by name. */
 
-/* What an adapter has read from the platform's settings. */
+/* The result of reading the platform's settings. */
 typedef struct AdapterPlace {
     SettingsRole role;
     Settings settings;
-    const void *own; /* the adapter's own settings: the addresses that it serves */
+    const void *own; /* The adapter's own settings: the addresses that it serves */
 } AdapterPlace;
 
-/* The process that the adapter serves; it lives as long as the process.
- * Invariant: exactly one of controller, entry_point and agent is set. */
+/* The process that the adapter serves; valid until the process ends. Invariant: exactly one of controller, entry_point
+ * and agent is set. */
 typedef struct AdapterNode {
     Loop *loop;
     Recorder *recorder;
@@ -29,24 +29,27 @@
     Agent *agent;
 } AdapterNode;
 
+/* The functions of one protocol adapter. */
 typedef struct Adapter {
     const char *name;
-    /* The settings file, as the platform names it; null, with failure set, when it does not. */
+    /* Returns the path of the settings file that the platform names; null, with failure set, if it names none. */
     const char *(*path)(Failure *failure);
-    /* Reads the file; all of place lives on mem. BAD_SETTINGS with the field's name in failure. */
+    /* Reads the settings file; everything in place is allocated on mem. Returns BAD_SETTINGS with the field's name in
+     * failure if a setting is invalid. */
     Status (*read)(void *mem, const char *path, AdapterPlace *place, Failure *failure);
-    /* Starts to serve the platform's addresses; what it needs lives on mem. */
+    /* Starts to serve the platform's addresses; allocates what it needs on mem. */
     Status (*start)(void *mem, const AdapterNode *node, Failure *failure);
 } Adapter;
 
-/* All adapters, with a null at the end; defined outside of the packages, by the platform that is linked in. */
+/* All adapters, terminated by a null pointer. Defined outside of the packages, by the platform that is linked in. */
 extern const Adapter *const ADAPTERS[];
 
-/* The adapter of a name; null when there is none. */
+/* Returns the adapter of a name; null if there is none. */
 const Adapter *adapter_find(const char *name);
-/* Waits. Gives a request to the process's controller or entry point, which fills in its result. Not for agents. */
+/* Waits. Passes a request to the process's controller or entry point, which fills in the result. Must not be called for
+ * agents. */
 void adapter_take(const AdapterNode *node, HttpTask *task);
-/* Waits. As entry_point_redirect; always false in a controller, which takes every configuration itself. */
+/* Waits. Like entry_point_redirect; always false for a controller, which handles every configuration itself. */
 bool adapter_redirect(const AdapterNode *node, HttpTask *task, EntryPointConfig carried, const char **leader);
 
 #endif
--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -1,4 +1,4 @@
-/* Finding a protocol adapter, and the calls from it into the process that it serves. */
+/* Finds protocol adapters, and passes their calls to the process that they serve. */
 #include "adapter/adapter.h"
 
 #include <assert.h>
--- a/packages/api/include/api/job_json.h
+++ b/packages/api/include/api/job_json.h
@@ -4,19 +4,18 @@
 #include "config/config.h"
 #include "state/table.h"
 
-/* Jobs as callers submit them: reading the JSON, and whether the job can be admitted. Used by
- * the leader. All that is read lives on faults->mem; faults carry the field's path. Nothing
- * here waits. */
+/* Jobs as callers submit them: parses the JSON and checks whether a job can be admitted. Used by the leader. All
+ * results are allocated on faults->mem, and each fault has the path of its field. No function here waits. */
 
-/* Reads a job that names its id, cell, tenant and queue. False: see the faults. */
+/* Parses a job that names its id, cell, tenant and queue. Returns false if faults were added. */
 bool job_read(Faults *faults, const char *text, size_t count, JobSpec *spec);
-/* Reads a job that was submitted at its queue's address, which says where it belongs: the
- * text must not say so, too. False: see the faults. */
+/* Parses a job that was submitted to the address of its queue. The address gives id, cell, tenant and queue, and the
+ * text must not contain them. Returns false if faults were added. */
 bool job_read_at(Faults *faults, const char *text, size_t count, const char *id, const char *cell, const char *tenant,
                  const char *queue, JobSpec *spec);
-/* What the configuration in force and the known workers say against the job: an unknown cell,
- * tenant or queue; more than the quota; in a strict cell, too, capacity, a kind or labels that
- * no worker has. False: see the faults. */
+/* Checks a job against the configuration in force and the known workers. Faults: an unknown cell, tenant or queue; more
+ * than the quota; in a strict cell also a capacity, a kind or labels that no known worker has. Returns false if faults
+ * were added. */
 bool job_admissible(Faults *faults, const JobSpec *spec, const Config *config, const Table *table);
 
 #endif
--- a/packages/api/src/job_admission.c
+++ b/packages/api/src/job_admission.c
@@ -1,5 +1,4 @@
-/* Whether a job that was read can be admitted: by the configuration in force and by the
- * workers that are known. */
+/* Checks whether a parsed job can be admitted, by the configuration in force and the known workers. */
 #include <string.h>
 #include <talloc.h>
 
@@ -7,14 +6,14 @@
 #include "plan/plan.h"
 
 /* What the known workers could do for a step if they were idle. */
-typedef struct StepChance {
-    bool able;      /* one is of the kind and has the labels */
-    bool fits;      /* ... and has the capacity */
-    uint64_t slots; /* tasks of the step that all of them together could run at once */
-} StepChance;
+typedef struct StepFeasibility {
+    bool able;      /* A worker is of the kind and has the labels */
+    bool fits;      /* Such a worker also has the capacity */
+    uint64_t slots; /* Number of the step's tasks that all workers together could run at once */
+} StepFeasibility;
 
-/* Tasks of a need that a capacity holds. */
-static uint64_t slots_of(const Resources *resources, const Resources *need)
+/* The number of tasks with this need that fit into the resources. */
+static uint64_t tasks_that_fit(const Resources *resources, const Resources *need)
 {
     const uint64_t cpu = need->cpu_milli ? resources->cpu_milli / need->cpu_milli : UINT32_MAX;
     const uint64_t mem = need->mem_mb ? resources->mem_mb / need->mem_mb : UINT32_MAX;
@@ -23,46 +22,46 @@
     return least < gpu ? least : gpu;
 }
 
-static StepChance chance_of(const StepSpec *step, const Worker **workers, size_t count)
+static StepFeasibility step_feasibility(const StepSpec *step, const Worker **workers, size_t count)
 {
     const PlanNeed need = {step->resources, step->kind, step->labels, step->labels_count};
-    StepChance chance = {0};
+    StepFeasibility feasibility = {0};
     for (size_t w = 0; w < count; w++) {
         const PlanWorker worker = {.kind = workers[w]->kind,
                                    .labels = workers[w]->labels,
                                    .label_count = workers[w]->labels_count,
                                    .free = workers[w]->resources};
-        chance.able |= plan_able(&worker, &need);
+        feasibility.able |= plan_able(&worker, &need);
         if (!plan_fits(&worker, &need))
             continue;
-        chance.fits = true;
-        chance.slots += slots_of(&worker.free, &need.resources);
+        feasibility.fits = true;
+        feasibility.slots += tasks_that_fit(&worker.free, &need.resources);
     }
-    return chance;
+    return feasibility;
 }
 
-static void check_workers(Faults *faults, const JobSpec *spec, const Table *table)
+static void check_feasibility(Faults *faults, const JobSpec *spec, const Table *table)
 {
     const Worker **workers;
     const size_t count = table_workers(table, faults->mem, &workers);
     if (count == 0)
-        return; /* none has been heard of yet: nothing can be said */
+        return; /* No worker is known yet, so nothing can be ruled out */
     for (size_t i = 0; i < spec->steps_count; i++) {
         const StepSpec *step = &spec->steps[i];
-        const StepChance chance = chance_of(step, workers, count);
-        if (!chance.able)
+        const StepFeasibility feasibility = step_feasibility(step, workers, count);
+        if (!feasibility.able)
             fault_add(faults, STATUS_IMPOSSIBLE_KIND, talloc_asprintf(faults->mem, "steps[%zu].kind", i),
-                      "no worker known is of this kind and has these labels");
-        else if (!chance.fits)
+                      "no known worker is of this kind and has these labels");
+        else if (!feasibility.fits)
             fault_add(faults, STATUS_IMPOSSIBLE_CAPACITY, talloc_asprintf(faults->mem, "steps[%zu].room", i),
-                      "no worker known has so much room");
-        else if (step->gang && chance.slots < step->count)
+                      "no known worker has enough capacity");
+        else if (step->gang && feasibility.slots < step->count)
             fault_add(faults, STATUS_IMPOSSIBLE_CAPACITY, talloc_asprintf(faults->mem, "steps[%zu].count", i),
-                      "all workers known together have no room for the whole gang");
+                      "all known workers together lack the capacity for the whole gang");
     }
 }
 
-/* A task, or a whole gang, must fit into its tenant's quota; 0: no quota. */
+/* A task, or a whole gang, must fit into its tenant's quota; a quota of 0 means none. */
 static void check_quota(Faults *faults, const JobSpec *spec, const ConfigTenant *tenant)
 {
     for (size_t i = 0; i < spec->steps_count; i++) {
@@ -72,7 +71,7 @@
             (tenant->quota.mem_mb > 0 && step->resources.mem_mb * together > tenant->quota.mem_mb) ||
             (tenant->quota.gpu > 0 && step->resources.gpu * together > tenant->quota.gpu))
             fault_add(faults, STATUS_OVER_QUOTA, talloc_asprintf(faults->mem, "steps[%zu].room", i),
-                      "is more than the quota of tenant %s", spec->tenant);
+                      "exceeds the quota of tenant %s", spec->tenant);
     }
 }
 
@@ -92,6 +91,6 @@
     if (tenant != NULL)
         check_quota(faults, spec, tenant);
     if (cell->strict)
-        check_workers(faults, spec, table);
+        check_feasibility(faults, spec, table);
     return faults->seen == before;
 }
--- a/packages/api/src/job_json.c
+++ b/packages/api/src/job_json.c
@@ -1,4 +1,4 @@
-/* Reading a job's JSON: its fields, its steps, and that the steps can be ordered. */
+/* Parses a job's JSON: its fields and its steps; also checks that the steps can be ordered. */
 #include "api/job_json.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "base/constants.h"
 
-/* Where the job belongs; not allowed where the address says so. */
+/* Keys that say where the job belongs; not allowed where the address says so. */
 #define PLACE_KEYS "id", "cell", "tenant", "queue"
 #define BODY_KEYS                                                                                                      \
     "priority", "protection", "copies", "dueWallMs", "delayMs", "rounds", "steps", "turns", "firstWallMs", "periodMs", \
@@ -16,16 +16,16 @@
 static const char *const STEP_KEYS[] = {"name",  "after", "count",    "gang", "room",  "kind",   "labels", "payload",
                                         "estMs", "apart", "sameRack", "near", "saves", "copies", NULL};
 
-/* A payload is any JSON value and is kept as its text. */
-static const char *read_payload(Faults *faults, json_object *object, const char *otherwise)
+/* Returns the text of the payload, which may be any JSON value; fallback if there is none. */
+static const char *read_payload(Faults *faults, json_object *object, const char *fallback)
 {
     json_object *payload;
     return json_object_object_get_ex(object, "payload", &payload)
                ? talloc_strdup(faults->mem, json_object_to_json_string_ext(payload, JSON_C_TO_STRING_PLAIN))
-               : otherwise;
+               : fallback;
 }
 
-/* payload: the whole job's, for steps that have none. */
+/* Parses a step. payload: the job's payload, used if the step has none. */
 static void read_step(Faults *faults, json_object *object, const char *path, const char *payload, StepSpec *step)
 {
     *step = (StepSpec){.name = "", .kind = "", .payload = "", .near = ""};
@@ -46,10 +46,10 @@
     step->copies = check_flag(faults, object, path, "copies", false);
     step->payload = read_payload(faults, object, payload);
     if (step->resources.cpu_milli == 0 && step->resources.mem_mb == 0 && step->resources.gpu == 0)
-        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task takes some room");
+        fault_add(faults, STATUS_BAD_FIELD, check_path(faults, path, "room"), "a task must need some capacity");
 }
 
-/* Names are unique. */
+/* Checks that the name of step i is unique. */
 static void check_step_name(Faults *faults, const JobSpec *spec, size_t i)
 {
     const StepSpec *step = &spec->steps[i];
@@ -59,7 +59,7 @@
                       "is already the name of step %zu", k);
 }
 
-/* The steps that it comes after exist. */
+/* Checks that the steps that step i comes after exist. */
 static void check_step_after(Faults *faults, const JobSpec *spec, size_t i)
 {
     const StepSpec *step = &spec->steps[i];
@@ -73,31 +73,30 @@
     }
 }
 
-/* Whether all steps that it comes after are out. */
-static bool step_ready(const JobSpec *spec, const StepSpec *step, const bool *out)
+/* True if all steps that the step comes after are sorted already. */
+static bool step_ready(const JobSpec *spec, const StepSpec *step, const bool *sorted)
 {
     for (size_t a = 0; a < step->after_count; a++)
         for (size_t k = 0; k < spec->steps_count; k++)
-            if (strcmp(spec->steps[k].name, step->after[a]) == 0 && !out[k])
+            if (strcmp(spec->steps[k].name, step->after[a]) == 0 && !sorted[k])
                 return false;
     return true;
 }
 
-/* Steps that wait for each other: what is left when steps whose needs are out are taken out,
- * again and again (Kahn's topological sort). */
+/* Returns the number of steps that are part of a cycle or come after one: those that Kahn's topological sort leaves. */
 static size_t steps_in_cycles(const JobSpec *spec)
 {
-    bool out[JOB_STEPS_MAX] = {false};
-    size_t left = spec->steps_count;
-    for (bool any = true; any && left > 0;) {
+    bool sorted[JOB_STEPS_MAX] = {false};
+    size_t in_cycles = spec->steps_count;
+    for (bool any = true; any && in_cycles > 0;) {
         any = false;
         for (size_t i = 0; i < spec->steps_count; i++)
-            if (!out[i] && step_ready(spec, &spec->steps[i], out)) {
-                out[i] = any = true;
-                left--;
+            if (!sorted[i] && step_ready(spec, &spec->steps[i], sorted)) {
+                sorted[i] = any = true;
+                in_cycles--;
             }
     }
-    return left;
+    return in_cycles;
 }
 
 static void check_steps(Faults *faults, const JobSpec *spec)
@@ -113,12 +112,12 @@
         fault_add(faults, STATUS_TOO_LARGE, "steps", "a job has at most %d tasks, all turns together", JOB_TASKS_MAX);
     if (faults->seen > 0)
         return;
-    const size_t left = steps_in_cycles(spec);
-    if (left > 0)
-        fault_add(faults, STATUS_CYCLIC_STEPS, "steps", "%zu steps wait for each other", left);
+    const size_t in_cycles = steps_in_cycles(spec);
+    if (in_cycles > 0)
+        fault_add(faults, STATUS_CYCLIC_STEPS, "steps", "%zu steps wait for each other", in_cycles);
 }
 
-/* The steps of the job; payload: the whole job's. */
+/* Parses the steps of the job. payload: the job's payload. */
 static void read_steps(Faults *faults, json_object *object, const char *payload, JobSpec *spec)
 {
     json_object *steps;
@@ -154,7 +153,7 @@
     read_steps(faults, object, payload, spec);
 }
 
-/* at: where the address says that the job belongs; null: the text says so. */
+/* Parses a job. at: where the job belongs according to the address; null if the text says so. */
 static bool read_job(Faults *faults, const char *text, size_t count, const JobSpec *at, JobSpec *spec)
 {
     const size_t before = faults->seen;
--- a/packages/api/src/query.c
+++ b/packages/api/src/query.c
@@ -1,4 +1,4 @@
-/* The keys of a request's query. */
+/* Finds keys in the query part of a request. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "api/show.h"
 
-/* Where a key's value begins; null when the query, which may be null, does not have it. */
+/* Returns the start of a key's value; null if the query, which may be null, does not have the key. */
 static const char *query_find(const char *query, const char *key)
 {
     const size_t length = strlen(key);
--- a/packages/api/src/result.c
+++ b/packages/api/src/result.c
@@ -1,12 +1,12 @@
-/* The results of requests: JSON bodies, refusals, readiness, the flight recorder, metrics. */
+/* Results of requests: JSON bodies, errors, readiness, the flight recorder and metrics. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <string.h>
 
 #include "api/show.h"
 
-#define METRIC_BYTES 96 /* bytes; of a line of metrics */
-#define METRIC_REST 24  /* bytes; of it that its value takes */
+#define METRIC_LINE_BYTES 96  /* Buffer size in bytes for a line of metrics */
+#define METRIC_VALUE_BYTES 24 /* Bytes of the line that are reserved for its value */
 
 void show_result(HttpTask *task, int code, json_object *body)
 {
@@ -38,7 +38,7 @@
     show_result(task, 200, body);
 }
 
-static void text_begin(HttpTask *task, const char *kind)
+static void text_result_begin(HttpTask *task, const char *kind)
 {
     task->code = 200;
     task->kind = kind;
@@ -47,22 +47,22 @@
 
 void show_recorder(HttpTask *task, const Recorder *recorder)
 {
-    text_begin(task, "text/plain");
+    text_result_begin(task, "text/plain");
     const char *text = recorder_text(recorder, task);
     bytes_add(task, &task->result, text, strlen(text));
 }
 
 void show_metrics_begin(HttpTask *task)
 {
-    text_begin(task, "text/plain; version=0.0.4");
+    text_result_begin(task, "text/plain; version=0.0.4");
 }
 
 void show_metric(HttpTask *task, const char *name, int64_t value)
 {
-    /* names are in camel case inside, in snake case outside */
-    char line[METRIC_BYTES];
+    /* Names are in camel case in the source and in snake case in the output. */
+    char line[METRIC_LINE_BYTES];
     size_t at = (size_t)snprintf(line, sizeof(line), "spancart_");
-    for (; *name != '\0' && at < sizeof(line) - METRIC_REST; name++) {
+    for (; *name != '\0' && at < sizeof(line) - METRIC_VALUE_BYTES; name++) {
         if (*name >= 'A' && *name <= 'Z') {
             line[at++] = '_';
             line[at++] = (char)(*name - 'A' + 'a');
--- a/packages/api/src/show.c
+++ b/packages/api/src/show.c
@@ -1,9 +1,9 @@
-/* What users read of jobs, workers and failures, as JSON. */
+/* JSON of jobs, workers and failures for users. */
 #include "api/show.h"
 
 #include <stdio.h>
 
-static json_object *text_of(const char *text)
+static json_object *json_text(const char *text)
 {
     return json_object_new_string(text != NULL ? text : "");
 }
@@ -18,22 +18,22 @@
     return object;
 }
 
-static json_object *show_texts(const char *const *texts, size_t count)
+static json_object *json_texts(const char *const *texts, size_t count)
 {
     json_object *array = json_object_new_array();
     for (size_t i = 0; i < count; i++)
-        json_object_array_add(array, text_of(texts[i]));
+        json_object_array_add(array, json_text(texts[i]));
     return array;
 }
 
 json_object *show_worker(const Worker *worker)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "name", text_of(worker->name));
-    json_object_object_add(object, "zone", text_of(worker->zone));
-    json_object_object_add(object, "rack", text_of(worker->rack));
-    json_object_object_add(object, "kind", text_of(worker->kind));
-    json_object_object_add(object, "labels", show_texts(worker->labels, worker->labels_count));
+    json_object_object_add(object, "name", json_text(worker->name));
+    json_object_object_add(object, "zone", json_text(worker->zone));
+    json_object_object_add(object, "rack", json_text(worker->rack));
+    json_object_object_add(object, "kind", json_text(worker->kind));
+    json_object_object_add(object, "labels", json_texts(worker->labels, worker->labels_count));
     json_object_object_add(object, "room", show_resources(worker->resources));
     json_object_object_add(object, "excluded", json_object_new_boolean(worker->excluded));
     return object;
@@ -45,14 +45,14 @@
     size_t counts[TASK_PHASE_COUNT] = {0};
     for (size_t i = 0; i < job->tasks_count; i++)
         counts[job->tasks[i].phase]++;
-    json_object_object_add(object, "id", text_of(job->spec.id));
+    json_object_object_add(object, "id", json_text(job->spec.id));
     json_object_object_add(object, "number", json_object_new_int64((int64_t)job->number));
-    json_object_object_add(object, "cell", text_of(job->spec.cell));
-    json_object_object_add(object, "tenant", text_of(job->spec.tenant));
-    json_object_object_add(object, "queue", text_of(job->spec.queue));
+    json_object_object_add(object, "cell", json_text(job->spec.cell));
+    json_object_object_add(object, "tenant", json_text(job->spec.tenant));
+    json_object_object_add(object, "queue", json_text(job->spec.queue));
     json_object_object_add(
         object, "phase",
-        text_of(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : job_phase_word(job->phase)));
+        json_text(job->phase == JOB_ACTIVE && job->ending != JOB_ACTIVE ? "ending" : job_phase_word(job->phase)));
     json_object_object_add(object, "acceptedMs", json_object_new_int64(job->accepted_ms));
     if (job->phase != JOB_ACTIVE)
         json_object_object_add(object, "endedMs", json_object_new_int64(job->ended_ms));
@@ -68,7 +68,7 @@
 {
     if (job->phase != JOB_ACTIVE)
         return job_phase_word(job->phase);
-    if (job->ending != JOB_ACTIVE) /* whatever becomes of the attempts that still run */
+    if (job->ending != JOB_ACTIVE) /* The outcome of attempts that still run no longer matters */
         return job_phase_word(job->ending);
     for (size_t i = 0; i < job->tasks_count; i++)
         if (job->tasks[i].started_ms > 0)
@@ -76,25 +76,25 @@
     return "queued";
 }
 
-/* What its queue's configuration said when it was accepted; what it left open is left out. */
+/* Adds the terms that the queue's configuration set when the job was accepted; omits what it left open. */
 static void show_terms(json_object *object, const JobTerms *terms)
 {
-    json_object *shown = json_object_new_object();
+    json_object *value = json_object_new_object();
     if (terms->attempt_limit > 0)
-        json_object_object_add(shown, "rounds", json_object_new_int64((int64_t)terms->attempt_limit));
+        json_object_object_add(value, "rounds", json_object_new_int64((int64_t)terms->attempt_limit));
     if (terms->stretch_milli > 0) {
         const double stretch = (double)terms->stretch_milli / 1000;
-        char text[24]; /* as it was written: a double has more digits */
+        char text[24]; /* The text as it was written, since a double has more digits */
         snprintf(text, sizeof(text), "%.10g", stretch);
-        json_object_object_add(shown, "stretch", json_object_new_double_s(stretch, text));
+        json_object_object_add(value, "stretch", json_object_new_double_s(stretch, text));
     }
     if (terms->target_ms > 0)
-        json_object_object_add(shown, "targetMs", json_object_new_int64(terms->target_ms));
+        json_object_object_add(value, "targetMs", json_object_new_int64(terms->target_ms));
     if (terms->priority != 0)
-        json_object_object_add(shown, "priority", json_object_new_int64(terms->priority));
+        json_object_object_add(value, "priority", json_object_new_int64(terms->priority));
     if (terms->kind[0] != '\0')
-        json_object_object_add(shown, "kind", text_of(terms->kind));
-    json_object_object_add(object, "terms", shown);
+        json_object_object_add(value, "kind", json_text(terms->kind));
+    json_object_object_add(object, "terms", value);
 }
 
 static void show_count(json_object *object, const char *key, uint64_t count)
@@ -103,24 +103,24 @@
         json_object_object_add(object, key, json_object_new_int64((int64_t)count));
 }
 
-/* The at-th task of the job; what says nothing is left out. */
+/* The job's task at index at; fields without information are omitted. */
 static json_object *show_task(const Job *job, size_t at, QueueClock clock, Resources quota_left)
 {
     const JobTask *task = &job->tasks[at];
     json_object *one = json_object_new_object();
     json_object_object_add(one, "task", json_object_new_int64((int64_t)task_number(task)));
-    json_object_object_add(one, "step", text_of(job->spec.steps[task->step].name));
+    json_object_object_add(one, "step", json_text(job->spec.steps[task->step].name));
     if (job->spec.turns > 0) {
         json_object_object_add(one, "turn", json_object_new_int64((int64_t)task->turn));
         json_object_object_add(one, "dueWallMs", json_object_new_int64(task_due_wall_ms(job, task)));
     }
     json_object_object_add(one, "at", json_object_new_int64((int64_t)task->at));
-    json_object_object_add(one, "phase", text_of(task_phase_word(task->phase)));
+    json_object_object_add(one, "phase", json_text(task_phase_word(task->phase)));
     json_object_object_add(one, "round", json_object_new_int64((int64_t)task->attempt));
     if (task->worker[0] != '\0')
-        json_object_object_add(one, "worker", text_of(task->worker));
+        json_object_object_add(one, "worker", json_text(task->worker));
     if (task->phase == TASK_WAITING)
-        json_object_object_add(one, "waitsFor", text_of(wait_word(queue_wait(job, at, clock, quota_left))));
+        json_object_object_add(one, "waitsFor", json_text(wait_word(queue_wait(job, at, clock, quota_left))));
     if (task_on_worker(task->phase) && job->spec.protection == PROTECTION_PROTECTED)
         json_object_object_add(one, "assured", json_object_new_boolean(task->assured));
     show_count(one, "misses", task->misses);
@@ -128,7 +128,7 @@
     if (task->started_ms > 0)
         json_object_object_add(one, "startedMs", json_object_new_int64(task->started_ms));
     if (task->text[0] != '\0')
-        json_object_object_add(one, "text", text_of(task->text));
+        json_object_object_add(one, "text", json_text(task->text));
     return one;
 }
 
@@ -136,7 +136,7 @@
 {
     json_object *object = show_job_short(job);
     json_object_object_add(object, "priority", json_object_new_int64(job->spec.priority));
-    json_object_object_add(object, "protection", text_of(protection_word(job->spec.protection)));
+    json_object_object_add(object, "protection", json_text(protection_word(job->spec.protection)));
     if (job->spec.lasting)
         json_object_object_add(object, "lasting", json_object_new_boolean(true));
     show_terms(object, &job->terms);
@@ -153,9 +153,9 @@
     for (size_t i = 0; i < faults->count; i++) {
         const Fault *fault = &faults->list[i];
         json_object *one = json_object_new_object();
-        json_object_object_add(one, "status", text_of(status_word(fault->status)));
-        json_object_object_add(one, "path", text_of(fault->path));
-        json_object_object_add(one, "text", text_of(fault->text));
+        json_object_object_add(one, "status", json_text(status_word(fault->status)));
+        json_object_object_add(one, "path", json_text(fault->path));
+        json_object_object_add(one, "text", json_text(fault->text));
         json_object_array_add(list, one);
     }
     return list;
@@ -164,8 +164,8 @@
 json_object *show_failure(Status status, const char *text, const Faults *faults)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "status", text_of(status_word(status)));
-    json_object_object_add(object, "text", text_of(text));
+    json_object_object_add(object, "status", json_text(status_word(status)));
+    json_object_object_add(object, "text", json_text(text));
     if (faults != NULL && faults->count > 0)
         json_object_object_add(object, "faults", show_faults(faults));
     return object;
--- a/packages/api/src/show_rpc.c
+++ b/packages/api/src/show_rpc.c
@@ -4,9 +4,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define NAME_BYTES 64 /* bytes; kind, part and count in one name */
+#define METRIC_NAME_BYTES 64 /* Buffer size in bytes for a name made of a message kind, a part and a count */
 
-static const char *const PARTS[RPC_PARTS] = {
+static const char *const RPC_PART_WORDS[RPC_PARTS] = {
 #define X(name, outside) [RPC_##name] = outside,
     RPC_PART_LIST(X)
 #undef X
@@ -21,9 +21,9 @@
 {
     if (traffic_bytes(traffic) == 0)
         return;
-    char text[NAME_BYTES];
-#define X(name, outside)                                                             \
-    snprintf(text, sizeof(text), outside "_%s_%s", message_word(kind), PARTS[part]); \
+    char text[METRIC_NAME_BYTES];
+#define X(name, outside)                                                                      \
+    snprintf(text, sizeof(text), outside "_%s_%s", message_word(kind), RPC_PART_WORDS[part]); \
     show_metric(task, text, (int64_t)traffic->name);
     RPC_TRAFFIC_LIST(X)
 #undef X
@@ -44,7 +44,7 @@
             traffic_metrics(task, (uint64_t)kind, (RpcPart)part, rpc_traffic(rpc, (MessageKind)kind, (RpcPart)part));
 }
 
-/* Requests and answers of a kind together. */
+/* The traffic of a message kind, requests and answers added up. */
 static RpcTraffic kind_traffic(const Rpc *rpc, int kind)
 {
     RpcTraffic sum = {0};
--- a/packages/api/test/job_json.c
+++ b/packages/api/test/job_json.c
@@ -1,4 +1,4 @@
-/* Jobs as callers write them: what is read from each field, and each fault by its path. */
+/* Tests of parsing jobs: the value read from each field, and the path of each fault. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,7 +32,7 @@
         "{\"name\":\"b\"," RESOURCES ",\"payload\":[1,{\"x\":null}]}," STEP(",\"name\":\"c\"") "]}";
     Faults *faults = faults_new();
     JobSpec spec;
-    /* a key that stands twice is a fault, and the third step has one */
+    /* A duplicate key is a fault, and the third step has one. */
     assert_false(job_read(faults, TEXT, strlen(TEXT), &spec));
     talloc_free(faults);
     faults = faults_new();
@@ -92,7 +92,7 @@
     }
 }
 
-/* The address says where the job belongs, and the text must not. */
+/* A job submitted to its queue's address must not name its id, cell, tenant or queue itself. */
 static void address_says_where_the_job_belongs(void **state)
 {
     (void)state;
