--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -17,8 +17,8 @@
     agent->incarnation = (uint64_t)loop_wall_ms(loop);
     agent->started_ms = loop_now_ms(loop);
     agent->worker_mem = talloc_new(agent);
-    const Worker unheard = {.name = agent->worker_name, .zone = settings->zone, .rack = "", .kind = ""};
-    shape_copy(&Worker_shape, &unheard, agent->worker_mem, &agent->worker);
+    const Worker initial = {.name = agent->worker_name, .zone = settings->zone, .rack = "", .kind = ""};
+    shape_copy(&Worker_shape, &initial, agent->worker_mem, &agent->worker);
     agent->rpc = rpc_new(agent, loop, recorder);
     Status status = rpc_listen(agent->rpc, settings->listen, agent->address, failure);
     if (status == STATUS_OK)
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -1,4 +1,4 @@
-/* Answers to the worker: its lease, the attempts to start and to stop, and the ends that are committed. */
+/* Answers to the worker's reports: its lease, the attempts to start and to stop, and the ends that are committed. */
 #include "answer.h"
 
 #include <talloc.h>
@@ -6,19 +6,19 @@
 #include "base/term.h"
 #include "attempts.h"
 
-/* Whether the attempt, which the worker reports as running, is over for the agent: the worker must stop it. */
+/* True if the worker reports an attempt as running that has ended for the agent: the worker must stop it. */
 static bool must_still_stop(Agent *agent, const AttemptUpdate *update)
 {
     const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
     return attempt != NULL && attempt->phase >= PHASE_ENDED;
 }
 
-static bool known_any(Agent *agent, const WorkerReport *report)
+static bool any_end_committed(Agent *agent, const WorkerReport *report)
 {
     for (size_t i = 0; i < report->ended_count; i++) {
         const AttemptUpdate *update = &report->ended[i];
         const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
-        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
+        if (attempt != NULL && attempt->phase == PHASE_COMMITTED)
             return true;
     }
     return false;
@@ -28,18 +28,18 @@
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     const bool runs = lease_runs(&agent->lease, now_ms);
-    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
-        if ((attempt->phase == PHASE_OFFERED && runs) || attempt->phase == PHASE_STOPPING)
+    for (const Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
+        if ((attempt->phase == PHASE_ORDERED && runs) || attempt->phase == PHASE_STOPPING)
             return true;
     for (size_t i = 0; i < report->running_count; i++)
         if (must_still_stop(agent, &report->running[i]))
             return true;
-    /* an order for the capacity that has become free goes in the same answer */
-    return !report->ends_wait && known_any(agent, report);
+    /* An order for the capacity that has become free can go in the same answer. */
+    return !report->ends_wait && any_end_committed(agent, report);
 }
 
-/* While attempts run, a delayed answer delays the report of an end, and an early one delays an order until the
- * next report: half of each costs least. While none runs, only an order can come. */
+/* While attempts run, a delayed answer delays the report of an end, and an early answer delays an order until the next
+ * report: half of each costs least. While none runs, only an order can come. */
 int64_t answer_until_ms(const Agent *agent, const WorkerReport *report)
 {
     int64_t wait_ms = agent->settings->bounds.worker_poll_ms;
@@ -50,38 +50,38 @@
     return loop_now_ms(agent->loop) + wait_ms;
 }
 
-/* The part of what is left of the agent's own lease that is passed on. */
-static int64_t lease_pass(Agent *agent, int64_t now_ms)
+/* Returns the part of the agent's remaining lease that is passed on to the worker, and records when it ends. */
+static int64_t lease_pass_on(Agent *agent, int64_t now_ms)
 {
     int64_t left_ms = lease_left_ms(&agent->lease, now_ms);
     if (left_ms > agent->settings->bounds.worker_lease_ms)
         left_ms = agent->settings->bounds.worker_lease_ms;
     const int64_t passed_ms = lease_passed_ms(left_ms);
-    if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_until_ms)
-        agent->worker_until_ms = now_ms + lease_claim_ms(passed_ms);
+    if (passed_ms > 0 && now_ms + lease_claim_ms(passed_ms) > agent->worker_lease_until_ms)
+        agent->worker_lease_until_ms = now_ms + lease_claim_ms(passed_ms);
     return passed_ms;
 }
 
 void orders_fill(Agent *agent, void *mem, const WorkerReport *report, WorkerOrders *orders)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    const unsigned lives = (unsigned)agent->attempts.lives.count;
-    Order *starts = talloc_zero_array(mem, Order, lives);
-    AttemptId *stops = talloc_zero_array(mem, AttemptId, lives + (unsigned)report->running_count);
+    const unsigned live = (unsigned)agent->attempts.live.count;
+    Order *starts = talloc_zero_array(mem, Order, live);
+    AttemptId *stops = talloc_zero_array(mem, AttemptId, live + (unsigned)report->running_count);
     AttemptId *known = talloc_zero_array(mem, AttemptId, (unsigned)report->ended_count);
     *orders = (WorkerOrders){.term = agent->lease.term,
                              .fence = term_counter(agent->lease.term),
-                             .lease_ms = lease_pass(agent, now_ms),
+                             .lease_ms = lease_pass_on(agent, now_ms),
                              .starts = starts,
                              .start_ms = INT64_MAX,
                              .stops = stops,
                              .known = known,
                              .again_ms = WORKER_AGAIN_MS};
-    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+    for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase == PHASE_OFFERED && now_ms >= attempt->timeout_ms) {
+        if (attempt->phase == PHASE_ORDERED && now_ms >= attempt->timeout_ms) {
             attempt_expire(agent, attempt);
-        } else if (attempt->phase == PHASE_OFFERED && orders->lease_ms > 0) {
+        } else if (attempt->phase == PHASE_ORDERED && orders->lease_ms > 0) {
             shape_copy(&Order_shape, &attempt->order, mem, &starts[orders->starts_count++]);
             if (attempt->timeout_ms - now_ms < orders->start_ms)
                 orders->start_ms = attempt->timeout_ms - now_ms;
@@ -100,7 +100,7 @@
     for (size_t i = 0; i < report->ended_count; i++) {
         const AttemptUpdate *update = &report->ended[i];
         const Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
-        if (attempt != NULL && attempt->phase == PHASE_KNOWN)
+        if (attempt != NULL && attempt->phase == PHASE_COMMITTED)
             known[orders->known_count++] = attempt_id(mem, attempt);
     }
 }
--- a/packages/agent/src/attempts.c
+++ b/packages/agent/src/attempts.c
@@ -1,4 +1,4 @@
-/* The attempt table: finds attempts by name, moves them through their phases, and forgets old ones. */
+/* The attempt table: finds attempts by identity, moves them through their phases, and removes old ones. */
 #include "attempts.h"
 
 #include <inttypes.h>
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <talloc.h>
 
-#define KEY_MAX (ID_MAX + 48) /* bytes; a job's name and two numbers */
+#define KEY_MAX (ID_MAX + 48) /* Buffer size in bytes for a job's name and two numbers */
 
 static const char *task_key(char key[KEY_MAX], const char *job, uint64_t task)
 {
@@ -48,7 +48,7 @@
     return (AttemptId){talloc_strdup(mem, attempt->order.job), attempt->order.task, attempt->order.attempt};
 }
 
-static void chain_leave(Attempt *attempt)
+static void chain_remove(Attempt *attempt)
 {
     AttemptChain *chain = attempt->chain;
     if (attempt->prev != NULL)
@@ -62,7 +62,7 @@
     chain->count--;
 }
 
-static void chain_join(AttemptChain *chain, Attempt *attempt)
+static void chain_append(AttemptChain *chain, Attempt *attempt)
 {
     attempt->chain = chain;
     attempt->prev = chain->last;
@@ -75,7 +75,7 @@
     chain->count++;
 }
 
-/* Replaces a text of the attempt; "" is never allocated. */
+/* Replaces a text of the attempt. The empty text is never allocated. */
 static void text_set(Attempt *attempt, const char **at, const char *text)
 {
     if (*at == text)
@@ -93,7 +93,7 @@
     attempt->phase = phase;
     attempt->saved = attempt->text = "";
     attempt->changed_ms = loop_now_ms(agent->loop);
-    chain_join(&agent->attempts.lives, attempt);
+    chain_append(&agent->attempts.live, attempt);
     map_set(agent->attempts.by_id, attempt_key(key, order->job, order->task, order->attempt), attempt);
     const Attempt *newest = attempt_newest(agent, order->job, order->task);
     if (newest == NULL || newest->order.attempt < order->attempt)
@@ -110,12 +110,13 @@
     trace_say(agent->trace, step, detail, "job:%s", attempt->order.job);
 }
 
-/* Progress is reported once the attempt has run for PACE_FIRST_MS, and then each time that it has run half as long
- * again: often enough to notice an attempt that makes no progress, seldom enough to cost nothing. */
-static void progress_take(Agent *agent, Attempt *attempt, uint64_t percent)
+/* Records the progress. It is reported to the leader once the attempt has run for PACE_FIRST_MS, and then each time its
+ * run time has grown by half: often enough to notice an attempt that makes no progress, rarely enough to cost almost
+ * nothing. */
+static void progress_record(Agent *agent, Attempt *attempt, uint64_t percent)
 {
     attempt->percent = percent;
-    attempt->percent_ms = loop_now_ms(agent->loop) - attempt->runs_ms;
+    attempt->percent_ms = loop_now_ms(agent->loop) - attempt->running_since_ms;
     if (attempt->progress_due_ms == 0)
         attempt->progress_due_ms = PACE_FIRST_MS;
     if (attempt->percent_ms < attempt->progress_due_ms)
@@ -124,19 +125,19 @@
     attempt->progress_version++;
 }
 
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *update)
+void attempt_running(Agent *agent, Attempt *attempt, const AttemptUpdate *update)
 {
-    if (attempt->phase == PHASE_OFFERED || attempt->phase == PHASE_SENT) {
+    if (attempt->phase == PHASE_ORDERED || attempt->phase == PHASE_SENT) {
         attempt->phase = PHASE_RUNNING;
         attempt_trace(agent, attempt, TRACE_RUNS);
     }
-    if (attempt->runs_ms == 0)
-        attempt->runs_ms = attempt->given_ms != 0 ? attempt->given_ms : loop_now_ms(agent->loop);
+    if (attempt->running_since_ms == 0)
+        attempt->running_since_ms = attempt->given_ms != 0 ? attempt->given_ms : loop_now_ms(agent->loop);
     if (attempt->progress_version == 0 || strcmp(attempt->saved, update->saved) != 0) {
         text_set(attempt, &attempt->saved, update->saved);
-        attempt->progress_version++; /* the next heartbeat carries it */
+        attempt->progress_version++; /* The next heartbeat carries it */
     }
-    progress_take(agent, attempt, update->percent);
+    progress_record(agent, attempt, update->percent);
 }
 
 void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text)
@@ -144,21 +145,21 @@
     attempt->phase = PHASE_ENDED;
     attempt->word = word;
     text_set(attempt, &attempt->text, text);
-    chain_leave(attempt);
-    chain_join(&agent->attempts.ended, attempt);
-    signal_raise(agent->loop, &agent->to_report);
+    chain_remove(attempt);
+    chain_append(&agent->attempts.ended, attempt);
+    signal_raise(agent->loop, &agent->report_signal);
 }
 
-void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed)
+void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool inferred)
 {
     if (attempt->phase >= PHASE_ENDED)
         return;
     const int64_t now_ms = loop_now_ms(agent->loop);
-    attempt->guessed = guessed;
-    const int64_t since_ms = attempt->runs_ms != 0 || guessed ? attempt->runs_ms : attempt->given_ms;
+    attempt->inferred = inferred;
+    const int64_t since_ms = attempt->running_since_ms != 0 || inferred ? attempt->running_since_ms : attempt->given_ms;
     attempt->ran_ms = since_ms != 0 ? now_ms - since_ms : 0;
     attempt->changed_ms = now_ms;
-    /* thousands of ended attempts are kept: without their payload */
+    /* Thousands of ended attempts are kept, so their payloads are freed. */
     talloc_free((void *)(uintptr_t)attempt->order.payload);
     talloc_free((void *)(uintptr_t)attempt->order.saved);
     attempt->order.payload = attempt->order.saved = "";
@@ -171,14 +172,14 @@
     attempt_end(agent, attempt, ATTEMPT_REFUSED, "the order expired before it started", true);
 }
 
-void attempt_known(Agent *agent, Attempt *attempt)
+void attempt_end_committed(Agent *agent, Attempt *attempt)
 {
-    attempt->phase = PHASE_KNOWN;
+    attempt->phase = PHASE_COMMITTED;
     attempt->changed_ms = loop_now_ms(agent->loop);
-    chain_leave(attempt);
-    chain_join(&agent->attempts.known, attempt);
+    chain_remove(attempt);
+    chain_append(&agent->attempts.committed, attempt);
     attempt_trace(agent, attempt, TRACE_KNOWN);
-    signal_raise(agent->loop, &agent->for_worker);
+    signal_raise(agent->loop, &agent->answer_signal);
 }
 
 void attempt_withdraw(Agent *agent, Attempt *attempt, const char *why)
@@ -186,45 +187,45 @@
     if (agent->settled)
         attempt_end(agent, attempt, ATTEMPT_STOPPED, why, true);
     else
-        attempt->phase = PHASE_STOPPING; /* an earlier agent process may have given it */
+        attempt->phase = PHASE_STOPPING; /* An earlier agent process may have given it */
 }
 
 void attempts_withdraw(Agent *agent, const char *why)
 {
-    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+    for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase == PHASE_OFFERED)
+        if (attempt->phase == PHASE_ORDERED)
             attempt_withdraw(agent, attempt, why);
     }
 }
 
-void attempts_stop(Agent *agent)
+void attempts_stop_all(Agent *agent)
 {
-    attempts_withdraw(agent, "the hold lapsed before it started");
-    for (Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+    attempts_withdraw(agent, "the lease lapsed before it started");
+    for (Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
         attempt->phase = PHASE_STOPPING;
-    signal_raise(agent->loop, &agent->for_worker);
+    signal_raise(agent->loop, &agent->answer_signal);
 }
 
 void attempts_end_given(Agent *agent, const char *why)
 {
-    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+    for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase != PHASE_OFFERED)
+        if (attempt->phase != PHASE_ORDERED)
             attempt_end(agent, attempt, attempt->phase == PHASE_STOPPING ? ATTEMPT_STOPPED : ATTEMPT_LOST, why, true);
     }
 }
 
-void attempts_forget(Agent *agent)
+void attempts_remove_old(Agent *agent)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     Attempts *attempts = &agent->attempts;
-    while (attempts->known.first != NULL) {
-        Attempt *attempt = attempts->known.first;
-        if (now_ms - attempt->changed_ms <= REPAIR_KEEP_MS && attempts->known.count <= KNOWN_MOST)
+    while (attempts->committed.first != NULL) {
+        Attempt *attempt = attempts->committed.first;
+        if (now_ms - attempt->changed_ms <= REPAIR_KEEP_MS && attempts->committed.count <= KNOWN_MOST)
             return;
         char key[KEY_MAX];
-        chain_leave(attempt);
+        chain_remove(attempt);
         map_drop(attempts->by_id, attempt_key(key, attempt->order.job, attempt->order.task, attempt->order.attempt));
         if (attempt_newest(agent, attempt->order.job, attempt->order.task) == attempt)
             map_drop(attempts->newest, task_key(key, attempt->order.job, attempt->order.task));
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -1,48 +1,49 @@
 #ifndef AGENT_SRC_ATTEMPTS_H
 #define AGENT_SRC_ATTEMPTS_H
 
-/* The attempt table: every change of an attempt's phase is made here, except OFFERED to SENT (answer.c),
- * SENT back to OFFERED (worker.c), and to STOPPING where an order no longer wants it (orders.c). */
+/* The attempt table. All changes of an attempt's phase are made here, except three: from ORDERED to SENT (answer.c),
+ * from SENT back to ORDERED (worker.c), and to STOPPING if an order no longer wants the attempt (orders.c). */
 
 #include "state.h"
 
 void attempts_init(Agent *agent);
 
-/* Null: not in the table. */
+/* Returns null if the attempt is not in the table. */
 Attempt *attempt_find(Agent *agent, const char *job, uint64_t task, uint64_t attempt);
-/* The attempt of the task with the highest number; null: none. */
+/* The attempt of the task with the highest number; null if there is none. */
 Attempt *attempt_newest(Agent *agent, const char *job, uint64_t task);
-/* Whether the order is for the attempt of this number. */
+/* True if the order is for the attempt with this number. */
 bool attempt_is(const Order *order, const char *job, uint64_t task, uint64_t number);
-/* Its name, copied onto mem. */
+/* The attempt's identity, copied to mem. */
 AttemptId attempt_id(void *mem, const Attempt *attempt);
 
-/* Adds an attempt; the order is copied. */
+/* Adds an attempt; copies the order. */
 Attempt *attempt_add(Agent *agent, const Order *order, AttemptPhase phase);
-/* Adds a step of the attempt to the job's trace (trace/). */
+/* Adds a step of the attempt to the job's trace (package trace). */
 void attempt_trace(Agent *agent, const Attempt *attempt, TraceStep step);
 
-/* The worker reports that it runs, with its checkpoint and progress. */
-void attempt_runs(Agent *agent, Attempt *attempt, const AttemptUpdate *update);
-/* It is over; no effect if it already was. guessed: the agent infers this, the worker has not reported it. */
-void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool guessed);
-/* The order's deadline has come before the worker was known to start it. */
+/* Records the worker's report that the attempt is running, with its checkpoint and progress. */
+void attempt_running(Agent *agent, Attempt *attempt, const AttemptUpdate *update);
+/* Ends the attempt; has no effect if it has already ended. inferred: the agent infers the end, the worker has not
+ * reported it. */
+void attempt_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text, bool inferred);
+/* Ends an attempt whose order expired before the worker was known to start it. */
 void attempt_expire(Agent *agent, Attempt *attempt);
-/* Has its end reported (again) to the leader, with this result. */
+/* Queues the attempt's end, with this result, to be reported to the leader, possibly again. */
 void attempt_report_end(Agent *agent, Attempt *attempt, AttemptWord word, const char *text);
-/* The leader has committed its end. */
-void attempt_known(Agent *agent, Attempt *attempt);
+/* Records that the leader has committed the attempt's end. */
+void attempt_end_committed(Agent *agent, Attempt *attempt);
 
-/* Stops every attempt that may run, and withdraws those not given yet. */
-void attempts_stop(Agent *agent);
-/* Nothing runs on the worker any more: ends every attempt that was given to it. Those still OFFERED stay. */
+/* Stops every attempt that may be running, and withdraws those not yet given to the worker. */
+void attempts_stop_all(Agent *agent);
+/* Ends every attempt that was given to the worker, because nothing runs there any more. ORDERED attempts stay. */
 void attempts_end_given(Agent *agent, const char *why);
-/* An OFFERED attempt that is not to be given to this worker: it ends, so that the leader places it elsewhere.
- * Until the agent is settled an earlier agent process may have given it, so it is stopped instead. */
+/* Withdraws an ORDERED attempt that is not to be given to this worker: it ends, so that the leader places it elsewhere.
+ * Until the agent is settled, an earlier agent process may have given it, so it is stopped instead. */
 void attempt_withdraw(Agent *agent, Attempt *attempt, const char *why);
-/* The same for all OFFERED attempts. */
+/* Withdraws all ORDERED attempts. */
 void attempts_withdraw(Agent *agent, const char *why);
-/* Drops KNOWN attempts that are too old or too many. */
-void attempts_forget(Agent *agent);
+/* Removes COMMITTED attempts that are too old or too many. */
+void attempts_remove_old(Agent *agent);
 
 #endif
--- a/packages/agent/src/boot.c
+++ b/packages/agent/src/boot.c
@@ -1,5 +1,5 @@
-/* Boots of the worker: tells reports of its present process apart from those of earlier or second ones. At most one
- * process of a name has a lease at a time. */
+/* Boots of the worker: distinguishes reports of its current process from those of earlier or second processes. At most
+ * one process of a worker has a lease at a time. */
 #include "boot.h"
 
 #include <string.h>
@@ -7,34 +7,34 @@
 
 #include "attempts.h"
 
-static bool boot_over(const Agent *agent, const char *boot)
+static bool boot_has_ended(const Agent *agent, const char *boot)
 {
     for (size_t i = 0; i < BOOTS_MOST; i++)
-        if (agent->boots[i] != NULL && strcmp(agent->boots[i], boot) == 0)
+        if (agent->ended_boots[i] != NULL && strcmp(agent->ended_boots[i], boot) == 0)
             return true;
     return false;
 }
 
-void boot_end(Agent *agent, bool for_good, const char *why)
+void boot_end(Agent *agent, bool refuse_later, const char *why)
 {
     attempts_end_given(agent, why);
-    char **at = &agent->boots[agent->boot_count % BOOTS_MOST];
-    talloc_free(for_good ? *at : agent->boot);
-    if (for_good) {
-        *at = agent->boot;
-        agent->boot_count++;
+    char **slot = &agent->ended_boots[agent->ended_boot_count % BOOTS_MOST];
+    talloc_free(refuse_later ? *slot : agent->boot);
+    if (refuse_later) {
+        *slot = agent->boot;
+        agent->ended_boot_count++;
     }
     agent->boot = NULL;
-    agent->worker_until_ms = loop_now_ms(agent->loop);
+    agent->worker_lease_until_ms = loop_now_ms(agent->loop);
 }
 
-Status boot_take(Agent *agent, const WorkerReport *report)
+Status boot_accept(Agent *agent, const WorkerReport *report)
 {
-    if (report->boot_ends && boot_over(agent, report->boot))
-        return STATUS_DUPLICATE_WORKER; /* long in flight: a newer boot has reported, or it has shut down */
+    if (report->boot_ends && boot_has_ended(agent, report->boot))
+        return STATUS_DUPLICATE_WORKER; /* A late report: a newer boot has reported, or this one has shut down */
     if (agent->boot != NULL && strcmp(agent->boot, report->boot) != 0) {
-        /* another process of this name: unless the old one is known to have ended, its lease must lapse first */
-        if (!report->boot_ends && loop_now_ms(agent->loop) < agent->worker_until_ms) {
+        /* Another process of this worker: unless the old one is known to have ended, its lease must lapse first. */
+        if (!report->boot_ends && loop_now_ms(agent->loop) < agent->worker_lease_until_ms) {
             recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
                            "worker %s asks as a second process", agent->worker_name);
             return STATUS_DUPLICATE_WORKER;
--- a/packages/agent/src/boot.h
+++ b/packages/agent/src/boot.h
@@ -1,15 +1,16 @@
 #ifndef AGENT_SRC_BOOT_H
 #define AGENT_SRC_BOOT_H
 
-/* Boots: a boot is one process of the worker, named by it. Which one is the present one (boot.c). */
+/* Boots of the worker (boot.c). A boot is one process of the worker, which chooses its name. */
 
 #include "state.h"
 
-/* Ends the present boot: its attempts are over and its lease counts no more. for_good: a later report of it is
+/* Ends the current boot: its attempts have ended and its lease is void. refuse_later: later reports of the boot are
  * refused. */
-void boot_end(Agent *agent, bool for_good, const char *why);
-/* Decides whether the report counts: OK when it is the newest of the boot that is the present one from now on;
- * CLOSED when it is a late one; DUPLICATE_WORKER when its boot is over or another may still run. */
-Status boot_take(Agent *agent, const WorkerReport *report);
+void boot_end(Agent *agent, bool refuse_later, const char *why);
+/* Decides whether a report is accepted. Returns OK if it is the newest report of a boot, which is the current boot
+ * from now on; CLOSED if it is a late report; DUPLICATE_WORKER if its boot has ended or another boot may still be
+ * running. */
+Status boot_accept(Agent *agent, const WorkerReport *report);
 
 #endif
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -1,6 +1,6 @@
-/* Heartbeats: each tells the leader the agent's state, renews the agent's lease, and asks for orders. The leader
- * delays its answer until there are newer orders; what must be known at once goes in another heartbeat meanwhile.
- * The lease counts from when the heartbeat was sent, so that it lapses here before it does by the leader's count
+/* Heartbeats: each reports the agent's state to the leader, renews the agent's lease, and requests orders. The leader
+ * delays its answer until there are newer orders; what must be reported at once goes in another heartbeat meanwhile.
+ * The lease counts from when the heartbeat was sent, so that it lapses here before it lapses by the leader's count
  * (XenServer HA design: a holder counts from sending, a granter from answering). */
 #include "heartbeat.h"
 
@@ -13,14 +13,14 @@
 #include "attempts.h"
 #include "orders.h"
 
-/* A heartbeat in flight; its task frees it when it has been answered or given up. */
+/* A heartbeat in flight. Its task frees it when it has been answered or has failed. */
 typedef struct Heartbeat {
     Agent *agent;
     uint64_t number;
     int64_t sent_ms;
     char address[ADDRESS_MAX];
     PeerIdentity peer;
-    uint64_t *progress_versions; /* the progress_version of each attempt whose checkpoint it carries */
+    uint64_t *progress_versions; /* The progress_version of each attempt whose checkpoint it carries */
 } Heartbeat;
 
 bool leader_address(Agent *agent, char address[ADDRESS_MAX])
@@ -34,41 +34,43 @@
 
 void heartbeat_now(Agent *agent)
 {
-    agent->heartbeat_now = true;
+    agent->heartbeat_needed = true;
     signal_raise(agent->loop, members_leader_signal(agent->members));
 }
 
-/* Fills in all attempts that may run or whose end is not committed, and the checkpoints that the leader has not. */
-static void ask_fill_attempts(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
+/* Fills in all attempts that may run or whose end is not committed, and the checkpoints that the leader does not
+ * have. */
+static void heartbeat_fill_attempts(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
     const Attempts *attempts = &agent->attempts;
     const int64_t now_ms = loop_now_ms(agent->loop);
-    ask->attempts = talloc_array(heartbeat, AttemptId, (unsigned)(attempts->lives.count + attempts->ended.count));
-    ask->saved = talloc_array(heartbeat, AttemptSaved, (unsigned)attempts->lives.count);
-    heartbeat->progress_versions = talloc_array(heartbeat, uint64_t, (unsigned)attempts->lives.count);
-    for (const Attempt *attempt = attempts->lives.first; attempt != NULL; attempt = attempt->next) {
+    ask->attempts = talloc_array(heartbeat, AttemptId, (unsigned)(attempts->live.count + attempts->ended.count));
+    ask->saved = talloc_array(heartbeat, AttemptSaved, (unsigned)attempts->live.count);
+    heartbeat->progress_versions = talloc_array(heartbeat, uint64_t, (unsigned)attempts->live.count);
+    for (const Attempt *attempt = attempts->live.first; attempt != NULL; attempt = attempt->next) {
         ask->attempts[ask->attempts_count++] = attempt_id(heartbeat, attempt);
         if (attempt->progress_version == attempt->leader_version)
             continue;
         heartbeat->progress_versions[ask->saved_count] = attempt->progress_version;
-        ask->saved[ask->saved_count++] = (AttemptSaved){talloc_strdup(heartbeat, attempt->order.job),
-                                                        attempt->order.task,
-                                                        attempt->order.attempt,
-                                                        talloc_strdup(heartbeat, attempt->saved),
-                                                        attempt->runs_ms != 0 ? now_ms - attempt->runs_ms : 0,
-                                                        attempt->percent,
-                                                        attempt->percent_ms};
+        ask->saved[ask->saved_count++] =
+            (AttemptSaved){talloc_strdup(heartbeat, attempt->order.job),
+                           attempt->order.task,
+                           attempt->order.attempt,
+                           talloc_strdup(heartbeat, attempt->saved),
+                           attempt->running_since_ms != 0 ? now_ms - attempt->running_since_ms : 0,
+                           attempt->percent,
+                           attempt->percent_ms};
     }
     for (const Attempt *attempt = attempts->ended.first; attempt != NULL; attempt = attempt->next)
         ask->attempts[ask->attempts_count++] = attempt_id(heartbeat, attempt);
 }
 
-static void ask_fill(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
+static void heartbeat_fill(Agent *agent, Heartbeat *heartbeat, HeartbeatAsk *ask)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
-    /* a wall clock that was set back made this incarnation older than the last one, which others remember and have told
-     * (member table). Once a heartbeat was answered it stays: attempts are bound to it */
-    if (agent->heartbeat_ms == 0)
+    /* If the wall clock was set back, this incarnation is older than the previous one, which other members remember and
+     * have reported (member table). Once a heartbeat was answered the incarnation stays: attempts are bound to it. */
+    if (agent->heartbeat_answered_ms == 0)
         agent->incarnation = members_self(agent->members)->incarnation;
     *ask = (HeartbeatAsk){.agent = agent->worker_name,
                           .incarnation = agent->incarnation,
@@ -82,15 +84,16 @@
                           .have_term = agent->have_term,
                           .wait_ms = HEARTBEAT_WAIT_MS};
     shape_copy(&Worker_shape, &agent->worker, heartbeat, &ask->worker);
-    ask_fill_attempts(agent, heartbeat, ask);
+    heartbeat_fill_attempts(agent, heartbeat, ask);
 }
 
-/* The leader of this term has got the checkpoints that the heartbeat carried; one of another term has only these. */
-static void saved_known(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t term)
+/* Records that the leader of this term has the checkpoints that the heartbeat carried; a leader of another term has
+ * only these. */
+static void checkpoints_acknowledged(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask, uint64_t term)
 {
     if (term != agent->saved_term) {
         agent->saved_term = term;
-        for (Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+        for (Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
             attempt->leader_version = 0;
     }
     for (size_t i = 0; i < ask->saved_count; i++) {
@@ -101,8 +104,8 @@
     }
 }
 
-static void answer_take(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask,
-                        const HeartbeatAnswer *answer)
+static void answer_apply(Agent *agent, const Heartbeat *heartbeat, const HeartbeatAsk *ask,
+                         const HeartbeatAnswer *answer)
 {
     if (!lease_answered(&agent->lease, answer->term, heartbeat->sent_ms, answer->lease_ms)) {
         recorder_write(agent->recorder, RECORDER_NOTE, loop_now_ms(agent->loop),
@@ -110,29 +113,29 @@
         return;
     }
     agent->isolated = false;
-    agent->heartbeat_ms = loop_now_ms(agent->loop);
-    saved_known(agent, heartbeat, ask, answer->term);
+    agent->heartbeat_answered_ms = loop_now_ms(agent->loop);
+    checkpoints_acknowledged(agent, heartbeat, ask, answer->term);
     if (answer->term > agent->term_traced) {
         agent->term_traced = answer->term;
         trace_say(agent->trace, TRACE_LEARNT, "", "view:%" PRIu64, term_counter(answer->term));
     }
-    /* answers may arrive in another order than they were sent */
+    /* Answers may arrive in another order than the heartbeats were sent. */
     if (answer->orders &&
         (answer->term > agent->have_term || (answer->term == agent->have_term && answer->version > agent->have))) {
         agent->have = answer->version;
         agent->have_term = answer->term;
-        orders_take(agent, answer, heartbeat->sent_ms);
+        orders_apply(agent, answer, heartbeat->sent_ms);
     }
 }
 
-static void ask_main(void *arg)
+static void heartbeat_send_main(void *arg)
 {
     Heartbeat *heartbeat = arg;
     Agent *agent = heartbeat->agent;
     HeartbeatAsk ask;
     HeartbeatAnswer answer = {0};
     heartbeat->sent_ms = loop_now_ms(agent->loop);
-    ask_fill(agent, heartbeat, &ask);
+    heartbeat_fill(agent, heartbeat, &ask);
     const RpcTarget target = {heartbeat->address, heartbeat->peer, NULL};
     const Status status = rpc_ask_peer(agent->rpc, heartbeat, &target, MESSAGE_HEARTBEAT, &HeartbeatAsk_shape, &ask,
                                        HEARTBEAT_WAIT_MS + ASK_TIMEOUT_MS, &HeartbeatAnswer_shape, &answer);
@@ -142,7 +145,7 @@
     else
         members_seek_leader(agent->members);
     if (status == STATUS_OK)
-        answer_take(agent, heartbeat, &ask, &answer);
+        answer_apply(agent, heartbeat, &ask, &answer);
     else if (status == STATUS_DUPLICATE_WORKER)
         recorder_write(agent->recorder, RECORDER_ALERT, now_ms, "another agent sends heartbeats for worker %s",
                        agent->worker_name);
@@ -154,7 +157,7 @@
         else if (answer.orders || now_ms - heartbeat->sent_ms >= HEARTBEAT_WAIT_MS)
             agent->heartbeat_due_ms = now_ms;
         else
-            agent->heartbeat_due_ms = heartbeat->sent_ms + HEARTBEAT_MS; /* the answer was not delayed */
+            agent->heartbeat_due_ms = heartbeat->sent_ms + HEARTBEAT_MS; /* The answer was not delayed */
         signal_raise(agent->loop, members_leader_signal(agent->members));
     }
     talloc_free(heartbeat);
@@ -170,19 +173,19 @@
     heartbeat->peer = members_leader_peer(agent->members);
     agent->heartbeat = heartbeat;
     agent->heartbeats++;
-    agent->heartbeat_now = false;
-    loop_spawn(agent->loop, "beat", ask_main, heartbeat);
+    agent->heartbeat_needed = false;
+    loop_spawn(agent->loop, "beat", heartbeat_send_main, heartbeat);
 }
 
-/* Whether a heartbeat is to be sent now; otherwise *due_ms is when to check again. */
+/* True if a heartbeat must be sent now; otherwise *due_ms is when to check again. */
 static bool heartbeat_due(const Agent *agent, const char *address, int64_t now_ms, int64_t *due_ms)
 {
     *due_ms = now_ms + HEARTBEAT_MS;
     if (agent->heartbeats >= HEARTBEATS_MOST)
         return false;
-    if (agent->heartbeat_now || (agent->heartbeat != NULL && strcmp(agent->heartbeat->address, address) != 0))
+    if (agent->heartbeat_needed || (agent->heartbeat != NULL && strcmp(agent->heartbeat->address, address) != 0))
         return true;
-    /* where one goes unanswered, the next is sent before its time-out */
+    /* If a heartbeat is not answered, the next is sent before its timeout. */
     *due_ms = agent->heartbeat == NULL ? agent->heartbeat_due_ms
                                        : agent->heartbeat->sent_ms + HEARTBEAT_WAIT_MS + ASK_TIMEOUT_MS / 2;
     return now_ms >= *due_ms;
@@ -199,8 +202,8 @@
         const bool known = leader_address(agent, address);
         if (known && strcmp(address, last) != 0) {
             snprintf(last, sizeof(last), "%s", address);
-            signal_raise(agent->loop,
-                         &agent->to_report); /* ends that the last leader has not answered are reported to this one */
+            /* Ends that the last leader has not answered are reported to this one. */
+            signal_raise(agent->loop, &agent->report_signal);
         }
         if (known && heartbeat_due(agent, address, now_ms, &due_ms))
             heartbeat_send(agent, address);
--- a/packages/agent/src/heartbeat.h
+++ b/packages/agent/src/heartbeat.h
@@ -6,9 +6,9 @@
 #include "state.h"
 
 void heartbeat_start(Agent *agent);
-/* Has a heartbeat sent as soon as the heartbeat task runs, as far as HEARTBEATS_MOST allows. */
+/* Requests a heartbeat as soon as the heartbeat task runs and HEARTBEATS_MOST allows it. */
 void heartbeat_now(Agent *agent);
-/* Copies the leader's address, null-terminated; false: no leader is known. */
+/* Copies the leader's address, null-terminated. Returns false if no leader is known. */
 bool leader_address(Agent *agent, char address[ADDRESS_MAX]);
 
 #endif
--- a/packages/agent/src/http.c
+++ b/packages/agent/src/http.c
@@ -1,4 +1,4 @@
-/* The agent's HTTP entry points: health checks, metrics, the flight recorder, and the worker's report. */
+/* The agent's HTTP endpoints: health checks, metrics, the flight recorder, and the worker's report. */
 #include <string.h>
 #include <talloc.h>
 
@@ -7,10 +7,10 @@
 #include "report_json.h"
 #include "tasks.h"
 
-static void metrics(Agent *agent, HttpTask *task)
+static void metrics_show(Agent *agent, HttpTask *task)
 {
-    int64_t attempts[PHASE_KNOWN + 1] = {0};
-    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+    int64_t attempts[PHASE_COMMITTED + 1] = {0};
+    for (const Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
         attempts[attempt->phase]++;
     show_metrics_begin(task);
     show_metric(task, "holdLeftMs", lease_left_ms(&agent->lease, loop_now_ms(agent->loop)));
@@ -18,12 +18,12 @@
     show_metric(task, "roundsRunning", attempts[PHASE_RUNNING]);
     show_metric(task, "roundsStopping", attempts[PHASE_STOPPING]);
     show_metric(task, "roundsUntold", (int64_t)agent->attempts.ended.count);
-    show_metric(task, "roundsKept", (int64_t)agent->attempts.known.count);
+    show_metric(task, "roundsKept", (int64_t)agent->attempts.committed.count);
     show_rpc_metrics(task, agent->rpc);
 }
 
-/* /livez: the process answers. /readyz: its lease runs and it is not shutting down. */
-static void health(Agent *agent, HttpTask *task)
+/* /livez: the process answers. /readyz: the agent's lease is valid and the agent is not shutting down. */
+static void health_show(Agent *agent, HttpTask *task)
 {
     const bool live = task->path[1] == 'l';
     if (!live && (agent->leaving || !lease_runs(&agent->lease, loop_now_ms(agent->loop)))) {
@@ -35,26 +35,26 @@
     show_result(task, 200, body);
 }
 
-/* The NAME of /v1/workers/NAME/report, on task; null: the path is another. */
+/* Returns the NAME of /v1/workers/NAME/report, allocated on task; null if the path is another. */
 static const char *report_name(const HttpTask *task)
 {
-    static const char BEFORE[] = "/v1/workers/", AFTER[] = "/report";
-    const size_t before = sizeof(BEFORE) - 1, after = sizeof(AFTER) - 1, length = strlen(task->path);
-    if (strncmp(task->path, BEFORE, before) != 0 || length <= before + after ||
-        strcmp(task->path + length - after, AFTER) != 0)
+    static const char PREFIX[] = "/v1/workers/", SUFFIX[] = "/report";
+    const size_t prefix_length = sizeof(PREFIX) - 1, suffix_length = sizeof(SUFFIX) - 1, length = strlen(task->path);
+    if (strncmp(task->path, PREFIX, prefix_length) != 0 || length <= prefix_length + suffix_length ||
+        strcmp(task->path + length - suffix_length, SUFFIX) != 0)
         return NULL;
-    return talloc_strndup(task, task->path + before, length - before - after);
+    return talloc_strndup(task, task->path + prefix_length, length - prefix_length - suffix_length);
 }
 
 void agent_http(void *arg, HttpTask *task)
 {
     Agent *agent = arg;
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
-        health(agent, task);
+        health_show(agent, task);
         return;
     }
     if (strcmp(task->path, "/metrics") == 0) {
-        metrics(agent, task);
+        metrics_show(agent, task);
         return;
     }
     if (strcmp(task->path, "/v1/ring") == 0) {
@@ -65,7 +65,7 @@
     if (name == NULL)
         show_refusal(task, STATUS_BAD_PATH, "there is no such path on an agent", NULL);
     else if (strcmp(task->method, "POST") != 0)
-        show_refusal(task, STATUS_BAD_METHOD, "a report is posted", NULL);
+        show_refusal(task, STATUS_BAD_METHOD, "a report must be sent with POST", NULL);
     else
-        worker_take(agent, task, name);
+        worker_report_serve(agent, task, name);
 }
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -1,4 +1,4 @@
-/* Protocol adapter: a worker's report and its orders as JSON over HTTP, the product's own protocol. */
+/* Protocol adapter: a worker's report and its orders as JSON over HTTP, the native protocol. */
 #include "report_json.h"
 
 #include <string.h>
@@ -77,7 +77,7 @@
     return faults->seen == 0;
 }
 
-static json_object *id_of(const char *job, uint64_t task, uint64_t attempt)
+static json_object *json_attempt_id(const char *job, uint64_t task, uint64_t attempt)
 {
     json_object *object = json_object_new_object();
     json_object_object_add(object, "job", json_object_new_string(job));
@@ -86,11 +86,11 @@
     return object;
 }
 
-static json_object *ids_of(const AttemptId *ids, size_t count)
+static json_object *json_attempt_ids(const AttemptId *ids, size_t count)
 {
     json_object *list = json_object_new_array();
     for (size_t i = 0; i < count; i++)
-        json_object_array_add(list, id_of(ids[i].job, ids[i].task, ids[i].attempt));
+        json_object_array_add(list, json_attempt_id(ids[i].job, ids[i].task, ids[i].attempt));
     return list;
 }
 
@@ -99,7 +99,7 @@
     json_object *body = json_object_new_object(), *starts = json_object_new_array();
     for (size_t i = 0; i < orders->starts_count; i++) {
         const Order *order = &orders->starts[i];
-        json_object *one = id_of(order->job, order->task, order->attempt);
+        json_object *one = json_attempt_id(order->job, order->task, order->attempt);
         json_object_object_add(one, "epoch", json_object_new_int64((int64_t)orders->term));
         json_object_object_add(one, "expiryMs", json_object_new_int64(orders->start_ms));
         json_object_object_add(one, "room", show_resources(order->resources));
@@ -110,19 +110,19 @@
     json_object_object_add(body, "holdMs", json_object_new_int64(orders->lease_ms));
     json_object_object_add(body, "fence", json_object_new_int64((int64_t)orders->fence));
     json_object_object_add(body, "starts", starts);
-    json_object_object_add(body, "stops", ids_of(orders->stops, orders->stops_count));
-    json_object_object_add(body, "known", ids_of(orders->known, orders->known_count));
+    json_object_object_add(body, "stops", json_attempt_ids(orders->stops, orders->stops_count));
+    json_object_object_add(body, "known", json_attempt_ids(orders->known, orders->known_count));
     show_result(task, 200, body);
 }
 
-void worker_take(Agent *agent, HttpTask *task, const char *name)
+void worker_report_serve(Agent *agent, HttpTask *task, const char *name)
 {
     Faults *faults = talloc_zero(task, Faults);
     faults->mem = faults;
     WorkerReport report = {0};
     WorkerOrders orders;
     if (strcmp(name, agent->worker_name) != 0) {
-        show_refusal(task, STATUS_UNKNOWN_WORKER, "this agent stands beside another worker", NULL);
+        show_refusal(task, STATUS_UNKNOWN_WORKER, "this agent serves another worker", NULL);
         return;
     }
     if (!report_read(faults, task, name, &report)) {
@@ -133,7 +133,7 @@
     if (status == STATUS_DUPLICATE_WORKER)
         show_refusal(task, status, "another process of this name may still be running", NULL);
     else if (status != STATUS_OK)
-        show_refusal(task, status, "another question has come since", NULL);
+        show_refusal(task, status, "a newer report has arrived", NULL);
     else
         orders_show(task, &orders);
 }
--- a/packages/agent/src/report_json.h
+++ b/packages/agent/src/report_json.h
@@ -5,7 +5,7 @@
 
 #include "state.h"
 
-/* Answers a report by the worker of this name. Waits. */
-void worker_take(Agent *agent, HttpTask *task, const char *name);
+/* Waits. Answers a report from the worker of this name. */
+void worker_report_serve(Agent *agent, HttpTask *task, const char *name);
 
 #endif
--- a/packages/agent/src/state.h
+++ b/packages/agent/src/state.h
@@ -1,9 +1,9 @@
 #ifndef AGENT_SRC_STATE_H
 #define AGENT_SRC_STATE_H
 
-/* The agent's state, shared by all files of this package. Layers, each calling only those before it:
- * attempts (the attempt table); orders; heartbeat; end_reports, isolated, watch (deadlines), boot, worker and answer
- * (the worker's side); report_json and http (HTTP); agent. */
+/* The agent's state, shared by all files of this package. Layers, each of which calls only those before it: attempts
+ * (the attempt table); orders; heartbeat; end_reports, isolated, watch (deadlines), boot, worker and answer (the
+ * interface to the worker); report_json and http (HTTP); agent. */
 
 #include "base/arrivals.h"
 #include "base/log_event.h"
@@ -18,12 +18,12 @@
 
 struct Heartbeat;
 
-/* Invariants:
- *  - no attempt is given to the worker while the lease does not run, nor one that was ordered under a
- *    term older than lease.term, nor any once the worker drains;
- *  - worker_until_ms is never earlier than the end of any lease passed on to the worker's present boot;
- *  - settled: attempts holds every attempt that may run on the worker;
- *  - boots holds the boots known to be over; the present one is none of them. */
+/* The agent. Invariants:
+ *  - No attempt is given to the worker while the lease is not valid, nor one that was ordered in a term older than
+ *    lease.term, nor any once the worker drains.
+ *  - worker_lease_until_ms is never earlier than the end of any lease passed on to the worker's current boot.
+ *  - If settled is true, attempts holds every attempt that may run on the worker.
+ *  - ended_boots holds the boots known to have ended; the current boot is not among them. */
 struct Agent {
     Loop *loop;
     Recorder *recorder;
@@ -33,37 +33,37 @@
     Members *members;
     char address[ADDRESS_MAX], http[ADDRESS_MAX];
     uint64_t incarnation;
-    uint64_t number; /* of the last heartbeat or report of ends */
-    Lease lease;     /* the agent's lease from the leader */
-    /* heartbeats */
-    struct Heartbeat *heartbeat; /* the newest in flight; null: none */
-    size_t heartbeats;           /* in flight */
-    int64_t heartbeat_due_ms;    /* when the next is due, unless one is needed at once */
-    bool heartbeat_now;          /* one is needed at once */
-    uint64_t have, have_term;    /* version and term of the last orders taken: older ones are ignored */
-    uint64_t saved_term;         /* the term whose leader the attempts' leader_version refers to */
-    int64_t heartbeat_ms;        /* when a heartbeat was last answered; 0: none was */
-    bool isolated;               /* the lease runs by the second survival rule (isolated.c) */
-    /* the worker */
+    uint64_t number; /* Number of the last heartbeat or report of ends */
+    Lease lease;     /* The agent's lease from the leader */
+    /* Heartbeats */
+    struct Heartbeat *heartbeat;   /* The newest heartbeat in flight; null if there is none */
+    size_t heartbeats;             /* Number of heartbeats in flight */
+    int64_t heartbeat_due_ms;      /* When the next heartbeat is due, unless one is needed at once */
+    bool heartbeat_needed;         /* A heartbeat is needed at once */
+    uint64_t have, have_term;      /* Version and term of the last orders applied; older orders are ignored */
+    uint64_t saved_term;           /* The term of the leader that the attempts' leader_version refers to */
+    int64_t heartbeat_answered_ms; /* When a heartbeat was last answered; 0: never */
+    bool isolated;                 /* The lease is extended by the second survival rule (isolated.c) */
+    /* The worker */
     Worker worker;
-    void *worker_mem;        /* talloc parent of what worker points to */
-    Resources others;        /* of the worker's capacity, what others than our attempts use */
-    char *boot;              /* null: none has reported, or the last one is over */
-    char *boots[BOOTS_MOST]; /* ring of the newest that are over */
-    size_t boot_count;       /* ever put in */
-    uint64_t seq;            /* of the present boot's newest report; 0: it gives none */
+    void *worker_mem;              /* talloc parent of what worker points to */
+    Resources others;              /* The worker's capacity that is used by others than this agent's attempts */
+    char *boot;                    /* The current boot; null: none has reported, or the last one has ended */
+    char *ended_boots[BOOTS_MOST]; /* Ring buffer of the newest boots that have ended */
+    size_t ended_boot_count;       /* Number of boots ever put into ended_boots */
+    uint64_t seq;                  /* Sequence number of the current boot's newest report; 0: not given */
     bool worker_live, worker_leaving, settled;
-    int64_t leave_until_ms;       /* draining: it stays at least until then; 0: not given */
-    uint64_t questions;           /* reports taken; only the newest is answered */
-    int64_t started_ms, asked_ms; /* when the agent started; when the worker's last report came */
-    Arrivals reports;             /* how soon the worker reports again after an answer */
-    int64_t worker_until_ms;      /* no lease passed on to the worker runs after this */
+    int64_t leave_until_ms;             /* If draining: the worker stays at least until then; 0: not given */
+    uint64_t report_number;             /* Number of the newest report; only that one is answered */
+    int64_t started_ms, last_report_ms; /* When the agent started; when the worker's last report arrived */
+    Arrivals reports;                   /* How soon the worker reports again after an answer */
+    int64_t worker_lease_until_ms;      /* No lease passed on to the worker is valid after this time */
     Attempts attempts;
-    Signal for_worker; /* raised when there is something to answer the worker with */
-    Signal to_report;  /* raised when there is an end to report, or another leader */
-    bool leaving;      /* the agent itself shuts down */
+    Signal answer_signal; /* Raised when there is something to answer the worker with */
+    Signal report_signal; /* Raised when there is an end to report, or another leader */
+    bool leaving;         /* True while the agent itself shuts down */
     Trace *trace;
-    uint64_t term_traced; /* the newest term that was traced */
+    uint64_t term_traced; /* The newest term that was added to the trace */
 };
 
 #endif
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -1,5 +1,5 @@
-/* The worker's side: takes a report, brings the attempt table in line with it, and answers once there is something to
- * answer with. */
+/* The interface to the worker: applies a report to the attempt table, and answers once there is something to answer
+ * with. */
 #include <talloc.h>
 
 #include "answer.h"
@@ -19,7 +19,7 @@
 {
     Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
     if (attempt == NULL) {
-        /* given by an earlier agent process: the leader decides whether it is wanted */
+        /* Given by an earlier agent process: the leader decides whether it is wanted. */
         const Order order = {
             .job = update->job, .task = update->task, .attempt = update->attempt, .payload = "", .saved = ""};
         attempt = attempt_add(agent, &order, PHASE_RUNNING);
@@ -27,73 +27,74 @@
     return attempt;
 }
 
-static void end_take(Agent *agent, const AttemptUpdate *update)
+static void end_apply(Agent *agent, const AttemptUpdate *update)
 {
     Attempt *attempt = attempt_of(agent, update);
     if (attempt->phase < PHASE_ENDED) {
         if (update->saved[0] != '\0')
-            attempt_runs(agent, attempt, update);
+            attempt_running(agent, attempt, update);
         attempt_end(agent, attempt, (AttemptWord)update->word, update->text, false);
         return;
     }
-    /* a reported completion replaces any other end, a reported failure one that was inferred */
-    const bool weighs = (update->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
-                        (update->word == ATTEMPT_FAILED && attempt->guessed);
-    attempt->guessed = false;
-    if (weighs)
+    /* A reported completion replaces any other end; a reported failure replaces an end that was inferred. */
+    const bool takes_precedence = (update->word == ATTEMPT_DONE && attempt->word != ATTEMPT_DONE) ||
+                                  (update->word == ATTEMPT_FAILED && attempt->inferred);
+    attempt->inferred = false;
+    if (takes_precedence)
         attempt_report_end(agent, attempt, (AttemptWord)update->word, update->text);
 }
 
-/* Brings the attempt table in line with the report: what the worker reports replaces what the agent inferred, and an
- * attempt that it does not list is over, or its order has not arrived. */
-static void attempts_take(Agent *agent, const WorkerReport *report)
+/* Updates the attempt table to match the report: what the worker reports replaces what the agent inferred, and an
+ * attempt that the report does not list has ended, or its order has not arrived. */
+static void attempts_apply_report(Agent *agent, const WorkerReport *report)
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     for (size_t i = 0; i < report->running_count; i++) {
         Attempt *attempt = attempt_of(agent, &report->running[i]);
         if (attempt->phase < PHASE_ENDED)
-            attempt_runs(agent, attempt, &report->running[i]);
+            attempt_running(agent, attempt, &report->running[i]);
     }
     for (size_t i = 0; i < report->ended_count; i++)
-        end_take(agent, &report->ended[i]);
-    for (Attempt *attempt = agent->attempts.lives.first, *next; attempt != NULL; attempt = next) {
+        end_apply(agent, &report->ended[i]);
+    for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase == PHASE_OFFERED || listed(report->running, report->running_count, &attempt->order))
+        if (attempt->phase == PHASE_ORDERED || listed(report->running, report->running_count, &attempt->order))
             continue;
         if (attempt->phase == PHASE_STOPPING)
             attempt_end(agent, attempt, ATTEMPT_STOPPED, "stopped", true);
         else if (attempt->phase == PHASE_RUNNING)
-            attempt_end(agent, attempt, ATTEMPT_LOST, "the worker knows nothing of it any more", true);
+            attempt_end(agent, attempt, ATTEMPT_LOST, "the worker no longer reports it", true);
         else if (now_ms < attempt->timeout_ms)
-            attempt->phase = PHASE_OFFERED; /* the answer that carried it did not arrive */
+            attempt->phase = PHASE_ORDERED; /* The answer that carried it did not arrive */
         else
             attempt_expire(agent, attempt);
     }
 }
 
-/* A worker that reports its free capacity may be used by others too: theirs is what is neither free nor used by our
- * attempts. An attempt of unknown size, given by an earlier agent process, counts as theirs. */
-static void others_take(Agent *agent, const WorkerReport *report)
+/* Computes the capacity that others use. A worker that reports its free capacity may be shared with others; they use
+ * what is neither free nor used by this agent's attempts. An attempt of unknown size, given by an earlier agent
+ * process, counts as theirs. */
+static void others_update(Agent *agent, const WorkerReport *report)
 {
     agent->others = (Resources){0};
     if (!report->free_given)
         return;
     Resources known = report->free;
-    for (const Attempt *attempt = agent->attempts.lives.first; attempt != NULL; attempt = attempt->next)
+    for (const Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
         if (listed(report->running, report->running_count, &attempt->order)) {
             known.cpu_milli += attempt->order.resources.cpu_milli;
             known.mem_mb += attempt->order.resources.mem_mb;
             known.gpu += attempt->order.resources.gpu;
         }
-    const Resources whole = report->worker.resources;
-    agent->others = (Resources){whole.cpu_milli > known.cpu_milli ? whole.cpu_milli - known.cpu_milli : 0,
-                                whole.mem_mb > known.mem_mb ? whole.mem_mb - known.mem_mb : 0,
-                                whole.gpu > known.gpu ? whole.gpu - known.gpu : 0};
+    const Resources capacity = report->worker.resources;
+    agent->others = (Resources){capacity.cpu_milli > known.cpu_milli ? capacity.cpu_milli - known.cpu_milli : 0,
+                                capacity.mem_mb > known.mem_mb ? capacity.mem_mb - known.mem_mb : 0,
+                                capacity.gpu > known.gpu ? capacity.gpu - known.gpu : 0};
 }
 
-/* The worker's description and state. Called after attempts_take, which has adopted the attempts of an earlier agent
- * process: the table is complete from here on. */
-static void self_take(Agent *agent, const WorkerReport *report)
+/* Updates the worker's description and state. Called after attempts_apply_report, which has adopted the attempts of an
+ * earlier agent process: the table is complete from here on. */
+static void worker_update(Agent *agent, const WorkerReport *report)
 {
     Worker worker = report->worker;
     worker.name = agent->worker_name;
@@ -106,8 +107,8 @@
         shape_copy(&Worker_shape, &worker, mem, &agent->worker);
         talloc_free(agent->worker_mem);
         agent->worker_mem = mem;
-        /* those attempts were placed on the worker as it was described before */
-        attempts_withdraw(agent, "the worker is another now");
+        /* Those attempts were placed according to the old description of the worker. */
+        attempts_withdraw(agent, "the description of the worker has changed");
     }
     agent->worker_live = live;
     agent->worker_leaving = leaving;
@@ -118,41 +119,42 @@
         heartbeat_now(agent);
 }
 
-/* Waits until there is something to answer the report with; false: its worker does not wait for an answer any more. */
-static bool report_await(Agent *agent, const bool *gone, const WorkerReport *report)
+/* Waits until there is something to answer the report with. Returns false if the worker no longer waits for the
+ * answer. */
+static bool answer_wait(Agent *agent, const bool *gone, const WorkerReport *report)
 {
-    const uint64_t question = ++agent->questions;
+    const uint64_t number = ++agent->report_number;
     const int64_t until_ms = answer_until_ms(agent, report);
-    signal_raise(agent->loop, &agent->for_worker); /* ends an earlier report's wait */
-    while (question == agent->questions && !*gone && !answer_ready(agent, report))
-        if (!signal_wait(agent->loop, &agent->for_worker, until_ms))
+    signal_raise(agent->loop, &agent->answer_signal); /* Ends the wait of an earlier report */
+    while (number == agent->report_number && !*gone && !answer_ready(agent, report))
+        if (!signal_wait(agent->loop, &agent->answer_signal, until_ms))
             break;
     arrivals_answered(&agent->reports, loop_now_ms(agent->loop));
-    return !*gone && question == agent->questions;
+    return !*gone && number == agent->report_number;
 }
 
 Status agent_report(Agent *agent, void *mem, const bool *gone, const WorkerReport *report, WorkerOrders *orders)
 {
     *orders = (WorkerOrders){0};
-    const Status status = boot_take(agent, report);
+    const Status status = boot_accept(agent, report);
     if (status != STATUS_OK)
         return status;
     const int64_t now_ms = loop_now_ms(agent->loop);
-    agent->asked_ms = now_ms;
+    agent->last_report_ms = now_ms;
     arrivals_asked(&agent->reports, now_ms);
-    attempts_take(agent, report);
-    others_take(agent, report);
-    self_take(agent, report);
+    attempts_apply_report(agent, report);
+    others_update(agent, report);
+    worker_update(agent, report);
     if (report->left) {
-        agent->questions++;
+        agent->report_number++;
         arrivals_answered(&agent->reports, now_ms);
-        signal_raise(agent->loop, &agent->for_worker);
+        signal_raise(agent->loop, &agent->answer_signal);
         boot_end(agent, report->boot_ends, "the worker has left");
         orders_fill(agent, mem, report, orders);
         orders->lease_ms = 0;
         return STATUS_OK;
     }
-    if (!report_await(agent, gone, report))
+    if (!answer_wait(agent, gone, report))
         return STATUS_CLOSED;
     orders_fill(agent, mem, report, orders);
     return STATUS_OK;
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -1,8 +1,8 @@
 #ifndef AGENT_TEST_AGENT_FIXTURE_H
 #define AGENT_TEST_AGENT_FIXTURE_H
 
-/* The fixture of the agent's tests: one agent between a leader and a worker that both say and do exactly what a case
- * wants, in virtual time. */
+/* The fixture of the agent's tests: one agent between a leader and a worker whose behaviour each test case sets, in
+ * simulated time. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -20,9 +20,9 @@
 #define LEADER "10.0.0.1:7000"
 #define OTHER "10.0.0.3:7000"
 #define TERM(counter) ((uint64_t)(counter) << TERM_HOLDER_BITS | 1)
-#define LISTED 600 /* count; more than a worker lists at once */
+#define ATTEMPTS_LISTED_MAX 600 /* Array size: more attempts than a worker lists at once */
 
-/* A leader that answers as the case says, and all that the agent reported to it. */
+/* A leader that answers as the test case says, and records all that the agent reports to it. */
 typedef struct FakeLeader {
     const char *id, *address;
     Loop *loop;
@@ -30,48 +30,48 @@
     Members *members;
     uint64_t term;
     int64_t lease_ms;
-    bool deaf;    /* answers no heartbeat */
-    bool commits; /* otherwise a report of ends is not answered */
+    bool ignores_heartbeats; /* Answers no heartbeat */
+    bool commits;            /* If false, a report of ends is not answered */
     uint64_t version;
     HeartbeatAnswer orders;
     Signal changed;
-    HeartbeatAsk heartbeat; /* the newest heartbeat */
+    HeartbeatAsk heartbeat; /* The newest heartbeat */
     size_t heartbeats, end_reports;
-    AttemptUpdate updates[LISTED * 2];
+    AttemptUpdate updates[ATTEMPTS_LISTED_MAX * 2];
     size_t updates_count;
-    AttemptSaved saved[LISTED];
+    AttemptSaved saved[ATTEMPTS_LISTED_MAX];
     size_t saved_count;
 } FakeLeader;
 
-typedef struct Case {
+typedef struct AgentFixture {
     SimWorld *world;
-    FakeLeader leader, other; /* other leads once the case makes it */
+    FakeLeader leader, other; /* other leads once the test case makes it leader */
     int leader_machine, agent_machine, other_machine;
     Settings settings;
     Agent *agent;
     Worker worker;
-} Case;
+} AgentFixture;
 
-static inline Status on_heartbeat(void *arg, void *mem, const void *question, void *answer)
+static inline Status on_heartbeat(void *arg, void *mem, const void *request, void *answer)
 {
     FakeLeader *leader = arg;
-    const HeartbeatAsk *heartbeat = question;
+    const HeartbeatAsk *heartbeat = request;
     HeartbeatAnswer *out = answer;
     (void)mem;
-    if (leader->deaf)
+    if (leader->ignores_heartbeats)
         return STATUS_NOT_LEADER;
     leader->heartbeats++;
     talloc_free((void *)(uintptr_t)leader->heartbeat.agent);
-    void *kept = talloc_named_const(leader->rpc, 1, "beat");
-    shape_copy(&HeartbeatAsk_shape, heartbeat, kept, &leader->heartbeat);
-    leader->heartbeat.agent = kept;
-    for (size_t i = 0; i < heartbeat->saved_count && leader->saved_count < LISTED; i++)
+    void *copy = talloc_named_const(leader->rpc, 1, "beat");
+    shape_copy(&HeartbeatAsk_shape, heartbeat, copy, &leader->heartbeat);
+    leader->heartbeat.agent = copy;
+    for (size_t i = 0; i < heartbeat->saved_count && leader->saved_count < ATTEMPTS_LISTED_MAX; i++)
         shape_copy(&AttemptSaved_shape, &heartbeat->saved[i], leader->rpc, &leader->saved[leader->saved_count++]);
     const int64_t until_ms = loop_now_ms(leader->loop) + heartbeat->wait_ms;
     while (heartbeat->have == leader->version && heartbeat->have_term == leader->term)
         if (!signal_wait(leader->loop, &leader->changed, until_ms))
             break;
-    if (leader->deaf)
+    if (leader->ignores_heartbeats)
         return STATUS_NOT_LEADER;
     *out = leader->orders;
     out->term = leader->term;
@@ -82,14 +82,14 @@
     return STATUS_OK;
 }
 
-static inline Status on_notify(void *arg, void *mem, const void *question, void *answer)
+static inline Status on_notify(void *arg, void *mem, const void *request, void *answer)
 {
     FakeLeader *leader = arg;
-    const NotifyAsk *ask = question;
+    const NotifyAsk *ask = request;
     (void)mem;
     (void)answer;
     leader->end_reports++;
-    for (size_t i = 0; i < ask->updates_count && leader->updates_count < LISTED * 2; i++)
+    for (size_t i = 0; i < ask->updates_count && leader->updates_count < ATTEMPTS_LISTED_MAX * 2; i++)
         shape_copy(&AttemptUpdate_shape, &ask->updates[i], leader->rpc, &leader->updates[leader->updates_count++]);
     while (!leader->commits)
         signal_wait(leader->loop, &leader->changed, INT64_MAX);
@@ -122,9 +122,9 @@
         members_set_leader(leader->members, leader->term, leader->id);
 }
 
-static inline void agent_boot(void *arg)
+static inline void agent_start_main(void *arg)
 {
-    Case *fixture = arg;
+    AgentFixture *fixture = arg;
     Loop *loop = sim_loop(fixture->world, fixture->agent_machine);
     Recorder *recorder = recorder_new(loop, "agent");
     recorder_quiet(recorder);
@@ -132,19 +132,20 @@
     assert_int_equal(agent_start(loop, loop, recorder, &fixture->settings, &fixture->agent, &failure), STATUS_OK);
 }
 
-static inline void agent_begin(void *arg, Loop *loop)
+static inline void agent_machine_start(void *arg, Loop *loop)
 {
-    loop_spawn(loop, "boot", agent_boot, arg);
+    loop_spawn(loop, "boot", agent_start_main, arg);
 }
 
-static inline void run(Case *fixture, int64_t for_ms)
+/* Lets the simulated time advance by for_ms. */
+static inline void run_for(AgentFixture *fixture, int64_t for_ms)
 {
     sim_run_until(fixture->world, sim_now_ms(fixture->world) + for_ms);
 }
 
-static inline Case *case_new(int64_t lease_ms, int64_t worker_lease_ms)
+static inline AgentFixture *fixture_new(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *fixture = talloc_zero(NULL, Case);
+    AgentFixture *fixture = talloc_zero(NULL, AgentFixture);
     fixture->world = sim_world_new(fixture, 1);
     fixture->leader_machine = sim_machine(fixture->world);
     fixture->agent_machine = sim_machine(fixture->world);
@@ -164,61 +165,63 @@
     fixture->worker = (Worker){.name = "", .zone = "z", .rack = "r", .kind = "k", .resources = {8000, 8000, 0}};
     sim_start(fixture->world, fixture->leader_machine, leader_start, &fixture->leader);
     sim_start(fixture->world, fixture->other_machine, leader_start, &fixture->other);
-    sim_start(fixture->world, fixture->agent_machine, agent_begin, fixture);
-    run(fixture, 2000);
+    sim_start(fixture->world, fixture->agent_machine, agent_machine_start, fixture);
+    run_for(fixture, 2000);
     assert_non_null(fixture->agent);
     return fixture;
 }
 
 /* --- the worker's side ------------------------------------------------------------ */
 
-/* A worker's report in flight, and its answer, which is a child of the case. */
-typedef struct Say {
-    Case *fixture;
+/* A worker's report in flight, and its answer, which is a child of the fixture. */
+typedef struct ReportCall {
+    AgentFixture *fixture;
     WorkerReport report;
     WorkerOrders orders;
     Status status;
     bool over, gone;
     int64_t took_ms;
-} Say;
+} ReportCall;
 
-static inline void say_main(void *arg)
+static inline void report_call_main(void *arg)
 {
-    Say *say = arg;
-    const int64_t since_ms = sim_now_ms(say->fixture->world);
-    say->status = agent_report(say->fixture->agent, say->fixture, &say->gone, &say->report, &say->orders);
-    say->took_ms = sim_now_ms(say->fixture->world) - since_ms;
-    say->over = true;
+    ReportCall *call = arg;
+    const int64_t since_ms = sim_now_ms(call->fixture->world);
+    call->status = agent_report(call->fixture->agent, call->fixture, &call->gone, &call->report, &call->orders);
+    call->took_ms = sim_now_ms(call->fixture->world) - since_ms;
+    call->over = true;
 }
 
-static inline Say *say(Case *fixture, const char *boot)
+/* Creates a report by a boot of the worker; it can be changed before it is sent. */
+static inline ReportCall *report_new(AgentFixture *fixture, const char *boot)
 {
-    Say *said = talloc_zero(fixture, Say);
-    said->fixture = fixture;
-    said->report = (WorkerReport){.boot = boot, .worker = fixture->worker, .boot_ends = true, .wait_ms = 400};
-    return said;
+    ReportCall *call = talloc_zero(fixture, ReportCall);
+    call->fixture = fixture;
+    call->report = (WorkerReport){.boot = boot, .worker = fixture->worker, .boot_ends = true, .wait_ms = 400};
+    return call;
 }
 
-static inline void say_begin(Say *said)
+/* Sends the report without waiting for its answer. */
+static inline void report_send(ReportCall *call)
 {
-    loop_spawn(sim_loop(said->fixture->world, said->fixture->agent_machine), "say", say_main, said);
-    run(said->fixture, 1);
+    loop_spawn(sim_loop(call->fixture->world, call->fixture->agent_machine), "say", report_call_main, call);
+    run_for(call->fixture, 1);
 }
 
 /* Sends the report and waits for its answer. */
-static inline Say *say_all(Say *said)
+static inline ReportCall *report_send_and_wait(ReportCall *call)
 {
-    say_begin(said);
-    for (int i = 0; i < 100 && !said->over; i++)
-        run(said->fixture, 10);
-    assert_true(said->over);
-    return said;
+    report_send(call);
+    for (int i = 0; i < 100 && !call->over; i++)
+        run_for(call->fixture, 10);
+    assert_true(call->over);
+    return call;
 }
 
-/* A report with no attempts in it. */
-static inline Say *say_nothing(Case *fixture)
+/* Sends a report without attempts. */
+static inline ReportCall *report_idle(AgentFixture *fixture)
 {
-    return say_all(say(fixture, "b1"));
+    return report_send_and_wait(report_new(fixture, "b1"));
 }
 
 static inline AttemptUpdate update_of(const char *job, uint64_t task, uint64_t attempt, AttemptWord word,
@@ -228,52 +231,53 @@
         .job = job, .task = task, .attempt = attempt, .worker = "", .word = word, .text = "", .saved = saved};
 }
 
-static inline Say *saying(Case *fixture, const char *boot, const AttemptUpdate *running, size_t running_count,
-                          const AttemptUpdate *ended, size_t ended_count)
+/* Sends a report with these attempts and waits for its answer. */
+static inline ReportCall *report_attempts(AgentFixture *fixture, const char *boot, const AttemptUpdate *running,
+                                          size_t running_count, const AttemptUpdate *ended, size_t ended_count)
 {
-    Say *said = say(fixture, boot);
-    said->report.running = running;
-    said->report.running_count = running_count;
-    said->report.ended = ended;
-    said->report.ended_count = ended_count;
-    say_all(said);
-    return said;
+    ReportCall *call = report_new(fixture, boot);
+    call->report.running = running;
+    call->report.running_count = running_count;
+    call->report.ended = ended;
+    call->report.ended_count = ended_count;
+    report_send_and_wait(call);
+    return call;
 }
 
-/* Adds the attempt 1 of task 0 of "j" to a report, as one that runs or as one that has ended. */
-static inline Say *with_running(Say *said, const char *saved)
+/* Sets attempt 1 of task 0 of "j" as the only running, or the only ended, attempt of a report. */
+static inline ReportCall *add_running(ReportCall *call, const char *saved)
 {
-    AttemptUpdate *running = talloc(said, AttemptUpdate);
+    AttemptUpdate *running = talloc(call, AttemptUpdate);
     *running = update_of("j", 0, 1, ATTEMPT_RUNNING, saved);
-    said->report.running = running;
-    said->report.running_count = 1;
-    return said;
+    call->report.running = running;
+    call->report.running_count = 1;
+    return call;
 }
 
-static inline Say *with_ended(Say *said, AttemptWord word, const char *saved)
+static inline ReportCall *add_ended(ReportCall *call, AttemptWord word, const char *saved)
 {
-    AttemptUpdate *ended = talloc(said, AttemptUpdate);
+    AttemptUpdate *ended = talloc(call, AttemptUpdate);
     *ended = update_of("j", 0, 1, word, saved);
-    said->report.ended = ended;
-    said->report.ended_count = 1;
-    return said;
+    call->report.ended = ended;
+    call->report.ended_count = 1;
+    return call;
 }
 
-/* The worker reports that attempt alone. */
-static inline Say *say_runs(Case *fixture, const char *saved)
+/* Sends a report with only that attempt, as running or as ended. */
+static inline ReportCall *report_running(AgentFixture *fixture, const char *saved)
 {
-    return say_all(with_running(say(fixture, "b1"), saved));
+    return report_send_and_wait(add_running(report_new(fixture, "b1"), saved));
 }
 
-static inline Say *say_ended(Case *fixture, AttemptWord word, const char *saved)
+static inline ReportCall *report_ended(AgentFixture *fixture, AttemptWord word, const char *saved)
 {
-    return say_all(with_ended(say(fixture, "b1"), word, saved));
+    return report_send_and_wait(add_ended(report_new(fixture, "b1"), word, saved));
 }
 
 /* --- the leader's side -------------------------------------------------------------- */
 
-/* From now on these attempts are wanted, and those of them start that have not. */
-static inline void order(Case *fixture, const Order *orders, size_t count)
+/* Makes these attempts the wanted ones; those that have not started are to start. */
+static inline void orders_set(AgentFixture *fixture, const Order *orders, size_t count)
 {
     FakeLeader *leader = &fixture->leader;
     Order *starts = talloc_array(fixture, Order, (unsigned)count);
@@ -288,16 +292,17 @@
     leader->orders.wanted_count = count;
     leader->version++;
     signal_raise(leader->loop, &leader->changed);
-    run(fixture, 60);
+    run_for(fixture, 60);
 }
 
-static inline Order one(const char *job, uint64_t task, uint64_t attempt, const char *saved)
+static inline Order order_of(const char *job, uint64_t task, uint64_t attempt, const char *saved)
 {
     return (Order){job, task, attempt, {1000, 1000, 0}, "\"spec\"", saved};
 }
 
-static inline size_t reported(const FakeLeader *leader, const char *job, uint64_t task, uint64_t attempt,
-                              AttemptWord word)
+/* The number of times that the agent reported this result of the attempt to the leader. */
+static inline size_t reported_count(const FakeLeader *leader, const char *job, uint64_t task, uint64_t attempt,
+                                    AttemptWord word)
 {
     size_t count = 0;
     for (size_t i = 0; i < leader->updates_count; i++)
@@ -306,8 +311,8 @@
     return count;
 }
 
-/* The newest checkpoint of a task that the leader was told; fails where there is none. */
-static inline const AttemptSaved *saved_last(const FakeLeader *leader, const char *job, uint64_t task)
+/* The newest checkpoint of a task that was reported to the leader; fails if there is none. */
+static inline const AttemptSaved *newest_checkpoint(const FakeLeader *leader, const char *job, uint64_t task)
 {
     static const AttemptSaved NONE;
     const AttemptSaved *last = &NONE;
@@ -318,36 +323,36 @@
     return last;
 }
 
-/* Attempt 1 of this task of "j" is ordered, and nothing else. */
-static inline void order_task(Case *fixture, uint64_t task)
+/* Orders attempt 1 of this task of "j", and nothing else. */
+static inline void order_task(AgentFixture *fixture, uint64_t task)
 {
-    const Order only = one("j", task, 1, "");
-    order(fixture, &only, 1);
+    const Order only = order_of("j", task, 1, "");
+    orders_set(fixture, &only, 1);
 }
 
-/* --- how cases begin ------------------------------------------------------------------ */
+/* --- initial states of test cases ------------------------------------------------------- */
 
 /* The worker has reported once. */
-static inline Case *case_heard(int64_t lease_ms, int64_t worker_lease_ms)
+static inline AgentFixture *fixture_reported(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *fixture = case_new(lease_ms, worker_lease_ms);
-    say_nothing(fixture);
+    AgentFixture *fixture = fixture_new(lease_ms, worker_lease_ms);
+    report_idle(fixture);
     return fixture;
 }
 
-/* ... and attempt 1 of task 0 of "j" is ordered ... */
-static inline Case *case_ordered(int64_t lease_ms, int64_t worker_lease_ms)
+/* The worker has reported once, and attempt 1 of task 0 of "j" is ordered. */
+static inline AgentFixture *fixture_ordered(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *fixture = case_heard(lease_ms, worker_lease_ms);
+    AgentFixture *fixture = fixture_reported(lease_ms, worker_lease_ms);
     order_task(fixture, 0);
     return fixture;
 }
 
-/* ... and given to the worker. */
-static inline Case *case_given(int64_t lease_ms, int64_t worker_lease_ms)
+/* The worker has reported once, and attempt 1 of task 0 of "j" is ordered and was given to it. */
+static inline AgentFixture *fixture_given(int64_t lease_ms, int64_t worker_lease_ms)
 {
-    Case *fixture = case_ordered(lease_ms, worker_lease_ms);
-    assert_int_equal(say_nothing(fixture)->orders.starts_count, 1);
+    AgentFixture *fixture = fixture_ordered(lease_ms, worker_lease_ms);
+    assert_int_equal(report_idle(fixture)->orders.starts_count, 1);
     return fixture;
 }
 
--- a/packages/agent/test/agent_lease.c
+++ b/packages/agent/test/agent_lease.c
@@ -1,164 +1,164 @@
-/* The worker's lease: what is passed on, and what ends when a lease, a boot or the worker does. */
+/* Tests of the worker's lease: what is passed on, and what ends when a lease, a boot or the worker ends. */
 #include "agent_fixture.h"
 
 static void lease_is_passed_on_less_two_percent(void **state)
 {
     (void)state;
-    Case *fixture = case_new(6000, 2000);
-    Say *said = say(fixture, "b1");
-    said->report.wait_ms = 0;
-    say_all(said);
-    assert_int_equal(said->orders.lease_ms, 1960);
-    assert_true(lease_claim_ms(said->orders.lease_ms) >= said->orders.lease_ms * 102 / 100 + LEASE_SLACK_MS);
-    /* no more than what is left is passed on: it ends before the agent's own lease */
+    AgentFixture *fixture = fixture_new(6000, 2000);
+    ReportCall *call = report_new(fixture, "b1");
+    call->report.wait_ms = 0;
+    report_send_and_wait(call);
+    assert_int_equal(call->orders.lease_ms, 1960);
+    assert_true(lease_claim_ms(call->orders.lease_ms) >= call->orders.lease_ms * 102 / 100 + LEASE_SLACK_MS);
+    /* No more than what is left is passed on: the worker's lease ends before the agent's own. */
     sim_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
-    run(fixture, 5000);
-    said = say(fixture, "b1");
-    said->report.wait_ms = 0;
-    say_all(said);
-    assert_in_range(said->orders.lease_ms, 1, 1500);
+    run_for(fixture, 5000);
+    call = report_new(fixture, "b1");
+    call->report.wait_ms = 0;
+    report_send_and_wait(call);
+    assert_in_range(call->orders.lease_ms, 1, 1500);
     talloc_free(fixture);
 }
 
 static void lapsed_agent_grants_nothing(void **state)
 {
     (void)state;
-    Case *fixture = case_given(3000, 3000);
-    assert_true(say_runs(fixture, "")->orders.lease_ms > 0);
-    fixture->leader.deaf = true;
+    AgentFixture *fixture = fixture_given(3000, 3000);
+    assert_true(report_running(fixture, "")->orders.lease_ms > 0);
+    fixture->leader.ignores_heartbeats = true;
     sim_cut(fixture->world, fixture->agent_machine, fixture->leader_machine, true);
-    run(fixture, 3100);
-    Say *said = say_runs(fixture, "");
-    assert_int_equal(said->orders.lease_ms, 0);
-    assert_int_equal(said->orders.starts_count, 0);
-    assert_int_equal(said->orders.stops_count, 1);
+    run_for(fixture, 3100);
+    ReportCall *call = report_running(fixture, "");
+    assert_int_equal(call->orders.lease_ms, 0);
+    assert_int_equal(call->orders.starts_count, 0);
+    assert_int_equal(call->orders.stops_count, 1);
     talloc_free(fixture);
 }
 
 static void new_boot_ends_claims(void **state)
 {
     (void)state;
-    Case *fixture = case_heard(5000, 5000);
-    const Order orders[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
-    order(fixture, orders, 2);
-    assert_int_equal(say_nothing(fixture)->orders.starts_count, 2);
+    AgentFixture *fixture = fixture_reported(5000, 5000);
+    const Order orders[] = {order_of("j", 0, 1, ""), order_of("j", 1, 1, "")};
+    orders_set(fixture, orders, 2);
+    assert_int_equal(report_idle(fixture)->orders.starts_count, 2);
     const AttemptUpdate runs[] = {update_of("j", 0, 1, ATTEMPT_RUNNING, "half"),
                                   update_of("j", 1, 1, ATTEMPT_RUNNING, "")};
-    saying(fixture, "b1", runs, 2, NULL, 0);
-    /* the next process: the old one's lease would run on for seconds */
-    Say *said = say(fixture, "b2");
-    say_all(said);
-    assert_int_equal(said->status, STATUS_OK);
-    run(fixture, 20);
-    assert_int_equal(reported(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
-    assert_int_equal(reported(&fixture->leader, "j", 1, 1, ATTEMPT_LOST), 1);
+    report_attempts(fixture, "b1", runs, 2, NULL, 0);
+    /* The next process reports; the old one's lease would be valid for seconds. */
+    ReportCall *call = report_new(fixture, "b2");
+    report_send_and_wait(call);
+    assert_int_equal(call->status, STATUS_OK);
+    run_for(fixture, 20);
+    assert_int_equal(reported_count(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    assert_int_equal(reported_count(&fixture->leader, "j", 1, 1, ATTEMPT_LOST), 1);
     assert_string_equal(fixture->leader.updates[0].saved, "half");
-    /* a late report of the old process counts for nothing */
-    said = saying(fixture, "b1", runs, 2, NULL, 0);
-    assert_int_equal(said->status, STATUS_DUPLICATE_WORKER);
-    assert_int_equal(said->orders.lease_ms, 0);
+    /* A late report of the old process has no effect. */
+    call = report_attempts(fixture, "b1", runs, 2, NULL, 0);
+    assert_int_equal(call->status, STATUS_DUPLICATE_WORKER);
+    assert_int_equal(call->orders.lease_ms, 0);
     talloc_free(fixture);
 }
 
 static void unvouched_boot_waits_for_the_lease(void **state)
 {
     (void)state;
-    Case *fixture = case_heard(3000, 3000);
-    Say *said = say(fixture, "b2");
-    said->report.boot_ends = false;
-    say_all(said);
-    assert_int_equal(said->status, STATUS_DUPLICATE_WORKER);
-    run(fixture, 3200);
-    said = say(fixture, "b2");
-    said->report.boot_ends = false;
-    say_all(said);
-    assert_int_equal(said->status, STATUS_OK);
+    AgentFixture *fixture = fixture_reported(3000, 3000);
+    ReportCall *call = report_new(fixture, "b2");
+    call->report.boot_ends = false;
+    report_send_and_wait(call);
+    assert_int_equal(call->status, STATUS_DUPLICATE_WORKER);
+    run_for(fixture, 3200);
+    call = report_new(fixture, "b2");
+    call->report.boot_ends = false;
+    report_send_and_wait(call);
+    assert_int_equal(call->status, STATUS_OK);
     talloc_free(fixture);
 }
 
 static void leaving_worker_is_given_nothing(void **state)
 {
     (void)state;
-    Case *fixture = case_ordered(3000, 3000); /* not given yet */
-    Say *said = say(fixture, "b1");
-    said->report.leaving = true;
-    said->report.leave_ms = 7000;
-    said->report.wait_ms = 0;
-    say_all(said);
-    assert_int_equal(said->orders.starts_count, 0);
-    run(fixture, 20);
-    assert_int_equal(reported(&fixture->leader, "j", 0, 1, ATTEMPT_STOPPED), 1);
+    AgentFixture *fixture = fixture_ordered(3000, 3000); /* Ordered, but not given to the worker yet */
+    ReportCall *call = report_new(fixture, "b1");
+    call->report.leaving = true;
+    call->report.leave_ms = 7000;
+    call->report.wait_ms = 0;
+    report_send_and_wait(call);
+    assert_int_equal(call->orders.starts_count, 0);
+    run_for(fixture, 20);
+    assert_int_equal(reported_count(&fixture->leader, "j", 0, 1, ATTEMPT_STOPPED), 1);
     assert_true(fixture->leader.heartbeat.leaving);
     assert_in_range(fixture->leader.heartbeat.leave_ms, 6900, 7000);
-    /* nor is it given what is ordered later */
+    /* Attempts that are ordered later are not given to it either. */
     order_task(fixture, 1);
-    said = say(fixture, "b1");
-    said->report.leaving = true;
-    say_all(said);
-    assert_int_equal(said->orders.starts_count, 0);
-    assert_int_equal(reported(&fixture->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
+    call = report_new(fixture, "b1");
+    call->report.leaving = true;
+    report_send_and_wait(call);
+    assert_int_equal(call->orders.starts_count, 0);
+    assert_int_equal(reported_count(&fixture->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
     talloc_free(fixture);
 }
 
 static void left_worker_is_over(void **state)
 {
     (void)state;
-    Case *fixture = case_given(5000, 5000);
-    say_runs(fixture, "");
-    Say *said = say(fixture, "b1");
-    said->report.leaving = said->report.left = true;
-    say_all(said);
-    assert_int_equal(said->orders.lease_ms, 0);
-    run(fixture, 100);
-    assert_int_equal(reported(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    AgentFixture *fixture = fixture_given(5000, 5000);
+    report_running(fixture, "");
+    ReportCall *call = report_new(fixture, "b1");
+    call->report.leaving = call->report.left = true;
+    report_send_and_wait(call);
+    assert_int_equal(call->orders.lease_ms, 0);
+    run_for(fixture, 100);
+    assert_int_equal(reported_count(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_true(fixture->leader.heartbeat.leaving);
     assert_false(fixture->leader.heartbeat.worker_live);
     assert_true(fixture->leader.heartbeat.settled);
     assert_int_equal(fixture->leader.heartbeat.attempts_count, 0);
-    assert_int_equal(say_runs(fixture, "")->status, STATUS_DUPLICATE_WORKER);
+    assert_int_equal(report_running(fixture, "")->status, STATUS_DUPLICATE_WORKER);
     talloc_free(fixture);
 }
 
 static void silent_worker_has_lost_its_attempts_when_its_lease_is_over(void **state)
 {
     (void)state;
-    Case *fixture = case_given(8000, 2000);
-    Say *said = say_runs(fixture, "");
-    const int64_t until_ms = sim_now_ms(fixture->world) + said->orders.lease_ms * 102 / 100;
+    AgentFixture *fixture = fixture_given(8000, 2000);
+    ReportCall *call = report_running(fixture, "");
+    const int64_t until_ms = sim_now_ms(fixture->world) + call->orders.lease_ms * 102 / 100;
     sim_run_until(fixture->world, until_ms);
     assert_int_equal(fixture->leader.updates_count, 0);
-    run(fixture, 200);
-    assert_int_equal(reported(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
+    run_for(fixture, 200);
+    assert_int_equal(reported_count(&fixture->leader, "j", 0, 1, ATTEMPT_LOST), 1);
     assert_false(fixture->leader.heartbeat.worker_live);
-    /* its own report, when it comes after all, takes precedence */
-    say_ended(fixture, ATTEMPT_FAILED, "");
-    run(fixture, 20);
-    assert_int_equal(reported(&fixture->leader, "j", 0, 1, ATTEMPT_FAILED), 1);
+    /* The worker's own report takes precedence when it arrives later. */
+    report_ended(fixture, ATTEMPT_FAILED, "");
+    run_for(fixture, 20);
+    assert_int_equal(reported_count(&fixture->leader, "j", 0, 1, ATTEMPT_FAILED), 1);
     talloc_free(fixture);
 }
 
-/* A worker that usually reports again at once is silent as soon as it does not: what it has not been given goes back
- * to the leader, what it has stays its own until its lease is over. */
+/* A worker that usually reports again at once counts as silent as soon as it does not: attempts not given to it yet go
+ * back to the leader, those it has stay its own until its lease ends. */
 static void silence_is_noticed_by_what_is_usual(void **state)
 {
     (void)state;
-    Case *fixture = case_given(8000, 4000);
+    AgentFixture *fixture = fixture_given(8000, 4000);
     for (int i = 0; i < 8; i++) {
-        Say *said = with_running(say(fixture, "b1"), "");
-        said->report.ends_wait = true;
-        say_all(said);
-        run(fixture, WORKER_AGAIN_MS);
+        ReportCall *call = add_running(report_new(fixture, "b1"), "");
+        call->report.ends_wait = true;
+        report_send_and_wait(call);
+        run_for(fixture, WORKER_AGAIN_MS);
     }
     assert_true(fixture->leader.heartbeat.worker_live);
-    const Order both[] = {one("j", 0, 1, ""), one("j", 1, 1, "")};
-    order(fixture, both, 2);
-    run(fixture, WORKER_OVERDUE_MS + 50);
+    const Order both[] = {order_of("j", 0, 1, ""), order_of("j", 1, 1, "")};
+    orders_set(fixture, both, 2);
+    run_for(fixture, WORKER_OVERDUE_MS + 50);
     assert_false(fixture->leader.heartbeat.worker_live);
-    assert_int_equal(reported(&fixture->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
+    assert_int_equal(reported_count(&fixture->leader, "j", 1, 1, ATTEMPT_STOPPED), 1);
     assert_int_equal(fixture->leader.updates_count, 1);
-    /* heard again: it may be given work at once */
-    say_runs(fixture, "");
-    run(fixture, 50);
+    /* It reports again, and may be given work at once. */
+    report_running(fixture, "");
+    run_for(fixture, 50);
     assert_true(fixture->leader.heartbeat.worker_live);
     talloc_free(fixture);
 }
@@ -166,19 +166,19 @@
 static void fence_never_falls(void **state)
 {
     (void)state;
-    Case *fixture = case_new(4000, 4000);
-    Say *said = say_nothing(fixture);
-    assert_int_equal(said->orders.fence, 5);
+    AgentFixture *fixture = fixture_new(4000, 4000);
+    ReportCall *call = report_idle(fixture);
+    assert_int_equal(call->orders.fence, 5);
     fixture->leader.term = TERM(9);
-    run(fixture, 1200);
-    said = say_nothing(fixture);
-    assert_int_equal(said->orders.fence, 9);
-    fixture->leader.term = TERM(7); /* an older leader that still answers */
-    run(fixture, 1200);
+    run_for(fixture, 1200);
+    call = report_idle(fixture);
+    assert_int_equal(call->orders.fence, 9);
+    fixture->leader.term = TERM(7); /* An older leader that still answers */
+    run_for(fixture, 1200);
     order_task(fixture, 0);
-    said = say_nothing(fixture);
-    assert_int_equal(said->orders.fence, 9);
-    assert_int_equal(said->orders.starts_count, 0);
+    call = report_idle(fixture);
+    assert_int_equal(call->orders.fence, 9);
+    assert_int_equal(call->orders.starts_count, 0);
     talloc_free(fixture);
 }
 
