--- a/packages/member/src/difference.c
+++ b/packages/member/src/difference.c
@@ -1,8 +1,9 @@
-/* What a hello carries. Every process has all controllers: their digest tells two processes that they differ, and then
- * the answer has them all. A controller has all members: each table counts its changes, and a controller is
- * sent those after its watermark, the last change that it has taken from that table. A watermark or digest that
- * is wrong costs records that were known already, or delays them until the members themselves are heard; members
- * prove by direct contact that they are alive, so no tick but those of controllers is passed on. */
+/* Selects the records that a hello carries. Every process knows all controllers: a digest of them shows two processes
+ * that they differ, and then the answer contains all controllers. A controller knows all members: each table numbers
+ * its changes, and a controller is sent those after its watermark, which is the last change that it received from that
+ * table. A wrong watermark or digest costs records that are sent unnecessarily, or delays records until their members
+ * are heard from directly. Members prove by direct contact that they are alive, so only ticks of controllers are passed
+ * on. */
 #include "difference.h"
 
 #include <string.h>
@@ -13,11 +14,11 @@
 #include "loop/loop.h"
 #include "table.h"
 
-/* Which of the records an answer has. */
+/* Which records an answer contains. */
 typedef enum AnswerKind {
-    ANSWER_WHOLE,       /* all, also of quiet members */
-    ANSWER_ALIVE,       /* all of members that are not quiet */
-    ANSWER_CONTROLLERS, /* controllers */
+    ANSWER_WHOLE,       /* All records, including those of quiet members */
+    ANSWER_ALIVE,       /* All records of members that are not quiet */
+    ANSWER_CONTROLLERS, /* Records of controllers */
     ANSWER_NONE
 } AnswerKind;
 
@@ -32,7 +33,7 @@
     for (size_t i = 0; i < members->table->count; i++) {
         const Member *row = &members->table->rows[i];
         if (is_controller(&row->record) && !member_quiet(row, loop_now_ms(members->loop)))
-            digest += row->hash; /* a sum has no order */
+            digest += row->hash; /* A sum does not depend on the order */
     }
     return digest != 0 ? digest : 1;
 }
@@ -44,16 +45,16 @@
 
 /* --- requests -------------------------------------------------------------------- */
 
-/* Whether a controller names the member to the receiver: entry points need other entry points, which take over what
- * they keep for repair. */
-static bool sampled(const Members *members, const Member *row, const MemberRecord *receiver)
+/* True if a controller may name the member to the receiver. Entry points need other entry points, to which they hand
+ * over their repair buffers. */
+static bool may_sample(const Members *members, const Member *row, const MemberRecord *receiver)
 {
     return !is_controller(&row->record) && strcmp(row->record.id, receiver->id) != 0 &&
            (receiver->role != ROLE_ENTRY_POINT || row->record.role == ROLE_ENTRY_POINT) &&
            !member_quiet(row, loop_now_ms(members->loop));
 }
 
-/* Members drawn for the receiver's partial view. */
+/* Adds random members for the receiver's partial view. */
 static void sample_add(Members *members, void *mem, const MemberRecord *receiver, Hello *hello)
 {
     const MemberTable *table = members->table;
@@ -61,19 +62,19 @@
     const size_t first = loop_random(members->loop) % table->count;
     for (size_t i = 0; i < table->count && hello->members_count < VIEW_SAMPLE; i++) {
         const Member *row = &table->rows[(first + i) % table->count];
-        if (sampled(members, row, receiver))
+        if (may_sample(members, row, receiver))
             record_add(mem, &row->record, hello);
     }
 }
 
 void difference_ask(Members *members, void *mem, const char *address, Hello *hello)
 {
-    const Member *receiver = table_row_at(members, address);
+    const Member *receiver = table_find_address(members, address);
     if (receiver == NULL || members->self.role != ROLE_CONTROLLER)
         return;
-    hello->have = receiver->taken;
+    hello->have = receiver->watermark;
     hello->have_id = member_peer(&receiver->record).id;
-    hello->have_incarnation = receiver->taken_incarnation;
+    hello->have_incarnation = receiver->watermark_incarnation;
     if (!is_controller(&receiver->record))
         sample_add(members, mem, &receiver->record, hello);
 }
@@ -84,31 +85,34 @@
 {
     if (ask->whole)
         return ANSWER_WHOLE;
-    if (ask->digest == 0) /* an earlier release */
+    if (ask->digest == 0) /* From an earlier release */
         return ANSWER_ALIVE;
-    const bool both = is_controller(&ask->self) && members->self.role == ROLE_CONTROLLER;
-    return both || ask->digest != difference_digest(members) ? ANSWER_CONTROLLERS : ANSWER_NONE;
+    const bool both_controllers = is_controller(&ask->self) && members->self.role == ROLE_CONTROLLER;
+    return both_controllers || ask->digest != difference_digest(members) ? ANSWER_CONTROLLERS : ANSWER_NONE;
 }
 
-/* The last change of this table that the asker has taken; the largest number: it does not follow the changes. */
-static uint64_t asker_watermark(const Members *members, const Hello *ask)
+/* The last change of this table that the requester has received. UINT64_MAX if the requester does not follow the
+ * changes. */
+static uint64_t requester_watermark(const Members *members, const Hello *ask)
 {
     if (!is_controller(&ask->self))
         return UINT64_MAX;
     const PeerIdentity self = member_peer(&members->self);
-    const bool ours = ask->have_id == self.id && ask->have_incarnation == self.incarnation;
-    return ours && ask->have <= members->sequence ? ask->have : 0;
+    const bool same_process = ask->have_id == self.id && ask->have_incarnation == self.incarnation;
+    return same_process && ask->have <= members->sequence ? ask->have : 0;
 }
 
-/* Whether the record is of a process that the asker has replaced: it has to choose a higher incarnation. */
-static bool claims_asker(const MemberRecord *record, const MemberRecord *asker)
+/* True if the record is of a process that the requester has replaced: the requester has to choose a higher
+ * incarnation. */
+static bool conflicts_with_requester(const MemberRecord *record, const MemberRecord *requester)
 {
-    const bool namesake = is_controller(record) && is_controller(asker) && strcmp(record->name, asker->name) == 0;
-    return (namesake || strcmp(record->id, asker->id) == 0) && record->incarnation >= asker->incarnation &&
-           (record->incarnation > asker->incarnation || strcmp(record->id, asker->id) != 0);
+    const bool namesake =
+        is_controller(record) && is_controller(requester) && strcmp(record->name, requester->name) == 0;
+    return (namesake || strcmp(record->id, requester->id) == 0) && record->incarnation >= requester->incarnation &&
+           (record->incarnation > requester->incarnation || strcmp(record->id, requester->id) != 0);
 }
 
-static bool answered(const Members *members, const Member *row, AnswerKind kind, uint64_t watermark)
+static bool belongs_in_answer(const Members *members, const Member *row, AnswerKind kind, uint64_t watermark)
 {
     if (kind == ANSWER_WHOLE)
         return true;
@@ -122,26 +126,26 @@
 {
     const MemberTable *table = members->table;
     const AnswerKind kind = answer_kind(members, ask);
-    const uint64_t watermark = asker_watermark(members, ask);
+    const uint64_t watermark = requester_watermark(members, ask);
     hello->members = talloc_array(mem, MemberRecord, (unsigned)table->count);
     for (size_t i = 0; i < table->count; i++) {
         const Member *row = &table->rows[i];
-        if (claims_asker(&row->record, &ask->self) ||
+        if (conflicts_with_requester(&row->record, &ask->self) ||
             (!table_is_self(members, &row->record) && strcmp(row->record.id, ask->self.id) != 0 &&
-             answered(members, row, kind, watermark)))
+             belongs_in_answer(members, row, kind, watermark)))
             record_add(mem, &row->record, hello);
     }
 }
 
-void difference_taken(Members *members, const Hello *answer)
+void difference_received(Members *members, const Hello *answer)
 {
     if (members->self.role != ROLE_CONTROLLER || answer->digest == 0)
         return;
     for (size_t i = 0; i < members->table->count; i++) {
         Member *row = table_row(members, i);
         if (strcmp(row->record.id, answer->self.id) == 0) {
-            row->taken = answer->sequence;
-            row->taken_incarnation = answer->self.incarnation;
+            row->watermark = answer->sequence;
+            row->watermark_incarnation = answer->self.incarnation;
         }
     }
 }
--- a/packages/member/src/difference.h
+++ b/packages/member/src/difference.h
@@ -3,16 +3,16 @@
 
 #include "member/members.h"
 
-/* Which records a hello carries. All records are copied to mem. */
+/* Selects the records that a hello carries. All records are copied to mem. */
 
-/* Of the controllers known here that are not quiet, whatever their ticks and order; never 0. */
+/* Digest of the known controllers that are not quiet; independent of their ticks and order; never 0. */
 uint64_t difference_digest(const Members *members);
-/* A request to the address. A controller says up to which change it has the receiver's table, and names a few members
- * for the receiver's partial view; others send no records. */
+/* Fills in a request to the address. A controller gives its watermark of the receiver's table, and names a few members
+ * for the receiver's partial view; other roles send no records. */
 void difference_ask(Members *members, void *mem, const char *address, Hello *hello);
-/* An answer: what the asker lacks of what is known here. */
+/* Fills in an answer: the known records that the requester lacks. */
 void difference_answer(Members *members, void *mem, const Hello *ask, Hello *hello);
-/* The answer's records have been taken: a controller need not be sent them again. */
-void difference_taken(Members *members, const Hello *answer);
+/* Updates the watermark after the answer's records have been merged: they need not be sent to a controller again. */
+void difference_received(Members *members, const Hello *answer);
 
 #endif
--- a/packages/member/src/hello.c
+++ b/packages/member/src/hello.c
@@ -1,6 +1,6 @@
-/* The exchange of hellos: both sides send each other their own record, the cluster and the leader that they know,
- * the answer also what the asker lacks (difference.c), and merge what they hear. Nothing is taken from a
- * process of another cluster. When hellos are sent is decided in gossip.c. */
+/* The exchange of hellos. Both sides send their own record and the cluster and leader that they know; the answer also
+ * contains the records that the requester lacks (difference.c). Both sides merge what they receive. Nothing is accepted
+ * from a process of another cluster. gossip.c decides when hellos are sent. */
 #include "hello.h"
 
 #include <inttypes.h>
@@ -15,17 +15,17 @@
 #include "table.h"
 #include "wire/rpc.h"
 
-/* Which side of an exchange a hello is. */
+/* The side of an exchange that a hello comes from. */
 typedef enum HelloSide { HELLO_REQUEST, HELLO_ANSWER } HelloSide;
 
-/* Whether the hello is of another cluster than this process's; one that knows none is of any. */
+/* True if the hello is from another cluster than this process's. A process that knows no cluster belongs to any. */
 static bool other_cluster(const Members *members, const Hello *hello)
 {
-    const uint64_t mine = rpc_cluster(members->rpc);
-    return hello->cluster != 0 && mine != 0 && hello->cluster != mine;
+    const uint64_t own = rpc_cluster(members->rpc);
+    return hello->cluster != 0 && own != 0 && hello->cluster != own;
 }
 
-/* Fills in what this process says in any hello, on mem. */
+/* Fills in the part that is common to all hellos of this process, allocated on mem. */
 static void hello_begin(Members *members, void *mem, Hello *hello)
 {
     members->self.tick++;
@@ -43,11 +43,11 @@
 typedef struct HelloTask {
     Members *members;
     char address[ADDRESS_MAX];
-    int64_t wait_ms; /* before the first attempt */
+    int64_t wait_ms; /* Delay before the first attempt */
     int attempts;
 } HelloTask;
 
-static void hello_main(void *arg)
+static void hello_task_main(void *arg)
 {
     HelloTask *hello = arg;
     if (hello->wait_ms > 0)
@@ -57,45 +57,45 @@
     talloc_free(hello);
 }
 
-static HelloTask *hello_task(Members *members, const char *address)
+static HelloTask *hello_task_spawn(Members *members, const char *address)
 {
     HelloTask *hello = talloc_zero(members, HelloTask);
     hello->members = members;
     hello->attempts = 1;
     strncpy(hello->address, address, sizeof(hello->address) - 1);
-    loop_spawn(members->loop, "greet", hello_main, hello);
+    loop_spawn(members->loop, "greet", hello_task_main, hello);
     return hello;
 }
 
 void hello_spawn(Members *members, const char *address)
 {
-    hello_task(members, address);
+    hello_task_spawn(members, address);
 }
 
 void hello_spawn_repeated(Members *members, const char *address)
 {
-    hello_task(members, address)->attempts = HELLO_ATTEMPTS;
+    hello_task_spawn(members, address)->attempts = HELLO_ATTEMPTS;
 }
 
-/* A controller that is new here is contacted: by controllers at once, as a voter may be waiting for it; by the others
- * within HELLO_MS, so that hundreds that start together do not all ask in one moment. */
-static void controller_meet(Members *members, const char *address)
+/* Contacts a newly known controller: at once from a controller, since a voter may be waiting for it; within HELLO_MS
+ * from other processes, so that hundreds that start together do not all contact it at the same moment. */
+static void new_controller_contact(Members *members, const char *address)
 {
-    HelloTask *hello = hello_task(members, address);
+    HelloTask *hello = hello_task_spawn(members, address);
     if (members->self.role != ROLE_CONTROLLER)
         hello->wait_ms = (int64_t)(loop_random(members->loop) % HELLO_MS);
 }
 
-/* A record that another process passed on. */
-static void relayed_take(Members *members, const MemberRecord *record)
+/* Merges a record that another process passed on. */
+static void relayed_record_merge(Members *members, const MemberRecord *record)
 {
-    const uint64_t mine = rpc_cluster(members->rpc);
-    if (record->cluster != 0 && mine != 0 && record->cluster != mine) {
+    const uint64_t own = rpc_cluster(members->rpc);
+    if (record->cluster != 0 && own != 0 && record->cluster != own) {
         members->refused++;
         return;
     }
     if (table_merge(members, record, RECORD_RELAYED) && record->role == ROLE_CONTROLLER)
-        controller_meet(members, record->address);
+        new_controller_contact(members, record->address);
 }
 
 static void cluster_join(Members *members, uint64_t cluster)
@@ -106,34 +106,34 @@
     log_event(members->recorder, LOG_CLUSTER_JOINED, loop_now_ms(members->loop), &(LogFields){.text = name});
 }
 
-static void hello_take(Members *members, const Hello *hello, HelloSide side)
+static void hello_merge(Members *members, const Hello *hello, HelloSide side)
 {
     if (other_cluster(members, hello))
         return;
     if (rpc_cluster(members->rpc) == 0 && hello->cluster != 0)
         cluster_join(members, hello->cluster);
-    for (size_t i = 0; i < hello->members_count; i++) /* the table's bounds hold for each */
-        relayed_take(members, &hello->members[i]);
+    for (size_t i = 0; i < hello->members_count; i++) /* The bounds of the table apply to each record */
+        relayed_record_merge(members, &hello->members[i]);
     const bool added = table_merge(members, &hello->self, side == HELLO_ANSWER ? RECORD_ANSWERED : RECORD_ASKED_US);
     if (side == HELLO_REQUEST && (hello->seeks || hello->digest == 0) && members->self.role != ROLE_CONTROLLER)
-        table_pass_on(members, hello->self.id); /* this process may be a seed of it */
+        table_mark_changed(members, hello->self.id); /* This process may be a seed of the sender */
     if (hello->self.role == ROLE_CONTROLLER && hello->cluster != 0)
-        members->controller_ms = loop_now_ms(members->loop);
+        members->controller_heard_ms = loop_now_ms(members->loop);
     if (side == HELLO_ANSWER)
-        difference_taken(members, hello);
+        difference_received(members, hello);
     else if (added && hello->self.role == ROLE_CONTROLLER && members->self.role == ROLE_CONTROLLER)
-        controller_meet(members, hello->self.address);
+        new_controller_contact(members, hello->self.address);
     if (hello->leader_term > members->leader_term)
         members_set_leader(members, hello->leader_term, hello->leader_id);
 }
 
-static Status on_hello(void *arg, void *mem, const void *question, void *answer)
+static Status on_hello(void *arg, void *mem, const void *request, void *answer)
 {
     Members *members = arg;
-    const Hello *ask = question;
+    const Hello *ask = request;
     if (other_cluster(members, ask))
         return STATUS_STRANGER;
-    hello_take(members, ask, HELLO_REQUEST);
+    hello_merge(members, ask, HELLO_REQUEST);
     hello_begin(members, mem, answer);
     difference_answer(members, mem, ask, answer);
     return STATUS_OK;
@@ -153,7 +153,7 @@
     const Status status =
         rpc_ask(members->rpc, mem, address, MESSAGE_HELLO, &Hello_shape, &ask, ASK_TIMEOUT_MS, &Hello_shape, &answer);
     if (status == STATUS_OK)
-        hello_take(members, &answer, HELLO_ANSWER);
+        hello_merge(members, &answer, HELLO_ANSWER);
     talloc_free(mem);
     return status == STATUS_OK;
 }
@@ -174,8 +174,8 @@
 
 /* --- the whole table -------------------------------------------------------------- */
 
-/* Addresses of the controllers that are not quiet, on mem. */
-static size_t controllers_known(const Members *members, void *mem, const char ***addresses)
+/* Collects the addresses of the controllers that are not quiet, on mem. */
+static size_t controller_addresses(const Members *members, void *mem, const char ***addresses)
 {
     const MemberTable *table = members->table;
     size_t count = 0;
@@ -199,7 +199,7 @@
 size_t members_whole(Members *members, void *mem, const MemberRecord **records)
 {
     const char **addresses;
-    const size_t count = members->self.role == ROLE_CONTROLLER ? 0 : controllers_known(members, mem, &addresses);
+    const size_t count = members->self.role == ROLE_CONTROLLER ? 0 : controller_addresses(members, mem, &addresses);
     for (size_t i = 0; i < count; i++) {
         Hello ask = {0}, answer = {0};
         hello_begin(members, mem, &ask);
--- a/packages/member/src/inside.h
+++ b/packages/member/src/inside.h
@@ -1,8 +1,8 @@
 #ifndef MEMBER_SRC_INSIDE_H
 #define MEMBER_SRC_INSIDE_H
 
-/* The state of the package: what all its files work on. It declares no functions; each file's
- * own header does. */
+/* The state of the package, on which all its files work. No functions are declared here; each source file has its own
+ * header. */
 
 #include "base/log_event.h"
 #include "loop/loop.h"
@@ -10,35 +10,38 @@
 #include "member/record.h"
 #include "wire/rpc.h"
 
-/* The vote that this process, as a seed, has to give to a founder.
- * Invariant: it is given to one disk until that disk gives it back; for a proposal that was
- * given back it is never granted again, however late a copy of its request arrives. */
+/* The vote that this process, as a seed, has to grant to a founder. Invariant: the vote is granted to one disk until
+ * that disk gives it back; a proposal that was given back is never granted again, however late a copy of its request
+ * arrives. */
 typedef struct Vote {
-    bool mine;             /* this process has a vote to give */
-    uint64_t disk, ballot; /* the disk that it was given to, and the number of the proposal; disk 0: not given */
-    uint64_t back_disk, back_proposal; /* the last proposal that was given back */
+    bool available; /* This process has a vote to grant */
+    /* The disk that the vote is granted to, and the number of the proposal; disk 0: not granted. */
+    uint64_t disk, ballot;
+    uint64_t returned_disk, returned_ballot; /* The last proposal that was given back */
 } Vote;
 
-/* Invariants: table is never null and always has a row for this process; the incarnation of
- * self never falls; leader_term never falls. */
+/* The membership of a process. Invariants: table is never null and always has a row for this process; the incarnation
+ * of self never decreases; leader_term never decreases. */
 struct Members {
     Loop *loop;
     Rpc *rpc;
     Recorder *recorder;
     MemberRecord self;
     const char *seeds[SEEDS];
-    size_t seed_first;    /* index of the seed that is asked first */
-    size_t contact_first; /* index in the table from which on controllers are drawn, so that not all ask the same */
+    size_t first_seed; /* Index of the seed that is asked first */
+    /* Index in the table at which the choice of controllers starts, so that processes do not all ask the same ones. */
+    size_t first_contact;
     MemberTable *table;
-    size_t capacity;   /* allocated rows of table */
-    uint64_t sequence; /* of the newest change of a row beside its tick */
-    uint64_t refused;  /* records that were not taken */
+    size_t capacity;   /* Number of rows allocated in table */
+    uint64_t sequence; /* Number of the newest change of a row apart from its tick */
+    uint64_t refused;  /* Number of records that were not accepted */
     uint64_t leader_term;
     char *leader_id; /* "": none is known */
     Signal leader_changed;
-    int64_t controller_ms; /* when a controller of the cluster last asked or answered; INT64_MIN: never */
-    int64_t seek_ms;       /* since when no leader answers (members_seek_leader); INT64_MAX: one does */
-    Signal seeks;          /* raised when that begins */
+    int64_t
+        controller_heard_ms; /* When a controller of the cluster last sent a request or an answer; INT64_MIN: never */
+    int64_t seek_since_ms;   /* Since when no leader answers (members_seek_leader); INT64_MAX: one answers */
+    Signal seek_started;     /* Raised when this process starts to look for a leader */
     Vote vote;
 };
 
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -1,4 +1,4 @@
-/* The membership service of a process: its construction, its seeds, and what it says of itself. */
+/* The membership service of a process: its construction, its seeds, and its own record. */
 #include "member/members.h"
 
 #include <string.h>
@@ -22,9 +22,9 @@
     members->leader_id = talloc_strdup(members, "");
     for (int i = 0; i < SEEDS; i++)
         members->seeds[i] = talloc_strdup(members, seeds[i]);
-    members->controller_ms = INT64_MIN;
-    members->seek_ms = INT64_MAX;
-    table_begin(members);
+    members->controller_heard_ms = INT64_MIN;
+    members->seek_since_ms = INT64_MAX;
+    table_init(members);
     return members;
 }
 
@@ -37,7 +37,7 @@
 
 void members_seeds(Members *members, const char *const seeds[SEEDS])
 {
-    for (int i = 0; i < SEEDS; i++) /* the old text is not freed: a request on its way may still use it */
+    for (int i = 0; i < SEEDS; i++) /* The old text is not freed: a request in progress may still use it */
         if (strcmp(members->seeds[i], seeds[i]) != 0)
             members->seeds[i] = talloc_strdup(members, seeds[i]);
 }
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -1,6 +1,6 @@
-/* Who has been heard of lately, and how many members this process reaches. By this count the
- * quorum partition (the paper's best partition) is chosen: a leader that reaches far fewer
- * members than another voter hands the lock over (packages/replication). */
+/* Which members are quiet, and how many this process reaches. That number determines the quorum partition (the paper's
+ * best partition): a leader that reaches far fewer members than another voter hands the lock over
+ * (packages/replication). */
 #include "base/constants.h"
 #include "inside.h"
 #include "loop/loop.h"
--- a/packages/member/src/record.c
+++ b/packages/member/src/record.c
@@ -1,4 +1,4 @@
-/* The field tables of membership's messages, and the names of roles. */
+/* The field tables of the membership messages, and the names of roles. */
 #include "member/record.h"
 
 #include "wire/shape.h"
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -1,5 +1,5 @@
-/* The membership table: rows ordered by id, how they are found, and how a record is merged.
- * Of two records the one with the higher (incarnation, tick) wins, whoever passed it on. */
+/* The membership table: rows ordered by id, how they are found, and how records are merged. Of two records of a member,
+ * the one with the higher (incarnation, tick) wins, whoever passed it on. */
 #include "table.h"
 
 #include <assert.h>
@@ -14,23 +14,23 @@
 
 #define FNV_BASIS 14695981039346656037u
 #define FNV_PRIME 1099511628211u
-#define ROWS_FIRST 16 /* count; rows allocated at first, doubled when they are used up */
+#define ROWS_FIRST 16 /* Number of rows allocated at first; doubled when they are used up */
 
-static bool newer(const MemberRecord *a, const MemberRecord *b)
+static bool is_newer(const MemberRecord *a, const MemberRecord *b)
 {
     return a->incarnation > b->incarnation || (a->incarnation == b->incarnation && a->tick > b->tick);
 }
 
 /* --- rows ------------------------------------------------------------------------ */
 
-/* The rows to be written; the public table has them as const. */
-static Member *rows_of(Members *members)
+/* The writable rows; the public table has them as const. */
+static Member *writable_rows(Members *members)
 {
     return (Member *)(uintptr_t)members->table->rows;
 }
 
-/* Binary search: the index of the id's row, or where it would be inserted. */
-static size_t row_place(const Members *members, const char *id, bool *found)
+/* Binary search: the index of the row with the id, or the index at which it would be inserted. */
+static size_t row_index(const Members *members, const char *id, bool *found)
 {
     size_t low = 0, high = members->table->count;
     *found = false;
@@ -49,14 +49,14 @@
     return low;
 }
 
-/* FNV-1a of the record without its tick. */
+/* FNV-1a hash of the record without its tick. */
 static uint64_t record_hash(const MemberRecord *record)
 {
     void *mem = talloc_new(NULL);
-    MemberRecord still = *record;
-    still.tick = 0;
+    MemberRecord without_tick = *record;
+    without_tick.tick = 0;
     Bytes packed = {0};
-    shape_pack(&MemberRecord_shape, &still, mem, &packed);
+    shape_pack(&MemberRecord_shape, &without_tick, mem, &packed);
     uint64_t hash = FNV_BASIS;
     for (size_t i = 0; i < packed.count; i++)
         hash = (hash ^ (uint8_t)packed.data[i]) * FNV_PRIME;
@@ -64,31 +64,31 @@
     return hash;
 }
 
-/* The row has changed: a controller passes it on. */
-static void row_stamp(Members *members, Member *row)
+/* Marks the row as changed, so that a controller passes it on. */
+static void row_mark_changed(Members *members, Member *row)
 {
     if (members->self.role == ROLE_CONTROLLER)
         row->changed = ++members->sequence;
 }
 
-void table_pass_on(Members *members, const char *id)
+void table_mark_changed(Members *members, const char *id)
 {
     bool found;
-    const size_t at = row_place(members, id, &found);
+    const size_t at = row_index(members, id, &found);
     if (found)
-        rows_of(members)[at].changed = ++members->sequence;
+        writable_rows(members)[at].changed = ++members->sequence;
 }
 
-/* Copies the record into the row, on memory of its own. */
+/* Copies the record into the row, into memory that the row owns. */
 static void row_write(Members *members, Member *row, const MemberRecord *record)
 {
     const uint64_t hash = record_hash(record);
-    if (row->mem != NULL && hash == row->hash) { /* most hellos: nothing is copied */
+    if (row->mem != NULL && hash == row->hash) { /* The case of most hellos: nothing is copied */
         row->record.tick = record->tick;
         return;
     }
     row->hash = hash;
-    row_stamp(members, row);
+    row_mark_changed(members, row);
     void *old = row->mem;
     INVARIANT(INCARNATION_RISES, old == NULL || record->incarnation >= row->record.incarnation);
     row->mem = talloc_new(members);
@@ -102,9 +102,9 @@
     assert(at <= table->count);
     if (table->count == members->capacity) {
         members->capacity = members->capacity > 0 ? members->capacity * 2 : ROWS_FIRST;
-        table->rows = talloc_realloc(members, rows_of(members), Member, (unsigned)members->capacity);
+        table->rows = talloc_realloc(members, writable_rows(members), Member, (unsigned)members->capacity);
     }
-    Member *rows = rows_of(members);
+    Member *rows = writable_rows(members);
     memmove(&rows[at + 1], &rows[at], (table->count - at) * sizeof(*rows));
     table->count++;
     const int64_t now_ms = loop_now_ms(members->loop);
@@ -117,16 +117,16 @@
     return &rows[at];
 }
 
-static void row_drop(Members *members, size_t at)
+static void row_remove(Members *members, size_t at)
 {
-    Member *rows = rows_of(members);
+    Member *rows = writable_rows(members);
     talloc_free(rows[at].mem);
     members->table->count--;
     memmove(&rows[at], &rows[at + 1], (members->table->count - at) * sizeof(*rows));
 }
 
-/* The index of a controller with the same name and another disk; the count when there is none. */
-static size_t row_named(const Members *members, const MemberRecord *record)
+/* The index of a controller with the same name and another disk; the number of rows if there is none. */
+static size_t namesake_index(const Members *members, const MemberRecord *record)
 {
     size_t at = 0;
     while (at < members->table->count) {
@@ -145,7 +145,7 @@
 
 /* --- merging --------------------------------------------------------------------- */
 
-/* Whether the record is of this process, or of an earlier controller with its name. */
+/* True if the record is of this process, or of an earlier controller with its name. */
 static bool claims_self(const Members *members, const MemberRecord *record)
 {
     const MemberRecord *self = &members->self;
@@ -153,8 +153,8 @@
            (record->role == self->role && record->role == ROLE_CONTROLLER && strcmp(record->name, self->name) == 0);
 }
 
-/* Others remember an earlier incarnation of this process, or another disk under its name:
- * the own incarnation has to be higher than that. */
+/* Raises the own incarnation above that of the record: other members remember an earlier incarnation of this process,
+ * or another disk under its name. */
 static void self_incarnation_raise(Members *members, const MemberRecord *record)
 {
     MemberRecord *self = &members->self;
@@ -164,27 +164,27 @@
     rpc_set_self(members->rpc, member_peer(self));
 }
 
-/* A controller with a new disk replaces the row of its name. Returns false when the row there is
- * of the same or a higher incarnation: then the record is the old disk's. */
+/* Removes the row that a controller with a new disk replaces. Returns false if the row of that name has the same or a
+ * higher incarnation: then the record is the old disk's. */
 static bool namesake_replace(Members *members, const MemberRecord *record)
 {
-    const size_t other = row_named(members, record);
+    const size_t other = namesake_index(members, record);
     if (other == members->table->count)
         return true;
     if (members->table->rows[other].record.incarnation >= record->incarnation)
         return false;
-    row_drop(members, other);
+    row_remove(members, other);
     rpc_renew(members->rpc, record->address);
     return true;
 }
 
 static void row_update(Members *members, Member *row, const MemberRecord *record)
 {
-    if (!newer(record, &row->record))
+    if (!is_newer(record, &row->record))
         return;
     const int64_t now_ms = loop_now_ms(members->loop);
-    if (member_quiet(row, now_ms)) /* it was left out of answers meanwhile */
-        row_stamp(members, row);
+    if (member_quiet(row, now_ms)) /* Answers have omitted it meanwhile */
+        row_mark_changed(members, row);
     row->seen_ms = now_ms;
     if (record->incarnation > row->record.incarnation)
         rpc_renew(members->rpc, record->address);
@@ -198,7 +198,7 @@
     return row->record.role != ROLE_CONTROLLER && !table_is_self(members, &row->record);
 }
 
-/* How many members the partial view has; oldest (out): index of the one that was silent longest. */
+/* The number of members in the partial view. *oldest is set to the index of the one that has been silent longest. */
 static size_t view_count(const Members *members, size_t *oldest)
 {
     size_t count = 0;
@@ -211,7 +211,8 @@
     return count;
 }
 
-/* Whether a process that is no controller takes one more relayed member into its view: one that is quiet makes room. */
+/* True if the partial view accepts one more relayed member. If the view is full, the longest silent member is removed
+ * for it, provided that it is quiet. */
 static bool view_admits(Members *members)
 {
     size_t oldest = 0;
@@ -219,11 +220,11 @@
         return true;
     if (!member_quiet(&members->table->rows[oldest], loop_now_ms(members->loop)))
         return false;
-    row_drop(members, oldest);
+    row_remove(members, oldest);
     return true;
 }
 
-/* Whether a new row may be added for the record. */
+/* True if a new row may be added for the record. */
 static bool table_admits(Members *members, const MemberRecord *record, RecordSource source)
 {
     const bool controller = record->role == ROLE_CONTROLLER;
@@ -234,14 +235,14 @@
     return controller || source != RECORD_RELAYED || members->self.role == ROLE_CONTROLLER || view_admits(members);
 }
 
-/* Whether the row is dropped; view: how many members the partial view has. */
+/* True if the row must be removed. view: number of members in the partial view. */
 static bool row_expired(const Members *members, const Member *row, size_t view)
 {
     const int64_t now_ms = loop_now_ms(members->loop), silent_ms = now_ms - row->seen_ms;
     if (members->self.role == ROLE_CONTROLLER || !in_view(members, row))
         return silent_ms > MEMBER_FORGET_MS;
-    const int64_t asked_ms = row->direct_ms != INT64_MIN ? row->direct_ms : row->since_ms;
-    return silent_ms > VIEW_FORGET_MS || (view > VIEW_MOST && now_ms - asked_ms > ASKED_KEEP_MS);
+    const int64_t last_direct_ms = row->direct_ms != INT64_MIN ? row->direct_ms : row->since_ms;
+    return silent_ms > VIEW_FORGET_MS || (view > VIEW_MOST && now_ms - last_direct_ms > ASKED_KEEP_MS);
 }
 
 bool table_merge(Members *members, const MemberRecord *record, RecordSource source)
@@ -253,19 +254,19 @@
         return false;
     }
     bool found;
-    size_t at = row_place(members, record->id, &found);
+    size_t at = row_index(members, record->id, &found);
     if (!found && record->role == ROLE_CONTROLLER) {
         if (!namesake_replace(members, record))
             return false;
-        at = row_place(members, record->id, &found); /* a row may have been dropped before it */
+        at = row_index(members, record->id, &found); /* A row before it may have been removed */
     }
     const bool add = !found;
     if (add) {
         if (!table_admits(members, record, source))
             return false;
-        at = row_place(members, record->id, &found);
+        at = row_index(members, record->id, &found);
     }
-    Member *row = add ? row_add(members, at, record) : &rows_of(members)[at];
+    Member *row = add ? row_add(members, at, record) : &writable_rows(members)[at];
     if (!add)
         row_update(members, row, record);
     const int64_t now_ms = loop_now_ms(members->loop);
@@ -281,18 +282,18 @@
     const int64_t now_ms = loop_now_ms(members->loop);
     size_t oldest = 0, view = view_count(members, &oldest);
     for (size_t i = members->table->count; i > 0; i--) {
-        Member *row = &rows_of(members)[i - 1];
+        Member *row = &writable_rows(members)[i - 1];
         if (table_is_self(members, &row->record)) {
             row_write(members, row, &members->self);
             row->seen_ms = row->direct_ms = row->answered_ms = now_ms;
         } else if (row_expired(members, row, view)) {
             view -= in_view(members, row);
-            row_drop(members, i - 1);
+            row_remove(members, i - 1);
         }
     }
 }
 
-void table_begin(Members *members)
+void table_init(Members *members)
 {
     members->table = talloc_zero(members, MemberTable);
     Member *row = row_add(members, 0, &members->self);
@@ -309,15 +310,15 @@
 const Member *members_find(const Members *members, const char *id)
 {
     bool found;
-    const size_t at = row_place(members, id, &found);
+    const size_t at = row_index(members, id, &found);
     return found ? &members->table->rows[at] : NULL;
 }
 
-Member *table_row_at(Members *members, const char *address)
+Member *table_find_address(Members *members, const char *address)
 {
     Member *found = NULL;
     for (size_t i = 0; i < members->table->count; i++) {
-        Member *row = &rows_of(members)[i];
+        Member *row = &writable_rows(members)[i];
         if (strcmp(row->record.address, address) == 0 && !table_is_self(members, &row->record) &&
             (found == NULL || row->direct_ms > found->direct_ms))
             found = row;
@@ -327,7 +328,7 @@
 
 Member *table_row(Members *members, size_t at)
 {
-    return &rows_of(members)[at];
+    return &writable_rows(members)[at];
 }
 
 const Member *members_other_disk(const Members *members, const char *name, uint64_t disk)
--- a/packages/member/src/vote.c
+++ b/packages/member/src/vote.c
@@ -1,6 +1,6 @@
-/* The seeds' votes for the founder of a new cluster. Each seed has one vote in its lifetime, and a
- * majority of the seeds decides. All processes of a first start are given the same seeds, so two
- * majorities share a seed and at most one controller founds, whatever messages are lost. */
+/* The votes of the seeds for the founder of a new cluster. Each seed grants one vote in its lifetime, and a majority of
+ * the seeds decides. All processes of a first start are given the same seeds, so any two majorities share a seed and at
+ * most one controller founds a cluster, whatever messages are lost. */
 #include "vote.h"
 
 #include <string.h>
@@ -16,7 +16,7 @@
 
 void members_set_voter(Members *members, bool voter)
 {
-    members->vote.mine = voter;
+    members->vote.available = voter;
 }
 
 uint64_t members_lowest_empty(const Members *members)
@@ -33,26 +33,26 @@
     return lowest;
 }
 
-/* The founder gives the vote back; earlier proposals of it are not granted any more. */
+/* The founder gives the vote back; its proposals up to this one are not granted any more. */
 static void vote_return(Vote *vote, const VoteAsk *ask)
 {
     if (vote->disk == ask->disk && vote->ballot <= ask->ballot)
         vote->disk = 0;
-    vote->back_disk = ask->disk;
-    vote->back_proposal = ask->ballot;
+    vote->returned_disk = ask->disk;
+    vote->returned_ballot = ask->ballot;
 }
 
-/* Whether the seed grants what is asked. Never once it knows a cluster, nor to a proposal that was
- * given back; for the first time only to the lowest empty disk that it has heard of. */
-static bool vote_take(Members *members, const VoteAsk *ask)
+/* Decides whether the seed grants its vote. It never does once it knows a cluster, nor to a proposal that was given
+ * back; for the first time it grants only to the lowest empty disk that it has heard of. */
+static bool vote_decide(Members *members, const VoteAsk *ask)
 {
     Vote *vote = &members->vote;
     if (ask->back) {
         vote_return(vote, ask);
         return true;
     }
-    if (!vote->mine || rpc_cluster(members->rpc) != 0 || ask->disk == 0 ||
-        (ask->disk == vote->back_disk && ask->ballot <= vote->back_proposal))
+    if (!vote->available || rpc_cluster(members->rpc) != 0 || ask->disk == 0 ||
+        (ask->disk == vote->returned_disk && ask->ballot <= vote->returned_ballot))
         return false;
     const uint64_t lowest = members_lowest_empty(members);
     if (vote->disk == 0 && (lowest == 0 || ask->disk <= lowest)) {
@@ -62,10 +62,10 @@
     return vote->disk == ask->disk;
 }
 
-static Status on_vote(void *arg, void *mem, const void *question, void *answer)
+static Status on_vote(void *arg, void *mem, const void *request, void *answer)
 {
     (void)mem;
-    ((VoteAnswer *)answer)->granted = vote_take(arg, question);
+    ((VoteAnswer *)answer)->granted = vote_decide(arg, request);
     return STATUS_OK;
 }
 
@@ -76,71 +76,71 @@
 
 /* --- a founder: asking the seeds -------------------------------------------------- */
 
-/* One proposal to all seeds. users: its own task and one for each seed; the last of them to end
- * frees it. */
-typedef struct Voting {
+/* One proposal to all seeds. Reference counted: freed by the last of its users, which are the proposing task and one
+ * task for each seed. */
+typedef struct VoteProposal {
     Members *members;
     VoteAsk ask;
-    size_t users, pending, granted;
-    Signal ended;
-} Voting;
+    size_t references, pending, granted;
+    Signal answered;
+} VoteProposal;
 
-typedef struct VotePart {
-    Voting *voting;
+typedef struct VoteRequest {
+    VoteProposal *proposal;
     const char *address;
-} VotePart;
+} VoteRequest;
 
-static void voting_leave(Voting *voting)
+static void vote_proposal_release(VoteProposal *proposal)
 {
-    if (--voting->users == 0)
-        talloc_free(voting);
+    if (--proposal->references == 0)
+        talloc_free(proposal);
 }
 
-static void part_main(void *arg)
+static void vote_request_main(void *arg)
 {
-    VotePart *part = arg;
-    Voting *voting = part->voting;
-    Members *members = voting->members;
+    VoteRequest *request = arg;
+    VoteProposal *proposal = request->proposal;
+    Members *members = proposal->members;
     VoteAnswer answer = {0};
-    if (strcmp(part->address, members->self.address) == 0)
-        answer.granted = vote_take(members, &voting->ask);
-    else if (rpc_ask(members->rpc, part, part->address, MESSAGE_VOTE, &VoteAsk_shape, &voting->ask, ASK_TIMEOUT_MS,
-                     &VoteAnswer_shape, &answer) != STATUS_OK)
+    if (strcmp(request->address, members->self.address) == 0)
+        answer.granted = vote_decide(members, &proposal->ask);
+    else if (rpc_ask(members->rpc, request, request->address, MESSAGE_VOTE, &VoteAsk_shape, &proposal->ask,
+                     ASK_TIMEOUT_MS, &VoteAnswer_shape, &answer) != STATUS_OK)
         answer.granted = false;
-    voting->granted += answer.granted;
-    voting->pending--;
-    signal_raise(members->loop, &voting->ended);
-    voting_leave(voting);
-    talloc_free(part);
+    proposal->granted += answer.granted;
+    proposal->pending--;
+    signal_raise(members->loop, &proposal->answered);
+    vote_proposal_release(proposal);
+    talloc_free(request);
 }
 
-/* Whether the seed at i has no address, or that of an earlier one. */
+/* True if the seed at i has no address, or that of an earlier one. */
 static bool seed_skipped(const Members *members, int i)
 {
-    bool again = members->seeds[i] == NULL;
-    for (int k = 0; k < i && !again; k++)
-        again = members->seeds[k] != NULL && strcmp(members->seeds[k], members->seeds[i]) == 0;
-    return again;
+    bool skipped = members->seeds[i] == NULL;
+    for (int k = 0; k < i && !skipped; k++)
+        skipped = members->seeds[k] != NULL && strcmp(members->seeds[k], members->seeds[i]) == 0;
+    return skipped;
 }
 
-size_t members_votes(Members *members, uint64_t disk, uint64_t ballot, bool back, size_t *seed_count)
+size_t members_votes(Members *members, uint64_t disk, uint64_t ballot, bool give_back, size_t *seed_count)
 {
-    Voting *voting = talloc_zero(members, Voting);
-    *voting = (Voting){.members = members, .ask = {disk, ballot, back}, .users = 1};
+    VoteProposal *proposal = talloc_zero(members, VoteProposal);
+    *proposal = (VoteProposal){.members = members, .ask = {disk, ballot, give_back}, .references = 1};
     *seed_count = 0;
     for (int i = 0; i < SEEDS; i++) {
         if (seed_skipped(members, i))
             continue;
         ++*seed_count;
-        VotePart *part = talloc_zero(members, VotePart);
-        *part = (VotePart){voting, talloc_strdup(part, members->seeds[i])};
-        voting->users++;
-        voting->pending++;
-        loop_spawn(members->loop, "vote", part_main, part);
+        VoteRequest *request = talloc_zero(members, VoteRequest);
+        *request = (VoteRequest){proposal, talloc_strdup(request, members->seeds[i])};
+        proposal->references++;
+        proposal->pending++;
+        loop_spawn(members->loop, "vote", vote_request_main, request);
     }
-    while (voting->pending > 0)
-        signal_wait(members->loop, &voting->ended, INT64_MAX);
-    const size_t granted = voting->granted;
-    voting_leave(voting);
+    while (proposal->pending > 0)
+        signal_wait(members->loop, &proposal->answered, INT64_MAX);
+    const size_t granted = proposal->granted;
+    vote_proposal_release(proposal);
     return granted;
 }
--- a/packages/member/src/vote.h
+++ b/packages/member/src/vote.h
@@ -1,9 +1,10 @@
+/* The votes of seeds. */
 #ifndef MEMBER_SRC_VOTE_H
 #define MEMBER_SRC_VOTE_H
 
 #include "member/members.h"
 
-/* Answers requests for this seed's vote from now on. */
+/* Starts to answer requests for this seed's vote. */
 void vote_serve(Members *members);
 
 #endif
