--- a/packages/agent/include/agent/agent.h
+++ b/packages/agent/include/agent/agent.h
@@ -12,6 +12,7 @@
 
 #include "settings/settings.h"
 
+/* An agent process; opaque to its users. */
 typedef struct Agent Agent;
 
 /* Starts the agent's listeners and tasks; does not wait.
--- a/packages/agent/src/agent.c
+++ b/packages/agent/src/agent.c
@@ -22,7 +22,7 @@
     agent->rpc = rpc_new(agent, loop, recorder);
     Status status = rpc_listen(agent->rpc, settings->listen, agent->address, failure);
     if (status == STATUS_OK)
-        status = loop_serve(loop, settings->http, agent_http, agent, agent->http, failure);
+        status = loop_serve(loop, settings->http, agent_http_serve, agent, agent->http, failure);
     if (status != STATUS_OK)
         return status;
     const MemberRecord self = {.id = settings->name,
@@ -39,7 +39,7 @@
     end_reports_start(agent);
     isolated_start(agent);
     members_set_voter(agent->members, settings->bounds.founds == 1);
-    watch_start(agent);
+    deadlines_start(agent);
     members_start(agent->members);
     *out = agent;
     return STATUS_OK;
@@ -49,7 +49,7 @@
 {
     agent->leaving = true;
     members_set_leaving(agent->members);
-    heartbeat_now(agent);
+    heartbeat_request(agent);
     loop_sleep(agent->loop, DRAIN_MS / 3);
 }
 
--- a/packages/agent/src/answer.c
+++ b/packages/agent/src/answer.c
@@ -13,6 +13,7 @@
     return attempt != NULL && attempt->phase >= PHASE_ENDED;
 }
 
+/* True if the leader has committed at least one of the ends in the report. */
 static bool any_end_committed(Agent *agent, const WorkerReport *report)
 {
     for (size_t i = 0; i < report->ended_count; i++) {
--- a/packages/agent/src/attempts.h
+++ b/packages/agent/src/attempts.h
@@ -6,6 +6,7 @@
 
 #include "state.h"
 
+/* Creates the empty attempt table of the agent. */
 void attempts_init(Agent *agent);
 
 /* Returns null if the attempt is not in the table. */
--- a/packages/agent/src/end_reports.c
+++ b/packages/agent/src/end_reports.c
@@ -8,7 +8,8 @@
 #include "heartbeat.h"
 #include "tasks.h"
 
-static AttemptUpdate update_of(const Agent *agent, void *mem, const Attempt *attempt)
+/* An update with the current state of the attempt, allocated on mem. */
+static AttemptUpdate attempt_update(const Agent *agent, void *mem, const Attempt *attempt)
 {
     const bool done = attempt->phase >= PHASE_ENDED;
     return (AttemptUpdate){.job = talloc_strdup(mem, attempt->order.job),
@@ -31,7 +32,7 @@
     ask->updates = talloc_zero_array(mem, AttemptUpdate, (unsigned)count);
     for (const Attempt *attempt = agent->attempts.ended.first; attempt != NULL && ask->updates_count < count;
          attempt = attempt->next)
-        ask->updates[ask->updates_count++] = update_of(agent, mem, attempt);
+        ask->updates[ask->updates_count++] = attempt_update(agent, mem, attempt);
     return ask->updates_count;
 }
 
@@ -47,7 +48,7 @@
     /* A worker that has shut down is removed from the fleet once all ends of its attempts are committed; the next
      * heartbeat reports that. */
     if (agent->worker_leaving && !agent->worker_live && agent->attempts.live.count + agent->attempts.ended.count == 0)
-        heartbeat_now(agent);
+        heartbeat_request(agent);
 }
 
 /* A report in flight. Reference counted: freed by the last of its users, which are the task that sends it and the task
@@ -138,12 +139,12 @@
     AttemptList result = {talloc_zero_array(mem, AttemptUpdate, (unsigned)capacity), 0};
     for (const Attempt *attempt = attempts->live.first; attempt != NULL; attempt = attempt->next)
         if (attempt->phase != PHASE_ORDERED)
-            result.updates[result.updates_count++] = update_of(agent, mem, attempt);
+            result.updates[result.updates_count++] = attempt_update(agent, mem, attempt);
     const Attempt *firsts[] = {attempts->ended.first, attempts->committed.first};
     for (size_t i = 0; i < sizeof(firsts) / sizeof(firsts[0]); i++)
         for (const Attempt *attempt = firsts[i]; attempt != NULL; attempt = attempt->next)
             if (attempt->word == ATTEMPT_DONE)
-                result.updates[result.updates_count++] = update_of(agent, mem, attempt);
+                result.updates[result.updates_count++] = attempt_update(agent, mem, attempt);
     if (result.updates_count == 0)
         return STATUS_OK;
     list->items = talloc_zero(mem, RepairItem);
--- a/packages/agent/src/heartbeat.c
+++ b/packages/agent/src/heartbeat.c
@@ -32,7 +32,7 @@
     return true;
 }
 
-void heartbeat_now(Agent *agent)
+void heartbeat_request(Agent *agent)
 {
     agent->heartbeat_needed = true;
     signal_raise(agent->loop, members_leader_signal(agent->members));
--- a/packages/agent/src/http.c
+++ b/packages/agent/src/http.c
@@ -46,7 +46,7 @@
     return talloc_strndup(task, task->path + prefix_length, length - prefix_length - suffix_length);
 }
 
-void agent_http(void *arg, HttpTask *task)
+void agent_http_serve(void *arg, HttpTask *task)
 {
     Agent *agent = arg;
     if (strcmp(task->path, "/livez") == 0 || strcmp(task->path, "/readyz") == 0) {
--- a/packages/agent/src/orders.c
+++ b/packages/agent/src/orders.c
@@ -6,7 +6,7 @@
 
 #include "attempts.h"
 
-static bool wanted(const HeartbeatAnswer *answer, const Order *order)
+static bool is_wanted(const HeartbeatAnswer *answer, const Order *order)
 {
     for (size_t i = 0; i < answer->wanted_count; i++)
         if (attempt_is(order, answer->wanted[i].job, answer->wanted[i].task, answer->wanted[i].attempt))
@@ -56,7 +56,7 @@
 {
     for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase == PHASE_STOPPING || wanted(answer, &attempt->order))
+        if (attempt->phase == PHASE_STOPPING || is_wanted(answer, &attempt->order))
             continue;
         if (attempt->phase == PHASE_ORDERED)
             attempt_withdraw(agent, attempt, "no longer wanted");
--- a/packages/agent/src/report_json.c
+++ b/packages/agent/src/report_json.c
@@ -7,6 +7,7 @@
 #include "api/show.h"
 #include "config/check.h"
 
+/* Parses a list of attempts; with_word: each has a result. Returns their number and sets *out. */
 static size_t read_attempts(Faults *faults, json_object *object, const char *key, bool with_word,
                             const AttemptUpdate **out)
 {
@@ -48,6 +49,7 @@
     return count;
 }
 
+/* Parses a report. Returns false if faults were added. */
 static bool report_read(Faults *faults, const HttpTask *task, const char *name, WorkerReport *report)
 {
     static const char *const KEYS[] = {"boot",    "zone",  "rack",   "kind", "labels",  "room", "free", "leaving",
@@ -94,6 +96,7 @@
     return list;
 }
 
+/* Sets the result of the request to the orders, as JSON. */
 static void orders_show(HttpTask *task, const WorkerOrders *orders)
 {
     json_object *body = json_object_new_object(), *starts = json_object_new_array();
--- a/packages/agent/src/tasks.h
+++ b/packages/agent/src/tasks.h
@@ -10,8 +10,8 @@
 /* Starts to extend the lease of an isolated agent by the second survival rule (isolated.c). */
 void isolated_start(Agent *agent);
 /* Starts to act on deadlines (watch.c). */
-void watch_start(Agent *agent);
+void deadlines_start(Agent *agent);
 /* Serves the agent's HTTP endpoints; arg is the Agent (http.c). */
-void agent_http(void *arg, HttpTask *task);
+void agent_http_serve(void *arg, HttpTask *task);
 
 #endif
--- a/packages/agent/src/watch.c
+++ b/packages/agent/src/watch.c
@@ -48,7 +48,7 @@
     if (agent->worker_live && now_ms > silent_from_ms(agent)) {
         agent->worker_live = false;
         attempts_withdraw(agent, "the worker is silent"); /* What it has not been given is placed elsewhere */
-        heartbeat_now(agent);
+        heartbeat_request(agent);
     }
     /* The worker is silent, and the lease that it was given has lapsed: no attempt runs there. */
     if (agent->settled && !agent->worker_live && silent_ms > min_ms(WORKER_LOST_MS, silence_limit_ms(agent)) &&
@@ -61,7 +61,7 @@
         lease_claim_ms(min_ms(agent->settings->bounds.lease_ms, agent->settings->bounds.worker_lease_ms));
     if (!agent->settled && now_ms - agent->started_ms > earlier_ms) {
         agent->settled = true;
-        heartbeat_now(agent);
+        heartbeat_request(agent);
     }
 }
 
@@ -89,7 +89,7 @@
     return until_ms;
 }
 
-static void watch_main(void *arg)
+static void deadlines_main(void *arg)
 {
     Agent *agent = arg;
     LeaseCheck last_check = LEASE_NOT_YET_HELD;
@@ -103,7 +103,7 @@
     }
 }
 
-void watch_start(Agent *agent)
+void deadlines_start(Agent *agent)
 {
-    loop_spawn(agent->loop, "watch", watch_main, agent);
+    loop_spawn(agent->loop, "watch", deadlines_main, agent);
 }
--- a/packages/agent/src/worker.c
+++ b/packages/agent/src/worker.c
@@ -7,7 +7,7 @@
 #include "heartbeat.h"
 #include "boot.h"
 
-static bool listed(const AttemptUpdate *list, size_t count, const Order *order)
+static bool is_listed(const AttemptUpdate *list, size_t count, const Order *order)
 {
     for (size_t i = 0; i < count; i++)
         if (attempt_is(order, list[i].job, list[i].task, list[i].attempt))
@@ -15,7 +15,8 @@
     return false;
 }
 
-static Attempt *attempt_of(Agent *agent, const AttemptUpdate *update)
+/* Returns the attempt that the worker reports. Adds it to the table if it is not there. */
+static Attempt *attempt_find_or_adopt(Agent *agent, const AttemptUpdate *update)
 {
     Attempt *attempt = attempt_find(agent, update->job, update->task, update->attempt);
     if (attempt == NULL) {
@@ -29,7 +30,7 @@
 
 static void end_apply(Agent *agent, const AttemptUpdate *update)
 {
-    Attempt *attempt = attempt_of(agent, update);
+    Attempt *attempt = attempt_find_or_adopt(agent, update);
     if (attempt->phase < PHASE_ENDED) {
         if (update->saved[0] != '\0')
             attempt_running(agent, attempt, update);
@@ -50,7 +51,7 @@
 {
     const int64_t now_ms = loop_now_ms(agent->loop);
     for (size_t i = 0; i < report->running_count; i++) {
-        Attempt *attempt = attempt_of(agent, &report->running[i]);
+        Attempt *attempt = attempt_find_or_adopt(agent, &report->running[i]);
         if (attempt->phase < PHASE_ENDED)
             attempt_running(agent, attempt, &report->running[i]);
     }
@@ -58,7 +59,7 @@
         end_apply(agent, &report->ended[i]);
     for (Attempt *attempt = agent->attempts.live.first, *next; attempt != NULL; attempt = next) {
         next = attempt->next;
-        if (attempt->phase == PHASE_ORDERED || listed(report->running, report->running_count, &attempt->order))
+        if (attempt->phase == PHASE_ORDERED || is_listed(report->running, report->running_count, &attempt->order))
             continue;
         if (attempt->phase == PHASE_STOPPING)
             attempt_end(agent, attempt, ATTEMPT_STOPPED, "stopped", true);
@@ -81,7 +82,7 @@
         return;
     Resources known = report->free;
     for (const Attempt *attempt = agent->attempts.live.first; attempt != NULL; attempt = attempt->next)
-        if (listed(report->running, report->running_count, &attempt->order)) {
+        if (is_listed(report->running, report->running_count, &attempt->order)) {
             known.cpu_milli += attempt->order.resources.cpu_milli;
             known.mem_mb += attempt->order.resources.mem_mb;
             known.gpu += attempt->order.resources.gpu;
@@ -116,7 +117,7 @@
     if (leaving)
         attempts_withdraw(agent, "the worker leaves");
     if (changed)
-        heartbeat_now(agent);
+        heartbeat_request(agent);
 }
 
 /* Waits until there is something to answer the report with. Returns false if the worker no longer waits for the
--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -9,10 +9,10 @@
     ReportCall *call = report_new(fixture, "b1");
     report_send(call);
     run_for(fixture, 100);
-    assert_false(call->over);
+    assert_false(call->done);
     const Order orders[] = {order_of("j", 3, 1, "from here")};
     orders_set(fixture, orders, 1);
-    assert_true(call->over);
+    assert_true(call->done);
     assert_int_equal(call->status, STATUS_OK);
     assert_int_equal(call->orders.starts_count, 1);
     assert_string_equal(call->orders.starts[0].job, "j");
@@ -115,9 +115,9 @@
     call->report.ends_wait = true;
     report_send(call);
     run_for(fixture, 20);
-    assert_false(call->over);
+    assert_false(call->done);
     order_task(fixture, 1);
-    assert_true(call->over);
+    assert_true(call->done);
     assert_int_equal(call->orders.known_count, 1);
     assert_int_equal(call->orders.starts_count, 1);
     talloc_free(fixture);
--- a/packages/agent/test/agent_fixture.h
+++ b/packages/agent/test/agent_fixture.h
@@ -179,7 +179,7 @@
     WorkerReport report;
     WorkerOrders orders;
     Status status;
-    bool over, gone;
+    bool done, gone;
     int64_t took_ms;
 } ReportCall;
 
@@ -189,7 +189,7 @@
     const int64_t since_ms = sim_now_ms(call->fixture->world);
     call->status = agent_report(call->fixture->agent, call->fixture, &call->gone, &call->report, &call->orders);
     call->took_ms = sim_now_ms(call->fixture->world) - since_ms;
-    call->over = true;
+    call->done = true;
 }
 
 /* Creates a report by a boot of the worker; it can be changed before it is sent. */
@@ -212,9 +212,9 @@
 static inline ReportCall *report_send_and_wait(ReportCall *call)
 {
     report_send(call);
-    for (int i = 0; i < 100 && !call->over; i++)
+    for (int i = 0; i < 100 && !call->done; i++)
         run_for(call->fixture, 10);
-    assert_true(call->over);
+    assert_true(call->done);
     return call;
 }
 
--- a/packages/controller/src/agents.c
+++ b/packages/controller/src/agents.c
@@ -10,7 +10,7 @@
 #include "scheduler/attempt_progress.h"
 #include "scheduler/checkpoint.h"
 
-static bool listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t attempt)
+static bool is_listed(const HeartbeatAsk *heartbeat, const char *job, uint64_t task, uint64_t attempt)
 {
     for (size_t i = 0; i < heartbeat->attempts_count; i++)
         if (heartbeat->attempts[i].attempt == attempt && heartbeat->attempts[i].task == task &&
@@ -21,7 +21,7 @@
 
 /* True if an attempt that is to be stopped, and that its agent does not list, has ended. An order to start it may still
  * be on its way to the agent until ORDER_GONE_MS has passed or the agent has newer orders. */
-static bool stop_over(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
+static bool stop_has_ended(const Controller *controller, const HeartbeatAsk *heartbeat, const JobTask *task)
 {
     return task->phase == TASK_STOPPING &&
            (replication_clock_ms(controller->replication) - task->changed_ms > ORDER_GONE_MS ||
@@ -40,8 +40,8 @@
         const Job *job = on[i].job;
         const JobTask *task = &job->tasks[on[i].task];
         const uint64_t number = task_number(task);
-        if ((task->phase != TASK_RUNNING && !stop_over(controller, heartbeat, task)) ||
-            listed(heartbeat, job->spec.id, number, task->attempt))
+        if ((task->phase != TASK_RUNNING && !stop_has_ended(controller, heartbeat, task)) ||
+            is_listed(heartbeat, job->spec.id, number, task->attempt))
             continue;
         if (list.updates == NULL)
             list.updates = talloc_array(mem, AttemptUpdate, (unsigned)count);
--- a/packages/controller/src/alerts.c
+++ b/packages/controller/src/alerts.c
@@ -16,6 +16,7 @@
 
 #define LOSSES_TEXT_BYTES 40 /* Buffer size in bytes for two counts, as "1 of 2" */
 
+/* An alert whose cause was found by the last check. */
 typedef struct ActiveAlert {
     Alert alert;
     const char *subject;
@@ -64,7 +65,8 @@
     alert_raise_with_todo(controller, alert, subject, alert_todo(alert));
 }
 
-static void voters_check(Controller *controller)
+/* Raises the alerts about the disks of voters and learners, and about too few tolerated losses. */
+static void voter_alerts_check(Controller *controller)
 {
     ReplicationStatus replication;
     replication_status(controller->replication, &replication);
@@ -91,7 +93,8 @@
         alert_raise(controller, ALERT_LOSSES_FEW, losses_text);
 }
 
-static void workers_check(Controller *controller, void *mem)
+/* Raises the alerts about workers that are lost or that rest. */
+static void worker_alerts_check(Controller *controller, void *mem)
 {
     const int64_t now_ms = loop_now_ms(controller->loop);
     const Worker **workers;
@@ -110,7 +113,8 @@
     }
 }
 
-static void work_check(Controller *controller)
+/* Raises the alerts about protected tasks and about the plan. */
+static void task_alerts_check(Controller *controller)
 {
     Job *const *jobs;
     const size_t count = table_active(controller->table, &jobs);
@@ -142,9 +146,9 @@
     if (leads && controller->repairing)
         alert_raise(controller, ALERT_REPAIRING, "cluster");
     if (leads && !controller->repairing) {
-        voters_check(controller);
-        workers_check(controller, mem);
-        work_check(controller);
+        voter_alerts_check(controller);
+        worker_alerts_check(controller, mem);
+        task_alerts_check(controller);
         if (in_force_policy_failures(controller->in_force, &words) > 0)
             alert_raise(controller, ALERT_POLICY_FAILS, words);
         const char **zones;
@@ -176,7 +180,7 @@
     return active;
 }
 
-static int since_order(const void *a, const void *b)
+static int compare_alerts(const void *a, const void *b)
 {
     const ActiveAlert *one = *(const ActiveAlert *const *)a, *other = *(const ActiveAlert *const *)b;
     return one->since_ms != other->since_ms ? (one->since_ms < other->since_ms ? -1 : 1)
@@ -192,7 +196,7 @@
     const int64_t now_ms = loop_now_ms(controller->loop);
     for (size_t i = 0; i < count; i++)
         list[i] = map_get(controller->alerts, keys[i]);
-    qsort(list, count, sizeof(*list), since_order);
+    qsort(list, count, sizeof(*list), compare_alerts);
     json_object *body = json_object_new_array();
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_new_object();
--- a/packages/controller/src/alerts.h
+++ b/packages/controller/src/alerts.h
@@ -26,7 +26,7 @@
     X(REPAIRING, "repairing", "changes that the disks lost are being submitted again: wait, then check the disks")                     \
     X(ZONE_EMPTIED, "zone-emptied", "the zone is drained and gets no new work: end the drain when its work is done")
 
-/* The todo of worker-lost when the agent is alive but gets no response from its worker. */
+/* The todo of worker-lost when the agent is alive but hears nothing from its worker. */
 #define WORKER_SILENT_TODO "its agent lives and does not hear it: look at the worker's process"
 
 typedef enum Alert {
@@ -36,6 +36,7 @@
         ALERT_COUNT
 } Alert;
 
+/* The name of an alert in the API and in metrics; points to static storage. */
 const char *alert_word(Alert alert);
 /* Checks the causes of all alerts: raises alerts, and ends those whose cause is gone. */
 void alerts_check(Controller *controller);
--- a/packages/controller/src/attempt_updates.c
+++ b/packages/controller/src/attempt_updates.c
@@ -15,9 +15,9 @@
     size_t references;
     AttemptList list;
     size_t capacity;
-    int64_t *at_ms;   /* Arrival time of each update */
-    int64_t since_ms; /* Arrival time of the first update */
-    bool urgent;      /* Committed without delay, since a caller waits for it */
+    int64_t *arrived_ms;      /* Arrival time of each update */
+    int64_t first_arrived_ms; /* Arrival time of the first update */
+    bool urgent;              /* Committed without delay: a caller waits for it, or it was flushed */
     bool done;
     Status status;
     Signal done_signal;
@@ -27,7 +27,7 @@
 struct AttemptUpdates {
     Controller *controller;
     Batch *first, *last;
-    bool busy; /* True while a batch is being committed */
+    bool committing; /* True while a batch is being committed */
     Signal added;
 };
 
@@ -43,7 +43,7 @@
     if (updates->last == NULL || updates->last->list.updates_count >= UPDATE_MOST) {
         Batch *batch = talloc_zero(updates, Batch);
         batch->references = 1;
-        batch->since_ms = loop_now_ms(updates->controller->loop);
+        batch->first_arrived_ms = loop_now_ms(updates->controller->loop);
         if (updates->last != NULL)
             updates->last->next = batch;
         else
@@ -58,9 +58,9 @@
     if (batch->list.updates_count == batch->capacity) {
         batch->capacity = batch->capacity ? batch->capacity * 2 : 16;
         batch->list.updates = talloc_realloc(batch, batch->list.updates, AttemptUpdate, (unsigned)batch->capacity);
-        batch->at_ms = talloc_realloc(batch, batch->at_ms, int64_t, (unsigned)batch->capacity);
+        batch->arrived_ms = talloc_realloc(batch, batch->arrived_ms, int64_t, (unsigned)batch->capacity);
     }
-    batch->at_ms[batch->list.updates_count] = loop_now_ms(controller->loop);
+    batch->arrived_ms[batch->list.updates_count] = loop_now_ms(controller->loop);
     shape_copy(&AttemptUpdate_shape, one, batch, &batch->list.updates[batch->list.updates_count++]);
 }
 
@@ -97,7 +97,7 @@
 
 bool attempt_updates_idle(const Controller *controller)
 {
-    return controller->attempt_updates->first == NULL && !controller->attempt_updates->busy;
+    return controller->attempt_updates->first == NULL && !controller->attempt_updates->committing;
 }
 
 /* Used after a commit that failed. Submits again that attempts are running, since agents do not resend these
@@ -118,7 +118,7 @@
         const int64_t now_ms = loop_now_ms(controller->loop);
         const int64_t due_ms = batch == NULL   ? now_ms + UPDATE_LAZY_MS * 10
                                : batch->urgent ? now_ms
-                                               : batch->since_ms + UPDATE_LAZY_MS;
+                                               : batch->first_arrived_ms + UPDATE_LAZY_MS;
         if (now_ms < due_ms) {
             signal_wait(controller->loop, &updates->added, due_ms);
             continue;
@@ -128,12 +128,12 @@
             updates->last = NULL;
         for (size_t i = 0; i < batch->list.updates_count; i++)
             if (batch->list.updates[i].ran_ms > 0) /* ran_ms includes the time until the commit */
-                batch->list.updates[i].ran_ms += now_ms - batch->at_ms[i];
+                batch->list.updates[i].ran_ms += now_ms - batch->arrived_ms[i];
         ChangeResult result;
-        updates->busy = true;
+        updates->committing = true;
         batch->status =
             controller_submit(controller, batch, CHANGE_ATTEMPTS, &AttemptList_shape, &batch->list, &result);
-        updates->busy = false;
+        updates->committing = false;
         if (batch->status != STATUS_OK)
             running_updates_retry(controller, batch);
         batch->done = true;
--- a/packages/controller/src/controller.c
+++ b/packages/controller/src/controller.c
@@ -71,7 +71,7 @@
 }
 
 /* Creates the replicated log and the components that apply its changes. */
-static void state_new(Controller *controller)
+static void replicated_state_new(Controller *controller)
 {
     const Settings *settings = controller->settings;
     controller->rpc = rpc_new(controller, controller->loop, controller->recorder);
@@ -190,7 +190,7 @@
     controller->started_ms = loop_now_ms(loop);
     if (watch != NULL)
         controller->watch = *watch;
-    state_new(controller);
+    replicated_state_new(controller);
     const Status status = disk_and_addresses_open(controller, failure);
     if (status != STATUS_OK)
         return status;
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -48,7 +48,7 @@
     }
     if (!repair)
         controller->repairing = false;
-    orders_wake(controller);
+    orders_recheck(controller);
     scheduler_notify(controller->scheduler);
 }
 
--- a/packages/controller/src/orders.c
+++ b/packages/controller/src/orders.c
@@ -25,7 +25,7 @@
         signal_raise(controller->loop, &session->changed);
 }
 
-void orders_wake(Controller *controller)
+void orders_recheck(Controller *controller)
 {
     void *mem = talloc_new(controller);
     const char **names;
@@ -41,7 +41,7 @@
     table_orders_watch(controller->table, on_orders, controller);
 }
 
-static bool listed(const AttemptId *list, size_t count, const char *job, uint64_t task, uint64_t attempt)
+static bool is_listed(const AttemptId *list, size_t count, const char *job, uint64_t task, uint64_t attempt)
 {
     for (size_t i = 0; i < count; i++)
         if (list[i].attempt == attempt && list[i].task == task && strcmp(list[i].job, job) == 0)
@@ -66,7 +66,7 @@
         const uint64_t number = task_number(task);
         out->wanted[out->wanted_count++] = (AttemptId){id, number, task->attempt};
         if (task->phase != TASK_PLACED ||
-            listed(heartbeat->attempts, heartbeat->attempts_count, id, number, task->attempt))
+            is_listed(heartbeat->attempts, heartbeat->attempts_count, id, number, task->attempt))
             continue;
         const StepSpec *step = &job->spec.steps[task->step];
         out->starts[out->starts_count++] =
--- a/packages/controller/src/orders.h
+++ b/packages/controller/src/orders.h
@@ -18,7 +18,7 @@
 /* Subscribes to changes of orders in the state table. */
 void orders_start(Controller *controller);
 /* Makes all waiting requests check again whether they can be answered. */
-void orders_wake(Controller *controller);
+void orders_recheck(Controller *controller);
 /* Waits for at most wait_ms for newer orders than the agent has. Fills them into the answer; leaves it unchanged if
  * there are none. */
 void orders_answer(Controller *controller, void *mem, const HeartbeatAsk *heartbeat, int64_t wait_ms,
--- a/packages/controller/src/repair.c
+++ b/packages/controller/src/repair.c
@@ -90,7 +90,7 @@
     return at;
 }
 
-static int item_order(const void *a, const void *b)
+static int compare_items(const void *a, const void *b)
 {
     const RepairItem *one = a, *other = b;
     const size_t one_rank = kind_rank(one->change), other_rank = kind_rank(other->change);
@@ -237,7 +237,7 @@
     char text[LOG_TEXT_BYTES];
     snprintf(text, sizeof(text), "%zu of %zu changes told again were missing", submitted, item_count);
     log_event(controller->recorder, LOG_REPAIR_ENDED, loop_now_ms(controller->loop), &(LogFields){.text = text});
-    orders_wake(controller);
+    orders_recheck(controller);
     scheduler_notify(controller->scheduler);
 }
 
@@ -253,7 +253,7 @@
     members_query(collection);
     configs_index(collection);
     if (collection->count > 0)
-        qsort(collection->items, collection->count, sizeof(RepairItem), item_order);
+        qsort(collection->items, collection->count, sizeof(RepairItem), compare_items);
     size_t submitted = 0;
     const size_t item_count = collection->count;
     const bool ordered = missing_items_submit(collection, number, &submitted);
--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -51,6 +51,7 @@
     const Member *rows;
 } MemberTable;
 
+/* The membership of one process. */
 typedef struct Members Members;
 
 /* --- construction ------------------------------------------------------------------ */
@@ -67,9 +68,9 @@
 
 /* --- the record of this process ------------------------------------------------------- */
 
-/* The own record. Valid as long as members; its incarnation and tick increase. */
+/* The record of this process. Valid as long as members; its incarnation and tick increase. */
 const MemberRecord *members_self(const Members *members);
-/* Sets whether the own disk has never been part of a cluster. */
+/* Sets whether this process's disk has never been part of a cluster. */
 void members_set_empty(Members *members, bool empty);
 /* Graceful shutdown (the paper's "excluded"): announces to the other members that this process is leaving. */
 void members_set_leaving(Members *members);
@@ -79,8 +80,9 @@
 /* The membership table: all members in a controller; the controllers and a partial view in other processes. Valid until
  * the next wait. */
 const MemberTable *members_table(const Members *members);
-/* Waits, at most ASK_TIMEOUT_MS for each controller that is not quiet. Returns all members, including quiet ones,
- * allocated on mem: from the own table or from a controller's; from the own partial view if no controller answers. */
+/* Waits, at most ASK_TIMEOUT_MS for each controller that is not quiet. Returns the number of all members, including
+ * quiet ones, and their records, allocated on mem: from this process's table if it is a controller, otherwise from a
+ * controller's table, or from the partial view if no controller answers. */
 size_t members_whole(Members *members, void *mem, const MemberRecord **records);
 /* The number of records that were not accepted since the start, because they were of another cluster or the table was
  * full. */
@@ -111,7 +113,7 @@
  * sent to all known controllers every HELLO_MS, so that this process learns of the next leader, and a restarted leader
  * learns of this process. */
 void members_seek_leader(Members *members);
-/* Called when a leader answers. */
+/* Called when a leader answers: ends what members_seek_leader began. */
 void members_found_leader(Members *members);
 
 /* --- the leader -------------------------------------------------------------------------- */
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -153,8 +153,8 @@
            (record->role == self->role && record->role == ROLE_CONTROLLER && strcmp(record->name, self->name) == 0);
 }
 
-/* Raises the own incarnation above that of the record: other members remember an earlier incarnation of this process,
- * or another disk under its name. */
+/* Raises the incarnation of this process above that of the record: other members remember an earlier incarnation of
+ * this process, or another disk under its name. */
 static void self_incarnation_raise(Members *members, const MemberRecord *record)
 {
     MemberRecord *self = &members->self;
@@ -193,17 +193,17 @@
 
 /* --- bounds ----------------------------------------------------------------------- */
 
-static bool in_view(const Members *members, const Member *row)
+static bool in_partial_view(const Members *members, const Member *row)
 {
     return row->record.role != ROLE_CONTROLLER && !table_is_self(members, &row->record);
 }
 
 /* The number of members in the partial view. *oldest is set to the index of the one that has been silent longest. */
-static size_t view_count(const Members *members, size_t *oldest)
+static size_t partial_view_count(const Members *members, size_t *oldest)
 {
     size_t count = 0;
     for (size_t i = 0; i < members->table->count; i++)
-        if (in_view(members, &members->table->rows[i])) {
+        if (in_partial_view(members, &members->table->rows[i])) {
             if (count == 0 || members->table->rows[i].seen_ms < members->table->rows[*oldest].seen_ms)
                 *oldest = i;
             count++;
@@ -213,10 +213,10 @@
 
 /* True if the partial view accepts one more relayed member. If the view is full, the longest silent member is removed
  * for it, provided that it is quiet. */
-static bool view_admits(Members *members)
+static bool partial_view_admits(Members *members)
 {
     size_t oldest = 0;
-    if (view_count(members, &oldest) < VIEW_MOST)
+    if (partial_view_count(members, &oldest) < VIEW_MOST)
         return true;
     if (!member_quiet(&members->table->rows[oldest], loop_now_ms(members->loop)))
         return false;
@@ -232,14 +232,15 @@
         members->refused++;
         return false;
     }
-    return controller || source != RECORD_RELAYED || members->self.role == ROLE_CONTROLLER || view_admits(members);
+    return controller || source != RECORD_RELAYED || members->self.role == ROLE_CONTROLLER ||
+           partial_view_admits(members);
 }
 
 /* True if the row must be removed. view: number of members in the partial view. */
 static bool row_expired(const Members *members, const Member *row, size_t view)
 {
     const int64_t now_ms = loop_now_ms(members->loop), silent_ms = now_ms - row->seen_ms;
-    if (members->self.role == ROLE_CONTROLLER || !in_view(members, row))
+    if (members->self.role == ROLE_CONTROLLER || !in_partial_view(members, row))
         return silent_ms > MEMBER_FORGET_MS;
     const int64_t last_direct_ms = row->direct_ms != INT64_MIN ? row->direct_ms : row->since_ms;
     return silent_ms > VIEW_FORGET_MS || (view > VIEW_MOST && now_ms - last_direct_ms > ASKED_KEEP_MS);
@@ -280,14 +281,14 @@
 void table_refresh(Members *members)
 {
     const int64_t now_ms = loop_now_ms(members->loop);
-    size_t oldest = 0, view = view_count(members, &oldest);
+    size_t oldest = 0, view = partial_view_count(members, &oldest);
     for (size_t i = members->table->count; i > 0; i--) {
         Member *row = &writable_rows(members)[i - 1];
         if (table_is_self(members, &row->record)) {
             row_write(members, row, &members->self);
             row->seen_ms = row->direct_ms = row->answered_ms = now_ms;
         } else if (row_expired(members, row, view)) {
-            view -= in_view(members, row);
+            view -= in_partial_view(members, row);
             row_remove(members, i - 1);
         }
     }
--- a/packages/member/src/table.h
+++ b/packages/member/src/table.h
@@ -15,7 +15,7 @@
 void table_init(Members *members);
 /* Merges a record: the higher (incarnation, tick) wins. Ignores malformed records. Also ignores new records once the
  * table is full, which is counted, and relayed records that do not fit into the partial view. A record that claims to
- * be of this process raises the own incarnation instead. Returns true if a row was added. */
+ * be of this process raises the incarnation of this process instead. Returns true if a row was added. */
 bool table_merge(Members *members, const MemberRecord *record, RecordSource source);
 /* Updates the row of this process, and removes rows of members that were not heard of for MEMBER_FORGET_MS. */
 void table_refresh(Members *members);
