--- a/packages/agent/test/agent.c
+++ b/packages/agent/test/agent.c
@@ -1,7 +1,7 @@
 /* Tests of orders: how they reach the worker, are given again and are withdrawn, and how long answers are delayed. */
 #include "agent_fixture.h"
 
-static void order_reaches_a_question_that_waits(void **state)
+static void order_reaches_a_waiting_report(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_reported(3000, 3000);
@@ -57,7 +57,7 @@
 
 /* Guards against a restarted agent that withdraws an attempt which the previous agent process gave to the worker: the
  * leader orders it again, and the worker may be running it. */
-static void earlier_agents_attempt_is_not_taken_back(void **state)
+static void earlier_agents_attempt_is_not_withdrawn(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_given(5000, 5000);
@@ -141,12 +141,9 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(order_reaches_a_question_that_waits),
-        cmocka_unit_test(answer_that_was_lost_is_given_again),
-        cmocka_unit_test(what_is_not_wanted_is_stopped),
-        cmocka_unit_test(earlier_agents_attempt_is_not_taken_back),
-        cmocka_unit_test(late_and_repeated_reports),
-        cmocka_unit_test(ends_that_wait_are_not_held_back_long),
+        cmocka_unit_test(order_reaches_a_waiting_report), cmocka_unit_test(answer_that_was_lost_is_given_again),
+        cmocka_unit_test(what_is_not_wanted_is_stopped),  cmocka_unit_test(earlier_agents_attempt_is_not_withdrawn),
+        cmocka_unit_test(late_and_repeated_reports),      cmocka_unit_test(ends_that_wait_are_not_held_back_long),
         cmocka_unit_test(idle_agent_says_little),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/packages/agent/test/agent_ends.c
+++ b/packages/agent/test/agent_ends.c
@@ -2,7 +2,7 @@
  * leader. */
 #include "agent_fixture.h"
 
-static void saved_travels_once_and_again_to_a_new_leader(void **state)
+static void checkpoint_is_sent_once_and_again_to_a_new_leader(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_given(3000, 3000);
@@ -95,7 +95,7 @@
 int main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(saved_travels_once_and_again_to_a_new_leader),
+        cmocka_unit_test(checkpoint_is_sent_once_and_again_to_a_new_leader),
         cmocka_unit_test(end_is_reported_to_the_next_leader_at_once),
         cmocka_unit_test(end_is_known_only_when_committed),
         cmocka_unit_test(five_hundred_ends_at_once),
--- a/packages/agent/test/agent_lease.c
+++ b/packages/agent/test/agent_lease.c
@@ -35,7 +35,7 @@
     talloc_free(fixture);
 }
 
-static void new_boot_ends_claims(void **state)
+static void new_boot_ends_attempts_of_the_old(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_reported(5000, 5000);
@@ -60,7 +60,7 @@
     talloc_free(fixture);
 }
 
-static void unvouched_boot_waits_for_the_lease(void **state)
+static void boot_without_proof_waits_for_the_lease(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_reported(3000, 3000);
@@ -100,7 +100,7 @@
     talloc_free(fixture);
 }
 
-static void left_worker_is_over(void **state)
+static void left_worker_has_no_attempts(void **state)
 {
     (void)state;
     AgentFixture *fixture = fixture_given(5000, 5000);
@@ -187,10 +187,10 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(lease_is_passed_on_less_two_percent),
         cmocka_unit_test(lapsed_agent_grants_nothing),
-        cmocka_unit_test(new_boot_ends_claims),
-        cmocka_unit_test(unvouched_boot_waits_for_the_lease),
+        cmocka_unit_test(new_boot_ends_attempts_of_the_old),
+        cmocka_unit_test(boot_without_proof_waits_for_the_lease),
         cmocka_unit_test(leaving_worker_is_given_nothing),
-        cmocka_unit_test(left_worker_is_over),
+        cmocka_unit_test(left_worker_has_no_attempts),
         cmocka_unit_test(silent_worker_has_lost_its_attempts_when_its_lease_is_over),
         cmocka_unit_test(silence_is_noticed_by_what_is_usual),
         cmocka_unit_test(fence_never_falls),
--- a/packages/controller/src/log_events.c
+++ b/packages/controller/src/log_events.c
@@ -34,7 +34,7 @@
 void log_opened(void *arg, uint64_t term, bool new_holder, bool repair)
 {
     Controller *controller = arg;
-    trace_say(controller->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened anew", "view:%" PRIu64,
+    trace_say(controller->trace, TRACE_OPENED, new_holder ? "the lock was won" : "opened again", "view:%" PRIu64,
               term_counter(term));
     if (new_holder)
         leadership_begin(controller);
