--- a/packages/member/include/member/members.h
+++ b/packages/member/include/member/members.h
@@ -30,17 +30,17 @@
 /* One row of the membership table. */
 typedef struct Member {
     MemberRecord record;
-    int64_t seen_ms;     /* When its (incarnation, tick) last rose, whoever sent the record */
-    int64_t direct_ms;   /* When it last sent a hello or an answer directly to this process; INT64_MIN: never */
-    int64_t answered_ms; /* When it last answered this process, so that both directions work; INT64_MIN: never */
-    int64_t since_ms;    /* When the row was created */
-    void *mem;           /* talloc parent of what the record points to */
+    int64_t seen_ms;        /* When its (incarnation, tick) last rose, whoever sent the record */
+    int64_t direct_ms;      /* When it last sent a hello or an answer directly to this process; INT64_MIN: never */
+    int64_t last_answer_ms; /* When it last answered this process, so that both directions work; INT64_MIN: never */
+    int64_t row_added_ms;   /* When the row was created */
+    void *mem;              /* talloc parent of what the record points to */
     /* Used only by the exchange of hellos */
     uint64_t hash;                  /* Hash of the record without its tick */
-    uint64_t changed;               /* The table's sequence number when the record, apart from its tick, last changed */
+    uint64_t changed_sequence;      /* The table's sequence number when the record, apart from its tick, last changed */
     uint64_t watermark;             /* Controllers: this member's changes were received up to this sequence number */
     uint64_t watermark_incarnation; /* The incarnation of the member that the watermark refers to */
-    int64_t contact_ms;             /* Controllers: when the member is contacted next */
+    int64_t next_contact_ms;        /* Controllers: when the member is contacted next */
 } Member;
 
 /* The membership table. Invariants: rows are ordered by id, and ids are unique; the incarnation of a row never
--- a/packages/member/src/difference.c
+++ b/packages/member/src/difference.c
@@ -19,7 +19,7 @@
     ANSWER_WHOLE,       /* All records, including those of quiet members */
     ANSWER_ALIVE,       /* All records of members that are not quiet */
     ANSWER_CONTROLLERS, /* Records of controllers */
-    ANSWER_NONE
+    ANSWER_NONE         /* Only what changed after the requester's watermark */
 } AnswerKind;
 
 static bool is_controller(const MemberRecord *record)
@@ -118,7 +118,7 @@
         return true;
     if (member_quiet(row, loop_now_ms(members->loop)))
         return false;
-    return kind == ANSWER_ALIVE || row->changed > watermark ||
+    return kind == ANSWER_ALIVE || row->changed_sequence > watermark ||
            (kind == ANSWER_CONTROLLERS && is_controller(&row->record));
 }
 
--- a/packages/member/src/difference.h
+++ b/packages/member/src/difference.h
@@ -12,7 +12,7 @@
 void difference_ask(Members *members, void *mem, const char *address, Hello *hello);
 /* Fills in an answer: the known records that the requester lacks. */
 void difference_answer(Members *members, void *mem, const Hello *ask, Hello *hello);
-/* Updates the watermark after the answer's records have been merged: they need not be sent to a controller again. */
+/* Updates the watermark after the answer's records have been merged, so that this controller is not sent them again. */
 void difference_received(Members *members, const Hello *answer);
 
 #endif
--- a/packages/member/src/gossip.c
+++ b/packages/member/src/gossip.c
@@ -84,8 +84,8 @@
     }
 }
 
-/* Asks the seeds one after another, starting with a random one: if it answers, a controller is found before the next is
- * asked. */
+/* Task of other processes for one seed. The seeds are asked one after another, starting with a random one: if that one
+ * answers, a controller is found before the next seed is asked. */
 static void other_seed_main(void *arg)
 {
     const SeedTask *seed = arg;
@@ -105,7 +105,7 @@
 
 /* The time after now_ms at which the member is contacted next. Quiet members are contacted too, so that they are found
  * again when a network partition heals. */
-static int64_t contact_next_ms(const Member *row, int64_t now_ms)
+static int64_t contact_due_ms(const Member *row, int64_t now_ms)
 {
     const bool gone = now_ms - row->seen_ms > QUIET_CONTACT_MS;
     return now_ms + (gone ? QUIET_CONTACT_PART * REACH_MS : REACH_MS - CONTACT_EARLY_MS);
@@ -120,9 +120,9 @@
         const int64_t now_ms = loop_now_ms(members->loop);
         for (size_t i = 0; i < members->table->count; i++) {
             Member *row = table_row(members, i);
-            if (table_is_self(members, &row->record) || row->contact_ms > now_ms)
+            if (table_is_self(members, &row->record) || row->next_contact_ms > now_ms)
                 continue;
-            row->contact_ms = contact_next_ms(row, now_ms);
+            row->next_contact_ms = contact_due_ms(row, now_ms);
             if (member_quiet(row, now_ms))
                 hello_spawn(members, row->record.address);
             else
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -16,8 +16,8 @@
     const int64_t now_ms = loop_now_ms(members->loop);
     size_t count = 0;
     for (size_t i = 0; i < members->table->count; i++)
-        if (members->table->rows[i].answered_ms != INT64_MIN &&
-            now_ms - members->table->rows[i].answered_ms < MEMBER_QUIET_MS)
+        if (members->table->rows[i].last_answer_ms != INT64_MIN &&
+            now_ms - members->table->rows[i].last_answer_ms < MEMBER_QUIET_MS)
             count++;
     return count;
 }
--- a/packages/member/src/table.c
+++ b/packages/member/src/table.c
@@ -68,7 +68,7 @@
 static void row_mark_changed(Members *members, Member *row)
 {
     if (members->self.role == ROLE_CONTROLLER)
-        row->changed = ++members->sequence;
+        row->changed_sequence = ++members->sequence;
 }
 
 void table_mark_changed(Members *members, const char *id)
@@ -76,7 +76,7 @@
     bool found;
     const size_t at = row_index(members, id, &found);
     if (found)
-        writable_rows(members)[at].changed = ++members->sequence;
+        writable_rows(members)[at].changed_sequence = ++members->sequence;
 }
 
 /* Copies the record into the row, into memory that the row owns. */
@@ -110,9 +110,9 @@
     const int64_t now_ms = loop_now_ms(members->loop);
     rows[at] = (Member){.seen_ms = now_ms,
                         .direct_ms = INT64_MIN,
-                        .answered_ms = INT64_MIN,
-                        .since_ms = now_ms,
-                        .contact_ms = now_ms + (int64_t)(loop_random(members->loop) % REACH_MS)};
+                        .last_answer_ms = INT64_MIN,
+                        .row_added_ms = now_ms,
+                        .next_contact_ms = now_ms + (int64_t)(loop_random(members->loop) % REACH_MS)};
     row_write(members, &rows[at], record);
     return &rows[at];
 }
@@ -236,13 +236,15 @@
            partial_view_admits(members);
 }
 
-/* True if the row must be removed. view: number of members in the partial view. */
+/* True if the row must be removed: nothing was heard of the member for MEMBER_FORGET_MS or, in the partial view, for
+ * VIEW_FORGET_MS; or the partial view has more than VIEW_MOST members and this one has not been in direct contact for
+ * ASKED_KEEP_MS. view: number of members in the partial view. */
 static bool row_expired(const Members *members, const Member *row, size_t view)
 {
     const int64_t now_ms = loop_now_ms(members->loop), silent_ms = now_ms - row->seen_ms;
     if (members->self.role == ROLE_CONTROLLER || !in_partial_view(members, row))
         return silent_ms > MEMBER_FORGET_MS;
-    const int64_t last_direct_ms = row->direct_ms != INT64_MIN ? row->direct_ms : row->since_ms;
+    const int64_t last_direct_ms = row->direct_ms != INT64_MIN ? row->direct_ms : row->row_added_ms;
     return silent_ms > VIEW_FORGET_MS || (view > VIEW_MOST && now_ms - last_direct_ms > ASKED_KEEP_MS);
 }
 
@@ -274,7 +276,7 @@
     if (source != RECORD_RELAYED)
         row->direct_ms = now_ms;
     if (source == RECORD_ANSWERED)
-        row->answered_ms = now_ms;
+        row->last_answer_ms = now_ms;
     return add;
 }
 
@@ -286,7 +288,7 @@
         Member *row = &writable_rows(members)[i - 1];
         if (table_is_self(members, &row->record)) {
             row_write(members, row, &members->self);
-            row->seen_ms = row->direct_ms = row->answered_ms = now_ms;
+            row->seen_ms = row->direct_ms = row->last_answer_ms = now_ms;
         } else if (row_expired(members, row, view)) {
             view -= in_partial_view(members, row);
             row_remove(members, i - 1);
@@ -298,7 +300,7 @@
 {
     members->table = talloc_zero(members, MemberTable);
     Member *row = row_add(members, 0, &members->self);
-    row->direct_ms = row->answered_ms = row->seen_ms;
+    row->direct_ms = row->last_answer_ms = row->seen_ms;
 }
 
 /* --- looking up ------------------------------------------------------------------ */
--- a/packages/member/src/table.h
+++ b/packages/member/src/table.h
@@ -17,7 +17,8 @@
  * table is full, which is counted, and relayed records that do not fit into the partial view. A record that claims to
  * be of this process raises the incarnation of this process instead. Returns true if a row was added. */
 bool table_merge(Members *members, const MemberRecord *record, RecordSource source);
-/* Updates the row of this process, and removes rows of members that were not heard of for MEMBER_FORGET_MS. */
+/* Updates the row of this process, and removes the rows of members that have been silent too long or exceed the partial
+ * view. */
 void table_refresh(Members *members);
 /* Marks the member's record as changed, so that controllers receive it again. */
 void table_mark_changed(Members *members, const char *id);
