--- a/packages/adapter/src/adapter.c
+++ b/packages/adapter/src/adapter.c
@@ -1,4 +1,4 @@
-/* Finding a protocol adapter, and the calls from it into the process that it serves. */
+/* Finds protocol adapters, and passes their calls to the process that they serve. */
 #include "adapter/adapter.h"
 
 #include <assert.h>
@@ -17,11 +17,11 @@
     return node->entry_point != NULL && entry_point_redirect(node->entry_point, task, carried, leader);
 }
 
-void adapter_take(const AdapterNode *node, HttpTask *task)
+void adapter_handle_request(const AdapterNode *node, HttpTask *task)
 {
     assert(node->controller != NULL || node->entry_point != NULL);
     if (node->controller != NULL)
-        controller_take(node->controller, task);
+        controller_handle_request(node->controller, task);
     else
         entry_point_handle_request(node->entry_point, task);
 }
--- a/packages/controller/src/leader.c
+++ b/packages/controller/src/leader.c
@@ -1,17 +1,17 @@
-/* Whether this node leads, and what it may do then. */
+/* Whether this node leads, and what it may do as leader. */
 #include "leader.h"
 
 #include <talloc.h>
 
 #include "heartbeat/lease.h"
 
-bool controller_decides(Controller *controller)
+bool controller_may_decide(Controller *controller)
 {
     if (!replication_leading(controller->replication) || controller->repairing)
         return false;
-    if (controller->watch.plans != NULL)
-        controller->watch.plans(controller->watch.arg, controller->settings->name,
-                                replication_led_term(controller->replication));
+    if (controller->watch.on_decision != NULL)
+        controller->watch.on_decision(controller->watch.arg, controller->settings->name,
+                                      replication_led_term(controller->replication));
     return true;
 }
 
--- a/packages/entry_point/include/entry_point/entry_point.h
+++ b/packages/entry_point/include/entry_point/entry_point.h
@@ -14,7 +14,7 @@
 Status entry_point_start(void *mem, Loop *loop, Recorder *recorder, const Settings *settings, EntryPoint **entry_point,
                          Failure *failure);
 /* Suspends the coroutine, until the task's deadline at most. Fills in the task's result: requests that concern this
- * process are answered here, all others by the leader. The counterpart of controller_take. */
+ * process are answered here, all others by the leader. The counterpart of controller_handle_request. */
 void entry_point_handle_request(EntryPoint *entry_point, HttpTask *task);
 
 /* The part of an exchange that may contain a configuration. */
--- a/packages/entry_point/src/entry_point.c
+++ b/packages/entry_point/src/entry_point.c
@@ -94,7 +94,7 @@
         !(in_result && config_watch_size(entry_point->config_watch) > CONFIG_LARGE_BYTES))
         return false;
     const HttpTask *query = query_leader_ready(entry_point, task);
-    const Member *member = members_find(entry_point->members, members_leader_id(entry_point->members));
+    const Member *member = members_find_id(entry_point->members, members_leader_id(entry_point->members));
     const bool known = member != NULL && strchr(member->record.http, ':') != NULL;
     if (query->code == 200 && !known)
         return false;
@@ -239,5 +239,5 @@
 
 void entry_point_set_seeds(EntryPoint *entry_point, const char *const seeds[SEEDS])
 {
-    members_seeds(entry_point->members, seeds);
+    members_set_seeds(entry_point->members, seeds);
 }
--- a/packages/member/src/members.c
+++ b/packages/member/src/members.c
@@ -1,4 +1,4 @@
-/* The membership service of a process: its construction, its seeds, and what it says of itself. */
+/* The membership service of a process: its construction, its seeds, and its own record. */
 #include "member/members.h"
 
 #include <string.h>
@@ -6,7 +6,7 @@
 
 #include "gossip.h"
 #include "hello.h"
-#include "inside.h"
+#include "state.h"
 #include "table.h"
 #include "vote.h"
 
@@ -22,9 +22,9 @@
     members->leader_id = talloc_strdup(members, "");
     for (int i = 0; i < SEEDS; i++)
         members->seeds[i] = talloc_strdup(members, seeds[i]);
-    members->controller_ms = INT64_MIN;
-    members->seek_ms = INT64_MAX;
-    table_begin(members);
+    members->controller_heard_ms = INT64_MIN;
+    members->seek_since_ms = INT64_MAX;
+    table_init(members);
     return members;
 }
 
@@ -35,9 +35,9 @@
     gossip_start(members);
 }
 
-void members_seeds(Members *members, const char *const seeds[SEEDS])
+void members_set_seeds(Members *members, const char *const seeds[SEEDS])
 {
-    for (int i = 0; i < SEEDS; i++) /* the old text is not freed: a request on its way may still use it */
+    for (int i = 0; i < SEEDS; i++) /* The old text is not freed: a request in progress may still use it */
         if (strcmp(members->seeds[i], seeds[i]) != 0)
             members->seeds[i] = talloc_strdup(members, seeds[i]);
 }
@@ -57,7 +57,7 @@
     members->self.leaving = true;
 }
 
-uint64_t members_refused(const Members *members)
+uint64_t members_refused_count(const Members *members)
 {
     return members->refused;
 }
--- a/packages/member/src/reach.c
+++ b/packages/member/src/reach.c
@@ -1,14 +1,14 @@
-/* Who has been heard of lately, and how many members this process reaches. By this count the
- * quorum partition (the paper's best partition) is chosen: a leader that reaches far fewer
- * members than another voter hands the lock over (packages/replication). */
+/* Which members are quiet, and how many this process reaches. That number determines the quorum partition (the paper's
+ * best partition): a leader that reaches far fewer members than another voter hands the lock over
+ * (packages/replication). */
 #include "base/constants.h"
-#include "inside.h"
+#include "state.h"
 #include "loop/loop.h"
 #include "member/members.h"
 
 bool member_quiet(const Member *member, int64_t now_ms)
 {
-    return now_ms - member->seen_ms > MEMBER_QUIET_MS;
+    return now_ms - member->newest_record_ms > MEMBER_QUIET_MS;
 }
 
 size_t members_reach(const Members *members)
@@ -16,8 +16,8 @@
     const int64_t now_ms = loop_now_ms(members->loop);
     size_t count = 0;
     for (size_t i = 0; i < members->table->count; i++)
-        if (members->table->rows[i].answered_ms != INT64_MIN &&
-            now_ms - members->table->rows[i].answered_ms < MEMBER_QUIET_MS)
+        if (members->table->rows[i].last_answer_ms != INT64_MIN &&
+            now_ms - members->table->rows[i].last_answer_ms < MEMBER_QUIET_MS)
             count++;
     return count;
 }
--- a/packages/model/src/topology.h
+++ b/packages/model/src/topology.h
@@ -27,7 +27,7 @@
     uint64_t life;
     int64_t fault_ms;
     int faults; /* faults that last now */
-    AdapterPlace place;
+    AdapterSettings place;
     AdapterNode node;
     Recorder *recorder;
     void *mem;            /* of the process that runs */
--- a/packages/model/src/topology_node.c
+++ b/packages/model/src/topology_node.c
@@ -74,7 +74,7 @@
     Topology *topology = node->topology;
     Failure failure = {0};
     Loop *loop = sim_loop(topology->world, node->machine);
-    const ControllerWatch watch = {node, on_plans};
+    const ControllerObserver watch = {node, on_plans};
     const Settings *settings = &node->place.settings;
     node->node = (AdapterNode){.loop = loop, .recorder = node->recorder, .place = &node->place};
     recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
--- a/packages/replication/src/found.c
+++ b/packages/replication/src/found.c
@@ -66,20 +66,20 @@
     Replication *replication = arg;
     Members *members = replication->settings.members;
     const int64_t from_ms = loop_now_ms(replication->loop) + VOTE_WAIT_MS;
-    uint64_t proposal = 1; /* its number, see members_votes */
+    uint64_t proposal = 1; /* its number, see members_request_votes */
     bool stands = false;
     while (!loop_stopping(replication->loop) && !replication_founded(replication) &&
            rpc_cluster(replication->settings.rpc) == 0) {
         loop_sleep(replication->loop, VOTE_WAIT_MS / VOTE_CHECK_PART);
         size_t seeds;
-        if (members_lowest_empty(members) != replication->disk) {
-            if (stands && members_votes(members, replication->disk, proposal, true, &seeds) == seeds) {
+        if (members_lowest_empty_disk(members) != replication->disk) {
+            if (stands && members_request_votes(members, replication->disk, proposal, true, &seeds) == seeds) {
                 stands = false;
                 proposal++;
             }
         } else if (loop_now_ms(replication->loop) >= from_ms) {
             stands = true;
-            const size_t granted = members_votes(members, replication->disk, proposal, false, &seeds);
+            const size_t granted = members_request_votes(members, replication->disk, proposal, false, &seeds);
             if (granted < seeds / 2 + 1 || rpc_cluster(replication->settings.rpc) != 0)
                 continue;
             const uint64_t cluster = loop_random(replication->loop) | 1;
@@ -105,7 +105,7 @@
             return false;
         if (row->record.role != ROLE_CONTROLLER || member_quiet(row, now_ms))
             continue;
-        if (!row->record.empty || row->direct_ms == INT64_MIN || count == VOTER_FIRST)
+        if (!row->record.empty || row->last_direct_contact_ms == INT64_MIN || count == VOTER_FIRST)
             return false;
         disks[count++] = row->record.disk;
     }
--- a/packages/routing/src/leader_route_state.c
+++ b/packages/routing/src/leader_route_state.c
@@ -128,7 +128,7 @@
     ForwardAnswer answer = {0};
     const Status status = hop_request(leader_route->rpc, mem, hop, NULL, &ask, wait_ms, &answer);
     if (status == STATUS_OTHER_PEER || status == STATUS_OTHER_LIFE)
-        members_meet(leader_route->members, hop->address);
+        members_contact(leader_route->members, hop->address);
     else if (status != STATUS_OK)
         leader_route_learn_leader(leader_route, &answer);
     *serves = status == STATUS_OK && answer.code == HTTP_OK;
--- a/packages/sim/src/fleet.c
+++ b/packages/sim/src/fleet.c
@@ -146,7 +146,7 @@
     Loop *loop = sim_loop(node->fleet->world, node->machine);
     Failure failure = {0};
     Status status = STATUS_OK;
-    const ControllerWatch watch = fleet_controller_watch(node);
+    const ControllerObserver watch = fleet_controller_watch(node);
     recorder_set_place(node->recorder, NULL, NULL); /* the flight recorder outlives the process */
     switch (node->role) {
     case FLEET_CONTROLLER:
--- a/packages/sim/src/fleet.h
+++ b/packages/sim/src/fleet.h
@@ -4,7 +4,7 @@
 #include "sim/fleet.h"
 
 /* The callbacks by which a node or caller tells the fleet's checker what happens. */
-ControllerWatch fleet_controller_watch(FleetNode *node);
+ControllerObserver fleet_controller_watch(FleetNode *node);
 StandWorkerWatch fleet_worker_watch(FleetNode *node);
 CallerWatch fleet_caller_watch(Fleet *fleet);
 
--- a/packages/sim/src/fleet_watch.c
+++ b/packages/sim/src/fleet_watch.c
@@ -75,9 +75,9 @@
     checker_cancelled(((Fleet *)arg)->checker, id);
 }
 
-ControllerWatch fleet_controller_watch(FleetNode *node)
+ControllerObserver fleet_controller_watch(FleetNode *node)
 {
-    return (ControllerWatch){node, on_plans};
+    return (ControllerObserver){node, on_plans};
 }
 
 StandWorkerWatch fleet_worker_watch(FleetNode *node)
--- a/packages/sim/test/leader_paths.c
+++ b/packages/sim/test/leader_paths.c
@@ -44,7 +44,7 @@
     const int64_t from_ms = loop_now_ms(loop);
     inside_request->task->timeout_ms += inside_request->task->timeout_ms > 0 ? from_ms : 0;
     if (inside_request->node->controller != NULL)
-        controller_take(inside_request->node->controller, inside_request->task);
+        controller_handle_request(inside_request->node->controller, inside_request->task);
     else
         entry_point_handle_request(inside_request->node->entry_point, inside_request->task);
     inside_request->took_ms = loop_now_ms(loop) - from_ms;
--- a/packages/sim/test/member_bounds.c
+++ b/packages/sim/test/member_bounds.c
@@ -150,8 +150,8 @@
     Asker *asker = asker_new(crowd);
     records_name(asker, 2, ROLE_AGENT, OTHER_CLUSTER);
     ask(asker);
-    assert_null(members_find(crowd->nodes[0].members, "named-0000"));
-    assert_int_equal(members_refused(crowd->nodes[0].members), 2);
+    assert_null(members_find_id(crowd->nodes[0].members, "named-0000"));
+    assert_int_equal(members_refused_count(crowd->nodes[0].members), 2);
     all_known(crowd);
     talloc_free(crowd);
 }
@@ -166,9 +166,9 @@
     records_name(asker, MEMBERS_MAX, ROLE_AGENT, CROWD_CLUSTER);
     ask(asker);
     Members *members = crowd->nodes[0].members;
-    assert_int_equal(members_refused(members), SIZE);
+    assert_int_equal(members_refused_count(members), SIZE);
     assert_int_equal(members_table(members)->count, MEMBERS_MAX + 1);
-    assert_non_null(members_find(members, "asker"));
+    assert_non_null(members_find_id(members, "asker"));
     all_known(crowd);
     talloc_free(crowd);
 }
--- a/packages/sim/test/member_fixture.h
+++ b/packages/sim/test/member_fixture.h
@@ -120,7 +120,7 @@
 static inline bool crowd_knows(const Crowd *crowd, int number, int other)
 {
     const CrowdNode *node = &crowd->nodes[number];
-    const Member *row = members_find(node->members, crowd->nodes[other].name);
+    const Member *row = members_find_id(node->members, crowd->nodes[other].name);
     return row != NULL && !member_quiet(row, loop_now_ms(sim_loop(crowd->world, node->machine))) &&
            strcmp(row->record.address, crowd->nodes[other].address) == 0;
 }
--- a/packages/trace/src/gather.c
+++ b/packages/trace/src/gather.c
@@ -121,7 +121,7 @@
 {
     Trace *trace = gathering->trace;
     const MemberRecord *records;
-    const size_t count = members_whole(trace->members, gathering, &records);
+    const size_t count = members_list_all(trace->members, gathering, &records);
     const char *self = members_self(trace->members)->id;
     for (size_t i = 0; i < count; i++)
         if (strcmp(records[i].id, self) != 0)
--- a/src/daemon.c
+++ b/src/daemon.c
@@ -40,7 +40,7 @@
     Daemon *daemon = arg;
     Failure failure = {0};
     const char *http = "";
-    const ControllerWatch watch = {daemon, on_plans};
+    const ControllerObserver watch = {daemon, on_plans};
     const Status status = role_start(daemon->mem, &daemon->node, daemon->role, &daemon->settings,
                                      daemon->record != NULL ? &watch : NULL, &failure);
     if (status != STATUS_OK) {
--- a/src/node.c
+++ b/src/node.c
@@ -17,7 +17,7 @@
     const Adapter *adapter;
     const char *path;
     struct stat seen; /* of the file when it was last read */
-    AdapterPlace place;
+    AdapterSettings place;
     AdapterNode node;
     int code;
 } NodeRun;
@@ -27,7 +27,7 @@
 {
     Failure failure = {0};
     void *mem = talloc_new(run->mem);
-    AdapterPlace place = {0};
+    AdapterSettings place = {0};
     if (run->adapter->read(mem, run->path, &place, &failure) != STATUS_OK) {
         recorder_write(run->node.recorder, RECORDER_ALERT, loop_now_ms(run->node.loop),
                        "settings left as they were: %s", failure.text);
@@ -41,11 +41,11 @@
     for (int i = 0; i < SEEDS; i++)
         run->place.settings.seeds[i] = seeds[i] = talloc_strdup(run->mem, place.settings.seeds[i]);
     if (run->node.controller != NULL)
-        controller_seeds(run->node.controller, seeds);
+        controller_set_seeds(run->node.controller, seeds);
     else if (run->node.entry_point != NULL)
         entry_point_set_seeds(run->node.entry_point, seeds);
     else if (run->node.agent != NULL)
-        agent_seeds(run->node.agent, seeds);
+        agent_set_seeds(run->node.agent, seeds);
     talloc_free(mem);
 }
 
--- a/src/role.c
+++ b/src/role.c
@@ -6,7 +6,7 @@
 const char *const ROLES[3] = {"core", "gate", "agent"};
 
 Status role_start(void *mem, AdapterNode *node, SettingsRole role, const Settings *settings,
-                  const ControllerWatch *watch, Failure *failure)
+                  const ControllerObserver *watch, Failure *failure)
 {
     if (role == SETTINGS_CONTROLLER)
         return controller_start(mem, node->loop, node->recorder, settings, watch, &node->controller, failure);
--- a/src/role.h
+++ b/src/role.h
@@ -11,7 +11,7 @@
 /* Starts the role's part of the process: one of node's controller, entry point and agent is set. node has its loop and
  * ring; watch is for a controller and may be null. Does not wait. return: OK, or why not, with the text in failure. */
 Status role_start(void *mem, AdapterNode *node, SettingsRole role, const Settings *settings,
-                  const ControllerWatch *watch, Failure *failure);
+                  const ControllerObserver *watch, Failure *failure);
 /* Graceful shutdown of the part that was started, then of the loop. Waits. */
 void role_end(const AdapterNode *node);
 /* Writes the flight recorder to standard error. */
